--- /dev/null
+++ b/tier/chain/tests/wire_format.rs
@@ -0,0 +1,203 @@
+//! The bytes of every message between members, as `tests/wire_format/messages.txt` holds them. Members of different
+//! versions talk to each other: a line there changes only together with the protocol's version.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use plankhill_chain::{
+    Ballot, Echo, Entry, Heartbeat, Identity, Member, Message, RequestNumber, Snapshot, View, ViewNumber,
+};
+use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
+
+const RECORDED: &str = include_str!("wire_format/messages.txt");
+
+fn member(number: u8) -> Member {
+    let node = NodeId::from(format!("core-{number}").as_str());
+    let identity = Identity { node, incarnation: Incarnation(0x0102_0304_0506_0700 + u64::from(number)) };
+    Member { identity, address: SocketAddr::from(([10, 0, 0, number], 7_000 + u16::from(number))) }
+}
+
+fn member_on_ipv6() -> Member {
+    let address = SocketAddr::from(([0xfd00, 1, 2, 3, 4, 5, 6, 7], 7_009));
+    Member { address, ..member(9) }
+}
+
+fn view() -> View {
+    View {
+        number: ViewNumber(300),
+        voters: vec![member(1), member(2), member_on_ipv6()],
+        chain: vec![NodeId::from("core-2"), NodeId::from("core-1")],
+        base: Revision(70_000),
+    }
+}
+
+fn ballot() -> Ballot {
+    Ballot { round: 129, proposer: NodeId::from("core-2") }
+}
+
+fn entry(number: u8) -> Entry {
+    Entry {
+        request: RequestNumber(u128::MAX - u128::from(number)),
+        origin: NodeId::from("core-3"),
+        operation: Arc::from([number, 0, 255]),
+    }
+}
+
+fn snapshot() -> Snapshot {
+    Snapshot {
+        revision: Revision(512),
+        machine: Arc::from([7, 8, 9]),
+        outcomes: vec![(RequestNumber(5), Arc::from([1])), (RequestNumber(1 << 100), Arc::from([2, 3]))],
+    }
+}
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        member: member(1),
+        sequence: u64::MAX,
+        echoes: vec![
+            Echo { identity: member(2).identity, sequence: 17 },
+            Echo { identity: member(9).identity, sequence: 1 << 40 },
+        ],
+        view: ViewNumber(300),
+        sealed: true,
+        position: Revision(70_001),
+        committed: Revision(70_000),
+        leaving: true,
+        founder: true,
+        confirmed_age: Some(250),
+    }
+}
+
+/// One message of each variant, in the order of the variants: the one that follows `previous`. A new variant does not
+/// compile until it stands in this order, and with it in the recorded bytes.
+fn message_after(previous: Option<&Message>) -> Option<Message> {
+    let (view_number, revision) = (ViewNumber(300), Revision(70_000));
+    let next = match previous {
+        None => Message::Heartbeat(heartbeat()),
+        Some(Message::Heartbeat(_)) => Message::Decided(view()),
+        Some(Message::Decided(_)) => Message::Prepare { instance: ViewNumber(301), ballot: ballot() },
+        Some(Message::Prepare { instance: _, ballot: _ }) => Message::Promise {
+            instance: ViewNumber(301),
+            ballot: ballot(),
+            accepted: Some((Ballot { round: 128, proposer: NodeId::from("core-1") }, view())),
+            position: Revision(70_001),
+        },
+        Some(Message::Promise { instance: _, ballot: _, accepted: _, position: _ }) => {
+            Message::Refuse { instance: ViewNumber(301), promised: ballot() }
+        }
+        Some(Message::Refuse { instance: _, promised: _ }) => {
+            Message::Accept { ballot: ballot(), view: view() }
+        }
+        Some(Message::Accept { ballot: _, view: _ }) => {
+            Message::Accepted { instance: ViewNumber(301), ballot: ballot() }
+        }
+        Some(Message::Accepted { instance: _, ballot: _ }) => {
+            Message::Forward { view: view_number, entry: entry(1) }
+        }
+        Some(Message::Forward { view: _, entry: _ }) => {
+            Message::Append { view: view_number, previous: revision, entries: vec![entry(1), entry(2)] }
+        }
+        Some(Message::Append { view: _, previous: _, entries: _ }) => {
+            Message::Committed { view: view_number, revision }
+        }
+        Some(Message::Committed { view: _, revision: _ }) => {
+            Message::Outcome { request: RequestNumber(1 << 99), outcome: Arc::from([4, 5, 6]) }
+        }
+        Some(Message::Outcome { request: _, outcome: _ }) => {
+            Message::Fetch { view: view_number, after: revision }
+        }
+        Some(Message::Fetch { view: _, after: _ }) => Message::Fetched {
+            view: view_number,
+            after: revision,
+            entries: vec![entry(3)],
+            committed: Revision(69_999),
+        },
+        Some(Message::Fetched { view: _, after: _, entries: _, committed: _ }) => {
+            Message::Install { view: view_number, snapshot: snapshot() }
+        }
+        Some(Message::Install { view: _, snapshot: _ }) => Message::Read { view: view_number, read: 1 << 63 },
+        Some(Message::Read { view: _, read: _ }) => Message::ReadAt { read: 1 << 63, revision },
+        Some(Message::ReadAt { read: _, revision: _ }) => {
+            Message::Confirm { view: view_number, round: 1 << 62 }
+        }
+        Some(Message::Confirm { view: _, round: _ }) => {
+            Message::Confirmed { view: view_number, round: 1 << 62 }
+        }
+        Some(Message::Confirmed { view: _, round: _ }) => return None,
+    };
+    Some(next)
+}
+
+/// What the lines of the recorded bytes are called: the variants in their order, then those whose optional fields are
+/// empty.
+const LABELS: [&str; 20] = [
+    "Heartbeat",
+    "Decided",
+    "Prepare",
+    "Promise",
+    "Refuse",
+    "Accept",
+    "Accepted",
+    "Forward",
+    "Append",
+    "Committed",
+    "Outcome",
+    "Fetch",
+    "Fetched",
+    "Install",
+    "Read",
+    "ReadAt",
+    "Confirm",
+    "Confirmed",
+    "Heartbeat-unconfirmed",
+    "Promise-unbound",
+];
+
+/// One message of each variant, and those whose optional fields are empty.
+fn messages() -> Vec<(&'static str, Message)> {
+    let mut messages = Vec::new();
+    let mut next = message_after(None);
+    while let Some(message) = next {
+        next = message_after(Some(&message));
+        messages.push(message);
+    }
+    messages.push(Message::Heartbeat(Heartbeat { confirmed_age: None, ..heartbeat() }));
+    messages.push(Message::Promise {
+        instance: ViewNumber(301),
+        ballot: ballot(),
+        accepted: None,
+        position: Revision(70_001),
+    });
+    assert_eq!(messages.len(), LABELS.len());
+    LABELS.into_iter().zip(messages).collect()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+#[test]
+fn every_message_is_written_as_recorded() {
+    let written: Vec<String> = messages()
+        .iter()
+        .map(|(name, message)| format!("{name} {}", hex(&postcard::to_allocvec(message).unwrap())))
+        .collect();
+    let recorded: Vec<&str> = RECORDED.lines().collect();
+    assert_eq!(written, recorded);
+}
+
+#[test]
+fn every_recorded_message_is_read_back() {
+    assert_eq!(RECORDED.lines().count(), messages().len());
+    for ((name, message), line) in messages().iter().zip(RECORDED.lines()) {
+        let (recorded_name, recorded) = line.split_once(' ').unwrap();
+        assert_eq!(*name, recorded_name);
+        let read: Message = postcard::from_bytes(&bytes_of(recorded)).unwrap();
+        assert_eq!(read, *message, "{name}");
+    }
+}
--- a/tier/replica/src/links.rs
+++ b/tier/replica/src/links.rs
@@ -12,6 +12,9 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::JoinHandle;
 
+#[cfg(test)]
+mod wire_format_tests;
+
 /// Messages that wait for a connection; more are dropped, as every message may be.
 const QUEUE: usize = 1_024;
 /// Messages written together.
--- a/tier/replica/src/machine.rs
+++ b/tier/replica/src/machine.rs
@@ -7,6 +7,9 @@
 
 use crate::state::{CommittedState, ReplicatedState};
 
+#[cfg(test)]
+mod stored_format_tests;
+
 /// The typed state.
 pub(crate) struct TypedMachine<S: ReplicatedState> {
     state: Arc<S>,
