--- a/tier/control/tests/common/mod.rs
+++ b/tier/control/tests/common/mod.rs
@@ -1,11 +1,14 @@
 //! Values that several tests use.
 #![allow(dead_code)]
 
+use std::fmt::Debug;
 use std::sync::Arc;
 
 use plankhill_control::{ControlState, Duty, Operation, Outcome};
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{Edge, StoreMember, Target, TargetState};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
 
 pub fn target(id: &str, port: u16, sequence: u64) -> Target {
     Target {
@@ -77,3 +80,30 @@
     }
     (state, members)
 }
+
+/// Checks values against a fixture with a line `name hex` for each, in the same order: encoding gives the bytes, and
+/// the bytes give the value.
+pub fn pinned<T>(fixture: &str, values: Vec<(&str, T)>)
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let lines: Vec<(&str, &str)> =
+        fixture.lines().map(|line| line.split_once(' ').expect("a line `name hex`")).collect();
+    let pinned_names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
+    let names: Vec<&str> = values.iter().map(|(name, _)| *name).collect();
+    assert_eq!(names, pinned_names);
+    for ((name, hex), (_, value)) in lines.into_iter().zip(values) {
+        let encoded = postcard::to_stdvec(&value).expect("encodes");
+        assert_eq!(to_hex(&encoded), hex, "{name}");
+        assert_eq!(postcard::from_bytes::<T>(&from_hex(hex)).expect("decodes"), value, "{name}");
+    }
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(hex: &str) -> Vec<u8> {
+    let digits = hex.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("ASCII"));
+    digits.map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits")).collect()
+}
