--- /dev/null
+++ b/tier/agent/tests/wire_format.rs
@@ -0,0 +1,141 @@
+//! Pins the bytes that an agent sends: to the proxy of its machine, to a controller, and to another agent. The fixture
+//! `tests/wire_format/agent.txt` holds one line `Name hex` for each, as written by the build that the tier had before
+//! its code was renamed for readers. No test rewrites it. An agent keeps nothing on disk.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+use std::time::Duration;
+
+use plankhill_agent::feeder::{serve, Audience, Source, PROXY};
+use plankhill_agent::peers::monitor_peers;
+use plankhill_protocol::feed::{Subscriber, ToSubscriber};
+use plankhill_protocol::ids::{Incarnation, NodeId, Revision, ZoneName};
+use plankhill_protocol::subscription::{Subscription, SubscriptionOptions};
+use plankhill_protocol::tables::{Drain, Edge, Tables, TablesUpdate};
+use plankhill_protocol::transport::{listen, Channel, FrameWriter, Hello};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream, UdpSocket};
+use tokio::sync::{mpsc, watch};
+use tokio::task::LocalSet;
+
+/// Far beyond anything that a test waits for.
+const PATIENT: Duration = Duration::from_secs(60);
+
+fn run(test: impl std::future::Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    LocalSet::new().block_on(&runtime, test);
+}
+
+fn any_port() -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
+}
+
+fn edge(name: &str, address: SocketAddr) -> Edge {
+    Edge { node: NodeId::from(name), incarnation: Incarnation(300), address, zone: ZoneName::from("west") }
+}
+
+/// The bytes that the fixture has under this name.
+fn pinned(name: &str) -> Vec<u8> {
+    let fixture = include_str!("wire_format/agent.txt");
+    let mut lines = fixture.lines().map(|line| line.split_once(' ').unwrap());
+    let (_, hex) = lines.find(|(pinned, _)| *pinned == name).unwrap();
+    assert_eq!(hex.len() % 2, 0, "half a byte: {hex}");
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+async fn assert_next_bytes(stream: &mut TcpStream, name: &str) {
+    let wanted = pinned(name);
+    let mut bytes = vec![0; wanted.len()];
+    stream.read_exact(&mut bytes).await.unwrap();
+    assert_eq!(bytes, wanted, "{name}");
+}
+
+fn subscribe(controller: &TcpListener) -> Rc<Subscription> {
+    let (_, candidates) = watch::channel(vec![controller.local_addr().unwrap()]);
+    Rc::new(Subscription::start(SubscriptionOptions {
+        hello: Hello::new(Channel::Feed, NodeId::from("edge-1")),
+        // A fixed address, since it is part of the bytes.
+        subscriber: Subscriber::Edge(edge("edge-1", SocketAddr::from(([127, 0, 0, 1], 7_002)))),
+        candidates,
+        silence: PATIENT,
+    }))
+}
+
+/// The controller's end of the agent's connection, after the pinned greeting and subscription.
+async fn welcome(controller: &TcpListener) -> TcpStream {
+    let (mut raw, _) = controller.accept().await.unwrap();
+    assert_next_bytes(&mut raw, "HelloToController").await;
+    raw.write_all(&pinned("HelloOfController")).await.unwrap();
+    assert_next_bytes(&mut raw, "SubscribeAsEdge").await;
+    raw
+}
+
+async fn send(raw: &mut TcpStream, tables: &Tables) {
+    let messages = [
+        ToSubscriber::Update(TablesUpdate::Snapshot(tables.clone())),
+        ToSubscriber::Heartbeat { revision: tables.revision, current: true },
+    ];
+    FrameWriter::new(raw).send_all(&messages).await.unwrap();
+}
+
+#[test]
+fn what_a_proxy_and_a_controller_get_keeps_its_bytes() {
+    run(async {
+        let controller = listen(any_port()).unwrap();
+        let agent = subscribe(&controller);
+        let mut link = welcome(&controller).await;
+        let tables = Tables {
+            revision: Revision(300),
+            edges: vec![edge("edge-1", SocketAddr::from(([127, 0, 0, 1], 7_002)))],
+            drains: vec![Drain { node: NodeId::from("edge-1"), number: 5, empty: false }],
+            ..Tables::default()
+        };
+        send(&mut link, &tables).await;
+        assert_next_bytes(&mut link, "AppliedTwice").await;
+
+        let loopback = listen(any_port()).unwrap();
+        let address = loopback.local_addr().unwrap();
+        let (upwards, mut passed) = mpsc::channel(1);
+        let source = Source { tables: agent.tables(), standing: agent.standing(), upwards };
+        let hello = Hello::new(Channel::Feed, NodeId::from("edge-1"));
+        let (connected, _) = watch::channel(0);
+        let audience = Audience { heartbeat: PATIENT, ..PROXY };
+        tokio::task::spawn_local(serve(loopback, hello, source, audience, connected));
+        let mut proxy = TcpStream::connect(address).await.unwrap();
+        proxy.write_all(&pinned("HelloToController")).await.unwrap();
+        assert_next_bytes(&mut proxy, "HelloToController").await;
+        proxy.write_all(&pinned("SubscribeAsProxy")).await.unwrap();
+        assert_next_bytes(&mut proxy, "SnapshotAndHeartbeat").await;
+        proxy.write_all(&pinned("EmptiedByProxy")).await.unwrap();
+        assert!(agent.send(passed.recv().await.unwrap()));
+        assert_next_bytes(&mut link, "EmptiedByProxy").await;
+    });
+}
+
+#[test]
+fn datagrams_of_a_monitor_keep_their_bytes() {
+    run(async {
+        let controller = listen(any_port()).unwrap();
+        let subscription = subscribe(&controller);
+        let mut link = welcome(&controller).await;
+        let (own, peer) =
+            (UdpSocket::bind(any_port()).await.unwrap(), UdpSocket::bind(any_port()).await.unwrap());
+        let own_address = own.local_addr().unwrap();
+        let edges = vec![edge("edge-1", own_address), edge("edge-2", peer.local_addr().unwrap())];
+        let tables = Tables { revision: Revision(300), edges, ..Tables::default() };
+        tokio::task::spawn_local(monitor_peers(own, NodeId::from("edge-1"), subscription));
+        send(&mut link, &tables).await;
+        let mut buffer = [0_u8; 512];
+        let (length, from) = peer.recv_from(&mut buffer).await.unwrap();
+        assert_eq!((&buffer[..length], from), (pinned("FirstProbe").as_slice(), own_address));
+        peer.send_to(&pinned("ProbeOfAgent"), own_address).await.unwrap();
+        // Probes of the monitor's own may come before the answer.
+        loop {
+            let (length, _) = peer.recv_from(&mut buffer).await.unwrap();
+            if buffer[..length] == pinned("AnswerOfAgent") {
+                break;
+            }
+            assert_eq!(buffer[0], pinned("FirstProbe")[0], "neither a probe nor the answer");
+        }
+    });
+}
--- /dev/null
+++ b/tier/membership/tests/wire_format.rs
@@ -0,0 +1,41 @@
+//! Pins the bytes of the datagrams between agents: `tests/wire_format/datagram.txt` holds one line `Variant hex` for
+//! each, as written by the build that the tier had before its code was renamed for readers. No test rewrites it.
+
+use plankhill_membership::probe::Datagram;
+use plankhill_protocol::ids::NodeId;
+
+/// The name in the fixture; a new variant does not compile before somebody has looked here.
+fn variant(datagram: &Datagram) -> &'static str {
+    match datagram {
+        Datagram::Probe { .. } => "Probe",
+        Datagram::Relay { .. } => "Relay",
+        Datagram::Alive { .. } => "Alive",
+    }
+}
+
+fn from_hex(hex: &str) -> Vec<u8> {
+    assert_eq!(hex.len() % 2, 0, "half a byte: {hex}");
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+#[test]
+fn datagrams_keep_their_bytes() {
+    let datagrams = [
+        Datagram::Probe { sequence: 300, to: NodeId::from("edge-2") },
+        Datagram::Relay { sequence: u64::MAX, about: NodeId::from("edge-3") },
+        Datagram::Alive { sequence: 301 },
+    ];
+    let pinned: Vec<(&str, Vec<u8>)> = include_str!("wire_format/datagram.txt")
+        .lines()
+        .map(|line| line.split_once(' ').unwrap())
+        .map(|(name, hex)| (name, from_hex(hex)))
+        .collect();
+    let encoded: Vec<(&str, Vec<u8>)> = datagrams
+        .iter()
+        .map(|datagram| (variant(datagram), postcard::to_stdvec(datagram).unwrap()))
+        .collect();
+    assert_eq!(encoded, pinned);
+    for (datagram, (name, bytes)) in datagrams.iter().zip(&pinned) {
+        assert_eq!(postcard::from_bytes::<Datagram>(bytes).unwrap(), *datagram, "{name}");
+    }
+}
