--- /dev/null
+++ b/tier/store/tests/stored_format.rs
@@ -0,0 +1,289 @@
+//! A state folder of a store, written by an earlier text and kept in `stored_format/state`, is opened by this one
+//! with all that lies in it: incarnation, view, turns, budgets, extensions and hints.
+
+use std::fs;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::tables::{StoreMember, StoreView};
+use plankhill_protocol::transport::CallError;
+use plankhill_protocol::turns::{TurnPlace, TurnRecord};
+use plankhill_store::clock::Clock;
+use plankhill_store::disk::{open_folder, Disk, FjallDisk};
+use plankhill_store::figures::Figures;
+use plankhill_store::node::{Node, Parts};
+use plankhill_store::peers::Peers;
+use plankhill_turns::account::TurnState;
+use plankhill_turns::peer::{KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
+use plankhill_turns::rows::{
+    account_key, hint_key, read_row, turn_key, AccountRow, Table, TurnRow, INCARNATION_KEY, VIEW_KEY,
+};
+use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+
+/// The time of day at which the folder was written, in milliseconds.
+const WRITTEN_MS: u64 = 1_790_000_000_000;
+/// The incarnation in the folder.
+const STORED: Incarnation = Incarnation(0x0123_4567_89ab_cdf0);
+/// What a store would call itself if the folder counted as empty.
+const FRESH: Incarnation = Incarnation(99);
+
+/// A clock that stands still.
+struct FixedClock(u64);
+
+impl Clock for FixedClock {
+    fn now_ms(&self) -> u64 {
+        self.0
+    }
+}
+
+/// No other store can be reached.
+struct NoPeers;
+
+impl Peers for NoPeers {
+    fn call(
+        &self,
+        _: SocketAddr,
+        _: PeerCall,
+        _: Duration,
+    ) -> impl Future<Output = Result<PeerReply, CallError>> + 'static {
+        async { Err(CallError::NotSent) }
+    }
+}
+
+type StoreNode = Node<NoPeers, FjallDisk, FixedClock>;
+
+fn program(number: u8) -> ProgramId {
+    ProgramId::from(format!("program-{number}").as_str())
+}
+
+fn turn(number: u8) -> RequestId {
+    RequestId::from(format!("turn-{number}").as_str())
+}
+
+fn member(number: u8) -> StoreMember {
+    StoreMember {
+        node: NodeId::from(format!("store-{number}").as_str()),
+        incarnation: Incarnation(0x0123_4567_89ab_cdef + u64::from(number)),
+        address: SocketAddr::from(([127, 0, 0, number], 7_000)),
+        zone: ZoneName::from(format!("zone-{number}").as_str()),
+    }
+}
+
+fn view() -> StoreView {
+    StoreView {
+        epoch: StoreEpoch(7),
+        serving: vec![member(1), member(2), member(3)],
+        next: Some(vec![member(1), member(2), member(4)]),
+        faults: 1,
+    }
+}
+
+/// The first turn of a chain.
+fn first_record() -> Arc<TurnRecord> {
+    Arc::new(TurnRecord {
+        turn: turn(1),
+        program: program(1),
+        previous: None,
+        input: Arc::from(*b"the first input\n"),
+        output: Arc::from(*b"the first output\n"),
+        retention_ms: 60_000,
+    })
+}
+
+/// A turn of another program that goes on from the first one.
+fn second_record() -> Arc<TurnRecord> {
+    Arc::new(TurnRecord {
+        turn: turn(2),
+        program: program(2),
+        previous: Some(TurnPlace { turn: turn(1), program: program(1) }),
+        input: Arc::from(*b"the second input\n"),
+        output: Arc::from([7; 3_000]),
+        retention_ms: 90_000,
+    })
+}
+
+/// Bytes of a journal of the database, which sets them aside when it makes one.
+const JOURNAL_BYTES: u64 = 64 * 1024 * 1024;
+
+/// A copy of the stored folder: opening a folder writes to it. The copy gets back what a repository can't keep or
+/// is better without: an empty folder, and the zeros behind the last entry of the journal.
+fn copied_state() -> tempfile::TempDir {
+    let folder = tempfile::tempdir().expect("a folder");
+    let state = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/stored_format/state");
+    copy_folder(&state, folder.path());
+    let database = folder.path().join("rows");
+    fs::create_dir_all(database.join("keyspaces/1/tables")).expect("a folder");
+    let journal = fs::File::options().write(true).open(database.join("0.jnl")).expect("a journal");
+    journal.set_len(JOURNAL_BYTES).expect("zeros");
+    folder
+}
+
+fn copy_folder(from: &Path, to: &Path) {
+    for entry in fs::read_dir(from).expect("a folder") {
+        let path = entry.expect("an entry").path();
+        let target = to.join(path.file_name().expect("a name"));
+        if path.is_dir() {
+            fs::create_dir_all(&target).expect("a folder");
+            copy_folder(&path, &target);
+        } else {
+            fs::copy(&path, &target).expect("a file");
+        }
+    }
+}
+
+fn run<T>(story: impl Future<Output = T>) -> T {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
+    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), story)
+}
+
+async fn load(folder: &Path) -> Rc<StoreNode> {
+    let opened = open_folder(folder, FRESH).await;
+    let parts = Parts {
+        me: StoreMember { incarnation: opened.incarnation, ..member(1) },
+        figures: Figures { slack_ms: 10_000, most_bytes: 50_000_000 },
+        peers: NoPeers,
+        disk: opened.disk,
+        clock: FixedClock(WRITTEN_MS + 1_000),
+    };
+    Node::load(parts).expect("a readable folder")
+}
+
+/// Asks as another store of the stored view.
+async fn ask(node: &Rc<StoreNode>, body: PeerRequest) -> PeerResponse {
+    let call = PeerCall { epoch: view().epoch, body };
+    match node.clone().answer(StoreRequest::Peer(call)).await {
+        StoreAnswer::Peer(reply) => {
+            assert_eq!(reply.incarnation, STORED);
+            reply.body
+        }
+        StoreAnswer::Proxy(reply) => panic!("{reply:?}"),
+    }
+}
+
+fn rows(disk: &impl Disk, table: Table) -> Vec<(Vec<u8>, Vec<u8>)> {
+    let mut rows = Vec::new();
+    disk.scan(table, &mut |key, value| rows.push((key.to_vec(), value.to_vec()))).expect("a readable disk");
+    rows
+}
+
+fn read<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
+    read_row(bytes).expect("a row of this table")
+}
+
+#[test]
+fn a_store_finds_all_that_lies_in_the_folder() {
+    run(async {
+        let folder = copied_state();
+        let node = load(folder.path()).await;
+        assert_eq!(node.me().incarnation, STORED);
+        assert_eq!(node.view(), view());
+        assert_eq!(node.hints_waiting(), 2);
+
+        let programs = vec![program(1), program(2), program(3)];
+        let PeerResponse::Outlines(outlines) = ask(&node, PeerRequest::OutlinePrograms { programs }).await
+        else {
+            panic!("no outlines")
+        };
+        assert_eq!(outlines.len(), 2, "of the third program nothing is known");
+        let states: Vec<_> = outlines[0].account.turns().map(|(name, state)| (name.clone(), state)).collect();
+        let expected = [
+            (turn(1), TurnState::Settled { tokens: 321 }),
+            (turn(3), TurnState::Reserved { most: 600 }),
+            (turn(4), TurnState::Refused),
+        ];
+        assert_eq!(states, expected);
+        assert_eq!(outlines[0].turns, [turn(1)]);
+        let states: Vec<_> = outlines[1].account.turns().map(|(name, state)| (name.clone(), state)).collect();
+        assert_eq!(states, [(turn(2), TurnState::Settled { tokens: 0 })]);
+        assert_eq!(outlines[1].turns, [turn(2)]);
+
+        let turns = vec![turn(1), turn(2), turn(3)];
+        let PeerResponse::Turns(found) = ask(&node, PeerRequest::FetchTurns { turns }).await else {
+            panic!("no turns")
+        };
+        // The second turn keeps the first one as long as itself; an extension keeps both longer than that.
+        let expected = [
+            KeptTurn { record: first_record(), remaining_ms: 499_000 },
+            KeptTurn { record: second_record(), remaining_ms: 499_000 },
+        ];
+        assert_eq!(found, expected);
+
+        let expected = PeerResponse::Chain { turns: vec![second_record(), first_record()], rest: None };
+        assert_eq!(ask(&node, PeerRequest::Chain { turn: turn(2) }).await, expected);
+    });
+}
+
+#[test]
+fn the_folder_holds_the_rows_of_each_table() {
+    run(async {
+        let folder = copied_state();
+        let opened = open_folder(folder.path(), FRESH).await;
+        assert_eq!(opened.incarnation, STORED);
+        for table in Table::ALL {
+            let rows = rows(&opened.disk, table);
+            let keys: Vec<&[u8]> = rows.iter().map(|(key, _)| key.as_slice()).collect();
+            match table {
+                Table::Turns => {
+                    assert_eq!(keys, [turn_key(&turn(1)), turn_key(&turn(2))]);
+                    let expires_ms = WRITTEN_MS + 70_000;
+                    assert_eq!(read::<TurnRow>(&rows[0].1), TurnRow { expires_ms, record: first_record() });
+                    let expires_ms = WRITTEN_MS + 100_000;
+                    assert_eq!(read::<TurnRow>(&rows[1].1), TurnRow { expires_ms, record: second_record() });
+                }
+                Table::Accounts => {
+                    let expected = [
+                        (account_key(&program(1), &turn(1)), TurnState::Settled { tokens: 321 }),
+                        (account_key(&program(1), &turn(3)), TurnState::Reserved { most: 600 }),
+                        (account_key(&program(1), &turn(4)), TurnState::Refused),
+                        (account_key(&program(2), &turn(2)), TurnState::Settled { tokens: 0 }),
+                    ];
+                    assert_eq!(rows.len(), expected.len());
+                    for ((key, row), (expected_key, state)) in rows.iter().zip(expected) {
+                        assert_eq!(*key, expected_key);
+                        assert_eq!(read::<AccountRow>(row), AccountRow { state, used_ms: WRITTEN_MS });
+                    }
+                }
+                Table::Hints => {
+                    let expected = [
+                        hint_key(&member(2).node, &program(2), &turn(2)),
+                        hint_key(&member(3).node, &program(1), &turn(1)),
+                    ];
+                    assert_eq!(keys, expected);
+                    assert!(rows.iter().all(|(_, row)| row.is_empty()));
+                }
+                Table::Extensions => {
+                    assert_eq!(keys, [turn_key(&turn(2))]);
+                    assert_eq!(read::<u64>(&rows[0].1), WRITTEN_MS + 500_000);
+                }
+                Table::Own => {
+                    assert_eq!(keys, [INCARNATION_KEY, VIEW_KEY]);
+                    assert_eq!(read::<Incarnation>(&rows[0].1), STORED);
+                    assert_eq!(read::<StoreView>(&rows[1].1), view());
+                }
+            }
+        }
+    });
+}
+
+#[test]
+fn a_new_folder_has_the_same_files_as_the_stored_one() {
+    run(async {
+        let fresh = tempfile::tempdir().expect("a folder");
+        assert_eq!(open_folder(fresh.path(), FRESH).await.incarnation, FRESH);
+        assert_eq!(names(fresh.path()), ["ready", "rows"]);
+        assert_eq!(names(copied_state().path()), ["ready", "rows"]);
+    });
+}
+
+fn names(folder: &Path) -> Vec<String> {
+    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry"));
+    let mut names: Vec<String> =
+        entries.map(|entry| entry.file_name().to_string_lossy().into_owned()).collect();
+    names.sort();
+    names
+}
--- /dev/null
+++ b/tier/turns/tests/stored_format.rs
@@ -0,0 +1,137 @@
+//! The bytes of all that a store puts on disk, as they have always been: keys and rows. The expected bytes lie in
+//! `stored_format/` and never change.
+
+mod pins;
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use pins::{chain, Pins};
+use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::tables::{StoreMember, StoreView};
+use plankhill_protocol::turns::{TurnPlace, TurnRecord};
+use plankhill_turns::account::TurnState;
+use plankhill_turns::rows::{
+    account_key, hint_key, incarnation_row, read_row, turn_key, view_row, AccountRow, RowChange, Table,
+    TurnRow, INCARNATION_KEY, VIEW_KEY,
+};
+
+fn program() -> ProgramId {
+    ProgramId::from("program-1")
+}
+
+fn turn() -> RequestId {
+    RequestId::from("turn-2")
+}
+
+fn member(number: u8) -> StoreMember {
+    StoreMember {
+        node: NodeId::from(format!("store-{number}").as_str()),
+        incarnation: Incarnation(0x0123_4567_89ab_cdef + u64::from(number)),
+        address: SocketAddr::from(([10, 0, 0, number], 7_000)),
+        zone: ZoneName::from(format!("zone-{number}").as_str()),
+    }
+}
+
+fn view() -> StoreView {
+    StoreView {
+        epoch: StoreEpoch(300),
+        serving: vec![member(1), member(2)],
+        next: Some(vec![member(2), member(3)]),
+        faults: 2,
+    }
+}
+
+fn turn_row() -> TurnRow {
+    TurnRow {
+        expires_ms: 1_790_000_000_123,
+        record: Arc::new(TurnRecord {
+            turn: turn(),
+            program: program(),
+            previous: Some(TurnPlace {
+                turn: RequestId::from("turn-1"),
+                program: ProgramId::from("program-0"),
+            }),
+            input: Arc::from(*b"the input\n"),
+            output: Arc::from(*b"the output\n"),
+            retention_ms: 86_400_000,
+        }),
+    }
+}
+
+fn next_turn_state(last: Option<&TurnState>) -> Option<TurnState> {
+    match last {
+        None => Some(TurnState::Reserved { most: 70_000 }),
+        Some(TurnState::Reserved { .. }) => Some(TurnState::Refused),
+        Some(TurnState::Refused) => Some(TurnState::Settled { tokens: 1_234 }),
+        Some(TurnState::Settled { .. }) => None,
+    }
+}
+
+fn value(change: RowChange) -> Vec<u8> {
+    change.value.expect("a row that is set")
+}
+
+#[test]
+fn keys_keep_their_bytes() {
+    let mut pins = Pins::parse(include_str!("stored_format/keys.txt"));
+    for table in Table::ALL {
+        match table {
+            Table::Turns => pins.check_bytes("Turns", &turn_key(&turn())),
+            Table::Accounts => pins.check_bytes("Accounts", &account_key(&program(), &turn())),
+            Table::Hints => pins.check_bytes("Hints", &hint_key(&member(3).node, &program(), &turn())),
+            Table::Extensions => pins.check_bytes("Extensions", &turn_key(&turn())),
+            Table::Own => {
+                pins.check_bytes("Own.Incarnation", INCARNATION_KEY);
+                pins.check_bytes("Own.View", VIEW_KEY);
+            }
+        }
+    }
+    pins.finish();
+}
+
+#[test]
+fn rows_keep_their_bytes() {
+    let mut pins = Pins::parse(include_str!("stored_format/rows.txt"));
+    for table in Table::ALL {
+        match table {
+            Table::Turns => pins.check("Turns", &turn_row()),
+            Table::Accounts => {
+                for state in chain(next_turn_state) {
+                    let name = match state {
+                        TurnState::Reserved { .. } => "Accounts.Reserved",
+                        TurnState::Refused => "Accounts.Refused",
+                        TurnState::Settled { .. } => "Accounts.Settled",
+                    };
+                    pins.check(name, &AccountRow { state, used_ms: 1_790_000_000_456 });
+                }
+            }
+            Table::Hints => pins.check("Hints", &()),
+            Table::Extensions => pins.check("Extensions", &1_790_000_000_789_u64),
+            Table::Own => {
+                pins.check("Own.Incarnation", &member(1).incarnation);
+                pins.check("Own.View", &view());
+            }
+        }
+    }
+    pins.finish();
+}
+
+#[test]
+fn rows_that_are_set_hold_the_pinned_bytes() {
+    let mut pins = Pins::parse(include_str!("stored_format/rows.txt"));
+    let incarnation = incarnation_row(member(1).incarnation);
+    assert_eq!((incarnation.table, incarnation.key.as_slice()), (Table::Own, INCARNATION_KEY));
+    let pinned = pins.take("Own.Incarnation");
+    assert_eq!(read_row::<Incarnation>(&pinned), Some(member(1).incarnation));
+    assert_eq!(value(incarnation), pinned);
+    let row = view_row(&view());
+    assert_eq!((row.table, row.key.as_slice()), (Table::Own, VIEW_KEY));
+    let pinned = pins.take("Own.View");
+    assert_eq!(read_row::<StoreView>(&pinned), Some(view()));
+    assert_eq!(value(row), pinned);
+    let row = RowChange::set(Table::Turns, turn_key(&turn()), &turn_row());
+    let pinned = pins.take("Turns");
+    assert_eq!(read_row::<TurnRow>(&pinned), Some(turn_row()));
+    assert_eq!(value(row), pinned);
+}
--- /dev/null
+++ b/tier/turns/tests/wire_format.rs
@@ -0,0 +1,309 @@
+//! The bytes of all that goes over a connection to a store, as they have always been: between a proxy and a store,
+//! and between two stores. The expected bytes lie in `wire_format/` and never change.
+
+mod pins;
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use pins::{chain, Pins};
+use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::tables::{StoreMember, StoreView};
+use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
+use plankhill_turns::account::{Account, TurnState};
+use plankhill_turns::index::{Index, TurnEntry};
+use plankhill_turns::peer::{
+    EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline,
+    StoreSet,
+};
+use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+
+fn program() -> ProgramId {
+    ProgramId::from("program-1")
+}
+
+fn turn() -> RequestId {
+    RequestId::from("turn-2")
+}
+
+fn previous() -> RequestId {
+    RequestId::from("turn-1")
+}
+
+fn place() -> TurnPlace {
+    TurnPlace { turn: previous(), program: ProgramId::from("program-0") }
+}
+
+fn record() -> TurnRecord {
+    TurnRecord {
+        turn: turn(),
+        program: program(),
+        previous: Some(place()),
+        input: Arc::from(*b"the input\n"),
+        output: Arc::from(*b"the output\n"),
+        retention_ms: 86_400_000,
+    }
+}
+
+fn kept() -> KeptTurn {
+    KeptTurn { record: Arc::new(record()), remaining_ms: 3_600_001 }
+}
+
+fn ended() -> EndedTurn {
+    EndedTurn {
+        program: program(),
+        turn: turn(),
+        state: Some(TurnState::Settled { tokens: 1_234 }),
+        kept: Some(kept()),
+    }
+}
+
+fn member(number: u8) -> StoreMember {
+    StoreMember {
+        node: NodeId::from(format!("store-{number}").as_str()),
+        incarnation: Incarnation(0x0123_4567_89ab_cdef + u64::from(number)),
+        address: SocketAddr::from(([10, 0, 0, number], 7_000)),
+        zone: ZoneName::from(format!("zone-{number}").as_str()),
+    }
+}
+
+fn view() -> StoreView {
+    StoreView {
+        epoch: StoreEpoch(300),
+        serving: vec![member(1), member(2)],
+        next: Some(vec![member(2), member(3)]),
+        faults: 2,
+    }
+}
+
+/// An account that holds a turn in each state.
+fn account() -> Account {
+    let mut account = Account::default();
+    for (number, state) in chain(next_turn_state).into_iter().enumerate() {
+        account.merge(&RequestId::from(format!("turn-{number}").as_str()), state);
+    }
+    account
+}
+
+fn next_turn_state(last: Option<&TurnState>) -> Option<TurnState> {
+    match last {
+        None => Some(TurnState::Reserved { most: 70_000 }),
+        Some(TurnState::Reserved { .. }) => Some(TurnState::Refused),
+        Some(TurnState::Refused) => Some(TurnState::Settled { tokens: 1_234 }),
+        Some(TurnState::Settled { .. }) => None,
+    }
+}
+
+fn next_store_set(last: Option<&StoreSet>) -> Option<StoreSet> {
+    match last {
+        None => Some(StoreSet::Serving),
+        Some(StoreSet::Serving) => Some(StoreSet::Next),
+        Some(StoreSet::Next) => None,
+    }
+}
+
+fn next_peer_request(last: Option<&PeerRequest>) -> Option<PeerRequest> {
+    match last {
+        None => Some(PeerRequest::Reserve {
+            program: program(),
+            turn: turn(),
+            most: 70_000,
+            previous: Some(previous()),
+        }),
+        Some(PeerRequest::Reserve { .. }) => Some(PeerRequest::End(ended())),
+        Some(PeerRequest::End(_)) => Some(PeerRequest::Chain { turn: turn() }),
+        Some(PeerRequest::Chain { .. }) => Some(PeerRequest::Locate { turn: turn() }),
+        Some(PeerRequest::Locate { .. }) => Some(PeerRequest::Extend { turn: turn(), keep_ms: 60_000 }),
+        Some(PeerRequest::Extend { .. }) => Some(PeerRequest::Repair(vec![ended(), ended()])),
+        Some(PeerRequest::Repair(_)) => {
+            Some(PeerRequest::KeepHint { node: member(3).node, program: program(), turn: turn() })
+        }
+        Some(PeerRequest::KeepHint { .. }) => {
+            Some(PeerRequest::ListPrograms { set: StoreSet::Next, store: member(3), after: Some(program()) })
+        }
+        Some(PeerRequest::ListPrograms { .. }) => {
+            Some(PeerRequest::OutlinePrograms { programs: vec![program(), ProgramId::from("program-2")] })
+        }
+        Some(PeerRequest::OutlinePrograms { .. }) => {
+            Some(PeerRequest::FetchTurns { turns: vec![previous(), turn()] })
+        }
+        Some(PeerRequest::FetchTurns { .. }) => Some(PeerRequest::TakeView(view())),
+        Some(PeerRequest::TakeView(_)) => None,
+    }
+}
+
+fn peer_request_name(request: &PeerRequest) -> &'static str {
+    match request {
+        PeerRequest::Reserve { .. } => "Reserve",
+        PeerRequest::End(_) => "End",
+        PeerRequest::Chain { .. } => "Chain",
+        PeerRequest::Locate { .. } => "Locate",
+        PeerRequest::Extend { .. } => "Extend",
+        PeerRequest::Repair(_) => "Repair",
+        PeerRequest::KeepHint { .. } => "KeepHint",
+        PeerRequest::ListPrograms { .. } => "ListPrograms",
+        PeerRequest::OutlinePrograms { .. } => "OutlinePrograms",
+        PeerRequest::FetchTurns { .. } => "FetchTurns",
+        PeerRequest::TakeView(_) => "TakeView",
+    }
+}
+
+fn next_peer_response(last: Option<&PeerResponse>) -> Option<PeerResponse> {
+    match last {
+        None => Some(PeerResponse::Account(account())),
+        Some(PeerResponse::Account(_)) => Some(PeerResponse::Done),
+        Some(PeerResponse::Done) => {
+            Some(PeerResponse::Chain { turns: vec![Arc::new(record())], rest: Some(place()) })
+        }
+        Some(PeerResponse::Chain { .. }) => Some(PeerResponse::Located),
+        Some(PeerResponse::Located) => Some(PeerResponse::NotHere),
+        Some(PeerResponse::NotHere) => Some(PeerResponse::Programs(vec![ProgramDigest {
+            program: program(),
+            digest: 0xfedc_ba98_7654_3210,
+        }])),
+        Some(PeerResponse::Programs(_)) => Some(PeerResponse::Outlines(vec![ProgramOutline {
+            program: program(),
+            account: account(),
+            turns: vec![previous(), turn()],
+        }])),
+        Some(PeerResponse::Outlines(_)) => Some(PeerResponse::Turns(vec![kept(), kept()])),
+        Some(PeerResponse::Turns(_)) => Some(PeerResponse::OldEpoch(view())),
+        Some(PeerResponse::OldEpoch(_)) => Some(PeerResponse::Behind),
+        Some(PeerResponse::Behind) => Some(PeerResponse::Unable),
+        Some(PeerResponse::Unable) => None,
+    }
+}
+
+fn peer_response_name(response: &PeerResponse) -> &'static str {
+    match response {
+        PeerResponse::Account(_) => "Account",
+        PeerResponse::Done => "Done",
+        PeerResponse::Chain { .. } => "Chain",
+        PeerResponse::Located => "Located",
+        PeerResponse::NotHere => "NotHere",
+        PeerResponse::Programs(_) => "Programs",
+        PeerResponse::Outlines(_) => "Outlines",
+        PeerResponse::Turns(_) => "Turns",
+        PeerResponse::OldEpoch(_) => "OldEpoch",
+        PeerResponse::Behind => "Behind",
+        PeerResponse::Unable => "Unable",
+    }
+}
+
+fn next_store_call(last: Option<&StoreCall>) -> Option<StoreCall> {
+    match last {
+        None => Some(StoreCall::BeginTurn {
+            epoch: StoreEpoch(300),
+            program: program(),
+            turn: turn(),
+            reservation: Some(Reservation { budget: 100_000, most: 70_000 }),
+            previous: Some(previous()),
+        }),
+        Some(StoreCall::BeginTurn { .. }) => Some(StoreCall::EndTurn {
+            epoch: StoreEpoch(300),
+            program: program(),
+            turn: turn(),
+            tokens: Some(1_234),
+            record: Some(record()),
+        }),
+        Some(StoreCall::EndTurn { .. }) => None,
+    }
+}
+
+fn store_call_name(call: &StoreCall) -> &'static str {
+    match call {
+        StoreCall::BeginTurn { .. } => "BeginTurn",
+        StoreCall::EndTurn { .. } => "EndTurn",
+    }
+}
+
+fn next_store_reply(last: Option<&StoreReply>) -> Option<StoreReply> {
+    match last {
+        None => Some(StoreReply::Begun { history: Arc::from(*b"a history"), previous: Some(place()) }),
+        Some(StoreReply::Begun { .. }) => Some(StoreReply::BudgetSpent),
+        Some(StoreReply::BudgetSpent) => Some(StoreReply::NoSuchTurn),
+        Some(StoreReply::NoSuchTurn) => Some(StoreReply::Ended),
+        Some(StoreReply::Ended) => Some(StoreReply::Unsure),
+        Some(StoreReply::Unsure) => Some(StoreReply::OldEpoch(StoreEpoch(301))),
+        Some(StoreReply::OldEpoch(_)) => None,
+    }
+}
+
+fn store_reply_name(reply: &StoreReply) -> &'static str {
+    match reply {
+        StoreReply::Begun { .. } => "Begun",
+        StoreReply::BudgetSpent => "BudgetSpent",
+        StoreReply::NoSuchTurn => "NoSuchTurn",
+        StoreReply::Ended => "Ended",
+        StoreReply::Unsure => "Unsure",
+        StoreReply::OldEpoch(_) => "OldEpoch",
+    }
+}
+
+/// All requests, with the names of their lines.
+fn requests() -> Vec<(String, StoreRequest)> {
+    let from_proxies = chain(next_store_call)
+        .into_iter()
+        .map(|call| (format!("Proxy.{}", store_call_name(&call)), StoreRequest::Proxy(call)));
+    let from_peers = chain(next_peer_request).into_iter().map(|body| {
+        let name = format!("Peer.{}", peer_request_name(&body));
+        (name, StoreRequest::Peer(PeerCall { epoch: StoreEpoch(300), body }))
+    });
+    from_proxies.chain(from_peers).collect()
+}
+
+/// All answers, with the names of their lines.
+fn answers() -> Vec<(String, StoreAnswer)> {
+    let to_proxies = chain(next_store_reply)
+        .into_iter()
+        .map(|reply| (format!("Proxy.{}", store_reply_name(&reply)), StoreAnswer::Proxy(reply)));
+    let to_peers = chain(next_peer_response).into_iter().map(|body| {
+        let name = format!("Peer.{}", peer_response_name(&body));
+        (name, StoreAnswer::Peer(PeerReply { incarnation: member(1).incarnation, body }))
+    });
+    to_proxies.chain(to_peers).collect()
+}
+
+#[test]
+fn requests_to_stores_keep_their_bytes() {
+    let mut pins = Pins::parse(include_str!("wire_format/requests.txt"));
+    for (name, request) in requests() {
+        match &request {
+            StoreRequest::Proxy(_) | StoreRequest::Peer(_) => pins.check(&name, &request),
+        }
+    }
+    for set in chain(next_store_set) {
+        let name = match set {
+            StoreSet::Serving => "StoreSet.Serving",
+            StoreSet::Next => "StoreSet.Next",
+        };
+        pins.check(name, &set);
+    }
+    pins.finish();
+}
+
+#[test]
+fn answers_of_stores_keep_their_bytes() {
+    let mut pins = Pins::parse(include_str!("wire_format/answers.txt"));
+    for (name, answer) in answers() {
+        match &answer {
+            StoreAnswer::Proxy(_) | StoreAnswer::Peer(_) => pins.check(&name, &answer),
+        }
+    }
+    pins.finish();
+}
+
+/// Two stores compare digests: both have to compute the same one of the same turns, whichever text they run.
+#[test]
+fn digests_of_programs_keep_their_values() {
+    let mut pins = Pins::parse(include_str!("wire_format/digests.txt"));
+    let mut index = Index::default();
+    pins.check("NoAccountNoTurns", &index.digest(&program()));
+    for (turn, state) in account().turns() {
+        index.merge_state(&program(), turn, state, 1_000);
+    }
+    pins.check("AccountOfThreeStates", &index.digest(&program()));
+    index.keep(&turn(), TurnEntry::new(&record(), 5_000));
+    pins.check("AccountAndOneTurn", &index.digest(&program()));
+    pins.finish();
+}
