--- a/tier/store/tests/stored_format.rs
+++ b/tier/store/tests/stored_format.rs
@@ -51,7 +51,7 @@
         _: PeerCall,
         _: Duration,
     ) -> impl Future<Output = Result<PeerReply, CallError>> + 'static {
-        async { Err(CallError::NotSent) }
+        std::future::ready(Err(CallError::NotSent))
     }
 }
 
