--- a/fanout/src/lib.rs
+++ b/fanout/src/lib.rs
@@ -16,6 +16,8 @@
 mod plan;
 pub mod state;
 pub mod station;
+#[cfg(test)]
+mod stored_format_tests;
 pub mod sums;
 mod verdict;
 
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -7,6 +7,8 @@
 mod owed;
 mod promise;
 mod record;
+#[cfg(test)]
+mod stored_format_tests;
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
--- /dev/null
+++ b/ledger/src/stored_format_tests.rs
@@ -0,0 +1,126 @@
+//! The bytes of every kind of record in the log, as `tests/stored_format/records.txt` has them.
+
+use crate::frame::{Mark, Outcome, Reader, Taken};
+use crate::promise::{Promise, Repeats};
+
+const RECORDS: &str = include_str!("../tests/stored_format/records.txt");
+
+fn pinned(name: &str) -> Vec<u8> {
+    let line = RECORDS.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let hex = line.unwrap_or_else(|| panic!("{name} is not pinned"));
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+fn taken(promised: Option<Promise>) -> Mark<'static> {
+    Mark::Taken(Taken {
+        id: "event-é-1".into(),
+        destination: 0x0102_0304_0506_0708,
+        traffic: "invoices".into(),
+        patience_ends: 1_764_000_000_123.25,
+        key: Some(0xfedc_ba98_7654_3210),
+        fingerprint: Some("a1b2c3".into()),
+        body: b"{\"body\":\x00\xff}"[..].into(),
+        promised,
+    })
+}
+
+fn least() -> Mark<'static> {
+    Mark::Taken(Taken { id: "b".into(), traffic: "t".into(), ..Taken::default() })
+}
+
+fn id() -> std::borrow::Cow<'static, str> {
+    "event-é-1".into()
+}
+
+fn sent(time_out: Option<f64>) -> Mark<'static> {
+    Mark::Sent { id: id(), at: 1_764_000_000_456.5, zone: "zone-a".into(), time_out }
+}
+
+/// One value of each record kind, and of each choice inside of them.
+fn samples() -> Vec<(String, Mark<'static>)> {
+    let mut all = vec![
+        ("Least".to_owned(), least()),
+        ("Unpromised".to_owned(), taken(None)),
+        ("SentWithoutTimeOut".to_owned(), sent(None)),
+        (
+            "EndedWithoutWait".to_owned(),
+            Mark::Ended { id: id(), outcome: Outcome::Dismissed, come_back_after: None },
+        ),
+    ];
+    let repeats = [
+        Repeats::Harmless,
+        Repeats::Known { window: 1500.5, one_zone: false },
+        Repeats::Known { window: 0.5, one_zone: true },
+        Repeats::Forbidden,
+    ];
+    for repeats in repeats {
+        let kind = match repeats {
+            Repeats::Harmless => "Harmless",
+            Repeats::Known { one_zone: false, .. } => "Known",
+            Repeats::Known { one_zone: true, .. } => "KnownInOneZone",
+            Repeats::Forbidden => "Forbidden",
+        };
+        for ordered in [false, true] {
+            let name = format!("Promised{kind}{}", if ordered { "Ordered" } else { "" });
+            all.push((name, taken(Some(Promise { repeats, ordered }))));
+        }
+    }
+    for outcome in [Outcome::Dismissed, Outcome::WrittenOff] {
+        let kind = match outcome {
+            Outcome::Dismissed => "Dismissed",
+            Outcome::WrittenOff => "WrittenOff",
+        };
+        let ended = Mark::Ended { id: id(), outcome, come_back_after: Some(500.25) };
+        all.push((format!("Ended{kind}"), ended));
+    }
+    let kinds = [
+        taken(Some(Promise { repeats: Repeats::Forbidden, ordered: true })),
+        sent(Some(16_000.5)),
+        Mark::Unrun { id: id() },
+        Mark::Ended { id: id(), outcome: Outcome::WrittenOff, come_back_after: Some(500.25) },
+        Mark::Over { id: id() },
+        Mark::Cold { target: "target-1".into(), since: 1_764_000_000_789.0, usual: 12.75 },
+    ];
+    for mark in kinds {
+        let name = match mark {
+            Mark::Taken(_) => "Taken",
+            Mark::Sent { .. } => "Sent",
+            Mark::Unrun { .. } => "Unrun",
+            Mark::Ended { .. } => "Ended",
+            Mark::Over { .. } => "Over",
+            Mark::Cold { .. } => "Cold",
+        };
+        all.push((name.to_owned(), mark));
+    }
+    all
+}
+
+#[test]
+fn each_record_is_written_and_read_as_pinned() {
+    let samples = samples();
+    for (name, mark) in &samples {
+        let mut bytes = Vec::new();
+        mark.write(&mut bytes);
+        assert_eq!(bytes, pinned(name), "{name}");
+        let mut reader = Reader::new(&bytes);
+        let (read, frame) = reader.next().expect("a whole frame");
+        assert_eq!(frame, bytes, "{name}");
+        let mut again = Vec::new();
+        read.write(&mut again);
+        assert_eq!(again, bytes, "{name}");
+        assert_eq!(reader.read(), bytes.len(), "{name}");
+    }
+    assert_eq!(RECORDS.lines().count(), samples.len());
+}
+
+/// What the versions before wrote: without the traffic of a target, and without a promise or a time-out.
+#[test]
+fn a_note_of_a_target_without_its_traffic_is_read() {
+    let bytes = pinned("Cold");
+    let payload = &bytes[8..bytes.len() - 8];
+    let mut older = (payload.len() as u32).to_le_bytes().to_vec();
+    older.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
+    older.extend_from_slice(payload);
+    let (read, _) = Reader::new(&older).next().expect("a whole frame");
+    assert!(matches!(read, Mark::Cold { usual: 0.0, since: 1_764_000_000_789.0, .. }));
+}
