--- a/tests/cold.rs
+++ b/decisions/tests/cold.rs
@@ -3,7 +3,7 @@
 mod host;
 
 use host::*;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use rstest::rstest;
 
 /// Met on amman-tyre-centres-later rough-1 once pings came every 2 s: 44 forwarders learnt of a return
--- a/tests/fleet/destination.rs
+++ b/decisions/tests/fleet/destination.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 
 use super::*;
 
--- a/tests/fleet/mod.rs
+++ b/decisions/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::host::*;
 pub use destination::*;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 
 pub const STEP: Ms = 20.0;
 pub const SPAN: Ms = 3_000.0; // the settings' time, over which calls are counted
--- a/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)] // each file of stories uses its part
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
 
 pub const RETRIABLE: TrafficId = TrafficId(0);
 pub const FINGERPRINTED: TrafficId = TrafficId(1);
--- a/tests/room.rs
+++ b/decisions/tests/room.rs
@@ -3,8 +3,8 @@
 mod host;
 
 use host::*;
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
 use rstest::rstest;
 
 #[rstest]
--- a/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -3,7 +3,7 @@
 mod host;
 
 use host::*;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use rstest::rstest;
 
 #[rstest]
--- a/operators/src/bans.rs
+++ b/forwarder/admin/src/bans.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use plankhill::interface::{Listing, TargetId};
+use plankhill_decisions::interface::{Listing, TargetId};
 
 type Id = Rc<str>;
 
--- a/operators/tests/orders.rs
+++ b/forwarder/admin/tests/orders.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use plankhill::interface::{Listing, TargetId};
-use plankhill_operators::*;
+use plankhill_decisions::interface::{Listing, TargetId};
+use plankhill_admin::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/command/src/convert.rs
+++ b/forwarder/cli/src/convert.rs
@@ -4,7 +4,7 @@
 use std::io::{ErrorKind, Write};
 use std::path::Path;
 
-use plankhill_terms::convert::{convert as converted, Converted};
+use plankhill_forwarder_config::convert::{convert as converted, Converted};
 
 use crate::Fault;
 
--- a/command/src/emulate.rs
+++ b/forwarder/cli/src/emulate.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use plankhill_experiments::shipped::{self, SHIPPED};
-use plankhill_terms::scenario::Scenario;
+use plankhill_forwarder_config::scenario::Scenario;
 
 use crate::summary;
 use crate::Fault;
--- a/command/src/experiment.rs
+++ b/forwarder/cli/src/experiment.rs
@@ -6,8 +6,8 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 use plankhill_experiments::{report as pages, run, shipped, Folder, Plan, Stopped};
-use plankhill_terms::experiment::Experiment;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::experiment::Experiment;
+use plankhill_forwarder_config::tables::Text;
 
 use crate::Fault;
 
--- a/command/tests/convert.rs
+++ b/forwarder/cli/tests/convert.rs
@@ -55,8 +55,8 @@
     }
 }
 
-fn told(path: &Path) -> plankhill_terms::Told {
-    let told = plankhill_terms::told(|variable| match variable {
+fn told(path: &Path) -> plankhill_forwarder_config::Told {
+    let told = plankhill_forwarder_config::told(|variable| match variable {
         "PROXY_CONFIG" => Some(path.display().to_string()),
         "PROXY_STATE" => Some("/state".into()),
         _ => None,
--- a/terms/src/decisions.rs
+++ b/forwarder/config/src/decisions.rs
@@ -1,6 +1,6 @@
 //! The terms of the decisions, read out of the settings that both wires share.
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use serde_json::Value;
 
 use crate::fields::*;
--- a/terms/src/fanout.rs
+++ b/forwarder/config/src/fanout.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plankhill::interface::DestinationId;
+use plankhill_decisions::interface::DestinationId;
 use plankhill_fanout::{Bounds, Layout, ListName};
 use serde::Deserialize;
 
--- a/terms/src/fields.rs
+++ b/forwarder/config/src/fields.rs
@@ -1,6 +1,6 @@
 //! A field of a JSON object, read in the form it must have; what is wrong names the field.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use serde_json::{Map, Value};
 
 pub type Plain<T> = Result<T, String>;
--- a/terms/src/fleet/kinds.rs
+++ b/forwarder/config/src/fleet/kinds.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use serde::Deserialize;
 use toml::Spanned;
 
--- a/terms/src/lib.rs
+++ b/forwarder/config/src/lib.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use serde_json::Value;
 
 pub use decisions::{order_key, terms, Names, LEFT};
--- a/terms/src/pools.rs
+++ b/forwarder/config/src/pools.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use plankhill_pools::language::{Known, Policy};
+use plankhill_connection_quotas::language::{Known, Policy};
 
 use crate::decisions::Names;
 use crate::fields::Plain;
@@ -42,6 +42,6 @@
     // Settings without members say nothing of their names.
     let members = Some(names.members.as_slice()).filter(|members| !members.is_empty());
     let known = Known { kinds: Some(&names.kinds), zones: Some(&names.zones), members };
-    let policy = plankhill_pools::policy(&name, &text, &known).map_err(|faults| faults.to_string())?;
+    let policy = plankhill_connection_quotas::policy(&name, &text, &known).map_err(|faults| faults.to_string())?;
     Ok(Pools { path, text, policy })
 }
--- a/terms/src/scenario.rs
+++ b/forwarder/config/src/scenario.rs
@@ -4,7 +4,7 @@
 
 mod check;
 
-pub use plankhill::interface::Ms;
+pub use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
 
 use crate::tables::Text;
--- a/terms/tests/fanout.rs
+++ b/forwarder/config/tests/fanout.rs
@@ -1,7 +1,7 @@
 //! The section `[fanout]` of a fleet file, right and wrong.
 
-use plankhill_terms::fanout::fanout;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::fanout::fanout;
+use plankhill_forwarder_config::tables::Text;
 use rstest::rstest;
 
 const RIGHT: &str = r#"fleet = "f"
--- a/terms/tests/fleet.rs
+++ b/forwarder/config/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet file: what it gives, and what each fault is called, with its key and line.
 
-use plankhill_terms::fleet::{read, Timing};
+use plankhill_forwarder_config::fleet::{read, Timing};
 use rstest::rstest;
 
 const GOOD: &str = r#"fleet = "amman"
@@ -31,7 +31,7 @@
 
 #[test]
 fn the_example_in_deploy_is_read() {
-    let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/fleet.toml")).unwrap();
+    let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.toml")).unwrap();
     assert_eq!(read(&text).unwrap().voters, ["a", "b", "c"]);
 }
 
--- a/terms/tests/pools.rs
+++ b/forwarder/config/tests/pools.rs
@@ -1,7 +1,7 @@
 //! The fleet file's `[pools]`, and the policy that it names.
 
-use plankhill_terms::pools::pools;
-use plankhill_terms::{fleet, Names};
+use plankhill_forwarder_config::pools::pools;
+use plankhill_forwarder_config::{fleet, Names};
 use rstest::rstest;
 
 const FLEET: &str = r#"fleet = "amman"
@@ -40,7 +40,7 @@
 
 #[test]
 fn the_example_in_deploy_is_sound() {
-    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/fleet.toml");
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.toml");
     let fleet = fleet::read(&format!("{FLEET}policy = \"pools.policy\"")).expect("is a fleet");
     assert!(pools(&fleet, file, &names()).expect("is sound").is_some());
 }
--- a/terms/tests/scenarios.rs
+++ b/forwarder/config/tests/scenarios.rs
@@ -1,8 +1,8 @@
 //! Scenarios and experiments, right and wrong: a message is one line with file, line, key and what is allowed.
 
-use plankhill_terms::experiment::Experiment;
-use plankhill_terms::scenario::Scenario;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::experiment::Experiment;
+use plankhill_forwarder_config::scenario::Scenario;
+use plankhill_forwarder_config::tables::Text;
 use rstest::rstest;
 
 const RIGHT: &str = r#"about = "a day"
--- a/terms/tests/told.rs
+++ b/forwarder/config/tests/told.rs
@@ -1,6 +1,6 @@
 //! What a forwarder is told at its start, right and wrong: a message names the faulty key.
 
-use plankhill_terms::told;
+use plankhill_forwarder_config::told;
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -16,11 +16,11 @@
             "rules": {"coldFrom": 0.2, "coldUs": 9000000, "tipMultiple": 2}}})
 }
 
-fn read(name: &str, config: &Value) -> Result<plankhill_terms::Told, String> {
+fn read(name: &str, config: &Value) -> Result<plankhill_forwarder_config::Told, String> {
     read_with(name, config, None)
 }
 
-fn read_with(name: &str, config: &Value, handover: Option<&str>) -> Result<plankhill_terms::Told, String> {
+fn read_with(name: &str, config: &Value, handover: Option<&str>) -> Result<plankhill_forwarder_config::Told, String> {
     let path = std::env::temp_dir().join(format!("plankhill-terms-{}-{name}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).expect("a file for the test");
     let told = told(|variable| match variable {
@@ -58,7 +58,7 @@
     let told = read("calls", &config).expect("right");
     assert_eq!(told.terms.kinds[0].events_per_call, 1);
     let settings = config["settings"].as_object().expect("given");
-    let (simulated, _) = plankhill_terms::terms(settings, "settings", 1).expect("right");
+    let (simulated, _) = plankhill_forwarder_config::terms(settings, "settings", 1).expect("right");
     assert_eq!(simulated.kinds[0].events_per_call, 8);
 }
 
--- a/pools/examples/demand.rs
+++ b/forwarder/connection-quotas/examples/demand.rs
@@ -1,6 +1,6 @@
 //! A simulation of connection demand in virtual time, not of a network: a hundred forwarders call two targets that
 //! take so many connections from all together, each guessing alone, or by leases. Prints a table for
-//! `docs/pools.md`. `cargo run --release -p plankhill-pools --example demand [SEED]`.
+//! `docs/pools.md`. `cargo run --release -p plankhill-connection-quotas --example demand [SEED]`.
 
 mod fleet {
     pub mod alone;
--- a/pools/examples/fleet/leased.rs
+++ b/forwarder/connection-quotas/examples/fleet/leased.rs
@@ -1,8 +1,8 @@
 //! Leases over the real book, giver and holders; the log takes 20 ms, a report 10 ms.
 
-use plankhill_pools::language::{Facts, Known, PoolId};
-use plankhill_pools::leases::{encode, Book, Instance, Life};
-use plankhill_pools::local::{Entry, Local, Start, Use};
+use plankhill_connection_quotas::language::{Facts, Known, PoolId};
+use plankhill_connection_quotas::leases::{encode, Book, Instance, Life};
+use plankhill_connection_quotas::local::{Entry, Local, Start, Use};
 
 use super::traffic::Way;
 use crate::{FORWARDERS, MEMBERS, TAKES, TARGETS};
@@ -30,7 +30,7 @@
         let instances: Vec<(Instance, String)> =
             (0..FORWARDERS).map(|at| (Instance(format!("i{at:03}")), String::new())).collect();
         let local = |at: usize| {
-            let policy = plankhill_pools::policy("p", &text, &Known::default()).expect("is sound");
+            let policy = plankhill_connection_quotas::policy("p", &text, &Known::default()).expect("is sound");
             let (instance, life) = (instances[at].0.clone(), Life(at as u64));
             let (text, instances) = (text.clone(), instances.clone());
             let mut local = Local::new(Start { instance, life, text, policy, instances, grace: 600.0 });
--- a/pools/tests/fleet/mod.rs
+++ b/forwarder/connection-quotas/tests/fleet/mod.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use plankhill_pools::language::{Facts, PoolId};
-use plankhill_pools::leases::*;
+use plankhill_connection_quotas::language::{Facts, PoolId};
+use plankhill_connection_quotas::leases::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/pools/tests/fleet/process.rs
+++ b/forwarder/connection-quotas/tests/fleet/process.rs
@@ -1,4 +1,4 @@
-use plankhill_pools::leases::*;
+use plankhill_connection_quotas::leases::*;
 
 use super::{pool, TIME_OUT};
 
--- a/pools/tests/fleet/talk.rs
+++ b/forwarder/connection-quotas/tests/fleet/talk.rs
@@ -1,6 +1,6 @@
 //! Reports and proposals on their way.
 
-use plankhill_pools::leases::*;
+use plankhill_connection_quotas::leases::*;
 use rand::Rng;
 
 use super::{facts, Fleet};
--- a/pools/tests/fleet/trouble.rs
+++ b/forwarder/connection-quotas/tests/fleet/trouble.rs
@@ -1,6 +1,6 @@
 //! What goes wrong in the fleet, by chance and on purpose.
 
-use plankhill_pools::leases::*;
+use plankhill_connection_quotas::leases::*;
 use rand::Rng;
 
 use super::{facts, Fleet, STALL, STEP};
--- a/pools/tests/language.rs
+++ b/forwarder/connection-quotas/tests/language.rs
@@ -1,8 +1,8 @@
 //! Stories of the policy language: what is written means what the reference says, reads back the same, and
 //! each fault is told with its place, its key and a way out.
 
-use plankhill_pools::language::{read, Facts, Known, PoolId};
-use plankhill_pools::policy;
+use plankhill_connection_quotas::language::{read, Facts, Known, PoolId};
+use plankhill_connection_quotas::policy;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
--- a/pools/tests/leases.rs
+++ b/forwarder/connection-quotas/tests/leases.rs
@@ -4,8 +4,8 @@
 mod fleet;
 
 use fleet::{policy, Fleet, Planted, BUDGET, STEP};
-use plankhill_pools::language::{Facts, Known, PoolId};
-use plankhill_pools::leases::*;
+use plankhill_connection_quotas::language::{Facts, Known, PoolId};
+use plankhill_connection_quotas::leases::*;
 use rstest::rstest;
 
 const MINUTE: u32 = (60_000.0 / STEP) as u32;
@@ -155,7 +155,7 @@
     book.apply(1, &agree(text(2, "each destination")));
     assert_eq!(ask(&mut book, &mut holder, &mut giver, 2), 0, "the other lease counts still");
     let known = Known::default();
-    assert!(plankhill_pools::policy("p", &text(2, "each destination"), &known).is_ok());
+    assert!(plankhill_connection_quotas::policy("p", &text(2, "each destination"), &known).is_ok());
     for _ in 0..8 {
         for command in giver.due(1e5, &book) {
             book.apply(1, &command);
--- a/pools/tests/local.rs
+++ b/forwarder/connection-quotas/tests/local.rs
@@ -1,14 +1,14 @@
 //! A forwarder's side by plain calls: two of them, one of which leads, and bytes carried between them.
 
-use plankhill_pools::language::{Facts, Known, PoolId, OTHERS};
-use plankhill_pools::leases::{encode, Command, Instance, Life};
-use plankhill_pools::local::{Entry, Local, Start, Use};
+use plankhill_connection_quotas::language::{Facts, Known, PoolId, OTHERS};
+use plankhill_connection_quotas::leases::{encode, Command, Instance, Life};
+use plankhill_connection_quotas::local::{Entry, Local, Start, Use};
 
 const POLICY: &str = "language 1 edition 1 lease { lasts 3s renew 300ms }
     budget each target { connections 10 standing 2 reserve 1 }";
 
 fn local(name: &str) -> Local {
-    let policy = plankhill_pools::policy("p", POLICY, &Known::default()).expect("is sound");
+    let policy = plankhill_connection_quotas::policy("p", POLICY, &Known::default()).expect("is sound");
     let instances = ["a", "b"].map(|name| (Instance(name.into()), String::new())).to_vec();
     let (instance, life, text) = (Instance(name.into()), Life(7), POLICY.into());
     let mut local = Local::new(Start { instance, life, text, policy, instances, grace: 600.0 });
@@ -33,7 +33,7 @@
 impl Two {
     fn new() -> Two {
         let mut two = Two { now: 0.0, a: local("a"), b: local("b") };
-        let nothing = plankhill_pools::leases::Book::default().snapshot();
+        let nothing = plankhill_connection_quotas::leases::Book::default().snapshot();
         two.a.leads(0.0, 1, &nothing);
         two.carry(4);
         two
--- a/pools/tests/split.rs
+++ b/forwarder/connection-quotas/tests/split.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use plankhill_pools::language::tree::Over;
-use plankhill_pools::language::{lending::reaches, MemberTerms, PoolTerms, Reach};
-use plankhill_pools::split::{split, Owed, Part, Wants};
+use plankhill_connection_quotas::language::tree::Over;
+use plankhill_connection_quotas::language::{lending::reaches, MemberTerms, PoolTerms, Reach};
+use plankhill_connection_quotas::split::{split, Owed, Part, Wants};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/pools/tests/stored_format.rs
+++ b/forwarder/connection-quotas/tests/stored_format.rs
@@ -1,7 +1,7 @@
 //! The bytes of what holders and givers send, of the giving group's log, and of its book's snapshot.
 
-use plankhill_pools::language::{Facts, LeaseTerms, MemberId, PoolId};
-use plankhill_pools::leases::*;
+use plankhill_connection_quotas::language::{Facts, LeaseTerms, MemberId, PoolId};
+use plankhill_connection_quotas::leases::*;
 use serde::{de::DeserializeOwned, Serialize};
 
 const PINNED: &str = include_str!("stored_format/values.txt");
--- a/emulator/benches/memory.rs
+++ b/forwarder/emulator/benches/memory.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use plankhill_emulator::World;
-use plankhill_terms::scenario::Scenario;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::scenario::Scenario;
+use plankhill_forwarder_config::tables::Text;
 
 struct Counting;
 
--- a/emulator/benches/speed.rs
+++ b/forwarder/emulator/benches/speed.rs
@@ -8,8 +8,8 @@
 use plankhill_emulator::chance::{exponential, stream, Concern};
 use plankhill_emulator::play;
 use plankhill_emulator::queue::Queue;
-use plankhill_terms::scenario::Scenario;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::scenario::Scenario;
+use plankhill_forwarder_config::tables::Text;
 
 fn day(destinations: usize, forwarders: usize, decisions: &str) -> Scenario {
     let text = format!(
--- a/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -5,7 +5,7 @@
 //! network and chance cost nothing. What it says is out of reach; how near a variant comes tells where
 //! payoff is left.
 
-use plankhill_terms::scenario::{Ms, Scenario, TroubleKind};
+use plankhill_forwarder_config::scenario::{Ms, Scenario, TroubleKind};
 
 use crate::clients::{worth, Clients};
 use crate::limits::Gauge;
--- a/emulator/src/chance.rs
+++ b/forwarder/emulator/src/chance.rs
@@ -1,6 +1,6 @@
 //! Chance: one portable stream for each concern, so that a change in one draws nothing from another.
 
-use plankhill_terms::scenario::{Answer, Ms, Shape};
+use plankhill_forwarder_config::scenario::{Answer, Ms, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Pareto};
--- a/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use plankhill_terms::scenario::{Ms, Scenario, Traffic, TroubleKind};
+use plankhill_forwarder_config::scenario::{Ms, Scenario, Traffic, TroubleKind};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Zipf};
--- a/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -7,8 +7,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use plankhill::interface::{Fate, Listing, Ms, TargetId, Terms};
-use plankhill_terms::scenario;
+use plankhill_decisions::interface::{Fate, Listing, Ms, TargetId, Terms};
+use plankhill_forwarder_config::scenario;
 use slotmap::new_key_type;
 
 new_key_type! { pub struct EventKey; }
--- a/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -1,7 +1,7 @@
 //! The decision module through its public interface.
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
 use slotmap::{Key, KeyData};
 
 use super::{Decider, Decision, EventKey, Input, TargetNames};
--- a/emulator/src/deciders/plain.rs
+++ b/forwarder/emulator/src/deciders/plain.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use plankhill::interface::{Fate, Listing, Ms, Terms};
+use plankhill_decisions::interface::{Fate, Listing, Ms, Terms};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
--- a/emulator/src/deciders/plain/serving.rs
+++ b/forwarder/emulator/src/deciders/plain/serving.rs
@@ -1,6 +1,6 @@
 //! What a baseline does with what waits: sends it, oldest first, or ends it.
 
-use plankhill::interface::{Effect, Ms};
+use plankhill_decisions::interface::{Effect, Ms};
 use rand::Rng;
 
 use super::{Event, Plain, LAST_MOMENT};
--- a/emulator/src/lib.rs
+++ b/forwarder/emulator/src/lib.rs
@@ -17,7 +17,7 @@
 pub use world::World;
 
 use outcome::Outcome;
-use plankhill_terms::scenario::Scenario;
+use plankhill_forwarder_config::scenario::Scenario;
 
 /// Plays a day to its end.
 pub fn play(scenario: &Scenario) -> Outcome {
--- a/emulator/src/limits.rs
+++ b/forwarder/emulator/src/limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use plankhill_terms::scenario::{Limit, LimitKind, Ms};
+use plankhill_forwarder_config::scenario::{Limit, LimitKind, Ms};
 
 /// How full a limit is.
 #[derive(Clone, Debug, Default)]
--- a/emulator/src/outcome.rs
+++ b/forwarder/emulator/src/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use plankhill_terms::scenario::Ms;
+use plankhill_forwarder_config::scenario::Ms;
 use serde::{Deserialize, Serialize};
 
 /// What kept payoff from being delivered.
--- a/emulator/src/queue.rs
+++ b/forwarder/emulator/src/queue.rs
@@ -2,7 +2,7 @@
 //! needs to be looked at again only when the time comes near it. `docs/emulator.md` has the measurement that
 //! chose it over a binary heap.
 
-use plankhill_terms::scenario::Ms;
+use plankhill_forwarder_config::scenario::Ms;
 
 /// Entries leave in the order of their time; those of one instant in the order in which they were put in.
 pub struct Queue<T> {
--- a/emulator/src/struck.rs
+++ b/forwarder/emulator/src/struck.rs
@@ -1,7 +1,7 @@
 //! Which destinations and forwarders each trouble strikes, and how popular each destination is. Worked out
 //! once, from the scenario and the seed.
 
-use plankhill_terms::scenario::{Scenario, Trouble};
+use plankhill_forwarder_config::scenario::{Scenario, Trouble};
 
 use crate::chance::{draw, stream, Concern};
 
--- a/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
-use plankhill_rules::{Checker, Rule};
-use plankhill_terms::scenario::{Decider, Ms, Scenario};
+use plankhill_invariants::{Checker, Rule};
+use plankhill_forwarder_config::scenario::{Decider, Ms, Scenario};
 use rustc_hash::FxHashMap;
 
 use crate::clients::{worth, Ticket};
--- a/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -1,8 +1,8 @@
 //! The way back of a call, and all that ends the forwarder's side of it.
 
-use plankhill::interface::{Fate, Ms};
-use plankhill_rules::Fact;
-use plankhill_terms::scenario::TroubleKind;
+use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_invariants::Fact;
+use plankhill_forwarder_config::scenario::TroubleKind;
 
 use super::parts::Member;
 use super::{CallKey, Step, World};
--- a/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -1,9 +1,9 @@
 //! A call at its target: the limit, the queue and the servers. The forwarder's side of it may be over (timed
 //! out) while the target's is not; the call is forgotten when both are.
 
-use plankhill::interface::{Fate, Ms};
-use plankhill_rules::Fact;
-use plankhill_terms::scenario::Repeats;
+use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_invariants::Fact;
+use plankhill_forwarder_config::scenario::Repeats;
 
 use super::parts::{Call, Event, Member};
 use super::{CallKey, Step, World};
@@ -159,13 +159,13 @@
         self.calls[key].members = members;
     }
 
-    pub(super) fn effect(&self, traffic: u8) -> plankhill_rules::Effect {
+    pub(super) fn effect(&self, traffic: u8) -> plankhill_invariants::Effect {
         let of = &self.scenario.traffic[traffic as usize];
         match of.effect {
-            Repeats::Retriable => plankhill_rules::Effect::Retriable,
-            Repeats::Binding => plankhill_rules::Effect::Binding,
+            Repeats::Retriable => plankhill_invariants::Effect::Retriable,
+            Repeats::Binding => plankhill_invariants::Effect::Binding,
             Repeats::Fingerprinted => {
-                plankhill_rules::Effect::Fingerprinted { window: of.window, one_group: of.one_zone }
+                plankhill_invariants::Effect::Fingerprinted { window: of.window, one_group: of.one_zone }
             }
         }
     }
--- a/emulator/src/world/clients_side.rs
+++ b/forwarder/emulator/src/world/clients_side.rs
@@ -1,7 +1,7 @@
 //! Clients: handing in, hearing of ends, and coming again.
 
-use plankhill::interface::{Listing, Ms};
-use plankhill_rules::{End, Fact};
+use plankhill_decisions::interface::{Listing, Ms};
+use plankhill_invariants::{End, Fact};
 
 use super::parts::{Event, Incoming};
 use super::{Step, World};
--- a/emulator/src/world/cold.rs
+++ b/forwarder/emulator/src/world/cold.rs
@@ -2,9 +2,9 @@
 
 use std::collections::VecDeque;
 
-use plankhill::interface::Listing;
-use plankhill_rules::Fact;
-use plankhill_terms::scenario::Ms;
+use plankhill_decisions::interface::Listing;
+use plankhill_invariants::Fact;
+use plankhill_forwarder_config::scenario::Ms;
 
 use super::ground::Cold;
 use super::{Step, World};
--- a/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -1,7 +1,7 @@
 //! Connections: opened, taken while they stand idle, put back, closed and dropped unseen.
 
-use plankhill::interface::{Fate, Listing, Ms};
-use plankhill_rules::Fact;
+use plankhill_decisions::interface::{Fate, Listing, Ms};
+use plankhill_invariants::Fact;
 
 use super::parts::Idle;
 use super::{CallKey, Step, World};
--- a/emulator/src/world/ground.rs
+++ b/forwarder/emulator/src/world/ground.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-use plankhill::interface::Listing;
-use plankhill_terms::scenario::{Group, Ms, Scenario, TroubleKind};
+use plankhill_decisions::interface::Listing;
+use plankhill_forwarder_config::scenario::{Group, Ms, Scenario, TroubleKind};
 
 use super::{CallKey, World};
 use crate::chance::{between, stream, Concern};
--- a/emulator/src/world/lists.rs
+++ b/forwarder/emulator/src/world/lists.rs
@@ -1,7 +1,7 @@
 //! The list as each forwarder has heard it.
 
-use plankhill::interface::Listing;
-use plankhill_rules::Fact;
+use plankhill_decisions::interface::Listing;
+use plankhill_invariants::Fact;
 
 use super::{Step, World};
 use crate::chance::{between, draw};
--- a/emulator/src/world/lives.rs
+++ b/forwarder/emulator/src/world/lives.rs
@@ -1,9 +1,9 @@
 //! Lives of a forwarder: its start, stalls and ends, the record that outlasts a process, and what happens to
 //! what was held when one ends.
 
-use plankhill::interface::{Fate, Ms};
-use plankhill_rules::{Cut, Fact};
-use plankhill_terms::scenario::Repeats;
+use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_invariants::{Cut, Fact};
+use plankhill_forwarder_config::scenario::Repeats;
 use rustc_hash::FxHashSet;
 
 use super::parts::Incoming;
--- a/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -16,9 +16,9 @@
 mod step;
 mod troubles;
 
-use plankhill::interface::TargetId;
-use plankhill_rules::{Bounds, Checker, Fact};
-use plankhill_terms::scenario::{Ms, Scenario, TroubleKind};
+use plankhill_decisions::interface::TargetId;
+use plankhill_invariants::{Bounds, Checker, Fact};
+use plankhill_forwarder_config::scenario::{Ms, Scenario, TroubleKind};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 use slotmap::{new_key_type, SlotMap};
--- a/emulator/src/world/parts.rs
+++ b/forwarder/emulator/src/world/parts.rs
@@ -1,6 +1,6 @@
 //! What forwarders hold and what is on its way: plain data that the files beside this one work on.
 
-use plankhill::interface::{Fate, Ms};
+use plankhill_decisions::interface::{Fate, Ms};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::CallKey;
--- a/emulator/src/world/rounds.rs
+++ b/forwarder/emulator/src/world/rounds.rs
@@ -1,7 +1,7 @@
 //! Rounds of a forwarder: what came in between them is handed over, and decisions are carried out.
 
-use plankhill::interface::{Fate, Ms};
-use plankhill_rules::{Cut, Fact};
+use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_invariants::{Cut, Fact};
 
 use super::lives::CLOSING_LEAST;
 use super::parts::Incoming;
--- a/emulator/src/world/starts.rs
+++ b/forwarder/emulator/src/world/starts.rs
@@ -1,8 +1,8 @@
 //! A forwarder starts: the terms of its decisions, the list as it stands, and all that is still owed.
 
-use plankhill::interface::{self as names, DestinationKind, Terms, TrafficType};
-use plankhill_rules::Fact;
-use plankhill_terms::scenario::Repeats;
+use plankhill_decisions::interface::{self as names, DestinationKind, Terms, TrafficType};
+use plankhill_invariants::Fact;
+use plankhill_forwarder_config::scenario::Repeats;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::parts::Forwarder;
--- a/emulator/src/world/step.rs
+++ b/forwarder/emulator/src/world/step.rs
@@ -1,6 +1,6 @@
 //! What happens next, and who sees to it.
 
-use plankhill_terms::scenario::Ms;
+use plankhill_forwarder_config::scenario::Ms;
 
 use super::{CallKey, World};
 use crate::clients::Ticket;
--- a/emulator/src/world/troubles.rs
+++ b/forwarder/emulator/src/world/troubles.rs
@@ -1,8 +1,8 @@
 //! Troubles begin, turn and end. What one does to a call is read where the call meets it; what is here
 //! changes the world at an instant: lists, lives, broken calls and outages.
 
-use plankhill::interface::{Listing, TargetId};
-use plankhill_terms::scenario::{Ms, TroubleKind};
+use plankhill_decisions::interface::{Listing, TargetId};
+use plankhill_forwarder_config::scenario::{Ms, TroubleKind};
 
 use super::ground::Target;
 use super::{Step, World};
--- a/emulator/tests/helpers/mod.rs
+++ b/forwarder/emulator/tests/helpers/mod.rs
@@ -1,8 +1,8 @@
 //! Small scenarios for the tests, made from a text and keys set over it.
 #![allow(dead_code)] // each test file takes its own of them
 
-use plankhill_terms::scenario::Scenario;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::scenario::Scenario;
+use plankhill_forwarder_config::tables::Text;
 
 const SMALL: &str = r#"
 about = "a small day"
--- a/ledger/tests/lives.rs
+++ b/forwarder/event-log/tests/lives.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-use plankhill_ledger::*;
+use plankhill_event_log::*;
 use rstest::rstest;
 
 struct Folder(PathBuf);
--- a/ledger/tests/records.rs
+++ b/forwarder/event-log/tests/records.rs
@@ -1,6 +1,6 @@
 //! What one record writes as frames, another reads.
 
-use plankhill_ledger::*;
+use plankhill_event_log::*;
 use rstest::rstest;
 
 fn event(id: &str) -> Taken<'static> {
--- a/ledger/tests/stored_format.rs
+++ b/forwarder/event-log/tests/stored_format.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use plankhill_ledger::*;
+use plankhill_event_log::*;
 
 const DISK: u64 = 1_000_000;
 
--- a/ledger/tests/torn.rs
+++ b/forwarder/event-log/tests/torn.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use plankhill_ledger::*;
+use plankhill_event_log::*;
 use rstest::rstest;
 
 fn event(id: &str) -> Taken<'static> {
--- a/experiments/src/compare.rs
+++ b/forwarder/experiments/src/compare.rs
@@ -1,7 +1,7 @@
 //! Figures over days: means with bootstrap intervals, and differences of variants paired by seed.
 
 use plankhill_emulator::chance::{draw, stream, Concern};
-use plankhill_terms::experiment::Measure;
+use plankhill_forwarder_config::experiment::Measure;
 
 use crate::days::{Plan, Record};
 use crate::folder::Stopped;
--- a/experiments/src/days.rs
+++ b/forwarder/experiments/src/days.rs
@@ -1,9 +1,9 @@
 //! The days of an experiment: which there are, in which order, and what is kept of each.
 
 use plankhill_emulator::outcome::Outcome;
-use plankhill_terms::experiment::Experiment;
-use plankhill_terms::scenario::Scenario;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::experiment::Experiment;
+use plankhill_forwarder_config::scenario::Scenario;
+use plankhill_forwarder_config::tables::Text;
 use serde::{Deserialize, Serialize};
 use toml::Value;
 
--- a/experiments/src/report.rs
+++ b/forwarder/experiments/src/report.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 
 use plankhill_emulator::outcome::Cause;
-use plankhill_terms::experiment::Experiment;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::experiment::Experiment;
+use plankhill_forwarder_config::tables::Text;
 
 use crate::compare::{cells, estimate, measure, paired, payoff, Cell};
 use crate::days::Record;
--- a/experiments/src/shipped.rs
+++ b/forwarder/experiments/src/shipped.rs
@@ -2,11 +2,11 @@
 
 use std::path::Path;
 
-use plankhill_terms::tables::{nearest_of, Text};
+use plankhill_forwarder_config::tables::{nearest_of, Text};
 
 macro_rules! shipped {
     ($($name:literal),* $(,)?) => {
-        &[$(($name, include_str!(concat!("../../scenarios/", $name, ".toml")))),*]
+        &[$(($name, include_str!(concat!("../../../scenarios/", $name, ".toml")))),*]
     };
 }
 
--- a/experiments/tests/folders.rs
+++ b/forwarder/experiments/tests/folders.rs
@@ -6,9 +6,9 @@
 
 use plankhill_experiments::compare::estimate;
 use plankhill_experiments::{report, run, shipped, Folder, Plan, Stopped};
-use plankhill_terms::experiment::Experiment;
-use plankhill_terms::scenario::Scenario;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::experiment::Experiment;
+use plankhill_forwarder_config::scenario::Scenario;
+use plankhill_forwarder_config::tables::Text;
 use rstest::rstest;
 
 const TEXT: &str = r#"
--- a/fanout/examples/lag/day.rs
+++ b/forwarder/fanout/examples/lag/day.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use plankhill_fanout::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/fanout/examples/lag/instance.rs
+++ b/forwarder/fanout/examples/lag/instance.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
 use plankhill_fanout::*;
 
 pub type Copy = (Subscriber, Position);
--- a/fanout/examples/lag/told.rs
+++ b/forwarder/fanout/examples/lag/told.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 
 use hdrhistogram::Histogram;
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use plankhill_fanout::Command;
 
 use crate::instance::CameIn;
--- a/fanout/src/bounds.rs
+++ b/forwarder/fanout/src/bounds.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Counts are copies unless they say otherwise. Checked by `plankhill-terms`, where the defaults stand too.
+/// Counts are copies unless they say otherwise. Checked by `plankhill-forwarder-config`, where the defaults stand too.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bounds {
     /// Copies of one subscriber that are handed to its forwarder's module at a time.
--- a/fanout/src/command.rs
+++ b/forwarder/fanout/src/command.rs
@@ -1,7 +1,7 @@
 //! What the log holds, and what applying it tells each instance. A command that no longer fits changes nothing:
 //! it may have been proposed twice, late, or by an instance that was replaced meanwhile.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
 
 use crate::bounds::Bounds;
--- a/fanout/src/detect.rs
+++ b/forwarder/fanout/src/detect.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
 
 use crate::names::*;
--- a/fanout/src/host.rs
+++ b/forwarder/fanout/src/host.rs
@@ -1,6 +1,6 @@
 //! What a station and its host say to each other.
 
-use plankhill::interface::{EventId, Ms};
+use plankhill_decisions::interface::{EventId, Ms};
 
 use crate::command::{Outcome, Refusal};
 use crate::names::*;
--- a/fanout/src/leading.rs
+++ b/forwarder/fanout/src/leading.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use crate::command::Command;
 use crate::names::*;
--- a/fanout/src/names.rs
+++ b/forwarder/fanout/src/names.rs
@@ -1,6 +1,6 @@
 //! The names that commands and state use.
 
-use plankhill::interface::{DestinationId, EventId};
+use plankhill_decisions::interface::{DestinationId, EventId};
 use serde::{Deserialize, Serialize};
 
 /// A destination as a member of lists.
--- a/fanout/src/plan.rs
+++ b/forwarder/fanout/src/plan.rs
@@ -1,7 +1,7 @@
 //! Which subscriber goes to which cohort, and which instance serves which: commands for the log, worked out
 //! from the committed state alone. Whoever leads proposes them; proposed twice they count once.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use crate::command::Command;
 use crate::names::*;
--- a/fanout/src/station.rs
+++ b/forwarder/fanout/src/station.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use crate::command::{Broadcast, Command, News, Outcome};
 use crate::host::{Host, Order};
--- a/fanout/src/station/asking.rs
+++ b/forwarder/fanout/src/station/asking.rs
@@ -1,6 +1,6 @@
 //! What a station asks of the log, again and again until it is answered.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use super::{Attempt, Station};
 use crate::command::{Broadcast, Command, CopyEnd, Refusal};
--- a/fanout/src/stored_format_tests.rs
+++ b/forwarder/fanout/src/stored_format_tests.rs
@@ -64,7 +64,7 @@
 }
 
 fn state() -> Fanout {
-    let subscriber = plankhill::interface::DestinationId;
+    let subscriber = plankhill_decisions::interface::DestinationId;
     let broadcast = Broadcast {
         id: BroadcastId("b-1".into()),
         list: ListName("news".into()),
--- a/fanout/src/sums.rs
+++ b/forwarder/fanout/src/sums.rs
@@ -1,7 +1,7 @@
 //! Sums that fade. They fade by counting, never by a logarithm or a power: every instance computes the same
 //! bits, whatever its mathematical library.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
 
 /// What is left of a sum at the next vote: about the last sixteen count, however seldom they come. The time
--- a/fanout/src/verdict.rs
+++ b/forwarder/fanout/src/verdict.rs
@@ -1,6 +1,6 @@
 //! What is held of a subscriber, and the figures that it rests on.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
 
 use crate::names::*;
--- a/fanout/tests/common/mod.rs
+++ b/forwarder/fanout/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small fleet on paper: commands are applied by plain calls.
 #![allow(dead_code)]
 
-use plankhill::interface::DestinationId;
+use plankhill_decisions::interface::DestinationId;
 use plankhill_fanout::*;
 
 pub const LIST: &str = "prices";
--- a/fanout/tests/plan.rs
+++ b/forwarder/fanout/tests/plan.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use common::*;
-use plankhill::interface::DestinationId;
+use plankhill_decisions::interface::DestinationId;
 use plankhill_fanout::*;
 use proptest::prelude::*;
 
--- a/fanout/tests/slow.rs
+++ b/forwarder/fanout/tests/slow.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use plankhill::interface::DestinationId;
+use plankhill_decisions::interface::DestinationId;
 use plankhill_fanout::*;
 
 const HEALTHY: f64 = 40.0;
--- a/fanout/tests/stored_format.rs
+++ b/forwarder/fanout/tests/stored_format.rs
@@ -1,6 +1,6 @@
 //! The bytes of every command of the group's log.
 
-use plankhill::interface::DestinationId;
+use plankhill_decisions::interface::DestinationId;
 use plankhill_fanout::*;
 
 const PINNED: &str = include_str!("stored_format/values.txt");
--- a/fanout/tests/stories.rs
+++ b/forwarder/fanout/tests/stories.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use plankhill::interface::DestinationId;
+use plankhill_decisions::interface::DestinationId;
 use plankhill_fanout::*;
 use rstest::rstest;
 
@@ -70,7 +70,7 @@
     assert_eq!(&*event.0, "a~7~12");
     assert_eq!(copy_of(&event), Some((id, DestinationId(12))));
     for other in ["a", "a~", "a~x", "a~07", "a~+7"] {
-        assert_eq!(copy_of(&plankhill::interface::EventId(other.into())), None, "{other}");
+        assert_eq!(copy_of(&plankhill_decisions::interface::EventId(other.into())), None, "{other}");
     }
 }
 
--- a/fanout/tests/walk/chances.rs
+++ b/forwarder/fanout/tests/walk/chances.rs
@@ -1,6 +1,6 @@
 //! What is drawn: broadcasts, faults of processes, and what becomes of reports.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use plankhill_fanout::*;
 use rand::Rng;
 
--- a/fanout/tests/walk/forwarder.rs
+++ b/forwarder/fanout/tests/walk/forwarder.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use plankhill::interface::{EventId, Ms};
+use plankhill_decisions::interface::{EventId, Ms};
 use plankhill_fanout::*;
 
 use super::checker::{Checker, Copy};
--- a/fanout/tests/walk/process.rs
+++ b/forwarder/fanout/tests/walk/process.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use plankhill_fanout::*;
 
 use super::checker::Checker;
--- a/fanout/tests/walk/world.rs
+++ b/forwarder/fanout/tests/walk/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plankhill::interface::{DestinationId, Ms};
+use plankhill_decisions::interface::{DestinationId, Ms};
 use plankhill_fanout::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/handover/tests/roles.rs
+++ b/forwarder/hot-restart/tests/roles.rs
@@ -1,6 +1,6 @@
 //! The two sides of a hand-over, ended at any step: one decides, never two.
 
-use plankhill_handover::{Does, Elder, Happens, Heir};
+use plankhill_hot_restart::{Does, Elder, Happens, Heir};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/handover/tests/words.rs
+++ b/forwarder/hot-restart/tests/words.rs
@@ -7,8 +7,8 @@
 
 use async_io::{block_on, Async};
 use futures_lite::future;
-use plankhill::interface::*;
-use plankhill_handover::{Event, Handed, Passage, Word};
+use plankhill_decisions::interface::*;
+use plankhill_hot_restart::{Event, Handed, Passage, Word};
 use rstest::rstest;
 
 fn event(number: u64, length: usize) -> Word {
--- a/rules/tests/planted.rs
+++ b/forwarder/invariants/tests/planted.rs
@@ -1,6 +1,6 @@
 //! A fault of every rule is planted in an otherwise clean run and must be found, and nothing else.
 
-use plankhill_rules::*;
+use plankhill_invariants::*;
 use rstest::rstest;
 
 const BINDING: Effect = Effect::Binding;
--- a/fleet-tests/examples/broadcasts.rs
+++ b/forwarder/process-tests/examples/broadcasts.rs
@@ -1,12 +1,12 @@
 //! Broadcasts on sockets: three processes on loopback, two destinations that answer after 5 ms, one client that
 //! hands in a broadcast each 50 ms or as many milliseconds as it is told, at each instance in turn. Tells the time to the 202 and from it to the
-//! last delivery. `cargo run --release -p plankhill-fleet-tests --example broadcasts [ms]`
+//! last delivery. `cargo run --release -p plankhill-process-tests --example broadcasts [ms]`
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 
 const BROADCASTS: usize = 400;
 /// Those of the first seconds, in which cohorts are given to instances, do not count.
--- a/fleet-tests/src/book.rs
+++ b/forwarder/process-tests/src/book.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-use plankhill_rules::Ms;
+use plankhill_invariants::Ms;
 
 /// What a repeat of an event does, as the client that hands it in chose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/fleet-tests/src/lib.rs
+++ b/forwarder/process-tests/src/lib.rs
@@ -1,6 +1,6 @@
 //! Several processes of the built program as their peers meet them, with every link between them in the
 //! test's hands. What clients, targets and discovery saw goes into one [`Book`] under one clock, and the
-//! verdict over it is `plankhill-rules`'s. A story does something, waits for what it should see, and asks
+//! verdict over it is `plankhill-invariants`'s. A story does something, waits for what it should see, and asks
 //! for the verdict; nothing waits for a fixed time.
 
 mod book;
--- a/fleet-tests/src/program.rs
+++ b/forwarder/process-tests/src/program.rs
@@ -18,7 +18,7 @@
         let target = profile.parent().expect("target/PROFILE");
         let mut build = Command::new(std::env::var_os("CARGO").unwrap_or("cargo".into()));
         build.args(["build", "--locked", "--quiet", "-p", NAME, "--bin", NAME, "--target-dir"]).arg(target);
-        build.args(["--manifest-path", concat!(env!("CARGO_MANIFEST_DIR"), "/../Cargo.toml")]);
+        build.args(["--manifest-path", concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml")]);
         if profile.ends_with("release") {
             build.arg("--release");
         }
--- a/fleet-tests/src/verdict.rs
+++ b/forwarder/process-tests/src/verdict.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use plankhill_rules::{Bounds, Breach, Checker, Cut, Effect, End, Fact, Ms};
+use plankhill_invariants::{Bounds, Breach, Checker, Cut, Effect, End, Fact, Ms};
 
 use crate::book::{self, Book, Seen};
 use crate::told::WINDOW_US;
--- a/fleet-tests/src/verdict/calls.rs
+++ b/forwarder/process-tests/src/verdict/calls.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use plankhill_rules::Ms;
+use plankhill_invariants::Ms;
 
 use super::{Call, Story};
 use crate::book::Seen;
--- a/fleet-tests/tests/alone.rs
+++ b/forwarder/process-tests/tests/alone.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 use rstest::rstest;
 use rustix::process::Signal;
 
--- a/fleet-tests/tests/broadcasts.rs
+++ b/forwarder/process-tests/tests/broadcasts.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 
 const ONCE: Copy = Copy { sends: 1, delivered: 1, noticed: 0 };
 
--- a/fleet-tests/tests/copies/cut.rs
+++ b/forwarder/process-tests/tests/copies/cut.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 use rstest::rstest;
 
 /// Guards the fence: an owner that no keeper hears takes nothing and sends nothing.
--- a/fleet-tests/tests/copies/folders.rs
+++ b/forwarder/process-tests/tests/copies/folders.rs
@@ -1,6 +1,6 @@
 //! Folders that are empty, old or full.
 
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 use rstest::rstest;
 
 #[rstest]
--- a/fleet-tests/tests/copies/main.rs
+++ b/forwarder/process-tests/tests/copies/main.rs
@@ -7,6 +7,6 @@
 
 use std::time::Duration;
 
-use plankhill_fleet_tests::Manner;
+use plankhill_process_tests::Manner;
 
 pub const AT_ONCE: Manner = Manner::Answers(Duration::ZERO);
--- a/fleet-tests/tests/copies/out.rs
+++ b/forwarder/process-tests/tests/copies/out.rs
@@ -1,6 +1,6 @@
 //! Calls of an owner that is gone or stands still, and may still be on their way.
 
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 use rstest::rstest;
 
 use crate::AT_ONCE;
--- a/fleet-tests/tests/pools.rs
+++ b/forwarder/process-tests/tests/pools.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use plankhill_fleet_tests::{until, Manner, Told, World};
+use plankhill_process_tests::{until, Manner, Told, World};
 use rstest::rstest;
 
 const BUDGET: usize = 6;
--- a/fleet-tests/tests/upgrades.rs
+++ b/forwarder/process-tests/tests/upgrades.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 use rstest::rstest;
 
 #[rstest]
--- a/fleet-tests/tests/verdict.rs
+++ b/forwarder/process-tests/tests/verdict.rs
@@ -1,7 +1,7 @@
 //! What stand-ins might see, with a fault planted in it: the verdict has to find it, and nothing else.
 
-use plankhill_fleet_tests::*;
-use plankhill_rules::Rule;
+use plankhill_process_tests::*;
+use plankhill_invariants::Rule;
 use rstest::rstest;
 
 const ASKED: Seen =
--- a/fleet-tests/tests/walks.rs
+++ b/forwarder/process-tests/tests/walks.rs
@@ -1,7 +1,7 @@
 //! Walks that draw faults. `PLANKHILL_SEEDS=40` plays as many more than CI does; a failure shows its seed
 //! and steps.
 
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 use rstest::rstest;
 
 const STEPS: usize = 14;
--- a/fleet/benches/committed.rs
+++ b/forwarder/raft-groups/benches/committed.rs
@@ -1,11 +1,11 @@
 //! What a commit costs: proposals a second and the time from the order to `Committed`, on the loopback, every
-//! instance in this process with a folder of its own under the temporary one. `cargo bench -p plankhill-fleet`.
+//! instance in this process with a folder of its own under the temporary one. `cargo bench -p plankhill-raft-groups`.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use plankhill_fleet::Order;
+use plankhill_raft_groups::Order;
 
 #[allow(dead_code)]
 #[path = "../tests/together/mod.rs"]
--- a/fleet/src/groups/state.rs
+++ b/forwarder/raft-groups/src/groups/state.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, Mutex};
 
-use plankhill_terms::fleet::Fleet;
+use plankhill_forwarder_config::fleet::Fleet;
 use rtrb::Consumer;
 use slog::Logger;
 
--- a/fleet/src/links/mod.rs
+++ b/forwarder/raft-groups/src/links/mod.rs
@@ -12,7 +12,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use plankhill_terms::fleet::Fleet;
+use plankhill_forwarder_config::fleet::Fleet;
 use rtrb::Consumer;
 use slog::{warn, Logger};
 
--- a/fleet/src/links/shared.rs
+++ b/forwarder/raft-groups/src/links/shared.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use plankhill_terms::fleet::Fleet;
+use plankhill_forwarder_config::fleet::Fleet;
 use slog::{warn, Logger};
 
 use crate::ring::Sender;
--- a/fleet/src/roll.rs
+++ b/forwarder/raft-groups/src/roll.rs
@@ -3,7 +3,7 @@
 
 use std::hash::Hasher;
 
-use plankhill_terms::fleet::Instance;
+use plankhill_forwarder_config::fleet::Instance;
 use siphasher::sip::SipHasher13;
 
 use crate::Incarnation;
--- a/fleet/src/start.rs
+++ b/forwarder/raft-groups/src/start.rs
@@ -9,7 +9,7 @@
 use std::thread::Thread;
 use std::time::Instant;
 
-use plankhill_terms::fleet::Fleet;
+use plankhill_forwarder_config::fleet::Fleet;
 use rtrb::RingBuffer;
 
 use crate::core::{Core, Pace};
--- a/fleet/tests/alone.rs
+++ b/forwarder/raft-groups/tests/alone.rs
@@ -5,11 +5,11 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use plankhill_fleet::core::effects::{Hard, Persist};
-use plankhill_fleet::core::Kept;
-use plankhill_fleet::deadman::Deadman;
-use plankhill_fleet::disk::{folder, log::Log};
-use plankhill_fleet::{GroupId, Incarnation, Purpose};
+use plankhill_raft_groups::core::effects::{Hard, Persist};
+use plankhill_raft_groups::core::Kept;
+use plankhill_raft_groups::deadman::Deadman;
+use plankhill_raft_groups::disk::{folder, log::Log};
+use plankhill_raft_groups::{GroupId, Incarnation, Purpose};
 use rstest::rstest;
 
 fn child(test: &str) -> Child {
--- a/fleet/tests/course.rs
+++ b/forwarder/raft-groups/tests/course.rs
@@ -1,6 +1,6 @@
 //! A founder without a group that it leads takes nothing: it founds another unless it has led this one.
 
-use plankhill_fleet::course::{course, Course, Sighting};
+use plankhill_raft_groups::course::{course, Course, Sighting};
 use rstest::rstest;
 
 #[rstest]
--- a/fleet/tests/folders.rs
+++ b/forwarder/raft-groups/tests/folders.rs
@@ -49,10 +49,10 @@
         all.stop(1);
         all.until("it has gone", |all| !all.at(0).heard.up.contains_key("i1"));
     }
-    let identity = plankhill_fleet::disk::folder::begin(&all.folders[1].path().join("fleet")).unwrap();
+    let identity = plankhill_raft_groups::disk::folder::begin(&all.folders[1].path().join("fleet")).unwrap();
     let mut earlier = identity.clone();
     earlier.start.generation = 1;
-    plankhill_fleet::disk::folder::note_identity(&all.folders[1].path().join("fleet"), &earlier).unwrap();
+    plankhill_raft_groups::disk::folder::note_identity(&all.folders[1].path().join("fleet"), &earlier).unwrap();
     assert!(!before.is_empty());
     all.start(1);
     all.until("it is refused", |all| all.at(1).handle.refused().is_some());
@@ -70,7 +70,7 @@
         all.commit(0, group, number, vec![number as u8; 100]);
     }
     all.stop(1);
-    let path = plankhill_fleet::disk::folder::log_path(&all.folders[1].path().join("fleet"), group);
+    let path = plankhill_raft_groups::disk::folder::log_path(&all.folders[1].path().join("fleet"), group);
     let whole = std::fs::read(&path).unwrap();
     std::fs::write(&path, [&whole[..], &[9, 0, 0, 0, 1, 2]].concat()).unwrap();
     drop(all.started(1).unwrap());
--- a/fleet/tests/frames.rs
+++ b/forwarder/raft-groups/tests/frames.rs
@@ -8,10 +8,10 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use plankhill_fleet::wire::frame::{body, frame, head, HEAD, LONGEST};
-use plankhill_fleet::wire::mirror::{Entry, Kind, Message};
-use plankhill_fleet::wire::said::{Hello, Said, Start, VERSION};
-use plankhill_fleet::{GroupId, Incarnation, InstanceName, Purpose};
+use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD, LONGEST};
+use plankhill_raft_groups::wire::mirror::{Entry, Kind, Message};
+use plankhill_raft_groups::wire::said::{Hello, Said, Start, VERSION};
+use plankhill_raft_groups::{GroupId, Incarnation, InstanceName, Purpose};
 use proptest::prelude::*;
 use rstest::rstest;
 use together::Together;
--- a/fleet/tests/instances.rs
+++ b/forwarder/raft-groups/tests/instances.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use plankhill_fleet::{Order, Purpose};
+use plankhill_raft_groups::{Order, Purpose};
 use together::{leader, Together};
 
 const COPIES: &str = "[copies]\nkeepers = 2\n";
--- a/fleet/tests/keepers.rs
+++ b/forwarder/raft-groups/tests/keepers.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod together;
 
-use plankhill_fleet::GroupId;
+use plankhill_raft_groups::GroupId;
 use together::{leader, Together};
 
 const COPIES: &str = "[copies]\nkeepers = 2\n";
@@ -32,7 +32,7 @@
 }
 
 fn keeps(all: &Together, at: usize, group: GroupId) -> bool {
-    plankhill_fleet::disk::folder::log_path(&all.folders[at].path().join("fleet"), group).exists()
+    plankhill_raft_groups::disk::folder::log_path(&all.folders[at].path().join("fleet"), group).exists()
 }
 
 #[test]
--- a/fleet/tests/roll.rs
+++ b/forwarder/raft-groups/tests/roll.rs
@@ -1,7 +1,7 @@
 //! Who keeps whose record.
 
-use plankhill_fleet::{roll, Incarnation};
-use plankhill_terms::fleet::Instance;
+use plankhill_raft_groups::{roll, Incarnation};
+use plankhill_forwarder_config::fleet::Instance;
 
 fn instances(machines: usize, zones: usize) -> Vec<Instance> {
     let one = |at: usize| Instance {
--- a/fleet/tests/stored_format.rs
+++ b/forwarder/raft-groups/tests/stored_format.rs
@@ -4,14 +4,14 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-use plankhill_fleet::core::effects::{Base, Hard, Persist, Voters};
-use plankhill_fleet::core::stamp::{Change, Counted, Stamp, Whole};
-use plankhill_fleet::core::Kept;
-use plankhill_fleet::disk::folder::{self, Identity, Met};
-use plankhill_fleet::disk::log::Log;
-use plankhill_fleet::wire::frame::{body, frame, head, HEAD};
-use plankhill_fleet::wire::said::Start;
-use plankhill_fleet::{GroupId, Incarnation, InstanceName, Machine, Purpose, Term, Torn};
+use plankhill_raft_groups::core::effects::{Base, Hard, Persist, Voters};
+use plankhill_raft_groups::core::stamp::{Change, Counted, Stamp, Whole};
+use plankhill_raft_groups::core::Kept;
+use plankhill_raft_groups::disk::folder::{self, Identity, Met};
+use plankhill_raft_groups::disk::log::Log;
+use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD};
+use plankhill_raft_groups::wire::said::Start;
+use plankhill_raft_groups::{GroupId, Incarnation, InstanceName, Machine, Purpose, Term, Torn};
 use raft::eraftpb::{Entry, EntryType};
 use serde::de::DeserializeOwned;
 
--- a/fleet/tests/together/mod.rs
+++ b/forwarder/raft-groups/tests/together/mod.rs
@@ -6,11 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use plankhill_fleet::{
+use plankhill_raft_groups::{
     start, GroupId, Handle, Incarnation, Machine, News, NewsStream, Order, Purpose, Start,
 };
-use plankhill_fleet::{Term, Torn};
-use plankhill_terms::fleet::{read, Fleet};
+use plankhill_raft_groups::{Term, Torn};
+use plankhill_forwarder_config::fleet::{read, Fleet};
 use tempfile::TempDir;
 
 /// Keeps the bytes of all commands, in their order, up to one that ends them all.
--- a/fleet/tests/wire_format.rs
+++ b/forwarder/raft-groups/tests/wire_format.rs
@@ -1,10 +1,10 @@
 //! The bytes of all that instances send to each other.
 
-use plankhill_fleet::core::effects::Voters;
-use plankhill_fleet::wire::frame::{body, frame, head, HEAD, LONGEST};
-use plankhill_fleet::wire::mirror::{Entry, Kind, Message, State};
-use plankhill_fleet::wire::said::{Answer, Hello, Said, Slice, Start, VERSION};
-use plankhill_fleet::{GroupId, Incarnation, InstanceName, Purpose};
+use plankhill_raft_groups::core::effects::Voters;
+use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD, LONGEST};
+use plankhill_raft_groups::wire::mirror::{Entry, Kind, Message, State};
+use plankhill_raft_groups::wire::said::{Answer, Hello, Said, Slice, Start, VERSION};
+use plankhill_raft_groups::{GroupId, Incarnation, InstanceName, Purpose};
 use serde::{de::DeserializeOwned, Serialize};
 
 const PINNED: &str = include_str!("wire_format/frames.txt");
--- a/fleet/tests/world/all.rs
+++ b/forwarder/raft-groups/tests/world/all.rs
@@ -1,6 +1,6 @@
 //! A machine that keeps all commands.
 
-use plankhill_fleet::{Incarnation, Machine, Term, Torn};
+use plankhill_raft_groups::{Incarnation, Machine, Term, Torn};
 
 /// Keeps all commands.
 #[derive(Default)]
--- a/fleet/tests/world/checks.rs
+++ b/forwarder/raft-groups/tests/world/checks.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use plankhill_fleet::core::Core;
-use plankhill_fleet::{Incarnation, News};
+use plankhill_raft_groups::core::Core;
+use plankhill_raft_groups::{Incarnation, News};
 
 use super::all::words;
 use super::{World, STALL};
--- a/fleet/tests/world/misfortunes.rs
+++ b/forwarder/raft-groups/tests/world/misfortunes.rs
@@ -1,8 +1,8 @@
 //! Links that break, nodes that crash, folders that are lost, and how a leader makes up for it.
 
-use plankhill_fleet::core::stamp::Change;
-use plankhill_fleet::core::Kept;
-use plankhill_fleet::Incarnation;
+use plankhill_raft_groups::core::stamp::Change;
+use plankhill_raft_groups::core::Kept;
+use plankhill_raft_groups::Incarnation;
 use rand::Rng;
 
 use super::{Planted, World};
--- a/fleet/tests/world/mod.rs
+++ b/forwarder/raft-groups/tests/world/mod.rs
@@ -7,9 +7,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plankhill_fleet::core::effects::{Effects, Persist};
-use plankhill_fleet::core::{Core, Kept, Pace};
-use plankhill_fleet::{GroupId, Incarnation, Purpose, Term};
+use plankhill_raft_groups::core::effects::{Effects, Persist};
+use plankhill_raft_groups::core::{Core, Kept, Pace};
+use plankhill_raft_groups::{GroupId, Incarnation, Purpose, Term};
 use raft::eraftpb::Message;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/copies/benches/copies/fleet.rs
+++ b/forwarder/replication/benches/copies/fleet.rs
@@ -26,7 +26,7 @@
 }
 
 fn program() -> PathBuf {
-    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("..");
+    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
     let target = std::env::var_os("CARGO_TARGET_DIR").map_or(root.join("target"), PathBuf::from);
     target.join("release/plankhill-forwarder")
 }
--- a/copies/benches/copies/main.rs
+++ b/forwarder/replication/benches/copies/main.rs
@@ -1,6 +1,6 @@
 //! What copies cost, on loopback, side by side: events a second, how long a 202 takes, bytes for each event,
 //! and the time from SIGKILL to the heir's first send. Built forwarders are started as processes:
-//! `cargo build --release && cargo bench -p plankhill-copies -- [seconds] [clients of each] [forwarders ...]`.
+//! `cargo build --release && cargo bench -p plankhill-replication -- [seconds] [clients of each] [forwarders ...]`.
 
 mod fleet;
 mod load;
--- a/copies/src/adoption.rs
+++ b/forwarder/replication/src/adoption.rs
@@ -1,7 +1,7 @@
 //! What an heir does with each event that it finds in a record. It knows what the marks say; whether a call
 //! that was out when the owner was lost has ended, nobody can tell it.
 
-use plankhill_ledger::{Outcome, Owed};
+use plankhill_event_log::{Outcome, Owed};
 
 /// What the heir itself knows of that id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/copies/src/machine.rs
+++ b/forwarder/replication/src/machine.rs
@@ -3,8 +3,8 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 
-use plankhill_fleet::{GroupId, Incarnation, Machine, Term, Torn};
-use plankhill_ledger::Record;
+use plankhill_raft_groups::{GroupId, Incarnation, Machine, Term, Torn};
+use plankhill_event_log::Record;
 
 /// Ahead of a snapshot.
 const MAGIC: &[u8] = b"plankhill record 1\n";
--- a/copies/src/pipeline.rs
+++ b/forwarder/replication/src/pipeline.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use plankhill_fleet::GroupId;
+use plankhill_raft_groups::GroupId;
 
 /// Rounds that wait at most, and the bytes of their commands; past either nothing more is taken.
 const MOST_ROUNDS: usize = 512;
--- a/copies/src/proposals.rs
+++ b/forwarder/replication/src/proposals.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use plankhill_fleet::{GroupId, Order};
-use plankhill_ledger::frames;
+use plankhill_raft_groups::{GroupId, Order};
+use plankhill_event_log::frames;
 
 use crate::machine::command;
 
--- a/copies/src/roles.rs
+++ b/forwarder/replication/src/roles.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use plankhill_fleet::{GroupId, Incarnation, Order, Purpose};
+use plankhill_raft_groups::{GroupId, Incarnation, Order, Purpose};
 
 /// What a group is to the instance that came to lead it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/copies/tests/adoption.rs
+++ b/forwarder/replication/tests/adoption.rs
@@ -1,7 +1,7 @@
 //! What an heir does with what it finds.
 
-use plankhill_copies::*;
-use plankhill_ledger::*;
+use plankhill_replication::*;
+use plankhill_event_log::*;
 use rstest::rstest;
 
 const NOW: f64 = 50_000.0;
--- a/copies/tests/owners.rs
+++ b/forwarder/replication/tests/owners.rs
@@ -1,9 +1,9 @@
 //! Which groups an instance owns, and what its keepers keep of them.
 
-use plankhill_copies::machine::command;
-use plankhill_copies::*;
-use plankhill_fleet::*;
-use plankhill_ledger::{Record, Taken};
+use plankhill_replication::machine::command;
+use plankhill_replication::*;
+use plankhill_raft_groups::*;
+use plankhill_event_log::{Record, Taken};
 use rstest::rstest;
 
 const ME: Incarnation = Incarnation(7);
@@ -59,7 +59,7 @@
     assert_eq!(late.restore(&keeper.snapshot()), Ok(()));
     assert_eq!(late.snapshot(), keeper.snapshot());
     assert_eq!(late.size(), own.live());
-    let found = plankhill_copies::machine::read(&late.snapshot()).expect("a snapshot");
+    let found = plankhill_replication::machine::read(&late.snapshot()).expect("a snapshot");
     let owed = found.owed();
     assert_eq!((owed.len(), &*owed[0].taken.id, owed[0].time_out), (1, "a", Some(900.0)));
 }
--- a/copies/tests/pipeline.rs
+++ b/forwarder/replication/tests/pipeline.rs
@@ -1,8 +1,8 @@
 //! What leaves, when, and in which order.
 
-use plankhill_copies::pipeline::Decided;
-use plankhill_copies::*;
-use plankhill_fleet::*;
+use plankhill_replication::pipeline::Decided;
+use plankhill_replication::*;
+use plankhill_raft_groups::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/copies/tests/wire_format.rs
+++ b/forwarder/replication/tests/wire_format.rs
@@ -1,9 +1,9 @@
 //! The bytes of a record's commands and snapshots, as the group's log and the snapshots' receivers have them.
 
-use plankhill_copies::machine::{command, read, read_command, KeptHere};
-use plankhill_copies::Proposals;
-use plankhill_fleet::{GroupId, Incarnation, Machine, Order, Term};
-use plankhill_ledger::{Outcome, Promise, Record, Repeats, Taken};
+use plankhill_replication::machine::{command, read, read_command, KeptHere};
+use plankhill_replication::Proposals;
+use plankhill_raft_groups::{GroupId, Incarnation, Machine, Order, Term};
+use plankhill_event_log::{Outcome, Promise, Record, Repeats, Taken};
 
 const PINNED: &str = include_str!("wire_format/values.txt");
 
--- a/forwarder/src/alone.rs
+++ b/forwarder/server/src/alone.rs
@@ -3,9 +3,9 @@
 use std::net::{SocketAddr, TcpListener};
 
 use async_io::Async;
-use plankhill_handover::Lock;
-use plankhill_ledger::{Ledger, Owed};
-use plankhill_terms::{fields::Plain, Told};
+use plankhill_hot_restart::Lock;
+use plankhill_event_log::{Ledger, Owed};
+use plankhill_forwarder_config::{fields::Plain, Told};
 
 use crate::kept;
 use crate::left_out::LeftOut;
--- a/forwarder/src/budgets/control.rs
+++ b/forwarder/server/src/budgets/control.rs
@@ -1,7 +1,7 @@
 //! What the control group's log keeps: the book of leases. The first byte of a command says whose it is.
 
-use plankhill_fleet::{Incarnation, Machine, Term, Torn};
-use plankhill_pools::leases::{decode, Book};
+use plankhill_raft_groups::{Incarnation, Machine, Term, Torn};
+use plankhill_connection_quotas::leases::{decode, Book};
 
 /// Of a command that pools propose.
 pub const OF_POOLS: u8 = b'p';
--- a/forwarder/src/budgets/group.rs
+++ b/forwarder/server/src/budgets/group.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use plankhill_fleet::{GroupId, News, Order, Purpose};
-use plankhill_pools::leases::{encode, Command};
+use plankhill_raft_groups::{GroupId, News, Order, Purpose};
+use plankhill_connection_quotas::leases::{encode, Command};
 use slog::{info, warn, Logger};
 
 use super::control::{framed, of_pools};
--- a/forwarder/src/budgets/mod.rs
+++ b/forwarder/server/src/budgets/mod.rs
@@ -1,6 +1,6 @@
 //! Budgets of connections where a policy is named: each connection has a place in its target's pool from before
 //! it is opened until it is closed. Where there is none a call waits, and ends as not sent if none comes free.
-//! What there is room for is worked out in `plankhill-pools`; nothing about an event is decided here.
+//! What there is room for is worked out in `plankhill-connection-quotas`; nothing about an event is decided here.
 
 pub mod control;
 mod group;
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 
 use async_channel::{Receiver, Sender};
-use plankhill::interface::*;
-use plankhill_fleet::Incarnation;
-use plankhill_pools::language::{Facts, PoolId};
-use plankhill_pools::leases::{Instance, Life};
-use plankhill_pools::local::{Local, Start, Use};
-use plankhill_terms::pools::Pools;
-use plankhill_terms::Told;
+use plankhill_decisions::interface::*;
+use plankhill_raft_groups::Incarnation;
+use plankhill_connection_quotas::language::{Facts, PoolId};
+use plankhill_connection_quotas::leases::{Instance, Life};
+use plankhill_connection_quotas::local::{Local, Start, Use};
+use plankhill_forwarder_config::pools::Pools;
+use plankhill_forwarder_config::Told;
 use rustix::time::{clock_gettime, ClockId};
 
 use self::group::Proposals;
@@ -152,6 +152,6 @@
 
     fn event(&self) -> Use {
         // No client names a member yet: all events are those of others.
-        Use::Event(self.local.borrow().member(plankhill_pools::language::OTHERS))
+        Use::Event(self.local.borrow().member(plankhill_connection_quotas::language::OTHERS))
     }
 }
--- a/forwarder/src/budgets/place.rs
+++ b/forwarder/server/src/budgets/place.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use plankhill::interface::*;
-use plankhill_pools::language::PoolId;
-use plankhill_pools::local::{Entry, Use};
+use plankhill_decisions::interface::*;
+use plankhill_connection_quotas::language::PoolId;
+use plankhill_connection_quotas::local::{Entry, Use};
 
 use super::{now, Budgets};
 
--- a/forwarder/src/clients/answering.rs
+++ b/forwarder/server/src/clients/answering.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::{future, AsyncWriteExt};
-use plankhill_handover::Verdict;
+use plankhill_hot_restart::Verdict;
 use plankhill_http1 as http1;
 use slog::info;
 
--- a/forwarder/src/clients/broadcast.rs
+++ b/forwarder/server/src/clients/broadcast.rs
@@ -1,7 +1,7 @@
 //! A broadcast that a client hands in.
 
 use plankhill_fanout::{ListName, Refusal};
-use plankhill_handover::{Event, Verdict};
+use plankhill_hot_restart::{Event, Verdict};
 
 use super::client::Client;
 use crate::exchange::{is_gone, Body};
--- a/forwarder/src/clients/client.rs
+++ b/forwarder/server/src/clients/client.rs
@@ -6,8 +6,8 @@
 use async_channel::Sender;
 use async_io::Timer;
 use futures_lite::future;
-use plankhill::interface::Ms;
-use plankhill_handover::{Event, Verdict, Word};
+use plankhill_decisions::interface::Ms;
+use plankhill_hot_restart::{Event, Verdict, Word};
 use slog::debug;
 
 use super::door::{Door, Left, Waits, IDLE, JUST_CAME};
--- a/forwarder/src/clients/reading.rs
+++ b/forwarder/server/src/clients/reading.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use plankhill_buffers::Buffer;
+use plankhill_buffer_pool::Buffer;
 use plankhill_http1::{self as http1, Chunks, HeadSearch, RequestHead};
 
 use super::client::Client;
--- a/forwarder/src/clients/request.rs
+++ b/forwarder/server/src/clients/request.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use plankhill::interface::*;
-use plankhill_buffers::Buffer;
+use plankhill_decisions::interface::*;
+use plankhill_buffer_pool::Buffer;
 use plankhill_fanout::{BroadcastId, ListName};
-use plankhill_handover::Event;
+use plankhill_hot_restart::Event;
 use plankhill_http1::{Malformed, RequestHead};
-use plankhill_terms::fanout::BROADCAST;
-use plankhill_terms::Told;
+use plankhill_forwarder_config::fanout::BROADCAST;
+use plankhill_forwarder_config::Told;
 
 /// A refusal that is no decision on an event: what is wrong with the request.
 pub(super) struct Refusal(pub(super) u16, pub(super) &'static str);
@@ -71,7 +71,7 @@
     let patience = patience.filter(|seconds| seconds.is_finite() && (0.0..=1e6).contains(seconds));
     let envelope = fields.one("X-Envelope")?.unwrap_or_default();
     let dest = envelope.split([';', ',', ' ']).find_map(|part| part.trim().strip_prefix("dest="));
-    let key = fields.cookie("about").filter(|_| kind.ordered).map(plankhill_terms::order_key).transpose();
+    let key = fields.cookie("about").filter(|_| kind.ordered).map(plankhill_forwarder_config::order_key).transpose();
     let fingerprint = fields.one("Idempotency-Key")?.map(Rc::from);
     if matches!(kind.effect, Effect::Fingerprinted { .. }) && fingerprint.is_none() {
         return Err(Refusal(400, "Idempotency-Key: is missing"));
--- a/forwarder/src/clock.rs
+++ b/forwarder/server/src/clock.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 #[derive(Clone)]
 pub struct Clock {
--- a/forwarder/src/common.rs
+++ b/forwarder/server/src/common.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use plankhill_buffers::Pool;
-use plankhill_fleet::NewsStream;
-use plankhill_terms::fields::Plain;
-use plankhill_terms::Told;
+use plankhill_buffer_pool::Pool;
+use plankhill_raft_groups::NewsStream;
+use plankhill_forwarder_config::fields::Plain;
+use plankhill_forwarder_config::Told;
 use slog::{o, Drain, Logger};
 
 use crate::budgets::Budgets;
--- a/forwarder/src/common/tests.rs
+++ b/forwarder/server/src/common/tests.rs
@@ -10,7 +10,7 @@
 pub fn told(config: &Value, folder: &Path) -> Rc<Told> {
     let path = folder.join("config.json");
     std::fs::write(&path, config.to_string()).expect("writes");
-    let told = plankhill_terms::told(|name| match name {
+    let told = plankhill_forwarder_config::told(|name| match name {
         "PROXY_CONFIG" => path.to_str().map(str::to_owned),
         "PROXY_STATE" => folder.to_str().map(str::to_owned),
         _ => None,
--- a/forwarder/src/elder.rs
+++ b/forwarder/server/src/elder.rs
@@ -1,5 +1,5 @@
 //! The part of the process that is there when a new version starts: it hears who asks, has the decisions
-//! stand still, and hands over. What it does next is decided in `plankhill_handover::Elder`.
+//! stand still, and hands over. What it does next is decided in `plankhill_hot_restart::Elder`.
 
 use std::net::TcpListener;
 use std::os::fd::{AsFd, OwnedFd};
@@ -8,7 +8,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use plankhill_handover::*;
+use plankhill_hot_restart::*;
 use slog::{info, warn};
 
 use crate::common::Common;
@@ -40,7 +40,7 @@
     to_rounds: &Sender<CameIn>,
 ) -> Option<(Hall, Async<UnixListener>)> {
     let made = || {
-        let asked = plankhill_handover::bind(&common.told.state)?;
+        let asked = plankhill_hot_restart::bind(&common.told.state)?;
         let (common, to_rounds) = (common.clone(), to_rounds.clone());
         let (lock, listener) = (Lock::passed(lock.share()?), listener.as_fd().try_clone_to_owned()?);
         Ok((Hall { common, to_rounds, lock, listener }, asked))
@@ -107,7 +107,7 @@
             };
             // No bound here: it is the other's from now on, until it is seen to have ended.
             let has_begun = has_begun && matches!(ears.next().await, Ok((Word::Begun, _)));
-            let changed = || plankhill_ledger::has_grown(&self.common.told.state, ledger).unwrap_or(true);
+            let changed = || plankhill_event_log::has_grown(&self.common.told.state, ledger).unwrap_or(true);
             does = role.hears(match has_begun {
                 true => Happens::Begun,
                 false => Happens::Gone { changed: changed() },
--- a/forwarder/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -6,10 +6,10 @@
 
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use plankhill_fanout::{Command, InstanceId, Leading, Order, Refusal};
-use plankhill_fleet::{GroupId, News, Order as ToFleet, Purpose};
-use plankhill_handover::Verdict;
+use plankhill_raft_groups::{GroupId, News, Order as ToFleet, Purpose};
+use plankhill_hot_restart::Verdict;
 use slog::{debug, info, warn};
 
 use super::{machine, FanOut, Owed, BUSY};
--- a/forwarder/src/fanout/handing.rs
+++ b/forwarder/server/src/fanout/handing.rs
@@ -1,9 +1,9 @@
 //! Copies and their ends on their way into the rounds.
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use plankhill_fanout::Outcome;
-use plankhill_handover::{Event, Verdict};
-use plankhill_ledger::Taken;
+use plankhill_hot_restart::{Event, Verdict};
+use plankhill_event_log::Taken;
 
 use super::actor::Actor;
 use super::{end_of, Copy};
--- a/forwarder/src/fanout/machine.rs
+++ b/forwarder/server/src/fanout/machine.rs
@@ -1,7 +1,7 @@
 //! What the control group keeps. Its commands begin with a sign that says whom they concern.
 
 use plankhill_fanout::{Command, Fanout};
-use plankhill_fleet::{Incarnation, Machine, Term, Torn};
+use plankhill_raft_groups::{Incarnation, Machine, Term, Torn};
 
 /// Before a command of fan-out.
 const FANOUT: u8 = b'f';
--- a/forwarder/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -13,12 +13,12 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use plankhill_fanout::{copy_of, Broadcast, BroadcastId, Fanout, InstanceId, Layout, ListName};
 use plankhill_fanout::{Host, Outcome, Position, Refusal, Station, Subscriber};
-use plankhill_fleet::Incarnation;
-use plankhill_handover::{Event, Verdict};
-use plankhill_ledger::Outcome as End;
+use plankhill_raft_groups::Incarnation;
+use plankhill_hot_restart::{Event, Verdict};
+use plankhill_event_log::Outcome as End;
 
 pub use self::machine::Control;
 use crate::clock::Clock;
--- a/forwarder/src/fanout/telling.rs
+++ b/forwarder/server/src/fanout/telling.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use plankhill_fanout::Outcome;
 
 use super::Copy;
--- a/forwarder/src/ground.rs
+++ b/forwarder/server/src/ground.rs
@@ -3,10 +3,10 @@
 
 use std::cell::{Cell, RefCell};
 
-use plankhill::interface::Ms;
-use plankhill_copies::KeptHere;
-use plankhill_fleet::{start, GroupId, Handle, Incarnation, Machine, NewsStream, Order, Purpose, Start};
-use plankhill_terms::{fields::Plain, Told};
+use plankhill_decisions::interface::Ms;
+use plankhill_replication::KeptHere;
+use plankhill_raft_groups::{start, GroupId, Handle, Incarnation, Machine, NewsStream, Order, Purpose, Start};
+use plankhill_forwarder_config::{fields::Plain, Told};
 use slog::{info, Logger};
 
 use crate::budgets::control::Control as Leases;
--- a/forwarder/src/ground_news.rs
+++ b/forwarder/server/src/ground_news.rs
@@ -4,7 +4,7 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use plankhill_fleet::{News, NewsStream, Purpose};
+use plankhill_raft_groups::{News, NewsStream, Purpose};
 use slog::error;
 
 use crate::clock::millis;
--- a/forwarder/src/heir.rs
+++ b/forwarder/server/src/heir.rs
@@ -1,5 +1,5 @@
 //! The part of a new version that starts beside a running process: it takes over from it, or waits for the
-//! folder's lock. What it does next is decided in `plankhill_handover::Heir`.
+//! folder's lock. What it does next is decided in `plankhill_hot_restart::Heir`.
 
 use std::collections::HashSet;
 use std::io;
@@ -9,11 +9,11 @@
 
 use async_channel::Sender;
 use async_io::{Async, Timer};
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_handover::*;
-use plankhill_ledger::{Ledger, Owed};
-use plankhill_terms::fields::Plain;
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_hot_restart::*;
+use plankhill_event_log::{Ledger, Owed};
+use plankhill_forwarder_config::fields::Plain;
 use slog::{info, warn};
 
 use crate::alone;
--- a/forwarder/src/kept.rs
+++ b/forwarder/server/src/kept.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use plankhill_terms::fields::Plain;
+use plankhill_forwarder_config::fields::Plain;
 use serde_json::Value;
 
 use crate::page::{is_whole, revision};
--- a/forwarder/src/left_out.rs
+++ b/forwarder/server/src/left_out.rs
@@ -4,9 +4,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use plankhill::interface::Listing;
-use plankhill_operators::{Bans, Change};
-use plankhill_terms::fields::Plain;
+use plankhill_decisions::interface::Listing;
+use plankhill_admin::{Bans, Change};
+use plankhill_forwarder_config::fields::Plain;
 
 const FILE: &str = "bans";
 
--- a/forwarder/src/mail.rs
+++ b/forwarder/server/src/mail.rs
@@ -5,11 +5,11 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use plankhill::interface::*;
-use plankhill_fleet::{GroupId, News};
-use plankhill_handover::{Event, State, Verdict, Word};
-use plankhill_ledger::{Outcome, Taken};
-use plankhill_operators::{Order, Reply};
+use plankhill_decisions::interface::*;
+use plankhill_raft_groups::{GroupId, News};
+use plankhill_hot_restart::{Event, State, Verdict, Word};
+use plankhill_event_log::{Outcome, Taken};
+use plankhill_admin::{Order, Reply};
 use serde_json::Value;
 
 use crate::budgets::Place;
--- a/forwarder/src/main.rs
+++ b/forwarder/server/src/main.rs
@@ -36,9 +36,9 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use futures_lite::{future, StreamExt};
-use plankhill_fleet::NewsStream;
-use plankhill_handover::Lock;
-use plankhill_terms::fields::Plain;
+use plankhill_raft_groups::NewsStream;
+use plankhill_hot_restart::Lock;
+use plankhill_forwarder_config::fields::Plain;
 use rustix::process::{getrlimit, Resource};
 use slog::{info, warn};
 
@@ -56,7 +56,7 @@
 }
 
 fn run() -> Plain<()> {
-    let mut told = plankhill_terms::told(|name| std::env::var(name).ok())?;
+    let mut told = plankhill_forwarder_config::told(|name| std::env::var(name).ok())?;
     // Needed until the list is had, and large.
     let known = std::mem::take(&mut told.known);
     // What it is told may be more than the system gives: clients would then leave none for discovery and the targets.
--- a/forwarder/src/notices.rs
+++ b/forwarder/server/src/notices.rs
@@ -5,7 +5,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use plankhill_ledger::Outcome;
+use plankhill_event_log::Outcome;
 use serde_json::json;
 use slog::{error, warn};
 
--- a/forwarder/src/operators.rs
+++ b/forwarder/server/src/operators.rs
@@ -13,7 +13,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt, StreamExt};
 use plankhill_http1::{self as http1, HeadSearch, RequestHead};
-use plankhill_operators::{asked, Asked, Order, Refused, Reply};
+use plankhill_admin::{asked, Asked, Order, Refused, Reply};
 use slog::warn;
 
 use crate::closing;
--- a/forwarder/src/page.rs
+++ b/forwarder/server/src/page.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_terms::fields::*;
-use plankhill_terms::Names;
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_forwarder_config::fields::*;
+use plankhill_forwarder_config::Names;
 use serde_json::Value;
 
 pub fn is_whole(page: &Value) -> bool {
--- a/forwarder/src/passes.rs
+++ b/forwarder/server/src/passes.rs
@@ -4,7 +4,7 @@
 use std::os::fd::OwnedFd;
 
 use async_channel::{Receiver, Sender};
-use plankhill_handover::{Passage, Word};
+use plankhill_hot_restart::{Passage, Word};
 
 /// A word, with a descriptor that is closed here once it is told.
 pub type Told = (Word, Option<OwnedFd>);
--- a/forwarder/src/pause.rs
+++ b/forwarder/server/src/pause.rs
@@ -10,7 +10,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::{Duration, Instant};
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 /// The first bound, for each forwarder of the fleet: discovery, when it was overbooked, answered one ask in
 /// about 55 ms, so a hundred forwarders that start together spread their first tries over two seconds. One
--- a/forwarder/src/relay.rs
+++ b/forwarder/server/src/relay.rs
@@ -6,9 +6,9 @@
 
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use plankhill::interface::*;
-use plankhill_handover::{Handed, Verdict, Word};
-use plankhill_operators::Reply;
+use plankhill_decisions::interface::*;
+use plankhill_hot_restart::{Handed, Verdict, Word};
+use plankhill_admin::Reply;
 use slog::info;
 
 use crate::common::Common;
--- a/forwarder/src/reload.rs
+++ b/forwarder/server/src/reload.rs
@@ -7,7 +7,7 @@
 
 /// What the file of the configuration says now: discovery may have moved, the rest waits for a new start.
 pub fn read_again(common: &Common, moves: &Sender<()>) {
-    let told = match plankhill_terms::told_again(|name| std::env::var(name).ok()) {
+    let told = match plankhill_forwarder_config::told_again(|name| std::env::var(name).ok()) {
         Ok(told) => told,
         Err(trouble) => return warn!(common.log, "all stays as it was"; "trouble" => trouble),
     };
--- a/forwarder/src/roster.rs
+++ b/forwarder/server/src/roster.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 
 use crate::mail::{CameIn, ToTarget};
 use crate::targets::{self, Reach};
--- a/forwarder/src/rounds/adopting.rs
+++ b/forwarder/server/src/rounds/adopting.rs
@@ -1,10 +1,10 @@
 //! What the groups that keep copies say: a record is led, or is not any more, and proposals are decided.
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_copies::{adopts, machine, Adopts, Finds, Leads};
-use plankhill_fleet::{GroupId, News, Term};
-use plankhill_ledger::Owed;
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_replication::{adopts, machine, Adopts, Finds, Leads};
+use plankhill_raft_groups::{GroupId, News, Term};
+use plankhill_event_log::Owed;
 use slog::{error, info};
 
 use super::copies::Copies;
--- a/forwarder/src/rounds/carrying.rs
+++ b/forwarder/server/src/rounds/carrying.rs
@@ -1,9 +1,9 @@
 //! Decisions are gathered during a round and carried out after it, once they stand in the ledger.
 
 use async_channel::Sender;
-use plankhill::interface::*;
-use plankhill_handover::Verdict;
-use plankhill_ledger::Outcome;
+use plankhill_decisions::interface::*;
+use plankhill_hot_restart::Verdict;
+use plankhill_event_log::Outcome;
 use slog::{debug, info};
 
 use super::hands::Hands;
--- a/forwarder/src/rounds/copies.rs
+++ b/forwarder/server/src/rounds/copies.rs
@@ -1,16 +1,16 @@
 //! The records that this forwarder leads, and what waits until their groups have committed it. What is
-//! decided about waiting stands in `plankhill_copies`.
+//! decided about waiting stands in `plankhill_replication`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
 use async_channel::Sender;
-use plankhill::interface::*;
-use plankhill_copies::proposals::LONGEST;
-use plankhill_copies::{Pipeline, Proposals, Roles};
-use plankhill_fleet::{GroupId, Order};
-use plankhill_handover::Verdict;
-use plankhill_ledger::{Ledger, Record};
+use plankhill_decisions::interface::*;
+use plankhill_replication::proposals::LONGEST;
+use plankhill_replication::{Pipeline, Proposals, Roles};
+use plankhill_raft_groups::{GroupId, Order};
+use plankhill_hot_restart::Verdict;
+use plankhill_event_log::{Ledger, Record};
 
 use crate::ground::Ground;
 use crate::mail::{Notice, ToTarget};
--- a/forwarder/src/rounds/hands.rs
+++ b/forwarder/server/src/rounds/hands.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use async_channel::Sender;
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_fleet::GroupId;
-use plankhill_handover::{Verdict, Word};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_raft_groups::GroupId;
+use plankhill_hot_restart::{Verdict, Word};
 use slog::{debug, warn};
 
 use super::keeps::Keeps;
--- a/forwarder/src/rounds/keeps.rs
+++ b/forwarder/server/src/rounds/keeps.rs
@@ -1,8 +1,8 @@
 //! Where the record of what was taken on is kept: a file of this forwarder, or the groups that it leads.
 
-use plankhill::interface::*;
-use plankhill_fleet::GroupId;
-use plankhill_ledger::{Ledger, Outcome, Record, Taken};
+use plankhill_decisions::interface::*;
+use plankhill_raft_groups::GroupId;
+use plankhill_event_log::{Ledger, Outcome, Record, Taken};
 
 use super::copies::Copies;
 
--- a/forwarder/src/rounds/listing.rs
+++ b/forwarder/server/src/rounds/listing.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashSet;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_operators::{Order, Reply};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_admin::{Order, Reply};
 use serde_json::Value;
 use slog::{error, info, warn};
 
--- a/forwarder/src/rounds/mod.rs
+++ b/forwarder/server/src/rounds/mod.rs
@@ -24,10 +24,10 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_handover::{State, Verdict};
-use plankhill_ledger::{Ledger, Owed};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_hot_restart::{State, Verdict};
+use plankhill_event_log::{Ledger, Owed};
 use serde_json::Value;
 use slog::error;
 
--- a/forwarder/src/rounds/past.rs
+++ b/forwarder/server/src/rounds/past.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 
 /// A copy comes at about the time of its event; patience on the longest of days is less.
 const REMEMBERED: Ms = 30_000.0;
--- a/forwarder/src/rounds/promises.rs
+++ b/forwarder/server/src/rounds/promises.rs
@@ -2,10 +2,10 @@
 //! now: where they differ the event is of a type of its own, on which what is stricter of both holds. The
 //! decisions know such a type by its position alone, behind those of the settings.
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_ledger::{Owed, Promise, Repeats, Taken};
-use plankhill_terms::Told;
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_event_log::{Owed, Promise, Repeats, Taken};
+use plankhill_forwarder_config::Told;
 
 /// As many types beside those of the settings: some for each that the settings ever had. Past them an event of
 /// one more is ended like one of a type that nobody knows.
--- a/forwarder/src/rounds/restoring.rs
+++ b/forwarder/server/src/rounds/restoring.rs
@@ -2,10 +2,10 @@
 
 use std::collections::HashMap;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_handover::State;
-use plankhill_ledger::{Outcome, Owed, Taken};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_hot_restart::State;
+use plankhill_event_log::{Outcome, Owed, Taken};
 use rmp_serde::encode::Error;
 
 use super::hands::{Hands, Held};
--- a/forwarder/src/rounds/staging.rs
+++ b/forwarder/server/src/rounds/staging.rs
@@ -1,10 +1,10 @@
 //! Where copies are kept: what a round decided waits here until its marks are committed, and then leaves.
 
 use async_channel::Sender;
-use plankhill::interface::*;
-use plankhill_copies::pipeline::Decided;
-use plankhill_copies::Released;
-use plankhill_handover::Verdict;
+use plankhill_decisions::interface::*;
+use plankhill_replication::pipeline::Decided;
+use plankhill_replication::Released;
+use plankhill_hot_restart::Verdict;
 use slog::info;
 
 use super::copies::{Answer, Effects};
@@ -142,6 +142,6 @@
 }
 
 /// As the log says it.
-pub(super) fn name(group: plankhill_fleet::GroupId) -> String {
+pub(super) fn name(group: plankhill_raft_groups::GroupId) -> String {
     format!("{:016x}/{}", group.founder.0, group.number)
 }
--- a/forwarder/src/rounds/standing.rs
+++ b/forwarder/server/src/rounds/standing.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use plankhill_handover::Word;
+use plankhill_hot_restart::Word;
 use slog::error;
 
 use super::hands::Hands;
--- a/forwarder/src/rounds/stories/committing.rs
+++ b/forwarder/server/src/rounds/stories/committing.rs
@@ -1,8 +1,8 @@
 //! What an owner waits for.
 
-use plankhill_fleet::{InstanceName, News, Order, Purpose};
-use plankhill_handover::Verdict;
-use plankhill_ledger::Record;
+use plankhill_raft_groups::{InstanceName, News, Order, Purpose};
+use plankhill_hot_restart::Verdict;
+use plankhill_event_log::Record;
 
 use super::held::HeldTarget;
 use super::*;
--- a/forwarder/src/rounds/stories/groups.rs
+++ b/forwarder/server/src/rounds/stories/groups.rs
@@ -3,8 +3,8 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use plankhill::interface::*;
-use plankhill_fleet::{GroupId, Incarnation, Order};
+use plankhill_decisions::interface::*;
+use plankhill_raft_groups::{GroupId, Incarnation, Order};
 
 use crate::ground::Fleet;
 
--- a/forwarder/src/rounds/stories/inheriting.rs
+++ b/forwarder/server/src/rounds/stories/inheriting.rs
@@ -1,8 +1,8 @@
 //! What an heir does with a record.
 
-use plankhill_fleet::{News, Order};
-use plankhill_handover::Verdict;
-use plankhill_ledger::{Outcome, Record};
+use plankhill_raft_groups::{News, Order};
+use plankhill_hot_restart::Verdict;
+use plankhill_event_log::{Outcome, Record};
 
 use super::*;
 
--- a/forwarder/src/rounds/stories/mod.rs
+++ b/forwarder/server/src/rounds/stories/mod.rs
@@ -21,12 +21,12 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use plankhill::interface::*;
-use plankhill_copies::machine::{command, read_command};
-use plankhill_copies::KeptHere;
-use plankhill_fleet::{GroupId, Incarnation, Machine, News, Order, Purpose, Term};
-use plankhill_handover::{Event, Verdict};
-use plankhill_ledger::{Ledger, Record, Taken};
+use plankhill_decisions::interface::*;
+use plankhill_replication::machine::{command, read_command};
+use plankhill_replication::KeptHere;
+use plankhill_raft_groups::{GroupId, Incarnation, Machine, News, Order, Purpose, Term};
+use plankhill_hot_restart::{Event, Verdict};
+use plankhill_event_log::{Ledger, Record, Taken};
 
 use self::config::config;
 use self::groups::{others, own, StandIn};
--- a/forwarder/src/rounds/taking.rs
+++ b/forwarder/server/src/rounds/taking.rs
@@ -1,6 +1,6 @@
 //! What is taken on.
 
-use plankhill_ledger::Taken;
+use plankhill_event_log::Taken;
 use slog::debug;
 
 use super::hands::{Hands, Held};
--- a/forwarder/src/rounds/telling.rs
+++ b/forwarder/server/src/rounds/telling.rs
@@ -1,8 +1,8 @@
 //! Ends of copies of broadcasts that were never handed in.
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_ledger::{Outcome, Taken};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_event_log::{Outcome, Taken};
 
 use super::hands::Hands;
 use crate::notices;
--- a/forwarder/src/targets/call.rs
+++ b/forwarder/server/src/targets/call.rs
@@ -9,7 +9,7 @@
 
 use async_channel::{Receiver, Sender, WeakSender};
 use futures_lite::future;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use plankhill_http1::{self as http1, ResponseHead};
 use slog::debug;
 
--- a/forwarder/src/targets/meaning.rs
+++ b/forwarder/server/src/targets/meaning.rs
@@ -1,8 +1,8 @@
 //! What a target's answers mean.
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use plankhill_http1::ResponseHead;
-use plankhill_terms::LEFT;
+use plankhill_forwarder_config::LEFT;
 
 /// The share of its limit that an answer reports as left, `Srv-Load: TEXT x0=0.4, x1=25`; what can't be read
 /// reports nothing.
--- a/forwarder/src/targets/mod.rs
+++ b/forwarder/server/src/targets/mod.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 use async_channel::{Receiver, WeakSender};
-use plankhill::interface::*;
-use plankhill_handover::Word;
-use plankhill_terms::Told;
+use plankhill_decisions::interface::*;
+use plankhill_hot_restart::Word;
+use plankhill_forwarder_config::Told;
 
 pub use self::call::Reach;
 use self::call::{Call, Kept};
--- a/forwarder/tests/many_starts.rs
+++ b/forwarder/server/tests/many_starts.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use plankhill_ledger::{Ledger, Outcome, Taken};
+use plankhill_event_log::{Ledger, Outcome, Taken};
 use rstest::rstest;
 use serde_json::json;
 
--- a/forwarder/tests/peers/heir.rs
+++ b/forwarder/server/tests/peers/heir.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use async_io::block_on;
-use plankhill_handover::{connect, Ears, Passage, Word};
+use plankhill_hot_restart::{connect, Ears, Passage, Word};
 
 fn names() -> [Vec<String>; 3] {
     [&["job", "order", "charge"][..], &["k"], &["z"]]
--- a/forwarder/tests/shutdown.rs
+++ b/forwarder/server/tests/shutdown.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use async_io::block_on;
-use plankhill_handover::{Word, VERSION};
+use plankhill_hot_restart::{Word, VERSION};
 use rstest::rstest;
 use serde_json::Value;
 
--- a/forwarder/tests/upgrade.rs
+++ b/forwarder/server/tests/upgrade.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 
 use async_io::block_on;
-use plankhill_handover::{Word, VERSION};
+use plankhill_hot_restart::{Word, VERSION};
 use rstest::rstest;
 
 use peers::heir::hello;
--- a/forwarder/tests/upgrade_signals.rs
+++ b/forwarder/server/tests/upgrade_signals.rs
@@ -4,7 +4,7 @@
 mod peers;
 
 use async_io::block_on;
-use plankhill_handover::{Ears, Passage, Word, VERSION};
+use plankhill_hot_restart::{Ears, Passage, Word, VERSION};
 use rstest::rstest;
 
 use peers::heir::hello;
@@ -48,7 +48,7 @@
     let (passage, mut ears) = told_yours(&first);
     first.signal("-TERM");
     first.logged("closes");
-    let (mut own, _) = plankhill_ledger::Ledger::open(&first.folder, 3_000_000).expect("opens");
+    let (mut own, _) = plankhill_event_log::Ledger::open(&first.folder, 3_000_000).expect("opens");
     own.change_owner().expect("writes");
     block_on(passage.tell(&Word::Begun, None)).expect("told");
     first.logged("has handed over");
--- a/forwarder/tests/upgrade_steps.rs
+++ b/forwarder/server/tests/upgrade_steps.rs
@@ -3,7 +3,7 @@
 mod peers;
 
 use async_io::block_on;
-use plankhill_handover::{bind, Lock, Passage, Word, VERSION};
+use plankhill_hot_restart::{bind, Lock, Passage, Word, VERSION};
 use rstest::rstest;
 
 use peers::heir::hello;
@@ -41,7 +41,7 @@
     }
     if ends == Ends::ItsFrame {
         let ledger = first.folder.join("ledger");
-        let (mut own, _) = plankhill_ledger::Ledger::open(&first.folder, 3_000_000).expect("opens");
+        let (mut own, _) = plankhill_event_log::Ledger::open(&first.folder, 3_000_000).expect("opens");
         let before = std::fs::metadata(&ledger).expect("there").len();
         own.change_owner().expect("writes");
         assert!(std::fs::metadata(&ledger).expect("there").len() > before);
--- a/benchlink/src/arrivals.rs
+++ b/forwarder/simulator-adapter/src/arrivals.rs
@@ -2,10 +2,10 @@
 
 use std::rc::Rc;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_terms::fields::*;
-use plankhill_terms::{order_key, Names};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_forwarder_config::fields::*;
+use plankhill_forwarder_config::{order_key, Names};
 use serde_json::Value;
 
 pub fn hand_over(
--- a/benchlink/src/main.rs
+++ b/forwarder/simulator-adapter/src/main.rs
@@ -9,7 +9,7 @@
 
 fn main() {
     if let Err(trouble) = wire::serve(stdin().lock(), BufWriter::new(stdout().lock())) {
-        eprintln!("plankhill-benchlink: {trouble}");
+        eprintln!("plankhill-simulator-adapter: {trouble}");
         std::process::exit(1);
     }
 }
--- a/benchlink/src/subscription.rs
+++ b/forwarder/simulator-adapter/src/subscription.rs
@@ -4,7 +4,7 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 /// The first calls of a fleet that starts at once are drawn over this span, milliseconds.
 const FIRST: Ms = 2_000.0;
--- a/benchlink/src/wire.rs
+++ b/forwarder/simulator-adapter/src/wire.rs
@@ -5,10 +5,10 @@
 use std::io::{BufRead, Write};
 use std::rc::Rc;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_terms::fields::*;
-use plankhill_terms::{terms, Names};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::*;
+use plankhill_forwarder_config::fields::*;
+use plankhill_forwarder_config::{terms, Names};
 use serde_json::{json, Value};
 
 use crate::arrivals::hand_over;
--- a/benchlink/src/written.rs
+++ b/forwarder/simulator-adapter/src/written.rs
@@ -1,6 +1,6 @@
 //! Decisions turned into the wire's words and units.
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 use serde_json::{json, Value};
 
 /// Decisions in the wire's words; spans are rounded up to whole microseconds, so that none ends early.
--- a/benchlink/tests/wire.rs
+++ b/forwarder/simulator-adapter/tests/wire.rs
@@ -13,7 +13,7 @@
 "mode":"Running","unknown":true}]}"#;
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_plankhill-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_plankhill-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tier/turns/tests/accounts.rs
+++ b/tier/conversations/tests/accounts.rs
@@ -4,7 +4,7 @@
 use arbtest::arbtest;
 use plankhill_protocol::ids::RequestId;
 use plankhill_protocol::turns::Reservation;
-use plankhill_turns::account::{Account, TurnState, Verdict};
+use plankhill_conversations::account::{Account, TurnState, Verdict};
 
 fn name(number: u8) -> RequestId {
     RequestId::from(format!("turn-{number}").as_str())
--- a/tier/turns/tests/index.rs
+++ b/tier/conversations/tests/index.rs
@@ -6,8 +6,8 @@
 use arbtest::arbtest;
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::turns::{TurnPlace, TurnRecord};
-use plankhill_turns::account::TurnState;
-use plankhill_turns::index::{Index, TurnEntry, ACCOUNT_KEPT_MS};
+use plankhill_conversations::account::TurnState;
+use plankhill_conversations::index::{Index, TurnEntry, ACCOUNT_KEPT_MS};
 
 fn turn(number: usize) -> RequestId {
     RequestId::from(format!("turn-{number}").as_str())
--- a/tier/turns/tests/placement.rs
+++ b/tier/conversations/tests/placement.rs
@@ -3,8 +3,8 @@
 use arbtest::arbtest;
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_turns::placement::{replicas, Quorum, Tally};
-use plankhill_turns::rows::{account_key, hint_key, split_key};
+use plankhill_conversations::placement::{replicas, Quorum, Tally};
+use plankhill_conversations::rows::{account_key, hint_key, split_key};
 
 fn member(number: u64) -> StoreMember {
     StoreMember {
--- a/tier/turns/tests/stored_format.rs
+++ b/tier/conversations/tests/stored_format.rs
@@ -10,8 +10,8 @@
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::turns::{TurnPlace, TurnRecord};
-use plankhill_turns::account::TurnState;
-use plankhill_turns::rows::{
+use plankhill_conversations::account::TurnState;
+use plankhill_conversations::rows::{
     account_key, hint_key, incarnation_row, read_row, turn_key, view_row, AccountRow, RowChange, Table,
     TurnRow, INCARNATION_KEY, VIEW_KEY,
 };
--- a/tier/turns/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -10,13 +10,13 @@
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
-use plankhill_turns::account::{Account, TurnState};
-use plankhill_turns::index::{Index, TurnEntry};
-use plankhill_turns::peer::{
+use plankhill_conversations::account::{Account, TurnState};
+use plankhill_conversations::index::{Index, TurnEntry};
+use plankhill_conversations::peer::{
     EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline,
     StoreSet,
 };
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 
 fn program() -> ProgramId {
     ProgramId::from("program-1")
--- a/tier/disk/tests/room.rs
+++ b/tier/disk-health/tests/room.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use plankhill_disk::{probe_room, Pauses};
+use plankhill_disk_health::{probe_room, Pauses};
 
 #[test]
 fn pauses_grow_up_to_a_bound() {
--- a/tier/dispatch/src/admission.rs
+++ b/tier/dispatch/src/admission.rs
@@ -1,7 +1,7 @@
 //! How urgent a request is, how long it is held while no target takes it, and when a refused client is to
 //! come back.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 /// The `Priority` header's value for a request that is neither urgent nor late.
 pub const USUAL_PRIORITY: u8 = 5;
--- a/tier/dispatch/src/affinity.rs
+++ b/tier/dispatch/src/affinity.rs
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use plankhill_protocol::ids::InstanceId;
 
 use crate::allocation::Quota;
--- a/tier/dispatch/src/allocation.rs
+++ b/tier/dispatch/src/allocation.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use crate::affinity::rendezvous_weight;
 use crate::demand::{Demand, TextShare};
--- a/tier/dispatch/src/bridge.rs
+++ b/tier/dispatch/src/bridge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use plankhill::interface::{Decisions, DestinationId, EventId, Ms, TargetId};
+use plankhill_decisions::interface::{Decisions, DestinationId, EventId, Ms, TargetId};
 
 use crate::admission;
 use crate::allocation::Allocator;
--- a/tier/dispatch/src/demand.rs
+++ b/tier/dispatch/src/demand.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 /// Counts lose half of their weight in this time: long enough for some tens of requests at a proxy of a large fleet.
 const HALF_LIFE: Ms = 10_000.0;
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 use std::convert::Infallible;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::{DestinationId, Fate, Ms, OrderKey};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::{DestinationId, Fate, Ms, OrderKey};
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::Target;
 
@@ -135,11 +135,11 @@
         }
         let wait = self.note_end(now, target, &ended);
         let over = self.decide_next(now, key, ended.fate);
-        let told = plankhill::interface::Ended {
+        let told = plankhill_decisions::interface::Ended {
             took: ended.took,
             over,
             wait,
-            ..plankhill::interface::Ended::plain(ended.fate)
+            ..plankhill_decisions::interface::Ended::plain(ended.fate)
         };
         self.inputs.push(Input::SendEnded(key, told));
         self.requests.forget_if_done(key);
--- a/tier/dispatch/src/holds.rs
+++ b/tier/dispatch/src/holds.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use crate::interface::RequestKey;
 
--- a/tier/dispatch/src/inputs.rs
+++ b/tier/dispatch/src/inputs.rs
@@ -1,7 +1,7 @@
 //! What is gathered between two rounds of the decision module, in the order in which it came.
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::{DestinationId, Ended, Fate, Listing, Ms, OrderKey, TargetId, TrafficId};
+use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::interface::{DestinationId, Ended, Fate, Listing, Ms, OrderKey, TargetId, TrafficId};
 
 use crate::interface::RequestKey;
 use crate::module_terms::SERVICE;
--- a/tier/dispatch/src/interface.rs
+++ b/tier/dispatch/src/interface.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use plankhill::interface::{Fate, Ms};
+use plankhill_decisions::interface::{Fate, Ms};
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 
 /// The proxy's own number of a request. One that was used must not be used again within its process.
--- a/tier/dispatch/src/load.rs
+++ b/tier/dispatch/src/load.rs
@@ -1,6 +1,6 @@
 //! How full a target is: the calls that this proxy has out there, and what the target last reported.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use crate::interface::UpstreamLoad;
 
--- a/tier/dispatch/src/module_terms.rs
+++ b/tier/dispatch/src/module_terms.rs
@@ -4,7 +4,7 @@
 //! A target of the tier refuses for itself, by a status that promises that nothing ran, and queues what it
 //! can; spacing calls would hold requests that it takes.
 
-use plankhill::interface::{
+use plankhill_decisions::interface::{
     DestinationKind, Effect, KindId, Ms, RetryPauses, Terms, TrafficId, TrafficType, Tuning,
 };
 
--- a/tier/dispatch/src/placement.rs
+++ b/tier/dispatch/src/placement.rs
@@ -1,6 +1,6 @@
 //! Which of the targets that take a request now gets it: the one that costs least, in expected milliseconds.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use crate::affinity::{rank_costs, Chains, RankCost, TOKEN_COST};
 use crate::allocation::Quota;
--- a/tier/dispatch/src/requests.rs
+++ b/tier/dispatch/src/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use plankhill::interface::{DestinationId, EventId, Fate, Ms};
+use plankhill_decisions::interface::{DestinationId, EventId, Fate, Ms};
 
 use crate::affinity::Chains;
 use crate::interface::{NewRequest, Repeats, RequestKey};
--- a/tier/dispatch/src/retry.rs
+++ b/tier/dispatch/src/retry.rs
@@ -1,6 +1,6 @@
 //! Whether a request whose call ended undelivered goes again.
 
-use plankhill::interface::{Fate, Ms};
+use plankhill_decisions::interface::{Fate, Ms};
 
 use crate::interface::Repeats;
 
--- a/tier/dispatch/src/settle.rs
+++ b/tier/dispatch/src/settle.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 /// The rest before any answer was seen.
 const INITIAL: Ms = 200.0;
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use plankhill::interface::{DestinationId, Listing, Ms, TargetId, ZoneId};
+use plankhill_decisions::interface::{DestinationId, Listing, Ms, TargetId, ZoneId};
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
 
--- a/tier/worth-report/src/main.rs
+++ b/tier/loss-report/src/main.rs
@@ -1,11 +1,11 @@
-//! `plankhill-worth-report REPORT...`: where the worth of days was lost, from the bench's reports of them.
+//! `plankhill-loss-report REPORT...`: where the worth of days was lost, from the bench's reports of them.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use lexopt::{Arg, Parser};
-use plankhill_worth_report::{DayReport, Ledger, ReportError};
+use plankhill_loss_report::{DayReport, Ledger, ReportError};
 
 /// Prices below this share of the worth owed are left out.
 const LEAST_PRICE: f64 = 0.0005;
@@ -14,7 +14,7 @@
     let files = match arguments() {
         Ok(files) => files,
         Err(error) => {
-            eprintln!("{error}; usage: plankhill-worth-report REPORT...");
+            eprintln!("{error}; usage: plankhill-loss-report REPORT...");
             return ExitCode::from(2);
         }
     };
--- a/tier/worth-report/tests/ledger.rs
+++ b/tier/loss-report/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! The causes add up to the loss, and each window's loss goes to what was under way around it.
 
-use plankhill_worth_report::{DayReport, Event, Ledger, Window};
+use plankhill_loss_report::{DayReport, Event, Ledger, Window};
 
 fn window(from: f64, programs: u32, worth: f64) -> Window {
     Window { from, programs, late: 0, refused: 0, failed: 0, worth }
--- a/tier/replica/src/start.rs
+++ b/tier/replica/src/start.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use plankhill_chain::{BadSnapshot, ChainMember, Configuration, Identity, Member, Storage, Write};
-use plankhill_disk::Pauses;
+use plankhill_disk_health::Pauses;
 use plankhill_protocol::ids::{Incarnation, NodeId};
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
--- a/tier/replica/src/storage/fjall.rs
+++ b/tier/replica/src/storage/fjall.rs
@@ -5,7 +5,7 @@
 
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, OwnedWriteBatch, PersistMode};
 use plankhill_chain::{Durable, Storage, Write};
-use plankhill_disk::probe_room;
+use plankhill_disk_health::probe_room;
 use plankhill_protocol::ids::{Incarnation, Revision};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/tier/replica/src/storage/writer.rs
+++ b/tier/replica/src/storage/writer.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 
 use plankhill_chain::{Storage, Ticket, Write};
-use plankhill_disk::Pauses;
+use plankhill_disk_health::Pauses;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
--- a/tier/replica/tests/refusing_disk.rs
+++ b/tier/replica/tests/refusing_disk.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbtest;
 use plankhill_chain::{Durable, Entry, RequestNumber, Snapshot, Storage, Ticket, Write};
-use plankhill_disk::Pauses;
+use plankhill_disk_health::Pauses;
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 use plankhill_replica::storage::{open_folder, start_writer, Batch, FjallStorage, Written};
 use tempfile::TempDir;
--- a/tier/store-client/src/calls.rs
+++ b/tier/store-client/src/calls.rs
@@ -9,7 +9,7 @@
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 use plankhill_protocol::turns::{StoreCall, StoreReply};
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 
 /// Calls stores.
 pub trait StoreCalls: 'static {
--- a/tier/store/src/disk/fjall.rs
+++ b/tier/store/src/disk/fjall.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::mpsc::Sender;
 
-use plankhill_turns::rows::{RowChange, Table};
+use plankhill_conversations::rows::{RowChange, Table};
 use tokio::sync::oneshot;
 
 use super::writer::{ended, failed, start_writer, Commit, SharedRows};
--- a/tier/store/src/disk/memory.rs
+++ b/tier/store/src/disk/memory.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use plankhill_turns::rows::{RowChange, Table};
+use plankhill_conversations::rows::{RowChange, Table};
 use tokio::time::Instant;
 
 use super::{Disk, DiskError};
--- a/tier/store/src/disk/mod.rs
+++ b/tier/store/src/disk/mod.rs
@@ -7,7 +7,7 @@
 
 use std::future::Future;
 
-use plankhill_turns::rows::{RowChange, Table};
+use plankhill_conversations::rows::{RowChange, Table};
 
 pub use fjall::FjallDisk;
 pub use folder::{open_folder, OpenedFolder};
--- a/tier/store/src/disk/writer.rs
+++ b/tier/store/src/disk/writer.rs
@@ -10,8 +10,8 @@
 use std::time::Instant;
 
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
-use plankhill_disk::{probe_room, Pauses};
-use plankhill_turns::rows::{RowChange, Table, INCARNATION_KEY};
+use plankhill_disk_health::{probe_room, Pauses};
+use plankhill_conversations::rows::{RowChange, Table, INCARNATION_KEY};
 use tokio::sync::oneshot;
 
 use super::fjall::row_key;
--- a/tier/store/src/node/begin.rs
+++ b/tier/store/src/node/begin.rs
@@ -6,9 +6,9 @@
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::StoreView;
 use plankhill_protocol::turns::{Reservation, StoreReply};
-use plankhill_turns::account::{Account, TurnState, Verdict};
-use plankhill_turns::peer::{EndedTurn, PeerRequest, PeerResponse};
-use plankhill_turns::placement::Tally;
+use plankhill_conversations::account::{Account, TurnState, Verdict};
+use plankhill_conversations::peer::{EndedTurn, PeerRequest, PeerResponse};
+use plankhill_conversations::placement::Tally;
 
 use super::chain::ChainEnd;
 use super::end::Written;
--- a/tier/store/src/node/catch_up.rs
+++ b/tier/store/src/node/catch_up.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use plankhill_protocol::tables::StoreMember;
-use plankhill_turns::peer::StoreSet;
-use plankhill_turns::placement::is_serving;
+use plankhill_conversations::peer::StoreSet;
+use plankhill_conversations::placement::is_serving;
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/chain.rs
+++ b/tier/store/src/node/chain.rs
@@ -6,9 +6,9 @@
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::turns::{TurnPlace, TurnRecord};
-use plankhill_turns::peer::{PeerRequest, PeerResponse};
-use plankhill_turns::placement::{addresses, is_serving, replicas, Quorum};
-use plankhill_turns::rows::{read_row, turn_key, Table, TurnRow};
+use plankhill_conversations::peer::{PeerRequest, PeerResponse};
+use plankhill_conversations::placement::{addresses, is_serving, replicas, Quorum};
+use plankhill_conversations::rows::{read_row, turn_key, Table, TurnRow};
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/copy.rs
+++ b/tier/store/src/node/copy.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_turns::peer::StoreSet;
-use plankhill_turns::placement::{is_same, is_serving, Quorum};
+use plankhill_conversations::peer::StoreSet;
+use plankhill_conversations::placement::{is_same, is_serving, Quorum};
 
 use super::copy_source::Interrupted;
 use super::Node;
--- a/tier/store/src/node/copy_source.rs
+++ b/tier/store/src/node/copy_source.rs
@@ -5,8 +5,8 @@
 
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_turns::peer::{EndedTurn, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, StoreSet};
-use plankhill_turns::placement::holds;
+use plankhill_conversations::peer::{EndedTurn, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, StoreSet};
+use plankhill_conversations::placement::holds;
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/end.rs
+++ b/tier/store/src/node/end.rs
@@ -6,9 +6,9 @@
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::StoreView;
 use plankhill_protocol::turns::{StoreReply, TurnPlace, TurnRecord};
-use plankhill_turns::account::TurnState;
-use plankhill_turns::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
-use plankhill_turns::placement::Tally;
+use plankhill_conversations::account::TurnState;
+use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
+use plankhill_conversations::placement::Tally;
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/expiry.rs
+++ b/tier/store/src/node/expiry.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use plankhill_turns::rows::{account_key, turn_key, RowChange, Table};
+use plankhill_conversations::rows::{account_key, turn_key, RowChange, Table};
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/hints.rs
+++ b/tier/store/src/node/hints.rs
@@ -5,9 +5,9 @@
 
 use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_turns::peer::{PeerReply, PeerRequest, PeerResponse};
-use plankhill_turns::placement::replicas;
-use plankhill_turns::rows::{hint_key, RowChange, Table};
+use plankhill_conversations::peer::{PeerReply, PeerRequest, PeerResponse};
+use plankhill_conversations::placement::replicas;
+use plankhill_conversations::rows::{hint_key, RowChange, Table};
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/load.rs
+++ b/tier/store/src/node/load.rs
@@ -5,8 +5,8 @@
 
 use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
 use plankhill_protocol::tables::StoreView;
-use plankhill_turns::index::TurnEntry;
-use plankhill_turns::rows::{read_row, split_key, AccountRow, Table, TurnRow, VIEW_KEY};
+use plankhill_conversations::index::TurnEntry;
+use plankhill_conversations::rows::{read_row, split_key, AccountRow, Table, TurnRow, VIEW_KEY};
 use tokio::sync::watch;
 
 use super::{Node, Parts, State};
--- a/tier/store/src/node/mod.rs
+++ b/tier/store/src/node/mod.rs
@@ -24,8 +24,8 @@
 use plankhill_protocol::ids::{RequestId, StoreEpoch};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::turns::{StoreCall, StoreReply, TurnRecord};
-use plankhill_turns::index::Index;
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::index::Index;
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use tokio::sync::watch;
 
 use crate::clock::Clock;
--- a/tier/store/src/node/repair.rs
+++ b/tier/store/src/node/repair.rs
@@ -5,8 +5,8 @@
 
 use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
 use plankhill_protocol::tables::StoreMember;
-use plankhill_turns::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
-use plankhill_turns::rows::{hint_key, RowChange, Table};
+use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
+use plankhill_conversations::rows::{hint_key, RowChange, Table};
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/replica.rs
+++ b/tier/store/src/node/replica.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
-use plankhill_turns::account::TurnState;
-use plankhill_turns::index::TurnEntry;
-use plankhill_turns::peer::{EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
-use plankhill_turns::rows::{account_key, turn_key, AccountRow, RowChange, Table, TurnRow};
+use plankhill_conversations::account::TurnState;
+use plankhill_conversations::index::TurnEntry;
+use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
+use plankhill_conversations::rows::{account_key, turn_key, AccountRow, RowChange, Table, TurnRow};
 
 use super::unwritten::StateWrite;
 use super::Node;
--- a/tier/store/src/node/round.rs
+++ b/tier/store/src/node/round.rs
@@ -5,7 +5,7 @@
 
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
-use plankhill_turns::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
+use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
 use tokio::sync::mpsc;
 
 use super::Node;
--- a/tier/store/src/node/serve_copies.rs
+++ b/tier/store/src/node/serve_copies.rs
@@ -2,8 +2,8 @@
 
 use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
 use plankhill_protocol::tables::StoreMember;
-use plankhill_turns::peer::{PeerResponse, StoreSet};
-use plankhill_turns::placement::holds;
+use plankhill_conversations::peer::{PeerResponse, StoreSet};
+use plankhill_conversations::placement::holds;
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/view.rs
+++ b/tier/store/src/node/view.rs
@@ -5,7 +5,7 @@
 
 use plankhill_protocol::ids::StoreEpoch;
 use plankhill_protocol::tables::StoreView;
-use plankhill_turns::rows::view_row;
+use plankhill_conversations::rows::view_row;
 use tokio::sync::watch;
 
 use super::Node;
--- a/tier/store/src/peers.rs
+++ b/tier/store/src/peers.rs
@@ -8,8 +8,8 @@
 
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
-use plankhill_turns::peer::{PeerCall, PeerReply};
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::peer::{PeerCall, PeerReply};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 
 /// Connections to stores that are kept; views hold far fewer.
 const MOST_CALLERS: usize = 256;
--- a/tier/store/tests/disk_contract.rs
+++ b/tier/store/tests/disk_contract.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use plankhill_store::disk::{Disk, FjallDisk, MemoryDisk};
-use plankhill_turns::rows::{RowChange, Table};
+use plankhill_conversations::rows::{RowChange, Table};
 use tokio::task::LocalSet;
 
 fn row(key: &str, value: &str) -> RowChange {
--- a/tier/store/tests/epoch_fence.rs
+++ b/tier/store/tests/epoch_fence.rs
@@ -7,7 +7,7 @@
 
 use plankhill_protocol::ids::{NodeId, ProgramId, RequestId, StoreEpoch};
 use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply};
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use world::{milliseconds, run, Plant, World};
 
 fn store(number: u64) -> NodeId {
--- a/tier/store/tests/full_disk.rs
+++ b/tier/store/tests/full_disk.rs
@@ -7,9 +7,9 @@
 
 use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
 use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply};
-use plankhill_turns::account::TurnState;
-use plankhill_turns::peer::{EndedTurn, PeerCall, PeerRequest, PeerResponse};
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::account::TurnState;
+use plankhill_conversations::peer::{EndedTurn, PeerCall, PeerRequest, PeerResponse};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use world::{milliseconds, run, Plant, World};
 
 fn store(number: u64) -> NodeId {
--- a/tier/store/tests/stored_format.rs
+++ b/tier/store/tests/stored_format.rs
@@ -18,12 +18,12 @@
 use plankhill_store::figures::Figures;
 use plankhill_store::node::{Node, Parts};
 use plankhill_store::peers::Peers;
-use plankhill_turns::account::TurnState;
-use plankhill_turns::peer::{KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
-use plankhill_turns::rows::{
+use plankhill_conversations::account::TurnState;
+use plankhill_conversations::peer::{KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
+use plankhill_conversations::rows::{
     account_key, hint_key, read_row, turn_key, AccountRow, Table, TurnRow, INCARNATION_KEY, VIEW_KEY,
 };
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 
 /// The time of day at which the folder was written, in milliseconds.
 const WRITTEN_MS: u64 = 1_790_000_000_000;
--- a/tier/store/tests/world/network.rs
+++ b/tier/store/tests/world/network.rs
@@ -9,9 +9,9 @@
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::CallError;
 use plankhill_store::peers::Peers;
-use plankhill_turns::account::Account;
-use plankhill_turns::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::account::Account;
+use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use tokio::sync::oneshot;
 
 use super::{milliseconds, Plant, World};
--- a/tier/store/tests/world/proxy.rs
+++ b/tier/store/tests/world/proxy.rs
@@ -10,7 +10,7 @@
 use plankhill_protocol::transport::CallError;
 use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
 use plankhill_store_client::{BeginOutcome, BeginTurn, EndOutcome, EndTurn, StoreCalls, StoreClient};
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use tokio::time::Instant;
 
 use super::programs::{Answered, RETENTION};
--- a/tier/store/tests/world/scenario.rs
+++ b/tier/store/tests/world/scenario.rs
@@ -7,7 +7,7 @@
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::StoreMember;
 use plankhill_store_client::{BeginOutcome, BeginTurn, StoreClient};
-use plankhill_turns::placement::{replicas, Quorum};
+use plankhill_conversations::placement::{replicas, Quorum};
 
 use super::faults::Trouble;
 use super::machine::Machine;
