--- a/decisions/src/decide.rs
+++ b/decisions/src/decide.rs
@@ -55,7 +55,8 @@
     waiting: BTreeSet<(Backlog, DestinationId)>,
     woken_at: Moment, // the ring that is already ordered
     sends_until: Moment,
-    #[serde(skip)] // counted anew from what is handed over, which an earlier version may have written
+    #[serde(skip)]
+    // counted anew from what is handed over, which an earlier version may have written
     unheard: usize, // ended events that stay only until their notice is heard
 }
 
@@ -80,17 +81,32 @@
 
 impl Forwarder {
     pub fn start(terms: Terms, now: Ms) -> Self {
-        let here = Here { started: now, now, ..Here::default() };
-        Forwarder { here, ..Self::default() }.resumed(terms)
+        let here = Here {
+            started: now,
+            now,
+            ..Here::default()
+        };
+        Forwarder {
+            here,
+            ..Self::default()
+        }
+        .resumed(terms)
     }
 
     /// Goes on, in another process, with terms of the same names.
     pub fn resumed(mut self, terms: Terms) -> Self {
-        self.here.counts.resize_with(terms.kinds.len(), KindCounts::default);
-        self.here.asked.resize_with(terms.shares.len(), Fading::default);
+        self.here
+            .counts
+            .resize_with(terms.kinds.len(), KindCounts::default);
+        self.here
+            .asked
+            .resize_with(terms.shares.len(), Fading::default);
         self.here.terms = terms;
-        self.unheard =
-            self.destinations.values().flat_map(|d| d.events.values().filter(|e| e.unheard)).count();
+        self.unheard = self
+            .destinations
+            .values()
+            .flat_map(|d| d.events.values().filter(|e| e.unheard))
+            .count();
         self
     }
 
@@ -101,8 +117,12 @@
         came_in: impl FnOnce(&mut Self, &mut D) -> Result<(), E>,
         out: &mut D,
     ) -> Result<(), E> {
-        (self.here.now, self.woken_at) =
-            (now, Some(self.woken_at).filter(|at| at.0 > now).unwrap_or_default());
+        (self.here.now, self.woken_at) = (
+            now,
+            Some(self.woken_at)
+                .filter(|at| at.0 > now)
+                .unwrap_or_default(),
+        );
         came_in(self, out)?;
         while self.due.first().is_some_and(|(at, _)| at.0 <= now) {
             self.changed.extend(self.due.pop_first().map(|(_, id)| id));
@@ -118,7 +138,9 @@
             self.file(id);
         }
         while self.calls_out < self.here.terms.slots && now < self.sends_until.0 {
-            let Some(&((doubtful, ..), id)) = self.ready.first() else { break };
+            let Some(&((doubtful, ..), id)) = self.ready.first() else {
+                break;
+            };
             // Slots are kept for destinations that answer: those in doubt have half of them at most. Guards
             // against all that pins slots; harmful where most are slow and the slots would have sufficed.
             if doubtful && 2 * self.doubtful_out >= self.here.terms.slots {
--- a/decisions/src/decide/adopted.rs
+++ b/decisions/src/decide/adopted.rs
@@ -7,7 +7,9 @@
     /// its key is sent before; one that may not be sent again is given up at once, as after a restart.
     pub fn out_elsewhere(&mut self, id: &EventId, until: Ms) {
         let mut key = None;
-        self.settle(id, |event| (event.not_before, key) = (event.not_before.max(until), event.key));
+        self.settle(id, |event| {
+            (event.not_before, key) = (event.not_before.max(until), event.key)
+        });
         key.into_iter().for_each(|key| self.rests_until(key, until));
     }
 
--- a/decisions/src/decide/came_in.rs
+++ b/decisions/src/decide/came_in.rs
@@ -8,7 +8,10 @@
 impl Forwarder {
     pub fn list_replaced(&mut self) {
         for (&id, destination) in &mut self.destinations {
-            let targets = destination.lanes.iter_mut().flat_map(|lane| &mut lane.targets);
+            let targets = destination
+                .lanes
+                .iter_mut()
+                .flat_map(|lane| &mut lane.targets);
             targets.for_each(|target| target.listing = Listing::Gone);
             self.changed.insert(id);
         }
@@ -16,13 +19,25 @@
 
     /// What the list, or the operators, say now of a target that was listed before.
     pub fn relisted(&mut self, id: &TargetId, listing: Listing) {
-        let Some(&of) = self.homes.get(id) else { return };
-        let target = self.destinations.get_mut(&of).and_then(|home| home.target_mut(id));
+        let Some(&of) = self.homes.get(id) else {
+            return;
+        };
+        let target = self
+            .destinations
+            .get_mut(&of)
+            .and_then(|home| home.target_mut(id));
         target.expect("at home").listing = listing;
         self.changed.insert(of);
     }
 
-    pub fn listed(&mut self, id: TargetId, of: DestinationId, kind: KindId, zone: ZoneId, listing: Listing) {
+    pub fn listed(
+        &mut self,
+        id: TargetId,
+        of: DestinationId,
+        kind: KindId,
+        zone: ZoneId,
+        listing: Listing,
+    ) {
         self.homes.insert(id.clone(), of);
         self.changed.insert(of);
         let destination = self.destinations.entry(of).or_default();
@@ -33,7 +48,12 @@
         if destination.lanes.is_empty() || self.here.terms.kinds[kind.0].routes_apart {
             destination.lanes.push(Lane::default());
         }
-        destination.lanes.last_mut().expect("pushed").targets.push(Target::new(id, zone, listing));
+        destination
+            .lanes
+            .last_mut()
+            .expect("pushed")
+            .targets
+            .push(Target::new(id, zone, listing));
     }
 
     /// What the list says that the destination takes from all forwarders together, in calls a second.
@@ -46,15 +66,36 @@
         self.destinations.contains_key(&of)
     }
 
-    pub fn taken(&mut self, id: EventId, of: DestinationId, sort: TrafficId, end: Ms, key: Option<OrderKey>) {
+    pub fn taken(
+        &mut self,
+        id: EventId,
+        of: DestinationId,
+        sort: TrafficId,
+        end: Ms,
+        key: Option<OrderKey>,
+    ) {
         let key = key.filter(|_| self.here.terms.traffic[sort.0].ordered);
         self.taken += 1;
         self.places.insert(id.clone(), (of, self.taken));
-        key.into_iter().for_each(|key| self.keys.entry(key).or_default().queue.push_back((self.taken, of)));
+        key.into_iter().for_each(|key| {
+            self.keys
+                .entry(key)
+                .or_default()
+                .queue
+                .push_back((self.taken, of))
+        });
         let to = self.destinations.entry(of).or_default();
         to.offered.add(self.here.now, USUAL, 1.0);
-        to.events
-            .insert(self.taken, Event { id, traffic: sort, key, patience_ends: end, ..Event::default() });
+        to.events.insert(
+            self.taken,
+            Event {
+                id,
+                traffic: sort,
+                key,
+                patience_ends: end,
+                ..Event::default()
+            },
+        );
         self.changed.insert(of);
     }
 
@@ -62,7 +103,9 @@
     /// of the share is worth little; a Poisson spread is allowed for, as one of many sees few.
     pub fn asked_by(&mut self, id: &EventId, member: usize, again: bool) {
         let here = &mut self.here;
-        let Some(share) = here.terms.shares.get(member) else { return };
+        let Some(share) = here.terms.shares.get(member) else {
+            return;
+        };
         let part = share / here.terms.forwarders * SHARED / 1000.0;
         let over = here.asked[member].read(here.now, SHARED) >= part + part.sqrt() + 1.0;
         here.asked[member].add(here.now, SHARED, if over || again { 0.0 } else { 1.0 });
@@ -84,8 +127,14 @@
     }
 
     pub(super) fn settle(&mut self, id: &EventId, change: impl FnOnce(&mut Event)) {
-        let Some(&(of, place)) = self.places.get(id) else { return };
-        let event = self.destinations.get_mut(&of).and_then(|to| to.events.get_mut(&place)).expect("placed");
+        let Some(&(of, place)) = self.places.get(id) else {
+            return;
+        };
+        let event = self
+            .destinations
+            .get_mut(&of)
+            .and_then(|to| to.events.get_mut(&place))
+            .expect("placed");
         self.unheard -= event.unheard as usize;
         change(event);
         self.unheard += event.unheard as usize;
@@ -96,13 +145,23 @@
     /// What an earlier process did for an event just taken again; a last send without outcome may have run.
     pub fn restored(&mut self, id: &EventId, sends: u32, ran: Option<(Ms, ZoneId)>, was_out: bool) {
         let mut key = None;
-        self.settle(id, |e| (e.sends, e.may_have_run, e.untried, key) = (sends, ran, sends == 0, e.key));
-        key.filter(|_| was_out).into_iter().for_each(|key| self.rest(key));
+        self.settle(id, |e| {
+            (e.sends, e.may_have_run, e.untried, key) = (sends, ran, sends == 0, e.key)
+        });
+        key.filter(|_| was_out)
+            .into_iter()
+            .for_each(|key| self.rest(key));
     }
 
     /// What an earlier process noted: its backlog must not push over a destination that comes back.
     pub fn was_cold(&mut self, target: &TargetId, since: Ms, usual: f64) {
-        let Some(to) = self.homes.get(target).and_then(|of| self.destinations.get_mut(of)) else { return };
+        let Some(to) = self
+            .homes
+            .get(target)
+            .and_then(|of| self.destinations.get_mut(of))
+        else {
+            return;
+        };
         let at = to.lane_of(target).expect("at home");
         to.lanes[at].chill(since);
         to.noted = (usual, self.here.now);
@@ -114,7 +173,13 @@
 
     /// It was restarted and serves again: what it did before says nothing, and what is new to it is cold.
     pub fn restarted(&mut self, id: &TargetId) {
-        let Some(to) = self.homes.get(id).and_then(|of| self.destinations.get_mut(of)) else { return };
+        let Some(to) = self
+            .homes
+            .get(id)
+            .and_then(|of| self.destinations.get_mut(of))
+        else {
+            return;
+        };
         let at = to.lane_of(id).expect("at home");
         to.lanes[at].chill(self.here.now);
         let target = to.lanes[at].target_mut(id).expect("at home");
--- a/decisions/src/decide/ends.rs
+++ b/decisions/src/decide/ends.rs
@@ -8,15 +8,17 @@
 impl Forwarder {
     /// What is due at a destination, apart from its sends.
     pub(super) fn tend(&mut self, id: DestinationId, out: &mut impl Decisions) {
-        let (here, Some(to)) = (&self.here, self.destinations.get_mut(&id)) else { return };
+        let (here, Some(to)) = (&self.here, self.destinations.get_mut(&id)) else {
+            return;
+        };
         to.forget_gone(here, &mut self.homes);
         let held = to.events.iter().filter(|(_, event)| event.is_held());
         let hopeless = |event: &Event| here.now.max(event.not_before) >= here.window_ends(event);
         // Beyond its share an event takes no room that others need.
         let scarce = 3 * (self.places.len() - self.unheard) > here.terms.room;
         let excess = |event: &Event| event.over_share && scarce && event.may_have_run.is_none();
-        let ends =
-            held.filter(|(_, e)| hopeless(e) || excess(e) || here.now >= e.patience_ends - LAST_MOMENT);
+        let ends = held
+            .filter(|(_, e)| hopeless(e) || excess(e) || here.now >= e.patience_ends - LAST_MOMENT);
         let ended: Vec<u64> = ends.map(|(&place, _)| place).collect();
         ended.into_iter().for_each(|place| self.end(id, place, out));
         let to = self.destinations.get_mut(&id).expect("tended");
@@ -29,14 +31,27 @@
     pub(super) fn keep_room(&mut self, out: &mut impl Decisions) {
         let filled = (self.here.terms.room as f64 * FILLED) as usize;
         let over = |all: &Self| all.places.len() - all.unheard > filled;
-        let changed = self.changed.iter().copied().filter(|_| over(self)).collect::<Vec<_>>();
+        let changed = self
+            .changed
+            .iter()
+            .copied()
+            .filter(|_| over(self))
+            .collect::<Vec<_>>();
         changed.into_iter().for_each(|id| self.file(id));
         while over(self) {
             let worth = |event: &Event| Moment(self.here.worth(event));
             let gives_way = |event: &Event| event.is_held() && !event.untried;
             let least = self.waiting.iter().rev().find_map(|&(_, id)| {
-                let held = self.destinations[&id].events.iter().filter(|(_, event)| gives_way(event));
-                Some((id, *held.min_by_key(|(place, event)| (worth(event), Reverse(**place)))?.0))
+                let held = self.destinations[&id]
+                    .events
+                    .iter()
+                    .filter(|(_, event)| gives_way(event));
+                Some((
+                    id,
+                    *held
+                        .min_by_key(|(place, event)| (worth(event), Reverse(**place)))?
+                        .0,
+                ))
             });
             let Some((id, place)) = least else { return };
             self.end(id, place, out);
@@ -50,9 +65,14 @@
         let event = events.get_mut(&place).expect("held");
         event.over = true;
         let effect = self.here.terms.traffic[event.traffic.0].effect;
-        let dismissed = event.may_have_run.is_none() || effect != Effect::Binding && !effect.stays_in_zone();
+        let dismissed =
+            event.may_have_run.is_none() || effect != Effect::Binding && !effect.stays_in_zone();
         let advice = self.here.terms.longest_advice;
-        event.unheard = if dismissed { out.dismiss(&event.id, advice) } else { out.write_off(&event.id) };
+        event.unheard = if dismissed {
+            out.dismiss(&event.id, advice)
+        } else {
+            out.write_off(&event.id)
+        };
         self.unheard += event.unheard as usize;
         self.forget_if_over(id, place);
     }
@@ -60,27 +80,39 @@
     pub(super) fn forget_if_over(&mut self, id: DestinationId, place: u64) {
         let events = &mut self.destinations.get_mut(&id).expect("holds it").events;
         let done = |event: &Event| event.over && !event.unheard && event.call.is_none();
-        let Some(event) = done(&events[&place]).then(|| events.remove(&place)).flatten() else { return };
+        let Some(event) = done(&events[&place])
+            .then(|| events.remove(&place))
+            .flatten()
+        else {
+            return;
+        };
         self.places.remove(&event.id);
         self.changed.insert(id);
         if let Some(key) = event.key {
             let line = self.keys.get_mut(&key).expect("queued");
             line.queue.retain(|&(p, _)| p != place);
-            self.changed.extend(line.queue.front().map(|(_, next)| next));
+            self.changed
+                .extend(line.queue.front().map(|(_, next)| next));
             self.forget_if_idle(key);
         }
     }
 
     pub(super) fn forget_if_idle(&mut self, key: OrderKey) {
         let is_idle = |line: &KeyLine| line.queue.is_empty() && line.rests_until <= self.here.now;
-        self.keys.get(&key).is_some_and(is_idle).then(|| self.keys.remove(&key));
+        self.keys
+            .get(&key)
+            .is_some_and(is_idle)
+            .then(|| self.keys.remove(&key));
     }
 }
 
 impl Here {
     /// When the event may no longer be sent again because it may have run, or has had all its sends.
     pub(super) fn window_ends(&self, event: &Event) -> Ms {
-        match (event.may_have_run, self.terms.traffic[event.traffic.0].effect) {
+        match (
+            event.may_have_run,
+            self.terms.traffic[event.traffic.0].effect,
+        ) {
             _ if event.sends >= self.terms.sends_cap => f64::NEG_INFINITY,
             (Some(_), Effect::Binding) => f64::NEG_INFINITY,
             _ => self.lapses_at(event),
@@ -89,7 +121,10 @@
 
     /// When the destination forgets the fingerprint of an event that may have run.
     pub(super) fn lapses_at(&self, event: &Event) -> Ms {
-        match (event.may_have_run, self.terms.traffic[event.traffic.0].effect) {
+        match (
+            event.may_have_run,
+            self.terms.traffic[event.traffic.0].effect,
+        ) {
             (Some((sent, _)), Effect::Fingerprinted { window, .. }) => sent + window,
             _ => f64::INFINITY,
         }
@@ -100,7 +135,11 @@
         let of = &self.terms.traffic[event.traffic.0];
         let age = self.now - (event.patience_ends - of.patience);
         let late = ((age - of.soft_limit) / (of.patience - of.soft_limit).max(1.0)).clamp(0.0, 1.0);
-        let share = if event.over_share { self.terms.over_share_worth } else { 1.0 };
+        let share = if event.over_share {
+            self.terms.over_share_worth
+        } else {
+            1.0
+        };
         share * of.payoff * (1.0 - late * (1.0 - of.payoff_at_end))
     }
 }
--- a/decisions/src/decide/health.rs
+++ b/decisions/src/decide/health.rs
@@ -12,7 +12,11 @@
 
 impl Destination {
     /// Targets that are gone go with their last call, ping and wait.
-    pub(super) fn forget_gone(&mut self, here: &Here, homes: &mut HashMap<TargetId, DestinationId>) {
+    pub(super) fn forget_gone(
+        &mut self,
+        here: &Here,
+        homes: &mut HashMap<TargetId, DestinationId>,
+    ) {
         for lane in &mut self.lanes {
             let idle = lane.is_idle(here);
             lane.targets.retain(|target| {
@@ -25,21 +29,34 @@
 
     pub(super) fn watch_health(&mut self, here: &mut Here, out: &mut impl Decisions) {
         let now = here.now;
-        let (closes, wanted, usual) =
-            (here.closes(self.kind, self.crowded(here)), self.held() > 0, self.usual(here));
-        let lapsed = self.events.values().filter(|event| here.lapses_at(event) <= now);
+        let (closes, wanted, usual) = (
+            here.closes(self.kind, self.crowded(here)),
+            self.held() > 0,
+            self.usual(here),
+        );
+        let lapsed = self
+            .events
+            .values()
+            .filter(|event| here.lapses_at(event) <= now);
         let calls = lapsed.filter_map(|event| event.call);
         let lapsed: Vec<TargetId> = calls.map(|call| self.calls[&call].target.clone()).collect();
         for lane in &mut self.lanes {
             let before = lane.noted_cold;
-            let news = lane.cold_since.filter(|at| std::mem::replace(&mut lane.noted_cold, *at) < *at);
+            let news = lane
+                .cold_since
+                .filter(|at| std::mem::replace(&mut lane.noted_cold, *at) < *at);
             // What went there before is what it can take: in an outage little goes, and much comes again.
             if news.is_some_and(|at| before == 0.0 || at - before > here.terms.warm_after) {
                 self.noted = (usual, now);
             }
             for target in &mut lane.targets {
-                news.into_iter().for_each(|since| out.note_cold(&target.id, since, usual));
-                if target.idle_since.take_if(|since| closes && *since + BRIEF <= now).is_some() {
+                news.into_iter()
+                    .for_each(|since| out.note_cold(&target.id, since, usual));
+                if target
+                    .idle_since
+                    .take_if(|since| closes && *since + BRIEF <= now)
+                    .is_some()
+                {
                     out.close_idle(&target.id);
                 }
                 // A call without a connection may be written after the grace, the window or inside the wait.
@@ -58,7 +75,12 @@
 
     /// The fleet has more forwarders than its targets serve calls at once, by the told rate.
     pub(super) fn crowded(&self, here: &Here) -> bool {
-        let targets = self.lanes.iter().map(|lane| lane.running().count()).sum::<usize>().max(1) as f64;
+        let targets = self
+            .lanes
+            .iter()
+            .map(|lane| lane.running().count())
+            .sum::<usize>()
+            .max(1) as f64;
         let at_once = self.told_rate / targets * here.common_answer() / 1000.0;
         self.told_rate > 0.0 && here.terms.forwarders > 2.0 * at_once
     }
@@ -67,17 +89,25 @@
     pub(super) fn rate(&self, here: &Here, at: usize) -> Option<f64> {
         let (now, terms, lane) = (here.now, &here.terms, &self.lanes[at]);
         let mut rate = f64::INFINITY;
-        if let Some((pace, set)) = lane.pace.filter(|&(_, set)| terms.tuning.spaced && now - set < 20_000.0) {
+        if let Some((pace, set)) = lane
+            .pace
+            .filter(|&(_, set)| terms.tuning.spaced && now - set < 20_000.0)
+        {
             let aim = pace.max(self.a_second(here, &self.offered));
             let (since, by_call) = ((now - set) / 1000.0, (aim / OFTEN - 1.0).max(0.0));
             rate = pace * (0.08 * since).exp() + 0.08 * aim * by_call * since;
             // What the list tells is open to all alike: an even part of it is nobody's loss.
             rate = rate.max(self.told_rate / terms.forwarders / self.running_lanes());
         }
-        if let Some(since) = lane.cold_since.filter(|_| lane.is_cold(here)).map(|since| now - since) {
+        if let Some(since) = lane
+            .cold_since
+            .filter(|_| lane.is_cold(here))
+            .map(|since| now - since)
+        {
             let back = (since.max(0.0) / terms.warm_after).min(1.0);
             let (usual, all) = (self.usual(here), terms.forwarders * SPAN / 1000.0);
-            let open = terms.tip_multiple * (terms.cold_share + (1.0 - terms.cold_share) * back) * usual;
+            let open =
+                terms.tip_multiple * (terms.cold_share + (1.0 - terms.cold_share) * back) * usual;
             let budget = (BUDGET * open).max(1000.0 / PING / terms.forwarders);
             let most = BUDGET * open + (2.0 * (open * all).sqrt() + 2.0) / all;
             rate = rate.min((budget * lane.trust.max(1.0)).min(most.max(budget)));
@@ -89,9 +119,14 @@
     /// taken, or calls, if far fewer, as one may carry several (half more: calls are few). What comes again
     /// in an outage is not usual; an even part of the told rate is, up to some times what was counted.
     pub(super) fn usual(&self, here: &Here) -> f64 {
-        let counted = self.a_second(here, &self.offered).min(1.5 * self.a_second(here, &self.called));
-        let part = (self.told_rate / here.terms.forwarders / self.running_lanes()).min(BELIEVED * counted);
-        counted.max(self.noted.0 * (-(here.now - self.noted.1) / USUAL).exp()).max(part)
+        let counted = self
+            .a_second(here, &self.offered)
+            .min(1.5 * self.a_second(here, &self.called));
+        let part =
+            (self.told_rate / here.terms.forwarders / self.running_lanes()).min(BELIEVED * counted);
+        counted
+            .max(self.noted.0 * (-(here.now - self.noted.1) / USUAL).exp())
+            .max(part)
     }
 
     pub(super) fn a_second(&self, here: &Here, sum: &Fading) -> f64 {
@@ -105,7 +140,10 @@
     /// fleet's size. Half of it pushed small destinations over; a tenth of the size learnt of one 10 s late.
     pub(super) fn ping_pause(&self, here: &mut Here, at: usize) -> Ms {
         let spacing = self.rate(here, at).map_or(0.0, |rate| 2000.0 / rate);
-        spacing.min(PING * here.terms.forwarders.sqrt() / 1.5).max(PING) * jitter(here.draw(0))
+        spacing
+            .min(PING * here.terms.forwarders.sqrt() / 1.5)
+            .max(PING)
+            * jitter(here.draw(0))
     }
 }
 
@@ -123,12 +161,21 @@
 
     /// Cold from now on, or from the end of a told wait: a late time-out does not shorten it.
     pub(super) fn chill(&mut self, now: Ms) {
-        self.cold_since = Some(self.cold_since.unwrap_or(now).max(now).max(self.closed_until));
+        self.cold_since = Some(
+            self.cold_since
+                .unwrap_or(now)
+                .max(now)
+                .max(self.closed_until),
+        );
     }
 
     /// Offline, and asked at once, or by a trial after a pause. What was parked returns cold in any case.
     pub(super) fn park(&mut self, now: Ms, trial: Ms) {
-        self.ping_at = if self.offline && trial == 0.0 { self.ping_at } else { now + trial };
+        self.ping_at = if self.offline && trial == 0.0 {
+            self.ping_at
+        } else {
+            now + trial
+        };
         self.offline = true;
         self.chill(now);
     }
@@ -136,13 +183,16 @@
     pub(super) fn release(&mut self, now: Ms) {
         // It returned somewhere between the last bad sign and this answer.
         let since = self.cold_since.filter(|_| self.offline);
-        self.cold_since = since.map(|since| since.max(0.5 * (since + now))).or(self.cold_since);
+        self.cold_since = since
+            .map(|since| since.max(0.5 * (since + now)))
+            .or(self.cold_since);
         (self.answered_at, self.offline, self.failures) = (now, false, 0);
     }
 
     /// It may have returned half of a ping's longest pause later than is taken here.
     pub(super) fn is_cold(&self, here: &Here) -> bool {
-        let cold = here.terms.warm_after + 0.6 * PING * (here.terms.forwarders.sqrt() / 1.5).max(1.0);
+        let cold =
+            here.terms.warm_after + 0.6 * PING * (here.terms.forwarders.sqrt() / 1.5).max(1.0);
         here.terms.tuning.spaced && self.cold_since.is_some_and(|since| here.now - since < cold)
     }
 
@@ -157,7 +207,11 @@
     /// Idle connections are closed for a while after calls on them were lost or new ones refused: harmful, by
     /// the price of new ones, if mistaken. In a crowd half a refusal is presumed, up to 100 answers.
     pub(super) fn closes(&self, kind: KindId, crowded: bool) -> bool {
-        let KindCounts { unconnected, answered, .. } = &self.counts[kind.0];
+        let KindCounts {
+            unconnected,
+            answered,
+            ..
+        } = &self.counts[kind.0];
         let refused = unconnected.read(self.now, REUSE) + if crowded { 0.5 } else { 0.0 };
         self.now < self.stale_until || refused > 0.4_f64.max(0.005 * answered.read(self.now, REUSE))
     }
@@ -177,7 +231,10 @@
 
     /// When an offline lane gets its next ping.
     pub(super) fn ping_due(&self, lane: &Lane, wanted: bool) -> Ms {
-        let pings = wanted && self.terms.pings_allowed && lane.offline && !lane.ping_out && lane.runs();
-        Some(lane.ping_at.max(lane.closed_until)).filter(|_| pings).unwrap_or(f64::INFINITY)
+        let pings =
+            wanted && self.terms.pings_allowed && lane.offline && !lane.ping_out && lane.runs();
+        Some(lane.ping_at.max(lane.closed_until))
+            .filter(|_| pings)
+            .unwrap_or(f64::INFINITY)
     }
 }
--- a/decisions/src/decide/outcomes.rs
+++ b/decisions/src/decide/outcomes.rs
@@ -19,16 +19,24 @@
     }
 
     pub fn send_ended(&mut self, id: &EventId, ended: Ended) -> Known {
-        let Ended { fate, over, wait, .. } = ended;
+        let Ended {
+            fate, over, wait, ..
+        } = ended;
         let &(of, place) = self.places.get(id).ok_or(Unknown("the event"))?;
         let (now, here) = (self.here.now, &mut self.here);
         let to = self.destinations.get_mut(&of).expect("placed");
-        let call = to.events.get_mut(&place).and_then(|event| event.call.take());
+        let call = to
+            .events
+            .get_mut(&place)
+            .and_then(|event| event.call.take());
         let number = call.ok_or(Unknown("the send"))?;
         let call = to.calls.get_mut(&number).expect("a call has members");
         call.members -= 1;
         let (sent, reuses, target) = (call.sent, call.reuses, call.target.clone());
-        let (first, last) = (!std::mem::replace(&mut call.judged, true), call.members == 0);
+        let (first, last) = (
+            !std::mem::replace(&mut call.judged, true),
+            call.members == 0,
+        );
         // Every event of a call may be told a wait of its own; a long one is that of a shut destination.
         let at = to.lane_of(&target).expect("kept while called");
         let lane = &mut to.lanes[at];
@@ -54,13 +62,18 @@
         let event = to.events.get_mut(&place).expect("placed");
         event.over |= over || fate == Fate::Delivered;
         // Half a second, or as told, doubling with its sends, jittered.
-        let pause = here.terms.tuning.pauses.after(fate) * f64::powi(2.0, event.sends.min(6) as i32 - 1);
+        let pause =
+            here.terms.tuning.pauses.after(fate) * f64::powi(2.0, event.sends.min(6) as i32 - 1);
         event.not_before = now + pause * jitter(here.draw(place));
         if fate.may_have_run() {
             event.may_have_run.get_or_insert((sent, zone));
         }
         let cut = matches!(fate, Fate::TimedOut | Fate::Reset | Fate::Cancelled);
-        event.key.filter(|_| cut).into_iter().for_each(|key| self.rest(key));
+        event
+            .key
+            .filter(|_| cut)
+            .into_iter()
+            .for_each(|key| self.rest(key));
         self.changed.insert(of);
         self.forget_if_over(of, place);
         Ok(())
@@ -88,42 +101,84 @@
 
 impl Destination {
     /// Reads the outcome of a call (once, however many events it carried) for its target and lane.
-    pub(super) fn judge(&mut self, here: &mut Here, at: usize, id: &TargetId, sent: Ms, ended: Ended) {
-        let Ended { fate, took, wait, left, .. } = ended;
+    pub(super) fn judge(
+        &mut self,
+        here: &mut Here,
+        at: usize,
+        id: &TargetId,
+        sent: Ms,
+        ended: Ended,
+    ) {
+        let Ended {
+            fate,
+            took,
+            wait,
+            left,
+            ..
+        } = ended;
         let left = left.filter(|share| (0.0..=1.0).contains(share));
         let (now, chance) = (here.now, here.draw(1));
-        let cold_spacing =
-            self.rate(here, at).filter(|_| wait > 2.0 * PING).map_or(0.0, |rate| 1000.0 / rate);
+        let cold_spacing = self
+            .rate(here, at)
+            .filter(|_| wait > 2.0 * PING)
+            .map_or(0.0, |rate| 1000.0 / rate);
         let (crowded, spacings) = (self.crowded(here), 8000.0 / self.usual(here).max(1e-9));
-        let trial = if here.terms.pings_allowed { 0.0 } else { self.ping_pause(here, at) };
+        let trial = if here.terms.pings_allowed {
+            0.0
+        } else {
+            self.ping_pause(here, at)
+        };
         let lane = &mut self.lanes[at];
         if matches!(fate, Fate::Delivered | Fate::Full) {
             // A connection refused, and answered soon after: no outage, its targets take no more of them.
-            let crammed = lane.unconnected_at.take().is_some_and(|at| now - at < 3.0 * PING);
-            here.counts[self.kind.0].unconnected.add(now, REUSE, crammed as u8 as f64);
+            let crammed = lane
+                .unconnected_at
+                .take()
+                .is_some_and(|at| now - at < 3.0 * PING);
+            here.counts[self.kind.0]
+                .unconnected
+                .add(now, REUSE, crammed as u8 as f64);
             (!lane.offline || !here.terms.tuning.released_by_pings).then(|| lane.release(now));
         }
-        let target = lane.targets.iter_mut().find(|target| target.id == *id).expect("kept while called");
+        let target = lane
+            .targets
+            .iter_mut()
+            .find(|target| target.id == *id)
+            .expect("kept while called");
         match fate {
             Fate::Delivered => {
-                (target.failures, lane.refusals, lane.shut_signs, lane.delivered_at) = (0, 0, 0, now);
+                (
+                    target.failures,
+                    lane.refusals,
+                    lane.shut_signs,
+                    lane.delivered_at,
+                ) = (0, 0, 0, now);
                 here.counts[self.kind.0].answered.add(now, REUSE, 1.0);
                 // Under its limit, as far as answers tell; in sum `rate` bounds it by what chance may add.
                 let usual = lane.usual_answer(here);
-                lane.trust = if took < 5.0 * usual { (lane.trust.max(1.0) * 1.25).min(4.0) } else { 1.0 };
+                lane.trust = if took < 5.0 * usual {
+                    (lane.trust.max(1.0) * 1.25).min(4.0)
+                } else {
+                    1.0
+                };
                 lane.answers.add(now, MEMORY, took);
                 here.answers.add(now, MEMORY, took);
             }
             Fate::Full => {
                 lane.trust = 1.0;
                 // Where refused calls use up the limit, nearly all report it used up; 3 in 10 do elsewhere.
-                let weight = if left.is_none_or(|left| left < 0.2) { 2.0 } else { 0.2 };
+                let weight = if left.is_none_or(|left| left < 0.2) {
+                    2.0
+                } else {
+                    0.2
+                };
                 here.counts[self.kind.0].full.add(now, REUSE, weight);
                 if sent >= lane.refused_at {
                     (lane.refusals, lane.refused_at) = (lane.refusals + 1, now);
                     let went = |sum: &Fading, span| sum.read(now, span) * 1000.0 / span;
                     // A clump is refused within less: what went at once tells more, if it is much.
-                    let burst = Some(went(&lane.burst, RECENT / 4.0)).filter(|rate| *rate >= 2.0 * OFTEN);
+                    let burst =
+                        Some(went(&lane.burst, RECENT / 4.0)).filter(|rate| *rate >= 2.0 * OFTEN);
                     let recent = went(&lane.sent, RECENT).max(burst.unwrap_or(0.3));
                     // A tenth less, 8% a second back: half and twice move the loss from lateness to refusals.
                     lane.pace = Some((recent * 0.9, now));
@@ -132,13 +187,18 @@
                     let KindCounts { full, answered, .. } = &here.counts[self.kind.0];
                     let share = full.read(now, REUSE) / (answered.read(now, REUSE) + 8.0);
                     let wide = (1.0 + EATEN * share * share) * f64::powi(2.0, lane.refusals.min(4));
-                    let base = (250.0 * here.terms.forwarders.sqrt()).min(here.terms.tuning.widest_spread());
+                    let base = (250.0 * here.terms.forwarders.sqrt())
+                        .min(here.terms.tuning.widest_spread());
                     let spread = (base * wide / (recent / OFTEN).max(1.0)).min(spacings);
                     lane.held_until = now + wait + spread.max(cold_spacing) * chance;
                 }
                 // Refused again, much of a told limit left, nothing served between: it may be shut, and cold
                 // then. Guards whatever refuses all; harmful where a tight limit looks the same for long.
-                lane.shut_signs = if left.is_none_or(|left| left >= 0.5) { lane.shut_signs + 1 } else { 0 };
+                lane.shut_signs = if left.is_none_or(|left| left >= 0.5) {
+                    lane.shut_signs + 1
+                } else {
+                    0
+                };
                 let shut = lane.shut_signs >= 2 && now - lane.delivered_at > 1.5 * PING;
                 if shut || lane.is_cold(here) && lane.shut_signs > 0 {
                     lane.chill(now);
@@ -158,7 +218,8 @@
                     here.counts[self.kind.0].unconnected.add(now, REUSE, 1.0);
                 }
                 let crammed = unconnected && here.closes(self.kind, crowded);
-                let beside = (fate == Fate::Reset || crammed) && now - lane.delivered_at < 2.0 * PING;
+                let beside =
+                    (fate == Fate::Reset || crammed) && now - lane.delivered_at < 2.0 * PING;
                 lane.failures += !beside as i32;
                 if fate == Fate::TimedOut && lane.answered_at < sent {
                     // Slow: it gets more time. Lost, if others were answered meanwhile: that would pin slots.
--- a/decisions/src/interface.rs
+++ b/decisions/src/interface.rs
@@ -14,7 +14,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetId(pub Rc<str>);
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct DestinationId(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -102,8 +104,16 @@
 
 impl Default for Tuning {
     fn default() -> Self {
-        let pauses = RetryPauses { failed: 500.0, refused: 250.0, unsent: 500.0 };
-        Tuning { pauses, spaced: true, released_by_pings: false }
+        let pauses = RetryPauses {
+            failed: 500.0,
+            refused: 250.0,
+            unsent: 500.0,
+        };
+        Tuning {
+            pauses,
+            spaced: true,
+            released_by_pings: false,
+        }
     }
 }
 
@@ -166,7 +176,10 @@
 impl Fate {
     /// Whether a send that ended so, undelivered, may have had its effect.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Fate::Error | Fate::TimedOut | Fate::Reset | Fate::Cancelled)
+        matches!(
+            self,
+            Fate::Error | Fate::TimedOut | Fate::Reset | Fate::Cancelled
+        )
     }
 }
 
@@ -186,7 +199,13 @@
 impl Ended {
     /// With nothing else said, and no time known.
     pub fn plain(fate: Fate) -> Self {
-        Ended { fate, took: 0.0, over: fate == Fate::Delivered, wait: 0.0, left: None }
+        Ended {
+            fate,
+            took: 0.0,
+            over: fate == Fate::Delivered,
+            wait: 0.0,
+            left: None,
+        }
     }
 }
 
--- a/decisions/src/state.rs
+++ b/decisions/src/state.rs
@@ -58,7 +58,10 @@
 impl AnswerTimes {
     /// The time that they took in all, and their number.
     pub(crate) fn read(&self, now: Ms, constant: Ms) -> (Ms, f64) {
-        (self.time.read(now, constant), self.count.read(now, constant))
+        (
+            self.time.read(now, constant),
+            self.count.read(now, constant),
+        )
     }
     pub(crate) fn add(&mut self, now: Ms, constant: Ms, took: Ms) {
         self.count.add(now, constant, 1.0);
@@ -79,8 +82,8 @@
     pub(crate) call: Option<u64>,
     pub(crate) not_before: Ms,
     pub(crate) may_have_run: Option<(Ms, ZoneId)>, // when and where the first send went that may have run
-    pub(crate) over: bool,                         // answered, and kept only until its send has ended
-    pub(crate) unheard: bool,                      // the notice of its end has not been heard yet
+    pub(crate) over: bool, // answered, and kept only until its send has ended
+    pub(crate) unheard: bool, // the notice of its end has not been heard yet
 }
 
 impl Event {
@@ -121,7 +124,15 @@
 
 impl Target {
     pub(crate) fn new(id: TargetId, zone: ZoneId, listing: Listing) -> Self {
-        Target { id, zone, listing, failures: 0, shunned_until: 0.0, out: 0, idle_since: None }
+        Target {
+            id,
+            zone,
+            listing,
+            failures: 0,
+            shunned_until: 0.0,
+            out: 0,
+            idle_since: None,
+        }
     }
 }
 
@@ -150,7 +161,7 @@
     pub(crate) delivered_at: Ms,
     pub(crate) unconnected_at: Option<Ms>, // a connection was refused
     pub(crate) cold_since: Option<Ms>,
-    pub(crate) noted_cold: Ms,          // what the host was last told of that
+    pub(crate) noted_cold: Ms, // what the host was last told of that
     pub(crate) trust: f64, // multiplies the cold budget: one and up, with answers at the usual pace
     pub(crate) pace: Option<(f64, Ms)>, // calls a second after a refusal, and when it was set
     pub(crate) next_slot: Ms, // when the paced budget has room again
@@ -209,6 +220,8 @@
         self.running().next().is_some()
     }
     pub(crate) fn running(&self) -> impl Iterator<Item = &Target> {
-        self.targets.iter().filter(|target| target.listing == Listing::Running)
+        self.targets
+            .iter()
+            .filter(|target| target.listing == Listing::Running)
     }
 }
--- a/decisions/tests/adopted.rs
+++ b/decisions/tests/adopted.rs
@@ -7,7 +7,12 @@
 use rstest::rstest;
 
 fn ordered() -> Host {
-    let mut host = Host::new(|terms| terms.traffic.iter_mut().for_each(|traffic| traffic.ordered = true));
+    let mut host = Host::new(|terms| {
+        terms
+            .traffic
+            .iter_mut()
+            .for_each(|traffic| traffic.ordered = true)
+    });
     host.notices = true;
     host
 }
@@ -15,7 +20,13 @@
 /// Event `a`, sent once elsewhere at 0.5, whose call may be out until 4000.
 fn adopts(host: &mut Host, now: Ms, traffic: TrafficId) -> Vec<String> {
     host.at(now, |f| {
-        f.taken(event("a"), DestinationId(1), traffic, 20_000.0, Some(OrderKey(5)));
+        f.taken(
+            event("a"),
+            DestinationId(1),
+            traffic,
+            20_000.0,
+            Some(OrderKey(5)),
+        );
         f.restored(&event("a"), 1, Some((0.5, ZoneId(0))), true);
         f.out_elsewhere(&event("a"), 4000.0);
     })
@@ -36,7 +47,10 @@
     let mut host = ordered();
     assert_eq!(adopts(&mut host, 1.0, BINDING), ["write off a"]);
     assert!(host.take(2.0, "b", BINDING, 1, Some(5)).is_empty());
-    assert!(host.at(500.0, |f| f.heard(&event("a"))).is_empty(), "past the rest after a restart");
+    assert!(
+        host.at(500.0, |f| f.heard(&event("a"))).is_empty(),
+        "past the rest after a restart"
+    );
     assert!(host.idle(3999.0).is_empty());
     assert_eq!(host.idle(4000.0), ["send b to t"]);
 }
@@ -44,7 +58,10 @@
 #[rstest]
 fn a_fingerprint_that_lapses_before_the_call_elsewhere_has_ended_is_given_up_at_once() {
     let mut host = Host::new(|terms| {
-        terms.traffic[FINGERPRINTED.0].effect = Effect::Fingerprinted { window: 3000.0, one_zone: true };
+        terms.traffic[FINGERPRINTED.0].effect = Effect::Fingerprinted {
+            window: 3000.0,
+            one_zone: true,
+        };
     });
     assert_eq!(adopts(&mut host, 1.0, FINGERPRINTED), ["write off a"]);
 }
@@ -53,7 +70,10 @@
 fn a_binding_event_that_may_have_run_elsewhere_is_written_off_where_it_waits() {
     let mut host = ordered();
     host.take(1.0, "first", BINDING, 1, Some(5));
-    assert!(host.take(2.0, "a", BINDING, 1, Some(5)).is_empty(), "behind the first of its key");
+    assert!(
+        host.take(2.0, "a", BINDING, 1, Some(5)).is_empty(),
+        "behind the first of its key"
+    );
     let told = host.at(3.0, |f| f.joined(&event("a"), 1, Some((0.5, ZoneId(0)))));
     assert_eq!(told, ["write off a"]);
 }
@@ -67,7 +87,9 @@
 ) {
     let mut host = ordered();
     assert_eq!(host.take(1.0, "a", BINDING, 1, Some(5)), ["send a to t"]);
-    assert!(host.at(2.0, |f| f.joined(&event("a"), 1, Some((0.5, ZoneId(0))))).is_empty());
+    assert!(host
+        .at(2.0, |f| f.joined(&event("a"), 1, Some((0.5, ZoneId(0)))))
+        .is_empty());
     assert_eq!(host.ends(100.0, "a", fate), then);
 }
 
@@ -76,8 +98,14 @@
     let mut host = Host::new(|terms| terms.sends_cap = 3);
     host.take(10.0, "a", FINGERPRINTED, 1, None);
     host.ends(100.0, "a", Fate::Error);
-    assert!(host.at(101.0, |f| f.joined(&event("a"), 1, Some((1.0, ZoneId(0))))).is_empty());
+    assert!(host
+        .at(101.0, |f| f.joined(&event("a"), 1, Some((1.0, ZoneId(0)))))
+        .is_empty());
     let told = host.idle(3000.0);
     assert_eq!(told, ["send a to t"], "within the window of the first send");
-    assert_eq!(host.ends(3100.0, "a", Fate::Error), ["dismiss a"], "three sends were made");
+    assert_eq!(
+        host.ends(3100.0, "a", Fate::Error),
+        ["dismiss a"],
+        "three sends were made"
+    );
 }
--- a/decisions/tests/cold.rs
+++ b/decisions/tests/cold.rs
@@ -17,7 +17,10 @@
         host.take(20_100.0, "held", RETRIABLE, 1, None);
         sends(&host.ping_ends(20_200.0, "t", Fate::Delivered)) > 0
     });
-    assert!(at_once.count() <= 5, "most send at the moment their ping is answered");
+    assert!(
+        at_once.count() <= 5,
+        "most send at the moment their ping is answered"
+    );
 }
 
 /// Met on id69158: released by its first ping, a parked destination was sent all that had waited.
@@ -27,7 +30,13 @@
     host.runs_well(20_000.0);
     host.goes_offline(20_000.0);
     for at in 0..6 {
-        host.take(20_100.0 + at as f64, &format!("held{at}"), RETRIABLE, 1, None);
+        host.take(
+            20_100.0 + at as f64,
+            &format!("held{at}"),
+            RETRIABLE,
+            1,
+            None,
+        );
     }
     assert!(sends(&host.ping_ends(20_200.0, "t", Fate::Delivered)) <= 1);
 }
@@ -42,7 +51,13 @@
     host.goes_offline(20_000.0);
     host.ping_ends(20_050.0, "t", Fate::TimedOut);
     for at in 0..backlog {
-        host.take(20_100.0 + at as f64, &format!("held{at}"), RETRIABLE, 1, None);
+        host.take(
+            20_100.0 + at as f64,
+            &format!("held{at}"),
+            RETRIABLE,
+            1,
+            None,
+        );
     }
     host.idle(23_000.0);
     host.ping_ends(25_900.0, "t", Fate::TimedOut);
@@ -68,15 +83,25 @@
             let now = 23_200.0 + 50.0 * step as f64;
             let told = host.take(now, &format!("e{step}"), RETRIABLE, 1, None);
             out.extend(
-                told.iter().filter_map(|w| Some(w.strip_prefix("send ")?.split(' ').next()?.to_owned())),
+                told.iter()
+                    .filter_map(|w| Some(w.strip_prefix("send ")?.split(' ').next()?.to_owned())),
             );
             sent += sends(&told);
             for name in std::mem::take(&mut out) {
                 let told = host.at(now, |f| {
-                    f.send_ended(&event(&name), Ended { took, ..Ended::plain(Fate::Delivered) }).unwrap()
+                    f.send_ended(
+                        &event(&name),
+                        Ended {
+                            took,
+                            ..Ended::plain(Fate::Delivered)
+                        },
+                    )
+                    .unwrap()
                 });
                 out.extend(
-                    told.iter().filter_map(|w| Some(w.strip_prefix("send ")?.split(' ').next()?.to_owned())),
+                    told.iter().filter_map(|w| {
+                        Some(w.strip_prefix("send ")?.split(' ').next()?.to_owned())
+                    }),
                 );
                 sent += sends(&told);
             }
@@ -94,9 +119,17 @@
     host.take(20_000.0, "a", RETRIABLE, 1, None);
     host.ends_with(20_001.0, "a", Fate::Full, 6000.0);
     for at in 0..20 {
-        host.take(21_000.0 + at as f64, &format!("held{at}"), RETRIABLE, 1, None);
+        host.take(
+            21_000.0 + at as f64,
+            &format!("held{at}"),
+            RETRIABLE,
+            1,
+            None,
+        );
     }
-    let sent: usize = (0..20).map(|step| sends(&host.idle(26_002.0 + 50.0 * step as f64))).sum();
+    let sent: usize = (0..20)
+        .map(|step| sends(&host.idle(26_002.0 + 50.0 * step as f64)))
+        .sum();
     assert!((1..=6).contains(&sent), "{sent} in a second");
 }
 
@@ -109,9 +142,17 @@
     host.take(1_510.0, "a", RETRIABLE, 1, None);
     host.ends_with(1_511.0, "a", Fate::Full, 15_000.0);
     for at in 0..40 {
-        host.take(14_000.0 + at as f64, &format!("held{at}"), RETRIABLE, 1, None);
+        host.take(
+            14_000.0 + at as f64,
+            &format!("held{at}"),
+            RETRIABLE,
+            1,
+            None,
+        );
     }
-    let sent: usize = (0..80).map(|step| sends(&host.idle(16_520.0 + 50.0 * step as f64))).sum();
+    let sent: usize = (0..80)
+        .map(|step| sends(&host.idle(16_520.0 + 50.0 * step as f64)))
+        .sum();
     assert!((5..=14).contains(&sent), "{sent} in four seconds");
 }
 
@@ -133,18 +174,23 @@
 fn a_late_time_out_does_not_warm_a_destination_that_is_still_shut() {
     let mut host = Host::new(|terms| (terms.slots, terms.room) = (400, 400));
     host.runs_well(20_000.0);
-    for name in
-        ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s"]
-    {
+    for name in [
+        "a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r",
+        "s",
+    ] {
         host.take(30_001.0, name, RETRIABLE, 1, None);
     }
     host.ends_with(30_002.0, "a", Fate::Full, 15_000.0);
-    for name in ["b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s"] {
+    for name in [
+        "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s",
+    ] {
         host.ends(31_600.0, name, Fate::TimedOut);
     }
     host.idle(45_003.0);
     let mut sent = sends(&host.ping_ends(45_010.0, "t", Fate::Delivered));
-    sent += (0..20).map(|step| sends(&host.idle(45_050.0 + 50.0 * step as f64))).sum::<usize>();
+    sent += (0..20)
+        .map(|step| sends(&host.idle(45_050.0 + 50.0 * step as f64)))
+        .sum::<usize>();
     assert!(sent <= 6, "{sent} in a second");
 }
 
@@ -183,9 +229,14 @@
             host.take(65_010.0 + n as f64, &format!("held{n}"), RETRIABLE, 1, None);
         }
         host.ping_ends(65_100.0, "t", Fate::Delivered);
-        (0..90).map(|step| sends(&host.idle(65_200.0 + 100.0 * step as f64))).sum::<usize>()
+        (0..90)
+            .map(|step| sends(&host.idle(65_200.0 + 100.0 * step as f64)))
+            .sum::<usize>()
     };
     let (untold, told, wrong) = (sent(0.0), sent(4.0), sent(4000.0));
     assert!(untold < told, "{untold} untold, {told} told");
-    assert!(wrong <= 5, "{wrong} of eight at once at a rate that was never true");
+    assert!(
+        wrong <= 5,
+        "{wrong} of eight at once at a rate that was never true"
+    );
 }
--- a/decisions/tests/fleet/destination.rs
+++ b/decisions/tests/fleet/destination.rs
@@ -52,12 +52,16 @@
         while self.came.front().is_some_and(|at| *at <= now - SPAN) {
             self.came.pop_front();
         }
-        let allowed = terms.tip_multiple * Self::warmth(now, terms) * self.full_rate * SPAN / 1000.0;
+        let allowed =
+            terms.tip_multiple * Self::warmth(now, terms) * self.full_rate * SPAN / 1000.0;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let share = self.came.len() as f64 / bound;
         if share > self.worst.0 {
-            let told =
-                format!("{} of {bound:.1}, {:.1} s after its return", self.came.len(), (now - BACK) / 1000.0);
+            let told = format!(
+                "{} of {bound:.1}, {:.1} s after its return",
+                self.came.len(),
+                (now - BACK) / 1000.0
+            );
             self.worst = (share, told);
         }
     }
@@ -76,13 +80,29 @@
 }
 
 /// What the destination does in a step; what it answers is told to the forwarders.
-pub fn works(to: &mut Destination, members: &mut [Member], chance: &mut Chance, now: Ms, terms: &Terms) {
+pub fn works(
+    to: &mut Destination,
+    members: &mut [Member],
+    chance: &mut Chance,
+    now: Ms,
+    terms: &Terms,
+) {
     let mut told = |call: &Call, fate| {
-        let ended = Ended { took: now - call.came, ..Ended::plain(fate) };
-        members[call.from].came_in.push(CameIn::Ended(call.name.clone(), ended));
+        let ended = Ended {
+            took: now - call.came,
+            ..Ended::plain(fate)
+        };
+        members[call.from]
+            .came_in
+            .push(CameIn::Ended(call.name.clone(), ended));
     };
     if Destination::is_down(now) {
-        for call in to.working.drain(..).map(|(_, call)| call).chain(to.queue.drain(..)) {
+        for call in to
+            .working
+            .drain(..)
+            .map(|(_, call)| call)
+            .chain(to.queue.drain(..))
+        {
             if call.waits > 0.0 {
                 told(&call, Fate::Reset);
             }
@@ -95,7 +115,11 @@
         }
         *ends > now
     });
-    for (_, call) in to.working.iter_mut().filter(|(_, call)| call.waits > 0.0 && call.waits <= now) {
+    for (_, call) in to
+        .working
+        .iter_mut()
+        .filter(|(_, call)| call.waits > 0.0 && call.waits <= now)
+    {
         told(call, Fate::TimedOut);
         call.waits = 0.0;
     }
@@ -106,9 +130,15 @@
         call.waits > now
     });
     while to.working.len() < to.servers() {
-        let Some(call) = to.queue.pop_front() else { break };
+        let Some(call) = to.queue.pop_front() else {
+            break;
+        };
         let slows = to.answers != Answers::StayQuick;
-        let pace = if slows { Destination::warmth(now, terms) } else { 1.0 };
+        let pace = if slows {
+            Destination::warmth(now, terms)
+        } else {
+            1.0
+        };
         let work = WORK * (0.5 + chance.draw()) / pace;
         to.working.push((now + work, call));
     }
--- a/decisions/tests/fleet/mod.rs
+++ b/decisions/tests/fleet/mod.rs
@@ -65,10 +65,25 @@
 }
 
 /// The largest share of the bound that any span came to.
-pub fn worst(fleet: usize, full_rate: f64, answers: Answers, traffic: Traffic, seed: u64) -> (f64, String) {
+pub fn worst(
+    fleet: usize,
+    full_rate: f64,
+    answers: Answers,
+    traffic: Traffic,
+    seed: u64,
+) -> (f64, String) {
     let mut chance = Chance(seed);
-    let terms = Terms { forwarders: fleet as f64, ..terms() };
-    let weight = |n: usize| if traffic == Traffic::Skewed { 1.0 / (1.0 + n as f64) } else { 1.0 };
+    let terms = Terms {
+        forwarders: fleet as f64,
+        ..terms()
+    };
+    let weight = |n: usize| {
+        if traffic == Traffic::Skewed {
+            1.0 / (1.0 + n as f64)
+        } else {
+            1.0
+        }
+    };
     let all: f64 = (0..fleet).map(weight).sum();
     let mut members: Vec<Member> = (0..fleet)
         .map(|n| Member {
@@ -102,9 +117,9 @@
             if restarts && n % 2 == 0 {
                 member.back_at = now + 1_000.0;
                 member.came_in.clear();
-                to.working
-                    .iter_mut()
-                    .for_each(|(_, call)| call.waits = if call.from == n { 0.0 } else { call.waits });
+                to.working.iter_mut().for_each(|(_, call)| {
+                    call.waits = if call.from == n { 0.0 } else { call.waits }
+                });
                 to.queue.retain(|call| call.from != n);
             }
             let mut fresh: Vec<String> = Vec::new();
@@ -127,19 +142,31 @@
                         let held = member.held.get_mut(name).expect("held");
                         (held.sends, held.out) = (held.sends + 1, true);
                         let waits = now + member.host.given;
-                        let call = Call { from: n, name: name.to_owned(), came: now, waits };
+                        let call = Call {
+                            from: n,
+                            name: name.to_owned(),
+                            came: now,
+                            waits,
+                        };
                         if Destination::is_down(now) {
-                            member.came_in.push(CameIn::Ended(call.name, Ended::plain(Fate::NoConnection)));
+                            member
+                                .came_in
+                                .push(CameIn::Ended(call.name, Ended::plain(Fate::NoConnection)));
                         } else if to.queue.len() >= to.queue_takes() {
-                            member.came_in.push(CameIn::Ended(call.name, Ended::plain(Fate::Full)));
+                            member
+                                .came_in
+                                .push(CameIn::Ended(call.name, Ended::plain(Fate::Full)));
                         } else {
                             to.queue.push_back(call);
                         }
                     }
                     ["ping", "t"] => {
                         to.count(now, &terms);
-                        let fate =
-                            if Destination::is_down(now) { Fate::NoConnection } else { Fate::Delivered };
+                        let fate = if Destination::is_down(now) {
+                            Fate::NoConnection
+                        } else {
+                            Fate::Delivered
+                        };
                         member.came_in.push(CameIn::Pinged(fate));
                     }
                     ["dismiss", name] => {
@@ -170,7 +197,9 @@
         member.back_at = 0.0;
         let held = &member.held;
         let told = member.host.at(now, |f| {
-            noted.iter().for_each(|(target, since, usual)| f.was_cold(target, *since, *usual));
+            noted
+                .iter()
+                .for_each(|(target, since, usual)| f.was_cold(target, *since, *usual));
             for (name, held) in held {
                 f.taken(event(name), DestinationId(1), RETRIABLE, held.ends, None);
                 let may_have_run = held.out.then_some((now, ZoneId(0)));
@@ -182,7 +211,14 @@
     }
     let came_in = std::mem::take(&mut member.came_in);
     for name in &fresh {
-        member.held.insert(name.clone(), Held { ends: now + 20_000.0, sends: 0, out: false });
+        member.held.insert(
+            name.clone(),
+            Held {
+                ends: now + 20_000.0,
+                sends: 0,
+                out: false,
+            },
+        );
     }
     for came_in in &came_in {
         if let CameIn::Ended(name, ended) = came_in {
@@ -201,7 +237,13 @@
             }
         }
         for name in fresh {
-            f.taken(event(&name), DestinationId(1), RETRIABLE, now + 20_000.0, None);
+            f.taken(
+                event(&name),
+                DestinationId(1),
+                RETRIABLE,
+                now + 20_000.0,
+                None,
+            );
         }
     })
 }
--- a/decisions/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -35,12 +35,24 @@
         forwarders: 2.0,
         traffic: vec![
             traffic(Effect::Retriable, false),
-            traffic(Effect::Fingerprinted { window: 5000.0, one_zone: false }, false),
+            traffic(
+                Effect::Fingerprinted {
+                    window: 5000.0,
+                    one_zone: false,
+                },
+                false,
+            ),
             traffic(Effect::Binding, true),
         ],
         kinds: vec![
-            DestinationKind { routes_apart: false, events_per_call: 1 },
-            DestinationKind { routes_apart: true, events_per_call: 4 },
+            DestinationKind {
+                routes_apart: false,
+                events_per_call: 1,
+            },
+            DestinationKind {
+                routes_apart: true,
+                events_per_call: 4,
+            },
         ],
         slots: 8,
         room: 40,
@@ -84,7 +96,13 @@
         };
         host.at(0.0, |f| {
             for (name, of, kind) in [("t", 1, 0), ("u", 2, 0), ("v", 3, 1), ("w", 3, 1)] {
-                f.listed(target(name), DestinationId(of), KindId(kind), ZoneId(0), Listing::Running);
+                f.listed(
+                    target(name),
+                    DestinationId(of),
+                    KindId(kind),
+                    ZoneId(0),
+                    Listing::Running,
+                );
             }
         });
         host
@@ -93,12 +111,20 @@
     /// A round at `now`; wake-ups are left out of what it returns.
     pub fn at(&mut self, now: Ms, came_in: impl FnOnce(&mut Forwarder)) -> Vec<String> {
         self.now = now;
-        let mut told = Told(Vec::new(), self.notices, Vec::new(), self.given, self.leaves_by);
+        let mut told = Told(
+            Vec::new(),
+            self.notices,
+            Vec::new(),
+            self.given,
+            self.leaves_by,
+        );
         let hand_over = |forwarder: &mut Forwarder, _: &mut Told| {
             came_in(forwarder);
             Ok::<(), Unknown>(())
         };
-        self.forwarder.round(now, hand_over, &mut told).expect("the story names only what it introduced");
+        self.forwarder
+            .round(now, hand_over, &mut told)
+            .expect("the story names only what it introduced");
         self.cold.append(&mut told.2);
         (self.given, self.leaves_by) = (told.3, told.4);
         told.0
@@ -117,7 +143,15 @@
         of: u64,
         key: Option<u64>,
     ) -> Vec<String> {
-        self.at(now, |f| f.taken(event(name), DestinationId(of), traffic, now + 20_000.0, key.map(OrderKey)))
+        self.at(now, |f| {
+            f.taken(
+                event(name),
+                DestinationId(of),
+                traffic,
+                now + 20_000.0,
+                key.map(OrderKey),
+            )
+        })
     }
 
     pub fn ends(&mut self, now: Ms, name: &str, fate: Fate) -> Vec<String> {
@@ -128,22 +162,46 @@
         self.ends_told(now, name, fate, wait, None)
     }
 
-    pub fn ends_told(&mut self, now: Ms, name: &str, fate: Fate, wait: Ms, left: Option<f64>) -> Vec<String> {
-        let took = if fate == Fate::TimedOut { 1500.0 } else { 100.0 };
+    pub fn ends_told(
+        &mut self,
+        now: Ms,
+        name: &str,
+        fate: Fate,
+        wait: Ms,
+        left: Option<f64>,
+    ) -> Vec<String> {
+        let took = if fate == Fate::TimedOut {
+            1500.0
+        } else {
+            100.0
+        };
         self.at(now, |f| {
-            f.send_ended(&event(name), Ended { took, wait, left, ..Ended::plain(fate) }).expect("was sent")
+            f.send_ended(
+                &event(name),
+                Ended {
+                    took,
+                    wait,
+                    left,
+                    ..Ended::plain(fate)
+                },
+            )
+            .expect("was sent")
         })
     }
 
     pub fn ping_ends(&mut self, now: Ms, name: &str, fate: Fate) -> Vec<String> {
-        self.at(now, |f| f.ping_ended(&target(name), fate).expect("was listed"))
+        self.at(now, |f| {
+            f.ping_ended(&target(name), fate).expect("was listed")
+        })
     }
 
     /// Destination 1 answers ten events a second until `until`; its usual traffic is known then.
     pub fn runs_well(&mut self, until: Ms) {
         while self.now < until {
             let (now, name) = (self.now + 100.0, format!("well{}", self.now));
-            assert!(self.take(now, &name, RETRIABLE, 1, None).contains(&format!("send {name} to t")));
+            assert!(self
+                .take(now, &name, RETRIABLE, 1, None)
+                .contains(&format!("send {name} to t")));
             self.ends(now, &name, Fate::Delivered);
         }
     }
--- a/decisions/tests/keys.rs
+++ b/decisions/tests/keys.rs
@@ -10,7 +10,10 @@
 fn events_of_one_key_go_one_at_a_time_in_the_order_taken() {
     let mut host = plain();
     assert_eq!(host.take(1.0, "a", BINDING, 1, Some(5)), ["send a to t"]);
-    assert!(host.take(2.0, "b", BINDING, 2, Some(5)).is_empty(), "one key space for all destinations");
+    assert!(
+        host.take(2.0, "b", BINDING, 2, Some(5)).is_empty(),
+        "one key space for all destinations"
+    );
     assert_eq!(host.take(3.0, "c", BINDING, 1, Some(6)), ["send c to t"]);
     assert_eq!(host.ends(4.0, "a", Fate::Delivered), ["send b to u"]);
 }
@@ -61,7 +64,11 @@
 #[case(BINDING, Fate::Error, "write off a")]
 #[case(BINDING, Fate::Full, "send a to t")]
 #[case(BINDING, Fate::NoConnection, "send a to t")]
-fn only_what_may_run_again_is_sent_again(#[case] traffic: TrafficId, #[case] fate: Fate, #[case] then: &str) {
+fn only_what_may_run_again_is_sent_again(
+    #[case] traffic: TrafficId,
+    #[case] fate: Fate,
+    #[case] then: &str,
+) {
     let mut host = plain();
     host.take(1.0, "a", traffic, 1, Some(5));
     let mut told = host.ends(10.0, "a", fate);
@@ -84,13 +91,19 @@
 #[rstest]
 #[case(RETRIABLE, f64::INFINITY)]
 #[case(FINGERPRINTED, 5001.0)]
-fn a_repeat_is_told_when_its_last_byte_has_to_have_left(#[case] traffic: TrafficId, #[case] leaves_by: Ms) {
+fn a_repeat_is_told_when_its_last_byte_has_to_have_left(
+    #[case] traffic: TrafficId,
+    #[case] leaves_by: Ms,
+) {
     let mut host = plain();
     assert_eq!(host.take(1.0, "a", traffic, 1, None), ["send a to t"]);
     assert_eq!(host.leaves_by, f64::INFINITY, "a first send has no window");
     host.ends(500.0, "a", Fate::Reset);
     assert_eq!(host.idle(1200.0), ["send a to t"]);
-    assert_eq!(host.leaves_by, leaves_by, "counted from the first send that may have run");
+    assert_eq!(
+        host.leaves_by, leaves_by,
+        "counted from the first send that may have run"
+    );
 }
 
 /// Met in the emulator: a connection took its time to come up, and a repeat was written after the window.
--- a/decisions/tests/limits.rs
+++ b/decisions/tests/limits.rs
@@ -24,10 +24,15 @@
         let mut host = Host::new(|terms| (terms.seed, terms.forwarders) = (seed, 49.0));
         host.take(1.0, "a", RETRIABLE, 1, None);
         host.ends_with(2.0, "a", Fate::Full, 500.0);
-        (1..100).find(|step| sends(&host.idle(502.0 + 100.0 * *step as f64)) > 0).expect("comes back")
+        (1..100)
+            .find(|step| sends(&host.idle(502.0 + 100.0 * *step as f64)) > 0)
+            .expect("comes back")
     };
     let early = (0..20).filter(|&seed| back(seed) < 8).count();
-    assert!((1..12).contains(&early), "{early} of 20 in the first of four seconds");
+    assert!(
+        (1..12).contains(&early),
+        "{early} of 20 in the first of four seconds"
+    );
 }
 
 /// Met in a hunt on sofia-main-later: a shut route told all forwarders when it opens, and all came within seconds.
@@ -37,7 +42,9 @@
         let mut host = Host::new(|terms| (terms.seed, terms.forwarders) = (seed, 180.0));
         host.take(60_000.0, "a", RETRIABLE, 1, None);
         host.ends_with(60_001.0, "a", Fate::Full, 9000.0);
-        (0..70).map(|step| sends(&host.idle(69_002.0 + 100.0 * step as f64))).sum::<usize>()
+        (0..70)
+            .map(|step| sends(&host.idle(69_002.0 + 100.0 * step as f64)))
+            .sum::<usize>()
     };
     let early: usize = (0..20).map(early).sum();
     assert!(early <= 4, "{early} of 20 in seven seconds");
@@ -66,7 +73,13 @@
 fn every_event_of_a_call_may_tell_a_wait() {
     let mut host = plain();
     host.at(1.0, |f| {
-        f.listed(target("w"), DestinationId(3), KindId(1), ZoneId(0), Listing::Leaving);
+        f.listed(
+            target("w"),
+            DestinationId(3),
+            KindId(1),
+            ZoneId(0),
+            Listing::Leaving,
+        );
         for name in ["a", "b"] {
             f.taken(event(name), DestinationId(3), RETRIABLE, 20_000.0, None);
         }
@@ -92,7 +105,15 @@
     host.take(1.0, "a", RETRIABLE, 3, None);
     host.ends_with(2.0, "a", Fate::Full, 5000.0);
     host.at(3.0, |f| f.relisted(&target("v"), Listing::Gone));
-    host.at(4.0, |f| f.listed(target("v"), DestinationId(3), KindId(1), ZoneId(0), Listing::Running));
+    host.at(4.0, |f| {
+        f.listed(
+            target("v"),
+            DestinationId(3),
+            KindId(1),
+            ZoneId(0),
+            Listing::Running,
+        )
+    });
     assert!(host.idle(4000.0).is_empty());
     assert_eq!(sends(&host.take(60_000.0, "b", RETRIABLE, 3, None)), 1);
 }
@@ -137,12 +158,19 @@
         };
         for word in told.iter().filter(|word| word.starts_with("send")) {
             sent += (now > refused_at + 5_000.0 && now <= refused_at + 6_000.0) as usize;
-            let fate = if now >= refused_at && !refused { Fate::Full } else { Fate::Delivered };
+            let fate = if now >= refused_at && !refused {
+                Fate::Full
+            } else {
+                Fate::Delivered
+            };
             refused |= fate == Fate::Full;
             host.ends(now, word.split(' ').nth(1).expect("a name"), fate);
         }
     }
-    assert!(sent >= 15, "{sent} calls in the sixth second after it, of 25 asked for");
+    assert!(
+        sent >= 15,
+        "{sent} calls in the sixth second after it, of 25 asked for"
+    );
 }
 
 /// Met on nairobi-relay big-2: refused calls used up the limit there, and 198 forwarders that came back within
@@ -153,20 +181,35 @@
         let mut host = Host::new(|terms| (terms.seed, terms.forwarders) = (seed, 200.0));
         for n in 0..30 {
             let (other, name) = (DestinationId(n + 10), format!("other{n}"));
-            host.at(n as f64, |f| f.listed(target(&name), other, KindId(0), ZoneId(0), Listing::Running));
+            host.at(n as f64, |f| {
+                f.listed(target(&name), other, KindId(0), ZoneId(0), Listing::Running)
+            });
             host.take(n as f64, &name, RETRIABLE, other.0, None);
-            let fate = if n < refused { Fate::Full } else { Fate::Delivered };
+            let fate = if n < refused {
+                Fate::Full
+            } else {
+                Fate::Delivered
+            };
             host.ends_told(n as f64, &name, fate, 0.0, left);
             host.at(n as f64, |f| f.withdrawn(&event(&name)));
         }
         host.take(100.0, "a", RETRIABLE, 1, None);
         host.ends(101.0, "a", Fate::Full);
-        (1..200).find(|step| sends(&host.idle(101.0 + 100.0 * *step as f64)) > 0).unwrap_or(200)
+        (1..200)
+            .find(|step| sends(&host.idle(101.0 + 100.0 * *step as f64)) > 0)
+            .unwrap_or(200)
     };
     let mean = |refused, left| (0..20).map(|seed| back(refused, left, seed)).sum::<usize>() / 20;
     assert!(mean(1, None) < 20, "{} tenths of a second", mean(1, None));
-    assert!(mean(29, None) > 2 * mean(1, None), "{} tenths of a second", mean(29, None));
-    assert!(mean(12, Some(0.0)) > 2 * mean(12, Some(0.9)), "a limit that is not used up needs no long hold");
+    assert!(
+        mean(29, None) > 2 * mean(1, None),
+        "{} tenths of a second",
+        mean(29, None)
+    );
+    assert!(
+        mean(12, Some(0.0)) > 2 * mean(12, Some(0.9)),
+        "a limit that is not used up needs no long hold"
+    );
 }
 
 /// Met on incident i6d1d81 too: one refusal by a partner that took sixty calls a second held it for twenty
@@ -185,8 +228,14 @@
         }
         host.take(8_100.0, "a", RETRIABLE, 1, None);
         host.ends(8_110.0, "a", Fate::Full);
-        let sent = (0..45).any(|n| host.idle(8_150.0 + 50.0 * n as f64).contains(&"send a to t".into()));
-        assert!(sent, "five a second usually go there, and nothing for 2.2 s (seed {seed})");
+        let sent = (0..45).any(|n| {
+            host.idle(8_150.0 + 50.0 * n as f64)
+                .contains(&"send a to t".into())
+        });
+        assert!(
+            sent,
+            "five a second usually go there, and nothing for 2.2 s (seed {seed})"
+        );
     }
 }
 
@@ -212,7 +261,11 @@
         let mut told = host.take(now, &name, RETRIABLE, 1, None);
         while let Some(name) = told.iter().find_map(|word| word.strip_prefix("send ")) {
             sent += 1;
-            told = host.ends(now, name.split(' ').next().expect("a name"), Fate::Delivered);
+            told = host.ends(
+                now,
+                name.split(' ').next().expect("a name"),
+                Fate::Delivered,
+            );
         }
     }
     assert!((least..=most).contains(&sent), "{sent} in a second");
--- a/decisions/tests/parking.rs
+++ b/decisions/tests/parking.rs
@@ -14,7 +14,11 @@
     host.ping_ends(1000.0, "t", Fate::NoConnection);
     assert_eq!(host.idle(2300.0), ["ping t"]);
     let told = host.ping_ends(2400.0, "t", Fate::Full);
-    assert_eq!(sends(&told) + sends(&host.idle(4300.0)), 1, "any answer releases");
+    assert_eq!(
+        sends(&told) + sends(&host.idle(4300.0)),
+        1,
+        "any answer releases"
+    );
 }
 
 #[rstest]
@@ -45,7 +49,11 @@
     still.take(1.0, "a", BINDING, 1, None);
     still.take(1.0, "b", BINDING, 1, None);
     still.ends(1600.0, "a", Fate::TimedOut);
-    assert_eq!(still.ends(1600.0, "b", Fate::TimedOut), ["write off b"], "nothing waits, nothing is asked");
+    assert_eq!(
+        still.ends(1600.0, "b", Fate::TimedOut),
+        ["write off b"],
+        "nothing waits, nothing is asked"
+    );
 }
 
 /// Met on zone+vast of the fleet days: of a hundred forwarders, one pinged a destination that was down, then
@@ -66,8 +74,14 @@
                 host.ping_ends(now, "t", Fate::NoConnection);
             }
         }
-        assert!(longest <= 8_500.0, "seed {seed}: {longest} ms without a ping");
-        assert!(10_000.0 - last <= 8_500.0, "seed {seed}: no ping since {last}");
+        assert!(
+            longest <= 8_500.0,
+            "seed {seed}: {longest} ms without a ping"
+        );
+        assert!(
+            10_000.0 - last <= 8_500.0,
+            "seed {seed}: no ping since {last}"
+        );
     }
 }
 
@@ -85,7 +99,11 @@
     host.take(at, "a", RETRIABLE, 1, None);
     host.take(at, "b", RETRIABLE, 1, None);
     host.ends(at + 1.0, "a", Fate::Reset);
-    assert_eq!(host.ends(at + 1.0, "b", Fate::Reset).contains(&"ping t".into()), asked);
+    assert_eq!(
+        host.ends(at + 1.0, "b", Fate::Reset)
+            .contains(&"ping t".into()),
+        asked
+    );
 }
 
 /// Met on days with new configurations: what a backlog sent with its last patience was cut after some
@@ -94,14 +112,29 @@
 fn calls_cut_by_the_end_of_patience_take_no_destination_offline() {
     let mut host = plain();
     for (name, at) in [("a", 1.0), ("b", 200.0)] {
-        host.at(at, |f| f.taken(event(name), DestinationId(1), RETRIABLE, at + 100.0, None));
+        host.at(at, |f| {
+            f.taken(event(name), DestinationId(1), RETRIABLE, at + 100.0, None)
+        });
         host.at(at + 70.0, |f| {
-            f.send_ended(&event(name), Ended { took: 70.0, ..Ended::plain(Fate::TimedOut) }).expect("sent")
+            f.send_ended(
+                &event(name),
+                Ended {
+                    took: 70.0,
+                    ..Ended::plain(Fate::TimedOut)
+                },
+            )
+            .expect("sent")
         });
     }
     host.take(400.0, "c", RETRIABLE, 1, None);
-    assert!(host.idle(401.0).iter().all(|word| !word.starts_with("ping")));
-    assert!(host.ends(500.0, "c", Fate::Delivered).is_empty(), "it had been sent at once");
+    assert!(host
+        .idle(401.0)
+        .iter()
+        .all(|word| !word.starts_with("ping")));
+    assert!(
+        host.ends(500.0, "c", Fate::Delivered).is_empty(),
+        "it had been sent at once"
+    );
 }
 
 /// Met on sockets: the retry met the dead endpoint of two again, and its destination was parked and cold.
@@ -110,7 +143,13 @@
     for seed in 0..40 {
         let mut host = Host::new(|terms| terms.seed = seed);
         host.at(0.0, |f| {
-            f.listed(target("dead"), DestinationId(1), KindId(0), ZoneId(0), Listing::Running);
+            f.listed(
+                target("dead"),
+                DestinationId(1),
+                KindId(0),
+                ZoneId(0),
+                Listing::Running,
+            );
         });
         let mut told = host.take(1.0, "a", RETRIABLE, 1, None);
         if told == ["send a to dead"] {
--- a/decisions/tests/ramp.rs
+++ b/decisions/tests/ramp.rs
@@ -29,7 +29,10 @@
     for (fleet, full_rate) in [(3, 10.0), (20, 50.0), (30, 50.0)] {
         for traffic in [Traffic::Even, Traffic::Skewed, Traffic::Restarted] {
             let (share, told) = worst(fleet, full_rate, Answers::StayQuick, traffic, 0);
-            assert!(share <= 1.0, "{fleet} forwarders, {full_rate} a second, {traffic:?}: {told}");
+            assert!(
+                share <= 1.0,
+                "{fleet} forwarders, {full_rate} a second, {traffic:?}: {told}"
+            );
         }
     }
 }
--- a/decisions/tests/restarts.rs
+++ b/decisions/tests/restarts.rs
@@ -10,12 +10,27 @@
 #[case(BINDING, &["write off a", "send b to t"])]
 #[case(FINGERPRINTED, &["send a to t", "send b to t"])]
 #[case(RETRIABLE, &["send a to t", "send b to t"])]
-fn a_send_out_when_the_process_ended_may_have_run(#[case] traffic: TrafficId, #[case] then: &[&str]) {
+fn a_send_out_when_the_process_ended_may_have_run(
+    #[case] traffic: TrafficId,
+    #[case] then: &[&str],
+) {
     let mut host = Host::new(|terms| terms.key_rest = 0.0);
     let told = host.at(1.0, |f| {
-        f.taken(event("a"), DestinationId(1), traffic, 9000.0, Some(OrderKey(5)));
+        f.taken(
+            event("a"),
+            DestinationId(1),
+            traffic,
+            9000.0,
+            Some(OrderKey(5)),
+        );
         f.restored(&event("a"), 1, Some((0.5, ZoneId(0))), true);
-        f.taken(event("b"), DestinationId(1), BINDING, 9000.0, Some(OrderKey(5)));
+        f.taken(
+            event("b"),
+            DestinationId(1),
+            BINDING,
+            9000.0,
+            Some(OrderKey(5)),
+        );
         f.restored(&event("b"), 0, None, false);
     });
     assert_eq!(told, then);
@@ -25,9 +40,21 @@
 fn a_key_rests_after_a_restart_behind_a_send_that_was_out() {
     let mut host = plain();
     let told = host.at(1.0, |f| {
-        f.taken(event("a"), DestinationId(1), BINDING, 9000.0, Some(OrderKey(5)));
+        f.taken(
+            event("a"),
+            DestinationId(1),
+            BINDING,
+            9000.0,
+            Some(OrderKey(5)),
+        );
         f.restored(&event("a"), 1, Some((0.5, ZoneId(0))), true);
-        f.taken(event("b"), DestinationId(1), BINDING, 9000.0, Some(OrderKey(5)));
+        f.taken(
+            event("b"),
+            DestinationId(1),
+            BINDING,
+            9000.0,
+            Some(OrderKey(5)),
+        );
     });
     assert_eq!(told, ["write off a"]);
     assert!(host.idle(300.0).is_empty());
@@ -49,13 +76,23 @@
     let noted: Vec<_> = earlier.cold.into_iter().filter(|_| noted).collect();
     let mut host = plain();
     let told = host.at(1000.0, |f| {
-        noted.iter().for_each(|(target, since, usual)| f.was_cold(target, *since, *usual));
+        noted
+            .iter()
+            .for_each(|(target, since, usual)| f.was_cold(target, *since, *usual));
         for number in 0..10 {
-            f.taken(event(&format!("e{number}")), DestinationId(1), RETRIABLE, 9000.0, None);
+            f.taken(
+                event(&format!("e{number}")),
+                DestinationId(1),
+                RETRIABLE,
+                9000.0,
+                None,
+            );
         }
     });
     assert!(at_once.contains(&sends(&told)));
-    let later: usize = (1..14).map(|step| sends(&host.idle(1000.0 + 100.0 * step as f64))).sum();
+    let later: usize = (1..14)
+        .map(|step| sends(&host.idle(1000.0 + 100.0 * step as f64)))
+        .sum();
     assert_eq!(sends(&told) + later, in_a_pause);
 }
 
@@ -82,10 +119,19 @@
     earlier.goes_offline(20_001.0);
     let mut host = plain();
     let noted = std::mem::take(&mut earlier.cold);
-    host.at(1.0, |f| noted.iter().for_each(|(target, _, usual)| f.was_cold(target, 0.0, *usual)));
+    host.at(1.0, |f| {
+        noted
+            .iter()
+            .for_each(|(target, _, usual)| f.was_cold(target, 0.0, *usual))
+    });
     (0..20).for_each(|number| drop(host.take(2.0, &format!("e{number}"), RETRIABLE, 1, None)));
-    let sent: usize = (1..20).map(|step| sends(&host.idle(2.0 + 100.0 * step as f64))).sum();
-    assert!((4..=10).contains(&sent), "{sent} calls in two seconds of some four a second");
+    let sent: usize = (1..20)
+        .map(|step| sends(&host.idle(2.0 + 100.0 * step as f64)))
+        .sum();
+    assert!(
+        (4..=10).contains(&sent),
+        "{sent} calls in two seconds of some four a second"
+    );
 }
 
 #[rstest]
@@ -93,16 +139,31 @@
     let mut host = plain();
     host.at(0.0, |f| f.closing(3400.0));
     assert_eq!(host.take(1000.0, "a", BINDING, 1, None), ["send a to t"]);
-    assert!(host.take(2000.0, "b", BINDING, 1, None).is_empty(), "it might be out at the end");
+    assert!(
+        host.take(2000.0, "b", BINDING, 1, None).is_empty(),
+        "it might be out at the end"
+    );
 }
 
 #[rstest]
 fn an_end_that_an_earlier_process_told_still_holds_back_its_key() {
     let mut host = plain();
     let told = host.at(1.0, |f| {
-        f.taken(event("a"), DestinationId(1), BINDING, 9000.0, Some(OrderKey(5)));
+        f.taken(
+            event("a"),
+            DestinationId(1),
+            BINDING,
+            9000.0,
+            Some(OrderKey(5)),
+        );
         f.ended_before(&event("a"));
-        f.taken(event("b"), DestinationId(1), BINDING, 9000.0, Some(OrderKey(5)));
+        f.taken(
+            event("b"),
+            DestinationId(1),
+            BINDING,
+            9000.0,
+            Some(OrderKey(5)),
+        );
     });
     assert!(told.is_empty(), "{told:?}");
     assert_eq!(host.at(2.0, |f| f.heard(&event("a"))), ["send b to t"]);
--- a/decisions/tests/room.rs
+++ b/decisions/tests/room.rs
@@ -40,9 +40,19 @@
             f.taken(event(name), DestinationId(of), BINDING, 21_501.0, None);
         }
     });
-    assert_eq!(told, ["send e to u", "send f to u", "send a to t", "send b to t"]);
-    assert!(host.ends(1600.0, "e", Fate::Delivered).is_empty(), "the free slot waits for others");
-    assert_eq!(host.ends(1700.0, "a", Fate::Delivered).len(), 2, "it answers: no longer in doubt");
+    assert_eq!(
+        told,
+        ["send e to u", "send f to u", "send a to t", "send b to t"]
+    );
+    assert!(
+        host.ends(1600.0, "e", Fate::Delivered).is_empty(),
+        "the free slot waits for others"
+    );
+    assert_eq!(
+        host.ends(1700.0, "a", Fate::Delivered).len(),
+        2,
+        "it answers: no longer in doubt"
+    );
 }
 
 /// Met on incidents i5b8b0d and i340b5e: parked events filled the room, and all others were turned away.
@@ -54,11 +64,17 @@
     let mut held: i32 = 1;
     for at in 0..60 {
         let told = host.take(10.0 + at as f64, &format!("e{at}"), RETRIABLE, 1, None);
-        held += 1 - told.iter().filter(|word| word.starts_with("dismiss")).count() as i32;
+        held += 1 - told
+            .iter()
+            .filter(|word| word.starts_with("dismiss"))
+            .count() as i32;
         assert!(held < 40, "no room left");
     }
     assert_eq!(
-        host.take(100.0, "other", RETRIABLE, 2, None).iter().filter(|w| *w == "send other to u").count(),
+        host.take(100.0, "other", RETRIABLE, 2, None)
+            .iter()
+            .filter(|w| *w == "send other to u")
+            .count(),
         1
     );
 }
@@ -80,14 +96,30 @@
     for n in 0..30 {
         let (name, now) = (format!("e{n}"), 10.0 + n as f64);
         dismissed.extend(host.at(now, |f| {
-            f.taken(event(&name), DestinationId(1), RETRIABLE, now + 20_000.0, None);
+            f.taken(
+                event(&name),
+                DestinationId(1),
+                RETRIABLE,
+                now + 20_000.0,
+                None,
+            );
             f.asked_by(&event(&name), n % 2, false);
             f.asked_by(&event(&name), 7, false); // no such member: as if none was named
         }));
     }
-    let odd = |word: &String| word.trim_start_matches("dismiss e").parse::<usize>().is_ok_and(|n| n % 2 == 1);
-    assert!(dismissed.len() >= least && (least > 0 || dismissed.is_empty()), "{dismissed:?}");
-    assert!(!dismissed.iter().any(odd), "the other member keeps its own: {dismissed:?}");
+    let odd = |word: &String| {
+        word.trim_start_matches("dismiss e")
+            .parse::<usize>()
+            .is_ok_and(|n| n % 2 == 1)
+    };
+    assert!(
+        dismissed.len() >= least && (least > 0 || dismissed.is_empty()),
+        "{dismissed:?}"
+    );
+    assert!(
+        !dismissed.iter().any(odd),
+        "the other member keeps its own: {dismissed:?}"
+    );
 }
 
 /// Met on incident i6d1d81: rooms held one event each of many partners, and of as much waiting the highest number
@@ -102,7 +134,8 @@
     let told = host.take(20.0, "fresh", RETRIABLE, 2, None);
     assert!(told.contains(&"send fresh to u".into()), "{told:?}");
     assert!(
-        told.iter().any(|word| word.starts_with("dismiss")) && !told.contains(&"dismiss fresh".into()),
+        told.iter().any(|word| word.starts_with("dismiss"))
+            && !told.contains(&"dismiss fresh".into()),
         "{told:?}"
     );
 }
@@ -116,14 +149,27 @@
     host.take(1.0, "first", RETRIABLE, 1, None);
     host.ends_with(2.0, "first", Fate::Full, 19_000.0);
     for n in 1..36 {
-        assert!(host.take(10.0, &format!("e{n}"), RETRIABLE, 1, None).is_empty(), "36 of 40 places may fill");
+        assert!(
+            host.take(10.0, &format!("e{n}"), RETRIABLE, 1, None)
+                .is_empty(),
+            "36 of 40 places may fill"
+        );
     }
     for n in 36..40 {
         let told = host.take(10.0, &format!("e{n}"), RETRIABLE, 1, None);
-        assert_eq!(told.iter().filter(|word| word.starts_with("dismiss")).count(), 1, "{told:?}");
+        assert_eq!(
+            told.iter()
+                .filter(|word| word.starts_with("dismiss"))
+                .count(),
+            1,
+            "{told:?}"
+        );
     }
     let unheard = host.at(11.0, |f| f.heard(&event("e39")));
-    assert!(unheard.is_empty(), "a place that was not counted is not given back: {unheard:?}");
+    assert!(
+        unheard.is_empty(),
+        "a place that was not counted is not given back: {unheard:?}"
+    );
 }
 
 /// A version before did not count the ends that wait to be heard: what it hands over tells them, not their number.
@@ -135,9 +181,15 @@
         host.take(1.0, &format!("e{n}"), BINDING, 1, None);
     }
     let state = rmp_serde::to_vec(&host.forwarder).expect("is written");
-    host.forwarder = rmp_serde::from_slice::<Forwarder>(&state).expect("is read").resumed(terms());
+    host.forwarder = rmp_serde::from_slice::<Forwarder>(&state)
+        .expect("is read")
+        .resumed(terms());
     let told = host.take(2.0, "new", BINDING, 2, None);
-    assert_eq!(told, ["dismiss e35"], "36 may be held, the four that wait to be heard are not");
+    assert_eq!(
+        told,
+        ["dismiss e35"],
+        "36 may be held, the four that wait to be heard are not"
+    );
     assert!(host.at(3.0, |f| f.heard(&event("e39"))).is_empty());
 }
 
@@ -149,16 +201,35 @@
     let mut told = host.at(1.0, |f| {
         f.was_cold(&target("t"), 0.0, 0.1);
         for n in 0..38 {
-            f.taken(event(&format!("owed{n}")), DestinationId(1), RETRIABLE, 20_000.0, None);
+            f.taken(
+                event(&format!("owed{n}")),
+                DestinationId(1),
+                RETRIABLE,
+                20_000.0,
+                None,
+            );
             f.restored(&event(&format!("owed{n}")), 0, None, false);
         }
     });
     for n in 0..20 {
-        told.extend(host.take(10.0 + n as f64, &format!("new{n}"), RETRIABLE, 1 + n % 2, None));
+        told.extend(host.take(
+            10.0 + n as f64,
+            &format!("new{n}"),
+            RETRIABLE,
+            1 + n % 2,
+            None,
+        ));
     }
-    let gone = |of: &str| told.iter().filter(|word| word.starts_with(&format!("dismiss {of}"))).count();
+    let gone = |of: &str| {
+        told.iter()
+            .filter(|word| word.starts_with(&format!("dismiss {of}")))
+            .count()
+    };
     assert_eq!(gone("owed"), 0);
-    assert!(gone("new") >= 17, "the room holds 40, of which 36 are to be filled");
+    assert!(
+        gone("new") >= 17,
+        "the room holds 40, of which 36 are to be filled"
+    );
 }
 
 /// Once one was tried, or where it had been, it makes way as any other does.
@@ -168,9 +239,20 @@
     let told = host.at(1.0, |f| {
         f.was_cold(&target("t"), 0.0, 0.1);
         for n in 0..40 {
-            f.taken(event(&format!("e{n}")), DestinationId(1), RETRIABLE, 20_000.0, None);
+            f.taken(
+                event(&format!("e{n}")),
+                DestinationId(1),
+                RETRIABLE,
+                20_000.0,
+                None,
+            );
             f.restored(&event(&format!("e{n}")), 1, None, false);
         }
     });
-    assert_eq!(told.iter().filter(|word| word.starts_with("dismiss e")).count(), 4);
+    assert_eq!(
+        told.iter()
+            .filter(|word| word.starts_with("dismiss e"))
+            .count(),
+        4
+    );
 }
--- a/decisions/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -9,12 +9,36 @@
 #[rstest]
 fn nothing_goes_to_a_target_that_leaves() {
     let mut host = plain();
-    host.at(1.0, |f| f.listed(target("t"), DestinationId(1), KindId(0), ZoneId(0), Listing::Leaving));
+    host.at(1.0, |f| {
+        f.listed(
+            target("t"),
+            DestinationId(1),
+            KindId(0),
+            ZoneId(0),
+            Listing::Leaving,
+        )
+    });
     assert!(host.take(2.0, "a", RETRIABLE, 1, None).is_empty());
-    host.at(3.0, |f| f.listed(target("t2"), DestinationId(1), KindId(0), ZoneId(0), Listing::Running));
-    assert_eq!(host.at(4.0, |f| f.list_replaced()), ["take back t2"], "its call may not be written yet");
+    host.at(3.0, |f| {
+        f.listed(
+            target("t2"),
+            DestinationId(1),
+            KindId(0),
+            ZoneId(0),
+            Listing::Running,
+        )
+    });
+    assert_eq!(
+        host.at(4.0, |f| f.list_replaced()),
+        ["take back t2"],
+        "its call may not be written yet"
+    );
     let told = host.take(5.0, "b", RETRIABLE, 1, None);
-    assert_eq!(sends(&told), 0, "a whole list without it took t2 away: {told:?}");
+    assert_eq!(
+        sends(&told),
+        0,
+        "a whole list without it took t2 away: {told:?}"
+    );
 }
 
 /// Met on days with bad clients: events for destinations that nobody lists were taken on.
@@ -33,7 +57,15 @@
 #[rstest]
 fn of_two_targets_the_one_that_failed_is_left_alone() {
     let mut host = plain();
-    host.at(0.0, |f| f.listed(target("t2"), DestinationId(1), KindId(0), ZoneId(0), Listing::Running));
+    host.at(0.0, |f| {
+        f.listed(
+            target("t2"),
+            DestinationId(1),
+            KindId(0),
+            ZoneId(0),
+            Listing::Running,
+        )
+    });
     let told = host.take(1.0, "a", FINGERPRINTED, 1, None);
     host.ends(2.0, "a", Fate::NoConnection);
     for at in 0..10 {
@@ -48,7 +80,15 @@
 #[rstest]
 fn of_two_targets_alike_the_one_with_an_idle_connection_is_taken() {
     let mut host = plain();
-    host.at(0.0, |f| f.listed(target("t2"), DestinationId(1), KindId(0), ZoneId(0), Listing::Running));
+    host.at(0.0, |f| {
+        f.listed(
+            target("t2"),
+            DestinationId(1),
+            KindId(0),
+            ZoneId(0),
+            Listing::Running,
+        )
+    });
     let told = host.take(1.0, "first", RETRIABLE, 1, None);
     host.ends(10.0, "first", Fate::Delivered);
     for n in 0..10 {
@@ -72,7 +112,14 @@
         let (now, name) = (1.0 + 50.0 * step as f64, format!("e{step}"));
         host.take(now, &name, RETRIABLE, 1, None);
         host.at(now, |f| {
-            f.send_ended(&event(&name), Ended { took, ..Ended::plain(Fate::Delivered) }).expect("was sent")
+            f.send_ended(
+                &event(&name),
+                Ended {
+                    took,
+                    ..Ended::plain(Fate::Delivered)
+                },
+            )
+            .expect("was sent")
         });
     }
     assert!(given.contains(&host.given), "{} ms", host.given);
@@ -84,7 +131,10 @@
     let mut host = plain();
     host.take(1.0, "fresh", RETRIABLE, 1, None);
     assert!(host.ends(100.0, "fresh", Fate::Delivered).is_empty());
-    assert!(host.idle(3000.0).is_empty(), "kept while nothing speaks against it");
+    assert!(
+        host.idle(3000.0).is_empty(),
+        "kept while nothing speaks against it"
+    );
     host.take(3001.0, "lost", RETRIABLE, 1, None);
     host.ends(4600.0, "lost", Fate::TimedOut);
     assert!(host.idle(4901.0).contains(&"close t".into()));
@@ -112,7 +162,11 @@
     host.ends(answered, "a", answer);
     host.take(9_000.0, "b", RETRIABLE, 2, None);
     host.ends(9_100.0, "b", Fate::Delivered);
-    assert_eq!(host.idle(9_401.0).contains(&"close u".into()), closes, "the others of its kind as well");
+    assert_eq!(
+        host.idle(9_401.0).contains(&"close u".into()),
+        closes,
+        "the others of its kind as well"
+    );
 }
 
 /// Met there too: the first minute's evidence came too late for a fleet of two hundred.
--- a/forwarder/admin/src/bans.rs
+++ b/forwarder/admin/src/bans.rs
@@ -47,9 +47,13 @@
 impl Bans {
     /// Reads a record: a line of its form, an id a line, and a line with the checksum of all before it.
     pub fn read(record: &str) -> Result<Bans, Damaged> {
-        let cut = record.trim_end_matches('\n').rfind('\n').ok_or(Damaged("it has no checksum"))?;
+        let cut = record
+            .trim_end_matches('\n')
+            .rfind('\n')
+            .ok_or(Damaged("it has no checksum"))?;
         let (text, sum) = record.split_at(cut + 1);
-        let sum = u32::from_str_radix(sum.trim_end(), 16).map_err(|_| Damaged("it has no checksum"))?;
+        let sum =
+            u32::from_str_radix(sum.trim_end(), 16).map_err(|_| Damaged("it has no checksum"))?;
         if crc32fast::hash(text.as_bytes()) != sum {
             return Err(Damaged("its checksum differs"));
         }
@@ -57,7 +61,10 @@
         if lines.next() != Some(FIRST_LINE) {
             return Err(Damaged("it has another form"));
         }
-        Ok(Bans { banned: lines.map(Id::from).collect(), ..Bans::default() })
+        Ok(Bans {
+            banned: lines.map(Id::from).collect(),
+            ..Bans::default()
+        })
     }
 
     fn record<'a>(ids: impl Iterator<Item = &'a Id>) -> String {
@@ -73,8 +80,12 @@
         match (known, self.holds(id) == ban) {
             (false, _) => Change::NeverListed,
             (true, true) => Change::Nothing,
-            (true, false) if ban => Change::Record(Self::record(self.banned.iter().chain([&id.into()]))),
-            (true, false) => Change::Record(Self::record(self.banned.iter().filter(|other| &***other != id))),
+            (true, false) if ban => {
+                Change::Record(Self::record(self.banned.iter().chain([&id.into()])))
+            }
+            (true, false) => Change::Record(Self::record(
+                self.banned.iter().filter(|other| &***other != id),
+            )),
         }
     }
 
@@ -84,7 +95,9 @@
             true => self.banned.insert(id.into()),
             false => self.banned.remove(id),
         };
-        self.listed.get(id).map(|listing| self.overlaid(id, *listing))
+        self.listed
+            .get(id)
+            .map(|listing| self.overlaid(id, *listing))
     }
 
     pub fn holds(&self, id: &str) -> bool {
@@ -124,7 +137,9 @@
         }
         self.by_leaving.push_back(id);
         while self.by_leaving.len() > REMEMBERED {
-            self.by_leaving.pop_front().map(|oldest| self.gone.remove(&oldest));
+            self.by_leaving
+                .pop_front()
+                .map(|oldest| self.gone.remove(&oldest));
         }
     }
 
--- a/forwarder/admin/src/calls.rs
+++ b/forwarder/admin/src/calls.rs
@@ -48,8 +48,12 @@
         ["", "-", "ready"] => ("GET", Ok(Asked::Ready)),
         ["", "-", "drain"] => ("POST", Ok(Asked::Order(Order::Drain))),
         ["", "-", "resume"] => ("POST", Ok(Asked::Order(Order::Resume))),
-        ["", "-", "targets", id, "disable"] => ("POST", target(id).map(Order::Disable).map(Asked::Order)),
-        ["", "-", "targets", id, "enable"] => ("POST", target(id).map(Order::Enable).map(Asked::Order)),
+        ["", "-", "targets", id, "disable"] => {
+            ("POST", target(id).map(Order::Disable).map(Asked::Order))
+        }
+        ["", "-", "targets", id, "enable"] => {
+            ("POST", target(id).map(Order::Enable).map(Asked::Order))
+        }
         _ => return Err(Refused::NoSuchPath),
     };
     if method != takes {
@@ -59,7 +63,9 @@
 }
 
 fn target(part: &str) -> Result<Box<str>, Refused> {
-    let id = percent_decode_str(part).decode_utf8().map_err(|_| Refused::Id)?;
+    let id = percent_decode_str(part)
+        .decode_utf8()
+        .map_err(|_| Refused::Id)?;
     let fits = (1..=LONGEST_ID).contains(&id.len()) && !id.chars().any(char::is_control);
     fits.then(|| id.into()).ok_or(Refused::Id)
 }
--- a/forwarder/admin/tests/orders.rs
+++ b/forwarder/admin/tests/orders.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use plankhill_decisions::interface::{Listing, TargetId};
 use plankhill_admin::*;
+use plankhill_decisions::interface::{Listing, TargetId};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -20,7 +20,11 @@
 #[case("POST", "/-/targets/%ff/disable", Err(Refused::Id))]
 #[case("POST", "/-/targets/a/b/disable", Err(Refused::NoSuchPath))]
 #[case("GET", "/up", Err(Refused::NoSuchPath))]
-fn a_call_is_read(#[case] method: &str, #[case] path: &str, #[case] expected: Result<Asked, Refused>) {
+fn a_call_is_read(
+    #[case] method: &str,
+    #[case] path: &str,
+    #[case] expected: Result<Asked, Refused>,
+) {
     assert_eq!(asked(method, path), expected);
 }
 
@@ -29,7 +33,10 @@
 #[case("plankhill bans 1\ns\n", "no checksum")]
 #[case("plankhill bans 1\na\n00000000\n", "checksum differs")]
 fn a_damaged_record_is_said_to_be_so(#[case] record: &str, #[case] why: &str) {
-    let said = Bans::read(record).map(|_| ()).expect_err("damaged").to_string();
+    let said = Bans::read(record)
+        .map(|_| ())
+        .expect_err("damaged")
+        .to_string();
     assert!(said.contains(why), "{said}");
 }
 
--- a/forwarder/buffer-pool/src/lib.rs
+++ b/forwarder/buffer-pool/src/lib.rs
@@ -17,7 +17,12 @@
 
 impl Pool {
     pub fn new(size: usize, most: usize) -> Self {
-        Pool(Rc::new(Shelf { size, most: Cell::new(most), out: Cell::new(0), free: RefCell::default() }))
+        Pool(Rc::new(Shelf {
+            size,
+            most: Cell::new(most),
+            out: Cell::new(0),
+            free: RefCell::default(),
+        }))
     }
 
     /// None at the cap.
@@ -25,9 +30,17 @@
         if self.left() == 0 {
             return None;
         }
-        let bytes = self.0.free.borrow_mut().pop().unwrap_or_else(|| vec![0; self.0.size].into());
+        let bytes = self
+            .0
+            .free
+            .borrow_mut()
+            .pop()
+            .unwrap_or_else(|| vec![0; self.0.size].into());
         self.0.out.set(self.0.out.get() + 1);
-        Some(Buffer { bytes, home: self.0.clone() })
+        Some(Buffer {
+            bytes,
+            home: self.0.clone(),
+        })
     }
 
     pub fn most(&self) -> usize {
@@ -71,7 +84,10 @@
 impl Drop for Buffer {
     fn drop(&mut self) {
         self.home.out.set(self.home.out.get() - 1);
-        self.home.free.borrow_mut().push(std::mem::take(&mut self.bytes));
+        self.home
+            .free
+            .borrow_mut()
+            .push(std::mem::take(&mut self.bytes));
     }
 }
 
--- a/forwarder/cli/src/convert.rs
+++ b/forwarder/cli/src/convert.rs
@@ -20,7 +20,10 @@
     let text = fs::read_to_string(file).map_err(|e| named(format!("cannot be read: {e}")))?;
     let Converted { config, set, left } = converted(&text, retry_after).map_err(named)?;
     if !dry_run {
-        let text = format!("{}\n", serde_json::to_string_pretty(&config).expect("is JSON"));
+        let text = format!(
+            "{}\n",
+            serde_json::to_string_pretty(&config).expect("is JSON")
+        );
         write_new(to, text.as_bytes())?;
     }
     for line in &set {
@@ -42,7 +45,9 @@
         ErrorKind::AlreadyExists => Fault::Given(format!("{}: exists already", to.display())),
         _ => Fault::Outside(format!("{}: cannot be written: {e}", to.display())),
     };
-    let name = to.file_name().ok_or_else(|| Fault::Given(format!("{}: is no file's name", to.display())))?;
+    let name = to
+        .file_name()
+        .ok_or_else(|| Fault::Given(format!("{}: is no file's name", to.display())))?;
     let mut part = name.to_owned();
     part.push(format!(".{}.part", std::process::id()));
     let part = to.with_file_name(part);
--- a/forwarder/cli/src/main.rs
+++ b/forwarder/cli/src/main.rs
@@ -134,15 +134,30 @@
 fn run(word: Word) -> Result<(), Fault> {
     let mut out = std::io::stdout().lock();
     match word {
-        Word::Emulate { scenario, seed, set, json } => {
-            emulate::emulate(&mut out, &scenario, seed, &set, json)
-        }
-        Word::Experiment { file, out: dir, jobs, quiet } => {
-            experiment::experiment(&mut out, &file, &dir, jobs, quiet)
-        }
-        Word::Convert { file, to, retry_after, dry_run } => {
-            convert::convert(&mut out, &file, &to, retry_after.map(|word| word == Switch::On), dry_run)
-        }
+        Word::Emulate {
+            scenario,
+            seed,
+            set,
+            json,
+        } => emulate::emulate(&mut out, &scenario, seed, &set, json),
+        Word::Experiment {
+            file,
+            out: dir,
+            jobs,
+            quiet,
+        } => experiment::experiment(&mut out, &file, &dir, jobs, quiet),
+        Word::Convert {
+            file,
+            to,
+            retry_after,
+            dry_run,
+        } => convert::convert(
+            &mut out,
+            &file,
+            &to,
+            retry_after.map(|word| word == Switch::On),
+            dry_run,
+        ),
         Word::Report { dir } => experiment::report(&mut out, &dir),
         Word::Scenarios { name } => emulate::scenarios(&mut out, name.as_deref()),
         Word::Completions { shell } => {
--- a/forwarder/cli/src/summary.rs
+++ b/forwarder/cli/src/summary.rs
@@ -25,14 +25,35 @@
     writeln!(
         out,
         "calls     {} ({} events, {} pings), {} refused, {} failed; {} destinations pushed over",
-        totals.calls, totals.sends, totals.pings, totals.refused_calls, totals.failed_calls, totals.tipped
+        totals.calls,
+        totals.sends,
+        totals.pings,
+        totals.refused_calls,
+        totals.failed_calls,
+        totals.tipped
+    )?;
+    writeln!(
+        out,
+        "most      {} events held, {} calls out\n",
+        totals.most_held, totals.most_out
+    )?;
+    writeln!(
+        out,
+        "time to delivery     events   delivered  payoff     half     95%     99%   longest"
     )?;
-    writeln!(out, "most      {} events held, {} calls out\n", totals.most_held, totals.most_out)?;
-    writeln!(out, "time to delivery     events   delivered  payoff     half     95%     99%   longest")?;
     for traffic in &outcome.traffic {
-        let time =
-            |share: f64| traffic.times.iter().find(|(q, _)| *q == share).map_or(0.0, |(_, time)| *time);
-        let payoff = if traffic.asked > 0.0 { traffic.paid / traffic.asked } else { 1.0 };
+        let time = |share: f64| {
+            traffic
+                .times
+                .iter()
+                .find(|(q, _)| *q == share)
+                .map_or(0.0, |(_, time)| *time)
+        };
+        let payoff = if traffic.asked > 0.0 {
+            traffic.paid / traffic.asked
+        } else {
+            1.0
+        };
         writeln!(
             out,
             "  {:16} {:9} {:10}   {payoff:.4} {:>8} {:>7} {:>7} {:>9}",
--- a/forwarder/cli/tests/convert.rs
+++ b/forwarder/cli/tests/convert.rs
@@ -23,7 +23,8 @@
 
 impl Desk {
     fn new(name: &str, config: &str) -> Self {
-        let dir = std::env::temp_dir().join(format!("plankhill-convert-{}-{name}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("plankhill-convert-{}-{name}", std::process::id()));
         fs::create_dir_all(&dir).expect("a folder for the test");
         fs::write(dir.join("old.json"), config).expect("a file for the test");
         Desk(dir)
@@ -72,7 +73,11 @@
     old["settings"]["weightKind"] = json!(sizes);
     let desk = Desk::new(sizes, &old.to_string());
     let output = desk.convert("old.json", "new.json", &["--retry-after", "off"]);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let said = String::from_utf8(output.stdout).expect("text");
     for line in [
         "set   settings.allowed.probes: true is false now",
@@ -86,9 +91,20 @@
     assert!(!new.terms.pings_allowed && new.terms.longest_advice.is_none());
     assert!(new.names.sizes_are_rates && new.names.left_at == Some(0));
     let text: Value = serde_json::from_str(&desk.text("new.json")).expect("is JSON");
-    assert_eq!(text["ours"], json!({"kept": 1}), "what it does not know it keeps");
-    assert_eq!(desk.text("old.json"), old.to_string(), "the input is as it was");
-    assert!(told(&desk.0.join("old.json")).terms.pings_allowed, "an old file reads as ever");
+    assert_eq!(
+        text["ours"],
+        json!({"kept": 1}),
+        "what it does not know it keeps"
+    );
+    assert_eq!(
+        desk.text("old.json"),
+        old.to_string(),
+        "the input is as it was"
+    );
+    assert!(
+        told(&desk.0.join("old.json")).terms.pings_allowed,
+        "an old file reads as ever"
+    );
 }
 
 #[rstest]
@@ -113,7 +129,10 @@
     let output = desk.convert("old.json", to, words);
     assert_eq!(output.status.code(), Some(status));
     assert!(String::from_utf8_lossy(&output.stderr).contains(message));
-    assert_eq!((desk.files(), desk.text("old.json")), (1, old().to_string()));
+    assert_eq!(
+        (desk.files(), desk.text("old.json")),
+        (1, old().to_string())
+    );
 }
 
 #[rstest]
@@ -139,6 +158,9 @@
     let desk = Desk::new(&at.replace('/', "-"), &text);
     let output = desk.convert("old.json", "new.json", &[]);
     let said = String::from_utf8(output.stderr).expect("text");
-    assert!(output.status.code() == Some(2) && said.contains(message), "{said}");
+    assert!(
+        output.status.code() == Some(2) && said.contains(message),
+        "{said}"
+    );
     assert_eq!((said.trim_end().lines().count(), desk.files()), (1, 1));
 }
--- a/forwarder/cli/tests/words.rs
+++ b/forwarder/cli/tests/words.rs
@@ -5,7 +5,10 @@
 use rstest::rstest;
 
 fn plankhill(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_plankhill")).args(words).output().expect("starts")
+    Command::new(env!("CARGO_BIN_EXE_plankhill"))
+        .args(words)
+        .output()
+        .expect("starts")
 }
 
 fn said(output: &Output) -> String {
@@ -27,7 +30,14 @@
 #[rstest]
 fn one_seed_prints_the_same_bytes_twice() {
     let play = |seed| {
-        plankhill(&[&["emulate", "all-together", "--json", "--seed", seed], &SHORT[..]].concat()).stdout
+        plankhill(
+            &[
+                &["emulate", "all-together", "--json", "--seed", seed],
+                &SHORT[..],
+            ]
+            .concat(),
+        )
+        .stdout
     };
     assert_eq!(play("5"), play("5"));
     assert_ne!(play("5"), play("6"));
@@ -59,5 +69,9 @@
         .expect("starts");
     drop(child.stdout.take());
     let output = child.wait_with_output().expect("ends");
-    assert!(output.status.success() && output.stderr.is_empty(), "{}", said(&output));
+    assert!(
+        output.status.success() && output.stderr.is_empty(),
+        "{}",
+        said(&output)
+    );
 }
--- a/forwarder/config/src/convert.rs
+++ b/forwarder/config/src/convert.rs
@@ -43,8 +43,14 @@
     }
     if !told_sizes {
         let mut sizes = 0;
-        let members = config.pointer_mut("/known/members").and_then(Value::as_array_mut);
-        for member in members.into_iter().flatten().filter_map(Value::as_object_mut) {
+        let members = config
+            .pointer_mut("/known/members")
+            .and_then(Value::as_array_mut);
+        for member in members
+            .into_iter()
+            .flatten()
+            .filter_map(Value::as_object_mut)
+        {
             sizes += member.remove("size").is_some() as usize;
         }
         left.push(format!(
@@ -52,9 +58,18 @@
         ));
     }
     for (path, what) in [
-        ("/settings/prices/probe", "pings are barred, their price has no use"),
-        ("/settings/prices/crossZone", "fees for crossing zones are not read"),
-        ("/settings/familyInfo/carriage", "fees for routes apart are not read"),
+        (
+            "/settings/prices/probe",
+            "pings are barred, their price has no use",
+        ),
+        (
+            "/settings/prices/crossZone",
+            "fees for crossing zones are not read",
+        ),
+        (
+            "/settings/familyInfo/carriage",
+            "fees for routes apart are not read",
+        ),
     ] {
         let costs = |value: &Value| value.as_f64().is_some_and(|price| price != 0.0);
         let said = config.pointer(path);
@@ -62,8 +77,14 @@
             left.push(format!("{}: kept, but {what}", key(path)));
         }
     }
-    if config.pointer("/settings/projects").and_then(Value::as_array).is_none_or(Vec::is_empty) {
-        left.push("settings.projects: no members are told; all events count as inside their share".into());
+    if config
+        .pointer("/settings/projects")
+        .and_then(Value::as_array)
+        .is_none_or(Vec::is_empty)
+    {
+        left.push(
+            "settings.projects: no members are told; all events count as inside their share".into(),
+        );
     }
     starts(&config).map_err(|e| format!("its counterpart would not start: {e}"))?;
     Ok(Converted { config, set, left })
@@ -82,9 +103,15 @@
     }
     let mut place = config;
     for step in path.split('/').skip(1) {
-        let table = if place.is_null() { json!({}) } else { place.take() };
+        let table = if place.is_null() {
+            json!({})
+        } else {
+            place.take()
+        };
         *place = table;
-        let table = place.as_object_mut().ok_or_else(|| format!("{}: not in an object", key(path)))?;
+        let table = place
+            .as_object_mut()
+            .ok_or_else(|| format!("{}: not in an object", key(path)))?;
         place = table.entry(step).or_insert(Value::Null);
     }
     set.push(format!("{}: {before} is {value} now", key(path)));
--- a/forwarder/config/src/decisions.rs
+++ b/forwarder/config/src/decisions.rs
@@ -36,17 +36,25 @@
         let names = some(env, field)?;
         names
             .iter()
-            .map(|n| Ok(n.as_str().ok_or(format!("{field}: a name is no text"))?.to_owned()))
+            .map(|n| {
+                Ok(n.as_str()
+                    .ok_or(format!("{field}: a name is no text"))?
+                    .to_owned())
+            })
             .collect()
     };
     let (mut members, mut shares) = (Vec::new(), Vec::new());
     for (at, member) in optional_list(env, "projects")?.iter().enumerate() {
         let within = |e: String| format!("projects[{at}].{e}");
-        let member = member.as_object().ok_or_else(|| within("not an object".into()))?;
+        let member = member
+            .as_object()
+            .ok_or_else(|| within("not an object".into()))?;
         members.push(text(member, "name").map_err(within)?.to_owned());
         shares.push(positive(member, "quotaPerS").map_err(within)?);
     }
-    let report = present(env, "report").and_then(|r| r.get("columns")).and_then(Value::as_array);
+    let report = present(env, "report")
+        .and_then(|r| r.get("columns"))
+        .and_then(Value::as_array);
     let left_at = report.and_then(|all| all.iter().position(|column| column == LEFT));
     let mut names = Names {
         traffic: Vec::new(),
@@ -56,7 +64,9 @@
         sizes_are_rates: tells_rates(optional_text(env, "weightKind")?),
         left_at,
         ask_within: match optional_text(env, "discovery")? {
-            Some("on_request") => Some(optional_time(rules, "askWithinUs").map_err(within("rules"))?),
+            Some("on_request") => {
+                Some(optional_time(rules, "askWithinUs").map_err(within("rules"))?)
+            }
             None | Some("pushed") => None,
             Some(other) => return Err(format!("discovery: unknown word {other:?}")),
         },
@@ -67,7 +77,9 @@
     let mut traffic = Vec::new();
     for (at, profile) in some(env, "profiles")?.iter().enumerate() {
         let within = |e: String| format!("profiles[{at}].{e}");
-        let profile = profile.as_object().ok_or_else(|| within("not an object".into()))?;
+        let profile = profile
+            .as_object()
+            .ok_or_else(|| within("not an object".into()))?;
         let (name, kind) = traffic_type(profile).map_err(within)?;
         names.traffic.push(name);
         traffic.push(kind);
@@ -76,8 +88,14 @@
     let per_call = family.get("perCall").and_then(Value::as_array);
     let kinds = (0..names.kinds.len())
         .map(|k| DestinationKind {
-            routes_apart: apart.and_then(|a| a.get(k)).and_then(Value::as_bool).unwrap_or(false),
-            events_per_call: per_call.and_then(|p| p.get(k)).and_then(Value::as_u64).unwrap_or(1) as usize,
+            routes_apart: apart
+                .and_then(|a| a.get(k))
+                .and_then(Value::as_bool)
+                .unwrap_or(false),
+            events_per_call: per_call
+                .and_then(|p| p.get(k))
+                .and_then(Value::as_u64)
+                .unwrap_or(1) as usize,
         })
         .collect();
     let flag = |field: &str| allowed.get(field) == Some(&Value::Bool(true));
@@ -91,7 +109,9 @@
         room: count(allowed, "maxOpen").map_err(within("allowed"))? as usize,
         sends_cap: count(allowed, "attemptsCap").map_err(within("allowed"))? as u32,
         pings_allowed: flag("probes"),
-        longest_advice: flag("retryAfter").then(|| optional_time(allowed, "maxRetryAfterUs")).transpose()?,
+        longest_advice: flag("retryAfter")
+            .then(|| optional_time(allowed, "maxRetryAfterUs"))
+            .transpose()?,
         shares,
         over_share_worth: match present(env, "overShareWorth") {
             Some(_) => number(env, "overShareWorth")?,
@@ -134,5 +154,7 @@
 
 /// The key of ordered events, as the wires write it.
 pub fn order_key(digits: &str) -> Plain<OrderKey> {
-    u64::from_str_radix(digits, 16).map(OrderKey).map_err(|_| format!("{digits:?} is not a hexadecimal key"))
+    u64::from_str_radix(digits, 16)
+        .map(OrderKey)
+        .map_err(|_| format!("{digits:?} is not a hexadecimal key"))
 }
--- a/forwarder/config/src/experiment.rs
+++ b/forwarder/config/src/experiment.rs
@@ -70,7 +70,9 @@
     /// What an axis says.
     pub fn words(self) -> &'static str {
         match self {
-            Measure::ColdLoad => "most load on a returning destination, against the load that tips it",
+            Measure::ColdLoad => {
+                "most load on a returning destination, against the load that tips it"
+            }
             Measure::Tipped => "destinations pushed over, a day",
             Measure::CallsPerEvent => "calls for each event of a client",
             Measure::RoundsPerEvent => "rounds of decisions for each event of a client",
@@ -97,14 +99,20 @@
             return Err(text.wrong("variants", "one [[variants]] at least is needed"));
         }
         for (at, variant) in experiment.variants.iter().enumerate() {
-            if experiment.variants[..at].iter().any(|other| other.name == variant.name) {
+            if experiment.variants[..at]
+                .iter()
+                .any(|other| other.name == variant.name)
+            {
                 let key = format!("variants[{at}].name");
                 return Err(text.wrong(&key, &format!("{:?} is there twice", variant.name)));
             }
         }
         for (at, sweep) in experiment.sweep.iter().enumerate() {
             if sweep.values.is_empty() {
-                return Err(text.wrong(&format!("sweep[{at}].values"), "one value at least is needed"));
+                return Err(text.wrong(
+                    &format!("sweep[{at}].values"),
+                    "one value at least is needed",
+                ));
             }
         }
         Ok(experiment)
--- a/forwarder/config/src/fanout.rs
+++ b/forwarder/config/src/fanout.rs
@@ -92,11 +92,18 @@
     fleet: Option<&Fleet>,
     traffic: &[String],
 ) -> Plain<Option<Layout>> {
-    let (Some(path), Some(fleet)) = (variable("PROXY_FLEET"), fleet) else { return Ok(None) };
+    let (Some(path), Some(fleet)) = (variable("PROXY_FLEET"), fleet) else {
+        return Ok(None);
+    };
     let file = Text::read(std::path::Path::new(&path))?;
-    let Some(layout) = fanout(&file)? else { return Ok(None) };
+    let Some(layout) = fanout(&file)? else {
+        return Ok(None);
+    };
     if fleet.voters.is_empty() {
-        return Err(file.wrong("fanout", "needs the control group, and control.voters names none"));
+        return Err(file.wrong(
+            "fanout",
+            "needs the control group, and control.voters names none",
+        ));
     }
     if !fleet.pools.is_empty() {
         // The control group keeps the book of leases or broadcasts, not both yet.
@@ -116,13 +123,28 @@
 
 /// None if the file has no such section.
 pub fn fanout(file: &Text) -> Plain<Option<Layout>> {
-    let Some(value) = file.table().get("fanout") else { return Ok(None) };
+    let Some(value) = file.table().get("fanout") else {
+        return Ok(None);
+    };
     let section: Section = serde_path_to_error::deserialize(value.clone()).map_err(|e| {
         let inner = e.path().to_string();
-        let key = if inner == "." { "fanout".to_owned() } else { format!("fanout.{inner}") };
-        file.wrong(&key, &e.inner().message().split_whitespace().collect::<Vec<_>>().join(" "))
+        let key = if inner == "." {
+            "fanout".to_owned()
+        } else {
+            format!("fanout.{inner}")
+        };
+        file.wrong(
+            &key,
+            &e.inner()
+                .message()
+                .split_whitespace()
+                .collect::<Vec<_>>()
+                .join(" "),
+        )
     })?;
-    checked(section).map(Some).map_err(|(key, why)| file.wrong(&format!("fanout.{key}"), &why))
+    checked(section)
+        .map(Some)
+        .map_err(|(key, why)| file.wrong(&format!("fanout.{key}"), &why))
 }
 
 type Fault = (String, String);
@@ -130,7 +152,10 @@
 fn within(key: &str, value: usize, least: usize, most: usize) -> Result<(), Fault> {
     match (least..=most).contains(&value) {
         true => Ok(()),
-        false => Err((key.to_owned(), format!("{value} is not within {least} and {most}"))),
+        false => Err((
+            key.to_owned(),
+            format!("{value} is not within {least} and {most}"),
+        )),
     }
 }
 
@@ -158,7 +183,10 @@
     // Else the slowest alone could have others' broadcasts refused.
     within("broadcasts", broadcasts, 2 * keep_for_one, 1_000_000)?;
     if !(0.1..=4096.0).contains(&section.keep_mb) {
-        return Err(("keep_mb".into(), format!("{} is not within 0.1 and 4096", section.keep_mb)));
+        return Err((
+            "keep_mb".into(),
+            format!("{} is not within 0.1 and 4096", section.keep_mb),
+        ));
     }
     let lists = lists(section.lists, keep_in_all)?;
     let bounds = Bounds {
@@ -172,7 +200,12 @@
         moves_at_once: section.moves_at_once,
         moves_a_minute: section.moves_a_minute,
     };
-    Ok(Layout { lists, cohorts, slow_cohorts, bounds })
+    Ok(Layout {
+        lists,
+        cohorts,
+        slow_cohorts,
+        bounds,
+    })
 }
 
 fn lists(
@@ -195,7 +228,10 @@
             return Err(fault("names no destination".into()));
         }
         if members.len() > keep_in_all {
-            let why = format!("{} destinations, but keep_in_all is {keep_in_all}", members.len());
+            let why = format!(
+                "{} destinations, but keep_in_all is {keep_in_all}",
+                members.len()
+            );
             return Err(fault(why));
         }
         let mut own = BTreeSet::new();
@@ -203,10 +239,16 @@
             return Err(fault(format!("destination {twice} stands twice")));
         }
         all.extend(own);
-        lists.push((ListName(name), members.into_iter().map(DestinationId).collect()));
+        lists.push((
+            ListName(name),
+            members.into_iter().map(DestinationId).collect(),
+        ));
     }
     match all.len() > SUBSCRIBERS {
-        true => Err(("lists".into(), format!("{} destinations, over {SUBSCRIBERS}", all.len()))),
+        true => Err((
+            "lists".into(),
+            format!("{} destinations, over {SUBSCRIBERS}", all.len()),
+        )),
         false => Ok(lists),
     }
 }
--- a/forwarder/config/src/fields.rs
+++ b/forwarder/config/src/fields.rs
@@ -7,7 +7,10 @@
 pub type Object = Map<String, Value>;
 
 pub fn place(names: &[String], name: &str, field: &str) -> Plain<usize> {
-    names.iter().position(|n| n == name).ok_or_else(|| format!("{field}: {name:?} is not in the settings"))
+    names
+        .iter()
+        .position(|n| n == name)
+        .ok_or_else(|| format!("{field}: {name:?} is not in the settings"))
 }
 
 pub fn present<'a>(from: &'a Object, field: &str) -> Option<&'a Value> {
@@ -15,11 +18,15 @@
 }
 
 pub fn object<'a>(from: &'a Object, field: &str) -> Plain<&'a Object> {
-    present(from, field).and_then(Value::as_object).ok_or_else(|| format!("{field}: an object is missing"))
+    present(from, field)
+        .and_then(Value::as_object)
+        .ok_or_else(|| format!("{field}: an object is missing"))
 }
 
 pub fn list<'a>(from: &'a Object, field: &str) -> Plain<&'a Vec<Value>> {
-    present(from, field).and_then(Value::as_array).ok_or_else(|| format!("{field}: a list is missing"))
+    present(from, field)
+        .and_then(Value::as_array)
+        .ok_or_else(|| format!("{field}: a list is missing"))
 }
 
 /// A list, empty where there is none.
@@ -30,16 +37,22 @@
 /// A number above 0.
 pub fn positive(from: &Object, field: &str) -> Plain<f64> {
     let value = number(from, field)?;
-    Some(value).filter(|v| *v > 0.0).ok_or_else(|| format!("{field}: {value} is not above 0"))
+    Some(value)
+        .filter(|v| *v > 0.0)
+        .ok_or_else(|| format!("{field}: {value} is not above 0"))
 }
 
 /// A list that is not empty.
 pub fn some<'a>(from: &'a Object, field: &str) -> Plain<&'a Vec<Value>> {
-    Some(list(from, field)?).filter(|all| !all.is_empty()).ok_or_else(|| format!("{field}: is empty"))
+    Some(list(from, field)?)
+        .filter(|all| !all.is_empty())
+        .ok_or_else(|| format!("{field}: is empty"))
 }
 
 pub fn optional_text<'a>(from: &'a Object, field: &str) -> Plain<Option<&'a str>> {
-    present(from, field).map(|v| v.as_str().ok_or_else(|| format!("{field}: not a text"))).transpose()
+    present(from, field)
+        .map(|v| v.as_str().ok_or_else(|| format!("{field}: not a text")))
+        .transpose()
 }
 
 pub fn text<'a>(from: &'a Object, field: &str) -> Plain<&'a str> {
@@ -47,7 +60,12 @@
 }
 
 pub fn optional_whole(from: &Object, field: &str) -> Plain<Option<u64>> {
-    present(from, field).map(|v| v.as_u64().ok_or_else(|| format!("{field}: not a whole number"))).transpose()
+    present(from, field)
+        .map(|v| {
+            v.as_u64()
+                .ok_or_else(|| format!("{field}: not a whole number"))
+        })
+        .transpose()
 }
 
 pub fn whole(from: &Object, field: &str) -> Plain<u64> {
@@ -56,11 +74,15 @@
 
 /// A whole number of one or more.
 pub fn count(from: &Object, field: &str) -> Plain<u64> {
-    Some(whole(from, field)?).filter(|number| *number > 0).ok_or_else(|| format!("{field}: is 0"))
+    Some(whole(from, field)?)
+        .filter(|number| *number > 0)
+        .ok_or_else(|| format!("{field}: is 0"))
 }
 
 pub fn number(from: &Object, field: &str) -> Plain<f64> {
-    present(from, field).and_then(Value::as_f64).ok_or_else(|| format!("{field}: a number is missing"))
+    present(from, field)
+        .and_then(Value::as_f64)
+        .ok_or_else(|| format!("{field}: a number is missing"))
 }
 
 pub fn optional_number(from: &Object, field: &str) -> Plain<f64> {
--- a/forwarder/config/src/fleet.rs
+++ b/forwarder/config/src/fleet.rs
@@ -58,7 +58,9 @@
 
 /// What the variables name: None where `PROXY_FLEET` is not set. `name` is this forwarder's own.
 pub fn fleet(variable: impl Fn(&str) -> Option<String>, name: &str) -> Plain<Option<Fleet>> {
-    let Some(path) = variable("PROXY_FLEET") else { return Ok(None) };
+    let Some(path) = variable("PROXY_FLEET") else {
+        return Ok(None);
+    };
     let text = std::fs::read_to_string(&path);
     let text = text.map_err(|e| format!("PROXY_FLEET: {path} cannot be read: {e}"))?;
     let mut fleet = read(&text).map_err(|e| format!("{path}: {e}"))?;
@@ -69,7 +71,9 @@
     };
     match fleet.instance(name) {
         Some(_) => Ok(Some(fleet)),
-        None => Err(format!("{path}: instances: none is named {name:?}, as PROXY_NAME or name says")),
+        None => Err(format!(
+            "{path}: instances: none is named {name:?}, as PROXY_NAME or name says"
+        )),
     }
 }
 
@@ -85,7 +89,10 @@
     }
     let instances = checks::instances(file.instances.get_ref(), &fault)?;
     if instances.is_empty() {
-        return Err(fault(file.instances.span().start, "instances: none is named".into()));
+        return Err(fault(
+            file.instances.span().start,
+            "instances: none is named".into(),
+        ));
     }
     let at = file.timing.as_ref().map_or(0, |t| t.span().start);
     let timing = checks::timing(&file.timing.map(Spanned::into_inner).unwrap_or_default());
@@ -96,10 +103,17 @@
     });
     let mut voters = Vec::new();
     let mut seen = BTreeSet::new();
-    for voter in file.control.map(|c| c.into_inner().voters).unwrap_or_default() {
+    for voter in file
+        .control
+        .map(|c| c.into_inner().voters)
+        .unwrap_or_default()
+    {
         let (at, name) = (voter.span().start, voter.into_inner());
         if !instances.iter().any(|i| i.name == name) {
-            return Err(fault(at, format!("control.voters: {name:?} is no instance")));
+            return Err(fault(
+                at,
+                format!("control.voters: {name:?} is no instance"),
+            ));
         }
         if !seen.insert(name.clone()) {
             return Err(fault(at, format!("control.voters: {name:?} stands twice")));
--- a/forwarder/config/src/fleet/kinds.rs
+++ b/forwarder/config/src/fleet/kinds.rs
@@ -59,7 +59,12 @@
 
 impl Default for Spans {
     fn default() -> Self {
-        Spans { heartbeat_ms: 100.0, election_ms: 1000.0, stall_ms: 600.0, replace_ms: 5000.0 }
+        Spans {
+            heartbeat_ms: 100.0,
+            election_ms: 1000.0,
+            stall_ms: 600.0,
+            replace_ms: 5000.0,
+        }
     }
 }
 
--- a/forwarder/config/src/lib.rs
+++ b/forwarder/config/src/lib.rs
@@ -59,13 +59,20 @@
 impl Told {
     /// Traffic types, kinds and zones, whose positions the decisions keep.
     pub fn all_names(&self) -> [Vec<String>; 3] {
-        [self.names.traffic.clone(), self.names.kinds.clone(), self.names.zones.clone()]
+        [
+            self.names.traffic.clone(),
+            self.names.kinds.clone(),
+            self.names.zones.clone(),
+        ]
     }
 
     /// The keys of the file with another value than before that take effect only with a new start.
     pub fn needs_restart<'a>(&'a self, before: &'a Told) -> impl Iterator<Item = &'a str> {
-        let differs = |a: &'a Told, b: &'a Told| a.fixed.iter().filter(|pair| !b.fixed.contains(pair));
-        let names = differs(self, before).chain(differs(before, self)).map(|(key, _)| key.as_str());
+        let differs =
+            |a: &'a Told, b: &'a Told| a.fixed.iter().filter(|pair| !b.fixed.contains(pair));
+        let names = differs(self, before)
+            .chain(differs(before, self))
+            .map(|(key, _)| key.as_str());
         names.collect::<std::collections::BTreeSet<_>>().into_iter()
     }
 }
@@ -73,9 +80,13 @@
 /// Reads the file that `PROXY_CONFIG` names; the other `PROXY_*` variables go before what it says.
 pub fn told(variable: impl Fn(&str) -> Option<String>) -> Plain<Told> {
     let path = variable("PROXY_CONFIG").ok_or("PROXY_CONFIG: is not set")?;
-    let bytes = std::fs::read(&path).map_err(|e| format!("PROXY_CONFIG: {path} cannot be read: {e}"))?;
-    let root: Value = serde_json::from_slice(&bytes).map_err(|e| format!("{path}: not JSON: {e}"))?;
-    let root = root.as_object().ok_or_else(|| format!("{path}: not an object"))?;
+    let bytes =
+        std::fs::read(&path).map_err(|e| format!("PROXY_CONFIG: {path} cannot be read: {e}"))?;
+    let root: Value =
+        serde_json::from_slice(&bytes).map_err(|e| format!("{path}: not JSON: {e}"))?;
+    let root = root
+        .as_object()
+        .ok_or_else(|| format!("{path}: not an object"))?;
     read_told(root, variable).map_err(|e| format!("{path}: {e}"))
 }
 
@@ -92,32 +103,46 @@
         }
     };
     let address = |(name, value): (String, String)| -> Plain<SocketAddr> {
-        value.parse().map_err(|_| format!("{name}: {value:?} is not an address with a port"))
+        value
+            .parse()
+            .map_err(|_| format!("{name}: {value:?} is not an address with a port"))
     };
     let listen = address(either("PROXY_LISTEN", "listen")?)?;
     let there = variable("PROXY_MGMT").is_some() || present(root, "mgmt").is_some();
     let mgmt = there.then(|| either("PROXY_MGMT", "mgmt")).transpose()?;
     let mgmt = mgmt.map(|(name, value)| match address((name.clone(), value))? {
         // Any port is another one each time.
-        same if same == listen && same.port() != 0 => Err(format!("{name}: {same} is the clients' address")),
+        same if same == listen && same.port() != 0 => {
+            Err(format!("{name}: {same} is the clients' address"))
+        }
         other => Ok(other),
     });
     let seed = text(root, "seed")?;
-    let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?;
+    let seed =
+        u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?;
     let limits = object(root, "limits")?;
     let limit = |field: &str, least: f64| -> Plain<f64> {
         let value = number(limits, field).map_err(|e| format!("limits.{e}"))?;
-        Some(value).filter(|v| *v >= least).ok_or(format!("limits.{field}: {value} is under {least}"))
+        Some(value)
+            .filter(|v| *v >= least)
+            .ok_or(format!("limits.{field}: {value} is under {least}"))
     };
     let settings = object(root, "settings")?;
     let allowed = object(settings, "allowed").map_err(|e| format!("settings.{e}"))?;
     let span = |field: &str, default: Ms| -> Plain<Ms> {
-        let given = present(allowed, field).map(|_| time(allowed, field)).transpose();
-        Ok(given.map_err(|e| format!("settings.allowed.{e}"))?.unwrap_or(default))
+        let given = present(allowed, field)
+            .map(|_| time(allowed, field))
+            .transpose();
+        Ok(given
+            .map_err(|e| format!("settings.allowed.{e}"))?
+            .unwrap_or(default))
     };
     let (mut terms, names) = terms(settings, "settings", seed)?;
     // A call on sockets carries one event (`POST /receive`), whatever a call of the simulator may.
-    terms.kinds.iter_mut().for_each(|kind| kind.events_per_call = 1);
+    terms
+        .kinds
+        .iter_mut()
+        .for_each(|kind| kind.events_per_call = 1);
     let name = either("PROXY_NAME", "name")?.1;
     let fleet = fleet::fleet(&variable, &name)?;
     let pools = match &fleet {
@@ -132,7 +157,9 @@
         listen,
         mgmt: mgmt.transpose()?,
         discovery: address(either("PROXY_DISCOVERY", "discovery")?)?,
-        state: variable("PROXY_STATE").ok_or("PROXY_STATE: is not set")?.into(),
+        state: variable("PROXY_STATE")
+            .ok_or("PROXY_STATE: is not set")?
+            .into(),
         memory: (limit("memory_mb", 16.0)? * 1e6) as u64,
         sockets: limit("sockets", 64.0)? as usize,
         disk: (limit("disk_mb", 0.25)? * 1e6) as u64,
@@ -150,12 +177,17 @@
         },
         log_level: match variable("PROXY_LOG") {
             None => slog::Level::Info,
-            Some(word) => word.parse().map_err(|()| format!("PROXY_LOG: {word:?} is not a log level"))?,
+            Some(word) => word
+                .parse()
+                .map_err(|()| format!("PROXY_LOG: {word:?} is not a log level"))?,
         },
         // The list goes on from what discovery said since.
         fixed: {
             let moving = |key: &str| matches!(key, "discovery" | "known");
-            root.iter().filter(|(key, _)| !moving(key)).map(|(k, v)| (k.clone(), v.clone())).collect()
+            root.iter()
+                .filter(|(key, _)| !moving(key))
+                .map(|(k, v)| (k.clone(), v.clone()))
+                .collect()
         },
     })
 }
--- a/forwarder/config/src/pools.rs
+++ b/forwarder/config/src/pools.rs
@@ -23,7 +23,9 @@
     if let Some(key) = table.keys().find(|key| *key != "policy") {
         return Err(format!("{file}: pools.{key}: is not known; policy is"));
     }
-    let Some(path) = table.get("policy") else { return Ok(None) };
+    let Some(path) = table.get("policy") else {
+        return Ok(None);
+    };
     let path = path.as_str().filter(|path| !path.is_empty());
     let path = path.ok_or_else(|| format!("{file}: pools.policy: not a path"))?;
     if fleet.voters.is_empty() {
@@ -32,7 +34,9 @@
         ));
     }
     let path = Path::new(file).parent().unwrap_or(Path::new("")).join(path);
-    read(path, names).map_err(|why| format!("{file}: pools.policy: {why}")).map(Some)
+    read(path, names)
+        .map_err(|why| format!("{file}: pools.policy: {why}"))
+        .map(Some)
 }
 
 /// Reads a policy, the first time or again: its faults stand in a line each, with place, key and a way out.
@@ -41,7 +45,12 @@
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{name} cannot be read: {e}"))?;
     // Settings without members say nothing of their names.
     let members = Some(names.members.as_slice()).filter(|members| !members.is_empty());
-    let known = Known { kinds: Some(&names.kinds), zones: Some(&names.zones), members };
-    let policy = plankhill_connection_quotas::policy(&name, &text, &known).map_err(|faults| faults.to_string())?;
+    let known = Known {
+        kinds: Some(&names.kinds),
+        zones: Some(&names.zones),
+        members,
+    };
+    let policy = plankhill_connection_quotas::policy(&name, &text, &known)
+        .map_err(|faults| faults.to_string())?;
     Ok(Pools { path, text, policy })
 }
--- a/forwarder/config/src/scenario.rs
+++ b/forwarder/config/src/scenario.rs
@@ -309,7 +309,14 @@
 
 impl Default for Answer {
     fn default() -> Self {
-        Answer { shape: Shape::LogNormal, mean: 50.0, spread: 0.5, tail: 0.01, alpha: 1.5, differ: 0.0 }
+        Answer {
+            shape: Shape::LogNormal,
+            mean: 50.0,
+            spread: 0.5,
+            tail: 0.01,
+            alpha: 1.5,
+            differ: 0.0,
+        }
     }
 }
 
@@ -478,7 +485,10 @@
 
 impl Scenario {
     pub fn longest_patience(&self) -> Ms {
-        self.traffic.iter().map(|traffic| traffic.patience).fold(0.0, f64::max)
+        self.traffic
+            .iter()
+            .map(|traffic| traffic.patience)
+            .fold(0.0, f64::max)
     }
 
     /// Reads and checks. A message is one line with file, line, key and what is allowed.
--- a/forwarder/config/src/scenario/check.rs
+++ b/forwarder/config/src/scenario/check.rs
@@ -27,8 +27,12 @@
     if names.iter().any(|known| known == name) {
         return Ok(());
     }
-    let nearest = crate::tables::nearest_of(name, names.iter().map(String::as_str)).unwrap_or("none");
-    Err((key.to_owned(), format!("{name:?} is not known; the nearest is {nearest:?}")))
+    let nearest =
+        crate::tables::nearest_of(name, names.iter().map(String::as_str)).unwrap_or("none");
+    Err((
+        key.to_owned(),
+        format!("{name:?} is not known; the nearest is {nearest:?}"),
+    ))
 }
 
 pub(super) fn check(scenario: &Scenario) -> Checked {
@@ -39,12 +43,19 @@
     network(&scenario.network)?;
     clients(&scenario.clients)?;
     if scenario.traffic.is_empty() {
-        return Err(("traffic".into(), "one [[traffic]] at least is needed".into()));
+        return Err((
+            "traffic".into(),
+            "one [[traffic]] at least is needed".into(),
+        ));
     }
     for (at, traffic) in scenario.traffic.iter().enumerate() {
         let key = |field: &str| format!("traffic[{at}].{field}");
         least(&key("soft_limit"), traffic.soft_limit, 0.0)?;
-        least(&key("patience"), traffic.patience, traffic.soft_limit.max(100.0))?;
+        least(
+            &key("patience"),
+            traffic.patience,
+            traffic.soft_limit.max(100.0),
+        )?;
         least(&key("payoff"), traffic.payoff, 0.0)?;
         share(&key("payoff_at_end"), traffic.payoff_at_end)?;
         least(&key("share"), traffic.share, 0.0)?;
@@ -55,13 +66,25 @@
         return Err(("traffic[0].share".into(), "all shares are 0".into()));
     }
     if scenario.destinations.is_empty() {
-        return Err(("destinations".into(), "one [[destinations]] at least is needed".into()));
+        return Err((
+            "destinations".into(),
+            "one [[destinations]] at least is needed".into(),
+        ));
     }
     for (at, group) in scenario.destinations.iter().enumerate() {
         destinations(&format!("destinations[{at}]"), group)?;
     }
-    if scenario.destinations.iter().map(|g| g.share * g.count as f64).sum::<f64>() <= 0.0 {
-        return Err(("destinations[0].share".into(), "no destination gets any traffic".into()));
+    if scenario
+        .destinations
+        .iter()
+        .map(|g| g.share * g.count as f64)
+        .sum::<f64>()
+        <= 0.0
+    {
+        return Err((
+            "destinations[0].share".into(),
+            "no destination gets any traffic".into(),
+        ));
     }
     for (at, trouble) in scenario.troubles.iter().enumerate() {
         check_trouble(&format!("troubles[{at}]"), trouble, scenario)?;
@@ -77,7 +100,11 @@
     least("forwarders.round", of.round, 0.0)?;
     least("forwarders.notice", of.notice, 0.0)?;
     least("forwarders.list_delay[0]", of.list_delay[0], 0.0)?;
-    least("forwarders.list_delay[1]", of.list_delay[1], of.list_delay[0])?;
+    least(
+        "forwarders.list_delay[1]",
+        of.list_delay[1],
+        of.list_delay[0],
+    )?;
     within("forwarders.list_partial", of.list_partial, 0.0, 0.95)?;
     least("forwarders.front_lag", of.front_lag, 0.0)?;
     least("forwarders.restart", of.restart, 0.0)?;
@@ -86,7 +113,11 @@
 
 fn rules(of: &Rules) -> Checked {
     least("rules.sends_cap", of.sends_cap as f64, 1.0)?;
-    least("rules.longest_advice", of.longest_advice.unwrap_or(0.0), 0.0)?;
+    least(
+        "rules.longest_advice",
+        of.longest_advice.unwrap_or(0.0),
+        0.0,
+    )?;
     least("rules.grace", of.grace, 0.0)?;
     least("rules.key_rest", of.key_rest, 0.0)?;
     within("rules.cold_share", of.cold_share, 0.01, 1.0)?;
@@ -173,10 +204,17 @@
         named(&key("whom.zone"), zone, &scenario.network.zones)?;
     }
     if let Some(group) = &whom.group {
-        let names: Vec<String> = scenario.destinations.iter().map(|group| group.name.clone()).collect();
+        let names: Vec<String> = scenario
+            .destinations
+            .iter()
+            .map(|group| group.name.clone())
+            .collect();
         named(&key("whom.group"), group, &names)?;
     }
-    if let Some(tenant) = whom.tenant.filter(|tenant| *tenant >= scenario.clients.tenants) {
+    if let Some(tenant) = whom
+        .tenant
+        .filter(|tenant| *tenant >= scenario.clients.tenants)
+    {
         let most = scenario.clients.tenants - 1;
         return Err((
             key("whom.tenant"),
@@ -200,10 +238,22 @@
 fn memory(scenario: &Scenario) -> Checked {
     let (forwarders, clients) = (&scenario.forwarders, &scenario.clients);
     let longest = scenario.longest_patience();
-    let floods = scenario.troubles.iter().filter(|t| t.kind == TroubleKind::Flood).map(|t| t.strength);
-    let wakes = scenario.troubles.iter().filter(|t| t.kind == TroubleKind::MassWake).map(|t| t.strength);
+    let floods = scenario
+        .troubles
+        .iter()
+        .filter(|t| t.kind == TroubleKind::Flood)
+        .map(|t| t.strength);
+    let wakes = scenario
+        .troubles
+        .iter()
+        .filter(|t| t.kind == TroubleKind::MassWake)
+        .map(|t| t.strength);
     let destinations: f64 = scenario.destinations.iter().map(|g| g.count as f64).sum();
-    let targets: f64 = scenario.destinations.iter().map(|g| (g.count * g.targets) as f64).sum();
+    let targets: f64 = scenario
+        .destinations
+        .iter()
+        .map(|g| (g.count * g.targets) as f64)
+        .sum();
     let rate = clients.rate * (1.0 + clients.swing) * (1.0 + floods.sum::<f64>());
     let clump = 1.0 + clients.clumps * (clients.clump_size - 1.0);
     let woken: f64 = wakes.sum::<f64>() * destinations;
@@ -216,7 +266,8 @@
     let told = destinations.min(handed_in / forwarders.count as f64) * forwarders.count as f64;
     let listed = told * (LISTED_DESTINATION + LISTED_TARGET * targets / destinations.max(1.0));
     let keys = (clients.keys as f64).min(waiting) * KEY;
-    let need = (events + listed + keys + destinations * DESTINATION + targets * TARGET) / 1e6 + 10.0;
+    let need =
+        (events + listed + keys + destinations * DESTINATION + targets * TARGET) / 1e6 + 10.0;
     if need <= scenario.memory_mb {
         return Ok(());
     }
--- a/forwarder/config/src/tables.rs
+++ b/forwarder/config/src/tables.rs
@@ -28,14 +28,21 @@
             let line = e.span().map_or(1, |span| line_at(&text, span.start));
             format!("{name}:{line}: not TOML: {}", one_line(e.message()))
         })?;
-        Ok(Text { name, text, table, set: Vec::new() })
+        Ok(Text {
+            name,
+            text,
+            table,
+            set: Vec::new(),
+        })
     }
 
     /// Sets a key by its path, as `forwarders.count` or `troubles.0.strength`. The value is TOML; what is no
     /// TOML is taken for a text.
     pub fn set(&mut self, path: &str, value: &str) -> Result<(), String> {
         let value = match format!("v = {value}").parse::<Table>() {
-            Ok(mut table) => table.remove("v").unwrap_or_else(|| Value::String(value.into())),
+            Ok(mut table) => table
+                .remove("v")
+                .unwrap_or_else(|| Value::String(value.into())),
             Err(_) => Value::String(value.into()),
         };
         self.set_value(path, value)
@@ -45,7 +52,9 @@
         let steps: Vec<&str> = path.split('.').collect();
         let mut root = Value::Table(std::mem::take(&mut self.table));
         let done = put(&mut root, &steps, value).map_err(|what| format!("--set {path}: {what}"));
-        let Value::Table(table) = root else { unreachable!("it was put in as a table") };
+        let Value::Table(table) = root else {
+            unreachable!("it was put in as a table")
+        };
         self.table = table;
         self.set.push(path.to_owned());
         done
@@ -73,7 +82,9 @@
                 _ => path,
             };
             let nearest = unknown.and_then(|key| nearest(key, &said));
-            let hint = nearest.map(|known| format!("; did you mean `{known}`?")).unwrap_or_default();
+            let hint = nearest
+                .map(|known| format!("; did you mean `{known}`?"))
+                .unwrap_or_default();
             self.wrong(&key, &format!("{said}{hint}"))
         })
     }
@@ -89,24 +100,33 @@
 
     /// The line of a key, or of the nearest table around it that stands in the file.
     fn line_of(&self, key: &str) -> usize {
-        let Ok(root) = DeTable::parse(&self.text) else { return 1 };
+        let Ok(root) = DeTable::parse(&self.text) else {
+            return 1;
+        };
         let mut line = 1;
         let steps = dotted(key);
         let mut steps = steps.split('.');
-        let Some((key, value)) = steps.next().and_then(|step| root.get_ref().get_key_value(step)) else {
+        let Some((key, value)) = steps
+            .next()
+            .and_then(|step| root.get_ref().get_key_value(step))
+        else {
             return line;
         };
         line = line_at(&self.text, key.span().start);
         let mut place = value;
         for step in steps {
             let next = match (step.parse::<usize>(), place.get_ref()) {
-                (Ok(position), toml::de::DeValue::Array(list)) => list.get(position).map(|v| (v.span(), v)),
-                (_, toml::de::DeValue::Table(table)) => {
-                    table.get_key_value(step).map(|(key, value)| (key.span(), value))
+                (Ok(position), toml::de::DeValue::Array(list)) => {
+                    list.get(position).map(|v| (v.span(), v))
                 }
+                (_, toml::de::DeValue::Table(table)) => table
+                    .get_key_value(step)
+                    .map(|(key, value)| (key.span(), value)),
                 _ => None,
             };
-            let Some((span, value)) = next else { return line };
+            let Some((span, value)) = next else {
+                return line;
+            };
             (line, place) = (line_at(&self.text, span.start), value);
         }
         line
@@ -118,9 +138,11 @@
     let (step, rest) = steps.split_first().expect("a path has one step at least");
     let place = match (step.parse::<usize>(), into) {
         (Ok(position), Value::Array(list)) => list.get_mut(position),
-        (_, Value::Table(table)) => {
-            Some(table.entry(step.to_string()).or_insert_with(|| Value::Table(Table::new())))
-        }
+        (_, Value::Table(table)) => Some(
+            table
+                .entry(step.to_string())
+                .or_insert_with(|| Value::Table(Table::new())),
+        ),
         _ => None,
     };
     let place = place.ok_or_else(|| format!("there is no {step:?} here"))?;
@@ -133,7 +155,10 @@
 
 /// `troubles[1].kind` as `troubles.1.kind`.
 fn dotted(key: &str) -> String {
-    key.replace('[', ".").replace(']', "").trim_start_matches('.').to_owned()
+    key.replace('[', ".")
+        .replace(']', "")
+        .trim_start_matches('.')
+        .to_owned()
 }
 
 fn join(path: &str, key: &str) -> String {
@@ -145,7 +170,10 @@
 }
 
 fn line_at(text: &str, at: usize) -> usize {
-    1 + text.as_bytes()[..at.min(text.len())].iter().filter(|byte| **byte == b'\n').count()
+    1 + text.as_bytes()[..at.min(text.len())]
+        .iter()
+        .filter(|byte| **byte == b'\n')
+        .count()
 }
 
 fn one_line(text: &str) -> String {
@@ -161,7 +189,9 @@
 fn nearest<'a>(key: &str, said: &'a str) -> Option<&'a str> {
     let names = said.split('`').skip(3).step_by(2);
     let near = names.map(|name| (strsim::jaro_winkler(key, name), name));
-    near.max_by(|a, b| a.0.total_cmp(&b.0)).filter(|(likeness, _)| *likeness > 0.7).map(|(_, name)| name)
+    near.max_by(|a, b| a.0.total_cmp(&b.0))
+        .filter(|(likeness, _)| *likeness > 0.7)
+        .map(|(_, name)| name)
 }
 
 /// The nearest of some names, for messages about a name that is none of them.
--- a/forwarder/config/tests/fanout.rs
+++ b/forwarder/config/tests/fanout.rs
@@ -27,25 +27,82 @@
 #[test]
 fn what_is_not_said_has_its_default() {
     let layout = read(RIGHT).unwrap().unwrap();
-    assert_eq!((layout.cohorts, layout.slow_cohorts, layout.lists.len()), (4, 1, 2));
+    assert_eq!(
+        (layout.cohorts, layout.slow_cohorts, layout.lists.len()),
+        (4, 1, 2)
+    );
     let bounds = &layout.bounds;
-    assert_eq!((bounds.window, bounds.kept_for_one, bounds.broadcasts), (2, 32, 1000));
-    assert_eq!((bounds.body_bytes, bounds.moves_at_once, bounds.moves_a_minute), (16_000_000, 4, 20));
+    assert_eq!(
+        (bounds.window, bounds.kept_for_one, bounds.broadcasts),
+        (2, 32, 1000)
+    );
+    assert_eq!(
+        (
+            bounds.body_bytes,
+            bounds.moves_at_once,
+            bounds.moves_a_minute
+        ),
+        (16_000_000, 4, 20)
+    );
 }
 
 #[rstest]
-#[case("cohorts = 4", "cohorts = 0", "fleet.toml:4: fanout.cohorts: 0 is not within 1 and 1024")]
-#[case("cohorts = 4", "cohort = 4", "fleet.toml:4: fanout.cohort: unknown field")]
-#[case("cohorts = 4", "window = 40", "fleet.toml:4: fanout.window: 40 is not within 1 and 32")]
-#[case("cohorts = 4", "broadcasts = 63", "fleet.toml:4: fanout.broadcasts: 63 is not within 64 and")]
-#[case("cohorts = 4", "keep_mb = nan", "fleet.toml:4: fanout.keep_mb: NaN is not within")]
-#[case("cohorts = 4", "room = \"x\"", "fleet.toml:4: fanout.room: invalid type")]
-#[case("[3, 1, 2]", "[3, 1, 3]", "fleet.toml:8: fanout.lists.prices: destination 3 stands twice")]
-#[case("[3, 1, 2]", "[]", "fleet.toml:8: fanout.lists.prices: names no destination")]
+#[case(
+    "cohorts = 4",
+    "cohorts = 0",
+    "fleet.toml:4: fanout.cohorts: 0 is not within 1 and 1024"
+)]
+#[case(
+    "cohorts = 4",
+    "cohort = 4",
+    "fleet.toml:4: fanout.cohort: unknown field"
+)]
+#[case(
+    "cohorts = 4",
+    "window = 40",
+    "fleet.toml:4: fanout.window: 40 is not within 1 and 32"
+)]
+#[case(
+    "cohorts = 4",
+    "broadcasts = 63",
+    "fleet.toml:4: fanout.broadcasts: 63 is not within 64 and"
+)]
+#[case(
+    "cohorts = 4",
+    "keep_mb = nan",
+    "fleet.toml:4: fanout.keep_mb: NaN is not within"
+)]
+#[case(
+    "cohorts = 4",
+    "room = \"x\"",
+    "fleet.toml:4: fanout.room: invalid type"
+)]
+#[case(
+    "[3, 1, 2]",
+    "[3, 1, 3]",
+    "fleet.toml:8: fanout.lists.prices: destination 3 stands twice"
+)]
+#[case(
+    "[3, 1, 2]",
+    "[]",
+    "fleet.toml:8: fanout.lists.prices: names no destination"
+)]
 #[case("[3, 1, 2]", "[-1]", "fleet.toml:8: fanout.lists.prices")]
-#[case("prices", "\"a/b\"", "fleet.toml:7: fanout.lists: \"a/b\" is not 1 to 64 letters")]
-#[case("keep_for_one = 32", "keep_in_all = 2", "fleet.toml:8: fanout.lists.prices: 3 destinations, but")]
-fn what_is_wrong_is_told_with_its_key_and_line(#[case] was: &str, #[case] is: &str, #[case] told: &str) {
+#[case(
+    "prices",
+    "\"a/b\"",
+    "fleet.toml:7: fanout.lists: \"a/b\" is not 1 to 64 letters"
+)]
+#[case(
+    "keep_for_one = 32",
+    "keep_in_all = 2",
+    "fleet.toml:8: fanout.lists.prices: 3 destinations, but"
+)]
+fn what_is_wrong_is_told_with_its_key_and_line(
+    #[case] was: &str,
+    #[case] is: &str,
+    #[case] told: &str,
+) {
     let trouble = read(&RIGHT.replace(was, is)).unwrap_err();
     assert!(trouble.starts_with(told), "{trouble}");
     assert_eq!(trouble.lines().count(), 1);
--- a/forwarder/config/tests/scenarios.rs
+++ b/forwarder/config/tests/scenarios.rs
@@ -36,16 +36,45 @@
 #[rstest]
 fn what_is_not_said_has_its_default() {
     let scenario = read(RIGHT).expect("right");
-    assert_eq!((scenario.forwarders.count, scenario.rules.sends_cap, scenario.seed), (3, 6, 0));
-    assert_eq!((scenario.destinations[0].servers, scenario.network.zones.len()), (8, 1));
+    assert_eq!(
+        (
+            scenario.forwarders.count,
+            scenario.rules.sends_cap,
+            scenario.seed
+        ),
+        (3, 6, 0)
+    );
+    assert_eq!(
+        (
+            scenario.destinations[0].servers,
+            scenario.network.zones.len()
+        ),
+        (8, 1)
+    );
 }
 
 #[rstest]
-#[case::unknown("rate = 20.0", "rates = 20.0", "day.toml:5: clients.rates: unknown field `rates`")]
+#[case::unknown(
+    "rate = 20.0",
+    "rates = 20.0",
+    "day.toml:5: clients.rates: unknown field `rates`"
+)]
 #[case::nearest("rate = 20.0", "rat = 20.0", "did you mean `rate`?")]
-#[case::no_number("rate = 20.0", "rate = \"many\"", "day.toml:5: clients.rate: invalid type")]
-#[case::no_word("\"down\"", "\"dwon\"", "day.toml:19: troubles[0].kind: unknown variant `dwon`")]
-#[case::too_small("rate = 20.0", "rate = -1.0", "day.toml:5: clients.rate: -1 is not allowed, 0 or more is")]
+#[case::no_number(
+    "rate = 20.0",
+    "rate = \"many\"",
+    "day.toml:5: clients.rate: invalid type"
+)]
+#[case::no_word(
+    "\"down\"",
+    "\"dwon\"",
+    "day.toml:19: troubles[0].kind: unknown variant `dwon`"
+)]
+#[case::too_small(
+    "rate = 20.0",
+    "rate = -1.0",
+    "day.toml:5: clients.rate: -1 is not allowed, 0 or more is"
+)]
 #[case::no_group(
     "group = \"partners\"",
     "group = \"partner\"",
@@ -58,9 +87,17 @@
 )]
 #[case::missing("share = 1.0\n", "", "traffic[0]: missing field `share`")]
 #[case::no_toml("rate = 20.0", "rate = = 20.0", "day.toml:5: not TOML")]
-#[case::not_a_number("rate = 20.0", "rate = nan", "day.toml:5: clients.rate: NaN is not allowed")]
+#[case::not_a_number(
+    "rate = 20.0",
+    "rate = nan",
+    "day.toml:5: clients.rate: NaN is not allowed"
+)]
 #[case::too_much_memory("rate = 20.0", "rate = 20000000.0", "memory_mb: the day may need")]
-fn a_faulty_key_is_named_with_its_line(#[case] right: &str, #[case] wrong: &str, #[case] message: &str) {
+fn a_faulty_key_is_named_with_its_line(
+    #[case] right: &str,
+    #[case] wrong: &str,
+    #[case] message: &str,
+) {
     let said = read(&RIGHT.replacen(right, wrong, 1)).expect_err("wrong");
     assert!(said.contains(message), "{said}");
     assert!(!said.contains('\n'), "{said}");
@@ -78,7 +115,8 @@
         .expect_err("no such trouble")
         .contains("there is no \"7\" here"));
     text.set("troubles.0.start", "500").expect("it is there");
-    text.set("forwarders.decisions", "backoff").expect("made on the way");
+    text.set("forwarders.decisions", "backoff")
+        .expect("made on the way");
     let scenario = Scenario::read(&text).expect("right again");
     assert_eq!(scenario.troubles[0].start, 500.0);
 }
@@ -89,11 +127,19 @@
     "seeds = 2\n[[variants]]\nname = \"a\"\n[[variants]]\nname = \"a\"",
     "e.toml:7: variants[1].name: \"a\" is there twice"
 )]
-#[case("seeds = 2\n[[variants]]\nname = \"a\"\n[[sweep]]\nkey = \"seed\"\nvalues = []", "sweep[0].values")]
+#[case(
+    "seeds = 2\n[[variants]]\nname = \"a\"\n[[sweep]]\nkey = \"seed\"\nvalues = []",
+    "sweep[0].values"
+)]
 #[case("seeds = 2\nmeasure = []", "did you mean `measures`?")]
 fn a_faulty_experiment_is_named_too(#[case] rest: &str, #[case] message: &str) {
-    let variants = if rest.contains("variants") { "" } else { "\n[[variants]]\nname = \"a\"" };
+    let variants = if rest.contains("variants") {
+        ""
+    } else {
+        "\n[[variants]]\nname = \"a\""
+    };
     let text = format!("about = \"q\"\nscenario = \"ordinary-day\"\n{rest}{variants}");
-    let said = Experiment::read(&Text::parse("e.toml".into(), text).expect("TOML")).expect_err("wrong");
+    let said =
+        Experiment::read(&Text::parse("e.toml".into(), text).expect("TOML")).expect_err("wrong");
     assert!(said.contains(message), "{said}");
 }
--- a/forwarder/config/tests/told.rs
+++ b/forwarder/config/tests/told.rs
@@ -20,8 +20,15 @@
     read_with(name, config, None)
 }
 
-fn read_with(name: &str, config: &Value, handover: Option<&str>) -> Result<plankhill_forwarder_config::Told, String> {
-    let path = std::env::temp_dir().join(format!("plankhill-terms-{}-{name}.json", std::process::id()));
+fn read_with(
+    name: &str,
+    config: &Value,
+    handover: Option<&str>,
+) -> Result<plankhill_forwarder_config::Told, String> {
+    let path = std::env::temp_dir().join(format!(
+        "plankhill-terms-{}-{name}.json",
+        std::process::id()
+    ));
     std::fs::write(&path, config.to_string()).expect("a file for the test");
     let told = told(|variable| match variable {
         "PROXY_CONFIG" => Some(path.display().to_string()),
@@ -37,15 +44,25 @@
 #[rstest]
 fn all_is_read_once_and_a_variable_goes_before_the_file() {
     let told = read("right", &config()).expect("right");
-    assert_eq!((told.name.as_str(), told.sockets, told.disk), ("n4", 1024, 3_000_000));
-    assert_eq!((told.connect_time_out, told.idle_limit, told.terms.slots), (1000.0, 13_500.0, 4));
+    assert_eq!(
+        (told.name.as_str(), told.sockets, told.disk),
+        ("n4", 1024, 3_000_000)
+    );
+    assert_eq!(
+        (told.connect_time_out, told.idle_limit, told.terms.slots),
+        (1000.0, 13_500.0, 4)
+    );
     assert_eq!(told.terms.seed, 0x8c1f30d27a5be964);
 }
 
 #[rstest]
 fn without_rates_reports_and_members_nothing_changes() {
     let told = read("defaults", &config()).expect("right");
-    assert!(!told.names.sizes_are_rates && told.names.left_at.is_none() && told.names.members.is_empty());
+    assert!(
+        !told.names.sizes_are_rates
+            && told.names.left_at.is_none()
+            && told.names.members.is_empty()
+    );
     assert!(told.terms.shares.is_empty() && told.terms.over_share_worth == 1.0);
 }
 
@@ -70,8 +87,13 @@
     config["settings"]["projects"] = json!([{"name": "a", "quotaPerS": 66.0, "share": 0.08}]);
     config["settings"]["overShareWorth"] = json!(0.05);
     let told = read("new", &config).expect("right");
-    assert!(told.names.sizes_are_rates && told.names.left_at == Some(1) && told.names.members == ["a"]);
-    assert_eq!((told.terms.shares, told.terms.over_share_worth), (vec![66.0], 0.05));
+    assert!(
+        told.names.sizes_are_rates && told.names.left_at == Some(1) && told.names.members == ["a"]
+    );
+    assert_eq!(
+        (told.terms.shares, told.terms.over_share_worth),
+        (vec![66.0], 0.05)
+    );
 }
 
 #[rstest]
@@ -84,7 +106,11 @@
 #[case("/settings/allowed/maxOpen", json!(-1), "settings.allowed.maxOpen: not a whole number")]
 #[case("/settings/allowed/attemptsCap", json!(0), "settings.allowed.attemptsCap: is 0")]
 #[case("/settings/shapes", json!([]), "settings.shapes: is empty")]
-#[case("/settings/rules/coldFrom", Value::Null, "settings.rules.coldFrom: a number is missing")]
+#[case(
+    "/settings/rules/coldFrom",
+    Value::Null,
+    "settings.rules.coldFrom: a number is missing"
+)]
 #[case("/settings/profiles/0/semantics", json!("odd"), "settings.profiles[0].semantics: unknown word")]
 #[case("/settings/projects", json!([{"name": "a", "quotaPerS": -1}]), "settings.projects[0].quotaPerS: -1 is not above 0")]
 #[case("/settings/overShareWorth", json!("much"), "settings.overShareWorth: a number is missing")]
@@ -101,8 +127,13 @@
 fn a_file_that_is_missing_or_no_json_is_named() {
     let said = told(|_| None).map(|_| ()).expect_err("nothing is set");
     assert!(said.contains("PROXY_CONFIG: is not set"), "{said}");
-    let said = told(|_| Some("/nowhere/config.json".into())).map(|_| ()).expect_err("is not there");
-    assert!(said.contains("PROXY_CONFIG: /nowhere/config.json cannot be read"), "{said}");
+    let said = told(|_| Some("/nowhere/config.json".into()))
+        .map(|_| ())
+        .expect_err("is not there");
+    assert!(
+        said.contains("PROXY_CONFIG: /nowhere/config.json cannot be read"),
+        "{said}"
+    );
 }
 
 /// The fleet's platform gives no Unix socket: the deploy file's `run` turns the hand-over off.
@@ -111,9 +142,15 @@
 #[case(Some("on"), Ok(true))]
 #[case(Some("off"), Ok(false))]
 #[case(Some("no"), Err("PROXY_HANDOVER: \"no\" is neither on nor off"))]
-fn the_hand_over_is_on_unless_turned_off(#[case] said: Option<&str>, #[case] meant: Result<bool, &str>) {
+fn the_hand_over_is_on_unless_turned_off(
+    #[case] said: Option<&str>,
+    #[case] meant: Result<bool, &str>,
+) {
     let name = format!("handover-{}", said.unwrap_or("unset"));
-    match (read_with(&name, &config(), said).map(|told| told.handover), meant) {
+    match (
+        read_with(&name, &config(), said).map(|told| told.handover),
+        meant,
+    ) {
         (Ok(on), Ok(wanted)) => assert_eq!(on, wanted),
         (Err(said), Err(message)) => assert!(said.contains(message), "{said}"),
         (other, wanted) => panic!("{other:?} where {wanted:?} was meant"),
--- a/forwarder/connection-quotas/examples/demand.rs
+++ b/forwarder/connection-quotas/examples/demand.rs
@@ -19,14 +19,21 @@
 pub const MEMBERS: [(&str, f64); 3] = [("large", 3.0), ("others", 1.0), ("small", 1.0)];
 
 fn main() {
-    let seed = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(1);
+    let seed = std::env::args()
+        .nth(1)
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(1);
     println!("| traffic | way | served | large | others | small | refused a second | in use |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for traffic in [Traffic::Even, Traffic::Skewed, Traffic::Hot] {
         let alone = play(seed, traffic, &mut Alone::new());
         let leased = play(seed, traffic, &mut Leased::new());
         for (way, seen) in [("alone", alone), ("leases", leased)] {
-            let shares: Vec<String> = seen.served.iter().map(|share| format!("{share:.2}")).collect();
+            let shares: Vec<String> = seen
+                .served
+                .iter()
+                .map(|share| format!("{share:.2}"))
+                .collect();
             println!(
                 "| {traffic:?} | {way} | {:.2} | {} | {:.1} | {:.2} |",
                 seen.all,
--- a/forwarder/connection-quotas/examples/fleet/alone.rs
+++ b/forwarder/connection-quotas/examples/fleet/alone.rs
@@ -12,7 +12,9 @@
     pub fn new() -> Self {
         // It is told how many forwarders there are.
         let guess = (f64::from(TAKES) / FORWARDERS as f64).max(1.0);
-        Alone { doors: vec![vec![(guess, 0, 0.0); TARGETS]; FORWARDERS] }
+        Alone {
+            doors: vec![vec![(guess, 0, 0.0); TARGETS]; FORWARDERS],
+        }
     }
 }
 
--- a/forwarder/connection-quotas/examples/fleet/leased.rs
+++ b/forwarder/connection-quotas/examples/fleet/leased.rs
@@ -20,27 +20,50 @@
 
 impl Leased {
     pub fn new() -> Self {
-        let members: String =
-            MEMBERS.iter().map(|(name, weight)| format!("member {name} {{ weight {weight} }} ")).collect();
+        let members: String = MEMBERS
+            .iter()
+            .map(|(name, weight)| format!("member {name} {{ weight {weight} }} "))
+            .collect();
         let text = format!(
             "language 1 edition 1 lease {{ lasts 10s renew 1s }} {members}
              budget each target {{ connections {TAKES} standing {} }}",
             TAKES / 10
         );
-        let instances: Vec<(Instance, String)> =
-            (0..FORWARDERS).map(|at| (Instance(format!("i{at:03}")), String::new())).collect();
+        let instances: Vec<(Instance, String)> = (0..FORWARDERS)
+            .map(|at| (Instance(format!("i{at:03}")), String::new()))
+            .collect();
         let local = |at: usize| {
-            let policy = plankhill_connection_quotas::policy("p", &text, &Known::default()).expect("is sound");
+            let policy = plankhill_connection_quotas::policy("p", &text, &Known::default())
+                .expect("is sound");
             let (instance, life) = (instances[at].0.clone(), Life(at as u64));
             let (text, instances) = (text.clone(), instances.clone());
-            let mut local = Local::new(Start { instance, life, text, policy, instances, grace: 600.0 });
-            (0..TARGETS).for_each(|at| local.listed(Facts { target: name(at), ..Facts::default() }));
+            let mut local = Local::new(Start {
+                instance,
+                life,
+                text,
+                policy,
+                instances,
+                grace: 600.0,
+            });
+            (0..TARGETS).for_each(|at| {
+                local.listed(Facts {
+                    target: name(at),
+                    ..Facts::default()
+                })
+            });
             local
         };
         let mut locals: Vec<Local> = (0..FORWARDERS).map(local).collect();
         locals[0].leads(0.0, 1, &Book::default().snapshot());
-        let pools = (0..TARGETS).map(|target| PoolId::Target(name(target))).collect();
-        Leased { locals, pools, log: Vec::new(), reports: Vec::new() }
+        let pools = (0..TARGETS)
+            .map(|target| PoolId::Target(name(target)))
+            .collect();
+        Leased {
+            locals,
+            pools,
+            log: Vec::new(),
+            reports: Vec::new(),
+        }
     }
 }
 
@@ -49,10 +72,20 @@
 }
 
 impl Way for Leased {
-    fn may(&mut self, now: f64, forwarder: usize, target: usize, member: usize, kept: bool) -> bool {
+    fn may(
+        &mut self,
+        now: f64,
+        forwarder: usize,
+        target: usize,
+        member: usize,
+        kept: bool,
+    ) -> bool {
         let local = &mut self.locals[forwarder];
         let (what, from) = (event(local, member), kept.then(|| &self.pools[target]));
-        matches!(local.enter(now, now + 2_000.0, &name(target), what, from), Entry::In(_))
+        matches!(
+            local.enter(now, now + 2_000.0, &name(target), what, from),
+            Entry::In(_)
+        )
     }
 
     fn refused(&mut self, now: f64, forwarder: usize, target: usize, member: usize) {
@@ -74,28 +107,42 @@
     }
 
     fn step(&mut self, now: f64) -> Vec<(usize, usize, u32)> {
-        let (due, later) = std::mem::take(&mut self.log).into_iter().partition(|(at, _)| *at <= now);
+        let (due, later) = std::mem::take(&mut self.log)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.log = later;
         let due: Vec<(f64, Vec<u8>)> = due;
         for (_, command) in due {
-            self.locals.iter_mut().for_each(|local| local.applied(now, 1, &command));
+            self.locals
+                .iter_mut()
+                .for_each(|local| local.applied(now, 1, &command));
         }
-        let (due, later) = std::mem::take(&mut self.reports).into_iter().partition(|(at, _)| *at <= now);
+        let (due, later) = std::mem::take(&mut self.reports)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.reports = later;
         let due: Vec<(f64, Vec<u8>)> = due;
-        let mut commands: Vec<_> =
-            due.iter().filter_map(|(_, report)| self.locals[0].reported(now, report)).collect();
+        let mut commands: Vec<_> = due
+            .iter()
+            .filter_map(|(_, report)| self.locals[0].reported(now, report))
+            .collect();
         if now % 100.0 == 0.0 {
             commands.extend(self.locals[0].due(now));
         }
-        self.log.extend(commands.iter().map(|command| (now + 20.0, encode(command))));
+        self.log
+            .extend(commands.iter().map(|command| (now + 20.0, encode(command))));
         let mut close = Vec::new();
         for (forwarder, local) in self.locals.iter_mut().enumerate() {
             if now > 10.0 * forwarder as f64 {
-                self.reports.extend(local.report(now).map(|report| (now + 10.0, report)));
+                self.reports
+                    .extend(local.report(now).map(|report| (now + 10.0, report)));
             }
             for (pool, surplus) in local.surplus(now) {
-                let target = self.pools.iter().position(|known| *known == pool).expect("is one of them");
+                let target = self
+                    .pools
+                    .iter()
+                    .position(|known| *known == pool)
+                    .expect("is one of them");
                 close.push((forwarder, target, surplus));
             }
         }
--- a/forwarder/connection-quotas/examples/fleet/traffic.rs
+++ b/forwarder/connection-quotas/examples/fleet/traffic.rs
@@ -20,7 +20,8 @@
 /// How a forwarder gets a connection.
 pub trait Way {
     /// Whether a call may go over a connection, `kept` one that is open or a new one.
-    fn may(&mut self, now: f64, forwarder: usize, target: usize, member: usize, kept: bool) -> bool;
+    fn may(&mut self, now: f64, forwarder: usize, target: usize, member: usize, kept: bool)
+        -> bool;
     /// The target refused a new one.
     fn refused(&mut self, now: f64, forwarder: usize, target: usize, member: usize);
     /// The call is over. Whether its connection may stay open.
@@ -75,8 +76,12 @@
         })
         .collect();
     let (all, sum): (f64, f64) = (members.iter().sum(), forwarders.iter().sum());
-    let rate =
-        |forwarder: &f64| members.iter().map(|member| total * forwarder / sum * member / all).collect();
+    let rate = |forwarder: &f64| {
+        members
+            .iter()
+            .map(|member| total * forwarder / sum * member / all)
+            .collect()
+    };
     forwarders.iter().map(rate).collect()
 }
 
@@ -84,8 +89,9 @@
 pub fn play(seed: u64, traffic: Traffic, way: &mut dyn Way) -> Seen {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let rates = rates(traffic, &mut chance);
-    let mut doors: Vec<Vec<Door>> =
-        (0..FORWARDERS).map(|_| (0..TARGETS).map(|_| Door::default()).collect()).collect();
+    let mut doors: Vec<Vec<Door>> = (0..FORWARDERS)
+        .map(|_| (0..TARGETS).map(|_| Door::default()).collect())
+        .collect();
     let (mut handed, mut served) = (vec![0.0; MEMBERS.len()], vec![0.0; MEMBERS.len()]);
     let (mut refused, mut used, mut now) = (0.0, 0.0, 0.0);
     while now < WARM_UP + LASTS {
@@ -100,7 +106,10 @@
         }
         let mut open: Vec<u32> = (0..TARGETS)
             .map(|target| {
-                doors.iter().map(|all| (all[target].out.len() + all[target].idle.len()) as u32).sum()
+                doors
+                    .iter()
+                    .map(|all| (all[target].out.len() + all[target].idle.len()) as u32)
+                    .sum()
             })
             .collect();
         let first = chance.random_range(0..FORWARDERS);
@@ -110,7 +119,9 @@
                 while chance.random_bool(more.clamp(0.0, 1.0)) {
                     more -= 1.0;
                     let target = chance.random_range(0..TARGETS);
-                    doors[forwarder][target].waiting.push_back((member, now + PATIENCE, now));
+                    doors[forwarder][target]
+                        .waiting
+                        .push_back((member, now + PATIENCE, now));
                     handed[member] += f64::from(u8::from(counts));
                     if more <= 0.0 {
                         break;
@@ -141,8 +152,9 @@
                     if now > by {
                         continue;
                     }
-                    full[member] |=
-                        now >= from && !full[member] && !way.may(now, forwarder, target, member, kept);
+                    full[member] |= now >= from
+                        && !full[member]
+                        && !way.may(now, forwarder, target, member, kept);
                     if now < from || full[member] {
                         left.push_back((member, by, from));
                         continue;
@@ -167,7 +179,11 @@
     let seconds = (LASTS - PATIENCE) / 1_000.0;
     Seen {
         all: served.iter().sum::<f64>() / handed.iter().sum::<f64>(),
-        served: served.iter().zip(&handed).map(|(served, handed)| served / handed).collect(),
+        served: served
+            .iter()
+            .zip(&handed)
+            .map(|(served, handed)| served / handed)
+            .collect(),
         refused: refused / seconds,
         used: used / steps / (f64::from(TAKES) * TARGETS as f64),
     }
--- a/forwarder/connection-quotas/src/language/check.rs
+++ b/forwarder/connection-quotas/src/language/check.rs
@@ -26,12 +26,32 @@
     let mut faults = Gathered::new(file);
     if tree.language.what != LANGUAGE {
         let what = format!("{} is not known", tree.language.what);
-        faults.add(tree.language.place, "language", what, format!("write `language {LANGUAGE}`"));
+        faults.add(
+            tree.language.place,
+            "language",
+            what,
+            format!("write `language {LANGUAGE}`"),
+        );
     }
     let edition = within(&mut faults, "edition", tree.edition, 1, u64::from(u32::MAX)).into();
-    too_many(&mut faults, "member", tree.members.iter().map(|m| m.name.place), MOST_MEMBERS);
-    too_many(&mut faults, "budget", tree.budgets.iter().map(|b| b.scope.place), MOST_BUDGETS);
-    too_many(&mut faults, "rule", tree.rules.iter().map(|r| r.name.place), MOST_RULES);
+    too_many(
+        &mut faults,
+        "member",
+        tree.members.iter().map(|m| m.name.place),
+        MOST_MEMBERS,
+    );
+    too_many(
+        &mut faults,
+        "budget",
+        tree.budgets.iter().map(|b| b.scope.place),
+        MOST_BUDGETS,
+    );
+    too_many(
+        &mut faults,
+        "rule",
+        tree.rules.iter().map(|r| r.name.place),
+        MOST_RULES,
+    );
     names(&mut faults, tree, known);
     let lease = lease(&mut faults, &tree.lease);
     let members = check_members::members(&mut faults, &tree.members, known);
@@ -39,19 +59,40 @@
     let rules = check_budgets::rules(&mut faults, &tree.rules, &members);
     check_budgets::together(&mut faults, tree, &budgets, &rules, &members);
     let budgets = budgets.into_iter().flatten().collect();
-    faults.unless_any(Policy { edition, lease, members: members.names, budgets, rules })
+    faults.unless_any(Policy {
+        edition,
+        lease,
+        members: members.names,
+        budgets,
+        rules,
+    })
 }
 
-fn too_many(faults: &mut Gathered, key: &str, mut places: impl Iterator<Item = Place>, most: usize) {
+fn too_many(
+    faults: &mut Gathered,
+    key: &str,
+    mut places: impl Iterator<Item = Place>,
+    most: usize,
+) {
     if let Some(place) = places.nth(most) {
         faults.add(place, key, format!("more than {most}"), "say it in fewer");
     }
 }
 
 /// A number within its bounds; else it is told and the nearer bound goes on in its place.
-pub(super) fn within(faults: &mut Gathered, key: &str, number: At<u64>, least: u64, most: u64) -> u32 {
+pub(super) fn within(
+    faults: &mut Gathered,
+    key: &str,
+    number: At<u64>,
+    least: u64,
+    most: u64,
+) -> u32 {
     if !(least..=most).contains(&number.what) {
-        let bound = if number.what < least { format!("under {least}") } else { format!("above {most}") };
+        let bound = if number.what < least {
+            format!("under {least}")
+        } else {
+            format!("above {most}")
+        };
         let way_out = format!("{least} to {most} are allowed");
         faults.add(number.place, key, format!("is {bound}"), way_out);
     }
@@ -67,7 +108,12 @@
     block: &str,
 ) {
     if told.contains(&word) {
-        faults.add(place, &format!("{block} / {word}"), "is told twice", "leave one of them out");
+        faults.add(
+            place,
+            &format!("{block} / {word}"),
+            "is told twice",
+            "leave one of them out",
+        );
     }
     told.push(word);
 }
@@ -75,7 +121,12 @@
 fn lease(faults: &mut Gathered, blocks: &[At<Vec<LeaseKey>>]) -> LeaseTerms {
     let (mut lasts, mut renew, mut drift) = (At::from(10_000), None, At::from(Percent(200)));
     for block in blocks.iter().skip(1) {
-        faults.add(block.place, "lease", "is told twice", "leave one of them out");
+        faults.add(
+            block.place,
+            "lease",
+            "is told twice",
+            "leave one of them out",
+        );
     }
     let mut told = Vec::new();
     for key in blocks.iter().flat_map(|block| &block.what) {
@@ -95,15 +146,28 @@
         }
     }
     let lasting = within(faults, "lease / lasts", lasts, 1_000, 600_000);
-    let renew = renew.unwrap_or(At { what: u64::from(lasting) / 10, place: lasts.place });
+    let renew = renew.unwrap_or(At {
+        what: u64::from(lasting) / 10,
+        place: lasts.place,
+    });
     let renewed = within(faults, "lease / renew", renew, 100, 200_000);
     if u64::from(renewed) * 3 > u64::from(lasting) {
         let what = format!("{renewed}ms is over a third of the lease's {lasting}ms");
-        faults.add(renew.place, "lease / renew", what, "renew more often, or let a lease last longer");
+        faults.add(
+            renew.place,
+            "lease / renew",
+            what,
+            "renew more often, or let a lease last longer",
+        );
     }
     if !(1..=1_000).contains(&drift.what.0) {
         let way_out = "0.01% to 10% are allowed; 2% is far above any clock that works";
-        faults.add(drift.place, "lease / drift", format!("is {}", drift.what), way_out);
+        faults.add(
+            drift.place,
+            "lease / drift",
+            format!("is {}", drift.what),
+            way_out,
+        );
     }
     LeaseTerms {
         lasts: f64::from(lasting),
@@ -120,7 +184,12 @@
     for (at, rule) in tree.rules.iter().enumerate() {
         let key = format!("rule {}", rule.name.what);
         if tree.rules[..at].iter().any(|other| other.name == rule.name) {
-            faults.add(rule.name.place, &key, "the name is told twice", "give each rule a name of its own");
+            faults.add(
+                rule.name.place,
+                &key,
+                "the name is told twice",
+                "give each rule a name of its own",
+            );
         }
         if let Some(scope) = &rule.scope {
             kind_of(faults, scope, known);
@@ -130,18 +199,30 @@
 }
 
 fn kind_of(faults: &mut Gathered, scope: &At<Scope>, known: &Known) {
-    if let Scope::Each { of: Of::Kind(kind), .. } = &scope.what {
-        let kind = At { what: kind.clone(), place: scope.place };
+    if let Scope::Each {
+        of: Of::Kind(kind), ..
+    } = &scope.what
+    {
+        let kind = At {
+            what: kind.clone(),
+            place: scope.place,
+        };
         unknown(faults, &kind, &scope.what.to_string(), "kind", known.kinds);
     }
 }
 
 fn conditions(faults: &mut Gathered, when: &When, key: &str, known: &Known) {
     match when {
-        When::Any(all) | When::All(all) => all.iter().for_each(|one| conditions(faults, one, key, known)),
+        When::Any(all) | When::All(all) => all
+            .iter()
+            .for_each(|one| conditions(faults, one, key, known)),
         When::Not(one) => conditions(faults, one, key, known),
-        When::Zone(names) => names.iter().for_each(|name| unknown(faults, name, key, "zone", known.zones)),
-        When::Kind(names) => names.iter().for_each(|name| unknown(faults, name, key, "kind", known.kinds)),
+        When::Zone(names) => names
+            .iter()
+            .for_each(|name| unknown(faults, name, key, "zone", known.zones)),
+        When::Kind(names) => names
+            .iter()
+            .for_each(|name| unknown(faults, name, key, "kind", known.kinds)),
         When::Cold | When::Draining | When::Destination(_) => (),
     }
 }
@@ -154,11 +235,18 @@
     sort: &str,
     known: Option<&[String]>,
 ) {
-    let Some(known) = known.filter(|known| !known.contains(&name.what)) else { return };
+    let Some(known) = known.filter(|known| !known.contains(&name.what)) else {
+        return;
+    };
     let way_out = match nearest(&name.what, known.iter().map(String::as_str)) {
         Some(near) => format!("did you mean `{near}`?"),
         None if known.is_empty() => format!("no {sort} is told"),
         None => format!("known are: {}", known.join(", ")),
     };
-    faults.add(name.place, &format!("{key} / {sort} {}", name.what), format!("no such {sort}"), way_out);
+    faults.add(
+        name.place,
+        &format!("{key} / {sort} {}", name.what),
+        format!("no such {sort}"),
+        way_out,
+    );
 }
--- a/forwarder/connection-quotas/src/language/check_budgets.rs
+++ b/forwarder/connection-quotas/src/language/check_budgets.rs
@@ -7,7 +7,12 @@
 use super::tree::*;
 
 /// What a block says, with the whole number that it gives in place of a part.
-fn block(faults: &mut Gathered, keys: &[BudgetKey], key: &str, members: &Members) -> (Change, Option<u32>) {
+fn block(
+    faults: &mut Gathered,
+    keys: &[BudgetKey],
+    key: &str,
+    members: &Members,
+) -> (Change, Option<u32>) {
     let (mut made, mut standing, mut told) = (Change::default(), None, Vec::new());
     let mut named: Vec<usize> = Vec::new();
     for part in keys {
@@ -17,23 +22,42 @@
                 let key = format!("{key} / connections");
                 match amount.what {
                     Amount::Whole(number) => {
-                        let number = At { what: number, place: amount.place };
+                        let number = At {
+                            what: number,
+                            place: amount.place,
+                        };
                         made.connections = Some(within(faults, &key, number, 1, MOST_CONNECTIONS));
                     }
                     Amount::Part(part) if (1..=10_000).contains(&part.0) => made.part = Some(part),
                     Amount::Part(part) => {
-                        faults.add(amount.place, &key, format!("is {part}"), "0.01% to 100% are allowed");
+                        faults.add(
+                            amount.place,
+                            &key,
+                            format!("is {part}"),
+                            "0.01% to 100% are allowed",
+                        );
                     }
                 }
             }
             BudgetKey::Reserve(number) => {
                 once(faults, &mut told, "reserve", number.place, key);
-                made.reserve =
-                    Some(within(faults, &format!("{key} / reserve"), *number, 0, MOST_CONNECTIONS));
+                made.reserve = Some(within(
+                    faults,
+                    &format!("{key} / reserve"),
+                    *number,
+                    0,
+                    MOST_CONNECTIONS,
+                ));
             }
             BudgetKey::Standing(number) => {
                 once(faults, &mut told, "standing", number.place, key);
-                standing = Some(within(faults, &format!("{key} / standing"), *number, 0, MOST_CONNECTIONS));
+                standing = Some(within(
+                    faults,
+                    &format!("{key} / standing"),
+                    *number,
+                    0,
+                    MOST_CONNECTIONS,
+                ));
             }
             BudgetKey::Over(over) => {
                 once(faults, &mut told, "over", over.place, key);
@@ -65,22 +89,40 @@
 }
 
 /// The budgets in the order they are written; none in the place of one that says no number of connections.
-pub fn budgets(faults: &mut Gathered, trees: &[BudgetTree], members: &Members) -> Vec<Option<Budget>> {
+pub fn budgets(
+    faults: &mut Gathered,
+    trees: &[BudgetTree],
+    members: &Members,
+) -> Vec<Option<Budget>> {
     let mut made = Vec::new();
     for (at, tree) in trees.iter().enumerate() {
         let (scope, place) = (&tree.scope.what, tree.scope.place);
         let key = format!("budget {scope}");
-        for other in trees[..at].iter().filter(|other| same_ground(&other.scope.what, scope)) {
-            let what =
-                format!("`{}` in line {} holds for the same", other.scope.what, other.scope.place.line);
+        for other in trees[..at]
+            .iter()
+            .filter(|other| same_ground(&other.scope.what, scope))
+        {
+            let what = format!(
+                "`{}` in line {} holds for the same",
+                other.scope.what, other.scope.place.line
+            );
             faults.add(place, &key, what, "leave one of them out");
         }
         let (told, standing) = block(faults, &tree.keys, &key, members);
         let connections = match (told.connections, told.part) {
             (Some(connections), _) => connections,
             (None, part) => {
-                let what = if part.is_some() { "is a part of nothing" } else { "is missing" };
-                faults.add(place, &format!("{key} / connections"), what, "give a whole number");
+                let what = if part.is_some() {
+                    "is a part of nothing"
+                } else {
+                    "is missing"
+                };
+                faults.add(
+                    place,
+                    &format!("{key} / connections"),
+                    what,
+                    "give a whole number",
+                );
                 made.push(None);
                 continue;
             }
@@ -95,7 +137,9 @@
         told.apply(connections, &mut terms);
         let floors: u32 = terms.members.iter().map(|member| member.floor).sum();
         // A quarter of what is free, where nothing is told: enough to go on alone, little to lie idle.
-        let free = connections.saturating_sub(terms.reserve).saturating_sub(floors);
+        let free = connections
+            .saturating_sub(terms.reserve)
+            .saturating_sub(floors);
         terms.standing = standing.unwrap_or(free / 4);
         contradictions(
             faults,
@@ -104,7 +148,10 @@
             &member_blocks(&tree.keys),
             &format!("{key} / "),
         );
-        made.push(Some(Budget { scope: scope.clone(), terms }));
+        made.push(Some(Budget {
+            scope: scope.clone(),
+            terms,
+        }));
     }
     made
 }
@@ -125,10 +172,19 @@
         let key = format!("rule {}", tree.name.what);
         let (change, _) = block(faults, &tree.keys, &key, members);
         if tree.keys.is_empty() {
-            faults.add(tree.name.place, &key, "changes nothing", "say what changes, or leave it out");
+            faults.add(
+                tree.name.place,
+                &key,
+                "changes nothing",
+                "say what changes, or leave it out",
+            );
         }
         let scope = tree.scope.as_ref().map(|scope| scope.what.clone());
-        made.push(Rule { scope, when: tree.when.clone(), change });
+        made.push(Rule {
+            scope,
+            when: tree.when.clone(),
+            change,
+        });
     }
     made
 }
@@ -147,7 +203,10 @@
         let base = &budget.terms;
         fits(faults, base.connections, base, &told.scope, &key, "");
         let mut worst = base.clone();
-        for (rule, written) in rules.iter().zip(&tree.rules).filter(|(rule, _)| may_hold(rule, &budget.scope))
+        for (rule, written) in rules
+            .iter()
+            .zip(&tree.rules)
+            .filter(|(rule, _)| may_hold(rule, &budget.scope))
         {
             let before = worst.clone();
             rule.change.apply(base.connections, &mut worst);
@@ -156,7 +215,13 @@
                 member.floor = member.floor.max(before.floor);
             }
             let inside = format!("rule {} / ", written.name.what);
-            contradictions(faults, &worst.members, &members.names, &member_blocks(&written.keys), &inside);
+            contradictions(
+                faults,
+                &worst.members,
+                &members.names,
+                &member_blocks(&written.keys),
+                &inside,
+            );
             if promised(&before) <= before.connections {
                 let why = format!(" with {}", inside.trim_end_matches(" / "));
                 fits(faults, base.connections, &worst, &written.name, &key, &why);
@@ -175,12 +240,19 @@
         return;
     }
     let floors: u32 = terms.members.iter().map(|member| member.floor).sum();
-    let left = if why.is_empty() { String::new() } else { format!(" of {base}") };
+    let left = if why.is_empty() {
+        String::new()
+    } else {
+        format!(" of {base}")
+    };
     let what = format!(
         "floors {floors}, reserve {} and standing {} are {promised}, above the {connections} connections{left}{why}",
         terms.reserve, terms.standing
     );
-    let way_out = format!("take {} off them, or raise the connections", promised - connections);
+    let way_out = format!(
+        "take {} off them, or raise the connections",
+        promised - connections
+    );
     faults.add(at.place, &format!("{key} / connections"), what, way_out);
 }
 
@@ -203,8 +275,13 @@
     match scope {
         Scope::Target(name) => (Some(name.clone()), None, None),
         Scope::Destination(number) => (None, None, Some(*number)),
-        Scope::Each { of: Of::Kind(kind), .. } => (None, Some(kind.clone()), None),
-        Scope::Each { of: Of::Destination(number), .. } => (None, None, Some(*number)),
+        Scope::Each {
+            of: Of::Kind(kind), ..
+        } => (None, Some(kind.clone()), None),
+        Scope::Each {
+            of: Of::Destination(number),
+            ..
+        } => (None, None, Some(*number)),
         Scope::Each { of: Of::All, .. } => (None, None, None),
     }
 }
@@ -217,7 +294,10 @@
         When::All(all) if all.iter().any(|one| may(one, known) == Some(false)) => Some(false),
         When::All(all) if all.iter().all(|one| may(one, known) == Some(true)) => Some(true),
         When::Not(one) => may(one, known).map(|holds| !holds),
-        When::Kind(names) => known.1.as_ref().map(|kind| names.iter().any(|name| name.what == *kind)),
+        When::Kind(names) => known
+            .1
+            .as_ref()
+            .map(|kind| names.iter().any(|name| name.what == *kind)),
         When::Destination(number) => known.2.map(|known| known == *number),
         _ => None,
     }
--- a/forwarder/connection-quotas/src/language/check_members.rs
+++ b/forwarder/connection-quotas/src/language/check_members.rs
@@ -13,7 +13,10 @@
 }
 
 pub fn members(faults: &mut Gathered, trees: &[MemberTree], known: &Known) -> Members {
-    let mut names: Vec<String> = trees.iter().map(|member| member.name.what.clone()).collect();
+    let mut names: Vec<String> = trees
+        .iter()
+        .map(|member| member.name.what.clone())
+        .collect();
     names.push(OTHERS.to_owned());
     names.sort_unstable();
     names.dedup();
@@ -26,8 +29,17 @@
             unknown(faults, &tree.name, "policy", "member", known.members);
         }
     }
-    let plain = MemberTerms { weight: 1, floor: 0, ceiling: u32::MAX, lends: Reach::All, borrows: true };
-    let mut members = Members { usual: vec![plain; names.len()], names };
+    let plain = MemberTerms {
+        weight: 1,
+        floor: 0,
+        ceiling: u32::MAX,
+        lends: Reach::All,
+        borrows: true,
+    };
+    let mut members = Members {
+        usual: vec![plain; names.len()],
+        names,
+    };
     let mut usual = members.usual.clone();
     for tree in trees {
         if let Some((at, told)) = change(faults, tree, "", &members) {
@@ -47,7 +59,10 @@
     members: &Members,
 ) -> Option<(usize, MemberChange)> {
     let key = format!("{inside}member {}", tree.name.what);
-    let place = members.names.iter().position(|name| *name == tree.name.what);
+    let place = members
+        .names
+        .iter()
+        .position(|name| *name == tree.name.what);
     if place.is_none() {
         let sort = inside.trim_end_matches(" / ");
         unknown(faults, &tree.name, sort, "member", Some(&members.names));
@@ -57,16 +72,33 @@
         match part {
             MemberKey::Weight(weight) => {
                 once(faults, &mut told, "weight", weight.place, &key);
-                change.weight = Some(within(faults, &format!("{key} / weight"), *weight, 0, MOST_WEIGHT));
+                change.weight = Some(within(
+                    faults,
+                    &format!("{key} / weight"),
+                    *weight,
+                    0,
+                    MOST_WEIGHT,
+                ));
             }
             MemberKey::Floor(floor) => {
                 once(faults, &mut told, "floor", floor.place, &key);
-                change.floor = Some(within(faults, &format!("{key} / floor"), *floor, 0, MOST_CONNECTIONS));
+                change.floor = Some(within(
+                    faults,
+                    &format!("{key} / floor"),
+                    *floor,
+                    0,
+                    MOST_CONNECTIONS,
+                ));
             }
             MemberKey::Ceiling(ceiling) => {
                 once(faults, &mut told, "ceiling", ceiling.place, &key);
-                change.ceiling =
-                    Some(within(faults, &format!("{key} / ceiling"), *ceiling, 0, MOST_CONNECTIONS));
+                change.ceiling = Some(within(
+                    faults,
+                    &format!("{key} / ceiling"),
+                    *ceiling,
+                    0,
+                    MOST_CONNECTIONS,
+                ));
             }
             MemberKey::Borrows(borrows) => {
                 once(faults, &mut told, "borrows", borrows.place, &key);
@@ -74,7 +106,12 @@
             }
             MemberKey::Lends(lends) => {
                 once(faults, &mut told, "lends", lends.place, &key);
-                change.lends = Some(reach(faults, &lends.what, &format!("{key} / lends"), members));
+                change.lends = Some(reach(
+                    faults,
+                    &lends.what,
+                    &format!("{key} / lends"),
+                    members,
+                ));
             }
         }
     }
@@ -91,7 +128,12 @@
     for name in names {
         match members.names.iter().position(|known| *known == name.what) {
             Some(place) if places.contains(&place) => {
-                faults.add(name.place, key, format!("{} is named twice", name.what), "name it once");
+                faults.add(
+                    name.place,
+                    key,
+                    format!("{} is named twice", name.what),
+                    "name it once",
+                );
             }
             Some(place) => places.push(place),
             None => unknown(faults, name, key, "member", Some(&members.names)),
@@ -115,10 +157,20 @@
         let Some(tree) = block(at) else { continue };
         let key = format!("{inside}member {}", names[at]);
         if member.ceiling < member.floor {
-            let what = format!("the ceiling {} is under the floor {}", member.ceiling, member.floor);
-            faults.add(tree.name.place, &format!("{key} / ceiling"), what, "raise one or lower the other");
+            let what = format!(
+                "the ceiling {} is under the floor {}",
+                member.ceiling, member.floor
+            );
+            faults.add(
+                tree.name.place,
+                &format!("{key} / ceiling"),
+                what,
+                "raise one or lower the other",
+            );
         }
-        let Reach::Only(to) = &member.lends else { continue };
+        let Reach::Only(to) = &member.lends else {
+            continue;
+        };
         for borrower in to.iter().filter(|to| !terms[**to].borrows) {
             let what = format!("lends to {}, which does not borrow", names[*borrower]);
             faults.add(
@@ -129,11 +181,20 @@
             );
         }
     }
-    let Some(circle) = lending::circle(terms) else { return };
-    let Some(tree) = circle.iter().find_map(|at| block(*at)) else { return };
+    let Some(circle) = lending::circle(terms) else {
+        return;
+    };
+    let Some(tree) = circle.iter().find_map(|at| block(*at)) else {
+        return;
+    };
     let mut way: Vec<&str> = circle.iter().map(|at| names[*at].as_str()).collect();
     way.push(way[0]);
     let key = format!("{inside}member {} / lends", tree.name.what);
     let what = format!("a circle of lending: {}", way.join(" to "));
-    faults.add(tree.name.place, &key, what, "take one of them out of another's list, or say `lends all`");
+    faults.add(
+        tree.name.place,
+        &key,
+        what,
+        "take one of them out of another's list, or say `lends all`",
+    );
 }
--- a/forwarder/connection-quotas/src/language/fault.rs
+++ b/forwarder/connection-quotas/src/language/fault.rs
@@ -18,7 +18,11 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Place { line, column } = self.place;
-        write!(f, "{}:{line}:{column}: {}: {}; {}", self.file, self.key, self.what, self.way_out)
+        write!(
+            f,
+            "{}:{line}:{column}: {}: {}; {}",
+            self.file, self.key, self.what, self.way_out
+        )
     }
 }
 
@@ -51,13 +55,28 @@
 
 impl<'a> Gathered<'a> {
     pub fn new(file: &'a str) -> Self {
-        Gathered { file, faults: Vec::new() }
+        Gathered {
+            file,
+            faults: Vec::new(),
+        }
     }
 
-    pub fn add(&mut self, place: Place, key: &str, what: impl Into<String>, way_out: impl Into<String>) {
+    pub fn add(
+        &mut self,
+        place: Place,
+        key: &str,
+        what: impl Into<String>,
+        way_out: impl Into<String>,
+    ) {
         if self.faults.len() < MOST_TOLD {
             let (file, key) = (self.file.to_owned(), key.to_owned());
-            self.faults.push(Fault { file, place, key, what: what.into(), way_out: way_out.into() });
+            self.faults.push(Fault {
+                file,
+                place,
+                key,
+                what: what.into(),
+                way_out: way_out.into(),
+            });
         }
     }
 
@@ -72,6 +91,10 @@
 
 /// The nearest of some names, to be proposed where another stands; none if all are far.
 pub fn nearest<'a>(key: &str, names: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let near = names.into_iter().map(|name| (strsim::jaro_winkler(key, name), name));
-    near.max_by(|a, b| a.0.total_cmp(&b.0)).filter(|(likeness, _)| *likeness > 0.7).map(|(_, name)| name)
+    let near = names
+        .into_iter()
+        .map(|name| (strsim::jaro_winkler(key, name), name));
+    near.max_by(|a, b| a.0.total_cmp(&b.0))
+        .filter(|(likeness, _)| *likeness > 0.7)
+        .map(|(_, name)| name)
 }
