--- a/forwarder/connection-quotas/src/language/lending.rs
+++ b/forwarder/connection-quotas/src/language/lending.rs
@@ -16,7 +16,12 @@
 }
 
 /// No deeper than there are members, of which the checks bound the number.
-fn follow(members: &[MemberTerms], at: usize, way: &mut Vec<usize>, done: &mut [bool]) -> Option<Vec<usize>> {
+fn follow(
+    members: &[MemberTerms],
+    at: usize,
+    way: &mut Vec<usize>,
+    done: &mut [bool],
+) -> Option<Vec<usize>> {
     if let Some(begins) = way.iter().position(|step| *step == at) {
         return Some(way[begins..].to_vec());
     }
@@ -38,7 +43,9 @@
 
 /// For each member whom its unused share may reach: those that borrow, itself left out.
 pub fn reaches(members: &[MemberTerms]) -> Vec<Vec<usize>> {
-    (0..members.len()).map(|from| reach_of(members, from)).collect()
+    (0..members.len())
+        .map(|from| reach_of(members, from))
+        .collect()
 }
 
 fn reach_of(members: &[MemberTerms], from: usize) -> Vec<usize> {
@@ -59,5 +66,7 @@
         }
     }
     reached[from] = false;
-    (0..members.len()).filter(|at| reached[*at] && members[*at].borrows).collect()
+    (0..members.len())
+        .filter(|at| reached[*at] && members[*at].borrows)
+        .collect()
 }
--- a/forwarder/connection-quotas/src/language/parts.rs
+++ b/forwarder/connection-quotas/src/language/parts.rs
@@ -14,13 +14,20 @@
 }
 
 fn at<T>(part: &Part, what: T) -> At<T> {
-    At { what, place: place(part) }
+    At {
+        what,
+        place: place(part),
+    }
 }
 
 /// The first part inside that is no keyword.
 fn inside(part: Part) -> Option<Part> {
-    let word =
-        |it| matches!(it, Rule::whole | Rule::percent | Rule::span | Rule::name | Rule::yes | Rule::no);
+    let word = |it| {
+        matches!(
+            it,
+            Rule::whole | Rule::percent | Rule::span | Rule::name | Rule::yes | Rule::no
+        )
+    };
     part.into_inner().find(|inner| word(inner.as_rule()))
 }
 
@@ -52,15 +59,25 @@
     let text = text.trim_end_matches('%');
     let (whole, rest) = text.split_once('.').unwrap_or((text, ""));
     let hundredths: String = rest.chars().chain("00".chars()).take(2).collect();
-    Percent(number(whole).saturating_mul(100).saturating_add(number(&hundredths)))
+    Percent(
+        number(whole)
+            .saturating_mul(100)
+            .saturating_add(number(&hundredths)),
+    )
 }
 
 fn name(part: &Part) -> At<String> {
-    At { what: part.as_str().trim_matches('"').to_owned(), place: place(part) }
+    At {
+        what: part.as_str().trim_matches('"').to_owned(),
+        place: place(part),
+    }
 }
 
 fn names(part: Part) -> Vec<At<String>> {
-    part.into_inner().filter(|inner| inner.as_rule() == Rule::name).map(|inner| name(&inner)).collect()
+    part.into_inner()
+        .filter(|inner| inner.as_rule() == Rule::name)
+        .map(|inner| name(&inner))
+        .collect()
 }
 
 fn name_in(part: Part) -> At<String> {
@@ -76,7 +93,10 @@
         Rule::drift => Some(LeaseKey::Drift(percent_in(inner))),
         _ => None,
     });
-    At { what: keys.collect(), place }
+    At {
+        what: keys.collect(),
+        place,
+    }
 }
 
 pub fn member(part: Part) -> MemberTree {
@@ -89,11 +109,17 @@
         Rule::borrows => {
             let place = place(&inner);
             let says_yes = inside(inner).is_some_and(|word| word.as_rule() == Rule::yes);
-            Some(MemberKey::Borrows(At { what: says_yes, place }))
+            Some(MemberKey::Borrows(At {
+                what: says_yes,
+                place,
+            }))
         }
         _ => None,
     });
-    MemberTree { name, keys: keys.collect() }
+    MemberTree {
+        name,
+        keys: keys.collect(),
+    }
 }
 
 fn lends(part: Part) -> At<Lends> {
@@ -111,8 +137,14 @@
 
 pub fn budget(part: Part) -> BudgetTree {
     let outer = at(&part, Scope::Destination(0));
-    let found = part.clone().into_inner().find(|inner| inner.as_rule() == Rule::scope);
-    BudgetTree { scope: found.map_or(outer, scope), keys: budget_keys(part) }
+    let found = part
+        .clone()
+        .into_inner()
+        .find(|inner| inner.as_rule() == Rule::scope);
+    BudgetTree {
+        scope: found.map_or(outer, scope),
+        keys: budget_keys(part),
+    }
 }
 
 fn budget_keys(part: Part) -> Vec<BudgetKey> {
@@ -129,7 +161,9 @@
 
 fn amount(part: Part) -> At<Amount> {
     let outer = at(&part, Amount::Whole(0));
-    let Some(inner) = inside(part) else { return outer };
+    let Some(inner) = inside(part) else {
+        return outer;
+    };
     let what = match inner.as_rule() {
         Rule::percent => Amount::Part(percent(inner.as_str())),
         _ => Amount::Whole(number(inner.as_str())),
@@ -144,7 +178,10 @@
         Rule::by_zone => Some(Over::ByZone),
         _ => None,
     });
-    At { what: ways.last().unwrap_or(Over::Evenly), place }
+    At {
+        what: ways.last().unwrap_or(Over::Evenly),
+        place,
+    }
 }
 
 fn scope(part: Part) -> At<Scope> {
@@ -175,15 +212,27 @@
 
 pub fn rule(part: Part) -> RuleTree {
     let name = name_in(part.clone());
-    let find = |asked| part.clone().into_inner().find(|inner| inner.as_rule() == asked);
+    let find = |asked| {
+        part.clone()
+            .into_inner()
+            .find(|inner| inner.as_rule() == asked)
+    };
     let when = find(Rule::either).map_or(When::All(Vec::new()), when);
-    RuleTree { name, scope: find(Rule::scope).map(scope), when, keys: budget_keys(part) }
+    RuleTree {
+        name,
+        scope: find(Rule::scope).map(scope),
+        when,
+        keys: budget_keys(part),
+    }
 }
 
 fn when(part: Part) -> When {
     let conditions = |part: Part| -> Vec<When> {
         let keyword = |it| matches!(it, Rule::k_or | Rule::k_and | Rule::k_not);
-        part.into_inner().filter(|inner| !keyword(inner.as_rule())).map(when).collect()
+        part.into_inner()
+            .filter(|inner| !keyword(inner.as_rule()))
+            .map(when)
+            .collect()
     };
     match part.as_rule() {
         Rule::either => flat(conditions(part), When::Any),
--- a/forwarder/connection-quotas/src/language/policy.rs
+++ b/forwarder/connection-quotas/src/language/policy.rs
@@ -6,11 +6,15 @@
 pub const OTHERS: &str = "others";
 
 /// The place of a member in its policy's list, which is in the order of names.
-#[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize)]
+#[derive(
+    Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
+)]
 pub struct MemberId(pub u16);
 
 /// Where connections are counted: the name of a target, or the number of a destination.
-#[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize)]
+#[derive(
+    Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
+)]
 pub enum PoolId {
     Target(String),
     Destination(u64),
@@ -128,7 +132,10 @@
 impl Change {
     /// Of two rules, the one that leaves fewer connections goes before.
     pub(super) fn apply(&self, base: u32, to: &mut PoolTerms) {
-        let told = self.part.map(|part| part_of(base, part)).or(self.connections);
+        let told = self
+            .part
+            .map(|part| part_of(base, part))
+            .or(self.connections);
         to.connections = told.map_or(to.connections, |told| told.min(to.connections));
         to.reserve = self.reserve.unwrap_or(to.reserve);
         to.over = self.over.unwrap_or(to.over);
@@ -142,8 +149,14 @@
 pub(super) fn rank(scope: &Scope) -> u8 {
     match scope {
         Scope::Target(_) => 3,
-        Scope::Destination(_) | Scope::Each { of: Of::Destination(_), .. } => 2,
-        Scope::Each { of: Of::Kind(_), .. } => 1,
+        Scope::Destination(_)
+        | Scope::Each {
+            of: Of::Destination(_),
+            ..
+        } => 2,
+        Scope::Each {
+            of: Of::Kind(_), ..
+        } => 1,
         Scope::Each { of: Of::All, .. } => 0,
     }
 }
@@ -153,8 +166,13 @@
         Scope::Target(name) => *name == facts.target,
         Scope::Destination(number) => *number == facts.destination,
         Scope::Each { of: Of::All, .. } => true,
-        Scope::Each { of: Of::Kind(kind), .. } => *kind == facts.kind,
-        Scope::Each { of: Of::Destination(number), .. } => *number == facts.destination,
+        Scope::Each {
+            of: Of::Kind(kind), ..
+        } => *kind == facts.kind,
+        Scope::Each {
+            of: Of::Destination(number),
+            ..
+        } => *number == facts.destination,
     }
 }
 
@@ -175,19 +193,26 @@
 
 impl Policy {
     fn budget(&self, facts: &Facts) -> Option<&Budget> {
-        let fitting = self.budgets.iter().filter(|budget| holds_for(&budget.scope, facts));
+        let fitting = self
+            .budgets
+            .iter()
+            .filter(|budget| holds_for(&budget.scope, facts));
         fitting.max_by_key(|budget| rank(&budget.scope))
     }
 
     /// Where the connections to a target are counted; nowhere if no budget holds for it.
     pub fn pool(&self, facts: &Facts) -> Option<PoolId> {
         Some(match &self.budget(facts)?.scope {
-            Scope::Target(_) | Scope::Each { counted: Counted::Target, .. } => {
-                PoolId::Target(facts.target.clone())
-            }
-            Scope::Destination(_) | Scope::Each { counted: Counted::Destination, .. } => {
-                PoolId::Destination(facts.destination)
-            }
+            Scope::Target(_)
+            | Scope::Each {
+                counted: Counted::Target,
+                ..
+            } => PoolId::Target(facts.target.clone()),
+            Scope::Destination(_)
+            | Scope::Each {
+                counted: Counted::Destination,
+                ..
+            } => PoolId::Destination(facts.destination),
         })
     }
 
@@ -201,7 +226,10 @@
         let budget = self.budget(facts)?;
         let mut terms = budget.terms.clone();
         let met = self.rules.iter().filter(|rule| {
-            rule.scope.as_ref().is_none_or(|scope| holds_for(scope, facts)) && rule.when.holds(facts)
+            rule.scope
+                .as_ref()
+                .is_none_or(|scope| holds_for(scope, facts))
+                && rule.when.holds(facts)
         });
         met.for_each(|rule| rule.change.apply(budget.terms.connections, &mut terms));
         Some(terms)
@@ -210,7 +238,11 @@
     /// The place of a member by its name.
     pub fn member(&self, name: &str) -> MemberId {
         let others = || self.members.iter().position(|known| known == OTHERS);
-        let place = self.members.iter().position(|known| known == name).or_else(others);
+        let place = self
+            .members
+            .iter()
+            .position(|known| known == name)
+            .or_else(others);
         MemberId(place.unwrap_or(0) as u16)
     }
 }
--- a/forwarder/connection-quotas/src/language/print.rs
+++ b/forwarder/connection-quotas/src/language/print.rs
@@ -6,7 +6,11 @@
 
 impl Display for Tree {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        writeln!(f, "language {}\nedition {}", self.language.what, self.edition.what)?;
+        writeln!(
+            f,
+            "language {}\nedition {}",
+            self.language.what, self.edition.what
+        )?;
         for lease in &self.lease {
             writeln!(f, "\nlease {{")?;
             for key in &lease.what {
@@ -43,13 +47,26 @@
 fn print_keys(f: &mut Formatter<'_>, keys: &[BudgetKey]) -> fmt::Result {
     for key in keys {
         match key {
-            BudgetKey::Connections(At { what: Amount::Whole(n), .. }) => writeln!(f, "  connections {n}")?,
-            BudgetKey::Connections(At { what: Amount::Part(p), .. }) => writeln!(f, "  connections {p}")?,
+            BudgetKey::Connections(At {
+                what: Amount::Whole(n),
+                ..
+            }) => writeln!(f, "  connections {n}")?,
+            BudgetKey::Connections(At {
+                what: Amount::Part(p),
+                ..
+            }) => writeln!(f, "  connections {p}")?,
             BudgetKey::Reserve(n) => writeln!(f, "  reserve {}", n.what)?,
             BudgetKey::Standing(n) => writeln!(f, "  standing {}", n.what)?,
-            BudgetKey::Over(At { what: Over::Evenly, .. }) => writeln!(f, "  over forwarders evenly")?,
-            BudgetKey::Over(At { what: Over::ByDemand, .. }) => writeln!(f, "  over forwarders by demand")?,
-            BudgetKey::Over(At { what: Over::ByZone, .. }) => writeln!(f, "  over forwarders by zone")?,
+            BudgetKey::Over(At {
+                what: Over::Evenly, ..
+            }) => writeln!(f, "  over forwarders evenly")?,
+            BudgetKey::Over(At {
+                what: Over::ByDemand,
+                ..
+            }) => writeln!(f, "  over forwarders by demand")?,
+            BudgetKey::Over(At {
+                what: Over::ByZone, ..
+            }) => writeln!(f, "  over forwarders by zone")?,
             BudgetKey::Member(member) => print_member(f, member, "  ")?,
         }
     }
@@ -63,9 +80,17 @@
             MemberKey::Weight(n) => writeln!(f, "{indent}  weight {}", n.what)?,
             MemberKey::Floor(n) => writeln!(f, "{indent}  floor {}", n.what)?,
             MemberKey::Ceiling(n) => writeln!(f, "{indent}  ceiling {}", n.what)?,
-            MemberKey::Lends(At { what: Lends::All, .. }) => writeln!(f, "{indent}  lends all")?,
-            MemberKey::Lends(At { what: Lends::Nothing, .. }) => writeln!(f, "{indent}  lends nothing")?,
-            MemberKey::Lends(At { what: Lends::To(names), .. }) => {
+            MemberKey::Lends(At {
+                what: Lends::All, ..
+            }) => writeln!(f, "{indent}  lends all")?,
+            MemberKey::Lends(At {
+                what: Lends::Nothing,
+                ..
+            }) => writeln!(f, "{indent}  lends nothing")?,
+            MemberKey::Lends(At {
+                what: Lends::To(names),
+                ..
+            }) => {
                 writeln!(f, "{indent}  lends to {}", listed(names))?;
             }
             MemberKey::Borrows(At { what, .. }) => {
@@ -77,7 +102,11 @@
 }
 
 fn listed(names: &[At<String>]) -> String {
-    names.iter().map(|name| format!("\"{}\"", name.what)).collect::<Vec<_>>().join(", ")
+    names
+        .iter()
+        .map(|name| format!("\"{}\"", name.what))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 impl Display for When {
--- a/forwarder/connection-quotas/src/language/read.rs
+++ b/forwarder/connection-quotas/src/language/read.rs
@@ -19,10 +19,19 @@
     let whole = |what: String, way_out: &str| {
         let place = Place { line: 1, column: 1 };
         let way_out = way_out.to_owned();
-        Faults(vec![Fault { file: file.into(), place, key: "policy".into(), what, way_out }])
+        Faults(vec![Fault {
+            file: file.into(),
+            place,
+            key: "policy".into(),
+            what,
+            way_out,
+        }])
     };
     if text.len() > LONGEST {
-        return Err(whole(format!("is longer than {LONGEST} bytes"), "say it in fewer budgets and rules"));
+        return Err(whole(
+            format!("is longer than {LONGEST} bytes"),
+            "say it in fewer budgets and rules",
+        ));
     }
     if deepest(text) > DEEPEST {
         return Err(whole(
@@ -34,7 +43,14 @@
         Grammar::parse(Rule::file, text).map_err(|e| Faults(vec![not_grammar(file, text, e)]))?;
     let parts = parsed.next().into_iter().flat_map(Pair::into_inner);
     let (language, edition) = (At::from(0), At::from(0));
-    let mut tree = Tree { language, edition, lease: vec![], members: vec![], budgets: vec![], rules: vec![] };
+    let mut tree = Tree {
+        language,
+        edition,
+        lease: vec![],
+        members: vec![],
+        budgets: vec![],
+        rules: vec![],
+    };
     for part in parts {
         match part.as_rule() {
             Rule::language => tree.language = parts::whole_in(part),
@@ -66,11 +82,14 @@
     let (line, column) = match error.line_col {
         LineColLocation::Pos(place) | LineColLocation::Span(place, _) => place,
     };
-    let here = text
-        .lines()
-        .nth(line - 1)
-        .map_or("", |line| line.char_indices().nth(column - 1).map_or("", |(at, _)| &line[at..]));
-    let ends = here.find(|c: char| !c.is_ascii_alphanumeric() && !"_-%".contains(c)).unwrap_or(here.len());
+    let here = text.lines().nth(line - 1).map_or("", |line| {
+        line.char_indices()
+            .nth(column - 1)
+            .map_or("", |(at, _)| &line[at..])
+    });
+    let ends = here
+        .find(|c: char| !c.is_ascii_alphanumeric() && !"_-%".contains(c))
+        .unwrap_or(here.len());
     let found = match (&here[..ends], here.chars().next()) {
         ("", None) if text.lines().count() <= line => "end of the file".to_owned(),
         ("", None) => "end of the line".to_owned(),
@@ -78,7 +97,9 @@
         (word, _) => word.to_owned(),
     };
     let mut expected: Vec<&str> = match &error.variant {
-        ErrorVariant::ParsingError { positives, .. } => positives.iter().map(|asked| named(*asked)).collect(),
+        ErrorVariant::ParsingError { positives, .. } => {
+            positives.iter().map(|asked| named(*asked)).collect()
+        }
         ErrorVariant::CustomError { .. } => Vec::new(),
     };
     expected.sort_unstable();
@@ -90,5 +111,11 @@
         (None, false) => format!("here may stand: {}", expected.join(", ")),
     };
     let place = Place { line, column };
-    Fault { file: file.into(), place, key: found, what: "cannot stand here".into(), way_out }
+    Fault {
+        file: file.into(),
+        place,
+        key: found,
+        what: "cannot stand here".into(),
+        way_out,
+    }
 }
--- a/forwarder/connection-quotas/src/language/tree.rs
+++ b/forwarder/connection-quotas/src/language/tree.rs
@@ -24,7 +24,10 @@
 
 impl<T> From<T> for At<T> {
     fn from(what: T) -> Self {
-        At { what, place: Place::default() }
+        At {
+            what,
+            place: Place::default(),
+        }
     }
 }
 
--- a/forwarder/connection-quotas/src/leases/book.rs
+++ b/forwarder/connection-quotas/src/leases/book.rs
@@ -83,7 +83,9 @@
             Command::Grant(grant) => self.grant(grant),
             Command::Ended { instance, number } => {
                 let held = self.leases.get_mut(instance);
-                let known = held.map(|held| held.open.retain(|lease| lease.number > *number)).is_some();
+                let known = held
+                    .map(|held| held.open.retain(|lease| lease.number > *number))
+                    .is_some();
                 self.forget();
                 known
             }
@@ -98,13 +100,19 @@
     /// Pools that no lease names any more.
     fn forget(&mut self) {
         let leases: Vec<&Lease> = self.leases.values().flat_map(|held| &held.open).collect();
-        self.facts.retain(|pool, _| leases.iter().any(|lease| lease.parts.contains_key(pool)));
+        self.facts
+            .retain(|pool, _| leases.iter().any(|lease| lease.parts.contains_key(pool)));
     }
 
     fn agree(&mut self, text: &str, instances: &[(Instance, String)]) -> bool {
         // Its proposer has checked the names; here it has to mean the same everywhere.
-        let Ok(policy) = crate::policy("agreed", text, &Known::default()) else { return false };
-        let newer = self.agreed.last().is_none_or(|last| last.policy.edition < policy.edition);
+        let Ok(policy) = crate::policy("agreed", text, &Known::default()) else {
+            return false;
+        };
+        let newer = self
+            .agreed
+            .last()
+            .is_none_or(|last| last.policy.edition < policy.edition);
         let mut names: Vec<&Instance> = instances.iter().map(|(name, _)| name).collect();
         names.sort_unstable();
         names.dedup();
@@ -112,7 +120,11 @@
         if !newer || !sound || self.agreed.len() > MOST_UNSETTLED {
             return false;
         }
-        self.agreed.push(Agreed { text: text.to_owned(), instances: instances.to_vec(), policy });
+        self.agreed.push(Agreed {
+            text: text.to_owned(),
+            instances: instances.to_vec(),
+            policy,
+        });
         true
     }
 
@@ -130,35 +142,67 @@
         let newest = self.agreed.last().filter(|_| self.agreed.len() > 1)?;
         let edition = newest.policy.edition;
         let heard = |(name, _): &(Instance, String)| {
-            self.leases.get(name).is_some_and(|held| held.edition >= edition)
+            self.leases
+                .get(name)
+                .is_some_and(|held| held.edition >= edition)
         };
         let fits = |(pool, facts): (&PoolId, &Facts)| {
-            let most = newest.policy.base(facts).map_or(u32::MAX, |terms| terms.connections);
+            let most = newest
+                .policy
+                .base(facts)
+                .map_or(u32::MAX, |terms| terms.connections);
             self.counted(pool, facts, None) <= most
         };
         (newest.instances.iter().all(heard) && self.facts.iter().all(fits)).then_some(edition)
     }
 
     fn grant(&mut self, grant: &Grant) -> bool {
-        let Some(newest) = self.agreed.last().filter(|last| last.policy.edition == grant.edition) else {
+        let Some(newest) = self
+            .agreed
+            .last()
+            .filter(|last| last.policy.edition == grant.edition)
+        else {
             return false;
         };
-        let listed = newest.instances.iter().any(|(name, _)| *name == grant.instance);
+        let listed = newest
+            .instances
+            .iter()
+            .any(|(name, _)| *name == grant.instance);
         let before = self.leases.get(&grant.instance);
         let last = before.map_or(Number(0), |held| held.number);
-        let open = before.map_or(0, |held| held.open.iter().filter(|l| l.number >= grant.closed).count());
+        let open = before.map_or(0, |held| {
+            held.open
+                .iter()
+                .filter(|l| l.number >= grant.closed)
+                .count()
+        });
         if !listed || !grant.is_sound() || grant.number <= last || open >= MOST_LEASES {
             return false;
         }
-        if !grant.parts.iter().all(|part| self.fits(&newest.policy, part, &grant.instance)) {
+        if !grant
+            .parts
+            .iter()
+            .all(|part| self.fits(&newest.policy, part, &grant.instance))
+        {
             return false;
         }
         let held = self.leases.entry(grant.instance.clone()).or_default();
         held.open.retain(|lease| lease.number >= grant.closed);
         (held.number, held.edition) = (grant.number, grant.edition);
-        let parts = grant.parts.iter().map(|part| (part.pool.clone(), part.all())).collect();
-        held.open.push(Lease { number: grant.number, counted_for: grant.counted_for(), parts });
-        let known = grant.parts.iter().map(|part| (part.pool.clone(), lasting(&part.facts)));
+        let parts = grant
+            .parts
+            .iter()
+            .map(|part| (part.pool.clone(), part.all()))
+            .collect();
+        held.open.push(Lease {
+            number: grant.number,
+            counted_for: grant.counted_for(),
+            parts,
+        });
+        let known = grant
+            .parts
+            .iter()
+            .map(|part| (part.pool.clone(), lasting(&part.facts)));
         self.facts.extend(known);
         self.forget();
         true
@@ -166,21 +210,30 @@
 
     /// The newest policy, with its instances.
     pub fn policy(&self) -> Option<(&Policy, &[(Instance, String)])> {
-        self.agreed.last().map(|agreed| (&agreed.policy, agreed.instances.as_slice()))
+        self.agreed
+            .last()
+            .map(|agreed| (&agreed.policy, agreed.instances.as_slice()))
     }
 
     /// The leases of each instance that may be held still, the newest last.
     pub fn open(&self) -> impl Iterator<Item = (&Instance, &[Lease])> {
-        self.leases.iter().map(|(name, held)| (name, held.open.as_slice()))
+        self.leases
+            .iter()
+            .map(|(name, held)| (name, held.open.as_slice()))
     }
 
     /// The number of the newest lease of an instance, 0 if it had none.
     pub fn newest(&self, instance: &Instance) -> Number {
-        self.leases.get(instance).map_or(Number(0), |held| held.number)
+        self.leases
+            .get(instance)
+            .map_or(Number(0), |held| held.number)
     }
 
     pub fn snapshot(&self) -> Vec<u8> {
-        let agreed = self.agreed.iter().map(|agreed| (agreed.text.clone(), agreed.instances.clone()));
+        let agreed = self
+            .agreed
+            .iter()
+            .map(|agreed| (agreed.text.clone(), agreed.instances.clone()));
         encode(&Written {
             term: self.term,
             agreed: agreed.collect(),
@@ -193,16 +246,29 @@
         let written: Written = decode(bytes).ok_or(Torn)?;
         let agreed = written.agreed.into_iter().map(|(text, instances)| {
             let policy = crate::policy("agreed", &text, &Known::default()).map_err(|_| Torn)?;
-            Ok(Agreed { text, instances, policy })
+            Ok(Agreed {
+                text,
+                instances,
+                policy,
+            })
         });
         let agreed = agreed.collect::<Result<Vec<_>, Torn>>()?;
-        Ok(Book { term: written.term, agreed, leases: written.leases, facts: written.facts })
+        Ok(Book {
+            term: written.term,
+            agreed,
+            leases: written.leases,
+            facts: written.facts,
+        })
     }
 
     /// Bytes it takes, about.
     pub fn size(&self) -> usize {
         let texts: usize = self.agreed.iter().map(|agreed| 4 * agreed.text.len()).sum();
         let leases = self.leases.values().flat_map(|held| &held.open);
-        texts + leases.map(|lease| 64 + 96 * lease.parts.len()).sum::<usize>() + 256 * self.facts.len()
+        texts
+            + leases
+                .map(|lease| 64 + 96 * lease.parts.len())
+                .sum::<usize>()
+            + 256 * self.facts.len()
     }
 }
--- a/forwarder/connection-quotas/src/leases/counted.rs
+++ b/forwarder/connection-quotas/src/leases/counted.rs
@@ -14,8 +14,14 @@
     }
 
     fn aside(&self, pool: &PoolId, facts: &Facts) -> u32 {
-        let here = self.policy.pool(facts).is_some_and(|counted| counted == *pool);
-        self.policy.base(facts).filter(|_| here).map_or(0, |terms| terms.standing)
+        let here = self
+            .policy
+            .pool(facts)
+            .is_some_and(|counted| counted == *pool);
+        self.policy
+            .base(facts)
+            .filter(|_| here)
+            .map_or(0, |terms| terms.standing)
     }
 }
 
@@ -38,29 +44,43 @@
 
     /// Whether leases by an older policy count the same connections at another place.
     fn counted_elsewhere(&self, policy: &Policy, pool: &PoolId, facts: &Facts) -> bool {
-        let same = |other: &Facts| other.target == facts.target || other.destination == facts.destination;
+        let same =
+            |other: &Facts| other.target == facts.target || other.destination == facts.destination;
         let old = self.facts.iter().filter(|(other, known)| {
             *other != pool && same(known) && policy.pool(known).as_ref() != Some(other)
         });
         let mut leases = self.leases.values().flat_map(|held| &held.open);
-        let held = |pool: &PoolId| leases.any(|lease| lease.parts.get(pool).is_some_and(|part| *part > 0));
+        let held =
+            |pool: &PoolId| leases.any(|lease| lease.parts.get(pool).is_some_and(|part| *part > 0));
         old.map(|(pool, _)| pool).any(held)
     }
 
     /// The most that leases allow an instance.
     fn most(&self, pool: &PoolId, instance: &Instance) -> u32 {
-        let held = self.leases.get(instance).into_iter().flat_map(|held| &held.open);
-        held.filter_map(|lease| lease.parts.get(pool)).copied().max().unwrap_or(0)
+        let held = self
+            .leases
+            .get(instance)
+            .into_iter()
+            .flat_map(|held| &held.open);
+        held.filter_map(|lease| lease.parts.get(pool))
+            .copied()
+            .max()
+            .unwrap_or(0)
     }
 
     /// What is set aside for one instance: the most by all policies that it may still go by.
     fn own(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
-        self.agreed.iter().map(|agreed| agreed.standing(pool, facts, instance)).max().unwrap_or(0)
+        self.agreed
+            .iter()
+            .map(|agreed| agreed.standing(pool, facts, instance))
+            .max()
+            .unwrap_or(0)
     }
 
     /// What may be open at a pool by one instance.
     pub fn counted_of(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
-        self.most(pool, instance).max(self.own(pool, facts, instance))
+        self.most(pool, instance)
+            .max(self.own(pool, facts, instance))
     }
 
     /// What may be open at a pool by all instances, one of them left out: leases, and what stands without.
@@ -83,7 +103,9 @@
 
     /// What all instances of the newest policy may have open without a lease, in their order.
     pub fn all_standing(&self, pool: &PoolId, facts: &Facts) -> Vec<u32> {
-        let Some(newest) = self.agreed.last() else { return Vec::new() };
+        let Some(newest) = self.agreed.last() else {
+            return Vec::new();
+        };
         let mut parts = all_standing(newest.aside(pool, facts), pool, &newest.instances);
         for earlier in &self.agreed[..self.agreed.len() - 1] {
             for ((name, _), part) in newest.instances.iter().zip(&mut parts) {
@@ -96,12 +118,21 @@
     /// What an instance may have open without a lease: the least by all policies that are not settled.
     pub fn standing(&self, facts: &Facts, instance: &Instance) -> Option<(PoolId, u32)> {
         let pool = self.agreed.last()?.policy.pool(facts)?;
-        let least = self.agreed.iter().map(|agreed| agreed.standing(&pool, facts, instance)).min();
+        let least = self
+            .agreed
+            .iter()
+            .map(|agreed| agreed.standing(&pool, facts, instance))
+            .min();
         Some((pool, least.unwrap_or(0)))
     }
 }
 
 /// What of it does not change while a target is listed.
 pub(super) fn lasting(facts: &Facts) -> Facts {
-    Facts { zone: String::new(), cold: false, draining: false, ..facts.clone() }
+    Facts {
+        zone: String::new(),
+        cold: false,
+        draining: false,
+        ..facts.clone()
+    }
 }
--- a/forwarder/connection-quotas/src/leases/demand.rs
+++ b/forwarder/connection-quotas/src/leases/demand.rs
@@ -48,9 +48,17 @@
     /// no room, so that a report grows no faster than twofold.
     pub fn wants(&mut self, now: f64) -> u32 {
         self.bring_up(now);
-        let usual = if self.span > 0.0 { self.busy / self.span } else { 0.0 };
+        let usual = if self.span > 0.0 {
+            self.busy / self.span
+        } else {
+            0.0
+        };
         let used = f64::from(self.open).max(usual + usual.sqrt());
-        let more = if self.turned < 0.1 { 0.0 } else { self.turned.min(used + 1.0) };
+        let more = if self.turned < 0.1 {
+            0.0
+        } else {
+            self.turned.min(used + 1.0)
+        };
         (used + more - 0.05).max(0.0).ceil() as u32
     }
 
--- a/forwarder/connection-quotas/src/leases/giver.rs
+++ b/forwarder/connection-quotas/src/leases/giver.rs
@@ -24,20 +24,38 @@
 impl Giver {
     /// Begins to give. `grace`: after so long a process that stands still has been ended.
     pub fn new(now: f64, grace: f64, book: &Book) -> Self {
-        let found = book.open().flat_map(|(name, leases)| leases.iter().map(move |lease| (name, lease)));
-        let ends = found.map(|(name, lease)| ((name.clone(), lease.number), now + lease.counted_for));
+        let found = book
+            .open()
+            .flat_map(|(name, leases)| leases.iter().map(move |lease| (name, lease)));
+        let ends =
+            found.map(|(name, lease)| ((name.clone(), lease.number), now + lease.counted_for));
         let (reports, pending, owed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Giver { grace, ends: ends.collect(), reports, pending, owed }
+        Giver {
+            grace,
+            ends: ends.collect(),
+            reports,
+            pending,
+            owed,
+        }
     }
 
     /// A command was written down, or refused, and the book has heard it.
     pub fn applied(&mut self, now: f64, command: &Command, outcome: Outcome) {
-        let Command::Grant(grant) = command else { return };
-        if self.pending.get(&grant.instance).is_some_and(|pending| pending.number == grant.number) {
+        let Command::Grant(grant) = command else {
+            return;
+        };
+        if self
+            .pending
+            .get(&grant.instance)
+            .is_some_and(|pending| pending.number == grant.number)
+        {
             self.pending.remove(&grant.instance);
         }
         if outcome == Outcome::Done {
-            self.ends.insert((grant.instance.clone(), grant.number), now + grant.counted_for());
+            self.ends.insert(
+                (grant.instance.clone(), grant.number),
+                now + grant.counted_for(),
+            );
         }
     }
 
@@ -60,7 +78,12 @@
         if !listed || stale || self.pending.contains_key(&name) {
             return None;
         }
-        let Report { life, asked, closed, .. } = report;
+        let Report {
+            life,
+            asked,
+            closed,
+            ..
+        } = report;
         // It goes by the newest policy once it has heard of it; until then it is told nothing by it.
         let hears = report.edition == edition;
         self.reports.insert(name.clone(), (report, now));
@@ -70,7 +93,11 @@
             return None;
         }
         let parts = self.parts(now, book, &name);
-        let (number, drift, grace) = (Number(book.newest(&name).0 + 1), policy.lease.drift, self.grace);
+        let (number, drift, grace) = (
+            Number(book.newest(&name).0 + 1),
+            policy.lease.drift,
+            self.grace,
+        );
         let grant = Grant {
             instance: name.clone(),
             life,
@@ -91,10 +118,16 @@
     pub fn due(&mut self, now: f64, book: &Book) -> Vec<Command> {
         let mut over: BTreeMap<Instance, Number> = BTreeMap::new();
         for (name, leases) in book.open() {
-            let ended =
-                |number: Number| self.ends.get(&(name.clone(), number)).is_some_and(|ends| *ends <= now);
+            let ended = |number: Number| {
+                self.ends
+                    .get(&(name.clone(), number))
+                    .is_some_and(|ends| *ends <= now)
+            };
             // All up to it: one that ends later than a later one holds those back.
-            let all = leases.iter().map(|lease| lease.number).take_while(|number| ended(*number));
+            let all = leases
+                .iter()
+                .map(|lease| lease.number)
+                .take_while(|number| ended(*number));
             all.for_each(|number| {
                 over.insert(name.clone(), number);
             });
@@ -104,23 +137,37 @@
             .flat_map(|(name, leases)| leases.iter().map(|lease| (name.clone(), lease.number)))
             .collect();
         self.ends.retain(|lease, _| open.contains(lease));
-        let mut commands: Vec<Command> =
-            over.into_iter().map(|(instance, number)| Command::Ended { instance, number }).collect();
+        let mut commands: Vec<Command> = over
+            .into_iter()
+            .map(|(instance, number)| Command::Ended { instance, number })
+            .collect();
         commands.extend(book.unsettled().map(|edition| Command::Settled { edition }));
         commands
     }
 
     fn parts(&mut self, now: f64, book: &Book, name: &Instance) -> Vec<PartOf> {
-        let Some((report, _)) = self.reports.get(name) else { return Vec::new() };
+        let Some((report, _)) = self.reports.get(name) else {
+            return Vec::new();
+        };
         let mut parts: BTreeMap<PoolId, PartOf> = BTreeMap::new();
         for wants in report.wants.clone() {
-            let Some((pool, facts, terms)) = self.pool(book, &wants.facts) else { continue };
+            let Some((pool, facts, terms)) = self.pool(book, &wants.facts) else {
+                continue;
+            };
             if parts.contains_key(&pool) {
                 continue;
             }
             let target = self.target(now, book, &pool, &facts, &terms, name);
             let part = self.that_fits(book, &pool, &facts, &terms, name, target);
-            parts.insert(pool.clone(), PartOf { pool, facts, members: part.members, trials: part.trials });
+            parts.insert(
+                pool.clone(),
+                PartOf {
+                    pool,
+                    facts,
+                    members: part.members,
+                    trials: part.trials,
+                },
+            );
         }
         parts.into_values().collect()
     }
@@ -154,7 +201,9 @@
         terms: &PoolTerms,
         name: &Instance,
     ) -> Part {
-        let Some((policy, instances)) = book.policy() else { return Part::default() };
+        let Some((policy, instances)) = book.policy() else {
+            return Part::default();
+        };
         let mut wants: BTreeMap<u16, Wants> = BTreeMap::new();
         let mut own = 0;
         let stands = book.all_standing(pool, facts);
@@ -162,15 +211,27 @@
             if instance == name {
                 own = place as u16;
             }
-            let Some((report, _)) = self.reports.get(instance) else { continue };
-            let told = report.wants.iter().filter(|wants| policy.pool(&wants.facts).as_ref() == Some(pool));
+            let Some((report, _)) = self.reports.get(instance) else {
+                continue;
+            };
+            let told = report
+                .wants
+                .iter()
+                .filter(|wants| policy.pool(&wants.facts).as_ref() == Some(pool));
             let standing = stands.get(place).copied().unwrap_or(0);
             let near = !zone.is_empty() && *zone == facts.zone;
-            let mut sum = Wants { standing, near, ..Wants::default() };
+            let mut sum = Wants {
+                standing,
+                near,
+                ..Wants::default()
+            };
             told.for_each(|told| add(&mut sum, told, terms.members.len()));
             wants.insert(place as u16, sum);
         }
-        let (at, owed) = self.owed.entry(pool.clone()).or_insert_with(|| (now, Owed::new()));
+        let (at, owed) = self
+            .owed
+            .entry(pool.clone())
+            .or_insert_with(|| (now, Owed::new()));
         // What rounding owes moves on once a turn: a part stays for some renewals, then another has its chance.
         let turn = now - *at >= TURN * policy.lease.renew;
         let mut owes = owed.clone();
@@ -192,9 +253,17 @@
         target: Part,
     ) -> Part {
         let mut others = book.counted(pool, facts, Some(name));
-        for (instance, grant) in self.pending.iter().filter(|(instance, _)| *instance != name) {
+        for (instance, grant) in self
+            .pending
+            .iter()
+            .filter(|(instance, _)| *instance != name)
+        {
             // Written down or not, the larger counts.
-            let asked = grant.parts.iter().find(|part| part.pool == *pool).map_or(0, PartOf::all);
+            let asked = grant
+                .parts
+                .iter()
+                .find(|part| part.pool == *pool)
+                .map_or(0, PartOf::all);
             others += asked.saturating_sub(book.counted_of(pool, facts, instance));
         }
         let free = terms.connections.saturating_sub(others);
@@ -202,9 +271,17 @@
             return target;
         }
         let trials = target.trials.min(free);
-        let vessel = |part: &u32| Vessel { weight: f64::from(*part), least: 0, most: *part, owed: 0.0 };
+        let vessel = |part: &u32| Vessel {
+            weight: f64::from(*part),
+            least: 0,
+            most: *part,
+            owed: 0.0,
+        };
         let vessels: Vec<Vessel> = target.members.iter().map(vessel).collect();
-        Part { members: fill(free - trials, &vessels).0, trials }
+        Part {
+            members: fill(free - trials, &vessels).0,
+            trials,
+        }
     }
 }
 
--- a/forwarder/connection-quotas/src/leases/holder.rs
+++ b/forwarder/connection-quotas/src/leases/holder.rs
@@ -41,7 +41,15 @@
 
 impl Holder {
     pub fn new(instance: Instance, life: Life) -> Self {
-        Holder { instance, life, asked: 0, asks: VecDeque::new(), lease: None, closed: Number(0), edition: 0 }
+        Holder {
+            instance,
+            life,
+            asked: 0,
+            asks: VecDeque::new(),
+            lease: None,
+            closed: Number(0),
+            edition: 0,
+        }
     }
 
     pub fn instance(&self) -> &Instance {
@@ -57,37 +65,70 @@
         }
         wants.truncate(MOST_POOLS);
         let (instance, life, edition) = (self.instance.clone(), self.life, self.edition);
-        Report { instance, life, asked: self.asked, closed: self.closed, edition, wants }
+        Report {
+            instance,
+            life,
+            asked: self.asked,
+            closed: self.closed,
+            edition,
+            wants,
+        }
     }
 
     /// A lease that was written down. Those of others, of an earlier life, and old ones change nothing.
     pub fn granted(&mut self, grant: &Grant) {
         let mine = grant.instance == self.instance && grant.life == self.life;
-        let newer = self.lease.as_ref().is_none_or(|lease| lease.number < grant.number);
+        let newer = self
+            .lease
+            .as_ref()
+            .is_none_or(|lease| lease.number < grant.number);
         let asked = self.asks.iter().find(|(asked, _)| *asked == grant.asked);
-        let Some((_, at)) = asked.filter(|_| mine && newer) else { return };
-        let parts = grant.parts.iter().map(|part| (part.pool.clone(), part.clone())).collect();
-        self.lease = Some(Held { number: grant.number, ends: at + grant.lasts, parts });
+        let Some((_, at)) = asked.filter(|_| mine && newer) else {
+            return;
+        };
+        let parts = grant
+            .parts
+            .iter()
+            .map(|part| (part.pool.clone(), part.clone()))
+            .collect();
+        self.lease = Some(Held {
+            number: grant.number,
+            ends: at + grant.lasts,
+            parts,
+        });
         self.asks.retain(|(asked, _)| *asked > grant.asked);
     }
 
     /// When the lease ends, if one is held at `now`.
     pub fn ends(&self, now: f64) -> Option<f64> {
-        self.lease.as_ref().map(|lease| lease.ends).filter(|ends| now < *ends)
+        self.lease
+            .as_ref()
+            .map(|lease| lease.ends)
+            .filter(|ends| now < *ends)
     }
 
     /// What may be open from `now` up to `until`; `standing` is what it has without a lease. That holds once
     /// this life had a first one: before, its book may be an old one.
     pub fn allowed(&self, now: f64, until: f64, pool: &PoolId, standing: u32) -> Allowed {
         let standing = if self.lease.is_some() { standing } else { 0 };
-        let alone = Allowed { all: standing, members: None, trials: 0 };
-        let Some(lease) = self.lease.as_ref().filter(|lease| now < lease.ends && until <= lease.ends) else {
+        let alone = Allowed {
+            all: standing,
+            members: None,
+            trials: 0,
+        };
+        let Some(lease) = self
+            .lease
+            .as_ref()
+            .filter(|lease| now < lease.ends && until <= lease.ends)
+        else {
             return alone;
         };
         match lease.parts.get(pool) {
-            Some(part) if part.all() > standing => {
-                Allowed { all: part.all(), members: Some(part.members.clone()), trials: part.trials }
-            }
+            Some(part) if part.all() > standing => Allowed {
+                all: part.all(),
+                members: Some(part.members.clone()),
+                trials: part.trials,
+            },
             _ => alone,
         }
     }
@@ -101,8 +142,9 @@
         edition: u64,
         standing: impl Fn(&PoolId) -> u32,
     ) {
-        let within =
-            |(pool, open): (&PoolId, &u32)| *open <= self.allowed(now, now, pool, standing(pool)).all;
+        let within = |(pool, open): (&PoolId, &u32)| {
+            *open <= self.allowed(now, now, pool, standing(pool)).all
+        };
         if !open.iter().all(within) {
             return;
         }
--- a/forwarder/connection-quotas/src/leases/standing.rs
+++ b/forwarder/connection-quotas/src/leases/standing.rs
@@ -22,8 +22,16 @@
     let mut parts = vec![even; all.len()];
     if more > 0 {
         let mut order: Vec<usize> = (0..all.len()).collect();
-        order.sort_by_cached_key(|place| (std::cmp::Reverse(score(pool, &all[*place].0)), &all[*place].0));
-        order.into_iter().take(more as usize).for_each(|place| parts[place] += 1);
+        order.sort_by_cached_key(|place| {
+            (
+                std::cmp::Reverse(score(pool, &all[*place].0)),
+                &all[*place].0,
+            )
+        });
+        order
+            .into_iter()
+            .take(more as usize)
+            .for_each(|place| parts[place] += 1);
     }
     parts
 }
--- a/forwarder/connection-quotas/src/leases/words.rs
+++ b/forwarder/connection-quotas/src/leases/words.rs
@@ -93,7 +93,9 @@
 
 impl PartOf {
     pub fn all(&self) -> u32 {
-        self.members.iter().fold(self.trials, |sum, part| sum.saturating_add(*part))
+        self.members
+            .iter()
+            .fold(self.trials, |sum, part| sum.saturating_add(*part))
     }
 }
 
@@ -120,5 +122,8 @@
 
 /// None if the bytes are not exactly one of these.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
-    postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(what, _)| what)
+    postcard::take_from_bytes(bytes)
+        .ok()
+        .filter(|(_, rest)| rest.is_empty())
+        .map(|(what, _)| what)
 }
--- a/forwarder/connection-quotas/src/local/counts.rs
+++ b/forwarder/connection-quotas/src/local/counts.rs
@@ -25,7 +25,14 @@
 
 impl Counts {
     pub fn new(facts: Facts, standing: u32) -> Counts {
-        Counts { facts, idle: 0, standing, events: Vec::new(), trials: 0, trial_wanted: Demand::default() }
+        Counts {
+            facts,
+            idle: 0,
+            standing,
+            events: Vec::new(),
+            trials: 0,
+            trial_wanted: Demand::default(),
+        }
     }
 
     pub fn busy(&self) -> u32 {
@@ -37,7 +44,14 @@
     }
 
     /// Counts one in if there is room, an idle one (`from_idle`) or a new one.
-    pub fn enter(&mut self, now: f64, allowed: &Allowed, what: Use, from_idle: bool, members: usize) -> bool {
+    pub fn enter(
+        &mut self,
+        now: f64,
+        allowed: &Allowed,
+        what: Use,
+        from_idle: bool,
+        members: usize,
+    ) -> bool {
         if self.events.len() < members {
             self.events.resize_with(members, Default::default);
         }
@@ -104,7 +118,11 @@
     }
 
     pub fn wants(&mut self, now: f64) -> (Vec<u32>, u32) {
-        let members = self.events.iter_mut().map(|(_, demand)| demand.wants(now)).collect();
+        let members = self
+            .events
+            .iter_mut()
+            .map(|(_, demand)| demand.wants(now))
+            .collect();
         (members, self.trial_wanted.wants(now))
     }
 
--- a/forwarder/connection-quotas/src/local/group.rs
+++ b/forwarder/connection-quotas/src/local/group.rs
@@ -6,7 +6,9 @@
 impl Local {
     /// A command of the control group's log, proposed in `term`.
     pub fn applied(&mut self, now: f64, term: u64, command: &[u8]) {
-        let Some(command) = decode::<Command>(command) else { return };
+        let Some(command) = decode::<Command>(command) else {
+            return;
+        };
         let outcome = self.book.apply(term, &command);
         if let Some((_, giver)) = &mut self.gives {
             giver.applied(now, &command, outcome);
@@ -45,10 +47,19 @@
 
     /// What is to be proposed by now, if it leads.
     pub fn due(&mut self, now: f64) -> Vec<Command> {
-        let Some((_, giver)) = &mut self.gives else { return Vec::new() };
+        let Some((_, giver)) = &mut self.gives else {
+            return Vec::new();
+        };
         let mut due = giver.due(now, &self.book);
-        if self.book.policy().is_none_or(|(policy, _)| policy.edition < self.told.edition) {
-            due.push(Command::Policy { text: self.text.clone(), instances: self.instances.clone() });
+        if self
+            .book
+            .policy()
+            .is_none_or(|(policy, _)| policy.edition < self.told.edition)
+        {
+            due.push(Command::Policy {
+                text: self.text.clone(),
+                instances: self.instances.clone(),
+            });
         }
         due
     }
--- a/forwarder/connection-quotas/src/local/mod.rs
+++ b/forwarder/connection-quotas/src/local/mod.rs
@@ -86,8 +86,12 @@
     }
 
     pub fn listed(&mut self, facts: Facts) {
-        let cold_until = self.targets.get(&facts.target).map_or(f64::MIN, |known| known.cold_until);
-        self.targets.insert(facts.target.clone(), Known { facts, cold_until });
+        let cold_until = self
+            .targets
+            .get(&facts.target)
+            .map_or(f64::MIN, |known| known.cold_until);
+        self.targets
+            .insert(facts.target.clone(), Known { facts, cold_until });
     }
 
     pub fn gone(&mut self, target: &str) {
@@ -107,15 +111,24 @@
     }
 
     fn standing(&self, pool: &PoolId, facts: &Facts) -> u32 {
-        let stands = self.book.standing(facts, self.holder.instance()).filter(|(counted, _)| counted == pool);
+        let stands = self
+            .book
+            .standing(facts, self.holder.instance())
+            .filter(|(counted, _)| counted == pool);
         stands.map_or(0, |(_, standing)| standing)
     }
 
     /// The book's policies have changed.
     fn stands_anew(&mut self) {
-        let parts = self.pools.iter().map(|(pool, counts)| self.standing(pool, &counts.facts));
+        let parts = self
+            .pools
+            .iter()
+            .map(|(pool, counts)| self.standing(pool, &counts.facts));
         let parts: Vec<u32> = parts.collect();
-        self.pools.values_mut().zip(parts).for_each(|(counts, part)| counts.standing = part);
+        self.pools
+            .values_mut()
+            .zip(parts)
+            .for_each(|(counts, part)| counts.standing = part);
     }
 
     /// What may be open at a pool up to `until`.
@@ -125,16 +138,28 @@
     }
 
     /// Counts a connection in, a new one or one that stood idle in `from`, for a use that is over by `until`.
-    pub fn enter(&mut self, now: f64, until: f64, target: &str, what: Use, from: Option<&PoolId>) -> Entry {
-        let Some((pool, facts)) = self.pool_of(target) else { return Entry::Unbounded };
+    pub fn enter(
+        &mut self,
+        now: f64,
+        until: f64,
+        target: &str,
+        what: Use,
+        from: Option<&PoolId>,
+    ) -> Entry {
+        let Some((pool, facts)) = self.pool_of(target) else {
+            return Entry::Unbounded;
+        };
         if !self.pools.contains_key(&pool) {
             let facts = facts.clone();
             let standing = self.standing(&pool, &facts);
-            self.pools.insert(pool.clone(), Counts::new(facts, standing));
+            self.pools
+                .insert(pool.clone(), Counts::new(facts, standing));
         }
         let allowed = self.allowed(now, until, &pool);
         let members = self.policy().members.len();
-        let Some(counts) = self.pools.get_mut(&pool) else { return Entry::Full(pool) };
+        let Some(counts) = self.pools.get_mut(&pool) else {
+            return Entry::Full(pool);
+        };
         let idle = from == Some(&pool);
         if counts.enter(now, &allowed, what, idle, members) {
             Entry::In(pool)
@@ -145,7 +170,9 @@
 
     /// A connection's use is over, and it stays open. False if it has to be closed: it counts until it was.
     pub fn rests(&mut self, now: f64, pool: &PoolId, what: Use) -> bool {
-        let Some(counts) = self.pools.get_mut(pool) else { return false };
+        let Some(counts) = self.pools.get_mut(pool) else {
+            return false;
+        };
         counts.rests(now, what);
         self.surplus_at(now, pool) == Some(0)
     }
@@ -166,19 +193,26 @@
 
     /// Idle connections that are to be closed, by pool.
     pub fn surplus(&self, now: f64) -> Vec<(PoolId, u32)> {
-        let all = self.pools.keys().filter_map(|pool| Some((pool.clone(), self.surplus_at(now, pool)?)));
+        let all = self
+            .pools
+            .keys()
+            .filter_map(|pool| Some((pool.clone(), self.surplus_at(now, pool)?)));
         all.filter(|(_, surplus)| *surplus > 0).collect()
     }
 
     /// Whether one more might be counted in, so that someone who waits had better look again.
     pub fn has_room(&self, now: f64, pool: &PoolId) -> bool {
-        let Some(counts) = self.pools.get(pool) else { return false };
+        let Some(counts) = self.pools.get(pool) else {
+            return false;
+        };
         counts.busy() < self.allowed(now, now, pool).all
     }
 
     /// Whether all that may be open there is, some of it idle.
     pub fn is_taken(&self, now: f64, pool: &PoolId) -> bool {
-        let Some(counts) = self.pools.get(pool).filter(|counts| counts.idle > 0) else { return false };
+        let Some(counts) = self.pools.get(pool).filter(|counts| counts.idle > 0) else {
+            return false;
+        };
         counts.all() >= self.allowed(now, now, pool).all
     }
 
@@ -188,12 +222,20 @@
             return None;
         }
         self.reports_at = now + self.renews();
-        let open: BTreeMap<PoolId, u32> =
-            self.pools.iter().map(|(pool, counts)| (pool.clone(), counts.all())).collect();
-        let stands: BTreeMap<&PoolId, u32> =
-            self.pools.iter().map(|(pool, counts)| (pool, counts.standing)).collect();
+        let open: BTreeMap<PoolId, u32> = self
+            .pools
+            .iter()
+            .map(|(pool, counts)| (pool.clone(), counts.all()))
+            .collect();
+        let stands: BTreeMap<&PoolId, u32> = self
+            .pools
+            .iter()
+            .map(|(pool, counts)| (pool, counts.standing))
+            .collect();
         let edition = self.book.policy().map_or(0, |(policy, _)| policy.edition);
-        self.holder.open(now, &open, edition, |pool| stands.get(pool).copied().unwrap_or(0));
+        self.holder.open(now, &open, edition, |pool| {
+            stands.get(pool).copied().unwrap_or(0)
+        });
         let wants = self.wants(now);
         self.pools.retain(|_, counts| !counts.is_over(now));
         Some(encode(&self.holder.report(now, wants)))
@@ -206,8 +248,14 @@
         let mut wants = Vec::new();
         for (pool, counts) in pools.iter_mut() {
             let mut facts = counts.facts.clone();
-            let known: Vec<&Known> = targets.values().filter(|known| counted_there(pool, known)).collect();
-            if let Some(first) = known.iter().find(|known| known.facts.target == facts.target) {
+            let known: Vec<&Known> = targets
+                .values()
+                .filter(|known| counted_there(pool, known))
+                .collect();
+            if let Some(first) = known
+                .iter()
+                .find(|known| known.facts.target == facts.target)
+            {
                 facts = first.facts.clone();
             }
             facts.cold = known.iter().any(|known| known.cold_until > now);
@@ -218,7 +266,11 @@
                 members.resize(members.len().max(others + 1), 0);
                 members[others] += std::mem::take(&mut trials);
             }
-            wants.push(WantsOf { facts, members, trials });
+            wants.push(WantsOf {
+                facts,
+                members,
+                trials,
+            });
         }
         wants
     }
--- a/forwarder/connection-quotas/src/split/fill.rs
+++ b/forwarder/connection-quotas/src/split/fill.rs
@@ -21,7 +21,9 @@
     let exact = exact(f64::from(total), vessels);
     let mut parts: Vec<u32> = exact.iter().map(|part| (part + ROUNDING) as u32).collect();
     let remainder = |at: usize| exact[at] - f64::from(parts[at]) + vessels[at].owed;
-    let mut order: Vec<usize> = (0..vessels.len()).filter(|at| parts[*at] < vessels[*at].most).collect();
+    let mut order: Vec<usize> = (0..vessels.len())
+        .filter(|at| parts[*at] < vessels[*at].most)
+        .collect();
     order.sort_by(|a, b| remainder(*b).total_cmp(&remainder(*a)).then(a.cmp(b)));
     let left = total.saturating_sub(parts.iter().sum());
     for at in order.into_iter().take(left as usize) {
@@ -41,16 +43,29 @@
     let at = |vessel: &Vessel, level: f64, weight: f64| {
         (weight * level).clamp(f64::from(vessel.least), f64::from(vessel.most))
     };
-    let mut parts: Vec<f64> = vessels.iter().map(|vessel| at(vessel, weighed, vessel.weight)).collect();
+    let mut parts: Vec<f64> = vessels
+        .iter()
+        .map(|vessel| at(vessel, weighed, vessel.weight))
+        .collect();
     let spent: f64 = parts.iter().sum();
     let free = |vessel: &Vessel| vessel.weight <= 0.0;
     if spent < total && vessels.iter().any(free) {
         // Weights are above 0 in what is filled here, so that its own rest is empty.
-        let rest: Vec<Vessel> =
-            vessels.iter().copied().filter(free).map(|vessel| Vessel { weight: 1.0, ..vessel }).collect();
+        let rest: Vec<Vessel> = vessels
+            .iter()
+            .copied()
+            .filter(free)
+            .map(|vessel| Vessel {
+                weight: 1.0,
+                ..vessel
+            })
+            .collect();
         let held: f64 = rest.iter().map(|vessel| f64::from(vessel.least)).sum();
         let mut filled = exact(total - spent + held, &rest).into_iter();
-        let places = vessels.iter().zip(&mut parts).filter(|(vessel, _)| free(vessel));
+        let places = vessels
+            .iter()
+            .zip(&mut parts)
+            .filter(|(vessel, _)| free(vessel));
         places.for_each(|(_, part)| *part = filled.next().unwrap_or(*part));
     }
     parts
--- a/forwarder/connection-quotas/src/split/lent.rs
+++ b/forwarder/connection-quotas/src/split/lent.rs
@@ -14,14 +14,24 @@
     /// `reaches` names, for each member, whom its unused share may go to.
     pub fn new(left: Vec<u32>, reaches: &'a [Vec<usize>]) -> Self {
         let given = vec![vec![0; left.len()]; left.len()];
-        Lent { left, reaches, given }
+        Lent {
+            left,
+            reaches,
+            given,
+        }
     }
 
     /// Raises the parts towards the wants as far as lending goes. Weights as whole numbers: levels are compared
     /// exactly.
     pub fn give(mut self, parts: &mut [u32], wants: &[u32], weights: &[u32]) {
-        let mut wanting: Vec<usize> = (0..parts.len()).filter(|at| parts[*at] < wants[*at]).collect();
-        while let Some(next) = wanting.iter().copied().min_by(|a, b| lower(*a, *b, parts, weights)) {
+        let mut wanting: Vec<usize> = (0..parts.len())
+            .filter(|at| parts[*at] < wants[*at])
+            .collect();
+        while let Some(next) = wanting
+            .iter()
+            .copied()
+            .min_by(|a, b| lower(*a, *b, parts, weights))
+        {
             if !self.reach(next) {
                 // What can't be reached once is never reached again: the rest only grows less.
                 wanting.retain(|at| *at != next);
@@ -48,7 +58,8 @@
                     return true;
                 }
                 for holder in 0..members {
-                    if self.given[lender][holder] > 0 && !std::mem::replace(&mut seen[holder], true) {
+                    if self.given[lender][holder] > 0 && !std::mem::replace(&mut seen[holder], true)
+                    {
                         came[holder] = Some((at, lender));
                         queue.push_back(holder);
                     }
@@ -61,7 +72,9 @@
     fn move_on(&mut self, mut at: usize, mut from: usize, came: &[Option<(usize, usize)>]) {
         loop {
             self.given[from][at] += 1;
-            let Some((before, lender)) = came[at] else { return };
+            let Some((before, lender)) = came[at] else {
+                return;
+            };
             self.given[lender][at] -= 1;
             (at, from) = (before, lender);
         }
@@ -74,6 +87,12 @@
     let weightless = |at: usize| weights[at] == 0;
     weightless(a)
         .cmp(&weightless(b))
-        .then_with(|| if weightless(a) { parts[a].cmp(&parts[b]) } else { cross(a, b).cmp(&cross(b, a)) })
+        .then_with(|| {
+            if weightless(a) {
+                parts[a].cmp(&parts[b])
+            } else {
+                cross(a, b).cmp(&cross(b, a))
+            }
+        })
         .then(a.cmp(&b))
 }
--- a/forwarder/connection-quotas/tests/fleet/mod.rs
+++ b/forwarder/connection-quotas/tests/fleet/mod.rs
@@ -49,20 +49,31 @@
 }
 
 fn facts() -> Facts {
-    Facts { target: "t".into(), ..Facts::default() }
+    Facts {
+        target: "t".into(),
+        ..Facts::default()
+    }
 }
 
 impl Fleet {
     pub fn new(seed: u64, count: usize, planted: Planted) -> Fleet {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let drift = if planted == Planted::DriftIgnored { 0.4 } else { 0.01 };
+        let drift = if planted == Planted::DriftIgnored {
+            0.4
+        } else {
+            0.01
+        };
         let mut instance = |at: usize| {
             let name = Instance(format!("i{at}"));
             Process {
                 holder: Holder::new(name.clone(), Life(at as u64)),
                 name,
                 // As far apart as they may be.
-                rate: if chance.random() { 1.0 - drift } else { 1.0 + drift },
+                rate: if chance.random() {
+                    1.0 - drift
+                } else {
+                    1.0 + drift
+                },
                 ahead: chance.random_range(0.0..1e6),
                 book: Book::default(),
                 heard: 0,
@@ -100,12 +111,20 @@
     }
 
     pub fn agree(&mut self, text: String) {
-        let instances = self.instances.iter().map(|i| (i.name.clone(), String::new())).collect();
-        self.proposed.push((self.now, self.term, Command::Policy { text, instances }));
+        let instances = self
+            .instances
+            .iter()
+            .map(|i| (i.name.clone(), String::new()))
+            .collect();
+        self.proposed
+            .push((self.now, self.term, Command::Policy { text, instances }));
     }
 
     pub fn open(&self) -> u32 {
-        self.instances.iter().map(|instance| instance.open.len() as u32).sum()
+        self.instances
+            .iter()
+            .map(|instance| instance.open.len() as u32)
+            .sum()
     }
 
     pub fn step(&mut self) {
@@ -171,13 +190,29 @@
             }
             if planted == Planted::CountedFromReceipt && grant.instance == instance.name {
                 let now_asked = instance.holder.report(clock, Vec::new()).asked;
-                instance.holder.granted(&Grant { asked: now_asked, ..grant.clone() });
+                instance.holder.granted(&Grant {
+                    asked: now_asked,
+                    ..grant.clone()
+                });
             }
             instance.holder.granted(grant);
         }
-        if leads && instance.gives.as_ref().is_none_or(|(term, _)| *term < self.term) {
-            let clock = if planted == Planted::OldClocksTrusted { clock - 1e6 } else { clock };
-            let grace = if planted == Planted::StallIgnored { 0.0 } else { STALL };
+        if leads
+            && instance
+                .gives
+                .as_ref()
+                .is_none_or(|(term, _)| *term < self.term)
+        {
+            let clock = if planted == Planted::OldClocksTrusted {
+                clock - 1e6
+            } else {
+                clock
+            };
+            let grace = if planted == Planted::StallIgnored {
+                0.0
+            } else {
+                STALL
+            };
             instance.gives = Some((self.term, Giver::new(clock, grace, &instance.book)));
         }
     }
@@ -216,12 +251,22 @@
             }
         }
         let instance = &mut self.instances[at];
-        let open = if self.planted == Planted::ClosedTooEarly { 0 } else { instance.open.len() as u32 };
+        let open = if self.planted == Planted::ClosedTooEarly {
+            0
+        } else {
+            instance.open.len() as u32
+        };
         if let Some((policy, _)) = instance.book.policy() {
-            let standing =
-                instance.book.standing(&facts(), &instance.name).map_or(0, |(_, standing)| standing);
+            let standing = instance
+                .book
+                .standing(&facts(), &instance.name)
+                .map_or(0, |(_, standing)| standing);
             let edition = policy.edition;
-            instance.holder.open(clock, &BTreeMap::from([(pool(), open)]), edition, |_| standing);
+            instance
+                .holder
+                .open(clock, &BTreeMap::from([(pool(), open)]), edition, |_| {
+                    standing
+                });
         }
     }
 }
--- a/forwarder/connection-quotas/tests/fleet/process.rs
+++ b/forwarder/connection-quotas/tests/fleet/process.rs
@@ -34,17 +34,27 @@
     /// Where a stall does most harm.
     pub fn is_near_its_end(&self, now: f64) -> bool {
         let clock = self.clock(now);
-        self.holder.ends(clock).is_some_and(|ends| ends - clock < 50.0) && self.stalled_until <= now
+        self.holder
+            .ends(clock)
+            .is_some_and(|ends| ends - clock < 50.0)
+            && self.stalled_until <= now
     }
 
     pub fn allowed(&self, clock: f64, until: f64) -> u32 {
-        let (clock, until) = if self.ends_ignored { (f64::MIN, f64::MIN) } else { (clock, until) };
-        self.holder.allowed(clock, until, &pool(), self.standing).all
+        let (clock, until) = if self.ends_ignored {
+            (f64::MIN, f64::MIN)
+        } else {
+            (clock, until)
+        };
+        self.holder
+            .allowed(clock, until, &pool(), self.standing)
+            .all
     }
 
     /// For calls that end in time.
     pub fn room(&self, now: f64) -> u32 {
         let clock = self.clock(now);
-        self.allowed(clock, clock + TIME_OUT).saturating_sub(self.open.len() as u32)
+        self.allowed(clock, clock + TIME_OUT)
+            .saturating_sub(self.open.len() as u32)
     }
 }
--- a/forwarder/connection-quotas/tests/fleet/talk.rs
+++ b/forwarder/connection-quotas/tests/fleet/talk.rs
@@ -9,12 +9,20 @@
     /// What is on its way comes in.
     pub(super) fn carry(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.proposed).into_iter().partition(|(at, ..)| *at <= now);
+        let (due, later) = std::mem::take(&mut self.proposed)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.proposed = later;
         let due: Vec<(f64, u64, Command)> = due;
         // What an earlier leader proposed late is void.
-        self.log.extend(due.into_iter().filter(|(_, term, _)| *term == self.term).map(|(_, t, c)| (t, c)));
-        let (due, later) = std::mem::take(&mut self.reports).into_iter().partition(|(at, _)| *at <= now);
+        self.log.extend(
+            due.into_iter()
+                .filter(|(_, term, _)| *term == self.term)
+                .map(|(_, t, c)| (t, c)),
+        );
+        let (due, later) = std::mem::take(&mut self.reports)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.reports = later;
         let due: Vec<(f64, Report)> = due;
         for (_, report) in due {
@@ -23,9 +31,13 @@
             }
             let instance = &mut self.instances[self.leader];
             let clock = instance.clock(now);
-            let Some((term, giver)) = &mut instance.gives else { continue };
+            let Some((term, giver)) = &mut instance.gives else {
+                continue;
+            };
             let (term, granted) = (*term, giver.reported(clock, &instance.book, report));
-            granted.into_iter().for_each(|command| self.propose(term, command));
+            granted
+                .into_iter()
+                .for_each(|command| self.propose(term, command));
         }
     }
 
@@ -42,14 +54,23 @@
             return;
         }
         instance.reports_at = clock + 300.0;
-        let wants = WantsOf { facts: facts(), members: vec![instance.wants], trials: 0 };
+        let wants = WantsOf {
+            facts: facts(),
+            members: vec![instance.wants],
+            trials: 0,
+        };
         let report = instance.holder.report(clock, vec![wants]);
         if self.cut_off[at] > now {
             return;
         }
         for _ in 0..self.chance.random_range(0..=2) {
-            let late = if self.chance.random_bool(0.05) { 6_000.0 } else { 60.0 };
-            self.reports.push((now + self.chance.random_range(1.0..late), report.clone()));
+            let late = if self.chance.random_bool(0.05) {
+                6_000.0
+            } else {
+                60.0
+            };
+            self.reports
+                .push((now + self.chance.random_range(1.0..late), report.clone()));
         }
     }
 
@@ -59,8 +80,11 @@
         if self.now % 50.0 != 0.0 {
             return;
         }
-        let Some((term, giver)) = &mut instance.gives else { return };
+        let Some((term, giver)) = &mut instance.gives else {
+            return;
+        };
         let (term, due) = (*term, giver.due(clock, &instance.book));
-        due.into_iter().for_each(|command| self.propose(term, command));
+        due.into_iter()
+            .for_each(|command| self.propose(term, command));
     }
 }
--- a/forwarder/connection-quotas/tests/fleet/trouble.rs
+++ b/forwarder/connection-quotas/tests/fleet/trouble.rs
@@ -35,7 +35,8 @@
 
 impl Fleet {
     pub(super) fn chance(&mut self, a_minute: f64) -> bool {
-        self.chance.random_bool((a_minute * STEP / 60_000.0).min(1.0))
+        self.chance
+            .random_bool((a_minute * STEP / 60_000.0).min(1.0))
     }
 
     pub(super) fn trouble(&mut self) {
@@ -44,7 +45,10 @@
                 let span = self.chance.random_range(20.0..1_500.0);
                 self.stall(at, span);
             }
-            if self.faults && self.instances[at].is_near_its_end(self.now) && self.chance.random_bool(0.2) {
+            if self.faults
+                && self.instances[at].is_near_its_end(self.now)
+                && self.chance.random_bool(0.2)
+            {
                 let span = self.chance.random_range(300.0..STALL);
                 self.stall(at, span);
             }
@@ -99,8 +103,10 @@
         instance.book = Book::restore(&instance.saved.1).expect("was a book");
         (instance.heard, instance.gives) = (instance.saved.0, None);
         (instance.stalled_until, instance.about_to_open) = (0.0, false);
-        instance.standing =
-            instance.book.standing(&facts(), &instance.name).map_or(0, |(_, standing)| standing);
+        instance.standing = instance
+            .book
+            .standing(&facts(), &instance.name)
+            .map_or(0, |(_, standing)| standing);
     }
 
     pub(super) fn is_up(&self, at: usize) -> bool {
--- a/forwarder/connection-quotas/tests/language.rs
+++ b/forwarder/connection-quotas/tests/language.rs
@@ -24,29 +24,71 @@
 "#;
 
 fn facts(target: &str, destination: u64) -> Facts {
-    Facts { target: target.into(), destination, kind: "webhook".into(), ..Facts::default() }
+    Facts {
+        target: target.into(),
+        destination,
+        kind: "webhook".into(),
+        ..Facts::default()
+    }
 }
 
 #[test]
 fn the_narrowest_budget_holds_and_says_where_connections_are_counted() {
     let policy = policy("p", WHOLE, &Known::default()).expect("is sound");
-    assert_eq!(policy.pool(&facts("t-1", 4)), Some(PoolId::Target("t-1".into())));
+    assert_eq!(
+        policy.pool(&facts("t-1", 4)),
+        Some(PoolId::Target("t-1".into()))
+    );
     assert_eq!(policy.pool(&facts("t-2", 4)), Some(PoolId::Destination(4)));
-    assert_eq!(policy.pool(&facts("t-2", 5)), Some(PoolId::Target("t-2".into())));
-    let other_kind = Facts { kind: "mail".into(), ..facts("t-2", 5) };
-    assert_eq!(policy.pool(&other_kind), None, "what no budget names has no bound");
+    assert_eq!(
+        policy.pool(&facts("t-2", 5)),
+        Some(PoolId::Target("t-2".into()))
+    );
+    let other_kind = Facts {
+        kind: "mail".into(),
+        ..facts("t-2", 5)
+    };
+    assert_eq!(
+        policy.pool(&other_kind),
+        None,
+        "what no budget names has no bound"
+    );
 }
 
 #[test]
 fn rules_whose_conditions_are_met_lower_a_budget_and_the_lowest_counts() {
     let policy = policy("p", WHOLE, &Known::default()).expect("is sound");
     let connections = |facts: &Facts| policy.terms(facts).expect("has a budget").connections;
-    let (warm, cold) = (facts("t", 9), Facts { cold: true, ..facts("t", 9) });
+    let (warm, cold) = (
+        facts("t", 9),
+        Facts {
+            cold: true,
+            ..facts("t", 9)
+        },
+    );
     assert_eq!(connections(&warm), 20);
     assert_eq!(connections(&cold), 10);
-    assert_eq!(connections(&Facts { zone: "north".into(), ..cold.clone() }), 20);
-    assert_eq!(connections(&Facts { zone: "west".into(), ..warm.clone() }), 12);
-    assert_eq!(connections(&Facts { zone: "west".into(), ..cold }), 10);
+    assert_eq!(
+        connections(&Facts {
+            zone: "north".into(),
+            ..cold.clone()
+        }),
+        20
+    );
+    assert_eq!(
+        connections(&Facts {
+            zone: "west".into(),
+            ..warm.clone()
+        }),
+        12
+    );
+    assert_eq!(
+        connections(&Facts {
+            zone: "west".into(),
+            ..cold
+        }),
+        10
+    );
     assert_eq!(policy.base(&warm).expect("has a budget").connections, 20);
 }
 
@@ -126,7 +168,10 @@
     "budget destination 4 { connections 1 }\nbudget each target of destination 4 { connections 1 }",
     "holds for the same"
 )]
-#[case::key_twice("member a { weight 1 weight 2 }", "p:2:28: member a / weight: is told twice")]
+#[case::key_twice(
+    "member a { weight 1 weight 2 }",
+    "p:2:28: member a / weight: is told twice"
+)]
 #[case::too_much(
     "budget each target { connections 99999999999999999999 }",
     "is above 10000; 1 to 10000 are allowed"
@@ -134,19 +179,36 @@
 #[case::nothing("budget each target { connections 0 }", "is under 1")]
 #[case::idle_rule("rule r when cold {}", "rule r: changes nothing")]
 #[case::renewed_too_late("lease { lasts 2s renew 1s }", "lease / renew: 1000ms is over a third")]
-#[case::wild_clocks("lease { drift 11% }", "lease / drift: is 11%; 0.01% to 10% are allowed")]
-#[case::misspelt("member a { weigth 3 }", "p:2:12: weigth: cannot stand here; did you mean `weight`?")]
-#[case::run_together("member a { weight3 }", "weight3: cannot stand here; did you mean `weight`?")]
-#[case::unended("member a { weight 3", "end of the file: cannot stand here; here may stand:")]
+#[case::wild_clocks(
+    "lease { drift 11% }",
+    "lease / drift: is 11%; 0.01% to 10% are allowed"
+)]
+#[case::misspelt(
+    "member a { weigth 3 }",
+    "p:2:12: weigth: cannot stand here; did you mean `weight`?"
+)]
+#[case::run_together(
+    "member a { weight3 }",
+    "weight3: cannot stand here; did you mean `weight`?"
+)]
+#[case::unended(
+    "member a { weight 3",
+    "end of the file: cannot stand here; here may stand:"
+)]
 #[case::no_unit(
     "lease { lasts 10 }",
     "p:2:15: 10: cannot stand here; here may stand: a time as `10s` or `500ms`"
 )]
 fn a_fault_is_told_with_its_place_its_key_and_a_way_out(#[case] text: &str, #[case] said: &str) {
     let (kinds, zones) = (["webhook".to_owned()], ["north".to_owned()]);
-    let known = Known { kinds: Some(&kinds), zones: Some(&zones), members: None };
-    let faults =
-        policy("p", &format!("language 1 edition 1\n{text}"), &known).expect_err("is faulty").to_string();
+    let known = Known {
+        kinds: Some(&kinds),
+        zones: Some(&zones),
+        members: None,
+    };
+    let faults = policy("p", &format!("language 1 edition 1\n{text}"), &known)
+        .expect_err("is faulty")
+        .to_string();
     assert!(faults.contains(said), "{faults}");
 }
 
@@ -155,12 +217,23 @@
     let text = "language 2 edition 1\nmember a { weight 5000 }\nbudget each target { reserve 1 }";
     let faults = policy("p", text, &Known::default()).expect_err("is faulty");
     let keys: Vec<&str> = faults.0.iter().map(|fault| fault.key.as_str()).collect();
-    assert_eq!(keys, ["language", "member a / weight", "budget each target / connections"]);
+    assert_eq!(
+        keys,
+        [
+            "language",
+            "member a / weight",
+            "budget each target / connections"
+        ]
+    );
 }
 
 #[test]
 fn conditions_nested_without_end_are_refused_before_they_are_parsed() {
-    for deep in ["(".repeat(100_000), "not ".repeat(50_000), "not\n".repeat(50_000)] {
+    for deep in [
+        "(".repeat(100_000),
+        "not ".repeat(50_000),
+        "not\n".repeat(50_000),
+    ] {
         let text = format!("language 1 edition 1\nrule r when {deep} cold {{ reserve 1 }}");
         let faults = read("p", &text).expect_err("is refused").to_string();
         assert!(faults.contains("in one condition"), "{faults}");
@@ -218,15 +291,29 @@
     });
     let parts = prop::collection::vec(prop_oneof![member(), budget, rule], 0..6);
     parts.prop_map(|parts| {
-        format!("language 1 edition 3\nlease {{ lasts 7s renew 250ms drift 0.5% }}\n{}", parts.join("\n"))
+        format!(
+            "language 1 edition 3\nlease {{ lasts 7s renew 250ms drift 0.5% }}\n{}",
+            parts.join("\n")
+        )
     })
 }
 
 /// The same cases each time.
 fn seeded(cases: u32) -> ProptestConfig {
-    let seed = std::env::var("POOLS_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(32);
-    let cases = std::env::var("POOLS_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(cases);
-    ProptestConfig { cases, rng_seed: RngSeed::Fixed(seed), failure_persistence: None, ..Default::default() }
+    let seed = std::env::var("POOLS_SEED")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(32);
+    let cases = std::env::var("POOLS_CASES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(cases);
+    ProptestConfig {
+        cases,
+        rng_seed: RngSeed::Fixed(seed),
+        failure_persistence: None,
+        ..Default::default()
+    }
 }
 
 proptest! {
--- a/forwarder/connection-quotas/tests/leases.rs
+++ b/forwarder/connection-quotas/tests/leases.rs
@@ -30,16 +30,26 @@
 #[test]
 fn the_budget_holds_at_every_step_whatever_fails() {
     let (mut opened, mut leaders, mut ended) = (0u64, 0u64, 0u64);
-    let seeds = std::env::var("POOLS_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(12);
+    let seeds = std::env::var("POOLS_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(12);
     for seed in 0..seeds {
         let fleet = walk(seed, Planted::Nothing);
-        assert!(!fleet.seen.passed, "seed {seed}: {} open at {} ms", fleet.seen.most_open, fleet.now);
+        assert!(
+            !fleet.seen.passed,
+            "seed {seed}: {} open at {} ms",
+            fleet.seen.most_open, fleet.now
+        );
         opened += fleet.seen.opened;
         leaders += u64::from(fleet.seen.changes_of_leader);
         ended += u64::from(fleet.seen.ended_by_the_kernel);
     }
     // Else nothing would have been tried.
-    assert!(opened > seeds * 200 && leaders > seeds && ended > seeds * 5, "{opened} {leaders} {ended}");
+    assert!(
+        opened > seeds * 200 && leaders > seeds && ended > seeds * 5,
+        "{opened} {leaders} {ended}"
+    );
 }
 
 #[rstest]
@@ -71,7 +81,9 @@
 }
 
 fn listed(count: usize) -> Vec<(Instance, String)> {
-    (0..count).map(|at| (Instance(format!("i{at}")), String::new())).collect()
+    (0..count)
+        .map(|at| (Instance(format!("i{at}")), String::new()))
+        .collect()
 }
 
 #[test]
@@ -80,20 +92,43 @@
         let all = listed(count);
         for target in 0..20 {
             let pool = PoolId::Target(format!("t{target}"));
-            let parts: Vec<u32> = all.iter().map(|(name, _)| standing(aside, &pool, name, &all)).collect();
+            let parts: Vec<u32> = all
+                .iter()
+                .map(|(name, _)| standing(aside, &pool, name, &all))
+                .collect();
             assert_eq!(parts.iter().sum::<u32>(), aside);
             assert!(parts.iter().max().unwrap() - parts.iter().min().unwrap() <= 1);
         }
     }
-    assert_eq!(standing(9, &PoolId::Destination(1), &Instance("stranger".into()), &listed(3)), 0);
+    assert_eq!(
+        standing(
+            9,
+            &PoolId::Destination(1),
+            &Instance("stranger".into()),
+            &listed(3)
+        ),
+        0
+    );
 }
 
 #[test]
 fn a_book_outlasts_its_writing_down_and_refuses_what_passes_the_budget() {
     let mut book = Book::default();
     let text = "language 1 edition 4 budget each target { connections 10 standing 2 }".to_owned();
-    assert_eq!(book.apply(1, &Command::Policy { text, instances: listed(2) }), Outcome::Done);
-    let facts = Facts { target: "t".into(), ..Facts::default() };
+    assert_eq!(
+        book.apply(
+            1,
+            &Command::Policy {
+                text,
+                instances: listed(2)
+            }
+        ),
+        Outcome::Done
+    );
+    let facts = Facts {
+        target: "t".into(),
+        ..Facts::default()
+    };
     let grant = |instance: usize, number: u64, part: u32| {
         let pool = PoolId::Target("t".into());
         Command::Grant(Grant {
@@ -106,19 +141,45 @@
             lasts: 1_000.0,
             grace: 0.0,
             drift: 0.01,
-            parts: vec![PartOf { pool, facts: facts.clone(), members: vec![part], trials: 0 }],
+            parts: vec![PartOf {
+                pool,
+                facts: facts.clone(),
+                members: vec![part],
+                trials: 0,
+            }],
         })
     };
-    assert_eq!(book.apply(1, &grant(0, 1, 10)), Outcome::Refused, "one stands for the other");
+    assert_eq!(
+        book.apply(1, &grant(0, 1, 10)),
+        Outcome::Refused,
+        "one stands for the other"
+    );
     assert_eq!(book.apply(1, &grant(0, 1, 9)), Outcome::Done);
     let mut again = Book::restore(&book.snapshot()).expect("is a book");
     for book in [&mut book, &mut again] {
         assert_eq!(book.apply(1, &grant(1, 1, 2)), Outcome::Refused);
-        assert_eq!(book.apply(1, &grant(0, 2, 3)), Outcome::Done, "the earlier one may be held still");
+        assert_eq!(
+            book.apply(1, &grant(0, 2, 3)),
+            Outcome::Done,
+            "the earlier one may be held still"
+        );
         assert_eq!(book.apply(1, &grant(1, 1, 2)), Outcome::Refused);
-        assert_eq!(book.apply(0, &grant(1, 1, 1)), Outcome::Refused, "an earlier leader's");
+        assert_eq!(
+            book.apply(0, &grant(1, 1, 1)),
+            Outcome::Refused,
+            "an earlier leader's"
+        );
         let instance = Instance("i0".into());
-        assert_eq!(book.apply(2, &Command::Ended { instance, number: Number(1) }), Outcome::Done);
+        assert_eq!(
+            book.apply(
+                2,
+                &Command::Ended {
+                    instance,
+                    number: Number(1)
+                }
+            ),
+            Outcome::Done
+        );
         assert_eq!(book.apply(2, &grant(1, 1, 7)), Outcome::Done);
     }
     assert!(Book::restore(b"no book").is_err() && decode::<Command>(&[9, 9, 9]).is_none());
@@ -130,30 +191,52 @@
     let text = |edition, scope| {
         format!("language 1 edition {edition} budget {scope} {{ connections 10 standing 0 }}")
     };
-    let agree = |text| Command::Policy { text, instances: listed(2) };
+    let agree = |text| Command::Policy {
+        text,
+        instances: listed(2),
+    };
     book.apply(1, &agree(text(1, "each target")));
-    let facts = Facts { target: "t".into(), destination: 3, ..Facts::default() };
+    let facts = Facts {
+        target: "t".into(),
+        destination: 3,
+        ..Facts::default()
+    };
     let mut holder = Holder::new(Instance("i0".into()), Life(1));
     let mut giver = Giver::new(0.0, 100.0, &book);
     let mut now = 0.0;
     let mut ask = |book: &mut Book, holder: &mut Holder, giver: &mut Giver, edition| -> u32 {
         now += 2_000.0;
         holder.open(now, &Default::default(), edition, |_| 0);
-        let wants = WantsOf { facts: facts.clone(), members: vec![6], trials: 0 };
+        let wants = WantsOf {
+            facts: facts.clone(),
+            members: vec![6],
+            trials: 0,
+        };
         let report = holder.report(now, vec![wants]);
-        let Some(command) = giver.reported(now, book, report) else { return 0 };
+        let Some(command) = giver.reported(now, book, report) else {
+            return 0;
+        };
         let outcome = book.apply(1, &command);
         giver.applied(now, &command, outcome);
-        let Command::Grant(grant) = command else { return 0 };
+        let Command::Grant(grant) = command else {
+            return 0;
+        };
         if outcome == Outcome::Done {
             holder.granted(&grant);
         }
-        let pool = book.policy().and_then(|(policy, _)| policy.pool(&facts)).expect("has a budget");
+        let pool = book
+            .policy()
+            .and_then(|(policy, _)| policy.pool(&facts))
+            .expect("has a budget");
         holder.allowed(now, now, &pool, 0).all
     };
     assert_eq!(ask(&mut book, &mut holder, &mut giver, 1), 6);
     book.apply(1, &agree(text(2, "each destination")));
-    assert_eq!(ask(&mut book, &mut holder, &mut giver, 2), 0, "the other lease counts still");
+    assert_eq!(
+        ask(&mut book, &mut holder, &mut giver, 2),
+        0,
+        "the other lease counts still"
+    );
     let known = Known::default();
     assert!(plankhill_connection_quotas::policy("p", &text(2, "each destination"), &known).is_ok());
     for _ in 0..8 {
--- a/forwarder/connection-quotas/tests/local.rs
+++ b/forwarder/connection-quotas/tests/local.rs
@@ -8,16 +8,30 @@
     budget each target { connections 10 standing 2 reserve 1 }";
 
 fn local(name: &str) -> Local {
-    let policy = plankhill_connection_quotas::policy("p", POLICY, &Known::default()).expect("is sound");
-    let instances = ["a", "b"].map(|name| (Instance(name.into()), String::new())).to_vec();
+    let policy =
+        plankhill_connection_quotas::policy("p", POLICY, &Known::default()).expect("is sound");
+    let instances = ["a", "b"]
+        .map(|name| (Instance(name.into()), String::new()))
+        .to_vec();
     let (instance, life, text) = (Instance(name.into()), Life(7), POLICY.into());
-    let mut local = Local::new(Start { instance, life, text, policy, instances, grace: 600.0 });
+    let mut local = Local::new(Start {
+        instance,
+        life,
+        text,
+        policy,
+        instances,
+        grace: 600.0,
+    });
     local.listed(facts());
     local
 }
 
 fn facts() -> Facts {
-    Facts { target: "t".into(), destination: 3, ..Facts::default() }
+    Facts {
+        target: "t".into(),
+        destination: 3,
+        ..Facts::default()
+    }
 }
 
 fn pool() -> PoolId {
@@ -32,7 +46,11 @@
 
 impl Two {
     fn new() -> Two {
-        let mut two = Two { now: 0.0, a: local("a"), b: local("b") };
+        let mut two = Two {
+            now: 0.0,
+            a: local("a"),
+            b: local("b"),
+        };
         let nothing = plankhill_connection_quotas::leases::Book::default().snapshot();
         two.a.leads(0.0, 1, &nothing);
         two.carry(4);
@@ -71,14 +89,19 @@
 
 fn open(local: &mut Local, now: f64, most: usize) -> usize {
     let what = event(local);
-    (0..most).take_while(|_| local.enter(now, now + 1_000.0, "t", what, None) == Entry::In(pool())).count()
+    (0..most)
+        .take_while(|_| local.enter(now, now + 1_000.0, "t", what, None) == Entry::In(pool()))
+        .count()
 }
 
 #[test]
 fn what_no_budget_names_has_no_bound_and_what_one_names_has_none_before_it_is_agreed() {
     let mut alone = local("a");
     let what = event(&alone);
-    assert_eq!(alone.enter(0.0, 1.0, "stranger", what, None), Entry::Unbounded);
+    assert_eq!(
+        alone.enter(0.0, 1.0, "stranger", what, None),
+        Entry::Unbounded
+    );
     assert_eq!(alone.enter(0.0, 1.0, "t", what, None), Entry::Full(pool()));
 }
 
@@ -103,7 +126,10 @@
     }
     let what = event(&two.a);
     for _ in 0..two.opened_by_a() {
-        assert!(two.a.rests(two.now, &pool(), what), "idle ones may stay as long as nobody else wants them");
+        assert!(
+            two.a.rests(two.now, &pool(), what),
+            "idle ones may stay as long as nobody else wants them"
+        );
     }
     for _ in 0..20 {
         open(&mut two.b, two.now, 20);
@@ -131,8 +157,14 @@
     assert_eq!(two.a.surplus(two.now + 3_000.0), [(pool(), 7)]);
     // A call that would outlast the lease is not begun on the strength of it.
     let late = two.now + 2_500.0;
-    assert_eq!(two.a.enter(late, late + 1_000.0, "t", what, Some(&pool())), Entry::Full(pool()));
-    assert_eq!(two.a.enter(late, late + 300.0, "t", what, Some(&pool())), Entry::In(pool()));
+    assert_eq!(
+        two.a.enter(late, late + 1_000.0, "t", what, Some(&pool())),
+        Entry::Full(pool())
+    );
+    assert_eq!(
+        two.a.enter(late, late + 300.0, "t", what, Some(&pool())),
+        Entry::In(pool())
+    );
 }
 
 #[test]
@@ -144,7 +176,16 @@
         two.a.left(two.now, &pool(), Some(Use::Trial));
         two.carry(2);
     }
-    assert_eq!(two.a.enter(two.now, two.now, "t", event(&two.a), None), Entry::Full(pool()));
-    assert_eq!(two.a.enter(two.now, two.now, "t", Use::Trial, None), Entry::In(pool()));
-    assert_eq!(two.a.enter(two.now, two.now, "t", Use::Trial, None), Entry::Full(pool()));
+    assert_eq!(
+        two.a.enter(two.now, two.now, "t", event(&two.a), None),
+        Entry::Full(pool())
+    );
+    assert_eq!(
+        two.a.enter(two.now, two.now, "t", Use::Trial, None),
+        Entry::In(pool())
+    );
+    assert_eq!(
+        two.a.enter(two.now, two.now, "t", Use::Trial, None),
+        Entry::Full(pool())
+    );
 }
--- a/forwarder/connection-quotas/tests/split.rs
+++ b/forwarder/connection-quotas/tests/split.rs
@@ -17,32 +17,64 @@
         1 => only.prop_map(|to| Reach::Only(to.into_iter().collect())),
     ];
     let ceiling = prop_oneof![Just(u32::MAX), 4..30u32];
-    (0..6u32, 0..4u32, ceiling, lends, any::<bool>()).prop_map(|(weight, floor, ceiling, lends, borrows)| {
-        MemberTerms { weight, floor, ceiling, lends, borrows }
-    })
+    (0..6u32, 0..4u32, ceiling, lends, any::<bool>()).prop_map(
+        |(weight, floor, ceiling, lends, borrows)| MemberTerms {
+            weight,
+            floor,
+            ceiling,
+            lends,
+            borrows,
+        },
+    )
 }
 
 fn terms() -> impl Strategy<Value = PoolTerms> {
     let over = prop_oneof![Just(Over::Evenly), Just(Over::ByDemand), Just(Over::ByZone)];
-    (prop::collection::vec(member(), MEMBERS), 0..60u32, 0..4u32, 0..8u32, over).prop_map(
-        |(members, more, reserve, standing, over)| {
+    (
+        prop::collection::vec(member(), MEMBERS),
+        0..60u32,
+        0..4u32,
+        0..8u32,
+        over,
+    )
+        .prop_map(|(members, more, reserve, standing, over)| {
             let floors: u32 = members.iter().map(|member| member.floor).sum();
             let connections = floors + reserve + standing + more;
-            PoolTerms { connections, reserve, standing, over, members }
-        },
-    )
+            PoolTerms {
+                connections,
+                reserve,
+                standing,
+                over,
+                members,
+            }
+        })
 }
 
 type Case = (PoolTerms, BTreeMap<u16, Wants>);
 
 fn case() -> impl Strategy<Value = Case> {
-    let wants = (prop::collection::vec(0..12u32, MEMBERS), 0..3u32, any::<bool>());
+    let wants = (
+        prop::collection::vec(0..12u32, MEMBERS),
+        0..3u32,
+        any::<bool>(),
+    );
     let all = prop::collection::btree_map(0..40u16, wants, 0..12);
     (terms(), all).prop_map(|(terms, all)| {
         let stands = |place: usize| u32::from(place < terms.standing as usize);
-        let wants = all.into_iter().enumerate().map(|(place, (id, (members, trials, near)))| {
-            (id, Wants { members, trials, near, standing: stands(place) })
-        });
+        let wants = all
+            .into_iter()
+            .enumerate()
+            .map(|(place, (id, (members, trials, near)))| {
+                (
+                    id,
+                    Wants {
+                        members,
+                        trials,
+                        near,
+                        standing: stands(place),
+                    },
+                )
+            });
         let wants = wants.collect();
         (terms, wants)
     })
@@ -63,16 +95,28 @@
 /// What is out or set aside: a forwarder counts with its part, or what it has for sure if that is more.
 fn counted((terms, wants): &Case, parts: &BTreeMap<u16, Part>) -> u32 {
     let named: u32 = wants.values().map(|wants| wants.standing).sum();
-    let sums =
-        parts.iter().map(|(id, part)| part.members.iter().sum::<u32>().max(wants[id].standing) + part.trials);
+    let sums = parts
+        .iter()
+        .map(|(id, part)| part.members.iter().sum::<u32>().max(wants[id].standing) + part.trials);
     sums.sum::<u32>() + terms.standing - named
 }
 
 /// The same cases each time.
 fn seeded(cases: u32) -> ProptestConfig {
-    let seed = std::env::var("POOLS_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(32);
-    let cases = std::env::var("POOLS_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(cases);
-    ProptestConfig { cases, rng_seed: RngSeed::Fixed(seed), failure_persistence: None, ..Default::default() }
+    let seed = std::env::var("POOLS_SEED")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(32);
+    let cases = std::env::var("POOLS_CASES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(cases);
+    ProptestConfig {
+        cases,
+        rng_seed: RngSeed::Fixed(seed),
+        failure_persistence: None,
+        ..Default::default()
+    }
 }
 
 proptest! {
@@ -187,22 +231,56 @@
 
 fn one_forwarder(members: Vec<MemberTerms>, connections: u32, wants: &[u32]) -> Vec<u32> {
     let (reserve, standing, over) = (0, 0, Over::ByDemand);
-    let terms = PoolTerms { connections, reserve, standing, over, members };
-    let wants = BTreeMap::from([(7, Wants { members: wants.to_vec(), ..Wants::default() })]);
-    split(&terms, 0, &wants, &mut Owed::new())[&7].members.clone()
+    let terms = PoolTerms {
+        connections,
+        reserve,
+        standing,
+        over,
+        members,
+    };
+    let wants = BTreeMap::from([(
+        7,
+        Wants {
+            members: wants.to_vec(),
+            ..Wants::default()
+        },
+    )]);
+    split(&terms, 0, &wants, &mut Owed::new())[&7]
+        .members
+        .clone()
 }
 
 fn lender(weight: u32, lends: Reach, borrows: bool) -> MemberTerms {
-    MemberTerms { weight, floor: 0, ceiling: u32::MAX, lends, borrows }
+    MemberTerms {
+        weight,
+        floor: 0,
+        ceiling: u32::MAX,
+        lends,
+        borrows,
+    }
 }
 
 #[test]
 fn an_unused_share_goes_only_where_it_is_lent() {
-    let members =
-        |lends| vec![lender(1, lends, true), lender(1, Reach::All, true), lender(1, Reach::All, true)];
-    assert_eq!(one_forwarder(members(Reach::All), 30, &[0, 30, 30]), [0, 15, 15]);
-    assert_eq!(one_forwarder(members(Reach::Only(vec![2])), 30, &[0, 30, 30]), [0, 10, 20]);
-    assert_eq!(one_forwarder(members(Reach::Only(vec![])), 30, &[0, 30, 30]), [0, 10, 10]);
+    let members = |lends| {
+        vec![
+            lender(1, lends, true),
+            lender(1, Reach::All, true),
+            lender(1, Reach::All, true),
+        ]
+    };
+    assert_eq!(
+        one_forwarder(members(Reach::All), 30, &[0, 30, 30]),
+        [0, 15, 15]
+    );
+    assert_eq!(
+        one_forwarder(members(Reach::Only(vec![2])), 30, &[0, 30, 30]),
+        [0, 10, 20]
+    );
+    assert_eq!(
+        one_forwarder(members(Reach::Only(vec![])), 30, &[0, 30, 30]),
+        [0, 10, 10]
+    );
 }
 
 #[test]
@@ -210,7 +288,11 @@
     let chain = |middle| {
         let reaches = [Reach::Only(vec![1]), Reach::Only(vec![2]), Reach::All];
         let [first, second, third] = reaches;
-        vec![lender(1, first, true), lender(1, second, middle), lender(1, third, true)]
+        vec![
+            lender(1, first, true),
+            lender(1, second, middle),
+            lender(1, third, true),
+        ]
     };
     assert_eq!(one_forwarder(chain(true), 30, &[0, 0, 30]), [0, 0, 30]);
     assert_eq!(one_forwarder(chain(false), 30, &[0, 30, 10]), [0, 10, 10]);
@@ -233,8 +315,23 @@
     let members = vec![lender(3, Reach::All, true), lender(1, Reach::All, true)];
     assert_eq!(one_forwarder(members.clone(), 20, &[50, 50]), [15, 5]);
     let (reserve, standing, over) = (0, 0, Over::ByZone);
-    let terms = PoolTerms { connections: 10, reserve, standing, over, members };
-    let wants = |near| Wants { members: vec![8, 0], near, ..Wants::default() };
-    let parts = split(&terms, 0, &BTreeMap::from([(1, wants(false)), (2, wants(true))]), &mut Owed::new());
+    let terms = PoolTerms {
+        connections: 10,
+        reserve,
+        standing,
+        over,
+        members,
+    };
+    let wants = |near| Wants {
+        members: vec![8, 0],
+        near,
+        ..Wants::default()
+    };
+    let parts = split(
+        &terms,
+        0,
+        &BTreeMap::from([(1, wants(false)), (2, wants(true))]),
+        &mut Owed::new(),
+    );
     assert_eq!((parts[&1].all(), parts[&2].all()), (2, 8));
 }
--- a/forwarder/connection-quotas/tests/stored_format.rs
+++ b/forwarder/connection-quotas/tests/stored_format.rs
@@ -7,9 +7,14 @@
 const PINNED: &str = include_str!("stored_format/values.txt");
 
 fn pinned(name: &str) -> Vec<u8> {
-    let line = PINNED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = PINNED
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let hex = line.unwrap_or_else(|| panic!("{name} is not pinned"));
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn check<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: T) {
@@ -32,7 +37,10 @@
 }
 
 fn instances() -> Vec<(Instance, String)> {
-    vec![(Instance("one".into()), "north".into()), (Instance("two".into()), String::new())]
+    vec![
+        (Instance("one".into()), "north".into()),
+        (Instance("two".into()), String::new()),
+    ]
 }
 
 fn grant(pool: PoolId, number: u64) -> Grant {
@@ -46,7 +54,12 @@
         lasts: 3_000.0,
         grace: 600.5,
         drift: 0.01,
-        parts: vec![PartOf { pool, facts: facts(), members: vec![3, 2], trials: 1 }],
+        parts: vec![PartOf {
+            pool,
+            facts: facts(),
+            members: vec![3, 2],
+            trials: 1,
+        }],
     }
 }
 
@@ -63,7 +76,11 @@
 
 #[test]
 fn a_report_is_as_pinned() {
-    let wants = vec![WantsOf { facts: facts(), members: vec![300, 2], trials: 9 }];
+    let wants = vec![WantsOf {
+        facts: facts(),
+        members: vec![300, 2],
+        trials: 9,
+    }];
     let report = Report {
         instance: Instance("one".into()),
         life: Life(0xfedc_ba98_7654_3210),
@@ -78,9 +95,15 @@
 #[test]
 fn every_command_of_the_log_is_as_pinned() {
     let mut all = vec![
-        Command::Policy { text: POLICY.into(), instances: instances() },
+        Command::Policy {
+            text: POLICY.into(),
+            instances: instances(),
+        },
         Command::Settled { edition: 300 },
-        Command::Ended { instance: Instance("one".into()), number: Number(70_000) },
+        Command::Ended {
+            instance: Instance("one".into()),
+            number: Number(70_000),
+        },
     ];
     all.extend(pools().map(|pool| Command::Grant(grant(pool, 70_000))));
     for command in all {
@@ -101,7 +124,14 @@
     }
     check("Facts", facts());
     check("Member", MemberId(300));
-    check("LeaseTerms", LeaseTerms { lasts: 3_000.0, renew: 300.5, drift: 0.25 });
+    check(
+        "LeaseTerms",
+        LeaseTerms {
+            lasts: 3_000.0,
+            renew: 300.5,
+            drift: 0.25,
+        },
+    );
 }
 
 #[test]
@@ -110,10 +140,19 @@
     assert_eq!(book.snapshot(), pinned("EmptyBook"));
     let newer = POLICY.replace("edition 7", "edition 8");
     let commands = [
-        Command::Policy { text: POLICY.into(), instances: instances() },
+        Command::Policy {
+            text: POLICY.into(),
+            instances: instances(),
+        },
         Command::Grant(grant(PoolId::Target("t-1".into()), 3)),
-        Command::Grant(Grant { closed: Number(0), ..grant(PoolId::Target("t-1".into()), 4) }),
-        Command::Policy { text: newer, instances: instances() },
+        Command::Grant(Grant {
+            closed: Number(0),
+            ..grant(PoolId::Target("t-1".into()), 4)
+        }),
+        Command::Policy {
+            text: newer,
+            instances: instances(),
+        },
     ];
     for command in &commands {
         assert_eq!(book.apply(300, command), Outcome::Done, "{command:?}");
@@ -123,8 +162,13 @@
     assert_eq!(read.snapshot(), pinned("Book"));
     assert_eq!(read.policy().unwrap().0.edition, 8);
     assert_eq!(
-        read.open().map(|(name, leases)| (name.0.as_str(), leases.len())).collect::<Vec<_>>(),
+        read.open()
+            .map(|(name, leases)| (name.0.as_str(), leases.len()))
+            .collect::<Vec<_>>(),
         [("one", 2)]
     );
-    assert_eq!(Book::restore(&pinned("EmptyBook")).unwrap().snapshot(), pinned("EmptyBook"));
+    assert_eq!(
+        Book::restore(&pinned("EmptyBook")).unwrap().snapshot(),
+        pinned("EmptyBook")
+    );
 }
--- a/forwarder/emulator/benches/speed.rs
+++ b/forwarder/emulator/benches/speed.rs
@@ -53,13 +53,22 @@
 fn days(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("events of clients");
     group.sample_size(10);
-    for (destinations, forwarders) in
-        [(100, 3), (1000, 3), (10_000, 3), (100, 30), (1000, 30), (10_000, 30), (1000, 300), (10_000, 300)]
-    {
+    for (destinations, forwarders) in [
+        (100, 3),
+        (1000, 3),
+        (10_000, 3),
+        (100, 30),
+        (1000, 30),
+        (10_000, 30),
+        (1000, 300),
+        (10_000, 300),
+    ] {
         let day = day(destinations, forwarders, "module");
         group.throughput(Throughput::Elements(play(&day).totals.events));
-        let name =
-            BenchmarkId::new(format!("{forwarders} forwarders"), format!("{destinations} destinations"));
+        let name = BenchmarkId::new(
+            format!("{forwarders} forwarders"),
+            format!("{destinations} destinations"),
+        );
         group.bench_with_input(name, &day, |bencher, day| bencher.iter(|| play(day)));
     }
     group.finish();
@@ -82,37 +91,52 @@
     group.throughput(Throughput::Elements(TURNS));
     for held in [100, 10_000, 1_000_000] {
         let mut chance = stream(1, Concern::Network);
-        let gaps: Vec<f64> =
-            (0..4096).map(|at| if at % 5 == 0 { 2000.0 } else { exponential(&mut chance, 50.0) }).collect();
-        group.bench_with_input(BenchmarkId::new("radix heap", held), &held, |bencher, &held| {
-            let mut queue = Queue::default();
-            (0..held).for_each(|at| queue.put(gaps[at % 4096], at as u64));
-            bencher.iter(|| {
-                for turn in 0..TURNS {
-                    let (at, entry) = queue.pop().expect("never empty");
-                    queue.put(at + gaps[(turn % 4096) as usize], entry);
+        let gaps: Vec<f64> = (0..4096)
+            .map(|at| {
+                if at % 5 == 0 {
+                    2000.0
+                } else {
+                    exponential(&mut chance, 50.0)
                 }
-            });
-        });
-        group.bench_with_input(BenchmarkId::new("binary heap", held), &held, |bencher, &held| {
-            let mut heap = BinaryHeap::new();
-            let mut order = 0u64;
-            for at in 0..held {
-                heap.push(Reverse((gaps[at % 4096].to_bits(), order, at as u64)));
-                order += 1;
-            }
-            bencher.iter(|| {
-                for turn in 0..TURNS {
-                    let Reverse((at, _, entry)) = heap.pop().expect("never empty");
-                    heap.push(Reverse((
-                        (f64::from_bits(at) + gaps[(turn % 4096) as usize]).to_bits(),
-                        order,
-                        entry,
-                    )));
+            })
+            .collect();
+        group.bench_with_input(
+            BenchmarkId::new("radix heap", held),
+            &held,
+            |bencher, &held| {
+                let mut queue = Queue::default();
+                (0..held).for_each(|at| queue.put(gaps[at % 4096], at as u64));
+                bencher.iter(|| {
+                    for turn in 0..TURNS {
+                        let (at, entry) = queue.pop().expect("never empty");
+                        queue.put(at + gaps[(turn % 4096) as usize], entry);
+                    }
+                });
+            },
+        );
+        group.bench_with_input(
+            BenchmarkId::new("binary heap", held),
+            &held,
+            |bencher, &held| {
+                let mut heap = BinaryHeap::new();
+                let mut order = 0u64;
+                for at in 0..held {
+                    heap.push(Reverse((gaps[at % 4096].to_bits(), order, at as u64)));
                     order += 1;
                 }
-            });
-        });
+                bencher.iter(|| {
+                    for turn in 0..TURNS {
+                        let Reverse((at, _, entry)) = heap.pop().expect("never empty");
+                        heap.push(Reverse((
+                            (f64::from_bits(at) + gaps[(turn % 4096) as usize]).to_bits(),
+                            order,
+                            entry,
+                        )));
+                        order += 1;
+                    }
+                });
+            },
+        );
     }
     group.finish();
 }
--- a/forwarder/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -41,19 +41,28 @@
 fn most_at(scenario: &Scenario, struck: &Struck, destination: u32, events: &[(Ms, u8)]) -> f64 {
     let longest = scenario.longest_patience();
     let steps = ((scenario.length + longest) / STEP).ceil() as usize + 1;
-    let open: Vec<f64> =
-        (0..steps).map(|at| capacity(scenario, struck, destination, at as f64 * STEP)).collect();
+    let open: Vec<f64> = (0..steps)
+        .map(|at| capacity(scenario, struck, destination, at as f64 * STEP))
+        .collect();
     // The first step from each on in which the destination is there.
     let mut first_open = vec![steps; steps + 1];
     for at in (0..steps).rev() {
-        first_open[at] = if open[at] > 0.0 { at } else { first_open[at + 1] };
+        first_open[at] = if open[at] > 0.0 {
+            at
+        } else {
+            first_open[at + 1]
+        };
     }
     let mut jobs: Vec<(f64, usize)> = Vec::new();
     for &(at, traffic) in events {
         let of = &scenario.traffic[traffic as usize];
         let step = (at / STEP) as usize;
         let there = first_open[step.min(steps)];
-        let from = if there == step { at } else { there as f64 * STEP };
+        let from = if there == step {
+            at
+        } else {
+            there as f64 * STEP
+        };
         if from < at + of.patience {
             let last = (((at + of.patience) / STEP) as usize).min(steps - 1);
             jobs.push((worth(of, at, from), last));
@@ -61,7 +70,8 @@
     }
     jobs.sort_by(|a, b| b.0.total_cmp(&a.0));
     let mut room: Vec<f64> = open.iter().map(|calls| calls * STEP / 1000.0).collect();
-    let per_call = scenario.destinations[struck.groups[destination as usize] as usize].events_per_call as f64;
+    let per_call =
+        scenario.destinations[struck.groups[destination as usize] as usize].events_per_call as f64;
     // Where to look next when a step is full.
     let mut before: Vec<usize> = (0..=steps).collect();
     let mut paid = 0.0;
@@ -86,8 +96,16 @@
 fn capacity(scenario: &Scenario, struck: &Struck, destination: u32, at: Ms) -> f64 {
     let group = &scenario.destinations[struck.groups[destination as usize] as usize];
     let each = group.servers as f64 * 1000.0 / group.answer.mean;
-    let work: f64 = scenario.traffic.iter().map(|traffic| traffic.share * traffic.work).sum::<f64>()
-        / scenario.traffic.iter().map(|traffic| traffic.share).sum::<f64>();
+    let work: f64 = scenario
+        .traffic
+        .iter()
+        .map(|traffic| traffic.share * traffic.work)
+        .sum::<f64>()
+        / scenario
+            .traffic
+            .iter()
+            .map(|traffic| traffic.share)
+            .sum::<f64>();
     let (mut targets, mut limit) = (group.targets as f64, Gauge::rate(&group.limit));
     for (trouble, list) in scenario.troubles.iter().zip(&struck.destinations) {
         let on = trouble.start <= at && at + STEP <= trouble.start + trouble.length;
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -29,7 +29,8 @@
 
 /// What the event is worth when it is delivered at `at`.
 pub fn worth(of: &Traffic, first_at: Ms, at: Ms) -> f64 {
-    let late = ((at - first_at - of.soft_limit) / (of.patience - of.soft_limit).max(1.0)).clamp(0.0, 1.0);
+    let late =
+        ((at - first_at - of.soft_limit) / (of.patience - of.soft_limit).max(1.0)).clamp(0.0, 1.0);
     of.payoff * (1.0 - late * (1.0 - of.payoff_at_end))
 }
 
@@ -66,18 +67,40 @@
         let all: Vec<u32> = (0..struck.weights.len() as u32).collect();
         let weighted = |list: &[u32]| {
             let weights: Vec<f64> = list.iter().map(|at| struck.weights[*at as usize]).collect();
-            let weights = if weights.iter().sum::<f64>() > 0.0 { weights } else { vec![1.0; list.len()] };
-            Whose::Weighted(WeightedAliasIndex::new(weights).expect("weights are checked"), list.to_vec())
+            let weights = if weights.iter().sum::<f64>() > 0.0 {
+                weights
+            } else {
+                vec![1.0; list.len()]
+            };
+            Whose::Weighted(
+                WeightedAliasIndex::new(weights).expect("weights are checked"),
+                list.to_vec(),
+            )
         };
         let mut sources = Vec::new();
         let mut add = |start: Ms, length: Ms, rate: f64, swings, left, whose| {
             if rate > 0.0 {
                 let chance = stream(seed.wrapping_add(sources.len() as u64), Concern::Arrivals);
                 let (ends, gap) = ((start + length).min(scenario.length), 1000.0 / rate);
-                sources.push(Source { next_at: start, ends, gap, swings, left, whose, chance });
+                sources.push(Source {
+                    next_at: start,
+                    ends,
+                    gap,
+                    swings,
+                    left,
+                    whose,
+                    chance,
+                });
             }
         };
-        add(0.0, scenario.length, of.rate * (1.0 + of.swing), of.swing > 0.0, u64::MAX, weighted(&all));
+        add(
+            0.0,
+            scenario.length,
+            of.rate * (1.0 + of.swing),
+            of.swing > 0.0,
+            u64::MAX,
+            weighted(&all),
+        );
         for (trouble, list) in scenario.troubles.iter().zip(&struck.destinations) {
             if list.is_empty() {
                 continue;
@@ -85,14 +108,28 @@
             match trouble.kind {
                 TroubleKind::Flood => {
                     let rate = of.rate * trouble.strength;
-                    add(trouble.start, trouble.length, rate, false, u64::MAX, weighted(list))
+                    add(
+                        trouble.start,
+                        trouble.length,
+                        rate,
+                        false,
+                        u64::MAX,
+                        weighted(list),
+                    )
                 }
                 TroubleKind::MassWake => {
                     let events = (list.len() as f64 * trouble.strength).round();
                     // A little faster than even, so that all have come before the end.
                     let rate = 1050.0 * events / trouble.length.max(1.0);
                     let each = Whose::Each(list.clone(), 0);
-                    add(trouble.start, trouble.length + 1000.0, rate, false, events as u64, each)
+                    add(
+                        trouble.start,
+                        trouble.length + 1000.0,
+                        rate,
+                        false,
+                        events as u64,
+                        each,
+                    )
                 }
                 _ => (),
             }
@@ -100,8 +137,16 @@
         for source in &mut sources {
             source.next_at += exponential(&mut source.chance, source.gap);
         }
-        let shares = scenario.traffic.iter().map(|traffic| traffic.share).collect();
-        let keys_of = struck.weights.iter().map(|w| (of.keys as f64 * w).round().max(1.0)).collect();
+        let shares = scenario
+            .traffic
+            .iter()
+            .map(|traffic| traffic.share)
+            .collect();
+        let keys_of = struck
+            .weights
+            .iter()
+            .map(|w| (of.keys as f64 * w).round().max(1.0))
+            .collect();
         Clients {
             scenario,
             sources,
@@ -167,8 +212,11 @@
             };
             let of = &self.scenario.clients;
             let clumped = of.clumps > 0.0 && draw(&mut self.chance) < of.clumps;
-            let extra =
-                if clumped { exponential(&mut self.chance, of.clump_size - 1.0).round() as usize } else { 0 };
+            let extra = if clumped {
+                exponential(&mut self.chance, of.clump_size - 1.0).round() as usize
+            } else {
+                0
+            };
             let ticket = self.ticket(destination, at);
             for _ in 0..extra {
                 let next = self.ticket(destination, at);
--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -69,13 +69,34 @@
 
 #[derive(Clone, Debug)]
 pub enum Decision {
-    Send { event: EventKey, target: u32, time_out: Ms },
-    End { event: EventKey, dismissed: bool, come_back_after: Option<Ms>, by_notice: bool },
-    Ping { target: u32 },
-    CloseIdle { target: u32 },
-    TakeBack { target: u32 },
-    Cold { target: u32, since: Ms, usual: f64 },
-    Wake { pause: Ms },
+    Send {
+        event: EventKey,
+        target: u32,
+        time_out: Ms,
+    },
+    End {
+        event: EventKey,
+        dismissed: bool,
+        come_back_after: Option<Ms>,
+        by_notice: bool,
+    },
+    Ping {
+        target: u32,
+    },
+    CloseIdle {
+        target: u32,
+    },
+    TakeBack {
+        target: u32,
+    },
+    Cold {
+        target: u32,
+        since: Ms,
+        usual: f64,
+    },
+    Wake {
+        pause: Ms,
+    },
 }
 
 pub trait Decider {
@@ -95,7 +116,13 @@
     now: Ms,
 ) -> Box<dyn Decider> {
     use scenario::Decider::*;
-    let mut habits = plain::Habits { sends: u32::MAX, time_out, breaker: false, budget: false, aimd: false };
+    let mut habits = plain::Habits {
+        sends: u32::MAX,
+        time_out,
+        breaker: false,
+        budget: false,
+        aimd: false,
+    };
     match kind {
         Module => return Box::new(module::Module::start(terms, names.clone(), now)),
         OneTry => habits.sends = 1,
--- a/forwarder/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -15,7 +15,11 @@
 
 impl Module {
     pub fn start(terms: Terms, names: TargetNames, now: Ms) -> Self {
-        Module { forwarder: Forwarder::start(terms, now), names, fresh: Vec::new() }
+        Module {
+            forwarder: Forwarder::start(terms, now),
+            names,
+            fresh: Vec::new(),
+        }
     }
 }
 
@@ -33,49 +37,99 @@
 
 impl Decider for Module {
     fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
-        let Module { forwarder, names, fresh } = self;
+        let Module {
+            forwarder,
+            names,
+            fresh,
+        } = self;
         fresh.clear();
         let fresh_ones = inputs.iter().filter_map(|input| match input {
-            Input::Taken { event, again: false, .. } => Some(*event),
+            Input::Taken {
+                event,
+                again: false,
+                ..
+            } => Some(*event),
             _ => None,
         });
         fresh.extend(fresh_ones);
         let mut written = Written { out, fresh };
         let came_in = |forwarder: &mut Forwarder, _: &mut Written| {
-            inputs.iter().try_for_each(|input| hand_over(forwarder, names, input))
+            inputs
+                .iter()
+                .try_for_each(|input| hand_over(forwarder, names, input))
         };
-        forwarder.round(now, came_in, &mut written).expect("the model names only what it introduced");
+        forwarder
+            .round(now, came_in, &mut written)
+            .expect("the model names only what it introduced");
     }
 }
 
 fn hand_over(to: &mut Forwarder, names: &TargetNames, input: &Input) -> Known {
     let name = |target: u32| names.borrow()[target as usize].clone();
     match *input {
-        Input::Listed { target, destination, kind, zone, listing } => {
-            to.listed(name(target), DestinationId(destination as u64), KindId(kind), ZoneId(zone), listing)
-        }
+        Input::Listed {
+            target,
+            destination,
+            kind,
+            zone,
+            listing,
+        } => to.listed(
+            name(target),
+            DestinationId(destination as u64),
+            KindId(kind),
+            ZoneId(zone),
+            listing,
+        ),
         Input::Left { target } => to.relisted(&name(target), Listing::Gone),
-        Input::Taken { event, destination, traffic, patience_ends, key, .. } => to.taken(
+        Input::Taken {
+            event,
+            destination,
+            traffic,
+            patience_ends,
+            key,
+            ..
+        } => to.taken(
             event_id(event),
             DestinationId(destination as u64),
             TrafficId(traffic),
             patience_ends,
             key.map(OrderKey),
         ),
-        Input::Restored { event, sends, may_have_run, was_out } => {
+        Input::Restored {
+            event,
+            sends,
+            may_have_run,
+            was_out,
+        } => {
             let may_have_run = may_have_run.map(|(at, zone)| (at, ZoneId(zone)));
             to.restored(&event_id(event), sends, may_have_run, was_out)
         }
         Input::EndedBefore { event } => to.ended_before(&event_id(event)),
-        Input::SendEnded { event, fate, took, wait } => {
-            return to.send_ended(&event_id(event), Ended { took, wait, ..Ended::plain(fate) })
+        Input::SendEnded {
+            event,
+            fate,
+            took,
+            wait,
+        } => {
+            return to.send_ended(
+                &event_id(event),
+                Ended {
+                    took,
+                    wait,
+                    ..Ended::plain(fate)
+                },
+            )
         }
         Input::PingEnded { target, fate } => {
             // The target may have been forgotten since: then nothing is to be learned from it.
             let _ = to.ping_ended(&name(target), fate);
         }
         Input::Heard { event } => to.heard(&event_id(event)),
-        Input::WasCold { target, since, usual } => to.was_cold(&name(target), since, usual),
+        Input::WasCold {
+            target,
+            since,
+            usual,
+        } => to.was_cold(&name(target), since, usual),
         Input::Closing { ends } => to.closing(ends),
     }
     Ok(())
@@ -90,14 +144,23 @@
     fn end(&mut self, event: &EventId, dismissed: bool, come_back_after: Option<Ms>) -> bool {
         let event = event_key(event);
         let by_notice = !self.fresh.contains(&event);
-        self.out.push(Decision::End { event, dismissed, come_back_after, by_notice });
+        self.out.push(Decision::End {
+            event,
+            dismissed,
+            come_back_after,
+            by_notice,
+        });
         by_notice
     }
 }
 
 impl Decisions for Written<'_> {
     fn send(&mut self, event: &EventId, target: &TargetId, time_out: Ms, _: Ms) {
-        self.out.push(Decision::Send { event: event_key(event), target: target_number(target), time_out });
+        self.out.push(Decision::Send {
+            event: event_key(event),
+            target: target_number(target),
+            time_out,
+        });
     }
     fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
         self.end(event, true, come_back_after)
@@ -106,16 +169,26 @@
         self.end(event, false, None)
     }
     fn ping(&mut self, target: &TargetId) {
-        self.out.push(Decision::Ping { target: target_number(target) });
+        self.out.push(Decision::Ping {
+            target: target_number(target),
+        });
     }
     fn close_idle(&mut self, target: &TargetId) {
-        self.out.push(Decision::CloseIdle { target: target_number(target) });
+        self.out.push(Decision::CloseIdle {
+            target: target_number(target),
+        });
     }
     fn take_back(&mut self, target: &TargetId) {
-        self.out.push(Decision::TakeBack { target: target_number(target) });
+        self.out.push(Decision::TakeBack {
+            target: target_number(target),
+        });
     }
     fn note_cold(&mut self, target: &TargetId, since: Ms, usual: f64) {
-        self.out.push(Decision::Cold { target: target_number(target), since, usual });
+        self.out.push(Decision::Cold {
+            target: target_number(target),
+            since,
+            usual,
+        });
     }
     fn wake_after(&mut self, pause: Ms) {
         self.out.push(Decision::Wake { pause });
--- a/forwarder/emulator/src/deciders/plain.rs
+++ b/forwarder/emulator/src/deciders/plain.rs
@@ -103,7 +103,13 @@
 
     fn take(&mut self, input: &Input, now: Ms) {
         match *input {
-            Input::Listed { target, destination, zone, listing, .. } => {
+            Input::Listed {
+                target,
+                destination,
+                zone,
+                listing,
+                ..
+            } => {
                 self.homes.insert(target, destination);
                 let to = self.destinations.entry(destination).or_default();
                 let runs = listing == Listing::Running;
@@ -114,18 +120,33 @@
                 self.due.insert((now.to_bits(), destination));
             }
             Input::Left { target } => {
-                if let Some(to) = self.homes.remove(&target).and_then(|of| self.destinations.get_mut(&of)) {
+                if let Some(to) = self
+                    .homes
+                    .remove(&target)
+                    .and_then(|of| self.destinations.get_mut(&of))
+                {
                     to.targets.retain(|(id, ..)| *id != target);
                 }
             }
-            Input::Taken { event, destination, traffic, patience_ends, key, again } => {
+            Input::Taken {
+                event,
+                destination,
+                traffic,
+                patience_ends,
+                key,
+                again,
+            } => {
                 self.taken += 1;
                 let key = key.filter(|_| self.terms.traffic[traffic].ordered);
                 if let Some(key) = key {
                     self.keys.entry(key).or_default().queue.push_back(event);
                 }
                 let order = self.taken;
-                self.destinations.entry(destination).or_default().waiting.insert(order, event);
+                self.destinations
+                    .entry(destination)
+                    .or_default()
+                    .waiting
+                    .insert(order, event);
                 let held = Event {
                     destination,
                     traffic,
@@ -139,14 +160,26 @@
                     fresh: !again,
                     unheard: false,
                 };
-                self.ends.insert(((patience_ends - LAST_MOMENT).max(0.0).to_bits(), event));
+                self.ends
+                    .insert(((patience_ends - LAST_MOMENT).max(0.0).to_bits(), event));
                 self.events.insert(event, held);
                 self.due.insert((now.to_bits(), destination));
             }
-            Input::Restored { event, sends, may_have_run, was_out } => {
-                let Some(held) = self.events.get_mut(&event) else { return };
+            Input::Restored {
+                event,
+                sends,
+                may_have_run,
+                was_out,
+            } => {
+                let Some(held) = self.events.get_mut(&event) else {
+                    return;
+                };
                 (held.sends, held.may_have_run) = (sends, may_have_run);
-                if let Some(line) = held.key.filter(|_| was_out).and_then(|key| self.keys.get_mut(&key)) {
+                if let Some(line) = held
+                    .key
+                    .filter(|_| was_out)
+                    .and_then(|key| self.keys.get_mut(&key))
+                {
                     line.rests_until = now + self.terms.key_rest;
                 }
             }
@@ -158,7 +191,9 @@
                     }
                 }
             }
-            Input::SendEnded { event, fate, wait, .. } => self.send_ended(event, fate, wait, now),
+            Input::SendEnded {
+                event, fate, wait, ..
+            } => self.send_ended(event, fate, wait, now),
             Input::Heard { event } => self.forget(event, now),
             Input::Closing { ends } => self.sends_until = ends - self.habits.time_out,
             Input::PingEnded { .. } | Input::WasCold { .. } => (),
@@ -166,9 +201,13 @@
     }
 
     fn send_ended(&mut self, key: EventKey, fate: Fate, wait: Ms, now: Ms) {
-        let Some(event) = self.events.get_mut(&key) else { return };
+        let Some(event) = self.events.get_mut(&key) else {
+            return;
+        };
         let Some(zone) = event.out.take() else { return };
-        let Some(to) = self.destinations.get_mut(&event.destination) else { return };
+        let Some(to) = self.destinations.get_mut(&event.destination) else {
+            return;
+        };
         self.out -= 1;
         to.out -= 1;
         to.trial_out = false;
@@ -185,13 +224,19 @@
             }
         }
         if fate.may_have_run() {
-            event.may_have_run.get_or_insert((event.not_before, zone as usize));
+            event
+                .may_have_run
+                .get_or_insert((event.not_before, zone as usize));
         }
         let ceiling = (FIRST_PAUSE * f64::powi(2.0, event.sends.min(10) as i32)).min(LONGEST_PAUSE);
         event.not_before = now + ceiling * draw(&mut self.chance);
         let destination = event.destination;
         let cut = matches!(fate, Fate::TimedOut | Fate::Reset | Fate::Cancelled);
-        if let Some(line) = event.key.filter(|_| cut).and_then(|key| self.keys.get_mut(&key)) {
+        if let Some(line) = event
+            .key
+            .filter(|_| cut)
+            .and_then(|key| self.keys.get_mut(&key))
+        {
             line.rests_until = now + self.terms.key_rest;
         }
         if good {
@@ -199,7 +244,8 @@
         } else {
             let again = event.not_before;
             // Its end may have come due while the send was out.
-            self.ends.insert(((event.patience_ends - LAST_MOMENT).max(0.0).to_bits(), key));
+            self.ends
+                .insert(((event.patience_ends - LAST_MOMENT).max(0.0).to_bits(), key));
             to.waiting.insert(event.order, key);
             self.due.insert((again.to_bits(), destination));
         }
@@ -211,30 +257,55 @@
     fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
         let had_room = self.out < self.terms.slots;
         inputs.iter().for_each(|input| self.take(input, now));
-        while let Some(&(at, key)) = self.ends.first().filter(|(at, _)| f64::from_bits(*at) <= now) {
+        while let Some(&(at, key)) = self
+            .ends
+            .first()
+            .filter(|(at, _)| f64::from_bits(*at) <= now)
+        {
             self.ends.remove(&(at, key));
-            if self.events.get(&key).is_some_and(|event| event.out.is_none() && !event.unheard) {
+            if self
+                .events
+                .get(&key)
+                .is_some_and(|event| event.out.is_none() && !event.unheard)
+            {
                 self.end(key, now, out);
             }
         }
         if !had_room && self.out < self.terms.slots {
-            let starved = self.destinations.iter().filter(|(_, to)| !to.waiting.is_empty());
-            self.due.extend(starved.map(|(id, _)| (now.to_bits(), *id)).collect::<Vec<_>>());
+            let starved = self
+                .destinations
+                .iter()
+                .filter(|(_, to)| !to.waiting.is_empty());
+            self.due.extend(
+                starved
+                    .map(|(id, _)| (now.to_bits(), *id))
+                    .collect::<Vec<_>>(),
+            );
         }
-        while let Some(&(at, id)) = self.due.first().filter(|(at, _)| f64::from_bits(*at) <= now) {
+        while let Some(&(at, id)) = self
+            .due
+            .first()
+            .filter(|(at, _)| f64::from_bits(*at) <= now)
+        {
             self.due.remove(&(at, id));
             self.serve(id, now, out);
         }
         for input in inputs {
             if let Input::Taken { event, .. } = input {
-                self.events.entry(*event).and_modify(|event| event.fresh = false);
+                self.events
+                    .entry(*event)
+                    .and_modify(|event| event.fresh = false);
             }
         }
         let due = self.due.first().map(|(at, _)| f64::from_bits(*at));
         let ends = self.ends.first().map(|(at, _)| f64::from_bits(*at));
-        let next = due.unwrap_or(f64::INFINITY).min(ends.unwrap_or(f64::INFINITY));
+        let next = due
+            .unwrap_or(f64::INFINITY)
+            .min(ends.unwrap_or(f64::INFINITY));
         if next.is_finite() {
-            out.push(Decision::Wake { pause: (next - now).max(0.001) });
+            out.push(Decision::Wake {
+                pause: (next - now).max(0.001),
+            });
         }
     }
 }
--- a/forwarder/emulator/src/deciders/plain/serving.rs
+++ b/forwarder/emulator/src/deciders/plain/serving.rs
@@ -8,16 +8,22 @@
 
 impl Plain {
     pub(super) fn forget(&mut self, key: EventKey, now: Ms) {
-        let Some(event) = self.events.remove(&key) else { return };
-        self.ends.remove(&((event.patience_ends - LAST_MOMENT).max(0.0).to_bits(), key));
+        let Some(event) = self.events.remove(&key) else {
+            return;
+        };
+        self.ends
+            .remove(&((event.patience_ends - LAST_MOMENT).max(0.0).to_bits(), key));
         if let Some(to) = self.destinations.get_mut(&event.destination) {
             to.waiting.remove(&event.order);
         }
         let Some(of) = event.key else { return };
-        let Some(line) = self.keys.get_mut(&of) else { return };
+        let Some(line) = self.keys.get_mut(&of) else {
+            return;
+        };
         line.queue.retain(|queued| *queued != key);
         if let Some(next) = line.queue.front().and_then(|next| self.events.get(next)) {
-            self.due.insert((now.max(line.rests_until).to_bits(), next.destination));
+            self.due
+                .insert((now.max(line.rests_until).to_bits(), next.destination));
         } else if line.rests_until <= now {
             self.keys.remove(&of);
         }
@@ -38,13 +44,21 @@
     pub(super) fn end(&mut self, key: EventKey, now: Ms, out: &mut Vec<Decision>) {
         let event = self.events.get_mut(&key).expect("held");
         let effect = self.terms.traffic[event.traffic].effect;
-        let bound = matches!(effect, Effect::Binding | Effect::Fingerprinted { one_zone: true, .. });
+        let bound = matches!(
+            effect,
+            Effect::Binding | Effect::Fingerprinted { one_zone: true, .. }
+        );
         let dismissed = event.may_have_run.is_none() || !bound;
         let by_notice = !event.fresh;
         event.unheard = by_notice;
         let (order, destination) = (event.order, event.destination);
         let come_back_after = self.terms.longest_advice.filter(|_| dismissed);
-        out.push(Decision::End { event: key, dismissed, come_back_after, by_notice });
+        out.push(Decision::End {
+            event: key,
+            dismissed,
+            come_back_after,
+            by_notice,
+        });
         if let Some(to) = self.destinations.get_mut(&destination) {
             to.waiting.remove(&order);
         }
@@ -55,7 +69,9 @@
 
     /// Sends what a destination's waiting events allow, oldest first.
     pub(super) fn serve(&mut self, id: u32, now: Ms, out: &mut Vec<Decision>) {
-        let Some(to) = self.destinations.get(&id) else { return };
+        let Some(to) = self.destinations.get(&id) else {
+            return;
+        };
         let waiting: Vec<EventKey> = to.waiting.values().copied().collect();
         let mut next = f64::INFINITY;
         for key in waiting {
@@ -64,10 +80,15 @@
                 continue;
             }
             let (event, to) = (&self.events[&key], &self.destinations[&id]);
-            let opens =
-                if self.habits.breaker { to.closed_until.max(to.broken_until) } else { to.closed_until };
+            let opens = if self.habits.breaker {
+                to.closed_until.max(to.broken_until)
+            } else {
+                to.closed_until
+            };
             let line = event.key.and_then(|key| self.keys.get(&key));
-            let rests = line.filter(|_| event.sends == 0).map_or(0.0, |line| line.rests_until);
+            let rests = line
+                .filter(|_| event.sends == 0)
+                .map_or(0.0, |line| line.rests_until);
             let from = opens.max(event.not_before).max(rests);
             let blocked = line.is_some_and(|line| line.queue.front() != Some(&key));
             if from > now || blocked {
@@ -78,7 +99,11 @@
             }
             let tripped = self.habits.breaker && to.failures >= 5;
             let full = self.habits.aimd && to.out as f64 >= to.allowed.max(4.0);
-            if self.out >= self.terms.slots || now >= self.sends_until || full || tripped && to.trial_out {
+            if self.out >= self.terms.slots
+                || now >= self.sends_until
+                || full
+                || tripped && to.trial_out
+            {
                 break;
             }
             if event.sends > 0 && self.habits.budget && self.tokens < 1.0 {
@@ -93,17 +118,24 @@
     }
 
     pub(super) fn send(&mut self, key: EventKey, id: u32, now: Ms, out: &mut Vec<Decision>) {
-        let (event, to) =
-            (self.events.get_mut(&key).expect("held"), self.destinations.get_mut(&id).expect("seen"));
+        let (event, to) = (
+            self.events.get_mut(&key).expect("held"),
+            self.destinations.get_mut(&id).expect("seen"),
+        );
         let effect = self.terms.traffic[event.traffic].effect;
         let bound = matches!(effect, Effect::Fingerprinted { one_zone: true, .. });
         let ran_in = event.may_have_run.filter(|_| bound).map(|(_, zone)| zone);
         let fits = |zone: usize| ran_in.is_none_or(|ran_in| ran_in == zone);
-        let running: Vec<_> = to.targets.iter().filter(|(_, zone, runs)| *runs && fits(*zone)).collect();
+        let running: Vec<_> = to
+            .targets
+            .iter()
+            .filter(|(_, zone, runs)| *runs && fits(*zone))
+            .collect();
         if running.is_empty() {
             return;
         }
-        let &(target, zone, _) = running[self.chance.random_range(0..running.len() as u32) as usize];
+        let &(target, zone, _) =
+            running[self.chance.random_range(0..running.len() as u32) as usize];
         self.tokens = match event.sends {
             0 => (self.tokens + 0.1).min(50.0),
             _ => self.tokens - 1.0,
@@ -116,6 +148,10 @@
         to.out += 1;
         self.out += 1;
         let time_out = self.habits.time_out.min(event.patience_ends - now);
-        out.push(Decision::Send { event: key, target, time_out });
+        out.push(Decision::Send {
+            event: key,
+            target,
+            time_out,
+        });
     }
 }
--- a/forwarder/emulator/src/limits.rs
+++ b/forwarder/emulator/src/limits.rs
@@ -56,7 +56,11 @@
                 }
             }
             LimitKind::SlidingWindow => {
-                while self.recent.front().is_some_and(|at| *at <= now - limit.window) {
+                while self
+                    .recent
+                    .front()
+                    .is_some_and(|at| *at <= now - limit.window)
+                {
                     self.recent.pop_front();
                 }
                 let fits = (self.recent.len() as f64) + 1.0 <= calls;
@@ -81,7 +85,9 @@
     pub fn rate(limit: &Limit) -> f64 {
         match limit.kind {
             LimitKind::Rate => limit.calls,
-            LimitKind::FixedWindow | LimitKind::SlidingWindow => 1000.0 * limit.calls / limit.window,
+            LimitKind::FixedWindow | LimitKind::SlidingWindow => {
+                1000.0 * limit.calls / limit.window
+            }
             LimitKind::None | LimitKind::Concurrency => f64::INFINITY,
         }
     }
--- a/forwarder/emulator/src/queue.rs
+++ b/forwarder/emulator/src/queue.rs
@@ -16,7 +16,12 @@
 impl<T> Default for Queue<T> {
     fn default() -> Self {
         let buckets = (0..65).map(|_| Vec::new()).collect();
-        Queue { buckets, due: std::collections::VecDeque::new(), last: 0, len: 0 }
+        Queue {
+            buckets,
+            due: std::collections::VecDeque::new(),
+            last: 0,
+            len: 0,
+        }
     }
 }
 
@@ -57,7 +62,11 @@
     fn advance(&mut self) -> Option<()> {
         let lowest = self.buckets.iter().position(|bucket| !bucket.is_empty())?;
         let mut entries = std::mem::take(&mut self.buckets[lowest]);
-        self.last = entries.iter().map(|(key, _)| *key).min().expect("not empty");
+        self.last = entries
+            .iter()
+            .map(|(key, _)| *key)
+            .min()
+            .expect("not empty");
         for (key, entry) in entries.drain(..) {
             match Self::bucket(key, self.last) {
                 0 => self.due.push_back(entry),
--- a/forwarder/emulator/src/struck.rs
+++ b/forwarder/emulator/src/struck.rs
@@ -27,7 +27,9 @@
             let whom = &trouble.whom;
             let mut list: Vec<u32> = by_use.clone();
             if let Some(name) = &whom.group {
-                list.retain(|at| scenario.destinations[groups[*at as usize] as usize].name == *name);
+                list.retain(|at| {
+                    scenario.destinations[groups[*at as usize] as usize].name == *name
+                });
             }
             if let Some(tenant) = whom.tenant {
                 list.retain(|at| *at as usize % scenario.clients.tenants == tenant);
@@ -48,20 +50,35 @@
             }
             list.sort_unstable();
             destinations.push(list);
-            forwarders.push(struck_forwarders(scenario, trouble, &mut || draw(&mut chance)));
+            forwarders.push(struck_forwarders(scenario, trouble, &mut || {
+                draw(&mut chance)
+            }));
+        }
+        Struck {
+            weights,
+            groups,
+            destinations,
+            forwarders,
         }
-        Struck { weights, groups, destinations, forwarders }
     }
 }
 
 /// The destinations, the most used first.
 pub fn by_use(weights: &[f64]) -> Vec<u32> {
     let mut all: Vec<u32> = (0..weights.len() as u32).collect();
-    all.sort_by(|a, b| weights[*b as usize].total_cmp(&weights[*a as usize]).then(a.cmp(b)));
+    all.sort_by(|a, b| {
+        weights[*b as usize]
+            .total_cmp(&weights[*a as usize])
+            .then(a.cmp(b))
+    });
     all
 }
 
-fn struck_forwarders(scenario: &Scenario, trouble: &Trouble, draw: &mut dyn FnMut() -> f64) -> Vec<u32> {
+fn struck_forwarders(
+    scenario: &Scenario,
+    trouble: &Trouble,
+    draw: &mut dyn FnMut() -> f64,
+) -> Vec<u32> {
     let count = scenario.forwarders.count;
     let zones = &scenario.network.zones;
     let whom = &trouble.whom;
@@ -83,10 +100,15 @@
     let all: f64 = scenario.destinations.iter().map(|group| group.share).sum();
     let (mut weights, mut groups) = (Vec::new(), Vec::new());
     for (at, group) in scenario.destinations.iter().enumerate() {
-        let ranks: Vec<f64> =
-            (1..=group.count).map(|rank| rank_weight(rank, scenario.clients.zipf)).collect();
+        let ranks: Vec<f64> = (1..=group.count)
+            .map(|rank| rank_weight(rank, scenario.clients.zipf))
+            .collect();
         let sum: f64 = ranks.iter().sum();
-        weights.extend(ranks.iter().map(|weight| group.share / all.max(1e-12) * weight / sum));
+        weights.extend(
+            ranks
+                .iter()
+                .map(|weight| group.share / all.max(1e-12) * weight / sum),
+        );
         groups.extend(std::iter::repeat_n(at as u32, group.count));
     }
     (weights, groups)
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
-use plankhill_invariants::{Checker, Rule};
 use plankhill_forwarder_config::scenario::{Decider, Ms, Scenario};
+use plankhill_invariants::{Checker, Rule};
 use rustc_hash::FxHashMap;
 
 use crate::clients::{worth, Ticket};
@@ -76,14 +76,20 @@
         let is_struck = |at: &u32| struck_ones.binary_search(at).is_ok();
         let half = by_use.iter().filter(|at| is_struck(at)).take(ROWS / 2);
         let mut shown: Vec<u32> = half.copied().collect();
-        let rest: Vec<u32> =
-            by_use.iter().filter(|at| !shown.contains(at)).take(ROWS - shown.len()).copied().collect();
+        let rest: Vec<u32> = by_use
+            .iter()
+            .filter(|at| !shown.contains(at))
+            .take(ROWS - shown.len())
+            .copied()
+            .collect();
         shown.extend(rest);
         let heat: Vec<HeatRow> = shown
             .iter()
             .map(|&destination| HeatRow {
                 destination,
-                group: scenario.destinations[struck.groups[destination as usize] as usize].name.clone(),
+                group: scenario.destinations[struck.groups[destination as usize] as usize]
+                    .name
+                    .clone(),
                 struck: is_struck(&destination),
                 calls: vec![0; STEPS],
                 failed: vec![0; STEPS],
@@ -94,7 +100,11 @@
             series,
             traffic: traffic.collect(),
             causes: BTreeMap::new(),
-            rows: shown.iter().enumerate().map(|(row, at)| (*at, row)).collect(),
+            rows: shown
+                .iter()
+                .enumerate()
+                .map(|(row, at)| (*at, row))
+                .collect(),
             heat,
             struck: struck_ones,
             width,
@@ -130,7 +140,8 @@
         of.delivered += 1;
         of.paid += paid;
         of.time += at - ticket.first_at;
-        of.times.saturating_record(((at - ticket.first_at) * 1000.0).max(1.0) as u64);
+        of.times
+            .saturating_record(((at - ticket.first_at) * 1000.0).max(1.0) as u64);
     }
 
     /// The event will not be delivered any more, whatever its client does.
@@ -170,33 +181,51 @@
     pub fn outcome(self, scenario: &Scenario, seed: u64, checker: &Checker) -> Outcome {
         let totals = self.totals;
         let shares = [0.5, 0.9, 0.95, 0.99, 0.999, 1.0];
-        let traffic = scenario.traffic.iter().zip(self.traffic).map(|(of, tally)| TrafficOutcome {
-            name: of.name.clone(),
-            events: tally.events,
-            delivered: tally.delivered,
-            asked: tally.asked,
-            paid: tally.paid,
-            mean: tally.time / tally.delivered.max(1) as f64,
-            times: shares.iter().map(|&q| (q, tally.times.value_at_quantile(q) as f64 / 1000.0)).collect(),
-            spread: tally
-                .times
-                .iter_log(500, 1.3)
-                .filter(|step| step.count_since_last_iteration() > 0)
-                .map(|step| (step.value_iterated_to() as f64 / 1000.0, step.count_since_last_iteration()))
-                .collect(),
-        });
+        let traffic = scenario
+            .traffic
+            .iter()
+            .zip(self.traffic)
+            .map(|(of, tally)| TrafficOutcome {
+                name: of.name.clone(),
+                events: tally.events,
+                delivered: tally.delivered,
+                asked: tally.asked,
+                paid: tally.paid,
+                mean: tally.time / tally.delivered.max(1) as f64,
+                times: shares
+                    .iter()
+                    .map(|&q| (q, tally.times.value_at_quantile(q) as f64 / 1000.0))
+                    .collect(),
+                spread: tally
+                    .times
+                    .iter_log(500, 1.3)
+                    .filter(|step| step.count_since_last_iteration() > 0)
+                    .map(|step| {
+                        (
+                            step.value_iterated_to() as f64 / 1000.0,
+                            step.count_since_last_iteration(),
+                        )
+                    })
+                    .collect(),
+            });
         let shades = scenario.troubles.iter().map(|trouble| Shade {
             trouble: format!("{:?}", trouble.kind),
             start: trouble.start,
             end: (trouble.start + trouble.length).min(scenario.length),
         });
-        let decisions = Decider::ALL.iter().find(|(_, kind)| *kind == scenario.forwarders.decisions);
+        let decisions = Decider::ALL
+            .iter()
+            .find(|(_, kind)| *kind == scenario.forwarders.decisions);
         Outcome {
             about: scenario.about.clone(),
             seed,
             decisions: decisions.expect("all are listed").0.to_owned(),
             length: scenario.length,
-            payoff: if totals.asked > 0.0 { totals.paid / totals.asked } else { 1.0 },
+            payoff: if totals.asked > 0.0 {
+                totals.paid / totals.asked
+            } else {
+                1.0
+            },
             totals,
             causes: self.causes,
             traffic: traffic.collect(),
@@ -205,13 +234,23 @@
             shades: shades.collect(),
             rules: Rule::ALL
                 .iter()
-                .map(|rule| RuleCount { rule: rule.name().to_owned(), broken: checker.count(*rule) })
+                .map(|rule| RuleCount {
+                    rule: rule.name().to_owned(),
+                    broken: checker.count(*rule),
+                })
                 .collect(),
             breaches: checker
                 .breaches()
                 .iter()
                 .take(20)
-                .map(|breach| format!("{:.3} ms: {}: {}", breach.at, breach.rule.name(), breach.what))
+                .map(|breach| {
+                    format!(
+                        "{:.3} ms: {}: {}",
+                        breach.at,
+                        breach.rule.name(),
+                        breach.what
+                    )
+                })
                 .collect(),
         }
     }
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -1,8 +1,8 @@
 //! The way back of a call, and all that ends the forwarder's side of it.
 
 use plankhill_decisions::interface::{Fate, Ms};
-use plankhill_invariants::Fact;
 use plankhill_forwarder_config::scenario::TroubleKind;
+use plankhill_invariants::Fact;
 
 use super::parts::Member;
 use super::{CallKey, Step, World};
@@ -27,16 +27,22 @@
 
     /// Whether answers of the target to the forwarder get lost now.
     pub(super) fn is_cut(&self, forwarder: u32, destination: u32, target: u32) -> bool {
-        let Some(active) = self.active.get(&destination) else { return false };
+        let Some(active) = self.active.get(&destination) else {
+            return false;
+        };
         active.iter().any(|&at| {
             let trouble = &self.scenario.troubles[at as usize];
             let struck = (trouble.strength * self.forwarders.len() as f64).ceil();
-            trouble.kind == TroubleKind::CutOneWay && (forwarder as f64) < struck && self.covers(at, target)
+            trouble.kind == TroubleKind::CutOneWay
+                && (forwarder as f64) < struck
+                && self.covers(at, target)
         })
     }
 
     pub(super) fn answered(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key) else { return };
+        let Some(call) = self.calls.get(key) else {
+            return;
+        };
         if call.over_here {
             if !call.there {
                 self.calls.remove(key);
@@ -48,8 +54,14 @@
     }
 
     pub(super) fn time_out(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key).filter(|call| !call.over_here) else { return };
-        let fate = if call.written { Fate::TimedOut } else { Fate::NoConnection };
+        let Some(call) = self.calls.get(key).filter(|call| !call.over_here) else {
+            return;
+        };
+        let fate = if call.written {
+            Fate::TimedOut
+        } else {
+            Fate::NoConnection
+        };
         self.call_over(key, fate, 0.0);
     }
 
@@ -57,14 +69,20 @@
     pub(super) fn call_over(&mut self, key: CallKey, fate: Fate, wait: Ms) {
         let call = &mut self.calls[key];
         call.over_here = true;
-        let (forwarder, target, lane, ping, began) =
-            (call.forwarder, call.target, call.lane, call.ping, call.began);
+        let (forwarder, target, lane, ping, began) = (
+            call.forwarder,
+            call.target,
+            call.lane,
+            call.ping,
+            call.began,
+        );
         let (in_outage, written, there) = (call.in_outage, call.written, call.there);
         let members = call.members.clone();
         let destination = self.targets[target as usize].destination;
         let good = fate == Fate::Delivered;
         if !good && fate != Fate::NotSent {
-            self.tally.call_failed(destination, self.now, fate == Fate::Full);
+            self.tally
+                .call_failed(destination, self.now, fate == Fate::Full);
         }
         if !good && in_outage {
             self.tell(Fact::SawFailure { forwarder, lane });
@@ -75,10 +93,23 @@
         }
         let took = self.now - began;
         for Member { event, .. } in members {
-            self.incoming(forwarder, Input::SendEnded { event, fate, took, wait }, Some((lane, written)));
+            self.incoming(
+                forwarder,
+                Input::SendEnded {
+                    event,
+                    fate,
+                    took,
+                    wait,
+                },
+                Some((lane, written)),
+            );
         }
         if ping {
-            self.incoming(forwarder, Input::PingEnded { target, fate }, Some((lane, written)));
+            self.incoming(
+                forwarder,
+                Input::PingEnded { target, fate },
+                Some((lane, written)),
+            );
         }
         // A connection still coming up is given back when it is up.
         let coming_up = !written && fate != Fate::NoConnection && self.tracked(destination);
@@ -90,11 +121,20 @@
     /// All calls at targets of the destination that are down now are broken off; half of them have run.
     pub(super) fn break_calls(&mut self, destination: u32) {
         let targets: Vec<u32> = self.destinations[destination as usize].targets.clone();
-        let down: Vec<u32> = targets.into_iter().filter(|target| self.plight(*target).down).collect();
-        if down.iter().all(|target| self.targets[*target as usize].busy == 0) {
+        let down: Vec<u32> = targets
+            .into_iter()
+            .filter(|target| self.plight(*target).down)
+            .collect();
+        if down
+            .iter()
+            .all(|target| self.targets[*target as usize].busy == 0)
+        {
             return;
         }
-        let there = self.calls.iter().filter(|(_, call)| call.there && down.contains(&call.target));
+        let there = self
+            .calls
+            .iter()
+            .filter(|(_, call)| call.there && down.contains(&call.target));
         let there: Vec<CallKey> = there.map(|(key, _)| key).collect();
         for target in &down {
             let it = &mut self.targets[*target as usize];
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -2,8 +2,8 @@
 //! out) while the target's is not; the call is forgotten when both are.
 
 use plankhill_decisions::interface::{Fate, Ms};
-use plankhill_invariants::Fact;
 use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_invariants::Fact;
 
 use super::parts::{Call, Event, Member};
 use super::{CallKey, Step, World};
@@ -16,16 +16,29 @@
 const PING_WORK: f64 = 0.2;
 
 impl World<'_> {
-    pub(super) fn begin_call(&mut self, forwarder: u32, target: u32, events: Vec<EventKey>, time_out: Ms) {
+    pub(super) fn begin_call(
+        &mut self,
+        forwarder: u32,
+        target: u32,
+        events: Vec<EventKey>,
+        time_out: Ms,
+    ) {
         let ping = events.is_empty();
         let members: Vec<Member> = events
             .iter()
             .map(|&event| {
                 let Event { number, ticket, .. } = &self.events[event];
-                Member { event, number: *number, origin: ticket.origin, traffic: ticket.traffic }
+                Member {
+                    event,
+                    number: *number,
+                    origin: ticket.origin,
+                    traffic: ticket.traffic,
+                }
             })
             .collect();
-        let works = members.iter().map(|member| self.scenario.traffic[member.traffic as usize].work);
+        let works = members
+            .iter()
+            .map(|member| self.scenario.traffic[member.traffic as usize].work);
         let work = works.fold(if ping { PING_WORK } else { 0.0 }, f64::max);
         let sends = members.len() as u64;
         let it = &self.targets[target as usize];
@@ -67,8 +80,11 @@
     }
 
     pub(super) fn reaches(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key) else { return };
-        let (target, lane, forwarder, reused) = (call.target, call.lane, call.forwarder, call.reused);
+        let Some(call) = self.calls.get(key) else {
+            return;
+        };
+        let (target, lane, forwarder, reused) =
+            (call.target, call.lane, call.forwarder, call.reused);
         let weight = 1.0 + RIDER * call.members.len().saturating_sub(1) as f64;
         let destination = self.targets[target as usize].destination;
         let outage = self.lanes[lane as usize].outage;
@@ -83,11 +99,19 @@
         if plight.silent || plight.half_open && reused {
             return;
         }
-        let group = &self.scenario.destinations[self.destinations[destination as usize].group as usize];
-        let admitted = self.lanes[lane as usize].gauge.admit(&group.limit, plight.left_of_limit, self.now);
+        let group =
+            &self.scenario.destinations[self.destinations[destination as usize].group as usize];
+        let admitted =
+            self.lanes[lane as usize]
+                .gauge
+                .admit(&group.limit, plight.left_of_limit, self.now);
         if let Err(room_at) = admitted {
             let least = group.limit.tells_wait;
-            let wait = if least > 0.0 { least.max(room_at.unwrap_or(0.0) - self.now) } else { 0.0 };
+            let wait = if least > 0.0 {
+                least.max(room_at.unwrap_or(0.0) - self.now)
+            } else {
+                0.0
+            };
             return self.respond(key, Fate::Full, wait);
         }
         if plight.erring > 0.0 && draw(&mut self.chance_faults) < plight.erring {
@@ -102,7 +126,9 @@
             self.calls[key].fate = Fate::Reset;
         }
         self.calls[key].mute = plight.hung;
-        let servers = (group.servers as f64 * plight.left_of_limit).ceil().max(1.0) as u32;
+        let servers = (group.servers as f64 * plight.left_of_limit)
+            .ceil()
+            .max(1.0) as u32;
         let room = group.queue;
         let it = &mut self.targets[target as usize];
         if it.busy < servers {
@@ -132,7 +158,9 @@
     }
 
     pub(super) fn served(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get_mut(key) else { return };
+        let Some(call) = self.calls.get_mut(key) else {
+            return;
+        };
         if !call.there {
             return; // it was broken off there
         }
@@ -152,9 +180,19 @@
     /// The events of the call take effect.
     pub(super) fn apply(&mut self, key: CallKey) {
         let members = std::mem::take(&mut self.calls[key].members);
-        for &Member { number, origin, traffic, .. } in &members {
+        for &Member {
+            number,
+            origin,
+            traffic,
+            ..
+        } in &members
+        {
             let effect = self.effect(traffic);
-            self.tell(Fact::Applied { event: number, origin, effect });
+            self.tell(Fact::Applied {
+                event: number,
+                origin,
+                effect,
+            });
         }
         self.calls[key].members = members;
     }
@@ -164,9 +202,10 @@
         match of.effect {
             Repeats::Retriable => plankhill_invariants::Effect::Retriable,
             Repeats::Binding => plankhill_invariants::Effect::Binding,
-            Repeats::Fingerprinted => {
-                plankhill_invariants::Effect::Fingerprinted { window: of.window, one_group: of.one_zone }
-            }
+            Repeats::Fingerprinted => plankhill_invariants::Effect::Fingerprinted {
+                window: of.window,
+                one_group: of.one_zone,
+            },
         }
     }
 
--- a/forwarder/emulator/src/world/clients_side.rs
+++ b/forwarder/emulator/src/world/clients_side.rs
@@ -47,7 +47,9 @@
         self.introduce(at, ticket.destination, inputs);
         let heard = self.forwarders[at as usize].heard;
         let targets = &self.destinations[ticket.destination as usize].targets;
-        let named = targets.iter().any(|target| self.targets[*target as usize].as_of(heard) != Listing::Gone);
+        let named = targets
+            .iter()
+            .any(|target| self.targets[*target as usize].as_of(heard) != Listing::Gone);
         let full = self.forwarders[at as usize].held >= self.scenario.forwarders.room;
         if full || !named || ticket.patience_ends - self.now < LEAST_PATIENCE {
             ticket.cause = Cause::NoRoom;
@@ -60,7 +62,14 @@
         let of = &self.scenario.traffic[ticket.traffic as usize];
         let key = ticket.key.filter(|_| of.ordered);
         let (origin, patience_ends) = (ticket.origin, ticket.patience_ends);
-        self.tell(Fact::Taken { forwarder: at, event: number, origin, effect, key, patience_ends });
+        self.tell(Fact::Taken {
+            forwarder: at,
+            event: number,
+            origin,
+            effect,
+            key,
+            patience_ends,
+        });
         let (destination, traffic) = (ticket.destination, ticket.traffic as usize);
         ticket.cause = Cause::Waited;
         let event = self.events.insert(Event {
@@ -77,7 +86,14 @@
         self.forwarders[at as usize].held += 1;
         self.tally.totals.taken += 1;
         self.tally.totals.most_held = self.tally.totals.most_held.max(self.events.len() as u64);
-        inputs.push(Input::Taken { event, destination, traffic, patience_ends, key, again: false });
+        inputs.push(Input::Taken {
+            event,
+            destination,
+            traffic,
+            patience_ends,
+            key,
+            again: false,
+        });
     }
 
     /// Nobody took the event: the client tries again while that can matter.
@@ -101,7 +117,11 @@
     pub(super) fn dismissed(&mut self, mut ticket: Ticket, come_back_after: Option<Ms>) {
         let of = &self.scenario.clients;
         let storms = self.storm > 0.0;
-        let most = if storms { (of.returns as f64 * self.storm).ceil() as u32 } else { of.returns };
+        let most = if storms {
+            (of.returns as f64 * self.storm).ceil() as u32
+        } else {
+            of.returns
+        };
         if ticket.returns >= most {
             let cause = ticket.cause;
             return self.tally.unpaid(self.scenario, &ticket, cause);
@@ -115,7 +135,12 @@
         self.comes_again(ticket, pause);
     }
 
-    pub(super) fn client_hears(&mut self, ticket: Ticket, dismissed: bool, come_back_after: Option<Ms>) {
+    pub(super) fn client_hears(
+        &mut self,
+        ticket: Ticket,
+        dismissed: bool,
+        come_back_after: Option<Ms>,
+    ) {
         if dismissed {
             self.dismissed(ticket, come_back_after);
         } else {
@@ -126,7 +151,12 @@
     pub(super) fn delivered(&mut self, at: u32, key: EventKey) {
         let event = self.events.remove(key).expect("held");
         self.forwarders[at as usize].held -= 1;
-        self.tell(Fact::Ended { forwarder: at, event: event.number, end: End::Completed, by_notice: false });
+        self.tell(Fact::Ended {
+            forwarder: at,
+            event: event.number,
+            end: End::Completed,
+            by_notice: false,
+        });
         self.tally.delivered(self.scenario, &event.ticket, self.now);
     }
 
@@ -138,7 +168,9 @@
         come_back_after: Option<Ms>,
         by_notice: bool,
     ) {
-        let Some(event) = self.events.get_mut(key) else { return };
+        let Some(event) = self.events.get_mut(key) else {
+            return;
+        };
         event.ended = true;
         let number = event.number;
         if dismissed {
@@ -146,12 +178,24 @@
         } else {
             self.tally.totals.written_off += 1;
         }
-        let end = if dismissed { End::Dismissed } else { End::WrittenOff };
-        self.tell(Fact::Ended { forwarder: at, event: number, end, by_notice });
+        let end = if dismissed {
+            End::Dismissed
+        } else {
+            End::WrittenOff
+        };
+        self.tell(Fact::Ended {
+            forwarder: at,
+            event: number,
+            end,
+            by_notice,
+        });
         if by_notice {
             self.events[key].unheard = Some((dismissed, come_back_after));
             let life = self.forwarders[at as usize].life;
-            return self.queue.put(self.now + self.scenario.forwarders.notice, Step::Heard(at, life, key));
+            return self.queue.put(
+                self.now + self.scenario.forwarders.notice,
+                Step::Heard(at, life, key),
+            );
         }
         let event = self.events.remove(key).expect("seen");
         self.forwarders[at as usize].held -= 1;
@@ -163,8 +207,12 @@
         if self.forwarders[at as usize].life != life {
             return; // the next life tells it again
         }
-        let Some(event) = self.events.get_mut(key) else { return };
-        let Some((dismissed, come_back_after)) = event.unheard.take() else { return };
+        let Some(event) = self.events.get_mut(key) else {
+            return;
+        };
+        let Some((dismissed, come_back_after)) = event.unheard.take() else {
+            return;
+        };
         let ticket = event.ticket.clone();
         self.client_hears(ticket, dismissed, come_back_after);
         self.incoming(at, Input::Heard { event: key }, None);
--- a/forwarder/emulator/src/world/cold.rs
+++ b/forwarder/emulator/src/world/cold.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use plankhill_decisions::interface::Listing;
-use plankhill_invariants::Fact;
 use plankhill_forwarder_config::scenario::Ms;
+use plankhill_invariants::Fact;
 
 use super::ground::Cold;
 use super::{Step, World};
@@ -13,7 +13,9 @@
     /// The share of its pace that a lane has, by how long it has been back.
     pub(super) fn warmth(&self, lane: u32) -> f64 {
         let rules = &self.scenario.rules;
-        let Some(cold) = &self.lanes[lane as usize].cold else { return 1.0 };
+        let Some(cold) = &self.lanes[lane as usize].cold else {
+            return 1.0;
+        };
         let back = ((self.now - cold.since) / rules.warm_after).clamp(0.0, 1.0);
         rules.cold_share + (1.0 - rules.cold_share) * back
     }
@@ -27,7 +29,11 @@
         }
         let Some(cold) = &mut it.cold else { return };
         cold.recent.push_back((self.now, forwarder, weight));
-        while cold.recent.front().is_some_and(|(at, ..)| *at <= self.now - rules.tip_span) {
+        while cold
+            .recent
+            .front()
+            .is_some_and(|(at, ..)| *at <= self.now - rules.tip_span)
+        {
             cold.recent.pop_front();
         }
         let sum: f64 = cold.recent.iter().map(|(.., weight)| weight).sum();
@@ -36,7 +42,8 @@
         }
         let of = self.lanes[lane as usize].destination;
         let limited = self.group_of(of).limit.bears_cold;
-        let bears = rules.tip_multiple * self.lane_capacity(lane, limited) * rules.tip_span / 1000.0;
+        let bears =
+            rules.tip_multiple * self.lane_capacity(lane, limited) * rules.tip_span / 1000.0;
         let share = if bears > 0.0 { sum / bears } else { f64::MAX };
         self.tally.totals.cold_load = self.tally.totals.cold_load.max(share);
         if share > 1.0 {
@@ -72,11 +79,16 @@
     /// Something changed at a destination: outages begin and end with it.
     pub(super) fn note_outages(&mut self, destination: u32) {
         let targets = &self.destinations[destination as usize].targets;
-        let listed =
-            targets.iter().copied().filter(|t| self.targets[*t as usize].listing == Listing::Running);
+        let listed = targets
+            .iter()
+            .copied()
+            .filter(|t| self.targets[*t as usize].listing == Listing::Running);
         let mut lanes: Vec<(u32, bool)> = Vec::new();
         for target in listed {
-            let (lane, out) = (self.targets[target as usize].lane, self.plight(target).is_outage());
+            let (lane, out) = (
+                self.targets[target as usize].lane,
+                self.plight(target).is_outage(),
+            );
             match lanes.iter_mut().find(|(known, _)| *known == lane) {
                 Some((_, all_out)) => *all_out &= out,
                 None => lanes.push((lane, out)),
@@ -89,8 +101,14 @@
                 self.tell(Fact::OutageBegan { lane });
             } else if !out && it.outage {
                 it.outage = false;
-                it.cold = Some(Box::new(Cold { since: self.now, recent: VecDeque::new() }));
-                self.queue.put(self.now + self.scenario.rules.warm_after, Step::Warm(lane, self.now));
+                it.cold = Some(Box::new(Cold {
+                    since: self.now,
+                    recent: VecDeque::new(),
+                }));
+                self.queue.put(
+                    self.now + self.scenario.rules.warm_after,
+                    Step::Warm(lane, self.now),
+                );
             }
         }
     }
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -27,8 +27,8 @@
         }
         let plight = self.plight(target);
         let group = self.group_of(destination);
-        let full =
-            group.connections > 0 && self.targets[target as usize].connections as usize >= group.connections;
+        let full = group.connections > 0
+            && self.targets[target as usize].connections as usize >= group.connections;
         let set_up = group.set_up;
         if !plight.down && !full && !tracked {
             return self.write(key);
@@ -38,7 +38,10 @@
         let (Some(there), Some(back)) = (there, back) else {
             // Nothing comes back: the connection counts as refused after its own time.
             self.calls[key].fate = Fate::NoConnection;
-            self.queue.put(self.now + self.scenario.network.connect_time_out, Step::Answered(key));
+            self.queue.put(
+                self.now + self.scenario.network.connect_time_out,
+                Step::Answered(key),
+            );
             return;
         };
         if plight.down || full {
@@ -49,16 +52,22 @@
             return;
         }
         self.targets[target as usize].connections += 1;
-        self.queue.put(self.now + there + back + set_up, Step::Connected(key));
+        self.queue
+            .put(self.now + there + back + set_up, Step::Connected(key));
     }
 
     pub(super) fn tracked(&self, destination: u32) -> bool {
         let group = self.group_of(destination);
-        self.tracks_connections || group.connections > 0 || group.set_up > 0.0 || group.reaped_after > 0.0
+        self.tracks_connections
+            || group.connections > 0
+            || group.set_up > 0.0
+            || group.reaped_after > 0.0
     }
 
     pub(super) fn connected(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key) else { return };
+        let Some(call) = self.calls.get(key) else {
+            return;
+        };
         if call.over_here {
             let target = call.target;
             self.close_connections(target, 1);
@@ -83,13 +92,25 @@
         let from = self.forwarders[forwarder as usize].zone;
         let to = self.targets[target as usize].zone as usize;
         if ping {
-            self.tell(Fact::Pinged { forwarder, target, lane });
+            self.tell(Fact::Pinged {
+                forwarder,
+                target,
+                lane,
+            });
         }
         for member in &members {
-            self.tell(Fact::Sent { forwarder, event: member.number, target, group: to as u32, lane });
+            self.tell(Fact::Sent {
+                forwarder,
+                event: member.number,
+                target,
+                group: to as u32,
+                lane,
+            });
         }
         self.calls[key].members = members;
-        let Some(travel) = self.travel(from, to) else { return };
+        let Some(travel) = self.travel(from, to) else {
+            return;
+        };
         if dropped {
             self.calls[key].fate = Fate::Reset;
             self.queue.put(self.now + 2.0 * travel, Step::Answered(key));
@@ -104,7 +125,10 @@
         let now = self.now;
         let idle = &mut self.forwarders[forwarder as usize].idle;
         let open = idle.get_mut(&target)?;
-        let closed = open.iter().filter(|idle| idle.since + IDLE_KEPT <= now && !idle.dropped).count();
+        let closed = open
+            .iter()
+            .filter(|idle| idle.since + IDLE_KEPT <= now && !idle.dropped)
+            .count();
         open.retain(|idle| idle.since + IDLE_KEPT > now);
         let taken = open.pop();
         if open.is_empty() {
@@ -123,19 +147,35 @@
         if !kept || self.targets[target as usize].listing == Listing::Gone {
             return self.close_connections(target, 1);
         }
-        let idle = Idle { since: self.now, dropped: false };
-        self.forwarders[forwarder as usize].idle.entry(target).or_default().push(idle);
-        let reaped_after = self.group_of(self.targets[target as usize].destination).reaped_after;
+        let idle = Idle {
+            since: self.now,
+            dropped: false,
+        };
+        self.forwarders[forwarder as usize]
+            .idle
+            .entry(target)
+            .or_default()
+            .push(idle);
+        let reaped_after = self
+            .group_of(self.targets[target as usize].destination)
+            .reaped_after;
         if reaped_after > 0.0 {
-            self.queue.put(self.now + reaped_after, Step::Reaped(forwarder, target, self.now));
+            self.queue.put(
+                self.now + reaped_after,
+                Step::Reaped(forwarder, target, self.now),
+            );
         }
     }
 
     /// The target drops a connection that has been idle since then, and nobody hears of it: the next call on
     /// it is reset.
     pub(super) fn reaped(&mut self, forwarder: u32, target: u32, since: Ms) {
-        let Some(open) = self.forwarders[forwarder as usize].idle.get_mut(&target) else { return };
-        let stands = open.iter_mut().find(|idle| idle.since == since && !idle.dropped);
+        let Some(open) = self.forwarders[forwarder as usize].idle.get_mut(&target) else {
+            return;
+        };
+        let stands = open
+            .iter_mut()
+            .find(|idle| idle.since == since && !idle.dropped);
         if let Some(idle) = stands {
             idle.dropped = true;
             self.close_connections(target, 1);
@@ -143,7 +183,10 @@
     }
 
     pub(super) fn close_idle(&mut self, forwarder: u32, target: u32) {
-        let open = self.forwarders[forwarder as usize].idle.remove(&target).unwrap_or_default();
+        let open = self.forwarders[forwarder as usize]
+            .idle
+            .remove(&target)
+            .unwrap_or_default();
         self.close_connections(target, open.iter().filter(|idle| !idle.dropped).count());
     }
 }
--- a/forwarder/emulator/src/world/ground.rs
+++ b/forwarder/emulator/src/world/ground.rs
@@ -95,16 +95,38 @@
         let destination = at as u32;
         for place in 0..of.targets {
             if place == 0 || of.routes_apart {
-                lanes.push(Lane { destination, ..Lane::default() });
+                lanes.push(Lane {
+                    destination,
+                    ..Lane::default()
+                });
             }
             let differ = of.answer.differ;
-            let factor = if differ > 0.0 { between(&mut chance, 1.0 - differ, 1.0 + differ) } else { 1.0 };
+            let factor = if differ > 0.0 {
+                between(&mut chance, 1.0 - differ, 1.0 + differ)
+            } else {
+                1.0
+            };
             let zone = (at + place) % scenario.network.zones.len();
-            let lane = if of.routes_apart { lanes.len() - 1 } else { first_lane };
-            targets.push(Target::new(destination, lane as u32, zone as u16, place as u16, factor));
+            let lane = if of.routes_apart {
+                lanes.len() - 1
+            } else {
+                first_lane
+            };
+            targets.push(Target::new(
+                destination,
+                lane as u32,
+                zone as u16,
+                place as u16,
+                factor,
+            ));
         }
-        let list = (first_target..targets.len()).map(|target| target as u32).collect();
-        destinations.push(Destination { group, targets: list });
+        let list = (first_target..targets.len())
+            .map(|target| target as u32)
+            .collect();
+        destinations.push(Destination {
+            group,
+            targets: list,
+        });
     }
     (destinations, targets, lanes)
 }
@@ -128,7 +150,11 @@
 
     /// How the list speaks of the target for one that has heard so many changes.
     pub fn as_of(&self, changes: usize) -> Listing {
-        let heard = self.told.iter().rev().find(|(change, _)| (*change as usize) < changes);
+        let heard = self
+            .told
+            .iter()
+            .rev()
+            .find(|(change, _)| (*change as usize) < changes);
         heard.map_or(Listing::Running, |(_, listing)| *listing)
     }
 }
@@ -142,7 +168,9 @@
         let it = &self.targets[target as usize];
         let mut plight = WELL;
         plight.down = it.left || self.lanes[it.lane as usize].tipped_until > self.now;
-        let Some(active) = self.active.get(&it.destination) else { return plight };
+        let Some(active) = self.active.get(&it.destination) else {
+            return plight;
+        };
         for &at in active {
             if !self.covers(at, target) {
                 continue;
@@ -168,10 +196,14 @@
     pub(super) fn covers(&self, trouble: u16, target: u32) -> bool {
         let whom = &self.scenario.troubles[trouble as usize].whom;
         let it = &self.targets[target as usize];
-        let zone =
-            whom.zone.as_ref().is_none_or(|zone| self.scenario.network.zones[it.zone as usize] == *zone);
+        let zone = whom
+            .zone
+            .as_ref()
+            .is_none_or(|zone| self.scenario.network.zones[it.zone as usize] == *zone);
         let all = self.group_of(it.destination).targets as f64;
-        zone && whom.targets.is_none_or(|share| (it.place as f64) < (share * all).ceil())
+        zone && whom
+            .targets
+            .is_none_or(|share| (it.place as f64) < (share * all).ceil())
     }
 
     /// Calls a second that a target serves when it is warm and well.
@@ -196,15 +228,25 @@
                 left = left.min(plight.left_of_limit);
             }
         }
-        let most = if limited { Gauge::rate(&group.limit) * left } else { f64::INFINITY };
+        let most = if limited {
+            Gauge::rate(&group.limit) * left
+        } else {
+            f64::INFINITY
+        };
         sum.min(most) * self.warmth(lane)
     }
 
     pub(super) fn capacity_of(&self, destination: u32) -> f64 {
         let targets = &self.destinations[destination as usize].targets;
-        let mut lanes: Vec<u32> = targets.iter().map(|target| self.targets[*target as usize].lane).collect();
+        let mut lanes: Vec<u32> = targets
+            .iter()
+            .map(|target| self.targets[*target as usize].lane)
+            .collect();
         lanes.sort_unstable();
         lanes.dedup();
-        lanes.into_iter().map(|lane| self.lane_capacity(lane, true)).sum()
+        lanes
+            .into_iter()
+            .map(|lane| self.lane_capacity(lane, true))
+            .sum()
     }
 }
--- a/forwarder/emulator/src/world/lists.rs
+++ b/forwarder/emulator/src/world/lists.rs
@@ -23,15 +23,31 @@
         }
     }
 
-    pub(super) fn list_one(&mut self, at: u32, target: u32, listing: Listing, inputs: &mut Vec<Input>) {
-        self.tell(Fact::Listed { forwarder: at, target, leaves: listing != Listing::Running });
+    pub(super) fn list_one(
+        &mut self,
+        at: u32,
+        target: u32,
+        listing: Listing,
+        inputs: &mut Vec<Input>,
+    ) {
+        self.tell(Fact::Listed {
+            forwarder: at,
+            target,
+            leaves: listing != Listing::Running,
+        });
         let it = &self.targets[target as usize];
         if listing == Listing::Gone {
             return inputs.push(Input::Left { target });
         }
         let kind = self.destinations[it.destination as usize].group as usize;
         let (destination, zone) = (it.destination, it.zone as usize);
-        inputs.push(Input::Listed { target, destination, kind, zone, listing });
+        inputs.push(Input::Listed {
+            target,
+            destination,
+            kind,
+            zone,
+            listing,
+        });
     }
 
     /// The list changed at a target: every forwarder hears of it in its own time.
@@ -76,11 +92,25 @@
             let target = self.changes[change as usize].1;
             let (kind, destination, zone) = {
                 let it = &self.targets[target as usize];
-                (self.destinations[it.destination as usize].group as usize, it.destination, it.zone as usize)
+                (
+                    self.destinations[it.destination as usize].group as usize,
+                    it.destination,
+                    it.zone as usize,
+                )
             };
             let listing = self.targets[target as usize].as_of(change as usize + 1);
             if self.forwarders[at as usize].told.contains(&destination) {
-                self.incoming(at, Input::Listed { target, destination, kind, zone, listing }, None);
+                self.incoming(
+                    at,
+                    Input::Listed {
+                        target,
+                        destination,
+                        kind,
+                        zone,
+                        listing,
+                    },
+                    None,
+                );
             }
         }
         if !self.forwarders[at as usize].missed.is_empty() {
--- a/forwarder/emulator/src/world/lives.rs
+++ b/forwarder/emulator/src/world/lives.rs
@@ -2,8 +2,8 @@
 //! what was held when one ends.
 
 use plankhill_decisions::interface::{Fate, Ms};
-use plankhill_invariants::{Cut, Fact};
 use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_invariants::{Cut, Fact};
 use rustc_hash::FxHashSet;
 
 use super::parts::Incoming;
@@ -30,7 +30,10 @@
     pub(super) fn recovers(&mut self, at: u32, life: u32) {
         let it = &self.forwarders[at as usize];
         if it.life == life && it.stalled_until <= self.now {
-            self.tell(Fact::Resumed { forwarder: at, anew: false });
+            self.tell(Fact::Resumed {
+                forwarder: at,
+                anew: false,
+            });
             self.call_round(at);
         }
     }
@@ -45,7 +48,8 @@
         let life = it.life;
         self.incoming(at, Input::Closing { ends }, None);
         self.queue.put(ends, Step::LifeEnds(at, life));
-        self.queue.put(self.now + CLOSING_LEAST, Step::Ring(at, life));
+        self.queue
+            .put(self.now + CLOSING_LEAST, Step::Ring(at, life));
     }
 
     pub(super) fn life_ends(&mut self, at: u32, life: u32) {
@@ -70,7 +74,9 @@
         let inbox = std::mem::take(&mut it.inbox);
         let targets: Vec<u32> = it.idle.keys().copied().collect();
         self.tell(Fact::Halted { forwarder: at });
-        targets.into_iter().for_each(|target| self.close_idle(at, target));
+        targets
+            .into_iter()
+            .for_each(|target| self.close_idle(at, target));
         let mut unwritten = FxHashSet::default();
         // What lay unread is as if never said: a client that was not answered hands in again.
         for incoming in inbox {
@@ -102,7 +108,10 @@
     /// The forwarder's side of all its calls is over: what was written may run. Its record can't tell what
     /// was not, but the rules can.
     pub(super) fn drop_calls(&mut self, at: u32, mut unwritten: FxHashSet<EventKey>) {
-        let ours = self.calls.iter().filter(|(_, call)| call.forwarder == at && !call.over_here);
+        let ours = self
+            .calls
+            .iter()
+            .filter(|(_, call)| call.forwarder == at && !call.over_here);
         let ours: Vec<CallKey> = ours.map(|(key, _)| key).collect();
         for key in ours {
             let call = &mut self.calls[key];
@@ -133,7 +142,11 @@
             let event = &mut self.events[key];
             event.may_have_run.get_or_insert((event.sent_at, zone));
             if !unwritten.contains(&key) {
-                self.tell(Fact::SendOver { forwarder: at, event: number, cut: Cut::Short });
+                self.tell(Fact::SendOver {
+                    forwarder: at,
+                    event: number,
+                    cut: Cut::Short,
+                });
             }
         }
     }
@@ -144,7 +157,10 @@
     }
 
     pub(super) fn machine_lost(&mut self, at: u32) {
-        let held = self.events.iter().filter(|(_, event)| event.forwarder == at);
+        let held = self
+            .events
+            .iter()
+            .filter(|(_, event)| event.forwarder == at);
         let mut held: Vec<(u64, EventKey)> = held.map(|(key, event)| (event.number, key)).collect();
         held.sort_unstable();
         self.forwarders[at as usize].cold.clear();
@@ -160,7 +176,8 @@
             ticket.cause = Cause::NoForwarder;
             let binds = self.scenario.traffic[ticket.traffic as usize].effect == Repeats::Binding;
             if event.ended || binds && event.may_have_run.is_some() {
-                self.tally.unpaid(self.scenario, &ticket, Cause::NoForwarder);
+                self.tally
+                    .unpaid(self.scenario, &ticket, Cause::NoForwarder);
                 continue;
             }
             let again = exponential(&mut self.chance_returns, self.scenario.clients.again_after);
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -17,8 +17,8 @@
 mod troubles;
 
 use plankhill_decisions::interface::TargetId;
-use plankhill_invariants::{Bounds, Checker, Fact};
 use plankhill_forwarder_config::scenario::{Ms, Scenario, TroubleKind};
+use plankhill_invariants::{Bounds, Checker, Fact};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 use slotmap::{new_key_type, SlotMap};
@@ -86,8 +86,13 @@
             ..Bounds::default()
         };
         let (destinations, targets, lanes) = ground::build(scenario, &struck, seed);
-        let names = (0..targets.len()).map(|at| TargetId(at.to_string().into())).collect::<Vec<_>>();
-        let half_open = scenario.troubles.iter().any(|trouble| trouble.kind == TroubleKind::HalfOpen);
+        let names = (0..targets.len())
+            .map(|at| TargetId(at.to_string().into()))
+            .collect::<Vec<_>>();
+        let half_open = scenario
+            .troubles
+            .iter()
+            .any(|trouble| trouble.kind == TroubleKind::HalfOpen);
         let mut clients = Clients::new(scenario, &struck, seed);
         let next_arrival = clients.next();
         let mut world = World {
@@ -96,7 +101,11 @@
             queue: Queue::default(),
             next_arrival,
             clients,
-            answers: scenario.destinations.iter().map(|group| AnswerTimes::new(&group.answer)).collect(),
+            answers: scenario
+                .destinations
+                .iter()
+                .map(|group| AnswerTimes::new(&group.answer))
+                .collect(),
             latency: latencies(scenario),
             destinations,
             targets,
@@ -122,7 +131,9 @@
             struck,
             tracks_connections: half_open,
         };
-        world.forwarders = (0..scenario.forwarders.count).map(|at| world.new_forwarder(at as u32)).collect();
+        world.forwarders = (0..scenario.forwarders.count)
+            .map(|at| world.new_forwarder(at as u32))
+            .collect();
         world.foresee_troubles();
         if let Some(ticket) = &world.next_arrival {
             world.queue.put(ticket.first_at, Step::Arrival);
@@ -133,7 +144,9 @@
 
     /// One step; false when the day is over: nothing new comes in then, and what was taken has its end.
     pub fn step(&mut self) -> bool {
-        let Some((at, step)) = self.queue.pop() else { return false };
+        let Some((at, step)) = self.queue.pop() else {
+            return false;
+        };
         let quiet = self.events.is_empty() && self.coming == 0 && at > self.scenario.length;
         if quiet || at > self.given_up_at {
             self.queue.put(at, step);
@@ -167,11 +180,17 @@
                 left.push(*ticket);
             }
         }
-        left.extend(self.events.values().filter(|event| !event.ended).map(|event| event.ticket.clone()));
+        left.extend(
+            self.events
+                .values()
+                .filter(|event| !event.ended)
+                .map(|event| event.ticket.clone()),
+        );
         for ticket in left {
             self.tally.unpaid(self.scenario, &ticket, Cause::DayOver);
         }
-        self.tally.outcome(self.scenario, self.scenario.seed, &self.checker)
+        self.tally
+            .outcome(self.scenario, self.scenario.seed, &self.checker)
     }
 
     fn tell(&mut self, fact: Fact) {
@@ -194,8 +213,11 @@
         if network.loss > 0.0 && crate::chance::draw(&mut self.chance_network) < network.loss {
             return None;
         }
-        let jitter =
-            if network.jitter > 0.0 { exponential(&mut self.chance_network, network.jitter) } else { 0.0 };
+        let jitter = if network.jitter > 0.0 {
+            exponential(&mut self.chance_network, network.jitter)
+        } else {
+            0.0
+        };
         Some(self.latency[from][to] + jitter)
     }
 
@@ -216,7 +238,13 @@
 
 fn latencies(scenario: &Scenario) -> Vec<Vec<Ms>> {
     let network = &scenario.network;
-    let place = |name: &str| network.zones.iter().position(|zone| zone == name).expect("checked");
+    let place = |name: &str| {
+        network
+            .zones
+            .iter()
+            .position(|zone| zone == name)
+            .expect("checked")
+    };
     let mut all = vec![vec![network.between; network.zones.len()]; network.zones.len()];
     for (zone, row) in all.iter_mut().enumerate() {
         row[zone] = network.within;
--- a/forwarder/emulator/src/world/rounds.rs
+++ b/forwarder/emulator/src/world/rounds.rs
@@ -11,7 +11,9 @@
 
 impl World<'_> {
     pub(super) fn incoming(&mut self, at: u32, input: Input, about: Option<(u32, bool)>) {
-        self.forwarders[at as usize].inbox.push(Incoming::Input(input, about));
+        self.forwarders[at as usize]
+            .inbox
+            .push(Incoming::Input(input, about));
         self.call_round(at);
     }
 
@@ -21,7 +23,10 @@
             return;
         }
         it.round_called = true;
-        let from = self.now.max(it.last_round + self.scenario.forwarders.round).max(it.stalled_until);
+        let from = self
+            .now
+            .max(it.last_round + self.scenario.forwarders.round)
+            .max(it.stalled_until);
         self.queue.put(from, Step::Round(at));
     }
 
@@ -63,7 +68,10 @@
     pub(super) fn decide(&mut self, at: u32, inputs: Vec<Input>) {
         self.tally.totals.rounds += 1;
         let mut decisions = Vec::new();
-        let mut decider = self.forwarders[at as usize].decider.take().expect("it runs");
+        let mut decider = self.forwarders[at as usize]
+            .decider
+            .take()
+            .expect("it runs");
         decider.round(self.now, &inputs, &mut decisions);
         self.forwarders[at as usize].decider = Some(decider);
         let mut next = 0;
@@ -71,7 +79,10 @@
             next += self.carry_out(at, &decisions[next..]);
         }
         let it = &self.forwarders[at as usize];
-        if it.closing.is_some_and(|(since, _)| it.held == 0 && self.now >= since + CLOSING_LEAST) {
+        if it
+            .closing
+            .is_some_and(|(since, _)| it.held == 0 && self.now >= since + CLOSING_LEAST)
+        {
             self.process_ends(at, self.scenario.forwarders.restart, true);
         }
     }
@@ -84,13 +95,22 @@
                 let time_out = self.scenario.network.connect_time_out;
                 self.begin_call(at, target, Vec::new(), time_out)
             }
-            Decision::End { event, dismissed, come_back_after, by_notice } => {
-                self.ended(at, event, dismissed, come_back_after, by_notice)
-            }
+            Decision::End {
+                event,
+                dismissed,
+                come_back_after,
+                by_notice,
+            } => self.ended(at, event, dismissed, come_back_after, by_notice),
             Decision::CloseIdle { target } => self.close_idle(at, target),
             Decision::TakeBack { target } => self.take_back(at, target),
-            Decision::Cold { target, since, usual } => {
-                self.forwarders[at as usize].cold.insert(target, (since, usual));
+            Decision::Cold {
+                target,
+                since,
+                usual,
+            } => {
+                self.forwarders[at as usize]
+                    .cold
+                    .insert(target, (since, usual));
             }
             Decision::Wake { pause } => {
                 let it = &mut self.forwarders[at as usize];
@@ -107,12 +127,18 @@
     }
 
     pub(super) fn send(&mut self, at: u32, to: u32, decisions: &[Decision]) -> usize {
-        let most = self.group_of(self.targets[to as usize].destination).events_per_call;
+        let most = self
+            .group_of(self.targets[to as usize].destination)
+            .events_per_call;
         let mut given = f64::INFINITY;
         let mut events = Vec::with_capacity(1);
         for decision in decisions.iter().take(most) {
             match *decision {
-                Decision::Send { event, target, time_out } if target == to => {
+                Decision::Send {
+                    event,
+                    target,
+                    time_out,
+                } if target == to => {
                     events.push(event);
                     given = given.min(time_out);
                 }
@@ -132,7 +158,9 @@
         inputs: &mut Vec<Input>,
     ) {
         match input {
-            Input::SendEnded { event, fate, wait, .. } => {
+            Input::SendEnded {
+                event, fate, wait, ..
+            } => {
                 let (lane, written) = about.expect("an answer is about a lane");
                 if self.events.get(event).is_none_or(|event| event.ended) {
                     return;
@@ -143,9 +171,13 @@
                     self.delivered(at, event);
                 }
             }
-            Input::Listed { target, listing, .. } => self.list_one(at, target, listing, inputs),
+            Input::Listed {
+                target, listing, ..
+            } => self.list_one(at, target, listing, inputs),
             Input::Heard { event } => {
-                let Some(held) = self.events.remove(event) else { return };
+                let Some(held) = self.events.remove(event) else {
+                    return;
+                };
                 self.forwarders[at as usize].held -= 1;
                 self.tell(Fact::Heard { event: held.number });
                 inputs.push(input);
@@ -166,9 +198,14 @@
         let event = &mut self.events[key];
         let number = event.number;
         if let Some(call) = event.out.take() {
-            let zone = self.calls.get(call).map(|call| self.targets[call.target as usize].zone as usize);
+            let zone = self
+                .calls
+                .get(call)
+                .map(|call| self.targets[call.target as usize].zone as usize);
             if fate.may_have_run() {
-                event.may_have_run.get_or_insert((event.sent_at, zone.unwrap_or(0)));
+                event
+                    .may_have_run
+                    .get_or_insert((event.sent_at, zone.unwrap_or(0)));
             }
         }
         event.ticket.cause = match fate {
@@ -184,10 +221,18 @@
             Fate::Full | Fate::NoConnection | Fate::NotSent => Cut::NotRun,
         };
         if written {
-            self.tell(Fact::SendOver { forwarder: at, event: number, cut });
+            self.tell(Fact::SendOver {
+                forwarder: at,
+                event: number,
+                cut,
+            });
         }
         if wait > 0.0 {
-            self.tell(Fact::Wait { forwarder: at, lane, until: self.now + wait });
+            self.tell(Fact::Wait {
+                forwarder: at,
+                lane,
+                until: self.now + wait,
+            });
         }
     }
 }
