--- a/forwarder/emulator/src/world/starts.rs
+++ b/forwarder/emulator/src/world/starts.rs
@@ -1,8 +1,8 @@
 //! A forwarder starts: the terms of its decisions, the list as it stands, and all that is still owed.
 
 use plankhill_decisions::interface::{self as names, DestinationKind, Terms, TrafficType};
-use plankhill_invariants::Fact;
 use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_invariants::Fact;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::parts::Forwarder;
@@ -40,9 +40,10 @@
             effect: match of.effect {
                 Repeats::Retriable => names::Effect::Retriable,
                 Repeats::Binding => names::Effect::Binding,
-                Repeats::Fingerprinted => {
-                    names::Effect::Fingerprinted { window: of.window, one_zone: of.one_zone }
-                }
+                Repeats::Fingerprinted => names::Effect::Fingerprinted {
+                    window: of.window,
+                    one_zone: of.one_zone,
+                },
             },
             soft_limit: of.soft_limit,
             patience: of.patience,
@@ -80,13 +81,19 @@
     /// A new process: the list as it stands, then all that is still owed, in the order taken.
     pub(super) fn starts(&mut self, at: u32) {
         let life = self.forwarders[at as usize].life;
-        self.tell(Fact::Resumed { forwarder: at, anew: true });
+        self.tell(Fact::Resumed {
+            forwarder: at,
+            anew: true,
+        });
         let decider = self.start_decider(at, life);
         let it = &mut self.forwarders[at as usize];
         (it.decider, it.died_at, it.stalled_until) = (Some(decider), None, 0.0);
         (it.heard, it.last_round) = (self.changes.len(), self.now);
         it.missed.clear();
-        let owed = self.events.iter().filter(|(_, event)| event.forwarder == at);
+        let owed = self
+            .events
+            .iter()
+            .filter(|(_, event)| event.forwarder == at);
         let mut owed: Vec<(u64, EventKey)> = owed.map(|(key, event)| (event.number, key)).collect();
         owed.sort_unstable();
         let mut inputs = Vec::new();
@@ -95,25 +102,47 @@
             self.introduce(at, destination, &mut inputs);
             let held = &mut self.events[event];
             let was_out = held.out.take().is_some();
-            let (traffic, patience_ends) = (held.ticket.traffic as usize, held.ticket.patience_ends);
+            let (traffic, patience_ends) =
+                (held.ticket.traffic as usize, held.ticket.patience_ends);
             let key = held.ticket.key;
-            inputs.push(Input::Taken { event, destination, traffic, patience_ends, key, again: true });
+            inputs.push(Input::Taken {
+                event,
+                destination,
+                traffic,
+                patience_ends,
+                key,
+                again: true,
+            });
             let (sends, may_have_run) = (held.sends, held.may_have_run);
             if sends > 0 {
-                inputs.push(Input::Restored { event, sends, may_have_run, was_out });
+                inputs.push(Input::Restored {
+                    event,
+                    sends,
+                    may_have_run,
+                    was_out,
+                });
             }
             if held.ended {
                 inputs.push(Input::EndedBefore { event });
-                self.queue.put(self.now + self.scenario.forwarders.notice, Step::Heard(at, life, event));
+                self.queue.put(
+                    self.now + self.scenario.forwarders.notice,
+                    Step::Heard(at, life, event),
+                );
             }
         }
-        let mut cold: Vec<_> = std::mem::take(&mut self.forwarders[at as usize].cold).into_iter().collect();
+        let mut cold: Vec<_> = std::mem::take(&mut self.forwarders[at as usize].cold)
+            .into_iter()
+            .collect();
         cold.sort_unstable_by_key(|(target, _)| *target);
         for (target, (since, usual)) in cold {
             let destination = self.targets[target as usize].destination;
             if self.now - since < self.scenario.rules.warm_after {
                 self.introduce(at, destination, &mut inputs);
-                inputs.push(Input::WasCold { target, since, usual });
+                inputs.push(Input::WasCold {
+                    target,
+                    since,
+                    usual,
+                });
             }
         }
         self.decide(at, inputs);
--- a/forwarder/emulator/src/world/troubles.rs
+++ b/forwarder/emulator/src/world/troubles.rs
@@ -12,7 +12,8 @@
         for (at, trouble) in self.scenario.troubles.iter().enumerate() {
             if trouble.start < self.scenario.length {
                 self.queue.put(trouble.start, Step::Begins(at as u16));
-                self.queue.put(trouble.start + trouble.length, Step::Ends(at as u16));
+                self.queue
+                    .put(trouble.start + trouble.length, Step::Ends(at as u16));
             }
         }
     }
@@ -49,16 +50,16 @@
                 let targets = self.struck_targets(at);
                 let step = trouble.length / targets.len().max(1) as f64;
                 for (place, target) in targets.into_iter().enumerate() {
-                    self.queue.put(self.now + place as f64 * step, Step::OneByOne(at, target));
+                    self.queue
+                        .put(self.now + place as f64 * step, Step::OneByOne(at, target));
                 }
             }
             Flapping => self.switch(at, true, |world| {
                 world.flapped_down[at as usize] = true;
                 world.queue.put(world.now + trouble.every, Step::Turns(at));
             }),
-            Down | Silent | Hung | Slow | Erring | Resetting | LimitLowered | HalfOpen | CutOneWay => {
-                self.switch(at, true, |_| ())
-            }
+            Down | Silent | Hung | Slow | Erring | Resetting | LimitLowered | HalfOpen
+            | CutOneWay => self.switch(at, true, |_| ()),
         }
     }
 
@@ -73,8 +74,8 @@
                 }
                 self.note_struck(at);
             }
-            Down | Silent | Hung | Slow | Flapping | Erring | Resetting | LimitLowered | HalfOpen
-            | CutOneWay => self.switch(at, false, |_| ()),
+            Down | Silent | Hung | Slow | Flapping | Erring | Resetting | LimitLowered
+            | HalfOpen | CutOneWay => self.switch(at, false, |_| ()),
             _ => (),
         }
     }
@@ -113,8 +114,13 @@
 
     fn struck_targets(&self, at: u16) -> Vec<u32> {
         let destinations = &self.struck.destinations[at as usize];
-        let targets = destinations.iter().flat_map(|d| &self.destinations[*d as usize].targets);
-        targets.copied().filter(|target| self.covers(at, *target)).collect()
+        let targets = destinations
+            .iter()
+            .flat_map(|d| &self.destinations[*d as usize].targets);
+        targets
+            .copied()
+            .filter(|target| self.covers(at, *target))
+            .collect()
     }
 
     /// Targets that were told to leave are gone.
@@ -142,14 +148,17 @@
                 let destination = it.destination as usize;
                 let number = self.targets.len() as u32;
                 self.targets.push(new);
-                self.names.borrow_mut().push(TargetId(number.to_string().into()));
+                self.names
+                    .borrow_mut()
+                    .push(TargetId(number.to_string().into()));
                 self.destinations[destination].targets.push(number);
                 // Not there for those that have not heard of it.
                 self.targets[number as usize].told.push((0, Listing::Gone));
                 self.list_changed(number, Listing::Running);
                 self.list_changed(target, Listing::Leaving);
                 let notice: Ms = self.scenario.troubles[at as usize].every;
-                self.queue.put(self.now + notice, Step::OneByOne(at, target));
+                self.queue
+                    .put(self.now + notice, Step::OneByOne(at, target));
             }
             Listing::Leaving => {
                 self.leaves(target);
--- a/forwarder/emulator/tests/days.rs
+++ b/forwarder/emulator/tests/days.rs
@@ -82,8 +82,8 @@
 
 #[rstest]
 fn one_seed_gives_one_result_and_another_seed_another() {
-    let troubles =
-        trouble("silent", 10_000, 20_000, "{ first = 2 }") + &trouble("forwarder_killed", 20_000, 9000, "{}");
+    let troubles = trouble("silent", 10_000, 20_000, "{ first = 2 }")
+        + &trouble("forwarder_killed", 20_000, 9000, "{}");
     let day = |seed: &str| format!("{:?}", play(&scenario(&[("seed", seed)], &troubles)));
     assert_eq!(day("3"), day("3"));
     assert_ne!(day("3"), day("4"));
@@ -92,8 +92,17 @@
 #[rstest]
 fn variants_of_the_forwarders_meet_the_same_clients() {
     let module = play(&scenario(&[], ""));
-    let other = play(&scenario(&[("forwarders.decisions", "backoff"), ("forwarders.count", "5")], ""));
-    assert_eq!((module.totals.events, module.totals.asked), (other.totals.events, other.totals.asked));
+    let other = play(&scenario(
+        &[
+            ("forwarders.decisions", "backoff"),
+            ("forwarders.count", "5"),
+        ],
+        "",
+    ));
+    assert_eq!(
+        (module.totals.events, module.totals.asked),
+        (other.totals.events, other.totals.asked)
+    );
     assert_eq!(module.series.asked, other.series.asked);
 }
 
@@ -114,7 +123,11 @@
 
 #[rstest]
 fn a_million_order_keys_leave_nothing_behind() {
-    let set = [("clients.keys", "1000000"), ("clients.rate", "300.0"), ("length", "20000.0")];
+    let set = [
+        ("clients.keys", "1000000"),
+        ("clients.rate", "300.0"),
+        ("length", "20000.0"),
+    ];
     let day = scenario(&set, "");
     let mut world = World::new(&day);
     while world.step() {}
@@ -124,7 +137,10 @@
 
 #[rstest]
 fn a_trouble_longer_than_the_day_is_cut_off_with_it() {
-    let outcome = play(&scenario(&[], &trouble("slow", 30_000, 4_000_000_000, "{}")));
+    let outcome = play(&scenario(
+        &[],
+        &trouble("slow", 30_000, 4_000_000_000, "{}"),
+    ));
     assert_eq!(outcome.shades[0].end, 60_000.0);
     assert!(outcome.payoff > 0.5);
 }
@@ -134,7 +150,10 @@
 #[case("forwarder_killed", false)]
 #[case("forwarder_lost", true)]
 fn what_was_taken_on_outlasts_a_process(#[case] kind: &str, #[case] lost: bool) {
-    let set = [("clients.rate", "100.0"), ("destinations.0.answer.mean", "150.0")];
+    let set = [
+        ("clients.rate", "100.0"),
+        ("destinations.0.answer.mean", "150.0"),
+    ];
     let outcome = play(&scenario(&set, &trouble(kind, 20_000, 10_000, "{}")));
     assert_eq!(outcome.totals.lost > 0, lost);
     assert_eq!(outcome.broken(), 0, "{:?}", outcome.breaches);
--- a/forwarder/emulator/tests/helpers/mod.rs
+++ b/forwarder/emulator/tests/helpers/mod.rs
@@ -44,7 +44,8 @@
 "#;
 
 pub fn scenario(set: &[(&str, &str)], more: &str) -> Scenario {
-    let mut text = Text::parse("small".into(), format!("{SMALL}{more}")).expect("the test's text is TOML");
+    let mut text =
+        Text::parse("small".into(), format!("{SMALL}{more}")).expect("the test's text is TOML");
     for (key, value) in set {
         text.set(key, value).expect("the test's keys are there");
     }
--- a/forwarder/emulator/tests/queues.rs
+++ b/forwarder/emulator/tests/queues.rs
@@ -49,6 +49,12 @@
 )]
 fn waiting_times_are_those_of_theory(#[case] set: &[(&str, &str)], #[case] theory: f64) {
     let (mean, within) = sojourn(set);
-    assert!((mean - theory).abs() < within, "measured {mean:.2} ± {within:.2} ms, theory {theory:.2} ms");
-    assert!(within < 0.15 * theory, "the interval of ± {within:.2} ms says nothing");
+    assert!(
+        (mean - theory).abs() < within,
+        "measured {mean:.2} ± {within:.2} ms, theory {theory:.2} ms"
+    );
+    assert!(
+        within < 0.15 * theory,
+        "the interval of ± {within:.2} ms says nothing"
+    );
 }
--- a/forwarder/event-log/src/frame.rs
+++ b/forwarder/event-log/src/frame.rs
@@ -81,7 +81,10 @@
                 number(out, event.patience_ends.to_bits());
                 optional(out, event.key);
                 out.push(event.fingerprint.is_some() as u8);
-                text(out, event.fingerprint.as_deref().unwrap_or_default().as_bytes());
+                text(
+                    out,
+                    event.fingerprint.as_deref().unwrap_or_default().as_bytes(),
+                );
                 text(out, &event.body);
                 // Behind what an older text reads, which passes over the rest of a frame.
                 if let Some((word, window)) = event.promised.map(|promise| promise.word()) {
@@ -89,7 +92,12 @@
                     number(out, window.to_bits());
                 }
             }
-            Mark::Sent { id, at, zone, time_out } => {
+            Mark::Sent {
+                id,
+                at,
+                zone,
+                time_out,
+            } => {
                 out.push(2);
                 text(out, id.as_bytes());
                 number(out, at.to_bits());
@@ -101,7 +109,11 @@
                 out.push(3);
                 text(out, id.as_bytes());
             }
-            Mark::Ended { id, outcome, come_back_after } => {
+            Mark::Ended {
+                id,
+                outcome,
+                come_back_after,
+            } => {
                 out.push(4);
                 text(out, id.as_bytes());
                 out.push((*outcome == Outcome::WrittenOff) as u8);
@@ -111,7 +123,11 @@
                 out.push(5);
                 text(out, id.as_bytes());
             }
-            Mark::Cold { target, since, usual } => {
+            Mark::Cold {
+                target,
+                since,
+                usual,
+            } => {
                 out.push(6);
                 text(out, target.as_bytes());
                 number(out, since.to_bits());
@@ -160,7 +176,9 @@
         let length = u32::from_le_bytes(rest.get(..4)?.try_into().ok()?) as usize;
         let sum = u32::from_le_bytes(rest.get(4..HEAD)?.try_into().ok()?);
         let payload = rest.get(HEAD..HEAD.checked_add(length)?)?;
-        let mark = (crc32fast::hash(payload) == sum).then(|| Payload(payload).mark()).flatten()?;
+        let mark = (crc32fast::hash(payload) == sum)
+            .then(|| Payload(payload).mark())
+            .flatten()?;
         self.at += HEAD + length;
         Some((mark, &rest[..HEAD + length]))
     }
@@ -196,7 +214,11 @@
             3 => Mark::Unrun { id: self.text()? },
             4 => Mark::Ended {
                 id: self.text()?,
-                outcome: if self.byte()? == 1 { Outcome::WrittenOff } else { Outcome::Dismissed },
+                outcome: if self.byte()? == 1 {
+                    Outcome::WrittenOff
+                } else {
+                    Outcome::Dismissed
+                },
                 come_back_after: self.optional()?.map(f64::from_bits),
             },
             5 => Mark::Over { id: self.text()? },
--- a/forwarder/event-log/src/lib.rs
+++ b/forwarder/event-log/src/lib.rs
@@ -60,13 +60,24 @@
             Err(e) => return Err(e),
         }
         if !bytes.starts_with(MAGIC) && !MAGIC.starts_with(&bytes) {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "the file 'ledger' is not a ledger"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "the file 'ledger' is not a ledger",
+            ));
         }
         let _ = fs::remove_file(folder.join("ledger.new"));
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         let record = Record::default();
-        let mut ledger = Ledger { folder: folder.to_owned(), file, written: 0, most: disk as usize, record };
-        let read = ledger.record.apply(bytes.get(MAGIC.len()..).unwrap_or_default());
+        let mut ledger = Ledger {
+            folder: folder.to_owned(),
+            file,
+            written: 0,
+            most: disk as usize,
+            record,
+        };
+        let read = ledger
+            .record
+            .apply(bytes.get(MAGIC.len()..).unwrap_or_default());
         if bytes.len() < MAGIC.len() {
             ledger.file.set_len(0)?;
             ledger.file.write_all(MAGIC)?;
@@ -124,7 +135,10 @@
         let mut bytes = MAGIC.to_vec();
         self.record.write(&mut bytes);
         let _ = fs::remove_file(&new);
-        let mut file = OpenOptions::new().create_new(true).append(true).open(&new)?;
+        let mut file = OpenOptions::new()
+            .create_new(true)
+            .append(true)
+            .open(&new)?;
         file.write_all(&bytes)?;
         fs::rename(&new, &path)?;
         self.file = file;
--- a/forwarder/event-log/src/owed.rs
+++ b/forwarder/event-log/src/owed.rs
@@ -21,10 +21,18 @@
     /// Out of its frames in the order written; none if the first is no *taken*.
     pub(crate) fn read(frames: &[u8]) -> Option<Self> {
         let mut reader = Reader::new(frames);
-        let Some((Mark::Taken(taken), _)) = reader.next() else { return None };
+        let Some((Mark::Taken(taken), _)) = reader.next() else {
+            return None;
+        };
         let taken = taken.into_owned();
-        let mut owed =
-            Owed { taken, sends: 0, may_have_run: None, was_out: None, time_out: None, ended: None };
+        let mut owed = Owed {
+            taken,
+            sends: 0,
+            may_have_run: None,
+            was_out: None,
+            time_out: None,
+            ended: None,
+        };
         while let Some((mark, _)) = reader.next() {
             owed.follow(mark);
         }
@@ -33,14 +41,20 @@
 
     fn follow(&mut self, mark: Mark) {
         match mark {
-            Mark::Sent { at, zone, time_out, .. } => {
+            Mark::Sent {
+                at, zone, time_out, ..
+            } => {
                 let earlier = self.was_out.replace((at, zone.into_owned()));
                 self.may_have_run = self.may_have_run.take().or(earlier);
                 self.time_out = time_out;
                 self.sends += 1;
             }
             Mark::Unrun { .. } => self.was_out = None,
-            Mark::Ended { outcome, come_back_after, .. } => self.ended = Some((outcome, come_back_after)),
+            Mark::Ended {
+                outcome,
+                come_back_after,
+                ..
+            } => self.ended = Some((outcome, come_back_after)),
             // Not kept with an event.
             Mark::Taken(_) | Mark::Over { .. } | Mark::Cold { .. } => (),
         }
--- a/forwarder/event-log/src/promise.rs
+++ b/forwarder/event-log/src/promise.rs
@@ -24,8 +24,14 @@
     pub(crate) fn word(&self) -> (u8, f64) {
         let (repeats, window) = match self.repeats {
             Repeats::Harmless => (0, 0.0),
-            Repeats::Known { window, one_zone: false } => (KNOWN, window),
-            Repeats::Known { window, one_zone: true } => (KNOWN_IN_ONE_ZONE, window),
+            Repeats::Known {
+                window,
+                one_zone: false,
+            } => (KNOWN, window),
+            Repeats::Known {
+                window,
+                one_zone: true,
+            } => (KNOWN_IN_ONE_ZONE, window),
             Repeats::Forbidden => (FORBIDDEN, 0.0),
         };
         (repeats + if self.ordered { ORDERED } else { 0 }, window)
@@ -35,11 +41,20 @@
     pub(crate) fn read((word, window): (u8, f64)) -> Promise {
         let repeats = match word & !ORDERED {
             0 => Repeats::Harmless,
-            KNOWN => Repeats::Known { window, one_zone: false },
-            KNOWN_IN_ONE_ZONE => Repeats::Known { window, one_zone: true },
+            KNOWN => Repeats::Known {
+                window,
+                one_zone: false,
+            },
+            KNOWN_IN_ONE_ZONE => Repeats::Known {
+                window,
+                one_zone: true,
+            },
             _ => Repeats::Forbidden,
         };
-        Promise { repeats, ordered: word & ORDERED != 0 }
+        Promise {
+            repeats,
+            ordered: word & ORDERED != 0,
+        }
     }
 
     /// Where two differ, what holds under both.
@@ -47,10 +62,20 @@
         let repeats = match (self.repeats, other.repeats) {
             (Repeats::Forbidden, _) | (_, Repeats::Forbidden) => Repeats::Forbidden,
             (Repeats::Harmless, either) | (either, Repeats::Harmless) => either,
-            (Repeats::Known { window, one_zone }, Repeats::Known { window: w, one_zone: z }) => {
-                Repeats::Known { window: window.min(w), one_zone: one_zone || z }
-            }
+            (
+                Repeats::Known { window, one_zone },
+                Repeats::Known {
+                    window: w,
+                    one_zone: z,
+                },
+            ) => Repeats::Known {
+                window: window.min(w),
+                one_zone: one_zone || z,
+            },
         };
-        Promise { repeats, ordered: self.ordered || other.ordered }
+        Promise {
+            repeats,
+            ordered: self.ordered || other.ordered,
+        }
     }
 }
--- a/forwarder/event-log/src/record.rs
+++ b/forwarder/event-log/src/record.rs
@@ -39,12 +39,21 @@
         let mut reader = Reader::new(frames);
         while let Some((mark, frame)) = reader.next() {
             match &mark {
-                Mark::Cold { target, since, usual } => self.keep_cold(target, *since, *usual),
+                Mark::Cold {
+                    target,
+                    since,
+                    usual,
+                } => self.keep_cold(target, *since, *usual),
                 Mark::Taken(taken) if self.holds(&taken.id) => (),
                 Mark::Taken(taken) => self.keep(taken.id.to_string(), taken.key, frame.to_vec()),
-                Mark::Sent { id, .. } | Mark::Unrun { id } | Mark::Ended { id, .. } | Mark::Over { id } => {
+                Mark::Sent { id, .. }
+                | Mark::Unrun { id }
+                | Mark::Ended { id, .. }
+                | Mark::Over { id } => {
                     let place = self.places.get(&**id).copied();
-                    place.into_iter().for_each(|place| self.follow(place, &mark, frame));
+                    place
+                        .into_iter()
+                        .for_each(|place| self.follow(place, &mark, frame));
                 }
             }
         }
@@ -53,28 +62,49 @@
 
     /// The whole of it as frames, which `apply` reads.
     pub fn write(&self, out: &mut Vec<u8>) {
-        self.events.values().for_each(|kept| out.extend_from_slice(&kept.frames));
+        self.events
+            .values()
+            .for_each(|kept| out.extend_from_slice(&kept.frames));
         for (target, &(since, usual)) in &self.cold {
-            Mark::Cold { target: target.as_str().into(), since, usual }.write(out);
+            Mark::Cold {
+                target: target.as_str().into(),
+                since,
+                usual,
+            }
+            .write(out);
         }
     }
 
     /// In the order taken.
     pub fn owed(&self) -> Vec<Owed> {
-        self.events.values().filter_map(|kept| Owed::read(&kept.frames)).collect()
+        self.events
+            .values()
+            .filter_map(|kept| Owed::read(&kept.frames))
+            .collect()
     }
 
     /// What is owed of one event.
     pub fn owed_of(&self, id: &str) -> Option<Owed> {
-        self.places.get(id).and_then(|place| Owed::read(&self.events[place].frames))
+        self.places
+            .get(id)
+            .and_then(|place| Owed::read(&self.events[place].frames))
     }
 
     fn keep(&mut self, id: String, key: Option<u64>, frames: Vec<u8>) {
         let reserved = frames.len() + MARKS;
         self.live += reserved;
         self.places.insert(id.clone(), self.next);
-        key.into_iter().for_each(|key| *self.keys.entry(key).or_default() += 1);
-        self.events.insert(self.next, Kept { id, key, frames, reserved });
+        key.into_iter()
+            .for_each(|key| *self.keys.entry(key).or_default() += 1);
+        self.events.insert(
+            self.next,
+            Kept {
+                id,
+                key,
+                frames,
+                reserved,
+            },
+        );
         self.next += 1;
     }
 
@@ -82,7 +112,11 @@
         if since.is_nan() {
             return self.forget_target(target);
         }
-        if self.cold.insert(target.to_owned(), (since, usual)).is_none() {
+        if self
+            .cold
+            .insert(target.to_owned(), (since, usual))
+            .is_none()
+        {
             self.live += NOTE;
         }
     }
@@ -96,11 +130,17 @@
             let key = self.events.remove(&place).and_then(|kept| kept.key);
             return key.into_iter().for_each(|key| self.key_is_over(key));
         }
-        if let (Mark::Ended { .. }, Some((Mark::Taken(taken), _))) = (mark, Reader::new(&kept.frames).next())
+        if let (Mark::Ended { .. }, Some((Mark::Taken(taken), _))) =
+            (mark, Reader::new(&kept.frames).next())
         {
             // Its body and sends are not needed any more; its place among those of its key is.
             let mut short = Vec::new();
-            Mark::Taken(Taken { body: Cow::default(), fingerprint: None, ..taken }).write(&mut short);
+            Mark::Taken(Taken {
+                body: Cow::default(),
+                fingerprint: None,
+                ..taken
+            })
+            .write(&mut short);
             (kept.reserved, kept.frames) = (short.len() + MARKS, short);
         }
         self.live += kept.reserved;
@@ -108,7 +148,9 @@
     }
 
     fn mark(&mut self, id: &str, mark: Mark) {
-        let Some(&place) = self.places.get(id) else { return };
+        let Some(&place) = self.places.get(id) else {
+            return;
+        };
         let from = self.unwritten.len();
         mark.write(&mut self.unwritten);
         let frame = self.unwritten[from..].to_vec();
@@ -165,13 +207,29 @@
     }
 
     pub fn sent(&mut self, id: &str, at: f64, zone: &str) {
-        self.mark(id, Mark::Sent { id: id.into(), at, zone: zone.into(), time_out: None });
+        self.mark(
+            id,
+            Mark::Sent {
+                id: id.into(),
+                at,
+                zone: zone.into(),
+                time_out: None,
+            },
+        );
     }
 
     /// As `sent`, and how long its call may be out, in milliseconds, for whoever goes on with the record while
     /// it is.
     pub fn sent_for(&mut self, id: &str, at: f64, zone: &str, time_out: f64) {
-        self.mark(id, Mark::Sent { id: id.into(), at, zone: zone.into(), time_out: Some(time_out) });
+        self.mark(
+            id,
+            Mark::Sent {
+                id: id.into(),
+                at,
+                zone: zone.into(),
+                time_out: Some(time_out),
+            },
+        );
     }
 
     /// The last send surely did not run.
@@ -181,7 +239,14 @@
 
     /// A notice is owed from now on, and nothing else.
     pub fn ended(&mut self, id: &str, outcome: Outcome, come_back_after: Option<f64>) {
-        self.mark(id, Mark::Ended { id: id.into(), outcome, come_back_after });
+        self.mark(
+            id,
+            Mark::Ended {
+                id: id.into(),
+                outcome,
+                come_back_after,
+            },
+        );
     }
 
     /// Nothing more is owed.
@@ -190,13 +255,20 @@
     }
 
     pub fn note_cold(&mut self, target: &str, since: f64, usual: f64) {
-        Mark::Cold { target: target.into(), since, usual }.write(&mut self.unwritten);
+        Mark::Cold {
+            target: target.into(),
+            since,
+            usual,
+        }
+        .write(&mut self.unwritten);
         self.keep_cold(target, since, usual);
     }
 
     /// The targets that were noted as cold, since when, and what usually went there a second.
     pub fn cold(&self) -> impl Iterator<Item = (&str, f64, f64)> {
-        self.cold.iter().map(|(target, (since, usual))| (target.as_str(), *since, *usual))
+        self.cold
+            .iter()
+            .map(|(target, (since, usual))| (target.as_str(), *since, *usual))
     }
 
     /// The target is gone for good, and what was noted of it.
--- a/forwarder/event-log/src/stored_format_tests.rs
+++ b/forwarder/event-log/src/stored_format_tests.rs
@@ -6,9 +6,14 @@
 const RECORDS: &str = include_str!("../tests/stored_format/records.txt");
 
 fn pinned(name: &str) -> Vec<u8> {
-    let line = RECORDS.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = RECORDS
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let hex = line.unwrap_or_else(|| panic!("{name} is not pinned"));
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn taken(promised: Option<Promise>) -> Mark<'static> {
@@ -25,7 +30,11 @@
 }
 
 fn least() -> Mark<'static> {
-    Mark::Taken(Taken { id: "b".into(), traffic: "t".into(), ..Taken::default() })
+    Mark::Taken(Taken {
+        id: "b".into(),
+        traffic: "t".into(),
+        ..Taken::default()
+    })
 }
 
 fn id() -> std::borrow::Cow<'static, str> {
@@ -33,7 +42,12 @@
 }
 
 fn sent(time_out: Option<f64>) -> Mark<'static> {
-    Mark::Sent { id: id(), at: 1_764_000_000_456.5, zone: "zone-a".into(), time_out }
+    Mark::Sent {
+        id: id(),
+        at: 1_764_000_000_456.5,
+        zone: "zone-a".into(),
+        time_out,
+    }
 }
 
 /// One value of each record kind, and of each choice inside of them.
@@ -44,19 +58,31 @@
         ("SentWithoutTimeOut".to_owned(), sent(None)),
         (
             "EndedWithoutWait".to_owned(),
-            Mark::Ended { id: id(), outcome: Outcome::Dismissed, come_back_after: None },
+            Mark::Ended {
+                id: id(),
+                outcome: Outcome::Dismissed,
+                come_back_after: None,
+            },
         ),
     ];
     let repeats = [
         Repeats::Harmless,
-        Repeats::Known { window: 1500.5, one_zone: false },
-        Repeats::Known { window: 0.5, one_zone: true },
+        Repeats::Known {
+            window: 1500.5,
+            one_zone: false,
+        },
+        Repeats::Known {
+            window: 0.5,
+            one_zone: true,
+        },
         Repeats::Forbidden,
     ];
     for repeats in repeats {
         let kind = match repeats {
             Repeats::Harmless => "Harmless",
-            Repeats::Known { one_zone: false, .. } => "Known",
+            Repeats::Known {
+                one_zone: false, ..
+            } => "Known",
             Repeats::Known { one_zone: true, .. } => "KnownInOneZone",
             Repeats::Forbidden => "Forbidden",
         };
@@ -70,16 +96,31 @@
             Outcome::Dismissed => "Dismissed",
             Outcome::WrittenOff => "WrittenOff",
         };
-        let ended = Mark::Ended { id: id(), outcome, come_back_after: Some(500.25) };
+        let ended = Mark::Ended {
+            id: id(),
+            outcome,
+            come_back_after: Some(500.25),
+        };
         all.push((format!("Ended{kind}"), ended));
     }
     let kinds = [
-        taken(Some(Promise { repeats: Repeats::Forbidden, ordered: true })),
+        taken(Some(Promise {
+            repeats: Repeats::Forbidden,
+            ordered: true,
+        })),
         sent(Some(16_000.5)),
         Mark::Unrun { id: id() },
-        Mark::Ended { id: id(), outcome: Outcome::WrittenOff, come_back_after: Some(500.25) },
+        Mark::Ended {
+            id: id(),
+            outcome: Outcome::WrittenOff,
+            come_back_after: Some(500.25),
+        },
         Mark::Over { id: id() },
-        Mark::Cold { target: "target-1".into(), since: 1_764_000_000_789.0, usual: 12.75 },
+        Mark::Cold {
+            target: "target-1".into(),
+            since: 1_764_000_000_789.0,
+            usual: 12.75,
+        },
     ];
     for mark in kinds {
         let name = match mark {
@@ -122,5 +163,12 @@
     older.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
     older.extend_from_slice(payload);
     let (read, _) = Reader::new(&older).next().expect("a whole frame");
-    assert!(matches!(read, Mark::Cold { usual: 0.0, since: 1_764_000_000_789.0, .. }));
+    assert!(matches!(
+        read,
+        Mark::Cold {
+            usual: 0.0,
+            since: 1_764_000_000_789.0,
+            ..
+        }
+    ));
 }
--- a/forwarder/event-log/tests/lives.rs
+++ b/forwarder/event-log/tests/lives.rs
@@ -10,7 +10,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("plankhill-ledger-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("plankhill-ledger-{}-{name}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder for the test");
         Folder(path)
     }
@@ -18,7 +19,10 @@
         Ledger::open(&self.0, 1_000_000).expect("opens")
     }
     fn size(&self) -> u64 {
-        fs::read_dir(&self.0).expect("there").map(|file| file.unwrap().metadata().unwrap().len()).sum()
+        fs::read_dir(&self.0)
+            .expect("there")
+            .map(|file| file.unwrap().metadata().unwrap().len())
+            .sum()
     }
 }
 
@@ -50,7 +54,9 @@
     let folder = Folder::new("order");
     let (mut ledger, owed) = folder.open();
     assert!(owed.is_empty());
-    ["a", "b", "c", "d", "e"].into_iter().for_each(|id| ledger.taken(event(id, b"body")));
+    ["a", "b", "c", "d", "e"]
+        .into_iter()
+        .for_each(|id| ledger.taken(event(id, b"body")));
     for id in ["a", "a", "b", "c", "d"] {
         ledger.sent(id, 10.0, "z");
     }
@@ -63,8 +69,14 @@
     let (_, owed) = folder.open();
     assert_eq!(ids(&owed), ["a", "b", "d", "e"]);
     let z = || Some((10.0, "z".to_owned()));
-    assert_eq!((owed[0].sends, &owed[0].may_have_run, &owed[0].was_out), (2, &z(), &z()));
-    assert_eq!((owed[1].sends, &owed[1].may_have_run, &owed[1].was_out), (1, &None, &None));
+    assert_eq!(
+        (owed[0].sends, &owed[0].may_have_run, &owed[0].was_out),
+        (2, &z(), &z())
+    );
+    assert_eq!(
+        (owed[1].sends, &owed[1].may_have_run, &owed[1].was_out),
+        (1, &None, &None)
+    );
     assert_eq!(owed[2].ended, Some((Outcome::Dismissed, Some(500.0))));
     let e = &owed[3].taken;
     assert_eq!(
@@ -91,12 +103,20 @@
         assert_eq!(ids(&owed), ["a"], "cut at {cut}");
         ledger.taken(event("c", b"after"));
         ledger.commit().expect("writes");
-        assert_eq!(ids(&folder.open().1), ["a", "c"], "what follows a torn frame is read");
+        assert_eq!(
+            ids(&folder.open().1),
+            ["a", "c"],
+            "what follows a torn frame is read"
+        );
     }
     let mut flipped = bytes.clone();
     *flipped.last_mut().unwrap() ^= 1;
     fs::write(&path, &flipped).unwrap();
-    assert_eq!(ids(&folder.open().1), ["a"], "a frame that does not fit its checksum is not read");
+    assert_eq!(
+        ids(&folder.open().1),
+        ["a"],
+        "a frame that does not fit its checksum is not read"
+    );
 }
 
 #[rstest]
@@ -124,7 +144,10 @@
     ledger.commit().expect("writes");
     assert!(most < 600_000, "{most} bytes on a disk of a million");
     let (mut ledger, owed) = folder.open();
-    assert_eq!((ids(&owed), owed[0].sends, owed[1].ended.is_some()), (vec!["live", "told"], 1, true));
+    assert_eq!(
+        (ids(&owed), owed[0].sends, owed[1].ended.is_some()),
+        (vec!["live", "told"], 1, true)
+    );
     assert_eq!(ledger.cold().collect::<Vec<_>>(), [("t", 5.0, 7.5)]);
     ledger.forget_targets(|target| target != "t");
     assert_eq!(ledger.cold().count(), 0);
@@ -153,7 +176,9 @@
 fn another_file_in_its_place_is_not_overwritten() {
     let folder = Folder::new("other");
     fs::write(folder.0.join("ledger"), b"something else altogether").unwrap();
-    let error = Ledger::open(&folder.0, 1_000_000).map(|_| ()).expect_err("is no ledger");
+    let error = Ledger::open(&folder.0, 1_000_000)
+        .map(|_| ())
+        .expect_err("is no ledger");
     assert!(error.to_string().contains("not a ledger"));
 }
 
--- a/forwarder/event-log/tests/records.rs
+++ b/forwarder/event-log/tests/records.rs
@@ -4,17 +4,28 @@
 use rstest::rstest;
 
 fn event(id: &str) -> Taken<'static> {
-    Taken { id: id.to_owned().into(), traffic: "t".into(), body: b"body"[..].into(), ..Taken::default() }
+    Taken {
+        id: id.to_owned().into(),
+        traffic: "t".into(),
+        body: b"body"[..].into(),
+        ..Taken::default()
+    }
 }
 
 fn said(record: &Record) -> Vec<String> {
-    record.owed().iter().map(|owed| format!("{owed:?}")).collect()
+    record
+        .owed()
+        .iter()
+        .map(|owed| format!("{owed:?}"))
+        .collect()
 }
 
 #[rstest]
 fn a_record_told_the_marks_or_the_whole_owes_what_the_first_does() {
     let mut first = Record::default();
-    ["a", "b", "c", "d"].into_iter().for_each(|id| first.taken(event(id)));
+    ["a", "b", "c", "d"]
+        .into_iter()
+        .for_each(|id| first.taken(event(id)));
     first.sent_for("a", 10.0, "z", 1500.0);
     first.sent("b", 11.0, "z");
     first.unrun("b");
@@ -34,10 +45,17 @@
         assert_eq!((other.live(), other.len()), (first.live(), 3));
         assert_eq!(other.cold().collect::<Vec<_>>(), [("t", 5.0, 7.0)]);
     }
-    assert_eq!(first.owed_of("a").and_then(|owed| owed.time_out), Some(1500.0));
+    assert_eq!(
+        first.owed_of("a").and_then(|owed| owed.time_out),
+        Some(1500.0)
+    );
     assert_eq!(first.owed_of("b").and_then(|owed| owed.time_out), None);
     let cut: Vec<&[u8]> = frames(&marks).collect();
-    assert_eq!((cut.len(), cut.concat()), (12, marks), "cut at frames, nothing is lost");
+    assert_eq!(
+        (cut.len(), cut.concat()),
+        (12, marks),
+        "cut at frames, nothing is lost"
+    );
 }
 
 #[rstest]
@@ -63,11 +81,20 @@
 #[case(Repeats::Known { window: 1500.0, one_zone: false }, true)]
 #[case(Repeats::Known { window: 0.5, one_zone: true }, false)]
 #[case(Repeats::Forbidden, true)]
-fn what_was_promised_stays_with_an_event_also_past_its_end(#[case] repeats: Repeats, #[case] ordered: bool) {
+fn what_was_promised_stays_with_an_event_also_past_its_end(
+    #[case] repeats: Repeats,
+    #[case] ordered: bool,
+) {
     let promised = Some(Promise { repeats, ordered });
     let (mut first, mut read) = (Record::default(), Record::default());
-    first.taken(Taken { promised, ..event("a") });
-    first.taken(Taken { promised, ..event("b") });
+    first.taken(Taken {
+        promised,
+        ..event("a")
+    });
+    first.taken(Taken {
+        promised,
+        ..event("b")
+    });
     first.taken(event("as an older text wrote it"));
     first.ended("b", Outcome::WrittenOff, None);
     let mut whole = Vec::new();
@@ -82,11 +109,31 @@
     let known = |window, one_zone| Repeats::Known { window, one_zone };
     let of = |repeats, ordered| Promise { repeats, ordered };
     let both = [
-        (of(Repeats::Harmless, false), of(Repeats::Harmless, true), of(Repeats::Harmless, true)),
-        (of(Repeats::Harmless, false), of(known(5.0, true), false), of(known(5.0, true), false)),
-        (of(known(9.0, true), false), of(known(5.0, false), false), of(known(5.0, true), false)),
-        (of(Repeats::Forbidden, true), of(known(5.0, false), false), of(Repeats::Forbidden, true)),
-        (of(Repeats::Forbidden, false), of(Repeats::Harmless, false), of(Repeats::Forbidden, false)),
+        (
+            of(Repeats::Harmless, false),
+            of(Repeats::Harmless, true),
+            of(Repeats::Harmless, true),
+        ),
+        (
+            of(Repeats::Harmless, false),
+            of(known(5.0, true), false),
+            of(known(5.0, true), false),
+        ),
+        (
+            of(known(9.0, true), false),
+            of(known(5.0, false), false),
+            of(known(5.0, true), false),
+        ),
+        (
+            of(Repeats::Forbidden, true),
+            of(known(5.0, false), false),
+            of(Repeats::Forbidden, true),
+        ),
+        (
+            of(Repeats::Forbidden, false),
+            of(Repeats::Harmless, false),
+            of(Repeats::Forbidden, false),
+        ),
     ];
     for (one, other, holds) in both {
         assert_eq!((one.and(other), other.and(one)), (holds, holds));
@@ -100,7 +147,10 @@
     let (mut older, mut newer) = (Record::default(), Record::default());
     older.taken(event("a"));
     newer.taken(Taken {
-        promised: Some(Promise { repeats: Repeats::Forbidden, ordered: true }),
+        promised: Some(Promise {
+            repeats: Repeats::Forbidden,
+            ordered: true,
+        }),
         ..event("a")
     });
     let (older, newer) = (older.take_unwritten(), newer.take_unwritten());
--- a/forwarder/event-log/tests/stored_format.rs
+++ b/forwarder/event-log/tests/stored_format.rs
@@ -9,7 +9,9 @@
 const DISK: u64 = 1_000_000;
 
 fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_format").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/stored_format")
+        .join(name)
 }
 
 fn event(id: &'static str, promised: Option<Promise>) -> Taken<'static> {
@@ -31,11 +33,33 @@
     assert!(owed.is_empty());
     let promise = |repeats, ordered| Some(Promise { repeats, ordered });
     ledger.taken(event("waits", promise(Repeats::Harmless, true)));
-    ledger.taken(event("out", promise(Repeats::Known { window: 60_000.0, one_zone: true }, false)));
+    ledger.taken(event(
+        "out",
+        promise(
+            Repeats::Known {
+                window: 60_000.0,
+                one_zone: true,
+            },
+            false,
+        ),
+    ));
     ledger.taken(event("ran", promise(Repeats::Forbidden, true)));
-    ledger.taken(event("ended", promise(Repeats::Known { window: 5.5, one_zone: false }, true)));
+    ledger.taken(event(
+        "ended",
+        promise(
+            Repeats::Known {
+                window: 5.5,
+                one_zone: false,
+            },
+            true,
+        ),
+    ));
     ledger.taken(event("over", None));
-    ledger.taken(Taken { id: "least".into(), traffic: "t".into(), ..Taken::default() });
+    ledger.taken(Taken {
+        id: "least".into(),
+        traffic: "t".into(),
+        ..Taken::default()
+    });
     ledger.commit().unwrap();
     ledger.sent("out", 1_764_000_000_001.0, "zone-a");
     ledger.sent_for("out", 1_764_000_000_002.0, "zone-b", 8_000.0);
@@ -58,8 +82,15 @@
     let folder = tempfile::tempdir().unwrap();
     fs::copy(fixture(name), folder.path().join("ledger")).unwrap();
     let (ledger, owed) = Ledger::open(folder.path(), DISK).unwrap();
-    assert_eq!(ledger.cold().collect::<Vec<_>>(), [("cold", 1_764_000_000_005.0, 3.5)]);
-    assert_eq!(ledger.length(), fs::metadata(fixture(name)).unwrap().len(), "nothing is cut off");
+    assert_eq!(
+        ledger.cold().collect::<Vec<_>>(),
+        [("cold", 1_764_000_000_005.0, 3.5)]
+    );
+    assert_eq!(
+        ledger.length(),
+        fs::metadata(fixture(name)).unwrap().len(),
+        "nothing is cut off"
+    );
     assert!(ledger.holds_key(9));
     owed.iter().map(described).collect()
 }
@@ -70,7 +101,9 @@
     let promise = taken.promised.map(|promise| {
         let repeats = match promise.repeats {
             Repeats::Harmless => "harmless".to_owned(),
-            Repeats::Known { window, one_zone } => format!("known for {window} in one zone {one_zone}"),
+            Repeats::Known { window, one_zone } => {
+                format!("known for {window} in one zone {one_zone}")
+            }
             Repeats::Forbidden => "forbidden".to_owned(),
         };
         format!("{repeats}, ordered {}", promise.ordered)
@@ -83,9 +116,18 @@
         (outcome, come_back_after)
     });
     let body = String::from_utf8(taken.body.to_vec()).unwrap();
-    let event = format!("{} {} {} {}", taken.id, taken.destination, taken.traffic, taken.patience_ends);
-    let more = format!("{:?} {:?} {body:?} {promise:?}", taken.key, taken.fingerprint);
-    let sends = format!("{} {:?} {:?} {:?}", owed.sends, owed.may_have_run, owed.was_out, owed.time_out);
+    let event = format!(
+        "{} {} {} {}",
+        taken.id, taken.destination, taken.traffic, taken.patience_ends
+    );
+    let more = format!(
+        "{:?} {:?} {body:?} {promise:?}",
+        taken.key, taken.fingerprint
+    );
+    let sends = format!(
+        "{} {:?} {:?} {:?}",
+        owed.sends, owed.may_have_run, owed.was_out, owed.time_out
+    );
     format!("{event} | {more} | {sends} | {ended:?}")
 }
 
@@ -94,10 +136,15 @@
     let folder = tempfile::tempdir().unwrap();
     let ledger = written(folder.path());
     drop(ledger);
-    let names: Vec<_> =
-        fs::read_dir(folder.path()).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+    let names: Vec<_> = fs::read_dir(folder.path())
+        .unwrap()
+        .map(|entry| entry.unwrap().file_name())
+        .collect();
     assert_eq!(names, ["ledger"]);
-    assert_eq!(fs::read(folder.path().join("ledger")).unwrap(), fs::read(fixture("appended")).unwrap());
+    assert_eq!(
+        fs::read(folder.path().join("ledger")).unwrap(),
+        fs::read(fixture("appended")).unwrap()
+    );
 }
 
 /// Opened with so small a disk that the next commit writes it anew.
@@ -108,9 +155,15 @@
     let (mut ledger, _) = Ledger::open(folder.path(), 100).unwrap();
     ledger.sent("waits", 1_764_000_000_007.0, "zone-a");
     ledger.commit().unwrap();
-    assert_eq!(fs::read(folder.path().join("ledger")).unwrap(), fs::read(fixture("rewritten")).unwrap());
+    assert_eq!(
+        fs::read(folder.path().join("ledger")).unwrap(),
+        fs::read(fixture("rewritten")).unwrap()
+    );
     ledger.empty().unwrap();
-    assert_eq!(fs::read(folder.path().join("ledger")).unwrap(), b"plankhill ledger 1\n");
+    assert_eq!(
+        fs::read(folder.path().join("ledger")).unwrap(),
+        b"plankhill ledger 1\n"
+    );
 }
 
 #[test]
--- a/forwarder/event-log/tests/torn.rs
+++ b/forwarder/event-log/tests/torn.rs
@@ -12,14 +12,24 @@
         key: Some(3),
         fingerprint: Some("f".into()),
         body: b"body"[..].into(),
-        promised: Some(Promise { repeats: Repeats::Forbidden, ordered: true }),
+        promised: Some(Promise {
+            repeats: Repeats::Forbidden,
+            ordered: true,
+        }),
         ..Taken::default()
     }
 }
 
 fn said(ledger: &Ledger) -> (Vec<String>, Vec<(String, f64, f64)>, usize) {
-    let owed = ledger.owed().iter().map(|owed| format!("{owed:?}")).collect();
-    let cold = ledger.cold().map(|(target, since, usual)| (target.to_owned(), since, usual)).collect();
+    let owed = ledger
+        .owed()
+        .iter()
+        .map(|owed| format!("{owed:?}"))
+        .collect();
+    let cold = ledger
+        .cold()
+        .map(|(target, since, usual)| (target.to_owned(), since, usual))
+        .collect();
     (owed, cold, ledger.live())
 }
 
@@ -50,7 +60,11 @@
     for cut in whole..bytes.len() {
         fs::write(&file, &bytes[..cut]).expect("written");
         assert_eq!(said(&open()), before, "cut at {cut}");
-        assert_eq!(fs::read(&file).expect("there"), bytes[..whole], "what is torn is gone");
+        assert_eq!(
+            fs::read(&file).expect("there"),
+            bytes[..whole],
+            "what is torn is gone"
+        );
         // The same for one whose byte is another.
         let mut other = bytes.clone();
         other[cut] ^= 0x40;
@@ -72,6 +86,13 @@
         assert!(owed.is_empty());
         ledger.taken(event("a"));
         ledger.commit().expect("writes");
-        assert_eq!(Ledger::open(folder.path(), 1_000_000).expect("opens").1.len(), 1, "cut at {cut}");
+        assert_eq!(
+            Ledger::open(folder.path(), 1_000_000)
+                .expect("opens")
+                .1
+                .len(),
+            1,
+            "cut at {cut}"
+        );
     }
 }
--- a/forwarder/experiments/src/compare.rs
+++ b/forwarder/experiments/src/compare.rs
@@ -27,13 +27,19 @@
     let mut chance = stream(values.len() as u64, Concern::Baselines);
     let mut means: Vec<f64> = (0..DRAWS)
         .map(|_| {
-            let drawn = (0..values.len()).map(|_| values[(draw(&mut chance) * values.len() as f64) as usize]);
+            let drawn = (0..values.len())
+                .map(|_| values[(draw(&mut chance) * values.len() as f64) as usize]);
             drawn.sum::<f64>() / values.len() as f64
         })
         .collect();
     means.sort_by(f64::total_cmp);
     let at = |share: f64| means[((means.len() - 1) as f64 * share).round() as usize];
-    Some(Estimate { mean, low: at(0.025), high: at(0.975), days: values.len() })
+    Some(Estimate {
+        mean,
+        low: at(0.025),
+        high: at(0.975),
+        days: values.len(),
+    })
 }
 
 /// The days of one variant at one point of the sweeps.
@@ -47,7 +53,9 @@
 impl<'a> Cell<'a> {
     /// The cell of another variant at the same point.
     pub fn beside<'c>(&self, cells: &'c [Cell<'a>], variant: &str) -> Option<&'c Cell<'a>> {
-        cells.iter().find(|other| other.variant == variant && other.point == self.point)
+        cells
+            .iter()
+            .find(|other| other.variant == variant && other.point == self.point)
     }
 }
 
@@ -55,9 +63,16 @@
 pub fn cells(records: &[Record]) -> Vec<Cell<'_>> {
     let mut cells: Vec<Cell> = Vec::new();
     for record in records {
-        match cells.last_mut().filter(|cell| cell.variant == record.variant && cell.point == record.point) {
+        match cells
+            .last_mut()
+            .filter(|cell| cell.variant == record.variant && cell.point == record.point)
+        {
             Some(cell) => cell.days.push(record),
-            None => cells.push(Cell { variant: &record.variant, point: &record.point, days: vec![record] }),
+            None => cells.push(Cell {
+                variant: &record.variant,
+                point: &record.point,
+                days: vec![record],
+            }),
         }
     }
     cells
@@ -79,7 +94,9 @@
         Measure::FailedShare => totals.failed_calls as f64 / calls,
         Measure::MostHeld => totals.most_held as f64,
         Measure::LateShare => {
-            let late = outcome.causes.get(&plankhill_emulator::outcome::Cause::Late);
+            let late = outcome
+                .causes
+                .get(&plankhill_emulator::outcome::Cause::Late);
             late.copied().unwrap_or(0.0) / totals.asked.max(1e-9)
         }
         Measure::Rules => outcome.broken() as f64,
@@ -88,16 +105,29 @@
 
 /// What a variant has over the first one, seed by seed; days without a partner are left out.
 pub fn paired(cell: &Cell, reference: &Cell, value: impl Fn(&Record) -> f64) -> Vec<f64> {
-    let partner = |day: &&Record| reference.days.iter().find(|other| other.seed == day.seed).copied();
-    cell.days.iter().filter_map(|day| Some(value(day) - value(partner(day)?))).collect()
+    let partner = |day: &&Record| {
+        reference
+            .days
+            .iter()
+            .find(|other| other.seed == day.seed)
+            .copied()
+    };
+    cell.days
+        .iter()
+        .filter_map(|day| Some(value(day) - value(partner(day)?)))
+        .collect()
 }
 
 fn csv(rows: Vec<Vec<String>>) -> Result<Vec<u8>, Stopped> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     for row in rows {
-        writer.write_record(&row).map_err(|e| Stopped::Outside(e.to_string()))?;
+        writer
+            .write_record(&row)
+            .map_err(|e| Stopped::Outside(e.to_string()))?;
     }
-    writer.into_inner().map_err(|e| Stopped::Outside(e.to_string()))
+    writer
+        .into_inner()
+        .map_err(|e| Stopped::Outside(e.to_string()))
 }
 
 /// A line for each day.
@@ -128,7 +158,10 @@
         "commit",
     ];
     head.extend(names.map(String::from));
-    let traffic = records.first().map(|record| &record.outcome.traffic[..]).unwrap_or_default();
+    let traffic = records
+        .first()
+        .map(|record| &record.outcome.traffic[..])
+        .unwrap_or_default();
     for of in traffic {
         head.extend([format!("{}_half_ms", of.name), format!("{}_99_ms", of.name)]);
     }
@@ -138,7 +171,11 @@
         let mut row = vec![record.variant.clone()];
         row.extend(record.point.iter().map(|(_, value)| value.clone()));
         row.extend([record.seed.to_string(), outcome.payoff.to_string()]);
-        row.push(record.bound.map_or(String::new(), |bound| bound.to_string()));
+        row.push(
+            record
+                .bound
+                .map_or(String::new(), |bound| bound.to_string()),
+        );
         let counts = [
             totals.events,
             totals.taken,
@@ -161,7 +198,12 @@
         ]);
         row.extend([record.version.clone(), record.commit.clone()]);
         for of in &outcome.traffic {
-            let time = |share: f64| of.times.iter().find(|(q, _)| *q == share).map_or(0.0, |(_, time)| *time);
+            let time = |share: f64| {
+                of.times
+                    .iter()
+                    .find(|(q, _)| *q == share)
+                    .map_or(0.0, |(_, time)| *time)
+            };
             row.extend([time(0.5).to_string(), time(0.99).to_string()]);
         }
         rows.push(row);
@@ -173,7 +215,15 @@
 pub fn compare_csv(plan: &Plan, records: &[Record]) -> Result<Vec<u8>, Stopped> {
     let mut head: Vec<String> = vec!["variant".into()];
     head.extend(plan.experiment.sweep.iter().map(|sweep| sweep.key.clone()));
-    let names = ["days", "payoff", "low", "high", "over_first", "over_low", "over_high"];
+    let names = [
+        "days",
+        "payoff",
+        "low",
+        "high",
+        "over_first",
+        "over_low",
+        "over_high",
+    ];
     head.extend(names.map(String::from));
     let cells = cells(records);
     let mut rows = vec![head];
--- a/forwarder/experiments/src/days.rs
+++ b/forwarder/experiments/src/days.rs
@@ -78,18 +78,33 @@
                     text.set_value("seed", Value::Integer(seed as i64))?;
                     let scenario = Scenario::read(&text)?;
                     let number = days.len();
-                    days.push(Day { number, variant: at, point: point.clone(), seed, scenario });
+                    days.push(Day {
+                        number,
+                        variant: at,
+                        point: point.clone(),
+                        seed,
+                        scenario,
+                    });
                     sets.push(set.clone());
                 }
             }
         }
-        Ok(Plan { experiment, experiment_text, scenario_text, days, sets, commit })
+        Ok(Plan {
+            experiment,
+            experiment_text,
+            scenario_text,
+            days,
+            sets,
+            commit,
+        })
     }
 
     /// What each sweep is at for a day.
     pub fn point_of(&self, day: &Day) -> Vec<(String, String)> {
         let sweeps = self.experiment.sweep.iter().zip(&day.point);
-        sweeps.map(|(sweep, place)| (sweep.key.clone(), plain(&sweep.values[*place]))).collect()
+        sweeps
+            .map(|(sweep, place)| (sweep.key.clone(), plain(&sweep.values[*place])))
+            .collect()
     }
 
     pub fn play(&self, day: &Day) -> Record {
@@ -107,7 +122,10 @@
             seed: day.seed,
             version: env!("CARGO_PKG_VERSION").to_owned(),
             commit: self.commit.clone(),
-            bound: self.experiment.bound.then(|| plankhill_emulator::bound::most(&day.scenario)),
+            bound: self
+                .experiment
+                .bound
+                .then(|| plankhill_emulator::bound::most(&day.scenario)),
             outcome,
         }
     }
--- a/forwarder/experiments/src/figures.rs
+++ b/forwarder/experiments/src/figures.rs
@@ -36,12 +36,17 @@
 
 /// The range of some values with a little air.
 fn range(values: impl Iterator<Item = f64>) -> (f64, f64) {
-    let (low, high) =
-        values.filter(|v| v.is_finite()).fold((f64::MAX, f64::MIN), |(l, h), v| (l.min(v), h.max(v)));
+    let (low, high) = values
+        .filter(|v| v.is_finite())
+        .fold((f64::MAX, f64::MIN), |(l, h), v| (l.min(v), h.max(v)));
     if low > high {
         return (0.0, 1.0);
     }
-    let air = if high > low { 0.05 * (high - low) } else { 0.05 * high.abs().max(0.1) };
+    let air = if high > low {
+        0.05 * (high - low)
+    } else {
+        0.05 * high.abs().max(0.1)
+    };
     (low - air, high + air)
 }
 
@@ -71,8 +76,17 @@
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         root.fill(&WHITE)?;
-        let end = lines.iter().flat_map(|line| &line.points).map(|point| point.0).fold(1.0, f64::max);
-        let (low, high) = range(lines.iter().flat_map(|line| &line.points).map(|point| point.1));
+        let end = lines
+            .iter()
+            .flat_map(|line| &line.points)
+            .map(|point| point.0)
+            .fold(1.0, f64::max);
+        let (low, high) = range(
+            lines
+                .iter()
+                .flat_map(|line| &line.points)
+                .map(|point| point.1),
+        );
         let low = if from_zero { 0.0 } else { low };
         let mut chart = ChartBuilder::on(&root)
             .margin(10)
@@ -88,7 +102,10 @@
             .draw()?;
         for shade in shades {
             let (from, to) = (shade.start / 1000.0, (shade.end / 1000.0).min(end));
-            let area = Rectangle::new([(from, low), (to, high)], RGBColor(120, 120, 120).mix(0.10).filled());
+            let area = Rectangle::new(
+                [(from, low), (to, high)],
+                RGBColor(120, 120, 120).mix(0.10).filled(),
+            );
             chart.draw_series(std::iter::once(area))?;
         }
         for (at, line) in lines.iter().enumerate() {
@@ -115,20 +132,36 @@
 }
 
 /// Estimates with their intervals over a sweep. Names stand at the axis' places where values are no numbers.
-pub fn over_sweep(lines: &[Swept], x_words: &str, y_words: &str, names: &[String], log: bool) -> Drawn {
+pub fn over_sweep(
+    lines: &[Swept],
+    x_words: &str,
+    y_words: &str,
+    names: &[String],
+    log: bool,
+) -> Drawn {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         root.fill(&WHITE)?;
-        let xs = lines.iter().flat_map(|line| &line.points).map(|point| point.0);
+        let xs = lines
+            .iter()
+            .flat_map(|line| &line.points)
+            .map(|point| point.0);
         let (least, most) = xs.fold((f64::MAX, f64::MIN), |(l, h), x| (l.min(x), h.max(x)));
         let all = lines.iter().flat_map(|line| &line.points);
         let (low, high) = range(all.flat_map(|(_, e)| [e.low, e.high]));
-        let air = if most > least { 0.04 * (most - least) } else { 0.5 };
+        let air = if most > least {
+            0.04 * (most - least)
+        } else {
+            0.5
+        };
         // A logarithmic axis is drawn by hand: positions are logarithms, labels are values.
         let place = |x: f64| if log { x.log10() } else { x };
-        let (from, to) =
-            if log { (place(least) - 0.05, place(most) + 0.05) } else { (least - air, most + air) };
+        let (from, to) = if log {
+            (place(least) - 0.05, place(most) + 0.05)
+        } else {
+            (least - air, most + air)
+        };
         let mut chart = ChartBuilder::on(&root)
             .margin(10)
             .x_label_area_size(38)
@@ -154,7 +187,11 @@
             .configure_mesh()
             .x_desc(x_words)
             .y_desc(y_words)
-            .x_labels(if names.is_empty() { 10 } else { names.len() * 2 })
+            .x_labels(if names.is_empty() {
+                10
+            } else {
+                names.len() * 2
+            })
             .x_label_formatter(&label)
             .label_style((FONT, 13))
             .light_line_style(WHITE)
@@ -168,11 +205,12 @@
             chart
                 .draw_series(LineSeries::new(means, colour.stroke_width(2)))?
                 .label(&line.name)
-                .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2)));
-            let bars = line
-                .points
-                .iter()
-                .map(|(x, e)| ErrorBar::new_vertical(spot(*x), e.low, e.mean, e.high, colour.filled(), 6));
+                .legend(move |(x, y)| {
+                    PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2))
+                });
+            let bars = line.points.iter().map(|(x, e)| {
+                ErrorBar::new_vertical(spot(*x), e.low, e.mean, e.high, colour.filled(), 6)
+            });
             chart.draw_series(bars)?;
         }
         name_lines(&mut chart, SeriesLabelPosition::LowerLeft)?;
@@ -187,9 +225,16 @@
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         root.fill(&WHITE)?;
-        let xs = lines.iter().flat_map(|line| &line.points).map(|point| point.0);
+        let xs = lines
+            .iter()
+            .flat_map(|line| &line.points)
+            .map(|point| point.0);
         let (least, most) = xs.fold((f64::MAX, f64::MIN), |(l, h), x| (l.min(x), h.max(x)));
-        let (from, to) = if least < most { (least.log10(), most.log10()) } else { (0.0, 1.0) };
+        let (from, to) = if least < most {
+            (least.log10(), most.log10())
+        } else {
+            (0.0, 1.0)
+        };
         let mut chart = ChartBuilder::on(&root)
             .margin(10)
             .x_label_area_size(38)
@@ -209,7 +254,9 @@
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
                 .label(&line.name)
-                .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2)));
+                .legend(move |(x, y)| {
+                    PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2))
+                });
         }
         name_lines(&mut chart, SeriesLabelPosition::LowerRight)?;
         root.present()?;
@@ -224,9 +271,14 @@
         let height = 90 + 34 * bars.len() as u32 + 18 * causes.len().div_ceil(2) as u32;
         let root = SVGBackend::with_string(&mut svg, (SIZE.0, height)).into_drawing_area();
         root.fill(&WHITE)?;
-        let (above, below) = root.split_vertically(height - 20 * causes.len().div_ceil(2) as u32 - 10);
+        let (above, below) =
+            root.split_vertically(height - 20 * causes.len().div_ceil(2) as u32 - 10);
         let sum = |parts: &[(String, f64)]| parts.iter().map(|part| part.1).sum::<f64>();
-        let most = bars.iter().map(|(_, parts)| sum(parts)).fold(1e-6, f64::max) * 1.05;
+        let most = bars
+            .iter()
+            .map(|(_, parts)| sum(parts))
+            .fold(1e-6, f64::max)
+            * 1.05;
         let count = bars.len() as f64;
         let mut chart = ChartBuilder::on(&above)
             .margin(10)
@@ -237,7 +289,8 @@
             let at = y.floor();
             let middle = (y - at - 0.5).abs() < 0.01;
             let bar = bars.len().checked_sub(1 + at.max(0.0) as usize);
-            bar.filter(|_| middle).map_or(String::new(), |bar| bars[bar].0.clone())
+            bar.filter(|_| middle)
+                .map_or(String::new(), |bar| bars[bar].0.clone())
         };
         chart
             .configure_mesh()
@@ -253,15 +306,25 @@
             let mut from = 0.0;
             for (cause, part) in parts {
                 let fill = colour(causes.iter().position(|known| known == cause).unwrap_or(0));
-                let corner = [(100.0 * from, bottom + 0.15), (100.0 * (from + part), bottom + 0.85)];
+                let corner = [
+                    (100.0 * from, bottom + 0.15),
+                    (100.0 * (from + part), bottom + 0.85),
+                ];
                 chart.draw_series(std::iter::once(Rectangle::new(corner, fill.filled())))?;
                 from += part;
             }
         }
         for (at, cause) in causes.iter().enumerate() {
             let (x, y) = (115 + 370 * (at % 2) as i32, 4 + 20 * (at / 2) as i32);
-            below.draw(&Rectangle::new([(x, y), (x + 12, y + 12)], colour(at).filled()))?;
-            below.draw(&Text::new(cause.clone(), (x + 18, y), (FONT, 13).into_font()))?;
+            below.draw(&Rectangle::new(
+                [(x, y), (x + 12, y + 12)],
+                colour(at).filled(),
+            ))?;
+            below.draw(&Text::new(
+                cause.clone(),
+                (x + 18, y),
+                (FONT, 13).into_font(),
+            ))?;
         }
         root.present()?;
     }
@@ -300,13 +363,17 @@
                 let fade = |well: f64, ill: f64| (well + (ill - well) * share) as u8;
                 let fill = RGBColor(fade(222.0, 165.0), fade(235.0, 15.0), fade(247.0, 21.0));
                 let left = step as f64 * width / 1000.0;
-                let corner = [(left, bottom + 0.08), (left + width / 1000.0, bottom + 0.92)];
+                let corner = [
+                    (left, bottom + 0.08),
+                    (left + width / 1000.0, bottom + 0.92),
+                ];
                 chart.draw_series(std::iter::once(Rectangle::new(corner, fill.filled())))?;
             }
         }
         let plot = chart.plotting_area().get_pixel_range();
         for (at, row) in rows.iter().enumerate() {
-            let y = plot.1.start + ((at as f64 + 0.1) * (plot.1.end - plot.1.start) as f64 / count) as i32;
+            let y = plot.1.start
+                + ((at as f64 + 0.1) * (plot.1.end - plot.1.start) as f64 / count) as i32;
             let mark = if row.struck { " *" } else { "" };
             let name = format!("{} {}{mark}", row.group, row.destination);
             root.draw(&Text::new(name, (8, y), (FONT, 10).into_font()))?;
--- a/forwarder/experiments/src/folder.rs
+++ b/forwarder/experiments/src/folder.rs
@@ -41,8 +41,9 @@
         let mut entries = fs::read_dir(path).map_err(outside(&name.to_string()))?;
         if entries.next().is_some() {
             let begun = fs::read_to_string(path.join(EXPERIMENT));
-            let begun = begun
-                .map_err(|_| Stopped::Given(format!("{name}: holds something else than an experiment")))?;
+            let begun = begun.map_err(|_| {
+                Stopped::Given(format!("{name}: holds something else than an experiment"))
+            })?;
             let scenario = fs::read_to_string(path.join(SCENARIO)).unwrap_or_default();
             if begun != plan.experiment_text || scenario != plan.scenario_text {
                 return Err(Stopped::Given(format!(
@@ -54,9 +55,16 @@
             fs::write(path.join(EXPERIMENT), &plan.experiment_text).map_err(outside(EXPERIMENT))?;
         }
         let held = recover(&path.join(DAYS), plan)?;
-        let days =
-            OpenOptions::new().create(true).append(true).open(path.join(DAYS)).map_err(outside(DAYS))?;
-        Ok(Folder { path: path.to_owned(), held, days: Mutex::new(days) })
+        let days = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(path.join(DAYS))
+            .map_err(outside(DAYS))?;
+        Ok(Folder {
+            path: path.to_owned(),
+            held,
+            days: Mutex::new(days),
+        })
     }
 
     pub fn has(&self, day: &Day) -> bool {
@@ -69,10 +77,12 @@
 
     /// Writes the record in one piece, so that a run cut off leaves at most one torn line.
     pub fn keep(&self, record: &Record) -> Result<(), Stopped> {
-        let mut line = serde_json::to_string(record).map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))?;
+        let mut line =
+            serde_json::to_string(record).map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))?;
         line.push('\n');
         let mut days = self.days.lock().expect("no writer panics");
-        days.write_all(line.as_bytes()).map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))
+        days.write_all(line.as_bytes())
+            .map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))
     }
 
     /// All records, now in the order of their days.
@@ -81,10 +91,17 @@
         records.sort_by_key(|record| record.number);
         if records.len() != plan.days.len() {
             let (is, all) = (records.len(), plan.days.len());
-            return Err(Stopped::Outside(format!("{DAYS}: holds {is} of {all} days")));
+            return Err(Stopped::Outside(format!(
+                "{DAYS}: holds {is} of {all} days"
+            )));
         }
-        let lines = records.iter().map(serde_json::to_string).collect::<Result<Vec<_>, _>>();
-        let mut text = lines.map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))?.join("\n");
+        let lines = records
+            .iter()
+            .map(serde_json::to_string)
+            .collect::<Result<Vec<_>, _>>();
+        let mut text = lines
+            .map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))?
+            .join("\n");
         text.push('\n');
         self.write(DAYS, text.as_bytes())?;
         Ok(records)
@@ -114,7 +131,8 @@
 /// The records of a folder.
 pub fn read(folder: &Path) -> Result<Vec<Record>, Stopped> {
     let path = folder.join(DAYS);
-    let text = fs::read_to_string(&path).map_err(|e| Stopped::Given(format!("{}: {e}", path.display())))?;
+    let text = fs::read_to_string(&path)
+        .map_err(|e| Stopped::Given(format!("{}: {e}", path.display())))?;
     let lines = text.lines().enumerate();
     let records = lines.map(|(at, line)| {
         let what = |e| Stopped::Given(format!("{}:{}: {e}", path.display(), at + 1));
@@ -126,17 +144,29 @@
 /// What an earlier run left: a last line that was torn is cut off, its day is played again.
 fn recover(path: &Path, plan: &Plan) -> Result<HashSet<usize>, Stopped> {
     let outside = |e: std::io::Error| Stopped::Outside(format!("{}: {e}", path.display()));
-    let Ok(bytes) = fs::read(path) else { return Ok(HashSet::new()) };
-    let whole = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
+    let Ok(bytes) = fs::read(path) else {
+        return Ok(HashSet::new());
+    };
+    let whole = bytes
+        .iter()
+        .rposition(|byte| *byte == b'\n')
+        .map_or(0, |at| at + 1);
     if whole < bytes.len() {
         let file = OpenOptions::new().write(true).open(path).map_err(outside)?;
         file.set_len(whole as u64).map_err(outside)?;
     }
     let mut held = HashSet::new();
-    for (at, line) in bytes[..whole].split(|byte| *byte == b'\n').filter(|line| !line.is_empty()).enumerate()
+    for (at, line) in bytes[..whole]
+        .split(|byte| *byte == b'\n')
+        .filter(|line| !line.is_empty())
+        .enumerate()
     {
         let record: Record = serde_json::from_slice(line).map_err(|e| {
-            Stopped::Given(format!("{}:{}: is no record of a day: {e}", path.display(), at + 1))
+            Stopped::Given(format!(
+                "{}:{}: is no record of a day: {e}",
+                path.display(),
+                at + 1
+            ))
         })?;
         if record.commit != plan.commit {
             let (then, now) = (record.commit, &plan.commit);
--- a/forwarder/experiments/src/report.rs
+++ b/forwarder/experiments/src/report.rs
@@ -17,15 +17,22 @@
 /// Writes `report.html` into the folder of an experiment that has been played.
 pub fn write(dir: &Path) -> Result<(), Stopped> {
     let (experiment, _) = folder::texts(dir)?;
-    let text =
-        Text::parse(dir.join("experiment.toml").display().to_string(), experiment).map_err(Stopped::Given)?;
+    let text = Text::parse(
+        dir.join("experiment.toml").display().to_string(),
+        experiment,
+    )
+    .map_err(Stopped::Given)?;
     let experiment = Experiment::read(&text).map_err(Stopped::Given)?;
     let mut records = folder::read(dir)?;
     if records.is_empty() {
-        return Err(Stopped::Given(format!("{}: no day has been played yet", dir.display())));
+        return Err(Stopped::Given(format!(
+            "{}: no day has been played yet",
+            dir.display()
+        )));
     }
     records.sort_by_key(|record| record.number);
-    let page = page(&experiment, &records).map_err(|e| Stopped::Outside(format!("report.html: {e}")))?;
+    let page =
+        page(&experiment, &records).map_err(|e| Stopped::Outside(format!("report.html: {e}")))?;
     folder::write_whole(dir, "report.html", page.as_bytes())
 }
 
@@ -49,7 +56,13 @@
     )?;
     table(&mut page, experiment, &cells)?;
     for (at, sweep) in experiment.sweep.iter().enumerate() {
-        swept(&mut page, experiment, &cells, at, sweep.label.as_deref().unwrap_or(&sweep.key))?;
+        swept(
+            &mut page,
+            experiment,
+            &cells,
+            at,
+            sweep.label.as_deref().unwrap_or(&sweep.key),
+        )?;
     }
     one_day(&mut page, &cells)?;
     page.push_str("</body></html>\n");
@@ -57,17 +70,34 @@
 }
 
 fn figure(page: &mut String, title: &str, sentence: &str, svg: &str) {
-    let _ = write!(page, "<h2>{}</h2><p>{}</p><figure>{svg}</figure>", escaped(title), escaped(sentence));
+    let _ = write!(
+        page,
+        "<h2>{}</h2><p>{}</p><figure>{svg}</figure>",
+        escaped(title),
+        escaped(sentence)
+    );
 }
 
 fn table(page: &mut String, experiment: &Experiment, cells: &[Cell]) -> std::fmt::Result {
     let reference = &experiment.variants[0].name;
     write!(page, "<h2>Payoff delivered</h2><p>The share of the payoff asked for that was delivered, as a mean over the days with its interval, and what each variant has over <b>{}</b> on the same days. An interval that does not hold 0 is a difference. Rules broken is a sum over all days: it should be 0.</p><table><tr><th>variant</th>", escaped(reference))?;
     for sweep in &experiment.sweep {
-        write!(page, "<th>{}</th>", escaped(sweep.label.as_deref().unwrap_or(&sweep.key)))?;
+        write!(
+            page,
+            "<th>{}</th>",
+            escaped(sweep.label.as_deref().unwrap_or(&sweep.key))
+        )?;
     }
-    let bound = if experiment.bound { "<th>upper bound</th>" } else { "" };
-    write!(page, "<th>payoff</th>{bound}<th>over {}</th><th>rules broken</th></tr>", escaped(reference))?;
+    let bound = if experiment.bound {
+        "<th>upper bound</th>"
+    } else {
+        ""
+    };
+    write!(
+        page,
+        "<th>payoff</th>{bound}<th>over {}</th><th>rules broken</th></tr>",
+        escaped(reference)
+    )?;
     for cell in cells {
         write!(page, "<tr><td>{}</td>", escaped(cell.variant))?;
         for (_, value) in cell.point {
@@ -75,10 +105,18 @@
         }
         let payoffs: Vec<f64> = cell.days.iter().map(|day| payoff(day)).collect();
         let own = estimate(&payoffs).expect("a cell has days");
-        write!(page, "<td>{:.4} <small>{:.4} to {:.4}</small></td>", own.mean, own.low, own.high)?;
+        write!(
+            page,
+            "<td>{:.4} <small>{:.4} to {:.4}</small></td>",
+            own.mean, own.low, own.high
+        )?;
         if experiment.bound {
             let bounds: Vec<f64> = cell.days.iter().filter_map(|day| day.bound).collect();
-            write!(page, "<td>{:.4}</td>", estimate(&bounds).map_or(1.0, |bound| bound.mean))?;
+            write!(
+                page,
+                "<td>{:.4}</td>",
+                estimate(&bounds).map_or(1.0, |bound| bound.mean)
+            )?;
         }
         let first = cell.beside(cells, reference);
         let over = first.filter(|_| cell.variant != reference);
@@ -121,43 +159,73 @@
     });
     let others_first = |cell: &&Cell| on_axis(cell, cells, at);
     let numbers: Option<Vec<f64>> = values.iter().map(|value| value.parse().ok()).collect();
-    let names = if numbers.is_some() { Vec::new() } else { values.clone() };
+    let names = if numbers.is_some() {
+        Vec::new()
+    } else {
+        values.clone()
+    };
     let place = |value: &str| {
         let place = values.iter().position(|known| known == value).unwrap_or(0);
-        numbers.as_ref().map_or(place as f64, |numbers| numbers[place])
+        numbers
+            .as_ref()
+            .map_or(place as f64, |numbers| numbers[place])
     };
     let log = numbers.as_ref().is_some_and(|numbers| {
-        let (least, most) = numbers.iter().fold((f64::MAX, 0.0f64), |(l, h), n| (l.min(*n), h.max(*n)));
+        let (least, most) = numbers
+            .iter()
+            .fold((f64::MAX, 0.0f64), |(l, h), n| (l.min(*n), h.max(*n)));
         least > 0.0 && most >= 20.0 * least
     });
     let lines = |value: &dyn Fn(&Record) -> f64| -> Vec<Swept> {
         let mut lines = Vec::new();
         for variant in &experiment.variants {
-            let own = cells.iter().filter(|cell| cell.variant == variant.name).filter(others_first);
+            let own = cells
+                .iter()
+                .filter(|cell| cell.variant == variant.name)
+                .filter(others_first);
             let points = own.filter_map(|cell| {
                 let values: Vec<f64> = cell.days.iter().map(|day| value(day)).collect();
                 Some((place(&cell.point[at].1), estimate(&values)?))
             });
-            lines.push(Swept { name: variant.name.clone(), points: points.collect() });
+            lines.push(Swept {
+                name: variant.name.clone(),
+                points: points.collect(),
+            });
         }
         lines
     };
     let mut of_payoff = lines(&payoff);
     if experiment.bound {
         let first = &experiment.variants[0].name;
-        let own = cells.iter().filter(|cell| cell.variant == first).filter(others_first);
+        let own = cells
+            .iter()
+            .filter(|cell| cell.variant == first)
+            .filter(others_first);
         let points = own.filter_map(|cell| {
             let bounds: Vec<f64> = cell.days.iter().filter_map(|day| day.bound).collect();
             Some((place(&cell.point[at].1), estimate(&bounds)?))
         });
-        of_payoff.push(Swept { name: "upper bound".into(), points: points.collect() });
+        of_payoff.push(Swept {
+            name: "upper bound".into(),
+            points: points.collect(),
+        });
     }
-    let svg =
-        figures::over_sweep(&of_payoff, words, "payoff delivered, share of what was asked for", &names, log)?;
+    let svg = figures::over_sweep(
+        &of_payoff,
+        words,
+        "payoff delivered, share of what was asked for",
+        &names,
+        log,
+    )?;
     let others = experiment.sweep.len() > 1;
-    let rest = if others { " The other sweeps are at their first value." } else { "" };
-    let sentence =
-        format!("How the payoff changes with {words}: higher is better, bars are 95% intervals.{rest}");
+    let rest = if others {
+        " The other sweeps are at their first value."
+    } else {
+        ""
+    };
+    let sentence = format!(
+        "How the payoff changes with {words}: higher is better, bars are 95% intervals.{rest}"
+    );
     figure(page, &format!("Payoff against {words}"), &sentence, &svg);
     if experiment.variants.len() > 1 {
         let svg = figures::over_sweep(
@@ -172,12 +240,31 @@
             "The payoff of each variant less that of {first} on the same days: under 0, {first} is better. Pairing \
              takes out what all variants have in common on a day.{rest}"
         );
-        figure(page, &format!("Against {first}, day by day"), &sentence, &svg);
+        figure(
+            page,
+            &format!("Against {first}, day by day"),
+            &sentence,
+            &svg,
+        );
     }
     for &of in &experiment.measures {
-        let svg = figures::over_sweep(&lines(&|day| measure(of, day)), words, of.words(), &names, log)?;
-        let sentence = format!("The {}, against {words}; bars are 95% intervals.{rest}", of.words());
-        figure(page, &format!("{} ({})", capital(of.words()), sweep.key), &sentence, &svg);
+        let svg = figures::over_sweep(
+            &lines(&|day| measure(of, day)),
+            words,
+            of.words(),
+            &names,
+            log,
+        )?;
+        let sentence = format!(
+            "The {}, against {words}; bars are 95% intervals.{rest}",
+            of.words()
+        );
+        figure(
+            page,
+            &format!("{} ({})", capital(of.words()), sweep.key),
+            &sentence,
+            &svg,
+        );
     }
     Ok(())
 }
@@ -199,28 +286,61 @@
                 points.extend(over.map(|over| (place(&cell.point[at].1), over)));
             }
         }
-        lines.push(Swept { name: variant.name.clone(), points });
+        lines.push(Swept {
+            name: variant.name.clone(),
+            points,
+        });
     }
     lines
 }
 
 /// What one day looks like, for each variant, at the last point of the sweeps.
 fn one_day(page: &mut String, cells: &[Cell]) -> Result<(), Box<dyn std::error::Error>> {
-    let Some(last) = cells.last() else { return Ok(()) };
-    let chosen: Vec<&Cell> = cells.iter().filter(|cell| cell.point == last.point).collect();
-    let days: Vec<&Record> = chosen.iter().filter_map(|cell| cell.days.first().copied()).collect();
-    let point: Vec<String> = last.point.iter().map(|(key, value)| format!("{key} = {value}")).collect();
-    let point = if point.is_empty() { String::new() } else { format!(" at {}", point.join(", ")) };
-    write!(page, "<h1>One day{}, seed {}</h1>", escaped(&point), days[0].seed)?;
+    let Some(last) = cells.last() else {
+        return Ok(());
+    };
+    let chosen: Vec<&Cell> = cells
+        .iter()
+        .filter(|cell| cell.point == last.point)
+        .collect();
+    let days: Vec<&Record> = chosen
+        .iter()
+        .filter_map(|cell| cell.days.first().copied())
+        .collect();
+    let point: Vec<String> = last
+        .point
+        .iter()
+        .map(|(key, value)| format!("{key} = {value}"))
+        .collect();
+    let point = if point.is_empty() {
+        String::new()
+    } else {
+        format!(" at {}", point.join(", "))
+    };
+    write!(
+        page,
+        "<h1>One day{}, seed {}</h1>",
+        escaped(&point),
+        days[0].seed
+    )?;
     let shades = &days[0].outcome.shades;
     let troubles: Vec<String> = shades
         .iter()
         .map(|shade| {
-            format!("{} from {:.0} to {:.0} s", shade.trouble, shade.start / 1000.0, shade.end / 1000.0)
+            format!(
+                "{} from {:.0} to {:.0} s",
+                shade.trouble,
+                shade.start / 1000.0,
+                shade.end / 1000.0
+            )
         })
         .collect();
     if !troubles.is_empty() {
-        write!(page, "<p>Shaded in the figures: {}.</p>", escaped(&troubles.join(", ")))?;
+        write!(
+            page,
+            "<p>Shaded in the figures: {}.</p>",
+            escaped(&troubles.join(", "))
+        )?;
     }
     let lines = days.iter().map(|day| {
         let series = &day.outcome.series;
@@ -236,15 +356,34 @@
                 (asked > 0.0).then(|| (middle, paid.iter().sum::<f64>() / asked))
             })
             .collect();
-        Line { name: day.variant.clone(), points: steps, dashed: false }
+        Line {
+            name: day.variant.clone(),
+            points: steps,
+            dashed: false,
+        }
     });
-    let svg = figures::over_time(&lines.collect::<Vec<_>>(), shades, "payoff delivered, share", false)?;
+    let svg = figures::over_time(
+        &lines.collect::<Vec<_>>(),
+        shades,
+        "payoff delivered, share",
+        false,
+    )?;
     figure(page, "Payoff over the day", "Of the payoff asked for by events first handed in at that time, the share that was delivered in the end.", &svg);
-    let held = days.iter().map(|day| over_steps(day, &day.variant, &day.outcome.series.held));
+    let held = days
+        .iter()
+        .map(|day| over_steps(day, &day.variant, &day.outcome.series.held));
     let svg = figures::over_time(&held.collect::<Vec<_>>(), shades, "events held", true)?;
-    figure(page, "Backlog", "Events that the forwarders held at that time, out or waiting.", &svg);
-    let lines =
-        days.iter().map(|day| Line { name: day.variant.clone(), points: cumulative(day), dashed: false });
+    figure(
+        page,
+        "Backlog",
+        "Events that the forwarders held at that time, out or waiting.",
+        &svg,
+    );
+    let lines = days.iter().map(|day| Line {
+        name: day.variant.clone(),
+        points: cumulative(day),
+        dashed: false,
+    });
     let svg = figures::by_time(&lines.collect::<Vec<_>>())?;
     figure(page, "Time to delivery", "By each time, the share of all events that had been delivered. Where a line ends under 1, the rest never was.", &svg);
     causes(page, &chosen)?;
@@ -253,7 +392,11 @@
         let series = &first.outcome.series;
         let per_second = |values: &[f64]| -> Vec<(f64, f64)> {
             let step = series.width / 1000.0;
-            values.iter().enumerate().map(|(at, value)| ((at as f64 + 0.5) * step, value / step)).collect()
+            values
+                .iter()
+                .enumerate()
+                .map(|(at, value)| ((at as f64 + 0.5) * step, value / step))
+                .collect()
         };
         let lines = [
             Line {
@@ -279,13 +422,24 @@
 
 fn over_steps(day: &Record, name: &str, values: &[u64]) -> Line {
     let step = day.outcome.series.width / 1000.0;
-    let points = values.iter().enumerate().map(|(at, value)| ((at as f64 + 1.0) * step, *value as f64));
-    Line { name: name.to_owned(), points: points.collect(), dashed: false }
+    let points = values
+        .iter()
+        .enumerate()
+        .map(|(at, value)| ((at as f64 + 1.0) * step, *value as f64));
+    Line {
+        name: name.to_owned(),
+        points: points.collect(),
+        dashed: false,
+    }
 }
 
 fn cumulative(day: &Record) -> Vec<(f64, f64)> {
-    let mut counts: Vec<(f64, u64)> =
-        day.outcome.traffic.iter().flat_map(|of| of.spread.iter().copied()).collect();
+    let mut counts: Vec<(f64, u64)> = day
+        .outcome
+        .traffic
+        .iter()
+        .flat_map(|of| of.spread.iter().copied())
+        .collect();
     counts.sort_by(|a, b| a.0.total_cmp(&b.0));
     let all = day.outcome.totals.events.max(1) as f64;
     let mut sum = 0;
@@ -307,7 +461,9 @@
                     lost / day.outcome.totals.asked.max(1e-9) / cell.days.len() as f64;
             }
         }
-        parts.iter().for_each(|(cause, part)| *weight.entry(*cause).or_default() += part);
+        parts
+            .iter()
+            .for_each(|(cause, part)| *weight.entry(*cause).or_default() += part);
         bars.push((cell.variant.to_owned(), parts));
     }
     let mut order: Vec<Cause> = weight.keys().copied().collect();
@@ -317,7 +473,9 @@
     let bars: Vec<(String, Vec<(String, f64)>)> = bars
         .into_iter()
         .map(|(name, parts)| {
-            let kept = order.iter().filter_map(|cause| Some((cause.words().to_owned(), *parts.get(cause)?)));
+            let kept = order
+                .iter()
+                .filter_map(|cause| Some((cause.words().to_owned(), *parts.get(cause)?)));
             (name, kept.collect())
         })
         .collect();
@@ -328,11 +486,15 @@
 
 fn capital(words: &str) -> String {
     let mut letters = words.chars();
-    letters.next().map_or(String::new(), |first| first.to_uppercase().chain(letters).collect())
+    letters.next().map_or(String::new(), |first| {
+        first.to_uppercase().chain(letters).collect()
+    })
 }
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 const HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>plankhill experiment</title><style>
--- a/forwarder/experiments/src/shipped.rs
+++ b/forwarder/experiments/src/shipped.rs
@@ -53,5 +53,7 @@
 pub fn about(name: &str, text: &str) -> Result<String, String> {
     let text = Text::parse(format!("scenarios/{name}.toml"), text.to_owned())?;
     let about = text.table().get("about").and_then(|about| about.as_str());
-    about.map(str::to_owned).ok_or_else(|| format!("scenarios/{name}.toml: about: is missing"))
+    about
+        .map(str::to_owned)
+        .ok_or_else(|| format!("scenarios/{name}.toml: about: is missing"))
 }
--- a/forwarder/experiments/tests/folders.rs
+++ b/forwarder/experiments/tests/folders.rs
@@ -31,7 +31,14 @@
     let text = Text::parse("e.toml".into(), TEXT.into()).expect("TOML");
     let experiment = Experiment::read(&text).expect("right");
     let scenario = shipped::find(&experiment.scenario).expect("shipped");
-    Plan::new(experiment, TEXT.into(), &scenario, scenario.text().into(), "abc".into()).expect("right")
+    Plan::new(
+        experiment,
+        TEXT.into(),
+        &scenario,
+        scenario.text().into(),
+        "abc".into(),
+    )
+    .expect("right")
 }
 
 /// A folder of its own for each story, gone with it.
@@ -39,12 +46,17 @@
 
 impl Own {
     fn new(name: &str) -> Own {
-        let path = std::env::temp_dir().join(format!("plankhill-experiments-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "plankhill-experiments-{}-{name}",
+            std::process::id()
+        ));
         let _ = fs::remove_dir_all(&path);
         Own(path)
     }
     fn bytes(&self) -> Vec<Vec<u8>> {
-        ["days.jsonl", "days.csv", "compare.csv"].map(|name| fs::read(self.0.join(name)).expect(name)).into()
+        ["days.jsonl", "days.csv", "compare.csv"]
+            .map(|name| fs::read(self.0.join(name)).expect(name))
+            .into()
     }
 }
 
@@ -99,14 +111,17 @@
     play(&own, 4, usize::MAX).expect("played");
     let before = own.bytes();
     fs::write(own.0.join("experiment.toml"), "about = \"else\"").expect("written");
-    assert!(matches!(play(&own, 1, usize::MAX), Err(Stopped::Given(what)) if what.contains("another")));
+    assert!(
+        matches!(play(&own, 1, usize::MAX), Err(Stopped::Given(what)) if what.contains("another"))
+    );
     assert_eq!(own.bytes(), before);
 }
 
 #[rstest]
 fn an_interval_holds_the_mean_and_narrows_with_days() {
-    let of =
-        |days: usize| estimate(&(0..days).map(|day| (day % 10) as f64).collect::<Vec<_>>()).expect("days");
+    let of = |days: usize| {
+        estimate(&(0..days).map(|day| (day % 10) as f64).collect::<Vec<_>>()).expect("days")
+    };
     let (few, many) = (of(10), of(1000));
     assert!(few.low < 4.5 && 4.5 < few.high && many.high - many.low < 0.2 * (few.high - few.low));
     assert_eq!(estimate(&[]), None);
--- a/forwarder/fanout/examples/lag/day.rs
+++ b/forwarder/fanout/examples/lag/day.rs
@@ -37,8 +37,13 @@
 }
 
 pub fn play(plan: Plan) -> Result {
-    let instance =
-        |id: usize| Instance::new(id as u64 + 1, terms(id as u64, INSTANCES, SLOTS, PATIENCE), SUBSCRIBERS);
+    let instance = |id: usize| {
+        Instance::new(
+            id as u64 + 1,
+            terms(id as u64, INSTANCES, SLOTS, PATIENCE),
+            SUBSCRIBERS,
+        )
+    };
     let mut day = Day {
         chance: ChaCha8Rng::seed_from_u64(plan.seed),
         now: 0.0,
@@ -66,7 +71,12 @@
 
 impl Day {
     fn begins(&mut self) {
-        let Way { cohorts, slow_cohorts, window, slow_window } = self.plan.way;
+        let Way {
+            cohorts,
+            slow_cohorts,
+            window,
+            slow_window,
+        } = self.plan.way;
         let bounds = Bounds {
             window,
             slow_window,
@@ -78,8 +88,16 @@
             moves_at_once: 4,
             moves_a_minute: 20,
         };
-        let lists = vec![(ListName("all".into()), (0..SUBSCRIBERS).map(DestinationId).collect())];
-        self.commits(Command::Laid(Layout { lists, cohorts, slow_cohorts, bounds }));
+        let lists = vec![(
+            ListName("all".into()),
+            (0..SUBSCRIBERS).map(DestinationId).collect(),
+        )];
+        self.commits(Command::Laid(Layout {
+            lists,
+            cohorts,
+            slow_cohorts,
+            bounds,
+        }));
         for at in 0..INSTANCES {
             self.at(1.0 + at as f64, What::Pump(at));
             if self.plan.stalls {
@@ -96,7 +114,8 @@
 
     fn is_slow(&self, subscriber: Subscriber) -> bool {
         // Spread over all cohorts.
-        subscriber.0 * self.plan.slow / SUBSCRIBERS != (subscriber.0 + 1) * self.plan.slow / SUBSCRIBERS
+        subscriber.0 * self.plan.slow / SUBSCRIBERS
+            != (subscriber.0 + 1) * self.plan.slow / SUBSCRIBERS
     }
 
     fn takes(&mut self, subscriber: Subscriber) -> Ms {
@@ -124,7 +143,12 @@
                 };
                 self.at(
                     self.now + COMMIT,
-                    What::Commit(Command::Taken { by: InstanceId(1), process: 1, number, broadcast }),
+                    What::Commit(Command::Taken {
+                        by: InstanceId(1),
+                        process: 1,
+                        number,
+                        broadcast,
+                    }),
                 );
             }
             What::Stall(at) => {
@@ -174,9 +198,15 @@
         }
         for (event, copy, time_out) in leaves.calls {
             let took = self.takes(copy.0);
-            let (fate, took) =
-                if took > time_out { (Fate::TimedOut, time_out) } else { (Fate::Delivered, took) };
-            self.at(self.now + took, What::CameIn(at, CameIn::CallEnds(event, fate, took)));
+            let (fate, took) = if took > time_out {
+                (Fate::TimedOut, time_out)
+            } else {
+                (Fate::Delivered, took)
+            };
+            self.at(
+                self.now + took,
+                What::CameIn(at, CameIn::CallEnds(event, fate, took)),
+            );
         }
         for target in leaves.pings {
             self.at(self.now + 30.0, What::CameIn(at, CameIn::PingEnds(target)));
@@ -192,11 +222,20 @@
 
     fn counts(&mut self, subscriber: Subscriber, position: Position, outcome: Outcome) {
         let (slow, done) = (self.is_slow(subscriber), outcome == Outcome::Completed);
-        let Some(taken) = self.taken.get(&position).copied().filter(|taken| *taken >= SLOW_FROM) else {
+        let Some(taken) = self
+            .taken
+            .get(&position)
+            .copied()
+            .filter(|taken| *taken >= SLOW_FROM)
+        else {
             return;
         };
         if slow {
-            *(if done { &mut self.result.slow.0 } else { &mut self.result.slow.1 }) += 1;
+            *(if done {
+                &mut self.result.slow.0
+            } else {
+                &mut self.result.slow.1
+            }) += 1;
         } else if done {
             let lag = ((self.now - taken).max(0.0) * 10.0) as u64;
             self.result.healthy.0.saturating_record(lag);
@@ -210,7 +249,9 @@
 
     fn commits(&mut self, command: Command) {
         let moved = match &command {
-            Command::Moved { subscriber, .. } => Some((*subscriber, self.truth.cohort(*subscriber))),
+            Command::Moved { subscriber, .. } => {
+                Some((*subscriber, self.truth.cohort(*subscriber)))
+            }
             _ => None,
         };
         let served = matches!(command, Command::Served { .. }) && self.now > 5000.0;
@@ -219,7 +260,12 @@
             match news {
                 News::Taken { position, .. } => drop(self.taken.insert(position, self.now)),
                 // Given up before it was handed in: the subscriber's, whoever tells it.
-                News::Hand { subscriber, position, end: Some(outcome), .. } => {
+                News::Hand {
+                    subscriber,
+                    position,
+                    end: Some(outcome),
+                    ..
+                } => {
                     self.counts(subscriber, position, outcome);
                 }
                 _ => (),
@@ -231,7 +277,11 @@
         }
         if command == Command::Tick {
             let judged: Vec<Subscriber> = self.truth.verdicts().map(|(s, _)| s).collect();
-            for subscriber in judged.into_iter().filter(|s| self.known_slow.insert(*s)).collect::<Vec<_>>() {
+            for subscriber in judged
+                .into_iter()
+                .filter(|s| self.known_slow.insert(*s))
+                .collect::<Vec<_>>()
+            {
                 match self.is_slow(subscriber) {
                     true => self.result.found.push(self.now - SLOW_FROM),
                     false => self.result.false_verdicts += 1,
--- a/forwarder/fanout/examples/lag/instance.rs
+++ b/forwarder/fanout/examples/lag/instance.rs
@@ -22,7 +22,10 @@
         instance,
         forwarders: forwarders as f64,
         traffic: vec![traffic],
-        kinds: vec![DestinationKind { routes_apart: false, events_per_call: 1 }],
+        kinds: vec![DestinationKind {
+            routes_apart: false,
+            events_per_call: 1,
+        }],
         slots,
         room: 4000,
         sends_cap: 6,
@@ -75,14 +78,27 @@
         let list = |module: &mut Forwarder, _: &mut Leaves| -> Known {
             for s in 0..subscribers {
                 let target = TargetId(format!("t{s}").into());
-                module.listed(target, DestinationId(s), KindId(0), ZoneId(0), Listing::Running);
+                module.listed(
+                    target,
+                    DestinationId(s),
+                    KindId(0),
+                    ZoneId(0),
+                    Listing::Running,
+                );
             }
             Ok(())
         };
         let mut leaves = Leaves::default();
         let _ = module.round(0.0, list, &mut leaves);
         let station = Station::new(InstanceId(id), 1, Fanout::default());
-        Instance { station, applied: 0, stalled: 0.0, wake_at: None, module, leaves }
+        Instance {
+            station,
+            applied: 0,
+            stalled: 0.0,
+            wake_at: None,
+            module,
+            leaves,
+        }
     }
 
     /// What the log says, up to its end; then the copies that it hands over.
@@ -91,10 +107,20 @@
         for command in &log[self.applied..] {
             for order in self.station.applied(now, &self.leaves, command.clone()) {
                 match order {
-                    Order::HandIn { event, subscriber, position, patience_ends } => {
+                    Order::HandIn {
+                        event,
+                        subscriber,
+                        position,
+                        patience_ends,
+                    } => {
                         came.push(CameIn::HandIn(event, (subscriber, position), patience_ends));
                     }
-                    Order::TellEnd { subscriber, position, outcome, .. } => {
+                    Order::TellEnd {
+                        subscriber,
+                        position,
+                        outcome,
+                        ..
+                    } => {
                         self.station.over(now, (subscriber, position), outcome);
                     }
                     _ => (),
@@ -118,7 +144,13 @@
                         if fate == Fate::Delivered {
                             delivered.push((event.clone(), Outcome::Completed));
                         }
-                        module.send_ended(&event, Ended { took, ..Ended::plain(fate) })?;
+                        module.send_ended(
+                            &event,
+                            Ended {
+                                took,
+                                ..Ended::plain(fate)
+                            },
+                        )?;
                     }
                     CameIn::PingEnds(target) => module.ping_ended(&target, Fate::Delivered)?,
                     CameIn::Wake => (),
@@ -126,9 +158,17 @@
             }
             Ok(())
         };
-        self.module.round(now, hand_over, &mut self.leaves).expect("all is introduced");
+        self.module
+            .round(now, hand_over, &mut self.leaves)
+            .expect("all is introduced");
         let copies = std::mem::take(&mut self.leaves.copies);
-        let mut leaves = std::mem::replace(&mut self.leaves, Leaves { copies, ..Leaves::default() });
+        let mut leaves = std::mem::replace(
+            &mut self.leaves,
+            Leaves {
+                copies,
+                ..Leaves::default()
+            },
+        );
         let mut ends = Vec::new();
         for (event, outcome) in delivered.into_iter().chain(leaves.ended.drain(..)) {
             if let Some(copy) = self.leaves.copies.remove(&event) {
@@ -136,7 +176,10 @@
                 ends.push((copy, outcome));
             }
         }
-        leaves.calls.iter().for_each(|(_, copy, _)| self.station.called(now, *copy));
+        leaves
+            .calls
+            .iter()
+            .for_each(|(_, copy, _)| self.station.called(now, *copy));
         (leaves, ends)
     }
 }
--- a/forwarder/fanout/examples/lag/main.rs
+++ b/forwarder/fanout/examples/lag/main.rs
@@ -31,11 +31,18 @@
     found.sort_by(f64::total_cmp);
     let times = match found.as_slice() {
         [] => "-".to_owned(),
-        all => format!("{:.0} s, {:.0} s", all[all.len() / 2] / 1000.0, all[all.len() - 1] / 1000.0),
+        all => format!(
+            "{:.0} s, {:.0} s",
+            all[all.len() / 2] / 1000.0,
+            all[all.len() - 1] / 1000.0
+        ),
     };
     let (done, not) = (sum(|r| r.slow.0), sum(|r| r.slow.1));
-    let served =
-        if done + not > 0 { format!("{:.2}", done as f64 / (done + not) as f64) } else { "-".into() };
+    let served = if done + not > 0 {
+        format!("{:.2}", done as f64 / (done + not) as f64)
+    } else {
+        "-".into()
+    };
     println!(
         "| {slow} | {name} | {:.0} | {:.0} | {:.0} | {:.0} | {} | {served} | {} of {} | {times} | {} | {} | {} | {} |",
         ms(&all, 0.5),
@@ -53,7 +60,12 @@
 }
 
 fn main() {
-    let way = |cohorts, slow_cohorts, window, slow_window| Way { cohorts, slow_cohorts, window, slow_window };
+    let way = |cohorts, slow_cohorts, window, slow_window| Way {
+        cohorts,
+        slow_cohorts,
+        window,
+        slow_window,
+    };
     let ways = [
         ("all at once", way(4, 0, 64, 64)),
         ("window of 2", way(4, 0, 2, 2)),
@@ -62,17 +74,45 @@
         ("regrouped, apart, all at once", way(3, 1, 64, 64)),
     ];
     println!("| slow | way | p50 | p99 | settled p50 | settled p99 | healthy not completed | slow completed | found | median, last | moves | false verdicts | false moves | cohorts |");
-    println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    println!(
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
+    );
     let asked = std::env::args().nth(1);
     let plays = |what: &str| asked.as_deref().is_none_or(|asked| asked == what);
-    for slow in [0, 2, 10, 40].into_iter().filter(|slow| plays(&slow.to_string())) {
+    for slow in [0, 2, 10, 40]
+        .into_iter()
+        .filter(|slow| plays(&slow.to_string()))
+    {
         for (name, way) in &ways {
-            let day = |seed| play(Plan { seed, length: LENGTH, slow, stalls: false, way: way.clone() });
+            let day = |seed| {
+                play(Plan {
+                    seed,
+                    length: LENGTH,
+                    slow,
+                    stalls: false,
+                    way: way.clone(),
+                })
+            };
             line(name, slow, &[day(1), day(2)]);
         }
     }
-    for (name, way) in [&ways[1], &ways[2], &ways[3]].into_iter().filter(|_| plays("stalls")) {
-        let day = |seed| play(Plan { seed, length: 2.0 * LENGTH, slow: 0, stalls: true, way: way.clone() });
-        line(&format!("{name}, forwarders stall"), 0, &[day(1), day(2), day(3)]);
+    for (name, way) in [&ways[1], &ways[2], &ways[3]]
+        .into_iter()
+        .filter(|_| plays("stalls"))
+    {
+        let day = |seed| {
+            play(Plan {
+                seed,
+                length: 2.0 * LENGTH,
+                slow: 0,
+                stalls: true,
+                way: way.clone(),
+            })
+        };
+        line(
+            &format!("{name}, forwarders stall"),
+            0,
+            &[day(1), day(2), day(3)],
+        );
     }
 }
--- a/forwarder/fanout/src/command.rs
+++ b/forwarder/fanout/src/command.rs
@@ -19,24 +19,57 @@
     /// An instance can't be reached. Its cohorts are to be served by others.
     Lost(InstanceId),
     /// A broadcast that a client handed in at an instance, as its so-numbered attempt; counts once.
-    Taken { by: InstanceId, process: u64, number: u64, broadcast: Broadcast },
+    Taken {
+        by: InstanceId,
+        process: u64,
+        number: u64,
+        broadcast: Broadcast,
+    },
     /// That attempt counts no more, if it did not before: its client may be told so.
-    Barred { by: InstanceId, process: u64, number: u64 },
+    Barred {
+        by: InstanceId,
+        process: u64,
+        number: u64,
+    },
     /// The instance asks for copies. It noted the time on its own clock when it asked under that number.
-    Spread { by: InstanceId, process: u64, ticket: u64 },
+    Spread {
+        by: InstanceId,
+        process: u64,
+        ticket: u64,
+    },
     /// Copies that ended at the instance.
-    Ended { by: InstanceId, process: u64, ends: Vec<CopyEnd> },
+    Ended {
+        by: InstanceId,
+        process: u64,
+        ends: Vec<CopyEnd>,
+    },
     /// Copies that have had calls for so long, and go on; told once for each.
-    StillOut { by: InstanceId, process: u64, copies: Vec<(Subscriber, Position, Ms)> },
+    StillOut {
+        by: InstanceId,
+        process: u64,
+        copies: Vec<(Subscriber, Position, Ms)>,
+    },
     /// The subscriber is parked or cold at the instance, or no longer: it is not slow for that.
-    Rests { by: InstanceId, subscriber: Subscriber, rests: bool },
+    Rests {
+        by: InstanceId,
+        subscriber: Subscriber,
+        rests: bool,
+    },
     /// Too little is left of these broadcasts' patience: what of them was not handed in, and so has surely not
     /// run, is dismissed.
     TimeUp(Vec<Position>),
     /// The subscriber goes to another cohort. Void if it is no longer in `from`.
-    Moved { subscriber: Subscriber, from: Cohort, to: Cohort },
+    Moved {
+        subscriber: Subscriber,
+        from: Cohort,
+        to: Cohort,
+    },
     /// The cohort is served by another instance. Void if it changed hands since `epoch`.
-    Served { cohort: Cohort, epoch: u64, by: InstanceId },
+    Served {
+        cohort: Cohort,
+        epoch: u64,
+        by: InstanceId,
+    },
     /// All that the instance held when it was lost for the `time`th time has surely ended there.
     GivenUp { instance: InstanceId, time: u64 },
     /// A second has passed at the instance that leads.
--- a/forwarder/fanout/src/copies.rs
+++ b/forwarder/fanout/src/copies.rs
@@ -21,7 +21,11 @@
         (!full).then_some(()).ok_or(Refusal::Full)
     }
 
-    pub(crate) fn taken(&mut self, broadcast: Broadcast, news: &mut Vec<News>) -> Result<Position, Refusal> {
+    pub(crate) fn taken(
+        &mut self,
+        broadcast: Broadcast,
+        news: &mut Vec<News>,
+    ) -> Result<Position, Refusal> {
         self.would_take(&broadcast)?;
         let members = self.lists.get(&broadcast.list).cloned().unwrap_or_default();
         self.last = Position(self.last.0 + 1);
@@ -30,15 +34,26 @@
         self.body_bytes += broadcast.body.len();
         self.known.insert(broadcast.id.clone(), position);
         let open = members.len() as u32;
-        self.kept.insert(position, Kept { broadcast, open, outcomes: [0; 3] });
+        self.kept.insert(
+            position,
+            Kept {
+                broadcast,
+                open,
+                outcomes: [0; 3],
+            },
+        );
         for subscriber in members {
-            let Some(follower) = self.followers.get_mut(&subscriber) else { continue };
+            let Some(follower) = self.followers.get_mut(&subscriber) else {
+                continue;
+            };
             follower.waiting.push_back(position);
             let kept = follower.waiting.len() + follower.out().count();
             if kept > self.bounds.kept_for_one {
                 // The oldest is worth least to one that lags, and it has surely not run.
                 let oldest = follower.waiting.pop_front();
-                oldest.into_iter().for_each(|p| self.give_up(subscriber, p, news));
+                oldest
+                    .into_iter()
+                    .for_each(|p| self.give_up(subscriber, p, news));
             }
         }
         self.trim(position, news);
@@ -50,44 +65,80 @@
         let at = self.server(subscriber);
         let end = Some(Outcome::Dismissed);
         if let Some(follower) = self.followers.get_mut(&subscriber) {
-            follower.pending.push(Pending { position, at, end, voted: true });
-            news.extend(at.map(|to| News::Hand { to, ticket: None, subscriber, position, end }));
+            follower.pending.push(Pending {
+                position,
+                at,
+                end,
+                voted: true,
+            });
+            news.extend(at.map(|to| News::Hand {
+                to,
+                ticket: None,
+                subscriber,
+                position,
+                end,
+            }));
         }
     }
 
     pub(crate) fn time_up(&mut self, positions: &[Position], news: &mut Vec<News>) {
         let ids: Vec<Subscriber> = self.followers.keys().copied().collect();
         for subscriber in ids {
-            let Some(follower) = self.followers.get_mut(&subscriber) else { continue };
-            let (over, still): (Vec<_>, Vec<_>) =
-                follower.waiting.iter().copied().partition(|p| positions.contains(p));
+            let Some(follower) = self.followers.get_mut(&subscriber) else {
+                continue;
+            };
+            let (over, still): (Vec<_>, Vec<_>) = follower
+                .waiting
+                .iter()
+                .copied()
+                .partition(|p| positions.contains(p));
             follower.waiting = still.into();
-            over.into_iter().for_each(|position| self.give_up(subscriber, position, news));
+            over.into_iter()
+                .for_each(|position| self.give_up(subscriber, position, news));
         }
     }
 
     /// Hands the instance what its subscribers wait for, within window and room: in turns, so that those with
     /// the fewest out come first.
     pub(crate) fn spread(&mut self, by: InstanceId, ticket: u64, news: &mut Vec<News>) {
-        let Some(mut held) = self.instances.get(&by).filter(|i| !i.lost).map(|i| i.held) else { return };
+        let Some(mut held) = self.instances.get(&by).filter(|i| !i.lost).map(|i| i.held) else {
+            return;
+        };
         let cohorts = self.cohorts.values().filter(|c| c.by == Some(by));
         let mut asking: Vec<Subscriber> = cohorts.flat_map(|c| c.members.iter().copied()).collect();
         asking.retain(|s| {
-            self.followers.get(s).is_some_and(|f| !f.waiting.is_empty() && !f.out_elsewhere(Some(by)))
+            self.followers
+                .get(s)
+                .is_some_and(|f| !f.waiting.is_empty() && !f.out_elsewhere(Some(by)))
         });
         for turn in 0..self.bounds.window.max(self.bounds.slow_window) {
             for subscriber in &asking {
-                let Some(follower) = self.followers.get_mut(subscriber) else { continue };
+                let Some(follower) = self.followers.get_mut(subscriber) else {
+                    continue;
+                };
                 let slow = self.cohorts.get(&follower.cohort).is_some_and(|c| c.slow);
                 let full = held >= self.bounds.room || turn >= self.bounds.window_of(slow);
                 if full || follower.out().count() != turn {
                     continue;
                 }
-                let Some(position) = follower.waiting.pop_front() else { continue };
-                follower.pending.push(Pending { position, at: Some(by), end: None, voted: false });
+                let Some(position) = follower.waiting.pop_front() else {
+                    continue;
+                };
+                follower.pending.push(Pending {
+                    position,
+                    at: Some(by),
+                    end: None,
+                    voted: false,
+                });
                 held += 1;
                 let (to, subscriber) = (by, *subscriber);
-                news.push(News::Hand { to, ticket: Some(ticket), subscriber, position, end: None });
+                news.push(News::Hand {
+                    to,
+                    ticket: Some(ticket),
+                    subscriber,
+                    position,
+                    end: None,
+                });
             }
         }
         self.instances.entry(by).or_default().held = held;
@@ -95,10 +146,18 @@
 
     /// Counts once, and only from the instance that has the copy.
     pub(crate) fn ended(&mut self, by: InstanceId, end: CopyEnd, news: &mut Vec<News>) {
-        let CopyEnd { subscriber, position, .. } = end;
-        let Some(follower) = self.followers.get_mut(&subscriber) else { return };
+        let CopyEnd {
+            subscriber,
+            position,
+            ..
+        } = end;
+        let Some(follower) = self.followers.get_mut(&subscriber) else {
+            return;
+        };
         let here = |p: &Pending| p.position == position && p.at == Some(by);
-        let Some(place) = follower.pending.iter().position(here) else { return };
+        let Some(place) = follower.pending.iter().position(here) else {
+            return;
+        };
         let pending = follower.pending.remove(place);
         if pending.end.is_none() {
             if let Some(instance) = self.instances.get_mut(&by) {
@@ -131,15 +190,28 @@
         if self.kept.get(&position).is_none_or(|kept| kept.open > 0) {
             return;
         }
-        let Some(Kept { broadcast, outcomes, .. }) = self.kept.remove(&position) else { return };
+        let Some(Kept {
+            broadcast,
+            outcomes,
+            ..
+        }) = self.kept.remove(&position)
+        else {
+            return;
+        };
         self.body_bytes -= broadcast.body.len();
         let id = broadcast.id;
         self.known.remove(&id);
         self.past_ids.insert(id.clone());
         self.past.push_back(id.clone());
         if self.past.len() > REMEMBERED {
-            self.past.pop_front().map(|oldest| self.past_ids.remove(&oldest));
+            self.past
+                .pop_front()
+                .map(|oldest| self.past_ids.remove(&oldest));
         }
-        news.push(News::AllEnded { id, position, outcomes });
+        news.push(News::AllEnded {
+            id,
+            position,
+            outcomes,
+        });
     }
 }
--- a/forwarder/fanout/src/detect.rs
+++ b/forwarder/fanout/src/detect.rs
@@ -53,7 +53,13 @@
     }
 
     fn others(&self, cohort: Cohort) -> Option<Ms> {
-        median(self.0.iter().filter(|(id, _)| **id != cohort).map(|(_, own)| *own).collect())
+        median(
+            self.0
+                .iter()
+                .filter(|(id, _)| **id != cohort)
+                .map(|(_, own)| *own)
+                .collect(),
+        )
     }
 
     fn is_late(&self, own: Ms, cohort: Cohort) -> bool {
@@ -64,8 +70,13 @@
 
 impl Fanout {
     pub(crate) fn sample(&mut self, at: InstanceId, subscriber: Subscriber, own: Ms, waited: Ms) {
-        let rests = self.followers.get(&subscriber).is_none_or(|f| f.rests.contains(&at));
-        let Some(instance) = self.instances.get_mut(&at).filter(|i| !i.lost) else { return };
+        let rests = self
+            .followers
+            .get(&subscriber)
+            .is_none_or(|f| f.rests.contains(&at));
+        let Some(instance) = self.instances.get_mut(&at).filter(|i| !i.lost) else {
+            return;
+        };
         let readable = own.is_finite() && waited.is_finite() && own >= 0.0 && waited >= 0.0;
         if rests || !readable || instance.batch.len() >= MOST {
             return;
@@ -73,13 +84,26 @@
         if instance.batch.is_empty() {
             instance.since = self.tick;
         }
-        instance.batch.push(Sample { subscriber, own, waited });
+        instance.batch.push(Sample {
+            subscriber,
+            own,
+            waited,
+        });
     }
 
     /// A copy that is out for long is a vote while it is out: who hangs is not found by its ends alone.
-    pub(crate) fn still_out(&mut self, at: InstanceId, subscriber: Subscriber, position: Position, own: Ms) {
-        let Some(follower) = self.followers.get_mut(&subscriber) else { return };
-        let here = |p: &&mut crate::state::Pending| p.position == position && p.at == Some(at) && !p.voted;
+    pub(crate) fn still_out(
+        &mut self,
+        at: InstanceId,
+        subscriber: Subscriber,
+        position: Position,
+        own: Ms,
+    ) {
+        let Some(follower) = self.followers.get_mut(&subscriber) else {
+            return;
+        };
+        let here =
+            |p: &&mut crate::state::Pending| p.position == position && p.at == Some(at) && !p.voted;
         if let Some(pending) = follower.pending.iter_mut().find(here) {
             pending.voted = true;
             self.sample(at, subscriber, own, 0.0);
@@ -89,7 +113,8 @@
     pub(crate) fn detect(&mut self) {
         let medians = self.medians();
         let ids: Vec<InstanceId> = self.instances.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.judge_batch(id, &medians));
+        ids.into_iter()
+            .for_each(|id| self.judge_batch(id, &medians));
         self.judge_all(&medians);
     }
 
@@ -107,10 +132,14 @@
     /// One vote for each subscriber seen, unless the forwarder was at fault.
     fn judge_batch(&mut self, id: InstanceId, medians: &Medians) {
         let tick = self.tick;
-        let Some(instance) = self.instances.get_mut(&id) else { return };
+        let Some(instance) = self.instances.get_mut(&id) else {
+            return;
+        };
         let mut seen: BTreeMap<Subscriber, (usize, usize, Ms, Ms)> = BTreeMap::new();
         for sample in &instance.batch {
-            let Some(follower) = self.followers.get(&sample.subscriber) else { continue };
+            let Some(follower) = self.followers.get(&sample.subscriber) else {
+                continue;
+            };
             let (count, late, own, waited) = seen.entry(sample.subscriber).or_default();
             *count += 1;
             *late += usize::from(medians.is_late(sample.own, follower.cohort));
@@ -118,7 +147,9 @@
             *waited += sample.waited;
         }
         let slow = |s: &Subscriber| {
-            self.followers.get(s).is_some_and(|f| matches!(f.verdict.judged, Judged::Slow(_)))
+            self.followers
+                .get(s)
+                .is_some_and(|f| matches!(f.verdict.judged, Judged::Slow(_)))
         };
         // Those known as slow are late anywhere and say nothing of the forwarder.
         let telling: Vec<_> = seen.iter().filter(|(s, _)| !slow(s)).collect();
@@ -127,12 +158,20 @@
             return;
         }
         instance.batch.clear();
-        let late = telling.iter().filter(|(_, (count, late, ..))| 2 * late > *count).count();
+        let late = telling
+            .iter()
+            .filter(|(_, (count, late, ..))| 2 * late > *count)
+            .count();
         let at_fault = !few && 2 * late > telling.len();
-        let all = telling.iter().map(|(_, (count, _, own, waited))| (*count as f64, *own, *waited));
-        let (count, own, waited) = all.fold((0.0, 0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1, a.2 + b.2));
+        let all = telling
+            .iter()
+            .map(|(_, (count, _, own, waited))| (*count as f64, *own, *waited));
+        let (count, own, waited) =
+            all.fold((0.0, 0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1, a.2 + b.2));
         if !few {
-            instance.votes.add(tick, at_fault, own / count, waited / count);
+            instance
+                .votes
+                .add(tick, at_fault, own / count, waited / count);
         }
         instance.votes.fade(tick);
         let enough = instance.votes.seen() >= BATCHES;
@@ -148,15 +187,22 @@
             if few && telling.contains(&subscriber) {
                 continue;
             }
-            let Some(follower) = self.followers.get_mut(&subscriber) else { continue };
+            let Some(follower) = self.followers.get_mut(&subscriber) else {
+                continue;
+            };
             let share = count as f64;
             let votes = follower.votes.entry(id).or_default();
             votes.add(tick, 2 * late > count, own / share, waited / share);
             while follower.votes.len() > PLACES {
                 let here = |v: &(&InstanceId, &Votes)| *v.0 != id;
-                let least =
-                    follower.votes.iter().filter(here).min_by(|a, b| a.1.seen().total_cmp(&b.1.seen()));
-                let Some(least) = least.map(|(place, _)| *place) else { break };
+                let least = follower
+                    .votes
+                    .iter()
+                    .filter(here)
+                    .min_by(|a, b| a.1.seen().total_cmp(&b.1.seen()));
+                let Some(least) = least.map(|(place, _)| *place) else {
+                    break;
+                };
                 follower.votes.remove(&least);
             }
         }
@@ -165,9 +211,13 @@
     fn judge_all(&mut self, medians: &Medians) {
         let tick = self.tick;
         for follower in self.followers.values_mut() {
-            let Some(at) = self.cohorts.get(&follower.cohort).and_then(|c| c.by) else { continue };
+            let Some(at) = self.cohorts.get(&follower.cohort).and_then(|c| c.by) else {
+                continue;
+            };
             let (cohort, rests) = (follower.cohort, follower.rests.contains(&at));
-            let Some(votes) = follower.votes.get_mut(&at) else { continue };
+            let Some(votes) = follower.votes.get_mut(&at) else {
+                continue;
+            };
             votes.fade(tick);
             let (seen, late, own) = (votes.seen(), votes.late(), votes.own());
             let enough = seen >= EVIDENCE && !rests;
@@ -175,7 +225,14 @@
             match verdict.judged {
                 Judged::KeepsUp if enough && late >= ENTER => {
                     let (cohort, others) = (medians.of(cohort), medians.others(cohort));
-                    verdict.judged = Judged::Slow(Figures { at, votes: seen, late, own, cohort, others });
+                    verdict.judged = Judged::Slow(Figures {
+                        at,
+                        votes: seen,
+                        late,
+                        own,
+                        cohort,
+                        others,
+                    });
                     (verdict.since, verdict.good, verdict.confirmed) = (tick, 0, false);
                 }
                 Judged::Slow(figures) if enough => {
@@ -194,7 +251,13 @@
                 }
                 Judged::Route(figures) if figures.at != at && enough && late >= ENTER => {
                     // It is slow here too.
-                    verdict.judged = Judged::Slow(Figures { at, votes: seen, late, own, ..figures });
+                    verdict.judged = Judged::Slow(Figures {
+                        at,
+                        votes: seen,
+                        late,
+                        own,
+                        ..figures
+                    });
                     (verdict.since, verdict.good, verdict.confirmed) = (tick, 0, true);
                 }
                 Judged::Route(_) if tick - verdict.since >= ROUTE_KEPT => {
--- a/forwarder/fanout/src/instances.rs
+++ b/forwarder/fanout/src/instances.rs
@@ -77,9 +77,21 @@
 
     /// The cohort changes hands. What is out at the instance before goes on there and ends there; until then
     /// the subscriber's next copies wait.
-    pub(crate) fn served(&mut self, cohort: Cohort, epoch: u64, by: InstanceId, news: &mut Vec<News>) {
+    pub(crate) fn served(
+        &mut self,
+        cohort: Cohort,
+        epoch: u64,
+        by: InstanceId,
+        news: &mut Vec<News>,
+    ) {
         let there = self.instances.get(&by).is_some_and(|i| !i.lost);
-        let Some(state) = self.cohorts.get_mut(&cohort).filter(|c| c.epoch == epoch && there) else { return };
+        let Some(state) = self
+            .cohorts
+            .get_mut(&cohort)
+            .filter(|c| c.epoch == epoch && there)
+        else {
+            return;
+        };
         state.epoch += 1;
         if state.by.replace(by) == Some(by) {
             return;
@@ -92,14 +104,24 @@
     /// The subscriber's instance may be another now: it is on the move until nothing is out elsewhere.
     pub(crate) fn moves(&mut self, subscriber: Subscriber, news: &mut Vec<News>) {
         let server = self.server(subscriber);
-        let Some(follower) = self.followers.get_mut(&subscriber) else { return };
+        let Some(follower) = self.followers.get_mut(&subscriber) else {
+            return;
+        };
         // Ends that were still to be told are told by whoever serves it now, if none else can.
         for pending in follower.pending.iter_mut() {
-            let gone = pending.at.is_none_or(|at| self.instances.get(&at).is_none_or(|i| i.lost));
+            let gone = pending
+                .at
+                .is_none_or(|at| self.instances.get(&at).is_none_or(|i| i.lost));
             if let (true, Some(to), Some(_)) = (gone, server, pending.end) {
                 pending.at = Some(to);
                 let (position, end) = (pending.position, pending.end);
-                news.push(News::Hand { to, ticket: None, subscriber, position, end });
+                news.push(News::Hand {
+                    to,
+                    ticket: None,
+                    subscriber,
+                    position,
+                    end,
+                });
             }
         }
         if follower.out_elsewhere(server) {
@@ -111,7 +133,10 @@
 
     pub(crate) fn settles(&mut self, subscriber: Subscriber, news: &mut Vec<News>) {
         let server = self.server(subscriber);
-        let elsewhere = self.followers.get(&subscriber).is_some_and(|f| f.out_elsewhere(server));
+        let elsewhere = self
+            .followers
+            .get(&subscriber)
+            .is_some_and(|f| f.out_elsewhere(server));
         if let (false, Some(by)) = (elsewhere, server) {
             self.moving.remove(&subscriber);
             news.push(News::Settled { subscriber, by });
@@ -127,14 +152,26 @@
         let ids: Vec<Subscriber> = self.followers.keys().copied().collect();
         for subscriber in ids {
             let server = self.server(subscriber).filter(|s| !self.instances[s].lost);
-            let Some(follower) = self.followers.get_mut(&subscriber) else { continue };
+            let Some(follower) = self.followers.get_mut(&subscriber) else {
+                continue;
+            };
             let mut touched = false;
-            for pending in follower.pending.iter_mut().filter(|p| p.at == Some(instance)) {
+            for pending in follower
+                .pending
+                .iter_mut()
+                .filter(|p| p.at == Some(instance))
+            {
                 touched = true;
                 pending.end.get_or_insert(Outcome::WrittenOff);
                 pending.at = server;
                 let (position, end) = (pending.position, pending.end);
-                news.extend(server.map(|to| News::Hand { to, ticket: None, subscriber, position, end }));
+                news.extend(server.map(|to| News::Hand {
+                    to,
+                    ticket: None,
+                    subscriber,
+                    position,
+                    end,
+                }));
             }
             if touched {
                 self.settles(subscriber, news);
--- a/forwarder/fanout/src/layout.rs
+++ b/forwarder/fanout/src/layout.rs
@@ -25,7 +25,10 @@
                 follower.listed = true;
                 continue;
             }
-            let fast = self.cohorts.iter_mut().filter(|(id, c)| !c.slow && id.0 < told);
+            let fast = self
+                .cohorts
+                .iter_mut()
+                .filter(|(id, c)| !c.slow && id.0 < told);
             if let Some((cohort, state)) = fast.min_by_key(|(id, c)| (c.members.len(), **id)) {
                 state.members.insert(subscriber);
                 self.followers.insert(subscriber, Follower::new(*cohort));
@@ -33,16 +36,28 @@
         }
         self.leave_old_cohorts(told, news);
         let gone: Vec<Subscriber> = self.followers.keys().copied().collect();
-        gone.into_iter().for_each(|subscriber| self.forget_if_gone(subscriber));
+        gone.into_iter()
+            .for_each(|subscriber| self.forget_if_gone(subscriber));
     }
 
     fn leave_old_cohorts(&mut self, told: u32, news: &mut Vec<News>) {
-        let old: Vec<Cohort> = self.cohorts.keys().copied().filter(|c| c.0 >= told).collect();
+        let old: Vec<Cohort> = self
+            .cohorts
+            .keys()
+            .copied()
+            .filter(|c| c.0 >= told)
+            .collect();
         for cohort in old {
-            let members = self.cohorts.remove(&cohort).map(|c| c.members).unwrap_or_default();
+            let members = self
+                .cohorts
+                .remove(&cohort)
+                .map(|c| c.members)
+                .unwrap_or_default();
             for subscriber in members {
                 let fast = self.cohorts.iter_mut().filter(|(_, c)| !c.slow);
-                let Some((to, state)) = fast.min_by_key(|(id, c)| (c.members.len(), **id)) else { continue };
+                let Some((to, state)) = fast.min_by_key(|(id, c)| (c.members.len(), **id)) else {
+                    continue;
+                };
                 state.members.insert(subscriber);
                 if let Some(follower) = self.followers.get_mut(&subscriber) {
                     follower.cohort = *to;
@@ -54,7 +69,9 @@
 
     /// No list names it and nothing is kept for it.
     pub(crate) fn forget_if_gone(&mut self, subscriber: Subscriber) {
-        let Some(follower) = self.followers.get(&subscriber) else { return };
+        let Some(follower) = self.followers.get(&subscriber) else {
+            return;
+        };
         if follower.listed || !follower.waiting.is_empty() || !follower.pending.is_empty() {
             return;
         }
--- a/forwarder/fanout/src/leading.rs
+++ b/forwarder/fanout/src/leading.rs
@@ -32,7 +32,13 @@
 
 impl Leading {
     /// What to propose now. `up` are the instances that can be reached; a call takes `longest_call` at most.
-    pub fn asks(&mut self, now: Ms, state: &Fanout, up: &[InstanceId], longest_call: Ms) -> Vec<Command> {
+    pub fn asks(
+        &mut self,
+        now: Ms,
+        state: &Fanout,
+        up: &[InstanceId],
+        longest_call: Ms,
+    ) -> Vec<Command> {
         let mut commands = Vec::new();
         if self.looked.is_some_and(|looked| now - looked < LOOK) {
             return commands;
@@ -44,7 +50,8 @@
                 commands.push(Command::Joined(*instance));
             }
         }
-        self.lost.retain(|(instance, time), _| state.times_lost(*instance) == Some(*time));
+        self.lost
+            .retain(|(instance, time), _| state.times_lost(*instance) == Some(*time));
         for instance in state.known_instances().filter(|i| !up.contains(i)) {
             let since = *self.silent.entry(instance).or_insert(now);
             match state.times_lost(instance) {
@@ -63,7 +70,9 @@
             return commands;
         }
         self.ticked = Some(now);
-        let over = state.broadcasts().filter(|(_, b)| b.at + WAITS * b.patience <= now);
+        let over = state
+            .broadcasts()
+            .filter(|(_, b)| b.at + WAITS * b.patience <= now);
         let over: Vec<Position> = over.map(|(position, _)| position).collect();
         if state.any_waits(&over) {
             commands.push(Command::TimeUp(over));
--- a/forwarder/fanout/src/lib.rs
+++ b/forwarder/fanout/src/lib.rs
@@ -25,7 +25,9 @@
 pub use command::{Broadcast, Command, CopyEnd, Layout, News, Outcome, Refusal};
 pub use host::{Host, Order};
 pub use leading::Leading;
-pub use names::{copy_id, copy_of, BroadcastId, Cohort, InstanceId, ListName, Position, Subscriber};
+pub use names::{
+    copy_id, copy_of, BroadcastId, Cohort, InstanceId, ListName, Position, Subscriber,
+};
 pub use state::Fanout;
 pub use station::Station;
 pub use verdict::{Figures, Judged, Verdict};
--- a/forwarder/fanout/src/names.rs
+++ b/forwarder/fanout/src/names.rs
@@ -28,7 +28,9 @@
 pub struct InstanceId(pub u64);
 
 /// A broadcast's place among all that were taken, from 1.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Position(pub u64);
 
 /// The id of the event that a copy is, the same whoever spreads it and however often.
--- a/forwarder/fanout/src/plan.rs
+++ b/forwarder/fanout/src/plan.rs
@@ -31,7 +31,10 @@
         let mut serving = self.serving();
         let mut commands = Vec::new();
         for (cohort, state) in &self.cohorts {
-            if state.by.is_some_and(|by| serving.iter().any(|(id, ..)| *id == by)) {
+            if state
+                .by
+                .is_some_and(|by| serving.iter().any(|(id, ..)| *id == by))
+            {
                 continue;
             }
             // Slow ones go where the fewest others are, others keep away from the slow.
@@ -39,9 +42,15 @@
                 true => (of.1, of.2),
                 false => (of.1 + self.slow_weighs(of.2), 0),
             };
-            let Some(to) = serving.iter_mut().min_by_key(|of| (weight(of), of.0)) else { return commands };
+            let Some(to) = serving.iter_mut().min_by_key(|of| (weight(of), of.0)) else {
+                return commands;
+            };
             *(if state.slow { &mut to.2 } else { &mut to.1 }) += 1;
-            commands.push(Command::Served { cohort: *cohort, epoch: state.epoch, by: to.0 });
+            commands.push(Command::Served {
+                cohort: *cohort,
+                epoch: state.epoch,
+                by: to.0,
+            });
         }
         commands
     }
@@ -54,9 +63,20 @@
 
     /// Instances that are there, with the cohorts that they serve and the slow ones among them.
     fn serving(&self) -> Vec<(InstanceId, usize, usize)> {
-        let there = self.instances.iter().filter(|(_, i)| !i.lost).map(|(id, _)| *id);
-        let count = |id, slow| self.cohorts.values().filter(|c| c.by == Some(id) && c.slow == slow).count();
-        there.map(|id| (id, count(id, false), count(id, true))).collect()
+        let there = self
+            .instances
+            .iter()
+            .filter(|(_, i)| !i.lost)
+            .map(|(id, _)| *id);
+        let count = |id, slow| {
+            self.cohorts
+                .values()
+                .filter(|c| c.by == Some(id) && c.slow == slow)
+                .count()
+        };
+        there
+            .map(|id| (id, count(id, false), count(id, true)))
+            .collect()
     }
 
     /// One cohort goes from the instance with the most to the one with the fewest, while nothing else moves.
@@ -66,33 +86,59 @@
         }
         let serving = self.serving();
         let load = |of: &(InstanceId, usize, usize)| of.1 + self.slow_weighs(of.2);
-        let most = serving.iter().filter(|of| of.1 > 0).max_by_key(|of| (load(of), of.0))?;
+        let most = serving
+            .iter()
+            .filter(|of| of.1 > 0)
+            .max_by_key(|of| (load(of), of.0))?;
         let least = serving.iter().min_by_key(|of| (load(of), of.0))?;
         if load(most) < load(least) + 2 {
             return None;
         }
-        let mut theirs = self.cohorts.iter().filter(|(_, c)| !c.slow && c.by == Some(most.0));
+        let mut theirs = self
+            .cohorts
+            .iter()
+            .filter(|(_, c)| !c.slow && c.by == Some(most.0));
         let (cohort, state) = theirs.next()?;
-        Some(Command::Served { cohort: *cohort, epoch: state.epoch, by: least.0 })
+        Some(Command::Served {
+            cohort: *cohort,
+            epoch: state.epoch,
+            by: least.0,
+        })
     }
 
     fn regroups(&self) -> Vec<Command> {
         let at_once = self.bounds.moves_at_once.saturating_sub(self.moving.len());
-        let left = self.bounds.moves_a_minute.saturating_sub(self.moved_lately()).min(at_once);
+        let left = self
+            .bounds
+            .moves_a_minute
+            .saturating_sub(self.moved_lately())
+            .min(at_once);
         let mut wanted: Vec<(f64, Subscriber, Cohort, bool, Option<InstanceId>)> = Vec::new();
         for (subscriber, follower) in &self.followers {
             let from = follower.cohort;
-            let Some(cohort) = self.cohorts.get(&from).filter(|_| !self.moving.contains(subscriber)) else {
+            let Some(cohort) = self
+                .cohorts
+                .get(&from)
+                .filter(|_| !self.moving.contains(subscriber))
+            else {
                 continue;
             };
             match follower.verdict.judged {
                 Judged::Slow(figures) if !cohort.slow => {
-                    wanted.push((1.0 + figures.late * figures.own, *subscriber, from, true, None));
+                    wanted.push((
+                        1.0 + figures.late * figures.own,
+                        *subscriber,
+                        from,
+                        true,
+                        None,
+                    ));
                 }
                 Judged::Route(figures) if cohort.slow || cohort.by == Some(figures.at) => {
                     wanted.push((1.0, *subscriber, from, false, Some(figures.at)));
                 }
-                Judged::KeepsUp if cohort.slow => wanted.push((0.0, *subscriber, from, false, None)),
+                Judged::KeepsUp if cohort.slow => {
+                    wanted.push((0.0, *subscriber, from, false, None))
+                }
                 _ => (),
             }
         }
@@ -103,9 +149,15 @@
             if commands.len() >= left {
                 break;
             }
-            let Some((to, by)) = self.receives(slow, barred, &coming) else { continue };
+            let Some((to, by)) = self.receives(slow, barred, &coming) else {
+                continue;
+            };
             coming.push(by);
-            commands.push(Command::Moved { subscriber, from, to });
+            commands.push(Command::Moved {
+                subscriber,
+                from,
+                to,
+            });
         }
         commands
     }
@@ -120,8 +172,12 @@
     ) -> Option<(Cohort, InstanceId)> {
         let mut best: Option<(f64, Cohort, InstanceId)> = None;
         for (cohort, state) in self.cohorts.iter().filter(|(_, c)| c.slow == slow) {
-            let Some(by) = state.by.filter(|by| Some(*by) != barred) else { continue };
-            let Some(instance) = self.instances.get(&by).filter(|i| !i.lost && !i.at_fault) else { continue };
+            let Some(by) = state.by.filter(|by| Some(*by) != barred) else {
+                continue;
+            };
+            let Some(instance) = self.instances.get(&by).filter(|i| !i.lost && !i.at_fault) else {
+                continue;
+            };
             let come = coming.iter().filter(|to| **to == by).count();
             let held = instance.held + (1 + come) * self.bounds.window_of(slow);
             if held > self.bounds.room {
--- a/forwarder/fanout/src/state.rs
+++ b/forwarder/fanout/src/state.rs
@@ -141,7 +141,9 @@
 
     /// Broadcasts of which a copy has not ended.
     pub fn broadcasts(&self) -> impl Iterator<Item = (Position, &Broadcast)> {
-        self.kept.iter().map(|(position, kept)| (*position, &kept.broadcast))
+        self.kept
+            .iter()
+            .map(|(position, kept)| (*position, &kept.broadcast))
     }
 
     /// None once each copy has its end.
@@ -155,7 +157,10 @@
 
     /// Who serves the subscriber: the one instance that is handed copies of it.
     pub fn server(&self, subscriber: Subscriber) -> Option<InstanceId> {
-        self.followers.get(&subscriber).and_then(|f| self.cohorts.get(&f.cohort)).and_then(|c| c.by)
+        self.followers
+            .get(&subscriber)
+            .and_then(|f| self.cohorts.get(&f.cohort))
+            .and_then(|c| c.by)
     }
 
     pub fn cohort(&self, subscriber: Subscriber) -> Option<Cohort> {
@@ -180,23 +185,34 @@
 
     /// Whether a copy could be handed to the instance now: it has a reason to ask.
     pub fn has_more_for(&self, instance: InstanceId) -> bool {
-        let here = self.instances.get(&instance).filter(|i| !i.lost && i.held < self.bounds.room);
-        let mine = self.cohorts.values().filter(|c| here.is_some() && c.by == Some(instance));
-        mine.flat_map(|c| c.members.iter().map(|s| (c.slow, s))).any(|(slow, subscriber)| {
-            self.followers.get(subscriber).is_some_and(|f| {
-                let room = f.out().count() < self.bounds.window_of(slow);
-                !f.waiting.is_empty() && room && !f.out_elsewhere(Some(instance))
+        let here = self
+            .instances
+            .get(&instance)
+            .filter(|i| !i.lost && i.held < self.bounds.room);
+        let mine = self
+            .cohorts
+            .values()
+            .filter(|c| here.is_some() && c.by == Some(instance));
+        mine.flat_map(|c| c.members.iter().map(|s| (c.slow, s)))
+            .any(|(slow, subscriber)| {
+                self.followers.get(subscriber).is_some_and(|f| {
+                    let room = f.out().count() < self.bounds.window_of(slow);
+                    !f.waiting.is_empty() && room && !f.out_elsewhere(Some(instance))
+                })
             })
-        })
     }
 
     /// Copies of the subscriber that have no end yet.
     pub fn backlog(&self, subscriber: Subscriber) -> usize {
-        self.followers.get(&subscriber).map_or(0, |f| f.waiting.len() + f.pending.len())
+        self.followers
+            .get(&subscriber)
+            .map_or(0, |f| f.waiting.len() + f.pending.len())
     }
 
     pub fn rests(&self, subscriber: Subscriber, at: InstanceId) -> bool {
-        self.followers.get(&subscriber).is_some_and(|f| f.rests.contains(&at))
+        self.followers
+            .get(&subscriber)
+            .is_some_and(|f| f.rests.contains(&at))
     }
 
     /// Subscribers on the move.
@@ -206,13 +222,20 @@
 
     /// How often the instance was lost, which a [`crate::Command::GivenUp`] has to name.
     pub fn times_lost(&self, instance: InstanceId) -> Option<u64> {
-        self.instances.get(&instance).filter(|i| i.lost).map(|i| i.times_lost)
+        self.instances
+            .get(&instance)
+            .filter(|i| i.lost)
+            .map(|i| i.times_lost)
     }
 
     /// How long after it was lost all that it held has surely ended there: the longest patience, on a clock of
     /// one's own. Clocks may run apart by a hundredth, and a call may outlast its event's patience.
     pub fn gives_up_after(&self, longest_call: f64) -> f64 {
-        let longest = self.kept.values().map(|k| k.broadcast.patience).fold(0.0, f64::max);
+        let longest = self
+            .kept
+            .values()
+            .map(|k| k.broadcast.patience)
+            .fold(0.0, f64::max);
         1.01 * (longest + longest_call)
     }
 
@@ -222,7 +245,9 @@
 
     /// Whether a copy of one of these was handed to nobody yet.
     pub fn any_waits(&self, positions: &[Position]) -> bool {
-        self.followers.values().any(|f| f.waiting.iter().any(|p| positions.contains(p)))
+        self.followers
+            .values()
+            .any(|f| f.waiting.iter().any(|p| positions.contains(p)))
     }
 
     pub fn ticks(&self) -> u64 {
--- a/forwarder/fanout/src/station.rs
+++ b/forwarder/fanout/src/station.rs
@@ -97,19 +97,42 @@
     /// What the state says is here and this process does not know of.
     fn finds(&mut self, now: Ms, host: &impl Host) -> Vec<Order> {
         let there = self.state.held_by(self.me);
-        let unknown = there.into_iter().filter(|(s, p, _)| !self.holds((*s, *p))).collect::<Vec<_>>();
-        unknown.into_iter().filter_map(|(s, p, end)| self.found(now, host, (s, p), end)).collect()
+        let unknown = there
+            .into_iter()
+            .filter(|(s, p, _)| !self.holds((*s, *p)))
+            .collect::<Vec<_>>();
+        unknown
+            .into_iter()
+            .filter_map(|(s, p, end)| self.found(now, host, (s, p), end))
+            .collect()
     }
 
     /// A copy that this process did not ask for. What the ledger owes, the host goes on with. What it does not
     /// owe was never written down, or has ended and the log never heard how: sent again it could come after
     /// later ones of its key, or a second time, so it is written off.
-    fn found(&mut self, now: Ms, host: &impl Host, copy: Copy, end: Option<Outcome>) -> Option<Order> {
+    fn found(
+        &mut self,
+        now: Ms,
+        host: &impl Host,
+        copy: Copy,
+        end: Option<Outcome>,
+    ) -> Option<Order> {
         let (subscriber, position) = copy;
         let event = copy_id(&self.state.broadcast(position)?.id, subscriber);
-        self.held.insert(copy, Held { since: now, ..Held::default() });
+        self.held.insert(
+            copy,
+            Held {
+                since: now,
+                ..Held::default()
+            },
+        );
         let outcome = end.unwrap_or(Outcome::WrittenOff);
-        (!host.owes(&event)).then_some(Order::TellEnd { event, subscriber, position, outcome })
+        (!host.owes(&event)).then_some(Order::TellEnd {
+            event,
+            subscriber,
+            position,
+            outcome,
+        })
     }
 
     /// The state as a whole, in place of commands that were missed.
@@ -125,7 +148,8 @@
 
     fn forget_others(&mut self) {
         let there = self.state.held_by(self.me);
-        self.held.retain(|copy, _| there.iter().any(|(s, p, _)| (*s, *p) == *copy));
+        self.held
+            .retain(|copy, _| there.iter().any(|(s, p, _)| (*s, *p) == *copy));
     }
 
     /// Whether the copy is this instance's to deliver or to tell the end of: asked once more before an order
@@ -142,14 +166,21 @@
                 }
             }
         }
-        let given_up = matches!(&command, Command::GivenUp { instance, .. } if *instance == self.me);
+        let given_up =
+            matches!(&command, Command::GivenUp { instance, .. } if *instance == self.me);
         if matches!(&command, Command::Spread { by, process, .. } if self.is_mine(*by, *process)) {
             self.asked = None;
         }
         let mut orders = Vec::new();
         for news in self.state.apply(command) {
             match news {
-                News::Hand { to, ticket, subscriber, position, end } if to == self.me && self.started => {
+                News::Hand {
+                    to,
+                    ticket,
+                    subscriber,
+                    position,
+                    end,
+                } if to == self.me && self.started => {
                     let asked = ticket.and_then(|ticket| self.tickets.get(&ticket)).copied();
                     let copy = (subscriber, position);
                     orders.extend(match (asked, end) {
@@ -157,11 +188,27 @@
                         _ => self.found(now, host, copy, end),
                     });
                 }
-                News::Taken { by, process, number, .. } if self.is_mine(by, process) => {
-                    self.attempts.remove(&number).is_some().then(|| orders.push(Order::Took(number)));
+                News::Taken {
+                    by,
+                    process,
+                    number,
+                    ..
+                } if self.is_mine(by, process) => {
+                    self.attempts
+                        .remove(&number)
+                        .is_some()
+                        .then(|| orders.push(Order::Took(number)));
                 }
-                News::Refused { by, process, number, why } if self.is_mine(by, process) => {
-                    self.attempts.remove(&number).is_some().then(|| orders.push(Order::Refused(number, why)));
+                News::Refused {
+                    by,
+                    process,
+                    number,
+                    why,
+                } if self.is_mine(by, process) => {
+                    self.attempts
+                        .remove(&number)
+                        .is_some()
+                        .then(|| orders.push(Order::Refused(number, why)));
                 }
                 News::AllEnded { id, outcomes, .. } => orders.push(Order::AllEnded(id, outcomes)),
                 _ => (),
@@ -183,10 +230,26 @@
         let broadcast = self.state.broadcast(position)?;
         let event = copy_id(&broadcast.id, subscriber);
         let patience_ends = broadcast.patience + asked.min(broadcast.at);
-        self.held.insert(copy, Held { since: now, ..Held::default() });
+        self.held.insert(
+            copy,
+            Held {
+                since: now,
+                ..Held::default()
+            },
+        );
         Some(match patience_ends <= now {
-            true => Order::TellEnd { event, subscriber, position, outcome: Outcome::Dismissed },
-            false => Order::HandIn { event, subscriber, position, patience_ends },
+            true => Order::TellEnd {
+                event,
+                subscriber,
+                position,
+                outcome: Outcome::Dismissed,
+            },
+            false => Order::HandIn {
+                event,
+                subscriber,
+                position,
+                patience_ends,
+            },
         })
     }
 
--- a/forwarder/fanout/src/station/asking.rs
+++ b/forwarder/fanout/src/station/asking.rs
@@ -28,17 +28,31 @@
         if !self.started || self.attempts.len() >= ATTEMPTS {
             return Err(Refusal::Full);
         }
-        if self.attempts.values().any(|open| open.broadcast.id == broadcast.id) {
+        if self
+            .attempts
+            .values()
+            .any(|open| open.broadcast.id == broadcast.id)
+        {
             return Err(Refusal::Known);
         }
         self.next_number += 1;
-        self.attempts.insert(self.next_number, Attempt { broadcast, since: now, asked: None });
+        self.attempts.insert(
+            self.next_number,
+            Attempt {
+                broadcast,
+                since: now,
+                asked: None,
+            },
+        );
         Ok(self.next_number)
     }
 
     /// Whether nothing is open that the passing of time alone decides.
     pub fn is_idle(&self) -> bool {
-        self.started && self.held.is_empty() && self.attempts.is_empty() && !self.state.has_more_for(self.me)
+        self.started
+            && self.held.is_empty()
+            && self.attempts.is_empty()
+            && !self.state.has_more_for(self.me)
     }
 
     /// Whether the log has the end of each copy that was handed in here.
@@ -63,8 +77,17 @@
             }
             attempt.asked = Some(now);
             commands.push(match now - attempt.since < LATE {
-                true => Command::Taken { by, process, number, broadcast: attempt.broadcast.clone() },
-                false => Command::Barred { by, process, number },
+                true => Command::Taken {
+                    by,
+                    process,
+                    number,
+                    broadcast: attempt.broadcast.clone(),
+                },
+                false => Command::Barred {
+                    by,
+                    process,
+                    number,
+                },
             });
         }
         commands
@@ -79,7 +102,11 @@
         self.resting.retain(|&subscriber, until| {
             let rests = *until > now;
             if state.rests(subscriber, by) != rests {
-                commands.push(Command::Rests { by, subscriber, rests });
+                commands.push(Command::Rests {
+                    by,
+                    subscriber,
+                    rests,
+                });
             }
             rests || state.rests(subscriber, by)
         });
@@ -93,7 +120,11 @@
         if !self.started {
             let waits = self.asked.is_some_and(|asked| now - asked < AGAIN);
             self.asked = self.asked.filter(|_| waits).or(Some(now));
-            return if waits { Vec::new() } else { vec![Command::Started { by, process }] };
+            return if waits {
+                Vec::new()
+            } else {
+                vec![Command::Started { by, process }]
+            };
         }
         if self.state.process(by) != process {
             // Another process of the folder goes on.
@@ -107,7 +138,13 @@
             if let Some((outcome, waited, own)) = held.over {
                 if ends.len() < MOST && held.told.is_none_or(|told| now - told >= AGAIN) {
                     held.told = Some(now);
-                    ends.push(CopyEnd { subscriber, position, outcome, waited, own });
+                    ends.push(CopyEnd {
+                        subscriber,
+                        position,
+                        outcome,
+                        waited,
+                        own,
+                    });
                 }
                 continue;
             }
@@ -121,7 +158,11 @@
             commands.push(Command::Ended { by, process, ends });
         }
         if !out.is_empty() {
-            commands.push(Command::StillOut { by, process, copies: out });
+            commands.push(Command::StillOut {
+                by,
+                process,
+                copies: out,
+            });
         }
         let waits = self.asked.is_some_and(|asked| now - asked < AGAIN);
         if !waits && self.state.has_more_for(by) {
@@ -131,7 +172,11 @@
             if self.tickets.len() > TICKETS {
                 self.tickets.pop_first();
             }
-            commands.push(Command::Spread { by, process, ticket: self.next_ticket });
+            commands.push(Command::Spread {
+                by,
+                process,
+                ticket: self.next_ticket,
+            });
         }
         commands
     }
--- a/forwarder/fanout/src/stored_format_tests.rs
+++ b/forwarder/fanout/src/stored_format_tests.rs
@@ -12,9 +12,14 @@
 const PINNED: &str = include_str!("../tests/stored_format/values.txt");
 
 fn pinned(name: &str) -> Vec<u8> {
-    let line = PINNED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = PINNED
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let hex = line.unwrap_or_else(|| panic!("{name} is not pinned"));
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn votes(own: f64) -> Votes {
@@ -36,7 +41,12 @@
 }
 
 fn follower(judged: Judged, outcome: Outcome) -> Follower {
-    let pending = |position, at, end, voted| Pending { position: Position(position), at, end, voted };
+    let pending = |position, at, end, voted| Pending {
+        position: Position(position),
+        at,
+        end,
+        voted,
+    };
     Follower {
         cohort: Cohort(2),
         listed: true,
@@ -47,7 +57,13 @@
         ],
         rests: [InstanceId(7)].into(),
         votes: [(InstanceId(1 << 50), votes(100.0))].into(),
-        verdict: Verdict { judged, since: 299, good: 31, relapses: 2, confirmed: true },
+        verdict: Verdict {
+            judged,
+            since: 299,
+            good: 31,
+            relapses: 2,
+            confirmed: true,
+        },
     }
 }
 
@@ -57,7 +73,9 @@
     let sample: Sample = postcard::from_bytes(&bytes).unwrap();
     let seen = format!("{sample:?}");
     assert!(
-        seen.contains("DestinationId(2)") && seen.contains("own: 90.5") && seen.contains("waited: 4.5"),
+        seen.contains("DestinationId(2)")
+            && seen.contains("own: 90.5")
+            && seen.contains("waited: 4.5"),
         "{seen}"
     );
     sample
@@ -86,7 +104,11 @@
         moves_at_once: 3,
         moves_a_minute: 6,
     };
-    let judged = [Judged::KeepsUp, Judged::Slow(figures()), Judged::Route(figures())];
+    let judged = [
+        Judged::KeepsUp,
+        Judged::Slow(figures()),
+        Judged::Route(figures()),
+    ];
     let ends = [Outcome::Completed, Outcome::Dismissed, Outcome::WrittenOff];
     let followers = judged.into_iter().zip(ends).map(|(judged, end)| {
         let number = match judged {
@@ -110,7 +132,11 @@
     };
     Fanout {
         bounds,
-        lists: [(ListName("news".into()), vec![subscriber(1), subscriber(2), subscriber(3)])].into(),
+        lists: [(
+            ListName("news".into()),
+            vec![subscriber(1), subscriber(2), subscriber(3)],
+        )]
+        .into(),
         cohorts: [(
             Cohort(2),
             CohortState {
@@ -123,7 +149,15 @@
         .into(),
         instances: [(InstanceId(1 << 50), instance)].into(),
         followers: followers.collect(),
-        kept: [(Position(301), Kept { broadcast, open: 3, outcomes: [4, 5, 6] })].into(),
+        kept: [(
+            Position(301),
+            Kept {
+                broadcast,
+                open: 3,
+                outcomes: [4, 5, 6],
+            },
+        )]
+        .into(),
         known: [(BroadcastId("b-1".into()), Position(301))].into(),
         past: [BroadcastId("b-0".into())].into(),
         past_ids: [BroadcastId("b-0".into())].into(),
@@ -141,5 +175,8 @@
     assert_eq!(state().to_bytes(), pinned("State"));
     assert_eq!(Fanout::from_bytes(&pinned("State")), Some(state()));
     assert_eq!(Fanout::default().to_bytes(), pinned("EmptyState"));
-    assert_eq!(Fanout::from_bytes(&pinned("EmptyState")), Some(Fanout::default()));
+    assert_eq!(
+        Fanout::from_bytes(&pinned("EmptyState")),
+        Some(Fanout::default())
+    );
 }
--- a/forwarder/fanout/src/sums.rs
+++ b/forwarder/fanout/src/sums.rs
@@ -68,7 +68,12 @@
     }
 
     fn scale(&mut self, by: f64) {
-        for sum in [&mut self.seen, &mut self.late, &mut self.own, &mut self.waited] {
+        for sum in [
+            &mut self.seen,
+            &mut self.late,
+            &mut self.own,
+            &mut self.waited,
+        ] {
             *sum *= by;
         }
     }
--- a/forwarder/fanout/src/verdict.rs
+++ b/forwarder/fanout/src/verdict.rs
@@ -47,7 +47,10 @@
 
 impl Fanout {
     pub fn judged(&self, subscriber: Subscriber) -> Judged {
-        self.followers.get(&subscriber).map(|f| f.verdict.judged).unwrap_or_default()
+        self.followers
+            .get(&subscriber)
+            .map(|f| f.verdict.judged)
+            .unwrap_or_default()
     }
 
     /// All whose verdict is another than that they keep up.
--- a/forwarder/fanout/tests/common/mod.rs
+++ b/forwarder/fanout/tests/common/mod.rs
@@ -22,15 +22,24 @@
 
 pub fn layout(subscribers: u64, cohorts: u32, slow_cohorts: u32) -> Layout {
     let members = (0..subscribers).map(DestinationId).collect();
-    Layout { lists: vec![(ListName(LIST.into()), members)], cohorts, slow_cohorts, bounds: bounds() }
+    Layout {
+        lists: vec![(ListName(LIST.into()), members)],
+        cohorts,
+        slow_cohorts,
+        bounds: bounds(),
+    }
 }
 
 /// `cohorts` that keep up and one for slow ones, each with an instance of its own, from 0.
 pub fn fleet(subscribers: u64, cohorts: u32) -> Fanout {
     let mut fanout = Fanout::default();
     fanout.apply(Command::Laid(layout(subscribers, cohorts, 1)));
-    (0..=cohorts)
-        .for_each(|id| drop(fanout.apply(Command::Started { by: InstanceId(id.into()), process: 1 })));
+    (0..=cohorts).for_each(|id| {
+        drop(fanout.apply(Command::Started {
+            by: InstanceId(id.into()),
+            process: 1,
+        }))
+    });
     for command in fanout.plan() {
         fanout.apply(command);
     }
@@ -53,15 +62,29 @@
 /// A client hands in the broadcast of that number at the first instance; each attempt is another one.
 pub fn take(fanout: &mut Fanout, number: u64) -> Vec<News> {
     let by = InstanceId(0);
-    let attempt = |n: u64| Command::Taken { by, process: 1, number: n, broadcast: broadcast(number) };
+    let attempt = |n: u64| Command::Taken {
+        by,
+        process: 1,
+        number: n,
+        broadcast: broadcast(number),
+    };
     let tries = (0..).map(|again| attempt(number * 8 + again));
-    tries.map(|command| fanout.apply(command)).find(|news| !news.is_empty()).unwrap_or_default()
+    tries
+        .map(|command| fanout.apply(command))
+        .find(|news| !news.is_empty())
+        .unwrap_or_default()
 }
 
 /// What the instance was handed to deliver.
 pub fn handed(news: &[News], by: InstanceId) -> Vec<(Subscriber, Position)> {
     let mine = news.iter().filter_map(|n| match n {
-        News::Hand { to, subscriber, position, end: None, .. } if *to == by => Some((*subscriber, *position)),
+        News::Hand {
+            to,
+            subscriber,
+            position,
+            end: None,
+            ..
+        } if *to == by => Some((*subscriber, *position)),
         _ => None,
     });
     mine.collect()
@@ -70,9 +93,13 @@
 /// What the instance was told to give up.
 pub fn told(news: &[News], by: InstanceId) -> Vec<(Subscriber, Position, Outcome)> {
     let mine = news.iter().filter_map(|n| match n {
-        News::Hand { to, subscriber, position, end: Some(end), .. } if *to == by => {
-            Some((*subscriber, *position, *end))
-        }
+        News::Hand {
+            to,
+            subscriber,
+            position,
+            end: Some(end),
+            ..
+        } if *to == by => Some((*subscriber, *position, *end)),
         _ => None,
     });
     mine.collect()
@@ -80,7 +107,13 @@
 
 pub fn end(copy: (Subscriber, Position), own: f64) -> CopyEnd {
     let (subscriber, position) = copy;
-    CopyEnd { subscriber, position, outcome: Outcome::Completed, waited: 1.0, own }
+    CopyEnd {
+        subscriber,
+        position,
+        outcome: Outcome::Completed,
+        waited: 1.0,
+        own,
+    }
 }
 
 /// One broadcast, delivered by all, each subscriber in its own time; then a tick.
@@ -88,9 +121,20 @@
     take(fanout, number);
     let instances: Vec<InstanceId> = fanout.known_instances().collect();
     for by in instances {
-        let news = fanout.apply(Command::Spread { by, process: 1, ticket: number });
-        let ends = handed(&news, by).into_iter().map(|copy| end(copy, own(copy.0, by))).collect();
-        fanout.apply(Command::Ended { by, process: 1, ends });
+        let news = fanout.apply(Command::Spread {
+            by,
+            process: 1,
+            ticket: number,
+        });
+        let ends = handed(&news, by)
+            .into_iter()
+            .map(|copy| end(copy, own(copy.0, by)))
+            .collect();
+        fanout.apply(Command::Ended {
+            by,
+            process: 1,
+            ends,
+        });
     }
     fanout.apply(Command::Tick);
 }
--- a/forwarder/fanout/tests/plan.rs
+++ b/forwarder/fanout/tests/plan.rs
@@ -28,11 +28,23 @@
     let fleet = (4u64..40, 1u32..6, 1u32..3, 1u64..6);
     let bounds = (1usize..5, 1usize..8);
     let slow = prop::collection::btree_set(0u64..40, 0..12);
-    (fleet, bounds, slow, (20u64..60, 0u64..6), 0u64..3).prop_map(|(fleet, bounds, slow, lost, lingers)| {
-        let (subscribers, cohorts, slow_cohorts, instances) = fleet;
-        let (at_once, a_minute) = bounds;
-        Day { subscribers, cohorts, slow_cohorts, instances, at_once, a_minute, slow, lost, lingers }
-    })
+    (fleet, bounds, slow, (20u64..60, 0u64..6), 0u64..3).prop_map(
+        |(fleet, bounds, slow, lost, lingers)| {
+            let (subscribers, cohorts, slow_cohorts, instances) = fleet;
+            let (at_once, a_minute) = bounds;
+            Day {
+                subscribers,
+                cohorts,
+                slow_cohorts,
+                instances,
+                at_once,
+                a_minute,
+                slow,
+                lost,
+                lingers,
+            }
+        },
+    )
 }
 
 fn is_lost(day: &Day, number: u64, id: InstanceId) -> bool {
@@ -46,7 +58,12 @@
     (told.bounds.moves_at_once, told.bounds.moves_a_minute) = (day.at_once, day.a_minute);
     let mut fanout = Fanout::default();
     fanout.apply(Command::Laid(told));
-    (0..day.instances).for_each(|id| drop(fanout.apply(Command::Started { by: InstanceId(id), process: 1 })));
+    (0..day.instances).for_each(|id| {
+        drop(fanout.apply(Command::Started {
+            by: InstanceId(id),
+            process: 1,
+        }))
+    });
     fanout
 }
 
@@ -59,10 +76,30 @@
             continue;
         }
         fanout.apply(Command::Joined(by));
-        let news = fanout.apply(Command::Spread { by, process: 1, ticket: number });
-        let own = |s: Subscriber| if day.slow.contains(&s.0) { 2000.0 } else { 30.0 };
-        let ends = handed(&news, by).into_iter().map(|copy| end(copy, own(copy.0))).collect();
-        late.push_back((number + day.lingers, Command::Ended { by, process: 1, ends }));
+        let news = fanout.apply(Command::Spread {
+            by,
+            process: 1,
+            ticket: number,
+        });
+        let own = |s: Subscriber| {
+            if day.slow.contains(&s.0) {
+                2000.0
+            } else {
+                30.0
+            }
+        };
+        let ends = handed(&news, by)
+            .into_iter()
+            .map(|copy| end(copy, own(copy.0)))
+            .collect();
+        late.push_back((
+            number + day.lingers,
+            Command::Ended {
+                by,
+                process: 1,
+                ends,
+            },
+        ));
     }
     while late.front().is_some_and(|(at, _)| *at <= number) {
         late.pop_front().map(|(_, command)| fanout.apply(command));
--- a/forwarder/fanout/tests/slow.rs
+++ b/forwarder/fanout/tests/slow.rs
@@ -12,7 +12,12 @@
     move |s, _| if s.0 == slow { own } else { HEALTHY }
 }
 
-fn rounds(fanout: &mut Fanout, from: u64, count: u64, own: impl Fn(Subscriber, InstanceId) -> f64) -> u64 {
+fn rounds(
+    fanout: &mut Fanout,
+    from: u64,
+    count: u64,
+    own: impl Fn(Subscriber, InstanceId) -> f64,
+) -> u64 {
     (from..from + count).for_each(|n| round(fanout, n, &own));
     from + count
 }
@@ -20,7 +25,10 @@
 /// As the leader does.
 fn regroups(fanout: &mut Fanout) -> usize {
     let moves = fanout.plan();
-    let count = moves.iter().filter(|c| matches!(c, Command::Moved { .. })).count();
+    let count = moves
+        .iter()
+        .filter(|c| matches!(c, Command::Moved { .. }))
+        .count();
     moves.into_iter().for_each(|c| drop(fanout.apply(c)));
     count
 }
@@ -36,7 +44,9 @@
         found += 1;
     }
     assert!((8..=14).contains(&found), "{found} copies");
-    let Judged::Slow(figures) = fanout.judged(DestinationId(4)) else { panic!("not slow") };
+    let Judged::Slow(figures) = fanout.judged(DestinationId(4)) else {
+        panic!("not slow")
+    };
     assert_eq!(figures.at, fanout.server(DestinationId(4)).unwrap());
     assert!(figures.votes >= 8.0 && figures.late >= 0.5 && figures.own > 500.0);
     assert!((figures.cohort.unwrap() - HEALTHY).abs() < 1.0);
@@ -47,7 +57,12 @@
 #[test]
 fn between_the_two_thresholds_a_verdict_stays_what_it_is() {
     let mut fanout = fleet(24, 3);
-    let mut next = rounds(&mut fanout, 1, 200, |s, _| if s.0 == 4 { 0.0 } else { HEALTHY });
+    let mut next = rounds(
+        &mut fanout,
+        1,
+        200,
+        |s, _| if s.0 == 4 { 0.0 } else { HEALTHY },
+    );
     // Late in three of ten.
     let turns = |n: u64| if n % 10 < 3 { 1200.0 } else { HEALTHY };
     for _ in 0..100 {
@@ -67,7 +82,13 @@
     let mut fanout = fleet(24, 3);
     let stalled = InstanceId(1);
     let mut next = rounds(&mut fanout, 1, 30, only(99, HEALTHY));
-    next = rounds(&mut fanout, next, 30, |_, at| if at == stalled { 3000.0 } else { HEALTHY });
+    next = rounds(&mut fanout, next, 30, |_, at| {
+        if at == stalled {
+            3000.0
+        } else {
+            HEALTHY
+        }
+    });
     assert_eq!(fanout.verdicts().count(), 0);
     let (votes, late, _, at_fault) = fanout.at_fault(stalled).unwrap();
     assert!(at_fault && late >= 0.5 && votes >= 3.0);
@@ -99,10 +120,18 @@
     let mut fanout = fleet(24, 3);
     let subscriber = DestinationId(4);
     let by = fanout.server(subscriber).unwrap();
-    fanout.apply(Command::Rests { by, subscriber, rests: true });
+    fanout.apply(Command::Rests {
+        by,
+        subscriber,
+        rests: true,
+    });
     let next = rounds(&mut fanout, 1, 60, only(4, 9000.0));
     assert_eq!(fanout.judged(subscriber), Judged::KeepsUp);
-    fanout.apply(Command::Rests { by, subscriber, rests: false });
+    fanout.apply(Command::Rests {
+        by,
+        subscriber,
+        rests: false,
+    });
     // What was seen meanwhile is not held against it later.
     let next = rounds(&mut fanout, next, 4, only(4, HEALTHY));
     assert_eq!(fanout.judged(subscriber), Judged::KeepsUp);
@@ -120,11 +149,30 @@
     for number in next..next + 200 {
         take(&mut fanout, number);
         for by in (0..4).map(InstanceId) {
-            let news = fanout.apply(Command::Spread { by, process: 1, ticket: number });
-            let given_up = |copy| CopyEnd { outcome: Outcome::Dismissed, ..end(copy, 0.0) };
+            let news = fanout.apply(Command::Spread {
+                by,
+                process: 1,
+                ticket: number,
+            });
+            let given_up = |copy| CopyEnd {
+                outcome: Outcome::Dismissed,
+                ..end(copy, 0.0)
+            };
             let ends = handed(&news, by).into_iter();
-            let ends = ends.map(|c| if c.0 == subscriber { given_up(c) } else { end(c, HEALTHY) }).collect();
-            fanout.apply(Command::Ended { by, process: 1, ends });
+            let ends = ends
+                .map(|c| {
+                    if c.0 == subscriber {
+                        given_up(c)
+                    } else {
+                        end(c, HEALTHY)
+                    }
+                })
+                .collect();
+            fanout.apply(Command::Ended {
+                by,
+                process: 1,
+                ends,
+            });
         }
         fanout.apply(Command::Tick);
     }
@@ -140,18 +188,40 @@
     for number in 1..=40 {
         take(&mut fanout, number);
         for by in (0..4).map(InstanceId) {
-            let news = fanout.apply(Command::Spread { by, process: 1, ticket: number });
-            let (hung, ended): (Vec<_>, Vec<_>) =
-                handed(&news, by).into_iter().partition(|(s, _)| *s == subscriber);
-            let out = hung.iter().map(|(s, p)| (*s, *p, 1000.0)).collect::<Vec<_>>();
-            fanout.apply(Command::StillOut { by, process: 1, copies: [out.clone(), out].concat() });
+            let news = fanout.apply(Command::Spread {
+                by,
+                process: 1,
+                ticket: number,
+            });
+            let (hung, ended): (Vec<_>, Vec<_>) = handed(&news, by)
+                .into_iter()
+                .partition(|(s, _)| *s == subscriber);
+            let out = hung
+                .iter()
+                .map(|(s, p)| (*s, *p, 1000.0))
+                .collect::<Vec<_>>();
+            fanout.apply(Command::StillOut {
+                by,
+                process: 1,
+                copies: [out.clone(), out].concat(),
+            });
             // It is written off in the end, and that is no second vote.
-            let all = ended.into_iter().chain(hung).map(|c| end(c, HEALTHY)).collect();
-            fanout.apply(Command::Ended { by, process: 1, ends: all });
+            let all = ended
+                .into_iter()
+                .chain(hung)
+                .map(|c| end(c, HEALTHY))
+                .collect();
+            fanout.apply(Command::Ended {
+                by,
+                process: 1,
+                ends: all,
+            });
         }
         fanout.apply(Command::Tick);
     }
-    let Judged::Slow(figures) = fanout.judged(subscriber) else { panic!("not found") };
+    let Judged::Slow(figures) = fanout.judged(subscriber) else {
+        panic!("not found")
+    };
     assert_eq!((figures.at, figures.late), (by, 1.0));
 }
 
@@ -160,12 +230,20 @@
     let mut fanout = fleet(24, 3);
     let subscriber = DestinationId(4);
     let bad = fanout.server(subscriber).unwrap();
-    let lag = move |s: Subscriber, at| if s == subscriber && at == bad { 1500.0 } else { HEALTHY };
+    let lag = move |s: Subscriber, at| {
+        if s == subscriber && at == bad {
+            1500.0
+        } else {
+            HEALTHY
+        }
+    };
     let mut next = rounds(&mut fanout, 1, 20, lag);
     assert_eq!(regroups(&mut fanout), 1);
     assert_ne!(fanout.server(subscriber), Some(bad));
     next = rounds(&mut fanout, next, 12, lag);
-    let Judged::Route(figures) = fanout.judged(subscriber) else { panic!("not the route") };
+    let Judged::Route(figures) = fanout.judged(subscriber) else {
+        panic!("not the route")
+    };
     assert_eq!(figures.at, bad);
     // It goes back among those that keep up, but not there.
     assert_eq!(regroups(&mut fanout), 1);
@@ -193,5 +271,8 @@
         assert!(!fanout.serves(fanout.cohort(subscriber).unwrap()).unwrap().1);
         next = rounds(&mut fanout, next, 60, only(4, HEALTHY));
     }
-    assert!(waits[0] >= 60 && waits[1] >= 120 && waits[2] >= 240, "{waits:?}");
+    assert!(
+        waits[0] >= 60 && waits[1] >= 120 && waits[2] >= 240,
+        "{waits:?}"
+    );
 }
--- a/forwarder/fanout/tests/stored_format.rs
+++ b/forwarder/fanout/tests/stored_format.rs
@@ -6,9 +6,14 @@
 const PINNED: &str = include_str!("stored_format/values.txt");
 
 fn pinned(name: &str) -> Vec<u8> {
-    let line = PINNED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = PINNED
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let hex = line.unwrap_or_else(|| panic!("{name} is not pinned"));
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 const ME: InstanceId = InstanceId(1 << 50);
@@ -40,7 +45,12 @@
         moves_a_minute: 6,
     };
     let lists = vec![(ListName("news".into()), vec![SUBSCRIBER, DestinationId(7)])];
-    Layout { lists, cohorts: 6, slow_cohorts: 2, bounds }
+    Layout {
+        lists,
+        cohorts: 6,
+        slow_cohorts: 2,
+        bounds,
+    }
 }
 
 fn ends() -> Vec<CopyEnd> {
@@ -51,29 +61,75 @@
             Outcome::Dismissed => Position(302),
             Outcome::WrittenOff => Position(303),
         };
-        CopyEnd { subscriber: SUBSCRIBER, position, outcome, waited: 2.5, own: 120.25 }
+        CopyEnd {
+            subscriber: SUBSCRIBER,
+            position,
+            outcome,
+            waited: 2.5,
+            own: 120.25,
+        }
     });
     ends.collect()
 }
 
 #[test]
 fn every_command_is_as_pinned() {
-    let bare = Broadcast { key: None, fingerprint: None, ..broadcast() };
+    let bare = Broadcast {
+        key: None,
+        fingerprint: None,
+        ..broadcast()
+    };
     let all = [
         Command::Laid(layout()),
         Command::Started { by: ME, process: 4 },
         Command::Joined(ME),
         Command::Lost(ME),
-        Command::Taken { by: ME, process: 4, number: 300, broadcast: broadcast() },
-        Command::Barred { by: ME, process: 4, number: 300 },
-        Command::Spread { by: ME, process: 4, ticket: 300 },
-        Command::Ended { by: ME, process: 4, ends: ends() },
-        Command::StillOut { by: ME, process: 4, copies: vec![(SUBSCRIBER, Position(301), 99.5)] },
-        Command::Rests { by: ME, subscriber: SUBSCRIBER, rests: true },
+        Command::Taken {
+            by: ME,
+            process: 4,
+            number: 300,
+            broadcast: broadcast(),
+        },
+        Command::Barred {
+            by: ME,
+            process: 4,
+            number: 300,
+        },
+        Command::Spread {
+            by: ME,
+            process: 4,
+            ticket: 300,
+        },
+        Command::Ended {
+            by: ME,
+            process: 4,
+            ends: ends(),
+        },
+        Command::StillOut {
+            by: ME,
+            process: 4,
+            copies: vec![(SUBSCRIBER, Position(301), 99.5)],
+        },
+        Command::Rests {
+            by: ME,
+            subscriber: SUBSCRIBER,
+            rests: true,
+        },
         Command::TimeUp(vec![Position(301), Position(5)]),
-        Command::Moved { subscriber: SUBSCRIBER, from: Cohort(1), to: Cohort(300) },
-        Command::Served { cohort: Cohort(300), epoch: 8, by: ME },
-        Command::GivenUp { instance: ME, time: 5 },
+        Command::Moved {
+            subscriber: SUBSCRIBER,
+            from: Cohort(1),
+            to: Cohort(300),
+        },
+        Command::Served {
+            cohort: Cohort(300),
+            epoch: 8,
+            by: ME,
+        },
+        Command::GivenUp {
+            instance: ME,
+            time: 5,
+        },
         Command::Tick,
     ];
     for command in all {
@@ -96,7 +152,15 @@
         };
         check(name, command);
     }
-    check("TakenBare", Command::Taken { by: ME, process: 4, number: 300, broadcast: bare });
+    check(
+        "TakenBare",
+        Command::Taken {
+            by: ME,
+            process: 4,
+            number: 300,
+            broadcast: bare,
+        },
+    );
 }
 
 fn check(name: &str, command: Command) {
--- a/forwarder/fanout/tests/stories.rs
+++ b/forwarder/fanout/tests/stories.rs
@@ -18,26 +18,57 @@
 fn each_subscriber_is_handed_one_copy_however_often_commands_come() {
     let mut fanout = fleet(9, 3);
     let taken = take(&mut fanout, 1);
-    assert!(matches!(taken[..], [News::Taken { position: Position(1), .. }]));
-    assert!(matches!(take(&mut fanout, 1)[..], [News::Refused { why: Refusal::Known, .. }]));
+    assert!(matches!(
+        taken[..],
+        [News::Taken {
+            position: Position(1),
+            ..
+        }]
+    ));
+    assert!(matches!(
+        take(&mut fanout, 1)[..],
+        [News::Refused {
+            why: Refusal::Known,
+            ..
+        }]
+    ));
     let mut all = Vec::new();
     for by in (0..4).map(InstanceId) {
         for ticket in [1, 1, 2] {
             all.extend(
-                handed(&fanout.apply(Command::Spread { by, process: 1, ticket }), by)
-                    .into_iter()
-                    .map(|c| (by, c)),
+                handed(
+                    &fanout.apply(Command::Spread {
+                        by,
+                        process: 1,
+                        ticket,
+                    }),
+                    by,
+                )
+                .into_iter()
+                .map(|c| (by, c)),
             );
         }
     }
     assert_eq!(all.len(), 9);
     let (by, copy) = all.remove(0);
-    let twice = Command::Ended { by, process: 1, ends: vec![end(copy, 5.0), end(copy, 5.0)] };
+    let twice = Command::Ended {
+        by,
+        process: 1,
+        ends: vec![end(copy, 5.0), end(copy, 5.0)],
+    };
     assert_eq!(fanout.apply(twice), []);
     for (by, copy) in all.clone() {
         // From one that has it not, it counts for nothing.
-        fanout.apply(Command::Ended { by: InstanceId(99), process: 1, ends: vec![end(copy, 5.0)] });
-        let news = fanout.apply(Command::Ended { by, process: 1, ends: vec![end(copy, 5.0)] });
+        fanout.apply(Command::Ended {
+            by: InstanceId(99),
+            process: 1,
+            ends: vec![end(copy, 5.0)],
+        });
+        let news = fanout.apply(Command::Ended {
+            by,
+            process: 1,
+            ends: vec![end(copy, 5.0)],
+        });
         assert_eq!(outcomes(&news).is_some(), copy == all[7].1);
     }
     assert_eq!(fanout.broadcasts().count(), 0);
@@ -48,16 +79,46 @@
 fn an_attempt_counts_once_and_a_barred_one_never() {
     let mut fanout = fleet(4, 1);
     let (by, process) = (InstanceId(1), 1);
-    let taken = |number, of| Command::Taken { by, process, number, broadcast: broadcast(of) };
-    assert!(matches!(fanout.apply(taken(1, 1))[..], [News::Taken { number: 1, .. }]));
+    let taken = |number, of| Command::Taken {
+        by,
+        process,
+        number,
+        broadcast: broadcast(of),
+    };
+    assert!(matches!(
+        fanout.apply(taken(1, 1))[..],
+        [News::Taken { number: 1, .. }]
+    ));
     assert_eq!(fanout.apply(taken(1, 1)), [], "it was decided");
-    let barred = Command::Barred { by, process, number: 1 };
+    let barred = Command::Barred {
+        by,
+        process,
+        number: 1,
+    };
     assert_eq!(fanout.apply(barred), [], "it counted before");
-    let barred = fanout.apply(Command::Barred { by, process, number: 2 });
-    assert!(matches!(barred[..], [News::Refused { number: 2, why: Refusal::Late, .. }]));
-    assert_eq!(fanout.apply(taken(2, 2)), [], "its client was told that it does not count");
+    let barred = fanout.apply(Command::Barred {
+        by,
+        process,
+        number: 2,
+    });
+    assert!(matches!(
+        barred[..],
+        [News::Refused {
+            number: 2,
+            why: Refusal::Late,
+            ..
+        }]
+    ));
+    assert_eq!(
+        fanout.apply(taken(2, 2)),
+        [],
+        "its client was told that it does not count"
+    );
     // The next attempt with the same id does.
-    assert!(matches!(fanout.apply(taken(3, 2))[..], [News::Taken { number: 3, .. }]));
+    assert!(matches!(
+        fanout.apply(taken(3, 2))[..],
+        [News::Taken { number: 3, .. }]
+    ));
     fanout.apply(Command::Started { by, process: 2 });
     assert_eq!(fanout.apply(taken(4, 3)), [], "of a process that is gone");
     assert_eq!(fanout.broadcasts().count(), 2);
@@ -70,7 +131,11 @@
     assert_eq!(&*event.0, "a~7~12");
     assert_eq!(copy_of(&event), Some((id, DestinationId(12))));
     for other in ["a", "a~", "a~x", "a~07", "a~+7"] {
-        assert_eq!(copy_of(&plankhill_decisions::interface::EventId(other.into())), None, "{other}");
+        assert_eq!(
+            copy_of(&plankhill_decisions::interface::EventId(other.into())),
+            None,
+            "{other}"
+        );
     }
 }
 
@@ -83,8 +148,15 @@
     for number in 1..=20 {
         let news = take(&mut fanout, number);
         given_up.extend(told(&news, by));
-        let news = fanout.apply(Command::Spread { by, process: 1, ticket: number });
-        let ends: Vec<_> = handed(&news, by).into_iter().filter(|(s, _)| *s != slow).collect();
+        let news = fanout.apply(Command::Spread {
+            by,
+            process: 1,
+            ticket: number,
+        });
+        let ends: Vec<_> = handed(&news, by)
+            .into_iter()
+            .filter(|(s, _)| *s != slow)
+            .collect();
         assert_eq!(ends.len(), 3, "the others get each broadcast at once");
         fanout.apply(Command::Ended {
             by,
@@ -95,11 +167,20 @@
     // Two are out and four wait.
     let lost: Vec<u64> = given_up.iter().map(|(_, position, _)| position.0).collect();
     assert_eq!(lost, (3..=16).collect::<Vec<u64>>());
-    assert!(given_up.iter().all(|(s, _, outcome)| *s == slow && *outcome == Outcome::Dismissed));
+    assert!(given_up
+        .iter()
+        .all(|(s, _, outcome)| *s == slow && *outcome == Outcome::Dismissed));
     // Each is told its end, and only then nothing is kept of its broadcast.
     assert_eq!(fanout.broadcasts().count(), 20);
-    let ends = given_up.iter().map(|(s, p, _)| end((*s, *p), 0.0)).collect();
-    let news = fanout.apply(Command::Ended { by, process: 1, ends });
+    let ends = given_up
+        .iter()
+        .map(|(s, p, _)| end((*s, *p), 0.0))
+        .collect();
+    let news = fanout.apply(Command::Ended {
+        by,
+        process: 1,
+        ends,
+    });
     assert_eq!(outcomes(&news), Some([3, 1, 0]));
     assert_eq!(fanout.broadcasts().count(), 6);
 }
@@ -109,12 +190,26 @@
     let mut fanout = fleet(2, 1);
     let by = InstanceId(0);
     take(&mut fanout, 1);
-    fanout.apply(Command::Spread { by, process: 1, ticket: 1 });
+    fanout.apply(Command::Spread {
+        by,
+        process: 1,
+        ticket: 1,
+    });
     take(&mut fanout, 2);
     let news = fanout.apply(Command::TimeUp(vec![Position(1), Position(2)]));
     let second = [0, 1].map(|s| (DestinationId(s), Position(2), Outcome::Dismissed));
     assert_eq!(told(&news, by), second);
-    assert_eq!(handed(&fanout.apply(Command::Spread { by, process: 1, ticket: 2 }), by), []);
+    assert_eq!(
+        handed(
+            &fanout.apply(Command::Spread {
+                by,
+                process: 1,
+                ticket: 2
+            }),
+            by
+        ),
+        []
+    );
 }
 
 #[test]
@@ -126,20 +221,63 @@
     let to = Cohort(2);
     let new = fanout.serves(to).unwrap().0.unwrap();
     take(&mut fanout, 1);
-    fanout.apply(Command::Spread { by: old, process: 1, ticket: 1 });
+    fanout.apply(Command::Spread {
+        by: old,
+        process: 1,
+        ticket: 1,
+    });
     take(&mut fanout, 2);
-    let command = Command::Moved { subscriber, from, to };
+    let command = Command::Moved {
+        subscriber,
+        from,
+        to,
+    };
     assert_eq!(fanout.apply(command.clone()), []);
     assert_eq!(fanout.apply(command), [], "a doubled move is none");
-    let of = |copies: Vec<(Subscriber, Position)>| copies.iter().filter(|c| c.0 == subscriber).count();
+    let of =
+        |copies: Vec<(Subscriber, Position)>| copies.iter().filter(|c| c.0 == subscriber).count();
     for by in [old, new] {
-        assert_eq!(of(handed(&fanout.apply(Command::Spread { by, process: 1, ticket: 2 }), by)), 0);
+        assert_eq!(
+            of(handed(
+                &fanout.apply(Command::Spread {
+                    by,
+                    process: 1,
+                    ticket: 2
+                }),
+                by
+            )),
+            0
+        );
     }
     let ends = vec![end((subscriber, Position(1)), 5.0)];
-    let news = fanout.apply(Command::Ended { by: old, process: 1, ends });
-    assert_eq!(news, [News::Settled { subscriber, by: new }]);
-    assert_eq!(of(handed(&fanout.apply(Command::Spread { by: old, process: 1, ticket: 3 }), old)), 0);
-    let news = fanout.apply(Command::Spread { by: new, process: 1, ticket: 3 });
+    let news = fanout.apply(Command::Ended {
+        by: old,
+        process: 1,
+        ends,
+    });
+    assert_eq!(
+        news,
+        [News::Settled {
+            subscriber,
+            by: new
+        }]
+    );
+    assert_eq!(
+        of(handed(
+            &fanout.apply(Command::Spread {
+                by: old,
+                process: 1,
+                ticket: 3
+            }),
+            old
+        )),
+        0
+    );
+    let news = fanout.apply(Command::Spread {
+        by: new,
+        process: 1,
+        ticket: 3,
+    });
     assert_eq!(handed(&news, new), [(subscriber, Position(2))]);
 }
 
@@ -149,22 +287,65 @@
     let (old, subscriber) = (InstanceId(0), DestinationId(0));
     assert_eq!(fanout.server(subscriber), Some(old));
     take(&mut fanout, 1);
-    let held = handed(&fanout.apply(Command::Spread { by: old, process: 1, ticket: 1 }), old);
+    let held = handed(
+        &fanout.apply(Command::Spread {
+            by: old,
+            process: 1,
+            ticket: 1,
+        }),
+        old,
+    );
     fanout.apply(Command::Lost(old));
-    fanout.plan().into_iter().for_each(|command| drop(fanout.apply(command)));
+    fanout
+        .plan()
+        .into_iter()
+        .for_each(|command| drop(fanout.apply(command)));
     let heir = fanout.server(subscriber).unwrap();
     assert_ne!(heir, old);
     // It may still be at work: the heir waits.
     take(&mut fanout, 2);
-    let early = handed(&fanout.apply(Command::Spread { by: heir, process: 1, ticket: 1 }), heir);
-    assert!(early.iter().all(|(s, _)| held.iter().all(|(theirs, _)| theirs != s)));
-    assert_eq!(fanout.apply(Command::GivenUp { instance: old, time: 0 }), [], "of another time");
-    let news = fanout.apply(Command::GivenUp { instance: old, time: 1 });
-    let written_off: Vec<_> = held.iter().map(|(s, p)| (*s, *p, Outcome::WrittenOff)).collect();
+    let early = handed(
+        &fanout.apply(Command::Spread {
+            by: heir,
+            process: 1,
+            ticket: 1,
+        }),
+        heir,
+    );
+    assert!(early
+        .iter()
+        .all(|(s, _)| held.iter().all(|(theirs, _)| theirs != s)));
+    assert_eq!(
+        fanout.apply(Command::GivenUp {
+            instance: old,
+            time: 0
+        }),
+        [],
+        "of another time"
+    );
+    let news = fanout.apply(Command::GivenUp {
+        instance: old,
+        time: 1,
+    });
+    let written_off: Vec<_> = held
+        .iter()
+        .map(|(s, p)| (*s, *p, Outcome::WrittenOff))
+        .collect();
     assert_eq!(told(&news, heir), written_off);
-    let late = Command::Ended { by: old, process: 1, ends: vec![end(held[0], 5.0)] };
+    let late = Command::Ended {
+        by: old,
+        process: 1,
+        ends: vec![end(held[0], 5.0)],
+    };
     assert_eq!(fanout.apply(late), [], "what it tells now comes too late");
-    let later = handed(&fanout.apply(Command::Spread { by: heir, process: 1, ticket: 2 }), heir);
+    let later = handed(
+        &fanout.apply(Command::Spread {
+            by: heir,
+            process: 1,
+            ticket: 2,
+        }),
+        heir,
+    );
     assert!(later.contains(&(subscriber, Position(2))));
 }
 
@@ -173,10 +354,23 @@
     let mut fanout = fleet(4, 2);
     let old = InstanceId(0);
     take(&mut fanout, 1);
-    let held = handed(&fanout.apply(Command::Spread { by: old, process: 1, ticket: 1 }), old);
+    let held = handed(
+        &fanout.apply(Command::Spread {
+            by: old,
+            process: 1,
+            ticket: 1,
+        }),
+        old,
+    );
     fanout.apply(Command::Lost(old));
     fanout.apply(Command::Joined(old));
-    assert_eq!(fanout.apply(Command::GivenUp { instance: old, time: 1 }), []);
+    assert_eq!(
+        fanout.apply(Command::GivenUp {
+            instance: old,
+            time: 1
+        }),
+        []
+    );
     assert_eq!(fanout.held_by(old).len(), held.len());
 }
 
@@ -190,10 +384,19 @@
     narrow(&mut told.bounds);
     fanout.apply(Command::Laid(told));
     for number in 1..=3 {
-        assert!(matches!(take(&mut fanout, number)[..], [News::Taken { .. }]));
+        assert!(matches!(
+            take(&mut fanout, number)[..],
+            [News::Taken { .. }]
+        ));
     }
     let full = take(&mut fanout, 4);
-    assert!(matches!(full[..], [News::Refused { why: Refusal::Full, .. }]));
+    assert!(matches!(
+        full[..],
+        [News::Refused {
+            why: Refusal::Full,
+            ..
+        }]
+    ));
     assert_eq!(fanout.broadcasts().count(), 3);
 }
 
@@ -206,14 +409,22 @@
         round(&mut fanout, number, |s, _| s.0 as f64 * 30.0);
         round(&mut copy, number, |s, _| s.0 as f64 * 30.0);
         assert_eq!(fanout.plan(), copy.plan());
-        fanout.plan().into_iter().for_each(|c| drop((fanout.apply(c.clone()), copy.apply(c))));
+        fanout
+            .plan()
+            .into_iter()
+            .for_each(|c| drop((fanout.apply(c.clone()), copy.apply(c))));
     }
     assert_eq!(fanout.to_bytes(), copy.to_bytes());
 }
 
 #[test]
 fn bytes_that_are_no_command_are_none() {
-    let command = Command::Taken { by: InstanceId(1), process: 1, number: 1, broadcast: broadcast(1) };
+    let command = Command::Taken {
+        by: InstanceId(1),
+        process: 1,
+        number: 1,
+        broadcast: broadcast(1),
+    };
     let bytes = command.to_bytes();
     assert_eq!(Command::from_bytes(&bytes), Some(command));
     for torn in 0..bytes.len() {
--- a/forwarder/fanout/tests/walk/chances.rs
+++ b/forwarder/fanout/tests/walk/chances.rs
@@ -14,9 +14,19 @@
     pub(super) fn broadcasts(&mut self) {
         let at = self.chance.random_range(0..self.processes.len());
         let process = &mut self.processes[at];
-        let Some(station) = process.station.as_mut().filter(|_| process.stalled <= self.now) else { return };
+        let Some(station) = process
+            .station
+            .as_mut()
+            .filter(|_| process.stalled <= self.now)
+        else {
+            return;
+        };
         self.sent += 1;
-        let traffic = if self.sent.is_multiple_of(2) { "binding" } else { "retriable" };
+        let traffic = if self.sent.is_multiple_of(2) {
+            "binding"
+        } else {
+            "retriable"
+        };
         let local = process.forwarder.local(self.now);
         let id = BroadcastId(format!("b{}", self.sent));
         let broadcast = Broadcast {
@@ -42,7 +52,11 @@
         for command in commands {
             let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.chance.random_range(0..8)];
             for _ in 0..copies {
-                let late = if self.chance.random_bool(0.05) { 2000.0 } else { 30.0 };
+                let late = if self.chance.random_bool(0.05) {
+                    2000.0
+                } else {
+                    30.0
+                };
                 let at = self.now + self.chance.random_range(1.0..late);
                 self.network.push((at, command.clone()));
             }
@@ -55,7 +69,11 @@
         }
         let at = self.chance.random_range(0..self.processes.len());
         let span = self.now + [200.0, 1500.0, 4500.0, 12_000.0][self.chance.random_range(0..4)];
-        let there = self.processes.iter().filter(|p| p.down < f64::INFINITY).count();
+        let there = self
+            .processes
+            .iter()
+            .filter(|p| p.down < f64::INFINITY)
+            .count();
         let process = &mut self.processes[at];
         match self.chance.random_range(0..8) {
             0..3 if process.station.is_some() => {
--- a/forwarder/fanout/tests/walk/checker.rs
+++ b/forwarder/fanout/tests/walk/checker.rs
@@ -39,7 +39,12 @@
     }
 
     pub fn answered(&mut self, id: &BroadcastId, took: bool) {
-        (if took { &mut self.promised } else { &mut self.refused }).insert(id.clone());
+        (if took {
+            &mut self.promised
+        } else {
+            &mut self.refused
+        })
+        .insert(id.clone());
     }
 
     /// A call reaches the subscriber and is out until then.
@@ -52,7 +57,10 @@
         }
         let again = !self.called.insert(copy);
         self.holds(!(again && binding), "binding copies once");
-        self.holds(!self.ended.contains_key(&copy), "nothing sent after its end");
+        self.holds(
+            !self.ended.contains_key(&copy),
+            "nothing sent after its end",
+        );
     }
 
     pub fn delivered(&mut self, copy: Copy) {
@@ -68,7 +76,10 @@
         self.handed += 1;
         let first = self.written_down.insert((by, copy));
         self.holds(!owed, "no doubled copy");
-        self.holds(first || !self.delivered.contains(&copy) || !owed, "no doubled copy");
+        self.holds(
+            first || !self.delivered.contains(&copy) || !owed,
+            "no doubled copy",
+        );
     }
 
     /// The log counts an end.
@@ -83,7 +94,10 @@
             Outcome::WrittenOff => true,
         };
         self.holds(true_end, "an end that is true");
-        let known = self.open.get_mut(&copy.1).is_some_and(|(_, left)| left.remove(&copy.0));
+        let known = self
+            .open
+            .get_mut(&copy.1)
+            .is_some_and(|(_, left)| left.remove(&copy.0));
         self.holds(known, "no doubled copy");
     }
 
@@ -107,6 +121,9 @@
     }
 
     pub fn completed(&self) -> usize {
-        self.ended.values().filter(|o| **o == Outcome::Completed).count()
+        self.ended
+            .values()
+            .filter(|o| **o == Outcome::Completed)
+            .count()
     }
 }
