--- a/forwarder/fanout/tests/walk/forwarder.rs
+++ b/forwarder/fanout/tests/walk/forwarder.rs
@@ -87,23 +87,42 @@
             }
         }
         resumed.sort_by_key(|((_, position), _)| *position);
-        resumed.into_iter().for_each(|((s, _), id)| self.queues.entry(s).or_default().push_back(id));
+        resumed
+            .into_iter()
+            .for_each(|((s, _), id)| self.queues.entry(s).or_default().push_back(id));
     }
 
     pub fn carries_out(&mut self, now: Ms, order: Order, binding: bool, checker: &mut Checker) {
         match order {
-            Order::HandIn { event, subscriber, position, patience_ends } => {
+            Order::HandIn {
+                event,
+                subscriber,
+                position,
+                patience_ends,
+            } => {
                 if self.plant == Plant::DropsHandIn && position.0 % 7 == 0 {
                     return;
                 }
                 let copy = (subscriber, position);
                 checker.handed(self.id, copy, self.ledger.contains_key(&event));
-                let entry = Entry { copy, binding, patience_ends, may_have_run: false, ended: None };
+                let entry = Entry {
+                    copy,
+                    binding,
+                    patience_ends,
+                    may_have_run: false,
+                    ended: None,
+                };
                 self.ledger.insert(event.clone(), entry);
                 self.queues.entry(subscriber).or_default().push_back(event);
             }
-            Order::TellEnd { subscriber, position, outcome, .. } => {
-                self.told.push((now + 50.0, (subscriber, position), outcome));
+            Order::TellEnd {
+                subscriber,
+                position,
+                outcome,
+                ..
+            } => {
+                self.told
+                    .push((now + 50.0, (subscriber, position), outcome));
             }
             _ => (),
         }
@@ -125,29 +144,53 @@
         checker: &mut Checker,
     ) {
         let local = self.local(now);
-        let over: Vec<EventId> =
-            self.out.iter().filter(|(_, (at, _))| *at <= now).map(|(id, _)| id.clone()).collect();
+        let over: Vec<EventId> = self
+            .out
+            .iter()
+            .filter(|(_, (at, _))| *at <= now)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in over {
             let delivers = self.out.remove(&id).is_some_and(|(_, delivers)| delivers);
-            let Some(entry) = self.ledger.get(&id) else { continue };
+            let Some(entry) = self.ledger.get(&id) else {
+                continue;
+            };
             let copy = entry.copy;
             if delivers {
                 checker.delivered(copy);
                 self.ledger.remove(&id);
-                self.queues.entry(copy.0).or_default().retain(|other| *other != id);
+                self.queues
+                    .entry(copy.0)
+                    .or_default()
+                    .retain(|other| *other != id);
                 station.over(local, copy, Outcome::Completed);
             } else if entry.binding {
                 self.ends(now, &id, Outcome::WrittenOff);
             }
         }
-        let heads = self.queues.values().filter(|_| self.rests <= now).filter_map(|q| q.front());
-        let heads: Vec<EventId> = heads.filter(|id| !self.out.contains_key(id)).cloned().collect();
+        let heads = self
+            .queues
+            .values()
+            .filter(|_| self.rests <= now)
+            .filter_map(|q| q.front());
+        let heads: Vec<EventId> = heads
+            .filter(|id| !self.out.contains_key(id))
+            .cloned()
+            .collect();
         for id in heads {
-            let Some(entry) = self.ledger.get_mut(&id).filter(|entry| entry.ended.is_none()) else {
+            let Some(entry) = self
+                .ledger
+                .get_mut(&id)
+                .filter(|entry| entry.ended.is_none())
+            else {
                 continue;
             };
             if entry.patience_ends <= local && self.plant != Plant::OutlastsPatience {
-                let outcome = if entry.may_have_run { Outcome::WrittenOff } else { Outcome::Dismissed };
+                let outcome = if entry.may_have_run {
+                    Outcome::WrittenOff
+                } else {
+                    Outcome::Dismissed
+                };
                 self.ends(now, &id, outcome);
                 continue;
             }
@@ -158,15 +201,28 @@
             station.called(local, copy);
             self.out.insert(id, (now + took, delivers));
         }
-        let (heard, notices) = std::mem::take(&mut self.notices).into_iter().partition(|(at, _)| *at <= now);
+        let (heard, notices) = std::mem::take(&mut self.notices)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.notices = notices;
         for (_, id) in heard {
-            let Some(entry) = self.ledger.remove(&id) else { continue };
-            self.queues.entry(entry.copy.0).or_default().retain(|other| *other != id);
+            let Some(entry) = self.ledger.remove(&id) else {
+                continue;
+            };
+            self.queues
+                .entry(entry.copy.0)
+                .or_default()
+                .retain(|other| *other != id);
             checker.noticed(entry.copy);
-            station.over(local, entry.copy, entry.ended.unwrap_or(Outcome::WrittenOff));
+            station.over(
+                local,
+                entry.copy,
+                entry.ended.unwrap_or(Outcome::WrittenOff),
+            );
         }
-        let (heard, told) = std::mem::take(&mut self.told).into_iter().partition(|(at, ..)| *at <= now);
+        let (heard, told) = std::mem::take(&mut self.told)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.told = told;
         for (_, copy, outcome) in heard {
             if self.plant != Plant::TellsNoEnd {
--- a/forwarder/fanout/tests/walk/process.rs
+++ b/forwarder/fanout/tests/walk/process.rs
@@ -27,7 +27,9 @@
 impl Process {
     pub fn starts(&mut self, now: Ms, log: &[Command], from: usize) {
         let mut state = Fanout::default();
-        log[..from].iter().for_each(|command| drop(state.apply(command.clone())));
+        log[..from]
+            .iter()
+            .for_each(|command| drop(state.apply(command.clone())));
         let state = Fanout::from_bytes(&state.to_bytes()).expect("a snapshot can be read");
         self.forwarder.restart(now);
         let process = (now * 1000.0) as u64 + 1;
@@ -40,7 +42,9 @@
         let local = self.forwarder.local(now);
         let mut all = Vec::new();
         for command in log.iter().take(most) {
-            let Some(station) = self.station.as_mut() else { return };
+            let Some(station) = self.station.as_mut() else {
+                return;
+            };
             all.extend(station.applied(local, &Ledger(&self.forwarder), command.clone()));
             self.applied += 1;
         }
@@ -49,39 +53,77 @@
 
     fn carry_out(&mut self, now: Ms, orders: Vec<Order>, checker: &mut Checker) {
         for order in orders {
-            let Some(station) = self.station.as_ref() else { return };
+            let Some(station) = self.station.as_ref() else {
+                return;
+            };
             let copy = match &order {
-                Order::HandIn { subscriber, position, .. } => (*subscriber, *position),
-                Order::TellEnd { subscriber, position, .. } => (*subscriber, *position),
+                Order::HandIn {
+                    subscriber,
+                    position,
+                    ..
+                } => (*subscriber, *position),
+                Order::TellEnd {
+                    subscriber,
+                    position,
+                    ..
+                } => (*subscriber, *position),
                 Order::Took(number) | Order::Refused(number, _) => {
                     let took = matches!(order, Order::Took(_));
                     let answered = self.attempts.remove(number);
-                    answered.into_iter().for_each(|id| checker.answered(&id, took));
+                    answered
+                        .into_iter()
+                        .for_each(|id| checker.answered(&id, took));
                     continue;
                 }
                 Order::AllEnded(..) => continue,
             };
             if station.holds(copy) {
-                let binding = station.fields(copy.1).is_some_and(|b| b.traffic == "binding");
+                let binding = station
+                    .fields(copy.1)
+                    .is_some_and(|b| b.traffic == "binding");
                 self.forwarder.carries_out(now, order, binding, checker);
             }
         }
     }
 
     /// Planted: what it does before the log says so.
-    pub fn early(&mut self, now: Ms, plant: Plant, asked: &[Command], checker: &mut Checker) -> Vec<Command> {
+    pub fn early(
+        &mut self,
+        now: Ms,
+        plant: Plant,
+        asked: &[Command],
+        checker: &mut Checker,
+    ) -> Vec<Command> {
         let by = InstanceId(self.forwarder.id);
-        let Some(station) = self.station.as_ref() else { return Vec::new() };
+        let Some(station) = self.station.as_ref() else {
+            return Vec::new();
+        };
         let mut state = station.state().clone();
         match plant {
             Plant::HandsBeforeCommit => {
                 for command in asked.iter().filter(|c| matches!(c, Command::Spread { .. })) {
                     for news in state.apply(command.clone()) {
-                        let News::Hand { subscriber, position, end: None, .. } = news else { continue };
-                        let Some(b) = station.fields(position) else { continue };
-                        let (event, patience_ends) = (copy_id(&b.id, subscriber), b.at + b.patience);
+                        let News::Hand {
+                            subscriber,
+                            position,
+                            end: None,
+                            ..
+                        } = news
+                        else {
+                            continue;
+                        };
+                        let Some(b) = station.fields(position) else {
+                            continue;
+                        };
+                        let (event, patience_ends) =
+                            (copy_id(&b.id, subscriber), b.at + b.patience);
                         let binding = b.traffic == "binding";
-                        let order = Order::HandIn { event, subscriber, position, patience_ends };
+                        let order = Order::HandIn {
+                            event,
+                            subscriber,
+                            position,
+                            patience_ends,
+                        };
                         self.forwarder.carries_out(now, order, binding, checker);
                     }
                 }
@@ -104,7 +146,11 @@
                 if ends.is_empty() {
                     Vec::new()
                 } else {
-                    vec![Command::Ended { by, process: state.process(by), ends }]
+                    vec![Command::Ended {
+                        by,
+                        process: state.process(by),
+                        ends,
+                    }]
                 }
             }
             _ => Vec::new(),
--- a/forwarder/fanout/tests/walk/world.rs
+++ b/forwarder/fanout/tests/walk/world.rs
@@ -52,7 +52,12 @@
         };
         let members = (0..SUBSCRIBERS).map(DestinationId).collect();
         let lists = vec![(ListName("all".into()), members)];
-        world.commit(Command::Laid(Layout { lists, cohorts: 3, slow_cohorts: 1, bounds: super::bounds() }));
+        world.commit(Command::Laid(Layout {
+            lists,
+            cohorts: 3,
+            slow_cohorts: 1,
+            bounds: super::bounds(),
+        }));
         (0..4).for_each(|_| world.arrives());
         while world.now < DAY {
             world.step(true);
@@ -61,16 +66,24 @@
         while world.now < 2.0 * DAY {
             world.step(false);
         }
-        let owed =
-            world.processes.iter().filter(|p| p.down < f64::INFINITY).map(|p| p.forwarder.ledger.len());
-        world.checker.over(world.truth.broadcasts().count(), owed.sum());
+        let owed = world
+            .processes
+            .iter()
+            .filter(|p| p.down < f64::INFINITY)
+            .map(|p| p.forwarder.ledger.len());
+        world
+            .checker
+            .over(world.truth.broadcasts().count(), owed.sum());
         world
     }
 
     /// With an empty folder.
     pub(super) fn arrives(&mut self) {
         let id = self.processes.len() as u64 + 1;
-        let clock = (self.chance.random_range(-200.0..200.0), self.chance.random_range(0.996..1.004));
+        let clock = (
+            self.chance.random_range(-200.0..200.0),
+            self.chance.random_range(0.996..1.004),
+        );
         let forwarder = Forwarder::new(id, clock, self.plant);
         let mut process = Process {
             forwarder,
@@ -86,8 +99,11 @@
     }
 
     fn commit(&mut self, command: Command) {
-        let servers =
-            |state: &Fanout| -> Vec<_> { (0..SUBSCRIBERS).map(|s| state.server(DestinationId(s))).collect() };
+        let servers = |state: &Fanout| -> Vec<_> {
+            (0..SUBSCRIBERS)
+                .map(|s| state.server(DestinationId(s)))
+                .collect()
+        };
         let (before, held) = (servers(&self.truth), self.held(&command));
         let all_news = self.truth.apply(command.clone());
         let left = self.held(&command);
@@ -121,8 +137,14 @@
 
     /// What the instance that tells of ends holds by the log, with what else is said of its end.
     fn held(&self, command: &Command) -> BTreeMap<Copy, Option<Outcome>> {
-        let Command::Ended { by, .. } = command else { return BTreeMap::new() };
-        self.truth.held_by(*by).into_iter().map(|(s, p, end)| ((s, p), end)).collect()
+        let Command::Ended { by, .. } = command else {
+            return BTreeMap::new();
+        };
+        self.truth
+            .held_by(*by)
+            .into_iter()
+            .map(|(s, p, end)| ((s, p), end))
+            .collect()
     }
 
     fn step(&mut self, faulty: bool) {
@@ -133,12 +155,14 @@
                 self.broadcasts();
             }
         }
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.network).into_iter().partition(|(at, _)| *at <= self.now);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.network)
+            .into_iter()
+            .partition(|(at, _)| *at <= self.now);
         self.network = later;
         // Only one that leads can propose.
         if self.is_up(self.leader) {
-            due.into_iter().for_each(|(_, command)| self.commit(command));
+            due.into_iter()
+                .for_each(|(_, command)| self.commit(command));
         }
         self.leads(faulty);
         for at in 0..self.processes.len() {
@@ -153,27 +177,46 @@
 
     fn leads(&mut self, faulty: bool) {
         if !self.is_up(self.leader) {
-            let Some(next) = (0..self.processes.len()).find(|at| self.is_up(*at)) else { return };
+            let Some(next) = (0..self.processes.len()).find(|at| self.is_up(*at)) else {
+                return;
+            };
             (self.leader, self.leading) = (next, Leading::default());
         }
         let up = (0..self.processes.len()).filter(|at| self.is_up(*at));
-        let up: Vec<InstanceId> = up.map(|at| InstanceId(self.processes[at].forwarder.id)).collect();
+        let up: Vec<InstanceId> = up
+            .map(|at| InstanceId(self.processes[at].forwarder.id))
+            .collect();
         let local = self.processes[self.leader].forwarder.local(self.now);
         let mut commands = self.leading.asks(local, &self.truth, &up, LONGEST_CALL);
         if self.plant == Plant::GivesUpAtOnce {
-            let lost = self.truth.known_instances().filter_map(|i| Some((i, self.truth.times_lost(i)?)));
+            let lost = self
+                .truth
+                .known_instances()
+                .filter_map(|i| Some((i, self.truth.times_lost(i)?)));
             commands.extend(lost.map(|(instance, time)| Command::GivenUp { instance, time }));
         }
         if faulty && self.chance.random_bool(STEP / 400.0) {
             let subscriber = DestinationId(self.chance.random_range(0..SUBSCRIBERS));
             let from = self.truth.cohort(subscriber).unwrap_or(Cohort(0));
-            commands.push(Command::Moved { subscriber, from, to: Cohort(self.chance.random_range(0..4)) });
+            commands.push(Command::Moved {
+                subscriber,
+                from,
+                to: Cohort(self.chance.random_range(0..4)),
+            });
         }
-        commands.into_iter().for_each(|command| self.commit(command));
+        commands
+            .into_iter()
+            .for_each(|command| self.commit(command));
     }
 
     fn works(&mut self, at: usize, faulty: bool) {
-        let World { chance, processes, checker, log, .. } = self;
+        let World {
+            chance,
+            processes,
+            checker,
+            log,
+            ..
+        } = self;
         let process = &mut processes[at];
         if process.station.is_none() && process.down <= self.now {
             // From a snapshot of some age, and the log since.
@@ -184,11 +227,22 @@
             return;
         }
         if process.cut <= self.now {
-            let most = if faulty { chance.random_range(0..20) } else { 1000 };
+            let most = if faulty {
+                chance.random_range(0..20)
+            } else {
+                1000
+            };
             process.hears(self.now, &log[process.applied..], most, checker);
         }
-        let Some(station) = process.station.as_mut() else { return };
-        let takes = |_| (chance.random_range(5.0..LONGEST_CALL), chance.random_bool(0.9));
+        let Some(station) = process.station.as_mut() else {
+            return;
+        };
+        let takes = |_| {
+            (
+                chance.random_range(5.0..LONGEST_CALL),
+                chance.random_bool(0.9),
+            )
+        };
         process.forwarder.works(self.now, takes, station, checker);
         let local = process.forwarder.local(self.now);
         let commands = station.asks(local);
--- a/forwarder/fanout/tests/walks.rs
+++ b/forwarder/fanout/tests/walks.rs
@@ -6,7 +6,9 @@
 use walk::{Plant, World};
 
 fn seeds() -> std::ops::Range<u64> {
-    let more = std::env::var("WALKS").ok().and_then(|count| count.parse().ok());
+    let more = std::env::var("WALKS")
+        .ok()
+        .and_then(|count| count.parse().ok());
     0..more.unwrap_or(16)
 }
 
@@ -16,8 +18,16 @@
     let (mut promised, mut refused) = (0, 0);
     for seed in seeds() {
         let day = World::play(seed, Plant::None);
-        assert!(day.checker.breaches.is_empty(), "seed {seed}: {:?}", day.checker.breaches);
-        assert!(day.checker.all_ended > 20, "seed {seed}: {} broadcasts", day.checker.all_ended);
+        assert!(
+            day.checker.breaches.is_empty(),
+            "seed {seed}: {:?}",
+            day.checker.breaches
+        );
+        assert!(
+            day.checker.all_ended > 20,
+            "seed {seed}: {} broadcasts",
+            day.checker.all_ended
+        );
         moves += day.moves;
         crashes += day.crashes;
         handed += day.checker.handed;
@@ -27,15 +37,27 @@
     }
     // The days were not empty.
     let days = seeds().count() as u64;
-    assert!(moves > 20 * days && crashes > 5 * days, "{moves} moves, {crashes} crashes");
-    assert!(promised > 20 * days as usize && refused > 0, "{promised} and {refused} answers");
-    assert!(completed as u64 > 100 * days && handed > 100 * days, "{completed} of {handed} completed");
+    assert!(
+        moves > 20 * days && crashes > 5 * days,
+        "{moves} moves, {crashes} crashes"
+    );
+    assert!(
+        promised > 20 * days as usize && refused > 0,
+        "{promised} and {refused} answers"
+    );
+    assert!(
+        completed as u64 > 100 * days && handed > 100 * days,
+        "{completed} of {handed} completed"
+    );
 }
 
 #[test]
 fn one_seed_gives_one_day() {
     let [first, second] = [0, 1].map(|_| World::play(3, Plant::None));
-    assert_eq!((first.moves, first.checker.handed), (second.moves, second.checker.handed));
+    assert_eq!(
+        (first.moves, first.checker.handed),
+        (second.moves, second.checker.handed)
+    );
     assert_eq!(first.checker.completed(), second.checker.completed());
 }
 
--- a/forwarder/hot-restart/src/lock.rs
+++ b/forwarder/hot-restart/src/lock.rs
@@ -17,8 +17,11 @@
 impl Lock {
     /// None if another process holds it.
     pub fn take(folder: &Path) -> io::Result<Option<Lock>> {
-        let file: File =
-            OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(FILE))?;
+        let file: File = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(folder.join(FILE))?;
         match flock(&file, FlockOperation::NonBlockingLockExclusive) {
             Ok(()) => Ok(Some(Lock(file.into()))),
             Err(Errno::WOULDBLOCK) => Ok(None),
--- a/forwarder/hot-restart/src/passage.rs
+++ b/forwarder/hot-restart/src/passage.rs
@@ -33,7 +33,10 @@
         return Ok((plain, None));
     }
     let opened = File::open(folder)?;
-    Ok((format!("/proc/self/fd/{}/{FILE}", opened.as_raw_fd()).into(), Some(opened)))
+    Ok((
+        format!("/proc/self/fd/{}/{FILE}", opened.as_raw_fd()).into(),
+        Some(opened),
+    ))
 }
 
 /// Only for the process that holds the lock: what another left there is not in use any more.
@@ -67,13 +70,20 @@
         let mut written = 0;
         while written < bytes.len() {
             let with = descriptor.as_ref().filter(|_| written == 0);
-            written += self.0.write_with(|stream| send(stream, &bytes[written..], with)).await?;
+            written += self
+                .0
+                .write_with(|stream| send(stream, &bytes[written..], with))
+                .await?;
         }
         Ok(())
     }
 
     pub fn ears(&self) -> Ears {
-        Ears { stream: self.0.clone(), bytes: Vec::new(), descriptors: VecDeque::new() }
+        Ears {
+            stream: self.0.clone(),
+            bytes: Vec::new(),
+            descriptors: VecDeque::new(),
+        }
     }
 }
 
@@ -84,7 +94,12 @@
     if let Some(descriptors) = &descriptors {
         ancillary.push(SendAncillaryMessage::ScmRights(descriptors));
     }
-    Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL)?)
+    Ok(sendmsg(
+        stream,
+        &[IoSlice::new(bytes)],
+        &mut ancillary,
+        SendFlags::NOSIGNAL,
+    )?)
 }
 
 pub struct Ears {
@@ -99,19 +114,30 @@
     pub async fn next(&mut self) -> io::Result<(Word, Option<OwnedFd>)> {
         loop {
             if let Some(word) = self.word()? {
-                let has =
-                    matches!(word, Word::State(_) | Word::Yours | Word::Client { .. } | Word::Idle { .. });
-                let descriptor = if has { self.descriptors.pop_front() } else { None };
+                let has = matches!(
+                    word,
+                    Word::State(_) | Word::Yours | Word::Client { .. } | Word::Idle { .. }
+                );
+                let descriptor = if has {
+                    self.descriptors.pop_front()
+                } else {
+                    None
+                };
                 if has && descriptor.is_none() {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "a descriptor is missing"));
+                    return Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        "a descriptor is missing",
+                    ));
                 }
                 return Ok((word, descriptor));
             }
             let filled = self.bytes.len();
             self.bytes.resize(filled + READ_AT_ONCE, 0);
             let (bytes, descriptors) = (&mut self.bytes, &mut self.descriptors);
-            let read =
-                self.stream.read_with(|stream| receive(stream, &mut bytes[filled..], descriptors)).await;
+            let read = self
+                .stream
+                .read_with(|stream| receive(stream, &mut bytes[filled..], descriptors))
+                .await;
             self.bytes.truncate(filled + *read.as_ref().unwrap_or(&0));
             if read? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -121,7 +147,9 @@
 
     fn word(&mut self) -> io::Result<Option<Word>> {
         let bad = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
-        let Some(length) = self.bytes.first_chunk::<4>() else { return Ok(None) };
+        let Some(length) = self.bytes.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let end = 4 + u32::from_le_bytes(*length) as usize;
         if end > LONGEST {
             return Err(bad("a word is too long".into()));
@@ -135,10 +163,19 @@
     }
 }
 
-fn receive(stream: &UnixStream, bytes: &mut [u8], descriptors: &mut VecDeque<OwnedFd>) -> io::Result<usize> {
+fn receive(
+    stream: &UnixStream,
+    bytes: &mut [u8],
+    descriptors: &mut VecDeque<OwnedFd>,
+) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(TOGETHER))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
-    let came = recvmsg(stream, &mut [IoSliceMut::new(bytes)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+    let came = recvmsg(
+        stream,
+        &mut [IoSliceMut::new(bytes)],
+        &mut ancillary,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
     for message in ancillary.drain() {
         if let RecvAncillaryMessage::ScmRights(rights) = message {
             descriptors.extend(rights);
--- a/forwarder/hot-restart/src/roles.rs
+++ b/forwarder/hot-restart/src/roles.rs
@@ -61,11 +61,15 @@
 impl Elder {
     pub fn hears(&mut self, what: Happens) -> Does {
         let (next, does) = match (*self, what) {
-            (Elder::Decides, Happens::Asked { fits: true }) => (Elder::StandsStill, Does::StandsStill),
+            (Elder::Decides, Happens::Asked { fits: true }) => {
+                (Elder::StandsStill, Does::StandsStill)
+            }
             (Elder::Decides, Happens::Asked { fits: false }) => (Elder::Decides, Does::Refuses),
             (Elder::StandsStill, Happens::Prepared) => (Elder::Yielded, Does::Yields),
             // It has not been told that it is the heir: it can't have begun.
-            (Elder::StandsStill, Happens::TimeIsUp | Happens::Gone { .. }) => (Elder::Decides, Does::GoesOn),
+            (Elder::StandsStill, Happens::TimeIsUp | Happens::Gone { .. }) => {
+                (Elder::Decides, Does::GoesOn)
+            }
             (Elder::Yielded, Happens::Begun) => (Elder::Relays, Does::Relays),
             (Elder::Yielded, Happens::Gone { changed: false }) => (Elder::Decides, Does::GoesOn),
             // It began and ended: what it did since stands in the ledger, not here.
@@ -97,9 +101,10 @@
         let (next, does) = match (*self, what) {
             (Heir::Asks, Happens::State { readable: true }) => (Heir::Prepared, Does::Prepares),
             (Heir::Prepared, Happens::Yours) => (Heir::Decides, Does::Begins),
-            (Heir::Asks | Heir::Prepared, Happens::State { .. } | Happens::No | Happens::Gone { .. }) => {
-                (Heir::Alone, Does::StartsAlone)
-            }
+            (
+                Heir::Asks | Heir::Prepared,
+                Happens::State { .. } | Happens::No | Happens::Gone { .. },
+            ) => (Heir::Alone, Does::StartsAlone),
             (as_it_was, _) => (as_it_was, Does::Waits),
         };
         *self = next;
--- a/forwarder/hot-restart/src/words.rs
+++ b/forwarder/hot-restart/src/words.rs
@@ -3,8 +3,8 @@
 
 use std::rc::Rc;
 
-use plankhill_decisions::interface::*;
 use plankhill_admin::{Order, Reply};
+use plankhill_decisions::interface::*;
 use serde::{Deserialize, Serialize};
 
 /// Of the words and of the module's state. A change of either form makes it another.
--- a/forwarder/hot-restart/tests/roles.rs
+++ b/forwarder/hot-restart/tests/roles.rs
@@ -61,11 +61,15 @@
                 self.heir_hears(word);
             }
             Step::HeirHears if self.heir_lives && !(self.connected && self.elder_lives) => {
-                self.heir_hears(Happens::Gone { changed: self.owner_changed });
+                self.heir_hears(Happens::Gone {
+                    changed: self.owner_changed,
+                });
             }
             // What the heir said before it ended, and what lies on a connection that was given up, is not heard.
             Step::ElderHears if self.elder_lives && !self.heir_lives => {
-                self.elder_hears(Happens::Gone { changed: self.owner_changed });
+                self.elder_hears(Happens::Gone {
+                    changed: self.owner_changed,
+                });
             }
             Step::ElderHears if self.elder_lives && self.connected && !self.to_elder.is_empty() => {
                 let word = self.to_elder.remove(0);
--- a/forwarder/hot-restart/tests/words.rs
+++ b/forwarder/hot-restart/tests/words.rs
@@ -44,15 +44,22 @@
             let (mut ours, theirs) = connected();
             ours.write_all(&[number as u8]).expect("takes it");
             kept.push(ours);
-            let client = Word::Client { asked: number, left: 1.0 };
-            one.tell(&client, Some(OwnedFd::from(theirs))).await.expect("told");
+            let client = Word::Client {
+                asked: number,
+                left: 1.0,
+            };
+            one.tell(&client, Some(OwnedFd::from(theirs)))
+                .await
+                .expect("told");
         }
     };
     let mut ears = other.ears();
     let hears = async {
         for expected in 0..12u64 {
             let (word, none) = ears.next().await.expect("heard");
-            let Word::Event(handed) = word else { panic!("an event came first") };
+            let Word::Event(handed) = word else {
+                panic!("an event came first")
+            };
             assert_eq!(
                 (handed.number, handed.body, none.is_none()),
                 (expected, vec![expected as u8; 300_000], true)
@@ -60,7 +67,9 @@
             let (word, descriptor) = ears.next().await.expect("heard");
             assert!(matches!(word, Word::Client { asked, .. } if asked == expected));
             let mut byte = [0];
-            TcpStream::from(descriptor.expect("with it")).read_exact(&mut byte).expect("lay unread in it");
+            TcpStream::from(descriptor.expect("with it"))
+                .read_exact(&mut byte)
+                .expect("lay unread in it");
             assert_eq!(u64::from(byte[0]), expected);
         }
     };
--- a/forwarder/http1/src/chunks.rs
+++ b/forwarder/http1/src/chunks.rs
@@ -38,7 +38,11 @@
                     let now = left.min(rest.len());
                     bytes.copy_within(*read..*read + now, *write);
                     (*read, *write) = (*read + now, *write + now);
-                    self.at = if now == left { Part::DataEnd } else { Part::Data(left - now) };
+                    self.at = if now == left {
+                        Part::DataEnd
+                    } else {
+                        Part::Data(left - now)
+                    };
                     if now < left {
                         return Ok(false);
                     }
@@ -54,11 +58,17 @@
                 }
                 Part::Size | Part::Trailer(_) => {
                     let Some(length) = rest.windows(2).position(|w| w == b"\r\n") else {
-                        return if rest.len() > LONGEST_LINE { Err(TOO_LONG) } else { Ok(false) };
+                        return if rest.len() > LONGEST_LINE {
+                            Err(TOO_LONG)
+                        } else {
+                            Ok(false)
+                        };
                     };
                     let next = match self.at {
                         Part::Trailer(_) if length == 0 => Part::Over,
-                        Part::Trailer(seen) if seen + length > LONGEST_LINE => return Err(TOO_LONG),
+                        Part::Trailer(seen) if seen + length > LONGEST_LINE => {
+                            return Err(TOO_LONG)
+                        }
                         Part::Trailer(seen) => Part::Trailer(seen + length),
                         _ => match size(&rest[..length])? {
                             0 => Part::Trailer(0),
@@ -75,8 +85,13 @@
 const TOO_LONG: Malformed = Malformed("a chunk's size or the trailers are too long");
 
 fn size(line: &[u8]) -> Result<usize, Malformed> {
-    let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii_end();
+    let digits = line
+        .split(|b| *b == b';')
+        .next()
+        .unwrap_or_default()
+        .trim_ascii_end();
     let valid = (1..=8).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| valid);
-    text.and_then(|t| usize::from_str_radix(t, 16).ok()).ok_or(Malformed("a chunk's size is not a number"))
+    text.and_then(|t| usize::from_str_radix(t, 16).ok())
+        .ok_or(Malformed("a chunk's size is not a number"))
 }
--- a/forwarder/http1/src/head.rs
+++ b/forwarder/http1/src/head.rs
@@ -22,7 +22,10 @@
     /// The length of the head with its empty line, once all of it is there.
     pub fn end(&mut self, bytes: &[u8]) -> Option<usize> {
         let from = self.seen.saturating_sub(3);
-        let found = bytes[from..].windows(4).position(|w| w == b"\r\n\r\n").map(|at| from + at + 4);
+        let found = bytes[from..]
+            .windows(4)
+            .position(|w| w == b"\r\n\r\n")
+            .map(|at| from + at + 4);
         self.seen = bytes.len();
         found
     }
@@ -30,7 +33,10 @@
 
 /// How many bytes of empty lines stand in front.
 pub fn empty_lines(bytes: &[u8]) -> usize {
-    2 * bytes.chunks_exact(2).take_while(|pair| *pair == b"\r\n").count()
+    2 * bytes
+        .chunks_exact(2)
+        .take_while(|pair| *pair == b"\r\n")
+        .count()
 }
 
 /// Whether these bytes can be the beginning of a request, or nothing at all.
@@ -92,7 +98,14 @@
             None => Body::Length(0),
         };
         let expects_continue = !old && fields.has_word("expect", "100-continue");
-        Ok(RequestHead { method, target, body, closes: fields.closes(old), expects_continue, fields })
+        Ok(RequestHead {
+            method,
+            target,
+            body,
+            closes: fields.closes(old),
+            expects_continue,
+            fields,
+        })
     }
 
     /// The path, without an address before it or a query behind it.
@@ -110,8 +123,13 @@
 
 /// Whether no first line begins behind the beginning of another, which was broken off.
 fn whole(line: &[u8]) -> Result<(), Malformed> {
-    let begins = line.windows(VERSION.len()).skip(1).any(|word| word == VERSION);
-    (!begins).then_some(()).ok_or(Malformed("a first line within another"))
+    let begins = line
+        .windows(VERSION.len())
+        .skip(1)
+        .any(|word| word == VERSION);
+    (!begins)
+        .then_some(())
+        .ok_or(Malformed("a first line within another"))
 }
 
 /// Stands for the value of a field that can't be read. No length, coding or number reads so.
@@ -128,7 +146,12 @@
             _ => fields.framing(old)?.unwrap_or(Body::UntilClose),
         };
         let closes = fields.closes(old) || body == Body::UntilClose;
-        Ok(ResponseHead { status, body, closes, fields })
+        Ok(ResponseHead {
+            status,
+            body,
+            closes,
+            fields,
+        })
     }
 
     /// The status, once the first line is there, whatever stands behind the number or follows the line. A line in
@@ -148,7 +171,10 @@
 
 impl<'a> Fields<'a> {
     fn all<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a str> + 's {
-        self.0.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| *value)
+        self.0
+            .iter()
+            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| *value)
     }
 
     /// The value, if the field stands there once.
@@ -163,11 +189,16 @@
     /// The value of a cookie.
     pub fn cookie(&self, name: &str) -> Option<&'a str> {
         let pairs = self.all("cookie").flat_map(|value| value.split(';'));
-        pairs.filter_map(|pair| pair.trim().split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+        pairs
+            .filter_map(|pair| pair.trim().split_once('='))
+            .find(|(n, _)| *n == name)
+            .map(|(_, v)| v)
     }
 
     fn has_word(&self, name: &str, word: &str) -> bool {
-        self.all(name).flat_map(|value| value.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+        self.all(name)
+            .flat_map(|value| value.split(','))
+            .any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
     fn closes(&self, old: bool) -> bool {
@@ -185,7 +216,9 @@
             }
             return Ok(Some(Body::Chunked));
         }
-        let Some(length) = length else { return Ok(None) };
+        let Some(length) = length else {
+            return Ok(None);
+        };
         if length.is_empty() || length.len() > 18 || !length.bytes().all(|b| b.is_ascii_digit()) {
             return Err(Malformed("the length is not a number"));
         }
@@ -194,9 +227,15 @@
 }
 
 /// The first line and the fields; `unreadable` stands in for values that can't be read, if they may be there.
-fn split<'a>(head: &'a [u8], unreadable: Option<&'a str>) -> Result<(&'a str, Fields<'a>), Malformed> {
-    let head = head.strip_suffix(b"\r\n\r\n").ok_or(Malformed("the head has no end"))?;
-    let mut lines = std::iter::successors(Some(line(head)), |(_, rest)| rest.map(line)).map(|(line, _)| line);
+fn split<'a>(
+    head: &'a [u8],
+    unreadable: Option<&'a str>,
+) -> Result<(&'a str, Fields<'a>), Malformed> {
+    let head = head
+        .strip_suffix(b"\r\n\r\n")
+        .ok_or(Malformed("the head has no end"))?;
+    let mut lines =
+        std::iter::successors(Some(line(head)), |(_, rest)| rest.map(line)).map(|(line, _)| line);
     let first = std::str::from_utf8(lines.next().unwrap_or_default());
     let first = first.map_err(|_| Malformed("the first line is not UTF-8"))?;
     if first.bytes().any(|b| b < b' ' || b == 127) {
@@ -204,14 +243,25 @@
     }
     let mut fields = Vec::new();
     for line in lines {
-        let colon = line.iter().position(|b| *b == b':').ok_or(Malformed("a field without a colon"))?;
+        let colon = line
+            .iter()
+            .position(|b| *b == b':')
+            .ok_or(Malformed("a field without a colon"))?;
         let name = std::str::from_utf8(&line[..colon]).unwrap_or_default();
         if name.is_empty() || !name.bytes().all(is_token) {
             return Err(Malformed("a field's name is not a word"));
         }
-        let value = std::str::from_utf8(&line[colon + 1..]).ok().map(|value| value.trim_matches([' ', '\t']));
-        let value = value.filter(|value| !value.bytes().any(|b| b < b' ' && b != b'\t' || b == 127));
-        fields.push((name, value.or(unreadable).ok_or(Malformed("a field's value cannot be read"))?));
+        let value = std::str::from_utf8(&line[colon + 1..])
+            .ok()
+            .map(|value| value.trim_matches([' ', '\t']));
+        let value =
+            value.filter(|value| !value.bytes().any(|b| b < b' ' && b != b'\t' || b == 127));
+        fields.push((
+            name,
+            value
+                .or(unreadable)
+                .ok_or(Malformed("a field's value cannot be read"))?,
+        ));
     }
     Ok((first, Fields(fields)))
 }
@@ -227,7 +277,9 @@
 fn status(line: &str) -> Result<u16, Malformed> {
     let mut words = line.splitn(3, ' ');
     is_old(words.next().unwrap_or_default())?;
-    let digits = words.next().filter(|d| d.len() == 3 && d.bytes().all(|b| b.is_ascii_digit()));
+    let digits = words
+        .next()
+        .filter(|d| d.len() == 3 && d.bytes().all(|b| b.is_ascii_digit()));
     digits
         .and_then(|d| d.parse().ok())
         .filter(|status| *status >= 100)
--- a/forwarder/http1/src/write.rs
+++ b/forwarder/http1/src/write.rs
@@ -11,7 +11,12 @@
     fields: &[(&str, &dyn Display)],
     body: usize,
 ) -> Result<()> {
-    head(out, format_args!("{method} {target} HTTP/1.1"), fields, Some(body))
+    head(
+        out,
+        format_args!("{method} {target} HTTP/1.1"),
+        fields,
+        Some(body),
+    )
 }
 
 /// Writes the head of a response with a body of that length; a 204 and any under 200 have none.
@@ -22,7 +27,12 @@
     body: usize,
 ) -> Result<()> {
     let length = (status >= 200 && status != 204).then_some(body);
-    head(out, format_args!("HTTP/1.1 {status} {}", reason(status)), fields, length)
+    head(
+        out,
+        format_args!("HTTP/1.1 {status} {}", reason(status)),
+        fields,
+        length,
+    )
 }
 
 fn head(
--- a/forwarder/http1/tests/messages.rs
+++ b/forwarder/http1/tests/messages.rs
@@ -13,11 +13,21 @@
         let mut search = HeadSearch::default();
         let first = search.end(&GOOD.as_bytes()[..cut]);
         assert_eq!(first, (cut >= end).then_some(end));
-        assert_eq!(search.end(GOOD.as_bytes()), first.is_none().then_some(end), "cut at {cut}");
+        assert_eq!(
+            search.end(GOOD.as_bytes()),
+            first.is_none().then_some(end),
+            "cut at {cut}"
+        );
     }
     let head = RequestHead::read(&GOOD.as_bytes()[..end]).expect("good");
-    assert_eq!((head.method, head.path(), head.body), ("POST", "/a/b", Body::Length(3)));
-    assert_eq!((head.fields.cookie("about"), head.closes), (Some("7f"), false));
+    assert_eq!(
+        (head.method, head.path(), head.body),
+        ("POST", "/a/b", Body::Length(3))
+    );
+    assert_eq!(
+        (head.fields.cookie("about"), head.closes),
+        (Some("7f"), false)
+    );
 }
 
 #[rstest]
@@ -43,19 +53,48 @@
 #[case("http://host", "/")]
 fn a_target_may_come_with_its_address(#[case] target: &str, #[case] path: &str) {
     let head = format!("GET {target} HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(RequestHead::read(head.as_bytes()).expect("good").path(), path);
+    assert_eq!(
+        RequestHead::read(head.as_bytes()).expect("good").path(),
+        path
+    );
 }
 
 #[rstest]
-#[case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", 200, Body::Length(2), false)]
+#[case(
+    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n",
+    200,
+    Body::Length(2),
+    false
+)]
 #[case("HTTP/1.1 204 No Content\r\n\r\n", 204, Body::Length(0), false)]
-#[case("HTTP/1.1 503 \r\nConnection: Close\r\nContent-Length: 0\r\n\r\n", 503, Body::Length(0), true)]
+#[case(
+    "HTTP/1.1 503 \r\nConnection: Close\r\nContent-Length: 0\r\n\r\n",
+    503,
+    Body::Length(0),
+    true
+)]
 #[case("HTTP/1.1 200 OK\r\n\r\n", 200, Body::UntilClose, true)]
-#[case("HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", 200, Body::Length(0), true)]
-fn answers_are_read(#[case] head: &str, #[case] status: u16, #[case] body: Body, #[case] closes: bool) {
+#[case(
+    "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n",
+    200,
+    Body::Length(0),
+    true
+)]
+fn answers_are_read(
+    #[case] head: &str,
+    #[case] status: u16,
+    #[case] body: Body,
+    #[case] closes: bool,
+) {
     let read = ResponseHead::read(head.as_bytes()).expect("good");
-    assert_eq!((read.status, read.body, read.closes), (status, body, closes));
-    assert_eq!(ResponseHead::status_in(head.split_inclusive('\n').next().unwrap().as_bytes()), Some(status));
+    assert_eq!(
+        (read.status, read.body, read.closes),
+        (status, body, closes)
+    );
+    assert_eq!(
+        ResponseHead::status_in(head.split_inclusive('\n').next().unwrap().as_bytes()),
+        Some(status)
+    );
 }
 
 #[rstest]
@@ -83,9 +122,19 @@
         let mut bytes = coded.to_vec();
         let (mut chunks, mut read, mut write) = (Chunks::default(), 0, 0);
         let whole = cut >= coded.len() - 4;
-        assert_eq!(chunks.decode(&mut bytes, &mut read, &mut write, cut), Ok(whole), "cut at {cut}");
-        assert_eq!(chunks.decode(&mut bytes, &mut read, &mut write, coded.len()), Ok(true));
-        assert_eq!((&bytes[..write], &bytes[read..]), (&b"abc0123456789"[..], &b"NEXT"[..]));
+        assert_eq!(
+            chunks.decode(&mut bytes, &mut read, &mut write, cut),
+            Ok(whole),
+            "cut at {cut}"
+        );
+        assert_eq!(
+            chunks.decode(&mut bytes, &mut read, &mut write, coded.len()),
+            Ok(true)
+        );
+        assert_eq!(
+            (&bytes[..write], &bytes[read..]),
+            (&b"abc0123456789"[..], &b"NEXT"[..])
+        );
     }
 }
 
@@ -97,16 +146,34 @@
 fn wrong_chunks_are_refused(#[case] coded: &str) {
     let mut bytes = coded.as_bytes().to_vec();
     let (mut read, mut write, end) = (0, 0, bytes.len());
-    assert!(Chunks::default().decode(&mut bytes, &mut read, &mut write, end).is_err());
+    assert!(Chunks::default()
+        .decode(&mut bytes, &mut read, &mut write, end)
+        .is_err());
 }
 
 #[rstest]
 fn what_is_written_can_be_read() {
     let mut out = Vec::new();
-    request(&mut out, "POST", "/receive", &[("Host", &"h"), ("Req-Id", &7)], 5).expect("fits");
+    request(
+        &mut out,
+        "POST",
+        "/receive",
+        &[("Host", &"h"), ("Req-Id", &7)],
+        5,
+    )
+    .expect("fits");
     let head = RequestHead::read(&out).expect("good");
-    assert_eq!((head.body, head.fields.one("req-id")), (Body::Length(5), Ok(Some("7"))));
+    assert_eq!(
+        (head.body, head.fields.one("req-id")),
+        (Body::Length(5), Ok(Some("7")))
+    );
     out.clear();
     response(&mut out, 503, &[("Retry-After", &"1.5")], 0).expect("fits");
-    assert_eq!(ResponseHead::read(&out).expect("good").fields.one("Retry-After"), Ok(Some("1.5")));
+    assert_eq!(
+        ResponseHead::read(&out)
+            .expect("good")
+            .fields
+            .one("Retry-After"),
+        Ok(Some("1.5"))
+    );
 }
--- a/forwarder/invariants/src/checker.rs
+++ b/forwarder/invariants/src/checker.rs
@@ -39,7 +39,10 @@
 
 impl Checker {
     pub fn new(bounds: Bounds) -> Self {
-        Checker { bounds, ..Checker::default() }
+        Checker {
+            bounds,
+            ..Checker::default()
+        }
     }
 
     /// Facts come in the order of their time.
@@ -47,7 +50,10 @@
         if now < self.now {
             self.breach(
                 Rule::OneEnd,
-                format!("told of {now} ms after {} ms: the teller is at fault", self.now),
+                format!(
+                    "told of {now} ms after {} ms: the teller is at fault",
+                    self.now
+                ),
             );
         }
         self.now = self.now.max(now);
@@ -56,26 +62,52 @@
             self.forget_if_empty(place);
         }
         match fact {
-            Fact::Taken { forwarder, event, effect, key, patience_ends, .. } => {
-                self.taken(forwarder, event, effect, key, patience_ends)
-            }
-            Fact::Sent { forwarder, event, target, group, lane } => {
-                self.sent(forwarder, event, target, group, lane)
-            }
-            Fact::Pinged { forwarder, target, lane } => {
+            Fact::Taken {
+                forwarder,
+                event,
+                effect,
+                key,
+                patience_ends,
+                ..
+            } => self.taken(forwarder, event, effect, key, patience_ends),
+            Fact::Sent {
+                forwarder,
+                event,
+                target,
+                group,
+                lane,
+            } => self.sent(forwarder, event, target, group, lane),
+            Fact::Pinged {
+                forwarder,
+                target,
+                lane,
+            } => {
                 self.drains(forwarder, target, "a ping");
                 self.waits(forwarder, lane, "a ping");
             }
             Fact::SendOver { event, cut, .. } => self.send_over(event, cut),
-            Fact::Ended { event, end, by_notice, .. } => self.ended(event, end, by_notice),
+            Fact::Ended {
+                event,
+                end,
+                by_notice,
+                ..
+            } => self.ended(event, end, by_notice),
             Fact::Heard { event } => {
                 if let Some(owed) = self.owed.get_mut(&event) {
                     owed.unheard = false;
                     self.forget_if_over(event);
                 }
             }
-            Fact::Applied { event, origin, effect } => self.applied(event, origin, effect),
-            Fact::Listed { forwarder, target, leaves } => {
+            Fact::Applied {
+                event,
+                origin,
+                effect,
+            } => self.applied(event, origin, effect),
+            Fact::Listed {
+                forwarder,
+                target,
+                leaves,
+            } => {
                 let leaving = &mut self.forwarders.entry(forwarder).or_default().leaving;
                 if leaves {
                     leaving.entry(target).or_insert(now);
@@ -83,7 +115,11 @@
                     leaving.remove(&target);
                 }
             }
-            Fact::Wait { forwarder, lane, until } => {
+            Fact::Wait {
+                forwarder,
+                lane,
+                until,
+            } => {
                 let waits = &mut self.forwarders.entry(forwarder).or_default().waits;
                 let known = waits.entry(lane).or_insert(until);
                 *known = known.max(until);
@@ -110,8 +146,14 @@
             Fact::Budget { target, most } => self.budget(target, most),
             Fact::Opened { forwarder, target } => self.opened(forwarder, target),
             Fact::Closed { forwarder, target } => self.closed(forwarder, target),
-            Fact::Serves { forwarder, subscriber } => self.serves(forwarder, subscriber),
-            Fact::ServesNoMore { forwarder, subscriber } => self.serves_no_more(forwarder, subscriber),
+            Fact::Serves {
+                forwarder,
+                subscriber,
+            } => self.serves(forwarder, subscriber),
+            Fact::ServesNoMore {
+                forwarder,
+                subscriber,
+            } => self.serves_no_more(forwarder, subscriber),
             Fact::Lost { event } => {
                 if let Some(owed) = self.owed.get_mut(&event) {
                     (owed.ended, owed.unheard, owed.out) = (true, false, false);
@@ -165,7 +207,11 @@
     fn breach(&mut self, rule: Rule, what: String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.breaches.len() < KEPT {
-            self.breaches.push(Breach { at: self.now, rule, what });
+            self.breaches.push(Breach {
+                at: self.now,
+                rule,
+                what,
+            });
         }
     }
 }
--- a/forwarder/invariants/src/checker/effects.rs
+++ b/forwarder/invariants/src/checker/effects.rs
@@ -13,11 +13,21 @@
         if effect == Effect::Retriable {
             return;
         }
-        let first = self.applied.get(&origin).map(|first| (first.at, first.event));
+        let first = self
+            .applied
+            .get(&origin)
+            .map(|first| (first.at, first.event));
         match (first, effect) {
             (None, _) => {
-                self.applied.insert(origin, Applied { at: self.now, event });
-                self.fading.push_back((self.now + self.bounds.remembered, origin));
+                self.applied.insert(
+                    origin,
+                    Applied {
+                        at: self.now,
+                        event,
+                    },
+                );
+                self.fading
+                    .push_back((self.now + self.bounds.remembered, origin));
             }
             (Some((at, by)), Effect::Binding) => {
                 let said = format!(
@@ -31,13 +41,20 @@
     }
 
     pub(super) fn tipped(&mut self, lane: u32, load: &[(u32, f64)]) {
-        let Some(saw) = self.saw_failure.get(&lane) else { return };
+        let Some(saw) = self.saw_failure.get(&lane) else {
+            return;
+        };
         let total: f64 = load.iter().map(|(_, weight)| weight).sum();
-        let knowing: f64 = load.iter().filter(|(who, _)| saw.contains(who)).map(|(_, weight)| weight).sum();
+        let knowing: f64 = load
+            .iter()
+            .filter(|(who, _)| saw.contains(who))
+            .map(|(_, weight)| weight)
+            .sum();
         if total > 0.0 && knowing >= self.bounds.knowing_share * total {
             let share = 100.0 * knowing / total;
-            let said =
-                format!("lane {lane} was pushed over; {share:.0}% of the load came from those that knew");
+            let said = format!(
+                "lane {lane} was pushed over; {share:.0}% of the load came from those that knew"
+            );
             self.breach(Rule::NotPushedOver, said);
         }
     }
--- a/forwarder/invariants/src/checker/fleet.rs
+++ b/forwarder/invariants/src/checker/fleet.rs
@@ -6,7 +6,9 @@
 impl Checker {
     /// Its client heard no answer and owes itself the next step. The event holds back no other of its key.
     pub(super) fn not_promised(&mut self, event: u64) {
-        let Some(owed) = self.owed.get_mut(&event) else { return };
+        let Some(owed) = self.owed.get_mut(&event) else {
+            return;
+        };
         owed.unpromised = true;
         let place = owed.key.map(|key| (owed.forwarder, key));
         if let Some(line) = place.and_then(|place| self.lines.get_mut(&place)) {
@@ -20,7 +22,13 @@
     }
 
     pub(super) fn opened(&mut self, forwarder: u32, target: u32) {
-        *self.doors.entry(target).or_default().open.entry(forwarder).or_default() += 1;
+        *self
+            .doors
+            .entry(target)
+            .or_default()
+            .open
+            .entry(forwarder)
+            .or_default() += 1;
         self.within_budget(target);
     }
 
@@ -39,7 +47,9 @@
     }
 
     fn within_budget(&mut self, target: u32) {
-        let Some(door) = self.doors.get(&target) else { return };
+        let Some(door) = self.doors.get(&target) else {
+            return;
+        };
         let open: u32 = door.open.values().sum();
         if let Some(most) = door.most.filter(|most| open > *most) {
             self.breach(
@@ -63,8 +73,9 @@
         let before = by.len();
         by.retain(|&server| server != forwarder);
         if by.len() == before {
-            let said =
-                format!("forwarder {forwarder} stopped to serve subscriber {subscriber}, which it did not");
+            let said = format!(
+                "forwarder {forwarder} stopped to serve subscriber {subscriber}, which it did not"
+            );
             self.breach(Rule::OneServer, said);
         }
     }
@@ -73,18 +84,30 @@
     /// without an end, whatever its patience, and each subscriber has its server.
     pub fn all_over(&mut self, now: Ms) {
         self.now = self.now.max(now);
-        let promised = self.owed.iter().filter(|(_, owed)| !owed.ended && !owed.unpromised);
+        let promised = self
+            .owed
+            .iter()
+            .filter(|(_, owed)| !owed.ended && !owed.unpromised);
         let mut lost: Vec<u64> = promised.map(|(&event, _)| event).collect();
         lost.sort_unstable();
         for event in lost {
             let by = self.owed[&event].forwarder;
-            self.breach(Rule::NothingLost, format!("event {event}, promised by forwarder {by}, has no end"));
+            self.breach(
+                Rule::NothingLost,
+                format!("event {event}, promised by forwarder {by}, has no end"),
+            );
         }
-        let alone = self.served.iter().filter(|(_, served)| served.by.is_empty());
+        let alone = self
+            .served
+            .iter()
+            .filter(|(_, served)| served.by.is_empty());
         let mut alone: Vec<u32> = alone.map(|(&subscriber, _)| subscriber).collect();
         alone.sort_unstable();
         for subscriber in alone {
-            self.breach(Rule::OneServer, format!("subscriber {subscriber} is served by nobody"));
+            self.breach(
+                Rule::OneServer,
+                format!("subscriber {subscriber} is served by nobody"),
+            );
         }
     }
 }
--- a/forwarder/invariants/src/checker/taking.rs
+++ b/forwarder/invariants/src/checker/taking.rs
@@ -15,7 +15,11 @@
     ) {
         self.taken += 1;
         if let Some(key) = key {
-            self.lines.entry((forwarder, key)).or_default().queue.push_back(event);
+            self.lines
+                .entry((forwarder, key))
+                .or_default()
+                .queue
+                .push_back(event);
         }
         let owed = Owed {
             forwarder,
@@ -37,7 +41,10 @@
     pub(super) fn ended(&mut self, event: u64, end: End, by_notice: bool) {
         let (now, rounding) = (self.now, self.bounds.rounding);
         let Some(owed) = self.owed.get(&event) else {
-            return self.breach(Rule::OneEnd, format!("event {event} ended, but is not owed"));
+            return self.breach(
+                Rule::OneEnd,
+                format!("event {event} ended, but is not owed"),
+            );
         };
         if owed.ended {
             return self.breach(Rule::OneEnd, format!("event {event} ended a second time"));
@@ -45,13 +52,28 @@
         let (effect, ran, ends) = (owed.effect, owed.may_have_run.is_some(), owed.patience_ends);
         let late = now > ends + rounding && !owed.unpromised;
         if late && !self.excused(owed.forwarder, ends) {
-            self.breach(Rule::OneEnd, format!("event {event} ended {:.1} ms after its patience", now - ends));
+            self.breach(
+                Rule::OneEnd,
+                format!(
+                    "event {event} ended {:.1} ms after its patience",
+                    now - ends
+                ),
+            );
         }
         // Its client may hand it in again: only where that does no harm.
-        let bound =
-            effect == Effect::Binding || matches!(effect, Effect::Fingerprinted { one_group: true, .. });
+        let bound = effect == Effect::Binding
+            || matches!(
+                effect,
+                Effect::Fingerprinted {
+                    one_group: true,
+                    ..
+                }
+            );
         if end == End::Dismissed && ran && bound {
-            self.breach(Rule::NoEffectTwice, format!("event {event} may have run and was dismissed"));
+            self.breach(
+                Rule::NoEffectTwice,
+                format!("event {event} may have run and was dismissed"),
+            );
         }
         self.ends += 1;
         let owed = self.owed.get_mut(&event).expect("seen");
@@ -61,8 +83,12 @@
 
     /// The forwarder could not act when the patience ended, and has not had the time to since.
     pub(super) fn excused(&self, forwarder: u32, patience_ends: Ms) -> bool {
-        let Some(it) = self.forwarders.get(&forwarder) else { return false };
-        let Some((resumed, halted)) = it.pause else { return false };
+        let Some(it) = self.forwarders.get(&forwarder) else {
+            return false;
+        };
+        let Some((resumed, halted)) = it.pause else {
+            return false;
+        };
         if let Some(within) = self.bounds.heir_within {
             let heir_has_it = halted.max(patience_ends) + within;
             let has_it_back = resumed + self.bounds.after_halt;
@@ -86,7 +112,9 @@
     }
 
     pub(super) fn forget_if_over(&mut self, event: u64) {
-        let Some(owed) = self.owed.get(&event) else { return };
+        let Some(owed) = self.owed.get(&event) else {
+            return;
+        };
         if !owed.ended || owed.unheard || owed.out {
             return;
         }
--- a/forwarder/invariants/tests/planted.rs
+++ b/forwarder/invariants/tests/planted.rs
@@ -4,10 +4,16 @@
 use rstest::rstest;
 
 const BINDING: Effect = Effect::Binding;
-const FINGERPRINTED: Effect = Effect::Fingerprinted { window: 1000.0, one_group: true };
+const FINGERPRINTED: Effect = Effect::Fingerprinted {
+    window: 1000.0,
+    one_group: true,
+};
 
 fn bounds() -> Bounds {
-    Bounds { key_rest: 300.0, ..Bounds::default() }
+    Bounds {
+        key_rest: 300.0,
+        ..Bounds::default()
+    }
 }
 
 fn taken(event: u64, effect: Effect, key: Option<u64>) -> Fact {
@@ -15,7 +21,14 @@
 }
 
 fn taken_until(patience_ends: Ms, event: u64, effect: Effect, key: Option<u64>) -> Fact {
-    Fact::Taken { forwarder: 1, event, origin: event, effect, key, patience_ends }
+    Fact::Taken {
+        forwarder: 1,
+        event,
+        origin: event,
+        effect,
+        key,
+        patience_ends,
+    }
 }
 
 fn sent(event: u64) -> Fact {
@@ -23,19 +36,40 @@
 }
 
 fn sent_to(event: u64, target: u32, group: u32) -> Fact {
-    Fact::Sent { forwarder: 1, event, target, group, lane: 1 }
+    Fact::Sent {
+        forwarder: 1,
+        event,
+        target,
+        group,
+        lane: 1,
+    }
 }
 
 fn sent_by(forwarder: u32, event: u64) -> Fact {
-    Fact::Sent { forwarder, event, target: 1, group: 1, lane: 1 }
+    Fact::Sent {
+        forwarder,
+        event,
+        target: 1,
+        group: 1,
+        lane: 1,
+    }
 }
 
 fn over(event: u64, cut: Cut) -> Fact {
-    Fact::SendOver { forwarder: 1, event, cut }
+    Fact::SendOver {
+        forwarder: 1,
+        event,
+        cut,
+    }
 }
 
 fn ended(event: u64, end: End) -> Fact {
-    Fact::Ended { forwarder: 1, event, end, by_notice: false }
+    Fact::Ended {
+        forwarder: 1,
+        event,
+        end,
+        by_notice: false,
+    }
 }
 
 /// What breaks when the facts are told in turn, 100 ms apart.
@@ -44,19 +78,36 @@
     for (at, fact) in facts.into_iter().enumerate() {
         checker.tell(100.0 * at as f64, fact);
     }
-    checker.breaches().iter().map(|breach| breach.rule).collect()
+    checker
+        .breaches()
+        .iter()
+        .map(|breach| breach.rule)
+        .collect()
 }
 
 #[rstest]
 fn a_clean_run_breaks_nothing_and_leaves_nothing_behind() {
-    let mut checker = Checker::new(Bounds { remembered: 1000.0, ..bounds() });
+    let mut checker = Checker::new(Bounds {
+        remembered: 1000.0,
+        ..bounds()
+    });
     for event in 0..50 {
         let at = 1000.0 * event as f64;
-        checker.tell(at, taken_until(at + 900.0, event, FINGERPRINTED, Some(event % 3)));
+        checker.tell(
+            at,
+            taken_until(at + 900.0, event, FINGERPRINTED, Some(event % 3)),
+        );
         checker.tell(at + 1.0, sent(event));
         checker.tell(at + 2.0, over(event, Cut::Short));
         checker.tell(at + 400.0, sent(event));
-        checker.tell(at + 402.0, Fact::Applied { event, origin: event, effect: FINGERPRINTED });
+        checker.tell(
+            at + 402.0,
+            Fact::Applied {
+                event,
+                origin: event,
+                effect: FINGERPRINTED,
+            },
+        );
         checker.tell(at + 403.0, over(event, Cut::Delivered));
         checker.tell(at + 403.0, ended(event, End::Completed));
     }
@@ -121,7 +172,11 @@
 #[case::after_the_window(FINGERPRINTED, 1200.0, 1)]
 #[case::inside_the_window(FINGERPRINTED, 900.0, 0)]
 #[case::without_a_window(Effect::Retriable, 5000.0, 0)]
-fn a_fingerprint_holds_for_its_window(#[case] effect: Effect, #[case] again: Ms, #[case] breaches: usize) {
+fn a_fingerprint_holds_for_its_window(
+    #[case] effect: Effect,
+    #[case] again: Ms,
+    #[case] breaches: usize,
+) {
     let mut checker = Checker::new(bounds());
     checker.tell(0.0, taken(1, effect, None));
     checker.tell(0.0, sent(1));
@@ -140,7 +195,9 @@
 fn an_event_without_an_end_is_found(#[case] facts: Vec<(Ms, Fact)>, #[case] breaches: usize) {
     let mut checker = Checker::new(bounds());
     checker.tell(0.0, taken(1, Effect::Retriable, None));
-    facts.into_iter().for_each(|(at, fact)| checker.tell(at, fact));
+    facts
+        .into_iter()
+        .for_each(|(at, fact)| checker.tell(at, fact));
     checker.finish(14_000.0);
     assert_eq!(checker.breaches().len(), breaches);
 }
@@ -203,11 +260,18 @@
 #[case::served_by_nobody(vec![
     Fact::Serves { forwarder: 1, subscriber: 4 }, Fact::ServesNoMore { forwarder: 1, subscriber: 4 },
 ], &[Rule::OneServer])]
-fn once_all_works_again_all_that_was_promised_has_its_end(#[case] facts: Vec<Fact>, #[case] broken: &[Rule]) {
+fn once_all_works_again_all_that_was_promised_has_its_end(
+    #[case] facts: Vec<Fact>,
+    #[case] broken: &[Rule],
+) {
     let mut checker = Checker::new(bounds());
     facts.into_iter().for_each(|fact| checker.tell(0.0, fact));
     checker.all_over(100.0);
-    let rules: Vec<Rule> = checker.breaches().iter().map(|breach| breach.rule).collect();
+    let rules: Vec<Rule> = checker
+        .breaches()
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
     assert_eq!(rules, broken);
 }
 
@@ -221,7 +285,10 @@
     #[case] ends: Ms,
     #[case] breaches: usize,
 ) {
-    let mut checker = Checker::new(Bounds { heir_within, ..bounds() });
+    let mut checker = Checker::new(Bounds {
+        heir_within,
+        ..bounds()
+    });
     checker.tell(0.0, taken(1, Effect::Retriable, None));
     checker.tell(9_500.0, Fact::Halted { forwarder: 1 });
     checker.tell(ends, ended(1, End::WrittenOff));
--- a/forwarder/process-tests/examples/broadcasts.rs
+++ b/forwarder/process-tests/examples/broadcasts.rs
@@ -13,7 +13,9 @@
 const FIRST: usize = 100;
 
 fn main() {
-    let each = std::env::args().nth(1).map_or(50, |ms| ms.parse().expect("milliseconds"));
+    let each = std::env::args()
+        .nth(1)
+        .map_or(50, |ms| ms.parse().expect("milliseconds"));
     let world = World::broadcasting(3);
     world.set_targets(Manner::Answers(Duration::from_millis(5)));
     let mut taken = HashMap::new();
@@ -33,7 +35,11 @@
         match seen {
             Seen::Began { call, event, .. } => drop(calls.insert(call, event)),
             Seen::Replied { call, status: 200 } => {
-                let broadcast = ids[&calls[&call]].split('~').next().unwrap_or_default().to_owned();
+                let broadcast = ids[&calls[&call]]
+                    .split('~')
+                    .next()
+                    .unwrap_or_default()
+                    .to_owned();
                 last.insert(broadcast, at);
             }
             _ => (),
--- a/forwarder/process-tests/src/book.rs
+++ b/forwarder/process-tests/src/book.rs
@@ -96,7 +96,10 @@
 
 impl Default for Book {
     fn default() -> Self {
-        Book { began: Instant::now(), seen: Arc::default() }
+        Book {
+            began: Instant::now(),
+            seen: Arc::default(),
+        }
     }
 }
 
@@ -110,7 +113,9 @@
     }
 
     fn pages(&self) -> MutexGuard<'_, Pages> {
-        self.seen.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.seen
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// Read under the lock, so that the order of what is seen is the order of its times.
@@ -147,11 +152,19 @@
 
     /// The ids by their numbers.
     pub fn ids(&self) -> HashMap<u64, String> {
-        self.pages().names.iter().map(|(id, number)| (*number, id.clone())).collect()
+        self.pages()
+            .names
+            .iter()
+            .map(|(id, number)| (*number, id.clone()))
+            .collect()
     }
 
     pub fn count(&self, is: impl Fn(&Seen) -> bool) -> usize {
-        self.pages().seen.iter().filter(|(_, seen)| is(seen)).count()
+        self.pages()
+            .seen
+            .iter()
+            .filter(|(_, seen)| is(seen))
+            .count()
     }
 
     /// How often a call with that event came whole, from whichever instance.
@@ -162,14 +175,20 @@
             let of = |seen: &Seen| matches!(seen, Seen::Began { call: c, event, .. } if *c == call && *event == number);
             pages.seen.iter().any(|(_, seen)| of(seen))
         };
-        pages.seen.iter().filter(|(_, seen)| matches!(seen, Seen::Whole { call } if began(*call))).count()
+        pages
+            .seen
+            .iter()
+            .filter(|(_, seen)| matches!(seen, Seen::Whole { call } if began(*call)))
+            .count()
     }
 
     /// When the first byte of each call with the event came, and how long its forwarder waits for the answer.
     pub fn calls(&self, id: &str) -> Vec<(Ms, Ms)> {
         let number = self.event(id);
         let of = |(at, seen): (Ms, Seen)| match seen {
-            Seen::Began { event, time_out, .. } if event == number => Some((at, time_out)),
+            Seen::Began {
+                event, time_out, ..
+            } if event == number => Some((at, time_out)),
             _ => None,
         };
         self.all().into_iter().filter_map(of).collect()
@@ -198,7 +217,11 @@
                 _ => (),
             }
         }
-        let is_delivered = |event: &u64| last_call.get(event).is_some_and(|call| delivered.contains(call));
+        let is_delivered = |event: &u64| {
+            last_call
+                .get(event)
+                .is_some_and(|call| delivered.contains(call))
+        };
         open.retain(|event| !noticed.contains(event) && !is_delivered(event));
         open
     }
--- a/forwarder/process-tests/src/broadcasts.rs
+++ b/forwarder/process-tests/src/broadcasts.rs
@@ -57,7 +57,9 @@
         let mut stream = TcpStream::connect_timeout(&self.address(instance), waits).ok()?;
         stream.set_read_timeout(Some(waits)).ok()?;
         stream.write_all(request.as_bytes()).ok()?;
-        http::read(&mut BufReader::new(stream)).ok().map(|answer| answer.status())
+        http::read(&mut BufReader::new(stream))
+            .ok()
+            .map(|answer| answer.status())
     }
 
     /// What became of the broadcast's copies, by destination.
@@ -74,20 +76,32 @@
                     copies.entry(ids[event].clone()).or_default().sends += 1;
                 }
                 Seen::Replied { call, status: 200 } => {
-                    copies.entry(ids[&calls[call]].clone()).or_default().delivered += 1;
+                    copies
+                        .entry(ids[&calls[call]].clone())
+                        .or_default()
+                        .delivered += 1;
+                }
+                Seen::Notice { event, .. } => {
+                    copies.entry(ids[event].clone()).or_default().noticed += 1
                 }
-                Seen::Notice { event, .. } => copies.entry(ids[event].clone()).or_default().noticed += 1,
                 _ => (),
             }
         }
-        let of = |destination: usize| copies.get(&format!("{id}~{destination}")).copied().unwrap_or_default();
+        let of = |destination: usize| {
+            copies
+                .get(&format!("{id}~{destination}"))
+                .copied()
+                .unwrap_or_default()
+        };
         (1..=self.targets.len()).map(of).collect()
     }
 
     /// Returns once each copy of it was delivered or told as not delivered.
     pub fn until_ended(&self, id: &str) {
         until(&format!("all copies of {id} have an end"), || {
-            self.copies(id).iter().all(|copy| copy.delivered + copy.noticed > 0)
+            self.copies(id)
+                .iter()
+                .all(|copy| copy.delivered + copy.noticed > 0)
         });
     }
 }
--- a/forwarder/process-tests/src/clients.rs
+++ b/forwarder/process-tests/src/clients.rs
@@ -25,10 +25,21 @@
 impl Handed {
     pub fn new(id: &str, effect: Effect) -> Handed {
         let (patience, waits) = (Duration::from_secs(60), Duration::from_secs(20));
-        Handed { id: id.into(), origin: id.into(), effect, key: None, patience, waits, body: 4 }
+        Handed {
+            id: id.into(),
+            origin: id.into(),
+            effect,
+            key: None,
+            patience,
+            waits,
+            body: 4,
+        }
     }
     pub fn key(self, key: u64) -> Handed {
-        Handed { key: Some(key), ..self }
+        Handed {
+            key: Some(key),
+            ..self
+        }
     }
     pub fn waits(self, waits: Duration) -> Handed {
         Handed { waits, ..self }
@@ -38,7 +49,10 @@
     }
     /// The same thing again, under an id of its own.
     pub fn again(&self, id: &str) -> Handed {
-        Handed { id: id.into(), ..self.clone() }
+        Handed {
+            id: id.into(),
+            ..self.clone()
+        }
     }
 
     /// Ordered by key and unordered traffic types are told apart.
@@ -54,7 +68,9 @@
     }
 
     fn request(&self) -> Vec<u8> {
-        let key = self.key.map_or(String::new(), |key| format!("Cookie: about={key:x}\r\n"));
+        let key = self
+            .key
+            .map_or(String::new(), |key| format!("Cookie: about={key:x}\r\n"));
         let head = format!(
             "POST /{} HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {}\r\nReq-Deadline: {}\r\nX-Envelope: dest=1\r\n\
              Idempotency-Key: f-{}\r\n{key}Content-Length: {}\r\n\r\n",
@@ -85,9 +101,21 @@
 /// Hands it in to the instance that is reached at `to`.
 pub fn hand_in(book: &Book, instance: usize, to: SocketAddr, handed: &Handed) -> Answer {
     let (event, origin) = (book.event(&handed.id), book.event(&handed.origin));
-    let Handed { effect, key, patience, .. } = *handed;
+    let Handed {
+        effect,
+        key,
+        patience,
+        ..
+    } = *handed;
     let patience = patience.as_secs_f64() * 1000.0;
-    book.note(Seen::Asked { instance, event, origin, effect, key, patience });
+    book.note(Seen::Asked {
+        instance,
+        event,
+        origin,
+        effect,
+        key,
+        patience,
+    });
     let status = exchange(to, handed);
     book.note(match status {
         Some(status) => Seen::Answered { event, status },
@@ -105,7 +133,9 @@
     let mut stream = TcpStream::connect_timeout(&to, handed.waits).ok()?;
     stream.set_read_timeout(Some(handed.waits)).ok()?;
     stream.write_all(&handed.request()).ok()?;
-    http::read(&mut BufReader::new(stream)).ok().map(|answer| answer.status())
+    http::read(&mut BufReader::new(stream))
+        .ok()
+        .map(|answer| answer.status())
 }
 
 /// The status of a `GET` there, if it is answered.
@@ -113,6 +143,10 @@
     let waits = Duration::from_secs(5);
     let mut stream = TcpStream::connect_timeout(&to, waits).ok()?;
     stream.set_read_timeout(Some(waits)).ok()?;
-    stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).ok()?;
-    http::read(&mut BufReader::new(stream)).ok().map(|answer| answer.status())
+    stream
+        .write_all(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
+        .ok()?;
+    http::read(&mut BufReader::new(stream))
+        .ok()
+        .map(|answer| answer.status())
 }
--- a/forwarder/process-tests/src/copies.rs
+++ b/forwarder/process-tests/src/copies.rs
@@ -18,7 +18,9 @@
         world.start_all();
         (0..instances).for_each(|instance| world.until_takes(instance));
         // A forwarder that saw a target refuse waits long before it tries again.
-        until("what was handed in for that is over", || world.book.open().is_empty());
+        until("what was handed in for that is over", || {
+            world.book.open().is_empty()
+        });
         world
     }
 
@@ -37,7 +39,9 @@
     /// The lines in which an instance says that it owns another's record now.
     pub fn adoptions(&self, instance: usize) -> usize {
         let log = self.process(instance).log();
-        log.lines().filter(|line| line.contains(LEADS) && line.contains(OF_ANOTHER)).count()
+        log.lines()
+            .filter(|line| line.contains(LEADS) && line.contains(OF_ANOTHER))
+            .count()
     }
 
     /// Returns once an instance owns a record that was `lost`'s, and which one it is. `before`: the adoptions
@@ -46,7 +50,9 @@
         let mut heir = None;
         until(&format!("n{lost} has an heir"), || {
             let others = (0..self.instances.len()).filter(|other| *other != lost);
-            heir = others.into_iter().find(|other| self.adoptions(*other) > before[*other]);
+            heir = others
+                .into_iter()
+                .find(|other| self.adoptions(*other) > before[*other]);
             heir.is_some()
         });
         heir.expect("seen")
@@ -55,29 +61,39 @@
     /// Returns once the heir has said that all who keep the record which it adopted last know of it: others in
     /// place of the lost ones among them.
     pub fn until_copied(&self, heir: usize) {
-        until(&format!("what n{heir} adopted has its keepers again"), || {
-            let log = self.process(heir).log();
-            let mut lines = log.lines().rev();
-            let mut copied = Vec::new();
-            let adopted = lines.find(|line| {
-                copied.extend(line.contains(COPIED).then(|| line.to_string()));
-                line.contains(LEADS) && line.contains(OF_ANOTHER)
-            });
-            let group = adopted.and_then(|line| line.split("group: ").nth(1)?.split(',').next());
-            let group = group.expect("an heir names the group").replace('/', "-");
-            copied.iter().any(|line| line.contains(&group))
-        });
+        until(
+            &format!("what n{heir} adopted has its keepers again"),
+            || {
+                let log = self.process(heir).log();
+                let mut lines = log.lines().rev();
+                let mut copied = Vec::new();
+                let adopted = lines.find(|line| {
+                    copied.extend(line.contains(COPIED).then(|| line.to_string()));
+                    line.contains(LEADS) && line.contains(OF_ANOTHER)
+                });
+                let group =
+                    adopted.and_then(|line| line.split("group: ").nth(1)?.split(',').next());
+                let group = group.expect("an heir names the group").replace('/', "-");
+                copied.iter().any(|line| line.contains(&group))
+            },
+        );
     }
 
     /// How often each instance has said that the record of its own is kept by others.
     pub fn own_copies(&self) -> Vec<usize> {
         let of = |instance: usize| {
             let log = self.process(instance).log();
-            let incarnation = log.rsplit("incarnation: ").next().and_then(|rest| rest.split(',').next());
-            let founder: u64 =
-                incarnation.and_then(|digits| digits.parse().ok()).expect("logged at the start");
+            let incarnation = log
+                .rsplit("incarnation: ")
+                .next()
+                .and_then(|rest| rest.split(',').next());
+            let founder: u64 = incarnation
+                .and_then(|digits| digits.parse().ok())
+                .expect("logged at the start");
             let own = format!("group: {founder:016x}-");
-            log.lines().filter(|line| line.contains(COPIED) && line.contains(&own)).count()
+            log.lines()
+                .filter(|line| line.contains(COPIED) && line.contains(&own))
+                .count()
         };
         (0..self.instances.len()).map(of).collect()
     }
@@ -91,7 +107,9 @@
     }
 
     pub fn all_adoptions(&self) -> Vec<usize> {
-        (0..self.instances.len()).map(|instance| self.adoptions(instance)).collect()
+        (0..self.instances.len())
+            .map(|instance| self.adoptions(instance))
+            .collect()
     }
 
     pub fn set_targets(&self, manner: Manner) {
--- a/forwarder/process-tests/src/discovery.rs
+++ b/forwarder/process-tests/src/discovery.rs
@@ -40,10 +40,22 @@
 impl Discovery {
     /// `targets`: the cell of each, and its address for each instance.
     pub fn new(instances: usize, targets: Vec<(u64, Vec<SocketAddr>)>, book: &Book) -> Discovery {
-        let member = |(cell, addresses)| Member { cell, phase: "up", addresses };
+        let member = |(cell, addresses)| Member {
+            cell,
+            phase: "up",
+            addresses,
+        };
         let members = targets.into_iter().map(member).collect();
-        let state = Mutex::new(State { revision: 41, members, known: vec![0; instances], deaf: false });
-        let agent = Arc::new(Agent { book: book.clone(), state });
+        let state = Mutex::new(State {
+            revision: 41,
+            members,
+            known: vec![0; instances],
+            deaf: false,
+        });
+        let agent = Arc::new(Agent {
+            book: book.clone(),
+            state,
+        });
         let door = |instance| {
             let agent = agent.clone();
             Door::open(move |stream| agent.serve(stream, instance))
@@ -91,13 +103,17 @@
 
 impl Agent {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     fn serve(&self, stream: TcpStream, instance: usize) {
         let mut from = BufReader::new(stream);
         while http::begins(&mut from) {
-            let Ok(message) = http::read(&mut from) else { return };
+            let Ok(message) = http::read(&mut from) else {
+                return;
+            };
             let (status, body) = match message.is("POST /status ") {
                 true => (self.notices(&message), String::new()),
                 false => match self.watch(&message, from.get_ref(), instance) {
@@ -118,7 +134,10 @@
         for line in String::from_utf8_lossy(&message.body).lines() {
             let notice: Value = serde_json::from_str(line).expect("one JSON value a line");
             let event = self.book.event(notice["message"].as_str().expect("an id"));
-            self.book.note(Seen::Notice { event, given_up: notice["outcome"] == "given_up" });
+            self.book.note(Seen::Notice {
+                event,
+                given_up: notice["outcome"] == "given_up",
+            });
         }
         204
     }
@@ -128,7 +147,9 @@
         let path = message.head.split(' ').nth(1).unwrap_or_default();
         let asked = |name: &str| -> Option<u64> {
             let fields = path.split(['?', '&']);
-            fields.filter_map(|field| field.strip_prefix(name)?.strip_prefix('=')?.parse().ok()).next()
+            fields
+                .filter_map(|field| field.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+                .next()
         };
         let wait = Duration::from_millis(asked("timeout_ms").unwrap_or(0));
         let (since, by) = (asked("since").unwrap_or(0), Instant::now() + wait);
@@ -141,7 +162,11 @@
         }
         let state = self.state();
         for (target, member) in state.members.iter().enumerate() {
-            self.book.note(Seen::Listed { instance, target, leaves: member.phase != "up" });
+            self.book.note(Seen::Listed {
+                instance,
+                target,
+                leaves: member.phase != "up",
+            });
         }
         Some(state.list(instance))
     }
--- a/forwarder/process-tests/src/http.rs
+++ b/forwarder/process-tests/src/http.rs
@@ -15,9 +15,14 @@
 
 impl Message {
     pub fn field(&self, name: &str) -> Option<&str> {
-        let named =
-            |line: &&str| line.split_once(": ").is_some_and(|(field, _)| field.eq_ignore_ascii_case(name));
-        self.head.lines().find(named).map(|line| &line[name.len() + 2..])
+        let named = |line: &&str| {
+            line.split_once(": ")
+                .is_some_and(|(field, _)| field.eq_ignore_ascii_case(name))
+        };
+        self.head
+            .lines()
+            .find(named)
+            .map(|line| &line[name.len() + 2..])
     }
 
     pub fn is(&self, start: &str) -> bool {
@@ -26,7 +31,10 @@
 
     /// Of an answer.
     pub fn status(&self) -> u16 {
-        self.head.get(9..12).and_then(|digits| digits.parse().ok()).unwrap_or(0)
+        self.head
+            .get(9..12)
+            .and_then(|digits| digits.parse().ok())
+            .unwrap_or(0)
     }
 }
 
@@ -42,15 +50,24 @@
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
-    let mut message = Message { head, body: Vec::new() };
+    let mut message = Message {
+        head,
+        body: Vec::new(),
+    };
     let length = message.field("Content-Length").map_or(Ok(0), str::parse);
-    message.body.resize(length.map_err(|_| io::ErrorKind::InvalidData)?, 0);
+    message
+        .body
+        .resize(length.map_err(|_| io::ErrorKind::InvalidData)?, 0);
     from.read_exact(&mut message.body)?;
     Ok(message)
 }
 
 pub fn answer(to: &mut impl Write, status: u16, more: &str, body: &str) -> io::Result<()> {
-    let length = if status == 204 { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    let length = if status == 204 {
+        String::new()
+    } else {
+        format!("Content-Length: {}\r\n", body.len())
+    };
     to.write_all(format!("HTTP/1.1 {status} So\r\n{more}{length}\r\n{body}").as_bytes())
 }
 
@@ -77,7 +94,10 @@
     pub fn open(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> Door {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (over, open) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+        let (over, open) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Mutex::new(Vec::new())),
+        );
         let (ends, kept, serve) = (over.clone(), open.clone(), Arc::new(serve));
         thread::spawn(move || {
             for stream in listener.incoming() {
@@ -86,7 +106,9 @@
                 }
                 let Ok(stream) = stream else { continue };
                 let _ = stream.set_nodelay(true);
-                let Ok(other) = stream.try_clone() else { continue };
+                let Ok(other) = stream.try_clone() else {
+                    continue;
+                };
                 let held = Arc::new(other);
                 {
                     let mut all = kept.lock().unwrap();
@@ -100,7 +122,11 @@
                 });
             }
         });
-        Door { address, over, open }
+        Door {
+            address,
+            over,
+            open,
+        }
     }
 }
 
@@ -108,7 +134,13 @@
     fn drop(&mut self) {
         self.over.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_secs(1));
-        for stream in self.open.lock().unwrap_or_else(|e| e.into_inner()).iter().filter_map(Weak::upgrade) {
+        for stream in self
+            .open
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .iter()
+            .filter_map(Weak::upgrade)
+        {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
--- a/forwarder/process-tests/src/load.rs
+++ b/forwarder/process-tests/src/load.rs
@@ -25,9 +25,13 @@
 
 impl Load {
     pub(crate) fn start(book: &Book, all: &[SocketAddr], seed: u64, number: usize) -> Load {
-        let (stop, taken) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (stop, taken) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicUsize::new(0)),
+        );
         let client = |client: usize| {
-            let (stop, taken, book, all) = (stop.clone(), taken.clone(), book.clone(), all.to_vec());
+            let (stop, taken, book, all) =
+                (stop.clone(), taken.clone(), book.clone(), all.to_vec());
             thread::spawn(move || {
                 let mut chance = ChaCha8Rng::seed_from_u64(seed + client as u64);
                 // One instance for each client, as its keys' order is kept there.
@@ -40,7 +44,11 @@
                         [chance.random_range(0..3)];
                     let handed = Handed::new(&format!("c{client}-{number}"), effect);
                     let handed = handed.waits(Duration::from_secs(1));
-                    let handed = if chance.random() { handed.key(client as u64) } else { handed };
+                    let handed = if chance.random() {
+                        handed.key(client as u64)
+                    } else {
+                        handed
+                    };
                     match clients::hand_in(&book, instance, all[instance], &handed) {
                         Answer::Taken => drop(taken.fetch_add(1, Ordering::SeqCst)),
                         _ => thread::sleep(Duration::from_millis(20)),
@@ -50,13 +58,19 @@
             })
         };
         let clients = (0..number).map(client).collect();
-        Load { stop, taken, clients }
+        Load {
+            stop,
+            taken,
+            clients,
+        }
     }
 
     /// Returns once so many more were promised.
     pub fn until_taken(&self, more: usize) {
         let before = self.taken.load(Ordering::SeqCst);
-        until("events are taken on", || self.taken.load(Ordering::SeqCst) >= before + more);
+        until("events are taken on", || {
+            self.taken.load(Ordering::SeqCst) >= before + more
+        });
     }
 
     pub fn stop(self) {
--- a/forwarder/process-tests/src/process.rs
+++ b/forwarder/process-tests/src/process.rs
@@ -74,9 +74,17 @@
         *self.silent_since.lock().unwrap() = None;
         // A write past a limit on files is to fail, not to end the process.
         let mut command = Command::new("sh");
-        command.args(["-c", "trap '' XFSZ; exec \"$0\""]).arg(program::path());
-        command.env("PROXY_STATE", self.state()).envs(self.variables.iter().map(|(k, v)| (*k, v)));
-        let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("starts");
+        command
+            .args(["-c", "trap '' XFSZ; exec \"$0\""])
+            .arg(program::path());
+        command
+            .env("PROXY_STATE", self.state())
+            .envs(self.variables.iter().map(|(k, v)| (*k, v)));
+        let mut child = command
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("starts");
         self.follow(child.stdout.take().expect("piped"));
         self.follow(child.stderr.take().expect("piped"));
         child
@@ -95,7 +103,10 @@
     }
 
     pub fn log(&self) -> String {
-        self.log.lock().unwrap_or_else(|broken| broken.into_inner()).clone()
+        self.log
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
+            .clone()
     }
 
     pub fn said(&self, what: &str) -> usize {
@@ -104,7 +115,9 @@
 
     /// Returns once the line was logged more often than `before`.
     pub fn until_said(&self, what: &str, before: usize) {
-        until(&format!("{} says {what:?}", self.name), || self.said(what) > before);
+        until(&format!("{} says {what:?}", self.name), || {
+            self.said(what) > before
+        });
     }
 
     pub fn runs(&self) -> bool {
@@ -123,7 +136,9 @@
     pub fn stop(&self) {
         self.signal(Signal::STOP);
         let stat = format!("/proc/{}/stat", self.pid().as_raw_nonzero());
-        until("it stands still", || std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T ")));
+        until("it stands still", || {
+            std::fs::read_to_string(&stat).is_ok_and(|stat| stat.contains(") T "))
+        });
     }
 
     pub fn wake(&self) {
@@ -138,7 +153,10 @@
     /// When the kernel ended it, if it did and no story: a machine that is too busy lets a process stand still.
     pub fn ended_by_kernel(&mut self) -> Option<Instant> {
         let child = self.child.as_mut()?;
-        child.try_wait().expect("ours").filter(|status| status.signal() == Some(9))?;
+        child
+            .try_wait()
+            .expect("ours")
+            .filter(|status| status.signal() == Some(9))?;
         self.child = None;
         let mut since = None;
         until("its log ends", || {
@@ -150,7 +168,10 @@
 
     /// Whether it has ended; one that the kernel ended does not.
     pub fn has_ended(&mut self) -> bool {
-        let ended = self.child.as_mut().is_none_or(|child| child.try_wait().expect("ours").is_some());
+        let ended = self
+            .child
+            .as_mut()
+            .is_none_or(|child| child.try_wait().expect("ours").is_some());
         if ended {
             self.child = None;
         }
@@ -170,7 +191,10 @@
 
     /// Files that it writes can't grow past so many bytes; `None`: as they like.
     pub fn limit_files(&self, most: Option<u64>) {
-        let limit = Rlimit { current: most, maximum: None };
+        let limit = Rlimit {
+            current: most,
+            maximum: None,
+        };
         prlimit(Some(self.pid()), Resource::Fsize, limit).expect("it is ours");
     }
 
@@ -200,7 +224,9 @@
 impl Elder {
     /// Returns once it has ended by itself.
     pub fn waited(mut self) {
-        until("the earlier process ends", || self.0.try_wait().expect("ours").is_some());
+        until("the earlier process ends", || {
+            self.0.try_wait().expect("ours").is_some()
+        });
     }
 }
 
@@ -214,7 +240,10 @@
 fn copy_all(from: &Path, to: &Path) {
     for entry in std::fs::read_dir(from).expect("there") {
         let entry = entry.expect("read");
-        let (kind, to) = (entry.file_type().expect("known"), to.join(entry.file_name()));
+        let (kind, to) = (
+            entry.file_type().expect("known"),
+            to.join(entry.file_name()),
+        );
         if kind.is_dir() {
             std::fs::create_dir(&to).expect("made");
             copy_all(&entry.path(), &to);
--- a/forwarder/process-tests/src/program.rs
+++ b/forwarder/process-tests/src/program.rs
@@ -14,15 +14,35 @@
             return named.into();
         }
         let story = std::env::current_exe().expect("runs from a file");
-        let profile = story.parent().and_then(Path::parent).expect("target/PROFILE/deps/STORY");
+        let profile = story
+            .parent()
+            .and_then(Path::parent)
+            .expect("target/PROFILE/deps/STORY");
         let target = profile.parent().expect("target/PROFILE");
         let mut build = Command::new(std::env::var_os("CARGO").unwrap_or("cargo".into()));
-        build.args(["build", "--locked", "--quiet", "-p", NAME, "--bin", NAME, "--target-dir"]).arg(target);
-        build.args(["--manifest-path", concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml")]);
+        build
+            .args([
+                "build",
+                "--locked",
+                "--quiet",
+                "-p",
+                NAME,
+                "--bin",
+                NAME,
+                "--target-dir",
+            ])
+            .arg(target);
+        build.args([
+            "--manifest-path",
+            concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml"),
+        ]);
         if profile.ends_with("release") {
             build.arg("--release");
         }
-        assert!(build.status().expect("cargo runs").success(), "{NAME} cannot be built");
+        assert!(
+            build.status().expect("cargo runs").success(),
+            "{NAME} cannot be built"
+        );
         profile.join(NAME)
     })
 }
--- a/forwarder/process-tests/src/relay.rs
+++ b/forwarder/process-tests/src/relay.rs
@@ -58,9 +58,18 @@
 
 impl Relay {
     pub fn to(to: SocketAddr) -> Relay {
-        let state =
-            State { ways: [Way::Passes; 2], refuses: false, cuts: [None; 2], over: false, open: Vec::new() };
-        let link = Arc::new(Link { to, state: Mutex::new(state), changed: Condvar::new() });
+        let state = State {
+            ways: [Way::Passes; 2],
+            refuses: false,
+            cuts: [None; 2],
+            over: false,
+            open: Vec::new(),
+        };
+        let link = Arc::new(Link {
+            to,
+            state: Mutex::new(state),
+            changed: Condvar::new(),
+        });
         let of = link.clone();
         let door = Door::open(move |stream| of.clone().carry(stream));
         Relay { link, door }
@@ -98,7 +107,12 @@
     /// Connections that are open are reset; new ones pass.
     pub fn reset(&self) {
         self.change(|state| {
-            state.open.drain(..).flatten().filter_map(|s| s.upgrade()).for_each(|s| reset(&s))
+            state
+                .open
+                .drain(..)
+                .flatten()
+                .filter_map(|s| s.upgrade())
+                .for_each(|s| reset(&s))
         });
     }
 
@@ -137,14 +151,18 @@
 
 impl Link {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// Returns once the direction passes, or `false` at the end.
     fn passes(&self, side: Side) -> bool {
         let silent = |state: &mut State| state.ways[side as usize] == Way::Silent && !state.over;
-        let state =
-            self.changed.wait_while(self.state(), silent).unwrap_or_else(|broken| broken.into_inner());
+        let state = self
+            .changed
+            .wait_while(self.state(), silent)
+            .unwrap_or_else(|broken| broken.into_inner());
         let (way, over) = (state.ways[side as usize], state.over);
         drop(state);
         if let Way::Late(by) = way {
@@ -172,7 +190,9 @@
                 return [&near, &far].into_iter().for_each(|stream| reset(stream));
             }
             state.open.retain(|[near, _]| near.strong_count() > 0);
-            state.open.push([Arc::downgrade(&near), Arc::downgrade(&far)]);
+            state
+                .open
+                .push([Arc::downgrade(&near), Arc::downgrade(&far)]);
         }
         let (link, back) = (self.clone(), [far.clone(), near.clone()]);
         let back = thread::spawn(move || link.pump(Side::Back, &back[0], &back[1]));
--- a/forwarder/process-tests/src/target.rs
+++ b/forwarder/process-tests/src/target.rs
@@ -40,7 +40,12 @@
 impl Target {
     pub fn new(number: usize, instances: usize, book: &Book) -> Target {
         let manner = Mutex::new(Manner::Answers(Duration::ZERO));
-        let desk = Arc::new(Desk { number, book: book.clone(), manner, connections: Mutex::default() });
+        let desk = Arc::new(Desk {
+            number,
+            book: book.clone(),
+            manner,
+            connections: Mutex::default(),
+        });
         let door = |instance| {
             let desk = desk.clone();
             Door::open(move |stream| desk.connected(stream, instance))
@@ -51,9 +56,15 @@
 
     /// The most connections that were open at once, from all instances, idle ones counted.
     pub fn most_open(&self) -> usize {
-        let all = self.desk.connections.lock().unwrap_or_else(|broken| broken.into_inner());
+        let all = self
+            .desk
+            .connections
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner());
         let opened = all.iter().map(|(opened, _)| (*opened, 1));
-        let closed = all.iter().filter_map(|(opened, closed)| Some(((*closed)? - SEEN_LATE).max(*opened)));
+        let closed = all
+            .iter()
+            .filter_map(|(opened, closed)| Some(((*closed)? - SEEN_LATE).max(*opened)));
         let mut changes: Vec<(f64, i32)> = opened.chain(closed.map(|at| (at, -1))).collect();
         changes.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let (mut open, mut most) = (0, 0);
@@ -80,7 +91,11 @@
 
 impl Desk {
     fn connected(&self, stream: TcpStream, instance: usize) {
-        let all = || self.connections.lock().unwrap_or_else(|broken| broken.into_inner());
+        let all = || {
+            self.connections
+                .lock()
+                .unwrap_or_else(|broken| broken.into_inner())
+        };
         let number = {
             let mut all = all();
             all.push((self.book.now(), None));
@@ -95,7 +110,9 @@
         let mut last = None;
         while http::begins(&mut from) {
             let at = self.book.now();
-            let Ok(message) = http::read(&mut from) else { break };
+            let Ok(message) = http::read(&mut from) else {
+                break;
+            };
             let served = match message.is("POST /receive ") {
                 true => {
                     let call = self.book.call();
@@ -109,15 +126,23 @@
             }
         }
         // Whoever gives up a call ends its connection.
-        last.into_iter().for_each(|call| self.book.note(Seen::Gone { call }));
+        last.into_iter()
+            .for_each(|call| self.book.note(Seen::Gone { call }));
     }
 
     fn manner(&self) -> Manner {
-        *self.manner.lock().unwrap_or_else(|broken| broken.into_inner())
+        *self
+            .manner
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     fn ping(&self, from: &mut BufReader<TcpStream>) -> bool {
-        let status = if matches!(self.manner(), Manner::Answers(_)) { 200 } else { 503 };
+        let status = if matches!(self.manner(), Manner::Answers(_)) {
+            200
+        } else {
+            503
+        };
         http::answer(from.get_mut(), status, "", "").is_ok()
     }
 
@@ -130,10 +155,21 @@
         (call, at): (u64, f64),
     ) -> bool {
         let id = message.field("Req-Id").expect("each call has one");
-        let waits = message.field("Req-Deadline").and_then(|seconds| seconds.parse::<f64>().ok());
+        let waits = message
+            .field("Req-Deadline")
+            .and_then(|seconds| seconds.parse::<f64>().ok());
         let event = self.book.event(id);
         let time_out = waits.expect("each call tells how long its forwarder waits") * 1000.0;
-        self.book.note_at(at, Seen::Began { call, instance, event, target: self.number, time_out });
+        self.book.note_at(
+            at,
+            Seen::Began {
+                call,
+                instance,
+                event,
+                target: self.number,
+                time_out,
+            },
+        );
         self.book.note(Seen::Whole { call });
         let mut manner = self.manner();
         let waits = |manner: Manner, at: f64| match manner {
--- a/forwarder/process-tests/src/told.rs
+++ b/forwarder/process-tests/src/told.rs
@@ -23,17 +23,31 @@
 
 impl Default for Told {
     fn default() -> Self {
-        Told { disk_mb: 3.0, room: 400, sends_cap: 12, copies: false, pools: None, fanout: "", kept_mb: 64.0 }
+        Told {
+            disk_mb: 3.0,
+            room: 400,
+            sends_cap: 12,
+            copies: false,
+            pools: None,
+            fanout: "",
+            kept_mb: 64.0,
+        }
     }
 }
 
 impl Told {
     pub fn with_copies() -> Told {
-        Told { copies: true, ..Told::default() }
+        Told {
+            copies: true,
+            ..Told::default()
+        }
     }
 
     pub fn with_lists(fanout: &'static str) -> Told {
-        Told { fanout, ..Told::default() }
+        Told {
+            fanout,
+            ..Told::default()
+        }
     }
 
     /// Whether instances know of each other.
@@ -52,8 +66,15 @@
         // A busy machine may starve a process for longer than the defaults bear.
         text += "[timing]\nheartbeat_ms = 100\nelection_ms = 2500\nstall_ms = 2000\nreplace_ms = 5000\n";
         if !self.fanout.is_empty() {
-            let voters: Vec<String> = (0..addresses.len()).map(|number| format!("\"n{number}\"")).collect();
-            return text + &format!("[control]\nvoters = [{}]\n{}", voters.join(", "), self.fanout);
+            let voters: Vec<String> = (0..addresses.len())
+                .map(|number| format!("\"n{number}\""))
+                .collect();
+            return text
+                + &format!(
+                    "[control]\nvoters = [{}]\n{}",
+                    voters.join(", "),
+                    self.fanout
+                );
         }
         if self.pools.is_some() {
             text += "[control]\nvoters = [\"n0\", \"n1\", \"n2\"]\n[pools]\npolicy = \"pools.policy\"\n";
@@ -61,10 +82,19 @@
         if !self.copies {
             return text;
         }
-        text + &format!("[copies]\nkeepers = 2\nmemory_mb = {0}\ndisk_mb = {0}\n", self.kept_mb)
+        text + &format!(
+            "[copies]\nkeepers = 2\nmemory_mb = {0}\ndisk_mb = {0}\n",
+            self.kept_mb
+        )
     }
 
-    pub fn config(&self, name: &str, listen: SocketAddr, discovery: SocketAddr, known: Value) -> Value {
+    pub fn config(
+        &self,
+        name: &str,
+        listen: SocketAddr,
+        discovery: SocketAddr,
+        known: Value,
+    ) -> Value {
         let traffic = |name: &str, semantics: &str, ordered: bool| {
             json!({"name": name, "semantics": semantics, "aimUs": 1_000_000, "deadlineUs": 60_000_000, "credit": 1,
                 "lateWorth": 0.1, "dedupScope": "all", "windowUs": WINDOW_US, "serialByKey": ordered})
--- a/forwarder/process-tests/src/verdict.rs
+++ b/forwarder/process-tests/src/verdict.rs
@@ -50,14 +50,28 @@
     story.ends(&all, book.now());
     let mut facts = std::mem::take(&mut story.facts);
     facts.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut checker = Checker::new(Bounds { after_halt: LATE, heir_within, ..Bounds::default() });
-    facts.into_iter().for_each(|(at, fact)| checker.tell(at, fact));
+    let mut checker = Checker::new(Bounds {
+        after_halt: LATE,
+        heir_within,
+        ..Bounds::default()
+    });
+    facts
+        .into_iter()
+        .for_each(|(at, fact)| checker.tell(at, fact));
     checker.all_over(book.now());
     let (taken, ended) = checker.books();
-    eprintln!("{taken} events handed in, {ended} ended, {} calls", story.calls.len());
+    eprintln!(
+        "{taken} events handed in, {ended} ended, {} calls",
+        story.calls.len()
+    );
     let ids = book.ids();
     for breach in checker.breaches().iter().take(10) {
-        eprintln!("{:.1} ms: {}: {}", breach.at, breach.rule.name(), breach.what);
+        eprintln!(
+            "{:.1} ms: {}: {}",
+            breach.at,
+            breach.rule.name(),
+            breach.what
+        );
         let after = breach.what.split("event ").nth(1).unwrap_or_default();
         let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
         let Ok(event) = digits.parse() else { continue };
@@ -80,15 +94,30 @@
             Seen::Whole { call } | Seen::Replied { call, .. } | Seen::Gone { call } => {
                 self.calls.get(call).map(|call| call.event)
             }
-            Seen::Listed { .. } | Seen::Lost { .. } | Seen::Hindered { .. } | Seen::Free { .. } => None,
+            Seen::Listed { .. } | Seen::Lost { .. } | Seen::Hindered { .. } | Seen::Free { .. } => {
+                None
+            }
         }
     }
 
     fn read(&mut self, at: Ms, seen: &Seen) {
         match *seen {
-            Seen::Began { call, instance, event, target, time_out } => {
+            Seen::Began {
+                call,
+                instance,
+                event,
+                target,
+                time_out,
+            } => {
                 let call = self.calls.entry(call).or_default();
-                *call = Call { instance, event, target, began: at, time_out, ..Call::default() };
+                *call = Call {
+                    instance,
+                    event,
+                    target,
+                    began: at,
+                    time_out,
+                    ..Call::default()
+                };
             }
             Seen::Whole { call } => self.calls.entry(call).or_default().whole = Some(at),
             Seen::Replied { call, status } => {
@@ -96,19 +125,48 @@
             }
             Seen::Gone { call } => self.calls.entry(call).or_default().gone = Some(at),
             Seen::Unheard { event } => self.unheard.push(event),
-            Seen::Listed { instance, target, leaves } => {
+            Seen::Listed {
+                instance,
+                target,
+                leaves,
+            } => {
                 let (forwarder, target) = (instance as u32, target as u32);
-                self.facts.push((at, Fact::Listed { forwarder, target, leaves }));
+                self.facts.push((
+                    at,
+                    Fact::Listed {
+                        forwarder,
+                        target,
+                        leaves,
+                    },
+                ));
             }
             Seen::Hindered { instance } => {
-                self.hindered.entry(instance).or_default().push((at, f64::INFINITY));
-                self.facts.push((at, Fact::Halted { forwarder: instance as u32 }));
+                self.hindered
+                    .entry(instance)
+                    .or_default()
+                    .push((at, f64::INFINITY));
+                self.facts.push((
+                    at,
+                    Fact::Halted {
+                        forwarder: instance as u32,
+                    },
+                ));
             }
             Seen::Free { instance, anew } => {
-                if let Some((_, until)) = self.hindered.get_mut(&instance).and_then(|all| all.last_mut()) {
+                if let Some((_, until)) = self
+                    .hindered
+                    .get_mut(&instance)
+                    .and_then(|all| all.last_mut())
+                {
                     *until = at;
                 }
-                self.facts.push((at, Fact::Resumed { forwarder: instance as u32, anew }));
+                self.facts.push((
+                    at,
+                    Fact::Resumed {
+                        forwarder: instance as u32,
+                        anew,
+                    },
+                ));
             }
             Seen::Lost { instance } => self.lost.push((at, instance)),
             Seen::Asked { .. } | Seen::Answered { .. } | Seen::Notice { .. } => (),
@@ -122,8 +180,19 @@
         let mut facts = Vec::new();
         for call in self.calls.values().filter(|call| call.whole.is_some()) {
             let (forwarder, event, target) = (call.instance as u32, call.event, call.target as u32);
-            facts.push((call.began, Fact::Sent { forwarder, event, target, group: 0, lane: 0 }));
-            let read = call.replied.is_some_and(|(at, _)| self.surely_read(call, at));
+            facts.push((
+                call.began,
+                Fact::Sent {
+                    forwarder,
+                    event,
+                    target,
+                    group: 0,
+                    lane: 0,
+                },
+            ));
+            let read = call
+                .replied
+                .is_some_and(|(at, _)| self.surely_read(call, at));
             let cut = match call.replied {
                 Some((at, 200)) if read => {
                     sure.entry(event).or_insert((at, call.instance));
@@ -138,34 +207,104 @@
                 Some(_) => Cut::Error,
                 None => Cut::Short,
             };
-            facts.push((self.over_at(call), Fact::SendOver { forwarder, event, cut }));
+            facts.push((
+                self.over_at(call),
+                Fact::SendOver {
+                    forwarder,
+                    event,
+                    cut,
+                },
+            ));
         }
         let mut noticed: HashMap<u64, bool> = HashMap::new();
         for (at, seen) in all {
             match *seen {
-                Seen::Asked { instance, event, origin, effect, key, patience } => {
+                Seen::Asked {
+                    instance,
+                    event,
+                    origin,
+                    effect,
+                    key,
+                    patience,
+                } => {
                     let (forwarder, effect) = (instance as u32, self.rules_effect(effect));
-                    let origin = if self.unheard.contains(&event) { UNPROMISED + event } else { origin };
+                    let origin = if self.unheard.contains(&event) {
+                        UNPROMISED + event
+                    } else {
+                        origin
+                    };
                     let patience_ends = at + patience + SKEW;
-                    let lives = self.lost.iter().filter(|(lost, of)| *of == instance && lost < at);
+                    let lives = self
+                        .lost
+                        .iter()
+                        .filter(|(lost, of)| *of == instance && lost < at);
                     let key = key.map(|key| key + LIVES * lives.count() as u64);
-                    facts.push((*at, Fact::Taken { forwarder, event, origin, effect, key, patience_ends }));
+                    facts.push((
+                        *at,
+                        Fact::Taken {
+                            forwarder,
+                            event,
+                            origin,
+                            effect,
+                            key,
+                            patience_ends,
+                        },
+                    ));
                     if self.unheard.contains(&event) {
                         facts.push((*at, Fact::Unpromised { event }));
                     }
-                    let ran = |call: &&Call| call.event == event && !matches!(call.replied, Some((_, 503)));
-                    let whole = self.calls.values().filter(ran).filter_map(|call| call.whole);
-                    facts.extend(whole.map(|at| (at, Fact::Applied { event, origin, effect })));
+                    let ran = |call: &&Call| {
+                        call.event == event && !matches!(call.replied, Some((_, 503)))
+                    };
+                    let whole = self
+                        .calls
+                        .values()
+                        .filter(ran)
+                        .filter_map(|call| call.whole);
+                    facts.extend(whole.map(|at| {
+                        (
+                            at,
+                            Fact::Applied {
+                                event,
+                                origin,
+                                effect,
+                            },
+                        )
+                    }));
                 }
                 Seen::Answered { event, status } if status != 202 => {
-                    let end = if matches!(status, 429 | 503) { End::Dismissed } else { End::WrittenOff };
-                    facts.push((*at, Fact::Ended { forwarder: 0, event, end, by_notice: false }));
+                    let end = if matches!(status, 429 | 503) {
+                        End::Dismissed
+                    } else {
+                        End::WrittenOff
+                    };
+                    facts.push((
+                        *at,
+                        Fact::Ended {
+                            forwarder: 0,
+                            event,
+                            end,
+                            by_notice: false,
+                        },
+                    ));
                 }
                 // Told twice it does no harm.
                 Seen::Notice { event, given_up } if noticed.get(&event) != Some(&given_up) => {
                     noticed.insert(event, given_up);
-                    let end = if given_up { End::WrittenOff } else { End::Dismissed };
-                    facts.push((*at, Fact::Ended { forwarder: 0, event, end, by_notice: true }));
+                    let end = if given_up {
+                        End::WrittenOff
+                    } else {
+                        End::Dismissed
+                    };
+                    facts.push((
+                        *at,
+                        Fact::Ended {
+                            forwarder: 0,
+                            event,
+                            end,
+                            by_notice: true,
+                        },
+                    ));
                     facts.push((*at, Fact::Heard { event }));
                 }
                 _ => (),
@@ -176,7 +315,15 @@
         maybe.retain(|event, end| self.follows_last_call(*event, end, now));
         for (event, (at, instance)) in sure.into_iter().chain(maybe) {
             let forwarder = instance as u32;
-            facts.push((at, Fact::Ended { forwarder, event, end: End::Completed, by_notice: false }));
+            facts.push((
+                at,
+                Fact::Ended {
+                    forwarder,
+                    event,
+                    end: End::Completed,
+                    by_notice: false,
+                },
+            ));
         }
         self.facts.extend(facts);
     }
@@ -184,9 +331,10 @@
     fn rules_effect(&self, effect: book::Effect) -> Effect {
         match effect {
             book::Effect::Retriable => Effect::Retriable,
-            book::Effect::Fingerprinted => {
-                Effect::Fingerprinted { window: WINDOW_US as f64 / 1000.0, one_group: false }
-            }
+            book::Effect::Fingerprinted => Effect::Fingerprinted {
+                window: WINDOW_US as f64 / 1000.0,
+                one_group: false,
+            },
             book::Effect::Binding => Effect::Binding,
         }
     }
--- a/forwarder/process-tests/src/walk.rs
+++ b/forwarder/process-tests/src/walk.rs
@@ -49,7 +49,13 @@
     pub fn new(seed: u64, instances: usize, at_once: usize, copies: bool) -> Walk {
         eprintln!("seed {seed}");
         let (chance, faults) = (ChaCha8Rng::seed_from_u64(seed), vec![None; instances]);
-        Walk { chance, at_once, copies, faults, copied: Vec::new() }
+        Walk {
+            chance,
+            at_once,
+            copies,
+            faults,
+            copied: Vec::new(),
+        }
     }
 
     /// Puts a fault on an instance, or undoes one; sometimes targets change their manner.
@@ -99,8 +105,16 @@
     fn manner(&mut self, world: &World) {
         let quick = Manner::Answers(Duration::from_millis(3));
         let slow = Manner::Answers(Duration::from_millis(150));
-        let all =
-            [quick, quick, quick, slow, Manner::Refuses, Manner::Errs, Manner::Hangs, Manner::HalfAnswers];
+        let all = [
+            quick,
+            quick,
+            quick,
+            slow,
+            Manner::Refuses,
+            Manner::Errs,
+            Manner::Hangs,
+            Manner::HalfAnswers,
+        ];
         let manner = *all.choose(&mut self.chance).expect("some");
         let target = self.chance.random_range(0..world.targets.len());
         eprintln!("    target {target}: {manner:?}");
@@ -114,7 +128,11 @@
             links.extend([Links::Instances; 3]);
         }
         let links = *links.choose(&mut self.chance).expect("some");
-        let side = if self.chance.random() { Side::There } else { Side::Back };
+        let side = if self.chance.random() {
+            Side::There
+        } else {
+            Side::Back
+        };
         let after = self.chance.random_range(0..200);
         let mut all = vec![
             Fault::Killed,
@@ -156,11 +174,13 @@
         }
         Fault::Stopped => world.stop(at),
         Fault::Silent(links) => world.fault(at, |i| each(i, links, Relay::stall)),
-        Fault::OneWay(links, side) => world.fault(at, |i| each(i, links, |link| link.set(side, Way::Silent))),
-        Fault::Refused(links) => world.fault(at, |i| each(i, links, Relay::drop_all)),
-        Fault::Late(links) => {
-            world.fault(at, |i| each(i, links, |link| link.delay(Duration::from_millis(30))))
+        Fault::OneWay(links, side) => {
+            world.fault(at, |i| each(i, links, |link| link.set(side, Way::Silent)))
         }
+        Fault::Refused(links) => world.fault(at, |i| each(i, links, Relay::drop_all)),
+        Fault::Late(links) => world.fault(at, |i| {
+            each(i, links, |link| link.delay(Duration::from_millis(30)))
+        }),
         Fault::Cut(links, side, after) => {
             world.fault(at, |i| each(i, links, |link| link.cut_next(side, after)));
         }
@@ -187,8 +207,10 @@
                 world.free(at, false);
             }
         }
-        Fault::Silent(_) | Fault::OneWay(..) | Fault::Refused(_) | Fault::Late(_) | Fault::Cut(..) => {
-            world.heal(at)
-        }
+        Fault::Silent(_)
+        | Fault::OneWay(..)
+        | Fault::Refused(_)
+        | Fault::Late(_)
+        | Fault::Cut(..) => world.heal(at),
     }
 }
--- a/forwarder/process-tests/src/world.rs
+++ b/forwarder/process-tests/src/world.rs
@@ -61,7 +61,10 @@
             process.set("PROXY_FLEET_FOUND", "yes".into());
         }
     }
-    process.set("PROXY_FLEET", process.folder().join("fleet.toml").display().to_string());
+    process.set(
+        "PROXY_FLEET",
+        process.folder().join("fleet.toml").display().to_string(),
+    );
     if !told.fanout.is_empty() && number == 0 {
         process.set("PROXY_FLEET_FOUND", "yes".into());
     }
@@ -79,15 +82,32 @@
     /// So many instances, not started, and two targets that both serve the one destination.
     pub fn new(instances: usize, told: &Told) -> World {
         let book = Book::default();
-        let targets: Vec<Target> = (0..2).map(|number| Target::new(number, instances, &book)).collect();
-        let links = |instance| targets.iter().map(|target| Relay::to(target.address_for(instance))).collect();
+        let targets: Vec<Target> = (0..2)
+            .map(|number| Target::new(number, instances, &book))
+            .collect();
+        let links = |instance| {
+            targets
+                .iter()
+                .map(|target| Relay::to(target.address_for(instance)))
+                .collect()
+        };
         let links: Vec<Vec<Relay>> = (0..instances).map(links).collect();
         let reached = |target: usize| links.iter().map(|links| links[target].address()).collect();
         // Lists name a destination for each target.
-        let of = |target: usize| if told.fanout.is_empty() { 1 } else { 1 + target as u64 };
-        let listed = (0..targets.len()).map(|target| (of(target), reached(target))).collect();
+        let of = |target: usize| {
+            if told.fanout.is_empty() {
+                1
+            } else {
+                1 + target as u64
+            }
+        };
+        let listed = (0..targets.len())
+            .map(|target| (of(target), reached(target)))
+            .collect();
         let discovery = Discovery::new(instances, listed, &book);
-        let places: Vec<[Place; 2]> = (0..instances).map(|_| [Place::held(), Place::held()]).collect();
+        let places: Vec<[Place; 2]> = (0..instances)
+            .map(|_| [Place::held(), Place::held()])
+            .collect();
         let among: Vec<SocketAddr> = places.iter().map(|[_, among]| among.address).collect();
         let all = links.into_iter().zip(places).enumerate();
         let instances = all.map(|(number, (targets, places))| {
@@ -95,14 +115,40 @@
             let to_discovery = Relay::to(discovery.address_for(number));
             let mut process = Process::new(&name(number));
             let known = discovery.list_for(number);
-            let config = told.config(&process.name, places[0].address, to_discovery.address(), known);
+            let config = told.config(
+                &process.name,
+                places[0].address,
+                to_discovery.address(),
+                known,
+            );
             process.write("config.json", &config.to_string());
-            process.set("PROXY_CONFIG", process.folder().join("config.json").display().to_string());
-            let peers = if told.is_fleet() { fleet(&mut process, told, number, &among) } else { Vec::new() };
-            Instance { process, clients, discovery: to_discovery, targets, peers, hindered: false, places }
+            process.set(
+                "PROXY_CONFIG",
+                process.folder().join("config.json").display().to_string(),
+            );
+            let peers = if told.is_fleet() {
+                fleet(&mut process, told, number, &among)
+            } else {
+                Vec::new()
+            };
+            Instance {
+                process,
+                clients,
+                discovery: to_discovery,
+                targets,
+                peers,
+                hindered: false,
+                places,
+            }
         });
         let heir_within = told.copies.then_some(HEIR_WITHIN);
-        World { book, instances: instances.collect(), discovery, targets, heir_within }
+        World {
+            book,
+            instances: instances.collect(),
+            discovery,
+            targets,
+            heir_within,
+        }
     }
 
     /// All instances run and are ready.
@@ -120,7 +166,9 @@
     /// All of them before any is up: one alone may lack keepers.
     pub fn start_again(&mut self, instances: &[usize]) {
         instances.iter().for_each(|instance| self.launch(*instance));
-        instances.iter().for_each(|instance| self.until_up(*instance));
+        instances
+            .iter()
+            .for_each(|instance| self.until_up(*instance));
     }
 
     pub fn launch(&mut self, instance: usize) {
@@ -139,9 +187,12 @@
 
     /// Starts it again if the kernel ended it.
     pub fn revive(&mut self, instance: usize) {
-        let Some(since) = self.instances[instance].process.ended_by_kernel() else { return };
+        let Some(since) = self.instances[instance].process.ended_by_kernel() else {
+            return;
+        };
         if !std::mem::replace(&mut self.instances[instance].hindered, true) {
-            self.book.note_at(self.book.at(since), Seen::Hindered { instance });
+            self.book
+                .note_at(self.book.at(since), Seen::Hindered { instance });
         }
         self.launch(instance);
     }
@@ -164,7 +215,12 @@
     }
 
     pub fn take(&self, instance: usize, handed: &Handed) {
-        assert_eq!(self.hand_in(instance, handed), Answer::Taken, "{}", handed.id);
+        assert_eq!(
+            self.hand_in(instance, handed),
+            Answer::Taken,
+            "{}",
+            handed.id
+        );
     }
 
     /// Returns once the target side has read so many whole calls with the event.
@@ -178,7 +234,11 @@
 
     /// Takes a binding event `b`, a fingerprinted one `f` and a retriable one `r`, and has a call of each out.
     pub fn takes_one_of_each_effect(&self, instance: usize) {
-        for (effect, id) in [(Effect::Binding, "b"), (Effect::Fingerprinted, "f"), (Effect::Retriable, "r")] {
+        for (effect, id) in [
+            (Effect::Binding, "b"),
+            (Effect::Fingerprinted, "f"),
+            (Effect::Retriable, "r"),
+        ] {
             self.take(instance, &Handed::new(id, effect));
             self.until_sent(id, 1);
         }
@@ -195,7 +255,9 @@
 
     /// Clients that hand in events one after another until they are told to stop.
     pub fn load(&self, seed: u64, clients: usize) -> Load {
-        let all: Vec<SocketAddr> = (0..self.instances.len()).map(|instance| self.address(instance)).collect();
+        let all: Vec<SocketAddr> = (0..self.instances.len())
+            .map(|instance| self.address(instance))
+            .collect();
         Load::start(&self.book, &all, seed, clients)
     }
 
@@ -206,6 +268,10 @@
             self.book.open().is_empty()
         });
         let broken = breaches(&self.book, self.heir_within);
-        assert!(broken.is_empty(), "{} times a rule was broken", broken.len());
+        assert!(
+            broken.is_empty(),
+            "{} times a rule was broken",
+            broken.len()
+        );
     }
 }
--- a/forwarder/process-tests/src/world/faults.rs
+++ b/forwarder/process-tests/src/world/faults.rs
@@ -49,7 +49,10 @@
         healed.links().chain(&healed.peers).for_each(Relay::heal);
         for other in 0..self.instances.len() {
             if other != instance {
-                self.instances[other].peers[..].get(to(other, instance)).into_iter().for_each(Relay::heal);
+                self.instances[other].peers[..]
+                    .get(to(other, instance))
+                    .into_iter()
+                    .for_each(Relay::heal);
             }
         }
         if !self.instances[instance].process.has_ended() {
@@ -63,7 +66,11 @@
     pub fn among(&mut self, instance: usize, fault: impl Fn(&Relay)) {
         self.fault(instance, |instance| instance.peers.iter().for_each(&fault));
         for other in (0..self.instances.len()).filter(|other| *other != instance) {
-            self.instances[other].peers.get(to(other, instance)).into_iter().for_each(&fault);
+            self.instances[other]
+                .peers
+                .get(to(other, instance))
+                .into_iter()
+                .for_each(&fault);
         }
     }
 }
--- a/forwarder/process-tests/tests/alone.rs
+++ b/forwarder/process-tests/tests/alone.rs
@@ -81,7 +81,9 @@
     for after in [1, 12, 60, 100] {
         for side in [Side::There, Side::Back] {
             (0..3).for_each(|at| {
-                world.fault(at, |instance| instance.links().for_each(|l| l.cut_next(side, after)))
+                world.fault(at, |instance| {
+                    instance.links().for_each(|l| l.cut_next(side, after))
+                })
             });
             load.until_taken(20);
             (0..3).for_each(|instance| world.heal(instance));
@@ -100,7 +102,10 @@
         load.until_taken(40);
         world.hinder(instance);
         world.process(instance).signal(Signal::TERM);
-        assert!(world.instances[instance].process.waited(), "it ends in order");
+        assert!(
+            world.instances[instance].process.waited(),
+            "it ends in order"
+        );
         world.start(instance);
     }
     load.until_taken(40);
@@ -120,7 +125,10 @@
     world.process(0).until_said("closes", 0);
     for number in 0..10 {
         assert_eq!(
-            world.hand_in(0, &Handed::new(&format!("late-{number}"), Effect::Retriable)),
+            world.hand_in(
+                0,
+                &Handed::new(&format!("late-{number}"), Effect::Retriable)
+            ),
             Answer::Refused
         );
     }
@@ -137,7 +145,9 @@
     let mut world = World::started(3);
     let load = world.load(6, 6);
     load.until_taken(40);
-    let ledger = std::fs::metadata(world.process(0).state().join("ledger")).expect("there").len();
+    let ledger = std::fs::metadata(world.process(0).state().join("ledger"))
+        .expect("there")
+        .len();
     world.process(0).limit_files(Some(ledger + 2_000));
     // Until one is turned away; what comes before that fits.
     let mut number = 0;
@@ -158,11 +168,19 @@
 
 #[rstest]
 fn with_its_share_of_the_disk_used_up_a_forwarder_turns_away_and_keeps_the_rest() {
-    let mut world = World::new(2, &Told { disk_mb: 0.25, ..Told::default() });
+    let mut world = World::new(
+        2,
+        &Told {
+            disk_mb: 0.25,
+            ..Told::default()
+        },
+    );
     world.start_all();
     world.set_targets(Manner::Hangs);
     let big = |number: usize| Handed::new(&format!("big-{number}"), Effect::Binding).body(9_000);
-    let taken = (0..40).take_while(|number| world.hand_in(0, &big(*number)) == Answer::Taken).count();
+    let taken = (0..40)
+        .take_while(|number| world.hand_in(0, &big(*number)) == Answer::Taken)
+        .count();
     assert!((1..40).contains(&taken), "{taken} were taken");
     world.kill(0);
     world.set_targets(Manner::Answers(Duration::ZERO));
@@ -190,7 +208,10 @@
     let mut world = World::started(2);
     world.set_targets(Manner::Errs);
     for number in 0..4 {
-        world.take(0, &Handed::new(&format!("k{number}"), Effect::Retriable).key(5));
+        world.take(
+            0,
+            &Handed::new(&format!("k{number}"), Effect::Retriable).key(5),
+        );
     }
     world.until_sent("k0", 1);
     world.kill(0);
--- a/forwarder/process-tests/tests/broadcasts.rs
+++ b/forwarder/process-tests/tests/broadcasts.rs
@@ -5,17 +5,27 @@
 
 use plankhill_process_tests::*;
 
-const ONCE: Copy = Copy { sends: 1, delivered: 1, noticed: 0 };
+const ONCE: Copy = Copy {
+    sends: 1,
+    delivered: 1,
+    noticed: 0,
+};
 
 #[test]
 fn a_broadcast_reaches_each_destination_once_wherever_it_is_handed_in() {
     let world = World::broadcasting(3);
     for instance in 0..3 {
         let id = format!("from-{instance}");
-        assert_eq!(world.broadcast(instance, "charge", &id, None), Answer::Taken);
+        assert_eq!(
+            world.broadcast(instance, "charge", &id, None),
+            Answer::Taken
+        );
         world.until_ended(&id);
         // Elsewhere, under the same id, it is none.
-        assert_eq!(world.broadcast((instance + 1) % 3, "charge", &id, None), Answer::Refused);
+        assert_eq!(
+            world.broadcast((instance + 1) % 3, "charge", &id, None),
+            Answer::Refused
+        );
         assert_eq!(world.copies(&id), [ONCE; 2]);
     }
 }
@@ -75,7 +85,11 @@
         }
     }
     // How many make it hangs on how long each start takes; that all serve again does not.
-    assert!(promised.iter().any(|id| world.copies(id) == [ONCE; 2]), "none of {} delivered", promised.len());
+    assert!(
+        promised.iter().any(|id| world.copies(id) == [ONCE; 2]),
+        "none of {} delivered",
+        promised.len()
+    );
     until_delivered_to_all(&world, "at-last", |number| number % 3);
 }
 
--- a/forwarder/process-tests/tests/copies/cut.rs
+++ b/forwarder/process-tests/tests/copies/cut.rs
@@ -16,12 +16,20 @@
     let before = world.all_adoptions();
     world.cut_off(0);
     world.heir_of(0, &before);
-    let sent = world.book.count(|seen| matches!(seen, Seen::Began { instance: 0, .. }));
+    let sent = world
+        .book
+        .count(|seen| matches!(seen, Seen::Began { instance: 0, .. }));
     for number in 0..5 {
-        let cut = Handed::new(&format!("cut-{number}"), Effect::Retriable).waits(Duration::from_secs(1));
+        let cut =
+            Handed::new(&format!("cut-{number}"), Effect::Retriable).waits(Duration::from_secs(1));
         assert_ne!(world.hand_in(0, &cut), Answer::Taken);
     }
-    assert_eq!(world.book.count(|seen| matches!(seen, Seen::Began { instance: 0, .. })), sent);
+    assert_eq!(
+        world
+            .book
+            .count(|seen| matches!(seen, Seen::Began { instance: 0, .. })),
+        sent
+    );
     world.set_targets(crate::AT_ONCE);
     world.heal(0);
     world.until_takes(0);
@@ -51,7 +59,12 @@
     let mut world = World::copied(3);
     let load = world.load(15, 6);
     load.until_taken(60);
-    world.fault(0, |owner| owner.peers.iter().for_each(|link| link.set(side, Way::Silent)));
+    world.fault(0, |owner| {
+        owner
+            .peers
+            .iter()
+            .for_each(|link| link.set(side, Way::Silent))
+    });
     load.until_taken(60);
     world.heal(0);
     world.until_takes(0);
@@ -90,7 +103,9 @@
 /// Noise, a torn frame, one that would be too long, another protocol.
 const STRANGE: [&[u8]; 4] = [
     &[0x5a; 600],
-    &[16, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20],
+    &[
+        16, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20,
+    ],
     &[0xff; 8],
     b"POST /job HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
 ];
--- a/forwarder/process-tests/tests/copies/folders.rs
+++ b/forwarder/process-tests/tests/copies/folders.rs
@@ -34,10 +34,17 @@
     world.kill(0);
     world.instances[0].process.put_back(&older);
     world.launch(0);
-    assert!(!world.instances[0].process.waited(), "it does not end as if all were well");
+    assert!(
+        !world.instances[0].process.waited(),
+        "it does not end as if all were well"
+    );
     // The log is read by a thread of its own.
     world.process(0).until_said("plankhill-forwarder: ", 0);
-    assert_eq!(world.process(0).said("plankhill-forwarder: "), 1, "one plain line");
+    assert_eq!(
+        world.process(0).said("plankhill-forwarder: "),
+        1,
+        "one plain line"
+    );
     world.heir_of(0, &before);
     world.set_targets(crate::AT_ONCE);
     world.instances[0].process.lose_folder();
@@ -69,12 +76,20 @@
 /// Guards what is kept for others: at its cap more is refused, nothing kept is dropped.
 #[rstest]
 fn with_what_is_kept_for_others_at_its_cap_events_are_refused_and_none_is_lost() {
-    let mut world = World::new(3, &Told { kept_mb: 1.0, ..Told::with_copies() });
+    let mut world = World::new(
+        3,
+        &Told {
+            kept_mb: 1.0,
+            ..Told::with_copies()
+        },
+    );
     world.start_all();
     (0..3).for_each(|instance| world.until_takes(instance));
     world.set_targets(Manner::Hangs);
     let big = |number: usize| Handed::new(&format!("big-{number}"), Effect::Retriable).body(60_000);
-    let taken = (0..60).take_while(|number| world.hand_in(0, &big(*number)) == Answer::Taken).count();
+    let taken = (0..60)
+        .take_while(|number| world.hand_in(0, &big(*number)) == Answer::Taken)
+        .count();
     assert!((1..60).contains(&taken), "{taken} were taken");
     world.set_targets(crate::AT_ONCE);
     world.verdict();
--- a/forwarder/process-tests/tests/copies/lost.rs
+++ b/forwarder/process-tests/tests/copies/lost.rs
@@ -65,7 +65,10 @@
     world.set_targets(Manner::Hangs);
     for number in 0..12 {
         let effect = [Effect::Binding, Effect::Fingerprinted, Effect::Retriable][number % 3];
-        world.take(0, &Handed::new(&format!("e{number}"), effect).key(number as u64 % 2));
+        world.take(
+            0,
+            &Handed::new(&format!("e{number}"), effect).key(number as u64 % 2),
+        );
     }
     let before = world.all_adoptions();
     world.lose(0);
--- a/forwarder/process-tests/tests/copies/out.rs
+++ b/forwarder/process-tests/tests/copies/out.rs
@@ -23,12 +23,20 @@
     world.until_sent("out", 1);
     world.take(0, &Handed::new("next", Effect::Fingerprinted).key(5));
     // The target never hears that its caller is gone.
-    world.fault(0, |owner| owner.targets.iter().for_each(|link| link.set(Side::There, Way::Silent)));
+    world.fault(0, |owner| {
+        owner
+            .targets
+            .iter()
+            .for_each(|link| link.set(Side::There, Way::Silent))
+    });
     world.lose(0);
     world.set_targets(AT_ONCE);
     world.until_sent("next", 1);
     let calls = world.book.calls("out");
-    assert!(calls.len() < 2 || calls[1].0 >= calls[0].0 + calls[0].1, "{calls:?}");
+    assert!(
+        calls.len() < 2 || calls[1].0 >= calls[0].0 + calls[0].1,
+        "{calls:?}"
+    );
     waited(&world, "out", "next");
     world.verdict();
 }
@@ -41,7 +49,9 @@
     world.fault(0, |owner| owner.targets.iter().for_each(cut));
     world.take(0, &Handed::new("half", Effect::Binding).key(5));
     world.take(0, &Handed::new("next", Effect::Binding).key(5));
-    until("half of the call is written", || world.instances[0].targets.iter().any(Relay::is_silent));
+    until("half of the call is written", || {
+        world.instances[0].targets.iter().any(Relay::is_silent)
+    });
     let before = world.all_adoptions();
     world.stop(0);
     world.heir_of(0, &before);
--- a/forwarder/process-tests/tests/pools.rs
+++ b/forwarder/process-tests/tests/pools.rs
@@ -14,7 +14,14 @@
     let lease = "lease { lasts 4s renew 200ms drift 1% }";
     let budget = format!("budget each target {{ connections {BUDGET} standing {STANDING} }}");
     let pools = Some(format!("language 1 edition 1\n{lease}\n{budget}\n"));
-    let mut world = World::new(3, &Told { pools, room: 4_000, ..Told::default() });
+    let mut world = World::new(
+        3,
+        &Told {
+            pools,
+            room: 4_000,
+            ..Told::default()
+        },
+    );
     world.start_all();
     until("one gives", || {
         (0..3).any(|instance| world.process(instance).said("gives the parts of pools,") > 0)
@@ -25,14 +32,21 @@
 
 fn within_budget(world: &World) {
     for target in &world.targets {
-        assert!(target.most_open() <= BUDGET, "{} connections were open at once", target.most_open());
+        assert!(
+            target.most_open() <= BUDGET,
+            "{} connections were open at once",
+            target.most_open()
+        );
     }
 }
 
 /// Leases are in use: more is open than what stands without any.
 fn until_leased(world: &World) {
     until("more is open than what stands without a lease", || {
-        world.targets.iter().any(|target| target.most_open() > STANDING)
+        world
+            .targets
+            .iter()
+            .any(|target| target.most_open() > STANDING)
     });
 }
 
@@ -72,7 +86,13 @@
 #[test]
 fn a_faulty_policy_ends_the_start_with_its_place_and_key() {
     let pools = Some("language 1 edition 1\nbudget each target { conections 3 }\n".to_owned());
-    let mut world = World::new(3, &Told { pools, ..Told::default() });
+    let mut world = World::new(
+        3,
+        &Told {
+            pools,
+            ..Told::default()
+        },
+    );
     world.launch(0);
     let said = "pools.policy:2:22: conections: cannot stand here; did you mean `connections`?";
     world.process(0).until_said(said, 0);
@@ -81,12 +101,21 @@
 
 #[test]
 fn each_for_itself_they_open_more() {
-    let mut world = World::new(3, &Told { room: 4_000, ..Told::default() });
+    let mut world = World::new(
+        3,
+        &Told {
+            room: 4_000,
+            ..Told::default()
+        },
+    );
     world.start_all();
     world.set_targets(Manner::Answers(Duration::from_millis(100)));
     let load = world.load(1, 9);
     until("a target sees more than the budget", || {
-        world.targets.iter().any(|target| target.most_open() > BUDGET)
+        world
+            .targets
+            .iter()
+            .any(|target| target.most_open() > BUDGET)
     });
     load.stop();
     world.verdict();
--- a/forwarder/process-tests/tests/verdict.rs
+++ b/forwarder/process-tests/tests/verdict.rs
@@ -1,24 +1,46 @@
 //! What stand-ins might see, with a fault planted in it: the verdict has to find it, and nothing else.
 
-use plankhill_process_tests::*;
 use plankhill_invariants::Rule;
+use plankhill_process_tests::*;
 use rstest::rstest;
 
-const ASKED: Seen =
-    Seen::Asked { instance: 0, event: 0, origin: 0, effect: Effect::Binding, key: None, patience: 60_000.0 };
-const TAKEN: Seen = Seen::Answered { event: 0, status: 202 };
+const ASKED: Seen = Seen::Asked {
+    instance: 0,
+    event: 0,
+    origin: 0,
+    effect: Effect::Binding,
+    key: None,
+    patience: 60_000.0,
+};
+const TAKEN: Seen = Seen::Answered {
+    event: 0,
+    status: 202,
+};
 
 fn began(call: u64, instance: usize) -> Seen {
-    Seen::Began { call, instance, event: 0, target: 0, time_out: 30_000.0 }
+    Seen::Began {
+        call,
+        instance,
+        event: 0,
+        target: 0,
+        time_out: 30_000.0,
+    }
 }
 
 /// A call that was answered so.
 fn called(call: u64, instance: usize, status: u16) -> Vec<Seen> {
-    vec![began(call, instance), Seen::Whole { call }, Seen::Replied { call, status }]
+    vec![
+        began(call, instance),
+        Seen::Whole { call },
+        Seen::Replied { call, status },
+    ]
 }
 
 fn given_up() -> Vec<Seen> {
-    vec![Seen::Notice { event: 0, given_up: true }]
+    vec![Seen::Notice {
+        event: 0,
+        given_up: true,
+    }]
 }
 
 fn hindered() -> Vec<Seen> {
@@ -39,9 +61,15 @@
     &[Rule::NoEffectTwice, Rule::NothingLost])]
 fn a_planted_fault_is_caught(#[case] after: Vec<Vec<Seen>>, #[case] rules: &[Rule]) {
     let book = Book::default();
-    let all = [ASKED, TAKEN].into_iter().chain(after.into_iter().flatten());
-    all.enumerate().for_each(|(at, seen)| book.note_at(at as f64, seen));
-    let broken: Vec<Rule> = breaches(&book, None).iter().map(|breach| breach.rule).collect();
+    let all = [ASKED, TAKEN]
+        .into_iter()
+        .chain(after.into_iter().flatten());
+    all.enumerate()
+        .for_each(|(at, seen)| book.note_at(at as f64, seen));
+    let broken: Vec<Rule> = breaches(&book, None)
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
     assert_eq!(broken, rules);
 }
 
@@ -51,7 +79,10 @@
 #[case::still_out(vec![began(2, 0), Seen::Whole { call: 2 }], &[])]
 #[case::delivered(called(2, 0, 200), &[])]
 #[case::failed(called(2, 0, 500), &[Rule::NothingLost])]
-fn an_event_is_sent_again_whose_answer_was_never_read(#[case] after: Vec<Seen>, #[case] rules: &[Rule]) {
+fn an_event_is_sent_again_whose_answer_was_never_read(
+    #[case] after: Vec<Seen>,
+    #[case] rules: &[Rule],
+) {
     let book = Book::default();
     let asked = Seen::Asked {
         instance: 0,
@@ -61,9 +92,18 @@
         key: None,
         patience: 60_000.0,
     };
-    let before = [asked, TAKEN].into_iter().chain(called(1, 0, 200)).chain(hindered());
-    before.chain(after).enumerate().for_each(|(at, seen)| book.note_at(at as f64, seen));
-    let broken: Vec<Rule> = breaches(&book, None).iter().map(|breach| breach.rule).collect();
+    let before = [asked, TAKEN]
+        .into_iter()
+        .chain(called(1, 0, 200))
+        .chain(hindered());
+    before
+        .chain(after)
+        .enumerate()
+        .for_each(|(at, seen)| book.note_at(at as f64, seen));
+    let broken: Vec<Rule> = breaches(&book, None)
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
     assert_eq!(broken, rules);
 }
 
@@ -78,7 +118,10 @@
     world.instances[0].process.lose_folder();
     world.start(0);
     let broken = breaches(&world.book, None);
-    assert_eq!(broken.iter().map(|breach| breach.rule).collect::<Vec<_>>(), [Rule::NothingLost]);
+    assert_eq!(
+        broken.iter().map(|breach| breach.rule).collect::<Vec<_>>(),
+        [Rule::NothingLost]
+    );
 }
 
 #[rstest]
@@ -86,9 +129,20 @@
 #[case::long_after(2_000.0, &[Rule::DrainsKept])]
 fn a_call_to_a_target_that_leaves_is_found(#[case] at: f64, #[case] rules: &[Rule]) {
     let book = Book::default();
-    let listed = Seen::Listed { instance: 0, target: 0, leaves: true };
-    [(0.0, listed), (0.0, ASKED), (0.0, TAKEN)].into_iter().for_each(|(at, seen)| book.note_at(at, seen));
-    called(1, 0, 200).into_iter().for_each(|seen| book.note_at(at, seen));
-    let broken: Vec<Rule> = breaches(&book, None).iter().map(|breach| breach.rule).collect();
+    let listed = Seen::Listed {
+        instance: 0,
+        target: 0,
+        leaves: true,
+    };
+    [(0.0, listed), (0.0, ASKED), (0.0, TAKEN)]
+        .into_iter()
+        .for_each(|(at, seen)| book.note_at(at, seen));
+    called(1, 0, 200)
+        .into_iter()
+        .for_each(|seen| book.note_at(at, seen));
+    let broken: Vec<Rule> = breaches(&book, None)
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
     assert_eq!(broken, rules);
 }
--- a/forwarder/process-tests/tests/walks.rs
+++ b/forwarder/process-tests/tests/walks.rs
@@ -43,6 +43,7 @@
 #[case(alone)]
 #[case(copied)]
 fn more_seeds_on_call(#[case] walk: fn(u64)) {
-    let more = std::env::var("PLANKHILL_SEEDS").map_or(0, |number| number.parse().expect("a number"));
+    let more =
+        std::env::var("PLANKHILL_SEEDS").map_or(0, |number| number.parse().expect("a number"));
     (MORE..MORE + more).for_each(walk);
 }
--- a/forwarder/raft-groups/benches/committed.rs
+++ b/forwarder/raft-groups/benches/committed.rs
@@ -34,15 +34,23 @@
         all.commit(0, group, 1, vec![1; 1000]);
         all.stop(0);
         let ended = Instant::now();
-        all.until("an heir leads", |all| together::leader(all, group).is_some());
+        all.until("an heir leads", |all| {
+            together::leader(all, group).is_some()
+        });
         times.push(ended.elapsed().as_secs_f64() * 1e3);
     }
     times.sort_by(f64::total_cmp);
-    println!("heir after, ms: least {:.0}, median {:.0}, most {:.0}", times[0], times[7], times[14]);
+    println!(
+        "heir after, ms: least {:.0}, median {:.0}, most {:.0}",
+        times[0], times[7], times[14]
+    );
 }
 
 fn measure(voters: usize, at_once: usize, bytes: usize) {
-    let copies = format!("[copies]\nkeepers = {}\nmemory_mb = 100000\ndisk_mb = 100000\n", voters - 1);
+    let copies = format!(
+        "[copies]\nkeepers = {}\nmemory_mb = 100000\ndisk_mb = 100000\n",
+        voters - 1
+    );
     let mut all = Together::new(voters, &copies);
     let group = all.record(0);
     let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
@@ -52,9 +60,21 @@
         while out.len() < at_once && begun.elapsed() < SPAN {
             number += 1;
             // Ended now and then: what is kept stays small, as a record does.
-            let command = if number % 64 == 0 { b"end".to_vec() } else { vec![1; bytes] };
+            let command = if number % 64 == 0 {
+                b"end".to_vec()
+            } else {
+                vec![1; bytes]
+            };
             out.insert(number, Instant::now());
-            assert!(all.at(0).handle.try_order(Order::Propose { group, number, command }).is_ok());
+            assert!(all
+                .at(0)
+                .handle
+                .try_order(Order::Propose {
+                    group,
+                    number,
+                    command
+                })
+                .is_ok());
         }
         all.pump();
         for (_, number) in std::mem::take(&mut all.at(0).heard.committed) {
--- a/forwarder/raft-groups/src/core/apply.rs
+++ b/forwarder/raft-groups/src/core/apply.rs
@@ -17,12 +17,20 @@
             }
             EntryType::EntryNormal => {
                 match Stamp::read(&entry.context) {
-                    Some(Stamp::Command { proposer, term: own, number }) if own == term => {
+                    Some(Stamp::Command {
+                        proposer,
+                        term: own,
+                        number,
+                    }) if own == term => {
                         self.counted.note(proposer, term, number);
                         self.machine.apply(proposer, term, &entry.data);
                         if self.purpose == Purpose::Control {
                             let command = entry.data.to_vec();
-                            out.news.push(News::Applied { proposer, term, command });
+                            out.news.push(News::Applied {
+                                proposer,
+                                term,
+                                command,
+                            });
                         }
                     }
                     Some(Stamp::Dissolve { term: own }) if own == term => self.dissolved = true,
@@ -48,29 +56,43 @@
         let state = self.machine.snapshot();
         // Answers to what it proposed in an earlier term come before.
         self.open.answers(self.group, &mut out.news);
-        out.news.push(News::Leads { group: self.group, purpose: self.purpose, term, state });
+        out.news.push(News::Leads {
+            group: self.group,
+            purpose: self.purpose,
+            term,
+            state,
+        });
     }
 
     /// A leader's state came in place of the log.
     pub(super) fn replaced(&mut self, base: Base, out: &mut Effects) {
         let whole: Option<Whole> = postcard::from_bytes(&base.whole).ok();
-        let Some(whole) = whole else { return self.fail(Fault::Torn) };
+        let Some(whole) = whole else {
+            return self.fail(Fault::Torn);
+        };
         if self.machine.restore(&whole.machine).is_err() {
             return self.fail(Fault::Torn);
         }
-        self.open.replaced(self.me, base.index, Term(base.term), &whole.counted);
+        self.open
+            .replaced(self.me, base.index, Term(base.term), &whole.counted);
         self.counted = whole.counted;
         self.dissolved = whole.dissolved;
         self.applied = base.index;
         if self.purpose == Purpose::Control {
-            out.news.push(News::Replaced { state: whole.machine });
+            out.news.push(News::Replaced {
+                state: whole.machine,
+            });
         }
     }
 
     /// The state up to what was applied.
     pub(super) fn base(&self) -> Base {
         let machine = self.machine.snapshot();
-        let whole = Whole { counted: self.counted.clone(), dissolved: self.dissolved, machine };
+        let whole = Whole {
+            counted: self.counted.clone(),
+            dissolved: self.dissolved,
+            machine,
+        };
         let store = self.node.store();
         Base {
             index: self.applied,
@@ -84,7 +106,10 @@
     pub(super) fn serve_snapshots(&mut self) {
         if self.node.store().wanted() {
             let base = self.base();
-            let mut snapshot = Snapshot { data: base.whole.into(), ..Snapshot::default() };
+            let mut snapshot = Snapshot {
+                data: base.whole.into(),
+                ..Snapshot::default()
+            };
             let meta = snapshot.mut_metadata();
             meta.index = base.index;
             meta.term = base.term;
--- a/forwarder/raft-groups/src/core/inputs.rs
+++ b/forwarder/raft-groups/src/core/inputs.rs
@@ -41,7 +41,10 @@
             }
             // The promise to a leader that may still hold.
             MsgRequestVote | MsgRequestPreVote if self.heard < self.pace.election => return,
-            MsgRequestVote | MsgRequestPreVote | MsgRequestVoteResponse | MsgRequestPreVoteResponse => {}
+            MsgRequestVote
+            | MsgRequestPreVote
+            | MsgRequestVoteResponse
+            | MsgRequestPreVoteResponse => {}
             MsgAppendResponse | MsgHeartbeatResponse => {}
             // Proposals go to no other, and the lead is handed to nobody.
             _ => return,
@@ -84,6 +87,8 @@
         let mut hash = siphasher::sip::SipHasher13::new_with_keys(seed, self.me.0);
         hash.write_u64(self.draws);
         let span = self.pace.election as u64 + hash.finish() % (self.pace.election / 2) as u64;
-        self.node.raft.set_randomized_election_timeout(span as usize);
+        self.node
+            .raft
+            .set_randomized_election_timeout(span as usize);
     }
 }
--- a/forwarder/raft-groups/src/core/kept.rs
+++ b/forwarder/raft-groups/src/core/kept.rs
@@ -19,18 +19,39 @@
 impl Kept {
     /// As each founding voter makes it: the same on all.
     pub fn founded(voters: &[Incarnation], machine: &dyn Machine) -> Self {
-        let whole = Whole { counted: Counted::default(), dissolved: false, machine: machine.snapshot() };
-        let voters = Voters { voters: voters.iter().map(|v| v.0).collect(), ..Default::default() };
+        let whole = Whole {
+            counted: Counted::default(),
+            dissolved: false,
+            machine: machine.snapshot(),
+        };
+        let voters = Voters {
+            voters: voters.iter().map(|v| v.0).collect(),
+            ..Default::default()
+        };
         let whole = postcard::to_stdvec(&whole).unwrap_or_default();
         Kept {
-            base: Base { index: 1, term: 1, voters, whole },
-            hard: Hard { term: 1, vote: 0, commit: 1 },
+            base: Base {
+                index: 1,
+                term: 1,
+                voters,
+                whole,
+            },
+            hard: Hard {
+                term: 1,
+                vote: 0,
+                commit: 1,
+            },
             ..Default::default()
         }
     }
     /// What the disk holds once it was handed `persist`.
     pub fn take(&mut self, persist: Persist) {
-        let Persist { number: _, hard, entries, base } = persist;
+        let Persist {
+            number: _,
+            hard,
+            entries,
+            base,
+        } = persist;
         self.hard = hard.unwrap_or(self.hard);
         if let Some(base) = base {
             self.base = base;
--- a/forwarder/raft-groups/src/core/mod.rs
+++ b/forwarder/raft-groups/src/core/mod.rs
@@ -81,16 +81,35 @@
         mut machine: Box<dyn Machine>,
         pace: Pace,
     ) -> Result<Self, Fault> {
-        let Kept { base, hard, entries, restarted } = kept;
-        let mut whole = Whole { counted: Counted::default(), dissolved: false, machine: Vec::new() };
+        let Kept {
+            base,
+            hard,
+            entries,
+            restarted,
+        } = kept;
+        let mut whole = Whole {
+            counted: Counted::default(),
+            dissolved: false,
+            machine: Vec::new(),
+        };
         if base.index > 0 {
             whole = postcard::from_bytes(&base.whole).map_err(|_| Fault::Torn)?;
             machine.restore(&whole.machine).map_err(|_| Fault::Torn)?;
         }
         let last = base.index + entries.len() as u64;
         let commit = hard.commit.clamp(base.index, last);
-        let raft_hard = HardState { term: hard.term, vote: hard.vote, commit, ..HardState::default() };
-        let store = Store::new((base.index, base.term), raft_hard, base.voters.into(), entries);
+        let raft_hard = HardState {
+            term: hard.term,
+            vote: hard.vote,
+            commit,
+            ..HardState::default()
+        };
+        let store = Store::new(
+            (base.index, base.term),
+            raft_hard,
+            base.voters.into(),
+            entries,
+        );
         let raft = raft::Config {
             id: me.0,
             election_tick: pace.election as usize,
--- a/forwarder/raft-groups/src/core/open.rs
+++ b/forwarder/raft-groups/src/core/open.rs
@@ -32,18 +32,30 @@
     }
 
     pub fn appended(&mut self, number: u64, index: u64, term: Term) {
-        self.all.push_back(Proposal { number, state: State::At { index, term } });
+        self.all.push_back(Proposal {
+            number,
+            state: State::At { index, term },
+        });
     }
 
     pub fn refused(&mut self, number: u64) {
-        self.all.push_back(Proposal { number, state: State::Void });
+        self.all.push_back(Proposal {
+            number,
+            state: State::Void,
+        });
     }
 
     /// The entry at `index` is decided: it is of `term`. Terms never fall along the log, so what an earlier term
     /// put further on never counts: it may stand further on than what this instance proposed since.
     pub fn decided(&mut self, index: u64, term: Term) {
         for proposal in &mut self.all {
-            let State::At { index: at, term: own } = proposal.state else { continue };
+            let State::At {
+                index: at,
+                term: own,
+            } = proposal.state
+            else {
+                continue;
+            };
             if at == index && own == term {
                 proposal.state = State::Counts;
             } else if at == index || (at > index && own < term) {
@@ -57,7 +69,11 @@
     /// A state of another's log up to `index`, whose entry there is of `term`, stands in place of the log.
     pub fn replaced(&mut self, me: Incarnation, index: u64, term: Term, counted: &Counted) {
         for proposal in &mut self.all {
-            if let State::At { index: at, term: own } = proposal.state {
+            if let State::At {
+                index: at,
+                term: own,
+            } = proposal.state
+            {
                 if counted.counts(me, own, proposal.number) {
                     proposal.state = State::Counts;
                 } else if at <= index || term > own {
@@ -87,7 +103,10 @@
 
     #[test]
     fn a_proposal_further_on_from_an_earlier_lead_does_not_hide_a_later_one() {
-        let group = GroupId { founder: Incarnation(1), number: 1 };
+        let group = GroupId {
+            founder: Incarnation(1),
+            number: 1,
+        };
         let mut open = Open::default();
         open.appended(1, 20, Term(5));
         // Its log was cut back to 13 by another leader; it leads anew.
@@ -97,7 +116,13 @@
         open.decided(20, Term(7));
         let mut news = Vec::new();
         open.answers(group, &mut news);
-        let counted = matches!(news[..], [News::Void { number: 1, .. }, News::Committed { number: 2, .. }]);
+        let counted = matches!(
+            news[..],
+            [
+                News::Void { number: 1, .. },
+                News::Committed { number: 2, .. }
+            ]
+        );
         assert!(counted, "{news:?}");
     }
 }
--- a/forwarder/raft-groups/src/core/pace.rs
+++ b/forwarder/raft-groups/src/core/pace.rs
@@ -21,6 +21,12 @@
     pub fn new(heartbeat: f64, election: f64, stall: f64) -> Self {
         let tick = heartbeat / 4.0;
         let lease = (election - tick) / (1.0 + DRIFT) - stall;
-        Pace { tick, heartbeat: 4, election: (election / tick).ceil() as u32, lease, seed: None }
+        Pace {
+            tick,
+            heartbeat: 4,
+            election: (election / tick).ceil() as u32,
+            lease,
+            seed: None,
+        }
     }
 }
--- a/forwarder/raft-groups/src/core/ready.rs
+++ b/forwarder/raft-groups/src/core/ready.rs
@@ -27,12 +27,23 @@
                 let snapshot = ready.snapshot();
                 let meta = snapshot.get_metadata();
                 let voters = meta.get_conf_state().clone();
-                self.node.mut_store().restore(meta.index, meta.term, voters.clone());
+                self.node
+                    .mut_store()
+                    .restore(meta.index, meta.term, voters.clone());
                 let whole = snapshot.data.to_vec();
-                base = Some(Base { index: meta.index, term: meta.term, voters: (&voters).into(), whole });
+                base = Some(Base {
+                    index: meta.index,
+                    term: meta.term,
+                    voters: (&voters).into(),
+                    whole,
+                });
             }
             self.node.mut_store().append(ready.entries());
-            let hard = ready.hs().map(|hs| Hard { term: hs.term, vote: hs.vote, commit: hs.commit });
+            let hard = ready.hs().map(|hs| Hard {
+                term: hs.term,
+                vote: hs.vote,
+                commit: hs.commit,
+            });
             let before = self.hard;
             self.hard = hard.unwrap_or(before);
             // What is committed is learnt anew from the others: it alone is no reason to write.
@@ -41,9 +52,15 @@
             if written {
                 let number = ready.number();
                 let entries = ready.take_entries();
-                out.persist.push(Persist { number, hard: Some(self.hard), entries, base: base.clone() });
+                out.persist.push(Persist {
+                    number,
+                    hard: Some(self.hard),
+                    entries,
+                    base: base.clone(),
+                });
             }
-            self.waiting.push_back((ready.number(), written, ready.take_persisted_messages()));
+            self.waiting
+                .push_back((ready.number(), written, ready.take_persisted_messages()));
             for read in ready.take_read_states() {
                 self.heard_by_a_majority(&read.request_ctx);
             }
@@ -125,8 +142,15 @@
     }
 
     fn heard_by_a_majority(&mut self, context: &[u8]) {
-        let Ok(beat) = context.try_into().map(u64::from_le_bytes) else { return };
-        while let Some((number, sent)) = self.beats.front().copied().filter(|(number, _)| *number <= beat) {
+        let Ok(beat) = context.try_into().map(u64::from_le_bytes) else {
+            return;
+        };
+        while let Some((number, sent)) = self
+            .beats
+            .front()
+            .copied()
+            .filter(|(number, _)| *number <= beat)
+        {
             self.beats.pop_front();
             if number == beat && self.leads.is_some() {
                 self.lease = self.lease.max(sent + self.pace.lease);
@@ -138,9 +162,15 @@
         let Some(term) = self.leads.filter(|_| !self.open.is_full()) else {
             return self.open.refused(number);
         };
-        let stamp = Stamp::Command { proposer: self.me, term, number };
+        let stamp = Stamp::Command {
+            proposer: self.me,
+            term,
+            number,
+        };
         match self.node.propose(stamp.bytes(), command) {
-            Ok(()) => self.open.appended(number, self.node.raft.raft_log.last_index(), term),
+            Ok(()) => self
+                .open
+                .appended(number, self.node.raft.raft_log.last_index(), term),
             Err(_) => self.open.refused(number),
         }
     }
@@ -169,7 +199,12 @@
         let base = self.base();
         self.node.mut_store().cut(self.applied);
         let entries = self.node.store().after(self.applied);
-        out.persist.push(Persist { number: 0, hard: Some(self.hard), entries, base: Some(base) });
+        out.persist.push(Persist {
+            number: 0,
+            hard: Some(self.hard),
+            entries,
+            base: Some(base),
+        });
     }
 
     pub(super) fn fail(&mut self, fault: Fault) {
--- a/forwarder/raft-groups/src/core/stamp.rs
+++ b/forwarder/raft-groups/src/core/stamp.rs
@@ -15,14 +15,9 @@
         number: u64,
     },
     /// Nothing is kept in the group any more.
-    Dissolve {
-        term: Term,
-    },
+    Dissolve { term: Term },
     /// A change of voters. Raft's own form of it is never decoded: it is made anew from this.
-    Voters {
-        term: Term,
-        changes: Vec<Change>,
-    },
+    Voters { term: Term, changes: Vec<Change> },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,13 +50,19 @@
     pub fn note(&mut self, proposer: Incarnation, term: Term, number: u64) {
         self.0.insert(proposer, (term, number));
         if self.0.len() > PROPOSERS {
-            let oldest = self.0.iter().min_by_key(|(_, (term, _))| *term).map(|(who, _)| *who);
+            let oldest = self
+                .0
+                .iter()
+                .min_by_key(|(_, (term, _))| *term)
+                .map(|(who, _)| *who);
             oldest.map(|who| self.0.remove(&who));
         }
     }
 
     pub fn counts(&self, proposer: Incarnation, term: Term, number: u64) -> bool {
-        self.0.get(&proposer).is_some_and(|(last, most)| *last > term || (*last == term && number <= *most))
+        self.0
+            .get(&proposer)
+            .is_some_and(|(last, most)| *last > term || (*last == term && number <= *most))
     }
 }
 
--- a/forwarder/raft-groups/src/core/store.rs
+++ b/forwarder/raft-groups/src/core/store.rs
@@ -30,7 +30,15 @@
 impl Store {
     pub fn new(cut: (u64, u64), hard: HardState, conf: ConfState, entries: Vec<Entry>) -> Self {
         let bytes = entries.iter().map(weight).sum();
-        Store { entries: entries.into(), bytes, cut, hard, conf, snapshot: None, wanted: Cell::new(false) }
+        Store {
+            entries: entries.into(),
+            bytes,
+            cut,
+            hard,
+            conf,
+            snapshot: None,
+            wanted: Cell::new(false),
+        }
     }
 
     pub fn last(&self) -> u64 {
@@ -90,7 +98,10 @@
 
 impl Storage for Store {
     fn initial_state(&self) -> Result<RaftState> {
-        Ok(RaftState { hard_state: self.hard.clone(), conf_state: self.conf.clone() })
+        Ok(RaftState {
+            hard_state: self.hard.clone(),
+            conf_state: self.conf.clone(),
+        })
     }
 
     fn entries(
@@ -109,11 +120,16 @@
         let limit = max_size.into().unwrap_or(u64::MAX);
         let from = (low - self.cut.0 - 1) as usize;
         let mut size = 0;
-        let taken = self.entries.iter().skip(from).take((high - low) as usize).take_while(|entry| {
-            let first = size == 0;
-            size += weight(entry) as u64;
-            first || size <= limit
-        });
+        let taken = self
+            .entries
+            .iter()
+            .skip(from)
+            .take((high - low) as usize)
+            .take_while(|entry| {
+                let first = size == 0;
+                size += weight(entry) as u64;
+                first || size <= limit
+            });
         Ok(taken.cloned().collect())
     }
 
@@ -125,7 +141,10 @@
             return Err(Error::Store(StorageError::Compacted));
         }
         let at = (index - self.cut.0 - 1) as usize;
-        self.entries.get(at).map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
+        self.entries
+            .get(at)
+            .map(|e| e.term)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
@@ -137,7 +156,10 @@
     }
 
     fn snapshot(&self, least: u64, _to: u64) -> Result<Snapshot> {
-        let here = self.snapshot.as_ref().filter(|s| s.get_metadata().index >= least.max(self.cut.0));
+        let here = self
+            .snapshot
+            .as_ref()
+            .filter(|s| s.get_metadata().index >= least.max(self.cut.0));
         here.cloned().ok_or_else(|| {
             self.wanted.set(true);
             Error::Store(StorageError::SnapshotTemporarilyUnavailable)
--- a/forwarder/raft-groups/src/core/voters.rs
+++ b/forwarder/raft-groups/src/core/voters.rs
@@ -27,10 +27,16 @@
         if self.node.raft.has_pending_conf() || self.is_joint() || changes.is_empty() {
             return false;
         }
-        let stamp = Stamp::Voters { term, changes: changes.to_vec() };
+        let stamp = Stamp::Voters {
+            term,
+            changes: changes.to_vec(),
+        };
         let mut done = false;
         self.guarded(out, |core| {
-            done = core.node.propose_conf_change(stamp.bytes(), raft_change(changes)).is_ok();
+            done = core
+                .node
+                .propose_conf_change(stamp.bytes(), raft_change(changes))
+                .is_ok();
         });
         done
     }
@@ -74,9 +80,14 @@
 
     pub fn is_member(&self, who: Incarnation) -> bool {
         let conf = &self.node.store().conf;
-        [conf.get_voters(), conf.get_learners(), conf.get_voters_outgoing(), conf.get_learners_next()]
-            .iter()
-            .any(|all| all.contains(&who.0))
+        [
+            conf.get_voters(),
+            conf.get_learners(),
+            conf.get_voters_outgoing(),
+            conf.get_learners_next(),
+        ]
+        .iter()
+        .any(|all| all.contains(&who.0))
     }
 
     /// Its voters and learners, as committed here.
@@ -97,7 +108,8 @@
                 who: Incarnation(*id),
                 voter: conf.get_voters().contains(id),
                 // Raft goes on probing one that has all, until there is more to send.
-                up_to_date: progress.matched >= committed && progress.state != ProgressState::Snapshot,
+                up_to_date: progress.matched >= committed
+                    && progress.state != ProgressState::Snapshot,
                 new: progress.matched == 0,
                 knows: progress.committed_index >= committed,
             })
@@ -113,10 +125,16 @@
     /// Raft waits without end for the answer to a state that it sent, and one that was lost has none: it is
     /// sent again to those that still had not got it at the second look.
     pub(super) fn send_states_again(&mut self) {
-        let waits = self.node.raft.prs().iter().filter(|(_, p)| p.state == ProgressState::Snapshot);
+        let waits = self
+            .node
+            .raft
+            .prs()
+            .iter()
+            .filter(|(_, p)| p.state == ProgressState::Snapshot);
         let waiting: Vec<u64> = waits.map(|(id, _)| *id).collect();
         for id in waiting.iter().filter(|id| self.sent_a_state.contains(id)) {
-            self.node.report_snapshot(*id, raft::SnapshotStatus::Failure);
+            self.node
+                .report_snapshot(*id, raft::SnapshotStatus::Failure);
         }
         self.sent_a_state = waiting;
     }
@@ -126,7 +144,8 @@
         self.guarded(out, |core| {
             if core.led {
                 core.node.report_unreachable(who.0);
-                core.node.report_snapshot(who.0, raft::SnapshotStatus::Failure);
+                core.node
+                    .report_snapshot(who.0, raft::SnapshotStatus::Failure);
             }
         });
     }
--- a/forwarder/raft-groups/src/deadman.rs
+++ b/forwarder/raft-groups/src/deadman.rs
@@ -31,7 +31,10 @@
         if made != 0 {
             return Err(io::Error::last_os_error());
         }
-        Ok(Deadman { timer: timer as usize, span })
+        Ok(Deadman {
+            timer: timer as usize,
+            span,
+        })
     }
 
     /// Begins the span anew.
--- a/forwarder/raft-groups/src/disk/folder.rs
+++ b/forwarder/raft-groups/src/disk/folder.rs
@@ -40,7 +40,9 @@
 }
 
 fn drawn() -> io::Result<u64> {
-    OsRng.try_next_u64().map_err(|e| io::Error::other(e.to_string()))
+    OsRng
+        .try_next_u64()
+        .map_err(|e| io::Error::other(e.to_string()))
 }
 
 /// Opens the folder and begins a start on it: its generation grows, synced, before anyone hears of it. An empty
@@ -50,7 +52,10 @@
     let path = folder.join(IDENTITY);
     let kept = read::<Identity>(&path)?;
     if kept.is_none() && !groups(folder)?.is_empty() {
-        return Err(invalid(format!("{}: has groups but not whose they are", folder.display())));
+        return Err(invalid(format!(
+            "{}: has groups but not whose they are",
+            folder.display()
+        )));
     }
     let draw = drawn()?;
     let mut identity = match kept {
@@ -67,7 +72,10 @@
             Identity { incarnation, start: Start::default(), next_group: 1, file: (0, 0) }
         }
     };
-    identity.start = Start { generation: identity.start.generation + 1, draw };
+    identity.start = Start {
+        generation: identity.start.generation + 1,
+        draw,
+    };
     note_identity(folder, &identity)?;
     Ok(identity)
 }
@@ -75,7 +83,10 @@
 /// A number alone is given anew to the next file. A file system that does not say when it was made has the
 /// number only.
 fn file_itself(file: &fs::Metadata) -> (u64, u64) {
-    let made = file.created().ok().and_then(|at| at.duration_since(UNIX_EPOCH).ok());
+    let made = file
+        .created()
+        .ok()
+        .and_then(|at| at.duration_since(UNIX_EPOCH).ok());
     (file.ino(), made.map_or(0, |at| at.as_nanos() as u64))
 }
 
@@ -111,7 +122,11 @@
 pub fn replace(path: &Path, write: impl FnOnce(&mut File) -> io::Result<()>) -> io::Result<()> {
     let beside = path.with_extension("new");
     let written = (|| {
-        let mut file = OpenOptions::new().write(true).create(true).truncate(true).open(&beside)?;
+        let mut file = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(&beside)?;
         write(&mut file)?;
         file.sync_all()?;
         fs::rename(&beside, path)?;
@@ -125,7 +140,8 @@
 }
 
 pub fn sync_parent(path: &Path) -> io::Result<()> {
-    path.parent().map_or(Ok(()), |parent| File::open(parent)?.sync_all())
+    path.parent()
+        .map_or(Ok(()), |parent| File::open(parent)?.sync_all())
 }
 
 fn file_name(group: GroupId, extension: &str) -> String {
@@ -158,7 +174,10 @@
             let (id, extension) = name.rsplit_once('.')?;
             let (founder, number) = id.split_once('-')?;
             let founder = Incarnation(u64::from_str_radix(founder, 16).ok()?);
-            (extension == kind).then_some(GroupId { founder, number: number.parse().ok()? })
+            (extension == kind).then_some(GroupId {
+                founder,
+                number: number.parse().ok()?,
+            })
         });
         all.extend(parsed);
     }
--- a/forwarder/raft-groups/src/disk/log.rs
+++ b/forwarder/raft-groups/src/disk/log.rs
@@ -46,7 +46,10 @@
 }
 
 fn damaged(path: &Path) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("{}: is damaged", path.display()))
+    io::Error::new(
+        io::ErrorKind::InvalidData,
+        format!("{}: is damaged", path.display()),
+    )
 }
 
 impl Log {
@@ -54,7 +57,12 @@
     pub fn make(folder: &Path, group: GroupId, purpose: Purpose, kept: &Kept) -> io::Result<Log> {
         let path = folder::log_path(folder, group);
         let (base, hard) = (kept.base.clone(), kept.hard);
-        let first = record(&Record::Whole { purpose, base, hard, entries: mirrored(&kept.entries) });
+        let first = record(&Record::Whole {
+            purpose,
+            base,
+            hard,
+            entries: mirrored(&kept.entries),
+        });
         Log::written(path, purpose, &first)
     }
 
@@ -62,35 +70,65 @@
         folder::replace(&path, |file| file.write_all(first))?;
         let mut file = OpenOptions::new().write(true).open(&path)?;
         let length = file.seek(SeekFrom::End(0))?;
-        Ok(Log { file, path, purpose, length, dirty: false })
+        Ok(Log {
+            file,
+            path,
+            purpose,
+            length,
+            dirty: false,
+        })
     }
 
     /// Reads a group's file. A torn end was never acknowledged and is dropped.
     pub fn open(folder: &Path, group: GroupId) -> io::Result<(Log, Kept)> {
         let path = folder::log_path(folder, group);
         let bytes = fs::read(&path)?;
-        let mut kept = Kept { restarted: true, ..Kept::default() };
+        let mut kept = Kept {
+            restarted: true,
+            ..Kept::default()
+        };
         let mut purpose = None;
         let mut at = 0;
         while let Some((record, next)) = next(&bytes, at).map_err(|()| damaged(&path))? {
             at = next;
             match record {
-                Record::Whole { purpose: own, base, hard, entries } => {
+                Record::Whole {
+                    purpose: own,
+                    base,
+                    hard,
+                    entries,
+                } => {
                     purpose = Some(own);
                     let entries = entries.into_iter().map(Into::into).collect();
-                    kept = Kept { base, hard, entries, restarted: true };
+                    kept = Kept {
+                        base,
+                        hard,
+                        entries,
+                        restarted: true,
+                    };
                 }
                 Record::Batch(all) => {
                     for (hard, entries) in all {
                         let entries = entries.into_iter().map(Into::into).collect();
-                        kept.take(Persist { number: 0, hard, entries, base: None });
+                        kept.take(Persist {
+                            number: 0,
+                            hard,
+                            entries,
+                            base: None,
+                        });
                     }
                 }
             }
         }
         let purpose = purpose.ok_or_else(|| damaged(&path))?;
         let file = OpenOptions::new().write(true).open(&path)?;
-        let mut log = Log { file, path, purpose, length: at as u64, dirty: false };
+        let mut log = Log {
+            file,
+            path,
+            purpose,
+            length: at as u64,
+            dirty: false,
+        };
         if at < bytes.len() {
             log.back()?;
             log.file.sync_all()?;
@@ -107,7 +145,10 @@
             let written = match &all[done].base {
                 Some(base) => self.rewrite(base, &all[done]).map(|()| 1),
                 None => {
-                    let batch: Vec<&Persist> = all[done..].iter().take_while(|p| p.base.is_none()).collect();
+                    let batch: Vec<&Persist> = all[done..]
+                        .iter()
+                        .take_while(|p| p.base.is_none())
+                        .collect();
                     self.append(&batch).map(|()| batch.len())
                 }
             };
@@ -119,13 +160,21 @@
     fn rewrite(&mut self, base: &Base, persist: &Persist) -> io::Result<()> {
         let hard = persist.hard.unwrap_or_default();
         let entries = mirrored(&persist.entries);
-        let first = record(&Record::Whole { purpose: self.purpose, base: base.clone(), hard, entries });
+        let first = record(&Record::Whole {
+            purpose: self.purpose,
+            base: base.clone(),
+            hard,
+            entries,
+        });
         *self = Log::written(self.path.clone(), self.purpose, &first)?;
         Ok(())
     }
 
     fn append(&mut self, batch: &[&Persist]) -> io::Result<()> {
-        let all = batch.iter().map(|p| (p.hard, mirrored(&p.entries))).collect();
+        let all = batch
+            .iter()
+            .map(|p| (p.hard, mirrored(&p.entries)))
+            .collect();
         let bytes = record(&Record::Batch(all));
         if self.dirty {
             self.back()?;
@@ -156,8 +205,12 @@
 /// The record at `at` and where the next begins; None at the end or where the last is torn.
 fn next(bytes: &[u8], at: usize) -> Result<Option<(Record, usize)>, ()> {
     let rest = &bytes[at..];
-    let Some((first, rest)) = rest.split_first_chunk::<HEAD>() else { return Ok(None) };
-    let Ok((length, sum)) = head(*first, rest.len()) else { return Ok(None) };
+    let Some((first, rest)) = rest.split_first_chunk::<HEAD>() else {
+        return Ok(None);
+    };
+    let Ok((length, sum)) = head(*first, rest.len()) else {
+        return Ok(None);
+    };
     if let Ok(record) = body(&rest[..length], sum) {
         return Ok(Some((record, at + HEAD + length)));
     }
--- a/forwarder/raft-groups/src/disk/thread.rs
+++ b/forwarder/raft-groups/src/disk/thread.rs
@@ -47,9 +47,17 @@
 /// From the disk: what is synced.
 #[derive(Debug)]
 pub enum FromDisk {
-    Group { group: GroupId, number: u64, bytes: u64 },
-    Made { group: GroupId },
-    Noted { token: u64 },
+    Group {
+        group: GroupId,
+        number: u64,
+        bytes: u64,
+    },
+    Made {
+        group: GroupId,
+    },
+    Noted {
+        token: u64,
+    },
 }
 
 const AGAIN_AFTER: Duration = Duration::from_millis(100);
@@ -91,7 +99,9 @@
                 }
             }
             if again_at.is_none_or(|at| Instant::now() >= at) {
-                again_at = self.notes(&mut others).then(|| Instant::now() + AGAIN_AFTER);
+                again_at = self
+                    .notes(&mut others)
+                    .then(|| Instant::now() + AGAIN_AFTER);
             }
             let mut late = again_at.is_some();
             for (group, queue) in &mut queues {
@@ -109,7 +119,11 @@
                 return;
             }
             let clogged = late || self.outbox.is_clogged();
-            std::thread::park_timeout(if clogged { AGAIN_AFTER / 4 } else { Duration::from_secs(1) });
+            std::thread::park_timeout(if clogged {
+                AGAIN_AFTER / 4
+            } else {
+                Duration::from_secs(1)
+            });
         }
     }
 
@@ -131,7 +145,11 @@
         };
         let number = queue.all.drain(..done).map(|p| p.number).max();
         if let Some(number) = number.filter(|n| *n > 0) {
-            self.outbox.send(FromDisk::Group { group, number, bytes: log.bytes() });
+            self.outbox.send(FromDisk::Group {
+                group,
+                number,
+                bytes: log.bytes(),
+            });
         }
     }
 
@@ -153,7 +171,11 @@
 
     fn note(&mut self, order: &ToDisk) -> io::Result<Option<FromDisk>> {
         Ok(match order {
-            ToDisk::Make { group, purpose, kept } => {
+            ToDisk::Make {
+                group,
+                purpose,
+                kept,
+            } => {
                 let log = Log::make(&self.folder, *group, *purpose, kept)?;
                 self.logs.insert(*group, log);
                 Some(FromDisk::Made { group: *group })
--- a/forwarder/raft-groups/src/groups/founding.rs
+++ b/forwarder/raft-groups/src/groups/founding.rs
@@ -22,7 +22,13 @@
 
 impl Founding {
     pub fn ordered(purpose: Purpose, begun: f64) -> Self {
-        Founding { purpose, begun, group: None, asked: false, voters: Vec::new() }
+        Founding {
+            purpose,
+            begun,
+            group: None,
+            asked: false,
+            voters: Vec::new(),
+        }
     }
 }
 
@@ -43,8 +49,15 @@
 
     /// Numbers are noted in the order of the foundings.
     pub(super) fn numbered(&mut self, number: u32) {
-        let group = GroupId { founder: self.incarnation(), number };
-        if let Some(founding) = self.foundings.iter_mut().find(|f| f.asked && f.group.is_none()) {
+        let group = GroupId {
+            founder: self.incarnation(),
+            number,
+        };
+        if let Some(founding) = self
+            .foundings
+            .iter_mut()
+            .find(|f| f.asked && f.group.is_none())
+        {
             founding.group = Some(group);
         }
         let now = self.now();
@@ -108,8 +121,10 @@
     }
 
     fn keepers_live(&self, founding: &Founding) -> bool {
-        let live =
-            founding.voters.iter().filter(|v| **v == self.incarnation() || self.peer_of(**v).is_some());
+        let live = founding
+            .voters
+            .iter()
+            .filter(|v| **v == self.incarnation() || self.peer_of(**v).is_some());
         2 * live.count() > founding.voters.len()
     }
 
@@ -117,7 +132,14 @@
         let (purpose, voters) = (founding.purpose, founding.voters.clone());
         for who in &founding.voters {
             if let Some(peer) = self.peer_of(*who) {
-                self.say(peer, &Said::Found { group, purpose, voters: voters.clone() });
+                self.say(
+                    peer,
+                    &Said::Found {
+                        group,
+                        purpose,
+                        voters: voters.clone(),
+                    },
+                );
             }
         }
     }
@@ -132,7 +154,9 @@
         };
         let Some(others) = others else { return };
         founding.voters = vec![self.incarnation()];
-        founding.voters.extend(others.iter().filter_map(|at| self.peers[*at].up));
+        founding
+            .voters
+            .extend(others.iter().filter_map(|at| self.peers[*at].up));
         let machine = (self.machines)(founding.purpose);
         let kept = Kept::founded(&founding.voters, &*machine);
         self.make(group, founding.purpose, kept);
@@ -158,8 +182,9 @@
             return None;
         }
         let named = |at: &Peer| self.fleet.voters.contains(&self.fleet.instances[*at].name);
-        let there: Vec<Peer> =
-            (0..self.peers.len()).filter(|at| named(at) && self.is_there(*at, now)).collect();
+        let there: Vec<Peer> = (0..self.peers.len())
+            .filter(|at| named(at) && self.is_there(*at, now))
+            .collect();
         (2 * (there.len() + 1) > self.fleet.voters.len()).then_some(there)
     }
 
@@ -174,15 +199,20 @@
 
     /// The disk has its file.
     pub(super) fn made(&mut self, group: GroupId) {
-        let Some((purpose, kept)) = self.making.remove(&group) else { return };
+        let Some((purpose, kept)) = self.making.remove(&group) else {
+            return;
+        };
         let machine = (self.machines)(purpose);
-        let Ok(core) = Core::new(group, purpose, self.incarnation(), kept, machine, self.pace) else {
+        let Ok(core) = Core::new(group, purpose, self.incarnation(), kept, machine, self.pace)
+        else {
             return;
         };
         if purpose == Purpose::Control {
             self.control = Some(group);
             let hello = self.hello(self.me);
-            self.rings.links.send(crate::links::shared::ToLinks::Hello(hello));
+            self.rings
+                .links
+                .send(crate::links::shared::ToLinks::Hello(hello));
         }
         self.held.insert(group, self.leases.of(group));
         self.cores.insert(group, core);
--- a/forwarder/raft-groups/src/groups/heard.rs
+++ b/forwarder/raft-groups/src/groups/heard.rs
@@ -23,7 +23,9 @@
                 self.calls.remove(&call);
             }
             FromLinks::Said { call, said } => {
-                let Some(call) = self.calls.get(&call).copied() else { return };
+                let Some(call) = self.calls.get(&call).copied() else {
+                    return;
+                };
                 self.peers[call.peer].heard = self.now();
                 self.said(call, *said);
             }
@@ -40,7 +42,11 @@
             Said::Raft { group, message } => self.voter_said(from, group, message),
             Said::Slice { group, slice } => self.slice_came(from, group, slice),
             Said::Taken { group, offset } => self.state_taken(from, group, offset),
-            Said::Found { group, purpose, voters } => {
+            Said::Found {
+                group,
+                purpose,
+                voters,
+            } => {
                 let mine = voters.contains(&self.incarnation()) && group.founder == from.who;
                 if mine && self.may_make(group, purpose) {
                     let machine = (self.machines)(purpose);
@@ -53,13 +59,19 @@
                 }
             }
             Said::Gone { group } => {
-                let leads = self.cores.get(&group).is_none_or(|core| core.leads().is_some());
+                let leads = self
+                    .cores
+                    .get(&group)
+                    .is_none_or(|core| core.leads().is_some());
                 if !leads {
                     self.parked.insert(group);
                 }
             }
             Said::Dissolved { group } => {
-                let leads = self.cores.get(&group).is_none_or(|core| core.leads().is_some());
+                let leads = self
+                    .cores
+                    .get(&group)
+                    .is_none_or(|core| core.leads().is_some());
                 if !leads {
                     self.bury(group);
                 }
@@ -72,23 +84,37 @@
         let core = self.control.and_then(|group| self.cores.get(&group));
         if core.is_some_and(|core| core.leads().is_some()) {
             let from_name = InstanceName(self.fleet.instances[from.peer].name.as_str().into());
-            self.tell(News::Reported { from: from_name, incarnation: from.who, body });
+            self.tell(News::Reported {
+                from: from_name,
+                incarnation: from.who,
+                body,
+            });
         }
     }
 
     pub(super) fn may_make(&self, group: GroupId, purpose: Purpose) -> bool {
-        let known =
-            self.cores.contains_key(&group) || self.making.contains_key(&group) || self.gone.contains(&group);
-        let other_control = purpose == Purpose::Control && self.control.is_some_and(|own| own != group);
+        let known = self.cores.contains_key(&group)
+            || self.making.contains_key(&group)
+            || self.gone.contains(&group);
+        let other_control =
+            purpose == Purpose::Control && self.control.is_some_and(|own| own != group);
         let copies_off = purpose == Purpose::Record && self.fleet.copies.is_none();
         let full = self.cores.len() + self.making.len() >= MOST_GROUPS;
         !known && !other_control && !copies_off && !full && group.number != 0
     }
 
     pub(super) fn make(&mut self, group: GroupId, purpose: Purpose, kept: Kept) {
-        let copy = Kept { base: kept.base.clone(), hard: kept.hard, ..Kept::default() };
+        let copy = Kept {
+            base: kept.base.clone(),
+            hard: kept.hard,
+            ..Kept::default()
+        };
         self.making.insert(group, (purpose, kept));
-        self.rings.disk.send(ToDisk::Make { group, purpose, kept: copy });
+        self.rings.disk.send(ToDisk::Make {
+            group,
+            purpose,
+            kept: copy,
+        });
     }
 
     fn voter_said(&mut self, from: Call, group: GroupId, message: Message) {
@@ -104,7 +130,10 @@
         if core.leads().is_some() && !core.is_member(from.who) {
             return self.say(from.peer, &Said::Gone { group });
         }
-        let leader = matches!(message.kind, Kind::Append | Kind::Heartbeat | Kind::Snapshot);
+        let leader = matches!(
+            message.kind,
+            Kind::Append | Kind::Heartbeat | Kind::Snapshot
+        );
         if leader {
             self.parked.remove(&group);
         }
@@ -130,8 +159,14 @@
     pub(super) fn dissolves(&mut self, group: GroupId) {
         let now = self.now();
         let since = *self.dissolving.entry(group).or_insert(now);
-        let leads = self.cores.get(&group).is_some_and(|core| core.leads().is_some());
-        let known = self.cores.get(&group).is_none_or(|core| core.seen().iter().all(|seen| seen.knows));
+        let leads = self
+            .cores
+            .get(&group)
+            .is_some_and(|core| core.leads().is_some());
+        let known = self
+            .cores
+            .get(&group)
+            .is_none_or(|core| core.seen().iter().all(|seen| seen.knows));
         if !leads || known || now - since > self.fleet.timing.replace {
             self.bury(group);
         }
