--- a/forwarder/raft-groups/src/groups/mod.rs
+++ b/forwarder/raft-groups/src/groups/mod.rs
@@ -51,12 +51,17 @@
                 self.review(now);
             }
             self.flush();
-            if self.rings.news.is_over() || self.rings.links.is_over() || self.rings.disk.is_over() {
+            if self.rings.news.is_over() || self.rings.links.is_over() || self.rings.disk.is_over()
+            {
                 break;
             }
             if !busy {
                 let rest = (ticked + self.pace.tick - self.now()).clamp(0.1, 1000.0);
-                let rest = if self.is_clogged() { rest.min(2.0) } else { rest };
+                let rest = if self.is_clogged() {
+                    rest.min(2.0)
+                } else {
+                    rest
+                };
                 std::thread::park_timeout(Duration::from_secs_f64(rest / 1e3));
             }
         }
@@ -75,7 +80,9 @@
     }
 
     fn is_clogged(&self) -> bool {
-        self.rings.news.is_clogged() || self.rings.links.is_clogged() || self.rings.disk.is_clogged()
+        self.rings.news.is_clogged()
+            || self.rings.links.is_clogged()
+            || self.rings.disk.is_clogged()
     }
 
     fn flush(&mut self) {
@@ -89,7 +96,11 @@
         while let Ok(done) = self.rings.from_disk.pop() {
             busy = true;
             match done {
-                FromDisk::Group { group, number, bytes } => {
+                FromDisk::Group {
+                    group,
+                    number,
+                    bytes,
+                } => {
                     self.disk_bytes.insert(group, bytes);
                     self.with(group, |core, out| core.persisted(number, out));
                 }
@@ -102,7 +113,9 @@
 
     fn hear_links(&mut self) -> bool {
         for turn in 0..AT_ONCE {
-            let Ok(news) = self.rings.from_links.pop() else { return turn > 0 };
+            let Ok(news) = self.rings.from_links.pop() else {
+                return turn > 0;
+            };
             self.heard(news);
         }
         true
@@ -110,14 +123,21 @@
 
     fn hear_orders(&mut self) -> bool {
         for turn in 0..AT_ONCE {
-            let Ok(order) = self.rings.orders.pop() else { return turn > 0 };
+            let Ok(order) = self.rings.orders.pop() else {
+                return turn > 0;
+            };
             self.ordered(order);
         }
         true
     }
 
     fn tick(&mut self, now: f64) {
-        let all: Vec<GroupId> = self.cores.keys().copied().filter(|g| !self.parked.contains(g)).collect();
+        let all: Vec<GroupId> = self
+            .cores
+            .keys()
+            .copied()
+            .filter(|g| !self.parked.contains(g))
+            .collect();
         for group in all {
             self.with(group, |core, out| core.tick(now, out));
         }
@@ -126,11 +146,17 @@
             self.beaten = now;
             self.make_room();
             self.tell_room(now);
-            let said = Said::Beat { left: self.left_for_takes(), control: self.control };
+            let said = Said::Beat {
+                left: self.left_for_takes(),
+                control: self.control,
+            };
             let frame = frame(&said);
             for to in 0..self.peers.len() {
                 if self.peers[to].up.is_some() {
-                    self.rings.links.send_or_lose(ToLinks::Say { to, frame: frame.clone() });
+                    self.rings.links.send_or_lose(ToLinks::Say {
+                        to,
+                        frame: frame.clone(),
+                    });
                 }
             }
         }
@@ -138,7 +164,9 @@
 
     /// Lets a core do something and hands on what comes of it: to the disk first, then to the others.
     pub(crate) fn with(&mut self, group: GroupId, act: impl FnOnce(&mut Core, &mut Effects)) {
-        let Some(core) = self.cores.get_mut(&group) else { return };
+        let Some(core) = self.cores.get_mut(&group) else {
+            return;
+        };
         let mut out = Effects::default();
         act(core, &mut out);
         let until = (core.lease().max(0.0) * 1e3) as u64;
@@ -177,7 +205,9 @@
             self.unsent.push((group, to));
             return;
         };
-        let Some(message) = mirror::Message::of(message) else { return };
+        let Some(message) = mirror::Message::of(message) else {
+            return;
+        };
         match message.snapshot {
             Some(_) => self.send_state(group, peer, message),
             None => self.say(peer, &Said::Raft { group, message }),
@@ -185,7 +215,10 @@
     }
 
     pub(crate) fn say(&mut self, to: usize, said: &Said) {
-        self.rings.links.send_or_lose(ToLinks::Say { to, frame: frame(said) });
+        self.rings.links.send_or_lose(ToLinks::Say {
+            to,
+            frame: frame(said),
+        });
     }
 
     pub(crate) fn tell(&mut self, news: News) {
--- a/forwarder/raft-groups/src/groups/orders.rs
+++ b/forwarder/raft-groups/src/groups/orders.rs
@@ -11,13 +11,19 @@
     /// What was there before is told to the loop.
     pub(super) fn begin(&mut self) {
         let hello = self.hello(self.me);
-        self.rings.links.send(crate::links::shared::ToLinks::Hello(hello));
+        self.rings
+            .links
+            .send(crate::links::shared::ToLinks::Hello(hello));
         if let Some(control) = self.control.and_then(|group| self.cores.get(&group)) {
             let state = control.state();
             self.tell(News::Replaced { state });
         }
-        let dissolved: Vec<GroupId> =
-            self.cores.iter().filter(|(_, c)| c.dissolved()).map(|(g, _)| *g).collect();
+        let dissolved: Vec<GroupId> = self
+            .cores
+            .iter()
+            .filter(|(_, c)| c.dissolved())
+            .map(|(g, _)| *g)
+            .collect();
         for group in dissolved {
             self.bury(group);
         }
@@ -26,7 +32,11 @@
     pub(super) fn ordered(&mut self, order: Order) {
         match order {
             Order::Found { purpose } => self.found(Founding::ordered(purpose, self.now())),
-            Order::Propose { group, number, command } => {
+            Order::Propose {
+                group,
+                number,
+                command,
+            } => {
                 self.proposed += command.len() as u64;
                 match self.cores.contains_key(&group) {
                     true => self.with(group, |core, out| core.propose(number, command, out)),
@@ -40,9 +50,17 @@
 
     fn report(&mut self, body: Vec<u8>) {
         let core = self.control.and_then(|group| self.cores.get(&group));
-        let Some(leader) = core.and_then(|core| core.leader()) else { return };
+        let Some(leader) = core.and_then(|core| core.leader()) else {
+            return;
+        };
         if leader == self.incarnation() {
-            return self.reported(Call { peer: self.me, who: leader }, body);
+            return self.reported(
+                Call {
+                    peer: self.me,
+                    who: leader,
+                },
+                body,
+            );
         }
         if let Some(peer) = self.peer_of(leader) {
             self.say(peer, &Said::Report { body });
--- a/forwarder/raft-groups/src/groups/peers.rs
+++ b/forwarder/raft-groups/src/groups/peers.rs
@@ -48,9 +48,7 @@
         control: Option<GroupId>,
     },
     /// The number of a group to be founded.
-    Number {
-        number: u32,
-    },
+    Number { number: u32 },
 }
 
 impl Groups {
@@ -69,7 +67,12 @@
 
     /// Notes a start. The error is the later one that was here before.
     fn meet(&mut self, hello: &Hello) -> Result<(), u64> {
-        let Hello { incarnation, start, name, .. } = hello;
+        let Hello {
+            incarnation,
+            start,
+            name,
+            ..
+        } = hello;
         let known = self.met.get(incarnation).cloned();
         if let Some((known_name, known)) = &known {
             let older = start.generation < known.generation;
@@ -86,7 +89,10 @@
             self.make_room_to_meet();
             self.met.insert(*incarnation, (name.clone(), *start));
             self.token += 1;
-            self.rings.disk.send(ToDisk::Met { met: self.met.clone(), token: self.token });
+            self.rings.disk.send(ToDisk::Met {
+                met: self.met.clone(),
+                token: self.token,
+            });
         }
         Ok(())
     }
@@ -97,7 +103,8 @@
             return;
         }
         let needed = |who: &Incarnation| {
-            self.peers.iter().any(|p| p.up == Some(*who)) || self.cores.values().any(|c| c.is_member(*who))
+            self.peers.iter().any(|p| p.up == Some(*who))
+                || self.cores.values().any(|c| c.is_member(*who))
         };
         let forgotten = self.met.keys().find(|who| !needed(who)).copied();
         forgotten.map(|who| self.met.remove(&who));
@@ -106,9 +113,10 @@
     pub(super) fn called(&mut self, call: u64, peer: Peer, hello: Hello) {
         let who = hello.incarnation;
         match self.meet(&hello) {
-            Err(known) => {
-                self.rings.links.send(ToLinks::Answer { call, answer: Answer::OlderCopy { known } })
-            }
+            Err(known) => self.rings.links.send(ToLinks::Answer {
+                call,
+                answer: Answer::OlderCopy { known },
+            }),
             Ok(()) => self.after_notes(Noting::Called { call, peer, who }),
         }
     }
@@ -125,8 +133,8 @@
                 ));
             }
             Answer::Welcome(hello) => {
-                let named =
-                    *hello.name.0 == *self.fleet.instances[peer].name && hello.fleet == self.fleet.fleet;
+                let named = *hello.name.0 == *self.fleet.instances[peer].name
+                    && hello.fleet == self.fleet.fleet;
                 let (who, control) = (hello.incarnation, hello.control);
                 match self.meet(&hello) {
                     Ok(()) if named => self.after_notes(Noting::Answered { peer, who, control }),
@@ -177,9 +185,17 @@
                     let name = InstanceName(self.fleet.instances[peer].name.as_str().into());
                     let before = state.told.replace(who);
                     if let Some(incarnation) = before {
-                        self.tell(News::Peer { name: name.clone(), incarnation, up: false });
+                        self.tell(News::Peer {
+                            name: name.clone(),
+                            incarnation,
+                            up: false,
+                        });
                     }
-                    self.tell(News::Peer { name, incarnation: who, up: true });
+                    self.tell(News::Peer {
+                        name,
+                        incarnation: who,
+                        up: true,
+                    });
                 }
             }
             Noting::Number { number } => self.numbered(number),
@@ -193,7 +209,11 @@
         state.away = now;
         let name = InstanceName(self.fleet.instances[peer].name.as_str().into());
         if let Some(incarnation) = state.told.take() {
-            self.tell(News::Peer { name, incarnation, up: false });
+            self.tell(News::Peer {
+                name,
+                incarnation,
+                up: false,
+            });
         }
         let groups: Vec<GroupId> = self.cores.keys().copied().collect();
         for group in groups {
@@ -216,8 +236,11 @@
     /// not in the fleet any more.
     pub(super) fn away(&self, who: Incarnation, now: f64) -> f64 {
         let name = self.met.get(&who).map(|(name, _)| &name.0);
-        let place = name.and_then(|name| self.fleet.instances.iter().position(|i| *i.name == **name));
-        let Some(peer) = place else { return f64::INFINITY };
+        let place =
+            name.and_then(|name| self.fleet.instances.iter().position(|i| *i.name == **name));
+        let Some(peer) = place else {
+            return f64::INFINITY;
+        };
         let state = &self.peers[peer];
         match state.up {
             Some(up) if up != who => f64::INFINITY,
--- a/forwarder/raft-groups/src/groups/review.rs
+++ b/forwarder/raft-groups/src/groups/review.rs
@@ -22,8 +22,12 @@
         self.unsent.clear();
         self.found_control(now);
         self.foundings_go_on(now);
-        let led: Vec<GroupId> =
-            self.cores.iter().filter(|(_, c)| c.leads().is_some()).map(|(g, _)| *g).collect();
+        let led: Vec<GroupId> = self
+            .cores
+            .iter()
+            .filter(|(_, c)| c.leads().is_some())
+            .map(|(g, _)| *g)
+            .collect();
         self.voters_told.retain(|group, _| led.contains(group));
         for group in led {
             self.tell_voters(group);
@@ -44,15 +48,21 @@
     /// A link that stands but brings nothing is no link.
     fn silent_peers(&mut self, now: f64) {
         for peer in 0..self.peers.len() {
-            if self.peers[peer].up.is_some() && now - self.peers[peer].heard > self.fleet.timing.replace {
-                self.rings.links.send(crate::links::shared::ToLinks::HangUp { peer });
+            if self.peers[peer].up.is_some()
+                && now - self.peers[peer].heard > self.fleet.timing.replace
+            {
+                self.rings
+                    .links
+                    .send(crate::links::shared::ToLinks::HangUp { peer });
             }
         }
     }
 
     /// One line for each change of who keeps a group that is led here.
     fn tell_voters(&mut self, group: GroupId) {
-        let Some(core) = self.cores.get(&group) else { return };
+        let Some(core) = self.cores.get(&group) else {
+            return;
+        };
         let (mut voters, _) = core.members();
         voters.sort();
         if !core.is_settled() || self.voters_told.get(&group) == Some(&voters) {
@@ -69,9 +79,16 @@
 
     /// Those that are to learn of the group, and have not spoken yet.
     fn join(&mut self, group: GroupId) {
-        let Some(core) = self.cores.get(&group) else { return };
+        let Some(core) = self.cores.get(&group) else {
+            return;
+        };
         let purpose = core.purpose;
-        let new: Vec<Incarnation> = core.seen().iter().filter(|s| s.new).map(|s| s.who).collect();
+        let new: Vec<Incarnation> = core
+            .seen()
+            .iter()
+            .filter(|s| s.new)
+            .map(|s| s.who)
+            .collect();
         for who in new {
             if let Some(peer) = self.peer_of(who) {
                 self.say(peer, &Said::Join { group, purpose });
@@ -107,17 +124,23 @@
             let up = self.peers[*at].up.filter(|who| !core.is_member(*who));
             up.filter(|_| self.is_there(*at, now) && self.peers[*at].left > 0)
         };
-        let next = roll::keepers(all, &all[self.me], group.founder).iter().find_map(may);
+        let next = roll::keepers(all, &all[self.me], group.founder)
+            .iter()
+            .find_map(may);
         next.map(Change::Learner).into_iter().collect()
     }
 
     /// All instances hear the control group's log; those named vote.
     fn control_changes(&self, group: GroupId, now: f64) -> Vec<Change> {
-        let Some(core) = self.cores.get(&group) else { return Vec::new() };
+        let Some(core) = self.cores.get(&group) else {
+            return Vec::new();
+        };
         let named = |at: Peer| self.fleet.voters.contains(&self.fleet.instances[at].name);
         let seen = core.seen();
         let old = seen.iter().find(|s| self.away(s.who, now) == f64::INFINITY);
-        let heir = seen.iter().find(|s| !s.voter && s.up_to_date && self.peer_of(s.who).is_some_and(named));
+        let heir = seen
+            .iter()
+            .find(|s| !s.voter && s.up_to_date && self.peer_of(s.who).is_some_and(named));
         if let Some(heir) = heir {
             let mut changes = vec![Change::Voter(heir.who)];
             changes.extend(old.map(|old| Change::Remove(old.who)));
@@ -126,14 +149,26 @@
         if let Some(old) = old.filter(|s| !s.voter) {
             return vec![Change::Remove(old.who)];
         }
-        let ups = self.peers.iter().filter_map(|p| p.up).filter(|who| !core.is_member(*who));
+        let ups = self
+            .peers
+            .iter()
+            .filter_map(|p| p.up)
+            .filter(|who| !core.is_member(*who));
         let next: Vec<Change> = ups.take(LEARNERS).map(Change::Learner).collect();
         if !next.is_empty() {
             return next;
         }
         // No longer named, or nowhere any more and nobody on the way to its place.
-        let coming = seen.iter().any(|s| !s.voter && self.peer_of(s.who).is_some_and(named));
-        let surplus = seen.iter().find(|s| s.voter && self.peer_of(s.who).is_some_and(|at| !named(at)));
-        surplus.or(old.filter(|_| !coming)).map(|s| Change::Remove(s.who)).into_iter().collect()
+        let coming = seen
+            .iter()
+            .any(|s| !s.voter && self.peer_of(s.who).is_some_and(named));
+        let surplus = seen
+            .iter()
+            .find(|s| s.voter && self.peer_of(s.who).is_some_and(|at| !named(at)));
+        surplus
+            .or(old.filter(|_| !coming))
+            .map(|s| Change::Remove(s.who))
+            .into_iter()
+            .collect()
     }
 }
--- a/forwarder/raft-groups/src/groups/room.rs
+++ b/forwarder/raft-groups/src/groups/room.rs
@@ -15,12 +15,17 @@
 
 impl Groups {
     fn is_for_others(&self, group: &GroupId, core: &Core) -> bool {
-        core.purpose == Purpose::Record && core.leads().is_none() && group.founder != self.incarnation()
+        core.purpose == Purpose::Record
+            && core.leads().is_none()
+            && group.founder != self.incarnation()
     }
 
     /// Bytes of memory and disk that are kept for others.
     fn kept_for_others(&self) -> (u64, u64) {
-        let kept = self.cores.iter().filter(|(group, core)| self.is_for_others(group, core));
+        let kept = self
+            .cores
+            .iter()
+            .filter(|(group, core)| self.is_for_others(group, core));
         kept.fold((0, 0), |(memory, disk), (group, core)| {
             let on_disk = self.disk_bytes.get(group).copied().unwrap_or_default();
             (memory + core.size() as u64, disk + on_disk)
@@ -29,7 +34,9 @@
 
     /// Bytes left of the share of the caps.
     fn left(&self, share: f64) -> u64 {
-        let Some(copies) = &self.fleet.copies else { return u64::MAX };
+        let Some(copies) = &self.fleet.copies else {
+            return u64::MAX;
+        };
         let (memory, disk) = self.kept_for_others();
         let left = |cap: u64, kept: u64| ((cap as f64 * share) as u64).saturating_sub(kept);
         left(copies.memory, memory).min(left(copies.disk, disk))
@@ -50,7 +57,10 @@
         if self.left(CUT) > 0 {
             return;
         }
-        let groups = self.cores.iter().filter(|(group, core)| self.is_for_others(group, core));
+        let groups = self
+            .cores
+            .iter()
+            .filter(|(group, core)| self.is_for_others(group, core));
         let groups: Vec<GroupId> = groups.map(|(group, _)| *group).collect();
         for group in groups {
             let on_disk = self.disk_bytes.get(&group).copied().unwrap_or_default();
@@ -69,7 +79,11 @@
     /// Up to how many bytes of commands, counted from the start, a majority of each led group has room.
     pub(super) fn tell_room(&mut self, now: f64) {
         let mut most = u64::MAX;
-        for core in self.cores.values().filter(|c| c.leads().is_some() && c.purpose == Purpose::Record) {
+        for core in self
+            .cores
+            .values()
+            .filter(|c| c.leads().is_some() && c.purpose == Purpose::Record)
+        {
             let (voters, _) = core.members();
             let until = |who| match self.peer_of(who).filter(|at| self.is_there(*at, now)) {
                 Some(at) => self.peers[at].left_at.saturating_add(self.peers[at].left),
@@ -80,7 +94,12 @@
             room.sort_by(|a, b| b.cmp(a));
             // With itself, so many others are a majority.
             let needed = voters.len() / 2;
-            most = most.min(needed.checked_sub(1).and_then(|at| room.get(at).copied()).unwrap_or(u64::MAX));
+            most = most.min(
+                needed
+                    .checked_sub(1)
+                    .and_then(|at| room.get(at).copied())
+                    .unwrap_or(u64::MAX),
+            );
         }
         self.rings.room.store(most, Ordering::Release);
     }
--- a/forwarder/raft-groups/src/groups/state.rs
+++ b/forwarder/raft-groups/src/groups/state.rs
@@ -97,11 +97,33 @@
 
 impl Groups {
     pub fn new(begun: Begun, rings: Rings) -> Self {
-        let Begun { fleet, me, identity, log, folder, machines, pace, leases, cores, gone, met } = begun;
-        let peers = fleet.instances.iter().map(|_| PeerState::default()).collect();
+        let Begun {
+            fleet,
+            me,
+            identity,
+            log,
+            folder,
+            machines,
+            pace,
+            leases,
+            cores,
+            gone,
+            met,
+        } = begun;
+        let peers = fleet
+            .instances
+            .iter()
+            .map(|_| PeerState::default())
+            .collect();
         let noted_group = identity.next_group;
-        let held = cores.keys().map(|group| (*group, leases.of(*group))).collect();
-        let control = cores.iter().find(|(_, c)| c.purpose == Purpose::Control).map(|(group, _)| *group);
+        let held = cores
+            .keys()
+            .map(|group| (*group, leases.of(*group)))
+            .collect();
+        let control = cores
+            .iter()
+            .find(|(_, c)| c.purpose == Purpose::Control)
+            .map(|(group, _)| *group);
         Groups {
             fleet,
             me,
--- a/forwarder/raft-groups/src/groups/states.rs
+++ b/forwarder/raft-groups/src/groups/states.rs
@@ -35,20 +35,38 @@
 impl Groups {
     pub(super) fn send_state(&mut self, group: GroupId, peer: Peer, mut message: Message) {
         let now = self.now();
-        let (Some(to), Some(state)) = (self.peers[peer].up, &mut message.snapshot) else { return };
-        let under_way =
-            self.outgoing.get(&(group, peer)).is_some_and(|o| o.to == to && o.message.term == message.term);
+        let (Some(to), Some(state)) = (self.peers[peer].up, &mut message.snapshot) else {
+            return;
+        };
+        let under_way = self
+            .outgoing
+            .get(&(group, peer))
+            .is_some_and(|o| o.to == to && o.message.term == message.term);
         if under_way {
             return;
         }
         let data = std::mem::take(&mut state.data);
-        self.outgoing.insert((group, peer), Outgoing { to, message, data, sent: 0, taken: 0, moved: now });
+        self.outgoing.insert(
+            (group, peer),
+            Outgoing {
+                to,
+                message,
+                data,
+                sent: 0,
+                taken: 0,
+                moved: now,
+            },
+        );
         self.send_slices(group, peer);
     }
 
     fn send_slices(&mut self, group: GroupId, peer: Peer) {
-        let Some(mut state) = self.outgoing.remove(&(group, peer)) else { return };
-        while state.sent < state.taken + UNDER_WAY && (state.sent < state.data.len() || state.sent == 0) {
+        let Some(mut state) = self.outgoing.remove(&(group, peer)) else {
+            return;
+        };
+        while state.sent < state.taken + UNDER_WAY
+            && (state.sent < state.data.len() || state.sent == 0)
+        {
             let end = (state.sent + SLICE).min(state.data.len());
             let slice = Slice {
                 message: (state.sent == 0).then(|| state.message.clone()),
@@ -67,7 +85,11 @@
 
     pub(super) fn state_taken(&mut self, from: Call, group: GroupId, offset: u64) {
         let now = self.now();
-        let Some(state) = self.outgoing.get_mut(&(group, from.peer)).filter(|s| s.to == from.who) else {
+        let Some(state) = self
+            .outgoing
+            .get_mut(&(group, from.peer))
+            .filter(|s| s.to == from.who)
+        else {
             return;
         };
         state.taken = state.taken.max(offset as usize).min(state.sent);
@@ -82,12 +104,20 @@
     pub(super) fn states_go_on(&mut self, now: f64) {
         let patience = 2.0 * self.fleet.timing.election;
         let peers = &self.peers;
-        self.outgoing.retain(|(_, peer), s| now - s.moved < patience && peers[*peer].up == Some(s.to));
+        self.outgoing
+            .retain(|(_, peer), s| now - s.moved < patience && peers[*peer].up == Some(s.to));
     }
 
     pub(super) fn slice_came(&mut self, from: Call, group: GroupId, slice: Slice) {
-        let Slice { message, offset, total, bytes } = slice;
-        let Some(core) = self.cores.get(&group) else { return };
+        let Slice {
+            message,
+            offset,
+            total,
+            bytes,
+        } = slice;
+        let Some(core) = self.cores.get(&group) else {
+            return;
+        };
         let most = match (core.purpose, &self.fleet.copies) {
             (Purpose::Record, Some(copies)) => copies.memory,
             _ => LONGEST_CONTROL,
@@ -97,10 +127,21 @@
             if !whose || total > most || message.snapshot.is_none() {
                 return;
             }
-            self.incoming.insert(group, Incoming { from: from.who, message, total, data: Vec::new() });
+            self.incoming.insert(
+                group,
+                Incoming {
+                    from: from.who,
+                    message,
+                    total,
+                    data: Vec::new(),
+                },
+            );
         }
-        let Some(state) = self.incoming.get_mut(&group) else { return };
-        let follows = state.from == from.who && state.total == total && state.data.len() as u64 == offset;
+        let Some(state) = self.incoming.get_mut(&group) else {
+            return;
+        };
+        let follows =
+            state.from == from.who && state.total == total && state.data.len() as u64 == offset;
         if !follows || offset + bytes.len() as u64 > total {
             self.incoming.remove(&group);
             return;
@@ -108,13 +149,22 @@
         state.data.extend_from_slice(&bytes);
         let come = state.data.len() as u64;
         if come == total {
-            if let Some(Incoming { mut message, data, .. }) = self.incoming.remove(&group) {
+            if let Some(Incoming {
+                mut message, data, ..
+            }) = self.incoming.remove(&group)
+            {
                 if let Some(whole) = &mut message.snapshot {
                     whole.data = data;
                 }
                 self.state_came(group, message);
             }
         }
-        self.say(from.peer, &Said::Taken { group, offset: come });
+        self.say(
+            from.peer,
+            &Said::Taken {
+                group,
+                offset: come,
+            },
+        );
     }
 }
--- a/forwarder/raft-groups/src/handle.rs
+++ b/forwarder/raft-groups/src/handle.rs
@@ -23,7 +23,10 @@
 
 impl Leases {
     pub(crate) fn new(begun: Instant) -> Self {
-        Leases { begun, until: RwLock::default() }
+        Leases {
+            begun,
+            until: RwLock::default(),
+        }
     }
 
     /// Milliseconds since the start.
@@ -37,12 +40,17 @@
     }
 
     pub(crate) fn forget(&self, group: GroupId) {
-        self.until.write().unwrap_or_else(|e| e.into_inner()).remove(&group);
+        self.until
+            .write()
+            .unwrap_or_else(|e| e.into_inner())
+            .remove(&group);
     }
 
     fn holds(&self, group: GroupId) -> bool {
         let all = self.until.read().unwrap_or_else(|e| e.into_inner());
-        let until = all.get(&group).map_or(0, |until| until.load(Ordering::Acquire));
+        let until = all
+            .get(&group)
+            .map_or(0, |until| until.load(Ordering::Acquire));
         ((self.begun.elapsed().as_micros()) as u64) < until
     }
 }
@@ -112,7 +120,10 @@
     /// Why this instance may not go on, once its threads have ended over it: its folder lacks what was promised
     /// from it. The process has to end; what it holds others own.
     pub fn refused(&self) -> Option<String> {
-        self.refused.lock().unwrap_or_else(|e| e.into_inner()).clone()
+        self.refused
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .clone()
     }
 
     pub fn incarnation(&self) -> Incarnation {
--- a/forwarder/raft-groups/src/ids.rs
+++ b/forwarder/raft-groups/src/ids.rs
@@ -32,5 +32,7 @@
 }
 
 /// Counts the owners of a group: each new leader begins one. What an earlier one proposed late is void.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Term(pub u64);
--- a/forwarder/raft-groups/src/links/called.rs
+++ b/forwarder/raft-groups/src/links/called.rs
@@ -73,7 +73,10 @@
     let answer = within(FIRST, async { answer.recv().await.map_err(|_| None) }).await;
     let answer = answer.map_err(|_| (Some("no answer was ready"), who.clone()))?;
     let refused = matches!(answer, Answer::OlderCopy { .. });
-    let said = within(FIRST, async { stream.write_all(&frame(&answer)).await.map_err(|_| None) }).await;
+    let said = within(FIRST, async {
+        stream.write_all(&frame(&answer)).await.map_err(|_| None)
+    })
+    .await;
     said.map_err(|why| (why, who.clone()))?;
     if refused {
         return Err((Some("its folder is an older copy"), who));
@@ -83,9 +86,19 @@
         let next = within(silence, read::<Said>(&mut stream, LONGEST)).await;
         let (said, _) = next.map_err(|why| (why, who.clone()))?;
         let beat = matches!(said, Said::Beat { .. });
-        pass_on(shared, FromLinks::Said { call, said: Box::new(said) }).await;
+        pass_on(
+            shared,
+            FromLinks::Said {
+                call,
+                said: Box::new(said),
+            },
+        )
+        .await;
         if beat {
-            let heard = within(silence, async { stream.write_all(&[1]).await.map_err(|_| None) }).await;
+            let heard = within(silence, async {
+                stream.write_all(&[1]).await.map_err(|_| None)
+            })
+            .await;
             heard.map_err(|why| (why, who.clone()))?;
         }
     }
@@ -114,8 +127,14 @@
     if *hello.to.0 != *shared.fleet.instances[shared.me].name {
         return Err("it means another instance");
     }
-    let place = shared.fleet.instances.iter().position(|i| *i.name == *hello.name.0);
-    place.filter(|at| *at != shared.me && hello.incarnation.0 != 0).ok_or("an unknown instance")
+    let place = shared
+        .fleet
+        .instances
+        .iter()
+        .position(|i| *i.name == *hello.name.0);
+    place
+        .filter(|at| *at != shared.me && hello.incarnation.0 != 0)
+        .ok_or("an unknown instance")
 }
 
 /// Within the span or not at all; the error says why, None where the other side just went.
@@ -146,7 +165,10 @@
     let (length, sum) = head(first, longest).map_err(told)?;
     // Grows with what came, not with what was announced.
     let mut bytes = Vec::new();
-    let read = (&mut *stream).take(length as u64).read_to_end(&mut bytes).await;
+    let read = (&mut *stream)
+        .take(length as u64)
+        .read_to_end(&mut bytes)
+        .await;
     read.map_err(|_| None)?;
     if bytes.len() < length {
         return Err(Some("a torn frame"));
--- a/forwarder/raft-groups/src/links/calling.rs
+++ b/forwarder/raft-groups/src/links/calling.rs
@@ -18,7 +18,9 @@
 const AT_ONCE: usize = 256 << 10;
 
 pub(super) async fn call(shared: Rc<Shared>, peer: Peer) {
-    let Some(line) = &shared.lines[peer] else { return };
+    let Some(line) = &shared.lines[peer] else {
+        return;
+    };
     let mut pause = shared.heartbeat();
     loop {
         let begun = Instant::now();
@@ -32,7 +34,11 @@
             shared.tell(FromLinks::Lost { peer });
         }
         let lasted = begun.elapsed() > shared.election();
-        pause = if lasted { shared.heartbeat() } else { (2 * pause).min(shared.election()) };
+        pause = if lasted {
+            shared.heartbeat()
+        } else {
+            (2 * pause).min(shared.election())
+        };
         Timer::after(pause).await;
     }
 }
@@ -40,11 +46,15 @@
 /// True if it answered before it ended.
 async fn speak(shared: &Shared, peer: Peer, line: &Line) -> bool {
     let instance = &shared.fleet.instances[peer];
-    let Some(mut hello) = shared.hello.borrow().clone() else { return false };
+    let Some(mut hello) = shared.hello.borrow().clone() else {
+        return false;
+    };
     hello.to = InstanceName(instance.name.as_str().into());
     let span = shared.election();
     let met = async {
-        let mut stream = Async::<TcpStream>::connect(instance.address).await.map_err(|_| None)?;
+        let mut stream = Async::<TcpStream>::connect(instance.address)
+            .await
+            .map_err(|_| None)?;
         // Delays only cost time.
         let _ = stream.get_ref().set_nodelay(true);
         stream.write_all(&frame(&hello)).await.map_err(|_| None)?;
@@ -73,7 +83,9 @@
     while let Ok(mut bytes) = line.waiting.recv().await {
         line.bytes.set(line.bytes.get().saturating_sub(bytes.len()));
         while bytes.len() < AT_ONCE {
-            let Ok(more) = line.waiting.try_recv() else { break };
+            let Ok(more) = line.waiting.try_recv() else {
+                break;
+            };
             line.bytes.set(line.bytes.get().saturating_sub(more.len()));
             bytes.extend_from_slice(&more);
         }
@@ -88,7 +100,10 @@
     let mut answers = [0; 64];
     let silence = shared.election() + shared.election() / 2;
     while !line.hang_up.get() {
-        let heard = within(silence, async { stream.read(&mut answers).await.map_err(|_| None) }).await;
+        let heard = within(silence, async {
+            stream.read(&mut answers).await.map_err(|_| None)
+        })
+        .await;
         if !matches!(heard, Ok(1..)) {
             return;
         }
--- a/forwarder/raft-groups/src/links/mod.rs
+++ b/forwarder/raft-groups/src/links/mod.rs
@@ -32,14 +32,29 @@
 
 impl Links {
     pub fn run(self) {
-        let Links { fleet, me, listener, log, inbox, bell, outbox, stop } = self;
+        let Links {
+            fleet,
+            me,
+            listener,
+            log,
+            inbox,
+            bell,
+            outbox,
+            stop,
+        } = self;
         let shared = Rc::new(Shared::new(fleet, me, log, outbox));
         let tasks = Rc::new(LocalExecutor::new());
         match Async::new(listener) {
-            Ok(listener) => {
-                tasks.spawn(called::accept(shared.clone(), listener, Rc::downgrade(&tasks))).detach()
+            Ok(listener) => tasks
+                .spawn(called::accept(
+                    shared.clone(),
+                    listener,
+                    Rc::downgrade(&tasks),
+                ))
+                .detach(),
+            Err(error) => {
+                warn!(shared.log, "fleet address can't be listened at"; "error" => %error)
             }
-            Err(error) => warn!(shared.log, "fleet address can't be listened at"; "error" => %error),
         }
         for peer in (0..shared.lines.len()).filter(|at: &Peer| *at != me) {
             tasks.spawn(calling::call(shared.clone(), peer)).detach();
@@ -62,7 +77,11 @@
                 ToLinks::Say { to, frame } => shared.say(to, frame),
                 ToLinks::Answer { call, answer } => {
                     // One that has gone meanwhile needs none.
-                    shared.answers.borrow_mut().remove(&call).map(|line| line.try_send(answer));
+                    shared
+                        .answers
+                        .borrow_mut()
+                        .remove(&call)
+                        .map(|line| line.try_send(answer));
                 }
                 ToLinks::HangUp { peer } => {
                     if let Some(line) = shared.lines.get(peer).and_then(Option::as_ref) {
--- a/forwarder/raft-groups/src/links/shared.rs
+++ b/forwarder/raft-groups/src/links/shared.rs
@@ -73,7 +73,12 @@
     pub fn new(fleet: Fleet, me: Peer, log: Logger, outbox: Sender<FromLinks>) -> Self {
         let line = |at: Peer| {
             let (frames, waiting) = async_channel::bounded(FRAMES);
-            (at != me).then(|| Line { frames, waiting, bytes: Cell::new(0), hang_up: Cell::new(false) })
+            (at != me).then(|| Line {
+                frames,
+                waiting,
+                bytes: Cell::new(0),
+                hang_up: Cell::new(false),
+            })
         };
         Shared {
             lines: (0..fleet.instances.len()).map(line).collect(),
@@ -92,7 +97,11 @@
     /// One line a second, whatever is thrown at it.
     pub fn complain(&self, what: &str, who: &str) {
         let now = Instant::now();
-        if self.said_at.get().is_none_or(|at| now - at >= Duration::from_secs(1)) {
+        if self
+            .said_at
+            .get()
+            .is_none_or(|at| now - at >= Duration::from_secs(1))
+        {
             self.said_at.set(Some(now));
             warn!(self.log, "fleet link closed"; "because" => what, "with" => who);
         }
@@ -113,7 +122,9 @@
     }
 
     pub fn say(&self, to: Peer, frame: Vec<u8>) {
-        let Some(line) = self.lines.get(to).and_then(Option::as_ref) else { return };
+        let Some(line) = self.lines.get(to).and_then(Option::as_ref) else {
+            return;
+        };
         let bytes = line.bytes.get() + frame.len();
         if bytes <= BYTES && line.frames.try_send(frame).is_ok() {
             line.bytes.set(bytes);
--- a/forwarder/raft-groups/src/mail.rs
+++ b/forwarder/raft-groups/src/mail.rs
@@ -11,7 +11,11 @@
     Found { purpose: Purpose },
     /// To be committed; numbers grow by one for each group. Answered once by `Committed` or `Void`, in the
     /// order of the numbers, as long as this instance lived all the time.
-    Propose { group: GroupId, number: u64, command: Vec<u8> },
+    Propose {
+        group: GroupId,
+        number: u64,
+        command: Vec<u8>,
+    },
     /// To the instance that leads the control group, best effort: reports of demand, ends. At most 64 KiB.
     Report { body: Vec<u8> },
     /// Nothing is kept in it any more: its keepers forget it.
@@ -23,7 +27,12 @@
 pub enum News {
     /// This instance leads the group from now on: `state` is the machine's snapshot with all that can ever
     /// count from before `term`. For a record's group: it owns what is in it.
-    Leads { group: GroupId, purpose: Purpose, term: Term, state: Vec<u8> },
+    Leads {
+        group: GroupId,
+        purpose: Purpose,
+        term: Term,
+        state: Vec<u8>,
+    },
     /// Another may lead by now. What was proposed and not answered yet stays open until it is decided.
     Deposed { group: GroupId },
     /// Applied on a majority's log: it counts.
@@ -31,11 +40,23 @@
     /// It surely never counts.
     Void { group: GroupId, number: u64 },
     /// A command of the control group, in the log's order; every instance hears it.
-    Applied { proposer: Incarnation, term: Term, command: Vec<u8> },
+    Applied {
+        proposer: Incarnation,
+        term: Term,
+        command: Vec<u8>,
+    },
     /// The control group's state as a whole, in place of commands that were missed.
     Replaced { state: Vec<u8> },
     /// A report that came in while this instance leads the control group.
-    Reported { from: InstanceName, incarnation: Incarnation, body: Vec<u8> },
+    Reported {
+        from: InstanceName,
+        incarnation: Incarnation,
+        body: Vec<u8>,
+    },
     /// An instance can be reached, or can't any more.
-    Peer { name: InstanceName, incarnation: Incarnation, up: bool },
+    Peer {
+        name: InstanceName,
+        incarnation: Incarnation,
+        up: bool,
+    },
 }
--- a/forwarder/raft-groups/src/ring.rs
+++ b/forwarder/raft-groups/src/ring.rs
@@ -34,7 +34,11 @@
 
 impl<T> Sender<T> {
     pub fn new(ring: Producer<T>, bell: Bell) -> Self {
-        Sender { ring, waiting: VecDeque::new(), bell }
+        Sender {
+            ring,
+            waiting: VecDeque::new(),
+            bell,
+        }
     }
 
     pub fn send(&mut self, value: T) {
@@ -53,7 +57,10 @@
         if !self.waiting.is_empty() {
             return Err(value);
         }
-        let sent = self.ring.push(value).map_err(|rtrb::PushError::Full(value)| value);
+        let sent = self
+            .ring
+            .push(value)
+            .map_err(|rtrb::PushError::Full(value)| value);
         self.bell.ring();
         sent
     }
--- a/forwarder/raft-groups/src/roll.rs
+++ b/forwarder/raft-groups/src/roll.rs
@@ -16,17 +16,28 @@
         hash.write(all[at].name.as_bytes());
         hash.finish()
     };
-    let mut others: Vec<usize> = (0..all.len()).filter(|at| all[*at].machine != owner.machine).collect();
-    others.sort_by_key(|at| (all[*at].zone == owner.zone && !owner.zone.is_empty(), weight(*at)));
+    let mut others: Vec<usize> = (0..all.len())
+        .filter(|at| all[*at].machine != owner.machine)
+        .collect();
+    others.sort_by_key(|at| {
+        (
+            all[*at].zone == owner.zone && !owner.zone.is_empty(),
+            weight(*at),
+        )
+    });
     let mut chosen: Vec<usize> = Vec::new();
     while !others.is_empty() {
         // The best that shares least with those chosen before it.
         let shares = |at: usize| {
             let machine = chosen.iter().any(|c| all[*c].machine == all[at].machine);
-            let zone = chosen.iter().any(|c| all[*c].zone == all[at].zone && !all[at].zone.is_empty());
+            let zone = chosen
+                .iter()
+                .any(|c| all[*c].zone == all[at].zone && !all[at].zone.is_empty());
             (machine, zone)
         };
-        let best = (0..others.len()).min_by_key(|place| shares(others[*place])).unwrap_or(0);
+        let best = (0..others.len())
+            .min_by_key(|place| shares(others[*place]))
+            .unwrap_or(0);
         chosen.push(others.remove(best));
     }
     chosen
--- a/forwarder/raft-groups/src/start.rs
+++ b/forwarder/raft-groups/src/start.rs
@@ -43,23 +43,46 @@
 /// Starts listening and the threads. The error says why this folder or address can't be used. Where copies are
 /// on, the kernel's timer runs from the first [`Handle::alive`].
 pub fn start(start: Start) -> io::Result<(Handle, NewsStream)> {
-    let Start { fleet, name, folder, log, machines } = start;
+    let Start {
+        fleet,
+        name,
+        folder,
+        log,
+        machines,
+    } = start;
     let me = fleet.instances.iter().position(|i| i.name == name);
     let me = me.ok_or_else(|| io::Error::other(format!("instances: none is named {name:?}")))?;
     let address = fleet.instances[me].address;
     let listener = TcpListener::bind(address).map_err(|e| {
-        io::Error::new(e.kind(), format!("instances.address: {address} can't be listened at: {e}"))
+        io::Error::new(
+            e.kind(),
+            format!("instances.address: {address} can't be listened at: {e}"),
+        )
     })?;
     let identity = folder::begin(&folder)?;
-    let pace = Pace::new(fleet.timing.heartbeat, fleet.timing.election, fleet.timing.stall);
+    let pace = Pace::new(
+        fleet.timing.heartbeat,
+        fleet.timing.election,
+        fleet.timing.stall,
+    );
     let (mut logs, mut cores) = (BTreeMap::new(), BTreeMap::new());
     for group in folder::groups(&folder)? {
         let (file, kept) = Log::open(&folder, group)?;
         let purpose = file.purpose();
-        let core = Core::new(group, purpose, identity.incarnation, kept, machines(purpose), pace);
+        let core = Core::new(
+            group,
+            purpose,
+            identity.incarnation,
+            kept,
+            machines(purpose),
+            pace,
+        );
         let core = core.map_err(|_| {
             let path = folder::log_path(&folder, group);
-            io::Error::new(io::ErrorKind::InvalidData, format!("{}: can't be made sense of", path.display()))
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                format!("{}: can't be made sense of", path.display()),
+            )
         })?;
         cores.insert(group, core);
         logs.insert(group, file);
@@ -80,7 +103,9 @@
     };
     // Parts of pools rest on it as records do.
     let guarded = fleet.copies.is_some() || !fleet.pools.is_empty();
-    let deadman = guarded.then(|| Deadman::new(fleet.timing.stall)).transpose()?;
+    let deadman = guarded
+        .then(|| Deadman::new(fleet.timing.stall))
+        .transpose()?;
     spawn(begun, logs, listener, leases, deadman)
 }
 
@@ -106,7 +131,12 @@
 
     // The groups' thread waits for the others' names, they for its own.
     let (hand, handed) = std::sync::mpsc::channel::<Rings>();
-    let (log, folder, fleet, me) = (begun.log.clone(), begun.folder.clone(), begun.fleet.clone(), begun.me);
+    let (log, folder, fleet, me) = (
+        begun.log.clone(),
+        begun.folder.clone(),
+        begun.fleet.clone(),
+        begun.me,
+    );
     let thread = |name: &str| std::thread::Builder::new().name(name.into());
     let groups = thread("fleet-groups").spawn(move || {
         if let Ok(rings) = handed.recv() {
@@ -115,12 +145,27 @@
     })?;
     let to_groups: Thread = groups.thread().clone();
     let outbox = Sender::new(done, Bell::Thread(to_groups.clone()));
-    let writer = Disk { folder, inbox: to_disk, outbox, logs, log: log.clone(), stop: stop.clone() };
+    let writer = Disk {
+        folder,
+        inbox: to_disk,
+        outbox,
+        logs,
+        log: log.clone(),
+        stop: stop.clone(),
+    };
     let writer = thread("fleet-disk").spawn(move || writer.run())?;
     let outbox = Sender::new(said, Bell::Thread(to_groups.clone()));
     let stopped = stop.clone();
-    let talker =
-        Links { fleet, me, listener, log, inbox: from_groups, bell: links_ring, outbox, stop: stopped };
+    let talker = Links {
+        fleet,
+        me,
+        listener,
+        log,
+        inbox: from_groups,
+        bell: links_ring,
+        outbox,
+        stop: stopped,
+    };
     let talker = thread("fleet-links").spawn(move || talker.run())?;
     let rings = Rings {
         orders: from_loop,
@@ -133,11 +178,29 @@
         refused: refused.clone(),
         room: room.clone(),
     };
-    hand.send(rings).map_err(|_| io::Error::other("the groups' thread has ended"))?;
+    hand.send(rings)
+        .map_err(|_| io::Error::other("the groups' thread has ended"))?;
     let threads = vec![groups, talker, writer];
     let groups = to_groups.clone();
     let proposed = 0;
-    let handle =
-        Handle { proposed, orders, groups, leases, stop, threads, deadman, incarnation, room, refused };
-    Ok((handle, NewsStream { news: to_loop, bell: news_rings, groups: to_groups }))
+    let handle = Handle {
+        proposed,
+        orders,
+        groups,
+        leases,
+        stop,
+        threads,
+        deadman,
+        incarnation,
+        room,
+        refused,
+    };
+    Ok((
+        handle,
+        NewsStream {
+            news: to_loop,
+            bell: news_rings,
+            groups: to_groups,
+        },
+    ))
 }
--- a/forwarder/raft-groups/src/wire/mirror.rs
+++ b/forwarder/raft-groups/src/wire/mirror.rs
@@ -59,12 +59,18 @@
     (Kind::Append, MessageType::MsgAppend),
     (Kind::AppendResponse, MessageType::MsgAppendResponse),
     (Kind::RequestVote, MessageType::MsgRequestVote),
-    (Kind::RequestVoteResponse, MessageType::MsgRequestVoteResponse),
+    (
+        Kind::RequestVoteResponse,
+        MessageType::MsgRequestVoteResponse,
+    ),
     (Kind::Snapshot, MessageType::MsgSnapshot),
     (Kind::Heartbeat, MessageType::MsgHeartbeat),
     (Kind::HeartbeatResponse, MessageType::MsgHeartbeatResponse),
     (Kind::RequestPreVote, MessageType::MsgRequestPreVote),
-    (Kind::RequestPreVoteResponse, MessageType::MsgRequestPreVoteResponse),
+    (
+        Kind::RequestPreVoteResponse,
+        MessageType::MsgRequestPreVoteResponse,
+    ),
 ];
 
 impl From<&eraftpb::Entry> for Entry {
@@ -96,12 +102,20 @@
 impl Message {
     /// None for kinds that are not said to others.
     pub fn of(raft: &eraftpb::Message) -> Option<Message> {
-        let kind = KINDS.iter().find(|(_, kind)| *kind == raft.get_msg_type())?.0;
+        let kind = KINDS
+            .iter()
+            .find(|(_, kind)| *kind == raft.get_msg_type())?
+            .0;
         let snapshot = (kind == Kind::Snapshot).then(|| {
             let snapshot = raft.get_snapshot();
             let meta = snapshot.get_metadata();
             let voters = meta.get_conf_state().into();
-            State { index: meta.index, term: meta.term, voters, data: snapshot.data.to_vec() }
+            State {
+                index: meta.index,
+                term: meta.term,
+                voters,
+                data: snapshot.data.to_vec(),
+            }
         });
         Some(Message {
             kind,
@@ -124,7 +138,8 @@
 
     /// None where its parts contradict each other: raft would end in a panic over some of them.
     pub fn into_raft(self) -> Option<eraftpb::Message> {
-        let follows = |(at, e): (usize, &Entry)| Some(e.index) == self.index.checked_add(1 + at as u64);
+        let follows =
+            |(at, e): (usize, &Entry)| Some(e.index) == self.index.checked_add(1 + at as u64);
         if !self.entries.iter().enumerate().all(follows) || self.term == 0 || self.from == 0 {
             return None;
         }
@@ -138,11 +153,20 @@
         raft.term = self.term;
         raft.log_term = self.log_term;
         raft.index = self.index;
-        raft.set_entries(self.entries.into_iter().map(Into::into).collect::<Vec<_>>().into());
+        raft.set_entries(
+            self.entries
+                .into_iter()
+                .map(Into::into)
+                .collect::<Vec<_>>()
+                .into(),
+        );
         raft.commit = self.commit;
         raft.commit_term = self.commit_term;
         if let Some(state) = self.snapshot {
-            let mut snapshot = Snapshot { data: state.data.into(), ..Snapshot::default() };
+            let mut snapshot = Snapshot {
+                data: state.data.into(),
+                ..Snapshot::default()
+            };
             let meta = snapshot.mut_metadata();
             meta.index = state.index;
             meta.term = state.term;
--- a/forwarder/raft-groups/tests/alone.rs
+++ b/forwarder/raft-groups/tests/alone.rs
@@ -14,7 +14,9 @@
 
 fn child(test: &str) -> Child {
     let mut command = Command::new(std::env::current_exe().unwrap());
-    command.args([test, "--exact", "--nocapture"]).env("FLEET_CHILD", "1");
+    command
+        .args([test, "--exact", "--nocapture"])
+        .env("FLEET_CHILD", "1");
     command.stdout(Stdio::piped()).spawn().unwrap()
 }
 
@@ -24,7 +26,10 @@
 
 fn wait_for(child: &mut Child, line: &str) {
     let lines = BufReader::new(child.stdout.as_mut().unwrap()).lines();
-    assert!(lines.map_while(Result::ok).any(|l| l.contains(line)), "the child never said {line:?}");
+    assert!(
+        lines.map_while(Result::ok).any(|l| l.contains(line)),
+        "the child never said {line:?}"
+    );
 }
 
 fn send(child: &Child, signal: i32) {
@@ -50,9 +55,14 @@
             std::thread::sleep(Duration::from_millis(20));
         }
     }
-    let case = if stopped { "case_1_stopped" } else { "case_2_hung" };
-    let mut child =
-        child(&format!("a_process_that_stands_still_for_too_long_is_ended_by_the_kernel::{case}"));
+    let case = if stopped {
+        "case_1_stopped"
+    } else {
+        "case_2_hung"
+    };
+    let mut child = child(&format!(
+        "a_process_that_stands_still_for_too_long_is_ended_by_the_kernel::{case}"
+    ));
     wait_for(&mut child, "lives");
     if stopped {
         send(&child, libc::SIGSTOP);
@@ -62,7 +72,10 @@
 
 /// The longest that the child's files may grow: the disk is then as good as full.
 fn room(bytes: u64) {
-    let limit = libc::rlimit { rlim_cur: bytes, rlim_max: libc::RLIM_INFINITY };
+    let limit = libc::rlimit {
+        rlim_cur: bytes,
+        rlim_max: libc::RLIM_INFINITY,
+    };
     // Safety: plain values; the signal that tells of the limit is left out, so that the call fails instead.
     unsafe {
         libc::signal(libc::SIGXFSZ, libc::SIG_IGN);
@@ -80,7 +93,10 @@
     }
     let place = tempfile::TempDir::new().unwrap();
     folder::begin(place.path()).unwrap();
-    let group = GroupId { founder: Incarnation(1), number: 1 };
+    let group = GroupId {
+        founder: Incarnation(1),
+        number: 1,
+    };
     let mut log = Log::make(place.path(), group, Purpose::Record, &Kept::default()).unwrap();
     let persist = |index: u64| {
         let entry = raft::eraftpb::Entry {
@@ -91,7 +107,11 @@
         };
         Persist {
             number: index,
-            hard: Some(Hard { term: 1, vote: 0, commit: 0 }),
+            hard: Some(Hard {
+                term: 1,
+                vote: 0,
+                commit: 0,
+            }),
             entries: vec![entry],
             base: None,
         }
--- a/forwarder/raft-groups/tests/core.rs
+++ b/forwarder/raft-groups/tests/core.rs
@@ -14,7 +14,9 @@
         let before = world.committed.len();
         world.run(6_000.0, 0.0);
         if world.committed.len() == before {
-            world.faults.push("nothing counts any more in a calm world".into());
+            world
+                .faults
+                .push("nothing counts any more in a calm world".into());
         }
     }
     world
@@ -22,7 +24,10 @@
 
 /// More on call: `FLEET_SEEDS=300`.
 fn seeds(few: u64) -> std::ops::Range<u64> {
-    0..std::env::var("FLEET_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(few)
+    0..std::env::var("FLEET_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(few)
 }
 
 /// With large commands the logs are cut, and those far behind get a state in place of them.
@@ -78,6 +83,13 @@
         let world = restarted_keeper(seed, Planted::Nothing);
         assert!(world.faults.is_empty(), "seed {seed}: {:?}", world.faults);
     }
-    let found = (0..40).any(|seed| !restarted_keeper(seed, Planted::VotesAtOnce).faults.is_empty());
-    assert!(found, "a voter that votes right after a restart is not found");
+    let found = (0..40).any(|seed| {
+        !restarted_keeper(seed, Planted::VotesAtOnce)
+            .faults
+            .is_empty()
+    });
+    assert!(
+        found,
+        "a voter that votes right after a restart is not found"
+    );
 }
--- a/forwarder/raft-groups/tests/folders.rs
+++ b/forwarder/raft-groups/tests/folders.rs
@@ -32,7 +32,10 @@
     std::fs::remove_dir_all(all.folders[1].path().join("fleet")).unwrap();
     copied(copy.path(), all.folders[1].path());
     let refused = all.started(1).err().expect("it is not started").to_string();
-    assert!(refused.contains("is a copy") && !refused.contains('\n'), "{refused}");
+    assert!(
+        refused.contains("is a copy") && !refused.contains('\n'),
+        "{refused}"
+    );
 }
 
 /// A snapshot of a whole disk keeps the file's number: then it is the others who know better.
@@ -49,15 +52,23 @@
         all.stop(1);
         all.until("it has gone", |all| !all.at(0).heard.up.contains_key("i1"));
     }
-    let identity = plankhill_raft_groups::disk::folder::begin(&all.folders[1].path().join("fleet")).unwrap();
+    let identity =
+        plankhill_raft_groups::disk::folder::begin(&all.folders[1].path().join("fleet")).unwrap();
     let mut earlier = identity.clone();
     earlier.start.generation = 1;
-    plankhill_raft_groups::disk::folder::note_identity(&all.folders[1].path().join("fleet"), &earlier).unwrap();
+    plankhill_raft_groups::disk::folder::note_identity(
+        &all.folders[1].path().join("fleet"),
+        &earlier,
+    )
+    .unwrap();
     assert!(!before.is_empty());
     all.start(1);
     all.until("it is refused", |all| all.at(1).handle.refused().is_some());
     let line = all.at(1).handle.refused().unwrap();
-    assert!(line.contains("is an older copy") && line.contains("knows start"), "{line}");
+    assert!(
+        line.contains("is an older copy") && line.contains("knows start"),
+        "{line}"
+    );
     assert_eq!(all.at(1).lines("fleet start refused"), 1);
     all.commit(0, group, 1, vec![1]);
 }
@@ -70,7 +81,8 @@
         all.commit(0, group, number, vec![number as u8; 100]);
     }
     all.stop(1);
-    let path = plankhill_raft_groups::disk::folder::log_path(&all.folders[1].path().join("fleet"), group);
+    let path =
+        plankhill_raft_groups::disk::folder::log_path(&all.folders[1].path().join("fleet"), group);
     let whole = std::fs::read(&path).unwrap();
     std::fs::write(&path, [&whole[..], &[9, 0, 0, 0, 1, 2]].concat()).unwrap();
     drop(all.started(1).unwrap());
--- a/forwarder/raft-groups/tests/frames.rs
+++ b/forwarder/raft-groups/tests/frames.rs
@@ -17,35 +17,60 @@
 use together::Together;
 
 fn message() -> impl Strategy<Value = Message> {
-    let entry = (any::<bool>(), any::<u64>(), any::<u64>(), any::<Vec<u8>>(), any::<Vec<u8>>());
-    let entry =
-        entry.prop_map(|(change, term, index, data, context)| Entry { change, term, index, data, context });
+    let entry = (
+        any::<bool>(),
+        any::<u64>(),
+        any::<u64>(),
+        any::<Vec<u8>>(),
+        any::<Vec<u8>>(),
+    );
+    let entry = entry.prop_map(|(change, term, index, data, context)| Entry {
+        change,
+        term,
+        index,
+        data,
+        context,
+    });
     let numbers = any::<[u64; 8]>();
-    (numbers, prop::collection::vec(entry, 0..4), any::<Vec<u8>>(), any::<bool>()).prop_map(
-        |([to, from, term, log_term, index, commit, commit_term, reject_hint], entries, context, reject)| {
-            Message {
-                kind: Kind::Append,
-                to,
-                from,
-                term,
-                log_term,
-                index,
+    (
+        numbers,
+        prop::collection::vec(entry, 0..4),
+        any::<Vec<u8>>(),
+        any::<bool>(),
+    )
+        .prop_map(
+            |(
+                [to, from, term, log_term, index, commit, commit_term, reject_hint],
                 entries,
-                commit,
-                commit_term,
-                snapshot: None,
-                request_snapshot: 0,
-                reject,
-                reject_hint,
                 context,
-                priority: 0,
-            }
-        },
-    )
+                reject,
+            )| {
+                Message {
+                    kind: Kind::Append,
+                    to,
+                    from,
+                    term,
+                    log_term,
+                    index,
+                    entries,
+                    commit,
+                    commit_term,
+                    snapshot: None,
+                    request_snapshot: 0,
+                    reject,
+                    reject_hint,
+                    context,
+                    priority: 0,
+                }
+            },
+        )
 }
 
 fn group() -> GroupId {
-    GroupId { founder: Incarnation(7), number: 1 }
+    GroupId {
+        founder: Incarnation(7),
+        number: 1,
+    }
 }
 
 proptest! {
@@ -82,7 +107,10 @@
         name: InstanceName(name.into()),
         to: InstanceName("i0".into()),
         incarnation: Incarnation(99),
-        start: Start { generation: 1, draw: 1 },
+        start: Start {
+            generation: 1,
+            draw: 1,
+        },
         control: None,
     })
 }
@@ -104,7 +132,9 @@
     let mut all = Together::new(3, "[copies]\nkeepers = 2\n");
     let group = all.record(0);
     let mut stream = TcpStream::connect(all.fleet.instances[0].address).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(30)))
+        .unwrap();
     stream.write_all(&bytes).unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     let closing = std::thread::spawn(move || stream.read_to_end(&mut Vec::new()));
--- a/forwarder/raft-groups/tests/instances.rs
+++ b/forwarder/raft-groups/tests/instances.rs
@@ -21,8 +21,12 @@
     all.until("the owner holds", |all| all.at(0).handle.holds(group));
     assert!(!all.at(1).handle.holds(group));
     all.lose(0);
-    all.until("an heir leads", |all| (1..3).any(|at| all.at(at).heard.leads.contains_key(&group)));
-    let heir = (1..3).find(|at| all.at(*at).heard.leads.contains_key(&group)).unwrap();
+    all.until("an heir leads", |all| {
+        (1..3).any(|at| all.at(at).heard.leads.contains_key(&group))
+    });
+    let heir = (1..3)
+        .find(|at| all.at(*at).heard.leads.contains_key(&group))
+        .unwrap();
     let expected: Vec<u8> = (1..=20).collect();
     assert_eq!(all.at(heir).heard.leads[&group].1, expected);
     all.until("the heir holds", |all| all.at(heir).handle.holds(group));
@@ -41,20 +45,29 @@
     all.commit(first, group, 1, vec![5]);
     let heard = |all: &mut Together, at: usize, word: u8| {
         let heard = &all.at(at).heard;
-        heard.applied.contains(&vec![word]) || heard.replaced.as_ref().is_some_and(|s| s.contains(&word))
+        heard.applied.contains(&vec![word])
+            || heard.replaced.as_ref().is_some_and(|s| s.contains(&word))
     };
     all.until("all hear it", |all| (0..4).all(|at| heard(all, at, 5)));
-    all.until("three vote", |all| all.at(first).lines("the control group is kept by voters=3") >= 1);
+    all.until("three vote", |all| {
+        all.at(first).lines("the control group is kept by voters=3") >= 1
+    });
     let report = Order::Report { body: vec![9] };
     all.at(3).handle.try_order(report).unwrap();
-    all.until("the report is heard", |all| all.at(first).heard.reports.contains(&vec![9]));
+    all.until("the report is heard", |all| {
+        all.at(first).heard.reports.contains(&vec![9])
+    });
     // A voter that comes back without its folder is let in again; the group outlives its first leader too.
     all.lose(first);
     all.start(first);
-    all.until("another leads", |all| (0..4).any(|at| at != first && !all.at(at).heard.leads.is_empty()));
+    all.until("another leads", |all| {
+        (0..4).any(|at| at != first && !all.at(at).heard.leads.is_empty())
+    });
     let second = control(&mut all).unwrap();
     all.commit(second, group, 1, vec![6]);
-    all.until("the new life hears all", |all| heard(all, first, 5) && heard(all, first, 6));
+    all.until("the new life hears all", |all| {
+        heard(all, first, 5) && heard(all, first, 6)
+    });
 }
 
 #[test]
@@ -85,17 +98,26 @@
     all.stop(2);
     all.propose(0, group, 2, vec![2]);
     all.until("it holds no more", |all| !all.at(0).handle.holds(group));
-    all.until("it is deposed", |all| !all.at(0).heard.leads.contains_key(&group));
+    all.until("it is deposed", |all| {
+        !all.at(0).heard.leads.contains_key(&group)
+    });
     all.propose(0, group, 3, vec![3]);
     // Kept by itself alone: open as long as it may still count, with what was refused after it.
-    let open = |all: &mut Together| all.at(0).heard.committed.len() == 1 && all.at(0).heard.void.is_empty();
+    let open = |all: &mut Together| {
+        all.at(0).heard.committed.len() == 1 && all.at(0).heard.void.is_empty()
+    };
     assert!(open(&mut all));
     all.start(1);
-    all.until("both are answered", |all| all.at(0).heard.committed.len() + all.at(0).heard.void.len() == 3);
+    all.until("both are answered", |all| {
+        all.at(0).heard.committed.len() + all.at(0).heard.void.len() == 3
+    });
     all.until("one leads", |all| leader(all, group).is_some());
     let at = leader(&mut all, group).unwrap();
     let counts = all.at(0).heard.committed.contains(&(group, 2));
-    assert_eq!(all.at(at).heard.leads[&group].1, if counts { vec![1, 2] } else { vec![1] });
+    assert_eq!(
+        all.at(at).heard.leads[&group].1,
+        if counts { vec![1, 2] } else { vec![1] }
+    );
     assert!(all.at(0).heard.void.contains(&(group, 3)));
 }
 
@@ -104,10 +126,15 @@
     let mut all = Together::new(3, COPIES);
     let group = all.record(0);
     all.commit(0, group, 1, vec![1]);
-    all.at(0).handle.try_order(Order::Dissolve { group }).unwrap();
+    all.at(0)
+        .handle
+        .try_order(Order::Dissolve { group })
+        .unwrap();
     let files = |all: &Together, at: usize, kind: &str| {
         let groups = std::fs::read_dir(all.folders[at].path().join("fleet/groups")).unwrap();
-        groups.filter(|f| f.as_ref().unwrap().path().extension().unwrap() == kind).count()
+        groups
+            .filter(|f| f.as_ref().unwrap().path().extension().unwrap() == kind)
+            .count()
     };
     all.until("no log is left", |all| {
         (0..3).all(|at| files(all, at, "log") == 0 && files(all, at, "gone") == 1)
@@ -122,7 +149,11 @@
     let mut taken = 0;
     let end = Instant::now() + Duration::from_secs(60);
     loop {
-        let order = Order::Propose { group, number: taken + 1, command: vec![0; 10] };
+        let order = Order::Propose {
+            group,
+            number: taken + 1,
+            command: vec![0; 10],
+        };
         match all.at(0).handle.try_order(order) {
             Ok(()) => taken += 1,
             Err(Order::Propose { number, .. }) if number > 8000 => break,
@@ -134,15 +165,29 @@
         let heard = &all.at(0).heard;
         (heard.committed.len() + heard.void.len()) as u64 == taken
     });
-    let numbers: Vec<u64> = all.at(0).heard.committed.iter().map(|(_, number)| *number).collect();
+    let numbers: Vec<u64> = all
+        .at(0)
+        .heard
+        .committed
+        .iter()
+        .map(|(_, number)| *number)
+        .collect();
     assert!(numbers.is_sorted());
 }
 
 #[test]
 fn nine_instances_keep_each_other_s_records_and_hear_one_control_group() {
-    let mut all = Together::new(9, "[copies]\nkeepers = 2\n[control]\nvoters = [\"i0\", \"i1\", \"i2\"]\n");
+    let mut all = Together::new(
+        9,
+        "[copies]\nkeepers = 2\n[control]\nvoters = [\"i0\", \"i1\", \"i2\"]\n",
+    );
     for at in 0..9 {
-        all.at(at).handle.try_order(Order::Found { purpose: Purpose::Record }).unwrap();
+        all.at(at)
+            .handle
+            .try_order(Order::Found {
+                purpose: Purpose::Record,
+            })
+            .unwrap();
     }
     let own = |all: &mut Together, at: usize| {
         let me = all.at(at).handle.incarnation();
@@ -157,7 +202,9 @@
     let control = |all: &mut Together| {
         let purpose = |at: usize, all: &mut Together| {
             let mut leads = all.at(at).heard.leads.iter();
-            leads.find(|(_, (purpose, _))| *purpose == Purpose::Control).map(|(g, _)| (at, *g))
+            leads
+                .find(|(_, (purpose, _))| *purpose == Purpose::Control)
+                .map(|(g, _)| (at, *g))
         };
         (0..9).find_map(|at| purpose(at, all))
     };
@@ -166,7 +213,11 @@
     all.commit(at, group, 1, vec![4]);
     let heard = |all: &mut Together, at: usize| {
         let heard = &all.at(at).heard;
-        heard.applied.contains(&vec![4]) || heard.replaced.as_ref().is_some_and(|state| state.contains(&4))
+        heard.applied.contains(&vec![4])
+            || heard
+                .replaced
+                .as_ref()
+                .is_some_and(|state| state.contains(&4))
     };
     all.until("all hear it", |all| (0..9).all(|at| heard(all, at)));
 }
--- a/forwarder/raft-groups/tests/keepers.rs
+++ b/forwarder/raft-groups/tests/keepers.rs
@@ -32,23 +32,32 @@
 }
 
 fn keeps(all: &Together, at: usize, group: GroupId) -> bool {
-    plankhill_raft_groups::disk::folder::log_path(&all.folders[at].path().join("fleet"), group).exists()
+    plankhill_raft_groups::disk::folder::log_path(&all.folders[at].path().join("fleet"), group)
+        .exists()
 }
 
 #[test]
 fn one_that_was_replaced_and_returns_with_its_folder_is_let_in_again_when_needed() {
     let mut all = Together::new(4, COPIES);
     let group = all.record(0);
-    all.until("three keep it", |all| all.at(0).lines("a record is kept by voters=3") == 1);
+    all.until("three keep it", |all| {
+        all.at(0).lines("a record is kept by voters=3") == 1
+    });
     let keepers: Vec<usize> = (1..4).filter(|at| keeps(&all, *at, group)).collect();
-    let [first, second] = keepers[..] else { panic!("two others keep it: {keepers:?}") };
+    let [first, second] = keepers[..] else {
+        panic!("two others keep it: {keepers:?}")
+    };
     all.stop(first);
     all.commit(0, group, 1, vec![1]);
-    all.until("it is replaced", |all| all.at(0).lines("a record is kept by voters=3") == 2);
+    all.until("it is replaced", |all| {
+        all.at(0).lines("a record is kept by voters=3") == 2
+    });
     all.start(first);
     all.commit(0, group, 2, vec![2]);
     all.stop(second);
-    all.until("it is let in again", |all| all.at(0).lines("a record is kept by voters=3") == 3);
+    all.until("it is let in again", |all| {
+        all.at(0).lines("a record is kept by voters=3") == 3
+    });
     all.commit(0, group, 3, vec![3]);
     all.stop(0);
     all.until("an heir leads", |all| leader(all, group).is_some());
@@ -77,7 +86,9 @@
     all.lose(0);
     all.until("an heir leads", |all| leader(all, group).is_some());
     let heir = leader(&mut all, group).unwrap();
-    all.until("another keeps it too", |all| all.at(heir).lines("a record is kept by") >= 1);
+    all.until("another keeps it too", |all| {
+        all.at(heir).lines("a record is kept by") >= 1
+    });
     all.lose(heir);
     all.until("the second heir leads", |all| leader(all, group).is_some());
     let second = leader(&mut all, group).unwrap();
--- a/forwarder/raft-groups/tests/roll.rs
+++ b/forwarder/raft-groups/tests/roll.rs
@@ -1,7 +1,7 @@
 //! Who keeps whose record.
 
-use plankhill_raft_groups::{roll, Incarnation};
 use plankhill_forwarder_config::fleet::Instance;
+use plankhill_raft_groups::{roll, Incarnation};
 
 fn instances(machines: usize, zones: usize) -> Vec<Instance> {
     let one = |at: usize| Instance {
@@ -40,7 +40,9 @@
     for founder in 1..=1000u64 {
         let owner = &before[founder as usize % before.len()];
         let chosen = |from: &[Instance]| {
-            let chosen = roll::keepers(from, owner, Incarnation(founder)).into_iter().take(2);
+            let chosen = roll::keepers(from, owner, Incarnation(founder))
+                .into_iter()
+                .take(2);
             chosen.map(|at| from[at].name.clone()).collect::<Vec<_>>()
         };
         let (old, new) = (chosen(&before), chosen(&after));
--- a/forwarder/raft-groups/tests/together/mod.rs
+++ b/forwarder/raft-groups/tests/together/mod.rs
@@ -6,11 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use plankhill_forwarder_config::fleet::{read, Fleet};
 use plankhill_raft_groups::{
     start, GroupId, Handle, Incarnation, Machine, News, NewsStream, Order, Purpose, Start,
 };
 use plankhill_raft_groups::{Term, Torn};
-use plankhill_forwarder_config::fleet::{read, Fleet};
 use tempfile::TempDir;
 
 /// Keeps the bytes of all commands, in their order, up to one that ends them all.
@@ -88,14 +88,24 @@
 
 /// Free addresses: bound once, so that the system gives other ports to others meanwhile.
 fn addresses(count: usize) -> Vec<String> {
-    let all: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-    all.iter().map(|l| l.local_addr().unwrap().to_string()).collect()
+    let all: Vec<TcpListener> = (0..count)
+        .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
+        .collect();
+    all.iter()
+        .map(|l| l.local_addr().unwrap().to_string())
+        .collect()
 }
 
 impl Running {
     /// How often a line was logged.
     pub fn lines(&self, line: &str) -> usize {
-        self.lines.0.lock().unwrap().iter().filter(|l| l.contains(line)).count()
+        self.lines
+            .0
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|l| l.contains(line))
+            .count()
     }
 }
 
@@ -111,14 +121,19 @@
     pub fn timed(count: usize, timing: &str, more: &str) -> Self {
         let mut text = "fleet = \"t\"\n".to_owned();
         for (at, address) in addresses(count).iter().enumerate() {
-            text +=
-                &format!("[[instances]]\nname = \"i{at}\"\naddress = \"{address}\"\nmachine = \"m{at}\"\n");
+            text += &format!(
+                "[[instances]]\nname = \"i{at}\"\naddress = \"{address}\"\nmachine = \"m{at}\"\n"
+            );
         }
         text += &format!("[timing]\n{timing}{more}");
         let mut fleet = read(&text).unwrap();
         fleet.found = true;
         let folders = (0..count).map(|_| TempDir::new().unwrap()).collect();
-        let mut all = Together { fleet, folders, running: (0..count).map(|_| None).collect() };
+        let mut all = Together {
+            fleet,
+            folders,
+            running: (0..count).map(|_| None).collect(),
+        };
         for at in 0..count {
             all.start(at);
         }
@@ -151,7 +166,12 @@
             log: slog::Logger::root(lines.clone(), slog::o!()),
             machines: Box::new(|_| Box::<Bytes>::default()),
         })?;
-        Ok(Running { lines, handle, news, heard: Heard::default() })
+        Ok(Running {
+            lines,
+            handle,
+            news,
+            heard: Heard::default(),
+        })
     }
 
     /// Ends it: its threads at once, as far as the others can tell.
@@ -173,8 +193,17 @@
             if so(self) {
                 return;
             }
-            let lines = || self.running.iter().flatten().map(|r| r.lines.0.lock().unwrap().clone());
-            assert!(Instant::now() < end, "waited in vain until {what}: {:#?}", lines().collect::<Vec<_>>());
+            let lines = || {
+                self.running
+                    .iter()
+                    .flatten()
+                    .map(|r| r.lines.0.lock().unwrap().clone())
+            };
+            assert!(
+                Instant::now() < end,
+                "waited in vain until {what}: {:#?}",
+                lines().collect::<Vec<_>>()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -184,16 +213,23 @@
             while let Some(news) = running.news.try_next() {
                 let heard = &mut running.heard;
                 match news {
-                    News::Leads { group, purpose, state, .. } => {
-                        drop(heard.leads.insert(group, (purpose, state)))
-                    }
+                    News::Leads {
+                        group,
+                        purpose,
+                        state,
+                        ..
+                    } => drop(heard.leads.insert(group, (purpose, state))),
                     News::Deposed { group } => drop(heard.leads.remove(&group)),
                     News::Committed { group, number } => heard.committed.push((group, number)),
                     News::Void { group, number } => heard.void.push((group, number)),
                     News::Applied { command, .. } => heard.applied.push(command),
                     News::Replaced { state } => heard.replaced = Some(state),
                     News::Reported { body, .. } => heard.reports.push(body),
-                    News::Peer { name, incarnation, up: true } => {
+                    News::Peer {
+                        name,
+                        incarnation,
+                        up: true,
+                    } => {
                         heard.up.insert(name.0.to_string(), incarnation);
                     }
                     News::Peer { name, .. } => drop(heard.up.remove(&*name.0)),
@@ -209,24 +245,42 @@
     /// Founds a record on an instance.
     pub fn record(&mut self, at: usize) -> GroupId {
         let before: Vec<GroupId> = self.at(at).heard.leads.keys().copied().collect();
-        self.at(at).handle.try_order(Order::Found { purpose: Purpose::Record }).unwrap();
-        self.until("a record is led", |all| all.new_record(at, &before).is_some());
+        self.at(at)
+            .handle
+            .try_order(Order::Found {
+                purpose: Purpose::Record,
+            })
+            .unwrap();
+        self.until("a record is led", |all| {
+            all.new_record(at, &before).is_some()
+        });
         self.new_record(at, &before).unwrap()
     }
 
     fn new_record(&mut self, at: usize, before: &[GroupId]) -> Option<GroupId> {
         let leads = &self.at(at).heard.leads;
-        let new = leads.iter().find(|(g, (purpose, _))| *purpose == Purpose::Record && !before.contains(g));
+        let new = leads
+            .iter()
+            .find(|(g, (purpose, _))| *purpose == Purpose::Record && !before.contains(g));
         new.map(|(group, _)| *group)
     }
 
     pub fn propose(&mut self, at: usize, group: GroupId, number: u64, command: Vec<u8>) {
-        self.at(at).handle.try_order(Order::Propose { group, number, command }).unwrap();
+        self.at(at)
+            .handle
+            .try_order(Order::Propose {
+                group,
+                number,
+                command,
+            })
+            .unwrap();
     }
 
     pub fn commit(&mut self, at: usize, group: GroupId, number: u64, command: Vec<u8>) {
         self.propose(at, group, number, command);
-        self.until("it counts", |all| all.at(at).heard.committed.contains(&(group, number)));
+        self.until("it counts", |all| {
+            all.at(at).heard.committed.contains(&(group, number))
+        });
     }
 }
 
--- a/forwarder/raft-groups/tests/wire_format.rs
+++ b/forwarder/raft-groups/tests/wire_format.rs
@@ -10,9 +10,14 @@
 const PINNED: &str = include_str!("wire_format/frames.txt");
 
 fn pinned(name: &str) -> Vec<u8> {
-    let line = PINNED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = PINNED
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let hex = line.unwrap_or_else(|| panic!("{name} is not pinned"));
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 /// The value's frame is the pinned one, and the pinned one is read as the value.
@@ -25,7 +30,10 @@
 }
 
 fn group() -> GroupId {
-    GroupId { founder: Incarnation(0x0102_0304_0506_0708), number: 300 }
+    GroupId {
+        founder: Incarnation(0x0102_0304_0506_0708),
+        number: 300,
+    }
 }
 
 fn hello() -> Hello {
@@ -35,7 +43,10 @@
         name: InstanceName("one".into()),
         to: InstanceName("two".into()),
         incarnation: Incarnation(0xfedc_ba98_7654_3210),
-        start: Start { generation: 5, draw: 0x1122_3344_5566_7788 },
+        start: Start {
+            generation: 5,
+            draw: 0x1122_3344_5566_7788,
+        },
         control: Some(group()),
     }
 }
@@ -48,7 +59,12 @@
         learners_next: vec![6],
         auto_leave: true,
     };
-    let state = State { index: 11, term: 12, voters, data: vec![1, 2, 3] };
+    let state = State {
+        index: 11,
+        term: 12,
+        voters,
+        data: vec![1, 2, 3],
+    };
     Message {
         kind,
         to: 21,
@@ -57,8 +73,20 @@
         log_term: 24,
         index: 25,
         entries: vec![
-            Entry { change: false, term: 23, index: 26, data: vec![4, 5], context: vec![6] },
-            Entry { change: true, term: 23, index: 27, data: vec![7], context: vec![8, 9] },
+            Entry {
+                change: false,
+                term: 23,
+                index: 26,
+                data: vec![4, 5],
+                context: vec![6],
+            },
+            Entry {
+                change: true,
+                term: 23,
+                index: 27,
+                data: vec![7],
+                context: vec![8, 9],
+            },
         ],
         commit: 28,
         commit_term: 29,
@@ -90,8 +118,14 @@
 fn every_message_is_as_pinned() {
     let purposes = [Purpose::Record, Purpose::Control];
     let mut all = vec![
-        Said::Beat { left: 1 << 40, control: Some(group()) },
-        Said::Raft { group: group(), message: message(Kind::Append) },
+        Said::Beat {
+            left: 1 << 40,
+            control: Some(group()),
+        },
+        Said::Raft {
+            group: group(),
+            message: message(Kind::Append),
+        },
         Said::Slice {
             group: group(),
             slice: Slice {
@@ -101,15 +135,27 @@
                 bytes: vec![1, 2, 3],
             },
         },
-        Said::Taken { group: group(), offset: 262_147 },
+        Said::Taken {
+            group: group(),
+            offset: 262_147,
+        },
         Said::Gone { group: group() },
         Said::Dissolved { group: group() },
-        Said::Report { body: vec![9, 8, 7] },
+        Said::Report {
+            body: vec![9, 8, 7],
+        },
     ];
     for purpose in purposes {
         let voters = vec![Incarnation(300), Incarnation(2)];
-        all.push(Said::Found { group: group(), purpose, voters });
-        all.push(Said::Join { group: group(), purpose });
+        all.push(Said::Found {
+            group: group(),
+            purpose,
+            voters,
+        });
+        all.push(Said::Join {
+            group: group(),
+            purpose,
+        });
     }
     for said in all {
         let of = |purpose: &Purpose| match purpose {
@@ -129,9 +175,26 @@
         };
         check(&name, said);
     }
-    let slice = Slice { message: None, offset: 3, total: 9, bytes: vec![4] };
-    check("LaterSlice", Said::Slice { group: group(), slice });
-    check("BeatWithoutControl", Said::Beat { left: 0, control: None });
+    let slice = Slice {
+        message: None,
+        offset: 3,
+        total: 9,
+        bytes: vec![4],
+    };
+    check(
+        "LaterSlice",
+        Said::Slice {
+            group: group(),
+            slice,
+        },
+    );
+    check(
+        "BeatWithoutControl",
+        Said::Beat {
+            left: 0,
+            control: None,
+        },
+    );
 }
 
 /// Each also goes to raft's own form and back.
@@ -160,8 +223,16 @@
             Kind::RequestPreVote => "RequestPreVote",
             Kind::RequestPreVoteResponse => "RequestPreVoteResponse",
         };
-        check(&format!("Raft{name}"), Said::Raft { group: group(), message: message(kind) });
-        let raft = message(kind).into_raft().expect("nothing in it contradicts the rest");
+        check(
+            &format!("Raft{name}"),
+            Said::Raft {
+                group: group(),
+                message: message(kind),
+            },
+        );
+        let raft = message(kind)
+            .into_raft()
+            .expect("nothing in it contradicts the rest");
         assert_eq!(Message::of(&raft), Some(message(kind)), "{name}");
     }
 }
--- a/forwarder/raft-groups/tests/world/all.rs
+++ b/forwarder/raft-groups/tests/world/all.rs
@@ -8,13 +8,16 @@
 
 impl Machine for All {
     fn apply(&mut self, _: Incarnation, _: Term, command: &[u8]) {
-        self.0.push(u64::from_le_bytes(command[..8].try_into().unwrap()));
+        self.0
+            .push(u64::from_le_bytes(command[..8].try_into().unwrap()));
     }
     fn snapshot(&self) -> Vec<u8> {
         self.0.iter().flat_map(|c| c.to_le_bytes()).collect()
     }
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), Torn> {
-        let all = snapshot.chunks(8).map(|c| c.try_into().map(u64::from_le_bytes).map_err(|_| Torn));
+        let all = snapshot
+            .chunks(8)
+            .map(|c| c.try_into().map(u64::from_le_bytes).map_err(|_| Torn));
         self.0 = all.collect::<Result<_, _>>()?;
         Ok(())
     }
@@ -24,5 +27,8 @@
 }
 
 pub fn words(state: &[u8]) -> Vec<u64> {
-    state.chunks(8).map(|c| u64::from_le_bytes(c.try_into().unwrap())).collect()
+    state
+        .chunks(8)
+        .map(|c| u64::from_le_bytes(c.try_into().unwrap()))
+        .collect()
 }
--- a/forwarder/raft-groups/tests/world/checks.rs
+++ b/forwarder/raft-groups/tests/world/checks.rs
@@ -14,7 +14,8 @@
             News::Leads { term, state, .. } => {
                 self.leads += 1;
                 if let Some(other) = self.terms.insert(term, me).filter(|other| *other != me) {
-                    self.faults.push(format!("{me:?} and {other:?} both lead in {term:?}"));
+                    self.faults
+                        .push(format!("{me:?} and {other:?} both lead in {term:?}"));
                 }
                 self.agree(me, words(&state));
             }
@@ -32,17 +33,23 @@
     fn agree(&mut self, me: Incarnation, state: Vec<u64>) {
         let common = self.agreed.len().min(state.len());
         if self.agreed[..common] != state[..common] || state.len() < self.agreed.len() {
-            self.faults.push(format!("{me:?} leads with another log than the leader before"));
+            self.faults.push(format!(
+                "{me:?} leads with another log than the leader before"
+            ));
         }
         let has: BTreeSet<u64> = state.iter().copied().collect();
         if has.len() != state.len() {
             self.faults.push(format!("{me:?} has a command twice"));
         }
         if let Some(lost) = self.committed.iter().find(|c| !has.contains(c)) {
-            self.faults.push(format!("{me:?} leads without command {lost}, which was told as committed"));
+            self.faults.push(format!(
+                "{me:?} leads without command {lost}, which was told as committed"
+            ));
         }
         if let Some(void) = self.void.iter().find(|c| has.contains(c)) {
-            self.faults.push(format!("{me:?} leads with command {void}, which was told as void"));
+            self.faults.push(format!(
+                "{me:?} leads with command {void}, which was told as void"
+            ));
         }
         self.agreed = state;
     }
@@ -62,8 +69,13 @@
             }
             node.held = now;
             let me = node.me;
-            if let Some(other) = self.nodes.iter().find(|o| o.me != me && o.held + STALL > now) {
-                self.faults.push(format!("{me:?} holds while {:?} may still act", other.me));
+            if let Some(other) = self
+                .nodes
+                .iter()
+                .find(|o| o.me != me && o.held + STALL > now)
+            {
+                self.faults
+                    .push(format!("{me:?} holds while {:?} may still act", other.me));
             }
         }
     }
--- a/forwarder/raft-groups/tests/world/misfortunes.rs
+++ b/forwarder/raft-groups/tests/world/misfortunes.rs
@@ -12,17 +12,26 @@
     pub(super) fn replacements(&mut self) {
         for at in 0..self.nodes.len() {
             let lives: Vec<Incarnation> = self.nodes.iter().map(|n| n.me).collect();
-            let Some(core) = &self.nodes[at].core else { continue };
+            let Some(core) = &self.nodes[at].core else {
+                continue;
+            };
             if core.leads().is_none() {
                 continue;
             }
             let seen = core.seen();
-            let gone = seen.iter().find(|s| !lives.contains(&s.who)).map(|s| (s.who, s.voter));
-            let ready = seen.iter().find(|s| !s.voter && s.up_to_date && lives.contains(&s.who));
+            let gone = seen
+                .iter()
+                .find(|s| !lives.contains(&s.who))
+                .map(|s| (s.who, s.voter));
+            let ready = seen
+                .iter()
+                .find(|s| !s.voter && s.up_to_date && lives.contains(&s.who));
             let new = lives.iter().find(|l| !core.is_member(**l));
             let changes = match (gone, ready, new) {
                 (Some((gone, false)), _, _) => vec![Change::Remove(gone)],
-                (Some((gone, true)), Some(new), _) => vec![Change::Voter(new.who), Change::Remove(gone)],
+                (Some((gone, true)), Some(new), _) => {
+                    vec![Change::Voter(new.who), Change::Remove(gone)]
+                }
                 (Some(_), None, Some(new)) => vec![Change::Learner(*new)],
                 _ => continue,
             };
@@ -73,17 +82,27 @@
 
     /// The one that holds.
     pub fn holder(&self) -> Option<usize> {
-        let holds = |n: &super::Node| n.core.as_ref().is_some_and(|c| self.now * n.rate < c.lease());
+        let holds = |n: &super::Node| {
+            n.core
+                .as_ref()
+                .is_some_and(|c| self.now * n.rate < c.lease())
+        };
         self.nodes.iter().position(holds)
     }
 
     /// Every life is a voter and has all: one folder may be lost.
     fn whole(&self) -> bool {
-        let leader = self.nodes.iter().filter_map(|n| n.core.as_ref()).find(|c| c.leads().is_some());
+        let leader = self
+            .nodes
+            .iter()
+            .filter_map(|n| n.core.as_ref())
+            .find(|c| c.leads().is_some());
         let Some(leader) = leader else { return false };
         let seen = leader.seen();
         seen.len() + 1 == self.nodes.len()
-            && seen.iter().all(|s| s.voter && s.up_to_date && self.nodes.iter().any(|n| n.me == s.who))
+            && seen
+                .iter()
+                .all(|s| s.voter && s.up_to_date && self.nodes.iter().any(|n| n.me == s.who))
     }
 
     /// What was handed to the disk lately may be on it or not.
--- a/forwarder/raft-groups/tests/world/mod.rs
+++ b/forwarder/raft-groups/tests/world/mod.rs
@@ -78,7 +78,10 @@
         let mut pace = Pace::new(40.0, 400.0, STALL);
         pace.seed = Some(seed);
         let ids: Vec<Incarnation> = (1..=voters as u64).map(Incarnation).collect();
-        let group = GroupId { founder: ids[0], number: 1 };
+        let group = GroupId {
+            founder: ids[0],
+            number: 1,
+        };
         let node = |me: &Incarnation| Node {
             core: None,
             me: *me,
@@ -149,8 +152,20 @@
             let restarted = now > 1.0 && self.planted != Planted::VotesAtOnce;
             let disk = &node.disk;
             let (base, hard, entries) = (disk.base.clone(), disk.hard, disk.entries.clone());
-            let kept = Kept { base, hard, entries, restarted };
-            let core = Core::new(group, Purpose::Record, node.me, kept, Box::<All>::default(), pace);
+            let kept = Kept {
+                base,
+                hard,
+                entries,
+                restarted,
+            };
+            let core = Core::new(
+                group,
+                Purpose::Record,
+                node.me,
+                kept,
+                Box::<All>::default(),
+                pace,
+            );
             node.core = Some(core.expect("a folder that was synced is whole"));
             node.number = 0;
         }
@@ -164,7 +179,11 @@
             }
         }
         for at in 0..self.nodes.len() {
-            while self.nodes[at].queue.first().is_some_and(|(due, _)| *due <= self.now) {
+            while self.nodes[at]
+                .queue
+                .first()
+                .is_some_and(|(due, _)| *due <= self.now)
+            {
                 let (_, persist) = self.nodes[at].queue.remove(0);
                 let number = persist.number;
                 self.nodes[at].disk.take(persist);
@@ -175,17 +194,22 @@
 
     fn deliver(&mut self, rough: f64) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.frames).into_iter().partition(|(at, _)| *at <= now);
+        let (due, rest) = std::mem::take(&mut self.frames)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.frames = rest;
         let due: Vec<(f64, Message)> = due;
         for (_, message) in due {
             let find = |id: u64| self.nodes.iter().position(|n| n.me.0 == id);
-            let (Some(from), Some(to)) = (find(message.from), find(message.to)) else { continue };
+            let (Some(from), Some(to)) = (find(message.from), find(message.to)) else {
+                continue;
+            };
             if self.cut.contains(&(from, to)) || self.rng.random_bool(0.05 * rough) {
                 continue;
             }
             if self.rng.random_bool(0.05 * rough) {
-                self.frames.push((now + self.rng.random_range(0.0..300.0), message.clone()));
+                self.frames
+                    .push((now + self.rng.random_range(0.0..300.0), message.clone()));
             }
             self.with(to, |core, out| core.step(message, out));
         }
@@ -203,7 +227,10 @@
 
     fn proposals(&mut self) {
         for at in 0..self.nodes.len() {
-            let leads = self.nodes[at].core.as_ref().is_some_and(|c| c.leads().is_some());
+            let leads = self.nodes[at]
+                .core
+                .as_ref()
+                .is_some_and(|c| c.leads().is_some());
             if leads && !self.quiet && self.rng.random_bool(0.1) {
                 self.next_command += 1;
                 let command = self.next_command;
--- a/forwarder/replication/benches/copies/fleet.rs
+++ b/forwarder/replication/benches/copies/fleet.rs
@@ -22,7 +22,10 @@
 /// Addresses that were free a moment ago.
 fn free(number: usize) -> Vec<SocketAddr> {
     let all = (0..number).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
-    all.collect::<Vec<_>>().iter().map(|held| held.local_addr().expect("bound")).collect()
+    all.collect::<Vec<_>>()
+        .iter()
+        .map(|held| held.local_addr().expect("bound"))
+        .collect()
 }
 
 fn program() -> PathBuf {
@@ -38,8 +41,9 @@
         let links = free(number);
         let mut file = "fleet = \"bench\"\n".to_owned();
         for (at, address) in links.iter().enumerate() {
-            file +=
-                &format!("[[instances]]\nname = \"n{at}\"\naddress = \"{address}\"\nmachine = \"m{at}\"\n");
+            file += &format!(
+                "[[instances]]\nname = \"n{at}\"\naddress = \"{address}\"\nmachine = \"m{at}\"\n"
+            );
         }
         if let Some(keepers) = keepers {
             file += &format!("[copies]\nkeepers = {keepers}\n");
@@ -52,15 +56,22 @@
             let config = config(at, number, target, slots).to_string();
             std::fs::write(own.join("config.json"), config).expect("written");
             let mut command = Command::new(program());
-            command.env("PROXY_CONFIG", own.join("config.json")).env("PROXY_STATE", &own);
+            command
+                .env("PROXY_CONFIG", own.join("config.json"))
+                .env("PROXY_STATE", &own);
             if keepers.is_some() {
                 command.env("PROXY_FLEET", &path);
             }
             Process::start(command)
         };
         let processes: Vec<Process> = (0..number).map(start).collect();
-        processes.iter().for_each(|process| process.until_it_takes());
-        Fleet { processes, _folder: folder }
+        processes
+            .iter()
+            .for_each(|process| process.until_it_takes());
+        Fleet {
+            processes,
+            _folder: folder,
+        }
     }
 
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
@@ -70,10 +81,18 @@
     /// What all processes have worked so far, in microseconds.
     pub fn worked(&self) -> f64 {
         let ticks = |process: &Process| {
-            let stat =
-                std::fs::read_to_string(format!("/proc/{}/stat", process.child.id())).unwrap_or_default();
-            let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
-            fields.skip(11).take(2).filter_map(|field| field.parse::<f64>().ok()).sum::<f64>()
+            let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.child.id()))
+                .unwrap_or_default();
+            let fields = stat
+                .rsplit(')')
+                .next()
+                .unwrap_or_default()
+                .split_whitespace();
+            fields
+                .skip(11)
+                .take(2)
+                .filter_map(|field| field.parse::<f64>().ok())
+                .sum::<f64>()
         };
         // A hundred ticks a second.
         self.processes.iter().map(ticks).sum::<f64>() * 10_000.0
@@ -89,10 +108,21 @@
 
 impl Process {
     fn start(mut command: Command) -> Self {
-        let mut child = command.stdout(Stdio::piped()).spawn().expect("built: cargo build --release");
-        let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines().map_while(Result::ok);
+        let mut child = command
+            .stdout(Stdio::piped())
+            .spawn()
+            .expect("built: cargo build --release");
+        let mut lines = BufReader::new(child.stdout.take().expect("piped"))
+            .lines()
+            .map_while(Result::ok);
         let listen = lines.find_map(|line| {
-            let told = line.split("listen: ").nth(1)?.split(',').next()?.parse().ok();
+            let told = line
+                .split("listen: ")
+                .nth(1)?
+                .split(',')
+                .next()?
+                .parse()
+                .ok();
             told.filter(|_| line.contains("starts"))
         });
         let listen = listen.expect("tells where it listens");
--- a/forwarder/replication/benches/copies/load.rs
+++ b/forwarder/replication/benches/copies/load.rs
@@ -23,10 +23,20 @@
     pub came: Histogram<u64>,
 }
 
-pub fn run(to: &[SocketAddr], clients: usize, span: Duration, name: &str, came: &Arc<Came>) -> Times {
+pub fn run(
+    to: &[SocketAddr],
+    clients: usize,
+    span: Duration,
+    name: &str,
+    came: &Arc<Came>,
+) -> Times {
     let ends = Instant::now() + span;
     let clients = (0..to.len() * clients).map(|number| {
-        let (to, name, came) = (to[number % to.len()], format!("{name}.{number}"), came.clone());
+        let (to, name, came) = (
+            to[number % to.len()],
+            format!("{name}.{number}"),
+            came.clone(),
+        );
         thread::spawn(move || client(to, ends, number, &name, &came))
     });
     let mut all = Times::new();
@@ -41,7 +51,10 @@
 impl Times {
     fn new() -> Self {
         let empty = || Histogram::new(3).expect("fits");
-        Times { taken: empty(), came: empty() }
+        Times {
+            taken: empty(),
+            came: empty(),
+        }
     }
 }
 
@@ -56,9 +69,15 @@
         }
         match hand(&mut stream, &format!("{name}-{number}")) {
             202 => {
-                times.taken.record(began.elapsed().as_micros() as u64).expect("fits");
+                times
+                    .taken
+                    .record(began.elapsed().as_micros() as u64)
+                    .expect("fits");
                 came.wait(client, number);
-                times.came.record(began.elapsed().as_micros() as u64).expect("fits");
+                times
+                    .came
+                    .record(began.elapsed().as_micros() as u64)
+                    .expect("fits");
             }
             0 => stream = connect(to),
             // Refused: full for the moment.
@@ -94,7 +113,11 @@
             return 0;
         }
         if status == 0 {
-            status = line.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
+            status = line
+                .split(' ')
+                .nth(1)
+                .and_then(|word| word.parse().ok())
+                .unwrap_or(0);
         }
         if line == "\r\n" {
             return status;
--- a/forwarder/replication/benches/copies/main.rs
+++ b/forwarder/replication/benches/copies/main.rs
@@ -33,9 +33,13 @@
                 .for_each(|keepers| costs(serving, clients, keepers, Duration::from_secs(seconds)));
         }
     }
-    println!("\n| keepers | from SIGKILL to the heir's first send, ms, five times |\n| --- | --- |");
+    println!(
+        "\n| keepers | from SIGKILL to the heir's first send, ms, five times |\n| --- | --- |"
+    );
     for keepers in [2, 4] {
-        let times: Vec<String> = (0..5).map(|_| format!("{:.0}", inherits(keepers))).collect();
+        let times: Vec<String> = (0..5)
+            .map(|_| format!("{:.0}", inherits(keepers)))
+            .collect();
         println!("| {keepers} | {} |", times.join(", "));
     }
 }
@@ -46,7 +50,13 @@
     let all = serving.max(keepers.map_or(0, |keepers| keepers + 1));
     let fleet = Fleet::start(all, keepers, target.address, 64);
     let addresses: Vec<_> = fleet.addresses().take(serving).collect();
-    load::run(&addresses, clients, Duration::from_millis(500), "warm", &target.came);
+    load::run(
+        &addresses,
+        clients,
+        Duration::from_millis(500),
+        "warm",
+        &target.came,
+    );
     let refused = load::REFUSED.load(Ordering::Relaxed);
     let worked = fleet.worked();
     let before = loopback();
@@ -73,8 +83,13 @@
 /// Bytes and packets that went over loopback so far: of all that the machine does.
 fn loopback() -> (u64, u64) {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
-    let line = text.lines().find_map(|line| line.trim().strip_prefix("lo:")).unwrap_or_default();
-    let mut fields = line.split_whitespace().filter_map(|field| field.parse().ok());
+    let line = text
+        .lines()
+        .find_map(|line| line.trim().strip_prefix("lo:"))
+        .unwrap_or_default();
+    let mut fields = line
+        .split_whitespace()
+        .filter_map(|field| field.parse().ok());
     (fields.next().unwrap_or(0), fields.next().unwrap_or(0))
 }
 
--- a/forwarder/replication/benches/copies/target.rs
+++ b/forwarder/replication/benches/copies/target.rs
@@ -17,7 +17,10 @@
 impl Came {
     fn note(&self, id: &str) -> Option<()> {
         let (client, number) = id.rsplit_once('-')?;
-        let (client, number): (usize, u64) = (client.rsplit('.').next()?.parse().ok()?, number.parse().ok()?);
+        let (client, number): (usize, u64) = (
+            client.rsplit('.').next()?.parse().ok()?,
+            number.parse().ok()?,
+        );
         let mut last = self.last.lock().ok()?;
         let most = last.len().max(client + 1);
         last.resize(most, 0);
@@ -28,14 +31,21 @@
 
     /// What the client's next event is to be numbered.
     pub fn next(&self, client: usize) -> u64 {
-        self.last.lock().expect("no panic").get(client).map_or(1, |last| last + 1)
+        self.last
+            .lock()
+            .expect("no panic")
+            .get(client)
+            .map_or(1, |last| last + 1)
     }
 
     /// Returns once the client's event has come.
     pub fn wait(&self, client: usize, number: u64) {
         let last = self.last.lock().expect("no panic");
         let waits = |last: &mut Vec<u64>| last.get(client).is_none_or(|came| *came < number);
-        drop(self.changed.wait_timeout_while(last, Duration::from_secs(10), waits));
+        drop(
+            self.changed
+                .wait_timeout_while(last, Duration::from_secs(10), waits),
+        );
     }
 }
 
@@ -59,7 +69,11 @@
                 thread::spawn(move || serve(stream, span, tell, &noted));
             }
         });
-        Target { address, came, calls }
+        Target {
+            address,
+            came,
+            calls,
+        }
     }
 
     pub fn first_call_on_a_connection_after(&self, since: Instant) -> Duration {
@@ -73,7 +87,12 @@
     }
 }
 
-fn serve(stream: TcpStream, span: Duration, tell: Sender<(Instant, Instant)>, came: &Came) -> Option<()> {
+fn serve(
+    stream: TcpStream,
+    span: Duration,
+    tell: Sender<(Instant, Instant)>,
+    came: &Came,
+) -> Option<()> {
     let accepted = Instant::now();
     stream.set_nodelay(true).ok()?;
     let mut from = BufReader::new(stream);
@@ -102,6 +121,8 @@
         if !span.is_zero() {
             thread::sleep(span);
         }
-        from.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").ok()?;
+        from.get_mut()
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+            .ok()?;
     }
 }
--- a/forwarder/replication/src/machine.rs
+++ b/forwarder/replication/src/machine.rs
@@ -3,8 +3,8 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 
-use plankhill_raft_groups::{GroupId, Incarnation, Machine, Term, Torn};
 use plankhill_event_log::Record;
+use plankhill_raft_groups::{GroupId, Incarnation, Machine, Term, Torn};
 
 /// Ahead of a snapshot.
 const MAGIC: &[u8] = b"plankhill record 1\n";
@@ -38,12 +38,19 @@
 
     /// Whether any record kept here is such: told its group, who proposed in it last, and whether it holds an
     /// event of that key.
-    pub fn any(&self, key: u64, mut is_such: impl FnMut(GroupId, Incarnation, bool) -> bool) -> bool {
-        locked(&self.0).iter().filter_map(Weak::upgrade).any(|kept| {
-            let kept = locked(&kept);
-            let of = kept.group.zip(kept.owner);
-            of.is_some_and(|(group, owner)| is_such(group, owner, kept.record.holds_key(key)))
-        })
+    pub fn any(
+        &self,
+        key: u64,
+        mut is_such: impl FnMut(GroupId, Incarnation, bool) -> bool,
+    ) -> bool {
+        locked(&self.0)
+            .iter()
+            .filter_map(Weak::upgrade)
+            .any(|kept| {
+                let kept = locked(&kept);
+                let of = kept.group.zip(kept.owner);
+                of.is_some_and(|(group, owner)| is_such(group, owner, kept.record.holds_key(key)))
+            })
     }
 }
 
@@ -69,12 +76,20 @@
 pub fn read_command(command: &[u8]) -> Option<(GroupId, &[u8])> {
     let (head, frames) = command.split_at_checked(HEAD)?;
     let founder = Incarnation(u64::from_le_bytes(head[..8].try_into().ok()?));
-    Some((GroupId { founder, number: u32::from_le_bytes(head[8..].try_into().ok()?) }, frames))
+    Some((
+        GroupId {
+            founder,
+            number: u32::from_le_bytes(head[8..].try_into().ok()?),
+        },
+        frames,
+    ))
 }
 
 impl Machine for RecordMachine {
     fn apply(&mut self, proposer: Incarnation, _term: Term, command: &[u8]) {
-        let Some((group, frames)) = read_command(command) else { return };
+        let Some((group, frames)) = read_command(command) else {
+            return;
+        };
         let mut kept = locked(&self.0);
         if *kept.group.get_or_insert(group) == group {
             kept.owner = Some(proposer);
@@ -85,8 +100,14 @@
     fn snapshot(&self) -> Vec<u8> {
         let kept = locked(&self.0);
         let mut bytes = MAGIC.to_vec();
-        let group = kept.group.unwrap_or(GroupId { founder: Incarnation(0), number: 0 });
-        bytes.extend_from_slice(&command(group, &kept.owner.unwrap_or(Incarnation(0)).0.to_le_bytes()));
+        let group = kept.group.unwrap_or(GroupId {
+            founder: Incarnation(0),
+            number: 0,
+        });
+        bytes.extend_from_slice(&command(
+            group,
+            &kept.owner.unwrap_or(Incarnation(0)).0.to_le_bytes(),
+        ));
         kept.record.write(&mut bytes);
         bytes
     }
--- a/forwarder/replication/src/pipeline.rs
+++ b/forwarder/replication/src/pipeline.rs
@@ -46,7 +46,14 @@
 impl<E> Released<E> {
     /// What is to leave, and what became of what it waited for.
     pub fn split(self) -> (E, Released<()>) {
-        (self.effects, Released { effects: (), void: self.void, counts: self.counts })
+        (
+            self.effects,
+            Released {
+                effects: (),
+                void: self.void,
+                counts: self.counts,
+            },
+        )
     }
 
     /// Of a group that the round marked nothing in, all that there is counts.
@@ -61,7 +68,10 @@
 
 impl<E> Default for Pipeline<E> {
     fn default() -> Self {
-        Pipeline { rounds: VecDeque::new(), bytes: 0 }
+        Pipeline {
+            rounds: VecDeque::new(),
+            bytes: 0,
+        }
     }
 }
 
@@ -76,10 +86,21 @@
     }
 
     /// A round that proposed these, so many bytes in all.
-    pub fn push(&mut self, waits: impl IntoIterator<Item = (GroupId, u64)>, bytes: usize, effects: E) {
+    pub fn push(
+        &mut self,
+        waits: impl IntoIterator<Item = (GroupId, u64)>,
+        bytes: usize,
+        effects: E,
+    ) {
         let (void, counts) = (BTreeSet::new(), BTreeSet::new());
         self.bytes += bytes;
-        self.rounds.push_back(Round { waits: waits.into_iter().collect(), bytes, void, counts, effects });
+        self.rounds.push_back(Round {
+            waits: waits.into_iter().collect(),
+            bytes,
+            void,
+            counts,
+            effects,
+        });
     }
 
     pub fn committed(&mut self, group: GroupId, number: u64) {
@@ -91,32 +112,56 @@
     }
 
     fn decided(&mut self, group: GroupId, number: u64, counts: bool) {
-        let waits = self.rounds.iter_mut().find(|round| round.waits.contains(&(group, number)));
+        let waits = self
+            .rounds
+            .iter_mut()
+            .find(|round| round.waits.contains(&(group, number)));
         if let Some(round) = waits {
             round.waits.remove(&(group, number));
-            if counts { &mut round.counts } else { &mut round.void }.insert(group);
+            if counts {
+                &mut round.counts
+            } else {
+                &mut round.void
+            }
+            .insert(group);
         }
     }
 
     /// The next round that waits for nothing, nor does one before it.
     pub fn release(&mut self) -> Option<Released<E>> {
         self.rounds.front().filter(|round| round.waits.is_empty())?;
-        let Round { bytes, void, counts, effects, .. } = self.rounds.pop_front()?;
+        let Round {
+            bytes,
+            void,
+            counts,
+            effects,
+            ..
+        } = self.rounds.pop_front()?;
         self.bytes -= bytes;
-        Some(Released { effects, void, counts })
+        Some(Released {
+            effects,
+            void,
+            counts,
+        })
     }
 
     /// Whether a round still waits for something of the group.
     pub fn waits_for(&self, group: GroupId) -> bool {
-        self.rounds.iter().any(|round| round.waits.iter().any(|(of, _)| *of == group))
+        self.rounds
+            .iter()
+            .any(|round| round.waits.iter().any(|(of, _)| *of == group))
     }
 
     /// The group is led no more: no round waits for it, and what hangs on it never leaves with its round.
     /// `parts` is handed each number that was not decided yet, with its round's effects.
     pub fn lose(&mut self, group: GroupId, mut parts: impl FnMut(u64, &mut E)) {
         for round in &mut self.rounds {
-            let numbers: Vec<u64> =
-                round.waits.iter().filter(|(of, _)| *of == group).map(|(_, number)| *number).collect();
+            let numbers: Vec<u64> = round
+                .waits
+                .iter()
+                .filter(|(of, _)| *of == group)
+                .map(|(_, number)| *number)
+                .collect();
             for number in numbers {
                 round.waits.remove(&(group, number));
                 round.void.insert(group);
--- a/forwarder/replication/src/proposals.rs
+++ b/forwarder/replication/src/proposals.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use plankhill_raft_groups::{GroupId, Order};
 use plankhill_event_log::frames;
+use plankhill_raft_groups::{GroupId, Order};
 
 use crate::machine::command;
 
@@ -21,7 +21,11 @@
     pub fn propose(&mut self, group: GroupId, frames: &[u8]) -> u64 {
         let number = self.numbers.entry(group).or_default();
         *number += 1;
-        self.queue.push_back(Order::Propose { group, number: *number, command: command(group, frames) });
+        self.queue.push_back(Order::Propose {
+            group,
+            number: *number,
+            command: command(group, frames),
+        });
         *number
     }
 
@@ -61,7 +65,9 @@
     pub fn withdraw(&mut self, group: GroupId) -> Vec<u64> {
         let mut numbers = Vec::new();
         self.queue.retain(|order| match order {
-            Order::Propose { group: of, number, .. } if *of == group => {
+            Order::Propose {
+                group: of, number, ..
+            } if *of == group => {
                 numbers.push(*number);
                 false
             }
--- a/forwarder/replication/src/roles.rs
+++ b/forwarder/replication/src/roles.rs
@@ -27,14 +27,22 @@
 
 impl Roles {
     pub fn new(me: Incarnation) -> Self {
-        Roles { me, own: None, led: BTreeSet::new(), founding: false, up: BTreeSet::new() }
+        Roles {
+            me,
+            own: None,
+            led: BTreeSet::new(),
+            founding: false,
+            up: BTreeSet::new(),
+        }
     }
 
     /// A new life takes what is new in a new group: whoever leads an earlier one ends what is in it.
     pub fn starts(&mut self) -> Option<Order> {
         let founds = self.own.is_none() && !self.founding;
         self.founding |= founds;
-        founds.then_some(Order::Found { purpose: Purpose::Record })
+        founds.then_some(Order::Found {
+            purpose: Purpose::Record,
+        })
     }
 
     /// Elected by a majority. Of the groups that it founded itself the newest is its own.
@@ -85,7 +93,8 @@
     /// owned and lost may have more committed than it knows, until somebody has gone on with it.
     pub fn goes_before(&self, group: GroupId, owner: Incarnation, holds: bool) -> bool {
         let unsure = group.founder == self.me && owner == self.me;
-        let gone = group.founder == self.me || owner != group.founder || !self.up.contains(&group.founder);
+        let gone =
+            group.founder == self.me || owner != group.founder || !self.up.contains(&group.founder);
         !self.is_led(group) && (unsure || gone && holds)
     }
 
--- a/forwarder/replication/tests/owners.rs
+++ b/forwarder/replication/tests/owners.rs
@@ -1,31 +1,48 @@
 //! Which groups an instance owns, and what its keepers keep of them.
 
+use plankhill_event_log::{Record, Taken};
+use plankhill_raft_groups::*;
 use plankhill_replication::machine::command;
 use plankhill_replication::*;
-use plankhill_raft_groups::*;
-use plankhill_event_log::{Record, Taken};
 use rstest::rstest;
 
 const ME: Incarnation = Incarnation(7);
 
 fn group(founder: u64, number: u32) -> GroupId {
-    GroupId { founder: Incarnation(founder), number }
+    GroupId {
+        founder: Incarnation(founder),
+        number,
+    }
 }
 
 #[rstest]
 fn a_deposed_owner_founds_anew_and_what_it_led_ends_where_it_is() {
     let mut roles = Roles::new(ME);
-    assert!(matches!(roles.starts(), Some(Order::Found { purpose: Purpose::Record })));
+    assert!(matches!(
+        roles.starts(),
+        Some(Order::Found {
+            purpose: Purpose::Record
+        })
+    ));
     assert!(roles.starts().is_none(), "one at a time");
     assert_eq!(roles.leads(group(7, 1)), Leads::Own);
     assert_eq!(roles.leads(group(8, 1)), Leads::Adopted, "another's");
     assert!(roles.deposed(group(8, 1)).is_none());
-    assert!(matches!(roles.deposed(group(7, 1)), Some(Order::Found { .. })));
+    assert!(matches!(
+        roles.deposed(group(7, 1)),
+        Some(Order::Found { .. })
+    ));
     assert_eq!(roles.own(), None, "it takes nothing");
     assert_eq!(roles.leads(group(7, 2)), Leads::Own);
-    assert_eq!(roles.leads(group(7, 1)), Leads::Adopted, "elected again, it adds nothing to the old one");
+    assert_eq!(
+        roles.leads(group(7, 1)),
+        Leads::Adopted,
+        "elected again, it adds nothing to the old one"
+    );
     assert_eq!(roles.own(), Some(group(7, 2)));
-    assert!(matches!(roles.emptied(group(7, 1)), Some(Order::Dissolve { group: of }) if of == group(7, 1)));
+    assert!(
+        matches!(roles.emptied(group(7, 1)), Some(Order::Dissolve { group: of }) if of == group(7, 1))
+    );
     assert!(roles.emptied(group(7, 1)).is_none(), "once");
     assert!(roles.emptied(group(7, 2)).is_none(), "its own stays");
 }
@@ -34,20 +51,32 @@
 fn a_new_life_leads_its_earlier_groups_as_an_heir_does() {
     let mut roles = Roles::new(ME);
     roles.starts();
-    assert_eq!(roles.leads(group(7, 4)), Leads::Own, "until the new one is there");
+    assert_eq!(
+        roles.leads(group(7, 4)),
+        Leads::Own,
+        "until the new one is there"
+    );
     assert_eq!(roles.leads(group(7, 5)), Leads::Own);
     assert_eq!(roles.led().count(), 2);
     assert!(roles.emptied(group(7, 4)).is_some());
 }
 
 fn event(id: &str, body: usize) -> Taken<'static> {
-    Taken { id: id.to_owned().into(), traffic: "t".into(), body: vec![5; body].into(), ..Taken::default() }
+    Taken {
+        id: id.to_owned().into(),
+        traffic: "t".into(),
+        body: vec![5; body].into(),
+        ..Taken::default()
+    }
 }
 
 #[rstest]
 fn keepers_that_heard_the_commands_or_a_snapshot_keep_the_same_record() {
-    let (mut own, mut keeper, mut late) =
-        (Record::default(), KeptHere::default().machine(), KeptHere::default().machine());
+    let (mut own, mut keeper, mut late) = (
+        Record::default(),
+        KeptHere::default().machine(),
+        KeptHere::default().machine(),
+    );
     own.taken(event("a", 10));
     own.taken(event("b", 10));
     keeper.apply(ME, Term(2), &command(group(7, 1), &own.take_unwritten()));
@@ -61,7 +90,10 @@
     assert_eq!(late.size(), own.live());
     let found = plankhill_replication::machine::read(&late.snapshot()).expect("a snapshot");
     let owed = found.owed();
-    assert_eq!((owed.len(), &*owed[0].taken.id, owed[0].time_out), (1, "a", Some(900.0)));
+    assert_eq!(
+        (owed.len(), &*owed[0].taken.id, owed[0].time_out),
+        (1, "a", Some(900.0))
+    );
 }
 
 #[rstest]
@@ -87,7 +119,9 @@
     assert_eq!(proposals.propose(group(8, 1), b"y"), 1);
     let (mut room, mut keeper, mut numbers) = (0, KeptHere::default().machine(), Vec::new());
     let mut hand = |room: &mut i32, order: Order| match order {
-        Order::Propose { number, command, .. } if *room > 0 => {
+        Order::Propose {
+            number, command, ..
+        } if *room > 0 => {
             *room -= 1;
             numbers.push(number);
             keeper.apply(ME, Term(2), &command);
@@ -95,10 +129,17 @@
         }
         order => Err(order),
     };
-    assert!(!proposals.offer(|order| hand(&mut room, order)), "the ring is full");
+    assert!(
+        !proposals.offer(|order| hand(&mut room, order)),
+        "the ring is full"
+    );
     room = 1;
     assert!(!proposals.offer(|order| hand(&mut room, order)));
-    assert_eq!(proposals.withdraw(group(8, 1)), [1], "it never left, and never will");
+    assert_eq!(
+        proposals.withdraw(group(8, 1)),
+        [1],
+        "it never left, and never will"
+    );
     room = 9;
     assert!(proposals.offer(|order| hand(&mut room, order)));
     assert_eq!(numbers, [1, 2, 3]);
@@ -109,19 +150,31 @@
 fn what_a_group_holds_goes_before_from_the_loss_of_its_first_owner_until_it_is_led_here() {
     let (other, heir) = (Incarnation(8), Incarnation(9));
     let mut roles = Roles::new(ME);
-    assert!(roles.goes_before(group(8, 1), other, true), "its founder was never heard");
+    assert!(
+        roles.goes_before(group(8, 1), other, true),
+        "its founder was never heard"
+    );
     roles.peer(other, true);
     assert!(!roles.goes_before(group(8, 1), other, true));
     assert!(roles.goes_before(group(8, 1), heir, true), "an heir has it");
     roles.peer(other, false);
-    assert!(roles.goes_before(group(8, 1), other, true), "an heir will have it");
+    assert!(
+        roles.goes_before(group(8, 1), other, true),
+        "an heir will have it"
+    );
     assert!(!roles.goes_before(group(8, 1), other, false), "other keys");
     roles.leads(group(8, 1));
-    assert!(!roles.goes_before(group(8, 1), other, true), "here the module keeps the order");
+    assert!(
+        !roles.goes_before(group(8, 1), other, true),
+        "here the module keeps the order"
+    );
     assert!(
         roles.goes_before(group(7, 1), ME, false),
         "its own and lost: it may hold what is not known here"
     );
-    assert!(!roles.goes_before(group(7, 1), heir, false), "an heir has gone on: all is known");
+    assert!(
+        !roles.goes_before(group(7, 1), heir, false),
+        "an heir has gone on: all is known"
+    );
     assert!(roles.goes_before(group(7, 1), heir, true));
 }
--- a/forwarder/replication/tests/pipeline.rs
+++ b/forwarder/replication/tests/pipeline.rs
@@ -1,13 +1,16 @@
 //! What leaves, when, and in which order.
 
+use plankhill_raft_groups::*;
 use plankhill_replication::pipeline::Decided;
 use plankhill_replication::*;
-use plankhill_raft_groups::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
 fn group(number: u32) -> GroupId {
-    GroupId { founder: Incarnation(7), number }
+    GroupId {
+        founder: Incarnation(7),
+        number,
+    }
 }
 
 fn drain(pipeline: &mut Pipeline<u32>) -> Vec<u32> {
@@ -20,10 +23,16 @@
     pipeline.push([(group(1), 1)], 10, 1);
     pipeline.push([(group(1), 2), (group(2), 1)], 10, 2);
     pipeline.push([], 0, 3);
-    assert!(drain(&mut pipeline).is_empty(), "nothing leaves before its marks count");
+    assert!(
+        drain(&mut pipeline).is_empty(),
+        "nothing leaves before its marks count"
+    );
     pipeline.committed(group(1), 2);
     pipeline.committed(group(2), 1);
-    assert!(drain(&mut pipeline).is_empty(), "the round before is not decided");
+    assert!(
+        drain(&mut pipeline).is_empty(),
+        "the round before is not decided"
+    );
     assert!(pipeline.waits_for(group(1)) && !pipeline.waits_for(group(2)));
     pipeline.committed(group(1), 1);
     assert_eq!(drain(&mut pipeline), [1, 2, 3]);
@@ -55,7 +64,10 @@
     pipeline.committed(group(1), 1);
     assert_eq!(drain(&mut pipeline).len(), 1);
     assert!(!pipeline.is_full(0));
-    assert!(pipeline.is_full(16 << 20), "a command as long as all that may wait");
+    assert!(
+        pipeline.is_full(16 << 20),
+        "a command as long as all that may wait"
+    );
 }
 
 #[rstest]
@@ -67,15 +79,28 @@
     pipeline.committed(group(2), 1);
     let mut parts = Vec::new();
     pipeline.lose(group(1), |number, effects| parts.push((number, *effects)));
-    assert_eq!(parts, [(1, 1), (2, 2)], "whoever waits for these is told later what became of them");
+    assert_eq!(
+        parts,
+        [(1, 1), (2, 2)],
+        "whoever waits for these is told later what became of them"
+    );
     for effects in [1, 2] {
         let released = pipeline.release().expect("waits for nothing");
-        assert_eq!((released.effects, released.in_group(group(1))), (effects, Decided::Void));
+        assert_eq!(
+            (released.effects, released.in_group(group(1))),
+            (effects, Decided::Void)
+        );
         assert_eq!(released.in_group(group(2)), Decided::Counts);
     }
-    assert!(pipeline.release().is_none(), "the other group's is not decided");
+    assert!(
+        pipeline.release().is_none(),
+        "the other group's is not decided"
+    );
     pipeline.committed(group(1), 2);
-    assert!(pipeline.release().is_none(), "a late answer releases nothing");
+    assert!(
+        pipeline.release().is_none(),
+        "a late answer releases nothing"
+    );
     pipeline.committed(group(2), 2);
     assert_eq!(drain(&mut pipeline), [3]);
 }
--- a/forwarder/server/src/alone.rs
+++ b/forwarder/server/src/alone.rs
@@ -3,9 +3,9 @@
 use std::net::{SocketAddr, TcpListener};
 
 use async_io::Async;
-use plankhill_hot_restart::Lock;
 use plankhill_event_log::{Ledger, Owed};
 use plankhill_forwarder_config::{fields::Plain, Told};
+use plankhill_hot_restart::Lock;
 
 use crate::kept;
 use crate::left_out::LeftOut;
@@ -14,7 +14,8 @@
 const QUEUE: i32 = 1024;
 
 pub fn bind(key: &str, address: SocketAddr) -> Plain<Async<TcpListener>> {
-    Async::<TcpListener>::bind(address).map_err(|e| format!("{key}: {address} cannot be listened on: {e}"))
+    Async::<TcpListener>::bind(address)
+        .map_err(|e| format!("{key}: {address} cannot be listened on: {e}"))
 }
 
 /// Says whose the folder is: what is owed there names destinations of that forwarder's deployment alone.
@@ -27,7 +28,10 @@
     let wrong = |what: String| Err(format!("PROXY_STATE: {}: {what}", path.display()));
     match std::fs::read_to_string(&path) {
         Ok(name) if name.is_empty() || name == told.name => Ok(()),
-        Ok(name) => wrong(format!("the folder is {name:?}'s, and PROXY_NAME is {:?}", told.name)),
+        Ok(name) => wrong(format!(
+            "the folder is {name:?}'s, and PROXY_NAME is {:?}",
+            told.name
+        )),
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(()),
         Err(e) => wrong(format!("cannot be read: {e}")),
     }
@@ -65,7 +69,13 @@
         // The library's queue of 128 would overflow when many connect at once, and all others wait a second.
         rustix::net::listen(&listener, QUEUE).map_err(|e| format!("PROXY_LISTEN: {e}"))?;
         own(told);
-        Ok(Alone { lock, ledger, owed, left_out, listener })
+        Ok(Alone {
+            lock,
+            ledger,
+            owed,
+            left_out,
+            listener,
+        })
     }
 }
 
--- a/forwarder/server/src/budgets/control.rs
+++ b/forwarder/server/src/budgets/control.rs
@@ -1,7 +1,7 @@
 //! What the control group's log keeps: the book of leases. The first byte of a command says whose it is.
 
-use plankhill_raft_groups::{Incarnation, Machine, Term, Torn};
 use plankhill_connection_quotas::leases::{decode, Book};
+use plankhill_raft_groups::{Incarnation, Machine, Term, Torn};
 
 /// Of a command that pools propose.
 pub const OF_POOLS: u8 = b'p';
@@ -15,7 +15,10 @@
 
 /// A command of pools without its frame.
 pub fn of_pools(command: &[u8]) -> Option<&[u8]> {
-    command.split_first().filter(|(first, _)| **first == OF_POOLS).map(|(_, rest)| rest)
+    command
+        .split_first()
+        .filter(|(first, _)| **first == OF_POOLS)
+        .map(|(_, rest)| rest)
 }
 
 #[derive(Default)]
--- a/forwarder/server/src/budgets/group.rs
+++ b/forwarder/server/src/budgets/group.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use plankhill_raft_groups::{GroupId, News, Order, Purpose};
 use plankhill_connection_quotas::leases::{encode, Command};
+use plankhill_raft_groups::{GroupId, News, Order, Purpose};
 use slog::{info, warn, Logger};
 
 use super::control::{framed, of_pools};
@@ -27,7 +27,9 @@
     pub(super) fn tick(&self, ground: &Ground, log: &Logger) {
         let at = now();
         let surplus = self.local.borrow().surplus(at);
-        surplus.iter().for_each(|(pool, surplus)| self.close(pool, *surplus));
+        surplus
+            .iter()
+            .for_each(|(pool, surplus)| self.close(pool, *surplus));
         let waited_for: Vec<_> = self.waiting.borrow().keys().cloned().collect();
         waited_for.iter().for_each(|pool| self.wake(pool));
         let report = self.local.borrow_mut().report(at);
@@ -36,14 +38,20 @@
             let _ = ground.order(Order::Report { body });
         }
         let due = self.local.borrow_mut().due(at);
-        due.into_iter().for_each(|command| self.propose(ground, log, command));
+        due.into_iter()
+            .for_each(|command| self.propose(ground, log, command));
     }
 
     /// News of the control group; others change nothing.
     pub fn news(&self, ground: &Ground, log: &Logger, news: &News) {
         let at = now();
         match news {
-            News::Leads { group, purpose: Purpose::Control, term, state } => {
+            News::Leads {
+                group,
+                purpose: Purpose::Control,
+                term,
+                state,
+            } => {
                 info!(log, "gives the parts of pools"; "term" => term.0);
                 self.proposals.borrow_mut().leads = Some(*group);
                 self.local.borrow_mut().leads(at, term.0, state);
@@ -58,7 +66,8 @@
             }
             News::Void { group, number } => {
                 let void = self.proposals.borrow_mut().open.remove(&(*group, *number));
-                void.iter().for_each(|command| self.local.borrow_mut().void(command));
+                void.iter()
+                    .for_each(|command| self.local.borrow_mut().void(command));
             }
             News::Applied { term, command, .. } => {
                 if let Some(command) = of_pools(command) {
@@ -68,7 +77,9 @@
             News::Replaced { state } => self.local.borrow_mut().replaced(state),
             News::Reported { body, .. } => {
                 let command = self.local.borrow_mut().reported(at, body);
-                command.into_iter().for_each(|command| self.propose(ground, log, command));
+                command
+                    .into_iter()
+                    .for_each(|command| self.propose(ground, log, command));
             }
             News::Leads { .. } | News::Deposed { .. } | News::Peer { .. } => (),
         }
@@ -85,7 +96,14 @@
         }
         let number = proposals.numbers.get(&group).copied().unwrap_or(0) + 1;
         let body = framed(encode(&command));
-        if ground.order(Order::Propose { group, number, command: body }).is_err() {
+        if ground
+            .order(Order::Propose {
+                group,
+                number,
+                command: body,
+            })
+            .is_err()
+        {
             warn!(log, "the fleet's ring is full: parts of pools come later");
             return self.local.borrow_mut().void(&command);
         }
--- a/forwarder/server/src/budgets/mod.rs
+++ b/forwarder/server/src/budgets/mod.rs
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 
 use async_channel::{Receiver, Sender};
-use plankhill_decisions::interface::*;
-use plankhill_raft_groups::Incarnation;
 use plankhill_connection_quotas::language::{Facts, PoolId};
 use plankhill_connection_quotas::leases::{Instance, Life};
 use plankhill_connection_quotas::local::{Local, Start, Use};
+use plankhill_decisions::interface::*;
 use plankhill_forwarder_config::pools::Pools;
 use plankhill_forwarder_config::Told;
+use plankhill_raft_groups::Incarnation;
 use rustix::time::{clock_gettime, ClockId};
 
 use self::group::Proposals;
@@ -51,7 +51,10 @@
     /// stands still.
     pub fn start(told: &Told, incarnation: Incarnation, grace: Ms) -> Option<Rc<Budgets>> {
         let (fleet, pools) = told.fleet.as_ref().zip(told.pools.as_ref())?;
-        let instances = fleet.instances.iter().map(|it| (Instance(it.name.clone()), it.zone.clone()));
+        let instances = fleet
+            .instances
+            .iter()
+            .map(|it| (Instance(it.name.clone()), it.zone.clone()));
         // What this start is given no other may use: the time of the start tells it from others of the folder.
         let life = Life(incarnation.0.rotate_left(20) ^ (now() * 1e3) as u64);
         let local = Local::new(Start {
@@ -72,7 +75,9 @@
 
     /// A policy that was read again and found sound. It is in force once the fleet has agreed on it.
     pub fn told(&self, pools: &Pools) {
-        self.local.borrow_mut().told(pools.text.clone(), pools.policy.clone());
+        self.local
+            .borrow_mut()
+            .told(pools.text.clone(), pools.policy.clone());
     }
 
     pub fn listed(
@@ -104,7 +109,11 @@
 
     /// A target's actor begins: it is told to close what is idle and over.
     pub fn actor(&self, target: &TargetId, closes: impl Fn(u32) -> bool + 'static) {
-        self.actors.borrow_mut().entry(target.clone()).or_default().closes = Some(Box::new(closes));
+        self.actors
+            .borrow_mut()
+            .entry(target.clone())
+            .or_default()
+            .closes = Some(Box::new(closes));
     }
 
     /// It ends, and owns no connection any more.
@@ -114,7 +123,11 @@
 
     fn waits(&self, pool: &PoolId) -> Receiver<()> {
         let (wakes, woken) = async_channel::bounded(1);
-        self.waiting.borrow_mut().entry(pool.clone()).or_default().push_back(wakes);
+        self.waiting
+            .borrow_mut()
+            .entry(pool.clone())
+            .or_default()
+            .push_back(wakes);
         woken
     }
 
@@ -124,7 +137,9 @@
             return;
         }
         let mut waiting = self.waiting.borrow_mut();
-        let Some(queue) = waiting.get_mut(pool) else { return };
+        let Some(queue) = waiting.get_mut(pool) else {
+            return;
+        };
         // Who has gone meanwhile is passed over.
         while let Some(first) = queue.pop_front() {
             if first.try_send(()).is_ok() {
@@ -139,8 +154,10 @@
     /// Has what is idle and over closed, where most of it stands first.
     fn close(&self, pool: &PoolId, mut surplus: u32) {
         let mut actors = self.actors.borrow_mut();
-        let mut there: Vec<(&TargetId, &mut Actor)> =
-            actors.iter_mut().filter(|(_, actor)| actor.idle.contains_key(pool)).collect();
+        let mut there: Vec<(&TargetId, &mut Actor)> = actors
+            .iter_mut()
+            .filter(|(_, actor)| actor.idle.contains_key(pool))
+            .collect();
         there.sort_by(|a, b| b.1.idle[pool].cmp(&a.1.idle[pool]).then(a.0.cmp(b.0)));
         for (_, actor) in there {
             let some = surplus.min(actor.idle[pool]);
@@ -152,6 +169,10 @@
 
     fn event(&self) -> Use {
         // No client names a member yet: all events are those of others.
-        Use::Event(self.local.borrow().member(plankhill_connection_quotas::language::OTHERS))
+        Use::Event(
+            self.local
+                .borrow()
+                .member(plankhill_connection_quotas::language::OTHERS),
+        )
     }
 }
--- a/forwarder/server/src/budgets/place.rs
+++ b/forwarder/server/src/budgets/place.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use plankhill_decisions::interface::*;
 use plankhill_connection_quotas::language::PoolId;
 use plankhill_connection_quotas::local::{Entry, Use};
+use plankhill_decisions::interface::*;
 
 use super::{now, Budgets};
 
@@ -21,7 +21,11 @@
 impl Place {
     /// Where no budget holds.
     pub fn free(target: &TargetId) -> Place {
-        Place { counted: RefCell::new(None), target: target.clone(), used: Cell::new(None) }
+        Place {
+            counted: RefCell::new(None),
+            target: target.clone(),
+            used: Cell::new(None),
+        }
     }
 
     /// The place itself, to go on apart from its connection; a free one stays behind.
@@ -32,8 +36,12 @@
     /// The connection's use is over. False if it has to be closed.
     pub fn rests(&self) -> bool {
         let counted = self.counted.borrow();
-        let Some((budgets, pool)) = counted.as_ref() else { return true };
-        let Some(what) = self.used.take() else { return true };
+        let Some((budgets, pool)) = counted.as_ref() else {
+            return true;
+        };
+        let Some(what) = self.used.take() else {
+            return true;
+        };
         let stays = budgets.local.borrow_mut().rests(now(), pool, what);
         budgets.idle(&self.target, pool, 1);
         budgets.wake(pool);
@@ -43,7 +51,9 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let Some((budgets, pool)) = self.counted.take() else { return };
+        let Some((budgets, pool)) = self.counted.take() else {
+            return;
+        };
         let used = self.used.take();
         if used.is_none() {
             budgets.idle(&self.target, &pool, -1);
@@ -57,7 +67,9 @@
     /// Connections that stand idle at a target.
     fn idle(&self, target: &TargetId, pool: &PoolId, change: i32) {
         let mut actors = self.actors.borrow_mut();
-        let Some(actor) = actors.get_mut(target) else { return };
+        let Some(actor) = actors.get_mut(target) else {
+            return;
+        };
         let count = actor.idle.entry(pool.clone()).or_default();
         *count = count.saturating_add_signed(change);
         if *count == 0 {
@@ -78,7 +90,10 @@
         let left = ends.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
         let from = kept.and_then(|kept| Some(kept.counted.borrow().as_ref()?.1.clone()));
         let at = now();
-        let entry = self.local.borrow_mut().enter(at, at + left, &target.0, what, from.as_ref());
+        let entry = self
+            .local
+            .borrow_mut()
+            .enter(at, at + left, &target.0, what, from.as_ref());
         match entry {
             Entry::Unbounded => Ok(kept.is_none().then(|| Place::free(target))),
             Entry::Full(pool) => Err(pool),
@@ -86,7 +101,11 @@
                 let counted = Some((self.clone(), pool.clone()));
                 let Some(kept) = kept else {
                     let (target, used) = (target.clone(), Cell::new(Some(what)));
-                    return Ok(Some(Place { counted: RefCell::new(counted), target, used }));
+                    return Ok(Some(Place {
+                        counted: RefCell::new(counted),
+                        target,
+                        used,
+                    }));
                 };
                 if let Some(from) = &from {
                     self.idle(target, from, -1);
--- a/forwarder/server/src/budgets/ticking.rs
+++ b/forwarder/server/src/budgets/ticking.rs
@@ -11,7 +11,9 @@
 
 /// Reports what is wanted, closes what is over, and gives while it leads.
 pub async fn run(common: Common) {
-    let (Some(ground), Some(budgets)) = (common.ground.clone(), common.budgets.clone()) else { return };
+    let (Some(ground), Some(budgets)) = (common.ground.clone(), common.budgets.clone()) else {
+        return;
+    };
     loop {
         Timer::after(TICK).await;
         budgets.tick(&ground, &common.log);
--- a/forwarder/server/src/clients/answering.rs
+++ b/forwarder/server/src/clients/answering.rs
@@ -36,7 +36,8 @@
     /// Answers a request that is none and ends the connection.
     pub(super) async fn refuse(mut self, Refusal(status, why): Refusal) {
         self.tell_log(status, why);
-        let field: [(&str, &dyn std::fmt::Display); 2] = [("Allow", &"GET, POST"), ("Retry-After", &1)];
+        let field: [(&str, &dyn std::fmt::Display); 2] =
+            [("Allow", &"GET, POST"), ("Retry-After", &1)];
         let fields = match status {
             405 => &field[..1],
             503 => &field[1..],
@@ -51,7 +52,10 @@
     /// Ends the connection behind its last answer; it is the first to make room for others meanwhile.
     pub(super) async fn close(self) {
         let ends = closing::ends(&self.stream);
-        let _ = self.door.waits(Waits::Lingers, Instant::now() + LINGERING, ends).await;
+        let _ = self
+            .door
+            .waits(Waits::Lingers, Instant::now() + LINGERING, ends)
+            .await;
     }
 
     fn tell_log(&self, status: u16, why: &'static str) {
@@ -87,6 +91,11 @@
             return written.is_ok();
         }
         // Its client has not read answers for long.
-        matches!(self.door.waits(Waits::Writes, Instant::now() + WRITING, written).await, Ok(Ok(())))
+        matches!(
+            self.door
+                .waits(Waits::Writes, Instant::now() + WRITING, written)
+                .await,
+            Ok(Ok(()))
+        )
     }
 }
--- a/forwarder/server/src/clients/broadcast.rs
+++ b/forwarder/server/src/clients/broadcast.rs
@@ -15,7 +15,9 @@
             return false;
         }
         if body.len() > LONGEST_BODY {
-            return self.respond(413, &[], "the body is too long for a broadcast").await;
+            return self
+                .respond(413, &[], "the body is too long for a broadcast")
+                .await;
         }
         let wait = self.common.told.terms.longest_advice;
         let traffic = self.common.told.names.traffic[event.traffic.0].clone();
@@ -27,7 +29,11 @@
         let verdict = match posted {
             Ok(verdict) => verdict.recv().await.unwrap_or(Verdict::Refused(None)),
             Err(Refusal::NoSuchList) => return self.respond(404, &[], "no such list").await,
-            Err(Refusal::BadId) => return self.respond(400, &[], "Req-Id: is missing or too long").await,
+            Err(Refusal::BadId) => {
+                return self
+                    .respond(400, &[], "Req-Id: is missing or too long")
+                    .await
+            }
             Err(Refusal::Full) => Verdict::Refused(wait),
             Err(Refusal::Known | Refusal::Late) => Verdict::Refused(None),
         };
--- a/forwarder/server/src/clients/client.rs
+++ b/forwarder/server/src/clients/client.rs
@@ -60,7 +60,9 @@
                 by = Instant::now() + READING;
             }
             let Some(begun) = self.buffer().await else {
-                return self.refuse(Refusal(503, "no memory for more requests")).await;
+                return self
+                    .refuse(Refusal(503, "no memory for more requests"))
+                    .await;
             };
             let request = match door.waits(Waits::Reads, by, self.read(begun)).await {
                 Ok(Ok(Some(request))) => request,
@@ -70,8 +72,17 @@
                     return self.refuse(Refusal(408, "the request took too long")).await;
                 }
             };
-            waits = if waits == Waits::Silent { Waits::Once } else { Waits::Idle };
-            by = Instant::now() + if waits == Waits::Once { door.once() } else { IDLE };
+            waits = if waits == Waits::Silent {
+                Waits::Once
+            } else {
+                Waits::Idle
+            };
+            by = Instant::now()
+                + if waits == Waits::Once {
+                    door.once()
+                } else {
+                    IDLE
+                };
             self.last |= request.closes || self.full;
             let answered = match request.asked {
                 Asked::Up if self.common.gate.is_shut() => self.respond(503, &[], "").await,
@@ -115,7 +126,9 @@
         };
         let left = by.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         if let Ok(stream) = self.stream.into_inner() {
-            let _ = to.send((Word::Client { asked, left }, Some(stream.into()))).await;
+            let _ = to
+                .send((Word::Client { asked, left }, Some(stream.into())))
+                .await;
         }
     }
 
@@ -123,7 +136,10 @@
         // Calls are not to want for one, nor clients where the memory is small for the slots.
         let pool = &self.common.pool;
         let spare = pool.left() > self.common.told.terms.slots.min(pool.most() / 2);
-        spare.then(|| pool.take()).flatten().map(|buffer| Begun { buffer, filled: 0 })
+        spare
+            .then(|| pool.take())
+            .flatten()
+            .map(|buffer| Begun { buffer, filled: 0 })
     }
 
     /// With what came of the next request. Those that are half-way through theirs for long give way.
@@ -150,7 +166,11 @@
             let _ = self.stream.readable().await;
         };
         let over = future::or(closes, self.common.passes.opens());
-        let more = self.door.waits(waits, by, future::or(readable, over)).await.is_ok();
+        let more = self
+            .door
+            .waits(waits, by, future::or(readable, over))
+            .await
+            .is_ok();
         // What has come by then is still answered.
         more && !self.common.gate.is_shut() || !is_quiet(&self.stream)
     }
@@ -167,7 +187,12 @@
             return self.tell(Verdict::Refused(None)).await;
         }
         // Copies are handed in under ids of their own.
-        if self.common.fanout.as_ref().is_some_and(|fanout| fanout.bars(&event.id)) {
+        if self
+            .common
+            .fanout
+            .as_ref()
+            .is_some_and(|fanout| fanout.bars(&event.id))
+        {
             return self.tell(Verdict::Refused(None)).await;
         }
         if self.full {
@@ -178,9 +203,18 @@
         let id = event.id.clone();
         let patience_ends = self.common.clock.now() + event.patience;
         // What is not committed by then is neither taken nor refused: the connection is closed without a word.
-        let patience = self.common.copies().map(|_| Instant::now() + millis(event.patience));
+        let patience = self
+            .common
+            .copies()
+            .map(|_| Instant::now() + millis(event.patience));
         let number = self.common.number();
-        let handed = Handed { number, event, patience_ends, body, answer };
+        let handed = Handed {
+            number,
+            event,
+            patience_ends,
+            body,
+            answer,
+        };
         if self.to_rounds.send(CameIn::Event(handed)).await.is_err() {
             self.last = true;
             return self.tell(Verdict::Refused(None)).await;
--- a/forwarder/server/src/clients/door.rs
+++ b/forwarder/server/src/clients/door.rs
@@ -71,8 +71,12 @@
     /// One that only just came, its request behind it, is spared while there are others.
     pub(super) fn make_room(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
-        let goes = |(what, since): (Waits, Instant)| what != Waits::Silent || since.elapsed() > JUST_CAME;
-        let first = waiting.iter().find(|((what, _), how)| goes((*what, how.0))).or(waiting.iter().next());
+        let goes =
+            |(what, since): (Waits, Instant)| what != Waits::Silent || since.elapsed() > JUST_CAME;
+        let first = waiting
+            .iter()
+            .find(|((what, _), how)| goes((*what, how.0)))
+            .or(waiting.iter().next());
         let place = first.map(|(place, _)| *place);
         place.is_some_and(|place| waiting.remove(&place).is_some())
     }
@@ -82,8 +86,10 @@
     pub(super) fn frees_buffer(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let mut reads = waiting.range((Waits::Reads, 0)..);
-        let first =
-            reads.next().filter(|(_, (since, _))| since.elapsed() > JUST_CAME).map(|(place, _)| *place);
+        let first = reads
+            .next()
+            .filter(|(_, (since, _))| since.elapsed() > JUST_CAME)
+            .map(|(place, _)| *place);
         first.is_some_and(|place| waiting.remove(&place).is_some())
     }
 
@@ -109,7 +115,9 @@
     ) -> Result<T, Left> {
         let (stays, leaves) = async_channel::bounded(1);
         let place = Place(self, (what, self.number()));
-        self.waiting.borrow_mut().insert(place.1, (Instant::now(), stays));
+        self.waiting
+            .borrow_mut()
+            .insert(place.1, (Instant::now(), stays));
         let leaves = async {
             let _ = leaves.recv().await;
             Err(Left::MadeRoom)
--- a/forwarder/server/src/clients/mod.rs
+++ b/forwarder/server/src/clients/mod.rs
@@ -62,8 +62,15 @@
 
 impl Clients {
     pub fn new(common: Common, to_rounds: Sender<CameIn>) -> Self {
-        let door = Rc::new(Door { open: common.clients.clone(), ..Door::default() });
-        Clients { common, to_rounds, door }
+        let door = Rc::new(Door {
+            open: common.clients.clone(),
+            ..Door::default()
+        });
+        Clients {
+            common,
+            to_rounds,
+            door,
+        }
     }
 
     /// As many are served at most: what the targets, discovery, the files and operators do not need, nor the
@@ -122,18 +129,35 @@
 
     fn turn_away(&self, stream: Stream) {
         let mut message = Vec::with_capacity(128);
-        let fields: [(&str, &dyn std::fmt::Display); 2] = [("Retry-After", &1), ("Connection", &"close")];
+        let fields: [(&str, &dyn std::fmt::Display); 2] =
+            [("Retry-After", &1), ("Connection", &"close")];
         let _ = http1::response(&mut message, 503, &fields, 0);
         closing::turn_away(&stream, &message);
     }
 
     fn serve(&self, stream: Stream, full: bool, counted: Counted, waits: Waits, left: Duration) {
-        let Clients { common, to_rounds, door } = self.clone();
+        let Clients {
+            common,
+            to_rounds,
+            door,
+        } = self.clone();
         let executor = common.executor.clone();
         let came = Instant::now();
         let (begun, last, ready) = (None, false, None);
-        let client =
-            Client { common, to_rounds, stream, full, door, begun, last, came, ready, _counted: counted };
-        executor.spawn(client.run(waits, Instant::now() + left)).detach();
+        let client = Client {
+            common,
+            to_rounds,
+            stream,
+            full,
+            door,
+            begun,
+            last,
+            came,
+            ready,
+            _counted: counted,
+        };
+        executor
+            .spawn(client.run(waits, Instant::now() + left))
+            .detach();
     }
 }
--- a/forwarder/server/src/clients/reading.rs
+++ b/forwarder/server/src/clients/reading.rs
@@ -18,7 +18,10 @@
 impl Client {
     /// Reads one request; None if the client ends the connection instead.
     pub(super) async fn read(&mut self, begun: Begun) -> Result<Option<Request>, Refusal> {
-        let Begun { mut buffer, mut filled } = begun;
+        let Begun {
+            mut buffer,
+            mut filled,
+        } = begun;
         let mut search = HeadSearch::default();
         let mut empty = 0;
         // What it begins with came with the end of the request before.
@@ -56,7 +59,10 @@
             return Err(TOO_LONG);
         }
         if head.expects_continue && filled == end {
-            let _ = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+            let _ = self
+                .stream
+                .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
+                .await;
         }
         let (mut chunks, mut read, mut write) = (Chunks::default(), end, end);
         let mut framing = 0;
@@ -92,12 +98,20 @@
             return Err(Refusal(400, "the body is longer than its length"));
         }
         if filled > read {
-            let mut next = self.fresh().ok_or(Refusal(503, "no memory for more requests"))?;
+            let mut next = self
+                .fresh()
+                .ok_or(Refusal(503, "no memory for more requests"))?;
             next.filled = filled - read;
             next.buffer[..next.filled].copy_from_slice(&buffer[read..filled]);
             self.begun = Some(next);
         }
-        Ok(Some(Request { asked, buffer, body: end..write, closes, since }))
+        Ok(Some(Request {
+            asked,
+            buffer,
+            body: end..write,
+            closes,
+            since,
+        }))
     }
 
     async fn more(&mut self, buffer: &mut Buffer, filled: &mut usize) -> bool {
--- a/forwarder/server/src/clients/request.rs
+++ b/forwarder/server/src/clients/request.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use plankhill_decisions::interface::*;
 use plankhill_buffer_pool::Buffer;
+use plankhill_decisions::interface::*;
 use plankhill_fanout::{BroadcastId, ListName};
-use plankhill_hot_restart::Event;
-use plankhill_http1::{Malformed, RequestHead};
 use plankhill_forwarder_config::fanout::BROADCAST;
 use plankhill_forwarder_config::Told;
+use plankhill_hot_restart::Event;
+use plankhill_http1::{Malformed, RequestHead};
 
 /// A refusal that is no decision on an event: what is wrong with the request.
 pub(super) struct Refusal(pub(super) u16, pub(super) &'static str);
@@ -53,25 +53,47 @@
         };
     }
     let mut steps = head.path().split('/').skip(1);
-    let list = steps.clone().nth(1).filter(|_| told.fanout.is_some() && steps.next() == Some(BROADCAST));
-    let class = list.map_or(head.path().split('/').nth(1), |_| steps.nth(1)).unwrap_or_default();
+    let list = steps
+        .clone()
+        .nth(1)
+        .filter(|_| told.fanout.is_some() && steps.next() == Some(BROADCAST));
+    let class = list
+        .map_or(head.path().split('/').nth(1), |_| steps.nth(1))
+        .unwrap_or_default();
     let layout = told.fanout.as_ref().filter(|_| list.is_some());
     let list = list.map(|list| ListName(list.to_owned()));
-    if layout.is_some_and(|layout| layout.lists.iter().all(|(name, _)| Some(name) != list.as_ref())) {
+    if layout.is_some_and(|layout| {
+        layout
+            .lists
+            .iter()
+            .all(|(name, _)| Some(name) != list.as_ref())
+    }) {
         return Err(Refusal(404, "no such list"));
     }
     let traffic = told.names.traffic.iter().position(|name| name == class);
-    let traffic = traffic.map(TrafficId).ok_or(Refusal(404, "no such traffic type"))?;
+    let traffic = traffic
+        .map(TrafficId)
+        .ok_or(Refusal(404, "no such traffic type"))?;
     if head.method != "POST" {
         return Err(Refusal(405, "only POST is served here"));
     }
     let (fields, kind) = (&head.fields, &told.terms.traffic[traffic.0]);
-    let id = fields.one("Req-Id")?.filter(|id| !id.is_empty() && id.len() <= 128);
-    let patience = fields.one("Req-Deadline")?.and_then(|text| text.parse::<f64>().ok());
+    let id = fields
+        .one("Req-Id")?
+        .filter(|id| !id.is_empty() && id.len() <= 128);
+    let patience = fields
+        .one("Req-Deadline")?
+        .and_then(|text| text.parse::<f64>().ok());
     let patience = patience.filter(|seconds| seconds.is_finite() && (0.0..=1e6).contains(seconds));
     let envelope = fields.one("X-Envelope")?.unwrap_or_default();
-    let dest = envelope.split([';', ',', ' ']).find_map(|part| part.trim().strip_prefix("dest="));
-    let key = fields.cookie("about").filter(|_| kind.ordered).map(plankhill_forwarder_config::order_key).transpose();
+    let dest = envelope
+        .split([';', ',', ' '])
+        .find_map(|part| part.trim().strip_prefix("dest="));
+    let key = fields
+        .cookie("about")
+        .filter(|_| kind.ordered)
+        .map(plankhill_forwarder_config::order_key)
+        .transpose();
     let fingerprint = fields.one("Idempotency-Key")?.map(Rc::from);
     if matches!(kind.effect, Effect::Fingerprinted { .. }) && fingerprint.is_none() {
         return Err(Refusal(400, "Idempotency-Key: is missing"));
@@ -79,7 +101,10 @@
     let id = id.filter(|id| list.is_none() || id.len() <= BroadcastId::LONGEST);
     let dest = if list.is_some() { Some("0") } else { dest };
     let event = Event {
-        id: EventId(id.ok_or(Refusal(400, "Req-Id: is missing or too long"))?.into()),
+        id: EventId(
+            id.ok_or(Refusal(400, "Req-Id: is missing or too long"))?
+                .into(),
+        ),
         destination: DestinationId(
             dest.and_then(|dest| dest.parse().ok())
                 .ok_or(Refusal(400, "X-Envelope: no dest with a number"))?,
--- a/forwarder/server/src/clients/tests.rs
+++ b/forwarder/server/src/clients/tests.rs
@@ -43,7 +43,12 @@
         let address = listener.get_ref().local_addr().expect("bound");
         let clients = Clients::new(common.clone(), to_rounds);
         common.executor.spawn(clients.listen(listener)).detach();
-        Story { common, address, _mailbox: mailbox, _folder: folder }
+        Story {
+            common,
+            address,
+            _mailbox: mailbox,
+            _folder: folder,
+        }
     }
 
     /// A client that has sent an event; nothing runs here before the story runs on.
@@ -56,7 +61,10 @@
 
     fn runs_until_all_are_served(&self) {
         let served = async { until(Instant::now() + LONG, all_served(&self.common)).await };
-        assert!(block_on(self.common.executor.run(served)).is_some(), "somebody is never answered");
+        assert!(
+            block_on(self.common.executor.run(served)).is_some(),
+            "somebody is never answered"
+        );
     }
 }
 
@@ -67,13 +75,18 @@
     story.common.gate.end();
     let mut clients: Vec<_> = (0..20).map(|_| story.asks()).collect();
     story.runs_until_all_are_served();
-    let Story { common, address, .. } = story;
+    let Story {
+        common, address, ..
+    } = story;
     // All that the process holds goes with it.
     drop(common);
     for client in &mut clients {
         let mut said = String::new();
         client.read_to_string(&mut said).expect("closed in order");
-        assert!(said.starts_with("HTTP/1.1 503 ") && said.contains("Connection: close"), "{address}: {said}");
+        assert!(
+            said.starts_with("HTTP/1.1 503 ") && said.contains("Connection: close"),
+            "{address}: {said}"
+        );
     }
 }
 
--- a/forwarder/server/src/clock.rs
+++ b/forwarder/server/src/clock.rs
@@ -15,7 +15,10 @@
 
 impl Clock {
     pub fn start() -> Self {
-        Clock { started: Instant::now(), unix: Rc::new(Cell::new(system())) }
+        Clock {
+            started: Instant::now(),
+            unix: Rc::new(Cell::new(system())),
+        }
     }
 
     /// Goes by the clock of a process that this one takes over from, which is so far ahead of the system's.
@@ -43,7 +46,9 @@
 }
 
 fn system() -> Ms {
-    let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     unix.as_secs_f64() * 1000.0
 }
 
--- a/forwarder/server/src/closing/tests.rs
+++ b/forwarder/server/src/closing/tests.rs
@@ -12,7 +12,8 @@
 fn pair() -> (TcpStream, Stream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let peer = TcpStream::connect(listener.local_addr().expect("bound")).expect("listens");
-    peer.set_read_timeout(Some(Duration::from_secs(30))).expect("a socket");
+    peer.set_read_timeout(Some(Duration::from_secs(30)))
+        .expect("a socket");
     let (ours, _) = listener.accept().expect("came");
     (peer, Async::new(ours).expect("a socket"))
 }
@@ -25,7 +26,8 @@
     turn_away(&ours, b"no");
     drop(ours);
     let mut said = Vec::new();
-    peer.read_to_end(&mut said).expect("closed in order, not reset");
+    peer.read_to_end(&mut said)
+        .expect("closed in order, not reset");
     assert_eq!(said, b"no");
 }
 
@@ -35,13 +37,17 @@
     (&mut ours.get_ref()).write_all(b"no").expect("is taken");
     let peers = std::thread::spawn(move || {
         let mut said = Vec::new();
-        peer.read_to_end(&mut said).expect("the writing side is shut");
+        peer.read_to_end(&mut said)
+            .expect("the writing side is shut");
         peer.write_all(&[b'x'; 100_000]).expect("is read");
         said
     });
     block_on(ends(&ours));
     let rest = ours.get_ref().read(&mut [0]).expect("the peer has closed");
-    assert_eq!((rest, &peers.join().expect("no reset")[..]), (0, &b"no"[..]));
+    assert_eq!(
+        (rest, &peers.join().expect("no reset")[..]),
+        (0, &b"no"[..])
+    );
 }
 
 #[test]
--- a/forwarder/server/src/common.rs
+++ b/forwarder/server/src/common.rs
@@ -6,9 +6,9 @@
 
 use async_executor::LocalExecutor;
 use plankhill_buffer_pool::Pool;
-use plankhill_raft_groups::NewsStream;
 use plankhill_forwarder_config::fields::Plain;
 use plankhill_forwarder_config::Told;
+use plankhill_raft_groups::NewsStream;
 use slog::{o, Drain, Logger};
 
 use crate::budgets::Budgets;
@@ -53,15 +53,22 @@
     pub fn start(told: Told) -> Plain<(Self, Option<NewsStream>)> {
         let told = Rc::new(told);
         let decorator = slog_term::PlainSyncDecorator::new(std::io::stdout());
-        let drain = slog_term::FullFormat::new(decorator).use_utc_timestamp().build();
-        let log =
-            Logger::root(drain.filter_level(told.log_level).ignore_res(), o!("name" => told.name.clone()));
+        let drain = slog_term::FullFormat::new(decorator)
+            .use_utc_timestamp()
+            .build();
+        let log = Logger::root(
+            drain.filter_level(told.log_level).ignore_res(),
+            o!("name" => told.name.clone()),
+        );
         let fleet = Ground::start(&told, &log)?;
-        let (ground, news) = fleet.map_or((None, None), |(ground, news)| (Some(Rc::new(ground)), Some(news)));
+        let (ground, news) = fleet.map_or((None, None), |(ground, news)| {
+            (Some(Rc::new(ground)), Some(news))
+        });
         let mut common = Common::alone(told, log);
         let part = ground.as_ref().zip(common.told.fanout.clone());
-        let fanout =
-            part.map(|(ground, layout)| FanOut::new(common.clock.clone(), ground.incarnation(), layout));
+        let fanout = part.map(|(ground, layout)| {
+            FanOut::new(common.clock.clone(), ground.incarnation(), layout)
+        });
         let grace = |ground: &Rc<Ground>| (ground.incarnation(), ground.stall);
         let budgets = ground.as_ref().map(grace);
         let budgets = budgets.and_then(|(who, grace)| Budgets::start(&common.told, who, grace));
--- a/forwarder/server/src/common/tests.rs
+++ b/forwarder/server/src/common/tests.rs
@@ -21,5 +21,8 @@
 /// Logs nothing, and has buffers for twenty messages.
 pub fn quiet(told: Rc<Told>) -> Common {
     let log = Logger::root(slog::Discard, o!());
-    Common { pool: Pool::new(MESSAGE, 20), ..Common::alone(told, log) }
+    Common {
+        pool: Pool::new(MESSAGE, 20),
+        ..Common::alone(told, log)
+    }
 }
--- a/forwarder/server/src/elder.rs
+++ b/forwarder/server/src/elder.rs
@@ -42,8 +42,19 @@
     let made = || {
         let asked = plankhill_hot_restart::bind(&common.told.state)?;
         let (common, to_rounds) = (common.clone(), to_rounds.clone());
-        let (lock, listener) = (Lock::passed(lock.share()?), listener.as_fd().try_clone_to_owned()?);
-        Ok((Hall { common, to_rounds, lock, listener }, asked))
+        let (lock, listener) = (
+            Lock::passed(lock.share()?),
+            listener.as_fd().try_clone_to_owned()?,
+        );
+        Ok((
+            Hall {
+                common,
+                to_rounds,
+                lock,
+                listener,
+            },
+            asked,
+        ))
     };
     let trouble = |e: std::io::Error| warn!(common.log, "no new version can take over"; "error" => %e, "key" => "PROXY_HANDOVER");
     made().map_err(trouble).ok()
@@ -70,7 +81,8 @@
     async fn attend(&self, stream: Async<UnixStream>) -> bool {
         let (passage, mut role) = (Passage::new(stream), Elder::default());
         let mut ears = passage.ears();
-        let Some(Ok((Word::Hello { version, names }, _))) = until(Instant::now() + ASKING, ears.next()).await
+        let Some(Ok((Word::Hello { version, names }, _))) =
+            until(Instant::now() + ASKING, ears.next()).await
         else {
             return false;
         };
@@ -80,7 +92,10 @@
             _ => "",
         };
         let mut stood_still = None;
-        if role.hears(Happens::Asked { fits: why.is_empty() }) == Does::StandsStill {
+        if role.hears(Happens::Asked {
+            fits: why.is_empty(),
+        }) == Does::StandsStill
+        {
             let (state, states) = async_channel::bounded(1);
             let (after, outcome) = async_channel::bounded(1);
             let asked = CameIn::HandOver { state, outcome };
@@ -88,13 +103,28 @@
                 stood_still = states.recv().await.ok().map(|state| (state, after));
             }
         }
-        let Some((StoodStill { state, ledger, since }, after)) = stood_still else {
+        let Some((
+            StoodStill {
+                state,
+                ledger,
+                since,
+            },
+            after,
+        )) = stood_still
+        else {
             let why = if why.is_empty() { "it is ending" } else { why };
             info!(self.common.log, "hands nothing over"; "why" => why);
-            let _ = until(Instant::now() + ASKING, passage.tell(&Word::No { why: why.into() }, None)).await;
+            let _ = until(
+                Instant::now() + ASKING,
+                passage.tell(&Word::No { why: why.into() }, None),
+            )
+            .await;
             return false;
         };
-        let happens = match self.prepared(&passage, &mut ears, state, since + PREPARING).await {
+        let happens = match self
+            .prepared(&passage, &mut ears, state, since + PREPARING)
+            .await
+        {
             Some(true) => Happens::Prepared,
             Some(false) => Happens::Gone { changed: false },
             None => Happens::TimeIsUp,
@@ -107,7 +137,8 @@
             };
             // No bound here: it is the other's from now on, until it is seen to have ended.
             let has_begun = has_begun && matches!(ears.next().await, Ok((Word::Begun, _)));
-            let changed = || plankhill_event_log::has_grown(&self.common.told.state, ledger).unwrap_or(true);
+            let changed =
+                || plankhill_event_log::has_grown(&self.common.told.state, ledger).unwrap_or(true);
             does = role.hears(match has_begun {
                 true => Happens::Begun,
                 false => Happens::Gone { changed: changed() },
@@ -122,7 +153,10 @@
                 true
             }
             Does::Ends => {
-                warn!(self.common.log, "the new process has ended, and what it did stands in the ledger");
+                warn!(
+                    self.common.log,
+                    "the new process has ended, and what it did stands in the ledger"
+                );
                 let _ = after.send(After::Ends).await;
                 true
             }
@@ -136,10 +170,21 @@
     }
 
     /// Whether the other is prepared; None if it is not in time.
-    async fn prepared(&self, passage: &Passage, ears: &mut Ears, state: State, by: Instant) -> Option<bool> {
-        let Ok(listener) = self.listener.as_fd().try_clone_to_owned() else { return Some(false) };
+    async fn prepared(
+        &self,
+        passage: &Passage,
+        ears: &mut Ears,
+        state: State,
+        by: Instant,
+    ) -> Option<bool> {
+        let Ok(listener) = self.listener.as_fd().try_clone_to_owned() else {
+            return Some(false);
+        };
         let both = async {
-            let told = passage.tell(&Word::State(Box::new(state)), Some(listener)).await.is_ok();
+            let told = passage
+                .tell(&Word::State(Box::new(state)), Some(listener))
+                .await
+                .is_ok();
             told && matches!(ears.next().await, Ok((Word::Prepared, _)))
         };
         until(by, both).await
--- a/forwarder/server/src/exchange.rs
+++ b/forwarder/server/src/exchange.rs
@@ -75,7 +75,10 @@
     whole: Duration,
 ) -> io::Result<Answer> {
     let goes_there = |stream: &Stream| stream.get_ref().peer_addr().is_ok_and(|peer| peer == to);
-    let mut stream = match kept.take().filter(|stream| goes_there(stream) && is_quiet(stream)) {
+    let mut stream = match kept
+        .take()
+        .filter(|stream| goes_there(stream) && is_quiet(stream))
+    {
         Some(stream) => stream,
         None => {
             let dialled = until(Instant::now() + DIAL, connect(to)).await;
@@ -144,7 +147,11 @@
 }
 
 /// Reads what begins at `came.start`; None if it is only one that goes ahead.
-async fn one_answer(stream: &mut Stream, bytes: &mut [u8], came: &mut Came) -> io::Result<Option<Answer>> {
+async fn one_answer(
+    stream: &mut Stream,
+    bytes: &mut [u8],
+    came: &mut Came,
+) -> io::Result<Option<Answer>> {
     let broken = |http1::Malformed(what)| invalid(what);
     let Came { start, filled } = came;
     let mut search = HeadSearch::default();
@@ -160,8 +167,12 @@
             None => more(stream, bytes, filled).await?,
         }
     };
-    let ResponseHead { status, body, closes, .. } =
-        ResponseHead::read(&bytes[*start..end]).map_err(broken)?;
+    let ResponseHead {
+        status,
+        body,
+        closes,
+        ..
+    } = ResponseHead::read(&bytes[*start..end]).map_err(broken)?;
     if status < 200 {
         *start = end;
         return Ok(None);
@@ -180,7 +191,10 @@
         }
         http1::Body::Chunked => {
             let mut chunks = Chunks::default();
-            while !chunks.decode(bytes, &mut read, &mut write, *filled).map_err(broken)? {
+            while !chunks
+                .decode(bytes, &mut read, &mut write, *filled)
+                .map_err(broken)?
+            {
                 more(stream, bytes, filled).await?;
             }
         }
@@ -195,7 +209,11 @@
             write = *filled;
         }
     }
-    Ok(Some(Answer { head: *start..end, body: end..write, reusable: !closes && *filled == read }))
+    Ok(Some(Answer {
+        head: *start..end,
+        body: end..write,
+        reusable: !closes && *filled == read,
+    }))
 }
 
 async fn more(stream: &mut Stream, bytes: &mut [u8], filled: &mut usize) -> io::Result<()> {
--- a/forwarder/server/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -8,8 +8,8 @@
 use futures_lite::future;
 use plankhill_decisions::interface::*;
 use plankhill_fanout::{Command, InstanceId, Leading, Order, Refusal};
-use plankhill_raft_groups::{GroupId, News, Order as ToFleet, Purpose};
 use plankhill_hot_restart::Verdict;
+use plankhill_raft_groups::{GroupId, News, Order as ToFleet, Purpose};
 use slog::{debug, info, warn};
 
 use super::{machine, FanOut, Owed, BUSY};
@@ -39,15 +39,29 @@
 
 /// Runs as long as the process; does nothing where no lists are named.
 pub async fn run(common: Common, news: Receiver<News>, to_rounds: Sender<CameIn>) {
-    let Some(fanout) = common.fanout.clone() else { return };
+    let Some(fanout) = common.fanout.clone() else {
+        return;
+    };
     let names = common.told.names.traffic.iter().enumerate();
-    let names = names.map(|(at, name)| (name.clone(), TrafficId(at))).collect();
+    let names = names
+        .map(|(at, name)| (name.clone(), TrafficId(at)))
+        .collect();
     let up = BTreeSet::from([fanout.station.borrow().me()]);
     let (leads, leading) = (None, Leading::default());
-    let mut actor =
-        Actor { common, fanout, to_rounds, leads, leading, laid: f64::NEG_INFINITY, number: 0, up, names };
+    let mut actor = Actor {
+        common,
+        fanout,
+        to_rounds,
+        leads,
+        leading,
+        laid: f64::NEG_INFINITY,
+        number: 0,
+        up,
+        names,
+    };
     loop {
-        let idle = actor.fanout.station.borrow().is_idle() && actor.fanout.telling.borrow().is_empty();
+        let idle =
+            actor.fanout.station.borrow().is_idle() && actor.fanout.telling.borrow().is_empty();
         let by = Instant::now() + if idle { IDLE } else { BUSY };
         let bell = actor.fanout.bell.1.clone();
         let rung = async {
@@ -74,9 +88,14 @@
         let now = self.common.clock.now();
         match news {
             News::Applied { command, .. } => {
-                let Some(command) = machine::from_bytes(&command) else { return Vec::new() };
+                let Some(command) = machine::from_bytes(&command) else {
+                    return Vec::new();
+                };
                 let owed = self.fanout.owed.borrow();
-                self.fanout.station.borrow_mut().applied(now, &Owed(&owed), command)
+                self.fanout
+                    .station
+                    .borrow_mut()
+                    .applied(now, &Owed(&owed), command)
             }
             News::Replaced { state } => {
                 let Some(state) = machine::state(&state) else {
@@ -84,15 +103,25 @@
                     return Vec::new();
                 };
                 let owed = self.fanout.owed.borrow();
-                self.fanout.station.borrow_mut().replaced(now, &Owed(&owed), state)
+                self.fanout
+                    .station
+                    .borrow_mut()
+                    .replaced(now, &Owed(&owed), state)
             }
-            News::Reported { incarnation, body, .. } => {
+            News::Reported {
+                incarnation, body, ..
+            } => {
                 // Nobody speaks for another.
-                let told = Command::from_bytes(&body).filter(|c| c.by() == Some(InstanceId(incarnation.0)));
+                let told = Command::from_bytes(&body)
+                    .filter(|c| c.by() == Some(InstanceId(incarnation.0)));
                 told.into_iter().for_each(|command| self.proposes(&command));
                 Vec::new()
             }
-            News::Leads { group, purpose: Purpose::Control, .. } => {
+            News::Leads {
+                group,
+                purpose: Purpose::Control,
+                ..
+            } => {
                 info!(self.common.log, "leads the control group");
                 (self.leads, self.leading) = (Some(group), Leading::default());
                 Vec::new()
@@ -101,9 +130,15 @@
                 self.leads = self.leads.filter(|leads| *leads != group);
                 Vec::new()
             }
-            News::Peer { incarnation, up, .. } => {
+            News::Peer {
+                incarnation, up, ..
+            } => {
                 let id = InstanceId(incarnation.0);
-                let _ = if up { self.up.insert(id) } else { self.up.remove(&id) };
+                let _ = if up {
+                    self.up.insert(id)
+                } else {
+                    self.up.remove(&id)
+                };
                 Vec::new()
             }
             _ => Vec::new(),
@@ -112,22 +147,35 @@
 
     /// A full ring refuses it: all of it is asked again.
     fn proposes(&mut self, command: &Command) {
-        let (Some(group), Some(ground)) = (self.leads, &self.common.ground) else { return };
+        let (Some(group), Some(ground)) = (self.leads, &self.common.ground) else {
+            return;
+        };
         let command = machine::to_bytes(command);
-        if ground.order(ToFleet::Propose { group, number: self.number + 1, command }).is_ok() {
+        if ground
+            .order(ToFleet::Propose {
+                group,
+                number: self.number + 1,
+                command,
+            })
+            .is_ok()
+        {
             self.number += 1;
         }
     }
 
     fn asks(&mut self) {
         let now = self.common.clock.now();
-        let Some(ground) = self.common.ground.clone() else { return };
+        let Some(ground) = self.common.ground.clone() else {
+            return;
+        };
         let asked = self.fanout.station.borrow_mut().asks(now);
         for command in asked {
             if self.fanout.closing.get() && matches!(command, Command::Spread { .. }) {
                 continue;
             }
-            let _ = ground.order(ToFleet::Report { body: command.to_bytes() });
+            let _ = ground.order(ToFleet::Report {
+                body: command.to_bytes(),
+            });
         }
         if self.leads.is_none() {
             return;
@@ -141,7 +189,12 @@
         }
         drop(station);
         for command in commands {
-            if let Command::Moved { subscriber, from, to } = &command {
+            if let Command::Moved {
+                subscriber,
+                from,
+                to,
+            } = &command
+            {
                 let judged = self.fanout.station.borrow().state().judged(*subscriber);
                 info!(self.common.log, "a subscriber is to be regrouped"; "destination" => subscriber.0,
                     "from" => from.0, "to" => to.0, "judged" => ?judged);
@@ -164,11 +217,25 @@
                     debug!(self.common.log, "a broadcast has ended"; "broadcast" => &id.0,
                         "completed" => completed, "dismissed" => dismissed, "written_off" => written_off);
                 }
-                Order::TellEnd { event, subscriber, position, outcome } => {
-                    self.fanout.telling.borrow_mut().add(event, (subscriber, position), outcome);
+                Order::TellEnd {
+                    event,
+                    subscriber,
+                    position,
+                    outcome,
+                } => {
+                    self.fanout
+                        .telling
+                        .borrow_mut()
+                        .add(event, (subscriber, position), outcome);
                 }
-                Order::HandIn { event, subscriber, position, patience_ends } => {
-                    self.hands_in(event, (subscriber, position), patience_ends).await;
+                Order::HandIn {
+                    event,
+                    subscriber,
+                    position,
+                    patience_ends,
+                } => {
+                    self.hands_in(event, (subscriber, position), patience_ends)
+                        .await;
                 }
             }
         }
--- a/forwarder/server/src/fanout/handing.rs
+++ b/forwarder/server/src/fanout/handing.rs
@@ -1,9 +1,9 @@
 //! Copies and their ends on their way into the rounds.
 
 use plankhill_decisions::interface::*;
+use plankhill_event_log::Taken;
 use plankhill_fanout::Outcome;
 use plankhill_hot_restart::{Event, Verdict};
-use plankhill_event_log::Taken;
 
 use super::actor::Actor;
 use super::{end_of, Copy};
@@ -13,13 +13,22 @@
 impl Actor {
     pub(super) async fn hands_in(&mut self, id: EventId, copy: Copy, patience_ends: Ms) {
         let Some((event, body)) = self.event(&id, copy, patience_ends) else {
-            self.fanout.telling.borrow_mut().add(id, copy, Outcome::Dismissed);
+            self.fanout
+                .telling
+                .borrow_mut()
+                .add(id, copy, Outcome::Dismissed);
             return;
         };
         let (answer, verdict) = async_channel::bounded(1);
         let number = self.common.number();
         self.fanout.owed.borrow_mut().insert(id.clone());
-        let handed = Handed { number, event, patience_ends, body, answer };
+        let handed = Handed {
+            number,
+            event,
+            patience_ends,
+            body,
+            answer,
+        };
         if self.to_rounds.send(CameIn::Event(handed)).await.is_err() {
             return;
         }
@@ -56,11 +65,21 @@
     /// Ends that no event here has: the rounds note them and tell them.
     pub(super) async fn tells(&mut self) {
         let fanout = self.fanout.clone();
-        fanout.telling.borrow_mut().keep(|copy| fanout.station.borrow().holds(copy));
+        fanout
+            .telling
+            .borrow_mut()
+            .keep(|copy| fanout.station.borrow().holds(copy));
         let due = fanout.telling.borrow_mut().due(self.common.clock.now());
         for (event, copy, outcome) in due {
-            let Some(taken) = self.noted(&event, copy) else { continue };
-            if self.to_rounds.send(CameIn::TellEnd(taken, end_of(outcome))).await.is_err() {
+            let Some(taken) = self.noted(&event, copy) else {
+                continue;
+            };
+            if self
+                .to_rounds
+                .send(CameIn::TellEnd(taken, end_of(outcome)))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
--- a/forwarder/server/src/fanout/machine.rs
+++ b/forwarder/server/src/fanout/machine.rs
@@ -18,7 +18,9 @@
 /// None if it concerns others, or is no command.
 pub fn from_bytes(bytes: &[u8]) -> Option<Command> {
     let (sign, command) = bytes.split_first()?;
-    Some(*sign).filter(|sign| *sign == FANOUT).and_then(|_| Command::from_bytes(command))
+    Some(*sign)
+        .filter(|sign| *sign == FANOUT)
+        .and_then(|_| Command::from_bytes(command))
 }
 
 pub fn state(bytes: &[u8]) -> Option<Fanout> {
--- a/forwarder/server/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -14,11 +14,11 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use plankhill_decisions::interface::*;
+use plankhill_event_log::Outcome as End;
 use plankhill_fanout::{copy_of, Broadcast, BroadcastId, Fanout, InstanceId, Layout, ListName};
 use plankhill_fanout::{Host, Outcome, Position, Refusal, Station, Subscriber};
-use plankhill_raft_groups::Incarnation;
 use plankhill_hot_restart::{Event, Verdict};
-use plankhill_event_log::Outcome as End;
+use plankhill_raft_groups::Incarnation;
 
 pub use self::machine::Control;
 use crate::clock::Clock;
@@ -114,7 +114,8 @@
 
     /// Whether the id is that of a copy: no client may hand in an event under it meanwhile.
     pub fn bars(&self, event: &EventId) -> bool {
-        copy_of(event).is_some_and(|(broadcast, _)| self.station.borrow().state().is_kept(&broadcast))
+        copy_of(event)
+            .is_some_and(|(broadcast, _)| self.station.borrow().state().is_kept(&broadcast))
     }
 
     fn copy(&self, event: &EventId) -> Option<Copy> {
@@ -136,7 +137,9 @@
 
     /// A call of the event goes to the target.
     pub fn sends(&self, event: &EventId, target: &TargetId) {
-        let Some(copy) = self.copy(event).filter(|_| self.is_owed(event)) else { return };
+        let Some(copy) = self.copy(event).filter(|_| self.is_owed(event)) else {
+            return;
+        };
         self.station.borrow_mut().called(self.clock.now(), copy);
         let mut serves = self.serves.borrow_mut();
         if serves.len() < self.layout.bounds.kept_in_all {
@@ -147,7 +150,9 @@
     /// The target is parked or cold: its subscriber is not slow for that.
     pub fn rests(&self, target: &TargetId) {
         if let Some(subscriber) = self.serves.borrow().get(target) {
-            self.station.borrow_mut().rests(*subscriber, self.clock.now() + RESTS);
+            self.station
+                .borrow_mut()
+                .rests(*subscriber, self.clock.now() + RESTS);
         }
     }
 
@@ -159,20 +164,32 @@
     /// The event was given up; its notice goes out.
     pub fn ended(&self, event: &EventId, outcome: End) {
         if self.is_owed(event) {
-            self.ends.borrow_mut().insert(event.clone(), outcome_of(outcome));
+            self.ends
+                .borrow_mut()
+                .insert(event.clone(), outcome_of(outcome));
         }
     }
 
     /// The event was delivered, or its end was heard.
     pub fn over(&self, event: &EventId, delivered: bool) {
         let owed = self.owed.borrow_mut().remove(event);
-        let known = self.ends.borrow_mut().remove(event).or(self.telling.borrow_mut().heard(event));
+        let known = self
+            .ends
+            .borrow_mut()
+            .remove(event)
+            .or(self.telling.borrow_mut().heard(event));
         if !owed && known.is_none() {
             return;
         }
-        let outcome = if delivered { Outcome::Completed } else { known.unwrap_or(Outcome::WrittenOff) };
+        let outcome = if delivered {
+            Outcome::Completed
+        } else {
+            known.unwrap_or(Outcome::WrittenOff)
+        };
         if let Some(copy) = self.copy(event) {
-            self.station.borrow_mut().over(self.clock.now(), copy, outcome);
+            self.station
+                .borrow_mut()
+                .over(self.clock.now(), copy, outcome);
             self.rings();
         }
     }
--- a/forwarder/server/src/fanout/telling.rs
+++ b/forwarder/server/src/fanout/telling.rs
@@ -25,7 +25,11 @@
 impl Telling {
     /// Bounded by what the control group keeps for this instance.
     pub fn add(&mut self, event: EventId, copy: Copy, outcome: Outcome) {
-        self.0.entry(event).or_insert(Told { copy, outcome, last: None });
+        self.0.entry(event).or_insert(Told {
+            copy,
+            outcome,
+            last: None,
+        });
     }
 
     pub fn heard(&mut self, event: &EventId) -> Option<Outcome> {
@@ -43,7 +47,10 @@
 
     /// What the rounds are to be told now.
     pub fn due(&mut self, now: Ms) -> Vec<(EventId, Copy, Outcome)> {
-        let due = self.0.iter_mut().filter(|(_, told)| told.last.is_none_or(|last| now - last >= AGAIN));
+        let due = self
+            .0
+            .iter_mut()
+            .filter(|(_, told)| told.last.is_none_or(|last| now - last >= AGAIN));
         let due = due.take(MOST).map(|(event, told)| {
             told.last = Some(now);
             (event.clone(), told.copy, told.outcome)
--- a/forwarder/server/src/ground.rs
+++ b/forwarder/server/src/ground.rs
@@ -4,9 +4,11 @@
 use std::cell::{Cell, RefCell};
 
 use plankhill_decisions::interface::Ms;
-use plankhill_replication::KeptHere;
-use plankhill_raft_groups::{start, GroupId, Handle, Incarnation, Machine, NewsStream, Order, Purpose, Start};
 use plankhill_forwarder_config::{fields::Plain, Told};
+use plankhill_raft_groups::{
+    start, GroupId, Handle, Incarnation, Machine, NewsStream, Order, Purpose, Start,
+};
+use plankhill_replication::KeptHere;
 use slog::{info, Logger};
 
 use crate::budgets::control::Control as Leases;
@@ -58,18 +60,32 @@
 impl Ground {
     /// None, and nothing is started, where no fleet file is named.
     pub fn start(told: &Told, log: &Logger) -> Plain<Option<(Ground, NewsStream)>> {
-        let Some(fleet) = told.fleet.clone() else { return Ok(None) };
+        let Some(fleet) = told.fleet.clone() else {
+            return Ok(None);
+        };
         let (stall, copies) = (fleet.timing.stall, fleet.copies.is_some());
         let (name, folder) = (told.name.clone(), told.state.join("fleet"));
         let lists = told.fanout.is_some();
         let kept = KeptHere::default();
         let here = kept.clone();
         let machines = Box::new(move |purpose| machine(&here, purpose, lists));
-        let begun = start(Start { fleet, name, folder, log: log.clone(), machines });
+        let begun = start(Start {
+            fleet,
+            name,
+            folder,
+            log: log.clone(),
+            machines,
+        });
         let (handle, news) = begun.map_err(|e| format!("PROXY_FLEET: {e}"))?;
         info!(log, "is an instance of a fleet"; "incarnation" => handle.incarnation().0, "copies" => copies);
         Ok(Some((
-            Ground { handle: RefCell::new(Box::new(handle)), stall, copies, own: Cell::default(), kept },
+            Ground {
+                handle: RefCell::new(Box::new(handle)),
+                stall,
+                copies,
+                own: Cell::default(),
+                kept,
+            },
             news,
         )))
     }
--- a/forwarder/server/src/ground_news.rs
+++ b/forwarder/server/src/ground_news.rs
@@ -12,8 +12,15 @@
 use crate::mail::CameIn;
 
 /// Hands on what is news, and says meanwhile that the loop lives.
-pub async fn run(common: Common, mut news: NewsStream, to_rounds: Sender<CameIn>, to_fanout: Sender<News>) {
-    let Some(ground) = common.ground.clone() else { return };
+pub async fn run(
+    common: Common,
+    mut news: NewsStream,
+    to_rounds: Sender<CameIn>,
+    to_fanout: Sender<News>,
+) {
+    let Some(ground) = common.ground.clone() else {
+        return;
+    };
     let often = ground.handle.borrow().stall().unwrap_or(ground.stall) / 8.0;
     let alive = async move {
         loop {
@@ -46,7 +53,9 @@
 fn is_of_records(news: &News) -> bool {
     match news {
         News::Leads { purpose, .. } => *purpose == Purpose::Record,
-        News::Deposed { .. } | News::Committed { .. } | News::Void { .. } | News::Peer { .. } => true,
+        News::Deposed { .. } | News::Committed { .. } | News::Void { .. } | News::Peer { .. } => {
+            true
+        }
         News::Applied { .. } | News::Replaced { .. } | News::Reported { .. } => false,
     }
 }
--- a/forwarder/server/src/heir.rs
+++ b/forwarder/server/src/heir.rs
@@ -11,9 +11,9 @@
 use async_io::{Async, Timer};
 use plankhill_decisions::decide::Forwarder;
 use plankhill_decisions::interface::*;
-use plankhill_hot_restart::*;
 use plankhill_event_log::{Ledger, Owed};
 use plankhill_forwarder_config::fields::Plain;
+use plankhill_hot_restart::*;
 use slog::{info, warn};
 
 use crate::alone;
@@ -87,7 +87,15 @@
     let mut ears = passage.ears();
     let by = Instant::now() + ASKING;
     let late = || io::Error::from(io::ErrorKind::TimedOut);
-    passage.tell(&Word::Hello { version: VERSION, names: common.told.all_names() }, None).await?;
+    passage
+        .tell(
+            &Word::Hello {
+                version: VERSION,
+                names: common.told.all_names(),
+            },
+            None,
+        )
+        .await?;
     let (state, listener) = match until(by, ears.next()).await.ok_or_else(late)?? {
         (Word::State(state), Some(listener)) => (*state, listener),
         (Word::No { why }, _) => {
@@ -98,13 +106,18 @@
     };
     // It stands still until this one is prepared.
     let read = read(common, &state, listener);
-    if role.hears(Happens::State { readable: read.is_ok() }) != Does::Prepares {
+    if role.hears(Happens::State {
+        readable: read.is_ok(),
+    }) != Does::Prepares
+    {
         return Err(read.err().unwrap_or_else(late));
     }
     let (forwarder, listener, mut ledger, owed, left_out) = read?;
     passage.tell(&Word::Prepared, None).await?;
     let heard = until(by, ears.next()).await.ok_or_else(late)??;
-    let (Word::Yours, Some(lock)) = heard else { return Err(io::Error::other("it goes on itself")) };
+    let (Word::Yours, Some(lock)) = heard else {
+        return Err(io::Error::other("it goes on itself"));
+    };
     if role.hears(Happens::Yours) == Does::Begins {
         ledger.change_owner()?;
     }
@@ -112,7 +125,17 @@
     common.numbers.set(state.next_number);
     passage.tell(&Word::Begun, None).await?;
     let lock = Lock::passed(lock);
-    Ok(Inherited { state, forwarder, listener, ledger, owed, left_out, lock, passage, ears })
+    Ok(Inherited {
+        state,
+        forwarder,
+        listener,
+        ledger,
+        owed,
+        left_out,
+        lock,
+        passage,
+        ears,
+    })
 }
 
 type Read = (Forwarder, Async<TcpListener>, Ledger, Vec<Owed>, LeftOut);
@@ -126,8 +149,9 @@
     let forwarder = rmp_serde::from_slice(&state.module).map_err(io::Error::other)?;
     let (ledger, owed) = Ledger::open(&told.state, told.disk)?;
     if let Some(traffic) = broken(told, &owed) {
-        let why =
-            format!("profiles: {traffic:?}: an event is owed that was promised more than the settings say");
+        let why = format!(
+            "profiles: {traffic:?}: an event is owed that was promised more than the settings say"
+        );
         return Err(io::Error::other(why));
     }
     let left_out = LeftOut::open(&told.state, told.disk).map_err(io::Error::other)?;
@@ -166,7 +190,13 @@
             let _ = self.to_rounds.send(ended).await;
         }
         for target in self.pings {
-            let _ = self.to_rounds.send(CameIn::PingEnded { target, fate: Fate::NotSent }).await;
+            let _ = self
+                .to_rounds
+                .send(CameIn::PingEnded {
+                    target,
+                    fate: Fate::NotSent,
+                })
+                .await;
         }
     }
 
@@ -189,7 +219,9 @@
         let came = match word {
             Word::Client { asked, left } => {
                 // What was held there is held here now.
-                self.common.aside.set(self.common.aside.get().saturating_sub(1));
+                self.common
+                    .aside
+                    .set(self.common.aside.get().saturating_sub(1));
                 self.clients.take_over(stream?, asked, millis(left));
                 return Some(());
             }
@@ -198,7 +230,9 @@
                 return Some(());
             }
             Word::Idle { target, age } => {
-                let since = Instant::now().checked_sub(millis(age)).unwrap_or_else(Instant::now);
+                let since = Instant::now()
+                    .checked_sub(millis(age))
+                    .unwrap_or_else(Instant::now);
                 CameIn::Kept(target, stream?, since)
             }
             Word::Event(handed) => {
@@ -221,9 +255,10 @@
                 self.pings.remove(&target);
                 CameIn::PingEnded { target, fate }
             }
-            Word::Operator { number, order } => {
-                CameIn::Operator(order, self.passes_on(move |reply| Word::Reply { number, reply }))
-            }
+            Word::Operator { number, order } => CameIn::Operator(
+                order,
+                self.passes_on(move |reply| Word::Reply { number, reply }),
+            ),
             // What it says before it hands over, or what this one says itself.
             _ => return Some(()),
         };
--- a/forwarder/server/src/kept.rs
+++ b/forwarder/server/src/kept.rs
@@ -32,8 +32,15 @@
             self.entries.clear();
             self.size = 0;
         }
-        for entry in page.get("members").and_then(Value::as_array).into_iter().flatten() {
-            let Some(id) = entry.get("id").and_then(Value::as_str) else { continue };
+        for entry in page
+            .get("members")
+            .and_then(Value::as_array)
+            .into_iter()
+            .flatten()
+        {
+            let Some(id) = entry.get("id").and_then(Value::as_str) else {
+                continue;
+            };
             let gone = entry.get("phase").and_then(Value::as_str) == Some("removed");
             let text = (!gone).then(|| entry.to_string().into_boxed_str());
             self.size += text.as_ref().map_or(0, |text| text.len() + 1);
@@ -49,14 +56,20 @@
     pub fn write(&self, folder: &Path, most: u64) {
         let (path, new) = (folder.join(FILE), folder.join("list.new"));
         let fits = self.size as u64 <= most;
-        if !fits || std::fs::write(&new, self.text()).and_then(|()| std::fs::rename(&new, &path)).is_err() {
+        if !fits
+            || std::fs::write(&new, self.text())
+                .and_then(|()| std::fs::rename(&new, &path))
+                .is_err()
+        {
             let _ = std::fs::remove_file(&new);
             let _ = std::fs::remove_file(&path);
         }
     }
 
     fn text(&self) -> String {
-        let revision = self.revision.map_or("null".to_owned(), |revision| revision.to_string());
+        let revision = self
+            .revision
+            .map_or("null".to_owned(), |revision| revision.to_string());
         let mut text = format!("{{\"revision\":{revision},\"complete\":true,\"members\":[");
         text.reserve(self.size + 2);
         for (at, entry) in self.entries.values().enumerate() {
@@ -76,7 +89,9 @@
     match std::fs::read(folder.join(FILE)) {
         Ok(kept) if kept.is_empty() => Ok(()),
         Ok(kept) => match serde_json::from_slice::<Value>(&kept) {
-            Ok(list) if is_whole(&list) && list.get("members").is_some_and(Value::is_array) => Ok(()),
+            Ok(list) if is_whole(&list) && list.get("members").is_some_and(Value::is_array) => {
+                Ok(())
+            }
             _ => Err(wrong("is not a list of targets".into())),
         },
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(()),
--- a/forwarder/server/src/left_out.rs
+++ b/forwarder/server/src/left_out.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use plankhill_decisions::interface::Listing;
 use plankhill_admin::{Bans, Change};
+use plankhill_decisions::interface::Listing;
 use plankhill_forwarder_config::fields::Plain;
 
 const FILE: &str = "bans";
@@ -35,7 +35,11 @@
             Err(e) => return Err(wrong(format!("cannot be read: {e}"))),
         };
         // Beside it stands the one that takes its place; the ledger and the list leave a twentieth.
-        Ok(LeftOut { bans, folder: folder.to_owned(), most: disk / 80 })
+        Ok(LeftOut {
+            bans,
+            folder: folder.to_owned(),
+            most: disk / 80,
+        })
     }
 
     pub fn order(&mut self, id: &str, ban: bool) -> io::Result<Done> {
@@ -51,7 +55,9 @@
 
     fn write(&self, record: &str) -> io::Result<()> {
         if record.len() as u64 > self.most {
-            return Err(io::Error::other("too many targets are left out for the disk"));
+            return Err(io::Error::other(
+                "too many targets are left out for the disk",
+            ));
         }
         let new = self.folder.join("bans.new");
         std::fs::write(&new, record)?;
