--- a/forwarder/server/tests/upgrade_steps.rs
+++ b/forwarder/server/tests/upgrade_steps.rs
@@ -31,7 +31,10 @@
     first.take("b", "charge", CHARGE);
     let (passage, mut ears) = hello(&first.folder, VERSION);
     if ends >= Ends::State {
-        assert!(matches!(block_on(ears.next()), Ok((Word::State(_), Some(_)))));
+        assert!(matches!(
+            block_on(ears.next()),
+            Ok((Word::State(_), Some(_)))
+        ));
     }
     if ends >= Ends::Prepared {
         block_on(passage.tell(&Word::Prepared, None)).expect("told");
@@ -41,7 +44,8 @@
     }
     if ends == Ends::ItsFrame {
         let ledger = first.folder.join("ledger");
-        let (mut own, _) = plankhill_event_log::Ledger::open(&first.folder, 3_000_000).expect("opens");
+        let (mut own, _) =
+            plankhill_event_log::Ledger::open(&first.folder, 3_000_000).expect("opens");
         let before = std::fs::metadata(&ledger).expect("there").len();
         own.change_owner().expect("writes");
         assert!(std::fs::metadata(&ledger).expect("there").len() > before);
@@ -52,7 +56,11 @@
         first.child.wait().expect("ends");
         let third = Forwarder::over(first.folder.clone());
         let call = next(&calls);
-        assert_eq!(call.id(), "b", "the charge that was out is written off, its key goes on");
+        assert_eq!(
+            call.id(),
+            "b",
+            "the charge that was out is written off, its key goes on"
+        );
         call.answer(OK);
         drop((out, third));
         return;
@@ -71,14 +79,18 @@
 /// The old process ends at each step; its state, listener and folder are those of a real one. Either way the new
 /// process goes on alone, and what was out may have run.
 #[rstest]
-fn the_old_process_may_end_at_any_step(#[values(Ends::Hello, Ends::State, Ends::Yours)] ends: Ends) {
+fn the_old_process_may_end_at_any_step(
+    #[values(Ends::Hello, Ends::State, Ends::Yours)] ends: Ends,
+) {
     let (mut first, calls, notices, _watches) = all(0, |_| ());
     first.until_ready();
     first.take("a", "charge", CHARGE);
     let out = next(&calls);
     first.take("b", "charge", CHARGE);
     let (_heir, mut ears) = hello(&first.folder, VERSION);
-    let Ok((state @ Word::State(_), Some(listener))) = block_on(ears.next()) else { panic!("a state") };
+    let Ok((state @ Word::State(_), Some(listener))) = block_on(ears.next()) else {
+        panic!("a state")
+    };
     first.signal("-KILL");
     first.child.wait().expect("ends");
     let lock = Lock::take(&first.folder).expect("locks").expect("is free");
@@ -94,7 +106,10 @@
             assert!(matches!(ears.next().await, Ok((Word::Prepared, _))));
         }
         if ends >= Ends::Yours {
-            passage.tell(&Word::Yours, Some(lock.share().expect("open"))).await.expect("told");
+            passage
+                .tell(&Word::Yours, Some(lock.share().expect("open")))
+                .await
+                .expect("told");
             assert!(matches!(ears.next().await, Ok((Word::Begun, _))));
         }
     });
--- a/forwarder/server/tests/zones.rs
+++ b/forwarder/server/tests/zones.rs
@@ -37,7 +37,11 @@
     std::fs::write(forwarder.folder.join("config.json"), config.to_string()).expect("written");
     let forwarder = Forwarder::over(std::mem::take(&mut forwarder.folder));
     drop(out);
-    assert_eq!(next(&notices), given_up("a"), "its group is not known, and another may do it twice");
+    assert_eq!(
+        next(&notices),
+        given_up("a"),
+        "its group is not known, and another may do it twice"
+    );
     assert!(calls.try_recv().is_err());
     // What is new goes there.
     forwarder.take("b", "order", "");
--- a/forwarder/simulator-adapter/src/arrivals.rs
+++ b/forwarder/simulator-adapter/src/arrivals.rs
@@ -25,7 +25,9 @@
             }
             let page = page.ok_or("fleet: its page is missing")?;
             return page.iter().enumerate().try_for_each(|(at, item)| {
-                let item = item.as_object().ok_or(format!("items[{at}]: not an object"))?;
+                let item = item
+                    .as_object()
+                    .ok_or(format!("items[{at}]: not an object"))?;
                 listed(names, to, item).map_err(|what| format!("items[{at}]: {what}"))
             });
         }
@@ -33,14 +35,21 @@
             to.taken(
                 EventId(text(arrival, "xid")?.into()),
                 DestinationId(whole(arrival, "toDest")?),
-                TrafficId(place(&names.traffic, text(arrival, "tierClass")?, "tierClass")?),
+                TrafficId(place(
+                    &names.traffic,
+                    text(arrival, "tierClass")?,
+                    "tierClass",
+                )?),
                 time(arrival, "deadlineUs")?,
-                optional_text(arrival, "routeKey")?.map(order_key).transpose()?,
+                optional_text(arrival, "routeKey")?
+                    .map(order_key)
+                    .transpose()?,
             );
             if let Some(member) = optional_text(arrival, "project")? {
                 let member = place(&names.members, member, "project")?;
-                let again =
-                    ["repeat", "again"].iter().any(|mark| arrival.get(*mark) == Some(&Value::Bool(true)));
+                let again = ["repeat", "again"]
+                    .iter()
+                    .any(|mark| arrival.get(*mark) == Some(&Value::Bool(true)));
                 to.asked_by(&EventId(text(arrival, "xid")?.into()), member, again);
             }
             Ok(())
@@ -49,15 +58,18 @@
             let ended = Ended {
                 fate: fate(whole(arrival, "stateCode")?)?,
                 took: optional_time(arrival, "waitTimeUs")?,
-                over: arrival.get("complete").is_some_and(|done| done == &Value::Bool(true)),
+                over: arrival
+                    .get("complete")
+                    .is_some_and(|done| done == &Value::Bool(true)),
                 wait: optional_whole(arrival, "remarkMs")?.unwrap_or(0) as Ms,
                 left: names.left_at.and_then(|at| reported(arrival, at)),
             };
             to.send_ended(&EventId(text(arrival, "xid")?.into()), ended)
         }
-        "probeResult" => {
-            to.ping_ended(&TargetId(text(arrival, "target")?.into()), fate(whole(arrival, "stateCode")?)?)
-        }
+        "probeResult" => to.ping_ended(
+            &TargetId(text(arrival, "target")?.into()),
+            fate(whole(arrival, "stateCode")?)?,
+        ),
         "aborted" => {
             to.withdrawn(&EventId(text(arrival, "xid")?.into()));
             Ok(())
--- a/forwarder/simulator-adapter/src/subscription.rs
+++ b/forwarder/simulator-adapter/src/subscription.rs
@@ -20,7 +20,11 @@
 
 impl Subscription {
     pub fn new(ask_within: Ms, seed: u64) -> Self {
-        Subscription { ask_within, seed, failures: 0 }
+        Subscription {
+            ask_within,
+            seed,
+            failures: 0,
+        }
     }
 
     /// Milliseconds to the first call.
@@ -55,8 +59,14 @@
     fn a_list_that_stays_away_is_asked_often_enough_to_count_as_asked() {
         let mut subscription = Subscription::new(10_000.0, 7);
         let pauses: Vec<f64> = (0..40).map(|_| subscription.failed()).collect();
-        assert!(pauses.iter().all(|pause| (300.0..5_000.0).contains(pause)), "{pauses:?}");
+        assert!(
+            pauses.iter().all(|pause| (300.0..5_000.0).contains(pause)),
+            "{pauses:?}"
+        );
         subscription.told();
-        assert!(subscription.failed() < 700.0, "a list that is back is near again");
+        assert!(
+            subscription.failed() < 700.0,
+            "a list that is back is near again"
+        );
     }
 }
--- a/forwarder/simulator-adapter/src/wire.rs
+++ b/forwarder/simulator-adapter/src/wire.rs
@@ -49,22 +49,33 @@
 
 impl Host {
     fn batch(&mut self, line: &str) -> Plain<Value> {
-        let batch: Value = serde_json::from_str(line).map_err(|e| format!("not a JSON value: {e}"))?;
+        let batch: Value =
+            serde_json::from_str(line).map_err(|e| format!("not a JSON value: {e}"))?;
         let batch = batch.as_object().ok_or("a batch is an object")?;
         let now = time(batch, "tsUs")?;
-        let arrivals =
-            batch.get("arrivals").and_then(Value::as_array).ok_or("arrivals: a list is missing")?;
+        let arrivals = batch
+            .get("arrivals")
+            .and_then(Value::as_array)
+            .ok_or("arrivals: a list is missing")?;
         let mut rounds: BTreeMap<u64, Vec<Arrived>> = BTreeMap::new();
         for (index, arrival) in arrivals.iter().enumerate() {
             let at = |what: String| format!("arrivals[{index}]: {what}");
-            let arrival = arrival.as_object().ok_or_else(|| at("an event is an object".into()))?;
+            let arrival = arrival
+                .as_object()
+                .ok_or_else(|| at("an event is an object".into()))?;
             self.sort(index, arrival, now, &mut rounds).map_err(at)?;
         }
         let mut written = Written::default();
         for (who, came_in) in rounds {
-            let instance =
-                self.instances.get_mut(&who).ok_or_else(|| format!("who: instance {who} is gone"))?;
-            let Instance { forwarder, names, subscription } = instance;
+            let instance = self
+                .instances
+                .get_mut(&who)
+                .ok_or_else(|| format!("who: instance {who} is gone"))?;
+            let Instance {
+                forwarder,
+                names,
+                subscription,
+            } = instance;
             written.who = who;
             let came_in = |forwarder: &mut Forwarder, written: &mut Written| {
                 for (index, arrival, page) in came_in {
@@ -92,16 +103,26 @@
         let word = text(arrival, "cmd")?;
         if word == "page" {
             let items = list(arrival, "items")?;
-            self.pages.insert(whole(arrival, "list")?, Rc::new(items.clone()));
+            self.pages
+                .insert(whole(arrival, "list")?, Rc::new(items.clone()));
             return Ok(());
         }
         let who = whole(arrival, "who")?;
         if word == "openInstance" {
             let seed = whole(arrival, "entropy")?;
             let (terms, names) = terms(object(arrival, "env")?, "env", seed)?;
-            let subscription = names.ask_within.map(|within| Subscription::new(within, seed));
+            let subscription = names
+                .ask_within
+                .map(|within| Subscription::new(within, seed));
             let forwarder = Forwarder::start(terms, now);
-            self.instances.insert(who, Instance { forwarder, names, subscription });
+            self.instances.insert(
+                who,
+                Instance {
+                    forwarder,
+                    names,
+                    subscription,
+                },
+            );
             rounds.insert(who, Vec::new());
             return Ok(());
         }
@@ -117,7 +138,12 @@
             ("fleet", Some("Error")) | ("fleet", None) => None,
             ("fleet", Some(_)) => {
                 let number = whole(arrival, "list")?;
-                Some(self.pages.get(&number).ok_or(format!("fleet: no page {number}"))?.clone())
+                Some(
+                    self.pages
+                        .get(&number)
+                        .ok_or(format!("fleet: no page {number}"))?
+                        .clone(),
+                )
             }
             _ => None,
         };
--- a/forwarder/simulator-adapter/src/written.rs
+++ b/forwarder/simulator-adapter/src/written.rs
@@ -12,11 +12,13 @@
 
 impl Written {
     pub fn ring_after(&mut self, pause: Ms, label: u64) {
-        self.decisions
-            .push(json!({"cmd": "defer", "who": self.who, "afterUs": micros(pause), "label": label}));
+        self.decisions.push(
+            json!({"cmd": "defer", "who": self.who, "afterUs": micros(pause), "label": label}),
+        );
     }
     pub fn ask(&mut self) {
-        self.decisions.push(json!({"cmd": "track", "who": self.who, "enable": true}));
+        self.decisions
+            .push(json!({"cmd": "track", "who": self.who, "enable": true}));
     }
 }
 
@@ -25,23 +27,28 @@
         let (xid, target) = (&*event.0, &*target.0);
         let span = micros(time_out).max(1);
         let who = self.who;
-        self.decisions
-            .push(json!({"cmd": "callOut", "who": who, "xid": xid, "target": target, "tryForUs": span}));
+        self.decisions.push(
+            json!({"cmd": "callOut", "who": who, "xid": xid, "target": target, "tryForUs": span}),
+        );
     }
     fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
         let wait = come_back_after.map(micros);
-        self.decisions.push(json!({"cmd": "notNow", "who": self.who, "xid": &*event.0, "waitUs": wait}));
+        self.decisions
+            .push(json!({"cmd": "notNow", "who": self.who, "xid": &*event.0, "waitUs": wait}));
         false
     }
     fn write_off(&mut self, event: &EventId) -> bool {
-        self.decisions.push(json!({"cmd": "error", "who": self.who, "xid": &*event.0}));
+        self.decisions
+            .push(json!({"cmd": "error", "who": self.who, "xid": &*event.0}));
         false
     }
     fn ping(&mut self, target: &TargetId) {
-        self.decisions.push(json!({"cmd": "check", "who": self.who, "target": &*target.0}));
+        self.decisions
+            .push(json!({"cmd": "check", "who": self.who, "target": &*target.0}));
     }
     fn close_idle(&mut self, target: &TargetId) {
-        self.decisions.push(json!({"cmd": "hangUp", "who": self.who, "target": &*target.0}));
+        self.decisions
+            .push(json!({"cmd": "hangUp", "who": self.who, "target": &*target.0}));
     }
     fn take_back(&mut self, _: &TargetId) {} // a call is written at once there
     fn note_cold(&mut self, _: &TargetId, _: Ms, _: f64) {} // nothing outlasts a forwarder there
--- a/forwarder/simulator-adapter/tests/wire.rs
+++ b/forwarder/simulator-adapter/tests/wire.rs
@@ -19,8 +19,15 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("starts");
-    let text: String = lines.iter().map(|line| line.replace('\n', "") + "\n").collect();
-    let _ = child.stdin.take().expect("piped").write_all(text.as_bytes());
+    let text: String = lines
+        .iter()
+        .map(|line| line.replace('\n', "") + "\n")
+        .collect();
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(text.as_bytes());
     child.wait_with_output().expect("ends")
 }
 
@@ -32,7 +39,9 @@
     let open = format!(r#"{{"cmd":"openInstance","who":3,"entropy":1,"env":{ENV}}}"#);
     batch(
         1000,
-        &format!(r#"{open},{PAGE},{{"cmd":"fleet","who":3,"mode":"Persisted","version":1,"list":0}}"#),
+        &format!(
+            r#"{open},{PAGE},{{"cmd":"fleet","who":3,"mode":"Persisted","version":1,"list":0}}"#
+        ),
     )
 }
 
@@ -53,14 +62,25 @@
 
 #[rstest]
 fn a_list_that_answers_only_when_asked_is_asked_and_asked_again_after_a_failure() {
-    let opened = opening().replace(r#""balancers":2"#, r#""balancers":2,"discovery":"on_request""#);
+    let opened = opening().replace(
+        r#""balancers":2"#,
+        r#""balancers":2,"discovery":"on_request""#,
+    );
     let ring = r#"{"cmd":"ring","who":3,"label":1}"#;
     let failed = r#"{"cmd":"fleet","who":3,"mode":"Error","version":0}"#;
-    let lines = [opened, batch(3000, ring), batch(4000, failed), batch(5000, ring)];
+    let lines = [
+        opened,
+        batch(3000, ring),
+        batch(4000, failed),
+        batch(5000, ring),
+    ];
     let out = String::from_utf8(run(&lines).stdout).expect("UTF-8");
     let replies: Vec<&str> = out.lines().collect();
     let says = |at: usize, word: &str| replies[at].contains(&format!(r#""cmd":"{word}""#));
-    assert!(says(0, "defer") && says(1, "track") && says(2, "defer") && says(3, "track"), "{out}");
+    assert!(
+        says(0, "defer") && says(1, "track") && says(2, "defer") && says(3, "track"),
+        "{out}"
+    );
 }
 
 #[rstest]
@@ -81,20 +101,35 @@
     r#"{"tsUs":1,"arrivals":[{"cmd":"ring","who":9}]}"#,
     "arrivals[0]: ring: instance 9 was never started"
 )]
-#[case(r#"{"tsUs":1,"arrivals":[{"cmd":"openInstance","who":1,"entropy":1,"env":{}}]}"#, "env.allowed")]
+#[case(
+    r#"{"tsUs":1,"arrivals":[{"cmd":"openInstance","who":1,"entropy":1,"env":{}}]}"#,
+    "env.allowed"
+)]
 fn what_is_wrong_is_named_plainly(#[case] line: &str, #[case] message: &str) {
     let out = run(&[line.to_owned()]);
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(!out.status.success());
-    assert!(said.contains(message) && !said.contains("panicked"), "{said}");
+    assert!(
+        said.contains(message) && !said.contains("panicked"),
+        "{said}"
+    );
 }
 
 #[rstest]
 #[case(r#"{"cmd":"dance","who":3}"#, "unknown event \"dance\"")]
-#[case(r#"{"cmd":"probeResult","who":3,"target":"X","stateCode":10}"#, "the target was never named")]
-#[case(r#"{"cmd":"fleet","who":3,"mode":"Partial","version":2,"list":7}"#, "no page 7")]
+#[case(
+    r#"{"cmd":"probeResult","who":3,"target":"X","stateCode":10}"#,
+    "the target was never named"
+)]
+#[case(
+    r#"{"cmd":"fleet","who":3,"mode":"Partial","version":2,"list":7}"#,
+    "no page 7"
+)]
 fn an_instance_is_not_made_to_guess(#[case] arrival: &str, #[case] message: &str) {
     let out = run(&[opening(), batch(3000, arrival)]);
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(!out.status.success() && said.contains("line 2") && said.contains(message), "{said}");
+    assert!(
+        !out.status.success() && said.contains("line 2") && said.contains(message),
+        "{said}"
+    );
 }
--- a/tier/agent/src/controllers.rs
+++ b/tier/agent/src/controllers.rs
@@ -7,7 +7,9 @@
 
 /// The ports that the settings name.
 pub(crate) fn ports(settings: &Settings) -> PortRange {
-    PortRange { first: settings.port_range.first }
+    PortRange {
+        first: settings.port_range.first,
+    }
 }
 
 /// The seeds' machines at the controllers' internal port.
--- a/tier/agent/src/end.rs
+++ b/tier/agent/src/end.rs
@@ -12,9 +12,17 @@
 const LAST_MESSAGE: Duration = Duration::from_millis(300);
 
 /// Waits until no proxy is connected any more, or the grace time is nearly over; then takes leave.
-pub(crate) async fn end(subscription: &Subscription, mut connected: watch::Receiver<usize>, grace: Duration) {
+pub(crate) async fn end(
+    subscription: &Subscription,
+    mut connected: watch::Receiver<usize>,
+    grace: Duration,
+) {
     let drained = connected.wait_for(|count| *count == 0);
-    let in_time = tokio::time::timeout(grace.saturating_sub(RESERVE), drained).await.is_ok();
-    let told = subscription.send_written(FromSubscriber::Leaving, LAST_MESSAGE).await;
+    let in_time = tokio::time::timeout(grace.saturating_sub(RESERVE), drained)
+        .await
+        .is_ok();
+    let told = subscription
+        .send_written(FromSubscriber::Leaving, LAST_MESSAGE)
+        .await;
     tracing::info!(proxy_ended = in_time, controller_told = told, "agent ends");
 }
--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -23,10 +23,16 @@
 
 /// The proxy of the same machine. Each heartbeat wakes both processes, and these share a fraction of a core. A
 /// new connection may come before the end of the old one is seen.
-pub const PROXY: Audience = Audience { heartbeat: Duration::from_millis(500), connections: 4 };
+pub const PROXY: Audience = Audience {
+    heartbeat: Duration::from_millis(500),
+    connections: 4,
+};
 /// Other agents of the zone. They do not rely on heartbeats: what counts is that updates come as soon as a
 /// controller has announced them.
-pub const PEERS: Audience = Audience { heartbeat: Duration::from_secs(10), connections: 64 };
+pub const PEERS: Audience = Audience {
+    heartbeat: Duration::from_secs(10),
+    connections: 64,
+};
 /// The tables count as current if a controller confirmed them within this time: five of its heartbeats, and
 /// half of the shortest contact bound.
 const CONFIRMED_WITHIN: Duration = Duration::from_millis(1_500);
@@ -66,8 +72,9 @@
         let (hello, source, connected) = (hello.clone(), source.clone(), connected.clone());
         tokio::task::spawn_local(async move {
             if let Ok(connection) = accept(stream, address, &hello).await {
-                let ended =
-                    Feed::new(connection.writer, source, audience.heartbeat).run(connection.reader).await;
+                let ended = Feed::new(connection.writer, source, audience.heartbeat)
+                    .run(connection.reader)
+                    .await;
                 tracing::info!(node = %connection.peer.node, reason = ended, "subscriber left");
             }
             connected.send_modify(|count| *count -= 1);
@@ -154,13 +161,22 @@
         }
         self.beat = Instant::now() + self.heartbeat;
         self.told_current = self.is_current();
-        messages.push(ToSubscriber::Heartbeat { revision: tables.revision, current: self.told_current });
-        matches!(timeout(WRITE_LIMIT, self.writer.send_all(&messages)).await, Ok(Ok(())))
+        messages.push(ToSubscriber::Heartbeat {
+            revision: tables.revision,
+            current: self.told_current,
+        });
+        matches!(
+            timeout(WRITE_LIMIT, self.writer.send_all(&messages)).await,
+            Ok(Ok(()))
+        )
     }
 
     fn is_current(&self) -> bool {
         let now = std::time::Instant::now();
-        self.source.standing.borrow().confirmed_within(CONFIRMED_WITHIN, now)
+        self.source
+            .standing
+            .borrow()
+            .confirmed_within(CONFIRMED_WITHIN, now)
     }
 }
 
--- a/tier/agent/src/homes.rs
+++ b/tier/agent/src/homes.rs
@@ -55,7 +55,8 @@
             Ended::Moved => pause = FIRST_PAUSE,
             Ended::Failed => {
                 tracing::info!(%home, "home failed");
-                let moved = tables.wait_for(|tables| address_of_home(&me, &tables.edges) != Some(home));
+                let moved =
+                    tables.wait_for(|tables| address_of_home(&me, &tables.edges) != Some(home));
                 // The result tells nothing new: the loop looks at the tables anyway.
                 let _ = timeout(pause, moved).await;
                 pause = LONGEST_PAUSE.min(pause * 2);
--- a/tier/agent/src/peers.rs
+++ b/tier/agent/src/peers.rs
@@ -25,10 +25,19 @@
 pub async fn monitor_peers(socket: UdpSocket, me: NodeId, subscription: Rc<Subscription>) {
     let mut tables = subscription.tables();
     let monitor = Monitor::new(me.clone(), Instant::now());
-    let mut peers = Peers { socket, me, subscription, monitor, tables: Arc::default() };
+    let mut peers = Peers {
+        socket,
+        me,
+        subscription,
+        monitor,
+        tables: Arc::default(),
+    };
     let mut buffer = [0_u8; LARGEST_DATAGRAM];
     loop {
-        let tick = peers.monitor.next_tick().unwrap_or_else(|| Instant::now() + NOBODY);
+        let tick = peers
+            .monitor
+            .next_tick()
+            .unwrap_or_else(|| Instant::now() + NOBODY);
         tokio::select! {
             received = peers.socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => peers.take(&buffer[..length], from),
@@ -60,7 +69,8 @@
 impl Peers {
     fn set_tables(&mut self, newest: Arc<Tables>) {
         if newest.edges != self.tables.edges {
-            self.monitor.set_members(newest.edges.iter().map(|edge| &edge.node));
+            self.monitor
+                .set_members(newest.edges.iter().map(|edge| &edge.node));
         }
         self.tables = newest;
     }
@@ -72,16 +82,24 @@
 
     /// Acts on a datagram; those of strangers, and those that cannot be read, are ignored.
     fn take(&mut self, bytes: &[u8], from: SocketAddr) {
-        let Some(sender) = self.tables.edges.iter().find(|edge| edge.address == from) else { return };
-        let Ok(datagram) = postcard::from_bytes(bytes) else { return };
+        let Some(sender) = self.tables.edges.iter().find(|edge| edge.address == from) else {
+            return;
+        };
+        let Ok(datagram) = postcard::from_bytes(bytes) else {
+            return;
+        };
         let now = Instant::now();
         let action = match datagram {
-            Datagram::Probe { sequence, to } if to == self.me => {
-                Some(Action::Alive { to: sender.node.clone(), sequence })
-            }
+            Datagram::Probe { sequence, to } if to == self.me => Some(Action::Alive {
+                to: sender.node.clone(),
+                sequence,
+            }),
             Datagram::Probe { .. } => None,
             Datagram::Relay { sequence, about } => {
-                let asker = Asker { node: sender.node.clone(), sequence };
+                let asker = Asker {
+                    node: sender.node.clone(),
+                    sequence,
+                };
                 self.monitor.relay(asker, about, now)
             }
             Datagram::Alive { sequence } => self.monitor.answered(sequence, now),
@@ -93,8 +111,14 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Probe { to, sequence } => self.send(&to.clone(), &Datagram::Probe { sequence, to }),
-            Action::Relay { via, about, sequence } => self.send(&via, &Datagram::Relay { sequence, about }),
+            Action::Probe { to, sequence } => {
+                self.send(&to.clone(), &Datagram::Probe { sequence, to })
+            }
+            Action::Relay {
+                via,
+                about,
+                sequence,
+            } => self.send(&via, &Datagram::Relay { sequence, about }),
             Action::Alive { to, sequence } => self.send(&to, &Datagram::Alive { sequence }),
             Action::Suspect(node) => self.report(node),
         }
@@ -110,7 +134,9 @@
 
     /// A datagram that cannot be sent now counts as lost.
     fn send(&self, to: &NodeId, datagram: &Datagram) {
-        let Some(address) = self.address(to) else { return };
+        let Some(address) = self.address(to) else {
+            return;
+        };
         let mut buffer = [0_u8; LARGEST_DATAGRAM];
         if let Ok(bytes) = postcard::to_slice(datagram, &mut buffer) {
             let _ = self.socket.try_send_to(bytes, address);
--- a/tier/agent/src/run.rs
+++ b/tier/agent/src/run.rs
@@ -45,8 +45,10 @@
 /// # Errors
 /// [`RunError`] if it cannot start.
 pub fn run(settings: Settings) -> Result<(), RunError> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(RunError::Runtime)?;
     LocalSet::new().block_on(&runtime, run_local(settings))
 }
 
@@ -65,10 +67,18 @@
     }));
     let (upwards, messages) = mpsc::channel(UPWARDS);
     tokio::task::spawn_local(pass_upwards(messages, subscription.clone()));
-    let source = Source { tables: subscription.tables(), standing: subscription.standing(), upwards };
+    let source = Source {
+        tables: subscription.tables(),
+        standing: subscription.standing(),
+        upwards,
+    };
     let proxies = start_feeder(loopback, Channel::Feed, &me, &source, PROXY);
     start_feeder(peers, Channel::Peer, &me, &source, PEERS);
-    tokio::task::spawn_local(monitor_peers(datagrams, me.node.clone(), subscription.clone()));
+    tokio::task::spawn_local(monitor_peers(
+        datagrams,
+        me.node.clone(),
+        subscription.clone(),
+    ));
     tokio::task::spawn_local(follow_homes(me, subscription.clone()));
     tracing::info!(node = %settings.node_id, "agent started");
     while let Request::Reload = signals.next().await {
@@ -79,7 +89,10 @@
 }
 
 /// Passes what the proxy says on to a controller, if one is connected; it is said again otherwise.
-async fn pass_upwards(mut messages: mpsc::Receiver<FromSubscriber>, subscription: Rc<Subscription>) {
+async fn pass_upwards(
+    mut messages: mpsc::Receiver<FromSubscriber>,
+    subscription: Rc<Subscription>,
+) {
     while let Some(message) = messages.recv().await {
         if subscription.standing().borrow().address.is_some() {
             subscription.send(message);
@@ -118,5 +131,7 @@
 }
 
 async fn bind_datagrams(address: SocketAddr) -> Result<UdpSocket, RunError> {
-    UdpSocket::bind(address).await.map_err(|source| RunError::Listen { address, source })
+    UdpSocket::bind(address)
+        .await
+        .map_err(|source| RunError::Listen { address, source })
 }
--- a/tier/agent/src/signals.rs
+++ b/tier/agent/src/signals.rs
@@ -21,7 +21,10 @@
 impl Signals {
     /// Listens from now on.
     pub(crate) fn listen() -> io::Result<Self> {
-        Ok(Signals { reload: signal(SignalKind::hangup())?, end: signal(SignalKind::terminate())? })
+        Ok(Signals {
+            reload: signal(SignalKind::hangup())?,
+            end: signal(SignalKind::terminate())?,
+        })
     }
 
     /// The next request.
--- a/tier/agent/tests/feeding.rs
+++ b/tier/agent/tests/feeding.rs
@@ -21,7 +21,10 @@
 const PATIENT: Duration = Duration::from_secs(60);
 
 fn run(test: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
@@ -31,7 +34,12 @@
 
 fn edge(name: &str, address: SocketAddr) -> Edge {
     let (node, zone) = (NodeId::from(name), ZoneName::from("west"));
-    Edge { node, incarnation: Incarnation(1), address, zone }
+    Edge {
+        node,
+        incarnation: Incarnation(1),
+        address,
+        zone,
+    }
 }
 
 fn hello(name: &str) -> Hello {
@@ -41,7 +49,12 @@
 fn subscribe(name: &str, subscriber: Subscriber, feeder: SocketAddr) -> Subscription {
     let (_, candidates) = watch::channel(vec![feeder]);
     let hello = hello(name);
-    Subscription::start(SubscriptionOptions { hello, subscriber, candidates, silence: PATIENT })
+    Subscription::start(SubscriptionOptions {
+        hello,
+        subscriber,
+        candidates,
+        silence: PATIENT,
+    })
 }
 
 /// A controller's listener, and what it does to the one who subscribes.
@@ -51,7 +64,9 @@
 
 impl Controller {
     fn new() -> Self {
-        Controller { listener: listen(any_port()).unwrap() }
+        Controller {
+            listener: listen(any_port()).unwrap(),
+        }
     }
 
     fn address(&self) -> SocketAddr {
@@ -76,7 +91,10 @@
 }
 
 fn heartbeat(revision: u64) -> ToSubscriber {
-    ToSubscriber::Heartbeat { revision: Revision(revision), current: true }
+    ToSubscriber::Heartbeat {
+        revision: Revision(revision),
+        current: true,
+    }
 }
 
 /// Reads until this message comes.
@@ -88,7 +106,11 @@
     let listener = listen(any_port()).unwrap();
     let address = listener.local_addr().unwrap();
     let (upwards, _) = mpsc::channel(1);
-    let source = Source { tables: of.tables(), standing: of.standing(), upwards };
+    let source = Source {
+        tables: of.tables(),
+        standing: of.standing(),
+        upwards,
+    };
     let (connected, _) = watch::channel(0);
     let serving = serve(listener, hello("edge-1"), source, audience, connected);
     (address, tokio::task::spawn_local(serving))
@@ -103,11 +125,23 @@
         let (loopback, _feeder) = start_feeder(&agent, PROXY);
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
         let mut link = controller.welcome().await;
-        let tables = Tables { revision: Revision(3), edges: vec![me], ..Tables::default() };
+        let tables = Tables {
+            revision: Revision(3),
+            edges: vec![me],
+            ..Tables::default()
+        };
         send(&mut link, snapshot(&tables)).await;
         send(&mut link, heartbeat(3)).await;
-        proxy.tables().wait_for(|held| **held == tables).await.unwrap();
-        proxy.standing().wait_for(|standing| standing.current).await.unwrap();
+        proxy
+            .tables()
+            .wait_for(|held| **held == tables)
+            .await
+            .unwrap();
+        proxy
+            .standing()
+            .wait_for(|standing| standing.current)
+            .await
+            .unwrap();
     });
 }
 
@@ -120,15 +154,33 @@
         let me = edge("edge-1", any_port());
         let agent = subscribe("edge-1", Subscriber::Edge(me.clone()), controller.address());
         let never = Duration::from_secs(3_600);
-        let (loopback, _feeder) = start_feeder(&agent, Audience { heartbeat: never, ..PROXY });
+        let (loopback, _feeder) = start_feeder(
+            &agent,
+            Audience {
+                heartbeat: never,
+                ..PROXY
+            },
+        );
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
         let mut link = controller.welcome().await;
-        let tables = Tables { revision: Revision(3), edges: vec![me], ..Tables::default() };
+        let tables = Tables {
+            revision: Revision(3),
+            edges: vec![me],
+            ..Tables::default()
+        };
         send(&mut link, snapshot(&tables)).await;
-        proxy.tables().wait_for(|held| **held == tables).await.unwrap();
+        proxy
+            .tables()
+            .wait_for(|held| **held == tables)
+            .await
+            .unwrap();
         assert!(!proxy.standing().borrow().current);
         send(&mut link, heartbeat(3)).await;
-        proxy.standing().wait_for(|standing| standing.current).await.unwrap();
+        proxy
+            .standing()
+            .wait_for(|standing| standing.current)
+            .await
+            .unwrap();
     });
 }
 
@@ -141,7 +193,10 @@
         let (loopback, _feeder) = start_feeder(&agent, PROXY);
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
         let mut standing = proxy.standing();
-        standing.wait_for(|standing| standing.address.is_some()).await.unwrap();
+        standing
+            .wait_for(|standing| standing.address.is_some())
+            .await
+            .unwrap();
         assert!(!standing.borrow().current);
     });
 }
@@ -162,8 +217,14 @@
     // The feeder listens under either name; the name that makes it the home is given to it.
     let names = ["edge-1", "edge-2"];
     let placed: Vec<Edge> = names.iter().map(|name| edge(name, any_port())).collect();
-    let home_name = home_of(&ZoneName::from("west"), &placed).unwrap().node.clone();
-    let other_name = names.into_iter().find(|name| *name != home_name.as_str()).unwrap();
+    let home_name = home_of(&ZoneName::from("west"), &placed)
+        .unwrap()
+        .node
+        .clone();
+    let other_name = names
+        .into_iter()
+        .find(|name| *name != home_name.as_str())
+        .unwrap();
     let other = edge(other_name, any_port());
     let placeholder = Subscriber::Edge(edge(home_name.as_str(), any_port()));
     let home_agent = subscribe(home_name.as_str(), placeholder, controller.address());
@@ -172,10 +233,18 @@
     let mut home_link = controller.welcome().await;
     let mut edges = vec![home, other.clone()];
     edges.sort_by(|one, another| one.node.cmp(&another.node));
-    let tables = Tables { revision: Revision(3), edges, ..Tables::default() };
+    let tables = Tables {
+        revision: Revision(3),
+        edges,
+        ..Tables::default()
+    };
     send(&mut home_link, snapshot(&tables)).await;
     send(&mut home_link, heartbeat(3)).await;
-    home_agent.standing().wait_for(|standing| standing.current).await.unwrap();
+    home_agent
+        .standing()
+        .wait_for(|standing| standing.current)
+        .await
+        .unwrap();
 
     let subscriber = Subscriber::Edge(other.clone());
     let other_agent = Rc::new(subscribe(other_name, subscriber, controller.address()));
@@ -185,12 +254,23 @@
     tokio::task::spawn_local(follow_homes(other, other_agent.clone()));
     wait_for(&mut other_link, FromSubscriber::HeartbeatsOnly).await;
     let _home_agent = home_agent;
-    Zone { home: home_link, other: other_link, other_agent, home_feeder, tables, _home_agent }
+    Zone {
+        home: home_link,
+        other: other_link,
+        other_agent,
+        home_feeder,
+        tables,
+        _home_agent,
+    }
 }
 
 fn next_revision() -> ToSubscriber {
     let changes = vec![TablesChange::Stores(Default::default())];
-    ToSubscriber::Update(TablesUpdate::Changes { from: Revision(3), to: Revision(4), changes })
+    ToSubscriber::Update(TablesUpdate::Changes {
+        from: Revision(3),
+        to: Revision(4),
+        changes,
+    })
 }
 
 #[test]
@@ -211,7 +291,11 @@
     run(async {
         let mut zone = zone().await;
         send(&mut zone.other, heartbeat(4)).await;
-        wait_for(&mut zone.other, FromSubscriber::Updates { held: Revision(3) }).await;
+        wait_for(
+            &mut zone.other,
+            FromSubscriber::Updates { held: Revision(3) },
+        )
+        .await;
         send(&mut zone.other, next_revision()).await;
         let four = |held: &Arc<Tables>| held.revision == Revision(4);
         zone.other_agent.tables().wait_for(four).await.unwrap();
@@ -223,10 +307,21 @@
     run(async {
         let mut zone = zone().await;
         zone.home_feeder.abort();
-        let gone = home_of(&ZoneName::from("west"), &zone.tables.edges).unwrap().node.clone();
+        let gone = home_of(&ZoneName::from("west"), &zone.tables.edges)
+            .unwrap()
+            .node
+            .clone();
         let changes = vec![TablesChange::EdgeRemoved(gone)];
-        let update = TablesUpdate::Changes { from: Revision(3), to: Revision(4), changes };
+        let update = TablesUpdate::Changes {
+            from: Revision(3),
+            to: Revision(4),
+            changes,
+        };
         send(&mut zone.other, ToSubscriber::Update(update)).await;
-        wait_for(&mut zone.other, FromSubscriber::Updates { held: Revision(4) }).await;
+        wait_for(
+            &mut zone.other,
+            FromSubscriber::Updates { held: Revision(4) },
+        )
+        .await;
     });
 }
--- a/tier/agent/tests/wire_format.rs
+++ b/tier/agent/tests/wire_format.rs
@@ -22,7 +22,10 @@
 const PATIENT: Duration = Duration::from_secs(60);
 
 fn run(test: impl std::future::Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
@@ -31,7 +34,12 @@
 }
 
 fn edge(name: &str, address: SocketAddr) -> Edge {
-    Edge { node: NodeId::from(name), incarnation: Incarnation(300), address, zone: ZoneName::from("west") }
+    Edge {
+        node: NodeId::from(name),
+        incarnation: Incarnation(300),
+        address,
+        zone: ZoneName::from("west"),
+    }
 }
 
 /// The bytes that the fixture has under this name.
@@ -40,7 +48,10 @@
     let mut lines = fixture.lines().map(|line| line.split_once(' ').unwrap());
     let (_, hex) = lines.find(|(pinned, _)| *pinned == name).unwrap();
     assert_eq!(hex.len() % 2, 0, "half a byte: {hex}");
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 async fn assert_next_bytes(stream: &mut TcpStream, name: &str) {
@@ -73,7 +84,10 @@
 async fn send(raw: &mut TcpStream, tables: &Tables) {
     let messages = [
         ToSubscriber::Update(TablesUpdate::Snapshot(tables.clone())),
-        ToSubscriber::Heartbeat { revision: tables.revision, current: true },
+        ToSubscriber::Heartbeat {
+            revision: tables.revision,
+            current: true,
+        },
     ];
     FrameWriter::new(raw).send_all(&messages).await.unwrap();
 }
@@ -87,7 +101,11 @@
         let tables = Tables {
             revision: Revision(300),
             edges: vec![edge("edge-1", SocketAddr::from(([127, 0, 0, 1], 7_002)))],
-            drains: vec![Drain { node: NodeId::from("edge-1"), number: 5, empty: false }],
+            drains: vec![Drain {
+                node: NodeId::from("edge-1"),
+                number: 5,
+                empty: false,
+            }],
             ..Tables::default()
         };
         send(&mut link, &tables).await;
@@ -96,10 +114,17 @@
         let loopback = listen(any_port()).unwrap();
         let address = loopback.local_addr().unwrap();
         let (upwards, mut passed) = mpsc::channel(1);
-        let source = Source { tables: agent.tables(), standing: agent.standing(), upwards };
+        let source = Source {
+            tables: agent.tables(),
+            standing: agent.standing(),
+            upwards,
+        };
         let hello = Hello::new(Channel::Feed, NodeId::from("edge-1"));
         let (connected, _) = watch::channel(0);
-        let audience = Audience { heartbeat: PATIENT, ..PROXY };
+        let audience = Audience {
+            heartbeat: PATIENT,
+            ..PROXY
+        };
         tokio::task::spawn_local(serve(loopback, hello, source, audience, connected));
         let mut proxy = TcpStream::connect(address).await.unwrap();
         proxy.write_all(&pinned("HelloToController")).await.unwrap();
@@ -118,24 +143,42 @@
         let controller = listen(any_port()).unwrap();
         let subscription = subscribe(&controller);
         let mut link = welcome(&controller).await;
-        let (own, peer) =
-            (UdpSocket::bind(any_port()).await.unwrap(), UdpSocket::bind(any_port()).await.unwrap());
+        let (own, peer) = (
+            UdpSocket::bind(any_port()).await.unwrap(),
+            UdpSocket::bind(any_port()).await.unwrap(),
+        );
         let own_address = own.local_addr().unwrap();
-        let edges = vec![edge("edge-1", own_address), edge("edge-2", peer.local_addr().unwrap())];
-        let tables = Tables { revision: Revision(300), edges, ..Tables::default() };
+        let edges = vec![
+            edge("edge-1", own_address),
+            edge("edge-2", peer.local_addr().unwrap()),
+        ];
+        let tables = Tables {
+            revision: Revision(300),
+            edges,
+            ..Tables::default()
+        };
         tokio::task::spawn_local(monitor_peers(own, NodeId::from("edge-1"), subscription));
         send(&mut link, &tables).await;
         let mut buffer = [0_u8; 512];
         let (length, from) = peer.recv_from(&mut buffer).await.unwrap();
-        assert_eq!((&buffer[..length], from), (pinned("FirstProbe").as_slice(), own_address));
-        peer.send_to(&pinned("ProbeOfAgent"), own_address).await.unwrap();
+        assert_eq!(
+            (&buffer[..length], from),
+            (pinned("FirstProbe").as_slice(), own_address)
+        );
+        peer.send_to(&pinned("ProbeOfAgent"), own_address)
+            .await
+            .unwrap();
         // Probes of the monitor's own may come before the answer.
         loop {
             let (length, _) = peer.recv_from(&mut buffer).await.unwrap();
             if buffer[..length] == pinned("AnswerOfAgent") {
                 break;
             }
-            assert_eq!(buffer[0], pinned("FirstProbe")[0], "neither a probe nor the answer");
+            assert_eq!(
+                buffer[0],
+                pinned("FirstProbe")[0],
+                "neither a probe nor the answer"
+            );
         }
     });
 }
--- a/tier/chain/src/durable.rs
+++ b/tier/chain/src/durable.rs
@@ -48,7 +48,10 @@
 impl Acceptor {
     /// Nothing promised yet for a view.
     pub fn fresh(instance: ViewNumber) -> Self {
-        Self { instance, ..Self::default() }
+        Self {
+            instance,
+            ..Self::default()
+        }
     }
 }
 
--- a/tier/chain/src/log.rs
+++ b/tier/chain/src/log.rs
@@ -17,7 +17,10 @@
 impl Log {
     /// What a disk held after a snapshot; anything behind a gap is left out.
     pub(crate) fn new(snapshot: Revision, kept: BTreeMap<Revision, Entry>) -> Self {
-        let mut log = Self { before: snapshot, ..Self::default() };
+        let mut log = Self {
+            before: snapshot,
+            ..Self::default()
+        };
         for (revision, entry) in kept {
             if revision == log.next() {
                 log.push(entry);
@@ -64,7 +67,9 @@
         let mut taken = Vec::new();
         let mut size = 0;
         for place in after.0 + 1..=upto.0 {
-            let Some(entry) = self.get(Revision(place)) else { break };
+            let Some(entry) = self.get(Revision(place)) else {
+                break;
+            };
             size += entry.operation.len();
             if size > bytes && !taken.is_empty() {
                 break;
@@ -77,7 +82,9 @@
     /// Drops all operations after a place.
     pub(crate) fn truncate(&mut self, last: Revision) {
         while self.last() > last {
-            let Some(dropped) = self.entries.pop_back() else { break };
+            let Some(dropped) = self.entries.pop_back() else {
+                break;
+            };
             self.bytes -= dropped.operation.len();
         }
     }
@@ -99,6 +106,9 @@
     /// Whether a proposal stands in the log after a place.
     pub(crate) fn holds_after(&self, after: Revision, request: &RequestNumber) -> bool {
         let skipped = usize::try_from(after.0.saturating_sub(self.before.0)).unwrap_or(usize::MAX);
-        self.entries.iter().skip(skipped).any(|entry| entry.request == *request)
+        self.entries
+            .iter()
+            .skip(skipped)
+            .any(|entry| entry.request == *request)
     }
 }
--- a/tier/chain/src/machine.rs
+++ b/tier/chain/src/machine.rs
@@ -44,7 +44,12 @@
     /// Starts from a snapshot.
     pub(crate) fn new(machine: M, snapshot: &Snapshot) -> Result<Self, BadSnapshot> {
         let (order, outcomes) = (VecDeque::new(), HashMap::new());
-        let mut replicated = Self { machine, revision: Revision(0), order, outcomes };
+        let mut replicated = Self {
+            machine,
+            revision: Revision(0),
+            order,
+            outcomes,
+        };
         replicated.restore(snapshot)?;
         Ok(replicated)
     }
@@ -77,9 +82,14 @@
 
     /// The state as it is now.
     pub(crate) fn snapshot(&self) -> Snapshot {
-        let kept = |request: &RequestNumber| Some((*request, Arc::clone(self.outcomes.get(request)?)));
+        let kept =
+            |request: &RequestNumber| Some((*request, Arc::clone(self.outcomes.get(request)?)));
         let outcomes = self.order.iter().filter_map(kept).collect();
-        Snapshot { revision: self.revision, machine: self.machine.snapshot().into(), outcomes }
+        Snapshot {
+            revision: self.revision,
+            machine: self.machine.snapshot().into(),
+            outcomes,
+        }
     }
 
     /// Replaces the state.
--- a/tier/chain/src/member/adopt.rs
+++ b/tier/chain/src/member/adopt.rs
@@ -14,7 +14,11 @@
     /// After a start: what this member knows to be committed is applied. What the tail has on its disk, every
     /// link before it has as well.
     pub(super) fn resume(&mut self, committed: Revision) {
-        let known = if self.is_tail() { self.log.last() } else { committed };
+        let known = if self.is_tail() {
+            self.log.last()
+        } else {
+            committed
+        };
         self.commit_to(known);
         self.passing = Passing::from(self.log.last());
     }
--- a/tier/chain/src/member/attempt.rs
+++ b/tier/chain/src/member/attempt.rs
@@ -36,7 +36,10 @@
 #[derive(Debug)]
 enum Phase {
     Preparing(BTreeMap<NodeId, Promised>),
-    Accepting { view: View, accepted: BTreeSet<NodeId> },
+    Accepting {
+        view: View,
+        accepted: BTreeSet<NodeId>,
+    },
 }
 
 /// One voter's promise.
@@ -60,14 +63,22 @@
 
     /// A later view was taken over.
     pub(super) fn end(&mut self, now: Millis) {
-        *self = Self { not_before: now, ..Self::default() };
+        *self = Self {
+            not_before: now,
+            ..Self::default()
+        };
     }
 }
 
 impl<M: StateMachine> ChainMember<M> {
     /// Time has passed.
     pub(super) fn drive_attempts(&mut self) {
-        match self.attempts.current.as_ref().map(|attempt| (attempt.started, attempt.sent)) {
+        match self
+            .attempts
+            .current
+            .as_ref()
+            .map(|attempt| (attempt.started, attempt.sent))
+        {
             Some((started, _)) if self.now.saturating_sub(started) >= ATTEMPT => self.give_up(),
             Some((_, sent)) => {
                 if self.now.saturating_sub(sent) >= REPEAT {
@@ -92,9 +103,16 @@
     }
 
     fn begin_attempt(&mut self) {
-        let promised = self.acceptor.promised.as_ref().map_or(0, |ballot| ballot.round);
+        let promised = self
+            .acceptor
+            .promised
+            .as_ref()
+            .map_or(0, |ballot| ballot.round);
         self.attempts.round = self.attempts.round.max(promised) + 1;
-        let ballot = Ballot { round: self.attempts.round, proposer: self.me.identity.node.clone() };
+        let ballot = Ballot {
+            round: self.attempts.round,
+            proposer: self.me.identity.node.clone(),
+        };
         self.attempts.current = Some(Attempt {
             instance: self.acceptor.instance,
             ballot,
@@ -121,16 +139,23 @@
     /// Sends the question of the present phase to everyone who has not answered it.
     fn ask_electors(&mut self) {
         let now = self.now;
-        let Some(attempt) = self.attempts.current.as_mut() else { return };
+        let Some(attempt) = self.attempts.current.as_mut() else {
+            return;
+        };
         attempt.sent = now;
         let (ballot, instance) = (attempt.ballot.clone(), attempt.instance);
         let (message, answered): (_, BTreeSet<_>) = match &attempt.phase {
-            Phase::Preparing(promises) => {
-                (Message::Prepare { instance, ballot }, promises.keys().cloned().collect())
-            }
-            Phase::Accepting { view, accepted } => {
-                (Message::Accept { ballot, view: view.clone() }, accepted.clone())
-            }
+            Phase::Preparing(promises) => (
+                Message::Prepare { instance, ballot },
+                promises.keys().cloned().collect(),
+            ),
+            Phase::Accepting { view, accepted } => (
+                Message::Accept {
+                    ballot,
+                    view: view.clone(),
+                },
+                accepted.clone(),
+            ),
         };
         for elector in self.electors() {
             if answered.contains(&elector.identity.node) {
@@ -150,7 +175,9 @@
         }
         let heard = self.peers.all().map(|peer| peer.heartbeat.member.clone());
         let known = heard.chain([self.me.clone()]);
-        known.filter(|member| self.is_elector(&member.identity)).collect()
+        known
+            .filter(|member| self.is_elector(&member.identity))
+            .collect()
     }
 
     /// An answer to this member's attempt.
@@ -159,17 +186,24 @@
             return;
         }
         match vote {
-            Message::Promise { instance, ballot, accepted, position } => {
-                let promised = Promised { identity: from.clone(), position, accepted };
+            Message::Promise {
+                instance,
+                ballot,
+                accepted,
+                position,
+            } => {
+                let promised = Promised {
+                    identity: from.clone(),
+                    position,
+                    accepted,
+                };
                 self.on_promise(instance, &ballot, promised);
             }
             Message::Accepted { instance, ballot } => self.on_accepted(from, instance, &ballot),
             Message::Refuse { instance, promised } => {
-                let refused = self
-                    .attempts
-                    .current
-                    .as_ref()
-                    .is_some_and(|attempt| attempt.instance == instance && attempt.ballot < promised);
+                let refused = self.attempts.current.as_ref().is_some_and(|attempt| {
+                    attempt.instance == instance && attempt.ballot < promised
+                });
                 if refused {
                     self.attempts.saw(&promised, self.now);
                     self.give_up();
@@ -185,7 +219,9 @@
     }
 
     fn on_promise(&mut self, instance: ViewNumber, ballot: &Ballot, promised: Promised) {
-        let Some(attempt) = self.attempt_of(instance, ballot) else { return };
+        let Some(attempt) = self.attempt_of(instance, ballot) else {
+            return;
+        };
         if let Phase::Preparing(promises) = &mut attempt.phase {
             promises.insert(promised.identity.node.clone(), promised);
             self.conclude_preparation();
@@ -196,25 +232,42 @@
     /// the one that this member finds right. Its own promise is on disk then, so that no later life uses the same
     /// ballot for another view.
     fn conclude_preparation(&mut self) {
-        let Some(attempt) = self.attempts.current.as_ref() else { return };
-        let Phase::Preparing(promises) = &attempt.phase else { return };
+        let Some(attempt) = self.attempts.current.as_ref() else {
+            return;
+        };
+        let Phase::Preparing(promises) = &attempt.phase else {
+            return;
+        };
         if promises.len() < self.quorum() || !promises.contains_key(&self.me.identity.node) {
             return;
         }
         let waited = self.now.saturating_sub(attempt.started);
-        let bound = promises.values().filter_map(|promised| promised.accepted.as_ref());
-        let bound = bound.max_by(|one, other| one.0.cmp(&other.0)).map(|(_, view)| view.clone());
-        let Some(view) = bound.or_else(|| self.plan(promises, waited)) else { return };
+        let bound = promises
+            .values()
+            .filter_map(|promised| promised.accepted.as_ref());
+        let bound = bound
+            .max_by(|one, other| one.0.cmp(&other.0))
+            .map(|(_, view)| view.clone());
+        let Some(view) = bound.or_else(|| self.plan(promises, waited)) else {
+            return;
+        };
         if let Some(attempt) = self.attempts.current.as_mut() {
-            attempt.phase = Phase::Accepting { view, accepted: BTreeSet::new() };
+            attempt.phase = Phase::Accepting {
+                view,
+                accepted: BTreeSet::new(),
+            };
         }
         self.ask_electors();
     }
 
     fn on_accepted(&mut self, from: &Identity, instance: ViewNumber, ballot: &Ballot) {
         let quorum = self.quorum();
-        let Some(attempt) = self.attempt_of(instance, ballot) else { return };
-        let Phase::Accepting { view, accepted } = &mut attempt.phase else { return };
+        let Some(attempt) = self.attempt_of(instance, ballot) else {
+            return;
+        };
+        let Phase::Accepting { view, accepted } = &mut attempt.phase else {
+            return;
+        };
         accepted.insert(from.node.clone());
         if accepted.len() < quorum {
             return;
--- a/tier/chain/src/member/catch_up.rs
+++ b/tier/chain/src/member/catch_up.rs
@@ -29,7 +29,10 @@
 impl<M: StateMachine> ChainMember<M> {
     /// A link of the chain has operations that are missing here.
     pub(super) fn fetch_if_behind(&mut self, link: &Identity, position: Revision) {
-        let asked = self.catch_up.asked.is_some_and(|at| self.now.saturating_sub(at) < ASK_AGAIN);
+        let asked = self
+            .catch_up
+            .asked
+            .is_some_and(|at| self.now.saturating_sub(at) < ASK_AGAIN);
         if asked
             || self.disk_is_away()
             || self.in_chain()
@@ -39,7 +42,10 @@
             return;
         }
         self.catch_up.asked = Some(self.now);
-        let fetch = Message::Fetch { view: self.view.number, after: self.log.last() };
+        let fetch = Message::Fetch {
+            view: self.view.number,
+            after: self.log.last(),
+        };
         self.send_to(link, fetch);
     }
 
@@ -55,7 +61,15 @@
         }
         let entries = self.log.range(after, self.durable.1, MESSAGE_BYTES);
         let committed = self.replicated.revision();
-        self.send_to(from, Message::Fetched { view, after, entries, committed });
+        self.send_to(
+            from,
+            Message::Fetched {
+                view,
+                after,
+                entries,
+                committed,
+            },
+        );
     }
 
     /// The operations asked for.
@@ -68,7 +82,11 @@
         committed: Revision,
     ) {
         self.catch_up.restart();
-        if view != self.view.number || self.in_chain() || after != self.log.last() || self.disk_is_away() {
+        if view != self.view.number
+            || self.in_chain()
+            || after != self.log.last()
+            || self.disk_is_away()
+        {
             return;
         }
         self.append(entries);
@@ -78,7 +96,8 @@
     /// A state instead of the operations asked for.
     pub(super) fn on_install(&mut self, from: &Identity, view: ViewNumber, snapshot: Snapshot) {
         self.catch_up.restart();
-        let is_due = view == self.view.number && !self.in_chain() && snapshot.revision > self.log.last();
+        let is_due =
+            view == self.view.number && !self.in_chain() && snapshot.revision > self.log.last();
         if !is_due || self.disk_is_away() {
             return;
         }
--- a/tier/chain/src/member/effects.rs
+++ b/tier/chain/src/member/effects.rs
@@ -33,7 +33,10 @@
     pub(super) fn persist(&mut self, writes: Vec<Write>, then: Deferred) {
         self.tickets.0 += 1;
         self.deferred.push_back((self.tickets, self.now, then));
-        self.effects.push(Effect::Persist { ticket: self.tickets, writes });
+        self.effects.push(Effect::Persist {
+            ticket: self.tickets,
+            writes,
+        });
     }
 
     pub(super) fn send(&mut self, to: SocketAddr, message: Message) {
@@ -48,7 +51,10 @@
     }
 
     pub(super) fn address_of(&self, identity: &Identity) -> Option<SocketAddr> {
-        let heard = self.peers.get(identity).map(|peer| peer.heartbeat.member.address);
+        let heard = self
+            .peers
+            .get(identity)
+            .map(|peer| peer.heartbeat.member.address);
         heard.or_else(|| self.view.voter(identity).map(|voter| voter.address))
     }
 }
--- a/tier/chain/src/member/mod.rs
+++ b/tier/chain/src/member/mod.rs
@@ -130,11 +130,20 @@
                 self.on_vote(from, message);
             }
             Message::Forward { view, entry } => self.on_forward(from, view, entry),
-            Message::Append { view, previous, entries } => self.on_append(from, view, previous, entries),
+            Message::Append {
+                view,
+                previous,
+                entries,
+            } => self.on_append(from, view, previous, entries),
             Message::Committed { view, revision } => self.on_committed(from, view, revision),
             Message::Outcome { request, outcome } => self.on_outcome(request, outcome),
             Message::Fetch { view, after } => self.on_fetch(from, view, after),
-            Message::Fetched { view, after, entries, committed } => {
+            Message::Fetched {
+                view,
+                after,
+                entries,
+                committed,
+            } => {
                 self.on_fetched(from, view, after, entries, committed);
             }
             Message::Install { view, snapshot } => self.on_install(from, view, snapshot),
@@ -149,8 +158,14 @@
     pub fn persisted(&mut self, ticket: Ticket, now: Millis) {
         self.now = self.now.max(now);
         self.presence.disk_refuses = false;
-        while self.deferred.front().is_some_and(|(waits_for, _, _)| *waits_for <= ticket) {
-            let Some((_, _, deferred)) = self.deferred.pop_front() else { return };
+        while self
+            .deferred
+            .front()
+            .is_some_and(|(waits_for, _, _)| *waits_for <= ticket)
+        {
+            let Some((_, _, deferred)) = self.deferred.pop_front() else {
+                return;
+            };
             self.carry_out(deferred);
         }
     }
@@ -212,7 +227,9 @@
     }
 
     fn is_tail(&self) -> bool {
-        self.view.place(&self.me.identity).is_some_and(|place| place + 1 == self.view.chain.len())
+        self.view
+            .place(&self.me.identity)
+            .is_some_and(|place| place + 1 == self.view.chain.len())
     }
 
     /// Links that a chain needs before it may acknowledge: f+1, or all machines of a core that has fewer.
--- a/tier/chain/src/member/presence.rs
+++ b/tier/chain/src/member/presence.rs
@@ -49,13 +49,21 @@
     /// When `tick` has something to do next.
     pub fn next_tick(&self) -> Millis {
         let busy = !self.attempts.is_idle() || !self.proposals.is_empty() || !self.reads.is_empty();
-        let soon = if busy { self.now + HEARTBEAT / 3 } else { self.now + HEARTBEAT };
+        let soon = if busy {
+            self.now + HEARTBEAT / 3
+        } else {
+            self.now + HEARTBEAT
+        };
         self.presence.next.min(soon)
     }
 
     /// Whether a confirmation of this view by a majority, with everything committed by then, is fresh here.
     pub fn is_current(&self, now: Millis) -> bool {
-        let confirmed = if self.is_tail() { self.confirmed_at() } else { self.presence.current_at };
+        let confirmed = if self.is_tail() {
+            self.confirmed_at()
+        } else {
+            self.presence.current_at
+        };
         confirmed.is_some_and(|at| now.saturating_sub(at) < CURRENT)
     }
 
@@ -64,7 +72,8 @@
         let me = &self.me.identity;
         let reached = |voter: &&Identity| *voter == me || self.peers.is_reached(voter, now);
         let voters = self.view.voters.iter().map(|voter| &voter.identity);
-        self.view.number.0 > 0 && voters.filter(|voter| reached(voter)).count() >= self.view.majority()
+        self.view.number.0 > 0
+            && voters.filter(|voter| reached(voter)).count() >= self.view.majority()
     }
 
     /// Takes over other seeds.
@@ -98,7 +107,8 @@
     /// somebody would repeat anyway, so that what waits for it stays small.
     pub(super) fn disk_is_away(&self) -> bool {
         let waits_since = self.deferred.front().map(|(_, since, _)| *since);
-        let stalled = waits_since.is_some_and(|since| self.peers.awake_for(since, self.now) >= DISK_STALLED);
+        let stalled =
+            waits_since.is_some_and(|since| self.peers.awake_for(since, self.now) >= DISK_STALLED);
         self.presence.disk_refuses || stalled
     }
 
@@ -131,8 +141,16 @@
         // The heartbeat speaks of the view on disk. While a later one is on its way there, this member has left
         // the former, and what it knows of the later one must not pass for knowledge of the former.
         let settled = self.durable.0 == self.view.number;
-        let confirmed_at = if settled && self.is_tail() { self.confirmed_at() } else { None };
-        let committed = if settled { self.replicated.revision() } else { Revision(0) };
+        let confirmed_at = if settled && self.is_tail() {
+            self.confirmed_at()
+        } else {
+            None
+        };
+        let committed = if settled {
+            self.replicated.revision()
+        } else {
+            Revision(0)
+        };
         Heartbeat {
             member: self.me.clone(),
             sequence: self.presence.sequence,
@@ -149,7 +167,11 @@
 
     /// Everyone who may be a member or may want to become one.
     pub fn contacts(&self) -> BTreeSet<SocketAddr> {
-        let founders = self.founders.iter().flatten().filter(|_| self.view.number.0 == 0);
+        let founders = self
+            .founders
+            .iter()
+            .flatten()
+            .filter(|_| self.view.number.0 == 0);
         let seeds = self.seeds.iter().chain(founders).copied();
         let voters = self.view.voters.iter().map(|voter| voter.address);
         let heard = self.peers.all().map(|peer| peer.heartbeat.member.address);
@@ -167,7 +189,12 @@
         self.take_confirmation(&heartbeat);
         let was_alive = self.peers.is_alive(from, self.now);
         let was_current = self.is_current(self.now);
-        self.peers.heard(heartbeat.clone(), &self.me.identity, same_view && !heartbeat.sealed, self.now);
+        self.peers.heard(
+            heartbeat.clone(),
+            &self.me.identity,
+            same_view && !heartbeat.sealed,
+            self.now,
+        );
         self.spread_news(heartbeat.member.address, was_alive, was_current);
         if view < self.view.number {
             let decided = Message::Decided(self.view.clone());
@@ -194,12 +221,20 @@
     /// The tail says how long ago it was sure of its view; this member's heartbeat that it echoes was sent
     /// before it said so.
     fn take_confirmation(&mut self, heartbeat: &Heartbeat) {
-        let from_tail = self.view.tail().is_some_and(|tail| tail.identity == heartbeat.member.identity);
-        let Some(age) = heartbeat.confirmed_age else { return };
+        let from_tail = self
+            .view
+            .tail()
+            .is_some_and(|tail| tail.identity == heartbeat.member.identity);
+        let Some(age) = heartbeat.confirmed_age else {
+            return;
+        };
         if !from_tail || heartbeat.view != self.view.number || !self.holds(heartbeat.committed) {
             return;
         }
-        let echo = heartbeat.echoes.iter().find(|echo| echo.identity == self.me.identity);
+        let echo = heartbeat
+            .echoes
+            .iter()
+            .find(|echo| echo.identity == self.me.identity);
         let said_after = echo.and_then(|echo| self.peers.sent_at(echo.sequence));
         let sure_at = said_after.and_then(|at| at.checked_sub(age));
         self.presence.current_at = self.presence.current_at.max(sure_at);
@@ -216,8 +251,12 @@
             true => Some(self.now).filter(|_| !self.is_sealed()),
             false => self.peers.get(voter).and_then(|peer| peer.confirmed),
         };
-        let mut times: Vec<_> =
-            self.view.voters.iter().filter_map(|voter| confirmation(&voter.identity)).collect();
+        let mut times: Vec<_> = self
+            .view
+            .voters
+            .iter()
+            .filter_map(|voter| confirmation(&voter.identity))
+            .collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
         times.get(self.view.majority() - 1).copied()
     }
--- a/tier/chain/src/member/proposals.rs
+++ b/tier/chain/src/member/proposals.rs
@@ -36,15 +36,32 @@
 impl<M: StateMachine> ChainMember<M> {
     /// Proposes an operation, to be given up at `ends`. Answered by an effect: at once where this member is
     /// cut off.
-    pub fn propose(&mut self, request: RequestNumber, operation: Arc<[u8]>, ends: Millis, now: Millis) {
+    pub fn propose(
+        &mut self,
+        request: RequestNumber,
+        operation: Arc<[u8]>,
+        ends: Millis,
+        now: Millis,
+    ) {
         self.now = self.now.max(now);
         if let Some(outcome) = self.replicated.outcome(&request).cloned() {
             self.effects.push(Effect::Proposed { request, outcome });
         } else if !self.is_connected(self.now) || self.proposals.waiting.len() >= WAITING {
             self.effects.push(Effect::ProposalFailed(request));
         } else {
-            let entry = Entry { request, origin: self.me.identity.node.clone(), operation };
-            self.proposals.waiting.insert(request, Waiting { entry, ends, sent: None });
+            let entry = Entry {
+                request,
+                origin: self.me.identity.node.clone(),
+                operation,
+            };
+            self.proposals.waiting.insert(
+                request,
+                Waiting {
+                    entry,
+                    ends,
+                    sent: None,
+                },
+            );
             self.send_proposals();
         }
     }
@@ -53,7 +70,12 @@
     pub(super) fn repeat_proposals(&mut self) {
         let (now, connected) = (self.now, self.is_connected(self.now));
         let given_up = |waiting: &Waiting| !connected || waiting.ends <= now;
-        let failed: Vec<_> = self.proposals.waiting.iter().filter(|(_, waiting)| given_up(waiting)).collect();
+        let failed: Vec<_> = self
+            .proposals
+            .waiting
+            .iter()
+            .filter(|(_, waiting)| given_up(waiting))
+            .collect();
         let failed: Vec<_> = failed.into_iter().map(|(request, _)| *request).collect();
         for request in failed {
             self.proposals.waiting.remove(&request);
@@ -64,7 +86,10 @@
 
     /// The view changed: the new head has to get them all.
     pub(super) fn restart_proposals(&mut self) {
-        self.proposals.waiting.values_mut().for_each(|waiting| waiting.sent = None);
+        self.proposals
+            .waiting
+            .values_mut()
+            .for_each(|waiting| waiting.sent = None);
         self.send_proposals();
     }
 
@@ -72,10 +97,21 @@
     /// does not hear this one.
     fn send_proposals(&mut self) {
         let (now, view) = (self.now, self.view.number);
-        let Some(head) = self.view.head().map(|head| head.identity.clone()) else { return };
-        let due = |waiting: &Waiting| waiting.sent.is_none_or(|at| now.saturating_sub(at) >= ASK_AGAIN);
+        let Some(head) = self.view.head().map(|head| head.identity.clone()) else {
+            return;
+        };
+        let due = |waiting: &Waiting| {
+            waiting
+                .sent
+                .is_none_or(|at| now.saturating_sub(at) >= ASK_AGAIN)
+        };
         let mut entries = Vec::new();
-        for waiting in self.proposals.waiting.values_mut().filter(|waiting| due(waiting)) {
+        for waiting in self
+            .proposals
+            .waiting
+            .values_mut()
+            .filter(|waiting| due(waiting))
+        {
             entries.push((waiting.entry.clone(), waiting.sent.is_none()));
             waiting.sent = Some(now);
         }
@@ -91,7 +127,11 @@
     }
 
     fn send_to_links(&mut self, message: &Message) {
-        let others = self.view.links().map(|link| &link.identity).filter(|link| **link != self.me.identity);
+        let others = self
+            .view
+            .links()
+            .map(|link| &link.identity)
+            .filter(|link| **link != self.me.identity);
         let others: Vec<_> = others.cloned().collect();
         for link in others {
             self.send_to(&link, message.clone());
--- a/tier/chain/src/member/reads.rs
+++ b/tier/chain/src/member/reads.rs
@@ -51,7 +51,10 @@
 impl Reads {
     /// Rounds are numbered from a random number on, so that answers to a former life do not count.
     pub(super) fn new(random: u64) -> Self {
-        Self { rounds: random >> 1, ..Self::default() }
+        Self {
+            rounds: random >> 1,
+            ..Self::default()
+        }
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -68,15 +71,27 @@
             self.effects.push(Effect::ReadFailed(read));
             return;
         }
-        self.reads.asked.insert(read, Asked { ends, sent: None, at: None });
+        self.reads.asked.insert(
+            read,
+            Asked {
+                ends,
+                sent: None,
+                at: None,
+            },
+        );
         self.send_reads();
     }
 
     pub(super) fn repeat_reads(&mut self) {
         let (now, connected) = (self.now, self.is_connected(self.now));
         let given_up = |asked: &Asked| !connected || asked.ends <= now;
-        let failed: Vec<_> =
-            self.reads.asked.iter().filter(|(_, asked)| given_up(asked)).map(|(read, _)| *read).collect();
+        let failed: Vec<_> = self
+            .reads
+            .asked
+            .iter()
+            .filter(|(_, asked)| given_up(asked))
+            .map(|(read, _)| *read)
+            .collect();
         for read in failed {
             self.reads.asked.remove(&read);
             self.effects.push(Effect::ReadFailed(read));
@@ -92,15 +107,23 @@
     pub(super) fn restart_reads(&mut self) {
         self.reads.queued.clear();
         self.reads.round = None;
-        self.reads.asked.values_mut().for_each(|asked| asked.sent = None);
+        self.reads
+            .asked
+            .values_mut()
+            .for_each(|asked| asked.sent = None);
         self.send_reads();
     }
 
     fn send_reads(&mut self) {
         let (now, view) = (self.now, self.view.number);
-        let Some(tail) = self.view.tail().map(|tail| tail.identity.clone()) else { return };
+        let Some(tail) = self.view.tail().map(|tail| tail.identity.clone()) else {
+            return;
+        };
         let due = |asked: &Asked| {
-            asked.at.is_none() && asked.sent.is_none_or(|at| now.saturating_sub(at) >= ASK_AGAIN)
+            asked.at.is_none()
+                && asked
+                    .sent
+                    .is_none_or(|at| now.saturating_sub(at) >= ASK_AGAIN)
         };
         let mut reads = Vec::new();
         for (read, asked) in self.reads.asked.iter_mut().filter(|(_, asked)| due(asked)) {
@@ -120,7 +143,10 @@
         if view != self.view.number || !self.is_tail() || self.reads.queued.len() >= WAITING {
             return;
         }
-        self.reads.queued.push(Question { from: from.clone(), read });
+        self.reads.queued.push(Question {
+            from: from.clone(),
+            read,
+        });
         if self.reads.round.is_none() {
             self.start_round();
         }
@@ -144,14 +170,27 @@
 
     fn ask_voters(&mut self) {
         let now = self.now;
-        let Some(round) = self.reads.round.as_mut() else { return };
+        let Some(round) = self.reads.round.as_mut() else {
+            return;
+        };
         round.sent = now;
         let (view, number) = (self.view.number, round.number);
-        let voters: Vec<_> = self.view.voters.iter().map(|voter| voter.identity.clone()).collect();
+        let voters: Vec<_> = self
+            .view
+            .voters
+            .iter()
+            .map(|voter| voter.identity.clone())
+            .collect();
         for voter in voters {
             match voter == self.me.identity {
                 true => self.on_confirm(&voter, view, number),
-                false => self.send_to(&voter, Message::Confirm { view, round: number }),
+                false => self.send_to(
+                    &voter,
+                    Message::Confirm {
+                        view,
+                        round: number,
+                    },
+                ),
             }
         }
     }
@@ -172,7 +211,9 @@
     pub(super) fn on_confirmed(&mut self, from: &Identity, view: ViewNumber, number: u64) {
         let votes = self.view.voter(from).is_some();
         let majority = self.view.majority();
-        let Some(round) = self.reads.round.as_mut() else { return };
+        let Some(round) = self.reads.round.as_mut() else {
+            return;
+        };
         if view != self.view.number || number != round.number || !votes {
             return;
         }
@@ -180,12 +221,17 @@
         if round.confirmed.len() < majority {
             return;
         }
-        let Some(round) = self.reads.round.take() else { return };
+        let Some(round) = self.reads.round.take() else {
+            return;
+        };
         for question in round.questions {
             match question.from == self.me.identity {
                 true => self.on_read_at(question.read, round.revision),
                 false => {
-                    let answer = Message::ReadAt { read: question.read, revision: round.revision };
+                    let answer = Message::ReadAt {
+                        read: question.read,
+                        revision: round.revision,
+                    };
                     self.send_to(&question.from, answer);
                 }
             }
@@ -205,8 +251,13 @@
     pub(super) fn finish_reads(&mut self) {
         let revision = self.replicated.revision();
         let done = |asked: &Asked| asked.at.is_some_and(|at| at <= revision);
-        let ready: Vec<_> =
-            self.reads.asked.iter().filter(|(_, asked)| done(asked)).map(|(read, _)| *read).collect();
+        let ready: Vec<_> = self
+            .reads
+            .asked
+            .iter()
+            .filter(|(_, asked)| done(asked))
+            .map(|(read, _)| *read)
+            .collect();
         for read in ready {
             self.reads.asked.remove(&read);
             self.effects.push(Effect::ReadReady(read));
--- a/tier/chain/src/member/reform.rs
+++ b/tier/chain/src/member/reform.rs
@@ -29,7 +29,10 @@
             // No promises would come, and the question would only seal those whom it reaches.
             return None;
         }
-        let under_way = self.attempts.voted_at.is_some_and(|at| self.now.saturating_sub(at) < SILENCE);
+        let under_way = self
+            .attempts
+            .voted_at
+            .is_some_and(|at| self.now.saturating_sub(at) < SILENCE);
         if self.is_sealed() && under_way {
             return None;
         }
@@ -42,9 +45,13 @@
     }
 
     fn wants_founding(&self) -> Option<usize> {
-        let founders = self.founders.as_ref().filter(|founders| founders.contains(&self.me.address))?;
+        let founders = self
+            .founders
+            .as_ref()
+            .filter(|founders| founders.contains(&self.me.address))?;
         let present = |address: &&std::net::SocketAddr| {
-            let heard = |peer: &Peer| peer.heartbeat.founder && peer.heartbeat.member.address == **address;
+            let heard =
+                |peer: &Peer| peer.heartbeat.founder && peer.heartbeat.member.address == **address;
             **address == self.me.address || self.peers.all().any(heard)
         };
         let heard: Vec<_> = founders.iter().filter(present).collect();
@@ -52,7 +59,9 @@
         if heard.len() < self.quorum() || (heard.len() < founders.len() && patient) {
             return None;
         }
-        heard.iter().position(|address| **address == self.me.address)
+        heard
+            .iter()
+            .position(|address| **address == self.me.address)
     }
 
     /// Members of the chain that are to stay before this one; those that leave come last.
@@ -62,14 +71,21 @@
             true => self.stays(&link.identity),
             false => place < mine && self.stays(&link.identity),
         };
-        self.view.links().enumerate().filter(|link| ahead(*link)).count()
+        self.view
+            .links()
+            .enumerate()
+            .filter(|link| ahead(*link))
+            .count()
     }
 
     /// Whether a link is heard and wants to go on.
     fn stays(&self, identity: &Identity) -> bool {
         let leaving = match *identity == self.me.identity {
             true => self.is_leaving(),
-            false => self.peers.get(identity).is_some_and(|peer| peer.heartbeat.leaving),
+            false => self
+                .peers
+                .get(identity)
+                .is_some_and(|peer| peer.heartbeat.leaving),
         };
         !leaving && self.is_present(identity)
     }
@@ -80,7 +96,11 @@
 
     /// Whether a link is gone or wants to go, and enough are left without it.
     fn must_shrink(&self) -> bool {
-        let staying = self.view.links().filter(|link| self.stays(&link.identity)).count();
+        let staying = self
+            .view
+            .links()
+            .filter(|link| self.stays(&link.identity))
+            .count();
         let joining = self.joiners(self.log.last(), NEARLY_THERE).len();
         let required = self.required_links(self.view.voters.len());
         staying < self.view.chain.len() && staying > 0 && staying + joining >= required
@@ -97,7 +117,10 @@
     fn may_join(&self, peer: &Peer) -> bool {
         let identity = &peer.heartbeat.member.identity;
         let steady = self.now.saturating_sub(peer.steady_since) >= STEADY;
-        let mut links = self.view.links().filter(|link| self.is_present(&link.identity));
+        let mut links = self
+            .view
+            .links()
+            .filter(|link| self.is_present(&link.identity));
         !self.view.in_chain(identity)
             && !peer.heartbeat.leaving
             && peer.heartbeat.view == self.view.number
@@ -120,7 +143,10 @@
 
     /// A voter out of service and silent for long, as long as 2f+1 others live.
     fn voter_to_drop(&self, voters: &[Member]) -> Option<Identity> {
-        let alive = voters.iter().filter(|voter| self.is_present(&voter.identity)).count();
+        let alive = voters
+            .iter()
+            .filter(|voter| self.is_present(&voter.identity))
+            .count();
         if alive <= 2 * self.tolerated {
             return None;
         }
@@ -129,25 +155,43 @@
                 && **identity != self.me.identity
                 && self.peers.silence(identity, self.now) >= GONE
         };
-        voters.iter().map(|voter| &voter.identity).find(gone).cloned()
+        voters
+            .iter()
+            .map(|voter| &voter.identity)
+            .find(gone)
+            .cloned()
     }
 
     /// The view to ask for, given the promises; `None` while it is better to wait.
-    pub(super) fn plan(&self, promises: &BTreeMap<NodeId, Promised>, waited: Millis) -> Option<View> {
+    pub(super) fn plan(
+        &self,
+        promises: &BTreeMap<NodeId, Promised>,
+        waited: Millis,
+    ) -> Option<View> {
         if self.view.number.0 == 0 {
             return self.plan_founding(promises, waited);
         }
         let promised = |link: &&Member| {
-            promises.get(&link.identity.node).is_some_and(|promise| promise.identity == link.identity)
+            promises
+                .get(&link.identity.node)
+                .is_some_and(|promise| promise.identity == link.identity)
         };
-        let missing =
-            self.view.links().filter(|link| self.stays(&link.identity)).any(|link| !promised(&link));
+        let missing = self
+            .view
+            .links()
+            .filter(|link| self.stays(&link.identity))
+            .any(|link| !promised(&link));
         if missing && waited < PROMISE_GRACE {
             return None;
         }
         let sealed: Vec<_> = self.view.links().filter(promised).collect();
-        let staying: Vec<_> = sealed.iter().copied().filter(|link| self.stays(&link.identity)).collect();
-        self.compose(&staying, promises, waited).or_else(|| self.compose(&sealed, promises, waited))
+        let staying: Vec<_> = sealed
+            .iter()
+            .copied()
+            .filter(|link| self.stays(&link.identity))
+            .collect();
+        self.compose(&staying, promises, waited)
+            .or_else(|| self.compose(&sealed, promises, waited))
     }
 
     fn compose(
@@ -156,7 +200,9 @@
         promises: &BTreeMap<NodeId, Promised>,
         waited: Millis,
     ) -> Option<View> {
-        let positions = survivors.iter().filter_map(|link| promises.get(&link.identity.node));
+        let positions = survivors
+            .iter()
+            .filter_map(|link| promises.get(&link.identity.node));
         let base = positions.map(|promise| promise.position).min()?;
         let joiners = self.joiners(base, 0);
         let awaited = self.joiners(base, NEARLY_THERE).len() > joiners.len();
@@ -167,15 +213,29 @@
         let links = survivors.iter().copied().chain(&joiners);
         let chain: Vec<_> = links.map(|link| link.identity.node.clone()).collect();
         let enough = chain.len() >= self.required_links(voters.len());
-        enough.then(|| View { number: self.view.number.next(), voters, chain, base })
+        enough.then(|| View {
+            number: self.view.number.next(),
+            voters,
+            chain,
+            base,
+        })
     }
 
     /// The voters with the joiners among them: a new life of a disk replaces the old one, and voters that are
     /// gone make room.
     fn next_voters(&self, joiners: &[Member]) -> Vec<Member> {
-        let replaced =
-            |voter: &Member| joiners.iter().any(|joiner| joiner.identity.node == voter.identity.node);
-        let mut voters: Vec<_> = self.view.voters.iter().filter(|voter| !replaced(voter)).cloned().collect();
+        let replaced = |voter: &Member| {
+            joiners
+                .iter()
+                .any(|joiner| joiner.identity.node == voter.identity.node)
+        };
+        let mut voters: Vec<_> = self
+            .view
+            .voters
+            .iter()
+            .filter(|voter| !replaced(voter))
+            .cloned()
+            .collect();
         voters.extend(joiners.iter().cloned());
         while let Some(gone) = self.voter_to_drop(&voters) {
             voters.retain(|voter| voter.identity != gone);
@@ -191,11 +251,27 @@
             return None;
         }
         let founders = self.founders.as_ref()?;
-        let at = |address| electors.iter().filter(promised).find(|member| member.address == address);
-        let links: Vec<_> = founders.iter().filter_map(|address| at(*address).cloned()).collect();
-        let chain = links.iter().map(|member| member.identity.node.clone()).collect();
+        let at = |address| {
+            electors
+                .iter()
+                .filter(promised)
+                .find(|member| member.address == address)
+        };
+        let links: Vec<_> = founders
+            .iter()
+            .filter_map(|address| at(*address).cloned())
+            .collect();
+        let chain = links
+            .iter()
+            .map(|member| member.identity.node.clone())
+            .collect();
         let mut voters = links;
         voters.sort_by(|one, other| one.identity.cmp(&other.identity));
-        Some(View { number: ViewNumber(1), voters, chain, base: Revision(0) })
+        Some(View {
+            number: ViewNumber(1),
+            voters,
+            chain,
+            base: Revision(0),
+        })
     }
 }
--- a/tier/chain/src/member/replication.rs
+++ b/tier/chain/src/member/replication.rs
@@ -35,7 +35,11 @@
 impl Passing {
     /// The next link is thought to have everything up to here.
     pub(super) fn from(revision: Revision) -> Self {
-        Self { sent: revision, kept: revision, moved_at: 0 }
+        Self {
+            sent: revision,
+            kept: revision,
+            moved_at: 0,
+        }
     }
 }
 
@@ -57,8 +61,12 @@
     fn order(&mut self, entry: Entry) {
         let committed = self.replicated.revision();
         // A log behind what is committed has lost what it had: nothing can be ordered on top of it.
-        let Some(under_way) = self.log.last().0.checked_sub(committed.0) else { return };
-        if under_way < UNCOMMITTED && !self.disk_is_away() && !self.log.holds_after(committed, &entry.request)
+        let Some(under_way) = self.log.last().0.checked_sub(committed.0) else {
+            return;
+        };
+        if under_way < UNCOMMITTED
+            && !self.disk_is_away()
+            && !self.log.holds_after(committed, &entry.request)
         {
             self.append(vec![entry]);
         }
@@ -78,7 +86,10 @@
         previous: Revision,
         entries: Vec<Entry>,
     ) {
-        let place = self.view.place(&self.me.identity).and_then(|place| place.checked_sub(1));
+        let place = self
+            .view
+            .place(&self.me.identity)
+            .and_then(|place| place.checked_sub(1));
         let before = place.and_then(|place| self.view.link(place));
         let from_before = before.is_some_and(|link| link.identity == *from);
         let is_due = view == self.view.number && from_before && previous <= self.log.last();
@@ -101,7 +112,10 @@
             writes.push(Write::Append { revision, entry });
         }
         writes.push(Write::Committed(self.replicated.revision()));
-        self.persist(writes, Deferred::Position(self.view.number, self.log.last()));
+        self.persist(
+            writes,
+            Deferred::Position(self.view.number, self.log.last()),
+        );
     }
 
     /// Operations of a view have reached the disk here.
@@ -136,8 +150,12 @@
         if self.durable.0 != self.view.number || self.is_sealed() {
             return;
         }
-        let Some(place) = self.view.place(&self.me.identity) else { return };
-        let Some(next) = self.view.link(place + 1).map(|link| link.identity.clone()) else { return };
+        let Some(place) = self.view.place(&self.me.identity) else {
+            return;
+        };
+        let Some(next) = self.view.link(place + 1).map(|link| link.identity.clone()) else {
+            return;
+        };
         let mut previous = self.passing.sent;
         if previous <= self.passing.kept {
             self.passing.moved_at = self.now;
@@ -148,7 +166,14 @@
                 break;
             }
             let after = Revision(previous.0 + entries.len() as u64);
-            self.send_to(&next, Message::Append { view: self.view.number, previous, entries });
+            self.send_to(
+                &next,
+                Message::Append {
+                    view: self.view.number,
+                    previous,
+                    entries,
+                },
+            );
             previous = after;
         }
         self.passing.sent = previous;
@@ -156,7 +181,9 @@
 
     /// The next link says what it has on disk.
     pub(super) fn on_link_position(&mut self, from: &Identity, position: Revision) {
-        let Some(place) = self.view.place(&self.me.identity) else { return };
+        let Some(place) = self.view.place(&self.me.identity) else {
+            return;
+        };
         if self.view.link(place + 1).map(|link| &link.identity) != Some(from) {
             return;
         }
@@ -196,7 +223,9 @@
     pub(super) fn commit_to(&mut self, revision: Revision) {
         while self.replicated.revision() < revision {
             let place = Revision(self.replicated.revision().0 + 1);
-            let Some(entry) = self.log.get(place).cloned() else { return };
+            let Some(entry) = self.log.get(place).cloned() else {
+                return;
+            };
             let outcome = self.replicated.apply(&entry);
             self.announce(&entry, outcome);
         }
@@ -216,7 +245,10 @@
             self.on_outcome(request, outcome);
             return;
         }
-        let origin = self.peers.all().find(|peer| peer.heartbeat.member.identity.node == entry.origin);
+        let origin = self
+            .peers
+            .all()
+            .find(|peer| peer.heartbeat.member.identity.node == entry.origin);
         if let Some(to) = origin.map(|peer| peer.heartbeat.member.address) {
             self.send(to, Message::Outcome { request, outcome });
         }
--- a/tier/chain/src/member/votes.rs
+++ b/tier/chain/src/member/votes.rs
@@ -18,7 +18,12 @@
         let newly_sealed = !self.is_sealed();
         self.acceptor.promised = Some(ballot.clone());
         let accepted = self.acceptor.accepted.clone();
-        let promise = Message::Promise { instance, ballot, accepted, position: self.log.last() };
+        let promise = Message::Promise {
+            instance,
+            ballot,
+            accepted,
+            position: self.log.last(),
+        };
         self.vote(from, promise);
         if newly_sealed {
             self.send_heartbeats();
@@ -43,7 +48,9 @@
             self.send_to(from, decided);
             return false;
         }
-        if instance != self.acceptor.instance || !self.is_elector(&self.me.identity) || !self.is_elector(from)
+        if instance != self.acceptor.instance
+            || !self.is_elector(&self.me.identity)
+            || !self.is_elector(from)
         {
             return false;
         }
@@ -52,7 +59,12 @@
             // The vote could not be given; the question comes again.
             return false;
         }
-        match self.acceptor.promised.clone().filter(|promised| promised > ballot) {
+        match self
+            .acceptor
+            .promised
+            .clone()
+            .filter(|promised| promised > ballot)
+        {
             None => true,
             Some(promised) => {
                 self.answer(from, Message::Refuse { instance, promised });
@@ -83,11 +95,16 @@
         if self.view.number.0 > 0 {
             return self.view.voter(identity).is_some();
         }
-        let Some(founders) = &self.founders else { return false };
+        let Some(founders) = &self.founders else {
+            return false;
+        };
         let address = match *identity == self.me.identity {
             true => Some(self.me.address),
             false => {
-                let peer = self.peers.get(identity).filter(|peer| peer.heartbeat.founder);
+                let peer = self
+                    .peers
+                    .get(identity)
+                    .filter(|peer| peer.heartbeat.founder);
                 peer.map(|peer| peer.heartbeat.member.address)
             }
         };
--- a/tier/chain/src/peers.rs
+++ b/tier/chain/src/peers.rs
@@ -40,7 +40,11 @@
 
 impl Peers {
     pub(crate) fn new(now: Millis) -> Self {
-        Self { known: BTreeMap::new(), sent: VecDeque::new(), awake_since: now }
+        Self {
+            known: BTreeMap::new(),
+            sent: VecDeque::new(),
+            awake_since: now,
+        }
     }
 
     /// This process did not run for a while: nobody is silent yet.
@@ -63,18 +67,30 @@
 
     /// When an own heartbeat was sent.
     pub(crate) fn sent_at(&self, sequence: u64) -> Option<Millis> {
-        let found = self.sent.iter().rev().find(|(number, _)| *number == sequence);
+        let found = self
+            .sent
+            .iter()
+            .rev()
+            .find(|(number, _)| *number == sequence);
         found.map(|(_, at)| *at)
     }
 
     /// A heartbeat came. `confirms` says whether its sender is in this member's view and unsealed.
-    pub(crate) fn heard(&mut self, heartbeat: Heartbeat, me: &Identity, confirms: bool, now: Millis) {
+    pub(crate) fn heard(
+        &mut self,
+        heartbeat: Heartbeat,
+        me: &Identity,
+        confirms: bool,
+        now: Millis,
+    ) {
         let echo = heartbeat.echoes.iter().find(|echo| echo.identity == *me);
         let echoed = echo.and_then(|echo| self.sent_at(echo.sequence));
         let node = heartbeat.member.identity.node.clone();
         let known = self.known.remove(&node);
         let same = known.filter(|peer| peer.heartbeat.member.identity == heartbeat.member.identity);
-        let steady = same.as_ref().filter(|peer| now.saturating_sub(peer.heard_at) < SILENCE);
+        let steady = same
+            .as_ref()
+            .filter(|peer| now.saturating_sub(peer.heard_at) < SILENCE);
         let confirmed = if confirms { echoed } else { None };
         let peer = Peer {
             steady_since: steady.map_or(now, |peer| peer.steady_since),
@@ -90,17 +106,22 @@
 
     /// The view changed: what was confirmed concerns the former one.
     pub(crate) fn forget_confirmations(&mut self) {
-        self.known.values_mut().for_each(|peer| peer.confirmed = None);
+        self.known
+            .values_mut()
+            .for_each(|peer| peer.confirmed = None);
     }
 
     /// Drops machines that were not heard for long.
     pub(crate) fn prune(&mut self, now: Millis) {
-        self.known.retain(|_, peer| now.saturating_sub(peer.heard_at) < 4 * GONE);
+        self.known
+            .retain(|_, peer| now.saturating_sub(peer.heard_at) < 4 * GONE);
     }
 
     /// What is known of a machine's disk, whether or not it is heard at present.
     pub(crate) fn get(&self, identity: &Identity) -> Option<&Peer> {
-        self.known.get(&identity.node).filter(|peer| peer.heartbeat.member.identity == *identity)
+        self.known
+            .get(&identity.node)
+            .filter(|peer| peer.heartbeat.member.identity == *identity)
     }
 
     /// Everyone known.
@@ -124,7 +145,8 @@
 
     /// Whether somebody has been heard lately.
     pub(crate) fn is_alive(&self, identity: &Identity, now: Millis) -> bool {
-        self.get(identity).is_some_and(|peer| now.saturating_sub(peer.heard_at) < SILENCE)
+        self.get(identity)
+            .is_some_and(|peer| now.saturating_sub(peer.heard_at) < SILENCE)
     }
 
     /// Whether messages have lately gone both ways.
@@ -135,8 +157,10 @@
 
     /// What own heartbeats echo.
     pub(crate) fn echoes(&self, now: Millis) -> Vec<Echo> {
-        let recent =
-            self.known.values().filter(|peer| now.saturating_sub(peer.heard_at) < SILENCE + HEARTBEAT);
+        let recent = self
+            .known
+            .values()
+            .filter(|peer| now.saturating_sub(peer.heard_at) < SILENCE + HEARTBEAT);
         recent
             .map(|peer| Echo {
                 identity: peer.heartbeat.member.identity.clone(),
--- a/tier/chain/src/view.rs
+++ b/tier/chain/src/view.rs
@@ -6,7 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Number of a view; 0 before the first.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct ViewNumber(pub u64);
 
 impl ViewNumber {
@@ -56,7 +58,9 @@
 
     /// The voter on this machine, whichever its incarnation.
     pub fn voter_on(&self, node: &NodeId) -> Option<&Member> {
-        self.voters.iter().find(|voter| voter.identity.node == *node)
+        self.voters
+            .iter()
+            .find(|voter| voter.identity.node == *node)
     }
 
     /// Place in the chain, 0 for the head.
--- a/tier/chain/tests/ballots.rs
+++ b/tier/chain/tests/ballots.rs
@@ -26,7 +26,12 @@
 
 fn promise(from: u8, ballot: &Ballot) -> (Identity, Message) {
     let (instance, position) = (ViewNumber(2), Revision(0));
-    let promise = Message::Promise { instance, ballot: ballot.clone(), accepted: None, position };
+    let promise = Message::Promise {
+        instance,
+        ballot: ballot.clone(),
+        accepted: None,
+        position,
+    };
     (member(from).identity, promise)
 }
 
@@ -43,9 +48,10 @@
         for effect in link.take_effects() {
             match effect {
                 Effect::Persist { ticket, writes } => batches.push((ticket, writes)),
-                Effect::Send { message: Message::Prepare { ballot, .. }, .. } => {
-                    return (ballot, batches, now)
-                }
+                Effect::Send {
+                    message: Message::Prepare { ballot, .. },
+                    ..
+                } => return (ballot, batches, now),
                 _ => {}
             }
         }
@@ -54,7 +60,15 @@
 }
 
 fn asks_for_a_view(link: &mut ChainMember<Nothing>) -> bool {
-    let accepts = |effect: &Effect| matches!(effect, Effect::Send { message: Message::Accept { .. }, .. });
+    let accepts = |effect: &Effect| {
+        matches!(
+            effect,
+            Effect::Send {
+                message: Message::Accept { .. },
+                ..
+            }
+        )
+    };
     link.take_effects().iter().any(accepts)
 }
 
@@ -70,7 +84,10 @@
         link.receive(&identity, promise, now);
     }
     link.tick(now + 250);
-    assert!(!asks_for_a_view(&mut link), "its own promise is not on disk yet");
+    assert!(
+        !asks_for_a_view(&mut link),
+        "its own promise is not on disk yet"
+    );
     let (ticket, _) = batches.last().expect("a promise of its own");
     link.persisted(*ticket, now + 260);
     link.tick(now + 300);
@@ -83,7 +100,10 @@
     let mut disk = disk();
     let mut link = start(1, &disk, 0);
     let (first, batches, now) = until_it_asks(&mut link, 0);
-    batches.iter().flat_map(|(_, writes)| writes).for_each(|write| disk.apply(write));
+    batches
+        .iter()
+        .flat_map(|(_, writes)| writes)
+        .for_each(|write| disk.apply(write));
     drop(link);
     let mut next_life = start(1, &disk, now);
     let (second, ..) = until_it_asks(&mut next_life, now);
--- a/tier/chain/tests/model/explore.rs
+++ b/tier/chain/tests/model/explore.rs
@@ -33,7 +33,10 @@
     let checker = bounds.checker().threads(THREADS).spawn_dfs().join();
     let found = checker.discovery("nothing is broken");
     let states = checker.unique_state_count();
-    println!("{bounds:?}: {states} states, {:.1} s", began.elapsed().as_secs_f64());
+    println!(
+        "{bounds:?}: {states} states, {:.1} s",
+        began.elapsed().as_secs_f64()
+    );
     let path = found.unwrap_or_else(|| panic!("{:?} was not found", bounds.planted));
     let broken = path.last_state().broken;
     println!("{broken:?} after {} steps", path.into_actions().len());
--- a/tier/chain/tests/model/main.rs
+++ b/tier/chain/tests/model/main.rs
@@ -32,7 +32,11 @@
 
 #[test]
 fn three_machines_with_a_lost_disk() {
-    holds(Bounds { wipes: 1, proposers: 1, ..SMALL });
+    holds(Bounds {
+        wipes: 1,
+        proposers: 1,
+        ..SMALL
+    });
     if large() {
         holds(Bounds { wipes: 1, ..SMALL });
     }
@@ -40,9 +44,21 @@
 
 #[test]
 fn three_machines_with_two_attempts_and_a_crash() {
-    holds(Bounds { operations: 0, attempts: 2, crashes: 1, proposers: 1, ..SMALL });
+    holds(Bounds {
+        operations: 0,
+        attempts: 2,
+        crashes: 1,
+        proposers: 1,
+        ..SMALL
+    });
     if large() {
-        holds(Bounds { operations: 0, attempts: 2, crashes: 1, proposers: 2, ..SMALL });
+        holds(Bounds {
+            operations: 0,
+            attempts: 2,
+            crashes: 1,
+            proposers: 2,
+            ..SMALL
+        });
     }
 }
 
@@ -50,33 +66,59 @@
 fn three_machines_with_a_read() {
     holds(Bounds { reads: 1, ..SMALL });
     if large() {
-        holds(Bounds { reads: 1, crashes: 1, ..SMALL });
+        holds(Bounds {
+            reads: 1,
+            crashes: 1,
+            ..SMALL
+        });
     }
 }
 
 /// Any two of four machines may be cut off from the others.
 #[test]
 fn four_machines_by_halves() {
-    holds(Bounds { machines: 4, proposers: 1, ..SMALL });
+    holds(Bounds {
+        machines: 4,
+        proposers: 1,
+        ..SMALL
+    });
     if large() {
-        holds(Bounds { machines: 4, ..SMALL });
-        holds(Bounds { machines: 4, wipes: 1, proposers: 1, ..SMALL });
+        holds(Bounds {
+            machines: 4,
+            ..SMALL
+        });
+        holds(Bounds {
+            machines: 4,
+            wipes: 1,
+            proposers: 1,
+            ..SMALL
+        });
     }
 }
 
 #[test]
 fn a_base_that_is_too_high_is_found() {
-    breaks(Bounds { planted: Some(Planted::BaseTooHigh), ..SMALL });
+    breaks(Bounds {
+        planted: Some(Planted::BaseTooHigh),
+        ..SMALL
+    });
 }
 
 #[test]
 fn a_base_that_is_too_low_is_found() {
-    breaks(Bounds { planted: Some(Planted::BaseTooLow), ..SMALL });
+    breaks(Bounds {
+        planted: Some(Planted::BaseTooLow),
+        ..SMALL
+    });
 }
 
 #[test]
 fn votes_of_a_lost_disk_are_found() {
-    breaks(Bounds { wipes: 1, planted: Some(Planted::LostDiskVotes), ..SMALL });
+    breaks(Bounds {
+        wipes: 1,
+        planted: Some(Planted::LostDiskVotes),
+        ..SMALL
+    });
 }
 
 #[test]
@@ -92,22 +134,42 @@
 
 #[test]
 fn a_sealed_link_that_goes_on_is_found() {
-    breaks(Bounds { planted: Some(Planted::SealIgnored), ..SMALL });
+    breaks(Bounds {
+        planted: Some(Planted::SealIgnored),
+        ..SMALL
+    });
 }
 
 #[test]
 fn a_tail_that_does_not_ask_is_found() {
-    breaks(Bounds { reads: 1, planted: Some(Planted::TailDoesNotAsk), ..SMALL });
+    breaks(Bounds {
+        reads: 1,
+        planted: Some(Planted::TailDoesNotAsk),
+        ..SMALL
+    });
 }
 
 #[test]
 fn a_chain_that_is_too_short_is_found() {
-    breaks(Bounds { attempts: 2, proposers: 1, views: 3, planted: Some(Planted::ShortChain), ..SMALL });
+    breaks(Bounds {
+        attempts: 2,
+        proposers: 1,
+        views: 3,
+        planted: Some(Planted::ShortChain),
+        ..SMALL
+    });
 }
 
 /// A proposer that asks for a view before its own promise is on disk may use the same ballot for another one after a crash.
 #[test]
 fn a_ballot_that_is_used_twice_is_found() {
     let planted = Some(Planted::BallotUsedTwice);
-    breaks(Bounds { operations: 0, attempts: 2, proposers: 1, crashes: 1, planted, ..SMALL });
+    breaks(Bounds {
+        operations: 0,
+        attempts: 2,
+        proposers: 1,
+        crashes: 1,
+        planted,
+        ..SMALL
+    });
 }
--- a/tier/chain/tests/model/model.rs
+++ b/tier/chain/tests/model/model.rs
@@ -95,10 +95,17 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let voters: Vec<Identity> = (0..self.machines).map(|machine| Identity { machine, life: 0 }).collect();
+        let voters: Vec<Identity> = (0..self.machines)
+            .map(|machine| Identity { machine, life: 0 })
+            .collect();
         // Of three machines all are links; of four one is a voter only.
         let chain = (0..self.machines.min(3)).collect();
-        let view = View { number: 1, voters, chain, base: 0 };
+        let view = View {
+            number: 1,
+            voters,
+            chain,
+            base: 0,
+        };
         let machine = Machine {
             life: 0,
             view: view.clone(),
@@ -137,11 +144,15 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is broken", |_, world: &World| world.broken.is_none()),
+            Property::always("nothing is broken", |_, world: &World| {
+                world.broken.is_none()
+            }),
             Property::sometimes("a later view commits", |bounds: &Bounds, world: &World| {
                 bounds.operations == 0 || world.commits.iter().any(|commit| commit.view > 1)
             }),
-            Property::sometimes("a later view is decided", |_, world: &World| world.decided.len() > 1),
+            Property::sometimes("a later view is decided", |_, world: &World| {
+                world.decided.len() > 1
+            }),
         ]
     }
 }
--- a/tier/chain/tests/model/rules/agreement.rs
+++ b/tier/chain/tests/model/rules/agreement.rs
@@ -8,24 +8,50 @@
 
 pub(super) type Promise<'world> = (Identity, &'world Option<(Ballot, View)>, usize);
 
-pub(super) fn promises(world: &World, instance: u8, ballot: Ballot) -> impl Iterator<Item = Promise<'_>> {
-    world.network.iter().filter_map(move |message| match message {
-        Message::Promise { instance: of, ballot: by, from, accepted, position }
-            if *of == instance && *by == ballot =>
-        {
-            Some((*from, accepted, *position))
-        }
-        _ => None,
-    })
+pub(super) fn promises(
+    world: &World,
+    instance: u8,
+    ballot: Ballot,
+) -> impl Iterator<Item = Promise<'_>> {
+    world
+        .network
+        .iter()
+        .filter_map(move |message| match message {
+            Message::Promise {
+                instance: of,
+                ballot: by,
+                from,
+                accepted,
+                position,
+            } if *of == instance && *by == ballot => Some((*from, accepted, *position)),
+            _ => None,
+        })
 }
 
-pub(super) fn may_vote(world: &World, voter: u8, instance: u8, ballot: Ballot, from: Identity) -> bool {
+pub(super) fn may_vote(
+    world: &World,
+    voter: u8,
+    instance: u8,
+    ballot: Ballot,
+    from: Identity,
+) -> bool {
     let (me, machine) = (identity(world, voter), of(world, voter));
-    let is_due = machine.view.number + 1 == instance && machine.view.votes(me) && machine.view.votes(from);
-    is_due && machine.acceptor.promised.is_none_or(|promised| promised <= ballot)
+    let is_due =
+        machine.view.number + 1 == instance && machine.view.votes(me) && machine.view.votes(from);
+    is_due
+        && machine
+            .acceptor
+            .promised
+            .is_none_or(|promised| promised <= ballot)
 }
 
-pub(super) fn on_prepare(world: &mut World, voter: u8, instance: u8, ballot: Ballot, from: Identity) {
+pub(super) fn on_prepare(
+    world: &mut World,
+    voter: u8,
+    instance: u8,
+    ballot: Ballot,
+    from: Identity,
+) {
     if !may_vote(world, voter, instance, ballot, from) {
         return;
     }
@@ -33,7 +59,13 @@
     let machine = of_mut(world, voter);
     machine.acceptor.promised = Some(ballot);
     let (accepted, position) = (machine.acceptor.accepted.clone(), machine.log.len());
-    world.network.insert(Message::Promise { instance, ballot, from: me, accepted, position });
+    world.network.insert(Message::Promise {
+        instance,
+        ballot,
+        from: me,
+        accepted,
+        position,
+    });
 }
 
 pub(super) fn on_accept(world: &mut World, voter: u8, ballot: Ballot, view: View, from: Identity) {
@@ -45,18 +77,33 @@
     let acceptor = &mut of_mut(world, voter).acceptor;
     acceptor.promised = Some(ballot);
     acceptor.accepted = Some((ballot, view));
-    world.network.insert(Message::Accepted { instance, ballot, from: me });
+    world.network.insert(Message::Accepted {
+        instance,
+        ballot,
+        from: me,
+    });
 }
 
-pub(super) fn propose(bounds: &Bounds, world: &mut World, proposer: u8, chosen: &[u8], joiners: &[Identity]) {
-    let Some(ballot) = open_ballot(world, proposer) else { return };
+pub(super) fn propose(
+    bounds: &Bounds,
+    world: &mut World,
+    proposer: u8,
+    chosen: &[u8],
+    joiners: &[Identity],
+) {
+    let Some(ballot) = open_ballot(world, proposer) else {
+        return;
+    };
     let (from, view) = (identity(world, proposer), of(world, proposer).view.clone());
     let instance = view.number + 1;
     let heard: Vec<_> = promises(world, instance, ballot)
         .filter(|(from, ..)| view.votes(*from) && chosen.contains(&from.machine))
         .map(|(from, accepted, position)| (from, accepted.clone(), position))
         .collect();
-    let bound = heard.iter().filter_map(|(_, accepted, _)| accepted.clone()).max_by_key(|(by, _)| *by);
+    let bound = heard
+        .iter()
+        .filter_map(|(_, accepted, _)| accepted.clone())
+        .max_by_key(|(by, _)| *by);
     let next = match bound {
         Some((_, bound)) => Some(bound),
         None => plan(bounds, world, &view, &heard, joiners),
@@ -77,10 +124,17 @@
     joiners: &[Identity],
 ) -> Option<View> {
     let position = |link: &u8| {
-        let promised = heard.iter().find(|(from, ..)| from.machine == *link && view.votes(*from));
+        let promised = heard
+            .iter()
+            .find(|(from, ..)| from.machine == *link && view.votes(*from));
         promised.map(|(.., position)| *position)
     };
-    let survivors: Vec<u8> = view.chain.iter().copied().filter(|link| position(link).is_some()).collect();
+    let survivors: Vec<u8> = view
+        .chain
+        .iter()
+        .copied()
+        .filter(|link| position(link).is_some())
+        .collect();
     let positions = survivors.iter().filter_map(position);
     let base = match bounds.planted {
         Some(Planted::BaseTooHigh) => positions.max()?,
@@ -97,17 +151,36 @@
         return None;
     }
     let replaced = |voter: &Identity| joiners.iter().any(|joiner| joiner.machine == voter.machine);
-    let mut voters: Vec<_> = view.voters.iter().copied().filter(|voter| !replaced(voter)).collect();
+    let mut voters: Vec<_> = view
+        .voters
+        .iter()
+        .copied()
+        .filter(|voter| !replaced(voter))
+        .collect();
     voters.extend(joiners);
     voters.sort();
-    let chain: Vec<u8> =
-        survivors.iter().copied().chain(joiners.iter().map(|joiner| joiner.machine)).collect();
-    let enough = if bounds.plants(Planted::ShortChain) { 1 } else { LINKS };
-    (chain.len() >= enough).then(|| View { number: view.number + 1, voters, chain, base })
+    let chain: Vec<u8> = survivors
+        .iter()
+        .copied()
+        .chain(joiners.iter().map(|joiner| joiner.machine))
+        .collect();
+    let enough = if bounds.plants(Planted::ShortChain) {
+        1
+    } else {
+        LINKS
+    };
+    (chain.len() >= enough).then(|| View {
+        number: view.number + 1,
+        voters,
+        chain,
+        base,
+    })
 }
 
 pub(super) fn decide(world: &mut World, proposer: u8) {
-    let Some(ballot) = open_ballot(world, proposer) else { return };
+    let Some(ballot) = open_ballot(world, proposer) else {
+        return;
+    };
     let view = of(world, proposer).view.clone();
     let instance = view.number + 1;
     let accepted = world.network.iter().filter(|message| {
@@ -117,7 +190,9 @@
     if accepted.count() < view.majority() {
         return;
     }
-    let Some(next) = of(world, proposer).asked.clone() else { return };
+    let Some(next) = of(world, proposer).asked.clone() else {
+        return;
+    };
     world.decided.insert(next.clone());
     world.network.insert(Message::Decided(next.clone()));
     adopt(world, proposer, next);
@@ -129,7 +204,11 @@
         return;
     }
     let follows = view.number == adopting.view.number + 1 && adopting.view.number > 0;
-    let keep = if follows { view.base.min(adopting.log.len()) } else { adopting.committed };
+    let keep = if follows {
+        view.base.min(adopting.log.len())
+    } else {
+        adopting.committed
+    };
     adopting.log.truncate(keep);
     adopting.acceptor = Acceptor::default();
     adopting.round = 0;
--- a/tier/chain/tests/model/rules/check.rs
+++ b/tier/chain/tests/model/rules/check.rs
@@ -28,14 +28,19 @@
         })
         .collect();
     let clash = |(ballot, view): &(&Ballot, &View)| {
-        asked.iter().any(|(other, asked)| other == ballot && asked.number == view.number && asked != view)
+        asked
+            .iter()
+            .any(|(other, asked)| other == ballot && asked.number == view.number && asked != view)
     };
     asked.iter().any(clash).then_some(Broken::BallotUsedTwice)
 }
 
 pub(super) fn two_orders(world: &World) -> Option<Broken> {
     let clash = |one: &Commit| {
-        world.commits.iter().any(|other| one.position == other.position && one.operation != other.operation)
+        world
+            .commits
+            .iter()
+            .any(|other| one.position == other.position && one.operation != other.operation)
     };
     world.commits.iter().any(clash).then_some(Broken::TwoOrders)
 }
@@ -43,10 +48,16 @@
 /// Every later view begins with what was acknowledged, and its links have it.
 pub(super) fn lost(world: &World) -> Option<Broken> {
     let missing = |commit: &Commit| {
-        let later = world.decided.iter().filter(|view| view.number > commit.view);
+        let later = world
+            .decided
+            .iter()
+            .filter(|view| view.number > commit.view);
         let too_low = later.clone().any(|view| view.base < commit.position);
         let not_held = world.machines.iter().zip(0..).any(|(machine, number)| {
-            let me = Identity { machine: number, life: machine.life };
+            let me = Identity {
+                machine: number,
+                life: machine.life,
+            };
             let is_link = machine.view.place(me).is_some() && machine.view.number > commit.view;
             is_link && machine.log.get(commit.position - 1) != Some(&commit.operation)
         });
--- a/tier/chain/tests/model/rules/log.rs
+++ b/tier/chain/tests/model/rules/log.rs
@@ -12,13 +12,22 @@
     let (view, previous) = (machine.view.number, machine.log.len());
     machine.log.push(operation);
     if !machine.view.is_tail(from) {
-        world.network.insert(Message::Append { view, from, previous, operation });
+        world.network.insert(Message::Append {
+            view,
+            from,
+            previous,
+            operation,
+        });
     }
 }
 
 pub(super) fn commit_at_tail(bounds: &Bounds, world: &mut World, tail: u8) {
     let machine = of(world, tail);
-    let enough = if bounds.plants(Planted::ShortChain) { 1 } else { LINKS };
+    let enough = if bounds.plants(Planted::ShortChain) {
+        1
+    } else {
+        LINKS
+    };
     if machine.view.chain.len() < enough {
         return;
     }
@@ -36,7 +45,11 @@
     let (view, before) = (known.view.number, known.committed);
     known.committed = before.max(revision.min(known.log.len()));
     let new: Vec<_> = (before..known.committed)
-        .map(|place| Commit { view, position: place + 1, operation: known.log[place] })
+        .map(|place| Commit {
+            view,
+            position: place + 1,
+            operation: known.log[place],
+        })
         .collect();
     for commit in new {
         let copies = world
@@ -62,9 +75,13 @@
 ) {
     let me = identity(world, to);
     let machine = of(world, to);
-    let place = machine.view.place(me).and_then(|place| place.checked_sub(1));
+    let place = machine
+        .view
+        .place(me)
+        .and_then(|place| place.checked_sub(1));
     let before = place.map(|place| machine.view.chain[place]);
-    let is_due = machine.view.number == view && before == Some(from.machine) && machine.view.votes(from);
+    let is_due =
+        machine.view.number == view && before == Some(from.machine) && machine.view.votes(from);
     if is_due && !is_sealed(bounds, machine) && machine.log.len() == previous {
         push(world, to, operation);
     }
@@ -81,7 +98,10 @@
         }
         return;
     }
-    if is_link && source.view.number == fetching.view.number && source.log.len() > fetching.log.len() {
+    if is_link
+        && source.view.number == fetching.view.number
+        && source.log.len() > fetching.log.len()
+    {
         let lacking = source.log[fetching.log.len()..].to_vec();
         fetching.log.extend(lacking);
     }
--- a/tier/chain/tests/model/rules/mod.rs
+++ b/tier/chain/tests/model/rules/mod.rs
@@ -27,7 +27,10 @@
 }
 
 fn identity(world: &World, machine: u8) -> Identity {
-    Identity { machine, life: world.machines[usize::from(machine)].life }
+    Identity {
+        machine,
+        life: world.machines[usize::from(machine)].life,
+    }
 }
 
 fn of(world: &World, machine: u8) -> &Machine {
@@ -43,7 +46,10 @@
 }
 
 fn next_round(machine: &Machine) -> u8 {
-    machine.round.max(machine.acceptor.promised.map_or(0, |ballot| ballot.round)) + 1
+    machine
+        .round
+        .max(machine.acceptor.promised.map_or(0, |ballot| ballot.round))
+        + 1
 }
 
 /// The attempt of a link that is still open: the one with its newest round.
@@ -68,26 +74,46 @@
             let machine = of_mut(world, proposer);
             machine.round = next_round(machine);
             machine.asked = None;
-            let ballot = Ballot { round: machine.round, proposer };
+            let ballot = Ballot {
+                round: machine.round,
+                proposer,
+            };
             let instance = machine.view.number + 1;
-            world.network.insert(Message::Prepare { instance, ballot, from });
-        }
-        Step::Propose { proposer, promises, joiners } => {
-            propose(bounds, world, proposer, &promises, &joiners)
+            world.network.insert(Message::Prepare {
+                instance,
+                ballot,
+                from,
+            });
         }
+        Step::Propose {
+            proposer,
+            promises,
+            joiners,
+        } => propose(bounds, world, proposer, &promises, &joiners),
         Step::Decide { proposer } => decide(world, proposer),
         Step::Fetch { machine, from } => fetch(world, machine, from),
         Step::Tell { machine } => {
             let (from, told) = (identity(world, machine), of(world, machine));
-            let message = Message::Holds { from, view: told.view.number, position: told.log.len() };
+            let message = Message::Holds {
+                from,
+                view: told.view.number,
+                position: told.log.len(),
+            };
             world.network.insert(message);
         }
         Step::LoseDisk { machine } => {
             world.wipes += 1;
             let lost = of_mut(world, machine);
-            let life = if bounds.plants(Planted::LostDiskVotes) { lost.life } else { lost.life + 1 };
-            let view =
-                if bounds.plants(Planted::LostDiskVotes) { lost.view.clone() } else { View::default() };
+            let life = if bounds.plants(Planted::LostDiskVotes) {
+                lost.life
+            } else {
+                lost.life + 1
+            };
+            let view = if bounds.plants(Planted::LostDiskVotes) {
+                lost.view.clone()
+            } else {
+                View::default()
+            };
             *lost = Machine {
                 life,
                 view,
@@ -101,10 +127,21 @@
         Step::Crash { machine } => crash(bounds, world, machine),
         Step::BeginRead { tail } => {
             world.reads += 1;
-            let owed = world.commits.iter().map(|commit| commit.position).max().unwrap_or(0);
+            let owed = world
+                .commits
+                .iter()
+                .map(|commit| commit.position)
+                .max()
+                .unwrap_or(0);
             let (me, machine) = (identity(world, tail), of(world, tail));
             let (view, revision) = (machine.view.number, machine.committed);
-            world.read = Some(Read { tail: me, view, revision, owed, confirmed: BTreeSet::new() });
+            world.read = Some(Read {
+                tail: me,
+                view,
+                revision,
+                owed,
+                confirmed: BTreeSet::new(),
+            });
         }
         Step::Confirm { voter } => confirm(world, voter),
         Step::AnswerRead => answer_read(bounds, world),
@@ -114,10 +151,19 @@
 
 fn deliver(bounds: &Bounds, world: &mut World, message: Message, to: u8) {
     match message {
-        Message::Prepare { instance, ballot, from } => on_prepare(world, to, instance, ballot, from),
+        Message::Prepare {
+            instance,
+            ballot,
+            from,
+        } => on_prepare(world, to, instance, ballot, from),
         Message::Accept { ballot, view, from } => on_accept(world, to, ballot, view, from),
         Message::Decided(view) => adopt(world, to, view),
-        Message::Append { view, from, previous, operation } => {
+        Message::Append {
+            view,
+            from,
+            previous,
+            operation,
+        } => {
             on_append(bounds, world, to, view, from, previous, operation);
         }
         Message::Committed { view, revision } if of(world, to).view.number == view => {
--- a/tier/chain/tests/model/rules/reads.rs
+++ b/tier/chain/tests/model/rules/reads.rs
@@ -9,7 +9,11 @@
     let (me, machine) = (identity(world, voter), of(world, voter));
     let (view, is_open) = (machine.view.number, machine.acceptor.promised.is_none());
     let votes = machine.view.votes(me);
-    if let Some(read) = world.read.as_mut().filter(|read| read.view == view && is_open && votes) {
+    if let Some(read) = world
+        .read
+        .as_mut()
+        .filter(|read| read.view == view && is_open && votes)
+    {
         read.confirmed.insert(voter);
     }
 }
@@ -18,7 +22,8 @@
     let Some(read) = &world.read else { return };
     let tail = of(world, read.tail.machine);
     let is_there = identity(world, read.tail.machine) == read.tail && tail.view.number == read.view;
-    let asked = read.confirmed.len() >= tail.view.majority() || bounds.plants(Planted::TailDoesNotAsk);
+    let asked =
+        read.confirmed.len() >= tail.view.majority() || bounds.plants(Planted::TailDoesNotAsk);
     if !is_there || !asked {
         return;
     }
--- a/tier/chain/tests/model/rules/steps.rs
+++ b/tier/chain/tests/model/rules/steps.rs
@@ -40,9 +40,10 @@
         if world.read.is_some() {
             steps.push(Step::Confirm { voter: number });
         }
-        steps.extend(
-            world.network.iter().map(|message| Step::Deliver { message: message.clone(), to: number }),
-        );
+        steps.extend(world.network.iter().map(|message| Step::Deliver {
+            message: message.clone(),
+            to: number,
+        }));
     }
     if world.read.is_some() {
         steps.push(Step::AnswerRead);
@@ -53,12 +54,17 @@
 fn outside(bounds: &Bounds, machine: &Machine, number: u8, steps: &mut Vec<Step>) {
     if machine.view.number < bounds.views {
         steps.push(Step::Tell { machine: number });
-        steps.extend((0..bounds.machines).map(|from| Step::Fetch { machine: number, from }));
+        steps.extend((0..bounds.machines).map(|from| Step::Fetch {
+            machine: number,
+            from,
+        }));
     }
 }
 
 fn proposals(bounds: &Bounds, world: &World, proposer: u8, steps: &mut Vec<Step>) {
-    let Some(ballot) = open_ballot(world, proposer) else { return };
+    let Some(ballot) = open_ballot(world, proposer) else {
+        return;
+    };
     let view = &of(world, proposer).view;
     let instance = view.number + 1;
     if of(world, proposer).asked.is_some() {
@@ -75,7 +81,11 @@
             continue;
         }
         for joiners in subsets(&holders(world, view)) {
-            steps.push(Step::Propose { proposer, promises: promises.clone(), joiners });
+            steps.push(Step::Propose {
+                proposer,
+                promises: promises.clone(),
+                joiners,
+            });
         }
     }
 }
@@ -83,7 +93,9 @@
 /// Lives outside the chain that have told what they hold.
 fn holders(world: &World, view: &View) -> Vec<Identity> {
     let told = world.network.iter().filter_map(|message| match message {
-        Message::Holds { from, view: of, .. } if *of == view.number && view.place(*from).is_none() => {
+        Message::Holds { from, view: of, .. }
+            if *of == view.number && view.place(*from).is_none() =>
+        {
             Some(*from)
         }
         _ => None,
@@ -93,7 +105,10 @@
 
 fn subsets<T: Clone>(items: &[T]) -> Vec<Vec<T>> {
     let chosen = |mask: usize| {
-        let kept = items.iter().enumerate().filter(move |(place, _)| mask & (1 << place) != 0);
+        let kept = items
+            .iter()
+            .enumerate()
+            .filter(move |(place, _)| mask & (1 << place) != 0);
         kept.map(|(_, item)| item.clone()).collect()
     };
     (0..1_usize << items.len()).map(chosen).collect()
--- a/tier/chain/tests/model/state.rs
+++ b/tier/chain/tests/model/state.rs
@@ -28,11 +28,15 @@
 
     /// The place in the chain of this life of a disk.
     pub fn place(&self, identity: Identity) -> Option<usize> {
-        self.chain.iter().position(|link| *link == identity.machine).filter(|_| self.votes(identity))
+        self.chain
+            .iter()
+            .position(|link| *link == identity.machine)
+            .filter(|_| self.votes(identity))
     }
 
     pub fn is_tail(&self, identity: Identity) -> bool {
-        self.place(identity).is_some_and(|place| place + 1 == self.chain.len())
+        self.place(identity)
+            .is_some_and(|place| place + 1 == self.chain.len())
     }
 
     pub fn majority(&self) -> usize {
--- a/tier/chain/tests/simulation/days.rs
+++ b/tier/chain/tests/simulation/days.rs
@@ -17,29 +17,47 @@
     world.run(CATCH_UP);
     settle(&mut world)?;
     let book = world.book.borrow();
-    book.broken.values().next().cloned().map_or(Ok(book.acknowledgements()), Err)
+    book.broken
+        .values()
+        .next()
+        .cloned()
+        .map_or(Ok(book.acknowledgements()), Err)
 }
 
 /// After calm has returned: everyone serves, everyone is answered, everything acknowledged is there.
 fn settle(world: &mut World) -> Result<(), String> {
-    let up: Vec<_> = (0..world.machines.len()).filter(|at| world.machines[*at].is_up()).collect();
+    let up: Vec<_> = (0..world.machines.len())
+        .filter(|at| world.machines[*at].is_up())
+        .collect();
     if world.book.borrow().broken.is_empty() && world.in_service() < up.len() {
         let views: Vec<_> = up
             .iter()
             .filter_map(|at| world.machines[*at].process.as_ref())
             .map(|member| member.view())
             .collect();
-        return Err(format!("only {} of {} in service: {views:?}", world.in_service(), up.len()));
+        return Err(format!(
+            "only {} of {} in service: {views:?}",
+            world.in_service(),
+            up.len()
+        ));
     }
-    let requests: Vec<_> = up.iter().map(|at| world.propose(*at, 1_000_000 + *at as u64)).collect();
+    let requests: Vec<_> = up
+        .iter()
+        .map(|at| world.propose(*at, 1_000_000 + *at as u64))
+        .collect();
     world.run(1_000);
-    if world.book.borrow().broken.is_empty() && requests.iter().any(|request| world.is_proposed(*request)) {
+    if world.book.borrow().broken.is_empty()
+        && requests.iter().any(|request| world.is_proposed(*request))
+    {
         return Err("a proposal was not answered after calm had returned".into());
     }
     world.clients_gone = true;
     world.run(1_000);
     for at in up {
-        let held = world.machines[at].process.as_ref().map(|member| member.machine().held.clone());
+        let held = world.machines[at]
+            .process
+            .as_ref()
+            .map(|member| member.machine().held.clone());
         world.book.borrow_mut().kept(&held.unwrap_or_default());
     }
     Ok(())
@@ -61,15 +79,33 @@
 
 #[test]
 fn three_machines_that_bear_one_loss() {
-    play_all(&Shape { machines: 3, seeds: 3, tolerated: 1, pace: 40, planted: None });
+    play_all(&Shape {
+        machines: 3,
+        seeds: 3,
+        tolerated: 1,
+        pace: 40,
+        planted: None,
+    });
 }
 
 #[test]
 fn five_machines_that_bear_two_losses() {
-    play_all(&Shape { machines: 5, seeds: 3, tolerated: 2, pace: 60, planted: None });
+    play_all(&Shape {
+        machines: 5,
+        seeds: 3,
+        tolerated: 2,
+        pace: 60,
+        planted: None,
+    });
 }
 
 #[test]
 fn four_machines_that_bear_one_loss() {
-    play_all(&Shape { machines: 4, seeds: 3, tolerated: 1, pace: 60, planted: None });
+    play_all(&Shape {
+        machines: 4,
+        seeds: 3,
+        tolerated: 1,
+        pace: 60,
+        planted: None,
+    });
 }
--- a/tier/chain/tests/simulation/long_cuts.rs
+++ b/tier/chain/tests/simulation/long_cuts.rs
@@ -25,14 +25,25 @@
 }
 
 fn settled(seed: u64, machines: usize, tolerated: usize) -> World {
-    let mut world = World::new(seed, Shape { machines, seeds: 3, tolerated, pace: 40, planted: None });
+    let mut world = World::new(
+        seed,
+        Shape {
+            machines,
+            seeds: 3,
+            tolerated,
+            pace: 40,
+            planted: None,
+        },
+    );
     world.run(3_000);
     assert_eq!(world.in_service(), machines, "seed {seed}");
     world
 }
 
 fn begin(world: &mut World, at: usize, cut: Cut) {
-    let others: Vec<_> = (0..world.machines.len()).filter(|other| *other != at).collect();
+    let others: Vec<_> = (0..world.machines.len())
+        .filter(|other| *other != at)
+        .collect();
     let to_it: Vec<_> = others.iter().map(|other| (*other, at)).collect();
     let from_it: Vec<_> = others.iter().map(|other| (at, *other)).collect();
     match cut {
@@ -52,7 +63,11 @@
         let operation = 5_000_000 + world.now * 10 + at as u64;
         world.propose(at, operation);
         world.run(ASKED_EVERY);
-        assert!(world.book.borrow().broken.is_empty(), "{scene}: {:?}", world.book.borrow().broken);
+        assert!(
+            world.book.borrow().broken.is_empty(),
+            "{scene}: {:?}",
+            world.book.borrow().broken
+        );
     }
     world.book.borrow().acknowledgements() - before
 }
@@ -62,7 +77,10 @@
     let mut world = settled(seed, machines, (machines - 1) / 2);
     begin(&mut world, at, cut);
     world.run(KNOWN_WITHIN);
-    let claims = world.machines[at].process.as_ref().is_some_and(|member| member.is_current(world.now));
+    let claims = world.machines[at]
+        .process
+        .as_ref()
+        .is_some_and(|member| member.is_current(world.now));
     assert!(
         !claims || !matches!(cut, Cut::BothWays | Cut::NothingComes),
         "{scene}: it takes itself for current"
@@ -73,7 +91,11 @@
     world.thaw(at);
     world.run(CATCH_UP);
     assert_eq!(world.in_service(), machines, "{scene}");
-    assert!(world.book.borrow().broken.is_empty(), "{scene}: {:?}", world.book.borrow().broken);
+    assert!(
+        world.book.borrow().broken.is_empty(),
+        "{scene}: {:?}",
+        world.book.borrow().broken
+    );
 }
 
 fn play_all(cut: Cut) {
@@ -116,17 +138,25 @@
         for (machines, goes_on) in [(4, false), (5, true)] {
             let scene = format!("seed {seed}, halves of {machines}");
             let mut world = settled(seed, machines, (machines - 1) / 2);
-            let crossing =
-                (0..2).flat_map(|one| (2..machines).flat_map(move |other| [(one, other), (other, one)]));
+            let crossing = (0..2)
+                .flat_map(|one| (2..machines).flat_map(move |other| [(one, other), (other, one)]));
             world.cut(&crossing.collect::<Vec<_>>());
             world.run(4_000);
             let before = world.book.borrow().acknowledgements();
             ask_meanwhile(&mut world, 0, &scene);
-            assert_eq!(world.book.borrow().acknowledgements() > before, goes_on, "{scene}");
+            assert_eq!(
+                world.book.borrow().acknowledgements() > before,
+                goes_on,
+                "{scene}"
+            );
             world.heal();
             world.run(CATCH_UP);
             assert_eq!(world.in_service(), machines, "{scene}");
-            assert!(world.book.borrow().broken.is_empty(), "{scene}: {:?}", world.book.borrow().broken);
+            assert!(
+                world.book.borrow().broken.is_empty(),
+                "{scene}: {:?}",
+                world.book.borrow().broken
+            );
         }
     }
 }
--- a/tier/chain/tests/simulation/outage.rs
+++ b/tier/chain/tests/simulation/outage.rs
@@ -21,7 +21,16 @@
 
 /// Five machines that have all lost power just now, and come back one after the other; and the view that they had.
 fn all_off(seed: u64) -> (World, u64) {
-    let mut world = World::new(seed, Shape { machines: 5, seeds: 3, tolerated: 2, pace: 50, planted: None });
+    let mut world = World::new(
+        seed,
+        Shape {
+            machines: 5,
+            seeds: 3,
+            tolerated: 2,
+            pace: 50,
+            planted: None,
+        },
+    );
     world.run(4_000);
     assert_eq!(world.in_service(), 5, "seed {seed}");
     let view = world.newest_view();
@@ -37,7 +46,10 @@
 fn back(seed: u64, unheard: Millis) -> (World, u64) {
     let (mut world, view) = all_off(seed);
     let first = first_back(seed);
-    let unheard_by: Vec<_> = (0..5).filter(|at| *at != first).map(|at| (first, at)).collect();
+    let unheard_by: Vec<_> = (0..5)
+        .filter(|at| *at != first)
+        .map(|at| (first, at))
+        .collect();
     world.cut(&unheard_by);
     world.run(APART[4] + unheard);
     world.heal();
--- a/tier/chain/tests/simulation/planted.rs
+++ b/tier/chain/tests/simulation/planted.rs
@@ -9,7 +9,13 @@
 
 /// Whether a world with this mistake breaks the rule.
 fn finds(planted: Planted, rule: Rule) {
-    let shape = Shape { machines: 3, seeds: 3, tolerated: 1, pace: 25, planted: Some(planted) };
+    let shape = Shape {
+        machines: 3,
+        seeds: 3,
+        tolerated: 1,
+        pace: 25,
+        planted: Some(planted),
+    };
     let found = (0..SEEDS).any(|seed| play(seed, shape.clone()).contains(&rule));
     assert!(found, "{planted:?} never broke {rule:?}");
 }
@@ -23,13 +29,24 @@
     world.run(25_000);
     world.calm();
     world.run(CATCH_UP);
-    let everyone = world.machines.iter().filter(|machine| machine.is_up()).count();
+    let everyone = world
+        .machines
+        .iter()
+        .filter(|machine| machine.is_up())
+        .count();
     if world.in_service() < everyone {
-        world.book.borrow_mut().fail(Rule::Service, "not all in service".into());
+        world
+            .book
+            .borrow_mut()
+            .fail(Rule::Service, "not all in service".into());
     }
     world.clients_gone = true;
     world.run(1_000);
-    for machine in world.machines.iter().filter_map(|machine| machine.process.as_ref()) {
+    for machine in world
+        .machines
+        .iter()
+        .filter_map(|machine| machine.process.as_ref())
+    {
         world.book.borrow_mut().kept(&machine.machine().held);
     }
     let broken = world.book.borrow().broken.keys().copied().collect();
--- a/tier/chain/tests/simulation/scenes.rs
+++ b/tier/chain/tests/simulation/scenes.rs
@@ -12,7 +12,16 @@
 const SEEDS: u64 = 10;
 
 fn settled(seed: u64) -> World {
-    let mut world = World::new(seed, Shape { machines: 3, seeds: 3, tolerated: 1, pace: 50, planted: None });
+    let mut world = World::new(
+        seed,
+        Shape {
+            machines: 3,
+            seeds: 3,
+            tolerated: 1,
+            pace: 50,
+            planted: None,
+        },
+    );
     world.run(3_000);
     assert_eq!(world.in_service(), 3, "seed {seed}");
     world
@@ -21,7 +30,10 @@
 /// All these machines get an operation acknowledged that nobody has proposed before.
 fn are_served(world: &mut World, machines: &[usize], scene: &str) {
     let first = 2_000_000 + 10 * world.now;
-    let operations: Vec<_> = machines.iter().map(|at| (*at, first + *at as u64)).collect();
+    let operations: Vec<_> = machines
+        .iter()
+        .map(|at| (*at, first + *at as u64))
+        .collect();
     for (at, operation) in &operations {
         world.propose(*at, *operation);
     }
@@ -29,7 +41,11 @@
     for (at, operation) in operations {
         assert!(world.is_acknowledged(operation), "{scene}: machine {at}");
     }
-    assert!(world.book.borrow().broken.is_empty(), "{scene}: {:?}", world.book.borrow().broken);
+    assert!(
+        world.book.borrow().broken.is_empty(),
+        "{scene}: {:?}",
+        world.book.borrow().broken
+    );
 }
 
 fn others(at: usize) -> Vec<usize> {
@@ -118,7 +134,11 @@
             let mut world = settled(seed);
             world.cut(&[(from, to)]);
             world.run(BACK_WITHIN + 1_000);
-            are_served(&mut world, &[0, 1, 2], &format!("seed {seed}, cut {from} to {to}"));
+            are_served(
+                &mut world,
+                &[0, 1, 2],
+                &format!("seed {seed}, cut {from} to {to}"),
+            );
         }
     }
 }
--- a/tier/chain/tests/simulation/second_losses.rs
+++ b/tier/chain/tests/simulation/second_losses.rs
@@ -22,7 +22,16 @@
 const STEP: Millis = 90;
 
 fn settled(seed: u64, machines: usize, tolerated: usize) -> World {
-    let mut world = World::new(seed, Shape { machines, seeds: 3, tolerated, pace: 25, planted: None });
+    let mut world = World::new(
+        seed,
+        Shape {
+            machines,
+            seeds: 3,
+            tolerated,
+            pace: 25,
+            planted: None,
+        },
+    );
     world.run(3_000);
     assert_eq!(world.in_service(), machines, "seed {seed}");
     world
@@ -42,9 +51,21 @@
     while world.now < end {
         world.run(5.min(end - world.now));
         let seen = world.book.borrow().seen();
-        let copies = world.machines.iter().filter(|machine| machine.disk.holds(seen)).count();
-        assert!(seen == 0 || copies >= least, "{scene}: {copies} copies of {seen} at {}", world.now);
-        assert!(world.book.borrow().broken.is_empty(), "{scene}: {:?}", world.book.borrow().broken);
+        let copies = world
+            .machines
+            .iter()
+            .filter(|machine| machine.disk.holds(seen))
+            .count();
+        assert!(
+            seen == 0 || copies >= least,
+            "{scene}: {copies} copies of {seen} at {}",
+            world.now
+        );
+        assert!(
+            world.book.borrow().broken.is_empty(),
+            "{scene}: {:?}",
+            world.book.borrow().broken
+        );
     }
 }
 
@@ -53,10 +74,18 @@
     assert_eq!(world.in_service(), world.machines.len(), "{scene}");
     world.clients_gone = true;
     world.run(1_000);
-    for machine in world.machines.iter().filter_map(|machine| machine.process.as_ref()) {
+    for machine in world
+        .machines
+        .iter()
+        .filter_map(|machine| machine.process.as_ref())
+    {
         world.book.borrow_mut().kept(&machine.machine().held);
     }
-    assert!(world.book.borrow().broken.is_empty(), "{scene}: {:?}", world.book.borrow().broken);
+    assert!(
+        world.book.borrow().broken.is_empty(),
+        "{scene}: {:?}",
+        world.book.borrow().broken
+    );
 }
 
 /// All others lose power at any instant after the loss of a disk.
--- a/tier/chain/tests/simulation/world/checker.rs
+++ b/tier/chain/tests/simulation/world/checker.rs
@@ -53,12 +53,18 @@
             Some(known) if *known == operation => {}
             Some(known) => self.fail(
                 Rule::OneOrder,
-                format!("revision {} is {known} here and {operation} there", revision.0),
+                format!(
+                    "revision {} is {known} here and {operation} there",
+                    revision.0
+                ),
             ),
             None => {
                 self.order.resize(index, u64::MAX);
                 if self.order.contains(&operation) {
-                    self.fail(Rule::Once, format!("operation {operation} is applied twice"));
+                    self.fail(
+                        Rule::Once,
+                        format!("operation {operation} is applied twice"),
+                    );
                 }
                 self.order.push(operation);
             }
@@ -67,7 +73,10 @@
 
     /// A member has taken over a view.
     pub fn adopted(&mut self, view: &View) {
-        let known = self.views.entry(view.number).or_insert_with(|| view.clone());
+        let known = self
+            .views
+            .entry(view.number)
+            .or_insert_with(|| view.clone());
         if known != view {
             let what = format!("two views {}: {known:?} and {view:?}", view.number.0);
             self.fail(Rule::OneView, what);
@@ -78,7 +87,10 @@
     pub fn acknowledged(&mut self, operation: u64, revision: u64) {
         let before = *self.acknowledged.entry(operation).or_insert(revision);
         if before != revision {
-            self.fail(Rule::OneOutcome, format!("operation {operation} came to {before} and to {revision}"));
+            self.fail(
+                Rule::OneOutcome,
+                format!("operation {operation} came to {before} and to {revision}"),
+            );
         }
         self.seen = self.seen.max(revision);
     }
@@ -91,7 +103,10 @@
     /// A read has been answered.
     pub fn read(&mut self, had_to_hold: u64, revision: u64) {
         if revision < had_to_hold {
-            self.fail(Rule::Reads, format!("a read found {revision}, {had_to_hold} had been seen before it"));
+            self.fail(
+                Rule::Reads,
+                format!("a read found {revision}, {had_to_hold} had been seen before it"),
+            );
         }
         self.seen = self.seen.max(revision);
     }
@@ -131,7 +146,10 @@
 
 impl Listing {
     pub fn new(book: Rc<RefCell<Book>>) -> Self {
-        Self { held: Vec::new(), book }
+        Self {
+            held: Vec::new(),
+            book,
+        }
     }
 }
 
@@ -145,15 +163,27 @@
 
     fn snapshot(&self) -> Vec<u8> {
         let rows = self.held.iter();
-        rows.flat_map(|(operation, revision)| [operation.to_le_bytes(), revision.to_le_bytes()].concat())
-            .collect()
+        rows.flat_map(|(operation, revision)| {
+            [operation.to_le_bytes(), revision.to_le_bytes()].concat()
+        })
+        .collect()
     }
 
     fn restore(&mut self, _: Revision, snapshot: &[u8]) -> Result<(), BadSnapshot> {
-        let number = |bytes: &[u8]| bytes.try_into().map(u64::from_le_bytes).map_err(|_| BadSnapshot);
+        let number = |bytes: &[u8]| {
+            bytes
+                .try_into()
+                .map(u64::from_le_bytes)
+                .map_err(|_| BadSnapshot)
+        };
         let rows = snapshot.chunks(16);
         self.held = rows
-            .map(|row| Ok((number(row.get(..8).ok_or(BadSnapshot)?)?, number(&row[8..])?)))
+            .map(|row| {
+                Ok((
+                    number(row.get(..8).ok_or(BadSnapshot)?)?,
+                    number(&row[8..])?,
+                ))
+            })
             .collect::<Result<_, _>>()?;
         Ok(())
     }
--- a/tier/chain/tests/simulation/world/clients.rs
+++ b/tier/chain/tests/simulation/world/clients.rs
@@ -24,10 +24,20 @@
 
     pub(super) fn propose_as(&mut self, at: usize, request: u128, operation: u64) {
         if self.machines[at].is_up() {
-            let asked = Asked { machine: at, life: self.machines[at].life };
+            let asked = Asked {
+                machine: at,
+                life: self.machines[at].life,
+            };
             self.proposals.insert(request, (operation, asked));
             let ends = self.now + 4_000;
-            self.input(at, Input::Propose { request, operation, ends });
+            self.input(
+                at,
+                Input::Propose {
+                    request,
+                    operation,
+                    ends,
+                },
+            );
         }
     }
 
@@ -43,7 +53,10 @@
             return;
         }
         let read = self.chance.number();
-        let asked = Asked { machine: at, life: self.machines[at].life };
+        let asked = Asked {
+            machine: at,
+            life: self.machines[at].life,
+        };
         self.reads.insert(read, (self.book.borrow().seen(), asked));
         let ends = self.now + 4_000;
         self.input(at, Input::Read { read, ends });
@@ -52,8 +65,10 @@
     /// Forgets what processes that have ended were asked.
     pub fn forget_asked(&mut self, at: usize) {
         let life = self.machines[at].life;
-        self.proposals.retain(|_, (_, asked)| asked.machine != at || asked.life != life);
-        self.reads.retain(|_, (_, asked)| asked.machine != at || asked.life != life);
+        self.proposals
+            .retain(|_, (_, asked)| asked.machine != at || asked.life != life);
+        self.reads
+            .retain(|_, (_, asked)| asked.machine != at || asked.life != life);
     }
 
     pub fn is_acknowledged(&self, operation: u64) -> bool {
@@ -62,10 +77,17 @@
 
     /// The machine that heads the newest view.
     pub fn head(&self) -> Option<usize> {
-        let members = self.machines.iter().filter_map(|machine| machine.process.as_ref());
-        let newest = members.map(|member| member.view()).max_by_key(|view| view.number)?;
+        let members = self
+            .machines
+            .iter()
+            .filter_map(|machine| machine.process.as_ref());
+        let newest = members
+            .map(|member| member.view())
+            .max_by_key(|view| view.number)?;
         let head = &newest.head()?.identity;
-        self.machines.iter().position(|machine| machine.node == head.node)
+        self.machines
+            .iter()
+            .position(|machine| machine.node == head.node)
     }
 
     pub fn is_proposed(&self, request: u128) -> bool {
--- a/tier/chain/tests/simulation/world/disks.rs
+++ b/tier/chain/tests/simulation/world/disks.rs
@@ -13,7 +13,9 @@
             return;
         }
         let machine = &self.machines[at];
-        let Some((ticket, _)) = machine.disk.waiting.back() else { return };
+        let Some((ticket, _)) = machine.disk.waiting.back() else {
+            return;
+        };
         let (ticket, life) = (ticket.0, machine.life);
         self.syncing.insert(at, ticket);
         let takes = self.chance.between(2, 9);
@@ -37,8 +39,15 @@
         if self.syncing.get(&at) == Some(&ticket) {
             self.syncing.remove(&at);
             let disk = &mut self.machines[at].disk;
-            while !lies && disk.waiting.front().is_some_and(|(number, _)| number.0 <= ticket) {
-                let Some((_, writes)) = disk.waiting.pop_front() else { break };
+            while !lies
+                && disk
+                    .waiting
+                    .front()
+                    .is_some_and(|(number, _)| number.0 <= ticket)
+            {
+                let Some((_, writes)) = disk.waiting.pop_front() else {
+                    break;
+                };
                 writes.iter().for_each(|write| disk.synced.apply(write));
             }
         }
--- a/tier/chain/tests/simulation/world/faults.rs
+++ b/tier/chain/tests/simulation/world/faults.rs
@@ -36,21 +36,40 @@
     pub(super) fn tamper(&mut self, from: usize, to: usize, message: Message) -> Option<Message> {
         match (self.shape.planted, message) {
             (Some(Planted::ViewsIgnored), message) => Some(self.with_view_of(to, message)),
-            (Some(Planted::PromisesForgotten), Message::Decided(_)) if !self.chance.one_in(4) => None,
+            (Some(Planted::PromisesForgotten), Message::Decided(_)) if !self.chance.one_in(4) => {
+                None
+            }
             (Some(Planted::RepeatsUnnamed), Message::Forward { view, mut entry }) => {
                 entry.request.0 ^= u128::from(self.now) << 32;
                 Some(Message::Forward { view, entry })
             }
-            (Some(Planted::PromisesForgotten), Message::Promise { instance, ballot, position, .. }) => {
-                Some(Message::Promise { instance, ballot, accepted: None, position })
-            }
+            (
+                Some(Planted::PromisesForgotten),
+                Message::Promise {
+                    instance,
+                    ballot,
+                    position,
+                    ..
+                },
+            ) => Some(Message::Promise {
+                instance,
+                ballot,
+                accepted: None,
+                position,
+            }),
             (Some(Planted::OutcomesAltered), Message::Outcome { request, outcome }) => {
                 let told = u64::from_le_bytes(outcome.as_ref().try_into().unwrap()) + self.now % 2;
-                Some(Message::Outcome { request, outcome: told.to_le_bytes().to_vec().into() })
+                Some(Message::Outcome {
+                    request,
+                    outcome: told.to_le_bytes().to_vec().into(),
+                })
             }
             (Some(Planted::DecisionsLost), Message::Decided(_)) if self.now > 4_000 => None,
             (Some(Planted::AlwaysConfirmed), Message::Confirm { view, round }) => {
-                let voter = self.machines[to].process.as_ref().map(|member| member.me().identity.clone());
+                let voter = self.machines[to]
+                    .process
+                    .as_ref()
+                    .map(|member| member.me().identity.clone());
                 let answered = voter.map(|voter| (voter, Message::Confirmed { view, round }));
                 if let Some((voter, answer)) = answered {
                     self.answer(from, voter, answer);
@@ -62,10 +81,18 @@
     }
 
     fn with_view_of(&self, to: usize, message: Message) -> Message {
-        let Some(member) = self.machines[to].process.as_ref() else { return message };
+        let Some(member) = self.machines[to].process.as_ref() else {
+            return message;
+        };
         let view = member.view().number;
         match message {
-            Message::Append { previous, entries, .. } => Message::Append { view, previous, entries },
+            Message::Append {
+                previous, entries, ..
+            } => Message::Append {
+                view,
+                previous,
+                entries,
+            },
             Message::Committed { revision, .. } => Message::Committed { view, revision },
             other => other,
         }
@@ -99,14 +126,24 @@
         }
         self.strike_now();
         let soon = self.chance.one_in(3);
-        let delay = if soon { self.chance.below(200) } else { self.chance.between(500, 7_000) };
+        let delay = if soon {
+            self.chance.below(200)
+        } else {
+            self.chance.between(500, 7_000)
+        };
         self.fault_after(delay);
     }
 
     pub(super) fn strike_now(&mut self) {
-        let present: Vec<_> = (0..self.machines.len()).filter(|at| !self.machines[*at].removed).collect();
-        let Some(at) = self.chance.pick(&present) else { return };
-        let Some(other) = self.chance.pick(&present) else { return };
+        let present: Vec<_> = (0..self.machines.len())
+            .filter(|at| !self.machines[*at].removed)
+            .collect();
+        let Some(at) = self.chance.pick(&present) else {
+            return;
+        };
+        let Some(other) = self.chance.pick(&present) else {
+            return;
+        };
         let wipes = self.shape.planted == Some(Planted::IncarnationKept) && self.chance.one_in(2);
         let drawn = if wipes { 8 } else { self.chance.below(15) };
         match drawn {
@@ -161,7 +198,8 @@
 
     pub fn cut(&mut self, pairs: &[(usize, usize)]) {
         self.disturbed_at = self.disturbed_at.max(self.now);
-        self.cuts.extend(pairs.iter().filter(|(from, to)| from != to));
+        self.cuts
+            .extend(pairs.iter().filter(|(from, to)| from != to));
     }
 
     pub fn heal(&mut self) {
@@ -171,7 +209,9 @@
 
     pub fn isolate(&mut self, at: usize) {
         let others = (0..self.machines.len()).filter(|other| *other != at);
-        let pairs: Vec<_> = others.flat_map(|other| [(at, other), (other, at)]).collect();
+        let pairs: Vec<_> = others
+            .flat_map(|other| [(at, other), (other, at)])
+            .collect();
         self.cut(&pairs);
     }
 
@@ -184,7 +224,9 @@
         let all_lose_power = self.chance.one_in(2);
         let mut left = present.to_vec();
         for _ in 0..self.shape.tolerated {
-            let Some(at) = self.chance.pick(&left) else { return };
+            let Some(at) = self.chance.pick(&left) else {
+                return;
+            };
             left.retain(|other| *other != at);
             self.kill(at);
             self.machines[at].disk = Default::default();
@@ -210,16 +252,28 @@
 
     /// Whether nothing has happened for long enough that no machine counts as lost.
     pub fn is_whole(&self) -> bool {
-        let up = self.machines.iter().all(|machine| machine.removed || (machine.is_up() && !machine.frozen));
+        let up = self
+            .machines
+            .iter()
+            .all(|machine| machine.removed || (machine.is_up() && !machine.frozen));
         up && self.cuts.is_empty() && self.now.saturating_sub(self.disturbed_at) >= CATCH_UP
     }
 
     /// Machines in service, by the newest view that any of them knows.
     pub fn in_service(&self) -> usize {
-        let members = self.machines.iter().filter_map(|machine| machine.process.as_ref());
-        let newest = members.clone().map(|member| member.view()).max_by_key(|view| view.number);
+        let members = self
+            .machines
+            .iter()
+            .filter_map(|machine| machine.process.as_ref());
+        let newest = members
+            .clone()
+            .map(|member| member.view())
+            .max_by_key(|view| view.number);
         let serving = |view: &plankhill_chain::View| {
-            members.clone().filter(|member| view.in_chain(&member.me().identity)).count()
+            members
+                .clone()
+                .filter(|member| view.in_chain(&member.me().identity))
+                .count()
         };
         newest.map_or(0, serving)
     }
@@ -227,14 +281,24 @@
     /// Whether every machine is up and calls itself current.
     pub fn all_current(&self) -> bool {
         let now = self.now;
-        let current =
-            |machine: &super::machine::Machine| machine.process.as_ref().is_some_and(|it| it.is_current(now));
+        let current = |machine: &super::machine::Machine| {
+            machine
+                .process
+                .as_ref()
+                .is_some_and(|it| it.is_current(now))
+        };
         self.machines.iter().all(current)
     }
 
     /// The number of the newest view that a running machine knows.
     pub fn newest_view(&self) -> u64 {
-        let members = self.machines.iter().filter_map(|machine| machine.process.as_ref());
-        members.map(|member| member.view().number.0).max().unwrap_or(0)
+        let members = self
+            .machines
+            .iter()
+            .filter_map(|machine| machine.process.as_ref());
+        members
+            .map(|member| member.view().number.0)
+            .max()
+            .unwrap_or(0)
     }
 }
--- a/tier/chain/tests/simulation/world/machine.rs
+++ b/tier/chain/tests/simulation/world/machine.rs
@@ -24,8 +24,15 @@
 impl Disk {
     /// Whether an operation would be found here after a loss of power.
     pub fn holds(&self, revision: u64) -> bool {
-        let last = self.synced.entries.keys().next_back().copied().unwrap_or_default();
-        self.synced.incarnation.is_some() && last.max(self.synced.snapshot.revision) >= Revision(revision)
+        let last = self
+            .synced
+            .entries
+            .keys()
+            .next_back()
+            .copied()
+            .unwrap_or_default();
+        self.synced.incarnation.is_some()
+            && last.max(self.synced.snapshot.revision) >= Revision(revision)
     }
 
     /// The process or the power is gone: some of what waited has still reached the disk, in order.
@@ -43,8 +50,15 @@
     Persisted(Ticket),
     DiskRefuses,
     Tick,
-    Propose { request: u128, operation: u64, ends: Millis },
-    Read { read: u64, ends: Millis },
+    Propose {
+        request: u128,
+        operation: u64,
+        ends: Millis,
+    },
+    Read {
+        read: u64,
+        ends: Millis,
+    },
 }
 
 /// One machine.
@@ -90,20 +104,33 @@
     }
 
     /// Starts the process; an empty disk begins a new incarnation.
-    pub fn start(&mut self, start: Start, book: &Rc<RefCell<Book>>, now: Millis, chance: &mut Chance) {
+    pub fn start(
+        &mut self,
+        start: Start,
+        book: &Rc<RefCell<Book>>,
+        now: Millis,
+        chance: &mut Chance,
+    ) {
         self.life += 1;
         self.frozen = false;
         self.held_back.clear();
         if self.disk.synced.incarnation.is_none() {
             let founders = start.bootstrap.then(|| start.seeds.clone());
             let founders = founders.filter(|founders| founders.contains(&self.address));
-            self.disk.synced.apply(&Write::Incarnation(Incarnation(start.incarnation)));
-            founders.into_iter().for_each(|founders| self.disk.synced.apply(&Write::Founders(founders)));
+            self.disk
+                .synced
+                .apply(&Write::Incarnation(Incarnation(start.incarnation)));
+            founders
+                .into_iter()
+                .for_each(|founders| self.disk.synced.apply(&Write::Founders(founders)));
         }
         let incarnation = self.disk.synced.incarnation.unwrap();
         let configuration = Configuration {
             member: Member {
-                identity: Identity { node: self.node.clone(), incarnation },
+                identity: Identity {
+                    node: self.node.clone(),
+                    incarnation,
+                },
                 address: self.address,
             },
             tolerated: start.tolerated,
@@ -124,7 +151,9 @@
 
     /// Hands something to the process and returns what it wants done.
     pub fn take(&mut self, input: Input, now: Millis) -> Vec<Effect> {
-        let Some(member) = self.process.as_mut() else { return Vec::new() };
+        let Some(member) = self.process.as_mut() else {
+            return Vec::new();
+        };
         if self.frozen {
             self.held_back.push_back(input);
             return Vec::new();
@@ -134,7 +163,11 @@
             Input::Persisted(ticket) => member.persisted(ticket, now),
             Input::DiskRefuses => member.disk_refuses(now),
             Input::Tick => member.tick(now),
-            Input::Propose { request, operation, ends } => {
+            Input::Propose {
+                request,
+                operation,
+                ends,
+            } => {
                 let request = plankhill_chain::RequestNumber(request);
                 member.propose(request, operation.to_le_bytes().to_vec().into(), ends, now);
             }
--- a/tier/chain/tests/simulation/world/mod.rs
+++ b/tier/chain/tests/simulation/world/mod.rs
@@ -120,7 +120,8 @@
 
     fn at(&mut self, delay: Millis, event: Event) {
         self.sequence += 1;
-        self.queue.push(Reverse((self.now + delay, self.sequence, event)));
+        self.queue
+            .push(Reverse((self.now + delay, self.sequence, event)));
     }
 
     /// Lets time pass; stops early when a rule is broken without a planted mistake.
@@ -131,7 +132,9 @@
             if *time > end || broken {
                 break;
             }
-            let Some(Reverse((time, _, event))) = self.queue.pop() else { break };
+            let Some(Reverse((time, _, event))) = self.queue.pop() else {
+                break;
+            };
             self.now = time;
             self.handle(event);
         }
@@ -139,7 +142,10 @@
     }
 
     pub fn seeds(&self) -> Vec<SocketAddr> {
-        self.machines[..self.shape.seeds].iter().map(|machine| machine.address).collect()
+        self.machines[..self.shape.seeds]
+            .iter()
+            .map(|machine| machine.address)
+            .collect()
     }
 
     fn handle(&mut self, event: Event) {
@@ -178,7 +184,9 @@
 
     fn look_at(&mut self, at: usize) {
         let machine = &mut self.machines[at];
-        let Some(member) = machine.process.as_ref().filter(|_| !machine.frozen) else { return };
+        let Some(member) = machine.process.as_ref().filter(|_| !machine.frozen) else {
+            return;
+        };
         if member.view().number.0 > 0 {
             self.book.borrow_mut().adopted(member.view());
         }
@@ -195,26 +203,45 @@
             Effect::Persist { ticket, writes } => {
                 if self.shape.planted == Some(Planted::DiskLies) {
                     let life = self.machines[at].life;
-                    self.at(0, Event::Synced { at, life, ticket: ticket.0 });
+                    self.at(
+                        0,
+                        Event::Synced {
+                            at,
+                            life,
+                            ticket: ticket.0,
+                        },
+                    );
                 }
                 self.machines[at].disk.waiting.push_back((ticket, writes));
                 self.sync_next(at);
             }
             Effect::Proposed { request, outcome } => {
-                let Some((operation, _)) = self.proposals.remove(&request.0) else { return };
+                let Some((operation, _)) = self.proposals.remove(&request.0) else {
+                    return;
+                };
                 let revision = u64::from_le_bytes(outcome.as_ref().try_into().unwrap());
                 self.acknowledge(operation, revision);
                 if self.chance.one_in(8) {
                     // The acknowledgement was lost on its way to the operator.
                     let delay = self.chance.between(1, 3_000);
-                    self.at(delay, Event::Repeat { request: request.0, operation });
+                    self.at(
+                        delay,
+                        Event::Repeat {
+                            request: request.0,
+                            operation,
+                        },
+                    );
                 }
             }
             Effect::ProposalFailed(request) => drop(self.proposals.remove(&request.0)),
             Effect::ReadReady(read) => {
-                let Some((had_to_hold, _)) = self.reads.remove(&read) else { return };
-                let revision =
-                    self.machines[at].process.as_ref().map_or(Revision(0), |member| member.revision());
+                let Some((had_to_hold, _)) = self.reads.remove(&read) else {
+                    return;
+                };
+                let revision = self.machines[at]
+                    .process
+                    .as_ref()
+                    .map_or(Revision(0), |member| member.revision());
                 self.book.borrow_mut().read(had_to_hold, revision.0);
             }
             Effect::ReadFailed(read) => drop(self.reads.remove(&read)),
@@ -223,7 +250,11 @@
 
     fn acknowledge(&mut self, operation: u64, revision: u64) {
         self.book.borrow_mut().acknowledged(operation, revision);
-        let copies = self.machines.iter().filter(|machine| machine.disk.holds(revision)).count();
+        let copies = self
+            .machines
+            .iter()
+            .filter(|machine| machine.disk.holds(revision))
+            .count();
         if copies <= self.shape.tolerated {
             let what = format!("revision {revision} was acknowledged with {copies} synced copies");
             self.book.borrow_mut().fail(Rule::Copies, what);
--- a/tier/chain/tests/simulation/world/network.rs
+++ b/tier/chain/tests/simulation/world/network.rs
@@ -9,17 +9,29 @@
 
 impl World {
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
-        let Some(to) = self.machines.iter().position(|machine| machine.address == to) else { return };
-        let sender = self.machines[from].process.as_ref().map(|member| member.me().identity.clone());
+        let Some(to) = self
+            .machines
+            .iter()
+            .position(|machine| machine.address == to)
+        else {
+            return;
+        };
+        let sender = self.machines[from]
+            .process
+            .as_ref()
+            .map(|member| member.me().identity.clone());
         let Some(identity) = sender else { return };
         if self.cuts.contains(&(from, to)) || self.chance.one_in(500) {
             return;
         }
-        let Some(message) = self.tamper(from, to, message) else { return };
+        let Some(message) = self.tamper(from, to, message) else {
+            return;
+        };
         let arrives = (self.now + self.chance.between(1, 4)).max(self.arrival(from, to));
         self.arrivals.insert((from, to), arrives);
         self.sequence += 1;
-        self.messages.insert(self.sequence, (from, identity, message));
+        self.messages
+            .insert(self.sequence, (from, identity, message));
         let (life, number) = (self.machines[to].life, self.sequence);
         self.at(arrives - self.now, Event::Deliver { to, life, number });
     }
@@ -29,7 +41,9 @@
     }
 
     pub(super) fn deliver(&mut self, to: usize, life: u64, number: u64) {
-        let Some((from, identity, message)) = self.messages.remove(&number) else { return };
+        let Some((from, identity, message)) = self.messages.remove(&number) else {
+            return;
+        };
         if self.machines[to].life == life && !self.cuts.contains(&(from, to)) {
             self.input(to, Input::Message(identity, message));
         }
--- a/tier/chain/tests/simulation/world/processes.rs
+++ b/tier/chain/tests/simulation/world/processes.rs
@@ -14,7 +14,11 @@
         self.incarnations += 1;
         let first = self.machines[at].life == 0 && at < self.shape.machines;
         let keeps_name = self.shape.planted == Some(Planted::IncarnationKept);
-        let incarnation = if keeps_name { at as u64 + 1 } else { 1_000 + self.incarnations };
+        let incarnation = if keeps_name {
+            at as u64 + 1
+        } else {
+            1_000 + self.incarnations
+        };
         let start = Start {
             bootstrap: first,
             incarnation,
@@ -50,7 +54,9 @@
         self.input(at, Input::Tick);
         // What it takes in may bring the next fault on.
         while !self.machines[at].frozen {
-            let Some(input) = self.machines[at].held_back.pop_front() else { return };
+            let Some(input) = self.machines[at].held_back.pop_front() else {
+                return;
+            };
             self.input(at, input);
         }
     }
--- a/tier/chain/tests/three_links/mod.rs
+++ b/tier/chain/tests/three_links/mod.rs
@@ -28,9 +28,14 @@
 
 /// The link with this number, from 1 on.
 pub fn member(number: u8) -> Member {
-    let identity =
-        Identity { node: NodeId::from(format!("core-{number}").as_str()), incarnation: Incarnation(7) };
-    Member { identity, address: SocketAddr::from(([10, 0, 0, number], 7_000)) }
+    let identity = Identity {
+        node: NodeId::from(format!("core-{number}").as_str()),
+        incarnation: Incarnation(7),
+    };
+    Member {
+        identity,
+        address: SocketAddr::from(([10, 0, 0, number], 7_000)),
+    }
 }
 
 /// The link with this number, started at this time of its clock, with this on its disk.
@@ -47,9 +52,17 @@
 /// The disk of a link of the first view, without operations.
 pub fn disk() -> Durable {
     let voters: Vec<Member> = (1..=3).map(member).collect();
-    let chain = voters.iter().map(|voter| voter.identity.node.clone()).collect();
+    let chain = voters
+        .iter()
+        .map(|voter| voter.identity.node.clone())
+        .collect();
     let mut disk = Durable::default();
     disk.apply(&Write::Incarnation(Incarnation(7)));
-    disk.apply(&Write::View(View { number: ViewNumber(1), voters, chain, base: Revision(0) }));
+    disk.apply(&Write::View(View {
+        number: ViewNumber(1),
+        voters,
+        chain,
+        base: Revision(0),
+    }));
     disk
 }
--- a/tier/chain/tests/wire_format.rs
+++ b/tier/chain/tests/wire_format.rs
@@ -5,7 +5,8 @@
 use std::sync::Arc;
 
 use plankhill_chain::{
-    Ballot, Echo, Entry, Heartbeat, Identity, Member, Message, RequestNumber, Snapshot, View, ViewNumber,
+    Ballot, Echo, Entry, Heartbeat, Identity, Member, Message, RequestNumber, Snapshot, View,
+    ViewNumber,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 
@@ -13,13 +14,22 @@
 
 fn member(number: u8) -> Member {
     let node = NodeId::from(format!("core-{number}").as_str());
-    let identity = Identity { node, incarnation: Incarnation(0x0102_0304_0506_0700 + u64::from(number)) };
-    Member { identity, address: SocketAddr::from(([10, 0, 0, number], 7_000 + u16::from(number))) }
+    let identity = Identity {
+        node,
+        incarnation: Incarnation(0x0102_0304_0506_0700 + u64::from(number)),
+    };
+    Member {
+        identity,
+        address: SocketAddr::from(([10, 0, 0, number], 7_000 + u16::from(number))),
+    }
 }
 
 fn member_on_ipv6() -> Member {
     let address = SocketAddr::from(([0xfd00, 1, 2, 3, 4, 5, 6, 7], 7_009));
-    Member { address, ..member(9) }
+    Member {
+        address,
+        ..member(9)
+    }
 }
 
 fn view() -> View {
@@ -32,7 +42,10 @@
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 129, proposer: NodeId::from("core-2") }
+    Ballot {
+        round: 129,
+        proposer: NodeId::from("core-2"),
+    }
 }
 
 fn entry(number: u8) -> Entry {
@@ -47,7 +60,10 @@
     Snapshot {
         revision: Revision(512),
         machine: Arc::from([7, 8, 9]),
-        outcomes: vec![(RequestNumber(5), Arc::from([1])), (RequestNumber(1 << 100), Arc::from([2, 3]))],
+        outcomes: vec![
+            (RequestNumber(5), Arc::from([1])),
+            (RequestNumber(1 << 100), Arc::from([2, 3])),
+        ],
     }
 }
 
@@ -56,8 +72,14 @@
         member: member(1),
         sequence: u64::MAX,
         echoes: vec![
-            Echo { identity: member(2).identity, sequence: 17 },
-            Echo { identity: member(9).identity, sequence: 1 << 40 },
+            Echo {
+                identity: member(2).identity,
+                sequence: 17,
+            },
+            Echo {
+                identity: member(9).identity,
+                sequence: 1 << 40,
+            },
         ],
         view: ViewNumber(300),
         sealed: true,
@@ -76,54 +98,116 @@
     let next = match previous {
         None => Message::Heartbeat(heartbeat()),
         Some(Message::Heartbeat(_)) => Message::Decided(view()),
-        Some(Message::Decided(_)) => Message::Prepare { instance: ViewNumber(301), ballot: ballot() },
-        Some(Message::Prepare { instance: _, ballot: _ }) => Message::Promise {
+        Some(Message::Decided(_)) => Message::Prepare {
             instance: ViewNumber(301),
             ballot: ballot(),
-            accepted: Some((Ballot { round: 128, proposer: NodeId::from("core-1") }, view())),
+        },
+        Some(Message::Prepare {
+            instance: _,
+            ballot: _,
+        }) => Message::Promise {
+            instance: ViewNumber(301),
+            ballot: ballot(),
+            accepted: Some((
+                Ballot {
+                    round: 128,
+                    proposer: NodeId::from("core-1"),
+                },
+                view(),
+            )),
             position: Revision(70_001),
         },
-        Some(Message::Promise { instance: _, ballot: _, accepted: _, position: _ }) => {
-            Message::Refuse { instance: ViewNumber(301), promised: ballot() }
-        }
-        Some(Message::Refuse { instance: _, promised: _ }) => {
-            Message::Accept { ballot: ballot(), view: view() }
-        }
-        Some(Message::Accept { ballot: _, view: _ }) => {
-            Message::Accepted { instance: ViewNumber(301), ballot: ballot() }
-        }
-        Some(Message::Accepted { instance: _, ballot: _ }) => {
-            Message::Forward { view: view_number, entry: entry(1) }
-        }
-        Some(Message::Forward { view: _, entry: _ }) => {
-            Message::Append { view: view_number, previous: revision, entries: vec![entry(1), entry(2)] }
-        }
-        Some(Message::Append { view: _, previous: _, entries: _ }) => {
-            Message::Committed { view: view_number, revision }
-        }
-        Some(Message::Committed { view: _, revision: _ }) => {
-            Message::Outcome { request: RequestNumber(1 << 99), outcome: Arc::from([4, 5, 6]) }
-        }
-        Some(Message::Outcome { request: _, outcome: _ }) => {
-            Message::Fetch { view: view_number, after: revision }
-        }
+        Some(Message::Promise {
+            instance: _,
+            ballot: _,
+            accepted: _,
+            position: _,
+        }) => Message::Refuse {
+            instance: ViewNumber(301),
+            promised: ballot(),
+        },
+        Some(Message::Refuse {
+            instance: _,
+            promised: _,
+        }) => Message::Accept {
+            ballot: ballot(),
+            view: view(),
+        },
+        Some(Message::Accept { ballot: _, view: _ }) => Message::Accepted {
+            instance: ViewNumber(301),
+            ballot: ballot(),
+        },
+        Some(Message::Accepted {
+            instance: _,
+            ballot: _,
+        }) => Message::Forward {
+            view: view_number,
+            entry: entry(1),
+        },
+        Some(Message::Forward { view: _, entry: _ }) => Message::Append {
+            view: view_number,
+            previous: revision,
+            entries: vec![entry(1), entry(2)],
+        },
+        Some(Message::Append {
+            view: _,
+            previous: _,
+            entries: _,
+        }) => Message::Committed {
+            view: view_number,
+            revision,
+        },
+        Some(Message::Committed {
+            view: _,
+            revision: _,
+        }) => Message::Outcome {
+            request: RequestNumber(1 << 99),
+            outcome: Arc::from([4, 5, 6]),
+        },
+        Some(Message::Outcome {
+            request: _,
+            outcome: _,
+        }) => Message::Fetch {
+            view: view_number,
+            after: revision,
+        },
         Some(Message::Fetch { view: _, after: _ }) => Message::Fetched {
             view: view_number,
             after: revision,
             entries: vec![entry(3)],
             committed: Revision(69_999),
         },
-        Some(Message::Fetched { view: _, after: _, entries: _, committed: _ }) => {
-            Message::Install { view: view_number, snapshot: snapshot() }
-        }
-        Some(Message::Install { view: _, snapshot: _ }) => Message::Read { view: view_number, read: 1 << 63 },
-        Some(Message::Read { view: _, read: _ }) => Message::ReadAt { read: 1 << 63, revision },
-        Some(Message::ReadAt { read: _, revision: _ }) => {
-            Message::Confirm { view: view_number, round: 1 << 62 }
-        }
-        Some(Message::Confirm { view: _, round: _ }) => {
-            Message::Confirmed { view: view_number, round: 1 << 62 }
-        }
+        Some(Message::Fetched {
+            view: _,
+            after: _,
+            entries: _,
+            committed: _,
+        }) => Message::Install {
+            view: view_number,
+            snapshot: snapshot(),
+        },
+        Some(Message::Install {
+            view: _,
+            snapshot: _,
+        }) => Message::Read {
+            view: view_number,
+            read: 1 << 63,
+        },
+        Some(Message::Read { view: _, read: _ }) => Message::ReadAt {
+            read: 1 << 63,
+            revision,
+        },
+        Some(Message::ReadAt {
+            read: _,
+            revision: _,
+        }) => Message::Confirm {
+            view: view_number,
+            round: 1 << 62,
+        },
+        Some(Message::Confirm { view: _, round: _ }) => Message::Confirmed {
+            view: view_number,
+            round: 1 << 62,
+        },
         Some(Message::Confirmed { view: _, round: _ }) => return None,
     };
     Some(next)
@@ -162,7 +246,10 @@
         next = message_after(Some(&message));
         messages.push(message);
     }
-    messages.push(Message::Heartbeat(Heartbeat { confirmed_age: None, ..heartbeat() }));
+    messages.push(Message::Heartbeat(Heartbeat {
+        confirmed_age: None,
+        ..heartbeat()
+    }));
     messages.push(Message::Promise {
         instance: ViewNumber(301),
         ballot: ballot(),
@@ -178,7 +265,10 @@
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 #[test]
--- a/tier/command/src/arguments.rs
+++ b/tier/command/src/arguments.rs
@@ -150,9 +150,15 @@
             "check" => parse_check(parser),
             "drain" => parse_drain(parser, true),
             "undrain" => parse_drain(parser, false),
-            "drains" => parse_question(parser, "drains", |address, json| Command::Drains { address, json }),
+            "drains" => parse_question(parser, "drains", |address, json| Command::Drains {
+                address,
+                json,
+            }),
             "roll" => parse_roll(parser),
-            "status" => parse_question(parser, "status", |address, json| Command::Status { address, json }),
+            "status" => parse_question(parser, "status", |address, json| Command::Status {
+                address,
+                json,
+            }),
             "demo" => parse_demo(parser),
             _ => Err(UsageError::UnknownCommand(name)),
         }
@@ -189,7 +195,10 @@
         }
     }
     let mut values = values.into_iter();
-    let kind = values.next().ok_or(missing("check", "settings or configuration"))?.string()?;
+    let kind = values
+        .next()
+        .ok_or(missing("check", "settings or configuration"))?
+        .string()?;
     let file = values.next().map(PathBuf::from);
     let file = || file.ok_or(missing("check", "a file"));
     match kind.as_str() {
--- a/tier/command/src/arguments/draining.rs
+++ b/tier/command/src/arguments/draining.rs
@@ -57,7 +57,12 @@
     if nodes.is_empty() && zone.is_none() {
         return Err(missing(name, "the name of a machine, or --zone"));
     }
-    Ok(Command::Drain(DrainArguments { address, leave, nodes, zone }))
+    Ok(Command::Drain(DrainArguments {
+        address,
+        leave,
+        nodes,
+        zone,
+    }))
 }
 
 pub(super) fn parse_roll(mut parser: Parser) -> Result<Command, UsageError> {
@@ -91,7 +96,9 @@
 /// The controller's address and the machines behind it.
 fn split(command: &'static str, values: Vec<String>) -> Result<(String, Vec<String>), UsageError> {
     let mut values = values.into_iter();
-    let address = values.next().ok_or(missing(command, "the address of a controller"))?;
+    let address = values
+        .next()
+        .ok_or(missing(command, "the address of a controller"))?;
     Ok((address, values.collect()))
 }
 
--- a/tier/command/src/controller_call.rs
+++ b/tier/command/src/controller_call.rs
@@ -61,17 +61,27 @@
 impl ControllerCall {
     /// Reads what stands at a path.
     pub(crate) fn get(path: &'static str) -> Self {
-        ControllerCall { method: Method::GET, path, body: Bytes::new() }
+        ControllerCall {
+            method: Method::GET,
+            path,
+            body: Bytes::new(),
+        }
     }
 
     /// Sends an order.
     pub(crate) fn post(path: &'static str, order: &Value) -> Self {
-        ControllerCall { method: Method::POST, path, body: order.to_string().into() }
+        ControllerCall {
+            method: Method::POST,
+            path,
+            body: order.to_string().into(),
+        }
     }
 
     /// Calls the controller at `address`; the body of its answer.
     pub(crate) fn send(self, address: SocketAddr) -> Result<Bytes, CallError> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         runtime.block_on(async { tokio::time::timeout(TIMEOUT, self.exchange(address)).await? })
     }
 
@@ -80,13 +90,18 @@
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(connection);
         let request = Request::builder().method(self.method).uri(self.path);
-        let request = request.header(HOST, address.to_string()).body(Full::new(self.body))?;
+        let request = request
+            .header(HOST, address.to_string())
+            .body(Full::new(self.body))?;
         let answer = sender.send_request(request).await?;
         let status = answer.status();
         let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES);
         let body = body.collect().await.map_err(CallError::Body)?.to_bytes();
         if status != StatusCode::OK {
-            return Err(CallError::Refused { status, reason: reason_of(&body) });
+            return Err(CallError::Refused {
+                status,
+                reason: reason_of(&body),
+            });
         }
         Ok(body)
     }
@@ -99,5 +114,7 @@
 }
 
 fn reason_text(reason: &Option<String>) -> String {
-    reason.as_ref().map_or_else(String::new, |reason| format!(": {reason}"))
+    reason
+        .as_ref()
+        .map_or_else(String::new, |reason| format!(": {reason}"))
 }
--- a/tier/command/src/drains.rs
+++ b/tier/command/src/drains.rs
@@ -14,14 +14,24 @@
 
 /// Sends an order on top of the last one that the controller knows, and prints what is out of service then.
 pub(crate) fn order(order: &DrainArguments) -> ExitStatus {
-    let Some(address) = parse_address(&order.address) else { return ExitStatus::Usage };
+    let Some(address) = parse_address(&order.address) else {
+        return ExitStatus::Usage;
+    };
     finish(address, send(address, order).map(|list| render(&list)))
 }
 
 /// Prints what is out of service.
 pub(crate) fn show(address: &str, json: bool) -> ExitStatus {
-    let Some(address) = parse_address(address) else { return ExitStatus::Usage };
-    let shown = |list: Value| if json { list.to_string() } else { render(&list) };
+    let Some(address) = parse_address(address) else {
+        return ExitStatus::Usage;
+    };
+    let shown = |list: Value| {
+        if json {
+            list.to_string()
+        } else {
+            render(&list)
+        }
+    };
     finish(address, list(address).map(shown))
 }
 
--- a/tier/command/src/lib.rs
+++ b/tier/command/src/lib.rs
@@ -25,7 +25,9 @@
     match Command::parse(arguments) {
         Ok(command) => execute(command),
         Err(error) => {
-            print_error(&format!("plankhill-tier: {error}\nTry: plankhill-tier --help"));
+            print_error(&format!(
+                "plankhill-tier: {error}\nTry: plankhill-tier --help"
+            ));
             ExitStatus::Usage
         }
     }
--- a/tier/command/src/logging.rs
+++ b/tier/command/src/logging.rs
@@ -16,9 +16,15 @@
     let parsed = parse_levels(&wanted);
     let not_understood = parsed.is_none();
     let levels = parsed.unwrap_or_else(default_levels);
-    tracing_subscriber::registry().with(lines(format).with_filter(levels)).init();
+    tracing_subscriber::registry()
+        .with(lines(format).with_filter(levels))
+        .init();
     if not_understood {
-        tracing::warn!(variable = LEVEL_VARIABLE, value = wanted, "level is not understood, using info");
+        tracing::warn!(
+            variable = LEVEL_VARIABLE,
+            value = wanted,
+            "level is not understood, using info"
+        );
     }
 }
 
@@ -30,7 +36,10 @@
     }
     // `Targets` takes any bare word for the name of a package, which would silence all others.
     let understood = |part: &str| part.contains('=') || part.trim().parse::<LevelFilter>().is_ok();
-    text.split(',').all(understood).then(|| text.parse().ok()).flatten()
+    text.split(',')
+        .all(understood)
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
 fn default_levels() -> Targets {
--- a/tier/command/src/render.rs
+++ b/tier/command/src/render.rs
@@ -24,7 +24,11 @@
 }
 
 fn write_object(fields: &Map<String, Value>, depth: usize, text: &mut String) {
-    let width = fields.iter().filter(|(_, value)| fits_line(value)).map(|(key, _)| key.len()).max();
+    let width = fields
+        .iter()
+        .filter(|(_, value)| fits_line(value))
+        .map(|(key, _)| key.len())
+        .max();
     let width = width.unwrap_or(0) + 1;
     for (key, value) in fields {
         if fits_line(value) {
@@ -56,7 +60,11 @@
     if elements.is_empty() {
         return None;
     }
-    let row = |element: &'_ Value| element.as_object().is_some_and(|row| row.values().all(fits_line));
+    let row = |element: &'_ Value| {
+        element
+            .as_object()
+            .is_some_and(|row| row.values().all(fits_line))
+    };
     if elements.iter().all(row) {
         elements.iter().map(Value::as_object).collect()
     } else {
@@ -72,14 +80,26 @@
         }
     }
     let heading: Vec<String> = columns.iter().map(|column| (*column).to_owned()).collect();
-    let cell = |row: &&Map<String, Value>, column: &str| row.get(column).map(line_text).unwrap_or_default();
-    let body = rows.iter().map(|row| columns.iter().map(|column| cell(row, column)).collect());
+    let cell = |row: &&Map<String, Value>, column: &str| {
+        row.get(column).map(line_text).unwrap_or_default()
+    };
+    let body = rows
+        .iter()
+        .map(|row| columns.iter().map(|column| cell(row, column)).collect());
     let lines: Vec<Vec<String>> = std::iter::once(heading).chain(body).collect();
-    let widths: Vec<usize> =
-        (0..columns.len()).map(|place| widest(lines.iter().map(|line| line[place].as_str()))).collect();
+    let widths: Vec<usize> = (0..columns.len())
+        .map(|place| widest(lines.iter().map(|line| line[place].as_str())))
+        .collect();
     for line in &lines {
-        let cells = line.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
-        push_line(depth, &cells.collect::<Vec<_>>().join(&" ".repeat(COLUMN_GAP)), text);
+        let cells = line
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:width$}"));
+        push_line(
+            depth,
+            &cells.collect::<Vec<_>>().join(&" ".repeat(COLUMN_GAP)),
+            text,
+        );
     }
 }
 
@@ -91,7 +111,9 @@
 fn fits_line(value: &Value) -> bool {
     match value {
         Value::Object(fields) => fields.is_empty(),
-        Value::Array(elements) => elements.iter().all(|element| !element.is_object() && !element.is_array()),
+        Value::Array(elements) => elements
+            .iter()
+            .all(|element| !element.is_object() && !element.is_array()),
         _ => true,
     }
 }
@@ -99,7 +121,11 @@
 fn line_text(value: &Value) -> String {
     match value {
         Value::Array(elements) if elements.is_empty() => "none".to_owned(),
-        Value::Array(elements) => elements.iter().map(plain_text).collect::<Vec<_>>().join(", "),
+        Value::Array(elements) => elements
+            .iter()
+            .map(plain_text)
+            .collect::<Vec<_>>()
+            .join(", "),
         Value::Object(_) => "none".to_owned(),
         plain => plain_text(plain),
     }
--- a/tier/command/src/roll.rs
+++ b/tier/command/src/roll.rs
@@ -20,7 +20,9 @@
 
 /// Runs the roll to its end; fails where it stops.
 pub(crate) fn run(plan: &RollArguments) -> ExitStatus {
-    let Some(address) = parse_address(&plan.address) else { return ExitStatus::Usage };
+    let Some(address) = parse_address(&plan.address) else {
+        return ExitStatus::Usage;
+    };
     match roll(address, plan) {
         Ok(done) => print(&format!("done: {done} forwarders")),
         Err(error) => {
@@ -42,9 +44,16 @@
 fn roll(address: SocketAddr, plan: &RollArguments) -> Result<usize, RollError> {
     let view = view_of(&list(address)?);
     let named = plan.nodes.iter().map(|node| NodeId::from(node.as_str()));
-    let nodes = if plan.nodes.is_empty() { view.live.keys().cloned().collect() } else { named.collect() };
-    let bounds =
-        Bounds { most_out: plan.most_out, empty_within: plan.empty_within, back_within: plan.back_within };
+    let nodes = if plan.nodes.is_empty() {
+        view.live.keys().cloned().collect()
+    } else {
+        named.collect()
+    };
+    let bounds = Bounds {
+        most_out: plan.most_out,
+        empty_within: plan.empty_within,
+        back_within: plan.back_within,
+    };
     let mut roll = Roll::new(bounds, nodes, &view);
     let started = Instant::now();
     let mut failures = 0;
@@ -80,7 +89,12 @@
 
 fn order(address: SocketAddr, node: &NodeId, leave: bool) -> Result<(), CallError> {
     let nodes = vec![node.to_string()];
-    let order = DrainArguments { address: address.to_string(), leave, nodes, zone: None };
+    let order = DrainArguments {
+        address: address.to_string(),
+        leave,
+        nodes,
+        zone: None,
+    };
     send(address, &order).map(drop)
 }
 
@@ -90,9 +104,17 @@
     let live = |row: Value| {
         let zone = ZoneName::from(text(&row, "zone").as_str());
         let incarnation = Incarnation(row["incarnation"].as_u64().unwrap_or_default());
-        (NodeId::from(text(&row, "node").as_str()), NodeView { zone, incarnation })
+        (
+            NodeId::from(text(&row, "node").as_str()),
+            NodeView { zone, incarnation },
+        )
+    };
+    let drain = |row: Value| {
+        (
+            NodeId::from(text(&row, "node").as_str()),
+            row["state"] == "empty",
+        )
     };
-    let drain = |row: Value| (NodeId::from(text(&row, "node").as_str()), row["state"] == "empty");
     FleetView {
         live: rows("edges").into_iter().map(live).collect(),
         drains: rows("drains").into_iter().map(drain).collect(),
--- a/tier/command/src/status.rs
+++ b/tier/command/src/status.rs
@@ -12,7 +12,9 @@
 
 /// Asks the controller at `address` and prints its status.
 pub(crate) fn show(address: &str, json: bool) -> ExitStatus {
-    let Some(address) = parse_address(address) else { return ExitStatus::Usage };
+    let Some(address) = parse_address(address) else {
+        return ExitStatus::Usage;
+    };
     match status_text(address, json) {
         Ok(text) => print(&text),
         Err(error) => {
--- a/tier/command/tests/arguments.rs
+++ b/tier/command/tests/arguments.rs
@@ -23,24 +23,52 @@
         ("store", Role::Store),
     ];
     for (name, role) in roles {
-        assert_eq!(understood(name), Command::Run { role, log_format: LogFormat::Text });
+        assert_eq!(
+            understood(name),
+            Command::Run {
+                role,
+                log_format: LogFormat::Text
+            }
+        );
     }
 }
 
 #[test]
 fn the_form_of_log_lines_is_chosen() {
     for line in ["proxy --log-format json", "proxy --log-format=json"] {
-        assert_eq!(understood(line), Command::Run { role: Role::Proxy, log_format: LogFormat::Json });
+        assert_eq!(
+            understood(line),
+            Command::Run {
+                role: Role::Proxy,
+                log_format: LogFormat::Json
+            }
+        );
     }
     let text = understood("proxy --log-format text");
-    assert_eq!(text, Command::Run { role: Role::Proxy, log_format: LogFormat::Text });
+    assert_eq!(
+        text,
+        Command::Run {
+            role: Role::Proxy,
+            log_format: LogFormat::Text
+        }
+    );
 }
 
 #[test]
 fn files_are_checked_by_kind() {
-    assert_eq!(understood("check settings a.toml"), Command::CheckSettings { file: "a.toml".into() });
+    assert_eq!(
+        understood("check settings a.toml"),
+        Command::CheckSettings {
+            file: "a.toml".into()
+        }
+    );
     let configuration = understood("check configuration a.json");
-    assert_eq!(configuration, Command::CheckConfiguration { file: "a.json".into() });
+    assert_eq!(
+        configuration,
+        Command::CheckConfiguration {
+            file: "a.json".into()
+        }
+    );
 }
 
 #[test]
@@ -48,9 +76,18 @@
     let address = "127.0.0.1:9001".to_owned();
     assert_eq!(
         understood("status 127.0.0.1:9001"),
-        Command::Status { address: address.clone(), json: false }
+        Command::Status {
+            address: address.clone(),
+            json: false
+        }
+    );
+    assert_eq!(
+        understood("status --json 127.0.0.1:9001"),
+        Command::Status {
+            address,
+            json: true
+        }
     );
-    assert_eq!(understood("status --json 127.0.0.1:9001"), Command::Status { address, json: true });
 }
 
 #[test]
@@ -63,8 +100,14 @@
             zone: zone.map(str::to_owned),
         })
     };
-    assert_eq!(understood("drain 127.0.0.1:9001 a b"), order(true, &["a", "b"], None));
-    assert_eq!(understood("undrain 127.0.0.1:9001 --zone z a"), order(false, &["a"], Some("z")));
+    assert_eq!(
+        understood("drain 127.0.0.1:9001 a b"),
+        order(true, &["a", "b"], None)
+    );
+    assert_eq!(
+        understood("undrain 127.0.0.1:9001 --zone z a"),
+        order(false, &["a"], Some("z"))
+    );
     assert!(parse("drain 127.0.0.1:9001").is_err_and(|error| error.to_string().contains("--zone")));
     assert!(parse("drain").is_err_and(|error| error.to_string().contains("address")));
 }
@@ -83,13 +126,17 @@
     assert_eq!(understood("roll 127.0.0.1:9001"), roll(&[], 1, 120, 600));
     let line = "roll 127.0.0.1:9001 a --most 4 --empty-within 30 --back-within 60 b";
     assert_eq!(understood(line), roll(&["a", "b"], 4, 30, 60));
-    assert!(parse("roll 127.0.0.1:9001 --most 0").is_err_and(|error| error.to_string().contains("--most")));
+    assert!(parse("roll 127.0.0.1:9001 --most 0")
+        .is_err_and(|error| error.to_string().contains("--most")));
 }
 
 #[test]
 fn the_demo_takes_a_number_of_programs() {
     assert_eq!(understood("demo"), Command::Demo { programs: 40 });
-    assert_eq!(understood("demo --programs 7"), Command::Demo { programs: 7 });
+    assert_eq!(
+        understood("demo --programs 7"),
+        Command::Demo { programs: 7 }
+    );
 }
 
 #[test]
