--- a/tier/command/tests/checking.rs
+++ b/tier/command/tests/checking.rs
@@ -38,8 +38,13 @@
 
 fn check(kind: &str, text: &str) -> Run {
     let mut file = NamedTempFile::new().expect("a file can be made");
-    file.write_all(text.as_bytes()).expect("the file can be written");
-    run(command(&["check", kind, file.path().to_str().expect("a plain path")]))
+    file.write_all(text.as_bytes())
+        .expect("the file can be written");
+    run(command(&[
+        "check",
+        kind,
+        file.path().to_str().expect("a plain path"),
+    ]))
 }
 
 #[test]
@@ -48,27 +53,56 @@
     assert_eq!((settings.code, settings.errors.as_str()), (0, ""));
     let configuration = check("configuration", CONFIGURATION);
     assert_eq!(configuration.code, 0);
-    assert!(configuration.output.contains("version 3, 1 routes, 1 services"), "{}", configuration.output);
+    assert!(
+        configuration
+            .output
+            .contains("version 3, 1 routes, 1 services"),
+        "{}",
+        configuration.output
+    );
 }
 
 #[test]
 fn every_fault_of_settings_is_printed_with_its_key_and_code_1() {
-    let text = SETTINGS.replace("heartbeat_ms = 900", "heartbeat_ms = 0").replace("4096", "0");
+    let text = SETTINGS
+        .replace("heartbeat_ms = 900", "heartbeat_ms = 0")
+        .replace("4096", "0");
     let checked = check("settings", &text);
     assert_eq!(checked.code, 1);
-    assert!(checked.output.contains(": heartbeat_ms: "), "{}", checked.output);
-    assert!(checked.output.contains(": limits.max_fds: "), "{}", checked.output);
+    assert!(
+        checked.output.contains(": heartbeat_ms: "),
+        "{}",
+        checked.output
+    );
+    assert!(
+        checked.output.contains(": limits.max_fds: "),
+        "{}",
+        checked.output
+    );
     assert_eq!(checked.output.lines().count(), 2);
 }
 
 #[test]
 fn every_fault_of_a_configuration_is_printed_with_its_key_and_code_1() {
-    let text = CONFIGURATION.replace("500", "0").replace("\"tools\", \"max", "\"nobody\", \"max");
+    let text = CONFIGURATION
+        .replace("500", "0")
+        .replace("\"tools\", \"max", "\"nobody\", \"max");
     let checked = check("configuration", &text);
     assert_eq!(checked.code, 1);
-    assert!(checked.output.contains(": routes[0].timeout_ms: "), "{}", checked.output);
-    assert!(checked.output.contains(": routes[0].service: "), "{}", checked.output);
-    let zero = check("configuration", &CONFIGURATION.replace("\"version\": 3", "\"version\": 0"));
+    assert!(
+        checked.output.contains(": routes[0].timeout_ms: "),
+        "{}",
+        checked.output
+    );
+    assert!(
+        checked.output.contains(": routes[0].service: "),
+        "{}",
+        checked.output
+    );
+    let zero = check(
+        "configuration",
+        &CONFIGURATION.replace("\"version\": 3", "\"version\": 0"),
+    );
     assert!(zero.output.contains(": version: "), "{}", zero.output);
 }
 
@@ -77,7 +111,11 @@
     for kind in ["settings", "configuration"] {
         let checked = run(command(&["check", kind, "/nowhere/file"]));
         assert_eq!(checked.code, 2);
-        assert!(checked.errors.contains("/nowhere/file"), "{}", checked.errors);
+        assert!(
+            checked.errors.contains("/nowhere/file"),
+            "{}",
+            checked.errors
+        );
     }
 }
 
@@ -85,16 +123,25 @@
 fn a_command_line_that_is_not_understood_ends_with_code_2() {
     let refused = run(command(&["serve"]));
     assert_eq!(refused.code, 2);
-    assert!(refused.errors.contains("serve") && refused.errors.contains("--help"), "{}", refused.errors);
+    assert!(
+        refused.errors.contains("serve") && refused.errors.contains("--help"),
+        "{}",
+        refused.errors
+    );
 }
 
 #[test]
 fn help_names_commands_and_exit_codes() {
     let help = run(command(&["--help"]));
     assert_eq!(help.code, 0);
-    for part in
-        ["controller", "check settings", "status ADDRESS", "--log-format", "PLANKHILL_LOG", "Exit codes"]
-    {
+    for part in [
+        "controller",
+        "check settings",
+        "status ADDRESS",
+        "--log-format",
+        "PLANKHILL_LOG",
+        "Exit codes",
+    ] {
         assert!(help.output.contains(part), "{part}");
     }
 }
@@ -103,5 +150,8 @@
 fn the_version_is_that_of_the_package() {
     let version = run(command(&["--version"]));
     assert_eq!(version.code, 0);
-    assert_eq!(version.output.trim(), format!("plankhill-tier {}", env!("CARGO_PKG_VERSION")));
+    assert_eq!(
+        version.output.trim(),
+        format!("plankhill-tier {}", env!("CARGO_PKG_VERSION"))
+    );
 }
--- a/tier/command/tests/common/mod.rs
+++ b/tier/command/tests/common/mod.rs
@@ -17,13 +17,20 @@
 /// The command with `arguments`, without the caller's settings.
 pub fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_plankhill-tier"));
-    command.args(arguments).env_remove("PLANKHILL_SETTINGS").env_remove("PLANKHILL_LOG");
+    command
+        .args(arguments)
+        .env_remove("PLANKHILL_SETTINGS")
+        .env_remove("PLANKHILL_LOG");
     command
 }
 
 /// Runs `command` to its end.
 pub fn run(mut command: Command) -> Run {
-    let Output { status, stdout, stderr } = command.output().expect("the command can be started");
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = command.output().expect("the command can be started");
     Run {
         code: status.code().expect("the command ends by itself"),
         output: String::from_utf8_lossy(&stdout).into_owned(),
--- a/tier/command/tests/demo.rs
+++ b/tier/command/tests/demo.rs
@@ -18,9 +18,29 @@
     }
     let played = run(demo);
     assert_eq!(played.code, 0, "{}\n{}", played.output, played.errors);
-    assert!(played.output.contains("programs       16 of 16 whole"), "{}", played.output);
-    assert!(played.output.contains("drained the proxy"), "{}", played.output);
-    assert!(played.output.contains("took the proxy"), "{}", played.output);
-    assert!(played.output.contains("killed the controller"), "{}", played.output);
-    assert!(played.output.contains("killed the proxy"), "{}", played.output);
+    assert!(
+        played.output.contains("programs       16 of 16 whole"),
+        "{}",
+        played.output
+    );
+    assert!(
+        played.output.contains("drained the proxy"),
+        "{}",
+        played.output
+    );
+    assert!(
+        played.output.contains("took the proxy"),
+        "{}",
+        played.output
+    );
+    assert!(
+        played.output.contains("killed the controller"),
+        "{}",
+        played.output
+    );
+    assert!(
+        played.output.contains("killed the proxy"),
+        "{}",
+        played.output
+    );
 }
--- a/tier/command/tests/drains.rs
+++ b/tier/command/tests/drains.rs
@@ -36,28 +36,48 @@
         }
         let mut asked = vec![0; length];
         reader.read_exact(&mut asked).expect("the body");
-        let answer = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        reader.get_mut().write_all(answer.as_bytes()).expect("the caller reads");
+        let answer = format!(
+            "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        reader
+            .get_mut()
+            .write_all(answer.as_bytes())
+            .expect("the caller reads");
         let body = String::from_utf8(asked).expect("text");
-        Asked { line: head[0].trim().to_owned(), body }
+        Asked {
+            line: head[0].trim().to_owned(),
+            body,
+        }
     };
-    (address, thread::spawn(move || answers.into_iter().map(serve).collect()))
+    (
+        address,
+        thread::spawn(move || answers.into_iter().map(serve).collect()),
+    )
 }
 
 const NONE: &str = r#"{"number":3,"drains":[],"edges":[]}"#;
-const LEAVING: &str = r#"{"number":4,"drains":[{"node":"edge-1","number":4,"state":"leaving"}],"edges":[]}"#;
+const LEAVING: &str =
+    r#"{"number":4,"drains":[{"node":"edge-1","number":4,"state":"leaving"}],"edges":[]}"#;
 
 #[test]
 fn an_order_builds_on_the_last_one() {
     let (address, served) = controller(vec![("200 OK", NONE), ("200 OK", LEAVING)]);
     let shown = run(command(&["drain", &address.to_string(), "edge-1"]));
     assert_eq!(shown.code, 0, "{}", shown.errors);
-    assert!(shown.output.contains("edge-1") && shown.output.contains("leaving"), "{}", shown.output);
+    assert!(
+        shown.output.contains("edge-1") && shown.output.contains("leaving"),
+        "{}",
+        shown.output
+    );
     let asked = served.join().expect("served");
     assert_eq!(asked[1].line, "POST /-/drains HTTP/1.1");
     let order: serde_json::Value = serde_json::from_str(&asked[1].body).expect("JSON");
     assert_eq!(order["expected"], 3);
-    assert_eq!((&order["leave"], &order["nodes"][0]), (&true.into(), &"edge-1".into()));
+    assert_eq!(
+        (&order["leave"], &order["nodes"][0]),
+        (&true.into(), &"edge-1".into())
+    );
 }
 
 #[test]
@@ -66,7 +86,11 @@
     let (address, served) = controller(vec![("200 OK", NONE), ("409 Conflict", refusal)]);
     let shown = run(command(&["drain", &address.to_string(), "--zone", "z"]));
     assert_eq!(shown.code, 1);
-    assert!(shown.errors.contains("409") && shown.errors.contains("too few edges"), "{}", shown.errors);
+    assert!(
+        shown.errors.contains("409") && shown.errors.contains("too few edges"),
+        "{}",
+        shown.errors
+    );
     served.join().expect("served");
 }
 
@@ -74,7 +98,10 @@
 fn what_is_out_of_service_is_shown_as_received() {
     let (address, served) = controller(vec![("200 OK", LEAVING)]);
     let shown = run(command(&["drains", "--json", &address.to_string()]));
-    assert_eq!((shown.code, shown.output.contains(r#""state":"leaving""#)), (0, true));
+    assert_eq!(
+        (shown.code, shown.output.contains(r#""state":"leaving""#)),
+        (0, true)
+    );
     served.join().expect("served");
 }
 
@@ -85,16 +112,31 @@
     let back = r#"{"number":1,"drains":[{"node":"a","number":1,"state":"empty"}],"edges":[{"node":"a","zone":"z","incarnation":2},{"node":"b","zone":"z","incarnation":1}]}"#;
     let after = r#"{"number":2,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":2},{"node":"b","zone":"z","incarnation":1}]}"#;
     // The list at the start and before each step; an order reads the list once more.
-    let bodies = [at_first, at_first, at_first, empty, empty, back, back, after, after];
+    let bodies = [
+        at_first, at_first, at_first, empty, empty, back, back, after, after,
+    ];
     let (address, served) = controller(bodies.map(|body| ("200 OK", body)).to_vec());
     let shown = run(command(&["roll", &address.to_string(), "a"]));
     assert_eq!(shown.code, 0, "{}", shown.errors);
     let told: Vec<&str> = shown.output.lines().collect();
-    assert_eq!(told, ["drain a", "empty a: start it anew", "back a", "done: 1 forwarders"]);
+    assert_eq!(
+        told,
+        [
+            "drain a",
+            "empty a: start it anew",
+            "back a",
+            "done: 1 forwarders"
+        ]
+    );
     let asked = served.join().expect("served");
-    let orders: Vec<&Asked> = asked.iter().filter(|asked| asked.line.starts_with("POST")).collect();
+    let orders: Vec<&Asked> = asked
+        .iter()
+        .filter(|asked| asked.line.starts_with("POST"))
+        .collect();
     assert_eq!(orders.len(), 2);
-    assert!(orders[0].body.contains(r#""leave":true"#) && orders[1].body.contains(r#""leave":false"#));
+    assert!(
+        orders[0].body.contains(r#""leave":true"#) && orders[1].body.contains(r#""leave":false"#)
+    );
 }
 
 #[test]
--- a/tier/command/tests/logging.rs
+++ b/tier/command/tests/logging.rs
@@ -9,7 +9,9 @@
 /// A role without its settings, with the given level and form of the log.
 fn start_without_settings(level: &str, format: &str) -> Run {
     let mut command = command(&["agent", "--log-format", format]);
-    command.env("PLANKHILL_SETTINGS", "/nowhere/settings.toml").env("PLANKHILL_LOG", level);
+    command
+        .env("PLANKHILL_SETTINGS", "/nowhere/settings.toml")
+        .env("PLANKHILL_LOG", level);
     run(command)
 }
 
@@ -30,7 +32,10 @@
     let ended = start_without_settings("", "json");
     let line: Value = serde_json::from_str(ended.output.trim()).expect("one JSON object");
     assert_eq!(line["level"], "ERROR");
-    assert!(line["error"].as_str().expect("a reason").contains("/nowhere/settings.toml"));
+    assert!(line["error"]
+        .as_str()
+        .expect("a reason")
+        .contains("/nowhere/settings.toml"));
 }
 
 #[test]
@@ -38,7 +43,10 @@
     assert_eq!(start_without_settings("off", "text").output, "");
     for not_understood in ["plankhill_agent=loud", "inof"] {
         let warned = start_without_settings(not_understood, "text").output;
-        assert!(warned.contains("WARN") && warned.contains("PLANKHILL_LOG"), "{warned}");
+        assert!(
+            warned.contains("WARN") && warned.contains("PLANKHILL_LOG"),
+            "{warned}"
+        );
         assert!(warned.contains("ERROR"), "{warned}");
     }
 }
--- a/tier/command/tests/rendering.rs
+++ b/tier/command/tests/rendering.rs
@@ -6,7 +6,10 @@
 #[test]
 fn keys_of_an_object_are_aligned() {
     let text = render(&json!({"in_view": true, "tail": null, "version": 7, "waiting": []}));
-    assert_eq!(text, "in_view: yes\ntail:    -\nversion: 7\nwaiting: none\n");
+    assert_eq!(
+        text,
+        "in_view: yes\ntail:    -\nversion: 7\nwaiting: none\n"
+    );
 }
 
 #[test]
@@ -16,15 +19,22 @@
 
 #[test]
 fn lists_of_like_objects_become_tables() {
-    let text =
-        render(&json!({"edges": [{"lag": 0, "node": "edge-1"}, {"lag": 12, "node": "e2", "note": "slow"}]}));
-    assert_eq!(text, "edges:\n  lag  node    note\n  0    edge-1\n  12   e2      slow\n");
+    let text = render(
+        &json!({"edges": [{"lag": 0, "node": "edge-1"}, {"lag": 12, "node": "e2", "note": "slow"}]}),
+    );
+    assert_eq!(
+        text,
+        "edges:\n  lag  node    note\n  0    edge-1\n  12   e2      slow\n"
+    );
 }
 
 #[test]
 fn deeper_objects_are_indented() {
     let text = render(&json!({"view": {"members": [{"ports": {"a": 1}}], "number": 3}}));
-    assert_eq!(text, "view:\n  members:\n    -\n      ports:\n        a: 1\n  number: 3\n");
+    assert_eq!(
+        text,
+        "view:\n  members:\n    -\n      ports:\n        a: 1\n  number: 3\n"
+    );
 }
 
 #[test]
--- a/tier/command/tests/status.rs
+++ b/tier/command/tests/status.rs
@@ -13,24 +13,33 @@
 /// Takes one connection, reads a request's head, and answers `answer`.
 fn serve_once(answer: String) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("a bound socket has an address");
+    let address = listener
+        .local_addr()
+        .expect("a bound socket has an address");
     let served = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("one caller");
         let mut head = Vec::new();
         let mut piece = [0; 512];
         while !head.ends_with(b"\r\n\r\n") {
-            let length = stream.read(&mut piece).expect("the caller sends its request");
+            let length = stream
+                .read(&mut piece)
+                .expect("the caller sends its request");
             assert_ne!(length, 0, "the caller left");
             head.extend_from_slice(&piece[..length]);
         }
-        stream.write_all(answer.as_bytes()).expect("the caller reads the answer");
+        stream
+            .write_all(answer.as_bytes())
+            .expect("the caller reads the answer");
         String::from_utf8_lossy(&head).into_owned()
     });
     (address, served)
 }
 
 fn answer(status: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 fn status_of(answer: String, options: &[&str]) -> Run {
@@ -64,14 +73,20 @@
     let broken = status_of(answer("200 OK", "{"), &[]);
     assert_eq!(broken.code, 1);
     assert!(broken.errors.contains("JSON"), "{}", broken.errors);
-    let cut = status_of("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}".to_owned(), &[]);
+    let cut = status_of(
+        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}".to_owned(),
+        &[],
+    );
     assert_eq!(cut.code, 1);
 }
 
 #[test]
 fn nobody_at_the_address_is_a_failure() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("a bound socket has an address").to_string();
+    let address = listener
+        .local_addr()
+        .expect("a bound socket has an address")
+        .to_string();
     drop(listener);
     let shown = run(command(&["status", &address]));
     assert_eq!(shown.code, 1);
--- a/tier/configuration/examples/cost.rs
+++ b/tier/configuration/examples/cost.rs
@@ -75,7 +75,10 @@
         work();
         begun.elapsed()
     };
-    std::iter::repeat_with(time).take(RUNS as usize).min().unwrap_or_default()
+    std::iter::repeat_with(time)
+        .take(RUNS as usize)
+        .min()
+        .unwrap_or_default()
 }
 
 fn milliseconds(time: Duration) -> f64 {
--- a/tier/configuration/src/check.rs
+++ b/tier/configuration/src/check.rs
@@ -28,7 +28,10 @@
     let mut names = HashSet::with_capacity(configuration.services.len());
     for (index, service) in configuration.services.iter().enumerate() {
         if !names.insert(service.name.as_ref()) {
-            faults.add(format!("services[{index}].name"), format!("{:?} stands twice", service.name));
+            faults.add(
+                format!("services[{index}].name"),
+                format!("{:?} stands twice", service.name),
+            );
         }
     }
     names
@@ -49,10 +52,20 @@
     }
 }
 
-fn check_weighted(index: usize, weighted: &[WeightedService], known: &HashSet<&str>, faults: &mut Faults) {
+fn check_weighted(
+    index: usize,
+    weighted: &[WeightedService],
+    known: &HashSet<&str>,
+    faults: &mut Faults,
+) {
     let list = format!("routes[{index}].weighted_services");
     for (place, share) in weighted.iter().enumerate() {
-        check_known(format!("{list}[{place}].service"), &share.service, known, faults);
+        check_known(
+            format!("{list}[{place}].service"),
+            &share.service,
+            known,
+            faults,
+        );
         if !share.weight.is_finite() || share.weight < 0.0 {
             faults.add(format!("{list}[{place}].weight"), "must not be negative");
         }
--- a/tier/configuration/src/configuration.rs
+++ b/tier/configuration/src/configuration.rs
@@ -42,17 +42,26 @@
         if self.version > current {
             return Ok(());
         }
-        let message = format!("{} is not above the current version {current}", self.version);
-        Err(ConfigurationError::Invalid(Faults::from(Fault::new("version", message))))
+        let message = format!(
+            "{} is not above the current version {current}",
+            self.version
+        );
+        Err(ConfigurationError::Invalid(Faults::from(Fault::new(
+            "version", message,
+        ))))
     }
 
     /// Reads without a path first, since keeping it costs time on big documents.
     fn read(bytes: &[u8]) -> Result<Configuration, ConfigurationError> {
         if bytes.len() > MAX_DOCUMENT_BYTES {
-            let fault = Fault::new("document", format!("larger than {MAX_DOCUMENT_BYTES} bytes"));
+            let fault = Fault::new(
+                "document",
+                format!("larger than {MAX_DOCUMENT_BYTES} bytes"),
+            );
             return Err(ConfigurationError::Unreadable(fault));
         }
-        serde_json::from_slice(bytes).map_err(|error| ConfigurationError::Unreadable(locate(bytes, &error)))
+        serde_json::from_slice(bytes)
+            .map_err(|error| ConfigurationError::Unreadable(locate(bytes, &error)))
     }
 }
 
--- a/tier/configuration/src/content.rs
+++ b/tier/configuration/src/content.rs
@@ -18,10 +18,15 @@
     match (left, right) {
         (Value::Number(left), Value::Number(right)) => same_number(left, right),
         (Value::Array(left), Value::Array(right)) => {
-            left.len() == right.len() && left.iter().zip(right).all(|(left, right)| same_value(left, right))
+            left.len() == right.len()
+                && left
+                    .iter()
+                    .zip(right)
+                    .all(|(left, right)| same_value(left, right))
         }
         (Value::Object(left), Value::Object(right)) => {
-            let same_under = |(key, value)| right.get(key).is_some_and(|other| same_value(value, other));
+            let same_under =
+                |(key, value)| right.get(key).is_some_and(|other| same_value(value, other));
             left.len() == right.len() && left.iter().all(same_under)
         }
         _ => left == right,
--- a/tier/configuration/src/document.rs
+++ b/tier/configuration/src/document.rs
@@ -16,24 +16,38 @@
     /// Number of the version that the bytes hold.
     pub version: u64,
     /// The JSON text.
-    #[serde(serialize_with = "serialize_bytes", deserialize_with = "deserialize_bytes")]
+    #[serde(
+        serialize_with = "serialize_bytes",
+        deserialize_with = "deserialize_bytes"
+    )]
     pub bytes: Arc<[u8]>,
 }
 
 impl Document {
     /// Keeps `bytes`, which hold the version `version`.
     pub fn new(version: u64, bytes: impl Into<Arc<[u8]>>) -> Document {
-        Document { version, bytes: bytes.into() }
+        Document {
+            version,
+            bytes: bytes.into(),
+        }
     }
 
     /// Reads and checks `bytes`, and keeps them.
     ///
     /// # Errors
     /// As [`Configuration::parse`].
-    pub fn parse(bytes: impl Into<Arc<[u8]>>) -> Result<(Document, Configuration), ConfigurationError> {
+    pub fn parse(
+        bytes: impl Into<Arc<[u8]>>,
+    ) -> Result<(Document, Configuration), ConfigurationError> {
         let bytes = bytes.into();
         let configuration = Configuration::parse(&bytes)?;
-        Ok((Document { version: configuration.version, bytes }, configuration))
+        Ok((
+            Document {
+                version: configuration.version,
+                bytes,
+            },
+            configuration,
+        ))
     }
 
     /// True if `other` has the same number and says the same.
--- a/tier/configuration/src/limits.rs
+++ b/tier/configuration/src/limits.rs
@@ -18,7 +18,10 @@
     #[serde(deserialize_with = "fields::whole")]
     pub max_body_bytes: u64,
     /// Longest time for the sending of a request's head.
-    #[serde(rename = "header_timeout_ms", deserialize_with = "fields::milliseconds")]
+    #[serde(
+        rename = "header_timeout_ms",
+        deserialize_with = "fields::milliseconds"
+    )]
     pub header_timeout: Duration,
     /// Longest rest of a connection between two requests.
     #[serde(rename = "idle_timeout_ms", deserialize_with = "fields::milliseconds")]
--- a/tier/configuration/src/patch.rs
+++ b/tier/configuration/src/patch.rs
@@ -53,7 +53,10 @@
 impl Patch {
     /// Bytes of JSON text that the patch carries.
     pub fn text_bytes(&self) -> usize {
-        self.fields.iter().map(|field| field.key.len() + field.change.text_bytes()).sum()
+        self.fields
+            .iter()
+            .map(|field| field.key.len() + field.change.text_bytes())
+            .sum()
     }
 }
 
--- a/tier/configuration/src/patch_apply.rs
+++ b/tier/configuration/src/patch_apply.rs
@@ -15,7 +15,10 @@
     /// If `old` has another version, or lacks what the patch keeps, or the result is too large.
     pub fn apply(&self, old: &Document) -> Result<Document, PatchError> {
         if old.version != self.base {
-            return Err(PatchError::OtherBase { expected: self.base, found: old.version });
+            return Err(PatchError::OtherBase {
+                expected: self.base,
+                found: old.version,
+            });
         }
         let old_fields = raw_fields(&old.bytes)?;
         let mut writer = Writer::new(old.bytes.len() + self.text_bytes());
@@ -29,7 +32,11 @@
     }
 }
 
-fn write_field(field: &FieldPatch, old: &RawFields<'_>, writer: &mut Writer) -> Result<(), PatchError> {
+fn write_field(
+    field: &FieldPatch,
+    old: &RawFields<'_>,
+    writer: &mut Writer,
+) -> Result<(), PatchError> {
     writer.push(&quoted(&field.key)?)?;
     writer.push(":")?;
     match &field.change {
@@ -47,7 +54,9 @@
 }
 
 fn kept<'a>(key: &str, old: &RawFields<'a>) -> Result<&'a RawValue, PatchError> {
-    old.get(key).copied().ok_or_else(|| PatchError::MissingKey(key.to_owned()))
+    old.get(key)
+        .copied()
+        .ok_or_else(|| PatchError::MissingKey(key.to_owned()))
 }
 
 fn write_list(
@@ -85,7 +94,8 @@
 ) -> Result<&'b [&'a RawValue], PatchError> {
     let first = first as usize;
     let end = first.saturating_add(count as usize);
-    old.get(first..end).ok_or_else(|| PatchError::MissingElements(key.to_owned()))
+    old.get(first..end)
+        .ok_or_else(|| PatchError::MissingElements(key.to_owned()))
 }
 
 /// JSON text under construction, bounded by [`MAX_DOCUMENT_BYTES`].
@@ -95,7 +105,9 @@
 
 impl Writer {
     fn new(expected_bytes: usize) -> Writer {
-        Writer { text: String::with_capacity(expected_bytes.min(MAX_DOCUMENT_BYTES)) }
+        Writer {
+            text: String::with_capacity(expected_bytes.min(MAX_DOCUMENT_BYTES)),
+        }
     }
 
     fn push(&mut self, text: &str) -> Result<(), PatchError> {
--- a/tier/configuration/src/patch_between.rs
+++ b/tier/configuration/src/patch_between.rs
@@ -25,7 +25,11 @@
             };
             fields.push(FieldPatch { key, change });
         }
-        Ok(Patch { base: old.version, version: new.version, fields })
+        Ok(Patch {
+            base: old.version,
+            version: new.version,
+            fields,
+        })
     }
 }
 
@@ -43,7 +47,10 @@
     if old.get() == new.get() {
         Ok(FieldChange::Keep)
     } else if is_list(old) && is_list(new) {
-        Ok(FieldChange::List(list_parts(&raw_elements(old)?, &raw_elements(new)?)))
+        Ok(FieldChange::List(list_parts(
+            &raw_elements(old)?,
+            &raw_elements(new)?,
+        )))
     } else {
         Ok(FieldChange::Value(new.get().to_owned()))
     }
@@ -64,7 +71,10 @@
             continue;
         }
         parts.push(match places.get(element.get()) {
-            Some(first) => ListPart::Keep { first: *first, count: 1 },
+            Some(first) => ListPart::Keep {
+                first: *first,
+                count: 1,
+            },
             None => ListPart::Add(element.get().to_owned()),
         });
     }
@@ -77,7 +87,9 @@
         return false;
     };
     let next = (*first + *count) as usize;
-    let goes_on = old.get(next).is_some_and(|candidate| candidate.get() == element.get());
+    let goes_on = old
+        .get(next)
+        .is_some_and(|candidate| candidate.get() == element.get());
     if goes_on {
         *count += 1;
     }
--- a/tier/configuration/src/split.rs
+++ b/tier/configuration/src/split.rs
@@ -17,7 +17,8 @@
             RouteServices::One(service) => (Some(service), &[][..]),
             RouteServices::Weighted(weighted) => (None, &weighted[..]),
         };
-        one.into_iter().chain(weighted.iter().map(|share| &share.service))
+        one.into_iter()
+            .chain(weighted.iter().map(|share| &share.service))
     }
 
     /// The service for the request called `request_id`: the same one on every machine.
--- a/tier/configuration/src/table.rs
+++ b/tier/configuration/src/table.rs
@@ -39,7 +39,12 @@
             .into_iter()
             .map(|service| (service.name.clone(), Arc::new(service)))
             .collect();
-        RouteTable { version: configuration.version, limits: configuration.limits, hosts, services }
+        RouteTable {
+            version: configuration.version,
+            limits: configuration.limits,
+            hosts,
+            services,
+        }
     }
 
     /// The route of a request: that of its host with the longest prefix that begins the path.
@@ -62,7 +67,9 @@
 
     /// All routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
-        self.hosts.values().flat_map(|routes| routes.by_prefix.values())
+        self.hosts
+            .values()
+            .flat_map(|routes| routes.by_prefix.values())
     }
 
     /// Number of the version.
@@ -91,7 +98,9 @@
         let bytes = path.as_bytes();
         let fitting = self.lengths.iter().filter(|length| **length <= bytes.len());
         let ending_in_slash = fitting.filter(|length| **length > 0 && bytes[**length - 1] == b'/');
-        ending_in_slash.map(|length| &path[..*length]).find_map(|prefix| self.by_prefix.get(prefix))
+        ending_in_slash
+            .map(|length| &path[..*length])
+            .find_map(|prefix| self.by_prefix.get(prefix))
     }
 }
 
--- a/tier/configuration/tests/common/mod.rs
+++ b/tier/configuration/tests/common/mod.rs
@@ -68,12 +68,17 @@
 /// The valid configuration without `key` of the object at `pointer`.
 pub fn without(pointer: &str, key: &str) -> Value {
     let mut document = valid();
-    object(&mut document, pointer).remove(key).expect("the key exists");
+    object(&mut document, pointer)
+        .remove(key)
+        .expect("the key exists");
     document
 }
 
 fn object<'a>(document: &'a mut Value, pointer: &str) -> &'a mut serde_json::Map<String, Value> {
-    document.pointer_mut(pointer).and_then(Value::as_object_mut).expect("an object")
+    document
+        .pointer_mut(pointer)
+        .and_then(Value::as_object_mut)
+        .expect("an object")
 }
 
 /// The JSON text of `document`.
--- a/tier/configuration/tests/content.rs
+++ b/tier/configuration/tests/content.rs
@@ -17,7 +17,10 @@
         ("not json", "not json"),
     ];
     for (left, right) in same {
-        assert!(same_content(left.as_bytes(), right.as_bytes()), "{left} {right}");
+        assert!(
+            same_content(left.as_bytes(), right.as_bytes()),
+            "{left} {right}"
+        );
     }
 }
 
@@ -34,7 +37,10 @@
         ("{}", "not json"),
     ];
     for (left, right) in different {
-        assert!(!same_content(left.as_bytes(), right.as_bytes()), "{left} {right}");
+        assert!(
+            !same_content(left.as_bytes(), right.as_bytes()),
+            "{left} {right}"
+        );
     }
 }
 
--- a/tier/configuration/tests/faults.rs
+++ b/tier/configuration/tests/faults.rs
@@ -12,7 +12,11 @@
 }
 
 fn faulty_keys(document: &Value) -> Vec<String> {
-    refuse(document).faults().iter().map(|fault| fault.key.clone()).collect()
+    refuse(document)
+        .faults()
+        .iter()
+        .map(|fault| fault.key.clone())
+        .collect()
 }
 
 #[test]
@@ -20,13 +24,25 @@
     let bytes = text(&valid());
     for length in 0..bytes.len() {
         let refused = Configuration::parse(&bytes[..length]);
-        assert!(matches!(refused, Err(ConfigurationError::Unreadable(_))), "{length} bytes");
+        assert!(
+            matches!(refused, Err(ConfigurationError::Unreadable(_))),
+            "{length} bytes"
+        );
     }
 }
 
 #[test]
 fn what_is_no_json_object_is_refused() {
-    for bytes in [&b""[..], b"[]", b"null", b"7", b"{}", b"\xff\xfe", b"not json", b"{\"version\":7}"] {
+    for bytes in [
+        &b""[..],
+        b"[]",
+        b"null",
+        b"7",
+        b"{}",
+        b"\xff\xfe",
+        b"not json",
+        b"{\"version\":7}",
+    ] {
         assert!(Configuration::parse(bytes).is_err(), "{bytes:?}");
     }
     let mut with_more = text(&valid());
@@ -44,7 +60,10 @@
 fn a_huge_document_is_refused() {
     let bytes = vec![b' '; MAX_DOCUMENT_BYTES + 1];
     let refused = Configuration::parse(&bytes).expect_err("too large");
-    assert_eq!(refused.faults().iter().next().expect("one fault").key, "document");
+    assert_eq!(
+        refused.faults().iter().next().expect("one fault").key,
+        "document"
+    );
 }
 
 #[test]
@@ -67,8 +86,14 @@
     ];
     for (pointer, key) in cases {
         let message = refuse(&without(pointer, key)).to_string();
-        let place = pointer.trim_start_matches('/').replace("/1", "[1]").replace("/2", "[2]");
-        assert!(message.contains(&place) && message.contains(&format!("`{key}`")), "{message}");
+        let place = pointer
+            .trim_start_matches('/')
+            .replace("/1", "[1]")
+            .replace("/2", "[2]");
+        assert!(
+            message.contains(&place) && message.contains(&format!("`{key}`")),
+            "{message}"
+        );
     }
 }
 
@@ -82,20 +107,52 @@
         ("/routes/1", json!("route"), "routes[1]"),
         ("/routes/1/host", json!(3), "routes[1].host"),
         ("/routes/1/type", json!("unary"), "routes[1].type"),
-        ("/routes/1/timeout_ms", json!("5000"), "routes[1].timeout_ms"),
+        (
+            "/routes/1/timeout_ms",
+            json!("5000"),
+            "routes[1].timeout_ms",
+        ),
         ("/routes/1/timeout_ms", json!(null), "routes[1].timeout_ms"),
         ("/routes/1/timeout_ms", json!(-1), "routes[1].timeout_ms"),
         ("/routes/1/timeout_ms", json!(1e300), "routes[1].timeout_ms"),
-        ("/routes/1/max_attempts", json!(1.5), "routes[1].max_attempts"),
-        ("/routes/1/max_attempts", json!(1e15), "routes[1].max_attempts"),
+        (
+            "/routes/1/max_attempts",
+            json!(1.5),
+            "routes[1].max_attempts",
+        ),
+        (
+            "/routes/1/max_attempts",
+            json!(1e15),
+            "routes[1].max_attempts",
+        ),
         ("/routes/1/retained", json!("true"), "routes[1].retained"),
-        ("/routes/2/weighted_services/1/weight", json!("25"), "routes[2].weighted_services[1].weight"),
-        ("/services/0/max_connections", json!(true), "services[0].max_connections"),
-        ("/services/0/engine/chunk_size", json!("3"), "services[0].engine.chunk_size"),
-        ("/limits/idle_timeout_ms", json!([]), "limits.idle_timeout_ms"),
+        (
+            "/routes/2/weighted_services/1/weight",
+            json!("25"),
+            "routes[2].weighted_services[1].weight",
+        ),
+        (
+            "/services/0/max_connections",
+            json!(true),
+            "services[0].max_connections",
+        ),
+        (
+            "/services/0/engine/chunk_size",
+            json!("3"),
+            "services[0].engine.chunk_size",
+        ),
+        (
+            "/limits/idle_timeout_ms",
+            json!([]),
+            "limits.idle_timeout_ms",
+        ),
     ];
     for (pointer, value, key) in cases {
-        assert_eq!(faulty_keys(&with(pointer, value.clone())), [key], "{pointer} = {value}");
+        assert_eq!(
+            faulty_keys(&with(pointer, value.clone())),
+            [key],
+            "{pointer} = {value}"
+        );
     }
 }
 
@@ -107,27 +164,65 @@
         ("/routes/0/service", json!("nobody"), "routes[0].service"),
         ("/routes/0/host", json!(""), "routes[0].host"),
         ("/routes/0/path_prefix", json!(""), "routes[0].path_prefix"),
-        ("/routes/0/path_prefix", json!("/chat"), "routes[0].path_prefix"),
-        ("/routes/0/path_prefix", json!("chat/"), "routes[0].path_prefix"),
+        (
+            "/routes/0/path_prefix",
+            json!("/chat"),
+            "routes[0].path_prefix",
+        ),
+        (
+            "/routes/0/path_prefix",
+            json!("chat/"),
+            "routes[0].path_prefix",
+        ),
         ("/routes/0/max_attempts", json!(0), "routes[0].max_attempts"),
-        ("/routes/2/weighted_services", json!([]), "routes[2].weighted_services"),
-        ("/routes/2/weighted_services/0/weight", json!(-1), "routes[2].weighted_services[0].weight"),
-        ("/routes/2/weighted_services/1/service", json!("nobody"), "routes[2].weighted_services[1].service"),
+        (
+            "/routes/2/weighted_services",
+            json!([]),
+            "routes[2].weighted_services",
+        ),
+        (
+            "/routes/2/weighted_services/0/weight",
+            json!(-1),
+            "routes[2].weighted_services[0].weight",
+        ),
+        (
+            "/routes/2/weighted_services/1/service",
+            json!("nobody"),
+            "routes[2].weighted_services[1].service",
+        ),
         ("/services/1/name", json!(""), "services[1].name"),
-        ("/services/1/max_connections", json!(0), "services[1].max_connections"),
-        ("/services/0/engine/capacity", json!(0), "services[0].engine.capacity"),
-        ("/limits/max_header_bytes", json!(0), "limits.max_header_bytes"),
+        (
+            "/services/1/max_connections",
+            json!(0),
+            "services[1].max_connections",
+        ),
+        (
+            "/services/0/engine/capacity",
+            json!(0),
+            "services[0].engine.capacity",
+        ),
+        (
+            "/limits/max_header_bytes",
+            json!(0),
+            "limits.max_header_bytes",
+        ),
     ];
     for (pointer, value, key) in cases {
         let keys = faulty_keys(&with(pointer, value.clone()));
-        assert!(keys.iter().any(|found| found == key), "{pointer} = {value}: {keys:?}");
+        assert!(
+            keys.iter().any(|found| found == key),
+            "{pointer} = {value}: {keys:?}"
+        );
     }
 }
 
 #[test]
 fn weights_that_sum_to_zero_are_refused() {
     let weights = json!([{"service": "models", "weight": 0}, {"service": "tools", "weight": 0}]);
-    assert_eq!(faulty_keys(&with("/routes/2/weighted_services", weights)), ["routes[2].weighted_services"]);
+    assert_eq!(
+        faulty_keys(&with("/routes/2/weighted_services", weights)),
+        ["routes[2].weighted_services"]
+    );
 }
 
 #[test]
@@ -136,7 +231,10 @@
         let mut twin = route("twin", "/look/", "streaming");
         twin["host"] = json!(host);
         let mut document = valid();
-        document["routes"].as_array_mut().expect("a list").push(twin);
+        document["routes"]
+            .as_array_mut()
+            .expect("a list")
+            .push(twin);
         assert_eq!(faulty_keys(&document), ["routes[3].path_prefix"], "{host}");
     }
 }
@@ -145,13 +243,19 @@
 fn two_services_with_one_name_are_refused() {
     let mut document = valid();
     let twin = document["services"][1].clone();
-    document["services"].as_array_mut().expect("a list").push(twin);
+    document["services"]
+        .as_array_mut()
+        .expect("a list")
+        .push(twin);
     assert_eq!(faulty_keys(&document), ["services[2].name"]);
 }
 
 #[test]
 fn a_key_given_twice_is_refused() {
-    let twice = String::from_utf8(text(&valid())).expect("text").replacen("{", "{\"version\":8,", 1);
+    let twice =
+        String::from_utf8(text(&valid()))
+            .expect("text")
+            .replacen("{", "{\"version\":8,", 1);
     assert!(Configuration::parse(twice.as_bytes()).is_err());
 }
 
@@ -160,7 +264,11 @@
     let mut document = with("/routes/0/timeout_ms", json!(0));
     document["routes"][1]["service"] = json!("nobody");
     document["limits"]["max_header_bytes"] = json!(0);
-    let expected = ["limits.max_header_bytes", "routes[0].timeout_ms", "routes[1].service"];
+    let expected = [
+        "limits.max_header_bytes",
+        "routes[0].timeout_ms",
+        "routes[1].service",
+    ];
     assert_eq!(faulty_keys(&document), expected);
 }
 
@@ -171,7 +279,10 @@
     assert!(configuration.check(6).is_ok());
     for current in [7, 8, u64::MAX] {
         let refused = configuration.check(current).expect_err("not above");
-        assert_eq!(refused.faults().iter().next().expect("one fault").key, "version");
+        assert_eq!(
+            refused.faults().iter().next().expect("one fault").key,
+            "version"
+        );
     }
 }
 
@@ -197,15 +308,33 @@
 
 #[test]
 fn a_key_of_any_value_is_read_or_refused_without_panic() {
-    let values =
-        [json!(null), json!(0), json!(-1), json!(1e308), json!(""), json!([]), json!({}), json!(true)];
-    for pointer in ["", "/routes/0", "/routes/2", "/services/0", "/services/0/engine", "/limits"] {
+    let values = [
+        json!(null),
+        json!(0),
+        json!(-1),
+        json!(1e308),
+        json!(""),
+        json!([]),
+        json!({}),
+        json!(true),
+    ];
+    for pointer in [
+        "",
+        "/routes/0",
+        "/routes/2",
+        "/services/0",
+        "/services/0/engine",
+        "/limits",
+    ] {
         let document = valid();
         let keys: Vec<String> = match document.pointer(pointer).and_then(Value::as_object) {
             Some(object) => object.keys().cloned().collect(),
             None => panic!("no object at {pointer}"),
         };
-        for (key, value) in keys.iter().flat_map(|key| values.iter().map(move |value| (key, value))) {
+        for (key, value) in keys
+            .iter()
+            .flat_map(|key| values.iter().map(move |value| (key, value)))
+        {
             let _ = Configuration::parse(&text(&with_key(pointer, key, value.clone())));
         }
     }
--- a/tier/configuration/tests/lookup.rs
+++ b/tier/configuration/tests/lookup.rs
@@ -29,8 +29,14 @@
 fn the_longest_prefix_of_the_host_is_found() {
     let table = table(&valid());
     assert_eq!(found(&table, "front.example", "/chat/2"), Some("chat"));
-    assert_eq!(found(&table, "front.example", "/chat/split/2"), Some("split"));
-    assert_eq!(found(&table, "front.example", "/chat/splitting/2"), Some("chat"));
+    assert_eq!(
+        found(&table, "front.example", "/chat/split/2"),
+        Some("split")
+    );
+    assert_eq!(
+        found(&table, "front.example", "/chat/splitting/2"),
+        Some("chat")
+    );
     assert_eq!(found(&table, "front.example", "/chat/"), Some("chat"));
     assert_eq!(found(&table, "front.example", "/chat"), None);
     assert_eq!(found(&table, "front.example", "/other/chat/"), None);
@@ -41,7 +47,12 @@
 #[test]
 fn case_and_port_of_the_host_do_not_matter() {
     let table = table(&valid());
-    for host in ["front.example", "FRONT.Example", "front.example:8080", "Front.example:"] {
+    for host in [
+        "front.example",
+        "FRONT.Example",
+        "front.example:8080",
+        "Front.example:",
+    ] {
         assert_eq!(found(&table, host, "/chat/2"), Some("chat"), "{host}");
     }
     assert_eq!(found(&table, "front.example:x", "/chat/2"), None);
@@ -57,7 +68,10 @@
 #[test]
 fn the_query_is_no_part_of_the_path() {
     let table = table(&valid());
-    assert_eq!(found(&table, "front.example", "/chat/?to=/chat/split/"), Some("chat"));
+    assert_eq!(
+        found(&table, "front.example", "/chat/?to=/chat/split/"),
+        Some("chat")
+    );
     assert_eq!(found(&table, "front.example", "/chat?x=/"), None);
 }
 
@@ -65,7 +79,10 @@
 fn services_and_limits_are_found() {
     let table = table(&valid());
     assert_eq!(table.version(), 7);
-    assert_eq!(table.service("tools").expect("a service").max_connections, 16);
+    assert_eq!(
+        table.service("tools").expect("a service").max_connections,
+        16
+    );
     assert!(table.service("nobody").is_none());
     assert_eq!((table.services().count(), table.routes().count()), (2, 3));
     assert_eq!(table.limits().max_header_bytes, 16384);
@@ -94,9 +111,13 @@
         }
         let table = table_of(&places);
         let (host, path) = (piece(source)?, path(source)? + piece(source)?);
-        let fitting =
-            places.iter().enumerate().filter(|(_, place)| place.0 == host && path.starts_with(&place.1));
-        let expected = fitting.max_by_key(|(_, place)| place.1.len()).map(|(index, _)| index.to_string());
+        let fitting = places
+            .iter()
+            .enumerate()
+            .filter(|(_, place)| place.0 == host && path.starts_with(&place.1));
+        let expected = fitting
+            .max_by_key(|(_, place)| place.1.len())
+            .map(|(index, _)| index.to_string());
         assert_eq!(found(&table, host, &path).map(str::to_owned), expected);
         Ok(())
     });
@@ -104,11 +125,15 @@
 
 #[test]
 fn many_routes_and_a_path_of_slashes_are_looked_up() {
-    let places: Vec<_> =
-        (0..5000).map(|index| (format!("h{}", index % 7), format!("/route/{index}/"))).collect();
+    let places: Vec<_> = (0..5000)
+        .map(|index| (format!("h{}", index % 7), format!("/route/{index}/")))
+        .collect();
     let table = table_of(&places);
     for (index, (host, prefix)) in places.iter().enumerate() {
-        assert_eq!(found(&table, host, &format!("{prefix}rest")), Some(index.to_string().as_str()));
+        assert_eq!(
+            found(&table, host, &format!("{prefix}rest")),
+            Some(index.to_string().as_str())
+        );
     }
     assert_eq!(found(&table, "h1", &"/".repeat(100_000)), None);
 }
@@ -124,10 +149,20 @@
 #[test]
 fn shares_follow_the_weights_and_stay_the_same_for_a_request() {
     let table = table(&valid());
-    let route = table.find("front.example", "/chat/split/2").expect("a route");
-    let requests: Vec<String> = (0..20_000).map(|number| format!("request-{number:x}")).collect();
-    let to_tools = requests.iter().filter(|id| route.pick_service(id).as_ref() == "tools").count();
-    assert!((4_700..5_300).contains(&to_tools), "{to_tools} of 20000 for a share of a quarter");
+    let route = table
+        .find("front.example", "/chat/split/2")
+        .expect("a route");
+    let requests: Vec<String> = (0..20_000)
+        .map(|number| format!("request-{number:x}"))
+        .collect();
+    let to_tools = requests
+        .iter()
+        .filter(|id| route.pick_service(id).as_ref() == "tools")
+        .count();
+    assert!(
+        (4_700..5_300).contains(&to_tools),
+        "{to_tools} of 20000 for a share of a quarter"
+    );
     for id in &requests[..100] {
         assert_eq!(route.pick_service(id), route.pick_service(id));
     }
@@ -136,9 +171,14 @@
 #[test]
 fn a_share_of_zero_gets_nothing() {
     for (place, other) in [(0, "tools"), (1, "models")] {
-        let document = with(&format!("/routes/2/weighted_services/{place}/weight"), json!(0));
+        let document = with(
+            &format!("/routes/2/weighted_services/{place}/weight"),
+            json!(0),
+        );
         let table = table(&document);
-        let route = table.find("front.example", "/chat/split/2").expect("a route");
+        let route = table
+            .find("front.example", "/chat/split/2")
+            .expect("a route");
         let picked = (0..1000).map(|number| route.pick_service(&number.to_string()).to_string());
         assert!(picked.into_iter().all(|service| service == other));
     }
--- a/tier/configuration/tests/patches.rs
+++ b/tier/configuration/tests/patches.rs
@@ -4,7 +4,8 @@
 
 use arbtest::arbitrary::{self, Unstructured};
 use plankhill_configuration::{
-    same_content, Document, FieldChange, FieldPatch, ListPart, Patch, PatchError, MAX_DOCUMENT_BYTES,
+    same_content, Document, FieldChange, FieldPatch, ListPart, Patch, PatchError,
+    MAX_DOCUMENT_BYTES,
 };
 use serde_json::{json, Map, Value};
 
@@ -23,7 +24,11 @@
     assert_eq!(received, patch);
     let result = received.apply(&old).expect("it builds on the old document");
     assert_eq!(result.version, 2);
-    assert!(same_content(&result.bytes, &new.bytes), "{:?}", String::from_utf8_lossy(&result.bytes));
+    assert!(
+        same_content(&result.bytes, &new.bytes),
+        "{:?}",
+        String::from_utf8_lossy(&result.bytes)
+    );
     patch
 }
 
@@ -35,7 +40,9 @@
 
 #[test]
 fn one_changed_route_of_many_carries_that_route_alone() {
-    let routes = (0..2000).map(|index| route("r", &format!("/{index}/"), "idempotent")).collect();
+    let routes = (0..2000)
+        .map(|index| route("r", &format!("/{index}/"), "idempotent"))
+        .collect();
     let old = with("/routes", routes);
     let mut new = old.clone();
     new["version"] = json!(8);
@@ -54,7 +61,8 @@
 
 #[test]
 fn routes_may_be_added_removed_moved_and_repeated() {
-    let list = |names: &[&str]| -> Value { names.iter().map(|name| json!({"name": name})).collect() };
+    let list =
+        |names: &[&str]| -> Value { names.iter().map(|name| json!({"name": name})).collect() };
     let old = with("/routes", list(&["a", "b", "c", "b", "d"]));
     for names in [
         &["b", "c", "d"][..],
@@ -70,7 +78,8 @@
 #[test]
 fn keys_may_come_go_and_change_their_type() {
     let old = json!({"version": 1, "kept": {"a": 1}, "gone": 2, "list": [1, 2], "value": 3});
-    let new = json!({"version": 2, "kept": {"a": 1}, "came": [7], "list": {"no": "list"}, "value": [3]});
+    let new =
+        json!({"version": 2, "kept": {"a": 1}, "came": [7], "list": {"no": "list"}, "value": [3]});
     assert_travels(&old, &new);
     assert_travels(&new, &old);
 }
@@ -85,10 +94,16 @@
 #[test]
 fn any_two_documents_travel_and_patches_follow_each_other() {
     arbtest::arbtest(|source| {
-        let values = [any_document(source)?, any_document(source)?, any_document(source)?];
+        let values = [
+            any_document(source)?,
+            any_document(source)?,
+            any_document(source)?,
+        ];
         assert_travels(&values[0], &values[1]);
-        let documents: Vec<Document> =
-            (1..).zip(&values).map(|(version, value)| document(version, value)).collect();
+        let documents: Vec<Document> = (1..)
+            .zip(&values)
+            .map(|(version, value)| document(version, value))
+            .collect();
         let first = Patch::between(&documents[0], &documents[1]).expect("objects");
         let second = Patch::between(&documents[1], &documents[2]).expect("objects");
         let middle = first.apply(&documents[0]).expect("its base");
@@ -115,7 +130,10 @@
         2 => json!(source.choose(&[Some(1.5), None])?),
         3 => {
             let length = source.int_in_range(0..=6)?;
-            (0..length).map(|_| any_value(source, depth - 1)).collect::<arbitrary::Result<Vec<_>>>()?.into()
+            (0..length)
+                .map(|_| any_value(source, depth - 1))
+                .collect::<arbitrary::Result<Vec<_>>>()?
+                .into()
         }
         _ => json!({"name": any_value(source, depth - 1)?}),
     })
@@ -125,7 +143,13 @@
 fn a_patch_is_refused_on_another_version() {
     let patch = Patch::between(&document(1, &valid()), &document(2, &valid())).expect("objects");
     let refused = patch.apply(&document(3, &valid()));
-    assert_eq!(refused, Err(PatchError::OtherBase { expected: 1, found: 3 }));
+    assert_eq!(
+        refused,
+        Err(PatchError::OtherBase {
+            expected: 1,
+            found: 3
+        })
+    );
 }
 
 #[test]
@@ -138,7 +162,14 @@
 }
 
 fn patch_of(change: FieldChange) -> Patch {
-    Patch { base: 1, version: 2, fields: vec![FieldPatch { key: "list".into(), change }] }
+    Patch {
+        base: 1,
+        version: 2,
+        fields: vec![FieldPatch {
+            key: "list".into(),
+            change,
+        }],
+    }
 }
 
 #[test]
@@ -146,12 +177,21 @@
     let old = document(1, &json!({"list": [1, 2]}));
     for (first, count) in [(0, 3), (3, 1), (u32::MAX, u32::MAX)] {
         let patch = patch_of(FieldChange::List(vec![ListPart::Keep { first, count }]));
-        assert_eq!(patch.apply(&old), Err(PatchError::MissingElements("list".into())));
+        assert_eq!(
+            patch.apply(&old),
+            Err(PatchError::MissingElements("list".into()))
+        );
     }
     let without = document(1, &json!({}));
-    assert_eq!(patch_of(FieldChange::Keep).apply(&without), Err(PatchError::MissingKey("list".into())));
+    assert_eq!(
+        patch_of(FieldChange::Keep).apply(&without),
+        Err(PatchError::MissingKey("list".into()))
+    );
     let no_list = document(1, &json!({"list": 3}));
-    assert!(matches!(patch_of(FieldChange::List(vec![])).apply(&no_list), Err(PatchError::Document(_))));
+    assert!(matches!(
+        patch_of(FieldChange::List(vec![])).apply(&no_list),
+        Err(PatchError::Document(_))
+    ));
 }
 
 #[test]
@@ -159,5 +199,8 @@
     let old = document(1, &json!({"list": ["x".repeat(1 << 16)]}));
     let times = MAX_DOCUMENT_BYTES / (1 << 16) + 1;
     let parts = vec![ListPart::Keep { first: 0, count: 1 }; times];
-    assert_eq!(patch_of(FieldChange::List(parts)).apply(&old), Err(PatchError::TooLarge));
+    assert_eq!(
+        patch_of(FieldChange::List(parts)).apply(&old),
+        Err(PatchError::TooLarge)
+    );
 }
--- a/tier/configuration/tests/reading.rs
+++ b/tier/configuration/tests/reading.rs
@@ -18,7 +18,10 @@
     let configuration = read(&valid());
     let chat = &configuration.routes[0];
     assert_eq!(configuration.version, 7);
-    assert_eq!((chat.name.as_ref(), chat.host.as_ref()), ("chat", "front.example"));
+    assert_eq!(
+        (chat.name.as_ref(), chat.host.as_ref()),
+        ("chat", "front.example")
+    );
     assert_eq!(chat.path_prefix.as_ref(), "/chat/");
     assert_eq!(chat.kind, RouteKind::Streaming);
     assert_eq!(chat.timeout, Duration::from_secs(5));
@@ -34,10 +37,19 @@
 fn every_key_of_a_service_is_read() {
     let configuration = read(&valid());
     let models = &configuration.services[0];
-    assert_eq!((models.name.as_ref(), models.health_check.as_ref()), ("models", "/health"));
-    assert_eq!((models.max_connections, models.protocol, models.tls), (64, Protocol::H1, false));
+    assert_eq!(
+        (models.name.as_ref(), models.health_check.as_ref()),
+        ("models", "/health")
+    );
+    assert_eq!(
+        (models.max_connections, models.protocol, models.tls),
+        (64, Protocol::H1, false)
+    );
     let engine = models.engine.as_ref().expect("an engine is given");
-    assert_eq!((engine.capacity, engine.kv_capacity, engine.kv_token_bytes), (8, 40000, 131072));
+    assert_eq!(
+        (engine.capacity, engine.kv_capacity, engine.kv_token_bytes),
+        (8, 40000, 131072)
+    );
     assert_eq!((engine.bandwidth_mbps, engine.chunk_size), (1000.0, 3));
     assert_eq!(engine.models[0].name.as_ref(), "small");
     assert_eq!(configuration.services[1].engine, None);
@@ -46,7 +58,10 @@
 #[test]
 fn limits_are_read() {
     let limits = read(&valid()).limits;
-    assert_eq!((limits.max_header_bytes, limits.max_body_bytes), (16384, 1_048_576));
+    assert_eq!(
+        (limits.max_header_bytes, limits.max_body_bytes),
+        (16384, 1_048_576)
+    );
     assert_eq!(limits.header_timeout, Duration::from_millis(2500));
     assert_eq!(limits.idle_timeout, Duration::from_secs(12));
 }
@@ -55,14 +70,23 @@
 fn what_may_run_again_follows_from_kind_and_resuming() {
     let configuration = read(&with("/routes/0/resumable", json!(true)));
     let may_run_again = |index: usize| configuration.routes[index].may_run_again();
-    assert_eq!([may_run_again(0), may_run_again(1), may_run_again(2)], [true, true, false]);
+    assert_eq!(
+        [may_run_again(0), may_run_again(1), may_run_again(2)],
+        [true, true, false]
+    );
     assert!(!read(&valid()).routes[0].may_run_again());
 }
 
 #[test]
 fn optional_keys_may_be_missing_or_null() {
-    let keys =
-        ["target_latency_ms", "retained", "retention_s", "session_affinity", "resumable", "gap_aim_ms"];
+    let keys = [
+        "target_latency_ms",
+        "retained",
+        "retention_s",
+        "session_affinity",
+        "resumable",
+        "gap_aim_ms",
+    ];
     for key in keys {
         read(&without("/routes/0", key));
         read(&with(&format!("/routes/0/{key}"), Value::Null));
@@ -75,9 +99,14 @@
 
 #[test]
 fn unknown_keys_are_skipped_everywhere() {
-    for pointer in
-        ["", "/routes/0", "/routes/2/weighted_services/0", "/services/0", "/services/0/engine", "/limits"]
-    {
+    for pointer in [
+        "",
+        "/routes/0",
+        "/routes/2/weighted_services/0",
+        "/services/0",
+        "/services/0/engine",
+        "/limits",
+    ] {
         let document = with_key(pointer, "new_key", json!({"some": ["thing"]}));
         assert_eq!(read(&document), read(&valid()), "{pointer}");
     }
@@ -116,5 +145,8 @@
     assert_eq!((document.version, configuration.version), (7, 7));
     assert_eq!(document.bytes.as_ref(), bytes);
     let wire = postcard::to_stdvec(&document).expect("a document can be sent");
-    assert_eq!(postcard::from_bytes::<Document>(&wire).expect("and received"), document);
+    assert_eq!(
+        postcard::from_bytes::<Document>(&wire).expect("and received"),
+        document
+    );
 }
--- a/tier/control/src/configuration.rs
+++ b/tier/control/src/configuration.rs
@@ -44,13 +44,20 @@
     /// Whether exactly this document was taken, now or before; then the version under which it was.
     pub fn taken_as(&self, document: &[u8]) -> Option<u64> {
         let digest = digest(document);
-        self.taken.iter().rev().find(|taken| taken.digest == digest).map(|taken| taken.version)
+        self.taken
+            .iter()
+            .rev()
+            .find(|taken| taken.digest == digest)
+            .map(|taken| taken.version)
     }
 
     /// Whether a configuration with this version may have been taken and forgotten: versions only rise, so that all
     /// those forgotten lie below the oldest one remembered.
     pub fn may_have_forgotten(&self, version: u64) -> bool {
-        let oldest = self.taken.front().filter(|_| self.taken.len() >= TAKEN_KEPT);
+        let oldest = self
+            .taken
+            .front()
+            .filter(|_| self.taken.len() >= TAKEN_KEPT);
         oldest.is_some_and(|oldest| version < oldest.version)
     }
 
@@ -74,11 +81,17 @@
     pub(crate) fn put(&mut self, expected: u64, version: u64, document: &Arc<[u8]>) -> Outcome {
         let outcome = self.judge(expected, version, document);
         if outcome.changed() {
-            self.taken.push_back(Taken { version, digest: digest(document) });
+            self.taken.push_back(Taken {
+                version,
+                digest: digest(document),
+            });
             if self.taken.len() > TAKEN_KEPT {
                 self.taken.pop_front();
             }
-            self.current = Some(ConfigurationText { version, document: document.clone().into() });
+            self.current = Some(ConfigurationText {
+                version,
+                document: document.clone().into(),
+            });
         }
         outcome
     }
--- a/tier/control/src/drains.rs
+++ b/tier/control/src/drains.rs
@@ -49,7 +49,9 @@
             return Outcome::Repeated;
         }
         if order.expected != self.number {
-            return Outcome::Conflict { current: self.number };
+            return Outcome::Conflict {
+                current: self.number,
+            };
         }
         if !order.nodes.iter().all(|node| self.is_known(node, edges)) {
             return Outcome::UnknownEdge;
@@ -63,7 +65,10 @@
             }
         }
         self.number += 1;
-        order.nodes.iter().for_each(|node| self.set(node, order.leave));
+        order
+            .nodes
+            .iter()
+            .for_each(|node| self.set(node, order.leave));
         self.last = Some(order.clone());
         Outcome::Applied
     }
@@ -87,7 +92,11 @@
         if !leave {
             self.nodes.remove(node);
         } else if !self.nodes.contains_key(node) {
-            let drain = Drain { node: node.clone(), number: self.number, empty: false };
+            let drain = Drain {
+                node: node.clone(),
+                number: self.number,
+                empty: false,
+            };
             self.nodes.insert(node.clone(), drain);
         }
     }
--- a/tier/control/src/edges.rs
+++ b/tier/control/src/edges.rs
@@ -31,7 +31,9 @@
 
     /// Whether [`Edges::set`] would change nothing.
     pub fn is_known(&self, edge: &Edge) -> bool {
-        self.live.get(&edge.node).is_some_and(|held| **held == *edge)
+        self.live
+            .get(&edge.node)
+            .is_some_and(|held| **held == *edge)
     }
 
     /// Takes an edge in.
@@ -48,7 +50,11 @@
 
     /// Forgets one life of an edge.
     pub(crate) fn remove(&mut self, node: &NodeId, incarnation: Incarnation) -> Outcome {
-        if self.live.get(node).is_some_and(|held| held.incarnation == incarnation) {
+        if self
+            .live
+            .get(node)
+            .is_some_and(|held| held.incarnation == incarnation)
+        {
             self.live.remove(node);
             Outcome::Applied
         } else {
--- a/tier/control/src/retirements.rs
+++ b/tier/control/src/retirements.rs
@@ -37,7 +37,11 @@
         if !self.contains(node) {
             return None;
         }
-        Some(if stores.holds_data(node) { Retirement::InProgress } else { Retirement::Completed })
+        Some(if stores.holds_data(node) {
+            Retirement::InProgress
+        } else {
+            Retirement::Completed
+        })
     }
 
     /// Starts emptying a store.
--- a/tier/control/src/state.rs
+++ b/tier/control/src/state.rs
@@ -29,9 +29,11 @@
     /// Applies one operation; the same on every controller. `_revision` is the position that it makes.
     pub fn apply(&mut self, _revision: Revision, operation: &Operation) -> Outcome {
         match operation {
-            Operation::PutConfiguration { expected, version, document } => {
-                self.configuration.put(*expected, *version, document)
-            }
+            Operation::PutConfiguration {
+                expected,
+                version,
+                document,
+            } => self.configuration.put(*expected, *version, document),
             Operation::SetTarget(target) => self.targets.set(target),
             Operation::RemoveTarget(id) => self.targets.remove(id),
             Operation::SetEdge(edge) => self.edges.set(edge),
@@ -42,9 +44,11 @@
                 }
                 self.stores.register(member, *faults)
             }
-            Operation::StoreSynced { node, incarnation, epoch } => {
-                self.stores.synced(node, *incarnation, *epoch)
-            }
+            Operation::StoreSynced {
+                node,
+                incarnation,
+                epoch,
+            } => self.stores.synced(node, *incarnation, *epoch),
             Operation::RetireStore(node) => self.retirements.start(node, &mut self.stores),
             Operation::OrderDrain(order) => self.drains.order(order, &self.edges),
             Operation::EdgeEmptied { node, number } => self.drains.emptied(node, *number),
--- a/tier/control/src/stores.rs
+++ b/tier/control/src/stores.rs
@@ -49,14 +49,23 @@
     /// Whether the store may hold what others do not hold.
     pub fn holds_data(&self, node: &NodeId) -> bool {
         let next = self.view.next.iter().flatten();
-        self.view.serving.iter().chain(next).any(|member| member.node == *node)
+        self.view
+            .serving
+            .iter()
+            .chain(next)
+            .any(|member| member.node == *node)
     }
 
     /// The lives of a machine's disk that are in the view or wait for the first one.
     pub fn lives_of<'a>(&'a self, node: &'a NodeId) -> impl Iterator<Item = Incarnation> + 'a {
-        let members = self.view.serving.iter().chain(self.view.next.iter().flatten());
+        let members = self
+            .view
+            .serving
+            .iter()
+            .chain(self.view.next.iter().flatten());
         let all = members.chain(self.founders.values());
-        all.filter(move |member| member.node == *node).map(|member| member.incarnation)
+        all.filter(move |member| member.node == *node)
+            .map(|member| member.incarnation)
     }
 
     /// Whether fewer than 2f+1, but enough for a quorum, wait for the first view.
@@ -128,7 +137,9 @@
             .filter(|held| held.node == member.node && held.incarnation == member.incarnation)
             .collect();
         let known = !same_life.is_empty();
-        same_life.iter_mut().for_each(|held| **held = member.clone());
+        same_life
+            .iter_mut()
+            .for_each(|held| **held = member.clone());
         // It may have been taken out of the next set meanwhile; then it comes back as a new one would.
         let known = known && self.target_set().contains(member);
         if known {
@@ -138,9 +149,19 @@
     }
 
     /// A member of the next set is ready. The last one makes the next set the serving one.
-    pub(crate) fn synced(&mut self, node: &NodeId, incarnation: Incarnation, epoch: StoreEpoch) -> Outcome {
-        let is_member = |member: &StoreMember| member.node == *node && member.incarnation == incarnation;
-        let expected = self.view.next.as_ref().is_some_and(|next| next.iter().any(is_member));
+    pub(crate) fn synced(
+        &mut self,
+        node: &NodeId,
+        incarnation: Incarnation,
+        epoch: StoreEpoch,
+    ) -> Outcome {
+        let is_member =
+            |member: &StoreMember| member.node == *node && member.incarnation == incarnation;
+        let expected = self
+            .view
+            .next
+            .as_ref()
+            .is_some_and(|next| next.iter().any(is_member));
         if epoch != self.view.epoch || !expected || !self.synced.insert(node.clone()) {
             return Outcome::Ignored;
         }
@@ -176,21 +197,30 @@
             return Outcome::Ignored;
         }
         let left = self.without(node);
-        let next = if left.len() < self.full_size() { self.view.serving.clone() } else { left };
+        let next = if left.len() < self.full_size() {
+            self.view.serving.clone()
+        } else {
+            left
+        };
         self.replace_next(next);
         Outcome::Applied
     }
 
     /// Whether [`Stores::drop_lost`] would change something.
     pub fn can_drop(&self, node: &NodeId, incarnation: Incarnation) -> bool {
-        let is_it = |member: &StoreMember| member.node == *node && member.incarnation == incarnation;
+        let is_it =
+            |member: &StoreMember| member.node == *node && member.incarnation == incarnation;
         let joins = !self.view.serving.iter().any(is_it);
         let enough_left = self.without(node).len() >= self.full_size();
         self.target_set().iter().any(is_it) && (joins || enough_left)
     }
 
     fn without(&self, node: &NodeId) -> Vec<StoreMember> {
-        self.target_set().iter().filter(|member| member.node != *node).cloned().collect()
+        self.target_set()
+            .iter()
+            .filter(|member| member.node != *node)
+            .cloned()
+            .collect()
     }
 
     /// Makes this the set that is to serve. Nothing is left to do if it serves already.
--- a/tier/control/src/tables.rs
+++ b/tier/control/src/tables.rs
@@ -10,7 +10,11 @@
 
 /// Everything that the data plane knows, at one revision.
 pub fn tables_of(state: &ControlState, revision: Revision) -> Tables {
-    let mut targets: Vec<Target> = state.targets().iter().map(|target| (**target).clone()).collect();
+    let mut targets: Vec<Target> = state
+        .targets()
+        .iter()
+        .map(|target| (**target).clone())
+        .collect();
     targets.sort_by(target_order);
     Tables {
         revision,
@@ -32,21 +36,35 @@
     }
     edge_changes(before, after, &mut changes);
     if before.drains().iter().ne(after.drains().iter()) {
-        changes.push(TablesChange::Drains(after.drains().iter().cloned().collect()));
+        changes.push(TablesChange::Drains(
+            after.drains().iter().cloned().collect(),
+        ));
     }
     changes
 }
 
-fn configuration_change(before: &ControlState, after: &ControlState, changes: &mut Vec<TablesChange>) {
+fn configuration_change(
+    before: &ControlState,
+    after: &ControlState,
+    changes: &mut Vec<TablesChange>,
+) {
     let version = |state: &ControlState| state.configuration().map(|current| current.version);
     if version(before) != version(after) {
-        changes.extend(after.configuration().cloned().map(TablesChange::Configuration));
+        changes.extend(
+            after
+                .configuration()
+                .cloned()
+                .map(TablesChange::Configuration),
+        );
     }
 }
 
 fn target_changes(before: &ControlState, after: &ControlState, changes: &mut Vec<TablesChange>) {
-    let held: BTreeMap<&InstanceId, &Arc<Target>> =
-        before.targets().iter().map(|target| (&target.id, target)).collect();
+    let held: BTreeMap<&InstanceId, &Arc<Target>> = before
+        .targets()
+        .iter()
+        .map(|target| (&target.id, target))
+        .collect();
     let gone = held.keys().filter(|id| after.targets().get(id).is_none());
     changes.extend(gone.map(|id| TablesChange::TargetRemoved((*id).clone())));
     for target in after.targets().iter() {
@@ -63,11 +81,17 @@
 }
 
 fn edge_changes(before: &ControlState, after: &ControlState, changes: &mut Vec<TablesChange>) {
-    let held: BTreeMap<&NodeId, &Arc<Edge>> = before.edges().iter().map(|edge| (&edge.node, edge)).collect();
+    let held: BTreeMap<&NodeId, &Arc<Edge>> = before
+        .edges()
+        .iter()
+        .map(|edge| (&edge.node, edge))
+        .collect();
     let gone = held.keys().filter(|node| after.edges().get(node).is_none());
     changes.extend(gone.map(|node| TablesChange::EdgeRemoved((*node).clone())));
     for edge in after.edges().iter() {
-        let same = held.get(&edge.node).is_some_and(|held| Arc::ptr_eq(held, edge) || *held == edge);
+        let same = held
+            .get(&edge.node)
+            .is_some_and(|held| Arc::ptr_eq(held, edge) || *held == edge);
         if !same {
             changes.push(TablesChange::EdgeSet((**edge).clone()));
         }
--- a/tier/control/src/targets.rs
+++ b/tier/control/src/targets.rs
@@ -67,14 +67,16 @@
             return Outcome::Full;
         }
         self.give_up_address(report);
-        self.registered.insert(report.id.clone(), Arc::new(report.clone()));
+        self.registered
+            .insert(report.id.clone(), Arc::new(report.clone()));
         Outcome::Applied
     }
 
     /// An address belongs to the target that reported it last. The former one is not counted as ended: if it
     /// lives after all, its next heartbeat registers it again.
     fn give_up_address(&mut self, report: &Target) {
-        self.registered.retain(|id, held| *id == report.id || held.address != report.address);
+        self.registered
+            .retain(|id, held| *id == report.id || held.address != report.address);
     }
 
     /// Forgets a target for good.
@@ -94,7 +96,11 @@
     pub(crate) fn expire(&mut self, expired: &[ExpiredTarget]) -> Outcome {
         let before = self.registered.len();
         for ExpiredTarget { id, sequence } in expired {
-            if self.registered.get(id).is_some_and(|held| held.sequence == *sequence) {
+            if self
+                .registered
+                .get(id)
+                .is_some_and(|held| held.sequence == *sequence)
+            {
                 self.registered.remove(id);
             }
         }
--- a/tier/control/tests/common/mod.rs
+++ b/tier/control/tests/common/mod.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 
 use plankhill_control::{ControlState, Duty, Operation, Outcome};
-use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName};
+use plankhill_protocol::ids::{
+    Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName,
+};
 use plankhill_protocol::tables::{Edge, StoreMember, Target, TargetState};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -25,7 +27,10 @@
 }
 
 pub fn draining(id: &str, port: u16, sequence: u64) -> Target {
-    Target { state: TargetState::Draining, ..target(id, port, sequence) }
+    Target {
+        state: TargetState::Draining,
+        ..target(id, port, sequence)
+    }
 }
 
 pub fn edge(node: &str, incarnation: u64) -> Edge {
@@ -47,7 +52,10 @@
 }
 
 pub fn register(member: &StoreMember) -> Operation {
-    Operation::RegisterStore { member: member.clone(), faults: 1 }
+    Operation::RegisterStore {
+        member: member.clone(),
+        faults: 1,
+    }
 }
 
 pub fn synced(member: &StoreMember, epoch: u64) -> Operation {
@@ -59,12 +67,19 @@
 }
 
 pub fn drop_store(member: &StoreMember) -> Operation {
-    let duty = Duty::DropStore { node: member.node.clone(), incarnation: member.incarnation };
+    let duty = Duty::DropStore {
+        node: member.node.clone(),
+        incarnation: member.incarnation,
+    };
     Operation::Duty { view: 1, duty }
 }
 
 pub fn put(expected: u64, version: u64, document: &str) -> Operation {
-    Operation::PutConfiguration { expected, version, document: Arc::from(document.as_bytes()) }
+    Operation::PutConfiguration {
+        expected,
+        version,
+        document: Arc::from(document.as_bytes()),
+    }
 }
 
 pub fn apply(state: &mut ControlState, operation: &Operation) -> Outcome {
@@ -87,15 +102,21 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let lines: Vec<(&str, &str)> =
-        fixture.lines().map(|line| line.split_once(' ').expect("a line `name hex`")).collect();
+    let lines: Vec<(&str, &str)> = fixture
+        .lines()
+        .map(|line| line.split_once(' ').expect("a line `name hex`"))
+        .collect();
     let pinned_names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
     let names: Vec<&str> = values.iter().map(|(name, _)| *name).collect();
     assert_eq!(names, pinned_names);
     for ((name, hex), (_, value)) in lines.into_iter().zip(values) {
         let encoded = postcard::to_stdvec(&value).expect("encodes");
         assert_eq!(to_hex(&encoded), hex, "{name}");
-        assert_eq!(postcard::from_bytes::<T>(&from_hex(hex)).expect("decodes"), value, "{name}");
+        assert_eq!(
+            postcard::from_bytes::<T>(&from_hex(hex)).expect("decodes"),
+            value,
+            "{name}"
+        );
     }
 }
 
@@ -104,6 +125,11 @@
 }
 
 fn from_hex(hex: &str) -> Vec<u8> {
-    let digits = hex.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("ASCII"));
-    digits.map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits")).collect()
+    let digits = hex
+        .as_bytes()
+        .chunks(2)
+        .map(|pair| std::str::from_utf8(pair).expect("ASCII"));
+    digits
+        .map(|pair| u8::from_str_radix(pair, 16).expect("two hexadecimal digits"))
+        .collect()
 }
--- a/tier/control/tests/configuration.rs
+++ b/tier/control/tests/configuration.rs
@@ -8,9 +8,15 @@
 #[test]
 fn the_first_builds_on_version_zero() {
     let mut state = ControlState::default();
-    assert_eq!(apply(&mut state, &put(3, 5, "a")), Outcome::Conflict { current: 0 });
+    assert_eq!(
+        apply(&mut state, &put(3, 5, "a")),
+        Outcome::Conflict { current: 0 }
+    );
     assert_eq!(apply(&mut state, &put(0, 5, "a")), Outcome::Applied);
-    assert_eq!(state.configuration().map(|current| current.version), Some(5));
+    assert_eq!(
+        state.configuration().map(|current| current.version),
+        Some(5)
+    );
 }
 
 #[test]
@@ -18,7 +24,10 @@
     let mut state = ControlState::default();
     apply(&mut state, &put(0, 5, "a"));
     assert_eq!(apply(&mut state, &put(5, 7, "b")), Outcome::Applied);
-    assert_eq!(apply(&mut state, &put(5, 8, "c")), Outcome::Conflict { current: 7 });
+    assert_eq!(
+        apply(&mut state, &put(5, 8, "c")),
+        Outcome::Conflict { current: 7 }
+    );
     assert_eq!(&*state.configuration().unwrap().document, b"b");
 }
 
@@ -27,7 +36,10 @@
     let mut state = ControlState::default();
     apply(&mut state, &put(0, 5, "a"));
     apply(&mut state, &put(5, 7, "b"));
-    assert_eq!(apply(&mut state, &put(5, 7, "c")), Outcome::Conflict { current: 7 });
+    assert_eq!(
+        apply(&mut state, &put(5, 7, "c")),
+        Outcome::Conflict { current: 7 }
+    );
 }
 
 #[test]
@@ -52,8 +64,14 @@
 fn a_version_that_does_not_rise_is_invalid() {
     let mut state = ControlState::default();
     apply(&mut state, &put(0, 5, "a"));
-    assert_eq!(apply(&mut state, &put(5, 5, "b")), Outcome::NotAbove { current: 5 });
-    assert_eq!(apply(&mut state, &put(5, 4, "b")), Outcome::NotAbove { current: 5 });
+    assert_eq!(
+        apply(&mut state, &put(5, 5, "b")),
+        Outcome::NotAbove { current: 5 }
+    );
+    assert_eq!(
+        apply(&mut state, &put(5, 4, "b")),
+        Outcome::NotAbove { current: 5 }
+    );
 }
 
 #[test]
@@ -91,14 +109,28 @@
     let last = kept + 10;
     for version in 1..=last {
         let document = format!("document {version}");
-        assert_eq!(apply(&mut state, &put(version - 1, version, &document)), Outcome::Applied);
+        assert_eq!(
+            apply(&mut state, &put(version - 1, version, &document)),
+            Outcome::Applied
+        );
     }
     let oldest = last - kept + 1;
     for version in 1..=last {
         let document = format!("document {version}");
-        let expected = if version < oldest { Outcome::Forgotten } else { Outcome::Repeated };
-        assert_eq!(apply(&mut state, &put(version - 1, version, &document)), expected, "{version}");
+        let expected = if version < oldest {
+            Outcome::Forgotten
+        } else {
+            Outcome::Repeated
+        };
+        assert_eq!(
+            apply(&mut state, &put(version - 1, version, &document)),
+            expected,
+            "{version}"
+        );
     }
-    assert_eq!(apply(&mut state, &put(oldest - 1, oldest, "other")), Outcome::Conflict { current: last });
+    assert_eq!(
+        apply(&mut state, &put(oldest - 1, oldest, "other")),
+        Outcome::Conflict { current: last }
+    );
     assert_eq!(state.configuration_history().current_version(), last);
 }
--- a/tier/control/tests/stored_format.rs
+++ b/tier/control/tests/stored_format.rs
@@ -26,7 +26,10 @@
         state,
         sequence: 70_000,
         cold_remaining_ms: 1_500,
-        models: vec![ServedModel { name: "large".to_owned(), version: 3 }],
+        models: vec![ServedModel {
+            name: "large".to_owned(),
+            version: 3,
+        }],
     }
 }
 
@@ -49,7 +52,11 @@
 }
 
 fn put(expected: u64, version: u64, document: &str) -> Operation {
-    Operation::PutConfiguration { expected, version, document: Arc::from(document.as_bytes()) }
+    Operation::PutConfiguration {
+        expected,
+        version,
+        document: Arc::from(document.as_bytes()),
+    }
 }
 
 fn duty(duty: Duty) -> Operation {
@@ -80,15 +87,24 @@
 }
 
 fn operations() -> Vec<Operation> {
-    let drained =
-        DrainOrder { expected: 5, nodes: vec![NodeId::from("edge-1"), NodeId::from("edge-2")], leave: true };
+    let drained = DrainOrder {
+        expected: 5,
+        nodes: vec![NodeId::from("edge-1"), NodeId::from("edge-2")],
+        leave: true,
+    };
     vec![
         put(300, 301, r#"{"version":301}"#),
         Operation::SetTarget(target("i-1", 8_080, TargetState::Draining)),
         Operation::RemoveTarget(InstanceId::from("i-1")),
         Operation::SetEdge(edge("edge-1", "north")),
-        Operation::RemoveEdge { node: NodeId::from("edge-1"), incarnation: Incarnation(77) },
-        Operation::RegisterStore { member: store("store-1", 66), faults: 2 },
+        Operation::RemoveEdge {
+            node: NodeId::from("edge-1"),
+            incarnation: Incarnation(77),
+        },
+        Operation::RegisterStore {
+            member: store("store-1", 66),
+            faults: 2,
+        },
         Operation::StoreSynced {
             node: NodeId::from("store-1"),
             incarnation: Incarnation(66),
@@ -96,11 +112,23 @@
         },
         Operation::RetireStore(NodeId::from("store-1")),
         Operation::OrderDrain(drained),
-        Operation::EdgeEmptied { node: NodeId::from("edge-1"), number: 6 },
-        duty(Duty::ExpireTargets(vec![ExpiredTarget { id: InstanceId::from("i-1"), sequence: 70_000 }])),
-        duty(Duty::ForgetEdge { node: NodeId::from("edge-1"), incarnation: Incarnation(77) }),
+        Operation::EdgeEmptied {
+            node: NodeId::from("edge-1"),
+            number: 6,
+        },
+        duty(Duty::ExpireTargets(vec![ExpiredTarget {
+            id: InstanceId::from("i-1"),
+            sequence: 70_000,
+        }])),
+        duty(Duty::ForgetEdge {
+            node: NodeId::from("edge-1"),
+            incarnation: Incarnation(77),
+        }),
         duty(Duty::FoundStores),
-        duty(Duty::DropStore { node: NodeId::from("store-1"), incarnation: Incarnation(66) }),
+        duty(Duty::DropStore {
+            node: NodeId::from("store-1"),
+            incarnation: Incarnation(66),
+        }),
     ]
 }
 
@@ -142,27 +170,40 @@
 fn state_after(operations: &[Operation]) -> ControlState {
     let mut state = ControlState::default();
     for operation in operations {
-        assert_eq!(apply(&mut state, operation), Outcome::Applied, "{operation:?}");
+        assert_eq!(
+            apply(&mut state, operation),
+            Outcome::Applied,
+            "{operation:?}"
+        );
     }
     state
 }
 
 /// Before the first view of the stores: one store waits.
 fn founding() -> ControlState {
-    state_after(&[Operation::RegisterStore { member: store("store-1", 61), faults: 1 }])
+    state_after(&[Operation::RegisterStore {
+        member: store("store-1", 61),
+        faults: 1,
+    }])
 }
 
 /// Every field of the state differs from its default: a set of stores takes over from another, a target ended, a store
 /// was retired, edges are out of service.
 fn complete() -> ControlState {
-    let register =
-        |node, incarnation| Operation::RegisterStore { member: store(node, incarnation), faults: 1 };
+    let register = |node, incarnation| Operation::RegisterStore {
+        member: store(node, incarnation),
+        faults: 1,
+    };
     let synced = |node: &str, incarnation, epoch| Operation::StoreSynced {
         node: NodeId::from(node),
         incarnation: Incarnation(incarnation),
         epoch: StoreEpoch(epoch),
     };
-    let drained = DrainOrder { expected: 0, nodes: vec![NodeId::from("edge-1")], leave: true };
+    let drained = DrainOrder {
+        expected: 0,
+        nodes: vec![NodeId::from("edge-1")],
+        leave: true,
+    };
     state_after(&[
         put(0, 300, r#"{"version":300}"#),
         put(300, 301, r#"{"version":301}"#),
@@ -182,26 +223,40 @@
         Operation::RetireStore(NodeId::from("store-1")),
         synced("store-2", 62, 4),
         Operation::OrderDrain(drained),
-        Operation::EdgeEmptied { node: NodeId::from("edge-1"), number: 1 },
-        duty(Duty::ExpireTargets(vec![ExpiredTarget { id: InstanceId::from("i-1"), sequence: 70_000 }])),
+        Operation::EdgeEmptied {
+            node: NodeId::from("edge-1"),
+            number: 1,
+        },
+        duty(Duty::ExpireTargets(vec![ExpiredTarget {
+            id: InstanceId::from("i-1"),
+            sequence: 70_000,
+        }])),
         Operation::SetTarget(target("i-3", 8_082, TargetState::Healthy)),
     ])
 }
 
 /// A configuration that is long enough to be stored compressed.
 fn with_long_configuration() -> ControlState {
-    state_after(&[put(0, 7, &format!(r#"{{"version":7,"note":"{}"}}"#, "plankhill ".repeat(200)))])
+    state_after(&[put(
+        0,
+        7,
+        &format!(r#"{{"version":7,"note":"{}"}}"#, "plankhill ".repeat(200)),
+    )])
 }
 
 #[test]
 fn operations_keep_their_stored_bytes() {
-    let values = operations().into_iter().map(|operation| (operation_name(&operation), operation));
+    let values = operations()
+        .into_iter()
+        .map(|operation| (operation_name(&operation), operation));
     pinned(OPERATIONS, values.collect());
 }
 
 #[test]
 fn outcomes_keep_their_stored_bytes() {
-    let values = outcomes().into_iter().map(|outcome| (outcome_name(outcome), outcome));
+    let values = outcomes()
+        .into_iter()
+        .map(|outcome| (outcome_name(outcome), outcome));
     pinned(OUTCOMES, values.collect());
 }
 
--- a/tier/control/tests/stores.rs
+++ b/tier/control/tests/stores.rs
@@ -42,7 +42,10 @@
 
 #[test]
 fn fewer_stores_found_only_with_a_quorum() {
-    let found = Operation::Duty { view: 1, duty: Duty::FoundStores };
+    let found = Operation::Duty {
+        view: 1,
+        duty: Duty::FoundStores,
+    };
     let mut state = ControlState::default();
     apply(&mut state, &register(&store("s1", 1)));
     assert_eq!(apply(&mut state, &found), Outcome::Ignored);
@@ -58,7 +61,10 @@
     assert_eq!(next_names(&state).unwrap(), ["s1", "s2", "s3", "s4"]);
     assert_eq!(epoch(&state), 2);
     sync_all(&mut state);
-    assert_eq!(names(&state.stores().view().serving), ["s1", "s2", "s3", "s4"]);
+    assert_eq!(
+        names(&state.stores().view().serving),
+        ["s1", "s2", "s3", "s4"]
+    );
     assert_eq!((epoch(&state), next_names(&state)), (3, None));
 }
 
@@ -69,7 +75,10 @@
     assert_eq!(next_names(&state).unwrap(), ["s1", "s2", "s3"]);
     assert_eq!(state.stores().view().serving[1].incarnation, Incarnation(2));
     sync_all(&mut state);
-    assert_eq!(state.stores().view().serving[1].incarnation, Incarnation(22));
+    assert_eq!(
+        state.stores().view().serving[1].incarnation,
+        Incarnation(22)
+    );
 }
 
 #[test]
@@ -92,7 +101,10 @@
 #[test]
 fn the_same_disk_at_another_address_keeps_its_place() {
     let (mut state, members) = three_stores();
-    let moved = StoreMember { address: ([10, 9, 9, 9], 7001).into(), ..members[1].clone() };
+    let moved = StoreMember {
+        address: ([10, 9, 9, 9], 7001).into(),
+        ..members[1].clone()
+    };
     assert_eq!(apply(&mut state, &register(&moved)), Outcome::Applied);
     assert_eq!(state.stores().view().serving[1].address, moved.address);
     assert_eq!((epoch(&state), next_names(&state)), (2, None));
@@ -104,8 +116,14 @@
     let s1 = members[0].node.clone();
     apply(&mut state, &register(&store("s4", 4)));
     sync_all(&mut state);
-    assert_eq!(apply(&mut state, &Operation::RetireStore(s1.clone())), Outcome::Applied);
-    assert_eq!(apply(&mut state, &Operation::RetireStore(s1.clone())), Outcome::Repeated);
+    assert_eq!(
+        apply(&mut state, &Operation::RetireStore(s1.clone())),
+        Outcome::Applied
+    );
+    assert_eq!(
+        apply(&mut state, &Operation::RetireStore(s1.clone())),
+        Outcome::Repeated
+    );
     let progress = |state: &ControlState| state.retirements().progress(&s1, state.stores());
     assert_eq!(progress(&state), Some(Retirement::InProgress));
     sync_all(&mut state);
@@ -119,7 +137,10 @@
     apply(&mut state, &register(&store("s4", 4)));
     sync_all(&mut state);
     apply(&mut state, &Operation::RetireStore(members[0].node.clone()));
-    assert_eq!(apply(&mut state, &register(&store("s1", 11))), Outcome::Ignored);
+    assert_eq!(
+        apply(&mut state, &register(&store("s1", 11))),
+        Outcome::Ignored
+    );
     sync_all(&mut state);
     assert_eq!(apply(&mut state, &register(&members[0])), Outcome::Ignored);
     assert_eq!(next_names(&state), None);
@@ -132,23 +153,37 @@
     assert_eq!(apply(&mut state, &unknown), Outcome::UnknownStore);
     let known = Operation::RetireStore(members[0].node.clone());
     assert_eq!(apply(&mut state, &known), Outcome::TooFewStores);
-    assert_eq!(state.retirements().progress(&members[0].node, state.stores()), None);
+    assert_eq!(
+        state
+            .retirements()
+            .progress(&members[0].node, state.stores()),
+        None
+    );
 }
 
 #[test]
 fn a_store_that_joins_and_is_gone_is_dropped_again() {
     let (mut state, _) = three_stores();
     apply(&mut state, &register(&store("s4", 4)));
-    assert_eq!(apply(&mut state, &drop_store(&store("s4", 4))), Outcome::Applied);
+    assert_eq!(
+        apply(&mut state, &drop_store(&store("s4", 4))),
+        Outcome::Applied
+    );
     assert_eq!((epoch(&state), next_names(&state)), (3, None));
 }
 
 #[test]
 fn a_lost_store_leaves_once_its_successor_has_come() {
     let (mut state, members) = three_stores();
-    assert_eq!(apply(&mut state, &drop_store(&members[2])), Outcome::Ignored);
+    assert_eq!(
+        apply(&mut state, &drop_store(&members[2])),
+        Outcome::Ignored
+    );
     apply(&mut state, &register(&store("s4", 4)));
-    assert_eq!(apply(&mut state, &drop_store(&members[2])), Outcome::Applied);
+    assert_eq!(
+        apply(&mut state, &drop_store(&members[2])),
+        Outcome::Applied
+    );
     assert_eq!(next_names(&state).unwrap(), ["s1", "s2", "s4"]);
     sync_all(&mut state);
     assert_eq!(names(&state.stores().view().serving), ["s1", "s2", "s4"]);
@@ -158,7 +193,10 @@
 fn a_new_life_that_is_gone_too_leaves_the_serving_set_as_it_was() {
     let (mut state, members) = three_stores();
     apply(&mut state, &register(&store("s3", 33)));
-    assert_eq!(apply(&mut state, &drop_store(&store("s3", 33))), Outcome::Applied);
+    assert_eq!(
+        apply(&mut state, &drop_store(&store("s3", 33))),
+        Outcome::Applied
+    );
     assert_eq!(next_names(&state), None);
     assert_eq!(state.stores().view().serving[2], members[2]);
 }
@@ -175,8 +213,14 @@
     let next = before.next.as_ref().expect("a switch takes a next set");
     assert_eq!(after.serving, *next);
     assert!(after.epoch > before.epoch);
-    let others = next.iter().filter(|member| !synced.contains(&member.node)).count();
-    assert!(others <= 1, "all but the member whose report switches had synced before");
+    let others = next
+        .iter()
+        .filter(|member| !synced.contains(&member.node))
+        .count();
+    assert!(
+        others <= 1,
+        "all but the member whose report switches had synced before"
+    );
     assert!(next.len() > after.faults as usize);
 }
 
@@ -195,11 +239,14 @@
                 _ => Operation::RetireStore(member.node.clone()),
             };
             let before = state.stores().view().clone();
-            let synced_before: BTreeSet<NodeId> = state.stores().synced_members().cloned().collect();
+            let synced_before: BTreeSet<NodeId> =
+                state.stores().synced_members().cloned().collect();
             let outcome = apply(&mut state, &operation);
             check_step(&before, &synced_before, state.stores().view(), outcome);
             if state.stores().view().serving != before.serving && !before.serving.is_empty() {
-                assert!(matches!(operation, Operation::StoreSynced { epoch, .. } if epoch == before.epoch));
+                assert!(
+                    matches!(operation, Operation::StoreSynced { epoch, .. } if epoch == before.epoch)
+                );
             }
         }
         Ok(())
--- a/tier/control/tests/tables.rs
+++ b/tier/control/tests/tables.rs
@@ -7,19 +7,25 @@
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId, Revision, ServiceName};
 use plankhill_protocol::tables::{Tables, TablesUpdate, Target};
 
-fn any_operation(random: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<Operation> {
+fn any_operation(
+    random: &mut arbtest::arbitrary::Unstructured<'_>,
+) -> arbtest::arbitrary::Result<Operation> {
     let name = ["x", "y", "z"][random.int_in_range(0..=2)?];
     let number = random.int_in_range(1..=9)?;
     let port = random.int_in_range(80..=83)?;
     Ok(match random.int_in_range(0..=8)? {
         0 => Operation::SetTarget(target(name, port, number)),
         1 => Operation::SetTarget(draining(name, port, number)),
-        2 => {
-            Operation::SetTarget(Target { service: ServiceName::from("tools"), ..target(name, port, number) })
-        }
+        2 => Operation::SetTarget(Target {
+            service: ServiceName::from("tools"),
+            ..target(name, port, number)
+        }),
         3 => Operation::RemoveTarget(InstanceId::from(name)),
         4 => Operation::SetEdge(edge(name, number)),
-        5 => Operation::RemoveEdge { node: NodeId::from(name), incarnation: Incarnation(number) },
+        5 => Operation::RemoveEdge {
+            node: NodeId::from(name),
+            incarnation: Incarnation(number),
+        },
         6 => register(&store(name, number)),
         7 => synced(&store(name, number), number),
         _ => put(number, number + 1, name),
@@ -49,7 +55,11 @@
 #[test]
 fn a_state_survives_its_encoding() {
     let mut state = ControlState::default();
-    for operation in [put(0, 3, "{}"), Operation::SetTarget(target("x", 80, 1)), register(&store("s", 1))] {
+    for operation in [
+        put(0, 3, "{}"),
+        Operation::SetTarget(target("x", 80, 1)),
+        register(&store("s", 1)),
+    ] {
         apply(&mut state, &operation);
     }
     let bytes = postcard::to_stdvec(&state).unwrap();
--- a/tier/control/tests/targets.rs
+++ b/tier/control/tests/targets.rs
@@ -12,12 +12,21 @@
 }
 
 fn expire(view: u64, id: &str, sequence: u64) -> Operation {
-    let expired = ExpiredTarget { id: InstanceId::from(id), sequence };
-    Operation::Duty { view, duty: Duty::ExpireTargets(vec![expired]) }
+    let expired = ExpiredTarget {
+        id: InstanceId::from(id),
+        sequence,
+    };
+    Operation::Duty {
+        view,
+        duty: Duty::ExpireTargets(vec![expired]),
+    }
 }
 
 fn state_of(state: &ControlState, id: &str) -> Option<TargetState> {
-    state.targets().get(&InstanceId::from(id)).map(|target| target.state)
+    state
+        .targets()
+        .get(&InstanceId::from(id))
+        .map(|target| target.state)
 }
 
 #[test]
@@ -33,7 +42,10 @@
 fn a_report_without_news_is_known() {
     let mut state = ControlState::default();
     set(&mut state, target("t1", 80, 1));
-    assert!(state.targets().is_known(&Target { cold_remaining_ms: 700, ..target("t1", 80, 2) }));
+    assert!(state.targets().is_known(&Target {
+        cold_remaining_ms: 700,
+        ..target("t1", 80, 2)
+    }));
     assert!(!state.targets().is_known(&draining("t1", 80, 3)));
 }
 
@@ -95,7 +107,10 @@
 fn ids_of_ended_targets_are_bounded() {
     let mut state = ControlState::default();
     for number in 0..5_000 {
-        apply(&mut state, &Operation::RemoveTarget(InstanceId::from(format!("t{number}").as_str())));
+        apply(
+            &mut state,
+            &Operation::RemoveTarget(InstanceId::from(format!("t{number}").as_str())),
+        );
     }
     assert!(!state.targets().has_ended(&InstanceId::from("t0")));
     assert!(state.targets().has_ended(&InstanceId::from("t4999")));
--- a/tier/controller/src/admin/answer.rs
+++ b/tier/controller/src/admin/answer.rs
@@ -28,7 +28,9 @@
 /// 200 with a body that is JSON text already.
 pub fn ok_text(text: Bytes) -> Answer {
     let mut answer = Response::new(Full::new(text));
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    answer
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     answer
 }
 
@@ -36,7 +38,9 @@
 pub fn failure(status: StatusCode, error: &str) -> Answer {
     let mut answer = with_body(status, &Failure { error });
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
+        answer
+            .headers_mut()
+            .insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     }
     answer
 }
@@ -59,7 +63,10 @@
 
 /// 503: no outcome could be had here.
 pub fn unavailable() -> Answer {
-    failure(StatusCode::SERVICE_UNAVAILABLE, "no majority of the controllers answered in time")
+    failure(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "no majority of the controllers answered in time",
+    )
 }
 
 fn with_body(status: StatusCode, body: &impl Serialize) -> Answer {
--- a/tier/controller/src/admin/body.rs
+++ b/tier/controller/src/admin/body.rs
@@ -80,7 +80,9 @@
     announced_length(&body, limit)?;
     match timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(BodyError::TooLarge(limit)),
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
+            Err(BodyError::TooLarge(limit))
+        }
         Ok(Err(_)) => Err(BodyError::Broken),
         Err(_) => Err(BodyError::Late),
     }
--- a/tier/controller/src/admin/configuration.rs
+++ b/tier/controller/src/admin/configuration.rs
@@ -32,7 +32,8 @@
     let Some(expected) = expected_version(&head.headers) else {
         return invalid("If-Match: must be the version that the configuration builds on");
     };
-    let held = announced_length(&body, MAX_CONFIGURATION_BYTES).and_then(|length| budget.take(length));
+    let held =
+        announced_length(&body, MAX_CONFIGURATION_BYTES).and_then(|length| budget.take(length));
     let _held = match held {
         Ok(held) => held,
         Err(error) => return unread(error),
@@ -49,7 +50,11 @@
     text.trim().trim_matches('"').parse().ok()
 }
 
-async fn judge<L: ControlLog>(controller: &Controller<L>, expected: u64, document: Bytes) -> Answer {
+async fn judge<L: ControlLog>(
+    controller: &Controller<L>,
+    expected: u64,
+    document: Bytes,
+) -> Answer {
     if let Some(answer) = answer_from_history(controller, expected, &document) {
         return answer;
     }
@@ -57,7 +62,11 @@
         Ok(configuration) => configuration.version,
         Err(error) => return invalid(&error.to_string()),
     };
-    let operation = Operation::PutConfiguration { expected, version, document: document.as_ref().into() };
+    let operation = Operation::PutConfiguration {
+        expected,
+        version,
+        document: document.as_ref().into(),
+    };
     drop(document);
     match controller.log.propose(operation, OUTCOME_TIMEOUT).await {
         Ok(outcome) => answer_to(outcome, version),
@@ -104,7 +113,9 @@
 
 /// The newest configuration, byte for byte as it was sent.
 pub async fn get<L: ControlLog>(controller: &Controller<L>) -> Answer {
-    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else { return unavailable() };
+    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else {
+        return unavailable();
+    };
     match newest.state.configuration() {
         Some(configuration) => ok_text(Bytes::from_owner(configuration.document.text().clone())),
         None => failure(StatusCode::NOT_FOUND, "there is no configuration yet"),
--- a/tier/controller/src/admin/drains.rs
+++ b/tier/controller/src/admin/drains.rs
@@ -61,31 +61,45 @@
         Ok(text) => text,
         Err(error) => return unread(error),
     };
-    let order: Order = match serde_path_to_error::deserialize(&mut Deserializer::from_slice(&text)) {
+    let order: Order = match serde_path_to_error::deserialize(&mut Deserializer::from_slice(&text))
+    {
         Ok(order) => order,
         Err(error) => return invalid(&format!("order cannot be read: {error}")),
     };
     // The zone's machines are those that are known anywhere; a newer order makes the number conflict.
-    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else { return unavailable() };
+    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else {
+        return unavailable();
+    };
     let order = match resolved(order, &newest.state) {
         Ok(order) => order,
         Err(nobody @ NamesNobody::NoMachine) => return invalid(&nobody.to_string()),
-        Err(nobody @ NamesNobody::EmptyZone) => return failure(StatusCode::NOT_FOUND, &nobody.to_string()),
+        Err(nobody @ NamesNobody::EmptyZone) => {
+            return failure(StatusCode::NOT_FOUND, &nobody.to_string())
+        }
     };
-    match controller.log.propose(Operation::OrderDrain(order), OUTCOME_TIMEOUT).await {
+    match controller
+        .log
+        .propose(Operation::OrderDrain(order), OUTCOME_TIMEOUT)
+        .await
+    {
         Ok(Outcome::Applied | Outcome::Repeated) => list(controller).await,
         Ok(Outcome::UnknownEdge) => failure(StatusCode::NOT_FOUND, "no such edge"),
-        Ok(Outcome::TooFewEdges) => failure(StatusCode::CONFLICT, "too few edges would stay in service"),
-        Ok(Outcome::Conflict { current }) => {
-            failure(StatusCode::PRECONDITION_FAILED, &format!("expected: order {current} came before"))
+        Ok(Outcome::TooFewEdges) => {
+            failure(StatusCode::CONFLICT, "too few edges would stay in service")
         }
+        Ok(Outcome::Conflict { current }) => failure(
+            StatusCode::PRECONDITION_FAILED,
+            &format!("expected: order {current} came before"),
+        ),
         Ok(_) | Err(_) => unavailable(),
     }
 }
 
 /// What is out of service.
 pub async fn list<L: ControlLog>(controller: &Controller<L>) -> Answer {
-    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else { return unavailable() };
+    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else {
+        return unavailable();
+    };
     let state = &newest.state;
     let drains = state.drains().iter().map(|drain| DrainEntry {
         node: drain.node.to_string(),
@@ -97,7 +111,11 @@
         zone: edge.zone.to_string(),
         incarnation: edge.incarnation.0,
     });
-    ok(&DrainList { number: state.drains().number(), drains: drains.collect(), edges: edges.collect() })
+    ok(&DrainList {
+        number: state.drains().number(),
+        drains: drains.collect(),
+        edges: edges.collect(),
+    })
 }
 
 /// Why an order names nobody.
@@ -110,15 +128,28 @@
 }
 
 fn resolved(order: Order, state: &ControlState) -> Result<DrainOrder, NamesNobody> {
-    let mut nodes: Vec<NodeId> = order.nodes.iter().map(|node| NodeId::from(node.as_str())).collect();
+    let mut nodes: Vec<NodeId> = order
+        .nodes
+        .iter()
+        .map(|node| NodeId::from(node.as_str()))
+        .collect();
     if let Some(zone) = &order.zone {
-        let of_zone = state.edges().iter().filter(|edge| edge.zone.as_str() == zone);
+        let of_zone = state
+            .edges()
+            .iter()
+            .filter(|edge| edge.zone.as_str() == zone);
         nodes.extend(of_zone.map(|edge| edge.node.clone()));
     }
     nodes.sort();
     nodes.dedup();
     if nodes.is_empty() {
-        return Err(order.zone.map_or(NamesNobody::NoMachine, |_| NamesNobody::EmptyZone));
+        return Err(order
+            .zone
+            .map_or(NamesNobody::NoMachine, |_| NamesNobody::EmptyZone));
     }
-    Ok(DrainOrder { expected: order.expected, nodes, leave: order.leave })
+    Ok(DrainOrder {
+        expected: order.expected,
+        nodes,
+        leave: order.leave,
+    })
 }
--- a/tier/controller/src/admin/heartbeat.rs
+++ b/tier/controller/src/admin/heartbeat.rs
@@ -55,10 +55,13 @@
 /// # Errors
 /// Names the key that is missing or wrong.
 pub fn parse_heartbeat(id: InstanceId, text: &[u8]) -> Result<Target, HeartbeatError> {
-    let report: Report =
-        serde_json::from_slice(text).map_err(|error| HeartbeatError::Unreadable(error.to_string()))?;
+    let report: Report = serde_json::from_slice(text)
+        .map_err(|error| HeartbeatError::Unreadable(error.to_string()))?;
     check(&report)?;
-    let served = |model: ReportedModel| ServedModel { name: model.name, version: model.version };
+    let served = |model: ReportedModel| ServedModel {
+        name: model.name,
+        version: model.version,
+    };
     Ok(Target {
         id,
         service: ServiceName::from(report.service.as_str()),
--- a/tier/controller/src/admin/instances.rs
+++ b/tier/controller/src/admin/instances.rs
@@ -41,17 +41,38 @@
 }
 
 async fn take_report<L: ControlLog>(controller: &Controller<L>, report: Target) -> Answer {
-    controller.liveness.borrow_mut().heard_target(&report.id, Instant::now());
-    let known = controller.log.state().borrow().state.targets().is_known(&report);
+    controller
+        .liveness
+        .borrow_mut()
+        .heard_target(&report.id, Instant::now());
+    let known = controller
+        .log
+        .state()
+        .borrow()
+        .state
+        .targets()
+        .is_known(&report);
     if known && controller.log.is_current() {
         return ok(&Acknowledgement {});
     }
-    acknowledge(controller.log.propose(Operation::SetTarget(report), OUTCOME_TIMEOUT).await.ok())
+    acknowledge(
+        controller
+            .log
+            .propose(Operation::SetTarget(report), OUTCOME_TIMEOUT)
+            .await
+            .ok(),
+    )
 }
 
 /// Forgets a target for good.
 pub async fn deregister<L: ControlLog>(controller: &Controller<L>, id: InstanceId) -> Answer {
-    acknowledge(controller.log.propose(Operation::RemoveTarget(id), OUTCOME_TIMEOUT).await.ok())
+    acknowledge(
+        controller
+            .log
+            .propose(Operation::RemoveTarget(id), OUTCOME_TIMEOUT)
+            .await
+            .ok(),
+    )
 }
 
 fn acknowledge(outcome: Option<Outcome>) -> Answer {
--- a/tier/controller/src/admin/retire.rs
+++ b/tier/controller/src/admin/retire.rs
@@ -42,8 +42,14 @@
             return invalid(&format!("order cannot be read: {error}"));
         }
     }
-    match controller.log.propose(Operation::RetireStore(node), OUTCOME_TIMEOUT).await {
-        Ok(Outcome::Applied | Outcome::Repeated) => ok(&Progress { state: "in_progress" }),
+    match controller
+        .log
+        .propose(Operation::RetireStore(node), OUTCOME_TIMEOUT)
+        .await
+    {
+        Ok(Outcome::Applied | Outcome::Repeated) => ok(&Progress {
+            state: "in_progress",
+        }),
         Ok(Outcome::UnknownStore) => unknown(),
         Ok(Outcome::TooFewStores) => failure(StatusCode::CONFLICT, "too few stores would be left"),
         Ok(_) | Err(_) => unavailable(),
@@ -52,9 +58,17 @@
 
 /// How far the emptying is.
 pub async fn progress<L: ControlLog>(controller: &Controller<L>, node: NodeId) -> Answer {
-    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else { return unavailable() };
-    match newest.state.retirements().progress(&node, newest.state.stores()) {
-        Some(Retirement::InProgress) => ok(&Progress { state: "in_progress" }),
+    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else {
+        return unavailable();
+    };
+    match newest
+        .state
+        .retirements()
+        .progress(&node, newest.state.stores())
+    {
+        Some(Retirement::InProgress) => ok(&Progress {
+            state: "in_progress",
+        }),
         Some(Retirement::Completed) => ok(&Progress { state: "completed" }),
         None => unknown(),
     }
--- a/tier/controller/src/admin/router.rs
+++ b/tier/controller/src/admin/router.rs
@@ -49,7 +49,11 @@
         };
     }
     if path == "/-/status" {
-        return if *method == Method::GET { Ok(Call::Status) } else { Err(StatusCode::METHOD_NOT_ALLOWED) };
+        return if *method == Method::GET {
+            Ok(Call::Status)
+        } else {
+            Err(StatusCode::METHOD_NOT_ALLOWED)
+        };
     }
     if let Some(name) = path.strip_prefix("/-/retire/") {
         let node = NodeId::from(checked(name)?);
--- a/tier/controller/src/admin/status.rs
+++ b/tier/controller/src/admin/status.rs
@@ -54,12 +54,24 @@
         node: controller.node.to_string(),
         current: controller.log.is_current(),
         view: place.view,
-        chain: place.chain.iter().map(|peer| peer.node.to_string()).collect(),
-        voters: place.voters.iter().map(|peer| peer.node.to_string()).collect(),
+        chain: place
+            .chain
+            .iter()
+            .map(|peer| peer.node.to_string())
+            .collect(),
+        voters: place
+            .voters
+            .iter()
+            .map(|peer| peer.node.to_string())
+            .collect(),
         revision: committed.revision.0,
         configuration_version: committed.state.configuration_history().current_version(),
         targets: tables.targets.len(),
-        edges: tables.edges.iter().map(|edge| edge.node.to_string()).collect(),
+        edges: tables
+            .edges
+            .iter()
+            .map(|edge| edge.node.to_string())
+            .collect(),
         stores: StoresStatus {
             epoch: stores.view().epoch.0,
             serving: names(&stores.view().serving),
@@ -71,5 +83,8 @@
 }
 
 fn names(members: &[StoreMember]) -> Vec<String> {
-    members.iter().map(|member| member.node.to_string()).collect()
+    members
+        .iter()
+        .map(|member| member.node.to_string())
+        .collect()
 }
--- a/tier/controller/src/change_log.rs
+++ b/tier/controller/src/change_log.rs
@@ -30,7 +30,10 @@
 impl ChangeLog {
     /// Begins with a state; earlier revisions get snapshots.
     pub fn new(state: Arc<Committed>) -> Self {
-        ChangeLog { newest: state, steps: VecDeque::new() }
+        ChangeLog {
+            newest: state,
+            steps: VecDeque::new(),
+        }
     }
 
     /// The newest committed state.
@@ -46,9 +49,15 @@
         let changes = changes_between(&self.newest.state, &state.state);
         if changes.iter().any(is_configuration) {
             // Whoever gets an earlier step gets this one too: one document in memory is enough.
-            self.steps.iter_mut().for_each(|step| step.changes.retain(|change| !is_configuration(change)));
+            self.steps
+                .iter_mut()
+                .for_each(|step| step.changes.retain(|change| !is_configuration(change)));
         }
-        self.steps.push_back(Step { from: self.newest.revision, to: state.revision, changes });
+        self.steps.push_back(Step {
+            from: self.newest.revision,
+            to: state.revision,
+            changes,
+        });
         if self.steps.len() > STEPS_KEPT {
             self.steps.pop_front();
         }
@@ -69,15 +78,25 @@
     }
 
     fn changes_since(&self, held: Revision) -> Option<TablesUpdate> {
-        let first = self.steps.binary_search_by_key(&held, |step| step.from).ok()?;
+        let first = self
+            .steps
+            .binary_search_by_key(&held, |step| step.from)
+            .ok()?;
         let missed = self.steps.range(first..);
-        let changes: Vec<TablesChange> =
-            missed.flat_map(|step| step.changes.iter()).take(CHANGES_SENT + 1).cloned().collect();
+        let changes: Vec<TablesChange> = missed
+            .flat_map(|step| step.changes.iter())
+            .take(CHANGES_SENT + 1)
+            .cloned()
+            .collect();
         if changes.len() > CHANGES_SENT {
             return None;
         }
         let to = self.steps.back()?.to;
-        Some(TablesUpdate::Changes { from: held, to, changes })
+        Some(TablesUpdate::Changes {
+            from: held,
+            to,
+            changes,
+        })
     }
 }
 
--- a/tier/controller/src/duties.rs
+++ b/tier/controller/src/duties.rs
@@ -75,14 +75,21 @@
             self.machines.clear();
             return Vec::new();
         };
-        self.targets.update(state.targets().iter().map(|target| target.id.clone()), now);
+        self.targets
+            .update(state.targets().iter().map(|target| target.id.clone()), now);
         self.machines.update(machines_of(state), now);
-        let at = Now { state, liveness, time: now };
+        let at = Now {
+            state,
+            liveness,
+            time: now,
+        };
         let mut due = Vec::new();
         due.extend(self.expired_targets(&at));
         due.extend(self.silent_edges(&at));
         due.extend(self.lost_store(&at));
-        if state.stores().can_found_with_fewer() && now.saturating_duration_since(since) >= FOUNDING_GRACE {
+        if state.stores().can_found_with_fewer()
+            && now.saturating_duration_since(since) >= FOUNDING_GRACE
+        {
             due.push(Duty::FoundStores);
         }
         due
@@ -106,45 +113,74 @@
                 && !at.liveness.target_within(&target.id, silence, at.time)
         });
         let expired: Vec<ExpiredTarget> = silent
-            .map(|target| ExpiredTarget { id: target.id.clone(), sequence: target.sequence })
+            .map(|target| ExpiredTarget {
+                id: target.id.clone(),
+                sequence: target.sequence,
+            })
             .take(EXPIRED_AT_ONCE)
             .collect();
         (!expired.is_empty()).then_some(Duty::ExpireTargets(expired))
     }
 
     fn silent_edges(&self, at: &Now<'_>) -> Vec<Duty> {
-        let lives = at.state.edges().iter().map(|edge| life(&edge.node, edge.incarnation));
+        let lives = at
+            .state
+            .edges()
+            .iter()
+            .map(|edge| life(&edge.node, edge.incarnation));
         let silent = lives.filter(|life| self.machine_silent(life, MACHINE_SILENCE, at));
-        silent.map(|MachineLife { node, incarnation }| Duty::ForgetEdge { node, incarnation }).collect()
+        silent
+            .map(|MachineLife { node, incarnation }| Duty::ForgetEdge { node, incarnation })
+            .collect()
     }
 
     /// At most one store is dropped at a time. A serving store may go early only if a new one is about to join.
     fn lost_store(&self, at: &Now<'_>) -> Option<Duty> {
         let view = at.state.stores().view();
-        let serves = |member: &StoreMember| view.serving.iter().any(|serving| serving.node == member.node);
+        let serves = |member: &StoreMember| {
+            view.serving
+                .iter()
+                .any(|serving| serving.node == member.node)
+        };
         let successor_joins = view.next.iter().flatten().any(|member| !serves(member));
         let members = view.next.as_ref().unwrap_or(&view.serving);
         let lost = members.iter().find(|member| {
             let joins = !view.serving.contains(member);
-            let silence = if joins || successor_joins { MACHINE_SILENCE } else { STORE_LOST };
+            let silence = if joins || successor_joins {
+                MACHINE_SILENCE
+            } else {
+                STORE_LOST
+            };
             self.machine_silent(&life(&member.node, member.incarnation), silence, at)
                 && at.state.stores().can_drop(&member.node, member.incarnation)
         })?;
-        Some(Duty::DropStore { node: lost.node.clone(), incarnation: lost.incarnation })
+        Some(Duty::DropStore {
+            node: lost.node.clone(),
+            incarnation: lost.incarnation,
+        })
     }
 
     fn machine_silent(&self, life: &MachineLife, silence: Duration, at: &Now<'_>) -> bool {
-        self.machines.for_long(life, silence, at.time) && !at.liveness.machine_within(life, silence, at.time)
+        self.machines.for_long(life, silence, at.time)
+            && !at.liveness.machine_within(life, silence, at.time)
     }
 }
 
 fn machines_of(state: &ControlState) -> impl Iterator<Item = MachineLife> + '_ {
     let view = state.stores().view();
     let stores = view.serving.iter().chain(view.next.iter().flatten());
-    let edges = state.edges().iter().map(|edge| life(&edge.node, edge.incarnation));
-    stores.map(|member| life(&member.node, member.incarnation)).chain(edges)
+    let edges = state
+        .edges()
+        .iter()
+        .map(|edge| life(&edge.node, edge.incarnation));
+    stores
+        .map(|member| life(&member.node, member.incarnation))
+        .chain(edges)
 }
 
 fn life(node: &NodeId, incarnation: Incarnation) -> MachineLife {
-    MachineLife { node: node.clone(), incarnation }
+    MachineLife {
+        node: node.clone(),
+        incarnation,
+    }
 }
--- a/tier/controller/src/feed/registration.rs
+++ b/tier/controller/src/feed/registration.rs
@@ -9,12 +9,14 @@
 /// The life of a subscribed machine; `None` for those that agents serve.
 pub fn life_of(subscriber: &Subscriber) -> Option<MachineLife> {
     match subscriber {
-        Subscriber::Edge(edge) => {
-            Some(MachineLife { node: edge.node.clone(), incarnation: edge.incarnation })
-        }
-        Subscriber::Store(member) => {
-            Some(MachineLife { node: member.node.clone(), incarnation: member.incarnation })
-        }
+        Subscriber::Edge(edge) => Some(MachineLife {
+            node: edge.node.clone(),
+            incarnation: edge.incarnation,
+        }),
+        Subscriber::Store(member) => Some(MachineLife {
+            node: member.node.clone(),
+            incarnation: member.incarnation,
+        }),
         Subscriber::Proxy | Subscriber::Peer => None,
     }
 }
@@ -23,7 +25,10 @@
 pub fn registration_of(subscriber: &Subscriber, faults: u32) -> Option<Operation> {
     match subscriber {
         Subscriber::Edge(edge) => Some(Operation::SetEdge(edge.clone())),
-        Subscriber::Store(member) => Some(Operation::RegisterStore { member: member.clone(), faults }),
+        Subscriber::Store(member) => Some(Operation::RegisterStore {
+            member: member.clone(),
+            faults,
+        }),
         Subscriber::Proxy | Subscriber::Peer => None,
     }
 }
@@ -31,7 +36,12 @@
 /// Other lives of the subscriber's machine that the control state knows.
 pub fn other_lives(state: &ControlState, subscriber: &Subscriber) -> Vec<Incarnation> {
     let mut lives: Vec<Incarnation> = match subscriber {
-        Subscriber::Edge(edge) => state.edges().get(&edge.node).iter().map(|held| held.incarnation).collect(),
+        Subscriber::Edge(edge) => state
+            .edges()
+            .get(&edge.node)
+            .iter()
+            .map(|held| held.incarnation)
+            .collect(),
         Subscriber::Store(member) => state.stores().lives_of(&member.node).collect(),
         Subscriber::Proxy | Subscriber::Peer => Vec::new(),
     };
@@ -42,7 +52,11 @@
 
 /// Whether a subscriber still is to be registered. `former` are the other lives of its machine that were known
 /// when it subscribed: a life that came later took its place, and is left alone.
-pub fn should_register(state: &ControlState, subscriber: &Subscriber, former: &[Incarnation]) -> bool {
+pub fn should_register(
+    state: &ControlState,
+    subscriber: &Subscriber,
+    former: &[Incarnation],
+) -> bool {
     let known = match subscriber {
         Subscriber::Edge(edge) => state.edges().is_known(edge),
         Subscriber::Store(member) => {
@@ -50,5 +64,8 @@
         }
         Subscriber::Proxy | Subscriber::Peer => true,
     };
-    !known && other_lives(state, subscriber).iter().all(|life| former.contains(life))
+    !known
+        && other_lives(state, subscriber)
+            .iter()
+            .all(|life| former.contains(life))
 }
--- a/tier/controller/src/feed/session.rs
+++ b/tier/controller/src/feed/session.rs
@@ -28,11 +28,27 @@
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Serves one subscriber until its connection ends.
-pub async fn serve_subscriber<L: ControlLog>(controller: Rc<Controller<L>>, connection: Connection) {
-    let Connection { peer, address, mut reader, writer } = connection;
+pub async fn serve_subscriber<L: ControlLog>(
+    controller: Rc<Controller<L>>,
+    connection: Connection,
+) {
+    let Connection {
+        peer,
+        address,
+        mut reader,
+        writer,
+    } = connection;
     let first = timeout(FIRST_MESSAGE, reader.next()).await;
-    let Ok(Ok(FromSubscriber::Subscribe { subscriber, held })) = first else { return };
-    let Some(key) = controller.subscribers.borrow_mut().add(peer.node.clone(), held) else { return };
+    let Ok(Ok(FromSubscriber::Subscribe { subscriber, held })) = first else {
+        return;
+    };
+    let Some(key) = controller
+        .subscribers
+        .borrow_mut()
+        .add(peer.node.clone(), held)
+    else {
+        return;
+    };
     let life = life_of(&subscriber);
     let former = other_lives(&controller.log.state().borrow().state, &subscriber);
     tracing::info!(node = %peer.node, %address, held = held.0, "subscribed");
@@ -118,7 +134,10 @@
     fn hear(&mut self) {
         self.heard = Instant::now();
         if let Some(life) = &self.life {
-            self.controller.liveness.borrow_mut().heard_machine(life, self.heard);
+            self.controller
+                .liveness
+                .borrow_mut()
+                .heard_machine(life, self.heard);
         }
     }
 
@@ -126,26 +145,35 @@
     fn take(&mut self, message: FromSubscriber) -> bool {
         match message {
             FromSubscriber::Applied(revision) => {
-                self.controller.subscribers.borrow_mut().applied(self.key, revision);
+                self.controller
+                    .subscribers
+                    .borrow_mut()
+                    .applied(self.key, revision);
             }
             FromSubscriber::WantsSnapshot => self.wants_snapshot = true,
             FromSubscriber::StoreSynced(epoch) => {
                 if let Some(MachineLife { node, incarnation }) = self.life.clone() {
-                    self.controller.submit(Operation::StoreSynced { node, incarnation, epoch });
+                    self.controller.submit(Operation::StoreSynced {
+                        node,
+                        incarnation,
+                        epoch,
+                    });
                 }
             }
             FromSubscriber::Suspects(node) => tracing::info!(%node, "suspected by a peer"),
             FromSubscriber::Leaving => {
                 if let (Subscriber::Edge(_), Some(life)) = (&self.subscriber, self.life.clone()) {
                     let MachineLife { node, incarnation } = life;
-                    self.controller.submit(Operation::RemoveEdge { node, incarnation });
+                    self.controller
+                        .submit(Operation::RemoveEdge { node, incarnation });
                 }
                 return true;
             }
             FromSubscriber::Emptied { number } => {
                 if let (Subscriber::Edge(edge), Some(_)) = (&self.subscriber, &self.life) {
                     let node = edge.node.clone();
-                    self.controller.submit(Operation::EdgeEmptied { node, number });
+                    self.controller
+                        .submit(Operation::EdgeEmptied { node, number });
                 }
             }
             FromSubscriber::HeartbeatsOnly => self.wants_updates = false,
@@ -170,14 +198,20 @@
             messages.extend(self.wants_updates.then_some(ToSubscriber::Update(update)));
         }
         if now >= self.beat {
-            messages.push(ToSubscriber::Heartbeat { revision: self.held_or_newest(), current });
+            messages.push(ToSubscriber::Heartbeat {
+                revision: self.held_or_newest(),
+                current,
+            });
             self.tell_controllers(&mut messages);
             self.beat = now + HEARTBEAT;
         }
         if messages.is_empty() {
             return true;
         }
-        matches!(timeout(WRITE_LIMIT, self.writer.send_all(&messages)).await, Ok(Ok(())))
+        matches!(
+            timeout(WRITE_LIMIT, self.writer.send_all(&messages)).await,
+            Ok(Ok(()))
+        )
     }
 
     fn next_update(&mut self) -> Option<TablesUpdate> {
@@ -190,7 +224,8 @@
 
     /// A subscriber may hold more than is known here; it must see that this controller is behind.
     fn held_or_newest(&self) -> Revision {
-        self.held.min(self.controller.changes.borrow().newest().revision)
+        self.held
+            .min(self.controller.changes.borrow().newest().revision)
     }
 
     fn tell_controllers(&mut self, messages: &mut Vec<ToSubscriber>) {
@@ -203,7 +238,11 @@
 
     /// Registers the machine in the control state, again if it was forgotten there.
     fn register(&mut self) {
-        if self.registering.as_ref().is_some_and(|task| !task.is_finished()) {
+        if self
+            .registering
+            .as_ref()
+            .is_some_and(|task| !task.is_finished())
+        {
             return;
         }
         let state = self.controller.log.state().borrow().state.clone();
@@ -211,7 +250,9 @@
             return;
         }
         let faults = self.controller.faults;
-        let Some(operation) = registration_of(&self.subscriber, faults) else { return };
+        let Some(operation) = registration_of(&self.subscriber, faults) else {
+            return;
+        };
         let log = self.controller.log.clone();
         self.registering = Some(tokio::task::spawn_local(async move {
             log.propose(operation, REGISTRATION_TIMEOUT).await.is_ok()
--- a/tier/controller/src/feed/subscribers.rs
+++ b/tier/controller/src/feed/subscribers.rs
@@ -30,7 +30,8 @@
             return None;
         }
         self.next += 1;
-        self.open.insert(self.next, SubscriberStatus { node, applied });
+        self.open
+            .insert(self.next, SubscriberStatus { node, applied });
         Some(self.next)
     }
 
--- a/tier/controller/src/first_seen.rs
+++ b/tier/controller/src/first_seen.rs
@@ -30,6 +30,8 @@
 
     /// Whether a member has been seen for at least `span`.
     pub fn for_long(&self, member: &K, span: Duration, now: Instant) -> bool {
-        self.0.get(member).is_some_and(|since| now.saturating_duration_since(*since) >= span)
+        self.0
+            .get(member)
+            .is_some_and(|since| now.saturating_duration_since(*since) >= span)
     }
 }
--- a/tier/controller/src/internal.rs
+++ b/tier/controller/src/internal.rs
@@ -56,7 +56,10 @@
 
 async fn take_reports<L: ControlLog>(controller: Rc<Controller<L>>, mut connection: Connection) {
     while let Ok(report) = connection.reader.next::<HeardReport>().await {
-        controller.liveness.borrow_mut().heard_elsewhere(&report, Instant::now());
+        controller
+            .liveness
+            .borrow_mut()
+            .heard_elsewhere(&report, Instant::now());
     }
 }
 
@@ -66,13 +69,20 @@
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
         let place = controller.log.place();
-        let Some(head) = place.chain.first().filter(|head| head.node != controller.node) else {
+        let Some(head) = place
+            .chain
+            .first()
+            .filter(|head| head.node != controller.node)
+        else {
             link = None;
             continue;
         };
         if link.as_ref().is_none_or(|(node, _)| *node != head.node) {
             let hello = Hello::new(Channel::Liveness, controller.node.clone());
-            link = dial(head.address, &hello).await.ok().map(|made| (head.node.clone(), made));
+            link = dial(head.address, &hello)
+                .await
+                .ok()
+                .map(|made| (head.node.clone(), made));
         }
         if let Some((_, connection)) = &mut link {
             if send_report(&controller, connection).await.is_err() {
--- a/tier/controller/src/liveness.rs
+++ b/tier/controller/src/liveness.rs
@@ -48,8 +48,14 @@
 
     /// Another controller heard these.
     pub fn heard_elsewhere(&mut self, report: &HeardReport, now: Instant) {
-        report.targets.iter().for_each(|id| hear(&mut self.elsewhere.targets, id, now));
-        report.machines.iter().for_each(|life| hear(&mut self.elsewhere.machines, life, now));
+        report
+            .targets
+            .iter()
+            .for_each(|id| hear(&mut self.elsewhere.targets, id, now));
+        report
+            .machines
+            .iter()
+            .for_each(|life| hear(&mut self.elsewhere.machines, life, now));
     }
 
     /// Whether a target was heard within `silence` before `now`.
@@ -60,7 +66,10 @@
 
     /// Whether a machine was heard within `silence` before `now`.
     pub fn machine_within(&self, life: &MachineLife, silence: Duration, now: Instant) -> bool {
-        let heard = [self.here.machines.get(life), self.elsewhere.machines.get(life)];
+        let heard = [
+            self.here.machines.get(life),
+            self.elsewhere.machines.get(life),
+        ];
         within(heard, silence, now)
     }
 
@@ -96,9 +105,16 @@
 }
 
 fn within(heard: [Option<&Instant>; 2], silence: Duration, now: Instant) -> bool {
-    heard.into_iter().flatten().any(|at| now.saturating_duration_since(*at) < silence)
+    heard
+        .into_iter()
+        .flatten()
+        .any(|at| now.saturating_duration_since(*at) < silence)
 }
 
 fn heard_since<K: Ord + Clone>(heard: &BTreeMap<K, Instant>, since: Instant) -> Vec<K> {
-    heard.iter().filter(|(_, at)| **at >= since).map(|(sender, _)| sender.clone()).collect()
+    heard
+        .iter()
+        .filter(|(_, at)| **at >= since)
+        .map(|(sender, _)| sender.clone())
+        .collect()
 }
--- a/tier/controller/src/log.rs
+++ b/tier/controller/src/log.rs
@@ -42,7 +42,11 @@
     ///
     /// # Errors
     /// If no outcome came in time; the operation may still be committed later.
-    async fn propose(&self, operation: Operation, timeout: Duration) -> Result<Outcome, Unavailable>;
+    async fn propose(
+        &self,
+        operation: Operation,
+        timeout: Duration,
+    ) -> Result<Outcome, Unavailable>;
 
     /// The newest committed state known here.
     fn state(&self) -> watch::Receiver<Arc<Committed>>;
@@ -67,7 +71,11 @@
 }
 
 impl ControlLog for Log<ControlState> {
-    async fn propose(&self, operation: Operation, timeout: Duration) -> Result<Outcome, Unavailable> {
+    async fn propose(
+        &self,
+        operation: Operation,
+        timeout: Duration,
+    ) -> Result<Outcome, Unavailable> {
         Log::propose(self, operation, timeout).await
     }
 
@@ -89,8 +97,10 @@
 
     fn place(&self) -> Place {
         let standing = self.standing();
-        let peer =
-            |member: plankhill_chain::Member| Peer { node: member.identity.node, address: member.address };
+        let peer = |member: plankhill_chain::Member| Peer {
+            node: member.identity.node,
+            address: member.address,
+        };
         Place {
             view: standing.view.0,
             is_head: standing.is_head,
--- a/tier/controller/src/process.rs
+++ b/tier/controller/src/process.rs
@@ -71,7 +71,12 @@
 
     /// Where all controllers listen for subscribers.
     pub fn controller_addresses(&self) -> Vec<SocketAddr> {
-        self.log.place().voters.into_iter().map(|voter| voter.address).collect()
+        self.log
+            .place()
+            .voters
+            .into_iter()
+            .map(|voter| voter.address)
+            .collect()
     }
 
     /// Takes in a newer committed state and wakes the subscriptions.
@@ -136,8 +141,16 @@
         let due = duties.due(&place, current, &state, &controller.liveness.borrow(), now);
         for duty in due {
             tracing::info!(?duty, view = place.view, "housekeeping");
-            let operation = Operation::Duty { view: place.view, duty };
-            if controller.log.propose(operation, SUBMIT_TIMEOUT).await.is_err() {
+            let operation = Operation::Duty {
+                view: place.view,
+                duty,
+            };
+            if controller
+                .log
+                .propose(operation, SUBMIT_TIMEOUT)
+                .await
+                .is_err()
+            {
                 break;
             }
         }
--- a/tier/controller/src/run.rs
+++ b/tier/controller/src/run.rs
@@ -53,21 +53,31 @@
 /// # Errors
 /// [`RunError`] if it cannot start, or its disk fails.
 pub fn run(settings: Settings) -> Result<(), RunError> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(RunError::Runtime)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(RunError::Runtime)?;
     LocalSet::new().block_on(&runtime, run_local(settings))
 }
 
 async fn run_local(settings: Settings) -> Result<(), RunError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(RunError::Runtime)?;
     let mut reload = signal(SignalKind::hangup()).map_err(RunError::Runtime)?;
-    let admin = settings.listeners_map.admin.ok_or(RunError::Setting("listeners_map.admin"))?;
+    let admin = settings
+        .listeners_map
+        .admin
+        .ok_or(RunError::Setting("listeners_map.admin"))?;
     let (admin, internal) = (listen_at(admin)?, listen_at(internal_address(&settings))?);
     let log: Log<ControlState> = start(replica_settings(&settings)?)?;
     let node = NodeId::from(settings.node_id.as_str());
     let controller = Controller::new(node, settings.fault_tolerance.nodes, log.clone());
     let (ending, ended) = watch::channel(false);
-    start_tasks(&controller, Listeners { admin, internal }, settings.heartbeat(), ended);
+    start_tasks(
+        &controller,
+        Listeners { admin, internal },
+        settings.heartbeat(),
+        ended,
+    );
     tracing::info!(node = %settings.node_id, "controller started");
     loop {
         tokio::select! {
@@ -103,7 +113,10 @@
     Ok(ReplicaSettings {
         node: NodeId::from(settings.node_id.as_str()),
         address: internal_address(settings),
-        folder: settings.data_path.clone().ok_or(RunError::Setting("data_path"))?,
+        folder: settings
+            .data_path
+            .clone()
+            .ok_or(RunError::Setting("data_path"))?,
         seeds: seeds(settings),
         bootstrap: settings.bootstrap,
         tolerated: settings.fault_tolerance.nodes as usize,
@@ -111,12 +124,18 @@
 }
 
 fn internal_address(settings: &Settings) -> SocketAddr {
-    PortRange { first: settings.port_range.first }.controller(settings.ip)
+    PortRange {
+        first: settings.port_range.first,
+    }
+    .controller(settings.ip)
 }
 
 /// The seeds' machines at the controllers' internal port, which is the same on all machines.
 fn seeds(settings: &Settings) -> Vec<SocketAddr> {
-    PortRange { first: settings.port_range.first }.controllers(&settings.seed_nodes)
+    PortRange {
+        first: settings.port_range.first,
+    }
+    .controllers(&settings.seed_nodes)
 }
 
 fn listen_at(address: SocketAddr) -> Result<TcpListener, RunError> {
--- a/tier/controller/tests/bad_input.rs
+++ b/tier/controller/tests/bad_input.rs
@@ -18,8 +18,14 @@
 ];
 
 /// A proper body with some of its bytes changed, cut off or doubled.
-fn damaged(random: &mut arbtest::arbitrary::Unstructured<'_>) -> arbtest::arbitrary::Result<Vec<u8>> {
-    let whole = if random.arbitrary()? { configuration(5) } else { heartbeat("healthy", 1) };
+fn damaged(
+    random: &mut arbtest::arbitrary::Unstructured<'_>,
+) -> arbtest::arbitrary::Result<Vec<u8>> {
+    let whole = if random.arbitrary()? {
+        configuration(5)
+    } else {
+        heartbeat("healthy", 1)
+    };
     let mut bytes = whole.into_bytes();
     for _ in 0..random.int_in_range(1..=4)? {
         let at = random.int_in_range(0..=bytes.len().max(1) - 1)?;
@@ -40,7 +46,10 @@
         let path = PATHS[random.int_in_range(0..=PATHS.len() - 1)?];
         let answered = tester.call(method, path, damaged(random)?);
         let status = answered.status.as_u16();
-        assert!([200, 400, 404, 405, 409, 413].contains(&status), "{answered:?}");
+        assert!(
+            [200, 400, 404, 405, 409, 413].contains(&status),
+            "{answered:?}"
+        );
         if status >= 400 {
             assert!(answered.body.starts_with(r#"{"error":""#), "{answered:?}");
             assert_eq!(tester.log.control().targets().len(), 0);
@@ -57,7 +66,9 @@
         let body = damaged(random)?;
         let answered = tester.put_configuration(0, body.clone());
         let control = tester.log.control();
-        let in_force = control.configuration().map(|configuration| configuration.document.to_vec());
+        let in_force = control
+            .configuration()
+            .map(|configuration| configuration.document.to_vec());
         assert_eq!(in_force, answered.status.is_success().then_some(body));
         Ok(())
     });
--- a/tier/controller/tests/change_log.rs
+++ b/tier/controller/tests/change_log.rs
@@ -16,7 +16,11 @@
 }
 
 fn put(expected: u64, version: u64) -> Operation {
-    Operation::PutConfiguration { expected, version, document: Arc::from(&b"{}"[..]) }
+    Operation::PutConfiguration {
+        expected,
+        version,
+        document: Arc::from(&b"{}"[..]),
+    }
 }
 
 #[test]
@@ -39,7 +43,10 @@
             let operation = if random.arbitrary()? {
                 Operation::SetEdge(edge(["e1", "e2"][random.int_in_range(0..=1)?], step))
             } else {
-                put(log.control().configuration_history().current_version(), step)
+                put(
+                    log.control().configuration_history().current_version(),
+                    step,
+                )
             };
             log.commit(&operation);
             if random.arbitrary()? {
@@ -66,7 +73,10 @@
     log.commit(&put(0, 1));
     log.commit(&put(1, 2));
     changes.advance(newest(&log));
-    assert!(matches!(changes.update_since(Revision(1)), Some(TablesUpdate::Snapshot(_))));
+    assert!(matches!(
+        changes.update_since(Revision(1)),
+        Some(TablesUpdate::Snapshot(_))
+    ));
 }
 
 #[test]
@@ -77,7 +87,9 @@
         log.commit(&put(version - 1, version));
         changes.advance(newest(&log));
     }
-    let Some(TablesUpdate::Changes { changes, .. }) = changes.update_since(Revision(0)) else { panic!() };
+    let Some(TablesUpdate::Changes { changes, .. }) = changes.update_since(Revision(0)) else {
+        panic!()
+    };
     assert!(matches!(&changes[..], [TablesChange::Configuration(text)] if text.version == 3));
 }
 
@@ -89,6 +101,12 @@
         log.commit(&Operation::SetEdge(edge("e", step)));
         changes.advance(newest(&log));
     }
-    assert!(matches!(changes.update_since(Revision(0)), Some(TablesUpdate::Snapshot(_))));
-    assert!(matches!(changes.update_since(Revision(590)), Some(TablesUpdate::Changes { .. })));
+    assert!(matches!(
+        changes.update_since(Revision(0)),
+        Some(TablesUpdate::Snapshot(_))
+    ));
+    assert!(matches!(
+        changes.update_since(Revision(590)),
+        Some(TablesUpdate::Changes { .. })
+    ));
 }
--- a/tier/controller/tests/cluster/mod.rs
+++ b/tier/controller/tests/cluster/mod.rs
@@ -58,7 +58,10 @@
 impl Cluster {
     /// Three machines at their very first start.
     pub fn bootstrap() -> Self {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         let machine = |number: usize| Machine {
             node: format!("core-{number}"),
             admin: free_address(),
@@ -79,7 +82,11 @@
             node: NodeId::from(machine.node.as_str()),
             address: machine.internal,
             folder: PathBuf::from(machine.disk.path()),
-            seeds: self.machines.iter().map(|machine| machine.internal).collect(),
+            seeds: self
+                .machines
+                .iter()
+                .map(|machine| machine.internal)
+                .collect(),
             bootstrap,
             tolerated: 1,
         };
@@ -110,14 +117,18 @@
         let head = &status[chain..];
         let first = |machine: &Machine| head.find(&format!("\"{}\"", machine.node));
         assert!(self.machines.iter().any(|machine| named(machine).is_some()));
-        (0..3).min_by_key(|place| first(&self.machines[*place]).unwrap_or(usize::MAX)).unwrap()
+        (0..3)
+            .min_by_key(|place| first(&self.machines[*place]).unwrap_or(usize::MAX))
+            .unwrap()
     }
 
     /// Waits until so many machines are in the chain, as one of them sees it.
     pub fn wait_for_links(&self, seen_from: usize, wanted: usize) {
         let asked = std::time::Instant::now();
         loop {
-            let status = self.call(seen_from, "GET", "/-/status", None, "").map(|(_, status)| status);
+            let status = self
+                .call(seen_from, "GET", "/-/status", None, "")
+                .map(|(_, status)| status);
             let status: Option<serde_json::Value> =
                 status.and_then(|status| serde_json::from_str(&status).ok());
             let links = status.and_then(|status| status["chain"].as_array().map(Vec::len));
@@ -138,12 +149,21 @@
         body: &str,
     ) -> Option<Answered> {
         let address = self.machines[place].admin;
-        let mut request = Request::builder().method(method).uri(path).header("Host", "controller");
+        let mut request = Request::builder()
+            .method(method)
+            .uri(path)
+            .header("Host", "controller");
         if let Some(expected) = expected {
             request = request.header("If-Match", expected.to_string());
         }
-        let request = request.body(Full::new(Bytes::from(body.to_owned()))).unwrap();
-        let exchange = async { tokio::time::timeout(ANSWER, exchange(address, request)).await.ok()? };
+        let request = request
+            .body(Full::new(Bytes::from(body.to_owned())))
+            .unwrap();
+        let exchange = async {
+            tokio::time::timeout(ANSWER, exchange(address, request))
+                .await
+                .ok()?
+        };
         self.runtime.block_on(exchange)
     }
 
@@ -153,15 +173,25 @@
         let mut waiting = tokio::task::JoinSet::new();
         for (number, call) in calls.iter().enumerate() {
             let address = self.machines[call.place].admin;
-            let mut request =
-                Request::builder().method(call.method).uri("/-/config").header("Host", "controller");
+            let mut request = Request::builder()
+                .method(call.method)
+                .uri("/-/config")
+                .header("Host", "controller");
             if let Some(expected) = call.expected {
                 request = request.header("If-Match", expected.to_string());
             }
-            let request = request.body(Full::new(Bytes::from(call.body.clone()))).unwrap();
-            let exchange =
-                async move { tokio::time::timeout(ANSWER, exchange(address, request)).await.ok()? };
-            waiting.spawn_on(async move { (number, exchange.await) }, self.runtime.handle());
+            let request = request
+                .body(Full::new(Bytes::from(call.body.clone())))
+                .unwrap();
+            let exchange = async move {
+                tokio::time::timeout(ANSWER, exchange(address, request))
+                    .await
+                    .ok()?
+            };
+            waiting.spawn_on(
+                async move { (number, exchange.await) },
+                self.runtime.handle(),
+            );
         }
         self.runtime.block_on(async {
             while let Some(ended) = waiting.join_next().await {
@@ -181,8 +211,9 @@
         body: &str,
     ) -> Answered {
         for _ in 0..TRIES {
-            let mut answers =
-                places.iter().filter_map(|place| self.call(*place, method, path, expected, body));
+            let mut answers = places
+                .iter()
+                .filter_map(|place| self.call(*place, method, path, expected, body));
             let clear = answers.find(|(status, _)| *status != StatusCode::SERVICE_UNAVAILABLE);
             if let Some(clear) = clear {
                 return clear;
@@ -194,7 +225,10 @@
 
     /// Waits until one of the machines says that it is current.
     fn wait_until_current(&self, places: &[usize]) {
-        let addresses = places.iter().map(|place| self.machines[*place].internal).collect();
+        let addresses = places
+            .iter()
+            .map(|place| self.machines[*place].internal)
+            .collect();
         let waiting = async {
             let (_keep, candidates) = watch::channel(addresses);
             let subscription = Subscription::start(SubscriptionOptions {
@@ -213,12 +247,14 @@
 
     /// Sends a configuration until there is a clear answer.
     pub fn put(&self, places: &[usize], expected: u64, document: &str) -> StatusCode {
-        self.call_until_clear(places, "PUT", "/-/config", Some(expected), document).0
+        self.call_until_clear(places, "PUT", "/-/config", Some(expected), document)
+            .0
     }
 
     /// Reads the configuration until there is a clear answer.
     pub fn get(&self, place: usize) -> String {
-        self.call_until_clear(&[place], "GET", "/-/config", None, "").1
+        self.call_until_clear(&[place], "GET", "/-/config", None, "")
+            .1
     }
 }
 
--- a/tier/controller/tests/cluster/process.rs
+++ b/tier/controller/tests/cluster/process.rs
@@ -50,13 +50,19 @@
 
 /// One controller on this thread, until it is killed.
 pub fn run(settings: ReplicaSettings, admin: SocketAddr, killed: oneshot::Receiver<()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let set = tokio::task::LocalSet::new();
     set.block_on(&runtime, async move {
         let (node, address) = (settings.node.clone(), settings.address);
         let log: Log<ControlState> = start(settings).unwrap();
         let controller = Controller::new(node, 1, log);
-        let listeners = Listeners { admin: listen(admin).unwrap(), internal: listen(address).unwrap() };
+        let listeners = Listeners {
+            admin: listen(admin).unwrap(),
+            internal: listen(address).unwrap(),
+        };
         let (_ending, ended) = watch::channel(false);
         start_tasks(&controller, listeners, Duration::from_millis(1_200), ended);
         // Resolves also when the test has gone.
--- a/tier/controller/tests/common/mod.rs
+++ b/tier/controller/tests/common/mod.rs
@@ -34,10 +34,17 @@
 
 impl MemoryLog {
     pub fn new() -> Self {
-        let shared = Shared { place: Place::default(), proposals: Vec::new() };
+        let shared = Shared {
+            place: Place::default(),
+            proposals: Vec::new(),
+        };
         let (state, _) = watch::channel(Arc::new(CommittedState::empty()));
         let (reachable, _) = watch::channel(true);
-        MemoryLog { shared: Rc::new(RefCell::new(shared)), state, reachable }
+        MemoryLog {
+            shared: Rc::new(RefCell::new(shared)),
+            state,
+            reachable,
+        }
     }
 
     /// Cuts the controller off from the others, or joins it again.
@@ -70,7 +77,11 @@
 }
 
 impl ControlLog for MemoryLog {
-    async fn propose(&self, operation: Operation, _timeout: Duration) -> Result<Outcome, Unavailable> {
+    async fn propose(
+        &self,
+        operation: Operation,
+        _timeout: Duration,
+    ) -> Result<Outcome, Unavailable> {
         if !*self.reachable.borrow() {
             return Err(Unavailable);
         }
@@ -125,7 +136,11 @@
     pub fn new() -> Self {
         let log = MemoryLog::new();
         let controller = Controller::new(NodeId::from("core-1"), 1, log.clone());
-        Tester { log, controller, budget: BodyBudget::new(32 << 20) }
+        Tester {
+            log,
+            controller,
+            budget: BodyBudget::new(32 << 20),
+        }
     }
 
     pub fn call(&self, method: &str, path: &str, body: impl Into<Bytes>) -> Answered {
@@ -136,7 +151,13 @@
         self.call_on("PUT", "/-/config", Some(expected), body)
     }
 
-    fn call_on(&self, method: &str, path: &str, expected: Option<u64>, body: impl Into<Bytes>) -> Answered {
+    fn call_on(
+        &self,
+        method: &str,
+        path: &str,
+        expected: Option<u64>,
+        body: impl Into<Bytes>,
+    ) -> Answered {
         let mut request = Request::builder().method(method).uri(path);
         if let Some(expected) = expected {
             request = request.header("If-Match", expected.to_string());
@@ -147,13 +168,20 @@
             let status = response.status();
             let retry_after = response.headers().contains_key("retry-after");
             let body = response.into_body().collect().await.unwrap().to_bytes();
-            Answered { status, retry_after, body: String::from_utf8(body.to_vec()).unwrap() }
+            Answered {
+                status,
+                retry_after,
+                body: String::from_utf8(body.to_vec()).unwrap(),
+            }
         })
     }
 }
 
 pub fn block_on<T>(future: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
@@ -163,7 +191,9 @@
 
 /// A configuration with so many routes.
 pub fn configuration_with(version: u64, routes: usize) -> String {
-    let routes: Vec<String> = (0..routes).map(|number| route(&format!("/p{number}/"), "tools")).collect();
+    let routes: Vec<String> = (0..routes)
+        .map(|number| route(&format!("/p{number}/"), "tools"))
+        .collect();
     document(version, &routes.join(","))
 }
 
@@ -174,7 +204,10 @@
 }
 
 pub fn route(prefix: &str, service: &str) -> String {
-    route_with(prefix, &format!(r#""service":"{service}","timeout_ms":500"#))
+    route_with(
+        prefix,
+        &format!(r#""service":"{service}","timeout_ms":500"#),
+    )
 }
 
 pub fn route_with(prefix: &str, rest: &str) -> String {
@@ -209,5 +242,8 @@
 }
 
 pub fn register(member: &StoreMember) -> Operation {
-    Operation::RegisterStore { member: member.clone(), faults: 1 }
+    Operation::RegisterStore {
+        member: member.clone(),
+        faults: 1,
+    }
 }
--- a/tier/controller/tests/configuration.rs
+++ b/tier/controller/tests/configuration.rs
@@ -8,9 +8,15 @@
 #[test]
 fn what_was_taken_is_read_back_byte_for_byte() {
     let tester = Tester::new();
-    assert_eq!(tester.call("GET", "/-/config", "").status, StatusCode::NOT_FOUND);
+    assert_eq!(
+        tester.call("GET", "/-/config", "").status,
+        StatusCode::NOT_FOUND
+    );
     let text = configuration(5);
-    assert_eq!(tester.put_configuration(0, text.clone()).status, StatusCode::OK);
+    assert_eq!(
+        tester.put_configuration(0, text.clone()).status,
+        StatusCode::OK
+    );
     assert_eq!(tester.call("GET", "/-/config", "").body, text);
 }
 
@@ -18,10 +24,20 @@
 fn a_repeated_order_is_acknowledged_again_also_after_others() {
     let tester = Tester::new();
     for (expected, version) in [(0, 5), (5, 7), (7, 9)] {
-        assert_eq!(tester.put_configuration(expected, configuration(version)).status, StatusCode::OK);
+        assert_eq!(
+            tester
+                .put_configuration(expected, configuration(version))
+                .status,
+            StatusCode::OK
+        );
     }
     for (expected, version) in [(7, 9), (0, 5), (5, 7)] {
-        assert_eq!(tester.put_configuration(expected, configuration(version)).status, StatusCode::OK);
+        assert_eq!(
+            tester
+                .put_configuration(expected, configuration(version))
+                .status,
+            StatusCode::OK
+        );
     }
     assert_eq!(tester.log.proposals(), 3);
     assert_eq!(tester.call("GET", "/-/config", "").body, configuration(9));
@@ -31,11 +47,20 @@
 fn of_two_operators_on_the_same_version_one_wins() {
     let tester = Tester::new();
     tester.put_configuration(0, configuration(5));
-    assert_eq!(tester.put_configuration(5, configuration_with(7, 2)).status, StatusCode::OK);
+    assert_eq!(
+        tester.put_configuration(5, configuration_with(7, 2)).status,
+        StatusCode::OK
+    );
     let same_number = tester.put_configuration(5, configuration_with(7, 3));
     assert_eq!(same_number.status, StatusCode::PRECONDITION_FAILED);
-    assert_eq!(tester.put_configuration(5, configuration(8)).status, StatusCode::PRECONDITION_FAILED);
-    assert_eq!(tester.put_configuration(9, configuration(10)).status, StatusCode::PRECONDITION_FAILED);
+    assert_eq!(
+        tester.put_configuration(5, configuration(8)).status,
+        StatusCode::PRECONDITION_FAILED
+    );
+    assert_eq!(
+        tester.put_configuration(9, configuration(10)).status,
+        StatusCode::PRECONDITION_FAILED
+    );
 }
 
 #[test]
@@ -50,7 +75,10 @@
         (document(7, &route("/a/", "nobody")), "routes[0]"),
         (document(7, &shared), "routes[1]"),
         (document(7, &route_with("/a/", no_weight)), "weight"),
-        (document(7, &route_with("/a/", r#""service":"tools","timeout_ms":0"#)), "timeout_ms"),
+        (
+            document(7, &route_with("/a/", r#""service":"tools","timeout_ms":0"#)),
+            "timeout_ms",
+        ),
         (document(5, &route("/a/", "tools")), "version"),
         (document(4, &route("/a/", "tools")), "version"),
         ("".to_owned(), ""),
@@ -59,7 +87,10 @@
     for (text, key) in kinds {
         let answered = tester.put_configuration(5, text.clone());
         assert_eq!(answered.status, StatusCode::BAD_REQUEST, "{text}");
-        assert!(answered.body.contains("error") && answered.body.contains(key), "{answered:?}");
+        assert!(
+            answered.body.contains("error") && answered.body.contains(key),
+            "{answered:?}"
+        );
     }
     assert_eq!(tester.call("GET", "/-/config", "").body, configuration(5));
 }
@@ -83,7 +114,10 @@
 fn thousands_of_routes_are_taken() {
     let tester = Tester::new();
     let text = configuration_with(5, 4_000);
-    assert_eq!(tester.put_configuration(0, text.clone()).status, StatusCode::OK);
+    assert_eq!(
+        tester.put_configuration(0, text.clone()).status,
+        StatusCode::OK
+    );
     assert_eq!(tester.call("GET", "/-/config", "").body.len(), text.len());
 }
 
@@ -92,7 +126,10 @@
     let tester = Tester::new();
     tester.put_configuration(0, configuration(5));
     tester.log.set_reachable(false);
-    for answered in [tester.put_configuration(5, configuration(7)), tester.call("GET", "/-/config", "")] {
+    for answered in [
+        tester.put_configuration(5, configuration(7)),
+        tester.call("GET", "/-/config", ""),
+    ] {
         assert_eq!(answered.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answered.retry_after);
     }
@@ -102,19 +139,31 @@
 fn an_order_without_a_clear_answer_is_settled_by_sending_it_again() {
     let tester = Tester::new();
     tester.log.set_reachable(false);
-    assert_eq!(tester.put_configuration(0, configuration(5)).status, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(
+        tester.put_configuration(0, configuration(5)).status,
+        StatusCode::SERVICE_UNAVAILABLE
+    );
     tester.log.set_reachable(true);
     // The first sending was committed after all.
     tester.put_configuration(0, configuration(5));
-    assert_eq!(tester.put_configuration(0, configuration(5)).status, StatusCode::OK);
+    assert_eq!(
+        tester.put_configuration(0, configuration(5)).status,
+        StatusCode::OK
+    );
 }
 
 #[test]
 fn unknown_paths_and_methods_are_told() {
     let tester = Tester::new();
     assert_eq!(tester.call("GET", "/", "").status, StatusCode::NOT_FOUND);
-    assert_eq!(tester.call("DELETE", "/-/config", "").status, StatusCode::METHOD_NOT_ALLOWED);
-    assert_eq!(tester.call("PUT", "/-/instances/", "").status, StatusCode::BAD_REQUEST);
+    assert_eq!(
+        tester.call("DELETE", "/-/config", "").status,
+        StatusCode::METHOD_NOT_ALLOWED
+    );
+    assert_eq!(
+        tester.call("PUT", "/-/instances/", "").status,
+        StatusCode::BAD_REQUEST
+    );
 }
 
 /// Guards repeats of orders that were taken before more others than anybody remembers: this controller must not settle
@@ -124,10 +173,24 @@
     let tester = Tester::new();
     let last = plankhill_control::TAKEN_KEPT as u64 + 2;
     for version in 1..=last {
-        assert_eq!(tester.put_configuration(version - 1, configuration(version)).status, StatusCode::OK);
+        assert_eq!(
+            tester
+                .put_configuration(version - 1, configuration(version))
+                .status,
+            StatusCode::OK
+        );
     }
     let forgotten = tester.put_configuration(0, configuration(1));
-    assert_eq!((forgotten.status, forgotten.retry_after), (StatusCode::SERVICE_UNAVAILABLE, true));
-    assert_eq!(tester.put_configuration(2, configuration(3)).status, StatusCode::OK);
-    assert_eq!(tester.put_configuration(3, configuration_with(5, 2)).status, StatusCode::PRECONDITION_FAILED);
+    assert_eq!(
+        (forgotten.status, forgotten.retry_after),
+        (StatusCode::SERVICE_UNAVAILABLE, true)
+    );
+    assert_eq!(
+        tester.put_configuration(2, configuration(3)).status,
+        StatusCode::OK
+    );
+    assert_eq!(
+        tester.put_configuration(3, configuration_with(5, 2)).status,
+        StatusCode::PRECONDITION_FAILED
+    );
 }
--- a/tier/controller/tests/drains.rs
+++ b/tier/controller/tests/drains.rs
@@ -11,7 +11,10 @@
 fn with_edges() -> Tester {
     let tester = Tester::new();
     for name in ["a1", "a2", "b1", "b2", "c1", "c2"] {
-        let edge = Edge { zone: ZoneName::from(&name[..1]), ..edge(name, 7) };
+        let edge = Edge {
+            zone: ZoneName::from(&name[..1]),
+            ..edge(name, 7)
+        };
         tester.log.commit(&Operation::SetEdge(edge));
     }
     tester
@@ -19,20 +22,41 @@
 
 fn order(tester: &Tester, order: &Value) -> (u16, Value) {
     let answered = tester.call("POST", "/-/drains", order.to_string());
-    (answered.status.as_u16(), serde_json::from_str(&answered.body).expect("JSON"))
+    (
+        answered.status.as_u16(),
+        serde_json::from_str(&answered.body).expect("JSON"),
+    )
 }
 
 #[test]
 fn an_order_names_machines_or_a_zone() {
     let tester = with_edges();
-    let (status, list) = order(&tester, &json!({"expected": 0, "leave": true, "nodes": ["a1"]}));
+    let (status, list) = order(
+        &tester,
+        &json!({"expected": 0, "leave": true, "nodes": ["a1"]}),
+    );
     assert_eq!((status, &list["number"]), (200, &json!(1)));
-    assert_eq!(list["drains"], json!([{"node": "a1", "number": 1, "state": "leaving"}]));
-    assert_eq!(list["edges"][0], json!({"node": "a1", "zone": "a", "incarnation": 7}));
+    assert_eq!(
+        list["drains"],
+        json!([{"node": "a1", "number": 1, "state": "leaving"}])
+    );
+    assert_eq!(
+        list["edges"][0],
+        json!({"node": "a1", "zone": "a", "incarnation": 7})
+    );
     let (status, list) = order(&tester, &json!({"expected": 1, "leave": true, "zone": "b"}));
-    assert_eq!((status, list["drains"].as_array().map(Vec::len)), (200, Some(3)));
-    let (status, list) = order(&tester, &json!({"expected": 2, "leave": false, "zone": "b"}));
-    assert_eq!((status, list["drains"].as_array().map(Vec::len)), (200, Some(1)));
+    assert_eq!(
+        (status, list["drains"].as_array().map(Vec::len)),
+        (200, Some(3))
+    );
+    let (status, list) = order(
+        &tester,
+        &json!({"expected": 2, "leave": false, "zone": "b"}),
+    );
+    assert_eq!(
+        (status, list["drains"].as_array().map(Vec::len)),
+        (200, Some(1))
+    );
 }
 
 #[test]
@@ -41,7 +65,14 @@
     let first = json!({"expected": 0, "leave": true, "nodes": ["a1"]});
     assert_eq!(order(&tester, &first).0, 200);
     assert_eq!(order(&tester, &first).0, 200);
-    assert_eq!(order(&tester, &json!({"expected": 0, "leave": true, "nodes": ["b1"]})).0, 412);
+    assert_eq!(
+        order(
+            &tester,
+            &json!({"expected": 0, "leave": true, "nodes": ["b1"]})
+        )
+        .0,
+        412
+    );
 }
 
 #[test]
@@ -50,27 +81,61 @@
     let refused = |body: Value, wanted: u16, reason: &str| {
         let (status, answer) = order(&tester, &body);
         assert_eq!(status, wanted, "{body}");
-        assert!(answer["error"].as_str().is_some_and(|error| error.contains(reason)), "{answer}");
+        assert!(
+            answer["error"]
+                .as_str()
+                .is_some_and(|error| error.contains(reason)),
+            "{answer}"
+        );
     };
-    refused(json!({"expected": 0, "leave": true, "nodes": ["x"]}), 404, "no such edge");
-    refused(json!({"expected": 0, "leave": true, "zone": "x"}), 404, "zone");
+    refused(
+        json!({"expected": 0, "leave": true, "nodes": ["x"]}),
+        404,
+        "no such edge",
+    );
+    refused(
+        json!({"expected": 0, "leave": true, "zone": "x"}),
+        404,
+        "zone",
+    );
     refused(json!({"expected": 0, "leave": true}), 400, "nodes");
     refused(json!({"leave": true, "nodes": ["a1"]}), 400, "expected");
-    refused(json!({"expected": 0, "leave": true, "nodes": ["a1"], "force": true}), 400, "force");
-    refused(json!({"expected": 0, "leave": "yes", "nodes": ["a1"]}), 400, "leave");
-    refused(json!({"expected": 0, "leave": true, "nodes": ["a1", "b1", "c1", "c2"]}), 409, "too few");
+    refused(
+        json!({"expected": 0, "leave": true, "nodes": ["a1"], "force": true}),
+        400,
+        "force",
+    );
+    refused(
+        json!({"expected": 0, "leave": "yes", "nodes": ["a1"]}),
+        400,
+        "leave",
+    );
+    refused(
+        json!({"expected": 0, "leave": true, "nodes": ["a1", "b1", "c1", "c2"]}),
+        409,
+        "too few",
+    );
 }
 
 #[test]
 fn a_controller_that_is_cut_off_says_so() {
     let tester = with_edges();
     tester.log.set_reachable(false);
-    let answered =
-        tester.call("POST", "/-/drains", json!({"expected": 0, "leave": true, "nodes": ["a1"]}).to_string());
-    assert_eq!((answered.status.as_u16(), answered.retry_after), (503, true));
+    let answered = tester.call(
+        "POST",
+        "/-/drains",
+        json!({"expected": 0, "leave": true, "nodes": ["a1"]}).to_string(),
+    );
+    assert_eq!(
+        (answered.status.as_u16(), answered.retry_after),
+        (503, true)
+    );
     // A zone that is not known here may have come up since: nothing is settled.
-    let zone =
-        tester.call("POST", "/-/drains", json!({"expected": 0, "leave": true, "zone": "x"}).to_string());
+    let zone = tester.call(
+        "POST",
+        "/-/drains",
+        json!({"expected": 0, "leave": true, "zone": "x"}).to_string(),
+    );
     assert_eq!((zone.status.as_u16(), zone.retry_after), (503, true));
     assert_eq!(tester.call("GET", "/-/drains", "").status.as_u16(), 503);
 }
@@ -78,8 +143,18 @@
 #[test]
 fn an_edge_that_is_empty_is_shown_so() {
     let tester = with_edges();
-    order(&tester, &json!({"expected": 0, "leave": true, "nodes": ["a1"]}));
-    tester.log.commit(&Operation::EdgeEmptied { node: "a1".into(), number: 1 });
-    let list: Value = serde_json::from_str(&tester.call("GET", "/-/drains", "").body).expect("JSON");
-    assert_eq!(list["drains"], json!([{"node": "a1", "number": 1, "state": "empty"}]));
+    order(
+        &tester,
+        &json!({"expected": 0, "leave": true, "nodes": ["a1"]}),
+    );
+    tester.log.commit(&Operation::EdgeEmptied {
+        node: "a1".into(),
+        number: 1,
+    });
+    let list: Value =
+        serde_json::from_str(&tester.call("GET", "/-/drains", "").body).expect("JSON");
+    assert_eq!(
+        list["drains"],
+        json!([{"node": "a1", "number": 1, "state": "empty"}])
+    );
 }
--- a/tier/controller/tests/duties.rs
+++ b/tier/controller/tests/duties.rs
@@ -24,7 +24,12 @@
 impl World {
     fn new() -> Self {
         let log = MemoryLog::new();
-        World { log, duties: Duties::new(HEARTBEAT), liveness: Liveness::default(), now: Instant::now() }
+        World {
+            log,
+            duties: Duties::new(HEARTBEAT),
+            liveness: Liveness::default(),
+            now: Instant::now(),
+        }
     }
 
     fn pass(&mut self, seconds: u64) {
@@ -32,8 +37,18 @@
     }
 
     fn due_as(&mut self, is_head: bool, current: bool) -> Vec<Duty> {
-        let place = Place { view: 3, is_head, ..Place::default() };
-        self.duties.due(&place, current, &self.log.control(), &self.liveness, self.now)
+        let place = Place {
+            view: 3,
+            is_head,
+            ..Place::default()
+        };
+        self.duties.due(
+            &place,
+            current,
+            &self.log.control(),
+            &self.liveness,
+            self.now,
+        )
     }
 
     fn due(&mut self) -> Vec<Duty> {
@@ -41,7 +56,10 @@
     }
 
     fn hear_store(&mut self, node: &str, incarnation: u64) {
-        let life = MachineLife { node: NodeId::from(node), incarnation: Incarnation(incarnation) };
+        let life = MachineLife {
+            node: NodeId::from(node),
+            incarnation: Incarnation(incarnation),
+        };
         self.liveness.heard_machine(&life, self.now);
     }
 }
@@ -73,10 +91,16 @@
     let id = register_target(&world);
     world.due();
     world.pass(6);
-    let report = HeardReport { targets: vec![id], machines: Vec::new() };
+    let report = HeardReport {
+        targets: vec![id],
+        machines: Vec::new(),
+    };
     world.liveness.heard_elsewhere(&report, world.now);
     assert!(world.due().is_empty());
-    assert_eq!(world.liveness.report_since(world.now), HeardReport::default());
+    assert_eq!(
+        world.liveness.report_since(world.now),
+        HeardReport::default()
+    );
 }
 
 #[test]
@@ -112,7 +136,10 @@
     world.pass(3);
     assert!(world.due().is_empty());
     world.pass(1);
-    let forget = Duty::ForgetEdge { node: NodeId::from("edge-1"), incarnation: Incarnation(7) };
+    let forget = Duty::ForgetEdge {
+        node: NodeId::from("edge-1"),
+        incarnation: Incarnation(7),
+    };
     assert_eq!(world.due(), [forget]);
 }
 
@@ -120,7 +147,9 @@
 fn a_silent_store_stays_until_a_successor_comes() {
     let mut world = World::new();
     for number in 1..=3 {
-        world.log.commit(&register(&store(&format!("s{number}"), number)));
+        world
+            .log
+            .commit(&register(&store(&format!("s{number}"), number)));
     }
     world.due();
     for _ in 0..6 {
@@ -131,7 +160,10 @@
     }
     world.log.commit(&register(&store("s4", 4)));
     world.hear_store("s4", 4);
-    let drop = Duty::DropStore { node: NodeId::from("s3"), incarnation: Incarnation(3) };
+    let drop = Duty::DropStore {
+        node: NodeId::from("s3"),
+        incarnation: Incarnation(3),
+    };
     assert_eq!(world.due(), [drop]);
 }
 
@@ -140,12 +172,21 @@
 fn a_silent_store_is_dropped_after_a_while_if_enough_others_serve() {
     let mut world = World::new();
     for number in 1..=4 {
-        world.log.commit(&register(&store(&format!("s{number}"), number)));
+        world
+            .log
+            .commit(&register(&store(&format!("s{number}"), number)));
     }
     let epoch = world.log.control().stores().view().epoch;
     for number in 1..=4 {
-        let (node, incarnation) = (NodeId::from(format!("s{number}").as_str()), Incarnation(number));
-        world.log.commit(&Operation::StoreSynced { node, incarnation, epoch });
+        let (node, incarnation) = (
+            NodeId::from(format!("s{number}").as_str()),
+            Incarnation(number),
+        );
+        world.log.commit(&Operation::StoreSynced {
+            node,
+            incarnation,
+            epoch,
+        });
     }
     assert_eq!(world.log.control().stores().view().serving.len(), 4);
     world.due();
@@ -160,7 +201,10 @@
     for number in 1..=3 {
         world.hear_store(&format!("s{number}"), number);
     }
-    let drop = Duty::DropStore { node: NodeId::from("s4"), incarnation: Incarnation(4) };
+    let drop = Duty::DropStore {
+        node: NodeId::from("s4"),
+        incarnation: Incarnation(4),
+    };
     assert_eq!(world.due(), [drop]);
 }
 
@@ -168,7 +212,9 @@
 fn a_joining_store_that_falls_silent_is_dropped() {
     let mut world = World::new();
     for number in 1..=4 {
-        world.log.commit(&register(&store(&format!("s{number}"), number)));
+        world
+            .log
+            .commit(&register(&store(&format!("s{number}"), number)));
     }
     world.due();
     for _ in 0..4 {
@@ -177,7 +223,10 @@
             world.hear_store(&format!("s{number}"), number);
         }
     }
-    let drop = Duty::DropStore { node: NodeId::from("s4"), incarnation: Incarnation(4) };
+    let drop = Duty::DropStore {
+        node: NodeId::from("s4"),
+        incarnation: Incarnation(4),
+    };
     assert_eq!(world.due(), [drop]);
 }
 
@@ -185,7 +234,9 @@
 fn fewer_stores_than_wanted_start_after_a_grace() {
     let mut world = World::new();
     for number in 1..=2 {
-        world.log.commit(&register(&store(&format!("s{number}"), number)));
+        world
+            .log
+            .commit(&register(&store(&format!("s{number}"), number)));
     }
     assert!(world.due().is_empty());
     world.pass(4);
@@ -196,7 +247,9 @@
 fn whoever_was_just_registered_is_given_time_to_be_heard() {
     let mut world = World::new();
     for number in 1..=3 {
-        world.log.commit(&register(&store(&format!("s{number}"), number)));
+        world
+            .log
+            .commit(&register(&store(&format!("s{number}"), number)));
     }
     world.due();
     for _ in 0..20 {
@@ -214,6 +267,12 @@
     }
     (1..=2).for_each(|number| world.hear_store(&format!("s{number}"), number));
     let due = world.due();
-    assert!(due.contains(&Duty::DropStore { node: NodeId::from("s3"), incarnation: Incarnation(33) }));
-    assert!(due.contains(&Duty::ForgetEdge { node: NodeId::from("edge-1"), incarnation: Incarnation(7) }));
+    assert!(due.contains(&Duty::DropStore {
+        node: NodeId::from("s3"),
+        incarnation: Incarnation(33)
+    }));
+    assert!(due.contains(&Duty::ForgetEdge {
+        node: NodeId::from("edge-1"),
+        incarnation: Incarnation(7)
+    }));
 }
--- a/tier/controller/tests/feed.rs
+++ b/tier/controller/tests/feed.rs
@@ -40,12 +40,19 @@
     })
 }
 
-async fn until(subscription: &Subscription, holds: impl FnMut(&Arc<Tables>) -> bool) -> Arc<Tables> {
+async fn until(
+    subscription: &Subscription,
+    holds: impl FnMut(&Arc<Tables>) -> bool,
+) -> Arc<Tables> {
     subscription.tables().wait_for(holds).await.unwrap().clone()
 }
 
 fn put(expected: u64, version: u64) -> Operation {
-    Operation::PutConfiguration { expected, version, document: Arc::from(&b"{}"[..]) }
+    Operation::PutConfiguration {
+        expected,
+        version,
+        document: Arc::from(&b"{}"[..]),
+    }
 }
 
 #[test]
@@ -57,7 +64,11 @@
         log.commit(&put(0, 5));
         let tables = until(&subscription, |tables| tables.configuration.is_some()).await;
         assert_eq!(tables.configuration.as_ref().unwrap().version, 5);
-        subscription.standing().wait_for(|standing| standing.current).await.unwrap();
+        subscription
+            .standing()
+            .wait_for(|standing| standing.current)
+            .await
+            .unwrap();
     });
 }
 
@@ -82,11 +93,19 @@
         for number in 1..=3 {
             log.commit(&register(&store(&format!("s{number}"), number)));
         }
-        let members = [store("s1", 1), store("s2", 2), store("s3", 3), store("s4", 4)];
+        let members = [
+            store("s1", 1),
+            store("s2", 2),
+            store("s3", 3),
+            store("s4", 4),
+        ];
         let stores = members.map(|member| subscribe(Subscriber::Store(member), address));
         let tables = until(&stores[0], |tables| tables.stores.next.is_some()).await;
         for subscription in &stores {
-            until(subscription, |seen| seen.stores.epoch == tables.stores.epoch).await;
+            until(subscription, |seen| {
+                seen.stores.epoch == tables.stores.epoch
+            })
+            .await;
             subscription.send(FromSubscriber::StoreSynced(tables.stores.epoch));
         }
         let switched = until(&stores[3], |tables| tables.stores.serving.len() == 4).await;
@@ -98,14 +117,20 @@
 async fn connect(address: SocketAddr, held: Revision) -> Connection {
     let hello = Hello::new(Channel::Feed, NodeId::from("subscriber"));
     let mut connection = dial(address, &hello).await.unwrap();
-    let first = FromSubscriber::Subscribe { subscriber: Subscriber::Proxy, held };
+    let first = FromSubscriber::Subscribe {
+        subscriber: Subscriber::Proxy,
+        held,
+    };
     connection.writer.send(&first).await.unwrap();
     connection
 }
 
 /// Waits for a heartbeat.
 async fn next_heartbeat(connection: &mut Connection) {
-    while !matches!(connection.reader.next().await.unwrap(), ToSubscriber::Heartbeat { .. }) {}
+    while !matches!(
+        connection.reader.next().await.unwrap(),
+        ToSubscriber::Heartbeat { .. }
+    ) {}
 }
 
 /// The next message that is no heartbeat of a revision that was announced before.
@@ -146,7 +171,10 @@
         let mut connection = connect(address, Revision(0)).await;
         // Not even the first message is an update, which would go before a heartbeat.
         let first: ToSubscriber = connection.reader.next().await.unwrap();
-        assert!(matches!(first, ToSubscriber::Heartbeat { current: false, .. }), "{first:?}");
+        assert!(
+            matches!(first, ToSubscriber::Heartbeat { current: false, .. }),
+            "{first:?}"
+        );
         log.set_reachable(true);
         let newest = log.state().borrow().revision;
         let second = next(&mut connection, newest).await;
@@ -161,9 +189,16 @@
         log.commit(&put(0, 5));
         let newest = log.state().borrow().revision;
         let mut connection = connect(address, newest).await;
-        connection.writer.send(&FromSubscriber::WantsSnapshot).await.unwrap();
+        connection
+            .writer
+            .send(&FromSubscriber::WantsSnapshot)
+            .await
+            .unwrap();
         let answer = next(&mut connection, newest).await;
-        assert!(matches!(answer, ToSubscriber::Update(TablesUpdate::Snapshot(_))), "{answer:?}");
+        assert!(
+            matches!(answer, ToSubscriber::Update(TablesUpdate::Snapshot(_))),
+            "{answer:?}"
+        );
     });
 }
 
@@ -173,15 +208,26 @@
         let (log, _controller, address) = start();
         let held = log.state().borrow().revision;
         let mut connection = connect(address, held).await;
-        connection.writer.send(&FromSubscriber::HeartbeatsOnly).await.unwrap();
+        connection
+            .writer
+            .send(&FromSubscriber::HeartbeatsOnly)
+            .await
+            .unwrap();
         // A heartbeat that answers nothing: what was sent before it has been read by then.
         next_heartbeat(&mut connection).await;
         next_heartbeat(&mut connection).await;
         log.commit(&put(0, 5));
         let newest = log.state().borrow().revision;
         let told = next(&mut connection, held).await;
-        assert!(matches!(told, ToSubscriber::Heartbeat { revision, .. } if revision == newest), "{told:?}");
-        connection.writer.send(&FromSubscriber::Updates { held }).await.unwrap();
+        assert!(
+            matches!(told, ToSubscriber::Heartbeat { revision, .. } if revision == newest),
+            "{told:?}"
+        );
+        connection
+            .writer
+            .send(&FromSubscriber::Updates { held })
+            .await
+            .unwrap();
         let update = next(&mut connection, newest).await;
         assert!(matches!(update, ToSubscriber::Update(_)), "{update:?}");
     });
@@ -192,9 +238,17 @@
     block_on(async {
         let (log, _controller, address) = start();
         let subscription = subscribe(Subscriber::Proxy, address);
-        subscription.standing().wait_for(|standing| standing.current).await.unwrap();
+        subscription
+            .standing()
+            .wait_for(|standing| standing.current)
+            .await
+            .unwrap();
         log.set_reachable(false);
-        subscription.standing().wait_for(|standing| !standing.current).await.unwrap();
+        subscription
+            .standing()
+            .wait_for(|standing| !standing.current)
+            .await
+            .unwrap();
     });
 }
 
--- a/tier/controller/tests/heartbeats.rs
+++ b/tier/controller/tests/heartbeats.rs
@@ -10,14 +10,24 @@
 const PATH: &str = "/-/instances/i-1";
 
 fn state(tester: &Tester) -> Option<TargetState> {
-    tester.log.control().targets().get(&InstanceId::from("i-1")).map(|target| target.state)
+    tester
+        .log
+        .control()
+        .targets()
+        .get(&InstanceId::from("i-1"))
+        .map(|target| target.state)
 }
 
 #[test]
 fn what_says_nothing_new_is_not_proposed() {
     let tester = Tester::new();
     for sequence in 1..=5 {
-        assert_eq!(tester.call("PUT", PATH, heartbeat("healthy", sequence)).status, StatusCode::OK);
+        assert_eq!(
+            tester
+                .call("PUT", PATH, heartbeat("healthy", sequence))
+                .status,
+            StatusCode::OK
+        );
     }
     assert_eq!(tester.log.proposals(), 1);
 }
@@ -26,10 +36,16 @@
 fn draining_is_acknowledged_once_it_is_committed() {
     let tester = Tester::new();
     tester.call("PUT", PATH, heartbeat("healthy", 1));
-    assert_eq!(tester.call("PUT", PATH, heartbeat("draining", 2)).status, StatusCode::OK);
+    assert_eq!(
+        tester.call("PUT", PATH, heartbeat("draining", 2)).status,
+        StatusCode::OK
+    );
     assert_eq!(state(&tester), Some(TargetState::Draining));
     // A late one is acknowledged and changes nothing.
-    assert_eq!(tester.call("PUT", PATH, heartbeat("healthy", 1)).status, StatusCode::OK);
+    assert_eq!(
+        tester.call("PUT", PATH, heartbeat("healthy", 1)).status,
+        StatusCode::OK
+    );
     assert_eq!(state(&tester), Some(TargetState::Draining));
 }
 
@@ -43,7 +59,10 @@
         assert_eq!(answered.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answered.retry_after);
     }
-    assert_eq!(tester.call("DELETE", PATH, "").status, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(
+        tester.call("DELETE", PATH, "").status,
+        StatusCode::SERVICE_UNAVAILABLE
+    );
 }
 
 #[test]
@@ -52,7 +71,10 @@
     tester.call("PUT", PATH, heartbeat("healthy", 1));
     assert_eq!(tester.call("DELETE", PATH, "").status, StatusCode::OK);
     assert_eq!(tester.call("DELETE", PATH, "").status, StatusCode::OK);
-    assert_eq!(tester.call("PUT", PATH, heartbeat("healthy", 9)).status, StatusCode::OK);
+    assert_eq!(
+        tester.call("PUT", PATH, heartbeat("healthy", 9)).status,
+        StatusCode::OK
+    );
     assert_eq!(state(&tester), None);
 }
 
@@ -63,9 +85,15 @@
     let kinds = [
         ("{".to_owned(), ""),
         (whole.replace("\"capacity\":8,", ""), "capacity"),
-        (whole.replace("\"capacity\":8", "\"capacity\":0"), "capacity"),
+        (
+            whole.replace("\"capacity\":8", "\"capacity\":0"),
+            "capacity",
+        ),
         (whole.replace("10.0.0.9:8080", "nowhere"), "line 1"),
-        (whole.replace("\"service\":\"tools\"", "\"service\":\"\""), "service"),
+        (
+            whole.replace("\"service\":\"tools\"", "\"service\":\"\""),
+            "service",
+        ),
     ];
     for (text, key) in kinds {
         let answered = tester.call("PUT", PATH, text);
@@ -79,7 +107,10 @@
 fn a_report_over_four_kibibytes_is_refused_by_its_size() {
     let tester = Tester::new();
     let long = heartbeat("healthy", 1) + &" ".repeat(4_096);
-    assert_eq!(tester.call("PUT", PATH, long).status, StatusCode::PAYLOAD_TOO_LARGE);
+    assert_eq!(
+        tester.call("PUT", PATH, long).status,
+        StatusCode::PAYLOAD_TOO_LARGE
+    );
 }
 
 #[test]
@@ -93,5 +124,8 @@
     assert_eq!(tester.call("PUT", PATH, text).status, StatusCode::OK);
     let control = tester.log.control();
     let target = control.targets().get(&InstanceId::from("i-1")).unwrap();
-    assert_eq!((target.models[0].name.as_str(), target.models[0].version), ("m", 1));
+    assert_eq!(
+        (target.models[0].name.as_str(), target.models[0].version),
+        ("m", 1)
+    );
 }
--- a/tier/controller/tests/histories.rs
+++ b/tier/controller/tests/histories.rs
@@ -48,7 +48,14 @@
 impl Operators {
     fn new(seed: u64) -> Self {
         let (orders, events, sent) = (Vec::new(), Vec::new(), Vec::new());
-        Operators { chance: Chance(seed | 1), orders, events, newest: (0, 0), sent, clear: 0 }
+        Operators {
+            chance: Chance(seed | 1),
+            orders,
+            events,
+            newest: (0, 0),
+            sent,
+            clear: 0,
+        }
     }
 
     fn next_order(&mut self) -> Order {
@@ -82,7 +89,8 @@
         let orders: Vec<Order> = (0..3).map(|_| self.next_order()).collect();
         let first = self.orders.len();
         self.orders.extend(orders.iter().cloned());
-        self.events.extend((first..self.orders.len()).map(Event::Sent));
+        self.events
+            .extend((first..self.orders.len()).map(Event::Sent));
         let calls: Vec<Call> = orders
             .iter()
             .map(|order| {
@@ -99,7 +107,9 @@
             self.clear += 1;
             match (&answer, &orders[number]) {
                 (Answer::Found(content), _) => self.newest = self.newest.max(*content),
-                (Answer::Taken, Order::Put { content, .. }) => self.newest = self.newest.max(*content),
+                (Answer::Taken, Order::Put { content, .. }) => {
+                    self.newest = self.newest.max(*content)
+                }
                 _ => {}
             }
             self.events.push(Event::Answered(first + number, answer));
@@ -109,17 +119,23 @@
     /// A read without an answer says nothing; a change without one may be in force at any later moment, or never.
     fn history(&self) -> History {
         let is_answered = |wanted: usize| {
-            self.events.iter().any(|event| matches!(event, Event::Answered(name, _) if *name == wanted))
+            self.events
+                .iter()
+                .any(|event| matches!(event, Event::Answered(name, _) if *name == wanted))
         };
         let mut history = LinearizabilityTester::new(Register::default());
         for event in &self.events {
             match event {
                 Event::Sent(name) if self.orders[*name] == Order::Read && !is_answered(*name) => {}
                 Event::Sent(name) => {
-                    history.on_invoke(*name, self.orders[*name].clone()).expect("a new operator");
+                    history
+                        .on_invoke(*name, self.orders[*name].clone())
+                        .expect("a new operator");
                 }
                 Event::Answered(name, answer) => {
-                    history.on_return(*name, answer.clone()).expect("an open order");
+                    history
+                        .on_return(*name, answer.clone())
+                        .expect("an open order");
                 }
             }
         }
@@ -129,10 +145,23 @@
 
 fn call(place: usize, order: &Order) -> Call {
     match order {
-        Order::Read => Call { place, method: "GET", expected: None, body: String::new() },
-        Order::Put { expected, content: (version, routes) } => {
+        Order::Read => Call {
+            place,
+            method: "GET",
+            expected: None,
+            body: String::new(),
+        },
+        Order::Put {
+            expected,
+            content: (version, routes),
+        } => {
             let body = configuration_with(*version, *routes);
-            Call { place, method: "PUT", expected: Some(*expected), body }
+            Call {
+                place,
+                method: "PUT",
+                expected: Some(*expected),
+                body,
+            }
         }
     }
 }
@@ -196,16 +225,23 @@
 fn history(steps: &[(usize, Order, Option<Answer>)]) -> History {
     let mut history = LinearizabilityTester::new(Register::default());
     for (name, order, answer) in steps {
-        history.on_invoke(*name, order.clone()).expect("a new operator");
+        history
+            .on_invoke(*name, order.clone())
+            .expect("a new operator");
         if let Some(answer) = answer {
-            history.on_return(*name, answer.clone()).expect("an open order");
+            history
+                .on_return(*name, answer.clone())
+                .expect("an open order");
         }
     }
     history
 }
 
 fn put(expected: u64, version: u64, routes: usize) -> Order {
-    Order::Put { expected, content: (version, routes) }
+    Order::Put {
+        expected,
+        content: (version, routes),
+    }
 }
 
 /// The check finds what it is there for.
@@ -213,16 +249,32 @@
 fn planted_histories_are_found() {
     use Answer::{Found, Refused, Taken};
     let taken = |name, order| (name, order, Some(Taken));
-    let both_confirmed = [taken(0, put(0, 5, 1)), taken(1, put(5, 7, 1)), taken(2, put(5, 7, 2))];
+    let both_confirmed = [
+        taken(0, put(0, 5, 1)),
+        taken(1, put(5, 7, 1)),
+        taken(2, put(5, 7, 2)),
+    ];
     let repeat_refused = [taken(0, put(0, 5, 1)), (1, put(0, 5, 1), Some(Refused))];
-    let old_read = [taken(0, put(0, 5, 1)), taken(1, put(5, 7, 1)), (2, Order::Read, Some(Found((5, 1))))];
-    let lost = [taken(0, put(0, 5, 1)), (1, Order::Read, Some(Found((0, 0))))];
+    let old_read = [
+        taken(0, put(0, 5, 1)),
+        taken(1, put(5, 7, 1)),
+        (2, Order::Read, Some(Found((5, 1)))),
+    ];
+    let lost = [
+        taken(0, put(0, 5, 1)),
+        (1, Order::Read, Some(Found((0, 0)))),
+    ];
     for planted in [&both_confirmed[..], &repeat_refused, &old_read, &lost] {
         assert!(!history(planted).is_consistent(), "{planted:?}");
     }
     // An order without a clear answer may be in force or not.
-    let unclear =
-        |found| [taken(0, put(0, 5, 1)), (1, put(5, 7, 1), None), (2, Order::Read, Some(Found(found)))];
+    let unclear = |found| {
+        [
+            taken(0, put(0, 5, 1)),
+            (1, put(5, 7, 1), None),
+            (2, Order::Read, Some(Found(found))),
+        ]
+    };
     assert!(history(&unclear((7, 1))).is_consistent());
     assert!(history(&unclear((5, 1))).is_consistent());
 }
--- a/tier/controller/tests/register/mod.rs
+++ b/tier/controller/tests/register/mod.rs
@@ -35,7 +35,9 @@
         match order {
             Order::Read => Answer::Found(self.current),
             Order::Put { content, .. } if self.taken.contains(content) => Answer::Taken,
-            Order::Put { expected, content } if *expected == self.current.0 && content.0 > self.current.0 => {
+            Order::Put { expected, content }
+                if *expected == self.current.0 && content.0 > self.current.0 =>
+            {
                 self.current = *content;
                 self.taken.insert(*content);
                 Answer::Taken
--- a/tier/controller/tests/registration.rs
+++ b/tier/controller/tests/registration.rs
@@ -26,7 +26,10 @@
     log.commit(&register(&store("s3", 33)));
     assert!(!should_register(&log.control(), &subscriber, &former));
     let member = store("s3", 33);
-    let duty = Duty::DropStore { node: member.node, incarnation: member.incarnation };
+    let duty = Duty::DropStore {
+        node: member.node,
+        incarnation: member.incarnation,
+    };
     log.commit(&Operation::Duty { view: 1, duty });
     assert!(should_register(&log.control(), &subscriber, &former));
 }
--- a/tier/controller/tests/retire.rs
+++ b/tier/controller/tests/retire.rs
@@ -11,14 +11,20 @@
     let view = control.stores().view();
     for member in view.next.clone().unwrap() {
         let (node, incarnation) = (member.node, member.incarnation);
-        tester.log.commit(&Operation::StoreSynced { node, incarnation, epoch: view.epoch });
+        tester.log.commit(&Operation::StoreSynced {
+            node,
+            incarnation,
+            epoch: view.epoch,
+        });
     }
 }
 
 fn with_stores(count: u64) -> Tester {
     let tester = Tester::new();
     for number in 1..=count {
-        tester.log.commit(&register(&store(&format!("s{number}"), number)));
+        tester
+            .log
+            .commit(&register(&store(&format!("s{number}"), number)));
     }
     if count > 3 {
         sync_next(&tester);
@@ -29,9 +35,20 @@
 #[test]
 fn unknown_and_needed_stores_are_not_retired() {
     let tester = with_stores(3);
-    assert_eq!(tester.call("POST", "/-/retire/nobody", "").status, StatusCode::NOT_FOUND);
-    assert_eq!(tester.call("GET", "/-/retire/s1", "").status, StatusCode::NOT_FOUND);
-    assert_eq!(tester.call("POST", "/-/retire/s1", r#"{"duration_s":10}"#).status, StatusCode::CONFLICT);
+    assert_eq!(
+        tester.call("POST", "/-/retire/nobody", "").status,
+        StatusCode::NOT_FOUND
+    );
+    assert_eq!(
+        tester.call("GET", "/-/retire/s1", "").status,
+        StatusCode::NOT_FOUND
+    );
+    assert_eq!(
+        tester
+            .call("POST", "/-/retire/s1", r#"{"duration_s":10}"#)
+            .status,
+        StatusCode::CONFLICT
+    );
 }
 
 #[test]
@@ -41,15 +58,27 @@
         let answered = tester.call("POST", "/-/retire/s2", r#"{"duration_s":10}"#);
         assert_eq!(answered.status, StatusCode::OK);
     }
-    assert!(tester.call("GET", "/-/retire/s2", "").body.contains("in_progress"));
+    assert!(tester
+        .call("GET", "/-/retire/s2", "")
+        .body
+        .contains("in_progress"));
     sync_next(&tester);
-    assert!(tester.call("GET", "/-/retire/s2", "").body.contains("completed"));
+    assert!(tester
+        .call("GET", "/-/retire/s2", "")
+        .body
+        .contains("completed"));
 }
 
 #[test]
 fn a_cut_off_controller_does_not_tell_of_progress() {
     let tester = with_stores(4);
     tester.log.set_reachable(false);
-    assert_eq!(tester.call("GET", "/-/retire/s2", "").status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(tester.call("POST", "/-/retire/s2", "").status, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(
+        tester.call("GET", "/-/retire/s2", "").status,
+        StatusCode::SERVICE_UNAVAILABLE
+    );
+    assert_eq!(
+        tester.call("POST", "/-/retire/s2", "").status,
+        StatusCode::SERVICE_UNAVAILABLE
+    );
 }
--- a/tier/controller/tests/stored_format.rs
+++ b/tier/controller/tests/stored_format.rs
@@ -24,7 +24,10 @@
 
 fn copy_folder(from: &Path, to: &Path) {
     std::fs::create_dir_all(to).expect("a folder");
-    for entry in std::fs::read_dir(from).expect("a folder").map(|entry| entry.expect("an entry")) {
+    for entry in std::fs::read_dir(from)
+        .expect("a folder")
+        .map(|entry| entry.expect("an entry"))
+    {
         let destination = to.join(entry.file_name());
         if entry.path().is_dir() {
             copy_folder(&entry.path(), &destination);
@@ -72,7 +75,9 @@
         // Cut off for a moment: a member that starts has confirmed nothing yet.
         let mut current = log.current_changes();
         let confirmed = tokio::time::timeout(PATIENCE, current.wait_for(|current| *current)).await;
-        confirmed.expect("current in time").expect("the member runs");
+        confirmed
+            .expect("current in time")
+            .expect("the member runs");
         let read = log.read(PATIENCE).await;
         log.abort();
         log.ended().await;
@@ -83,9 +88,19 @@
         assert_eq!(current.version, 5);
         assert_eq!(&*current.document, configuration(5).as_bytes());
         let id = InstanceId::from("i-1");
-        let target = parse_heartbeat(id.clone(), heartbeat("healthy", 515).as_bytes()).expect("a report");
-        assert_eq!(state.targets().get(&id).map(|target| &**target), Some(&target));
-        assert_eq!(state.edges().get(&NodeId::from("edge-1")).map(|edge| &**edge), Some(&edge("edge-1", 7)));
+        let target =
+            parse_heartbeat(id.clone(), heartbeat("healthy", 515).as_bytes()).expect("a report");
+        assert_eq!(
+            state.targets().get(&id).map(|target| &**target),
+            Some(&target)
+        );
+        assert_eq!(
+            state
+                .edges()
+                .get(&NodeId::from("edge-1"))
+                .map(|edge| &**edge),
+            Some(&edge("edge-1", 7))
+        );
         assert_eq!(
             state.stores().view().serving,
             [1, 2, 3].map(|number| store(&format!("s{number}"), number))
--- a/tier/controller/tests/three_controllers.rs
+++ b/tier/controller/tests/three_controllers.rs
@@ -34,7 +34,10 @@
         assert_eq!(cluster.get(*place), configuration(5));
     }
     assert_eq!(cluster.put(&left, 5, &configuration(7)), StatusCode::OK);
-    assert_eq!(cluster.put(&left, 5, &configuration_with(7, 2)), StatusCode::PRECONDITION_FAILED);
+    assert_eq!(
+        cluster.put(&left, 5, &configuration_with(7, 2)),
+        StatusCode::PRECONDITION_FAILED
+    );
     cluster.start(head, false);
     assert_eq!(cluster.get(head), configuration(7));
     assert_eq!(cluster.put(&[head], 0, &configuration(5)), StatusCode::OK);
@@ -57,11 +60,16 @@
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     let target = heartbeat("draining", 3);
     let path = "/-/instances/i-1";
-    assert_eq!(cluster.call_until_clear(&ALL, "PUT", path, None, &target).0, StatusCode::OK);
+    assert_eq!(
+        cluster.call_until_clear(&ALL, "PUT", path, None, &target).0,
+        StatusCode::OK
+    );
     ALL.into_iter().for_each(|place| cluster.kill(place));
-    ALL.into_iter().for_each(|place| cluster.start(place, false));
+    ALL.into_iter()
+        .for_each(|place| cluster.start(place, false));
     assert_eq!(cluster.put(&ALL, 5, &configuration(9)), StatusCode::OK);
-    ALL.into_iter().for_each(|place| assert_eq!(cluster.get(place), configuration(9)));
+    ALL.into_iter()
+        .for_each(|place| assert_eq!(cluster.get(place), configuration(9)));
 }
 
 /// An operator reads the configuration back for seconds, from any controller, while others are killed together.
@@ -76,7 +84,8 @@
         killed.iter().for_each(|place| cluster.kill(*place));
         killed.iter().for_each(|place| cluster.start(*place, false));
         for _ in 0..READS {
-            ALL.into_iter().for_each(|place| assert!(cluster.get(place) == document, "version {version}"));
+            ALL.into_iter()
+                .for_each(|place| assert!(cluster.get(place) == document, "version {version}"));
         }
     }
 }
@@ -88,7 +97,13 @@
     cluster.kill(1);
     cluster.kill(2);
     let answered = cluster.call(0, "PUT", "/-/config", Some(5), &configuration(7));
-    assert_eq!(answered.map(|(status, _)| status), Some(StatusCode::SERVICE_UNAVAILABLE));
+    assert_eq!(
+        answered.map(|(status, _)| status),
+        Some(StatusCode::SERVICE_UNAVAILABLE)
+    );
     let answered = cluster.call(0, "GET", "/-/config", None, "");
-    assert_eq!(answered.map(|(status, _)| status), Some(StatusCode::SERVICE_UNAVAILABLE));
+    assert_eq!(
+        answered.map(|(status, _)| status),
+        Some(StatusCode::SERVICE_UNAVAILABLE)
+    );
 }
