--- a/tier/conversations/src/index.rs
+++ b/tier/conversations/src/index.rs
@@ -102,7 +102,10 @@
             self.extend(turn, until);
             return false;
         }
-        let previous = entry.previous.as_ref().map(|previous| previous.turn.clone());
+        let previous = entry
+            .previous
+            .as_ref()
+            .map(|previous| previous.turn.clone());
         entry.expires_ms = until;
         self.bytes += entry.bytes + ENTRY_BYTES;
         let program = self.programs.entry(entry.program.clone()).or_default();
@@ -125,7 +128,10 @@
             };
             if entry.expires_ms < until_ms {
                 entry.expires_ms = until_ms;
-                next = entry.previous.as_ref().map(|previous| previous.turn.clone());
+                next = entry
+                    .previous
+                    .as_ref()
+                    .map(|previous| previous.turn.clone());
             }
         }
     }
@@ -137,7 +143,9 @@
 
     /// Drops a turn that could not be written, or that is of no use any more.
     pub fn forget(&mut self, turn: &RequestId) {
-        let Some(entry) = self.turns.remove(turn) else { return };
+        let Some(entry) = self.turns.remove(turn) else {
+            return;
+        };
         self.bytes = self.bytes.saturating_sub(entry.bytes + ENTRY_BYTES);
         if let Some(program) = self.programs.get_mut(&entry.program) {
             program.turns.remove(turn);
@@ -146,14 +154,19 @@
 
     /// Drops what is too old, and tells what that was.
     pub fn expire(&mut self, now_ms: u64) -> Expired {
-        let old = self.turns.iter().filter(|(_, entry)| entry.expires_ms <= now_ms);
+        let old = self
+            .turns
+            .iter()
+            .filter(|(_, entry)| entry.expires_ms <= now_ms);
         let turns: Vec<RequestId> = old.map(|(turn, _)| turn.clone()).collect();
         turns.iter().for_each(|turn| self.forget(turn));
         self.wanted.retain(|_, until| *until > now_ms);
         let mut accounts = Vec::new();
         let bytes = &mut self.bytes;
         self.programs.retain(|name, program| {
-            if program.used_ms.saturating_add(ACCOUNT_KEPT_MS) <= now_ms && !program.account.is_empty() {
+            if program.used_ms.saturating_add(ACCOUNT_KEPT_MS) <= now_ms
+                && !program.account.is_empty()
+            {
                 let account = std::mem::take(&mut program.account);
                 *bytes = bytes.saturating_sub(account.len() as u64 * ENTRY_BYTES);
                 accounts.push((name.clone(), account));
@@ -171,10 +184,14 @@
         belongs: impl Fn(&ProgramId) -> bool,
     ) -> Vec<ProgramDigest> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let programs = self.programs.range::<ProgramId, _>((start, Bound::Unbounded));
+        let programs = self
+            .programs
+            .range::<ProgramId, _>((start, Bound::Unbounded));
         let belonging = programs.filter(|(name, _)| belongs(name)).take(limit);
-        let digests =
-            belonging.map(|(name, held)| ProgramDigest { program: name.clone(), digest: held.digest() });
+        let digests = belonging.map(|(name, held)| ProgramDigest {
+            program: name.clone(),
+            digest: held.digest(),
+        });
         digests.collect()
     }
 
@@ -187,7 +204,11 @@
     pub fn outline(&self, program: &ProgramId) -> Option<ProgramOutline> {
         let held = self.programs.get(program)?;
         let turns = held.turns.iter().cloned().collect();
-        Some(ProgramOutline { program: program.clone(), account: held.account.clone(), turns })
+        Some(ProgramOutline {
+            program: program.clone(),
+            account: held.account.clone(),
+            turns,
+        })
     }
 
     /// Bytes of all turns with what is needed to find them.
@@ -209,7 +230,9 @@
 impl Program {
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        self.account.turns().for_each(|entry| entry.hash(&mut hasher));
+        self.account
+            .turns()
+            .for_each(|entry| entry.hash(&mut hasher));
         self.turns.hash(&mut hasher);
         hasher.finish()
     }
--- a/tier/conversations/src/placement.rs
+++ b/tier/conversations/src/placement.rs
@@ -25,19 +25,34 @@
 
 /// Copies that outlast the loss of `faults` of them.
 fn copies(faults: u32) -> usize {
-    usize::try_from(faults).unwrap_or(usize::MAX).saturating_add(1)
+    usize::try_from(faults)
+        .unwrap_or(usize::MAX)
+        .saturating_add(1)
 }
 
 /// The stores that hold a program: `2 * faults + 1` of the set, or all of a smaller one.
-pub fn replicas<'a>(set: &'a [StoreMember], program: &ProgramId, faults: u32) -> Vec<&'a StoreMember> {
+pub fn replicas<'a>(
+    set: &'a [StoreMember],
+    program: &ProgramId,
+    faults: u32,
+) -> Vec<&'a StoreMember> {
     let count = copies(faults).saturating_mul(2).saturating_sub(1);
-    let nodes = rendezvous::top(program.as_str(), set.iter().map(|member| &member.node), count);
-    nodes.into_iter().filter_map(|node| set.iter().find(|member| member.node == *node)).collect()
+    let nodes = rendezvous::top(
+        program.as_str(),
+        set.iter().map(|member| &member.node),
+        count,
+    );
+    nodes
+        .into_iter()
+        .filter_map(|node| set.iter().find(|member| member.node == *node))
+        .collect()
 }
 
 /// Whether this life of a store holds the program in the set.
 pub fn holds(set: &[StoreMember], program: &ProgramId, faults: u32, store: &StoreMember) -> bool {
-    replicas(set, program, faults).iter().any(|member| is_same(member, store))
+    replicas(set, program, faults)
+        .iter()
+        .any(|member| is_same(member, store))
 }
 
 /// Whether both are the same life of the same store.
@@ -78,12 +93,18 @@
     pub fn new(view: &StoreView, program: &ProgramId) -> Self {
         let sets = std::iter::once(&view.serving).chain(view.next.as_ref());
         let sets = sets.map(|set| SetTally::new(replicas(set, program, view.faults), view.faults));
-        Tally { sets: sets.collect() }
+        Tally {
+            sets: sets.collect(),
+        }
     }
 
     /// The replicas of all sets, each address once.
     pub fn members(&self) -> Vec<StoreMember> {
-        addresses(self.sets.iter().flat_map(|set| set.replicas.iter().map(|(member, _)| member)))
+        addresses(
+            self.sets
+                .iter()
+                .flat_map(|set| set.replicas.iter().map(|(member, _)| member)),
+        )
     }
 
     /// The store that was called as `member` has written, and says which life of it that was.
@@ -97,15 +118,23 @@
 
     /// Whether enough of each set have written.
     pub fn is_enough(&self) -> bool {
-        self.sets.iter().all(|set| set.needed > 0 && set.count() >= set.needed)
+        self.sets
+            .iter()
+            .all(|set| set.needed > 0 && set.count() >= set.needed)
     }
 }
 
 impl SetTally {
     fn new(replicas: Vec<&StoreMember>, faults: u32) -> Self {
         let quorum = Quorum::of(replicas.len(), faults);
-        let replicas = replicas.into_iter().map(|member| (member.clone(), false)).collect();
-        SetTally { needed: quorum.write.max(quorum.read), replicas }
+        let replicas = replicas
+            .into_iter()
+            .map(|member| (member.clone(), false))
+            .collect();
+        SetTally {
+            needed: quorum.write.max(quorum.read),
+            replicas,
+        }
     }
 
     fn count(&self) -> usize {
--- a/tier/conversations/src/rows.rs
+++ b/tier/conversations/src/rows.rs
@@ -27,7 +27,13 @@
 
 impl Table {
     /// All tables.
-    pub const ALL: [Table; 5] = [Table::Turns, Table::Accounts, Table::Hints, Table::Extensions, Table::Own];
+    pub const ALL: [Table; 5] = [
+        Table::Turns,
+        Table::Accounts,
+        Table::Hints,
+        Table::Extensions,
+        Table::Own,
+    ];
 }
 
 /// A row that changes.
@@ -46,12 +52,20 @@
     pub fn set<T: Serialize>(table: Table, key: Vec<u8>, value: &T) -> Self {
         // Only a type that cannot be serialized at all fails, and none of the rows is one.
         let value = postcard::to_stdvec(value).unwrap_or_default();
-        RowChange { table, key, value: Some(value) }
+        RowChange {
+            table,
+            key,
+            value: Some(value),
+        }
     }
 
     /// Removes a row.
     pub fn remove(table: Table, key: Vec<u8>) -> Self {
-        RowChange { table, key, value: None }
+        RowChange {
+            table,
+            key,
+            value: None,
+        }
     }
 
     /// Bytes of the row.
--- a/tier/conversations/tests/accounts.rs
+++ b/tier/conversations/tests/accounts.rs
@@ -2,9 +2,9 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
+use plankhill_conversations::account::{Account, TurnState, Verdict};
 use plankhill_protocol::ids::RequestId;
 use plankhill_protocol::turns::Reservation;
-use plankhill_conversations::account::{Account, TurnState, Verdict};
 
 fn name(number: u8) -> RequestId {
     RequestId::from(format!("turn-{number}").as_str())
@@ -21,7 +21,9 @@
 
 fn facts(source: &mut Unstructured<'_>) -> Result<Vec<(RequestId, TurnState)>> {
     let count = source.int_in_range(0..=20)?;
-    (0..count).map(|_| Ok((name(source.int_in_range(0..=6)?), state(source)?))).collect()
+    (0..count)
+        .map(|_| Ok((name(source.int_in_range(0..=6)?), state(source)?)))
+        .collect()
 }
 
 fn account(facts: &[(RequestId, TurnState)]) -> Account {
@@ -58,7 +60,9 @@
         account.merge(&turn, TurnState::Settled { tokens: 7 });
         let later = state(source)?;
         account.merge(&turn, later);
-        let Some(TurnState::Settled { tokens }) = account.state(&turn) else { panic!("no longer settled") };
+        let Some(TurnState::Settled { tokens }) = account.state(&turn) else {
+            panic!("no longer settled")
+        };
         assert!(tokens >= 7);
         Ok(())
     });
@@ -70,8 +74,16 @@
         let mut account = Account::default();
         let budget = source.int_in_range(0..=200)?;
         for number in 0..source.int_in_range(0..=15)? {
-            let reservation = Reservation { budget, most: source.int_in_range(0..=80)? };
-            account.merge(&name(number), TurnState::Reserved { most: reservation.most });
+            let reservation = Reservation {
+                budget,
+                most: source.int_in_range(0..=80)?,
+            };
+            account.merge(
+                &name(number),
+                TurnState::Reserved {
+                    most: reservation.most,
+                },
+            );
             match account.verdict(&name(number), &reservation) {
                 Verdict::Granted if source.arbitrary()? => {
                     let tokens = source.int_in_range(0..=reservation.most)?;
@@ -91,14 +103,21 @@
 
 #[test]
 fn repeats_get_the_same_answer() {
-    let reservation = Reservation { budget: 100, most: 60 };
+    let reservation = Reservation {
+        budget: 100,
+        most: 60,
+    };
     let mut account = account(&[(name(1), TurnState::Reserved { most: 60 })]);
     assert_eq!(account.verdict(&name(1), &reservation), Verdict::Granted);
     assert_eq!(account.verdict(&name(1), &reservation), Verdict::Granted);
     assert_eq!(account.verdict(&name(2), &reservation), Verdict::Spent);
     account.merge(&name(2), TurnState::Refused);
     account.merge(&name(1), TurnState::Settled { tokens: 1 });
-    assert_eq!(account.verdict(&name(2), &reservation), Verdict::Spent, "it was refused for good");
+    assert_eq!(
+        account.verdict(&name(2), &reservation),
+        Verdict::Spent,
+        "it was refused for good"
+    );
     assert_eq!(account.verdict(&name(1), &reservation), Verdict::Over);
     assert_eq!(account.verdict(&name(3), &reservation), Verdict::Granted);
 }
@@ -106,6 +125,9 @@
 #[test]
 fn huge_figures_do_not_wrap() {
     let account = account(&[(name(1), TurnState::Reserved { most: u64::MAX })]);
-    let reservation = Reservation { budget: u64::MAX - 1, most: u64::MAX };
+    let reservation = Reservation {
+        budget: u64::MAX - 1,
+        most: u64::MAX,
+    };
     assert_eq!(account.verdict(&name(2), &reservation), Verdict::Spent);
 }
--- a/tier/conversations/tests/index.rs
+++ b/tier/conversations/tests/index.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use arbtest::arbtest;
-use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::index::{Index, TurnEntry, ACCOUNT_KEPT_MS};
+use plankhill_protocol::ids::{ProgramId, RequestId};
+use plankhill_protocol::turns::{TurnPlace, TurnRecord};
 
 fn turn(number: usize) -> RequestId {
     RequestId::from(format!("turn-{number}").as_str())
@@ -21,7 +21,10 @@
     TurnRecord {
         turn: turn(number),
         program: program(number % 3),
-        previous: previous.map(|previous| TurnPlace { turn: turn(previous), program: program(previous % 3) }),
+        previous: previous.map(|previous| TurnPlace {
+            turn: turn(previous),
+            program: program(previous % 3),
+        }),
         input: Arc::from([1; 10]),
         output: Arc::from([2; 20]),
         retention_ms: 1_000,
@@ -35,8 +38,11 @@
         let mut parents = BTreeMap::new();
         let mut order = Vec::new();
         for number in 0..count {
-            let parent =
-                if number == 0 || source.ratio(1, 4)? { None } else { Some(source.choose_index(number)?) };
+            let parent = if number == 0 || source.ratio(1, 4)? {
+                None
+            } else {
+                Some(source.choose_index(number)?)
+            };
             let expires = source.int_in_range(1..=100)?;
             parents.insert(number, (parent, expires));
             order.insert(source.choose_index(order.len() + 1)?, number);
@@ -44,7 +50,10 @@
         let mut index = Index::default();
         for number in &order {
             let (parent, expires) = parents[number];
-            assert!(index.keep(&turn(*number), TurnEntry::new(&record(*number, parent), expires)));
+            assert!(index.keep(
+                &turn(*number),
+                TurnEntry::new(&record(*number, parent), expires)
+            ));
         }
         let now = source.int_in_range(0..=110)?;
         index.expire(now);
@@ -53,7 +62,10 @@
                 assert!(index.turn(&turn(*number)).is_some(), "{number} is gone");
             }
             if let (Some(_), Some(parent)) = (index.turn(&turn(*number)), parent) {
-                assert!(index.turn(&turn(*parent)).is_some(), "{number} has lost {parent}");
+                assert!(
+                    index.turn(&turn(*parent)).is_some(),
+                    "{number} has lost {parent}"
+                );
             }
         }
         index.expire(1_000);
@@ -68,8 +80,16 @@
     let (mut one, mut other) = (Index::default(), Index::default());
     for (index, numbers) in [(&mut one, [0, 3, 6]), (&mut other, [6, 0, 3])] {
         for number in numbers {
-            index.keep(&turn(number), TurnEntry::new(&record(number, None), 50 + number as u64));
-            index.merge_state(&program(0), &turn(number), TurnState::Settled { tokens: 1 }, number as u64);
+            index.keep(
+                &turn(number),
+                TurnEntry::new(&record(number, None), 50 + number as u64),
+            );
+            index.merge_state(
+                &program(0),
+                &turn(number),
+                TurnState::Settled { tokens: 1 },
+                number as u64,
+            );
         }
     }
     assert_eq!(one.digest(&program(0)), other.digest(&program(0)));
@@ -99,9 +119,19 @@
 #[test]
 fn accounts_stay_for_a_while_after_their_last_use() {
     let mut index = Index::default();
-    index.merge_state(&program(1), &turn(1), TurnState::Reserved { most: 5 }, 1_000);
+    index.merge_state(
+        &program(1),
+        &turn(1),
+        TurnState::Reserved { most: 5 },
+        1_000,
+    );
     assert!(index.expire(999 + ACCOUNT_KEPT_MS).accounts.is_empty());
-    index.merge_state(&program(1), &turn(2), TurnState::Reserved { most: 5 }, 2_000);
+    index.merge_state(
+        &program(1),
+        &turn(2),
+        TurnState::Reserved { most: 5 },
+        2_000,
+    );
     assert!(index.expire(1_999 + ACCOUNT_KEPT_MS).accounts.is_empty());
     let expired = index.expire(2_000 + ACCOUNT_KEPT_MS);
     assert_eq!(expired.accounts.len(), 1);
--- a/tier/conversations/tests/placement.rs
+++ b/tier/conversations/tests/placement.rs
@@ -1,10 +1,10 @@
 //! Who holds a program, and how many are enough.
 
 use arbtest::arbtest;
-use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, StoreEpoch, ZoneName};
-use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_conversations::placement::{replicas, Quorum, Tally};
 use plankhill_conversations::rows::{account_key, hint_key, split_key};
+use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, StoreEpoch, ZoneName};
+use plankhill_protocol::tables::{StoreMember, StoreView};
 
 fn member(number: u64) -> StoreMember {
     StoreMember {
@@ -20,7 +20,12 @@
 }
 
 fn view(serving: Vec<StoreMember>, next: Option<Vec<StoreMember>>, faults: u32) -> StoreView {
-    StoreView { epoch: StoreEpoch(1), serving, next, faults }
+    StoreView {
+        epoch: StoreEpoch(1),
+        serving,
+        next,
+        faults,
+    }
 }
 
 #[test]
@@ -32,7 +37,10 @@
             assert!(quorum.read * 2 > members);
             assert!(quorum.write >= 1 && quorum.write <= members && quorum.read <= members);
             if members > 2 * faults as usize {
-                assert!(members - faults as usize >= quorum.write.max(quorum.read), "{members} {faults}");
+                assert!(
+                    members - faults as usize >= quorum.write.max(quorum.read),
+                    "{members} {faults}"
+                );
             }
         }
     }
@@ -62,13 +70,19 @@
             held[member.incarnation.0 as usize] += 1;
         }
     }
-    assert!(held.iter().all(|held| (1_300..1_700).contains(held)), "{held:?}");
+    assert!(
+        held.iter().all(|held| (1_300..1_700).contains(held)),
+        "{held:?}"
+    );
 }
 
 #[test]
 fn while_the_set_changes_both_sets_must_have_written() {
     let program = ProgramId::from("program");
-    let mut tally = Tally::new(&view(members(3), Some(vec![member(2), member(3), member(4)]), 1), &program);
+    let mut tally = Tally::new(
+        &view(members(3), Some(vec![member(2), member(3), member(4)]), 1),
+        &program,
+    );
     tally.written(&member(0), Incarnation(0));
     tally.written(&member(2), Incarnation(2));
     assert!(!tally.is_enough());
@@ -96,8 +110,11 @@
 #[test]
 fn keys_of_several_names_come_apart_again() {
     arbtest(|source| {
-        let (one, two, three): (&str, &str, &str) =
-            (source.arbitrary()?, source.arbitrary()?, source.arbitrary()?);
+        let (one, two, three): (&str, &str, &str) = (
+            source.arbitrary()?,
+            source.arbitrary()?,
+            source.arbitrary()?,
+        );
         let key = account_key(&one.into(), &two.into());
         assert_eq!(split_key(&key), Some(vec![one, two]));
         let key = hint_key(&one.into(), &two.into(), &three.into());
--- a/tier/conversations/tests/stored_format.rs
+++ b/tier/conversations/tests/stored_format.rs
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 
 use pins::{chain, Pins};
-use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
-use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::rows::{
-    account_key, hint_key, incarnation_row, read_row, turn_key, view_row, AccountRow, RowChange, Table,
-    TurnRow, INCARNATION_KEY, VIEW_KEY,
+    account_key, hint_key, incarnation_row, read_row, turn_key, view_row, AccountRow, RowChange,
+    Table, TurnRow, INCARNATION_KEY, VIEW_KEY,
 };
+use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::tables::{StoreMember, StoreView};
+use plankhill_protocol::turns::{TurnPlace, TurnRecord};
 
 fn program() -> ProgramId {
     ProgramId::from("program-1")
@@ -79,7 +79,9 @@
         match table {
             Table::Turns => pins.check_bytes("Turns", &turn_key(&turn())),
             Table::Accounts => pins.check_bytes("Accounts", &account_key(&program(), &turn())),
-            Table::Hints => pins.check_bytes("Hints", &hint_key(&member(3).node, &program(), &turn())),
+            Table::Hints => {
+                pins.check_bytes("Hints", &hint_key(&member(3).node, &program(), &turn()))
+            }
             Table::Extensions => pins.check_bytes("Extensions", &turn_key(&turn())),
             Table::Own => {
                 pins.check_bytes("Own.Incarnation", INCARNATION_KEY);
@@ -103,7 +105,13 @@
                         TurnState::Refused => "Accounts.Refused",
                         TurnState::Settled { .. } => "Accounts.Settled",
                     };
-                    pins.check(name, &AccountRow { state, used_ms: 1_790_000_000_456 });
+                    pins.check(
+                        name,
+                        &AccountRow {
+                            state,
+                            used_ms: 1_790_000_000_456,
+                        },
+                    );
                 }
             }
             Table::Hints => pins.check("Hints", &()),
@@ -121,9 +129,15 @@
 fn rows_that_are_set_hold_the_pinned_bytes() {
     let mut pins = Pins::parse(include_str!("stored_format/rows.txt"));
     let incarnation = incarnation_row(member(1).incarnation);
-    assert_eq!((incarnation.table, incarnation.key.as_slice()), (Table::Own, INCARNATION_KEY));
+    assert_eq!(
+        (incarnation.table, incarnation.key.as_slice()),
+        (Table::Own, INCARNATION_KEY)
+    );
     let pinned = pins.take("Own.Incarnation");
-    assert_eq!(read_row::<Incarnation>(&pinned), Some(member(1).incarnation));
+    assert_eq!(
+        read_row::<Incarnation>(&pinned),
+        Some(member(1).incarnation)
+    );
     assert_eq!(value(incarnation), pinned);
     let row = view_row(&view());
     assert_eq!((row.table, row.key.as_slice()), (Table::Own, VIEW_KEY));
--- a/tier/conversations/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -7,16 +7,16 @@
 use std::sync::Arc;
 
 use pins::{chain, Pins};
-use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
-use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
 use plankhill_conversations::account::{Account, TurnState};
 use plankhill_conversations::index::{Index, TurnEntry};
 use plankhill_conversations::peer::{
-    EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline,
-    StoreSet,
+    EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest,
+    ProgramOutline, StoreSet,
 };
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::tables::{StoreMember, StoreView};
+use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
 
 fn program() -> ProgramId {
     ProgramId::from("program-1")
@@ -31,7 +31,10 @@
 }
 
 fn place() -> TurnPlace {
-    TurnPlace { turn: previous(), program: ProgramId::from("program-0") }
+    TurnPlace {
+        turn: previous(),
+        program: ProgramId::from("program-0"),
+    }
 }
 
 fn record() -> TurnRecord {
@@ -46,7 +49,10 @@
 }
 
 fn kept() -> KeptTurn {
-    KeptTurn { record: Arc::new(record()), remaining_ms: 3_600_001 }
+    KeptTurn {
+        record: Arc::new(record()),
+        remaining_ms: 3_600_001,
+    }
 }
 
 fn ended() -> EndedTurn {
@@ -113,20 +119,27 @@
         Some(PeerRequest::Reserve { .. }) => Some(PeerRequest::End(ended())),
         Some(PeerRequest::End(_)) => Some(PeerRequest::Chain { turn: turn() }),
         Some(PeerRequest::Chain { .. }) => Some(PeerRequest::Locate { turn: turn() }),
-        Some(PeerRequest::Locate { .. }) => Some(PeerRequest::Extend { turn: turn(), keep_ms: 60_000 }),
+        Some(PeerRequest::Locate { .. }) => Some(PeerRequest::Extend {
+            turn: turn(),
+            keep_ms: 60_000,
+        }),
         Some(PeerRequest::Extend { .. }) => Some(PeerRequest::Repair(vec![ended(), ended()])),
-        Some(PeerRequest::Repair(_)) => {
-            Some(PeerRequest::KeepHint { node: member(3).node, program: program(), turn: turn() })
-        }
-        Some(PeerRequest::KeepHint { .. }) => {
-            Some(PeerRequest::ListPrograms { set: StoreSet::Next, store: member(3), after: Some(program()) })
-        }
-        Some(PeerRequest::ListPrograms { .. }) => {
-            Some(PeerRequest::OutlinePrograms { programs: vec![program(), ProgramId::from("program-2")] })
-        }
-        Some(PeerRequest::OutlinePrograms { .. }) => {
-            Some(PeerRequest::FetchTurns { turns: vec![previous(), turn()] })
-        }
+        Some(PeerRequest::Repair(_)) => Some(PeerRequest::KeepHint {
+            node: member(3).node,
+            program: program(),
+            turn: turn(),
+        }),
+        Some(PeerRequest::KeepHint { .. }) => Some(PeerRequest::ListPrograms {
+            set: StoreSet::Next,
+            store: member(3),
+            after: Some(program()),
+        }),
+        Some(PeerRequest::ListPrograms { .. }) => Some(PeerRequest::OutlinePrograms {
+            programs: vec![program(), ProgramId::from("program-2")],
+        }),
+        Some(PeerRequest::OutlinePrograms { .. }) => Some(PeerRequest::FetchTurns {
+            turns: vec![previous(), turn()],
+        }),
         Some(PeerRequest::FetchTurns { .. }) => Some(PeerRequest::TakeView(view())),
         Some(PeerRequest::TakeView(_)) => None,
     }
@@ -152,9 +165,10 @@
     match last {
         None => Some(PeerResponse::Account(account())),
         Some(PeerResponse::Account(_)) => Some(PeerResponse::Done),
-        Some(PeerResponse::Done) => {
-            Some(PeerResponse::Chain { turns: vec![Arc::new(record())], rest: Some(place()) })
-        }
+        Some(PeerResponse::Done) => Some(PeerResponse::Chain {
+            turns: vec![Arc::new(record())],
+            rest: Some(place()),
+        }),
         Some(PeerResponse::Chain { .. }) => Some(PeerResponse::Located),
         Some(PeerResponse::Located) => Some(PeerResponse::NotHere),
         Some(PeerResponse::NotHere) => Some(PeerResponse::Programs(vec![ProgramDigest {
@@ -196,7 +210,10 @@
             epoch: StoreEpoch(300),
             program: program(),
             turn: turn(),
-            reservation: Some(Reservation { budget: 100_000, most: 70_000 }),
+            reservation: Some(Reservation {
+                budget: 100_000,
+                most: 70_000,
+            }),
             previous: Some(previous()),
         }),
         Some(StoreCall::BeginTurn { .. }) => Some(StoreCall::EndTurn {
@@ -219,7 +236,10 @@
 
 fn next_store_reply(last: Option<&StoreReply>) -> Option<StoreReply> {
     match last {
-        None => Some(StoreReply::Begun { history: Arc::from(*b"a history"), previous: Some(place()) }),
+        None => Some(StoreReply::Begun {
+            history: Arc::from(*b"a history"),
+            previous: Some(place()),
+        }),
         Some(StoreReply::Begun { .. }) => Some(StoreReply::BudgetSpent),
         Some(StoreReply::BudgetSpent) => Some(StoreReply::NoSuchTurn),
         Some(StoreReply::NoSuchTurn) => Some(StoreReply::Ended),
@@ -242,24 +262,42 @@
 
 /// All requests, with the names of their lines.
 fn requests() -> Vec<(String, StoreRequest)> {
-    let from_proxies = chain(next_store_call)
-        .into_iter()
-        .map(|call| (format!("Proxy.{}", store_call_name(&call)), StoreRequest::Proxy(call)));
+    let from_proxies = chain(next_store_call).into_iter().map(|call| {
+        (
+            format!("Proxy.{}", store_call_name(&call)),
+            StoreRequest::Proxy(call),
+        )
+    });
     let from_peers = chain(next_peer_request).into_iter().map(|body| {
         let name = format!("Peer.{}", peer_request_name(&body));
-        (name, StoreRequest::Peer(PeerCall { epoch: StoreEpoch(300), body }))
+        (
+            name,
+            StoreRequest::Peer(PeerCall {
+                epoch: StoreEpoch(300),
+                body,
+            }),
+        )
     });
     from_proxies.chain(from_peers).collect()
 }
 
 /// All answers, with the names of their lines.
 fn answers() -> Vec<(String, StoreAnswer)> {
-    let to_proxies = chain(next_store_reply)
-        .into_iter()
-        .map(|reply| (format!("Proxy.{}", store_reply_name(&reply)), StoreAnswer::Proxy(reply)));
+    let to_proxies = chain(next_store_reply).into_iter().map(|reply| {
+        (
+            format!("Proxy.{}", store_reply_name(&reply)),
+            StoreAnswer::Proxy(reply),
+        )
+    });
     let to_peers = chain(next_peer_response).into_iter().map(|body| {
         let name = format!("Peer.{}", peer_response_name(&body));
-        (name, StoreAnswer::Peer(PeerReply { incarnation: member(1).incarnation, body }))
+        (
+            name,
+            StoreAnswer::Peer(PeerReply {
+                incarnation: member(1).incarnation,
+                body,
+            }),
+        )
     });
     to_proxies.chain(to_peers).collect()
 }
--- a/tier/demo/src/call.rs
+++ b/tier/demo/src/call.rs
@@ -71,6 +71,13 @@
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
     let (head, body) = sender.send_request(request).await?.into_parts();
-    let body = Limited::new(body, MAX_BODY_BYTES).collect().await.map_err(CallError::Body)?;
-    Ok(Answer { status: head.status, headers: head.headers, body: body.to_bytes() })
+    let body = Limited::new(body, MAX_BODY_BYTES)
+        .collect()
+        .await
+        .map_err(CallError::Body)?;
+    Ok(Answer {
+        status: head.status,
+        headers: head.headers,
+        body: body.to_bytes(),
+    })
 }
--- a/tier/demo/src/client.rs
+++ b/tier/demo/src/client.rs
@@ -83,7 +83,8 @@
     }
 
     fn count_failed(&self, what: String) {
-        self.tally.update(|counts| *counts.failed_tries.entry(what).or_default() += 1);
+        self.tally
+            .update(|counts| *counts.failed_tries.entry(what).or_default() += 1);
     }
 }
 
@@ -92,8 +93,16 @@
 }
 
 fn retry_after(answer: &Answer) -> Option<Duration> {
-    let seconds: f64 = answer.headers.get("retry-after")?.to_str().ok()?.parse().ok()?;
-    Duration::try_from_secs_f64(seconds).ok().map(|pause| pause.min(MAX_RETRY_AFTER))
+    let seconds: f64 = answer
+        .headers
+        .get("retry-after")?
+        .to_str()
+        .ok()?
+        .parse()
+        .ok()?;
+    Duration::try_from_secs_f64(seconds)
+        .ok()
+        .map(|pause| pause.min(MAX_RETRY_AFTER))
 }
 
 fn built(request: &ClientRequest, id: &str) -> Request<Full<Bytes>> {
@@ -102,7 +111,10 @@
     *built.uri_mut() = hyper::Uri::from_static(request.path);
     let headers = built.headers_mut();
     headers.insert(HOST, HeaderValue::from_static(configuration::HOST));
-    let own = [("request-id", id.to_owned()), ("deadline-ms", TRY_TIMEOUT.as_millis().to_string())];
+    let own = [
+        ("request-id", id.to_owned()),
+        ("deadline-ms", TRY_TIMEOUT.as_millis().to_string()),
+    ];
     for (name, value) in own.iter().chain(&request.headers) {
         if let Ok(value) = HeaderValue::from_str(value) {
             headers.insert(*name, value);
--- a/tier/demo/src/control_plane.rs
+++ b/tier/demo/src/control_plane.rs
@@ -37,18 +37,33 @@
     /// A configuration that builds on version `base`.
     pub fn configuration(base: u64, document: &serde_json::Value) -> Order {
         let body = Bytes::from(document.to_string());
-        Order { method: Method::PUT, path: "/-/config".to_owned(), base: Some(base), body }
+        Order {
+            method: Method::PUT,
+            path: "/-/config".to_owned(),
+            base: Some(base),
+            body,
+        }
     }
 
     /// An order with a JSON body.
     pub fn post(path: &str, body: &serde_json::Value) -> Order {
         let body = Bytes::from(body.to_string());
-        Order { method: Method::POST, path: path.to_owned(), base: None, body }
+        Order {
+            method: Method::POST,
+            path: path.to_owned(),
+            base: None,
+            body,
+        }
     }
 
     /// A question without a body.
     pub fn get(path: &str) -> Order {
-        Order { method: Method::GET, path: path.to_owned(), base: None, body: Bytes::new() }
+        Order {
+            method: Method::GET,
+            path: path.to_owned(),
+            base: None,
+            body: Bytes::new(),
+        }
     }
 
     fn request(&self, address: SocketAddr) -> Request<Full<Bytes>> {
@@ -60,7 +75,10 @@
         if let Ok(host) = address.to_string().parse() {
             headers.insert(HOST, host);
         }
-        headers.insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static("application/json"));
+        headers.insert(
+            CONTENT_TYPE,
+            hyper::header::HeaderValue::from_static("application/json"),
+        );
         if let Some(base) = self.base {
             headers.insert(IF_MATCH, base.into());
         }
@@ -77,7 +95,11 @@
     limit: Duration,
 ) -> Option<Answer> {
     let until = Instant::now() + limit;
-    for controller in controllers.iter().cycle().skip(first % controllers.len().max(1)) {
+    for controller in controllers
+        .iter()
+        .cycle()
+        .skip(first % controllers.len().max(1))
+    {
         if let Some(answer) = ask(*controller, order).await {
             return Some(answer);
         }
@@ -98,7 +120,9 @@
 async fn ask(controller: SocketAddr, order: &Order) -> Option<Answer> {
     let mut address = controller;
     for _ in 0..=MAX_REDIRECTIONS {
-        let answer = call(address, order.request(address), CALL_TIMEOUT).await.ok()?;
+        let answer = call(address, order.request(address), CALL_TIMEOUT)
+            .await
+            .ok()?;
         if answer.status == StatusCode::TEMPORARY_REDIRECT {
             address = redirected_to(&answer)?;
         } else {
@@ -115,5 +139,10 @@
 
 fn redirected_to(answer: &Answer) -> Option<SocketAddr> {
     let location = answer.headers.get(LOCATION)?.to_str().ok()?;
-    location.strip_prefix("http://")?.split('/').next()?.parse().ok()
+    location
+        .strip_prefix("http://")?
+        .split('/')
+        .next()?
+        .parse()
+        .ok()
 }
--- a/tier/demo/src/drain.rs
+++ b/tier/demo/src/drain.rs
@@ -31,16 +31,32 @@
             sleep(LOOK_PAUSE).await;
         }
         let empty_after = begun.elapsed();
-        self.narration.say(&format!("{name} was empty after {} ms", empty_after.as_millis()));
+        self.narration.say(&format!(
+            "{name} was empty after {} ms",
+            empty_after.as_millis()
+        ));
         self.order_drain(1, &name, false).await?;
-        self.narration.say(&format!("took the proxy on {name} back"));
+        self.narration
+            .say(&format!("took the proxy on {name} back"));
         Ok(empty_after)
     }
 
-    async fn order_drain(&mut self, expected: u64, name: &str, leave: bool) -> Result<(), DemoError> {
+    async fn order_drain(
+        &mut self,
+        expected: u64,
+        name: &str,
+        leave: bool,
+    ) -> Result<(), DemoError> {
         let order = json!({"expected": expected, "leave": leave, "nodes": [name]});
         let limit = Duration::from_secs(LIMIT_SECONDS);
-        match send(&self.controllers, 0, &Order::post(DRAINS_PATH, &order), limit).await {
+        match send(
+            &self.controllers,
+            0,
+            &Order::post(DRAINS_PATH, &order),
+            limit,
+        )
+        .await
+        {
             Some(answer) if answer.status == StatusCode::OK => Ok(()),
             _ => Err(self.too_late("the acknowledgement of a drain", LIMIT_SECONDS)),
         }
@@ -50,7 +66,11 @@
         let limit = Duration::from_secs(1);
         let answer = send(&self.controllers, 0, &Order::get(DRAINS_PATH), limit).await;
         let list = answer.and_then(|answer| serde_json::from_slice::<Value>(&answer.body).ok());
-        let drains = list.and_then(|list| list["drains"].as_array().cloned()).unwrap_or_default();
-        drains.iter().any(|drain| drain["node"] == name && drain["state"] == "empty")
+        let drains = list
+            .and_then(|list| list["drains"].as_array().cloned())
+            .unwrap_or_default();
+        drains
+            .iter()
+            .any(|drain| drain["node"] == name && drain["state"] == "empty")
     }
 }
--- a/tier/demo/src/events.rs
+++ b/tier/demo/src/events.rs
@@ -7,5 +7,8 @@
 
 /// The data of each event of a whole stream.
 pub fn data_of(stream: &str) -> Vec<&str> {
-    stream.lines().filter_map(|line| line.strip_prefix("data: ")).collect()
+    stream
+        .lines()
+        .filter_map(|line| line.strip_prefix("data: "))
+        .collect()
 }
--- a/tier/demo/src/fleet.rs
+++ b/tier/demo/src/fleet.rs
@@ -36,7 +36,12 @@
 impl Fleet {
     /// A fleet that keeps settings, data and logs in `folder`.
     pub fn new(program: PathBuf, folder: PathBuf, seeds: Vec<SocketAddr>) -> Fleet {
-        Fleet { program, folder, seeds, processes: Vec::new() }
+        Fleet {
+            program,
+            folder,
+            seeds,
+            processes: Vec::new(),
+        }
     }
 
     /// Starts every role of `machines`, for the first time.
@@ -44,7 +49,11 @@
         for machine in machines {
             for role in machine.class.roles() {
                 let child = self.spawn(machine, *role, true)?;
-                self.processes.push(Process { machine: machine.clone(), role: *role, child });
+                self.processes.push(Process {
+                    machine: machine.clone(),
+                    role: *role,
+                    child,
+                });
             }
         }
         Ok(())
@@ -67,8 +76,10 @@
     /// Names of the processes that ended by themselves.
     pub fn ended(&mut self) -> Vec<String> {
         let has_ended = |process: &mut Process| !matches!(process.child.try_wait(), Ok(None));
-        let ended =
-            self.processes.iter_mut().filter_map(|process| has_ended(process).then(|| process.name()));
+        let ended = self
+            .processes
+            .iter_mut()
+            .filter_map(|process| has_ended(process).then(|| process.name()));
         ended.collect()
     }
 
@@ -88,7 +99,10 @@
 
     /// Names and numbers of all processes.
     pub fn running_processes(&self) -> Vec<(String, u32)> {
-        self.processes.iter().map(|process| (process.name(), process.child.id())).collect()
+        self.processes
+            .iter()
+            .map(|process| (process.name(), process.child.id()))
+            .collect()
     }
 
     fn running(&mut self) -> usize {
@@ -100,7 +114,8 @@
     }
 
     fn find(&mut self, machine: &Machine, role: Role) -> io::Result<&mut Process> {
-        let wanted = |process: &&mut Process| process.machine.name == machine.name && process.role == role;
+        let wanted =
+            |process: &&mut Process| process.machine.name == machine.name && process.role == role;
         let found = self.processes.iter_mut().find(wanted);
         found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no such process"))
     }
@@ -110,9 +125,16 @@
         let data = self.folder.join(&name);
         std::fs::create_dir_all(&data)?;
         let settings = self.folder.join(format!("{name}.toml"));
-        let around = Surroundings { seeds: &self.seeds, bootstrap, data: &data };
+        let around = Surroundings {
+            seeds: &self.seeds,
+            bootstrap,
+            data: &data,
+        };
         std::fs::write(&settings, text(machine, role, &around))?;
-        let log = File::options().create(true).append(true).open(self.folder.join(format!("{name}.log")))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.folder.join(format!("{name}.log")))?;
         Command::new(&self.program)
             .arg(role.name())
             .env("PLANKHILL_SETTINGS", &settings)
--- a/tier/demo/src/front.rs
+++ b/tier/demo/src/front.rs
@@ -44,7 +44,9 @@
             readiness: edge.readiness(),
             ready: AtomicBool::new(false),
         };
-        Arc::new(Front { proxies: edges.iter().map(proxy).collect() })
+        Arc::new(Front {
+            proxies: edges.iter().map(proxy).collect(),
+        })
     }
 
     /// Asks every proxy again and again whether it is ready.
@@ -57,14 +59,19 @@
     async fn watch_one(self: Arc<Front>, place: usize) {
         let proxy = &self.proxies[place];
         loop {
-            proxy.ready.store(is_ready(proxy.readiness).await, Ordering::Relaxed);
+            proxy
+                .ready
+                .store(is_ready(proxy.readiness).await, Ordering::Relaxed);
             sleep(ASK_PAUSE).await;
         }
     }
 
     /// Number of proxies that take new clients.
     pub(crate) fn ready(&self) -> usize {
-        self.proxies.iter().filter(|proxy| proxy.ready.load(Ordering::Relaxed)).count()
+        self.proxies
+            .iter()
+            .filter(|proxy| proxy.ready.load(Ordering::Relaxed))
+            .count()
     }
 
     /// Number of proxies.
@@ -74,8 +81,11 @@
 
     /// The proxy for try `number`; any if none is ready.
     pub(crate) fn choose(&self, number: usize) -> SocketAddr {
-        let ready: Vec<&Proxy> =
-            self.proxies.iter().filter(|proxy| proxy.ready.load(Ordering::Relaxed)).collect();
+        let ready: Vec<&Proxy> = self
+            .proxies
+            .iter()
+            .filter(|proxy| proxy.ready.load(Ordering::Relaxed))
+            .collect();
         match ready.is_empty() {
             true => self.proxies[number % self.proxies.len()].http,
             false => ready[number % ready.len()].http,
--- a/tier/demo/src/heartbeat.rs
+++ b/tier/demo/src/heartbeat.rs
@@ -38,5 +38,10 @@
         body["models"] = json!([{"name": "m", "version": 1, "adapters": []}]);
     }
     let path = format!("/-/instances/{}", target.id);
-    Order { method: Method::PUT, path, base: None, body: Bytes::from(body.to_string()) }
+    Order {
+        method: Method::PUT,
+        path,
+        base: None,
+        body: Bytes::from(body.to_string()),
+    }
 }
--- a/tier/demo/src/layout.rs
+++ b/tier/demo/src/layout.rs
@@ -68,12 +68,18 @@
     pub fn of_process(pid: u32) -> Network {
         let second = 1 + (pid / 250) % 250;
         let third = pid % 250;
-        Network { second: second as u8, third: third as u8 }
+        Network {
+            second: second as u8,
+            third: third as u8,
+        }
     }
 
     /// One machine of `class` in each zone.
     pub fn machines(self, class: Class) -> Vec<Machine> {
-        (0..).zip(ZONES).map(|(place, zone)| self.machine(class, place, zone)).collect()
+        (0..)
+            .zip(ZONES)
+            .map(|(place, zone)| self.machine(class, place, zone))
+            .collect()
     }
 
     /// Address of target `place`.
@@ -83,7 +89,12 @@
 
     fn machine(self, class: Class, place: u8, zone: &'static str) -> Machine {
         let name = format!("{}-{zone}-1", class.name());
-        Machine { name, class, ip: self.address(class, place), zone }
+        Machine {
+            name,
+            class,
+            ip: self.address(class, place),
+            zone,
+        }
     }
 
     fn address(self, class: Class, place: u8) -> Ipv4Addr {
--- a/tier/demo/src/lib.rs
+++ b/tier/demo/src/lib.rs
@@ -45,6 +45,8 @@
 /// If the tier does not start or does not take the configuration. What clients saw is no error:
 /// [`Report::is_whole`] judges it.
 pub fn run(options: &DemoOptions) -> Result<Report, DemoError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(scenario::play(options))
 }
--- a/tier/demo/src/program.rs
+++ b/tier/demo/src/program.rs
@@ -39,7 +39,12 @@
 /// Runs a program to its end and counts what it saw.
 pub(crate) async fn run(plan: Plan, client: Client) {
     client.tally.update(|counts| counts.programs_begun += 1);
-    let mut program = Program { plan, client: client.clone(), previous: None, history: History::default() };
+    let mut program = Program {
+        plan,
+        client: client.clone(),
+        previous: None,
+        history: History::default(),
+    };
     match program.play().await {
         Ok(()) => client.tally.update(|counts| counts.programs_whole += 1),
         Err(reason) => client.tally.update(|counts| counts.failures.push(reason)),
@@ -73,7 +78,9 @@
         match answered.answer.status {
             StatusCode::OK => self.accept(&input, begun.elapsed(), answered),
             StatusCode::PAYMENT_REQUIRED => {
-                self.client.tally.update(|counts| counts.budget_refusals += 1);
+                self.client
+                    .tally
+                    .update(|counts| counts.budget_refusals += 1);
                 Ok(Turn::BudgetSpent)
             }
             status => Err(format!("turn {} was answered {status}", answered.id)),
@@ -81,7 +88,8 @@
     }
 
     fn accept(&mut self, input: &str, time: Duration, answered: Answered) -> Result<Turn, String> {
-        let stream = std::str::from_utf8(&answered.answer.body).map_err(|error| error.to_string())?;
+        let stream =
+            std::str::from_utf8(&answered.answer.body).map_err(|error| error.to_string())?;
         let data = events::data_of(stream);
         let expected = self.history.digest_with(input);
         let right = !data.is_empty() && data.iter().all(|data| data.starts_with(&expected));
@@ -105,7 +113,10 @@
         };
         let answered = self.client.send(&request).await?;
         if !answered.answer.status.is_success() {
-            return Err(format!("call {} was answered {}", answered.id, answered.answer.status));
+            return Err(format!(
+                "call {} was answered {}",
+                answered.id, answered.answer.status
+            ));
         }
         self.client.tally.update(|counts| counts.calls += 1);
         Ok(())
@@ -116,10 +127,19 @@
         headers.push(("budget", self.plan.budget.to_string()));
         headers.push(("model", "m".to_owned()));
         headers.push(("token-usage", format!("{},{TURN_TOKENS}", 10 * number)));
-        headers.push(("prefix-hash", format!("{:x}:{}", self.plan.number, 10 * number)));
+        headers.push((
+            "prefix-hash",
+            format!("{:x}:{}", self.plan.number, 10 * number),
+        ));
         headers.extend(self.previous.clone().map(|previous| ("previous", previous)));
         let name = self.request_name("turn", number);
-        ClientRequest { name, method: Method::POST, path: TURN_PATH, headers, body: input.to_owned() }
+        ClientRequest {
+            name,
+            method: Method::POST,
+            path: TURN_PATH,
+            headers,
+            body: input.to_owned(),
+        }
     }
 
     fn program_headers(&self) -> Vec<(&'static str, String)> {
--- a/tier/demo/src/report.rs
+++ b/tier/demo/src/report.rs
@@ -29,7 +29,8 @@
     pub fn is_whole(&self) -> bool {
         let counts = &self.counts;
         let programs = counts.programs_begun > 0 && counts.programs_whole == counts.programs_begun;
-        let turns = counts.wrong_histories == 0 && counts.budget_refusals == 1 && self.run_again == 0;
+        let turns =
+            counts.wrong_histories == 0 && counts.budget_refusals == 1 && self.run_again == 0;
         programs && turns && self.spread.is_some() && self.read_back && self.ended.is_empty()
     }
 }
@@ -38,7 +39,11 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counts = &self.counts;
         writeln!(formatter, "What clients saw")?;
-        writeln!(formatter, "  programs       {} of {} whole", counts.programs_whole, counts.programs_begun)?;
+        writeln!(
+            formatter,
+            "  programs       {} of {} whole",
+            counts.programs_whole, counts.programs_begun
+        )?;
         writeln!(
             formatter,
             "  turns          {}, median {}, slowest {}",
@@ -55,7 +60,11 @@
             "  budget spent   {} (one program has a budget of two turns)",
             counts.budget_refusals
         )?;
-        writeln!(formatter, "  drained        a proxy was empty after {} ms", self.empty_after.as_millis())?;
+        writeln!(
+            formatter,
+            "  drained        a proxy was empty after {} ms",
+            self.empty_after.as_millis()
+        )?;
         match self.spread {
             Some(time) => writeln!(
                 formatter,
@@ -67,7 +76,11 @@
         writeln!(
             formatter,
             "  read back      {}",
-            if self.read_back { "as acknowledged" } else { "not as acknowledged" }
+            if self.read_back {
+                "as acknowledged"
+            } else {
+                "not as acknowledged"
+            }
         )?;
         for failure in &counts.failures {
             writeln!(formatter, "  failed         {failure}")?;
@@ -82,7 +95,11 @@
 impl Report {
     /// Failed tries by what they saw, for people.
     fn failed_tries(&self) -> String {
-        let kinds = self.counts.failed_tries.iter().map(|(what, count)| format!("{count} {what}"));
+        let kinds = self
+            .counts
+            .failed_tries
+            .iter()
+            .map(|(what, count)| format!("{count} {what}"));
         let listed = kinds.collect::<Vec<_>>().join(", ");
         if listed.is_empty() {
             "none".to_owned()
@@ -96,6 +113,8 @@
         let mut times = self.counts.turn_times.clone();
         times.sort_unstable();
         let place = (share * times.len().saturating_sub(1) as f64).round() as usize;
-        times.get(place).map_or("-".to_owned(), |time| format!("{} ms", time.as_millis()))
+        times
+            .get(place)
+            .map_or("-".to_owned(), |time| format!("{} ms", time.as_millis()))
     }
 }
--- a/tier/demo/src/scenario.rs
+++ b/tier/demo/src/scenario.rs
@@ -64,7 +64,10 @@
         let limit = Duration::from_secs(START_SECONDS);
         match send(&self.controllers, 0, &order, limit).await {
             Some(answer) if answer.status == StatusCode::OK => {
-                self.narration.say(&format!("configuration {} is acknowledged", document["version"]));
+                self.narration.say(&format!(
+                    "configuration {} is acknowledged",
+                    document["version"]
+                ));
                 Ok(())
             }
             _ => {
@@ -87,10 +90,16 @@
     }
 
     fn start_programs(&self, count: u32) -> Vec<JoinHandle<()>> {
-        self.narration.say(&format!("{count} programs begin, one of them with a budget of two turns"));
+        self.narration.say(&format!(
+            "{count} programs begin, one of them with a budget of two turns"
+        ));
         let start = |number: u32| {
             let turns_paid = if number == 0 { 2 } else { 4 * TURNS };
-            let plan = Plan { number, turns: TURNS, budget: turns_paid * TURN_TOKENS };
+            let plan = Plan {
+                number,
+                turns: TURNS,
+                budget: turns_paid * TURN_TOKENS,
+            };
             let client = self.client(number as usize);
             tokio::spawn(async move {
                 sleep(PROGRAM_GAP * number).await;
@@ -116,12 +125,14 @@
         let core = self.cores[0].clone();
         self.say_standing().await;
         self.fleet.kill(&core, Role::Controller)?;
-        self.narration.say(&format!("killed the controller on {}", core.name));
+        self.narration
+            .say(&format!("killed the controller on {}", core.name));
         self.put_configuration(1, &configuration::second()).await?;
         let spread = self.time_until_in_force().await;
         sleep(AWAY).await;
         self.fleet.restart(&core, Role::Controller)?;
-        self.narration.say(&format!("started the controller on {} again", core.name));
+        self.narration
+            .say(&format!("started the controller on {} again", core.name));
         Ok(spread)
     }
 
@@ -129,10 +140,12 @@
     async fn kill_proxy(&mut self) -> Result<(), DemoError> {
         let edge = self.edges[1].clone();
         self.fleet.kill(&edge, Role::Proxy)?;
-        self.narration.say(&format!("killed the proxy on {}", edge.name));
+        self.narration
+            .say(&format!("killed the proxy on {}", edge.name));
         sleep(AWAY).await;
         self.fleet.restart(&edge, Role::Proxy)?;
-        self.narration.say(&format!("started the proxy on {} again", edge.name));
+        self.narration
+            .say(&format!("started the proxy on {} again", edge.name));
         Ok(())
     }
 
@@ -141,7 +154,11 @@
         let begun = Instant::now();
         for (place, edge) in self.edges.iter().enumerate() {
             let front = Front::new(std::slice::from_ref(edge));
-            let client = Client { front, tally: Arc::new(Tally::default()), place: 0 };
+            let client = Client {
+                front,
+                tally: Arc::new(Tally::default()),
+                place: 0,
+            };
             let mut number = 0;
             while !serves_added_route(&client, place, number).await {
                 if begun.elapsed() > SPREAD_LIMIT {
@@ -151,7 +168,8 @@
                 sleep(LOOK_PAUSE).await;
             }
         }
-        self.narration.say("every proxy serves the route that it adds");
+        self.narration
+            .say("every proxy serves the route that it adds");
         Some(begun.elapsed())
     }
 
--- a/tier/demo/src/settings_file.rs
+++ b/tier/demo/src/settings_file.rs
@@ -22,8 +22,15 @@
 /// The text of the settings file for `role` on `machine`.
 pub fn text(machine: &Machine, role: Role, around: &Surroundings<'_>) -> String {
     let has_disk = machine.class != Class::Edge;
-    let serves = role.serves().map(|what| format!("{what:?}")).unwrap_or_default();
-    let seeds: Vec<String> = around.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
+    let serves = role
+        .serves()
+        .map(|what| format!("{what:?}"))
+        .unwrap_or_default();
+    let seeds: Vec<String> = around
+        .seeds
+        .iter()
+        .map(|seed| format!("\"{seed}\""))
+        .collect();
     let mut text = String::new();
     let mut line = |key: &str, value: String| {
         // Writing to a string doesn't fail.
@@ -36,22 +43,35 @@
     line("ip", format!("\"{}\"", machine.ip));
     line("zone", format!("{:?}", machine.zone));
     line("region", format!("{REGION:?}"));
-    line("port_range", format!("[{}, {}]", PORT_RANGE.0, PORT_RANGE.1));
+    line(
+        "port_range",
+        format!("[{}, {}]", PORT_RANGE.0, PORT_RANGE.1),
+    );
     line("seed_nodes", format!("[{}]", seeds.join(", ")));
     line("bootstrap", around.bootstrap.to_string());
     line("counts_for_quorum", has_disk.to_string());
     if has_disk {
-        line("data_path", format!("{:?}", around.data.display().to_string()));
+        line(
+            "data_path",
+            format!("{:?}", around.data.display().to_string()),
+        );
     }
     line("heartbeat_ms", HEARTBEAT_MS.to_string());
     text + &tables(machine, role)
 }
 
 fn tables(machine: &Machine, role: Role) -> String {
-    let zones: String = ZONES.iter().map(|zone| format!("{zone} = {REGION:?}\n")).collect();
+    let zones: String = ZONES
+        .iter()
+        .map(|zone| format!("{zone} = {REGION:?}\n"))
+        .collect();
     let listeners = match role {
         Role::Controller => format!("admin = \"{}\"\n", machine.admin()),
-        Role::Proxy => format!("http = \"{}\"\nreadiness = \"{}\"\n", machine.http(), machine.readiness()),
+        Role::Proxy => format!(
+            "http = \"{}\"\nreadiness = \"{}\"\n",
+            machine.http(),
+            machine.readiness()
+        ),
         Role::Agent | Role::Store => String::new(),
     };
     let limits = "cpu_quota = 1.0\ncpus = 1\nmemory_mb = 256\nmax_fds = 1024\ndisk_mb = 256\n";
--- a/tier/demo/src/stage.rs
+++ b/tier/demo/src/stage.rs
@@ -37,7 +37,9 @@
     pub(crate) async fn set(program: PathBuf) -> Result<Stage, DemoError> {
         let narration = Narration::begin();
         let network = Network::of_process(std::process::id());
-        let folder = tempfile::Builder::new().prefix("plankhill-demo-").tempdir()?;
+        let folder = tempfile::Builder::new()
+            .prefix("plankhill-demo-")
+            .tempdir()?;
         let cores = network.machines(Class::Core);
         let stores = network.machines(Class::Storage);
         let edges = network.machines(Class::Edge);
@@ -48,30 +50,51 @@
         fleet.bootstrap(&cores)?;
         fleet.bootstrap(&stores)?;
         fleet.bootstrap(&edges)?;
-        narration.say("started 3 controllers, 3 stores, 3 agents and 3 proxies, and 6 stand-in targets");
+        narration
+            .say("started 3 controllers, 3 stores, 3 agents and 3 proxies, and 6 stand-in targets");
         let front = Front::new(&edges);
         front.watch();
         let tally = Arc::new(Tally::default());
-        Ok(Stage { narration, folder, cores, edges, controllers, fleet, front, tally, runs })
+        Ok(Stage {
+            narration,
+            folder,
+            cores,
+            edges,
+            controllers,
+            fleet,
+            front,
+            tally,
+            runs,
+        })
     }
 
     /// A client of the tier.
     pub(crate) fn client(&self, place: usize) -> Client {
-        Client { front: self.front.clone(), tally: self.tally.clone(), place }
+        Client {
+            front: self.front.clone(),
+            tally: self.tally.clone(),
+            place,
+        }
     }
 
     /// The error that something awaited did not happen; the logs are kept.
     pub(crate) fn too_late(&mut self, what: &'static str, seconds: u64) -> DemoError {
         self.keep_logs_unless(false);
-        DemoError::TooLate { what, seconds, logs: self.folder.path().to_owned() }
+        DemoError::TooLate {
+            what,
+            seconds,
+            logs: self.folder.path().to_owned(),
+        }
     }
 
     /// Keeps settings, data and logs unless all went well.
     pub(crate) fn keep_logs_unless(&mut self, all_went_well: bool) {
         if !all_went_well {
             self.folder.disable_cleanup(true);
-            self.narration
-                .say(&format!("settings, data and logs are kept in {}", self.folder.path().display()));
+            self.narration.say(&format!(
+                "settings, data and logs are kept in {}",
+                self.folder.path().display()
+            ));
         }
     }
 }
@@ -85,7 +108,13 @@
         for (place, zone) in (0..TARGETS_PER_SERVICE).zip(ZONES) {
             let address = network.target(group * TARGETS_PER_SERVICE + place);
             let id = format!("i-{service}-{place}");
-            let target = Arc::new(Target { id, service, zone, address, runs: runs.clone() });
+            let target = Arc::new(Target {
+                id,
+                service,
+                zone,
+                address,
+                runs: runs.clone(),
+            });
             target::serve(target.clone()).await?;
             tokio::spawn(heartbeat::keep_up(target, controllers.clone()));
         }
--- a/tier/demo/src/tally.rs
+++ b/tier/demo/src/tally.rs
@@ -37,6 +37,9 @@
 
     /// The counts so far.
     pub(crate) fn counts(&self) -> Counts {
-        self.counts.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.counts
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
--- a/tier/demo/src/target.rs
+++ b/tier/demo/src/target.rs
@@ -44,7 +44,10 @@
 
     /// How often a request was run again.
     pub(crate) fn repeated(&self) -> usize {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).repeated
+        self.seen
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .repeated
     }
 }
 
--- a/tier/demo/src/target_answer.rs
+++ b/tier/demo/src/target_answer.rs
@@ -64,7 +64,9 @@
 }
 
 fn is_for_another(target: &Target, headers: &HeaderMap) -> bool {
-    headers.get("expected-instance").is_some_and(|id| id.as_bytes() != target.id.as_bytes())
+    headers
+        .get("expected-instance")
+        .is_some_and(|id| id.as_bytes() != target.id.as_bytes())
 }
 
 fn misdirected(target: &Target) -> Response<Body> {
@@ -78,24 +80,38 @@
 async fn run(target: &Target, request: Request<Incoming>) -> Result<Response<Body>, hyper::Error> {
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
-    let id = head.headers.get("request-id").cloned().unwrap_or(HeaderValue::from_static(""));
+    let id = head
+        .headers
+        .get("request-id")
+        .cloned()
+        .unwrap_or(HeaderValue::from_static(""));
     target.runs.note(&String::from_utf8_lossy(id.as_bytes()));
     let mut response = if target.service == MODELS {
         let mut streamed = Response::new(stream(digest(&body), events_wanted(&head.headers)));
-        set(streamed.headers_mut(), CONTENT_TYPE.as_str(), "text/event-stream");
+        set(
+            streamed.headers_mut(),
+            CONTENT_TYPE.as_str(),
+            "text/event-stream",
+        );
         streamed
     } else {
         sleep(TOOL_WORK).await;
         Response::new(text(format!("{{\"done\":\"{}\"}}", head.uri.path())))
     };
-    set(response.headers_mut(), "upstream-signature", &format!("{}.stand-in", target.id));
+    set(
+        response.headers_mut(),
+        "upstream-signature",
+        &format!("{}.stand-in", target.id),
+    );
     response.headers_mut().insert("request-id", id);
     Ok(response)
 }
 
 /// As many events as hold the second number of `Token-Usage`.
 fn events_wanted(headers: &HeaderMap) -> u32 {
-    let usage = headers.get("token-usage").and_then(|value| value.to_str().ok());
+    let usage = headers
+        .get("token-usage")
+        .and_then(|value| value.to_str().ok());
     let tokens: Option<u32> = usage.and_then(|usage| usage.split_once(',')?.1.trim().parse().ok());
     tokens.map_or(DEFAULT_EVENTS, |tokens| tokens.div_ceil(CHUNK_TOKENS))
 }
--- a/tier/demo/tests/history.rs
+++ b/tier/demo/tests/history.rs
@@ -10,7 +10,10 @@
     history.add("one\n", &["a", "b"]);
     assert_eq!(history.digest_with("two\n"), digest(b"one\na\nb\ntwo\n"));
     history.add("two\n", &[]);
-    assert_eq!(history.digest_with("three"), digest(b"one\na\nb\ntwo\nthree"));
+    assert_eq!(
+        history.digest_with("three"),
+        digest(b"one\na\nb\ntwo\nthree")
+    );
 }
 
 #[test]
--- a/tier/demo/tests/inputs.rs
+++ b/tier/demo/tests/inputs.rs
@@ -11,20 +11,35 @@
 #[test]
 fn the_settings_of_every_process_are_valid() {
     let network = Network::of_process(4711);
-    let seeds: Vec<_> = network.machines(Class::Core).iter().map(|core| core.admin()).collect();
+    let seeds: Vec<_> = network
+        .machines(Class::Core)
+        .iter()
+        .map(|core| core.admin())
+        .collect();
     for class in [Class::Core, Class::Storage, Class::Edge] {
         for machine in network.machines(class) {
             for role in class.roles() {
-                let around =
-                    Surroundings { seeds: &seeds, bootstrap: true, data: Path::new("/tmp/demo \"data\"") };
-                let settings: Settings = text(&machine, *role, &around).parse().expect("valid settings");
+                let around = Surroundings {
+                    seeds: &seeds,
+                    bootstrap: true,
+                    data: Path::new("/tmp/demo \"data\""),
+                };
+                let settings: Settings = text(&machine, *role, &around)
+                    .parse()
+                    .expect("valid settings");
                 assert_eq!(settings.node_id, machine.name);
                 assert_eq!(settings.role, role.name());
                 assert_eq!(settings.seed_nodes, seeds);
                 assert_eq!(settings.data_path.is_some(), class != Class::Edge);
-                assert_eq!(settings.listeners_map.admin.is_some(), *role == Role::Controller);
+                assert_eq!(
+                    settings.listeners_map.admin.is_some(),
+                    *role == Role::Controller
+                );
                 assert_eq!(settings.listeners_map.http.is_some(), *role == Role::Proxy);
-                assert_eq!(settings.zones.region_of(&settings.zone), Some(settings.region.as_str()));
+                assert_eq!(
+                    settings.zones.region_of(&settings.zone),
+                    Some(settings.region.as_str())
+                );
             }
         }
     }
@@ -36,7 +51,10 @@
         let machine = &Network::of_process(pid).machines(Class::Core)[0];
         assert!(machine.ip.is_loopback());
         assert_ne!(machine.ip.octets()[1], 0);
-        assert_ne!(machine.ip, Network::of_process(pid + 1).machines(Class::Core)[0].ip);
+        assert_ne!(
+            machine.ip,
+            Network::of_process(pid + 1).machines(Class::Core)[0].ip
+        );
     });
 }
 
@@ -48,8 +66,11 @@
 fn addresses_of_one_network_differ() {
     let network = Network::of_process(1);
     let classes = [Class::Core, Class::Storage, Class::Edge];
-    let mut addresses: Vec<_> =
-        classes.into_iter().flat_map(|class| network.machines(class)).map(|machine| machine.ip).collect();
+    let mut addresses: Vec<_> = classes
+        .into_iter()
+        .flat_map(|class| network.machines(class))
+        .map(|machine| machine.ip)
+        .collect();
     addresses.extend((0..6).map(|place| match network.target(place).ip() {
         std::net::IpAddr::V4(ip) => ip,
         std::net::IpAddr::V6(ip) => panic!("{ip} is no IPv4 address"),
@@ -62,9 +83,13 @@
 
 #[test]
 fn both_configurations_are_valid_and_route_what_programs_ask_for() {
-    let (_, first) = Document::parse(configuration::first().to_string().into_bytes()).expect("valid");
-    let (_, second) = Document::parse(configuration::second().to_string().into_bytes()).expect("valid");
-    second.check(first.version).expect("the second follows the first");
+    let (_, first) =
+        Document::parse(configuration::first().to_string().into_bytes()).expect("valid");
+    let (_, second) =
+        Document::parse(configuration::second().to_string().into_bytes()).expect("valid");
+    second
+        .check(first.version)
+        .expect("the second follows the first");
     let (first, second) = (RouteTable::new(first), RouteTable::new(second));
     for path in [TURN_PATH, TOOL_PATH] {
         assert!(first.find(HOST, path).is_some() && second.find(HOST, path).is_some());
--- a/tier/disk-health/tests/room.rs
+++ b/tier/disk-health/tests/room.rs
@@ -7,7 +7,9 @@
 #[test]
 fn pauses_grow_up_to_a_bound() {
     let mut pauses = Pauses::default();
-    let taken: Vec<u64> = (0..7).map(|_| pauses.next_pause().as_millis() as u64).collect();
+    let taken: Vec<u64> = (0..7)
+        .map(|_| pauses.next_pause().as_millis() as u64)
+        .collect();
     assert_eq!(taken, [100, 200, 400, 800, 1_600, 2_000, 2_000]);
     assert_eq!(Pauses::default().next_pause(), Duration::from_millis(100));
 }
@@ -16,7 +18,10 @@
 fn a_folder_with_room_is_left_as_it_was() {
     let folder = tempfile::tempdir().expect("a folder");
     assert!(probe_room(folder.path()).is_ok());
-    assert_eq!(std::fs::read_dir(folder.path()).expect("a folder").count(), 0);
+    assert_eq!(
+        std::fs::read_dir(folder.path()).expect("a folder").count(),
+        0
+    );
 }
 
 #[test]
--- a/tier/dispatch/examples/round_cost.rs
+++ b/tier/dispatch/examples/round_cost.rs
@@ -16,12 +16,19 @@
 
 fn main() {
     for parts in [0, 3] {
-        println!("{parts} prefix parts: {:.2} us a request", microseconds_per_request(parts));
+        println!(
+            "{parts} prefix parts: {:.2} us a request",
+            microseconds_per_request(parts)
+        );
     }
 }
 
 fn microseconds_per_request(parts: u64) -> f64 {
-    let settings = DispatchSettings { seed: 1, zone: "near".into(), most_requests: 1_000 };
+    let settings = DispatchSettings {
+        seed: 1,
+        zone: "near".into(),
+        most_requests: 1_000,
+    };
     let mut dispatcher = Dispatcher::new(settings, 0.0);
     dispatcher.tables_changed(&(0..TARGETS).map(target).collect::<Vec<_>>());
     let mut out: VecDeque<(RequestKey, InstanceId)> = VecDeque::new();
@@ -32,7 +39,10 @@
         out.extend(dispatcher.commands(now).into_iter().filter_map(sent));
         if out.len() >= OUT {
             let (key, target) = out.pop_front().expect("some are out");
-            let ended = Ended { took: 50.0, ..Ended::plain(Fate::Delivered) };
+            let ended = Ended {
+                took: 50.0,
+                ..Ended::plain(Fate::Delivered)
+            };
             dispatcher.ended(now, key, &target, ended);
             out.extend(dispatcher.commands(now).into_iter().filter_map(sent));
         }
@@ -42,7 +52,9 @@
 
 fn sent(command: Command) -> Option<(RequestKey, InstanceId)> {
     match command {
-        Command::Send { request, target, .. } => Some((request, target)),
+        Command::Send {
+            request, target, ..
+        } => Some((request, target)),
         _ => None,
     }
 }
@@ -62,7 +74,10 @@
 }
 
 fn request(number: u64, now: f64, parts: u64) -> NewRequest {
-    let part = |at| PrefixPart { id: if at + 1 == parts { number / 4 } else { at }, tokens: 1_000 };
+    let part = |at| PrefixPart {
+        id: if at + 1 == parts { number / 4 } else { at },
+        tokens: 1_000,
+    };
     NewRequest {
         key: RequestKey(number),
         service: "models".into(),
--- a/tier/dispatch/src/affinity.rs
+++ b/tier/dispatch/src/affinity.rs
@@ -42,7 +42,9 @@
             chain = mixed(chain ^ mixed(part.id));
             (chain, part.tokens)
         };
-        Chains { links: parts.iter().take(MOST_PARTS).map(link).collect() }
+        Chains {
+            links: parts.iter().take(MOST_PARTS).map(link).collect(),
+        }
     }
 
     /// Whether the prompt names no parts.
@@ -57,7 +59,10 @@
 
     /// What names the session: the part behind the shared text. Sub-agents' prompts begin with their parent's.
     fn session(&self) -> u64 {
-        self.links.get(1).or(self.links.first()).map_or(0, |link| link.0)
+        self.links
+            .get(1)
+            .or(self.links.first())
+            .map_or(0, |link| link.0)
     }
 
     /// Tokens of the shared text.
@@ -85,7 +90,13 @@
     pub fn note(&mut self, chains: &Chains) {
         for &(chain, tokens) in &chains.links {
             self.uses += 1;
-            self.chains.insert(chain, Entry { tokens, last_use: self.uses });
+            self.chains.insert(
+                chain,
+                Entry {
+                    tokens,
+                    last_use: self.uses,
+                },
+            );
             self.order.push_back((chain, self.uses));
         }
         self.trim();
@@ -97,8 +108,16 @@
         let mut unbroken = true;
         let by_others = if keeps_text { chains.text_tokens() } else { 0 };
         for (place, (chain, tokens)) in chains.links.iter().enumerate() {
-            let noted = self.chains.get(chain).filter(|_| unbroken).map_or(0, |entry| entry.tokens);
-            let kept = if place == 0 { noted.max(by_others) } else { noted };
+            let noted = self
+                .chains
+                .get(chain)
+                .filter(|_| unbroken)
+                .map_or(0, |entry| entry.tokens);
+            let kept = if place == 0 {
+                noted.max(by_others)
+            } else {
+                noted
+            };
             unbroken = kept > 0;
             missing = missing.saturating_add(tokens.saturating_sub(kept));
         }
@@ -112,8 +131,13 @@
 
     fn trim(&mut self) {
         while self.chains.len() > MOST_CHAINS || self.order.len() > 2 * MOST_CHAINS {
-            let Some((chain, use_number)) = self.order.pop_front() else { return };
-            let is_last_use = self.chains.get(&chain).is_some_and(|entry| entry.last_use == use_number);
+            let Some((chain, use_number)) = self.order.pop_front() else {
+                return;
+            };
+            let is_last_use = self
+                .chains
+                .get(&chain)
+                .is_some_and(|entry| entry.last_use == use_number);
             if is_last_use {
                 self.chains.remove(&chain);
             }
@@ -123,7 +147,11 @@
 
 /// A hash of a target's id, to be computed once.
 pub fn target_hash(id: &InstanceId) -> u64 {
-    id.as_str().bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| mixed(hash ^ u64::from(byte)))
+    id.as_str()
+        .bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+            mixed(hash ^ u64::from(byte))
+        })
 }
 
 /// What each target costs by its place in the rendezvous orders, in expected milliseconds: those that keep the
@@ -131,24 +159,49 @@
 /// in the text's order keeps it.
 pub fn rank_costs(chains: &Chains, target_hashes: &[u64], keepers: &[Quota]) -> Vec<RankCost> {
     let by_text = ranks(chains.text().unwrap_or(chains.session()), target_hashes);
-    let share_of = |target: u64| keepers.iter().find(|quota| quota.target == target).map(|quota| quota.share);
-    let mut quotas: Vec<Option<f64>> = target_hashes.iter().map(|target| share_of(*target)).collect();
+    let share_of = |target: u64| {
+        keepers
+            .iter()
+            .find(|quota| quota.target == target)
+            .map(|quota| quota.share)
+    };
+    let mut quotas: Vec<Option<f64>> = target_hashes
+        .iter()
+        .map(|target| share_of(*target))
+        .collect();
     if quotas.iter().all(Option::is_none) {
-        quotas = by_text.iter().map(|rank| (*rank == 0).then_some(1.0)).collect();
+        quotas = by_text
+            .iter()
+            .map(|rank| (*rank == 0).then_some(1.0))
+            .collect();
     }
     let by_session = session_ranks(chains.session(), target_hashes, &quotas);
     let outside = SESSION_RANK_COST * LAST_RANK as f64;
-    let costs = by_text.iter().zip(by_session).map(|(text, session)| match session {
-        Some(rank) => RankCost { cost: SESSION_RANK_COST * rank.min(LAST_RANK) as f64, keeps_text: true },
-        None => RankCost { cost: outside + RANK_COST * (text + 1).min(LAST_RANK) as f64, keeps_text: false },
-    });
+    let costs = by_text
+        .iter()
+        .zip(by_session)
+        .map(|(text, session)| match session {
+            Some(rank) => RankCost {
+                cost: SESSION_RANK_COST * rank.min(LAST_RANK) as f64,
+                keeps_text: true,
+            },
+            None => RankCost {
+                cost: outside + RANK_COST * (text + 1).min(LAST_RANK) as f64,
+                keeps_text: false,
+            },
+        });
     costs.collect()
 }
 
 /// The places of those that have a quota in the session's order, which takes each as often as its quota is large.
-fn session_ranks(session: u64, target_hashes: &[u64], quotas: &[Option<f64>]) -> Vec<Option<usize>> {
+fn session_ranks(
+    session: u64,
+    target_hashes: &[u64],
+    quotas: &[Option<f64>],
+) -> Vec<Option<usize>> {
     let score = |place: usize, quota: f64| {
-        let chance = (rendezvous_weight(session, target_hashes[place]) >> 11) as f64 / (1u64 << 53) as f64;
+        let chance =
+            (rendezvous_weight(session, target_hashes[place]) >> 11) as f64 / (1u64 << 53) as f64;
         -(1.0 - chance).ln() / quota
     };
     let mut order: Vec<(usize, f64)> = quotas
@@ -158,7 +211,10 @@
         .collect();
     order.sort_by(|one, other| one.1.total_cmp(&other.1));
     let mut ranks = vec![None; quotas.len()];
-    order.iter().enumerate().for_each(|(rank, (place, _))| ranks[*place] = Some(rank));
+    order
+        .iter()
+        .enumerate()
+        .for_each(|(rank, (place, _))| ranks[*place] = Some(rank));
     ranks
 }
 
@@ -178,11 +234,17 @@
 
 /// The place of each target in the rendezvous order of what the hash names.
 fn ranks(hash: u64, target_hashes: &[u64]) -> Vec<usize> {
-    let weights: Vec<u64> = target_hashes.iter().map(|target| rendezvous_weight(hash, *target)).collect();
+    let weights: Vec<u64> = target_hashes
+        .iter()
+        .map(|target| rendezvous_weight(hash, *target))
+        .collect();
     let mut order: Vec<usize> = (0..weights.len()).collect();
     order.sort_by_key(|place| Reverse(weights[*place]));
     let mut ranks = vec![0; weights.len()];
-    order.iter().enumerate().for_each(|(rank, place)| ranks[*place] = rank);
+    order
+        .iter()
+        .enumerate()
+        .for_each(|(rank, place)| ranks[*place] = rank);
     ranks
 }
 
--- a/tier/dispatch/src/allocation.rs
+++ b/tier/dispatch/src/allocation.rs
@@ -40,8 +40,12 @@
         let mut room: HashMap<u64, f64> = targets.iter().map(|target| (*target, each)).collect();
         // In an order that does not change with the shares.
         shares.sort_by_key(|share| share.text);
-        let texts = shares.iter().map(|share| (share.text, take(share, targets, each, &mut room)));
-        Allocation { texts: texts.collect() }
+        let texts = shares
+            .iter()
+            .map(|share| (share.text, take(share, targets, each, &mut room)));
+        Allocation {
+            texts: texts.collect(),
+        }
     }
 
     /// The targets that keep the text; empty for a rare one.
@@ -51,7 +55,12 @@
 }
 
 /// Takes room for one text in its rendezvous order.
-fn take(wanted: &TextShare, targets: &[u64], each: f64, room: &mut HashMap<u64, f64>) -> Vec<Quota> {
+fn take(
+    wanted: &TextShare,
+    targets: &[u64],
+    each: f64,
+    room: &mut HashMap<u64, f64>,
+) -> Vec<Quota> {
     let mut order: Vec<u64> = targets.to_vec();
     order.sort_by_key(|target| std::cmp::Reverse(rendezvous_weight(wanted.text, *target)));
     let mut left = wanted.share;
--- a/tier/dispatch/src/bridge.rs
+++ b/tier/dispatch/src/bridge.rs
@@ -31,17 +31,25 @@
     /// The final answer of a request, as far as the proxy gives it.
     pub(crate) fn end(&mut self, key: RequestKey) {
         self.holds.remove(key);
-        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
         if std::mem::replace(&mut request.is_over, true) {
             return;
         }
         let command = if request.attempts.may_have_run() {
-            Command::Fail { request: key, last: request.last_fate() }
+            Command::Fail {
+                request: key,
+                last: request.last_fate(),
+            }
         } else {
             let chance = draw(self.draws);
             let opens_at = self.targets.opens_at(request.service, self.now);
             let retry_after = admission::retry_after(self.now, opens_at, request.objective, chance);
-            Command::Refuse { request: key, retry_after }
+            Command::Refuse {
+                request: key,
+                retry_after,
+            }
         };
         self.commands.push(command);
         self.requests.forget_if_done(key);
@@ -49,21 +57,32 @@
 }
 
 impl Decisions for Bridge<'_> {
-    fn choose(&mut self, event: &EventId, open: &mut dyn Iterator<Item = &TargetId>) -> Option<usize> {
+    fn choose(
+        &mut self,
+        event: &EventId,
+        open: &mut dyn Iterator<Item = &TargetId>,
+    ) -> Option<usize> {
         let request = self.requests.get(key_of(event)?)?;
         let open: Option<Vec<&KnownTarget>> = open.map(|id| self.targets.get(id)).collect();
         let open = open?;
         if request.chains.is_empty() {
             // Of those that cost alike any may be it: proxies that all took the first would meet there.
             let start = (draw(self.draws) * open.len() as f64) as usize;
-            let turned: Vec<&KnownTarget> = open[start..].iter().chain(&open[..start]).copied().collect();
+            let turned: Vec<&KnownTarget> = open[start..]
+                .iter()
+                .chain(&open[..start])
+                .copied()
+                .collect();
             return cheapest(self.now, &request.chains, &turned, &[])
                 .map(|place| (place.at + start) % open.len());
         }
         let service = request.service;
         let allocator = self.allocators.entry(service).or_default();
         let allocation = allocator.current(self.now, || self.targets.running_hashes(service));
-        let keepers = request.chains.text().map_or(&[][..], |text| allocation.keepers(text));
+        let keepers = request
+            .chains
+            .text()
+            .map_or(&[][..], |text| allocation.keepers(text));
         let place = cheapest(self.now, &request.chains, &open, keepers)?;
         self.requests.get_mut(key_of(event)?)?.at_keeper = place.keeps_text;
         Some(place.at)
@@ -71,13 +90,18 @@
 
     fn send(&mut self, event: &EventId, target: &TargetId, _: Ms, _: Ms) {
         let Some(key) = key_of(event) else { return };
-        let (Some(request), Some(known)) = (self.requests.get_mut(key), self.targets.get_mut(target)) else {
+        let (Some(request), Some(known)) =
+            (self.requests.get_mut(key), self.targets.get_mut(target))
+        else {
             return;
         };
         self.holds.remove(key);
         request.is_out = true;
         known.load.sent();
-        known.load.reads(self.now, reading_time(known, &request.chains, request.at_keeper));
+        known.load.reads(
+            self.now,
+            reading_time(known, &request.chains, request.at_keeper),
+        );
         known.kept.note(&request.chains);
         self.commands.push(Command::Send {
             request: key,
@@ -100,19 +124,26 @@
 
     fn ping(&mut self, target: &TargetId) {
         if let Some(known) = self.targets.get(target) {
-            self.commands.push(Command::Ping { target: known.id.clone(), address: known.address });
+            self.commands.push(Command::Ping {
+                target: known.id.clone(),
+                address: known.address,
+            });
         }
     }
 
     fn close_idle(&mut self, target: &TargetId) {
         if let Some(known) = self.targets.get(target) {
-            self.commands.push(Command::CloseIdle { target: known.id.clone() });
+            self.commands.push(Command::CloseIdle {
+                target: known.id.clone(),
+            });
         }
     }
 
     fn take_back(&mut self, target: &TargetId) {
         if let Some(known) = self.targets.get(target) {
-            self.commands.push(Command::TakeBack { target: known.id.clone() });
+            self.commands.push(Command::TakeBack {
+                target: known.id.clone(),
+            });
         }
     }
 
@@ -125,6 +156,8 @@
 
 /// A number from 0 to 1, the same sequence for the same start.
 pub(crate) fn draw(state: &mut u64) -> f64 {
-    *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+    *state = state
+        .wrapping_mul(6_364_136_223_846_793_005)
+        .wrapping_add(1_442_695_040_888_963_407);
     (*state >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/tier/dispatch/src/demand.rs
+++ b/tier/dispatch/src/demand.rs
@@ -47,10 +47,17 @@
 
     /// The texts asked for most, at most so many; their shares add up to less than 1.
     pub fn most_asked(&self, most: usize) -> Vec<TextShare> {
-        let share =
-            |(text, count): (&u64, &f64)| TextShare { text: *text, share: count / (self.all + UNSEEN) };
+        let share = |(text, count): (&u64, &f64)| TextShare {
+            text: *text,
+            share: count / (self.all + UNSEEN),
+        };
         let mut shares: Vec<TextShare> = self.texts.iter().map(share).collect();
-        shares.sort_by(|one, other| other.share.total_cmp(&one.share).then(one.text.cmp(&other.text)));
+        shares.sort_by(|one, other| {
+            other
+                .share
+                .total_cmp(&one.share)
+                .then(one.text.cmp(&other.text))
+        });
         shares.truncate(most);
         shares
     }
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -14,7 +14,9 @@
 use crate::bridge::Bridge;
 use crate::holds::Holds;
 use crate::inputs::Input;
-use crate::interface::{Command, DispatchSettings, Ended, NewRequest, PingAnswer, RequestKey, UpstreamLoad};
+use crate::interface::{
+    Command, DispatchSettings, Ended, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+};
 use crate::module_terms;
 use crate::requests::{Request, Requests};
 use crate::retry::Verdict;
@@ -71,7 +73,9 @@
     pub fn tables_changed(&mut self, targets: &[Target]) {
         let changes = self.targets.replace(&self.settings.zone, targets);
         if !changes.is_empty() {
-            self.allocators.values_mut().for_each(Allocator::targets_changed);
+            self.allocators
+                .values_mut()
+                .for_each(Allocator::targets_changed);
         }
         self.inputs.extend(changes.into_iter().map(Input::Relisted));
     }
@@ -102,16 +106,26 @@
 
     /// Until when a new request is held: what it may wait for begins once its session no longer rests.
     fn first_hold(&self, now: Ms, new: &NewRequest) -> Ms {
-        let behind = new.session.is_some_and(|session| self.requests.has_session(session));
-        let held_for = if behind { HeldFor::Session } else { HeldFor::FirstSend };
-        let from = new.session.map_or(now, |session| self.rests.over_at(now, session));
+        let behind = new
+            .session
+            .is_some_and(|session| self.requests.has_session(session));
+        let held_for = if behind {
+            HeldFor::Session
+        } else {
+            HeldFor::FirstSend
+        };
+        let from = new
+            .session
+            .map_or(now, |session| self.rests.over_at(now, session));
         admission::hold_until(from, held_for, new.objective, new.deadline)
     }
 
     /// The client has left, or has its answer by other means: the request is not sent any more. A call that
     /// is out is the proxy's to end.
     pub fn withdrawn(&mut self, key: RequestKey) {
-        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
         request.is_over = true;
         self.holds.remove(key);
         self.requests.forget_if_done(key);
@@ -127,10 +141,15 @@
 
     /// A call ended. Ignored if none was out.
     pub fn ended(&mut self, now: Ms, key: RequestKey, target: &InstanceId, ended: Ended) {
-        let Some(request) = self.requests.get_mut(key).filter(|request| request.is_out) else { return };
+        let Some(request) = self.requests.get_mut(key).filter(|request| request.is_out) else {
+            return;
+        };
         request.is_out = false;
         request.attempts.count(ended.fate);
-        if let Some(session) = request.session.filter(|_| Verdict::of(ended.fate) == Verdict::MayHaveRun) {
+        if let Some(session) = request
+            .session
+            .filter(|_| Verdict::of(ended.fate) == Verdict::MayHaveRun)
+        {
             self.rests.begin(now, session, now + self.settle.value());
         }
         let wait = self.note_end(now, target, &ended);
@@ -147,9 +166,13 @@
 
     /// What the end says of the target; returns the wait that holds it.
     fn note_end(&mut self, now: Ms, target: &InstanceId, ended: &Ended) -> Ms {
-        let settled = ended.longest_pause.and_then(|pause| self.settle.seen(pause));
+        let settled = ended
+            .longest_pause
+            .and_then(|pause| self.settle.seen(pause));
         settled.into_iter().for_each(|rest| self.retune(rest));
-        let Some(known) = self.targets.get_mut(&target_id(target)) else { return 0.0 };
+        let Some(known) = self.targets.get_mut(&target_id(target)) else {
+            return 0.0;
+        };
         known.load.ended();
         if let Some(load) = ended.load {
             known.load.reported(now, load);
@@ -157,11 +180,15 @@
         match ended.fate {
             Fate::Delivered => known.load.answered(ended.took),
             Fate::Full => {
-                let wait = ended.retry_after.unwrap_or_else(|| known.load.wait_after_refusal(now));
+                let wait = ended
+                    .retry_after
+                    .unwrap_or_else(|| known.load.wait_after_refusal(now));
                 known.closed_until = now + wait;
                 return wait;
             }
-            Fate::Error | Fate::TimedOut | Fate::NoConnection | Fate::Reset => known.load.failed(now),
+            Fate::Error | Fate::TimedOut | Fate::NoConnection | Fate::Reset => {
+                known.load.failed(now)
+            }
             Fate::NotSent => known.load.failed(now),
             Fate::Cancelled => (),
         }
@@ -170,14 +197,19 @@
 
     /// Whether the request is over by this end; if it is not, it is held for its next call.
     fn decide_next(&mut self, now: Ms, key: RequestKey, fate: Fate) -> bool {
-        let Some(request) = self.requests.get_mut(key) else { return true };
+        let Some(request) = self.requests.get_mut(key) else {
+            return true;
+        };
         if fate == Fate::Delivered {
             request.is_over = true;
         }
         if request.is_over {
             return true;
         }
-        if !request.attempts.allow_another(request.repeats, request.max_attempts) {
+        if !request
+            .attempts
+            .allow_another(request.repeats, request.max_attempts)
+        {
             self.given_up.push(key);
             return true;
         }
@@ -211,7 +243,10 @@
     pub fn commands(&mut self, now: Ms) -> Vec<Command> {
         let mut commands = Vec::new();
         self.wake_at.take_if(|at| *at <= now);
-        let (inputs, given_up) = (std::mem::take(&mut self.inputs), std::mem::take(&mut self.given_up));
+        let (inputs, given_up) = (
+            std::mem::take(&mut self.inputs),
+            std::mem::take(&mut self.given_up),
+        );
         let mut bridge = Bridge {
             now,
             requests: &mut self.requests,
@@ -233,7 +268,11 @@
         };
         let Ok(()) = self.module.round(now, hand_over, &mut bridge);
         self.targets.forget_gone();
-        let wake_at = self.wake_at.into_iter().chain(self.holds.next()).reduce(f64::min);
+        let wake_at = self
+            .wake_at
+            .into_iter()
+            .chain(self.holds.next())
+            .reduce(f64::min);
         commands.extend(wake_at.map(Command::WakeAt));
         commands
     }
--- a/tier/dispatch/src/holds.rs
+++ b/tier/dispatch/src/holds.rs
@@ -41,7 +41,9 @@
 
     /// When the next hold is over.
     pub(crate) fn next(&self) -> Option<Ms> {
-        self.by_time.first().map(|(until, _)| *until as f64 / 1000.0)
+        self.by_time
+            .first()
+            .map(|(until, _)| *until as f64 / 1000.0)
     }
 }
 
--- a/tier/dispatch/src/inputs.rs
+++ b/tier/dispatch/src/inputs.rs
@@ -1,7 +1,9 @@
 //! What is gathered between two rounds of the decision module, in the order in which it came.
 
 use plankhill_decisions::decide::Forwarder;
-use plankhill_decisions::interface::{DestinationId, Ended, Fate, Listing, Ms, OrderKey, TargetId, TrafficId};
+use plankhill_decisions::interface::{
+    DestinationId, Ended, Fate, Listing, Ms, OrderKey, TargetId, TrafficId,
+};
 
 use crate::interface::RequestKey;
 use crate::module_terms::SERVICE;
@@ -32,10 +34,21 @@
             Input::Relisted(change) if change.listing == Listing::Gone => {
                 module.relisted(&change.target, Listing::Gone);
             }
-            Input::Relisted(Relisted { target, service, zone, listing }) => {
+            Input::Relisted(Relisted {
+                target,
+                service,
+                zone,
+                listing,
+            }) => {
                 module.listed(target, service, SERVICE, zone, listing);
             }
-            Input::Taken { key, service, traffic, deadline, session } => {
+            Input::Taken {
+                key,
+                service,
+                traffic,
+                deadline,
+                session,
+            } => {
                 module.taken(event_id(key), service, traffic, deadline, session);
             }
             Input::Withdrawn(key) => module.withdrawn(&event_id(key)),
--- a/tier/dispatch/src/interface.rs
+++ b/tier/dispatch/src/interface.rs
@@ -102,7 +102,13 @@
 impl Ended {
     /// With nothing known but the fate.
     pub fn plain(fate: Fate) -> Self {
-        Ended { fate, took: 0.0, retry_after: None, load: None, longest_pause: None }
+        Ended {
+            fate,
+            took: 0.0,
+            retry_after: None,
+            load: None,
+            longest_pause: None,
+        }
     }
 }
 
--- a/tier/dispatch/src/load.rs
+++ b/tier/dispatch/src/load.rs
@@ -110,7 +110,11 @@
     /// of other proxies as is common at the service.
     pub fn estimate(&self, now: Ms, common_others: f64) -> f64 {
         let is_unusual = self.reported_by_others > UNUSUAL_SHARE * common_others + UNUSUAL_FEW;
-        let half_life = if is_unusual { UNUSUAL_HALF_LIFE } else { HALF_LIFE };
+        let half_life = if is_unusual {
+            UNUSUAL_HALF_LIFE
+        } else {
+            HALF_LIFE
+        };
         let trust = (-self.age(now) / half_life).exp2();
         f64::from(self.out) + trust * self.reported_by_others + (1.0 - trust) * common_others
     }
@@ -123,9 +127,16 @@
     pub fn cost(&self, now: Ms, estimate: f64, all_slots: Ms) -> Ms {
         let running = estimate.min(self.slots);
         let waiting = estimate - running;
-        let avoided = if now < self.avoided_until { AVOIDED_COST } else { 0.0 };
+        let avoided = if now < self.avoided_until {
+            AVOIDED_COST
+        } else {
+            0.0
+        };
         let reads = (self.reading_until - now).max(0.0);
-        reads + all_slots * running / self.slots + waiting * self.answer_time() / self.slots + avoided
+        reads
+            + all_slots * running / self.slots
+            + waiting * self.answer_time() / self.slots
+            + avoided
     }
 
     /// How long a target that refused as full takes nothing: until a tenth of what it has there is done.
--- a/tier/dispatch/src/module_terms.rs
+++ b/tier/dispatch/src/module_terms.rs
@@ -19,7 +19,11 @@
 const SENDS_CAP: u32 = 64;
 /// The first pause before a request goes again; it doubles. Half a second after a failure, as for events that
 /// wait for seconds, would use up a whole objective. After what did not run, another target may have room now.
-const PAUSES: RetryPauses = RetryPauses { failed: 40.0, refused: 4.0, unsent: 4.0 };
+const PAUSES: RetryPauses = RetryPauses {
+    failed: 40.0,
+    refused: 4.0,
+    unsent: 4.0,
+};
 /// Farther away than any deadline: worth falls with age only past it, that is never.
 const NO_AGE: Ms = 1e12;
 
@@ -29,7 +33,10 @@
         seed: settings.seed,
         forwarders: 1.0,
         traffic: traffic(),
-        kinds: vec![DestinationKind { routes_apart: true, events_per_call: 1 }],
+        kinds: vec![DestinationKind {
+            routes_apart: true,
+            events_per_call: 1,
+        }],
         slots: SLOTS,
         room: settings.most_requests,
         sends_cap: SENDS_CAP,
@@ -39,7 +46,11 @@
         tip_multiple: 1.0,
         over_share_worth: 1.0,
         key_rest,
-        tuning: Tuning { pauses: PAUSES, spaced: false, released_by_pings: true },
+        tuning: Tuning {
+            pauses: PAUSES,
+            spaced: false,
+            released_by_pings: true,
+        },
         ..Terms::default()
     }
 }
--- a/tier/dispatch/src/requests.rs
+++ b/tier/dispatch/src/requests.rs
@@ -48,7 +48,9 @@
 
     /// When a call that leaves now ends as timed out. A stream goes on for as long as it may.
     pub(crate) fn call_deadline(&self, now: Ms, usual_answer: Ms) -> Ms {
-        let another = self.attempts.more_after_this(self.repeats, self.max_attempts);
+        let another = self
+            .attempts
+            .more_after_this(self.repeats, self.max_attempts);
         let may_follow = another && self.session.is_none();
         call_deadline(now, self.deadline, self.objective, usual_answer, may_follow)
     }
@@ -93,13 +95,18 @@
 
     /// Forgets the request once it is over and no call of it is out.
     pub(crate) fn forget_if_done(&mut self, key: RequestKey) {
-        let done = self.by_key.get(&key).is_some_and(|request| request.is_over && !request.is_out);
+        let done = self
+            .by_key
+            .get(&key)
+            .is_some_and(|request| request.is_over && !request.is_out);
         if !done {
             return;
         }
         let session = self.by_key.remove(&key).and_then(|request| request.session);
         let Some(session) = session else { return };
-        let Some(count) = self.sessions.get_mut(&session) else { return };
+        let Some(count) = self.sessions.get_mut(&session) else {
+            return;
+        };
         *count -= 1;
         if *count == 0 {
             self.sessions.remove(&session);
--- a/tier/dispatch/src/retry.rs
+++ b/tier/dispatch/src/retry.rs
@@ -38,7 +38,13 @@
 const GIVEN_SHARE: f64 = 0.5;
 
 /// When a call ends as timed out: at the request's deadline, or earlier where another call may follow.
-pub fn call_deadline(now: Ms, deadline: Ms, objective: Ms, usual_answer: Ms, may_follow: bool) -> Ms {
+pub fn call_deadline(
+    now: Ms,
+    deadline: Ms,
+    objective: Ms,
+    usual_answer: Ms,
+    may_follow: bool,
+) -> Ms {
     if !may_follow {
         return deadline;
     }
--- a/tier/dispatch/src/settle.rs
+++ b/tier/dispatch/src/settle.rs
@@ -28,7 +28,10 @@
 
 impl Default for SettleTime {
     fn default() -> Self {
-        SettleTime { usual_pause: None, in_use: INITIAL }
+        SettleTime {
+            usual_pause: None,
+            in_use: INITIAL,
+        }
     }
 }
 
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -64,8 +64,10 @@
 
     /// Takes over new tables; returns what changed.
     pub(crate) fn replace(&mut self, own_zone: &ZoneName, listed: &[Target]) -> Vec<Relisted> {
-        let named: HashMap<&str, &Target> =
-            listed.iter().map(|target| (target.id.as_str(), target)).collect();
+        let named: HashMap<&str, &Target> = listed
+            .iter()
+            .map(|target| (target.id.as_str(), target))
+            .collect();
         let mut changes = self.gone(&named);
         for target in listed {
             changes.extend(self.enter(own_zone, target));
@@ -82,7 +84,12 @@
             }
             known.listing = Listing::Gone;
             let (service, zone) = (known.service, ZoneId::UNKNOWN);
-            changes.push(Relisted { target: id.clone(), service, zone, listing: Listing::Gone });
+            changes.push(Relisted {
+                target: id.clone(),
+                service,
+                zone,
+                listing: Listing::Gone,
+            });
         }
         changes
     }
@@ -101,7 +108,12 @@
                 return None;
             }
             known.listing = listing;
-            return Some(Relisted { target: id, service: known.service, zone, listing });
+            return Some(Relisted {
+                target: id,
+                service: known.service,
+                zone,
+                listing,
+            });
         }
         let known = KnownTarget {
             id: target.id.clone(),
@@ -115,26 +127,37 @@
             listing,
         };
         self.by_id.insert(id.clone(), known);
-        Some(Relisted { target: id, service, zone, listing })
+        Some(Relisted {
+            target: id,
+            service,
+            zone,
+            listing,
+        })
     }
 
     /// The hashes of the service's targets that take new requests.
     pub(crate) fn running_hashes(&self, service: DestinationId) -> Vec<u64> {
         let of_service = self.by_id.values().filter(|known| known.service == service);
-        of_service.filter(|known| known.listing == Listing::Running).map(|known| known.hash).collect()
+        of_service
+            .filter(|known| known.listing == Listing::Running)
+            .map(|known| known.hash)
+            .collect()
     }
 
     /// When the first target that refused takes calls again; none where no wait runs.
     pub(crate) fn opens_at(&self, service: DestinationId, now: Ms) -> Option<Ms> {
         let of_service = self.by_id.values().filter(|known| known.service == service);
         let running = of_service.filter(|known| known.listing == Listing::Running);
-        let waits = running.map(|known| known.closed_until).filter(|until| *until > now);
+        let waits = running
+            .map(|known| known.closed_until)
+            .filter(|until| *until > now);
         waits.reduce(f64::min)
     }
 
     /// Forgets targets that are gone and have no call out.
     pub(crate) fn forget_gone(&mut self) {
-        self.by_id.retain(|_, known| known.listing != Listing::Gone || known.load.out() > 0);
+        self.by_id
+            .retain(|_, known| known.listing != Listing::Gone || known.load.out() > 0);
     }
 }
 
--- a/tier/dispatch/tests/admission.rs
+++ b/tier/dispatch/tests/admission.rs
@@ -4,7 +4,12 @@
 use plankhill_dispatch::admission::{hold_until, priority, retry_after, HeldFor, LAST_PRIORITY};
 use plankhill_dispatch::settle::SettleTime;
 
-const REASONS: [HeldFor; 4] = [HeldFor::FirstSend, HeldFor::Refused, HeldFor::NextSend, HeldFor::Session];
+const REASONS: [HeldFor; 4] = [
+    HeldFor::FirstSend,
+    HeldFor::Refused,
+    HeldFor::NextSend,
+    HeldFor::Session,
+];
 
 #[test]
 fn no_hold_outlasts_the_deadline() {
--- a/tier/dispatch/tests/affinity.rs
+++ b/tier/dispatch/tests/affinity.rs
@@ -13,7 +13,10 @@
 use plankhill_protocol::ids::InstanceId;
 
 fn parts(parts: &[(u64, u32)]) -> Vec<PrefixPart> {
-    parts.iter().map(|&(id, tokens)| PrefixPart { id, tokens }).collect()
+    parts
+        .iter()
+        .map(|&(id, tokens)| PrefixPart { id, tokens })
+        .collect()
 }
 
 fn chains(list: &[(u64, u32)]) -> Chains {
@@ -21,7 +24,10 @@
 }
 
 fn prompt(key: u64, now: Ms, session: u64, list: &[(u64, u32)]) -> NewRequest {
-    NewRequest { prefix: parts(list), ..turn(key, now, session) }
+    NewRequest {
+        prefix: parts(list),
+        ..turn(key, now, session)
+    }
 }
 
 #[test]
@@ -48,7 +54,11 @@
         kept.note(&chains(&[shared, (session, 10)]));
     }
     assert_eq!(kept.missing(&chains(&[shared, (4_999, 10)]), false), 0);
-    assert_eq!(kept.missing(&chains(&[shared, (10, 10)]), false), 10, "the shared part was used ever since");
+    assert_eq!(
+        kept.missing(&chains(&[shared, (10, 10)]), false),
+        10,
+        "the shared part was used ever since"
+    );
 }
 
 #[test]
@@ -60,7 +70,9 @@
         for turn in 0..4 {
             let (key, tokens) = (10 * session + turn, 500 + 100 * turn as u32);
             now += 10.0;
-            let target = proxy.takes(now, prompt(key, now, session, &[(session, tokens)])).expect("sent");
+            let target = proxy
+                .takes(now, prompt(key, now, session, &[(session, tokens)]))
+                .expect("sent");
             now += 10.0;
             proxy.ends(now, key, &target, Fate::Delivered);
             targets.insert(target);
@@ -113,7 +125,9 @@
     let mut proxy = Proxy::with(&["a", "b", "c", "d"]);
     let mut calls = std::collections::HashMap::<String, usize>::new();
     for key in 0..40 {
-        let target = proxy.takes(1.0, prompt(key, 1.0, key, &[(7, 4_000), (key + 100, 10)])).expect("sent");
+        let target = proxy
+            .takes(1.0, prompt(key, 1.0, key, &[(7, 4_000), (key + 100, 10)]))
+            .expect("sent");
         *calls.entry(target).or_default() += 1;
     }
     let (most, least) = (calls.values().max().copied(), calls.values().min().copied());
@@ -128,7 +142,12 @@
     proxy.takes(1.0, prompt(1, 1.0, 1, &[(7, 4_000), (8, 10)]));
     proxy.ends(2.0, 1, "a", Fate::Delivered);
     proxy.dispatcher.tables_changed(&[healthy("a2")]);
-    assert_eq!(proxy.takes(3.0, prompt(2, 3.0, 1, &[(7, 4_000), (8, 20)])).as_deref(), Some("a2"));
+    assert_eq!(
+        proxy
+            .takes(3.0, prompt(2, 3.0, 1, &[(7, 4_000), (8, 20)]))
+            .as_deref(),
+        Some("a2")
+    );
 }
 
 #[test]
@@ -144,11 +163,16 @@
     arbtest(|u| {
         let count: usize = u.int_in_range(1..=12)?;
         let names: Vec<String> = (0..count).map(|at| format!("i-{at}")).collect();
-        let hashes: Vec<u64> =
-            names.iter().map(|name| target_hash(&InstanceId::from(name.as_str()))).collect();
+        let hashes: Vec<u64> = names
+            .iter()
+            .map(|name| target_hash(&InstanceId::from(name.as_str())))
+            .collect();
         let prompt = chains(&[(u.arbitrary()?, 10), (u.arbitrary()?, 10)]);
         let text = prompt.text().expect("two parts");
-        let shares = vec![TextShare { text, share: u.int_in_range(1..=100)? as f64 / 100.0 }];
+        let shares = vec![TextShare {
+            text,
+            share: u.int_in_range(1..=100)? as f64 / 100.0,
+        }];
         let allocation = Allocation::of(shares, &hashes);
         let keepers = allocation.keepers(text);
         let costs = rank_costs(&prompt, &hashes, keepers);
@@ -157,10 +181,18 @@
         turned_costs.reverse();
         assert_eq!(costs, turned_costs);
         assert_eq!(costs.iter().filter(|rank| rank.cost == 0.0).count(), 1);
-        assert_eq!(costs.iter().filter(|rank| rank.keeps_text).count(), keepers.len());
-        let dearest_keeper =
-            costs.iter().filter(|rank| rank.keeps_text).map(|rank| rank.cost).fold(0.0, f64::max);
-        assert!(costs.iter().all(|rank| rank.keeps_text || rank.cost > dearest_keeper));
+        assert_eq!(
+            costs.iter().filter(|rank| rank.keeps_text).count(),
+            keepers.len()
+        );
+        let dearest_keeper = costs
+            .iter()
+            .filter(|rank| rank.keeps_text)
+            .map(|rank| rank.cost)
+            .fold(0.0, f64::max);
+        assert!(costs
+            .iter()
+            .all(|rank| rank.keeps_text || rank.cost > dearest_keeper));
         Ok(())
     })
     .budget_ms(500);
@@ -173,7 +205,10 @@
         for _ in 0..u.int_in_range(0..=20)? {
             let list: Vec<(u64, u32)> = u.arbitrary()?;
             let prompt = chains(&list);
-            let all = list.iter().take(64).fold(0u32, |sum, part| sum.saturating_add(part.1));
+            let all = list
+                .iter()
+                .take(64)
+                .fold(0u32, |sum, part| sum.saturating_add(part.1));
             assert!(kept.missing(&prompt, false) <= all);
             kept.note(&prompt);
         }
--- a/tier/dispatch/tests/allocation.rs
+++ b/tier/dispatch/tests/allocation.rs
@@ -9,7 +9,9 @@
 use plankhill_protocol::ids::InstanceId;
 
 fn hashes(count: usize) -> Vec<u64> {
-    (0..count).map(|at| target_hash(&InstanceId::from(format!("i-{at}").as_str()))).collect()
+    (0..count)
+        .map(|at| target_hash(&InstanceId::from(format!("i-{at}").as_str())))
+        .collect()
 }
 
 fn total(quotas: &[Quota]) -> f64 {
@@ -46,8 +48,10 @@
         let targets = hashes(u.int_in_range(1..=40)?);
         let weights: Vec<u8> = u.arbitrary()?;
         let sum: f64 = weights.iter().map(|weight| f64::from(*weight)).sum::<f64>() + 1.0;
-        let share =
-            |(text, weight): (usize, &u8)| TextShare { text: text as u64, share: f64::from(*weight) / sum };
+        let share = |(text, weight): (usize, &u8)| TextShare {
+            text: text as u64,
+            share: f64::from(*weight) / sum,
+        };
         let shares: Vec<TextShare> = weights.iter().enumerate().map(share).collect();
         let allocation = Allocation::of(shares.clone(), &targets);
         let mut given: HashMap<u64, f64> = HashMap::new();
@@ -56,7 +60,9 @@
             // Crumbs of room are left.
             assert!(total(quotas) <= share.share + 1e-9);
             assert!(total(quotas) >= share.share - 0.02 - 1e-9);
-            quotas.iter().for_each(|quota| *given.entry(quota.target).or_default() += quota.share);
+            quotas
+                .iter()
+                .for_each(|quota| *given.entry(quota.target).or_default() += quota.share);
         }
         let each = 1.0 / targets.len() as f64;
         assert!(given.values().all(|share| *share <= each + 1e-9));
@@ -72,7 +78,11 @@
     let mix = |noise: f64| {
         let share = |text: u64| TextShare {
             text,
-            share: if text.is_multiple_of(2) { 0.15 + noise } else { 0.15 - noise },
+            share: if text.is_multiple_of(2) {
+                0.15 + noise
+            } else {
+                0.15 - noise
+            },
         };
         Allocation::of((0..6).map(share).collect(), &targets)
     };
@@ -83,7 +93,12 @@
         all += kept.len();
         same += kept
             .iter()
-            .filter(|quota| other.keepers(text).iter().any(|it| it.target == quota.target))
+            .filter(|quota| {
+                other
+                    .keepers(text)
+                    .iter()
+                    .any(|it| it.target == quota.target)
+            })
             .count();
     }
     assert!(same * 3 >= all * 2, "{same} of {all}");
@@ -96,10 +111,21 @@
     let before = Allocation::of(shares.clone(), &targets);
     let after = Allocation::of(shares, &targets[1..]);
     let kept = |allocation: &Allocation| -> Vec<(u64, u64)> {
-        let of = |text| allocation.keepers(text).iter().map(move |quota| (text, quota.target));
-        (0..6).flat_map(|text| of(text).collect::<Vec<_>>()).collect()
+        let of = |text| {
+            allocation
+                .keepers(text)
+                .iter()
+                .map(move |quota| (text, quota.target))
+        };
+        (0..6)
+            .flat_map(|text| of(text).collect::<Vec<_>>())
+            .collect()
     };
     let (before, after) = (kept(&before), kept(&after));
     let stayed = before.iter().filter(|pair| after.contains(pair)).count();
-    assert!(stayed * 10 >= before.len() * 7, "{stayed} of {}", before.len());
+    assert!(
+        stayed * 10 >= before.len() * 7,
+        "{stayed} of {}",
+        before.len()
+    );
 }
--- a/tier/dispatch/tests/attempts.rs
+++ b/tier/dispatch/tests/attempts.rs
@@ -19,7 +19,10 @@
 
 #[test]
 fn only_what_was_refused_or_never_left_surely_did_not_run() {
-    let not_run: Vec<Fate> = FATES.into_iter().filter(|fate| Verdict::of(*fate) == Verdict::NotRun).collect();
+    let not_run: Vec<Fate> = FATES
+        .into_iter()
+        .filter(|fate| Verdict::of(*fate) == Verdict::NotRun)
+        .collect();
     assert_eq!(not_run, [Fate::Full, Fate::NoConnection, Fate::NotSent]);
 }
 
@@ -39,7 +42,14 @@
         let mut proxy = Proxy::with(&["a", "b"]);
         let target = proxy.takes(1.0, once(1, 1.0)).expect("sent");
         let commands = proxy.ends(10.0, 1, &target, fate);
-        assert_eq!(commands, [Command::Fail { request: RequestKey(1), last: fate }], "{fate:?}");
+        assert_eq!(
+            commands,
+            [Command::Fail {
+                request: RequestKey(1),
+                last: fate
+            }],
+            "{fate:?}"
+        );
         assert!(proxy.until(6_000.0).is_empty());
         assert!(proxy.dispatcher.is_empty());
     }
@@ -70,7 +80,13 @@
     proxy.ends(2.0, 1, &first, Fate::Reset);
     let second = sent_to(&proxy.until(60.0)).expect("again");
     let commands = proxy.ends(61.0, 1, &second, Fate::Reset);
-    assert_eq!(commands, [Command::Fail { request: RequestKey(1), last: Fate::Reset }]);
+    assert_eq!(
+        commands,
+        [Command::Fail {
+            request: RequestKey(1),
+            last: Fate::Reset
+        }]
+    );
 }
 
 #[test]
@@ -93,9 +109,13 @@
 #[test]
 fn without_a_target_a_request_is_refused_within_a_quarter_of_its_objective() {
     let mut proxy = Proxy::with(&[]);
-    assert!(proxy.at(1.0, |dispatcher| dispatcher.request(1.0, request(1, 1.0))).is_empty());
+    assert!(proxy
+        .at(1.0, |dispatcher| dispatcher.request(1.0, request(1, 1.0)))
+        .is_empty());
     let commands = proxy.until(1.0 + 0.25 * 500.0);
-    let [Command::Refuse { retry_after, .. }] = commands[..] else { panic!("{commands:?}") };
+    let [Command::Refuse { retry_after, .. }] = commands[..] else {
+        panic!("{commands:?}")
+    };
     assert!((1.0..=1_000.0).contains(&retry_after));
 }
 
@@ -126,7 +146,10 @@
 fn a_told_wait_holds_the_target() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, request(1, 1.0));
-    let full = Ended { retry_after: Some(100.0), ..Ended::plain(Fate::Full) };
+    let full = Ended {
+        retry_after: Some(100.0),
+        ..Ended::plain(Fate::Full)
+    };
     proxy.ends_with(2.0, 1, "a", full);
     assert!(sends(&proxy.until(101.0)).is_empty());
     assert_eq!(sends(&proxy.until(110.0)), [(1, "a".to_owned())]);
--- a/tier/dispatch/tests/common/mod.rs
+++ b/tier/dispatch/tests/common/mod.rs
@@ -34,7 +34,11 @@
 }
 
 pub fn settings() -> DispatchSettings {
-    DispatchSettings { seed: 7, zone: ZoneName::from("near"), most_requests: 1000 }
+    DispatchSettings {
+        seed: 7,
+        zone: ZoneName::from("near"),
+        most_requests: 1000,
+    }
 }
 
 /// An idempotent request without a session, due 5 s after `now`, with an objective of 500 ms.
@@ -54,11 +58,17 @@
 }
 
 pub fn once(key: u64, now: Ms) -> NewRequest {
-    NewRequest { repeats: Repeats::Forbidden, ..request(key, now) }
+    NewRequest {
+        repeats: Repeats::Forbidden,
+        ..request(key, now)
+    }
 }
 
 pub fn turn(key: u64, now: Ms, session: u64) -> NewRequest {
-    NewRequest { session: Some(session), ..request(key, now) }
+    NewRequest {
+        session: Some(session),
+        ..request(key, now)
+    }
 }
 
 pub struct Proxy {
@@ -75,7 +85,12 @@
         let mut dispatcher = Dispatcher::new(settings(), 0.0);
         let listed: Vec<Target> = targets.iter().map(|id| healthy(id)).collect();
         dispatcher.tables_changed(&listed);
-        Proxy { dispatcher, now: 0.0, wake_at: None, transcript: None }
+        Proxy {
+            dispatcher,
+            now: 0.0,
+            wake_at: None,
+            transcript: None,
+        }
     }
 
     /// Runs a round; wake-ups are left out of what it returns.
@@ -114,12 +129,22 @@
     }
 
     pub fn ends(&mut self, now: Ms, key: u64, target: &str, fate: Fate) -> Vec<Command> {
-        self.ends_with(now, key, target, Ended { took: 50.0, ..Ended::plain(fate) })
+        self.ends_with(
+            now,
+            key,
+            target,
+            Ended {
+                took: 50.0,
+                ..Ended::plain(fate)
+            },
+        )
     }
 
     pub fn ends_with(&mut self, now: Ms, key: u64, target: &str, ended: Ended) -> Vec<Command> {
         let target = InstanceId::from(target);
-        self.at(now, |dispatcher| dispatcher.ended(now, RequestKey(key), &target, ended))
+        self.at(now, |dispatcher| {
+            dispatcher.ended(now, RequestKey(key), &target, ended)
+        })
     }
 
     pub fn pinged(&mut self, now: Ms, target: &str, answer: PingAnswer) -> Vec<Command> {
@@ -138,18 +163,24 @@
 
 pub fn sends(commands: &[Command]) -> Vec<(u64, String)> {
     let send = |command: &Command| match command {
-        Command::Send { request, target, .. } => Some((request.0, target.as_str().to_owned())),
+        Command::Send {
+            request, target, ..
+        } => Some((request.0, target.as_str().to_owned())),
         _ => None,
     };
     commands.iter().filter_map(send).collect()
 }
 
 pub fn is_refused(commands: &[Command], key: u64) -> bool {
-    commands.iter().any(|command| matches!(command, Command::Refuse { request, .. } if request.0 == key))
+    commands
+        .iter()
+        .any(|command| matches!(command, Command::Refuse { request, .. } if request.0 == key))
 }
 
 pub fn is_failed(commands: &[Command], key: u64) -> bool {
-    commands.iter().any(|command| matches!(command, Command::Fail { request, .. } if request.0 == key))
+    commands
+        .iter()
+        .any(|command| matches!(command, Command::Fail { request, .. } if request.0 == key))
 }
 
 pub fn pings(commands: &[Command]) -> Vec<String> {
--- a/tier/dispatch/tests/common/transcript.rs
+++ b/tier/dispatch/tests/common/transcript.rs
@@ -19,12 +19,19 @@
 
 impl Transcript {
     pub fn new() -> Self {
-        Transcript { digest: OFFSET_BASIS, lines: 0, text: None }
+        Transcript {
+            digest: OFFSET_BASIS,
+            lines: 0,
+            text: None,
+        }
     }
 
     /// Also keeps the text, to find the first line that differs.
     pub fn with_text() -> Self {
-        Transcript { text: Some(String::new()), ..Transcript::new() }
+        Transcript {
+            text: Some(String::new()),
+            ..Transcript::new()
+        }
     }
 
     pub fn text(&self) -> &str {
@@ -47,7 +54,11 @@
     /// The end of a call.
     pub fn ended(&mut self, proxy: usize, now: Ms, key: u64, target: &str, ended: &Ended) {
         let fate = fate_word(ended.fate);
-        self.line(&format!("{proxy} {} ended {key} {target} {fate} {}", bits(now), bits(ended.took)));
+        self.line(&format!(
+            "{proxy} {} ended {key} {target} {fate} {}",
+            bits(now),
+            bits(ended.took)
+        ));
     }
 
     pub fn line(&mut self, line: &str) {
@@ -64,10 +75,24 @@
 
 fn described(command: &Command) -> String {
     match command {
-        Command::Send { request, target, address, deadline, priority } => {
-            format!("send {} {} {address} {} {priority}", request.0, target.as_str(), bits(*deadline))
+        Command::Send {
+            request,
+            target,
+            address,
+            deadline,
+            priority,
+        } => {
+            format!(
+                "send {} {} {address} {} {priority}",
+                request.0,
+                target.as_str(),
+                bits(*deadline)
+            )
         }
-        Command::Refuse { request, retry_after } => format!("refuse {} {}", request.0, bits(*retry_after)),
+        Command::Refuse {
+            request,
+            retry_after,
+        } => format!("refuse {} {}", request.0, bits(*retry_after)),
         Command::Fail { request, last } => format!("fail {} {}", request.0, fate_word(*last)),
         Command::Ping { target, address } => format!("ping {} {address}", target.as_str()),
         Command::CloseIdle { target } => format!("close-idle {}", target.as_str()),
--- a/tier/dispatch/tests/decisions_digest/faults.rs
+++ b/tier/dispatch/tests/decisions_digest/faults.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use plankhill_dispatch::{
-    Command, DispatchSettings, Dispatcher, Ended, Fate, Ms, NewRequest, PingAnswer, PrefixPart, Repeats,
-    RequestKey, UpstreamLoad,
+    Command, DispatchSettings, Dispatcher, Ended, Fate, Ms, NewRequest, PingAnswer, PrefixPart,
+    Repeats, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
@@ -38,8 +38,16 @@
 
 enum Happens {
     Request,
-    Ended { key: u64, target: String, number: u64, ended: Ended },
-    Pinged { target: String, healthy: bool },
+    Ended {
+        key: u64,
+        target: String,
+        number: u64,
+        ended: Ended,
+    },
+    Pinged {
+        target: String,
+        healthy: bool,
+    },
     Withdrawn(u64),
     ConditionChanges,
     TablesChange,
@@ -66,7 +74,11 @@
 /// Runs the world with that seed; every third one with room for few requests.
 pub fn run(seed: u64) -> Transcript {
     let most_requests = if seed % 3 == 0 { FEW_REQUESTS } else { 1_000 };
-    let settings = DispatchSettings { seed, zone: ZoneName::from(ZONES[0]), most_requests };
+    let settings = DispatchSettings {
+        seed,
+        zone: ZoneName::from(ZONES[0]),
+        most_requests,
+    };
     let mut world = World {
         now: 0.0,
         draws: mixed(seed),
@@ -106,7 +118,8 @@
     fn at(&mut self, when: Ms, happens: Happens) {
         self.count += 1;
         self.due.insert(self.count, happens);
-        self.agenda.push(Reverse(((when * 1_000.0).ceil() as u64, self.count)));
+        self.agenda
+            .push(Reverse(((when * 1_000.0).ceil() as u64, self.count)));
     }
 
     fn go_on(&mut self) {
@@ -124,20 +137,34 @@
             Happens::Request => {
                 self.request();
                 if now < LENGTH {
-                    let rate = if (now / 5_000.0) as u64 % 2 == 0 { 3.0 } else { 12.0 };
+                    let rate = if (now / 5_000.0) as u64 % 2 == 0 {
+                        3.0
+                    } else {
+                        12.0
+                    };
                     let pause = rate * (0.2 + 1.6 * self.draw());
                     self.at(now + pause, Happens::Request);
                 }
             }
-            Happens::Ended { key, target, number, ended } => {
+            Happens::Ended {
+                key,
+                target,
+                number,
+                ended,
+            } => {
                 if self.out.get(&key) != Some(&(target.clone(), number)) {
                     return;
                 }
                 self.ends(key, &target, ended);
             }
             Happens::Pinged { target, healthy } => {
-                let answer = if healthy { PingAnswer::Healthy } else { PingAnswer::Unhealthy };
-                self.dispatcher.pinged(&InstanceId::from(target.as_str()), answer);
+                let answer = if healthy {
+                    PingAnswer::Healthy
+                } else {
+                    PingAnswer::Unhealthy
+                };
+                self.dispatcher
+                    .pinged(&InstanceId::from(target.as_str()), answer);
             }
             Happens::Withdrawn(key) => {
                 if self.over.insert(key, true) == Some(true) {
@@ -177,11 +204,14 @@
             self.over.insert(key, true);
         }
         self.transcript.ended(0, self.now, key, target, &ended);
-        self.dispatcher.ended(self.now, RequestKey(key), &InstanceId::from(target), ended);
+        self.dispatcher
+            .ended(self.now, RequestKey(key), &InstanceId::from(target), ended);
     }
 
     fn machine(&mut self, id: &str) -> Option<&mut Machine> {
-        self.machines.iter_mut().find(|machine| machine.listed.id.as_str() == id)
+        self.machines
+            .iter_mut()
+            .find(|machine| machine.listed.id.as_str() == id)
     }
 
     fn request(&mut self) {
@@ -189,7 +219,11 @@
         let (key, now) = (self.keys, self.now);
         let deadline = now + 300.0 + 4_000.0 * self.draw();
         let has_prompt = self.below(2) == 0;
-        let session = if self.below(3) == 0 { Some(self.below(12)) } else { None };
+        let session = if self.below(3) == 0 {
+            Some(self.below(12))
+        } else {
+            None
+        };
         let subject = self.below(4);
         let own = session.map_or(1_000 + key, |session| 100 + session);
         let finish_left = match self.below(4) {
@@ -201,7 +235,11 @@
         let new = NewRequest {
             key: RequestKey(key),
             service: ServiceName::from(SERVICES[self.below(2) as usize]),
-            repeats: if self.below(2) == 0 { Repeats::Allowed } else { Repeats::Forbidden },
+            repeats: if self.below(2) == 0 {
+                Repeats::Allowed
+            } else {
+                Repeats::Forbidden
+            },
             session,
             deadline,
             objective: 50.0 + 450.0 * self.draw(),
@@ -209,7 +247,16 @@
             priority: self.below(3) as u8,
             finish_left,
             prefix: match has_prompt {
-                true => vec![PrefixPart { id: subject, tokens: 2_000 }, PrefixPart { id: own, tokens: 300 }],
+                true => vec![
+                    PrefixPart {
+                        id: subject,
+                        tokens: 2_000,
+                    },
+                    PrefixPart {
+                        id: own,
+                        tokens: 300,
+                    },
+                ],
                 false => Vec::new(),
             },
         };
@@ -228,7 +275,12 @@
         self.wake += 1;
         for command in commands {
             match command {
-                Command::Send { request, target, deadline, .. } => {
+                Command::Send {
+                    request,
+                    target,
+                    deadline,
+                    ..
+                } => {
                     self.sends(request.0, target.as_str(), deadline);
                 }
                 Command::Refuse { request, .. } | Command::Fail { request, .. } => {
@@ -259,7 +311,11 @@
             None => Condition::Dead,
         };
         let calls = self.machine(target).map_or(0, |machine| machine.calls);
-        let load = UpstreamLoad { running: calls.min(4), waiting: calls.saturating_sub(4), slots: 4 };
+        let load = UpstreamLoad {
+            running: calls.min(4),
+            waiting: calls.saturating_sub(4),
+            slots: 4,
+        };
         let (took, fate) = match condition {
             Condition::Well if calls > 12 => (2.0, Fate::Full),
             Condition::Well if chance < 0.02 => (work, Fate::Reset),
@@ -283,9 +339,18 @@
             longest_pause: (fate == Fate::Delivered).then_some(work / 3.0),
         };
         if fate == Fate::Delivered && chance < 0.3 {
-            self.dispatcher.load_seen(self.now, &InstanceId::from(target), load);
+            self.dispatcher
+                .load_seen(self.now, &InstanceId::from(target), load);
         }
-        self.at(at, Happens::Ended { key, target: target.to_owned(), number, ended });
+        self.at(
+            at,
+            Happens::Ended {
+                key,
+                target: target.to_owned(),
+                number,
+                ended,
+            },
+        );
     }
 
     fn pings(&mut self, target: &str) {
@@ -297,7 +362,13 @@
             Some(Condition::Dead) | None => (1.0, false),
             Some(Condition::Hanging) => (900.0, false),
         };
-        self.at(self.now + after, Happens::Pinged { target: target.to_owned(), healthy });
+        self.at(
+            self.now + after,
+            Happens::Pinged {
+                target: target.to_owned(),
+                healthy,
+            },
+        );
     }
 
     /// Of half of the calls nothing was written yet.
@@ -310,8 +381,19 @@
             .collect();
         for (key, number) in calls {
             if self.below(2) == 0 {
-                let ended = Ended { took: 1.0, ..Ended::plain(Fate::NotSent) };
-                self.at(self.now + 0.5, Happens::Ended { key, target: target.to_owned(), number, ended });
+                let ended = Ended {
+                    took: 1.0,
+                    ..Ended::plain(Fate::NotSent)
+                };
+                self.at(
+                    self.now + 0.5,
+                    Happens::Ended {
+                        key,
+                        target: target.to_owned(),
+                        number,
+                        ended,
+                    },
+                );
             }
         }
     }
@@ -347,7 +429,9 @@
         let listed = Target {
             id: InstanceId::from(format!("i-{number}").as_str()),
             service: ServiceName::from(SERVICES[number as usize % 2]),
-            address: format!("127.0.0.1:{}", 8_000 + number).parse().expect("an address"),
+            address: format!("127.0.0.1:{}", 8_000 + number)
+                .parse()
+                .expect("an address"),
             zone: ZoneName::from(ZONES[number as usize % 3]),
             capacity: 4,
             state: TargetState::Healthy,
@@ -355,11 +439,19 @@
             cold_remaining_ms: 0,
             models: Vec::new(),
         };
-        self.machines.push(Machine { listed, condition: Condition::Well, calls: 0 });
+        self.machines.push(Machine {
+            listed,
+            condition: Condition::Well,
+            calls: 0,
+        });
     }
 
     fn list(&mut self) {
-        let listed: Vec<Target> = self.machines.iter().map(|machine| machine.listed.clone()).collect();
+        let listed: Vec<Target> = self
+            .machines
+            .iter()
+            .map(|machine| machine.listed.clone())
+            .collect();
         self.dispatcher.tables_changed(&listed);
     }
 }
--- a/tier/dispatch/tests/decisions_digest/main.rs
+++ b/tier/dispatch/tests/decisions_digest/main.rs
@@ -25,8 +25,13 @@
 
 /// The digests that the file holds for one world must be those that come out now.
 fn compare(world: &str, seeds: std::ops::Range<u64>, run: impl Fn(u64) -> Transcript) {
-    let expected: Vec<&str> = EXPECTED.lines().filter(|line| line.split(' ').next() == Some(world)).collect();
-    let found: Vec<String> = seeds.map(|seed| format!("{world} {seed} {}", run(seed).summary())).collect();
+    let expected: Vec<&str> = EXPECTED
+        .lines()
+        .filter(|line| line.split(' ').next() == Some(world))
+        .collect();
+    let found: Vec<String> = seeds
+        .map(|seed| format!("{world} {seed} {}", run(seed).summary()))
+        .collect();
     for line in &found {
         println!("{line}");
     }
@@ -50,12 +55,16 @@
 
 #[test]
 fn plain_services_below_their_capacity() {
-    compare("plain", 0..40, |seed| run_fleet(Fleet::new(6, 11, 6, 24, 60.0), seed, 660.0, 4.0));
+    compare("plain", 0..40, |seed| {
+        run_fleet(Fleet::new(6, 11, 6, 24, 60.0), seed, 660.0, 4.0)
+    });
 }
 
 #[test]
 fn plain_services_beyond_their_capacity() {
-    compare("overload", 0..40, |seed| run_fleet(Fleet::new(6, 11, 6, 24, 60.0), seed, 1_650.0, 0.5));
+    compare("overload", 0..40, |seed| {
+        run_fleet(Fleet::new(6, 11, 6, 24, 60.0), seed, 1_650.0, 0.5)
+    });
 }
 
 #[test]
@@ -79,13 +88,17 @@
 #[test]
 fn any_requests_and_ends() {
     compare("any", 0..200, |seed| {
-        let bytes: Vec<u8> = (0..250u64).flat_map(|at| mixed(mixed(seed) ^ at).to_le_bytes()).collect();
+        let bytes: Vec<u8> = (0..250u64)
+            .flat_map(|at| mixed(mixed(seed) ^ at).to_le_bytes())
+            .collect();
         let mut draws = Unstructured::new(&bytes);
         let mut world = properties::World::new();
         world.relisting = Relisting::OneByOne;
         world.proxy.transcript = Some(Transcript::new());
         for _ in 0..60 {
-            world.step(&mut draws).expect("bytes suffice, and where they do not, zeros follow");
+            world
+                .step(&mut draws)
+                .expect("bytes suffice, and where they do not, zeros follow");
         }
         world.finish();
         world.proxy.transcript.take().expect("set above")
--- a/tier/dispatch/tests/fleet/main.rs
+++ b/tier/dispatch/tests/fleet/main.rs
@@ -10,10 +10,19 @@
 impl Fleet {
     fn print(&mut self) {
         let shares = [0.5, 0.9, 0.99, 0.999];
-        let times: Vec<Ms> = shares.iter().map(|share| self.percentile(*share).round()).collect();
-        println!("{} answered in {times:?} ms at {shares:?}", self.answered.len());
+        let times: Vec<Ms> = shares
+            .iter()
+            .map(|share| self.percentile(*share).round())
+            .collect();
+        println!(
+            "{} answered in {times:?} ms at {shares:?}",
+            self.answered.len()
+        );
         let busiest = self.busiest();
-        println!("{} refused, {} shared reads, busiest {busiest:.2}", self.refused, self.shared_reads);
+        println!(
+            "{} refused, {} shared reads, busiest {busiest:.2}",
+            self.refused, self.shared_reads
+        );
     }
 
     fn percentile(&mut self, share: f64) -> Ms {
--- a/tier/dispatch/tests/fleet/world/mod.rs
+++ b/tier/dispatch/tests/fleet/world/mod.rs
@@ -92,11 +92,18 @@
             .collect();
         let proxy = |at: usize| {
             let zone = at % ZONES.len();
-            let settings =
-                DispatchSettings { seed: at as u64, zone: ZONES[zone].into(), most_requests: 1_000 };
+            let settings = DispatchSettings {
+                seed: at as u64,
+                zone: ZONES[zone].into(),
+                most_requests: 1_000,
+            };
             let mut dispatcher = Dispatcher::new(settings, 0.0);
             dispatcher.tables_changed(&listed);
-            Member { zone, dispatcher, wake_at: None }
+            Member {
+                zone,
+                dispatcher,
+                wake_at: None,
+            }
         };
         Fleet {
             now: 0.0,
@@ -119,13 +126,17 @@
     /// Other random draws than those of the default.
     #[allow(dead_code)] // the stories use the default
     pub fn seeded(self, seed: u64) -> Self {
-        Fleet { draws: seed, ..self }
+        Fleet {
+            draws: seed,
+            ..self
+        }
     }
 
     fn at(&mut self, when: Ms, happens: Happens) {
         self.count += 1;
         self.due.insert(self.count, happens);
-        self.agenda.push(Reverse(((when * 1_000.0) as u64, self.count)));
+        self.agenda
+            .push(Reverse(((when * 1_000.0) as u64, self.count)));
     }
 
     /// Requests arrive at that rate a second, for some seconds.
@@ -150,7 +161,10 @@
             Happens::Arrives(key) => {
                 let proxy = (self.draw() * self.proxies.len() as f64) as usize;
                 let prefix = self.prefix(key);
-                let new = NewRequest { prefix, ..once(key, now) };
+                let new = NewRequest {
+                    prefix,
+                    ..once(key, now)
+                };
                 self.proxies[proxy].dispatcher.request(now, new);
                 self.round(proxy);
             }
@@ -158,28 +172,46 @@
             Happens::Done(server, call) => self.done(server, call),
             Happens::Answered(server, call, ended) => {
                 let id = self.servers[server].id.clone();
-                let ended = Ended { took: now - call.sent, ..ended };
+                let ended = Ended {
+                    took: now - call.sent,
+                    ..ended
+                };
                 if ended.fate == Fate::Delivered {
                     self.answered.push(ended.took);
                 }
                 if let Some(transcript) = &mut self.transcript {
                     transcript.ended(call.proxy, now, call.key, id.as_str(), &ended);
                 }
-                self.proxies[call.proxy].dispatcher.ended(now, RequestKey(call.key), &id, ended);
+                self.proxies[call.proxy]
+                    .dispatcher
+                    .ended(now, RequestKey(call.key), &id, ended);
                 self.round(call.proxy);
             }
-            Happens::Wakes(proxy, at) if self.proxies[proxy].wake_at == Some(at) => self.round(proxy),
+            Happens::Wakes(proxy, at) if self.proxies[proxy].wake_at == Some(at) => {
+                self.round(proxy)
+            }
             Happens::Wakes(..) => (),
         }
     }
 
     /// A shared part, and one of its own; none where the service reads no prompts.
     fn prefix(&mut self, key: u64) -> Vec<PrefixPart> {
-        let Some(subjects) = self.subjects else { return Vec::new() };
+        let Some(subjects) = self.subjects else {
+            return Vec::new();
+        };
         let subject = (self.draw() * subjects as f64) as u64;
         self.subject_of.insert(key, subject);
-        let shared = PrefixPart { id: subject, tokens: SHARED_TOKENS };
-        vec![shared, PrefixPart { id: subjects + key, tokens: 500 }]
+        let shared = PrefixPart {
+            id: subject,
+            tokens: SHARED_TOKENS,
+        };
+        vec![
+            shared,
+            PrefixPart {
+                id: subjects + key,
+                tokens: 500,
+            },
+        ]
     }
 
     fn way(&self, proxy: usize, server: usize) -> Ms {
@@ -199,11 +231,25 @@
         }
         for command in commands {
             match command {
-                Command::Send { request, target, .. } => {
-                    let server = self.servers.iter().position(|server| server.id == target).expect("known");
+                Command::Send {
+                    request, target, ..
+                } => {
+                    let server = self
+                        .servers
+                        .iter()
+                        .position(|server| server.id == target)
+                        .expect("known");
                     let subject = self.subject_of.get(&request.0).copied();
-                    let call = Call { proxy, key: request.0, sent: now, subject };
-                    self.at(now + self.way(proxy, server), Happens::Reaches(server, call));
+                    let call = Call {
+                        proxy,
+                        key: request.0,
+                        sent: now,
+                        subject,
+                    };
+                    self.at(
+                        now + self.way(proxy, server),
+                        Happens::Reaches(server, call),
+                    );
                 }
                 Command::Refuse { .. } | Command::Fail { .. } => self.refused += 1,
                 Command::WakeAt(at) => {
@@ -232,7 +278,11 @@
         if let Some(subject) = call.subject {
             let is_new = self.servers[at].read.insert(subject);
             self.shared_reads += usize::from(is_new);
-            work += if is_new { f64::from(SHARED_TOKENS) / TOKENS_PER_MS } else { 0.0 };
+            work += if is_new {
+                f64::from(SHARED_TOKENS) / TOKENS_PER_MS
+            } else {
+                0.0
+            };
         }
         self.at(self.now + work, Happens::Done(at, call));
     }
@@ -253,7 +303,10 @@
             waiting: server.waiting.len() as u32,
             slots: server.slots as u32,
         };
-        let ended = Ended { load: Some(load), ..Ended::plain(fate) };
+        let ended = Ended {
+            load: Some(load),
+            ..Ended::plain(fate)
+        };
         let way = self.way(call.proxy, at);
         self.at(self.now + way, Happens::Answered(at, call, ended));
     }
--- a/tier/dispatch/tests/health.rs
+++ b/tier/dispatch/tests/health.rs
@@ -9,7 +9,9 @@
 #[test]
 fn draining_and_gone_targets_get_nothing() {
     let mut proxy = Proxy::with(&["a", "b", "c"]);
-    proxy.dispatcher.tables_changed(&[healthy("a"), draining("b")]);
+    proxy
+        .dispatcher
+        .tables_changed(&[healthy("a"), draining("b")]);
     for key in 0..20 {
         assert_eq!(proxy.takes(1.0, request(key, 1.0)).as_deref(), Some("a"));
     }
@@ -27,13 +29,20 @@
 fn a_target_is_offline_after_two_failures_until_its_health_check_is_answered() {
     let mut proxy = Proxy::with(&["a"]);
     assert_eq!(takes_offline(&mut proxy, "a"), ["a"], "asked at once");
-    let commands = proxy.at(20.0, |dispatcher| dispatcher.request(20.0, request(9, 20.0)));
+    let commands = proxy.at(20.0, |dispatcher| {
+        dispatcher.request(20.0, request(9, 20.0))
+    });
     assert!(sends(&commands).is_empty());
     assert!(sends(&proxy.pinged(21.0, "a", PingAnswer::Unhealthy)).is_empty());
     let commands = proxy.until(130.0);
     assert!(is_refused(&commands, 9), "held briefly");
-    assert!(pings(&commands).is_empty(), "the next one is due after about a second");
-    proxy.at(1_300.0, |dispatcher| dispatcher.request(1_300.0, request(11, 1_300.0)));
+    assert!(
+        pings(&commands).is_empty(),
+        "the next one is due after about a second"
+    );
+    proxy.at(1_300.0, |dispatcher| {
+        dispatcher.request(1_300.0, request(11, 1_300.0))
+    });
     let commands = proxy.pinged(1_301.0, "a", PingAnswer::Healthy);
     assert_eq!(sends(&commands), [(11, "a".to_owned())]);
 }
@@ -53,7 +62,10 @@
     let mut now = 1.0;
     for key in 0..6 {
         proxy.takes(now, once(key, now)).expect("not offline");
-        let full = Ended { retry_after: Some(1.0), ..Ended::plain(Fate::Full) };
+        let full = Ended {
+            retry_after: Some(1.0),
+            ..Ended::plain(Fate::Full)
+        };
         proxy.ends_with(now + 1.0, key, "a", full);
         proxy.dispatcher.withdrawn(RequestKey(key));
         now += 200.0;
@@ -65,7 +77,9 @@
     let mut proxy = Proxy::with(&["a", "b"]);
     let mut now = 1.0;
     for key in 0..50 {
-        let mut target = proxy.takes(now, request(key, now)).expect("some target takes it");
+        let mut target = proxy
+            .takes(now, request(key, now))
+            .expect("some target takes it");
         if target == "a" {
             proxy.ends(now + 1.0, key, "a", Fate::NoConnection);
             target = sent_to(&proxy.until(now + 15.0)).expect("goes to the other soon");
@@ -84,7 +98,10 @@
     proxy.dispatcher.tables_changed(&[healthy("a"), other]);
     for key in 0..10 {
         assert_eq!(proxy.takes(1.0, request(key, 1.0)).as_deref(), Some("a"));
-        let tool = NewRequest { service: "tools".into(), ..request(100 + key, 1.0) };
+        let tool = NewRequest {
+            service: "tools".into(),
+            ..request(100 + key, 1.0)
+        };
         assert_eq!(proxy.takes(1.0, tool).as_deref(), Some("x"));
     }
 }
@@ -96,7 +113,9 @@
     proxy.dispatcher.tables_changed(&[]);
     proxy.until(2.0);
     proxy.ends(3.0, 1, "a", Fate::Delivered);
-    proxy.dispatcher.pinged(&InstanceId::from("a"), PingAnswer::Healthy);
+    proxy
+        .dispatcher
+        .pinged(&InstanceId::from("a"), PingAnswer::Healthy);
     proxy.until(10_000.0);
     assert!(proxy.dispatcher.is_empty());
 }
--- a/tier/dispatch/tests/load.rs
+++ b/tier/dispatch/tests/load.rs
@@ -11,7 +11,11 @@
 use plankhill_protocol::tables::TargetState;
 
 fn report(running: u32, waiting: u32) -> UpstreamLoad {
-    UpstreamLoad { running, waiting, slots: 4 }
+    UpstreamLoad {
+        running,
+        waiting,
+        slots: 4,
+    }
 }
 
 #[test]
@@ -19,15 +23,22 @@
     let mut proxy = Proxy::with(&["a", "b", "c", "d"]);
     let mut calls = HashMap::<String, usize>::new();
     for key in 0..40 {
-        *calls.entry(proxy.takes(1.0, request(key, 1.0)).expect("sent")).or_default() += 1;
+        *calls
+            .entry(proxy.takes(1.0, request(key, 1.0)).expect("sent"))
+            .or_default() += 1;
     }
-    assert!(calls.values().all(|count| (9..=11).contains(count)), "{calls:?}");
+    assert!(
+        calls.values().all(|count| (9..=11).contains(count)),
+        "{calls:?}"
+    );
 }
 
 #[test]
 fn a_target_that_reports_many_gets_none_while_others_report_few() {
     let mut proxy = Proxy::with(&["a", "b"]);
-    proxy.dispatcher.load_seen(1.0, &InstanceId::from("a"), report(4, 10));
+    proxy
+        .dispatcher
+        .load_seen(1.0, &InstanceId::from("a"), report(4, 10));
     for key in 0..6 {
         assert_eq!(proxy.takes(2.0, request(key, 2.0)).as_deref(), Some("b"));
     }
@@ -71,7 +82,14 @@
         let mut load = TargetLoad::new(random.arbitrary()?);
         for _ in 0..random.int_in_range(0..=8_u32)? {
             let (running, waiting, slots) = random.arbitrary()?;
-            load.reported(f64::from(random.arbitrary::<u16>()?), UpstreamLoad { running, waiting, slots });
+            load.reported(
+                f64::from(random.arbitrary::<u16>()?),
+                UpstreamLoad {
+                    running,
+                    waiting,
+                    slots,
+                },
+            );
             load.answered(f64::from(random.arbitrary::<u32>()?));
         }
         let now = f64::from(random.arbitrary::<u32>()?);
@@ -117,5 +135,9 @@
     let far = target("far", "far", TargetState::Healthy);
     proxy.dispatcher.tables_changed(&[healthy("near"), far]);
     assert_eq!(proxy.takes(1.0, request(1, 1.0)).as_deref(), Some("near"));
-    assert_eq!(proxy.takes(1.0, request(2, 1.0)).as_deref(), Some("far"), "one of four slots costs more");
+    assert_eq!(
+        proxy.takes(1.0, request(2, 1.0)).as_deref(),
+        Some("far"),
+        "one of four slots costs more"
+    );
 }
--- a/tier/dispatch/tests/properties/world.rs
+++ b/tier/dispatch/tests/properties/world.rs
@@ -65,18 +65,24 @@
         let commands = match u.int_in_range(0..=9u32)? {
             0..=3 => {
                 let new = self.draw_request(u)?;
-                self.proxy.at(now, |dispatcher| dispatcher.request(now, new))
+                self.proxy
+                    .at(now, |dispatcher| dispatcher.request(now, new))
             }
             4..=7 => {
-                let Some((key, target)) = self.draw_call(u)? else { return Ok(()) };
+                let Some((key, target)) = self.draw_call(u)? else {
+                    return Ok(());
+                };
                 let fate = *u.choose(&FATES)?;
                 self.note_end(key, fate);
                 self.proxy.ends(now, key, &target, fate)
             }
             8 => {
-                let Some(key) = self.draw_live(u)? else { return Ok(()) };
+                let Some(key) = self.draw_live(u)? else {
+                    return Ok(());
+                };
                 self.seen.get_mut(&key).expect("live").withdrawn = true;
-                self.proxy.at(now, |dispatcher| dispatcher.withdrawn(RequestKey(key)))
+                self.proxy
+                    .at(now, |dispatcher| dispatcher.withdrawn(RequestKey(key)))
             }
             _ => {
                 let before = self.listed.clone();
@@ -100,20 +106,37 @@
         self.keys += 1;
         let now = self.proxy.now;
         let mut new = request(self.keys, now);
-        new.session = if u.arbitrary()? { Some(u.int_in_range(0..=2)?) } else { None };
-        new.repeats = if u.arbitrary()? { Repeats::Allowed } else { Repeats::Forbidden };
+        new.session = if u.arbitrary()? {
+            Some(u.int_in_range(0..=2)?)
+        } else {
+            None
+        };
+        new.repeats = if u.arbitrary()? {
+            Repeats::Allowed
+        } else {
+            Repeats::Forbidden
+        };
         new.max_attempts = u.int_in_range(0..=3)?;
         new.deadline = now + f64::from(u.int_in_range(50..=2_000u32)?);
         new.objective = f64::from(u.int_in_range(0..=500u32)?);
-        let seen =
-            Seen { new: new.clone(), out: None, run: 0, may_have_run: false, ends: 0, withdrawn: false };
+        let seen = Seen {
+            new: new.clone(),
+            out: None,
+            run: 0,
+            may_have_run: false,
+            ends: 0,
+            withdrawn: false,
+        };
         self.seen.insert(self.keys, seen);
         Ok(new)
     }
 
     fn draw_call(&self, u: &mut Unstructured) -> Result<Option<(u64, String)>> {
-        let mut out: Vec<(u64, String)> =
-            self.seen.iter().filter_map(|(key, seen)| Some((*key, seen.out.clone()?))).collect();
+        let mut out: Vec<(u64, String)> = self
+            .seen
+            .iter()
+            .filter_map(|(key, seen)| Some((*key, seen.out.clone()?)))
+            .collect();
         out.sort();
         if out.is_empty() {
             return Ok(None);
@@ -122,7 +145,10 @@
     }
 
     fn draw_live(&self, u: &mut Unstructured) -> Result<Option<u64>> {
-        let live = self.seen.iter().filter(|(_, seen)| !seen.withdrawn && seen.ends == 0);
+        let live = self
+            .seen
+            .iter()
+            .filter(|(_, seen)| !seen.withdrawn && seen.ends == 0);
         let mut live: Vec<u64> = live.map(|(key, _)| *key).collect();
         live.sort();
         if live.is_empty() {
@@ -156,10 +182,18 @@
     fn check(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
-                Command::Send { request, target, deadline, .. } => {
+                Command::Send {
+                    request,
+                    target,
+                    deadline,
+                    ..
+                } => {
                     self.check_send(request.0, target.as_str(), *deadline);
                 }
-                Command::Refuse { request, retry_after } => {
+                Command::Refuse {
+                    request,
+                    retry_after,
+                } => {
                     let seen = self.end(request.0);
                     assert!(!seen.may_have_run, "a refusal promises that it has not run");
                     assert!(*retry_after > 0.0);
@@ -177,22 +211,36 @@
     }
 
     fn check_send(&mut self, key: u64, target: &str, deadline: Ms) {
-        let listed = self.listed.iter().find(|listed| listed.id.as_str() == target);
+        let listed = self
+            .listed
+            .iter()
+            .find(|listed| listed.id.as_str() == target);
         let state = listed.expect("not gone").state;
         assert_eq!(state, TargetState::Healthy, "nothing to draining targets");
         let seen = &self.seen[&key];
         assert_eq!((seen.ends, seen.withdrawn), (0, false), "not after its end");
         assert!(seen.out.is_none(), "one call at a time");
         assert!(self.proxy.now < deadline && deadline <= seen.new.deadline);
-        assert!(seen.run < seen.new.max_attempts.max(1), "attempts are bounded");
-        assert!(seen.new.repeats == Repeats::Allowed || !seen.may_have_run, "at most one run");
+        assert!(
+            seen.run < seen.new.max_attempts.max(1),
+            "attempts are bounded"
+        );
+        assert!(
+            seen.new.repeats == Repeats::Allowed || !seen.may_have_run,
+            "at most one run"
+        );
         if let Some(session) = seen.new.session {
             let earlier = self.seen.iter().filter(|(other, seen)| {
-                **other != key && seen.new.session == Some(session) && (**other < key || seen.out.is_some())
+                **other != key
+                    && seen.new.session == Some(session)
+                    && (**other < key || seen.out.is_some())
             });
             for (_, earlier) in earlier {
                 assert!(earlier.out.is_none(), "one turn of a session is out");
-                assert!(earlier.ends > 0 || earlier.withdrawn, "in the order of arrival");
+                assert!(
+                    earlier.ends > 0 || earlier.withdrawn,
+                    "in the order of arrival"
+                );
             }
         }
         self.seen.get_mut(&key).expect("seen").out = Some(target.to_owned());
@@ -205,7 +253,11 @@
         assert!(!seen.withdrawn, "nobody waits for it");
         seen.ends += 1;
         assert_eq!(seen.ends, 1, "one end");
-        assert!(now <= seen.new.deadline + 0.1, "an end by its deadline: {now} {}", seen.new.deadline);
+        assert!(
+            now <= seen.new.deadline + 0.1,
+            "an end by its deadline: {now} {}",
+            seen.new.deadline
+        );
         seen
     }
 
@@ -213,9 +265,12 @@
     fn pass(&mut self, until: Ms) {
         loop {
             let calls = self.seen.iter().filter_map(|(key, seen)| {
-                seen.out.as_ref().map(|target| (seen.new.deadline, *key, target.clone()))
+                seen.out
+                    .as_ref()
+                    .map(|target| (seen.new.deadline, *key, target.clone()))
             });
-            let first = calls.min_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
+            let first =
+                calls.min_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
             let wake_at = self.proxy.wake_at.unwrap_or(f64::INFINITY);
             let commands = match first {
                 Some((deadline, key, target)) if deadline <= wake_at.min(until) => {
@@ -252,7 +307,12 @@
         let mut listed = Vec::new();
         for (at, id) in TARGETS.iter().enumerate() {
             let source = if at < changed { after } else { before };
-            listed.extend(source.iter().find(|target| target.id.as_str() == *id).cloned());
+            listed.extend(
+                source
+                    .iter()
+                    .find(|target| target.id.as_str() == *id)
+                    .cloned(),
+            );
         }
         listed
     };
--- a/tier/dispatch/tests/sessions.rs
+++ b/tier/dispatch/tests/sessions.rs
@@ -11,7 +11,10 @@
     let first = proxy.takes(1.0, turn(1, 1.0, 9)).expect("sent at once");
     assert_eq!(proxy.takes(2.0, turn(2, 2.0, 9)), None);
     assert_eq!(proxy.takes(3.0, turn(3, 3.0, 9)), None);
-    assert!(proxy.takes(4.0, turn(4, 4.0, 8)).is_some(), "another session");
+    assert!(
+        proxy.takes(4.0, turn(4, 4.0, 8)).is_some(),
+        "another session"
+    );
     assert_eq!(sends(&proxy.ends(10.0, 1, &first, Fate::Delivered))[0].0, 2);
 }
 
@@ -25,9 +28,16 @@
 
 #[test]
 fn after_an_error_the_next_turn_goes_at_once_and_after_a_reset_it_rests() {
-    for (fate, rests) in [(Fate::Error, false), (Fate::Reset, true), (Fate::Cancelled, true)] {
+    for (fate, rests) in [
+        (Fate::Error, false),
+        (Fate::Reset, true),
+        (Fate::Cancelled, true),
+    ] {
         let mut proxy = Proxy::with(&["a", "b"]);
-        let of_session = |key| NewRequest { session: Some(9), ..once(key, 1.0) };
+        let of_session = |key| NewRequest {
+            session: Some(9),
+            ..once(key, 1.0)
+        };
         let target = proxy.takes(1.0, of_session(1)).expect("sent");
         proxy.takes(1.0, of_session(2));
         let commands = proxy.ends(10.0, 1, &target, fate);
@@ -43,7 +53,11 @@
 #[test]
 fn the_next_try_of_a_session_that_rests_is_not_refused_for_it() {
     let mut proxy = Proxy::with(&["a"]);
-    let try_of = |key, now| NewRequest { session: Some(9), objective: 50.0, ..once(key, now) };
+    let try_of = |key, now| NewRequest {
+        session: Some(9),
+        objective: 50.0,
+        ..once(key, now)
+    };
     proxy.takes(1.0, try_of(1, 1.0));
     proxy.ends(10.0, 1, "a", Fate::Cancelled);
     assert_eq!(proxy.takes(12.0, try_of(2, 12.0)), None);
@@ -55,6 +69,11 @@
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, turn(1, 1.0, 9));
     proxy.takes(2.0, turn(2, 2.0, 9));
-    assert!(proxy.at(3.0, |dispatcher| dispatcher.withdrawn(RequestKey(1))).is_empty());
-    assert_eq!(sends(&proxy.ends(4.0, 1, "a", Fate::Delivered)), [(2, "a".to_owned())]);
+    assert!(proxy
+        .at(3.0, |dispatcher| dispatcher.withdrawn(RequestKey(1)))
+        .is_empty());
+    assert_eq!(
+        sends(&proxy.ends(4.0, 1, "a", Fate::Delivered)),
+        [(2, "a".to_owned())]
+    );
 }
--- a/tier/dispatch/tests/wire_format.rs
+++ b/tier/dispatch/tests/wire_format.rs
@@ -10,7 +10,10 @@
 fn rendezvous_hashes_are_as_found() {
     let line = |id: &&str| {
         let hash = target_hash(&InstanceId::from(*id));
-        format!("{hash:016x} {:016x} {id}", rendezvous_weight(0x0123_4567_89ab_cdef, hash))
+        format!(
+            "{hash:016x} {:016x} {id}",
+            rendezvous_weight(0x0123_4567_89ab_cdef, hash)
+        )
     };
     let lines: Vec<String> = TARGETS.iter().map(line).collect();
     let expected: Vec<&str> = include_str!("wire_format/rendezvous.txt").lines().collect();
--- a/tier/draining/src/node.rs
+++ b/tier/draining/src/node.rs
@@ -157,13 +157,21 @@
         if is_quiet && self.was_quiet.is_none() {
             self.was_quiet = Some(now);
         }
-        let has_written = self.was_quiet.is_some_and(|at| now.saturating_sub(at) >= LAST_WRITES);
+        let has_written = self
+            .was_quiet
+            .is_some_and(|at| now.saturating_sub(at) >= LAST_WRITES);
         if (is_quiet && has_written) || now >= shutdown.replies_end + LAST_SETTLEMENTS {
             actions.push(Action::EndProcess);
         }
     }
 
-    fn enter(&mut self, state: NodeState, now: Duration, action: Option<Action>, actions: &mut Vec<Action>) {
+    fn enter(
+        &mut self,
+        state: NodeState,
+        now: Duration,
+        action: Option<Action>,
+        actions: &mut Vec<Action>,
+    ) {
         self.state = state;
         self.since = now;
         self.has_cut = false;
--- a/tier/draining/src/roll.rs
+++ b/tier/draining/src/roll.rs
@@ -78,8 +78,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Progress {
     Waiting,
-    Ordered { since: Duration, incarnation: Incarnation },
-    Released { since: Duration, incarnation: Incarnation },
+    Ordered {
+        since: Duration,
+        incarnation: Incarnation,
+    },
+    Released {
+        since: Duration,
+        incarnation: Incarnation,
+    },
     Lifted,
     Done,
 }
@@ -97,13 +103,24 @@
     /// A roll over these nodes, in their order.
     pub fn new(bounds: Bounds, nodes: Vec<NodeId>, view: &FleetView) -> Self {
         let expected = view.live.keys().cloned().collect();
-        let nodes = nodes.into_iter().map(|node| (node, Progress::Waiting)).collect();
-        Roll { bounds, nodes, expected }
+        let nodes = nodes
+            .into_iter()
+            .map(|node| (node, Progress::Waiting))
+            .collect();
+        Roll {
+            bounds,
+            nodes,
+            expected,
+        }
     }
 
     /// Nodes that are done, and all.
     pub fn count(&self) -> (usize, usize) {
-        let done = self.nodes.iter().filter(|(_, progress)| *progress == Progress::Done).count();
+        let done = self
+            .nodes
+            .iter()
+            .filter(|(_, progress)| *progress == Progress::Done)
+            .count();
         (done, self.nodes.len())
     }
 
@@ -118,7 +135,11 @@
                 return step;
             }
         }
-        if self.nodes.iter().all(|(_, progress)| *progress == Progress::Done) {
+        if self
+            .nodes
+            .iter()
+            .all(|(_, progress)| *progress == Progress::Done)
+        {
             return Step::Done;
         }
         self.begin_next(now, view).unwrap_or(Step::Wait)
@@ -132,7 +153,10 @@
             };
             self.nodes.iter().any(released)
         };
-        let missing = self.expected.iter().find(|node| !view.live.contains_key(*node) && !is_released(node));
+        let missing = self
+            .expected
+            .iter()
+            .find(|node| !view.live.contains_key(*node) && !is_released(node));
         missing.cloned()
     }
 
@@ -143,7 +167,10 @@
             Progress::Waiting | Progress::Done => None,
             Progress::Ordered { since, incarnation } => match drained {
                 Some(true) => {
-                    self.nodes[at].1 = Progress::Released { since: now, incarnation };
+                    self.nodes[at].1 = Progress::Released {
+                        since: now,
+                        incarnation,
+                    };
                     Some(Step::Release(node))
                 }
                 Some(false) if now.saturating_sub(since) < self.bounds.empty_within => None,
@@ -151,7 +178,10 @@
                 None => Some(Step::Stop(Stopped::Foreign(node))),
             },
             Progress::Released { since, incarnation } => {
-                let is_back = view.live.get(&node).is_some_and(|live| live.incarnation != incarnation);
+                let is_back = view
+                    .live
+                    .get(&node)
+                    .is_some_and(|live| live.incarnation != incarnation);
                 if drained.is_none() {
                     return Some(Step::Stop(Stopped::Foreign(node)));
                 }
@@ -172,7 +202,11 @@
 
     /// Takes out the first node for which there is room.
     fn begin_next(&mut self, now: Duration, view: &FleetView) -> Option<Step> {
-        let out = self.nodes.iter().filter(|(_, progress)| is_out(progress)).count();
+        let out = self
+            .nodes
+            .iter()
+            .filter(|(_, progress)| is_out(progress))
+            .count();
         if out >= self.bounds.most_out {
             return None;
         }
@@ -184,7 +218,10 @@
             return Some(Step::Stop(Stopped::Foreign(node)));
         }
         let incarnation = view.live.get(&node).map(|live| live.incarnation)?;
-        self.nodes[at].1 = Progress::Ordered { since: now, incarnation };
+        self.nodes[at].1 = Progress::Ordered {
+            since: now,
+            incarnation,
+        };
         Some(Step::Drain(node))
     }
 }
@@ -201,6 +238,8 @@
     };
     let members: Vec<Member> = view.live.iter().map(member).collect();
     let zone = view.live.get(node).map(|live| &live.zone);
-    let zone_stays = members.iter().any(|member| Some(&member.zone) == zone && !member.leaves);
+    let zone_stays = members
+        .iter()
+        .any(|member| Some(&member.zone) == zone && !member.leaves);
     zone_stays && check(&members).is_ok()
 }
--- a/tier/draining/src/room.rs
+++ b/tier/draining/src/room.rs
@@ -40,7 +40,9 @@
     if !all.half_stays() {
         return Err(NoRoom::All);
     }
-    let short = zones.iter().find(|(_, count)| count.staying > 0 && !count.half_stays());
+    let short = zones
+        .iter()
+        .find(|(_, count)| count.staying > 0 && !count.half_stays());
     short.map_or(Ok(()), |(zone, _)| Err(NoRoom::Zone((*zone).clone())))
 }
 
--- a/tier/draining/tests/node.rs
+++ b/tier/draining/tests/node.rs
@@ -10,7 +10,15 @@
 
 fn seen(order: Option<u64>, requests: usize, connections: usize) -> Seen {
     let shutdown = None;
-    Seen { order, shutdown, recorded: false, requests, connections, longest_rest: REST, longest_reply: REPLY }
+    Seen {
+        order,
+        shutdown,
+        recorded: false,
+        requests,
+        connections,
+        longest_rest: REST,
+        longest_reply: REPLY,
+    }
 }
 
 fn at(seconds: u64) -> Duration {
@@ -29,9 +37,18 @@
     let mut drain = NodeDrain::default();
     assert_eq!(drain.step(at(1), &seen(Some(4), 2, 3)), [Action::TurnAway]);
     assert_eq!(drain.step(at(2), &seen(Some(4), 0, 1)), []);
-    assert_eq!(drain.step(at(3), &seen(Some(4), 0, 0)), [Action::ReportEmpty(4)]);
-    assert_eq!(drain.step(at(4), &seen(Some(4), 0, 0)), [Action::ReportEmpty(4)]);
-    let recorded = Seen { recorded: true, ..seen(Some(4), 0, 0) };
+    assert_eq!(
+        drain.step(at(3), &seen(Some(4), 0, 0)),
+        [Action::ReportEmpty(4)]
+    );
+    assert_eq!(
+        drain.step(at(4), &seen(Some(4), 0, 0)),
+        [Action::ReportEmpty(4)]
+    );
+    let recorded = Seen {
+        recorded: true,
+        ..seen(Some(4), 0, 0)
+    };
     assert_eq!(drain.step(at(5), &recorded), []);
     assert_eq!(drain.state(), NodeState::Empty);
 }
@@ -41,7 +58,10 @@
     let mut drain = NodeDrain::default();
     drain.step(at(1), &seen(Some(1), 0, 2));
     assert_eq!(drain.step(at(16), &seen(Some(1), 0, 2)), []);
-    assert_eq!(drain.step(at(17), &seen(Some(1), 0, 2)), [Action::CloseIdle]);
+    assert_eq!(
+        drain.step(at(17), &seen(Some(1), 0, 2)),
+        [Action::CloseIdle]
+    );
     assert_eq!(drain.state(), NodeState::Closing);
 }
 
@@ -53,14 +73,22 @@
     assert_eq!(drain.step(at(21), &seen(Some(1), 1, 1)), []);
     assert_eq!(drain.step(at(22), &seen(Some(1), 1, 1)), [Action::Cut]);
     assert_eq!(drain.step(at(23), &seen(Some(1), 1, 1)), [], "once");
-    assert_eq!(drain.step(at(24), &seen(Some(1), 0, 0)), [Action::ReportEmpty(1)]);
+    assert_eq!(
+        drain.step(at(24), &seen(Some(1), 0, 0)),
+        [Action::ReportEmpty(1)]
+    );
 }
 
 #[test]
 fn a_lifted_order_leads_back_from_every_state() {
     for steps in 0..4 {
         let mut drain = NodeDrain::default();
-        let states = [seen(Some(1), 1, 1), seen(Some(1), 1, 1), seen(Some(1), 1, 1), seen(Some(1), 0, 0)];
+        let states = [
+            seen(Some(1), 1, 1),
+            seen(Some(1), 1, 1),
+            seen(Some(1), 1, 1),
+            seen(Some(1), 0, 0),
+        ];
         (0..=steps).for_each(|step| drop(drain.step(at(1 + 16 * step as u64), &states[step])));
         assert_eq!(drain.step(at(100), &seen(None, 0, 0)), [Action::Welcome]);
         assert_eq!(drain.state(), NodeState::InService);
@@ -75,7 +103,10 @@
     assert_eq!(drain.state(), NodeState::Empty);
     assert_eq!(drain.step(at(2), &seen(Some(3), 1, 1)), [Action::TurnAway]);
     assert_eq!(drain.state(), NodeState::Leaving);
-    assert_eq!(drain.step(at(3), &seen(Some(3), 0, 0)), [Action::ReportEmpty(3)]);
+    assert_eq!(
+        drain.step(at(3), &seen(Some(3), 0, 0)),
+        [Action::ReportEmpty(3)]
+    );
 }
 
 #[test]
--- a/tier/draining/tests/roll.rs
+++ b/tier/draining/tests/roll.rs
@@ -7,8 +7,11 @@
 use plankhill_draining::roll::{Bounds, FleetView, NodeView, Roll, Step, Stopped};
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 
-const BOUNDS: Bounds =
-    Bounds { most_out: 3, empty_within: Duration::from_secs(30), back_within: Duration::from_secs(60) };
+const BOUNDS: Bounds = Bounds {
+    most_out: 3,
+    empty_within: Duration::from_secs(30),
+    back_within: Duration::from_secs(60),
+};
 
 fn node(at: usize) -> NodeId {
     NodeId::from(format!("edge-{at}").as_str())
@@ -19,7 +22,10 @@
         zone: ZoneName::from(format!("z{}", at % zones).as_str()),
         incarnation: Incarnation(1),
     };
-    FleetView { live: (0..zones * each).map(|at| (node(at), view(at))).collect(), drains: BTreeMap::new() }
+    FleetView {
+        live: (0..zones * each).map(|at| (node(at), view(at))).collect(),
+        drains: BTreeMap::new(),
+    }
 }
 
 fn all(view: &FleetView) -> Vec<NodeId> {
@@ -58,13 +64,23 @@
     }
     assert_eq!(drained.len(), 80);
     assert_eq!(roll.count(), (80, 80));
-    assert!(view.live.values().all(|node| node.incarnation == Incarnation(2)));
+    assert!(view
+        .live
+        .values()
+        .all(|node| node.incarnation == Incarnation(2)));
 }
 
 #[test]
 fn two_nodes_of_a_zone_with_two_are_never_out_together() {
     let mut view = fleet(3, 2);
-    let mut roll = Roll::new(Bounds { most_out: 6, ..BOUNDS }, all(&view), &view);
+    let mut roll = Roll::new(
+        Bounds {
+            most_out: 6,
+            ..BOUNDS
+        },
+        all(&view),
+        &view,
+    );
     for second in 0..1_000 {
         let step = roll.step(Duration::from_secs(second), &view);
         if step == Step::Done {
@@ -72,7 +88,9 @@
         }
         carry_out(&mut view, &step);
         for zone in 0..3 {
-            let out = (0..6).filter(|at| at % 3 == zone && view.drains.contains_key(&node(*at))).count();
+            let out = (0..6)
+                .filter(|at| at % 3 == zone && view.drains.contains_key(&node(*at)))
+                .count();
             assert!(out <= 1);
         }
     }
@@ -94,7 +112,10 @@
     assert_eq!(step, Step::Drain(node(0)));
     view.drains.insert(node(0), false);
     view.live.remove(&node(7));
-    assert_eq!(roll.step(Duration::from_secs(1), &view), Step::Stop(Stopped::Lost(node(7))));
+    assert_eq!(
+        roll.step(Duration::from_secs(1), &view),
+        Step::Stop(Stopped::Lost(node(7)))
+    );
 }
 
 #[test]
@@ -104,23 +125,38 @@
     roll.step(Duration::ZERO, &view);
     view.drains.insert(node(0), false);
     view.live.remove(&node(0));
-    assert_eq!(roll.step(Duration::from_secs(1), &view), Step::Stop(Stopped::Lost(node(0))));
+    assert_eq!(
+        roll.step(Duration::from_secs(1), &view),
+        Step::Stop(Stopped::Lost(node(0)))
+    );
 }
 
 #[test]
 fn a_node_that_does_not_get_empty_or_come_back_stops_the_roll() {
     let mut view = fleet(3, 4);
-    let bounds = Bounds { most_out: 1, ..BOUNDS };
+    let bounds = Bounds {
+        most_out: 1,
+        ..BOUNDS
+    };
     let mut roll = Roll::new(bounds, vec![node(0)], &view);
     roll.step(Duration::ZERO, &view);
     view.drains.insert(node(0), false);
     assert_eq!(roll.step(Duration::from_secs(29), &view), Step::Wait);
-    assert_eq!(roll.clone().step(Duration::from_secs(30), &view), Step::Stop(Stopped::NotEmpty(node(0))));
+    assert_eq!(
+        roll.clone().step(Duration::from_secs(30), &view),
+        Step::Stop(Stopped::NotEmpty(node(0)))
+    );
     view.drains.insert(node(0), true);
-    assert_eq!(roll.step(Duration::from_secs(29), &view), Step::Release(node(0)));
+    assert_eq!(
+        roll.step(Duration::from_secs(29), &view),
+        Step::Release(node(0))
+    );
     view.live.remove(&node(0));
     assert_eq!(roll.step(Duration::from_secs(88), &view), Step::Wait);
-    assert_eq!(roll.step(Duration::from_secs(89), &view), Step::Stop(Stopped::NotBack(node(0))));
+    assert_eq!(
+        roll.step(Duration::from_secs(89), &view),
+        Step::Stop(Stopped::NotBack(node(0)))
+    );
 }
 
 #[test]
@@ -128,11 +164,17 @@
     let mut view = fleet(3, 4);
     let mut roll = Roll::new(BOUNDS, vec![node(0), node(1)], &view);
     view.drains.insert(node(0), false);
-    assert_eq!(roll.step(Duration::ZERO, &view), Step::Stop(Stopped::Foreign(node(0))));
+    assert_eq!(
+        roll.step(Duration::ZERO, &view),
+        Step::Stop(Stopped::Foreign(node(0)))
+    );
     let mut view = fleet(3, 4);
     let mut roll = Roll::new(BOUNDS, vec![node(0)], &view);
     roll.step(Duration::ZERO, &view);
-    assert_eq!(roll.step(Duration::from_secs(1), &view), Step::Stop(Stopped::Foreign(node(0))));
+    assert_eq!(
+        roll.step(Duration::from_secs(1), &view),
+        Step::Stop(Stopped::Foreign(node(0)))
+    );
     view.drains.clear();
 }
 
@@ -161,7 +203,11 @@
                 view.drains.values_mut().for_each(|empty| *empty = true);
             }
             assert!(view.drains.len() <= most_out);
-            let out = view.live.keys().filter(|node| view.drains.contains_key(*node)).count();
+            let out = view
+                .live
+                .keys()
+                .filter(|node| view.drains.contains_key(*node))
+                .count();
             assert!(out * 2 <= view.live.len());
         }
         Ok(())
--- a/tier/draining/tests/room.rs
+++ b/tier/draining/tests/room.rs
@@ -7,26 +7,40 @@
 fn members(zones: &[(&str, usize, usize)]) -> Vec<Member> {
     let of_zone = |(zone, all, leaving): &(&str, usize, usize)| {
         let (zone, leaving) = (ZoneName::from(*zone), *leaving);
-        (0..*all).map(move |at| Member { zone: zone.clone(), leaves: at < leaving }).collect::<Vec<_>>()
+        (0..*all)
+            .map(move |at| Member {
+                zone: zone.clone(),
+                leaves: at < leaving,
+            })
+            .collect::<Vec<_>>()
     };
     zones.iter().flat_map(of_zone).collect()
 }
 
 #[test]
 fn one_of_two_in_a_zone_may_leave() {
-    assert_eq!(check(&members(&[("a", 2, 1), ("b", 2, 0), ("c", 2, 0)])), Ok(()));
+    assert_eq!(
+        check(&members(&[("a", 2, 1), ("b", 2, 0), ("c", 2, 0)])),
+        Ok(())
+    );
 }
 
 #[test]
 fn more_than_half_of_a_zone_may_not_but_the_whole_zone_may() {
     let refused = check(&members(&[("a", 5, 3), ("b", 5, 0), ("c", 5, 0)]));
     assert_eq!(refused, Err(NoRoom::Zone(ZoneName::from("a"))));
-    assert_eq!(check(&members(&[("a", 5, 5), ("b", 5, 0), ("c", 5, 0)])), Ok(()));
+    assert_eq!(
+        check(&members(&[("a", 5, 5), ("b", 5, 0), ("c", 5, 0)])),
+        Ok(())
+    );
 }
 
 #[test]
 fn all_zones_at_once_may_not() {
-    assert_eq!(check(&members(&[("a", 4, 4), ("b", 4, 4), ("c", 4, 0)])), Err(NoRoom::All));
+    assert_eq!(
+        check(&members(&[("a", 4, 4), ("b", 4, 4), ("c", 4, 0)])),
+        Err(NoRoom::All)
+    );
     assert_eq!(check(&members(&[("a", 1, 1)])), Err(NoRoom::All));
 }
 
@@ -38,13 +52,18 @@
             (all, u.int_in_range(0..=all).unwrap_or(0))
         });
         let names = ["a", "b", "c", "d"];
-        let zones: Vec<_> =
-            zones.iter().zip(names).map(|((all, leaving), name)| (name, *all, *leaving)).collect();
+        let zones: Vec<_> = zones
+            .iter()
+            .zip(names)
+            .map(|((all, leaving), name)| (name, *all, *leaving))
+            .collect();
         let members = members(&zones);
         if check(&members).is_ok() {
             let staying = members.iter().filter(|member| !member.leaves).count();
             assert!(staying * 2 >= members.len());
-            assert!(zones.iter().all(|(_, all, leaving)| leaving == all || (all - leaving) * 2 >= *all));
+            assert!(zones
+                .iter()
+                .all(|(_, all, leaving)| leaving == all || (all - leaving) * 2 >= *all));
         }
         Ok(())
     })
--- a/tier/draining/tests/shutdown.rs
+++ b/tier/draining/tests/shutdown.rs
@@ -34,22 +34,34 @@
     let mut drain = NodeDrain::default();
     assert_eq!(drain.step(at(1_000), &seen(None, 1, 4)), [Action::TurnAway]);
     assert_eq!(drain.step(at(3_900), &seen(None, 0, 4)), []);
-    assert_eq!(drain.step(at(4_000), &seen(None, 0, 4)), [Action::CloseIdle]);
+    assert_eq!(
+        drain.step(at(4_000), &seen(None, 0, 4)),
+        [Action::CloseIdle]
+    );
     assert_eq!(drain.step(at(4_050), &seen(None, 0, 0)), []);
-    assert_eq!(drain.step(at(4_100), &seen(None, 0, 0)), [Action::EndProcess]);
+    assert_eq!(
+        drain.step(at(4_100), &seen(None, 0, 0)),
+        [Action::EndProcess]
+    );
 }
 
 #[test]
 fn a_reply_under_way_is_waited_for_and_its_last_bytes_too() {
     let mut drain = NodeDrain::default();
     drain.step(at(1_000), &seen(None, 1, 1));
-    assert_eq!(drain.step(at(4_000), &seen(None, 1, 1)), [Action::CloseIdle]);
+    assert_eq!(
+        drain.step(at(4_000), &seen(None, 1, 1)),
+        [Action::CloseIdle]
+    );
     assert_eq!(drain.step(at(6_000), &seen(None, 1, 1)), []);
     assert_eq!(drain.step(at(6_100), &seen(None, 0, 1)), []);
     assert_eq!(drain.step(at(6_150), &seen(None, 0, 1)), []);
     // Something else has begun meanwhile.
     assert_eq!(drain.step(at(6_200), &seen(None, 1, 1)), []);
-    assert_eq!(drain.step(at(6_300), &seen(None, 0, 1)), [Action::EndProcess]);
+    assert_eq!(
+        drain.step(at(6_300), &seen(None, 0, 1)),
+        [Action::EndProcess]
+    );
 }
 
 #[test]
@@ -61,21 +73,40 @@
     assert!(end < at(9_000));
     assert_eq!(drain.step(end, &seen(None, 1, 1)), [Action::Cut]);
     assert_eq!(drain.step(end + at(100), &seen(None, 1, 1)), [], "once");
-    assert_eq!(drain.step(end + at(250), &seen(None, 1, 1)), [Action::EndProcess]);
+    assert_eq!(
+        drain.step(end + at(250), &seen(None, 1, 1)),
+        [Action::EndProcess]
+    );
     assert!(end + at(250) < at(9_000), "before the kill");
 }
 
 #[test]
 fn an_order_before_or_behind_it_changes_nothing_of_the_end() {
-    for orders in [[Some(1), Some(1), Some(1)], [None, Some(2), None], [Some(1), None, Some(3)]] {
+    for orders in [
+        [Some(1), Some(1), Some(1)],
+        [None, Some(2), None],
+        [Some(1), None, Some(3)],
+    ] {
         let mut drain = NodeDrain::default();
-        drain.step(at(0), &Seen { shutdown: None, ..seen(orders[0], 1, 1) });
+        drain.step(
+            at(0),
+            &Seen {
+                shutdown: None,
+                ..seen(orders[0], 1, 1)
+            },
+        );
         let actions = drain.step(at(1_000), &seen(orders[1], 1, 1));
         assert!(!actions.contains(&Action::Welcome));
         assert_ne!(drain.state(), NodeState::InService);
-        assert_eq!(drain.step(at(4_000), &seen(orders[2], 1, 1)), [Action::CloseIdle]);
+        assert_eq!(
+            drain.step(at(4_000), &seen(orders[2], 1, 1)),
+            [Action::CloseIdle]
+        );
         assert_eq!(drain.step(at(4_200), &seen(orders[2], 0, 0)), []);
-        assert_eq!(drain.step(at(4_300), &seen(orders[2], 0, 0)), [Action::EndProcess]);
+        assert_eq!(
+            drain.step(at(4_300), &seen(orders[2], 0, 0)),
+            [Action::EndProcess]
+        );
     }
 }
 
@@ -122,7 +153,9 @@
                     Action::CloseIdle => assert!(now >= shutdown().clients_come_until),
                     Action::Cut => assert!(now >= shutdown().replies_end),
                     Action::EndProcess => ended = Some((now, seen.requests)),
-                    Action::ReportEmpty(_) | Action::Welcome => unreachable!("the node is on its way out"),
+                    Action::ReportEmpty(_) | Action::Welcome => {
+                        unreachable!("the node is on its way out")
+                    }
                 }
             }
             now += at(u.int_in_range(1..=60)?);
--- a/tier/loss-report/src/ledger.rs
+++ b/tier/loss-report/src/ledger.rs
@@ -56,13 +56,21 @@
         let share = |lost: f64| lost / f64::from(u32::max(programs, 1));
         let mut causes: Vec<LostTo> = lost
             .into_iter()
-            .map(|(cause, lost)| LostTo { cause, programs: lost, share: share(lost) })
+            .map(|(cause, lost)| LostTo {
+                cause,
+                programs: lost,
+                share: share(lost),
+            })
             .collect();
         causes.sort_by(|one, other| other.programs.total_cmp(&one.programs));
         Ledger {
             programs,
             late: report.windows.iter().map(|window| window.late).sum(),
-            not_served: report.windows.iter().map(|window| window.refused + window.failed).sum(),
+            not_served: report
+                .windows
+                .iter()
+                .map(|window| window.refused + window.failed)
+                .sum(),
             causes,
         }
     }
@@ -80,7 +88,10 @@
     };
     let mut lost = BTreeMap::new();
     for window in report.windows.iter().filter(|window| window.worth < 1.0) {
-        let span = Span { from: window.from, to: window.from + length };
+        let span = Span {
+            from: window.from,
+            to: window.from + length,
+        };
         let causes = causes(&report.events, span);
         let part = lost_in(window) / causes.len() as f64;
         for cause in causes {
@@ -96,9 +107,12 @@
 
 /// The kinds of faults under way around the span, each as often as it is; never empty.
 fn causes(events: &[Event], span: Span) -> Vec<String> {
-    let harmful = events.iter().filter(|event| !HARMLESS.iter().any(|kind| event.kind.starts_with(kind)));
-    let around =
-        harmful.filter(|event| event.at_s < span.to + PROGRAM_TAKES && event.to_s + AFTER_EFFECT > span.from);
+    let harmful = events
+        .iter()
+        .filter(|event| !HARMLESS.iter().any(|kind| event.kind.starts_with(kind)));
+    let around = harmful.filter(|event| {
+        event.at_s < span.to + PROGRAM_TAKES && event.to_s + AFTER_EFFECT > span.from
+    });
     let mut causes: Vec<String> = around.map(|event| event.kind.clone()).collect();
     if causes.is_empty() {
         causes.push(NOTHING.to_owned());
--- a/tier/loss-report/src/main.rs
+++ b/tier/loss-report/src/main.rs
@@ -41,7 +41,8 @@
 }
 
 fn tell(file: &Path) -> Result<(), ReportError> {
-    let report = DayReport::read(file).inspect_err(|error| eprintln!("{}: {error}", file.display()))?;
+    let report =
+        DayReport::read(file).inspect_err(|error| eprintln!("{}: {error}", file.display()))?;
     let ledger = Ledger::of(&report);
     println!("{}", file.display());
     println!(
@@ -52,7 +53,10 @@
         ledger.lost()
     );
     for cause in &ledger.causes {
-        println!("  {:<36} {:>7.1}  {:.4}", cause.cause, cause.programs, cause.share);
+        println!(
+            "  {:<36} {:>7.1}  {:.4}",
+            cause.cause, cause.programs, cause.share
+        );
     }
     for price in report.prices.iter().filter(|price| price.2 >= LEAST_PRICE) {
         println!("  price: {:<29} {:>7.1}  {:.4}", price.0, price.1, price.2);
--- a/tier/loss-report/tests/ledger.rs
+++ b/tier/loss-report/tests/ledger.rs
@@ -3,19 +3,39 @@
 use plankhill_loss_report::{DayReport, Event, Ledger, Window};
 
 fn window(from: f64, programs: u32, worth: f64) -> Window {
-    Window { from, programs, late: 0, refused: 0, failed: 0, worth }
+    Window {
+        from,
+        programs,
+        late: 0,
+        refused: 0,
+        failed: 0,
+        worth,
+    }
 }
 
 fn event(kind: &str, at_s: f64, to_s: f64) -> Event {
-    Event { kind: kind.to_owned(), at_s, to_s }
+    Event {
+        kind: kind.to_owned(),
+        at_s,
+        to_s,
+    }
 }
 
 fn ledger(windows: Vec<Window>, events: Vec<Event>) -> Ledger {
-    Ledger::of(&DayReport { windows, events, prices: Vec::new() })
+    Ledger::of(&DayReport {
+        windows,
+        events,
+        prices: Vec::new(),
+    })
 }
 
 fn lost_to(ledger: &Ledger, cause: &str) -> f64 {
-    ledger.causes.iter().filter(|lost| lost.cause == cause).map(|lost| lost.programs).sum()
+    ledger
+        .causes
+        .iter()
+        .filter(|lost| lost.cause == cause)
+        .map(|lost| lost.programs)
+        .sum()
 }
 
 #[test]
@@ -25,14 +45,21 @@
         let mut windows = Vec::new();
         for number in 0..count {
             let share = f64::from(random.int_in_range(0..=100_u32)?) / 100.0;
-            windows.push(window(f64::from(2 * number), random.int_in_range(0..=500)?, share));
+            windows.push(window(
+                f64::from(2 * number),
+                random.int_in_range(0..=500)?,
+                share,
+            ));
         }
         let mut events = Vec::new();
         for number in 0..random.int_in_range(0..=5_u32)? {
             let at = f64::from(random.int_in_range(0..=40_u32)?);
             events.push(event(&format!("kind-{number}"), at, at + 3.0));
         }
-        let lost: f64 = windows.iter().map(|one| f64::from(one.programs) * (1.0 - one.worth)).sum();
+        let lost: f64 = windows
+            .iter()
+            .map(|one| f64::from(one.programs) * (1.0 - one.worth))
+            .sum();
         assert!((ledger(windows, events).lost() - lost).abs() < 1e-6);
         Ok(())
     });
@@ -40,9 +67,16 @@
 
 #[test]
 fn several_faults_share_a_window_and_far_ones_have_no_part() {
-    let windows = vec![window(0.0, 100, 1.0), window(10.0, 100, 0.8), window(30.0, 50, 0.9)];
-    let events =
-        vec![event("kill", 11.0, 12.0), event("burst", 9.0, 14.0), event("config_change", 10.0, 12.0)];
+    let windows = vec![
+        window(0.0, 100, 1.0),
+        window(10.0, 100, 0.8),
+        window(30.0, 50, 0.9),
+    ];
+    let events = vec![
+        event("kill", 11.0, 12.0),
+        event("burst", 9.0, 14.0),
+        event("config_change", 10.0, 12.0),
+    ];
     let ledger = ledger(windows, events);
     assert!((lost_to(&ledger, "kill") - 10.0).abs() < 1e-9);
     assert!((lost_to(&ledger, "burst") - 10.0).abs() < 1e-9);
@@ -55,7 +89,10 @@
     let text = r#"{"windows":[{"name":"4","n":7,"late":2,"refused":0,"failed":1,"worth":0.5,"p50_ms":1.0}],
         "events":[{"at_s":1.0,"to_s":2.0,"kind":"burst","what":"","planned":false}],"prices":[["memory",2.0,0.01]],"G":0.5}"#;
     let report: DayReport = serde_json::from_str(text).unwrap();
-    assert_eq!((report.windows[0].from, report.windows[0].programs), (4.0, 7));
+    assert_eq!(
+        (report.windows[0].from, report.windows[0].programs),
+        (4.0, 7)
+    );
     let error = serde_json::from_str::<DayReport>(&text.replace("events", "other")).unwrap_err();
     assert!(error.to_string().contains("events"));
 }
--- a/tier/membership/src/homes.rs
+++ b/tier/membership/src/homes.rs
@@ -11,7 +11,10 @@
 /// The home of a zone: the first of its live edges by rendezvous hashing. When it is gone, the next one is.
 /// None if the zone has no edge.
 pub fn home_of<'a>(zone: &ZoneName, edges: &'a [Edge]) -> Option<&'a Edge> {
-    let nodes = edges.iter().filter(|edge| edge.zone == *zone).map(|edge| &edge.node);
+    let nodes = edges
+        .iter()
+        .filter(|edge| edge.zone == *zone)
+        .map(|edge| &edge.node);
     let home: &NodeId = rendezvous::first(zone.as_str(), nodes)?;
     edges.iter().find(|edge| edge.node == *home)
 }
--- a/tier/membership/src/monitor.rs
+++ b/tier/membership/src/monitor.rs
@@ -97,8 +97,14 @@
 
     /// The members changed. Probes of those that stay go on.
     pub fn set_members<'a>(&mut self, members: impl Iterator<Item = &'a NodeId>) {
-        self.others = members.filter(|member| **member != self.me).cloned().collect();
-        self.peers = monitored(&self.me, self.others.iter()).into_iter().cloned().collect();
+        self.others = members
+            .filter(|member| **member != self.me)
+            .cloned()
+            .collect();
+        self.peers = monitored(&self.me, self.others.iter())
+            .into_iter()
+            .cloned()
+            .collect();
         self.probes.retain(|probe| self.peers.contains(&probe.peer));
     }
 
@@ -112,7 +118,11 @@
         if self.peers.is_empty() {
             return None;
         }
-        self.probes.iter().map(|probe| probe.until).chain([self.due]).min()
+        self.probes
+            .iter()
+            .map(|probe| probe.until)
+            .chain([self.due])
+            .min()
     }
 
     /// Does what is due.
@@ -140,7 +150,10 @@
         self.heard = now;
         self.probes.retain(|probe| probe.sequence != sequence);
         let asker = self.relays.answered(sequence)?;
-        Some(Action::Alive { to: asker.node, sequence: asker.sequence })
+        Some(Action::Alive {
+            to: asker.node,
+            sequence: asker.sequence,
+        })
     }
 
     /// Another machine asks for a probe.
@@ -149,27 +162,47 @@
             return None;
         }
         let sequence = self.next_sequence();
-        self.relays.begin(sequence, asker, now).then_some(Action::Probe { to: about, sequence })
+        self.relays
+            .begin(sequence, asker, now)
+            .then_some(Action::Probe {
+                to: about,
+                sequence,
+            })
     }
 
     fn follow_up(&mut self, now: Instant) -> Vec<Action> {
-        let (over, running) = std::mem::take(&mut self.probes).into_iter().partition(|one| one.until <= now);
+        let (over, running) = std::mem::take(&mut self.probes)
+            .into_iter()
+            .partition(|one| one.until <= now);
         self.probes = running;
         let over: Vec<Probe> = over;
-        over.into_iter().flat_map(|probe| self.unanswered(probe, now)).collect()
+        over.into_iter()
+            .flat_map(|probe| self.unanswered(probe, now))
+            .collect()
     }
 
     fn unanswered(&mut self, mut probe: Probe, now: Instant) -> Vec<Action> {
         if probe.stage == Stage::Indirect {
-            return if self.hears_others(now) { vec![Action::Suspect(probe.peer)] } else { Vec::new() };
+            return if self.hears_others(now) {
+                vec![Action::Suspect(probe.peer)]
+            } else {
+                Vec::new()
+            };
         }
         let (peer, sequence) = (probe.peer.clone(), probe.sequence);
         probe.stage = Stage::Indirect;
         probe.until = now + PATIENCE;
         self.probes.push(probe);
-        let mut actions = vec![Action::Probe { to: peer.clone(), sequence }];
+        let mut actions = vec![Action::Probe {
+            to: peer.clone(),
+            sequence,
+        }];
         if let Some(via) = self.helper(&peer) {
-            actions.push(Action::Relay { via, about: peer, sequence });
+            actions.push(Action::Relay {
+                via,
+                about: peer,
+                sequence,
+            });
         }
         actions
     }
@@ -194,7 +227,12 @@
         }
         let sequence = self.next_sequence();
         let until = now + PATIENCE;
-        self.probes.push(Probe { sequence, peer: peer.clone(), stage: Stage::Direct, until });
+        self.probes.push(Probe {
+            sequence,
+            peer: peer.clone(),
+            stage: Stage::Direct,
+            until,
+        });
         Some(Action::Probe { to: peer, sequence })
     }
 
--- a/tier/membership/src/relays.rs
+++ b/tier/membership/src/relays.rs
@@ -28,7 +28,8 @@
 impl Relays {
     /// Takes a request whose probe goes out under `sequence`; false if there are too many.
     pub fn begin(&mut self, sequence: u64, asker: Asker, now: Instant) -> bool {
-        self.pending.retain(|(_, _, begun)| now.saturating_duration_since(*begun) < FORGET);
+        self.pending
+            .retain(|(_, _, begun)| now.saturating_duration_since(*begun) < FORGET);
         if self.pending.len() >= MOST {
             return false;
         }
@@ -38,7 +39,10 @@
 
     /// The answer to `sequence` came: who is to be told.
     pub fn answered(&mut self, sequence: u64) -> Option<Asker> {
-        let at = self.pending.iter().position(|(pending, _, _)| *pending == sequence)?;
+        let at = self
+            .pending
+            .iter()
+            .position(|(pending, _, _)| *pending == sequence)?;
         self.pending.remove(at).map(|(_, asker, _)| asker)
     }
 }
--- a/tier/membership/src/rendezvous.rs
+++ b/tier/membership/src/rendezvous.rs
@@ -10,8 +10,13 @@
 const KEYS: (u64, u64) = (0x706c_616e_6b68_696c, 0x6c2d_7469_6572_2031);
 
 /// The `count` members that score highest for this key, best first; all of them if there are fewer.
-pub fn top<'a>(key: &str, members: impl Iterator<Item = &'a NodeId>, count: usize) -> Vec<&'a NodeId> {
-    let mut scored: Vec<(u64, &NodeId)> = members.map(|member| (score(key, member), member)).collect();
+pub fn top<'a>(
+    key: &str,
+    members: impl Iterator<Item = &'a NodeId>,
+    count: usize,
+) -> Vec<&'a NodeId> {
+    let mut scored: Vec<(u64, &NodeId)> =
+        members.map(|member| (score(key, member), member)).collect();
     scored.sort_unstable_by(|one, other| other.cmp(one));
     scored.truncate(count);
     scored.into_iter().map(|(_, member)| member).collect()
--- a/tier/membership/tests/monitor.rs
+++ b/tier/membership/tests/monitor.rs
@@ -26,9 +26,17 @@
         if world.monitors_of(&gone) < 2 {
             continue;
         }
-        let found = world.found(&gone, WINDOW).unwrap_or_else(|| panic!("seed {seed}: not found"));
-        assert!(found < seconds(5) + Duration::from_millis(2_600), "seed {seed}: after {found:?}");
-        assert!(world.reports.iter().all(|report| report.about == gone), "seed {seed}");
+        let found = world
+            .found(&gone, WINDOW)
+            .unwrap_or_else(|| panic!("seed {seed}: not found"));
+        assert!(
+            found < seconds(5) + Duration::from_millis(2_600),
+            "seed {seed}: after {found:?}"
+        );
+        assert!(
+            world.reports.iter().all(|report| report.about == gone),
+            "seed {seed}"
+        );
     }
 }
 
@@ -39,7 +47,11 @@
         world.loss = 20;
         world.run_until(seconds(120));
         for number in 0..MACHINES {
-            assert_eq!(world.found(&world.node(number), WINDOW), None, "seed {seed}");
+            assert_eq!(
+                world.found(&world.node(number), WINDOW),
+                None,
+                "seed {seed}"
+            );
         }
     }
 }
@@ -53,7 +65,11 @@
         world.health.insert(slow.clone(), Health::Slow);
         world.run_until(seconds(60));
         for number in 0..MACHINES {
-            assert_eq!(world.found(&world.node(number), WINDOW), None, "seed {seed}");
+            assert_eq!(
+                world.found(&world.node(number), WINDOW),
+                None,
+                "seed {seed}"
+            );
         }
     }
 }
@@ -64,11 +80,22 @@
         let mut world = World::new(MACHINES, seed);
         let frozen = world.node(0);
         world.run_until(seconds(5));
-        world.health.insert(frozen.clone(), Health::Frozen(seconds(9)));
+        world
+            .health
+            .insert(frozen.clone(), Health::Frozen(seconds(9)));
         world.run_until(seconds(20));
-        assert!(world.reports.iter().all(|report| report.by != frozen), "seed {seed}");
-        assert!(world.reports.iter().all(|report| report.about == frozen), "seed {seed}");
-        assert!(world.reports.iter().all(|report| report.at < seconds(11)), "seed {seed}");
+        assert!(
+            world.reports.iter().all(|report| report.by != frozen),
+            "seed {seed}"
+        );
+        assert!(
+            world.reports.iter().all(|report| report.about == frozen),
+            "seed {seed}"
+        );
+        assert!(
+            world.reports.iter().all(|report| report.at < seconds(11)),
+            "seed {seed}"
+        );
     }
 }
 
--- a/tier/membership/tests/rendezvous.rs
+++ b/tier/membership/tests/rendezvous.rs
@@ -9,7 +9,9 @@
 use plankhill_protocol::tables::Edge;
 
 fn nodes(count: usize) -> Vec<NodeId> {
-    (0..count).map(|number| NodeId::from(format!("edge-{number}").as_str())).collect()
+    (0..count)
+        .map(|number| NodeId::from(format!("edge-{number}").as_str()))
+        .collect()
 }
 
 fn edge(number: usize, zone: &str) -> Edge {
@@ -29,7 +31,10 @@
         let forward = top(&key, members.iter(), count);
         assert_eq!(forward, top(&key, members.iter().rev(), count));
         assert_eq!(forward.len(), count.min(members.len()));
-        assert_eq!(forward.first().copied(), first(&key, members.iter()).filter(|_| count > 0));
+        assert_eq!(
+            forward.first().copied(),
+            first(&key, members.iter()).filter(|_| count > 0)
+        );
         Ok(())
     });
 }
@@ -41,8 +46,15 @@
         let key: String = draw.arbitrary()?;
         let gone = draw.choose(&members)?;
         let before = top(&key, members.iter(), members.len());
-        let after = top(&key, members.iter().filter(|member| *member != gone), members.len());
-        let left: Vec<_> = before.into_iter().filter(|member| *member != gone).collect();
+        let after = top(
+            &key,
+            members.iter().filter(|member| *member != gone),
+            members.len(),
+        );
+        let left: Vec<_> = before
+            .into_iter()
+            .filter(|member| *member != gone)
+            .collect();
         assert_eq!(left, after);
         Ok(())
     });
@@ -53,9 +65,14 @@
     let members = nodes(4);
     let mut taken: BTreeMap<&NodeId, u32> = BTreeMap::new();
     for key in 0..4_000 {
-        *taken.entry(first(&format!("key-{key}"), members.iter()).unwrap()).or_default() += 1;
+        *taken
+            .entry(first(&format!("key-{key}"), members.iter()).unwrap())
+            .or_default() += 1;
     }
-    assert!(taken.values().all(|count| (900..1_100).contains(count)), "{taken:?}");
+    assert!(
+        taken.values().all(|count| (900..1_100).contains(count)),
+        "{taken:?}"
+    );
 }
 
 #[test]
@@ -66,7 +83,9 @@
         let peers = monitored(member, members.iter());
         assert_eq!(peers.len(), MONITORED);
         assert!(!peers.contains(&member));
-        peers.into_iter().for_each(|peer| *by.entry(peer).or_default() += 1);
+        peers
+            .into_iter()
+            .for_each(|peer| *by.entry(peer).or_default() += 1);
     }
     // By chance a few have no monitor; controllers hear of their end by the silence of their subscriptions.
     assert!(by.len() > members.len() * 8 / 10, "{by:?}");
@@ -74,7 +93,9 @@
 
 #[test]
 fn a_home_is_in_its_zone_and_the_next_takes_over() {
-    let edges: Vec<Edge> = (0..6).map(|number| edge(number, ["west", "east"][number % 2])).collect();
+    let edges: Vec<Edge> = (0..6)
+        .map(|number| edge(number, ["west", "east"][number % 2]))
+        .collect();
     let zone = ZoneName::from("west");
     let home = home_of(&zone, &edges).unwrap().clone();
     assert_eq!(home.zone, zone);
@@ -90,6 +111,9 @@
     let edges: Vec<Edge> = (0..4).map(|number| edge(number, "west")).collect();
     let home = home_of(&ZoneName::from("west"), &edges).unwrap();
     for me in &edges {
-        assert_eq!(home_to_follow(me, &edges), Some(home).filter(|home| *home != me));
+        assert_eq!(
+            home_to_follow(me, &edges),
+            Some(home).filter(|home| *home != me)
+        );
     }
 }
--- a/tier/membership/tests/wire_format.rs
+++ b/tier/membership/tests/wire_format.rs
@@ -15,14 +15,23 @@
 
 fn from_hex(hex: &str) -> Vec<u8> {
     assert_eq!(hex.len() % 2, 0, "half a byte: {hex}");
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 #[test]
 fn datagrams_keep_their_bytes() {
     let datagrams = [
-        Datagram::Probe { sequence: 300, to: NodeId::from("edge-2") },
-        Datagram::Relay { sequence: u64::MAX, about: NodeId::from("edge-3") },
+        Datagram::Probe {
+            sequence: 300,
+            to: NodeId::from("edge-2"),
+        },
+        Datagram::Relay {
+            sequence: u64::MAX,
+            about: NodeId::from("edge-3"),
+        },
         Datagram::Alive { sequence: 301 },
     ];
     let pinned: Vec<(&str, Vec<u8>)> = include_str!("wire_format/datagram.txt")
@@ -36,6 +45,10 @@
         .collect();
     assert_eq!(encoded, pinned);
     for (datagram, (name, bytes)) in datagrams.iter().zip(&pinned) {
-        assert_eq!(postcard::from_bytes::<Datagram>(bytes).unwrap(), *datagram, "{name}");
+        assert_eq!(
+            postcard::from_bytes::<Datagram>(bytes).unwrap(),
+            *datagram,
+            "{name}"
+        );
     }
 }
