--- a/tier/membership/tests/world/mod.rs
+++ b/tier/membership/tests/world/mod.rs
@@ -31,7 +31,11 @@
 
 enum Event {
     Tick(NodeId),
-    Arrives { from: NodeId, to: NodeId, datagram: Datagram },
+    Arrives {
+        from: NodeId,
+        to: NodeId,
+        datagram: Datagram,
+    },
 }
 
 /// All machines and what is under way between them.
@@ -51,15 +55,19 @@
 
 impl World {
     pub fn new(machines: usize, seed: u64) -> Self {
-        let nodes: Vec<_> =
-            (0..machines).map(|number| NodeId::from(format!("edge-{number}").as_str())).collect();
+        let nodes: Vec<_> = (0..machines)
+            .map(|number| NodeId::from(format!("edge-{number}").as_str()))
+            .collect();
         let begin = Instant::now();
         let mut world = World {
             begin,
             now: Duration::ZERO,
             random: seed.wrapping_mul(2).wrapping_add(1),
             loss: 0,
-            health: nodes.iter().map(|node| (node.clone(), Health::Well)).collect(),
+            health: nodes
+                .iter()
+                .map(|node| (node.clone(), Health::Well))
+                .collect(),
             monitors: BTreeMap::new(),
             events: BTreeMap::new(),
             count: 0,
@@ -83,7 +91,10 @@
 
     /// Those that monitor a machine.
     pub fn monitors_of(&self, node: &NodeId) -> usize {
-        self.monitors.values().filter(|monitor| monitor.peers().contains(node)).count()
+        self.monitors
+            .values()
+            .filter(|monitor| monitor.peers().contains(node))
+            .count()
     }
 
     /// Runs until this time.
@@ -101,10 +112,20 @@
 
     /// When two different machines had reported this one within `window`; None if that never happened.
     pub fn found(&self, about: &NodeId, window: Duration) -> Option<Duration> {
-        let reports: Vec<_> = self.reports.iter().filter(|report| report.about == *about).collect();
+        let reports: Vec<_> = self
+            .reports
+            .iter()
+            .filter(|report| report.about == *about)
+            .collect();
         let agrees = |last: &&&Report| {
-            let lately = reports.iter().filter(|one| one.at <= last.at && one.at + window >= last.at);
-            lately.map(|report| &report.by).collect::<BTreeSet<_>>().len() >= 2
+            let lately = reports
+                .iter()
+                .filter(|one| one.at <= last.at && one.at + window >= last.at);
+            lately
+                .map(|report| &report.by)
+                .collect::<BTreeSet<_>>()
+                .len()
+                >= 2
         };
         reports.iter().find(agrees).map(|report| report.at)
     }
@@ -123,29 +144,52 @@
         let actions = match event {
             Event::Tick(_) => {
                 let actions = monitor.tick(now);
-                let next = monitor.next_tick().unwrap().saturating_duration_since(self.begin);
+                let next = monitor
+                    .next_tick()
+                    .unwrap()
+                    .saturating_duration_since(self.begin);
                 let late = self.handling(&node);
                 self.at(next.max(self.now) + late, Event::Tick(node.clone()));
                 actions
             }
             Event::Arrives { from, datagram, .. } => match datagram {
                 Datagram::Probe { sequence, .. } => vec![Action::Alive { to: from, sequence }],
-                Datagram::Relay { sequence, about } => {
-                    monitor.relay(Asker { node: from, sequence }, about, now).into_iter().collect()
+                Datagram::Relay { sequence, about } => monitor
+                    .relay(
+                        Asker {
+                            node: from,
+                            sequence,
+                        },
+                        about,
+                        now,
+                    )
+                    .into_iter()
+                    .collect(),
+                Datagram::Alive { sequence } => {
+                    monitor.answered(sequence, now).into_iter().collect()
                 }
-                Datagram::Alive { sequence } => monitor.answered(sequence, now).into_iter().collect(),
             },
         };
-        actions.into_iter().for_each(|action| self.act(&node, action));
+        actions
+            .into_iter()
+            .for_each(|action| self.act(&node, action));
     }
 
     fn act(&mut self, from: &NodeId, action: Action) {
         let (to, datagram) = match action {
             Action::Probe { to, sequence } => (to.clone(), Datagram::Probe { sequence, to }),
-            Action::Relay { via, about, sequence } => (via, Datagram::Relay { sequence, about }),
+            Action::Relay {
+                via,
+                about,
+                sequence,
+            } => (via, Datagram::Relay { sequence, about }),
             Action::Alive { to, sequence } => (to, Datagram::Alive { sequence }),
             Action::Suspect(about) => {
-                self.reports.push(Report { at: self.now, by: from.clone(), about });
+                self.reports.push(Report {
+                    at: self.now,
+                    by: from.clone(),
+                    about,
+                });
                 return;
             }
         };
@@ -154,7 +198,14 @@
             return;
         }
         let way = Duration::from_micros(1_000 + self.draw(1_000)) + self.handling(&to);
-        self.at(self.now + way, Event::Arrives { from: from.clone(), to, datagram });
+        self.at(
+            self.now + way,
+            Event::Arrives {
+                from: from.clone(),
+                to,
+                datagram,
+            },
+        );
     }
 
     fn handling(&mut self, node: &NodeId) -> Duration {
@@ -172,8 +223,10 @@
 
     /// A number under `bound`.
     fn draw(&mut self, bound: u64) -> u64 {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.random = self
+            .random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.random >> 33) % bound
     }
 }
--- a/tier/protocol/src/document.rs
+++ b/tier/protocol/src/document.rs
@@ -69,7 +69,10 @@
             Some((&COMPRESSED, compressed)) => decompress(compressed)?.into(),
             _ => encoded.clone(),
         };
-        Ok(Document { text, encoded: Arc::new(OnceLock::from(encoded)) })
+        Ok(Document {
+            text,
+            encoded: Arc::new(OnceLock::from(encoded)),
+        })
     }
 }
 
@@ -79,12 +82,16 @@
     if length > MOST_BYTES {
         return Err(DocumentError::TooLong(length));
     }
-    lz4_flex::decompress_size_prepended(compressed).map_err(|error| DocumentError::Damaged(error.to_string()))
+    lz4_flex::decompress_size_prepended(compressed)
+        .map_err(|error| DocumentError::Damaged(error.to_string()))
 }
 
 impl From<Arc<[u8]>> for Document {
     fn from(text: Arc<[u8]>) -> Self {
-        Document { text, encoded: Arc::default() }
+        Document {
+            text,
+            encoded: Arc::default(),
+        }
     }
 }
 
--- a/tier/protocol/src/feeder.rs
+++ b/tier/protocol/src/feeder.rs
@@ -23,7 +23,9 @@
         let update = match self {
             Held::Revision(held) if *held > newest.revision => return None,
             Held::Revision(held) if *held == newest.revision => None,
-            Held::Revision(_) | Held::Nothing => Some(TablesUpdate::Snapshot(Tables::clone(newest))),
+            Held::Revision(_) | Held::Nothing => {
+                Some(TablesUpdate::Snapshot(Tables::clone(newest)))
+            }
             Held::Tables(held) if held.revision >= newest.revision => return None,
             Held::Tables(held) => Some(TablesUpdate::Changes {
                 from: held.revision,
--- a/tier/protocol/src/ids.rs
+++ b/tier/protocol/src/ids.rs
@@ -63,9 +63,13 @@
 pub struct Incarnation(pub u64);
 
 /// Position in the total order of committed operations; 0 before the first.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Revision(pub u64);
 
 /// Number of a view of the stores; a higher one replaces all lower ones.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct StoreEpoch(pub u64);
--- a/tier/protocol/src/ports.rs
+++ b/tier/protocol/src/ports.rs
@@ -49,7 +49,11 @@
     /// A machine whose own address is a loopback one is used for trials beside others on the same
     /// host; each then needs an address of its own here.
     pub fn agent_loopback(self, ip: Ipv4Addr) -> SocketAddr {
-        let loopback = if ip.is_loopback() { ip } else { Ipv4Addr::LOCALHOST };
+        let loopback = if ip.is_loopback() {
+            ip
+        } else {
+            Ipv4Addr::LOCALHOST
+        };
         self.at(loopback, LOOPBACK)
     }
 
--- a/tier/protocol/src/subscription.rs
+++ b/tier/protocol/src/subscription.rs
@@ -61,12 +61,19 @@
 impl LinkStanding {
     /// Not connected since `now`.
     fn none(now: Instant) -> Self {
-        LinkStanding { current: false, since: now, address: None, by_home: false, confirmed: None }
+        LinkStanding {
+            current: false,
+            since: now,
+            address: None,
+            by_home: false,
+            confirmed: None,
+        }
     }
 
     /// Whether the tables were known to be current at some moment within `age` before `now`.
     pub fn confirmed_within(&self, age: Duration, now: Instant) -> bool {
-        self.confirmed.is_some_and(|at| now.saturating_duration_since(at) <= age)
+        self.confirmed
+            .is_some_and(|at| now.saturating_duration_since(at) <= age)
     }
 }
 
@@ -80,7 +87,10 @@
 /// What the owner wants.
 enum Order {
     /// A message to be sent; the owner may wait until it has been handed to the operating system.
-    Send { message: FromSubscriber, written: Option<oneshot::Sender<()>> },
+    Send {
+        message: FromSubscriber,
+        written: Option<oneshot::Sender<()>>,
+    },
     /// Updates come by offers from now on, until the feeder's heartbeats show that these lag.
     ByHome,
     /// Updates come from the feeder again.
@@ -102,7 +112,11 @@
         let (orders, queue) = mpsc::channel(ORDERS);
         let link = link::Link::new(options, publish_tables, publish_standing, queue);
         tokio::task::spawn_local(link.run());
-        Subscription { tables, standing, orders }
+        Subscription {
+            tables,
+            standing,
+            orders,
+        }
     }
 
     /// The tables, replaced whole with every change.
@@ -118,13 +132,25 @@
     /// Sends a message to the feeder, once. It may be lost with the connection: what has to arrive is to be
     /// sent again whenever [`LinkStanding::address`] changes. False if the queue is full.
     pub fn send(&self, message: FromSubscriber) -> bool {
-        self.orders.try_send(Order::Send { message, written: None }).is_ok()
+        self.orders
+            .try_send(Order::Send {
+                message,
+                written: None,
+            })
+            .is_ok()
     }
 
     /// Sends a message and waits until it has been handed to the operating system; false after `timeout`.
     pub async fn send_written(&self, message: FromSubscriber, timeout: Duration) -> bool {
         let (written, done) = oneshot::channel();
-        if self.orders.try_send(Order::Send { message, written: Some(written) }).is_err() {
+        if self
+            .orders
+            .try_send(Order::Send {
+                message,
+                written: Some(written),
+            })
+            .is_err()
+        {
             return false;
         }
         matches!(tokio::time::timeout(timeout, done).await, Ok(Ok(())))
--- a/tier/protocol/src/subscription/exchange.rs
+++ b/tier/protocol/src/subscription/exchange.rs
@@ -70,7 +70,10 @@
         loop {
             self.stand();
             let wake = self.silent_at();
-            let wake = self.progress.home_is_overdue_at().map_or(wake, |overdue| overdue.min(wake));
+            let wake = self
+                .progress
+                .home_is_overdue_at()
+                .map_or(wake, |overdue| overdue.min(wake));
             let wake = self.leave_at.map_or(wake, |leave| leave.min(wake));
             let done = tokio::select! {
                 biased;
@@ -103,7 +106,8 @@
     }
 
     fn stand(&self) {
-        self.link.stand(self.current, self.progress.is_by_home(), Some(self.address));
+        self.link
+            .stand(self.current, self.progress.is_by_home(), Some(self.address));
     }
 
     fn silent_at(&self) -> Instant {
@@ -162,7 +166,9 @@
     async fn alive(&mut self, held: Revision) -> Result<(), Stop> {
         match self.link.options.subscriber {
             Subscriber::Proxy | Subscriber::Peer => Ok(()),
-            Subscriber::Edge(_) | Subscriber::Store(_) => self.send(&FromSubscriber::Applied(held)).await,
+            Subscriber::Edge(_) | Subscriber::Store(_) => {
+                self.send(&FromSubscriber::Applied(held)).await
+            }
         }
     }
 
@@ -213,7 +219,11 @@
             tracing::info!(address = %self.address, "feeder is silent");
             return Err(Stop);
         }
-        if self.progress.home_is_overdue_at().is_some_and(|overdue| Instant::now() >= overdue) {
+        if self
+            .progress
+            .home_is_overdue_at()
+            .is_some_and(|overdue| Instant::now() >= overdue)
+        {
             tracing::info!(address = %self.address, "home lags; updates come from the feeder");
             return self.direct().await;
         }
--- a/tier/protocol/src/subscription/link.rs
+++ b/tier/protocol/src/subscription/link.rs
@@ -36,21 +36,31 @@
         standing: watch::Sender<LinkStanding>,
         orders: mpsc::Receiver<Order>,
     ) -> Self {
-        Link { options, tables, standing, orders, learnt: Vec::new() }
+        Link {
+            options,
+            tables,
+            standing,
+            orders,
+            learnt: Vec::new(),
+        }
     }
 
     /// Runs until the owner drops the subscription.
     pub(super) async fn run(mut self) {
         let mut rotation = Rotation::new(&self.options.hello.node);
         while !self.orders.is_closed() {
-            let Some(connection) = self.connect(&mut rotation).await else { return };
+            let Some(connection) = self.connect(&mut rotation).await else {
+                return;
+            };
             let patience = rotation.pause(self.candidates().len());
             let ended = self.follow(connection, patience).await;
             self.stand(false, false, None);
             match ended {
                 Ended::Owner => return,
                 Ended::Useful => rotation.useful(),
-                Ended::Useless => tokio::time::sleep(rotation.useless(self.candidates().len())).await,
+                Ended::Useless => {
+                    tokio::time::sleep(rotation.useless(self.candidates().len())).await
+                }
                 // The pause was spent with this feeder.
                 Ended::NotCurrent => drop(rotation.useless(self.candidates().len())),
             }
@@ -94,10 +104,18 @@
     /// Publishes how the connection stands.
     pub(super) fn stand(&self, current: bool, by_home: bool, address: Option<SocketAddr>) {
         self.standing.send_if_modified(|standing| {
-            let next = LinkStanding { current, by_home, address, ..*standing };
+            let next = LinkStanding {
+                current,
+                by_home,
+                address,
+                ..*standing
+            };
             let modified = *standing != next;
             if modified {
-                *standing = LinkStanding { since: Instant::now(), ..next };
+                *standing = LinkStanding {
+                    since: Instant::now(),
+                    ..next
+                };
             }
             modified
         });
@@ -121,15 +139,26 @@
 
     /// One connection, from its first message to its end. A feeder that is not current may become so within `patience`.
     async fn follow(&mut self, connection: Connection, patience: Duration) -> Ended {
-        let Connection { address, reader, mut writer, .. } = connection;
+        let Connection {
+            address,
+            reader,
+            mut writer,
+            ..
+        } = connection;
         let held = self.tables.borrow().revision;
         let subscriber = self.options.subscriber.clone();
-        if writer.send(&FromSubscriber::Subscribe { subscriber, held }).await.is_err() {
+        if writer
+            .send(&FromSubscriber::Subscribe { subscriber, held })
+            .await
+            .is_err()
+        {
             return Ended::Useless;
         }
         tracing::info!(%address, "subscribed");
         let patience = (self.candidates().len() > 1).then_some(patience);
-        Exchange::new(self, writer, address, patience).run(reader).await
+        Exchange::new(self, writer, address, patience)
+            .run(reader)
+            .await
     }
 }
 
--- a/tier/protocol/src/subscription/progress.rs
+++ b/tier/protocol/src/subscription/progress.rs
@@ -119,7 +119,11 @@
     fn update(&mut self, update: TablesUpdate, tables: &mut Arc<Tables>, now: Instant) -> Step {
         let before = tables.revision;
         if !Arc::make_mut(tables).apply(update) {
-            return if self.is_by_home() { self.behind_the_feeder(now) } else { self.snapshot_once() };
+            return if self.is_by_home() {
+                self.behind_the_feeder(now)
+            } else {
+                self.snapshot_once()
+            };
         }
         (self.asked_snapshot, self.asked_updates, self.waited) = (false, false, 0);
         if tables.revision == before {
@@ -129,7 +133,13 @@
         }
     }
 
-    fn heartbeat(&mut self, revision: Revision, current: bool, held: Revision, now: Instant) -> Step {
+    fn heartbeat(
+        &mut self,
+        revision: Revision,
+        current: bool,
+        held: Revision,
+        now: Instant,
+    ) -> Step {
         self.announced = self.announced.max(revision);
         if !current {
             return Step::Leave;
@@ -157,7 +167,11 @@
         }
         if self.asked_updates || self.asked_snapshot {
             self.waited += 1;
-            return if self.waited < WAITED_HEARTBEATS { Step::Unconfirmed } else { Step::Broken };
+            return if self.waited < WAITED_HEARTBEATS {
+                Step::Unconfirmed
+            } else {
+                Step::Broken
+            };
         }
         self.snapshot_once()
     }
--- a/tier/protocol/src/subscription/rotation.rs
+++ b/tier/protocol/src/subscription/rotation.rs
@@ -27,13 +27,18 @@
         let mut hasher = DefaultHasher::new();
         node.hash(&mut hasher);
         // Only the place matters; a sixteenth of the range keeps the counter far from its end.
-        Rotation { place: (hasher.finish() >> 36) as usize, fruitless: 0 }
+        Rotation {
+            place: (hasher.finish() >> 36) as usize,
+            fruitless: 0,
+        }
     }
 
     /// The next candidate; None if there is none.
     pub fn next(&mut self, candidates: &[SocketAddr]) -> Option<SocketAddr> {
         self.place = self.place.wrapping_add(1);
-        candidates.get(self.place.checked_rem(candidates.len())?).copied()
+        candidates
+            .get(self.place.checked_rem(candidates.len())?)
+            .copied()
     }
 
     /// The last candidate was current for a while: the pauses begin anew.
--- a/tier/protocol/src/tables.rs
+++ b/tier/protocol/src/tables.rs
@@ -212,7 +212,10 @@
         if self.stores != older.stores {
             changes.push(TablesChange::Stores(self.stores.clone()));
         }
-        if let Some(text) = self.configuration.as_ref().filter(|_| self.configuration != older.configuration)
+        if let Some(text) = self
+            .configuration
+            .as_ref()
+            .filter(|_| self.configuration != older.configuration)
         {
             changes.push(TablesChange::Configuration(text.clone()));
         }
@@ -225,13 +228,17 @@
     fn change(&mut self, change: TablesChange) {
         match change {
             TablesChange::TargetSet(target) => {
-                let place = self.targets.binary_search_by(|held| target_order(held, &target));
+                let place = self
+                    .targets
+                    .binary_search_by(|held| target_order(held, &target));
                 replace_at(&mut self.targets, place, target);
             }
             TablesChange::TargetRemoved(id) => self.targets.retain(|target| target.id != id),
             TablesChange::Stores(view) => self.stores = view,
             TablesChange::EdgeSet(edge) => {
-                let place = self.edges.binary_search_by(|held| held.node.cmp(&edge.node));
+                let place = self
+                    .edges
+                    .binary_search_by(|held| held.node.cmp(&edge.node));
                 replace_at(&mut self.edges, place, edge);
             }
             TablesChange::EdgeRemoved(node) => self.edges.retain(|edge| edge.node != node),
--- a/tier/protocol/src/tables/order.rs
+++ b/tier/protocol/src/tables/order.rs
@@ -20,10 +20,12 @@
     other: &'a [T],
     order: fn(&T, &T) -> Ordering,
 ) -> impl Iterator<Item = &'a T> {
-    list.iter().filter(move |one| match other.binary_search_by(|held| order(held, one)) {
-        Ok(at) => other[at] != **one,
-        Err(_) => true,
-    })
+    list.iter().filter(
+        move |one| match other.binary_search_by(|held| order(held, one)) {
+            Ok(at) => other[at] != **one,
+            Err(_) => true,
+        },
+    )
 }
 
 /// Whether the list holds something at the place of `one`.
--- a/tier/protocol/src/transport/caller.rs
+++ b/tier/protocol/src/transport/caller.rs
@@ -45,7 +45,9 @@
 
 impl<Request, Reply> Clone for Caller<Request, Reply> {
     fn clone(&self) -> Self {
-        Caller { shared: self.shared.clone() }
+        Caller {
+            shared: self.shared.clone(),
+        }
     }
 }
 
@@ -84,9 +86,21 @@
 {
     /// Calls the peer at this address; nothing is connected yet.
     pub fn new(address: SocketAddr, hello: Hello) -> Self {
-        let state = State { link: None, next_call: 0, failed_at: None, waiting: HashMap::new() };
+        let state = State {
+            link: None,
+            next_call: 0,
+            failed_at: None,
+            waiting: HashMap::new(),
+        };
         let dialing = tokio::sync::Mutex::new(());
-        Caller { shared: Rc::new(Shared { address, hello, state: RefCell::new(state), dialing }) }
+        Caller {
+            shared: Rc::new(Shared {
+                address,
+                hello,
+                state: RefCell::new(state),
+                dialing,
+            }),
+        }
     }
 
     /// The peer's address.
@@ -111,8 +125,17 @@
             state.waiting.insert(call, answer);
             call
         };
-        let _forget = Forget { shared: &self.shared, call };
-        if writes.try_send(Envelope { call, body: request }).is_err() {
+        let _forget = Forget {
+            shared: &self.shared,
+            call,
+        };
+        if writes
+            .try_send(Envelope {
+                call,
+                body: request,
+            })
+            .is_err()
+        {
             return Err(CallError::NotSent);
         }
         match tokio::time::timeout(ends.saturating_duration_since(Instant::now()), answered).await {
@@ -132,7 +155,10 @@
             if let Some(link) = state.link.as_ref().filter(|link| !link.writes.is_closed()) {
                 return Ok((link.number, link.writes.clone()));
             }
-            if state.failed_at.is_some_and(|at| at.elapsed() < REDIAL_PAUSE) {
+            if state
+                .failed_at
+                .is_some_and(|at| at.elapsed() < REDIAL_PAUSE)
+            {
                 return Err(CallError::NotSent);
             }
         }
@@ -141,7 +167,10 @@
             self.shared.state.borrow_mut().failed_at = Some(Instant::now());
             return Err(CallError::NotSent);
         };
-        Ok(self.shared.clone().open(connection.reader, connection.writer))
+        Ok(self
+            .shared
+            .clone()
+            .open(connection.reader, connection.writer))
     }
 }
 
@@ -163,7 +192,12 @@
         let writing = tokio::task::spawn_local(write(queue, writer));
         state.failed_at = None;
         let (heard, tasks) = (Instant::now(), [reading, writing]);
-        state.link = Some(Link { number, heard, writes: writes.clone(), tasks });
+        state.link = Some(Link {
+            number,
+            heard,
+            writes: writes.clone(),
+            tasks,
+        });
         (number, writes)
     }
 
@@ -186,7 +220,12 @@
     /// A call that began at `begun` timed out. If nothing at all has come since, the connection may be dead;
     /// otherwise the peer is only slow with this one call, and the others go on.
     fn suspect_if_silent(&self, number: u64, begun: Instant) {
-        let silent = self.state.borrow().link.as_ref().is_some_and(|link| link.heard <= begun);
+        let silent = self
+            .state
+            .borrow()
+            .link
+            .as_ref()
+            .is_some_and(|link| link.heard <= begun);
         if silent {
             self.suspect(number);
         }
@@ -207,7 +246,9 @@
     number: u64,
 ) {
     while let Ok(envelope) = reader.next::<Envelope<Reply>>().await {
-        let Some(shared) = shared.upgrade() else { return };
+        let Some(shared) = shared.upgrade() else {
+            return;
+        };
         let waiting = shared.heard(number, envelope.call);
         if let Some(answer) = waiting {
             // The caller may have stopped waiting.
@@ -219,7 +260,10 @@
     }
 }
 
-async fn write<Request: Serialize>(mut queue: mpsc::Receiver<Envelope<Request>>, mut writer: FrameWriter) {
+async fn write<Request: Serialize>(
+    mut queue: mpsc::Receiver<Envelope<Request>>,
+    mut writer: FrameWriter,
+) {
     let mut batch = Vec::new();
     while queue.recv_many(&mut batch, BATCH).await > 0 {
         if writer.send_all(&batch).await.is_err() {
--- a/tier/protocol/src/transport/frame.rs
+++ b/tier/protocol/src/transport/frame.rs
@@ -22,7 +22,10 @@
 impl<R: AsyncRead + Unpin> FrameReader<R> {
     /// Reads frames from this half.
     pub fn new(stream: R) -> Self {
-        FrameReader { stream: BufReader::with_capacity(READ_BUFFER, stream), buffer: Vec::new() }
+        FrameReader {
+            stream: BufReader::with_capacity(READ_BUFFER, stream),
+            buffer: Vec::new(),
+        }
     }
 
     /// The next message. Not cancel-safe: a dropped call may have taken part of a frame.
@@ -35,7 +38,10 @@
             return Err(TransportError::FrameTooLong(length));
         }
         self.buffer.clear();
-        let taken = (&mut self.stream).take(length as u64).read_to_end(&mut self.buffer).await?;
+        let taken = (&mut self.stream)
+            .take(length as u64)
+            .read_to_end(&mut self.buffer)
+            .await?;
         if taken < length {
             return Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into());
         }
--- a/tier/protocol/src/transport/mod.rs
+++ b/tier/protocol/src/transport/mod.rs
@@ -59,7 +59,11 @@
 impl Hello {
     /// A greeting of this version.
     pub fn new(channel: Channel, node: NodeId) -> Self {
-        Hello { version: PROTOCOL_VERSION, channel, node }
+        Hello {
+            version: PROTOCOL_VERSION,
+            channel,
+            node,
+        }
     }
 }
 
@@ -104,7 +108,9 @@
         let stream = connect(address).await?;
         greet(stream, address, hello).await
     };
-    tokio::time::timeout(DIAL_TIMEOUT, connecting).await.map_err(|_| TransportError::DialTimeout)?
+    tokio::time::timeout(DIAL_TIMEOUT, connecting)
+        .await
+        .map_err(|_| TransportError::DialTimeout)?
 }
 
 /// Accepts one connection and greets; the caller passes the stream of its listener.
@@ -141,7 +147,11 @@
     SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
-async fn greet(stream: TcpStream, address: SocketAddr, hello: &Hello) -> Result<Connection, TransportError> {
+async fn greet(
+    stream: TcpStream,
+    address: SocketAddr,
+    hello: &Hello,
+) -> Result<Connection, TransportError> {
     tune(&stream)?;
     let (read, write) = stream.into_split();
     let (mut reader, mut writer) = (FrameReader::new(read), FrameWriter::new(write));
@@ -150,5 +160,10 @@
     if peer.version != PROTOCOL_VERSION {
         return Err(TransportError::Version(peer.version));
     }
-    Ok(Connection { peer, address, reader, writer })
+    Ok(Connection {
+        peer,
+        address,
+        reader,
+        writer,
+    })
 }
--- a/tier/protocol/src/transport/server.rs
+++ b/tier/protocol/src/transport/server.rs
@@ -62,7 +62,12 @@
     Answer: Fn(Hello, Request) -> Answering + Clone + 'static,
     Answering: Future<Output = Reply> + 'static,
 {
-    let Connection { peer, mut reader, writer, .. } = connection;
+    let Connection {
+        peer,
+        mut reader,
+        writer,
+        ..
+    } = connection;
     let (replies, queue) = mpsc::channel::<Envelope<Reply>>(CALLS_AT_ONCE);
     let writing = tokio::task::spawn_local(write(queue, writer));
     let ended = loop {
@@ -74,7 +79,10 @@
             Ok(Envelope { call, body }) => {
                 let answering = answer(peer.clone(), body);
                 tokio::task::spawn_local(async move {
-                    place.send(Envelope { call, body: answering.await });
+                    place.send(Envelope {
+                        call,
+                        body: answering.await,
+                    });
                 });
             }
             Err(error) => break error,
@@ -84,7 +92,10 @@
     ended
 }
 
-async fn write<Reply: Serialize>(mut queue: mpsc::Receiver<Envelope<Reply>>, mut writer: FrameWriter) {
+async fn write<Reply: Serialize>(
+    mut queue: mpsc::Receiver<Envelope<Reply>>,
+    mut writer: FrameWriter,
+) {
     let mut batch = Vec::new();
     while queue.recv_many(&mut batch, BATCH).await > 0 {
         if writer.send_all(&batch).await.is_err() {
--- a/tier/protocol/tests/calls.rs
+++ b/tier/protocol/tests/calls.rs
@@ -36,7 +36,10 @@
             2 * call
         }
     };
-    (address, tokio::task::spawn_local(serve_calls(listener, hello(), answer)))
+    (
+        address,
+        tokio::task::spawn_local(serve_calls(listener, hello(), answer)),
+    )
 }
 
 #[test]
@@ -133,11 +136,15 @@
         let caller = Caller::<u64, u64>::new(address, hello());
         let dying = async {
             let (stream, address) = listener.accept().await.unwrap();
-            let mut connection =
-                plankhill_protocol::transport::accept(stream, address, &hello()).await.unwrap();
+            let mut connection = plankhill_protocol::transport::accept(stream, address, &hello())
+                .await
+                .unwrap();
             let _call: (u64, u64) = connection.reader.next().await.unwrap();
         };
-        assert_eq!(tokio::join!(caller.call(1, PATIENT), dying).0, Err(CallError::NoAnswer));
+        assert_eq!(
+            tokio::join!(caller.call(1, PATIENT), dying).0,
+            Err(CallError::NoAnswer)
+        );
     });
 }
 
--- a/tier/protocol/tests/common/mod.rs
+++ b/tier/protocol/tests/common/mod.rs
@@ -6,15 +6,21 @@
 use std::sync::Arc;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName};
+use plankhill_protocol::ids::{
+    Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName,
+};
 use plankhill_protocol::tables::{
-    edge_order, target_order, ConfigurationText, Drain, Edge, StoreView, Tables, Target, TargetState,
+    edge_order, target_order, ConfigurationText, Drain, Edge, StoreView, Tables, Target,
+    TargetState,
 };
 use tokio::task::LocalSet;
 
 /// Runs one test on a runtime as the processes use it.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, test)
 }
 
@@ -25,7 +31,11 @@
 
 /// Tables with nothing but a revision and one edge whose zone tells them apart.
 pub fn tables(revision: u64) -> Tables {
-    Tables { revision: Revision(revision), edges: vec![edge(0, revision)], ..Tables::default() }
+    Tables {
+        revision: Revision(revision),
+        edges: vec![edge(0, revision)],
+        ..Tables::default()
+    }
 }
 
 /// An edge.
@@ -54,14 +64,34 @@
         }
     }
     edges.sort_by(edge_order);
-    let stores = StoreView { epoch: StoreEpoch(draw.int_in_range(0..=2)?), ..StoreView::default() };
+    let stores = StoreView {
+        epoch: StoreEpoch(draw.int_in_range(0..=2)?),
+        ..StoreView::default()
+    };
     let version = draw.int_in_range(1..=3)?;
     let document: Arc<[u8]> = Arc::from(&b"{}"[..]);
-    let configuration = Some(ConfigurationText { version, document: document.into() });
-    let drain =
-        Drain { node: NodeId::from("edge-0"), number: draw.int_in_range(1..=2)?, empty: draw.arbitrary()? };
-    let drains = if draw.arbitrary()? { vec![drain] } else { Vec::new() };
-    Ok(Tables { revision: Revision(revision), configuration, targets, stores, edges, drains })
+    let configuration = Some(ConfigurationText {
+        version,
+        document: document.into(),
+    });
+    let drain = Drain {
+        node: NodeId::from("edge-0"),
+        number: draw.int_in_range(1..=2)?,
+        empty: draw.arbitrary()?,
+    };
+    let drains = if draw.arbitrary()? {
+        vec![drain]
+    } else {
+        Vec::new()
+    };
+    Ok(Tables {
+        revision: Revision(revision),
+        configuration,
+        targets,
+        stores,
+        edges,
+        drains,
+    })
 }
 
 fn any_target(draw: &mut Unstructured<'_>, number: u8) -> Result<Target> {
@@ -72,7 +102,11 @@
         address: any_port(),
         zone: ZoneName::from("zone"),
         capacity: 8,
-        state: if draw.arbitrary()? { TargetState::Healthy } else { TargetState::Draining },
+        state: if draw.arbitrary()? {
+            TargetState::Healthy
+        } else {
+            TargetState::Draining
+        },
         sequence: draw.int_in_range(0..=2)?,
         cold_remaining_ms: 0,
         models: Vec::new(),
--- a/tier/protocol/tests/connect.rs
+++ b/tier/protocol/tests/connect.rs
@@ -41,9 +41,14 @@
 #[test]
 fn a_machine_that_refuses_is_not_waited_for() {
     run(async {
-        let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
+        let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+            .await
+            .unwrap();
         let address = listener.local_addr().unwrap();
         drop(listener);
-        assert_eq!(connect(address).await.unwrap_err().kind(), std::io::ErrorKind::ConnectionRefused);
+        assert_eq!(
+            connect(address).await.unwrap_err().kind(),
+            std::io::ErrorKind::ConnectionRefused
+        );
     });
 }
--- a/tier/protocol/tests/document.rs
+++ b/tier/protocol/tests/document.rs
@@ -18,8 +18,9 @@
 
 /// A document of many routes that look alike.
 fn routes(count: usize) -> Vec<u8> {
-    let route =
-        |number| format!("{{\"name\":\"r-{number}\",\"host\":\"h{number}.example\",\"timeout_ms\":5000}},");
+    let route = |number| {
+        format!("{{\"name\":\"r-{number}\",\"host\":\"h{number}.example\",\"timeout_ms\":5000}},")
+    };
     (0..count).map(route).collect::<String>().into_bytes()
 }
 
@@ -43,7 +44,10 @@
 #[test]
 fn short_documents_are_encoded_as_they_are() {
     let text = b"{\"version\":1}";
-    assert_eq!(encoded(&document(text)), postcard::to_stdvec(&text.to_vec()).unwrap());
+    assert_eq!(
+        encoded(&document(text)),
+        postcard::to_stdvec(&text.to_vec()).unwrap()
+    );
 }
 
 #[test]
@@ -56,7 +60,10 @@
 #[test]
 fn a_short_document_that_begins_like_a_compressed_one_comes_back() {
     let text = [1, 0, 0];
-    assert_eq!(decoded(&encoded(&document(&text))).unwrap(), document(&text));
+    assert_eq!(
+        decoded(&encoded(&document(&text))).unwrap(),
+        document(&text)
+    );
 }
 
 #[test]
--- a/tier/protocol/tests/frames.rs
+++ b/tier/protocol/tests/frames.rs
@@ -18,7 +18,9 @@
 
 async fn tcp() -> (impl AsyncWrite + Unpin, impl AsyncRead + Unpin) {
     let listener = listen(any_port()).unwrap();
-    let dialed = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let dialed = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let (accepted, _) = listener.accept().await.unwrap();
     (dialed, accepted)
 }
@@ -26,17 +28,26 @@
 fn encoded(messages: &[Message]) -> Vec<u8> {
     run(async {
         let mut bytes = std::io::Cursor::new(Vec::new());
-        FrameWriter::new(&mut bytes).send_all(messages).await.unwrap();
+        FrameWriter::new(&mut bytes)
+            .send_all(messages)
+            .await
+            .unwrap();
         bytes.into_inner()
     })
 }
 
 fn any_messages(draw: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<Vec<Message>> {
-    (0..draw.int_in_range(0..=5)?).map(|_| draw.arbitrary()).collect()
+    (0..draw.int_in_range(0..=5)?)
+        .map(|_| draw.arbitrary())
+        .collect()
 }
 
 /// What was sent arrives, whole and in order, and then the end.
-async fn delivers(to: impl AsyncWrite + Unpin, from: impl AsyncRead + Unpin, messages: Vec<Message>) {
+async fn delivers(
+    to: impl AsyncWrite + Unpin,
+    from: impl AsyncRead + Unpin,
+    messages: Vec<Message>,
+) {
     let sending = async {
         let mut writer = FrameWriter::new(to);
         for message in &messages {
@@ -48,7 +59,10 @@
         for message in &messages {
             assert_eq!(reader.next::<Message>().await.unwrap(), *message);
         }
-        assert!(matches!(reader.next::<Message>().await, Err(TransportError::Io(_))));
+        assert!(matches!(
+            reader.next::<Message>().await,
+            Err(TransportError::Io(_))
+        ));
     };
     tokio::join!(sending, receiving);
 }
@@ -153,7 +167,12 @@
 #[test]
 fn a_message_over_the_limit_is_not_sent() {
     let message = vec![0_u8; MAX_FRAME + 1];
-    let error = run(async { FrameWriter::new(tokio::io::sink()).send(&message).await.unwrap_err() });
+    let error = run(async {
+        FrameWriter::new(tokio::io::sink())
+            .send(&message)
+            .await
+            .unwrap_err()
+    });
     assert!(matches!(error, TransportError::FrameTooLong(_)), "{error}");
 }
 
@@ -163,13 +182,18 @@
         let listener = listen(any_port()).unwrap();
         let address = listener.local_addr().unwrap();
         let here = Hello::new(Channel::Feed, NodeId::from("here"));
-        let there = Hello { version: PROTOCOL_VERSION + 1, ..here.clone() };
+        let there = Hello {
+            version: PROTOCOL_VERSION + 1,
+            ..here.clone()
+        };
         let accepting = async {
             let (stream, address) = listener.accept().await.unwrap();
             accept(stream, address, &here).await
         };
         let (accepted, _) = tokio::join!(accepting, dial(address, &there));
-        assert!(matches!(accepted, Err(TransportError::Version(version)) if version == there.version));
+        assert!(
+            matches!(accepted, Err(TransportError::Version(version)) if version == there.version)
+        );
     });
 }
 
@@ -188,6 +212,9 @@
             accept(stream, address, &here).await.unwrap()
         };
         let (accepted, dialed) = tokio::join!(accepting, dial(address, &there));
-        assert_eq!((accepted.peer, dialed.unwrap().peer), (there.clone(), here.clone()));
+        assert_eq!(
+            (accepted.peer, dialed.unwrap().peer),
+            (there.clone(), here.clone())
+        );
     });
 }
--- a/tier/protocol/tests/homes.rs
+++ b/tier/protocol/tests/homes.rs
@@ -34,7 +34,9 @@
 
 impl<T> Line<T> {
     fn new() -> Self {
-        Line { under_way: VecDeque::new() }
+        Line {
+            under_way: VecDeque::new(),
+        }
     }
 
     fn send(&mut self, arrives: usize, message: T) {
@@ -63,9 +65,12 @@
         match message {
             FromSubscriber::HeartbeatsOnly => self.wants_updates = false,
             FromSubscriber::Updates { held } => {
-                (self.wants_updates, self.held, self.announced) = (true, Held::Revision(held), held);
+                (self.wants_updates, self.held, self.announced) =
+                    (true, Held::Revision(held), held);
+            }
+            FromSubscriber::WantsSnapshot => {
+                (self.held, self.announced) = (Held::Nothing, Revision(0))
             }
-            FromSubscriber::WantsSnapshot => (self.held, self.announced) = (Held::Nothing, Revision(0)),
             other => panic!("{other:?}"),
         }
     }
@@ -78,8 +83,15 @@
             return Vec::new();
         }
         self.beat = now + HEARTBEAT;
-        let beat = ToSubscriber::Heartbeat { revision: newest.revision, current: true };
-        update.map(ToSubscriber::Update).into_iter().chain([beat]).collect()
+        let beat = ToSubscriber::Heartbeat {
+            revision: newest.revision,
+            current: true,
+        };
+        update
+            .map(ToSubscriber::Update)
+            .into_iter()
+            .chain([beat])
+            .collect()
     }
 }
 
@@ -88,8 +100,12 @@
     let begin = Instant::now();
     let mut history = vec![Arc::new(tables(0))];
     let mut committed_at = vec![0];
-    let mut controller =
-        Controller { wants_updates: true, held: Held::Nothing, announced: Revision(0), beat: 0 };
+    let mut controller = Controller {
+        wants_updates: true,
+        held: Held::Nothing,
+        announced: Revision(0),
+        beat: 0,
+    };
     let (mut down, mut up, mut side) = (Line::new(), Line::new(), Line::new());
     let mut home = Arc::new(tables(0));
     let mut to_home = Line::new();
@@ -123,7 +139,10 @@
         while let Some(offered) = side.arrived(now) {
             progress.offered(offered, &mut held);
         }
-        if progress.home_is_overdue_at().is_some_and(|overdue| overdue <= instant) {
+        if progress
+            .home_is_overdue_at()
+            .is_some_and(|overdue| overdue <= instant)
+        {
             let message = progress.end_by_home(held.revision);
             up.send(later(draw)?, message.unwrap());
         }
@@ -133,16 +152,29 @@
             }
         }
         assert!(held.revision >= before, "went back");
-        assert_eq!(held, history[held.revision.0 as usize], "holds what never was");
-        let due = committed_at.iter().rposition(|at| at + bound() <= now).unwrap_or(0);
-        assert!(held.revision.0 as usize >= due, "at {now}: holds {:?}, due {due}", held.revision);
+        assert_eq!(
+            held, history[held.revision.0 as usize],
+            "holds what never was"
+        );
+        let due = committed_at
+            .iter()
+            .rposition(|at| at + bound() <= now)
+            .unwrap_or(0);
+        assert!(
+            held.revision.0 as usize >= due,
+            "at {now}: holds {:?}, due {due}",
+            held.revision
+        );
     }
     Ok(())
 }
 
 #[test]
 fn a_home_that_works_brings_every_revision_in_time() {
-    arbtest::arbtest(|draw| play(draw, usize::MAX)).size_min(1 << 14).size_max(1 << 17).budget_ms(2_000);
+    arbtest::arbtest(|draw| play(draw, usize::MAX))
+        .size_min(1 << 14)
+        .size_max(1 << 17)
+        .budget_ms(2_000);
 }
 
 #[test]
@@ -160,10 +192,19 @@
 fn offers_count_only_while_the_home_is_followed() {
     let mut held = Arc::new(tables(1));
     let mut progress = Progress::default();
-    assert_eq!(progress.offered(Arc::new(tables(2)), &mut held), Step::Unconfirmed);
+    assert_eq!(
+        progress.offered(Arc::new(tables(2)), &mut held),
+        Step::Unconfirmed
+    );
     progress.begin_by_home(held.revision);
-    assert_eq!(progress.offered(Arc::new(tables(2)), &mut held), Step::Changed);
-    assert_eq!(progress.offered(Arc::new(tables(1)), &mut held), Step::Unconfirmed);
+    assert_eq!(
+        progress.offered(Arc::new(tables(2)), &mut held),
+        Step::Changed
+    );
+    assert_eq!(
+        progress.offered(Arc::new(tables(1)), &mut held),
+        Step::Unconfirmed
+    );
     assert_eq!(held.revision, Revision(2));
 }
 
@@ -172,7 +213,10 @@
     let (mut held, now) = (Arc::new(tables(1)), Instant::now());
     let mut progress = Progress::default();
     progress.begin_by_home(held.revision);
-    let announced = ToSubscriber::Heartbeat { revision: Revision(3), current: true };
+    let announced = ToSubscriber::Heartbeat {
+        revision: Revision(3),
+        current: true,
+    };
     assert_eq!(progress.take(announced, &mut held, now), Step::Unconfirmed);
     assert_eq!(progress.home_is_overdue_at(), Some(now + HOME_LAG));
     progress.offered(Arc::new(tables(2)), &mut held);
@@ -187,8 +231,18 @@
     let mut progress = Progress::default();
     assert_eq!(progress.end_by_home(held.revision), None);
     progress.begin_by_home(held.revision);
-    assert_eq!(progress.end_by_home(held.revision), Some(FromSubscriber::Updates { held: Revision(3) }));
+    assert_eq!(
+        progress.end_by_home(held.revision),
+        Some(FromSubscriber::Updates { held: Revision(3) })
+    );
     let (from, to) = (Revision(3), Revision(4));
-    let update = ToSubscriber::Update(TablesUpdate::Changes { from, to, changes: Vec::new() });
-    assert_eq!(progress.take(update, &mut held, Instant::now()), Step::Changed);
+    let update = ToSubscriber::Update(TablesUpdate::Changes {
+        from,
+        to,
+        changes: Vec::new(),
+    });
+    assert_eq!(
+        progress.take(update, &mut held, Instant::now()),
+        Step::Changed
+    );
 }
--- a/tier/protocol/tests/rotation.rs
+++ b/tier/protocol/tests/rotation.rs
@@ -8,7 +8,9 @@
 use plankhill_protocol::subscription::Rotation;
 
 fn candidates(count: u16) -> Vec<SocketAddr> {
-    (0..count).map(|port| SocketAddr::from((Ipv4Addr::LOCALHOST, 1_000 + port))).collect()
+    (0..count)
+        .map(|port| SocketAddr::from((Ipv4Addr::LOCALHOST, 1_000 + port)))
+        .collect()
 }
 
 #[test]
@@ -40,7 +42,14 @@
     let mut rotation = Rotation::new(&NodeId::from("edge-1"));
     for _ in 0..100 {
         let pauses: Vec<Duration> = (0..3).map(|_| rotation.unreached(3)).collect();
-        assert_eq!(pauses.iter().filter(|pause| **pause > Duration::ZERO).count(), 1, "{pauses:?}");
+        assert_eq!(
+            pauses
+                .iter()
+                .filter(|pause| **pause > Duration::ZERO)
+                .count(),
+            1,
+            "{pauses:?}"
+        );
     }
 }
 
--- a/tier/protocol/tests/shared_bytes.rs
+++ b/tier/protocol/tests/shared_bytes.rs
@@ -15,7 +15,10 @@
 fn the_form_is_that_of_a_sequence() {
     arbtest::arbtest(|random| {
         let (number, bytes): (u64, Vec<u8>) = random.arbitrary()?;
-        let shared = Shared { number, bytes: Arc::from(bytes.as_slice()) };
+        let shared = Shared {
+            number,
+            bytes: Arc::from(bytes.as_slice()),
+        };
         let encoded = postcard::to_stdvec(&shared).unwrap();
         assert_eq!(encoded, postcard::to_stdvec(&(number, &bytes)).unwrap());
         assert_eq!(postcard::from_bytes::<Shared>(&encoded).unwrap(), shared);
--- a/tier/protocol/tests/subscription.rs
+++ b/tier/protocol/tests/subscription.rs
@@ -22,10 +22,18 @@
 }
 
 fn subscribe(feeders: &[&TcpListener], silence: Duration) -> Subscription {
-    let addresses: Vec<SocketAddr> = feeders.iter().map(|one| one.local_addr().unwrap()).collect();
+    let addresses: Vec<SocketAddr> = feeders
+        .iter()
+        .map(|one| one.local_addr().unwrap())
+        .collect();
     let (_, candidates) = watch::channel(addresses);
     let subscriber = Subscriber::Edge(edge(1, 1));
-    Subscription::start(SubscriptionOptions { hello: hello(), subscriber, candidates, silence })
+    Subscription::start(SubscriptionOptions {
+        hello: hello(),
+        subscriber,
+        candidates,
+        silence,
+    })
 }
 
 /// Waits until the subscriber comes to one of two feeders; the connection and what it holds.
@@ -51,11 +59,17 @@
 }
 
 fn heartbeat(revision: u64, current: bool) -> ToSubscriber {
-    ToSubscriber::Heartbeat { revision: Revision(revision), current }
+    ToSubscriber::Heartbeat {
+        revision: Revision(revision),
+        current,
+    }
 }
 
 async fn expect(connection: &mut Connection, message: FromSubscriber) {
-    assert_eq!(connection.reader.next::<FromSubscriber>().await.unwrap(), message);
+    assert_eq!(
+        connection.reader.next::<FromSubscriber>().await.unwrap(),
+        message
+    );
 }
 
 #[test]
@@ -70,7 +84,11 @@
         assert_eq!(**subscription.tables().borrow(), tables(3));
         assert!(!subscription.standing().borrow().current);
         feeder.writer.send(&heartbeat(3, true)).await.unwrap();
-        subscription.standing().wait_for(|standing| standing.current).await.unwrap();
+        subscription
+            .standing()
+            .wait_for(|standing| standing.current)
+            .await
+            .unwrap();
     });
 }
 
@@ -112,10 +130,18 @@
         let (mut first, _) = welcome(&one, &other).await;
         first.writer.send(&heartbeat(0, false)).await.unwrap();
         let (mut second, _) = welcome(&one, &other).await;
-        second.writer.send_all(&[heartbeat(0, false), heartbeat(0, true)]).await.unwrap();
+        second
+            .writer
+            .send_all(&[heartbeat(0, false), heartbeat(0, true)])
+            .await
+            .unwrap();
         expect(&mut second, FromSubscriber::Applied(Revision(0))).await;
         expect(&mut second, FromSubscriber::Applied(Revision(0))).await;
-        subscription.standing().wait_for(|standing| standing.current).await.unwrap();
+        subscription
+            .standing()
+            .wait_for(|standing| standing.current)
+            .await
+            .unwrap();
         // One that was current is left as soon as it is not.
         second.writer.send(&heartbeat(0, false)).await.unwrap();
         welcome(&one, &other).await;
@@ -154,7 +180,11 @@
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let subscription = subscribe(&[&one, &other], PATIENT);
         let (mut feeder, _) = welcome(&one, &other).await;
-        assert!(subscription.send_written(FromSubscriber::Leaving, PATIENT).await);
+        assert!(
+            subscription
+                .send_written(FromSubscriber::Leaving, PATIENT)
+                .await
+        );
         expect(&mut feeder, FromSubscriber::Leaving).await;
         drop(subscription);
         assert!(feeder.reader.next::<FromSubscriber>().await.is_err());
--- a/tier/protocol/tests/tables.rs
+++ b/tier/protocol/tests/tables.rs
@@ -18,7 +18,11 @@
         let (older, newer) = (any_tables(draw, 3)?, any_tables(draw, 4)?);
         let mut held = older.clone();
         let changes = newer.changes_since(&older);
-        assert!(held.apply(TablesUpdate::Changes { from: Revision(3), to: Revision(4), changes }));
+        assert!(held.apply(TablesUpdate::Changes {
+            from: Revision(3),
+            to: Revision(4),
+            changes
+        }));
         assert_eq!(held, newer);
         Ok(())
     });
@@ -62,9 +66,17 @@
     });
 }
 
-fn deliver(position: &mut Held, progress: &mut Progress, newest: &Arc<Tables>, held: &mut Arc<Tables>) {
+fn deliver(
+    position: &mut Held,
+    progress: &mut Progress,
+    newest: &Arc<Tables>,
+    held: &mut Arc<Tables>,
+) {
     if let Some(update) = position.advance(newest) {
-        assert_ne!(progress.take(ToSubscriber::Update(update), held, Instant::now()), Step::WantsSnapshot);
+        assert_ne!(
+            progress.take(ToSubscriber::Update(update), held, Instant::now()),
+            Step::WantsSnapshot
+        );
     }
 }
 
@@ -72,20 +84,36 @@
 fn a_gap_leads_to_one_request_for_a_snapshot() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
-    let gap = TablesUpdate::Changes { from: Revision(4), to: Revision(5), changes: Vec::new() };
+    let gap = TablesUpdate::Changes {
+        from: Revision(4),
+        to: Revision(5),
+        changes: Vec::new(),
+    };
     let step = progress.take(ToSubscriber::Update(gap.clone()), &mut held, Instant::now());
     assert_eq!(step, Step::WantsSnapshot);
-    assert_eq!(progress.take(ToSubscriber::Update(gap), &mut held, Instant::now()), Step::Unconfirmed);
+    assert_eq!(
+        progress.take(ToSubscriber::Update(gap), &mut held, Instant::now()),
+        Step::Unconfirmed
+    );
     let snapshot = ToSubscriber::Update(TablesUpdate::Snapshot(tables(5)));
-    assert_eq!(progress.take(snapshot, &mut held, Instant::now()), Step::Changed);
+    assert_eq!(
+        progress.take(snapshot, &mut held, Instant::now()),
+        Step::Changed
+    );
     assert_eq!(held.revision, Revision(5));
 }
 
 #[test]
 fn a_heartbeat_ahead_of_the_tables_leads_to_a_snapshot() {
     let mut held = Arc::new(tables(3));
-    let ahead = ToSubscriber::Heartbeat { revision: Revision(4), current: true };
-    assert_eq!(Progress::default().take(ahead, &mut held, Instant::now()), Step::WantsSnapshot);
+    let ahead = ToSubscriber::Heartbeat {
+        revision: Revision(4),
+        current: true,
+    };
+    assert_eq!(
+        Progress::default().take(ahead, &mut held, Instant::now()),
+        Step::WantsSnapshot
+    );
 }
 
 /// A feeder that answers with what does not fit is not waited for for ever.
@@ -93,8 +121,15 @@
 fn a_snapshot_that_does_not_come_breaks_the_connection() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
-    let gap = TablesUpdate::Changes { from: Revision(0), to: Revision(5), changes: Vec::new() };
-    let beat = ToSubscriber::Heartbeat { revision: Revision(5), current: true };
+    let gap = TablesUpdate::Changes {
+        from: Revision(0),
+        to: Revision(5),
+        changes: Vec::new(),
+    };
+    let beat = ToSubscriber::Heartbeat {
+        revision: Revision(5),
+        current: true,
+    };
     let step = progress.take(ToSubscriber::Update(gap.clone()), &mut held, Instant::now());
     assert_eq!(step, Step::WantsSnapshot);
     let mut steps = Vec::new();
@@ -109,16 +144,34 @@
 fn only_equal_and_current_confirms() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
-    let beat = |revision, current| ToSubscriber::Heartbeat { revision: Revision(revision), current };
-    assert_eq!(progress.take(beat(3, true), &mut held, Instant::now()), Step::Confirmed);
-    assert_eq!(progress.take(beat(3, false), &mut held, Instant::now()), Step::Leave);
+    let beat = |revision, current| ToSubscriber::Heartbeat {
+        revision: Revision(revision),
+        current,
+    };
+    assert_eq!(
+        progress.take(beat(3, true), &mut held, Instant::now()),
+        Step::Confirmed
+    );
+    assert_eq!(
+        progress.take(beat(3, false), &mut held, Instant::now()),
+        Step::Leave
+    );
 }
 
 #[test]
 fn a_feeder_that_stays_behind_is_left() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
-    let behind = ToSubscriber::Heartbeat { revision: Revision(2), current: true };
-    assert_eq!(progress.take(behind.clone(), &mut held, Instant::now()), Step::Unconfirmed);
-    assert_eq!(progress.take(behind, &mut held, Instant::now()), Step::Leave);
+    let behind = ToSubscriber::Heartbeat {
+        revision: Revision(2),
+        current: true,
+    };
+    assert_eq!(
+        progress.take(behind.clone(), &mut held, Instant::now()),
+        Step::Unconfirmed
+    );
+    assert_eq!(
+        progress.take(behind, &mut held, Instant::now()),
+        Step::Leave
+    );
 }
--- a/tier/protocol/tests/wire_format/frames.rs
+++ b/tier/protocol/tests/wire_format/frames.rs
@@ -22,7 +22,10 @@
 /// The bytes that the fixture `frames.txt` has under this name.
 fn pinned(name: &str) -> Vec<u8> {
     let lines = fixture("frames");
-    let (_, bytes) = lines.into_iter().find(|(pinned, _)| pinned == name).unwrap();
+    let (_, bytes) = lines
+        .into_iter()
+        .find(|(pinned, _)| pinned == name)
+        .unwrap();
     bytes
 }
 
@@ -44,7 +47,10 @@
         }
         assert_eq!(one_by_one.into_inner(), pinned("TwoFrames"));
         let mut together = std::io::Cursor::new(Vec::new());
-        FrameWriter::new(&mut together).send_all(&messages).await.unwrap();
+        FrameWriter::new(&mut together)
+            .send_all(&messages)
+            .await
+            .unwrap();
         assert_eq!(together.into_inner(), pinned("TwoFrames"));
         let bytes = pinned("TwoFrames");
         let mut reader = FrameReader::new(bytes.as_slice());
@@ -59,7 +65,8 @@
     run(async {
         let listener = listen(any_port()).unwrap();
         let address = listener.local_addr().unwrap();
-        let dialing = tokio::task::spawn_local(async move { dial(address, &hello()).await.unwrap().peer });
+        let dialing =
+            tokio::task::spawn_local(async move { dial(address, &hello()).await.unwrap().peer });
         let (mut raw, _) = listener.accept().await.unwrap();
         assert_next_bytes(&mut raw, "Hello").await;
         raw.write_all(&pinned("Hello")).await.unwrap();
@@ -67,8 +74,9 @@
 
         let mut raw = TcpStream::connect(address).await.unwrap();
         let (stream, address) = listener.accept().await.unwrap();
-        let accepting =
-            tokio::task::spawn_local(async move { accept(stream, address, &hello()).await.unwrap().peer });
+        let accepting = tokio::task::spawn_local(async move {
+            accept(stream, address, &hello()).await.unwrap().peer
+        });
         assert_next_bytes(&mut raw, "Hello").await;
         raw.write_all(&pinned("Hello")).await.unwrap();
         assert_eq!(accepting.await.unwrap(), hello());
@@ -81,7 +89,9 @@
         let listener = listen(any_port()).unwrap();
         let caller = Caller::<String, String>::new(listener.local_addr().unwrap(), hello());
         let calling =
-            tokio::task::spawn_local(async move { caller.call("question".to_owned(), PATIENT).await });
+            tokio::task::spawn_local(
+                async move { caller.call("question".to_owned(), PATIENT).await },
+            );
         let (mut raw, _) = listener.accept().await.unwrap();
         assert_next_bytes(&mut raw, "Hello").await;
         raw.write_all(&pinned("Hello")).await.unwrap();
--- a/tier/protocol/tests/wire_format/messages.rs
+++ b/tier/protocol/tests/wire_format/messages.rs
@@ -5,11 +5,12 @@
 use plankhill_protocol::document::Document;
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
 use plankhill_protocol::ids::{
-    Incarnation, InstanceId, NodeId, ProgramId, RequestId, Revision, ServiceName, StoreEpoch, ZoneName,
+    Incarnation, InstanceId, NodeId, ProgramId, RequestId, Revision, ServiceName, StoreEpoch,
+    ZoneName,
 };
 use plankhill_protocol::tables::{
-    ConfigurationText, Drain, Edge, ServedModel, StoreMember, StoreView, Tables, TablesChange, TablesUpdate,
-    Target, TargetState,
+    ConfigurationText, Drain, Edge, ServedModel, StoreMember, StoreView, Tables, TablesChange,
+    TablesUpdate, Target, TargetState,
 };
 use plankhill_protocol::transport::{Channel, Hello};
 use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
@@ -78,9 +79,22 @@
 
 #[test]
 fn greetings_keep_their_bytes() {
-    let channels = [Channel::Chain, Channel::Feed, Channel::Store, Channel::Peer, Channel::Liveness];
+    let channels = [
+        Channel::Chain,
+        Channel::Feed,
+        Channel::Store,
+        Channel::Peer,
+        Channel::Liveness,
+    ];
     assert_pinned("channel", &channels);
-    assert_pinned("hello", &[Hello { version: 300, channel: Channel::Store, node: NodeId::from("store-1") }]);
+    assert_pinned(
+        "hello",
+        &[Hello {
+            version: 300,
+            channel: Channel::Store,
+            node: NodeId::from("store-1"),
+        }],
+    );
 }
 
 impl Pinned for Subscriber {
@@ -130,7 +144,10 @@
     ];
     assert_pinned("subscriber", &subscribers);
     let from_subscriber = [
-        FromSubscriber::Subscribe { subscriber: Subscriber::Edge(values::edge()), held: Revision(300) },
+        FromSubscriber::Subscribe {
+            subscriber: Subscriber::Edge(values::edge()),
+            held: Revision(300),
+        },
         FromSubscriber::Applied(Revision(301)),
         FromSubscriber::WantsSnapshot,
         FromSubscriber::StoreSynced(StoreEpoch(4)),
@@ -138,12 +155,17 @@
         FromSubscriber::Leaving,
         FromSubscriber::Emptied { number: 130 },
         FromSubscriber::HeartbeatsOnly,
-        FromSubscriber::Updates { held: Revision(302) },
+        FromSubscriber::Updates {
+            held: Revision(302),
+        },
     ];
     assert_pinned("from_subscriber", &from_subscriber);
     let to_subscriber = [
         ToSubscriber::Update(TablesUpdate::Snapshot(values::tables())),
-        ToSubscriber::Heartbeat { revision: Revision(303), current: true },
+        ToSubscriber::Heartbeat {
+            revision: Revision(303),
+            current: true,
+        },
         ToSubscriber::Controllers(vec![values::ipv4(7_000), values::ipv6(7_000)]),
     ];
     assert_pinned("to_subscriber", &to_subscriber);
@@ -204,11 +226,29 @@
 
 #[test]
 fn tables_keep_their_bytes() {
-    assert_pinned("target_state", &[TargetState::Healthy, TargetState::Draining]);
-    assert_pinned("served_model", &[ServedModel { name: "small".to_owned(), version: 3 }]);
+    assert_pinned(
+        "target_state",
+        &[TargetState::Healthy, TargetState::Draining],
+    );
+    assert_pinned(
+        "served_model",
+        &[ServedModel {
+            name: "small".to_owned(),
+            version: 3,
+        }],
+    );
     assert_pinned("target", &[values::target()]);
     assert_pinned("store_member", &[values::store_member()]);
-    assert_pinned("store_view", &[values::store_view(), StoreView { next: None, ..values::store_view() }]);
+    assert_pinned(
+        "store_view",
+        &[
+            values::store_view(),
+            StoreView {
+                next: None,
+                ..values::store_view()
+            },
+        ],
+    );
     assert_pinned("edge", &[values::edge()]);
     assert_pinned("configuration_text", &[values::configuration()]);
     assert_pinned("drain", &[values::drain()]);
@@ -216,7 +256,11 @@
     assert_pinned("tables_change", &changes());
     let updates = [
         TablesUpdate::Snapshot(values::tables()),
-        TablesUpdate::Changes { from: Revision(1_000), to: Revision(1_001), changes: changes() },
+        TablesUpdate::Changes {
+            from: Revision(1_000),
+            to: Revision(1_001),
+            changes: changes(),
+        },
     ];
     assert_pinned("tables_update", &updates);
 }
@@ -234,13 +278,21 @@
 
 #[test]
 fn documents_keep_their_compressed_bytes() {
-    let route =
-        |number| format!("{{\"name\":\"r-{number}\",\"host\":\"h{number}.example\",\"timeout_ms\":5000}},");
+    let route = |number| {
+        format!("{{\"name\":\"r-{number}\",\"host\":\"h{number}.example\",\"timeout_ms\":5000}},")
+    };
     let long: String = (0..40).map(route).collect();
     let long_like_compressed = [&[1], long.as_bytes()].concat();
-    let texts: [&[u8]; 4] =
-        [b"{\"version\":1}", &[1, 0, 0], long.as_bytes(), long_like_compressed.as_slice()];
-    assert_pinned("document", &texts.map(|text| Document::from(Arc::<[u8]>::from(text))));
+    let texts: [&[u8]; 4] = [
+        b"{\"version\":1}",
+        &[1, 0, 0],
+        long.as_bytes(),
+        long_like_compressed.as_slice(),
+    ];
+    assert_pinned(
+        "document",
+        &texts.map(|text| Document::from(Arc::<[u8]>::from(text))),
+    );
 }
 
 impl Pinned for StoreCall {
@@ -289,7 +341,10 @@
     assert_pinned("store_call", &calls);
     let history: Arc<[u8]> = Arc::from(&b"what is it?it\nis\n"[..]);
     let replies = [
-        StoreReply::Begun { history, previous: Some(values::turn_place()) },
+        StoreReply::Begun {
+            history,
+            previous: Some(values::turn_place()),
+        },
         StoreReply::BudgetSpent,
         StoreReply::NoSuchTurn,
         StoreReply::Ended,
--- a/tier/protocol/tests/wire_format/pinned.rs
+++ b/tier/protocol/tests/wire_format/pinned.rs
@@ -19,23 +19,36 @@
     let mut names = BTreeSet::new();
     let mut lines = Vec::new();
     for value in values {
-        assert!(names.insert(value.variant()), "{} stands twice", value.variant());
-        lines.push((value.variant().to_owned(), postcard::to_stdvec(value).unwrap()));
+        assert!(
+            names.insert(value.variant()),
+            "{} stands twice",
+            value.variant()
+        );
+        lines.push((
+            value.variant().to_owned(),
+            postcard::to_stdvec(value).unwrap(),
+        ));
     }
     let pinned = fixture(type_name);
     assert_eq!(lines, pinned, "{type_name}");
     for (value, (name, bytes)) in values.iter().zip(&pinned) {
         let decoded: T = postcard::from_bytes(bytes).unwrap();
         assert_eq!(decoded, *value, "{type_name} {name}");
-        assert_eq!(postcard::to_stdvec(&decoded).unwrap(), *bytes, "{type_name} {name}, encoded again");
+        assert_eq!(
+            postcard::to_stdvec(&decoded).unwrap(),
+            *bytes,
+            "{type_name} {name}, encoded again"
+        );
     }
 }
 
 /// The names and bytes of one fixture.
 pub fn fixture(name: &str) -> Vec<(String, Vec<u8>)> {
-    let path =
-        PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/wire_format").join(format!("{name}.txt"));
-    let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/wire_format")
+        .join(format!("{name}.txt"));
+    let text = std::fs::read_to_string(&path)
+        .unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     text.lines()
         .map(|line| {
             let (name, hex) = line.split_once(' ').unwrap();
@@ -46,5 +59,8 @@
 
 fn from_hex(hex: &str) -> Vec<u8> {
     assert_eq!(hex.len() % 2, 0, "half a byte: {hex}");
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
 }
--- a/tier/protocol/tests/wire_format/values.rs
+++ b/tier/protocol/tests/wire_format/values.rs
@@ -4,10 +4,12 @@
 use std::sync::Arc;
 
 use plankhill_protocol::ids::{
-    Incarnation, InstanceId, NodeId, ProgramId, RequestId, Revision, ServiceName, StoreEpoch, ZoneName,
+    Incarnation, InstanceId, NodeId, ProgramId, RequestId, Revision, ServiceName, StoreEpoch,
+    ZoneName,
 };
 use plankhill_protocol::tables::{
-    ConfigurationText, Drain, Edge, ServedModel, StoreMember, StoreView, Tables, Target, TargetState,
+    ConfigurationText, Drain, Edge, ServedModel, StoreMember, StoreView, Tables, Target,
+    TargetState,
 };
 use plankhill_protocol::turns::{Reservation, TurnPlace, TurnRecord};
 
@@ -30,14 +32,25 @@
         sequence: 70_000,
         cold_remaining_ms: 4_500,
         models: vec![
-            ServedModel { name: "small".to_owned(), version: 3 },
-            ServedModel { name: "large".to_owned(), version: u64::MAX },
+            ServedModel {
+                name: "small".to_owned(),
+                version: 3,
+            },
+            ServedModel {
+                name: "large".to_owned(),
+                version: u64::MAX,
+            },
         ],
     }
 }
 
 pub fn healthy_target() -> Target {
-    Target { id: InstanceId::from("i-78"), address: ipv6(8_082), state: TargetState::Healthy, ..target() }
+    Target {
+        id: InstanceId::from("i-78"),
+        address: ipv6(8_082),
+        state: TargetState::Healthy,
+        ..target()
+    }
 }
 
 pub fn store_member() -> StoreMember {
@@ -50,7 +63,11 @@
 }
 
 pub fn other_store_member() -> StoreMember {
-    StoreMember { node: NodeId::from("store-2"), incarnation: Incarnation(200), ..store_member() }
+    StoreMember {
+        node: NodeId::from("store-2"),
+        incarnation: Incarnation(200),
+        ..store_member()
+    }
 }
 
 pub fn store_view() -> StoreView {
@@ -73,11 +90,18 @@
 
 pub fn configuration() -> ConfigurationText {
     let document: Arc<[u8]> = Arc::from(&br#"{"version":16384}"#[..]);
-    ConfigurationText { version: 16_384, document: document.into() }
+    ConfigurationText {
+        version: 16_384,
+        document: document.into(),
+    }
 }
 
 pub fn drain() -> Drain {
-    Drain { node: NodeId::from("edge-9"), number: 5, empty: true }
+    Drain {
+        node: NodeId::from("edge-9"),
+        number: 5,
+        empty: true,
+    }
 }
 
 pub fn tables() -> Tables {
@@ -92,11 +116,17 @@
 }
 
 pub fn reservation() -> Reservation {
-    Reservation { budget: 40_000, most: 512 }
+    Reservation {
+        budget: 40_000,
+        most: 512,
+    }
 }
 
 pub fn turn_place() -> TurnPlace {
-    TurnPlace { turn: RequestId::from("r-6"), program: ProgramId::from("p-2") }
+    TurnPlace {
+        turn: RequestId::from("r-6"),
+        program: ProgramId::from("p-2"),
+    }
 }
 
 pub fn turn_record() -> TurnRecord {
--- a/tier/proxy/src/admission.rs
+++ b/tier/proxy/src/admission.rs
@@ -4,7 +4,9 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use plankhill_dispatch::{Command, Ended, Fate, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad};
+use plankhill_dispatch::{
+    Command, Ended, Fate, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+};
 use plankhill_protocol::ids::InstanceId;
 use tokio::sync::{mpsc, Notify};
 
@@ -62,11 +64,22 @@
     pub fn admit(self: &Rc<Self>, request: NewRequest) -> Admitted {
         let (sender, orders) = mpsc::unbounded_channel();
         let key = request.key;
-        self.mailboxes.borrow_mut().insert(key, Mailbox { orders: sender, out: None });
+        self.mailboxes.borrow_mut().insert(
+            key,
+            Mailbox {
+                orders: sender,
+                out: None,
+            },
+        );
         let now = self.clock.now();
         self.decisions.borrow_mut().request(now, request);
         self.carry_out();
-        Admitted { admission: self.clone(), key, orders, place: Place::Held }
+        Admitted {
+            admission: self.clone(),
+            key,
+            orders,
+            place: Place::Held,
+        }
     }
 
     /// The tables were replaced.
@@ -109,24 +122,43 @@
 
     fn carry_out(&self) {
         let commands = self.decisions.borrow_mut().commands(self.clock.now());
-        commands.into_iter().for_each(|command| self.carry_out_one(command));
+        commands
+            .into_iter()
+            .for_each(|command| self.carry_out_one(command));
     }
 
     fn carry_out_one(&self, command: Command) {
         match command {
-            Command::Send { request, target, address, deadline, priority } => {
+            Command::Send {
+                request,
+                target,
+                address,
+                deadline,
+                priority,
+            } => {
                 let leave = Rc::new(Leave::default());
                 if let Some(mailbox) = self.mailboxes.borrow_mut().get_mut(&request) {
                     mailbox.out = Some((target.clone(), leave.clone()));
-                    let call = Call { target, address, deadline, priority, leave };
+                    let call = Call {
+                        target,
+                        address,
+                        deadline,
+                        priority,
+                        leave,
+                    };
                     // The request's task may just be ending; it reports that by itself.
                     let _ = mailbox.orders.send(Order::Call(call));
                 }
             }
-            Command::Refuse { request, retry_after } => self.close(request, Order::Refuse(retry_after)),
+            Command::Refuse {
+                request,
+                retry_after,
+            } => self.close(request, Order::Refuse(retry_after)),
             Command::Fail { request, last } => self.close(request, Order::Fail(last)),
             // The receiver lives as long as the process.
-            Command::Ping { target, address } => drop(self.pings.send(PingOrder { target, address })),
+            Command::Ping { target, address } => {
+                drop(self.pings.send(PingOrder { target, address }))
+            }
             Command::CloseIdle { target } => self.pool.close_idle(&target),
             Command::TakeBack { target } => self.take_back(&target),
             Command::WakeAt(at) => self.wake_at(at),
@@ -141,8 +173,12 @@
 
     fn take_back(&self, target: &InstanceId) {
         let mailboxes = self.mailboxes.borrow();
-        let calls = mailboxes.values().filter_map(|mailbox| mailbox.out.as_ref());
-        calls.filter(|(to, _)| to == target).for_each(|(_, leave)| leave.take_back());
+        let calls = mailboxes
+            .values()
+            .filter_map(|mailbox| mailbox.out.as_ref());
+        calls
+            .filter(|(to, _)| to == target)
+            .for_each(|(_, leave)| leave.take_back());
     }
 
     /// A later time than the one set already needs no change: the dispatcher sets it again when asked.
@@ -154,7 +190,11 @@
     }
 
     fn ended(&self, key: RequestKey, ended: Ended) {
-        let out = self.mailboxes.borrow_mut().get_mut(&key).and_then(|mailbox| mailbox.out.take());
+        let out = self
+            .mailboxes
+            .borrow_mut()
+            .get_mut(&key)
+            .and_then(|mailbox| mailbox.out.take());
         if let Some((target, _)) = out {
             let now = self.clock.now();
             self.decisions.borrow_mut().ended(now, key, &target, ended);
@@ -192,7 +232,11 @@
 impl Admitted {
     /// The next decision; after [`Order::Call`], [`Admitted::ended`] has to come first.
     pub async fn next_order(&mut self) -> Order {
-        let order = self.orders.recv().await.unwrap_or(Order::Fail(Fate::Cancelled));
+        let order = self
+            .orders
+            .recv()
+            .await
+            .unwrap_or(Order::Fail(Fate::Cancelled));
         self.place = match order {
             Order::Call(_) => Place::Out,
             Order::Refuse(_) | Order::Fail(_) => Place::Done,
@@ -202,7 +246,11 @@
 
     /// The call under way has ended.
     pub fn ended(&mut self, ended: Ended) {
-        self.place = if ended.fate == Fate::Delivered { Place::Done } else { Place::Held };
+        self.place = if ended.fate == Fate::Delivered {
+            Place::Done
+        } else {
+            Place::Held
+        };
         self.admission.ended(self.key, ended);
     }
 }
--- a/tier/proxy/src/body.rs
+++ b/tier/proxy/src/body.rs
@@ -53,12 +53,16 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            AnswerBody::Pieces { pieces, .. } => pieces.poll_recv(context).map(|piece| match piece {
-                Some(Piece::Data(bytes)) => Some(Ok(Frame::data(bytes))),
-                Some(Piece::End) => None,
-                None => Some(Err(Cut)),
-            }),
+            AnswerBody::Whole(bytes) => {
+                Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
+            }
+            AnswerBody::Pieces { pieces, .. } => {
+                pieces.poll_recv(context).map(|piece| match piece {
+                    Some(Piece::Data(bytes)) => Some(Ok(Frame::data(bytes))),
+                    Some(Piece::End) => None,
+                    None => Some(Err(Cut)),
+                })
+            }
         }
     }
 
--- a/tier/proxy/src/client_stream.rs
+++ b/tier/proxy/src/client_stream.rs
@@ -33,7 +33,11 @@
 impl Exchange {
     /// Of a connection on which nothing was heard yet.
     pub fn new(life: Rc<Life>) -> Rc<Self> {
-        Rc::new(Exchange { life, is_served: Cell::new(false), arriving: RefCell::default() })
+        Rc::new(Exchange {
+            life,
+            is_served: Cell::new(false),
+            arriving: RefCell::default(),
+        })
     }
 
     /// The head of a request has come whole.
--- a/tier/proxy/src/clock.rs
+++ b/tier/proxy/src/clock.rs
@@ -14,7 +14,9 @@
 impl Clock {
     /// Starts at zero.
     pub fn start() -> Self {
-        Clock { start: Instant::now() }
+        Clock {
+            start: Instant::now(),
+        }
     }
 
     /// Milliseconds since the start.
--- a/tier/proxy/src/connect.rs
+++ b/tier/proxy/src/connect.rs
@@ -24,7 +24,10 @@
 pub async fn connect(address: SocketAddr, permit: OpenPermit) -> io::Result<TargetConnection> {
     let stream = TcpStream::connect(address).await?;
     tune(&stream)?;
-    let probes = TcpKeepalive::new().with_time(PROBE_EVERY).with_interval(PROBE_EVERY).with_retries(PROBES);
+    let probes = TcpKeepalive::new()
+        .with_time(PROBE_EVERY)
+        .with_interval(PROBE_EVERY)
+        .with_retries(PROBES);
     SockRef::from(&stream).set_tcp_keepalive(&probes)?;
     let handshake = http1::handshake(TokioIo::new(stream));
     let (sender, connection) = handshake.await.map_err(io::Error::other)?;
@@ -33,5 +36,10 @@
             tracing::debug!(%address, %error, "connection to a target ended");
         }
     }));
-    Ok(TargetConnection { sender, reused: false, driver, permit })
+    Ok(TargetConnection {
+        sender,
+        reused: false,
+        driver,
+        permit,
+    })
 }
--- a/tier/proxy/src/decisions.rs
+++ b/tier/proxy/src/decisions.rs
@@ -1,6 +1,8 @@
 //! The dispatcher as the proxy uses it, so that tests can put another in its place.
 
-use plankhill_dispatch::{Command, Dispatcher, Ended, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad};
+use plankhill_dispatch::{
+    Command, Dispatcher, Ended, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+};
 use plankhill_protocol::ids::InstanceId;
 
 use crate::snapshot::Snapshot;
--- a/tier/proxy/src/draining.rs
+++ b/tier/proxy/src/draining.rs
@@ -26,7 +26,12 @@
 pub type Say = Box<dyn Fn(FromSubscriber) -> bool>;
 
 /// Follows the orders for this node, until the process is to end. Without a sender of tables the newest order stays.
-pub async fn follow(proxy: Rc<Proxy>, node: NodeId, mut tables: watch::Receiver<Arc<Tables>>, say: Say) {
+pub async fn follow(
+    proxy: Rc<Proxy>,
+    node: NodeId,
+    mut tables: watch::Receiver<Arc<Tables>>,
+    say: Say,
+) {
     let mut drain = NodeDrain::default();
     let mut shutdown = proxy.life.shutdown();
     let mut has_sender = true;
@@ -39,7 +44,11 @@
             }
         }
         let looks = drain.state() != NodeState::InService;
-        let pause = if seen.shutdown.is_some() { LOOK_AT_THE_END } else { LOOK };
+        let pause = if seen.shutdown.is_some() {
+            LOOK_AT_THE_END
+        } else {
+            LOOK
+        };
         tokio::select! {
             changed = tables.changed(), if has_sender => has_sender = changed.is_ok(),
             // The life holds the sender.
@@ -66,11 +75,20 @@
 }
 
 fn longest_timeout(routes: &RouteTable) -> Duration {
-    routes.routes().map(|route| route.timeout).max().unwrap_or(LONGEST)
+    routes
+        .routes()
+        .map(|route| route.timeout)
+        .max()
+        .unwrap_or(LONGEST)
 }
 
 fn carry_out(proxy: &Proxy, action: Action, say: &Say) {
-    tracing::info!(?action, requests = proxy.life.requests(), clients = proxy.life.clients(), "draining");
+    tracing::info!(
+        ?action,
+        requests = proxy.life.requests(),
+        clients = proxy.life.clients(),
+        "draining"
+    );
     match action {
         Action::TurnAway => proxy.life.set_leaving(true),
         Action::Welcome => {
--- a/tier/proxy/src/exchange.rs
+++ b/tier/proxy/src/exchange.rs
@@ -55,7 +55,10 @@
         }
         let left = (call.deadline - now).max(1.0) as u64;
         headers.insert(headers::DEADLINE_MS, headers::number_value(left));
-        headers.insert(headers::PRIORITY, headers::number_value(call.priority.into()));
+        headers.insert(
+            headers::PRIORITY,
+            headers::number_value(call.priority.into()),
+        );
         if let Some(id) = self.last_event_id {
             headers.insert(headers::LAST_EVENT_ID, headers::number_value(id));
         }
@@ -100,12 +103,18 @@
         let value = text(&self.headers, headers::UPSTREAM_LOAD.as_str())?;
         let mut parts = value.split(',').map(|part| part.trim().parse::<u32>().ok());
         let (running, waiting, slots) = (parts.next()??, parts.next()??, parts.next()??);
-        Some(UpstreamLoad { running, waiting, slots })
+        Some(UpstreamLoad {
+            running,
+            waiting,
+            slots,
+        })
     }
 
     /// The target's `Retry-After`, in milliseconds.
     pub fn retry_after(&self) -> Option<Ms> {
-        number::<f64>(&self.headers, "retry-after").filter(|seconds| seconds.is_finite()).map(|s| s * 1e3)
+        number::<f64>(&self.headers, "retry-after")
+            .filter(|seconds| seconds.is_finite())
+            .map(|s| s * 1e3)
     }
 }
 
@@ -132,7 +141,10 @@
         let deadline = self.clock.instant(call.deadline);
         loop {
             let mut connection = self.connection(call, deadline, most_connections).await?;
-            match self.write(&mut connection, call, outgoing, deadline).await? {
+            match self
+                .write(&mut connection, call, outgoing, deadline)
+                .await?
+            {
                 Some(response) => return checked(response, connection, outgoing),
                 // It was closed while it rested.
                 None if connection.reused => {}
@@ -149,7 +161,9 @@
         outgoing: &Outgoing,
         deadline: Instant,
     ) -> Result<Option<Response<Incoming>>, Fate> {
-        let ready = timeout_at(deadline, connection.sender.ready()).await.map_err(|_| Fate::NotSent)?;
+        let ready = timeout_at(deadline, connection.sender.ready())
+            .await
+            .map_err(|_| Fate::NotSent)?;
         if call.leave.is_taken_back() {
             return Err(Fate::NotSent);
         }
@@ -174,7 +188,10 @@
         if let Some(connection) = self.pool.take_idle(&call.target, Instant::now()) {
             return Ok(connection);
         }
-        let permit = self.pool.permit(&call.target, most_connections).ok_or(Fate::NotSent)?;
+        let permit = self
+            .pool
+            .permit(&call.target, most_connections)
+            .ok_or(Fate::NotSent)?;
         let until = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         tokio::select! {
             connected = dial(call.address, permit, until) => connected.ok_or(Fate::NoConnection),
@@ -203,7 +220,13 @@
         return Err(Fate::Reset);
     }
     let is_early = !head.status.is_success() && outgoing.body.len() > SHORT_BODY;
-    Ok(TargetHead { status: head.status, headers: head.headers, body, connection, is_early })
+    Ok(TargetHead {
+        status: head.status,
+        headers: head.headers,
+        body,
+        connection,
+        is_early,
+    })
 }
 
 /// A success has the target's stamp. A status that promises that the request has not run says so in its
@@ -212,9 +235,9 @@
     let stamped = headers.contains_key(headers::UPSTREAM_SIGNATURE);
     let not_executed = headers.contains_key(headers::NOT_EXECUTED);
     match status {
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE | StatusCode::REQUEST_TIMEOUT => {
-            not_executed
-        }
+        StatusCode::TOO_MANY_REQUESTS
+        | StatusCode::SERVICE_UNAVAILABLE
+        | StatusCode::REQUEST_TIMEOUT => not_executed,
         _ => stamped || !status.is_success(),
     }
 }
--- a/tier/proxy/src/facts.rs
+++ b/tier/proxy/src/facts.rs
@@ -81,7 +81,10 @@
 
 fn usage(value: &str) -> Option<TokenUsage> {
     let (prompt, most) = value.split_once(',')?;
-    Some(TokenUsage { prompt: prompt.trim().parse().ok()?, most: most.trim().parse().ok()? })
+    Some(TokenUsage {
+        prompt: prompt.trim().parse().ok()?,
+        most: most.trim().parse().ok()?,
+    })
 }
 
 fn prefix(value: &str) -> Vec<PrefixPart> {
@@ -90,5 +93,8 @@
 
 fn part(value: &str) -> Option<PrefixPart> {
     let (id, tokens) = value.trim().split_once(':')?;
-    Some(PrefixPart { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
+    Some(PrefixPart {
+        id: u64::from_str_radix(id, 16).ok()?,
+        tokens: tokens.parse().ok()?,
+    })
 }
--- a/tier/proxy/src/feed.rs
+++ b/tier/proxy/src/feed.rs
@@ -14,7 +14,10 @@
 
 /// Subscribes at the agent that the settings' port range names.
 pub fn subscribe(settings: &Settings) -> Subscription {
-    let agent = PortRange { first: settings.port_range.first }.agent_loopback(settings.ip);
+    let agent = PortRange {
+        first: settings.port_range.first,
+    }
+    .agent_loopback(settings.ip);
     let (_, candidates) = watch::channel(vec![agent]);
     Subscription::start(SubscriptionOptions {
         hello: Hello::new(Channel::Feed, NodeId::from(settings.node_id.as_str())),
@@ -43,7 +46,10 @@
             }
         }
         if standing.borrow_and_update().current && !proxy.life.is_current() {
-            tracing::info!(revision = proxy.snapshots.newest().tables.revision.0, "tables are current");
+            tracing::info!(
+                revision = proxy.snapshots.newest().tables.revision.0,
+                "tables are current"
+            );
             proxy.life.set_current();
         }
     }
@@ -59,6 +65,12 @@
         proxy.turns.view_changed(&snapshot.tables.stores);
     }
     proxy.admission.tables_changed(&snapshot);
-    let known = |target: &_| snapshot.tables.targets.iter().any(|listed| listed.id == *target);
+    let known = |target: &_| {
+        snapshot
+            .tables
+            .targets
+            .iter()
+            .any(|listed| listed.id == *target)
+    };
     proxy.targets.pool.sweep(tokio::time::Instant::now(), known);
 }
--- a/tier/proxy/src/headers.rs
+++ b/tier/proxy/src/headers.rs
@@ -56,12 +56,21 @@
 }
 
 fn named_in_connection(headers: &HeaderMap) -> Vec<HeaderName> {
-    connection_options(headers).filter_map(|option| option.parse().ok()).filter(may_be_named).collect()
+    connection_options(headers)
+        .filter_map(|option| option.parse().ok())
+        .filter(may_be_named)
+        .collect()
 }
 
 /// A sender cannot take away what the exchange itself rests on.
 fn may_be_named(name: &HeaderName) -> bool {
-    ![REQUEST_ID, UPSTREAM_SIGNATURE, header::HOST, header::CONTENT_LENGTH].contains(name)
+    ![
+        REQUEST_ID,
+        UPSTREAM_SIGNATURE,
+        header::HOST,
+        header::CONTENT_LENGTH,
+    ]
+    .contains(name)
 }
 
 fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
--- a/tier/proxy/src/intake.rs
+++ b/tier/proxy/src/intake.rs
@@ -54,14 +54,22 @@
         NewRequest {
             key,
             service: self.service.clone(),
-            repeats: if route.may_run_again() { Repeats::Allowed } else { Repeats::Forbidden },
+            repeats: if route.may_run_again() {
+                Repeats::Allowed
+            } else {
+                Repeats::Forbidden
+            },
             session: self.facts.session.filter(|_| route.is_streaming()),
             deadline: self.deadline,
             objective: milliseconds(route.target_latency.unwrap_or(route.timeout)),
             max_attempts: route.max_attempts,
             priority: route.priority.min(LOWEST_PRIORITY) as u8,
             finish_left: self.facts.finish_left,
-            prefix: if route.session_affinity { self.facts.prefix.clone() } else { Vec::new() },
+            prefix: if route.session_affinity {
+                self.facts.prefix.clone()
+            } else {
+                Vec::new()
+            },
         }
     }
 }
@@ -97,7 +105,9 @@
     let most = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
     let route = find(routes, &head.headers, &head.uri);
     // The time of a request also covers its body.
-    let time = route.as_ref().map_or(limits.idle_timeout, |route| route.timeout.min(limits.idle_timeout));
+    let time = route.as_ref().map_or(limits.idle_timeout, |route| {
+        route.timeout.min(limits.idle_timeout)
+    });
     let body_until = Instant::now() + time;
     let body = match read_whole(body, most, body_until, &mut memory).await {
         Ok(body) => body,
@@ -112,7 +122,10 @@
     let name = service_of(&route, &facts, request_id.as_str());
     let service = routes.service(&name);
     let timeout = milliseconds(route.timeout);
-    let deadline = arrived + facts.deadline.map_or(timeout, |deadline| deadline.min(timeout));
+    let deadline = arrived
+        + facts
+            .deadline
+            .map_or(timeout, |deadline| deadline.min(timeout));
     if !proxy.life.admits(arrived, deadline) {
         return Err((Rejection::Ending, Some(request_id)));
     }
@@ -153,7 +166,10 @@
 }
 
 fn find(routes: &RouteTable, headers: &HeaderMap, uri: &Uri) -> Option<Arc<Route>> {
-    let host = headers.get(header::HOST).and_then(|host| host.to_str().ok()).or_else(|| uri.host())?;
+    let host = headers
+        .get(header::HOST)
+        .and_then(|host| host.to_str().ok())
+        .or_else(|| uri.host())?;
     routes.find(host, uri.path()).cloned()
 }
 
--- a/tier/proxy/src/life.rs
+++ b/tier/proxy/src/life.rs
@@ -71,7 +71,8 @@
         let shutdown = *self.shutdown.borrow();
         // Once the end has been decided on, nothing is begun any more.
         !*self.over.borrow()
-            && shutdown.is_none_or(|shutdown| shutdown.admits(duration(arrived), duration(deadline)))
+            && shutdown
+                .is_none_or(|shutdown| shutdown.admits(duration(arrived), duration(deadline)))
     }
 
     /// A request was turned away because the process ends before it could be over.
--- a/tier/proxy/src/listener.rs
+++ b/tier/proxy/src/listener.rs
@@ -51,7 +51,9 @@
 pub async fn serve(proxy: Rc<Proxy>, listener: TcpListener, most_clients: usize) {
     let places = Arc::new(tokio::sync::Semaphore::new(most_clients));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
@@ -109,7 +111,9 @@
 async fn closes_at_rest(life: &Life, exchange: &Exchange) {
     let mut connections = life.connections();
     let is_old = *connections.borrow_and_update() < Connections::CloseIdle;
-    let _ = connections.wait_for(|wanted| *wanted >= Connections::CloseIdle).await;
+    let _ = connections
+        .wait_for(|wanted| *wanted >= Connections::CloseIdle)
+        .await;
     if !is_old || exchange.is_arriving() {
         std::future::pending::<()>().await;
     }
@@ -119,32 +123,52 @@
 /// longer rest than the one at the connection's start, so that it is generous.
 fn builder(snapshot: &Snapshot) -> http1::Builder {
     let limits = snapshot.routes.as_ref().map(|routes| *routes.limits());
-    let idle = limits.map_or(IDLE_TIMEOUT, |limits| limits.idle_timeout.max(limits.header_timeout) * 2);
+    let idle = limits.map_or(IDLE_TIMEOUT, |limits| {
+        limits.idle_timeout.max(limits.header_timeout) * 2
+    });
     let head = limits.map_or(MOST_HEADER_BYTES, |limits| {
         usize::try_from(limits.max_header_bytes).unwrap_or(MOST_HEADER_BYTES)
     });
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(idle).auto_date_header(false);
-    builder.max_header_size(head).max_buf_size(head.max(LEAST_HEADER_BYTES) * 2);
+    builder
+        .timer(TokioTimer::new())
+        .header_read_timeout(idle)
+        .auto_date_header(false);
+    builder
+        .max_header_size(head)
+        .max_buf_size(head.max(LEAST_HEADER_BYTES) * 2);
     builder
 }
 
-async fn respond(proxy: Rc<Proxy>, exchange: &Exchange, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond(
+    proxy: Rc<Proxy>,
+    exchange: &Exchange,
+    request: Request<Incoming>,
+) -> Response<AnswerBody> {
     let work = proxy.life.begin_work();
     exchange.begin();
     let arrived = proxy.clock.now();
     let mut response = answered(&proxy, request, arrived).await;
     if proxy.life.turns_away() {
-        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     exchange.answered();
     drop(work);
     response
 }
 
-async fn answered(proxy: &Rc<Proxy>, request: Request<Incoming>, arrived: Ms) -> Response<AnswerBody> {
+async fn answered(
+    proxy: &Rc<Proxy>,
+    request: Request<Incoming>,
+    arrived: Ms,
+) -> Response<AnswerBody> {
     let Some(snapshot) = current_snapshot(proxy, &request).await else {
-        return answer::refused(PAUSE_UNTIL_READY, Facts::of(request.headers()).request_id.as_ref());
+        return answer::refused(
+            PAUSE_UNTIL_READY,
+            Facts::of(request.headers()).request_id.as_ref(),
+        );
     };
     match take_in(proxy, request, &snapshot, arrived).await {
         Ok(job) => answer_to(proxy, job).await,
--- a/tier/proxy/src/memory.rs
+++ b/tier/proxy/src/memory.rs
@@ -17,12 +17,17 @@
 impl Memory {
     /// So many bytes altogether.
     pub fn new(bytes: usize) -> Self {
-        Memory { left: Cell::new(bytes) }
+        Memory {
+            left: Cell::new(bytes),
+        }
     }
 
     /// A portion of nothing yet.
     pub fn portion(self: &Rc<Self>) -> Portion {
-        Portion { memory: self.clone(), bytes: 0 }
+        Portion {
+            memory: self.clone(),
+            bytes: 0,
+        }
     }
 
     /// Bytes that are not in use.
@@ -44,7 +49,12 @@
     /// # Errors
     /// If there is not so much left; nothing is taken then.
     pub fn grow(&mut self, bytes: usize) -> Result<(), OutOfMemory> {
-        let left = self.memory.left.get().checked_sub(bytes).ok_or(OutOfMemory)?;
+        let left = self
+            .memory
+            .left
+            .get()
+            .checked_sub(bytes)
+            .ok_or(OutOfMemory)?;
         self.memory.left.set(left);
         self.bytes += bytes;
         Ok(())
--- a/tier/proxy/src/ping.rs
+++ b/tier/proxy/src/ping.rs
@@ -30,7 +30,11 @@
         let proxy = proxy.clone();
         tokio::task::spawn_local(async move {
             let healthy = ping(&proxy, &order).await.is_some();
-            let answer = if healthy { PingAnswer::Healthy } else { PingAnswer::Unhealthy };
+            let answer = if healthy {
+                PingAnswer::Healthy
+            } else {
+                PingAnswer::Unhealthy
+            };
             proxy.admission.pinged(&order.target, answer);
         });
     }
@@ -41,16 +45,26 @@
     let until = Instant::now() + TIMEOUT;
     let pool = &proxy.targets.pool;
     let permit = pool.permit(&order.target, MOST_CONNECTIONS)?;
-    let mut connection = timeout_at(until, connect(order.address, permit)).await.ok()?.ok()?;
+    let mut connection = timeout_at(until, connect(order.address, permit))
+        .await
+        .ok()?
+        .ok()?;
     let request = Request::get(&*path).header(HOST, order.address.to_string());
     let request = request.body(Full::new(Bytes::new())).ok()?;
-    let response = timeout_at(until, connection.sender.send_request(request)).await.ok()?.ok()?;
+    let response = timeout_at(until, connection.sender.send_request(request))
+        .await
+        .ok()?
+        .ok()?;
     let right = text(response.headers(), INSTANCE_ID.as_str()) == Some(order.target.as_str());
     (response.status() == StatusCode::OK && right).then_some(())
 }
 
 fn health_check(snapshot: &Snapshot, target: &InstanceId) -> Option<std::sync::Arc<str>> {
-    let target = snapshot.tables.targets.iter().find(|listed| listed.id == *target)?;
+    let target = snapshot
+        .tables
+        .targets
+        .iter()
+        .find(|listed| listed.id == *target)?;
     let service = snapshot.routes.as_ref()?.service(target.service.as_str())?;
     Some(service.health_check.clone())
 }
--- a/tier/proxy/src/plain.rs
+++ b/tier/proxy/src/plain.rs
@@ -14,7 +14,9 @@
 
 /// Has the request answered. Dropping the future gives the request up.
 pub async fn serve(proxy: &Rc<Proxy>, mut job: Job) -> Response<AnswerBody> {
-    let mut admitted = proxy.admission.admit(job.for_dispatch(proxy.admission.next_key()));
+    let mut admitted = proxy
+        .admission
+        .admit(job.for_dispatch(proxy.admission.next_key()));
     let mut failure: Option<WholeAnswer> = None;
     let request_id = Some(job.outgoing.request_id.clone());
     let request_id = request_id.as_ref();
@@ -41,13 +43,19 @@
                     _ => {}
                 }
             }
-            Err(fate) => admitted.ended(Ended { took, ..Ended::plain(fate) }),
+            Err(fate) => admitted.ended(Ended {
+                took,
+                ..Ended::plain(fate)
+            }),
         }
     }
 }
 
 async fn whole_answer(proxy: &Proxy, job: &mut Job, call: &Call) -> Result<WholeAnswer, Fate> {
-    let head = proxy.targets.exchange(call, &job.outgoing, job.most_connections).await?;
+    let head = proxy
+        .targets
+        .exchange(call, &job.outgoing, job.most_connections)
+        .await?;
     let deadline = proxy.clock.instant(call.deadline);
     WholeAnswer::read(head, &proxy.targets.pool, deadline, &mut job.memory).await
 }
--- a/tier/proxy/src/reading.rs
+++ b/tier/proxy/src/reading.rs
@@ -43,11 +43,15 @@
             Ok(None) => break,
             Ok(Some(Ok(frame))) => frame,
         };
-        let Ok(data) = frame.into_data() else { continue };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         if first.len() + joined.len() + data.len() > most {
             return Err(ReadError::TooLarge);
         }
-        portion.grow(data.len()).map_err(|_| ReadError::OutOfMemory)?;
+        portion
+            .grow(data.len())
+            .map_err(|_| ReadError::OutOfMemory)?;
         // Nearly all bodies come in one piece, which is not copied.
         if first.is_empty() && joined.is_empty() {
             first = data;
@@ -56,5 +60,9 @@
             joined.extend_from_slice(&data);
         }
     }
-    Ok(if joined.is_empty() { first } else { joined.freeze() })
+    Ok(if joined.is_empty() {
+        first
+    } else {
+        joined.freeze()
+    })
 }
--- a/tier/proxy/src/ready.rs
+++ b/tier/proxy/src/ready.rs
@@ -34,7 +34,9 @@
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).auto_date_header(false);
             // How a caller's connection ends is its own matter.
-            let _ = builder.serve_connection(TokioIo::new(stream), service).await;
+            let _ = builder
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
         });
     }
 }
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -57,13 +57,21 @@
 /// # Errors
 /// [`RunError`] if it cannot start.
 pub fn run(settings: Settings) -> Result<(), RunError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, serve(settings))
 }
 
 async fn serve(settings: Settings) -> Result<(), RunError> {
-    let clients = settings.listeners_map.http.ok_or(RunError::NoListener("http"))?;
-    let readiness = settings.listeners_map.readiness.ok_or(RunError::NoListener("readiness"))?;
+    let clients = settings
+        .listeners_map
+        .http
+        .ok_or(RunError::NoListener("http"))?;
+    let readiness = settings
+        .listeners_map
+        .readiness
+        .ok_or(RunError::NoListener("readiness"))?;
     let signals = Signals::catch()?;
     let clients = bound(clients)?;
     let readiness = bound(readiness)?;
@@ -74,13 +82,22 @@
     let say = subscription.clone();
     let say: draining::Say = Box::new(move |message| say.send(message));
     let node = NodeId::from(settings.node_id.as_str());
-    tokio::task::spawn_local(draining::follow(proxy.clone(), node, subscription.tables(), say));
+    tokio::task::spawn_local(draining::follow(
+        proxy.clone(),
+        node,
+        subscription.tables(),
+        say,
+    ));
     tokio::task::spawn_local(feed::follow(follower, subscription));
     tokio::task::spawn_local(ping::carry_out(proxy.clone(), ping_orders));
     let admission = proxy.admission.clone();
     tokio::task::spawn_local(async move { admission.keep_time().await });
     tokio::task::spawn_local(ready::serve(proxy.clone(), readiness));
-    tokio::task::spawn_local(listener::serve(proxy.clone(), clients, most_clients(&settings)));
+    tokio::task::spawn_local(listener::serve(
+        proxy.clone(),
+        clients,
+        most_clients(&settings),
+    ));
     tracing::info!(node = %settings.node_id, "proxy started");
     signals.ended(proxy, settings.bounds).await;
     Ok(())
@@ -91,7 +108,11 @@
     let pool = Rc::new(TargetPool::default());
     let zone = ZoneName::from(settings.zone.as_str());
     let node = NodeId::from(settings.node_id.as_str());
-    let dispatch = DispatchSettings { seed: seed(), zone: zone.clone(), most_requests: MOST_REQUESTS };
+    let dispatch = DispatchSettings {
+        seed: seed(),
+        zone: zone.clone(),
+        most_requests: MOST_REQUESTS,
+    };
     let decisions = Box::new(Dispatcher::new(dispatch, clock.now()));
     let admission = Rc::new(Admission::new(clock, decisions, pool.clone(), pings));
     Rc::new(Proxy {
--- a/tier/proxy/src/shutdown.rs
+++ b/tier/proxy/src/shutdown.rs
@@ -24,7 +24,10 @@
     /// # Errors
     /// The operating system's.
     pub fn catch() -> io::Result<Self> {
-        Ok(Signals { terminate: signal(SignalKind::terminate())?, hang_up: signal(SignalKind::hangup())? })
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate())?,
+            hang_up: signal(SignalKind::hangup())?,
+        })
     }
 
     /// Returns when the process is to end: SIGTERM begins the way there, on which further signals change nothing.
@@ -56,7 +59,9 @@
 /// Takes the node out of service for good; returns when nothing is under way any more, or the time is over. The
 /// drain of this node has to be followed meanwhile.
 pub async fn end(proxy: &Proxy, grace: Duration) {
-    proxy.life.shut_down(Shutdown::new(duration(proxy.clock.now()), grace));
+    proxy
+        .life
+        .shut_down(Shutdown::new(duration(proxy.clock.now()), grace));
     // Whatever became of the drain, the process ends before it is killed.
     let _ = timeout(grace, proxy.life.over()).await;
 }
--- a/tier/proxy/src/snapshot.rs
+++ b/tier/proxy/src/snapshot.rs
@@ -44,7 +44,12 @@
 /// send, leaves the former one in force.
 fn routes_of(text: Option<&ConfigurationText>, held: &Snapshot) -> Option<Rc<RouteTable>> {
     let text = text?;
-    if held.tables.configuration.as_ref().is_some_and(|former| former == text) {
+    if held
+        .tables
+        .configuration
+        .as_ref()
+        .is_some_and(|former| former == text)
+    {
         return held.routes.clone();
     }
     match Configuration::parse(&text.document) {
--- a/tier/proxy/src/stream/client.rs
+++ b/tier/proxy/src/stream/client.rs
@@ -30,7 +30,13 @@
 pub fn channel(work: Work) -> (Client, Answer) {
     let (head_sender, head) = oneshot::channel();
     let (pieces_sender, pieces) = mpsc::channel(WAITING_PIECES);
-    (Client { head: Some(head_sender), pieces: pieces_sender }, Answer { work, head, pieces })
+    (
+        Client {
+            head: Some(head_sender),
+            pieces: pieces_sender,
+        },
+        Answer { work, head, pieces },
+    )
 }
 
 impl Client {
@@ -41,7 +47,9 @@
 
     /// Answers with a whole response; true if the answer had not begun.
     pub fn answer(&mut self, response: Response<AnswerBody>) -> bool {
-        let Some(head) = self.head.take() else { return false };
+        let Some(head) = self.head.take() else {
+            return false;
+        };
         head.send(response.map(Some)).is_ok()
     }
 
@@ -75,7 +83,9 @@
     pub async fn head(self) -> Response<AnswerBody> {
         let Answer { work, head, pieces } = self;
         match head.await {
-            Ok(response) => response.map(|whole| whole.unwrap_or(AnswerBody::Pieces { pieces, work })),
+            Ok(response) => {
+                response.map(|whole| whole.unwrap_or(AnswerBody::Pieces { pieces, work }))
+            }
             Err(_) => answer::empty(StatusCode::BAD_GATEWAY, None),
         }
     }
--- a/tier/proxy/src/stream/events.rs
+++ b/tier/proxy/src/stream/events.rs
@@ -49,7 +49,10 @@
     /// # Errors
     /// If the event has grown too long.
     pub fn next_event(&mut self) -> Result<Option<Event>, EventTooLong> {
-        while let Some(offset) = self.held[self.line_start..].iter().position(|byte| *byte == b'\n') {
+        while let Some(offset) = self.held[self.line_start..]
+            .iter()
+            .position(|byte| *byte == b'\n')
+        {
             let line_end = self.line_start + offset;
             let line = &self.held[self.line_start..line_end];
             let blank = line.is_empty() || line == b"\r";
@@ -72,13 +75,18 @@
     fn take_event(&mut self) -> Event {
         let bytes = self.held.split_to(self.line_start).freeze();
         self.line_start = 0;
-        let id = lines(&bytes).filter_map(|line| field(line, b"id")).last().and_then(number);
+        let id = lines(&bytes)
+            .filter_map(|line| field(line, b"id"))
+            .last()
+            .and_then(number);
         Event { bytes, id }
     }
 }
 
 fn lines(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
-    bytes.split(|byte| *byte == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line))
+    bytes
+        .split(|byte| *byte == b'\n')
+        .map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
 
 /// The value of a line `name: value`.
--- a/tier/proxy/src/stream/mod.rs
+++ b/tier/proxy/src/stream/mod.rs
@@ -21,8 +21,18 @@
     let (proxy, work) = (proxy.clone(), proxy.life.begin_work());
     tokio::task::spawn_local(async move {
         let mut job = job;
-        let turn = Turn::of(&proxy.turns, &job.route, &job.facts, job.tokens_per_event, &job.outgoing.body);
-        let mut ending = run::Ending { turn, handed: Handed::default(), settled: false };
+        let turn = Turn::of(
+            &proxy.turns,
+            &job.route,
+            &job.facts,
+            job.tokens_per_event,
+            &job.outgoing.body,
+        );
+        let mut ending = run::Ending {
+            turn,
+            handed: Handed::default(),
+            settled: false,
+        };
         let gone = client.gone();
         tokio::select! {
             biased;
--- a/tier/proxy/src/stream/relay.rs
+++ b/tier/proxy/src/stream/relay.rs
@@ -20,7 +20,9 @@
 
 /// Whether an answer with this head is a series of events.
 pub fn is_stream(status: StatusCode, headers: &HeaderMap) -> bool {
-    let media_type = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    let media_type = headers
+        .get(header::CONTENT_TYPE)
+        .and_then(|value| value.to_str().ok());
     status.is_success() && media_type.is_some_and(|value| value.starts_with(EVENT_STREAM))
 }
 
@@ -66,8 +68,11 @@
                 Ok(None) => break,
                 Ok(Some(Ok(frame))) => frame,
             };
-            let Ok(data) = frame.into_data() else { continue };
-            self.passed.longest_pause = self.passed.longest_pause.max(milliseconds(heard.elapsed()));
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
+            self.passed.longest_pause =
+                self.passed.longest_pause.max(milliseconds(heard.elapsed()));
             heard = Instant::now();
             splitter.push(&data);
             let events = self.whole_events(&mut splitter)?;
@@ -92,7 +97,9 @@
             self.passed.last_id = event.id.or(self.passed.last_id);
             self.handed.events += 1;
             if let Some(memory) = &mut self.memory {
-                memory.grow(event.bytes.len()).map_err(|_| Fate::Cancelled)?;
+                memory
+                    .grow(event.bytes.len())
+                    .map_err(|_| Fate::Cancelled)?;
                 event.append_data(&mut self.handed.output);
             }
             joined.extend_from_slice(&event.bytes);
--- a/tier/proxy/src/stream/run.rs
+++ b/tier/proxy/src/stream/run.rs
@@ -41,8 +41,16 @@
         let now = proxy.clock.now();
         let until = now + (job.deadline - now) * SHARE_FOR_BEGIN;
         match turn.begin(proxy.clock.instant(until)).await {
-            Ok(body) if job.memory.grow(body.len() - job.outgoing.body.len()).is_err() => {
-                client.answer(answer::refused(PAUSE_FOR_STORES, Some(&job.outgoing.request_id)));
+            Ok(body)
+                if job
+                    .memory
+                    .grow(body.len() - job.outgoing.body.len())
+                    .is_err() =>
+            {
+                client.answer(answer::refused(
+                    PAUSE_FOR_STORES,
+                    Some(&job.outgoing.request_id),
+                ));
                 return;
             }
             Ok(body) => job.outgoing.body = body,
@@ -58,11 +66,23 @@
             }
         }
     }
-    let admitted = proxy.admission.admit(job.for_dispatch(proxy.admission.next_key()));
+    let admitted = proxy
+        .admission
+        .admit(job.for_dispatch(proxy.admission.next_key()));
     // Where the client takes a stream up again, nothing that it has may come a second time.
     let last_id = job.facts.last_event_id.filter(|_| job.route.resumable);
-    let passed = Passed { last_id, ..Passed::default() };
-    let mut stream = StreamRun { proxy, job, client, ending, passed, failure: None };
+    let passed = Passed {
+        last_id,
+        ..Passed::default()
+    };
+    let mut stream = StreamRun {
+        proxy,
+        job,
+        client,
+        ending,
+        passed,
+        failure: None,
+    };
     if stream.dispatch(admitted).await {
         stream.finish().await;
     }
@@ -110,18 +130,33 @@
 
     async fn call(&mut self, call: &Call, sent: Ms) -> Result<Ended, Ended> {
         self.job.outgoing.last_event_id = self.passed.last_id;
-        let exchange = self.proxy.targets.exchange(call, &self.job.outgoing, self.job.most_connections);
+        let exchange =
+            self.proxy
+                .targets
+                .exchange(call, &self.job.outgoing, self.job.most_connections);
         let head = exchange.await;
         let took = self.proxy.clock.now() - sent;
-        let ended = |fate| Ended { took, ..Ended::plain(fate) };
+        let ended = |fate| Ended {
+            took,
+            ..Ended::plain(fate)
+        };
         let head = head.map_err(ended)?;
         if is_stream(head.status, &head.headers) && head.fate() == Fate::Delivered {
             self.stream(call, head).await.map_err(ended)?;
             let longest_pause = Some(self.passed.longest_pause);
-            return Ok(Ended { longest_pause, ..ended(Fate::Delivered) });
+            return Ok(Ended {
+                longest_pause,
+                ..ended(Fate::Delivered)
+            });
         }
         let deadline = self.proxy.clock.instant(call.deadline);
-        let answer = WholeAnswer::read(head, &self.proxy.targets.pool, deadline, &mut self.job.memory).await;
+        let answer = WholeAnswer::read(
+            head,
+            &self.proxy.targets.pool,
+            deadline,
+            &mut self.job.memory,
+        )
+        .await;
         let answer = answer.map_err(ended)?;
         let mut told = answer.ended(took);
         match answer.fate() {
@@ -141,16 +176,30 @@
         if let Some(load) = head.load() {
             self.proxy.admission.load_seen(&call.target, load);
         }
-        let TargetHead { status, headers, mut body, connection, .. } = head;
+        let TargetHead {
+            status,
+            headers,
+            mut body,
+            connection,
+            ..
+        } = head;
         let deadline = self.proxy.clock.instant(call.deadline + AFTER_DEADLINE);
         let mut relay = Relay {
             client: &mut *self.client,
             handed: &mut self.ending.handed,
             passed: &mut self.passed,
-            memory: self.ending.turn.as_ref().is_some_and(Turn::is_kept).then_some(&mut self.job.memory),
+            memory: self
+                .ending
+                .turn
+                .as_ref()
+                .is_some_and(Turn::is_kept)
+                .then_some(&mut self.job.memory),
         };
         relay.pass_on(status, &headers, &mut body, deadline).await?;
-        self.proxy.targets.pool.put_back(connection, &headers, Instant::now());
+        self.proxy
+            .targets
+            .pool
+            .put_back(connection, &headers, Instant::now());
         self.ending.handed.whole = true;
         Ok(())
     }
--- a/tier/proxy/src/target_pool.rs
+++ b/tier/proxy/src/target_pool.rs
@@ -104,7 +104,10 @@
             return None;
         }
         of_target.open += 1;
-        Some(OpenPermit { pool: self.clone(), target: target.clone() })
+        Some(OpenPermit {
+            pool: self.clone(),
+            target: target.clone(),
+        })
     }
 
     /// Keeps a connection whose answer came whole, unless the answer's head speaks against it.
@@ -118,7 +121,10 @@
         let expired = {
             let mut targets = self.targets.borrow_mut();
             let of_target = targets.entry(target).or_default();
-            let expired: Vec<Idle> = of_target.idle.extract_if(.., |idle| !usable(idle, now)).collect();
+            let expired: Vec<Idle> = of_target
+                .idle
+                .extract_if(.., |idle| !usable(idle, now))
+                .collect();
             of_target.idle.push(Idle { connection, until });
             expired
         };
@@ -142,7 +148,10 @@
             .iter_mut()
             .flat_map(|(target, of_target)| {
                 let gone = !known(target);
-                of_target.idle.extract_if(.., move |idle| gone || !usable(idle, now)).collect::<Vec<_>>()
+                of_target
+                    .idle
+                    .extract_if(.., move |idle| gone || !usable(idle, now))
+                    .collect::<Vec<_>>()
             })
             .collect();
         drop(unusable);
@@ -151,17 +160,27 @@
     /// Idle connections that can still be used.
     pub fn usable(&self, now: Instant) -> usize {
         let targets = self.targets.borrow();
-        targets.values().flat_map(|of_target| &of_target.idle).filter(|idle| usable(idle, now)).count()
+        targets
+            .values()
+            .flat_map(|of_target| &of_target.idle)
+            .filter(|idle| usable(idle, now))
+            .count()
     }
 
     /// Connections open to all targets.
     pub fn open(&self) -> usize {
-        self.targets.borrow().values().map(|of_target| of_target.open).sum()
+        self.targets
+            .borrow()
+            .values()
+            .map(|of_target| of_target.open)
+            .sum()
     }
 
     fn release(&self, target: &InstanceId) {
         let mut targets = self.targets.borrow_mut();
-        let Some(of_target) = targets.get_mut(target) else { return };
+        let Some(of_target) = targets.get_mut(target) else {
+            return;
+        };
         of_target.open = of_target.open.saturating_sub(1);
         if of_target.open == 0 && of_target.idle.is_empty() {
             targets.remove(target);
@@ -182,6 +201,12 @@
 }
 
 fn keep_alive_seconds(value: &str) -> Option<u64> {
-    let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
-    timeout.trim().parse().ok().filter(|seconds| *seconds <= 3_600)
+    let timeout = value
+        .split(',')
+        .find_map(|part| part.trim().strip_prefix("timeout="))?;
+    timeout
+        .trim()
+        .parse()
+        .ok()
+        .filter(|seconds| *seconds <= 3_600)
 }
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -126,7 +126,9 @@
 
     /// Settles and keeps; true once enough stores have acknowledged it, false if they have not by `until`.
     pub async fn end(&self, handed: &Handed, until: Instant) -> bool {
-        let Some(call) = self.end_call(handed) else { return true };
+        let Some(call) = self.end_call(handed) else {
+            return true;
+        };
         let within = until.saturating_duration_since(Instant::now());
         self.store.end(call, within).await == EndOutcome::Ended
     }
@@ -142,12 +144,23 @@
     }
 
     fn end_call(&self, handed: &Handed) -> Option<EndTurn> {
-        let tokens = self.reservation.as_ref().map(|_| handed.events.saturating_mul(self.tokens_per_event));
-        let record = self.retention.filter(|_| handed.whole).map(|retention| self.record(handed, retention));
+        let tokens = self
+            .reservation
+            .as_ref()
+            .map(|_| handed.events.saturating_mul(self.tokens_per_event));
+        let record = self
+            .retention
+            .filter(|_| handed.whole)
+            .map(|retention| self.record(handed, retention));
         if tokens.is_none() && record.is_none() {
             return None;
         }
-        Some(EndTurn { program: self.program.clone(), turn: self.turn.clone(), tokens, record })
+        Some(EndTurn {
+            program: self.program.clone(),
+            turn: self.turn.clone(),
+            tokens,
+            record,
+        })
     }
 
     fn record(&self, handed: &Handed, retention: Duration) -> TurnRecord {
--- a/tier/proxy/src/whole.rs
+++ b/tier/proxy/src/whole.rs
@@ -51,7 +51,14 @@
         if is_reusable {
             pool.put_back(head.connection, &head.headers, Instant::now());
         }
-        Ok(WholeAnswer { status: head.status, headers: head.headers, body, fate, load, retry_after })
+        Ok(WholeAnswer {
+            status: head.status,
+            headers: head.headers,
+            body,
+            fate,
+            load,
+            retry_after,
+        })
     }
 
     /// How the call ended.
@@ -61,7 +68,13 @@
 
     /// The end of the call as the dispatcher wants to hear it.
     pub fn ended(&self, took: Ms) -> Ended {
-        Ended { fate: self.fate, took, retry_after: self.retry_after, load: self.load, longest_pause: None }
+        Ended {
+            fate: self.fate,
+            took,
+            retry_after: self.retry_after,
+            load: self.load,
+            longest_pause: None,
+        }
     }
 
     /// The answer to the client: the target's, unchanged.
@@ -80,7 +93,8 @@
 
 /// Whether the end of the body is marked.
 fn is_framed(head: &TargetHead) -> bool {
-    let without_body = head.status == StatusCode::NO_CONTENT || head.status == StatusCode::NOT_MODIFIED;
+    let without_body =
+        head.status == StatusCode::NO_CONTENT || head.status == StatusCode::NOT_MODIFIED;
     without_body
         || head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING)
--- a/tier/proxy/tests/connections.rs
+++ b/tier/proxy/tests/connections.rs
@@ -14,8 +14,13 @@
 
 /// A request with a body that no system takes in whole unless the target reads it.
 fn long(id: &str) -> String {
-    let head = get("once", id).replace("GET", "POST").replace("\r\n\r\n", "");
-    format!("{head}\r\nContent-Length: 90000\r\n\r\n{}", "b".repeat(90_000))
+    let head = get("once", id)
+        .replace("GET", "POST")
+        .replace("\r\n\r\n", "");
+    format!(
+        "{head}\r\nContent-Length: 90000\r\n\r\n{}",
+        "b".repeat(90_000)
+    )
 }
 
 /// Guards a target that turns a long request away before it has read it, and keeps the connection: the next request went
@@ -32,14 +37,22 @@
             early.send(TURNED_AWAY).await;
             // The same request comes anew, whole, and its connection is used again.
             let (mut next, request) = target.request().await;
-            assert_eq!((request.header("request-id"), request.body.len()), (Some("r1"), 90_000));
-            next.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one")).await;
+            assert_eq!(
+                (request.header("request-id"), request.body.len()),
+                (Some("r1"), 90_000)
+            );
+            next.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one"))
+                .await;
             let request = next.receive().await.expect("over the same connection");
             assert_eq!(request.header("request-id"), Some("r2"));
             next.send(&answer("200 OK", "r2", "", "two")).await;
             // What is left of the first connection is the rest of the first body.
             let rest = early.closed().await;
-            assert!(rest.len() <= 90_000 && rest.iter().all(|byte| *byte == b'b'), "{} bytes", rest.len());
+            assert!(
+                rest.len() <= 90_000 && rest.iter().all(|byte| *byte == b'b'),
+                "{} bytes",
+                rest.len()
+            );
         };
         let ask = async {
             assert_eq!(world.ask(&first).await.expect("an answer").text(), "one");
@@ -86,7 +99,11 @@
             };
             let (got, ()) = join!(world.ask(&request), serve);
             let got = got.expect("an answer");
-            assert_eq!((got.status(), got.text().as_str()), (status, body), "reset {is_reset}");
+            assert_eq!(
+                (got.status(), got.text().as_str()),
+                (status, body),
+                "reset {is_reset}"
+            );
             assert_eq!(got.header("upstream-signature").is_some(), status == 200);
         }
     });
@@ -102,7 +119,8 @@
             let (first, second) = (get("once", "r1"), get("once", "r2"));
             let serve = async {
                 let (mut peer, _) = target.request().await;
-                peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one")).await;
+                peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one"))
+                    .await;
                 drop(peer);
                 // Either the close was seen, and a new connection comes, or the request met it and may have run.
                 tokio::select! {
@@ -117,7 +135,10 @@
             let ask = async {
                 assert_eq!(world.ask(&first).await.expect("an answer").text(), "one");
                 let got = world.ask(&second).await.expect("an answer");
-                assert!(matches!((got.status(), got.text().as_str()), (200, "two") | (502, "")));
+                assert!(matches!(
+                    (got.status(), got.text().as_str()),
+                    (200, "two") | (502, "")
+                ));
             };
             tokio::select! {
                 () = ask => {}
--- a/tier/proxy/tests/draining.rs
+++ b/tier/proxy/tests/draining.rs
@@ -37,9 +37,16 @@
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
         let orders = Orders::follow(&world);
-        let other = Drain { node: NodeId::from("other"), number: 1, empty: false };
+        let other = Drain {
+            node: NodeId::from("other"),
+            number: 1,
+            empty: false,
+        };
         orders.tables.send_modify(|tables| {
-            *tables = Arc::new(Tables { drains: vec![other], ..Tables::clone(tables) });
+            *tables = Arc::new(Tables {
+                drains: vec![other],
+                ..Tables::clone(tables)
+            });
         });
         settled().await;
         assert!(is_ready(&world.proxy));
@@ -55,7 +62,8 @@
         let mut client = world.client().await;
         client.send(&get("stream", "r1")).await;
         let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")))).await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+            .await;
         assert!(client.head().await.is_some());
         orders.set(Some(5)).await;
         assert_eq!(orders.said.borrow().len(), 0);
@@ -81,7 +89,10 @@
         let (mut peer, _) = target.request().await;
         peer.send(&answer("200 OK", "r1", "", "body")).await;
         let got = client.receive().await.expect("an answer");
-        assert_eq!((got.status(), got.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (got.status(), got.header("connection")),
+            (200, Some("close"))
+        );
         assert_eq!(client.closed().await, b"");
         orders.until_said(1).await;
     });
@@ -96,11 +107,15 @@
         let mut client = world.client().await;
         client.send(&turn("stream", "r1", "", "in")).await;
         let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")))).await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+            .await;
         assert!(client.head().await.is_some());
         assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
         let _orders = Orders::follow(&world);
-        world.proxy.life.shut_down(Shutdown::new(Duration::ZERO, Duration::ZERO));
+        world
+            .proxy
+            .life
+            .shut_down(Shutdown::new(Duration::ZERO, Duration::ZERO));
         let ending = world.proxy.life.over();
         let (_, cut) = join!(ending, client.chunk());
         assert_eq!(cut, None, "no end that looks complete");
@@ -134,6 +149,9 @@
         let _held = target.request().await;
         world.proxy.life.set_connections(Connections::Cut);
         assert_eq!(client.closed().await, b"");
-        assert_eq!((world.proxy.life.clients(), world.proxy.life.requests()), (0, 0));
+        assert_eq!(
+            (world.proxy.life.clients(), world.proxy.life.requests()),
+            (0, 0)
+        );
     });
 }
--- a/tier/proxy/tests/ending.rs
+++ b/tier/proxy/tests/ending.rs
@@ -21,16 +21,26 @@
 fn ending(world: &World, left: Duration) -> Shutdown {
     let replies_end = duration(world.proxy.clock.now()) + left;
     let all_begun_until = Duration::ZERO;
-    let shutdown = Shutdown { clients_come_until: replies_end, all_begun_until, replies_end };
+    let shutdown = Shutdown {
+        clients_come_until: replies_end,
+        all_begun_until,
+        replies_end,
+    };
     world.proxy.life.shut_down(shutdown);
     shutdown
 }
 
 /// No more clients come: connections at rest are closed.
 async fn close_idle(world: &World, shutdown: Shutdown) {
-    world.proxy.life.shut_down(Shutdown { clients_come_until: Duration::ZERO, ..shutdown });
+    world.proxy.life.shut_down(Shutdown {
+        clients_come_until: Duration::ZERO,
+        ..shutdown
+    });
     let mut connections = world.proxy.life.connections();
-    connections.wait_for(|wanted| *wanted == Connections::CloseIdle).await.expect("a life");
+    connections
+        .wait_for(|wanted| *wanted == Connections::CloseIdle)
+        .await
+        .expect("a life");
     settled().await;
 }
 
@@ -45,7 +55,13 @@
     let mut client = world.client().await;
     client.send(&get("once", "r0")).await;
     let (mut peer, _) = target.request().await;
-    peer.send(&answer("200 OK", "r0", "Keep-Alive: timeout=9\r\n", "first")).await;
+    peer.send(&answer(
+        "200 OK",
+        "r0",
+        "Keep-Alive: timeout=9\r\n",
+        "first",
+    ))
+    .await;
     assert_eq!(client.receive().await.expect("an answer").text(), "first");
     (client, peer)
 }
@@ -62,7 +78,10 @@
         assert!(peer.receive().await.is_some());
         peer.send(&answer("200 OK", "r1", "", "last")).await;
         let got = client.receive().await.expect("an answer");
-        assert_eq!((got.text().as_str(), got.header("connection")), ("last", Some("close")));
+        assert_eq!(
+            (got.text().as_str(), got.header("connection")),
+            ("last", Some("close"))
+        );
         assert_eq!(client.closed().await, b"");
     });
 }
@@ -78,7 +97,10 @@
         for (route, mut client) in [("once", client), ("stream", world.client().await)] {
             client.send(&get(route, "r1")).await;
             let got = client.receive().await.expect("an answer");
-            assert_eq!((got.status(), got.header("connection")), (503, Some("close")));
+            assert_eq!(
+                (got.status(), got.header("connection")),
+                (503, Some("close"))
+            );
             assert!(got.header("retry-after").is_some());
             assert_eq!(client.closed().await, b"");
         }
@@ -110,7 +132,10 @@
         assert!(peer.receive().await.is_some());
         peer.send(&answer("200 OK", "r1", "", "whole")).await;
         let got = client.receive().await.expect("an answer");
-        assert_eq!((got.text().as_str(), got.header("connection")), ("whole", Some("close")));
+        assert_eq!(
+            (got.text().as_str(), got.header("connection")),
+            ("whole", Some("close"))
+        );
         drop(client);
         world.proxy.life.over().await;
     });
@@ -122,8 +147,9 @@
         let target = Listening::start().await;
         let (world, _orders) = world(&target).await;
         let mut client = world.client().await;
-        let head =
-            get("once", "r1").replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n");
+        let head = get("once", "r1")
+            .replace("GET", "POST")
+            .replace("\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n");
         client.send(&(head + "half")).await;
         while world.proxy.life.requests() == 0 {
             task::yield_now().await;
@@ -164,7 +190,8 @@
         let mut client = world.client().await;
         client.send(&get("stream", "r1")).await;
         let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")))).await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+            .await;
         assert!(client.head().await.is_some());
         let shutdown = ending(&world, HOUR);
         close_idle(&world, shutdown).await;
@@ -186,7 +213,11 @@
         let shutdown = ending(&world, HOUR);
         close_idle(&world, shutdown).await;
         client.send(&get("once", "r1")).await;
-        assert_eq!(client.closed().await, b"", "an orderly end without an answer");
+        assert_eq!(
+            client.closed().await,
+            b"",
+            "an orderly end without an answer"
+        );
         // A client that comes later is served: nothing of the first went before it.
         let mut later = world.client().await;
         later.send(&get("once", "r2")).await;
@@ -222,7 +253,10 @@
         close_idle(&world, shutdown).await;
         world.proxy.life.over().await;
         let got = world.ask(&get("once", "r1")).await.expect("an answer");
-        assert_eq!((got.status(), got.header("retry-after").is_some()), (503, true));
+        assert_eq!(
+            (got.status(), got.header("retry-after").is_some()),
+            (503, true)
+        );
     });
 }
 
--- a/tier/proxy/tests/events.rs
+++ b/tier/proxy/tests/events.rs
@@ -34,8 +34,15 @@
         assert_eq!(split(&pieces), split(&[bytes]));
         let (events, rest) = split(&pieces);
         assert_eq!(events.len() as u64, count);
-        assert!(events.iter().enumerate().all(|(at, event)| event.id == Some(at as u64)));
-        let joined: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).chain(rest).collect();
+        assert!(events
+            .iter()
+            .enumerate()
+            .all(|(at, event)| event.id == Some(at as u64)));
+        let joined: Vec<u8> = events
+            .iter()
+            .flat_map(|event| event.bytes.to_vec())
+            .chain(rest)
+            .collect();
         assert_eq!(joined, bytes);
         Ok(())
     });
@@ -45,7 +52,9 @@
 fn data_has_a_line_feed_behind_each_line() {
     let (events, _) = split(&[b"versions: 3\nid: 1\ndata: one\ndata:two\n\n: nothing\n\n"]);
     let mut output = Vec::new();
-    events.iter().for_each(|event| event.append_data(&mut output));
+    events
+        .iter()
+        .for_each(|event| event.append_data(&mut output));
     assert_eq!(output, b"one\ntwo\n");
 }
 
--- a/tier/proxy/tests/life.rs
+++ b/tier/proxy/tests/life.rs
@@ -8,7 +8,9 @@
 use support::on_one_thread;
 use support::orders::Orders;
 use support::peer::{Listening, Peer};
-use support::world::{answer, chunk, configuration, event, get, stream_head, tables, World, LAST_CHUNK};
+use support::world::{
+    answer, chunk, configuration, event, get, stream_head, tables, World, LAST_CHUNK,
+};
 use tokio::join;
 
 /// The end was asked for, and nothing has to be over yet.
@@ -31,7 +33,10 @@
         assert_eq!(readiness(&world).await, 503);
         let hurried = get("once", "r1").replace("Deadline-Ms: 9000", "Deadline-Ms: 1");
         let early = world.ask(&hurried).await.expect("an answer");
-        assert_eq!((early.status(), early.header("retry-after").is_some()), (503, true));
+        assert_eq!(
+            (early.status(), early.header("retry-after").is_some()),
+            (503, true)
+        );
         world.proxy.life.set_current();
         assert_eq!(readiness(&world).await, 200);
         world.proxy.life.shut_down(in_an_hour());
@@ -80,9 +85,13 @@
         world.proxy.life.shut_down(in_an_hour());
         open.send(&get("once", "r1")).await;
         let (mut peer, _) = target.request().await;
-        peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "body")).await;
+        peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "body"))
+            .await;
         let got = open.receive().await.expect("an answer");
-        assert_eq!((got.status(), got.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (got.status(), got.header("connection")),
+            (200, Some("close"))
+        );
         assert_eq!(open.closed().await, b"");
         let mut late = world.client().await;
         late.send(&get("once", "r2")).await;
@@ -100,10 +109,14 @@
         let mut client = world.client().await;
         client.send(&get("stream", "r1")).await;
         let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")))).await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+            .await;
         assert!(client.head().await.is_some());
         let _orders = Orders::follow(&world);
-        world.proxy.life.shut_down(Shutdown { clients_come_until: Duration::ZERO, ..in_an_hour() });
+        world.proxy.life.shut_down(Shutdown {
+            clients_come_until: Duration::ZERO,
+            ..in_an_hour()
+        });
         let ending = world.proxy.life.over();
         let finishing = async {
             assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
--- a/tier/proxy/tests/limits.rs
+++ b/tier/proxy/tests/limits.rs
@@ -20,14 +20,32 @@
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
         let cases = [
-            ("GET /none/x HTTP/1.1\r\nHost: host.example\r\nRequest-Id: r1\r\n\r\n".to_owned(), 404),
-            ("GET /once/x HTTP/1.1\r\nHost: other.example\r\nRequest-Id: r1\r\n\r\n".to_owned(), 404),
-            ("GET /once/x HTTP/1.1\r\nHost: host.example\r\n\r\n".to_owned(), 400),
+            (
+                "GET /none/x HTTP/1.1\r\nHost: host.example\r\nRequest-Id: r1\r\n\r\n".to_owned(),
+                404,
+            ),
+            (
+                "GET /once/x HTTP/1.1\r\nHost: other.example\r\nRequest-Id: r1\r\n\r\n".to_owned(),
+                404,
+            ),
+            (
+                "GET /once/x HTTP/1.1\r\nHost: host.example\r\n\r\n".to_owned(),
+                400,
+            ),
             (post("r1", &"x".repeat(100_001)), 413),
-            (format!("GET /once/x HTTP/1.1\r\nHost: host.example\r\nA: {}\r\n\r\n", "x".repeat(17_000)), 431),
+            (
+                format!(
+                    "GET /once/x HTTP/1.1\r\nHost: host.example\r\nA: {}\r\n\r\n",
+                    "x".repeat(17_000)
+                ),
+                431,
+            ),
         ];
         for (request, status) in cases {
-            assert_eq!(world.ask(&request).await.expect("an answer").status(), status);
+            assert_eq!(
+                world.ask(&request).await.expect("an answer").status(),
+                status
+            );
         }
     });
 }
--- a/tier/proxy/tests/plain.rs
+++ b/tier/proxy/tests/plain.rs
@@ -18,7 +18,9 @@
              3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         let serve = async {
             let (mut peer, request) = target.request().await;
-            assert!(request.head.starts_with("POST /once/a%20b/?q=%2F HTTP/1.1\r\n"));
+            assert!(request
+                .head
+                .starts_with("POST /once/a%20b/?q=%2F HTTP/1.1\r\n"));
             assert_eq!(request.text(), "abcde");
             assert_eq!(request.header("expected-instance"), Some("t0"));
             assert_eq!(request.header("request-id"), Some("r1"));
@@ -26,7 +28,13 @@
             assert_eq!(request.header("x-hop"), None);
             let left: u64 = request.header("deadline-ms").unwrap().parse().unwrap();
             assert!((1..=9000).contains(&left));
-            peer.send(&answer("201 Created", "r1", "X-Target: 7\r\nKeep-Alive: timeout=9\r\n", "body")).await;
+            peer.send(&answer(
+                "201 Created",
+                "r1",
+                "X-Target: 7\r\nKeep-Alive: timeout=9\r\n",
+                "body",
+            ))
+            .await;
             peer
         };
         let (got, _peer) = join!(world.ask(request), serve);
@@ -45,7 +53,8 @@
         let world = World::with_targets(&[&target]).await;
         let serve = async {
             let (mut peer, _) = target.request().await;
-            peer.send(&answer("500 Internal Server Error", "r1", "", "broken")).await;
+            peer.send(&answer("500 Internal Server Error", "r1", "", "broken"))
+                .await;
             peer
         };
         let request = get("once", "r1");
@@ -111,7 +120,11 @@
     on_one_thread(async {
         for (first, reset) in TROUBLES {
             let got = first_answer_is(first, reset, "again").await;
-            assert_eq!((got.status(), got.text().as_str()), (200, "good"), "{first:?}");
+            assert_eq!(
+                (got.status(), got.text().as_str()),
+                (200, "good"),
+                "{first:?}"
+            );
         }
     });
 }
@@ -125,7 +138,11 @@
         ];
         for first in refusals {
             let got = first_answer_is(first, false, "once").await;
-            assert_eq!((got.status(), got.text().as_str()), (200, "good"), "{first:?}");
+            assert_eq!(
+                (got.status(), got.text().as_str()),
+                (200, "good"),
+                "{first:?}"
+            );
         }
     });
 }
@@ -137,7 +154,10 @@
         let world = World::with_targets(&[&gone]).await;
         drop(gone);
         let got = world.ask(&get("once", "r1")).await.expect("an answer");
-        assert_eq!((got.status(), got.header("retry-after")), (503, Some("0.200")));
+        assert_eq!(
+            (got.status(), got.header("retry-after")),
+            (503, Some("0.200"))
+        );
         assert_eq!(got.header("request-id"), Some("r1"));
     });
 }
@@ -174,7 +194,8 @@
         let (first, second) = (get("once", "r1"), get("once", "r2"));
         let serve = async {
             let (mut peer, _) = target.request().await;
-            peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one")).await;
+            peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one"))
+                .await;
             let request = peer.receive().await.expect("over the same connection");
             assert_eq!(request.header("request-id"), Some("r2"));
             peer.send(&answer("200 OK", "r1", "", "late")).await;
@@ -196,7 +217,8 @@
         let (first, second) = (get("once", "r1"), get("once", "r2"));
         let serve = async {
             let (mut peer, _) = target.request().await;
-            peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one")).await;
+            peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one"))
+                .await;
             drop(peer);
             let (mut next, _) = target.request().await;
             next.send(&answer("200 OK", "r2", "", "two")).await;
--- a/tier/proxy/tests/runs.rs
+++ b/tier/proxy/tests/runs.rs
@@ -74,7 +74,10 @@
     while let Some(request) = peer.receive().await {
         let id = request.header("request-id").expect("an id").to_owned();
         let behaviour = BEHAVIOURS[chance.below(BEHAVIOURS.len())];
-        let runs_it = !matches!(behaviour, Behaviour::RefuseAsFull | Behaviour::RefuseAsAnother);
+        let runs_it = !matches!(
+            behaviour,
+            Behaviour::RefuseAsFull | Behaviour::RefuseAsAnother
+        );
         if runs_it {
             *runs.borrow_mut().entry(id.clone()).or_default() += 1;
         }
@@ -84,14 +87,28 @@
             Behaviour::ServeAndClose => return peer.send(&good).await,
             Behaviour::ServeWithSurplus => peer.send(&format!("{good}surplus")).await,
             Behaviour::RefuseAsFull => {
-                peer.send(&answer("503 Service Unavailable", &id, "Not-Executed: full\r\n", "")).await;
+                peer.send(&answer(
+                    "503 Service Unavailable",
+                    &id,
+                    "Not-Executed: full\r\n",
+                    "",
+                ))
+                .await;
+            }
+            Behaviour::RefuseAsAnother => {
+                peer.send(&answer("421 Misdirected Request", &id, "", ""))
+                    .await
+            }
+            Behaviour::FailItself => {
+                peer.send(&answer("500 Internal Server Error", &id, "", "bad"))
+                    .await
             }
-            Behaviour::RefuseAsAnother => peer.send(&answer("421 Misdirected Request", &id, "", "")).await,
-            Behaviour::FailItself => peer.send(&answer("500 Internal Server Error", &id, "", "bad")).await,
             Behaviour::RunAndReset => return peer.reset(),
             Behaviour::RunAndBreakOff => return peer.send(&good[..good.len() - 1]).await,
             Behaviour::AnswerAnother => {
-                return peer.send(&answer("200 OK", "of-another", "", "bytes of another")).await;
+                return peer
+                    .send(&answer("200 OK", "of-another", "", "bytes of another"))
+                    .await;
             }
         }
     }
@@ -126,11 +143,18 @@
             Some(peer) => peer,
             None => world.client().await,
         };
-        peer.send(&get(if may_repeat { "again" } else { "once" }, &id)).await;
+        peer.send(&get(if may_repeat { "again" } else { "once" }, &id))
+            .await;
         let answer = peer.receive().await;
-        let goes_on = answer.as_ref().is_some_and(|answer| answer.header("connection") != Some("close"));
+        let goes_on = answer
+            .as_ref()
+            .is_some_and(|answer| answer.header("connection") != Some("close"));
         connection = goes_on.then_some(peer);
-        all.push(Answered { id, may_repeat, answer });
+        all.push(Answered {
+            id,
+            may_repeat,
+            answer,
+        });
     }
     all
 }
@@ -149,17 +173,30 @@
     let answered: Vec<Answered> = clients.join_all().await.into_iter().flatten().collect();
     assert_eq!(answered.len(), CLIENTS * REQUESTS, "seed {seed}");
     for one in &answered {
-        judge(seed, one, runs.borrow().get(&one.id).copied().unwrap_or_default());
+        judge(
+            seed,
+            one,
+            runs.borrow().get(&one.id).copied().unwrap_or_default(),
+        );
     }
     // Every kind of end has to come up, or nothing was shown.
     let status = |one: &Answered| one.answer.as_ref().map(Message::status);
-    assert!(answered.iter().any(|one| status(one) == Some(200)), "seed {seed}");
-    assert!(answered.iter().any(|one| status(one) != Some(200)), "seed {seed}");
+    assert!(
+        answered.iter().any(|one| status(one) == Some(200)),
+        "seed {seed}"
+    );
+    assert!(
+        answered.iter().any(|one| status(one) != Some(200)),
+        "seed {seed}"
+    );
 }
 
 fn judge(seed: u64, one: &Answered, runs: usize) {
     let id = &one.id;
-    assert!(one.may_repeat || runs <= 1, "seed {seed}: {id} ran {runs} times");
+    assert!(
+        one.may_repeat || runs <= 1,
+        "seed {seed}: {id} ran {runs} times"
+    );
     let Some(answer) = &one.answer else { return };
     let status = answer.status();
     if PROMISES.contains(&status) && !one.may_repeat {
@@ -167,7 +204,11 @@
     }
     if (200..300).contains(&status) {
         assert_eq!(answer.text(), body_of(id), "seed {seed}");
-        assert_eq!(answer.header("upstream-signature"), Some(format!("stamp-{id}").as_str()), "seed {seed}");
+        assert_eq!(
+            answer.header("upstream-signature"),
+            Some(format!("stamp-{id}").as_str()),
+            "seed {seed}"
+        );
     }
 }
 
--- a/tier/proxy/tests/signals.rs
+++ b/tier/proxy/tests/signals.rs
@@ -17,12 +17,16 @@
         let world = World::with_targets(&[&target]).await;
         let _orders = Orders::follow(&world);
         let signals = Signals::catch().expect("signals");
-        let bounds: Bounds = serde_json::from_value(serde_json::json!({ "grace_s": 8 })).expect("bounds");
+        let bounds: Bounds =
+            serde_json::from_value(serde_json::json!({ "grace_s": 8 })).expect("bounds");
         let ended = task::spawn_local(signals.ended(world.proxy.clone(), bounds));
         let mut client = world.client().await;
-        client.send(&get("stream", "r1").replace("9000", "2000")).await;
+        client
+            .send(&get("stream", "r1").replace("9000", "2000"))
+            .await;
         let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")))).await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+            .await;
         assert!(client.head().await.is_some());
         signal("TERM");
         let mut shutdown = world.proxy.life.shutdown();
@@ -41,6 +45,8 @@
 
 fn signal(name: &str) {
     let own = std::process::id().to_string();
-    let sent = std::process::Command::new("kill").args(["-s", name, &own]).status();
+    let sent = std::process::Command::new("kill")
+        .args(["-s", name, &own])
+        .status();
     assert!(sent.expect("kill runs").success());
 }
--- a/tier/proxy/tests/streams.rs
+++ b/tier/proxy/tests/streams.rs
@@ -30,7 +30,10 @@
         assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
         // The second event comes only now that the first was received; it was cut in the middle.
         peer.send(&chunk("ta: b\n\n")).await;
-        assert_eq!(client.chunk().await, Some(Some(b"id: 2\ndata: b\n\n".to_vec())));
+        assert_eq!(
+            client.chunk().await,
+            Some(Some(b"id: 2\ndata: b\n\n".to_vec()))
+        );
         peer.send(LAST_CHUNK).await;
         assert_eq!(client.chunk().await, Some(None));
     });
@@ -45,7 +48,8 @@
         client.send(&get("stream", "r1")).await;
         let (mut peer, _) = target.request().await;
         let head = stream_head("r1", "s").replace("\r\n\r\n", "\r\nKeep-Alive: timeout=9\r\n\r\n");
-        peer.send(&(head + &chunk(&event(1, "a")) + LAST_CHUNK)).await;
+        peer.send(&(head + &chunk(&event(1, "a")) + LAST_CHUNK))
+            .await;
         assert!(client.receive().await.is_some());
         client.send(&get("once", "r2")).await;
         let request = peer.receive().await.expect("over the same connection");
@@ -73,7 +77,11 @@
             } else {
                 drop(peer);
             }
-            assert_eq!(client.closed().await, b"", "neither half an event nor the end of the body");
+            assert_eq!(
+                client.closed().await,
+                b"",
+                "neither half an event nor the end of the body"
+            );
         }
     });
 }
@@ -90,7 +98,10 @@
         };
         let (got, ()) = join!(world.ask(&request), serve);
         let got = got.expect("an answer");
-        assert_eq!((got.status(), got.header("upstream-signature")), (502, None));
+        assert_eq!(
+            (got.status(), got.header("upstream-signature")),
+            (502, None)
+        );
     });
 }
 
@@ -103,7 +114,12 @@
         let serve = async {
             let (mut peer, request) = first.request().await;
             assert_eq!(request.header("last-event-id"), None);
-            send_stream(&mut peer, "one", &[&event(1, "a"), &event(2, "b"), "id: 3\nda"]).await;
+            send_stream(
+                &mut peer,
+                "one",
+                &[&event(1, "a"), &event(2, "b"), "id: 3\nda"],
+            )
+            .await;
             drop(peer);
             let (mut peer, request) = second.request().await;
             assert_eq!(request.header("last-event-id"), Some("2"));
@@ -145,7 +161,8 @@
         let request = get("stream", "r1");
         let serve = async {
             let (mut peer, _) = full.request().await;
-            peer.send(&answer("503 Full", "r1", "Not-Executed: 1\r\n", "")).await;
+            peer.send(&answer("503 Full", "r1", "Not-Executed: 1\r\n", ""))
+                .await;
             let (mut other, _) = free.request().await;
             send_stream(&mut other, "s", &[&event(1, "a")]).await;
             other.send(LAST_CHUNK).await;
@@ -206,6 +223,9 @@
         };
         let (got, _peers) = join!(world.ask(&request), serve);
         let got = got.expect("an answer");
-        assert_eq!((got.text(), got.header("upstream-signature")), (event(8, "next"), Some("two")));
+        assert_eq!(
+            (got.text(), got.header("upstream-signature")),
+            (event(8, "next"), Some("two"))
+        );
     });
 }
--- a/tier/proxy/tests/support/orders.rs
+++ b/tier/proxy/tests/support/orders.rs
@@ -29,19 +29,37 @@
             heard.borrow_mut().push(message);
             true
         });
-        task::spawn_local(draining::follow(world.proxy.clone(), NodeId::from("me"), watched, say));
+        task::spawn_local(draining::follow(
+            world.proxy.clone(),
+            NodeId::from("me"),
+            watched,
+            say,
+        ));
         Orders { tables, said }
     }
 
     pub async fn set(&self, number: Option<u64>) {
-        let drain = |number| Drain { node: NodeId::from("me"), number, empty: false };
+        let drain = |number| Drain {
+            node: NodeId::from("me"),
+            number,
+            empty: false,
+        };
         let drains = number.map(drain).into_iter().collect();
-        self.tables.send_modify(|tables| *tables = Arc::new(Tables { drains, ..Tables::clone(tables) }));
+        self.tables.send_modify(|tables| {
+            *tables = Arc::new(Tables {
+                drains,
+                ..Tables::clone(tables)
+            })
+        });
         settled().await;
     }
 
     pub async fn until_said(&self, number: u64) {
-        while !self.said.borrow().contains(&FromSubscriber::Emptied { number }) {
+        while !self
+            .said
+            .borrow()
+            .contains(&FromSubscriber::Emptied { number })
+        {
             task::yield_now().await;
         }
     }
--- a/tier/proxy/tests/support/peer.rs
+++ b/tier/proxy/tests/support/peer.rs
@@ -14,12 +14,22 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.head
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .expect("a status")
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
-        let mut lines = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
-        lines.find(|(found, _)| found.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
+        let mut lines = self
+            .head
+            .lines()
+            .skip(1)
+            .filter_map(|line| line.split_once(':'));
+        lines
+            .find(|(found, _)| found.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.trim())
     }
 
     pub fn text(&self) -> String {
@@ -35,17 +45,26 @@
 
 impl Peer {
     pub async fn connect(address: SocketAddr) -> Peer {
-        Peer { stream: TcpStream::connect(address).await.expect("a connection"), unread: Vec::new() }
+        Peer {
+            stream: TcpStream::connect(address).await.expect("a connection"),
+            unread: Vec::new(),
+        }
     }
 
     pub async fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).await.expect("written");
+        self.stream
+            .write_all(text.as_bytes())
+            .await
+            .expect("written");
     }
 
     /// Reads one message; none if the connection ends before the message does.
     pub async fn receive(&mut self) -> Option<Message> {
         let head = self.head().await?;
-        let mut message = Message { head, body: Vec::new() };
+        let mut message = Message {
+            head,
+            body: Vec::new(),
+        };
         if message.header("transfer-encoding").is_some() {
             while let Some(chunk) = self.chunk().await? {
                 message.body.extend(chunk);
@@ -86,7 +105,10 @@
 
     async fn until(&mut self, end: &[u8]) -> Option<Vec<u8>> {
         loop {
-            let found = self.unread.windows(end.len()).position(|window| window == end);
+            let found = self
+                .unread
+                .windows(end.len())
+                .position(|window| window == end);
             if let Some(at) = found {
                 return Some(self.unread.drain(..at + end.len()).collect());
             }
@@ -117,15 +139,21 @@
 
 impl Listening {
     pub async fn start() -> Listening {
-        Listening { listener: TcpListener::bind("127.0.0.1:0").await.expect("a port") }
+        Listening {
+            listener: TcpListener::bind("127.0.0.1:0").await.expect("a port"),
+        }
     }
 
     /// Connections take in little before they are read.
     pub async fn with_small_buffers() -> Listening {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4 * 1024).expect("an option");
-        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        Listening { listener: socket.listen(16).expect("a listener") }
+        socket
+            .bind("127.0.0.1:0".parse().expect("an address"))
+            .expect("a port");
+        Listening {
+            listener: socket.listen(16).expect("a listener"),
+        }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -134,7 +162,10 @@
 
     pub async fn accept(&self) -> Peer {
         let (stream, _) = self.listener.accept().await.expect("a connection");
-        Peer { stream, unread: Vec::new() }
+        Peer {
+            stream,
+            unread: Vec::new(),
+        }
     }
 
     /// Accepts a connection and reads its first request.
--- a/tier/proxy/tests/support/round_robin.rs
+++ b/tier/proxy/tests/support/round_robin.rs
@@ -3,7 +3,9 @@
 use std::collections::{HashMap, VecDeque};
 
 use plankhill_dispatch::retry::Attempts;
-use plankhill_dispatch::{Command, Ended, Fate, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad};
+use plankhill_dispatch::{
+    Command, Ended, Fate, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+};
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
 
@@ -24,9 +26,12 @@
 
 impl RoundRobin {
     fn send(&mut self, key: RequestKey) {
-        let Some((request, _)) = self.requests.get(&key) else { return };
-        let healthy =
-            |target: &&Target| target.service == request.service && target.state == TargetState::Healthy;
+        let Some((request, _)) = self.requests.get(&key) else {
+            return;
+        };
+        let healthy = |target: &&Target| {
+            target.service == request.service && target.state == TargetState::Healthy
+        };
         let targets: Vec<&Target> = self.targets.iter().filter(healthy).collect();
         let at = self.next % targets.len().max(1);
         self.next += 1;
@@ -38,7 +43,10 @@
                 deadline: request.deadline,
                 priority: request.priority,
             }),
-            None => self.commands.push_back(Command::Refuse { request: key, retry_after: RETRY_AFTER }),
+            None => self.commands.push_back(Command::Refuse {
+                request: key,
+                retry_after: RETRY_AFTER,
+            }),
         }
     }
 }
@@ -59,7 +67,9 @@
     }
 
     fn ended(&mut self, _now: Ms, key: RequestKey, _target: &InstanceId, ended: Ended) {
-        let Some((request, attempts)) = self.requests.get_mut(&key) else { return };
+        let Some((request, attempts)) = self.requests.get_mut(&key) else {
+            return;
+        };
         attempts.count(ended.fate);
         if ended.fate == Fate::Delivered || ended.fate == Fate::Cancelled {
             self.requests.remove(&key);
@@ -69,9 +79,15 @@
             let may_have_run = attempts.may_have_run();
             self.requests.remove(&key);
             self.commands.push_back(if may_have_run {
-                Command::Fail { request: key, last: ended.fate }
+                Command::Fail {
+                    request: key,
+                    last: ended.fate,
+                }
             } else {
-                Command::Refuse { request: key, retry_after: RETRY_AFTER }
+                Command::Refuse {
+                    request: key,
+                    retry_after: RETRY_AFTER,
+                }
             });
         }
     }
--- a/tier/proxy/tests/support/stores.rs
+++ b/tier/proxy/tests/support/stores.rs
@@ -42,7 +42,10 @@
 
     fn begin(&self, turn: BeginTurn, _within: Duration) -> LocalFuture<BeginOutcome> {
         self.0.begun.borrow_mut().push(turn);
-        let nothing = BeginOutcome::Begun { history: Arc::from([]), previous: None };
+        let nothing = BeginOutcome::Begun {
+            history: Arc::from([]),
+            previous: None,
+        };
         let outcome = self.0.next_begin.borrow().clone().unwrap_or(nothing);
         Box::pin(async { outcome })
     }
@@ -50,7 +53,11 @@
     fn end(&self, turn: EndTurn, _within: Duration) -> LocalFuture<EndOutcome> {
         self.0.ended.borrow_mut().push(turn);
         self.0.end_came.notify_one();
-        let outcome = if self.0.refuse_ends.get() { EndOutcome::Unsure } else { EndOutcome::Ended };
+        let outcome = if self.0.refuse_ends.get() {
+            EndOutcome::Unsure
+        } else {
+            EndOutcome::Ended
+        };
         Box::pin(async move { outcome })
     }
 }
--- a/tier/proxy/tests/support/world.rs
+++ b/tier/proxy/tests/support/world.rs
@@ -55,9 +55,18 @@
         });
         let (client_listener, clients) = listening().await;
         let (ready_listener, readiness) = listening().await;
-        tokio::task::spawn_local(listener::serve(proxy.clone(), client_listener, MOST_CLIENTS));
+        tokio::task::spawn_local(listener::serve(
+            proxy.clone(),
+            client_listener,
+            MOST_CLIENTS,
+        ));
         tokio::task::spawn_local(ready::serve(proxy.clone(), ready_listener));
-        World { proxy, stores, clients, readiness }
+        World {
+            proxy,
+            stores,
+            clients,
+            readiness,
+        }
     }
 
     /// A proxy with these targets, named t0, t1 and so on, and the routes of [`configuration`].
@@ -71,7 +80,9 @@
 
     pub fn set_tables(&self, tables: Tables) {
         self.proxy.snapshots.replace(Arc::new(tables));
-        self.proxy.admission.tables_changed(&self.proxy.snapshots.newest());
+        self.proxy
+            .admission
+            .tables_changed(&self.proxy.snapshots.newest());
     }
 
     pub async fn client(&self) -> Peer {
@@ -129,7 +140,10 @@
     let document: Arc<[u8]> = Arc::from(configuration.to_string().into_bytes());
     Tables {
         revision: Revision(1),
-        configuration: Some(ConfigurationText { version: 1, document: document.into() }),
+        configuration: Some(ConfigurationText {
+            version: 1,
+            document: document.into(),
+        }),
         targets: targets.iter().enumerate().map(target).collect(),
         ..Tables::default()
     }
--- a/tier/proxy/tests/turns.rs
+++ b/tier/proxy/tests/turns.rs
@@ -33,7 +33,13 @@
         let (got, _peer) = join!(world.ask(&request), serve);
         assert_eq!(got.expect("an answer").status(), 200);
         let begun = world.stores.begun.borrow()[0].clone();
-        assert_eq!(begun.reservation, Some(Reservation { budget: 100, most: 33 }));
+        assert_eq!(
+            begun.reservation,
+            Some(Reservation {
+                budget: 100,
+                most: 33
+            })
+        );
         let end = world.stores.first_end().await;
         assert_eq!(end.tokens, Some(6));
         assert!(end.record.is_none());
@@ -45,9 +51,15 @@
     on_one_thread(async {
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
-        let place = TurnPlace { turn: RequestId::from("r0"), program: ProgramId::from("parent") };
+        let place = TurnPlace {
+            turn: RequestId::from("r0"),
+            program: ProgramId::from("parent"),
+        };
         let history = Arc::from(&b"first in;first out\n"[..]);
-        let begun = BeginOutcome::Begun { history, previous: Some(place.clone()) };
+        let begun = BeginOutcome::Begun {
+            history,
+            previous: Some(place.clone()),
+        };
         *world.stores.next_begin.borrow_mut() = Some(begun);
         let request = turn("kept", "r1", "Previous: r0\r\n", "new in");
         let serve = async {
@@ -61,8 +73,14 @@
         assert!(got.is_some(), "whole");
         let end = world.stores.ended.borrow()[0].clone();
         let record = end.record.expect("kept before the end of the answer");
-        assert_eq!((&*record.input, &*record.output), (&b"new in"[..], &b"a\nb\n"[..]));
-        assert_eq!((record.previous, record.retention_ms), (Some(place), 60_000));
+        assert_eq!(
+            (&*record.input, &*record.output),
+            (&b"new in"[..], &b"a\nb\n"[..])
+        );
+        assert_eq!(
+            (record.previous, record.retention_ms),
+            (Some(place), 60_000)
+        );
         assert_eq!(end.tokens, Some(6));
     });
 }
@@ -89,8 +107,11 @@
     on_one_thread(async {
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
-        let refusals =
-            [(BeginOutcome::BudgetSpent, 402), (BeginOutcome::NoSuchTurn, 404), (BeginOutcome::Unsure, 503)];
+        let refusals = [
+            (BeginOutcome::BudgetSpent, 402),
+            (BeginOutcome::NoSuchTurn, 404),
+            (BeginOutcome::Unsure, 503),
+        ];
         for (outcome, status) in refusals {
             *world.stores.next_begin.borrow_mut() = Some(outcome);
             let request = turn("kept", "r1", "Previous: r0\r\n", "in");
@@ -107,7 +128,10 @@
         let gone = Listening::start().await;
         let world = World::with_targets(&[&gone]).await;
         drop(gone);
-        let got = world.ask(&turn("stream", "r1", "", "in")).await.expect("an answer");
+        let got = world
+            .ask(&turn("stream", "r1", "", "in"))
+            .await
+            .expect("an answer");
         assert_eq!(got.status(), 503);
         assert_eq!(world.stores.first_end().await.tokens, Some(0));
     });
@@ -121,7 +145,8 @@
         let mut client = world.client().await;
         client.send(&turn("kept", "r1", "", "in")).await;
         let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")) + &chunk("id: 2\ndat"))).await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")) + &chunk("id: 2\ndat")))
+            .await;
         drop(peer);
         let end = world.stores.first_end().await;
         assert_eq!(end.tokens, Some(3));
@@ -137,7 +162,8 @@
         let mut client = world.client().await;
         client.send(&turn("kept", "r1", "", "in")).await;
         let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")))).await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+            .await;
         assert!(client.head().await.is_some());
         drop(client);
         let end = world.stores.first_end().await;
--- a/tier/proxy/tests/wire_format.rs
+++ b/tier/proxy/tests/wire_format.rs
@@ -19,11 +19,19 @@
     ("UPSTREAM_LOAD", headers::UPSTREAM_LOAD),
 ];
 
-const SESSIONS: [&str; 4] = ["s", "session-0001", "7f3a", "a longer name of a session with spaces"];
+const SESSIONS: [&str; 4] = [
+    "s",
+    "session-0001",
+    "7f3a",
+    "a longer name of a session with spaces",
+];
 
 #[test]
 fn header_names_are_as_found() {
-    let lines: Vec<String> = HEADERS.iter().map(|(name, header)| format!("{name} {header}")).collect();
+    let lines: Vec<String> = HEADERS
+        .iter()
+        .map(|(name, header)| format!("{name} {header}"))
+        .collect();
     let expected: Vec<&str> = include_str!("wire_format/headers.txt").lines().collect();
     assert_eq!(lines, expected);
 }
@@ -35,9 +43,13 @@
         headers.insert("session", HeaderValue::from_str(session).expect("a value"));
         Facts::of(&headers).session.expect("a session")
     };
-    let lines: Vec<String> =
-        SESSIONS.iter().map(|session| format!("{:016x} {session}", hash_of(session))).collect();
-    let expected: Vec<&str> = include_str!("wire_format/session_hashes.txt").lines().collect();
+    let lines: Vec<String> = SESSIONS
+        .iter()
+        .map(|session| format!("{:016x} {session}", hash_of(session)))
+        .collect();
+    let expected: Vec<&str> = include_str!("wire_format/session_hashes.txt")
+        .lines()
+        .collect();
     assert_eq!(lines, expected);
 }
 
@@ -70,6 +82,15 @@
     assert_eq!((usage.prompt, usage.most), (12, 34));
     assert_eq!(facts.previous.expect("read").as_str(), "r0");
     assert_eq!(facts.last_event_id, Some(56));
-    let parts = [PrefixPart { id: 0xff, tokens: 10 }, PrefixPart { id: 0x1a, tokens: 20 }];
+    let parts = [
+        PrefixPart {
+            id: 0xff,
+            tokens: 10,
+        },
+        PrefixPart {
+            id: 0x1a,
+            tokens: 20,
+        },
+    ];
     assert_eq!(facts.prefix, parts);
 }
--- a/tier/replica/src/handle.rs
+++ b/tier/replica/src/handle.rs
@@ -98,7 +98,11 @@
     ) -> Result<S::Outcome, Unavailable> {
         let (answer, outcome) = oneshot::channel();
         let operation = Box::new(operation);
-        let command = Command::Propose { operation, timeout, answer };
+        let command = Command::Propose {
+            operation,
+            timeout,
+            answer,
+        };
         self.ask(command, outcome).await
     }
 
@@ -164,7 +168,11 @@
         while self.disk_open.clone().changed().await.is_ok() {}
     }
 
-    async fn ask<T>(&self, command: Command<S>, answer: oneshot::Receiver<T>) -> Result<T, Unavailable> {
+    async fn ask<T>(
+        &self,
+        command: Command<S>,
+        answer: oneshot::Receiver<T>,
+    ) -> Result<T, Unavailable> {
         self.commands.send(command).await.map_err(|_| Unavailable)?;
         answer.await.map_err(|_| Unavailable)
     }
--- a/tier/replica/src/links.rs
+++ b/tier/replica/src/links.rs
@@ -60,13 +60,19 @@
 
 impl Links {
     pub(crate) fn new(me: Identity) -> Self {
-        Self { me, open: BTreeMap::new() }
+        Self {
+            me,
+            open: BTreeMap::new(),
+        }
     }
 
     /// Queues a message; the connection comes up when it is needed.
     pub(crate) fn send(&mut self, to: SocketAddr, message: Message) {
         let me = &self.me;
-        let link = self.open.entry(to).or_insert_with(|| Link::start(to, me.clone()));
+        let link = self
+            .open
+            .entry(to)
+            .or_insert_with(|| Link::start(to, me.clone()));
         // A full queue loses the message.
         let _ = link.queue.try_send(message);
     }
@@ -120,7 +126,9 @@
 /// this one to be heard, and a late heartbeat claims nothing that was not so.
 fn newest_heartbeat(messages: &mut mpsc::Receiver<Message>) -> Option<Message> {
     let waiting = std::iter::from_fn(|| messages.try_recv().ok());
-    waiting.filter(|message| matches!(message, Message::Heartbeat(_))).last()
+    waiting
+        .filter(|message| matches!(message, Message::Heartbeat(_)))
+        .last()
 }
 
 async fn send_over(
@@ -129,8 +137,18 @@
     first: Option<Message>,
     messages: &mut mpsc::Receiver<Message>,
 ) {
-    let Connection { mut reader, mut writer, .. } = connection;
-    if writer.send(&Introduction { identity: me.clone() }).await.is_err() {
+    let Connection {
+        mut reader,
+        mut writer,
+        ..
+    } = connection;
+    if writer
+        .send(&Introduction {
+            identity: me.clone(),
+        })
+        .await
+        .is_err()
+    {
         return;
     }
     if let Some(first) = first {
@@ -157,13 +175,23 @@
 
 /// Receives from one accepted connection until it ends.
 pub(crate) async fn receive_from(connection: Connection, inbox: mpsc::Sender<Received>) {
-    let Connection { mut reader, writer, peer, .. } = connection;
-    let Ok(Introduction { identity }) = reader.next().await else { return };
+    let Connection {
+        mut reader,
+        writer,
+        peer,
+        ..
+    } = connection;
+    let Ok(Introduction { identity }) = reader.next().await else {
+        return;
+    };
     if identity.node != peer.node {
         return;
     }
     while let Ok(message) = reader.next().await {
-        let received = Received { from: identity.clone(), message };
+        let received = Received {
+            from: identity.clone(),
+            message,
+        };
         if inbox.send(received).await.is_err() {
             break;
         }
--- a/tier/replica/src/links/wire_format_tests.rs
+++ b/tier/replica/src/links/wire_format_tests.rs
@@ -7,12 +7,18 @@
 
 use super::Introduction;
 
-const RECORDED: [u8; 16] =
-    [6, b'c', b'o', b'r', b'e', b'-', b'1', 0x88, 0x8e, 0x98, 0xa8, 0xc0, 0xe0, 0x80, 0x81, 0x01];
+const RECORDED: [u8; 16] = [
+    6, b'c', b'o', b'r', b'e', b'-', b'1', 0x88, 0x8e, 0x98, 0xa8, 0xc0, 0xe0, 0x80, 0x81, 0x01,
+];
 
 fn introduction() -> Introduction {
     let node = NodeId(Arc::from("core-1"));
-    Introduction { identity: Identity { node, incarnation: Incarnation(0x0102_0304_0506_0708) } }
+    Introduction {
+        identity: Identity {
+            node,
+            incarnation: Incarnation(0x0102_0304_0506_0708),
+        },
+    }
 }
 
 #[test]
--- a/tier/replica/src/machine.rs
+++ b/tier/replica/src/machine.rs
@@ -17,12 +17,18 @@
 
 impl<S: ReplicatedState> TypedMachine<S> {
     pub(crate) fn new() -> Self {
-        Self { state: Arc::new(S::default()) }
+        Self {
+            state: Arc::new(S::default()),
+        }
     }
 
     /// What others get to see.
     pub(crate) fn publish(&self, revision: Revision, view: ViewNumber) -> CommittedState<S> {
-        CommittedState { revision, view, state: Arc::clone(&self.state) }
+        CommittedState {
+            revision,
+            view,
+            state: Arc::clone(&self.state),
+        }
     }
 }
 
--- a/tier/replica/src/machine/stored_format_tests.rs
+++ b/tier/replica/src/machine/stored_format_tests.rs
@@ -60,7 +60,10 @@
     assert_eq!(machine.apply(Revision(134), CLEAR), CLEARED);
     assert_eq!(machine.apply(Revision(135), ADD), NOW);
     assert_eq!(machine.snapshot(), SNAPSHOT);
-    let add = Change::Add { name: "one".into(), amount: 300 };
+    let add = Change::Add {
+        name: "one".into(),
+        amount: 300,
+    };
     assert_eq!(postcard::to_allocvec(&add).unwrap(), ADD);
 }
 
@@ -70,7 +73,13 @@
     machine.restore(Revision(135), SNAPSHOT).unwrap();
     let published = machine.publish(Revision(135), ViewNumber(2));
     let counts = BTreeMap::from([("one".to_owned(), 300)]);
-    assert_eq!(*published.state, Counts { counts, changed_at: Revision(135) });
+    assert_eq!(
+        *published.state,
+        Counts {
+            counts,
+            changed_at: Revision(135)
+        }
+    );
     assert_eq!(machine.snapshot(), SNAPSHOT);
 }
 
@@ -79,6 +88,9 @@
     let mut machine = TypedMachine::<Counts>::new();
     machine.apply(Revision(1), ADD);
     machine.restore(Revision(0), &[]).unwrap();
-    assert_eq!(*machine.publish(Revision(0), ViewNumber(0)).state, Counts::default());
+    assert_eq!(
+        *machine.publish(Revision(0), ViewNumber(0)).state,
+        Counts::default()
+    );
     assert!(machine.restore(Revision(1), &[]).is_err());
 }
--- a/tier/replica/src/start.rs
+++ b/tier/replica/src/start.rs
@@ -70,8 +70,18 @@
     let (command_queue, commands) = mpsc::channel(COMMANDS);
     let (received, inbox) = mpsc::channel(INBOX);
     let (disk_in_use, disk_open) = watch::channel(());
-    let published = Published { state, standing, current };
-    let pending = Pending { settings, inbox, commands, published, disk_in_use };
+    let published = Published {
+        state,
+        standing,
+        current,
+    };
+    let pending = Pending {
+        settings,
+        inbox,
+        commands,
+        published,
+        disk_in_use,
+    };
     let task = match open(&pending.settings) {
         Ok(opened) => tokio::spawn(pending.into_driver(opened)?.run()),
         Err(error) if error.may_pass() => tokio::spawn(wait_for_disk(pending, error)),
@@ -103,9 +113,15 @@
         let OpenedFolder { storage, held } = opened;
         let settings = self.settings;
         let incarnation = held.incarnation.unwrap_or(Incarnation(random()));
-        let identity = Identity { node: settings.node, incarnation };
+        let identity = Identity {
+            node: settings.node,
+            incarnation,
+        };
         let configuration = Configuration {
-            member: Member { identity: identity.clone(), address: settings.address },
+            member: Member {
+                identity: identity.clone(),
+                address: settings.address,
+            },
             tolerated: settings.tolerated,
             seeds: settings.seeds,
             random: random(),
@@ -178,7 +194,9 @@
     let founders = founders.filter(|founders| founders.contains(&settings.address));
     let mut opened = open_folder(&settings.folder, Incarnation(random()), founders)?;
     // A disk that takes nothing any more is found before others rely on it.
-    opened.storage.write(&[Write::Committed(opened.held.committed)])?;
+    opened
+        .storage
+        .write(&[Write::Committed(opened.held.committed)])?;
     Ok(opened)
 }
 
--- a/tier/replica/src/state.rs
+++ b/tier/replica/src/state.rs
@@ -9,7 +9,9 @@
 use plankhill_chain::ViewNumber;
 
 /// A state that changes only by operations, the same way on every member.
-pub trait ReplicatedState: Clone + Default + Serialize + DeserializeOwned + Send + Sync + 'static {
+pub trait ReplicatedState:
+    Clone + Default + Serialize + DeserializeOwned + Send + Sync + 'static
+{
     /// What changes it.
     type Operation: Serialize + DeserializeOwned + Send + Sync + 'static;
     /// What an operation came to, also when the state refused it.
@@ -33,6 +35,10 @@
 impl<S: ReplicatedState> CommittedState<S> {
     /// The state before the first operation.
     pub fn empty() -> Self {
-        Self { revision: Revision::default(), view: ViewNumber::default(), state: Arc::new(S::default()) }
+        Self {
+            revision: Revision::default(),
+            view: ViewNumber::default(),
+            state: Arc::new(S::default()),
+        }
     }
 }
--- a/tier/replica/src/storage/fjall.rs
+++ b/tier/replica/src/storage/fjall.rs
@@ -59,10 +59,15 @@
             Self::Database(fjall::Error::Io(error))
             | Self::Database(fjall::Error::Storage(fjall::LsmError::Io(error)))
             | Self::Folder(error) => error,
-            Self::Database(fjall::Error::Locked | fjall::Error::Poisoned) | Self::Closed => return true,
+            Self::Database(fjall::Error::Locked | fjall::Error::Poisoned) | Self::Closed => {
+                return true
+            }
             Self::Database(_) | Self::Row(_) | Self::Replaced => return false,
         };
-        !matches!(io.kind(), io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData)
+        !matches!(
+            io.kind(),
+            io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData
+        )
     }
 }
 
@@ -83,7 +88,11 @@
     pub fn open(folder: &Path) -> Result<Self, StorageError> {
         let open = OpenDatabase::open(folder)?;
         let incarnation = open.row(INCARNATION)?;
-        Ok(Self { folder: folder.to_path_buf(), incarnation, open: Some(open) })
+        Ok(Self {
+            folder: folder.to_path_buf(),
+            incarnation,
+            open: Some(open),
+        })
     }
 
     fn opened(&mut self) -> Result<&mut OpenDatabase, StorageError> {
@@ -147,16 +156,28 @@
             .open()?;
         let options = || KeyspaceCreateOptions::default().max_memtable_size(MEMTABLE_BYTES);
         let rows = database.keyspace(KEYSPACE, options)?;
-        let mut opened = Self { database, rows, first: Revision(1), last: Revision(0) };
+        let mut opened = Self {
+            database,
+            rows,
+            first: Revision(1),
+            last: Revision(0),
+        };
         let held = opened.load()?;
         opened.first = Revision(held.snapshot.revision.0 + 1);
-        opened.last = held.entries.keys().next_back().copied().unwrap_or(held.snapshot.revision);
+        opened.last = held
+            .entries
+            .keys()
+            .next_back()
+            .copied()
+            .unwrap_or(held.snapshot.revision);
         Ok(opened)
     }
 
     fn row<T: DeserializeOwned>(&self, key: &[u8]) -> Result<Option<T>, StorageError> {
         let bytes = self.rows.get(key)?;
-        Ok(bytes.map(|bytes| postcard::from_bytes(&bytes)).transpose()?)
+        Ok(bytes
+            .map(|bytes| postcard::from_bytes(&bytes))
+            .transpose()?)
     }
 
     fn put<T: Serialize>(
@@ -212,7 +233,10 @@
         };
         for row in self.rows.prefix([ENTRY]) {
             let (key, value) = row.into_inner()?;
-            let revision = key.get(1..).and_then(|bytes| bytes.try_into().ok()).map(u64::from_be_bytes);
+            let revision = key
+                .get(1..)
+                .and_then(|bytes| bytes.try_into().ok())
+                .map(u64::from_be_bytes);
             let revision = Revision(revision.ok_or(postcard::Error::DeserializeUnexpectedEnd)?);
             held.entries.insert(revision, postcard::from_bytes(&value)?);
         }
@@ -220,7 +244,10 @@
     }
 
     fn write(&mut self, changes: &[Write]) -> Result<(), StorageError> {
-        let mut batch = self.database.batch().durability(Some(PersistMode::SyncData));
+        let mut batch = self
+            .database
+            .batch()
+            .durability(Some(PersistMode::SyncData));
         for change in changes {
             self.stage(&mut batch, change)?;
         }
--- a/tier/replica/src/storage/folder.rs
+++ b/tier/replica/src/storage/folder.rs
@@ -39,9 +39,13 @@
     if folder.join(READY).exists() {
         match open_existing(&folder.join(DATABASE)) {
             Ok(Some(opened)) => return Ok(opened),
-            Ok(None) => tracing::error!("database without an incarnation; starting with an empty disk"),
+            Ok(None) => {
+                tracing::error!("database without an incarnation; starting with an empty disk")
+            }
             Err(error) if error.may_pass() => return Err(error),
-            Err(error) => tracing::error!(%error, "database cannot be read; starting with an empty disk"),
+            Err(error) => {
+                tracing::error!(%error, "database cannot be read; starting with an empty disk")
+            }
         }
         return make_new(folder, fresh, None);
     }
@@ -51,7 +55,10 @@
 fn open_existing(folder: &Path) -> Result<Option<OpenedFolder>, StorageError> {
     let mut storage = FjallStorage::open(folder)?;
     let held = storage.load()?;
-    Ok(held.incarnation.is_some().then_some(OpenedFolder { storage, held }))
+    Ok(held
+        .incarnation
+        .is_some()
+        .then_some(OpenedFolder { storage, held }))
 }
 
 fn make_new(
--- a/tier/replica/src/storage/writer.rs
+++ b/tier/replica/src/storage/writer.rs
@@ -76,7 +76,9 @@
     report: &UnboundedSender<Written>,
     mut pauses: Pauses,
 ) -> Result<(), Abandoned> {
-    let Err(mut error) = storage.write(writes) else { return Ok(()) };
+    let Err(mut error) = storage.write(writes) else {
+        return Ok(());
+    };
     loop {
         if !S::may_pass(&error) {
             tracing::error!(%error, "the disk is of no use any more");
--- a/tier/replica/src/task.rs
+++ b/tier/replica/src/task.rs
@@ -6,7 +6,9 @@
 use std::time::{Duration, Instant};
 
 use plankhill_chain::timing::CURRENT;
-use plankhill_chain::{ChainMember, Effect, Message, Millis, RequestNumber, Ticket, ViewNumber, Write};
+use plankhill_chain::{
+    ChainMember, Effect, Message, Millis, RequestNumber, Ticket, ViewNumber, Write,
+};
 use plankhill_protocol::ids::Revision;
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -61,8 +63,8 @@
                 return;
             }
             self.publish();
-            let wake =
-                self.started + Duration::from_millis(self.member.next_tick().saturating_sub(STARTED_AT));
+            let wake = self.started
+                + Duration::from_millis(self.member.next_tick().saturating_sub(STARTED_AT));
             tokio::select! {
                 biased;
                 Some(written) = self.written.recv() => match written {
@@ -93,14 +95,22 @@
 
     fn on_command(&mut self, command: Command<S>) {
         let now = self.now();
-        let ends =
-            |timeout: Duration| now + Millis::try_from(timeout.as_millis()).unwrap_or(Millis::MAX >> 1);
+        let ends = |timeout: Duration| {
+            now + Millis::try_from(timeout.as_millis()).unwrap_or(Millis::MAX >> 1)
+        };
         match command {
-            Command::Propose { operation, timeout, answer } => {
-                let Ok(bytes) = postcard::to_allocvec(&*operation) else { return };
+            Command::Propose {
+                operation,
+                timeout,
+                answer,
+            } => {
+                let Ok(bytes) = postcard::to_allocvec(&*operation) else {
+                    return;
+                };
                 let request = RequestNumber(self.waiting.number());
                 self.waiting.proposals.insert(request, answer);
-                self.member.propose(request, bytes.into(), ends(timeout), now);
+                self.member
+                    .propose(request, bytes.into(), ends(timeout), now);
             }
             Command::Read { timeout, answer } => {
                 let read = self.waiting.number() as u64;
@@ -140,12 +150,18 @@
     fn publish(&mut self) {
         self.publish_state();
         let current = self.member.is_current(self.now());
-        self.published.current.send_if_modified(|held| std::mem::replace(held, current) != current);
+        self.published
+            .current
+            .send_if_modified(|held| std::mem::replace(held, current) != current);
         let standing = self.standing(current);
         let changed = *self.published.standing.borrow() != standing;
         if changed {
             self.links.keep_only(&self.member.contacts());
-            tracing::info!(view = standing.view.0, is_head = standing.is_head, "place in the chain");
+            tracing::info!(
+                view = standing.view.0,
+                is_head = standing.is_head,
+                "place in the chain"
+            );
             self.published.standing.send_replace(standing);
         }
         if !self.member.view().in_chain(&self.member.me().identity) {
@@ -192,7 +208,9 @@
     }
 
     fn proposed(&mut self, request: RequestNumber, outcome: &[u8]) {
-        let Some(answer) = self.proposals.remove(&request) else { return };
+        let Some(answer) = self.proposals.remove(&request) else {
+            return;
+        };
         if let Ok(outcome) = postcard::from_bytes(outcome) {
             // The caller may have stopped waiting.
             let _ = answer.send(outcome);
--- a/tier/replica/tests/chain.rs
+++ b/tier/replica/tests/chain.rs
@@ -31,7 +31,9 @@
         alive.say("more").await;
         machines[dead].settings.bootstrap = false;
         machines[dead].start();
-        machines[dead].until(|standing| standing.in_chain && standing.chain.len() == 3).await;
+        machines[dead]
+            .until(|standing| standing.in_chain && standing.chain.len() == 3)
+            .await;
     }
     let state = machines[1].log().read(PATIENCE).await.unwrap();
     assert_eq!(state.state.0.len(), 4);
@@ -45,19 +47,30 @@
     machines[2].kill().await;
     machines[2].wipe();
     machines[2].start();
-    let standing = machines[2].until(|standing| standing.in_chain && standing.chain.len() == 3).await;
+    let standing = machines[2]
+        .until(|standing| standing.in_chain && standing.chain.len() == 3)
+        .await;
     assert_eq!(standing.voters.len(), 3);
-    assert_eq!(machines[2].log().read(PATIENCE).await.unwrap().state.0, ["one"]);
+    assert_eq!(
+        machines[2].log().read(PATIENCE).await.unwrap().state.0,
+        ["one"]
+    );
 
     machines[0].kill().await;
     let seeds = machines[1].settings.seeds.clone();
     let mut successor = Machine::new("d", free_address().await, seeds, false);
     successor.start();
     let names = |standing: &plankhill_replica::Standing| {
-        standing.voters.iter().map(|voter| voter.identity.node.to_string()).collect::<Vec<_>>()
+        standing
+            .voters
+            .iter()
+            .map(|voter| voter.identity.node.to_string())
+            .collect::<Vec<_>>()
     };
     let standing = successor
-        .until(|standing| standing.in_chain && standing.chain.len() == 3 && standing.voters.len() == 3)
+        .until(|standing| {
+            standing.in_chain && standing.chain.len() == 3 && standing.voters.len() == 3
+        })
         .await;
     assert_eq!(names(&standing), ["b", "c", "d"]);
     assert_eq!(successor.say("two").await, 2);
@@ -74,8 +87,13 @@
     }
     machines[0].wipe();
     machines.iter_mut().for_each(Machine::start);
-    machines[0].until(|standing| standing.in_chain && standing.chain.len() == 3).await;
-    assert_eq!(machines[0].log().read(PATIENCE).await.unwrap().state.0, ["one"]);
+    machines[0]
+        .until(|standing| standing.in_chain && standing.chain.len() == 3)
+        .await;
+    assert_eq!(
+        machines[0].log().read(PATIENCE).await.unwrap().state.0,
+        ["one"]
+    );
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -83,7 +101,9 @@
     let machines = three().await;
     machines[0].until_reaches_others().await;
     machines[0].log().leave().await;
-    let standing = machines[1].until(|standing| standing.chain.len() == 2).await;
+    let standing = machines[1]
+        .until(|standing| standing.chain.len() == 2)
+        .await;
     assert_eq!(standing.voters.len(), 3);
 }
 
@@ -94,7 +114,11 @@
     machines[2].kill().await;
     machines[0].until_cut_off().await;
     let asked = std::time::Instant::now();
-    assert!(machines[0].log().propose("lost".into(), PATIENCE).await.is_err());
+    assert!(machines[0]
+        .log()
+        .propose("lost".into(), PATIENCE)
+        .await
+        .is_err());
     assert!(machines[0].log().read(PATIENCE).await.is_err());
     assert!(asked.elapsed() < PATIENCE / 2);
 }
--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -80,7 +80,11 @@
             bootstrap,
             tolerated: 1,
         };
-        Self { settings, folder, running: None }
+        Self {
+            settings,
+            folder,
+            running: None,
+        }
     }
 
     pub fn start(&mut self) {
@@ -92,7 +96,9 @@
 
     /// The process ends; the disk stays. Returns when the disk is free.
     pub async fn kill(&mut self) {
-        let Some(mut running) = self.running.take() else { return };
+        let Some(mut running) = self.running.take() else {
+            return;
+        };
         running.log.abort();
         running.log.ended().await;
         running.serving.abort();
@@ -113,7 +119,9 @@
         let mut bytes = 0;
         while let Some(folder) = folders.pop() {
             for entry in std::fs::read_dir(folder).unwrap().map(Result::unwrap) {
-                let Ok(metadata) = entry.metadata() else { continue };
+                let Ok(metadata) = entry.metadata() else {
+                    continue;
+                };
                 // Files are laid out in advance: what counts is the blocks that hold something.
                 bytes += metadata.blocks() * 512;
                 folders.extend(metadata.is_dir().then(|| entry.path()));
@@ -171,7 +179,11 @@
 
 /// Three machines that found a chain, all in service.
 pub async fn three() -> Vec<Machine> {
-    let addresses = [free_address().await, free_address().await, free_address().await];
+    let addresses = [
+        free_address().await,
+        free_address().await,
+        free_address().await,
+    ];
     let names = ["a", "b", "c"];
     let mut machines: Vec<_> = names
         .iter()
--- a/tier/replica/tests/refusing_disk.rs
+++ b/tier/replica/tests/refusing_disk.rs
@@ -49,7 +49,15 @@
     /// Refuses so many times from this write on, for a cause that passes.
     fn new(seen: &Seen, fails_at: usize, refusals: usize, reached: Reached) -> Self {
         let seen = seen.clone();
-        RefusingStorage { seen, writes: 0, fails_at, refusals, reached, passes: true, is_broken: false }
+        RefusingStorage {
+            seen,
+            writes: 0,
+            fails_at,
+            refusals,
+            reached,
+            passes: true,
+            is_broken: false,
+        }
     }
 }
 
@@ -61,7 +69,10 @@
     }
 
     fn write(&mut self, changes: &[Write]) -> Result<(), Refused> {
-        assert!(!self.is_broken, "a storage that failed is used without having recovered");
+        assert!(
+            !self.is_broken,
+            "a storage that failed is used without having recovered"
+        );
         let fails = self.writes >= self.fails_at && self.refusals > 0;
         if !fails || self.reached == Reached::Sync {
             let mut held = self.seen.held.lock().expect("a lock");
@@ -70,7 +81,9 @@
         if fails {
             self.refusals -= 1;
             self.is_broken = true;
-            return Err(Refused { passes: self.passes });
+            return Err(Refused {
+                passes: self.passes,
+            });
         }
         self.writes += 1;
         Ok(())
@@ -79,7 +92,9 @@
     fn recover(&mut self) -> Result<(), Refused> {
         if self.refusals > 0 && self.reached == Reached::Nothing {
             self.refusals -= 1;
-            return Err(Refused { passes: self.passes });
+            return Err(Refused {
+                passes: self.passes,
+            });
         }
         self.is_broken = false;
         Ok(())
@@ -96,12 +111,19 @@
         origin: NodeId::from("a"),
         operation: revision.to_le_bytes().to_vec().into(),
     };
-    Write::Append { revision: Revision(revision), entry }
+    Write::Append {
+        revision: Revision(revision),
+        entry,
+    }
 }
 
 /// Batches as a member hands them over: a beginning, operations, a cut, a snapshot.
 fn batches() -> Vec<Batch> {
-    let snapshot = Snapshot { revision: Revision(3), machine: vec![7; 40].into(), outcomes: Vec::new() };
+    let snapshot = Snapshot {
+        revision: Revision(3),
+        machine: vec![7; 40].into(),
+        outcomes: Vec::new(),
+    };
     let writes = [
         vec![Write::Incarnation(Incarnation(9))],
         vec![append(1), Write::Committed(Revision(0))],
@@ -115,7 +137,10 @@
 
 fn applied(batches: &[Batch]) -> Durable {
     let mut held = Durable::default();
-    batches.iter().flat_map(|(_, writes)| writes).for_each(|write| held.apply(write));
+    batches
+        .iter()
+        .flat_map(|(_, writes)| writes)
+        .for_each(|write| held.apply(write));
     held
 }
 
@@ -148,10 +173,20 @@
                 let seen = Seen::default();
                 let storage = RefusingStorage::new(&seen, fails_at, refusals, reached);
                 let told = write_all(storage);
-                let synced: Vec<_> = told.iter().filter(|news| **news != Written::Refused).copied().collect();
-                let expected: Vec<_> = (1..=6).map(|ticket| Written::Synced(Ticket(ticket))).collect();
+                let synced: Vec<_> = told
+                    .iter()
+                    .filter(|news| **news != Written::Refused)
+                    .copied()
+                    .collect();
+                let expected: Vec<_> = (1..=6)
+                    .map(|ticket| Written::Synced(Ticket(ticket)))
+                    .collect();
                 assert_eq!(synced, expected, "{fails_at} {reached:?} {refusals}");
-                assert_eq!(told[fails_at], Written::Refused, "told before the batch is synced");
+                assert_eq!(
+                    told[fails_at],
+                    Written::Refused,
+                    "told before the batch is synced"
+                );
                 assert_eq!(*seen.held.lock().expect("a lock"), applied(&batches()));
             }
         }
@@ -161,7 +196,10 @@
 #[test]
 fn a_disk_that_cannot_get_well_ends_the_thread() {
     let seen = Seen::default();
-    let storage = RefusingStorage { passes: false, ..RefusingStorage::new(&seen, 2, 1, Reached::Half) };
+    let storage = RefusingStorage {
+        passes: false,
+        ..RefusingStorage::new(&seen, 2, 1, Reached::Half)
+    };
     let told = write_all(storage);
     assert_eq!(told.last(), Some(&Written::Failed));
     assert_eq!(*seen.held.lock().expect("a lock"), applied(&batches()[..2]));
@@ -178,7 +216,9 @@
 fn a_database_is_read_while_the_disk_is_full_and_written_again_afterwards() {
     arbtest(|input| {
         let folder = TempDir::new().expect("a folder");
-        let mut storage = open_folder(folder.path(), Incarnation(9), None).expect("a storage").storage;
+        let mut storage = open_folder(folder.path(), Incarnation(9), None)
+            .expect("a storage")
+            .storage;
         let mut expected = Durable::default();
         for (_, writes) in batches() {
             if input.arbitrary()? {
@@ -201,7 +241,9 @@
 #[test]
 fn another_disk_in_its_place_is_not_taken_for_the_one_that_failed() {
     let folder = TempDir::new().expect("a folder");
-    let mut storage = open_folder(folder.path(), Incarnation(9), None).expect("a storage").storage;
+    let mut storage = open_folder(folder.path(), Incarnation(9), None)
+        .expect("a storage")
+        .storage;
     std::fs::remove_dir_all(folder.path().join("chain")).expect("removed");
     std::fs::create_dir(folder.path().join("chain")).expect("made");
     let error = storage.recover().expect_err("another disk");
