--- a/tier/replica/tests/returning.rs
+++ b/tier/replica/tests/returning.rs
@@ -10,7 +10,11 @@
 /// The disk of a core machine in the deployments known, in bytes.
 const DISK_BYTES: u64 = 128_000_000;
 /// The largest configuration that a controller takes, in bytes; debug builds take seconds for each of that size.
-const LARGEST: usize = if cfg!(debug_assertions) { 512 * 1024 } else { 8 * 1024 * 1024 };
+const LARGEST: usize = if cfg!(debug_assertions) {
+    512 * 1024
+} else {
+    8 * 1024 * 1024
+};
 
 /// Gets a word committed. A member that is busy may take itself for cut off: callers ask again then, as here.
 async fn say(log: &Log<Words>, word: &str) {
@@ -36,7 +40,9 @@
 
 /// The member is back, and holds what was committed last.
 async fn holds_the_newest(machine: &Machine, newest: &str) {
-    machine.until(|standing| standing.in_chain && standing.chain.len() == 3).await;
+    machine
+        .until(|standing| standing.in_chain && standing.chain.len() == 3)
+        .await;
     let asked = Instant::now();
     let state = loop {
         if let Ok(state) = machine.log().read(PATIENCE).await {
@@ -56,7 +62,9 @@
         machines[away].kill().await;
         machines[away].settings.bootstrap = false;
         let alive = (away + 1) % 3;
-        machines[alive].until(|standing| standing.chain.len() == 2).await;
+        machines[alive]
+            .until(|standing| standing.chain.len() == 2)
+            .await;
         say_many(&machines[alive], count, 200).await;
         machines[away].start();
         let began = Instant::now();
@@ -74,7 +82,9 @@
     machines[0].until_reaches_others().await;
     machines[2].kill().await;
     machines[2].settings.bootstrap = false;
-    machines[0].until(|standing| standing.chain.len() == 2).await;
+    machines[0]
+        .until(|standing| standing.chain.len() == 2)
+        .await;
     let mut last = String::new();
     let mut most = 0;
     for number in 0..30 {
@@ -85,6 +95,9 @@
     machines[2].start();
     let began = Instant::now();
     holds_the_newest(&machines[2], &last).await;
-    println!("30 of {LARGEST} bytes: {most} bytes on disk at most, back after {:?}", began.elapsed());
+    println!(
+        "30 of {LARGEST} bytes: {most} bytes on disk at most, back after {:?}",
+        began.elapsed()
+    );
     assert!(most < DISK_BYTES, "{most} bytes on disk");
 }
--- a/tier/replica/tests/storage.rs
+++ b/tier/replica/tests/storage.rs
@@ -5,8 +5,8 @@
 
 use arbtest::{arbitrary, arbtest};
 use plankhill_chain::{
-    Acceptor, Ballot, Durable, Entry, Identity, Member, RequestNumber, Snapshot, Storage, View, ViewNumber,
-    Write,
+    Acceptor, Ballot, Durable, Entry, Identity, Member, RequestNumber, Snapshot, Storage, View,
+    ViewNumber, Write,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 use plankhill_replica::storage::{open_folder, FjallStorage, MemoryStorage};
@@ -32,11 +32,18 @@
 
 fn entry(number: u64) -> Entry {
     let operation = number.to_le_bytes().repeat(1 + number as usize % 40);
-    Entry { request: RequestNumber(number.into()), origin: NodeId::from("a"), operation: operation.into() }
+    Entry {
+        request: RequestNumber(number.into()),
+        origin: NodeId::from("a"),
+        operation: operation.into(),
+    }
 }
 
 fn view(number: u64) -> View {
-    let identity = Identity { node: NodeId::from("a"), incarnation: Incarnation(number) };
+    let identity = Identity {
+        node: NodeId::from("a"),
+        incarnation: Incarnation(number),
+    };
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let chain = vec![identity.node.clone()];
     View {
@@ -60,9 +67,18 @@
         Ok(match input.int_in_range(0..=9)? {
             0 => Write::View(view(number)),
             1 => {
-                let ballot = Ballot { round: number, proposer: NodeId::from("b") };
-                let accepted = input.arbitrary::<bool>()?.then(|| (ballot.clone(), view(number)));
-                Write::Acceptor(Acceptor { instance: ViewNumber(number), promised: Some(ballot), accepted })
+                let ballot = Ballot {
+                    round: number,
+                    proposer: NodeId::from("b"),
+                };
+                let accepted = input
+                    .arbitrary::<bool>()?
+                    .then(|| (ballot.clone(), view(number)));
+                Write::Acceptor(Acceptor {
+                    instance: ViewNumber(number),
+                    promised: Some(ballot),
+                    accepted,
+                })
             }
             2 => Write::Committed(Revision(self.last)),
             3 => {
@@ -74,11 +90,18 @@
                 self.last = self.last.max(self.before);
                 let outcomes = vec![(RequestNumber(number.into()), vec![1; 9].into())];
                 let machine = vec![2; number as usize].into();
-                Write::Snapshot(Snapshot { revision: Revision(self.before), machine, outcomes })
+                Write::Snapshot(Snapshot {
+                    revision: Revision(self.before),
+                    machine,
+                    outcomes,
+                })
             }
             _ => {
                 self.last += 1;
-                Write::Append { revision: Revision(self.last), entry: entry(number) }
+                Write::Append {
+                    revision: Revision(self.last),
+                    entry: entry(number),
+                }
             }
         })
     }
@@ -152,19 +175,28 @@
 fn a_torn_end_of_the_journal_is_left_out() {
     let folder = TempDir::new().unwrap();
     let mut opened = open_folder(folder.path(), Incarnation(1), None).unwrap();
-    let append = |number| Write::Append { revision: Revision(number), entry: entry(number) };
+    let append = |number| Write::Append {
+        revision: Revision(number),
+        entry: entry(number),
+    };
     opened.storage.write(&[append(1)]).unwrap();
     opened.storage.write(&[append(2)]).unwrap();
     drop(opened);
     tear_journals(&folder.path().join("chain"));
     let again = open_folder(folder.path(), Incarnation(2), None).unwrap();
     assert_eq!(again.held.incarnation, Some(Incarnation(1)));
-    assert_eq!(again.held.entries.keys().copied().collect::<Vec<_>>(), [Revision(1)]);
+    assert_eq!(
+        again.held.entries.keys().copied().collect::<Vec<_>>(),
+        [Revision(1)]
+    );
 }
 
 /// Overwrites the last bytes that are not zero in each journal.
 fn tear_journals(folder: &Path) {
-    for file in std::fs::read_dir(folder).unwrap().map(|file| file.unwrap().path()) {
+    for file in std::fs::read_dir(folder)
+        .unwrap()
+        .map(|file| file.unwrap().path())
+    {
         if file.extension().is_some_and(|extension| extension == "jnl") {
             let mut bytes = std::fs::read(&file).unwrap();
             let end = bytes.iter().rposition(|byte| *byte != 0).unwrap();
--- a/tier/replica/tests/stored_format.rs
+++ b/tier/replica/tests/stored_format.rs
@@ -9,8 +9,8 @@
 
 use fjall::{Database, KeyspaceCreateOptions};
 use plankhill_chain::{
-    Acceptor, Ballot, Durable, Entry, Identity, Member, RequestNumber, Snapshot, Storage, View, ViewNumber,
-    Write,
+    Acceptor, Ballot, Durable, Entry, Identity, Member, RequestNumber, Snapshot, Storage, View,
+    ViewNumber, Write,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 use plankhill_replica::storage::{open_folder, FjallStorage};
@@ -22,17 +22,30 @@
 
 fn member(number: u8) -> Member {
     let node = NodeId::from(format!("core-{number}").as_str());
-    let identity = Identity { node, incarnation: Incarnation(0x0102_0304_0506_0700 + u64::from(number)) };
-    Member { identity, address: SocketAddr::from(([10, 0, 0, number], 7_000 + u16::from(number))) }
+    let identity = Identity {
+        node,
+        incarnation: Incarnation(0x0102_0304_0506_0700 + u64::from(number)),
+    };
+    Member {
+        identity,
+        address: SocketAddr::from(([10, 0, 0, number], 7_000 + u16::from(number))),
+    }
 }
 
 fn member_on_ipv6() -> Member {
     let address = SocketAddr::from(([0xfd00, 1, 2, 3, 4, 5, 6, 7], 7_009));
-    Member { address, ..member(9) }
+    Member {
+        address,
+        ..member(9)
+    }
 }
 
 fn founders() -> Vec<SocketAddr> {
-    vec![member(1).address, member(2).address, member_on_ipv6().address]
+    vec![
+        member(1).address,
+        member(2).address,
+        member_on_ipv6().address,
+    ]
 }
 
 fn view(number: u64) -> View {
@@ -45,7 +58,10 @@
 }
 
 fn acceptor() -> Acceptor {
-    let ballot = |round, proposer| Ballot { round, proposer: NodeId::from(proposer) };
+    let ballot = |round, proposer| Ballot {
+        round,
+        proposer: NodeId::from(proposer),
+    };
     Acceptor {
         instance: ViewNumber(301),
         promised: Some(ballot(129, "core-2")),
@@ -62,14 +78,20 @@
 }
 
 fn append(revision: u64) -> Write {
-    Write::Append { revision: Revision(revision), entry: entry(revision as u8) }
+    Write::Append {
+        revision: Revision(revision),
+        entry: entry(revision as u8),
+    }
 }
 
 fn snapshot() -> Snapshot {
     Snapshot {
         revision: Revision(512),
         machine: Arc::from([7, 8, 9]),
-        outcomes: vec![(RequestNumber(5), Arc::from([1])), (RequestNumber(1 << 100), Arc::from([2, 3]))],
+        outcomes: vec![
+            (RequestNumber(5), Arc::from([1])),
+            (RequestNumber(1 << 100), Arc::from([2, 3])),
+        ],
     }
 }
 
@@ -80,9 +102,16 @@
         None => Write::Incarnation(INCARNATION),
         Some(Write::Incarnation(_)) => Write::Founders(founders()),
         Some(Write::Founders(_)) => Write::Acceptor(acceptor()),
-        Some(Write::Acceptor(Acceptor { instance: _, promised: _, accepted: _ })) => Write::View(view(300)),
+        Some(Write::Acceptor(Acceptor {
+            instance: _,
+            promised: _,
+            accepted: _,
+        })) => Write::View(view(300)),
         Some(Write::View(_)) => append(513),
-        Some(Write::Append { revision: _, entry: _ }) => Write::Truncate(Revision(513)),
+        Some(Write::Append {
+            revision: _,
+            entry: _,
+        }) => Write::Truncate(Revision(513)),
         Some(Write::Truncate(_)) => Write::Committed(Revision(511)),
         Some(Write::Committed(_)) => Write::Snapshot(snapshot()),
         Some(Write::Snapshot(_)) => return None,
@@ -126,7 +155,9 @@
 /// All rows of the database below this folder, key and value in hex.
 fn rows(folder: &Path) -> Vec<String> {
     let database = Database::builder(folder.join("chain")).open().unwrap();
-    let rows = database.keyspace("chain", KeyspaceCreateOptions::default).unwrap();
+    let rows = database
+        .keyspace("chain", KeyspaceCreateOptions::default)
+        .unwrap();
     let row = |row: fjall::Guard| {
         let (key, value) = row.into_inner().unwrap();
         format!("{} {}", hex(&key), hex(&value))
@@ -141,9 +172,15 @@
     drop(storage);
     let mut lines = rows(folder);
     let mut storage = FjallStorage::open(&folder.join("chain")).unwrap();
-    storage.write(&[Write::Acceptor(Acceptor::fresh(ViewNumber(301)))]).unwrap();
+    storage
+        .write(&[Write::Acceptor(Acceptor::fresh(ViewNumber(301)))])
+        .unwrap();
     drop(storage);
-    lines.extend(rows(folder).into_iter().filter(|row| row.starts_with("61 ")));
+    lines.extend(
+        rows(folder)
+            .into_iter()
+            .filter(|row| row.starts_with("61 ")),
+    );
     lines
 }
 
@@ -180,7 +217,9 @@
 #[test]
 fn what_is_written_now_is_read_back() {
     let folder = TempDir::new().unwrap();
-    let mut storage = open_folder(folder.path(), INCARNATION, None).unwrap().storage;
+    let mut storage = open_folder(folder.path(), INCARNATION, None)
+        .unwrap()
+        .storage;
     storage.write(&changes()).unwrap();
     assert_eq!(storage.load().unwrap(), durable());
     let mut applied = Durable::default();
--- a/tier/replica/tests/waiting_for_disk.rs
+++ b/tier/replica/tests/waiting_for_disk.rs
@@ -31,6 +31,9 @@
     assert!(!log.is_current());
     std::fs::remove_file(&in_the_way).expect("removed");
     let mut standing = log.standing_changes();
-    standing.wait_for(|standing| standing.is_head).await.expect("a member");
+    standing
+        .wait_for(|standing| standing.is_head)
+        .await
+        .expect("a member");
     assert_eq!(log.propose("word".into(), patience).await, Ok(1));
 }
--- a/tier/settings/src/listeners.rs
+++ b/tier/settings/src/listeners.rs
@@ -27,6 +27,8 @@
     }
     match text.parse() {
         Ok(address) => Ok(Some(address)),
-        Err(_) => Err(serde::de::Error::custom(format_args!("{text:?} is no address of the form IP:PORT"))),
+        Err(_) => Err(serde::de::Error::custom(format_args!(
+            "{text:?} is no address of the form IP:PORT"
+        ))),
     }
 }
--- a/tier/settings/src/load.rs
+++ b/tier/settings/src/load.rs
@@ -41,7 +41,10 @@
     /// # Errors
     /// As [`Settings::load`].
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
-        let text = read_text(path).map_err(|source| SettingsError::Read { path: path.to_owned(), source })?;
+        let text = read_text(path).map_err(|source| SettingsError::Read {
+            path: path.to_owned(),
+            source,
+        })?;
         text.parse()
     }
 }
@@ -67,9 +70,14 @@
 
 fn read_text(path: &Path) -> io::Result<String> {
     let mut text = String::new();
-    File::open(path)?.take(MAX_FILE_BYTES + 1).read_to_string(&mut text)?;
+    File::open(path)?
+        .take(MAX_FILE_BYTES + 1)
+        .read_to_string(&mut text)?;
     if text.len() as u64 > MAX_FILE_BYTES {
-        return Err(io::Error::new(io::ErrorKind::FileTooLarge, "larger than 1 MiB"));
+        return Err(io::Error::new(
+            io::ErrorKind::FileTooLarge,
+            "larger than 1 MiB",
+        ));
     }
     Ok(text)
 }
--- a/tier/settings/src/settings.rs
+++ b/tier/settings/src/settings.rs
@@ -130,7 +130,9 @@
 
     /// The port `offset` places after the first, if the range holds it.
     pub fn port(&self, offset: u16) -> Option<u16> {
-        self.first.checked_add(offset).filter(|port| *port <= self.last)
+        self.first
+            .checked_add(offset)
+            .filter(|port| *port <= self.last)
     }
 }
 
--- a/tier/settings/src/zones.rs
+++ b/tier/settings/src/zones.rs
@@ -22,7 +22,10 @@
 
     /// Names of the zones of `region`, sorted.
     pub fn in_region<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a str> {
-        self.0.iter().filter(move |(_, of_zone)| *of_zone == region).map(|(zone, _)| zone.as_str())
+        self.0
+            .iter()
+            .filter(move |(_, of_zone)| *of_zone == region)
+            .map(|(zone, _)| zone.as_str())
     }
 
     /// Number of zones.
--- a/tier/settings/tests/common/mod.rs
+++ b/tier/settings/tests/common/mod.rs
@@ -46,7 +46,14 @@
 /// The valid file with the line of `key` replaced by `line` (empty: left out).
 pub fn with_line(key: &str, line: &str) -> String {
     let prefix = format!("{key} = ");
-    assert!(VALID.lines().any(|candidate| candidate.starts_with(&prefix)), "no line for {key}");
-    let lines = VALID.lines().map(|old| if old.starts_with(&prefix) { line } else { old });
+    assert!(
+        VALID
+            .lines()
+            .any(|candidate| candidate.starts_with(&prefix)),
+        "no line for {key}"
+    );
+    let lines = VALID
+        .lines()
+        .map(|old| if old.starts_with(&prefix) { line } else { old });
     lines.collect::<Vec<_>>().join("\n")
 }
--- a/tier/settings/tests/faults.rs
+++ b/tier/settings/tests/faults.rs
@@ -13,35 +13,65 @@
 fn faulty_keys(text: &str) -> Vec<String> {
     match text.parse::<Settings>() {
         Ok(_) => panic!("accepted: {text}"),
-        Err(error) => error.faults().iter().map(|fault| fault.key.clone()).collect(),
+        Err(error) => error
+            .faults()
+            .iter()
+            .map(|fault| fault.key.clone())
+            .collect(),
     }
 }
 
 /// The error of the file without the line of `key`.
 fn error_without(key: &str) -> String {
-    with_line(key, "").parse::<Settings>().expect_err(key).to_string()
+    with_line(key, "")
+        .parse::<Settings>()
+        .expect_err(key)
+        .to_string()
 }
 
 #[test]
 fn a_missing_key_is_named() {
-    let required = ["node_id", "role", "machine_class", "ip", "zone", "region", "port_range", "heartbeat_ms"];
+    let required = [
+        "node_id",
+        "role",
+        "machine_class",
+        "ip",
+        "zone",
+        "region",
+        "port_range",
+        "heartbeat_ms",
+    ];
     for key in required {
-        assert!(error_without(key).contains(&format!("`{key}`")), "{}", error_without(key));
+        assert!(
+            error_without(key).contains(&format!("`{key}`")),
+            "{}",
+            error_without(key)
+        );
     }
 }
 
 #[test]
 fn a_missing_key_of_a_table_is_named_with_the_table() {
-    for (key, table) in [("memory_mb", "limits"), ("max_fds", "limits"), ("nodes", "fault_tolerance")] {
+    for (key, table) in [
+        ("memory_mb", "limits"),
+        ("max_fds", "limits"),
+        ("nodes", "fault_tolerance"),
+    ] {
         let message = error_without(key);
-        assert!(message.contains(table) && message.contains(key), "{message}");
+        assert!(
+            message.contains(table) && message.contains(key),
+            "{message}"
+        );
     }
 }
 
 #[test]
 fn a_missing_table_is_named() {
     let text = VALID.replace("[fault_tolerance]\nnodes = 1\nzones = 0\nregions = 0", "");
-    let message = text.parse::<Settings>().expect_err("the table is missing").to_string();
+    let message = text
+        .parse::<Settings>()
+        .expect_err("the table is missing")
+        .to_string();
     assert!(message.contains("fault_tolerance"), "{message}");
 }
 
@@ -53,7 +83,11 @@
         ("ip", "ip = \"10.0.0\"", "ip"),
         ("port_range", "port_range = [9100]", "port_range"),
         ("port_range", "port_range = [9100, 99999]", "port_range[1]"),
-        ("seed_nodes", "seed_nodes = [\"127.0.0.1:1\", \"nowhere\"]", "seed_nodes[1]"),
+        (
+            "seed_nodes",
+            "seed_nodes = [\"127.0.0.1:1\", \"nowhere\"]",
+            "seed_nodes[1]",
+        ),
         ("bootstrap", "bootstrap = \"yes\"", "bootstrap"),
         ("heartbeat_ms", "heartbeat_ms = 1.5", "heartbeat_ms"),
         ("north", "north = 3", "zones.north"),
@@ -91,14 +125,20 @@
 
 #[test]
 fn all_values_out_of_range_are_named_at_once() {
-    let text =
-        VALID.replace("heartbeat_ms = 900", "heartbeat_ms = 0").replace("max_fds = 4100", "max_fds = 0");
+    let text = VALID
+        .replace("heartbeat_ms = 900", "heartbeat_ms = 0")
+        .replace("max_fds = 4100", "max_fds = 0");
     assert_eq!(faulty_keys(&text), ["heartbeat_ms", "limits.max_fds"]);
 }
 
 #[test]
 fn text_that_is_no_toml_is_an_error() {
-    for text in ["node_id = ", "[limits", "\u{0}", "node_id = \"a\"\nnode_id = \"b\""] {
+    for text in [
+        "node_id = ",
+        "[limits",
+        "\u{0}",
+        "node_id = \"a\"\nnode_id = \"b\"",
+    ] {
         assert!(!faulty_keys(text).is_empty());
     }
 }
@@ -133,8 +173,16 @@
 #[test]
 fn a_file_is_read_from_disk_and_an_endless_one_is_refused() {
     let mut file = tempfile::NamedTempFile::new().expect("a file can be made");
-    file.write_all(VALID.as_bytes()).expect("the file can be written");
-    assert_eq!(Settings::read(file.path()).expect("valid"), VALID.parse().expect("valid"));
-    file.write_all(&vec![b'#'; MAX_FILE_BYTES as usize]).expect("the file can be written");
-    assert!(matches!(Settings::read(file.path()), Err(SettingsError::Read { .. })));
+    file.write_all(VALID.as_bytes())
+        .expect("the file can be written");
+    assert_eq!(
+        Settings::read(file.path()).expect("valid"),
+        VALID.parse().expect("valid")
+    );
+    file.write_all(&vec![b'#'; MAX_FILE_BYTES as usize])
+        .expect("the file can be written");
+    assert!(matches!(
+        Settings::read(file.path()),
+        Err(SettingsError::Read { .. })
+    ));
 }
--- a/tier/settings/tests/reading.rs
+++ b/tier/settings/tests/reading.rs
@@ -21,8 +21,14 @@
     assert!(settings.serves("edge"));
     assert!(!settings.serves("control_plane"));
     assert_eq!(settings.ip.to_string(), "127.0.0.7");
-    assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("north", "inland"));
-    assert_eq!((settings.port_range.first, settings.port_range.last), (9100, 9115));
+    assert_eq!(
+        (settings.zone.as_str(), settings.region.as_str()),
+        ("north", "inland")
+    );
+    assert_eq!(
+        (settings.port_range.first, settings.port_range.last),
+        (9100, 9115)
+    );
     assert_eq!(settings.seed_nodes[1].to_string(), "127.0.0.2:9001");
     assert!(settings.bootstrap);
     assert!(!settings.counts_for_quorum);
@@ -38,7 +44,10 @@
     let zones = read(VALID).zones;
     assert_eq!(zones.region_of("shore"), Some("coast"));
     assert_eq!(zones.region_of("moon"), None);
-    assert_eq!(zones.in_region("inland").collect::<Vec<_>>(), ["north", "south"]);
+    assert_eq!(
+        zones.in_region("inland").collect::<Vec<_>>(),
+        ["north", "south"]
+    );
     assert_eq!(zones.names().count(), zones.len());
 }
 
@@ -53,7 +62,8 @@
 
 #[test]
 fn an_empty_data_path_stands_for_none() {
-    let data_path = |line: &str| read(&VALID.replace("[zones]", &format!("{line}\n[zones]"))).data_path;
+    let data_path =
+        |line: &str| read(&VALID.replace("[zones]", &format!("{line}\n[zones]"))).data_path;
     assert_eq!(data_path("data_path = \"\""), None);
     assert_eq!(data_path("data_path = \"/data/x\""), Some("/data/x".into()));
 }
@@ -81,7 +91,10 @@
     let text = VALID
         .replace("[limits]", "[limits]\ntapes = \"\"")
         .replace("[bounds]", "[bounds]\nnew_ms = 3\nnew_list = [1, 2]")
-        .replace("[listeners_map]", "[listeners_map]\nmetrics = \"127.0.0.7:1\"")
+        .replace(
+            "[listeners_map]",
+            "[listeners_map]\nmetrics = \"127.0.0.7:1\"",
+        )
         .replace("[zones]", "[unknown_table]\nvalue = 1\n\n[zones]");
     assert_eq!(read(&text), read(VALID));
 }
--- a/tier/store-client/src/calls.rs
+++ b/tier/store-client/src/calls.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 use plankhill_protocol::turns::{StoreCall, StoreReply};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 
 /// Calls stores.
 pub trait StoreCalls: 'static {
@@ -34,7 +34,10 @@
 impl TcpStores {
     /// Calls in the name of this machine.
     pub fn new(node: NodeId) -> Self {
-        TcpStores { node, callers: RefCell::default() }
+        TcpStores {
+            node,
+            callers: RefCell::default(),
+        }
     }
 
     fn caller(&self, address: SocketAddr) -> Caller<StoreRequest, StoreAnswer> {
@@ -61,6 +64,8 @@
     }
 
     fn keep_only(&self, addresses: &[SocketAddr]) {
-        self.callers.borrow_mut().retain(|address, _| addresses.contains(address));
+        self.callers
+            .borrow_mut()
+            .retain(|address, _| addresses.contains(address));
     }
 }
--- a/tier/store-client/src/choice.rs
+++ b/tier/store-client/src/choice.rs
@@ -21,15 +21,20 @@
     /// Takes a new view: the serving stores, those of the own zone first.
     pub fn set_view(&mut self, view: &StoreView, zone: &ZoneName) {
         self.members = view.serving.clone();
-        self.members.sort_by(|one, other| order(one, zone).cmp(&order(other, zone)));
+        self.members
+            .sort_by(|one, other| order(one, zone).cmp(&order(other, zone)));
         let members = &self.members;
-        self.avoided.retain(|(node, _)| members.iter().any(|member| member.node == *node));
+        self.avoided
+            .retain(|(node, _)| members.iter().any(|member| member.node == *node));
     }
 
     /// The stores in the order in which they are to be asked; those that failed lately come last.
     pub fn order(&self, now: Instant) -> Vec<StoreMember> {
-        let (late, ready): (Vec<_>, Vec<_>) =
-            self.members.iter().cloned().partition(|member| self.is_avoided(&member.node, now));
+        let (late, ready): (Vec<_>, Vec<_>) = self
+            .members
+            .iter()
+            .cloned()
+            .partition(|member| self.is_avoided(&member.node, now));
         ready.into_iter().chain(late).collect()
     }
 
@@ -50,7 +55,9 @@
     }
 
     fn is_avoided(&self, node: &NodeId, now: Instant) -> bool {
-        self.avoided.iter().any(|(avoided, until)| avoided == node && now < *until)
+        self.avoided
+            .iter()
+            .any(|(avoided, until)| avoided == node && now < *until)
     }
 }
 
--- a/tier/store-client/src/client.rs
+++ b/tier/store-client/src/client.rs
@@ -30,7 +30,9 @@
 
 impl<C> Clone for StoreClient<C> {
     fn clone(&self) -> Self {
-        StoreClient { shared: self.shared.clone() }
+        StoreClient {
+            shared: self.shared.clone(),
+        }
     }
 }
 
@@ -51,8 +53,15 @@
 impl<C: StoreCalls> StoreClient<C> {
     /// A client that reaches the stores in its own way.
     pub fn with_calls(calls: C, zone: ZoneName) -> Self {
-        let shared = Shared { zone, epoch: Cell::default(), choice: RefCell::default(), calls };
-        StoreClient { shared: Rc::new(shared) }
+        let shared = Shared {
+            zone,
+            epoch: Cell::default(),
+            choice: RefCell::default(),
+            calls,
+        };
+        StoreClient {
+            shared: Rc::new(shared),
+        }
     }
 
     /// Takes the present view of the stores; older ones than the one held are ignored.
@@ -61,7 +70,10 @@
             return;
         }
         self.shared.epoch.set(view.epoch);
-        self.shared.choice.borrow_mut().set_view(view, &self.shared.zone);
+        self.shared
+            .choice
+            .borrow_mut()
+            .set_view(view, &self.shared.zone);
         let addresses: Vec<_> = view.serving.iter().map(|member| member.address).collect();
         self.shared.calls.keep_only(&addresses);
     }
@@ -74,7 +86,9 @@
     /// Reserves the turn's most and fetches what it goes on from; ends within `budget`.
     pub async fn begin_turn(&self, begin: BeginTurn, budget: Duration) -> BeginOutcome {
         match self.ask(|epoch| begin.call(epoch), budget).await {
-            Some(StoreReply::Begun { history, previous }) => BeginOutcome::Begun { history, previous },
+            Some(StoreReply::Begun { history, previous }) => {
+                BeginOutcome::Begun { history, previous }
+            }
             Some(StoreReply::BudgetSpent) => BeginOutcome::BudgetSpent,
             Some(StoreReply::NoSuchTurn) => BeginOutcome::NoSuchTurn,
             _ => BeginOutcome::Unsure,
@@ -90,7 +104,11 @@
     }
 
     /// Asks the stores until one knows; None when the time is up.
-    async fn ask(&self, call: impl Fn(StoreEpoch) -> StoreCall, budget: Duration) -> Option<StoreReply> {
+    async fn ask(
+        &self,
+        call: impl Fn(StoreEpoch) -> StoreCall,
+        budget: Duration,
+    ) -> Option<StoreReply> {
         let ends = Instant::now() + budget;
         let (answers, mut answered) = mpsc::channel(ANSWERS);
         let mut asking = 0_usize;
@@ -127,7 +145,12 @@
     }
 
     /// Asks one store. The answer is None if it does not know, or none came.
-    fn start(&self, member: StoreMember, call: StoreCall, answers: mpsc::Sender<Option<StoreReply>>) {
+    fn start(
+        &self,
+        member: StoreMember,
+        call: StoreCall,
+        answers: mpsc::Sender<Option<StoreReply>>,
+    ) {
         let shared = self.shared.clone();
         let calling = shared.calls.call(member.address, call, LONGEST_CALL);
         tokio::task::spawn_local(async move {
--- a/tier/store-client/tests/client.rs
+++ b/tier/store-client/tests/client.rs
@@ -29,7 +29,12 @@
 }
 
 fn view(epoch: u64, serving: Vec<StoreMember>) -> StoreView {
-    StoreView { epoch: StoreEpoch(epoch), serving, next: None, faults: 1 }
+    StoreView {
+        epoch: StoreEpoch(epoch),
+        serving,
+        next: None,
+        faults: 1,
+    }
 }
 
 fn three() -> Vec<StoreMember> {
@@ -52,7 +57,9 @@
 
 impl Stores {
     fn set(&self, number: u8, after_ms: u64, reply: Option<StoreReply>) {
-        self.answers.borrow_mut().insert(address(number), Answer { after_ms, reply });
+        self.answers
+            .borrow_mut()
+            .insert(address(number), Answer { after_ms, reply });
     }
 
     fn take_asked(&self) -> Vec<SocketAddr> {
@@ -70,7 +77,9 @@
         self.asked.borrow_mut().push(address);
         let answer = self.answers.borrow().get(&address).cloned();
         async move {
-            let Some(Answer { after_ms, reply }) = answer else { return Err(CallError::NotSent) };
+            let Some(Answer { after_ms, reply }) = answer else {
+                return Err(CallError::NotSent);
+            };
             let answering = async {
                 tokio::time::sleep(Duration::from_millis(after_ms)).await;
                 match reply {
@@ -78,7 +87,9 @@
                     None => std::future::pending().await,
                 }
             };
-            tokio::time::timeout(timeout, answering).await.map_err(|_| CallError::NoAnswer)
+            tokio::time::timeout(timeout, answering)
+                .await
+                .map_err(|_| CallError::NoAnswer)
         }
     }
 
@@ -94,7 +105,9 @@
         tokens: Some(1),
         record: None,
     };
-    let outcome = client.end_turn(turn, Duration::from_millis(budget_ms)).await;
+    let outcome = client
+        .end_turn(turn, Duration::from_millis(budget_ms))
+        .await;
     (outcome, started.elapsed().as_millis() as u64)
 }
 
@@ -105,7 +118,10 @@
 }
 
 fn run<T>(story: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), story)
 }
 
@@ -201,7 +217,11 @@
         let mut choice = StoreChoice::default();
         choice.set_view(&view(1, three()), &ZoneName::from("north"));
         let order = |choice: &StoreChoice| -> Vec<_> {
-            choice.order(Instant::now()).into_iter().map(|member| member.address).collect()
+            choice
+                .order(Instant::now())
+                .into_iter()
+                .map(|member| member.address)
+                .collect()
         };
         assert_eq!(order(&choice), [address(3), address(1), address(2)]);
         choice.failed(&member(3, "").node, Instant::now());
--- a/tier/store/src/clock.rs
+++ b/tier/store/src/clock.rs
@@ -17,8 +17,13 @@
 impl SystemClock {
     /// Reads both clocks.
     pub fn start() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        SystemClock { start_ms: since.as_millis() as u64, started: Instant::now() }
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        SystemClock {
+            start_ms: since.as_millis() as u64,
+            started: Instant::now(),
+        }
     }
 }
 
--- a/tier/store/src/disk/fjall.rs
+++ b/tier/store/src/disk/fjall.rs
@@ -30,12 +30,19 @@
     /// [`DiskError::Unreadable`] when there is one that is broken, [`DiskError::Failed`] when the disk fails.
     pub fn open(folder: &Path) -> Result<Self, DiskError> {
         let (rows, commits) = start_writer(folder)?;
-        Ok(FjallDisk { rows, commits, waiting: Rc::default() })
+        Ok(FjallDisk {
+            rows,
+            commits,
+            waiting: Rc::default(),
+        })
     }
 }
 
 impl Disk for FjallDisk {
-    fn commit(&self, changes: Vec<RowChange>) -> impl Future<Output = Result<(), DiskError>> + 'static {
+    fn commit(
+        &self,
+        changes: Vec<RowChange>,
+    ) -> impl Future<Output = Result<(), DiskError>> + 'static {
         let bytes: usize = changes.iter().map(RowChange::bytes).sum();
         let waiting = self.waiting.clone();
         let queued = if waiting.get() + bytes > MOST_WAITING {
--- a/tier/store/src/disk/folder.rs
+++ b/tier/store/src/disk/folder.rs
@@ -7,9 +7,9 @@
 use std::io;
 use std::path::Path;
 
+use plankhill_conversations::rows::{incarnation_row, read_row, Table, INCARNATION_KEY};
 use plankhill_disk_health::Pauses;
 use plankhill_protocol::ids::Incarnation;
-use plankhill_conversations::rows::{incarnation_row, read_row, Table, INCARNATION_KEY};
 
 use super::{Disk, DiskError, FjallDisk};
 
--- a/tier/store/src/disk/memory.rs
+++ b/tier/store/src/disk/memory.rs
@@ -86,7 +86,10 @@
 }
 
 impl Disk for MemoryDisk {
-    fn commit(&self, changes: Vec<RowChange>) -> impl Future<Output = Result<(), DiskError>> + 'static {
+    fn commit(
+        &self,
+        changes: Vec<RowChange>,
+    ) -> impl Future<Output = Result<(), DiskError>> + 'static {
         let shared = self.shared.clone();
         let life = shared.life.get();
         let synced_at = self.synced_at();
@@ -112,12 +115,19 @@
     }
 
     fn read(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, DiskError> {
-        Ok(self.shared.synced.borrow().get(&(table, key.to_vec())).cloned())
+        Ok(self
+            .shared
+            .synced
+            .borrow()
+            .get(&(table, key.to_vec()))
+            .cloned())
     }
 
     fn scan(&self, table: Table, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<(), DiskError> {
         let rows = self.shared.synced.borrow();
-        rows.iter().filter(|((other, _), _)| *other == table).for_each(|((_, key), value)| visit(key, value));
+        rows.iter()
+            .filter(|((other, _), _)| *other == table)
+            .for_each(|((_, key), value)| visit(key, value));
         Ok(())
     }
 }
--- a/tier/store/src/disk/mod.rs
+++ b/tier/store/src/disk/mod.rs
@@ -34,7 +34,10 @@
 pub trait Disk: 'static {
     /// Writes the changes, all or none of them, and ends once they are synced. Commits take effect and end in
     /// the order of their calls; one without changes ends once all earlier ones are synced.
-    fn commit(&self, changes: Vec<RowChange>) -> impl Future<Output = Result<(), DiskError>> + 'static;
+    fn commit(
+        &self,
+        changes: Vec<RowChange>,
+    ) -> impl Future<Output = Result<(), DiskError>> + 'static;
 
     /// A row of a commit that has ended; one of a commit under way may or may not be there yet.
     ///
--- a/tier/store/src/disk/writer.rs
+++ b/tier/store/src/disk/writer.rs
@@ -10,8 +10,8 @@
 use std::time::Instant;
 
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
-use plankhill_disk_health::{probe_room, Pauses};
 use plankhill_conversations::rows::{RowChange, Table, INCARNATION_KEY};
+use plankhill_disk_health::{probe_room, Pauses};
 use tokio::sync::oneshot;
 
 use super::fjall::row_key;
@@ -52,7 +52,9 @@
         let rows = self.rows.read().unwrap_or_else(PoisonError::into_inner);
         match &*rows {
             Some(rows) => look(rows),
-            None => Err(DiskError::Refused("the database is being opened anew".into())),
+            None => Err(DiskError::Refused(
+                "the database is being opened anew".into(),
+            )),
         }
     }
 
@@ -85,7 +87,11 @@
     /// It writes.
     Well,
     /// It refuses to write, and is tried again at that time.
-    Refusing { cause: String, next_try: Instant, pauses: Pauses },
+    Refusing {
+        cause: String,
+        next_try: Instant,
+        pauses: Pauses,
+    },
     /// It is of no use any more.
     Failed(String),
 }
@@ -141,22 +147,36 @@
     }
 
     fn write(&mut self, together: &mut [Commit]) -> Result<(), DiskError> {
-        let Err(error) = self.write_batch(together) else { return Ok(()) };
+        let Err(error) = self.write_batch(together) else {
+            return Ok(());
+        };
         tracing::error!(%error, "writing failed");
         let cause = error.to_string();
         let pauses = Pauses::default();
         let passes = may_pass(&error);
-        self.condition =
-            if passes { refusing(cause.clone(), pauses) } else { Condition::Failed(cause.clone()) };
-        Err(if passes { DiskError::Refused(cause) } else { DiskError::Failed(cause) })
+        self.condition = if passes {
+            refusing(cause.clone(), pauses)
+        } else {
+            Condition::Failed(cause.clone())
+        };
+        Err(if passes {
+            DiskError::Refused(cause)
+        } else {
+            DiskError::Failed(cause)
+        })
     }
 
     fn write_batch(&self, together: &mut [Commit]) -> fjall::Result<()> {
-        let Some(database) = &self.database else { return Err(fjall::Error::Poisoned) };
+        let Some(database) = &self.database else {
+            return Err(fjall::Error::Poisoned);
+        };
         self.rows
             .look(|rows| {
                 let mut batch = database.batch().durability(Some(PersistMode::SyncData));
-                for change in together.iter_mut().flat_map(|commit| commit.changes.drain(..)) {
+                for change in together
+                    .iter_mut()
+                    .flat_map(|commit| commit.changes.drain(..))
+                {
                     let key = row_key(change.table, &change.key);
                     match change.value {
                         Some(value) => batch.insert(rows, key, value),
@@ -170,7 +190,12 @@
 
     /// Opens the database anew, once the disk takes some bytes.
     fn recover_if_due(&mut self) {
-        let Condition::Refusing { next_try, pauses, .. } = self.condition else { return };
+        let Condition::Refusing {
+            next_try, pauses, ..
+        } = self.condition
+        else {
+            return;
+        };
         if Instant::now() < next_try {
             return;
         }
@@ -200,7 +225,9 @@
         self.database = None;
         let (database, keyspace) = open(&self.folder)?;
         if life_of(&keyspace)? != self.life {
-            return Err(DiskError::Unreadable("another disk lies in its place".into()));
+            return Err(DiskError::Unreadable(
+                "another disk lies in its place".into(),
+            ));
         }
         self.database = Some(database);
         self.rows.replace(Some(keyspace));
@@ -210,7 +237,11 @@
 
 fn refusing(cause: String, mut pauses: Pauses) -> Condition {
     let next_try = Instant::now() + pauses.next_pause();
-    Condition::Refusing { cause, next_try, pauses }
+    Condition::Refusing {
+        cause,
+        next_try,
+        pauses,
+    }
 }
 
 fn open(folder: &Path) -> Result<(Database, Keyspace), DiskError> {
@@ -228,7 +259,9 @@
 
 /// The row that tells the life of a disk.
 fn life_of(rows: &Keyspace) -> Result<Option<Vec<u8>>, DiskError> {
-    let row = rows.get(row_key(Table::Own, INCARNATION_KEY)).map_err(failed)?;
+    let row = rows
+        .get(row_key(Table::Own, INCARNATION_KEY))
+        .map_err(failed)?;
     Ok(row.map(|row| row.to_vec()))
 }
 
@@ -251,9 +284,10 @@
 /// Whether the cause may pass: nothing says that what lies on the disk is damaged.
 fn may_pass(error: &fjall::Error) -> bool {
     match error {
-        fjall::Error::Io(io) | fjall::Error::Storage(fjall::LsmError::Io(io)) => {
-            !matches!(io.kind(), ErrorKind::NotFound | ErrorKind::UnexpectedEof | ErrorKind::InvalidData)
-        }
+        fjall::Error::Io(io) | fjall::Error::Storage(fjall::LsmError::Io(io)) => !matches!(
+            io.kind(),
+            ErrorKind::NotFound | ErrorKind::UnexpectedEof | ErrorKind::InvalidData
+        ),
         fjall::Error::Locked | fjall::Error::Poisoned => true,
         _ => false,
     }
--- a/tier/store/src/figures.rs
+++ b/tier/store/src/figures.rs
@@ -56,6 +56,9 @@
         let slack = LEAST_SLACK.max(2 * settings.bounds.max_skew());
         let disk = settings.limits.disk_bytes() as f64 * DISK_SHARE;
         let memory = settings.limits.memory_bytes() as f64 * MEMORY_SHARE;
-        Figures { slack_ms: slack.as_millis() as u64, most_bytes: disk.min(memory) as u64 }
+        Figures {
+            slack_ms: slack.as_millis() as u64,
+            most_bytes: disk.min(memory) as u64,
+        }
     }
 }
--- a/tier/store/src/link.rs
+++ b/tier/store/src/link.rs
@@ -20,7 +20,10 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Follows the control plane, for ever.
-pub async fn follow<P: Peers, D: Disk, C: Clock>(node: Rc<Node<P, D, C>>, controllers: Vec<SocketAddr>) {
+pub async fn follow<P: Peers, D: Disk, C: Clock>(
+    node: Rc<Node<P, D, C>>,
+    controllers: Vec<SocketAddr>,
+) {
     let (_candidates, candidates) = watch::channel(controllers);
     let subscription = Subscription::start(SubscriptionOptions {
         hello: Hello::new(Channel::Feed, node.me().node.clone()),
@@ -28,7 +31,10 @@
         candidates,
         silence: CONTROLLER_SILENCE,
     });
-    tokio::join!(take_views(&node, subscription.tables()), report_copies(&node, &subscription));
+    tokio::join!(
+        take_views(&node, subscription.tables()),
+        report_copies(&node, &subscription)
+    );
 }
 
 async fn take_views<P: Peers, D: Disk, C: Clock>(
@@ -41,7 +47,10 @@
     }
 }
 
-async fn report_copies<P: Peers, D: Disk, C: Clock>(node: &Rc<Node<P, D, C>>, subscription: &Subscription) {
+async fn report_copies<P: Peers, D: Disk, C: Clock>(
+    node: &Rc<Node<P, D, C>>,
+    subscription: &Subscription,
+) {
     let mut copied = node.copied_epoch();
     let mut standing = subscription.standing();
     loop {
--- a/tier/store/src/node/begin.rs
+++ b/tier/store/src/node/begin.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::tables::StoreView;
-use plankhill_protocol::turns::{Reservation, StoreReply};
 use plankhill_conversations::account::{Account, TurnState, Verdict};
 use plankhill_conversations::peer::{EndedTurn, PeerRequest, PeerResponse};
 use plankhill_conversations::placement::Tally;
+use plankhill_protocol::ids::{ProgramId, RequestId};
+use plankhill_protocol::tables::StoreView;
+use plankhill_protocol::turns::{Reservation, StoreReply};
 
 use super::chain::ChainEnd;
 use super::end::Written;
@@ -39,7 +39,10 @@
         let chain = async {
             match &begin.previous {
                 Some(previous) => self.read_chain(&begin.program, previous).await,
-                None => ChainEnd::Found { history: Arc::from([]), place: None },
+                None => ChainEnd::Found {
+                    history: Arc::from([]),
+                    place: None,
+                },
             }
         };
         let (reserved, chain) = tokio::join!(self.reserve(&begin), chain);
@@ -52,15 +55,18 @@
                 self.release(&begin, TurnState::Settled { tokens: 0 });
                 StoreReply::NoSuchTurn
             }
-            (Reserved::Granted, ChainEnd::Found { history, place }) => {
-                StoreReply::Begun { history, previous: place }
-            }
+            (Reserved::Granted, ChainEnd::Found { history, place }) => StoreReply::Begun {
+                history,
+                previous: place,
+            },
             _ => StoreReply::Unsure,
         }
     }
 
     async fn reserve(self: &Rc<Self>, begin: &Begin) -> Reserved {
-        let Some(reservation) = &begin.reservation else { return Reserved::Granted };
+        let Some(reservation) = &begin.reservation else {
+            return Reserved::Granted;
+        };
         if reservation.most > reservation.budget {
             return Reserved::Spent;
         }
--- a/tier/store/src/node/catch_up.rs
+++ b/tier/store/src/node/catch_up.rs
@@ -4,9 +4,9 @@
 
 use std::rc::Rc;
 
-use plankhill_protocol::tables::StoreMember;
 use plankhill_conversations::peer::StoreSet;
 use plankhill_conversations::placement::is_serving;
+use plankhill_protocol::tables::StoreMember;
 
 use super::Node;
 use crate::clock::Clock;
@@ -20,14 +20,22 @@
         let mut compared: Vec<StoreMember> = Vec::new();
         for _ in 0..CATCH_UP_ROUNDS {
             let view = self.view();
-            let others = view.serving.iter().filter(|member| member.node != self.parts.me.node);
-            let left: Vec<&StoreMember> = others.filter(|member| !compared.contains(member)).collect();
+            let others = view
+                .serving
+                .iter()
+                .filter(|member| member.node != self.parts.me.node);
+            let left: Vec<&StoreMember> =
+                others.filter(|member| !compared.contains(member)).collect();
             if !view.serving.is_empty() && (left.is_empty() || !is_serving(&view, &self.parts.me)) {
                 return;
             }
             self.durable(view.epoch).await;
             for source in left {
-                if self.copy_from(&view, StoreSet::Serving, source).await.is_ok() {
+                if self
+                    .copy_from(&view, StoreSet::Serving, source)
+                    .await
+                    .is_ok()
+                {
                     compared.push(source.clone());
                 }
             }
--- a/tier/store/src/node/chain.rs
+++ b/tier/store/src/node/chain.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
 use plankhill_conversations::peer::{PeerRequest, PeerResponse};
 use plankhill_conversations::placement::{addresses, is_serving, replicas, Quorum};
 use plankhill_conversations::rows::{read_row, turn_key, Table, TurnRow};
+use plankhill_protocol::ids::{ProgramId, RequestId};
+use plankhill_protocol::tables::{StoreMember, StoreView};
+use plankhill_protocol::turns::{TurnPlace, TurnRecord};
 
 use super::Node;
 use crate::clock::Clock;
@@ -18,7 +18,10 @@
 
 /// How reading a chain ended.
 pub(super) enum ChainEnd {
-    Found { history: Arc<[u8]>, place: Option<TurnPlace> },
+    Found {
+        history: Arc<[u8]>,
+        place: Option<TurnPlace>,
+    },
     NoSuchTurn,
     Unsure,
 }
@@ -38,10 +41,17 @@
 
 impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
     /// Reads the chain that ends with this turn. `program` is the one that asks, most often also the turn's.
-    pub(super) async fn read_chain(self: &Rc<Self>, program: &ProgramId, turn: &RequestId) -> ChainEnd {
+    pub(super) async fn read_chain(
+        self: &Rc<Self>,
+        program: &ProgramId,
+        turn: &RequestId,
+    ) -> ChainEnd {
         let mut turns: Vec<Arc<TurnRecord>> = Vec::new();
         let mut bytes = 0;
-        let mut next = Some(TurnPlace { turn: turn.clone(), program: program.clone() });
+        let mut next = Some(TurnPlace {
+            turn: turn.clone(),
+            program: program.clone(),
+        });
         while let Some(place) = next.take() {
             let part = match self.read_part(&place).await {
                 Ok(part) => part,
@@ -49,7 +59,11 @@
                 Err(NoPart::NoSuchTurn) if turns.is_empty() => return ChainEnd::NoSuchTurn,
                 Err(_) => return ChainEnd::Unsure,
             };
-            bytes += part.turns.iter().map(|turn| turn.input.len() + turn.output.len()).sum::<usize>();
+            bytes += part
+                .turns
+                .iter()
+                .map(|turn| turn.input.len() + turn.output.len())
+                .sum::<usize>();
             if bytes > MOST_CHAIN_BYTES {
                 tracing::warn!(bytes, "chain too long");
                 return ChainEnd::Unsure;
@@ -58,7 +72,10 @@
             next = part.rest;
         }
         let place = turns.first().map(|newest| place_of(newest));
-        ChainEnd::Found { history: join(&turns, bytes), place }
+        ChainEnd::Found {
+            history: join(&turns, bytes),
+            place,
+        }
     }
 
     async fn read_part(self: &Rc<Self>, place: &TurnPlace) -> Result<ChainPart, NoPart> {
@@ -76,7 +93,9 @@
         let mut bytes = 0;
         let mut next = Some(turn.clone());
         while let Some(turn) = next.take() {
-            let Some(record) = self.turn_here(&turn) else { break };
+            let Some(record) = self.turn_here(&turn) else {
+                break;
+            };
             bytes += record.input.len() + record.output.len();
             part.rest = record.previous.clone();
             part.turns.push(record);
@@ -110,7 +129,10 @@
         let view = self.view();
         let here = &self.parts.me.address;
         let holders = replicas(&view.serving, &place.program, view.faults);
-        let first = holders.into_iter().find(|member| member.address != *here).cloned();
+        let first = holders
+            .into_iter()
+            .find(|member| member.address != *here)
+            .cloned();
         if let Some(first) = first {
             let reading = self.part_of(&view, &first, &place.turn);
             // The connection is good for longer than this one answer is waited for.
@@ -130,15 +152,26 @@
         turn: &RequestId,
     ) -> Option<ChainPart> {
         let request = PeerRequest::Chain { turn: turn.clone() };
-        match self.ask(view, member, &request, PEER_TIMEOUT).await.ok()?.body {
-            PeerResponse::Chain { turns, rest } if !turns.is_empty() => Some(ChainPart { turns, rest }),
+        match self
+            .ask(view, member, &request, PEER_TIMEOUT)
+            .await
+            .ok()?
+            .body
+        {
+            PeerResponse::Chain { turns, rest } if !turns.is_empty() => {
+                Some(ChainPart { turns, rest })
+            }
             _ => None,
         }
     }
 
     /// A store that holds the turn. That there is none is known only when so many serving stores do not hold
     /// it that it cannot have been written.
-    async fn locate(self: &Rc<Self>, view: &StoreView, turn: &RequestId) -> Result<StoreMember, NoPart> {
+    async fn locate(
+        self: &Rc<Self>,
+        view: &StoreView,
+        turn: &RequestId,
+    ) -> Result<StoreMember, NoPart> {
         let members = addresses(view.serving.iter().chain(view.next.iter().flatten()));
         let mut round = self.ask_all(view, members, &PeerRequest::Locate { turn: turn.clone() });
         let mut absent = 0;
@@ -147,14 +180,21 @@
             match reply.body {
                 PeerResponse::Located => return Ok(answer.member),
                 PeerResponse::NotHere => {
-                    let life = StoreMember { incarnation: reply.incarnation, ..answer.member };
+                    let life = StoreMember {
+                        incarnation: reply.incarnation,
+                        ..answer.member
+                    };
                     absent += usize::from(is_serving(view, &life));
                 }
                 _ => {}
             }
         }
         let enough = Quorum::of(view.serving.len(), view.faults).read;
-        Err(if absent >= enough { NoPart::NoSuchTurn } else { NoPart::Unsure })
+        Err(if absent >= enough {
+            NoPart::NoSuchTurn
+        } else {
+            NoPart::Unsure
+        })
     }
 
     /// Answers another store that reads a chain.
@@ -180,7 +220,10 @@
 }
 
 fn place_of(record: &TurnRecord) -> TurnPlace {
-    TurnPlace { turn: record.turn.clone(), program: record.program.clone() }
+    TurnPlace {
+        turn: record.turn.clone(),
+        program: record.program.clone(),
+    }
 }
 
 /// Inputs and outputs, oldest first.
--- a/tier/store/src/node/copy.rs
+++ b/tier/store/src/node/copy.rs
@@ -2,9 +2,9 @@
 
 use std::rc::Rc;
 
-use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_conversations::peer::StoreSet;
 use plankhill_conversations::placement::{is_same, is_serving, Quorum};
+use plankhill_protocol::tables::{StoreMember, StoreView};
 
 use super::copy_source::Interrupted;
 use super::Node;
@@ -46,7 +46,11 @@
             tokio::time::sleep(COPY_PAUSE).await;
         }
         if copied >= enough && self.is_current(view) {
-            tracing::info!(epoch = view.epoch.0, sources = copied, "copied all that belongs here");
+            tracing::info!(
+                epoch = view.epoch.0,
+                sources = copied,
+                "copied all that belongs here"
+            );
             self.copied_epoch.send_replace(Some(view.epoch));
         }
     }
--- a/tier/store/src/node/copy_source.rs
+++ b/tier/store/src/node/copy_source.rs
@@ -3,10 +3,12 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
+use plankhill_conversations::peer::{
+    EndedTurn, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, StoreSet,
+};
+use plankhill_conversations::placement::holds;
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_conversations::peer::{EndedTurn, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, StoreSet};
-use plankhill_conversations::placement::holds;
 
 use super::Node;
 use crate::clock::Clock;
@@ -28,11 +30,17 @@
         let mut after: Option<ProgramId> = None;
         loop {
             let store = self.parts.me.clone();
-            let request = PeerRequest::ListPrograms { set, store, after: after.clone() };
+            let request = PeerRequest::ListPrograms {
+                set,
+                store,
+                after: after.clone(),
+            };
             let PeerResponse::Programs(page) = self.ask_source(view, source, request).await? else {
                 return Err(Interrupted);
             };
-            let Some(last) = page.last() else { return Ok(()) };
+            let Some(last) = page.last() else {
+                return Ok(());
+            };
             after = Some(last.program.clone());
             let is_last = page.len() < PAGE_PROGRAMS;
             self.copy_page(view, source, page).await?;
@@ -58,15 +66,20 @@
         };
         self.hint_what_it_lacks(view, source, &outlines);
         let mut missing = self.missing_turns(&outlines);
-        self.take(outlines.into_iter().flat_map(account_states).collect()).await?;
+        self.take(outlines.into_iter().flat_map(account_states).collect())
+            .await?;
         while !missing.is_empty() {
             let turns: Vec<RequestId> = missing.iter().take(PAGE_PROGRAMS).cloned().collect();
-            let request = PeerRequest::FetchTurns { turns: turns.clone() };
+            let request = PeerRequest::FetchTurns {
+                turns: turns.clone(),
+            };
             let PeerResponse::Turns(found) = self.ask_source(view, source, request).await? else {
                 return Err(Interrupted);
             };
             // Those before the last one found that are not among them are gone at the source.
-            let asked = found.last().map_or(turns.as_slice(), |last| up_to(&turns, &last.record.turn));
+            let asked = found
+                .last()
+                .map_or(turns.as_slice(), |last| up_to(&turns, &last.record.turn));
             asked.iter().for_each(|turn| {
                 missing.remove(turn);
             });
@@ -84,29 +97,43 @@
     /// Programs of which the source knows something else than this store.
     fn differing(&self, page: Vec<ProgramDigest>) -> Vec<ProgramId> {
         let state = self.state.borrow();
-        let differing =
-            page.into_iter().filter(|listed| state.index.digest(&listed.program) != Some(listed.digest));
+        let differing = page
+            .into_iter()
+            .filter(|listed| state.index.digest(&listed.program) != Some(listed.digest));
         differing.map(|listed| listed.program).collect()
     }
 
     /// The source may have missed what its hints were lost of: this store delivers it.
-    fn hint_what_it_lacks(&self, view: &StoreView, source: &StoreMember, outlines: &[ProgramOutline]) {
+    fn hint_what_it_lacks(
+        &self,
+        view: &StoreView,
+        source: &StoreMember,
+        outlines: &[ProgramOutline],
+    ) {
         for theirs in outlines {
             if !holds(&view.serving, &theirs.program, view.faults, source) {
                 continue;
             }
             let lacking = {
                 let state = self.state.borrow();
-                state.index.outline(&theirs.program).map_or_else(Vec::new, |ours| lacking(theirs, &ours))
+                state
+                    .index
+                    .outline(&theirs.program)
+                    .map_or_else(Vec::new, |ours| lacking(theirs, &ours))
             };
-            lacking.iter().for_each(|turn| self.add_hint(&source.node, &theirs.program, turn));
+            lacking
+                .iter()
+                .for_each(|turn| self.add_hint(&source.node, &theirs.program, turn));
         }
     }
 
     fn missing_turns(&self, outlines: &[ProgramOutline]) -> BTreeSet<RequestId> {
         let state = self.state.borrow();
         let turns = outlines.iter().flat_map(|outline| &outline.turns);
-        turns.filter(|turn| state.index.turn(turn).is_none()).cloned().collect()
+        turns
+            .filter(|turn| state.index.turn(turn).is_none())
+            .cloned()
+            .collect()
     }
 
     async fn take(&self, ended: Vec<EndedTurn>) -> Result<(), Interrupted> {
@@ -123,7 +150,10 @@
         source: &StoreMember,
         request: PeerRequest,
     ) -> Result<PeerResponse, Interrupted> {
-        let reply = self.ask(view, source, &request, PEER_TIMEOUT).await.map_err(|_| Interrupted)?;
+        let reply = self
+            .ask(view, source, &request, PEER_TIMEOUT)
+            .await
+            .map_err(|_| Interrupted)?;
         if reply.incarnation == source.incarnation {
             Ok(reply.body)
         } else {
@@ -145,7 +175,10 @@
 
 /// The names up to and with this one.
 fn up_to<'a>(turns: &'a [RequestId], last: &RequestId) -> &'a [RequestId] {
-    let end = turns.iter().position(|turn| turn == last).map_or(turns.len(), |at| at + 1);
+    let end = turns
+        .iter()
+        .position(|turn| turn == last)
+        .map_or(turns.len(), |at| at + 1);
     &turns[..end]
 }
 
@@ -153,7 +186,10 @@
 fn lacking(theirs: &ProgramOutline, ours: &ProgramOutline) -> Vec<RequestId> {
     let held: BTreeSet<&RequestId> = theirs.turns.iter().collect();
     let turns = ours.turns.iter().filter(|turn| !held.contains(turn));
-    let states = ours.account.turns().filter(|(turn, state)| theirs.account.state(turn) < Some(*state));
+    let states = ours
+        .account
+        .turns()
+        .filter(|(turn, state)| theirs.account.state(turn) < Some(*state));
     let lacking: BTreeSet<&RequestId> = turns.chain(states.map(|(turn, _)| turn)).collect();
     lacking.into_iter().cloned().collect()
 }
--- a/tier/store/src/node/end.rs
+++ b/tier/store/src/node/end.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::tables::StoreView;
-use plankhill_protocol::turns::{StoreReply, TurnPlace, TurnRecord};
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
 use plankhill_conversations::placement::Tally;
+use plankhill_protocol::ids::{ProgramId, RequestId};
+use plankhill_protocol::tables::StoreView;
+use plankhill_protocol::turns::{StoreReply, TurnPlace, TurnRecord};
 
 use super::Node;
 use crate::clock::Clock;
@@ -46,7 +46,12 @@
                 return StoreReply::Unsure;
             }
         }
-        let ended = EndedTurn { program, turn, state, kept };
+        let ended = EndedTurn {
+            program,
+            turn,
+            state,
+            kept,
+        };
         match self.write_end(ended).await {
             Written::Enough => StoreReply::Ended,
             Written::TooFew | Written::Moved => StoreReply::Unsure,
@@ -63,7 +68,10 @@
     async fn extend_elsewhere(self: &Rc<Self>, record: &TurnRecord, keep_ms: u64) -> Written {
         match &record.previous {
             Some(TurnPlace { turn, program }) if *program != record.program => {
-                let request = PeerRequest::Extend { turn: turn.clone(), keep_ms };
+                let request = PeerRequest::Extend {
+                    turn: turn.clone(),
+                    keep_ms,
+                };
                 self.write(program, &request).await
             }
             _ => Written::Enough,
--- a/tier/store/src/node/hints.rs
+++ b/tier/store/src/node/hints.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
-use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_conversations::peer::{PeerReply, PeerRequest, PeerResponse};
 use plankhill_conversations::placement::replicas;
 use plankhill_conversations::rows::{hint_key, RowChange, Table};
+use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
+use plankhill_protocol::tables::{StoreMember, StoreView};
 
 use super::Node;
 use crate::clock::Clock;
@@ -33,7 +33,9 @@
 
     /// The first few that a store has missed.
     pub(super) fn first(&self, node: &NodeId, count: usize) -> Vec<(ProgramId, RequestId)> {
-        self.missed.get(node).map_or_else(Vec::new, |missed| missed.iter().take(count).cloned().collect())
+        self.missed.get(node).map_or_else(Vec::new, |missed| {
+            missed.iter().take(count).cloned().collect()
+        })
     }
 
     pub(super) fn remove(&mut self, node: &NodeId, program: &ProgramId, turn: &RequestId) {
@@ -79,7 +81,9 @@
         request: &PeerRequest,
         reply: Option<&PeerReply>,
     ) {
-        let PeerRequest::End(ended) = request else { return };
+        let PeerRequest::End(ended) = request else {
+            return;
+        };
         let settled = matches!(
             reply.map(|reply| &reply.body),
             // With an older view the whole request is made anew.
@@ -96,14 +100,25 @@
             return;
         }
         // This store does not hold the turn, or has missed it itself: one that holds it keeps the hint.
-        let Some(holder) = holds.into_iter().find(|holder| holder.node != member.node).cloned() else {
+        let Some(holder) = holds
+            .into_iter()
+            .find(|holder| holder.node != member.node)
+            .cloned()
+        else {
             return;
         };
-        let request =
-            PeerRequest::KeepHint { node: member.node.clone(), program: program.clone(), turn: turn.clone() };
+        let request = PeerRequest::KeepHint {
+            node: member.node.clone(),
+            program: program.clone(),
+            turn: turn.clone(),
+        };
         let (node, view) = (self.clone(), view.clone());
         tokio::task::spawn_local(async move {
-            if node.ask(&view, &holder, &request, PEER_TIMEOUT).await.is_err() {
+            if node
+                .ask(&view, &holder, &request, PEER_TIMEOUT)
+                .await
+                .is_err()
+            {
                 tracing::debug!(holder = %holder.node, "hint not kept");
             }
         });
--- a/tier/store/src/node/load.rs
+++ b/tier/store/src/node/load.rs
@@ -3,10 +3,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
-use plankhill_protocol::tables::StoreView;
 use plankhill_conversations::index::TurnEntry;
 use plankhill_conversations::rows::{read_row, split_key, AccountRow, Table, TurnRow, VIEW_KEY};
+use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
+use plankhill_protocol::tables::StoreView;
 use tokio::sync::watch;
 
 use super::{Node, Parts, State};
@@ -49,14 +49,22 @@
         let view = self.view();
         let copying = self.copy_for(&view);
         let catching_up = self.catch_up();
-        tokio::join!(copying, catching_up, self.clone().run_expiry(), self.clone().run_repair());
+        tokio::join!(
+            copying,
+            catching_up,
+            self.clone().run_expiry(),
+            self.clone().run_repair()
+        );
     }
 }
 
 fn load_turns(disk: &impl Disk, state: &mut State) -> Result<(), DiskError> {
     disk.scan(Table::Turns, &mut |_, row| {
         if let Some(row) = read_row::<TurnRow>(row) {
-            state.index.keep(&row.record.turn, TurnEntry::new(&row.record, row.expires_ms));
+            state.index.keep(
+                &row.record.turn,
+                TurnEntry::new(&row.record, row.expires_ms),
+            );
         }
     })?;
     disk.scan(Table::Extensions, &mut |key, row| {
@@ -72,7 +80,9 @@
         let names = split_key(key).unwrap_or_default();
         if let ([program, turn], Some(row)) = (names.as_slice(), read_row::<AccountRow>(row)) {
             let (program, turn) = (ProgramId::from(*program), RequestId::from(*turn));
-            state.index.merge_state(&program, &turn, row.state, row.used_ms);
+            state
+                .index
+                .merge_state(&program, &turn, row.state, row.used_ms);
         }
     })
 }
@@ -80,7 +90,9 @@
 fn load_hints(disk: &impl Disk, state: &mut State) -> Result<(), DiskError> {
     disk.scan(Table::Hints, &mut |key, _| {
         if let [node, program, turn] = split_key(key).unwrap_or_default().as_slice() {
-            state.hints.add(&(*node).into(), &(*program).into(), &(*turn).into());
+            state
+                .hints
+                .add(&(*node).into(), &(*program).into(), &(*turn).into());
         }
     })
 }
--- a/tier/store/src/node/mod.rs
+++ b/tier/store/src/node/mod.rs
@@ -21,11 +21,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use plankhill_conversations::index::Index;
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{RequestId, StoreEpoch};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::turns::{StoreCall, StoreReply, TurnRecord};
-use plankhill_conversations::index::Index;
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use tokio::sync::watch;
 
 use crate::clock::Clock;
@@ -89,16 +89,33 @@
         }
         let answering = async {
             match call {
-                StoreCall::BeginTurn { program, turn, reservation, previous, .. } => {
-                    let begin = begin::Begin { program, turn, reservation, previous };
+                StoreCall::BeginTurn {
+                    program,
+                    turn,
+                    reservation,
+                    previous,
+                    ..
+                } => {
+                    let begin = begin::Begin {
+                        program,
+                        turn,
+                        reservation,
+                        previous,
+                    };
                     self.begin(begin).await
                 }
-                StoreCall::EndTurn { program, turn, tokens, record, .. } => {
-                    self.end(program, turn, tokens, record).await
-                }
+                StoreCall::EndTurn {
+                    program,
+                    turn,
+                    tokens,
+                    record,
+                    ..
+                } => self.end(program, turn, tokens, record).await,
             }
         };
-        tokio::time::timeout(CALL_TIMEOUT, answering).await.unwrap_or(StoreReply::Unsure)
+        tokio::time::timeout(CALL_TIMEOUT, answering)
+            .await
+            .unwrap_or(StoreReply::Unsure)
     }
 
     /// Who this store is.
--- a/tier/store/src/node/repair.rs
+++ b/tier/store/src/node/repair.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
-use plankhill_protocol::tables::StoreMember;
 use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
 use plankhill_conversations::rows::{hint_key, RowChange, Table};
+use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
+use plankhill_protocol::tables::StoreMember;
 
 use super::Node;
 use crate::clock::Clock;
@@ -55,7 +55,14 @@
     }
 
     async fn send_repair(self: &Rc<Self>, member: &StoreMember, ended: Vec<EndedTurn>) -> bool {
-        let reply = self.ask(&self.view(), member, &PeerRequest::Repair(ended), PEER_TIMEOUT).await;
+        let reply = self
+            .ask(
+                &self.view(),
+                member,
+                &PeerRequest::Repair(ended),
+                PEER_TIMEOUT,
+            )
+            .await;
         matches!(reply.map(|reply| reply.body), Ok(PeerResponse::Done))
     }
 
@@ -75,7 +82,10 @@
         let mut bytes = 0;
         for (program, turn) in missed {
             let held = self.held(&program, &turn);
-            bytes += held.kept.as_ref().map_or(0, |kept| kept.record.input.len() + kept.record.output.len());
+            bytes += held
+                .kept
+                .as_ref()
+                .map_or(0, |kept| kept.record.input.len() + kept.record.output.len());
             taken.push((program, turn));
             ended.push(held);
             if bytes >= MESSAGE_BYTES {
@@ -87,19 +97,38 @@
 
     /// All that is here of a turn; what has expired since is of no use to anybody.
     fn held(&self, program: &ProgramId, turn: &RequestId) -> EndedTurn {
-        let state = self.state.borrow().index.account(program).and_then(|account| account.state(turn));
-        EndedTurn { program: program.clone(), turn: turn.clone(), state, kept: self.kept_here(turn) }
+        let state = self
+            .state
+            .borrow()
+            .index
+            .account(program)
+            .and_then(|account| account.state(turn));
+        EndedTurn {
+            program: program.clone(),
+            turn: turn.clone(),
+            state,
+            kept: self.kept_here(turn),
+        }
     }
 
     /// A turn with the time that it still has.
     pub(super) fn kept_here(&self, turn: &RequestId) -> Option<KeptTurn> {
         let expires_ms = self.state.borrow().index.turn(turn)?.expires_ms;
         let record = self.turn_here(turn)?;
-        Some(KeptTurn { record, remaining_ms: expires_ms.saturating_sub(self.now_ms()) })
+        Some(KeptTurn {
+            record,
+            remaining_ms: expires_ms.saturating_sub(self.now_ms()),
+        })
     }
 
     fn drop_hints(&self, node: &NodeId) {
-        let missed: BTreeSet<_> = self.state.borrow().hints.first(node, usize::MAX).into_iter().collect();
+        let missed: BTreeSet<_> = self
+            .state
+            .borrow()
+            .hints
+            .first(node, usize::MAX)
+            .into_iter()
+            .collect();
         self.remove_hints(node, &Vec::from_iter(missed));
     }
 
@@ -107,7 +136,10 @@
         let mut changes = Vec::new();
         for (program, turn) in delivered {
             self.state.borrow_mut().hints.remove(node, program, turn);
-            changes.push(RowChange::remove(Table::Hints, hint_key(node, program, turn)));
+            changes.push(RowChange::remove(
+                Table::Hints,
+                hint_key(node, program, turn),
+            ));
         }
         // A hint that comes back after a loss of power is delivered once more, which is harmless.
         drop(self.parts.disk.commit(changes));
--- a/tier/store/src/node/replica.rs
+++ b/tier/store/src/node/replica.rs
@@ -2,11 +2,13 @@
 
 use std::rc::Rc;
 
-use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::index::TurnEntry;
-use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
+use plankhill_conversations::peer::{
+    EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse,
+};
 use plankhill_conversations::rows::{account_key, turn_key, AccountRow, RowChange, Table, TurnRow};
+use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
 
 use super::unwritten::StateWrite;
 use super::Node;
@@ -22,7 +24,10 @@
             Some(refusal) => refusal,
             None => self.clone().act(call.epoch, call.body).await,
         };
-        PeerReply { incarnation: self.parts.me.incarnation, body }
+        PeerReply {
+            incarnation: self.parts.me.incarnation,
+            body,
+        }
     }
 
     /// Refuses calls of other views. What was missed, and views themselves, are taken from anybody.
@@ -43,15 +48,25 @@
 
     async fn act(self: Rc<Self>, epoch: StoreEpoch, request: PeerRequest) -> PeerResponse {
         match request {
-            PeerRequest::Reserve { program, turn, most, previous } => {
-                self.reserve_here(&program, &turn, most, previous.as_ref()).await
+            PeerRequest::Reserve {
+                program,
+                turn,
+                most,
+                previous,
+            } => {
+                self.reserve_here(&program, &turn, most, previous.as_ref())
+                    .await
             }
             PeerRequest::End(ended) => self.take_ended(vec![ended]).await,
             PeerRequest::Repair(missed) => self.take_ended(missed).await,
             PeerRequest::Chain { turn } => self.chain_here(&turn),
             PeerRequest::Locate { turn } => self.locate_here(&turn),
             PeerRequest::Extend { turn, keep_ms } => self.extend_here(&turn, keep_ms).await,
-            PeerRequest::KeepHint { node, program, turn } => {
+            PeerRequest::KeepHint {
+                node,
+                program,
+                turn,
+            } => {
                 self.add_hint(&node, &program, &turn);
                 PeerResponse::Done
             }
@@ -80,16 +95,21 @@
             if state.index.bytes() >= self.parts.figures.most_bytes {
                 return PeerResponse::Unable;
             }
-            if let Some(previous) = previous.filter(|previous| state.index.turn(previous).is_some()) {
+            if let Some(previous) = previous.filter(|previous| state.index.turn(previous).is_some())
+            {
                 state.index.extend(previous, now_ms + RUNNING_TURN_MS);
             }
-            state.index.merge_state(program, turn, TurnState::Reserved { most }, now_ms);
+            state
+                .index
+                .merge_state(program, turn, TurnState::Reserved { most }, now_ms);
             let account = state.index.account(program);
             // The row holds what is known, which may be more than this call says.
             let Some(known) = account.and_then(|account| account.state(turn)) else {
                 return PeerResponse::Unable;
             };
-            self.parts.disk.commit(vec![state_row(program, turn, known, now_ms)])
+            self.parts
+                .disk
+                .commit(vec![state_row(program, turn, known, now_ms)])
         };
         if let Err(error) = written.await {
             self.note_disk_error(&error);
@@ -103,7 +123,12 @@
     pub(super) async fn take_ended(&self, ended: Vec<EndedTurn>) -> PeerResponse {
         let mut taken = Taken::default();
         for ended in ended {
-            let EndedTurn { program, turn, state, kept: turn_kept } = ended;
+            let EndedTurn {
+                program,
+                turn,
+                state,
+                kept: turn_kept,
+            } = ended;
             if let Some(state) = state {
                 self.merge_state(&program, &turn, state, &mut taken);
             }
@@ -131,16 +156,29 @@
     }
 
     /// What is no news is written all the same where an earlier write of it may have failed.
-    fn merge_state(&self, program: &ProgramId, turn: &RequestId, news: TurnState, taken: &mut Taken) {
+    fn merge_state(
+        &self,
+        program: &ProgramId,
+        turn: &RequestId,
+        news: TurnState,
+        taken: &mut Taken,
+    ) {
         let now_ms = self.now_ms();
         let mut state = self.state.borrow_mut();
         let is_news = state.index.merge_state(program, turn, news, now_ms);
         if !is_news && !state.unwritten_states.contains(program, turn) {
             return;
         }
-        let known = state.index.account(program).and_then(|account| account.state(turn));
-        taken.changes.push(state_row(program, turn, known.unwrap_or(news), now_ms));
-        taken.states.push(state.unwritten_states.begin(program, turn));
+        let known = state
+            .index
+            .account(program)
+            .and_then(|account| account.state(turn));
+        taken
+            .changes
+            .push(state_row(program, turn, known.unwrap_or(news), now_ms));
+        taken
+            .states
+            .push(state.unwritten_states.begin(program, turn));
     }
 
     fn keep_here(&self, turn: &RequestId, kept: KeptTurn) -> Keeping {
@@ -148,13 +186,17 @@
         let expires_ms = self.now_ms().saturating_add(kept.remaining_ms);
         let entry = TurnEntry::new(&kept.record, expires_ms);
         let held = state.index.turn(turn).is_some();
-        if !held && state.index.bytes().saturating_add(entry.bytes) > self.parts.figures.most_bytes {
+        if !held && state.index.bytes().saturating_add(entry.bytes) > self.parts.figures.most_bytes
+        {
             return Keeping::NoRoom;
         }
         if !state.index.keep(turn, entry) {
             return Keeping::Held;
         }
-        let row = TurnRow { expires_ms, record: kept.record };
+        let row = TurnRow {
+            expires_ms,
+            record: kept.record,
+        };
         let change = RowChange::set(Table::Turns, turn_key(turn), &row);
         state.unwritten.insert(turn.clone(), row.record);
         Keeping::New(change)
@@ -172,7 +214,10 @@
             }
         }
         if outcome.is_ok() {
-            taken.states.into_iter().for_each(|write| state.unwritten_states.written(write));
+            taken
+                .states
+                .into_iter()
+                .for_each(|write| state.unwritten_states.written(write));
         }
         drop(state);
         outcome.inspect_err(|error| self.note_disk_error(error))
@@ -183,7 +228,11 @@
         let written = {
             let mut state = self.state.borrow_mut();
             state.index.extend(turn, until_ms);
-            self.parts.disk.commit(vec![RowChange::set(Table::Extensions, turn_key(turn), &until_ms)])
+            self.parts.disk.commit(vec![RowChange::set(
+                Table::Extensions,
+                turn_key(turn),
+                &until_ms,
+            )])
         };
         match written.await {
             Ok(()) => PeerResponse::Done,
@@ -223,5 +272,9 @@
 }
 
 fn state_row(program: &ProgramId, turn: &RequestId, state: TurnState, used_ms: u64) -> RowChange {
-    RowChange::set(Table::Accounts, account_key(program, turn), &AccountRow { state, used_ms })
+    RowChange::set(
+        Table::Accounts,
+        account_key(program, turn),
+        &AccountRow { state, used_ms },
+    )
 }
--- a/tier/store/src/node/round.rs
+++ b/tier/store/src/node/round.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
-use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
 use tokio::sync::mpsc;
 
 use super::Node;
@@ -59,7 +59,8 @@
         match &reply.body {
             PeerResponse::OldEpoch(newer) => self.take_view(newer),
             PeerResponse::Behind => {
-                self.send(view, member, PeerRequest::TakeView(view.clone()), timeout).await?;
+                self.send(view, member, PeerRequest::TakeView(view.clone()), timeout)
+                    .await?;
                 return self.send(view, member, request.clone(), timeout).await;
             }
             _ => {}
@@ -74,7 +75,10 @@
         body: PeerRequest,
         timeout: Duration,
     ) -> Result<PeerReply, CallError> {
-        let call = PeerCall { epoch: view.epoch, body };
+        let call = PeerCall {
+            epoch: view.epoch,
+            body,
+        };
         if member.address == self.parts.me.address {
             // Boxed: a store may ask itself on behalf of a call that it answers.
             return Ok(Box::pin(self.clone().answer_peer(call)).await);
--- a/tier/store/src/node/serve_copies.rs
+++ b/tier/store/src/node/serve_copies.rs
@@ -1,9 +1,9 @@
 //! The answers to a store that copies what belongs to it.
 
-use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
-use plankhill_protocol::tables::StoreMember;
 use plankhill_conversations::peer::{PeerResponse, StoreSet};
 use plankhill_conversations::placement::holds;
+use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
+use plankhill_protocol::tables::StoreMember;
 
 use super::Node;
 use crate::clock::Clock;
@@ -37,7 +37,9 @@
 
     pub(super) fn outline_programs(&self, programs: &[ProgramId]) -> PeerResponse {
         let state = self.state.borrow();
-        let outlines = programs.iter().filter_map(|program| state.index.outline(program));
+        let outlines = programs
+            .iter()
+            .filter_map(|program| state.index.outline(program));
         PeerResponse::Outlines(outlines.collect())
     }
 
--- a/tier/store/src/node/unwritten.rs
+++ b/tier/store/src/node/unwritten.rs
@@ -28,8 +28,13 @@
     /// A write of all that is known of a turn begins.
     pub(super) fn begin(&mut self, program: &ProgramId, turn: &RequestId) -> StateWrite {
         self.last += 1;
-        self.newest.insert((program.clone(), turn.clone()), self.last);
-        StateWrite { program: program.clone(), turn: turn.clone(), number: self.last }
+        self.newest
+            .insert((program.clone(), turn.clone()), self.last);
+        StateWrite {
+            program: program.clone(),
+            turn: turn.clone(),
+            number: self.last,
+        }
     }
 
     /// A write has reached the disk. One that was begun later may still be under way.
--- a/tier/store/src/node/view.rs
+++ b/tier/store/src/node/view.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use plankhill_conversations::rows::view_row;
 use plankhill_protocol::ids::StoreEpoch;
 use plankhill_protocol::tables::StoreView;
-use plankhill_conversations::rows::view_row;
 use tokio::sync::watch;
 
 use super::Node;
--- a/tier/store/src/peers.rs
+++ b/tier/store/src/peers.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use plankhill_protocol::ids::NodeId;
-use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 use plankhill_conversations::peer::{PeerCall, PeerReply};
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_protocol::ids::NodeId;
+use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 
 /// Connections to stores that are kept; views hold far fewer.
 const MOST_CALLERS: usize = 256;
@@ -34,7 +34,10 @@
 impl TcpPeers {
     /// Calls in the name of this machine.
     pub fn new(node: NodeId) -> Self {
-        TcpPeers { node, callers: RefCell::default() }
+        TcpPeers {
+            node,
+            callers: RefCell::default(),
+        }
     }
 
     fn caller(&self, address: SocketAddr) -> Caller<StoreRequest, StoreAnswer> {
--- a/tier/store/src/process.rs
+++ b/tier/store/src/process.rs
@@ -50,14 +50,18 @@
 /// # Errors
 /// As [`RunError`] says.
 pub fn run(settings: Settings) -> Result<(), RunError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, serve(settings))
 }
 
 async fn serve(settings: Settings) -> Result<(), RunError> {
     let ended = termination()?;
     let folder = settings.data_path.clone().ok_or(RunError::NoDataPath)?;
-    let ports = PortRange { first: settings.port_range.first };
+    let ports = PortRange {
+        first: settings.port_range.first,
+    };
     let node = open(&settings, ports, folder).await?;
     let listener = listen(ports.store(settings.ip))?;
     let me = node.me().clone();
@@ -78,7 +82,11 @@
     }
 }
 
-async fn open(settings: &Settings, ports: PortRange, folder: PathBuf) -> Result<Rc<StoreNode>, RunError> {
+async fn open(
+    settings: &Settings,
+    ports: PortRange,
+    folder: PathBuf,
+) -> Result<Rc<StoreNode>, RunError> {
     let opened = open_folder(&folder, draw_incarnation()).await;
     let node = NodeId::from(settings.node_id.as_str());
     let me = StoreMember {
@@ -99,7 +107,10 @@
 
 async fn answer_calls(node: Rc<StoreNode>, listener: TcpListener) {
     let hello = Hello::new(Channel::Store, node.me().node.clone());
-    serve_calls(listener, hello, move |_, request| node.clone().answer(request)).await;
+    serve_calls(listener, hello, move |_, request| {
+        node.clone().answer(request)
+    })
+    .await;
 }
 
 async fn disk_failure(node: &StoreNode) {
@@ -124,6 +135,8 @@
 
 /// A number that no other life of a disk has: from the system's random source and the time of day.
 fn draw_incarnation() -> Incarnation {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     Incarnation(RandomState::new().hash_one((now.as_nanos(), std::process::id())))
 }
--- a/tier/store/tests/disk_contract.rs
+++ b/tier/store/tests/disk_contract.rs
@@ -3,12 +3,16 @@
 use std::future::Future;
 use std::time::Duration;
 
-use plankhill_store::disk::{Disk, FjallDisk, MemoryDisk};
 use plankhill_conversations::rows::{RowChange, Table};
+use plankhill_store::disk::{Disk, FjallDisk, MemoryDisk};
 use tokio::task::LocalSet;
 
 fn row(key: &str, value: &str) -> RowChange {
-    RowChange { table: Table::Turns, key: key.as_bytes().to_vec(), value: Some(value.as_bytes().to_vec()) }
+    RowChange {
+        table: Table::Turns,
+        key: key.as_bytes().to_vec(),
+        value: Some(value.as_bytes().to_vec()),
+    }
 }
 
 fn read(disk: &impl Disk, table: Table, key: &str) -> Option<String> {
@@ -34,9 +38,13 @@
 }
 
 async fn a_row_is_there_once_its_commit_has_ended(disk: &impl Disk) {
-    disk.commit(vec![row("one", "first"), row("two", "second")]).await.expect("a commit");
+    disk.commit(vec![row("one", "first"), row("two", "second")])
+        .await
+        .expect("a commit");
     assert_eq!(read(disk, Table::Turns, "one").as_deref(), Some("first"));
-    disk.commit(vec![row("one", "changed")]).await.expect("a commit");
+    disk.commit(vec![row("one", "changed")])
+        .await
+        .expect("a commit");
     assert_eq!(read(disk, Table::Turns, "one").as_deref(), Some("changed"));
     assert_eq!(read(disk, Table::Turns, "on"), None);
 }
@@ -54,7 +62,11 @@
 async fn tables_do_not_mix(disk: &impl Disk) {
     for table in Table::ALL {
         let value = format!("{table:?}").into_bytes();
-        let change = RowChange { table, key: b"same".to_vec(), value: Some(value) };
+        let change = RowChange {
+            table,
+            key: b"same".to_vec(),
+            value: Some(value),
+        };
         disk.commit(vec![change]).await.expect("a commit");
     }
     for table in Table::ALL {
@@ -64,8 +76,13 @@
 }
 
 async fn rows_come_in_the_order_of_their_keys(disk: &impl Disk) {
-    disk.commit(vec![row("b", ""), row("a", ""), row("", ""), row("ab", "")]).await.expect("a commit");
-    assert_eq!(keys(disk, Table::Turns), ["", "a", "ab", "b", "same", "two"]);
+    disk.commit(vec![row("b", ""), row("a", ""), row("", ""), row("ab", "")])
+        .await
+        .expect("a commit");
+    assert_eq!(
+        keys(disk, Table::Turns),
+        ["", "a", "ab", "b", "same", "two"]
+    );
 }
 
 async fn commits_end_in_the_order_of_their_calls(disk: &impl Disk) {
@@ -85,13 +102,17 @@
 }
 
 fn run<T>(story: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), story)
 }
 
 #[test]
 fn memory_keeps_the_contract() {
-    world_time(keeps_its_contract(MemoryDisk::new(Duration::from_millis(5))));
+    world_time(keeps_its_contract(MemoryDisk::new(Duration::from_millis(
+        5,
+    ))));
 }
 
 #[test]
@@ -105,8 +126,12 @@
     let folder = tempfile::tempdir().expect("a folder");
     run(async {
         let disk = FjallDisk::open(folder.path()).expect("a database");
-        disk.commit(vec![row("kept", "value")]).await.expect("a commit");
-        disk.commit(vec![RowChange::remove(Table::Turns, b"gone".to_vec())]).await.expect("a commit");
+        disk.commit(vec![row("kept", "value")])
+            .await
+            .expect("a commit");
+        disk.commit(vec![RowChange::remove(Table::Turns, b"gone".to_vec())])
+            .await
+            .expect("a commit");
         // The copy is what another process finds after this one was killed.
         let copy = tempfile::tempdir().expect("a folder");
         copy_folder(folder.path(), copy.path());
@@ -120,10 +145,14 @@
     let folder = tempfile::tempdir().expect("a folder");
     run(async {
         let disk = FjallDisk::open(folder.path()).expect("a database");
-        disk.commit(vec![row("kept", "value")]).await.expect("a commit");
+        disk.commit(vec![row("kept", "value")])
+            .await
+            .expect("a commit");
         let copy = tempfile::tempdir().expect("a folder");
         copy_folder(folder.path(), copy.path());
-        disk.commit(vec![row("torn", &"x".repeat(5_000))]).await.expect("a commit");
+        disk.commit(vec![row("torn", &"x".repeat(5_000))])
+            .await
+            .expect("a commit");
         let torn = tempfile::tempdir().expect("a folder");
         copy_folder(folder.path(), torn.path());
         let torn_files = tear_what_is_newer(copy.path(), torn.path());
@@ -145,13 +174,22 @@
             torn += tear_what_is_newer(&before, &path);
             continue;
         }
-        let (old, mut new) =
-            (std::fs::read(&before).unwrap_or_default(), std::fs::read(&path).expect("a file"));
-        let same = old.iter().zip(&new).take_while(|(old, new)| old == new).count();
+        let (old, mut new) = (
+            std::fs::read(&before).unwrap_or_default(),
+            std::fs::read(&path).expect("a file"),
+        );
+        let same = old
+            .iter()
+            .zip(&new)
+            .take_while(|(old, new)| old == new)
+            .count();
         if same == new.len() {
             continue;
         }
-        let added = new[same..].iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
+        let added = new[same..]
+            .iter()
+            .rposition(|byte| *byte != 0)
+            .map_or(0, |last| last + 1);
         new[same + added / 2..same + added].fill(0xa5);
         new.truncate(same + added * 3 / 4);
         std::fs::write(&path, new).expect("a file");
@@ -175,6 +213,9 @@
 
 /// In virtual time.
 fn world_time<T>(story: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), story)
 }
--- a/tier/store/tests/epoch_fence.rs
+++ b/tier/store/tests/epoch_fence.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{NodeId, ProgramId, RequestId, StoreEpoch};
 use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use world::{milliseconds, run, Plant, World};
 
 fn store(number: u64) -> NodeId {
@@ -31,10 +31,21 @@
         epoch: StoreEpoch(1),
         program: ProgramId::from("program"),
         turn: RequestId::from(turn),
-        reservation: Some(Reservation { budget: 100, most: 60 }),
+        reservation: Some(Reservation {
+            budget: 100,
+            most: 60,
+        }),
         previous: None,
     };
-    match world.call(None, address, StoreRequest::Proxy(call), Duration::from_secs(2)).await {
+    match world
+        .call(
+            None,
+            address,
+            StoreRequest::Proxy(call),
+            Duration::from_secs(2),
+        )
+        .await
+    {
         Ok(StoreAnswer::Proxy(reply)) => reply,
         other => panic!("{other:?}"),
     }
@@ -48,10 +59,18 @@
     tokio::time::sleep(milliseconds(200)).await;
     world.network.borrow_mut().deaf.insert(store(1));
     cut_off(&world, 1, true);
-    [3, 4].into_iter().for_each(|number| world.add_machine(number));
+    [3, 4]
+        .into_iter()
+        .for_each(|number| world.add_machine(number));
     world.retired.borrow_mut().extend([store(1), store(2)]);
     tokio::time::sleep(milliseconds(4_000)).await;
-    let serving: Vec<NodeId> = world.view.borrow().serving.iter().map(|member| member.node.clone()).collect();
+    let serving: Vec<NodeId> = world
+        .view
+        .borrow()
+        .serving
+        .iter()
+        .map(|member| member.node.clone())
+        .collect();
     assert_eq!(serving, [store(0), store(3), store(4)]);
     let granted = reserve(&world, 3, "first").await;
     cut_off(&world, 1, false);
--- a/tier/store/tests/full_disk.rs
+++ b/tier/store/tests/full_disk.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
-use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply};
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::peer::{EndedTurn, PeerCall, PeerRequest, PeerResponse};
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
+use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply};
 use world::{milliseconds, run, Plant, World};
 
 fn store(number: u64) -> NodeId {
@@ -18,7 +18,10 @@
 
 async fn ask(world: &Rc<World>, at: u64, request: StoreRequest) -> StoreAnswer {
     let address = world.machines.borrow()[&store(at)].member.address;
-    world.call(None, address, request, Duration::from_secs(2)).await.expect("an answer")
+    world
+        .call(None, address, request, Duration::from_secs(2))
+        .await
+        .expect("an answer")
 }
 
 /// Asks as a store of the present view.
@@ -36,11 +39,21 @@
 
 fn settled(tokens: u64) -> PeerRequest {
     let state = Some(TurnState::Settled { tokens });
-    PeerRequest::End(EndedTurn { program: program(), turn: RequestId::from("turn"), state, kept: None })
+    PeerRequest::End(EndedTurn {
+        program: program(),
+        turn: RequestId::from("turn"),
+        state,
+        kept: None,
+    })
 }
 
 fn reserve() -> PeerRequest {
-    PeerRequest::Reserve { program: program(), turn: RequestId::from("turn"), most: 60, previous: None }
+    PeerRequest::Reserve {
+        program: program(),
+        turn: RequestId::from("turn"),
+        most: 60,
+        previous: None,
+    }
 }
 
 fn set_full(world: &Rc<World>, at: u64, full: bool) {
@@ -55,7 +68,10 @@
         let world = World::new(7, 3, 1, Plant::Nothing);
         tokio::task::spawn_local(world.clone().run_control());
         tokio::time::sleep(milliseconds(200)).await;
-        assert!(matches!(ask_peer(&world, 0, reserve()).await, PeerResponse::Account(_)));
+        assert!(matches!(
+            ask_peer(&world, 0, reserve()).await,
+            PeerResponse::Account(_)
+        ));
         set_full(&world, 0, true);
         assert_eq!(ask_peer(&world, 0, settled(7)).await, PeerResponse::Unable);
         set_full(&world, 0, false);
@@ -65,7 +81,10 @@
         let PeerResponse::Account(account) = ask_peer(&world, 0, reserve()).await else {
             panic!("no account")
         };
-        assert_eq!(account.state(&RequestId::from("turn")), Some(TurnState::Settled { tokens: 7 }));
+        assert_eq!(
+            account.state(&RequestId::from("turn")),
+            Some(TurnState::Settled { tokens: 7 })
+        );
         world.ended.set(true);
     });
 }
@@ -80,12 +99,18 @@
         set_full(&world, 0, true);
         for at in 0..3 {
             let reply = ask(&world, at, StoreRequest::Proxy(begin(at))).await;
-            assert!(matches!(reply, StoreAnswer::Proxy(StoreReply::Begun { .. })), "{at}: {reply:?}");
+            assert!(
+                matches!(reply, StoreAnswer::Proxy(StoreReply::Begun { .. })),
+                "{at}: {reply:?}"
+            );
         }
         set_full(&world, 1, true);
         for at in 0..3 {
             let reply = ask(&world, at, StoreRequest::Proxy(begin(10 + at))).await;
-            assert!(matches!(reply, StoreAnswer::Proxy(StoreReply::Unsure)), "{at}: {reply:?}");
+            assert!(
+                matches!(reply, StoreAnswer::Proxy(StoreReply::Unsure)),
+                "{at}: {reply:?}"
+            );
         }
         let failed = world
             .machines
@@ -102,7 +127,10 @@
         epoch: Default::default(),
         program: ProgramId::from(format!("program-{number}").as_str()),
         turn: RequestId::from(format!("turn-{number}").as_str()),
-        reservation: Some(Reservation { budget: 100, most: 60 }),
+        reservation: Some(Reservation {
+            budget: 100,
+            most: 60,
+        }),
         previous: None,
     }
 }
--- a/tier/store/tests/stored_format.rs
+++ b/tier/store/tests/stored_format.rs
@@ -9,6 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use plankhill_conversations::account::TurnState;
+use plankhill_conversations::peer::{KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
+use plankhill_conversations::rows::{
+    account_key, hint_key, read_row, turn_key, AccountRow, Table, TurnRow, INCARNATION_KEY,
+    VIEW_KEY,
+};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
@@ -18,12 +25,6 @@
 use plankhill_store::figures::Figures;
 use plankhill_store::node::{Node, Parts};
 use plankhill_store::peers::Peers;
-use plankhill_conversations::account::TurnState;
-use plankhill_conversations::peer::{KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
-use plankhill_conversations::rows::{
-    account_key, hint_key, read_row, turn_key, AccountRow, Table, TurnRow, INCARNATION_KEY, VIEW_KEY,
-};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 
 /// The time of day at which the folder was written, in milliseconds.
 const WRITTEN_MS: u64 = 1_790_000_000_000;
@@ -100,7 +101,10 @@
     Arc::new(TurnRecord {
         turn: turn(2),
         program: program(2),
-        previous: Some(TurnPlace { turn: turn(1), program: program(1) }),
+        previous: Some(TurnPlace {
+            turn: turn(1),
+            program: program(1),
+        }),
         input: Arc::from(*b"the second input\n"),
         output: Arc::from([7; 3_000]),
         retention_ms: 90_000,
@@ -118,7 +122,10 @@
     copy_folder(&state, folder.path());
     let database = folder.path().join("rows");
     fs::create_dir_all(database.join("keyspaces/1/tables")).expect("a folder");
-    let journal = fs::File::options().write(true).open(database.join("0.jnl")).expect("a journal");
+    let journal = fs::File::options()
+        .write(true)
+        .open(database.join("0.jnl"))
+        .expect("a journal");
     journal.set_len(JOURNAL_BYTES).expect("zeros");
     folder
 }
@@ -137,15 +144,23 @@
 }
 
 fn run<T>(story: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .build();
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), story)
 }
 
 async fn load(folder: &Path) -> Rc<StoreNode> {
     let opened = open_folder(folder, FRESH).await;
     let parts = Parts {
-        me: StoreMember { incarnation: opened.incarnation, ..member(1) },
-        figures: Figures { slack_ms: 10_000, most_bytes: 50_000_000 },
+        me: StoreMember {
+            incarnation: opened.incarnation,
+            ..member(1)
+        },
+        figures: Figures {
+            slack_ms: 10_000,
+            most_bytes: 50_000_000,
+        },
         peers: NoPeers,
         disk: opened.disk,
         clock: FixedClock(WRITTEN_MS + 1_000),
@@ -155,7 +170,10 @@
 
 /// Asks as another store of the stored view.
 async fn ask(node: &Rc<StoreNode>, body: PeerRequest) -> PeerResponse {
-    let call = PeerCall { epoch: view().epoch, body };
+    let call = PeerCall {
+        epoch: view().epoch,
+        body,
+    };
     match node.clone().answer(StoreRequest::Peer(call)).await {
         StoreAnswer::Peer(reply) => {
             assert_eq!(reply.incarnation, STORED);
@@ -167,7 +185,10 @@
 
 fn rows(disk: &impl Disk, table: Table) -> Vec<(Vec<u8>, Vec<u8>)> {
     let mut rows = Vec::new();
-    disk.scan(table, &mut |key, value| rows.push((key.to_vec(), value.to_vec()))).expect("a readable disk");
+    disk.scan(table, &mut |key, value| {
+        rows.push((key.to_vec(), value.to_vec()))
+    })
+    .expect("a readable disk");
     rows
 }
 
@@ -185,12 +206,17 @@
         assert_eq!(node.hints_waiting(), 2);
 
         let programs = vec![program(1), program(2), program(3)];
-        let PeerResponse::Outlines(outlines) = ask(&node, PeerRequest::OutlinePrograms { programs }).await
+        let PeerResponse::Outlines(outlines) =
+            ask(&node, PeerRequest::OutlinePrograms { programs }).await
         else {
             panic!("no outlines")
         };
         assert_eq!(outlines.len(), 2, "of the third program nothing is known");
-        let states: Vec<_> = outlines[0].account.turns().map(|(name, state)| (name.clone(), state)).collect();
+        let states: Vec<_> = outlines[0]
+            .account
+            .turns()
+            .map(|(name, state)| (name.clone(), state))
+            .collect();
         let expected = [
             (turn(1), TurnState::Settled { tokens: 321 }),
             (turn(3), TurnState::Reserved { most: 600 }),
@@ -198,7 +224,11 @@
         ];
         assert_eq!(states, expected);
         assert_eq!(outlines[0].turns, [turn(1)]);
-        let states: Vec<_> = outlines[1].account.turns().map(|(name, state)| (name.clone(), state)).collect();
+        let states: Vec<_> = outlines[1]
+            .account
+            .turns()
+            .map(|(name, state)| (name.clone(), state))
+            .collect();
         assert_eq!(states, [(turn(2), TurnState::Settled { tokens: 0 })]);
         assert_eq!(outlines[1].turns, [turn(2)]);
 
@@ -208,13 +238,25 @@
         };
         // The second turn keeps the first one as long as itself; an extension keeps both longer than that.
         let expected = [
-            KeptTurn { record: first_record(), remaining_ms: 499_000 },
-            KeptTurn { record: second_record(), remaining_ms: 499_000 },
+            KeptTurn {
+                record: first_record(),
+                remaining_ms: 499_000,
+            },
+            KeptTurn {
+                record: second_record(),
+                remaining_ms: 499_000,
+            },
         ];
         assert_eq!(found, expected);
 
-        let expected = PeerResponse::Chain { turns: vec![second_record(), first_record()], rest: None };
-        assert_eq!(ask(&node, PeerRequest::Chain { turn: turn(2) }).await, expected);
+        let expected = PeerResponse::Chain {
+            turns: vec![second_record(), first_record()],
+            rest: None,
+        };
+        assert_eq!(
+            ask(&node, PeerRequest::Chain { turn: turn(2) }).await,
+            expected
+        );
     });
 }
 
@@ -231,21 +273,48 @@
                 Table::Turns => {
                     assert_eq!(keys, [turn_key(&turn(1)), turn_key(&turn(2))]);
                     let expires_ms = WRITTEN_MS + 70_000;
-                    assert_eq!(read::<TurnRow>(&rows[0].1), TurnRow { expires_ms, record: first_record() });
+                    assert_eq!(
+                        read::<TurnRow>(&rows[0].1),
+                        TurnRow {
+                            expires_ms,
+                            record: first_record()
+                        }
+                    );
                     let expires_ms = WRITTEN_MS + 100_000;
-                    assert_eq!(read::<TurnRow>(&rows[1].1), TurnRow { expires_ms, record: second_record() });
+                    assert_eq!(
+                        read::<TurnRow>(&rows[1].1),
+                        TurnRow {
+                            expires_ms,
+                            record: second_record()
+                        }
+                    );
                 }
                 Table::Accounts => {
                     let expected = [
-                        (account_key(&program(1), &turn(1)), TurnState::Settled { tokens: 321 }),
-                        (account_key(&program(1), &turn(3)), TurnState::Reserved { most: 600 }),
+                        (
+                            account_key(&program(1), &turn(1)),
+                            TurnState::Settled { tokens: 321 },
+                        ),
+                        (
+                            account_key(&program(1), &turn(3)),
+                            TurnState::Reserved { most: 600 },
+                        ),
                         (account_key(&program(1), &turn(4)), TurnState::Refused),
-                        (account_key(&program(2), &turn(2)), TurnState::Settled { tokens: 0 }),
+                        (
+                            account_key(&program(2), &turn(2)),
+                            TurnState::Settled { tokens: 0 },
+                        ),
                     ];
                     assert_eq!(rows.len(), expected.len());
                     for ((key, row), (expected_key, state)) in rows.iter().zip(expected) {
                         assert_eq!(*key, expected_key);
-                        assert_eq!(read::<AccountRow>(row), AccountRow { state, used_ms: WRITTEN_MS });
+                        assert_eq!(
+                            read::<AccountRow>(row),
+                            AccountRow {
+                                state,
+                                used_ms: WRITTEN_MS
+                            }
+                        );
                     }
                 }
                 Table::Hints => {
@@ -281,9 +350,12 @@
 }
 
 fn names(folder: &Path) -> Vec<String> {
-    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry"));
-    let mut names: Vec<String> =
-        entries.map(|entry| entry.file_name().to_string_lossy().into_owned()).collect();
+    let entries = fs::read_dir(folder)
+        .expect("a folder")
+        .map(|entry| entry.expect("an entry"));
+    let mut names: Vec<String> = entries
+        .map(|entry| entry.file_name().to_string_lossy().into_owned())
+        .collect();
     names.sort();
     names
 }
--- a/tier/store/tests/world/control.rs
+++ b/tier/store/tests/world/control.rs
@@ -11,8 +11,17 @@
     /// The first view: all machines that are there.
     pub fn found(self: &Rc<Self>) {
         let serving = self.wanted();
-        let faults = if self.plant == Plant::NoSpareCopies { 0 } else { self.faults };
-        *self.view.borrow_mut() = StoreView { epoch: StoreEpoch(1), serving, next: None, faults };
+        let faults = if self.plant == Plant::NoSpareCopies {
+            0
+        } else {
+            self.faults
+        };
+        *self.view.borrow_mut() = StoreView {
+            epoch: StoreEpoch(1),
+            serving,
+            next: None,
+            faults,
+        };
         self.spread();
     }
 
@@ -21,7 +30,9 @@
         let retired = self.retired.borrow();
         let machines = self.machines.borrow();
         let members = machines.values().map(|machine| machine.member.clone());
-        members.filter(|member| !retired.contains(&member.node)).collect()
+        members
+            .filter(|member| !retired.contains(&member.node))
+            .collect()
     }
 
     /// Changes views as needed, for as long as the world goes on.
@@ -47,18 +58,31 @@
             Some(next) if *next == wanted => {
                 let copied = next.iter().all(|member| self.has_copied(member, &view));
                 let switches = copied || self.plant == Plant::SwitchesAtOnce;
-                switches.then_some(StoreView { epoch, serving: wanted, next: None, ..view })
+                switches.then_some(StoreView {
+                    epoch,
+                    serving: wanted,
+                    next: None,
+                    ..view
+                })
             }
             None if view.serving == wanted => None,
-            _ => Some(StoreView { epoch, next: Some(wanted), ..view }),
+            _ => Some(StoreView {
+                epoch,
+                next: Some(wanted),
+                ..view
+            }),
         }
     }
 
     fn has_copied(&self, member: &StoreMember, view: &StoreView) -> bool {
         let machines = self.machines.borrow();
-        let Some(machine) = machines.get(&member.node) else { return false };
+        let Some(machine) = machines.get(&member.node) else {
+            return false;
+        };
         let reached = !self.network.borrow().unheard.contains(&member.node);
-        let copied = machine.node().and_then(|node| *node.copied_epoch().borrow());
+        let copied = machine
+            .node()
+            .and_then(|node| *node.copied_epoch().borrow());
         reached && machine.member == *member && copied == Some(view.epoch)
     }
 
@@ -79,8 +103,12 @@
             network.deafened.contains(node) || network.deaf.contains(node)
         };
         let machines = self.machines.borrow();
-        let Some(machine) = machines.get(node) else { return };
-        let frozen = machine.frozen_until.is_some_and(|until| until > tokio::time::Instant::now());
+        let Some(machine) = machines.get(node) else {
+            return;
+        };
+        let frozen = machine
+            .frozen_until
+            .is_some_and(|until| until > tokio::time::Instant::now());
         if let Some(running) = machine.node().filter(|_| !cut && !frozen) {
             // Inside the machine's own life: what follows ends with it.
             let view = view.clone();
@@ -98,7 +126,13 @@
             let mut members = view.serving.iter().chain(view.next.iter().flatten());
             members.any(|member| member.node == *node)
         };
-        let gone: Vec<NodeId> = self.retired.borrow().iter().filter(|node| !named(node)).cloned().collect();
+        let gone: Vec<NodeId> = self
+            .retired
+            .borrow()
+            .iter()
+            .filter(|node| !named(node))
+            .cloned()
+            .collect();
         gone.iter().for_each(|node| self.remove(node));
     }
 }
--- a/tier/store/tests/world/faults.rs
+++ b/tier/store/tests/world/faults.rs
@@ -152,7 +152,11 @@
 
     /// The process notices a disk that fails, ends, and starts anew once the disk is well.
     async fn failing_disk(self: &Rc<Self>, node: &NodeId, away: u64) {
-        let disk = self.machines.borrow().get(node).map(|machine| machine.disk.clone());
+        let disk = self
+            .machines
+            .borrow()
+            .get(node)
+            .map(|machine| machine.disk.clone());
         let Some(disk) = disk else { return };
         disk.set_failing(true);
         tokio::time::sleep(milliseconds(away)).await;
@@ -163,18 +167,33 @@
 
     /// The process stays up: it refuses what has to be written, and goes on reading and repairing.
     async fn full_disk(&self, node: &NodeId, away: u64) {
-        let disk = self.machines.borrow().get(node).map(|machine| machine.disk.clone());
+        let disk = self
+            .machines
+            .borrow()
+            .get(node)
+            .map(|machine| machine.disk.clone());
         let Some(disk) = disk else { return };
         disk.set_refusing(true);
         tokio::time::sleep(milliseconds(away)).await;
         disk.set_refusing(false);
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
-        let running = self.machines.borrow().get(node).and_then(|machine| machine.node());
-        assert!(running.is_none_or(|store| !store.disk_failed()), "a full disk does not end a store");
+        let running = self
+            .machines
+            .borrow()
+            .get(node)
+            .and_then(|machine| machine.node());
+        assert!(
+            running.is_none_or(|store| !store.disk_failed()),
+            "a full disk does not end a store"
+        );
     }
 
     async fn slow_disk(&self, node: &NodeId, away: u64) {
-        let disk = self.machines.borrow().get(node).map(|machine| machine.disk.clone());
+        let disk = self
+            .machines
+            .borrow()
+            .get(node)
+            .map(|machine| machine.disk.clone());
         let Some(disk) = disk else { return };
         disk.set_sync_time(milliseconds(900));
         tokio::time::sleep(milliseconds(away)).await;
--- a/tier/store/tests/world/machine.rs
+++ b/tier/store/tests/world/machine.rs
@@ -5,14 +5,14 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
+use plankhill_conversations::rows::{turn_key, Table};
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{Incarnation, NodeId, RequestId, ZoneName};
 use plankhill_protocol::tables::StoreMember;
 use plankhill_store::clock::Clock;
 use plankhill_store::disk::{Disk, MemoryDisk};
 use plankhill_store::figures::Figures;
 use plankhill_store::node::{Node, Parts};
-use plankhill_conversations::rows::{turn_key, Table};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{AbortHandle, LocalSet};
 use tokio::time::Instant;
@@ -97,28 +97,53 @@
         };
         let disk = MemoryDisk::new(milliseconds(self.within(2..10)));
         disk.set_ignores_syncs(self.plant == Plant::DisksIgnoreSyncs);
-        let machine = Machine { member, disk, frozen_until: None, life: None };
+        let machine = Machine {
+            member,
+            disk,
+            frozen_until: None,
+            life: None,
+        };
         self.machines.borrow_mut().insert(node.clone(), machine);
         self.start(node);
     }
 
     pub fn node_at(&self, address: SocketAddr) -> Option<NodeId> {
         let machines = self.machines.borrow();
-        let found = machines.iter().find(|(_, machine)| machine.member.address == address);
+        let found = machines
+            .iter()
+            .find(|(_, machine)| machine.member.address == address);
         found.map(|(node, _)| node.clone())
     }
 
     /// Starts the process of a machine that is there and not running.
     pub fn start(self: &Rc<Self>, node: &NodeId) {
         let mut machines = self.machines.borrow_mut();
-        let Some(machine) = machines.get_mut(node).filter(|machine| machine.life.is_none()) else { return };
-        let speed = if self.plant == Plant::FastClocks { 20 } else { 1 };
+        let Some(machine) = machines
+            .get_mut(node)
+            .filter(|machine| machine.life.is_none())
+        else {
+            return;
+        };
+        let speed = if self.plant == Plant::FastClocks {
+            20
+        } else {
+            1
+        };
         let parts = Parts {
             me: machine.member.clone(),
-            figures: Figures { slack_ms: 10_000, most_bytes: 50_000_000 },
-            peers: SimulatedPeers { world: Rc::downgrade(self), from: node.clone() },
+            figures: Figures {
+                slack_ms: 10_000,
+                most_bytes: 50_000_000,
+            },
+            peers: SimulatedPeers {
+                world: Rc::downgrade(self),
+                from: node.clone(),
+            },
             disk: machine.disk.clone(),
-            clock: WorldClock { started: self.started, speed },
+            clock: WorldClock {
+                started: self.started,
+                speed,
+            },
         };
         let process = LocalSet::new();
         let started = Node::load(parts).expect("disks in memory can be read");
@@ -128,7 +153,12 @@
         process.spawn_local(started.clone().run());
         process.spawn_local(answer_calls(started.clone(), queue));
         let task = tokio::task::spawn_local(process).abort_handle();
-        machine.life = Some(Life { node: started, calls, work, task });
+        machine.life = Some(Life {
+            node: started,
+            calls,
+            work,
+            task,
+        });
     }
 
     /// Ends the process; what its disk has not synced is lost.
--- a/tier/store/tests/world/mod.rs
+++ b/tier/store/tests/world/mod.rs
@@ -105,6 +105,9 @@
 
 /// Runs a story in virtual time.
 pub fn run<T>(story: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), story)
 }
--- a/tier/store/tests/world/network.rs
+++ b/tier/store/tests/world/network.rs
@@ -6,12 +6,12 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use plankhill_protocol::ids::NodeId;
-use plankhill_protocol::transport::CallError;
-use plankhill_store::peers::Peers;
 use plankhill_conversations::account::Account;
 use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_protocol::ids::NodeId;
+use plankhill_protocol::transport::CallError;
+use plankhill_store::peers::Peers;
 use tokio::sync::oneshot;
 
 use super::{milliseconds, Plant, World};
@@ -59,9 +59,16 @@
         let to = self.node_at(to).ok_or(CallError::NotSent)?;
         self.pass(from.as_ref(), Some(&to)).await;
         let request = self.harmed_request(&to, request);
-        let queue = self.machines.borrow().get(&to).and_then(|machine| machine.queue());
+        let queue = self
+            .machines
+            .borrow()
+            .get(&to)
+            .and_then(|machine| machine.queue());
         let (answer, answered) = oneshot::channel();
-        queue.ok_or(CallError::NotSent)?.send((request, answer)).map_err(|_| CallError::NotSent)?;
+        queue
+            .ok_or(CallError::NotSent)?
+            .send((request, answer))
+            .map_err(|_| CallError::NotSent)?;
         let answer = answered.await.map_err(|_| CallError::NoAnswer)?;
         self.pass(Some(&to), from.as_ref()).await;
         Ok(self.harmed_answer(answer))
@@ -85,7 +92,11 @@
 
     async fn thawed(&self, node: Option<&NodeId>) {
         let Some(node) = node else { return };
-        let until = self.machines.borrow().get(node).and_then(|machine| machine.frozen_until);
+        let until = self
+            .machines
+            .borrow()
+            .get(node)
+            .and_then(|machine| machine.frozen_until);
         if let Some(until) = until {
             tokio::time::sleep_until(until).await;
         }
@@ -107,10 +118,16 @@
     }
 
     fn harmed_answer(&self, mut answer: StoreAnswer) -> StoreAnswer {
-        let StoreAnswer::Peer(PeerReply { body, .. }) = &mut answer else { return answer };
+        let StoreAnswer::Peer(PeerReply { body, .. }) = &mut answer else {
+            return answer;
+        };
         match (self.plant, body) {
-            (Plant::AccountsUntold, PeerResponse::Account(account)) => *account = Account::default(),
-            (Plant::SameIncarnation | Plant::NoRepairs, PeerResponse::Programs(programs)) => programs.clear(),
+            (Plant::AccountsUntold, PeerResponse::Account(account)) => {
+                *account = Account::default()
+            }
+            (Plant::SameIncarnation | Plant::NoRepairs, PeerResponse::Programs(programs)) => {
+                programs.clear()
+            }
             _ => {}
         }
         answer
@@ -133,7 +150,10 @@
         let (world, from) = (self.world.upgrade(), self.from.clone());
         async move {
             let world = world.ok_or(CallError::NotSent)?;
-            match world.call(Some(from), address, StoreRequest::Peer(call), timeout).await? {
+            match world
+                .call(Some(from), address, StoreRequest::Peer(call), timeout)
+                .await?
+            {
                 StoreAnswer::Peer(reply) => Ok(reply),
                 StoreAnswer::Proxy(_) => Err(CallError::NoAnswer),
             }
--- a/tier/store/tests/world/programs.rs
+++ b/tier/store/tests/world/programs.rs
@@ -45,7 +45,11 @@
 
     pub fn turn(&mut self, program: &ProgramId, turn: &RequestId) -> &mut Turn {
         let turns = self.turns.entry(program.clone()).or_default();
-        turns.entry(turn.clone()).or_insert(Turn { most: 0, handed: 0, settled: false })
+        turns.entry(turn.clone()).or_insert(Turn {
+            most: 0,
+            handed: 0,
+            settled: false,
+        })
     }
 
     /// Tokens are handed to a client.
@@ -53,32 +57,58 @@
         self.turn(program, turn).handed += tokens;
         let handed: u64 = self.turns[program].values().map(|turn| turn.handed).sum();
         let budget = self.budget(program);
-        assert!(handed <= budget, "BUDGET: {program} was handed {handed} of {budget}");
+        assert!(
+            handed <= budget,
+            "BUDGET: {program} was handed {handed} of {budget}"
+        );
     }
 
     /// What counts of each turn: of those that a client does not know to be settled their most.
     pub fn counted(&self, program: &ProgramId) -> BTreeMap<RequestId, u64> {
         let turns = self.turns.get(program).into_iter().flatten();
-        turns.map(|(name, turn)| (name.clone(), if turn.settled { turn.handed } else { turn.most })).collect()
+        turns
+            .map(|(name, turn)| {
+                (
+                    name.clone(),
+                    if turn.settled { turn.handed } else { turn.most },
+                )
+            })
+            .collect()
     }
 
     /// A turn was refused because the budget is spent. `before` is what counted when it was asked for: others
     /// may have been settled while the answer was on its way.
-    pub fn refused(&mut self, program: &ProgramId, turn: &RequestId, before: &BTreeMap<RequestId, u64>) {
+    pub fn refused(
+        &mut self,
+        program: &ProgramId,
+        turn: &RequestId,
+        before: &BTreeMap<RequestId, u64>,
+    ) {
         self.spent += 1;
         let most = self.turn(program, turn).most;
-        let others = self.counted(program).into_iter().filter(|(other, _)| other != turn);
+        let others = self
+            .counted(program)
+            .into_iter()
+            .filter(|(other, _)| other != turn);
         let turns = &self.turns[program];
         // One that began since counted at its most for a while.
         let at_most = |other: &RequestId| before.get(other).copied().unwrap_or(turns[other].most);
-        let counted: u64 = others.map(|(other, tokens)| tokens.max(at_most(&other))).sum();
+        let counted: u64 = others
+            .map(|(other, tokens)| tokens.max(at_most(&other)))
+            .sum();
         let budget = self.budget(program);
-        assert!(counted + most > budget, "REFUSED: {program} has {counted} of {budget}, one asks {most}");
+        assert!(
+            counted + most > budget,
+            "REFUSED: {program} has {counted} of {budget}, one asks {most}"
+        );
     }
 
     /// No such turn, a store said.
     pub fn absent(&self, previous: &RequestId) {
-        let known = self.answered.iter().find(|answered| answered.turn == *previous);
+        let known = self
+            .answered
+            .iter()
+            .find(|answered| answered.turn == *previous);
         if let Some(known) = known.filter(|known| known.at.elapsed() < RETENTION) {
             panic!("LOST: {previous}, answered {:?} ago", known.at.elapsed());
         }
@@ -91,8 +121,14 @@
             assert!(history.is_empty(), "UNASKED: a history for the first turn");
             return;
         };
-        let known = self.answered.iter().find(|answered| answered.turn == *previous);
+        let known = self
+            .answered
+            .iter()
+            .find(|answered| answered.turn == *previous);
         let known = known.unwrap_or_else(|| panic!("UNASKED: {previous} names no turn"));
-        assert!(known.history == history, "UNASKED: another history for {previous}");
+        assert!(
+            known.history == history,
+            "UNASKED: another history for {previous}"
+        );
     }
 }
--- a/tier/store/tests/world/proxy.rs
+++ b/tier/store/tests/world/proxy.rs
@@ -6,11 +6,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{ProgramId, RequestId, ZoneName};
 use plankhill_protocol::transport::CallError;
 use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
-use plankhill_store_client::{BeginOutcome, BeginTurn, EndOutcome, EndTurn, StoreCalls, StoreClient};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_store_client::{
+    BeginOutcome, BeginTurn, EndOutcome, EndTurn, StoreCalls, StoreClient,
+};
 use tokio::time::Instant;
 
 use super::programs::{Answered, RETENTION};
@@ -43,7 +45,10 @@
         }
         let any = self.chance(15);
         let programs = self.programs.borrow();
-        let own = programs.answered.iter().filter(|answered| any || answered.program == *program);
+        let own = programs
+            .answered
+            .iter()
+            .filter(|answered| any || answered.program == *program);
         let names: Vec<RequestId> = own.map(|answered| answered.turn.clone()).collect();
         self.rng.borrow_mut().pick(&names).cloned()
     }
@@ -70,9 +75,15 @@
         };
         let counted = self.programs.borrow().counted(program);
         match client.begin_turn(begin, BEGIN_TIME).await {
-            BeginOutcome::Begun { history, previous: place } => {
-                self.programs.borrow_mut().began(previous.as_ref(), &history);
-                self.run_turn(client, program, turn, most, &history, place).await;
+            BeginOutcome::Begun {
+                history,
+                previous: place,
+            } => {
+                self.programs
+                    .borrow_mut()
+                    .began(previous.as_ref(), &history);
+                self.run_turn(client, program, turn, most, &history, place)
+                    .await;
             }
             BeginOutcome::BudgetSpent => {
                 self.programs.borrow_mut().refused(program, turn, &counted);
@@ -133,15 +144,21 @@
             let mut programs = self.programs.borrow_mut();
             programs.turn(program, turn).settled = true;
             if is_whole {
-                programs.answered.push(Answered { at: Instant::now(), ..answered });
+                programs.answered.push(Answered {
+                    at: Instant::now(),
+                    ..answered
+                });
             }
         }
     }
 
     /// A proxy's client; it hears of views late.
     pub fn store_client(self: &Rc<Self>, zone: u64) -> StoreClient<WorldStores> {
-        let calls = WorldStores { world: Rc::downgrade(self) };
-        let client = StoreClient::with_calls(calls, ZoneName::from(format!("zone-{zone}").as_str()));
+        let calls = WorldStores {
+            world: Rc::downgrade(self),
+        };
+        let client =
+            StoreClient::with_calls(calls, ZoneName::from(format!("zone-{zone}").as_str()));
         let (world, follower) = (self.clone(), client.clone());
         client.set_view(&self.view.borrow());
         tokio::task::spawn_local(async move {
@@ -169,7 +186,10 @@
         let world = self.world.upgrade();
         async move {
             let world = world.ok_or(CallError::NotSent)?;
-            match world.call(None, address, StoreRequest::Proxy(call), timeout).await? {
+            match world
+                .call(None, address, StoreRequest::Proxy(call), timeout)
+                .await?
+            {
                 StoreAnswer::Proxy(reply) => Ok(reply),
                 StoreAnswer::Peer(_) => Err(CallError::NoAnswer),
             }
@@ -179,8 +199,18 @@
     fn keep_only(&self, _: &[SocketAddr]) {}
 }
 
-fn end_turn(program: &ProgramId, turn: &RequestId, tokens: u64, record: Option<TurnRecord>) -> EndTurn {
-    EndTurn { program: program.clone(), turn: turn.clone(), tokens: Some(tokens), record }
+fn end_turn(
+    program: &ProgramId,
+    turn: &RequestId,
+    tokens: u64,
+    record: Option<TurnRecord>,
+) -> EndTurn {
+    EndTurn {
+        program: program.clone(),
+        turn: turn.clone(),
+        tokens: Some(tokens),
+        record,
+    }
 }
 
 fn bytes(text: String, padding: u64) -> Arc<[u8]> {
--- a/tier/store/tests/world/scenario.rs
+++ b/tier/store/tests/world/scenario.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use plankhill_conversations::placement::{replicas, Quorum};
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::StoreMember;
 use plankhill_store_client::{BeginOutcome, BeginTurn, StoreClient};
-use plankhill_conversations::placement::{replicas, Quorum};
 
 use super::faults::Trouble;
 use super::machine::Machine;
@@ -61,7 +61,10 @@
         let clients = (0..story.clients)
             .map(|name| tokio::task::spawn_local(world.clone().run_client(name, story.turns)));
         let clients: Vec<_> = clients.collect();
-        world.clone().run_troubles(story.troubles, story.kinds).await;
+        world
+            .clone()
+            .run_troubles(story.troubles, story.kinds)
+            .await;
         for client in clients {
             join(client.await);
         }
@@ -91,22 +94,43 @@
 async fn settle(world: &Rc<World>) {
     tokio::time::sleep(Duration::from_millis(super::faults::CATCH_UP_MS)).await;
     let view = world.view.borrow().clone();
-    assert!(view.next.is_none(), "CATCH UP: the set has not changed in time: {view:?}");
+    assert!(
+        view.next.is_none(),
+        "CATCH UP: the set has not changed in time: {view:?}"
+    );
 }
 
 /// Each turn that was answered whole is found, and one that never was is known not to be.
 async fn check_found(world: &Rc<World>) {
     let client = world.store_client(0);
     let answered = world.programs.borrow().answered.clone();
-    for turn in answered.iter().filter(|turn| turn.at.elapsed() < RETENTION - Duration::from_secs(3)) {
+    for turn in answered
+        .iter()
+        .filter(|turn| turn.at.elapsed() < RETENTION - Duration::from_secs(3))
+    {
         let reply = read(&client, &turn.program, &turn.turn).await;
         let BeginOutcome::Begun { history, .. } = reply else {
-            panic!("LOST: {} of {} at the end: {reply:?}", turn.turn, turn.program);
+            panic!(
+                "LOST: {} of {} at the end: {reply:?}",
+                turn.turn, turn.program
+            );
         };
-        assert!(history == Arc::from(turn.history.as_slice()), "UNASKED: another history for {}", turn.turn);
+        assert!(
+            history == Arc::from(turn.history.as_slice()),
+            "UNASKED: another history for {}",
+            turn.turn
+        );
     }
-    let reply = read(&client, &ProgramId::from("program-0"), &RequestId::from("nobody's")).await;
-    assert!(reply == BeginOutcome::NoSuchTurn, "UNSURE: of a turn that never was: {reply:?}");
+    let reply = read(
+        &client,
+        &ProgramId::from("program-0"),
+        &RequestId::from("nobody's"),
+    )
+    .await;
+    assert!(
+        reply == BeginOutcome::NoSuchTurn,
+        "UNSURE: of a turn that never was: {reply:?}"
+    );
 }
 
 /// Nothing is left to be delivered, and each turn lies on all of its replicas' disks, but for those whose
@@ -114,7 +138,11 @@
 fn check_repaired(world: &Rc<World>) {
     let view = world.view.borrow().clone();
     let machines = world.machines.borrow();
-    let waiting: usize = machines.values().filter_map(Machine::node).map(|node| node.hints_waiting()).sum();
+    let waiting: usize = machines
+        .values()
+        .filter_map(Machine::node)
+        .map(|node| node.hints_waiting())
+        .sum();
     assert!(waiting == 0, "REPAIR: {waiting} hints are left");
     let answered = world.programs.borrow().answered.clone();
     let mut short = 0;
@@ -126,10 +154,18 @@
         assert!(copies >= enough, "COPIES: {copies} of {}", turn.turn);
         short += usize::from(copies < holders.len());
     }
-    assert!(short * 20 <= answered.len(), "REPAIR: {short} of {} turns lack a copy", answered.len());
+    assert!(
+        short * 20 <= answered.len(),
+        "REPAIR: {short} of {} turns lack a copy",
+        answered.len()
+    );
 }
 
-async fn read(client: &StoreClient<WorldStores>, program: &ProgramId, turn: &RequestId) -> BeginOutcome {
+async fn read(
+    client: &StoreClient<WorldStores>,
+    program: &ProgramId,
+    turn: &RequestId,
+) -> BeginOutcome {
     let begin = BeginTurn {
         program: program.clone(),
         turn: RequestId::from("reader"),
--- a/tier/store/tests/world_seeds.rs
+++ b/tier/store/tests/world_seeds.rs
@@ -6,7 +6,9 @@
 use world::scenario::{tell, Story, Told};
 
 fn seeds(count: u64) -> std::ops::Range<u64> {
-    let Ok(range) = std::env::var("STORE_SEEDS") else { return 0..count };
+    let Ok(range) = std::env::var("STORE_SEEDS") else {
+        return 0..count;
+    };
     let (from, to) = range.split_once("..").expect("from..to");
     from.parse().expect("from")..to.parse().expect("to")
 }
@@ -28,7 +30,13 @@
 
 #[test]
 fn without_troubles_nothing_is_unsure() {
-    let told = tell_all(20, Story { troubles: 0, ..Story::SMALL });
+    let told = tell_all(
+        20,
+        Story {
+            troubles: 0,
+            ..Story::SMALL
+        },
+    );
     assert!(told.unsure * 20 < told.begun, "{told:?}");
     assert!(told.spent > 0, "budgets were never spent: {told:?}");
 }
@@ -40,16 +48,38 @@
 
 #[test]
 fn four_stores_bear_all_troubles() {
-    tell_all(200, Story { stores: 4, troubles: 3, ..Story::SMALL });
+    tell_all(
+        200,
+        Story {
+            stores: 4,
+            troubles: 3,
+            ..Story::SMALL
+        },
+    );
 }
 
 #[test]
 fn six_stores_bear_two_lost_at_once() {
-    tell_all(60, Story { stores: 6, faults: 2, ..Story::SMALL });
+    tell_all(
+        60,
+        Story {
+            stores: 6,
+            faults: 2,
+            ..Story::SMALL
+        },
+    );
 }
 
 #[test]
 fn retired_stores_take_nothing_with_them() {
     let kinds = &[Trouble::Retire, Trouble::Add];
-    tell_all(60, Story { stores: 4, troubles: 4, kinds, ..Story::SMALL });
+    tell_all(
+        60,
+        Story {
+            stores: 4,
+            troubles: 4,
+            kinds,
+            ..Story::SMALL
+        },
+    );
 }
--- a/tier/validation/src/fault.rs
+++ b/tier/validation/src/fault.rs
@@ -17,14 +17,24 @@
 impl Fault {
     /// A fault of the value under `key`.
     pub fn new(key: impl Into<String>, message: impl Into<String>) -> Self {
-        Fault { key: key.into(), message: message.into() }
+        Fault {
+            key: key.into(),
+            message: message.into(),
+        }
     }
 
     /// A fault found by `serde` while it read the value under `path`.
     pub fn at_path(path: &serde_path_to_error::Path, message: impl fmt::Display) -> Self {
         let path = path.to_string();
-        let key = if path == "." { WHOLE_DOCUMENT.to_owned() } else { path };
-        Fault { key, message: message.to_string().trim().to_owned() }
+        let key = if path == "." {
+            WHOLE_DOCUMENT.to_owned()
+        } else {
+            path
+        };
+        Fault {
+            key,
+            message: message.to_string().trim().to_owned(),
+        }
     }
 }
 
