--- a/decisions/src/interface.rs
+++ b/decisions/src/interface.rs
@@ -22,13 +22,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderKey(pub u64);
 
-/// Position in [`Terms::traffic`].
+/// Position in [`DecisionConfig::traffic`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TrafficId(pub usize);
+pub struct TrafficTypeId(pub usize);
 
-/// Position in [`Terms::kinds`].
+/// Position in [`DecisionConfig::kinds`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KindId(pub usize);
+pub struct DestinationKindId(pub usize);
 
 /// Position in the host's list of zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,52 +41,52 @@
 
 /// What a repeat of an event does at its destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Retriable,
-    Fingerprinted { window: Ms, one_zone: bool },
-    Binding,
+pub enum Idempotency {
+    Idempotent,
+    Deduplicated { window: Ms, per_zone: bool },
+    NonIdempotent,
 }
 
-impl Effect {
+impl Idempotency {
     /// Once it may have run, it may only go where its first send went.
-    pub fn stays_in_zone(self) -> bool {
-        matches!(self, Effect::Fingerprinted { one_zone: true, .. })
+    pub fn retries_in_zone(self) -> bool {
+        matches!(self, Idempotency::Deduplicated { per_zone: true, .. })
     }
 }
 
 #[derive(Clone, Debug)]
 pub struct TrafficType {
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub soft_limit: Ms,
     pub patience: Ms,
-    pub payoff: f64,
-    pub payoff_at_end: f64,
+    pub value: f64,
+    pub value_at_end: f64,
     pub ordered: bool,
 }
 
 #[derive(Clone, Debug)]
 pub struct DestinationKind {
-    pub routes_apart: bool,
-    pub events_per_call: usize,
+    pub independent_routes: bool,
+    pub max_events_per_call: usize,
 }
 
 /// The first pause before an event goes again, by how its send ended. It doubles with the sends.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryPauses {
+pub struct RetryBackoff {
     /// After a failure.
-    pub failed: Ms,
+    pub after_failure: Ms,
     /// After a refusal.
-    pub refused: Ms,
+    pub after_rejection: Ms,
     /// After a send of which nothing left.
-    pub unsent: Ms,
+    pub after_unsent: Ms,
 }
 
-impl RetryPauses {
-    pub fn after(&self, fate: Fate) -> Ms {
+impl RetryBackoff {
+    pub fn initial(&self, fate: AttemptOutcome) -> Ms {
         match fate {
-            Fate::Full => self.refused,
-            Fate::NoConnection | Fate::NotSent => self.unsent,
-            _ => self.failed,
+            AttemptOutcome::Rejected => self.after_rejection,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => self.after_unsent,
+            _ => self.after_failure,
         }
     }
 }
@@ -94,33 +94,33 @@
 /// Where deployments of the module differ. The default is that of the forwarder of events.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    pub pauses: RetryPauses,
+    pub retry_backoff: RetryBackoff,
     /// Calls are spaced after refusals and while a lane is cold. Off where targets queue and refuse for
     /// themselves and a refusal costs nothing: only waits that were told hold a lane then.
-    pub spaced: bool,
+    pub paces_calls: bool,
     /// An offline lane is released by a ping alone, not by the answer to a call that was still out.
-    pub released_by_pings: bool,
+    pub release_on_health_check_only: bool,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
-        let pauses = RetryPauses {
-            failed: 500.0,
-            refused: 250.0,
-            unsent: 500.0,
+        let pauses = RetryBackoff {
+            after_failure: 500.0,
+            after_rejection: 250.0,
+            after_unsent: 500.0,
         };
         Tuning {
-            pauses,
-            spaced: true,
-            released_by_pings: false,
+            retry_backoff: pauses,
+            paces_calls: true,
+            release_on_health_check_only: false,
         }
     }
 }
 
 impl Tuning {
     /// The most that the first spread after a refusal is, before it grows with the refusals in a row.
-    pub fn widest_spread(&self) -> Ms {
-        if self.spaced {
+    pub fn max_initial_spread(&self) -> Ms {
+        if self.paces_calls {
             1000.0
         } else {
             0.0
@@ -130,111 +130,115 @@
 
 /// What a forwarder is told once, at its start.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct DecisionConfig {
     pub seed: u64,
     pub instance: u64,
-    pub forwarders: f64,
-    pub traffic: Vec<TrafficType>,
-    pub kinds: Vec<DestinationKind>,
-    pub slots: usize,
-    pub room: usize,
-    pub sends_cap: u32,
-    pub pings_allowed: bool,
-    pub longest_advice: Option<Ms>,
+    pub forwarder_count: f64,
+    pub traffic_types: Vec<TrafficType>,
+    pub destination_kinds: Vec<DestinationKind>,
+    pub max_calls_in_flight: usize,
+    pub event_capacity: usize,
+    pub max_attempts: u32,
+    pub health_checks_allowed: bool,
+    pub max_retry_after: Option<Ms>,
     /// Events a second that each member may ask of all forwarders together; none where there are no members.
-    pub shares: Vec<f64>,
+    pub member_quotas: Vec<f64>,
     /// What an event beyond its member's share is worth, of the usual.
-    pub over_share_worth: f64,
-    pub cold_share: f64,
-    pub warm_after: Ms,
-    pub tip_multiple: f64,
-    pub key_rest: Ms,
+    pub over_quota_value_weight: f64,
+    pub warm_up_initial_share: f64,
+    pub warm_up_duration: Ms,
+    pub overload_multiple: f64,
+    pub key_cooldown: Ms,
     pub tuning: Tuning,
 }
 
 /// How the list speaks of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Listing {
+pub enum EndpointState {
     Running,
-    Leaving,
-    Gone,
+    #[serde(rename = "Leaving")]
+    Draining,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// How a send or a ping ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum AttemptOutcome {
     Delivered,
     Error,
-    Full,
+    #[serde(rename = "Full")]
+    Rejected,
     TimedOut,
-    NoConnection,
+    #[serde(rename = "NoConnection")]
+    ConnectFailed,
     Reset,
     Cancelled,
     NotSent,
 }
 
-impl Fate {
+impl AttemptOutcome {
     /// Whether a send that ended so, undelivered, may have had its effect.
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
-            Fate::Error | Fate::TimedOut | Fate::Reset | Fate::Cancelled
+            AttemptOutcome::Error | AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled
         )
     }
 }
 
 /// How a send ended, and what its answer said.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Ended {
-    pub fate: Fate,
-    pub took: Ms,
+pub struct AttemptReport {
+    pub outcome: AttemptOutcome,
+    pub elapsed: Ms,
     /// The event is over, by this answer or earlier.
-    pub over: bool,
+    pub event_complete: bool,
     /// How long to wait; 0 if nothing was told.
-    pub wait: Ms,
+    pub retry_after: Ms,
     /// The share of its limit that the target reports as left; what is no share reports nothing.
-    pub left: Option<f64>,
+    pub limit_remaining: Option<f64>,
 }
 
-impl Ended {
+impl AttemptReport {
     /// With nothing else said, and no time known.
-    pub fn plain(fate: Fate) -> Self {
-        Ended {
-            fate,
-            took: 0.0,
-            over: fate == Fate::Delivered,
-            wait: 0.0,
-            left: None,
+    pub fn from_outcome(fate: AttemptOutcome) -> Self {
+        AttemptReport {
+            outcome: fate,
+            elapsed: 0.0,
+            event_complete: fate == AttemptOutcome::Delivered,
+            retry_after: 0.0,
+            limit_remaining: None,
         }
     }
 }
 
 /// A host named something that it never introduced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unknown(pub &'static str);
-pub type Known = Result<(), Unknown>;
+pub struct UnknownId(pub &'static str);
+pub type InputResult = Result<(), UnknownId>;
 
 /// Takes the decisions of one round, in the order in which they are to run.
-pub trait Decisions {
+pub trait Effects {
     /// The place among the targets that take the event now of the one that is to have it. None leaves it to
     /// the draw of two.
-    fn choose(&mut self, _: &EventId, _: &mut dyn Iterator<Item = &TargetId>) -> Option<usize> {
+    fn select_target(&mut self, _: &EventId, _: &mut dyn Iterator<Item = &TargetId>) -> Option<usize> {
         None
     }
     /// The call's last byte has to have left by `leaves_by`, or none of it may leave: it ends as not sent then.
     /// That is a time on the clock of the host, infinite where nothing bounds it.
-    fn send(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms);
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms);
     /// True if the end goes as a notice: `Forwarder::heard` follows once that was heard.
-    fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool;
+    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool;
     /// True as for `dismiss`.
-    fn write_off(&mut self, event: &EventId) -> bool;
-    fn ping(&mut self, target: &TargetId);
+    fn abandon(&mut self, event: &EventId) -> bool;
+    fn health_check(&mut self, target: &TargetId);
     /// Closes the connections to the target that no call uses.
-    fn close_idle(&mut self, target: &TargetId);
+    fn close_idle_connections(&mut self, target: &TargetId);
     /// Calls to the target of which nothing is written yet are not to be written: they end as not sent.
-    fn take_back(&mut self, target: &TargetId);
+    fn cancel_unsent(&mut self, target: &TargetId);
     /// The target's lane is cold since then, and so much usually goes there a second: to be told to
     /// `Forwarder::was_cold` after a restart.
-    fn note_cold(&mut self, target: &TargetId, since: Ms, usual: f64);
+    fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64);
     fn wake_after(&mut self, pause: Ms);
 }
--- a/decisions/src/decide.rs
+++ b/decisions/src/scheduler.rs
@@ -24,7 +24,7 @@
 #[derive(Default, Serialize, Deserialize)]
 struct Here {
     #[serde(skip)]
-    terms: Terms,
+    terms: DecisionConfig,
     started: Ms,
     now: Ms,
     draws: u64,
@@ -38,7 +38,7 @@
 
 /// Its serialised form is what a process that takes over decides on from.
 #[derive(Default, Serialize, Deserialize)]
-pub struct Forwarder {
+pub struct Scheduler {
     here: Here,
     taken: u64,
     calls_made: u64,
@@ -79,28 +79,28 @@
 /// Held events end this long before patience does, so that the answer's round is in time.
 const LAST_MOMENT: Ms = 30.0;
 
-impl Forwarder {
-    pub fn start(terms: Terms, now: Ms) -> Self {
+impl Scheduler {
+    pub fn new(terms: DecisionConfig, now: Ms) -> Self {
         let here = Here {
             started: now,
             now,
             ..Here::default()
         };
-        Forwarder {
+        Scheduler {
             here,
             ..Self::default()
         }
-        .resumed(terms)
+        .resume(terms)
     }
 
     /// Goes on, in another process, with terms of the same names.
-    pub fn resumed(mut self, terms: Terms) -> Self {
+    pub fn resume(mut self, terms: DecisionConfig) -> Self {
         self.here
             .counts
-            .resize_with(terms.kinds.len(), KindCounts::default);
+            .resize_with(terms.destination_kinds.len(), KindCounts::default);
         self.here
             .asked
-            .resize_with(terms.shares.len(), Fading::default);
+            .resize_with(terms.member_quotas.len(), Fading::default);
         self.here.terms = terms;
         self.unheard = self
             .destinations
@@ -111,7 +111,7 @@
     }
 
     /// One round: `came_in` hands over all that arrived, then the decisions are written.
-    pub fn round<E, D: Decisions>(
+    pub fn run_iteration<E, D: Effects>(
         &mut self,
         now: Ms,
         came_in: impl FnOnce(&mut Self, &mut D) -> Result<(), E>,
@@ -137,13 +137,13 @@
         while let Some(id) = self.changed.pop_first() {
             self.file(id);
         }
-        while self.calls_out < self.here.terms.slots && now < self.sends_until.0 {
+        while self.calls_out < self.here.terms.max_calls_in_flight && now < self.sends_until.0 {
             let Some(&((doubtful, ..), id)) = self.ready.first() else {
                 break;
             };
             // Slots are kept for destinations that answer: those in doubt have half of them at most. Guards
             // against all that pins slots; harmful where most are slow and the slots would have sufficed.
-            if doubtful && 2 * self.doubtful_out >= self.here.terms.slots {
+            if doubtful && 2 * self.doubtful_out >= self.here.terms.max_calls_in_flight {
                 break;
             }
             self.send_next(id, out);
--- a/decisions/src/decide/adopted.rs
+++ b/decisions/src/scheduler/adopted.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-impl Forwarder {
+impl Scheduler {
     /// A call of the event, made where it was held before, may be out until then. Neither it nor the next of
     /// its key is sent before; one that may not be sent again is given up at once, as after a restart.
-    pub fn out_elsewhere(&mut self, id: &EventId, until: Ms) {
+    pub fn defer_for_remote_attempt(&mut self, id: &EventId, until: Ms) {
         let mut key = None;
         self.settle(id, |event| {
             (event.not_before, key) = (event.not_before.max(until), event.key)
@@ -15,7 +15,7 @@
 
     /// It was held and sent at another forwarder too: one id is one event, and what was done on both sides
     /// adds up. With a call out it waits for that one's outcome; else what follows is decided this round.
-    pub fn joined(&mut self, id: &EventId, sends: u32, may_have_run: Option<(Ms, ZoneId)>) {
+    pub fn merge_remote_attempts(&mut self, id: &EventId, sends: u32, may_have_run: Option<(Ms, ZoneId)>) {
         self.settle(id, |event| {
             event.sends += sends;
             let both = event.may_have_run.into_iter().chain(may_have_run);
--- a/decisions/src/decide/came_in.rs
+++ b/decisions/src/scheduler/came_in.rs
@@ -5,20 +5,20 @@
 /// Long enough to count a member's events at one forwarder of many, short against a flood of some seconds.
 const SHARED: Ms = 10_000.0;
 
-impl Forwarder {
-    pub fn list_replaced(&mut self) {
+impl Scheduler {
+    pub fn on_endpoint_list_replaced(&mut self) {
         for (&id, destination) in &mut self.destinations {
             let targets = destination
                 .lanes
                 .iter_mut()
                 .flat_map(|lane| &mut lane.targets);
-            targets.for_each(|target| target.listing = Listing::Gone);
+            targets.for_each(|target| target.listing = EndpointState::Removed);
             self.changed.insert(id);
         }
     }
 
     /// What the list, or the operators, say now of a target that was listed before.
-    pub fn relisted(&mut self, id: &TargetId, listing: Listing) {
+    pub fn set_endpoint_state(&mut self, id: &TargetId, listing: EndpointState) {
         let Some(&of) = self.homes.get(id) else {
             return;
         };
@@ -30,13 +30,13 @@
         self.changed.insert(of);
     }
 
-    pub fn listed(
+    pub fn on_endpoint_listed(
         &mut self,
         id: TargetId,
         of: DestinationId,
-        kind: KindId,
+        kind: DestinationKindId,
         zone: ZoneId,
-        listing: Listing,
+        listing: EndpointState,
     ) {
         self.homes.insert(id.clone(), of);
         self.changed.insert(of);
@@ -45,7 +45,7 @@
         if let Some(target) = destination.target_mut(&id) {
             return target.listing = listing;
         }
-        if destination.lanes.is_empty() || self.here.terms.kinds[kind.0].routes_apart {
+        if destination.lanes.is_empty() || self.here.terms.destination_kinds[kind.0].independent_routes {
             destination.lanes.push(Lane::default());
         }
         destination
@@ -57,24 +57,24 @@
     }
 
     /// What the list says that the destination takes from all forwarders together, in calls a second.
-    pub fn rate_told(&mut self, of: DestinationId, rate: f64) {
+    pub fn set_advertised_rate(&mut self, of: DestinationId, rate: f64) {
         self.destinations.entry(of).or_default().told_rate = rate.max(0.0);
     }
 
     /// The list names the destination, or did so lately: an event for any other could only wait for its end.
-    pub fn knows(&self, of: DestinationId) -> bool {
+    pub fn knows_destination(&self, of: DestinationId) -> bool {
         self.destinations.contains_key(&of)
     }
 
-    pub fn taken(
+    pub fn accept_event(
         &mut self,
         id: EventId,
         of: DestinationId,
-        sort: TrafficId,
+        sort: TrafficTypeId,
         end: Ms,
         key: Option<OrderKey>,
     ) {
-        let key = key.filter(|_| self.here.terms.traffic[sort.0].ordered);
+        let key = key.filter(|_| self.here.terms.traffic_types[sort.0].ordered);
         self.taken += 1;
         self.places.insert(id.clone(), (of, self.taken));
         key.into_iter().for_each(|key| {
@@ -101,28 +101,28 @@
 
     /// The member that asked for an event just taken, first or again. What it asks beyond its even part
     /// of the share is worth little; a Poisson spread is allowed for, as one of many sees few.
-    pub fn asked_by(&mut self, id: &EventId, member: usize, again: bool) {
+    pub fn charge_member(&mut self, id: &EventId, member: usize, again: bool) {
         let here = &mut self.here;
-        let Some(share) = here.terms.shares.get(member) else {
+        let Some(share) = here.terms.member_quotas.get(member) else {
             return;
         };
-        let part = share / here.terms.forwarders * SHARED / 1000.0;
+        let part = share / here.terms.forwarder_count * SHARED / 1000.0;
         let over = here.asked[member].read(here.now, SHARED) >= part + part.sqrt() + 1.0;
         here.asked[member].add(here.now, SHARED, if over || again { 0.0 } else { 1.0 });
         self.settle(id, |event| event.over_share = over);
     }
 
-    pub fn withdrawn(&mut self, id: &EventId) {
+    pub fn withdraw_event(&mut self, id: &EventId) {
         self.settle(id, |event| event.over = true);
     }
 
     /// The notice of the event's end was heard: only now may the next one of its key go.
-    pub fn heard(&mut self, id: &EventId) {
+    pub fn on_completion_acknowledged(&mut self, id: &EventId) {
         self.settle(id, |event| event.unheard = false);
     }
 
     /// The event ended in an earlier process, and its notice may not have been heard.
-    pub fn ended_before(&mut self, id: &EventId) {
+    pub fn restore_completed(&mut self, id: &EventId) {
         self.settle(id, |event| (event.over, event.unheard) = (true, true));
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// What an earlier process did for an event just taken again; a last send without outcome may have run.
-    pub fn restored(&mut self, id: &EventId, sends: u32, ran: Option<(Ms, ZoneId)>, was_out: bool) {
+    pub fn restore_attempts(&mut self, id: &EventId, sends: u32, ran: Option<(Ms, ZoneId)>, was_out: bool) {
         let mut key = None;
         self.settle(id, |e| {
             (e.sends, e.may_have_run, e.untried, key) = (sends, ran, sends == 0, e.key)
@@ -154,7 +154,7 @@
     }
 
     /// What an earlier process noted: its backlog must not push over a destination that comes back.
-    pub fn was_cold(&mut self, target: &TargetId, since: Ms, usual: f64) {
+    pub fn restore_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
         let Some(to) = self
             .homes
             .get(target)
@@ -172,7 +172,7 @@
     }
 
     /// It was restarted and serves again: what it did before says nothing, and what is new to it is cold.
-    pub fn restarted(&mut self, id: &TargetId) {
+    pub fn on_target_restarted(&mut self, id: &TargetId) {
         let Some(to) = self
             .homes
             .get(id)
@@ -187,7 +187,7 @@
     }
 
     /// The process ends then; a call still out may have run, so that none begins in the last moments.
-    pub fn closing(&mut self, ends: Ms) {
+    pub fn begin_shutdown(&mut self, ends: Ms) {
         self.sends_until = Moment(ends - LEAST_TIME);
     }
 }
--- a/decisions/src/decide/ends.rs
+++ b/decisions/src/scheduler/ends.rs
@@ -5,9 +5,9 @@
 /// The share of the room that may fill before events make way: a tenth left over takes in a clump.
 const FILLED: f64 = 0.9;
 
-impl Forwarder {
+impl Scheduler {
     /// What is due at a destination, apart from its sends.
-    pub(super) fn tend(&mut self, id: DestinationId, out: &mut impl Decisions) {
+    pub(super) fn tend(&mut self, id: DestinationId, out: &mut impl Effects) {
         let (here, Some(to)) = (&self.here, self.destinations.get_mut(&id)) else {
             return;
         };
@@ -15,7 +15,7 @@
         let held = to.events.iter().filter(|(_, event)| event.is_held());
         let hopeless = |event: &Event| here.now.max(event.not_before) >= here.window_ends(event);
         // Beyond its share an event takes no room that others need.
-        let scarce = 3 * (self.places.len() - self.unheard) > here.terms.room;
+        let scarce = 3 * (self.places.len() - self.unheard) > here.terms.event_capacity;
         let excess = |event: &Event| event.over_share && scarce && event.may_have_run.is_none();
         let ends = held
             .filter(|(_, e)| hopeless(e) || excess(e) || here.now >= e.patience_ends - LAST_MOMENT);
@@ -28,8 +28,8 @@
     /// Before events for destinations that work are turned away, what cannot go now makes way, where most
     /// waits, the least worth first: against what stands still or floods. Ends not heard yet take no room (or
     /// one too many has all held make way). What a restart found untried makes none: it was promised a try.
-    pub(super) fn keep_room(&mut self, out: &mut impl Decisions) {
-        let filled = (self.here.terms.room as f64 * FILLED) as usize;
+    pub(super) fn keep_room(&mut self, out: &mut impl Effects) {
+        let filled = (self.here.terms.event_capacity as f64 * FILLED) as usize;
         let over = |all: &Self| all.places.len() - all.unheard > filled;
         let changed = self
             .changed
@@ -60,18 +60,18 @@
     }
 
     /// The final answer: dismissed where another try does no harm, written off where it might.
-    pub(super) fn end(&mut self, id: DestinationId, place: u64, out: &mut impl Decisions) {
+    pub(super) fn end(&mut self, id: DestinationId, place: u64, out: &mut impl Effects) {
         let events = &mut self.destinations.get_mut(&id).expect("holds it").events;
         let event = events.get_mut(&place).expect("held");
         event.over = true;
-        let effect = self.here.terms.traffic[event.traffic.0].effect;
+        let effect = self.here.terms.traffic_types[event.traffic.0].idempotency;
         let dismissed =
-            event.may_have_run.is_none() || effect != Effect::Binding && !effect.stays_in_zone();
-        let advice = self.here.terms.longest_advice;
+            event.may_have_run.is_none() || effect != Idempotency::NonIdempotent && !effect.retries_in_zone();
+        let advice = self.here.terms.max_retry_after;
         event.unheard = if dismissed {
-            out.dismiss(&event.id, advice)
+            out.reject(&event.id, advice)
         } else {
-            out.write_off(&event.id)
+            out.abandon(&event.id)
         };
         self.unheard += event.unheard as usize;
         self.forget_if_over(id, place);
@@ -111,10 +111,10 @@
     pub(super) fn window_ends(&self, event: &Event) -> Ms {
         match (
             event.may_have_run,
-            self.terms.traffic[event.traffic.0].effect,
+            self.terms.traffic_types[event.traffic.0].idempotency,
         ) {
-            _ if event.sends >= self.terms.sends_cap => f64::NEG_INFINITY,
-            (Some(_), Effect::Binding) => f64::NEG_INFINITY,
+            _ if event.sends >= self.terms.max_attempts => f64::NEG_INFINITY,
+            (Some(_), Idempotency::NonIdempotent) => f64::NEG_INFINITY,
             _ => self.lapses_at(event),
         }
     }
@@ -123,23 +123,23 @@
     pub(super) fn lapses_at(&self, event: &Event) -> Ms {
         match (
             event.may_have_run,
-            self.terms.traffic[event.traffic.0].effect,
+            self.terms.traffic_types[event.traffic.0].idempotency,
         ) {
-            (Some((sent, _)), Effect::Fingerprinted { window, .. }) => sent + window,
+            (Some((sent, _)), Idempotency::Deduplicated { window, .. }) => sent + window,
             _ => f64::INFINITY,
         }
     }
 
     /// What the event would pay if it were delivered now.
     pub(super) fn worth(&self, event: &Event) -> f64 {
-        let of = &self.terms.traffic[event.traffic.0];
+        let of = &self.terms.traffic_types[event.traffic.0];
         let age = self.now - (event.patience_ends - of.patience);
         let late = ((age - of.soft_limit) / (of.patience - of.soft_limit).max(1.0)).clamp(0.0, 1.0);
         let share = if event.over_share {
-            self.terms.over_share_worth
+            self.terms.over_quota_value_weight
         } else {
             1.0
         };
-        share * of.payoff * (1.0 - late * (1.0 - of.payoff_at_end))
+        share * of.value * (1.0 - late * (1.0 - of.value_at_end))
     }
 }
--- a/decisions/src/decide/health.rs
+++ b/decisions/src/scheduler/health.rs
@@ -20,14 +20,14 @@
         for lane in &mut self.lanes {
             let idle = lane.is_idle(here);
             lane.targets.retain(|target| {
-                let kept = target.listing != Listing::Gone || target.out > 0 || !idle;
+                let kept = target.listing != EndpointState::Removed || target.out > 0 || !idle;
                 kept || homes.remove(&target.id).is_none()
             });
         }
         self.lanes.retain(|lane| !lane.targets.is_empty());
     }
 
-    pub(super) fn watch_health(&mut self, here: &mut Here, out: &mut impl Decisions) {
+    pub(super) fn watch_health(&mut self, here: &mut Here, out: &mut impl Effects) {
         let now = here.now;
         let (closes, wanted, usual) = (
             here.closes(self.kind, self.crowded(here)),
@@ -46,28 +46,28 @@
                 .cold_since
                 .filter(|at| std::mem::replace(&mut lane.noted_cold, *at) < *at);
             // What went there before is what it can take: in an outage little goes, and much comes again.
-            if news.is_some_and(|at| before == 0.0 || at - before > here.terms.warm_after) {
+            if news.is_some_and(|at| before == 0.0 || at - before > here.terms.warm_up_duration) {
                 self.noted = (usual, now);
             }
             for target in &mut lane.targets {
                 news.into_iter()
-                    .for_each(|since| out.note_cold(&target.id, since, usual));
+                    .for_each(|since| out.record_warm_up(&target.id, since, usual));
                 if target
                     .idle_since
                     .take_if(|since| closes && *since + BRIEF <= now)
                     .is_some()
                 {
-                    out.close_idle(&target.id);
+                    out.close_idle_connections(&target.id);
                 }
                 // A call without a connection may be written after the grace, the window or inside the wait.
-                let late = target.listing != Listing::Running || lane.closed_until > now;
+                let late = target.listing != EndpointState::Running || lane.closed_until > now;
                 if (target.out > 0 || lane.ping_out) && (late || lapsed.contains(&target.id)) {
-                    out.take_back(&target.id);
+                    out.cancel_unsent(&target.id);
                 }
             }
             if here.ping_due(lane, wanted) <= now {
                 let drawn = (here.draw(2) * lane.running().count() as f64) as usize;
-                out.ping(&lane.running().nth(drawn).expect("some run").id);
+                out.health_check(&lane.running().nth(drawn).expect("some run").id);
                 lane.ping_out = true;
             }
         }
@@ -82,7 +82,7 @@
             .sum::<usize>()
             .max(1) as f64;
         let at_once = self.told_rate / targets * here.common_answer() / 1000.0;
-        self.told_rate > 0.0 && here.terms.forwarders > 2.0 * at_once
+        self.told_rate > 0.0 && here.terms.forwarder_count > 2.0 * at_once
     }
 
     /// Calls a second that this forwarder allows itself; none where nothing speaks for a limit.
@@ -91,24 +91,24 @@
         let mut rate = f64::INFINITY;
         if let Some((pace, set)) = lane
             .pace
-            .filter(|&(_, set)| terms.tuning.spaced && now - set < 20_000.0)
+            .filter(|&(_, set)| terms.tuning.paces_calls && now - set < 20_000.0)
         {
             let aim = pace.max(self.a_second(here, &self.offered));
             let (since, by_call) = ((now - set) / 1000.0, (aim / OFTEN - 1.0).max(0.0));
             rate = pace * (0.08 * since).exp() + 0.08 * aim * by_call * since;
             // What the list tells is open to all alike: an even part of it is nobody's loss.
-            rate = rate.max(self.told_rate / terms.forwarders / self.running_lanes());
+            rate = rate.max(self.told_rate / terms.forwarder_count / self.running_lanes());
         }
         if let Some(since) = lane
             .cold_since
             .filter(|_| lane.is_cold(here))
             .map(|since| now - since)
         {
-            let back = (since.max(0.0) / terms.warm_after).min(1.0);
-            let (usual, all) = (self.usual(here), terms.forwarders * SPAN / 1000.0);
+            let back = (since.max(0.0) / terms.warm_up_duration).min(1.0);
+            let (usual, all) = (self.usual(here), terms.forwarder_count * SPAN / 1000.0);
             let open =
-                terms.tip_multiple * (terms.cold_share + (1.0 - terms.cold_share) * back) * usual;
-            let budget = (BUDGET * open).max(1000.0 / PING / terms.forwarders);
+                terms.overload_multiple * (terms.warm_up_initial_share + (1.0 - terms.warm_up_initial_share) * back) * usual;
+            let budget = (BUDGET * open).max(1000.0 / PING / terms.forwarder_count);
             let most = BUDGET * open + (2.0 * (open * all).sqrt() + 2.0) / all;
             rate = rate.min((budget * lane.trust.max(1.0)).min(most.max(budget)));
         }
@@ -123,7 +123,7 @@
             .a_second(here, &self.offered)
             .min(1.5 * self.a_second(here, &self.called));
         let part =
-            (self.told_rate / here.terms.forwarders / self.running_lanes()).min(BELIEVED * counted);
+            (self.told_rate / here.terms.forwarder_count / self.running_lanes()).min(BELIEVED * counted);
         counted
             .max(self.noted.0 * (-(here.now - self.noted.1) / USUAL).exp())
             .max(part)
@@ -141,7 +141,7 @@
     pub(super) fn ping_pause(&self, here: &mut Here, at: usize) -> Ms {
         let spacing = self.rate(here, at).map_or(0.0, |rate| 2000.0 / rate);
         spacing
-            .min(PING * here.terms.forwarders.sqrt() / 1.5)
+            .min(PING * here.terms.forwarder_count.sqrt() / 1.5)
             .max(PING)
             * jitter(here.draw(0))
     }
@@ -192,8 +192,8 @@
     /// It may have returned half of a ping's longest pause later than is taken here.
     pub(super) fn is_cold(&self, here: &Here) -> bool {
         let cold =
-            here.terms.warm_after + 0.6 * PING * (here.terms.forwarders.sqrt() / 1.5).max(1.0);
-        here.terms.tuning.spaced && self.cold_since.is_some_and(|since| here.now - since < cold)
+            here.terms.warm_up_duration + 0.6 * PING * (here.terms.forwarder_count.sqrt() / 1.5).max(1.0);
+        here.terms.tuning.paces_calls && self.cold_since.is_some_and(|since| here.now - since < cold)
     }
 
     /// Nothing is out and no wait or cold time is still to be kept.
@@ -206,7 +206,7 @@
 impl Here {
     /// Idle connections are closed for a while after calls on them were lost or new ones refused: harmful, by
     /// the price of new ones, if mistaken. In a crowd half a refusal is presumed, up to 100 answers.
-    pub(super) fn closes(&self, kind: KindId, crowded: bool) -> bool {
+    pub(super) fn closes(&self, kind: DestinationKindId, crowded: bool) -> bool {
         let KindCounts {
             unconnected,
             answered,
@@ -232,7 +232,7 @@
     /// When an offline lane gets its next ping.
     pub(super) fn ping_due(&self, lane: &Lane, wanted: bool) -> Ms {
         let pings =
-            wanted && self.terms.pings_allowed && lane.offline && !lane.ping_out && lane.runs();
+            wanted && self.terms.health_checks_allowed && lane.offline && !lane.ping_out && lane.runs();
         Some(lane.ping_at.max(lane.closed_until))
             .filter(|_| pings)
             .unwrap_or(f64::INFINITY)
--- a/decisions/src/decide/outcomes.rs
+++ b/decisions/src/scheduler/outcomes.rs
@@ -7,9 +7,9 @@
 /// Answered and lost calls are weighed over a few seconds: long enough for several, short against a trouble.
 const TREND: Ms = 5_000.0;
 
-impl Forwarder {
+impl Scheduler {
     pub(super) fn rest(&mut self, key: OrderKey) {
-        self.rests_until(key, self.here.now + self.here.terms.key_rest);
+        self.rests_until(key, self.here.now + self.here.terms.key_cooldown);
     }
 
     pub(super) fn rests_until(&mut self, key: OrderKey, until: Ms) {
@@ -18,18 +18,18 @@
         self.resting.push_back((until, key));
     }
 
-    pub fn send_ended(&mut self, id: &EventId, ended: Ended) -> Known {
-        let Ended {
-            fate, over, wait, ..
+    pub fn on_attempt_ended(&mut self, id: &EventId, ended: AttemptReport) -> InputResult {
+        let AttemptReport {
+            outcome: fate, event_complete: over, retry_after: wait, ..
         } = ended;
-        let &(of, place) = self.places.get(id).ok_or(Unknown("the event"))?;
+        let &(of, place) = self.places.get(id).ok_or(UnknownId("the event"))?;
         let (now, here) = (self.here.now, &mut self.here);
         let to = self.destinations.get_mut(&of).expect("placed");
         let call = to
             .events
             .get_mut(&place)
             .and_then(|event| event.call.take());
-        let number = call.ok_or(Unknown("the send"))?;
+        let number = call.ok_or(UnknownId("the send"))?;
         let call = to.calls.get_mut(&number).expect("a call has members");
         call.members -= 1;
         let (sent, reuses, target) = (call.sent, call.reuses, call.target.clone());
@@ -44,7 +44,7 @@
         (wait > 2.0 * PING).then(|| lane.chill(now));
         let zone = lane.target(&target).expect("found").zone;
         if first {
-            let lost = reuses && matches!(fate, Fate::TimedOut | Fate::Reset);
+            let lost = reuses && matches!(fate, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
             here.reused.add(now, TREND, reuses as u8 as f64);
             here.stale.add(now, TREND, lost as u8 as f64);
             if reuses && here.stale.read(now, TREND) > 0.4 + 0.05 * here.reused.read(now, TREND) {
@@ -60,15 +60,15 @@
             called.idle_since = (called.out == 0).then_some(now);
         }
         let event = to.events.get_mut(&place).expect("placed");
-        event.over |= over || fate == Fate::Delivered;
+        event.over |= over || fate == AttemptOutcome::Delivered;
         // Half a second, or as told, doubling with its sends, jittered.
         let pause =
-            here.terms.tuning.pauses.after(fate) * f64::powi(2.0, event.sends.min(6) as i32 - 1);
+            here.terms.tuning.retry_backoff.initial(fate) * f64::powi(2.0, event.sends.min(6) as i32 - 1);
         event.not_before = now + pause * jitter(here.draw(place));
         if fate.may_have_run() {
             event.may_have_run.get_or_insert((sent, zone));
         }
-        let cut = matches!(fate, Fate::TimedOut | Fate::Reset | Fate::Cancelled);
+        let cut = matches!(fate, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
         event
             .key
             .filter(|_| cut)
@@ -79,8 +79,8 @@
         Ok(())
     }
 
-    pub fn ping_ended(&mut self, target: &TargetId, fate: Fate) -> Known {
-        let &of = self.homes.get(target).ok_or(Unknown("the target"))?;
+    pub fn on_health_check_ended(&mut self, target: &TargetId, fate: AttemptOutcome) -> InputResult {
+        let &of = self.homes.get(target).ok_or(UnknownId("the target"))?;
         let to = self.destinations.get_mut(&of).expect("a home");
         let at = to.lane_of(target).expect("at home");
         let pause = to.ping_pause(&mut self.here, at);
@@ -88,7 +88,7 @@
         let first = to.rate(&self.here, at).map_or(0.0, |rate| 1000.0 / rate) * self.here.draw(3);
         let (lane, now) = (&mut to.lanes[at], self.here.now);
         (lane.ping_out, lane.ping_at) = (false, now + pause);
-        if matches!(fate, Fate::Delivered | Fate::Full) {
+        if matches!(fate, AttemptOutcome::Delivered | AttemptOutcome::Rejected) {
             lane.next_slot = lane.next_slot.max(now + first.min(2.0 * pause));
             lane.release(now);
         } else {
@@ -107,13 +107,13 @@
         at: usize,
         id: &TargetId,
         sent: Ms,
-        ended: Ended,
+        ended: AttemptReport,
     ) {
-        let Ended {
-            fate,
-            took,
-            wait,
-            left,
+        let AttemptReport {
+            outcome: fate,
+            elapsed: took,
+            retry_after: wait,
+            limit_remaining: left,
             ..
         } = ended;
         let left = left.filter(|share| (0.0..=1.0).contains(share));
@@ -123,13 +123,13 @@
             .filter(|_| wait > 2.0 * PING)
             .map_or(0.0, |rate| 1000.0 / rate);
         let (crowded, spacings) = (self.crowded(here), 8000.0 / self.usual(here).max(1e-9));
-        let trial = if here.terms.pings_allowed {
+        let trial = if here.terms.health_checks_allowed {
             0.0
         } else {
             self.ping_pause(here, at)
         };
         let lane = &mut self.lanes[at];
-        if matches!(fate, Fate::Delivered | Fate::Full) {
+        if matches!(fate, AttemptOutcome::Delivered | AttemptOutcome::Rejected) {
             // A connection refused, and answered soon after: no outage, its targets take no more of them.
             let crammed = lane
                 .unconnected_at
@@ -138,7 +138,7 @@
             here.counts[self.kind.0]
                 .unconnected
                 .add(now, REUSE, crammed as u8 as f64);
-            (!lane.offline || !here.terms.tuning.released_by_pings).then(|| lane.release(now));
+            (!lane.offline || !here.terms.tuning.release_on_health_check_only).then(|| lane.release(now));
         }
         let target = lane
             .targets
@@ -146,7 +146,7 @@
             .find(|target| target.id == *id)
             .expect("kept while called");
         match fate {
-            Fate::Delivered => {
+            AttemptOutcome::Delivered => {
                 (
                     target.failures,
                     lane.refusals,
@@ -164,7 +164,7 @@
                 lane.answers.add(now, MEMORY, took);
                 here.answers.add(now, MEMORY, took);
             }
-            Fate::Full => {
+            AttemptOutcome::Rejected => {
                 lane.trust = 1.0;
                 // Where refused calls use up the limit, nearly all report it used up; 3 in 10 do elsewhere.
                 let weight = if left.is_none_or(|left| left < 0.2) {
@@ -187,8 +187,8 @@
                     let KindCounts { full, answered, .. } = &here.counts[self.kind.0];
                     let share = full.read(now, REUSE) / (answered.read(now, REUSE) + 8.0);
                     let wide = (1.0 + EATEN * share * share) * f64::powi(2.0, lane.refusals.min(4));
-                    let base = (250.0 * here.terms.forwarders.sqrt())
-                        .min(here.terms.tuning.widest_spread());
+                    let base = (250.0 * here.terms.forwarder_count.sqrt())
+                        .min(here.terms.tuning.max_initial_spread());
                     let spread = (base * wide / (recent / OFTEN).max(1.0)).min(spacings);
                     lane.held_until = now + wait + spread.max(cold_spacing) * chance;
                 }
@@ -204,11 +204,11 @@
                     lane.chill(now);
                 }
             }
-            Fate::TimedOut if took < here.least_time() => (), // cut by the end of patience: no sign of health
-            Fate::Error | Fate::TimedOut | Fate::NoConnection | Fate::Reset => {
+            AttemptOutcome::TimedOut if took < here.least_time() => (), // cut by the end of patience: no sign of health
+            AttemptOutcome::Error | AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
                 lane.trust = 1.0;
                 target.failures += 1;
-                let unconnected = fate == Fate::NoConnection;
+                let unconnected = fate == AttemptOutcome::ConnectFailed;
                 // Refused connections last: past the pause of a head that met one; half a second did not do.
                 let base = jitter(chance) * if unconnected { 2000.0 } else { 500.0 };
                 target.shunned_until = now + base * f64::powi(2.0, target.failures.min(5) - 1);
@@ -219,15 +219,15 @@
                 }
                 let crammed = unconnected && here.closes(self.kind, crowded);
                 let beside =
-                    (fate == Fate::Reset || crammed) && now - lane.delivered_at < 2.0 * PING;
+                    (fate == AttemptOutcome::Reset || crammed) && now - lane.delivered_at < 2.0 * PING;
                 lane.failures += !beside as i32;
-                if fate == Fate::TimedOut && lane.answered_at < sent {
+                if fate == AttemptOutcome::TimedOut && lane.answered_at < sent {
                     // Slow: it gets more time. Lost, if others were answered meanwhile: that would pin slots.
                     lane.answers.add(now, MEMORY, took);
                 }
                 (lane.failures >= 2).then(|| lane.park(now, trial));
             }
-            Fate::Cancelled | Fate::NotSent => (),
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => (),
         }
     }
 }
--- a/decisions/src/decide/sends.rs
+++ b/decisions/src/scheduler/sends.rs
@@ -5,7 +5,7 @@
 /// What each further event of a call is taken to weigh: the wire says only that it is a little.
 const RIDER: f64 = 0.25;
 
-impl Forwarder {
+impl Scheduler {
     /// Enters a destination anew in the rosters, or forgets it: memory is bounded by what is held and listed.
     pub(super) fn file(&mut self, id: DestinationId) {
         let Some(to) = self.destinations.get_mut(&id) else {
@@ -38,7 +38,7 @@
     }
 
     /// One call to the destination whose turn it is, with as many heads aboard as it takes.
-    pub(super) fn send_next(&mut self, id: DestinationId, out: &mut impl Decisions) {
+    pub(super) fn send_next(&mut self, id: DestinationId, out: &mut impl Effects) {
         let (to, here) = (
             self.destinations.get_mut(&id).expect("ready"),
             &mut self.here,
@@ -47,7 +47,7 @@
         let Some(first) = heads.first() else { return };
         let (at, target) = to.pick(here, *first, &open, out);
         let called = &to.lanes[at].targets[target];
-        let most = here.terms.kinds[to.kind.0].events_per_call.max(1);
+        let most = here.terms.destination_kinds[to.kind.0].max_events_per_call.max(1);
         let most = if to.lanes[at].is_cold(here) {
             most.min(1 + (1.0 / RIDER) as usize)
         } else {
@@ -63,12 +63,12 @@
         for place in &aboard {
             let event = to.events.get_mut(place).expect("ready");
             // A binding event cannot be sent again: it is given twice the time.
-            let binding = here.terms.traffic[event.traffic.0].effect == Effect::Binding;
+            let binding = here.terms.traffic_types[event.traffic.0].idempotency == Idempotency::NonIdempotent;
             event.call = Some(self.calls_made);
             (event.sends, event.untried) = (event.sends + 1, false);
             let given =
                 (if binding { 2.0 } else { 1.0 } * time_out).min(event.patience_ends - here.now);
-            out.send(&event.id, &called.id, given, here.lapses_at(event));
+            out.send_attempt(&event.id, &called.id, given, here.lapses_at(event));
         }
         let (id, rate, members) = (called.id.clone(), to.rate(here, at), aboard.len());
         let lane = &mut to.lanes[at];
@@ -111,7 +111,7 @@
                 .targets
                 .iter()
                 .enumerate()
-                .filter(|(_, t)| t.listing == Listing::Running);
+                .filter(|(_, t)| t.listing == EndpointState::Running);
             if from <= here.now {
                 open.extend(running.map(|(target, _)| (at, target)));
             } else if lane.runs() {
@@ -150,7 +150,7 @@
         let lane = &self.lanes[at];
         if lane.offline {
             let trial =
-                !here.terms.pings_allowed && lane.targets.iter().all(|target| target.out == 0);
+                !here.terms.health_checks_allowed && lane.targets.iter().all(|target| target.out == 0);
             return if trial {
                 lane.ping_at.max(lane.closed_until)
             } else {
@@ -169,7 +169,7 @@
         here: &mut Here,
         first: u64,
         open: &[Spot],
-        out: &mut impl Decisions,
+        out: &mut impl Effects,
     ) -> Spot {
         let (event, target) = (&self.events[&first], |&(at, t): &Spot| {
             &self.lanes[at].targets[t]
@@ -187,7 +187,7 @@
         } else {
             one
         };
-        let chosen = out.choose(&event.id, &mut from.iter().map(|t| &target(t).id));
+        let chosen = out.select_target(&event.id, &mut from.iter().map(|t| &target(t).id));
         *from[chosen.filter(|at| *at < from.len()).unwrap_or(drawn)]
     }
 
@@ -222,7 +222,7 @@
 
 impl Here {
     pub(super) fn may_go(&self, event: &Event, target: &Target) -> bool {
-        let bound = self.terms.traffic[event.traffic.0].effect.stays_in_zone();
+        let bound = self.terms.traffic_types[event.traffic.0].idempotency.retries_in_zone();
         !bound
             || event
                 .may_have_run
--- a/decisions/src/state.rs
+++ b/decisions/src/state.rs
@@ -72,7 +72,7 @@
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Event {
     pub(crate) id: EventId,
-    pub(crate) traffic: TrafficId,
+    pub(crate) traffic: TrafficTypeId,
     pub(crate) key: Option<OrderKey>,
     pub(crate) patience_ends: Ms,
     pub(crate) over_share: bool, // its member had used up its share
@@ -115,7 +115,7 @@
 pub(crate) struct Target {
     pub(crate) id: TargetId,
     pub(crate) zone: ZoneId,
-    pub(crate) listing: Listing,
+    pub(crate) listing: EndpointState,
     pub(crate) failures: i32,
     pub(crate) shunned_until: Ms,
     pub(crate) out: usize,             // calls of ours
@@ -123,7 +123,7 @@
 }
 
 impl Target {
-    pub(crate) fn new(id: TargetId, zone: ZoneId, listing: Listing) -> Self {
+    pub(crate) fn new(id: TargetId, zone: ZoneId, listing: EndpointState) -> Self {
         Target {
             id,
             zone,
@@ -181,7 +181,7 @@
 
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Destination {
-    pub(crate) kind: KindId,
+    pub(crate) kind: DestinationKindId,
     pub(crate) lanes: Vec<Lane>,
     pub(crate) events: BTreeMap<u64, Event>, // in the order taken
     pub(crate) calls: BTreeMap<u64, Call>,
@@ -222,6 +222,6 @@
     pub(crate) fn running(&self) -> impl Iterator<Item = &Target> {
         self.targets
             .iter()
-            .filter(|target| target.listing == Listing::Running)
+            .filter(|target| target.listing == EndpointState::Running)
     }
 }
--- a/decisions/tests/fleet/destination.rs
+++ b/decisions/tests/fleet/destination.rs
@@ -35,8 +35,8 @@
     pub fn is_down(now: Ms) -> bool {
         (FAILS..BACK).contains(&now)
     }
-    pub fn warmth(now: Ms, terms: &Terms) -> f64 {
-        let warm = terms.cold_share + (1.0 - terms.cold_share) * (now - BACK) / terms.warm_after;
+    pub fn warmth(now: Ms, terms: &DecisionConfig) -> f64 {
+        let warm = terms.warm_up_initial_share + (1.0 - terms.warm_up_initial_share) * (now - BACK) / terms.warm_up_duration;
         if now < BACK {
             1.0
         } else {
@@ -44,8 +44,8 @@
         }
     }
     /// Counts a call or a ping.
-    pub fn count(&mut self, now: Ms, terms: &Terms) {
-        if !(BACK..BACK + terms.warm_after).contains(&now) {
+    pub fn count(&mut self, now: Ms, terms: &DecisionConfig) {
+        if !(BACK..BACK + terms.warm_up_duration).contains(&now) {
             return;
         }
         self.came.push_back(now);
@@ -53,7 +53,7 @@
             self.came.pop_front();
         }
         let allowed =
-            terms.tip_multiple * Self::warmth(now, terms) * self.full_rate * SPAN / 1000.0;
+            terms.overload_multiple * Self::warmth(now, terms) * self.full_rate * SPAN / 1000.0;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let share = self.came.len() as f64 / bound;
         if share > self.worst.0 {
@@ -85,12 +85,12 @@
     members: &mut [Member],
     chance: &mut Chance,
     now: Ms,
-    terms: &Terms,
+    terms: &DecisionConfig,
 ) {
     let mut told = |call: &Call, fate| {
-        let ended = Ended {
-            took: now - call.came,
-            ..Ended::plain(fate)
+        let ended = AttemptReport {
+            elapsed: now - call.came,
+            ..AttemptReport::from_outcome(fate)
         };
         members[call.from]
             .came_in
@@ -104,14 +104,14 @@
             .chain(to.queue.drain(..))
         {
             if call.waits > 0.0 {
-                told(&call, Fate::Reset);
+                told(&call, AttemptOutcome::Reset);
             }
         }
         return;
     }
     to.working.retain(|(ends, call)| {
         if *ends <= now && call.waits > now {
-            told(call, Fate::Delivered);
+            told(call, AttemptOutcome::Delivered);
         }
         *ends > now
     });
@@ -120,12 +120,12 @@
         .iter_mut()
         .filter(|(_, call)| call.waits > 0.0 && call.waits <= now)
     {
-        told(call, Fate::TimedOut);
+        told(call, AttemptOutcome::TimedOut);
         call.waits = 0.0;
     }
     to.queue.retain(|call| {
         if call.waits <= now {
-            told(call, Fate::TimedOut);
+            told(call, AttemptOutcome::TimedOut);
         }
         call.waits > now
     });
--- a/decisions/tests/fleet/mod.rs
+++ b/decisions/tests/fleet/mod.rs
@@ -51,14 +51,14 @@
 }
 
 pub enum CameIn {
-    Ended(String, Ended),
-    Pinged(Fate),
+    Ended(String, AttemptReport),
+    Pinged(AttemptOutcome),
 }
 
 pub fn member(instance: u64, fleet: f64, seed: u64, now: Ms) -> Host {
     let mut host = Host::new(|terms| {
-        (terms.seed, terms.instance, terms.forwarders) = (seed, instance, fleet);
-        (terms.slots, terms.room) = (200, 400);
+        (terms.seed, terms.instance, terms.forwarder_count) = (seed, instance, fleet);
+        (terms.max_calls_in_flight, terms.event_capacity) = (200, 400);
     });
     host.idle(now);
     host
@@ -73,8 +73,8 @@
     seed: u64,
 ) -> (f64, String) {
     let mut chance = Chance(seed);
-    let terms = Terms {
-        forwarders: fleet as f64,
+    let terms = DecisionConfig {
+        forwarder_count: fleet as f64,
         ..terms()
     };
     let weight = |n: usize| {
@@ -151,11 +151,11 @@
                         if Destination::is_down(now) {
                             member
                                 .came_in
-                                .push(CameIn::Ended(call.name, Ended::plain(Fate::NoConnection)));
+                                .push(CameIn::Ended(call.name, AttemptReport::from_outcome(AttemptOutcome::ConnectFailed)));
                         } else if to.queue.len() >= to.queue_takes() {
                             member
                                 .came_in
-                                .push(CameIn::Ended(call.name, Ended::plain(Fate::Full)));
+                                .push(CameIn::Ended(call.name, AttemptReport::from_outcome(AttemptOutcome::Rejected)));
                         } else {
                             to.queue.push_back(call);
                         }
@@ -163,9 +163,9 @@
                     ["ping", "t"] => {
                         to.count(now, &terms);
                         let fate = if Destination::is_down(now) {
-                            Fate::NoConnection
+                            AttemptOutcome::ConnectFailed
                         } else {
-                            Fate::Delivered
+                            AttemptOutcome::Delivered
                         };
                         member.came_in.push(CameIn::Pinged(fate));
                     }
@@ -199,11 +199,11 @@
         let told = member.host.at(now, |f| {
             noted
                 .iter()
-                .for_each(|(target, since, usual)| f.was_cold(target, *since, *usual));
+                .for_each(|(target, since, usual)| f.restore_warm_up(target, *since, *usual));
             for (name, held) in held {
-                f.taken(event(name), DestinationId(1), RETRIABLE, held.ends, None);
+                f.accept_event(event(name), DestinationId(1), RETRIABLE, held.ends, None);
                 let may_have_run = held.out.then_some((now, ZoneId(0)));
-                f.restored(&event(name), held.sends, may_have_run, held.out);
+                f.restore_attempts(&event(name), held.sends, may_have_run, held.out);
             }
         });
         member.held.values_mut().for_each(|held| held.out = false);
@@ -222,7 +222,7 @@
     }
     for came_in in &came_in {
         if let CameIn::Ended(name, ended) = came_in {
-            if ended.fate == Fate::Delivered {
+            if ended.outcome == AttemptOutcome::Delivered {
                 member.held.remove(name);
             } else if let Some(held) = member.held.get_mut(name) {
                 held.out = false;
@@ -232,12 +232,12 @@
     member.host.at(now, |f| {
         for came_in in came_in {
             match came_in {
-                CameIn::Ended(name, ended) => f.send_ended(&event(&name), ended).expect("was sent"),
-                CameIn::Pinged(fate) => f.ping_ended(&target("t"), fate).expect("was listed"),
+                CameIn::Ended(name, ended) => f.on_attempt_ended(&event(&name), ended).expect("was sent"),
+                CameIn::Pinged(fate) => f.on_health_check_ended(&target("t"), fate).expect("was listed"),
             }
         }
         for name in fresh {
-            f.taken(
+            f.accept_event(
                 event(&name),
                 DestinationId(1),
                 RETRIABLE,
--- a/decisions/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -2,15 +2,15 @@
 
 #![allow(dead_code)] // each file of stories uses its part
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 
-pub const RETRIABLE: TrafficId = TrafficId(0);
-pub const FINGERPRINTED: TrafficId = TrafficId(1);
-pub const BINDING: TrafficId = TrafficId(2); // ordered
+pub const RETRIABLE: TrafficTypeId = TrafficTypeId(0);
+pub const FINGERPRINTED: TrafficTypeId = TrafficTypeId(1);
+pub const BINDING: TrafficTypeId = TrafficTypeId(2); // ordered
 
 pub struct Host {
-    pub forwarder: Forwarder,
+    pub forwarder: Scheduler,
     pub now: Ms,
     pub notices: bool, // ends of events go as notices
     pub cold: Vec<(TargetId, Ms, f64)>,
@@ -20,51 +20,51 @@
 
 /// One forwarder of two, with 8 slots and room for 40; kind 0 shares a limit, kind 1 has routes apart and
 /// takes 4 events a call.
-pub fn terms() -> Terms {
+pub fn terms() -> DecisionConfig {
     let traffic = |effect, ordered| TrafficType {
-        effect,
+        idempotency: effect,
         soft_limit: 1000.0,
         patience: 20_000.0,
-        payoff: 1.0,
-        payoff_at_end: 0.2,
+        value: 1.0,
+        value_at_end: 0.2,
         ordered,
     };
-    Terms {
+    DecisionConfig {
         seed: 7,
         instance: 0,
-        forwarders: 2.0,
-        traffic: vec![
-            traffic(Effect::Retriable, false),
+        forwarder_count: 2.0,
+        traffic_types: vec![
+            traffic(Idempotency::Idempotent, false),
             traffic(
-                Effect::Fingerprinted {
+                Idempotency::Deduplicated {
                     window: 5000.0,
-                    one_zone: false,
+                    per_zone: false,
                 },
                 false,
             ),
-            traffic(Effect::Binding, true),
+            traffic(Idempotency::NonIdempotent, true),
         ],
-        kinds: vec![
+        destination_kinds: vec![
             DestinationKind {
-                routes_apart: false,
-                events_per_call: 1,
+                independent_routes: false,
+                max_events_per_call: 1,
             },
             DestinationKind {
-                routes_apart: true,
-                events_per_call: 4,
+                independent_routes: true,
+                max_events_per_call: 4,
             },
         ],
-        slots: 8,
-        room: 40,
-        sends_cap: 6,
-        pings_allowed: true,
-        longest_advice: Some(2000.0),
-        shares: Vec::new(),
-        over_share_worth: 1.0,
-        cold_share: 0.2,
-        warm_after: 10_000.0,
-        tip_multiple: 2.0,
-        key_rest: 300.0,
+        max_calls_in_flight: 8,
+        event_capacity: 40,
+        max_attempts: 6,
+        health_checks_allowed: true,
+        max_retry_after: Some(2000.0),
+        member_quotas: Vec::new(),
+        over_quota_value_weight: 1.0,
+        warm_up_initial_share: 0.2,
+        warm_up_duration: 10_000.0,
+        overload_multiple: 2.0,
+        key_cooldown: 300.0,
         tuning: Tuning::default(),
     }
 }
@@ -83,11 +83,11 @@
 
 impl Host {
     /// Destination 1 has target `t`, destination 2 has target `u`, destination 3 the routes `v` and `w`.
-    pub fn new(change: impl FnOnce(&mut Terms)) -> Self {
+    pub fn new(change: impl FnOnce(&mut DecisionConfig)) -> Self {
         let mut terms = terms();
         change(&mut terms);
         let mut host = Host {
-            forwarder: Forwarder::start(terms, 0.0),
+            forwarder: Scheduler::new(terms, 0.0),
             now: 0.0,
             notices: false,
             cold: Vec::new(),
@@ -96,12 +96,12 @@
         };
         host.at(0.0, |f| {
             for (name, of, kind) in [("t", 1, 0), ("u", 2, 0), ("v", 3, 1), ("w", 3, 1)] {
-                f.listed(
+                f.on_endpoint_listed(
                     target(name),
                     DestinationId(of),
-                    KindId(kind),
+                    DestinationKindId(kind),
                     ZoneId(0),
-                    Listing::Running,
+                    EndpointState::Running,
                 );
             }
         });
@@ -109,7 +109,7 @@
     }
 
     /// A round at `now`; wake-ups are left out of what it returns.
-    pub fn at(&mut self, now: Ms, came_in: impl FnOnce(&mut Forwarder)) -> Vec<String> {
+    pub fn at(&mut self, now: Ms, came_in: impl FnOnce(&mut Scheduler)) -> Vec<String> {
         self.now = now;
         let mut told = Told(
             Vec::new(),
@@ -118,12 +118,12 @@
             self.given,
             self.leaves_by,
         );
-        let hand_over = |forwarder: &mut Forwarder, _: &mut Told| {
+        let hand_over = |forwarder: &mut Scheduler, _: &mut Told| {
             came_in(forwarder);
-            Ok::<(), Unknown>(())
+            Ok::<(), UnknownId>(())
         };
         self.forwarder
-            .round(now, hand_over, &mut told)
+            .run_iteration(now, hand_over, &mut told)
             .expect("the story names only what it introduced");
         self.cold.append(&mut told.2);
         (self.given, self.leaves_by) = (told.3, told.4);
@@ -139,12 +139,12 @@
         &mut self,
         now: Ms,
         name: &str,
-        traffic: TrafficId,
+        traffic: TrafficTypeId,
         of: u64,
         key: Option<u64>,
     ) -> Vec<String> {
         self.at(now, |f| {
-            f.taken(
+            f.accept_event(
                 event(name),
                 DestinationId(of),
                 traffic,
@@ -154,11 +154,11 @@
         })
     }
 
-    pub fn ends(&mut self, now: Ms, name: &str, fate: Fate) -> Vec<String> {
+    pub fn ends(&mut self, now: Ms, name: &str, fate: AttemptOutcome) -> Vec<String> {
         self.ends_with(now, name, fate, 0.0)
     }
 
-    pub fn ends_with(&mut self, now: Ms, name: &str, fate: Fate, wait: Ms) -> Vec<String> {
+    pub fn ends_with(&mut self, now: Ms, name: &str, fate: AttemptOutcome, wait: Ms) -> Vec<String> {
         self.ends_told(now, name, fate, wait, None)
     }
 
@@ -166,32 +166,32 @@
         &mut self,
         now: Ms,
         name: &str,
-        fate: Fate,
+        fate: AttemptOutcome,
         wait: Ms,
         left: Option<f64>,
     ) -> Vec<String> {
-        let took = if fate == Fate::TimedOut {
+        let took = if fate == AttemptOutcome::TimedOut {
             1500.0
         } else {
             100.0
         };
         self.at(now, |f| {
-            f.send_ended(
+            f.on_attempt_ended(
                 &event(name),
-                Ended {
-                    took,
-                    wait,
-                    left,
-                    ..Ended::plain(fate)
+                AttemptReport {
+                    elapsed: took,
+                    retry_after: wait,
+                    limit_remaining: left,
+                    ..AttemptReport::from_outcome(fate)
                 },
             )
             .expect("was sent")
         })
     }
 
-    pub fn ping_ends(&mut self, now: Ms, name: &str, fate: Fate) -> Vec<String> {
+    pub fn ping_ends(&mut self, now: Ms, name: &str, fate: AttemptOutcome) -> Vec<String> {
         self.at(now, |f| {
-            f.ping_ended(&target(name), fate).expect("was listed")
+            f.on_health_check_ended(&target(name), fate).expect("was listed")
         })
     }
 
@@ -202,7 +202,7 @@
             assert!(self
                 .take(now, &name, RETRIABLE, 1, None)
                 .contains(&format!("send {name} to t")));
-            self.ends(now, &name, Fate::Delivered);
+            self.ends(now, &name, AttemptOutcome::Delivered);
         }
     }
 
@@ -210,8 +210,8 @@
     pub fn goes_offline(&mut self, from: Ms) {
         self.take(from, "down1", FINGERPRINTED, 1, None);
         self.take(from, "down2", FINGERPRINTED, 1, None);
-        self.ends(from + 1.0, "down1", Fate::NoConnection);
-        let told = self.ends(from + 1.0, "down2", Fate::NoConnection);
+        self.ends(from + 1.0, "down1", AttemptOutcome::ConnectFailed);
+        let told = self.ends(from + 1.0, "down2", AttemptOutcome::ConnectFailed);
         assert_eq!(told, ["ping t"]);
     }
 }
@@ -222,31 +222,31 @@
 
 struct Told(Vec<String>, bool, Vec<(TargetId, Ms, f64)>, Ms, Ms);
 
-impl Decisions for Told {
-    fn send(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
+impl Effects for Told {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
         assert!(time_out > 0.0);
         (self.3, self.4) = (time_out, leaves_by);
         self.0.push(format!("send {} to {}", event.0, target.0));
     }
-    fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
+    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
         let _ = come_back_after;
         self.0.push(format!("dismiss {}", event.0));
         self.1
     }
-    fn write_off(&mut self, event: &EventId) -> bool {
+    fn abandon(&mut self, event: &EventId) -> bool {
         self.0.push(format!("write off {}", event.0));
         self.1
     }
-    fn ping(&mut self, target: &TargetId) {
+    fn health_check(&mut self, target: &TargetId) {
         self.0.push(format!("ping {}", target.0));
     }
-    fn close_idle(&mut self, target: &TargetId) {
+    fn close_idle_connections(&mut self, target: &TargetId) {
         self.0.push(format!("close {}", target.0));
     }
-    fn take_back(&mut self, target: &TargetId) {
+    fn cancel_unsent(&mut self, target: &TargetId) {
         self.0.push(format!("take back {}", target.0));
     }
-    fn note_cold(&mut self, target: &TargetId, since: Ms, usual: f64) {
+    fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
         self.2.push((target.clone(), since, usual));
     }
     fn wake_after(&mut self, pause: Ms) {
--- a/decisions/tests/limits.rs
+++ b/decisions/tests/limits.rs
@@ -10,7 +10,7 @@
 fn a_told_wait_holds_the_whole_destination_and_only_that() {
     let mut host = plain();
     host.take(1.0, "a", RETRIABLE, 1, None);
-    host.ends_with(2.0, "a", Fate::Full, 1500.0);
+    host.ends_with(2.0, "a", AttemptOutcome::Rejected, 1500.0);
     assert!(host.take(3.0, "b", RETRIABLE, 1, None).is_empty());
     assert_eq!(host.take(4.0, "c", RETRIABLE, 2, None), ["send c to u"]);
     assert!(host.idle(1501.0).is_empty());
@@ -21,9 +21,9 @@
 #[rstest]
 fn many_forwarders_do_not_come_back_together_after_a_wait() {
     let back = |seed: u64| {
-        let mut host = Host::new(|terms| (terms.seed, terms.forwarders) = (seed, 49.0));
+        let mut host = Host::new(|terms| (terms.seed, terms.forwarder_count) = (seed, 49.0));
         host.take(1.0, "a", RETRIABLE, 1, None);
-        host.ends_with(2.0, "a", Fate::Full, 500.0);
+        host.ends_with(2.0, "a", AttemptOutcome::Rejected, 500.0);
         (1..100)
             .find(|step| sends(&host.idle(502.0 + 100.0 * *step as f64)) > 0)
             .expect("comes back")
@@ -39,9 +39,9 @@
 #[rstest]
 fn first_calls_after_a_long_told_wait_are_spread_by_the_cold_budget() {
     let early = |seed: u64| {
-        let mut host = Host::new(|terms| (terms.seed, terms.forwarders) = (seed, 180.0));
+        let mut host = Host::new(|terms| (terms.seed, terms.forwarder_count) = (seed, 180.0));
         host.take(60_000.0, "a", RETRIABLE, 1, None);
-        host.ends_with(60_001.0, "a", Fate::Full, 9000.0);
+        host.ends_with(60_001.0, "a", AttemptOutcome::Rejected, 9000.0);
         (0..70)
             .map(|step| sends(&host.idle(69_002.0 + 100.0 * step as f64)))
             .sum::<usize>()
@@ -58,7 +58,7 @@
     let mut at = 1.0;
     let mut gaps = Vec::new();
     for _ in 0..3 {
-        host.ends(at, "a", Fate::Full);
+        host.ends(at, "a", AttemptOutcome::Rejected);
         let from = at;
         while sends(&host.idle(at)) == 0 {
             at += 10.0;
@@ -73,19 +73,19 @@
 fn every_event_of_a_call_may_tell_a_wait() {
     let mut host = plain();
     host.at(1.0, |f| {
-        f.listed(
+        f.on_endpoint_listed(
             target("w"),
             DestinationId(3),
-            KindId(1),
+            DestinationKindId(1),
             ZoneId(0),
-            Listing::Leaving,
+            EndpointState::Draining,
         );
         for name in ["a", "b"] {
-            f.taken(event(name), DestinationId(3), RETRIABLE, 20_000.0, None);
+            f.accept_event(event(name), DestinationId(3), RETRIABLE, 20_000.0, None);
         }
     });
-    host.ends_with(2.0, "a", Fate::Full, 100.0);
-    host.ends_with(3.0, "b", Fate::Full, 900.0);
+    host.ends_with(2.0, "a", AttemptOutcome::Rejected, 100.0);
+    host.ends_with(3.0, "b", AttemptOutcome::Rejected, 900.0);
     assert_eq!(sends(&host.idle(850.0)), 0);
 }
 
@@ -95,23 +95,23 @@
     let mut host = plain();
     host.take(1.0, "a", RETRIABLE, 1, None);
     host.take(1.0, "b", RETRIABLE, 1, None);
-    assert_eq!(host.ends_with(2.0, "a", Fate::Full, 500.0), ["take back t"]);
+    assert_eq!(host.ends_with(2.0, "a", AttemptOutcome::Rejected, 500.0), ["take back t"]);
 }
 
 #[rstest]
 fn a_route_that_left_and_came_back_is_still_waited_for() {
     let mut host = plain();
-    host.at(0.0, |f| f.relisted(&target("w"), Listing::Gone));
+    host.at(0.0, |f| f.set_endpoint_state(&target("w"), EndpointState::Removed));
     host.take(1.0, "a", RETRIABLE, 3, None);
-    host.ends_with(2.0, "a", Fate::Full, 5000.0);
-    host.at(3.0, |f| f.relisted(&target("v"), Listing::Gone));
+    host.ends_with(2.0, "a", AttemptOutcome::Rejected, 5000.0);
+    host.at(3.0, |f| f.set_endpoint_state(&target("v"), EndpointState::Removed));
     host.at(4.0, |f| {
-        f.listed(
+        f.on_endpoint_listed(
             target("v"),
             DestinationId(3),
-            KindId(1),
+            DestinationKindId(1),
             ZoneId(0),
-            Listing::Running,
+            EndpointState::Running,
         )
     });
     assert!(host.idle(4000.0).is_empty());
@@ -122,7 +122,7 @@
 fn a_refusal_without_a_wait_holds_all_heads_for_a_moment() {
     let mut host = plain();
     host.take(1.0, "a", RETRIABLE, 1, None);
-    host.ends(2.0, "a", Fate::Full);
+    host.ends(2.0, "a", AttemptOutcome::Rejected);
     assert!(host.take(50.0, "b", RETRIABLE, 1, None).is_empty());
     assert!(sends(&host.idle(1400.0)) > 0);
 }
@@ -136,7 +136,7 @@
         let told = host.take(now, &name, RETRIABLE, 1, None);
         for word in told.iter().filter(|word| word.starts_with("send")) {
             sent += 1;
-            host.ends(now, word.split(' ').nth(1).expect("a name"), Fate::Full);
+            host.ends(now, word.split(' ').nth(1).expect("a name"), AttemptOutcome::Rejected);
         }
     }
     assert!((1..=8).contains(&sent), "{sent} in two seconds");
@@ -159,11 +159,11 @@
         for word in told.iter().filter(|word| word.starts_with("send")) {
             sent += (now > refused_at + 5_000.0 && now <= refused_at + 6_000.0) as usize;
             let fate = if now >= refused_at && !refused {
-                Fate::Full
+                AttemptOutcome::Rejected
             } else {
-                Fate::Delivered
+                AttemptOutcome::Delivered
             };
-            refused |= fate == Fate::Full;
+            refused |= fate == AttemptOutcome::Rejected;
             host.ends(now, word.split(' ').nth(1).expect("a name"), fate);
         }
     }
@@ -178,23 +178,23 @@
 #[rstest]
 fn a_hold_grows_with_the_share_of_calls_that_are_refused() {
     let back = |refused: u64, left: Option<f64>, seed: u64| {
-        let mut host = Host::new(|terms| (terms.seed, terms.forwarders) = (seed, 200.0));
+        let mut host = Host::new(|terms| (terms.seed, terms.forwarder_count) = (seed, 200.0));
         for n in 0..30 {
             let (other, name) = (DestinationId(n + 10), format!("other{n}"));
             host.at(n as f64, |f| {
-                f.listed(target(&name), other, KindId(0), ZoneId(0), Listing::Running)
+                f.on_endpoint_listed(target(&name), other, DestinationKindId(0), ZoneId(0), EndpointState::Running)
             });
             host.take(n as f64, &name, RETRIABLE, other.0, None);
             let fate = if n < refused {
-                Fate::Full
+                AttemptOutcome::Rejected
             } else {
-                Fate::Delivered
+                AttemptOutcome::Delivered
             };
             host.ends_told(n as f64, &name, fate, 0.0, left);
-            host.at(n as f64, |f| f.withdrawn(&event(&name)));
+            host.at(n as f64, |f| f.withdraw_event(&event(&name)));
         }
         host.take(100.0, "a", RETRIABLE, 1, None);
-        host.ends(101.0, "a", Fate::Full);
+        host.ends(101.0, "a", AttemptOutcome::Rejected);
         (1..200)
             .find(|step| sends(&host.idle(101.0 + 100.0 * *step as f64)) > 0)
             .unwrap_or(200)
@@ -217,17 +217,17 @@
 #[rstest]
 fn a_hold_after_a_refusal_spans_eight_usual_spacings_at_most() {
     for seed in 0..30 {
-        let mut host = Host::new(|terms| (terms.seed, terms.forwarders) = (seed, 60.0));
+        let mut host = Host::new(|terms| (terms.seed, terms.forwarder_count) = (seed, 60.0));
         host.runs_well(5_000.0);
         let others = ["b", "c", "d", "e", "f", "g", "h"];
         for name in others {
             host.take(8_000.0, name, RETRIABLE, 2, None);
         }
         for name in others {
-            host.ends(8_050.0, name, Fate::Full);
+            host.ends(8_050.0, name, AttemptOutcome::Rejected);
         }
         host.take(8_100.0, "a", RETRIABLE, 1, None);
-        host.ends(8_110.0, "a", Fate::Full);
+        host.ends(8_110.0, "a", AttemptOutcome::Rejected);
         let sent = (0..45).any(|n| {
             host.idle(8_150.0 + 50.0 * n as f64)
                 .contains(&"send a to t".into())
@@ -250,11 +250,11 @@
     #[case] most: usize,
 ) {
     let mut host = plain();
-    host.at(0.0, |f| f.rate_told(DestinationId(1), told));
+    host.at(0.0, |f| f.set_advertised_rate(DestinationId(1), told));
     host.take(1.0, "a", RETRIABLE, 1, None);
     host.take(1.0, "b", RETRIABLE, 1, None);
-    host.ends(50.0, "a", Fate::Full);
-    host.ends(51.0, "b", Fate::Delivered);
+    host.ends(50.0, "a", AttemptOutcome::Rejected);
+    host.ends(51.0, "b", AttemptOutcome::Delivered);
     let mut sent = 0;
     for n in 0..50 {
         let (name, now) = (format!("e{n}"), 4_000.0 + 20.0 * n as f64);
@@ -264,7 +264,7 @@
             told = host.ends(
                 now,
                 name.split(' ').next().expect("a name"),
-                Fate::Delivered,
+                AttemptOutcome::Delivered,
             );
         }
     }
--- a/decisions/tests/restarts.rs
+++ b/decisions/tests/restarts.rs
@@ -11,27 +11,27 @@
 #[case(FINGERPRINTED, &["send a to t", "send b to t"])]
 #[case(RETRIABLE, &["send a to t", "send b to t"])]
 fn a_send_out_when_the_process_ended_may_have_run(
-    #[case] traffic: TrafficId,
+    #[case] traffic: TrafficTypeId,
     #[case] then: &[&str],
 ) {
-    let mut host = Host::new(|terms| terms.key_rest = 0.0);
+    let mut host = Host::new(|terms| terms.key_cooldown = 0.0);
     let told = host.at(1.0, |f| {
-        f.taken(
+        f.accept_event(
             event("a"),
             DestinationId(1),
             traffic,
             9000.0,
             Some(OrderKey(5)),
         );
-        f.restored(&event("a"), 1, Some((0.5, ZoneId(0))), true);
-        f.taken(
+        f.restore_attempts(&event("a"), 1, Some((0.5, ZoneId(0))), true);
+        f.accept_event(
             event("b"),
             DestinationId(1),
             BINDING,
             9000.0,
             Some(OrderKey(5)),
         );
-        f.restored(&event("b"), 0, None, false);
+        f.restore_attempts(&event("b"), 0, None, false);
     });
     assert_eq!(told, then);
 }
@@ -40,15 +40,15 @@
 fn a_key_rests_after_a_restart_behind_a_send_that_was_out() {
     let mut host = plain();
     let told = host.at(1.0, |f| {
-        f.taken(
+        f.accept_event(
             event("a"),
             DestinationId(1),
             BINDING,
             9000.0,
             Some(OrderKey(5)),
         );
-        f.restored(&event("a"), 1, Some((0.5, ZoneId(0))), true);
-        f.taken(
+        f.restore_attempts(&event("a"), 1, Some((0.5, ZoneId(0))), true);
+        f.accept_event(
             event("b"),
             DestinationId(1),
             BINDING,
@@ -78,9 +78,9 @@
     let told = host.at(1000.0, |f| {
         noted
             .iter()
-            .for_each(|(target, since, usual)| f.was_cold(target, *since, *usual));
+            .for_each(|(target, since, usual)| f.restore_warm_up(target, *since, *usual));
         for number in 0..10 {
-            f.taken(
+            f.accept_event(
                 event(&format!("e{number}")),
                 DestinationId(1),
                 RETRIABLE,
@@ -100,10 +100,10 @@
 #[rstest]
 fn a_fleet_that_restarts_together_spreads_its_first_calls_to_what_is_cold() {
     let at_once = (0..20_u64).filter(|&seed| {
-        let mut host = Host::new(|terms| (terms.seed, terms.forwarders) = (seed, 30.0));
+        let mut host = Host::new(|terms| (terms.seed, terms.forwarder_count) = (seed, 30.0));
         let told = host.at(1000.0, |f| {
-            f.was_cold(&target("t"), 0.0, 0.3);
-            f.taken(event("a"), DestinationId(1), RETRIABLE, 9000.0, None);
+            f.restore_warm_up(&target("t"), 0.0, 0.3);
+            f.accept_event(event("a"), DestinationId(1), RETRIABLE, 9000.0, None);
         });
         sends(&told) > 0
     });
@@ -122,7 +122,7 @@
     host.at(1.0, |f| {
         noted
             .iter()
-            .for_each(|(target, _, usual)| f.was_cold(target, 0.0, *usual))
+            .for_each(|(target, _, usual)| f.restore_warm_up(target, 0.0, *usual))
     });
     (0..20).for_each(|number| drop(host.take(2.0, &format!("e{number}"), RETRIABLE, 1, None)));
     let sent: usize = (1..20)
@@ -137,7 +137,7 @@
 #[rstest]
 fn nothing_is_sent_in_the_last_moments_of_a_process() {
     let mut host = plain();
-    host.at(0.0, |f| f.closing(3400.0));
+    host.at(0.0, |f| f.begin_shutdown(3400.0));
     assert_eq!(host.take(1000.0, "a", BINDING, 1, None), ["send a to t"]);
     assert!(
         host.take(2000.0, "b", BINDING, 1, None).is_empty(),
@@ -149,15 +149,15 @@
 fn an_end_that_an_earlier_process_told_still_holds_back_its_key() {
     let mut host = plain();
     let told = host.at(1.0, |f| {
-        f.taken(
+        f.accept_event(
             event("a"),
             DestinationId(1),
             BINDING,
             9000.0,
             Some(OrderKey(5)),
         );
-        f.ended_before(&event("a"));
-        f.taken(
+        f.restore_completed(&event("a"));
+        f.accept_event(
             event("b"),
             DestinationId(1),
             BINDING,
@@ -166,5 +166,5 @@
         );
     });
     assert!(told.is_empty(), "{told:?}");
-    assert_eq!(host.at(2.0, |f| f.heard(&event("a"))), ["send b to t"]);
+    assert_eq!(host.at(2.0, |f| f.on_completion_acknowledged(&event("a"))), ["send b to t"]);
 }
--- a/decisions/tests/room.rs
+++ b/decisions/tests/room.rs
@@ -3,16 +3,16 @@
 mod host;
 
 use host::*;
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use rstest::rstest;
 
 #[rstest]
 fn a_call_carries_several_events_in_one_slot() {
-    let mut host = Host::new(|terms| terms.slots = 2);
+    let mut host = Host::new(|terms| terms.max_calls_in_flight = 2);
     let told = host.at(1.0, |f| {
         for name in ["a", "b", "c", "d", "e", "f", "g", "h", "i"] {
-            f.taken(event(name), DestinationId(3), RETRIABLE, 20_000.0, None);
+            f.accept_event(event(name), DestinationId(3), RETRIABLE, 20_000.0, None);
         }
     });
     assert_eq!(sends(&told), 8, "two calls of four: {told:?}");
@@ -20,10 +20,10 @@
 
 #[rstest]
 fn free_slots_go_to_the_destination_with_fewest_calls_out() {
-    let mut host = Host::new(|terms| terms.slots = 3);
+    let mut host = Host::new(|terms| terms.max_calls_in_flight = 3);
     let told = host.at(1.0, |f| {
         for (name, of) in [("a", 1), ("b", 1), ("c", 1), ("d", 2)] {
-            f.taken(event(name), DestinationId(of), RETRIABLE, 20_000.0, None);
+            f.accept_event(event(name), DestinationId(of), RETRIABLE, 20_000.0, None);
         }
     });
     assert_eq!(told, ["send a to t", "send d to u", "send b to t"]);
@@ -32,12 +32,12 @@
 /// Met on an incident of amman-tyre-centres-later: half of the slots' time went to a tenth of the destinations.
 #[rstest]
 fn a_destination_in_doubt_leaves_half_of_the_slots_to_others() {
-    let mut host = Host::new(|terms| terms.slots = 4);
+    let mut host = Host::new(|terms| terms.max_calls_in_flight = 4);
     host.take(1.0, "failed", BINDING, 1, None);
-    host.ends(1500.0, "failed", Fate::TimedOut);
+    host.ends(1500.0, "failed", AttemptOutcome::TimedOut);
     let told = host.at(1501.0, |f| {
         for (name, of) in [("a", 1), ("b", 1), ("c", 1), ("d", 1), ("e", 2), ("f", 2)] {
-            f.taken(event(name), DestinationId(of), BINDING, 21_501.0, None);
+            f.accept_event(event(name), DestinationId(of), BINDING, 21_501.0, None);
         }
     });
     assert_eq!(
@@ -45,11 +45,11 @@
         ["send e to u", "send f to u", "send a to t", "send b to t"]
     );
     assert!(
-        host.ends(1600.0, "e", Fate::Delivered).is_empty(),
+        host.ends(1600.0, "e", AttemptOutcome::Delivered).is_empty(),
         "the free slot waits for others"
     );
     assert_eq!(
-        host.ends(1700.0, "a", Fate::Delivered).len(),
+        host.ends(1700.0, "a", AttemptOutcome::Delivered).len(),
         2,
         "it answers: no longer in doubt"
     );
@@ -60,7 +60,7 @@
 fn a_destination_that_stands_still_does_not_fill_the_room() {
     let mut host = plain();
     host.take(1.0, "first", RETRIABLE, 1, None);
-    host.ends_with(2.0, "first", Fate::Full, 1900.0);
+    host.ends_with(2.0, "first", AttemptOutcome::Rejected, 1900.0);
     let mut held: i32 = 1;
     for at in 0..60 {
         let told = host.take(10.0 + at as f64, &format!("e{at}"), RETRIABLE, 1, None);
@@ -88,23 +88,23 @@
     #[case] least: usize,
 ) {
     let mut host = Host::new(|terms| {
-        (terms.shares, terms.over_share_worth) = (vec![share, 50.0], 0.05);
-        terms.room = 60;
+        (terms.member_quotas, terms.over_quota_value_weight) = (vec![share, 50.0], 0.05);
+        terms.event_capacity = 60;
     });
     host.goes_offline(1.0);
     let mut dismissed = Vec::new();
     for n in 0..30 {
         let (name, now) = (format!("e{n}"), 10.0 + n as f64);
         dismissed.extend(host.at(now, |f| {
-            f.taken(
+            f.accept_event(
                 event(&name),
                 DestinationId(1),
                 RETRIABLE,
                 now + 20_000.0,
                 None,
             );
-            f.asked_by(&event(&name), n % 2, false);
-            f.asked_by(&event(&name), 7, false); // no such member: as if none was named
+            f.charge_member(&event(&name), n % 2, false);
+            f.charge_member(&event(&name), 7, false); // no such member: as if none was named
         }));
     }
     let odd = |word: &String| {
@@ -126,7 +126,7 @@
 /// gave way, though its event could have gone at once.
 #[rstest]
 fn what_can_go_now_does_not_give_way_to_what_cannot() {
-    let mut host = Host::new(|terms| terms.room = 5);
+    let mut host = Host::new(|terms| terms.event_capacity = 5);
     host.goes_offline(1.0);
     for n in 0..2 {
         host.take(10.0, &format!("held{n}"), RETRIABLE, 1, None);
@@ -147,7 +147,7 @@
     let mut host = plain();
     host.notices = true;
     host.take(1.0, "first", RETRIABLE, 1, None);
-    host.ends_with(2.0, "first", Fate::Full, 19_000.0);
+    host.ends_with(2.0, "first", AttemptOutcome::Rejected, 19_000.0);
     for n in 1..36 {
         assert!(
             host.take(10.0, &format!("e{n}"), RETRIABLE, 1, None)
@@ -165,7 +165,7 @@
             "{told:?}"
         );
     }
-    let unheard = host.at(11.0, |f| f.heard(&event("e39")));
+    let unheard = host.at(11.0, |f| f.on_completion_acknowledged(&event("e39")));
     assert!(
         unheard.is_empty(),
         "a place that was not counted is not given back: {unheard:?}"
@@ -181,16 +181,16 @@
         host.take(1.0, &format!("e{n}"), BINDING, 1, None);
     }
     let state = rmp_serde::to_vec(&host.forwarder).expect("is written");
-    host.forwarder = rmp_serde::from_slice::<Forwarder>(&state)
+    host.forwarder = rmp_serde::from_slice::<Scheduler>(&state)
         .expect("is read")
-        .resumed(terms());
+        .resume(terms());
     let told = host.take(2.0, "new", BINDING, 2, None);
     assert_eq!(
         told,
         ["dismiss e35"],
         "36 may be held, the four that wait to be heard are not"
     );
-    assert!(host.at(3.0, |f| f.heard(&event("e39"))).is_empty());
+    assert!(host.at(3.0, |f| f.on_completion_acknowledged(&event("e39"))).is_empty());
 }
 
 /// What a restart found taken on and untried, of a destination that is cold, was dismissed in the first rounds to
@@ -199,16 +199,16 @@
 fn what_a_restart_found_untried_does_not_make_way_for_new_events() {
     let mut host = plain();
     let mut told = host.at(1.0, |f| {
-        f.was_cold(&target("t"), 0.0, 0.1);
+        f.restore_warm_up(&target("t"), 0.0, 0.1);
         for n in 0..38 {
-            f.taken(
+            f.accept_event(
                 event(&format!("owed{n}")),
                 DestinationId(1),
                 RETRIABLE,
                 20_000.0,
                 None,
             );
-            f.restored(&event(&format!("owed{n}")), 0, None, false);
+            f.restore_attempts(&event(&format!("owed{n}")), 0, None, false);
         }
     });
     for n in 0..20 {
@@ -237,16 +237,16 @@
 fn what_a_restart_found_tried_makes_way_as_others_do() {
     let mut host = plain();
     let told = host.at(1.0, |f| {
-        f.was_cold(&target("t"), 0.0, 0.1);
+        f.restore_warm_up(&target("t"), 0.0, 0.1);
         for n in 0..40 {
-            f.taken(
+            f.accept_event(
                 event(&format!("e{n}")),
                 DestinationId(1),
                 RETRIABLE,
                 20_000.0,
                 None,
             );
-            f.restored(&event(&format!("e{n}")), 1, None, false);
+            f.restore_attempts(&event(&format!("e{n}")), 1, None, false);
         }
     });
     assert_eq!(
--- a/decisions/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -10,26 +10,26 @@
 fn nothing_goes_to_a_target_that_leaves() {
     let mut host = plain();
     host.at(1.0, |f| {
-        f.listed(
+        f.on_endpoint_listed(
             target("t"),
             DestinationId(1),
-            KindId(0),
+            DestinationKindId(0),
             ZoneId(0),
-            Listing::Leaving,
+            EndpointState::Draining,
         )
     });
     assert!(host.take(2.0, "a", RETRIABLE, 1, None).is_empty());
     host.at(3.0, |f| {
-        f.listed(
+        f.on_endpoint_listed(
             target("t2"),
             DestinationId(1),
-            KindId(0),
+            DestinationKindId(0),
             ZoneId(0),
-            Listing::Running,
+            EndpointState::Running,
         )
     });
     assert_eq!(
-        host.at(4.0, |f| f.list_replaced()),
+        host.at(4.0, |f| f.on_endpoint_list_replaced()),
         ["take back t2"],
         "its call may not be written yet"
     );
@@ -45,9 +45,9 @@
 #[rstest]
 fn a_destination_is_known_while_it_is_listed_and_for_a_minute_after() {
     let mut host = plain();
-    let known = |host: &Host, of| host.forwarder.knows(DestinationId(of));
+    let known = |host: &Host, of| host.forwarder.knows_destination(DestinationId(of));
     assert!(known(&host, 1) && !known(&host, 70_000));
-    host.at(10.0, |f| f.relisted(&target("t"), Listing::Gone));
+    host.at(10.0, |f| f.set_endpoint_state(&target("t"), EndpointState::Removed));
     host.idle(50_000.0);
     assert!(known(&host, 1), "its next targets may be on the way");
     host.idle(70_100.0);
@@ -58,21 +58,21 @@
 fn of_two_targets_the_one_that_failed_is_left_alone() {
     let mut host = plain();
     host.at(0.0, |f| {
-        f.listed(
+        f.on_endpoint_listed(
             target("t2"),
             DestinationId(1),
-            KindId(0),
+            DestinationKindId(0),
             ZoneId(0),
-            Listing::Running,
+            EndpointState::Running,
         )
     });
     let told = host.take(1.0, "a", FINGERPRINTED, 1, None);
-    host.ends(2.0, "a", Fate::NoConnection);
+    host.ends(2.0, "a", AttemptOutcome::ConnectFailed);
     for at in 0..10 {
         let name = format!("e{at}");
         let next = host.take(3.0 + at as f64, &name, FINGERPRINTED, 1, None);
         assert_ne!(told[0].rsplit(' ').next(), next[0].rsplit(' ').next());
-        host.ends(3.0 + at as f64, &name, Fate::Delivered);
+        host.ends(3.0 + at as f64, &name, AttemptOutcome::Delivered);
     }
 }
 
@@ -81,21 +81,21 @@
 fn of_two_targets_alike_the_one_with_an_idle_connection_is_taken() {
     let mut host = plain();
     host.at(0.0, |f| {
-        f.listed(
+        f.on_endpoint_listed(
             target("t2"),
             DestinationId(1),
-            KindId(0),
+            DestinationKindId(0),
             ZoneId(0),
-            Listing::Running,
+            EndpointState::Running,
         )
     });
     let told = host.take(1.0, "first", RETRIABLE, 1, None);
-    host.ends(10.0, "first", Fate::Delivered);
+    host.ends(10.0, "first", AttemptOutcome::Delivered);
     for n in 0..10 {
         let (name, at) = (format!("e{n}"), 100.0 * (n + 1) as f64);
         let next = host.take(at, &name, RETRIABLE, 1, None);
         assert_eq!(next[0].split(" to ").last(), told[0].split(" to ").last());
-        host.ends(at + 10.0, &name, Fate::Delivered);
+        host.ends(at + 10.0, &name, AttemptOutcome::Delivered);
     }
 }
 
@@ -112,11 +112,11 @@
         let (now, name) = (1.0 + 50.0 * step as f64, format!("e{step}"));
         host.take(now, &name, RETRIABLE, 1, None);
         host.at(now, |f| {
-            f.send_ended(
+            f.on_attempt_ended(
                 &event(&name),
-                Ended {
-                    took,
-                    ..Ended::plain(Fate::Delivered)
+                AttemptReport {
+                    elapsed: took,
+                    ..AttemptReport::from_outcome(AttemptOutcome::Delivered)
                 },
             )
             .expect("was sent")
@@ -130,38 +130,38 @@
 fn idle_connections_are_closed_once_calls_on_them_are_lost() {
     let mut host = plain();
     host.take(1.0, "fresh", RETRIABLE, 1, None);
-    assert!(host.ends(100.0, "fresh", Fate::Delivered).is_empty());
+    assert!(host.ends(100.0, "fresh", AttemptOutcome::Delivered).is_empty());
     assert!(
         host.idle(3000.0).is_empty(),
         "kept while nothing speaks against it"
     );
     host.take(3001.0, "lost", RETRIABLE, 1, None);
-    host.ends(4600.0, "lost", Fate::TimedOut);
+    host.ends(4600.0, "lost", AttemptOutcome::TimedOut);
     assert!(host.idle(4901.0).contains(&"close t".into()));
     host.take(6000.0, "next", RETRIABLE, 1, None);
-    host.ends(6100.0, "next", Fate::Delivered);
-    host.ends(6200.0, "lost", Fate::Delivered);
+    host.ends(6100.0, "next", AttemptOutcome::Delivered);
+    host.ends(6200.0, "lost", AttemptOutcome::Delivered);
     assert_eq!(host.idle(6501.0), ["close t"]);
 }
 
 /// Met on nairobi-relay and lahore-outbound big-1 and on seoul-delivery: idle connections of others took all
 /// that a target accepts, a third of all connections were refused, and destinations that were well were parked.
 #[rstest]
-#[case(Fate::Delivered, 1100.0, true)]
-#[case(Fate::Full, 1100.0, true)]
-#[case(Fate::Delivered, 8000.0, false)]
+#[case(AttemptOutcome::Delivered, 1100.0, true)]
+#[case(AttemptOutcome::Rejected, 1100.0, true)]
+#[case(AttemptOutcome::Delivered, 8000.0, false)]
 fn idle_connections_are_closed_where_a_refused_one_is_followed_soon_by_an_answer(
-    #[case] answer: Fate,
+    #[case] answer: AttemptOutcome,
     #[case] answered: f64,
     #[case] closes: bool,
 ) {
     let mut host = plain();
     host.take(1.0, "a", RETRIABLE, 1, None);
-    host.ends(20.0, "a", Fate::NoConnection);
+    host.ends(20.0, "a", AttemptOutcome::ConnectFailed);
     assert!(host.idle(1000.0).contains(&"send a to t".into()));
     host.ends(answered, "a", answer);
     host.take(9_000.0, "b", RETRIABLE, 2, None);
-    host.ends(9_100.0, "b", Fate::Delivered);
+    host.ends(9_100.0, "b", AttemptOutcome::Delivered);
     assert_eq!(
         host.idle(9_401.0).contains(&"close u".into()),
         closes,
@@ -177,8 +177,8 @@
     #[case] forwarders: f64,
     #[case] closes: bool,
 ) {
-    let mut host = Host::new(|terms| terms.forwarders = forwarders);
-    host.at(0.0, |f| f.rate_told(DestinationId(1), 200.0));
+    let mut host = Host::new(|terms| terms.forwarder_count = forwarders);
+    host.at(0.0, |f| f.set_advertised_rate(DestinationId(1), 200.0));
     host.runs_well(1500.0);
     assert_eq!(host.idle(1900.0).contains(&"close t".into()), closes);
 }
--- a/forwarder/admin/src/bans.rs
+++ b/forwarder/admin/src/bans.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use plankhill_decisions::interface::{Listing, TargetId};
+use plankhill_decisions::interface::{EndpointState, TargetId};
 
 type Id = Rc<str>;
 
@@ -17,7 +17,7 @@
 pub struct Bans {
     banned: BTreeSet<Id>,
     /// What the list says now.
-    listed: HashMap<Id, Listing>,
+    listed: HashMap<Id, EndpointState>,
     /// Ids that were listed and are not any more, the latest last.
     gone: HashSet<Id>,
     by_leaving: VecDeque<Id>,
@@ -90,7 +90,7 @@
     }
 
     /// Bans the target or lifts its ban; what the module is to hear of it, if the list names it.
-    pub fn set(&mut self, id: &str, ban: bool) -> Option<Listing> {
+    pub fn set(&mut self, id: &str, ban: bool) -> Option<EndpointState> {
         match ban {
             true => self.banned.insert(id.into()),
             false => self.banned.remove(id),
@@ -110,7 +110,7 @@
     }
 
     /// The list names the target; what the module is to hear.
-    pub fn listed(&mut self, TargetId(id): &TargetId, listing: Listing) -> Listing {
+    pub fn listed(&mut self, TargetId(id): &TargetId, listing: EndpointState) -> EndpointState {
         if self.gone.remove(id) {
             self.by_leaving.retain(|other| other != id);
         }
@@ -143,9 +143,9 @@
         }
     }
 
-    fn overlaid(&self, id: &str, listing: Listing) -> Listing {
+    fn overlaid(&self, id: &str, listing: EndpointState) -> EndpointState {
         match listing {
-            Listing::Running if self.holds(id) => Listing::Leaving,
+            EndpointState::Running if self.holds(id) => EndpointState::Draining,
             as_told => as_told,
         }
     }
--- a/forwarder/admin/tests/orders.rs
+++ b/forwarder/admin/tests/orders.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use plankhill_admin::*;
-use plankhill_decisions::interface::{Listing, TargetId};
+use plankhill_decisions::interface::{EndpointState, TargetId};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -70,9 +70,9 @@
         for step in steps {
             match step {
                 Step::Listed(n, runs) => {
-                    let listing = if runs { Listing::Running } else { Listing::Leaving };
+                    let listing = if runs { EndpointState::Running } else { EndpointState::Draining };
                     let told = bans.listed(&id(n), listing);
-                    prop_assert_eq!(told == Listing::Running, runs && !banned.contains(&n));
+                    prop_assert_eq!(told == EndpointState::Running, runs && !banned.contains(&n));
                     list.insert(n, listing);
                     ever.insert(n);
                 }
@@ -90,8 +90,8 @@
                         if ban { banned.insert(n) } else { banned.remove(&n) };
                         let listed = list.get(&n).copied();
                         prop_assert_eq!(told.is_some(), listed.is_some());
-                        let runs = listed == Some(Listing::Running) && !ban;
-                        prop_assert_eq!(told == Some(Listing::Running), runs);
+                        let runs = listed == Some(EndpointState::Running) && !ban;
+                        prop_assert_eq!(told == Some(EndpointState::Running), runs);
                     }
                 },
                 Step::Restart => {
--- a/forwarder/cli/src/summary.rs
+++ b/forwarder/cli/src/summary.rs
@@ -72,7 +72,7 @@
         causes.sort_by(|a, b| b.1.total_cmp(a.1));
         for (cause, lost) in causes {
             let share = 100.0 * lost / totals.asked.max(1e-9);
-            writeln!(out, "  {share:6.2}%  {}", cause.words())?;
+            writeln!(out, "  {share:6.2}%  {}", cause.description())?;
         }
     }
     if outcome.broken() == 0 {
--- a/forwarder/cli/tests/convert.rs
+++ b/forwarder/cli/tests/convert.rs
@@ -88,7 +88,7 @@
         assert!(said.contains(line), "{line}\n{said}");
     }
     let new = told(&desk.0.join("new.json"));
-    assert!(!new.terms.pings_allowed && new.terms.longest_advice.is_none());
+    assert!(!new.terms.health_checks_allowed && new.terms.max_retry_after.is_none());
     assert!(new.names.sizes_are_rates && new.names.left_at == Some(0));
     let text: Value = serde_json::from_str(&desk.text("new.json")).expect("is JSON");
     assert_eq!(
@@ -102,7 +102,7 @@
         "the input is as it was"
     );
     assert!(
-        told(&desk.0.join("old.json")).terms.pings_allowed,
+        told(&desk.0.join("old.json")).terms.health_checks_allowed,
         "an old file reads as ever"
     );
 }
--- a/forwarder/config/src/decisions.rs
+++ b/forwarder/config/src/decisions.rs
@@ -23,11 +23,11 @@
 pub const LEFT: &str = "x0";
 
 /// The terms of the decisions out of the settings, which stand at `path`.
-pub fn terms(env: &Object, path: &str, seed: u64) -> Plain<(Terms, Names)> {
+pub fn terms(env: &Object, path: &str, seed: u64) -> Plain<(DecisionConfig, Names)> {
     read_terms(env, seed).map_err(|e| format!("{path}.{e}"))
 }
 
-fn read_terms(env: &Object, seed: u64) -> Plain<(Terms, Names)> {
+fn read_terms(env: &Object, seed: u64) -> Plain<(DecisionConfig, Names)> {
     let within = |what: &'static str| move |e: String| format!("{what}.{e}");
     let allowed = object(env, "allowed").map_err(within("allowed"))?;
     let rules = object(env, "rules").map_err(within("rules"))?;
@@ -88,39 +88,39 @@
     let per_call = family.get("perCall").and_then(Value::as_array);
     let kinds = (0..names.kinds.len())
         .map(|k| DestinationKind {
-            routes_apart: apart
+            independent_routes: apart
                 .and_then(|a| a.get(k))
                 .and_then(Value::as_bool)
                 .unwrap_or(false),
-            events_per_call: per_call
+            max_events_per_call: per_call
                 .and_then(|p| p.get(k))
                 .and_then(Value::as_u64)
                 .unwrap_or(1) as usize,
         })
         .collect();
     let flag = |field: &str| allowed.get(field) == Some(&Value::Bool(true));
-    let terms = Terms {
+    let terms = DecisionConfig {
         seed,
         instance: whole(env, "me")?,
-        forwarders: number(env, "balancers")?,
-        traffic,
-        kinds,
-        slots: count(family, "slots").map_err(within("familyInfo"))? as usize,
-        room: count(allowed, "maxOpen").map_err(within("allowed"))? as usize,
-        sends_cap: count(allowed, "attemptsCap").map_err(within("allowed"))? as u32,
-        pings_allowed: flag("probes"),
-        longest_advice: flag("retryAfter")
+        forwarder_count: number(env, "balancers")?,
+        traffic_types: traffic,
+        destination_kinds: kinds,
+        max_calls_in_flight: count(family, "slots").map_err(within("familyInfo"))? as usize,
+        event_capacity: count(allowed, "maxOpen").map_err(within("allowed"))? as usize,
+        max_attempts: count(allowed, "attemptsCap").map_err(within("allowed"))? as u32,
+        health_checks_allowed: flag("probes"),
+        max_retry_after: flag("retryAfter")
             .then(|| optional_time(allowed, "maxRetryAfterUs"))
             .transpose()?,
-        shares,
-        over_share_worth: match present(env, "overShareWorth") {
+        member_quotas: shares,
+        over_quota_value_weight: match present(env, "overShareWorth") {
             Some(_) => number(env, "overShareWorth")?,
             None => 1.0,
         },
-        cold_share: number(rules, "coldFrom").map_err(within("rules"))?,
-        warm_after: time(rules, "coldUs").map_err(within("rules"))?,
-        tip_multiple: number(rules, "tipMultiple").map_err(within("rules"))?,
-        key_rest: optional_time(rules, "keyQuietUs")?,
+        warm_up_initial_share: number(rules, "coldFrom").map_err(within("rules"))?,
+        warm_up_duration: time(rules, "coldUs").map_err(within("rules"))?,
+        overload_multiple: number(rules, "tipMultiple").map_err(within("rules"))?,
+        key_cooldown: optional_time(rules, "keyQuietUs")?,
         tuning: Tuning::default(),
     };
     Ok((terms, names))
@@ -128,20 +128,20 @@
 
 fn traffic_type(profile: &Object) -> Plain<(String, TrafficType)> {
     let effect = match text(profile, "semantics")? {
-        "pure" => Effect::Retriable,
-        "token" => Effect::Fingerprinted {
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::Deduplicated {
             window: time(profile, "windowUs")?,
-            one_zone: optional_text(profile, "dedupScope")?.is_some_and(|scope| scope != "all"),
+            per_zone: optional_text(profile, "dedupScope")?.is_some_and(|scope| scope != "all"),
         },
-        "side_effect" => Effect::Binding,
+        "side_effect" => Idempotency::NonIdempotent,
         other => return Err(format!("semantics: unknown word {other:?}")),
     };
     let traffic = TrafficType {
-        effect,
+        idempotency: effect,
         soft_limit: time(profile, "aimUs")?,
         patience: time(profile, "deadlineUs")?,
-        payoff: number(profile, "credit")?,
-        payoff_at_end: number(profile, "lateWorth")?,
+        value: number(profile, "credit")?,
+        value_at_end: number(profile, "lateWorth")?,
         ordered: profile.get("serialByKey") == Some(&Value::Bool(true)),
     };
     Ok((text(profile, "name")?.to_owned(), traffic))
--- a/forwarder/config/src/lib.rs
+++ b/forwarder/config/src/lib.rs
@@ -33,7 +33,7 @@
     pub disk: u64,
     /// The list of targets as it was last had, in discovery's form.
     pub known: Value,
-    pub terms: Terms,
+    pub terms: DecisionConfig,
     pub names: Names,
     pub connect_time_out: Ms,
     /// Connections that stand idle for so long are closed: before the target does.
@@ -140,9 +140,9 @@
     let (mut terms, names) = terms(settings, "settings", seed)?;
     // A call on sockets carries one event (`POST /receive`), whatever a call of the simulator may.
     terms
-        .kinds
+        .destination_kinds
         .iter_mut()
-        .for_each(|kind| kind.events_per_call = 1);
+        .for_each(|kind| kind.max_events_per_call = 1);
     let name = either("PROXY_NAME", "name")?.1;
     let fleet = fleet::fleet(&variable, &name)?;
     let pools = match &fleet {
--- a/forwarder/config/tests/told.rs
+++ b/forwarder/config/tests/told.rs
@@ -49,7 +49,7 @@
         ("n4", 1024, 3_000_000)
     );
     assert_eq!(
-        (told.connect_time_out, told.idle_limit, told.terms.slots),
+        (told.connect_time_out, told.idle_limit, told.terms.max_calls_in_flight),
         (1000.0, 13_500.0, 4)
     );
     assert_eq!(told.terms.seed, 0x8c1f30d27a5be964);
@@ -63,7 +63,7 @@
             && told.names.left_at.is_none()
             && told.names.members.is_empty()
     );
-    assert!(told.terms.shares.is_empty() && told.terms.over_share_worth == 1.0);
+    assert!(told.terms.member_quotas.is_empty() && told.terms.over_quota_value_weight == 1.0);
 }
 
 /// Met at a deployment whose kinds take several events in a call: each went as a call of its own, with one slot for all,
@@ -73,10 +73,10 @@
     let mut config = config();
     config["settings"]["familyInfo"]["perCall"] = json!([8]);
     let told = read("calls", &config).expect("right");
-    assert_eq!(told.terms.kinds[0].events_per_call, 1);
+    assert_eq!(told.terms.destination_kinds[0].max_events_per_call, 1);
     let settings = config["settings"].as_object().expect("given");
     let (simulated, _) = plankhill_forwarder_config::terms(settings, "settings", 1).expect("right");
-    assert_eq!(simulated.kinds[0].events_per_call, 8);
+    assert_eq!(simulated.destination_kinds[0].max_events_per_call, 8);
 }
 
 #[rstest]
@@ -91,7 +91,7 @@
         told.names.sizes_are_rates && told.names.left_at == Some(1) && told.names.members == ["a"]
     );
     assert_eq!(
-        (told.terms.shares, told.terms.over_share_worth),
+        (told.terms.member_quotas, told.terms.over_quota_value_weight),
         (vec![66.0], 0.05)
     );
 }
--- a/forwarder/emulator/benches/speed.rs
+++ b/forwarder/emulator/benches/speed.rs
@@ -5,7 +5,7 @@
 use std::collections::BinaryHeap;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use plankhill_emulator::chance::{exponential, stream, Concern};
+use plankhill_emulator::random::{exponential, stream, RandomStream};
 use plankhill_emulator::play;
 use plankhill_emulator::queue::Queue;
 use plankhill_forwarder_config::scenario::Scenario;
@@ -90,7 +90,7 @@
     let mut group = criterion.benchmark_group("queue");
     group.throughput(Throughput::Elements(TURNS));
     for held in [100, 10_000, 1_000_000] {
-        let mut chance = stream(1, Concern::Network);
+        let mut chance = stream(1, RandomStream::Network);
         let gaps: Vec<f64> = (0..4096)
             .map(|at| {
                 if at % 5 == 0 {
--- a/forwarder/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -15,7 +15,7 @@
 const STEP: Ms = 1000.0;
 
 /// The most payoff that the day's clients could be paid, as a share of what they ask for.
-pub fn most(scenario: &Scenario) -> f64 {
+pub fn max_value_share(scenario: &Scenario) -> f64 {
     let struck = Struck::new(scenario, scenario.seed);
     let mut events: Vec<Vec<(Ms, u8)>> = vec![Vec::new(); struck.weights.len()];
     let mut asked = 0.0;
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -8,8 +8,8 @@
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Zipf};
 
-use crate::chance::{draw, exponential, stream, Concern};
-use crate::outcome::Cause;
+use crate::random::{uniform, exponential, stream, RandomStream};
+use crate::outcome::LossCause;
 use crate::struck::Struck;
 
 /// An event as its client sees it, over all the times that it is handed in.
@@ -24,7 +24,7 @@
     /// How often it was dismissed and came again.
     pub returns: u32,
     /// What kept it from being delivered so far.
-    pub cause: Cause,
+    pub cause: LossCause,
 }
 
 /// What the event is worth when it is delivered at `at`.
@@ -80,7 +80,7 @@
         let mut sources = Vec::new();
         let mut add = |start: Ms, length: Ms, rate: f64, swings, left, whose| {
             if rate > 0.0 {
-                let chance = stream(seed.wrapping_add(sources.len() as u64), Concern::Arrivals);
+                let chance = stream(seed.wrapping_add(sources.len() as u64), RandomStream::Arrivals);
                 let (ends, gap) = ((start + length).min(scenario.length), 1000.0 / rate);
                 sources.push(Source {
                     next_at: start,
@@ -153,7 +153,7 @@
             clump: VecDeque::new(),
             traffic: WeightedAliasIndex::new(shares).expect("shares are checked"),
             keys_of,
-            chance: stream(seed, Concern::Front),
+            chance: stream(seed, RandomStream::Front),
             origins: 0,
         }
     }
@@ -175,7 +175,7 @@
             first_at: at,
             patience_ends: at + of.patience,
             returns: 0,
-            cause: Cause::Waited,
+            cause: LossCause::Waited,
         }
     }
 }
@@ -199,7 +199,7 @@
             let source = &mut self.sources[first?];
             let at = source.next_at;
             source.next_at += exponential(&mut source.chance, source.gap);
-            if source.swings && draw(&mut source.chance) > share_of_peak(self.scenario, at) {
+            if source.swings && uniform(&mut source.chance) > share_of_peak(self.scenario, at) {
                 continue;
             }
             source.left -= 1;
@@ -211,7 +211,7 @@
                 }
             };
             let of = &self.scenario.clients;
-            let clumped = of.clumps > 0.0 && draw(&mut self.chance) < of.clumps;
+            let clumped = of.clumps > 0.0 && uniform(&mut self.chance) < of.clumps;
             let extra = if clumped {
                 exponential(&mut self.chance, of.clump_size - 1.0).round() as usize
             } else {
--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -7,7 +7,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use plankhill_decisions::interface::{Fate, Listing, Ms, TargetId, Terms};
+use plankhill_decisions::interface::{AttemptOutcome, EndpointState, Ms, TargetId, DecisionConfig};
 use plankhill_forwarder_config::scenario;
 use slotmap::new_key_type;
 
@@ -21,7 +21,7 @@
         destination: u32,
         kind: usize,
         zone: usize,
-        listing: Listing,
+        listing: EndpointState,
     },
     Left {
         target: u32,
@@ -46,13 +46,13 @@
     },
     SendEnded {
         event: EventKey,
-        fate: Fate,
+        fate: AttemptOutcome,
         took: Ms,
         wait: Ms,
     },
     PingEnded {
         target: u32,
-        fate: Fate,
+        fate: AttemptOutcome,
     },
     Heard {
         event: EventKey,
@@ -110,7 +110,7 @@
 /// `time_out` is what a baseline gives each call.
 pub fn start(
     kind: scenario::Decider,
-    terms: Terms,
+    terms: DecisionConfig,
     time_out: Ms,
     names: &TargetNames,
     now: Ms,
--- a/forwarder/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -1,22 +1,22 @@
 //! The decision module through its public interface.
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use slotmap::{Key, KeyData};
 
 use super::{Decider, Decision, EventKey, Input, TargetNames};
 
 pub struct Module {
-    forwarder: Forwarder,
+    forwarder: Scheduler,
     names: TargetNames,
     /// Events taken in the present round: their client still waits, so that no notice is needed.
     fresh: Vec<EventKey>,
 }
 
 impl Module {
-    pub fn start(terms: Terms, names: TargetNames, now: Ms) -> Self {
+    pub fn start(terms: DecisionConfig, names: TargetNames, now: Ms) -> Self {
         Module {
-            forwarder: Forwarder::start(terms, now),
+            forwarder: Scheduler::new(terms, now),
             names,
             fresh: Vec::new(),
         }
@@ -53,18 +53,18 @@
         });
         fresh.extend(fresh_ones);
         let mut written = Written { out, fresh };
-        let came_in = |forwarder: &mut Forwarder, _: &mut Written| {
+        let came_in = |forwarder: &mut Scheduler, _: &mut Written| {
             inputs
                 .iter()
                 .try_for_each(|input| hand_over(forwarder, names, input))
         };
         forwarder
-            .round(now, came_in, &mut written)
+            .run_iteration(now, came_in, &mut written)
             .expect("the model names only what it introduced");
     }
 }
 
-fn hand_over(to: &mut Forwarder, names: &TargetNames, input: &Input) -> Known {
+fn hand_over(to: &mut Scheduler, names: &TargetNames, input: &Input) -> InputResult {
     let name = |target: u32| names.borrow()[target as usize].clone();
     match *input {
         Input::Listed {
@@ -73,14 +73,14 @@
             kind,
             zone,
             listing,
-        } => to.listed(
+        } => to.on_endpoint_listed(
             name(target),
             DestinationId(destination as u64),
-            KindId(kind),
+            DestinationKindId(kind),
             ZoneId(zone),
             listing,
         ),
-        Input::Left { target } => to.relisted(&name(target), Listing::Gone),
+        Input::Left { target } => to.set_endpoint_state(&name(target), EndpointState::Removed),
         Input::Taken {
             event,
             destination,
@@ -88,10 +88,10 @@
             patience_ends,
             key,
             ..
-        } => to.taken(
+        } => to.accept_event(
             event_id(event),
             DestinationId(destination as u64),
-            TrafficId(traffic),
+            TrafficTypeId(traffic),
             patience_ends,
             key.map(OrderKey),
         ),
@@ -102,35 +102,35 @@
             was_out,
         } => {
             let may_have_run = may_have_run.map(|(at, zone)| (at, ZoneId(zone)));
-            to.restored(&event_id(event), sends, may_have_run, was_out)
+            to.restore_attempts(&event_id(event), sends, may_have_run, was_out)
         }
-        Input::EndedBefore { event } => to.ended_before(&event_id(event)),
+        Input::EndedBefore { event } => to.restore_completed(&event_id(event)),
         Input::SendEnded {
             event,
             fate,
             took,
             wait,
         } => {
-            return to.send_ended(
+            return to.on_attempt_ended(
                 &event_id(event),
-                Ended {
-                    took,
-                    wait,
-                    ..Ended::plain(fate)
+                AttemptReport {
+                    elapsed: took,
+                    retry_after: wait,
+                    ..AttemptReport::from_outcome(fate)
                 },
             )
         }
         Input::PingEnded { target, fate } => {
             // The target may have been forgotten since: then nothing is to be learned from it.
-            let _ = to.ping_ended(&name(target), fate);
+            let _ = to.on_health_check_ended(&name(target), fate);
         }
-        Input::Heard { event } => to.heard(&event_id(event)),
+        Input::Heard { event } => to.on_completion_acknowledged(&event_id(event)),
         Input::WasCold {
             target,
             since,
             usual,
-        } => to.was_cold(&name(target), since, usual),
-        Input::Closing { ends } => to.closing(ends),
+        } => to.restore_warm_up(&name(target), since, usual),
+        Input::Closing { ends } => to.begin_shutdown(ends),
     }
     Ok(())
 }
@@ -154,36 +154,36 @@
     }
 }
 
-impl Decisions for Written<'_> {
-    fn send(&mut self, event: &EventId, target: &TargetId, time_out: Ms, _: Ms) {
+impl Effects for Written<'_> {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, _: Ms) {
         self.out.push(Decision::Send {
             event: event_key(event),
             target: target_number(target),
             time_out,
         });
     }
-    fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
+    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
         self.end(event, true, come_back_after)
     }
-    fn write_off(&mut self, event: &EventId) -> bool {
+    fn abandon(&mut self, event: &EventId) -> bool {
         self.end(event, false, None)
     }
-    fn ping(&mut self, target: &TargetId) {
+    fn health_check(&mut self, target: &TargetId) {
         self.out.push(Decision::Ping {
             target: target_number(target),
         });
     }
-    fn close_idle(&mut self, target: &TargetId) {
+    fn close_idle_connections(&mut self, target: &TargetId) {
         self.out.push(Decision::CloseIdle {
             target: target_number(target),
         });
     }
-    fn take_back(&mut self, target: &TargetId) {
+    fn cancel_unsent(&mut self, target: &TargetId) {
         self.out.push(Decision::TakeBack {
             target: target_number(target),
         });
     }
-    fn note_cold(&mut self, target: &TargetId, since: Ms, usual: f64) {
+    fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
         self.out.push(Decision::Cold {
             target: target_number(target),
             since,
--- a/forwarder/emulator/src/deciders/plain.rs
+++ b/forwarder/emulator/src/deciders/plain.rs
@@ -5,12 +5,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use plankhill_decisions::interface::{Fate, Listing, Ms, Terms};
+use plankhill_decisions::interface::{AttemptOutcome, EndpointState, Ms, DecisionConfig};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
 use super::{Decider, Decision, EventKey, Input};
-use crate::chance::{draw, stream, Concern};
+use crate::random::{uniform, stream, RandomStream};
 
 /// What one baseline does beyond trying.
 pub struct Habits {
@@ -65,7 +65,7 @@
 }
 
 pub struct Plain {
-    terms: Terms,
+    terms: DecisionConfig,
     habits: Habits,
     chance: ChaCha8Rng,
     events: FxHashMap<EventKey, Event>,
@@ -82,8 +82,8 @@
 }
 
 impl Plain {
-    pub fn new(terms: Terms, habits: Habits) -> Self {
-        let chance = stream(terms.seed, Concern::Baselines);
+    pub fn new(terms: DecisionConfig, habits: Habits) -> Self {
+        let chance = stream(terms.seed, RandomStream::Baselines);
         Plain {
             terms,
             habits,
@@ -112,7 +112,7 @@
             } => {
                 self.homes.insert(target, destination);
                 let to = self.destinations.entry(destination).or_default();
-                let runs = listing == Listing::Running;
+                let runs = listing == EndpointState::Running;
                 match to.targets.iter_mut().find(|(id, ..)| *id == target) {
                     Some(known) => known.2 = runs,
                     None => to.targets.push((target, zone, runs)),
@@ -137,7 +137,7 @@
                 again,
             } => {
                 self.taken += 1;
-                let key = key.filter(|_| self.terms.traffic[traffic].ordered);
+                let key = key.filter(|_| self.terms.traffic_types[traffic].ordered);
                 if let Some(key) = key {
                     self.keys.entry(key).or_default().queue.push_back(event);
                 }
@@ -180,7 +180,7 @@
                     .filter(|_| was_out)
                     .and_then(|key| self.keys.get_mut(&key))
                 {
-                    line.rests_until = now + self.terms.key_rest;
+                    line.rests_until = now + self.terms.key_cooldown;
                 }
             }
             Input::EndedBefore { event } => {
@@ -200,7 +200,7 @@
         }
     }
 
-    fn send_ended(&mut self, key: EventKey, fate: Fate, wait: Ms, now: Ms) {
+    fn send_ended(&mut self, key: EventKey, fate: AttemptOutcome, wait: Ms, now: Ms) {
         let Some(event) = self.events.get_mut(&key) else {
             return;
         };
@@ -212,12 +212,12 @@
         to.out -= 1;
         to.trial_out = false;
         to.closed_until = to.closed_until.max(now + wait);
-        let good = fate == Fate::Delivered;
+        let good = fate == AttemptOutcome::Delivered;
         if good {
             to.failures = 0;
             to.allowed += 1.0 / to.allowed.max(1.0);
-        } else if fate != Fate::NotSent {
-            to.failures += (fate != Fate::Full) as u32;
+        } else if fate != AttemptOutcome::NotSent {
+            to.failures += (fate != AttemptOutcome::Rejected) as u32;
             to.allowed = (to.allowed / 2.0).max(1.0);
             if to.failures >= 5 {
                 to.broken_until = now + 5_000.0;
@@ -229,15 +229,15 @@
                 .get_or_insert((event.not_before, zone as usize));
         }
         let ceiling = (FIRST_PAUSE * f64::powi(2.0, event.sends.min(10) as i32)).min(LONGEST_PAUSE);
-        event.not_before = now + ceiling * draw(&mut self.chance);
+        event.not_before = now + ceiling * uniform(&mut self.chance);
         let destination = event.destination;
-        let cut = matches!(fate, Fate::TimedOut | Fate::Reset | Fate::Cancelled);
+        let cut = matches!(fate, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
         if let Some(line) = event
             .key
             .filter(|_| cut)
             .and_then(|key| self.keys.get_mut(&key))
         {
-            line.rests_until = now + self.terms.key_rest;
+            line.rests_until = now + self.terms.key_cooldown;
         }
         if good {
             self.forget(key, now);
@@ -255,7 +255,7 @@
 
 impl Decider for Plain {
     fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
-        let had_room = self.out < self.terms.slots;
+        let had_room = self.out < self.terms.max_calls_in_flight;
         inputs.iter().for_each(|input| self.take(input, now));
         while let Some(&(at, key)) = self
             .ends
@@ -271,7 +271,7 @@
                 self.end(key, now, out);
             }
         }
-        if !had_room && self.out < self.terms.slots {
+        if !had_room && self.out < self.terms.max_calls_in_flight {
             let starved = self
                 .destinations
                 .iter()
--- a/forwarder/emulator/src/deciders/plain/serving.rs
+++ b/forwarder/emulator/src/deciders/plain/serving.rs
@@ -1,6 +1,6 @@
 //! What a baseline does with what waits: sends it, oldest first, or ends it.
 
-use plankhill_decisions::interface::{Effect, Ms};
+use plankhill_decisions::interface::{Idempotency, Ms};
 use rand::Rng;
 
 use super::{Event, Plain, LAST_MOMENT};
@@ -32,27 +32,27 @@
     /// Whether another send is over with, for good.
     pub(super) fn hopeless(&self, event: &Event, now: Ms) -> bool {
         let at = now.max(event.not_before);
-        let spent = event.sends >= self.terms.sends_cap.min(self.habits.sends);
-        let ran_out = match (event.may_have_run, self.terms.traffic[event.traffic].effect) {
-            (None, _) | (_, Effect::Retriable) => false,
-            (Some(_), Effect::Binding) => true,
-            (Some((sent, _)), Effect::Fingerprinted { window, .. }) => at >= sent + window,
+        let spent = event.sends >= self.terms.max_attempts.min(self.habits.sends);
+        let ran_out = match (event.may_have_run, self.terms.traffic_types[event.traffic].idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => false,
+            (Some(_), Idempotency::NonIdempotent) => true,
+            (Some((sent, _)), Idempotency::Deduplicated { window, .. }) => at >= sent + window,
         };
         spent || ran_out || now >= event.patience_ends - LAST_MOMENT
     }
 
     pub(super) fn end(&mut self, key: EventKey, now: Ms, out: &mut Vec<Decision>) {
         let event = self.events.get_mut(&key).expect("held");
-        let effect = self.terms.traffic[event.traffic].effect;
+        let effect = self.terms.traffic_types[event.traffic].idempotency;
         let bound = matches!(
             effect,
-            Effect::Binding | Effect::Fingerprinted { one_zone: true, .. }
+            Idempotency::NonIdempotent | Idempotency::Deduplicated { per_zone: true, .. }
         );
         let dismissed = event.may_have_run.is_none() || !bound;
         let by_notice = !event.fresh;
         event.unheard = by_notice;
         let (order, destination) = (event.order, event.destination);
-        let come_back_after = self.terms.longest_advice.filter(|_| dismissed);
+        let come_back_after = self.terms.max_retry_after.filter(|_| dismissed);
         out.push(Decision::End {
             event: key,
             dismissed,
@@ -99,7 +99,7 @@
             }
             let tripped = self.habits.breaker && to.failures >= 5;
             let full = self.habits.aimd && to.out as f64 >= to.allowed.max(4.0);
-            if self.out >= self.terms.slots
+            if self.out >= self.terms.max_calls_in_flight
                 || now >= self.sends_until
                 || full
                 || tripped && to.trial_out
@@ -122,8 +122,8 @@
             self.events.get_mut(&key).expect("held"),
             self.destinations.get_mut(&id).expect("seen"),
         );
-        let effect = self.terms.traffic[event.traffic].effect;
-        let bound = matches!(effect, Effect::Fingerprinted { one_zone: true, .. });
+        let effect = self.terms.traffic_types[event.traffic].idempotency;
+        let bound = matches!(effect, Idempotency::Deduplicated { per_zone: true, .. });
         let ran_in = event.may_have_run.filter(|_| bound).map(|(_, zone)| zone);
         let fits = |zone: usize| ran_in.is_none_or(|ran_in| ran_in == zone);
         let running: Vec<_> = to
--- a/forwarder/emulator/src/lib.rs
+++ b/forwarder/emulator/src/lib.rs
@@ -4,7 +4,7 @@
 //! is made and what it leaves out.
 
 pub mod bound;
-pub mod chance;
+pub mod random;
 pub mod clients;
 pub mod deciders;
 mod limits;
--- a/forwarder/emulator/src/outcome.rs
+++ b/forwarder/emulator/src/outcome.rs
@@ -8,7 +8,7 @@
 /// What kept payoff from being delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum LossCause {
     /// It was delivered, past its soft limit.
     Late,
     /// Not sent once: parked, or behind others.
@@ -31,19 +31,19 @@
     DayOver,
 }
 
-impl Cause {
-    pub fn words(self) -> &'static str {
+impl LossCause {
+    pub fn description(self) -> &'static str {
         match self {
-            Cause::Late => "delivered late",
-            Cause::Waited => "never sent: parked or behind others",
-            Cause::Refused => "refused by the destination",
-            Cause::Unconnected => "no connection",
-            Cause::Unanswered => "no answer in time",
-            Cause::Failed => "error or cut off",
-            Cause::MayHaveRun => "may have run, could not be sent again",
-            Cause::NoRoom => "turned away at the door",
-            Cause::NoForwarder => "no forwarder, or its machine lost",
-            Cause::DayOver => "the day ended first",
+            LossCause::Late => "delivered late",
+            LossCause::Waited => "never sent: parked or behind others",
+            LossCause::Refused => "refused by the destination",
+            LossCause::Unconnected => "no connection",
+            LossCause::Unanswered => "no answer in time",
+            LossCause::Failed => "error or cut off",
+            LossCause::MayHaveRun => "may have run, could not be sent again",
+            LossCause::NoRoom => "turned away at the door",
+            LossCause::NoForwarder => "no forwarder, or its machine lost",
+            LossCause::DayOver => "the day ended first",
         }
     }
 }
@@ -121,8 +121,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shade {
-    pub trouble: String,
+pub struct FaultInterval {
+    #[serde(rename = "trouble")]
+    pub fault: String,
     pub start: Ms,
     pub end: Ms,
 }
@@ -142,11 +143,12 @@
     /// Payoff delivered, as a share of what was asked for.
     pub payoff: f64,
     pub totals: Totals,
-    pub causes: BTreeMap<Cause, f64>,
+    pub causes: BTreeMap<LossCause, f64>,
     pub traffic: Vec<TrafficOutcome>,
     pub series: Series,
     pub heat: Vec<HeatRow>,
-    pub shades: Vec<Shade>,
+    #[serde(rename = "shades")]
+    pub fault_intervals: Vec<FaultInterval>,
     pub rules: Vec<RuleCount>,
     pub breaches: Vec<String>,
 }
--- a/forwarder/emulator/src/chance.rs
+++ b/forwarder/emulator/src/random.rs
@@ -7,7 +7,7 @@
 
 /// What a stream of chance is for.
 #[derive(Clone, Copy)]
-pub enum Concern {
+pub enum RandomStream {
     Arrivals = 1,
     Answers = 2,
     Network = 3,
@@ -20,20 +20,20 @@
     Baselines = 10,
 }
 
-pub fn stream(seed: u64, concern: Concern) -> ChaCha8Rng {
+pub fn stream(seed: u64, concern: RandomStream) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(concern as u64);
     rng
 }
 
 /// Evenly from 0 to 1.
-pub fn draw(rng: &mut ChaCha8Rng) -> f64 {
+pub fn uniform(rng: &mut ChaCha8Rng) -> f64 {
     // The top 53 bits, as whole numbers: the same on every machine.
     (rng.random::<u64>() >> 11) as f64 / (1u64 << 53) as f64
 }
 
 pub fn between(rng: &mut ChaCha8Rng, low: f64, high: f64) -> f64 {
-    low + (high - low) * draw(rng)
+    low + (high - low) * uniform(rng)
 }
 
 /// With this mean.
@@ -71,12 +71,12 @@
         }
     }
 
-    pub fn draw(&self, rng: &mut ChaCha8Rng) -> Ms {
+    pub fn uniform(&self, rng: &mut ChaCha8Rng) -> Ms {
         match self.shape {
             Shape::Fixed => self.mean,
             Shape::Exponential => exponential(rng, self.mean),
             Shape::LogNormal => self.body.sample(rng),
-            Shape::Tailed if draw(rng) < self.tail_share => self.tail.sample(rng),
+            Shape::Tailed if uniform(rng) < self.tail_share => self.tail.sample(rng),
             Shape::Tailed => self.body.sample(rng),
         }
     }
--- a/forwarder/emulator/src/struck.rs
+++ b/forwarder/emulator/src/struck.rs
@@ -3,7 +3,7 @@
 
 use plankhill_forwarder_config::scenario::{Scenario, Trouble};
 
-use crate::chance::{draw, stream, Concern};
+use crate::random::{uniform, stream, RandomStream};
 
 pub struct Struck {
     /// By destination: its share of the traffic.
@@ -19,7 +19,7 @@
 impl Struck {
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let (weights, groups) = popularity(scenario);
-        let mut chance = stream(seed, Concern::Struck);
+        let mut chance = stream(seed, RandomStream::Struck);
         let by_use = by_use(&weights);
         let mut destinations = Vec::new();
         let mut forwarders = Vec::new();
@@ -35,7 +35,7 @@
                 list.retain(|at| *at as usize % scenario.clients.tenants == tenant);
             }
             if let Some(share) = whom.at_random {
-                list.retain(|_| draw(&mut chance) < share);
+                list.retain(|_| uniform(&mut chance) < share);
             }
             if let Some(most) = whom.first {
                 list.truncate(most);
@@ -51,7 +51,7 @@
             list.sort_unstable();
             destinations.push(list);
             forwarders.push(struck_forwarders(scenario, trouble, &mut || {
-                draw(&mut chance)
+                uniform(&mut chance)
             }));
         }
         Struck {
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 use plankhill_forwarder_config::scenario::{Decider, Ms, Scenario};
-use plankhill_invariants::{Checker, Rule};
+use plankhill_invariants::{Checker, Invariant};
 use rustc_hash::FxHashMap;
 
 use crate::clients::{worth, Ticket};
@@ -29,7 +29,7 @@
     pub totals: Totals,
     pub series: Series,
     traffic: Vec<TrafficTally>,
-    causes: BTreeMap<Cause, f64>,
+    causes: BTreeMap<LossCause, f64>,
     rows: FxHashMap<u32, usize>,
     heat: Vec<HeatRow>,
     /// Destinations that a trouble strikes, in order.
@@ -134,7 +134,7 @@
         let step = self.step(ticket.first_at);
         self.series.paid[step] += paid;
         if traffic.payoff > paid {
-            *self.causes.entry(Cause::Late).or_default() += traffic.payoff - paid;
+            *self.causes.entry(LossCause::Late).or_default() += traffic.payoff - paid;
         }
         let of = &mut self.traffic[ticket.traffic as usize];
         of.delivered += 1;
@@ -145,7 +145,7 @@
     }
 
     /// The event will not be delivered any more, whatever its client does.
-    pub fn unpaid(&mut self, scenario: &Scenario, ticket: &Ticket, cause: Cause) {
+    pub fn unpaid(&mut self, scenario: &Scenario, ticket: &Ticket, cause: LossCause) {
         *self.causes.entry(cause).or_default() += scenario.traffic[ticket.traffic as usize].payoff;
     }
 
@@ -208,8 +208,8 @@
                     })
                     .collect(),
             });
-        let shades = scenario.troubles.iter().map(|trouble| Shade {
-            trouble: format!("{:?}", trouble.kind),
+        let shades = scenario.troubles.iter().map(|trouble| FaultInterval {
+            fault: format!("{:?}", trouble.kind),
             start: trouble.start,
             end: (trouble.start + trouble.length).min(scenario.length),
         });
@@ -231,8 +231,8 @@
             traffic: traffic.collect(),
             series: self.series,
             heat: self.heat,
-            shades: shades.collect(),
-            rules: Rule::ALL
+            fault_intervals: shades.collect(),
+            rules: Invariant::ALL
                 .iter()
                 .map(|rule| RuleCount {
                     rule: rule.name().to_owned(),
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -1,17 +1,17 @@
 //! The way back of a call, and all that ends the forwarder's side of it.
 
-use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::TroubleKind;
-use plankhill_invariants::Fact;
+use plankhill_invariants::Observation;
 
 use super::parts::Member;
 use super::{CallKey, Step, World};
-use crate::chance::draw;
+use crate::random::uniform;
 use crate::deciders::Input;
 
 impl World<'_> {
     /// The target answers now: the answer travels back, unless something takes it.
-    pub(super) fn respond(&mut self, key: CallKey, fate: Fate, wait: Ms) {
+    pub(super) fn respond(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
         (call.fate, call.wait) = (fate, wait);
         let (forwarder, target) = (call.forwarder, call.target);
@@ -58,15 +58,15 @@
             return;
         };
         let fate = if call.written {
-            Fate::TimedOut
+            AttemptOutcome::TimedOut
         } else {
-            Fate::NoConnection
+            AttemptOutcome::ConnectFailed
         };
         self.call_over(key, fate, 0.0);
     }
 
     /// The forwarder learns how the call ended, with its next round.
-    pub(super) fn call_over(&mut self, key: CallKey, fate: Fate, wait: Ms) {
+    pub(super) fn call_over(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
         call.over_here = true;
         let (forwarder, target, lane, ping, began) = (
@@ -79,16 +79,16 @@
         let (in_outage, written, there) = (call.in_outage, call.written, call.there);
         let members = call.members.clone();
         let destination = self.targets[target as usize].destination;
-        let good = fate == Fate::Delivered;
-        if !good && fate != Fate::NotSent {
+        let good = fate == AttemptOutcome::Delivered;
+        if !good && fate != AttemptOutcome::NotSent {
             self.tally
-                .call_failed(destination, self.now, fate == Fate::Full);
+                .call_failed(destination, self.now, fate == AttemptOutcome::Rejected);
         }
         if !good && in_outage {
-            self.tell(Fact::SawFailure { forwarder, lane });
+            self.tell(Observation::SawFailure { forwarder, lane });
         }
         if written && self.tracked(destination) {
-            let kept = matches!(fate, Fate::Delivered | Fate::Full | Fate::Error);
+            let kept = matches!(fate, AttemptOutcome::Delivered | AttemptOutcome::Rejected | AttemptOutcome::Error);
             self.put_back(forwarder, target, kept);
         }
         let took = self.now - began;
@@ -112,7 +112,7 @@
             );
         }
         // A connection still coming up is given back when it is up.
-        let coming_up = !written && fate != Fate::NoConnection && self.tracked(destination);
+        let coming_up = !written && fate != AttemptOutcome::ConnectFailed && self.tracked(destination);
         if !there && !coming_up {
             self.calls.remove(key);
         }
@@ -142,7 +142,7 @@
             it.waiting.clear();
         }
         for key in there {
-            let ran = self.calls[key].served && draw(&mut self.chance_faults) < 0.5;
+            let ran = self.calls[key].served && uniform(&mut self.chance_faults) < 0.5;
             if ran {
                 self.apply(key);
             }
@@ -153,7 +153,7 @@
             if call.over_here {
                 self.calls.remove(key);
             } else {
-                self.respond(key, Fate::Reset, 0.0);
+                self.respond(key, AttemptOutcome::Reset, 0.0);
             }
         }
     }
@@ -163,11 +163,11 @@
         let life = self.forwarders[forwarder as usize].life;
         let unwritten = self.calls.iter().filter(|(_, call)| {
             let ours = call.forwarder == forwarder && call.life == life && call.target == target;
-            ours && !call.written && !call.over_here && call.fate != Fate::NoConnection
+            ours && !call.written && !call.over_here && call.fate != AttemptOutcome::ConnectFailed
         });
         let unwritten: Vec<CallKey> = unwritten.map(|(key, _)| key).collect();
         for key in unwritten {
-            self.call_over(key, Fate::NotSent, 0.0);
+            self.call_over(key, AttemptOutcome::NotSent, 0.0);
         }
     }
 }
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -1,13 +1,13 @@
 //! A call at its target: the limit, the queue and the servers. The forwarder's side of it may be over (timed
 //! out) while the target's is not; the call is forgotten when both are.
 
-use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::Repeats;
-use plankhill_invariants::Fact;
+use plankhill_invariants::Observation;
 
 use super::parts::{Call, Event, Member};
 use super::{CallKey, Step, World};
-use crate::chance::draw;
+use crate::random::uniform;
 use crate::deciders::EventKey;
 
 /// What each further event of a call weighs, as the deployments' pages have it: only a little.
@@ -58,7 +58,7 @@
             there: false,
             served: false,
             in_outage: false,
-            fate: Fate::Delivered,
+            fate: AttemptOutcome::Delivered,
             wait: 0.0,
             mute: false,
             work,
@@ -94,7 +94,7 @@
         let plight = self.plight(target);
         if plight.down {
             // It went while the call was on its way.
-            return self.respond(key, Fate::Reset, 0.0);
+            return self.respond(key, AttemptOutcome::Reset, 0.0);
         }
         if plight.silent || plight.half_open && reused {
             return;
@@ -112,18 +112,18 @@
             } else {
                 0.0
             };
-            return self.respond(key, Fate::Full, wait);
+            return self.respond(key, AttemptOutcome::Rejected, wait);
         }
-        if plight.erring > 0.0 && draw(&mut self.chance_faults) < plight.erring {
-            if draw(&mut self.chance_faults) < 0.5 {
-                return self.respond(key, Fate::Error, 0.0);
+        if plight.erring > 0.0 && uniform(&mut self.chance_faults) < plight.erring {
+            if uniform(&mut self.chance_faults) < 0.5 {
+                return self.respond(key, AttemptOutcome::Error, 0.0);
             }
-            self.calls[key].fate = Fate::Error;
-        } else if plight.resetting > 0.0 && draw(&mut self.chance_faults) < plight.resetting {
-            if draw(&mut self.chance_faults) < 0.5 {
-                return self.respond(key, Fate::Reset, 0.0);
+            self.calls[key].fate = AttemptOutcome::Error;
+        } else if plight.resetting > 0.0 && uniform(&mut self.chance_faults) < plight.resetting {
+            if uniform(&mut self.chance_faults) < 0.5 {
+                return self.respond(key, AttemptOutcome::Reset, 0.0);
             }
-            self.calls[key].fate = Fate::Reset;
+            self.calls[key].fate = AttemptOutcome::Reset;
         }
         self.calls[key].mute = plight.hung;
         let servers = (group.servers as f64 * plight.left_of_limit)
@@ -140,7 +140,7 @@
             self.lanes[lane as usize].gauge.inside += 1;
             self.calls[key].there = true;
         } else {
-            self.respond(key, Fate::Full, 0.0);
+            self.respond(key, AttemptOutcome::Rejected, 0.0);
         }
     }
 
@@ -153,7 +153,7 @@
         let it = &self.targets[target as usize];
         let group = self.destinations[it.destination as usize].group as usize;
         let factor = it.factor * work * self.plight(target).slow / self.warmth(lane);
-        let takes = self.answers[group].draw(&mut self.chance_answers) * factor;
+        let takes = self.answers[group].uniform(&mut self.chance_answers) * factor;
         self.queue.put(self.now + takes, Step::Served(key));
     }
 
@@ -168,7 +168,7 @@
         let (target, lane, fate, over_here, mute) =
             (call.target, call.lane, call.fate, call.over_here, call.mute);
         self.apply(key);
-        self.tally.totals.ran_unheard += (over_here || mute || fate != Fate::Delivered) as u64;
+        self.tally.totals.ran_unheard += (over_here || mute || fate != AttemptOutcome::Delivered) as u64;
         self.leave_server(target, lane);
         if over_here {
             self.calls.remove(key);
@@ -188,7 +188,7 @@
         } in &members
         {
             let effect = self.effect(traffic);
-            self.tell(Fact::Applied {
+            self.tell(Observation::Applied {
                 event: number,
                 origin,
                 effect,
@@ -197,12 +197,12 @@
         self.calls[key].members = members;
     }
 
-    pub(super) fn effect(&self, traffic: u8) -> plankhill_invariants::Effect {
+    pub(super) fn effect(&self, traffic: u8) -> plankhill_invariants::Idempotency {
         let of = &self.scenario.traffic[traffic as usize];
         match of.effect {
-            Repeats::Retriable => plankhill_invariants::Effect::Retriable,
-            Repeats::Binding => plankhill_invariants::Effect::Binding,
-            Repeats::Fingerprinted => plankhill_invariants::Effect::Fingerprinted {
+            Repeats::Retriable => plankhill_invariants::Idempotency::Idempotent,
+            Repeats::Binding => plankhill_invariants::Idempotency::NonIdempotent,
+            Repeats::Fingerprinted => plankhill_invariants::Idempotency::Deduplicated {
                 window: of.window,
                 one_group: of.one_zone,
             },
--- a/forwarder/emulator/src/world/clients_side.rs
+++ b/forwarder/emulator/src/world/clients_side.rs
@@ -1,14 +1,14 @@
 //! Clients: handing in, hearing of ends, and coming again.
 
-use plankhill_decisions::interface::{Listing, Ms};
-use plankhill_invariants::{End, Fact};
+use plankhill_decisions::interface::{EndpointState, Ms};
+use plankhill_invariants::{Completion, Observation};
 
 use super::parts::{Event, Incoming};
 use super::{Step, World};
-use crate::chance::{between, draw, exponential};
+use crate::random::{between, uniform, exponential};
 use crate::clients::Ticket;
 use crate::deciders::{EventKey, Input};
-use crate::outcome::Cause;
+use crate::outcome::LossCause;
 
 /// What is left of an event's patience at the door, at the least.
 const LEAST_PATIENCE: Ms = 100.0;
@@ -23,7 +23,7 @@
         let count = self.forwarders.len();
         let first = match ticket.key {
             Some(key) => (key.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % count,
-            None => (draw(&mut self.chance_returns) * count as f64) as usize,
+            None => (uniform(&mut self.chance_returns) * count as f64) as usize,
         };
         let lag = self.scenario.forwarders.front_lag;
         let believed = |at: &usize| {
@@ -49,10 +49,10 @@
         let targets = &self.destinations[ticket.destination as usize].targets;
         let named = targets
             .iter()
-            .any(|target| self.targets[*target as usize].as_of(heard) != Listing::Gone);
+            .any(|target| self.targets[*target as usize].as_of(heard) != EndpointState::Removed);
         let full = self.forwarders[at as usize].held >= self.scenario.forwarders.room;
         if full || !named || ticket.patience_ends - self.now < LEAST_PATIENCE {
-            ticket.cause = Cause::NoRoom;
+            ticket.cause = LossCause::NoRoom;
             self.tally.totals.dismissed += 1;
             return self.dismissed(ticket, self.scenario.rules.longest_advice);
         }
@@ -62,7 +62,7 @@
         let of = &self.scenario.traffic[ticket.traffic as usize];
         let key = ticket.key.filter(|_| of.ordered);
         let (origin, patience_ends) = (ticket.origin, ticket.patience_ends);
-        self.tell(Fact::Taken {
+        self.tell(Observation::Taken {
             forwarder: at,
             event: number,
             origin,
@@ -71,7 +71,7 @@
             patience_ends,
         });
         let (destination, traffic) = (ticket.destination, ticket.traffic as usize);
-        ticket.cause = Cause::Waited;
+        ticket.cause = LossCause::Waited;
         let event = self.events.insert(Event {
             ticket,
             number,
@@ -99,7 +99,7 @@
     /// Nobody took the event: the client tries again while that can matter.
     pub(super) fn not_handed_in(&mut self, mut ticket: Ticket) {
         let again = exponential(&mut self.chance_returns, self.scenario.clients.again_after);
-        ticket.cause = Cause::NoForwarder;
+        ticket.cause = LossCause::NoForwarder;
         self.comes_again(ticket, again);
     }
 
@@ -144,17 +144,17 @@
         if dismissed {
             self.dismissed(ticket, come_back_after);
         } else {
-            self.tally.unpaid(self.scenario, &ticket, Cause::MayHaveRun);
+            self.tally.unpaid(self.scenario, &ticket, LossCause::MayHaveRun);
         }
     }
 
     pub(super) fn delivered(&mut self, at: u32, key: EventKey) {
         let event = self.events.remove(key).expect("held");
         self.forwarders[at as usize].held -= 1;
-        self.tell(Fact::Ended {
+        self.tell(Observation::Ended {
             forwarder: at,
             event: event.number,
-            end: End::Completed,
+            end: Completion::Completed,
             by_notice: false,
         });
         self.tally.delivered(self.scenario, &event.ticket, self.now);
@@ -179,11 +179,11 @@
             self.tally.totals.written_off += 1;
         }
         let end = if dismissed {
-            End::Dismissed
+            Completion::Rejected
         } else {
-            End::WrittenOff
+            Completion::Abandoned
         };
-        self.tell(Fact::Ended {
+        self.tell(Observation::Ended {
             forwarder: at,
             event: number,
             end,
--- a/forwarder/emulator/src/world/cold.rs
+++ b/forwarder/emulator/src/world/cold.rs
@@ -2,9 +2,9 @@
 
 use std::collections::VecDeque;
 
-use plankhill_decisions::interface::Listing;
+use plankhill_decisions::interface::EndpointState;
 use plankhill_forwarder_config::scenario::Ms;
-use plankhill_invariants::Fact;
+use plankhill_invariants::Observation;
 
 use super::ground::Cold;
 use super::{Step, World};
@@ -65,8 +65,8 @@
                 None => load.push((forwarder, weight)),
             }
         }
-        self.tell(Fact::Tipped { lane, load });
-        self.tell(Fact::OutageBegan { lane });
+        self.tell(Observation::Tipped { lane, load });
+        self.tell(Observation::OutageBegan { lane });
         self.queue.put(until, Step::Upright(lane));
         self.break_calls(of);
     }
@@ -82,7 +82,7 @@
         let listed = targets
             .iter()
             .copied()
-            .filter(|t| self.targets[*t as usize].listing == Listing::Running);
+            .filter(|t| self.targets[*t as usize].listing == EndpointState::Running);
         let mut lanes: Vec<(u32, bool)> = Vec::new();
         for target in listed {
             let (lane, out) = (
@@ -98,7 +98,7 @@
             let it = &mut self.lanes[lane as usize];
             if out && !it.outage {
                 (it.outage, it.cold) = (true, None);
-                self.tell(Fact::OutageBegan { lane });
+                self.tell(Observation::OutageBegan { lane });
             } else if !out && it.outage {
                 it.outage = false;
                 it.cold = Some(Box::new(Cold {
@@ -117,7 +117,7 @@
         let it = &mut self.lanes[lane as usize];
         if it.cold.as_ref().is_some_and(|cold| cold.since == since) {
             it.cold = None;
-            self.tell(Fact::Warm { lane });
+            self.tell(Observation::Warm { lane });
         }
     }
 }
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -1,7 +1,7 @@
 //! Connections: opened, taken while they stand idle, put back, closed and dropped unseen.
 
-use plankhill_decisions::interface::{Fate, Listing, Ms};
-use plankhill_invariants::Fact;
+use plankhill_decisions::interface::{AttemptOutcome, EndpointState, Ms};
+use plankhill_invariants::Observation;
 
 use super::parts::Idle;
 use super::{CallKey, Step, World};
@@ -37,7 +37,7 @@
         let back = self.travel(to, from);
         let (Some(there), Some(back)) = (there, back) else {
             // Nothing comes back: the connection counts as refused after its own time.
-            self.calls[key].fate = Fate::NoConnection;
+            self.calls[key].fate = AttemptOutcome::ConnectFailed;
             self.queue.put(
                 self.now + self.scenario.network.connect_time_out,
                 Step::Answered(key),
@@ -47,7 +47,7 @@
         if plight.down || full {
             let outage = self.lanes[self.targets[target as usize].lane as usize].outage;
             let call = &mut self.calls[key];
-            (call.fate, call.in_outage) = (Fate::NoConnection, outage);
+            (call.fate, call.in_outage) = (AttemptOutcome::ConnectFailed, outage);
             self.queue.put(self.now + there + back, Step::Answered(key));
             return;
         }
@@ -92,14 +92,14 @@
         let from = self.forwarders[forwarder as usize].zone;
         let to = self.targets[target as usize].zone as usize;
         if ping {
-            self.tell(Fact::Pinged {
+            self.tell(Observation::Pinged {
                 forwarder,
                 target,
                 lane,
             });
         }
         for member in &members {
-            self.tell(Fact::Sent {
+            self.tell(Observation::Sent {
                 forwarder,
                 event: member.number,
                 target,
@@ -112,7 +112,7 @@
             return;
         };
         if dropped {
-            self.calls[key].fate = Fate::Reset;
+            self.calls[key].fate = AttemptOutcome::Reset;
             self.queue.put(self.now + 2.0 * travel, Step::Answered(key));
         } else {
             self.queue.put(self.now + travel, Step::Reaches(key));
@@ -144,7 +144,7 @@
     }
 
     pub(super) fn put_back(&mut self, forwarder: u32, target: u32, kept: bool) {
-        if !kept || self.targets[target as usize].listing == Listing::Gone {
+        if !kept || self.targets[target as usize].listing == EndpointState::Removed {
             return self.close_connections(target, 1);
         }
         let idle = Idle {
--- a/forwarder/emulator/src/world/ground.rs
+++ b/forwarder/emulator/src/world/ground.rs
@@ -2,11 +2,11 @@
 
 use std::collections::VecDeque;
 
-use plankhill_decisions::interface::Listing;
+use plankhill_decisions::interface::EndpointState;
 use plankhill_forwarder_config::scenario::{Group, Ms, Scenario, TroubleKind};
 
 use super::{CallKey, World};
-use crate::chance::{between, stream, Concern};
+use crate::random::{between, stream, RandomStream};
 use crate::limits::Gauge;
 use crate::struck::Struck;
 
@@ -27,9 +27,9 @@
     pub waiting: VecDeque<CallKey>,
     pub connections: u32,
     /// As the list says now.
-    pub listing: Listing,
+    pub listing: EndpointState,
     /// By change of the list, from the first; running before.
-    pub told: Vec<(u32, Listing)>,
+    pub told: Vec<(u32, EndpointState)>,
     /// Not there: its place was given up.
     pub left: bool,
 }
@@ -86,7 +86,7 @@
     struck: &Struck,
     seed: u64,
 ) -> (Vec<Destination>, Vec<Target>, Vec<Lane>) {
-    let mut chance = stream(seed, Concern::Targets);
+    let mut chance = stream(seed, RandomStream::Targets);
     let (mut destinations, mut targets, mut lanes) = (Vec::new(), Vec::new(), Vec::new());
     for (at, &group) in struck.groups.iter().enumerate() {
         let of = &scenario.destinations[group as usize];
@@ -142,20 +142,20 @@
             busy: 0,
             waiting: VecDeque::new(),
             connections: 0,
-            listing: Listing::Running,
+            listing: EndpointState::Running,
             told: Vec::new(),
             left: false,
         }
     }
 
     /// How the list speaks of the target for one that has heard so many changes.
-    pub fn as_of(&self, changes: usize) -> Listing {
+    pub fn as_of(&self, changes: usize) -> EndpointState {
         let heard = self
             .told
             .iter()
             .rev()
             .find(|(change, _)| (*change as usize) < changes);
-        heard.map_or(Listing::Running, |(_, listing)| *listing)
+        heard.map_or(EndpointState::Running, |(_, listing)| *listing)
     }
 }
 
@@ -223,7 +223,7 @@
         for &target in &self.destinations[of as usize].targets {
             let it = &self.targets[target as usize];
             let plight = self.plight(target);
-            if it.lane == lane && it.listing != Listing::Gone && !plight.is_outage() {
+            if it.lane == lane && it.listing != EndpointState::Removed && !plight.is_outage() {
                 sum += self.full_pace(target) * plight.left_of_limit / plight.slow;
                 left = left.min(plight.left_of_limit);
             }
--- a/forwarder/emulator/src/world/lists.rs
+++ b/forwarder/emulator/src/world/lists.rs
@@ -1,10 +1,10 @@
 //! The list as each forwarder has heard it.
 
-use plankhill_decisions::interface::Listing;
-use plankhill_invariants::Fact;
+use plankhill_decisions::interface::EndpointState;
+use plankhill_invariants::Observation;
 
 use super::{Step, World};
-use crate::chance::{between, draw};
+use crate::random::{between, uniform};
 use crate::deciders::Input;
 
 impl World<'_> {
@@ -17,7 +17,7 @@
         let heard = self.forwarders[at as usize].heard;
         for target in self.destinations[destination as usize].targets.clone() {
             let listing = self.targets[target as usize].as_of(heard);
-            if listing != Listing::Gone {
+            if listing != EndpointState::Removed {
                 self.list_one(at, target, listing, inputs);
             }
         }
@@ -27,16 +27,16 @@
         &mut self,
         at: u32,
         target: u32,
-        listing: Listing,
+        listing: EndpointState,
         inputs: &mut Vec<Input>,
     ) {
-        self.tell(Fact::Listed {
+        self.tell(Observation::Listed {
             forwarder: at,
             target,
-            leaves: listing != Listing::Running,
+            leaves: listing != EndpointState::Running,
         });
         let it = &self.targets[target as usize];
-        if listing == Listing::Gone {
+        if listing == EndpointState::Removed {
             return inputs.push(Input::Left { target });
         }
         let kind = self.destinations[it.destination as usize].group as usize;
@@ -51,7 +51,7 @@
     }
 
     /// The list changed at a target: every forwarder hears of it in its own time.
-    pub(super) fn list_changed(&mut self, target: u32, listing: Listing) {
+    pub(super) fn list_changed(&mut self, target: u32, listing: EndpointState) {
         let change = self.changes.len() as u32;
         self.changes.push((self.now, target));
         let it = &mut self.targets[target as usize];
@@ -85,7 +85,7 @@
         news.extend(it.heard as u32..self.changes.len() as u32);
         it.heard = self.changes.len();
         for change in news {
-            if partial > 0.0 && draw(&mut self.chance_lists) < partial {
+            if partial > 0.0 && uniform(&mut self.chance_lists) < partial {
                 self.forwarders[at as usize].missed.push(change);
                 continue;
             }
--- a/forwarder/emulator/src/world/lives.rs
+++ b/forwarder/emulator/src/world/lives.rs
@@ -1,16 +1,16 @@
 //! Lives of a forwarder: its start, stalls and ends, the record that outlasts a process, and what happens to
 //! what was held when one ends.
 
-use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::Repeats;
-use plankhill_invariants::{Cut, Fact};
+use plankhill_invariants::{Cut, Observation};
 use rustc_hash::FxHashSet;
 
 use super::parts::Incoming;
 use super::{CallKey, Step, World};
-use crate::chance::exponential;
+use crate::random::exponential;
 use crate::deciders::{EventKey, Input};
-use crate::outcome::Cause;
+use crate::outcome::LossCause;
 
 /// A process that was asked to end stays for so long at the least: clients still come.
 pub(super) const CLOSING_LEAST: Ms = 1_000.0;
@@ -23,14 +23,14 @@
         }
         it.stalled_until = it.stalled_until.max(until);
         let life = it.life;
-        self.tell(Fact::Halted { forwarder: at });
+        self.tell(Observation::Halted { forwarder: at });
         self.queue.put(until, Step::Recovers(at, life));
     }
 
     pub(super) fn recovers(&mut self, at: u32, life: u32) {
         let it = &self.forwarders[at as usize];
         if it.life == life && it.stalled_until <= self.now {
-            self.tell(Fact::Resumed {
+            self.tell(Observation::Resumed {
                 forwarder: at,
                 anew: false,
             });
@@ -73,7 +73,7 @@
         it.told.clear();
         let inbox = std::mem::take(&mut it.inbox);
         let targets: Vec<u32> = it.idle.keys().copied().collect();
-        self.tell(Fact::Halted { forwarder: at });
+        self.tell(Observation::Halted { forwarder: at });
         targets
             .into_iter()
             .for_each(|target| self.close_idle(at, target));
@@ -89,7 +89,7 @@
                     // The client has heard, only the process has not.
                     if let Some(held) = self.events.remove(event) {
                         self.forwarders[at as usize].held -= 1;
-                        self.tell(Fact::Heard { event: held.number });
+                        self.tell(Observation::Heard { event: held.number });
                     }
                 }
                 Incoming::Input(Input::SendEnded { event, .. }, Some((_, false))) => {
@@ -118,7 +118,7 @@
             call.over_here = true;
             let (target, written) = (call.target, call.written);
             // A connection that is coming up is given back when it is up.
-            let coming_up = !written && call.fate != Fate::NoConnection;
+            let coming_up = !written && call.fate != AttemptOutcome::ConnectFailed;
             if !written {
                 unwritten.extend(call.members.iter().map(|member| member.event));
             }
@@ -142,7 +142,7 @@
             let event = &mut self.events[key];
             event.may_have_run.get_or_insert((event.sent_at, zone));
             if !unwritten.contains(&key) {
-                self.tell(Fact::SendOver {
+                self.tell(Observation::SendOver {
                     forwarder: at,
                     event: number,
                     cut: Cut::Short,
@@ -167,17 +167,17 @@
         self.forwarders[at as usize].held = 0;
         for (number, key) in held {
             let event = self.events.remove(key).expect("held");
-            self.tell(Fact::Lost { event: number });
+            self.tell(Observation::Lost { event: number });
             if event.ended && event.unheard.is_none() {
                 continue; // its client has heard
             }
             self.tally.totals.lost += 1;
             let mut ticket = event.ticket;
-            ticket.cause = Cause::NoForwarder;
+            ticket.cause = LossCause::NoForwarder;
             let binds = self.scenario.traffic[ticket.traffic as usize].effect == Repeats::Binding;
             if event.ended || binds && event.may_have_run.is_some() {
                 self.tally
-                    .unpaid(self.scenario, &ticket, Cause::NoForwarder);
+                    .unpaid(self.scenario, &ticket, LossCause::NoForwarder);
                 continue;
             }
             let again = exponential(&mut self.chance_returns, self.scenario.clients.again_after);
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -18,15 +18,15 @@
 
 use plankhill_decisions::interface::TargetId;
 use plankhill_forwarder_config::scenario::{Ms, Scenario, TroubleKind};
-use plankhill_invariants::{Bounds, Checker, Fact};
+use plankhill_invariants::{Bounds, Checker, Observation};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 use slotmap::{new_key_type, SlotMap};
 
-use crate::chance::{exponential, stream, AnswerTimes, Concern};
+use crate::random::{exponential, stream, AnswerTimes, RandomStream};
 use crate::clients::{Clients, Ticket};
 use crate::deciders::{EventKey, TargetNames};
-use crate::outcome::{Cause, Outcome};
+use crate::outcome::{LossCause, Outcome};
 use crate::queue::Queue;
 use crate::struck::Struck;
 use crate::tally::Tally;
@@ -123,11 +123,11 @@
             taken: 0,
             coming: 0,
             given_up_at: scenario.length + 2.0 * scenario.longest_patience() + 60_000.0,
-            chance_answers: stream(seed, Concern::Answers),
-            chance_network: stream(seed, Concern::Network),
-            chance_faults: stream(seed, Concern::Faults),
-            chance_lists: stream(seed, Concern::Lists),
-            chance_returns: stream(seed, Concern::Returns),
+            chance_answers: stream(seed, RandomStream::Answers),
+            chance_network: stream(seed, RandomStream::Network),
+            chance_faults: stream(seed, RandomStream::Faults),
+            chance_lists: stream(seed, RandomStream::Lists),
+            chance_returns: stream(seed, RandomStream::Returns),
             struck,
             tracks_connections: half_open,
         };
@@ -187,14 +187,14 @@
                 .map(|event| event.ticket.clone()),
         );
         for ticket in left {
-            self.tally.unpaid(self.scenario, &ticket, Cause::DayOver);
+            self.tally.unpaid(self.scenario, &ticket, LossCause::DayOver);
         }
         self.tally
             .outcome(self.scenario, self.scenario.seed, &self.checker)
     }
 
-    fn tell(&mut self, fact: Fact) {
-        self.checker.tell(self.now, fact);
+    fn tell(&mut self, fact: Observation) {
+        self.checker.observe(self.now, fact);
     }
 
     fn arrival(&mut self) {
@@ -210,7 +210,7 @@
     /// One way between two zones, with jitter; `None` if the message is lost.
     fn travel(&mut self, from: usize, to: usize) -> Option<Ms> {
         let network = &self.scenario.network;
-        if network.loss > 0.0 && crate::chance::draw(&mut self.chance_network) < network.loss {
+        if network.loss > 0.0 && crate::random::uniform(&mut self.chance_network) < network.loss {
             return None;
         }
         let jitter = if network.jitter > 0.0 {
--- a/forwarder/emulator/src/world/parts.rs
+++ b/forwarder/emulator/src/world/parts.rs
@@ -1,6 +1,6 @@
 //! What forwarders hold and what is on its way: plain data that the files beside this one work on.
 
-use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::CallKey;
@@ -92,7 +92,7 @@
     /// It met an outage.
     pub in_outage: bool,
     /// How it will be answered, and the wait told with that.
-    pub fate: Fate,
+    pub fate: AttemptOutcome,
     pub wait: Ms,
     /// It is never answered.
     pub mute: bool,
--- a/forwarder/emulator/src/world/rounds.rs
+++ b/forwarder/emulator/src/world/rounds.rs
@@ -1,13 +1,13 @@
 //! Rounds of a forwarder: what came in between them is handed over, and decisions are carried out.
 
-use plankhill_decisions::interface::{Fate, Ms};
-use plankhill_invariants::{Cut, Fact};
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
+use plankhill_invariants::{Cut, Observation};
 
 use super::lives::CLOSING_LEAST;
 use super::parts::Incoming;
 use super::{Step, World};
 use crate::deciders::{Decision, EventKey, Input};
-use crate::outcome::Cause;
+use crate::outcome::LossCause;
 
 impl World<'_> {
     pub(super) fn incoming(&mut self, at: u32, input: Input, about: Option<(u32, bool)>) {
@@ -167,7 +167,7 @@
                 }
                 self.send_heard(at, event, fate, wait, lane, written);
                 inputs.push(input);
-                if fate == Fate::Delivered {
+                if fate == AttemptOutcome::Delivered {
                     self.delivered(at, event);
                 }
             }
@@ -179,7 +179,7 @@
                     return;
                 };
                 self.forwarders[at as usize].held -= 1;
-                self.tell(Fact::Heard { event: held.number });
+                self.tell(Observation::Heard { event: held.number });
                 inputs.push(input);
             }
             other => inputs.push(other),
@@ -190,7 +190,7 @@
         &mut self,
         at: u32,
         key: EventKey,
-        fate: Fate,
+        fate: AttemptOutcome,
         wait: Ms,
         lane: u32,
         written: bool,
@@ -209,26 +209,26 @@
             }
         }
         event.ticket.cause = match fate {
-            Fate::Full => Cause::Refused,
-            Fate::NoConnection | Fate::NotSent => Cause::Unconnected,
-            Fate::TimedOut => Cause::Unanswered,
-            _ => Cause::Failed,
+            AttemptOutcome::Rejected => LossCause::Refused,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => LossCause::Unconnected,
+            AttemptOutcome::TimedOut => LossCause::Unanswered,
+            _ => LossCause::Failed,
         };
         let cut = match fate {
-            Fate::Delivered => Cut::Delivered,
-            Fate::Error => Cut::Error,
-            Fate::TimedOut | Fate::Reset | Fate::Cancelled => Cut::Short,
-            Fate::Full | Fate::NoConnection | Fate::NotSent => Cut::NotRun,
+            AttemptOutcome::Delivered => Cut::Delivered,
+            AttemptOutcome::Error => Cut::Error,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => Cut::Short,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => Cut::NotRun,
         };
         if written {
-            self.tell(Fact::SendOver {
+            self.tell(Observation::SendOver {
                 forwarder: at,
                 event: number,
                 cut,
             });
         }
         if wait > 0.0 {
-            self.tell(Fact::Wait {
+            self.tell(Observation::Wait {
                 forwarder: at,
                 lane,
                 until: self.now + wait,
--- a/forwarder/emulator/src/world/starts.rs
+++ b/forwarder/emulator/src/world/starts.rs
@@ -1,8 +1,8 @@
 //! A forwarder starts: the terms of its decisions, the list as it stands, and all that is still owed.
 
-use plankhill_decisions::interface::{self as names, DestinationKind, Terms, TrafficType};
+use plankhill_decisions::interface::{self as names, DestinationKind, DecisionConfig, TrafficType};
 use plankhill_forwarder_config::scenario::Repeats;
-use plankhill_invariants::Fact;
+use plankhill_invariants::Observation;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::parts::Forwarder;
@@ -37,41 +37,41 @@
     pub(super) fn start_decider(&self, at: u32, life: u32) -> Box<dyn Decider> {
         let (scenario, rules) = (self.scenario, &self.scenario.rules);
         let traffic = scenario.traffic.iter().map(|of| TrafficType {
-            effect: match of.effect {
-                Repeats::Retriable => names::Effect::Retriable,
-                Repeats::Binding => names::Effect::Binding,
-                Repeats::Fingerprinted => names::Effect::Fingerprinted {
+            idempotency: match of.effect {
+                Repeats::Retriable => names::Idempotency::Idempotent,
+                Repeats::Binding => names::Idempotency::NonIdempotent,
+                Repeats::Fingerprinted => names::Idempotency::Deduplicated {
                     window: of.window,
-                    one_zone: of.one_zone,
+                    per_zone: of.one_zone,
                 },
             },
             soft_limit: of.soft_limit,
             patience: of.patience,
-            payoff: of.payoff,
-            payoff_at_end: of.payoff_at_end,
+            value: of.payoff,
+            value_at_end: of.payoff_at_end,
             ordered: of.ordered,
         });
         let kinds = scenario.destinations.iter().map(|group| DestinationKind {
-            routes_apart: group.routes_apart,
-            events_per_call: group.events_per_call,
+            independent_routes: group.routes_apart,
+            max_events_per_call: group.events_per_call,
         });
-        let terms = Terms {
+        let terms = DecisionConfig {
             seed: scenario.seed ^ (life as u64) << 48,
             instance: at as u64,
-            forwarders: scenario.forwarders.count as f64,
-            traffic: traffic.collect(),
-            kinds: kinds.collect(),
-            slots: scenario.forwarders.slots,
-            room: scenario.forwarders.room,
-            sends_cap: rules.sends_cap,
-            pings_allowed: rules.pings,
-            shares: Vec::new(),
-            over_share_worth: 1.0,
-            longest_advice: rules.longest_advice,
-            cold_share: rules.cold_share,
-            warm_after: rules.warm_after,
-            tip_multiple: rules.tip_multiple,
-            key_rest: rules.key_rest,
+            forwarder_count: scenario.forwarders.count as f64,
+            traffic_types: traffic.collect(),
+            destination_kinds: kinds.collect(),
+            max_calls_in_flight: scenario.forwarders.slots,
+            event_capacity: scenario.forwarders.room,
+            max_attempts: rules.sends_cap,
+            health_checks_allowed: rules.pings,
+            member_quotas: Vec::new(),
+            over_quota_value_weight: 1.0,
+            max_retry_after: rules.longest_advice,
+            warm_up_initial_share: rules.cold_share,
+            warm_up_duration: rules.warm_after,
+            overload_multiple: rules.tip_multiple,
+            key_cooldown: rules.key_rest,
             tuning: names::Tuning::default(),
         };
         let of = &scenario.forwarders;
@@ -81,7 +81,7 @@
     /// A new process: the list as it stands, then all that is still owed, in the order taken.
     pub(super) fn starts(&mut self, at: u32) {
         let life = self.forwarders[at as usize].life;
-        self.tell(Fact::Resumed {
+        self.tell(Observation::Resumed {
             forwarder: at,
             anew: true,
         });
--- a/forwarder/emulator/src/world/troubles.rs
+++ b/forwarder/emulator/src/world/troubles.rs
@@ -1,7 +1,7 @@
 //! Troubles begin, turn and end. What one does to a call is read where the call meets it; what is here
 //! changes the world at an instant: lists, lives, broken calls and outages.
 
-use plankhill_decisions::interface::{Listing, TargetId};
+use plankhill_decisions::interface::{EndpointState, TargetId};
 use plankhill_forwarder_config::scenario::{Ms, TroubleKind};
 
 use super::ground::Target;
@@ -42,7 +42,7 @@
             }
             Gone => {
                 for target in self.struck_targets(at) {
-                    self.list_changed(target, Listing::Leaving);
+                    self.list_changed(target, EndpointState::Draining);
                 }
                 self.queue.put(self.now + trouble.every, Step::GoneFor(at));
             }
@@ -70,7 +70,7 @@
             Gone => {
                 for target in self.struck_targets(at) {
                     self.targets[target as usize].left = false;
-                    self.list_changed(target, Listing::Running);
+                    self.list_changed(target, EndpointState::Running);
                 }
                 self.note_struck(at);
             }
@@ -126,7 +126,7 @@
     /// Targets that were told to leave are gone.
     pub(super) fn gone_for_good(&mut self, at: u16) {
         for target in self.struck_targets(at) {
-            if self.targets[target as usize].listing == Listing::Leaving {
+            if self.targets[target as usize].listing == EndpointState::Draining {
                 self.leaves(target);
             }
         }
@@ -134,7 +134,7 @@
 
     fn leaves(&mut self, target: u32) {
         self.targets[target as usize].left = true;
-        self.list_changed(target, Listing::Gone);
+        self.list_changed(target, EndpointState::Removed);
         self.break_calls(self.targets[target as usize].destination);
     }
 
@@ -142,7 +142,7 @@
     /// still there after the notice, it is gone then.
     pub(super) fn replace_one(&mut self, at: u16, target: u32) {
         match self.targets[target as usize].listing {
-            Listing::Running => {
+            EndpointState::Running => {
                 let it = &self.targets[target as usize];
                 let new = Target::new(it.destination, it.lane, it.zone, it.place, it.factor);
                 let destination = it.destination as usize;
@@ -153,14 +153,14 @@
                     .push(TargetId(number.to_string().into()));
                 self.destinations[destination].targets.push(number);
                 // Not there for those that have not heard of it.
-                self.targets[number as usize].told.push((0, Listing::Gone));
-                self.list_changed(number, Listing::Running);
-                self.list_changed(target, Listing::Leaving);
+                self.targets[number as usize].told.push((0, EndpointState::Removed));
+                self.list_changed(number, EndpointState::Running);
+                self.list_changed(target, EndpointState::Draining);
                 let notice: Ms = self.scenario.troubles[at as usize].every;
                 self.queue
                     .put(self.now + notice, Step::OneByOne(at, target));
             }
-            Listing::Leaving => {
+            EndpointState::Draining => {
                 self.leaves(target);
                 // Nobody new is told of it: it is forgotten with its destination's old list.
                 let destination = self.targets[target as usize].destination as usize;
@@ -169,7 +169,7 @@
                     self.forget_former(destination);
                 }
             }
-            Listing::Gone => (),
+            EndpointState::Removed => (),
         }
     }
 
@@ -179,7 +179,7 @@
         let targets = &self.targets;
         self.destinations[destination].targets.retain(|target| {
             let it = &targets[*target as usize];
-            it.listing != Listing::Gone || it.as_of(heard) != Listing::Gone
+            it.listing != EndpointState::Removed || it.as_of(heard) != EndpointState::Removed
         });
     }
 
--- a/forwarder/emulator/tests/days.rs
+++ b/forwarder/emulator/tests/days.rs
@@ -141,7 +141,7 @@
         &[],
         &trouble("slow", 30_000, 4_000_000_000, "{}"),
     ));
-    assert_eq!(outcome.shades[0].end, 60_000.0);
+    assert_eq!(outcome.fault_intervals[0].end, 60_000.0);
     assert!(outcome.payoff > 0.5);
 }
 
--- a/forwarder/experiments/src/compare.rs
+++ b/forwarder/experiments/src/compare.rs
@@ -1,6 +1,6 @@
 //! Figures over days: means with bootstrap intervals, and differences of variants paired by seed.
 
-use plankhill_emulator::chance::{draw, stream, Concern};
+use plankhill_emulator::random::{uniform, stream, RandomStream};
 use plankhill_forwarder_config::experiment::Measure;
 
 use crate::days::{Plan, Record};
@@ -24,11 +24,11 @@
         return None;
     }
     let mean = values.iter().sum::<f64>() / values.len() as f64;
-    let mut chance = stream(values.len() as u64, Concern::Baselines);
+    let mut chance = stream(values.len() as u64, RandomStream::Baselines);
     let mut means: Vec<f64> = (0..DRAWS)
         .map(|_| {
             let drawn = (0..values.len())
-                .map(|_| values[(draw(&mut chance) * values.len() as f64) as usize]);
+                .map(|_| values[(uniform(&mut chance) * values.len() as f64) as usize]);
             drawn.sum::<f64>() / values.len() as f64
         })
         .collect();
@@ -96,7 +96,7 @@
         Measure::LateShare => {
             let late = outcome
                 .causes
-                .get(&plankhill_emulator::outcome::Cause::Late);
+                .get(&plankhill_emulator::outcome::LossCause::Late);
             late.copied().unwrap_or(0.0) / totals.asked.max(1e-9)
         }
         Measure::Rules => outcome.broken() as f64,
--- a/forwarder/experiments/src/days.rs
+++ b/forwarder/experiments/src/days.rs
@@ -125,7 +125,7 @@
             bound: self
                 .experiment
                 .bound
-                .then(|| plankhill_emulator::bound::most(&day.scenario)),
+                .then(|| plankhill_emulator::bound::max_value_share(&day.scenario)),
             outcome,
         }
     }
--- a/forwarder/experiments/src/report.rs
+++ b/forwarder/experiments/src/report.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use plankhill_emulator::outcome::Cause;
+use plankhill_emulator::outcome::LossCause;
 use plankhill_forwarder_config::experiment::Experiment;
 use plankhill_forwarder_config::tables::Text;
 
@@ -323,13 +323,13 @@
         escaped(&point),
         days[0].seed
     )?;
-    let shades = &days[0].outcome.shades;
+    let shades = &days[0].outcome.fault_intervals;
     let troubles: Vec<String> = shades
         .iter()
         .map(|shade| {
             format!(
                 "{} from {:.0} to {:.0} s",
-                shade.trouble,
+                shade.fault,
                 shade.start / 1000.0,
                 shade.end / 1000.0
             )
@@ -452,9 +452,9 @@
 
 fn causes(page: &mut String, cells: &[&Cell]) -> Result<(), Box<dyn std::error::Error>> {
     let mut bars = Vec::new();
-    let mut weight: BTreeMap<Cause, f64> = BTreeMap::new();
+    let mut weight: BTreeMap<LossCause, f64> = BTreeMap::new();
     for cell in cells {
-        let mut parts: BTreeMap<Cause, f64> = BTreeMap::new();
+        let mut parts: BTreeMap<LossCause, f64> = BTreeMap::new();
         for day in &cell.days {
             for (cause, lost) in &day.outcome.causes {
                 *parts.entry(*cause).or_default() +=
@@ -466,16 +466,16 @@
             .for_each(|(cause, part)| *weight.entry(*cause).or_default() += part);
         bars.push((cell.variant.to_owned(), parts));
     }
-    let mut order: Vec<Cause> = weight.keys().copied().collect();
+    let mut order: Vec<LossCause> = weight.keys().copied().collect();
     order.sort_by(|a, b| weight[b].total_cmp(&weight[a]));
     order.truncate(7);
-    let words: Vec<String> = order.iter().map(|cause| cause.words().to_owned()).collect();
+    let words: Vec<String> = order.iter().map(|cause| cause.description().to_owned()).collect();
     let bars: Vec<(String, Vec<(String, f64)>)> = bars
         .into_iter()
         .map(|(name, parts)| {
             let kept = order
                 .iter()
-                .filter_map(|cause| Some((cause.words().to_owned(), *parts.get(cause)?)));
+                .filter_map(|cause| Some((cause.description().to_owned(), *parts.get(cause)?)));
             (name, kept.collect())
         })
         .collect();
--- a/forwarder/fanout/examples/lag/day.rs
+++ b/forwarder/fanout/examples/lag/day.rs
@@ -199,9 +199,9 @@
         for (event, copy, time_out) in leaves.calls {
             let took = self.takes(copy.0);
             let (fate, took) = if took > time_out {
-                (Fate::TimedOut, time_out)
+                (AttemptOutcome::TimedOut, time_out)
             } else {
-                (Fate::Delivered, took)
+                (AttemptOutcome::Delivered, took)
             };
             self.at(
                 self.now + took,
--- a/forwarder/fanout/examples/lag/instance.rs
+++ b/forwarder/fanout/examples/lag/instance.rs
@@ -2,47 +2,47 @@
 
 use std::collections::HashMap;
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_fanout::*;
 
 pub type Copy = (Subscriber, Position);
 
-pub fn terms(instance: u64, forwarders: usize, slots: usize, patience: Ms) -> Terms {
+pub fn terms(instance: u64, forwarders: usize, slots: usize, patience: Ms) -> DecisionConfig {
     let traffic = TrafficType {
-        effect: Effect::Retriable,
+        idempotency: Idempotency::Idempotent,
         soft_limit: 1000.0,
         patience,
-        payoff: 1.0,
-        payoff_at_end: 0.2,
+        value: 1.0,
+        value_at_end: 0.2,
         ordered: false,
     };
-    Terms {
+    DecisionConfig {
         seed: 7,
         instance,
-        forwarders: forwarders as f64,
-        traffic: vec![traffic],
-        kinds: vec![DestinationKind {
-            routes_apart: false,
-            events_per_call: 1,
+        forwarder_count: forwarders as f64,
+        traffic_types: vec![traffic],
+        destination_kinds: vec![DestinationKind {
+            independent_routes: false,
+            max_events_per_call: 1,
         }],
-        slots,
-        room: 4000,
-        sends_cap: 6,
-        pings_allowed: true,
-        longest_advice: Some(2000.0),
-        over_share_worth: 1.0,
-        cold_share: 0.2,
-        warm_after: 10_000.0,
-        tip_multiple: 2.0,
-        key_rest: 300.0,
-        ..Terms::default()
+        max_calls_in_flight: slots,
+        event_capacity: 4000,
+        max_attempts: 6,
+        health_checks_allowed: true,
+        max_retry_after: Some(2000.0),
+        over_quota_value_weight: 1.0,
+        warm_up_initial_share: 0.2,
+        warm_up_duration: 10_000.0,
+        overload_multiple: 2.0,
+        key_cooldown: 300.0,
+        ..DecisionConfig::default()
     }
 }
 
 pub enum CameIn {
     HandIn(EventId, Copy, Ms),
-    CallEnds(EventId, Fate, Ms),
+    CallEnds(EventId, AttemptOutcome, Ms),
     PingEnds(TargetId),
     Wake,
 }
@@ -62,7 +62,7 @@
     pub applied: usize,
     pub stalled: Ms,
     pub wake_at: Option<Ms>,
-    module: Forwarder,
+    module: Scheduler,
     leaves: Leaves,
 }
 
@@ -73,23 +73,23 @@
 }
 
 impl Instance {
-    pub fn new(id: u64, terms: Terms, subscribers: u64) -> Self {
-        let mut module = Forwarder::start(terms, 0.0);
-        let list = |module: &mut Forwarder, _: &mut Leaves| -> Known {
+    pub fn new(id: u64, terms: DecisionConfig, subscribers: u64) -> Self {
+        let mut module = Scheduler::new(terms, 0.0);
+        let list = |module: &mut Scheduler, _: &mut Leaves| -> InputResult {
             for s in 0..subscribers {
                 let target = TargetId(format!("t{s}").into());
-                module.listed(
+                module.on_endpoint_listed(
                     target,
                     DestinationId(s),
-                    KindId(0),
+                    DestinationKindId(0),
                     ZoneId(0),
-                    Listing::Running,
+                    EndpointState::Running,
                 );
             }
             Ok(())
         };
         let mut leaves = Leaves::default();
-        let _ = module.round(0.0, list, &mut leaves);
+        let _ = module.run_iteration(0.0, list, &mut leaves);
         let station = Station::new(InstanceId(id), 1, Fanout::default());
         Instance {
             station,
@@ -133,33 +133,33 @@
 
     pub fn round(&mut self, now: Ms, came: Vec<CameIn>) -> (Leaves, Vec<(Copy, Outcome)>) {
         let mut delivered = Vec::new();
-        let hand_over = |module: &mut Forwarder, leaves: &mut Leaves| -> Known {
+        let hand_over = |module: &mut Scheduler, leaves: &mut Leaves| -> InputResult {
             for what in came {
                 match what {
                     CameIn::HandIn(event, copy, patience_ends) => {
                         leaves.copies.insert(event.clone(), copy);
-                        module.taken(event, copy.0, TrafficId(0), patience_ends, None);
+                        module.accept_event(event, copy.0, TrafficTypeId(0), patience_ends, None);
                     }
                     CameIn::CallEnds(event, fate, took) => {
-                        if fate == Fate::Delivered {
+                        if fate == AttemptOutcome::Delivered {
                             delivered.push((event.clone(), Outcome::Completed));
                         }
-                        module.send_ended(
+                        module.on_attempt_ended(
                             &event,
-                            Ended {
-                                took,
-                                ..Ended::plain(fate)
+                            AttemptReport {
+                                elapsed: took,
+                                ..AttemptReport::from_outcome(fate)
                             },
                         )?;
                     }
-                    CameIn::PingEnds(target) => module.ping_ended(&target, Fate::Delivered)?,
+                    CameIn::PingEnds(target) => module.on_health_check_ended(&target, AttemptOutcome::Delivered)?,
                     CameIn::Wake => (),
                 }
             }
             Ok(())
         };
         self.module
-            .round(now, hand_over, &mut self.leaves)
+            .run_iteration(now, hand_over, &mut self.leaves)
             .expect("all is introduced");
         let copies = std::mem::take(&mut self.leaves.copies);
         let mut leaves = std::mem::replace(
@@ -184,25 +184,25 @@
     }
 }
 
-impl Decisions for Leaves {
-    fn send(&mut self, event: &EventId, _: &TargetId, time_out: Ms, _: Ms) {
+impl Effects for Leaves {
+    fn send_attempt(&mut self, event: &EventId, _: &TargetId, time_out: Ms, _: Ms) {
         let copy = self.copies[event];
         self.calls.push((event.clone(), copy, time_out));
     }
-    fn dismiss(&mut self, event: &EventId, _: Option<Ms>) -> bool {
+    fn reject(&mut self, event: &EventId, _: Option<Ms>) -> bool {
         self.ended.push((event.clone(), Outcome::Dismissed));
         false
     }
-    fn write_off(&mut self, event: &EventId) -> bool {
+    fn abandon(&mut self, event: &EventId) -> bool {
         self.ended.push((event.clone(), Outcome::WrittenOff));
         false
     }
-    fn ping(&mut self, target: &TargetId) {
+    fn health_check(&mut self, target: &TargetId) {
         self.pings.push(target.clone());
     }
-    fn close_idle(&mut self, _: &TargetId) {}
-    fn take_back(&mut self, _: &TargetId) {}
-    fn note_cold(&mut self, _: &TargetId, _: Ms, _: f64) {}
+    fn close_idle_connections(&mut self, _: &TargetId) {}
+    fn cancel_unsent(&mut self, _: &TargetId) {}
+    fn record_warm_up(&mut self, _: &TargetId, _: Ms, _: f64) {}
     fn wake_after(&mut self, pause: Ms) {
         self.wake = Some(pause);
     }
--- a/forwarder/hot-restart/src/words.rs
+++ b/forwarder/hot-restart/src/words.rs
@@ -59,10 +59,10 @@
         event: EventId,
         number: u64,
     },
-    SendEnded(EventId, Ended),
+    SendEnded(EventId, AttemptReport),
     PingEnded {
         target: TargetId,
-        fate: Fate,
+        fate: AttemptOutcome,
     },
     Operator {
         number: u64,
@@ -98,7 +98,7 @@
 pub struct Event {
     pub id: EventId,
     pub destination: DestinationId,
-    pub traffic: TrafficId,
+    pub traffic: TrafficTypeId,
     pub patience: Ms,
     pub key: Option<OrderKey>,
     pub fingerprint: Option<Rc<str>>,
--- a/forwarder/hot-restart/tests/words.rs
+++ b/forwarder/hot-restart/tests/words.rs
@@ -17,7 +17,7 @@
         event: Event {
             id: EventId("e".into()),
             destination: DestinationId(7),
-            traffic: TrafficId(0),
+            traffic: TrafficTypeId(0),
             patience: f64::INFINITY,
             key: Some(OrderKey(9)),
             fingerprint: None,
--- a/forwarder/invariants/src/checker.rs
+++ b/forwarder/invariants/src/checker.rs
@@ -31,8 +31,8 @@
     served: HashMap<u32, Served>,
     /// Applied fingerprints in the order in which they fade.
     fading: VecDeque<(Ms, u64)>,
-    breaches: Vec<Breach>,
-    counts: BTreeMap<Rule, u64>,
+    breaches: Vec<Violation>,
+    counts: BTreeMap<Invariant, u64>,
     taken: u64,
     ends: u64,
 }
@@ -46,10 +46,10 @@
     }
 
     /// Facts come in the order of their time.
-    pub fn tell(&mut self, now: Ms, fact: Fact) {
+    pub fn observe(&mut self, now: Ms, fact: Observation) {
         if now < self.now {
             self.breach(
-                Rule::OneEnd,
+                Invariant::OneEnd,
                 format!(
                     "told of {now} ms after {} ms: the teller is at fault",
                     self.now
@@ -62,7 +62,7 @@
             self.forget_if_empty(place);
         }
         match fact {
-            Fact::Taken {
+            Observation::Taken {
                 forwarder,
                 event,
                 effect,
@@ -70,14 +70,14 @@
                 patience_ends,
                 ..
             } => self.taken(forwarder, event, effect, key, patience_ends),
-            Fact::Sent {
+            Observation::Sent {
                 forwarder,
                 event,
                 target,
                 group,
                 lane,
             } => self.sent(forwarder, event, target, group, lane),
-            Fact::Pinged {
+            Observation::Pinged {
                 forwarder,
                 target,
                 lane,
@@ -85,25 +85,25 @@
                 self.drains(forwarder, target, "a ping");
                 self.waits(forwarder, lane, "a ping");
             }
-            Fact::SendOver { event, cut, .. } => self.send_over(event, cut),
-            Fact::Ended {
+            Observation::SendOver { event, cut, .. } => self.send_over(event, cut),
+            Observation::Ended {
                 event,
                 end,
                 by_notice,
                 ..
             } => self.ended(event, end, by_notice),
-            Fact::Heard { event } => {
+            Observation::Heard { event } => {
                 if let Some(owed) = self.owed.get_mut(&event) {
                     owed.unheard = false;
                     self.forget_if_over(event);
                 }
             }
-            Fact::Applied {
+            Observation::Applied {
                 event,
                 origin,
                 effect,
             } => self.applied(event, origin, effect),
-            Fact::Listed {
+            Observation::Listed {
                 forwarder,
                 target,
                 leaves,
@@ -115,7 +115,7 @@
                     leaving.remove(&target);
                 }
             }
-            Fact::Wait {
+            Observation::Wait {
                 forwarder,
                 lane,
                 until,
@@ -124,37 +124,37 @@
                 let known = waits.entry(lane).or_insert(until);
                 *known = known.max(until);
             }
-            Fact::OutageBegan { lane } => {
+            Observation::OutageBegan { lane } => {
                 self.saw_failure.entry(lane).or_default();
             }
-            Fact::SawFailure { forwarder, lane } => {
+            Observation::SawFailure { forwarder, lane } => {
                 if let Some(saw) = self.saw_failure.get_mut(&lane) {
                     saw.insert(forwarder);
                 }
             }
-            Fact::Tipped { lane, load } => self.tipped(lane, &load),
-            Fact::Warm { lane } => {
+            Observation::Tipped { lane, load } => self.tipped(lane, &load),
+            Observation::Warm { lane } => {
                 self.saw_failure.remove(&lane);
             }
-            Fact::Halted { forwarder } => {
+            Observation::Halted { forwarder } => {
                 let it = self.forwarders.entry(forwarder).or_default();
                 it.halted = true;
                 it.pause = Some((f64::INFINITY, now));
             }
-            Fact::Resumed { forwarder, anew } => self.resumed(forwarder, anew),
-            Fact::Unpromised { event } => self.not_promised(event),
-            Fact::Budget { target, most } => self.budget(target, most),
-            Fact::Opened { forwarder, target } => self.opened(forwarder, target),
-            Fact::Closed { forwarder, target } => self.closed(forwarder, target),
-            Fact::Serves {
+            Observation::Resumed { forwarder, anew } => self.resumed(forwarder, anew),
+            Observation::Unpromised { event } => self.not_promised(event),
+            Observation::Budget { target, most } => self.budget(target, most),
+            Observation::Opened { forwarder, target } => self.opened(forwarder, target),
+            Observation::Closed { forwarder, target } => self.closed(forwarder, target),
+            Observation::Serves {
                 forwarder,
                 subscriber,
             } => self.serves(forwarder, subscriber),
-            Fact::ServesNoMore {
+            Observation::ServesNoMore {
                 forwarder,
                 subscriber,
             } => self.serves_no_more(forwarder, subscriber),
-            Fact::Lost { event } => {
+            Observation::Lost { event } => {
                 if let Some(owed) = self.owed.get_mut(&event) {
                     (owed.ended, owed.unheard, owed.out) = (true, false, false);
                     self.ends += 1;
@@ -180,17 +180,17 @@
         for event in late {
             let ends = self.owed[&event].patience_ends;
             self.breach(
-                Rule::OneEnd,
+                Invariant::OneEnd,
                 format!("event {event} has no end; its patience was over at {ends:.3} ms"),
             );
         }
     }
 
-    pub fn breaches(&self) -> &[Breach] {
+    pub fn breaches(&self) -> &[Violation] {
         &self.breaches
     }
 
-    pub fn count(&self, rule: Rule) -> u64 {
+    pub fn count(&self, rule: Invariant) -> u64 {
         self.counts.get(&rule).copied().unwrap_or(0)
     }
 
@@ -204,10 +204,10 @@
         self.owed.len() + self.lines.len() + self.applied.len()
     }
 
-    fn breach(&mut self, rule: Rule, what: String) {
+    fn breach(&mut self, rule: Invariant, what: String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.breaches.len() < KEPT {
-            self.breaches.push(Breach {
+            self.breaches.push(Violation {
                 at: self.now,
                 rule,
                 what,
--- a/forwarder/invariants/src/checker/effects.rs
+++ b/forwarder/invariants/src/checker/effects.rs
@@ -2,15 +2,15 @@
 
 use super::kept::Applied;
 use super::Checker;
-use crate::facts::{Effect, Rule};
+use crate::facts::{Idempotency, Invariant};
 
 impl Checker {
-    pub(super) fn applied(&mut self, event: u64, origin: u64, effect: Effect) {
+    pub(super) fn applied(&mut self, event: u64, origin: u64, effect: Idempotency) {
         while let Some(&(_, origin)) = self.fading.front().filter(|(until, _)| *until < self.now) {
             self.fading.pop_front();
             self.applied.remove(&origin);
         }
-        if effect == Effect::Retriable {
+        if effect == Idempotency::Idempotent {
             return;
         }
         let first = self
@@ -29,11 +29,11 @@
                 self.fading
                     .push_back((self.now + self.bounds.remembered, origin));
             }
-            (Some((at, by)), Effect::Binding) => {
+            (Some((at, by)), Idempotency::NonIdempotent) => {
                 let said = format!(
                     "binding effect {origin} came about twice: event {by} at {at:.3} ms, event {event}"
                 );
-                self.breach(Rule::NoEffectTwice, said);
+                self.breach(Invariant::NoEffectTwice, said);
             }
             // Repeats of one event are judged as they are sent; a client's own return is its own to weigh.
             (Some(_), _) => (),
@@ -55,7 +55,7 @@
             let said = format!(
                 "lane {lane} was pushed over; {share:.0}% of the load came from those that knew"
             );
-            self.breach(Rule::NotPushedOver, said);
+            self.breach(Invariant::NotPushedOver, said);
         }
     }
 }
