--- a/forwarder/invariants/src/checker/fleet.rs
+++ b/forwarder/invariants/src/checker/fleet.rs
@@ -1,7 +1,7 @@
 //! What holds over all forwarders of a fleet together.
 
 use super::Checker;
-use crate::facts::{Ms, Rule};
+use crate::facts::{Ms, Invariant};
 
 impl Checker {
     /// Its client heard no answer and owes itself the next step. The event holds back no other of its key.
@@ -41,7 +41,7 @@
                 let said = format!(
                     "a connection of forwarder {forwarder} to target {target} closed that was not open"
                 );
-                self.breach(Rule::WithinBudget, said);
+                self.breach(Invariant::WithinBudget, said);
             }
         }
     }
@@ -53,7 +53,7 @@
         let open: u32 = door.open.values().sum();
         if let Some(most) = door.most.filter(|most| open > *most) {
             self.breach(
-                Rule::WithinBudget,
+                Invariant::WithinBudget,
                 format!("target {target} has {open} connections open, {most} at most"),
             );
         }
@@ -64,7 +64,7 @@
         by.push(forwarder);
         if by.len() > 1 {
             let said = format!("subscriber {subscriber} is served by forwarders {by:?}");
-            self.breach(Rule::OneServer, said);
+            self.breach(Invariant::OneServer, said);
         }
     }
 
@@ -76,7 +76,7 @@
             let said = format!(
                 "forwarder {forwarder} stopped to serve subscriber {subscriber}, which it did not"
             );
-            self.breach(Rule::OneServer, said);
+            self.breach(Invariant::OneServer, said);
         }
     }
 
@@ -93,7 +93,7 @@
         for event in lost {
             let by = self.owed[&event].forwarder;
             self.breach(
-                Rule::NothingLost,
+                Invariant::NothingLost,
                 format!("event {event}, promised by forwarder {by}, has no end"),
             );
         }
@@ -105,7 +105,7 @@
         alone.sort_unstable();
         for subscriber in alone {
             self.breach(
-                Rule::OneServer,
+                Invariant::OneServer,
                 format!("subscriber {subscriber} is served by nobody"),
             );
         }
--- a/forwarder/invariants/src/checker/kept.rs
+++ b/forwarder/invariants/src/checker/kept.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::facts::{Effect, Ms};
+use crate::facts::{Idempotency, Ms};
 
 pub(super) struct Owed {
     /// Who took it on. Its place among those of its key stays there, whoever has it now.
     pub(super) forwarder: u32,
-    pub(super) effect: Effect,
+    pub(super) effect: Idempotency,
     pub(super) key: Option<u64>,
     pub(super) patience_ends: Ms,
     pub(super) out: bool,
--- a/forwarder/invariants/src/checker/sending.rs
+++ b/forwarder/invariants/src/checker/sending.rs
@@ -1,7 +1,7 @@
 //! What goes to targets: whether it may, and how it ended.
 
 use super::Checker;
-use crate::facts::{Cut, Effect, Rule};
+use crate::facts::{Cut, Idempotency, Invariant};
 
 impl Checker {
     pub(super) fn sent(&mut self, forwarder: u32, event: u64, target: u32, group: u32, lane: u32) {
@@ -10,42 +10,42 @@
         let (now, rounding) = (self.now, self.bounds.rounding);
         let Some(owed) = self.owed.get_mut(&event) else {
             return self.breach(
-                Rule::OneEnd,
+                Invariant::OneEnd,
                 format!("event {event} was sent, but is not owed"),
             );
         };
         let mut broken = Vec::new();
         if owed.ended {
             broken.push((
-                Rule::OneEnd,
+                Invariant::OneEnd,
                 format!("event {event} was sent after its end"),
             ));
         }
         if owed.out {
             broken.push((
-                Rule::NoEffectTwice,
+                Invariant::NoEffectTwice,
                 format!("event {event} was sent while a send of it was out"),
             ));
         }
         if let Some((first, ran_in)) = owed.may_have_run {
             match owed.effect {
-                Effect::Retriable => (),
-                Effect::Binding => broken.push((
-                    Rule::NoEffectTwice,
+                Idempotency::Idempotent => (),
+                Idempotency::NonIdempotent => broken.push((
+                    Invariant::NoEffectTwice,
                     format!("binding event {event} may have run, was sent again"),
                 )),
-                Effect::Fingerprinted { window, .. } if now > first + window + rounding => broken
+                Idempotency::Deduplicated { window, .. } if now > first + window + rounding => broken
                     .push((
-                        Rule::NoEffectTwice,
+                        Invariant::NoEffectTwice,
                         format!("event {event} was sent again after its window"),
                     )),
-                Effect::Fingerprinted {
+                Idempotency::Deduplicated {
                     one_group: true, ..
                 } if ran_in != group => broken.push((
-                    Rule::NoEffectTwice,
+                    Invariant::NoEffectTwice,
                     format!("event {event} was sent again outside its group"),
                 )),
-                Effect::Fingerprinted { .. } => (),
+                Idempotency::Deduplicated { .. } => (),
             }
         }
         (owed.out, owed.sent) = (true, (now, group));
@@ -55,13 +55,13 @@
         if let Some(line) = line.filter(|_| !owed.unpromised) {
             if line.queue.front() != Some(&event) {
                 broken.push((
-                    Rule::KeyOrder,
+                    Invariant::KeyOrder,
                     format!("event {event} overtook an earlier one of its key"),
                 ));
             }
             if now + rounding < line.rests_until && line.rests_for != event {
                 broken.push((
-                    Rule::KeyOrder,
+                    Invariant::KeyOrder,
                     format!("event {event} was sent while its key rested"),
                 ));
             }
@@ -83,7 +83,7 @@
             let late = self.now - since;
             let said =
                 format!("{what} went to target {target}, {late:.1} ms after it was told to leave");
-            self.breach(Rule::DrainsKept, said);
+            self.breach(Invariant::DrainsKept, said);
         }
     }
 
@@ -99,7 +99,7 @@
                 "{what} went to lane {lane}, {:.1} ms before a told wait ended",
                 until - self.now
             );
-            return self.breach(Rule::WaitsHeeded, said);
+            return self.breach(Invariant::WaitsHeeded, said);
         }
         it.waits.remove(&lane);
     }
@@ -108,7 +108,7 @@
         let (now, rest) = (self.now, self.bounds.key_rest);
         let Some(owed) = self.owed.get_mut(&event) else {
             return self.breach(
-                Rule::OneEnd,
+                Invariant::OneEnd,
                 format!("a send of event {event} ended, but it is not owed"),
             );
         };
--- a/forwarder/invariants/src/checker/taking.rs
+++ b/forwarder/invariants/src/checker/taking.rs
@@ -2,14 +2,14 @@
 
 use super::kept::{Line, Owed};
 use super::Checker;
-use crate::facts::{Effect, End, Ms, Rule};
+use crate::facts::{Idempotency, Completion, Ms, Invariant};
 
 impl Checker {
     pub(super) fn taken(
         &mut self,
         forwarder: u32,
         event: u64,
-        effect: Effect,
+        effect: Idempotency,
         key: Option<u64>,
         patience_ends: Ms,
     ) {
@@ -34,26 +34,26 @@
             unpromised: false,
         };
         if self.owed.insert(event, owed).is_some() {
-            self.breach(Rule::OneEnd, format!("event {event} was taken twice"));
+            self.breach(Invariant::OneEnd, format!("event {event} was taken twice"));
         }
     }
 
-    pub(super) fn ended(&mut self, event: u64, end: End, by_notice: bool) {
+    pub(super) fn ended(&mut self, event: u64, end: Completion, by_notice: bool) {
         let (now, rounding) = (self.now, self.bounds.rounding);
         let Some(owed) = self.owed.get(&event) else {
             return self.breach(
-                Rule::OneEnd,
+                Invariant::OneEnd,
                 format!("event {event} ended, but is not owed"),
             );
         };
         if owed.ended {
-            return self.breach(Rule::OneEnd, format!("event {event} ended a second time"));
+            return self.breach(Invariant::OneEnd, format!("event {event} ended a second time"));
         }
         let (effect, ran, ends) = (owed.effect, owed.may_have_run.is_some(), owed.patience_ends);
         let late = now > ends + rounding && !owed.unpromised;
         if late && !self.excused(owed.forwarder, ends) {
             self.breach(
-                Rule::OneEnd,
+                Invariant::OneEnd,
                 format!(
                     "event {event} ended {:.1} ms after its patience",
                     now - ends
@@ -61,17 +61,17 @@
             );
         }
         // Its client may hand it in again: only where that does no harm.
-        let bound = effect == Effect::Binding
+        let bound = effect == Idempotency::NonIdempotent
             || matches!(
                 effect,
-                Effect::Fingerprinted {
+                Idempotency::Deduplicated {
                     one_group: true,
                     ..
                 }
             );
-        if end == End::Dismissed && ran && bound {
+        if end == Completion::Rejected && ran && bound {
             self.breach(
-                Rule::NoEffectTwice,
+                Invariant::NoEffectTwice,
                 format!("event {event} may have run and was dismissed"),
             );
         }
--- a/forwarder/invariants/src/facts.rs
+++ b/forwarder/invariants/src/facts.rs
@@ -4,7 +4,7 @@
 pub type Ms = f64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
+pub enum Invariant {
     OneEnd,
     NoEffectTwice,
     DrainsKept,
@@ -16,52 +16,52 @@
     OneServer,
 }
 
-impl Rule {
+impl Invariant {
     /// What holds over several forwarders, beside the six rules of each.
-    pub const FLEET: [Rule; 3] = [Rule::NothingLost, Rule::WithinBudget, Rule::OneServer];
+    pub const FLEET: [Invariant; 3] = [Invariant::NothingLost, Invariant::WithinBudget, Invariant::OneServer];
 
     /// The six rules of a forwarder.
-    pub const ALL: [Rule; 6] = [
-        Rule::OneEnd,
-        Rule::NoEffectTwice,
-        Rule::DrainsKept,
-        Rule::NotPushedOver,
-        Rule::KeyOrder,
-        Rule::WaitsHeeded,
+    pub const ALL: [Invariant; 6] = [
+        Invariant::OneEnd,
+        Invariant::NoEffectTwice,
+        Invariant::DrainsKept,
+        Invariant::NotPushedOver,
+        Invariant::KeyOrder,
+        Invariant::WaitsHeeded,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneEnd => "one end within patience",
-            Rule::NoEffectTwice => "no effect twice",
-            Rule::DrainsKept => "drains kept",
-            Rule::NotPushedOver => "returning destinations not pushed over",
-            Rule::KeyOrder => "key order",
-            Rule::WaitsHeeded => "waits heeded",
-            Rule::NothingLost => "nothing promised is lost",
-            Rule::WithinBudget => "connections within their budget",
-            Rule::OneServer => "one server for each subscriber",
+            Invariant::OneEnd => "one end within patience",
+            Invariant::NoEffectTwice => "no effect twice",
+            Invariant::DrainsKept => "drains kept",
+            Invariant::NotPushedOver => "returning destinations not pushed over",
+            Invariant::KeyOrder => "key order",
+            Invariant::WaitsHeeded => "waits heeded",
+            Invariant::NothingLost => "nothing promised is lost",
+            Invariant::WithinBudget => "connections within their budget",
+            Invariant::OneServer => "one server for each subscriber",
         }
     }
 }
 
 /// What a repeat of an event does at its destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Retriable,
+pub enum Idempotency {
+    Idempotent,
     /// A repeat is recognised for `window` after the first, in one group of targets or in all.
-    Fingerprinted {
+    Deduplicated {
         window: Ms,
         one_group: bool,
     },
-    Binding,
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Completion {
     Completed,
-    Dismissed,
-    WrittenOff,
+    Rejected,
+    Abandoned,
 }
 
 /// How a send ended for the forwarder that made it.
@@ -78,14 +78,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Fact {
+pub enum Observation {
     /// A forwarder owes the event its end from now on. `origin` is the same for all that stand for one
     /// effect at the destination, as when a client hands an event in again.
     Taken {
         forwarder: u32,
         event: u64,
         origin: u64,
-        effect: Effect,
+        effect: Idempotency,
         key: Option<u64>,
         patience_ends: Ms,
     },
@@ -110,8 +110,8 @@
     Ended {
         forwarder: u32,
         event: u64,
-        end: End,
-        /// The end counts as over only with the [`Fact::Heard`] that follows.
+        end: Completion,
+        /// The end counts as over only with the [`Observation::Heard`] that follows.
         by_notice: bool,
     },
     Heard {
@@ -121,7 +121,7 @@
     Applied {
         event: u64,
         origin: u64,
-        effect: Effect,
+        effect: Idempotency,
     },
     /// A forwarder was told that the target drains or is gone, or (`leaves` false) that it is there.
     Listed {
@@ -195,8 +195,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     pub at: Ms,
-    pub rule: Rule,
+    pub rule: Invariant,
     pub what: String,
 }
--- a/forwarder/invariants/src/lib.rs
+++ b/forwarder/invariants/src/lib.rs
@@ -6,4 +6,4 @@
 mod facts;
 
 pub use checker::{Bounds, Checker};
-pub use facts::{Breach, Cut, Effect, End, Fact, Ms, Rule};
+pub use facts::{Completion, Cut, Idempotency, Invariant, Ms, Observation, Violation};
--- a/forwarder/process-tests/src/verdict.rs
+++ b/forwarder/process-tests/src/verdict.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use plankhill_invariants::{Bounds, Breach, Checker, Cut, Effect, End, Fact, Ms};
+use plankhill_invariants::{Bounds, Violation, Checker, Cut, Idempotency, Completion, Observation, Ms};
 
 use crate::book::{self, Book, Seen};
 use crate::told::WINDOW_US;
@@ -37,12 +37,12 @@
     lost: Vec<(Ms, usize)>,
     /// When each instance was hindered, and until when.
     hindered: HashMap<usize, Vec<(Ms, Ms)>>,
-    facts: Vec<(Ms, Fact)>,
+    facts: Vec<(Ms, Observation)>,
 }
 
 /// What broke. `heir_within`: with copies on, how long after its forwarder was hindered the latest an event
 /// may end late, in milliseconds.
-pub fn breaches(book: &Book, heir_within: Option<Ms>) -> Vec<Breach> {
+pub fn breaches(book: &Book, heir_within: Option<Ms>) -> Vec<Violation> {
     let mut story = Story::default();
     let all = book.all();
     all.iter().for_each(|(at, seen)| story.read(*at, seen));
@@ -57,7 +57,7 @@
     });
     facts
         .into_iter()
-        .for_each(|(at, fact)| checker.tell(at, fact));
+        .for_each(|(at, fact)| checker.observe(at, fact));
     checker.all_over(book.now());
     let (taken, ended) = checker.books();
     eprintln!(
@@ -133,7 +133,7 @@
                 let (forwarder, target) = (instance as u32, target as u32);
                 self.facts.push((
                     at,
-                    Fact::Listed {
+                    Observation::Listed {
                         forwarder,
                         target,
                         leaves,
@@ -147,7 +147,7 @@
                     .push((at, f64::INFINITY));
                 self.facts.push((
                     at,
-                    Fact::Halted {
+                    Observation::Halted {
                         forwarder: instance as u32,
                     },
                 ));
@@ -162,7 +162,7 @@
                 }
                 self.facts.push((
                     at,
-                    Fact::Resumed {
+                    Observation::Resumed {
                         forwarder: instance as u32,
                         anew,
                     },
@@ -182,7 +182,7 @@
             let (forwarder, event, target) = (call.instance as u32, call.event, call.target as u32);
             facts.push((
                 call.began,
-                Fact::Sent {
+                Observation::Sent {
                     forwarder,
                     event,
                     target,
@@ -209,7 +209,7 @@
             };
             facts.push((
                 self.over_at(call),
-                Fact::SendOver {
+                Observation::SendOver {
                     forwarder,
                     event,
                     cut,
@@ -241,7 +241,7 @@
                     let key = key.map(|key| key + LIVES * lives.count() as u64);
                     facts.push((
                         *at,
-                        Fact::Taken {
+                        Observation::Taken {
                             forwarder,
                             event,
                             origin,
@@ -251,7 +251,7 @@
                         },
                     ));
                     if self.unheard.contains(&event) {
-                        facts.push((*at, Fact::Unpromised { event }));
+                        facts.push((*at, Observation::Unpromised { event }));
                     }
                     let ran = |call: &&Call| {
                         call.event == event && !matches!(call.replied, Some((_, 503)))
@@ -264,7 +264,7 @@
                     facts.extend(whole.map(|at| {
                         (
                             at,
-                            Fact::Applied {
+                            Observation::Applied {
                                 event,
                                 origin,
                                 effect,
@@ -274,13 +274,13 @@
                 }
                 Seen::Answered { event, status } if status != 202 => {
                     let end = if matches!(status, 429 | 503) {
-                        End::Dismissed
+                        Completion::Rejected
                     } else {
-                        End::WrittenOff
+                        Completion::Abandoned
                     };
                     facts.push((
                         *at,
-                        Fact::Ended {
+                        Observation::Ended {
                             forwarder: 0,
                             event,
                             end,
@@ -292,20 +292,20 @@
                 Seen::Notice { event, given_up } if noticed.get(&event) != Some(&given_up) => {
                     noticed.insert(event, given_up);
                     let end = if given_up {
-                        End::WrittenOff
+                        Completion::Abandoned
                     } else {
-                        End::Dismissed
+                        Completion::Rejected
                     };
                     facts.push((
                         *at,
-                        Fact::Ended {
+                        Observation::Ended {
                             forwarder: 0,
                             event,
                             end,
                             by_notice: true,
                         },
                     ));
-                    facts.push((*at, Fact::Heard { event }));
+                    facts.push((*at, Observation::Heard { event }));
                 }
                 _ => (),
             }
@@ -317,10 +317,10 @@
             let forwarder = instance as u32;
             facts.push((
                 at,
-                Fact::Ended {
+                Observation::Ended {
                     forwarder,
                     event,
-                    end: End::Completed,
+                    end: Completion::Completed,
                     by_notice: false,
                 },
             ));
@@ -328,14 +328,14 @@
         self.facts.extend(facts);
     }
 
-    fn rules_effect(&self, effect: book::Effect) -> Effect {
+    fn rules_effect(&self, effect: book::Effect) -> Idempotency {
         match effect {
-            book::Effect::Retriable => Effect::Retriable,
-            book::Effect::Fingerprinted => Effect::Fingerprinted {
+            book::Effect::Retriable => Idempotency::Idempotent,
+            book::Effect::Fingerprinted => Idempotency::Deduplicated {
                 window: WINDOW_US as f64 / 1000.0,
                 one_group: false,
             },
-            book::Effect::Binding => Effect::Binding,
+            book::Effect::Binding => Idempotency::NonIdempotent,
         }
     }
 }
--- a/forwarder/process-tests/tests/verdict.rs
+++ b/forwarder/process-tests/tests/verdict.rs
@@ -1,6 +1,6 @@
 //! What stand-ins might see, with a fault planted in it: the verdict has to find it, and nothing else.
 
-use plankhill_invariants::Rule;
+use plankhill_invariants::Invariant;
 use plankhill_process_tests::*;
 use rstest::rstest;
 
@@ -49,24 +49,24 @@
 
 #[rstest]
 #[case::delivered(vec![called(1, 0, 200)], &[])]
-#[case::lost(vec![], &[Rule::NothingLost])]
-#[case::two_ends(vec![called(1, 0, 200), given_up()], &[Rule::OneEnd])]
+#[case::lost(vec![], &[Invariant::NothingLost])]
+#[case::two_ends(vec![called(1, 0, 200), given_up()], &[Invariant::OneEnd])]
 #[case::an_answer_that_was_never_read(vec![called(1, 0, 200), hindered(), given_up()], &[])]
 #[case::given_up_as_it_was_answered(vec![called(1, 0, 200), vec![Seen::Gone { call: 1 }], given_up()], &[])]
 #[case::told_twice(vec![called(1, 0, 500), given_up(), given_up()], &[])]
-#[case::by_the_heir_again(vec![called(1, 0, 500), called(2, 1, 200)], &[Rule::NoEffectTwice, Rule::NoEffectTwice])]
+#[case::by_the_heir_again(vec![called(1, 0, 500), called(2, 1, 200)], &[Invariant::NoEffectTwice, Invariant::NoEffectTwice])]
 #[case::turned_away_first(vec![called(1, 0, 503), called(2, 1, 200)], &[])]
-#[case::after_its_end(vec![called(1, 0, 500), given_up(), called(2, 1, 503)], &[Rule::OneEnd, Rule::OneEnd])]
+#[case::after_its_end(vec![called(1, 0, 500), given_up(), called(2, 1, 503)], &[Invariant::OneEnd, Invariant::OneEnd])]
 #[case::while_one_is_out(vec![vec![began(1, 0), Seen::Whole { call: 1 }], called(2, 1, 503)],
-    &[Rule::NoEffectTwice, Rule::NothingLost])]
-fn a_planted_fault_is_caught(#[case] after: Vec<Vec<Seen>>, #[case] rules: &[Rule]) {
+    &[Invariant::NoEffectTwice, Invariant::NothingLost])]
+fn a_planted_fault_is_caught(#[case] after: Vec<Vec<Seen>>, #[case] rules: &[Invariant]) {
     let book = Book::default();
     let all = [ASKED, TAKEN]
         .into_iter()
         .chain(after.into_iter().flatten());
     all.enumerate()
         .for_each(|(at, seen)| book.note_at(at as f64, seen));
-    let broken: Vec<Rule> = breaches(&book, None)
+    let broken: Vec<Invariant> = breaches(&book, None)
         .iter()
         .map(|breach| breach.rule)
         .collect();
@@ -78,10 +78,10 @@
 #[rstest]
 #[case::still_out(vec![began(2, 0), Seen::Whole { call: 2 }], &[])]
 #[case::delivered(called(2, 0, 200), &[])]
-#[case::failed(called(2, 0, 500), &[Rule::NothingLost])]
+#[case::failed(called(2, 0, 500), &[Invariant::NothingLost])]
 fn an_event_is_sent_again_whose_answer_was_never_read(
     #[case] after: Vec<Seen>,
-    #[case] rules: &[Rule],
+    #[case] rules: &[Invariant],
 ) {
     let book = Book::default();
     let asked = Seen::Asked {
@@ -100,7 +100,7 @@
         .chain(after)
         .enumerate()
         .for_each(|(at, seen)| book.note_at(at as f64, seen));
-    let broken: Vec<Rule> = breaches(&book, None)
+    let broken: Vec<Invariant> = breaches(&book, None)
         .iter()
         .map(|breach| breach.rule)
         .collect();
@@ -120,14 +120,14 @@
     let broken = breaches(&world.book, None);
     assert_eq!(
         broken.iter().map(|breach| breach.rule).collect::<Vec<_>>(),
-        [Rule::NothingLost]
+        [Invariant::NothingLost]
     );
 }
 
 #[rstest]
 #[case::within_the_grace(200.0, &[])]
-#[case::long_after(2_000.0, &[Rule::DrainsKept])]
-fn a_call_to_a_target_that_leaves_is_found(#[case] at: f64, #[case] rules: &[Rule]) {
+#[case::long_after(2_000.0, &[Invariant::DrainsKept])]
+fn a_call_to_a_target_that_leaves_is_found(#[case] at: f64, #[case] rules: &[Invariant]) {
     let book = Book::default();
     let listed = Seen::Listed {
         instance: 0,
@@ -140,7 +140,7 @@
     called(1, 0, 200)
         .into_iter()
         .for_each(|seen| book.note_at(at, seen));
-    let broken: Vec<Rule> = breaches(&book, None)
+    let broken: Vec<Invariant> = breaches(&book, None)
         .iter()
         .map(|breach| breach.rule)
         .collect();
--- a/forwarder/server/src/budgets/mod.rs
+++ b/forwarder/server/src/budgets/mod.rs
@@ -84,8 +84,8 @@
         &self,
         told: &Told,
         target: &TargetId,
-        at: (DestinationId, KindId, ZoneId),
-        listing: Listing,
+        at: (DestinationId, DestinationKindId, ZoneId),
+        listing: EndpointState,
     ) {
         let (destination, kind, zone) = at;
         self.local.borrow_mut().listed(Facts {
@@ -94,7 +94,7 @@
             kind: told.names.kinds[kind.0].clone(),
             zone: told.names.zones[zone.0].clone(),
             cold: false,
-            draining: listing != Listing::Running,
+            draining: listing != EndpointState::Running,
         });
     }
 
--- a/forwarder/server/src/clients/broadcast.rs
+++ b/forwarder/server/src/clients/broadcast.rs
@@ -19,7 +19,7 @@
                 .respond(413, &[], "the body is too long for a broadcast")
                 .await;
         }
-        let wait = self.common.told.terms.longest_advice;
+        let wait = self.common.told.terms.max_retry_after;
         let traffic = self.common.told.names.traffic[event.traffic.0].clone();
         let posted = match &self.common.fanout {
             Some(_) if self.common.gate.has_ended() => Err(Refusal::Late),
--- a/forwarder/server/src/clients/client.rs
+++ b/forwarder/server/src/clients/client.rs
@@ -135,7 +135,7 @@
     pub(super) fn fresh(&self) -> Option<Begun> {
         // Calls are not to want for one, nor clients where the memory is small for the slots.
         let pool = &self.common.pool;
-        let spare = pool.left() > self.common.told.terms.slots.min(pool.most() / 2);
+        let spare = pool.left() > self.common.told.terms.max_calls_in_flight.min(pool.most() / 2);
         spare
             .then(|| pool.take())
             .flatten()
@@ -196,7 +196,7 @@
             return self.tell(Verdict::Refused(None)).await;
         }
         if self.full {
-            let wait = self.common.told.terms.longest_advice;
+            let wait = self.common.told.terms.max_retry_after;
             return self.tell(Verdict::Refused(wait)).await;
         }
         let (answer, verdict) = async_channel::bounded(1);
--- a/forwarder/server/src/clients/request.rs
+++ b/forwarder/server/src/clients/request.rs
@@ -72,12 +72,12 @@
     }
     let traffic = told.names.traffic.iter().position(|name| name == class);
     let traffic = traffic
-        .map(TrafficId)
+        .map(TrafficTypeId)
         .ok_or(Refusal(404, "no such traffic type"))?;
     if head.method != "POST" {
         return Err(Refusal(405, "only POST is served here"));
     }
-    let (fields, kind) = (&head.fields, &told.terms.traffic[traffic.0]);
+    let (fields, kind) = (&head.fields, &told.terms.traffic_types[traffic.0]);
     let id = fields
         .one("Req-Id")?
         .filter(|id| !id.is_empty() && id.len() <= 128);
@@ -95,7 +95,7 @@
         .map(plankhill_forwarder_config::order_key)
         .transpose();
     let fingerprint = fields.one("Idempotency-Key")?.map(Rc::from);
-    if matches!(kind.effect, Effect::Fingerprinted { .. }) && fingerprint.is_none() {
+    if matches!(kind.idempotency, Idempotency::Deduplicated { .. }) && fingerprint.is_none() {
         return Err(Refusal(400, "Idempotency-Key: is missing"));
     }
     let id = id.filter(|id| list.is_none() || id.len() <= BroadcastId::LONGEST);
--- a/forwarder/server/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -34,7 +34,7 @@
     laid: Ms,
     number: u64,
     up: BTreeSet<InstanceId>,
-    pub(super) names: HashMap<String, TrafficId>,
+    pub(super) names: HashMap<String, TrafficTypeId>,
 }
 
 /// Runs as long as the process; does nothing where no lists are named.
@@ -44,7 +44,7 @@
     };
     let names = common.told.names.traffic.iter().enumerate();
     let names = names
-        .map(|(at, name)| (name.clone(), TrafficId(at)))
+        .map(|(at, name)| (name.clone(), TrafficTypeId(at)))
         .collect();
     let up = BTreeSet::from([fanout.station.borrow().me()]);
     let (leads, leading) = (None, Leading::default());
@@ -210,7 +210,7 @@
                 Order::Refused(number, why) => {
                     debug!(self.common.log, "a broadcast is refused"; "why" => ?why);
                     let wait = Some(why).filter(|why| *why == Refusal::Full);
-                    let wait = wait.and(self.common.told.terms.longest_advice);
+                    let wait = wait.and(self.common.told.terms.max_retry_after);
                     self.answers(number, Verdict::Refused(wait));
                 }
                 Order::AllEnded(id, [completed, dismissed, written_off]) => {
--- a/forwarder/server/src/heir.rs
+++ b/forwarder/server/src/heir.rs
@@ -9,7 +9,7 @@
 
 use async_channel::Sender;
 use async_io::{Async, Timer};
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_event_log::{Ledger, Owed};
 use plankhill_forwarder_config::fields::Plain;
@@ -38,7 +38,7 @@
 /// What the process that ran before hands over.
 pub struct Inherited {
     pub state: State,
-    pub forwarder: Forwarder,
+    pub forwarder: Scheduler,
     pub listener: Async<TcpListener>,
     pub ledger: Ledger,
     pub owed: Vec<Owed>,
@@ -138,7 +138,7 @@
     })
 }
 
-type Read = (Forwarder, Async<TcpListener>, Ledger, Vec<Owed>, LeftOut);
+type Read = (Scheduler, Async<TcpListener>, Ledger, Vec<Owed>, LeftOut);
 
 fn read(common: &Common, state: &State, listener: OwnedFd) -> io::Result<Read> {
     let told = &common.told;
@@ -186,7 +186,7 @@
         self.common.pool.set_most(most);
         // Its calls may have run, and say nothing of their targets.
         for event in self.out {
-            let ended = CameIn::SendEnded(event, Ended::plain(Fate::Cancelled));
+            let ended = CameIn::SendEnded(event, AttemptReport::from_outcome(AttemptOutcome::Cancelled));
             let _ = self.to_rounds.send(ended).await;
         }
         for target in self.pings {
@@ -194,7 +194,7 @@
                 .to_rounds
                 .send(CameIn::PingEnded {
                     target,
-                    fate: Fate::NotSent,
+                    fate: AttemptOutcome::NotSent,
                 })
                 .await;
         }
--- a/forwarder/server/src/left_out.rs
+++ b/forwarder/server/src/left_out.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use plankhill_admin::{Bans, Change};
-use plankhill_decisions::interface::Listing;
+use plankhill_decisions::interface::EndpointState;
 use plankhill_forwarder_config::fields::Plain;
 
 const FILE: &str = "bans";
@@ -22,7 +22,7 @@
     NeverListed,
     Already,
     /// What the module is to hear, if the list names the target.
-    Changed(Option<Listing>),
+    Changed(Option<EndpointState>),
 }
 
 impl LeftOut {
--- a/forwarder/server/src/list.rs
+++ b/forwarder/server/src/list.rs
@@ -88,7 +88,7 @@
     list.write(&common.told.state, most);
     let (mut bytes, mut stream) = (vec![0; LONGEST], None);
     let mut trouble = String::new();
-    let forwarders = common.told.terms.forwarders;
+    let forwarders = common.told.terms.forwarder_count;
     let shared = common.told.names.ask_within.is_some();
     let mut pause = match shared {
         true => Pause::new(common.told.terms.seed, &common.told.name, forwarders),
--- a/forwarder/server/src/mail.rs
+++ b/forwarder/server/src/mail.rs
@@ -21,10 +21,10 @@
     Event(Handed),
     /// The client that handed it in under that number went away before it had its answer.
     Withdrawn(EventId, u64),
-    SendEnded(EventId, Ended),
+    SendEnded(EventId, AttemptReport),
     PingEnded {
         target: TargetId,
-        fate: Fate,
+        fate: AttemptOutcome,
     },
     List(Value),
     /// The target's actor has ended: it had nothing left to own.
--- a/forwarder/server/src/page.rs
+++ b/forwarder/server/src/page.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_forwarder_config::fields::*;
 use plankhill_forwarder_config::Names;
@@ -30,8 +30,8 @@
 pub fn hand_over(
     page: &Value,
     names: &Names,
-    to: &mut Forwarder,
-    mut place: impl FnMut(&TargetId, SocketAddr, (DestinationId, KindId, ZoneId), Listing) -> Listing,
+    to: &mut Scheduler,
+    mut place: impl FnMut(&TargetId, SocketAddr, (DestinationId, DestinationKindId, ZoneId), EndpointState) -> EndpointState,
     mut gone: impl FnMut(&TargetId),
     mut bad: impl FnMut(String),
 ) {
@@ -45,13 +45,13 @@
             let entry = entry.as_object().ok_or("not an object")?;
             let target = TargetId(text(entry, "id")?.into());
             let listing = match text(entry, "phase")? {
-                "up" => Listing::Running,
-                "draining" => Listing::Leaving,
-                "removed" => Listing::Gone,
+                "up" => EndpointState::Running,
+                "draining" => EndpointState::Draining,
+                "removed" => EndpointState::Removed,
                 other => return Err(format!("phase: unknown word {other:?}")),
             };
-            if listing == Listing::Gone {
-                to.relisted(&target, Listing::Gone);
+            if listing == EndpointState::Removed {
+                to.set_endpoint_state(&target, EndpointState::Removed);
                 gone(&target);
                 return Ok(());
             }
@@ -59,7 +59,7 @@
             let address = address
                 .parse()
                 .map_err(|_| format!("host_port: {address:?} is no address"))?;
-            let kind = KindId(self::place(&names.kinds, text(entry, "flavor")?, "flavor")?);
+            let kind = DestinationKindId(self::place(&names.kinds, text(entry, "flavor")?, "flavor")?);
             let zone = ZoneId(self::place(
                 &names.zones,
                 text(entry, "locality")?,
@@ -67,10 +67,10 @@
             )?);
             let destination = DestinationId(whole(entry, "cell")?);
             let listing = place(&target, address, (destination, kind, zone), listing);
-            to.listed(target, destination, kind, zone, listing);
+            to.on_endpoint_listed(target, destination, kind, zone, listing);
             if names.sizes_are_rates {
                 // An entry is not lost over its size: it counts as untold.
-                to.rate_told(destination, optional_number(entry, "size").unwrap_or(0.0));
+                to.set_advertised_rate(destination, optional_number(entry, "size").unwrap_or(0.0));
             }
             Ok(())
         };
--- a/forwarder/server/src/roster.rs
+++ b/forwarder/server/src/roster.rs
@@ -87,7 +87,7 @@
     pub fn tell(&mut self, id: &TargetId, word: ToTarget) -> Result<(), ToTarget> {
         // Room for every call that may be out, its return, and as many words about idle connections. The
         // mailbox itself takes memory as words come, which a bounded one would take at once.
-        let most = 4 * self.reach.common.told.terms.slots + 16;
+        let most = 4 * self.reach.common.told.terms.max_calls_in_flight + 16;
         let Some(target) = self.targets.get_mut(id) else {
             return Err(word);
         };
@@ -131,10 +131,10 @@
     /// What never left ends with a next round.
     pub fn turn_back(&self, target: TargetId, word: ToTarget) {
         let ended = match word {
-            ToTarget::Send(send) => CameIn::SendEnded(send.event, Ended::plain(Fate::NotSent)),
+            ToTarget::Send(send) => CameIn::SendEnded(send.event, AttemptReport::from_outcome(AttemptOutcome::NotSent)),
             ToTarget::Ping => CameIn::PingEnded {
                 target,
-                fate: Fate::NotSent,
+                fate: AttemptOutcome::NotSent,
             },
             _ => return,
         };
--- a/forwarder/server/src/rounds/adopting.rs
+++ b/forwarder/server/src/rounds/adopting.rs
@@ -1,6 +1,6 @@
 //! What the groups that keep copies say: a record is led, or is not any more, and proposals are decided.
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_event_log::Owed;
 use plankhill_raft_groups::{GroupId, News, Term};
@@ -25,7 +25,7 @@
 }
 
 impl Hands {
-    pub(super) fn ground_says(&mut self, to: &mut Forwarder, news: News) {
+    pub(super) fn ground_says(&mut self, to: &mut Scheduler, news: News) {
         match news {
             News::Leads {
                 group, term, state, ..
@@ -60,7 +60,7 @@
 
     /// Another may own the record: its events are not decided on here any more. One with a call out is held
     /// until that ends, and no longer.
-    fn lose(&mut self, to: &mut Forwarder, group: GroupId) {
+    fn lose(&mut self, to: &mut Scheduler, group: GroupId) {
         let Some(book) = self.keeps.copies().and_then(|copies| copies.lose(group)) else {
             return;
         };
@@ -76,15 +76,15 @@
         }
     }
 
-    fn forget(&mut self, to: &mut Forwarder, id: &EventId) {
+    fn forget(&mut self, to: &mut Scheduler, id: &EventId) {
         self.held.remove(id);
-        to.withdrawn(id);
+        to.withdraw_event(id);
         // An end that nobody has heard holds nobody up here.
-        to.heard(id);
+        to.on_completion_acknowledged(id);
     }
 
     /// A call has ended: that of a lost record's event was all that it was held for.
-    pub(super) fn has_ended(&mut self, to: &mut Forwarder, event: &EventId) {
+    pub(super) fn has_ended(&mut self, to: &mut Scheduler, event: &EventId) {
         if let Keeps::File(_) = self.keeps {
             return;
         }
@@ -106,7 +106,7 @@
         }
     }
 
-    fn leads(&mut self, to: &mut Forwarder, group: GroupId, term: Term, state: &[u8]) {
+    fn leads(&mut self, to: &mut Scheduler, group: GroupId, term: Term, state: &[u8]) {
         self.lose(to, group);
         let Keeps::Copies(copies) = &mut self.keeps else {
             return;
@@ -120,7 +120,7 @@
             .collect();
         for (target, since, usual) in cold {
             match self.targets.holds(&target) {
-                true => to.was_cold(&target, since, usual),
+                true => to.restore_warm_up(&target, since, usual),
                 false => book.unnote(&target.0),
             }
         }
@@ -139,7 +139,7 @@
     }
 
     /// What a process without copies left in the folder goes into the record first.
-    fn adopt_file(&mut self, to: &mut Forwarder, group: GroupId) {
+    fn adopt_file(&mut self, to: &mut Scheduler, group: GroupId) {
         let Some(copies) = self.keeps.copies() else {
             return;
         };
@@ -182,7 +182,7 @@
         )
     }
 
-    fn adopt(&mut self, to: &mut Forwarder, group: GroupId, owed: Owed) {
+    fn adopt(&mut self, to: &mut Scheduler, group: GroupId, owed: Owed) {
         let id = EventId(owed.taken.id.as_ref().into());
         let Keeps::Copies(copies) = &self.keeps else {
             return;
@@ -202,7 +202,7 @@
             }
             Adopts::TellAgain(outcome, come_back_after) => {
                 self.enter(to, &owed.taken);
-                to.ended_before(&id);
+                to.restore_completed(&id);
                 return self.notices.push(Notice {
                     event: id,
                     outcome,
@@ -210,7 +210,7 @@
                 });
             }
             Adopts::Join { out_until } => {
-                to.joined(&id, owed.sends, self.maybe_run(&owed));
+                to.merge_remote_attempts(&id, owed.sends, self.maybe_run(&owed));
                 out_until
             }
             Adopts::Restore { out_until } => {
@@ -220,6 +220,6 @@
         };
         until
             .into_iter()
-            .for_each(|until| to.out_elsewhere(&id, until));
+            .for_each(|until| to.defer_for_remote_attempt(&id, until));
     }
 }
--- a/forwarder/server/src/rounds/carrying.rs
+++ b/forwarder/server/src/rounds/carrying.rs
@@ -62,8 +62,8 @@
     }
 }
 
-impl Decisions for Hands {
-    fn send(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
+impl Effects for Hands {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
         let Some(held) = self.held.get(event) else {
             return;
         };
@@ -98,13 +98,13 @@
         };
         self.outbox.push((target.clone(), ToTarget::Send(send)));
     }
-    fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
+    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
         self.ended(event, Outcome::Dismissed, come_back_after)
     }
-    fn write_off(&mut self, event: &EventId) -> bool {
+    fn abandon(&mut self, event: &EventId) -> bool {
         self.ended(event, Outcome::WrittenOff, None)
     }
-    fn ping(&mut self, target: &TargetId) {
+    fn health_check(&mut self, target: &TargetId) {
         self.pings.insert(target.clone());
         self.common
             .fanout
@@ -112,19 +112,19 @@
             .for_each(|fanout| fanout.rests(target));
         self.outbox.push((target.clone(), ToTarget::Ping));
     }
-    fn close_idle(&mut self, target: &TargetId) {
+    fn close_idle_connections(&mut self, target: &TargetId) {
         self.outbox.push((target.clone(), ToTarget::CloseIdle));
     }
-    fn take_back(&mut self, target: &TargetId) {
+    fn cancel_unsent(&mut self, target: &TargetId) {
         self.unstage(target);
         // At once, and before the round's own sends: what does not leave needs no record, and neither a ledger that
         // cannot be written nor a majority that does not answer may let it leave.
         self.tell_elder(target);
         let _ = self.targets.tell(target, ToTarget::TakeBack);
     }
-    fn note_cold(&mut self, target: &TargetId, since: Ms, usual: f64) {
+    fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
         if let Some(budgets) = &self.common.budgets {
-            budgets.cold(target, since + self.common.told.terms.warm_after - self.now);
+            budgets.cold(target, since + self.common.told.terms.warm_up_duration - self.now);
         }
         self.keeps.note_cold(target, since, usual);
         self.common
--- a/forwarder/server/src/rounds/hands.rs
+++ b/forwarder/server/src/rounds/hands.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use async_channel::Sender;
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_hot_restart::{Verdict, Word};
 use plankhill_raft_groups::GroupId;
@@ -63,14 +63,14 @@
 }
 
 impl Hands {
-    pub(super) fn hand_over(&mut self, to: &mut Forwarder, what: CameIn) {
+    pub(super) fn hand_over(&mut self, to: &mut Scheduler, what: CameIn) {
         match what {
             CameIn::Event(Handed {
                 event,
                 patience_ends,
                 ..
             }) => {
-                to.taken(
+                to.accept_event(
                     event.id,
                     event.destination,
                     event.traffic,
@@ -82,12 +82,12 @@
                 if self.held.get(&id).is_some_and(|held| held.number == number) {
                     self.held.remove(&id);
                     self.over(&id);
-                    to.withdrawn(&id);
+                    to.withdraw_event(&id);
                 }
             }
             CameIn::SendEnded(event, ended) => {
                 self.out.remove(&event);
-                if ended.over {
+                if ended.event_complete {
                     self.over(&event);
                     self.common
                         .fanout
@@ -95,17 +95,17 @@
                         .for_each(|fanout| fanout.over(&event, true));
                     self.settled.add(&event, self.now);
                     self.held.remove(&event);
-                } else if !ended.fate.may_have_run() {
+                } else if !ended.outcome.may_have_run() {
                     self.keeps.unrun(&event);
                 }
-                if let Err(Unknown(what)) = to.send_ended(&event, ended) {
+                if let Err(UnknownId(what)) = to.on_attempt_ended(&event, ended) {
                     warn!(self.common.log, "a send ended that is not known"; "event" => &*event.0, "what" => what);
                 }
                 self.has_ended(to, &event);
             }
             CameIn::PingEnded { target, fate } => {
                 self.pings.remove(&target);
-                if to.ping_ended(&target, fate).is_err() {
+                if to.on_health_check_ended(&target, fate).is_err() {
                     debug!(self.common.log, "a ping ended at a target that is gone"; "target" => &*target.0);
                 }
             }
@@ -136,7 +136,7 @@
                         .fanout
                         .iter()
                         .for_each(|fanout| fanout.over(&id, false));
-                    to.heard(&id);
+                    to.on_completion_acknowledged(&id);
                 }
             }
             CameIn::TellEnd(taken, end) => self.tells(to, taken, end),
@@ -146,7 +146,7 @@
                 let _ = reply.try_send(self.order(to, order));
             }
             CameIn::Ground(news) => self.ground_says(to, news),
-            CameIn::Closing => to.closing(self.now + self.common.told.closing_time),
+            CameIn::Closing => to.begin_shutdown(self.now + self.common.told.closing_time),
         }
     }
 
--- a/forwarder/server/src/rounds/listing.rs
+++ b/forwarder/server/src/rounds/listing.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use plankhill_admin::{Order, Reply};
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use serde_json::Value;
 use slog::{error, info, warn};
@@ -13,13 +13,13 @@
 use crate::page;
 
 impl Hands {
-    pub(super) fn listed(&mut self, to: &mut Forwarder, page: &Value) {
+    pub(super) fn listed(&mut self, to: &mut Scheduler, page: &Value) {
         let (told, log) = (self.common.told.clone(), self.common.log.clone());
         let whole = page::is_whole(page);
         let mut named = HashSet::new();
         let mut gone = Vec::new();
         if whole {
-            to.list_replaced();
+            to.on_endpoint_list_replaced();
         }
         page::hand_over(
             page,
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn order(&mut self, to: &mut Forwarder, order: Order) -> Reply {
+    pub(super) fn order(&mut self, to: &mut Scheduler, order: Order) -> Reply {
         let log = self.common.log.clone();
         let (id, ban) = match order {
             Order::Drain | Order::Resume => {
@@ -88,9 +88,9 @@
                 let target = TargetId((&*id).into());
                 listing
                     .into_iter()
-                    .for_each(|listing| to.relisted(&target, listing));
+                    .for_each(|listing| to.set_endpoint_state(&target, listing));
                 // It was restarted meanwhile.
-                (!ban).then(|| to.restarted(&target));
+                (!ban).then(|| to.on_target_restarted(&target));
             }
             Err(e) => {
                 error!(log, "the targets left out cannot be written"; "error" => %e);
--- a/forwarder/server/src/rounds/mod.rs
+++ b/forwarder/server/src/rounds/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_event_log::{Ledger, Owed};
 use plankhill_hot_restart::{State, Verdict};
@@ -49,7 +49,7 @@
 
 pub struct Rounds {
     hands: Hands,
-    forwarder: Forwarder,
+    forwarder: Scheduler,
     to_notices: Sender<Notice>,
     closing: bool,
     /// Events taken in the round, whose clients have no answer yet.
@@ -67,7 +67,7 @@
         to_rounds: Sender<CameIn>,
     ) -> Self {
         let now = common.clock.now();
-        let forwarder = Forwarder::start(common.told.terms.clone(), now);
+        let forwarder = Scheduler::new(common.told.terms.clone(), now);
         let reach = Reach {
             common: common.clone(),
             to_rounds,
@@ -154,7 +154,7 @@
                 return hands.founds();
             };
             for (target, since, usual) in ledger.cold() {
-                forwarder.was_cold(&TargetId(target.into()), since, usual);
+                forwarder.restore_warm_up(&TargetId(target.into()), since, usual);
             }
             owed.into_iter()
                 .for_each(|event| hands.restore(forwarder, event));
@@ -178,12 +178,12 @@
     /// Goes on from what another process handed over, of which `elder` still has calls out.
     pub fn inherit(
         &mut self,
-        forwarder: Forwarder,
+        forwarder: Scheduler,
         state: State,
         owed: Vec<Owed>,
         elder: Sender<Told>,
     ) {
-        self.forwarder = forwarder.resumed(self.hands.common.told.terms.clone());
+        self.forwarder = forwarder.resume(self.hands.common.told.terms.clone());
         self.hands.inherit(state, owed);
         self.hands.elder = Some(elder);
     }
@@ -211,14 +211,14 @@
                 continue;
             }
             if let CameIn::Event(handed) = &what {
-                let known = self.forwarder.knows(handed.event.destination);
+                let known = self.forwarder.knows_destination(handed.event.destination);
                 if self.closing || !known || !self.hands.takes(handed) {
                     let wait = self
                         .hands
                         .common
                         .told
                         .terms
-                        .longest_advice
+                        .max_retry_after
                         .filter(|_| !self.closing);
                     let _ = handed.answer.try_send(Verdict::Refused(wait));
                     continue;
@@ -256,7 +256,7 @@
         }
     }
 
-    fn decide(&mut self, came_in: impl FnOnce(&mut Forwarder, &mut Hands)) {
+    fn decide(&mut self, came_in: impl FnOnce(&mut Scheduler, &mut Hands)) {
         let Rounds {
             hands,
             forwarder,
@@ -269,11 +269,11 @@
         if hands.wake_at.is_some_and(|at| at <= hands.now) {
             hands.wake_at = None;
         }
-        let hand_over = |forwarder: &mut Forwarder, hands: &mut Hands| -> Result<(), Unknown> {
+        let hand_over = |forwarder: &mut Scheduler, hands: &mut Hands| -> Result<(), UnknownId> {
             came_in(forwarder, hands);
             Ok(())
         };
-        let _ = forwarder.round(hands.now, hand_over, hands);
+        let _ = forwarder.run_iteration(hands.now, hand_over, hands);
         if hands.keeps.copies().is_some() {
             // What is not committed does not go out.
             hands.stage(std::mem::take(fresh));
--- a/forwarder/server/src/rounds/promises.rs
+++ b/forwarder/server/src/rounds/promises.rs
@@ -2,7 +2,7 @@
 //! now: where they differ the event is of a type of its own, on which what is stricter of both holds. The
 //! decisions know such a type by its position alone, behind those of the settings.
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_event_log::{Owed, Promise, Repeats, Taken};
 use plankhill_forwarder_config::Told;
@@ -16,10 +16,10 @@
 pub struct Promises(Vec<(Box<str>, TrafficType)>);
 
 pub fn of(traffic: &TrafficType) -> Promise {
-    let repeats = match traffic.effect {
-        Effect::Retriable => Repeats::Harmless,
-        Effect::Fingerprinted { window, one_zone } => Repeats::Known { window, one_zone },
-        Effect::Binding => Repeats::Forbidden,
+    let repeats = match traffic.idempotency {
+        Idempotency::Idempotent => Repeats::Harmless,
+        Idempotency::Deduplicated { window, per_zone: one_zone } => Repeats::Known { window, one_zone },
+        Idempotency::NonIdempotent => Repeats::Forbidden,
     };
     Promise {
         repeats,
@@ -27,26 +27,26 @@
     }
 }
 
-fn effect(promise: Promise) -> Effect {
+fn effect(promise: Promise) -> Idempotency {
     match promise.repeats {
-        Repeats::Harmless => Effect::Retriable,
-        Repeats::Known { window, one_zone } => Effect::Fingerprinted { window, one_zone },
-        Repeats::Forbidden => Effect::Binding,
+        Repeats::Harmless => Idempotency::Idempotent,
+        Repeats::Known { window, one_zone } => Idempotency::Deduplicated { window, per_zone: one_zone },
+        Repeats::Forbidden => Idempotency::NonIdempotent,
     }
 }
 
 /// The position of its type where the settings promise all that was promised.
-fn kept(told: &Told, taken: &Taken) -> Option<TrafficId> {
+fn kept(told: &Told, taken: &Taken) -> Option<TrafficTypeId> {
     let at = told
         .names
         .traffic
         .iter()
         .position(|name| *name == taken.traffic)?;
-    let now = of(&told.terms.traffic[at]);
+    let now = of(&told.terms.traffic_types[at]);
     taken
         .promised
         .is_none_or(|before| before.and(now) == now)
-        .then_some(TrafficId(at))
+        .then_some(TrafficTypeId(at))
 }
 
 /// The traffic type of an event that is owed, of which the settings do not promise all that was promised.
@@ -62,7 +62,7 @@
 
 impl Promises {
     /// The type of an event that an earlier process took; the decisions learn of one that is new to them.
-    pub fn find(&mut self, to: &mut Forwarder, told: &Told, taken: &Taken) -> Option<TrafficId> {
+    pub fn find(&mut self, to: &mut Scheduler, told: &Told, taken: &Taken) -> Option<TrafficTypeId> {
         if let Some(at) = kept(told, taken) {
             return Some(at);
         }
@@ -71,37 +71,37 @@
         let now = names
             .iter()
             .position(|name| *name == taken.traffic)
-            .map(|at| &told.terms.traffic[at]);
+            .map(|at| &told.terms.traffic_types[at]);
         let both = now.map_or(before, |now| before.and(of(now)));
         let like =
             |(name, it): &(Box<str>, TrafficType)| **name == *taken.traffic && of(it) == both;
         let at = self.0.iter().position(like).or_else(|| {
             // Of one that the settings do not name any more nothing says what it is worth.
             let none = TrafficType {
-                effect: Effect::Binding,
+                idempotency: Idempotency::NonIdempotent,
                 soft_limit: 0.0,
                 patience: 0.0,
-                payoff: 0.0,
-                payoff_at_end: 0.0,
+                value: 0.0,
+                value_at_end: 0.0,
                 ordered: true,
             };
             let own = now.cloned().unwrap_or(none);
             let own = TrafficType {
-                effect: effect(both),
+                idempotency: effect(both),
                 ordered: both.ordered,
                 ..own
             };
             (self.0.len() < MOST).then(|| self.0.push((taken.traffic.as_ref().into(), own)))?;
-            *to = std::mem::take(to).resumed(self.terms(told));
+            *to = std::mem::take(to).resume(self.terms(told));
             Some(self.0.len() - 1)
         });
-        at.map(|at| TrafficId(names.len() + at))
+        at.map(|at| TrafficTypeId(names.len() + at))
     }
 
-    pub fn terms(&self, told: &Told) -> Terms {
+    pub fn terms(&self, told: &Told) -> DecisionConfig {
         let mut terms = told.terms.clone();
         terms
-            .traffic
+            .traffic_types
             .extend(self.0.iter().map(|(_, traffic)| traffic.clone()));
         terms
     }
--- a/forwarder/server/src/rounds/restoring.rs
+++ b/forwarder/server/src/rounds/restoring.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_event_log::{Outcome, Owed, Taken};
 use plankhill_hot_restart::State;
@@ -17,7 +17,7 @@
 
 impl Hands {
     /// What another process needs besides what stands in the folder.
-    pub(super) fn state(&self, forwarder: &Forwarder) -> Result<State, Error> {
+    pub(super) fn state(&self, forwarder: &Scheduler) -> Result<State, Error> {
         // Positions behind those of the settings mean nothing to another process.
         if self.holds_beside() {
             return Err(Error::Syntax(
@@ -92,7 +92,7 @@
         self.common.gate.drain(state.drained);
     }
 
-    pub(super) fn restore(&mut self, to: &mut Forwarder, owed: Owed) {
+    pub(super) fn restore(&mut self, to: &mut Scheduler, owed: Owed) {
         let ran = self.maybe_run(&owed);
         let Owed {
             taken,
@@ -115,7 +115,7 @@
                 Outcome::WrittenOff
             };
             let (outcome, come_back_after) = ended.unwrap_or((untried, None));
-            to.ended_before(&id);
+            to.restore_completed(&id);
             self.ended(&id, outcome, come_back_after);
             return;
         };
@@ -129,16 +129,16 @@
             answer: None,
         };
         self.held.insert(id.clone(), held);
-        to.restored(&id, sends, ran, was_out.is_some());
+        to.restore_attempts(&id, sends, ran, was_out.is_some());
     }
 
     /// Hands an event of a record to the module; false if nobody knows its traffic type.
-    pub(super) fn enter(&mut self, to: &mut Forwarder, taken: &Taken) -> bool {
+    pub(super) fn enter(&mut self, to: &mut Scheduler, taken: &Taken) -> bool {
         let Some(traffic) = self.promises.find(to, &self.common.told, taken) else {
             return false;
         };
         let (id, key) = (EventId(taken.id.as_ref().into()), taken.key.map(OrderKey));
-        to.taken(
+        to.accept_event(
             id,
             DestinationId(taken.destination),
             traffic,
--- a/forwarder/server/src/rounds/stories/mod.rs
+++ b/forwarder/server/src/rounds/stories/mod.rs
@@ -175,7 +175,7 @@
         let event = Event {
             id,
             destination,
-            traffic: TrafficId(traffic),
+            traffic: TrafficTypeId(traffic),
             patience: 60_000.0,
             key,
             fingerprint: None,
--- a/forwarder/server/src/rounds/taking.rs
+++ b/forwarder/server/src/rounds/taking.rs
@@ -12,7 +12,7 @@
     /// Enters an event in the ledger if there is room for it.
     pub(super) fn takes(&mut self, handed: &Handed) -> bool {
         let event = &handed.event;
-        let room = self.common.told.terms.room;
+        let room = self.common.told.terms.event_capacity;
         let full =
             self.held.len() >= room || self.unheard + self.held.len() + 1 >= notices::MAILBOX;
         let known = self.keeps.holds(&event.id)
@@ -33,7 +33,7 @@
             fingerprint: event.fingerprint.as_deref().map(Into::into),
             body: (&*handed.body).into(),
             promised: Some(promises::of(
-                &self.common.told.terms.traffic[event.traffic.0],
+                &self.common.told.terms.traffic_types[event.traffic.0],
             )),
         });
         debug!(self.common.log, "taken"; "event" => &*event.id.0, "traffic" => event.traffic.0,
--- a/forwarder/server/src/targets/call.rs
+++ b/forwarder/server/src/targets/call.rs
@@ -60,8 +60,8 @@
         let reused = self.kept.is_some();
         let ended = self.exchange(began, time_out, send.as_ref()).await;
         let took = began.elapsed().as_secs_f64() * 1000.0;
-        let ended = Ended { took, ..ended };
-        let Ended { fate, wait, .. } = ended;
+        let ended = AttemptReport { elapsed: took, ..ended };
+        let AttemptReport { outcome: fate, retry_after: wait, .. } = ended;
         let word = match send {
             Some(send) => {
                 debug!(self.reach.common.log, "send ended"; "event" => &*send.event.0,
@@ -80,7 +80,7 @@
         let _ = self.reach.to_rounds.send(word).await;
     }
 
-    async fn exchange(&mut self, began: Instant, time_out: Ms, send: Option<&Sending>) -> Ended {
+    async fn exchange(&mut self, began: Instant, time_out: Ms, send: Option<&Sending>) -> AttemptReport {
         let told = self.reach.common.told.clone();
         let at = |moment: Option<Ms>| moment.map(|moment| self.reach.common.clock.instant(moment));
         // The end of patience stands, however late the call begins: nothing leaves after it.
@@ -90,10 +90,10 @@
         let leaves_by = at(send.map(|send| send.leaves_by)).map_or(ends, |at| ends.min(at));
         let decided = send.map_or(began, |send| send.decided);
         let Some(mut buffer) = self.reach.common.pool.take() else {
-            return Ended::plain(Fate::NotSent);
+            return AttemptReport::from_outcome(AttemptOutcome::NotSent);
         };
         let Some(place) = self.place(began, ends, send.is_none()).await else {
-            return Ended::plain(Fate::NotSent);
+            return AttemptReport::from_outcome(AttemptOutcome::NotSent);
         };
         // Closed before its place is given back: what is declared last is dropped first.
         let mut stream = loop {
@@ -106,11 +106,11 @@
                     .await
                 {
                     Ok(stream) => stream,
-                    Err(fate) => return Ended::plain(fate),
+                    Err(fate) => return AttemptReport::from_outcome(fate),
                 },
             };
             let Ok(length) = self.write(&mut buffer, ends, send) else {
-                return Ended::plain(Fate::NotSent);
+                return AttemptReport::from_outcome(AttemptOutcome::NotSent);
             };
             let fate = match self
                 .leaves(&stream, &buffer[..length], leaves_by, decided, send)
@@ -119,11 +119,11 @@
                 Some(Written::Whole) => break stream,
                 // Nothing of the call is on it, and something else is, or its end.
                 Some(Written::Unfit) if reused => continue,
-                Some(Written::Unfit | Written::Broken) => Fate::NoConnection,
-                Some(Written::Stuck) if Instant::now() >= ends => Fate::NoConnection,
-                Some(Written::Stuck | Written::Late) | None => Fate::NotSent,
+                Some(Written::Unfit | Written::Broken) => AttemptOutcome::ConnectFailed,
+                Some(Written::Stuck) if Instant::now() >= ends => AttemptOutcome::ConnectFailed,
+                Some(Written::Stuck | Written::Late) | None => AttemptOutcome::NotSent,
             };
-            return Ended::plain(fate);
+            return AttemptReport::from_outcome(fate);
         };
         let mut came = Came::default();
         let answering = |status| if status == 200 { SETTLING } else { ANSWERING };
@@ -138,25 +138,25 @@
                     cut_short,
                 ) {
                     // What the first line says of that is true, whatever became of the rest.
-                    (Some(200), _) => Fate::Delivered,
-                    (_, None) => Fate::TimedOut,
+                    (Some(200), _) => AttemptOutcome::Delivered,
+                    (_, None) => AttemptOutcome::TimedOut,
                     // An answer, if no more: to a ping that is enough. A call has run, or may have, and is cut.
-                    (_, Some(_)) if spoilt && send.is_none() => Fate::Full,
-                    (_, Some(_)) if spoilt => Fate::Cancelled,
-                    _ => Fate::Reset,
+                    (_, Some(_)) if spoilt && send.is_none() => AttemptOutcome::Rejected,
+                    (_, Some(_)) if spoilt => AttemptOutcome::Cancelled,
+                    _ => AttemptOutcome::Reset,
                 };
-                return Ended::plain(fate);
+                return AttemptReport::from_outcome(fate);
             }
         };
         let end = match ResponseHead::read(&buffer[whole.head]) {
             Ok(head) => {
                 let left = told.names.left_at.and_then(|_| left(&head));
-                Ended {
-                    left,
+                AttemptReport {
+                    limit_remaining: left,
                     ..judge(&head, send.is_none())
                 }
             }
-            Err(_) => Ended::plain(Fate::Cancelled),
+            Err(_) => AttemptReport::from_outcome(AttemptOutcome::Cancelled),
         };
         let stays = whole.reusable && place.rests();
         if let Some(own) = self.own.upgrade().filter(|_| stays) {
@@ -186,10 +186,10 @@
         up_by: Instant,
         leaves_by: Instant,
         ends: Instant,
-    ) -> Result<Stream, Fate> {
+    ) -> Result<Stream, AttemptOutcome> {
         let up_by = up_by.min(ends);
         if Instant::now() >= leaves_by {
-            return Err(Fate::NotSent);
+            return Err(AttemptOutcome::NotSent);
         }
         match self
             .unless_taken_back(until(up_by.min(leaves_by), connect(self.address)))
@@ -197,9 +197,9 @@
         {
             Some(Some(Ok(stream))) => Ok(stream),
             // Its time is up, and its target may be well.
-            Some(None) if leaves_by < up_by => Err(Fate::NotSent),
-            Some(_) => Err(Fate::NoConnection),
-            None => Err(Fate::NotSent),
+            Some(None) if leaves_by < up_by => Err(AttemptOutcome::NotSent),
+            Some(_) => Err(AttemptOutcome::ConnectFailed),
+            None => Err(AttemptOutcome::NotSent),
         }
     }
 
--- a/forwarder/server/src/targets/meaning.rs
+++ b/forwarder/server/src/targets/meaning.rs
@@ -15,27 +15,27 @@
 }
 
 /// What the wire's statuses mean. An answer to a ping says no more than that.
-pub(super) fn judge(head: &ResponseHead, ping: bool) -> Ended {
+pub(super) fn judge(head: &ResponseHead, ping: bool) -> AttemptReport {
     let field = |name| head.fields.one(name).ok().flatten();
     match head.status {
-        200 => Ended::plain(Fate::Delivered),
-        503 if field("X-No-Slot") == Some("1") => Ended::plain(Fate::NotSent),
+        200 => AttemptReport::from_outcome(AttemptOutcome::Delivered),
+        503 if field("X-No-Slot") == Some("1") => AttemptReport::from_outcome(AttemptOutcome::NotSent),
         429 | 503 => {
             let wait = field("X-Retry-In-Ms").and_then(|text| text.parse::<Ms>().ok());
             let wait = wait
                 .filter(|wait| wait.is_finite() && *wait > 0.0 && !ping)
                 .unwrap_or(0.0);
-            Ended {
-                wait,
-                ..Ended::plain(Fate::Full)
+            AttemptReport {
+                retry_after: wait,
+                ..AttemptReport::from_outcome(AttemptOutcome::Rejected)
             }
         }
-        410 => Ended {
-            over: true,
-            ..Ended::plain(Fate::NotSent)
+        410 => AttemptReport {
+            event_complete: true,
+            ..AttemptReport::from_outcome(AttemptOutcome::NotSent)
         },
-        504 => Ended::plain(Fate::NotSent),
-        _ => Ended::plain(Fate::Error),
+        504 => AttemptReport::from_outcome(AttemptOutcome::NotSent),
+        _ => AttemptReport::from_outcome(AttemptOutcome::Error),
     }
 }
 
--- a/forwarder/server/tests/upgrade_signals.rs
+++ b/forwarder/server/tests/upgrade_signals.rs
@@ -58,7 +58,7 @@
     out.answer(OK);
     let ended =
         std::iter::from_fn(|| block_on(ears.next()).ok()).find_map(|(word, _)| match word {
-            Word::SendEnded(event, ended) => Some((event.0.to_string(), ended.over)),
+            Word::SendEnded(event, ended) => Some((event.0.to_string(), ended.event_complete)),
             _ => None,
         });
     assert_eq!(ended, Some(("a".to_owned(), true)));
--- a/forwarder/simulator-adapter/src/arrivals.rs
+++ b/forwarder/simulator-adapter/src/arrivals.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_forwarder_config::fields::*;
 use plankhill_forwarder_config::{order_key, Names};
@@ -10,7 +10,7 @@
 
 pub fn hand_over(
     names: &Names,
-    to: &mut Forwarder,
+    to: &mut Scheduler,
     arrival: &Object,
     page: Option<Rc<Vec<Value>>>,
 ) -> Plain<()> {
@@ -18,7 +18,7 @@
     let told = match word {
         "fleet" => {
             match text(arrival, "mode")? {
-                "Complete" | "Persisted" => to.list_replaced(),
+                "Complete" | "Persisted" => to.on_endpoint_list_replaced(),
                 "Partial" => (),
                 "Error" => return Ok(()),
                 other => return Err(format!("fleet: unknown mode {other:?}")),
@@ -32,10 +32,10 @@
             });
         }
         "submit" => {
-            to.taken(
+            to.accept_event(
                 EventId(text(arrival, "xid")?.into()),
                 DestinationId(whole(arrival, "toDest")?),
-                TrafficId(place(
+                TrafficTypeId(place(
                     &names.traffic,
                     text(arrival, "tierClass")?,
                     "tierClass",
@@ -50,34 +50,34 @@
                 let again = ["repeat", "again"]
                     .iter()
                     .any(|mark| arrival.get(*mark) == Some(&Value::Bool(true)));
-                to.asked_by(&EventId(text(arrival, "xid")?.into()), member, again);
+                to.charge_member(&EventId(text(arrival, "xid")?.into()), member, again);
             }
             Ok(())
         }
         "outcome" => {
-            let ended = Ended {
-                fate: fate(whole(arrival, "stateCode")?)?,
-                took: optional_time(arrival, "waitTimeUs")?,
-                over: arrival
+            let ended = AttemptReport {
+                outcome: fate(whole(arrival, "stateCode")?)?,
+                elapsed: optional_time(arrival, "waitTimeUs")?,
+                event_complete: arrival
                     .get("complete")
                     .is_some_and(|done| done == &Value::Bool(true)),
-                wait: optional_whole(arrival, "remarkMs")?.unwrap_or(0) as Ms,
-                left: names.left_at.and_then(|at| reported(arrival, at)),
+                retry_after: optional_whole(arrival, "remarkMs")?.unwrap_or(0) as Ms,
+                limit_remaining: names.left_at.and_then(|at| reported(arrival, at)),
             };
-            to.send_ended(&EventId(text(arrival, "xid")?.into()), ended)
+            to.on_attempt_ended(&EventId(text(arrival, "xid")?.into()), ended)
         }
-        "probeResult" => to.ping_ended(
+        "probeResult" => to.on_health_check_ended(
             &TargetId(text(arrival, "target")?.into()),
             fate(whole(arrival, "stateCode")?)?,
         ),
         "aborted" => {
-            to.withdrawn(&EventId(text(arrival, "xid")?.into()));
+            to.withdraw_event(&EventId(text(arrival, "xid")?.into()));
             Ok(())
         }
         "ring" | "inbox" | "begun" => Ok(()),
         other => return Err(format!("unknown event {other:?}")),
     };
-    told.map_err(|Unknown(what)| format!("{word}: {what} was never named to this instance"))
+    told.map_err(|UnknownId(what)| format!("{word}: {what} was never named to this instance"))
 }
 
 /// A value of a load report, which may be missing.
@@ -85,42 +85,42 @@
     arrival.get("stats")?.as_array()?.get(at)?.as_f64()
 }
 
-fn listed(names: &Names, to: &mut Forwarder, item: &Object) -> Plain<()> {
+fn listed(names: &Names, to: &mut Scheduler, item: &Object) -> Plain<()> {
     let listing = match text(item, "mode")? {
-        "Running" => Listing::Running,
-        "Stopping" => Listing::Leaving,
-        "Deleted" => Listing::Gone,
+        "Running" => EndpointState::Running,
+        "Stopping" => EndpointState::Draining,
+        "Deleted" => EndpointState::Removed,
         other => return Err(format!("unknown mode {other:?}")),
     };
     let target = TargetId(text(item, "target")?.into());
-    if listing == Listing::Gone {
-        to.relisted(&target, Listing::Gone);
+    if listing == EndpointState::Removed {
+        to.set_endpoint_state(&target, EndpointState::Removed);
         return Ok(());
     }
     let of = DestinationId(whole(item, "belongsTo")?);
-    to.listed(
+    to.on_endpoint_listed(
         target,
         of,
-        KindId(place(&names.kinds, text(item, "kind")?, "kind")?),
+        DestinationKindId(place(&names.kinds, text(item, "kind")?, "kind")?),
         ZoneId(place(&names.zones, text(item, "campus")?, "campus")?),
         listing,
     );
     if names.sizes_are_rates {
-        to.rate_told(of, optional_number(item, "powerHint")?);
+        to.set_advertised_rate(of, optional_number(item, "powerHint")?);
     }
     Ok(())
 }
 
-fn fate(code: u64) -> Plain<Fate> {
+fn fate(code: u64) -> Plain<AttemptOutcome> {
     Ok(match code {
-        10 => Fate::Delivered,
-        20 => Fate::Error,
-        30 => Fate::Full,
-        40 => Fate::TimedOut,
-        50 => Fate::NoConnection,
-        60 => Fate::Reset,
-        70 => Fate::Cancelled,
-        80 => Fate::NotSent,
+        10 => AttemptOutcome::Delivered,
+        20 => AttemptOutcome::Error,
+        30 => AttemptOutcome::Rejected,
+        40 => AttemptOutcome::TimedOut,
+        50 => AttemptOutcome::ConnectFailed,
+        60 => AttemptOutcome::Reset,
+        70 => AttemptOutcome::Cancelled,
+        80 => AttemptOutcome::NotSent,
         other => return Err(format!("stateCode: unknown code {other}")),
     })
 }
--- a/forwarder/simulator-adapter/src/wire.rs
+++ b/forwarder/simulator-adapter/src/wire.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, Write};
 use std::rc::Rc;
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
 use plankhill_forwarder_config::fields::*;
 use plankhill_forwarder_config::{terms, Names};
@@ -35,7 +35,7 @@
 }
 
 struct Instance {
-    forwarder: Forwarder,
+    forwarder: Scheduler,
     names: Names,
     /// Where the list answers only when asked.
     subscription: Option<Subscription>,
@@ -77,7 +77,7 @@
                 subscription,
             } = instance;
             written.who = who;
-            let came_in = |forwarder: &mut Forwarder, written: &mut Written| {
+            let came_in = |forwarder: &mut Scheduler, written: &mut Written| {
                 for (index, arrival, page) in came_in {
                     let at = |what| format!("arrivals[{index}]: {what}");
                     if let Some(subscription) = subscription {
@@ -87,7 +87,7 @@
                 }
                 Ok::<(), String>(())
             };
-            forwarder.round(now, came_in, &mut written)?;
+            forwarder.run_iteration(now, came_in, &mut written)?;
         }
         Ok(json!({ "decisions": written.decisions }))
     }
@@ -114,7 +114,7 @@
             let subscription = names
                 .ask_within
                 .map(|within| Subscription::new(within, seed));
-            let forwarder = Forwarder::start(terms, now);
+            let forwarder = Scheduler::new(terms, now);
             self.instances.insert(
                 who,
                 Instance {
--- a/forwarder/simulator-adapter/src/written.rs
+++ b/forwarder/simulator-adapter/src/written.rs
@@ -22,8 +22,8 @@
     }
 }
 
-impl Decisions for Written {
-    fn send(&mut self, event: &EventId, target: &TargetId, time_out: Ms, _: Ms) {
+impl Effects for Written {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, _: Ms) {
         let (xid, target) = (&*event.0, &*target.0);
         let span = micros(time_out).max(1);
         let who = self.who;
@@ -31,27 +31,27 @@
             json!({"cmd": "callOut", "who": who, "xid": xid, "target": target, "tryForUs": span}),
         );
     }
-    fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
+    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
         let wait = come_back_after.map(micros);
         self.decisions
             .push(json!({"cmd": "notNow", "who": self.who, "xid": &*event.0, "waitUs": wait}));
         false
     }
-    fn write_off(&mut self, event: &EventId) -> bool {
+    fn abandon(&mut self, event: &EventId) -> bool {
         self.decisions
             .push(json!({"cmd": "error", "who": self.who, "xid": &*event.0}));
         false
     }
-    fn ping(&mut self, target: &TargetId) {
+    fn health_check(&mut self, target: &TargetId) {
         self.decisions
             .push(json!({"cmd": "check", "who": self.who, "target": &*target.0}));
     }
-    fn close_idle(&mut self, target: &TargetId) {
+    fn close_idle_connections(&mut self, target: &TargetId) {
         self.decisions
             .push(json!({"cmd": "hangUp", "who": self.who, "target": &*target.0}));
     }
-    fn take_back(&mut self, _: &TargetId) {} // a call is written at once there
-    fn note_cold(&mut self, _: &TargetId, _: Ms, _: f64) {} // nothing outlasts a forwarder there
+    fn cancel_unsent(&mut self, _: &TargetId) {} // a call is written at once there
+    fn record_warm_up(&mut self, _: &TargetId, _: Ms, _: f64) {} // nothing outlasts a forwarder there
     fn wake_after(&mut self, pause: Ms) {
         self.ring_after(pause, 0);
     }
--- a/tier/agent/src/end.rs
+++ b/tier/agent/src/end.rs
@@ -22,7 +22,7 @@
         .await
         .is_ok();
     let told = subscription
-        .send_written(FromSubscriber::Leaving, LAST_MESSAGE)
+        .send_and_flush(FromSubscriber::Deregister, LAST_MESSAGE)
         .await;
     tracing::info!(proxy_ended = in_time, controller_told = told, "agent ends");
 }
--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
-use plankhill_protocol::feeder::Held;
-use plankhill_protocol::subscription::LinkStanding;
+use plankhill_protocol::feed_position::FeedPosition;
+use plankhill_protocol::subscription::LinkStatus;
 use plankhill_protocol::tables::Tables;
 use plankhill_protocol::transport::{accept, FrameReader, FrameWriter, Hello, TransportError};
 use tokio::net::TcpListener;
@@ -47,7 +47,7 @@
     /// The tables of this machine.
     pub tables: watch::Receiver<Arc<Tables>>,
     /// How the link to the controllers stands.
-    pub standing: watch::Receiver<LinkStanding>,
+    pub standing: watch::Receiver<LinkStatus>,
     /// What subscribers say to the controllers.
     pub upwards: mpsc::Sender<FromSubscriber>,
 }
@@ -86,7 +86,7 @@
 struct Feed {
     writer: FrameWriter,
     source: Source,
-    held: Held,
+    held: FeedPosition,
     /// Whether it is the proxy of this machine, which speaks for it.
     is_proxy: bool,
     heartbeat: Duration,
@@ -100,7 +100,7 @@
         Feed {
             writer,
             source,
-            held: Held::Nothing,
+            held: FeedPosition::Nothing,
             is_proxy: false,
             heartbeat,
             beat: Instant::now(),
@@ -111,8 +111,8 @@
     /// Feeds until the connection ends; says why it did.
     async fn run(mut self, mut reader: FrameReader) -> &'static str {
         match timeout(WRITE_LIMIT, reader.next()).await {
-            Ok(Ok(FromSubscriber::Subscribe { subscriber, held })) => {
-                self.held = Held::Revision(held);
+            Ok(Ok(FromSubscriber::Subscribe { subscriber, held_revision: held })) => {
+                self.held = FeedPosition::Revision(held);
                 self.is_proxy = subscriber == Subscriber::Proxy;
             }
             _ => return "no subscription",
@@ -125,9 +125,9 @@
             tokio::select! {
                 (reader, message) = &mut reading => {
                     match message {
-                        Ok(FromSubscriber::WantsSnapshot) => self.held = Held::Nothing,
+                        Ok(FromSubscriber::RequestSnapshot) => self.held = FeedPosition::Nothing,
                         // It is said again until the tables show it, so one that finds no room may be lost.
-                        Ok(emptied @ FromSubscriber::Emptied { .. }) if self.is_proxy => {
+                        Ok(emptied @ FromSubscriber::Drained { .. }) if self.is_proxy => {
                             let _ = self.source.upwards.try_send(emptied);
                         }
                         Ok(_) => {}
@@ -155,7 +155,7 @@
     async fn send_newest(&mut self) -> bool {
         let tables = self.source.tables.borrow_and_update().clone();
         let mut messages = Vec::new();
-        messages.extend(self.held.advance(&tables).map(ToSubscriber::Update));
+        messages.extend(self.held.advance_to(&tables).map(ToSubscriber::Update));
         if messages.is_empty() && self.beat > Instant::now() {
             return true;
         }
--- a/tier/agent/src/homes.rs
+++ b/tier/agent/src/homes.rs
@@ -71,24 +71,24 @@
 
 /// Follows one home.
 async fn follow(me: &Edge, address: SocketAddr, controllers: &Subscription) -> Ended {
-    let (mut own, mut link) = (controllers.tables(), controllers.standing());
+    let (mut own, mut link) = (controllers.tables(), controllers.status());
     let home = subscribe(me, address, &own);
-    let (mut offered, mut standing) = (home.tables(), home.standing());
+    let (mut offered, mut standing) = (home.tables(), home.status());
     let connected_by = Instant::now() + CONNECT_LIMIT;
     let mut connected = false;
     let mut by_home = false;
     loop {
         if address_of_home(me, &own.borrow_and_update().edges) != Some(address) {
-            controllers.direct();
+            controllers.follow_feeder();
             return Ended::Moved;
         }
         let state = *standing.borrow_and_update();
         if connected && state.address.is_none() {
-            controllers.direct();
+            controllers.follow_feeder();
             return Ended::Failed;
         }
         connected |= state.address.is_some();
-        let fell_back = !link.borrow_and_update().by_home;
+        let fell_back = !link.borrow_and_update().follows_home;
         if by_home && fell_back {
             return Ended::Failed;
         }
@@ -98,7 +98,7 @@
         if by_home && newest.revision > held {
             controllers.offer(newest);
         } else if !by_home && state.current && newest.revision >= held {
-            controllers.by_home();
+            controllers.follow_home();
         }
         let changed = tokio::select! {
             changed = own.changed() => changed,
@@ -122,7 +122,7 @@
         hello: Hello::new(Channel::Peer, me.node.clone()),
         subscriber: Subscriber::Peer,
         candidates,
-        silence: SILENCE,
+        feeder_timeout: SILENCE,
     };
-    Subscription::start_holding(options, own.borrow().clone())
+    Subscription::start_from(options, own.borrow().clone())
 }
--- a/tier/agent/src/peers.rs
+++ b/tier/agent/src/peers.rs
@@ -127,8 +127,8 @@
     /// One report, if a controller is connected: an old one is of no use.
     fn report(&self, node: NodeId) {
         tracing::info!(%node, "peer does not answer");
-        if self.subscription.standing().borrow().address.is_some() {
-            self.subscription.send(FromSubscriber::Suspects(node));
+        if self.subscription.status().borrow().address.is_some() {
+            self.subscription.send(FromSubscriber::SuspectPeer(node));
         }
     }
 
--- a/tier/agent/src/run.rs
+++ b/tier/agent/src/run.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use plankhill_protocol::feed::{FromSubscriber, Subscriber};
-use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_SILENCE};
+use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_TIMEOUT};
 use plankhill_protocol::tables::Edge;
 use plankhill_protocol::transport::{listen, Channel, Hello};
 use plankhill_settings::Settings;
@@ -63,13 +63,13 @@
         hello: Hello::new(Channel::Feed, me.node.clone()),
         subscriber: Subscriber::Edge(me.clone()),
         candidates: watched,
-        silence: CONTROLLER_SILENCE,
+        feeder_timeout: CONTROLLER_TIMEOUT,
     }));
     let (upwards, messages) = mpsc::channel(UPWARDS);
     tokio::task::spawn_local(pass_upwards(messages, subscription.clone()));
     let source = Source {
         tables: subscription.tables(),
-        standing: subscription.standing(),
+        standing: subscription.status(),
         upwards,
     };
     let proxies = start_feeder(loopback, Channel::Feed, &me, &source, PROXY);
@@ -94,7 +94,7 @@
     subscription: Rc<Subscription>,
 ) {
     while let Some(message) = messages.recv().await {
-        if subscription.standing().borrow().address.is_some() {
+        if subscription.status().borrow().address.is_some() {
             subscription.send(message);
         }
     }
--- a/tier/agent/tests/feeding.rs
+++ b/tier/agent/tests/feeding.rs
@@ -53,7 +53,7 @@
         hello,
         subscriber,
         candidates,
-        silence: PATIENT,
+        feeder_timeout: PATIENT,
     })
 }
 
@@ -108,7 +108,7 @@
     let (upwards, _) = mpsc::channel(1);
     let source = Source {
         tables: of.tables(),
-        standing: of.standing(),
+        standing: of.status(),
         upwards,
     };
     let (connected, _) = watch::channel(0);
@@ -138,7 +138,7 @@
             .await
             .unwrap();
         proxy
-            .standing()
+            .status()
             .wait_for(|standing| standing.current)
             .await
             .unwrap();
@@ -174,10 +174,10 @@
             .wait_for(|held| **held == tables)
             .await
             .unwrap();
-        assert!(!proxy.standing().borrow().current);
+        assert!(!proxy.status().borrow().current);
         send(&mut link, heartbeat(3)).await;
         proxy
-            .standing()
+            .status()
             .wait_for(|standing| standing.current)
             .await
             .unwrap();
@@ -192,7 +192,7 @@
         let agent = subscribe("edge-1", Subscriber::Edge(me), controller.address());
         let (loopback, _feeder) = start_feeder(&agent, PROXY);
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
-        let mut standing = proxy.standing();
+        let mut standing = proxy.status();
         standing
             .wait_for(|standing| standing.address.is_some())
             .await
@@ -241,7 +241,7 @@
     send(&mut home_link, snapshot(&tables)).await;
     send(&mut home_link, heartbeat(3)).await;
     home_agent
-        .standing()
+        .status()
         .wait_for(|standing| standing.current)
         .await
         .unwrap();
@@ -293,7 +293,7 @@
         send(&mut zone.other, heartbeat(4)).await;
         wait_for(
             &mut zone.other,
-            FromSubscriber::Updates { held: Revision(3) },
+            FromSubscriber::ResumeUpdates { held_revision: Revision(3) },
         )
         .await;
         send(&mut zone.other, next_revision()).await;
@@ -320,7 +320,7 @@
         send(&mut zone.other, ToSubscriber::Update(update)).await;
         wait_for(
             &mut zone.other,
-            FromSubscriber::Updates { held: Revision(4) },
+            FromSubscriber::ResumeUpdates { held_revision: Revision(4) },
         )
         .await;
     });
--- a/tier/agent/tests/wire_format.rs
+++ b/tier/agent/tests/wire_format.rs
@@ -68,7 +68,7 @@
         // A fixed address, since it is part of the bytes.
         subscriber: Subscriber::Edge(edge("edge-1", SocketAddr::from(([127, 0, 0, 1], 7_002)))),
         candidates,
-        silence: PATIENT,
+        feeder_timeout: PATIENT,
     }))
 }
 
@@ -116,7 +116,7 @@
         let (upwards, mut passed) = mpsc::channel(1);
         let source = Source {
             tables: agent.tables(),
-            standing: agent.standing(),
+            standing: agent.status(),
             upwards,
         };
         let hello = Hello::new(Channel::Feed, NodeId::from("edge-1"));
--- a/tier/command/src/roll.rs
+++ b/tier/command/src/roll.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use plankhill_draining::roll::{Bounds, FleetView, NodeView, Roll, Step};
+use plankhill_draining::rolling_restart::{RestartLimits, FleetView, NodeView, RollingRestart, RestartStep};
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 use serde_json::Value;
 
@@ -38,7 +38,7 @@
     #[error("{0}")]
     Call(#[from] CallError),
     #[error("{0}")]
-    Stopped(#[from] plankhill_draining::roll::Stopped),
+    Stopped(#[from] plankhill_draining::rolling_restart::StopReason),
 }
 
 fn roll(address: SocketAddr, plan: &RollArguments) -> Result<usize, RollError> {
@@ -49,12 +49,12 @@
     } else {
         named.collect()
     };
-    let bounds = Bounds {
-        most_out: plan.most_out,
-        empty_within: plan.empty_within,
-        back_within: plan.back_within,
+    let bounds = RestartLimits {
+        max_unavailable: plan.most_out,
+        drain_timeout: plan.empty_within,
+        restart_timeout: plan.back_within,
     };
-    let mut roll = Roll::new(bounds, nodes, &view);
+    let mut roll = RollingRestart::new(bounds, nodes, &view);
     let started = Instant::now();
     let mut failures = 0;
     loop {
@@ -71,18 +71,18 @@
         };
         failures = 0;
         match roll.step(started.elapsed(), &view) {
-            Step::Drain(node) => {
+            RestartStep::Drain(node) => {
                 print(&format!("drain {node}"));
                 order(address, &node, true)?;
             }
-            Step::Release(node) => drop(print(&format!("empty {node}: start it anew"))),
-            Step::Undrain(node) => {
+            RestartStep::Restart(node) => drop(print(&format!("empty {node}: start it anew"))),
+            RestartStep::Undrain(node) => {
                 order(address, &node, false)?;
                 print(&format!("back {node}"));
             }
-            Step::Wait => std::thread::sleep(LOOK),
-            Step::Done => return Ok(roll.count().0),
-            Step::Stop(stopped) => return Err(stopped.into()),
+            RestartStep::Wait => std::thread::sleep(LOOK),
+            RestartStep::Done => return Ok(roll.progress().0),
+            RestartStep::Stop(stopped) => return Err(stopped.into()),
         }
     }
 }
--- a/tier/configuration/src/route.rs
+++ b/tier/configuration/src/route.rs
@@ -55,7 +55,7 @@
     /// Longest time the system may hold a request.
     pub timeout: Duration,
     /// Time within which an answer (a stream's first event) earns its full worth.
-    pub target_latency: Option<Duration>,
+    pub latency_target: Option<Duration>,
     /// Rank; 0 is highest.
     pub priority: u32,
     /// Most targets that one try of a client may be sent to.
@@ -70,14 +70,14 @@
     /// True if a stream may be taken up at another target.
     pub resumable: bool,
     /// Longest pause between events at which an answer stays in time.
-    pub gap_aim: Option<Duration>,
+    pub event_gap_target: Option<Duration>,
     /// The services that answer.
     pub services: RouteServices,
 }
 
 impl Route {
     /// True if a request of this route may run more than once.
-    pub fn may_run_again(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::Streaming => self.resumable,
@@ -140,14 +140,14 @@
             path_prefix: fields.path_prefix,
             kind: fields.kind,
             timeout: fields.timeout_ms,
-            target_latency: fields.target_latency_ms,
+            latency_target: fields.target_latency_ms,
             priority: fields.priority,
             max_attempts: fields.max_attempts,
             retained: fields.retained,
             retention: fields.retention_s,
             session_affinity: fields.session_affinity,
             resumable: fields.resumable,
-            gap_aim: fields.gap_aim_ms,
+            event_gap_target: fields.gap_aim_ms,
             services,
         })
     }
--- a/tier/configuration/src/service.rs
+++ b/tier/configuration/src/service.rs
@@ -31,8 +31,8 @@
     #[serde(default, deserialize_with = "fields::or_default")]
     pub tls: bool,
     /// How much a cold target speeds up each second, where that is told.
-    #[serde(default)]
-    pub cold_per_s: Option<f64>,
+    #[serde(default, rename = "cold_per_s")]
+    pub warm_up_rate_per_s: Option<f64>,
     /// True if a target runs a repeated request only once.
     #[serde(default, alias = "dedupes", deserialize_with = "fields::or_default")]
     pub idempotent: bool,
--- a/tier/configuration/tests/reading.rs
+++ b/tier/configuration/tests/reading.rs
@@ -25,11 +25,11 @@
     assert_eq!(chat.path_prefix.as_ref(), "/chat/");
     assert_eq!(chat.kind, RouteKind::Streaming);
     assert_eq!(chat.timeout, Duration::from_secs(5));
-    assert_eq!(chat.target_latency, Some(Duration::from_millis(250)));
+    assert_eq!(chat.latency_target, Some(Duration::from_millis(250)));
     assert_eq!((chat.priority, chat.max_attempts), (0, 2));
     assert!(chat.retained && chat.session_affinity && !chat.resumable);
     assert_eq!(chat.retention, Duration::from_secs(60));
-    assert_eq!(chat.gap_aim, Some(Duration::from_millis(400)));
+    assert_eq!(chat.event_gap_target, Some(Duration::from_millis(400)));
     assert_eq!(chat.services, RouteServices::One("models".into()));
 }
 
@@ -69,12 +69,12 @@
 #[test]
 fn what_may_run_again_follows_from_kind_and_resuming() {
     let configuration = read(&with("/routes/0/resumable", json!(true)));
-    let may_run_again = |index: usize| configuration.routes[index].may_run_again();
+    let may_run_again = |index: usize| configuration.routes[index].is_retryable();
     assert_eq!(
         [may_run_again(0), may_run_again(1), may_run_again(2)],
         [true, true, false]
     );
-    assert!(!read(&valid()).routes[0].may_run_again());
+    assert!(!read(&valid()).routes[0].is_retryable());
 }
 
 #[test]
--- a/tier/control/src/stores.rs
+++ b/tier/control/src/stores.rs
@@ -70,7 +70,7 @@
 
     /// Whether fewer than 2f+1, but enough for a quorum, wait for the first view.
     pub fn can_found_with_fewer(&self) -> bool {
-        self.view.serving.is_empty() && self.founders.len() > self.view.faults as usize
+        self.view.serving.is_empty() && self.founders.len() > self.view.tolerated_faults as usize
     }
 
     /// The set that is to serve once all changes under way are done.
@@ -80,12 +80,12 @@
 
     /// Stores that must be left for f of them to be lost: 2f+1.
     fn full_size(&self) -> usize {
-        2 * self.view.faults as usize + 1
+        2 * self.view.tolerated_faults as usize + 1
     }
 
     /// Takes a store in: a new one, or a new life of a known one.
     pub(crate) fn register(&mut self, member: &StoreMember, faults: u32) -> Outcome {
-        self.view.faults = faults;
+        self.view.tolerated_faults = faults;
         if self.is_known(member) {
             return Outcome::Ignored;
         }
--- a/tier/control/src/tables.rs
+++ b/tier/control/src/tables.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use plankhill_protocol::ids::{InstanceId, NodeId, Revision};
-use plankhill_protocol::tables::{target_order, Edge, Tables, TablesChange, Target};
+use plankhill_protocol::tables::{compare_targets, Edge, Tables, TablesChange, Target};
 
 use crate::state::ControlState;
 
@@ -15,7 +15,7 @@
         .iter()
         .map(|target| (**target).clone())
         .collect();
-    targets.sort_by(target_order);
+    targets.sort_by(compare_targets);
     Tables {
         revision,
         configuration: state.configuration().cloned(),
--- a/tier/control/tests/common/mod.rs
+++ b/tier/control/tests/common/mod.rs
@@ -21,7 +21,7 @@
         capacity: 4,
         state: TargetState::Healthy,
         sequence,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         models: Vec::new(),
     }
 }
--- a/tier/control/tests/stored_format.rs
+++ b/tier/control/tests/stored_format.rs
@@ -25,7 +25,7 @@
         capacity: 300,
         state,
         sequence: 70_000,
-        cold_remaining_ms: 1_500,
+        warm_up_remaining_ms: 1_500,
         models: vec![ServedModel {
             name: "large".to_owned(),
             version: 3,
--- a/tier/control/tests/stores.rs
+++ b/tier/control/tests/stores.rs
@@ -221,7 +221,7 @@
         others <= 1,
         "all but the member whose report switches had synced before"
     );
-    assert!(next.len() > after.faults as usize);
+    assert!(next.len() > after.tolerated_faults as usize);
 }
 
 #[test]
--- a/tier/control/tests/targets.rs
+++ b/tier/control/tests/targets.rs
@@ -43,7 +43,7 @@
     let mut state = ControlState::default();
     set(&mut state, target("t1", 80, 1));
     assert!(state.targets().is_known(&Target {
-        cold_remaining_ms: 700,
+        warm_up_remaining_ms: 700,
         ..target("t1", 80, 2)
     }));
     assert!(!state.targets().is_known(&draining("t1", 80, 3)));
--- a/tier/controller/src/admin/heartbeat.rs
+++ b/tier/controller/src/admin/heartbeat.rs
@@ -74,7 +74,7 @@
         },
         sequence: report.sequence,
         // Whole milliseconds; negative ones and those too large are cut off.
-        cold_remaining_ms: report.cold_remaining_ms as u64,
+        warm_up_remaining_ms: report.cold_remaining_ms as u64,
         models: report.models.into_iter().map(served).collect(),
     })
 }
--- a/tier/controller/src/admin/server.rs
+++ b/tier/controller/src/admin/server.rs
@@ -65,7 +65,7 @@
     stream: TcpStream,
     mut ending: watch::Receiver<bool>,
 ) {
-    if plankhill_protocol::transport::tune(&stream).is_err() {
+    if plankhill_protocol::transport::set_socket_options(&stream).is_err() {
         return;
     }
     let service = service_fn(move |request| {
--- a/tier/controller/src/feed/session.rs
+++ b/tier/controller/src/feed/session.rs
@@ -39,7 +39,7 @@
         writer,
     } = connection;
     let first = timeout(FIRST_MESSAGE, reader.next()).await;
-    let Ok(Ok(FromSubscriber::Subscribe { subscriber, held })) = first else {
+    let Ok(Ok(FromSubscriber::Subscribe { subscriber, held_revision: held })) = first else {
         return;
     };
     let Some(key) = controller
@@ -150,7 +150,7 @@
                     .borrow_mut()
                     .applied(self.key, revision);
             }
-            FromSubscriber::WantsSnapshot => self.wants_snapshot = true,
+            FromSubscriber::RequestSnapshot => self.wants_snapshot = true,
             FromSubscriber::StoreSynced(epoch) => {
                 if let Some(MachineLife { node, incarnation }) = self.life.clone() {
                     self.controller.submit(Operation::StoreSynced {
@@ -160,8 +160,8 @@
                     });
                 }
             }
-            FromSubscriber::Suspects(node) => tracing::info!(%node, "suspected by a peer"),
-            FromSubscriber::Leaving => {
+            FromSubscriber::SuspectPeer(node) => tracing::info!(%node, "suspected by a peer"),
+            FromSubscriber::Deregister => {
                 if let (Subscriber::Edge(_), Some(life)) = (&self.subscriber, self.life.clone()) {
                     let MachineLife { node, incarnation } = life;
                     self.controller
@@ -169,7 +169,7 @@
                 }
                 return true;
             }
-            FromSubscriber::Emptied { number } => {
+            FromSubscriber::Drained { number } => {
                 if let (Subscriber::Edge(edge), Some(_)) = (&self.subscriber, &self.life) {
                     let node = edge.node.clone();
                     self.controller
@@ -177,7 +177,7 @@
                 }
             }
             FromSubscriber::HeartbeatsOnly => self.wants_updates = false,
-            FromSubscriber::Updates { held } => (self.wants_updates, self.held) = (true, held),
+            FromSubscriber::ResumeUpdates { held_revision: held } => (self.wants_updates, self.held) = (true, held),
             // Only the first message of a connection may be one.
             FromSubscriber::Subscribe { .. } => return true,
         }
--- a/tier/controller/src/log.rs
+++ b/tier/controller/src/log.rs
@@ -7,7 +7,7 @@
 use plankhill_control::{ControlState, Operation, Outcome};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::Connection;
-use plankhill_replica::{CommittedState, Log, Unavailable};
+use plankhill_replica::{CommittedState, ReplicaHandle, Unavailable};
 use tokio::sync::watch;
 
 /// A committed state with its place in the order of operations.
@@ -70,33 +70,33 @@
     async fn serve_chain(&self, connection: Connection);
 }
 
-impl ControlLog for Log<ControlState> {
+impl ControlLog for ReplicaHandle<ControlState> {
     async fn propose(
         &self,
         operation: Operation,
         timeout: Duration,
     ) -> Result<Outcome, Unavailable> {
-        Log::propose(self, operation, timeout).await
+        ReplicaHandle::propose(self, operation, timeout).await
     }
 
     fn state(&self) -> watch::Receiver<Arc<Committed>> {
-        Log::state(self)
+        ReplicaHandle::state(self)
     }
 
     async fn read(&self, timeout: Duration) -> Result<Arc<Committed>, Unavailable> {
-        Log::read(self, timeout).await
+        ReplicaHandle::read(self, timeout).await
     }
 
     fn is_current(&self) -> bool {
-        Log::is_current(self)
+        ReplicaHandle::is_current(self)
     }
 
     fn current_changes(&self) -> watch::Receiver<bool> {
-        Log::current_changes(self)
+        ReplicaHandle::current_changes(self)
     }
 
     fn place(&self) -> Place {
-        let standing = self.standing();
+        let standing = self.status();
         let peer = |member: plankhill_chain::Member| Peer {
             node: member.identity.node,
             address: member.address,
--- a/tier/controller/src/run.rs
+++ b/tier/controller/src/run.rs
@@ -9,7 +9,7 @@
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::ports::PortRange;
 use plankhill_protocol::transport::listen;
-use plankhill_replica::{start, Log, ReplicaSettings, StartError};
+use plankhill_replica::{start, ReplicaHandle, ReplicaSettings, StartError};
 use plankhill_settings::Settings;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -68,7 +68,7 @@
         .admin
         .ok_or(RunError::Setting("listeners_map.admin"))?;
     let (admin, internal) = (listen_at(admin)?, listen_at(internal_address(&settings))?);
-    let log: Log<ControlState> = start(replica_settings(&settings)?)?;
+    let log: ReplicaHandle<ControlState> = start(replica_settings(&settings)?)?;
     let node = NodeId::from(settings.node_id.as_str());
     let controller = Controller::new(node, settings.fault_tolerance.nodes, log.clone());
     let (ending, ended) = watch::channel(false);
@@ -92,8 +92,8 @@
 
 /// Answers what is under way, and leaves the chain so that it goes on at once.
 async fn end(
-    controller: &Rc<Controller<Log<ControlState>>>,
-    log: &Log<ControlState>,
+    controller: &Rc<Controller<ReplicaHandle<ControlState>>>,
+    log: &ReplicaHandle<ControlState>,
     ending: &watch::Sender<bool>,
 ) {
     ending.send_replace(true);
@@ -102,7 +102,7 @@
     tracing::info!(node = %controller.node, left, "controller ends");
 }
 
-async fn take_over_seeds(log: &Log<ControlState>) {
+async fn take_over_seeds(log: &ReplicaHandle<ControlState>) {
     match Settings::load() {
         Ok(settings) => log.set_seeds(seeds(&settings)).await,
         Err(error) => tracing::warn!(%error, "settings stay as they were"),
@@ -119,7 +119,7 @@
             .ok_or(RunError::Setting("data_path"))?,
         seeds: seeds(settings),
         bootstrap: settings.bootstrap,
-        tolerated: settings.fault_tolerance.nodes as usize,
+        tolerated_faults: settings.fault_tolerance.nodes as usize,
     })
 }
 
--- a/tier/controller/tests/cluster/mod.rs
+++ b/tier/controller/tests/cluster/mod.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, StatusCode};
 use plankhill_protocol::feed::Subscriber;
 use plankhill_protocol::ids::NodeId;
-use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_SILENCE};
+use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_TIMEOUT};
 use plankhill_protocol::transport::{Channel, Hello};
 use plankhill_replica::ReplicaSettings;
 use tempfile::TempDir;
@@ -88,7 +88,7 @@
                 .map(|machine| machine.internal)
                 .collect(),
             bootstrap,
-            tolerated: 1,
+            tolerated_faults: 1,
         };
         let admin = machine.admin;
         let (kill, killed) = oneshot::channel();
@@ -235,9 +235,9 @@
                 hello: Hello::new(Channel::Feed, NodeId::from("operator")),
                 subscriber: Subscriber::Proxy,
                 candidates,
-                silence: CONTROLLER_SILENCE,
+                feeder_timeout: CONTROLLER_TIMEOUT,
             });
-            let mut standing = subscription.standing();
+            let mut standing = subscription.status();
             let current = standing.wait_for(|standing| standing.current);
             let in_time = tokio::time::timeout(ANSWER, current).await.is_ok();
             assert!(in_time, "no controller is current");
--- a/tier/controller/tests/cluster/process.rs
+++ b/tier/controller/tests/cluster/process.rs
@@ -13,7 +13,7 @@
 use plankhill_controller::process::{start_tasks, Listeners};
 use plankhill_controller::Controller;
 use plankhill_protocol::transport::listen;
-use plankhill_replica::{start, Log, ReplicaSettings};
+use plankhill_replica::{start, ReplicaHandle, ReplicaSettings};
 use tokio::net::TcpStream;
 use tokio::sync::{oneshot, watch};
 
@@ -57,7 +57,7 @@
     let set = tokio::task::LocalSet::new();
     set.block_on(&runtime, async move {
         let (node, address) = (settings.node.clone(), settings.address);
-        let log: Log<ControlState> = start(settings).unwrap();
+        let log: ReplicaHandle<ControlState> = start(settings).unwrap();
         let controller = Controller::new(node, 1, log);
         let listeners = Listeners {
             admin: listen(admin).unwrap(),
--- a/tier/controller/tests/feed.rs
+++ b/tier/controller/tests/feed.rs
@@ -14,7 +14,7 @@
 use plankhill_controller::Controller;
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
 use plankhill_protocol::ids::{NodeId, Revision};
-use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_SILENCE};
+use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_TIMEOUT};
 use plankhill_protocol::tables::{Tables, TablesUpdate};
 use plankhill_protocol::transport::{dial, listen, Channel, Connection, Hello};
 use tokio::sync::watch;
@@ -36,7 +36,7 @@
         hello: Hello::new(Channel::Feed, NodeId::from("subscriber")),
         subscriber,
         candidates,
-        silence: CONTROLLER_SILENCE,
+        feeder_timeout: CONTROLLER_TIMEOUT,
     })
 }
 
@@ -65,7 +65,7 @@
         let tables = until(&subscription, |tables| tables.configuration.is_some()).await;
         assert_eq!(tables.configuration.as_ref().unwrap().version, 5);
         subscription
-            .standing()
+            .status()
             .wait_for(|standing| standing.current)
             .await
             .unwrap();
@@ -79,7 +79,7 @@
         let watcher = subscribe(Subscriber::Proxy, address);
         let leaving = subscribe(Subscriber::Edge(edge("edge-1", 1)), address);
         until(&watcher, |tables| tables.edges.len() == 1).await;
-        assert!(leaving.send(FromSubscriber::Leaving));
+        assert!(leaving.send(FromSubscriber::Deregister));
         drop(leaving);
         until(&watcher, |tables| tables.edges.is_empty()).await;
         assert!(log.control().edges().get(&NodeId::from("edge-1")).is_none());
@@ -119,7 +119,7 @@
     let mut connection = dial(address, &hello).await.unwrap();
     let first = FromSubscriber::Subscribe {
         subscriber: Subscriber::Proxy,
-        held,
+        held_revision: held,
     };
     connection.writer.send(&first).await.unwrap();
     connection
@@ -191,7 +191,7 @@
         let mut connection = connect(address, newest).await;
         connection
             .writer
-            .send(&FromSubscriber::WantsSnapshot)
+            .send(&FromSubscriber::RequestSnapshot)
             .await
             .unwrap();
         let answer = next(&mut connection, newest).await;
@@ -225,7 +225,7 @@
         );
         connection
             .writer
-            .send(&FromSubscriber::Updates { held })
+            .send(&FromSubscriber::ResumeUpdates { held_revision: held })
             .await
             .unwrap();
         let update = next(&mut connection, newest).await;
@@ -239,13 +239,13 @@
         let (log, _controller, address) = start();
         let subscription = subscribe(Subscriber::Proxy, address);
         subscription
-            .standing()
+            .status()
             .wait_for(|standing| standing.current)
             .await
             .unwrap();
         log.set_reachable(false);
         subscription
-            .standing()
+            .status()
             .wait_for(|standing| !standing.current)
             .await
             .unwrap();
--- a/tier/controller/tests/stored_format.rs
+++ b/tier/controller/tests/stored_format.rs
@@ -13,7 +13,7 @@
 use plankhill_controller::admin::parse_heartbeat;
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId, Revision};
 use plankhill_replica::storage::open_folder;
-use plankhill_replica::{start, Log, ReplicaSettings};
+use plankhill_replica::{start, ReplicaHandle, ReplicaSettings};
 use tempfile::TempDir;
 
 /// Time for the only member of a chain to take up its work, on a busy machine.
@@ -68,12 +68,12 @@
         folder: folder.path().to_path_buf(),
         seeds: vec![address],
         bootstrap: false,
-        tolerated: 0,
+        tolerated_faults: 0,
     };
     common::block_on(async {
-        let log: Log<ControlState> = start(settings).expect("starts");
+        let log: ReplicaHandle<ControlState> = start(settings).expect("starts");
         // Cut off for a moment: a member that starts has confirmed nothing yet.
-        let mut current = log.current_changes();
+        let mut current = log.watch_current();
         let confirmed = tokio::time::timeout(PATIENCE, current.wait_for(|current| *current)).await;
         confirmed
             .expect("current in time")
--- a/tier/conversations/src/account.rs
+++ b/tier/conversations/src/account.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use plankhill_protocol::ids::RequestId;
-use plankhill_protocol::turns::Reservation;
+use plankhill_protocol::store_calls::Reservation;
 use serde::{Deserialize, Serialize};
 
 /// Turns that one account holds at most; a program with more gets no further turn.
@@ -109,7 +109,7 @@
         }
         let others = self.turns().filter(|(other, _)| *other != turn);
         let tokens = others.fold(0_u64, |sum, (_, state)| sum.saturating_add(state.tokens()));
-        if tokens.saturating_add(reservation.most) <= reservation.budget {
+        if tokens.saturating_add(reservation.max_tokens) <= reservation.budget {
             Verdict::Granted
         } else {
             Verdict::Spent
--- a/tier/conversations/src/index.rs
+++ b/tier/conversations/src/index.rs
@@ -7,7 +7,7 @@
 use std::ops::Bound;
 
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 
 use crate::account::{Account, TurnState, MAX_TURNS};
 use crate::peer::{ProgramDigest, ProgramOutline};
@@ -24,7 +24,7 @@
     /// The program that it ran in.
     pub program: ProgramId,
     /// The turn that it went on from.
-    pub previous: Option<TurnPlace>,
+    pub previous: Option<TurnLocation>,
     /// Bytes of its input and output.
     pub bytes: u64,
     /// When it may go.
--- a/tier/conversations/src/peer.rs
+++ b/tier/conversations/src/peer.rs
@@ -4,7 +4,7 @@
 
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 use serde::{Deserialize, Serialize};
 
 use crate::account::{Account, TurnState};
@@ -137,7 +137,7 @@
         /// The turns.
         turns: Vec<Arc<TurnRecord>>,
         /// Where to go on, if the chain is longer than what is here.
-        rest: Option<TurnPlace>,
+        rest: Option<TurnLocation>,
     },
     /// The turn is here.
     Located,
--- a/tier/conversations/src/wire.rs
+++ b/tier/conversations/src/wire.rs
@@ -1,6 +1,6 @@
 //! What goes over a connection to a store: calls of proxies and of other stores.
 
-use plankhill_protocol::turns::{StoreCall, StoreReply};
+use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use serde::{Deserialize, Serialize};
 
 use crate::peer::{PeerCall, PeerReply};
--- a/tier/conversations/tests/accounts.rs
+++ b/tier/conversations/tests/accounts.rs
@@ -4,7 +4,7 @@
 use arbtest::arbtest;
 use plankhill_conversations::account::{Account, TurnState, Verdict};
 use plankhill_protocol::ids::RequestId;
-use plankhill_protocol::turns::Reservation;
+use plankhill_protocol::store_calls::Reservation;
 
 fn name(number: u8) -> RequestId {
     RequestId::from(format!("turn-{number}").as_str())
@@ -76,17 +76,17 @@
         for number in 0..source.int_in_range(0..=15)? {
             let reservation = Reservation {
                 budget,
-                most: source.int_in_range(0..=80)?,
+                max_tokens: source.int_in_range(0..=80)?,
             };
             account.merge(
                 &name(number),
                 TurnState::Reserved {
-                    most: reservation.most,
+                    most: reservation.max_tokens,
                 },
             );
             match account.verdict(&name(number), &reservation) {
                 Verdict::Granted if source.arbitrary()? => {
-                    let tokens = source.int_in_range(0..=reservation.most)?;
+                    let tokens = source.int_in_range(0..=reservation.max_tokens)?;
                     account.merge(&name(number), TurnState::Settled { tokens });
                 }
                 Verdict::Granted => {}
@@ -105,7 +105,7 @@
 fn repeats_get_the_same_answer() {
     let reservation = Reservation {
         budget: 100,
-        most: 60,
+        max_tokens: 60,
     };
     let mut account = account(&[(name(1), TurnState::Reserved { most: 60 })]);
     assert_eq!(account.verdict(&name(1), &reservation), Verdict::Granted);
@@ -127,7 +127,7 @@
     let account = account(&[(name(1), TurnState::Reserved { most: u64::MAX })]);
     let reservation = Reservation {
         budget: u64::MAX - 1,
-        most: u64::MAX,
+        max_tokens: u64::MAX,
     };
     assert_eq!(account.verdict(&name(2), &reservation), Verdict::Spent);
 }
--- a/tier/conversations/tests/index.rs
+++ b/tier/conversations/tests/index.rs
@@ -7,7 +7,7 @@
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::index::{Index, TurnEntry, ACCOUNT_KEPT_MS};
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 
 fn turn(number: usize) -> RequestId {
     RequestId::from(format!("turn-{number}").as_str())
@@ -21,7 +21,7 @@
     TurnRecord {
         turn: turn(number),
         program: program(number % 3),
-        previous: previous.map(|previous| TurnPlace {
+        previous: previous.map(|previous| TurnLocation {
             turn: turn(previous),
             program: program(previous % 3),
         }),
--- a/tier/conversations/tests/placement.rs
+++ b/tier/conversations/tests/placement.rs
@@ -24,7 +24,7 @@
         epoch: StoreEpoch(1),
         serving,
         next,
-        faults,
+        tolerated_faults: faults,
     }
 }
 
--- a/tier/conversations/tests/stored_format.rs
+++ b/tier/conversations/tests/stored_format.rs
@@ -14,7 +14,7 @@
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{TurnPlace, TurnRecord};
 
 fn program() -> ProgramId {
     ProgramId::from("program-1")
@@ -38,7 +38,7 @@
         epoch: StoreEpoch(300),
         serving: vec![member(1), member(2)],
         next: Some(vec![member(2), member(3)]),
-        faults: 2,
+        tolerated_faults: 2,
     }
 }
 
--- a/tier/conversations/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -16,7 +16,7 @@
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
 
 fn program() -> ProgramId {
     ProgramId::from("program-1")
@@ -78,7 +78,7 @@
         epoch: StoreEpoch(300),
         serving: vec![member(1), member(2)],
         next: Some(vec![member(2), member(3)]),
-        faults: 2,
+        tolerated_faults: 2,
     }
 }
 
--- a/tier/disk-health/src/lib.rs
+++ b/tier/disk-health/src/lib.rs
@@ -21,24 +21,24 @@
 
 /// Growing pauses between attempts to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pauses {
+pub struct Backoff {
     next: Duration,
 }
 
-impl Default for Pauses {
+impl Default for Backoff {
     fn default() -> Self {
-        Pauses { next: SHORTEST }
+        Backoff { next: SHORTEST }
     }
 }
 
-impl Pauses {
-    /// Pauses that begin with this one.
-    pub fn beginning_with(first: Duration) -> Self {
-        Pauses { next: first }
+impl Backoff {
+    /// Backoff that begin with this one.
+    pub fn with_initial_delay(first: Duration) -> Self {
+        Backoff { next: first }
     }
 
     /// The pause before the next attempt; twice the one before, up to two seconds.
-    pub fn next_pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.next;
         self.next = LONGEST.min(pause * 2);
         pause
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// The operating system's, where the disk takes no bytes.
-pub fn probe_room(folder: &Path) -> io::Result<()> {
+pub fn check_free_space(folder: &Path) -> io::Result<()> {
     let path = folder.join(PROBE);
     let written = write_probe(&path);
     match (written, fs::remove_file(&path)) {
--- a/tier/disk-health/tests/room.rs
+++ b/tier/disk-health/tests/room.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use plankhill_disk_health::{probe_room, Pauses};
+use plankhill_disk_health::{check_free_space, Backoff};
 
 #[test]
 fn pauses_grow_up_to_a_bound() {
-    let mut pauses = Pauses::default();
+    let mut pauses = Backoff::default();
     let taken: Vec<u64> = (0..7)
-        .map(|_| pauses.next_pause().as_millis() as u64)
+        .map(|_| pauses.next_delay().as_millis() as u64)
         .collect();
     assert_eq!(taken, [100, 200, 400, 800, 1_600, 2_000, 2_000]);
-    assert_eq!(Pauses::default().next_pause(), Duration::from_millis(100));
+    assert_eq!(Backoff::default().next_delay(), Duration::from_millis(100));
 }
 
 #[test]
 fn a_folder_with_room_is_left_as_it_was() {
     let folder = tempfile::tempdir().expect("a folder");
-    assert!(probe_room(folder.path()).is_ok());
+    assert!(check_free_space(folder.path()).is_ok());
     assert_eq!(
         std::fs::read_dir(folder.path()).expect("a folder").count(),
         0
@@ -27,9 +27,9 @@
 #[test]
 fn a_folder_that_takes_nothing_is_told() {
     let folder = tempfile::tempdir().expect("a folder");
-    assert!(probe_room(&folder.path().join("missing")).is_err());
+    assert!(check_free_space(&folder.path().join("missing")).is_err());
     // A device that is always full stands for the file.
     std::os::unix::fs::symlink("/dev/full", folder.path().join("room-probe")).expect("a link");
-    let error = probe_room(folder.path()).expect_err("no room");
+    let error = check_free_space(folder.path()).expect_err("no room");
     assert_eq!(error.kind(), std::io::ErrorKind::StorageFull);
 }
--- a/tier/dispatch/examples/round_cost.rs
+++ b/tier/dispatch/examples/round_cost.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use plankhill_dispatch::{
-    Command, DispatchSettings, Dispatcher, Ended, Fate, NewRequest, PrefixPart, Repeats, RequestKey,
+    Command, DispatchSettings, Dispatcher, Ended, AttemptOutcome, NewRequest, PrefixPart, Repeats, RequestKey,
 };
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
@@ -41,7 +41,7 @@
             let (key, target) = out.pop_front().expect("some are out");
             let ended = Ended {
                 took: 50.0,
-                ..Ended::plain(Fate::Delivered)
+                ..Ended::plain(AttemptOutcome::Delivered)
             };
             dispatcher.ended(now, key, &target, ended);
             out.extend(dispatcher.commands(now).into_iter().filter_map(sent));
@@ -68,7 +68,7 @@
         capacity: 32,
         state: TargetState::Healthy,
         sequence: 1,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         models: Vec::new(),
     }
 }
--- a/tier/dispatch/src/bridge.rs
+++ b/tier/dispatch/src/bridge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use plankhill_decisions::interface::{Decisions, DestinationId, EventId, Ms, TargetId};
+use plankhill_decisions::interface::{Effects, DestinationId, EventId, Ms, TargetId};
 
 use crate::admission;
 use crate::allocation::Allocator;
@@ -56,8 +56,8 @@
     }
 }
 
-impl Decisions for Bridge<'_> {
-    fn choose(
+impl Effects for Bridge<'_> {
+    fn select_target(
         &mut self,
         event: &EventId,
         open: &mut dyn Iterator<Item = &TargetId>,
@@ -88,7 +88,7 @@
         Some(place.at)
     }
 
-    fn send(&mut self, event: &EventId, target: &TargetId, _: Ms, _: Ms) {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, _: Ms, _: Ms) {
         let Some(key) = key_of(event) else { return };
         let (Some(request), Some(known)) =
             (self.requests.get_mut(key), self.targets.get_mut(target))
@@ -112,17 +112,17 @@
         });
     }
 
-    fn dismiss(&mut self, event: &EventId, _: Option<Ms>) -> bool {
+    fn reject(&mut self, event: &EventId, _: Option<Ms>) -> bool {
         key_of(event).into_iter().for_each(|key| self.end(key));
         false
     }
 
-    fn write_off(&mut self, event: &EventId) -> bool {
+    fn abandon(&mut self, event: &EventId) -> bool {
         key_of(event).into_iter().for_each(|key| self.end(key));
         false
     }
 
-    fn ping(&mut self, target: &TargetId) {
+    fn health_check(&mut self, target: &TargetId) {
         if let Some(known) = self.targets.get(target) {
             self.commands.push(Command::Ping {
                 target: known.id.clone(),
@@ -131,7 +131,7 @@
         }
     }
 
-    fn close_idle(&mut self, target: &TargetId) {
+    fn close_idle_connections(&mut self, target: &TargetId) {
         if let Some(known) = self.targets.get(target) {
             self.commands.push(Command::CloseIdle {
                 target: known.id.clone(),
@@ -139,7 +139,7 @@
         }
     }
 
-    fn take_back(&mut self, target: &TargetId) {
+    fn cancel_unsent(&mut self, target: &TargetId) {
         if let Some(known) = self.targets.get(target) {
             self.commands.push(Command::TakeBack {
                 target: known.id.clone(),
@@ -147,7 +147,7 @@
         }
     }
 
-    fn note_cold(&mut self, _: &TargetId, _: Ms, _: f64) {}
+    fn record_warm_up(&mut self, _: &TargetId, _: Ms, _: f64) {}
 
     fn wake_after(&mut self, pause: Ms) {
         *self.wake_at = Some(self.now + pause + ROUNDING);
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 use std::convert::Infallible;
 
-use plankhill_decisions::decide::Forwarder;
-use plankhill_decisions::interface::{DestinationId, Fate, Ms, OrderKey};
+use plankhill_decisions::scheduler::Scheduler;
+use plankhill_decisions::interface::{DestinationId, AttemptOutcome, Ms, OrderKey};
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::Target;
 
@@ -30,7 +30,7 @@
 /// [`Dispatcher::ended`], also after a withdrawal.
 pub struct Dispatcher {
     settings: DispatchSettings,
-    module: Forwarder,
+    module: Scheduler,
     inputs: Vec<Input>,
     requests: Requests,
     targets: Targets,
@@ -50,7 +50,7 @@
     /// A dispatcher that knows no target yet.
     pub fn new(settings: DispatchSettings, now: Ms) -> Self {
         let settle = SettleTime::default();
-        let module = Forwarder::start(module_terms::terms(&settings, settle.value()), now);
+        let module = Scheduler::new(module_terms::terms(&settings, settle.value()), now);
         let draws = settings.seed;
         Dispatcher {
             settings,
@@ -154,11 +154,11 @@
         }
         let wait = self.note_end(now, target, &ended);
         let over = self.decide_next(now, key, ended.fate);
-        let told = plankhill_decisions::interface::Ended {
-            took: ended.took,
-            over,
-            wait,
-            ..plankhill_decisions::interface::Ended::plain(ended.fate)
+        let told = plankhill_decisions::interface::AttemptReport {
+            elapsed: ended.took,
+            event_complete: over,
+            retry_after: wait,
+            ..plankhill_decisions::interface::AttemptReport::from_outcome(ended.fate)
         };
         self.inputs.push(Input::SendEnded(key, told));
         self.requests.forget_if_done(key);
@@ -178,29 +178,29 @@
             known.load.reported(now, load);
         }
         match ended.fate {
-            Fate::Delivered => known.load.answered(ended.took),
-            Fate::Full => {
+            AttemptOutcome::Delivered => known.load.answered(ended.took),
+            AttemptOutcome::Rejected => {
                 let wait = ended
                     .retry_after
                     .unwrap_or_else(|| known.load.wait_after_refusal(now));
                 known.closed_until = now + wait;
                 return wait;
             }
-            Fate::Error | Fate::TimedOut | Fate::NoConnection | Fate::Reset => {
+            AttemptOutcome::Error | AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
                 known.load.failed(now)
             }
-            Fate::NotSent => known.load.failed(now),
-            Fate::Cancelled => (),
+            AttemptOutcome::NotSent => known.load.failed(now),
+            AttemptOutcome::Cancelled => (),
         }
         0.0
     }
 
     /// Whether the request is over by this end; if it is not, it is held for its next call.
-    fn decide_next(&mut self, now: Ms, key: RequestKey, fate: Fate) -> bool {
+    fn decide_next(&mut self, now: Ms, key: RequestKey, fate: AttemptOutcome) -> bool {
         let Some(request) = self.requests.get_mut(key) else {
             return true;
         };
-        if fate == Fate::Delivered {
+        if fate == AttemptOutcome::Delivered {
             request.is_over = true;
         }
         if request.is_over {
@@ -225,15 +225,15 @@
     /// Changes the rest of a session after a call that may still run.
     fn retune(&mut self, rest: Ms) {
         let module = std::mem::take(&mut self.module);
-        self.module = module.resumed(module_terms::terms(&self.settings, rest));
+        self.module = module.resume(module_terms::terms(&self.settings, rest));
     }
 
     /// A health check was answered, or was not.
     pub fn pinged(&mut self, target: &InstanceId, answer: PingAnswer) {
         let id = target_id(target);
         let fate = match answer {
-            PingAnswer::Healthy => Fate::Delivered,
-            PingAnswer::Unhealthy => Fate::Error,
+            PingAnswer::Healthy => AttemptOutcome::Delivered,
+            PingAnswer::Unhealthy => AttemptOutcome::Error,
         };
         self.inputs.push(Input::PingEnded(id, fate));
     }
@@ -258,7 +258,7 @@
             wake_at: &mut self.wake_at,
         };
         given_up.into_iter().for_each(|key| bridge.end(key));
-        let hand_over = |module: &mut Forwarder, bridge: &mut Bridge| -> Result<(), Infallible> {
+        let hand_over = |module: &mut Scheduler, bridge: &mut Bridge| -> Result<(), Infallible> {
             inputs.into_iter().for_each(|input| input.hand_over(module));
             while let Some(key) = bridge.holds.pop_over(bridge.now) {
                 bridge.end(key);
@@ -266,7 +266,7 @@
             }
             Ok(())
         };
-        let Ok(()) = self.module.round(now, hand_over, &mut bridge);
+        let Ok(()) = self.module.run_iteration(now, hand_over, &mut bridge);
         self.targets.forget_gone();
         let wake_at = self
             .wake_at
--- a/tier/dispatch/src/inputs.rs
+++ b/tier/dispatch/src/inputs.rs
@@ -1,8 +1,8 @@
 //! What is gathered between two rounds of the decision module, in the order in which it came.
 
-use plankhill_decisions::decide::Forwarder;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::{
-    DestinationId, Ended, Fate, Listing, Ms, OrderKey, TargetId, TrafficId,
+    DestinationId, AttemptReport, AttemptOutcome, EndpointState, Ms, OrderKey, TargetId, TrafficTypeId,
 };
 
 use crate::interface::RequestKey;
@@ -17,22 +17,22 @@
     Taken {
         key: RequestKey,
         service: DestinationId,
-        traffic: TrafficId,
+        traffic: TrafficTypeId,
         deadline: Ms,
         session: Option<OrderKey>,
     },
     Withdrawn(RequestKey),
-    SendEnded(RequestKey, Ended),
-    PingEnded(TargetId, Fate),
+    SendEnded(RequestKey, AttemptReport),
+    PingEnded(TargetId, AttemptOutcome),
 }
 
 impl Input {
     /// Hands it to the module. What names something that the module does not know was forgotten meanwhile:
     /// nothing is to be decided about it.
-    pub(crate) fn hand_over(self, module: &mut Forwarder) {
+    pub(crate) fn hand_over(self, module: &mut Scheduler) {
         match self {
-            Input::Relisted(change) if change.listing == Listing::Gone => {
-                module.relisted(&change.target, Listing::Gone);
+            Input::Relisted(change) if change.listing == EndpointState::Removed => {
+                module.set_endpoint_state(&change.target, EndpointState::Removed);
             }
             Input::Relisted(Relisted {
                 target,
@@ -40,7 +40,7 @@
                 zone,
                 listing,
             }) => {
-                module.listed(target, service, SERVICE, zone, listing);
+                module.on_endpoint_listed(target, service, SERVICE, zone, listing);
             }
             Input::Taken {
                 key,
@@ -49,14 +49,14 @@
                 deadline,
                 session,
             } => {
-                module.taken(event_id(key), service, traffic, deadline, session);
+                module.accept_event(event_id(key), service, traffic, deadline, session);
             }
-            Input::Withdrawn(key) => module.withdrawn(&event_id(key)),
+            Input::Withdrawn(key) => module.withdraw_event(&event_id(key)),
             Input::SendEnded(key, ended) => {
-                let _ = module.send_ended(&event_id(key), ended);
+                let _ = module.on_attempt_ended(&event_id(key), ended);
             }
             Input::PingEnded(target, fate) => {
-                let _ = module.ping_ended(&target, fate);
+                let _ = module.on_health_check_ended(&target, fate);
             }
         }
     }
--- a/tier/dispatch/src/interface.rs
+++ b/tier/dispatch/src/interface.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 
 /// The proxy's own number of a request. One that was used must not be used again within its process.
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Ended {
     /// How.
-    pub fate: Fate,
+    pub fate: AttemptOutcome,
     /// From the send until the end of the answer's head, or until the call ended without one.
     pub took: Ms,
     /// The target's `Retry-After`.
@@ -101,7 +101,7 @@
 
 impl Ended {
     /// With nothing known but the fate.
-    pub fn plain(fate: Fate) -> Self {
+    pub fn plain(fate: AttemptOutcome) -> Self {
         Ended {
             fate,
             took: 0.0,
@@ -150,7 +150,7 @@
         /// Which.
         request: RequestKey,
         /// How its last call ended.
-        last: Fate,
+        last: AttemptOutcome,
     },
     /// Asks for the service's health check; `Dispatcher::pinged` has to follow.
     Ping {
--- a/tier/dispatch/src/lib.rs
+++ b/tier/dispatch/src/lib.rs
@@ -23,4 +23,4 @@
 
 pub use dispatcher::Dispatcher;
 pub use interface::*;
-pub use plankhill_decisions::interface::{Fate, Ms};
+pub use plankhill_decisions::interface::{AttemptOutcome, Ms};
--- a/tier/dispatch/src/requests.rs
+++ b/tier/dispatch/src/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use plankhill_decisions::interface::{DestinationId, EventId, Fate, Ms};
+use plankhill_decisions::interface::{DestinationId, EventId, AttemptOutcome, Ms};
 
 use crate::affinity::Chains;
 use crate::interface::{NewRequest, Repeats, RequestKey};
@@ -56,8 +56,8 @@
     }
 
     /// How its last call ended; not sent if it had none.
-    pub(crate) fn last_fate(&self) -> Fate {
-        self.attempts.last.unwrap_or(Fate::NotSent)
+    pub(crate) fn last_fate(&self) -> AttemptOutcome {
+        self.attempts.last.unwrap_or(AttemptOutcome::NotSent)
     }
 }
 
--- a/tier/dispatch/src/retry.rs
+++ b/tier/dispatch/src/retry.rs
@@ -1,6 +1,6 @@
 //! Whether a request whose call ended undelivered goes again.
 
-use plankhill_decisions::interface::{Fate, Ms};
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
 
 use crate::interface::Repeats;
 
@@ -17,11 +17,11 @@
 
 impl Verdict {
     /// What the end of a call says.
-    pub fn of(fate: Fate) -> Self {
+    pub fn of(fate: AttemptOutcome) -> Self {
         match fate {
-            Fate::Full | Fate::NoConnection | Fate::NotSent => Verdict::NotRun,
-            Fate::TimedOut | Fate::Reset | Fate::Cancelled => Verdict::MayHaveRun,
-            Fate::Delivered | Fate::Error => Verdict::Ran,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => Verdict::NotRun,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => Verdict::MayHaveRun,
+            AttemptOutcome::Delivered | AttemptOutcome::Error => Verdict::Ran,
         }
     }
 }
@@ -60,12 +60,12 @@
     /// Calls that surely did not.
     pub not_run: u32,
     /// How the last one ended.
-    pub last: Option<Fate>,
+    pub last: Option<AttemptOutcome>,
 }
 
 impl Attempts {
     /// Counts a call that has ended.
-    pub fn count(&mut self, fate: Fate) {
+    pub fn count(&mut self, fate: AttemptOutcome) {
         self.last = Some(fate);
         match Verdict::of(fate) {
             Verdict::NotRun => self.not_run += 1,
@@ -85,7 +85,7 @@
 
     /// Whether another call is allowed. The proxy's own end of a call (`Cancelled`) is final.
     pub fn allow_another(&self, repeats: Repeats, max_attempts: u32) -> bool {
-        if self.last == Some(Fate::Cancelled) {
+        if self.last == Some(AttemptOutcome::Cancelled) {
             return false;
         }
         let once = repeats == Repeats::Forbidden && self.may_have_run();
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use plankhill_decisions::interface::{DestinationId, Listing, Ms, TargetId, ZoneId};
+use plankhill_decisions::interface::{DestinationId, EndpointState, Ms, TargetId, ZoneId};
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
 
@@ -22,7 +22,7 @@
     /// The end of the wait after its last refusal.
     pub(crate) closed_until: Ms,
     service: DestinationId,
-    listing: Listing,
+    listing: EndpointState,
 }
 
 /// A difference for the decision module.
@@ -31,7 +31,7 @@
     pub(crate) target: TargetId,
     pub(crate) service: DestinationId,
     pub(crate) zone: ZoneId,
-    pub(crate) listing: Listing,
+    pub(crate) listing: EndpointState,
 }
 
 /// All targets, also those that are gone and still have calls out.
@@ -79,16 +79,16 @@
         let mut changes = Vec::new();
         for (id, known) in &mut self.by_id {
             let is_named = named.contains_key(known.id.as_str());
-            if is_named || known.listing == Listing::Gone {
+            if is_named || known.listing == EndpointState::Removed {
                 continue;
             }
-            known.listing = Listing::Gone;
+            known.listing = EndpointState::Removed;
             let (service, zone) = (known.service, ZoneId::UNKNOWN);
             changes.push(Relisted {
                 target: id.clone(),
                 service,
                 zone,
-                listing: Listing::Gone,
+                listing: EndpointState::Removed,
             });
         }
         changes
@@ -99,8 +99,8 @@
         let service = self.service(&target.service);
         let zone = self.zone(&target.zone);
         let listing = match target.state {
-            TargetState::Healthy => Listing::Running,
-            TargetState::Draining => Listing::Leaving,
+            TargetState::Healthy => EndpointState::Running,
+            TargetState::Draining => EndpointState::Draining,
         };
         if let Some(known) = self.by_id.get_mut(&id) {
             known.address = target.address;
@@ -139,7 +139,7 @@
     pub(crate) fn running_hashes(&self, service: DestinationId) -> Vec<u64> {
         let of_service = self.by_id.values().filter(|known| known.service == service);
         of_service
-            .filter(|known| known.listing == Listing::Running)
+            .filter(|known| known.listing == EndpointState::Running)
             .map(|known| known.hash)
             .collect()
     }
@@ -147,7 +147,7 @@
     /// When the first target that refused takes calls again; none where no wait runs.
     pub(crate) fn opens_at(&self, service: DestinationId, now: Ms) -> Option<Ms> {
         let of_service = self.by_id.values().filter(|known| known.service == service);
-        let running = of_service.filter(|known| known.listing == Listing::Running);
+        let running = of_service.filter(|known| known.listing == EndpointState::Running);
         let waits = running
             .map(|known| known.closed_until)
             .filter(|until| *until > now);
@@ -157,7 +157,7 @@
     /// Forgets targets that are gone and have no call out.
     pub(crate) fn forget_gone(&mut self) {
         self.by_id
-            .retain(|_, known| known.listing != Listing::Gone || known.load.out() > 0);
+            .retain(|_, known| known.listing != EndpointState::Removed || known.load.out() > 0);
     }
 }
 
--- a/tier/dispatch/tests/affinity.rs
+++ b/tier/dispatch/tests/affinity.rs
@@ -74,7 +74,7 @@
                 .takes(now, prompt(key, now, session, &[(session, tokens)]))
                 .expect("sent");
             now += 10.0;
-            proxy.ends(now, key, &target, Fate::Delivered);
+            proxy.ends(now, key, &target, AttemptOutcome::Delivered);
             targets.insert(target);
         }
         assert_eq!(targets.len(), 1);
@@ -94,7 +94,7 @@
             let new = prompt(key, now, session, &[(7, 2_000), (100 + session, tokens)]);
             let target = proxy.takes(now, new).expect("sent");
             now += 100.0;
-            proxy.ends(now, key, &target, Fate::Delivered);
+            proxy.ends(now, key, &target, AttemptOutcome::Delivered);
             targets.insert(target);
         }
         assert_eq!(targets.len(), 1, "session {session}");
@@ -140,7 +140,7 @@
 fn a_target_that_is_new_at_the_place_of_another_holds_nothing() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, prompt(1, 1.0, 1, &[(7, 4_000), (8, 10)]));
-    proxy.ends(2.0, 1, "a", Fate::Delivered);
+    proxy.ends(2.0, 1, "a", AttemptOutcome::Delivered);
     proxy.dispatcher.tables_changed(&[healthy("a2")]);
     assert_eq!(
         proxy
--- a/tier/dispatch/tests/attempts.rs
+++ b/tier/dispatch/tests/attempts.rs
@@ -6,24 +6,24 @@
 use plankhill_dispatch::retry::{Attempts, Verdict};
 use plankhill_dispatch::*;
 
-const FATES: [Fate; 8] = [
-    Fate::Delivered,
-    Fate::Error,
-    Fate::Full,
-    Fate::TimedOut,
-    Fate::NoConnection,
-    Fate::Reset,
-    Fate::Cancelled,
-    Fate::NotSent,
+const FATES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Delivered,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 
 #[test]
 fn only_what_was_refused_or_never_left_surely_did_not_run() {
-    let not_run: Vec<Fate> = FATES
+    let not_run: Vec<AttemptOutcome> = FATES
         .into_iter()
         .filter(|fate| Verdict::of(*fate) == Verdict::NotRun)
         .collect();
-    assert_eq!(not_run, [Fate::Full, Fate::NoConnection, Fate::NotSent]);
+    assert_eq!(not_run, [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent]);
 }
 
 #[test]
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_request_that_may_have_run_and_may_not_be_repeated_fails_at_once() {
-    for fate in [Fate::Error, Fate::TimedOut, Fate::Reset, Fate::Cancelled] {
+    for fate in [AttemptOutcome::Error, AttemptOutcome::TimedOut, AttemptOutcome::Reset, AttemptOutcome::Cancelled] {
         let mut proxy = Proxy::with(&["a", "b"]);
         let target = proxy.takes(1.0, once(1, 1.0)).expect("sent");
         let commands = proxy.ends(10.0, 1, &target, fate);
@@ -59,7 +59,7 @@
 fn a_refused_request_goes_to_another_target_soon() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let first = proxy.takes(1.0, once(1, 1.0)).expect("sent");
-    proxy.ends(2.0, 1, &first, Fate::Full);
+    proxy.ends(2.0, 1, &first, AttemptOutcome::Rejected);
     let again = sent_to(&proxy.until(12.0)).expect("within some milliseconds");
     assert_ne!(again, first);
 }
@@ -68,7 +68,7 @@
 fn an_idempotent_request_goes_to_another_target_after_a_pause() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let first = proxy.takes(1.0, request(1, 1.0)).expect("sent");
-    assert!(sends(&proxy.ends(2.0, 1, &first, Fate::Reset)).is_empty());
+    assert!(sends(&proxy.ends(2.0, 1, &first, AttemptOutcome::Reset)).is_empty());
     let again = sent_to(&proxy.until(60.0)).expect("after a pause");
     assert_ne!(again, first, "the one that failed is avoided");
 }
@@ -77,14 +77,14 @@
 fn attempts_that_may_have_run_are_bounded() {
     let mut proxy = Proxy::with(&["a", "b", "c"]);
     let first = proxy.takes(1.0, request(1, 1.0)).expect("sent");
-    proxy.ends(2.0, 1, &first, Fate::Reset);
+    proxy.ends(2.0, 1, &first, AttemptOutcome::Reset);
     let second = sent_to(&proxy.until(60.0)).expect("again");
-    let commands = proxy.ends(61.0, 1, &second, Fate::Reset);
+    let commands = proxy.ends(61.0, 1, &second, AttemptOutcome::Reset);
     assert_eq!(
         commands,
         [Command::Fail {
             request: RequestKey(1),
-            last: Fate::Reset
+            last: AttemptOutcome::Reset
         }]
     );
 }
@@ -96,7 +96,7 @@
     let mut now = 1.0;
     while let Some((_, target)) = sends(&commands).into_iter().next() {
         now += 1.0;
-        commands = proxy.ends(now, 1, &target, Fate::Full);
+        commands = proxy.ends(now, 1, &target, AttemptOutcome::Rejected);
         while commands.is_empty() {
             now = proxy.wake_at.expect("held requests have an end").max(now);
             commands = proxy.at(now, |_| ());
@@ -138,7 +138,7 @@
 fn a_call_that_found_no_connection_free_goes_to_another_target() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let first = proxy.takes(1.0, once(1, 1.0)).expect("sent");
-    proxy.ends(2.0, 1, &first, Fate::NotSent);
+    proxy.ends(2.0, 1, &first, AttemptOutcome::NotSent);
     assert_ne!(sent_to(&proxy.until(12.0)).expect("soon"), first);
 }
 
@@ -148,7 +148,7 @@
     proxy.takes(1.0, request(1, 1.0));
     let full = Ended {
         retry_after: Some(100.0),
-        ..Ended::plain(Fate::Full)
+        ..Ended::plain(AttemptOutcome::Rejected)
     };
     proxy.ends_with(2.0, 1, "a", full);
     assert!(sends(&proxy.until(101.0)).is_empty());
--- a/tier/dispatch/tests/common/mod.rs
+++ b/tier/dispatch/tests/common/mod.rs
@@ -20,7 +20,7 @@
         capacity: 4,
         state,
         sequence: 1,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         models: Vec::new(),
     }
 }
@@ -128,7 +128,7 @@
         sent_to(&self.at(now, |dispatcher| dispatcher.request(now, new)))
     }
 
-    pub fn ends(&mut self, now: Ms, key: u64, target: &str, fate: Fate) -> Vec<Command> {
+    pub fn ends(&mut self, now: Ms, key: u64, target: &str, fate: AttemptOutcome) -> Vec<Command> {
         self.ends_with(
             now,
             key,
--- a/tier/dispatch/tests/common/transcript.rs
+++ b/tier/dispatch/tests/common/transcript.rs
@@ -3,7 +3,7 @@
 //! Floating-point numbers are written as the bits of their value, targets by their ids. The words are the
 //! transcript's own, so that a renamed type leaves the digest as it is.
 
-use plankhill_dispatch::{Command, Ended, Fate, Ms};
+use plankhill_dispatch::{Command, Ended, AttemptOutcome, Ms};
 
 /// FNV-1a with 64 bits: its constants are fixed by its authors, so that a digest outlives compilers.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -101,16 +101,16 @@
     }
 }
 
-fn fate_word(fate: Fate) -> &'static str {
+fn fate_word(fate: AttemptOutcome) -> &'static str {
     match fate {
-        Fate::Delivered => "delivered",
-        Fate::Error => "error",
-        Fate::Full => "full",
-        Fate::TimedOut => "timed-out",
-        Fate::NoConnection => "no-connection",
-        Fate::Reset => "reset",
-        Fate::Cancelled => "cancelled",
-        Fate::NotSent => "not-sent",
+        AttemptOutcome::Delivered => "delivered",
+        AttemptOutcome::Error => "error",
+        AttemptOutcome::Rejected => "full",
+        AttemptOutcome::TimedOut => "timed-out",
+        AttemptOutcome::ConnectFailed => "no-connection",
+        AttemptOutcome::Reset => "reset",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::NotSent => "not-sent",
     }
 }
 
--- a/tier/dispatch/tests/decisions_digest/faults.rs
+++ b/tier/dispatch/tests/decisions_digest/faults.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use plankhill_dispatch::{
-    Command, DispatchSettings, Dispatcher, Ended, Fate, Ms, NewRequest, PingAnswer, PrefixPart,
+    Command, DispatchSettings, Dispatcher, Ended, AttemptOutcome, Ms, NewRequest, PingAnswer, PrefixPart,
     Repeats, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
@@ -173,7 +173,7 @@
                 self.transcript.line(&format!("withdrawn {key}"));
                 self.dispatcher.withdrawn(RequestKey(key));
                 if let Some((target, _)) = self.out.get(&key).cloned() {
-                    self.ends(key, &target, Ended::plain(Fate::Cancelled));
+                    self.ends(key, &target, Ended::plain(AttemptOutcome::Cancelled));
                 }
             }
             Happens::ConditionChanges => {
@@ -200,7 +200,7 @@
         if let Some(machine) = self.machine(target) {
             machine.calls -= 1;
         }
-        if ended.fate == Fate::Delivered {
+        if ended.fate == AttemptOutcome::Delivered {
             self.over.insert(key, true);
         }
         self.transcript.ended(0, self.now, key, target, &ended);
@@ -317,28 +317,28 @@
             slots: 4,
         };
         let (took, fate) = match condition {
-            Condition::Well if calls > 12 => (2.0, Fate::Full),
-            Condition::Well if chance < 0.02 => (work, Fate::Reset),
-            Condition::Well => (work, Fate::Delivered),
-            Condition::Slow => (10.0 * work, Fate::Delivered),
-            Condition::Full => (2.0, Fate::Full),
-            Condition::Failing if chance < 0.7 => (5.0, Fate::Error),
-            Condition::Failing => (work, Fate::Delivered),
-            Condition::Dead if chance < 0.5 => (1.0, Fate::NoConnection),
-            Condition::Dead => (3.0, Fate::Reset),
-            Condition::Hanging => (f64::INFINITY, Fate::TimedOut),
+            Condition::Well if calls > 12 => (2.0, AttemptOutcome::Rejected),
+            Condition::Well if chance < 0.02 => (work, AttemptOutcome::Reset),
+            Condition::Well => (work, AttemptOutcome::Delivered),
+            Condition::Slow => (10.0 * work, AttemptOutcome::Delivered),
+            Condition::Full => (2.0, AttemptOutcome::Rejected),
+            Condition::Failing if chance < 0.7 => (5.0, AttemptOutcome::Error),
+            Condition::Failing => (work, AttemptOutcome::Delivered),
+            Condition::Dead if chance < 0.5 => (1.0, AttemptOutcome::ConnectFailed),
+            Condition::Dead => (3.0, AttemptOutcome::Reset),
+            Condition::Hanging => (f64::INFINITY, AttemptOutcome::TimedOut),
         };
         let in_time = self.now + took < deadline;
         let at = if in_time { self.now + took } else { deadline };
-        let fate = if in_time { fate } else { Fate::TimedOut };
+        let fate = if in_time { fate } else { AttemptOutcome::TimedOut };
         let ended = Ended {
             fate,
             took: at - self.now,
-            retry_after: (fate == Fate::Full && chance < 0.5).then_some(100.0),
-            load: (fate == Fate::Delivered || fate == Fate::Full).then_some(load),
-            longest_pause: (fate == Fate::Delivered).then_some(work / 3.0),
+            retry_after: (fate == AttemptOutcome::Rejected && chance < 0.5).then_some(100.0),
+            load: (fate == AttemptOutcome::Delivered || fate == AttemptOutcome::Rejected).then_some(load),
+            longest_pause: (fate == AttemptOutcome::Delivered).then_some(work / 3.0),
         };
-        if fate == Fate::Delivered && chance < 0.3 {
+        if fate == AttemptOutcome::Delivered && chance < 0.3 {
             self.dispatcher
                 .load_seen(self.now, &InstanceId::from(target), load);
         }
@@ -383,7 +383,7 @@
             if self.below(2) == 0 {
                 let ended = Ended {
                     took: 1.0,
-                    ..Ended::plain(Fate::NotSent)
+                    ..Ended::plain(AttemptOutcome::NotSent)
                 };
                 self.at(
                     self.now + 0.5,
@@ -436,7 +436,7 @@
             capacity: 4,
             state: TargetState::Healthy,
             sequence: 1,
-            cold_remaining_ms: 0,
+            warm_up_remaining_ms: 0,
             models: Vec::new(),
         };
         self.machines.push(Machine {
--- a/tier/dispatch/tests/fleet/world/mod.rs
+++ b/tier/dispatch/tests/fleet/world/mod.rs
@@ -176,7 +176,7 @@
                     took: now - call.sent,
                     ..ended
                 };
-                if ended.fate == Fate::Delivered {
+                if ended.fate == AttemptOutcome::Delivered {
                     self.answered.push(ended.took);
                 }
                 if let Some(transcript) = &mut self.transcript {
@@ -268,7 +268,7 @@
         } else if server.waiting.len() < server.queue {
             server.waiting.push_back(call);
         } else {
-            self.answers(at, call, Fate::Full);
+            self.answers(at, call, AttemptOutcome::Rejected);
         }
     }
 
@@ -288,7 +288,7 @@
     }
 
     fn done(&mut self, at: usize, call: Call) {
-        self.answers(at, call, Fate::Delivered);
+        self.answers(at, call, AttemptOutcome::Delivered);
         self.servers[at].running -= 1;
         self.servers[at].served += 1;
         if let Some(next) = self.servers[at].waiting.pop_front() {
@@ -296,7 +296,7 @@
         }
     }
 
-    fn answers(&mut self, at: usize, call: Call, fate: Fate) {
+    fn answers(&mut self, at: usize, call: Call, fate: AttemptOutcome) {
         let server = &self.servers[at];
         let load = UpstreamLoad {
             running: server.running as u32,
--- a/tier/dispatch/tests/health.rs
+++ b/tier/dispatch/tests/health.rs
@@ -52,7 +52,7 @@
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, request(5, 1.0));
     takes_offline(&mut proxy, "a");
-    proxy.ends(15.0, 5, "a", Fate::Delivered);
+    proxy.ends(15.0, 5, "a", AttemptOutcome::Delivered);
     assert_eq!(proxy.takes(20.0, request(9, 20.0)), None);
 }
 
@@ -64,7 +64,7 @@
         proxy.takes(now, once(key, now)).expect("not offline");
         let full = Ended {
             retry_after: Some(1.0),
-            ..Ended::plain(Fate::Full)
+            ..Ended::plain(AttemptOutcome::Rejected)
         };
         proxy.ends_with(now + 1.0, key, "a", full);
         proxy.dispatcher.withdrawn(RequestKey(key));
@@ -81,11 +81,11 @@
             .takes(now, request(key, now))
             .expect("some target takes it");
         if target == "a" {
-            proxy.ends(now + 1.0, key, "a", Fate::NoConnection);
+            proxy.ends(now + 1.0, key, "a", AttemptOutcome::ConnectFailed);
             target = sent_to(&proxy.until(now + 15.0)).expect("goes to the other soon");
             assert_eq!(target, "b");
         }
-        proxy.ends(now + 16.0, key, &target, Fate::Delivered);
+        proxy.ends(now + 16.0, key, &target, AttemptOutcome::Delivered);
         now += 20.0;
     }
 }
@@ -112,7 +112,7 @@
     proxy.takes(1.0, request(1, 1.0));
     proxy.dispatcher.tables_changed(&[]);
     proxy.until(2.0);
-    proxy.ends(3.0, 1, "a", Fate::Delivered);
+    proxy.ends(3.0, 1, "a", AttemptOutcome::Delivered);
     proxy
         .dispatcher
         .pinged(&InstanceId::from("a"), PingAnswer::Healthy);
@@ -125,6 +125,6 @@
     for key in [101, 102] {
         proxy.takes(1.0, once(key, 1.0));
     }
-    proxy.ends(10.0, 101, target, Fate::NoConnection);
-    pings(&proxy.ends(10.0, 102, target, Fate::NoConnection))
+    proxy.ends(10.0, 101, target, AttemptOutcome::ConnectFailed);
+    pings(&proxy.ends(10.0, 102, target, AttemptOutcome::ConnectFailed))
 }
--- a/tier/dispatch/tests/properties/world.rs
+++ b/tier/dispatch/tests/properties/world.rs
@@ -10,15 +10,15 @@
 use crate::common::*;
 
 const TARGETS: [&str; 4] = ["a", "b", "c", "d"];
-const FATES: [Fate; 8] = [
-    Fate::Delivered,
-    Fate::Error,
-    Fate::Full,
-    Fate::TimedOut,
-    Fate::NoConnection,
-    Fate::Reset,
-    Fate::Cancelled,
-    Fate::NotSent,
+const FATES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Delivered,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 
 /// What the proxy knows of a request, kept apart from the dispatcher.
@@ -169,10 +169,10 @@
         Ok(())
     }
 
-    fn note_end(&mut self, key: u64, fate: Fate) {
+    fn note_end(&mut self, key: u64, fate: AttemptOutcome) {
         let seen = self.seen.get_mut(&key).expect("seen");
         seen.out = None;
-        seen.ends += u32::from(fate == Fate::Delivered);
+        seen.ends += u32::from(fate == AttemptOutcome::Delivered);
         if Verdict::of(fate) != Verdict::NotRun {
             seen.run += 1;
             seen.may_have_run = true;
@@ -275,8 +275,8 @@
             let commands = match first {
                 Some((deadline, key, target)) if deadline <= wake_at.min(until) => {
                     let now = deadline.max(self.proxy.now);
-                    self.note_end(key, Fate::TimedOut);
-                    self.proxy.ends(now, key, &target, Fate::TimedOut)
+                    self.note_end(key, AttemptOutcome::TimedOut);
+                    self.proxy.ends(now, key, &target, AttemptOutcome::TimedOut)
                 }
                 _ if wake_at <= until && wake_at.is_finite() => {
                     let now = wake_at.max(self.proxy.now);
--- a/tier/dispatch/tests/sessions.rs
+++ b/tier/dispatch/tests/sessions.rs
@@ -15,7 +15,7 @@
         proxy.takes(4.0, turn(4, 4.0, 8)).is_some(),
         "another session"
     );
-    assert_eq!(sends(&proxy.ends(10.0, 1, &first, Fate::Delivered))[0].0, 2);
+    assert_eq!(sends(&proxy.ends(10.0, 1, &first, AttemptOutcome::Delivered))[0].0, 2);
 }
 
 #[test]
@@ -29,9 +29,9 @@
 #[test]
 fn after_an_error_the_next_turn_goes_at_once_and_after_a_reset_it_rests() {
     for (fate, rests) in [
-        (Fate::Error, false),
-        (Fate::Reset, true),
-        (Fate::Cancelled, true),
+        (AttemptOutcome::Error, false),
+        (AttemptOutcome::Reset, true),
+        (AttemptOutcome::Cancelled, true),
     ] {
         let mut proxy = Proxy::with(&["a", "b"]);
         let of_session = |key| NewRequest {
@@ -59,7 +59,7 @@
         ..once(key, now)
     };
     proxy.takes(1.0, try_of(1, 1.0));
-    proxy.ends(10.0, 1, "a", Fate::Cancelled);
+    proxy.ends(10.0, 1, "a", AttemptOutcome::Cancelled);
     assert_eq!(proxy.takes(12.0, try_of(2, 12.0)), None);
     assert_eq!(sends(&proxy.until(2_000.0)), [(2, "a".to_owned())]);
 }
@@ -73,7 +73,7 @@
         .at(3.0, |dispatcher| dispatcher.withdrawn(RequestKey(1)))
         .is_empty());
     assert_eq!(
-        sends(&proxy.ends(4.0, 1, "a", Fate::Delivered)),
+        sends(&proxy.ends(4.0, 1, "a", AttemptOutcome::Delivered)),
         [(2, "a".to_owned())]
     );
 }
--- a/tier/draining/src/lib.rs
+++ b/tier/draining/src/lib.rs
@@ -2,6 +2,6 @@
 //! stay, and the plan of a roll over many.
 
 pub mod node;
-pub mod roll;
+pub mod rolling_restart;
 pub mod room;
 pub mod shutdown;
--- a/tier/draining/src/node.rs
+++ b/tier/draining/src/node.rs
@@ -37,38 +37,38 @@
 
 /// What the node sees of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct NodeObservation {
     /// The number of the order that takes it out of service, if there is one.
-    pub order: Option<u64>,
+    pub drain_order: Option<u64>,
     /// Set once the process was told to end.
     pub shutdown: Option<Shutdown>,
     /// Whether the control plane knows that it was empty under this order.
-    pub recorded: bool,
+    pub drained_recorded: bool,
     /// Requests that are under way.
-    pub requests: usize,
+    pub requests_in_flight: usize,
     /// Open connections of clients.
-    pub connections: usize,
+    pub open_connections: usize,
     /// The longest rest of a client's connection that the configuration allows.
-    pub longest_rest: Duration,
+    pub max_idle_timeout: Duration,
     /// The longest time that a reply may take by the configuration.
-    pub longest_reply: Duration,
+    pub max_response_timeout: Duration,
 }
 
 /// What is to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
+pub enum DrainAction {
     /// Say that new clients are not welcome, and end each connection behind its next answer.
-    TurnAway,
+    RejectNewClients,
     /// Take clients again.
-    Welcome,
+    AcceptNewClients,
     /// Close the connections at rest; those with a reply under way close behind it.
-    CloseIdle,
+    CloseIdleConnections,
     /// Cut what is still open: its time is over.
-    Cut,
+    ResetConnections,
     /// Tell the control plane that the node is empty under the order of this number.
-    ReportEmpty(u64),
+    ReportDrained(u64),
     /// End the process: nothing is under way any more, or the time for it is over.
-    EndProcess,
+    ExitProcess,
 }
 
 /// One node.
@@ -89,7 +89,7 @@
     }
 
     /// Goes on by what is seen at `now`, a time that never goes back; what is to be done, in this order.
-    pub fn step(&mut self, now: Duration, seen: &Seen) -> Vec<Action> {
+    pub fn step(&mut self, now: Duration, seen: &NodeObservation) -> Vec<DrainAction> {
         let mut actions = Vec::new();
         self.follow_orders(now, seen, &mut actions);
         if self.state == NodeState::InService {
@@ -99,42 +99,42 @@
             None => self.go_on(now, seen, &mut actions),
             Some(shutdown) => self.end(now, shutdown, seen, &mut actions),
         }
-        if let (NodeState::Empty, Some(order), false) = (self.state, self.order, seen.recorded) {
-            actions.push(Action::ReportEmpty(order));
+        if let (NodeState::Empty, Some(order), false) = (self.state, self.order, seen.drained_recorded) {
+            actions.push(DrainAction::ReportDrained(order));
         }
         actions
     }
 
-    fn follow_orders(&mut self, now: Duration, seen: &Seen, actions: &mut Vec<Action>) {
-        let is_other = seen.order != self.order;
-        self.order = seen.order;
-        let leaves = seen.order.is_some() || seen.shutdown.is_some();
+    fn follow_orders(&mut self, now: Duration, seen: &NodeObservation, actions: &mut Vec<DrainAction>) {
+        let is_other = seen.drain_order != self.order;
+        self.order = seen.drain_order;
+        let leaves = seen.drain_order.is_some() || seen.shutdown.is_some();
         match (self.state, leaves) {
             (NodeState::InService, true) => {
-                self.enter(NodeState::Leaving, now, Some(Action::TurnAway), actions);
+                self.enter(NodeState::Leaving, now, Some(DrainAction::RejectNewClients), actions);
             }
             // Another order begins anew, unless the process ends anyway.
             (_, true) if is_other && seen.shutdown.is_none() => {
-                self.enter(NodeState::Leaving, now, Some(Action::TurnAway), actions);
+                self.enter(NodeState::Leaving, now, Some(DrainAction::RejectNewClients), actions);
             }
             (NodeState::InService, false) | (_, true) => {}
-            (_, false) => self.enter(NodeState::InService, now, Some(Action::Welcome), actions),
+            (_, false) => self.enter(NodeState::InService, now, Some(DrainAction::AcceptNewClients), actions),
         }
     }
 
-    fn go_on(&mut self, now: Duration, seen: &Seen, actions: &mut Vec<Action>) {
-        let is_empty = seen.requests == 0 && seen.connections == 0;
+    fn go_on(&mut self, now: Duration, seen: &NodeObservation, actions: &mut Vec<DrainAction>) {
+        let is_empty = seen.requests_in_flight == 0 && seen.open_connections == 0;
         let stayed = now.saturating_sub(self.since);
         match self.state {
             NodeState::Leaving | NodeState::Closing if is_empty => {
                 self.enter(NodeState::Empty, now, None, actions);
             }
-            NodeState::Leaving if stayed >= seen.longest_rest + REST_MARGIN => {
-                self.enter(NodeState::Closing, now, Some(Action::CloseIdle), actions);
+            NodeState::Leaving if stayed >= seen.max_idle_timeout + REST_MARGIN => {
+                self.enter(NodeState::Closing, now, Some(DrainAction::CloseIdleConnections), actions);
             }
-            NodeState::Closing if stayed >= seen.longest_reply && !self.has_cut => {
+            NodeState::Closing if stayed >= seen.max_response_timeout && !self.has_cut => {
                 self.has_cut = true;
-                actions.push(Action::Cut);
+                actions.push(DrainAction::ResetConnections);
             }
             _ => {}
         }
@@ -142,26 +142,26 @@
 
     /// On the way to the end of the process. Clients may be sent here for a while, whatever the state is. What comes
     /// later, and is over at once, does not hold the end up.
-    fn end(&mut self, now: Duration, shutdown: Shutdown, seen: &Seen, actions: &mut Vec<Action>) {
-        if now < shutdown.clients_come_until {
+    fn end(&mut self, now: Duration, shutdown: Shutdown, seen: &NodeObservation, actions: &mut Vec<DrainAction>) {
+        if now < shutdown.accept_until {
             return;
         }
         if self.state != NodeState::Closing {
-            self.enter(NodeState::Closing, now, Some(Action::CloseIdle), actions);
+            self.enter(NodeState::Closing, now, Some(DrainAction::CloseIdleConnections), actions);
         }
-        if now >= shutdown.replies_end && !self.has_cut {
+        if now >= shutdown.response_deadline && !self.has_cut {
             self.has_cut = true;
-            actions.push(Action::Cut);
+            actions.push(DrainAction::ResetConnections);
         }
-        let is_quiet = seen.requests == 0;
+        let is_quiet = seen.requests_in_flight == 0;
         if is_quiet && self.was_quiet.is_none() {
             self.was_quiet = Some(now);
         }
         let has_written = self
             .was_quiet
             .is_some_and(|at| now.saturating_sub(at) >= LAST_WRITES);
-        if (is_quiet && has_written) || now >= shutdown.replies_end + LAST_SETTLEMENTS {
-            actions.push(Action::EndProcess);
+        if (is_quiet && has_written) || now >= shutdown.response_deadline + LAST_SETTLEMENTS {
+            actions.push(DrainAction::ExitProcess);
         }
     }
 
@@ -169,8 +169,8 @@
         &mut self,
         state: NodeState,
         now: Duration,
-        action: Option<Action>,
-        actions: &mut Vec<Action>,
+        action: Option<DrainAction>,
+        actions: &mut Vec<DrainAction>,
     ) {
         self.state = state;
         self.since = now;
--- a/tier/draining/src/roll.rs
+++ b/tier/draining/src/rolling_restart.rs
@@ -14,13 +14,13 @@
 
 /// The bounds of a roll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct RestartLimits {
     /// Nodes out of service at once.
-    pub most_out: usize,
+    pub max_unavailable: usize,
     /// The longest time until a node that was drained is empty.
-    pub empty_within: Duration,
+    pub drain_timeout: Duration,
     /// The longest time until an empty node is back with a new life.
-    pub back_within: Duration,
+    pub restart_timeout: Duration,
 }
 
 /// A node as the control plane shows it.
@@ -43,11 +43,11 @@
 
 /// What the roll does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum RestartStep {
     /// Take this node out of service.
     Drain(NodeId),
     /// This node is empty: it may be replaced or started anew.
-    Release(NodeId),
+    Restart(NodeId),
     /// This node is back: take it into service again.
     Undrain(NodeId),
     /// Nothing now.
@@ -55,12 +55,12 @@
     /// All nodes were done.
     Done,
     /// The roll goes no further.
-    Stop(Stopped),
+    Stop(StopReason),
 }
 
 /// Why a roll goes no further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Stopped {
+pub enum StopReason {
     /// A machine is lost that the roll did not take out.
     #[error("{0} is lost")]
     Lost(NodeId),
@@ -92,22 +92,22 @@
 
 /// A roll under way.
 #[derive(Clone, Debug)]
-pub struct Roll {
-    bounds: Bounds,
+pub struct RollingRestart {
+    bounds: RestartLimits,
     nodes: Vec<(NodeId, Progress)>,
     /// Machines that were live when the roll began.
     expected: Vec<NodeId>,
 }
 
-impl Roll {
+impl RollingRestart {
     /// A roll over these nodes, in their order.
-    pub fn new(bounds: Bounds, nodes: Vec<NodeId>, view: &FleetView) -> Self {
+    pub fn new(bounds: RestartLimits, nodes: Vec<NodeId>, view: &FleetView) -> Self {
         let expected = view.live.keys().cloned().collect();
         let nodes = nodes
             .into_iter()
             .map(|node| (node, Progress::Waiting))
             .collect();
-        Roll {
+        RollingRestart {
             bounds,
             nodes,
             expected,
@@ -115,7 +115,7 @@
     }
 
     /// Nodes that are done, and all.
-    pub fn count(&self) -> (usize, usize) {
+    pub fn progress(&self) -> (usize, usize) {
         let done = self
             .nodes
             .iter()
@@ -126,9 +126,9 @@
 
     /// The next step by what the control plane shows at `now`. To be called again after the step was carried out and
     /// the control plane shows it.
-    pub fn step(&mut self, now: Duration, view: &FleetView) -> Step {
+    pub fn step(&mut self, now: Duration, view: &FleetView) -> RestartStep {
         if let Some(lost) = self.lost(view) {
-            return Step::Stop(Stopped::Lost(lost));
+            return RestartStep::Stop(StopReason::Lost(lost));
         }
         for at in 0..self.nodes.len() {
             if let Some(step) = self.go_on(at, now, view) {
@@ -140,9 +140,9 @@
             .iter()
             .all(|(_, progress)| *progress == Progress::Done)
         {
-            return Step::Done;
+            return RestartStep::Done;
         }
-        self.begin_next(now, view).unwrap_or(Step::Wait)
+        self.begin_next(now, view).unwrap_or(RestartStep::Wait)
     }
 
     /// A machine that was there at the start, is not there now, and is not one that the roll released.
@@ -160,7 +160,7 @@
         missing.cloned()
     }
 
-    fn go_on(&mut self, at: usize, now: Duration, view: &FleetView) -> Option<Step> {
+    fn go_on(&mut self, at: usize, now: Duration, view: &FleetView) -> Option<RestartStep> {
         let (node, progress) = self.nodes[at].clone();
         let drained = view.drains.get(&node).copied();
         match progress {
@@ -171,11 +171,11 @@
                         since: now,
                         incarnation,
                     };
-                    Some(Step::Release(node))
+                    Some(RestartStep::Restart(node))
                 }
-                Some(false) if now.saturating_sub(since) < self.bounds.empty_within => None,
-                Some(false) => Some(Step::Stop(Stopped::NotEmpty(node))),
-                None => Some(Step::Stop(Stopped::Foreign(node))),
+                Some(false) if now.saturating_sub(since) < self.bounds.drain_timeout => None,
+                Some(false) => Some(RestartStep::Stop(StopReason::NotEmpty(node))),
+                None => Some(RestartStep::Stop(StopReason::Foreign(node))),
             },
             Progress::Released { since, incarnation } => {
                 let is_back = view
@@ -183,14 +183,14 @@
                     .get(&node)
                     .is_some_and(|live| live.incarnation != incarnation);
                 if drained.is_none() {
-                    return Some(Step::Stop(Stopped::Foreign(node)));
+                    return Some(RestartStep::Stop(StopReason::Foreign(node)));
                 }
                 if is_back {
                     self.nodes[at].1 = Progress::Lifted;
-                    return Some(Step::Undrain(node));
+                    return Some(RestartStep::Undrain(node));
                 }
-                let is_late = now.saturating_sub(since) >= self.bounds.back_within;
-                is_late.then_some(Step::Stop(Stopped::NotBack(node)))
+                let is_late = now.saturating_sub(since) >= self.bounds.restart_timeout;
+                is_late.then_some(RestartStep::Stop(StopReason::NotBack(node)))
             }
             Progress::Lifted if drained.is_none() => {
                 self.nodes[at].1 = Progress::Done;
@@ -201,13 +201,13 @@
     }
 
     /// Takes out the first node for which there is room.
-    fn begin_next(&mut self, now: Duration, view: &FleetView) -> Option<Step> {
+    fn begin_next(&mut self, now: Duration, view: &FleetView) -> Option<RestartStep> {
         let out = self
             .nodes
             .iter()
             .filter(|(_, progress)| is_out(progress))
             .count();
-        if out >= self.bounds.most_out {
+        if out >= self.bounds.max_unavailable {
             return None;
         }
         let waiting = |(_, progress): &(NodeId, Progress)| *progress == Progress::Waiting;
@@ -215,14 +215,14 @@
             .find(|at| waiting(&self.nodes[*at]) && has_room(&self.nodes[*at].0, view))?;
         let node = self.nodes[at].0.clone();
         if view.drains.contains_key(&node) {
-            return Some(Step::Stop(Stopped::Foreign(node)));
+            return Some(RestartStep::Stop(StopReason::Foreign(node)));
         }
         let incarnation = view.live.get(&node).map(|live| live.incarnation)?;
         self.nodes[at].1 = Progress::Ordered {
             since: now,
             incarnation,
         };
-        Some(Step::Drain(node))
+        Some(RestartStep::Drain(node))
     }
 }
 
--- a/tier/draining/src/shutdown.rs
+++ b/tier/draining/src/shutdown.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
     /// New clients may still be sent here until then.
-    pub clients_come_until: Duration,
+    pub accept_until: Duration,
     /// Until then every request is begun.
-    pub all_begun_until: Duration,
+    pub admit_all_until: Duration,
     /// Every reply has to be over by then.
-    pub replies_end: Duration,
+    pub response_deadline: Duration,
 }
 
 impl Shutdown {
@@ -32,15 +32,15 @@
         let for_replies = grace.saturating_sub(BEFORE_KILL + LAST_SETTLEMENTS + LAST_WRITES);
         let replies_end = asked + for_replies;
         Shutdown {
-            clients_come_until: replies_end.min(asked + CLIENTS_STILL_COME),
-            all_begun_until: replies_end.min(asked + ALL_BEGUN),
-            replies_end,
+            accept_until: replies_end.min(asked + CLIENTS_STILL_COME),
+            admit_all_until: replies_end.min(asked + ALL_BEGUN),
+            response_deadline: replies_end,
         }
     }
 
     /// Whether a request that came at `arrived` and may take until `deadline` is begun here. Later ones that would not
     /// be over in time are better served by another node from their start than cut here.
     pub fn admits(&self, arrived: Duration, deadline: Duration) -> bool {
-        arrived < self.all_begun_until || deadline <= self.replies_end
+        arrived < self.admit_all_until || deadline <= self.response_deadline
     }
 }
--- a/tier/draining/tests/node.rs
+++ b/tier/draining/tests/node.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use plankhill_draining::node::{Action, NodeDrain, NodeState, Seen};
+use plankhill_draining::node::{DrainAction, NodeDrain, NodeState, NodeObservation};
 
 const REST: Duration = Duration::from_secs(15);
 const REPLY: Duration = Duration::from_secs(5);
 
-fn seen(order: Option<u64>, requests: usize, connections: usize) -> Seen {
+fn seen(order: Option<u64>, requests: usize, connections: usize) -> NodeObservation {
     let shutdown = None;
-    Seen {
-        order,
+    NodeObservation {
+        drain_order: order,
         shutdown,
-        recorded: false,
-        requests,
-        connections,
-        longest_rest: REST,
-        longest_reply: REPLY,
+        drained_recorded: false,
+        requests_in_flight: requests,
+        open_connections: connections,
+        max_idle_timeout: REST,
+        max_response_timeout: REPLY,
     }
 }
 
@@ -35,18 +35,18 @@
 #[test]
 fn an_order_turns_clients_away_and_an_empty_node_says_so_until_it_is_recorded() {
     let mut drain = NodeDrain::default();
-    assert_eq!(drain.step(at(1), &seen(Some(4), 2, 3)), [Action::TurnAway]);
+    assert_eq!(drain.step(at(1), &seen(Some(4), 2, 3)), [DrainAction::RejectNewClients]);
     assert_eq!(drain.step(at(2), &seen(Some(4), 0, 1)), []);
     assert_eq!(
         drain.step(at(3), &seen(Some(4), 0, 0)),
-        [Action::ReportEmpty(4)]
+        [DrainAction::ReportDrained(4)]
     );
     assert_eq!(
         drain.step(at(4), &seen(Some(4), 0, 0)),
-        [Action::ReportEmpty(4)]
+        [DrainAction::ReportDrained(4)]
     );
-    let recorded = Seen {
-        recorded: true,
+    let recorded = NodeObservation {
+        drained_recorded: true,
         ..seen(Some(4), 0, 0)
     };
     assert_eq!(drain.step(at(5), &recorded), []);
@@ -60,7 +60,7 @@
     assert_eq!(drain.step(at(16), &seen(Some(1), 0, 2)), []);
     assert_eq!(
         drain.step(at(17), &seen(Some(1), 0, 2)),
-        [Action::CloseIdle]
+        [DrainAction::CloseIdleConnections]
     );
     assert_eq!(drain.state(), NodeState::Closing);
 }
@@ -71,11 +71,11 @@
     drain.step(at(1), &seen(Some(1), 1, 1));
     drain.step(at(17), &seen(Some(1), 1, 1));
     assert_eq!(drain.step(at(21), &seen(Some(1), 1, 1)), []);
-    assert_eq!(drain.step(at(22), &seen(Some(1), 1, 1)), [Action::Cut]);
+    assert_eq!(drain.step(at(22), &seen(Some(1), 1, 1)), [DrainAction::ResetConnections]);
     assert_eq!(drain.step(at(23), &seen(Some(1), 1, 1)), [], "once");
     assert_eq!(
         drain.step(at(24), &seen(Some(1), 0, 0)),
-        [Action::ReportEmpty(1)]
+        [DrainAction::ReportDrained(1)]
     );
 }
 
@@ -90,7 +90,7 @@
             seen(Some(1), 0, 0),
         ];
         (0..=steps).for_each(|step| drop(drain.step(at(1 + 16 * step as u64), &states[step])));
-        assert_eq!(drain.step(at(100), &seen(None, 0, 0)), [Action::Welcome]);
+        assert_eq!(drain.step(at(100), &seen(None, 0, 0)), [DrainAction::AcceptNewClients]);
         assert_eq!(drain.state(), NodeState::InService);
     }
 }
@@ -101,11 +101,11 @@
     let mut drain = NodeDrain::default();
     drain.step(at(1), &seen(Some(1), 0, 0));
     assert_eq!(drain.state(), NodeState::Empty);
-    assert_eq!(drain.step(at(2), &seen(Some(3), 1, 1)), [Action::TurnAway]);
+    assert_eq!(drain.step(at(2), &seen(Some(3), 1, 1)), [DrainAction::RejectNewClients]);
     assert_eq!(drain.state(), NodeState::Leaving);
     assert_eq!(
         drain.step(at(3), &seen(Some(3), 0, 0)),
-        [Action::ReportEmpty(3)]
+        [DrainAction::ReportDrained(3)]
     );
 }
 
@@ -121,16 +121,16 @@
             let seen = seen(order, u.int_in_range(0..=2)?, u.int_in_range(0..=2)?);
             for action in drain.step(now, &seen) {
                 match action {
-                    Action::TurnAway => away = true,
-                    Action::Welcome => (away, reported) = (false, None),
-                    Action::ReportEmpty(number) => {
+                    DrainAction::RejectNewClients => away = true,
+                    DrainAction::AcceptNewClients => (away, reported) = (false, None),
+                    DrainAction::ReportDrained(number) => {
                         assert_eq!(Some(number), order);
                         // The first report of an order comes with nothing under way.
-                        assert!(reported == order || (seen.requests == 0 && seen.connections == 0));
+                        assert!(reported == order || (seen.requests_in_flight == 0 && seen.open_connections == 0));
                         reported = order;
                     }
-                    Action::CloseIdle | Action::Cut => assert!(away),
-                    Action::EndProcess => unreachable!("nobody asked for the end"),
+                    DrainAction::CloseIdleConnections | DrainAction::ResetConnections => assert!(away),
+                    DrainAction::ExitProcess => unreachable!("nobody asked for the end"),
                 }
             }
             assert_eq!(away, order.is_some());
--- a/tier/draining/tests/roll.rs
+++ b/tier/draining/tests/roll.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use plankhill_draining::roll::{Bounds, FleetView, NodeView, Roll, Step, Stopped};
+use plankhill_draining::rolling_restart::{RestartLimits, FleetView, NodeView, RollingRestart, RestartStep, StopReason};
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 
-const BOUNDS: Bounds = Bounds {
-    most_out: 3,
-    empty_within: Duration::from_secs(30),
-    back_within: Duration::from_secs(60),
+const BOUNDS: RestartLimits = RestartLimits {
+    max_unavailable: 3,
+    drain_timeout: Duration::from_secs(30),
+    restart_timeout: Duration::from_secs(60),
 };
 
 fn node(at: usize) -> NodeId {
@@ -33,14 +33,14 @@
 }
 
 /// Carries a step out as an operator would, and lets each node be empty and back at once.
-fn carry_out(view: &mut FleetView, step: &Step) {
+fn carry_out(view: &mut FleetView, step: &RestartStep) {
     match step {
-        Step::Drain(node) => drop(view.drains.insert(node.clone(), true)),
-        Step::Release(node) => {
+        RestartStep::Drain(node) => drop(view.drains.insert(node.clone(), true)),
+        RestartStep::Restart(node) => {
             let live = view.live.get_mut(node).expect("live");
             live.incarnation.0 += 1;
         }
-        Step::Undrain(node) => drop(view.drains.remove(node)),
+        RestartStep::Undrain(node) => drop(view.drains.remove(node)),
         _ => {}
     }
 }
@@ -48,22 +48,22 @@
 #[test]
 fn a_roll_over_seventy_seven_nodes_has_each_out_once() {
     let mut view = fleet(4, 20);
-    let mut roll = Roll::new(BOUNDS, all(&view), &view);
+    let mut roll = RollingRestart::new(BOUNDS, all(&view), &view);
     let mut drained = Vec::new();
     for second in 0..10_000 {
         let step = roll.step(Duration::from_secs(second), &view);
-        if let Step::Drain(node) = &step {
+        if let RestartStep::Drain(node) = &step {
             drained.push(node.clone());
         }
-        assert!(!matches!(step, Step::Stop(_)), "{step:?}");
-        if step == Step::Done {
+        assert!(!matches!(step, RestartStep::Stop(_)), "{step:?}");
+        if step == RestartStep::Done {
             break;
         }
         carry_out(&mut view, &step);
-        assert!(view.drains.len() <= BOUNDS.most_out);
+        assert!(view.drains.len() <= BOUNDS.max_unavailable);
     }
     assert_eq!(drained.len(), 80);
-    assert_eq!(roll.count(), (80, 80));
+    assert_eq!(roll.progress(), (80, 80));
     assert!(view
         .live
         .values()
@@ -73,9 +73,9 @@
 #[test]
 fn two_nodes_of_a_zone_with_two_are_never_out_together() {
     let mut view = fleet(3, 2);
-    let mut roll = Roll::new(
-        Bounds {
-            most_out: 6,
+    let mut roll = RollingRestart::new(
+        RestartLimits {
+            max_unavailable: 6,
             ..BOUNDS
         },
         all(&view),
@@ -83,7 +83,7 @@
     );
     for second in 0..1_000 {
         let step = roll.step(Duration::from_secs(second), &view);
-        if step == Step::Done {
+        if step == RestartStep::Done {
             return;
         }
         carry_out(&mut view, &step);
@@ -100,80 +100,80 @@
 #[test]
 fn the_last_node_of_a_zone_is_left_alone() {
     let view = fleet(3, 1);
-    let mut roll = Roll::new(BOUNDS, all(&view), &view);
-    assert_eq!(roll.step(Duration::ZERO, &view), Step::Wait);
+    let mut roll = RollingRestart::new(BOUNDS, all(&view), &view);
+    assert_eq!(roll.step(Duration::ZERO, &view), RestartStep::Wait);
 }
 
 #[test]
 fn another_lost_machine_stops_the_roll() {
     let mut view = fleet(3, 4);
-    let mut roll = Roll::new(BOUNDS, vec![node(0), node(1)], &view);
+    let mut roll = RollingRestart::new(BOUNDS, vec![node(0), node(1)], &view);
     let step = roll.step(Duration::ZERO, &view);
-    assert_eq!(step, Step::Drain(node(0)));
+    assert_eq!(step, RestartStep::Drain(node(0)));
     view.drains.insert(node(0), false);
     view.live.remove(&node(7));
     assert_eq!(
         roll.step(Duration::from_secs(1), &view),
-        Step::Stop(Stopped::Lost(node(7)))
+        RestartStep::Stop(StopReason::Lost(node(7)))
     );
 }
 
 #[test]
 fn a_node_that_dies_before_it_is_empty_stops_the_roll() {
     let mut view = fleet(3, 4);
-    let mut roll = Roll::new(BOUNDS, vec![node(0)], &view);
+    let mut roll = RollingRestart::new(BOUNDS, vec![node(0)], &view);
     roll.step(Duration::ZERO, &view);
     view.drains.insert(node(0), false);
     view.live.remove(&node(0));
     assert_eq!(
         roll.step(Duration::from_secs(1), &view),
-        Step::Stop(Stopped::Lost(node(0)))
+        RestartStep::Stop(StopReason::Lost(node(0)))
     );
 }
 
 #[test]
 fn a_node_that_does_not_get_empty_or_come_back_stops_the_roll() {
     let mut view = fleet(3, 4);
-    let bounds = Bounds {
-        most_out: 1,
+    let bounds = RestartLimits {
+        max_unavailable: 1,
         ..BOUNDS
     };
-    let mut roll = Roll::new(bounds, vec![node(0)], &view);
+    let mut roll = RollingRestart::new(bounds, vec![node(0)], &view);
     roll.step(Duration::ZERO, &view);
     view.drains.insert(node(0), false);
-    assert_eq!(roll.step(Duration::from_secs(29), &view), Step::Wait);
+    assert_eq!(roll.step(Duration::from_secs(29), &view), RestartStep::Wait);
     assert_eq!(
         roll.clone().step(Duration::from_secs(30), &view),
-        Step::Stop(Stopped::NotEmpty(node(0)))
+        RestartStep::Stop(StopReason::NotEmpty(node(0)))
     );
     view.drains.insert(node(0), true);
     assert_eq!(
         roll.step(Duration::from_secs(29), &view),
-        Step::Release(node(0))
+        RestartStep::Restart(node(0))
     );
     view.live.remove(&node(0));
-    assert_eq!(roll.step(Duration::from_secs(88), &view), Step::Wait);
+    assert_eq!(roll.step(Duration::from_secs(88), &view), RestartStep::Wait);
     assert_eq!(
         roll.step(Duration::from_secs(89), &view),
-        Step::Stop(Stopped::NotBack(node(0)))
+        RestartStep::Stop(StopReason::NotBack(node(0)))
     );
 }
 
 #[test]
 fn orders_of_others_stop_the_roll() {
     let mut view = fleet(3, 4);
-    let mut roll = Roll::new(BOUNDS, vec![node(0), node(1)], &view);
+    let mut roll = RollingRestart::new(BOUNDS, vec![node(0), node(1)], &view);
     view.drains.insert(node(0), false);
     assert_eq!(
         roll.step(Duration::ZERO, &view),
-        Step::Stop(Stopped::Foreign(node(0)))
+        RestartStep::Stop(StopReason::Foreign(node(0)))
     );
     let mut view = fleet(3, 4);
-    let mut roll = Roll::new(BOUNDS, vec![node(0)], &view);
+    let mut roll = RollingRestart::new(BOUNDS, vec![node(0)], &view);
     roll.step(Duration::ZERO, &view);
     assert_eq!(
         roll.step(Duration::from_secs(1), &view),
-        Step::Stop(Stopped::Foreign(node(0)))
+        RestartStep::Stop(StopReason::Foreign(node(0)))
     );
     view.drains.clear();
 }
@@ -184,20 +184,20 @@
     arbtest(|u| {
         let mut view = fleet(u.int_in_range(1..=4)?, u.int_in_range(1..=5)?);
         let most_out = u.int_in_range(1..=4)?;
-        let mut roll = Roll::new(Bounds { most_out, ..BOUNDS }, all(&view), &view);
+        let mut roll = RollingRestart::new(RestartLimits { max_unavailable: most_out, ..BOUNDS }, all(&view), &view);
         let mut now = Duration::ZERO;
         for _ in 0..60 {
             now += Duration::from_millis(u.int_in_range(0..=5_000)?);
             match roll.step(now, &view) {
-                Step::Drain(node) => drop(view.drains.insert(node, false)),
-                Step::Release(node) => {
+                RestartStep::Drain(node) => drop(view.drains.insert(node, false)),
+                RestartStep::Restart(node) => {
                     assert_eq!(view.drains.get(&node), Some(&true));
                     view.live.get_mut(&node).expect("live").incarnation.0 +=
                         u64::from(u.arbitrary::<bool>()?);
                 }
-                Step::Undrain(node) => drop(view.drains.remove(&node)),
-                Step::Stop(_) | Step::Done => return Ok(()),
-                Step::Wait => {}
+                RestartStep::Undrain(node) => drop(view.drains.remove(&node)),
+                RestartStep::Stop(_) | RestartStep::Done => return Ok(()),
+                RestartStep::Wait => {}
             }
             if u.arbitrary()? {
                 view.drains.values_mut().for_each(|empty| *empty = true);
--- a/tier/draining/tests/shutdown.rs
+++ b/tier/draining/tests/shutdown.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use plankhill_draining::node::{Action, NodeDrain, NodeState, Seen};
+use plankhill_draining::node::{DrainAction, NodeDrain, NodeState, NodeObservation};
 use plankhill_draining::shutdown::Shutdown;
 
 const GRACE: Duration = Duration::from_secs(8);
@@ -17,31 +17,31 @@
     Shutdown::new(at(1_000), GRACE)
 }
 
-fn seen(order: Option<u64>, requests: usize, connections: usize) -> Seen {
-    Seen {
-        order,
+fn seen(order: Option<u64>, requests: usize, connections: usize) -> NodeObservation {
+    NodeObservation {
+        drain_order: order,
         shutdown: Some(shutdown()),
-        recorded: false,
-        requests,
-        connections,
-        longest_rest: Duration::from_secs(15),
-        longest_reply: Duration::from_secs(60),
+        drained_recorded: false,
+        requests_in_flight: requests,
+        open_connections: connections,
+        max_idle_timeout: Duration::from_secs(15),
+        max_response_timeout: Duration::from_secs(60),
     }
 }
 
 #[test]
 fn clients_are_served_until_the_platform_sends_no_more() {
     let mut drain = NodeDrain::default();
-    assert_eq!(drain.step(at(1_000), &seen(None, 1, 4)), [Action::TurnAway]);
+    assert_eq!(drain.step(at(1_000), &seen(None, 1, 4)), [DrainAction::RejectNewClients]);
     assert_eq!(drain.step(at(3_900), &seen(None, 0, 4)), []);
     assert_eq!(
         drain.step(at(4_000), &seen(None, 0, 4)),
-        [Action::CloseIdle]
+        [DrainAction::CloseIdleConnections]
     );
     assert_eq!(drain.step(at(4_050), &seen(None, 0, 0)), []);
     assert_eq!(
         drain.step(at(4_100), &seen(None, 0, 0)),
-        [Action::EndProcess]
+        [DrainAction::ExitProcess]
     );
 }
 
@@ -51,7 +51,7 @@
     drain.step(at(1_000), &seen(None, 1, 1));
     assert_eq!(
         drain.step(at(4_000), &seen(None, 1, 1)),
-        [Action::CloseIdle]
+        [DrainAction::CloseIdleConnections]
     );
     assert_eq!(drain.step(at(6_000), &seen(None, 1, 1)), []);
     assert_eq!(drain.step(at(6_100), &seen(None, 0, 1)), []);
@@ -60,7 +60,7 @@
     assert_eq!(drain.step(at(6_200), &seen(None, 1, 1)), []);
     assert_eq!(
         drain.step(at(6_300), &seen(None, 0, 1)),
-        [Action::EndProcess]
+        [DrainAction::ExitProcess]
     );
 }
 
@@ -69,13 +69,13 @@
     let mut drain = NodeDrain::default();
     drain.step(at(1_000), &seen(None, 1, 1));
     drain.step(at(4_000), &seen(None, 1, 1));
-    let end = shutdown().replies_end;
+    let end = shutdown().response_deadline;
     assert!(end < at(9_000));
-    assert_eq!(drain.step(end, &seen(None, 1, 1)), [Action::Cut]);
+    assert_eq!(drain.step(end, &seen(None, 1, 1)), [DrainAction::ResetConnections]);
     assert_eq!(drain.step(end + at(100), &seen(None, 1, 1)), [], "once");
     assert_eq!(
         drain.step(end + at(250), &seen(None, 1, 1)),
-        [Action::EndProcess]
+        [DrainAction::ExitProcess]
     );
     assert!(end + at(250) < at(9_000), "before the kill");
 }
@@ -90,22 +90,22 @@
         let mut drain = NodeDrain::default();
         drain.step(
             at(0),
-            &Seen {
+            &NodeObservation {
                 shutdown: None,
                 ..seen(orders[0], 1, 1)
             },
         );
         let actions = drain.step(at(1_000), &seen(orders[1], 1, 1));
-        assert!(!actions.contains(&Action::Welcome));
+        assert!(!actions.contains(&DrainAction::AcceptNewClients));
         assert_ne!(drain.state(), NodeState::InService);
         assert_eq!(
             drain.step(at(4_000), &seen(orders[2], 1, 1)),
-            [Action::CloseIdle]
+            [DrainAction::CloseIdleConnections]
         );
         assert_eq!(drain.step(at(4_200), &seen(orders[2], 0, 0)), []);
         assert_eq!(
             drain.step(at(4_300), &seen(orders[2], 0, 0)),
-            [Action::EndProcess]
+            [DrainAction::ExitProcess]
         );
     }
 }
@@ -131,8 +131,8 @@
 fn a_short_grace_begins_nothing() {
     for grace in [0, 100, 650] {
         let shutdown = Shutdown::new(at(1_000), at(grace));
-        assert_eq!(shutdown.replies_end, at(1_000));
-        assert_eq!(shutdown.clients_come_until, at(1_000));
+        assert_eq!(shutdown.response_deadline, at(1_000));
+        assert_eq!(shutdown.accept_until, at(1_000));
         assert!(!shutdown.admits(at(1_000), at(1_001)));
     }
 }
@@ -149,11 +149,11 @@
             let seen = seen(order, u.int_in_range(0..=2)?, u.int_in_range(0..=2)?);
             for action in drain.step(now, &seen) {
                 match action {
-                    Action::TurnAway => assert_eq!(now, at(1_000)),
-                    Action::CloseIdle => assert!(now >= shutdown().clients_come_until),
-                    Action::Cut => assert!(now >= shutdown().replies_end),
-                    Action::EndProcess => ended = Some((now, seen.requests)),
-                    Action::ReportEmpty(_) | Action::Welcome => {
+                    DrainAction::RejectNewClients => assert_eq!(now, at(1_000)),
+                    DrainAction::CloseIdleConnections => assert!(now >= shutdown().accept_until),
+                    DrainAction::ResetConnections => assert!(now >= shutdown().response_deadline),
+                    DrainAction::ExitProcess => ended = Some((now, seen.requests_in_flight)),
+                    DrainAction::ReportDrained(_) | DrainAction::AcceptNewClients => {
                         unreachable!("the node is on its way out")
                     }
                 }
@@ -162,7 +162,7 @@
         }
         let (at_end, requests) = ended.expect("an end");
         assert!(at_end < at(1_000) + GRACE);
-        assert!(requests == 0 || at_end >= shutdown().replies_end);
+        assert!(requests == 0 || at_end >= shutdown().response_deadline);
         Ok(())
     })
     .budget_ms(500);
--- a/tier/protocol/src/feed.rs
+++ b/tier/protocol/src/feed.rs
@@ -29,21 +29,21 @@
         /// Who it is.
         subscriber: Subscriber,
         /// The revision that it holds already; 0 for nothing.
-        held: Revision,
+        held_revision: Revision,
     },
     /// It has applied updates up to here; also sent as a heartbeat.
     Applied(Revision),
     /// An update did not fit: it wants a snapshot.
-    WantsSnapshot,
+    RequestSnapshot,
     /// A store has copied all that belongs to it in the next set of this epoch.
     StoreSynced(StoreEpoch),
     /// An agent no longer hears a peer that it monitors.
-    Suspects(NodeId),
+    SuspectPeer(NodeId),
     /// An orderly end: the edge is to be forgotten at once.
-    Leaving,
+    Deregister,
     /// This edge, taken out of service by the order of this number, is empty: no client is connected and nothing is
     /// under way. Said by the proxy to its agent, and by that to a controller.
-    Emptied {
+    Drained {
         /// The order's number.
         number: u64,
     },
@@ -51,9 +51,9 @@
     /// feeder's revision rises.
     HeartbeatsOnly,
     /// It wants updates again, beginning with this revision that it holds.
-    Updates {
+    ResumeUpdates {
         /// What it holds.
-        held: Revision,
+        held_revision: Revision,
     },
 }
 
--- a/tier/protocol/src/feeder.rs
+++ b/tier/protocol/src/feed_position.rs
@@ -7,7 +7,7 @@
 
 /// What a subscriber holds.
 #[derive(Clone, Debug)]
-pub enum Held {
+pub enum FeedPosition {
     /// It said that it holds this revision; its contents are not known here.
     Revision(Revision),
     /// It was sent exactly these tables.
@@ -16,24 +16,24 @@
     Nothing,
 }
 
-impl Held {
+impl FeedPosition {
     /// What brings the subscriber to `newest`, which it is taken to hold afterwards; None if it needs nothing,
     /// or holds a later revision.
-    pub fn advance(&mut self, newest: &Arc<Tables>) -> Option<TablesUpdate> {
+    pub fn advance_to(&mut self, newest: &Arc<Tables>) -> Option<TablesUpdate> {
         let update = match self {
-            Held::Revision(held) if *held > newest.revision => return None,
-            Held::Revision(held) if *held == newest.revision => None,
-            Held::Revision(_) | Held::Nothing => {
+            FeedPosition::Revision(held) if *held > newest.revision => return None,
+            FeedPosition::Revision(held) if *held == newest.revision => None,
+            FeedPosition::Revision(_) | FeedPosition::Nothing => {
                 Some(TablesUpdate::Snapshot(Tables::clone(newest)))
             }
-            Held::Tables(held) if held.revision >= newest.revision => return None,
-            Held::Tables(held) => Some(TablesUpdate::Changes {
+            FeedPosition::Tables(held) if held.revision >= newest.revision => return None,
+            FeedPosition::Tables(held) => Some(TablesUpdate::Changes {
                 from: held.revision,
                 to: newest.revision,
                 changes: newest.changes_since(held),
             }),
         };
-        *self = Held::Tables(newest.clone());
+        *self = FeedPosition::Tables(newest.clone());
         update
     }
 }
--- a/tier/protocol/src/lib.rs
+++ b/tier/protocol/src/lib.rs
@@ -5,11 +5,11 @@
 
 pub mod document;
 pub mod feed;
-pub mod feeder;
+pub mod feed_position;
 pub mod ids;
 pub mod ports;
 pub mod shared_bytes;
 pub mod subscription;
 pub mod tables;
 pub mod transport;
-pub mod turns;
+pub mod store_calls;
