--- a/tier/protocol/src/turns.rs
+++ b/tier/protocol/src/store_calls.rs
@@ -12,7 +12,7 @@
     /// Tokens that all turns of the program may generate together (`Budget`).
     pub budget: u64,
     /// The most that this turn generates (second number of `Token-Usage`).
-    pub most: u64,
+    pub max_tokens: u64,
 }
 
 /// A turn that is kept so that later turns can go on from it.
@@ -23,7 +23,7 @@
     /// The program that it ran in.
     pub program: ProgramId,
     /// The turn that it went on from, with the program under which that one is kept.
-    pub previous: Option<TurnPlace>,
+    pub previous: Option<TurnLocation>,
     /// The input that the client sent.
     #[serde(with = "crate::shared_bytes")]
     pub input: Arc<[u8]>,
@@ -36,7 +36,7 @@
 
 /// Where a turn is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct TurnPlace {
+pub struct TurnLocation {
     /// The turn.
     pub turn: RequestId,
     /// The program whose replicas hold it.
@@ -84,16 +84,16 @@
         #[serde(with = "crate::shared_bytes")]
         history: Arc<[u8]>,
         /// Where `Previous` is kept, to be named in this turn's record.
-        previous: Option<TurnPlace>,
+        previous: Option<TurnLocation>,
     },
     /// One more turn does not fit into the budget (402).
-    BudgetSpent,
+    BudgetExhausted,
     /// Surely no such turn (404).
     NoSuchTurn,
     /// Settled and kept on enough disks.
     Ended,
     /// Too few stores answered, or the store is not in service: ask another, or give up with 503.
-    Unsure,
+    Unavailable,
     /// The caller's view is older than this store's.
-    OldEpoch(StoreEpoch),
+    StaleEpoch(StoreEpoch),
 }
--- a/tier/protocol/src/subscription.rs
+++ b/tier/protocol/src/subscription.rs
@@ -15,7 +15,7 @@
 
 use tokio::sync::{mpsc, oneshot, watch};
 
-pub use progress::{Progress, Step, HOME_LAG};
+pub use progress::{Progress, Step, MAX_HOME_LAG};
 pub use rotation::Rotation;
 
 use crate::feed::{FromSubscriber, Subscriber};
@@ -23,10 +23,10 @@
 use crate::transport::Hello;
 
 /// Longest silence of a controller: two of its heartbeats (300 ms) may be lost or late.
-pub const CONTROLLER_SILENCE: Duration = Duration::from_millis(700);
+pub const CONTROLLER_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest silence of the agent of the same machine: its heartbeats (500 ms) share a fraction of a core with
 /// the proxy, and nothing else could be asked instead.
-pub const AGENT_SILENCE: Duration = Duration::from_millis(2_000);
+pub const AGENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Orders of the owner that wait while no feeder is reached; further ones are dropped.
 const ORDERS: usize = 64;
 
@@ -40,39 +40,39 @@
     /// added to them.
     pub candidates: watch::Receiver<Vec<SocketAddr>>,
     /// A feeder that says nothing for this long is left.
-    pub silence: Duration,
+    pub feeder_timeout: Duration,
 }
 
 /// How the connection to a feeder stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LinkStanding {
+pub struct LinkStatus {
     /// Whether the connection is up, the feeder says that it is current, and the tables are at its revision.
     pub current: bool,
     /// Since when `current` and `address` are as they are.
-    pub since: Instant,
+    pub changed_at: Instant,
     /// The connected feeder; None while there is none.
     pub address: Option<SocketAddr>,
     /// Whether the feeder sends heartbeats only, and updates come from [`Subscription::offer`].
-    pub by_home: bool,
+    pub follows_home: bool,
     /// When the tables were last known to be current. Rises without waking the watchers.
-    pub confirmed: Option<Instant>,
+    pub confirmed_at: Option<Instant>,
 }
 
-impl LinkStanding {
+impl LinkStatus {
     /// Not connected since `now`.
     fn none(now: Instant) -> Self {
-        LinkStanding {
+        LinkStatus {
             current: false,
-            since: now,
+            changed_at: now,
             address: None,
-            by_home: false,
-            confirmed: None,
+            follows_home: false,
+            confirmed_at: None,
         }
     }
 
     /// Whether the tables were known to be current at some moment within `age` before `now`.
     pub fn confirmed_within(&self, age: Duration, now: Instant) -> bool {
-        self.confirmed
+        self.confirmed_at
             .is_some_and(|at| now.saturating_duration_since(at) <= age)
     }
 }
@@ -80,7 +80,7 @@
 /// A running subscription. It ends when this is dropped.
 pub struct Subscription {
     tables: watch::Receiver<Arc<Tables>>,
-    standing: watch::Receiver<LinkStanding>,
+    standing: watch::Receiver<LinkStatus>,
     orders: mpsc::Sender<Order>,
 }
 
@@ -102,13 +102,13 @@
 impl Subscription {
     /// Starts a subscription on the current `LocalSet`, holding nothing.
     pub fn start(options: SubscriptionOptions) -> Self {
-        Subscription::start_holding(options, Arc::default())
+        Subscription::start_from(options, Arc::default())
     }
 
     /// Starts a subscription on the current `LocalSet`, holding these tables.
-    pub fn start_holding(options: SubscriptionOptions, held: Arc<Tables>) -> Self {
+    pub fn start_from(options: SubscriptionOptions, held: Arc<Tables>) -> Self {
         let (publish_tables, tables) = watch::channel(held);
-        let (publish_standing, standing) = watch::channel(LinkStanding::none(Instant::now()));
+        let (publish_standing, standing) = watch::channel(LinkStatus::none(Instant::now()));
         let (orders, queue) = mpsc::channel(ORDERS);
         let link = link::Link::new(options, publish_tables, publish_standing, queue);
         tokio::task::spawn_local(link.run());
@@ -125,7 +125,7 @@
     }
 
     /// How the connection stands.
-    pub fn standing(&self) -> watch::Receiver<LinkStanding> {
+    pub fn status(&self) -> watch::Receiver<LinkStatus> {
         self.standing.clone()
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Sends a message and waits until it has been handed to the operating system; false after `timeout`.
-    pub async fn send_written(&self, message: FromSubscriber, timeout: Duration) -> bool {
+    pub async fn send_and_flush(&self, message: FromSubscriber, timeout: Duration) -> bool {
         let (written, done) = oneshot::channel();
         if self
             .orders
@@ -157,15 +157,15 @@
     }
 
     /// From now on, updates come by [`Subscription::offer`]; the feeder sends heartbeats only. As soon as offers
-    /// lag behind the feeder's revision by [`HOME_LAG`], and on every new connection, the feeder is asked for
+    /// lag behind the feeder's revision by [`MAX_HOME_LAG`], and on every new connection, the feeder is asked for
     /// updates again. Nothing happens while the feeder has announced more than is held. False if the queue is
     /// full.
-    pub fn by_home(&self) -> bool {
+    pub fn follow_home(&self) -> bool {
         self.orders.try_send(Order::ByHome).is_ok()
     }
 
     /// Updates are to come from the feeder again. False if the queue is full.
-    pub fn direct(&self) -> bool {
+    pub fn follow_feeder(&self) -> bool {
         self.orders.try_send(Order::Direct).is_ok()
     }
 
--- a/tier/protocol/src/subscription/exchange.rs
+++ b/tier/protocol/src/subscription/exchange.rs
@@ -111,14 +111,14 @@
     }
 
     fn silent_at(&self) -> Instant {
-        self.heard + self.link.options.silence
+        self.heard + self.link.options.feeder_timeout
     }
 
     /// A message of the feeder.
     async fn take(&mut self, message: ToSubscriber) -> Result<(), Stop> {
         let now = Instant::now();
         // This process stood still: what waited in the socket is old.
-        if now > self.silent_at() + self.link.options.silence {
+        if now > self.silent_at() + self.link.options.feeder_timeout {
             return Err(Stop);
         }
         self.heard = now;
@@ -132,7 +132,7 @@
                 self.alive(revision).await
             }
             Step::Unconfirmed => self.alive(revision).await,
-            Step::WantsSnapshot => self.send(&FromSubscriber::WantsSnapshot).await,
+            Step::WantsSnapshot => self.send(&FromSubscriber::RequestSnapshot).await,
             Step::Feeders(feeders) => {
                 self.link.learn(feeders);
                 Ok(())
@@ -231,7 +231,7 @@
     }
 
     async fn send(&mut self, message: &FromSubscriber) -> Result<(), Stop> {
-        match timeout(self.link.options.silence, self.writer.send(message)).await {
+        match timeout(self.link.options.feeder_timeout, self.writer.send(message)).await {
             Ok(Ok(())) => Ok(()),
             _ => Err(Stop),
         }
--- a/tier/protocol/src/subscription/link.rs
+++ b/tier/protocol/src/subscription/link.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 
 use super::exchange::{Ended, Exchange};
-use super::{LinkStanding, Order, Rotation, SubscriptionOptions};
+use super::{LinkStatus, Order, Rotation, SubscriptionOptions};
 use crate::feed::FromSubscriber;
 use crate::tables::Tables;
 use crate::transport::{dial, Connection, Hello, TransportError};
@@ -25,7 +25,7 @@
     pub(super) options: SubscriptionOptions,
     pub(super) tables: watch::Sender<Arc<Tables>>,
     pub(super) orders: mpsc::Receiver<Order>,
-    standing: watch::Sender<LinkStanding>,
+    standing: watch::Sender<LinkStatus>,
     learnt: Vec<SocketAddr>,
 }
 
@@ -33,7 +33,7 @@
     pub(super) fn new(
         options: SubscriptionOptions,
         tables: watch::Sender<Arc<Tables>>,
-        standing: watch::Sender<LinkStanding>,
+        standing: watch::Sender<LinkStatus>,
         orders: mpsc::Receiver<Order>,
     ) -> Self {
         Link {
@@ -104,16 +104,16 @@
     /// Publishes how the connection stands.
     pub(super) fn stand(&self, current: bool, by_home: bool, address: Option<SocketAddr>) {
         self.standing.send_if_modified(|standing| {
-            let next = LinkStanding {
+            let next = LinkStatus {
                 current,
-                by_home,
+                follows_home: by_home,
                 address,
                 ..*standing
             };
             let modified = *standing != next;
             if modified {
-                *standing = LinkStanding {
-                    since: Instant::now(),
+                *standing = LinkStatus {
+                    changed_at: Instant::now(),
                     ..next
                 };
             }
@@ -124,7 +124,7 @@
     /// The tables are known to be current now.
     pub(super) fn confirm(&self) {
         self.standing.send_if_modified(|standing| {
-            standing.confirmed = Some(Instant::now());
+            standing.confirmed_at = Some(Instant::now());
             false
         });
     }
@@ -148,7 +148,7 @@
         let held = self.tables.borrow().revision;
         let subscriber = self.options.subscriber.clone();
         if writer
-            .send(&FromSubscriber::Subscribe { subscriber, held })
+            .send(&FromSubscriber::Subscribe { subscriber, held_revision: held })
             .await
             .is_err()
         {
--- a/tier/protocol/src/subscription/progress.rs
+++ b/tier/protocol/src/subscription/progress.rs
@@ -16,7 +16,7 @@
 const WAITED_HEARTBEATS: u32 = 3;
 /// How long a home may lag behind the revision that the feeder has announced: some ten times the way over one
 /// more machine, and a small part of the time within which a change must have spread.
-pub const HOME_LAG: Duration = Duration::from_millis(150);
+pub const MAX_HOME_LAG: Duration = Duration::from_millis(150);
 
 /// What follows from one message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -104,7 +104,7 @@
     pub fn home_is_overdue_at(&self) -> Option<Instant> {
         match self.source {
             Source::Feeder => None,
-            Source::Home { lags_since } => lags_since.map(|since| since + HOME_LAG),
+            Source::Home { lags_since } => lags_since.map(|since| since + MAX_HOME_LAG),
         }
     }
 
@@ -113,7 +113,7 @@
         let was_by_home = self.is_by_home();
         self.source = Source::Feeder;
         (self.asked_snapshot, self.asked_updates) = (false, was_by_home);
-        was_by_home.then_some(FromSubscriber::Updates { held })
+        was_by_home.then_some(FromSubscriber::ResumeUpdates { held_revision: held })
     }
 
     fn update(&mut self, update: TablesUpdate, tables: &mut Arc<Tables>, now: Instant) -> Step {
--- a/tier/protocol/src/tables.rs
+++ b/tier/protocol/src/tables.rs
@@ -12,7 +12,7 @@
 use crate::ids::{Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName};
 
 use order::{differences, replace_at, same_place};
-pub use order::{edge_order, target_order};
+pub use order::{compare_edges, compare_targets};
 
 /// Whether a target takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
     /// The highest `sequence` that it has sent with a change.
     pub sequence: u64,
     /// Milliseconds that it stays slow after its start, as it told when it registered; 0 if it told none.
-    pub cold_remaining_ms: u64,
+    pub warm_up_remaining_ms: u64,
     /// The models that it serves, if it told any.
     pub models: Vec<ServedModel>,
 }
@@ -78,7 +78,7 @@
     /// The set that takes over once each of its members has copied what belongs to it.
     pub next: Option<Vec<StoreMember>>,
     /// Lost stores that the tier bears at once (f).
-    pub faults: u32,
+    pub tolerated_faults: u32,
 }
 
 /// One edge machine: a proxy and its agent.
@@ -195,19 +195,19 @@
     pub fn changes_since(&self, older: &Tables) -> Vec<TablesChange> {
         let mut changes = Vec::new();
         // Removals come first: a target that moved to another service is removed from its old place, then set.
-        let gone = differences(&older.targets, &self.targets, target_order);
+        let gone = differences(&older.targets, &self.targets, compare_targets);
         changes.extend(
-            gone.filter(|one| !same_place(&self.targets, one, target_order))
+            gone.filter(|one| !same_place(&self.targets, one, compare_targets))
                 .map(|target| TablesChange::TargetRemoved(target.id.clone())),
         );
-        let set = differences(&self.targets, &older.targets, target_order);
+        let set = differences(&self.targets, &older.targets, compare_targets);
         changes.extend(set.cloned().map(TablesChange::TargetSet));
-        let gone = differences(&older.edges, &self.edges, edge_order);
+        let gone = differences(&older.edges, &self.edges, compare_edges);
         changes.extend(
-            gone.filter(|one| !same_place(&self.edges, one, edge_order))
+            gone.filter(|one| !same_place(&self.edges, one, compare_edges))
                 .map(|edge| TablesChange::EdgeRemoved(edge.node.clone())),
         );
-        let set = differences(&self.edges, &older.edges, edge_order);
+        let set = differences(&self.edges, &older.edges, compare_edges);
         changes.extend(set.cloned().map(TablesChange::EdgeSet));
         if self.stores != older.stores {
             changes.push(TablesChange::Stores(self.stores.clone()));
@@ -230,7 +230,7 @@
             TablesChange::TargetSet(target) => {
                 let place = self
                     .targets
-                    .binary_search_by(|held| target_order(held, &target));
+                    .binary_search_by(|held| compare_targets(held, &target));
                 replace_at(&mut self.targets, place, target);
             }
             TablesChange::TargetRemoved(id) => self.targets.retain(|target| target.id != id),
--- a/tier/protocol/src/tables/order.rs
+++ b/tier/protocol/src/tables/order.rs
@@ -5,12 +5,12 @@
 use super::{Edge, Target};
 
 /// The order of [`Tables::targets`].
-pub fn target_order(one: &Target, other: &Target) -> Ordering {
+pub fn compare_targets(one: &Target, other: &Target) -> Ordering {
     (&one.service, &one.id).cmp(&(&other.service, &other.id))
 }
 
 /// The order of [`Tables::edges`].
-pub fn edge_order(one: &Edge, other: &Edge) -> Ordering {
+pub fn compare_edges(one: &Edge, other: &Edge) -> Ordering {
     one.node.cmp(&other.node)
 }
 
--- a/tier/protocol/src/transport/frame.rs
+++ b/tier/protocol/src/transport/frame.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-use super::{TransportError, MAX_FRAME};
+use super::{TransportError, MAX_FRAME_BYTES};
 
 const LENGTH_BYTES: usize = 4;
 /// Room for reading: most frames are small, large ones are read past the buffer.
@@ -34,7 +34,7 @@
     /// As [`TransportError`] says; the connection is of no further use.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<T, TransportError> {
         let length = self.stream.read_u32_le().await? as usize;
-        if length > MAX_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(TransportError::FrameTooLong(length));
         }
         self.buffer.clear();
@@ -89,7 +89,7 @@
 fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, TransportError> {
     let mut frame = postcard::to_extend(message, vec![0; LENGTH_BYTES])?;
     let length = frame.len() - LENGTH_BYTES;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(TransportError::FrameTooLong(length));
     }
     frame[..LENGTH_BYTES].copy_from_slice(&(length as u32).to_le_bytes());
--- a/tier/protocol/src/transport/mod.rs
+++ b/tier/protocol/src/transport/mod.rs
@@ -28,7 +28,7 @@
 /// A connection that takes longer to come up counts as failed.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(800);
 /// The largest frame, in bytes: a snapshot with a large configuration, with room to grow.
-pub const MAX_FRAME: usize = 32 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,8 +73,8 @@
     /// The operating system reported an error, or the peer closed.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// A frame longer than [`MAX_FRAME`].
-    #[error("frame of {0} bytes; at most {MAX_FRAME}")]
+    /// A frame longer than [`MAX_FRAME_BYTES`].
+    #[error("frame of {0} bytes; at most {MAX_FRAME_BYTES}")]
     FrameTooLong(usize),
     /// Bytes that are no message of the expected type.
     #[error("message: {0}")]
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 /// The operating system's.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
@@ -152,7 +152,7 @@
     address: SocketAddr,
     hello: &Hello,
 ) -> Result<Connection, TransportError> {
-    tune(&stream)?;
+    set_socket_options(&stream)?;
     let (read, write) = stream.into_split();
     let (mut reader, mut writer) = (FrameReader::new(read), FrameWriter::new(write));
     writer.send(hello).await?;
--- a/tier/protocol/tests/common/mod.rs
+++ b/tier/protocol/tests/common/mod.rs
@@ -10,7 +10,7 @@
     Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName,
 };
 use plankhill_protocol::tables::{
-    edge_order, target_order, ConfigurationText, Drain, Edge, StoreView, Tables, Target,
+    compare_edges, compare_targets, ConfigurationText, Drain, Edge, StoreView, Tables, Target,
     TargetState,
 };
 use tokio::task::LocalSet;
@@ -56,14 +56,14 @@
             targets.push(any_target(draw, number)?);
         }
     }
-    targets.sort_by(target_order);
+    targets.sort_by(compare_targets);
     let mut edges = Vec::new();
     for number in 0..4 {
         if draw.ratio(2, 3)? {
             edges.push(edge(number, draw.int_in_range(0..=1)?));
         }
     }
-    edges.sort_by(edge_order);
+    edges.sort_by(compare_edges);
     let stores = StoreView {
         epoch: StoreEpoch(draw.int_in_range(0..=2)?),
         ..StoreView::default()
@@ -108,7 +108,7 @@
             TargetState::Draining
         },
         sequence: draw.int_in_range(0..=2)?,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         models: Vec::new(),
     })
 }
--- a/tier/protocol/tests/frames.rs
+++ b/tier/protocol/tests/frames.rs
@@ -8,7 +8,7 @@
 use common::{any_port, run};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{
-    accept, dial, listen, Channel, FrameReader, FrameWriter, Hello, TransportError, MAX_FRAME,
+    accept, dial, listen, Channel, FrameReader, FrameWriter, Hello, TransportError, MAX_FRAME_BYTES,
     PROTOCOL_VERSION,
 };
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
@@ -137,7 +137,7 @@
 
 #[test]
 fn a_length_over_the_limit_is_refused_unread() {
-    let length = u32::try_from(MAX_FRAME + 1).unwrap().to_le_bytes();
+    let length = u32::try_from(MAX_FRAME_BYTES + 1).unwrap().to_le_bytes();
     let (to, from) = tokio::io::duplex(64);
     let error = run(ends_with(to, from, &length, 0));
     assert!(matches!(error, TransportError::FrameTooLong(_)), "{error}");
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_message_over_the_limit_is_not_sent() {
-    let message = vec![0_u8; MAX_FRAME + 1];
+    let message = vec![0_u8; MAX_FRAME_BYTES + 1];
     let error = run(async {
         FrameWriter::new(tokio::io::sink())
             .send(&message)
--- a/tier/protocol/tests/homes.rs
+++ b/tier/protocol/tests/homes.rs
@@ -10,9 +10,9 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use common::{any_tables, tables};
 use plankhill_protocol::feed::{FromSubscriber, ToSubscriber};
-use plankhill_protocol::feeder::Held;
+use plankhill_protocol::feed_position::FeedPosition;
 use plankhill_protocol::ids::Revision;
-use plankhill_protocol::subscription::{Progress, Step, HOME_LAG};
+use plankhill_protocol::subscription::{Progress, Step, MAX_HOME_LAG};
 use plankhill_protocol::tables::{Tables, TablesUpdate};
 
 /// The longest way from one machine to another, in steps of a millisecond.
@@ -24,7 +24,7 @@
 
 /// Announced, overdue, asked, answered; a step for each of these.
 fn bound() -> usize {
-    HOME_LAG.as_millis() as usize + 3 * MOST_STEPS + 4
+    MAX_HOME_LAG.as_millis() as usize + 3 * MOST_STEPS + 4
 }
 
 /// A connection: in order, each message after some steps.
@@ -55,7 +55,7 @@
 /// The controller's end of the subscription.
 struct Controller {
     wants_updates: bool,
-    held: Held,
+    held: FeedPosition,
     announced: Revision,
     beat: usize,
 }
@@ -64,12 +64,12 @@
     fn take(&mut self, message: FromSubscriber) {
         match message {
             FromSubscriber::HeartbeatsOnly => self.wants_updates = false,
-            FromSubscriber::Updates { held } => {
+            FromSubscriber::ResumeUpdates { held_revision: held } => {
                 (self.wants_updates, self.held, self.announced) =
-                    (true, Held::Revision(held), held);
+                    (true, FeedPosition::Revision(held), held);
             }
-            FromSubscriber::WantsSnapshot => {
-                (self.held, self.announced) = (Held::Nothing, Revision(0))
+            FromSubscriber::RequestSnapshot => {
+                (self.held, self.announced) = (FeedPosition::Nothing, Revision(0))
             }
             other => panic!("{other:?}"),
         }
@@ -78,7 +78,7 @@
     fn send(&mut self, newest: &Arc<Tables>, now: usize) -> Vec<ToSubscriber> {
         let rose = self.announced < newest.revision;
         self.announced = newest.revision;
-        let update = self.held.advance(newest).filter(|_| self.wants_updates);
+        let update = self.held.advance_to(newest).filter(|_| self.wants_updates);
         if !rose && update.is_none() && now < self.beat {
             return Vec::new();
         }
@@ -102,7 +102,7 @@
     let mut committed_at = vec![0];
     let mut controller = Controller {
         wants_updates: true,
-        held: Held::Nothing,
+        held: FeedPosition::Nothing,
         announced: Revision(0),
         beat: 0,
     };
@@ -133,7 +133,7 @@
         let before = held.revision;
         while let Some(message) = down.arrived(now) {
             if progress.take(message, &mut held, instant) == Step::WantsSnapshot {
-                up.send(later(draw)?, FromSubscriber::WantsSnapshot);
+                up.send(later(draw)?, FromSubscriber::RequestSnapshot);
             }
         }
         while let Some(offered) = side.arrived(now) {
@@ -218,9 +218,9 @@
         current: true,
     };
     assert_eq!(progress.take(announced, &mut held, now), Step::Unconfirmed);
-    assert_eq!(progress.home_is_overdue_at(), Some(now + HOME_LAG));
+    assert_eq!(progress.home_is_overdue_at(), Some(now + MAX_HOME_LAG));
     progress.offered(Arc::new(tables(2)), &mut held);
-    assert_eq!(progress.home_is_overdue_at(), Some(now + HOME_LAG));
+    assert_eq!(progress.home_is_overdue_at(), Some(now + MAX_HOME_LAG));
     progress.offered(Arc::new(tables(3)), &mut held);
     assert_eq!(progress.home_is_overdue_at(), None);
 }
@@ -233,7 +233,7 @@
     progress.begin_by_home(held.revision);
     assert_eq!(
         progress.end_by_home(held.revision),
-        Some(FromSubscriber::Updates { held: Revision(3) })
+        Some(FromSubscriber::ResumeUpdates { held_revision: Revision(3) })
     );
     let (from, to) = (Revision(3), Revision(4));
     let update = ToSubscriber::Update(TablesUpdate::Changes {
--- a/tier/protocol/tests/subscription.rs
+++ b/tier/protocol/tests/subscription.rs
@@ -32,7 +32,7 @@
         hello: hello(),
         subscriber,
         candidates,
-        silence,
+        feeder_timeout: silence,
     })
 }
 
@@ -41,7 +41,7 @@
     let ((stream, address), _) = visit(one, other).await;
     let mut connection = accept(stream, address, &hello()).await.unwrap();
     match connection.reader.next().await.unwrap() {
-        FromSubscriber::Subscribe { held, .. } => (connection, held),
+        FromSubscriber::Subscribe { held_revision: held, .. } => (connection, held),
         other => panic!("{other:?} came first"),
     }
 }
@@ -82,10 +82,10 @@
         feeder.writer.send(&snapshot(3)).await.unwrap();
         expect(&mut feeder, FromSubscriber::Applied(Revision(3))).await;
         assert_eq!(**subscription.tables().borrow(), tables(3));
-        assert!(!subscription.standing().borrow().current);
+        assert!(!subscription.status().borrow().current);
         feeder.writer.send(&heartbeat(3, true)).await.unwrap();
         subscription
-            .standing()
+            .status()
             .wait_for(|standing| standing.current)
             .await
             .unwrap();
@@ -138,7 +138,7 @@
         expect(&mut second, FromSubscriber::Applied(Revision(0))).await;
         expect(&mut second, FromSubscriber::Applied(Revision(0))).await;
         subscription
-            .standing()
+            .status()
             .wait_for(|standing| standing.current)
             .await
             .unwrap();
@@ -182,10 +182,10 @@
         let (mut feeder, _) = welcome(&one, &other).await;
         assert!(
             subscription
-                .send_written(FromSubscriber::Leaving, PATIENT)
+                .send_and_flush(FromSubscriber::Deregister, PATIENT)
                 .await
         );
-        expect(&mut feeder, FromSubscriber::Leaving).await;
+        expect(&mut feeder, FromSubscriber::Deregister).await;
         drop(subscription);
         assert!(feeder.reader.next::<FromSubscriber>().await.is_err());
     });
--- a/tier/protocol/tests/tables.rs
+++ b/tier/protocol/tests/tables.rs
@@ -7,7 +7,7 @@
 
 use common::{any_tables, tables};
 use plankhill_protocol::feed::ToSubscriber;
-use plankhill_protocol::feeder::Held;
+use plankhill_protocol::feed_position::FeedPosition;
 use plankhill_protocol::ids::Revision;
 use plankhill_protocol::subscription::{Progress, Step};
 use plankhill_protocol::tables::{Tables, TablesUpdate};
@@ -49,7 +49,7 @@
         let mut held = Arc::new(Tables::default());
         for _ in 0..draw.int_in_range(0..=6)? {
             let mut feeder = draw.int_in_range(0..=history.len() - 1)?;
-            let mut position = Held::Revision(held.revision);
+            let mut position = FeedPosition::Revision(held.revision);
             let mut progress = Progress::default();
             while feeder < history.len() && draw.ratio(3, 4)? {
                 let before = held.revision;
@@ -59,7 +59,7 @@
                 feeder += draw.int_in_range(1..=3)?;
             }
         }
-        let (mut position, mut progress) = (Held::Revision(held.revision), Progress::default());
+        let (mut position, mut progress) = (FeedPosition::Revision(held.revision), Progress::default());
         deliver(&mut position, &mut progress, &history[8], &mut held);
         assert_eq!(held, history[8]);
         Ok(())
@@ -67,12 +67,12 @@
 }
 
 fn deliver(
-    position: &mut Held,
+    position: &mut FeedPosition,
     progress: &mut Progress,
     newest: &Arc<Tables>,
     held: &mut Arc<Tables>,
 ) {
-    if let Some(update) = position.advance(newest) {
+    if let Some(update) = position.advance_to(newest) {
         assert_ne!(
             progress.take(ToSubscriber::Update(update), held, Instant::now()),
             Step::WantsSnapshot
--- a/tier/protocol/tests/wire_format/messages.rs
+++ b/tier/protocol/tests/wire_format/messages.rs
@@ -13,7 +13,7 @@
     TablesUpdate, Target, TargetState,
 };
 use plankhill_protocol::transport::{Channel, Hello};
-use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
 
 use crate::pinned::{assert_pinned, Pinned};
 use crate::values;
@@ -113,13 +113,13 @@
         match self {
             FromSubscriber::Subscribe { .. } => "Subscribe",
             FromSubscriber::Applied(_) => "Applied",
-            FromSubscriber::WantsSnapshot => "WantsSnapshot",
+            FromSubscriber::RequestSnapshot => "WantsSnapshot",
             FromSubscriber::StoreSynced(_) => "StoreSynced",
-            FromSubscriber::Suspects(_) => "Suspects",
-            FromSubscriber::Leaving => "Leaving",
-            FromSubscriber::Emptied { .. } => "Emptied",
+            FromSubscriber::SuspectPeer(_) => "Suspects",
+            FromSubscriber::Deregister => "Leaving",
+            FromSubscriber::Drained { .. } => "Emptied",
             FromSubscriber::HeartbeatsOnly => "HeartbeatsOnly",
-            FromSubscriber::Updates { .. } => "Updates",
+            FromSubscriber::ResumeUpdates { .. } => "Updates",
         }
     }
 }
@@ -146,17 +146,17 @@
     let from_subscriber = [
         FromSubscriber::Subscribe {
             subscriber: Subscriber::Edge(values::edge()),
-            held: Revision(300),
+            held_revision: Revision(300),
         },
         FromSubscriber::Applied(Revision(301)),
-        FromSubscriber::WantsSnapshot,
+        FromSubscriber::RequestSnapshot,
         FromSubscriber::StoreSynced(StoreEpoch(4)),
-        FromSubscriber::Suspects(NodeId::from("edge-2")),
-        FromSubscriber::Leaving,
-        FromSubscriber::Emptied { number: 130 },
+        FromSubscriber::SuspectPeer(NodeId::from("edge-2")),
+        FromSubscriber::Deregister,
+        FromSubscriber::Drained { number: 130 },
         FromSubscriber::HeartbeatsOnly,
-        FromSubscriber::Updates {
-            held: Revision(302),
+        FromSubscriber::ResumeUpdates {
+            held_revision: Revision(302),
         },
     ];
     assert_pinned("from_subscriber", &from_subscriber);
--- a/tier/protocol/tests/wire_format/values.rs
+++ b/tier/protocol/tests/wire_format/values.rs
@@ -11,7 +11,7 @@
     ConfigurationText, Drain, Edge, ServedModel, StoreMember, StoreView, Tables, Target,
     TargetState,
 };
-use plankhill_protocol::turns::{Reservation, TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{Reservation, TurnPlace, TurnRecord};
 
 pub fn ipv4(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 1, 2, 3], port))
@@ -30,7 +30,7 @@
         capacity: 300,
         state: TargetState::Draining,
         sequence: 70_000,
-        cold_remaining_ms: 4_500,
+        warm_up_remaining_ms: 4_500,
         models: vec![
             ServedModel {
                 name: "small".to_owned(),
@@ -75,7 +75,7 @@
         epoch: StoreEpoch(129),
         serving: vec![store_member()],
         next: Some(vec![store_member(), other_store_member()]),
-        faults: 2,
+        tolerated_faults: 2,
     }
 }
 
--- a/tier/proxy/src/admission.rs
+++ b/tier/proxy/src/admission.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use plankhill_dispatch::{
-    Command, Ended, Fate, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+    Command, Ended, AttemptOutcome, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
 use tokio::sync::{mpsc, Notify};
@@ -205,7 +205,7 @@
     fn leave(&self, key: RequestKey, place: Place) {
         match place {
             Place::Held => self.decisions.borrow_mut().withdrawn(key),
-            Place::Out => self.ended(key, Ended::plain(Fate::Cancelled)),
+            Place::Out => self.ended(key, Ended::plain(AttemptOutcome::Cancelled)),
             Place::Done => {}
         }
         if self.mailboxes.borrow_mut().remove(&key).is_some() {
@@ -236,7 +236,7 @@
             .orders
             .recv()
             .await
-            .unwrap_or(Order::Fail(Fate::Cancelled));
+            .unwrap_or(Order::Fail(AttemptOutcome::Cancelled));
         self.place = match order {
             Order::Call(_) => Place::Out,
             Order::Refuse(_) | Order::Fail(_) => Place::Done,
@@ -246,7 +246,7 @@
 
     /// The call under way has ended.
     pub fn ended(&mut self, ended: Ended) {
-        self.place = if ended.fate == Fate::Delivered {
+        self.place = if ended.fate == AttemptOutcome::Delivered {
             Place::Done
         } else {
             Place::Held
--- a/tier/proxy/src/answer.rs
+++ b/tier/proxy/src/answer.rs
@@ -4,7 +4,7 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use plankhill_dispatch::retry::Verdict;
-use plankhill_dispatch::{Fate, Ms};
+use plankhill_dispatch::{AttemptOutcome, Ms};
 use plankhill_protocol::ids::RequestId;
 
 use crate::body::AnswerBody;
@@ -34,15 +34,15 @@
 }
 
 /// The answer to a request whose last call ended like this, without an answer of the target.
-pub fn failed(last: Fate, request_id: Option<&RequestId>) -> Response<AnswerBody> {
+pub fn failed(last: AttemptOutcome, request_id: Option<&RequestId>) -> Response<AnswerBody> {
     empty(status_of_failure(last), request_id)
 }
 
 /// 504 after a time-out, 502 otherwise. Neither promises anything. A request whose last call surely did not
 /// run may have run before, so that the dispatcher's word that it failed is not softened to 503.
-fn status_of_failure(last: Fate) -> StatusCode {
+fn status_of_failure(last: AttemptOutcome) -> StatusCode {
     match (Verdict::of(last), last) {
-        (Verdict::MayHaveRun, Fate::TimedOut) => StatusCode::GATEWAY_TIMEOUT,
+        (Verdict::MayHaveRun, AttemptOutcome::TimedOut) => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     }
 }
--- a/tier/proxy/src/connect.rs
+++ b/tier/proxy/src/connect.rs
@@ -6,7 +6,7 @@
 
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use plankhill_protocol::transport::tune;
+use plankhill_protocol::transport::set_socket_options;
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
@@ -23,7 +23,7 @@
 /// The operating system's, or that of HTTP's start.
 pub async fn connect(address: SocketAddr, permit: OpenPermit) -> io::Result<TargetConnection> {
     let stream = TcpStream::connect(address).await?;
-    tune(&stream)?;
+    set_socket_options(&stream)?;
     let probes = TcpKeepalive::new()
         .with_time(PROBE_EVERY)
         .with_interval(PROBE_EVERY)
--- a/tier/proxy/src/draining.rs
+++ b/tier/proxy/src/draining.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use plankhill_configuration::RouteTable;
-use plankhill_draining::node::{Action, NodeDrain, NodeState, Seen};
+use plankhill_draining::node::{DrainAction, NodeDrain, NodeState, NodeObservation};
 use plankhill_protocol::feed::FromSubscriber;
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::tables::Tables;
@@ -39,7 +39,7 @@
         let seen = seen(&proxy, &node, &tables.borrow_and_update().clone());
         for action in drain.step(duration(proxy.clock.now()), &seen) {
             carry_out(&proxy, action, &say);
-            if action == Action::EndProcess {
+            if action == DrainAction::ExitProcess {
                 return;
             }
         }
@@ -59,18 +59,18 @@
     }
 }
 
-fn seen(proxy: &Proxy, node: &NodeId, tables: &Tables) -> Seen {
+fn seen(proxy: &Proxy, node: &NodeId, tables: &Tables) -> NodeObservation {
     let order = tables.drains.iter().find(|drain| drain.node == *node);
     let snapshot = proxy.snapshots.newest();
     let routes = snapshot.routes.as_ref();
-    Seen {
-        order: order.map(|drain| drain.number),
+    NodeObservation {
+        drain_order: order.map(|drain| drain.number),
         shutdown: *proxy.life.shutdown().borrow(),
-        recorded: order.is_some_and(|drain| drain.empty),
-        requests: proxy.life.requests(),
-        connections: proxy.life.clients(),
-        longest_rest: routes.map_or(LONGEST, |routes| routes.limits().idle_timeout),
-        longest_reply: routes.map_or(LONGEST, |routes| longest_timeout(routes)),
+        drained_recorded: order.is_some_and(|drain| drain.empty),
+        requests_in_flight: proxy.life.requests(),
+        open_connections: proxy.life.clients(),
+        max_idle_timeout: routes.map_or(LONGEST, |routes| routes.limits().idle_timeout),
+        max_response_timeout: routes.map_or(LONGEST, |routes| longest_timeout(routes)),
     }
 }
 
@@ -82,7 +82,7 @@
         .unwrap_or(LONGEST)
 }
 
-fn carry_out(proxy: &Proxy, action: Action, say: &Say) {
+fn carry_out(proxy: &Proxy, action: DrainAction, say: &Say) {
     tracing::info!(
         ?action,
         requests = proxy.life.requests(),
@@ -90,17 +90,17 @@
         "draining"
     );
     match action {
-        Action::TurnAway => proxy.life.set_leaving(true),
-        Action::Welcome => {
+        DrainAction::RejectNewClients => proxy.life.set_leaving(true),
+        DrainAction::AcceptNewClients => {
             proxy.life.set_leaving(false);
             proxy.life.set_connections(Connections::Keep);
         }
-        Action::CloseIdle => proxy.life.set_connections(Connections::CloseIdle),
-        Action::Cut => proxy.life.set_connections(Connections::Cut),
-        Action::ReportEmpty(number) => {
+        DrainAction::CloseIdleConnections => proxy.life.set_connections(Connections::CloseIdle),
+        DrainAction::ResetConnections => proxy.life.set_connections(Connections::Cut),
+        DrainAction::ReportDrained(number) => {
             // Said again until the tables show it.
-            let _ = say(FromSubscriber::Emptied { number });
+            let _ = say(FromSubscriber::Drained { number });
         }
-        Action::EndProcess => proxy.life.set_over(),
+        DrainAction::ExitProcess => proxy.life.set_over(),
     }
 }
--- a/tier/proxy/src/exchange.rs
+++ b/tier/proxy/src/exchange.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use plankhill_dispatch::{Fate, Ms, UpstreamLoad};
+use plankhill_dispatch::{AttemptOutcome, Ms, UpstreamLoad};
 use plankhill_protocol::ids::RequestId;
 use tokio::time::{timeout_at, Instant};
 
@@ -85,16 +85,16 @@
 
 impl TargetHead {
     /// How the call ends if the whole answer comes.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> AttemptOutcome {
         if self.status == StatusCode::MISDIRECTED_REQUEST {
             // Another target listens there: the one that was meant is gone.
-            Fate::NoConnection
+            AttemptOutcome::ConnectFailed
         } else if self.headers.contains_key(headers::NOT_EXECUTED) {
-            Fate::Full
+            AttemptOutcome::Rejected
         } else if self.status.is_server_error() {
-            Fate::Error
+            AttemptOutcome::Error
         } else {
-            Fate::Delivered
+            AttemptOutcome::Delivered
         }
     }
 
@@ -137,7 +137,7 @@
         call: &Call,
         outgoing: &Outgoing,
         most_connections: usize,
-    ) -> Result<TargetHead, Fate> {
+    ) -> Result<TargetHead, AttemptOutcome> {
         let deadline = self.clock.instant(call.deadline);
         loop {
             let mut connection = self.connection(call, deadline, most_connections).await?;
@@ -148,7 +148,7 @@
                 Some(response) => return checked(response, connection, outgoing),
                 // It was closed while it rested.
                 None if connection.reused => {}
-                None => return Err(Fate::NoConnection),
+                None => return Err(AttemptOutcome::ConnectFailed),
             }
         }
     }
@@ -160,22 +160,22 @@
         call: &Call,
         outgoing: &Outgoing,
         deadline: Instant,
-    ) -> Result<Option<Response<Incoming>>, Fate> {
+    ) -> Result<Option<Response<Incoming>>, AttemptOutcome> {
         let ready = timeout_at(deadline, connection.sender.ready())
             .await
-            .map_err(|_| Fate::NotSent)?;
+            .map_err(|_| AttemptOutcome::NotSent)?;
         if call.leave.is_taken_back() {
-            return Err(Fate::NotSent);
+            return Err(AttemptOutcome::NotSent);
         }
         if ready.is_err() {
             return Ok(None);
         }
         let request = outgoing.request(call, self.clock.now());
         match timeout_at(deadline, connection.sender.try_send_request(request)).await {
-            Err(_) => Err(Fate::TimedOut),
+            Err(_) => Err(AttemptOutcome::TimedOut),
             Ok(Ok(response)) => Ok(Some(response)),
             // The message comes back where nothing of it was written.
-            Ok(Err(mut error)) => error.take_message().map(|_| None).ok_or(Fate::Reset),
+            Ok(Err(mut error)) => error.take_message().map(|_| None).ok_or(AttemptOutcome::Reset),
         }
     }
 
@@ -184,18 +184,18 @@
         call: &Call,
         deadline: Instant,
         most_connections: usize,
-    ) -> Result<TargetConnection, Fate> {
+    ) -> Result<TargetConnection, AttemptOutcome> {
         if let Some(connection) = self.pool.take_idle(&call.target, Instant::now()) {
             return Ok(connection);
         }
         let permit = self
             .pool
             .permit(&call.target, most_connections)
-            .ok_or(Fate::NotSent)?;
+            .ok_or(AttemptOutcome::NotSent)?;
         let until = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         tokio::select! {
-            connected = dial(call.address, permit, until) => connected.ok_or(Fate::NoConnection),
-            () = call.leave.taken_back() => Err(Fate::NotSent),
+            connected = dial(call.address, permit, until) => connected.ok_or(AttemptOutcome::ConnectFailed),
+            () = call.leave.taken_back() => Err(AttemptOutcome::NotSent),
         }
     }
 }
@@ -209,7 +209,7 @@
     response: Response<Incoming>,
     connection: TargetConnection,
     outgoing: &Outgoing,
-) -> Result<TargetHead, Fate> {
+) -> Result<TargetHead, AttemptOutcome> {
     let (head, body) = response.into_parts();
     let ours = match text(&head.headers, headers::REQUEST_ID.as_str()) {
         Some(echoed) => echoed == outgoing.request_id.as_str(),
@@ -217,7 +217,7 @@
         None => !connection.reused,
     };
     if !ours || head.status.is_informational() || !is_plausible(head.status, &head.headers) {
-        return Err(Fate::Reset);
+        return Err(AttemptOutcome::Reset);
     }
     let is_early = !head.status.is_success() && outgoing.body.len() > SHORT_BODY;
     Ok(TargetHead {
--- a/tier/proxy/src/feed.rs
+++ b/tier/proxy/src/feed.rs
@@ -5,7 +5,7 @@
 use plankhill_protocol::feed::Subscriber;
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::ports::PortRange;
-use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, AGENT_SILENCE};
+use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, AGENT_TIMEOUT};
 use plankhill_protocol::transport::{Channel, Hello};
 use plankhill_settings::Settings;
 use tokio::sync::watch;
@@ -23,13 +23,13 @@
         hello: Hello::new(Channel::Feed, NodeId::from(settings.node_id.as_str())),
         subscriber: Subscriber::Proxy,
         candidates,
-        silence: AGENT_SILENCE,
+        feeder_timeout: AGENT_TIMEOUT,
     })
 }
 
 /// Puts each change of the tables in force. Ends with the subscription.
 pub async fn follow(proxy: Rc<Proxy>, subscription: Rc<Subscription>) {
-    let (mut tables, mut standing) = (subscription.tables(), subscription.standing());
+    let (mut tables, mut standing) = (subscription.tables(), subscription.status());
     loop {
         tokio::select! {
             changed = tables.changed() => {
--- a/tier/proxy/src/intake.rs
+++ b/tier/proxy/src/intake.rs
@@ -54,14 +54,14 @@
         NewRequest {
             key,
             service: self.service.clone(),
-            repeats: if route.may_run_again() {
+            repeats: if route.is_retryable() {
                 Repeats::Allowed
             } else {
                 Repeats::Forbidden
             },
             session: self.facts.session.filter(|_| route.is_streaming()),
             deadline: self.deadline,
-            objective: milliseconds(route.target_latency.unwrap_or(route.timeout)),
+            objective: milliseconds(route.latency_target.unwrap_or(route.timeout)),
             max_attempts: route.max_attempts,
             priority: route.priority.min(LOWEST_PRIORITY) as u8,
             finish_left: self.facts.finish_left,
--- a/tier/proxy/src/listener.rs
+++ b/tier/proxy/src/listener.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use plankhill_dispatch::Ms;
-use plankhill_protocol::transport::tune;
+use plankhill_protocol::transport::set_socket_options;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
@@ -67,7 +67,7 @@
 }
 
 async fn serve_connection(proxy: Rc<Proxy>, stream: TcpStream) {
-    if tune(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         return;
     }
     let open = proxy.life.begin_connection();
--- a/tier/proxy/src/orders.rs
+++ b/tier/proxy/src/orders.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use plankhill_dispatch::{Fate, Ms};
+use plankhill_dispatch::{AttemptOutcome, Ms};
 use plankhill_protocol::ids::InstanceId;
 use tokio::sync::Notify;
 
@@ -16,7 +16,7 @@
     /// It has surely not run and never will: 503, with the time after which the client is to come back.
     Refuse(Ms),
     /// It may have run and does not go again.
-    Fail(Fate),
+    Fail(AttemptOutcome),
 }
 
 /// One call of a target.
--- a/tier/proxy/src/plain.rs
+++ b/tier/proxy/src/plain.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hyper::Response;
-use plankhill_dispatch::{Ended, Fate};
+use plankhill_dispatch::{Ended, AttemptOutcome};
 
 use crate::answer;
 use crate::body::AnswerBody;
@@ -38,8 +38,8 @@
             Ok(answer) => {
                 admitted.ended(answer.ended(took));
                 match answer.fate() {
-                    Fate::Delivered => return answer.into_response(&job.outgoing.method),
-                    Fate::Error => failure = Some(answer),
+                    AttemptOutcome::Delivered => return answer.into_response(&job.outgoing.method),
+                    AttemptOutcome::Error => failure = Some(answer),
                     _ => {}
                 }
             }
@@ -51,7 +51,7 @@
     }
 }
 
-async fn whole_answer(proxy: &Proxy, job: &mut Job, call: &Call) -> Result<WholeAnswer, Fate> {
+async fn whole_answer(proxy: &Proxy, job: &mut Job, call: &Call) -> Result<WholeAnswer, AttemptOutcome> {
     let head = proxy
         .targets
         .exchange(call, &job.outgoing, job.most_connections)
--- a/tier/proxy/src/stream/relay.rs
+++ b/tier/proxy/src/stream/relay.rs
@@ -5,7 +5,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap};
 use hyper::{Response, StatusCode};
-use plankhill_dispatch::{Fate, Ms};
+use plankhill_dispatch::{AttemptOutcome, Ms};
 use tokio::time::{timeout_at, Instant};
 
 use super::client::Client;
@@ -58,13 +58,13 @@
         headers: &HeaderMap,
         body: &mut Incoming,
         deadline: Instant,
-    ) -> Result<(), Fate> {
+    ) -> Result<(), AttemptOutcome> {
         let mut splitter = EventSplitter::default();
         let mut heard = Instant::now();
         loop {
             let frame = match timeout_at(deadline, body.frame()).await {
-                Err(_) => return Err(Fate::TimedOut),
-                Ok(Some(Err(_))) => return Err(Fate::Reset),
+                Err(_) => return Err(AttemptOutcome::TimedOut),
+                Ok(Some(Err(_))) => return Err(AttemptOutcome::Reset),
                 Ok(None) => break,
                 Ok(Some(Ok(frame))) => frame,
             };
@@ -85,13 +85,13 @@
     }
 
     /// Takes the whole events out of the splitter, joined.
-    fn whole_events(&mut self, splitter: &mut EventSplitter) -> Result<Bytes, Fate> {
+    fn whole_events(&mut self, splitter: &mut EventSplitter) -> Result<Bytes, AttemptOutcome> {
         let mut joined = BytesMut::new();
-        while let Some(event) = splitter.next_event().map_err(|_| Fate::Reset)? {
+        while let Some(event) = splitter.next_event().map_err(|_| AttemptOutcome::Reset)? {
             if let (Some(id), Some(last)) = (event.id, self.passed.last_id) {
                 if id <= last {
                     // Another run from the start: its events would be joined to those of the first.
-                    return Err(Fate::Reset);
+                    return Err(AttemptOutcome::Reset);
                 }
             }
             self.passed.last_id = event.id.or(self.passed.last_id);
@@ -99,7 +99,7 @@
             if let Some(memory) = &mut self.memory {
                 memory
                     .grow(event.bytes.len())
-                    .map_err(|_| Fate::Cancelled)?;
+                    .map_err(|_| AttemptOutcome::Cancelled)?;
                 event.append_data(&mut self.handed.output);
             }
             joined.extend_from_slice(&event.bytes);
--- a/tier/proxy/src/stream/run.rs
+++ b/tier/proxy/src/stream/run.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hyper::StatusCode;
-use plankhill_dispatch::{Ended, Fate, Ms};
+use plankhill_dispatch::{Ended, AttemptOutcome, Ms};
 use tokio::time::Instant;
 
 use super::client::Client;
@@ -122,7 +122,7 @@
                     fate
                 }
             };
-            if fate == Fate::Delivered {
+            if fate == AttemptOutcome::Delivered {
                 return self.ending.handed.whole;
             }
         }
@@ -141,12 +141,12 @@
             ..Ended::plain(fate)
         };
         let head = head.map_err(ended)?;
-        if is_stream(head.status, &head.headers) && head.fate() == Fate::Delivered {
+        if is_stream(head.status, &head.headers) && head.fate() == AttemptOutcome::Delivered {
             self.stream(call, head).await.map_err(ended)?;
             let longest_pause = Some(self.passed.longest_pause);
             return Ok(Ended {
                 longest_pause,
-                ..ended(Fate::Delivered)
+                ..ended(AttemptOutcome::Delivered)
             });
         }
         let deadline = self.proxy.clock.instant(call.deadline);
@@ -160,19 +160,19 @@
         let answer = answer.map_err(ended)?;
         let mut told = answer.ended(took);
         match answer.fate() {
-            Fate::Delivered if self.client.has_begun() => told.fate = Fate::Error,
-            Fate::Delivered => {
+            AttemptOutcome::Delivered if self.client.has_begun() => told.fate = AttemptOutcome::Error,
+            AttemptOutcome::Delivered => {
                 let response = answer.into_response(&self.job.outgoing.method);
                 self.client.answer(response);
             }
-            Fate::Error => self.failure = Some(answer),
+            AttemptOutcome::Error => self.failure = Some(answer),
             _ => {}
         }
         Ok(told)
     }
 
     /// Passes one target's stream on; it came whole if there is no error.
-    async fn stream(&mut self, call: &Call, head: TargetHead) -> Result<(), Fate> {
+    async fn stream(&mut self, call: &Call, head: TargetHead) -> Result<(), AttemptOutcome> {
         if let Some(load) = head.load() {
             self.proxy.admission.load_seen(&call.target, load);
         }
@@ -205,7 +205,7 @@
     }
 
     /// The last target's own failure if it came whole; an answer that has begun is cut.
-    fn fail(&mut self, last: Fate) {
+    fn fail(&mut self, last: AttemptOutcome) {
         let response = match self.failure.take() {
             Some(failure) => failure.into_response(&self.job.outgoing.method),
             None => answer::failed(last, Some(&self.job.outgoing.request_id)),
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use plankhill_configuration::Route;
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::turns::{Reservation, TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{Reservation, TurnLocation, TurnRecord};
 use plankhill_store_client::{BeginOutcome, BeginTurn, EndOutcome, EndTurn};
 use tokio::time::Instant;
 
@@ -51,7 +51,7 @@
     turn: RequestId,
     reservation: Option<Reservation>,
     previous: Option<RequestId>,
-    place: Option<TurnPlace>,
+    place: Option<TurnLocation>,
     /// How long it is kept, on a route that keeps turns.
     retention: Option<Duration>,
     tokens_per_event: u64,
@@ -70,7 +70,7 @@
         let (program, turn) = (facts.program.clone()?, facts.request_id.clone()?);
         let reservation = facts.budget.map(|budget| {
             let most = facts.usage.map_or(budget, |usage| usage.most);
-            Reservation { budget, most }
+            Reservation { budget, max_tokens: most }
         });
         if reservation.is_none() && !route.retained {
             return None;
@@ -120,7 +120,7 @@
             }
             BeginOutcome::BudgetSpent => Err(TurnRefusal::BudgetSpent),
             BeginOutcome::NoSuchTurn => Err(TurnRefusal::NoSuchTurn),
-            BeginOutcome::Unsure => Err(TurnRefusal::Unsure),
+            BeginOutcome::Unavailable => Err(TurnRefusal::Unsure),
         }
     }
 
--- a/tier/proxy/src/whole.rs
+++ b/tier/proxy/src/whole.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Response, StatusCode};
-use plankhill_dispatch::{Ended, Fate, Ms, UpstreamLoad};
+use plankhill_dispatch::{Ended, AttemptOutcome, Ms, UpstreamLoad};
 use tokio::time::Instant;
 
 use crate::body::AnswerBody;
@@ -22,7 +22,7 @@
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
-    fate: Fate,
+    fate: AttemptOutcome,
     load: Option<UpstreamLoad>,
     retry_after: Option<Ms>,
 }
@@ -37,16 +37,16 @@
         pool: &TargetPool,
         deadline: Instant,
         memory: &mut Portion,
-    ) -> Result<Self, Fate> {
+    ) -> Result<Self, AttemptOutcome> {
         let (fate, load, retry_after) = (head.fate(), head.load(), head.retry_after());
         // Without a length it ends with its connection, in order; a reset is no end.
         let is_reusable = is_framed(&head) && !head.is_early;
         let body = match read_whole(head.body, MOST_ANSWER_BYTES, deadline, memory).await {
             Ok(body) => body,
-            Err(ReadError::TimedOut) => return Err(Fate::TimedOut),
-            Err(ReadError::Broken) => return Err(Fate::Reset),
+            Err(ReadError::TimedOut) => return Err(AttemptOutcome::TimedOut),
+            Err(ReadError::Broken) => return Err(AttemptOutcome::Reset),
             // Another target's answer would be no smaller.
-            Err(ReadError::TooLarge | ReadError::OutOfMemory) => return Err(Fate::Cancelled),
+            Err(ReadError::TooLarge | ReadError::OutOfMemory) => return Err(AttemptOutcome::Cancelled),
         };
         if is_reusable {
             pool.put_back(head.connection, &head.headers, Instant::now());
@@ -62,7 +62,7 @@
     }
 
     /// How the call ended.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> AttemptOutcome {
         self.fate
     }
 
--- a/tier/proxy/tests/ending.rs
+++ b/tier/proxy/tests/ending.rs
@@ -22,9 +22,9 @@
     let replies_end = duration(world.proxy.clock.now()) + left;
     let all_begun_until = Duration::ZERO;
     let shutdown = Shutdown {
-        clients_come_until: replies_end,
-        all_begun_until,
-        replies_end,
+        accept_until: replies_end,
+        admit_all_until: all_begun_until,
+        response_deadline: replies_end,
     };
     world.proxy.life.shut_down(shutdown);
     shutdown
@@ -33,7 +33,7 @@
 /// No more clients come: connections at rest are closed.
 async fn close_idle(world: &World, shutdown: Shutdown) {
     world.proxy.life.shut_down(Shutdown {
-        clients_come_until: Duration::ZERO,
+        accept_until: Duration::ZERO,
         ..shutdown
     });
     let mut connections = world.proxy.life.connections();
--- a/tier/proxy/tests/life.rs
+++ b/tier/proxy/tests/life.rs
@@ -114,7 +114,7 @@
         assert!(client.head().await.is_some());
         let _orders = Orders::follow(&world);
         world.proxy.life.shut_down(Shutdown {
-            clients_come_until: Duration::ZERO,
+            accept_until: Duration::ZERO,
             ..in_an_hour()
         });
         let ending = world.proxy.life.over();
--- a/tier/proxy/tests/support/orders.rs
+++ b/tier/proxy/tests/support/orders.rs
@@ -58,7 +58,7 @@
         while !self
             .said
             .borrow()
-            .contains(&FromSubscriber::Emptied { number })
+            .contains(&FromSubscriber::Drained { number })
         {
             task::yield_now().await;
         }
--- a/tier/proxy/tests/support/round_robin.rs
+++ b/tier/proxy/tests/support/round_robin.rs
@@ -4,7 +4,7 @@
 
 use plankhill_dispatch::retry::Attempts;
 use plankhill_dispatch::{
-    Command, Ended, Fate, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+    Command, Ended, AttemptOutcome, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
@@ -71,7 +71,7 @@
             return;
         };
         attempts.count(ended.fate);
-        if ended.fate == Fate::Delivered || ended.fate == Fate::Cancelled {
+        if ended.fate == AttemptOutcome::Delivered || ended.fate == AttemptOutcome::Cancelled {
             self.requests.remove(&key);
         } else if attempts.allow_another(request.repeats, request.max_attempts) {
             self.send(key);
--- a/tier/proxy/tests/support/stores.rs
+++ b/tier/proxy/tests/support/stores.rs
@@ -54,7 +54,7 @@
         self.0.ended.borrow_mut().push(turn);
         self.0.end_came.notify_one();
         let outcome = if self.0.refuse_ends.get() {
-            EndOutcome::Unsure
+            EndOutcome::Unavailable
         } else {
             EndOutcome::Ended
         };
--- a/tier/proxy/tests/support/world.rs
+++ b/tier/proxy/tests/support/world.rs
@@ -134,7 +134,7 @@
         capacity: 8,
         state: TargetState::Healthy,
         sequence: 1,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         models: Vec::new(),
     };
     let document: Arc<[u8]> = Arc::from(configuration.to_string().into_bytes());
--- a/tier/proxy/tests/turns.rs
+++ b/tier/proxy/tests/turns.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::turns::{Reservation, TurnPlace};
+use plankhill_protocol::store_calls::{Reservation, TurnLocation};
 use plankhill_store_client::BeginOutcome;
 use support::on_one_thread;
 use support::peer::Listening;
@@ -37,7 +37,7 @@
             begun.reservation,
             Some(Reservation {
                 budget: 100,
-                most: 33
+                max_tokens: 33
             })
         );
         let end = world.stores.first_end().await;
@@ -51,7 +51,7 @@
     on_one_thread(async {
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
-        let place = TurnPlace {
+        let place = TurnLocation {
             turn: RequestId::from("r0"),
             program: ProgramId::from("parent"),
         };
@@ -110,7 +110,7 @@
         let refusals = [
             (BeginOutcome::BudgetSpent, 402),
             (BeginOutcome::NoSuchTurn, 404),
-            (BeginOutcome::Unsure, 503),
+            (BeginOutcome::Unavailable, 503),
         ];
         for (outcome, status) in refusals {
             *world.stores.next_begin.borrow_mut() = Some(outcome);
--- a/tier/replica/src/handle.rs
+++ b/tier/replica/src/handle.rs
@@ -22,7 +22,7 @@
 
 /// The place of a member in the present view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct ReplicaStatus {
     /// Number of the newest view that this member knows; 0 before the first.
     pub view: ViewNumber,
     /// Whether this member heads the chain of that view and has lately heard that the view is current.
@@ -63,17 +63,17 @@
 }
 
 /// The handle of the local chain member; cheap to clone.
-pub struct Log<S: ReplicatedState> {
+pub struct ReplicaHandle<S: ReplicatedState> {
     pub(crate) commands: mpsc::Sender<Command<S>>,
     pub(crate) received: mpsc::Sender<Received>,
     pub(crate) state: watch::Receiver<Arc<CommittedState<S>>>,
-    pub(crate) standing: watch::Receiver<Standing>,
+    pub(crate) standing: watch::Receiver<ReplicaStatus>,
     pub(crate) current: watch::Receiver<bool>,
     pub(crate) task: AbortHandle,
     pub(crate) disk_open: watch::Receiver<()>,
 }
 
-impl<S: ReplicatedState> Clone for Log<S> {
+impl<S: ReplicatedState> Clone for ReplicaHandle<S> {
     fn clone(&self) -> Self {
         Self {
             commands: self.commands.clone(),
@@ -87,7 +87,7 @@
     }
 }
 
-impl<S: ReplicatedState> Log<S> {
+impl<S: ReplicatedState> ReplicaHandle<S> {
     /// Gets an operation committed, from whichever member; resolves with its outcome once every link of the
     /// chain has it on disk. Applied at most once, however often it has to be sent on. Fails at once when this
     /// member knows that it is cut off, otherwise after `timeout`.
@@ -125,17 +125,17 @@
     }
 
     /// This member's place in the present view.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> ReplicaStatus {
         self.standing.borrow().clone()
     }
 
     /// The same, to wait for changes.
-    pub fn standing_changes(&self) -> watch::Receiver<Standing> {
+    pub fn watch_status(&self) -> watch::Receiver<ReplicaStatus> {
         self.standing.clone()
     }
 
     /// Whether this member is current, to wait for changes.
-    pub fn current_changes(&self) -> watch::Receiver<bool> {
+    pub fn watch_current(&self) -> watch::Receiver<bool> {
         self.current.clone()
     }
 
--- a/tier/replica/src/lib.rs
+++ b/tier/replica/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod storage;
 mod task;
 
-pub use handle::{Log, Standing, Unavailable};
+pub use handle::{ReplicaHandle, ReplicaStatus, Unavailable};
 pub use start::{start, ReplicaSettings, StartError};
 pub use state::{CommittedState, ReplicatedState};
--- a/tier/replica/src/start.rs
+++ b/tier/replica/src/start.rs
@@ -9,12 +9,12 @@
 use std::time::{Duration, Instant};
 
 use plankhill_chain::{BadSnapshot, ChainMember, Configuration, Identity, Member, Storage, Write};
-use plankhill_disk_health::Pauses;
+use plankhill_disk_health::Backoff;
 use plankhill_protocol::ids::{Incarnation, NodeId};
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
 
-use crate::handle::{Command, Log, Standing};
+use crate::handle::{Command, ReplicaHandle, ReplicaStatus};
 use crate::links::{Links, Received};
 use crate::machine::TypedMachine;
 use crate::state::{CommittedState, ReplicatedState};
@@ -40,7 +40,7 @@
     /// The very first start of the whole system.
     pub bootstrap: bool,
     /// Losses to be borne at once.
-    pub tolerated: usize,
+    pub tolerated_faults: usize,
 }
 
 /// Why a member does not start.
@@ -63,9 +63,9 @@
 ///
 /// # Errors
 /// [`StartError`] when the disk cannot be used and waiting would not help.
-pub fn start<S: ReplicatedState>(settings: ReplicaSettings) -> Result<Log<S>, StartError> {
+pub fn start<S: ReplicatedState>(settings: ReplicaSettings) -> Result<ReplicaHandle<S>, StartError> {
     let (state, state_seen) = watch::channel(Arc::new(CommittedState::empty()));
-    let (standing, standing_seen) = watch::channel(Standing::default());
+    let (standing, standing_seen) = watch::channel(ReplicaStatus::default());
     let (current, current_seen) = watch::channel(false);
     let (command_queue, commands) = mpsc::channel(COMMANDS);
     let (received, inbox) = mpsc::channel(INBOX);
@@ -87,7 +87,7 @@
         Err(error) if error.may_pass() => tokio::spawn(wait_for_disk(pending, error)),
         Err(error) => return Err(error.into()),
     };
-    Ok(Log {
+    Ok(ReplicaHandle {
         task: task.abort_handle(),
         disk_open,
         commands: command_queue,
@@ -122,13 +122,13 @@
                 identity: identity.clone(),
                 address: settings.address,
             },
-            tolerated: settings.tolerated,
+            tolerated: settings.tolerated_faults,
             seeds: settings.seeds,
             random: random(),
         };
         let (report, written) = mpsc::unbounded_channel();
         let member = ChainMember::new(configuration, held, TypedMachine::new(), STARTED_AT)?;
-        let disk = start_writer(storage, report, self.disk_in_use, Pauses::default())?;
+        let disk = start_writer(storage, report, self.disk_in_use, Backoff::default())?;
         Ok(Driver {
             member,
             started: Instant::now(),
@@ -168,10 +168,10 @@
 
 /// Tries to open the disk again and again, and runs the member then.
 async fn wait_for_disk<S: ReplicatedState>(mut pending: Pending<S>, mut error: StorageError) {
-    let mut pauses = Pauses::default();
+    let mut pauses = Backoff::default();
     while error.may_pass() {
         tracing::warn!(%error, "the disk cannot be opened");
-        if !pending.pause(pauses.next_pause()).await {
+        if !pending.pause(pauses.next_delay()).await {
             return;
         }
         error = match open(&pending.settings) {
--- a/tier/replica/src/storage/fjall.rs
+++ b/tier/replica/src/storage/fjall.rs
@@ -5,7 +5,7 @@
 
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, OwnedWriteBatch, PersistMode};
 use plankhill_chain::{Durable, Storage, Write};
-use plankhill_disk_health::probe_room;
+use plankhill_disk_health::check_free_space;
 use plankhill_protocol::ids::{Incarnation, Revision};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -119,7 +119,7 @@
 
     /// The failed database goes on being read until the folder takes bytes again.
     fn recover(&mut self) -> Result<(), StorageError> {
-        probe_room(&self.folder)?;
+        check_free_space(&self.folder)?;
         // The folder is locked while a database is open.
         self.open = None;
         let open = OpenDatabase::open(&self.folder)?;
--- a/tier/replica/src/storage/writer.rs
+++ b/tier/replica/src/storage/writer.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 
 use plankhill_chain::{Storage, Ticket, Write};
-use plankhill_disk_health::Pauses;
+use plankhill_disk_health::Backoff;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
@@ -34,7 +34,7 @@
     storage: S,
     report: UnboundedSender<Written>,
     in_use: watch::Sender<()>,
-    pauses: Pauses,
+    pauses: Backoff,
 ) -> io::Result<Sender<Batch>> {
     let (batches, queue) = channel();
     let thread = std::thread::Builder::new().name("chain-disk".into());
@@ -49,7 +49,7 @@
     mut storage: S,
     queue: &Receiver<Batch>,
     report: &UnboundedSender<Written>,
-    pauses: Pauses,
+    pauses: Backoff,
 ) {
     while let Ok((mut ticket, mut writes)) = queue.recv() {
         for (later, more) in queue.try_iter().take(MOST_TOGETHER) {
@@ -74,7 +74,7 @@
     storage: &mut S,
     writes: &[Write],
     report: &UnboundedSender<Written>,
-    mut pauses: Pauses,
+    mut pauses: Backoff,
 ) -> Result<(), Abandoned> {
     let Err(mut error) = storage.write(writes) else {
         return Ok(());
@@ -86,7 +86,7 @@
         }
         tracing::warn!(%error, "the disk refuses to write");
         report.send(Written::Refused).map_err(|_| Abandoned)?;
-        std::thread::sleep(pauses.next_pause());
+        std::thread::sleep(pauses.next_delay());
         // The changes are written once more from their start: doing so twice comes to the same.
         error = match storage.recover().and_then(|()| storage.write(writes)) {
             Ok(()) => {
--- a/tier/replica/src/task.rs
+++ b/tier/replica/src/task.rs
@@ -12,7 +12,7 @@
 use plankhill_protocol::ids::Revision;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::handle::{Command, Standing};
+use crate::handle::{Command, ReplicaStatus};
 use crate::links::{Links, Received};
 use crate::machine::TypedMachine;
 use crate::state::{CommittedState, ReplicatedState};
@@ -38,7 +38,7 @@
 /// What the handles see.
 pub(crate) struct Published<S: ReplicatedState> {
     pub(crate) state: watch::Sender<Arc<CommittedState<S>>>,
-    pub(crate) standing: watch::Sender<Standing>,
+    pub(crate) standing: watch::Sender<ReplicaStatus>,
     pub(crate) current: watch::Sender<bool>,
 }
 
@@ -181,10 +181,10 @@
         }
     }
 
-    fn standing(&self, current: bool) -> Standing {
+    fn standing(&self, current: bool) -> ReplicaStatus {
         let view = self.member.view();
         let is_head = current && view.place(&self.member.me().identity) == Some(0);
-        Standing {
+        ReplicaStatus {
             view: view.number,
             is_head,
             in_chain: view.in_chain(&self.member.me().identity),
--- a/tier/replica/tests/chain.rs
+++ b/tier/replica/tests/chain.rs
@@ -60,7 +60,7 @@
     let seeds = machines[1].settings.seeds.clone();
     let mut successor = Machine::new("d", free_address().await, seeds, false);
     successor.start();
-    let names = |standing: &plankhill_replica::Standing| {
+    let names = |standing: &plankhill_replica::ReplicaStatus| {
         standing
             .voters
             .iter()
--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use plankhill_protocol::ids::{NodeId, Revision};
 use plankhill_protocol::transport::{accept, Channel, Hello};
-use plankhill_replica::{start, Log, ReplicaSettings, ReplicatedState, Standing};
+use plankhill_replica::{start, ReplicaHandle, ReplicaSettings, ReplicatedState, ReplicaStatus};
 use serde::{Deserialize, Serialize};
 use tempfile::TempDir;
 use tokio::net::TcpListener;
@@ -47,7 +47,7 @@
 }
 
 struct Running {
-    log: Log<Words>,
+    log: ReplicaHandle<Words>,
     serving: JoinHandle<()>,
 }
 
@@ -78,7 +78,7 @@
             folder: folder.path().to_path_buf(),
             seeds,
             bootstrap,
-            tolerated: 1,
+            tolerated_faults: 1,
         };
         Self {
             settings,
@@ -130,16 +130,16 @@
         bytes
     }
 
-    pub fn log(&self) -> &Log<Words> {
+    pub fn log(&self) -> &ReplicaHandle<Words> {
         &self.running.as_ref().unwrap().log
     }
 
     /// Waits for a standing.
-    pub async fn until(&self, wanted: impl FnMut(&Standing) -> bool) -> Standing {
-        let mut standing = self.log().standing_changes();
+    pub async fn until(&self, wanted: impl FnMut(&ReplicaStatus) -> bool) -> ReplicaStatus {
+        let mut standing = self.log().watch_status();
         let found = tokio::time::timeout(PATIENCE, standing.wait_for(wanted)).await;
         assert!(found.expect("in time").is_ok(), "the member has ended");
-        self.log().standing()
+        self.log().status()
     }
 
     /// Waits until the member knows that it is current.
@@ -153,7 +153,7 @@
     }
 
     async fn until_current(&self, wanted: bool) {
-        let mut current = self.log().current_changes();
+        let mut current = self.log().watch_current();
         let found = tokio::time::timeout(PATIENCE, current.wait_for(|held| *held == wanted)).await;
         found.expect("in time").unwrap();
     }
@@ -163,7 +163,7 @@
     }
 }
 
-async fn serve(listener: TcpListener, node: NodeId, log: Log<Words>) {
+async fn serve(listener: TcpListener, node: NodeId, log: ReplicaHandle<Words>) {
     let hello = Hello::new(Channel::Chain, node);
     let mut connections = tokio::task::JoinSet::new();
     loop {
--- a/tier/replica/tests/refusing_disk.rs
+++ b/tier/replica/tests/refusing_disk.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbtest;
 use plankhill_chain::{Durable, Entry, RequestNumber, Snapshot, Storage, Ticket, Write};
-use plankhill_disk_health::Pauses;
+use plankhill_disk_health::Backoff;
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 use plankhill_replica::storage::{open_folder, start_writer, Batch, FjallStorage, Written};
 use tempfile::TempDir;
@@ -148,7 +148,7 @@
 fn write_all(storage: RefusingStorage) -> Vec<Written> {
     let (report, mut written) = mpsc::unbounded_channel();
     let (in_use, _) = watch::channel(());
-    let pauses = Pauses::beginning_with(Duration::ZERO);
+    let pauses = Backoff::with_initial_delay(Duration::ZERO);
     let queue = start_writer(storage, report, in_use, pauses).expect("a thread");
     let mut told = Vec::new();
     for batch in batches() {
--- a/tier/replica/tests/returning.rs
+++ b/tier/replica/tests/returning.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use common::{three, Machine, Words, ONLY, PATIENCE};
-use plankhill_replica::Log;
+use plankhill_replica::ReplicaHandle;
 
 /// The disk of a core machine in the deployments known, in bytes.
 const DISK_BYTES: u64 = 128_000_000;
@@ -17,7 +17,7 @@
 };
 
 /// Gets a word committed. A member that is busy may take itself for cut off: callers ask again then, as here.
-async fn say(log: &Log<Words>, word: &str) {
+async fn say(log: &ReplicaHandle<Words>, word: &str) {
     let asked = Instant::now();
     while log.propose(word.to_owned(), PATIENCE).await.is_err() {
         assert!(asked.elapsed() < PATIENCE, "no answer");
--- a/tier/replica/tests/waiting_for_disk.rs
+++ b/tier/replica/tests/waiting_for_disk.rs
@@ -22,7 +22,7 @@
         folder: in_the_way.join("chain"),
         seeds: vec![address],
         bootstrap: true,
-        tolerated: 0,
+        tolerated_faults: 0,
     };
     let log = start::<Words>(settings).expect("a handle");
     let patience = Duration::from_secs(600);
@@ -30,7 +30,7 @@
     assert!(log.read(patience).await.is_err());
     assert!(!log.is_current());
     std::fs::remove_file(&in_the_way).expect("removed");
-    let mut standing = log.standing_changes();
+    let mut standing = log.watch_status();
     standing
         .wait_for(|standing| standing.is_head)
         .await
--- a/tier/store-client/src/calls.rs
+++ b/tier/store-client/src/calls.rs
@@ -9,7 +9,7 @@
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
-use plankhill_protocol::turns::{StoreCall, StoreReply};
+use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 
 /// Calls stores.
 pub trait StoreCalls: 'static {
--- a/tier/store-client/src/client.rs
+++ b/tier/store-client/src/client.rs
@@ -6,7 +6,7 @@
 
 use plankhill_protocol::ids::{NodeId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{StoreCall, StoreReply};
+use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use tokio::sync::mpsc;
 use tokio::time::{timeout_at, Instant};
 
@@ -89,9 +89,9 @@
             Some(StoreReply::Begun { history, previous }) => {
                 BeginOutcome::Begun { history, previous }
             }
-            Some(StoreReply::BudgetSpent) => BeginOutcome::BudgetSpent,
+            Some(StoreReply::BudgetExhausted) => BeginOutcome::BudgetSpent,
             Some(StoreReply::NoSuchTurn) => BeginOutcome::NoSuchTurn,
-            _ => BeginOutcome::Unsure,
+            _ => BeginOutcome::Unavailable,
         }
     }
 
@@ -99,7 +99,7 @@
     pub async fn end_turn(&self, end: EndTurn, budget: Duration) -> EndOutcome {
         match self.ask(|epoch| end.call(epoch), budget).await {
             Some(StoreReply::Ended) => EndOutcome::Ended,
-            _ => EndOutcome::Unsure,
+            _ => EndOutcome::Unavailable,
         }
     }
 
@@ -186,5 +186,5 @@
 
 /// Whether a store knew.
 fn is_known(reply: &StoreReply) -> bool {
-    !matches!(reply, StoreReply::Unsure | StoreReply::OldEpoch(_))
+    !matches!(reply, StoreReply::Unavailable | StoreReply::StaleEpoch(_))
 }
--- a/tier/store-client/src/turns.rs
+++ b/tier/store-client/src/turns.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
-use plankhill_protocol::turns::{Reservation, StoreCall, TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, TurnLocation, TurnRecord};
 
 /// What a turn needs before it may run.
 #[derive(Clone, Debug)]
@@ -26,14 +26,14 @@
         /// Inputs and outputs of the chain, joined from the oldest on.
         history: Arc<[u8]>,
         /// What the turn's own record names as its previous turn.
-        previous: Option<TurnPlace>,
+        previous: Option<TurnLocation>,
     },
     /// 402.
     BudgetSpent,
     /// 404.
     NoSuchTurn,
     /// 503. If a reservation was asked for it may stand: the caller settles it with 0 tokens.
-    Unsure,
+    Unavailable,
 }
 
 /// What is to be kept of a turn that ended.
@@ -55,7 +55,7 @@
     /// On enough disks.
     Ended,
     /// Not known; the answer's last byte must not go to the client.
-    Unsure,
+    Unavailable,
 }
 
 impl BeginTurn {
--- a/tier/store-client/tests/client.rs
+++ b/tier/store-client/tests/client.rs
@@ -10,7 +10,7 @@
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
-use plankhill_protocol::turns::{StoreCall, StoreReply};
+use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use plankhill_store_client::{EndOutcome, EndTurn, StoreCalls, StoreChoice, StoreClient};
 use tokio::task::LocalSet;
 use tokio::time::Instant;
@@ -33,7 +33,7 @@
         epoch: StoreEpoch(epoch),
         serving,
         next: None,
-        faults: 1,
+        tolerated_faults: 1,
     }
 }
 
@@ -179,9 +179,9 @@
 fn stores_that_are_unsure_are_asked_again_until_the_time_is_up() {
     run(async {
         let stores = Stores::default();
-        (1..=3).for_each(|number| stores.set(number, 20, Some(StoreReply::Unsure)));
+        (1..=3).for_each(|number| stores.set(number, 20, Some(StoreReply::Unavailable)));
         let (outcome, took) = end(&client(&stores), 500).await;
-        assert_eq!(outcome, EndOutcome::Unsure);
+        assert_eq!(outcome, EndOutcome::Unavailable);
         assert!((440..=500).contains(&took), "{took}");
         assert!(stores.take_asked().len() >= 9);
     });
@@ -193,7 +193,7 @@
         let client = StoreClient::with_calls(Stores::default(), ZoneName::from("east"));
         assert!(!client.is_ready());
         let (outcome, took) = end(&client, 300).await;
-        assert_eq!(outcome, EndOutcome::Unsure);
+        assert_eq!(outcome, EndOutcome::Unavailable);
         assert!(took <= 300);
     });
 }
--- a/tier/store/src/disk/folder.rs
+++ b/tier/store/src/disk/folder.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use plankhill_conversations::rows::{incarnation_row, read_row, Table, INCARNATION_KEY};
-use plankhill_disk_health::Pauses;
+use plankhill_disk_health::Backoff;
 use plankhill_protocol::ids::Incarnation;
 
 use super::{Disk, DiskError, FjallDisk};
@@ -29,7 +29,7 @@
 /// Opens a folder; `fresh` is the incarnation if it is empty. Waits while the disk fails, as a full one does: what lies
 /// on it is given up only if it can never be read.
 pub async fn open_folder(folder: &Path, fresh: Incarnation) -> OpenedFolder {
-    let mut pauses = Pauses::default();
+    let mut pauses = Backoff::default();
     while folder.join(READY).exists() {
         match open_existing(&folder.join(DATABASE)).await {
             Ok(opened) => return opened,
@@ -39,7 +39,7 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "disk fails; trying again");
-                tokio::time::sleep(pauses.next_pause()).await;
+                tokio::time::sleep(pauses.next_delay()).await;
             }
         }
     }
@@ -48,7 +48,7 @@
             Ok(opened) => return opened,
             Err(error) => {
                 tracing::warn!(%error, "nothing can be made on the disk; trying again");
-                tokio::time::sleep(pauses.next_pause()).await;
+                tokio::time::sleep(pauses.next_delay()).await;
             }
         }
     }
--- a/tier/store/src/disk/writer.rs
+++ b/tier/store/src/disk/writer.rs
@@ -11,7 +11,7 @@
 
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
 use plankhill_conversations::rows::{RowChange, Table, INCARNATION_KEY};
-use plankhill_disk_health::{probe_room, Pauses};
+use plankhill_disk_health::{check_free_space, Backoff};
 use tokio::sync::oneshot;
 
 use super::fjall::row_key;
@@ -90,7 +90,7 @@
     Refusing {
         cause: String,
         next_try: Instant,
-        pauses: Pauses,
+        pauses: Backoff,
     },
     /// It is of no use any more.
     Failed(String),
@@ -152,7 +152,7 @@
         };
         tracing::error!(%error, "writing failed");
         let cause = error.to_string();
-        let pauses = Pauses::default();
+        let pauses = Backoff::default();
         let passes = may_pass(&error);
         self.condition = if passes {
             refusing(cause.clone(), pauses)
@@ -216,7 +216,7 @@
     }
 
     fn recover(&mut self) -> Result<(), DiskError> {
-        probe_room(&self.folder).map_err(failed)?;
+        check_free_space(&self.folder).map_err(failed)?;
         if let Ok(life) = self.rows.look(life_of) {
             self.life = life;
         }
@@ -235,8 +235,8 @@
     }
 }
 
-fn refusing(cause: String, mut pauses: Pauses) -> Condition {
-    let next_try = Instant::now() + pauses.next_pause();
+fn refusing(cause: String, mut pauses: Backoff) -> Condition {
+    let next_try = Instant::now() + pauses.next_delay();
     Condition::Refusing {
         cause,
         next_try,
--- a/tier/store/src/link.rs
+++ b/tier/store/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use plankhill_protocol::feed::{FromSubscriber, Subscriber};
-use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_SILENCE};
+use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_TIMEOUT};
 use plankhill_protocol::tables::Tables;
 use plankhill_protocol::transport::{Channel, Hello};
 use tokio::sync::watch;
@@ -29,7 +29,7 @@
         hello: Hello::new(Channel::Feed, node.me().node.clone()),
         subscriber: Subscriber::Store(node.me().clone()),
         candidates,
-        silence: CONTROLLER_SILENCE,
+        feeder_timeout: CONTROLLER_TIMEOUT,
     });
     tokio::join!(
         take_views(&node, subscription.tables()),
@@ -52,7 +52,7 @@
     subscription: &Subscription,
 ) {
     let mut copied = node.copied_epoch();
-    let mut standing = subscription.standing();
+    let mut standing = subscription.status();
     loop {
         let epoch = *copied.borrow_and_update();
         let view = node.view();
--- a/tier/store/src/node/begin.rs
+++ b/tier/store/src/node/begin.rs
@@ -8,7 +8,7 @@
 use plankhill_conversations::placement::Tally;
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::StoreView;
-use plankhill_protocol::turns::{Reservation, StoreReply};
+use plankhill_protocol::store_calls::{Reservation, StoreReply};
 
 use super::chain::ChainEnd;
 use super::end::Written;
@@ -49,7 +49,7 @@
         match (reserved, chain) {
             (Reserved::Spent, _) => {
                 self.release(&begin, TurnState::Refused);
-                StoreReply::BudgetSpent
+                StoreReply::BudgetExhausted
             }
             (_, ChainEnd::NoSuchTurn) => {
                 self.release(&begin, TurnState::Settled { tokens: 0 });
@@ -59,7 +59,7 @@
                 history,
                 previous: place,
             },
-            _ => StoreReply::Unsure,
+            _ => StoreReply::Unavailable,
         }
     }
 
@@ -67,7 +67,7 @@
         let Some(reservation) = &begin.reservation else {
             return Reserved::Granted;
         };
-        if reservation.most > reservation.budget {
+        if reservation.max_tokens > reservation.budget {
             return Reserved::Spent;
         }
         loop {
@@ -90,7 +90,7 @@
         let request = PeerRequest::Reserve {
             program: begin.program.clone(),
             turn: begin.turn.clone(),
-            most: reservation.most,
+            most: reservation.max_tokens,
             previous: begin.previous.clone(),
         };
         let mut tally = Tally::new(view, &begin.program);
--- a/tier/store/src/node/chain.rs
+++ b/tier/store/src/node/chain.rs
@@ -8,7 +8,7 @@
 use plankhill_conversations::rows::{read_row, turn_key, Table, TurnRow};
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 
 use super::Node;
 use crate::clock::Clock;
@@ -20,7 +20,7 @@
 pub(super) enum ChainEnd {
     Found {
         history: Arc<[u8]>,
-        place: Option<TurnPlace>,
+        place: Option<TurnLocation>,
     },
     NoSuchTurn,
     Unsure,
@@ -30,7 +30,7 @@
 #[derive(Default)]
 pub(super) struct ChainPart {
     turns: Vec<Arc<TurnRecord>>,
-    rest: Option<TurnPlace>,
+    rest: Option<TurnLocation>,
 }
 
 /// Why a part of a chain could not be read.
@@ -48,7 +48,7 @@
     ) -> ChainEnd {
         let mut turns: Vec<Arc<TurnRecord>> = Vec::new();
         let mut bytes = 0;
-        let mut next = Some(TurnPlace {
+        let mut next = Some(TurnLocation {
             turn: turn.clone(),
             program: program.clone(),
         });
@@ -78,7 +78,7 @@
         }
     }
 
-    async fn read_part(self: &Rc<Self>, place: &TurnPlace) -> Result<ChainPart, NoPart> {
+    async fn read_part(self: &Rc<Self>, place: &TurnLocation) -> Result<ChainPart, NoPart> {
         let part = self.part_here(&place.turn);
         if part.turns.is_empty() {
             self.part_elsewhere(place).await
@@ -125,10 +125,10 @@
     }
 
     /// Asks the first other replica, and then all stores.
-    async fn part_elsewhere(self: &Rc<Self>, place: &TurnPlace) -> Result<ChainPart, NoPart> {
+    async fn part_elsewhere(self: &Rc<Self>, place: &TurnLocation) -> Result<ChainPart, NoPart> {
         let view = self.view();
         let here = &self.parts.me.address;
-        let holders = replicas(&view.serving, &place.program, view.faults);
+        let holders = replicas(&view.serving, &place.program, view.tolerated_faults);
         let first = holders
             .into_iter()
             .find(|member| member.address != *here)
@@ -189,7 +189,7 @@
                 _ => {}
             }
         }
-        let enough = Quorum::of(view.serving.len(), view.faults).read;
+        let enough = Quorum::of(view.serving.len(), view.tolerated_faults).read;
         Err(if absent >= enough {
             NoPart::NoSuchTurn
         } else {
@@ -219,8 +219,8 @@
     }
 }
 
-fn place_of(record: &TurnRecord) -> TurnPlace {
-    TurnPlace {
+fn place_of(record: &TurnRecord) -> TurnLocation {
+    TurnLocation {
         turn: record.turn.clone(),
         program: record.program.clone(),
     }
--- a/tier/store/src/node/copy.rs
+++ b/tier/store/src/node/copy.rs
@@ -24,7 +24,7 @@
         if !next.iter().any(|member| is_same(member, me)) {
             return;
         }
-        let enough = Quorum::of(view.serving.len(), view.faults).read;
+        let enough = Quorum::of(view.serving.len(), view.tolerated_faults).read;
         let own = usize::from(is_serving(view, me));
         let others = view.serving.iter().filter(|member| member.node != me.node);
         let mut left: Vec<StoreMember> = others.cloned().collect();
--- a/tier/store/src/node/end.rs
+++ b/tier/store/src/node/end.rs
@@ -8,7 +8,7 @@
 use plankhill_conversations::placement::Tally;
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::StoreView;
-use plankhill_protocol::turns::{StoreReply, TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{StoreReply, TurnLocation, TurnRecord};
 
 use super::Node;
 use crate::clock::Clock;
@@ -43,7 +43,7 @@
         });
         if let Some(kept) = &kept {
             if self.extend_elsewhere(&kept.record, kept.remaining_ms).await != Written::Enough {
-                return StoreReply::Unsure;
+                return StoreReply::Unavailable;
             }
         }
         let ended = EndedTurn {
@@ -54,7 +54,7 @@
         };
         match self.write_end(ended).await {
             Written::Enough => StoreReply::Ended,
-            Written::TooFew | Written::Moved => StoreReply::Unsure,
+            Written::TooFew | Written::Moved => StoreReply::Unavailable,
         }
     }
 
@@ -67,7 +67,7 @@
     /// A chain that goes on in another program lies at other stores: they are told to keep it as long.
     async fn extend_elsewhere(self: &Rc<Self>, record: &TurnRecord, keep_ms: u64) -> Written {
         match &record.previous {
-            Some(TurnPlace { turn, program }) if *program != record.program => {
+            Some(TurnLocation { turn, program }) if *program != record.program => {
                 let request = PeerRequest::Extend {
                     turn: turn.clone(),
                     keep_ms,
--- a/tier/store/src/node/hints.rs
+++ b/tier/store/src/node/hints.rs
@@ -93,7 +93,7 @@
             return;
         }
         let (program, turn) = (&ended.program, &ended.turn);
-        let holds = replicas(&view.serving, program, view.faults);
+        let holds = replicas(&view.serving, program, view.tolerated_faults);
         let here = self.parts.me.address;
         if member.address != here && holds.iter().any(|holder| holder.address == here) {
             self.add_hint(&member.node, program, turn);
--- a/tier/store/src/node/mod.rs
+++ b/tier/store/src/node/mod.rs
@@ -25,7 +25,7 @@
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{RequestId, StoreEpoch};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{StoreCall, StoreReply, TurnRecord};
+use plankhill_protocol::store_calls::{StoreCall, StoreReply, TurnRecord};
 use tokio::sync::watch;
 
 use crate::clock::Clock;
@@ -85,7 +85,7 @@
     /// Answers a proxy. Its epoch does not matter: the replicas decide which views are still good.
     async fn answer_proxy(self: Rc<Self>, call: StoreCall) -> StoreReply {
         if self.state.borrow().view.serving.is_empty() {
-            return StoreReply::Unsure;
+            return StoreReply::Unavailable;
         }
         let answering = async {
             match call {
@@ -115,7 +115,7 @@
         };
         tokio::time::timeout(CALL_TIMEOUT, answering)
             .await
-            .unwrap_or(StoreReply::Unsure)
+            .unwrap_or(StoreReply::Unavailable)
     }
 
     /// Who this store is.
--- a/tier/store/src/node/serve_copies.rs
+++ b/tier/store/src/node/serve_copies.rs
@@ -31,7 +31,7 @@
         let Some(members) = members.filter(|_| view.epoch == epoch) else {
             return PeerResponse::OldEpoch(view.clone());
         };
-        let belongs = |program: &ProgramId| holds(members, program, view.faults, store);
+        let belongs = |program: &ProgramId| holds(members, program, view.tolerated_faults, store);
         PeerResponse::Programs(state.index.list(after, PAGE_PROGRAMS, belongs))
     }
 
--- a/tier/store/tests/epoch_fence.rs
+++ b/tier/store/tests/epoch_fence.rs
@@ -7,7 +7,7 @@
 
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{NodeId, ProgramId, RequestId, StoreEpoch};
-use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply};
 use world::{milliseconds, run, Plant, World};
 
 fn store(number: u64) -> NodeId {
@@ -33,7 +33,7 @@
         turn: RequestId::from(turn),
         reservation: Some(Reservation {
             budget: 100,
-            most: 60,
+            max_tokens: 60,
         }),
         previous: None,
     };
@@ -84,7 +84,7 @@
 fn a_store_left_behind_learns_of_the_new_set() {
     let (granted, late) = run(ask_both_sets(Plant::Nothing));
     assert!(matches!(granted, StoreReply::Begun { .. }), "{granted:?}");
-    assert_eq!(late, StoreReply::BudgetSpent);
+    assert_eq!(late, StoreReply::BudgetExhausted);
 }
 
 #[test]
--- a/tier/store/tests/full_disk.rs
+++ b/tier/store/tests/full_disk.rs
@@ -9,7 +9,7 @@
 use plankhill_conversations::peer::{EndedTurn, PeerCall, PeerRequest, PeerResponse};
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
-use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply};
 use world::{milliseconds, run, Plant, World};
 
 fn store(number: u64) -> NodeId {
@@ -108,7 +108,7 @@
         for at in 0..3 {
             let reply = ask(&world, at, StoreRequest::Proxy(begin(10 + at))).await;
             assert!(
-                matches!(reply, StoreAnswer::Proxy(StoreReply::Unsure)),
+                matches!(reply, StoreAnswer::Proxy(StoreReply::Unavailable)),
                 "{at}: {reply:?}"
             );
         }
@@ -129,7 +129,7 @@
         turn: RequestId::from(format!("turn-{number}").as_str()),
         reservation: Some(Reservation {
             budget: 100,
-            most: 60,
+            max_tokens: 60,
         }),
         previous: None,
     }
--- a/tier/store/tests/stored_format.rs
+++ b/tier/store/tests/stored_format.rs
@@ -19,7 +19,7 @@
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
-use plankhill_protocol::turns::{TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{TurnPlace, TurnRecord};
 use plankhill_store::clock::Clock;
 use plankhill_store::disk::{open_folder, Disk, FjallDisk};
 use plankhill_store::figures::Figures;
@@ -80,7 +80,7 @@
         epoch: StoreEpoch(7),
         serving: vec![member(1), member(2), member(3)],
         next: Some(vec![member(1), member(2), member(4)]),
-        faults: 1,
+        tolerated_faults: 1,
     }
 }
 
--- a/tier/store/tests/world/control.rs
+++ b/tier/store/tests/world/control.rs
@@ -20,7 +20,7 @@
             epoch: StoreEpoch(1),
             serving,
             next: None,
-            faults,
+            tolerated_faults: faults,
         };
         self.spread();
     }
--- a/tier/store/tests/world/proxy.rs
+++ b/tier/store/tests/world/proxy.rs
@@ -9,7 +9,7 @@
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{ProgramId, RequestId, ZoneName};
 use plankhill_protocol::transport::CallError;
-use plankhill_protocol::turns::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord};
 use plankhill_store_client::{
     BeginOutcome, BeginTurn, EndOutcome, EndTurn, StoreCalls, StoreClient,
 };
@@ -70,7 +70,7 @@
         let begin = BeginTurn {
             program: program.clone(),
             turn: turn.clone(),
-            reservation: Some(Reservation { budget, most }),
+            reservation: Some(Reservation { budget, max_tokens: most }),
             previous: previous.clone(),
         };
         let counted = self.programs.borrow().counted(program);
@@ -93,7 +93,7 @@
                     self.programs.borrow().absent(previous);
                 }
             }
-            BeginOutcome::Unsure => {
+            BeginOutcome::Unavailable => {
                 self.programs.borrow_mut().unsure += 1;
                 let end = end_turn(program, turn, 0, None);
                 if client.end_turn(end, END_TIME).await == EndOutcome::Ended {
@@ -110,7 +110,7 @@
         turn: &RequestId,
         most: u64,
         history: &[u8],
-        previous: Option<TurnPlace>,
+        previous: Option<TurnLocation>,
     ) {
         let tokens = self.within(0..most + 1);
         let mut handed = 0;
