--- /dev/null
+++ b/tests/decision_stream.rs
@@ -0,0 +1,389 @@
+//! Every decision, with all its arguments in full precision, over seeded random inputs: a digest for each seed
+//! against the one that an earlier version gave. A change of the code that changes no decision changes none.
+
+mod host;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+
+use host::{event, target, terms};
+use plankhill::decide::Forwarder;
+use plankhill::interface::*;
+use rstest::rstest;
+
+const DIGESTS: &str = include_str!("decision_stream/digests.txt");
+const SEEDS: u64 = 24;
+const ROUNDS: usize = 3000;
+const DESTINATIONS: u64 = 7;
+const TARGETS: u64 = 3; // of each destination
+
+/// SplitMix64: the same numbers on every machine.
+struct Random(u64);
+
+impl Random {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        mixed ^ (mixed >> 31)
+    }
+    fn below(&mut self, bound: u64) -> u64 {
+        self.next() % bound
+    }
+    /// From 0 to 1, in steps that print shortly.
+    fn unit(&mut self) -> f64 {
+        self.below(1024) as f64 / 1024.0
+    }
+    fn one_in(&mut self, bound: u64) -> bool {
+        self.below(bound) == 0
+    }
+}
+
+/// FNV-1a with 64 bits.
+struct Digest(u64);
+
+impl Digest {
+    fn add(&mut self, text: &str) {
+        for byte in text.bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+/// Writes each decision as a line, and remembers what is in flight for the world that answers.
+struct Recorder {
+    random: Random,
+    digest: Digest,
+    counts: BTreeMap<&'static str, u64>,
+    in_flight: BTreeMap<EventId, TargetId>,
+    health_checks: BTreeSet<TargetId>,
+    unacknowledged: BTreeSet<EventId>,
+    live: BTreeSet<EventId>,
+    warming_up: BTreeMap<TargetId, (Ms, f64)>,
+}
+
+impl Recorder {
+    fn new(seed: u64) -> Self {
+        Recorder {
+            random: Random(seed ^ 0x5eed),
+            digest: Digest(0xcbf2_9ce4_8422_2325),
+            counts: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            health_checks: BTreeSet::new(),
+            unacknowledged: BTreeSet::new(),
+            live: BTreeSet::new(),
+            warming_up: BTreeMap::new(),
+        }
+    }
+
+    fn record(&mut self, decision: &'static str, arguments: std::fmt::Arguments) {
+        let mut line = String::new();
+        writeln!(line, "{decision} {arguments}").expect("a string takes all");
+        self.digest.add(&line);
+        *self.counts.entry(decision).or_default() += 1;
+    }
+
+    fn completed(&mut self, event: &EventId) -> bool {
+        self.live.remove(event);
+        let by_notice = self.random.one_in(2);
+        if by_notice {
+            self.unacknowledged.insert(event.clone());
+        }
+        by_notice
+    }
+}
+
+impl Decisions for Recorder {
+    fn choose(&mut self, event: &EventId, open: &mut dyn Iterator<Item = &TargetId>) -> Option<usize> {
+        let open: Vec<&str> = open.map(|target| &*target.0).collect();
+        self.record("choose", format_args!("{} of {open:?}", event.0));
+        // Past the end now and then: the draw stands then.
+        self.random.one_in(3).then(|| self.random.below(open.len() as u64 + 1) as usize)
+    }
+    fn send(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
+        self.record("send", format_args!("{} {} {time_out:?} {leaves_by:?}", event.0, target.0));
+        self.in_flight.insert(event.clone(), target.clone());
+    }
+    fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
+        self.record("dismiss", format_args!("{} {come_back_after:?}", event.0));
+        self.completed(event)
+    }
+    fn write_off(&mut self, event: &EventId) -> bool {
+        self.record("write_off", format_args!("{}", event.0));
+        self.completed(event)
+    }
+    fn ping(&mut self, target: &TargetId) {
+        self.record("ping", format_args!("{}", target.0));
+        self.health_checks.insert(target.clone());
+    }
+    fn close_idle(&mut self, target: &TargetId) {
+        self.record("close_idle", format_args!("{}", target.0));
+    }
+    fn take_back(&mut self, target: &TargetId) {
+        self.record("take_back", format_args!("{}", target.0));
+    }
+    fn note_cold(&mut self, target: &TargetId, since: Ms, usual: f64) {
+        self.record("note_cold", format_args!("{} {since:?} {usual:?}", target.0));
+        self.warming_up.insert(target.clone(), (since, usual));
+    }
+    fn wake_after(&mut self, pause: Ms) {
+        self.record("wake_after", format_args!("{pause:?}"));
+    }
+}
+
+/// Terms differ with the seed, so that each switch is met on both sides.
+fn terms_of(seed: u64) -> Terms {
+    let mut terms = terms();
+    terms.seed = seed;
+    terms.instance = seed % 3;
+    terms.forwarders = [1.0, 2.0, 9.0, 60.0][(seed % 4) as usize];
+    terms.slots = [4, 12, 40][(seed % 3) as usize];
+    terms.room = [40, 120][(seed % 2) as usize];
+    terms.pings_allowed = seed % 5 != 4;
+    terms.shares = vec![0.5, 3.0, 40.0];
+    terms.over_share_worth = 0.25;
+    terms.longest_advice = (seed % 4 != 3).then_some(2000.0);
+    terms.tuning.spaced = seed % 6 != 5;
+    terms.tuning.released_by_pings = seed % 7 == 6;
+    if let Effect::Fingerprinted { one_zone, .. } = &mut terms.traffic[1].effect {
+        *one_zone = seed % 2 == 1;
+    }
+    terms.traffic[2].payoff = 4.0;
+    terms.traffic[1].ordered = seed % 3 == 2;
+    terms
+}
+
+fn target_of(destination: u64, number: u64) -> TargetId {
+    target(&format!("t{destination}-{number}"))
+}
+
+fn list(forwarder: &mut Forwarder, destination: u64, number: u64, listing: Listing) {
+    let kind = KindId((destination % 2) as usize);
+    let zone = ZoneId((number % 2) as usize);
+    forwarder.listed(target_of(destination, number), DestinationId(destination), kind, zone, listing);
+}
+
+fn any_target(random: &mut Random) -> (u64, u64) {
+    (1 + random.below(DESTINATIONS), random.below(TARGETS))
+}
+
+fn pick<T: Clone>(random: &mut Random, of: &BTreeSet<T>) -> Option<T> {
+    if of.is_empty() {
+        return None;
+    }
+    let at = random.below(of.len() as u64) as usize;
+    of.iter().nth(at).cloned()
+}
+
+/// How a call to the destination ends: each destination has hours of its own kind of trouble.
+fn fate(random: &mut Random, destination: u64, now: Ms) -> Fate {
+    let hour = (now / 9000.0) as u64 + destination;
+    let bad = match hour % 6 {
+        0 => Fate::NoConnection,
+        1 => Fate::Full,
+        2 => Fate::TimedOut,
+        3 => [Fate::Error, Fate::Reset, Fate::Cancelled, Fate::NotSent][random.below(4) as usize],
+        _ => Fate::Delivered,
+    };
+    if random.one_in(4) {
+        Fate::Delivered
+    } else {
+        bad
+    }
+}
+
+fn report(random: &mut Random, fate: Fate) -> Ended {
+    let took =
+        if fate == Fate::TimedOut { 900.0 + 1200.0 * random.unit() } else { 5.0 + 300.0 * random.unit() };
+    let wait = if fate == Fate::Full && random.one_in(3) { 4000.0 * random.unit() } else { 0.0 };
+    let left = [None, Some(random.unit()), Some(-1.0), Some(0.05)][random.below(4) as usize];
+    Ended { took, wait, left, over: fate == Fate::Delivered || random.one_in(40), ..Ended::plain(fate) }
+}
+
+/// What one round hands over.
+struct World {
+    random: Random,
+    now: Ms,
+    accepted: u64,
+}
+
+impl World {
+    fn accept(&mut self, forwarder: &mut Forwarder, recorder: &mut Recorder) {
+        self.accepted += 1;
+        let id = event(&format!("e{}", self.accepted));
+        let destination = DestinationId(1 + self.random.below(DESTINATIONS));
+        let key = self.random.one_in(2).then(|| OrderKey(self.random.below(12)));
+        let traffic = TrafficId(self.random.below(3) as usize);
+        let patience_ends = self.now + 1000.0 + 19_000.0 * self.random.unit();
+        forwarder.taken(id.clone(), destination, traffic, patience_ends, key);
+        recorder.live.insert(id.clone());
+        match self.random.below(24) {
+            0..8 => forwarder.asked_by(&id, self.random.below(4) as usize, self.random.one_in(5)),
+            8 => {
+                let sends = self.random.below(3) as u32;
+                let ran = (sends > 0).then(|| (self.now - 500.0 * self.random.unit(), ZoneId(1)));
+                forwarder.restored(&id, sends, ran, sends > 0 && self.random.one_in(2));
+            }
+            9 => {
+                forwarder.restored(&id, 1, Some((self.now - 10.0, ZoneId(0))), true);
+                forwarder.out_elsewhere(&id, self.now + 2000.0 * self.random.unit());
+            }
+            10 => {
+                forwarder.ended_before(&id);
+                recorder.live.remove(&id);
+                recorder.unacknowledged.insert(id);
+            }
+            _ => (),
+        }
+    }
+
+    fn end_calls(&mut self, forwarder: &mut Forwarder, recorder: &mut Recorder) {
+        let out: Vec<EventId> = recorder.in_flight.keys().cloned().collect();
+        for id in out {
+            if !self.random.one_in(3) {
+                continue;
+            }
+            let target = recorder.in_flight.remove(&id).expect("in flight");
+            let destination = target.0[1..2].parse().expect("a digit");
+            let fate = fate(&mut self.random, destination, self.now);
+            let report = report(&mut self.random, fate);
+            if report.over {
+                recorder.live.remove(&id);
+            }
+            forwarder.send_ended(&id, report).expect("was sent");
+        }
+    }
+
+    fn end_health_checks(&mut self, forwarder: &mut Forwarder, recorder: &mut Recorder) {
+        let Some(target) = pick(&mut self.random, &recorder.health_checks) else { return };
+        recorder.health_checks.remove(&target);
+        let destination = target.0[1..2].parse().expect("a digit");
+        let fate = fate(&mut self.random, destination, self.now);
+        // A target that was forgotten meanwhile is unknown.
+        let known = forwarder.ping_ended(&target, fate);
+        recorder.record("ping_ended", format_args!("{known:?}"));
+    }
+
+    fn change_list(&mut self, forwarder: &mut Forwarder) {
+        let (destination, number) = any_target(&mut self.random);
+        match self.random.below(8) {
+            0 => {
+                forwarder.list_replaced();
+                for destination in 1..=DESTINATIONS {
+                    for number in 0..TARGETS {
+                        if !self.random.one_in(12) {
+                            list(forwarder, destination, number, Listing::Running);
+                        }
+                    }
+                }
+            }
+            1 => forwarder.relisted(&target_of(destination, number), Listing::Gone),
+            2 => forwarder.relisted(&target_of(destination, number), Listing::Leaving),
+            3 => forwarder.restarted(&target_of(destination, number)),
+            4 => forwarder.rate_told(DestinationId(destination), 200.0 * self.random.unit()),
+            _ => list(forwarder, destination, number, Listing::Running),
+        }
+    }
+
+    fn came_in(&mut self, forwarder: &mut Forwarder, recorder: &mut Recorder) {
+        self.end_calls(forwarder, recorder);
+        if self.random.one_in(2) {
+            self.end_health_checks(forwarder, recorder);
+        }
+        let flood = if self.random.one_in(150) { 60 } else { 0 };
+        for _ in 0..self.random.below(4) + flood {
+            self.accept(forwarder, recorder);
+        }
+        if self.random.one_in(40) {
+            self.change_list(forwarder);
+        }
+        if self.random.one_in(3) {
+            if let Some(id) = pick(&mut self.random, &recorder.unacknowledged) {
+                recorder.unacknowledged.remove(&id);
+                forwarder.heard(&id);
+            }
+        }
+        if self.random.one_in(60) {
+            if let Some(id) = pick(&mut self.random, &recorder.live) {
+                recorder.live.remove(&id);
+                forwarder.withdrawn(&id);
+            }
+        }
+        if self.random.one_in(60) {
+            if let Some(id) = pick(&mut self.random, &recorder.live) {
+                forwarder.joined(&id, 1, Some((self.now - 100.0, ZoneId(0))));
+            }
+        }
+        if self.random.one_in(400) {
+            for (target, (since, usual)) in &recorder.warming_up {
+                forwarder.was_cold(target, *since, *usual);
+            }
+        }
+    }
+}
+
+/// One line of the fixture: the seed, how many decisions there were, and the digest of all of them.
+fn stream(seed: u64) -> (String, BTreeMap<&'static str, u64>) {
+    let mut recorder = Recorder::new(seed);
+    let mut world = World { random: Random(seed), now: 0.0, accepted: 0 };
+    let mut forwarder = Forwarder::start(terms_of(seed), 0.0);
+    for destination in 1..=DESTINATIONS {
+        for number in 0..TARGETS {
+            list(&mut forwarder, destination, number, Listing::Running);
+        }
+    }
+    for round in 0..ROUNDS {
+        let quiet = if world.random.one_in(200) { 4000.0 } else { 40.0 };
+        world.now += 1.0 + quiet * world.random.unit();
+        let now = world.now;
+        if round + 400 == ROUNDS {
+            forwarder.closing(now + 30_000.0);
+        }
+        if world.random.one_in(500) {
+            let state = rmp_serde::to_vec(&forwarder).expect("encodes");
+            forwarder = rmp_serde::from_slice::<Forwarder>(&state).expect("decodes").resumed(terms_of(seed));
+        }
+        let hand_over = |forwarder: &mut Forwarder, recorder: &mut Recorder| {
+            world.came_in(forwarder, recorder);
+            Ok::<(), Unknown>(())
+        };
+        forwarder.round(now, hand_over, &mut recorder).expect("names only what was introduced");
+        let known = (1..=DESTINATIONS + 1).filter(|&id| forwarder.knows(DestinationId(id))).count();
+        recorder.digest.add(&format!("round {now:?} {known}\n"));
+    }
+    let decisions: u64 = recorder.counts.values().sum();
+    (format!("{seed} {decisions} {:016x}", recorder.digest.0), recorder.counts)
+}
+
+#[rstest]
+fn random_inputs_lead_to_the_pinned_decisions() {
+    let lines: Vec<&str> = DIGESTS.lines().collect();
+    assert_eq!(lines.len() as u64, SEEDS, "a line for each seed");
+    for (seed, line) in (0..SEEDS).zip(lines) {
+        assert_eq!(stream(seed).0, line, "seed, decisions, digest");
+    }
+}
+
+#[rstest]
+fn the_random_inputs_provoke_every_kind_of_decision() {
+    let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
+    for seed in 0..SEEDS {
+        for (decision, count) in stream(seed).1 {
+            *counts.entry(decision).or_default() += count;
+        }
+    }
+    let all = [
+        "choose",
+        "send",
+        "dismiss",
+        "write_off",
+        "ping",
+        "close_idle",
+        "take_back",
+        "note_cold",
+        "wake_after",
+    ];
+    for decision in all {
+        assert!(counts.get(decision).is_some_and(|count| *count >= 20), "{decision}: {counts:?}");
+    }
+}
