--- a/forwarder/src/budgets/control.rs
+++ b/forwarder/src/budgets/control.rs
@@ -44,3 +44,6 @@
         self.book.size()
     }
 }
+
+#[cfg(test)]
+mod wire_format_tests;
--- a/forwarder/src/fanout/machine.rs
+++ b/forwarder/src/fanout/machine.rs
@@ -45,3 +45,6 @@
         self.0.size()
     }
 }
+
+#[cfg(test)]
+mod wire_format_tests;
--- a/forwarder/src/notices.rs
+++ b/forwarder/src/notices.rs
@@ -110,3 +110,6 @@
     };
     format!("{value}\n")
 }
+
+#[cfg(test)]
+mod wire_format_tests;
--- /dev/null
+++ b/forwarder/tests/wire_format.rs
@@ -0,0 +1,108 @@
+//! The bytes of each request that the forwarder sends to targets and discovery, and of its answers to clients and
+//! operators: `wire_format/requests.txt` has a line with a name and the text, as a JSON string, for each.
+
+mod peers;
+
+use std::io::{BufReader, Write};
+use std::net::TcpStream;
+use std::time::Instant;
+
+use rstest::rstest;
+
+use peers::by_hand::{by_hand, list};
+use peers::*;
+
+const PINNED: &str = include_str!("wire_format/requests.txt");
+
+/// The pinned text; `address` stands for `{host}` there, and the value of a field that names a time for `{seconds}`.
+fn pinned(name: &str, address: &str) -> String {
+    let line = PINNED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = line.unwrap_or_else(|| panic!("{name} is not pinned"));
+    let text: String = serde_json::from_str(line).expect("a JSON string");
+    text.replace("{host}", address)
+}
+
+/// With the value of `Req-Deadline` replaced, which has to be a number of seconds with three decimals.
+fn without_deadline(head: &str) -> String {
+    let value = head.lines().find_map(|line| line.strip_prefix("Req-Deadline: ")).expect("a deadline");
+    let (whole, part) = value.split_once('.').expect("with decimals");
+    assert!(whole.parse::<u64>().is_ok() && part.len() == 3 && part.parse::<u64>().is_ok(), "{value}");
+    head.replace(value, "{seconds}")
+}
+
+#[rstest]
+fn calls_and_health_checks_are_sent_as_pinned() {
+    let (target, calls) = stand_in();
+    let (discovery, _watches, _notices) = discovery(0);
+    let forwarder = Forwarder::start(&config(discovery, target));
+    let host = target.to_string();
+    forwarder.take("a", "order", "");
+    let call = next(&calls);
+    assert_eq!(without_deadline(&call.head), pinned("call", &host));
+    assert_eq!(call.body, b"body");
+    call.answer(OK);
+    // Its connections break off until it is checked.
+    forwarder.take("b", "job", "");
+    let by = Instant::now() + LONG;
+    loop {
+        assert!(Instant::now() < by, "no health check comes");
+        let call = next(&calls);
+        if call.head.starts_with("POST ") {
+            call.answer(&BREAK.to_string());
+            continue;
+        }
+        assert_eq!(call.head, pinned("health-check", &host));
+        assert_eq!(call.body, b"");
+        break;
+    }
+}
+
+#[rstest]
+fn discovery_is_asked_and_told_as_pinned() {
+    let (target, calls) = stand_in();
+    let (discovery, requests) = by_hand();
+    let host = discovery.to_string();
+    let forwarder = Forwarder::start(&config(discovery, target));
+    // The whole list is asked before the program listens, and its answer is waited for only for a moment.
+    let mut whole = next(&requests);
+    assert_eq!(whole.head, pinned("list", &host));
+    whole.write(&list(42, true, &[member("t", target, "up")]));
+    let watch =
+        std::iter::repeat_with(|| next(&requests)).find(|request| request.is_watch()).expect("endless");
+    let wait = watch.number("timeout_ms");
+    let revision = watch.number("since");
+    let expected = pinned("watch", &host);
+    let expected = expected.replace("{revision}", &revision.to_string()).replace("{ms}", &wait.to_string());
+    assert_eq!(watch.head, expected);
+    forwarder.take("a", "charge", "Cookie: about=5\r\n");
+    next(&calls).answer(ERROR);
+    let notice = std::iter::repeat_with(|| next(&requests)).find(|request| request.head.starts_with("POST "));
+    let notice = notice.expect("endless");
+    assert_eq!(notice.head, pinned("notice", &host));
+    assert_eq!(String::from_utf8_lossy(&notice.body), pinned("notice-body", &host));
+}
+
+#[rstest]
+fn clients_and_operators_are_answered_as_pinned() {
+    let (forwarder, calls, _notices, _watches) = all(0, |_| ());
+    let client = |request: &[u8]| forwarder.ask(request).1;
+    let operator = |request: &str| {
+        let mut stream = TcpStream::connect(forwarder.mgmt).expect("listens");
+        write!(stream, "{request} HTTP/1.1\r\nHost: x\r\n\r\n").expect("takes it");
+        read_message(&mut BufReader::new(stream)).expect("an answer").0
+    };
+    forwarder.until_ready();
+    assert_eq!(client(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"), pinned("up", ""));
+    assert_eq!(client(&event("a", "job", "")), pinned("accepted", ""));
+    assert_eq!(client(&event("a", "job", "")), pinned("rejected", ""));
+    assert_eq!(client(&event("b", "none", "")), pinned("no-such-type", ""));
+    assert_eq!(client(b"GET /job HTTP/1.1\r\nHost: x\r\n\r\n"), pinned("method", ""));
+    assert_eq!(client(&event("", "job", "")), pinned("no-id", ""));
+    assert_eq!(operator("GET /-/ready"), pinned("operator-ready", ""));
+    assert_eq!(operator("POST /-/ready"), pinned("operator-method", ""));
+    assert_eq!(operator("GET /-/none"), pinned("operator-none", ""));
+    assert_eq!(operator("POST /-/targets/none/disable"), pinned("operator-never-listed", ""));
+    assert_eq!(operator("POST /-/drain"), pinned("operator-drain", ""));
+    assert_eq!(operator("GET /-/ready"), pinned("operator-ready-while-drained", ""));
+    next(&calls).answer(OK);
+}
