--- a/forwarder/server/src/notices.rs
+++ b/forwarder/server/src/notices.rs
@@ -130,3 +130,6 @@
     };
     format!("{value}\n")
 }
+
+#[cfg(test)]
+mod wire_format_tests;
