--- a/decisions/src/interface.rs
+++ b/decisions/src/interface.rs
@@ -182,7 +182,10 @@
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
-            AttemptOutcome::Error | AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled
+            AttemptOutcome::Error
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::Reset
+                | AttemptOutcome::Cancelled
         )
     }
 }
@@ -222,7 +225,11 @@
 pub trait Effects {
     /// The place among the targets that take the event now of the one that is to have it. None leaves it to
     /// the draw of two.
-    fn select_target(&mut self, _: &EventId, _: &mut dyn Iterator<Item = &TargetId>) -> Option<usize> {
+    fn select_target(
+        &mut self,
+        _: &EventId,
+        _: &mut dyn Iterator<Item = &TargetId>,
+    ) -> Option<usize> {
         None
     }
     /// The call's last byte has to have left by `leaves_by`, or none of it may leave: it ends as not sent then.
--- a/decisions/src/scheduler/adopted.rs
+++ b/decisions/src/scheduler/adopted.rs
@@ -15,7 +15,12 @@
 
     /// It was held and sent at another forwarder too: one id is one event, and what was done on both sides
     /// adds up. With a call out it waits for that one's outcome; else what follows is decided this round.
-    pub fn merge_remote_attempts(&mut self, id: &EventId, sends: u32, may_have_run: Option<(Ms, ZoneId)>) {
+    pub fn merge_remote_attempts(
+        &mut self,
+        id: &EventId,
+        sends: u32,
+        may_have_run: Option<(Ms, ZoneId)>,
+    ) {
         self.settle(id, |event| {
             event.sends += sends;
             let both = event.may_have_run.into_iter().chain(may_have_run);
--- a/decisions/src/scheduler/came_in.rs
+++ b/decisions/src/scheduler/came_in.rs
@@ -45,7 +45,9 @@
         if let Some(target) = destination.target_mut(&id) {
             return target.listing = listing;
         }
-        if destination.lanes.is_empty() || self.here.terms.destination_kinds[kind.0].independent_routes {
+        if destination.lanes.is_empty()
+            || self.here.terms.destination_kinds[kind.0].independent_routes
+        {
             destination.lanes.push(Lane::default());
         }
         destination
@@ -143,7 +145,13 @@
     }
 
     /// What an earlier process did for an event just taken again; a last send without outcome may have run.
-    pub fn restore_attempts(&mut self, id: &EventId, sends: u32, ran: Option<(Ms, ZoneId)>, was_out: bool) {
+    pub fn restore_attempts(
+        &mut self,
+        id: &EventId,
+        sends: u32,
+        ran: Option<(Ms, ZoneId)>,
+        was_out: bool,
+    ) {
         let mut key = None;
         self.settle(id, |e| {
             (e.sends, e.may_have_run, e.untried, key) = (sends, ran, sends == 0, e.key)
--- a/decisions/src/scheduler/ends.rs
+++ b/decisions/src/scheduler/ends.rs
@@ -65,8 +65,8 @@
         let event = events.get_mut(&place).expect("held");
         event.over = true;
         let effect = self.here.terms.traffic_types[event.traffic.0].idempotency;
-        let dismissed =
-            event.may_have_run.is_none() || effect != Idempotency::NonIdempotent && !effect.retries_in_zone();
+        let dismissed = event.may_have_run.is_none()
+            || effect != Idempotency::NonIdempotent && !effect.retries_in_zone();
         let advice = self.here.terms.max_retry_after;
         event.unheard = if dismissed {
             out.reject(&event.id, advice)
--- a/decisions/src/scheduler/health.rs
+++ b/decisions/src/scheduler/health.rs
@@ -106,8 +106,9 @@
         {
             let back = (since.max(0.0) / terms.warm_up_duration).min(1.0);
             let (usual, all) = (self.usual(here), terms.forwarder_count * SPAN / 1000.0);
-            let open =
-                terms.overload_multiple * (terms.warm_up_initial_share + (1.0 - terms.warm_up_initial_share) * back) * usual;
+            let open = terms.overload_multiple
+                * (terms.warm_up_initial_share + (1.0 - terms.warm_up_initial_share) * back)
+                * usual;
             let budget = (BUDGET * open).max(1000.0 / PING / terms.forwarder_count);
             let most = BUDGET * open + (2.0 * (open * all).sqrt() + 2.0) / all;
             rate = rate.min((budget * lane.trust.max(1.0)).min(most.max(budget)));
@@ -122,8 +123,8 @@
         let counted = self
             .a_second(here, &self.offered)
             .min(1.5 * self.a_second(here, &self.called));
-        let part =
-            (self.told_rate / here.terms.forwarder_count / self.running_lanes()).min(BELIEVED * counted);
+        let part = (self.told_rate / here.terms.forwarder_count / self.running_lanes())
+            .min(BELIEVED * counted);
         counted
             .max(self.noted.0 * (-(here.now - self.noted.1) / USUAL).exp())
             .max(part)
@@ -191,9 +192,10 @@
 
     /// It may have returned half of a ping's longest pause later than is taken here.
     pub(super) fn is_cold(&self, here: &Here) -> bool {
-        let cold =
-            here.terms.warm_up_duration + 0.6 * PING * (here.terms.forwarder_count.sqrt() / 1.5).max(1.0);
-        here.terms.tuning.paces_calls && self.cold_since.is_some_and(|since| here.now - since < cold)
+        let cold = here.terms.warm_up_duration
+            + 0.6 * PING * (here.terms.forwarder_count.sqrt() / 1.5).max(1.0);
+        here.terms.tuning.paces_calls
+            && self.cold_since.is_some_and(|since| here.now - since < cold)
     }
 
     /// Nothing is out and no wait or cold time is still to be kept.
@@ -231,8 +233,11 @@
 
     /// When an offline lane gets its next ping.
     pub(super) fn ping_due(&self, lane: &Lane, wanted: bool) -> Ms {
-        let pings =
-            wanted && self.terms.health_checks_allowed && lane.offline && !lane.ping_out && lane.runs();
+        let pings = wanted
+            && self.terms.health_checks_allowed
+            && lane.offline
+            && !lane.ping_out
+            && lane.runs();
         Some(lane.ping_at.max(lane.closed_until))
             .filter(|_| pings)
             .unwrap_or(f64::INFINITY)
--- a/decisions/src/scheduler/outcomes.rs
+++ b/decisions/src/scheduler/outcomes.rs
@@ -20,7 +20,10 @@
 
     pub fn on_attempt_ended(&mut self, id: &EventId, ended: AttemptReport) -> InputResult {
         let AttemptReport {
-            outcome: fate, event_complete: over, retry_after: wait, ..
+            outcome: fate,
+            event_complete: over,
+            retry_after: wait,
+            ..
         } = ended;
         let &(of, place) = self.places.get(id).ok_or(UnknownId("the event"))?;
         let (now, here) = (self.here.now, &mut self.here);
@@ -62,13 +65,16 @@
         let event = to.events.get_mut(&place).expect("placed");
         event.over |= over || fate == AttemptOutcome::Delivered;
         // Half a second, or as told, doubling with its sends, jittered.
-        let pause =
-            here.terms.tuning.retry_backoff.initial(fate) * f64::powi(2.0, event.sends.min(6) as i32 - 1);
+        let pause = here.terms.tuning.retry_backoff.initial(fate)
+            * f64::powi(2.0, event.sends.min(6) as i32 - 1);
         event.not_before = now + pause * jitter(here.draw(place));
         if fate.may_have_run() {
             event.may_have_run.get_or_insert((sent, zone));
         }
-        let cut = matches!(fate, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
+        let cut = matches!(
+            fate,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled
+        );
         event
             .key
             .filter(|_| cut)
@@ -79,7 +85,11 @@
         Ok(())
     }
 
-    pub fn on_health_check_ended(&mut self, target: &TargetId, fate: AttemptOutcome) -> InputResult {
+    pub fn on_health_check_ended(
+        &mut self,
+        target: &TargetId,
+        fate: AttemptOutcome,
+    ) -> InputResult {
         let &of = self.homes.get(target).ok_or(UnknownId("the target"))?;
         let to = self.destinations.get_mut(&of).expect("a home");
         let at = to.lane_of(target).expect("at home");
@@ -138,7 +148,8 @@
             here.counts[self.kind.0]
                 .unconnected
                 .add(now, REUSE, crammed as u8 as f64);
-            (!lane.offline || !here.terms.tuning.release_on_health_check_only).then(|| lane.release(now));
+            (!lane.offline || !here.terms.tuning.release_on_health_check_only)
+                .then(|| lane.release(now));
         }
         let target = lane
             .targets
@@ -205,7 +216,10 @@
                 }
             }
             AttemptOutcome::TimedOut if took < here.least_time() => (), // cut by the end of patience: no sign of health
-            AttemptOutcome::Error | AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
+            AttemptOutcome::Error
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::Reset => {
                 lane.trust = 1.0;
                 target.failures += 1;
                 let unconnected = fate == AttemptOutcome::ConnectFailed;
@@ -218,8 +232,8 @@
                     here.counts[self.kind.0].unconnected.add(now, REUSE, 1.0);
                 }
                 let crammed = unconnected && here.closes(self.kind, crowded);
-                let beside =
-                    (fate == AttemptOutcome::Reset || crammed) && now - lane.delivered_at < 2.0 * PING;
+                let beside = (fate == AttemptOutcome::Reset || crammed)
+                    && now - lane.delivered_at < 2.0 * PING;
                 lane.failures += !beside as i32;
                 if fate == AttemptOutcome::TimedOut && lane.answered_at < sent {
                     // Slow: it gets more time. Lost, if others were answered meanwhile: that would pin slots.
--- a/decisions/src/scheduler/sends.rs
+++ b/decisions/src/scheduler/sends.rs
@@ -47,7 +47,9 @@
         let Some(first) = heads.first() else { return };
         let (at, target) = to.pick(here, *first, &open, out);
         let called = &to.lanes[at].targets[target];
-        let most = here.terms.destination_kinds[to.kind.0].max_events_per_call.max(1);
+        let most = here.terms.destination_kinds[to.kind.0]
+            .max_events_per_call
+            .max(1);
         let most = if to.lanes[at].is_cold(here) {
             most.min(1 + (1.0 / RIDER) as usize)
         } else {
@@ -63,7 +65,8 @@
         for place in &aboard {
             let event = to.events.get_mut(place).expect("ready");
             // A binding event cannot be sent again: it is given twice the time.
-            let binding = here.terms.traffic_types[event.traffic.0].idempotency == Idempotency::NonIdempotent;
+            let binding =
+                here.terms.traffic_types[event.traffic.0].idempotency == Idempotency::NonIdempotent;
             event.call = Some(self.calls_made);
             (event.sends, event.untried) = (event.sends + 1, false);
             let given =
@@ -149,8 +152,8 @@
     pub(super) fn opens_at(&self, here: &Here, at: usize) -> Ms {
         let lane = &self.lanes[at];
         if lane.offline {
-            let trial =
-                !here.terms.health_checks_allowed && lane.targets.iter().all(|target| target.out == 0);
+            let trial = !here.terms.health_checks_allowed
+                && lane.targets.iter().all(|target| target.out == 0);
             return if trial {
                 lane.ping_at.max(lane.closed_until)
             } else {
@@ -222,7 +225,9 @@
 
 impl Here {
     pub(super) fn may_go(&self, event: &Event, target: &Target) -> bool {
-        let bound = self.terms.traffic_types[event.traffic.0].idempotency.retries_in_zone();
+        let bound = self.terms.traffic_types[event.traffic.0]
+            .idempotency
+            .retries_in_zone();
         !bound
             || event
                 .may_have_run
--- a/decisions/tests/adopted.rs
+++ b/decisions/tests/adopted.rs
@@ -39,7 +39,10 @@
     assert!(host.take(2.0, "b", RETRIABLE, 1, Some(5)).is_empty());
     assert!(host.idle(3999.0).is_empty());
     assert_eq!(host.idle(4000.0), ["send a to t"], "it is retriable again");
-    assert_eq!(host.ends(4100.0, "a", AttemptOutcome::Delivered), ["send b to t"]);
+    assert_eq!(
+        host.ends(4100.0, "a", AttemptOutcome::Delivered),
+        ["send b to t"]
+    );
 }
 
 #[rstest]
@@ -48,7 +51,8 @@
     assert_eq!(adopts(&mut host, 1.0, BINDING), ["write off a"]);
     assert!(host.take(2.0, "b", BINDING, 1, Some(5)).is_empty());
     assert!(
-        host.at(500.0, |f| f.on_completion_acknowledged(&event("a"))).is_empty(),
+        host.at(500.0, |f| f.on_completion_acknowledged(&event("a")))
+            .is_empty(),
         "past the rest after a restart"
     );
     assert!(host.idle(3999.0).is_empty());
@@ -74,7 +78,9 @@
         host.take(2.0, "a", BINDING, 1, Some(5)).is_empty(),
         "behind the first of its key"
     );
-    let told = host.at(3.0, |f| f.merge_remote_attempts(&event("a"), 1, Some((0.5, ZoneId(0)))));
+    let told = host.at(3.0, |f| {
+        f.merge_remote_attempts(&event("a"), 1, Some((0.5, ZoneId(0))))
+    });
     assert_eq!(told, ["write off a"]);
 }
 
@@ -88,7 +94,11 @@
     let mut host = ordered();
     assert_eq!(host.take(1.0, "a", BINDING, 1, Some(5)), ["send a to t"]);
     assert!(host
-        .at(2.0, |f| f.merge_remote_attempts(&event("a"), 1, Some((0.5, ZoneId(0)))))
+        .at(2.0, |f| f.merge_remote_attempts(
+            &event("a"),
+            1,
+            Some((0.5, ZoneId(0)))
+        ))
         .is_empty());
     assert_eq!(host.ends(100.0, "a", fate), then);
 }
@@ -99,7 +109,11 @@
     host.take(10.0, "a", FINGERPRINTED, 1, None);
     host.ends(100.0, "a", AttemptOutcome::Error);
     assert!(host
-        .at(101.0, |f| f.merge_remote_attempts(&event("a"), 1, Some((1.0, ZoneId(0)))))
+        .at(101.0, |f| f.merge_remote_attempts(
+            &event("a"),
+            1,
+            Some((1.0, ZoneId(0)))
+        ))
         .is_empty());
     let told = host.idle(3000.0);
     assert_eq!(told, ["send a to t"], "within the window of the first send");
--- a/decisions/tests/cold.rs
+++ b/decisions/tests/cold.rs
@@ -46,7 +46,8 @@
 #[case(20)]
 #[case(300)]
 fn a_cold_destination_is_sent_its_budget_not_its_backlog(#[case] backlog: u32) {
-    let mut host = Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
+    let mut host =
+        Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
     host.runs_well(20_000.0);
     host.goes_offline(20_000.0);
     host.ping_ends(20_050.0, "t", AttemptOutcome::TimedOut);
@@ -72,7 +73,8 @@
 #[rstest]
 fn a_cold_destination_that_answers_as_usual_is_given_more() {
     let sent = |took: Ms| {
-        let mut host = Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
+        let mut host =
+            Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
         host.runs_well(20_000.0);
         host.goes_offline(20_000.0);
         host.ping_ends(20_050.0, "t", AttemptOutcome::TimedOut);
@@ -114,7 +116,8 @@
 /// Met on sofia-main: a shut destination told all forwarders when it opens and was sent a burst that moment.
 #[rstest]
 fn a_destination_told_to_be_shut_for_long_returns_cold() {
-    let mut host = Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
+    let mut host =
+        Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
     host.runs_well(20_000.0);
     host.take(20_000.0, "a", RETRIABLE, 1, None);
     host.ends_with(20_001.0, "a", AttemptOutcome::Rejected, 6000.0);
@@ -137,7 +140,8 @@
 /// hardly any had gone there meanwhile.
 #[rstest]
 fn what_went_there_before_a_long_told_wait_is_what_the_cold_budget_goes_by() {
-    let mut host = Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
+    let mut host =
+        Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
     host.runs_well(1_500.0);
     host.take(1_510.0, "a", RETRIABLE, 1, None);
     host.ends_with(1_511.0, "a", AttemptOutcome::Rejected, 15_000.0);
@@ -172,7 +176,8 @@
 /// Met in a hunt on sofia-main: a call that timed out in a told wait of twenty seconds let the cold state end first.
 #[rstest]
 fn a_late_time_out_does_not_warm_a_destination_that_is_still_shut() {
-    let mut host = Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
+    let mut host =
+        Host::new(|terms| (terms.max_calls_in_flight, terms.event_capacity) = (400, 400));
     host.runs_well(20_000.0);
     for name in [
         "a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r",
--- a/decisions/tests/decision_stream.rs
+++ b/decisions/tests/decision_stream.rs
@@ -7,8 +7,8 @@
 use std::fmt::Write;
 
 use host::{event, target, terms};
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use rstest::rstest;
 
 const DIGESTS: &str = include_str!("decision_stream/digests.txt");
@@ -93,37 +93,49 @@
     }
 }
 
-impl Decisions for Recorder {
-    fn choose(&mut self, event: &EventId, open: &mut dyn Iterator<Item = &TargetId>) -> Option<usize> {
+impl Effects for Recorder {
+    fn select_target(
+        &mut self,
+        event: &EventId,
+        open: &mut dyn Iterator<Item = &TargetId>,
+    ) -> Option<usize> {
         let open: Vec<&str> = open.map(|target| &*target.0).collect();
         self.record("choose", format_args!("{} of {open:?}", event.0));
         // Past the end now and then: the draw stands then.
-        self.random.one_in(3).then(|| self.random.below(open.len() as u64 + 1) as usize)
+        self.random
+            .one_in(3)
+            .then(|| self.random.below(open.len() as u64 + 1) as usize)
     }
-    fn send(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
-        self.record("send", format_args!("{} {} {time_out:?} {leaves_by:?}", event.0, target.0));
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
+        self.record(
+            "send",
+            format_args!("{} {} {time_out:?} {leaves_by:?}", event.0, target.0),
+        );
         self.in_flight.insert(event.clone(), target.clone());
     }
-    fn dismiss(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
+    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
         self.record("dismiss", format_args!("{} {come_back_after:?}", event.0));
         self.completed(event)
     }
-    fn write_off(&mut self, event: &EventId) -> bool {
+    fn abandon(&mut self, event: &EventId) -> bool {
         self.record("write_off", format_args!("{}", event.0));
         self.completed(event)
     }
-    fn ping(&mut self, target: &TargetId) {
+    fn health_check(&mut self, target: &TargetId) {
         self.record("ping", format_args!("{}", target.0));
         self.health_checks.insert(target.clone());
     }
-    fn close_idle(&mut self, target: &TargetId) {
+    fn close_idle_connections(&mut self, target: &TargetId) {
         self.record("close_idle", format_args!("{}", target.0));
     }
-    fn take_back(&mut self, target: &TargetId) {
+    fn cancel_unsent(&mut self, target: &TargetId) {
         self.record("take_back", format_args!("{}", target.0));
     }
-    fn note_cold(&mut self, target: &TargetId, since: Ms, usual: f64) {
-        self.record("note_cold", format_args!("{} {since:?} {usual:?}", target.0));
+    fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
+        self.record(
+            "note_cold",
+            format_args!("{} {since:?} {usual:?}", target.0),
+        );
         self.warming_up.insert(target.clone(), (since, usual));
     }
     fn wake_after(&mut self, pause: Ms) {
@@ -132,24 +144,24 @@
 }
 
 /// Terms differ with the seed, so that each switch is met on both sides.
-fn terms_of(seed: u64) -> Terms {
+fn terms_of(seed: u64) -> DecisionConfig {
     let mut terms = terms();
     terms.seed = seed;
     terms.instance = seed % 3;
-    terms.forwarders = [1.0, 2.0, 9.0, 60.0][(seed % 4) as usize];
-    terms.slots = [4, 12, 40][(seed % 3) as usize];
-    terms.room = [40, 120][(seed % 2) as usize];
-    terms.pings_allowed = seed % 5 != 4;
-    terms.shares = vec![0.5, 3.0, 40.0];
-    terms.over_share_worth = 0.25;
-    terms.longest_advice = (seed % 4 != 3).then_some(2000.0);
-    terms.tuning.spaced = seed % 6 != 5;
-    terms.tuning.released_by_pings = seed % 7 == 6;
-    if let Effect::Fingerprinted { one_zone, .. } = &mut terms.traffic[1].effect {
+    terms.forwarder_count = [1.0, 2.0, 9.0, 60.0][(seed % 4) as usize];
+    terms.max_calls_in_flight = [4, 12, 40][(seed % 3) as usize];
+    terms.event_capacity = [40, 120][(seed % 2) as usize];
+    terms.health_checks_allowed = seed % 5 != 4;
+    terms.member_quotas = vec![0.5, 3.0, 40.0];
+    terms.over_quota_value_weight = 0.25;
+    terms.max_retry_after = (seed % 4 != 3).then_some(2000.0);
+    terms.tuning.paces_calls = seed % 6 != 5;
+    terms.tuning.release_on_health_check_only = seed % 7 == 6;
+    if let Idempotency::Deduplicated { per_zone: one_zone, .. } = &mut terms.traffic_types[1].idempotency {
         *one_zone = seed % 2 == 1;
     }
-    terms.traffic[2].payoff = 4.0;
-    terms.traffic[1].ordered = seed % 3 == 2;
+    terms.traffic_types[2].value = 4.0;
+    terms.traffic_types[1].ordered = seed % 3 == 2;
     terms
 }
 
@@ -157,10 +169,16 @@
     target(&format!("t{destination}-{number}"))
 }
 
-fn list(forwarder: &mut Forwarder, destination: u64, number: u64, listing: Listing) {
-    let kind = KindId((destination % 2) as usize);
+fn list(forwarder: &mut Scheduler, destination: u64, number: u64, listing: EndpointState) {
+    let kind = DestinationKindId((destination % 2) as usize);
     let zone = ZoneId((number % 2) as usize);
-    forwarder.listed(target_of(destination, number), DestinationId(destination), kind, zone, listing);
+    forwarder.on_endpoint_listed(
+        target_of(destination, number),
+        DestinationId(destination),
+        kind,
+        zone,
+        listing,
+    );
 }
 
 fn any_target(random: &mut Random) -> (u64, u64) {
@@ -176,28 +194,41 @@
 }
 
 /// How a call to the destination ends: each destination has hours of its own kind of trouble.
-fn fate(random: &mut Random, destination: u64, now: Ms) -> Fate {
+fn fate(random: &mut Random, destination: u64, now: Ms) -> AttemptOutcome {
     let hour = (now / 9000.0) as u64 + destination;
     let bad = match hour % 6 {
-        0 => Fate::NoConnection,
-        1 => Fate::Full,
-        2 => Fate::TimedOut,
-        3 => [Fate::Error, Fate::Reset, Fate::Cancelled, Fate::NotSent][random.below(4) as usize],
-        _ => Fate::Delivered,
+        0 => AttemptOutcome::ConnectFailed,
+        1 => AttemptOutcome::Rejected,
+        2 => AttemptOutcome::TimedOut,
+        3 => [AttemptOutcome::Error, AttemptOutcome::Reset, AttemptOutcome::Cancelled, AttemptOutcome::NotSent][random.below(4) as usize],
+        _ => AttemptOutcome::Delivered,
     };
     if random.one_in(4) {
-        Fate::Delivered
+        AttemptOutcome::Delivered
     } else {
         bad
     }
 }
 
-fn report(random: &mut Random, fate: Fate) -> Ended {
-    let took =
-        if fate == Fate::TimedOut { 900.0 + 1200.0 * random.unit() } else { 5.0 + 300.0 * random.unit() };
-    let wait = if fate == Fate::Full && random.one_in(3) { 4000.0 * random.unit() } else { 0.0 };
+fn report(random: &mut Random, fate: AttemptOutcome) -> AttemptReport {
+    let took = if fate == AttemptOutcome::TimedOut {
+        900.0 + 1200.0 * random.unit()
+    } else {
+        5.0 + 300.0 * random.unit()
+    };
+    let wait = if fate == AttemptOutcome::Rejected && random.one_in(3) {
+        4000.0 * random.unit()
+    } else {
+        0.0
+    };
     let left = [None, Some(random.unit()), Some(-1.0), Some(0.05)][random.below(4) as usize];
-    Ended { took, wait, left, over: fate == Fate::Delivered || random.one_in(40), ..Ended::plain(fate) }
+    AttemptReport {
+        elapsed: took,
+        retry_after: wait,
+        limit_remaining: left,
+        event_complete: fate == AttemptOutcome::Delivered || random.one_in(40),
+        ..AttemptReport::from_outcome(fate)
+    }
 }
 
 /// What one round hands over.
@@ -208,28 +239,31 @@
 }
 
 impl World {
-    fn accept(&mut self, forwarder: &mut Forwarder, recorder: &mut Recorder) {
+    fn accept(&mut self, forwarder: &mut Scheduler, recorder: &mut Recorder) {
         self.accepted += 1;
         let id = event(&format!("e{}", self.accepted));
         let destination = DestinationId(1 + self.random.below(DESTINATIONS));
-        let key = self.random.one_in(2).then(|| OrderKey(self.random.below(12)));
-        let traffic = TrafficId(self.random.below(3) as usize);
+        let key = self
+            .random
+            .one_in(2)
+            .then(|| OrderKey(self.random.below(12)));
+        let traffic = TrafficTypeId(self.random.below(3) as usize);
         let patience_ends = self.now + 1000.0 + 19_000.0 * self.random.unit();
-        forwarder.taken(id.clone(), destination, traffic, patience_ends, key);
+        forwarder.accept_event(id.clone(), destination, traffic, patience_ends, key);
         recorder.live.insert(id.clone());
         match self.random.below(24) {
-            0..8 => forwarder.asked_by(&id, self.random.below(4) as usize, self.random.one_in(5)),
+            0..8 => forwarder.charge_member(&id, self.random.below(4) as usize, self.random.one_in(5)),
             8 => {
                 let sends = self.random.below(3) as u32;
                 let ran = (sends > 0).then(|| (self.now - 500.0 * self.random.unit(), ZoneId(1)));
-                forwarder.restored(&id, sends, ran, sends > 0 && self.random.one_in(2));
+                forwarder.restore_attempts(&id, sends, ran, sends > 0 && self.random.one_in(2));
             }
             9 => {
-                forwarder.restored(&id, 1, Some((self.now - 10.0, ZoneId(0))), true);
-                forwarder.out_elsewhere(&id, self.now + 2000.0 * self.random.unit());
+                forwarder.restore_attempts(&id, 1, Some((self.now - 10.0, ZoneId(0))), true);
+                forwarder.defer_for_remote_attempt(&id, self.now + 2000.0 * self.random.unit());
             }
             10 => {
-                forwarder.ended_before(&id);
+                forwarder.restore_completed(&id);
                 recorder.live.remove(&id);
                 recorder.unacknowledged.insert(id);
             }
@@ -237,7 +271,7 @@
         }
     }
 
-    fn end_calls(&mut self, forwarder: &mut Forwarder, recorder: &mut Recorder) {
+    fn end_calls(&mut self, forwarder: &mut Scheduler, recorder: &mut Recorder) {
         let out: Vec<EventId> = recorder.in_flight.keys().cloned().collect();
         for id in out {
             if !self.random.one_in(3) {
@@ -247,45 +281,47 @@
             let destination = target.0[1..2].parse().expect("a digit");
             let fate = fate(&mut self.random, destination, self.now);
             let report = report(&mut self.random, fate);
-            if report.over {
+            if report.event_complete {
                 recorder.live.remove(&id);
             }
-            forwarder.send_ended(&id, report).expect("was sent");
+            forwarder.on_attempt_ended(&id, report).expect("was sent");
         }
     }
 
-    fn end_health_checks(&mut self, forwarder: &mut Forwarder, recorder: &mut Recorder) {
-        let Some(target) = pick(&mut self.random, &recorder.health_checks) else { return };
+    fn end_health_checks(&mut self, forwarder: &mut Scheduler, recorder: &mut Recorder) {
+        let Some(target) = pick(&mut self.random, &recorder.health_checks) else {
+            return;
+        };
         recorder.health_checks.remove(&target);
         let destination = target.0[1..2].parse().expect("a digit");
         let fate = fate(&mut self.random, destination, self.now);
         // A target that was forgotten meanwhile is unknown.
-        let known = forwarder.ping_ended(&target, fate);
+        let known = forwarder.on_health_check_ended(&target, fate);
         recorder.record("ping_ended", format_args!("{known:?}"));
     }
 
-    fn change_list(&mut self, forwarder: &mut Forwarder) {
+    fn change_list(&mut self, forwarder: &mut Scheduler) {
         let (destination, number) = any_target(&mut self.random);
         match self.random.below(8) {
             0 => {
-                forwarder.list_replaced();
+                forwarder.on_endpoint_list_replaced();
                 for destination in 1..=DESTINATIONS {
                     for number in 0..TARGETS {
                         if !self.random.one_in(12) {
-                            list(forwarder, destination, number, Listing::Running);
+                            list(forwarder, destination, number, EndpointState::Running);
                         }
                     }
                 }
             }
-            1 => forwarder.relisted(&target_of(destination, number), Listing::Gone),
-            2 => forwarder.relisted(&target_of(destination, number), Listing::Leaving),
-            3 => forwarder.restarted(&target_of(destination, number)),
-            4 => forwarder.rate_told(DestinationId(destination), 200.0 * self.random.unit()),
-            _ => list(forwarder, destination, number, Listing::Running),
+            1 => forwarder.set_endpoint_state(&target_of(destination, number), EndpointState::Removed),
+            2 => forwarder.set_endpoint_state(&target_of(destination, number), EndpointState::Draining),
+            3 => forwarder.on_target_restarted(&target_of(destination, number)),
+            4 => forwarder.set_advertised_rate(DestinationId(destination), 200.0 * self.random.unit()),
+            _ => list(forwarder, destination, number, EndpointState::Running),
         }
     }
 
-    fn came_in(&mut self, forwarder: &mut Forwarder, recorder: &mut Recorder) {
+    fn came_in(&mut self, forwarder: &mut Scheduler, recorder: &mut Recorder) {
         self.end_calls(forwarder, recorder);
         if self.random.one_in(2) {
             self.end_health_checks(forwarder, recorder);
@@ -300,23 +336,23 @@
         if self.random.one_in(3) {
             if let Some(id) = pick(&mut self.random, &recorder.unacknowledged) {
                 recorder.unacknowledged.remove(&id);
-                forwarder.heard(&id);
+                forwarder.on_completion_acknowledged(&id);
             }
         }
         if self.random.one_in(60) {
             if let Some(id) = pick(&mut self.random, &recorder.live) {
                 recorder.live.remove(&id);
-                forwarder.withdrawn(&id);
+                forwarder.withdraw_event(&id);
             }
         }
         if self.random.one_in(60) {
             if let Some(id) = pick(&mut self.random, &recorder.live) {
-                forwarder.joined(&id, 1, Some((self.now - 100.0, ZoneId(0))));
+                forwarder.merge_remote_attempts(&id, 1, Some((self.now - 100.0, ZoneId(0))));
             }
         }
         if self.random.one_in(400) {
             for (target, (since, usual)) in &recorder.warming_up {
-                forwarder.was_cold(target, *since, *usual);
+                forwarder.restore_warm_up(target, *since, *usual);
             }
         }
     }
@@ -325,34 +361,51 @@
 /// One line of the fixture: the seed, how many decisions there were, and the digest of all of them.
 fn stream(seed: u64) -> (String, BTreeMap<&'static str, u64>) {
     let mut recorder = Recorder::new(seed);
-    let mut world = World { random: Random(seed), now: 0.0, accepted: 0 };
-    let mut forwarder = Forwarder::start(terms_of(seed), 0.0);
+    let mut world = World {
+        random: Random(seed),
+        now: 0.0,
+        accepted: 0,
+    };
+    let mut forwarder = Scheduler::new(terms_of(seed), 0.0);
     for destination in 1..=DESTINATIONS {
         for number in 0..TARGETS {
-            list(&mut forwarder, destination, number, Listing::Running);
+            list(&mut forwarder, destination, number, EndpointState::Running);
         }
     }
     for round in 0..ROUNDS {
-        let quiet = if world.random.one_in(200) { 4000.0 } else { 40.0 };
+        let quiet = if world.random.one_in(200) {
+            4000.0
+        } else {
+            40.0
+        };
         world.now += 1.0 + quiet * world.random.unit();
         let now = world.now;
         if round + 400 == ROUNDS {
-            forwarder.closing(now + 30_000.0);
+            forwarder.begin_shutdown(now + 30_000.0);
         }
         if world.random.one_in(500) {
             let state = rmp_serde::to_vec(&forwarder).expect("encodes");
-            forwarder = rmp_serde::from_slice::<Forwarder>(&state).expect("decodes").resumed(terms_of(seed));
+            forwarder = rmp_serde::from_slice::<Scheduler>(&state)
+                .expect("decodes")
+                .resume(terms_of(seed));
         }
-        let hand_over = |forwarder: &mut Forwarder, recorder: &mut Recorder| {
+        let hand_over = |forwarder: &mut Scheduler, recorder: &mut Recorder| {
             world.came_in(forwarder, recorder);
-            Ok::<(), Unknown>(())
+            Ok::<(), UnknownId>(())
         };
-        forwarder.round(now, hand_over, &mut recorder).expect("names only what was introduced");
-        let known = (1..=DESTINATIONS + 1).filter(|&id| forwarder.knows(DestinationId(id))).count();
+        forwarder
+            .run_iteration(now, hand_over, &mut recorder)
+            .expect("names only what was introduced");
+        let known = (1..=DESTINATIONS + 1)
+            .filter(|&id| forwarder.knows_destination(DestinationId(id)))
+            .count();
         recorder.digest.add(&format!("round {now:?} {known}\n"));
     }
     let decisions: u64 = recorder.counts.values().sum();
-    (format!("{seed} {decisions} {:016x}", recorder.digest.0), recorder.counts)
+    (
+        format!("{seed} {decisions} {:016x}", recorder.digest.0),
+        recorder.counts,
+    )
 }
 
 #[rstest]
@@ -384,6 +437,9 @@
         "wake_after",
     ];
     for decision in all {
-        assert!(counts.get(decision).is_some_and(|count| *count >= 20), "{decision}: {counts:?}");
+        assert!(
+            counts.get(decision).is_some_and(|count| *count >= 20),
+            "{decision}: {counts:?}"
+        );
     }
 }
--- a/decisions/tests/fleet/destination.rs
+++ b/decisions/tests/fleet/destination.rs
@@ -36,7 +36,8 @@
         (FAILS..BACK).contains(&now)
     }
     pub fn warmth(now: Ms, terms: &DecisionConfig) -> f64 {
-        let warm = terms.warm_up_initial_share + (1.0 - terms.warm_up_initial_share) * (now - BACK) / terms.warm_up_duration;
+        let warm = terms.warm_up_initial_share
+            + (1.0 - terms.warm_up_initial_share) * (now - BACK) / terms.warm_up_duration;
         if now < BACK {
             1.0
         } else {
--- a/decisions/tests/fleet/mod.rs
+++ b/decisions/tests/fleet/mod.rs
@@ -149,13 +149,15 @@
                             waits,
                         };
                         if Destination::is_down(now) {
-                            member
-                                .came_in
-                                .push(CameIn::Ended(call.name, AttemptReport::from_outcome(AttemptOutcome::ConnectFailed)));
+                            member.came_in.push(CameIn::Ended(
+                                call.name,
+                                AttemptReport::from_outcome(AttemptOutcome::ConnectFailed),
+                            ));
                         } else if to.queue.len() >= to.queue_takes() {
-                            member
-                                .came_in
-                                .push(CameIn::Ended(call.name, AttemptReport::from_outcome(AttemptOutcome::Rejected)));
+                            member.came_in.push(CameIn::Ended(
+                                call.name,
+                                AttemptReport::from_outcome(AttemptOutcome::Rejected),
+                            ));
                         } else {
                             to.queue.push_back(call);
                         }
@@ -232,8 +234,12 @@
     member.host.at(now, |f| {
         for came_in in came_in {
             match came_in {
-                CameIn::Ended(name, ended) => f.on_attempt_ended(&event(&name), ended).expect("was sent"),
-                CameIn::Pinged(fate) => f.on_health_check_ended(&target("t"), fate).expect("was listed"),
+                CameIn::Ended(name, ended) => {
+                    f.on_attempt_ended(&event(&name), ended).expect("was sent")
+                }
+                CameIn::Pinged(fate) => f
+                    .on_health_check_ended(&target("t"), fate)
+                    .expect("was listed"),
             }
         }
         for name in fresh {
--- a/decisions/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)] // each file of stories uses its part
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 
 pub const RETRIABLE: TrafficTypeId = TrafficTypeId(0);
 pub const FINGERPRINTED: TrafficTypeId = TrafficTypeId(1);
@@ -158,7 +158,13 @@
         self.ends_with(now, name, fate, 0.0)
     }
 
-    pub fn ends_with(&mut self, now: Ms, name: &str, fate: AttemptOutcome, wait: Ms) -> Vec<String> {
+    pub fn ends_with(
+        &mut self,
+        now: Ms,
+        name: &str,
+        fate: AttemptOutcome,
+        wait: Ms,
+    ) -> Vec<String> {
         self.ends_told(now, name, fate, wait, None)
     }
 
@@ -191,7 +197,8 @@
 
     pub fn ping_ends(&mut self, now: Ms, name: &str, fate: AttemptOutcome) -> Vec<String> {
         self.at(now, |f| {
-            f.on_health_check_ended(&target(name), fate).expect("was listed")
+            f.on_health_check_ended(&target(name), fate)
+                .expect("was listed")
         })
     }
 
--- a/decisions/tests/keys.rs
+++ b/decisions/tests/keys.rs
@@ -15,7 +15,10 @@
         "one key space for all destinations"
     );
     assert_eq!(host.take(3.0, "c", BINDING, 1, Some(6)), ["send c to t"]);
-    assert_eq!(host.ends(4.0, "a", AttemptOutcome::Delivered), ["send b to u"]);
+    assert_eq!(
+        host.ends(4.0, "a", AttemptOutcome::Delivered),
+        ["send b to u"]
+    );
 }
 
 #[rstest]
@@ -42,7 +45,10 @@
     host.take(1.0, "a", BINDING, 1, Some(5));
     host.take(1.0, "b", BINDING, 1, Some(5));
     assert!(host.at(2.0, |f| f.withdraw_event(&event("a"))).is_empty());
-    assert_eq!(host.ends(3.0, "a", AttemptOutcome::Delivered), ["send b to t"]);
+    assert_eq!(
+        host.ends(3.0, "a", AttemptOutcome::Delivered),
+        ["send b to t"]
+    );
 }
 
 /// Guards key order on sockets, where an event that ends by a notice is over only once that is answered.
@@ -54,7 +60,10 @@
     host.take(1.0, "b", BINDING, 2, Some(5));
     assert_eq!(host.ends(10.0, "a", AttemptOutcome::Error), ["write off a"]);
     assert!(host.idle(500.0).is_empty());
-    assert_eq!(host.at(501.0, |f| f.on_completion_acknowledged(&event("a"))), ["send b to u"]);
+    assert_eq!(
+        host.at(501.0, |f| f.on_completion_acknowledged(&event("a"))),
+        ["send b to u"]
+    );
 }
 
 #[rstest]
--- a/decisions/tests/limits.rs
+++ b/decisions/tests/limits.rs
@@ -95,16 +95,23 @@
     let mut host = plain();
     host.take(1.0, "a", RETRIABLE, 1, None);
     host.take(1.0, "b", RETRIABLE, 1, None);
-    assert_eq!(host.ends_with(2.0, "a", AttemptOutcome::Rejected, 500.0), ["take back t"]);
+    assert_eq!(
+        host.ends_with(2.0, "a", AttemptOutcome::Rejected, 500.0),
+        ["take back t"]
+    );
 }
 
 #[rstest]
 fn a_route_that_left_and_came_back_is_still_waited_for() {
     let mut host = plain();
-    host.at(0.0, |f| f.set_endpoint_state(&target("w"), EndpointState::Removed));
+    host.at(0.0, |f| {
+        f.set_endpoint_state(&target("w"), EndpointState::Removed)
+    });
     host.take(1.0, "a", RETRIABLE, 3, None);
     host.ends_with(2.0, "a", AttemptOutcome::Rejected, 5000.0);
-    host.at(3.0, |f| f.set_endpoint_state(&target("v"), EndpointState::Removed));
+    host.at(3.0, |f| {
+        f.set_endpoint_state(&target("v"), EndpointState::Removed)
+    });
     host.at(4.0, |f| {
         f.on_endpoint_listed(
             target("v"),
@@ -136,7 +143,11 @@
         let told = host.take(now, &name, RETRIABLE, 1, None);
         for word in told.iter().filter(|word| word.starts_with("send")) {
             sent += 1;
-            host.ends(now, word.split(' ').nth(1).expect("a name"), AttemptOutcome::Rejected);
+            host.ends(
+                now,
+                word.split(' ').nth(1).expect("a name"),
+                AttemptOutcome::Rejected,
+            );
         }
     }
     assert!((1..=8).contains(&sent), "{sent} in two seconds");
@@ -182,7 +193,13 @@
         for n in 0..30 {
             let (other, name) = (DestinationId(n + 10), format!("other{n}"));
             host.at(n as f64, |f| {
-                f.on_endpoint_listed(target(&name), other, DestinationKindId(0), ZoneId(0), EndpointState::Running)
+                f.on_endpoint_listed(
+                    target(&name),
+                    other,
+                    DestinationKindId(0),
+                    ZoneId(0),
+                    EndpointState::Running,
+                )
             });
             host.take(n as f64, &name, RETRIABLE, other.0, None);
             let fate = if n < refused {
--- a/decisions/tests/restarts.rs
+++ b/decisions/tests/restarts.rs
@@ -166,5 +166,8 @@
         );
     });
     assert!(told.is_empty(), "{told:?}");
-    assert_eq!(host.at(2.0, |f| f.on_completion_acknowledged(&event("a"))), ["send b to t"]);
+    assert_eq!(
+        host.at(2.0, |f| f.on_completion_acknowledged(&event("a"))),
+        ["send b to t"]
+    );
 }
--- a/decisions/tests/room.rs
+++ b/decisions/tests/room.rs
@@ -3,8 +3,8 @@
 mod host;
 
 use host::*;
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use rstest::rstest;
 
 #[rstest]
@@ -190,7 +190,9 @@
         ["dismiss e35"],
         "36 may be held, the four that wait to be heard are not"
     );
-    assert!(host.at(3.0, |f| f.on_completion_acknowledged(&event("e39"))).is_empty());
+    assert!(host
+        .at(3.0, |f| f.on_completion_acknowledged(&event("e39")))
+        .is_empty());
 }
 
 /// What a restart found taken on and untried, of a destination that is cold, was dismissed in the first rounds to
--- a/decisions/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -47,7 +47,9 @@
     let mut host = plain();
     let known = |host: &Host, of| host.forwarder.knows_destination(DestinationId(of));
     assert!(known(&host, 1) && !known(&host, 70_000));
-    host.at(10.0, |f| f.set_endpoint_state(&target("t"), EndpointState::Removed));
+    host.at(10.0, |f| {
+        f.set_endpoint_state(&target("t"), EndpointState::Removed)
+    });
     host.idle(50_000.0);
     assert!(known(&host, 1), "its next targets may be on the way");
     host.idle(70_100.0);
@@ -130,7 +132,9 @@
 fn idle_connections_are_closed_once_calls_on_them_are_lost() {
     let mut host = plain();
     host.take(1.0, "fresh", RETRIABLE, 1, None);
-    assert!(host.ends(100.0, "fresh", AttemptOutcome::Delivered).is_empty());
+    assert!(host
+        .ends(100.0, "fresh", AttemptOutcome::Delivered)
+        .is_empty());
     assert!(
         host.idle(3000.0).is_empty(),
         "kept while nothing speaks against it"
--- a/decisions/tests/wire_format.rs
+++ b/decisions/tests/wire_format.rs
@@ -7,8 +7,8 @@
 mod host;
 
 use host::{event, target};
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use rstest::rstest;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -21,55 +21,69 @@
 }
 
 fn from_hex(text: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("the fixture is hexadecimal");
+    let digit =
+        |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("the fixture is hexadecimal");
     (0..text.len()).step_by(2).map(digit).collect()
 }
 
 /// The bytes that the fixture has under a name.
 fn expected(fixture: &str, name: &str) -> String {
-    let line = fixture.lines().find(|line| line.split(' ').next() == Some(name));
+    let line = fixture
+        .lines()
+        .find(|line| line.split(' ').next() == Some(name));
     let line = line.unwrap_or_else(|| panic!("{name} is not in the fixture"));
-    line.split(' ').nth(1).expect("a line has a name and bytes").to_owned()
+    line.split(' ')
+        .nth(1)
+        .expect("a line has a name and bytes")
+        .to_owned()
 }
 
 fn assert_pinned<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     let fixture = expected(VALUES, name);
-    assert_eq!(to_hex(&rmp_serde::to_vec(value).expect("encodes")), fixture, "{name} encodes otherwise");
+    assert_eq!(
+        to_hex(&rmp_serde::to_vec(value).expect("encodes")),
+        fixture,
+        "{name} encodes otherwise"
+    );
     let decoded: T = rmp_serde::from_slice(&from_hex(&fixture)).expect("the fixture decodes");
-    assert_eq!(to_hex(&rmp_serde::to_vec(&decoded).expect("encodes")), fixture, "{name} decodes otherwise");
+    assert_eq!(
+        to_hex(&rmp_serde::to_vec(&decoded).expect("encodes")),
+        fixture,
+        "{name} decodes otherwise"
+    );
 }
 
 /// Each variant, with the name that its fixture has. No wildcard: a new variant does not compile unpinned.
-fn fate_name(fate: Fate) -> &'static str {
+fn fate_name(fate: AttemptOutcome) -> &'static str {
     match fate {
-        Fate::Delivered => "Fate::Delivered",
-        Fate::Error => "Fate::Error",
-        Fate::Full => "Fate::Full",
-        Fate::TimedOut => "Fate::TimedOut",
-        Fate::NoConnection => "Fate::NoConnection",
-        Fate::Reset => "Fate::Reset",
-        Fate::Cancelled => "Fate::Cancelled",
-        Fate::NotSent => "Fate::NotSent",
+        AttemptOutcome::Delivered => "Fate::Delivered",
+        AttemptOutcome::Error => "Fate::Error",
+        AttemptOutcome::Rejected => "Fate::Full",
+        AttemptOutcome::TimedOut => "Fate::TimedOut",
+        AttemptOutcome::ConnectFailed => "Fate::NoConnection",
+        AttemptOutcome::Reset => "Fate::Reset",
+        AttemptOutcome::Cancelled => "Fate::Cancelled",
+        AttemptOutcome::NotSent => "Fate::NotSent",
     }
 }
 
-fn listing_name(listing: Listing) -> &'static str {
+fn listing_name(listing: EndpointState) -> &'static str {
     match listing {
-        Listing::Running => "Listing::Running",
-        Listing::Leaving => "Listing::Leaving",
-        Listing::Gone => "Listing::Gone",
+        EndpointState::Running => "Listing::Running",
+        EndpointState::Draining => "Listing::Leaving",
+        EndpointState::Removed => "Listing::Gone",
     }
 }
 
-const FATES: [Fate; 8] = [
-    Fate::Delivered,
-    Fate::Error,
-    Fate::Full,
-    Fate::TimedOut,
-    Fate::NoConnection,
-    Fate::Reset,
-    Fate::Cancelled,
-    Fate::NotSent,
+const FATES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Delivered,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 
 #[rstest]
@@ -78,8 +92,8 @@
     assert_pinned("TargetId", &target("target-9"));
     assert_pinned("DestinationId", &DestinationId(70_000));
     assert_pinned("OrderKey", &OrderKey(u64::MAX - 1));
-    assert_pinned("TrafficId", &TrafficId(3));
-    assert_pinned("KindId", &KindId(2));
+    assert_pinned("TrafficId", &TrafficTypeId(3));
+    assert_pinned("KindId", &DestinationKindId(2));
     assert_pinned("ZoneId", &ZoneId(4));
     assert_pinned("ZoneId::UNKNOWN", &ZoneId::UNKNOWN);
 }
@@ -93,137 +107,244 @@
 
 #[rstest]
 fn endpoint_states_have_the_pinned_form() {
-    for listing in [Listing::Running, Listing::Leaving, Listing::Gone] {
+    for listing in [EndpointState::Running, EndpointState::Draining, EndpointState::Removed] {
         assert_pinned(listing_name(listing), &listing);
     }
 }
 
 #[rstest]
 fn reports_have_the_pinned_form() {
-    let full = Ended { fate: Fate::Full, took: 12.5, over: true, wait: 250.25, left: Some(0.75) };
+    let full = AttemptReport {
+        outcome: AttemptOutcome::Rejected,
+        elapsed: 12.5,
+        event_complete: true,
+        retry_after: 250.25,
+        limit_remaining: Some(0.75),
+    };
     assert_pinned("Ended", &full);
-    assert_pinned("Ended::plain", &Ended::plain(Fate::Delivered));
+    assert_pinned("Ended::plain", &AttemptReport::from_outcome(AttemptOutcome::Delivered));
 }
 
 /// One of each that the state keeps in an unordered map, so that its bytes have one order.
-fn terms() -> Terms {
+fn terms() -> DecisionConfig {
     let mut terms = host::terms();
-    for traffic in &mut terms.traffic {
+    for traffic in &mut terms.traffic_types {
         traffic.ordered = true;
     }
-    terms.shares = vec![0.5];
+    terms.member_quotas = vec![0.5];
     terms
 }
 
-fn accept(forwarder: &mut Forwarder, name: &str, traffic: TrafficId) {
-    forwarder.taken(event(name), DestinationId(7), traffic, 20_000.0, Some(OrderKey(5)));
+fn accept(forwarder: &mut Scheduler, name: &str, traffic: TrafficTypeId) {
+    forwarder.accept_event(
+        event(name),
+        DestinationId(7),
+        traffic,
+        20_000.0,
+        Some(OrderKey(5)),
+    );
 }
 
-fn ends(forwarder: &mut Forwarder, name: &str, ended: Ended) {
-    forwarder.send_ended(&event(name), ended).expect("was sent");
+fn ends(forwarder: &mut Scheduler, name: &str, ended: AttemptReport) {
+    forwarder.on_attempt_ended(&event(name), ended).expect("was sent");
 }
 
 /// What comes in at one round of the story, and when. The state after the round is in the fixture by this name,
 /// but not where `UNPINNED`: two events are in the state then, in an unordered map.
-type Step = (&'static str, Ms, fn(&mut Forwarder));
+type Step = (&'static str, Ms, fn(&mut Scheduler));
 
 const UNPINNED: &str = "unpinned";
 
 const STORY: [Step; 26] = [
     ("listed", 100.0, |f| {
-        f.listed(target("t"), DestinationId(7), KindId(1), ZoneId(3), Listing::Running);
-        f.rate_told(DestinationId(7), 12.5);
+        f.on_endpoint_listed(
+            target("t"),
+            DestinationId(7),
+            DestinationKindId(1),
+            ZoneId(3),
+            EndpointState::Running,
+        );
+        f.set_advertised_rate(DestinationId(7), 12.5);
+    }),
+    ("in-flight", 200.0, |f| accept(f, "a", TrafficTypeId(1))),
+    ("failed", 250.0, |f| {
+        ends(
+            f,
+            "a",
+            AttemptReport {
+                elapsed: 50.0,
+                ..AttemptReport::from_outcome(AttemptOutcome::Error)
+            },
+        )
     }),
-    ("in-flight", 200.0, |f| accept(f, "a", TrafficId(1))),
-    ("failed", 250.0, |f| ends(f, "a", Ended { took: 50.0, ..Ended::plain(Fate::Error) })),
     ("retried", 900.0, |_| ()),
-    ("ejected", 1000.0, |f| ends(f, "a", Ended { took: 100.0, ..Ended::plain(Fate::NoConnection) })),
-    ("health-checked", 1100.0, |f| f.ping_ended(&target("t"), Fate::NoConnection).expect("is listed")),
-    ("released", 2600.0, |f| f.ping_ended(&target("t"), Fate::Delivered).expect("is listed")),
+    ("ejected", 1000.0, |f| {
+        ends(
+            f,
+            "a",
+            AttemptReport {
+                elapsed: 100.0,
+                ..AttemptReport::from_outcome(AttemptOutcome::ConnectFailed)
+            },
+        )
+    }),
+    ("health-checked", 1100.0, |f| {
+        f.on_health_check_ended(&target("t"), AttemptOutcome::ConnectFailed)
+            .expect("is listed")
+    }),
+    ("released", 2600.0, |f| {
+        f.on_health_check_ended(&target("t"), AttemptOutcome::Delivered)
+            .expect("is listed")
+    }),
     ("warming-up", 4500.0, |_| ()),
-    ("reset", 4600.0, |f| ends(f, "a", Ended { took: 100.0, ..Ended::plain(Fate::Reset) })),
-    ("completed", 9000.0, |f| f.heard(&event("a"))),
+    ("reset", 4600.0, |f| {
+        ends(
+            f,
+            "a",
+            AttemptReport {
+                elapsed: 100.0,
+                ..AttemptReport::from_outcome(AttemptOutcome::Reset)
+            },
+        )
+    }),
+    ("completed", 9000.0, |f| f.on_completion_acknowledged(&event("a"))),
     ("accepted-again", 9100.0, |f| {
-        accept(f, "b", TrafficId(0));
-        f.restored(&event("b"), 0, None, false);
+        accept(f, "b", TrafficTypeId(0));
+        f.restore_attempts(&event("b"), 0, None, false);
+    }),
+    ("charged", 9200.0, |f| f.charge_member(&event("b"), 0, false)),
+    ("over-quota", 9300.0, |f| {
+        (0..8).for_each(|_| f.charge_member(&event("b"), 0, false))
     }),
-    ("charged", 9200.0, |f| f.asked_by(&event("b"), 0, false)),
-    ("over-quota", 9300.0, |f| (0..8).for_each(|_| f.asked_by(&event("b"), 0, false))),
     (UNPINNED, 13_000.0, |f| {
-        f.withdrawn(&event("b"));
-        ends(f, "b", Ended { took: 3500.0, ..Ended::plain(Fate::Cancelled) });
-        f.taken(event("d"), DestinationId(7), TrafficId(0), 33_000.0, None);
-        f.taken(event("e"), DestinationId(7), TrafficId(0), 33_000.0, None);
+        f.withdraw_event(&event("b"));
+        ends(
+            f,
+            "b",
+            AttemptReport {
+                elapsed: 3500.0,
+                ..AttemptReport::from_outcome(AttemptOutcome::Cancelled)
+            },
+        );
+        f.accept_event(event("d"), DestinationId(7), TrafficTypeId(0), 33_000.0, None);
+        f.accept_event(event("e"), DestinationId(7), TrafficTypeId(0), 33_000.0, None);
+    }),
+    ("half-delivered", 13_100.0, |f| {
+        ends(
+            f,
+            "d",
+            AttemptReport {
+                elapsed: 100.0,
+                ..AttemptReport::from_outcome(AttemptOutcome::Delivered)
+            },
+        )
+    }),
+    ("delivered", 13_250.0, |f| {
+        ends(
+            f,
+            "e",
+            AttemptReport {
+                elapsed: 200.0,
+                ..AttemptReport::from_outcome(AttemptOutcome::Delivered)
+            },
+        )
     }),
-    ("half-delivered", 13_100.0, |f| ends(f, "d", Ended { took: 100.0, ..Ended::plain(Fate::Delivered) })),
-    ("delivered", 13_250.0, |f| ends(f, "e", Ended { took: 200.0, ..Ended::plain(Fate::Delivered) })),
     ("cooled-down", 30_000.0, |_| ()),
     ("accepted-non-idempotent", 40_000.0, |f| {
-        f.taken(event("c"), DestinationId(7), TrafficId(2), 90_000.0, Some(OrderKey(6)));
+        f.accept_event(
+            event("c"),
+            DestinationId(7),
+            TrafficTypeId(2),
+            90_000.0,
+            Some(OrderKey(6)),
+        );
     }),
     ("rejected-by-target", 40_100.0, |f| {
-        let report = Ended { took: 10.0, wait: 3000.0, left: Some(0.75), ..Ended::plain(Fate::Full) };
+        let report = AttemptReport {
+            elapsed: 10.0,
+            retry_after: 3000.0,
+            limit_remaining: Some(0.75),
+            ..AttemptReport::from_outcome(AttemptOutcome::Rejected)
+        };
         ends(f, "c", report);
     }),
     ("paced", 44_000.0, |_| ()),
-    ("idle-connection", 44_100.0, |f| ends(f, "c", Ended { took: 90.0, ..Ended::plain(Fate::NotSent) })),
-    ("draining", 44_200.0, |f| f.relisted(&target("t"), Listing::Leaving)),
+    ("idle-connection", 44_100.0, |f| {
+        ends(
+            f,
+            "c",
+            AttemptReport {
+                elapsed: 90.0,
+                ..AttemptReport::from_outcome(AttemptOutcome::NotSent)
+            },
+        )
+    }),
+    ("draining", 44_200.0, |f| {
+        f.set_endpoint_state(&target("t"), EndpointState::Draining)
+    }),
     ("shutdown", 44_300.0, |f| {
-        f.out_elsewhere(&event("c"), 50_000.0);
-        f.joined(&event("c"), 2, Some((39_000.0, ZoneId(1))));
-        f.closing(60_000.0);
+        f.defer_for_remote_attempt(&event("c"), 50_000.0);
+        f.merge_remote_attempts(&event("c"), 2, Some((39_000.0, ZoneId(1))));
+        f.begin_shutdown(60_000.0);
     }),
     ("acknowledged", 58_000.0, |f| {
-        f.heard(&event("c"));
-        f.relisted(&target("t"), Listing::Running);
+        f.on_completion_acknowledged(&event("c"));
+        f.set_endpoint_state(&target("t"), EndpointState::Running);
     }),
     ("too-late-to-send", 59_000.0, |f| {
-        f.taken(event("f"), DestinationId(7), TrafficId(0), 90_000.0, None);
-        f.restored(&event("f"), 0, None, false);
+        f.accept_event(event("f"), DestinationId(7), TrafficTypeId(0), 90_000.0, None);
+        f.restore_attempts(&event("f"), 0, None, false);
     }),
     ("without-targets", 59_900.0, |f| {
-        f.withdrawn(&event("f"));
-        f.relisted(&target("t"), Listing::Gone);
+        f.withdraw_event(&event("f"));
+        f.set_endpoint_state(&target("t"), EndpointState::Removed);
     }),
 ];
 
 /// Every completion is a notification to be acknowledged; other decisions are of no interest here.
 struct Notified;
 
-impl Decisions for Notified {
-    fn send(&mut self, _: &EventId, _: &TargetId, _: Ms, _: Ms) {}
-    fn dismiss(&mut self, _: &EventId, _: Option<Ms>) -> bool {
+impl Effects for Notified {
+    fn send_attempt(&mut self, _: &EventId, _: &TargetId, _: Ms, _: Ms) {}
+    fn reject(&mut self, _: &EventId, _: Option<Ms>) -> bool {
         true
     }
-    fn write_off(&mut self, _: &EventId) -> bool {
+    fn abandon(&mut self, _: &EventId) -> bool {
         true
     }
-    fn ping(&mut self, _: &TargetId) {}
-    fn close_idle(&mut self, _: &TargetId) {}
-    fn take_back(&mut self, _: &TargetId) {}
-    fn note_cold(&mut self, _: &TargetId, _: Ms, _: f64) {}
+    fn health_check(&mut self, _: &TargetId) {}
+    fn close_idle_connections(&mut self, _: &TargetId) {}
+    fn cancel_unsent(&mut self, _: &TargetId) {}
+    fn record_warm_up(&mut self, _: &TargetId, _: Ms, _: f64) {}
     fn wake_after(&mut self, _: Ms) {}
 }
 
-fn play(forwarder: &mut Forwarder, (_, now, came_in): Step) {
-    let hand_over = |forwarder: &mut Forwarder, _: &mut Notified| {
+fn play(forwarder: &mut Scheduler, (_, now, came_in): Step) {
+    let hand_over = |forwarder: &mut Scheduler, _: &mut Notified| {
         came_in(forwarder);
-        Ok::<(), Unknown>(())
+        Ok::<(), UnknownId>(())
     };
-    forwarder.round(now, hand_over, &mut Notified).expect("the story names only what it introduced");
+    forwarder
+        .run_iteration(now, hand_over, &mut Notified)
+        .expect("the story names only what it introduced");
 }
 
-fn state(forwarder: &Forwarder) -> String {
+fn state(forwarder: &Scheduler) -> String {
     to_hex(&rmp_serde::to_vec(forwarder).expect("encodes"))
 }
 
 #[rstest]
 fn the_state_has_the_pinned_form_at_each_step_of_a_story() {
-    let mut forwarder = Forwarder::start(terms(), 50.0);
+    let mut forwarder = Scheduler::new(terms(), 50.0);
     for step in STORY {
         play(&mut forwarder, step);
         if step.0 != UNPINNED {
-            assert_eq!(state(&forwarder), expected(STATES, step.0), "the state when {}", step.0);
+            assert_eq!(
+                state(&forwarder),
+                expected(STATES, step.0),
+                "the state when {}",
+                step.0
+            );
         }
     }
 }
@@ -231,15 +352,31 @@
 /// Each pinned state is resumed, encodes to the same bytes, and the story leads from it to the next pinned one.
 #[rstest]
 fn a_pinned_state_is_resumed_and_leads_to_the_next_one() {
-    for (at, step) in STORY.iter().enumerate().filter(|(_, step)| step.0 != UNPINNED) {
+    for (at, step) in STORY
+        .iter()
+        .enumerate()
+        .filter(|(_, step)| step.0 != UNPINNED)
+    {
         let pinned = expected(STATES, step.0);
-        let decoded: Forwarder = rmp_serde::from_slice(&from_hex(&pinned)).expect("the fixture decodes");
-        let mut forwarder = decoded.resumed(terms());
-        assert_eq!(state(&forwarder), pinned, "the state when {}, decoded", step.0);
+        let decoded: Scheduler =
+            rmp_serde::from_slice(&from_hex(&pinned)).expect("the fixture decodes");
+        let mut forwarder = decoded.resume(terms());
+        assert_eq!(
+            state(&forwarder),
+            pinned,
+            "the state when {}, decoded",
+            step.0
+        );
         for next in &STORY[at + 1..] {
             play(&mut forwarder, *next);
             if next.0 != UNPINNED {
-                assert_eq!(state(&forwarder), expected(STATES, next.0), "from {} to {}", step.0, next.0);
+                assert_eq!(
+                    state(&forwarder),
+                    expected(STATES, next.0),
+                    "from {} to {}",
+                    step.0,
+                    next.0
+                );
                 break;
             }
         }
--- a/forwarder/admin/tests/stored_format.rs
+++ b/forwarder/admin/tests/stored_format.rs
@@ -1,7 +1,7 @@
 //! The record of disabled targets as the version in service writes it: `stored_format/bans.txt`.
 
-use plankhill::interface::{Listing, TargetId};
-use plankhill_operators::{Bans, Change};
+use plankhill_admin::{Bans, Change};
+use plankhill_decisions::interface::{EndpointState, TargetId};
 use rstest::rstest;
 
 const PINNED: &str = include_str!("stored_format/bans.txt");
@@ -12,7 +12,7 @@
     let mut bans = Bans::default();
     let mut record = String::new();
     for id in &IDS {
-        bans.listed(&TargetId((*id).into()), Listing::Running);
+        bans.listed(&TargetId((*id).into()), EndpointState::Running);
         match bans.change(id, true) {
             Change::Record(text) => record = text,
             other => panic!("{other:?}"),
@@ -28,7 +28,7 @@
     assert_eq!(bans.iter().collect::<Vec<_>>(), IDS);
     // Lifted and set again, it is the same record.
     let mut bans = bans;
-    bans.listed(&TargetId("ä".into()), Listing::Leaving);
+    bans.listed(&TargetId("ä".into()), EndpointState::Draining);
     bans.set("ä", false);
     assert_eq!(bans.change("ä", true), Change::Record(PINNED.to_owned()));
 }
--- a/forwarder/config/tests/told.rs
+++ b/forwarder/config/tests/told.rs
@@ -49,7 +49,11 @@
         ("n4", 1024, 3_000_000)
     );
     assert_eq!(
-        (told.connect_time_out, told.idle_limit, told.terms.max_calls_in_flight),
+        (
+            told.connect_time_out,
+            told.idle_limit,
+            told.terms.max_calls_in_flight
+        ),
         (1000.0, 13_500.0, 4)
     );
     assert_eq!(told.terms.seed, 0x8c1f30d27a5be964);
--- a/forwarder/emulator/benches/speed.rs
+++ b/forwarder/emulator/benches/speed.rs
@@ -5,9 +5,9 @@
 use std::collections::BinaryHeap;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use plankhill_emulator::random::{exponential, stream, RandomStream};
 use plankhill_emulator::play;
 use plankhill_emulator::queue::Queue;
+use plankhill_emulator::random::{exponential, stream, RandomStream};
 use plankhill_forwarder_config::scenario::Scenario;
 use plankhill_forwarder_config::tables::Text;
 
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -8,8 +8,8 @@
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Zipf};
 
-use crate::random::{uniform, exponential, stream, RandomStream};
 use crate::outcome::LossCause;
+use crate::random::{exponential, stream, uniform, RandomStream};
 use crate::struck::Struck;
 
 /// An event as its client sees it, over all the times that it is handed in.
@@ -80,7 +80,10 @@
         let mut sources = Vec::new();
         let mut add = |start: Ms, length: Ms, rate: f64, swings, left, whose| {
             if rate > 0.0 {
-                let chance = stream(seed.wrapping_add(sources.len() as u64), RandomStream::Arrivals);
+                let chance = stream(
+                    seed.wrapping_add(sources.len() as u64),
+                    RandomStream::Arrivals,
+                );
                 let (ends, gap) = ((start + length).min(scenario.length), 1000.0 / rate);
                 sources.push(Source {
                     next_at: start,
--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -7,7 +7,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use plankhill_decisions::interface::{AttemptOutcome, EndpointState, Ms, TargetId, DecisionConfig};
+use plankhill_decisions::interface::{AttemptOutcome, DecisionConfig, EndpointState, Ms, TargetId};
 use plankhill_forwarder_config::scenario;
 use slotmap::new_key_type;
 
--- a/forwarder/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -1,7 +1,7 @@
 //! The decision module through its public interface.
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use slotmap::{Key, KeyData};
 
 use super::{Decider, Decision, EventKey, Input, TargetNames};
--- a/forwarder/emulator/src/deciders/plain.rs
+++ b/forwarder/emulator/src/deciders/plain.rs
@@ -5,12 +5,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use plankhill_decisions::interface::{AttemptOutcome, EndpointState, Ms, DecisionConfig};
+use plankhill_decisions::interface::{AttemptOutcome, DecisionConfig, EndpointState, Ms};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
 use super::{Decider, Decision, EventKey, Input};
-use crate::random::{uniform, stream, RandomStream};
+use crate::random::{stream, uniform, RandomStream};
 
 /// What one baseline does beyond trying.
 pub struct Habits {
@@ -231,7 +231,10 @@
         let ceiling = (FIRST_PAUSE * f64::powi(2.0, event.sends.min(10) as i32)).min(LONGEST_PAUSE);
         event.not_before = now + ceiling * uniform(&mut self.chance);
         let destination = event.destination;
-        let cut = matches!(fate, AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
+        let cut = matches!(
+            fate,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled
+        );
         if let Some(line) = event
             .key
             .filter(|_| cut)
--- a/forwarder/emulator/src/deciders/plain/serving.rs
+++ b/forwarder/emulator/src/deciders/plain/serving.rs
@@ -33,7 +33,10 @@
     pub(super) fn hopeless(&self, event: &Event, now: Ms) -> bool {
         let at = now.max(event.not_before);
         let spent = event.sends >= self.terms.max_attempts.min(self.habits.sends);
-        let ran_out = match (event.may_have_run, self.terms.traffic_types[event.traffic].idempotency) {
+        let ran_out = match (
+            event.may_have_run,
+            self.terms.traffic_types[event.traffic].idempotency,
+        ) {
             (None, _) | (_, Idempotency::Idempotent) => false,
             (Some(_), Idempotency::NonIdempotent) => true,
             (Some((sent, _)), Idempotency::Deduplicated { window, .. }) => at >= sent + window,
--- a/forwarder/emulator/src/lib.rs
+++ b/forwarder/emulator/src/lib.rs
@@ -4,12 +4,12 @@
 //! is made and what it leaves out.
 
 pub mod bound;
-pub mod random;
 pub mod clients;
 pub mod deciders;
 mod limits;
 pub mod outcome;
 pub mod queue;
+pub mod random;
 pub mod struck;
 mod tally;
 mod world;
--- a/forwarder/emulator/src/struck.rs
+++ b/forwarder/emulator/src/struck.rs
@@ -3,7 +3,7 @@
 
 use plankhill_forwarder_config::scenario::{Scenario, Trouble};
 
-use crate::random::{uniform, stream, RandomStream};
+use crate::random::{stream, uniform, RandomStream};
 
 pub struct Struck {
     /// By destination: its share of the traffic.
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -6,8 +6,8 @@
 
 use super::parts::Member;
 use super::{CallKey, Step, World};
-use crate::random::uniform;
 use crate::deciders::Input;
+use crate::random::uniform;
 
 impl World<'_> {
     /// The target answers now: the answer travels back, unless something takes it.
@@ -88,7 +88,10 @@
             self.tell(Observation::SawFailure { forwarder, lane });
         }
         if written && self.tracked(destination) {
-            let kept = matches!(fate, AttemptOutcome::Delivered | AttemptOutcome::Rejected | AttemptOutcome::Error);
+            let kept = matches!(
+                fate,
+                AttemptOutcome::Delivered | AttemptOutcome::Rejected | AttemptOutcome::Error
+            );
             self.put_back(forwarder, target, kept);
         }
         let took = self.now - began;
@@ -112,7 +115,8 @@
             );
         }
         // A connection still coming up is given back when it is up.
-        let coming_up = !written && fate != AttemptOutcome::ConnectFailed && self.tracked(destination);
+        let coming_up =
+            !written && fate != AttemptOutcome::ConnectFailed && self.tracked(destination);
         if !there && !coming_up {
             self.calls.remove(key);
         }
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -7,8 +7,8 @@
 
 use super::parts::{Call, Event, Member};
 use super::{CallKey, Step, World};
-use crate::random::uniform;
 use crate::deciders::EventKey;
+use crate::random::uniform;
 
 /// What each further event of a call weighs, as the deployments' pages have it: only a little.
 const RIDER: f64 = 0.25;
@@ -168,7 +168,8 @@
         let (target, lane, fate, over_here, mute) =
             (call.target, call.lane, call.fate, call.over_here, call.mute);
         self.apply(key);
-        self.tally.totals.ran_unheard += (over_here || mute || fate != AttemptOutcome::Delivered) as u64;
+        self.tally.totals.ran_unheard +=
+            (over_here || mute || fate != AttemptOutcome::Delivered) as u64;
         self.leave_server(target, lane);
         if over_here {
             self.calls.remove(key);
--- a/forwarder/emulator/src/world/clients_side.rs
+++ b/forwarder/emulator/src/world/clients_side.rs
@@ -5,10 +5,10 @@
 
 use super::parts::{Event, Incoming};
 use super::{Step, World};
-use crate::random::{between, uniform, exponential};
 use crate::clients::Ticket;
 use crate::deciders::{EventKey, Input};
 use crate::outcome::LossCause;
+use crate::random::{between, exponential, uniform};
 
 /// What is left of an event's patience at the door, at the least.
 const LEAST_PATIENCE: Ms = 100.0;
@@ -144,7 +144,8 @@
         if dismissed {
             self.dismissed(ticket, come_back_after);
         } else {
-            self.tally.unpaid(self.scenario, &ticket, LossCause::MayHaveRun);
+            self.tally
+                .unpaid(self.scenario, &ticket, LossCause::MayHaveRun);
         }
     }
 
--- a/forwarder/emulator/src/world/ground.rs
+++ b/forwarder/emulator/src/world/ground.rs
@@ -6,8 +6,8 @@
 use plankhill_forwarder_config::scenario::{Group, Ms, Scenario, TroubleKind};
 
 use super::{CallKey, World};
-use crate::random::{between, stream, RandomStream};
 use crate::limits::Gauge;
+use crate::random::{between, stream, RandomStream};
 use crate::struck::Struck;
 
 pub(super) struct Destination {
--- a/forwarder/emulator/src/world/lists.rs
+++ b/forwarder/emulator/src/world/lists.rs
@@ -4,8 +4,8 @@
 use plankhill_invariants::Observation;
 
 use super::{Step, World};
-use crate::random::{between, uniform};
 use crate::deciders::Input;
+use crate::random::{between, uniform};
 
 impl World<'_> {
     /// A forwarder's decisions hear of a destination when the first event goes there: until then they could
--- a/forwarder/emulator/src/world/lives.rs
+++ b/forwarder/emulator/src/world/lives.rs
@@ -8,9 +8,9 @@
 
 use super::parts::Incoming;
 use super::{CallKey, Step, World};
-use crate::random::exponential;
 use crate::deciders::{EventKey, Input};
 use crate::outcome::LossCause;
+use crate::random::exponential;
 
 /// A process that was asked to end stays for so long at the least: clients still come.
 pub(super) const CLOSING_LEAST: Ms = 1_000.0;
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -23,11 +23,11 @@
 use rustc_hash::FxHashMap;
 use slotmap::{new_key_type, SlotMap};
 
-use crate::random::{exponential, stream, AnswerTimes, RandomStream};
 use crate::clients::{Clients, Ticket};
 use crate::deciders::{EventKey, TargetNames};
 use crate::outcome::{LossCause, Outcome};
 use crate::queue::Queue;
+use crate::random::{exponential, stream, AnswerTimes, RandomStream};
 use crate::struck::Struck;
 use crate::tally::Tally;
 
@@ -187,7 +187,8 @@
                 .map(|event| event.ticket.clone()),
         );
         for ticket in left {
-            self.tally.unpaid(self.scenario, &ticket, LossCause::DayOver);
+            self.tally
+                .unpaid(self.scenario, &ticket, LossCause::DayOver);
         }
         self.tally
             .outcome(self.scenario, self.scenario.seed, &self.checker)
--- a/forwarder/emulator/src/world/rounds.rs
+++ b/forwarder/emulator/src/world/rounds.rs
@@ -217,8 +217,12 @@
         let cut = match fate {
             AttemptOutcome::Delivered => Cut::Delivered,
             AttemptOutcome::Error => Cut::Error,
-            AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => Cut::Short,
-            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => Cut::NotRun,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => {
+                Cut::Short
+            }
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => {
+                Cut::NotRun
+            }
         };
         if written {
             self.tell(Observation::SendOver {
--- a/forwarder/emulator/src/world/starts.rs
+++ b/forwarder/emulator/src/world/starts.rs
@@ -1,6 +1,6 @@
 //! A forwarder starts: the terms of its decisions, the list as it stands, and all that is still owed.
 
-use plankhill_decisions::interface::{self as names, DestinationKind, DecisionConfig, TrafficType};
+use plankhill_decisions::interface::{self as names, DecisionConfig, DestinationKind, TrafficType};
 use plankhill_forwarder_config::scenario::Repeats;
 use plankhill_invariants::Observation;
 use rustc_hash::{FxHashMap, FxHashSet};
--- a/forwarder/emulator/src/world/troubles.rs
+++ b/forwarder/emulator/src/world/troubles.rs
@@ -153,7 +153,9 @@
                     .push(TargetId(number.to_string().into()));
                 self.destinations[destination].targets.push(number);
                 // Not there for those that have not heard of it.
-                self.targets[number as usize].told.push((0, EndpointState::Removed));
+                self.targets[number as usize]
+                    .told
+                    .push((0, EndpointState::Removed));
                 self.list_changed(number, EndpointState::Running);
                 self.list_changed(target, EndpointState::Draining);
                 let notice: Ms = self.scenario.troubles[at as usize].every;
--- a/forwarder/emulator/tests/decision_digests.rs
+++ b/forwarder/emulator/tests/decision_digests.rs
@@ -18,15 +18,27 @@
 
 #[rstest]
 fn short_days_of_every_scenario_have_the_pinned_outcome() {
-    let days = digest::SCENARIOS.iter().flat_map(|&name| digest::SEEDS.map(|seed| (name, seed)));
-    let lines: Vec<String> = days.map(|(name, seed)| digest::line(name, seed, PART)).collect();
-    assert_eq!(lines, pinned("module"), "scenario, seed, who decides, payoff, digest");
+    let days = digest::SCENARIOS
+        .iter()
+        .flat_map(|&name| digest::SEEDS.map(|seed| (name, seed)));
+    let lines: Vec<String> = days
+        .map(|(name, seed)| digest::line(name, seed, PART))
+        .collect();
+    assert_eq!(
+        lines,
+        pinned("module"),
+        "scenario, seed, who decides, payoff, digest"
+    );
 }
 
 #[rstest]
 fn short_days_of_every_baseline_have_the_pinned_outcome() {
     for decisions in digest::BASELINES {
         let line = digest::line_with("all-together", 1, PART, decisions);
-        assert_eq!([line.as_str()], pinned(decisions)[..], "scenario, seed, who decides, payoff, digest");
+        assert_eq!(
+            [line.as_str()],
+            pinned(decisions)[..],
+            "scenario, seed, who decides, payoff, digest"
+        );
     }
 }
--- a/forwarder/emulator/tests/helpers/digest.rs
+++ b/forwarder/emulator/tests/helpers/digest.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use plankhill_emulator::play;
-use plankhill_terms::scenario::Scenario;
-use plankhill_terms::tables::Text;
+use plankhill_forwarder_config::scenario::Scenario;
+use plankhill_forwarder_config::tables::Text;
 
 pub const SCENARIOS: [&str; 15] = [
     "all-together",
@@ -35,26 +35,37 @@
 fn folder() -> PathBuf {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let folders = package.ancestors().map(|folder| folder.join("scenarios"));
-    folders.into_iter().find(|folder| folder.is_dir()).expect("a folder above the package has scenarios")
+    folders
+        .into_iter()
+        .find(|folder| folder.is_dir())
+        .expect("a folder above the package has scenarios")
 }
 
 /// FNV-1a with 64 bits.
 fn fnv1a(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |digest: u64, byte| {
-        (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-    })
+    text.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |digest: u64, byte| {
+            (digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+        })
 }
 
 /// Shrinks the day to this part of its length, and the time until each trouble and its length with it.
 fn shrink(text: &mut Text, part: f64) {
     let number = |value: &toml::Value| value.as_float().expect("times have a decimal point");
     let length = number(&text.table()["length"]);
-    text.set_value("length", (part * length).into()).expect("a scenario has a length");
-    let troubles = text.table().get("troubles").and_then(|list| list.as_array()).cloned().unwrap_or_default();
+    text.set_value("length", (part * length).into())
+        .expect("a scenario has a length");
+    let troubles = text
+        .table()
+        .get("troubles")
+        .and_then(|list| list.as_array())
+        .cloned()
+        .unwrap_or_default();
     for (at, trouble) in troubles.iter().enumerate() {
         for key in ["start", "length"] {
             let time = part * number(&trouble[key]);
-            text.set_value(&format!("troubles.{at}.{key}"), time.into()).expect("a trouble has times");
+            text.set_value(&format!("troubles.{at}.{key}"), time.into())
+                .expect("a trouble has times");
         }
     }
 }
@@ -69,13 +80,19 @@
     let path = folder().join(format!("{name}.toml"));
     let text = std::fs::read_to_string(&path).expect("the scenario is there");
     let mut text = Text::parse(name.into(), text).expect("the scenario is TOML");
-    text.set("seed", &seed.to_string()).expect("a scenario has a seed");
-    text.set("forwarders.decisions", decisions).expect("a scenario says who decides");
+    text.set("seed", &seed.to_string())
+        .expect("a scenario has a seed");
+    text.set("forwarders.decisions", decisions)
+        .expect("a scenario says who decides");
     if part < 1.0 {
         shrink(&mut text, part);
     }
     let scenario = Scenario::read(&text).expect("the scenario is right");
     let outcome = play(&scenario);
     let json = serde_json::to_string(&outcome).expect("an outcome is written");
-    format!("{name} {seed} {decisions} {:?} {:016x}", outcome.payoff, fnv1a(&json))
+    format!(
+        "{name} {seed} {decisions} {:?} {:016x}",
+        outcome.payoff,
+        fnv1a(&json)
+    )
 }
--- a/forwarder/experiments/src/compare.rs
+++ b/forwarder/experiments/src/compare.rs
@@ -1,6 +1,6 @@
 //! Figures over days: means with bootstrap intervals, and differences of variants paired by seed.
 
-use plankhill_emulator::random::{uniform, stream, RandomStream};
+use plankhill_emulator::random::{stream, uniform, RandomStream};
 use plankhill_forwarder_config::experiment::Measure;
 
 use crate::days::{Plan, Record};
--- a/forwarder/experiments/src/figures.rs
+++ b/forwarder/experiments/src/figures.rs
@@ -2,7 +2,7 @@
 
 use std::error::Error;
 
-use plankhill_emulator::outcome::{HeatRow, FaultInterval};
+use plankhill_emulator::outcome::{FaultInterval, HeatRow};
 use plotters::prelude::*;
 
 use crate::compare::Estimate;
@@ -71,7 +71,12 @@
 }
 
 /// Lines over time in seconds, with the troubles shaded.
-pub fn over_time(lines: &[Line], shades: &[FaultInterval], y_words: &str, from_zero: bool) -> Drawn {
+pub fn over_time(
+    lines: &[Line],
+    shades: &[FaultInterval],
+    y_words: &str,
+    from_zero: bool,
+) -> Drawn {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
--- a/forwarder/experiments/src/report.rs
+++ b/forwarder/experiments/src/report.rs
@@ -469,7 +469,10 @@
     let mut order: Vec<LossCause> = weight.keys().copied().collect();
     order.sort_by(|a, b| weight[b].total_cmp(&weight[a]));
     order.truncate(7);
-    let words: Vec<String> = order.iter().map(|cause| cause.description().to_owned()).collect();
+    let words: Vec<String> = order
+        .iter()
+        .map(|cause| cause.description().to_owned())
+        .collect();
     let bars: Vec<(String, Vec<(String, f64)>)> = bars
         .into_iter()
         .map(|(name, parts)| {
--- a/forwarder/fanout/examples/lag/instance.rs
+++ b/forwarder/fanout/examples/lag/instance.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_fanout::*;
 
 pub type Copy = (Subscriber, Position);
@@ -152,7 +152,9 @@
                             },
                         )?;
                     }
-                    CameIn::PingEnds(target) => module.on_health_check_ended(&target, AttemptOutcome::Delivered)?,
+                    CameIn::PingEnds(target) => {
+                        module.on_health_check_ended(&target, AttemptOutcome::Delivered)?
+                    }
                     CameIn::Wake => (),
                 }
             }
--- a/forwarder/hot-restart/tests/wire_format.rs
+++ b/forwarder/hot-restart/tests/wire_format.rs
@@ -10,9 +10,11 @@
 use std::os::unix::net::UnixStream;
 
 use async_io::{block_on, Async};
-use plankhill::interface::{DestinationId, Ended, EventId, Fate, OrderKey, TargetId, TrafficId};
-use plankhill_handover::{Event, Handed, Passage, State, Verdict, Word, VERSION};
-use plankhill_operators::{Order, Reply};
+use plankhill_admin::{Order, Reply};
+use plankhill_decisions::interface::{
+    DestinationId, AttemptReport, EventId, AttemptOutcome, OrderKey, TargetId, TrafficTypeId,
+};
+use plankhill_hot_restart::{Event, Handed, Passage, State, Verdict, Word, VERSION};
 use rstest::rstest;
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 
@@ -37,7 +39,7 @@
             None => "Event.bare".into(),
         },
         Word::Withdrawn { .. } => "Withdrawn".into(),
-        Word::SendEnded(_, ended) => format!("SendEnded.{}", fate_name(ended.fate)),
+        Word::SendEnded(_, ended) => format!("SendEnded.{}", fate_name(ended.outcome)),
         Word::PingEnded { fate, .. } => format!("PingEnded.{}", fate_name(*fate)),
         Word::Operator { order, .. } => format!("Operator.{}", order_name(order)),
         Word::Holds(_) => "Holds".into(),
@@ -70,28 +72,28 @@
     }
 }
 
-fn fate_name(fate: Fate) -> &'static str {
+fn fate_name(fate: AttemptOutcome) -> &'static str {
     match fate {
-        Fate::Delivered => "Delivered",
-        Fate::Error => "Error",
-        Fate::Full => "Full",
-        Fate::TimedOut => "TimedOut",
-        Fate::NoConnection => "NoConnection",
-        Fate::Reset => "Reset",
-        Fate::Cancelled => "Cancelled",
-        Fate::NotSent => "NotSent",
+        AttemptOutcome::Delivered => "Delivered",
+        AttemptOutcome::Error => "Error",
+        AttemptOutcome::Rejected => "Full",
+        AttemptOutcome::TimedOut => "TimedOut",
+        AttemptOutcome::ConnectFailed => "NoConnection",
+        AttemptOutcome::Reset => "Reset",
+        AttemptOutcome::Cancelled => "Cancelled",
+        AttemptOutcome::NotSent => "NotSent",
     }
 }
 
-const FATES: [Fate; 8] = [
-    Fate::Delivered,
-    Fate::Error,
-    Fate::Full,
-    Fate::TimedOut,
-    Fate::NoConnection,
-    Fate::Reset,
-    Fate::Cancelled,
-    Fate::NotSent,
+const FATES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Delivered,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 
 fn event_id() -> EventId {
@@ -122,7 +124,7 @@
         event: Event {
             id: event_id(),
             destination: DestinationId(70_000),
-            traffic: TrafficId(2),
+            traffic: TrafficTypeId(2),
             patience: 60_000.5,
             key,
             fingerprint: fingerprint.map(Into::into),
@@ -134,45 +136,85 @@
 
 /// One value of every variant, no field at its default.
 fn messages() -> Vec<Word> {
-    let names = [vec!["job".into(), "charge".into()], vec!["k".into()], vec!["z1".into(), "z2".into()]];
+    let names = [
+        vec!["job".into(), "charge".into()],
+        vec!["k".into()],
+        vec!["z1".into(), "z2".into()],
+    ];
     let mut messages = vec![
-        Word::Hello { version: VERSION, names },
+        Word::Hello {
+            version: VERSION,
+            names,
+        },
         Word::Prepared,
         Word::Begun,
         Word::TakeBack(target_id()),
-        Word::No { why: "it is ending".into() },
+        Word::No {
+            why: "it is ending".into(),
+        },
         Word::State(Box::new(state())),
         Word::Yours,
-        Word::Client { asked: 2, left: 1_250.5 },
-        Word::Idle { target: target_id(), age: 333.25 },
+        Word::Client {
+            asked: 2,
+            left: 1_250.5,
+        },
+        Word::Idle {
+            target: target_id(),
+            age: 333.25,
+        },
         Word::Event(handed(Some(OrderKey(0xdead_beef)), Some("f-7"))),
         Word::Event(handed(None, None)),
-        Word::Withdrawn { event: event_id(), number: 301 },
+        Word::Withdrawn {
+            event: event_id(),
+            number: 301,
+        },
         Word::Holds(513),
     ];
-    for verdict in [Verdict::TakenOn, Verdict::Refused(None), Verdict::Refused(Some(750.5)), Verdict::Failed]
-    {
-        messages.push(Word::Verdict { number: 302, verdict });
+    for verdict in [
+        Verdict::TakenOn,
+        Verdict::Refused(None),
+        Verdict::Refused(Some(750.5)),
+        Verdict::Failed,
+    ] {
+        messages.push(Word::Verdict {
+            number: 302,
+            verdict,
+        });
     }
     for reply in [Reply::Done, Reply::NeverListed, Reply::NotRecorded] {
         messages.push(Word::Reply { number: 303, reply });
     }
-    for order in
-        [Order::Disable("target-3".into()), Order::Enable("target-3".into()), Order::Drain, Order::Resume]
-    {
+    for order in [
+        Order::Disable("target-3".into()),
+        Order::Enable("target-3".into()),
+        Order::Drain,
+        Order::Resume,
+    ] {
         messages.push(Word::Operator { number: 304, order });
     }
     for fate in FATES {
-        let ended = Ended { fate, took: 12.5, over: true, wait: 250.25, left: Some(0.75) };
+        let ended = AttemptReport {
+            outcome: fate,
+            elapsed: 12.5,
+            event_complete: true,
+            retry_after: 250.25,
+            limit_remaining: Some(0.75),
+        };
         messages.push(Word::SendEnded(event_id(), ended));
-        messages.push(Word::PingEnded { target: target_id(), fate });
+        messages.push(Word::PingEnded {
+            target: target_id(),
+            fate,
+        });
     }
     messages
 }
 
 /// Messages that come with a descriptor.
 fn carries_descriptor(message: &Word) -> bool {
-    matches!(message, Word::State(_) | Word::Yours | Word::Client { .. } | Word::Idle { .. })
+    matches!(
+        message,
+        Word::State(_) | Word::Yours | Word::Client { .. } | Word::Idle { .. }
+    )
 }
 
 fn descriptor(message: &Word) -> Option<OwnedFd> {
@@ -201,7 +243,12 @@
     if let Some(descriptors) = &descriptors {
         ancillary.push(SendAncillaryMessage::ScmRights(descriptors));
     }
-    let written = sendmsg(&ours, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL);
+    let written = sendmsg(
+        &ours,
+        &[IoSlice::new(bytes)],
+        &mut ancillary,
+        SendFlags::NOSIGNAL,
+    );
     assert_eq!(written.expect("written"), bytes.len());
     block_on(ears.next()).expect("received").0
 }
@@ -216,7 +263,9 @@
 }
 
 fn pinned(name: &str) -> Vec<u8> {
-    let line = PINNED.lines().find(|line| line.split(' ').next() == Some(name));
+    let line = PINNED
+        .lines()
+        .find(|line| line.split(' ').next() == Some(name));
     let line = line.unwrap_or_else(|| panic!("{name} is not pinned"));
     unhex(line.split(' ').nth(1).expect("a name and its bytes"))
 }
@@ -224,7 +273,12 @@
 #[rstest]
 fn every_message_is_sent_as_pinned() {
     for message in messages() {
-        assert_eq!(hex(&sent(&message)), hex(&pinned(&name(&message))), "{}", name(&message));
+        assert_eq!(
+            hex(&sent(&message)),
+            hex(&pinned(&name(&message))),
+            "{}",
+            name(&message)
+        );
     }
 }
 
@@ -240,7 +294,10 @@
 
 #[rstest]
 fn every_pinned_message_has_a_value() {
-    let lines: Vec<&str> = PINNED.lines().map(|line| line.split(' ').next().expect("a name")).collect();
+    let lines: Vec<&str> = PINNED
+        .lines()
+        .map(|line| line.split(' ').next().expect("a name"))
+        .collect();
     let named: BTreeSet<&str> = lines.iter().copied().collect();
     let valued: BTreeSet<String> = messages().iter().map(name).collect();
     assert_eq!(named.len(), lines.len(), "a name stands twice");
--- a/forwarder/invariants/src/checker/fleet.rs
+++ b/forwarder/invariants/src/checker/fleet.rs
@@ -1,7 +1,7 @@
 //! What holds over all forwarders of a fleet together.
 
 use super::Checker;
-use crate::facts::{Ms, Invariant};
+use crate::facts::{Invariant, Ms};
 
 impl Checker {
     /// Its client heard no answer and owes itself the next step. The event holds back no other of its key.
--- a/forwarder/invariants/src/checker/sending.rs
+++ b/forwarder/invariants/src/checker/sending.rs
@@ -34,11 +34,12 @@
                     Invariant::NoEffectTwice,
                     format!("binding event {event} may have run, was sent again"),
                 )),
-                Idempotency::Deduplicated { window, .. } if now > first + window + rounding => broken
-                    .push((
+                Idempotency::Deduplicated { window, .. } if now > first + window + rounding => {
+                    broken.push((
                         Invariant::NoEffectTwice,
                         format!("event {event} was sent again after its window"),
-                    )),
+                    ))
+                }
                 Idempotency::Deduplicated {
                     one_group: true, ..
                 } if ran_in != group => broken.push((
--- a/forwarder/invariants/src/checker/taking.rs
+++ b/forwarder/invariants/src/checker/taking.rs
@@ -2,7 +2,7 @@
 
 use super::kept::{Line, Owed};
 use super::Checker;
-use crate::facts::{Idempotency, Completion, Ms, Invariant};
+use crate::facts::{Completion, Idempotency, Invariant, Ms};
 
 impl Checker {
     pub(super) fn taken(
@@ -47,7 +47,10 @@
             );
         };
         if owed.ended {
-            return self.breach(Invariant::OneEnd, format!("event {event} ended a second time"));
+            return self.breach(
+                Invariant::OneEnd,
+                format!("event {event} ended a second time"),
+            );
         }
         let (effect, ran, ends) = (owed.effect, owed.may_have_run.is_some(), owed.patience_ends);
         let late = now > ends + rounding && !owed.unpromised;
--- a/forwarder/invariants/src/facts.rs
+++ b/forwarder/invariants/src/facts.rs
@@ -18,7 +18,11 @@
 
 impl Invariant {
     /// What holds over several forwarders, beside the six rules of each.
-    pub const FLEET: [Invariant; 3] = [Invariant::NothingLost, Invariant::WithinBudget, Invariant::OneServer];
+    pub const FLEET: [Invariant; 3] = [
+        Invariant::NothingLost,
+        Invariant::WithinBudget,
+        Invariant::OneServer,
+    ];
 
     /// The six rules of a forwarder.
     pub const ALL: [Invariant; 6] = [
--- a/forwarder/invariants/tests/planted.rs
+++ b/forwarder/invariants/tests/planted.rs
@@ -20,7 +20,12 @@
     taken_until(10_000.0, event, effect, key)
 }
 
-fn taken_until(patience_ends: Ms, event: u64, effect: Idempotency, key: Option<u64>) -> Observation {
+fn taken_until(
+    patience_ends: Ms,
+    event: u64,
+    effect: Idempotency,
+    key: Option<u64>,
+) -> Observation {
     Observation::Taken {
         forwarder: 1,
         event,
@@ -192,7 +197,10 @@
 #[case::it_had_time_since(vec![
     (9_000.0, Observation::Halted { forwarder: 1 }), (11_000.0, Observation::Resumed { forwarder: 1, anew: true }),
 ], 1)]
-fn an_event_without_an_end_is_found(#[case] facts: Vec<(Ms, Observation)>, #[case] breaches: usize) {
+fn an_event_without_an_end_is_found(
+    #[case] facts: Vec<(Ms, Observation)>,
+    #[case] breaches: usize,
+) {
     let mut checker = Checker::new(bounds());
     checker.observe(0.0, taken(1, Idempotency::Idempotent, None));
     facts
@@ -265,7 +273,9 @@
     #[case] broken: &[Invariant],
 ) {
     let mut checker = Checker::new(bounds());
-    facts.into_iter().for_each(|fact| checker.observe(0.0, fact));
+    facts
+        .into_iter()
+        .for_each(|fact| checker.observe(0.0, fact));
     checker.all_over(100.0);
     let rules: Vec<Invariant> = checker
         .breaches()
--- a/forwarder/process-tests/src/verdict.rs
+++ b/forwarder/process-tests/src/verdict.rs
@@ -4,7 +4,9 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use plankhill_invariants::{Bounds, Violation, Checker, Cut, Idempotency, Completion, Observation, Ms};
+use plankhill_invariants::{
+    Bounds, Checker, Completion, Cut, Idempotency, Ms, Observation, Violation,
+};
 
 use crate::book::{self, Book, Seen};
 use crate::told::WINDOW_US;
--- a/forwarder/server/src/clients/client.rs
+++ b/forwarder/server/src/clients/client.rs
@@ -135,7 +135,13 @@
     pub(super) fn fresh(&self) -> Option<Begun> {
         // Calls are not to want for one, nor clients where the memory is small for the slots.
         let pool = &self.common.pool;
-        let spare = pool.left() > self.common.told.terms.max_calls_in_flight.min(pool.most() / 2);
+        let spare = pool.left()
+            > self
+                .common
+                .told
+                .terms
+                .max_calls_in_flight
+                .min(pool.most() / 2);
         spare
             .then(|| pool.take())
             .flatten()
--- a/forwarder/server/src/clients/mod.rs
+++ b/forwarder/server/src/clients/mod.rs
@@ -78,7 +78,11 @@
     fn most(&self) -> usize {
         let told = &self.common.told;
         let callers = told.mgmt.map_or(0, |_| operators::MOST + 1);
-        let others = most_idle(told) + told.terms.max_calls_in_flight + FILES + callers + self.common.aside.get();
+        let others = most_idle(told)
+            + told.terms.max_calls_in_flight
+            + FILES
+            + callers
+            + self.common.aside.get();
         told.sockets.saturating_sub(others).max(1)
     }
 
--- a/forwarder/src/fanout/machine/wire_format_tests.rs
+++ b/forwarder/server/src/fanout/machine/wire_format_tests.rs
@@ -11,7 +11,10 @@
     let bytes = to_bytes(&command);
     assert_eq!(bytes[0], 0x66);
     assert_eq!(bytes[1..], command.to_bytes());
-    assert_eq!(from_bytes(&bytes).map(|read| to_bytes(&read)), Some(bytes.clone()));
+    assert_eq!(
+        from_bytes(&bytes).map(|read| to_bytes(&read)),
+        Some(bytes.clone())
+    );
     let others = [&[0x70], &bytes[1..]].concat();
     assert!(from_bytes(&others).is_none(), "a command of pools");
     assert!(from_bytes(&[]).is_none());
--- a/forwarder/server/src/heir.rs
+++ b/forwarder/server/src/heir.rs
@@ -9,8 +9,8 @@
 
 use async_channel::Sender;
 use async_io::{Async, Timer};
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_event_log::{Ledger, Owed};
 use plankhill_forwarder_config::fields::Plain;
 use plankhill_hot_restart::*;
@@ -186,7 +186,10 @@
         self.common.pool.set_most(most);
         // Its calls may have run, and say nothing of their targets.
         for event in self.out {
-            let ended = CameIn::SendEnded(event, AttemptReport::from_outcome(AttemptOutcome::Cancelled));
+            let ended = CameIn::SendEnded(
+                event,
+                AttemptReport::from_outcome(AttemptOutcome::Cancelled),
+            );
             let _ = self.to_rounds.send(ended).await;
         }
         for target in self.pings {
--- /dev/null
+++ b/forwarder/server/src/notices/wire_format_tests.rs
@@ -0,0 +1,47 @@
+//! The lines that tell the platform how events ended, as the version in service writes them.
+
+use plankhill_decisions::interface::EventId;
+use plankhill_event_log::Outcome;
+use rstest::rstest;
+
+use super::{line, Notice};
+
+#[rstest]
+#[case(
+    Outcome::WrittenOff,
+    None,
+    "{\"message\":\"e \\\"1\\\"\",\"outcome\":\"given_up\"}\n"
+)]
+#[case(
+    Outcome::WrittenOff,
+    Some(7.5),
+    "{\"message\":\"e \\\"1\\\"\",\"outcome\":\"given_up\"}\n"
+)]
+#[case(
+    Outcome::Dismissed,
+    None,
+    "{\"message\":\"e \\\"1\\\"\",\"outcome\":\"handed_back\"}\n"
+)]
+#[case(
+    Outcome::Dismissed,
+    Some(1_500.25),
+    "{\"message\":\"e \\\"1\\\"\",\"outcome\":\"handed_back\",\"retry_in_ms\":1501}\n"
+)]
+fn a_notice_is_the_pinned_line(
+    #[case] outcome: Outcome,
+    #[case] come_back_after: Option<f64>,
+    #[case] expected: &str,
+) {
+    // No wildcard: a new outcome has to be pinned.
+    match outcome {
+        Outcome::Dismissed | Outcome::WrittenOff => (),
+    }
+    assert_eq!(
+        line(&Notice {
+            event: EventId("e \"1\"".into()),
+            outcome,
+            come_back_after
+        }),
+        expected
+    );
+}
--- a/forwarder/server/src/page.rs
+++ b/forwarder/server/src/page.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_forwarder_config::fields::*;
 use plankhill_forwarder_config::Names;
 use serde_json::Value;
@@ -31,7 +31,12 @@
     page: &Value,
     names: &Names,
     to: &mut Scheduler,
-    mut place: impl FnMut(&TargetId, SocketAddr, (DestinationId, DestinationKindId, ZoneId), EndpointState) -> EndpointState,
+    mut place: impl FnMut(
+        &TargetId,
+        SocketAddr,
+        (DestinationId, DestinationKindId, ZoneId),
+        EndpointState,
+    ) -> EndpointState,
     mut gone: impl FnMut(&TargetId),
     mut bad: impl FnMut(String),
 ) {
@@ -59,7 +64,8 @@
             let address = address
                 .parse()
                 .map_err(|_| format!("host_port: {address:?} is no address"))?;
-            let kind = DestinationKindId(self::place(&names.kinds, text(entry, "flavor")?, "flavor")?);
+            let kind =
+                DestinationKindId(self::place(&names.kinds, text(entry, "flavor")?, "flavor")?);
             let zone = ZoneId(self::place(
                 &names.zones,
                 text(entry, "locality")?,
--- a/forwarder/server/src/roster.rs
+++ b/forwarder/server/src/roster.rs
@@ -131,7 +131,10 @@
     /// What never left ends with a next round.
     pub fn turn_back(&self, target: TargetId, word: ToTarget) {
         let ended = match word {
-            ToTarget::Send(send) => CameIn::SendEnded(send.event, AttemptReport::from_outcome(AttemptOutcome::NotSent)),
+            ToTarget::Send(send) => CameIn::SendEnded(
+                send.event,
+                AttemptReport::from_outcome(AttemptOutcome::NotSent),
+            ),
             ToTarget::Ping => CameIn::PingEnded {
                 target,
                 fate: AttemptOutcome::NotSent,
--- a/forwarder/server/src/rounds/adopting.rs
+++ b/forwarder/server/src/rounds/adopting.rs
@@ -1,7 +1,7 @@
 //! What the groups that keep copies say: a record is led, or is not any more, and proposals are decided.
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_event_log::Owed;
 use plankhill_raft_groups::{GroupId, News, Term};
 use plankhill_replication::{adopts, machine, Adopts, Finds, Leads};
--- a/forwarder/server/src/rounds/carrying.rs
+++ b/forwarder/server/src/rounds/carrying.rs
@@ -124,7 +124,10 @@
     }
     fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
         if let Some(budgets) = &self.common.budgets {
-            budgets.cold(target, since + self.common.told.terms.warm_up_duration - self.now);
+            budgets.cold(
+                target,
+                since + self.common.told.terms.warm_up_duration - self.now,
+            );
         }
         self.keeps.note_cold(target, since, usual);
         self.common
--- a/forwarder/server/src/rounds/hands.rs
+++ b/forwarder/server/src/rounds/hands.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use async_channel::Sender;
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_hot_restart::{Verdict, Word};
 use plankhill_raft_groups::GroupId;
 use slog::{debug, warn};
--- a/forwarder/server/src/rounds/listing.rs
+++ b/forwarder/server/src/rounds/listing.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 
 use plankhill_admin::{Order, Reply};
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use serde_json::Value;
 use slog::{error, info, warn};
 
--- a/forwarder/server/src/rounds/mod.rs
+++ b/forwarder/server/src/rounds/mod.rs
@@ -24,8 +24,8 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_event_log::{Ledger, Owed};
 use plankhill_hot_restart::{State, Verdict};
 use serde_json::Value;
--- a/forwarder/server/src/rounds/promises.rs
+++ b/forwarder/server/src/rounds/promises.rs
@@ -2,8 +2,8 @@
 //! now: where they differ the event is of a type of its own, on which what is stricter of both holds. The
 //! decisions know such a type by its position alone, behind those of the settings.
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_event_log::{Owed, Promise, Repeats, Taken};
 use plankhill_forwarder_config::Told;
 
@@ -18,7 +18,10 @@
 pub fn of(traffic: &TrafficType) -> Promise {
     let repeats = match traffic.idempotency {
         Idempotency::Idempotent => Repeats::Harmless,
-        Idempotency::Deduplicated { window, per_zone: one_zone } => Repeats::Known { window, one_zone },
+        Idempotency::Deduplicated {
+            window,
+            per_zone: one_zone,
+        } => Repeats::Known { window, one_zone },
         Idempotency::NonIdempotent => Repeats::Forbidden,
     };
     Promise {
@@ -30,7 +33,10 @@
 fn effect(promise: Promise) -> Idempotency {
     match promise.repeats {
         Repeats::Harmless => Idempotency::Idempotent,
-        Repeats::Known { window, one_zone } => Idempotency::Deduplicated { window, per_zone: one_zone },
+        Repeats::Known { window, one_zone } => Idempotency::Deduplicated {
+            window,
+            per_zone: one_zone,
+        },
         Repeats::Forbidden => Idempotency::NonIdempotent,
     }
 }
@@ -62,7 +68,12 @@
 
 impl Promises {
     /// The type of an event that an earlier process took; the decisions learn of one that is new to them.
-    pub fn find(&mut self, to: &mut Scheduler, told: &Told, taken: &Taken) -> Option<TrafficTypeId> {
+    pub fn find(
+        &mut self,
+        to: &mut Scheduler,
+        told: &Told,
+        taken: &Taken,
+    ) -> Option<TrafficTypeId> {
         if let Some(at) = kept(told, taken) {
             return Some(at);
         }
--- a/forwarder/server/src/rounds/restoring.rs
+++ b/forwarder/server/src/rounds/restoring.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_event_log::{Outcome, Owed, Taken};
 use plankhill_hot_restart::State;
 use rmp_serde::encode::Error;
--- a/forwarder/server/src/rounds/telling.rs
+++ b/forwarder/server/src/rounds/telling.rs
@@ -1,7 +1,7 @@
 //! Ends of copies of broadcasts that were never handed in.
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_event_log::{Outcome, Taken};
 
 use super::hands::Hands;
--- a/forwarder/server/src/targets/call.rs
+++ b/forwarder/server/src/targets/call.rs
@@ -60,8 +60,15 @@
         let reused = self.kept.is_some();
         let ended = self.exchange(began, time_out, send.as_ref()).await;
         let took = began.elapsed().as_secs_f64() * 1000.0;
-        let ended = AttemptReport { elapsed: took, ..ended };
-        let AttemptReport { outcome: fate, retry_after: wait, .. } = ended;
+        let ended = AttemptReport {
+            elapsed: took,
+            ..ended
+        };
+        let AttemptReport {
+            outcome: fate,
+            retry_after: wait,
+            ..
+        } = ended;
         let word = match send {
             Some(send) => {
                 debug!(self.reach.common.log, "send ended"; "event" => &*send.event.0,
@@ -80,7 +87,12 @@
         let _ = self.reach.to_rounds.send(word).await;
     }
 
-    async fn exchange(&mut self, began: Instant, time_out: Ms, send: Option<&Sending>) -> AttemptReport {
+    async fn exchange(
+        &mut self,
+        began: Instant,
+        time_out: Ms,
+        send: Option<&Sending>,
+    ) -> AttemptReport {
         let told = self.reach.common.told.clone();
         let at = |moment: Option<Ms>| moment.map(|moment| self.reach.common.clock.instant(moment));
         // The end of patience stands, however late the call begins: nothing leaves after it.
--- a/forwarder/server/src/targets/meaning.rs
+++ b/forwarder/server/src/targets/meaning.rs
@@ -19,7 +19,9 @@
     let field = |name| head.fields.one(name).ok().flatten();
     match head.status {
         200 => AttemptReport::from_outcome(AttemptOutcome::Delivered),
-        503 if field("X-No-Slot") == Some("1") => AttemptReport::from_outcome(AttemptOutcome::NotSent),
+        503 if field("X-No-Slot") == Some("1") => {
+            AttemptReport::from_outcome(AttemptOutcome::NotSent)
+        }
         429 | 503 => {
             let wait = field("X-Retry-In-Ms").and_then(|text| text.parse::<Ms>().ok());
             let wait = wait
--- a/forwarder/server/tests/stored_format.rs
+++ b/forwarder/server/tests/stored_format.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-use plankhill_ledger::{Ledger, Outcome};
+use plankhill_event_log::{Ledger, Outcome};
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -41,7 +41,12 @@
 
 /// An event as the log says it: attempts, when the first was made that may have run, when the last was made
 /// that had no outcome, and the outcome with its advice in ms.
-type Row = (u32, Option<f64>, Option<f64>, Option<(Outcome, Option<f64>)>);
+type Row = (
+    u32,
+    Option<f64>,
+    Option<f64>,
+    Option<(Outcome, Option<f64>)>,
+);
 
 #[rstest]
 fn the_log_holds_exactly_the_events_that_were_owed() {
@@ -60,9 +65,18 @@
         assert_eq!(owed.taken.destination, 1);
         assert_eq!(owed.taken.patience_ends, 4e12);
         // Of an event with an outcome body and attempts are dropped.
-        let body = if owed.ended.is_some() { String::new() } else { format!("body of {id}") };
+        let body = if owed.ended.is_some() {
+            String::new()
+        } else {
+            format!("body of {id}")
+        };
         assert_eq!(&*owed.taken.body, body.as_bytes());
-        let row = (owed.sends, at(owed.may_have_run), at(owed.was_out), owed.ended);
+        let row = (
+            owed.sends,
+            at(owed.may_have_run),
+            at(owed.was_out),
+            owed.ended,
+        );
         assert!(rows.insert(id, row).is_none(), "an event stands twice");
     }
     let expected = [
@@ -73,8 +87,14 @@
         ("order", (0, None, None, None)),
         ("charge-out", (1, None, Some(1_700_000_000_004.5), None)),
         ("charge-behind", (0, None, None, None)),
-        ("unheard", (0, None, None, Some((Outcome::WrittenOff, None)))),
-        ("unheard-wait", (0, None, None, Some((Outcome::Dismissed, Some(1_500.0))))),
+        (
+            "unheard",
+            (0, None, None, Some((Outcome::WrittenOff, None))),
+        ),
+        (
+            "unheard-wait",
+            (0, None, None, Some((Outcome::Dismissed, Some(1_500.0)))),
+        ),
     ];
     let expected: BTreeMap<String, Row> = expected.map(|(id, row)| (id.to_owned(), row)).into();
     assert_eq!(rows, expected);
@@ -96,7 +116,13 @@
     // Older than the list in the folder.
     config["known"]["revision"] = json!(1);
     let forwarder = Forwarder::start_with(&config, |folder| copy(folder, target));
-    Found { forwarder, target, calls, notices, _watches }
+    Found {
+        forwarder,
+        target,
+        calls,
+        notices,
+        _watches,
+    }
 }
 
 /// As a notice is told to the platform.
@@ -116,15 +142,32 @@
             assert_eq!(call.body, format!("body of {id}").as_bytes());
             let key = call.field("Idempotency-Key").map(str::to_owned);
             call.answer(OK);
-            assert!(called.insert(id, key).is_none(), "a call of an event that was delivered");
+            assert!(
+                called.insert(id, key).is_none(),
+                "a call of an event that was delivered"
+            );
         }
         told.extend(found.notices.try_iter());
     }
-    let ids = ["charge-behind", "failed-once", "order", "out", "refused", "untried"];
+    let ids = [
+        "charge-behind",
+        "failed-once",
+        "order",
+        "out",
+        "refused",
+        "untried",
+    ];
     let key = |id| (id == "order").then(|| "f-order".to_owned());
     assert_eq!(called, ids.map(|id| (id.to_owned(), key(id))).into());
     told.sort_by_key(|notice| notice["message"].to_string());
-    assert_eq!(told, [given_up("charge-out"), given_up("unheard"), handed_back("unheard-wait", 1_500)]);
+    assert_eq!(
+        told,
+        [
+            given_up("charge-out"),
+            given_up("unheard"),
+            handed_back("unheard-wait", 1_500)
+        ]
+    );
     found.forwarder.take("fresh", "job", "");
     let call = next(&found.calls);
     assert_eq!(call.id(), "fresh", "nothing else was owed");
@@ -159,5 +202,8 @@
     let file = folder.path().join("config.json");
     fs::write(&file, config.to_string()).expect("written");
     let said = refused_start(&file, folder.path());
-    assert!(said.contains("the folder is \"n0\"'s, and PROXY_NAME is \"n1\""), "{said}");
+    assert!(
+        said.contains("the folder is \"n0\"'s, and PROXY_NAME is \"n1\""),
+        "{said}"
+    );
 }
--- a/forwarder/server/tests/wire_format.rs
+++ b/forwarder/server/tests/wire_format.rs
@@ -16,7 +16,9 @@
 
 /// The pinned text; `address` stands for `{host}` there, and the value of a field that names a time for `{seconds}`.
 fn pinned(name: &str, address: &str) -> String {
-    let line = PINNED.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = PINNED
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let line = line.unwrap_or_else(|| panic!("{name} is not pinned"));
     let text: String = serde_json::from_str(line).expect("a JSON string");
     text.replace("{host}", address)
@@ -24,9 +26,15 @@
 
 /// With the value of `Req-Deadline` replaced, which has to be a number of seconds with three decimals.
 fn without_deadline(head: &str) -> String {
-    let value = head.lines().find_map(|line| line.strip_prefix("Req-Deadline: ")).expect("a deadline");
+    let value = head
+        .lines()
+        .find_map(|line| line.strip_prefix("Req-Deadline: "))
+        .expect("a deadline");
     let (whole, part) = value.split_once('.').expect("with decimals");
-    assert!(whole.parse::<u64>().is_ok() && part.len() == 3 && part.parse::<u64>().is_ok(), "{value}");
+    assert!(
+        whole.parse::<u64>().is_ok() && part.len() == 3 && part.parse::<u64>().is_ok(),
+        "{value}"
+    );
     head.replace(value, "{seconds}")
 }
 
@@ -67,19 +75,26 @@
     let mut whole = next(&requests);
     assert_eq!(whole.head, pinned("list", &host));
     whole.write(&list(42, true, &[member("t", target, "up")]));
-    let watch =
-        std::iter::repeat_with(|| next(&requests)).find(|request| request.is_watch()).expect("endless");
+    let watch = std::iter::repeat_with(|| next(&requests))
+        .find(|request| request.is_watch())
+        .expect("endless");
     let wait = watch.number("timeout_ms");
     let revision = watch.number("since");
     let expected = pinned("watch", &host);
-    let expected = expected.replace("{revision}", &revision.to_string()).replace("{ms}", &wait.to_string());
+    let expected = expected
+        .replace("{revision}", &revision.to_string())
+        .replace("{ms}", &wait.to_string());
     assert_eq!(watch.head, expected);
     forwarder.take("a", "charge", "Cookie: about=5\r\n");
     next(&calls).answer(ERROR);
-    let notice = std::iter::repeat_with(|| next(&requests)).find(|request| request.head.starts_with("POST "));
+    let notice = std::iter::repeat_with(|| next(&requests))
+        .find(|request| request.head.starts_with("POST "));
     let notice = notice.expect("endless");
     assert_eq!(notice.head, pinned("notice", &host));
-    assert_eq!(String::from_utf8_lossy(&notice.body), pinned("notice-body", &host));
+    assert_eq!(
+        String::from_utf8_lossy(&notice.body),
+        pinned("notice-body", &host)
+    );
 }
 
 #[rstest]
@@ -89,20 +104,34 @@
     let operator = |request: &str| {
         let mut stream = TcpStream::connect(forwarder.mgmt).expect("listens");
         write!(stream, "{request} HTTP/1.1\r\nHost: x\r\n\r\n").expect("takes it");
-        read_message(&mut BufReader::new(stream)).expect("an answer").0
+        read_message(&mut BufReader::new(stream))
+            .expect("an answer")
+            .0
     };
     forwarder.until_ready();
-    assert_eq!(client(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"), pinned("up", ""));
+    assert_eq!(
+        client(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"),
+        pinned("up", "")
+    );
     assert_eq!(client(&event("a", "job", "")), pinned("accepted", ""));
     assert_eq!(client(&event("a", "job", "")), pinned("rejected", ""));
     assert_eq!(client(&event("b", "none", "")), pinned("no-such-type", ""));
-    assert_eq!(client(b"GET /job HTTP/1.1\r\nHost: x\r\n\r\n"), pinned("method", ""));
+    assert_eq!(
+        client(b"GET /job HTTP/1.1\r\nHost: x\r\n\r\n"),
+        pinned("method", "")
+    );
     assert_eq!(client(&event("", "job", "")), pinned("no-id", ""));
     assert_eq!(operator("GET /-/ready"), pinned("operator-ready", ""));
     assert_eq!(operator("POST /-/ready"), pinned("operator-method", ""));
     assert_eq!(operator("GET /-/none"), pinned("operator-none", ""));
-    assert_eq!(operator("POST /-/targets/none/disable"), pinned("operator-never-listed", ""));
+    assert_eq!(
+        operator("POST /-/targets/none/disable"),
+        pinned("operator-never-listed", "")
+    );
     assert_eq!(operator("POST /-/drain"), pinned("operator-drain", ""));
-    assert_eq!(operator("GET /-/ready"), pinned("operator-ready-while-drained", ""));
+    assert_eq!(
+        operator("GET /-/ready"),
+        pinned("operator-ready-while-drained", "")
+    );
     next(&calls).answer(OK);
 }
--- a/forwarder/simulator-adapter/src/arrivals.rs
+++ b/forwarder/simulator-adapter/src/arrivals.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_forwarder_config::fields::*;
 use plankhill_forwarder_config::{order_key, Names};
 use serde_json::Value;
--- a/forwarder/simulator-adapter/src/wire.rs
+++ b/forwarder/simulator-adapter/src/wire.rs
@@ -5,8 +5,8 @@
 use std::io::{BufRead, Write};
 use std::rc::Rc;
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_forwarder_config::fields::*;
 use plankhill_forwarder_config::{terms, Names};
 use serde_json::{json, Value};
--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -111,7 +111,10 @@
     /// Feeds until the connection ends; says why it did.
     async fn run(mut self, mut reader: FrameReader) -> &'static str {
         match timeout(WRITE_LIMIT, reader.next()).await {
-            Ok(Ok(FromSubscriber::Subscribe { subscriber, held_revision: held })) => {
+            Ok(Ok(FromSubscriber::Subscribe {
+                subscriber,
+                held_revision: held,
+            })) => {
                 self.held = FeedPosition::Revision(held);
                 self.is_proxy = subscriber == Subscriber::Proxy;
             }
--- a/tier/agent/tests/feeding.rs
+++ b/tier/agent/tests/feeding.rs
@@ -293,7 +293,9 @@
         send(&mut zone.other, heartbeat(4)).await;
         wait_for(
             &mut zone.other,
-            FromSubscriber::ResumeUpdates { held_revision: Revision(3) },
+            FromSubscriber::ResumeUpdates {
+                held_revision: Revision(3),
+            },
         )
         .await;
         send(&mut zone.other, next_revision()).await;
@@ -320,7 +322,9 @@
         send(&mut zone.other, ToSubscriber::Update(update)).await;
         wait_for(
             &mut zone.other,
-            FromSubscriber::ResumeUpdates { held_revision: Revision(4) },
+            FromSubscriber::ResumeUpdates {
+                held_revision: Revision(4),
+            },
         )
         .await;
     });
--- a/tier/command/src/roll.rs
+++ b/tier/command/src/roll.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use plankhill_draining::rolling_restart::{RestartLimits, FleetView, NodeView, RollingRestart, RestartStep};
+use plankhill_draining::rolling_restart::{
+    FleetView, NodeView, RestartLimits, RestartStep, RollingRestart,
+};
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 use serde_json::Value;
 
--- a/tier/controller/src/feed/session.rs
+++ b/tier/controller/src/feed/session.rs
@@ -39,7 +39,11 @@
         writer,
     } = connection;
     let first = timeout(FIRST_MESSAGE, reader.next()).await;
-    let Ok(Ok(FromSubscriber::Subscribe { subscriber, held_revision: held })) = first else {
+    let Ok(Ok(FromSubscriber::Subscribe {
+        subscriber,
+        held_revision: held,
+    })) = first
+    else {
         return;
     };
     let Some(key) = controller
@@ -177,7 +181,9 @@
                 }
             }
             FromSubscriber::HeartbeatsOnly => self.wants_updates = false,
-            FromSubscriber::ResumeUpdates { held_revision: held } => (self.wants_updates, self.held) = (true, held),
+            FromSubscriber::ResumeUpdates {
+                held_revision: held,
+            } => (self.wants_updates, self.held) = (true, held),
             // Only the first message of a connection may be one.
             FromSubscriber::Subscribe { .. } => return true,
         }
--- a/tier/controller/tests/feed.rs
+++ b/tier/controller/tests/feed.rs
@@ -225,7 +225,9 @@
         );
         connection
             .writer
-            .send(&FromSubscriber::ResumeUpdates { held_revision: held })
+            .send(&FromSubscriber::ResumeUpdates {
+                held_revision: held,
+            })
             .await
             .unwrap();
         let update = next(&mut connection, newest).await;
--- a/tier/conversations/src/peer.rs
+++ b/tier/conversations/src/peer.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch};
-use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
+use plankhill_protocol::tables::{StoreMember, StoreView};
 use serde::{Deserialize, Serialize};
 
 use crate::account::{Account, TurnState};
--- a/tier/conversations/src/placement.rs
+++ b/tier/conversations/src/placement.rs
@@ -92,7 +92,12 @@
     /// Nobody has answered yet.
     pub fn new(view: &StoreView, program: &ProgramId) -> Self {
         let sets = std::iter::once(&view.serving).chain(view.next.as_ref());
-        let sets = sets.map(|set| SetTally::new(replicas(set, program, view.tolerated_faults), view.tolerated_faults));
+        let sets = sets.map(|set| {
+            SetTally::new(
+                replicas(set, program, view.tolerated_faults),
+                view.tolerated_faults,
+            )
+        });
         Tally {
             sets: sets.collect(),
         }
--- a/tier/conversations/src/rows.rs
+++ b/tier/conversations/src/rows.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId};
-use plankhill_protocol::tables::StoreView;
 use plankhill_protocol::store_calls::TurnRecord;
+use plankhill_protocol::tables::StoreView;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
--- a/tier/conversations/tests/stored_format.rs
+++ b/tier/conversations/tests/stored_format.rs
@@ -13,8 +13,8 @@
     Table, TurnRow, INCARNATION_KEY, VIEW_KEY,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::store_calls::{TurnPlace, TurnRecord};
 
 fn program() -> ProgramId {
     ProgramId::from("program-1")
@@ -48,7 +48,7 @@
         record: Arc::new(TurnRecord {
             turn: turn(),
             program: program(),
-            previous: Some(TurnPlace {
+            previous: Some(TurnLocation {
                 turn: RequestId::from("turn-1"),
                 program: ProgramId::from("program-0"),
             }),
--- a/tier/conversations/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -15,8 +15,8 @@
 };
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
 
 fn program() -> ProgramId {
     ProgramId::from("program-1")
@@ -30,8 +30,8 @@
     RequestId::from("turn-1")
 }
 
-fn place() -> TurnPlace {
-    TurnPlace {
+fn place() -> TurnLocation {
+    TurnLocation {
         turn: previous(),
         program: ProgramId::from("program-0"),
     }
@@ -212,7 +212,7 @@
             turn: turn(),
             reservation: Some(Reservation {
                 budget: 100_000,
-                most: 70_000,
+                max_tokens: 70_000,
             }),
             previous: Some(previous()),
         }),
@@ -240,23 +240,23 @@
             history: Arc::from(*b"a history"),
             previous: Some(place()),
         }),
-        Some(StoreReply::Begun { .. }) => Some(StoreReply::BudgetSpent),
-        Some(StoreReply::BudgetSpent) => Some(StoreReply::NoSuchTurn),
+        Some(StoreReply::Begun { .. }) => Some(StoreReply::BudgetExhausted),
+        Some(StoreReply::BudgetExhausted) => Some(StoreReply::NoSuchTurn),
         Some(StoreReply::NoSuchTurn) => Some(StoreReply::Ended),
-        Some(StoreReply::Ended) => Some(StoreReply::Unsure),
-        Some(StoreReply::Unsure) => Some(StoreReply::OldEpoch(StoreEpoch(301))),
-        Some(StoreReply::OldEpoch(_)) => None,
+        Some(StoreReply::Ended) => Some(StoreReply::Unavailable),
+        Some(StoreReply::Unavailable) => Some(StoreReply::StaleEpoch(StoreEpoch(301))),
+        Some(StoreReply::StaleEpoch(_)) => None,
     }
 }
 
 fn store_reply_name(reply: &StoreReply) -> &'static str {
     match reply {
         StoreReply::Begun { .. } => "Begun",
-        StoreReply::BudgetSpent => "BudgetSpent",
+        StoreReply::BudgetExhausted => "BudgetSpent",
         StoreReply::NoSuchTurn => "NoSuchTurn",
         StoreReply::Ended => "Ended",
-        StoreReply::Unsure => "Unsure",
-        StoreReply::OldEpoch(_) => "OldEpoch",
+        StoreReply::Unavailable => "Unsure",
+        StoreReply::StaleEpoch(_) => "OldEpoch",
     }
 }
 
--- a/tier/dispatch/examples/round_cost.rs
+++ b/tier/dispatch/examples/round_cost.rs
@@ -5,7 +5,8 @@
 use std::time::Instant;
 
 use plankhill_dispatch::{
-    Command, DispatchSettings, Dispatcher, Ended, AttemptOutcome, NewRequest, PrefixPart, Repeats, RequestKey,
+    AttemptOutcome, Command, DispatchSettings, Dispatcher, Ended, NewRequest, PrefixPart, Repeats,
+    RequestKey,
 };
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
--- a/tier/dispatch/src/bridge.rs
+++ b/tier/dispatch/src/bridge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use plankhill_decisions::interface::{Effects, DestinationId, EventId, Ms, TargetId};
+use plankhill_decisions::interface::{DestinationId, Effects, EventId, Ms, TargetId};
 
 use crate::admission;
 use crate::allocation::Allocator;
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 use std::convert::Infallible;
 
+use plankhill_decisions::interface::{AttemptOutcome, DestinationId, Ms, OrderKey};
 use plankhill_decisions::scheduler::Scheduler;
-use plankhill_decisions::interface::{DestinationId, AttemptOutcome, Ms, OrderKey};
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::Target;
 
@@ -186,9 +186,10 @@
                 known.closed_until = now + wait;
                 return wait;
             }
-            AttemptOutcome::Error | AttemptOutcome::TimedOut | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
-                known.load.failed(now)
-            }
+            AttemptOutcome::Error
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::Reset => known.load.failed(now),
             AttemptOutcome::NotSent => known.load.failed(now),
             AttemptOutcome::Cancelled => (),
         }
--- a/tier/dispatch/src/inputs.rs
+++ b/tier/dispatch/src/inputs.rs
@@ -1,9 +1,10 @@
 //! What is gathered between two rounds of the decision module, in the order in which it came.
 
-use plankhill_decisions::scheduler::Scheduler;
 use plankhill_decisions::interface::{
-    DestinationId, AttemptReport, AttemptOutcome, EndpointState, Ms, OrderKey, TargetId, TrafficTypeId,
+    AttemptOutcome, AttemptReport, DestinationId, EndpointState, Ms, OrderKey, TargetId,
+    TrafficTypeId,
 };
+use plankhill_decisions::scheduler::Scheduler;
 
 use crate::interface::RequestKey;
 use crate::module_terms::SERVICE;
--- a/tier/dispatch/src/module_terms.rs
+++ b/tier/dispatch/src/module_terms.rs
@@ -5,7 +5,8 @@
 //! can; spacing calls would hold requests that it takes.
 
 use plankhill_decisions::interface::{
-    DestinationKind, Idempotency, DestinationKindId, Ms, RetryBackoff, DecisionConfig, TrafficTypeId, TrafficType, Tuning,
+    DecisionConfig, DestinationKind, DestinationKindId, Idempotency, Ms, RetryBackoff, TrafficType,
+    TrafficTypeId, Tuning,
 };
 
 use crate::admission::LAST_PRIORITY;
@@ -67,7 +68,9 @@
 
 fn traffic() -> Vec<TrafficType> {
     let of = |effect| (0..=LAST_PRIORITY).map(move |priority| traffic_type(effect, priority));
-    of(Idempotency::Idempotent).chain(of(Idempotency::NonIdempotent)).collect()
+    of(Idempotency::Idempotent)
+        .chain(of(Idempotency::NonIdempotent))
+        .collect()
 }
 
 /// Where the room is filled, the least urgent makes way.
--- a/tier/dispatch/src/requests.rs
+++ b/tier/dispatch/src/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use plankhill_decisions::interface::{DestinationId, EventId, AttemptOutcome, Ms};
+use plankhill_decisions::interface::{AttemptOutcome, DestinationId, EventId, Ms};
 
 use crate::affinity::Chains;
 use crate::interface::{NewRequest, Repeats, RequestKey};
--- a/tier/dispatch/src/retry.rs
+++ b/tier/dispatch/src/retry.rs
@@ -19,8 +19,12 @@
     /// What the end of a call says.
     pub fn of(fate: AttemptOutcome) -> Self {
         match fate {
-            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => Verdict::NotRun,
-            AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => Verdict::MayHaveRun,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => {
+                Verdict::NotRun
+            }
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => {
+                Verdict::MayHaveRun
+            }
             AttemptOutcome::Delivered | AttemptOutcome::Error => Verdict::Ran,
         }
     }
--- a/tier/dispatch/tests/attempts.rs
+++ b/tier/dispatch/tests/attempts.rs
@@ -23,7 +23,14 @@
         .into_iter()
         .filter(|fate| Verdict::of(*fate) == Verdict::NotRun)
         .collect();
-    assert_eq!(not_run, [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent]);
+    assert_eq!(
+        not_run,
+        [
+            AttemptOutcome::Rejected,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::NotSent
+        ]
+    );
 }
 
 #[test]
@@ -38,7 +45,12 @@
 
 #[test]
 fn a_request_that_may_have_run_and_may_not_be_repeated_fails_at_once() {
-    for fate in [AttemptOutcome::Error, AttemptOutcome::TimedOut, AttemptOutcome::Reset, AttemptOutcome::Cancelled] {
+    for fate in [
+        AttemptOutcome::Error,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Reset,
+        AttemptOutcome::Cancelled,
+    ] {
         let mut proxy = Proxy::with(&["a", "b"]);
         let target = proxy.takes(1.0, once(1, 1.0)).expect("sent");
         let commands = proxy.ends(10.0, 1, &target, fate);
--- a/tier/dispatch/tests/common/transcript.rs
+++ b/tier/dispatch/tests/common/transcript.rs
@@ -3,7 +3,7 @@
 //! Floating-point numbers are written as the bits of their value, targets by their ids. The words are the
 //! transcript's own, so that a renamed type leaves the digest as it is.
 
-use plankhill_dispatch::{Command, Ended, AttemptOutcome, Ms};
+use plankhill_dispatch::{AttemptOutcome, Command, Ended, Ms};
 
 /// FNV-1a with 64 bits: its constants are fixed by its authors, so that a digest outlives compilers.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/tier/dispatch/tests/decisions_digest/faults.rs
+++ b/tier/dispatch/tests/decisions_digest/faults.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use plankhill_dispatch::{
-    Command, DispatchSettings, Dispatcher, Ended, AttemptOutcome, Ms, NewRequest, PingAnswer, PrefixPart,
-    Repeats, RequestKey, UpstreamLoad,
+    AttemptOutcome, Command, DispatchSettings, Dispatcher, Ended, Ms, NewRequest, PingAnswer,
+    PrefixPart, Repeats, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
@@ -330,12 +330,17 @@
         };
         let in_time = self.now + took < deadline;
         let at = if in_time { self.now + took } else { deadline };
-        let fate = if in_time { fate } else { AttemptOutcome::TimedOut };
+        let fate = if in_time {
+            fate
+        } else {
+            AttemptOutcome::TimedOut
+        };
         let ended = Ended {
             fate,
             took: at - self.now,
             retry_after: (fate == AttemptOutcome::Rejected && chance < 0.5).then_some(100.0),
-            load: (fate == AttemptOutcome::Delivered || fate == AttemptOutcome::Rejected).then_some(load),
+            load: (fate == AttemptOutcome::Delivered || fate == AttemptOutcome::Rejected)
+                .then_some(load),
             longest_pause: (fate == AttemptOutcome::Delivered).then_some(work / 3.0),
         };
         if fate == AttemptOutcome::Delivered && chance < 0.3 {
--- a/tier/dispatch/tests/sessions.rs
+++ b/tier/dispatch/tests/sessions.rs
@@ -15,7 +15,10 @@
         proxy.takes(4.0, turn(4, 4.0, 8)).is_some(),
         "another session"
     );
-    assert_eq!(sends(&proxy.ends(10.0, 1, &first, AttemptOutcome::Delivered))[0].0, 2);
+    assert_eq!(
+        sends(&proxy.ends(10.0, 1, &first, AttemptOutcome::Delivered))[0].0,
+        2
+    );
 }
 
 #[test]
--- a/tier/draining/src/node.rs
+++ b/tier/draining/src/node.rs
@@ -99,26 +99,48 @@
             None => self.go_on(now, seen, &mut actions),
             Some(shutdown) => self.end(now, shutdown, seen, &mut actions),
         }
-        if let (NodeState::Empty, Some(order), false) = (self.state, self.order, seen.drained_recorded) {
+        if let (NodeState::Empty, Some(order), false) =
+            (self.state, self.order, seen.drained_recorded)
+        {
             actions.push(DrainAction::ReportDrained(order));
         }
         actions
     }
 
-    fn follow_orders(&mut self, now: Duration, seen: &NodeObservation, actions: &mut Vec<DrainAction>) {
+    fn follow_orders(
+        &mut self,
+        now: Duration,
+        seen: &NodeObservation,
+        actions: &mut Vec<DrainAction>,
+    ) {
         let is_other = seen.drain_order != self.order;
         self.order = seen.drain_order;
         let leaves = seen.drain_order.is_some() || seen.shutdown.is_some();
         match (self.state, leaves) {
             (NodeState::InService, true) => {
-                self.enter(NodeState::Leaving, now, Some(DrainAction::RejectNewClients), actions);
+                self.enter(
+                    NodeState::Leaving,
+                    now,
+                    Some(DrainAction::RejectNewClients),
+                    actions,
+                );
             }
             // Another order begins anew, unless the process ends anyway.
             (_, true) if is_other && seen.shutdown.is_none() => {
-                self.enter(NodeState::Leaving, now, Some(DrainAction::RejectNewClients), actions);
+                self.enter(
+                    NodeState::Leaving,
+                    now,
+                    Some(DrainAction::RejectNewClients),
+                    actions,
+                );
             }
             (NodeState::InService, false) | (_, true) => {}
-            (_, false) => self.enter(NodeState::InService, now, Some(DrainAction::AcceptNewClients), actions),
+            (_, false) => self.enter(
+                NodeState::InService,
+                now,
+                Some(DrainAction::AcceptNewClients),
+                actions,
+            ),
         }
     }
 
@@ -130,7 +152,12 @@
                 self.enter(NodeState::Empty, now, None, actions);
             }
             NodeState::Leaving if stayed >= seen.max_idle_timeout + REST_MARGIN => {
-                self.enter(NodeState::Closing, now, Some(DrainAction::CloseIdleConnections), actions);
+                self.enter(
+                    NodeState::Closing,
+                    now,
+                    Some(DrainAction::CloseIdleConnections),
+                    actions,
+                );
             }
             NodeState::Closing if stayed >= seen.max_response_timeout && !self.has_cut => {
                 self.has_cut = true;
@@ -142,12 +169,23 @@
 
     /// On the way to the end of the process. Clients may be sent here for a while, whatever the state is. What comes
     /// later, and is over at once, does not hold the end up.
-    fn end(&mut self, now: Duration, shutdown: Shutdown, seen: &NodeObservation, actions: &mut Vec<DrainAction>) {
+    fn end(
+        &mut self,
+        now: Duration,
+        shutdown: Shutdown,
+        seen: &NodeObservation,
+        actions: &mut Vec<DrainAction>,
+    ) {
         if now < shutdown.accept_until {
             return;
         }
         if self.state != NodeState::Closing {
-            self.enter(NodeState::Closing, now, Some(DrainAction::CloseIdleConnections), actions);
+            self.enter(
+                NodeState::Closing,
+                now,
+                Some(DrainAction::CloseIdleConnections),
+                actions,
+            );
         }
         if now >= shutdown.response_deadline && !self.has_cut {
             self.has_cut = true;
--- a/tier/draining/tests/node.rs
+++ b/tier/draining/tests/node.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use plankhill_draining::node::{DrainAction, NodeDrain, NodeState, NodeObservation};
+use plankhill_draining::node::{DrainAction, NodeDrain, NodeObservation, NodeState};
 
 const REST: Duration = Duration::from_secs(15);
 const REPLY: Duration = Duration::from_secs(5);
@@ -35,7 +35,10 @@
 #[test]
 fn an_order_turns_clients_away_and_an_empty_node_says_so_until_it_is_recorded() {
     let mut drain = NodeDrain::default();
-    assert_eq!(drain.step(at(1), &seen(Some(4), 2, 3)), [DrainAction::RejectNewClients]);
+    assert_eq!(
+        drain.step(at(1), &seen(Some(4), 2, 3)),
+        [DrainAction::RejectNewClients]
+    );
     assert_eq!(drain.step(at(2), &seen(Some(4), 0, 1)), []);
     assert_eq!(
         drain.step(at(3), &seen(Some(4), 0, 0)),
@@ -71,7 +74,10 @@
     drain.step(at(1), &seen(Some(1), 1, 1));
     drain.step(at(17), &seen(Some(1), 1, 1));
     assert_eq!(drain.step(at(21), &seen(Some(1), 1, 1)), []);
-    assert_eq!(drain.step(at(22), &seen(Some(1), 1, 1)), [DrainAction::ResetConnections]);
+    assert_eq!(
+        drain.step(at(22), &seen(Some(1), 1, 1)),
+        [DrainAction::ResetConnections]
+    );
     assert_eq!(drain.step(at(23), &seen(Some(1), 1, 1)), [], "once");
     assert_eq!(
         drain.step(at(24), &seen(Some(1), 0, 0)),
@@ -90,7 +96,10 @@
             seen(Some(1), 0, 0),
         ];
         (0..=steps).for_each(|step| drop(drain.step(at(1 + 16 * step as u64), &states[step])));
-        assert_eq!(drain.step(at(100), &seen(None, 0, 0)), [DrainAction::AcceptNewClients]);
+        assert_eq!(
+            drain.step(at(100), &seen(None, 0, 0)),
+            [DrainAction::AcceptNewClients]
+        );
         assert_eq!(drain.state(), NodeState::InService);
     }
 }
@@ -101,7 +110,10 @@
     let mut drain = NodeDrain::default();
     drain.step(at(1), &seen(Some(1), 0, 0));
     assert_eq!(drain.state(), NodeState::Empty);
-    assert_eq!(drain.step(at(2), &seen(Some(3), 1, 1)), [DrainAction::RejectNewClients]);
+    assert_eq!(
+        drain.step(at(2), &seen(Some(3), 1, 1)),
+        [DrainAction::RejectNewClients]
+    );
     assert_eq!(drain.state(), NodeState::Leaving);
     assert_eq!(
         drain.step(at(3), &seen(Some(3), 0, 0)),
@@ -126,10 +138,15 @@
                     DrainAction::ReportDrained(number) => {
                         assert_eq!(Some(number), order);
                         // The first report of an order comes with nothing under way.
-                        assert!(reported == order || (seen.requests_in_flight == 0 && seen.open_connections == 0));
+                        assert!(
+                            reported == order
+                                || (seen.requests_in_flight == 0 && seen.open_connections == 0)
+                        );
                         reported = order;
                     }
-                    DrainAction::CloseIdleConnections | DrainAction::ResetConnections => assert!(away),
+                    DrainAction::CloseIdleConnections | DrainAction::ResetConnections => {
+                        assert!(away)
+                    }
                     DrainAction::ExitProcess => unreachable!("nobody asked for the end"),
                 }
             }
--- a/tier/draining/tests/roll.rs
+++ b/tier/draining/tests/roll.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use plankhill_draining::rolling_restart::{RestartLimits, FleetView, NodeView, RollingRestart, RestartStep, StopReason};
+use plankhill_draining::rolling_restart::{
+    FleetView, NodeView, RestartLimits, RestartStep, RollingRestart, StopReason,
+};
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 
 const BOUNDS: RestartLimits = RestartLimits {
@@ -184,7 +186,14 @@
     arbtest(|u| {
         let mut view = fleet(u.int_in_range(1..=4)?, u.int_in_range(1..=5)?);
         let most_out = u.int_in_range(1..=4)?;
-        let mut roll = RollingRestart::new(RestartLimits { max_unavailable: most_out, ..BOUNDS }, all(&view), &view);
+        let mut roll = RollingRestart::new(
+            RestartLimits {
+                max_unavailable: most_out,
+                ..BOUNDS
+            },
+            all(&view),
+            &view,
+        );
         let mut now = Duration::ZERO;
         for _ in 0..60 {
             now += Duration::from_millis(u.int_in_range(0..=5_000)?);
--- a/tier/draining/tests/shutdown.rs
+++ b/tier/draining/tests/shutdown.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use plankhill_draining::node::{DrainAction, NodeDrain, NodeState, NodeObservation};
+use plankhill_draining::node::{DrainAction, NodeDrain, NodeObservation, NodeState};
 use plankhill_draining::shutdown::Shutdown;
 
 const GRACE: Duration = Duration::from_secs(8);
@@ -32,7 +32,10 @@
 #[test]
 fn clients_are_served_until_the_platform_sends_no_more() {
     let mut drain = NodeDrain::default();
-    assert_eq!(drain.step(at(1_000), &seen(None, 1, 4)), [DrainAction::RejectNewClients]);
+    assert_eq!(
+        drain.step(at(1_000), &seen(None, 1, 4)),
+        [DrainAction::RejectNewClients]
+    );
     assert_eq!(drain.step(at(3_900), &seen(None, 0, 4)), []);
     assert_eq!(
         drain.step(at(4_000), &seen(None, 0, 4)),
@@ -71,7 +74,10 @@
     drain.step(at(4_000), &seen(None, 1, 1));
     let end = shutdown().response_deadline;
     assert!(end < at(9_000));
-    assert_eq!(drain.step(end, &seen(None, 1, 1)), [DrainAction::ResetConnections]);
+    assert_eq!(
+        drain.step(end, &seen(None, 1, 1)),
+        [DrainAction::ResetConnections]
+    );
     assert_eq!(drain.step(end + at(100), &seen(None, 1, 1)), [], "once");
     assert_eq!(
         drain.step(end + at(250), &seen(None, 1, 1)),
--- a/tier/protocol/src/lib.rs
+++ b/tier/protocol/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod ids;
 pub mod ports;
 pub mod shared_bytes;
+pub mod store_calls;
 pub mod subscription;
 pub mod tables;
 pub mod transport;
-pub mod store_calls;
--- a/tier/protocol/src/subscription/link.rs
+++ b/tier/protocol/src/subscription/link.rs
@@ -148,7 +148,10 @@
         let held = self.tables.borrow().revision;
         let subscriber = self.options.subscriber.clone();
         if writer
-            .send(&FromSubscriber::Subscribe { subscriber, held_revision: held })
+            .send(&FromSubscriber::Subscribe {
+                subscriber,
+                held_revision: held,
+            })
             .await
             .is_err()
         {
--- a/tier/protocol/src/subscription/progress.rs
+++ b/tier/protocol/src/subscription/progress.rs
@@ -113,7 +113,9 @@
         let was_by_home = self.is_by_home();
         self.source = Source::Feeder;
         (self.asked_snapshot, self.asked_updates) = (false, was_by_home);
-        was_by_home.then_some(FromSubscriber::ResumeUpdates { held_revision: held })
+        was_by_home.then_some(FromSubscriber::ResumeUpdates {
+            held_revision: held,
+        })
     }
 
     fn update(&mut self, update: TablesUpdate, tables: &mut Arc<Tables>, now: Instant) -> Step {
--- a/tier/protocol/src/tables.rs
+++ b/tier/protocol/src/tables.rs
@@ -11,8 +11,8 @@
 
 use crate::ids::{Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName};
 
-use order::{differences, replace_at, same_place};
 pub use order::{compare_edges, compare_targets};
+use order::{differences, replace_at, same_place};
 
 /// Whether a target takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/tier/protocol/tests/frames.rs
+++ b/tier/protocol/tests/frames.rs
@@ -8,8 +8,8 @@
 use common::{any_port, run};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{
-    accept, dial, listen, Channel, FrameReader, FrameWriter, Hello, TransportError, MAX_FRAME_BYTES,
-    PROTOCOL_VERSION,
+    accept, dial, listen, Channel, FrameReader, FrameWriter, Hello, TransportError,
+    MAX_FRAME_BYTES, PROTOCOL_VERSION,
 };
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/tier/protocol/tests/homes.rs
+++ b/tier/protocol/tests/homes.rs
@@ -64,7 +64,9 @@
     fn take(&mut self, message: FromSubscriber) {
         match message {
             FromSubscriber::HeartbeatsOnly => self.wants_updates = false,
-            FromSubscriber::ResumeUpdates { held_revision: held } => {
+            FromSubscriber::ResumeUpdates {
+                held_revision: held,
+            } => {
                 (self.wants_updates, self.held, self.announced) =
                     (true, FeedPosition::Revision(held), held);
             }
@@ -233,7 +235,9 @@
     progress.begin_by_home(held.revision);
     assert_eq!(
         progress.end_by_home(held.revision),
-        Some(FromSubscriber::ResumeUpdates { held_revision: Revision(3) })
+        Some(FromSubscriber::ResumeUpdates {
+            held_revision: Revision(3)
+        })
     );
     let (from, to) = (Revision(3), Revision(4));
     let update = ToSubscriber::Update(TablesUpdate::Changes {
--- a/tier/protocol/tests/subscription.rs
+++ b/tier/protocol/tests/subscription.rs
@@ -41,7 +41,10 @@
     let ((stream, address), _) = visit(one, other).await;
     let mut connection = accept(stream, address, &hello()).await.unwrap();
     match connection.reader.next().await.unwrap() {
-        FromSubscriber::Subscribe { held_revision: held, .. } => (connection, held),
+        FromSubscriber::Subscribe {
+            held_revision: held,
+            ..
+        } => (connection, held),
         other => panic!("{other:?} came first"),
     }
 }
--- a/tier/protocol/tests/tables.rs
+++ b/tier/protocol/tests/tables.rs
@@ -59,7 +59,8 @@
                 feeder += draw.int_in_range(1..=3)?;
             }
         }
-        let (mut position, mut progress) = (FeedPosition::Revision(held.revision), Progress::default());
+        let (mut position, mut progress) =
+            (FeedPosition::Revision(held.revision), Progress::default());
         deliver(&mut position, &mut progress, &history[8], &mut held);
         assert_eq!(held, history[8]);
         Ok(())
--- a/tier/protocol/tests/wire_format/messages.rs
+++ b/tier/protocol/tests/wire_format/messages.rs
@@ -8,12 +8,12 @@
     Incarnation, InstanceId, NodeId, ProgramId, RequestId, Revision, ServiceName, StoreEpoch,
     ZoneName,
 };
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord};
 use plankhill_protocol::tables::{
     ConfigurationText, Drain, Edge, ServedModel, StoreMember, StoreView, Tables, TablesChange,
     TablesUpdate, Target, TargetState,
 };
 use plankhill_protocol::transport::{Channel, Hello};
-use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnPlace, TurnRecord};
 
 use crate::pinned::{assert_pinned, Pinned};
 use crate::values;
@@ -48,7 +48,7 @@
     Tables => "Tables",
     Drain => "Drain",
     Reservation => "Reservation",
-    TurnPlace => "TurnPlace",
+    TurnLocation => "TurnPlace",
     TurnRecord => "TurnRecord",
 }
 
@@ -308,11 +308,11 @@
     fn variant(&self) -> &'static str {
         match self {
             StoreReply::Begun { .. } => "Begun",
-            StoreReply::BudgetSpent => "BudgetSpent",
+            StoreReply::BudgetExhausted => "BudgetSpent",
             StoreReply::NoSuchTurn => "NoSuchTurn",
             StoreReply::Ended => "Ended",
-            StoreReply::Unsure => "Unsure",
-            StoreReply::OldEpoch(_) => "OldEpoch",
+            StoreReply::Unavailable => "Unsure",
+            StoreReply::StaleEpoch(_) => "OldEpoch",
         }
     }
 }
@@ -345,11 +345,11 @@
             history,
             previous: Some(values::turn_place()),
         },
-        StoreReply::BudgetSpent,
+        StoreReply::BudgetExhausted,
         StoreReply::NoSuchTurn,
         StoreReply::Ended,
-        StoreReply::Unsure,
-        StoreReply::OldEpoch(StoreEpoch(133)),
+        StoreReply::Unavailable,
+        StoreReply::StaleEpoch(StoreEpoch(133)),
     ];
     assert_pinned("store_reply", &replies);
 }
--- a/tier/protocol/tests/wire_format/values.rs
+++ b/tier/protocol/tests/wire_format/values.rs
@@ -7,11 +7,11 @@
     Incarnation, InstanceId, NodeId, ProgramId, RequestId, Revision, ServiceName, StoreEpoch,
     ZoneName,
 };
+use plankhill_protocol::store_calls::{Reservation, TurnLocation, TurnRecord};
 use plankhill_protocol::tables::{
     ConfigurationText, Drain, Edge, ServedModel, StoreMember, StoreView, Tables, Target,
     TargetState,
 };
-use plankhill_protocol::store_calls::{Reservation, TurnPlace, TurnRecord};
 
 pub fn ipv4(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 1, 2, 3], port))
@@ -118,12 +118,12 @@
 pub fn reservation() -> Reservation {
     Reservation {
         budget: 40_000,
-        most: 512,
+        max_tokens: 512,
     }
 }
 
-pub fn turn_place() -> TurnPlace {
-    TurnPlace {
+pub fn turn_place() -> TurnLocation {
+    TurnLocation {
         turn: RequestId::from("r-6"),
         program: ProgramId::from("p-2"),
     }
--- a/tier/proxy/src/admission.rs
+++ b/tier/proxy/src/admission.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use plankhill_dispatch::{
-    Command, Ended, AttemptOutcome, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+    AttemptOutcome, Command, Ended, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
 use tokio::sync::{mpsc, Notify};
--- a/tier/proxy/src/draining.rs
+++ b/tier/proxy/src/draining.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use plankhill_configuration::RouteTable;
-use plankhill_draining::node::{DrainAction, NodeDrain, NodeState, NodeObservation};
+use plankhill_draining::node::{DrainAction, NodeDrain, NodeObservation, NodeState};
 use plankhill_protocol::feed::FromSubscriber;
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::tables::Tables;
--- a/tier/proxy/src/exchange.rs
+++ b/tier/proxy/src/exchange.rs
@@ -175,7 +175,10 @@
             Err(_) => Err(AttemptOutcome::TimedOut),
             Ok(Ok(response)) => Ok(Some(response)),
             // The message comes back where nothing of it was written.
-            Ok(Err(mut error)) => error.take_message().map(|_| None).ok_or(AttemptOutcome::Reset),
+            Ok(Err(mut error)) => error
+                .take_message()
+                .map(|_| None)
+                .ok_or(AttemptOutcome::Reset),
         }
     }
 
--- a/tier/proxy/src/plain.rs
+++ b/tier/proxy/src/plain.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hyper::Response;
-use plankhill_dispatch::{Ended, AttemptOutcome};
+use plankhill_dispatch::{AttemptOutcome, Ended};
 
 use crate::answer;
 use crate::body::AnswerBody;
@@ -51,7 +51,11 @@
     }
 }
 
-async fn whole_answer(proxy: &Proxy, job: &mut Job, call: &Call) -> Result<WholeAnswer, AttemptOutcome> {
+async fn whole_answer(
+    proxy: &Proxy,
+    job: &mut Job,
+    call: &Call,
+) -> Result<WholeAnswer, AttemptOutcome> {
     let head = proxy
         .targets
         .exchange(call, &job.outgoing, job.most_connections)
--- a/tier/proxy/src/stream/run.rs
+++ b/tier/proxy/src/stream/run.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hyper::StatusCode;
-use plankhill_dispatch::{Ended, AttemptOutcome, Ms};
+use plankhill_dispatch::{AttemptOutcome, Ended, Ms};
 use tokio::time::Instant;
 
 use super::client::Client;
@@ -160,7 +160,9 @@
         let answer = answer.map_err(ended)?;
         let mut told = answer.ended(took);
         match answer.fate() {
-            AttemptOutcome::Delivered if self.client.has_begun() => told.fate = AttemptOutcome::Error,
+            AttemptOutcome::Delivered if self.client.has_begun() => {
+                told.fate = AttemptOutcome::Error
+            }
             AttemptOutcome::Delivered => {
                 let response = answer.into_response(&self.job.outgoing.method);
                 self.client.answer(response);
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -70,7 +70,10 @@
         let (program, turn) = (facts.program.clone()?, facts.request_id.clone()?);
         let reservation = facts.budget.map(|budget| {
             let most = facts.usage.map_or(budget, |usage| usage.most);
-            Reservation { budget, max_tokens: most }
+            Reservation {
+                budget,
+                max_tokens: most,
+            }
         });
         if reservation.is_none() && !route.retained {
             return None;
--- a/tier/proxy/src/whole.rs
+++ b/tier/proxy/src/whole.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Response, StatusCode};
-use plankhill_dispatch::{Ended, AttemptOutcome, Ms, UpstreamLoad};
+use plankhill_dispatch::{AttemptOutcome, Ended, Ms, UpstreamLoad};
 use tokio::time::Instant;
 
 use crate::body::AnswerBody;
@@ -46,7 +46,9 @@
             Err(ReadError::TimedOut) => return Err(AttemptOutcome::TimedOut),
             Err(ReadError::Broken) => return Err(AttemptOutcome::Reset),
             // Another target's answer would be no smaller.
-            Err(ReadError::TooLarge | ReadError::OutOfMemory) => return Err(AttemptOutcome::Cancelled),
+            Err(ReadError::TooLarge | ReadError::OutOfMemory) => {
+                return Err(AttemptOutcome::Cancelled)
+            }
         };
         if is_reusable {
             pool.put_back(head.connection, &head.headers, Instant::now());
--- a/tier/proxy/tests/support/round_robin.rs
+++ b/tier/proxy/tests/support/round_robin.rs
@@ -4,7 +4,7 @@
 
 use plankhill_dispatch::retry::Attempts;
 use plankhill_dispatch::{
-    Command, Ended, AttemptOutcome, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+    AttemptOutcome, Command, Ended, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
--- a/tier/replica/src/start.rs
+++ b/tier/replica/src/start.rs
@@ -63,7 +63,9 @@
 ///
 /// # Errors
 /// [`StartError`] when the disk cannot be used and waiting would not help.
-pub fn start<S: ReplicatedState>(settings: ReplicaSettings) -> Result<ReplicaHandle<S>, StartError> {
+pub fn start<S: ReplicatedState>(
+    settings: ReplicaSettings,
+) -> Result<ReplicaHandle<S>, StartError> {
     let (state, state_seen) = watch::channel(Arc::new(CommittedState::empty()));
     let (standing, standing_seen) = watch::channel(ReplicaStatus::default());
     let (current, current_seen) = watch::channel(false);
--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use plankhill_protocol::ids::{NodeId, Revision};
 use plankhill_protocol::transport::{accept, Channel, Hello};
-use plankhill_replica::{start, ReplicaHandle, ReplicaSettings, ReplicatedState, ReplicaStatus};
+use plankhill_replica::{start, ReplicaHandle, ReplicaSettings, ReplicaStatus, ReplicatedState};
 use serde::{Deserialize, Serialize};
 use tempfile::TempDir;
 use tokio::net::TcpListener;
--- a/tier/store-client/src/calls.rs
+++ b/tier/store-client/src/calls.rs
@@ -8,8 +8,8 @@
 
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::NodeId;
-use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 use plankhill_protocol::store_calls::{StoreCall, StoreReply};
+use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 
 /// Calls stores.
 pub trait StoreCalls: 'static {
--- a/tier/store-client/src/client.rs
+++ b/tier/store-client/src/client.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use plankhill_protocol::ids::{NodeId, StoreEpoch, ZoneName};
-use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::store_calls::{StoreCall, StoreReply};
+use plankhill_protocol::tables::{StoreMember, StoreView};
 use tokio::sync::mpsc;
 use tokio::time::{timeout_at, Instant};
 
--- a/tier/store-client/tests/client.rs
+++ b/tier/store-client/tests/client.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
-use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use plankhill_store_client::{EndOutcome, EndTurn, StoreCalls, StoreChoice, StoreClient};
 use tokio::task::LocalSet;
 use tokio::time::Instant;
--- a/tier/store/src/node/begin.rs
+++ b/tier/store/src/node/begin.rs
@@ -7,8 +7,8 @@
 use plankhill_conversations::peer::{EndedTurn, PeerRequest, PeerResponse};
 use plankhill_conversations::placement::Tally;
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::tables::StoreView;
 use plankhill_protocol::store_calls::{Reservation, StoreReply};
+use plankhill_protocol::tables::StoreView;
 
 use super::chain::ChainEnd;
 use super::end::Written;
--- a/tier/store/src/node/chain.rs
+++ b/tier/store/src/node/chain.rs
@@ -7,8 +7,8 @@
 use plankhill_conversations::placement::{addresses, is_serving, replicas, Quorum};
 use plankhill_conversations::rows::{read_row, turn_key, Table, TurnRow};
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
+use plankhill_protocol::tables::{StoreMember, StoreView};
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/copy_source.rs
+++ b/tier/store/src/node/copy_source.rs
@@ -111,7 +111,12 @@
         outlines: &[ProgramOutline],
     ) {
         for theirs in outlines {
-            if !holds(&view.serving, &theirs.program, view.tolerated_faults, source) {
+            if !holds(
+                &view.serving,
+                &theirs.program,
+                view.tolerated_faults,
+                source,
+            ) {
                 continue;
             }
             let lacking = {
--- a/tier/store/src/node/end.rs
+++ b/tier/store/src/node/end.rs
@@ -7,8 +7,8 @@
 use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
 use plankhill_conversations::placement::Tally;
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::tables::StoreView;
 use plankhill_protocol::store_calls::{StoreReply, TurnLocation, TurnRecord};
+use plankhill_protocol::tables::StoreView;
 
 use super::Node;
 use crate::clock::Clock;
--- a/tier/store/src/node/mod.rs
+++ b/tier/store/src/node/mod.rs
@@ -24,8 +24,8 @@
 use plankhill_conversations::index::Index;
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{RequestId, StoreEpoch};
-use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::store_calls::{StoreCall, StoreReply, TurnRecord};
+use plankhill_protocol::tables::{StoreMember, StoreView};
 use tokio::sync::watch;
 
 use crate::clock::Clock;
--- a/tier/store/tests/stored_format.rs
+++ b/tier/store/tests/stored_format.rs
@@ -17,9 +17,9 @@
 };
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
+use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
-use plankhill_protocol::store_calls::{TurnPlace, TurnRecord};
 use plankhill_store::clock::Clock;
 use plankhill_store::disk::{open_folder, Disk, FjallDisk};
 use plankhill_store::figures::Figures;
@@ -101,7 +101,7 @@
     Arc::new(TurnRecord {
         turn: turn(2),
         program: program(2),
-        previous: Some(TurnPlace {
+        previous: Some(TurnLocation {
             turn: turn(1),
             program: program(1),
         }),
--- a/tier/store/tests/world/proxy.rs
+++ b/tier/store/tests/world/proxy.rs
@@ -8,8 +8,10 @@
 
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{ProgramId, RequestId, ZoneName};
+use plankhill_protocol::store_calls::{
+    Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord,
+};
 use plankhill_protocol::transport::CallError;
-use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord};
 use plankhill_store_client::{
     BeginOutcome, BeginTurn, EndOutcome, EndTurn, StoreCalls, StoreClient,
 };
@@ -70,7 +72,10 @@
         let begin = BeginTurn {
             program: program.clone(),
             turn: turn.clone(),
-            reservation: Some(Reservation { budget, max_tokens: most }),
+            reservation: Some(Reservation {
+                budget,
+                max_tokens: most,
+            }),
             previous: previous.clone(),
         };
         let counted = self.programs.borrow().counted(program);
