--- a/decisions/tests/decision_stream.rs
+++ b/decisions/tests/decision_stream.rs
@@ -157,7 +157,10 @@
     terms.max_retry_after = (seed % 4 != 3).then_some(2000.0);
     terms.tuning.paces_calls = seed % 6 != 5;
     terms.tuning.release_on_health_check_only = seed % 7 == 6;
-    if let Idempotency::Deduplicated { per_zone: one_zone, .. } = &mut terms.traffic_types[1].idempotency {
+    if let Idempotency::Deduplicated {
+        per_zone: one_zone, ..
+    } = &mut terms.traffic_types[1].idempotency
+    {
         *one_zone = seed % 2 == 1;
     }
     terms.traffic_types[2].value = 4.0;
@@ -200,7 +203,12 @@
         0 => AttemptOutcome::ConnectFailed,
         1 => AttemptOutcome::Rejected,
         2 => AttemptOutcome::TimedOut,
-        3 => [AttemptOutcome::Error, AttemptOutcome::Reset, AttemptOutcome::Cancelled, AttemptOutcome::NotSent][random.below(4) as usize],
+        3 => [
+            AttemptOutcome::Error,
+            AttemptOutcome::Reset,
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::NotSent,
+        ][random.below(4) as usize],
         _ => AttemptOutcome::Delivered,
     };
     if random.one_in(4) {
@@ -252,7 +260,9 @@
         forwarder.accept_event(id.clone(), destination, traffic, patience_ends, key);
         recorder.live.insert(id.clone());
         match self.random.below(24) {
-            0..8 => forwarder.charge_member(&id, self.random.below(4) as usize, self.random.one_in(5)),
+            0..8 => {
+                forwarder.charge_member(&id, self.random.below(4) as usize, self.random.one_in(5))
+            }
             8 => {
                 let sends = self.random.below(3) as u32;
                 let ran = (sends > 0).then(|| (self.now - 500.0 * self.random.unit(), ZoneId(1)));
@@ -313,10 +323,13 @@
                     }
                 }
             }
-            1 => forwarder.set_endpoint_state(&target_of(destination, number), EndpointState::Removed),
-            2 => forwarder.set_endpoint_state(&target_of(destination, number), EndpointState::Draining),
+            1 => forwarder
+                .set_endpoint_state(&target_of(destination, number), EndpointState::Removed),
+            2 => forwarder
+                .set_endpoint_state(&target_of(destination, number), EndpointState::Draining),
             3 => forwarder.on_target_restarted(&target_of(destination, number)),
-            4 => forwarder.set_advertised_rate(DestinationId(destination), 200.0 * self.random.unit()),
+            4 => forwarder
+                .set_advertised_rate(DestinationId(destination), 200.0 * self.random.unit()),
             _ => list(forwarder, destination, number, EndpointState::Running),
         }
     }
--- a/decisions/tests/wire_format.rs
+++ b/decisions/tests/wire_format.rs
@@ -107,7 +107,11 @@
 
 #[rstest]
 fn endpoint_states_have_the_pinned_form() {
-    for listing in [EndpointState::Running, EndpointState::Draining, EndpointState::Removed] {
+    for listing in [
+        EndpointState::Running,
+        EndpointState::Draining,
+        EndpointState::Removed,
+    ] {
         assert_pinned(listing_name(listing), &listing);
     }
 }
@@ -122,7 +126,10 @@
         limit_remaining: Some(0.75),
     };
     assert_pinned("Ended", &full);
-    assert_pinned("Ended::plain", &AttemptReport::from_outcome(AttemptOutcome::Delivered));
+    assert_pinned(
+        "Ended::plain",
+        &AttemptReport::from_outcome(AttemptOutcome::Delivered),
+    );
 }
 
 /// One of each that the state keeps in an unordered map, so that its bytes have one order.
@@ -146,7 +153,9 @@
 }
 
 fn ends(forwarder: &mut Scheduler, name: &str, ended: AttemptReport) {
-    forwarder.on_attempt_ended(&event(name), ended).expect("was sent");
+    forwarder
+        .on_attempt_ended(&event(name), ended)
+        .expect("was sent");
 }
 
 /// What comes in at one round of the story, and when. The state after the round is in the fixture by this name,
@@ -207,12 +216,16 @@
             },
         )
     }),
-    ("completed", 9000.0, |f| f.on_completion_acknowledged(&event("a"))),
+    ("completed", 9000.0, |f| {
+        f.on_completion_acknowledged(&event("a"))
+    }),
     ("accepted-again", 9100.0, |f| {
         accept(f, "b", TrafficTypeId(0));
         f.restore_attempts(&event("b"), 0, None, false);
     }),
-    ("charged", 9200.0, |f| f.charge_member(&event("b"), 0, false)),
+    ("charged", 9200.0, |f| {
+        f.charge_member(&event("b"), 0, false)
+    }),
     ("over-quota", 9300.0, |f| {
         (0..8).for_each(|_| f.charge_member(&event("b"), 0, false))
     }),
@@ -226,8 +239,20 @@
                 ..AttemptReport::from_outcome(AttemptOutcome::Cancelled)
             },
         );
-        f.accept_event(event("d"), DestinationId(7), TrafficTypeId(0), 33_000.0, None);
-        f.accept_event(event("e"), DestinationId(7), TrafficTypeId(0), 33_000.0, None);
+        f.accept_event(
+            event("d"),
+            DestinationId(7),
+            TrafficTypeId(0),
+            33_000.0,
+            None,
+        );
+        f.accept_event(
+            event("e"),
+            DestinationId(7),
+            TrafficTypeId(0),
+            33_000.0,
+            None,
+        );
     }),
     ("half-delivered", 13_100.0, |f| {
         ends(
@@ -292,7 +317,13 @@
         f.set_endpoint_state(&target("t"), EndpointState::Running);
     }),
     ("too-late-to-send", 59_000.0, |f| {
-        f.accept_event(event("f"), DestinationId(7), TrafficTypeId(0), 90_000.0, None);
+        f.accept_event(
+            event("f"),
+            DestinationId(7),
+            TrafficTypeId(0),
+            90_000.0,
+            None,
+        );
         f.restore_attempts(&event("f"), 0, None, false);
     }),
     ("without-targets", 59_900.0, |f| {
--- a/forwarder/cli/tests/convert.rs
+++ b/forwarder/cli/tests/convert.rs
@@ -56,8 +56,8 @@
     }
 }
 
-fn told(path: &Path) -> plankhill_forwarder_config::Told {
-    let told = plankhill_forwarder_config::told(|variable| match variable {
+fn told(path: &Path) -> plankhill_forwarder_config::ForwarderConfig {
+    let told = plankhill_forwarder_config::load_config(|variable| match variable {
         "PROXY_CONFIG" => Some(path.display().to_string()),
         "PROXY_STATE" => Some("/state".into()),
         _ => None,
@@ -88,7 +88,7 @@
         assert!(said.contains(line), "{line}\n{said}");
     }
     let new = told(&desk.0.join("new.json"));
-    assert!(!new.terms.health_checks_allowed && new.terms.max_retry_after.is_none());
+    assert!(!new.decisions.health_checks_allowed && new.decisions.max_retry_after.is_none());
     assert!(new.names.sizes_are_rates && new.names.left_at == Some(0));
     let text: Value = serde_json::from_str(&desk.text("new.json")).expect("is JSON");
     assert_eq!(
@@ -102,7 +102,9 @@
         "the input is as it was"
     );
     assert!(
-        told(&desk.0.join("old.json")).terms.health_checks_allowed,
+        told(&desk.0.join("old.json"))
+            .decisions
+            .health_checks_allowed,
         "an old file reads as ever"
     );
 }
--- a/forwarder/config/src/decisions.rs
+++ b/forwarder/config/src/decisions.rs
@@ -23,7 +23,7 @@
 pub const LEFT: &str = "x0";
 
 /// The terms of the decisions out of the settings, which stand at `path`.
-pub fn terms(env: &Object, path: &str, seed: u64) -> Plain<(DecisionConfig, Names)> {
+pub fn decision_config(env: &Object, path: &str, seed: u64) -> Plain<(DecisionConfig, Names)> {
     read_terms(env, seed).map_err(|e| format!("{path}.{e}"))
 }
 
--- a/forwarder/config/src/fanout.rs
+++ b/forwarder/config/src/fanout.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use crate::fields::Plain;
-use crate::fleet::Fleet;
+use crate::fleet::FleetConfig;
 use crate::tables::Text;
 
 /// The most cohorts, and the most subscribers of all lists together: each is looked at every second.
@@ -89,7 +89,7 @@
 /// What the file that `PROXY_FLEET` names says, if there is one with such a section.
 pub fn of_fleet(
     variable: impl Fn(&str) -> Option<String>,
-    fleet: Option<&Fleet>,
+    fleet: Option<&FleetConfig>,
     traffic: &[String],
 ) -> Plain<Option<Layout>> {
     let (Some(path), Some(fleet)) = (variable("PROXY_FLEET"), fleet) else {
@@ -109,7 +109,7 @@
         // The control group keeps the book of leases or broadcasts, not both yet.
         return Err(file.wrong("fanout", "not together with a section pools"));
     }
-    if fleet.copies.is_some() {
+    if fleet.replication.is_some() {
         // Who inherits a record would deliver copies of which the control group does not know that he has them.
         return Err(file.wrong("fanout", "not together with a section copies"));
     }
--- a/forwarder/config/src/fleet.rs
+++ b/forwarder/config/src/fleet.rs
@@ -11,17 +11,17 @@
 mod checks;
 mod kinds;
 
-pub use kinds::{Copies, Instance, Timing};
+pub use kinds::{Instance, ReplicationConfig, Timing};
 use kinds::{Kept, Row, Spans};
 
 /// All that the file says. `pools` and `fanout` are read by those that they concern.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
-    pub fleet: String,
+pub struct FleetConfig {
+    pub name: String,
     pub instances: Vec<Instance>,
     pub timing: Timing,
     /// None: no record is copied.
-    pub copies: Option<Copies>,
+    pub replication: Option<ReplicationConfig>,
     /// Names of the control group's voters; the first founds it when told so.
     pub voters: Vec<String>,
     pub pools: toml::Table,
@@ -30,7 +30,7 @@
     pub found: bool,
 }
 
-impl Fleet {
+impl FleetConfig {
     pub fn instance(&self, name: &str) -> Option<&Instance> {
         self.instances.iter().find(|i| i.name == name)
     }
@@ -57,7 +57,7 @@
 }
 
 /// What the variables name: None where `PROXY_FLEET` is not set. `name` is this forwarder's own.
-pub fn fleet(variable: impl Fn(&str) -> Option<String>, name: &str) -> Plain<Option<Fleet>> {
+pub fn fleet(variable: impl Fn(&str) -> Option<String>, name: &str) -> Plain<Option<FleetConfig>> {
     let Some(path) = variable("PROXY_FLEET") else {
         return Ok(None);
     };
@@ -78,7 +78,7 @@
 }
 
 /// The file's text, checked.
-pub fn read(text: &str) -> Plain<Fleet> {
+pub fn read(text: &str) -> Plain<FleetConfig> {
     let file: File = toml::from_str(text).map_err(|e| match e.span() {
         Some(span) => format!("line {}: {}", checks::line(text, span.start), e.message()),
         None => e.message().to_owned(),
@@ -120,11 +120,11 @@
         }
         voters.push(name);
     }
-    Ok(Fleet {
-        fleet: file.fleet.into_inner(),
+    Ok(FleetConfig {
+        name: file.fleet.into_inner(),
         instances,
         timing,
-        copies: copies.transpose()?,
+        replication: copies.transpose()?,
         voters,
         pools: file.pools,
         fanout: file.fanout,
--- a/forwarder/config/src/fleet/checks.rs
+++ b/forwarder/config/src/fleet/checks.rs
@@ -3,7 +3,7 @@
 use crate::fields::Plain;
 use toml::Spanned;
 
-use super::kinds::{Copies, Instance, Kept, Row, Spans, Timing};
+use super::kinds::{Instance, Kept, ReplicationConfig, Row, Spans, Timing};
 
 /// The most instances of a fleet, and the most keepers of a record: frames and votes go to each.
 const INSTANCES: usize = 256;
@@ -102,7 +102,7 @@
     })
 }
 
-pub(super) fn copies(kept: &Kept, instances: &[Instance]) -> Plain<Copies> {
+pub(super) fn copies(kept: &Kept, instances: &[Instance]) -> Plain<ReplicationConfig> {
     let keepers = kept.keepers;
     if keepers == 0 || keepers % 2 == 1 || keepers > KEEPERS {
         return Err(format!(
@@ -125,7 +125,7 @@
         true => Ok((mb * 1e6) as u64),
         false => Err(format!("{key}: {mb} is not within 1 and 1000000")),
     };
-    Ok(Copies {
+    Ok(ReplicationConfig {
         keepers,
         memory: bytes("memory_mb", kept.memory_mb)?,
         disk: bytes("disk_mb", kept.disk_mb)?,
--- a/forwarder/config/src/fleet/kinds.rs
+++ b/forwarder/config/src/fleet/kinds.rs
@@ -30,7 +30,7 @@
 
 /// What an instance keeps for others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Copies {
+pub struct ReplicationConfig {
     /// For each record: f failures are borne by 2f.
     pub keepers: usize,
     /// Bytes of memory and disk for the records of others; at them appends are refused, nothing is dropped.
--- a/forwarder/config/src/lib.rs
+++ b/forwarder/config/src/lib.rs
@@ -17,46 +17,46 @@
 use plankhill_decisions::interface::*;
 use serde_json::Value;
 
-pub use decisions::{order_key, terms, Names, LEFT};
+pub use decisions::{decision_config, order_key, Names, LEFT};
 use fields::*;
 
 /// All that a forwarder on sockets is told at its start.
-pub struct Told {
+pub struct ForwarderConfig {
     pub name: String,
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Where operators call, if they do.
-    pub mgmt: Option<SocketAddr>,
-    pub discovery: SocketAddr,
-    pub state: PathBuf,
-    pub memory: u64,
-    pub sockets: usize,
-    pub disk: u64,
+    pub admin_address: Option<SocketAddr>,
+    pub discovery_address: SocketAddr,
+    pub state_folder: PathBuf,
+    pub max_memory_bytes: u64,
+    pub max_sockets: usize,
+    pub max_disk_bytes: u64,
     /// The list of targets as it was last had, in discovery's form.
-    pub known: Value,
-    pub terms: DecisionConfig,
+    pub known_endpoints: Value,
+    pub decisions: DecisionConfig,
     pub names: Names,
-    pub connect_time_out: Ms,
+    pub connect_timeout: Ms,
     /// Connections that stand idle for so long are closed: before the target does.
-    pub idle_limit: Ms,
+    pub idle_timeout: Ms,
     /// After a request to end, clients still come for less than `closing_least`, and the platform waits for
     /// a little more than `closing_time`.
-    pub closing_least: Ms,
-    pub closing_time: Ms,
+    pub min_shutdown_duration: Ms,
+    pub shutdown_timeout: Ms,
     pub log_level: slog::Level,
     /// Whether a new version may take over from this process (`PROXY_HANDOVER`, `on` unless `off`). Off where
     /// the platform gives no Unix socket: the process then starts and ends as one on its own.
-    pub handover: bool,
+    pub hot_restart: bool,
     /// The fleet that it is an instance of (`PROXY_FLEET`): None, and nothing of it is started.
-    pub fleet: Option<fleet::Fleet>,
+    pub fleet: Option<fleet::FleetConfig>,
     /// Lists that are broadcast to: None without a section `[fanout]` of the fleet's file.
     pub fanout: Option<plankhill_fanout::Layout>,
     /// The policy for connections that the fleet file names: None, and nothing of it is started.
-    pub pools: Option<pools::Pools>,
+    pub connection_quotas: Option<pools::QuotaPolicySource>,
     /// What the file says that only a new start heeds.
     fixed: Vec<(String, Value)>,
 }
 
-impl Told {
+impl ForwarderConfig {
     /// Traffic types, kinds and zones, whose positions the decisions keep.
     pub fn all_names(&self) -> [Vec<String>; 3] {
         [
@@ -67,9 +67,13 @@
     }
 
     /// The keys of the file with another value than before that take effect only with a new start.
-    pub fn needs_restart<'a>(&'a self, before: &'a Told) -> impl Iterator<Item = &'a str> {
-        let differs =
-            |a: &'a Told, b: &'a Told| a.fixed.iter().filter(|pair| !b.fixed.contains(pair));
+    pub fn needs_restart<'a>(
+        &'a self,
+        before: &'a ForwarderConfig,
+    ) -> impl Iterator<Item = &'a str> {
+        let differs = |a: &'a ForwarderConfig, b: &'a ForwarderConfig| {
+            a.fixed.iter().filter(|pair| !b.fixed.contains(pair))
+        };
         let names = differs(self, before)
             .chain(differs(before, self))
             .map(|(key, _)| key.as_str());
@@ -78,7 +82,7 @@
 }
 
 /// Reads the file that `PROXY_CONFIG` names; the other `PROXY_*` variables go before what it says.
-pub fn told(variable: impl Fn(&str) -> Option<String>) -> Plain<Told> {
+pub fn load_config(variable: impl Fn(&str) -> Option<String>) -> Plain<ForwarderConfig> {
     let path = variable("PROXY_CONFIG").ok_or("PROXY_CONFIG: is not set")?;
     let bytes =
         std::fs::read(&path).map_err(|e| format!("PROXY_CONFIG: {path} cannot be read: {e}"))?;
@@ -91,11 +95,11 @@
 }
 
 /// Reads the file anew. Its `discovery` goes before the variable now, which a process cannot be given anew.
-pub fn told_again(variable: impl Fn(&str) -> Option<String>) -> Plain<Told> {
-    told(|name| variable(name).filter(|_| name != "PROXY_DISCOVERY"))
+pub fn reload_config(variable: impl Fn(&str) -> Option<String>) -> Plain<ForwarderConfig> {
+    load_config(|name| variable(name).filter(|_| name != "PROXY_DISCOVERY"))
 }
 
-fn read_told(root: &Object, variable: impl Fn(&str) -> Option<String>) -> Plain<Told> {
+fn read_told(root: &Object, variable: impl Fn(&str) -> Option<String>) -> Plain<ForwarderConfig> {
     let either = |name: &str, field: &str| -> Plain<(String, String)> {
         match variable(name) {
             Some(value) => Ok((name.to_owned(), value)),
@@ -137,7 +141,7 @@
             .map_err(|e| format!("settings.allowed.{e}"))?
             .unwrap_or(default))
     };
-    let (mut terms, names) = terms(settings, "settings", seed)?;
+    let (mut terms, names) = decision_config(settings, "settings", seed)?;
     // A call on sockets carries one event (`POST /receive`), whatever a call of the simulator may.
     terms
         .destination_kinds
@@ -149,28 +153,28 @@
         Some(fleet) => pools::pools(fleet, &variable("PROXY_FLEET").unwrap_or_default(), &names)?,
         None => None,
     };
-    Ok(Told {
-        pools,
+    Ok(ForwarderConfig {
+        connection_quotas: pools,
         fanout: fanout::of_fleet(&variable, fleet.as_ref(), &names.traffic)?,
         fleet,
         name,
-        listen,
-        mgmt: mgmt.transpose()?,
-        discovery: address(either("PROXY_DISCOVERY", "discovery")?)?,
-        state: variable("PROXY_STATE")
+        listen_address: listen,
+        admin_address: mgmt.transpose()?,
+        discovery_address: address(either("PROXY_DISCOVERY", "discovery")?)?,
+        state_folder: variable("PROXY_STATE")
             .ok_or("PROXY_STATE: is not set")?
             .into(),
-        memory: (limit("memory_mb", 16.0)? * 1e6) as u64,
-        sockets: limit("sockets", 64.0)? as usize,
-        disk: (limit("disk_mb", 0.25)? * 1e6) as u64,
-        known: present(root, "known").cloned().unwrap_or_default(),
-        terms,
+        max_memory_bytes: (limit("memory_mb", 16.0)? * 1e6) as u64,
+        max_sockets: limit("sockets", 64.0)? as usize,
+        max_disk_bytes: (limit("disk_mb", 0.25)? * 1e6) as u64,
+        known_endpoints: present(root, "known").cloned().unwrap_or_default(),
+        decisions: terms,
         names,
-        connect_time_out: span("connectTimeoutUs", 1500.0)?,
-        idle_limit: 0.9 * span("keepaliveUs", 15_000.0)?,
-        closing_least: 1_000.0,
-        closing_time: 3_400.0,
-        handover: match variable("PROXY_HANDOVER").as_deref() {
+        connect_timeout: span("connectTimeoutUs", 1500.0)?,
+        idle_timeout: 0.9 * span("keepaliveUs", 15_000.0)?,
+        min_shutdown_duration: 1_000.0,
+        shutdown_timeout: 3_400.0,
+        hot_restart: match variable("PROXY_HANDOVER").as_deref() {
             None | Some("on") => true,
             Some("off") => false,
             Some(word) => return Err(format!("PROXY_HANDOVER: {word:?} is neither on nor off")),
--- a/forwarder/config/src/pools.rs
+++ b/forwarder/config/src/pools.rs
@@ -6,11 +6,11 @@
 
 use crate::decisions::Names;
 use crate::fields::Plain;
-use crate::fleet::Fleet;
+use crate::fleet::FleetConfig;
 
 /// A policy that was found sound.
 #[derive(Clone, Debug)]
-pub struct Pools {
+pub struct QuotaPolicySource {
     pub path: PathBuf,
     pub text: String,
     pub policy: Policy,
@@ -18,7 +18,7 @@
 
 /// What the fleet says, whose file is `file`; None, and nothing of it is started, where it names no
 /// policy. A policy's path goes from the fleet file's folder.
-pub fn pools(fleet: &Fleet, file: &str, names: &Names) -> Plain<Option<Pools>> {
+pub fn pools(fleet: &FleetConfig, file: &str, names: &Names) -> Plain<Option<QuotaPolicySource>> {
     let table = &fleet.pools;
     if let Some(key) = table.keys().find(|key| *key != "policy") {
         return Err(format!("{file}: pools.{key}: is not known; policy is"));
@@ -40,7 +40,7 @@
 }
 
 /// Reads a policy, the first time or again: its faults stand in a line each, with place, key and a way out.
-pub fn read(path: PathBuf, names: &Names) -> Plain<Pools> {
+pub fn read(path: PathBuf, names: &Names) -> Plain<QuotaPolicySource> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{name} cannot be read: {e}"))?;
     // Settings without members say nothing of their names.
@@ -52,5 +52,5 @@
     };
     let policy = plankhill_connection_quotas::policy(&name, &text, &known)
         .map_err(|faults| faults.to_string())?;
-    Ok(Pools { path, text, policy })
+    Ok(QuotaPolicySource { path, text, policy })
 }
--- a/forwarder/config/src/scenario.rs
+++ b/forwarder/config/src/scenario.rs
@@ -29,8 +29,8 @@
     pub clients: Clients,
     pub traffic: Vec<Traffic>,
     pub destinations: Vec<Group>,
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<Fault>,
     /// Only so many of the troubles, the first ones, are played: for sweeps over how many come together.
     #[serde(default)]
     pub troubles_played: Option<usize>,
@@ -364,7 +364,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Connections are refused.
     Down,
     /// Calls are taken and never run or answered.
@@ -409,8 +409,8 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    pub kind: TroubleKind,
+pub struct Fault {
+    pub kind: FaultKind,
     pub start: Ms,
     pub length: Ms,
     #[serde(default = "one")]
@@ -496,7 +496,7 @@
         let mut scenario: Scenario = text.holds()?;
         check::check(&scenario).map_err(|(key, what)| text.wrong(&key, &what))?;
         if let Some(most) = scenario.troubles_played {
-            scenario.troubles.truncate(most);
+            scenario.faults.truncate(most);
         }
         Ok(scenario)
     }
--- a/forwarder/config/src/scenario/check.rs
+++ b/forwarder/config/src/scenario/check.rs
@@ -86,7 +86,7 @@
             "no destination gets any traffic".into(),
         ));
     }
-    for (at, trouble) in scenario.troubles.iter().enumerate() {
+    for (at, trouble) in scenario.faults.iter().enumerate() {
         check_trouble(&format!("troubles[{at}]"), trouble, scenario)?;
     }
     memory(scenario)
@@ -179,8 +179,8 @@
     least(&key("limit.tells_wait"), group.limit.tells_wait, 0.0)
 }
 
-fn check_trouble(at: &str, trouble: &Trouble, scenario: &Scenario) -> Checked {
-    use TroubleKind::*;
+fn check_trouble(at: &str, trouble: &Fault, scenario: &Scenario) -> Checked {
+    use FaultKind::*;
     let key = |field: &str| format!("{at}.{field}");
     least(&key("start"), trouble.start, 0.0)?;
     least(&key("length"), trouble.length, 0.0)?;
@@ -239,14 +239,14 @@
     let (forwarders, clients) = (&scenario.forwarders, &scenario.clients);
     let longest = scenario.longest_patience();
     let floods = scenario
-        .troubles
+        .faults
         .iter()
-        .filter(|t| t.kind == TroubleKind::Flood)
+        .filter(|t| t.kind == FaultKind::Flood)
         .map(|t| t.strength);
     let wakes = scenario
-        .troubles
+        .faults
         .iter()
-        .filter(|t| t.kind == TroubleKind::MassWake)
+        .filter(|t| t.kind == FaultKind::MassWake)
         .map(|t| t.strength);
     let destinations: f64 = scenario.destinations.iter().map(|g| g.count as f64).sum();
     let targets: f64 = scenario
--- a/forwarder/config/tests/fleet.rs
+++ b/forwarder/config/tests/fleet.rs
@@ -33,7 +33,7 @@
             replace: 5000.0
         }
     );
-    assert_eq!(fleet.copies.unwrap().keepers, 2);
+    assert_eq!(fleet.replication.unwrap().keepers, 2);
     assert_eq!(fleet.pools["policy"].as_str(), Some("p.pool"));
 }
 
--- a/forwarder/config/tests/scenarios.rs
+++ b/forwarder/config/tests/scenarios.rs
@@ -118,7 +118,7 @@
     text.set("forwarders.decisions", "backoff")
         .expect("made on the way");
     let scenario = Scenario::read(&text).expect("right again");
-    assert_eq!(scenario.troubles[0].start, 500.0);
+    assert_eq!(scenario.faults[0].start, 500.0);
 }
 
 #[rstest]
--- a/forwarder/config/tests/told.rs
+++ b/forwarder/config/tests/told.rs
@@ -1,6 +1,6 @@
 //! What a forwarder is told at its start, right and wrong: a message names the faulty key.
 
-use plankhill_forwarder_config::told;
+use plankhill_forwarder_config::load_config;
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -16,7 +16,7 @@
             "rules": {"coldFrom": 0.2, "coldUs": 9000000, "tipMultiple": 2}}})
 }
 
-fn read(name: &str, config: &Value) -> Result<plankhill_forwarder_config::Told, String> {
+fn read(name: &str, config: &Value) -> Result<plankhill_forwarder_config::ForwarderConfig, String> {
     read_with(name, config, None)
 }
 
@@ -24,13 +24,13 @@
     name: &str,
     config: &Value,
     handover: Option<&str>,
-) -> Result<plankhill_forwarder_config::Told, String> {
+) -> Result<plankhill_forwarder_config::ForwarderConfig, String> {
     let path = std::env::temp_dir().join(format!(
         "plankhill-terms-{}-{name}.json",
         std::process::id()
     ));
     std::fs::write(&path, config.to_string()).expect("a file for the test");
-    let told = told(|variable| match variable {
+    let told = load_config(|variable| match variable {
         "PROXY_CONFIG" => Some(path.display().to_string()),
         "PROXY_STATE" => Some("/state".into()),
         "PROXY_NAME" => Some("n4".into()),
@@ -45,18 +45,18 @@
 fn all_is_read_once_and_a_variable_goes_before_the_file() {
     let told = read("right", &config()).expect("right");
     assert_eq!(
-        (told.name.as_str(), told.sockets, told.disk),
+        (told.name.as_str(), told.max_sockets, told.max_disk_bytes),
         ("n4", 1024, 3_000_000)
     );
     assert_eq!(
         (
-            told.connect_time_out,
-            told.idle_limit,
-            told.terms.max_calls_in_flight
+            told.connect_timeout,
+            told.idle_timeout,
+            told.decisions.max_calls_in_flight
         ),
         (1000.0, 13_500.0, 4)
     );
-    assert_eq!(told.terms.seed, 0x8c1f30d27a5be964);
+    assert_eq!(told.decisions.seed, 0x8c1f30d27a5be964);
 }
 
 #[rstest]
@@ -67,7 +67,9 @@
             && told.names.left_at.is_none()
             && told.names.members.is_empty()
     );
-    assert!(told.terms.member_quotas.is_empty() && told.terms.over_quota_value_weight == 1.0);
+    assert!(
+        told.decisions.member_quotas.is_empty() && told.decisions.over_quota_value_weight == 1.0
+    );
 }
 
 /// Met at a deployment whose kinds take several events in a call: each went as a call of its own, with one slot for all,
@@ -77,9 +79,10 @@
     let mut config = config();
     config["settings"]["familyInfo"]["perCall"] = json!([8]);
     let told = read("calls", &config).expect("right");
-    assert_eq!(told.terms.destination_kinds[0].max_events_per_call, 1);
+    assert_eq!(told.decisions.destination_kinds[0].max_events_per_call, 1);
     let settings = config["settings"].as_object().expect("given");
-    let (simulated, _) = plankhill_forwarder_config::terms(settings, "settings", 1).expect("right");
+    let (simulated, _) =
+        plankhill_forwarder_config::decision_config(settings, "settings", 1).expect("right");
     assert_eq!(simulated.destination_kinds[0].max_events_per_call, 8);
 }
 
@@ -95,7 +98,10 @@
         told.names.sizes_are_rates && told.names.left_at == Some(1) && told.names.members == ["a"]
     );
     assert_eq!(
-        (told.terms.member_quotas, told.terms.over_quota_value_weight),
+        (
+            told.decisions.member_quotas,
+            told.decisions.over_quota_value_weight
+        ),
         (vec![66.0], 0.05)
     );
 }
@@ -129,9 +135,11 @@
 
 #[rstest]
 fn a_file_that_is_missing_or_no_json_is_named() {
-    let said = told(|_| None).map(|_| ()).expect_err("nothing is set");
+    let said = load_config(|_| None)
+        .map(|_| ())
+        .expect_err("nothing is set");
     assert!(said.contains("PROXY_CONFIG: is not set"), "{said}");
-    let said = told(|_| Some("/nowhere/config.json".into()))
+    let said = load_config(|_| Some("/nowhere/config.json".into()))
         .map(|_| ())
         .expect_err("is not there");
     assert!(
@@ -152,7 +160,7 @@
 ) {
     let name = format!("handover-{}", said.unwrap_or("unset"));
     match (
-        read_with(&name, &config(), said).map(|told| told.handover),
+        read_with(&name, &config(), said).map(|told| told.hot_restart),
         meant,
     ) {
         (Ok(on), Ok(wanted)) => assert_eq!(on, wanted),
--- a/forwarder/connection-quotas/examples/fleet/leased.rs
+++ b/forwarder/connection-quotas/examples/fleet/leased.rs
@@ -1,14 +1,16 @@
 //! Leases over the real book, giver and holders; the log takes 20 ms, a report 10 ms.
 
 use plankhill_connection_quotas::language::{Facts, Known, PoolId};
-use plankhill_connection_quotas::leases::{encode, Book, Instance, Life};
-use plankhill_connection_quotas::local::{Entry, Local, Start, Use};
+use plankhill_connection_quotas::leases::{encode, Instance, LeaseTable, MemberIncarnation};
+use plankhill_connection_quotas::local::{
+    Admission, ConnectionUse, LocalQuotas, LocalQuotasConfig,
+};
 
 use super::traffic::Way;
 use crate::{FORWARDERS, MEMBERS, TAKES, TARGETS};
 
 pub struct Leased {
-    locals: Vec<Local>,
+    locals: Vec<LocalQuotas>,
     pools: Vec<PoolId>,
     log: Vec<(f64, Vec<u8>)>,
     reports: Vec<(f64, Vec<u8>)>,
@@ -35,9 +37,9 @@
         let local = |at: usize| {
             let policy = plankhill_connection_quotas::policy("p", &text, &Known::default())
                 .expect("is sound");
-            let (instance, life) = (instances[at].0.clone(), Life(at as u64));
+            let (instance, life) = (instances[at].0.clone(), MemberIncarnation(at as u64));
             let (text, instances) = (text.clone(), instances.clone());
-            let mut local = Local::new(Start {
+            let mut local = LocalQuotas::new(LocalQuotasConfig {
                 instance,
                 life,
                 text,
@@ -46,15 +48,15 @@
                 grace: 600.0,
             });
             (0..TARGETS).for_each(|at| {
-                local.listed(Facts {
+                local.upsert_target(Facts {
                     target: name(at),
                     ..Facts::default()
                 })
             });
             local
         };
-        let mut locals: Vec<Local> = (0..FORWARDERS).map(local).collect();
-        locals[0].leads(0.0, 1, &Book::default().snapshot());
+        let mut locals: Vec<LocalQuotas> = (0..FORWARDERS).map(local).collect();
+        locals[0].leads(0.0, 1, &LeaseTable::default().snapshot());
         let pools = (0..TARGETS)
             .map(|target| PoolId::Target(name(target)))
             .collect();
@@ -67,8 +69,8 @@
     }
 }
 
-fn event(local: &Local, member: usize) -> Use {
-    Use::Event(local.member(MEMBERS[member].0))
+fn event(local: &LocalQuotas, member: usize) -> ConnectionUse {
+    ConnectionUse::Event(local.member(MEMBERS[member].0))
 }
 
 impl Way for Leased {
@@ -83,27 +85,27 @@
         let local = &mut self.locals[forwarder];
         let (what, from) = (event(local, member), kept.then(|| &self.pools[target]));
         matches!(
-            local.enter(now, now + 2_000.0, &name(target), what, from),
-            Entry::In(_)
+            local.acquire(now, now + 2_000.0, &name(target), what, from),
+            Admission::Admitted(_)
         )
     }
 
     fn refused(&mut self, now: f64, forwarder: usize, target: usize, member: usize) {
         let what = event(&self.locals[forwarder], member);
-        self.locals[forwarder].left(now, &self.pools[target], Some(what));
+        self.locals[forwarder].connection_closed(now, &self.pools[target], Some(what));
     }
 
     fn ended(&mut self, now: f64, forwarder: usize, target: usize, member: usize) -> bool {
         let what = event(&self.locals[forwarder], member);
-        let stays = self.locals[forwarder].rests(now, &self.pools[target], what);
+        let stays = self.locals[forwarder].release_idle(now, &self.pools[target], what);
         if !stays {
-            self.locals[forwarder].left(now, &self.pools[target], None);
+            self.locals[forwarder].connection_closed(now, &self.pools[target], None);
         }
         stays
     }
 
     fn idle_closed(&mut self, now: f64, forwarder: usize, target: usize) {
-        self.locals[forwarder].left(now, &self.pools[target], None);
+        self.locals[forwarder].connection_closed(now, &self.pools[target], None);
     }
 
     fn step(&mut self, now: f64) -> Vec<(usize, usize, u32)> {
--- a/forwarder/connection-quotas/src/leases/book.rs
+++ b/forwarder/connection-quotas/src/leases/book.rs
@@ -28,7 +28,7 @@
 pub struct Torn;
 
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct LeaseTable {
     term: u64,
     /// Policies by age, the newest last; those before it until all instances have heard of it.
     pub(super) agreed: Vec<Agreed>,
@@ -70,7 +70,7 @@
     facts: BTreeMap<PoolId, Facts>,
 }
 
-impl Book {
+impl LeaseTable {
     /// A command that the leader of `term` proposed.
     pub fn apply(&mut self, term: u64, command: &Command) -> Outcome {
         if term < self.term {
@@ -242,7 +242,7 @@
         })
     }
 
-    pub fn restore(bytes: &[u8]) -> Result<Book, Torn> {
+    pub fn restore(bytes: &[u8]) -> Result<LeaseTable, Torn> {
         let written: Written = decode(bytes).ok_or(Torn)?;
         let agreed = written.agreed.into_iter().map(|(text, instances)| {
             let policy = crate::policy("agreed", &text, &Known::default()).map_err(|_| Torn)?;
@@ -253,7 +253,7 @@
             })
         });
         let agreed = agreed.collect::<Result<Vec<_>, Torn>>()?;
-        Ok(Book {
+        Ok(LeaseTable {
             term: written.term,
             agreed,
             leases: written.leases,
--- a/forwarder/connection-quotas/src/leases/counted.rs
+++ b/forwarder/connection-quotas/src/leases/counted.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::book::{Agreed, Book};
+use super::book::{Agreed, LeaseTable};
 use super::standing::{all_standing, standing};
 use super::words::*;
 use crate::language::{Facts, Policy, PoolId};
@@ -25,7 +25,7 @@
     }
 }
 
-impl Book {
+impl LeaseTable {
     pub(super) fn fits(&self, policy: &Policy, part: &PartOf, instance: &Instance) -> bool {
         let (pool, facts) = (&part.pool, lasting(&part.facts));
         if policy.pool(&facts).as_ref() != Some(pool) {
--- a/forwarder/connection-quotas/src/leases/giver.rs
+++ b/forwarder/connection-quotas/src/leases/giver.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::book::{Book, Outcome};
+use super::book::{LeaseTable, Outcome};
 use super::words::*;
 use crate::language::{Facts, PoolId, PoolTerms};
 use crate::split::{fill, split, Owed, Part, Vessel, Wants};
@@ -23,7 +23,7 @@
 
 impl Giver {
     /// Begins to give. `grace`: after so long a process that stands still has been ended.
-    pub fn new(now: f64, grace: f64, book: &Book) -> Self {
+    pub fn new(now: f64, grace: f64, book: &LeaseTable) -> Self {
         let found = book
             .open()
             .flat_map(|(name, leases)| leases.iter().map(move |lease| (name, lease)));
@@ -67,7 +67,7 @@
     }
 
     /// A lease for who asks, as far as it fits with what is out.
-    pub fn reported(&mut self, now: f64, book: &Book, report: Report) -> Option<Command> {
+    pub fn reported(&mut self, now: f64, book: &LeaseTable, report: Report) -> Option<Command> {
         let (policy, instances) = book.policy()?;
         let (name, edition) = (report.instance.clone(), policy.edition);
         let listed = instances.iter().any(|(listed, _)| *listed == name);
@@ -115,7 +115,7 @@
     }
 
     /// What is to be proposed by now: leases that have surely ended, and a policy that all have heard of.
-    pub fn due(&mut self, now: f64, book: &Book) -> Vec<Command> {
+    pub fn due(&mut self, now: f64, book: &LeaseTable) -> Vec<Command> {
         let mut over: BTreeMap<Instance, Number> = BTreeMap::new();
         for (name, leases) in book.open() {
             let ended = |number: Number| {
@@ -145,7 +145,7 @@
         commands
     }
 
-    fn parts(&mut self, now: f64, book: &Book, name: &Instance) -> Vec<PartOf> {
+    fn parts(&mut self, now: f64, book: &LeaseTable, name: &Instance) -> Vec<PartOf> {
         let Some((report, _)) = self.reports.get(name) else {
             return Vec::new();
         };
@@ -173,7 +173,7 @@
     }
 
     /// A pool with all that anyone knows of it, and what holds there.
-    fn pool(&self, book: &Book, facts: &Facts) -> Option<(PoolId, Facts, PoolTerms)> {
+    fn pool(&self, book: &LeaseTable, facts: &Facts) -> Option<(PoolId, Facts, PoolTerms)> {
         let (policy, _) = book.policy()?;
         let pool = policy.pool(facts)?;
         let mut known = facts.clone();
@@ -185,7 +185,11 @@
         Some((pool, known, terms))
     }
 
-    fn told<'a>(&'a self, book: &'a Book, pool: &'a PoolId) -> impl Iterator<Item = &'a WantsOf> {
+    fn told<'a>(
+        &'a self,
+        book: &'a LeaseTable,
+        pool: &'a PoolId,
+    ) -> impl Iterator<Item = &'a WantsOf> {
         let all = self.reports.values().flat_map(|(report, _)| &report.wants);
         let counted = |facts: &Facts| book.policy().and_then(|(policy, _)| policy.pool(facts));
         all.filter(move |wants| counted(&wants.facts).as_ref() == Some(pool))
@@ -195,7 +199,7 @@
     fn target(
         &mut self,
         now: f64,
-        book: &Book,
+        book: &LeaseTable,
         pool: &PoolId,
         facts: &Facts,
         terms: &PoolTerms,
@@ -245,7 +249,7 @@
     /// As much of a part as fits with what all others may have open.
     fn that_fits(
         &self,
-        book: &Book,
+        book: &LeaseTable,
         pool: &PoolId,
         facts: &Facts,
         terms: &PoolTerms,
--- a/forwarder/connection-quotas/src/leases/holder.rs
+++ b/forwarder/connection-quotas/src/leases/holder.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Holder {
     instance: Instance,
-    life: Life,
+    life: MemberIncarnation,
     asked: u64,
     /// When each of the last reports was made.
     asks: VecDeque<(u64, f64)>,
@@ -40,7 +40,7 @@
 }
 
 impl Holder {
-    pub fn new(instance: Instance, life: Life) -> Self {
+    pub fn new(instance: Instance, life: MemberIncarnation) -> Self {
         Holder {
             instance,
             life,
--- a/forwarder/connection-quotas/src/leases/mod.rs
+++ b/forwarder/connection-quotas/src/leases/mod.rs
@@ -18,7 +18,7 @@
 mod standing;
 mod words;
 
-pub use book::{Book, Outcome, Torn, MOST_LEASES};
+pub use book::{LeaseTable, Outcome, Torn, MOST_LEASES};
 pub use demand::Demand;
 pub use giver::Giver;
 pub use holder::{Allowed, Holder};
--- a/forwarder/connection-quotas/src/leases/words.rs
+++ b/forwarder/connection-quotas/src/leases/words.rs
@@ -10,7 +10,7 @@
 
 /// Drawn anew by each start of a process: what one start was given, another does not hold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
-pub struct Life(pub u64);
+pub struct MemberIncarnation(pub u64);
 
 /// The number of a lease: each one of an instance has a higher one than those before it.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Report {
     pub instance: Instance,
-    pub life: Life,
+    pub life: MemberIncarnation,
     /// Counts the reports of this life. A lease names the one that it answers.
     pub asked: u64,
     /// It has closed down to this lease, and will never again rely on an earlier one.
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Grant {
     pub instance: Instance,
-    pub life: Life,
+    pub life: MemberIncarnation,
     /// The report that it answers: the lease is counted from when that one was made.
     pub asked: u64,
     /// What the holder had closed down to, in that report.
--- a/forwarder/connection-quotas/src/local/counts.rs
+++ b/forwarder/connection-quotas/src/local/counts.rs
@@ -5,7 +5,7 @@
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Use {
+pub enum ConnectionUse {
     Event(MemberId),
     /// A ping or trial: on the policy's reserve if there is one, else as any.
     Trial,
@@ -48,7 +48,7 @@
         &mut self,
         now: f64,
         allowed: &Allowed,
-        what: Use,
+        what: ConnectionUse,
         from_idle: bool,
         members: usize,
     ) -> bool {
@@ -57,11 +57,11 @@
         }
         let fits = self.all() + u32::from(!from_idle) <= allowed.all;
         let own = match (what, &allowed.members) {
-            (Use::Trial, Some(members)) => {
+            (ConnectionUse::Trial, Some(members)) => {
                 let events: u32 = members.iter().sum();
                 self.trials < allowed.trials || allowed.trials == 0 && self.busy() < events
             }
-            (Use::Event(MemberId(member)), Some(members)) => {
+            (ConnectionUse::Event(MemberId(member)), Some(members)) => {
                 let member = usize::from(member);
                 self.busy_of(member) < members.get(member).copied().unwrap_or(0)
             }
@@ -72,11 +72,11 @@
             self.idle -= u32::from(from_idle);
         }
         match what {
-            Use::Trial => {
+            ConnectionUse::Trial => {
                 self.trials += u32::from(enters);
                 note(&mut self.trial_wanted, now, enters);
             }
-            Use::Event(MemberId(member)) => {
+            ConnectionUse::Event(MemberId(member)) => {
                 if let Some((busy, demand)) = self.events.get_mut(usize::from(member)) {
                     *busy += u32::from(enters);
                     note(demand, now, enters);
@@ -90,13 +90,13 @@
         self.events.get(member).map_or(0, |(busy, _)| *busy)
     }
 
-    fn ended(&mut self, now: f64, what: Use) {
+    fn ended(&mut self, now: f64, what: ConnectionUse) {
         match what {
-            Use::Trial => {
+            ConnectionUse::Trial => {
                 self.trials = self.trials.saturating_sub(1);
                 self.trial_wanted.closed(now);
             }
-            Use::Event(MemberId(member)) => {
+            ConnectionUse::Event(MemberId(member)) => {
                 if let Some((busy, demand)) = self.events.get_mut(usize::from(member)) {
                     *busy = busy.saturating_sub(1);
                     demand.closed(now);
@@ -105,12 +105,12 @@
         }
     }
 
-    pub fn rests(&mut self, now: f64, what: Use) {
+    pub fn rests(&mut self, now: f64, what: ConnectionUse) {
         self.ended(now, what);
         self.idle += 1;
     }
 
-    pub fn left(&mut self, now: f64, what: Option<Use>) {
+    pub fn left(&mut self, now: f64, what: Option<ConnectionUse>) {
         match what {
             Some(what) => self.ended(now, what),
             None => self.idle = self.idle.saturating_sub(1),
--- a/forwarder/connection-quotas/src/local/group.rs
+++ b/forwarder/connection-quotas/src/local/group.rs
@@ -1,9 +1,9 @@
 //! What is heard of the control group, and what is given while it is led from here.
 
-use super::Local;
+use super::LocalQuotas;
 use crate::leases::*;
 
-impl Local {
+impl LocalQuotas {
     /// A command of the control group's log, proposed in `term`.
     pub fn applied(&mut self, now: f64, term: u64, command: &[u8]) {
         let Some(command) = decode::<Command>(command) else {
@@ -23,7 +23,7 @@
 
     /// The book as a whole, in place of commands that were missed. A lease among them is asked for anew.
     pub fn replaced(&mut self, state: &[u8]) {
-        if let Ok(book) = Book::restore(state) {
+        if let Ok(book) = LeaseTable::restore(state) {
             self.book = book;
             self.stands_anew();
         }
--- a/forwarder/connection-quotas/src/local/mod.rs
+++ b/forwarder/connection-quotas/src/local/mod.rs
@@ -10,27 +10,27 @@
 use crate::language::{Facts, MemberId, Policy, PoolId, OTHERS};
 use crate::leases::*;
 
+pub use counts::ConnectionUse;
 use counts::Counts;
-pub use counts::Use;
 
 /// Whether a connection may be used.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Entry {
+pub enum Admission {
     /// No budget holds for the target.
-    Unbounded,
+    Unlimited,
     /// It is counted there now.
-    In(PoolId),
+    Admitted(PoolId),
     /// There is no room there.
-    Full(PoolId),
+    Exhausted(PoolId),
 }
 
-pub struct Local {
+pub struct LocalQuotas {
     /// As its own file says, until one is agreed on; to be agreed on if its edition is higher.
     told: Policy,
     text: String,
     instances: Vec<(Instance, String)>,
     grace: f64,
-    book: Book,
+    book: LeaseTable,
     holder: Holder,
     targets: BTreeMap<String, Known>,
     pools: BTreeMap<PoolId, Counts>,
@@ -44,9 +44,9 @@
 }
 
 /// What a forwarder is told of pools at its start.
-pub struct Start {
+pub struct LocalQuotasConfig {
     pub instance: Instance,
-    pub life: Life,
+    pub life: MemberIncarnation,
     pub text: String,
     pub policy: Policy,
     /// All instances of the fleet, with their zones.
@@ -55,14 +55,14 @@
     pub grace: f64,
 }
 
-impl Local {
-    pub fn new(start: Start) -> Local {
-        Local {
+impl LocalQuotas {
+    pub fn new(start: LocalQuotasConfig) -> LocalQuotas {
+        LocalQuotas {
             told: start.policy,
             text: start.text,
             instances: start.instances,
             grace: start.grace,
-            book: Book::default(),
+            book: LeaseTable::default(),
             holder: Holder::new(start.instance, start.life),
             targets: BTreeMap::new(),
             pools: BTreeMap::new(),
@@ -72,7 +72,7 @@
     }
 
     /// Another policy than at the start, checked. It is in force once the fleet has agreed on it.
-    pub fn told(&mut self, text: String, policy: Policy) {
+    pub fn set_policy(&mut self, text: String, policy: Policy) {
         (self.text, self.told) = (text, policy);
     }
 
@@ -85,7 +85,7 @@
         self.policy().lease.renew
     }
 
-    pub fn listed(&mut self, facts: Facts) {
+    pub fn upsert_target(&mut self, facts: Facts) {
         let cold_until = self
             .targets
             .get(&facts.target)
@@ -94,12 +94,12 @@
             .insert(facts.target.clone(), Known { facts, cold_until });
     }
 
-    pub fn gone(&mut self, target: &str) {
+    pub fn remove_target(&mut self, target: &str) {
         self.targets.remove(target);
     }
 
     /// It is warming up until then.
-    pub fn cold(&mut self, target: &str, until: f64) {
+    pub fn set_warming_up(&mut self, target: &str, until: f64) {
         if let Some(known) = self.targets.get_mut(target) {
             known.cold_until = until;
         }
@@ -138,16 +138,16 @@
     }
 
     /// Counts a connection in, a new one or one that stood idle in `from`, for a use that is over by `until`.
-    pub fn enter(
+    pub fn acquire(
         &mut self,
         now: f64,
         until: f64,
         target: &str,
-        what: Use,
+        what: ConnectionUse,
         from: Option<&PoolId>,
-    ) -> Entry {
+    ) -> Admission {
         let Some((pool, facts)) = self.pool_of(target) else {
-            return Entry::Unbounded;
+            return Admission::Unlimited;
         };
         if !self.pools.contains_key(&pool) {
             let facts = facts.clone();
@@ -158,18 +158,18 @@
         let allowed = self.allowed(now, until, &pool);
         let members = self.policy().members.len();
         let Some(counts) = self.pools.get_mut(&pool) else {
-            return Entry::Full(pool);
+            return Admission::Exhausted(pool);
         };
         let idle = from == Some(&pool);
         if counts.enter(now, &allowed, what, idle, members) {
-            Entry::In(pool)
+            Admission::Admitted(pool)
         } else {
-            Entry::Full(pool)
+            Admission::Exhausted(pool)
         }
     }
 
     /// A connection's use is over, and it stays open. False if it has to be closed: it counts until it was.
-    pub fn rests(&mut self, now: f64, pool: &PoolId, what: Use) -> bool {
+    pub fn release_idle(&mut self, now: f64, pool: &PoolId, what: ConnectionUse) -> bool {
         let Some(counts) = self.pools.get_mut(pool) else {
             return false;
         };
@@ -178,7 +178,7 @@
     }
 
     /// A connection was closed, from that use or as an idle one.
-    pub fn left(&mut self, now: f64, pool: &PoolId, what: Option<Use>) {
+    pub fn connection_closed(&mut self, now: f64, pool: &PoolId, what: Option<ConnectionUse>) {
         if let Some(counts) = self.pools.get_mut(pool) {
             counts.left(now, what);
         }
@@ -201,7 +201,7 @@
     }
 
     /// Whether one more might be counted in, so that someone who waits had better look again.
-    pub fn has_room(&self, now: f64, pool: &PoolId) -> bool {
+    pub fn has_capacity(&self, now: f64, pool: &PoolId) -> bool {
         let Some(counts) = self.pools.get(pool) else {
             return false;
         };
@@ -209,7 +209,7 @@
     }
 
     /// Whether all that may be open there is, some of it idle.
-    pub fn is_taken(&self, now: f64, pool: &PoolId) -> bool {
+    pub fn is_exhausted(&self, now: f64, pool: &PoolId) -> bool {
         let Some(counts) = self.pools.get(pool).filter(|counts| counts.idle > 0) else {
             return false;
         };
@@ -244,7 +244,7 @@
     fn wants(&mut self, now: f64) -> Vec<WantsOf> {
         let policy = self.policy().clone();
         let others = usize::from(policy.member(OTHERS).0);
-        let Local { targets, pools, .. } = self;
+        let LocalQuotas { targets, pools, .. } = self;
         let mut wants = Vec::new();
         for (pool, counts) in pools.iter_mut() {
             let mut facts = counts.facts.clone();
--- a/forwarder/connection-quotas/tests/fleet/mod.rs
+++ b/forwarder/connection-quotas/tests/fleet/mod.rs
@@ -66,7 +66,7 @@
         let mut instance = |at: usize| {
             let name = Instance(format!("i{at}"));
             Process {
-                holder: Holder::new(name.clone(), Life(at as u64)),
+                holder: Holder::new(name.clone(), MemberIncarnation(at as u64)),
                 name,
                 // As far apart as they may be.
                 rate: if chance.random() {
@@ -75,9 +75,9 @@
                     1.0 + drift
                 },
                 ahead: chance.random_range(0.0..1e6),
-                book: Book::default(),
+                book: LeaseTable::default(),
                 heard: 0,
-                saved: (0, Book::default().snapshot()),
+                saved: (0, LeaseTable::default().snapshot()),
                 open: Vec::new(),
                 wants: 4,
                 stalled_until: 0.0,
--- a/forwarder/connection-quotas/tests/fleet/process.rs
+++ b/forwarder/connection-quotas/tests/fleet/process.rs
@@ -8,7 +8,7 @@
     pub rate: f64,
     pub ahead: f64,
     pub holder: Holder,
-    pub book: Book,
+    pub book: LeaseTable,
     pub heard: usize,
     /// A snapshot on its disk, with what it had heard by then.
     pub saved: (usize, Vec<u8>),
--- a/forwarder/connection-quotas/tests/fleet/trouble.rs
+++ b/forwarder/connection-quotas/tests/fleet/trouble.rs
@@ -99,8 +99,8 @@
         self.lives += 1;
         let instance = &mut self.instances[at];
         instance.open.clear();
-        instance.holder = Holder::new(instance.name.clone(), Life(self.lives));
-        instance.book = Book::restore(&instance.saved.1).expect("was a book");
+        instance.holder = Holder::new(instance.name.clone(), MemberIncarnation(self.lives));
+        instance.book = LeaseTable::restore(&instance.saved.1).expect("was a book");
         (instance.heard, instance.gives) = (instance.saved.0, None);
         (instance.stalled_until, instance.about_to_open) = (0.0, false);
         instance.standing = instance
--- a/forwarder/connection-quotas/tests/leases.rs
+++ b/forwarder/connection-quotas/tests/leases.rs
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_book_outlasts_its_writing_down_and_refuses_what_passes_the_budget() {
-    let mut book = Book::default();
+    let mut book = LeaseTable::default();
     let text = "language 1 edition 4 budget each target { connections 10 standing 2 }".to_owned();
     assert_eq!(
         book.apply(
@@ -133,7 +133,7 @@
         let pool = PoolId::Target("t".into());
         Command::Grant(Grant {
             instance: Instance(format!("i{instance}")),
-            life: Life(1),
+            life: MemberIncarnation(1),
             asked: number,
             closed: Number(0),
             edition: 4,
@@ -155,7 +155,7 @@
         "one stands for the other"
     );
     assert_eq!(book.apply(1, &grant(0, 1, 9)), Outcome::Done);
-    let mut again = Book::restore(&book.snapshot()).expect("is a book");
+    let mut again = LeaseTable::restore(&book.snapshot()).expect("is a book");
     for book in [&mut book, &mut again] {
         assert_eq!(book.apply(1, &grant(1, 1, 2)), Outcome::Refused);
         assert_eq!(
@@ -182,12 +182,12 @@
         );
         assert_eq!(book.apply(2, &grant(1, 1, 7)), Outcome::Done);
     }
-    assert!(Book::restore(b"no book").is_err() && decode::<Command>(&[9, 9, 9]).is_none());
+    assert!(LeaseTable::restore(b"no book").is_err() && decode::<Command>(&[9, 9, 9]).is_none());
 }
 
 #[test]
 fn a_policy_that_counts_elsewhere_waits_for_the_leases_of_the_one_before() {
-    let mut book = Book::default();
+    let mut book = LeaseTable::default();
     let text = |edition, scope| {
         format!("language 1 edition {edition} budget {scope} {{ connections 10 standing 0 }}")
     };
@@ -201,10 +201,10 @@
         destination: 3,
         ..Facts::default()
     };
-    let mut holder = Holder::new(Instance("i0".into()), Life(1));
+    let mut holder = Holder::new(Instance("i0".into()), MemberIncarnation(1));
     let mut giver = Giver::new(0.0, 100.0, &book);
     let mut now = 0.0;
-    let mut ask = |book: &mut Book, holder: &mut Holder, giver: &mut Giver, edition| -> u32 {
+    let mut ask = |book: &mut LeaseTable, holder: &mut Holder, giver: &mut Giver, edition| -> u32 {
         now += 2_000.0;
         holder.open(now, &Default::default(), edition, |_| 0);
         let wants = WantsOf {
--- a/forwarder/connection-quotas/tests/local.rs
+++ b/forwarder/connection-quotas/tests/local.rs
@@ -1,20 +1,22 @@
 //! A forwarder's side by plain calls: two of them, one of which leads, and bytes carried between them.
 
 use plankhill_connection_quotas::language::{Facts, Known, PoolId, OTHERS};
-use plankhill_connection_quotas::leases::{encode, Command, Instance, Life};
-use plankhill_connection_quotas::local::{Entry, Local, Start, Use};
+use plankhill_connection_quotas::leases::{encode, Command, Instance, MemberIncarnation};
+use plankhill_connection_quotas::local::{
+    Admission, ConnectionUse, LocalQuotas, LocalQuotasConfig,
+};
 
 const POLICY: &str = "language 1 edition 1 lease { lasts 3s renew 300ms }
     budget each target { connections 10 standing 2 reserve 1 }";
 
-fn local(name: &str) -> Local {
+fn local(name: &str) -> LocalQuotas {
     let policy =
         plankhill_connection_quotas::policy("p", POLICY, &Known::default()).expect("is sound");
     let instances = ["a", "b"]
         .map(|name| (Instance(name.into()), String::new()))
         .to_vec();
-    let (instance, life, text) = (Instance(name.into()), Life(7), POLICY.into());
-    let mut local = Local::new(Start {
+    let (instance, life, text) = (Instance(name.into()), MemberIncarnation(7), POLICY.into());
+    let mut local = LocalQuotas::new(LocalQuotasConfig {
         instance,
         life,
         text,
@@ -22,7 +24,7 @@
         instances,
         grace: 600.0,
     });
-    local.listed(facts());
+    local.upsert_target(facts());
     local
 }
 
@@ -40,8 +42,8 @@
 
 struct Two {
     now: f64,
-    a: Local,
-    b: Local,
+    a: LocalQuotas,
+    b: LocalQuotas,
 }
 
 impl Two {
@@ -51,7 +53,7 @@
             a: local("a"),
             b: local("b"),
         };
-        let nothing = plankhill_connection_quotas::leases::Book::default().snapshot();
+        let nothing = plankhill_connection_quotas::leases::LeaseTable::default().snapshot();
         two.a.leads(0.0, 1, &nothing);
         two.carry(4);
         two
@@ -83,14 +85,16 @@
     }
 }
 
-fn event(local: &Local) -> Use {
-    Use::Event(local.member(OTHERS))
+fn event(local: &LocalQuotas) -> ConnectionUse {
+    ConnectionUse::Event(local.member(OTHERS))
 }
 
-fn open(local: &mut Local, now: f64, most: usize) -> usize {
+fn open(local: &mut LocalQuotas, now: f64, most: usize) -> usize {
     let what = event(local);
     (0..most)
-        .take_while(|_| local.enter(now, now + 1_000.0, "t", what, None) == Entry::In(pool()))
+        .take_while(|_| {
+            local.acquire(now, now + 1_000.0, "t", what, None) == Admission::Admitted(pool())
+        })
         .count()
 }
 
@@ -99,10 +103,13 @@
     let mut alone = local("a");
     let what = event(&alone);
     assert_eq!(
-        alone.enter(0.0, 1.0, "stranger", what, None),
-        Entry::Unbounded
+        alone.acquire(0.0, 1.0, "stranger", what, None),
+        Admission::Unlimited
+    );
+    assert_eq!(
+        alone.acquire(0.0, 1.0, "t", what, None),
+        Admission::Exhausted(pool())
     );
-    assert_eq!(alone.enter(0.0, 1.0, "t", what, None), Entry::Full(pool()));
 }
 
 #[test]
@@ -127,7 +134,7 @@
     let what = event(&two.a);
     for _ in 0..two.opened_by_a() {
         assert!(
-            two.a.rests(two.now, &pool(), what),
+            two.a.release_idle(two.now, &pool(), what),
             "idle ones may stay as long as nobody else wants them"
         );
     }
@@ -135,7 +142,7 @@
         open(&mut two.b, two.now, 20);
         two.carry(1);
         for (pool, surplus) in two.a.surplus(two.now) {
-            (0..surplus).for_each(|_| two.a.left(two.now, &pool, None));
+            (0..surplus).for_each(|_| two.a.connection_closed(two.now, &pool, None));
         }
     }
     let (a, b) = (two.opened_by_a(), two.b.open(&pool()));
@@ -151,19 +158,20 @@
     }
     let what = event(&two.a);
     (0..8).for_each(|_| {
-        two.a.rests(two.now, &pool(), what);
+        two.a.release_idle(two.now, &pool(), what);
     });
     assert_eq!(two.a.surplus(two.now + 2_600.0), []);
     assert_eq!(two.a.surplus(two.now + 3_000.0), [(pool(), 7)]);
     // A call that would outlast the lease is not begun on the strength of it.
     let late = two.now + 2_500.0;
     assert_eq!(
-        two.a.enter(late, late + 1_000.0, "t", what, Some(&pool())),
-        Entry::Full(pool())
+        two.a
+            .acquire(late, late + 1_000.0, "t", what, Some(&pool())),
+        Admission::Exhausted(pool())
     );
     assert_eq!(
-        two.a.enter(late, late + 300.0, "t", what, Some(&pool())),
-        Entry::In(pool())
+        two.a.acquire(late, late + 300.0, "t", what, Some(&pool())),
+        Admission::Admitted(pool())
     );
 }
 
@@ -172,20 +180,24 @@
     let mut two = Two::new();
     for _ in 0..6 {
         open(&mut two.a, two.now, 20);
-        two.a.enter(two.now, two.now, "t", Use::Trial, None);
-        two.a.left(two.now, &pool(), Some(Use::Trial));
+        two.a
+            .acquire(two.now, two.now, "t", ConnectionUse::Trial, None);
+        two.a
+            .connection_closed(two.now, &pool(), Some(ConnectionUse::Trial));
         two.carry(2);
     }
     assert_eq!(
-        two.a.enter(two.now, two.now, "t", event(&two.a), None),
-        Entry::Full(pool())
+        two.a.acquire(two.now, two.now, "t", event(&two.a), None),
+        Admission::Exhausted(pool())
     );
     assert_eq!(
-        two.a.enter(two.now, two.now, "t", Use::Trial, None),
-        Entry::In(pool())
+        two.a
+            .acquire(two.now, two.now, "t", ConnectionUse::Trial, None),
+        Admission::Admitted(pool())
     );
     assert_eq!(
-        two.a.enter(two.now, two.now, "t", Use::Trial, None),
-        Entry::Full(pool())
+        two.a
+            .acquire(two.now, two.now, "t", ConnectionUse::Trial, None),
+        Admission::Exhausted(pool())
     );
 }
--- a/forwarder/connection-quotas/tests/stored_format.rs
+++ b/forwarder/connection-quotas/tests/stored_format.rs
@@ -46,7 +46,7 @@
 fn grant(pool: PoolId, number: u64) -> Grant {
     Grant {
         instance: Instance("one".into()),
-        life: Life(0xfedc_ba98_7654_3210),
+        life: MemberIncarnation(0xfedc_ba98_7654_3210),
         asked: 300,
         closed: Number(number - 1),
         edition: 7,
@@ -83,7 +83,7 @@
     }];
     let report = Report {
         instance: Instance("one".into()),
-        life: Life(0xfedc_ba98_7654_3210),
+        life: MemberIncarnation(0xfedc_ba98_7654_3210),
         asked: 300,
         closed: Number(70_000),
         edition: 7,
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_book_is_written_and_read_as_pinned() {
-    let mut book = Book::default();
+    let mut book = LeaseTable::default();
     assert_eq!(book.snapshot(), pinned("EmptyBook"));
     let newer = POLICY.replace("edition 7", "edition 8");
     let commands = [
@@ -158,7 +158,7 @@
         assert_eq!(book.apply(300, command), Outcome::Done, "{command:?}");
     }
     assert_eq!(book.snapshot(), pinned("Book"));
-    let read = Book::restore(&pinned("Book")).unwrap();
+    let read = LeaseTable::restore(&pinned("Book")).unwrap();
     assert_eq!(read.snapshot(), pinned("Book"));
     assert_eq!(read.policy().unwrap().0.edition, 8);
     assert_eq!(
@@ -168,7 +168,9 @@
         [("one", 2)]
     );
     assert_eq!(
-        Book::restore(&pinned("EmptyBook")).unwrap().snapshot(),
+        LeaseTable::restore(&pinned("EmptyBook"))
+            .unwrap()
+            .snapshot(),
         pinned("EmptyBook")
     );
 }
--- a/forwarder/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -5,7 +5,7 @@
 //! network and chance cost nothing. What it says is out of reach; how near a variant comes tells where
 //! payoff is left.
 
-use plankhill_forwarder_config::scenario::{Ms, Scenario, TroubleKind};
+use plankhill_forwarder_config::scenario::{FaultKind, Ms, Scenario};
 
 use crate::clients::{worth, Clients};
 use crate::limits::Gauge;
@@ -107,7 +107,7 @@
             .map(|traffic| traffic.share)
             .sum::<f64>();
     let (mut targets, mut limit) = (group.targets as f64, Gauge::rate(&group.limit));
-    for (trouble, list) in scenario.troubles.iter().zip(&struck.destinations) {
+    for (trouble, list) in scenario.faults.iter().zip(&struck.destinations) {
         let on = trouble.start <= at && at + STEP <= trouble.start + trouble.length;
         if !on || list.binary_search(&destination).is_err() {
             continue;
@@ -115,10 +115,10 @@
         let whole = trouble.whom.zone.is_none();
         let share = trouble.whom.targets.unwrap_or(1.0);
         match trouble.kind {
-            TroubleKind::Down | TroubleKind::Silent | TroubleKind::Hung if whole => {
+            FaultKind::Down | FaultKind::Silent | FaultKind::Hung if whole => {
                 targets -= (share * group.targets as f64).ceil()
             }
-            TroubleKind::LimitLowered if whole && share == 1.0 => {
+            FaultKind::LimitLowered if whole && share == 1.0 => {
                 targets *= trouble.strength;
                 limit *= trouble.strength;
             }
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use plankhill_forwarder_config::scenario::{Ms, Scenario, Traffic, TroubleKind};
+use plankhill_forwarder_config::scenario::{FaultKind, Ms, Scenario, Traffic};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Zipf};
@@ -104,12 +104,12 @@
             u64::MAX,
             weighted(&all),
         );
-        for (trouble, list) in scenario.troubles.iter().zip(&struck.destinations) {
+        for (trouble, list) in scenario.faults.iter().zip(&struck.destinations) {
             if list.is_empty() {
                 continue;
             }
             match trouble.kind {
-                TroubleKind::Flood => {
+                FaultKind::Flood => {
                     let rate = of.rate * trouble.strength;
                     add(
                         trouble.start,
@@ -120,7 +120,7 @@
                         weighted(list),
                     )
                 }
-                TroubleKind::MassWake => {
+                FaultKind::MassWake => {
                     let events = (list.len() as f64 * trouble.strength).round();
                     // A little faster than even, so that all have come before the end.
                     let rate = 1050.0 * events / trouble.length.max(1.0);
--- a/forwarder/emulator/src/struck.rs
+++ b/forwarder/emulator/src/struck.rs
@@ -1,7 +1,7 @@
 //! Which destinations and forwarders each trouble strikes, and how popular each destination is. Worked out
 //! once, from the scenario and the seed.
 
-use plankhill_forwarder_config::scenario::{Scenario, Trouble};
+use plankhill_forwarder_config::scenario::{Fault, Scenario};
 
 use crate::random::{stream, uniform, RandomStream};
 
@@ -23,7 +23,7 @@
         let by_use = by_use(&weights);
         let mut destinations = Vec::new();
         let mut forwarders = Vec::new();
-        for trouble in &scenario.troubles {
+        for trouble in &scenario.faults {
             let whom = &trouble.whom;
             let mut list: Vec<u32> = by_use.clone();
             if let Some(name) = &whom.group {
@@ -76,7 +76,7 @@
 
 fn struck_forwarders(
     scenario: &Scenario,
-    trouble: &Trouble,
+    trouble: &Fault,
     draw: &mut dyn FnMut() -> f64,
 ) -> Vec<u32> {
     let count = scenario.forwarders.count;
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -208,7 +208,7 @@
                     })
                     .collect(),
             });
-        let shades = scenario.troubles.iter().map(|trouble| FaultInterval {
+        let shades = scenario.faults.iter().map(|trouble| FaultInterval {
             fault: format!("{:?}", trouble.kind),
             start: trouble.start,
             end: (trouble.start + trouble.length).min(scenario.length),
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -1,7 +1,7 @@
 //! The way back of a call, and all that ends the forwarder's side of it.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
-use plankhill_forwarder_config::scenario::TroubleKind;
+use plankhill_forwarder_config::scenario::FaultKind;
 use plankhill_invariants::Observation;
 
 use super::parts::Member;
@@ -31,9 +31,9 @@
             return false;
         };
         active.iter().any(|&at| {
-            let trouble = &self.scenario.troubles[at as usize];
+            let trouble = &self.scenario.faults[at as usize];
             let struck = (trouble.strength * self.forwarders.len() as f64).ceil();
-            trouble.kind == TroubleKind::CutOneWay
+            trouble.kind == FaultKind::CutOneWay
                 && (forwarder as f64) < struck
                 && self.covers(at, target)
         })
--- a/forwarder/emulator/src/world/ground.rs
+++ b/forwarder/emulator/src/world/ground.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use plankhill_decisions::interface::EndpointState;
-use plankhill_forwarder_config::scenario::{Group, Ms, Scenario, TroubleKind};
+use plankhill_forwarder_config::scenario::{FaultKind, Group, Ms, Scenario};
 
 use super::{CallKey, World};
 use crate::limits::Gauge;
@@ -175,17 +175,17 @@
             if !self.covers(at, target) {
                 continue;
             }
-            let trouble = &self.scenario.troubles[at as usize];
+            let trouble = &self.scenario.faults[at as usize];
             match trouble.kind {
-                TroubleKind::Down => plight.down = true,
-                TroubleKind::Flapping => plight.down |= self.flapped_down[at as usize],
-                TroubleKind::Silent => plight.silent = true,
-                TroubleKind::Hung => plight.hung = true,
-                TroubleKind::HalfOpen => plight.half_open = true,
-                TroubleKind::Slow => plight.slow *= trouble.strength,
-                TroubleKind::Erring => plight.erring = plight.erring.max(trouble.strength),
-                TroubleKind::Resetting => plight.resetting = plight.resetting.max(trouble.strength),
-                TroubleKind::LimitLowered => plight.left_of_limit *= trouble.strength,
+                FaultKind::Down => plight.down = true,
+                FaultKind::Flapping => plight.down |= self.flapped_down[at as usize],
+                FaultKind::Silent => plight.silent = true,
+                FaultKind::Hung => plight.hung = true,
+                FaultKind::HalfOpen => plight.half_open = true,
+                FaultKind::Slow => plight.slow *= trouble.strength,
+                FaultKind::Erring => plight.erring = plight.erring.max(trouble.strength),
+                FaultKind::Resetting => plight.resetting = plight.resetting.max(trouble.strength),
+                FaultKind::LimitLowered => plight.left_of_limit *= trouble.strength,
                 _ => (),
             }
         }
@@ -194,7 +194,7 @@
 
     /// Whether the trouble, which strikes the target's destination, strikes the target.
     pub(super) fn covers(&self, trouble: u16, target: u32) -> bool {
-        let whom = &self.scenario.troubles[trouble as usize].whom;
+        let whom = &self.scenario.faults[trouble as usize].whom;
         let it = &self.targets[target as usize];
         let zone = whom
             .zone
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -17,7 +17,7 @@
 mod troubles;
 
 use plankhill_decisions::interface::TargetId;
-use plankhill_forwarder_config::scenario::{Ms, Scenario, TroubleKind};
+use plankhill_forwarder_config::scenario::{FaultKind, Ms, Scenario};
 use plankhill_invariants::{Bounds, Checker, Observation};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
@@ -90,9 +90,9 @@
             .map(|at| TargetId(at.to_string().into()))
             .collect::<Vec<_>>();
         let half_open = scenario
-            .troubles
+            .faults
             .iter()
-            .any(|trouble| trouble.kind == TroubleKind::HalfOpen);
+            .any(|trouble| trouble.kind == FaultKind::HalfOpen);
         let mut clients = Clients::new(scenario, &struck, seed);
         let next_arrival = clients.next();
         let mut world = World {
@@ -116,7 +116,7 @@
             events: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             active: FxHashMap::default(),
-            flapped_down: vec![false; scenario.troubles.len()],
+            flapped_down: vec![false; scenario.faults.len()],
             storm: 0.0,
             checker: Checker::new(bounds),
             tally: Tally::new(scenario, &struck),
--- a/forwarder/emulator/src/world/troubles.rs
+++ b/forwarder/emulator/src/world/troubles.rs
@@ -2,14 +2,14 @@
 //! changes the world at an instant: lists, lives, broken calls and outages.
 
 use plankhill_decisions::interface::{EndpointState, TargetId};
-use plankhill_forwarder_config::scenario::{Ms, TroubleKind};
+use plankhill_forwarder_config::scenario::{FaultKind, Ms};
 
 use super::ground::Target;
 use super::{Step, World};
 
 impl World<'_> {
     pub(super) fn foresee_troubles(&mut self) {
-        for (at, trouble) in self.scenario.troubles.iter().enumerate() {
+        for (at, trouble) in self.scenario.faults.iter().enumerate() {
             if trouble.start < self.scenario.length {
                 self.queue.put(trouble.start, Step::Begins(at as u16));
                 self.queue
@@ -19,9 +19,9 @@
     }
 
     pub(super) fn begins(&mut self, at: u16) {
-        use TroubleKind::*;
+        use FaultKind::*;
         let scenario = self.scenario;
-        let trouble = &scenario.troubles[at as usize];
+        let trouble = &scenario.faults[at as usize];
         let end = trouble.start + trouble.length;
         match trouble.kind {
             Flood | MassWake => (), // the clients' stream holds them
@@ -46,7 +46,7 @@
                 }
                 self.queue.put(self.now + trouble.every, Step::GoneFor(at));
             }
-            Replaced => {
+            SnapshotInstalled => {
                 let targets = self.struck_targets(at);
                 let step = trouble.length / targets.len().max(1) as f64;
                 for (place, target) in targets.into_iter().enumerate() {
@@ -64,8 +64,8 @@
     }
 
     pub(super) fn ends(&mut self, at: u16) {
-        use TroubleKind::*;
-        match self.scenario.troubles[at as usize].kind {
+        use FaultKind::*;
+        match self.scenario.faults[at as usize].kind {
             RetryStorm => self.storm = 0.0,
             Gone => {
                 for target in self.struck_targets(at) {
@@ -82,7 +82,7 @@
 
     /// A flapping trouble turns from down to up, or back.
     pub(super) fn turns(&mut self, at: u16) {
-        let trouble = &self.scenario.troubles[at as usize];
+        let trouble = &self.scenario.faults[at as usize];
         if self.now >= trouble.start + trouble.length {
             return;
         }
@@ -158,7 +158,7 @@
                     .push((0, EndpointState::Removed));
                 self.list_changed(number, EndpointState::Running);
                 self.list_changed(target, EndpointState::Draining);
-                let notice: Ms = self.scenario.troubles[at as usize].every;
+                let notice: Ms = self.scenario.faults[at as usize].every;
                 self.queue
                     .put(self.now + notice, Step::OneByOne(at, target));
             }
@@ -186,11 +186,11 @@
     }
 
     pub(super) fn strike_forwarder(&mut self, at: u16, forwarder: u32) {
-        let trouble = &self.scenario.troubles[at as usize];
+        let trouble = &self.scenario.faults[at as usize];
         match trouble.kind {
-            TroubleKind::ForwarderKilled => self.process_ends(forwarder, trouble.every, true),
-            TroubleKind::ForwarderLost => self.process_ends(forwarder, trouble.every, false),
-            TroubleKind::ForwarderReplaced => self.asked_to_end(forwarder),
+            FaultKind::ForwarderKilled => self.process_ends(forwarder, trouble.every, true),
+            FaultKind::ForwarderLost => self.process_ends(forwarder, trouble.every, false),
+            FaultKind::ForwarderReplaced => self.asked_to_end(forwarder),
             _ => self.stalls(forwarder, self.now + trouble.length.min(trouble.every)),
         }
     }
--- a/forwarder/event-log/src/frame.rs
+++ b/forwarder/event-log/src/frame.rs
@@ -2,32 +2,32 @@
 
 use std::borrow::Cow;
 
-use crate::promise::Promise;
+use crate::promise::DeliveryGuarantee;
 
 #[derive(Clone, Debug, Default)]
-pub struct Taken<'a> {
+pub struct AcceptedEvent<'a> {
     pub id: Cow<'a, str>,
     pub destination: u64,
-    pub traffic: Cow<'a, str>,
-    pub patience_ends: f64,
+    pub traffic_type: Cow<'a, str>,
+    pub deadline: f64,
     pub key: Option<u64>,
     pub fingerprint: Option<Cow<'a, str>>,
     pub body: Cow<'a, [u8]>,
     /// None in what an older text wrote.
-    pub promised: Option<Promise>,
+    pub guarantee: Option<DeliveryGuarantee>,
 }
 
-impl Taken<'_> {
-    pub(crate) fn into_owned(self) -> Taken<'static> {
-        Taken {
+impl AcceptedEvent<'_> {
+    pub(crate) fn into_owned(self) -> AcceptedEvent<'static> {
+        AcceptedEvent {
             id: self.id.into_owned().into(),
             destination: self.destination,
-            traffic: self.traffic.into_owned().into(),
-            patience_ends: self.patience_ends,
+            traffic_type: self.traffic_type.into_owned().into(),
+            deadline: self.deadline,
             key: self.key,
             fingerprint: self.fingerprint.map(|f| f.into_owned().into()),
             body: self.body.into_owned().into(),
-            promised: self.promised,
+            guarantee: self.guarantee,
         }
     }
 }
@@ -35,12 +35,12 @@
 /// How an event ended that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Dismissed,
-    WrittenOff,
+    Rejected,
+    Abandoned,
 }
 
 pub(crate) enum Mark<'a> {
-    Taken(Taken<'a>),
+    Taken(AcceptedEvent<'a>),
     /// `time_out` is noted where another process may go on with the record while the call is still out.
     Sent {
         id: Cow<'a, str>,
@@ -77,8 +77,8 @@
                 out.push(1);
                 text(out, event.id.as_bytes());
                 number(out, event.destination);
-                text(out, event.traffic.as_bytes());
-                number(out, event.patience_ends.to_bits());
+                text(out, event.traffic_type.as_bytes());
+                number(out, event.deadline.to_bits());
                 optional(out, event.key);
                 out.push(event.fingerprint.is_some() as u8);
                 text(
@@ -87,7 +87,7 @@
                 );
                 text(out, &event.body);
                 // Behind what an older text reads, which passes over the rest of a frame.
-                if let Some((word, window)) = event.promised.map(|promise| promise.word()) {
+                if let Some((word, window)) = event.guarantee.map(|promise| promise.word()) {
                     out.push(word);
                     number(out, window.to_bits());
                 }
@@ -116,7 +116,7 @@
             } => {
                 out.push(4);
                 text(out, id.as_bytes());
-                out.push((*outcome == Outcome::WrittenOff) as u8);
+                out.push((*outcome == Outcome::Abandoned) as u8);
                 optional(out, come_back_after.map(f64::to_bits));
             }
             Mark::Over { id } => {
@@ -189,21 +189,21 @@
 impl<'a> Payload<'a> {
     fn mark(mut self) -> Option<Mark<'a>> {
         Some(match self.byte()? {
-            1 => Mark::Taken(Taken {
+            1 => Mark::Taken(AcceptedEvent {
                 id: self.text()?,
                 destination: self.number()?,
-                traffic: self.text()?,
-                patience_ends: f64::from_bits(self.number()?),
+                traffic_type: self.text()?,
+                deadline: f64::from_bits(self.number()?),
                 key: self.optional()?,
                 fingerprint: {
                     let there = self.byte()? == 1;
                     Some(self.text()?).filter(|_| there)
                 },
                 body: self.bytes()?.into(),
-                promised: self
+                guarantee: self
                     .byte()
                     .zip(self.number())
-                    .map(|(w, at)| Promise::read((w, f64::from_bits(at)))),
+                    .map(|(w, at)| DeliveryGuarantee::read((w, f64::from_bits(at)))),
             }),
             2 => Mark::Sent {
                 id: self.text()?,
@@ -215,9 +215,9 @@
             4 => Mark::Ended {
                 id: self.text()?,
                 outcome: if self.byte()? == 1 {
-                    Outcome::WrittenOff
+                    Outcome::Abandoned
                 } else {
-                    Outcome::Dismissed
+                    Outcome::Rejected
                 },
                 come_back_after: self.optional()?.map(f64::from_bits),
             },
--- a/forwarder/event-log/src/lib.rs
+++ b/forwarder/event-log/src/lib.rs
@@ -15,10 +15,10 @@
 use std::ops::{Deref, DerefMut};
 use std::path::{Path, PathBuf};
 
-pub use frame::{frames, Outcome, Taken};
-pub use owed::Owed;
-pub use promise::{Promise, Repeats};
-pub use record::Record;
+pub use frame::{frames, AcceptedEvent, Outcome};
+pub use owed::PendingEvent;
+pub use promise::{DeliveryGuarantee, RepeatSafety};
+pub use record::EventTable;
 
 const MAGIC: &[u8] = b"plankhill ledger 1\n";
 /// The share of the disk for what is live. While the record is written anew, the old file (up to `REWRITE`)
@@ -27,31 +27,31 @@
 const REWRITE: f64 = 0.5;
 
 /// A record, and the file that it is kept in.
-pub struct Ledger {
+pub struct EventLog {
     folder: PathBuf,
     file: File,
     written: usize,
     most: usize,
-    record: Record,
+    record: EventTable,
 }
 
-impl Deref for Ledger {
-    type Target = Record;
+impl Deref for EventLog {
+    type Target = EventTable;
 
-    fn deref(&self) -> &Record {
+    fn deref(&self) -> &EventTable {
         &self.record
     }
 }
 
-impl DerefMut for Ledger {
-    fn deref_mut(&mut self) -> &mut Record {
+impl DerefMut for EventLog {
+    fn deref_mut(&mut self) -> &mut EventTable {
         &mut self.record
     }
 }
 
-impl Ledger {
+impl EventLog {
     /// Opens the record and reads what is still owed, in the order taken.
-    pub fn open(folder: &Path, disk: u64) -> io::Result<(Ledger, Vec<Owed>)> {
+    pub fn open(folder: &Path, disk: u64) -> io::Result<(EventLog, Vec<PendingEvent>)> {
         let path = folder.join("ledger");
         let mut bytes = Vec::new();
         match File::open(&path) {
@@ -67,8 +67,8 @@
         }
         let _ = fs::remove_file(folder.join("ledger.new"));
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
-        let record = Record::default();
-        let mut ledger = Ledger {
+        let record = EventTable::default();
+        let mut ledger = EventLog {
             folder: folder.to_owned(),
             file,
             written: 0,
@@ -77,7 +77,7 @@
         };
         let read = ledger
             .record
-            .apply(bytes.get(MAGIC.len()..).unwrap_or_default());
+            .apply_frames(bytes.get(MAGIC.len()..).unwrap_or_default());
         if bytes.len() < MAGIC.len() {
             ledger.file.set_len(0)?;
             ledger.file.write_all(MAGIC)?;
@@ -86,13 +86,14 @@
             ledger.written = MAGIC.len() + read;
             ledger.file.set_len(ledger.written as u64)?;
         }
-        let owed = ledger.record.owed();
+        let owed = ledger.record.pending_events();
         Ok((ledger, owed))
     }
 
     /// Whether an event with that body still fits.
-    pub fn has_room_for(&self, body: usize) -> bool {
-        ((self.record.live() + Record::growth(body)) as f64) < self.most as f64 * LIVE
+    pub fn has_capacity_for(&self, body: usize) -> bool {
+        ((self.record.reserved_bytes() + EventTable::max_growth(body)) as f64)
+            < self.most as f64 * LIVE
     }
 
     /// Written by a process that takes over, before it decides anything: whoever wrote before sees that the
@@ -104,28 +105,29 @@
     }
 
     /// What is written, in bytes.
-    pub fn length(&self) -> u64 {
+    pub fn file_length(&self) -> u64 {
         self.written as u64
     }
 
     /// Writes what was marked since the last call; it outlasts the process from now on.
     pub fn commit(&mut self) -> io::Result<()> {
-        if self.record.unwritten().is_empty() {
+        if self.record.unwritten_frames().is_empty() {
             return Ok(());
         }
-        if (self.written + self.record.unwritten().len()) as f64 > self.most as f64 * REWRITE {
+        if (self.written + self.record.unwritten_frames().len()) as f64 > self.most as f64 * REWRITE
+        {
             return self.rewrite();
         }
         self.append()
     }
 
     fn append(&mut self) -> io::Result<()> {
-        if let Err(e) = self.file.write_all(self.record.unwritten()) {
+        if let Err(e) = self.file.write_all(self.record.unwritten_frames()) {
             // Half a frame would hide all that follows it.
             self.file.set_len(self.written as u64)?;
             return Err(e);
         }
-        self.written += self.record.unwritten().len();
+        self.written += self.record.unwritten_frames().len();
         self.record.is_written();
         Ok(())
     }
@@ -133,7 +135,7 @@
     fn rewrite(&mut self) -> io::Result<()> {
         let (path, new) = (self.folder.join("ledger"), self.folder.join("ledger.new"));
         let mut bytes = MAGIC.to_vec();
-        self.record.write(&mut bytes);
+        self.record.write_frames(&mut bytes);
         let _ = fs::remove_file(&new);
         let mut file = OpenOptions::new()
             .create_new(true)
@@ -148,15 +150,15 @@
     }
 
     /// Another keeps the record from now on: the file is emptied, and what it held forgotten here.
-    pub fn empty(&mut self) -> io::Result<()> {
+    pub fn clear(&mut self) -> io::Result<()> {
         self.file.set_len(MAGIC.len() as u64)?;
         self.written = MAGIC.len();
-        self.record = Record::default();
+        self.record = EventTable::default();
         Ok(())
     }
 }
 
 /// Whether the record in the folder has another length than it had: another process writes it.
-pub fn has_grown(folder: &Path, length: u64) -> io::Result<bool> {
+pub fn has_length_changed(folder: &Path, length: u64) -> io::Result<bool> {
     Ok(fs::metadata(folder.join("ledger"))?.len() != length)
 }
--- a/forwarder/event-log/src/promise.rs
+++ b/forwarder/event-log/src/promise.rs
@@ -2,17 +2,17 @@
 
 /// As its traffic type was in the settings of the process that took it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Promise {
-    pub repeats: Repeats,
+pub struct DeliveryGuarantee {
+    pub repeat_safety: RepeatSafety,
     pub ordered: bool,
 }
 
 /// `window` is in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeats {
-    Harmless,
-    Known { window: f64, one_zone: bool },
-    Forbidden,
+pub enum RepeatSafety {
+    Idempotent,
+    Deduplicated { window: f64, per_zone: bool },
+    NonIdempotent,
 }
 
 const KNOWN: u8 = 1;
@@ -20,61 +20,66 @@
 const FORBIDDEN: u8 = 3;
 const ORDERED: u8 = 4;
 
-impl Promise {
+impl DeliveryGuarantee {
     pub(crate) fn word(&self) -> (u8, f64) {
-        let (repeats, window) = match self.repeats {
-            Repeats::Harmless => (0, 0.0),
-            Repeats::Known {
+        let (repeats, window) = match self.repeat_safety {
+            RepeatSafety::Idempotent => (0, 0.0),
+            RepeatSafety::Deduplicated {
                 window,
-                one_zone: false,
+                per_zone: false,
             } => (KNOWN, window),
-            Repeats::Known {
+            RepeatSafety::Deduplicated {
                 window,
-                one_zone: true,
+                per_zone: true,
             } => (KNOWN_IN_ONE_ZONE, window),
-            Repeats::Forbidden => (FORBIDDEN, 0.0),
+            RepeatSafety::NonIdempotent => (FORBIDDEN, 0.0),
         };
         (repeats + if self.ordered { ORDERED } else { 0 }, window)
     }
 
     /// What a later text may write and this one does not know is read as the strictest.
-    pub(crate) fn read((word, window): (u8, f64)) -> Promise {
+    pub(crate) fn read((word, window): (u8, f64)) -> DeliveryGuarantee {
         let repeats = match word & !ORDERED {
-            0 => Repeats::Harmless,
-            KNOWN => Repeats::Known {
+            0 => RepeatSafety::Idempotent,
+            KNOWN => RepeatSafety::Deduplicated {
                 window,
-                one_zone: false,
+                per_zone: false,
             },
-            KNOWN_IN_ONE_ZONE => Repeats::Known {
+            KNOWN_IN_ONE_ZONE => RepeatSafety::Deduplicated {
                 window,
-                one_zone: true,
+                per_zone: true,
             },
-            _ => Repeats::Forbidden,
+            _ => RepeatSafety::NonIdempotent,
         };
-        Promise {
-            repeats,
+        DeliveryGuarantee {
+            repeat_safety: repeats,
             ordered: word & ORDERED != 0,
         }
     }
 
     /// Where two differ, what holds under both.
-    pub fn and(self, other: Promise) -> Promise {
-        let repeats = match (self.repeats, other.repeats) {
-            (Repeats::Forbidden, _) | (_, Repeats::Forbidden) => Repeats::Forbidden,
-            (Repeats::Harmless, either) | (either, Repeats::Harmless) => either,
+    pub fn strictest(self, other: DeliveryGuarantee) -> DeliveryGuarantee {
+        let repeats = match (self.repeat_safety, other.repeat_safety) {
+            (RepeatSafety::NonIdempotent, _) | (_, RepeatSafety::NonIdempotent) => {
+                RepeatSafety::NonIdempotent
+            }
+            (RepeatSafety::Idempotent, either) | (either, RepeatSafety::Idempotent) => either,
             (
-                Repeats::Known { window, one_zone },
-                Repeats::Known {
+                RepeatSafety::Deduplicated {
+                    window,
+                    per_zone: one_zone,
+                },
+                RepeatSafety::Deduplicated {
                     window: w,
-                    one_zone: z,
+                    per_zone: z,
                 },
-            ) => Repeats::Known {
+            ) => RepeatSafety::Deduplicated {
                 window: window.min(w),
-                one_zone: one_zone || z,
+                per_zone: one_zone || z,
             },
         };
-        Promise {
-            repeats,
+        DeliveryGuarantee {
+            repeat_safety: repeats,
             ordered: self.ordered || other.ordered,
         }
     }
--- a/forwarder/event-log/src/record.rs
+++ b/forwarder/event-log/src/record.rs
@@ -4,8 +4,8 @@
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap};
 
-use crate::frame::{Mark, Outcome, Reader, Taken};
-use crate::owed::Owed;
+use crate::frame::{AcceptedEvent, Mark, Outcome, Reader};
+use crate::owed::PendingEvent;
 
 /// Kept free for the marks of each event: a few sends and its end.
 pub(crate) const MARKS: usize = 800;
@@ -13,7 +13,7 @@
 const NOTE: usize = 100;
 
 #[derive(Default)]
-pub struct Record {
+pub struct EventTable {
     events: BTreeMap<u64, Kept>, // in the order taken
     places: HashMap<String, u64>,
     /// Order keys of events that are not over, and of how many.
@@ -32,10 +32,10 @@
     reserved: usize,
 }
 
-impl Record {
+impl EventTable {
     /// Does what the frames say, up to the first that is torn; returns the bytes of the whole ones. What makes
     /// no sense changes nothing.
-    pub fn apply(&mut self, frames: &[u8]) -> usize {
+    pub fn apply_frames(&mut self, frames: &[u8]) -> usize {
         let mut reader = Reader::new(frames);
         while let Some((mark, frame)) = reader.next() {
             match &mark {
@@ -44,7 +44,7 @@
                     since,
                     usual,
                 } => self.keep_cold(target, *since, *usual),
-                Mark::Taken(taken) if self.holds(&taken.id) => (),
+                Mark::Taken(taken) if self.contains(&taken.id) => (),
                 Mark::Taken(taken) => self.keep(taken.id.to_string(), taken.key, frame.to_vec()),
                 Mark::Sent { id, .. }
                 | Mark::Unrun { id }
@@ -61,7 +61,7 @@
     }
 
     /// The whole of it as frames, which `apply` reads.
-    pub fn write(&self, out: &mut Vec<u8>) {
+    pub fn write_frames(&self, out: &mut Vec<u8>) {
         self.events
             .values()
             .for_each(|kept| out.extend_from_slice(&kept.frames));
@@ -76,18 +76,18 @@
     }
 
     /// In the order taken.
-    pub fn owed(&self) -> Vec<Owed> {
+    pub fn pending_events(&self) -> Vec<PendingEvent> {
         self.events
             .values()
-            .filter_map(|kept| Owed::read(&kept.frames))
+            .filter_map(|kept| PendingEvent::read(&kept.frames))
             .collect()
     }
 
     /// What is owed of one event.
-    pub fn owed_of(&self, id: &str) -> Option<Owed> {
+    pub fn pending_event(&self, id: &str) -> Option<PendingEvent> {
         self.places
             .get(id)
-            .and_then(|place| Owed::read(&self.events[place].frames))
+            .and_then(|place| PendingEvent::read(&self.events[place].frames))
     }
 
     fn keep(&mut self, id: String, key: Option<u64>, frames: Vec<u8>) {
@@ -110,7 +110,7 @@
 
     fn keep_cold(&mut self, target: &str, since: f64, usual: f64) {
         if since.is_nan() {
-            return self.forget_target(target);
+            return self.remove_target(target);
         }
         if self
             .cold
@@ -135,7 +135,7 @@
         {
             // Its body and sends are not needed any more; its place among those of its key is.
             let mut short = Vec::new();
-            Mark::Taken(Taken {
+            Mark::Taken(AcceptedEvent {
                 body: Cow::default(),
                 fingerprint: None,
                 ..taken
@@ -165,11 +165,11 @@
     }
 
     /// Whether an event of that order key is not over.
-    pub fn holds_key(&self, key: u64) -> bool {
+    pub fn contains_order_key(&self, key: u64) -> bool {
         self.keys.contains_key(&key)
     }
 
-    pub fn holds(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.places.contains_key(id)
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// The events that are not over, in the order taken.
-    pub fn ids(&self) -> impl Iterator<Item = &str> {
+    pub fn event_ids(&self) -> impl Iterator<Item = &str> {
         self.events.values().map(|kept| kept.id.as_str())
     }
 
@@ -189,16 +189,16 @@
     }
 
     /// Bytes that it may grow to with the marks of what is live.
-    pub fn live(&self) -> usize {
+    pub fn reserved_bytes(&self) -> usize {
         self.live
     }
 
     /// What one more event with that body may grow it by.
-    pub fn growth(body: usize) -> usize {
+    pub fn max_growth(body: usize) -> usize {
         body + 2 * MARKS
     }
 
-    pub fn taken(&mut self, taken: Taken) {
+    pub fn accept(&mut self, taken: AcceptedEvent) {
         let (id, key) = (taken.id.to_string(), taken.key);
         let from = self.unwritten.len();
         Mark::Taken(taken).write(&mut self.unwritten);
@@ -206,7 +206,7 @@
         self.keep(id, key, frame);
     }
 
-    pub fn sent(&mut self, id: &str, at: f64, zone: &str) {
+    pub fn record_attempt(&mut self, id: &str, at: f64, zone: &str) {
         self.mark(
             id,
             Mark::Sent {
@@ -220,7 +220,7 @@
 
     /// As `sent`, and how long its call may be out, in milliseconds, for whoever goes on with the record while
     /// it is.
-    pub fn sent_for(&mut self, id: &str, at: f64, zone: &str, time_out: f64) {
+    pub fn record_attempt_with_timeout(&mut self, id: &str, at: f64, zone: &str, time_out: f64) {
         self.mark(
             id,
             Mark::Sent {
@@ -233,12 +233,12 @@
     }
 
     /// The last send surely did not run.
-    pub fn unrun(&mut self, id: &str) {
+    pub fn record_attempt_not_executed(&mut self, id: &str) {
         self.mark(id, Mark::Unrun { id: id.into() });
     }
 
     /// A notice is owed from now on, and nothing else.
-    pub fn ended(&mut self, id: &str, outcome: Outcome, come_back_after: Option<f64>) {
+    pub fn record_outcome(&mut self, id: &str, outcome: Outcome, come_back_after: Option<f64>) {
         self.mark(
             id,
             Mark::Ended {
@@ -250,11 +250,11 @@
     }
 
     /// Nothing more is owed.
-    pub fn over(&mut self, id: &str) {
+    pub fn complete(&mut self, id: &str) {
         self.mark(id, Mark::Over { id: id.into() });
     }
 
-    pub fn note_cold(&mut self, target: &str, since: f64, usual: f64) {
+    pub fn record_warm_up(&mut self, target: &str, since: f64, usual: f64) {
         Mark::Cold {
             target: target.into(),
             since,
@@ -265,28 +265,28 @@
     }
 
     /// The targets that were noted as cold, since when, and what usually went there a second.
-    pub fn cold(&self) -> impl Iterator<Item = (&str, f64, f64)> {
+    pub fn warming_up_targets(&self) -> impl Iterator<Item = (&str, f64, f64)> {
         self.cold
             .iter()
             .map(|(target, (since, usual))| (target.as_str(), *since, *usual))
     }
 
     /// The target is gone for good, and what was noted of it.
-    pub fn forget_target(&mut self, target: &str) {
+    pub fn remove_target(&mut self, target: &str) {
         if self.cold.remove(target).is_some() {
             self.live -= NOTE;
         }
     }
 
     /// As `forget_target`, told to whoever else keeps the record: noted as cold since no time at all.
-    pub fn unnote(&mut self, target: &str) {
+    pub fn record_warm_up_end(&mut self, target: &str) {
         if self.cold.contains_key(target) {
-            self.note_cold(target, f64::NAN, 0.0);
+            self.record_warm_up(target, f64::NAN, 0.0);
         }
     }
 
     /// All targets but those that are `kept` are gone for good.
-    pub fn forget_targets(&mut self, kept: impl Fn(&str) -> bool) {
+    pub fn retain_targets(&mut self, kept: impl Fn(&str) -> bool) {
         let before = self.cold.len();
         self.cold.retain(|target, _| kept(target));
         self.live -= NOTE * (before - self.cold.len());
@@ -298,11 +298,11 @@
     }
 
     /// The frames of what was marked since it was last taken.
-    pub fn unwritten(&self) -> &[u8] {
+    pub fn unwritten_frames(&self) -> &[u8] {
         &self.unwritten
     }
 
-    pub fn take_unwritten(&mut self) -> Vec<u8> {
+    pub fn take_unwritten_frames(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.unwritten)
     }
 
--- a/forwarder/event-log/src/stored_format_tests.rs
+++ b/forwarder/event-log/src/stored_format_tests.rs
@@ -1,7 +1,7 @@
 //! The bytes of every kind of record in the log, as `tests/stored_format/records.txt` has them.
 
-use crate::frame::{Mark, Outcome, Reader, Taken};
-use crate::promise::{Promise, Repeats};
+use crate::frame::{AcceptedEvent, Mark, Outcome, Reader};
+use crate::promise::{DeliveryGuarantee, RepeatSafety};
 
 const RECORDS: &str = include_str!("../tests/stored_format/records.txt");
 
@@ -16,24 +16,24 @@
         .collect()
 }
 
-fn taken(promised: Option<Promise>) -> Mark<'static> {
-    Mark::Taken(Taken {
+fn taken(promised: Option<DeliveryGuarantee>) -> Mark<'static> {
+    Mark::Taken(AcceptedEvent {
         id: "event-é-1".into(),
         destination: 0x0102_0304_0506_0708,
-        traffic: "invoices".into(),
-        patience_ends: 1_764_000_000_123.25,
+        traffic_type: "invoices".into(),
+        deadline: 1_764_000_000_123.25,
         key: Some(0xfedc_ba98_7654_3210),
         fingerprint: Some("a1b2c3".into()),
         body: b"{\"body\":\x00\xff}"[..].into(),
-        promised,
+        guarantee: promised,
     })
 }
 
 fn least() -> Mark<'static> {
-    Mark::Taken(Taken {
+    Mark::Taken(AcceptedEvent {
         id: "b".into(),
-        traffic: "t".into(),
-        ..Taken::default()
+        traffic_type: "t".into(),
+        ..AcceptedEvent::default()
     })
 }
 
@@ -60,41 +60,47 @@
             "EndedWithoutWait".to_owned(),
             Mark::Ended {
                 id: id(),
-                outcome: Outcome::Dismissed,
+                outcome: Outcome::Rejected,
                 come_back_after: None,
             },
         ),
     ];
     let repeats = [
-        Repeats::Harmless,
-        Repeats::Known {
+        RepeatSafety::Idempotent,
+        RepeatSafety::Deduplicated {
             window: 1500.5,
-            one_zone: false,
+            per_zone: false,
         },
-        Repeats::Known {
+        RepeatSafety::Deduplicated {
             window: 0.5,
-            one_zone: true,
+            per_zone: true,
         },
-        Repeats::Forbidden,
+        RepeatSafety::NonIdempotent,
     ];
     for repeats in repeats {
         let kind = match repeats {
-            Repeats::Harmless => "Harmless",
-            Repeats::Known {
-                one_zone: false, ..
+            RepeatSafety::Idempotent => "Harmless",
+            RepeatSafety::Deduplicated {
+                per_zone: false, ..
             } => "Known",
-            Repeats::Known { one_zone: true, .. } => "KnownInOneZone",
-            Repeats::Forbidden => "Forbidden",
+            RepeatSafety::Deduplicated { per_zone: true, .. } => "KnownInOneZone",
+            RepeatSafety::NonIdempotent => "Forbidden",
         };
         for ordered in [false, true] {
             let name = format!("Promised{kind}{}", if ordered { "Ordered" } else { "" });
-            all.push((name, taken(Some(Promise { repeats, ordered }))));
+            all.push((
+                name,
+                taken(Some(DeliveryGuarantee {
+                    repeat_safety: repeats,
+                    ordered,
+                })),
+            ));
         }
     }
-    for outcome in [Outcome::Dismissed, Outcome::WrittenOff] {
+    for outcome in [Outcome::Rejected, Outcome::Abandoned] {
         let kind = match outcome {
-            Outcome::Dismissed => "Dismissed",
-            Outcome::WrittenOff => "WrittenOff",
+            Outcome::Rejected => "Dismissed",
+            Outcome::Abandoned => "WrittenOff",
         };
         let ended = Mark::Ended {
             id: id(),
@@ -104,15 +110,15 @@
         all.push((format!("Ended{kind}"), ended));
     }
     let kinds = [
-        taken(Some(Promise {
-            repeats: Repeats::Forbidden,
+        taken(Some(DeliveryGuarantee {
+            repeat_safety: RepeatSafety::NonIdempotent,
             ordered: true,
         })),
         sent(Some(16_000.5)),
         Mark::Unrun { id: id() },
         Mark::Ended {
             id: id(),
-            outcome: Outcome::WrittenOff,
+            outcome: Outcome::Abandoned,
             come_back_after: Some(500.25),
         },
         Mark::Over { id: id() },
--- a/forwarder/event-log/tests/lives.rs
+++ b/forwarder/event-log/tests/lives.rs
@@ -15,8 +15,8 @@
         fs::create_dir_all(&path).expect("a folder for the test");
         Folder(path)
     }
-    fn open(&self) -> (Ledger, Vec<Owed>) {
-        Ledger::open(&self.0, 1_000_000).expect("opens")
+    fn open(&self) -> (EventLog, Vec<PendingEvent>) {
+        EventLog::open(&self.0, 1_000_000).expect("opens")
     }
     fn size(&self) -> u64 {
         fs::read_dir(&self.0)
@@ -32,21 +32,21 @@
     }
 }
 
-fn event(id: &str, body: &'static [u8]) -> Taken<'static> {
-    Taken {
+fn event(id: &str, body: &'static [u8]) -> AcceptedEvent<'static> {
+    AcceptedEvent {
         id: id.to_owned().into(),
         destination: 7,
-        traffic: "t".into(),
-        patience_ends: 1.5,
+        traffic_type: "t".into(),
+        deadline: 1.5,
         key: Some(9),
         fingerprint: Some("f".into()),
         body: body.into(),
-        promised: None,
+        guarantee: None,
     }
 }
 
-fn ids(owed: &[Owed]) -> Vec<&str> {
-    owed.iter().map(|owed| &*owed.taken.id).collect()
+fn ids(owed: &[PendingEvent]) -> Vec<&str> {
+    owed.iter().map(|owed| &*owed.event.id).collect()
 }
 
 #[rstest]
@@ -56,29 +56,29 @@
     assert!(owed.is_empty());
     ["a", "b", "c", "d", "e"]
         .into_iter()
-        .for_each(|id| ledger.taken(event(id, b"body")));
+        .for_each(|id| ledger.accept(event(id, b"body")));
     for id in ["a", "a", "b", "c", "d"] {
-        ledger.sent(id, 10.0, "z");
+        ledger.record_attempt(id, 10.0, "z");
     }
-    ledger.unrun("b");
-    ledger.over("c");
-    ledger.ended("d", Outcome::Dismissed, Some(500.0));
+    ledger.record_attempt_not_executed("b");
+    ledger.complete("c");
+    ledger.record_outcome("d", Outcome::Rejected, Some(500.0));
     ledger.commit().expect("writes");
-    ledger.taken(event("lost", b"never committed"));
+    ledger.accept(event("lost", b"never committed"));
     drop(ledger);
     let (_, owed) = folder.open();
     assert_eq!(ids(&owed), ["a", "b", "d", "e"]);
     let z = || Some((10.0, "z".to_owned()));
     assert_eq!(
-        (owed[0].sends, &owed[0].may_have_run, &owed[0].was_out),
+        (owed[0].attempts, &owed[0].may_have_run, &owed[0].in_flight),
         (2, &z(), &z())
     );
     assert_eq!(
-        (owed[1].sends, &owed[1].may_have_run, &owed[1].was_out),
+        (owed[1].attempts, &owed[1].may_have_run, &owed[1].in_flight),
         (1, &None, &None)
     );
-    assert_eq!(owed[2].ended, Some((Outcome::Dismissed, Some(500.0))));
-    let e = &owed[3].taken;
+    assert_eq!(owed[2].outcome, Some((Outcome::Rejected, Some(500.0))));
+    let e = &owed[3].event;
     assert_eq!(
         (e.destination, e.key, e.fingerprint.as_deref(), &*e.body),
         (7, Some(9), Some("f"), &b"body"[..])
@@ -89,11 +89,11 @@
 fn a_tail_torn_at_any_byte_costs_only_the_torn_frame() {
     let folder = Folder::new("torn");
     let (mut ledger, _) = folder.open();
-    ledger.taken(event("a", b"first"));
+    ledger.accept(event("a", b"first"));
     ledger.commit().expect("writes");
     let path = folder.0.join("ledger");
     let whole = fs::metadata(&path).unwrap().len() as usize;
-    ledger.taken(event("b", b"second"));
+    ledger.accept(event("b", b"second"));
     ledger.commit().expect("writes");
     drop(ledger);
     let bytes = fs::read(&path).unwrap();
@@ -101,7 +101,7 @@
         fs::write(&path, &bytes[..cut]).unwrap();
         let (mut ledger, owed) = folder.open();
         assert_eq!(ids(&owed), ["a"], "cut at {cut}");
-        ledger.taken(event("c", b"after"));
+        ledger.accept(event("c", b"after"));
         ledger.commit().expect("writes");
         assert_eq!(
             ids(&folder.open().1),
@@ -123,38 +123,41 @@
 fn the_disk_is_never_filled_and_what_is_live_outlasts_being_written_anew() {
     let folder = Folder::new("anew");
     let (mut ledger, _) = folder.open();
-    ledger.taken(event("live", b"kept"));
-    ledger.sent("live", 3.0, "z");
-    ledger.taken(event("told", b"gone"));
-    ledger.ended("told", Outcome::WrittenOff, None);
-    ledger.note_cold("t", 4.0, 7.0);
-    ledger.note_cold("t", 5.0, 7.5);
-    ledger.note_cold("gone", 5.0, 0.0);
-    ledger.forget_target("gone");
+    ledger.accept(event("live", b"kept"));
+    ledger.record_attempt("live", 3.0, "z");
+    ledger.accept(event("told", b"gone"));
+    ledger.record_outcome("told", Outcome::Abandoned, None);
+    ledger.record_warm_up("t", 4.0, 7.0);
+    ledger.record_warm_up("t", 5.0, 7.5);
+    ledger.record_warm_up("gone", 5.0, 0.0);
+    ledger.remove_target("gone");
     let body: &'static [u8] = &[5; 20_000];
     let mut most = 0;
     for number in 0..200 {
         let id = format!("n{number}");
-        assert!(ledger.has_room_for(body.len()));
-        ledger.taken(event(&id, body));
+        assert!(ledger.has_capacity_for(body.len()));
+        ledger.accept(event(&id, body));
         ledger.commit().expect("writes");
-        ledger.over(&id);
+        ledger.complete(&id);
         most = most.max(folder.size());
     }
     ledger.commit().expect("writes");
     assert!(most < 600_000, "{most} bytes on a disk of a million");
     let (mut ledger, owed) = folder.open();
     assert_eq!(
-        (ids(&owed), owed[0].sends, owed[1].ended.is_some()),
+        (ids(&owed), owed[0].attempts, owed[1].outcome.is_some()),
         (vec!["live", "told"], 1, true)
     );
-    assert_eq!(ledger.cold().collect::<Vec<_>>(), [("t", 5.0, 7.5)]);
-    ledger.forget_targets(|target| target != "t");
-    assert_eq!(ledger.cold().count(), 0);
+    assert_eq!(
+        ledger.warming_up_targets().collect::<Vec<_>>(),
+        [("t", 5.0, 7.5)]
+    );
+    ledger.retain_targets(|target| target != "t");
+    assert_eq!(ledger.warming_up_targets().count(), 0);
     let mut taken = 0;
-    while ledger.has_room_for(body.len()) {
+    while ledger.has_capacity_for(body.len()) {
         taken += 1;
-        ledger.taken(event(&format!("m{taken}"), body));
+        ledger.accept(event(&format!("m{taken}"), body));
         ledger.commit().expect("writes");
         assert!(folder.size() < 1_000_000);
     }
@@ -165,7 +168,7 @@
 fn a_rewrite_cut_short_leaves_the_old_record() {
     let folder = Folder::new("short");
     let (mut ledger, _) = folder.open();
-    ledger.taken(event("a", b"body"));
+    ledger.accept(event("a", b"body"));
     ledger.commit().expect("writes");
     fs::write(folder.0.join("ledger.new"), b"half").unwrap();
     assert_eq!(ids(&folder.open().1), ["a"]);
@@ -176,7 +179,7 @@
 fn another_file_in_its_place_is_not_overwritten() {
     let folder = Folder::new("other");
     fs::write(folder.0.join("ledger"), b"something else altogether").unwrap();
-    let error = Ledger::open(&folder.0, 1_000_000)
+    let error = EventLog::open(&folder.0, 1_000_000)
         .map(|_| ())
         .expect_err("is no ledger");
     assert!(error.to_string().contains("not a ledger"));
@@ -186,20 +189,23 @@
 fn a_change_of_owner_is_seen_by_who_wrote_before_and_passed_over_by_who_reads() {
     let folder = Folder::new("owner");
     let (mut elder, _) = folder.open();
-    let before = elder.length();
+    let before = elder.file_length();
     // Half of the disk to the byte: the next commit writes it anew.
-    elder.taken(event("held", b""));
+    elder.accept(event("held", b""));
     elder.commit().expect("writes");
-    let frame = (elder.length() - before) as usize;
-    let rest = 500_000 - elder.length() as usize - frame;
-    elder.taken(event("fill", vec![7; rest].leak()));
+    let frame = (elder.file_length() - before) as usize;
+    let rest = 500_000 - elder.file_length() as usize - frame;
+    elder.accept(event("fill", vec![7; rest].leak()));
     elder.commit().expect("writes");
-    assert_eq!(elder.length(), 500_000);
-    assert!(!has_grown(&folder.0, elder.length()).expect("there"));
+    assert_eq!(elder.file_length(), 500_000);
+    assert!(!has_length_changed(&folder.0, elder.file_length()).expect("there"));
     let (mut heir, owed) = folder.open();
     assert_eq!(ids(&owed), ["held", "fill"]);
     heir.change_owner().expect("writes");
-    assert!(has_grown(&folder.0, elder.length()).expect("there"));
-    assert!(heir.length() > elder.length(), "the same file, and longer");
+    assert!(has_length_changed(&folder.0, elder.file_length()).expect("there"));
+    assert!(
+        heir.file_length() > elder.file_length(),
+        "the same file, and longer"
+    );
     assert_eq!(ids(&folder.open().1), ["held", "fill"]);
 }
--- a/forwarder/event-log/tests/stored_format.rs
+++ b/forwarder/event-log/tests/stored_format.rs
@@ -14,64 +14,69 @@
         .join(name)
 }
 
-fn event(id: &'static str, promised: Option<Promise>) -> Taken<'static> {
-    Taken {
+fn event(id: &'static str, promised: Option<DeliveryGuarantee>) -> AcceptedEvent<'static> {
+    AcceptedEvent {
         id: id.into(),
         destination: 77,
-        traffic: "invoices".into(),
-        patience_ends: 1_764_000_600_000.5,
+        traffic_type: "invoices".into(),
+        deadline: 1_764_000_600_000.5,
         key: Some(9),
         fingerprint: Some(format!("fingerprint-{id}").into()),
         body: format!("body of {id}").into_bytes().into(),
-        promised,
+        guarantee: promised,
     }
 }
 
 /// Every kind of record, with and without what may be left out.
-fn written(folder: &Path) -> Ledger {
-    let (mut ledger, owed) = Ledger::open(folder, DISK).unwrap();
+fn written(folder: &Path) -> EventLog {
+    let (mut ledger, owed) = EventLog::open(folder, DISK).unwrap();
     assert!(owed.is_empty());
-    let promise = |repeats, ordered| Some(Promise { repeats, ordered });
-    ledger.taken(event("waits", promise(Repeats::Harmless, true)));
-    ledger.taken(event(
+    let promise = |repeats, ordered| {
+        Some(DeliveryGuarantee {
+            repeat_safety: repeats,
+            ordered,
+        })
+    };
+    ledger.accept(event("waits", promise(RepeatSafety::Idempotent, true)));
+    ledger.accept(event(
         "out",
         promise(
-            Repeats::Known {
+            RepeatSafety::Deduplicated {
                 window: 60_000.0,
-                one_zone: true,
+                per_zone: true,
             },
             false,
         ),
     ));
-    ledger.taken(event("ran", promise(Repeats::Forbidden, true)));
-    ledger.taken(event(
+    ledger.accept(event("ran", promise(RepeatSafety::NonIdempotent, true)));
+    ledger.accept(event(
         "ended",
         promise(
-            Repeats::Known {
+            RepeatSafety::Deduplicated {
                 window: 5.5,
-                one_zone: false,
+                per_zone: false,
             },
             true,
         ),
     ));
-    ledger.taken(event("over", None));
-    ledger.taken(Taken {
+    ledger.accept(event("over", None));
+    ledger.accept(AcceptedEvent {
         id: "least".into(),
-        traffic: "t".into(),
-        ..Taken::default()
+        traffic_type: "t".into(),
+        ..AcceptedEvent::default()
     });
     ledger.commit().unwrap();
-    ledger.sent("out", 1_764_000_000_001.0, "zone-a");
-    ledger.sent_for("out", 1_764_000_000_002.0, "zone-b", 8_000.0);
-    ledger.sent("ran", 1_764_000_000_003.0, "zone-c");
-    ledger.unrun("ran");
-    ledger.sent("ended", 1_764_000_000_004.0, "zone-a");
-    ledger.ended("ended", Outcome::WrittenOff, Some(750.0));
-    ledger.ended("least", Outcome::Dismissed, None);
-    ledger.over("over");
-    ledger.note_cold("cold", 1_764_000_000_005.0, 3.5);
-    ledger.note_cold("gone", 1_764_000_000_006.0, 4.5);
-    ledger.unnote("gone");
+    ledger.record_attempt("out", 1_764_000_000_001.0, "zone-a");
+    ledger.record_attempt_with_timeout("out", 1_764_000_000_002.0, "zone-b", 8_000.0);
+    ledger.record_attempt("ran", 1_764_000_000_003.0, "zone-c");
+    ledger.record_attempt_not_executed("ran");
+    ledger.record_attempt("ended", 1_764_000_000_004.0, "zone-a");
+    ledger.record_outcome("ended", Outcome::Abandoned, Some(750.0));
+    ledger.record_outcome("least", Outcome::Rejected, None);
+    ledger.complete("over");
+    ledger.record_warm_up("cold", 1_764_000_000_005.0, 3.5);
+    ledger.record_warm_up("gone", 1_764_000_000_006.0, 4.5);
+    ledger.record_warm_up_end("gone");
     ledger.commit().unwrap();
     ledger.change_owner().unwrap();
     ledger
@@ -81,44 +86,47 @@
 fn owed_in(name: &str) -> Vec<String> {
     let folder = tempfile::tempdir().unwrap();
     fs::copy(fixture(name), folder.path().join("ledger")).unwrap();
-    let (ledger, owed) = Ledger::open(folder.path(), DISK).unwrap();
+    let (ledger, owed) = EventLog::open(folder.path(), DISK).unwrap();
     assert_eq!(
-        ledger.cold().collect::<Vec<_>>(),
+        ledger.warming_up_targets().collect::<Vec<_>>(),
         [("cold", 1_764_000_000_005.0, 3.5)]
     );
     assert_eq!(
-        ledger.length(),
+        ledger.file_length(),
         fs::metadata(fixture(name)).unwrap().len(),
         "nothing is cut off"
     );
-    assert!(ledger.holds_key(9));
+    assert!(ledger.contains_order_key(9));
     owed.iter().map(described).collect()
 }
 
 /// In words of the test's own, so that the fixture does not depend on the code's names.
-fn described(owed: &Owed) -> String {
-    let taken = &owed.taken;
-    let promise = taken.promised.map(|promise| {
-        let repeats = match promise.repeats {
-            Repeats::Harmless => "harmless".to_owned(),
-            Repeats::Known { window, one_zone } => {
+fn described(owed: &PendingEvent) -> String {
+    let taken = &owed.event;
+    let promise = taken.guarantee.map(|promise| {
+        let repeats = match promise.repeat_safety {
+            RepeatSafety::Idempotent => "harmless".to_owned(),
+            RepeatSafety::Deduplicated {
+                window,
+                per_zone: one_zone,
+            } => {
                 format!("known for {window} in one zone {one_zone}")
             }
-            Repeats::Forbidden => "forbidden".to_owned(),
+            RepeatSafety::NonIdempotent => "forbidden".to_owned(),
         };
         format!("{repeats}, ordered {}", promise.ordered)
     });
-    let ended = owed.ended.map(|(outcome, come_back_after)| {
+    let ended = owed.outcome.map(|(outcome, come_back_after)| {
         let outcome = match outcome {
-            Outcome::Dismissed => "dismissed",
-            Outcome::WrittenOff => "written off",
+            Outcome::Rejected => "dismissed",
+            Outcome::Abandoned => "written off",
         };
         (outcome, come_back_after)
     });
     let body = String::from_utf8(taken.body.to_vec()).unwrap();
     let event = format!(
         "{} {} {} {}",
-        taken.id, taken.destination, taken.traffic, taken.patience_ends
+        taken.id, taken.destination, taken.traffic_type, taken.deadline
     );
     let more = format!(
         "{:?} {:?} {body:?} {promise:?}",
@@ -126,7 +134,7 @@
     );
     let sends = format!(
         "{} {:?} {:?} {:?}",
-        owed.sends, owed.may_have_run, owed.was_out, owed.time_out
+        owed.attempts, owed.may_have_run, owed.in_flight, owed.timeout
     );
     format!("{event} | {more} | {sends} | {ended:?}")
 }
@@ -152,14 +160,14 @@
 fn the_file_is_rewritten_as_pinned() {
     let folder = tempfile::tempdir().unwrap();
     drop(written(folder.path()));
-    let (mut ledger, _) = Ledger::open(folder.path(), 100).unwrap();
-    ledger.sent("waits", 1_764_000_000_007.0, "zone-a");
+    let (mut ledger, _) = EventLog::open(folder.path(), 100).unwrap();
+    ledger.record_attempt("waits", 1_764_000_000_007.0, "zone-a");
     ledger.commit().unwrap();
     assert_eq!(
         fs::read(folder.path().join("ledger")).unwrap(),
         fs::read(fixture("rewritten")).unwrap()
     );
-    ledger.empty().unwrap();
+    ledger.clear().unwrap();
     assert_eq!(
         fs::read(folder.path().join("ledger")).unwrap(),
         b"plankhill ledger 1\n"
--- a/forwarder/event-log/tests/torn.rs
+++ b/forwarder/event-log/tests/torn.rs
@@ -5,52 +5,52 @@
 use plankhill_event_log::*;
 use rstest::rstest;
 
-fn event(id: &str) -> Taken<'static> {
-    Taken {
+fn event(id: &str) -> AcceptedEvent<'static> {
+    AcceptedEvent {
         id: id.to_owned().into(),
-        traffic: "t".into(),
+        traffic_type: "t".into(),
         key: Some(3),
         fingerprint: Some("f".into()),
         body: b"body"[..].into(),
-        promised: Some(Promise {
-            repeats: Repeats::Forbidden,
+        guarantee: Some(DeliveryGuarantee {
+            repeat_safety: RepeatSafety::NonIdempotent,
             ordered: true,
         }),
-        ..Taken::default()
+        ..AcceptedEvent::default()
     }
 }
 
-fn said(ledger: &Ledger) -> (Vec<String>, Vec<(String, f64, f64)>, usize) {
+fn said(ledger: &EventLog) -> (Vec<String>, Vec<(String, f64, f64)>, usize) {
     let owed = ledger
-        .owed()
+        .pending_events()
         .iter()
         .map(|owed| format!("{owed:?}"))
         .collect();
     let cold = ledger
-        .cold()
+        .warming_up_targets()
         .map(|(target, since, usual)| (target.to_owned(), since, usual))
         .collect();
-    (owed, cold, ledger.live())
+    (owed, cold, ledger.reserved_bytes())
 }
 
 #[rstest]
-#[case::taken(|record: &mut Record| record.taken(event("b")))]
-#[case::sent(|record: &mut Record| record.sent("a", 7.0, "z"))]
-#[case::sent_for(|record: &mut Record| record.sent_for("a", 7.0, "z", 1500.0))]
-#[case::unrun(|record: &mut Record| record.unrun("a"))]
-#[case::ended(|record: &mut Record| record.ended("a", Outcome::Dismissed, Some(500.0)))]
-#[case::over(|record: &mut Record| record.over("a"))]
-#[case::cold(|record: &mut Record| record.note_cold("t", 9.0, 2.0))]
-fn a_frame_torn_at_any_byte_says_nothing(#[case] last: fn(&mut Record)) {
+#[case::taken(|record: &mut EventTable| record.accept(event("b")))]
+#[case::sent(|record: &mut EventTable| record.record_attempt("a", 7.0, "z"))]
+#[case::sent_for(|record: &mut EventTable| record.record_attempt_with_timeout("a", 7.0, "z", 1500.0))]
+#[case::unrun(|record: &mut EventTable| record.record_attempt_not_executed("a"))]
+#[case::ended(|record: &mut EventTable| record.record_outcome("a", Outcome::Rejected, Some(500.0)))]
+#[case::over(|record: &mut EventTable| record.complete("a"))]
+#[case::cold(|record: &mut EventTable| record.record_warm_up("t", 9.0, 2.0))]
+fn a_frame_torn_at_any_byte_says_nothing(#[case] last: fn(&mut EventTable)) {
     let folder = tempfile::tempdir().expect("a folder for the test");
-    let open = || Ledger::open(folder.path(), 1_000_000).expect("opens").0;
+    let open = || EventLog::open(folder.path(), 1_000_000).expect("opens").0;
     let file = folder.path().join("ledger");
     let mut ledger = open();
-    ledger.taken(event("a"));
-    ledger.sent("a", 5.0, "y");
-    ledger.note_cold("t", 4.0, 1.0);
+    ledger.accept(event("a"));
+    ledger.record_attempt("a", 5.0, "y");
+    ledger.record_warm_up("t", 4.0, 1.0);
     ledger.commit().expect("writes");
-    let (before, whole) = (said(&ledger), ledger.length() as usize);
+    let (before, whole) = (said(&ledger), ledger.file_length() as usize);
     last(&mut ledger);
     ledger.commit().expect("writes");
     let after = said(&ledger);
@@ -82,12 +82,12 @@
     let first = b"plankhill ledger 1\n";
     for cut in 0..=first.len() {
         fs::write(folder.path().join("ledger"), &first[..cut]).expect("written");
-        let (mut ledger, owed) = Ledger::open(folder.path(), 1_000_000).expect("opens");
+        let (mut ledger, owed) = EventLog::open(folder.path(), 1_000_000).expect("opens");
         assert!(owed.is_empty());
-        ledger.taken(event("a"));
+        ledger.accept(event("a"));
         ledger.commit().expect("writes");
         assert_eq!(
-            Ledger::open(folder.path(), 1_000_000)
+            EventLog::open(folder.path(), 1_000_000)
                 .expect("opens")
                 .1
                 .len(),
--- a/forwarder/fanout/examples/lag/day.rs
+++ b/forwarder/fanout/examples/lag/day.rs
@@ -28,9 +28,9 @@
     queue: BinaryHeap<Due>,
     number: u64,
     log: Vec<Command>,
-    truth: Fanout,
+    truth: FanoutState,
     instances: Vec<Instance>,
-    leading: Leading,
+    leading: Coordinator,
     taken: BTreeMap<Position, Ms>,
     known_slow: BTreeSet<Subscriber>,
     result: Result,
@@ -50,9 +50,9 @@
         queue: BinaryHeap::new(),
         number: 0,
         log: Vec::new(),
-        truth: Fanout::default(),
+        truth: FanoutState::default(),
         instances: (0..INSTANCES).map(instance).collect(),
-        leading: Leading::default(),
+        leading: Coordinator::default(),
         taken: BTreeMap::new(),
         known_slow: BTreeSet::new(),
         result: Result::default(),
@@ -178,14 +178,17 @@
         self.at(self.now + PUMP, What::Pump(at));
         let came = self.instances[at].hears(self.now, &self.log);
         self.round(at, came);
-        for command in self.instances[at].station.asks(self.now) {
+        for command in self.instances[at].station.poll_commands(self.now) {
             self.at(self.now + COMMIT, What::Commit(command));
         }
         // The leader is the first; it never stalls, others are led without it for no longer than a stall.
         if at == 0 {
             let up = self.instances.iter().filter(|i| i.stalled <= self.now);
             let up: Vec<InstanceId> = up.map(|i| i.station.me()).collect();
-            for command in self.leading.asks(self.now, &self.truth, &up, 1000.0) {
+            for command in self
+                .leading
+                .poll_commands(self.now, &self.truth, &up, 1000.0)
+            {
                 self.at(self.now + COMMIT, What::Commit(command));
             }
         }
--- a/forwarder/fanout/examples/lag/instance.rs
+++ b/forwarder/fanout/examples/lag/instance.rs
@@ -58,7 +58,7 @@
 }
 
 pub struct Instance {
-    pub station: Station,
+    pub station: LocalInstance,
     pub applied: usize,
     pub stalled: Ms,
     pub wake_at: Option<Ms>,
@@ -67,7 +67,7 @@
 }
 
 impl Host for Leaves {
-    fn owes(&self, event: &EventId) -> bool {
+    fn is_pending(&self, event: &EventId) -> bool {
         self.copies.contains_key(event)
     }
 }
@@ -90,7 +90,7 @@
         };
         let mut leaves = Leaves::default();
         let _ = module.run_iteration(0.0, list, &mut leaves);
-        let station = Station::new(InstanceId(id), 1, Fanout::default());
+        let station = LocalInstance::new(InstanceId(id), 1, FanoutState::default());
         Instance {
             station,
             applied: 0,
@@ -107,21 +107,22 @@
         for command in &log[self.applied..] {
             for order in self.station.applied(now, &self.leaves, command.clone()) {
                 match order {
-                    Order::HandIn {
+                    HostRequest::Submit {
                         event,
                         subscriber,
                         position,
-                        patience_ends,
+                        deadline: patience_ends,
                     } => {
                         came.push(CameIn::HandIn(event, (subscriber, position), patience_ends));
                     }
-                    Order::TellEnd {
+                    HostRequest::NotifyOutcome {
                         subscriber,
                         position,
                         outcome,
                         ..
                     } => {
-                        self.station.over(now, (subscriber, position), outcome);
+                        self.station
+                            .on_outcome_acknowledged(now, (subscriber, position), outcome);
                     }
                     _ => (),
                 }
@@ -174,14 +175,14 @@
         let mut ends = Vec::new();
         for (event, outcome) in delivered.into_iter().chain(leaves.ended.drain(..)) {
             if let Some(copy) = self.leaves.copies.remove(&event) {
-                self.station.over(now, copy, outcome);
+                self.station.on_outcome_acknowledged(now, copy, outcome);
                 ends.push((copy, outcome));
             }
         }
         leaves
             .calls
             .iter()
-            .for_each(|(_, copy, _)| self.station.called(now, *copy));
+            .for_each(|(_, copy, _)| self.station.on_attempt_started(now, *copy));
         (leaves, ends)
     }
 }
@@ -192,11 +193,11 @@
         self.calls.push((event.clone(), copy, time_out));
     }
     fn reject(&mut self, event: &EventId, _: Option<Ms>) -> bool {
-        self.ended.push((event.clone(), Outcome::Dismissed));
+        self.ended.push((event.clone(), Outcome::Rejected));
         false
     }
     fn abandon(&mut self, event: &EventId) -> bool {
-        self.ended.push((event.clone(), Outcome::WrittenOff));
+        self.ended.push((event.clone(), Outcome::Abandoned));
         false
     }
     fn health_check(&mut self, target: &TargetId) {
--- a/forwarder/fanout/src/apply.rs
+++ b/forwarder/fanout/src/apply.rs
@@ -1,13 +1,13 @@
 //! Applies the log's commands, each to the part of the state that it is about.
 
-use crate::command::{Command, News, Refusal};
+use crate::command::{Command, News, Rejection};
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 
 /// A minute, in ticks.
 const MINUTE: u64 = 60;
 
-impl Fanout {
+impl FanoutState {
     /// Tells what follows of it, in order. The same command at the same state tells the same everywhere.
     pub fn apply(&mut self, command: Command) -> Vec<News> {
         let mut news = Vec::new();
@@ -50,7 +50,7 @@
                         by,
                         process,
                         number,
-                        why: Refusal::Late,
+                        why: Rejection::Late,
                     });
                 }
             }
--- a/forwarder/fanout/src/command.rs
+++ b/forwarder/fanout/src/command.rs
@@ -131,8 +131,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     Completed,
-    Dismissed,
-    WrittenOff,
+    Rejected,
+    Abandoned,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -159,7 +159,7 @@
         by: InstanceId,
         process: u64,
         number: u64,
-        why: Refusal,
+        why: Rejection,
     },
     /// The instance is to hand the copy to its module, or, where an end is told, to tell that end.
     Hand {
@@ -183,7 +183,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     NoSuchList,
     /// Its id is too long or has the form that only copies' ids have.
     BadId,
--- a/forwarder/fanout/src/copies.rs
+++ b/forwarder/fanout/src/copies.rs
@@ -1,31 +1,34 @@
 //! The life of a copy: taken, handed in, ended; and what is kept of its broadcast until all have ended.
 
-use crate::command::{Broadcast, CopyEnd, News, Outcome, Refusal};
+use crate::command::{Broadcast, CopyEnd, News, Outcome, Rejection};
 use crate::names::*;
-use crate::state::{Fanout, Kept, Pending, REMEMBERED};
+use crate::state::{FanoutState, Kept, Pending, REMEMBERED};
 
-impl Fanout {
+impl FanoutState {
     /// Whether it would be taken now: the same answer as in the log, given before it is proposed.
-    pub fn would_take(&self, broadcast: &Broadcast) -> Result<(), Refusal> {
+    pub fn would_take(&self, broadcast: &Broadcast) -> Result<(), Rejection> {
         let id = &broadcast.id;
         if id.0.is_empty() || id.0.len() > BroadcastId::LONGEST {
-            return Err(Refusal::BadId);
+            return Err(Rejection::BadId);
         }
-        let members = self.lists.get(&broadcast.list).ok_or(Refusal::NoSuchList)?;
+        let members = self
+            .lists
+            .get(&broadcast.list)
+            .ok_or(Rejection::NoSuchList)?;
         if self.known.contains_key(id) || self.past_ids.contains(id) {
-            return Err(Refusal::Known);
+            return Err(Rejection::Known);
         }
         let full = self.kept.len() >= self.bounds.broadcasts
             || self.copies + members.len() > self.bounds.kept_in_all
             || self.body_bytes + broadcast.body.len() > self.bounds.body_bytes;
-        (!full).then_some(()).ok_or(Refusal::Full)
+        (!full).then_some(()).ok_or(Rejection::Full)
     }
 
     pub(crate) fn taken(
         &mut self,
         broadcast: Broadcast,
         news: &mut Vec<News>,
-    ) -> Result<Position, Refusal> {
+    ) -> Result<Position, Rejection> {
         self.would_take(&broadcast)?;
         let members = self.lists.get(&broadcast.list).cloned().unwrap_or_default();
         self.last = Position(self.last.0 + 1);
@@ -63,7 +66,7 @@
     /// A copy that nobody was handed is dismissed: whoever serves its subscriber tells so.
     fn give_up(&mut self, subscriber: Subscriber, position: Position, news: &mut Vec<News>) {
         let at = self.server(subscriber);
-        let end = Some(Outcome::Dismissed);
+        let end = Some(Outcome::Rejected);
         if let Some(follower) = self.followers.get_mut(&subscriber) {
             follower.pending.push(Pending {
                 position,
--- a/forwarder/fanout/src/detect.rs
+++ b/forwarder/fanout/src/detect.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 use crate::sums::{median, Votes};
 use crate::verdict::{Figures, Judged};
 
@@ -68,7 +68,7 @@
     }
 }
 
-impl Fanout {
+impl FanoutState {
     pub(crate) fn sample(&mut self, at: InstanceId, subscriber: Subscriber, own: Ms, waited: Ms) {
         let rests = self
             .followers
--- a/forwarder/fanout/src/instances.rs
+++ b/forwarder/fanout/src/instances.rs
@@ -7,7 +7,7 @@
 use crate::command::{News, Outcome};
 use crate::detect::Sample;
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 use crate::sums::Votes;
 
 /// Decided attempts that are remembered one by one: several times what a station has open.
@@ -32,7 +32,7 @@
     pub(crate) since: u64,
 }
 
-impl Fanout {
+impl FanoutState {
     pub(crate) fn started(&mut self, by: InstanceId, process: u64) {
         let instance = self.instances.entry(by).or_default();
         if process > instance.process {
@@ -162,7 +162,7 @@
                 .filter(|p| p.at == Some(instance))
             {
                 touched = true;
-                pending.end.get_or_insert(Outcome::WrittenOff);
+                pending.end.get_or_insert(Outcome::Abandoned);
                 pending.at = server;
                 let (position, end) = (pending.position, pending.end);
                 news.extend(server.map(|to| News::Hand {
--- a/forwarder/fanout/src/layout.rs
+++ b/forwarder/fanout/src/layout.rs
@@ -2,9 +2,9 @@
 
 use crate::command::{Layout, News};
 use crate::names::*;
-use crate::state::{Fanout, Follower};
+use crate::state::{FanoutState, Follower};
 
-impl Fanout {
+impl FanoutState {
     /// A subscriber that no list names any more still gets what was taken for it. One that is new goes to the
     /// cohort with the fewest. Cohorts that the file no longer has stay while they have members.
     pub(crate) fn laid(&mut self, layout: Layout, news: &mut Vec<News>) {
--- a/forwarder/fanout/src/leading.rs
+++ b/forwarder/fanout/src/leading.rs
@@ -8,7 +8,7 @@
 
 use crate::command::Command;
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 
 /// Ticks of the log are so far apart.
 const TICK: Ms = 1000.0;
@@ -21,7 +21,7 @@
 const WAITS: f64 = 0.5;
 
 #[derive(Default)]
-pub struct Leading {
+pub struct Coordinator {
     ticked: Option<Ms>,
     looked: Option<Ms>,
     /// Since when it can't be reached.
@@ -30,12 +30,12 @@
     lost: BTreeMap<(InstanceId, u64), Ms>,
 }
 
-impl Leading {
+impl Coordinator {
     /// What to propose now. `up` are the instances that can be reached; a call takes `longest_call` at most.
-    pub fn asks(
+    pub fn poll_commands(
         &mut self,
         now: Ms,
-        state: &Fanout,
+        state: &FanoutState,
         up: &[InstanceId],
         longest_call: Ms,
     ) -> Vec<Command> {
--- a/forwarder/fanout/src/lib.rs
+++ b/forwarder/fanout/src/lib.rs
@@ -22,12 +22,12 @@
 mod verdict;
 
 pub use bounds::Bounds;
-pub use command::{Broadcast, Command, CopyEnd, Layout, News, Outcome, Refusal};
-pub use host::{Host, Order};
-pub use leading::Leading;
+pub use command::{Broadcast, Command, CopyEnd, Layout, News, Outcome, Rejection};
+pub use host::{Host, HostRequest};
+pub use leading::Coordinator;
 pub use names::{
     copy_id, copy_of, BroadcastId, Cohort, InstanceId, ListName, Position, Subscriber,
 };
-pub use state::Fanout;
-pub use station::Station;
+pub use state::FanoutState;
+pub use station::LocalInstance;
 pub use verdict::{Figures, Judged, Verdict};
--- a/forwarder/fanout/src/plan.rs
+++ b/forwarder/fanout/src/plan.rs
@@ -5,7 +5,7 @@
 
 use crate::command::Command;
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 use crate::verdict::Judged;
 
 /// A mean wait for the first call of a tenth of a second weighs as much as a room filled by a tenth.
@@ -13,7 +13,7 @@
 /// What one member more weighs against the room: of two that are as free, the one with fewer.
 const MEMBER: f64 = 0.001;
 
-impl Fanout {
+impl FanoutState {
     /// Few, and within the bounds on moves; the worst first.
     pub fn plan(&self) -> Vec<Command> {
         let mut commands = self.unserved();
--- a/forwarder/fanout/src/state.rs
+++ b/forwarder/fanout/src/state.rs
@@ -15,7 +15,7 @@
 pub(crate) const REMEMBERED: usize = 8192;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Fanout {
+pub struct FanoutState {
     pub(crate) bounds: Bounds,
     pub(crate) lists: BTreeMap<ListName, Vec<Subscriber>>,
     pub(crate) cohorts: BTreeMap<Cohort, CohortState>,
@@ -105,7 +105,7 @@
     }
 }
 
-impl Fanout {
+impl FanoutState {
     /// Bytes for a snapshot of the log.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
--- a/forwarder/fanout/src/station.rs
+++ b/forwarder/fanout/src/station.rs
@@ -9,9 +9,9 @@
 use plankhill_decisions::interface::Ms;
 
 use crate::command::{Broadcast, Command, News, Outcome};
-use crate::host::{Host, Order};
+use crate::host::{Host, HostRequest};
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 
 type Copy = (Subscriber, Position);
 
@@ -25,12 +25,12 @@
     told: Option<Ms>,
 }
 
-pub struct Station {
+pub struct LocalInstance {
     me: InstanceId,
     /// Its number; it has started once the log says so.
     process: u64,
     started: bool,
-    state: Fanout,
+    state: FanoutState,
     tickets: BTreeMap<u64, Ms>,
     next_ticket: u64,
     next_number: u64,
@@ -48,12 +48,12 @@
     asked: Option<Ms>,
 }
 
-impl Station {
+impl LocalInstance {
     /// `process` is a number above those of the instance's earlier processes, as far as is known: the system
     /// clock's microseconds serve. `state` may be of any age, if `applied` is told all commands since.
-    pub fn new(me: InstanceId, process: u64, state: Fanout) -> Self {
+    pub fn new(me: InstanceId, process: u64, state: FanoutState) -> Self {
         let process = process.max(state.process(me) + 1);
-        Station {
+        LocalInstance {
             me,
             process,
             started: false,
@@ -72,7 +72,7 @@
         (by, process) == (self.me, self.process)
     }
 
-    pub fn state(&self) -> &Fanout {
+    pub fn state(&self) -> &FanoutState {
         &self.state
     }
 
@@ -82,7 +82,7 @@
 
     /// This process has started in the log: all that earlier ones told counts by now, and nothing more of it
     /// will. What they held is this one's. Sooner, a copy could be sent again whose end is on its way.
-    fn starts(&mut self, now: Ms, host: &impl Host) -> Vec<Order> {
+    fn starts(&mut self, now: Ms, host: &impl Host) -> Vec<HostRequest> {
         if self.started || self.state.process(self.me) != self.process {
             // Another process was ahead of this one in numbers.
             if !self.started && self.state.process(self.me) > self.process {
@@ -95,7 +95,7 @@
     }
 
     /// What the state says is here and this process does not know of.
-    fn finds(&mut self, now: Ms, host: &impl Host) -> Vec<Order> {
+    fn finds(&mut self, now: Ms, host: &impl Host) -> Vec<HostRequest> {
         let there = self.state.held_by(self.me);
         let unknown = there
             .into_iter()
@@ -116,7 +116,7 @@
         host: &impl Host,
         copy: Copy,
         end: Option<Outcome>,
-    ) -> Option<Order> {
+    ) -> Option<HostRequest> {
         let (subscriber, position) = copy;
         let event = copy_id(&self.state.broadcast(position)?.id, subscriber);
         self.held.insert(
@@ -126,8 +126,8 @@
                 ..Held::default()
             },
         );
-        let outcome = end.unwrap_or(Outcome::WrittenOff);
-        (!host.owes(&event)).then_some(Order::TellEnd {
+        let outcome = end.unwrap_or(Outcome::Abandoned);
+        (!host.is_pending(&event)).then_some(HostRequest::NotifyOutcome {
             event,
             subscriber,
             position,
@@ -136,7 +136,7 @@
     }
 
     /// The state as a whole, in place of commands that were missed.
-    pub fn replaced(&mut self, now: Ms, host: &impl Host, state: Fanout) -> Vec<Order> {
+    pub fn replaced(&mut self, now: Ms, host: &impl Host, state: FanoutState) -> Vec<HostRequest> {
         self.state = state;
         self.forget_others();
         let mut orders = self.starts(now, host);
@@ -158,7 +158,7 @@
         self.held.contains_key(&copy)
     }
 
-    pub fn applied(&mut self, now: Ms, host: &impl Host, command: Command) -> Vec<Order> {
+    pub fn applied(&mut self, now: Ms, host: &impl Host, command: Command) -> Vec<HostRequest> {
         if let Command::Ended { by, process, ends } = &command {
             if self.is_mine(*by, *process) {
                 for end in ends {
@@ -197,7 +197,7 @@
                     self.attempts
                         .remove(&number)
                         .is_some()
-                        .then(|| orders.push(Order::Took(number)));
+                        .then(|| orders.push(HostRequest::Accepted(number)));
                 }
                 News::Refused {
                     by,
@@ -208,9 +208,11 @@
                     self.attempts
                         .remove(&number)
                         .is_some()
-                        .then(|| orders.push(Order::Refused(number, why)));
+                        .then(|| orders.push(HostRequest::Rejected(number, why)));
+                }
+                News::AllEnded { id, outcomes, .. } => {
+                    orders.push(HostRequest::BroadcastCompleted(id, outcomes))
                 }
-                News::AllEnded { id, outcomes, .. } => orders.push(Order::AllEnded(id, outcomes)),
                 _ => (),
             }
         }
@@ -225,7 +227,7 @@
     /// Its patience counts from the taking, and at the latest from when this process asked for it: whoever
     /// gives this instance up counts from later than that, on a clock of his own. A process that slept past it
     /// has never handed it in, and does not now.
-    fn hand(&mut self, now: Ms, asked: Ms, copy: Copy) -> Option<Order> {
+    fn hand(&mut self, now: Ms, asked: Ms, copy: Copy) -> Option<HostRequest> {
         let (subscriber, position) = copy;
         let broadcast = self.state.broadcast(position)?;
         let event = copy_id(&broadcast.id, subscriber);
@@ -238,17 +240,17 @@
             },
         );
         Some(match patience_ends <= now {
-            true => Order::TellEnd {
+            true => HostRequest::NotifyOutcome {
                 event,
                 subscriber,
                 position,
-                outcome: Outcome::Dismissed,
+                outcome: Outcome::Rejected,
             },
-            false => Order::HandIn {
+            false => HostRequest::Submit {
                 event,
                 subscriber,
                 position,
-                patience_ends,
+                deadline: patience_ends,
             },
         })
     }
@@ -259,14 +261,14 @@
     }
 
     /// A call of the copy goes out.
-    pub fn called(&mut self, now: Ms, copy: Copy) {
+    pub fn on_attempt_started(&mut self, now: Ms, copy: Copy) {
         if let Some(held) = self.held.get_mut(&copy) {
             held.first_call.get_or_insert(now);
         }
     }
 
     /// The copy has its end, and whoever was to hear of it has.
-    pub fn over(&mut self, now: Ms, copy: Copy, outcome: Outcome) {
+    pub fn on_outcome_acknowledged(&mut self, now: Ms, copy: Copy, outcome: Outcome) {
         if let Some(held) = self.held.get_mut(&copy).filter(|held| held.over.is_none()) {
             let called = held.first_call.unwrap_or(now);
             held.over = Some((outcome, called - held.since, now - called));
--- a/forwarder/fanout/src/station/asking.rs
+++ b/forwarder/fanout/src/station/asking.rs
@@ -2,8 +2,8 @@
 
 use plankhill_decisions::interface::Ms;
 
-use super::{Attempt, Station};
-use crate::command::{Broadcast, Command, CopyEnd, Refusal};
+use super::{Attempt, LocalInstance};
+use crate::command::{Broadcast, Command, CopyEnd, Rejection};
 use crate::names::*;
 
 /// What was not answered by the log is asked again after so long.
@@ -21,19 +21,19 @@
 /// Subscribers at rest of which the station knows; others' lags count.
 const RESTING: usize = 4096;
 
-impl Station {
+impl LocalInstance {
     /// A client hands in a broadcast. [`crate::Order::Took`] or `Refused` follows under the number told.
-    pub fn attempt(&mut self, now: Ms, broadcast: Broadcast) -> Result<u64, Refusal> {
+    pub fn attempt(&mut self, now: Ms, broadcast: Broadcast) -> Result<u64, Rejection> {
         self.state.would_take(&broadcast)?;
         if !self.started || self.attempts.len() >= ATTEMPTS {
-            return Err(Refusal::Full);
+            return Err(Rejection::Full);
         }
         if self
             .attempts
             .values()
             .any(|open| open.broadcast.id == broadcast.id)
         {
-            return Err(Refusal::Known);
+            return Err(Rejection::Known);
         }
         self.next_number += 1;
         self.attempts.insert(
@@ -61,7 +61,7 @@
     }
 
     /// The subscriber is parked or cold here, and may be so until then.
-    pub fn rests(&mut self, subscriber: Subscriber, until: Ms) {
+    pub fn exclude_from_lag(&mut self, subscriber: Subscriber, until: Ms) {
         if self.resting.len() < RESTING || self.resting.contains_key(&subscriber) {
             let known = self.resting.entry(subscriber).or_insert(until);
             *known = known.max(until);
@@ -115,7 +115,7 @@
     }
 
     /// What is to be proposed for this instance, by whoever leads.
-    pub fn asks(&mut self, now: Ms) -> Vec<Command> {
+    pub fn poll_commands(&mut self, now: Ms) -> Vec<Command> {
         let (by, process) = (self.me, self.process);
         if !self.started {
             let waits = self.asked.is_some_and(|asked| now - asked < AGAIN);
--- a/forwarder/fanout/src/stored_format_tests.rs
+++ b/forwarder/fanout/src/stored_format_tests.rs
@@ -5,7 +5,7 @@
 use crate::detect::Sample;
 use crate::instances::Instance;
 use crate::names::*;
-use crate::state::{CohortState, Fanout, Follower, Kept, Pending};
+use crate::state::{CohortState, FanoutState, Follower, Kept, Pending};
 use crate::sums::Votes;
 use crate::verdict::{Figures, Judged, Verdict};
 
@@ -81,7 +81,7 @@
     sample
 }
 
-fn state() -> Fanout {
+fn state() -> FanoutState {
     let subscriber = plankhill_decisions::interface::DestinationId;
     let broadcast = Broadcast {
         id: BroadcastId("b-1".into()),
@@ -109,7 +109,7 @@
         Judged::Slow(figures()),
         Judged::Route(figures()),
     ];
-    let ends = [Outcome::Completed, Outcome::Dismissed, Outcome::WrittenOff];
+    let ends = [Outcome::Completed, Outcome::Rejected, Outcome::Abandoned];
     let followers = judged.into_iter().zip(ends).map(|(judged, end)| {
         let number = match judged {
             Judged::KeepsUp => 1,
@@ -130,7 +130,7 @@
         batch: vec![sample()],
         since: 298,
     };
-    Fanout {
+    FanoutState {
         bounds,
         lists: [(
             ListName("news".into()),
@@ -173,10 +173,10 @@
 #[test]
 fn a_snapshot_is_written_and_read_as_pinned() {
     assert_eq!(state().to_bytes(), pinned("State"));
-    assert_eq!(Fanout::from_bytes(&pinned("State")), Some(state()));
-    assert_eq!(Fanout::default().to_bytes(), pinned("EmptyState"));
+    assert_eq!(FanoutState::from_bytes(&pinned("State")), Some(state()));
+    assert_eq!(FanoutState::default().to_bytes(), pinned("EmptyState"));
     assert_eq!(
-        Fanout::from_bytes(&pinned("EmptyState")),
-        Some(Fanout::default())
+        FanoutState::from_bytes(&pinned("EmptyState")),
+        Some(FanoutState::default())
     );
 }
--- a/forwarder/fanout/src/verdict.rs
+++ b/forwarder/fanout/src/verdict.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 
 /// A verdict says on which figures it rests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
     pub(crate) confirmed: bool,
 }
 
-impl Fanout {
+impl FanoutState {
     pub fn judged(&self, subscriber: Subscriber) -> Judged {
         self.followers
             .get(&subscriber)
--- a/forwarder/fanout/tests/common/mod.rs
+++ b/forwarder/fanout/tests/common/mod.rs
@@ -31,8 +31,8 @@
 }
 
 /// `cohorts` that keep up and one for slow ones, each with an instance of its own, from 0.
-pub fn fleet(subscribers: u64, cohorts: u32) -> Fanout {
-    let mut fanout = Fanout::default();
+pub fn fleet(subscribers: u64, cohorts: u32) -> FanoutState {
+    let mut fanout = FanoutState::default();
     fanout.apply(Command::Laid(layout(subscribers, cohorts, 1)));
     (0..=cohorts).for_each(|id| {
         drop(fanout.apply(Command::Started {
@@ -60,7 +60,7 @@
 }
 
 /// A client hands in the broadcast of that number at the first instance; each attempt is another one.
-pub fn take(fanout: &mut Fanout, number: u64) -> Vec<News> {
+pub fn take(fanout: &mut FanoutState, number: u64) -> Vec<News> {
     let by = InstanceId(0);
     let attempt = |n: u64| Command::Taken {
         by,
@@ -117,7 +117,7 @@
 }
 
 /// One broadcast, delivered by all, each subscriber in its own time; then a tick.
-pub fn round(fanout: &mut Fanout, number: u64, own: impl Fn(Subscriber, InstanceId) -> f64) {
+pub fn round(fanout: &mut FanoutState, number: u64, own: impl Fn(Subscriber, InstanceId) -> f64) {
     take(fanout, number);
     let instances: Vec<InstanceId> = fanout.known_instances().collect();
     for by in instances {
--- a/forwarder/fanout/tests/plan.rs
+++ b/forwarder/fanout/tests/plan.rs
@@ -53,10 +53,10 @@
         && (0..30).contains(&(number as i64 - day.lost.0 as i64))
 }
 
-fn start(day: &Day) -> Fanout {
+fn start(day: &Day) -> FanoutState {
     let mut told = layout(day.subscribers, day.cohorts, day.slow_cohorts);
     (told.bounds.moves_at_once, told.bounds.moves_a_minute) = (day.at_once, day.a_minute);
-    let mut fanout = Fanout::default();
+    let mut fanout = FanoutState::default();
     fanout.apply(Command::Laid(told));
     (0..day.instances).for_each(|id| {
         drop(fanout.apply(Command::Started {
@@ -68,7 +68,7 @@
 }
 
 /// Copies are taken, delivered by who has them, and the losses told.
-fn play(fanout: &mut Fanout, day: &Day, number: u64, late: &mut VecDeque<(u64, Command)>) {
+fn play(fanout: &mut FanoutState, day: &Day, number: u64, late: &mut VecDeque<(u64, Command)>) {
     take(fanout, number);
     for by in (0..day.instances).map(InstanceId) {
         if is_lost(day, number, by) {
--- a/forwarder/fanout/tests/slow.rs
+++ b/forwarder/fanout/tests/slow.rs
@@ -13,7 +13,7 @@
 }
 
 fn rounds(
-    fanout: &mut Fanout,
+    fanout: &mut FanoutState,
     from: u64,
     count: u64,
     own: impl Fn(Subscriber, InstanceId) -> f64,
@@ -23,7 +23,7 @@
 }
 
 /// As the leader does.
-fn regroups(fanout: &mut Fanout) -> usize {
+fn regroups(fanout: &mut FanoutState) -> usize {
     let moves = fanout.plan();
     let count = moves
         .iter()
@@ -155,7 +155,7 @@
                 ticket: number,
             });
             let given_up = |copy| CopyEnd {
-                outcome: Outcome::Dismissed,
+                outcome: Outcome::Rejected,
                 ..end(copy, 0.0)
             };
             let ends = handed(&news, by).into_iter();
--- a/forwarder/fanout/tests/stored_format.rs
+++ b/forwarder/fanout/tests/stored_format.rs
@@ -54,12 +54,12 @@
 }
 
 fn ends() -> Vec<CopyEnd> {
-    let outcomes = [Outcome::Completed, Outcome::Dismissed, Outcome::WrittenOff];
+    let outcomes = [Outcome::Completed, Outcome::Rejected, Outcome::Abandoned];
     let ends = outcomes.into_iter().map(|outcome| {
         let position = match outcome {
             Outcome::Completed => Position(301),
-            Outcome::Dismissed => Position(302),
-            Outcome::WrittenOff => Position(303),
+            Outcome::Rejected => Position(302),
+            Outcome::Abandoned => Position(303),
         };
         CopyEnd {
             subscriber: SUBSCRIBER,
--- a/forwarder/fanout/tests/stories.rs
+++ b/forwarder/fanout/tests/stories.rs
@@ -28,7 +28,7 @@
     assert!(matches!(
         take(&mut fanout, 1)[..],
         [News::Refused {
-            why: Refusal::Known,
+            why: Rejection::Known,
             ..
         }]
     ));
@@ -105,7 +105,7 @@
         barred[..],
         [News::Refused {
             number: 2,
-            why: Refusal::Late,
+            why: Rejection::Late,
             ..
         }]
     ));
@@ -169,7 +169,7 @@
     assert_eq!(lost, (3..=16).collect::<Vec<u64>>());
     assert!(given_up
         .iter()
-        .all(|(s, _, outcome)| *s == slow && *outcome == Outcome::Dismissed));
+        .all(|(s, _, outcome)| *s == slow && *outcome == Outcome::Rejected));
     // Each is told its end, and only then nothing is kept of its broadcast.
     assert_eq!(fanout.broadcasts().count(), 20);
     let ends = given_up
@@ -197,7 +197,7 @@
     });
     take(&mut fanout, 2);
     let news = fanout.apply(Command::TimeUp(vec![Position(1), Position(2)]));
-    let second = [0, 1].map(|s| (DestinationId(s), Position(2), Outcome::Dismissed));
+    let second = [0, 1].map(|s| (DestinationId(s), Position(2), Outcome::Rejected));
     assert_eq!(told(&news, by), second);
     assert_eq!(
         handed(
@@ -329,7 +329,7 @@
     });
     let written_off: Vec<_> = held
         .iter()
-        .map(|(s, p)| (*s, *p, Outcome::WrittenOff))
+        .map(|(s, p)| (*s, *p, Outcome::Abandoned))
         .collect();
     assert_eq!(told(&news, heir), written_off);
     let late = Command::Ended {
@@ -393,7 +393,7 @@
     assert!(matches!(
         full[..],
         [News::Refused {
-            why: Refusal::Full,
+            why: Rejection::Full,
             ..
         }]
     ));
@@ -404,7 +404,7 @@
 fn a_snapshot_goes_on_like_the_state_that_it_was_taken_of() {
     let mut fanout = fleet(30, 3);
     (1..=20).for_each(|n| round(&mut fanout, n, |s, _| if s.0 == 3 { 2000.0 } else { 20.0 }));
-    let mut copy = Fanout::from_bytes(&fanout.to_bytes()).unwrap();
+    let mut copy = FanoutState::from_bytes(&fanout.to_bytes()).unwrap();
     for number in 21..=60 {
         round(&mut fanout, number, |s, _| s.0 as f64 * 30.0);
         round(&mut copy, number, |s, _| s.0 as f64 * 30.0);
--- a/forwarder/fanout/tests/walk/checker.rs
+++ b/forwarder/fanout/tests/walk/checker.rs
@@ -90,8 +90,8 @@
         self.holds(told, "an end that is told");
         let true_end = match outcome {
             Outcome::Completed => self.delivered.contains(&copy),
-            Outcome::Dismissed => !self.called.contains(&copy),
-            Outcome::WrittenOff => true,
+            Outcome::Rejected => !self.called.contains(&copy),
+            Outcome::Abandoned => true,
         };
         self.holds(true_end, "an end that is true");
         let known = self
--- a/forwarder/fanout/tests/walk/forwarder.rs
+++ b/forwarder/fanout/tests/walk/forwarder.rs
@@ -39,7 +39,7 @@
 pub struct Ledger<'a>(pub &'a Forwarder);
 
 impl Host for Ledger<'_> {
-    fn owes(&self, event: &EventId) -> bool {
+    fn is_pending(&self, event: &EventId) -> bool {
         self.0.plant != Plant::ForgetsLedger && self.0.ledger.contains_key(event)
     }
 }
@@ -81,7 +81,7 @@
             match entry.ended {
                 Some(_) => self.notices.push((now, id)),
                 None if entry.binding && entry.may_have_run && !resends => {
-                    self.ends(now, &id, Outcome::WrittenOff)
+                    self.ends(now, &id, Outcome::Abandoned)
                 }
                 None => resumed.push((entry.copy, id)),
             }
@@ -92,13 +92,19 @@
             .for_each(|((s, _), id)| self.queues.entry(s).or_default().push_back(id));
     }
 
-    pub fn carries_out(&mut self, now: Ms, order: Order, binding: bool, checker: &mut Checker) {
+    pub fn carries_out(
+        &mut self,
+        now: Ms,
+        order: HostRequest,
+        binding: bool,
+        checker: &mut Checker,
+    ) {
         match order {
-            Order::HandIn {
+            HostRequest::Submit {
                 event,
                 subscriber,
                 position,
-                patience_ends,
+                deadline: patience_ends,
             } => {
                 if self.plant == Plant::DropsHandIn && position.0 % 7 == 0 {
                     return;
@@ -115,7 +121,7 @@
                 self.ledger.insert(event.clone(), entry);
                 self.queues.entry(subscriber).or_default().push_back(event);
             }
-            Order::TellEnd {
+            HostRequest::NotifyOutcome {
                 subscriber,
                 position,
                 outcome,
@@ -140,7 +146,7 @@
         &mut self,
         now: Ms,
         mut takes: impl FnMut(Copy) -> (Ms, bool),
-        station: &mut Station,
+        station: &mut LocalInstance,
         checker: &mut Checker,
     ) {
         let local = self.local(now);
@@ -163,9 +169,9 @@
                     .entry(copy.0)
                     .or_default()
                     .retain(|other| *other != id);
-                station.over(local, copy, Outcome::Completed);
+                station.on_outcome_acknowledged(local, copy, Outcome::Completed);
             } else if entry.binding {
-                self.ends(now, &id, Outcome::WrittenOff);
+                self.ends(now, &id, Outcome::Abandoned);
             }
         }
         let heads = self
@@ -187,9 +193,9 @@
             };
             if entry.patience_ends <= local && self.plant != Plant::OutlastsPatience {
                 let outcome = if entry.may_have_run {
-                    Outcome::WrittenOff
+                    Outcome::Abandoned
                 } else {
-                    Outcome::Dismissed
+                    Outcome::Rejected
                 };
                 self.ends(now, &id, outcome);
                 continue;
@@ -198,7 +204,7 @@
             let (copy, binding) = (entry.copy, entry.binding);
             let (took, delivers) = takes(copy);
             checker.call(now, copy, self.id, now + took, binding);
-            station.called(local, copy);
+            station.on_attempt_started(local, copy);
             self.out.insert(id, (now + took, delivers));
         }
         let (heard, notices) = std::mem::take(&mut self.notices)
@@ -214,10 +220,10 @@
                 .or_default()
                 .retain(|other| *other != id);
             checker.noticed(entry.copy);
-            station.over(
+            station.on_outcome_acknowledged(
                 local,
                 entry.copy,
-                entry.ended.unwrap_or(Outcome::WrittenOff),
+                entry.ended.unwrap_or(Outcome::Abandoned),
             );
         }
         let (heard, told) = std::mem::take(&mut self.told)
@@ -228,7 +234,7 @@
             if self.plant != Plant::TellsNoEnd {
                 checker.noticed(copy);
             }
-            station.over(local, copy, outcome);
+            station.on_outcome_acknowledged(local, copy, outcome);
         }
     }
 }
--- a/forwarder/fanout/tests/walk/process.rs
+++ b/forwarder/fanout/tests/walk/process.rs
@@ -12,7 +12,7 @@
 pub struct Process {
     pub forwarder: Forwarder,
     /// None while it is down.
-    pub station: Option<Station>,
+    pub station: Option<LocalInstance>,
     pub applied: usize,
     /// It does nothing until then; only its calls go on.
     pub stalled: Ms,
@@ -26,14 +26,14 @@
 
 impl Process {
     pub fn starts(&mut self, now: Ms, log: &[Command], from: usize) {
-        let mut state = Fanout::default();
+        let mut state = FanoutState::default();
         log[..from]
             .iter()
             .for_each(|command| drop(state.apply(command.clone())));
-        let state = Fanout::from_bytes(&state.to_bytes()).expect("a snapshot can be read");
+        let state = FanoutState::from_bytes(&state.to_bytes()).expect("a snapshot can be read");
         self.forwarder.restart(now);
         let process = (now * 1000.0) as u64 + 1;
-        let station = Station::new(InstanceId(self.forwarder.id), process, state);
+        let station = LocalInstance::new(InstanceId(self.forwarder.id), process, state);
         self.attempts.clear();
         (self.station, self.applied) = (Some(station), from);
     }
@@ -51,31 +51,31 @@
         self.carry_out(now, all, checker);
     }
 
-    fn carry_out(&mut self, now: Ms, orders: Vec<Order>, checker: &mut Checker) {
+    fn carry_out(&mut self, now: Ms, orders: Vec<HostRequest>, checker: &mut Checker) {
         for order in orders {
             let Some(station) = self.station.as_ref() else {
                 return;
             };
             let copy = match &order {
-                Order::HandIn {
+                HostRequest::Submit {
                     subscriber,
                     position,
                     ..
                 } => (*subscriber, *position),
-                Order::TellEnd {
+                HostRequest::NotifyOutcome {
                     subscriber,
                     position,
                     ..
                 } => (*subscriber, *position),
-                Order::Took(number) | Order::Refused(number, _) => {
-                    let took = matches!(order, Order::Took(_));
+                HostRequest::Accepted(number) | HostRequest::Rejected(number, _) => {
+                    let took = matches!(order, HostRequest::Accepted(_));
                     let answered = self.attempts.remove(number);
                     answered
                         .into_iter()
                         .for_each(|id| checker.answered(&id, took));
                     continue;
                 }
-                Order::AllEnded(..) => continue,
+                HostRequest::BroadcastCompleted(..) => continue,
             };
             if station.holds(copy) {
                 let binding = station
@@ -118,11 +118,11 @@
                         let (event, patience_ends) =
                             (copy_id(&b.id, subscriber), b.at + b.patience);
                         let binding = b.traffic == "binding";
-                        let order = Order::HandIn {
+                        let order = HostRequest::Submit {
                             event,
                             subscriber,
                             position,
-                            patience_ends,
+                            deadline: patience_ends,
                         };
                         self.forwarder.carries_out(now, order, binding, checker);
                     }
@@ -134,7 +134,7 @@
                     .held_by(by)
                     .into_iter()
                     .filter(|(s, _, end)| end.is_none() && state.server(*s) != Some(by));
-                let (outcome, waited, own) = (Outcome::WrittenOff, 0.0, 0.0);
+                let (outcome, waited, own) = (Outcome::Abandoned, 0.0, 0.0);
                 let ends = held.map(|(subscriber, position, _)| CopyEnd {
                     subscriber,
                     position,
--- a/forwarder/fanout/tests/walk/world.rs
+++ b/forwarder/fanout/tests/walk/world.rs
@@ -22,11 +22,11 @@
     pub(super) now: Ms,
     log: Vec<Command>,
     /// What the log says, applied as it grows.
-    truth: Fanout,
+    truth: FanoutState,
     pub(super) processes: Vec<Process>,
     pub(super) network: Vec<(Ms, Command)>,
     leader: usize,
-    leading: Leading,
+    leading: Coordinator,
     pub checker: Checker,
     pub(super) sent: u64,
     pub moves: u64,
@@ -40,11 +40,11 @@
             plant,
             now: 0.0,
             log: Vec::new(),
-            truth: Fanout::default(),
+            truth: FanoutState::default(),
             processes: Vec::new(),
             network: Vec::new(),
             leader: 0,
-            leading: Leading::default(),
+            leading: Coordinator::default(),
             checker: Checker::default(),
             sent: 0,
             moves: 0,
@@ -99,7 +99,7 @@
     }
 
     fn commit(&mut self, command: Command) {
-        let servers = |state: &Fanout| -> Vec<_> {
+        let servers = |state: &FanoutState| -> Vec<_> {
             (0..SUBSCRIBERS)
                 .map(|s| state.server(DestinationId(s)))
                 .collect()
@@ -180,14 +180,16 @@
             let Some(next) = (0..self.processes.len()).find(|at| self.is_up(*at)) else {
                 return;
             };
-            (self.leader, self.leading) = (next, Leading::default());
+            (self.leader, self.leading) = (next, Coordinator::default());
         }
         let up = (0..self.processes.len()).filter(|at| self.is_up(*at));
         let up: Vec<InstanceId> = up
             .map(|at| InstanceId(self.processes[at].forwarder.id))
             .collect();
         let local = self.processes[self.leader].forwarder.local(self.now);
-        let mut commands = self.leading.asks(local, &self.truth, &up, LONGEST_CALL);
+        let mut commands = self
+            .leading
+            .poll_commands(local, &self.truth, &up, LONGEST_CALL);
         if self.plant == Plant::GivesUpAtOnce {
             let lost = self
                 .truth
@@ -245,7 +247,7 @@
         };
         process.forwarder.works(self.now, takes, station, checker);
         let local = process.forwarder.local(self.now);
-        let commands = station.asks(local);
+        let commands = station.poll_commands(local);
         let early = process.early(self.now, self.plant, &commands, checker);
         if process.cut <= self.now {
             self.reports(commands);
--- a/forwarder/hot-restart/tests/wire_format.rs
+++ b/forwarder/hot-restart/tests/wire_format.rs
@@ -12,7 +12,7 @@
 use async_io::{block_on, Async};
 use plankhill_admin::{Order, Reply};
 use plankhill_decisions::interface::{
-    DestinationId, AttemptReport, EventId, AttemptOutcome, OrderKey, TargetId, TrafficTypeId,
+    AttemptOutcome, AttemptReport, DestinationId, EventId, OrderKey, TargetId, TrafficTypeId,
 };
 use plankhill_hot_restart::{Event, Handed, Passage, State, Verdict, Word, VERSION};
 use rstest::rstest;
--- a/forwarder/raft-groups/benches/committed.rs
+++ b/forwarder/raft-groups/benches/committed.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use plankhill_raft_groups::Order;
+use plankhill_raft_groups::GroupRequest;
 
 #[allow(dead_code)]
 #[path = "../tests/together/mod.rs"]
@@ -69,7 +69,7 @@
             assert!(all
                 .at(0)
                 .handle
-                .try_order(Order::Propose {
+                .try_request(GroupRequest::Propose {
                     group,
                     number,
                     command
--- a/forwarder/raft-groups/src/core/apply.rs
+++ b/forwarder/raft-groups/src/core/apply.rs
@@ -5,7 +5,7 @@
 use super::effects::{Base, Effects, Voters};
 use super::stamp::{Stamp, Whole};
 use super::{Core, Fault};
-use crate::{News, Purpose, Term};
+use crate::{GroupEvent, Purpose, Term};
 
 impl Core {
     pub(super) fn apply_entry(&mut self, entry: Entry, out: &mut Effects) {
@@ -26,7 +26,7 @@
                         self.machine.apply(proposer, term, &entry.data);
                         if self.purpose == Purpose::Control {
                             let command = entry.data.to_vec();
-                            out.news.push(News::Applied {
+                            out.news.push(GroupEvent::Applied {
                                 proposer,
                                 term,
                                 command,
@@ -56,7 +56,7 @@
         let state = self.machine.snapshot();
         // Answers to what it proposed in an earlier term come before.
         self.open.answers(self.group, &mut out.news);
-        out.news.push(News::Leads {
+        out.news.push(GroupEvent::Elected {
             group: self.group,
             purpose: self.purpose,
             term,
@@ -79,7 +79,7 @@
         self.dissolved = whole.dissolved;
         self.applied = base.index;
         if self.purpose == Purpose::Control {
-            out.news.push(News::Replaced {
+            out.news.push(GroupEvent::SnapshotInstalled {
                 state: whole.machine,
             });
         }
--- a/forwarder/raft-groups/src/core/effects.rs
+++ b/forwarder/raft-groups/src/core/effects.rs
@@ -3,7 +3,7 @@
 use raft::eraftpb::{ConfState, Entry, Message};
 use serde::{Deserialize, Serialize};
 
-use crate::News;
+use crate::GroupEvent;
 
 /// What a vote rests on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -75,5 +75,5 @@
 pub struct Effects {
     pub persist: Vec<Persist>,
     pub send: Vec<Message>,
-    pub news: Vec<News>,
+    pub news: Vec<GroupEvent>,
 }
--- a/forwarder/raft-groups/src/core/kept.rs
+++ b/forwarder/raft-groups/src/core/kept.rs
@@ -4,7 +4,7 @@
 
 use super::effects::{Base, Hard, Persist, Voters};
 use super::stamp::{Counted, Whole};
-use crate::{Incarnation, Machine};
+use crate::{Incarnation, StateMachine};
 
 /// What an instance has of a group: made anew, or read from its disk.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
 
 impl Kept {
     /// As each founding voter makes it: the same on all.
-    pub fn founded(voters: &[Incarnation], machine: &dyn Machine) -> Self {
+    pub fn founded(voters: &[Incarnation], machine: &dyn StateMachine) -> Self {
         let whole = Whole {
             counted: Counted::default(),
             dissolved: false,
--- a/forwarder/raft-groups/src/core/mod.rs
+++ b/forwarder/raft-groups/src/core/mod.rs
@@ -20,7 +20,7 @@
 use raft::eraftpb::{HardState, Message};
 use raft::{RawNode, StateRole};
 
-use crate::{GroupId, Incarnation, Machine, Purpose, Term};
+use crate::{GroupId, Incarnation, Purpose, StateMachine, Term};
 use effects::{Effects, Hard};
 pub use kept::Kept;
 use open::Open;
@@ -42,7 +42,7 @@
     pub purpose: Purpose,
     me: Incarnation,
     node: RawNode<Store>,
-    machine: Box<dyn Machine>,
+    machine: Box<dyn StateMachine>,
     counted: Counted,
     pace: Pace,
     /// Ticks since its leader was heard, or it led itself.
@@ -78,7 +78,7 @@
         purpose: Purpose,
         me: Incarnation,
         kept: Kept,
-        mut machine: Box<dyn Machine>,
+        mut machine: Box<dyn StateMachine>,
         pace: Pace,
     ) -> Result<Self, Fault> {
         let Kept {
--- a/forwarder/raft-groups/src/core/open.rs
+++ b/forwarder/raft-groups/src/core/open.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::stamp::Counted;
-use crate::{GroupId, Incarnation, News, Term};
+use crate::{GroupEvent, GroupId, Incarnation, Term};
 
 /// The most proposals without an answer, and the bytes of those not committed.
 pub const MOST: usize = 4096;
@@ -84,13 +84,13 @@
     }
 
     /// The answers that can be given.
-    pub fn answers(&mut self, group: GroupId, news: &mut Vec<News>) {
+    pub fn answers(&mut self, group: GroupId, news: &mut Vec<GroupEvent>) {
         while let Some(Proposal { number, state }) = self.all.front() {
             let number = *number;
             news.push(match state {
                 State::At { .. } => return,
-                State::Counts => News::Committed { group, number },
-                State::Void => News::Void { group, number },
+                State::Counts => GroupEvent::Committed { group, number },
+                State::Void => GroupEvent::Discarded { group, number },
             });
             self.all.pop_front();
         }
@@ -119,8 +119,8 @@
         let counted = matches!(
             news[..],
             [
-                News::Void { number: 1, .. },
-                News::Committed { number: 2, .. }
+                GroupEvent::Discarded { number: 1, .. },
+                GroupEvent::Committed { number: 2, .. }
             ]
         );
         assert!(counted, "{news:?}");
--- a/forwarder/raft-groups/src/core/ready.rs
+++ b/forwarder/raft-groups/src/core/ready.rs
@@ -7,7 +7,7 @@
 use super::effects::{Base, Effects, Hard, Persist};
 use super::stamp::Stamp;
 use super::{Core, Fault};
-use crate::{News, Term};
+use crate::{GroupEvent, Term};
 
 /// A log above this many bytes is cut; above twice the machine's size, if that is more, so that writing states
 /// costs no more than writing the log.
@@ -127,7 +127,7 @@
         self.lease = 0.0;
         self.beats.clear();
         if self.leads.take().is_some() {
-            out.news.push(News::Deposed { group: self.group });
+            out.news.push(GroupEvent::Deposed { group: self.group });
         }
     }
 
--- a/forwarder/raft-groups/src/disk/folder.rs
+++ b/forwarder/raft-groups/src/disk/folder.rs
@@ -12,14 +12,14 @@
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
 use crate::wire::frame::{body, frame, head, HEAD};
-use crate::wire::said::Start;
+use crate::wire::said::StartOptions;
 use crate::{GroupId, Incarnation, InstanceName};
 
 /// The life of a folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     pub incarnation: Incarnation,
-    pub start: Start,
+    pub start: StartOptions,
     /// The number of the next group that it founds.
     pub next_group: u32,
     /// The file's own number on its disk, and when it was made there: a copy of the file has others.
@@ -27,7 +27,7 @@
 }
 
 /// Whom it met: their names and the latest starts that it knows of.
-pub type Met = BTreeMap<Incarnation, (InstanceName, Start)>;
+pub type Met = BTreeMap<Incarnation, (InstanceName, StartOptions)>;
 
 /// The most incarnations remembered.
 pub const MOST_MET: usize = 1024;
@@ -69,10 +69,10 @@
         Some(kept) => kept,
         None => {
             let incarnation = Incarnation(drawn()?.max(1));
-            Identity { incarnation, start: Start::default(), next_group: 1, file: (0, 0) }
+            Identity { incarnation, start: StartOptions::default(), next_group: 1, file: (0, 0) }
         }
     };
-    identity.start = Start {
+    identity.start = StartOptions {
         generation: identity.start.generation + 1,
         draw,
     };
--- a/forwarder/raft-groups/src/groups/founding.rs
+++ b/forwarder/raft-groups/src/groups/founding.rs
@@ -149,7 +149,7 @@
         let Some(group) = founding.group else { return };
         let late = now - founding.begun > self.fleet.timing.replace;
         let others = match founding.purpose {
-            Purpose::Record => self.chosen_keepers(group, late, now),
+            Purpose::EventLog => self.chosen_keepers(group, late, now),
             Purpose::Control => self.chosen_for_control(now),
         };
         let Some(others) = others else { return };
@@ -164,7 +164,7 @@
 
     /// The roll's first choices, once they are there; later those that are.
     fn chosen_keepers(&self, group: GroupId, late: bool, now: f64) -> Option<Vec<Peer>> {
-        let keepers = self.fleet.copies.as_ref()?.keepers;
+        let keepers = self.fleet.replication.as_ref()?.keepers;
         let all = &self.fleet.instances;
         let mut order = roll::keepers(all, &all[self.me], group.founder);
         if late {
--- a/forwarder/raft-groups/src/groups/heard.rs
+++ b/forwarder/raft-groups/src/groups/heard.rs
@@ -5,7 +5,7 @@
 use crate::links::shared::FromLinks;
 use crate::wire::mirror::{Kind, Message};
 use crate::wire::said::Said;
-use crate::{GroupId, InstanceName, News, Purpose};
+use crate::{GroupEvent, GroupId, InstanceName, Purpose};
 
 use super::peers::Call;
 use super::state::Groups;
@@ -84,7 +84,7 @@
         let core = self.control.and_then(|group| self.cores.get(&group));
         if core.is_some_and(|core| core.leads().is_some()) {
             let from_name = InstanceName(self.fleet.instances[from.peer].name.as_str().into());
-            self.tell(News::Reported {
+            self.tell(GroupEvent::ReportReceived {
                 from: from_name,
                 incarnation: from.who,
                 body,
@@ -98,7 +98,7 @@
             || self.gone.contains(&group);
         let other_control =
             purpose == Purpose::Control && self.control.is_some_and(|own| own != group);
-        let copies_off = purpose == Purpose::Record && self.fleet.copies.is_none();
+        let copies_off = purpose == Purpose::EventLog && self.fleet.replication.is_none();
         let full = self.cores.len() + self.making.len() >= MOST_GROUPS;
         !known && !other_control && !copies_off && !full && group.number != 0
     }
@@ -138,7 +138,7 @@
             self.parked.remove(&group);
         }
         let grows = message.kind == Kind::Append && !message.entries.is_empty();
-        if grows && core.purpose == Purpose::Record && self.is_full() {
+        if grows && core.purpose == Purpose::EventLog && self.is_full() {
             // Refused, and sent again by its leader until there is room.
             return;
         }
@@ -185,6 +185,6 @@
         self.outgoing.retain(|(of, _), _| *of != group);
         self.gone.insert(group);
         self.rings.disk.send(ToDisk::Bury { group });
-        self.tell(News::Deposed { group });
+        self.tell(GroupEvent::Deposed { group });
     }
 }
--- a/forwarder/raft-groups/src/groups/mod.rs
+++ b/forwarder/raft-groups/src/groups/mod.rs
@@ -21,7 +21,7 @@
 use crate::wire::frame::frame;
 use crate::wire::mirror;
 use crate::wire::said::Said;
-use crate::{GroupId, Incarnation, News};
+use crate::{GroupEvent, GroupId, Incarnation};
 
 pub use state::{Begun, Groups, Rings};
 
@@ -188,7 +188,7 @@
             self.pass(group, &message);
         }
         for news in out.news {
-            if let News::Leads { group, .. } = &news {
+            if let GroupEvent::Elected { group, .. } = &news {
                 self.note_led(*group);
             }
             self.rings.news.send(news);
@@ -221,7 +221,7 @@
         });
     }
 
-    pub(crate) fn tell(&mut self, news: News) {
+    pub(crate) fn tell(&mut self, news: GroupEvent) {
         self.rings.news.send(news);
     }
 }
--- a/forwarder/raft-groups/src/groups/orders.rs
+++ b/forwarder/raft-groups/src/groups/orders.rs
@@ -1,6 +1,6 @@
 //! What the loop orders.
 
-use crate::{GroupId, News, Order};
+use crate::{GroupEvent, GroupId, GroupRequest};
 
 use super::founding::Founding;
 use super::peers::Call;
@@ -16,7 +16,7 @@
             .send(crate::links::shared::ToLinks::Hello(hello));
         if let Some(control) = self.control.and_then(|group| self.cores.get(&group)) {
             let state = control.state();
-            self.tell(News::Replaced { state });
+            self.tell(GroupEvent::SnapshotInstalled { state });
         }
         let dissolved: Vec<GroupId> = self
             .cores
@@ -29,10 +29,10 @@
         }
     }
 
-    pub(super) fn ordered(&mut self, order: Order) {
+    pub(super) fn ordered(&mut self, order: GroupRequest) {
         match order {
-            Order::Found { purpose } => self.found(Founding::ordered(purpose, self.now())),
-            Order::Propose {
+            GroupRequest::Create { purpose } => self.found(Founding::ordered(purpose, self.now())),
+            GroupRequest::Propose {
                 group,
                 number,
                 command,
@@ -40,11 +40,11 @@
                 self.proposed += command.len() as u64;
                 match self.cores.contains_key(&group) {
                     true => self.with(group, |core, out| core.propose(number, command, out)),
-                    false => self.tell(News::Void { group, number }),
+                    false => self.tell(GroupEvent::Discarded { group, number }),
                 }
             }
-            Order::Report { body } => self.report(body),
-            Order::Dissolve { group } => self.with(group, |core, out| core.dissolve(out)),
+            GroupRequest::Report { body } => self.report(body),
+            GroupRequest::Dissolve { group } => self.with(group, |core, out| core.dissolve(out)),
         }
     }
 
--- a/forwarder/raft-groups/src/groups/peers.rs
+++ b/forwarder/raft-groups/src/groups/peers.rs
@@ -4,8 +4,8 @@
 use crate::disk::folder::MOST_MET;
 use crate::disk::thread::ToDisk;
 use crate::links::shared::{Peer, ToLinks};
-use crate::wire::said::{Answer, Hello, Start};
-use crate::{GroupId, Incarnation, InstanceName, News};
+use crate::wire::said::{Answer, Hello, StartOptions};
+use crate::{GroupEvent, GroupId, Incarnation, InstanceName};
 
 use super::state::Groups;
 
@@ -56,7 +56,7 @@
         let name = |at: Peer| InstanceName(self.fleet.instances[at].name.as_str().into());
         Hello {
             version: crate::wire::said::VERSION,
-            fleet: self.fleet.fleet.clone(),
+            fleet: self.fleet.name.clone(),
             name: name(self.me),
             to: name(to),
             incarnation: self.incarnation(),
@@ -124,7 +124,7 @@
     pub(super) fn answered(&mut self, peer: Peer, answer: Answer) {
         match answer {
             Answer::OlderCopy { known } => {
-                let Start { generation, .. } = self.identity.start;
+                let StartOptions { generation, .. } = self.identity.start;
                 let name = &self.fleet.instances[peer].name;
                 self.refused = Some(format!(
                     "{}: is an older copy: {name} knows start {known} of it, this is start {generation}; what was \
@@ -134,7 +134,7 @@
             }
             Answer::Welcome(hello) => {
                 let named = *hello.name.0 == *self.fleet.instances[peer].name
-                    && hello.fleet == self.fleet.fleet;
+                    && hello.fleet == self.fleet.name;
                 let (who, control) = (hello.incarnation, hello.control);
                 match self.meet(&hello) {
                     Ok(()) if named => self.after_notes(Noting::Answered { peer, who, control }),
@@ -185,16 +185,16 @@
                     let name = InstanceName(self.fleet.instances[peer].name.as_str().into());
                     let before = state.told.replace(who);
                     if let Some(incarnation) = before {
-                        self.tell(News::Peer {
+                        self.tell(GroupEvent::PeerChanged {
                             name: name.clone(),
                             incarnation,
-                            up: false,
+                            reachable: false,
                         });
                     }
-                    self.tell(News::Peer {
+                    self.tell(GroupEvent::PeerChanged {
                         name,
                         incarnation: who,
-                        up: true,
+                        reachable: true,
                     });
                 }
             }
@@ -209,10 +209,10 @@
         state.away = now;
         let name = InstanceName(self.fleet.instances[peer].name.as_str().into());
         if let Some(incarnation) = state.told.take() {
-            self.tell(News::Peer {
+            self.tell(GroupEvent::PeerChanged {
                 name,
                 incarnation,
-                up: false,
+                reachable: false,
             });
         }
         let groups: Vec<GroupId> = self.cores.keys().copied().collect();
--- a/forwarder/raft-groups/src/groups/review.rs
+++ b/forwarder/raft-groups/src/groups/review.rs
@@ -33,7 +33,7 @@
             self.tell_voters(group);
             self.join(group);
             let changes = match self.cores.get(&group).map(|core| core.purpose) {
-                Some(Purpose::Record) => self.record_changes(group, now),
+                Some(Purpose::EventLog) => self.record_changes(group, now),
                 Some(Purpose::Control) => self.control_changes(group, now),
                 None => continue,
             };
@@ -69,7 +69,7 @@
             return;
         }
         let what = match core.purpose {
-            Purpose::Record => "a record is kept by",
+            Purpose::EventLog => "a record is kept by",
             Purpose::Control => "the control group is kept by",
         };
         let id = format!("{:016x}-{}", group.founder.0, group.number);
@@ -97,7 +97,7 @@
     }
 
     fn record_changes(&self, group: GroupId, now: f64) -> Vec<Change> {
-        let (Some(core), Some(copies)) = (self.cores.get(&group), &self.fleet.copies) else {
+        let (Some(core), Some(copies)) = (self.cores.get(&group), &self.fleet.replication) else {
             return Vec::new();
         };
         let seen = core.seen();
--- a/forwarder/raft-groups/src/groups/room.rs
+++ b/forwarder/raft-groups/src/groups/room.rs
@@ -15,7 +15,7 @@
 
 impl Groups {
     fn is_for_others(&self, group: &GroupId, core: &Core) -> bool {
-        core.purpose == Purpose::Record
+        core.purpose == Purpose::EventLog
             && core.leads().is_none()
             && group.founder != self.incarnation()
     }
@@ -34,7 +34,7 @@
 
     /// Bytes left of the share of the caps.
     fn left(&self, share: f64) -> u64 {
-        let Some(copies) = &self.fleet.copies else {
+        let Some(copies) = &self.fleet.replication else {
             return u64::MAX;
         };
         let (memory, disk) = self.kept_for_others();
@@ -82,7 +82,7 @@
         for core in self
             .cores
             .values()
-            .filter(|c| c.leads().is_some() && c.purpose == Purpose::Record)
+            .filter(|c| c.leads().is_some() && c.purpose == Purpose::EventLog)
         {
             let (voters, _) = core.members();
             let until = |who| match self.peer_of(who).filter(|at| self.is_there(*at, now)) {
--- a/forwarder/raft-groups/src/groups/state.rs
+++ b/forwarder/raft-groups/src/groups/state.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, Mutex};
 
-use plankhill_forwarder_config::fleet::Fleet;
+use plankhill_forwarder_config::fleet::FleetConfig;
 use rtrb::Consumer;
 use slog::Logger;
 
@@ -18,13 +18,13 @@
 use crate::handle::Leases;
 use crate::links::shared::{FromLinks, Peer, ToLinks};
 use crate::ring::Sender;
-use crate::start::Machines;
-use crate::{GroupId, Incarnation, News, Order, Purpose};
+use crate::start::StateMachineFactory;
+use crate::{GroupEvent, GroupId, GroupRequest, Incarnation, Purpose};
 
 /// The ends of the rings that the groups' thread holds.
 pub struct Rings {
-    pub orders: Consumer<Order>,
-    pub news: Sender<News>,
+    pub orders: Consumer<GroupRequest>,
+    pub news: Sender<GroupEvent>,
     pub links: Sender<ToLinks>,
     pub from_links: Consumer<FromLinks>,
     pub disk: Sender<ToDisk>,
@@ -37,12 +37,12 @@
 }
 
 pub struct Groups {
-    pub fleet: Fleet,
+    pub fleet: FleetConfig,
     pub me: Peer,
     pub identity: Identity,
     pub log: Logger,
     pub folder: PathBuf,
-    pub machines: Machines,
+    pub machines: StateMachineFactory,
     pub pace: Pace,
     pub leases: Arc<Leases>,
     pub rings: Rings,
@@ -82,12 +82,12 @@
 
 /// What a thread is begun with.
 pub struct Begun {
-    pub fleet: Fleet,
+    pub fleet: FleetConfig,
     pub me: Peer,
     pub identity: Identity,
     pub log: Logger,
     pub folder: PathBuf,
-    pub machines: Machines,
+    pub machines: StateMachineFactory,
     pub pace: Pace,
     pub leases: Arc<Leases>,
     pub cores: BTreeMap<GroupId, Core>,
--- a/forwarder/raft-groups/src/groups/states.rs
+++ b/forwarder/raft-groups/src/groups/states.rs
@@ -118,8 +118,8 @@
         let Some(core) = self.cores.get(&group) else {
             return;
         };
-        let most = match (core.purpose, &self.fleet.copies) {
-            (Purpose::Record, Some(copies)) => copies.memory,
+        let most = match (core.purpose, &self.fleet.replication) {
+            (Purpose::EventLog, Some(copies)) => copies.memory,
             _ => LONGEST_CONTROL,
         };
         if let Some(message) = message.filter(|_| offset == 0) {
--- a/forwarder/raft-groups/src/handle.rs
+++ b/forwarder/raft-groups/src/handle.rs
@@ -8,8 +8,8 @@
 
 use rtrb::{Consumer, Producer};
 
-use crate::deadman::Deadman;
-use crate::{GroupId, Incarnation, News, Order};
+use crate::watchdog::Watchdog;
+use crate::{GroupEvent, GroupId, GroupRequest, Incarnation};
 
 /// The longest command and report, in bytes.
 pub const LONGEST_COMMAND: usize = 8 << 20;
@@ -56,13 +56,13 @@
 }
 
 /// The loop's hold on the fleet. Dropped, its threads end; what they were handed and synced stays.
-pub struct Handle {
-    pub(crate) orders: Producer<Order>,
+pub struct RaftGroups {
+    pub(crate) orders: Producer<GroupRequest>,
     pub(crate) groups: Thread,
     pub(crate) leases: Arc<Leases>,
     pub(crate) stop: Arc<AtomicBool>,
     pub(crate) threads: Vec<JoinHandle<()>>,
-    pub(crate) deadman: Option<Deadman>,
+    pub(crate) deadman: Option<Watchdog>,
     pub(crate) incarnation: Incarnation,
     /// Bytes of commands handed over, and those up to which keepers have room.
     pub(crate) proposed: u64,
@@ -70,18 +70,18 @@
     pub(crate) refused: Arc<Mutex<Option<String>>>,
 }
 
-impl Handle {
+impl RaftGroups {
     /// Hands an order to the groups' thread. It comes back when the ring is full or its body too long, and
     /// then surely never counts. Never waits.
-    pub fn try_order(&mut self, order: Order) -> Result<(), Order> {
+    pub fn try_request(&mut self, order: GroupRequest) -> Result<(), GroupRequest> {
         let mut bytes = 0;
         let too_long = match &order {
-            Order::Propose { command, .. } => {
+            GroupRequest::Propose { command, .. } => {
                 bytes = command.len() as u64;
                 command.len() > LONGEST_COMMAND
             }
-            Order::Report { body } => body.len() > LONGEST_REPORT,
-            Order::Found { .. } | Order::Dissolve { .. } => false,
+            GroupRequest::Report { body } => body.len() > LONGEST_REPORT,
+            GroupRequest::Create { .. } | GroupRequest::Dissolve { .. } => false,
         };
         if too_long {
             return Err(order);
@@ -94,32 +94,32 @@
 
     /// True only while this instance leads the group and a majority promised, recently enough, to elect no
     /// other before a stall of this process would have ended it.
-    pub fn holds(&self, group: GroupId) -> bool {
+    pub fn holds_lease(&self, group: GroupId) -> bool {
         self.leases.holds(group)
     }
 
     /// False while too few keepers have room for what was proposed already and more: what would grow a record
     /// has to be refused now, so that marks and ends of what is held still find room.
-    pub fn room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.proposed < self.room.load(Ordering::Acquire)
     }
 
     /// Says that the loop lives. From the first time on, to be said several times within `stall_ms`: where copies
     /// are on, the kernel ends a process that did not say it for so long.
-    pub fn alive(&self) {
+    pub fn feed_watchdog(&self) {
         if let Some(deadman) = &self.deadman {
             deadman.feed();
         }
     }
 
     /// The span within which [`Handle::alive`] has to be said, in milliseconds, if any.
-    pub fn stall(&self) -> Option<f64> {
-        self.deadman.as_ref().map(Deadman::span)
+    pub fn watchdog_timeout(&self) -> Option<f64> {
+        self.deadman.as_ref().map(Watchdog::span)
     }
 
     /// Why this instance may not go on, once its threads have ended over it: its folder lacks what was promised
     /// from it. The process has to end; what it holds others own.
-    pub fn refused(&self) -> Option<String> {
+    pub fn fatal_error(&self) -> Option<String> {
         self.refused
             .lock()
             .unwrap_or_else(|e| e.into_inner())
@@ -131,7 +131,7 @@
     }
 }
 
-impl Drop for Handle {
+impl Drop for RaftGroups {
     fn drop(&mut self) {
         self.deadman = None;
         self.stop.store(true, Ordering::Release);
@@ -144,14 +144,14 @@
 }
 
 /// The news in their order.
-pub struct NewsStream {
-    pub(crate) news: Consumer<News>,
+pub struct GroupEventStream {
+    pub(crate) news: Consumer<GroupEvent>,
     pub(crate) bell: async_channel::Receiver<()>,
     pub(crate) groups: Thread,
 }
 
-impl NewsStream {
-    pub fn try_next(&mut self) -> Option<News> {
+impl GroupEventStream {
+    pub fn try_next(&mut self) -> Option<GroupEvent> {
         let news = self.news.pop().ok();
         if news.is_some() {
             // A full ring may have held the next back.
@@ -161,7 +161,7 @@
     }
 
     /// Waits for the next. None once the fleet's threads have ended.
-    pub async fn next(&mut self) -> Option<News> {
+    pub async fn next(&mut self) -> Option<GroupEvent> {
         loop {
             if let Some(news) = self.try_next() {
                 return Some(news);
--- a/forwarder/raft-groups/src/ids.rs
+++ b/forwarder/raft-groups/src/ids.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Purpose {
     /// What one forwarder holds: it and its keepers. The instance that leads owns the record.
-    Record,
+    EventLog,
     /// The one group of the whole fleet: parts of budgets, groups of subscribers. All instances hear its log.
     Control,
 }
--- a/forwarder/raft-groups/src/lib.rs
+++ b/forwarder/raft-groups/src/lib.rs
@@ -4,7 +4,6 @@
 
 pub mod core;
 pub mod course;
-pub mod deadman;
 pub mod disk;
 pub mod groups;
 pub mod handle;
@@ -15,10 +14,11 @@
 pub mod ring;
 pub mod roll;
 pub mod start;
+pub mod watchdog;
 pub mod wire;
 
-pub use handle::{Handle, NewsStream};
+pub use handle::{GroupEventStream, RaftGroups};
 pub use ids::*;
-pub use machine::{Machine, Torn};
-pub use mail::{News, Order};
-pub use start::{start, Machines, Start};
+pub use machine::{CorruptSnapshot, StateMachine};
+pub use mail::{GroupEvent, GroupRequest};
+pub use start::{start, StartOptions, StateMachineFactory};
--- a/forwarder/raft-groups/src/links/called.rs
+++ b/forwarder/raft-groups/src/links/called.rs
@@ -121,7 +121,7 @@
     if hello.version != VERSION {
         return Err("another version");
     }
-    if hello.fleet != shared.fleet.fleet {
+    if hello.fleet != shared.fleet.name {
         return Err("another fleet");
     }
     if *hello.to.0 != *shared.fleet.instances[shared.me].name {
--- a/forwarder/raft-groups/src/links/mod.rs
+++ b/forwarder/raft-groups/src/links/mod.rs
@@ -12,7 +12,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use plankhill_forwarder_config::fleet::Fleet;
+use plankhill_forwarder_config::fleet::FleetConfig;
 use rtrb::Consumer;
 use slog::{warn, Logger};
 
@@ -20,7 +20,7 @@
 use shared::{FromLinks, Peer, Shared, ToLinks};
 
 pub struct Links {
-    pub fleet: Fleet,
+    pub fleet: FleetConfig,
     pub me: Peer,
     pub listener: TcpListener,
     pub log: Logger,
--- a/forwarder/raft-groups/src/links/shared.rs
+++ b/forwarder/raft-groups/src/links/shared.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use plankhill_forwarder_config::fleet::Fleet;
+use plankhill_forwarder_config::fleet::FleetConfig;
 use slog::{warn, Logger};
 
 use crate::ring::Sender;
@@ -49,7 +49,7 @@
 
 /// Shared by the thread's tasks.
 pub(super) struct Shared {
-    pub fleet: Fleet,
+    pub fleet: FleetConfig,
     pub me: Peer,
     pub log: Logger,
     pub said_at: Cell<Option<Instant>>,
@@ -70,7 +70,7 @@
 }
 
 impl Shared {
-    pub fn new(fleet: Fleet, me: Peer, log: Logger, outbox: Sender<FromLinks>) -> Self {
+    pub fn new(fleet: FleetConfig, me: Peer, log: Logger, outbox: Sender<FromLinks>) -> Self {
         let line = |at: Peer| {
             let (frames, waiting) = async_channel::bounded(FRAMES);
             (at != me).then(|| Line {
--- a/forwarder/raft-groups/src/mail.rs
+++ b/forwarder/raft-groups/src/mail.rs
@@ -5,10 +5,10 @@
 
 /// From the loop.
 #[derive(Debug)]
-pub enum Order {
+pub enum GroupRequest {
     /// Founds a group of which this instance is the first leader, with keepers chosen by the roll.
     /// [`News::Leads`] follows once a majority is there.
-    Found { purpose: Purpose },
+    Create { purpose: Purpose },
     /// To be committed; numbers grow by one for each group. Answered once by `Committed` or `Void`, in the
     /// order of the numbers, as long as this instance lived all the time.
     Propose {
@@ -24,10 +24,10 @@
 
 /// To the loop.
 #[derive(Debug)]
-pub enum News {
+pub enum GroupEvent {
     /// This instance leads the group from now on: `state` is the machine's snapshot with all that can ever
     /// count from before `term`. For a record's group: it owns what is in it.
-    Leads {
+    Elected {
         group: GroupId,
         purpose: Purpose,
         term: Term,
@@ -38,7 +38,7 @@
     /// Applied on a majority's log: it counts.
     Committed { group: GroupId, number: u64 },
     /// It surely never counts.
-    Void { group: GroupId, number: u64 },
+    Discarded { group: GroupId, number: u64 },
     /// A command of the control group, in the log's order; every instance hears it.
     Applied {
         proposer: Incarnation,
@@ -46,17 +46,17 @@
         command: Vec<u8>,
     },
     /// The control group's state as a whole, in place of commands that were missed.
-    Replaced { state: Vec<u8> },
+    SnapshotInstalled { state: Vec<u8> },
     /// A report that came in while this instance leads the control group.
-    Reported {
+    ReportReceived {
         from: InstanceName,
         incarnation: Incarnation,
         body: Vec<u8>,
     },
     /// An instance can be reached, or can't any more.
-    Peer {
+    PeerChanged {
         name: InstanceName,
         incarnation: Incarnation,
-        up: bool,
+        reachable: bool,
     },
 }
