--- a/forwarder/raft-groups/src/start.rs
+++ b/forwarder/raft-groups/src/start.rs
@@ -9,11 +9,10 @@
 use std::thread::Thread;
 use std::time::Instant;
 
-use plankhill_forwarder_config::fleet::Fleet;
+use plankhill_forwarder_config::fleet::FleetConfig;
 use rtrb::RingBuffer;
 
 use crate::core::{Core, Pace};
-use crate::deadman::Deadman;
 use crate::disk::folder;
 use crate::disk::log::Log;
 use crate::disk::thread::Disk;
@@ -21,20 +20,21 @@
 use crate::handle::Leases;
 use crate::links::Links;
 use crate::ring::{Bell, Sender};
-use crate::{Handle, Machine, NewsStream, Purpose};
+use crate::watchdog::Watchdog;
+use crate::{GroupEventStream, Purpose, RaftGroups, StateMachine};
 
 /// Makes the empty machine of a new group.
-pub type Machines = Box<dyn Fn(Purpose) -> Box<dyn Machine> + Send>;
+pub type StateMachineFactory = Box<dyn Fn(Purpose) -> Box<dyn StateMachine> + Send>;
 
 /// All that an instance is started with.
-pub struct Start {
-    pub fleet: Fleet,
+pub struct StartOptions {
+    pub fleet: FleetConfig,
     /// Which of the fleet's instances this is.
     pub name: String,
     /// Its own folder, `fleet` under `PROXY_STATE`; made where there is none.
     pub folder: PathBuf,
     pub log: slog::Logger,
-    pub machines: Machines,
+    pub state_machines: StateMachineFactory,
 }
 
 /// Places in each ring.
@@ -42,13 +42,13 @@
 
 /// Starts listening and the threads. The error says why this folder or address can't be used. Where copies are
 /// on, the kernel's timer runs from the first [`Handle::alive`].
-pub fn start(start: Start) -> io::Result<(Handle, NewsStream)> {
-    let Start {
+pub fn start(start: StartOptions) -> io::Result<(RaftGroups, GroupEventStream)> {
+    let StartOptions {
         fleet,
         name,
         folder,
         log,
-        machines,
+        state_machines: machines,
     } = start;
     let me = fleet.instances.iter().position(|i| i.name == name);
     let me = me.ok_or_else(|| io::Error::other(format!("instances: none is named {name:?}")))?;
@@ -102,9 +102,9 @@
         fleet: fleet.clone(),
     };
     // Parts of pools rest on it as records do.
-    let guarded = fleet.copies.is_some() || !fleet.pools.is_empty();
+    let guarded = fleet.replication.is_some() || !fleet.pools.is_empty();
     let deadman = guarded
-        .then(|| Deadman::new(fleet.timing.stall))
+        .then(|| Watchdog::new(fleet.timing.stall))
         .transpose()?;
     spawn(begun, logs, listener, leases, deadman)
 }
@@ -114,8 +114,8 @@
     logs: BTreeMap<crate::GroupId, Log>,
     listener: TcpListener,
     leases: Arc<Leases>,
-    deadman: Option<Deadman>,
-) -> io::Result<(Handle, NewsStream)> {
+    deadman: Option<Watchdog>,
+) -> io::Result<(RaftGroups, GroupEventStream)> {
     let stop = Arc::new(AtomicBool::new(false));
     let room = Arc::new(AtomicU64::new(u64::MAX));
     let refused = Arc::new(Mutex::new(None));
@@ -183,7 +183,7 @@
     let threads = vec![groups, talker, writer];
     let groups = to_groups.clone();
     let proposed = 0;
-    let handle = Handle {
+    let handle = RaftGroups {
         proposed,
         orders,
         groups,
@@ -197,7 +197,7 @@
     };
     Ok((
         handle,
-        NewsStream {
+        GroupEventStream {
             news: to_loop,
             bell: news_rings,
             groups: to_groups,
--- a/forwarder/raft-groups/src/deadman.rs
+++ b/forwarder/raft-groups/src/watchdog.rs
@@ -11,15 +11,15 @@
 use std::ptr::null_mut;
 
 /// Armed from its first [`Deadman::feed`] as long as it lives: a process that has not begun owns nothing.
-pub struct Deadman {
+pub struct Watchdog {
     /// The C library's handle, a small number or a pointer: kept as a number, it belongs to no thread.
     timer: usize,
     span: f64,
 }
 
-impl Deadman {
+impl Watchdog {
     /// `span` in milliseconds.
-    pub fn new(span: f64) -> io::Result<Deadman> {
+    pub fn new(span: f64) -> io::Result<Watchdog> {
         let mut timer: libc::timer_t = null_mut();
         // Safety: both are plain data that the kernel reads and writes once; zero is a valid value of either.
         let made = unsafe {
@@ -31,7 +31,7 @@
         if made != 0 {
             return Err(io::Error::last_os_error());
         }
-        Ok(Deadman {
+        Ok(Watchdog {
             timer: timer as usize,
             span,
         })
@@ -67,7 +67,7 @@
     }
 }
 
-impl Drop for Deadman {
+impl Drop for Watchdog {
     fn drop(&mut self) {
         // Safety: made by `arm`, deleted once.
         unsafe { libc::timer_delete(self.id()) };
--- a/forwarder/raft-groups/src/wire/said.rs
+++ b/forwarder/raft-groups/src/wire/said.rs
@@ -20,14 +20,14 @@
     /// Whom the caller believes to have reached.
     pub to: InstanceName,
     pub incarnation: Incarnation,
-    pub start: Start,
+    pub start: StartOptions,
     /// The control group that it knows of.
     pub control: Option<GroupId>,
 }
 
 /// One start of a process on its folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct StartOptions {
     /// Grows by one with each start on the folder.
     pub generation: u64,
     /// Drawn for each: two starts of the same number are of two copies.
--- a/forwarder/raft-groups/tests/alone.rs
+++ b/forwarder/raft-groups/tests/alone.rs
@@ -7,8 +7,8 @@
 
 use plankhill_raft_groups::core::effects::{Hard, Persist};
 use plankhill_raft_groups::core::Kept;
-use plankhill_raft_groups::deadman::Deadman;
 use plankhill_raft_groups::disk::{folder, log::Log};
+use plankhill_raft_groups::watchdog::Watchdog;
 use plankhill_raft_groups::{GroupId, Incarnation, Purpose};
 use rstest::rstest;
 
@@ -43,7 +43,7 @@
 #[case::hung(false)]
 fn a_process_that_stands_still_for_too_long_is_ended_by_the_kernel(#[case] stopped: bool) {
     if is_child() {
-        let deadman = Deadman::new(400.0).unwrap();
+        let deadman = Watchdog::new(400.0).unwrap();
         for turn in 0.. {
             if turn == 40 {
                 // Longer than its span by now: it was fed.
@@ -97,7 +97,7 @@
         founder: Incarnation(1),
         number: 1,
     };
-    let mut log = Log::make(place.path(), group, Purpose::Record, &Kept::default()).unwrap();
+    let mut log = Log::make(place.path(), group, Purpose::EventLog, &Kept::default()).unwrap();
     let persist = |index: u64| {
         let entry = raft::eraftpb::Entry {
             index,
--- a/forwarder/raft-groups/tests/folders.rs
+++ b/forwarder/raft-groups/tests/folders.rs
@@ -63,8 +63,10 @@
     .unwrap();
     assert!(!before.is_empty());
     all.start(1);
-    all.until("it is refused", |all| all.at(1).handle.refused().is_some());
-    let line = all.at(1).handle.refused().unwrap();
+    all.until("it is refused", |all| {
+        all.at(1).handle.fatal_error().is_some()
+    });
+    let line = all.at(1).handle.fatal_error().unwrap();
     assert!(
         line.contains("is an older copy") && line.contains("knows start"),
         "{line}"
--- a/forwarder/raft-groups/tests/frames.rs
+++ b/forwarder/raft-groups/tests/frames.rs
@@ -10,7 +10,7 @@
 
 use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD, LONGEST};
 use plankhill_raft_groups::wire::mirror::{Entry, Kind, Message};
-use plankhill_raft_groups::wire::said::{Hello, Said, Start, VERSION};
+use plankhill_raft_groups::wire::said::{Hello, Said, StartOptions, VERSION};
 use plankhill_raft_groups::{GroupId, Incarnation, InstanceName, Purpose};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -107,7 +107,7 @@
         name: InstanceName(name.into()),
         to: InstanceName("i0".into()),
         incarnation: Incarnation(99),
-        start: Start {
+        start: StartOptions {
             generation: 1,
             draw: 1,
         },
@@ -127,7 +127,7 @@
 #[case::another_version(hello(VERSION + 1, "t", "i1"), "another version")]
 #[case::oversized(vec![255; 64], "an oversized frame")]
 #[case::torn(cut(hello(VERSION, "t", "i1")), "a torn frame")]
-#[case::garbage([&frame(&Said::Join { group: group(), purpose: Purpose::Record })[..HEAD], &[3; 200]].concat(), "a torn frame")]
+#[case::garbage([&frame(&Said::Join { group: group(), purpose: Purpose::EventLog })[..HEAD], &[3; 200]].concat(), "a torn frame")]
 fn what_is_no_instance_s_frame_closes_the_link(#[case] bytes: Vec<u8>, #[case] told: &str) {
     let mut all = Together::new(3, "[copies]\nkeepers = 2\n");
     let group = all.record(0);
--- a/forwarder/raft-groups/tests/instances.rs
+++ b/forwarder/raft-groups/tests/instances.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use plankhill_raft_groups::{Order, Purpose};
+use plankhill_raft_groups::{GroupRequest, Purpose};
 use together::{leader, Together};
 
 const COPIES: &str = "[copies]\nkeepers = 2\n";
@@ -18,8 +18,8 @@
     for number in 1..=20 {
         all.commit(0, group, number, vec![number as u8]);
     }
-    all.until("the owner holds", |all| all.at(0).handle.holds(group));
-    assert!(!all.at(1).handle.holds(group));
+    all.until("the owner holds", |all| all.at(0).handle.holds_lease(group));
+    assert!(!all.at(1).handle.holds_lease(group));
     all.lose(0);
     all.until("an heir leads", |all| {
         (1..3).any(|at| all.at(at).heard.leads.contains_key(&group))
@@ -29,7 +29,9 @@
         .unwrap();
     let expected: Vec<u8> = (1..=20).collect();
     assert_eq!(all.at(heir).heard.leads[&group].1, expected);
-    all.until("the heir holds", |all| all.at(heir).handle.holds(group));
+    all.until("the heir holds", |all| {
+        all.at(heir).handle.holds_lease(group)
+    });
 }
 
 #[test]
@@ -52,8 +54,8 @@
     all.until("three vote", |all| {
         all.at(first).lines("the control group is kept by voters=3") >= 1
     });
-    let report = Order::Report { body: vec![9] };
-    all.at(3).handle.try_order(report).unwrap();
+    let report = GroupRequest::Report { body: vec![9] };
+    all.at(3).handle.try_request(report).unwrap();
     all.until("the report is heard", |all| {
         all.at(first).heard.reports.contains(&vec![9])
     });
@@ -97,7 +99,9 @@
     all.stop(1);
     all.stop(2);
     all.propose(0, group, 2, vec![2]);
-    all.until("it holds no more", |all| !all.at(0).handle.holds(group));
+    all.until("it holds no more", |all| {
+        !all.at(0).handle.holds_lease(group)
+    });
     all.until("it is deposed", |all| {
         !all.at(0).heard.leads.contains_key(&group)
     });
@@ -128,7 +132,7 @@
     all.commit(0, group, 1, vec![1]);
     all.at(0)
         .handle
-        .try_order(Order::Dissolve { group })
+        .try_request(GroupRequest::Dissolve { group })
         .unwrap();
     let files = |all: &Together, at: usize, kind: &str| {
         let groups = std::fs::read_dir(all.folders[at].path().join("fleet/groups")).unwrap();
@@ -149,14 +153,14 @@
     let mut taken = 0;
     let end = Instant::now() + Duration::from_secs(60);
     loop {
-        let order = Order::Propose {
+        let order = GroupRequest::Propose {
             group,
             number: taken + 1,
             command: vec![0; 10],
         };
-        match all.at(0).handle.try_order(order) {
+        match all.at(0).handle.try_request(order) {
             Ok(()) => taken += 1,
-            Err(Order::Propose { number, .. }) if number > 8000 => break,
+            Err(GroupRequest::Propose { number, .. }) if number > 8000 => break,
             Err(_) => std::thread::sleep(Duration::from_millis(1)),
         }
         assert!(Instant::now() < end, "{taken} were taken");
@@ -184,8 +188,8 @@
     for at in 0..9 {
         all.at(at)
             .handle
-            .try_order(Order::Found {
-                purpose: Purpose::Record,
+            .try_request(GroupRequest::Create {
+                purpose: Purpose::EventLog,
             })
             .unwrap();
     }
@@ -193,7 +197,7 @@
         let me = all.at(at).handle.incarnation();
         let mut leads = all.at(at).heard.leads.iter();
         leads
-            .find(|(group, (purpose, _))| group.founder == me && *purpose == Purpose::Record)
+            .find(|(group, (purpose, _))| group.founder == me && *purpose == Purpose::EventLog)
             .map(|(g, _)| *g)
     };
     let records = |all: &mut Together| (0..9).filter(|at| own(all, *at).is_some()).count();
--- a/forwarder/raft-groups/tests/keepers.rs
+++ b/forwarder/raft-groups/tests/keepers.rs
@@ -16,10 +16,10 @@
     for round in 0..4u64 {
         let (mut taken, from) = (0, 1000 * round);
         // What a beat told is counted against what it may not have heard of: early on it may refuse too much.
-        while taken < 5 || all.at(0).handle.room() {
+        while taken < 5 || all.at(0).handle.has_capacity() {
             assert!(taken < 100, "takes are never refused");
             taken += 1;
-            all.until("there is room", |all| all.at(0).handle.room());
+            all.until("there is room", |all| all.at(0).handle.has_capacity());
             all.commit(0, group, from + taken, vec![1; 60_000]);
         }
         // Marks, then the end of all of them.
@@ -27,7 +27,7 @@
             all.commit(0, group, from + 500 + mark, vec![2; 100]);
         }
         all.commit(0, group, from + 900, b"end".to_vec());
-        all.until("there is room again", |all| all.at(0).handle.room());
+        all.until("there is room again", |all| all.at(0).handle.has_capacity());
     }
 }
 
--- a/forwarder/raft-groups/tests/stored_format.rs
+++ b/forwarder/raft-groups/tests/stored_format.rs
@@ -10,8 +10,10 @@
 use plankhill_raft_groups::disk::folder::{self, Identity, Met};
 use plankhill_raft_groups::disk::log::Log;
 use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD};
-use plankhill_raft_groups::wire::said::Start;
-use plankhill_raft_groups::{GroupId, Incarnation, InstanceName, Machine, Purpose, Term, Torn};
+use plankhill_raft_groups::wire::said::StartOptions;
+use plankhill_raft_groups::{
+    CorruptSnapshot, GroupId, Incarnation, InstanceName, Purpose, StateMachine, Term,
+};
 use raft::eraftpb::{Entry, EntryType};
 use serde::de::DeserializeOwned;
 
@@ -47,7 +49,7 @@
     assert_eq!(identity.incarnation, Incarnation(0xfedc_ba98_7654_3210));
     assert_eq!(
         identity.start,
-        Start {
+        StartOptions {
             generation: 5,
             draw: 0x1122_3344_5566_7788
         }
@@ -89,7 +91,7 @@
         Incarnation(300),
         (
             InstanceName("one".into()),
-            Start {
+            StartOptions {
                 generation: 4,
                 draw: 500,
             },
@@ -99,7 +101,7 @@
         Incarnation(7),
         (
             InstanceName("two".into()),
-            Start {
+            StartOptions {
                 generation: 1,
                 draw: 1 << 40,
             },
@@ -117,7 +119,7 @@
 fn groups_files_are_named_as_before() {
     let place = tempfile::tempdir().unwrap();
     folder::begin(place.path()).unwrap();
-    Log::make(place.path(), GROUP, Purpose::Record, &Kept::default()).unwrap();
+    Log::make(place.path(), GROUP, Purpose::EventLog, &Kept::default()).unwrap();
     let log = place.path().join("groups/0102030405060708-300.log");
     assert!(log.exists());
     assert_eq!(folder::log_path(place.path(), GROUP), log);
@@ -179,7 +181,7 @@
 
 fn name_of(purpose: Purpose) -> &'static str {
     match purpose {
-        Purpose::Record => "record.log",
+        Purpose::EventLog => "record.log",
         Purpose::Control => "control.log",
     }
 }
@@ -209,7 +211,7 @@
 
 #[test]
 fn a_groups_log_is_written_as_pinned() {
-    for purpose in [Purpose::Record, Purpose::Control] {
+    for purpose in [Purpose::EventLog, Purpose::Control] {
         let place = tempfile::tempdir().unwrap();
         folder::begin(place.path()).unwrap();
         let mut log = Log::make(place.path(), GROUP, purpose, &kept()).unwrap();
@@ -231,7 +233,7 @@
 fn a_cut_log_is_written_as_pinned() {
     let place = tempfile::tempdir().unwrap();
     folder::begin(place.path()).unwrap();
-    let mut log = Log::make(place.path(), GROUP, Purpose::Record, &kept()).unwrap();
+    let mut log = Log::make(place.path(), GROUP, Purpose::EventLog, &kept()).unwrap();
     log.take(&batches()).unwrap();
     let base = Base {
         index: 14,
@@ -264,7 +266,7 @@
 
 #[test]
 fn a_groups_log_as_written_before_is_read_entirely() {
-    for purpose in [Purpose::Record, Purpose::Control] {
+    for purpose in [Purpose::EventLog, Purpose::Control] {
         let (log, read) = opened(name_of(purpose));
         assert_eq!(log.purpose(), purpose);
         assert_eq!(
@@ -373,12 +375,12 @@
 
 struct Machines(&'static [u8]);
 
-impl Machine for Machines {
+impl StateMachine for Machines {
     fn apply(&mut self, _: Incarnation, _: Term, _: &[u8]) {}
     fn snapshot(&self) -> Vec<u8> {
         self.0.to_vec()
     }
-    fn restore(&mut self, _: &[u8]) -> Result<(), Torn> {
+    fn restore(&mut self, _: &[u8]) -> Result<(), CorruptSnapshot> {
         Ok(())
     }
     fn size(&self) -> usize {
--- a/forwarder/raft-groups/tests/together/mod.rs
+++ b/forwarder/raft-groups/tests/together/mod.rs
@@ -6,18 +6,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use plankhill_forwarder_config::fleet::{read, Fleet};
+use plankhill_forwarder_config::fleet::{read, FleetConfig};
 use plankhill_raft_groups::{
-    start, GroupId, Handle, Incarnation, Machine, News, NewsStream, Order, Purpose, Start,
+    start, GroupEvent, GroupEventStream, GroupId, GroupRequest, Incarnation, Purpose, RaftGroups,
+    StartOptions, StateMachine,
 };
-use plankhill_raft_groups::{Term, Torn};
+use plankhill_raft_groups::{CorruptSnapshot, Term};
 use tempfile::TempDir;
 
 /// Keeps the bytes of all commands, in their order, up to one that ends them all.
 #[derive(Default)]
 pub struct Bytes(Vec<u8>);
 
-impl Machine for Bytes {
+impl StateMachine for Bytes {
     fn apply(&mut self, _: Incarnation, _: Term, command: &[u8]) {
         match command {
             b"end" => self.0.clear(),
@@ -27,7 +28,7 @@
     fn snapshot(&self) -> Vec<u8> {
         self.0.clone()
     }
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), Torn> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), CorruptSnapshot> {
         self.0 = snapshot.to_vec();
         Ok(())
     }
@@ -75,13 +76,13 @@
 
 pub struct Running {
     lines: Lines,
-    pub handle: Handle,
-    news: NewsStream,
+    pub handle: RaftGroups,
+    news: GroupEventStream,
     pub heard: Heard,
 }
 
 pub struct Together {
-    pub fleet: Fleet,
+    pub fleet: FleetConfig,
     pub folders: Vec<TempDir>,
     pub running: Vec<Option<Running>>,
 }
@@ -159,12 +160,12 @@
 
     fn started_once(&self, at: usize) -> std::io::Result<Running> {
         let lines = Lines::default();
-        let (handle, news) = start(Start {
+        let (handle, news) = start(StartOptions {
             fleet: self.fleet.clone(),
             name: format!("i{at}"),
             folder: self.folders[at].path().join("fleet"),
             log: slog::Logger::root(lines.clone(), slog::o!()),
-            machines: Box::new(|_| Box::<Bytes>::default()),
+            state_machines: Box::new(|_| Box::<Bytes>::default()),
         })?;
         Ok(Running {
             lines,
@@ -213,26 +214,28 @@
             while let Some(news) = running.news.try_next() {
                 let heard = &mut running.heard;
                 match news {
-                    News::Leads {
+                    GroupEvent::Elected {
                         group,
                         purpose,
                         state,
                         ..
                     } => drop(heard.leads.insert(group, (purpose, state))),
-                    News::Deposed { group } => drop(heard.leads.remove(&group)),
-                    News::Committed { group, number } => heard.committed.push((group, number)),
-                    News::Void { group, number } => heard.void.push((group, number)),
-                    News::Applied { command, .. } => heard.applied.push(command),
-                    News::Replaced { state } => heard.replaced = Some(state),
-                    News::Reported { body, .. } => heard.reports.push(body),
-                    News::Peer {
+                    GroupEvent::Deposed { group } => drop(heard.leads.remove(&group)),
+                    GroupEvent::Committed { group, number } => {
+                        heard.committed.push((group, number))
+                    }
+                    GroupEvent::Discarded { group, number } => heard.void.push((group, number)),
+                    GroupEvent::Applied { command, .. } => heard.applied.push(command),
+                    GroupEvent::SnapshotInstalled { state } => heard.replaced = Some(state),
+                    GroupEvent::ReportReceived { body, .. } => heard.reports.push(body),
+                    GroupEvent::PeerChanged {
                         name,
                         incarnation,
-                        up: true,
+                        reachable: true,
                     } => {
                         heard.up.insert(name.0.to_string(), incarnation);
                     }
-                    News::Peer { name, .. } => drop(heard.up.remove(&*name.0)),
+                    GroupEvent::PeerChanged { name, .. } => drop(heard.up.remove(&*name.0)),
                 }
             }
         }
@@ -247,8 +250,8 @@
         let before: Vec<GroupId> = self.at(at).heard.leads.keys().copied().collect();
         self.at(at)
             .handle
-            .try_order(Order::Found {
-                purpose: Purpose::Record,
+            .try_request(GroupRequest::Create {
+                purpose: Purpose::EventLog,
             })
             .unwrap();
         self.until("a record is led", |all| {
@@ -261,14 +264,14 @@
         let leads = &self.at(at).heard.leads;
         let new = leads
             .iter()
-            .find(|(g, (purpose, _))| *purpose == Purpose::Record && !before.contains(g));
+            .find(|(g, (purpose, _))| *purpose == Purpose::EventLog && !before.contains(g));
         new.map(|(group, _)| *group)
     }
 
     pub fn propose(&mut self, at: usize, group: GroupId, number: u64, command: Vec<u8>) {
         self.at(at)
             .handle
-            .try_order(Order::Propose {
+            .try_request(GroupRequest::Propose {
                 group,
                 number,
                 command,
--- a/forwarder/raft-groups/tests/wire_format.rs
+++ b/forwarder/raft-groups/tests/wire_format.rs
@@ -3,7 +3,7 @@
 use plankhill_raft_groups::core::effects::Voters;
 use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD, LONGEST};
 use plankhill_raft_groups::wire::mirror::{Entry, Kind, Message, State};
-use plankhill_raft_groups::wire::said::{Answer, Hello, Said, Slice, Start, VERSION};
+use plankhill_raft_groups::wire::said::{Answer, Hello, Said, Slice, StartOptions, VERSION};
 use plankhill_raft_groups::{GroupId, Incarnation, InstanceName, Purpose};
 use serde::{de::DeserializeOwned, Serialize};
 
@@ -43,7 +43,7 @@
         name: InstanceName("one".into()),
         to: InstanceName("two".into()),
         incarnation: Incarnation(0xfedc_ba98_7654_3210),
-        start: Start {
+        start: StartOptions {
             generation: 5,
             draw: 0x1122_3344_5566_7788,
         },
@@ -116,7 +116,7 @@
 
 #[test]
 fn every_message_is_as_pinned() {
-    let purposes = [Purpose::Record, Purpose::Control];
+    let purposes = [Purpose::EventLog, Purpose::Control];
     let mut all = vec![
         Said::Beat {
             left: 1 << 40,
@@ -159,7 +159,7 @@
     }
     for said in all {
         let of = |purpose: &Purpose| match purpose {
-            Purpose::Record => "Record",
+            Purpose::EventLog => "Record",
             Purpose::Control => "Control",
         };
         let name = match &said {
--- a/forwarder/raft-groups/tests/world/all.rs
+++ b/forwarder/raft-groups/tests/world/all.rs
@@ -1,12 +1,12 @@
 //! A machine that keeps all commands.
 
-use plankhill_raft_groups::{Incarnation, Machine, Term, Torn};
+use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
 
 /// Keeps all commands.
 #[derive(Default)]
 pub struct All(Vec<u64>);
 
-impl Machine for All {
+impl StateMachine for All {
     fn apply(&mut self, _: Incarnation, _: Term, command: &[u8]) {
         self.0
             .push(u64::from_le_bytes(command[..8].try_into().unwrap()));
@@ -14,10 +14,12 @@
     fn snapshot(&self) -> Vec<u8> {
         self.0.iter().flat_map(|c| c.to_le_bytes()).collect()
     }
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), Torn> {
-        let all = snapshot
-            .chunks(8)
-            .map(|c| c.try_into().map(u64::from_le_bytes).map_err(|_| Torn));
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), CorruptSnapshot> {
+        let all = snapshot.chunks(8).map(|c| {
+            c.try_into()
+                .map(u64::from_le_bytes)
+                .map_err(|_| CorruptSnapshot)
+        });
         self.0 = all.collect::<Result<_, _>>()?;
         Ok(())
     }
--- a/forwarder/raft-groups/tests/world/checks.rs
+++ b/forwarder/raft-groups/tests/world/checks.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeSet;
 
 use plankhill_raft_groups::core::Core;
-use plankhill_raft_groups::{Incarnation, News};
+use plankhill_raft_groups::{GroupEvent, Incarnation};
 
 use super::all::words;
 use super::{World, STALL};
 
 impl World {
-    pub(super) fn hear(&mut self, me: Incarnation, news: News) {
+    pub(super) fn hear(&mut self, me: Incarnation, news: GroupEvent) {
         match news {
-            News::Leads { term, state, .. } => {
+            GroupEvent::Elected { term, state, .. } => {
                 self.leads += 1;
                 if let Some(other) = self.terms.insert(term, me).filter(|other| *other != me) {
                     self.faults
@@ -19,10 +19,10 @@
                 }
                 self.agree(me, words(&state));
             }
-            News::Committed { number, .. } => {
+            GroupEvent::Committed { number, .. } => {
                 self.committed.insert(self.asked[&(me, number)]);
             }
-            News::Void { number, .. } => {
+            GroupEvent::Discarded { number, .. } => {
                 self.void.insert(self.asked[&(me, number)]);
             }
             _ => {}
--- a/forwarder/raft-groups/tests/world/mod.rs
+++ b/forwarder/raft-groups/tests/world/mod.rs
@@ -160,7 +160,7 @@
             };
             let core = Core::new(
                 group,
-                Purpose::Record,
+                Purpose::EventLog,
                 node.me,
                 kept,
                 Box::<All>::default(),
--- a/forwarder/replication/src/adoption.rs
+++ b/forwarder/replication/src/adoption.rs
@@ -1,34 +1,34 @@
 //! What an heir does with each event that it finds in a record. It knows what the marks say; whether a call
 //! that was out when the owner was lost has ended, nobody can tell it.
 
-use plankhill_event_log::{Outcome, Owed};
+use plankhill_event_log::{Outcome, PendingEvent};
 
 /// What the heir itself knows of that id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finds {
+pub enum LocalKnowledge {
     /// Nothing: a new one.
-    Nothing,
+    Unknown,
     /// It holds the event in another record.
-    Held,
+    Pending,
     /// It still has a call of its own out, of a time when it led the record before.
-    OwnCall,
+    OwnAttemptInFlight,
     /// It brought an event of that id to its end, or is telling that.
-    Ended,
+    Completed,
 }
 
 /// What is done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Adopts {
+pub enum AdoptionAction {
     /// Goes on as after a restart. With a call out, neither it nor the next of its key is sent before then.
-    Restore { out_until: Option<f64> },
+    Restore { in_flight_until: Option<f64> },
     /// One id is one event: what was done on both sides adds up, and so do the waits.
-    Join { out_until: Option<f64> },
+    Merge { in_flight_until: Option<f64> },
     /// Its end is told again.
-    TellAgain(Outcome, Option<f64>),
+    NotifyAgain(Outcome, Option<f64>),
     /// It waits for the outcome of the heir's own call, which nobody else had.
-    Keep,
+    AwaitOwnAttempt,
     /// It has had its end.
-    Over,
+    Discard,
 }
 
 /// The longest that a call is given to be answered, in milliseconds: for a send whose time-out was not noted.
@@ -38,16 +38,27 @@
 /// earlier owner begins after it: its lease ended before. One that began stays out for its time-out, and its
 /// process was ended by the kernel if it stood still for longer than `stall`. Twice that: once for the stall
 /// itself, once for what its timers and ours may be late.
-pub fn adopts(owed: &Owed, finds: Finds, now: f64, stall: f64) -> Adopts {
-    let span = owed.time_out.unwrap_or(LONGEST);
-    let out_until = owed.was_out.as_ref().map(|_| now + span + 2.0 * stall);
-    match (finds, owed.ended) {
-        (Finds::OwnCall, _) => Adopts::Keep,
-        (Finds::Ended, _) => Adopts::Over,
+pub fn plan_adoption(
+    owed: &PendingEvent,
+    finds: LocalKnowledge,
+    now: f64,
+    stall: f64,
+) -> AdoptionAction {
+    let span = owed.timeout.unwrap_or(LONGEST);
+    let out_until = owed.in_flight.as_ref().map(|_| now + span + 2.0 * stall);
+    match (finds, owed.outcome) {
+        (LocalKnowledge::OwnAttemptInFlight, _) => AdoptionAction::AwaitOwnAttempt,
+        (LocalKnowledge::Completed, _) => AdoptionAction::Discard,
         // The one that is held gets its end, and one is enough.
-        (Finds::Held, Some(_)) => Adopts::Over,
-        (Finds::Held, None) => Adopts::Join { out_until },
-        (Finds::Nothing, Some((outcome, wait))) => Adopts::TellAgain(outcome, wait),
-        (Finds::Nothing, None) => Adopts::Restore { out_until },
+        (LocalKnowledge::Pending, Some(_)) => AdoptionAction::Discard,
+        (LocalKnowledge::Pending, None) => AdoptionAction::Merge {
+            in_flight_until: out_until,
+        },
+        (LocalKnowledge::Unknown, Some((outcome, wait))) => {
+            AdoptionAction::NotifyAgain(outcome, wait)
+        }
+        (LocalKnowledge::Unknown, None) => AdoptionAction::Restore {
+            in_flight_until: out_until,
+        },
     }
 }
--- a/forwarder/replication/src/lib.rs
+++ b/forwarder/replication/src/lib.rs
@@ -4,13 +4,13 @@
 //! No I/O and no clock; the forwarder carries it out.
 
 pub mod adoption;
-pub mod machine;
 pub mod pipeline;
 pub mod proposals;
 pub mod roles;
+pub mod state_machine;
 
-pub use adoption::{adopts, Adopts, Finds};
-pub use machine::{KeptHere, RecordMachine};
-pub use pipeline::{Pipeline, Released};
-pub use proposals::Proposals;
-pub use roles::{Leads, Roles};
+pub use adoption::{plan_adoption, AdoptionAction, LocalKnowledge};
+pub use pipeline::{CommitPipeline, ReleasedIteration};
+pub use proposals::ProposalQueue;
+pub use roles::{GroupRoles, LeaderRole};
+pub use state_machine::{EventLogStateMachine, LocalReplicas};
--- a/forwarder/replication/src/pipeline.rs
+++ b/forwarder/replication/src/pipeline.rs
@@ -10,7 +10,7 @@
 const MOST_ROUNDS: usize = 512;
 const MOST_BYTES: usize = 16 << 20;
 
-pub struct Pipeline<E> {
+pub struct CommitPipeline<E> {
     rounds: VecDeque<Round<E>>,
     bytes: usize,
 }
@@ -26,7 +26,7 @@
 
 /// A round of which all is decided.
 #[derive(Debug, PartialEq)]
-pub struct Released<E> {
+pub struct ReleasedIteration<E> {
     pub effects: E,
     /// Of these groups something surely never counts: what hangs on them does not leave.
     void: BTreeSet<GroupId>,
@@ -35,20 +35,20 @@
 
 /// What became of a round's marks in one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decided {
-    Counts,
+pub enum CommitOutcome {
+    Committed,
     /// None of it ever does.
-    Void,
+    Discarded,
     /// Some of it does, and nobody was told which.
-    Partly,
+    Partial,
 }
 
-impl<E> Released<E> {
+impl<E> ReleasedIteration<E> {
     /// What is to leave, and what became of what it waited for.
-    pub fn split(self) -> (E, Released<()>) {
+    pub fn split(self) -> (E, ReleasedIteration<()>) {
         (
             self.effects,
-            Released {
+            ReleasedIteration {
                 effects: (),
                 void: self.void,
                 counts: self.counts,
@@ -57,25 +57,25 @@
     }
 
     /// Of a group that the round marked nothing in, all that there is counts.
-    pub fn in_group(&self, group: GroupId) -> Decided {
+    pub fn outcome_in(&self, group: GroupId) -> CommitOutcome {
         match (self.void.contains(&group), self.counts.contains(&group)) {
-            (false, _) => Decided::Counts,
-            (true, false) => Decided::Void,
-            (true, true) => Decided::Partly,
+            (false, _) => CommitOutcome::Committed,
+            (true, false) => CommitOutcome::Discarded,
+            (true, true) => CommitOutcome::Partial,
         }
     }
 }
 
-impl<E> Default for Pipeline<E> {
+impl<E> Default for CommitPipeline<E> {
     fn default() -> Self {
-        Pipeline {
+        CommitPipeline {
             rounds: VecDeque::new(),
             bytes: 0,
         }
     }
 }
 
-impl<E> Pipeline<E> {
+impl<E> CommitPipeline<E> {
     pub fn is_empty(&self) -> bool {
         self.rounds.is_empty()
     }
@@ -107,7 +107,7 @@
         self.decided(group, number, true);
     }
 
-    pub fn void(&mut self, group: GroupId, number: u64) {
+    pub fn discarded(&mut self, group: GroupId, number: u64) {
         self.decided(group, number, false);
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// The next round that waits for nothing, nor does one before it.
-    pub fn release(&mut self) -> Option<Released<E>> {
+    pub fn release(&mut self) -> Option<ReleasedIteration<E>> {
         self.rounds.front().filter(|round| round.waits.is_empty())?;
         let Round {
             bytes,
@@ -138,7 +138,7 @@
             ..
         } = self.rounds.pop_front()?;
         self.bytes -= bytes;
-        Some(Released {
+        Some(ReleasedIteration {
             effects,
             void,
             counts,
@@ -146,7 +146,7 @@
     }
 
     /// Whether a round still waits for something of the group.
-    pub fn waits_for(&self, group: GroupId) -> bool {
+    pub fn awaits_group(&self, group: GroupId) -> bool {
         self.rounds
             .iter()
             .any(|round| round.waits.iter().any(|(of, _)| *of == group))
@@ -154,7 +154,7 @@
 
     /// The group is led no more: no round waits for it, and what hangs on it never leaves with its round.
     /// `parts` is handed each number that was not decided yet, with its round's effects.
-    pub fn lose(&mut self, group: GroupId, mut parts: impl FnMut(u64, &mut E)) {
+    pub fn abandon_group(&mut self, group: GroupId, mut parts: impl FnMut(u64, &mut E)) {
         for round in &mut self.rounds {
             let numbers: Vec<u64> = round
                 .waits
@@ -171,7 +171,7 @@
     }
 
     /// What has not left yet, in the order in which it will.
-    pub fn waiting(&mut self) -> impl Iterator<Item = &mut E> {
+    pub fn pending_effects(&mut self) -> impl Iterator<Item = &mut E> {
         self.rounds.iter_mut().map(|round| &mut round.effects)
     }
 }
--- a/forwarder/replication/src/machine.rs
+++ b/forwarder/replication/src/state_machine.rs
@@ -3,8 +3,8 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 
-use plankhill_event_log::Record;
-use plankhill_raft_groups::{GroupId, Incarnation, Machine, Term, Torn};
+use plankhill_event_log::EventTable;
+use plankhill_raft_groups::{CorruptSnapshot, GroupId, Incarnation, StateMachine, Term};
 
 /// Ahead of a snapshot.
 const MAGIC: &[u8] = b"plankhill record 1\n";
@@ -17,23 +17,23 @@
     group: Option<GroupId>,
     /// Who proposed last: the owner, or one that was.
     owner: Option<Incarnation>,
-    record: Record,
+    record: EventTable,
 }
 
 type Shared = Arc<Mutex<Kept>>;
 
 /// The records that this instance keeps, its own and others'.
 #[derive(Clone, Default)]
-pub struct KeptHere(Arc<Mutex<Vec<Weak<Mutex<Kept>>>>>);
+pub struct LocalReplicas(Arc<Mutex<Vec<Weak<Mutex<Kept>>>>>);
 
-impl KeptHere {
+impl LocalReplicas {
     /// The empty machine of a new group.
-    pub fn machine(&self) -> RecordMachine {
+    pub fn new_state_machine(&self) -> EventLogStateMachine {
         let kept = Shared::default();
         let mut all = locked(&self.0);
         all.retain(|kept| kept.strong_count() > 0);
         all.push(Arc::downgrade(&kept));
-        RecordMachine(kept)
+        EventLogStateMachine(kept)
     }
 
     /// Whether any record kept here is such: told its group, who proposed in it last, and whether it holds an
@@ -49,7 +49,9 @@
             .any(|kept| {
                 let kept = locked(&kept);
                 let of = kept.group.zip(kept.owner);
-                of.is_some_and(|(group, owner)| is_such(group, owner, kept.record.holds_key(key)))
+                of.is_some_and(|(group, owner)| {
+                    is_such(group, owner, kept.record.contains_order_key(key))
+                })
             })
     }
 }
@@ -61,10 +63,10 @@
 
 /// Commands are the frames that one round of the owner marked. Frames that make no sense change nothing, and
 /// what follows a torn one in its command is not read: each instance reads the same.
-pub struct RecordMachine(Shared);
+pub struct EventLogStateMachine(Shared);
 
 /// A command for the group, of these frames.
-pub fn command(group: GroupId, frames: &[u8]) -> Vec<u8> {
+pub fn encode_command(group: GroupId, frames: &[u8]) -> Vec<u8> {
     let mut command = Vec::with_capacity(HEAD + frames.len());
     command.extend_from_slice(&group.founder.0.to_le_bytes());
     command.extend_from_slice(&group.number.to_le_bytes());
@@ -73,7 +75,7 @@
 }
 
 /// The group and the frames of a command.
-pub fn read_command(command: &[u8]) -> Option<(GroupId, &[u8])> {
+pub fn decode_command(command: &[u8]) -> Option<(GroupId, &[u8])> {
     let (head, frames) = command.split_at_checked(HEAD)?;
     let founder = Incarnation(u64::from_le_bytes(head[..8].try_into().ok()?));
     Some((
@@ -85,15 +87,15 @@
     ))
 }
 
-impl Machine for RecordMachine {
+impl StateMachine for EventLogStateMachine {
     fn apply(&mut self, proposer: Incarnation, _term: Term, command: &[u8]) {
-        let Some((group, frames)) = read_command(command) else {
+        let Some((group, frames)) = decode_command(command) else {
             return;
         };
         let mut kept = locked(&self.0);
         if *kept.group.get_or_insert(group) == group {
             kept.owner = Some(proposer);
-            kept.record.apply(frames);
+            kept.record.apply_frames(frames);
         }
     }
 
@@ -104,33 +106,35 @@
             founder: Incarnation(0),
             number: 0,
         });
-        bytes.extend_from_slice(&command(
+        bytes.extend_from_slice(&encode_command(
             group,
             &kept.owner.unwrap_or(Incarnation(0)).0.to_le_bytes(),
         ));
-        kept.record.write(&mut bytes);
+        kept.record.write_frames(&mut bytes);
         bytes
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), Torn> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), CorruptSnapshot> {
         let kept = read_all(snapshot)?;
         *locked(&self.0) = kept;
         Ok(())
     }
 
     fn size(&self) -> usize {
-        locked(&self.0).record.live()
+        locked(&self.0).record.reserved_bytes()
     }
 }
 
-fn read_all(snapshot: &[u8]) -> Result<Kept, Torn> {
-    let rest = snapshot.strip_prefix(MAGIC).ok_or(Torn)?;
-    let (group, rest) = read_command(rest).ok_or(Torn)?;
-    let (owner, frames) = rest.split_at_checked(8).ok_or(Torn)?;
-    let owner = Incarnation(u64::from_le_bytes(owner.try_into().map_err(|_| Torn)?));
-    let mut record = Record::default();
-    if record.apply(frames) != frames.len() {
-        return Err(Torn);
+fn read_all(snapshot: &[u8]) -> Result<Kept, CorruptSnapshot> {
+    let rest = snapshot.strip_prefix(MAGIC).ok_or(CorruptSnapshot)?;
+    let (group, rest) = decode_command(rest).ok_or(CorruptSnapshot)?;
+    let (owner, frames) = rest.split_at_checked(8).ok_or(CorruptSnapshot)?;
+    let owner = Incarnation(u64::from_le_bytes(
+        owner.try_into().map_err(|_| CorruptSnapshot)?,
+    ));
+    let mut record = EventTable::default();
+    if record.apply_frames(frames) != frames.len() {
+        return Err(CorruptSnapshot);
     }
     // An incarnation is never zero.
     let there = |who: Incarnation| who.0 != 0;
@@ -142,6 +146,6 @@
 }
 
 /// The record out of a snapshot, as an heir is told it.
-pub fn read(snapshot: &[u8]) -> Result<Record, Torn> {
+pub fn decode_snapshot(snapshot: &[u8]) -> Result<EventTable, CorruptSnapshot> {
     read_all(snapshot).map(|kept| kept.record)
 }
--- a/forwarder/replication/tests/adoption.rs
+++ b/forwarder/replication/tests/adoption.rs
@@ -8,33 +8,37 @@
 const STALL: f64 = 600.0;
 
 /// What a record owes of one event after these marks.
-fn owed(marks: impl FnOnce(&mut Record)) -> Owed {
-    let mut record = Record::default();
-    record.taken(Taken {
+fn owed(marks: impl FnOnce(&mut EventTable)) -> PendingEvent {
+    let mut record = EventTable::default();
+    record.accept(AcceptedEvent {
         id: "a".into(),
-        ..Taken::default()
+        ..AcceptedEvent::default()
     });
     marks(&mut record);
-    record.owed().remove(0)
+    record.pending_events().remove(0)
 }
 
-fn adopted(finds: Finds, marks: impl FnOnce(&mut Record)) -> Adopts {
-    adopts(&owed(marks), finds, NOW, STALL)
+fn adopted(finds: LocalKnowledge, marks: impl FnOnce(&mut EventTable)) -> AdoptionAction {
+    plan_adoption(&owed(marks), finds, NOW, STALL)
 }
 
 #[rstest]
 fn an_event_that_was_not_out_is_decided_at_once() {
     assert_eq!(
-        adopted(Finds::Nothing, |_| ()),
-        Adopts::Restore { out_until: None }
+        adopted(LocalKnowledge::Unknown, |_| ()),
+        AdoptionAction::Restore {
+            in_flight_until: None
+        }
     );
-    let unrun = |record: &mut Record| {
-        record.sent_for("a", 1.0, "z", 900.0);
-        record.unrun("a");
+    let unrun = |record: &mut EventTable| {
+        record.record_attempt_with_timeout("a", 1.0, "z", 900.0);
+        record.record_attempt_not_executed("a");
     };
     assert_eq!(
-        adopted(Finds::Nothing, unrun),
-        Adopts::Restore { out_until: None }
+        adopted(LocalKnowledge::Unknown, unrun),
+        AdoptionAction::Restore {
+            in_flight_until: None
+        }
     );
 }
 
@@ -45,25 +49,25 @@
     #[case] span: Option<f64>,
     #[case] until: f64,
 ) {
-    let sent = |record: &mut Record| match span {
-        Some(span) => record.sent_for("a", 1.0, "z", span),
-        None => record.sent("a", 1.0, "z"),
+    let sent = |record: &mut EventTable| match span {
+        Some(span) => record.record_attempt_with_timeout("a", 1.0, "z", span),
+        None => record.record_attempt("a", 1.0, "z"),
     };
     assert_eq!(
-        adopted(Finds::Nothing, sent),
-        Adopts::Restore {
-            out_until: Some(until)
+        adopted(LocalKnowledge::Unknown, sent),
+        AdoptionAction::Restore {
+            in_flight_until: Some(until)
         }
     );
-    let sent_again = |record: &mut Record| {
-        record.sent_for("a", 1.0, "z", 8000.0);
+    let sent_again = |record: &mut EventTable| {
+        record.record_attempt_with_timeout("a", 1.0, "z", 8000.0);
         sent(record);
     };
-    let adopted = adopted(Finds::Nothing, sent_again);
+    let adopted = adopted(LocalKnowledge::Unknown, sent_again);
     assert_eq!(
         adopted,
-        Adopts::Restore {
-            out_until: Some(until)
+        AdoptionAction::Restore {
+            in_flight_until: Some(until)
         },
         "only the last can be out"
     );
@@ -71,40 +75,46 @@
 
 #[rstest]
 fn an_end_that_may_not_have_been_heard_is_told_again_once() {
-    let ended = |record: &mut Record| record.ended("a", Outcome::Dismissed, Some(500.0));
+    let ended =
+        |record: &mut EventTable| record.record_outcome("a", Outcome::Rejected, Some(500.0));
     assert_eq!(
-        adopted(Finds::Nothing, ended),
-        Adopts::TellAgain(Outcome::Dismissed, Some(500.0))
+        adopted(LocalKnowledge::Unknown, ended),
+        AdoptionAction::NotifyAgain(Outcome::Rejected, Some(500.0))
     );
     assert_eq!(
-        adopted(Finds::Held, ended),
-        Adopts::Over,
+        adopted(LocalKnowledge::Pending, ended),
+        AdoptionAction::Discard,
         "the one that is held gets its end"
     );
-    assert_eq!(adopted(Finds::Ended, ended), Adopts::Over);
+    assert_eq!(
+        adopted(LocalKnowledge::Completed, ended),
+        AdoptionAction::Discard
+    );
 }
 
 #[rstest]
 fn an_id_that_the_heir_knows_stays_one_event() {
-    let sent = |record: &mut Record| record.sent_for("a", 1.0, "z", 900.0);
+    let sent = |record: &mut EventTable| record.record_attempt_with_timeout("a", 1.0, "z", 900.0);
     assert_eq!(
-        adopted(Finds::Held, |_| ()),
-        Adopts::Join { out_until: None }
+        adopted(LocalKnowledge::Pending, |_| ()),
+        AdoptionAction::Merge {
+            in_flight_until: None
+        }
     );
     assert_eq!(
-        adopted(Finds::Held, sent),
-        Adopts::Join {
-            out_until: Some(NOW + 2100.0)
+        adopted(LocalKnowledge::Pending, sent),
+        AdoptionAction::Merge {
+            in_flight_until: Some(NOW + 2100.0)
         }
     );
     assert_eq!(
-        adopted(Finds::Ended, sent),
-        Adopts::Over,
+        adopted(LocalKnowledge::Completed, sent),
+        AdoptionAction::Discard,
         "it has had its end here"
     );
     assert_eq!(
-        adopted(Finds::OwnCall, sent),
-        Adopts::Keep,
+        adopted(LocalKnowledge::OwnAttemptInFlight, sent),
+        AdoptionAction::AwaitOwnAttempt,
         "its own call tells its outcome itself"
     );
 }
--- a/forwarder/replication/tests/pipeline.rs
+++ b/forwarder/replication/tests/pipeline.rs
@@ -1,7 +1,7 @@
 //! What leaves, when, and in which order.
 
 use plankhill_raft_groups::*;
-use plankhill_replication::pipeline::Decided;
+use plankhill_replication::pipeline::CommitOutcome;
 use plankhill_replication::*;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -13,13 +13,13 @@
     }
 }
 
-fn drain(pipeline: &mut Pipeline<u32>) -> Vec<u32> {
+fn drain(pipeline: &mut CommitPipeline<u32>) -> Vec<u32> {
     std::iter::from_fn(|| pipeline.release().map(|released| released.effects)).collect()
 }
 
 #[rstest]
 fn what_a_round_decided_leaves_once_it_and_all_before_it_are_committed() {
-    let mut pipeline = Pipeline::default();
+    let mut pipeline = CommitPipeline::default();
     pipeline.push([(group(1), 1)], 10, 1);
     pipeline.push([(group(1), 2), (group(2), 1)], 10, 2);
     pipeline.push([], 0, 3);
@@ -33,7 +33,7 @@
         drain(&mut pipeline).is_empty(),
         "the round before is not decided"
     );
-    assert!(pipeline.waits_for(group(1)) && !pipeline.waits_for(group(2)));
+    assert!(pipeline.awaits_group(group(1)) && !pipeline.awaits_group(group(2)));
     pipeline.committed(group(1), 1);
     assert_eq!(drain(&mut pipeline), [1, 2, 3]);
     assert!(pipeline.is_empty());
@@ -41,20 +41,20 @@
 
 #[rstest]
 fn what_is_void_in_one_group_counts_in_another() {
-    let mut pipeline = Pipeline::default();
+    let mut pipeline = CommitPipeline::default();
     pipeline.push([(group(1), 1), (group(2), 1), (group(2), 2)], 10, 1);
-    pipeline.void(group(1), 1);
+    pipeline.discarded(group(1), 1);
     pipeline.committed(group(2), 1);
-    pipeline.void(group(2), 2);
+    pipeline.discarded(group(2), 2);
     let released = pipeline.release().expect("all is decided");
-    assert_eq!(released.in_group(group(1)), Decided::Void);
-    assert_eq!(released.in_group(group(2)), Decided::Partly);
-    assert_eq!(released.in_group(group(3)), Decided::Counts);
+    assert_eq!(released.outcome_in(group(1)), CommitOutcome::Discarded);
+    assert_eq!(released.outcome_in(group(2)), CommitOutcome::Partial);
+    assert_eq!(released.outcome_in(group(3)), CommitOutcome::Committed);
 }
 
 #[rstest]
 fn past_its_bounds_nothing_more_is_taken_and_room_comes_back() {
-    let mut pipeline = Pipeline::default();
+    let mut pipeline = CommitPipeline::default();
     let mut number = 0;
     while !pipeline.is_full(0) {
         number += 1;
@@ -72,13 +72,13 @@
 
 #[rstest]
 fn a_group_that_is_lost_holds_nobody_up_and_what_hung_on_it_does_not_leave() {
-    let mut pipeline = Pipeline::default();
+    let mut pipeline = CommitPipeline::default();
     pipeline.push([(group(1), 1)], 10, 1);
     pipeline.push([(group(1), 2), (group(2), 1)], 10, 2);
     pipeline.push([(group(2), 2)], 10, 3);
     pipeline.committed(group(2), 1);
     let mut parts = Vec::new();
-    pipeline.lose(group(1), |number, effects| parts.push((number, *effects)));
+    pipeline.abandon_group(group(1), |number, effects| parts.push((number, *effects)));
     assert_eq!(
         parts,
         [(1, 1), (2, 2)],
@@ -87,10 +87,10 @@
     for effects in [1, 2] {
         let released = pipeline.release().expect("waits for nothing");
         assert_eq!(
-            (released.effects, released.in_group(group(1))),
-            (effects, Decided::Void)
+            (released.effects, released.outcome_in(group(1))),
+            (effects, CommitOutcome::Discarded)
         );
-        assert_eq!(released.in_group(group(2)), Decided::Counts);
+        assert_eq!(released.outcome_in(group(2)), CommitOutcome::Committed);
     }
     assert!(
         pipeline.release().is_none(),
@@ -114,7 +114,7 @@
         rounds in prop::collection::vec(prop::collection::btree_set(1..4_u32, 0..3), 1..20),
         picks in prop::collection::vec((any::<prop::sample::Index>(), any::<bool>()), 64),
     ) {
-        let mut pipeline = Pipeline::default();
+        let mut pipeline = CommitPipeline::default();
         let mut open = Vec::new();
         for (at, groups) in rounds.iter().enumerate() {
             let waits: Vec<_> = groups.iter().map(|&number| (group(number), at as u64 + 1)).collect();
@@ -127,7 +127,7 @@
                 break;
             }
             let (of, number) = open.swap_remove(pick.index(open.len()));
-            if counts { pipeline.committed(of, number) } else { pipeline.void(of, number) }
+            if counts { pipeline.committed(of, number) } else { pipeline.discarded(of, number) }
             left.extend(drain(&mut pipeline));
             let first = open.iter().map(|&(_, number)| number as u32 - 1).min();
             prop_assert!(left.last().is_none_or(|last| first.is_none_or(|first| *last < first)));
--- a/forwarder/replication/tests/wire_format.rs
+++ b/forwarder/replication/tests/wire_format.rs
@@ -1,9 +1,11 @@
 //! The bytes of a record's commands and snapshots, as the group's log and the snapshots' receivers have them.
 
-use plankhill_event_log::{Outcome, Promise, Record, Repeats, Taken};
-use plankhill_raft_groups::{GroupId, Incarnation, Machine, Order, Term};
-use plankhill_replication::machine::{command, read, read_command, KeptHere};
-use plankhill_replication::Proposals;
+use plankhill_event_log::{AcceptedEvent, DeliveryGuarantee, EventTable, Outcome, RepeatSafety};
+use plankhill_raft_groups::{GroupId, GroupRequest, Incarnation, StateMachine, Term};
+use plankhill_replication::state_machine::{
+    decode_command, decode_snapshot, encode_command, LocalReplicas,
+};
+use plankhill_replication::ProposalQueue;
 
 const PINNED: &str = include_str!("wire_format/values.txt");
 
@@ -26,47 +28,47 @@
 
 /// Every kind of record in one command.
 fn frames() -> Vec<u8> {
-    let mut record = Record::default();
-    let taken = |id: &'static str| Taken {
+    let mut record = EventTable::default();
+    let taken = |id: &'static str| AcceptedEvent {
         id: id.into(),
         destination: 7,
-        traffic: "invoices".into(),
-        patience_ends: 1_764_000_600_000.5,
+        traffic_type: "invoices".into(),
+        deadline: 1_764_000_600_000.5,
         key: Some(9),
         fingerprint: Some("f".into()),
         body: b"body"[..].into(),
-        promised: Some(Promise {
-            repeats: Repeats::Known {
+        guarantee: Some(DeliveryGuarantee {
+            repeat_safety: RepeatSafety::Deduplicated {
                 window: 5.5,
-                one_zone: true,
+                per_zone: true,
             },
             ordered: true,
         }),
     };
-    record.taken(taken("a"));
-    record.taken(taken("b"));
-    record.taken(taken("c"));
-    record.sent_for("a", 1_764_000_000_001.0, "zone-a", 8_000.0);
-    record.unrun("a");
-    record.ended("b", Outcome::WrittenOff, Some(750.0));
-    record.over("c");
-    record.note_cold("target", 1_764_000_000_002.0, 3.5);
-    record.take_unwritten()
+    record.accept(taken("a"));
+    record.accept(taken("b"));
+    record.accept(taken("c"));
+    record.record_attempt_with_timeout("a", 1_764_000_000_001.0, "zone-a", 8_000.0);
+    record.record_attempt_not_executed("a");
+    record.record_outcome("b", Outcome::Abandoned, Some(750.0));
+    record.complete("c");
+    record.record_warm_up("target", 1_764_000_000_002.0, 3.5);
+    record.take_unwritten_frames()
 }
 
 #[test]
 fn a_command_is_written_and_read_as_pinned() {
-    let bytes = command(GROUP, &frames());
+    let bytes = encode_command(GROUP, &frames());
     assert_eq!(bytes, pinned("Command"));
     assert_eq!(
-        read_command(&pinned("Command")),
+        decode_command(&pinned("Command")),
         Some((GROUP, &frames()[..]))
     );
-    let mut proposals = Proposals::default();
+    let mut proposals = ProposalQueue::default();
     assert_eq!(proposals.propose(GROUP, &frames()), 1);
-    proposals.offer(|order| {
+    proposals.submit(|order| {
         match order {
-            Order::Propose {
+            GroupRequest::Propose {
                 group,
                 number,
                 command,
@@ -81,30 +83,30 @@
 
 #[test]
 fn a_snapshot_is_written_and_read_as_pinned() {
-    let mut machine = KeptHere::default().machine();
+    let mut machine = LocalReplicas::default().new_state_machine();
     assert_eq!(machine.snapshot(), pinned("EmptySnapshot"));
     machine.apply(OWNER, Term(3), &pinned("Command"));
     assert_eq!(machine.snapshot(), pinned("Snapshot"));
 
-    let all = KeptHere::default();
-    let mut restored = all.machine();
+    let all = LocalReplicas::default();
+    let mut restored = all.new_state_machine();
     restored.restore(&pinned("Snapshot")).unwrap();
     assert_eq!(restored.snapshot(), pinned("Snapshot"));
     assert!(all.any(9, |group, owner, holds| (group, owner, holds)
         == (GROUP, OWNER, true)));
-    let record = read(&pinned("Snapshot")).unwrap();
-    assert_eq!(record.ids().collect::<Vec<_>>(), ["a", "b"]);
+    let record = decode_snapshot(&pinned("Snapshot")).unwrap();
+    assert_eq!(record.event_ids().collect::<Vec<_>>(), ["a", "b"]);
     assert_eq!(
-        record.owed_of("b").unwrap().ended,
-        Some((Outcome::WrittenOff, Some(750.0)))
+        record.pending_event("b").unwrap().outcome,
+        Some((Outcome::Abandoned, Some(750.0)))
     );
     assert_eq!(
-        record.cold().collect::<Vec<_>>(),
+        record.warming_up_targets().collect::<Vec<_>>(),
         [("target", 1_764_000_000_002.0, 3.5)]
     );
 
-    let empty = KeptHere::default();
-    let mut restored = empty.machine();
+    let empty = LocalReplicas::default();
+    let mut restored = empty.new_state_machine();
     restored.restore(&pinned("EmptySnapshot")).unwrap();
     assert_eq!(restored.snapshot(), pinned("EmptySnapshot"));
     assert!(!empty.any(9, |_, _, _| true), "of no group yet");
--- a/forwarder/server/src/alone.rs
+++ b/forwarder/server/src/alone.rs
@@ -3,8 +3,8 @@
 use std::net::{SocketAddr, TcpListener};
 
 use async_io::Async;
-use plankhill_event_log::{Ledger, Owed};
-use plankhill_forwarder_config::{fields::Plain, Told};
+use plankhill_event_log::{EventLog, PendingEvent};
+use plankhill_forwarder_config::{fields::Plain, ForwarderConfig};
 use plankhill_hot_restart::Lock;
 
 use crate::kept;
@@ -23,8 +23,8 @@
 
 /// Whether the folder is that of the forwarder of our name, or of nobody yet. An empty file is none: a machine that
 /// failed may leave it.
-pub fn is_ours(told: &Told) -> Plain<()> {
-    let path = told.state.join(OWNER);
+pub fn is_ours(told: &ForwarderConfig) -> Plain<()> {
+    let path = told.state_folder.join(OWNER);
     let wrong = |what: String| Err(format!("PROXY_STATE: {}: {what}", path.display()));
     match std::fs::read_to_string(&path) {
         Ok(name) if name.is_empty() || name == told.name => Ok(()),
@@ -38,8 +38,11 @@
 }
 
 /// Marks the folder as ours. Where that cannot be written it stays nobody's, as it was.
-fn own(told: &Told) {
-    let (path, new) = (told.state.join(OWNER), told.state.join("owner.new"));
+fn own(told: &ForwarderConfig) {
+    let (path, new) = (
+        told.state_folder.join(OWNER),
+        told.state_folder.join("owner.new"),
+    );
     if std::fs::read(&path).is_ok_and(|name| name == told.name.as_bytes()) {
         return;
     }
@@ -51,21 +54,26 @@
 
 pub struct Alone {
     pub lock: Option<Lock>,
-    pub ledger: Ledger,
-    pub owed: Vec<Owed>,
+    pub ledger: EventLog,
+    pub owed: Vec<PendingEvent>,
     pub left_out: LeftOut,
     pub listener: Async<TcpListener>,
 }
 
 impl Alone {
-    pub fn start(told: &Told, lock: Option<Lock>) -> Plain<Self> {
+    pub fn start(told: &ForwarderConfig, lock: Option<Lock>) -> Plain<Self> {
         is_ours(told)?;
         // The ledger last, as reading it cuts off a torn end: whatever else is faulty leaves the folder as it is.
-        let left_out = LeftOut::open(&told.state, told.disk)?;
-        kept::check(&told.state)?;
-        let listener = bind("PROXY_LISTEN", told.listen)?;
-        let (ledger, owed) = Ledger::open(&told.state, told.disk)
-            .map_err(|e| format!("PROXY_STATE: the ledger in {}: {e}", told.state.display()))?;
+        let left_out = LeftOut::open(&told.state_folder, told.max_disk_bytes)?;
+        kept::check(&told.state_folder)?;
+        let listener = bind("PROXY_LISTEN", told.listen_address)?;
+        let (ledger, owed) =
+            EventLog::open(&told.state_folder, told.max_disk_bytes).map_err(|e| {
+                format!(
+                    "PROXY_STATE: the ledger in {}: {e}",
+                    told.state_folder.display()
+                )
+            })?;
         // The library's queue of 128 would overflow when many connect at once, and all others wait a second.
         rustix::net::listen(&listener, QUEUE).map_err(|e| format!("PROXY_LISTEN: {e}"))?;
         own(told);
--- a/forwarder/server/src/budgets/control.rs
+++ b/forwarder/server/src/budgets/control.rs
@@ -1,7 +1,7 @@
 //! What the control group's log keeps: the book of leases. The first byte of a command says whose it is.
 
-use plankhill_connection_quotas::leases::{decode, Book};
-use plankhill_raft_groups::{Incarnation, Machine, Term, Torn};
+use plankhill_connection_quotas::leases::{decode, LeaseTable};
+use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
 
 /// Of a command that pools propose.
 pub const OF_POOLS: u8 = b'p';
@@ -23,10 +23,10 @@
 
 #[derive(Default)]
 pub struct Control {
-    book: Book,
+    book: LeaseTable,
 }
 
-impl Machine for Control {
+impl StateMachine for Control {
     fn apply(&mut self, _: Incarnation, term: Term, command: &[u8]) {
         if let Some(command) = of_pools(command).and_then(decode) {
             // One that does not fit changes nothing, here as on every other instance.
@@ -38,8 +38,8 @@
         self.book.snapshot()
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), Torn> {
-        self.book = Book::restore(snapshot).map_err(|_| Torn)?;
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), CorruptSnapshot> {
+        self.book = LeaseTable::restore(snapshot).map_err(|_| CorruptSnapshot)?;
         Ok(())
     }
 
--- a/forwarder/server/src/budgets/group.rs
+++ b/forwarder/server/src/budgets/group.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use plankhill_connection_quotas::leases::{encode, Command};
-use plankhill_raft_groups::{GroupId, News, Order, Purpose};
+use plankhill_raft_groups::{GroupEvent, GroupId, GroupRequest, Purpose};
 use slog::{info, warn, Logger};
 
 use super::control::{framed, of_pools};
@@ -35,7 +35,7 @@
         let report = self.local.borrow_mut().report(at);
         if let Some(body) = report {
             // Lost, it is made again with the next renewal.
-            let _ = ground.order(Order::Report { body });
+            let _ = ground.order(GroupRequest::Report { body });
         }
         let due = self.local.borrow_mut().due(at);
         due.into_iter()
@@ -43,10 +43,10 @@
     }
 
     /// News of the control group; others change nothing.
-    pub fn news(&self, ground: &Ground, log: &Logger, news: &News) {
+    pub fn news(&self, ground: &Ground, log: &Logger, news: &GroupEvent) {
         let at = now();
         match news {
-            News::Leads {
+            GroupEvent::Elected {
                 group,
                 purpose: Purpose::Control,
                 term,
@@ -56,32 +56,34 @@
                 self.proposals.borrow_mut().leads = Some(*group);
                 self.local.borrow_mut().leads(at, term.0, state);
             }
-            News::Deposed { group } if self.proposals.borrow().leads == Some(*group) => {
+            GroupEvent::Deposed { group } if self.proposals.borrow().leads == Some(*group) => {
                 info!(log, "gives the parts of pools no more");
                 self.proposals.borrow_mut().leads = None;
                 self.local.borrow_mut().deposed();
             }
-            News::Committed { group, number } => {
+            GroupEvent::Committed { group, number } => {
                 self.proposals.borrow_mut().open.remove(&(*group, *number));
             }
-            News::Void { group, number } => {
+            GroupEvent::Discarded { group, number } => {
                 let void = self.proposals.borrow_mut().open.remove(&(*group, *number));
                 void.iter()
                     .for_each(|command| self.local.borrow_mut().void(command));
             }
-            News::Applied { term, command, .. } => {
+            GroupEvent::Applied { term, command, .. } => {
                 if let Some(command) = of_pools(command) {
                     self.local.borrow_mut().applied(at, term.0, command);
                 }
             }
-            News::Replaced { state } => self.local.borrow_mut().replaced(state),
-            News::Reported { body, .. } => {
+            GroupEvent::SnapshotInstalled { state } => self.local.borrow_mut().replaced(state),
+            GroupEvent::ReportReceived { body, .. } => {
                 let command = self.local.borrow_mut().reported(at, body);
                 command
                     .into_iter()
                     .for_each(|command| self.propose(ground, log, command));
             }
-            News::Leads { .. } | News::Deposed { .. } | News::Peer { .. } => (),
+            GroupEvent::Elected { .. }
+            | GroupEvent::Deposed { .. }
+            | GroupEvent::PeerChanged { .. } => (),
         }
     }
 
@@ -97,7 +99,7 @@
         let number = proposals.numbers.get(&group).copied().unwrap_or(0) + 1;
         let body = framed(encode(&command));
         if ground
-            .order(Order::Propose {
+            .order(GroupRequest::Propose {
                 group,
                 number,
                 command: body,
--- a/forwarder/server/src/budgets/mod.rs
+++ b/forwarder/server/src/budgets/mod.rs
@@ -13,11 +13,11 @@
 
 use async_channel::{Receiver, Sender};
 use plankhill_connection_quotas::language::{Facts, PoolId};
-use plankhill_connection_quotas::leases::{Instance, Life};
-use plankhill_connection_quotas::local::{Local, Start, Use};
+use plankhill_connection_quotas::leases::{Instance, MemberIncarnation};
+use plankhill_connection_quotas::local::{ConnectionUse, LocalQuotas, LocalQuotasConfig};
 use plankhill_decisions::interface::*;
-use plankhill_forwarder_config::pools::Pools;
-use plankhill_forwarder_config::Told;
+use plankhill_forwarder_config::pools::QuotaPolicySource;
+use plankhill_forwarder_config::ForwarderConfig;
 use plankhill_raft_groups::Incarnation;
 use rustix::time::{clock_gettime, ClockId};
 
@@ -25,7 +25,7 @@
 pub use self::place::Place;
 
 pub struct Budgets {
-    local: RefCell<Local>,
+    local: RefCell<LocalQuotas>,
     /// Who waits for a place, the longest wait first.
     waiting: RefCell<BTreeMap<PoolId, VecDeque<Sender<()>>>>,
     /// Actors of targets, with the connections that stand idle there.
@@ -49,15 +49,19 @@
 impl Budgets {
     /// None where no policy is named. `grace`: after so many milliseconds the kernel has ended a process that
     /// stands still.
-    pub fn start(told: &Told, incarnation: Incarnation, grace: Ms) -> Option<Rc<Budgets>> {
-        let (fleet, pools) = told.fleet.as_ref().zip(told.pools.as_ref())?;
+    pub fn start(
+        told: &ForwarderConfig,
+        incarnation: Incarnation,
+        grace: Ms,
+    ) -> Option<Rc<Budgets>> {
+        let (fleet, pools) = told.fleet.as_ref().zip(told.connection_quotas.as_ref())?;
         let instances = fleet
             .instances
             .iter()
             .map(|it| (Instance(it.name.clone()), it.zone.clone()));
         // What this start is given no other may use: the time of the start tells it from others of the folder.
-        let life = Life(incarnation.0.rotate_left(20) ^ (now() * 1e3) as u64);
-        let local = Local::new(Start {
+        let life = MemberIncarnation(incarnation.0.rotate_left(20) ^ (now() * 1e3) as u64);
+        let local = LocalQuotas::new(LocalQuotasConfig {
             instance: Instance(told.name.clone()),
             life,
             text: pools.text.clone(),
@@ -74,21 +78,21 @@
     }
 
     /// A policy that was read again and found sound. It is in force once the fleet has agreed on it.
-    pub fn told(&self, pools: &Pools) {
+    pub fn told(&self, pools: &QuotaPolicySource) {
         self.local
             .borrow_mut()
-            .told(pools.text.clone(), pools.policy.clone());
+            .set_policy(pools.text.clone(), pools.policy.clone());
     }
 
     pub fn listed(
         &self,
-        told: &Told,
+        told: &ForwarderConfig,
         target: &TargetId,
         at: (DestinationId, DestinationKindId, ZoneId),
         listing: EndpointState,
     ) {
         let (destination, kind, zone) = at;
-        self.local.borrow_mut().listed(Facts {
+        self.local.borrow_mut().upsert_target(Facts {
             target: target.0.to_string(),
             destination: destination.0,
             kind: told.names.kinds[kind.0].clone(),
@@ -99,12 +103,14 @@
     }
 
     pub fn gone(&self, target: &TargetId) {
-        self.local.borrow_mut().gone(&target.0);
+        self.local.borrow_mut().remove_target(&target.0);
     }
 
     /// It is warming up for so long yet.
     pub fn cold(&self, target: &TargetId, yet: Ms) {
-        self.local.borrow_mut().cold(&target.0, now() + yet);
+        self.local
+            .borrow_mut()
+            .set_warming_up(&target.0, now() + yet);
     }
 
     /// A target's actor begins: it is told to close what is idle and over.
@@ -133,7 +139,7 @@
 
     /// One who waits may look again, if there is room.
     fn wake(&self, pool: &PoolId) {
-        if !self.local.borrow().has_room(now(), pool) {
+        if !self.local.borrow().has_capacity(now(), pool) {
             return;
         }
         let mut waiting = self.waiting.borrow_mut();
@@ -167,9 +173,9 @@
         }
     }
 
-    fn event(&self) -> Use {
+    fn event(&self) -> ConnectionUse {
         // No client names a member yet: all events are those of others.
-        Use::Event(
+        ConnectionUse::Event(
             self.local
                 .borrow()
                 .member(plankhill_connection_quotas::language::OTHERS),
--- a/forwarder/server/src/budgets/place.rs
+++ b/forwarder/server/src/budgets/place.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use plankhill_connection_quotas::language::PoolId;
-use plankhill_connection_quotas::local::{Entry, Use};
+use plankhill_connection_quotas::local::{Admission, ConnectionUse};
 use plankhill_decisions::interface::*;
 
 use super::{now, Budgets};
@@ -15,7 +15,7 @@
     counted: RefCell<Option<(Rc<Budgets>, PoolId)>>,
     target: TargetId,
     /// None while the connection stands idle.
-    used: Cell<Option<Use>>,
+    used: Cell<Option<ConnectionUse>>,
 }
 
 impl Place {
@@ -42,7 +42,7 @@
         let Some(what) = self.used.take() else {
             return true;
         };
-        let stays = budgets.local.borrow_mut().rests(now(), pool, what);
+        let stays = budgets.local.borrow_mut().release_idle(now(), pool, what);
         budgets.idle(&self.target, pool, 1);
         budgets.wake(pool);
         stays
@@ -58,7 +58,10 @@
         if used.is_none() {
             budgets.idle(&self.target, &pool, -1);
         }
-        budgets.local.borrow_mut().left(now(), &pool, used);
+        budgets
+            .local
+            .borrow_mut()
+            .connection_closed(now(), &pool, used);
         budgets.wake(&pool);
     }
 }
@@ -86,18 +89,22 @@
         ends: Instant,
         kept: Option<&Place>,
     ) -> Result<Option<Place>, PoolId> {
-        let what = if ping { Use::Trial } else { self.event() };
+        let what = if ping {
+            ConnectionUse::Trial
+        } else {
+            self.event()
+        };
         let left = ends.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
         let from = kept.and_then(|kept| Some(kept.counted.borrow().as_ref()?.1.clone()));
         let at = now();
         let entry = self
             .local
             .borrow_mut()
-            .enter(at, at + left, &target.0, what, from.as_ref());
+            .acquire(at, at + left, &target.0, what, from.as_ref());
         match entry {
-            Entry::Unbounded => Ok(kept.is_none().then(|| Place::free(target))),
-            Entry::Full(pool) => Err(pool),
-            Entry::In(pool) => {
+            Admission::Unlimited => Ok(kept.is_none().then(|| Place::free(target))),
+            Admission::Exhausted(pool) => Err(pool),
+            Admission::Admitted(pool) => {
                 let counted = Some((self.clone(), pool.clone()));
                 let Some(kept) = kept else {
                     let (target, used) = (target.clone(), Cell::new(Some(what)));
@@ -111,7 +118,7 @@
                     self.idle(target, from, -1);
                     if *from != pool {
                         // Another policy counts it elsewhere.
-                        self.local.borrow_mut().left(at, from, None);
+                        self.local.borrow_mut().connection_closed(at, from, None);
                     }
                 }
                 *kept.counted.borrow_mut() = counted;
@@ -123,7 +130,7 @@
 
     /// Waits until there may be room. An idle connection that takes the last place elsewhere is closed.
     pub async fn room(&self, pool: &PoolId) {
-        if self.local.borrow().is_taken(now(), pool) {
+        if self.local.borrow().is_exhausted(now(), pool) {
             self.close(pool, 1);
         }
         let woken = self.waits(pool);
--- a/forwarder/server/src/clients/broadcast.rs
+++ b/forwarder/server/src/clients/broadcast.rs
@@ -1,6 +1,6 @@
 //! A broadcast that a client hands in.
 
-use plankhill_fanout::{ListName, Refusal};
+use plankhill_fanout::{ListName, Rejection};
 use plankhill_hot_restart::{Event, Verdict};
 
 use super::client::Client;
@@ -19,23 +19,23 @@
                 .respond(413, &[], "the body is too long for a broadcast")
                 .await;
         }
-        let wait = self.common.told.terms.max_retry_after;
+        let wait = self.common.told.decisions.max_retry_after;
         let traffic = self.common.told.names.traffic[event.traffic.0].clone();
         let posted = match &self.common.fanout {
-            Some(_) if self.common.gate.has_ended() => Err(Refusal::Late),
+            Some(_) if self.common.gate.has_ended() => Err(Rejection::Late),
             Some(fanout) if !self.full => fanout.post(list, traffic, event, &body),
-            _ => Err(Refusal::Full),
+            _ => Err(Rejection::Full),
         };
         let verdict = match posted {
             Ok(verdict) => verdict.recv().await.unwrap_or(Verdict::Refused(None)),
-            Err(Refusal::NoSuchList) => return self.respond(404, &[], "no such list").await,
-            Err(Refusal::BadId) => {
+            Err(Rejection::NoSuchList) => return self.respond(404, &[], "no such list").await,
+            Err(Rejection::BadId) => {
                 return self
                     .respond(400, &[], "Req-Id: is missing or too long")
                     .await
             }
-            Err(Refusal::Full) => Verdict::Refused(wait),
-            Err(Refusal::Known | Refusal::Late) => Verdict::Refused(None),
+            Err(Rejection::Full) => Verdict::Refused(wait),
+            Err(Rejection::Known | Rejection::Late) => Verdict::Refused(None),
         };
         self.tell(verdict).await
     }
--- a/forwarder/server/src/clients/client.rs
+++ b/forwarder/server/src/clients/client.rs
@@ -139,7 +139,7 @@
             > self
                 .common
                 .told
-                .terms
+                .decisions
                 .max_calls_in_flight
                 .min(pool.most() / 2);
         spare
@@ -202,7 +202,7 @@
             return self.tell(Verdict::Refused(None)).await;
         }
         if self.full {
-            let wait = self.common.told.terms.max_retry_after;
+            let wait = self.common.told.decisions.max_retry_after;
             return self.tell(Verdict::Refused(wait)).await;
         }
         let (answer, verdict) = async_channel::bounded(1);
--- a/forwarder/server/src/clients/mod.rs
+++ b/forwarder/server/src/clients/mod.rs
@@ -77,13 +77,13 @@
     /// process that this one took over from.
     fn most(&self) -> usize {
         let told = &self.common.told;
-        let callers = told.mgmt.map_or(0, |_| operators::MOST + 1);
+        let callers = told.admin_address.map_or(0, |_| operators::MOST + 1);
         let others = most_idle(told)
-            + told.terms.max_calls_in_flight
+            + told.decisions.max_calls_in_flight
             + FILES
             + callers
             + self.common.aside.get();
-        told.sockets.saturating_sub(others).max(1)
+        told.max_sockets.saturating_sub(others).max(1)
     }
 
     pub async fn listen(self, listener: Async<TcpListener>) {
--- a/forwarder/server/src/clients/request.rs
+++ b/forwarder/server/src/clients/request.rs
@@ -8,7 +8,7 @@
 use plankhill_decisions::interface::*;
 use plankhill_fanout::{BroadcastId, ListName};
 use plankhill_forwarder_config::fanout::BROADCAST;
-use plankhill_forwarder_config::Told;
+use plankhill_forwarder_config::ForwarderConfig;
 use plankhill_hot_restart::Event;
 use plankhill_http1::{Malformed, RequestHead};
 
@@ -44,7 +44,7 @@
     Broadcast(ListName, Event),
 }
 
-pub(super) fn read_fields(head: &RequestHead, told: &Told) -> Result<Asked, Refusal> {
+pub(super) fn read_fields(head: &RequestHead, told: &ForwarderConfig) -> Result<Asked, Refusal> {
     if head.path() == "/up" {
         return if head.method == "GET" {
             Ok(Asked::Up)
@@ -77,7 +77,7 @@
     if head.method != "POST" {
         return Err(Refusal(405, "only POST is served here"));
     }
-    let (fields, kind) = (&head.fields, &told.terms.traffic_types[traffic.0]);
+    let (fields, kind) = (&head.fields, &told.decisions.traffic_types[traffic.0]);
     let id = fields
         .one("Req-Id")?
         .filter(|id| !id.is_empty() && id.len() <= 128);
--- a/forwarder/server/src/common.rs
+++ b/forwarder/server/src/common.rs
@@ -7,8 +7,8 @@
 use async_executor::LocalExecutor;
 use plankhill_buffer_pool::Pool;
 use plankhill_forwarder_config::fields::Plain;
-use plankhill_forwarder_config::Told;
-use plankhill_raft_groups::NewsStream;
+use plankhill_forwarder_config::ForwarderConfig;
+use plankhill_raft_groups::GroupEventStream;
 use slog::{o, Drain, Logger};
 
 use crate::budgets::Budgets;
@@ -25,7 +25,7 @@
     pub pool: Pool,
     pub clock: Clock,
     pub log: Logger,
-    pub told: Rc<Told>,
+    pub told: Rc<ForwarderConfig>,
     /// Where discovery is: the file of the configuration may name another address while we run.
     pub discovery: Rc<Cell<SocketAddr>>,
     /// Whether clients are to come.
@@ -50,7 +50,7 @@
 
 impl Common {
     /// Of a process that begins, and what its fleet says, if it is of one.
-    pub fn start(told: Told) -> Plain<(Self, Option<NewsStream>)> {
+    pub fn start(told: ForwarderConfig) -> Plain<(Self, Option<GroupEventStream>)> {
         let told = Rc::new(told);
         let decorator = slog_term::PlainSyncDecorator::new(std::io::stdout());
         let drain = slog_term::FullFormat::new(decorator)
@@ -77,14 +77,14 @@
     }
 
     /// Of a process that is an instance of no fleet.
-    fn alone(told: Rc<Told>, log: Logger) -> Self {
+    fn alone(told: Rc<ForwarderConfig>, log: Logger) -> Self {
         Common {
             executor: Rc::new(LocalExecutor::new()),
             // Half of the memory is for bodies and messages under way.
-            pool: Pool::new(MESSAGE, (told.memory / 2) as usize / MESSAGE),
+            pool: Pool::new(MESSAGE, (told.max_memory_bytes / 2) as usize / MESSAGE),
             clock: Clock::start(),
             log,
-            discovery: Rc::new(Cell::new(told.discovery)),
+            discovery: Rc::new(Cell::new(told.discovery_address)),
             gate: Rc::default(),
             ready: Rc::default(),
             clients: Rc::default(),
--- a/forwarder/server/src/common/tests.rs
+++ b/forwarder/server/src/common/tests.rs
@@ -7,10 +7,10 @@
 use super::*;
 
 /// Told by a file in `folder`, which is the one that lasts as well.
-pub fn told(config: &Value, folder: &Path) -> Rc<Told> {
+pub fn told(config: &Value, folder: &Path) -> Rc<ForwarderConfig> {
     let path = folder.join("config.json");
     std::fs::write(&path, config.to_string()).expect("writes");
-    let told = plankhill_forwarder_config::told(|name| match name {
+    let told = plankhill_forwarder_config::load_config(|name| match name {
         "PROXY_CONFIG" => path.to_str().map(str::to_owned),
         "PROXY_STATE" => folder.to_str().map(str::to_owned),
         _ => None,
@@ -19,7 +19,7 @@
 }
 
 /// Logs nothing, and has buffers for twenty messages.
-pub fn quiet(told: Rc<Told>) -> Common {
+pub fn quiet(told: Rc<ForwarderConfig>) -> Common {
     let log = Logger::root(slog::Discard, o!());
     Common {
         pool: Pool::new(MESSAGE, 20),
--- a/forwarder/server/src/elder.rs
+++ b/forwarder/server/src/elder.rs
@@ -40,7 +40,7 @@
     to_rounds: &Sender<CameIn>,
 ) -> Option<(Hall, Async<UnixListener>)> {
     let made = || {
-        let asked = plankhill_hot_restart::bind(&common.told.state)?;
+        let asked = plankhill_hot_restart::bind(&common.told.state_folder)?;
         let (common, to_rounds) = (common.clone(), to_rounds.clone());
         let (lock, listener) = (
             Lock::passed(lock.share()?),
@@ -137,8 +137,10 @@
             };
             // No bound here: it is the other's from now on, until it is seen to have ended.
             let has_begun = has_begun && matches!(ears.next().await, Ok((Word::Begun, _)));
-            let changed =
-                || plankhill_event_log::has_grown(&self.common.told.state, ledger).unwrap_or(true);
+            let changed = || {
+                plankhill_event_log::has_length_changed(&self.common.told.state_folder, ledger)
+                    .unwrap_or(true)
+            };
             does = role.hears(match has_begun {
                 true => Happens::Begun,
                 false => Happens::Gone { changed: changed() },
--- a/forwarder/server/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -7,9 +7,9 @@
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
 use plankhill_decisions::interface::*;
-use plankhill_fanout::{Command, InstanceId, Leading, Order, Refusal};
+use plankhill_fanout::{Command, Coordinator, HostRequest, InstanceId, Rejection};
 use plankhill_hot_restart::Verdict;
-use plankhill_raft_groups::{GroupId, News, Order as ToFleet, Purpose};
+use plankhill_raft_groups::{GroupEvent, GroupId, GroupRequest as ToFleet, Purpose};
 use slog::{debug, info, warn};
 
 use super::{machine, FanOut, Owed, BUSY};
@@ -30,7 +30,7 @@
     pub(super) to_rounds: Sender<CameIn>,
     /// The control group while this instance leads it.
     leads: Option<GroupId>,
-    leading: Leading,
+    leading: Coordinator,
     laid: Ms,
     number: u64,
     up: BTreeSet<InstanceId>,
@@ -38,7 +38,7 @@
 }
 
 /// Runs as long as the process; does nothing where no lists are named.
-pub async fn run(common: Common, news: Receiver<News>, to_rounds: Sender<CameIn>) {
+pub async fn run(common: Common, news: Receiver<GroupEvent>, to_rounds: Sender<CameIn>) {
     let Some(fanout) = common.fanout.clone() else {
         return;
     };
@@ -47,7 +47,7 @@
         .map(|(at, name)| (name.clone(), TrafficTypeId(at)))
         .collect();
     let up = BTreeSet::from([fanout.station.borrow().me()]);
-    let (leads, leading) = (None, Leading::default());
+    let (leads, leading) = (None, Coordinator::default());
     let mut actor = Actor {
         common,
         fanout,
@@ -84,10 +84,10 @@
 }
 
 impl Actor {
-    fn hears(&mut self, news: News) -> Vec<Order> {
+    fn hears(&mut self, news: GroupEvent) -> Vec<HostRequest> {
         let now = self.common.clock.now();
         match news {
-            News::Applied { command, .. } => {
+            GroupEvent::Applied { command, .. } => {
                 let Some(command) = machine::from_bytes(&command) else {
                     return Vec::new();
                 };
@@ -97,7 +97,7 @@
                     .borrow_mut()
                     .applied(now, &Owed(&owed), command)
             }
-            News::Replaced { state } => {
+            GroupEvent::SnapshotInstalled { state } => {
                 let Some(state) = machine::state(&state) else {
                     warn!(self.common.log, "the control group's state cannot be read");
                     return Vec::new();
@@ -108,7 +108,7 @@
                     .borrow_mut()
                     .replaced(now, &Owed(&owed), state)
             }
-            News::Reported {
+            GroupEvent::ReportReceived {
                 incarnation, body, ..
             } => {
                 // Nobody speaks for another.
@@ -117,21 +117,23 @@
                 told.into_iter().for_each(|command| self.proposes(&command));
                 Vec::new()
             }
-            News::Leads {
+            GroupEvent::Elected {
                 group,
                 purpose: Purpose::Control,
                 ..
             } => {
                 info!(self.common.log, "leads the control group");
-                (self.leads, self.leading) = (Some(group), Leading::default());
+                (self.leads, self.leading) = (Some(group), Coordinator::default());
                 Vec::new()
             }
-            News::Deposed { group } => {
+            GroupEvent::Deposed { group } => {
                 self.leads = self.leads.filter(|leads| *leads != group);
                 Vec::new()
             }
-            News::Peer {
-                incarnation, up, ..
+            GroupEvent::PeerChanged {
+                incarnation,
+                reachable: up,
+                ..
             } => {
                 let id = InstanceId(incarnation.0);
                 let _ = if up {
@@ -168,7 +170,7 @@
         let Some(ground) = self.common.ground.clone() else {
             return;
         };
-        let asked = self.fanout.station.borrow_mut().asks(now);
+        let asked = self.fanout.station.borrow_mut().poll_commands(now);
         for command in asked {
             if self.fanout.closing.get() && matches!(command, Command::Spread { .. }) {
                 continue;
@@ -182,7 +184,9 @@
         }
         let up: Vec<InstanceId> = self.up.iter().copied().collect();
         let station = self.fanout.station.borrow();
-        let mut commands = self.leading.asks(now, station.state(), &up, LONGEST_CALL);
+        let mut commands = self
+            .leading
+            .poll_commands(now, station.state(), &up, LONGEST_CALL);
         if !station.state().is_laid(&self.fanout.layout) && now - self.laid >= LAYING {
             self.laid = now;
             commands.insert(0, Command::Laid(self.fanout.layout.clone()));
@@ -203,21 +207,21 @@
         }
     }
 
-    async fn carries_out(&mut self, orders: Vec<Order>) {
+    async fn carries_out(&mut self, orders: Vec<HostRequest>) {
         for order in orders {
             match order {
-                Order::Took(number) => self.answers(number, Verdict::TakenOn),
-                Order::Refused(number, why) => {
+                HostRequest::Accepted(number) => self.answers(number, Verdict::TakenOn),
+                HostRequest::Rejected(number, why) => {
                     debug!(self.common.log, "a broadcast is refused"; "why" => ?why);
-                    let wait = Some(why).filter(|why| *why == Refusal::Full);
-                    let wait = wait.and(self.common.told.terms.max_retry_after);
+                    let wait = Some(why).filter(|why| *why == Rejection::Full);
+                    let wait = wait.and(self.common.told.decisions.max_retry_after);
                     self.answers(number, Verdict::Refused(wait));
                 }
-                Order::AllEnded(id, [completed, dismissed, written_off]) => {
+                HostRequest::BroadcastCompleted(id, [completed, dismissed, written_off]) => {
                     debug!(self.common.log, "a broadcast has ended"; "broadcast" => &id.0,
                         "completed" => completed, "dismissed" => dismissed, "written_off" => written_off);
                 }
-                Order::TellEnd {
+                HostRequest::NotifyOutcome {
                     event,
                     subscriber,
                     position,
@@ -228,11 +232,11 @@
                         .borrow_mut()
                         .add(event, (subscriber, position), outcome);
                 }
-                Order::HandIn {
+                HostRequest::Submit {
                     event,
                     subscriber,
                     position,
-                    patience_ends,
+                    deadline: patience_ends,
                 } => {
                     self.hands_in(event, (subscriber, position), patience_ends)
                         .await;
--- a/forwarder/server/src/fanout/handing.rs
+++ b/forwarder/server/src/fanout/handing.rs
@@ -1,7 +1,7 @@
 //! Copies and their ends on their way into the rounds.
 
 use plankhill_decisions::interface::*;
-use plankhill_event_log::Taken;
+use plankhill_event_log::AcceptedEvent;
 use plankhill_fanout::Outcome;
 use plankhill_hot_restart::{Event, Verdict};
 
@@ -16,7 +16,7 @@
             self.fanout
                 .telling
                 .borrow_mut()
-                .add(id, copy, Outcome::Dismissed);
+                .add(id, copy, Outcome::Rejected);
             return;
         };
         let (answer, verdict) = async_channel::bounded(1);
@@ -35,8 +35,8 @@
         let fanout = self.fanout.clone();
         let hears = async move {
             let outcome = match verdict.recv().await {
-                Ok(Verdict::Refused(_)) => Outcome::Dismissed,
-                Ok(Verdict::Failed) => Outcome::WrittenOff,
+                Ok(Verdict::Refused(_)) => Outcome::Rejected,
+                Ok(Verdict::Failed) => Outcome::Abandoned,
                 Ok(Verdict::TakenOn) | Err(_) => return,
             };
             // It has ended before its ledger entry counted: no notice of it goes out by itself.
@@ -86,18 +86,18 @@
     }
 
     /// As the ledger keeps it until its end is heard.
-    fn noted(&self, event: &EventId, copy: Copy) -> Option<Taken<'static>> {
+    fn noted(&self, event: &EventId, copy: Copy) -> Option<AcceptedEvent<'static>> {
         let station = self.fanout.station.borrow();
         let broadcast = station.fields(copy.1)?;
-        Some(Taken {
+        Some(AcceptedEvent {
             id: event.0.to_string().into(),
             destination: copy.0 .0,
-            traffic: broadcast.traffic.clone().into(),
-            patience_ends: broadcast.at + broadcast.patience,
+            traffic_type: broadcast.traffic.clone().into(),
+            deadline: broadcast.at + broadcast.patience,
             key: broadcast.key,
             fingerprint: None,
             body: Vec::new().into(),
-            promised: None, // nothing but its end is owed
+            guarantee: None, // nothing but its end is owed
         })
     }
 }
--- a/forwarder/server/src/fanout/machine.rs
+++ b/forwarder/server/src/fanout/machine.rs
@@ -1,13 +1,13 @@
 //! What the control group keeps. Its commands begin with a sign that says whom they concern.
 
-use plankhill_fanout::{Command, Fanout};
-use plankhill_raft_groups::{Incarnation, Machine, Term, Torn};
+use plankhill_fanout::{Command, FanoutState};
+use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
 
 /// Before a command of fan-out.
 const FANOUT: u8 = b'f';
 
 #[derive(Default)]
-pub struct Control(Fanout);
+pub struct Control(FanoutState);
 
 pub fn to_bytes(command: &Command) -> Vec<u8> {
     let mut bytes = vec![FANOUT];
@@ -23,11 +23,11 @@
         .and_then(|_| Command::from_bytes(command))
 }
 
-pub fn state(bytes: &[u8]) -> Option<Fanout> {
-    Fanout::from_bytes(bytes)
+pub fn state(bytes: &[u8]) -> Option<FanoutState> {
+    FanoutState::from_bytes(bytes)
 }
 
-impl Machine for Control {
+impl StateMachine for Control {
     fn apply(&mut self, _: Incarnation, _: Term, command: &[u8]) {
         if let Some(command) = from_bytes(command) {
             self.0.apply(command);
@@ -38,8 +38,8 @@
         self.0.to_bytes()
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), Torn> {
-        self.0 = state(snapshot).ok_or(Torn)?;
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), CorruptSnapshot> {
+        self.0 = state(snapshot).ok_or(CorruptSnapshot)?;
         Ok(())
     }
 
--- a/forwarder/server/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -15,8 +15,10 @@
 use async_io::Timer;
 use plankhill_decisions::interface::*;
 use plankhill_event_log::Outcome as End;
-use plankhill_fanout::{copy_of, Broadcast, BroadcastId, Fanout, InstanceId, Layout, ListName};
-use plankhill_fanout::{Host, Outcome, Position, Refusal, Station, Subscriber};
+use plankhill_fanout::{
+    copy_of, Broadcast, BroadcastId, FanoutState, InstanceId, Layout, ListName,
+};
+use plankhill_fanout::{Host, LocalInstance, Outcome, Position, Rejection, Subscriber};
 use plankhill_hot_restart::{Event, Verdict};
 use plankhill_raft_groups::Incarnation;
 
@@ -39,7 +41,7 @@
 pub struct FanOut {
     clock: Clock,
     layout: Layout,
-    station: RefCell<Station>,
+    station: RefCell<LocalInstance>,
     /// Copies that the rounds have, from handing in to the end that was heard.
     owed: RefCell<HashSet<EventId>>,
     /// How copies ended whose notice is on its way.
@@ -59,7 +61,7 @@
 struct Owed<'a>(&'a HashSet<EventId>);
 
 impl Host for Owed<'_> {
-    fn owes(&self, event: &EventId) -> bool {
+    fn is_pending(&self, event: &EventId) -> bool {
         self.0.contains(event)
     }
 }
@@ -68,7 +70,7 @@
     pub fn new(clock: Clock, me: Incarnation, layout: Layout) -> Rc<Self> {
         // Microseconds grow from process to process of a folder.
         let process = (clock.now() * 1000.0) as u64;
-        let station = Station::new(InstanceId(me.0), process, Fanout::default());
+        let station = LocalInstance::new(InstanceId(me.0), process, FanoutState::default());
         Rc::new(FanOut {
             clock,
             layout,
@@ -90,9 +92,9 @@
         traffic: String,
         event: Event,
         body: &Body,
-    ) -> Result<Receiver<Verdict>, Refusal> {
+    ) -> Result<Receiver<Verdict>, Rejection> {
         if self.closing.get() {
-            return Err(Refusal::Full);
+            return Err(Rejection::Full);
         }
         let now = self.clock.now();
         let broadcast = Broadcast {
@@ -140,7 +142,9 @@
         let Some(copy) = self.copy(event).filter(|_| self.is_owed(event)) else {
             return;
         };
-        self.station.borrow_mut().called(self.clock.now(), copy);
+        self.station
+            .borrow_mut()
+            .on_attempt_started(self.clock.now(), copy);
         let mut serves = self.serves.borrow_mut();
         if serves.len() < self.layout.bounds.kept_in_all {
             serves.insert(target.clone(), copy.0);
@@ -152,7 +156,7 @@
         if let Some(subscriber) = self.serves.borrow().get(target) {
             self.station
                 .borrow_mut()
-                .rests(*subscriber, self.clock.now() + RESTS);
+                .exclude_from_lag(*subscriber, self.clock.now() + RESTS);
         }
     }
 
@@ -184,12 +188,12 @@
         let outcome = if delivered {
             Outcome::Completed
         } else {
-            known.unwrap_or(Outcome::WrittenOff)
+            known.unwrap_or(Outcome::Abandoned)
         };
         if let Some(copy) = self.copy(event) {
             self.station
                 .borrow_mut()
-                .over(self.clock.now(), copy, outcome);
+                .on_outcome_acknowledged(self.clock.now(), copy, outcome);
             self.rings();
         }
     }
@@ -209,14 +213,14 @@
 
 fn outcome_of(end: End) -> Outcome {
     match end {
-        End::Dismissed => Outcome::Dismissed,
-        End::WrittenOff => Outcome::WrittenOff,
+        End::Rejected => Outcome::Rejected,
+        End::Abandoned => Outcome::Abandoned,
     }
 }
 
 fn end_of(outcome: Outcome) -> End {
     match outcome {
-        Outcome::Dismissed => End::Dismissed,
-        Outcome::Completed | Outcome::WrittenOff => End::WrittenOff,
+        Outcome::Rejected => End::Rejected,
+        Outcome::Completed | Outcome::Abandoned => End::Abandoned,
     }
 }
--- a/forwarder/server/src/ground.rs
+++ b/forwarder/server/src/ground.rs
@@ -4,11 +4,12 @@
 use std::cell::{Cell, RefCell};
 
 use plankhill_decisions::interface::Ms;
-use plankhill_forwarder_config::{fields::Plain, Told};
+use plankhill_forwarder_config::{fields::Plain, ForwarderConfig};
 use plankhill_raft_groups::{
-    start, GroupId, Handle, Incarnation, Machine, NewsStream, Order, Purpose, Start,
+    start, GroupEventStream, GroupId, GroupRequest, Incarnation, Purpose, RaftGroups, StartOptions,
+    StateMachine,
 };
-use plankhill_replication::KeptHere;
+use plankhill_replication::LocalReplicas;
 use slog::{info, Logger};
 
 use crate::budgets::control::Control as Leases;
@@ -16,7 +17,7 @@
 
 /// What the forwarder asks of its fleet: the handle of one, or a story's stand-in.
 pub trait Fleet {
-    fn try_order(&mut self, order: Order) -> Result<(), Order>;
+    fn try_order(&mut self, order: GroupRequest) -> Result<(), GroupRequest>;
     fn holds(&self, group: GroupId) -> bool;
     fn room(&self) -> bool;
     fn incarnation(&self) -> Incarnation;
@@ -24,8 +25,8 @@
     fn stall(&self) -> Option<Ms>;
 }
 
-impl Fleet for Handle {
-    fn try_order(&mut self, order: Order) -> Result<(), Order> {
+impl Fleet for RaftGroups {
+    fn try_order(&mut self, order: GroupRequest) -> Result<(), GroupRequest> {
         self.try_order(order)
     }
     fn holds(&self, group: GroupId) -> bool {
@@ -54,27 +55,30 @@
     /// The group in which new events are taken.
     pub own: Cell<Option<GroupId>>,
     /// The records that it keeps, its own and others'.
-    pub kept: KeptHere,
+    pub kept: LocalReplicas,
 }
 
 impl Ground {
     /// None, and nothing is started, where no fleet file is named.
-    pub fn start(told: &Told, log: &Logger) -> Plain<Option<(Ground, NewsStream)>> {
+    pub fn start(
+        told: &ForwarderConfig,
+        log: &Logger,
+    ) -> Plain<Option<(Ground, GroupEventStream)>> {
         let Some(fleet) = told.fleet.clone() else {
             return Ok(None);
         };
-        let (stall, copies) = (fleet.timing.stall, fleet.copies.is_some());
-        let (name, folder) = (told.name.clone(), told.state.join("fleet"));
+        let (stall, copies) = (fleet.timing.stall, fleet.replication.is_some());
+        let (name, folder) = (told.name.clone(), told.state_folder.join("fleet"));
         let lists = told.fanout.is_some();
-        let kept = KeptHere::default();
+        let kept = LocalReplicas::default();
         let here = kept.clone();
         let machines = Box::new(move |purpose| machine(&here, purpose, lists));
-        let begun = start(Start {
+        let begun = start(StartOptions {
             fleet,
             name,
             folder,
             log: log.clone(),
-            machines,
+            state_machines: machines,
         });
         let (handle, news) = begun.map_err(|e| format!("PROXY_FLEET: {e}"))?;
         info!(log, "is an instance of a fleet"; "incarnation" => handle.incarnation().0, "copies" => copies);
@@ -91,7 +95,7 @@
     }
 
     /// It comes back when there is no room for it now.
-    pub fn order(&self, order: Order) -> Result<(), Order> {
+    pub fn order(&self, order: GroupRequest) -> Result<(), GroupRequest> {
         self.handle.borrow_mut().try_order(order)
     }
 
@@ -116,9 +120,9 @@
 }
 
 /// `lists`: what the control group keeps is lists and broadcasts, else the book of leases.
-fn machine(kept: &KeptHere, purpose: Purpose, lists: bool) -> Box<dyn Machine> {
+fn machine(kept: &LocalReplicas, purpose: Purpose, lists: bool) -> Box<dyn StateMachine> {
     match purpose {
-        Purpose::Record => Box::new(kept.machine()),
+        Purpose::EventLog => Box::new(kept.new_state_machine()),
         Purpose::Control if lists => Box::new(Lists::default()),
         Purpose::Control => Box::new(Leases::default()),
     }
--- a/forwarder/server/src/ground_news.rs
+++ b/forwarder/server/src/ground_news.rs
@@ -4,7 +4,7 @@
 
 use async_channel::Sender;
 use async_io::Timer;
-use plankhill_raft_groups::{News, NewsStream, Purpose};
+use plankhill_raft_groups::{GroupEvent, GroupEventStream, Purpose};
 use slog::error;
 
 use crate::clock::millis;
@@ -14,9 +14,9 @@
 /// Hands on what is news, and says meanwhile that the loop lives.
 pub async fn run(
     common: Common,
-    mut news: NewsStream,
+    mut news: GroupEventStream,
     to_rounds: Sender<CameIn>,
-    to_fanout: Sender<News>,
+    to_fanout: Sender<GroupEvent>,
 ) {
     let Some(ground) = common.ground.clone() else {
         return;
@@ -34,9 +34,9 @@
         if let (Some(budgets), Some(ground)) = (&common.budgets, &ground) {
             budgets.news(ground, &common.log, &news);
         }
-        if let (News::Deposed { group }, true) = (&news, common.fanout.is_some()) {
+        if let (GroupEvent::Deposed { group }, true) = (&news, common.fanout.is_some()) {
             // Which group it is only those know that lead it.
-            let _ = to_fanout.send(News::Deposed { group: *group }).await;
+            let _ = to_fanout.send(GroupEvent::Deposed { group: *group }).await;
         }
         if is_of_records(&news) {
             if to_rounds.send(CameIn::Ground(news)).await.is_err() {
@@ -50,12 +50,15 @@
 }
 
 /// What tells of the control group is not for the rounds: numbers of groups never led mean nothing to them.
-fn is_of_records(news: &News) -> bool {
+fn is_of_records(news: &GroupEvent) -> bool {
     match news {
-        News::Leads { purpose, .. } => *purpose == Purpose::Record,
-        News::Deposed { .. } | News::Committed { .. } | News::Void { .. } | News::Peer { .. } => {
-            true
-        }
-        News::Applied { .. } | News::Replaced { .. } | News::Reported { .. } => false,
+        GroupEvent::Elected { purpose, .. } => *purpose == Purpose::EventLog,
+        GroupEvent::Deposed { .. }
+        | GroupEvent::Committed { .. }
+        | GroupEvent::Discarded { .. }
+        | GroupEvent::PeerChanged { .. } => true,
+        GroupEvent::Applied { .. }
+        | GroupEvent::SnapshotInstalled { .. }
+        | GroupEvent::ReportReceived { .. } => false,
     }
 }
--- a/forwarder/server/src/heir.rs
+++ b/forwarder/server/src/heir.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use plankhill_decisions::interface::*;
 use plankhill_decisions::scheduler::Scheduler;
-use plankhill_event_log::{Ledger, Owed};
+use plankhill_event_log::{EventLog, PendingEvent};
 use plankhill_forwarder_config::fields::Plain;
 use plankhill_hot_restart::*;
 use slog::{info, warn};
@@ -40,8 +40,8 @@
     pub state: State,
     pub forwarder: Scheduler,
     pub listener: Async<TcpListener>,
-    pub ledger: Ledger,
-    pub owed: Vec<Owed>,
+    pub ledger: EventLog,
+    pub owed: Vec<PendingEvent>,
     pub left_out: LeftOut,
     pub lock: Lock,
     pub passage: Passage,
@@ -56,7 +56,7 @@
 /// While another process holds the folder.
 pub async fn take_over(common: &Common) -> Plain<Start> {
     let by = Instant::now() + WAITING;
-    let folder = &common.told.state;
+    let folder = &common.told.state_folder;
     let mut told = false;
     alone::is_ours(&common.told)?;
     loop {
@@ -82,7 +82,7 @@
 }
 
 async fn ask(common: &Common) -> io::Result<Inherited> {
-    let (folder, mut role) = (&common.told.state, Heir::default());
+    let (folder, mut role) = (&common.told.state_folder, Heir::default());
     let passage = connect(folder).await?;
     let mut ears = passage.ears();
     let by = Instant::now() + ASKING;
@@ -138,23 +138,30 @@
     })
 }
 
-type Read = (Scheduler, Async<TcpListener>, Ledger, Vec<Owed>, LeftOut);
+type Read = (
+    Scheduler,
+    Async<TcpListener>,
+    EventLog,
+    Vec<PendingEvent>,
+    LeftOut,
+);
 
 fn read(common: &Common, state: &State, listener: OwnedFd) -> io::Result<Read> {
     let told = &common.told;
     let listener = Async::new(TcpListener::from(listener))?;
-    if listener.get_ref().local_addr()?.ip() != told.listen.ip() {
+    if listener.get_ref().local_addr()?.ip() != told.listen_address.ip() {
         return Err(io::Error::other("it listens at another address"));
     }
     let forwarder = rmp_serde::from_slice(&state.module).map_err(io::Error::other)?;
-    let (ledger, owed) = Ledger::open(&told.state, told.disk)?;
+    let (ledger, owed) = EventLog::open(&told.state_folder, told.max_disk_bytes)?;
     if let Some(traffic) = broken(told, &owed) {
         let why = format!(
             "profiles: {traffic:?}: an event is owed that was promised more than the settings say"
         );
         return Err(io::Error::other(why));
     }
-    let left_out = LeftOut::open(&told.state, told.disk).map_err(io::Error::other)?;
+    let left_out =
+        LeftOut::open(&told.state_folder, told.max_disk_bytes).map_err(io::Error::other)?;
     Ok((forwarder, listener, ledger, owed, left_out))
 }
 
--- a/forwarder/server/src/list.rs
+++ b/forwarder/server/src/list.rs
@@ -70,7 +70,8 @@
         Some(Err(e)) => warn!(common.log, "discovery cannot be asked at the start"; "error" => %e),
         _ => warn!(common.log, "discovery is silent at the start"),
     }
-    let kept = kept::read(&common.told.state).filter(|kept| revision(kept) >= revision(&known));
+    let kept =
+        kept::read(&common.told.state_folder).filter(|kept| revision(kept) >= revision(&known));
     Start {
         known: kept.unwrap_or(known),
         had: false,
@@ -80,18 +81,18 @@
 /// Watches until the rounds end. When discovery moves, the watch goes on at its new address.
 pub async fn run(common: Common, start: Start, to_rounds: Sender<CameIn>, moved: Receiver<()>) {
     // It has a small part of the disk.
-    let most = common.told.disk / 40;
+    let most = common.told.max_disk_bytes / 40;
     let mut list = Kept::default();
     let Start { known, had } = start;
     list.take(&known);
     drop(known);
-    list.write(&common.told.state, most);
+    list.write(&common.told.state_folder, most);
     let (mut bytes, mut stream) = (vec![0; LONGEST], None);
     let mut trouble = String::new();
-    let forwarders = common.told.terms.forwarder_count;
+    let forwarders = common.told.decisions.forwarder_count;
     let shared = common.told.names.ask_within.is_some();
     let mut pause = match shared {
-        true => Pause::new(common.told.terms.seed, &common.told.name, forwarders),
+        true => Pause::new(common.told.decisions.seed, &common.told.name, forwarders),
         false => Pause::beside(),
     };
     let stands = if shared {
@@ -152,7 +153,7 @@
                     pause.answered();
                 }
                 list.take(&page);
-                list.write(&common.told.state, most);
+                list.write(&common.told.state_folder, most);
                 if to_rounds.send(CameIn::List(page)).await.is_err() {
                     return;
                 }
--- a/forwarder/server/src/mail.rs
+++ b/forwarder/server/src/mail.rs
@@ -7,9 +7,9 @@
 use async_channel::{Receiver, Sender};
 use plankhill_admin::{Order, Reply};
 use plankhill_decisions::interface::*;
-use plankhill_event_log::{Outcome, Taken};
+use plankhill_event_log::{AcceptedEvent, Outcome};
 use plankhill_hot_restart::{Event, State, Verdict, Word};
-use plankhill_raft_groups::{GroupId, News};
+use plankhill_raft_groups::{GroupEvent, GroupId};
 use serde_json::Value;
 
 use crate::budgets::Place;
@@ -38,11 +38,11 @@
     },
     Heard(Vec<EventId>),
     /// A copy of a broadcast that is not to be handed in: its end is noted and told.
-    TellEnd(Taken<'static>, Outcome),
+    TellEnd(AcceptedEvent<'static>, Outcome),
     /// What operators ask; who asked waits for the reply.
     Operator(Order, Sender<Reply>),
     /// What the groups say that keep copies.
-    Ground(News),
+    Ground(GroupEvent),
     Closing,
     /// A call is about to be written, some time after it was decided. Answered once what came in before is handed
     /// over: what is decided on it is told to the target's actor in the same turn.
--- a/forwarder/server/src/main.rs
+++ b/forwarder/server/src/main.rs
@@ -38,7 +38,7 @@
 use futures_lite::{future, StreamExt};
 use plankhill_forwarder_config::fields::Plain;
 use plankhill_hot_restart::Lock;
-use plankhill_raft_groups::NewsStream;
+use plankhill_raft_groups::GroupEventStream;
 use rustix::process::{getrlimit, Resource};
 use slog::{info, warn};
 
@@ -56,20 +56,24 @@
 }
 
 fn run() -> Plain<()> {
-    let mut told = plankhill_forwarder_config::told(|name| std::env::var(name).ok())?;
+    let mut told = plankhill_forwarder_config::load_config(|name| std::env::var(name).ok())?;
     // Needed until the list is had, and large.
-    let known = std::mem::take(&mut told.known);
+    let known = std::mem::take(&mut told.known_endpoints);
     // What it is told may be more than the system gives: clients would then leave none for discovery and the targets.
     let given = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-    told.sockets = told
-        .sockets
+    told.max_sockets = told
+        .max_sockets
         .min(usize::try_from(given).unwrap_or(usize::MAX));
     let (common, news) = Common::start(told)?;
     let executor = common.executor.clone();
     async_io::block_on(executor.run(serve(common, known, news)))
 }
 
-async fn serve(common: Common, known: serde_json::Value, news: Option<NewsStream>) -> Plain<()> {
+async fn serve(
+    common: Common,
+    known: serde_json::Value,
+    news: Option<GroupEventStream>,
+) -> Plain<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
         .map_err(|e| format!("signals cannot be waited for: {e}"))?;
     let (log, executor, told) = (
@@ -89,15 +93,15 @@
         .then(|| executor.spawn(budgets::ticking::run(common.clone())));
     // What two processes of an instance would share then is not handed over yet.
     let copies = common.copies().is_some() || common.budgets.is_some() || common.fanout.is_some();
-    let lock = Lock::take(&told.state);
+    let lock = Lock::take(&told.state_folder);
     if copies {
         info!(log, "no new version takes over while the fleet keeps records, budgets or lists"; "key" => "PROXY_FLEET");
-    } else if !told.handover {
+    } else if !told.hot_restart {
         info!(log, "no new version can take over, nor this process from an old one"; "key" => "PROXY_HANDOVER");
     }
     let alone = match lock {
         // Without the hand-over the folder is ours, as it was before there were hand-overs.
-        Ok(None) if !told.handover && !copies => Some(Alone::start(&told, None)?),
+        Ok(None) if !told.hot_restart && !copies => Some(Alone::start(&told, None)?),
         Ok(None) => None,
         Ok(lock) => Some(Alone::start(&told, lock)?),
         Err(e) => {
@@ -107,7 +111,7 @@
         }
     };
     let callers = told
-        .mgmt
+        .admin_address
         .map(|address| bind("PROXY_MGMT", address))
         .transpose()?;
     let mgmt = callers
@@ -142,7 +146,7 @@
             left_out,
             listener,
         }) => {
-            info!(log, "starts"; "listen" => %address_of(&listener, told.listen), "owed" => owed.len());
+            info!(log, "starts"; "listen" => %address_of(&listener, told.listen_address), "owed" => owed.len());
             let mut decisions = new_rounds(ledger, left_out);
             decisions.restore(&first.known, owed);
             (decisions, lock, listener)
@@ -159,7 +163,7 @@
                 passage,
                 ears,
             } = *inherited;
-            info!(log, "takes over"; "listen" => %address_of(&listener, told.listen), "owed" => owed.len(),
+            info!(log, "takes over"; "listen" => %address_of(&listener, told.listen_address), "owed" => owed.len(),
                 "calls_out" => state.out.len());
             let (to_elder, words) = async_channel::bounded(heir::MAILBOX);
             let elder = heir::Elder {
@@ -198,7 +202,7 @@
     // Held as long as the process lives, whether a new version can ask or not.
     let heirs = lock
         .as_ref()
-        .filter(|_| told.handover && !copies)
+        .filter(|_| told.hot_restart && !copies)
         .and_then(|lock| elder::hall(&common, lock, &listener, &to_rounds));
     let accepts = executor.spawn(clients.listen(listener));
 
@@ -220,7 +224,7 @@
                 let told = async {
                     while let Some(Ok(Signal::Hup)) = signals.next().await {}
                     info!(log, "closes");
-                    Timer::after(millis(told.closing_time)).await;
+                    Timer::after(millis(told.shutdown_timeout)).await;
                 };
                 future::or(rounds, told).await;
                 info!(log, "ends");
@@ -237,8 +241,8 @@
     let _ = to_rounds.send(CameIn::Closing).await;
     // Requests still come for a moment; each of them is answered.
     let (least, most) = (
-        Timer::after(millis(told.closing_least)),
-        millis(told.closing_time),
+        Timer::after(millis(told.min_shutdown_duration)),
+        millis(told.shutdown_timeout),
     );
     let all_ended = async {
         rounds.await;
--- a/forwarder/server/src/notices.rs
+++ b/forwarder/server/src/notices.rs
@@ -122,9 +122,9 @@
 ) -> String {
     let id = &*event.0;
     let value = match (outcome, come_back_after) {
-        (Outcome::WrittenOff, _) => json!({"message": id, "outcome": "given_up"}),
-        (Outcome::Dismissed, None) => json!({"message": id, "outcome": "handed_back"}),
-        (Outcome::Dismissed, Some(wait)) => {
+        (Outcome::Abandoned, _) => json!({"message": id, "outcome": "given_up"}),
+        (Outcome::Rejected, None) => json!({"message": id, "outcome": "handed_back"}),
+        (Outcome::Rejected, Some(wait)) => {
             json!({"message": id, "outcome": "handed_back", "retry_in_ms": wait.ceil() as u64})
         }
     };
--- a/forwarder/server/src/notices/wire_format_tests.rs
+++ b/forwarder/server/src/notices/wire_format_tests.rs
@@ -8,22 +8,22 @@
 
 #[rstest]
 #[case(
-    Outcome::WrittenOff,
+    Outcome::Abandoned,
     None,
     "{\"message\":\"e \\\"1\\\"\",\"outcome\":\"given_up\"}\n"
 )]
 #[case(
-    Outcome::WrittenOff,
+    Outcome::Abandoned,
     Some(7.5),
     "{\"message\":\"e \\\"1\\\"\",\"outcome\":\"given_up\"}\n"
 )]
 #[case(
-    Outcome::Dismissed,
+    Outcome::Rejected,
     None,
     "{\"message\":\"e \\\"1\\\"\",\"outcome\":\"handed_back\"}\n"
 )]
 #[case(
-    Outcome::Dismissed,
+    Outcome::Rejected,
     Some(1_500.25),
     "{\"message\":\"e \\\"1\\\"\",\"outcome\":\"handed_back\",\"retry_in_ms\":1501}\n"
 )]
@@ -34,7 +34,7 @@
 ) {
     // No wildcard: a new outcome has to be pinned.
     match outcome {
-        Outcome::Dismissed | Outcome::WrittenOff => (),
+        Outcome::Rejected | Outcome::Abandoned => (),
     }
     assert_eq!(
         line(&Notice {
--- a/forwarder/server/src/roster.rs
+++ b/forwarder/server/src/roster.rs
@@ -87,7 +87,7 @@
     pub fn tell(&mut self, id: &TargetId, word: ToTarget) -> Result<(), ToTarget> {
         // Room for every call that may be out, its return, and as many words about idle connections. The
         // mailbox itself takes memory as words come, which a bounded one would take at once.
-        let most = 4 * self.reach.common.told.terms.max_calls_in_flight + 16;
+        let most = 4 * self.reach.common.told.decisions.max_calls_in_flight + 16;
         let Some(target) = self.targets.get_mut(id) else {
             return Err(word);
         };
--- a/forwarder/server/src/rounds/adopting.rs
+++ b/forwarder/server/src/rounds/adopting.rs
@@ -2,9 +2,11 @@
 
 use plankhill_decisions::interface::*;
 use plankhill_decisions::scheduler::Scheduler;
-use plankhill_event_log::Owed;
-use plankhill_raft_groups::{GroupId, News, Term};
-use plankhill_replication::{adopts, machine, Adopts, Finds, Leads};
+use plankhill_event_log::PendingEvent;
+use plankhill_raft_groups::{GroupEvent, GroupId, Term};
+use plankhill_replication::{
+    plan_adoption, state_machine, AdoptionAction, LeaderRole, LocalKnowledge,
+};
 use slog::{error, info};
 
 use super::copies::Copies;
@@ -20,32 +22,39 @@
     };
     matches!(
         news,
-        News::Leads { .. } | News::Deposed { .. } | News::Void { .. } | News::Peer { .. }
+        GroupEvent::Elected { .. }
+            | GroupEvent::Deposed { .. }
+            | GroupEvent::Discarded { .. }
+            | GroupEvent::PeerChanged { .. }
     )
 }
 
 impl Hands {
-    pub(super) fn ground_says(&mut self, to: &mut Scheduler, news: News) {
+    pub(super) fn ground_says(&mut self, to: &mut Scheduler, news: GroupEvent) {
         match news {
-            News::Leads {
+            GroupEvent::Elected {
                 group, term, state, ..
             } => self.leads(to, group, term, &state),
-            News::Deposed { group } => self.lose(to, group),
-            News::Committed { group, number } => self.decided(group, number, true),
-            News::Void { group, number } => {
+            GroupEvent::Deposed { group } => self.lose(to, group),
+            GroupEvent::Committed { group, number } => self.decided(group, number, true),
+            GroupEvent::Discarded { group, number } => {
                 // What is void was proposed to a group that is lost, whether that is known yet or not.
                 self.lose(to, group);
                 self.decided(group, number, false);
             }
-            News::Peer {
-                incarnation, up, ..
+            GroupEvent::PeerChanged {
+                incarnation,
+                reachable: up,
+                ..
             } => {
                 self.keeps
                     .copies()
                     .into_iter()
-                    .for_each(|copies| copies.roles.peer(incarnation, up));
+                    .for_each(|copies| copies.roles.set_peer_reachable(incarnation, up));
             }
-            News::Applied { .. } | News::Replaced { .. } | News::Reported { .. } => (),
+            GroupEvent::Applied { .. }
+            | GroupEvent::SnapshotInstalled { .. }
+            | GroupEvent::ReportReceived { .. } => (),
         }
     }
 
@@ -66,7 +75,7 @@
         };
         info!(self.common.log, "leads a record no more"; "group" => name(group), "events" => book.len());
         self.later.retain(|(of, _)| *of != group);
-        for id in book.ids() {
+        for id in book.event_ids() {
             let id = EventId(id.into());
             let out = self.out.contains(&id) && self.held.contains_key(&id);
             if out || self.keeps.holds(&id) {
@@ -100,7 +109,7 @@
                 .keeps
                 .copies()
                 .and_then(|copies| copies.books.get(&group));
-            if let Some(owed) = book.and_then(|book| book.owed_of(&id.0)) {
+            if let Some(owed) = book.and_then(|book| book.pending_event(&id.0)) {
                 self.adopt(to, group, owed);
             }
         }
@@ -111,29 +120,29 @@
         let Keeps::Copies(copies) = &mut self.keeps else {
             return;
         };
-        let Ok(mut book) = machine::read(state) else {
+        let Ok(mut book) = state_machine::decode_snapshot(state) else {
             return error!(self.common.log, "a record cannot be read"; "group" => name(group));
         };
         let cold: Vec<_> = book
-            .cold()
+            .warming_up_targets()
             .map(|(id, at, usual)| (TargetId(id.into()), at, usual))
             .collect();
         for (target, since, usual) in cold {
             match self.targets.holds(&target) {
                 true => to.restore_warm_up(&target, since, usual),
-                false => book.unnote(&target.0),
+                false => book.record_warm_up_end(&target.0),
             }
         }
-        let owed = book.owed();
+        let owed = book.pending_events();
         copies.books.insert(group, book);
-        let leads = copies.roles.leads(group);
-        copies.ground.own.set(copies.roles.own());
-        let out = owed.iter().filter(|owed| owed.was_out.is_some()).count();
+        let leads = copies.roles.on_elected(group);
+        copies.ground.own.set(copies.roles.own_group());
+        let out = owed.iter().filter(|owed| owed.in_flight.is_some()).count();
         info!(self.common.log, "leads a record"; "group" => name(group), "term" => term.0,
-            "own" => leads == Leads::Own, "owed" => owed.len(), "out" => out);
+            "own" => leads == LeaderRole::Own, "owed" => owed.len(), "out" => out);
         owed.into_iter()
             .for_each(|owed| self.adopt(to, group, owed));
-        if leads == Leads::Own {
+        if leads == LeaderRole::Own {
             self.adopt_file(to, group);
         }
     }
@@ -146,12 +155,12 @@
         let owed = copies
             .file
             .as_ref()
-            .map(|(ledger, _)| ledger.owed())
+            .map(|(ledger, _)| ledger.pending_events())
             .unwrap_or_default();
-        let known = |id: &str| copies.books.values().any(|book| book.holds(id));
-        let owed: Vec<Owed> = owed
+        let known = |id: &str| copies.books.values().any(|book| book.contains(id));
+        let owed: Vec<PendingEvent> = owed
             .into_iter()
-            .filter(|owed| !known(&owed.taken.id))
+            .filter(|owed| !known(&owed.event.id))
             .collect();
         copies.propose_file(group);
         if !owed.is_empty() {
@@ -161,29 +170,34 @@
         owed.into_iter().for_each(|owed| self.restore(to, owed));
     }
 
-    fn finds(copies: &Copies, hands: &Hands, group: GroupId, id: &EventId) -> Option<Finds> {
+    fn finds(
+        copies: &Copies,
+        hands: &Hands,
+        group: GroupId,
+        id: &EventId,
+    ) -> Option<LocalKnowledge> {
         let elsewhere = copies
             .books
             .iter()
-            .any(|(of, book)| *of != group && book.holds(&id.0));
+            .any(|(of, book)| *of != group && book.contains(&id.0));
         Some(
             match (
                 elsewhere,
                 hands.held.contains_key(id),
                 hands.out.contains(id),
             ) {
-                (true, true, _) => Finds::Held,
-                (true, false, _) => Finds::Ended,
-                (false, true, _) => Finds::OwnCall,
-                _ if hands.settled.holds(id) => Finds::Ended,
+                (true, true, _) => LocalKnowledge::Pending,
+                (true, false, _) => LocalKnowledge::Completed,
+                (false, true, _) => LocalKnowledge::OwnAttemptInFlight,
+                _ if hands.settled.holds(id) => LocalKnowledge::Completed,
                 (false, false, true) => return None,
-                (false, false, false) => Finds::Nothing,
+                (false, false, false) => LocalKnowledge::Unknown,
             },
         )
     }
 
-    fn adopt(&mut self, to: &mut Scheduler, group: GroupId, owed: Owed) {
-        let id = EventId(owed.taken.id.as_ref().into());
+    fn adopt(&mut self, to: &mut Scheduler, group: GroupId, owed: PendingEvent) {
+        let id = EventId(owed.event.id.as_ref().into());
         let Keeps::Copies(copies) = &self.keeps else {
             return;
         };
@@ -191,17 +205,17 @@
             return self.later.push((group, id));
         };
         let stall = copies.ground.stall;
-        let until = match adopts(&owed, finds, self.now, stall) {
-            Adopts::Keep => return,
-            Adopts::Over => {
+        let until = match plan_adoption(&owed, finds, self.now, stall) {
+            AdoptionAction::AwaitOwnAttempt => return,
+            AdoptionAction::Discard => {
                 let book = self
                     .keeps
                     .copies()
                     .and_then(|copies| copies.books.get_mut(&group));
-                return book.into_iter().for_each(|book| book.over(&id.0));
+                return book.into_iter().for_each(|book| book.complete(&id.0));
             }
-            Adopts::TellAgain(outcome, come_back_after) => {
-                self.enter(to, &owed.taken);
+            AdoptionAction::NotifyAgain(outcome, come_back_after) => {
+                self.enter(to, &owed.event);
                 to.restore_completed(&id);
                 return self.notices.push(Notice {
                     event: id,
@@ -209,11 +223,15 @@
                     come_back_after,
                 });
             }
-            Adopts::Join { out_until } => {
-                to.merge_remote_attempts(&id, owed.sends, self.maybe_run(&owed));
+            AdoptionAction::Merge {
+                in_flight_until: out_until,
+            } => {
+                to.merge_remote_attempts(&id, owed.attempts, self.maybe_run(&owed));
                 out_until
             }
-            Adopts::Restore { out_until } => {
+            AdoptionAction::Restore {
+                in_flight_until: out_until,
+            } => {
                 self.restore(to, owed);
                 out_until
             }
--- a/forwarder/server/src/rounds/carrying.rs
+++ b/forwarder/server/src/rounds/carrying.rs
@@ -41,7 +41,7 @@
         let answer = self.held.remove(event).and_then(|held| held.answer);
         let Some(answer) = answer else {
             self.keeps.ended(event, outcome, come_back_after);
-            (outcome == Outcome::WrittenOff).then(|| self.settled.add(event, self.now));
+            (outcome == Outcome::Abandoned).then(|| self.settled.add(event, self.now));
             self.notices.push(Notice {
                 event: event.clone(),
                 outcome,
@@ -55,8 +55,8 @@
         };
         self.keeps.over(event);
         let _ = answer.try_send(match outcome {
-            Outcome::Dismissed => Verdict::Refused(come_back_after),
-            Outcome::WrittenOff => Verdict::Failed,
+            Outcome::Rejected => Verdict::Refused(come_back_after),
+            Outcome::Abandoned => Verdict::Failed,
         });
         false
     }
@@ -99,10 +99,10 @@
         self.outbox.push((target.clone(), ToTarget::Send(send)));
     }
     fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
-        self.ended(event, Outcome::Dismissed, come_back_after)
+        self.ended(event, Outcome::Rejected, come_back_after)
     }
     fn abandon(&mut self, event: &EventId) -> bool {
-        self.ended(event, Outcome::WrittenOff, None)
+        self.ended(event, Outcome::Abandoned, None)
     }
     fn health_check(&mut self, target: &TargetId) {
         self.pings.insert(target.clone());
@@ -126,7 +126,7 @@
         if let Some(budgets) = &self.common.budgets {
             budgets.cold(
                 target,
-                since + self.common.told.terms.warm_up_duration - self.now,
+                since + self.common.told.decisions.warm_up_duration - self.now,
             );
         }
         self.keeps.note_cold(target, since, usual);
--- a/forwarder/server/src/rounds/hands.rs
+++ b/forwarder/server/src/rounds/hands.rs
@@ -146,7 +146,7 @@
                 let _ = reply.try_send(self.order(to, order));
             }
             CameIn::Ground(news) => self.ground_says(to, news),
-            CameIn::Closing => to.begin_shutdown(self.now + self.common.told.closing_time),
+            CameIn::Closing => to.begin_shutdown(self.now + self.common.told.shutdown_timeout),
         }
     }
 
--- a/forwarder/server/src/rounds/mod.rs
+++ b/forwarder/server/src/rounds/mod.rs
@@ -26,7 +26,7 @@
 use async_channel::{Receiver, Sender};
 use plankhill_decisions::interface::*;
 use plankhill_decisions::scheduler::Scheduler;
-use plankhill_event_log::{Ledger, Owed};
+use plankhill_event_log::{EventLog, PendingEvent};
 use plankhill_hot_restart::{State, Verdict};
 use serde_json::Value;
 use slog::error;
@@ -61,13 +61,13 @@
 impl Rounds {
     pub fn new(
         common: Common,
-        ledger: Ledger,
+        ledger: EventLog,
         left_out: LeftOut,
         to_notices: Sender<Notice>,
         to_rounds: Sender<CameIn>,
     ) -> Self {
         let now = common.clock.now();
-        let forwarder = Scheduler::new(common.told.terms.clone(), now);
+        let forwarder = Scheduler::new(common.told.decisions.clone(), now);
         let reach = Reach {
             common: common.clone(),
             to_rounds,
@@ -142,7 +142,7 @@
     }
 
     /// The first round: the list, and what an earlier process noted of its targets and still owes.
-    pub fn restore(&mut self, list: &Value, owed: Vec<Owed>) {
+    pub fn restore(&mut self, list: &Value, owed: Vec<PendingEvent>) {
         self.hands.now = self.hands.common.clock.now();
         self.decide(|forwarder, hands| {
             hands.listed(forwarder, list);
@@ -153,7 +153,7 @@
             let Keeps::File(ledger) = &hands.keeps else {
                 return hands.founds();
             };
-            for (target, since, usual) in ledger.cold() {
+            for (target, since, usual) in ledger.warming_up_targets() {
                 forwarder.restore_warm_up(&TargetId(target.into()), since, usual);
             }
             owed.into_iter()
@@ -180,10 +180,10 @@
         &mut self,
         forwarder: Scheduler,
         state: State,
-        owed: Vec<Owed>,
+        owed: Vec<PendingEvent>,
         elder: Sender<Told>,
     ) {
-        self.forwarder = forwarder.resume(self.hands.common.told.terms.clone());
+        self.forwarder = forwarder.resume(self.hands.common.told.decisions.clone());
         self.hands.inherit(state, owed);
         self.hands.elder = Some(elder);
     }
@@ -217,7 +217,7 @@
                         .hands
                         .common
                         .told
-                        .terms
+                        .decisions
                         .max_retry_after
                         .filter(|_| !self.closing);
                     let _ = handed.answer.try_send(Verdict::Refused(wait));
--- a/forwarder/server/src/rounds/promises.rs
+++ b/forwarder/server/src/rounds/promises.rs
@@ -4,8 +4,8 @@
 
 use plankhill_decisions::interface::*;
 use plankhill_decisions::scheduler::Scheduler;
-use plankhill_event_log::{Owed, Promise, Repeats, Taken};
-use plankhill_forwarder_config::Told;
+use plankhill_event_log::{AcceptedEvent, DeliveryGuarantee, PendingEvent, RepeatSafety};
+use plankhill_forwarder_config::ForwarderConfig;
 
 /// As many types beside those of the settings: some for each that the settings ever had. Past them an event of
 /// one more is ended like one of a type that nobody knows.
@@ -15,54 +15,60 @@
 #[derive(Default)]
 pub struct Promises(Vec<(Box<str>, TrafficType)>);
 
-pub fn of(traffic: &TrafficType) -> Promise {
+pub fn of(traffic: &TrafficType) -> DeliveryGuarantee {
     let repeats = match traffic.idempotency {
-        Idempotency::Idempotent => Repeats::Harmless,
+        Idempotency::Idempotent => RepeatSafety::Idempotent,
         Idempotency::Deduplicated {
             window,
             per_zone: one_zone,
-        } => Repeats::Known { window, one_zone },
-        Idempotency::NonIdempotent => Repeats::Forbidden,
+        } => RepeatSafety::Deduplicated {
+            window,
+            per_zone: one_zone,
+        },
+        Idempotency::NonIdempotent => RepeatSafety::NonIdempotent,
     };
-    Promise {
-        repeats,
+    DeliveryGuarantee {
+        repeat_safety: repeats,
         ordered: traffic.ordered,
     }
 }
 
-fn effect(promise: Promise) -> Idempotency {
-    match promise.repeats {
-        Repeats::Harmless => Idempotency::Idempotent,
-        Repeats::Known { window, one_zone } => Idempotency::Deduplicated {
+fn effect(promise: DeliveryGuarantee) -> Idempotency {
+    match promise.repeat_safety {
+        RepeatSafety::Idempotent => Idempotency::Idempotent,
+        RepeatSafety::Deduplicated {
+            window,
+            per_zone: one_zone,
+        } => Idempotency::Deduplicated {
             window,
             per_zone: one_zone,
         },
-        Repeats::Forbidden => Idempotency::NonIdempotent,
+        RepeatSafety::NonIdempotent => Idempotency::NonIdempotent,
     }
 }
 
 /// The position of its type where the settings promise all that was promised.
-fn kept(told: &Told, taken: &Taken) -> Option<TrafficTypeId> {
+fn kept(told: &ForwarderConfig, taken: &AcceptedEvent) -> Option<TrafficTypeId> {
     let at = told
         .names
         .traffic
         .iter()
-        .position(|name| *name == taken.traffic)?;
-    let now = of(&told.terms.traffic_types[at]);
+        .position(|name| *name == taken.traffic_type)?;
+    let now = of(&told.decisions.traffic_types[at]);
     taken
-        .promised
-        .is_none_or(|before| before.and(now) == now)
+        .guarantee
+        .is_none_or(|before| before.strictest(now) == now)
         .then_some(TrafficTypeId(at))
 }
 
 /// The traffic type of an event that is owed, of which the settings do not promise all that was promised.
-pub fn broken<'a>(told: &Told, owed: &'a [Owed]) -> Option<&'a str> {
+pub fn broken<'a>(told: &ForwarderConfig, owed: &'a [PendingEvent]) -> Option<&'a str> {
     let open = owed
         .iter()
-        .filter(|owed| owed.ended.is_none())
-        .map(|owed| &owed.taken);
+        .filter(|owed| owed.outcome.is_none())
+        .map(|owed| &owed.event);
     open.filter(|taken| kept(told, taken).is_none())
-        .map(|taken| &*taken.traffic)
+        .map(|taken| &*taken.traffic_type)
         .next()
 }
 
@@ -71,21 +77,21 @@
     pub fn find(
         &mut self,
         to: &mut Scheduler,
-        told: &Told,
-        taken: &Taken,
+        told: &ForwarderConfig,
+        taken: &AcceptedEvent,
     ) -> Option<TrafficTypeId> {
         if let Some(at) = kept(told, taken) {
             return Some(at);
         }
-        let before = taken.promised?;
+        let before = taken.guarantee?;
         let names = &told.names.traffic;
         let now = names
             .iter()
-            .position(|name| *name == taken.traffic)
-            .map(|at| &told.terms.traffic_types[at]);
-        let both = now.map_or(before, |now| before.and(of(now)));
+            .position(|name| *name == taken.traffic_type)
+            .map(|at| &told.decisions.traffic_types[at]);
+        let both = now.map_or(before, |now| before.strictest(of(now)));
         let like =
-            |(name, it): &(Box<str>, TrafficType)| **name == *taken.traffic && of(it) == both;
+            |(name, it): &(Box<str>, TrafficType)| **name == *taken.traffic_type && of(it) == both;
         let at = self.0.iter().position(like).or_else(|| {
             // Of one that the settings do not name any more nothing says what it is worth.
             let none = TrafficType {
@@ -102,15 +108,16 @@
                 ordered: both.ordered,
                 ..own
             };
-            (self.0.len() < MOST).then(|| self.0.push((taken.traffic.as_ref().into(), own)))?;
+            (self.0.len() < MOST)
+                .then(|| self.0.push((taken.traffic_type.as_ref().into(), own)))?;
             *to = std::mem::take(to).resume(self.terms(told));
             Some(self.0.len() - 1)
         });
         at.map(|at| TrafficTypeId(names.len() + at))
     }
 
-    pub fn terms(&self, told: &Told) -> DecisionConfig {
-        let mut terms = told.terms.clone();
+    pub fn terms(&self, told: &ForwarderConfig) -> DecisionConfig {
+        let mut terms = told.decisions.clone();
         terms
             .traffic_types
             .extend(self.0.iter().map(|(_, traffic)| traffic.clone()));
--- a/forwarder/server/src/rounds/restoring.rs
+++ b/forwarder/server/src/rounds/restoring.rs
@@ -4,7 +4,7 @@
 
 use plankhill_decisions::interface::*;
 use plankhill_decisions::scheduler::Scheduler;
-use plankhill_event_log::{Outcome, Owed, Taken};
+use plankhill_event_log::{AcceptedEvent, Outcome, PendingEvent};
 use plankhill_hot_restart::State;
 use rmp_serde::encode::Error;
 
@@ -47,16 +47,21 @@
         let owes = || {
             self.keeps
                 .file()
-                .is_none_or(|ledger| promises::broken(told, &ledger.owed()).is_some())
+                .is_none_or(|ledger| promises::broken(told, &ledger.pending_events()).is_some())
         };
         // One that is over stays with them until its call has ended.
         !self.promises.is_empty() && (owes() || self.out.iter().any(|id| !self.keeps.holds(id)))
     }
 
     /// Goes on where another process stood still; what it owed stands in the ledger.
-    pub(super) fn inherit(&mut self, state: State, owed: Vec<Owed>) {
+    pub(super) fn inherit(&mut self, state: State, owed: Vec<PendingEvent>) {
         let numbers: HashMap<EventId, u64> = state.numbers.into_iter().collect();
-        for Owed { taken, ended, .. } in owed {
+        for PendingEvent {
+            event: taken,
+            outcome: ended,
+            ..
+        } in owed
+        {
             let id = EventId(taken.id.as_ref().into());
             if let Some((outcome, come_back_after)) = ended {
                 // It may have been heard already; told twice it does no harm.
@@ -69,7 +74,7 @@
             }
             let number = numbers.get(&id).copied().unwrap_or(0);
             let fingerprint = taken.fingerprint.map(|f| f.as_ref().into());
-            let patience_ends = taken.patience_ends;
+            let patience_ends = taken.deadline;
             let held = Held {
                 number,
                 patience_ends,
@@ -92,13 +97,13 @@
         self.common.gate.drain(state.drained);
     }
 
-    pub(super) fn restore(&mut self, to: &mut Scheduler, owed: Owed) {
+    pub(super) fn restore(&mut self, to: &mut Scheduler, owed: PendingEvent) {
         let ran = self.maybe_run(&owed);
-        let Owed {
-            taken,
-            sends,
-            was_out,
-            ended,
+        let PendingEvent {
+            event: taken,
+            attempts: sends,
+            in_flight: was_out,
+            outcome: ended,
             ..
         } = owed;
         let id = EventId(taken.id.as_ref().into());
@@ -110,9 +115,9 @@
         let (None, true) = (ended, known) else {
             // It has ended, or can't be sent any more, as nobody knows what was promised of it.
             let untried = if ran.is_none() {
-                Outcome::Dismissed
+                Outcome::Rejected
             } else {
-                Outcome::WrittenOff
+                Outcome::Abandoned
             };
             let (outcome, come_back_after) = ended.unwrap_or((untried, None));
             to.restore_completed(&id);
@@ -120,7 +125,7 @@
             return;
         };
         let fingerprint = taken.fingerprint.map(|f| f.as_ref().into());
-        let patience_ends = taken.patience_ends;
+        let patience_ends = taken.deadline;
         let held = Held {
             number: 0,
             patience_ends,
@@ -133,7 +138,7 @@
     }
 
     /// Hands an event of a record to the module; false if nobody knows its traffic type.
-    pub(super) fn enter(&mut self, to: &mut Scheduler, taken: &Taken) -> bool {
+    pub(super) fn enter(&mut self, to: &mut Scheduler, taken: &AcceptedEvent) -> bool {
         let Some(traffic) = self.promises.find(to, &self.common.told, taken) else {
             return false;
         };
@@ -142,7 +147,7 @@
             id,
             DestinationId(taken.destination),
             traffic,
-            taken.patience_ends,
+            taken.deadline,
             key,
         );
         true
@@ -150,8 +155,8 @@
 
     /// When and where its first send went that may have run. A zone that the settings do not name any more is
     /// the same as none: what is bound to its group is not sent again, and ends as what may have run.
-    pub(super) fn maybe_run(&self, owed: &Owed) -> Option<(Ms, ZoneId)> {
-        let (at, name) = owed.may_have_run.as_ref().or(owed.was_out.as_ref())?;
+    pub(super) fn maybe_run(&self, owed: &PendingEvent) -> Option<(Ms, ZoneId)> {
+        let (at, name) = owed.may_have_run.as_ref().or(owed.in_flight.as_ref())?;
         let zone = self
             .common
             .told
--- a/forwarder/server/src/rounds/staging.rs
+++ b/forwarder/server/src/rounds/staging.rs
@@ -3,8 +3,8 @@
 use async_channel::Sender;
 use plankhill_decisions::interface::*;
 use plankhill_hot_restart::Verdict;
-use plankhill_replication::pipeline::Decided;
-use plankhill_replication::Released;
+use plankhill_replication::pipeline::CommitOutcome;
+use plankhill_replication::ReleasedIteration;
 use slog::info;
 
 use super::copies::{Answer, Effects};
@@ -30,7 +30,7 @@
         let Some(copies) = self.keeps.copies() else {
             return;
         };
-        let founds = copies.roles.starts();
+        let founds = copies.roles.create_own_group();
         copies.order(founds);
     }
 
@@ -39,7 +39,10 @@
         let mut answers = Vec::new();
         for id in fresh {
             let to = self.held.get_mut(&id).and_then(|held| held.answer.take());
-            let group = self.keeps.copies().and_then(|copies| copies.roles.own());
+            let group = self
+                .keeps
+                .copies()
+                .and_then(|copies| copies.roles.own_group());
             answers.extend(group.zip(to).map(|(group, to)| Answer { group, to }));
         }
         // Counted from here on: fewer are to be taken than there is room for ends.
@@ -89,18 +92,18 @@
         }
     }
 
-    fn let_leave(&mut self, effects: Effects, decided: &Released<()>) {
+    fn let_leave(&mut self, effects: Effects, decided: &ReleasedIteration<()>) {
         let Effects {
             answers,
             outbox,
             notices,
         } = effects;
         for Answer { group, to } in answers {
-            let _ = match decided.in_group(group) {
-                Decided::Counts => to.try_send(Verdict::TakenOn),
-                Decided::Void => to.try_send(Verdict::Refused(None)),
+            let _ = match decided.outcome_in(group) {
+                CommitOutcome::Committed => to.try_send(Verdict::TakenOn),
+                CommitOutcome::Discarded => to.try_send(Verdict::Refused(None)),
                 // Nobody knows: the connection is closed without a word.
-                Decided::Partly => Ok(()),
+                CommitOutcome::Partial => Ok(()),
             };
         }
         for (id, word) in outbox {
@@ -109,7 +112,7 @@
                     if send
                         .groups
                         .iter()
-                        .any(|group| decided.in_group(*group) != Decided::Counts)
+                        .any(|group| decided.outcome_in(*group) != CommitOutcome::Committed)
                     {
                         send.groups.clear();
                     }
@@ -121,7 +124,7 @@
         for (groups, notice) in notices {
             if groups
                 .iter()
-                .all(|group| decided.in_group(*group) != Decided::Counts)
+                .all(|group| decided.outcome_in(*group) != CommitOutcome::Committed)
             {
                 // Whoever owns the event now decides on its end.
                 self.unheard -= 1;
@@ -173,7 +176,7 @@
         };
         let waiting = copies
             .pipeline
-            .waiting()
+            .pending_effects()
             .flat_map(|effects| &mut effects.outbox);
         for (_, word) in waiting.filter(|(to, _)| to == target) {
             if let ToTarget::Send(send) = word {
--- a/forwarder/server/src/rounds/stories/committing.rs
+++ b/forwarder/server/src/rounds/stories/committing.rs
@@ -1,25 +1,25 @@
 //! What an owner waits for.
 
-use plankhill_event_log::Record;
+use plankhill_event_log::EventTable;
 use plankhill_hot_restart::Verdict;
-use plankhill_raft_groups::{InstanceName, News, Order, Purpose};
+use plankhill_raft_groups::{GroupEvent, GroupRequest, InstanceName, Purpose};
 
 use super::held::HeldTarget;
 use super::*;
 
 /// A forwarder that leads its own empty group.
-fn leading() -> (Story, Record) {
+fn leading() -> (Story, EventTable) {
     let story = Story::new(|_| ());
     story.ordered(|order| {
         matches!(
             order,
-            Order::Found {
-                purpose: Purpose::Record
+            GroupRequest::Create {
+                purpose: Purpose::EventLog
             }
         )
     });
     story.takes();
-    (story, Record::default())
+    (story, EventTable::default())
 }
 
 #[test]
@@ -27,9 +27,9 @@
     let (story, mut keeper) = leading();
     let verdict = story.hands_in("a", JOB);
     let number = story.proposed(own(1), &mut keeper);
-    let owed = keeper.owed();
+    let owed = keeper.pending_events();
     assert_eq!(
-        (owed.len(), owed[0].sends, owed[0].time_out.is_some()),
+        (owed.len(), owed[0].attempts, owed[0].timeout.is_some()),
         (1, 1, true),
         "one proposal for both"
     );
@@ -38,7 +38,7 @@
         verdict.is_empty(),
         "nobody is told what a majority does not have"
     );
-    story.hears(News::Committed {
+    story.hears(GroupEvent::Committed {
         group: own(1),
         number,
     });
@@ -57,13 +57,13 @@
     let one = story.proposed(own(1), &mut keeper);
     let second = story.hands_in("b", JOB);
     let two = story.proposed(own(1), &mut keeper);
-    story.hears(News::Committed {
+    story.hears(GroupEvent::Committed {
         group: own(1),
         number: two,
     });
     story.goes_on();
     assert!(second.is_empty(), "the round before is not decided");
-    story.hears(News::Committed {
+    story.hears(GroupEvent::Committed {
         group: own(1),
         number: one,
     });
@@ -76,10 +76,10 @@
     let (story, mut keeper) = leading();
     let verdict = story.hands_in("a", CHARGE);
     let number = story.proposed(own(1), &mut keeper);
-    story.hears(News::Deposed { group: own(1) });
+    story.hears(GroupEvent::Deposed { group: own(1) });
     story.goes_on();
     assert!(verdict.is_empty(), "it may count yet");
-    story.hears(News::Void {
+    story.hears(GroupEvent::Discarded {
         group: own(1),
         number,
     });
@@ -92,14 +92,14 @@
     let (story, mut keeper) = leading();
     let verdict = story.hands_in("a", CHARGE);
     let number = story.proposed(own(1), &mut keeper);
-    story.hears(News::Deposed { group: own(1) });
-    story.hears(News::Committed {
+    story.hears(GroupEvent::Deposed { group: own(1) });
+    story.hears(GroupEvent::Committed {
         group: own(1),
         number,
     });
     assert_eq!(story.verdict(&verdict), Some(Verdict::TakenOn));
     story.no_call();
-    story.ordered(|order| matches!(order, Order::Found { .. }));
+    story.ordered(|order| matches!(order, GroupRequest::Create { .. }));
     assert_eq!(keeper.len(), 1, "it is owed by whoever leads the group");
 }
 
@@ -119,13 +119,13 @@
     let verdict = story.hands_in("b", JOB);
     let number = story.proposed(own(1), &mut keeper);
     story.fleet.holds.set(false);
-    story.hears(News::Committed {
+    story.hears(GroupEvent::Committed {
         group: own(1),
         number,
     });
     assert_eq!(story.verdict(&verdict), Some(Verdict::TakenOn));
     story.no_call();
-    story.hears(News::Deposed { group: own(1) });
+    story.hears(GroupEvent::Deposed { group: own(1) });
     story.fleet.holds.set(true);
     story.no_call();
     assert_eq!(
@@ -140,7 +140,7 @@
     story.hands_in("a", CHARGE);
     let number = story.proposed(own(1), &mut keeper);
     story.fleet.holds.set(false);
-    story.hears(News::Committed {
+    story.hears(GroupEvent::Committed {
         group: own(1),
         number,
     });
@@ -170,7 +170,7 @@
     story.commits(own(1), &mut keeper);
     assert_eq!(story.verdict(&verdict), Some(Verdict::TakenOn));
     let call = story.call();
-    story.hears(News::Deposed { group: own(1) });
+    story.hears(GroupEvent::Deposed { group: own(1) });
     story.leads(own(1), &keeper);
     story.no_call();
     assert!(
@@ -187,18 +187,18 @@
 fn an_event_of_a_key_that_a_lost_owner_holds_is_not_taken_before_that_has_ended() {
     let (story, mut keeper) = leading();
     let other = Incarnation(8);
-    let peer = |up| News::Peer {
+    let peer = |up| GroupEvent::PeerChanged {
         name: InstanceName("b".into()),
         incarnation: other,
-        up,
+        reachable: up,
     };
     story.hears(peer(true));
-    let (mut machine, mut record) = (story.kept.machine(), Record::default());
-    record.taken(taken("there", "job"));
+    let (mut machine, mut record) = (story.kept.new_state_machine(), EventTable::default());
+    record.accept(taken("there", "job"));
     machine.apply(
         other,
         Term(2),
-        &command(others(1), &record.take_unwritten()),
+        &encode_command(others(1), &record.take_unwritten_frames()),
     );
     let verdict = story.hands_in("a", JOB);
     story.commits(own(1), &mut keeper);
@@ -213,22 +213,22 @@
         Some(Verdict::Refused(None))
     );
     // Its heir is another; that the first is back changes nothing.
-    record.sent("there", 1.0, "z");
+    record.record_attempt("there", 1.0, "z");
     machine.apply(
         Incarnation(9),
         Term(3),
-        &command(others(1), &record.take_unwritten()),
+        &encode_command(others(1), &record.take_unwritten_frames()),
     );
     story.hears(peer(true));
     assert_eq!(
         story.verdict(&story.hands_in("c", JOB)),
         Some(Verdict::Refused(None))
     );
-    record.over("there");
+    record.complete("there");
     machine.apply(
         Incarnation(9),
         Term(3),
-        &command(others(1), &record.take_unwritten()),
+        &encode_command(others(1), &record.take_unwritten_frames()),
     );
     story.call().answer(OK);
     story.commits(own(1), &mut keeper);
@@ -243,9 +243,9 @@
     let mut target = HeldTarget::new();
     target.hold();
     let story = Story::calling(target.address(), std::sync::mpsc::channel().1, |_| ());
-    story.ordered(|order| matches!(order, Order::Found { .. }));
+    story.ordered(|order| matches!(order, GroupRequest::Create { .. }));
     story.takes();
-    let mut keeper = Record::default();
+    let mut keeper = EventTable::default();
     story.hands_in("a", CHARGE);
     story.commits(own(1), &mut keeper);
     story.until("dials", || target.dialled().then_some(()));
--- a/forwarder/server/src/rounds/stories/groups.rs
+++ b/forwarder/server/src/rounds/stories/groups.rs
@@ -4,20 +4,20 @@
 use std::rc::Rc;
 
 use plankhill_decisions::interface::*;
-use plankhill_raft_groups::{GroupId, Incarnation, Order};
+use plankhill_raft_groups::{GroupId, GroupRequest, Incarnation};
 
 use crate::ground::Fleet;
 
 /// What the forwarder ordered, and whether it holds what it leads.
 #[derive(Clone, Default)]
 pub(super) struct StandIn {
-    pub(super) orders: Rc<RefCell<Vec<Order>>>,
+    pub(super) orders: Rc<RefCell<Vec<GroupRequest>>>,
     pub(super) holds: Rc<Cell<bool>>,
     pub(super) has_room: Rc<Cell<bool>>,
 }
 
 impl Fleet for StandIn {
-    fn try_order(&mut self, order: Order) -> Result<(), Order> {
+    fn try_order(&mut self, order: GroupRequest) -> Result<(), GroupRequest> {
         self.orders.borrow_mut().push(order);
         Ok(())
     }
--- a/forwarder/server/src/rounds/stories/mod.rs
+++ b/forwarder/server/src/rounds/stories/mod.rs
@@ -22,11 +22,13 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use plankhill_decisions::interface::*;
-use plankhill_event_log::{Ledger, Record, Taken};
+use plankhill_event_log::{AcceptedEvent, EventLog, EventTable};
 use plankhill_hot_restart::{Event, Verdict};
-use plankhill_raft_groups::{GroupId, Incarnation, Machine, News, Order, Purpose, Term};
-use plankhill_replication::machine::{command, read_command};
-use plankhill_replication::KeptHere;
+use plankhill_raft_groups::{
+    GroupEvent, GroupId, GroupRequest, Incarnation, Purpose, StateMachine, Term,
+};
+use plankhill_replication::state_machine::{decode_command, encode_command};
+use plankhill_replication::LocalReplicas;
 
 use self::config::config;
 use self::groups::{others, own, StandIn};
@@ -58,29 +60,35 @@
     handed: Cell<u64>,
     folder: tempfile::TempDir,
     /// What it keeps for others too.
-    kept: KeptHere,
+    kept: LocalReplicas,
 }
 
 impl Story {
     /// A forwarder that has ordered its group; `before` is what its folder holds.
-    fn new(before: impl FnOnce(&mut Ledger)) -> Self {
+    fn new(before: impl FnOnce(&mut EventLog)) -> Self {
         let (target, calls) = stand_ins::stand_in();
         Self::calling(target, calls, before)
     }
 
-    fn calling(target: SocketAddr, calls: Calls<Asked>, before: impl FnOnce(&mut Ledger)) -> Self {
+    fn calling(
+        target: SocketAddr,
+        calls: Calls<Asked>,
+        before: impl FnOnce(&mut EventLog),
+    ) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let (config, known) = config(target);
         let told = told(&config, folder.path());
-        let (mut ledger, _) = Ledger::open(&told.state, told.disk).expect("opens");
+        let (mut ledger, _) =
+            EventLog::open(&told.state_folder, told.max_disk_bytes).expect("opens");
         before(&mut ledger);
         ledger.commit().expect("writes");
-        let (ledger, owed) = Ledger::open(&told.state, told.disk).expect("opens");
+        let (ledger, owed) =
+            EventLog::open(&told.state_folder, told.max_disk_bytes).expect("opens");
         let fleet = StandIn::default();
         fleet.holds.set(true);
         fleet.has_room.set(true);
         let handle = RefCell::new(Box::new(fleet.clone()) as Box<dyn Fleet>);
-        let kept = KeptHere::default();
+        let kept = LocalReplicas::default();
         let ground = Ground {
             handle,
             stall: STALL,
@@ -143,18 +151,18 @@
             .unwrap_or_else(|_| panic!("the mailbox has room"));
     }
 
-    fn hears(&self, news: News) {
+    fn hears(&self, news: GroupEvent) {
         self.tell(CameIn::Ground(news));
     }
 
-    fn leads(&self, group: GroupId, record: &Record) {
-        let (mut machine, mut frames) = (KeptHere::default().machine(), Vec::new());
-        record.write(&mut frames);
-        machine.apply(group.founder, Term(1), &command(group, &frames));
+    fn leads(&self, group: GroupId, record: &EventTable) {
+        let (mut machine, mut frames) = (LocalReplicas::default().new_state_machine(), Vec::new());
+        record.write_frames(&mut frames);
+        machine.apply(group.founder, Term(1), &encode_command(group, &frames));
         let state = machine.snapshot();
-        self.hears(News::Leads {
+        self.hears(GroupEvent::Elected {
             group,
-            purpose: Purpose::Record,
+            purpose: Purpose::EventLog,
             term: Term(2),
             state,
         });
@@ -162,7 +170,7 @@
 
     /// Leads its own empty group, and knows it.
     fn takes(&self) {
-        self.leads(own(1), &Record::default());
+        self.leads(own(1), &EventTable::default());
         self.until("is ready", || self.common.is_ready().then_some(()));
     }
 
@@ -193,26 +201,26 @@
     }
 
     /// The next proposal to the group, read into what its keepers keep.
-    fn proposed(&self, group: GroupId, keeper: &mut Record) -> u64 {
+    fn proposed(&self, group: GroupId, keeper: &mut EventTable) -> u64 {
         let next = || {
             let mut orders = self.fleet.orders.borrow_mut();
-            let at = orders
-                .iter()
-                .position(|o| matches!(o, Order::Propose { group: of, .. } if *of == group))?;
+            let at = orders.iter().position(
+                |o| matches!(o, GroupRequest::Propose { group: of, .. } if *of == group),
+            )?;
             Some(orders.remove(at))
         };
-        let Order::Propose {
+        let GroupRequest::Propose {
             number, command, ..
         } = self.until("proposes", next)
         else {
             panic!("seen")
         };
-        let (of, frames) = read_command(&command).expect("a command");
-        assert_eq!((of, keeper.apply(frames)), (group, frames.len()));
+        let (of, frames) = decode_command(&command).expect("a command");
+        assert_eq!((of, keeper.apply_frames(frames)), (group, frames.len()));
         number
     }
 
-    fn ordered(&self, what: fn(&Order) -> bool) {
+    fn ordered(&self, what: fn(&GroupRequest) -> bool) {
         self.until("orders", || {
             let mut orders = self.fleet.orders.borrow_mut();
             let at = orders.iter().position(what)?;
@@ -248,22 +256,22 @@
         assert!(self.calls.try_recv().is_err(), "nothing may be sent");
     }
 
-    fn commits(&self, group: GroupId, keeper: &mut Record) {
+    fn commits(&self, group: GroupId, keeper: &mut EventTable) {
         let number = self.proposed(group, keeper);
-        self.hears(News::Committed { group, number });
+        self.hears(GroupEvent::Committed { group, number });
     }
 }
 
-fn taken(id: &str, traffic: &str) -> Taken<'static> {
+fn taken(id: &str, traffic: &str) -> AcceptedEvent<'static> {
     let (id, traffic) = (id.to_owned().into(), traffic.to_owned().into());
     let body = b"body"[..].into();
-    Taken {
+    AcceptedEvent {
         id,
         destination: 1,
-        traffic,
-        patience_ends: 4e12,
+        traffic_type: traffic,
+        deadline: 4e12,
         key: Some(5),
         body,
-        ..Taken::default()
+        ..AcceptedEvent::default()
     }
 }
--- a/forwarder/server/src/rounds/taking.rs
+++ b/forwarder/server/src/rounds/taking.rs
@@ -1,6 +1,6 @@
 //! What is taken on.
 
-use plankhill_event_log::Taken;
+use plankhill_event_log::AcceptedEvent;
 use slog::debug;
 
 use super::hands::{Hands, Held};
@@ -12,7 +12,7 @@
     /// Enters an event in the ledger if there is room for it.
     pub(super) fn takes(&mut self, handed: &Handed) -> bool {
         let event = &handed.event;
-        let room = self.common.told.terms.event_capacity;
+        let room = self.common.told.decisions.event_capacity;
         let full =
             self.held.len() >= room || self.unheard + self.held.len() + 1 >= notices::MAILBOX;
         let known = self.keeps.holds(&event.id)
@@ -22,18 +22,18 @@
         if full || known || behind || !self.keeps.has_room_for(handed.body.len()) {
             return false;
         }
-        self.keeps.taken(Taken {
+        self.keeps.taken(AcceptedEvent {
             id: (&*event.id.0).into(),
             destination: event.destination.0,
-            traffic: self.common.told.names.traffic[event.traffic.0]
+            traffic_type: self.common.told.names.traffic[event.traffic.0]
                 .as_str()
                 .into(),
-            patience_ends: handed.patience_ends,
+            deadline: handed.patience_ends,
             key: event.key.map(|key| key.0),
             fingerprint: event.fingerprint.as_deref().map(Into::into),
             body: (&*handed.body).into(),
-            promised: Some(promises::of(
-                &self.common.told.terms.traffic_types[event.traffic.0],
+            guarantee: Some(promises::of(
+                &self.common.told.decisions.traffic_types[event.traffic.0],
             )),
         });
         debug!(self.common.log, "taken"; "event" => &*event.id.0, "traffic" => event.traffic.0,
--- a/forwarder/server/src/targets/call.rs
+++ b/forwarder/server/src/targets/call.rs
@@ -54,9 +54,7 @@
         let began = Instant::now();
         let time_out = send
             .as_ref()
-            .map_or(self.reach.common.told.connect_time_out, |send| {
-                send.time_out
-            });
+            .map_or(self.reach.common.told.connect_timeout, |send| send.time_out);
         let reused = self.kept.is_some();
         let ended = self.exchange(began, time_out, send.as_ref()).await;
         let took = began.elapsed().as_secs_f64() * 1000.0;
@@ -114,7 +112,7 @@
             let stream = match kept {
                 Some(kept) => kept.stream,
                 None => match self
-                    .dial(began + millis(told.connect_time_out), leaves_by, ends)
+                    .dial(began + millis(told.connect_timeout), leaves_by, ends)
                     .await
                 {
                     Ok(stream) => stream,
--- a/forwarder/server/src/targets/mod.rs
+++ b/forwarder/server/src/targets/mod.rs
@@ -13,7 +13,7 @@
 
 use async_channel::{Receiver, WeakSender};
 use plankhill_decisions::interface::*;
-use plankhill_forwarder_config::Told;
+use plankhill_forwarder_config::ForwarderConfig;
 use plankhill_hot_restart::Word;
 
 pub use self::call::Reach;
@@ -25,8 +25,8 @@
 use crate::mail::{CameIn, Returned, ToTarget};
 
 /// As many connections stand idle at all targets at most.
-pub fn most_idle(told: &Told) -> usize {
-    told.sockets / 8
+pub fn most_idle(told: &ForwarderConfig) -> usize {
+    told.max_sockets / 8
 }
 
 struct Idle {
@@ -50,7 +50,7 @@
 ) {
     let mut idle: Vec<Idle> = Vec::new(); // the one used last is last
     let (mut unwritten, mut taken_back) = async_channel::bounded::<()>(1);
-    let limit = millis(reach.common.told.idle_limit);
+    let limit = millis(reach.common.told.idle_timeout);
     let out = Rc::new(Cell::new(0)); // calls
     if let Some(budgets) = &reach.common.budgets {
         let own = own.clone();
--- a/forwarder/server/tests/many_starts.rs
+++ b/forwarder/server/tests/many_starts.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use plankhill_event_log::{Ledger, Outcome, Taken};
+use plankhill_event_log::{AcceptedEvent, EventLog, Outcome};
 use rstest::rstest;
 use serde_json::json;
 
@@ -57,23 +57,23 @@
 
 /// As full as a process would let it get: untried events, such as were out, and ends that nobody has heard.
 fn fill(folder: &std::path::Path) -> usize {
-    let (mut ledger, _) = Ledger::open(folder, DISK).expect("opens");
+    let (mut ledger, _) = EventLog::open(folder, DISK).expect("opens");
     let mut taken = 0;
-    while ledger.has_room_for(1000) {
+    while ledger.has_capacity_for(1000) {
         let id = format!("e{taken}");
-        ledger.taken(Taken {
+        ledger.accept(AcceptedEvent {
             id: id.clone().into(),
             destination: 1,
-            traffic: ["job", "order", "charge"][taken % 3].into(),
-            patience_ends: 4e12,
+            traffic_type: ["job", "order", "charge"][taken % 3].into(),
+            deadline: 4e12,
             key: Some(taken as u64 % 50),
             fingerprint: Some(format!("f{taken}").into()),
             body: vec![7; 1000].into(),
-            promised: None,
+            guarantee: None,
         });
         match taken % 4 {
-            1 => ledger.sent(&id, 1.0, "z"),
-            2 => ledger.ended(&id, Outcome::WrittenOff, None),
+            1 => ledger.record_attempt(&id, 1.0, "z"),
+            2 => ledger.record_outcome(&id, Outcome::Abandoned, None),
             _ => (),
         }
         ledger.commit().expect("writes");
--- a/forwarder/server/tests/stored_format.rs
+++ b/forwarder/server/tests/stored_format.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-use plankhill_event_log::{Ledger, Outcome};
+use plankhill_event_log::{EventLog, Outcome};
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -52,7 +52,7 @@
 fn the_log_holds_exactly_the_events_that_were_owed() {
     let folder = tempfile::tempdir().expect("a folder for the test");
     copy(folder.path(), "127.0.0.1:9".parse().expect("an address"));
-    let (_, owed) = Ledger::open(folder.path(), 3_000_000).expect("opens");
+    let (_, owed) = EventLog::open(folder.path(), 3_000_000).expect("opens");
     let at = |of: Option<(f64, String)>| {
         of.map(|(at, zone)| {
             assert_eq!(zone, "z");
@@ -61,21 +61,21 @@
     };
     let mut rows: BTreeMap<String, Row> = BTreeMap::new();
     for owed in owed {
-        let id = owed.taken.id.to_string();
-        assert_eq!(owed.taken.destination, 1);
-        assert_eq!(owed.taken.patience_ends, 4e12);
+        let id = owed.event.id.to_string();
+        assert_eq!(owed.event.destination, 1);
+        assert_eq!(owed.event.deadline, 4e12);
         // Of an event with an outcome body and attempts are dropped.
-        let body = if owed.ended.is_some() {
+        let body = if owed.outcome.is_some() {
             String::new()
         } else {
             format!("body of {id}")
         };
-        assert_eq!(&*owed.taken.body, body.as_bytes());
+        assert_eq!(&*owed.event.body, body.as_bytes());
         let row = (
-            owed.sends,
+            owed.attempts,
             at(owed.may_have_run),
-            at(owed.was_out),
-            owed.ended,
+            at(owed.in_flight),
+            owed.outcome,
         );
         assert!(rows.insert(id, row).is_none(), "an event stands twice");
     }
@@ -87,13 +87,10 @@
         ("order", (0, None, None, None)),
         ("charge-out", (1, None, Some(1_700_000_000_004.5), None)),
         ("charge-behind", (0, None, None, None)),
-        (
-            "unheard",
-            (0, None, None, Some((Outcome::WrittenOff, None))),
-        ),
+        ("unheard", (0, None, None, Some((Outcome::Abandoned, None)))),
         (
             "unheard-wait",
-            (0, None, None, Some((Outcome::Dismissed, Some(1_500.0)))),
+            (0, None, None, Some((Outcome::Rejected, Some(1_500.0)))),
         ),
     ];
     let expected: BTreeMap<String, Row> = expected.map(|(id, row)| (id.to_owned(), row)).into();
--- a/forwarder/server/tests/upgrade_signals.rs
+++ b/forwarder/server/tests/upgrade_signals.rs
@@ -51,7 +51,8 @@
     let (passage, mut ears) = told_yours(&first);
     first.signal("-TERM");
     first.logged("closes");
-    let (mut own, _) = plankhill_event_log::Ledger::open(&first.folder, 3_000_000).expect("opens");
+    let (mut own, _) =
+        plankhill_event_log::EventLog::open(&first.folder, 3_000_000).expect("opens");
     own.change_owner().expect("writes");
     block_on(passage.tell(&Word::Begun, None)).expect("told");
     first.logged("has handed over");
--- a/forwarder/server/tests/upgrade_steps.rs
+++ b/forwarder/server/tests/upgrade_steps.rs
@@ -45,7 +45,7 @@
     if ends == Ends::ItsFrame {
         let ledger = first.folder.join("ledger");
         let (mut own, _) =
-            plankhill_event_log::Ledger::open(&first.folder, 3_000_000).expect("opens");
+            plankhill_event_log::EventLog::open(&first.folder, 3_000_000).expect("opens");
         let before = std::fs::metadata(&ledger).expect("there").len();
         own.change_owner().expect("writes");
         assert!(std::fs::metadata(&ledger).expect("there").len() > before);
--- a/forwarder/simulator-adapter/src/wire.rs
+++ b/forwarder/simulator-adapter/src/wire.rs
@@ -8,7 +8,7 @@
 use plankhill_decisions::interface::*;
 use plankhill_decisions::scheduler::Scheduler;
 use plankhill_forwarder_config::fields::*;
-use plankhill_forwarder_config::{terms, Names};
+use plankhill_forwarder_config::{decision_config, Names};
 use serde_json::{json, Value};
 
 use crate::arrivals::hand_over;
@@ -110,7 +110,7 @@
         let who = whole(arrival, "who")?;
         if word == "openInstance" {
             let seed = whole(arrival, "entropy")?;
-            let (terms, names) = terms(object(arrival, "env")?, "env", seed)?;
+            let (terms, names) = decision_config(object(arrival, "env")?, "env", seed)?;
             let subscription = names
                 .ask_within
                 .map(|within| Subscription::new(within, seed));
--- a/tier/conversations/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -15,7 +15,9 @@
 };
 use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
-use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord};
+use plankhill_protocol::store_calls::{
+    Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord,
+};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
 fn program() -> ProgramId {
--- a/tier/protocol/tests/wire_format/messages.rs
+++ b/tier/protocol/tests/wire_format/messages.rs
@@ -8,7 +8,9 @@
     Incarnation, InstanceId, NodeId, ProgramId, RequestId, Revision, ServiceName, StoreEpoch,
     ZoneName,
 };
-use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord};
+use plankhill_protocol::store_calls::{
+    Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord,
+};
 use plankhill_protocol::tables::{
     ConfigurationText, Drain, Edge, ServedModel, StoreMember, StoreView, Tables, TablesChange,
     TablesUpdate, Target, TargetState,
