--- a/forwarder/admin/src/lib.rs
+++ b/forwarder/admin/src/lib.rs
@@ -1,8 +1,11 @@
-//! What operators ask of a running forwarder. Nothing here does I/O: the forwarder reads the calls, writes
-//! the record of the bans, and tells the module what follows.
+//! The admin API of a running forwarder: operators' requests as they are parsed, and the targets that operators have
+//! disabled. Nothing here does I/O: `forwarder/server` reads the requests, writes the record of disabled targets and
+//! tells the scheduler what follows.
 
-mod bans;
-mod calls;
+mod disabled_targets;
+mod requests;
 
-pub use bans::{Bans, Change, Damaged};
-pub use calls::{asked, Asked, Order, Refused, Reply};
+pub use disabled_targets::{
+    CorruptRecord, DisabledTargets, RecordChange, TargetSwitch, MAX_FORMERLY_LISTED,
+};
+pub use requests::{parse_request, AdminCommand, AdminReply, AdminRequest, RequestError};
--- a/forwarder/hot-restart/src/lib.rs
+++ b/forwarder/hot-restart/src/lib.rs
@@ -1,13 +1,22 @@
-//! How a running forwarder hands over to a new version of it. `roles` decides, without I/O, what each of the
-//! two does next; `words` is what they say to each other; `passage` carries that over a Unix socket, with
-//! descriptors; `lock` is held by the process that decides. docs/operations.md tells the whole way.
+//! Hot restart: a running forwarder (the predecessor) hands over to a new process of it (the successor) without a
+//! moment in which both or neither decide.
+//!
+//! - [`handshake`] decides, without I/O, what each of the two does next.
+//! - [`messages`] is what they send each other; the bytes are pinned by `tests/wire_format.rs`.
+//! - [`channel`] carries messages over a Unix socket, with descriptors.
+//! - [`state_lock`] is the lock of the state folder, held by the process that decides.
+//!
+//! Called by `forwarder/server` (`hot_restart`). The whole way is in `docs/operations.md`.
 
-mod lock;
-mod passage;
-mod roles;
-mod words;
+pub mod channel;
+pub mod handshake;
+pub mod messages;
+pub mod state_lock;
 
-pub use lock::Lock;
-pub use passage::{bind, connect, Ears, Passage};
-pub use roles::{Does, Elder, Happens, Heir};
-pub use words::{Event, Handed, Names, State, Verdict, Word, VERSION};
+pub use channel::{bind, connect, MessageReceiver, MessageSender};
+pub use handshake::{Action, Predecessor, Signal, Successor};
+pub use messages::{
+    EventHeader, Message, PositionNames, ProcessState, SubmitResponse, SubmittedEvent,
+    PROTOCOL_VERSION,
+};
+pub use state_lock::StateLock;
--- a/forwarder/server/src/clients/broadcast.rs
+++ b/forwarder/server/src/clients/broadcast.rs
@@ -1,42 +1,52 @@
-//! A broadcast that a client hands in.
+//! A broadcast that a client submits.
 
 use plankhill_fanout::{ListName, Rejection};
-use plankhill_hot_restart::{Event, Verdict};
+use plankhill_hot_restart::{EventHeader, SubmitResponse};
 
-use super::client::Client;
-use crate::exchange::{is_gone, Body};
-use crate::fanout::LONGEST_BODY;
+use super::connection::ClientConnection;
+use super::respond::Responded;
+use crate::fanout::MAX_BROADCAST_BODY_BYTES;
+use crate::stream::{is_closed_by_peer, Body};
 
-impl Client {
-    /// Answers once the log has decided: 202 if it counts, 503 if it surely never will. It can't be taken back:
-    /// a client that goes before its answer finds out by handing it in again under its id.
-    pub(super) async fn broadcast(&mut self, list: ListName, event: Event, body: Body) -> bool {
-        if is_gone(&self.stream) {
-            return false;
+impl ClientConnection {
+    /// Responds once the control group's log has decided: 202 if the broadcast counts, 503 if it surely never will. A
+    /// broadcast cannot be withdrawn: a client that goes before its response finds out by submitting the broadcast
+    /// again under its id.
+    pub(super) async fn submit_broadcast(
+        &mut self,
+        list: ListName,
+        event: EventHeader,
+        body: Body,
+    ) -> Responded {
+        if is_closed_by_peer(&self.stream) {
+            return Responded::Failed;
         }
-        if body.len() > LONGEST_BODY {
+        if body.len() > MAX_BROADCAST_BODY_BYTES {
             return self
                 .respond(413, &[], "the body is too long for a broadcast")
                 .await;
         }
-        let wait = self.common.told.decisions.max_retry_after;
-        let traffic = self.common.told.names.traffic[event.traffic.0].clone();
-        let posted = match &self.common.fanout {
-            Some(_) if self.common.gate.has_ended() => Err(Rejection::Late),
-            Some(fanout) if !self.full => fanout.post(list, traffic, event, &body),
+        let config = self.context.config.clone();
+        let traffic_type = config.names.traffic[event.traffic_type.0].clone();
+        let submitted = match &self.context.fanout {
+            Some(_) if self.context.client_gate.is_shutting_down() => Err(Rejection::Late),
+            Some(fanout) if !self.over_limit => fanout.submit(list, traffic_type, event, &body),
             _ => Err(Rejection::Full),
         };
-        let verdict = match posted {
-            Ok(verdict) => verdict.recv().await.unwrap_or(Verdict::Refused(None)),
+        let response = match submitted {
+            Ok(response) => response
+                .recv()
+                .await
+                .unwrap_or(SubmitResponse::Rejected(None)),
             Err(Rejection::NoSuchList) => return self.respond(404, &[], "no such list").await,
             Err(Rejection::BadId) => {
                 return self
                     .respond(400, &[], "Req-Id: is missing or too long")
-                    .await
+                    .await;
             }
-            Err(Rejection::Full) => Verdict::Refused(wait),
-            Err(Rejection::Known | Rejection::Late) => Verdict::Refused(None),
+            Err(Rejection::Full) => SubmitResponse::Rejected(config.decisions.max_retry_after),
+            Err(Rejection::Known | Rejection::Late) => SubmitResponse::Rejected(None),
         };
-        self.tell(verdict).await
+        self.respond_submitted(response).await
     }
 }
--- a/forwarder/server/src/clients/mod.rs
+++ b/forwarder/server/src/clients/mod.rs
@@ -1,13 +1,17 @@
-//! Client connections: each has an actor that reads requests, hands events to the decisions and answers.
+//! Connections of clients, those that are accepted and those that a predecessor process transfers.
+//!
+//! Each has a task ([`connection`]) that reads requests ([`read_request`], [`request`]), submits events to the event
+//! loop and responds ([`respond`]). [`waiting`] says which connections make room for others.
 
-mod answering;
 mod broadcast;
-mod client;
-mod door;
-mod reading;
+mod connection;
+mod read_request;
+mod rejection_log;
 mod request;
+mod respond;
 #[cfg(test)]
 mod tests;
+mod waiting;
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -19,149 +23,156 @@
 use plankhill_http1 as http1;
 use slog::warn;
 
-use self::client::{Client, READING};
-use self::door::{Door, Waits};
-use crate::closing;
-use crate::common::Common;
-use crate::counted::Counted;
-use crate::exchange::{is_quiet, Stream};
-use crate::look;
-use crate::mail::CameIn;
-use crate::operators;
-use crate::targets::most_idle;
+use self::connection::{ClientConnection, READ_TIMEOUT};
+use self::waiting::{ConnectionTable, WaitReason};
+use crate::admin_listener::MAX_ADMIN_CONNECTIONS;
+use crate::context::ServerContext;
+use crate::count_guard::CountGuard;
+use crate::lingering_close;
+use crate::messages::Input;
+use crate::stall_guard;
+use crate::stream::{is_quiet, Stream};
+use crate::targets::max_idle_connections;
 
-/// Descriptors for discovery, the ledger, the log and the reactor.
-const FILES: usize = 24;
-/// Between looks while no more connections are accepted.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Descriptors for discovery, the event log, the process's log and the reactor.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Between tries while connections cannot be accepted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// Between looks whether the last client has its response.
+const SERVED_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Between looks whether the last client has its answer.
-const LOOK: Duration = Duration::from_millis(10);
-
-/// Whoever is half-way through a request is owed its answer, or is told that it took too long. So is whoever waits in
-/// the kernel's queue: the end may be due in the same turn in which one comes.
-pub async fn all_served(common: &Common) {
+/// Returns once no client is connected. A client that is half-way through a request is owed its response, or is told
+/// that the request took too long. So is one that waits in the kernel's queue: shutdown may be due in the same turn in
+/// which it connects.
+pub async fn wait_until_served(context: &ServerContext) {
     loop {
-        while common.clients.get() > 0 {
-            Timer::after(LOOK).await;
+        while context.open_clients.get() > 0 {
+            Timer::after(SERVED_POLL_INTERVAL).await;
         }
-        look::all_sockets().await;
-        if common.clients.get() == 0 {
+        stall_guard::poll_all_sockets().await;
+        if context.open_clients.get() == 0 {
             return;
         }
     }
 }
 
-/// The clients' connections, those that are accepted and those that another process passes on.
+/// Accepts connections and serves them; clones share the connections.
 #[derive(Clone)]
 pub struct Clients {
-    common: Common,
-    to_rounds: Sender<CameIn>,
-    door: Rc<Door>,
+    context: ServerContext,
+    to_event_loop: Sender<Input>,
+    connections: Rc<ConnectionTable>,
 }
 
 impl Clients {
-    pub fn new(common: Common, to_rounds: Sender<CameIn>) -> Self {
-        let door = Rc::new(Door {
-            open: common.clients.clone(),
-            ..Door::default()
-        });
+    pub fn new(context: ServerContext, to_event_loop: Sender<Input>) -> Self {
+        let connections = Rc::new(ConnectionTable::new(context.open_clients.clone()));
         Clients {
-            common,
-            to_rounds,
-            door,
+            context,
+            to_event_loop,
+            connections,
         }
     }
 
-    /// As many are served at most: what the targets, discovery, the files and operators do not need, nor the
-    /// process that this one took over from.
-    fn most(&self) -> usize {
-        let told = &self.common.told;
-        let callers = told.admin_address.map_or(0, |_| operators::MOST + 1);
-        let others = most_idle(told)
-            + told.decisions.max_calls_in_flight
-            + FILES
-            + callers
-            + self.common.aside.get();
-        told.max_sockets.saturating_sub(others).max(1)
+    /// Connections that are served at most: the descriptors that targets, discovery, files, operators and the
+    /// predecessor process do not need.
+    fn max_connections(&self) -> usize {
+        let config = &self.context.config;
+        let admin = config
+            .admin_address
+            .map_or(0, |_| MAX_ADMIN_CONNECTIONS + 1);
+        let others = max_idle_connections(config)
+            + config.decisions.max_calls_in_flight
+            + RESERVED_DESCRIPTORS
+            + admin
+            + self.context.predecessor_descriptors.get();
+        config.max_sockets.saturating_sub(others).max(1)
     }
 
+    /// Accepts connections until the task is dropped.
     pub async fn listen(self, listener: Async<TcpListener>) {
-        let door = &self.door;
         let mut incoming = Box::pin(listener.incoming());
-        while let Some(came) = incoming.next().await {
-            let stream = match came {
-                Ok(stream) => stream,
-                Err(e) => {
-                    warn!(self.common.log, "a connection cannot be accepted"; "error" => %e);
-                    Timer::after(PAUSE).await;
-                    continue;
+        while let Some(accepted) = incoming.next().await {
+            match accepted {
+                Ok(stream) => self.admit(stream).await,
+                Err(error) => {
+                    warn!(self.context.log, "client connection cannot be accepted";
+                        "error" => %error);
+                    Timer::after(ACCEPT_BACKOFF).await;
                 }
-            };
-            let _ = stream.get_ref().set_nodelay(true);
-            // The last of them are told that it is full.
-            let most = self.most();
-            door.most.set(most - most / 8);
-            let full = !door.has_room();
-            let mut counted = Counted::new(&door.open, most);
-            // Some that were to make room go on with what just came, but once only.
-            while counted.is_none() && door.has_room() {
-                future::yield_now().await;
-                counted = Counted::new(&door.open, most);
             }
-            let Some(counted) = counted else {
-                // All of them are being served.
-                self.turn_away(stream);
-                continue;
-            };
-            self.serve(stream, full, counted, Waits::Silent, READING);
-            // Those that made room end now, and what was accepted is read before more is.
-            future::yield_now().await;
         }
     }
 
-    /// A connection on which another process waited for the next request.
-    pub fn take_over(&self, stream: Stream, asked: u64, left: Duration) {
-        let waits = [Waits::Silent, Waits::Once, Waits::Idle][asked.min(2) as usize];
-        match Counted::new(&self.door.open, self.most()) {
-            Some(counted) => self.serve(stream, false, counted, waits, left),
-            // One that rests may be closed, but its request may lie in it.
-            None if !is_quiet(&stream) => self.turn_away(stream),
-            None => (),
+    async fn admit(&self, stream: Stream) {
+        let _ = stream.get_ref().set_nodelay(true);
+        let connections = &self.connections;
+        let max = self.max_connections();
+        // The last eighth is told that the server is full.
+        connections.set_soft_limit(max - max / 8);
+        let over_limit = !connections.make_room();
+        let mut counted = connections.try_count(max);
+        // Some that were to make room go on with what just arrived, but once only.
+        while counted.is_none() && connections.make_room() {
+            future::yield_now().await;
+            counted = connections.try_count(max);
         }
+        let Some(counted) = counted else {
+            // All of them are being served.
+            reject(&stream);
+            return;
+        };
+        self.serve(
+            stream,
+            over_limit,
+            counted,
+            WaitReason::FirstRequest,
+            READ_TIMEOUT,
+        );
+        // Those that made room end now, and what was accepted is read before more is.
+        future::yield_now().await;
     }
 
-    fn turn_away(&self, stream: Stream) {
-        let mut message = Vec::with_capacity(128);
-        let fields: [(&str, &dyn std::fmt::Display); 2] =
-            [("Retry-After", &1), ("Connection", &"close")];
-        let _ = http1::response(&mut message, 503, &fields, 0);
-        closing::turn_away(&stream, &message);
+    /// Serves a connection on which the predecessor process waited for the next request, for `time_left` more.
+    pub fn take_over(&self, stream: Stream, requests_served: u64, time_left: Duration) {
+        let reason = match requests_served {
+            0 => WaitReason::FirstRequest,
+            1 => WaitReason::SecondRequest,
+            _ => WaitReason::NextRequest,
+        };
+        match self.connections.try_count(self.max_connections()) {
+            Some(counted) => self.serve(stream, false, counted, reason, time_left),
+            // An idle connection may be closed, but its request may lie in it.
+            None if !is_quiet(&stream) => reject(&stream),
+            None => (),
+        }
     }
 
-    fn serve(&self, stream: Stream, full: bool, counted: Counted, waits: Waits, left: Duration) {
-        let Clients {
-            common,
-            to_rounds,
-            door,
-        } = self.clone();
-        let executor = common.executor.clone();
-        let came = Instant::now();
-        let (begun, last, ready) = (None, false, None);
-        let client = Client {
-            common,
-            to_rounds,
+    fn serve(
+        &self,
+        stream: Stream,
+        over_limit: bool,
+        counted: CountGuard,
+        reason: WaitReason,
+        timeout: Duration,
+    ) {
+        let connection = ClientConnection::new(
+            self.context.clone(),
+            self.to_event_loop.clone(),
+            self.connections.clone(),
             stream,
-            full,
-            door,
-            begun,
-            last,
-            came,
-            ready,
-            _counted: counted,
-        };
-        executor
-            .spawn(client.run(waits, Instant::now() + left))
-            .detach();
+            over_limit,
+            counted,
+        );
+        let task = connection.run(reason, Instant::now() + timeout);
+        self.context.executor.spawn(task).detach();
     }
 }
+
+fn reject(stream: &Stream) {
+    let mut response = Vec::with_capacity(128);
+    let fields: [(&str, &dyn std::fmt::Display); 2] =
+        [("Retry-After", &1), ("Connection", &"close")];
+    let _ = http1::response(&mut response, 503, &fields, 0);
+    lingering_close::reject(stream, &response);
+}
--- a/forwarder/server/src/clients/request.rs
+++ b/forwarder/server/src/clients/request.rs
@@ -1,124 +1,203 @@
-//! A request of a client: what is asked for, and what is wrong with it.
+//! A client's request: what its head asks for, and what is wrong with it.
 
 use std::ops::Range;
 use std::rc::Rc;
 use std::time::Instant;
 
-use plankhill_buffer_pool::Buffer;
-use plankhill_decisions::interface::*;
+use plankhill_buffer_pool::PooledBuffer;
+use plankhill_decisions::interface::{DestinationId, EventId, Idempotency, Ms, TrafficTypeId};
 use plankhill_fanout::{BroadcastId, ListName};
 use plankhill_forwarder_config::fanout::BROADCAST;
 use plankhill_forwarder_config::ForwarderConfig;
-use plankhill_hot_restart::Event;
+use plankhill_hot_restart::EventHeader;
 use plankhill_http1::{Malformed, RequestHead};
 
-/// A refusal that is no decision on an event: what is wrong with the request.
-pub(super) struct Refusal(pub(super) u16, pub(super) &'static str);
+/// Longest id of an event, in bytes.
+const MAX_EVENT_ID_BYTES: usize = 128;
+/// Longest `Req-Deadline`, in seconds.
+const MAX_TIMEOUT_SECONDS: f64 = 1e6;
+/// A broadcast's own destination says nothing: its list names the destinations.
+const BROADCAST_DESTINATION: &str = "0";
 
-impl From<Malformed> for Refusal {
-    fn from(Malformed(what): Malformed) -> Self {
-        Refusal(400, what)
+/// Rejection of a request that is no decision on an event.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{reason}")]
+pub(super) struct RequestError {
+    /// The response's status.
+    pub(super) status: u16,
+    /// The response's body.
+    pub(super) reason: &'static str,
+}
+
+impl RequestError {
+    pub(super) const fn new(status: u16, reason: &'static str) -> Self {
+        RequestError { status, reason }
+    }
+}
+
+impl From<Malformed> for RequestError {
+    fn from(Malformed(reason): Malformed) -> Self {
+        RequestError::new(400, reason)
     }
 }
 
 /// A buffer with the beginning of the next request.
-pub(super) struct Begun {
-    pub(super) buffer: Buffer,
+pub(super) struct PartialRequest {
+    pub(super) buffer: PooledBuffer,
     pub(super) filled: usize,
 }
 
-/// A request that was read whole.
+/// A request that was read to its end.
 pub(super) struct Request {
     pub(super) asked: Asked,
-    pub(super) buffer: Buffer,
+    pub(super) buffer: PooledBuffer,
     pub(super) body: Range<usize>,
+    /// Whether the client wants the connection closed behind the response.
     pub(super) closes: bool,
-    /// Its first byte came then: its client counts from there at the latest.
-    pub(super) since: Instant,
+    /// When the request's first byte arrived: the client's time counts from there at the latest.
+    pub(super) began: Instant,
 }
 
+/// What a request asks for.
 pub(super) enum Asked {
+    /// `GET /up`: whether clients are to come.
     Up,
-    Event(Event),
-    /// For all destinations of the list; its own destination says nothing.
-    Broadcast(ListName, Event),
+    /// `POST /{traffic type}`
+    Event(EventHeader),
+    /// `POST /{BROADCAST}/{list}/{traffic type}`
+    Broadcast(ListName, EventHeader),
 }
 
-pub(super) fn read_fields(head: &RequestHead, told: &ForwarderConfig) -> Result<Asked, Refusal> {
+/// Parses a request's head.
+///
+/// # Errors
+/// The path or method is not served, or a field is missing or malformed.
+pub(super) fn parse_head(
+    head: &RequestHead,
+    config: &ForwarderConfig,
+) -> Result<Asked, RequestError> {
     if head.path() == "/up" {
-        return if head.method == "GET" {
-            Ok(Asked::Up)
-        } else {
-            Err(Refusal(405, "only GET is served here"))
+        return match head.method {
+            "GET" => Ok(Asked::Up),
+            _ => Err(RequestError::new(405, "only GET is served here")),
         };
     }
-    let mut steps = head.path().split('/').skip(1);
-    let list = steps
-        .clone()
-        .nth(1)
-        .filter(|_| told.fanout.is_some() && steps.next() == Some(BROADCAST));
-    let class = list
-        .map_or(head.path().split('/').nth(1), |_| steps.nth(1))
-        .unwrap_or_default();
-    let layout = told.fanout.as_ref().filter(|_| list.is_some());
-    let list = list.map(|list| ListName(list.to_owned()));
-    if layout.is_some_and(|layout| {
-        layout
-            .lists
-            .iter()
-            .all(|(name, _)| Some(name) != list.as_ref())
-    }) {
-        return Err(Refusal(404, "no such list"));
-    }
-    let traffic = told.names.traffic.iter().position(|name| name == class);
-    let traffic = traffic
-        .map(TrafficTypeId)
-        .ok_or(Refusal(404, "no such traffic type"))?;
+    let Route { list, traffic_type } = parse_path(head.path(), config)?;
     if head.method != "POST" {
-        return Err(Refusal(405, "only POST is served here"));
+        return Err(RequestError::new(405, "only POST is served here"));
     }
-    let (fields, kind) = (&head.fields, &told.decisions.traffic_types[traffic.0]);
-    let id = fields
-        .one("Req-Id")?
-        .filter(|id| !id.is_empty() && id.len() <= 128);
-    let patience = fields
-        .one("Req-Deadline")?
-        .and_then(|text| text.parse::<f64>().ok());
-    let patience = patience.filter(|seconds| seconds.is_finite() && (0.0..=1e6).contains(seconds));
+    let event = parse_event(head, config, traffic_type, list.is_some())?;
+    Ok(match list {
+        Some(list) => Asked::Broadcast(list, event),
+        None => Asked::Event(event),
+    })
+}
+
+/// Where a path leads.
+struct Route {
+    /// Of a broadcast.
+    list: Option<ListName>,
+    traffic_type: TrafficTypeId,
+}
+
+fn parse_path(path: &str, config: &ForwarderConfig) -> Result<Route, RequestError> {
+    let mut segments = path.split('/').skip(1);
+    let first = segments.next();
+    let mut type_name = first;
+    let mut list = None;
+    if let Some(layout) = &config.fanout {
+        if first == Some(BROADCAST) {
+            if let Some(name) = segments.next() {
+                let name = ListName(name.to_owned());
+                if !layout.lists.iter().any(|(known, _)| *known == name) {
+                    return Err(RequestError::new(404, "no such list"));
+                }
+                list = Some(name);
+                type_name = segments.next();
+            }
+        }
+    }
+    let type_name = type_name.unwrap_or_default();
+    match config
+        .names
+        .traffic
+        .iter()
+        .position(|name| name == type_name)
+    {
+        Some(position) => Ok(Route {
+            list,
+            traffic_type: TrafficTypeId(position),
+        }),
+        None => Err(RequestError::new(404, "no such traffic type")),
+    }
+}
+
+fn parse_event(
+    head: &RequestHead,
+    config: &ForwarderConfig,
+    traffic_type: TrafficTypeId,
+    is_broadcast: bool,
+) -> Result<EventHeader, RequestError> {
+    let fields = &head.fields;
+    let settings = &config.decisions.traffic_types[traffic_type.0];
+    // All fields are read before any is judged: a field that stands twice is the first fault.
+    let id = fields.one("Req-Id")?;
+    let timeout = fields.one("Req-Deadline")?.and_then(parse_timeout);
     let envelope = fields.one("X-Envelope")?.unwrap_or_default();
-    let dest = envelope
-        .split([';', ',', ' '])
-        .find_map(|part| part.trim().strip_prefix("dest="));
-    let key = fields
-        .cookie("about")
-        .filter(|_| kind.ordered)
-        .map(plankhill_forwarder_config::order_key)
-        .transpose();
-    let fingerprint = fields.one("Idempotency-Key")?.map(Rc::from);
-    if matches!(kind.idempotency, Idempotency::Deduplicated { .. }) && fingerprint.is_none() {
-        return Err(Refusal(400, "Idempotency-Key: is missing"));
+    let key = match fields.cookie("about") {
+        Some(about) if settings.ordered => Some(plankhill_forwarder_config::order_key(about)),
+        _ => None,
+    };
+    let fingerprint: Option<Rc<str>> = fields.one("Idempotency-Key")?.map(Rc::from);
+    if matches!(settings.idempotency, Idempotency::Deduplicated { .. }) && fingerprint.is_none() {
+        return Err(RequestError::new(400, "Idempotency-Key: is missing"));
     }
-    let id = id.filter(|id| list.is_none() || id.len() <= BroadcastId::LONGEST);
-    let dest = if list.is_some() { Some("0") } else { dest };
-    let event = Event {
-        id: EventId(
-            id.ok_or(Refusal(400, "Req-Id: is missing or too long"))?
-                .into(),
-        ),
-        destination: DestinationId(
-            dest.and_then(|dest| dest.parse().ok())
-                .ok_or(Refusal(400, "X-Envelope: no dest with a number"))?,
-        ),
-        traffic,
+    let id = parse_id(id, is_broadcast)?;
+    let destination = match is_broadcast {
+        true => Some(BROADCAST_DESTINATION),
+        false => destination_in(envelope),
+    };
+    let destination = destination
+        .and_then(|destination| destination.parse().ok())
+        .ok_or(RequestError::new(400, "X-Envelope: no dest with a number"))?;
+    let timeout = timeout.ok_or(RequestError::new(
+        400,
+        "Req-Deadline: not a number of seconds",
+    ))?;
+    let key = key
+        .transpose()
+        .map_err(|_| RequestError::new(400, "Cookie: about is not a hexadecimal key"))?;
+    Ok(EventHeader {
+        id,
+        destination: DestinationId(destination),
+        traffic_type,
         // Nobody is owed more than the traffic type gives.
-        patience: kind
-            .patience
-            .min(1000.0 * patience.ok_or(Refusal(400, "Req-Deadline: not a number of seconds"))?),
-        key: key.map_err(|_| Refusal(400, "Cookie: about is not a hexadecimal key"))?,
+        timeout: settings.patience.min(timeout),
+        key,
         fingerprint,
-    };
-    Ok(match list {
-        Some(list) => Asked::Broadcast(list, event),
-        None => Asked::Event(event),
     })
 }
+
+fn parse_id(id: Option<&str>, is_broadcast: bool) -> Result<EventId, RequestError> {
+    let max_bytes = match is_broadcast {
+        true => MAX_EVENT_ID_BYTES.min(BroadcastId::LONGEST),
+        false => MAX_EVENT_ID_BYTES,
+    };
+    match id {
+        Some(id) if !id.is_empty() && id.len() <= max_bytes => Ok(EventId(id.into())),
+        _ => Err(RequestError::new(400, "Req-Id: is missing or too long")),
+    }
+}
+
+/// Seconds of `Req-Deadline`, in milliseconds.
+fn parse_timeout(text: &str) -> Option<Ms> {
+    let seconds: f64 = text.parse().ok()?;
+    let is_valid = seconds.is_finite() && (0.0..=MAX_TIMEOUT_SECONDS).contains(&seconds);
+    is_valid.then_some(1000.0 * seconds)
+}
+
+fn destination_in(envelope: &str) -> Option<&str> {
+    envelope
+        .split([';', ',', ' '])
+        .find_map(|part| part.trim().strip_prefix("dest="))
+}
--- /dev/null
+++ b/forwarder/server/src/connection_quotas/control_group.rs
@@ -0,0 +1,134 @@
+//! The control group's events, and what is sent to the group: reports of what is wanted, and proposals while this process
+//! leads it.
+
+use std::collections::BTreeMap;
+
+use plankhill_connection_quotas::leases::{encode, Command};
+use plankhill_raft_groups::{GroupEvent, GroupId, GroupRequest, Purpose};
+use slog::{info, warn, Logger};
+
+use super::control::{tag_command, untag_command};
+use super::{now, ConnectionQuotas};
+use crate::raft::RaftHandle;
+
+/// Proposals that may be undecided; at that, none is made.
+const MAX_UNDECIDED_PROPOSALS: usize = 1_024;
+
+/// Proposals to the control group.
+#[derive(Default)]
+pub struct Proposals {
+    /// The control group while this process leads it.
+    led_group: Option<GroupId>,
+    /// Numbers grow by one for each group, over all the times that it is led.
+    last_numbers: BTreeMap<GroupId, u64>,
+    undecided: BTreeMap<(GroupId, u64), Command>,
+}
+
+impl ConnectionQuotas {
+    pub(super) fn tick(&self, raft: &RaftHandle, log: &Logger) {
+        let at = now();
+        let surplus = self.local.borrow().surplus(at);
+        for (pool, surplus) in &surplus {
+            self.close_idle(pool, *surplus);
+        }
+        let waited_for: Vec<_> = self.waiting.borrow().keys().cloned().collect();
+        for pool in &waited_for {
+            self.wake_first(pool);
+        }
+        let report = self.local.borrow_mut().report(at);
+        if let Some(body) = report {
+            // A report that is lost is made again with the next renewal.
+            let _ = raft.request(GroupRequest::Report { body });
+        }
+        let due = self.local.borrow_mut().due(at);
+        for command in due {
+            self.propose(raft, log, command);
+        }
+    }
+
+    /// Events of other groups than the control group change nothing.
+    pub fn on_group_event(&self, raft: &RaftHandle, log: &Logger, event: &GroupEvent) {
+        let at = now();
+        match event {
+            GroupEvent::Elected {
+                group,
+                purpose: Purpose::Control,
+                term,
+                state,
+            } => {
+                info!(log, "connection quotas: leads the control group"; "term" => term.0);
+                self.proposals.borrow_mut().led_group = Some(*group);
+                self.local.borrow_mut().leads(at, term.0, state);
+            }
+            GroupEvent::Deposed { group } => {
+                if self.proposals.borrow().led_group == Some(*group) {
+                    info!(log, "connection quotas: leads the control group no more");
+                    self.proposals.borrow_mut().led_group = None;
+                    self.local.borrow_mut().deposed();
+                }
+            }
+            GroupEvent::Committed { group, number } => {
+                self.proposals
+                    .borrow_mut()
+                    .undecided
+                    .remove(&(*group, *number));
+            }
+            GroupEvent::Discarded { group, number } => {
+                let discarded = self
+                    .proposals
+                    .borrow_mut()
+                    .undecided
+                    .remove(&(*group, *number));
+                if let Some(command) = discarded {
+                    self.local.borrow_mut().void(&command);
+                }
+            }
+            GroupEvent::Applied { term, command, .. } => {
+                if let Some(command) = untag_command(command) {
+                    self.local.borrow_mut().applied(at, term.0, command);
+                }
+            }
+            GroupEvent::SnapshotInstalled { state } => self.local.borrow_mut().replaced(state),
+            GroupEvent::ReportReceived { body, .. } => {
+                let command = self.local.borrow_mut().reported(at, body);
+                if let Some(command) = command {
+                    self.propose(raft, log, command);
+                }
+            }
+            GroupEvent::Elected { .. } | GroupEvent::PeerChanged { .. } => (),
+        }
+    }
+
+    fn propose(&self, raft: &RaftHandle, log: &Logger, command: Command) {
+        let mut proposals = self.proposals.borrow_mut();
+        let has_room = proposals.undecided.len() < MAX_UNDECIDED_PROPOSALS;
+        let Some(group) = proposals.led_group.filter(|_| has_room) else {
+            self.local.borrow_mut().void(&command);
+            return;
+        };
+        if proposals
+            .undecided
+            .values()
+            .any(|undecided| *undecided == command)
+        {
+            return;
+        }
+        let number = proposals.last_numbers.get(&group).copied().unwrap_or(0) + 1;
+        let tagged = tag_command(encode(&command));
+        let request = GroupRequest::Propose {
+            group,
+            number,
+            command: tagged,
+        };
+        if raft.request(request).is_err() {
+            warn!(
+                log,
+                "connection quotas: the group's ring is full, lease delayed"
+            );
+            self.local.borrow_mut().void(&command);
+            return;
+        }
+        proposals.last_numbers.insert(group, number);
+        proposals.undecided.insert((group, number), command);
+    }
+}
--- /dev/null
+++ b/forwarder/server/src/event_loop/host/effects.rs
@@ -0,0 +1,142 @@
+//! The scheduler's decisions as effects. They are gathered during an iteration and carried out after it, once they
+//! stand in the log.
+
+use plankhill_decisions::interface::{Effects, EventId, Ms, TargetId};
+use plankhill_event_log::Outcome;
+use plankhill_hot_restart::SubmitResponse;
+use slog::debug;
+
+use super::SchedulerHost;
+use crate::messages::{CompletionNotice, OutgoingCall, TargetCommand};
+
+/// Added to each pause before a wake-up, so that rounding does not end it before the timer is due.
+const WAKE_UP_MARGIN: Ms = 0.01;
+
+impl SchedulerHost {
+    /// Attempts and health checks whose log records could not be written never leave.
+    pub(in crate::event_loop) fn fail_queued_commands(&mut self) {
+        self.commands.fail_queued();
+    }
+
+    /// Sends the commands of the iteration, then its notices.
+    pub(in crate::event_loop) fn carry_out(&mut self) {
+        self.commands.send_queued();
+        self.notices.send_staged(&self.context.log);
+    }
+
+    /// An outcome other than delivery. A client that still waits is answered with it; otherwise it goes to the platform
+    /// as a notice, and the function returns true.
+    pub(super) fn end_event(
+        &mut self,
+        event: &EventId,
+        outcome: Outcome,
+        retry_after: Option<Ms>,
+    ) -> bool {
+        let response = self
+            .retained
+            .remove(event)
+            .and_then(|event| event.into_response());
+        let Some(response) = response else {
+            self.log.record_outcome(event, outcome, retry_after);
+            if outcome == Outcome::Abandoned {
+                self.resolved_here.add(event, self.now);
+            }
+            let notice = CompletionNotice {
+                event: event.clone(),
+                outcome,
+                retry_after,
+            };
+            self.notices.stage(notice);
+            if let Some(fanout) = &self.context.fanout {
+                fanout.ended(event, outcome);
+            }
+            return true;
+        };
+        self.log.complete(event);
+        let _ = response.try_send(match outcome {
+            Outcome::Rejected => SubmitResponse::Rejected(retry_after),
+            Outcome::Abandoned => SubmitResponse::Failed,
+        });
+        false
+    }
+}
+
+impl Effects for SchedulerHost {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, timeout: Ms, leave_by: Ms) {
+        let Some(retained) = self.retained.get(event) else {
+            return;
+        };
+        let zone = self.commands.targets().zone(target);
+        // Of a removed target no zone is known: an empty name is none that the settings have.
+        let zone = self
+            .context
+            .config
+            .names
+            .zones
+            .get(zone.0)
+            .map_or("", String::as_str);
+        self.log.record_attempt(event, self.now, zone, timeout);
+        self.attempts_in_flight.insert(event.clone());
+        if let Some(fanout) = &self.context.fanout {
+            fanout.attempt_started(event, target);
+        }
+        debug!(self.context.log, "attempt sent"; "event" => &*event.0, "target" => &*target.0,
+            "timeout_ms" => timeout);
+        let call = OutgoingCall {
+            event: event.clone(),
+            decided_at: self.context.clock.instant(self.now),
+            fingerprint: retained.fingerprint(),
+            body: retained.body(),
+            timeout,
+            deadline: retained.deadline(),
+            leave_by,
+            groups: self.log.groups_of(event),
+        };
+        self.commands
+            .push(target.clone(), TargetCommand::Call(call));
+    }
+
+    fn reject(&mut self, event: &EventId, retry_after: Option<Ms>) -> bool {
+        self.end_event(event, Outcome::Rejected, retry_after)
+    }
+
+    fn abandon(&mut self, event: &EventId) -> bool {
+        self.end_event(event, Outcome::Abandoned, None)
+    }
+
+    fn health_check(&mut self, target: &TargetId) {
+        self.commands.health_check_started(target);
+        if let Some(fanout) = &self.context.fanout {
+            fanout.target_at_rest(target);
+        }
+        self.commands
+            .push(target.clone(), TargetCommand::HealthCheck);
+    }
+
+    fn close_idle_connections(&mut self, target: &TargetId) {
+        self.commands.push(target.clone(), TargetCommand::CloseIdle);
+    }
+
+    fn cancel_unsent(&mut self, target: &TargetId) {
+        self.cancel_staged_calls(target);
+        // At once, ahead of the iteration's own attempts: an attempt that does not leave needs no record, and neither
+        // a log that cannot be written nor a majority that does not answer may let it leave.
+        self.cancel_at_predecessor(target);
+        self.commands.send_now(target, TargetCommand::CancelUnsent);
+    }
+
+    fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
+        if let Some(quotas) = &self.context.quotas {
+            let warm_up_duration = self.context.config.decisions.warm_up_duration;
+            quotas.set_warming_up(target, since + warm_up_duration - self.now);
+        }
+        self.log.record_warm_up(target, since, usual);
+        if let Some(fanout) = &self.context.fanout {
+            fanout.target_at_rest(target);
+        }
+    }
+
+    fn wake_after(&mut self, pause: Ms) {
+        self.wake_up_at = Some(self.now + pause + WAKE_UP_MARGIN);
+    }
+}
--- a/forwarder/server/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -1,4 +1,5 @@
-//! Hears the control group's log, asks it for what this instance is to do, and proposes while it leads.
+//! The actor of broadcasts: follows the control group's log, asks the log for what this instance is to do, and proposes
+//! while this instance leads the group. Spawned by `server`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -6,247 +7,287 @@
 
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use plankhill_decisions::interface::*;
+use plankhill_decisions::interface::{Ms, TrafficTypeId};
 use plankhill_fanout::{Command, Coordinator, HostRequest, InstanceId, Rejection};
-use plankhill_hot_restart::Verdict;
-use plankhill_raft_groups::{GroupEvent, GroupId, GroupRequest as ToFleet, Purpose};
+use plankhill_hot_restart::SubmitResponse;
+use plankhill_raft_groups::{GroupEvent, GroupId, GroupRequest, Purpose};
 use slog::{debug, info, warn};
 
-use super::{machine, FanOut, Owed, BUSY};
-use crate::common::Common;
-use crate::exchange::until;
-use crate::mail::CameIn;
+use super::state_machine::{decode_command, decode_snapshot, encode_command};
+use super::{Broadcasts, PendingCopies, BUSY_POLL_INTERVAL};
+use crate::context::ServerContext;
+use crate::messages::Input;
+use crate::stream::until;
 
-/// Between looks at what is to be asked, while there is nothing.
-const IDLE: Duration = Duration::from_millis(200);
-/// A call may outlast its event's patience by so much, in ms: the longest time a module gives one.
-const LONGEST_CALL: Ms = 10_000.0;
-/// Between proposals of what the file says, until the log has it.
-const LAYING: Ms = 2000.0;
+/// Between looks at what is to be asked of the control group, while there is nothing.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// A call may outlast its event's deadline by so much: the longest time that the scheduler gives one.
+const MAX_CALL_OVERRUN: Ms = 10_000.0;
+/// Between proposals of the fleet file's layout, until the log has it.
+const LAYOUT_RETRY_INTERVAL: Ms = 2000.0;
 
 pub(super) struct Actor {
-    pub(super) common: Common,
-    pub(super) fanout: Rc<FanOut>,
-    pub(super) to_rounds: Sender<CameIn>,
+    pub(super) context: ServerContext,
+    pub(super) broadcasts: Rc<Broadcasts>,
+    pub(super) to_event_loop: Sender<Input>,
+    /// Positions of the traffic types, by their names.
+    pub(super) traffic_types: HashMap<String, TrafficTypeId>,
     /// The control group while this instance leads it.
-    leads: Option<GroupId>,
-    leading: Coordinator,
-    laid: Ms,
-    number: u64,
-    up: BTreeSet<InstanceId>,
-    pub(super) names: HashMap<String, TrafficTypeId>,
+    led_group: Option<GroupId>,
+    coordinator: Coordinator,
+    layout_proposed_at: Ms,
+    last_number: u64,
+    reachable: BTreeSet<InstanceId>,
 }
 
 /// Runs as long as the process; does nothing where no lists are named.
-pub async fn run(common: Common, news: Receiver<GroupEvent>, to_rounds: Sender<CameIn>) {
-    let Some(fanout) = common.fanout.clone() else {
+pub async fn run(
+    context: ServerContext,
+    group_events: Receiver<GroupEvent>,
+    to_event_loop: Sender<Input>,
+) {
+    let Some(broadcasts) = context.fanout.clone() else {
         return;
     };
-    let names = common.told.names.traffic.iter().enumerate();
-    let names = names
-        .map(|(at, name)| (name.clone(), TrafficTypeId(at)))
-        .collect();
-    let up = BTreeSet::from([fanout.station.borrow().me()]);
-    let (leads, leading) = (None, Coordinator::default());
-    let mut actor = Actor {
-        common,
-        fanout,
-        to_rounds,
-        leads,
-        leading,
-        laid: f64::NEG_INFINITY,
-        number: 0,
-        up,
-        names,
-    };
+    let mut actor = Actor::new(context, broadcasts, to_event_loop);
     loop {
-        let idle =
-            actor.fanout.station.borrow().is_idle() && actor.fanout.telling.borrow().is_empty();
-        let by = Instant::now() + if idle { IDLE } else { BUSY };
-        let bell = actor.fanout.bell.1.clone();
-        let rung = async {
-            let _ = bell.recv().await;
+        let woken = actor.broadcasts.woken.clone();
+        let woken = async {
+            let _ = woken.recv().await;
             None
         };
-        let first = future::or(async { Some(news.recv().await) }, rung);
-        let mut orders = match until(by, first).await.flatten() {
-            Some(Ok(news)) => actor.hears(news),
+        let first = future::or(async { Some(group_events.recv().await) }, woken);
+        let mut requests = match until(actor.next_poll(), first).await.flatten() {
+            Some(Ok(event)) => actor.on_group_event(event),
             Some(Err(_)) => return,
             None => Vec::new(),
         };
-        while let Ok(news) = news.try_recv() {
-            orders.extend(actor.hears(news));
+        while let Ok(event) = group_events.try_recv() {
+            requests.extend(actor.on_group_event(event));
+        }
+        for request in requests {
+            actor.run_request(request).await;
         }
-        actor.carries_out(orders).await;
-        actor.asks();
-        actor.tells().await;
+        let now = actor.context.clock.now();
+        actor.send_reports(now);
+        actor.propose_due(now);
+        actor.pass_unsubmitted_outcomes().await;
     }
 }
 
 impl Actor {
-    fn hears(&mut self, news: GroupEvent) -> Vec<HostRequest> {
-        let now = self.common.clock.now();
-        match news {
+    fn new(
+        context: ServerContext,
+        broadcasts: Rc<Broadcasts>,
+        to_event_loop: Sender<Input>,
+    ) -> Self {
+        let names = context.config.names.traffic.iter().enumerate();
+        let traffic_types = names
+            .map(|(position, name)| (name.clone(), TrafficTypeId(position)))
+            .collect();
+        let reachable = BTreeSet::from([broadcasts.instance.borrow().me()]);
+        Actor {
+            context,
+            broadcasts,
+            to_event_loop,
+            traffic_types,
+            led_group: None,
+            coordinator: Coordinator::default(),
+            layout_proposed_at: f64::NEG_INFINITY,
+            last_number: 0,
+            reachable,
+        }
+    }
+
+    fn next_poll(&self) -> Instant {
+        let is_idle = self.broadcasts.instance.borrow().is_idle()
+            && self.broadcasts.unsubmitted.borrow().is_empty();
+        let interval = if is_idle {
+            IDLE_POLL_INTERVAL
+        } else {
+            BUSY_POLL_INTERVAL
+        };
+        Instant::now() + interval
+    }
+
+    /// Returns what the local instance is to do.
+    fn on_group_event(&mut self, event: GroupEvent) -> Vec<HostRequest> {
+        let now = self.context.clock.now();
+        match event {
             GroupEvent::Applied { command, .. } => {
-                let Some(command) = machine::from_bytes(&command) else {
+                let Some(command) = decode_command(&command) else {
                     return Vec::new();
                 };
-                let owed = self.fanout.owed.borrow();
-                self.fanout
-                    .station
-                    .borrow_mut()
-                    .applied(now, &Owed(&owed), command)
+                let pending = self.broadcasts.pending.borrow();
+                let mut instance = self.broadcasts.instance.borrow_mut();
+                return instance.applied(now, &PendingCopies(&pending), command);
             }
             GroupEvent::SnapshotInstalled { state } => {
-                let Some(state) = machine::state(&state) else {
-                    warn!(self.common.log, "the control group's state cannot be read");
+                let Some(state) = decode_snapshot(&state) else {
+                    warn!(self.context.log, "control group snapshot cannot be decoded");
                     return Vec::new();
                 };
-                let owed = self.fanout.owed.borrow();
-                self.fanout
-                    .station
-                    .borrow_mut()
-                    .replaced(now, &Owed(&owed), state)
+                let pending = self.broadcasts.pending.borrow();
+                let mut instance = self.broadcasts.instance.borrow_mut();
+                return instance.replaced(now, &PendingCopies(&pending), state);
             }
             GroupEvent::ReportReceived {
                 incarnation, body, ..
             } => {
-                // Nobody speaks for another.
-                let told = Command::from_bytes(&body)
-                    .filter(|c| c.by() == Some(InstanceId(incarnation.0)));
-                told.into_iter().for_each(|command| self.proposes(&command));
-                Vec::new()
+                // No instance speaks for another.
+                let sender = InstanceId(incarnation.0);
+                let command = Command::from_bytes(&body);
+                if let Some(command) = command.filter(|command| command.by() == Some(sender)) {
+                    self.propose(&command);
+                }
             }
             GroupEvent::Elected {
                 group,
                 purpose: Purpose::Control,
                 ..
             } => {
-                info!(self.common.log, "leads the control group");
-                (self.leads, self.leading) = (Some(group), Coordinator::default());
-                Vec::new()
+                info!(self.context.log, "broadcasts: leads the control group");
+                self.led_group = Some(group);
+                self.coordinator = Coordinator::default();
             }
             GroupEvent::Deposed { group } => {
-                self.leads = self.leads.filter(|leads| *leads != group);
-                Vec::new()
+                if self.led_group == Some(group) {
+                    self.led_group = None;
+                }
             }
             GroupEvent::PeerChanged {
                 incarnation,
-                reachable: up,
+                reachable,
                 ..
             } => {
                 let id = InstanceId(incarnation.0);
-                let _ = if up {
-                    self.up.insert(id)
+                if reachable {
+                    self.reachable.insert(id);
                 } else {
-                    self.up.remove(&id)
-                };
-                Vec::new()
+                    self.reachable.remove(&id);
+                }
             }
-            _ => Vec::new(),
+            GroupEvent::Elected { .. }
+            | GroupEvent::Committed { .. }
+            | GroupEvent::Discarded { .. } => (),
         }
+        Vec::new()
     }
 
-    /// A full ring refuses it: all of it is asked again.
-    fn proposes(&mut self, command: &Command) {
-        let (Some(group), Some(ground)) = (self.leads, &self.common.ground) else {
+    /// A full ring refuses the proposal: all that is due is asked for again.
+    fn propose(&mut self, command: &Command) {
+        let (Some(group), Some(raft)) = (self.led_group, &self.context.raft) else {
             return;
         };
-        let command = machine::to_bytes(command);
-        if ground
-            .order(ToFleet::Propose {
+        let number = self.last_number + 1;
+        let command = encode_command(command);
+        if raft
+            .request(GroupRequest::Propose {
                 group,
-                number: self.number + 1,
+                number,
                 command,
             })
             .is_ok()
         {
-            self.number += 1;
+            self.last_number = number;
         }
     }
 
-    fn asks(&mut self) {
-        let now = self.common.clock.now();
-        let Some(ground) = self.common.ground.clone() else {
+    /// Reports of this instance to the control group's leader.
+    fn send_reports(&self, now: Ms) {
+        let Some(raft) = &self.context.raft else {
             return;
         };
-        let asked = self.fanout.station.borrow_mut().poll_commands(now);
-        for command in asked {
-            if self.fanout.closing.get() && matches!(command, Command::Spread { .. }) {
+        let commands = self.broadcasts.instance.borrow_mut().poll_commands(now);
+        for command in commands {
+            let asks_for_copies = matches!(command, Command::Spread { .. });
+            if self.broadcasts.shutting_down.get() && asks_for_copies {
                 continue;
             }
-            let _ = ground.order(ToFleet::Report {
+            let _ = raft.request(GroupRequest::Report {
                 body: command.to_bytes(),
             });
         }
-        if self.leads.is_none() {
+    }
+
+    /// Proposals that are due while this instance leads the control group.
+    fn propose_due(&mut self, now: Ms) {
+        if self.context.raft.is_none() || self.led_group.is_none() {
             return;
         }
-        let up: Vec<InstanceId> = self.up.iter().copied().collect();
-        let station = self.fanout.station.borrow();
-        let mut commands = self
-            .leading
-            .poll_commands(now, station.state(), &up, LONGEST_CALL);
-        if !station.state().is_laid(&self.fanout.layout) && now - self.laid >= LAYING {
-            self.laid = now;
-            commands.insert(0, Command::Laid(self.fanout.layout.clone()));
-        }
-        drop(station);
-        for command in commands {
+        for command in self.due_commands(now) {
             if let Command::Moved {
                 subscriber,
                 from,
                 to,
             } = &command
             {
-                let judged = self.fanout.station.borrow().state().judged(*subscriber);
-                info!(self.common.log, "a subscriber is to be regrouped"; "destination" => subscriber.0,
-                    "from" => from.0, "to" => to.0, "judged" => ?judged);
+                let state = self.broadcasts.instance.borrow();
+                let judged = state.state().judged(*subscriber);
+                info!(self.context.log, "subscriber moves to another cohort";
+                    "destination" => subscriber.0, "from" => from.0, "to" => to.0,
+                    "judged" => ?judged);
             }
-            self.proposes(&command);
+            self.propose(&command);
         }
     }
 
-    async fn carries_out(&mut self, orders: Vec<HostRequest>) {
-        for order in orders {
-            match order {
-                HostRequest::Accepted(number) => self.answers(number, Verdict::TakenOn),
-                HostRequest::Rejected(number, why) => {
-                    debug!(self.common.log, "a broadcast is refused"; "why" => ?why);
-                    let wait = Some(why).filter(|why| *why == Rejection::Full);
-                    let wait = wait.and(self.common.told.decisions.max_retry_after);
-                    self.answers(number, Verdict::Refused(wait));
-                }
-                HostRequest::BroadcastCompleted(id, [completed, dismissed, written_off]) => {
-                    debug!(self.common.log, "a broadcast has ended"; "broadcast" => &id.0,
-                        "completed" => completed, "dismissed" => dismissed, "written_off" => written_off);
-                }
-                HostRequest::NotifyOutcome {
-                    event,
-                    subscriber,
-                    position,
-                    outcome,
-                } => {
-                    self.fanout
-                        .telling
-                        .borrow_mut()
-                        .add(event, (subscriber, position), outcome);
-                }
-                HostRequest::Submit {
-                    event,
-                    subscriber,
-                    position,
-                    deadline: patience_ends,
-                } => {
-                    self.hands_in(event, (subscriber, position), patience_ends)
-                        .await;
-                }
+    fn due_commands(&mut self, now: Ms) -> Vec<Command> {
+        let reachable: Vec<InstanceId> = self.reachable.iter().copied().collect();
+        let instance = self.broadcasts.instance.borrow();
+        let state = instance.state();
+        let mut commands = self
+            .coordinator
+            .poll_commands(now, state, &reachable, MAX_CALL_OVERRUN);
+        let layout = &self.broadcasts.layout;
+        let may_propose_layout = now - self.layout_proposed_at >= LAYOUT_RETRY_INTERVAL;
+        if !state.is_laid(layout) && may_propose_layout {
+            self.layout_proposed_at = now;
+            commands.insert(0, Command::Laid(layout.clone()));
+        }
+        commands
+    }
+
+    async fn run_request(&mut self, request: HostRequest) {
+        match request {
+            HostRequest::Accepted(number) => self.answer(number, SubmitResponse::Accepted),
+            HostRequest::Rejected(number, reason) => {
+                debug!(self.context.log, "broadcast rejected"; "reason" => ?reason);
+                let retry_after = match reason {
+                    Rejection::Full => self.context.config.decisions.max_retry_after,
+                    _ => None,
+                };
+                self.answer(number, SubmitResponse::Rejected(retry_after));
+            }
+            HostRequest::BroadcastCompleted(id, [completed, rejected, abandoned]) => {
+                debug!(self.context.log, "broadcast completed"; "broadcast" => &id.0,
+                    "completed" => completed, "rejected" => rejected, "abandoned" => abandoned);
+            }
+            HostRequest::NotifyOutcome {
+                event,
+                subscriber,
+                position,
+                outcome,
+            } => {
+                let mut unsubmitted = self.broadcasts.unsubmitted.borrow_mut();
+                unsubmitted.add(event, (subscriber, position), outcome);
+            }
+            HostRequest::Submit {
+                event,
+                subscriber,
+                position,
+                deadline,
+            } => {
+                self.submit_copy(event, (subscriber, position), deadline)
+                    .await;
             }
         }
     }
 
-    fn answers(&self, number: u64, verdict: Verdict) {
-        let waits = self.fanout.waiting.borrow_mut().remove(&number);
-        waits.map(|answer| answer.try_send(verdict));
+    fn answer(&self, number: u64, response: SubmitResponse) {
+        let client = self.broadcasts.waiting_clients.borrow_mut().remove(&number);
+        if let Some(client) = client {
+            let _ = client.try_send(response);
+        }
     }
 }
--- a/forwarder/server/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -1,10 +1,12 @@
-//! Broadcasts, where the fleet file has lists: what clients hand in goes to the fleet's control group, and
-//! copies that its log hands to this instance come into the rounds like any other event. `docs/fanout.md`.
+//! Broadcasts, where the fleet file has lists: what clients submit goes to the fleet's control group, and copies that the
+//! group's log hands to this instance come into the event loop like any other event. See `docs/fanout.md`.
+//!
+//! [`Broadcasts`] is shared by the clients' connections, the event loop and [`actor`], which follows the log.
 
 pub mod actor;
-mod handing;
-mod machine;
-mod telling;
+mod state_machine;
+mod submission;
+mod unsubmitted_outcomes;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -13,214 +15,230 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use plankhill_decisions::interface::*;
-use plankhill_event_log::Outcome as End;
+use plankhill_decisions::interface::{EventId, Ms, TargetId};
+use plankhill_event_log::Outcome as EventOutcome;
 use plankhill_fanout::{
-    copy_of, Broadcast, BroadcastId, FanoutState, InstanceId, Layout, ListName,
+    copy_of, Broadcast, BroadcastId, FanoutState, Host, InstanceId, Layout, ListName,
+    LocalInstance, Outcome, Position, Rejection, Subscriber,
 };
-use plankhill_fanout::{Host, LocalInstance, Outcome, Position, Rejection, Subscriber};
-use plankhill_hot_restart::{Event, Verdict};
+use plankhill_hot_restart::{EventHeader, SubmitResponse};
 use plankhill_raft_groups::Incarnation;
 
-pub use self::machine::Control;
+pub use self::state_machine::FanoutStateMachine;
+use self::unsubmitted_outcomes::UnsubmittedOutcomes;
 use crate::clock::Clock;
-use crate::exchange::Body;
+use crate::stream::Body;
 
-/// Between looks at what is to be asked, while there is something.
-const BUSY: Duration = Duration::from_millis(20);
-/// News of the control group that wait for the actor; more wait in the fleet's ring.
-pub const MAILBOX: usize = 1024;
-/// The longest body of a broadcast, in bytes: it goes to the leader in one report.
-pub const LONGEST_BODY: usize = 48 * 1024;
-/// A parked or cold target is told as at rest for so long after its last sign, in ms.
-const RESTS: Ms = 5000.0;
+/// Between looks at what is to be asked of the control group, while there is something.
+const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Events of the control group that wait for the actor; more wait in the group's ring.
+pub const MAX_QUEUED_GROUP_EVENTS: usize = 1024;
+/// Longest body of a broadcast: it goes to the leader in one report.
+pub const MAX_BROADCAST_BODY_BYTES: usize = 48 * 1024;
+/// A parked or warming up target counts as at rest for so long after its last sign.
+const TARGET_REST_TTL: Ms = 5000.0;
 
-pub type Copy = (Subscriber, Position);
+/// One copy of a broadcast: its subscriber, and its place in the control group's log.
+pub type BroadcastCopy = (Subscriber, Position);
 
 /// This instance's part in broadcasts.
-pub struct FanOut {
+pub struct Broadcasts {
     clock: Clock,
     layout: Layout,
-    station: RefCell<LocalInstance>,
-    /// Copies that the rounds have, from handing in to the end that was heard.
-    owed: RefCell<HashSet<EventId>>,
-    /// How copies ended whose notice is on its way.
-    ends: RefCell<HashMap<EventId, Outcome>>,
-    /// Ends of copies that were never events here.
-    telling: RefCell<telling::Telling>,
+    instance: RefCell<LocalInstance>,
+    /// Copies that the event loop has, from submission to the acknowledged outcome.
+    pending: RefCell<HashSet<EventId>>,
+    /// Outcomes of copies whose notice is on its way.
+    outcomes: RefCell<HashMap<EventId, Outcome>>,
+    unsubmitted: RefCell<UnsubmittedOutcomes>,
     /// Which subscriber a target serves, as copies were sent there.
-    serves: RefCell<HashMap<TargetId, Subscriber>>,
-    /// Clients that wait to hear whether their broadcast counts.
-    waiting: RefCell<HashMap<u64, Sender<Verdict>>>,
-    /// Whether more is to be handed in: not once the process closes.
-    pub closing: Cell<bool>,
-    bell: (Sender<()>, Receiver<()>),
+    subscribers: RefCell<HashMap<TargetId, Subscriber>>,
+    /// Clients that wait to learn whether their broadcast counts.
+    waiting_clients: RefCell<HashMap<u64, Sender<SubmitResponse>>>,
+    shutting_down: Cell<bool>,
+    wake: Sender<()>,
+    woken: Receiver<()>,
 }
 
-/// What the ledger owes, for the station.
-struct Owed<'a>(&'a HashSet<EventId>);
+/// What is pending in the event log, for the local instance.
+struct PendingCopies<'a>(&'a HashSet<EventId>);
 
-impl Host for Owed<'_> {
+impl Host for PendingCopies<'_> {
     fn is_pending(&self, event: &EventId) -> bool {
         self.0.contains(event)
     }
 }
 
-impl FanOut {
-    pub fn new(clock: Clock, me: Incarnation, layout: Layout) -> Rc<Self> {
-        // Microseconds grow from process to process of a folder.
+impl Broadcasts {
+    pub fn new(clock: Clock, incarnation: Incarnation, layout: Layout) -> Rc<Self> {
+        // Microseconds grow from process to process of a state folder.
         let process = (clock.now() * 1000.0) as u64;
-        let station = LocalInstance::new(InstanceId(me.0), process, FanoutState::default());
-        Rc::new(FanOut {
+        let id = InstanceId(incarnation.0);
+        let instance = LocalInstance::new(id, process, FanoutState::default());
+        let (wake, woken) = async_channel::bounded(1);
+        Rc::new(Broadcasts {
             clock,
             layout,
-            station: RefCell::new(station),
-            owed: RefCell::default(),
-            ends: RefCell::default(),
-            telling: RefCell::default(),
-            serves: RefCell::default(),
-            waiting: RefCell::default(),
-            closing: Cell::new(false),
-            bell: async_channel::bounded(1),
+            instance: RefCell::new(instance),
+            pending: RefCell::default(),
+            outcomes: RefCell::default(),
+            unsubmitted: RefCell::default(),
+            subscribers: RefCell::default(),
+            waiting_clients: RefCell::default(),
+            shutting_down: Cell::new(false),
+            wake,
+            woken,
         })
     }
 
-    /// Hands in a broadcast; the verdict follows once the log has decided.
-    pub fn post(
+    /// Submits a broadcast; the response follows once the control group's log has decided.
+    ///
+    /// # Errors
+    /// Why the broadcast is rejected at once.
+    pub fn submit(
         &self,
         list: ListName,
-        traffic: String,
-        event: Event,
+        traffic_type: String,
+        event: EventHeader,
         body: &Body,
-    ) -> Result<Receiver<Verdict>, Rejection> {
-        if self.closing.get() {
+    ) -> Result<Receiver<SubmitResponse>, Rejection> {
+        if self.shutting_down.get() {
             return Err(Rejection::Full);
         }
         let now = self.clock.now();
         let broadcast = Broadcast {
             id: BroadcastId(event.id.0.to_string()),
             list,
-            traffic,
+            traffic: traffic_type,
             at: now,
-            patience: event.patience,
+            patience: event.timeout,
             key: event.key.map(|key| key.0),
             fingerprint: event.fingerprint.as_deref().map(str::to_owned),
             body: body.to_vec(),
         };
-        let number = self.station.borrow_mut().attempt(now, broadcast)?;
-        let (answer, verdict) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(number, answer);
-        self.rings();
-        Ok(verdict)
+        let number = self.instance.borrow_mut().attempt(now, broadcast)?;
+        let (response, received) = async_channel::bounded(1);
+        self.waiting_clients.borrow_mut().insert(number, response);
+        self.wake_actor();
+        Ok(received)
     }
 
-    /// Whether the id is that of a copy: no client may hand in an event under it meanwhile.
-    pub fn bars(&self, event: &EventId) -> bool {
-        copy_of(event)
-            .is_some_and(|(broadcast, _)| self.station.borrow().state().is_kept(&broadcast))
+    /// Nothing more is submitted, and no further copies are asked for.
+    pub fn begin_shutdown(&self) {
+        self.shutting_down.set(true);
     }
 
-    fn copy(&self, event: &EventId) -> Option<Copy> {
+    /// Whether the id is that of a copy: no client may submit an event under it meanwhile.
+    pub fn reserves_id(&self, event: &EventId) -> bool {
+        match copy_of(event) {
+            Some((broadcast, _)) => self.instance.borrow().state().is_kept(&broadcast),
+            None => false,
+        }
+    }
+
+    fn copy(&self, event: &EventId) -> Option<BroadcastCopy> {
         let (broadcast, subscriber) = copy_of(event)?;
-        let position = self.station.borrow().state().position(&broadcast)?;
+        let position = self.instance.borrow().state().position(&broadcast)?;
         Some((subscriber, position))
     }
 
-    fn is_owed(&self, event: &EventId) -> bool {
-        self.owed.borrow().contains(event)
+    fn is_pending(&self, event: &EventId) -> bool {
+        self.pending.borrow().contains(event)
     }
 
-    /// The ledger owes the event since an earlier process.
-    pub fn restored(&self, event: &EventId) {
+    /// The event is pending in the log since an earlier process.
+    pub fn event_restored(&self, event: &EventId) {
         if copy_of(event).is_some() {
-            self.owed.borrow_mut().insert(event.clone());
+            self.pending.borrow_mut().insert(event.clone());
         }
     }
 
-    /// A call of the event goes to the target.
-    pub fn sends(&self, event: &EventId, target: &TargetId) {
-        let Some(copy) = self.copy(event).filter(|_| self.is_owed(event)) else {
+    /// An attempt of the event goes to the target.
+    pub fn attempt_started(&self, event: &EventId, target: &TargetId) {
+        let Some(copy) = self.copy(event) else {
             return;
         };
-        self.station
+        if !self.is_pending(event) {
+            return;
+        }
+        self.instance
             .borrow_mut()
             .on_attempt_started(self.clock.now(), copy);
-        let mut serves = self.serves.borrow_mut();
-        if serves.len() < self.layout.bounds.kept_in_all {
-            serves.insert(target.clone(), copy.0);
+        let mut subscribers = self.subscribers.borrow_mut();
+        if subscribers.len() < self.layout.bounds.kept_in_all {
+            subscribers.insert(target.clone(), copy.0);
         }
     }
 
-    /// The target is parked or cold: its subscriber is not slow for that.
-    pub fn rests(&self, target: &TargetId) {
-        if let Some(subscriber) = self.serves.borrow().get(target) {
-            self.station
+    /// The target is parked or warming up: its subscriber is not slow for that.
+    pub fn target_at_rest(&self, target: &TargetId) {
+        if let Some(subscriber) = self.subscribers.borrow().get(target) {
+            let until = self.clock.now() + TARGET_REST_TTL;
+            self.instance
                 .borrow_mut()
-                .exclude_from_lag(*subscriber, self.clock.now() + RESTS);
+                .exclude_from_lag(*subscriber, until);
         }
     }
 
-    /// The list has the target no more.
-    pub fn gone(&self, target: &TargetId) {
-        self.serves.borrow_mut().remove(target);
+    /// The endpoint list has the target no more.
+    pub fn target_removed(&self, target: &TargetId) {
+        self.subscribers.borrow_mut().remove(target);
     }
 
-    /// The event was given up; its notice goes out.
-    pub fn ended(&self, event: &EventId, outcome: End) {
-        if self.is_owed(event) {
-            self.ends
+    /// The event was rejected or abandoned; its notice goes out.
+    pub fn ended(&self, event: &EventId, outcome: EventOutcome) {
+        if self.is_pending(event) {
+            self.outcomes
                 .borrow_mut()
-                .insert(event.clone(), outcome_of(outcome));
+                .insert(event.clone(), to_fanout_outcome(outcome));
         }
     }
 
-    /// The event was delivered, or its end was heard.
-    pub fn over(&self, event: &EventId, delivered: bool) {
-        let owed = self.owed.borrow_mut().remove(event);
-        let known = self
-            .ends
-            .borrow_mut()
-            .remove(event)
-            .or(self.telling.borrow_mut().heard(event));
-        if !owed && known.is_none() {
+    /// The event was delivered, or its outcome was acknowledged.
+    pub fn event_completed(&self, event: &EventId, delivered: bool) {
+        let was_pending = self.pending.borrow_mut().remove(event);
+        let submitted = self.outcomes.borrow_mut().remove(event);
+        let unsubmitted = self.unsubmitted.borrow_mut().remove(event);
+        let outcome = submitted.or(unsubmitted);
+        if !was_pending && outcome.is_none() {
             return;
         }
-        let outcome = if delivered {
-            Outcome::Completed
-        } else {
-            known.unwrap_or(Outcome::Abandoned)
+        let outcome = match delivered {
+            true => Outcome::Completed,
+            false => outcome.unwrap_or(Outcome::Abandoned),
         };
         if let Some(copy) = self.copy(event) {
-            self.station
+            let now = self.clock.now();
+            self.instance
                 .borrow_mut()
-                .on_outcome_acknowledged(self.clock.now(), copy, outcome);
-            self.rings();
+                .on_outcome_acknowledged(now, copy, outcome);
+            self.wake_actor();
         }
     }
 
-    /// Returns once the log has the end of each copy that was here: as the process ends.
-    pub async fn settled(&self) {
-        while !self.station.borrow().is_settled() {
-            Timer::after(BUSY).await;
+    /// Returns once the log has the outcome of each copy that was here: at shutdown.
+    pub async fn wait_until_settled(&self) {
+        while !self.instance.borrow().is_settled() {
+            Timer::after(BUSY_POLL_INTERVAL).await;
         }
     }
 
-    fn rings(&self) {
-        // One word in the mailbox is enough.
-        let _ = self.bell.0.try_send(());
+    /// One message in the mailbox is enough.
+    fn wake_actor(&self) {
+        let _ = self.wake.try_send(());
     }
 }
 
-fn outcome_of(end: End) -> Outcome {
-    match end {
-        End::Rejected => Outcome::Rejected,
-        End::Abandoned => Outcome::Abandoned,
+fn to_fanout_outcome(outcome: EventOutcome) -> Outcome {
+    match outcome {
+        EventOutcome::Rejected => Outcome::Rejected,
+        EventOutcome::Abandoned => Outcome::Abandoned,
     }
 }
 
-fn end_of(outcome: Outcome) -> End {
+fn to_event_outcome(outcome: Outcome) -> EventOutcome {
     match outcome {
-        Outcome::Rejected => End::Rejected,
-        Outcome::Completed | Outcome::Abandoned => End::Abandoned,
+        Outcome::Rejected => EventOutcome::Rejected,
+        Outcome::Completed | Outcome::Abandoned => EventOutcome::Abandoned,
     }
 }
--- /dev/null
+++ b/forwarder/server/src/hot_restart/transfer.rs
@@ -0,0 +1,55 @@
+//! The way to the successor process: while it is open, connections that wait for a request or a call go there.
+
+use std::cell::RefCell;
+use std::os::fd::OwnedFd;
+
+use async_channel::{Receiver, Sender};
+use plankhill_hot_restart::{Message, MessageSender};
+
+/// A message, with a descriptor that is closed here once the message is sent.
+pub type Outgoing = (Message, Option<OwnedFd>);
+
+/// Sends all messages to the other process, in order, until it has gone.
+pub async fn send_all(sender: MessageSender, outgoing: Receiver<Outgoing>) {
+    while let Ok((message, descriptor)) = outgoing.recv().await {
+        if sender.send(&message, descriptor).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// Closed until this process has handed over.
+pub struct TransferChannel {
+    to_successor: RefCell<Option<Sender<Outgoing>>>,
+    /// Dropped when the way opens, which wakes the receivers.
+    closed: RefCell<Option<Sender<()>>>,
+    opened: Receiver<()>,
+}
+
+impl Default for TransferChannel {
+    fn default() -> Self {
+        let (closed, opened) = async_channel::bounded(1);
+        TransferChannel {
+            to_successor: RefCell::default(),
+            closed: RefCell::new(Some(closed)),
+            opened,
+        }
+    }
+}
+
+impl TransferChannel {
+    pub fn open(&self, to_successor: Sender<Outgoing>) {
+        *self.to_successor.borrow_mut() = Some(to_successor);
+        self.closed.take();
+    }
+
+    /// Where connections go, once the way is open.
+    pub fn sender(&self) -> Option<Sender<Outgoing>> {
+        self.to_successor.borrow().clone()
+    }
+
+    /// Returns once the way is open.
+    pub async fn wait_until_open(&self) {
+        let _ = self.opened.recv().await;
+    }
+}
--- a/forwarder/server/src/closing/tests.rs
+++ b/forwarder/server/src/lingering_close/tests.rs
@@ -1,4 +1,4 @@
-//! What a peer gets of an answer behind which it goes on sending.
+//! What a peer gets of a response behind which it goes on sending.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,8 +6,8 @@
 
 use async_io::{block_on, Async};
 
-use super::{ends, turn_away, LEAVINGS};
-use crate::exchange::Stream;
+use super::{linger, reject, MAX_DRAINED_BYTES};
+use crate::stream::Stream;
 
 fn pair() -> (TcpStream, Stream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -19,11 +19,11 @@
 }
 
 #[test]
-fn who_finds_no_place_gets_its_answer_over_what_it_sent() {
+fn a_rejected_peer_gets_its_response_over_what_it_sent() {
     let (mut peer, ours) = pair();
     peer.write_all(&[b'x'; 1000]).expect("is taken");
     block_on(ours.readable()).expect("has come");
-    turn_away(&ours, b"no");
+    reject(&ours, b"no");
     drop(ours);
     let mut said = Vec::new();
     peer.read_to_end(&mut said)
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_comes_behind_the_last_answer_is_read_until_the_peer_closes() {
+fn bytes_behind_the_last_response_are_read_until_the_peer_closes() {
     let (mut peer, ours) = pair();
     (&mut ours.get_ref()).write_all(b"no").expect("is taken");
     let peers = std::thread::spawn(move || {
@@ -42,7 +42,7 @@
         peer.write_all(&[b'x'; 100_000]).expect("is read");
         said
     });
-    block_on(ends(&ours));
+    block_on(linger(&ours));
     let rest = ours.get_ref().read(&mut [0]).expect("the peer has closed");
     assert_eq!(
         (rest, &peers.join().expect("no reset")[..]),
@@ -51,10 +51,11 @@
 }
 
 #[test]
-fn who_sends_without_an_end_is_broken_off() {
+fn a_peer_that_sends_without_an_end_is_reset() {
     let (mut peer, ours) = pair();
-    let sends = std::thread::spawn(move || while peer.write_all(&[b'x'; LEAVINGS]).is_ok() {});
-    block_on(ends(&ours));
+    let sends =
+        std::thread::spawn(move || while peer.write_all(&[b'x'; MAX_DRAINED_BYTES]).is_ok() {});
+    block_on(linger(&ours));
     drop(ours);
     sends.join().expect("ends with the connection");
 }
--- /dev/null
+++ b/forwarder/server/src/notifier.rs
@@ -0,0 +1,188 @@
+//! The notifier: tells the platform of outcomes other than delivery, in order, again and again until each is
+//! acknowledged. Spawned once by `server`; the event loop fills its mailbox.
+
+use std::time::{Duration, Instant};
+
+use async_channel::{Receiver, Sender};
+use async_io::Timer;
+use plankhill_event_log::Outcome;
+use plankhill_http1::ResponseHead;
+use serde_json::json;
+use slog::{error, warn};
+
+use crate::context::ServerContext;
+use crate::http_exchange::{exchange, ExchangeError};
+use crate::messages::{CompletionNotice, Input};
+use crate::stream::{until, Stream, MAX_HEAD_BYTES};
+
+/// Notices that wait at most; no event is accepted while more outcomes than that could be pending.
+pub const MAX_QUEUED_NOTICES: usize = 4096;
+/// Notices in one request: some twenty kilobytes.
+const MAX_NOTICES_PER_REQUEST: usize = 200;
+/// A response has the first of these, and twice as long with each failure up to the last. A notice has to be
+/// acknowledged 300 ms after its event's deadline, which ends shortly before, and the agent answers at once: a
+/// connection that has fallen silent costs 80 ms, and a second one 160 more, which leaves another try. A machine on
+/// which a response takes longer is reached by the tries that follow: a notice that is sent twice does no harm.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(80);
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Behind a refusal. The failure of an idle connection says nothing of a new one, and a timeout was a pause.
+const RETRY_BACKOFF: Duration = Duration::from_millis(50);
+
+/// Why notices are not acknowledged.
+#[derive(Debug, thiserror::Error)]
+enum NoticeError {
+    /// There is no response.
+    #[error(transparent)]
+    Exchange(#[from] ExchangeError),
+    /// The response's status is neither 204 nor 400.
+    #[error("answered with {0}")]
+    Status(u16),
+}
+
+impl NoticeError {
+    fn is_timeout(&self) -> bool {
+        match self {
+            NoticeError::Exchange(error) => error.is_timeout(),
+            NoticeError::Status(_) => false,
+        }
+    }
+}
+
+/// The platform's answer to a batch of notices.
+enum Acknowledgement {
+    Accepted,
+    /// The platform cannot read a notice of the batch, now or later.
+    Unreadable,
+}
+
+/// Sends notices until the event loop has ended.
+pub async fn run(
+    context: ServerContext,
+    notices: Receiver<CompletionNotice>,
+    to_event_loop: Sender<Input>,
+) {
+    let mut notifier = Notifier {
+        context,
+        notices,
+        idle: None,
+        response_timeout: MIN_RESPONSE_TIMEOUT,
+        logged_failure: String::new(),
+    };
+    while let Ok(first) = notifier.notices.recv().await {
+        let mut batches = vec![vec![first]];
+        while let Some(mut batch) = batches.pop() {
+            notifier.fill(&mut batch);
+            let was_connected = notifier.idle.is_some();
+            match notifier.send(&batch).await {
+                Ok(Acknowledgement::Unreadable) if batch.len() > 1 => {
+                    // One unreadable notice must not hold up the others: each half is sent by itself.
+                    let rest = batch.split_off(batch.len() / 2);
+                    batches.push(rest);
+                    batches.push(batch);
+                    continue;
+                }
+                Ok(Acknowledgement::Unreadable) => {
+                    error!(notifier.context.log, "notice not readable for the platform";
+                        "event" => &*batch[0].event.0);
+                }
+                Ok(Acknowledgement::Accepted) => (),
+                Err(error) => {
+                    notifier.on_failure(&error, batch.len());
+                    batches.push(batch);
+                    if !was_connected && !error.is_timeout() {
+                        Timer::after(RETRY_BACKOFF).await;
+                    }
+                    continue;
+                }
+            }
+            notifier.reset();
+            let events = batch.into_iter().map(|notice| notice.event).collect();
+            if to_event_loop
+                .send(Input::NoticesAcknowledged(events))
+                .await
+                .is_err()
+            {
+                return;
+            }
+        }
+    }
+}
+
+struct Notifier {
+    context: ServerContext,
+    notices: Receiver<CompletionNotice>,
+    idle: Option<Stream>,
+    response_timeout: Duration,
+    /// Text of the last failure: each is logged once, not with each retry.
+    logged_failure: String,
+}
+
+impl Notifier {
+    /// Adds notices that arrived meanwhile, to a batch that was not acknowledged too: none waits behind another.
+    fn fill(&self, batch: &mut Vec<CompletionNotice>) {
+        while batch.len() < MAX_NOTICES_PER_REQUEST {
+            match self.notices.try_recv() {
+                Ok(next) => batch.push(next),
+                Err(_) => return,
+            }
+        }
+    }
+
+    async fn send(&mut self, batch: &[CompletionNotice]) -> Result<Acknowledgement, NoticeError> {
+        let lines: String = batch.iter().map(line).collect();
+        let address = self.context.discovery_address.get();
+        let mut request = Vec::new();
+        let fields: [(&str, &dyn std::fmt::Display); 1] = [("Host", &address)];
+        plankhill_http1::request(&mut request, "POST", "/status", &fields, lines.len())
+            .map_err(ExchangeError::from)?;
+        request.extend_from_slice(lines.as_bytes());
+        let timeout = self.response_timeout;
+        let idle = &mut self.idle;
+        let exchanged = async {
+            let mut buffer = [0; MAX_HEAD_BYTES];
+            let response = exchange(idle, address, &request, &mut buffer, timeout).await?;
+            match ResponseHead::status_in(&buffer[response.head]) {
+                Some(204) => Ok(Acknowledgement::Accepted),
+                Some(400) => Ok(Acknowledgement::Unreadable),
+                other => Err(NoticeError::Status(other.unwrap_or_default())),
+            }
+        };
+        match until(Instant::now() + timeout, exchanged).await {
+            Some(acknowledgement) => acknowledgement,
+            None => Err(ExchangeError::TimedOut.into()),
+        }
+    }
+
+    fn on_failure(&mut self, error: &NoticeError, notices: usize) {
+        self.idle = None;
+        self.response_timeout = (2 * self.response_timeout).min(MAX_RESPONSE_TIMEOUT);
+        let failure = error.to_string();
+        if failure != self.logged_failure {
+            warn!(self.context.log, "notices not acknowledged"; "notices" => notices,
+                "error" => &failure);
+            self.logged_failure = failure;
+        }
+    }
+
+    fn reset(&mut self) {
+        self.response_timeout = MIN_RESPONSE_TIMEOUT;
+        self.logged_failure.clear();
+    }
+}
+
+/// A notice as the platform reads it: one JSON object a line.
+fn line(notice: &CompletionNotice) -> String {
+    let event = &*notice.event.0;
+    let value = match (notice.outcome, notice.retry_after) {
+        (Outcome::Abandoned, _) => json!({"message": event, "outcome": "given_up"}),
+        (Outcome::Rejected, None) => json!({"message": event, "outcome": "handed_back"}),
+        (Outcome::Rejected, Some(retry_after)) => {
+            let retry_in_ms = retry_after.ceil() as u64;
+            json!({"message": event, "outcome": "handed_back", "retry_in_ms": retry_in_ms})
+        }
+    };
+    format!("{value}\n")
+}
+
+#[cfg(test)]
+mod wire_format_tests;
--- a/forwarder/server/src/reload.rs
+++ b/forwarder/server/src/reload.rs
@@ -1,27 +1,33 @@
-//! The configuration read again while the process runs.
+//! Reload of the configuration while the process runs (SIGHUP). Called by `server`.
 
 use async_channel::Sender;
 use slog::{info, warn};
 
-use crate::common::Common;
+use crate::context::ServerContext;
 
-/// What the file of the configuration says now: discovery may have moved, the rest waits for a new start.
-pub fn read_again(common: &Common, moves: &Sender<()>) {
-    let told = match plankhill_forwarder_config::reload_config(|name| std::env::var(name).ok()) {
-        Ok(told) => told,
-        Err(trouble) => return warn!(common.log, "all stays as it was"; "trouble" => trouble),
+/// Reads the configuration again: discovery's address and the quota policy take effect, other changes wait for a new
+/// start. A faulty configuration changes nothing.
+pub fn reload_config(context: &ServerContext, discovery_moved: &Sender<()>) {
+    let reloaded = plankhill_forwarder_config::reload_config(|name| std::env::var(name).ok());
+    let config = match reloaded {
+        Ok(config) => config,
+        Err(error) => {
+            warn!(context.log, "configuration not reloaded"; "error" => %error);
+            return;
+        }
     };
-    for key in told.needs_restart(&common.told) {
-        warn!(common.log, "takes effect only with a new start"; "key" => key);
+    for key in config.needs_restart(&context.config) {
+        warn!(context.log, "configuration change needs a restart"; "key" => key);
     }
-    match (&common.budgets, &told.connection_quotas) {
-        (Some(budgets), Some(pools)) => budgets.told(pools),
+    match (&context.quotas, &config.connection_quotas) {
+        (Some(quotas), Some(policy)) => quotas.set_policy(policy),
         (None, None) => (),
-        _ => warn!(common.log, "takes effect only with a new start"; "key" => "pools.policy"),
+        _ => warn!(context.log, "configuration change needs a restart"; "key" => "pools.policy"),
     }
-    if common.discovery.replace(told.discovery_address) != told.discovery_address {
-        info!(common.log, "discovery moves"; "to" => %told.discovery_address);
-        // One word in the mailbox is enough: the address is read when it is taken out.
-        let _ = moves.try_send(());
+    let address = config.discovery_address;
+    if context.discovery_address.replace(address) != address {
+        info!(context.log, "discovery moved"; "address" => %address);
+        // One message in the mailbox is enough: the address is read when the message is received.
+        let _ = discovery_moved.try_send(());
     }
 }
--- a/forwarder/server/src/targets/call.rs
+++ b/forwarder/server/src/targets/call.rs
@@ -1,292 +1,390 @@
-//! One call of a target, or ping: connects where no connection is lent to it, and judges what came of it.
+//! One call to a target, an attempt of an event or a health check: takes a permit, connects where no connection was
+//! lent, writes the request, reads the response and reports how the call ended.
+//!
+//! Spawned by the target's actor; the report goes to the event loop, a reusable connection back to the actor.
 
-use std::cell::Cell;
 use std::future::Future;
 use std::io::{self, Write};
 use std::net::SocketAddr;
-use std::rc::Rc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
-use async_channel::{Receiver, Sender, WeakSender};
+use async_channel::{Receiver, WeakSender};
 use futures_lite::future;
-use plankhill_decisions::interface::*;
+use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, TargetId};
 use plankhill_http1::{self as http1, ResponseHead};
 use slog::debug;
 
-use super::meaning::{judge, left};
-use super::writing::{self, Written};
-use crate::budgets::Place;
-use crate::clock::millis;
-use crate::common::Common;
-use crate::counted::Counted;
-use crate::exchange::{answer, connect, until, Came, Stream, ANSWERING, SETTLING};
-use crate::look;
-use crate::mail::{CameIn, Returned, Sending, ToTarget};
+use super::response::{limit_remaining, report};
+use super::write::{write_call, WriteOutcome};
+use super::TargetContext;
+use crate::call_kind::CallKind;
+use crate::clock::{to_duration, to_ms};
+use crate::connection_quotas::{Acquired, Permit};
+use crate::count_guard::CountGuard;
+use crate::http_exchange::{
+    read_response, ExchangeError, ReadProgress, Response, DELIVERED_RESPONSE_TIMEOUT,
+    RESPONSE_TIMEOUT,
+};
+use crate::messages::{Input, OutgoingCall, ReturnedConnection, TargetCommand};
+use crate::stall_guard;
+use crate::stream::{connect, until, Stream};
 
-/// What every target's actor shares with its calls.
-#[derive(Clone)]
-pub struct Reach {
-    pub common: Common,
-    pub to_rounds: Sender<CameIn>,
-    /// Connections that stand idle at all targets.
-    pub idle: Rc<Cell<usize>>,
-}
-
-/// A connection that stood idle, and its place, which is given back after it.
-pub(super) struct Kept {
+/// An idle connection and its permit, which is given back after the connection is closed.
+pub(super) struct LentConnection {
     pub(super) stream: Stream,
-    pub(super) place: Place,
+    pub(super) permit: Permit,
 }
 
 pub(super) struct Call {
-    pub(super) reach: Reach,
+    pub(super) context: TargetContext,
     pub(super) target: TargetId,
     pub(super) address: SocketAddr,
-    pub(super) kept: Option<Kept>,
-    pub(super) taken_back: Receiver<()>,
-    pub(super) own: WeakSender<ToTarget>,
-    /// Among the calls that are out: its actor stays for it.
-    pub(super) _counted: Option<Counted>,
+    pub(super) lent: Option<LentConnection>,
+    /// Closed once the call is cancelled.
+    pub(super) cancelled: Receiver<()>,
+    pub(super) actor: WeakSender<TargetCommand>,
+    /// The call is counted among those in flight: its actor stays for it.
+    pub(super) _counted: Option<CountGuard>,
+}
+
+/// The moments that bound a call.
+struct Schedule {
+    began: Instant,
+    /// When the call is over at the latest.
+    ends: Instant,
+    /// When the call's last byte has to have left.
+    leave_by: Instant,
+    decided_at: Instant,
+    connect_timeout: Duration,
 }
 
 impl Call {
-    pub(super) async fn run(mut self, send: Option<Sending>) {
+    /// Runs the call to its end; without `outgoing` the call is a health check.
+    pub(super) async fn run(mut self, outgoing: Option<OutgoingCall>) {
         let began = Instant::now();
-        let time_out = send
-            .as_ref()
-            .map_or(self.reach.common.told.connect_timeout, |send| send.time_out);
-        let reused = self.kept.is_some();
-        let ended = self.exchange(began, time_out, send.as_ref()).await;
-        let took = began.elapsed().as_secs_f64() * 1000.0;
-        let ended = AttemptReport {
-            elapsed: took,
-            ..ended
+        let reused = self.lent.is_some();
+        let schedule = self.schedule(began, outgoing.as_ref());
+        let report = match self.exchange(&schedule, outgoing.as_ref()).await {
+            Ok(report) => report,
+            Err(outcome) => AttemptReport::from_outcome(outcome),
         };
-        let AttemptReport {
-            outcome: fate,
-            retry_after: wait,
-            ..
-        } = ended;
-        let word = match send {
-            Some(send) => {
-                debug!(self.reach.common.log, "send ended"; "event" => &*send.event.0,
-                    "target" => &*self.target.0, "fate" => ?fate, "wait" => wait, "took" => took,
+        let report = AttemptReport {
+            elapsed: to_ms(began.elapsed()),
+            ..report
+        };
+        let log = &self.context.server.log;
+        let input = match outgoing {
+            Some(outgoing) => {
+                debug!(log, "attempt ended"; "event" => &*outgoing.event.0,
+                    "target" => &*self.target.0, "outcome" => ?report.outcome,
+                    "retry_after_ms" => report.retry_after, "elapsed_ms" => report.elapsed,
                     "reused" => reused);
-                CameIn::SendEnded(send.event, ended)
+                Input::AttemptEnded {
+                    event: outgoing.event,
+                    report,
+                }
             }
             None => {
-                debug!(self.reach.common.log, "ping ended"; "target" => &*self.target.0, "fate" => ?fate);
-                CameIn::PingEnded {
+                debug!(log, "health check ended"; "target" => &*self.target.0,
+                    "outcome" => ?report.outcome);
+                Input::HealthCheckEnded {
                     target: self.target.clone(),
-                    fate,
+                    outcome: report.outcome,
                 }
             }
         };
-        let _ = self.reach.to_rounds.send(word).await;
+        let _ = self.context.to_event_loop.send(input).await;
     }
 
-    async fn exchange(
-        &mut self,
-        began: Instant,
-        time_out: Ms,
-        send: Option<&Sending>,
-    ) -> AttemptReport {
-        let told = self.reach.common.told.clone();
-        let at = |moment: Option<Ms>| moment.map(|moment| self.reach.common.clock.instant(moment));
-        // The end of patience stands, however late the call begins: nothing leaves after it.
-        let patience_ends = at(send.map(|send| send.patience_ends));
-        let ends = began + millis(time_out);
-        let ends = patience_ends.map_or(ends, |at| ends.min(at));
-        let leaves_by = at(send.map(|send| send.leaves_by)).map_or(ends, |at| ends.min(at));
-        let decided = send.map_or(began, |send| send.decided);
-        let Some(mut buffer) = self.reach.common.pool.take() else {
-            return AttemptReport::from_outcome(AttemptOutcome::NotSent);
-        };
-        let Some(place) = self.place(began, ends, send.is_none()).await else {
-            return AttemptReport::from_outcome(AttemptOutcome::NotSent);
-        };
-        // Closed before its place is given back: what is declared last is dropped first.
-        let mut stream = loop {
-            let kept = self.kept.take();
-            let reused = kept.is_some();
-            let stream = match kept {
-                Some(kept) => kept.stream,
-                None => match self
-                    .dial(began + millis(told.connect_timeout), leaves_by, ends)
-                    .await
-                {
-                    Ok(stream) => stream,
-                    Err(fate) => return AttemptReport::from_outcome(fate),
-                },
-            };
-            let Ok(length) = self.write(&mut buffer, ends, send) else {
-                return AttemptReport::from_outcome(AttemptOutcome::NotSent);
+    fn schedule(&self, began: Instant, outgoing: Option<&OutgoingCall>) -> Schedule {
+        let connect_timeout = to_duration(self.context.server.config.connect_timeout);
+        let Some(outgoing) = outgoing else {
+            let ends = began + connect_timeout;
+            return Schedule {
+                began,
+                ends,
+                leave_by: ends,
+                decided_at: began,
+                connect_timeout,
             };
-            let fate = match self
-                .leaves(&stream, &buffer[..length], leaves_by, decided, send)
-                .await
-            {
-                Some(Written::Whole) => break stream,
-                // Nothing of the call is on it, and something else is, or its end.
-                Some(Written::Unfit) if reused => continue,
-                Some(Written::Unfit | Written::Broken) => AttemptOutcome::ConnectFailed,
-                Some(Written::Stuck) if Instant::now() >= ends => AttemptOutcome::ConnectFailed,
-                Some(Written::Stuck | Written::Late) | None => AttemptOutcome::NotSent,
-            };
-            return AttemptReport::from_outcome(fate);
         };
-        let mut came = Came::default();
-        let answering = |status| if status == 200 { SETTLING } else { ANSWERING };
-        let answered = until(ends, answer(&mut stream, &mut buffer, &mut came, answering)).await;
-        let whole = match answered {
-            Some(Ok(answer)) => answer,
-            cut_short => {
-                let spoilt =
-                    matches!(&cut_short, Some(Err(e)) if e.kind() == io::ErrorKind::InvalidData);
-                let fate = match (
-                    ResponseHead::status_in(&buffer[came.start..came.filled]),
-                    cut_short,
-                ) {
-                    // What the first line says of that is true, whatever became of the rest.
-                    (Some(200), _) => AttemptOutcome::Delivered,
-                    (_, None) => AttemptOutcome::TimedOut,
-                    // An answer, if no more: to a ping that is enough. A call has run, or may have, and is cut.
-                    (_, Some(_)) if spoilt && send.is_none() => AttemptOutcome::Rejected,
-                    (_, Some(_)) if spoilt => AttemptOutcome::Cancelled,
-                    _ => AttemptOutcome::Reset,
-                };
-                return AttemptReport::from_outcome(fate);
+        let clock = &self.context.server.clock;
+        // The event's deadline stands, however late the call begins: nothing leaves after it.
+        let ends = (began + to_duration(outgoing.timeout)).min(clock.instant(outgoing.deadline));
+        let leave_by = ends.min(clock.instant(outgoing.leave_by));
+        Schedule {
+            began,
+            ends,
+            leave_by,
+            decided_at: outgoing.decided_at,
+            connect_timeout,
+        }
+    }
+
+    /// # Errors
+    /// How the call ended without a complete response.
+    async fn exchange(
+        &mut self,
+        schedule: &Schedule,
+        outgoing: Option<&OutgoingCall>,
+    ) -> Result<AttemptReport, AttemptOutcome> {
+        let server = self.context.server.clone();
+        let mut buffer = server
+            .buffers
+            .try_acquire()
+            .ok_or(AttemptOutcome::NotSent)?;
+        // Declared before the connection, and so dropped after it: the permit is given back once the connection is
+        // closed.
+        let permit = self
+            .acquire_permit(schedule, outgoing)
+            .await
+            .ok_or(AttemptOutcome::NotSent)?;
+        let mut stream = self.send_request(schedule, &mut buffer, outgoing).await?;
+        let mut progress = ReadProgress::default();
+        let reading = read_response(&mut stream, &mut buffer, &mut progress, response_timeout);
+        let response = match until(schedule.ends, reading).await {
+            Some(Ok(response)) => response,
+            incomplete => {
+                let status = ResponseHead::status_in(&buffer[progress.start..progress.filled]);
+                let failure = incomplete.and_then(Result::err);
+                return Err(incomplete_outcome(
+                    status,
+                    failure.as_ref(),
+                    kind_of(outgoing),
+                ));
             }
         };
-        let end = match ResponseHead::read(&buffer[whole.head]) {
-            Ok(head) => {
-                let left = told.names.left_at.and_then(|_| left(&head));
-                AttemptReport {
-                    limit_remaining: left,
-                    ..judge(&head, send.is_none())
-                }
-            }
+        let Response { head, reusable, .. } = response;
+        let report = match ResponseHead::read(&buffer[head]) {
+            Ok(head) => AttemptReport {
+                limit_remaining: match server.config.names.left_at {
+                    Some(_) => limit_remaining(&head),
+                    None => None,
+                },
+                ..report(&head, kind_of(outgoing))
+            },
             Err(_) => AttemptReport::from_outcome(AttemptOutcome::Cancelled),
         };
-        let stays = whole.reusable && place.rests();
-        if let Some(own) = self.own.upgrade().filter(|_| stays) {
-            let back = Returned {
+        if reusable && permit.release_idle() {
+            self.return_connection(permit, stream);
+        }
+        Ok(report)
+    }
+
+    /// The connection is the last parameter, so that it is closed before its permit is given back if the actor is gone.
+    fn return_connection(&self, permit: Permit, stream: Stream) {
+        if let Some(actor) = self.actor.upgrade() {
+            let returned = ReturnedConnection {
                 stream,
-                to: self.address,
-                since: Instant::now(),
-                place,
+                address: self.address,
+                idle_since: Instant::now(),
+                permit,
             };
-            let _ = own.try_send(ToTarget::Returned(Box::new(back)));
+            let _ = actor.try_send(TargetCommand::ConnectionReturned(Box::new(returned)));
         }
-        end
     }
 
-    /// None if the call is taken back first. If both are so in one turn, it is taken back: it does not run yet.
-    async fn unless_taken_back<T>(&self, what: impl Future<Output = T>) -> Option<T> {
-        let taken_back = async {
-            let _ = self.taken_back.recv().await;
+    /// Writes the request over the lent connection, or over a new one if the lent one is of no use.
+    ///
+    /// # Errors
+    /// How the call ended with its request not written.
+    async fn send_request(
+        &mut self,
+        schedule: &Schedule,
+        buffer: &mut [u8],
+        outgoing: Option<&OutgoingCall>,
+    ) -> Result<Stream, AttemptOutcome> {
+        loop {
+            let lent = self.lent.take();
+            let reused = lent.is_some();
+            let stream = match lent {
+                Some(lent) => lent.stream,
+                None => self.connect(schedule).await?,
+            };
+            let length = self
+                .encode_request(buffer, schedule.ends, outgoing)
+                .map_err(|_| AttemptOutcome::NotSent)?;
+            let written = self
+                .write_request(&stream, &buffer[..length], schedule, outgoing)
+                .await;
+            match written {
+                Some(WriteOutcome::Complete) => return Ok(stream),
+                // Nothing of the call is on the connection, and other bytes are, or the connection's end.
+                Some(WriteOutcome::Unusable) if reused => (),
+                Some(WriteOutcome::Unusable | WriteOutcome::Broken) => {
+                    return Err(AttemptOutcome::ConnectFailed);
+                }
+                Some(WriteOutcome::TimedOut) if Instant::now() >= schedule.ends => {
+                    return Err(AttemptOutcome::ConnectFailed);
+                }
+                Some(WriteOutcome::TimedOut | WriteOutcome::Cancelled) | None => {
+                    return Err(AttemptOutcome::NotSent);
+                }
+            }
+        }
+    }
+
+    /// None if the call is cancelled first. If both happen in one turn, the call is cancelled: it does not run yet.
+    async fn unless_cancelled<T>(&self, future: impl Future<Output = T>) -> Option<T> {
+        let cancelled = async {
+            let _ = self.cancelled.recv().await;
             None
         };
-        future::or(taken_back, async { Some(what.await) }).await
+        future::or(cancelled, async { Some(future.await) }).await
     }
 
-    /// A new connection, or how the call ends without one.
-    async fn dial(
-        &self,
-        up_by: Instant,
-        leaves_by: Instant,
-        ends: Instant,
-    ) -> Result<Stream, AttemptOutcome> {
-        let up_by = up_by.min(ends);
-        if Instant::now() >= leaves_by {
+    /// # Errors
+    /// How the call ended without a connection.
+    async fn connect(&self, schedule: &Schedule) -> Result<Stream, AttemptOutcome> {
+        let connected_by = (schedule.began + schedule.connect_timeout).min(schedule.ends);
+        if Instant::now() >= schedule.leave_by {
             return Err(AttemptOutcome::NotSent);
         }
-        match self
-            .unless_taken_back(until(up_by.min(leaves_by), connect(self.address)))
-            .await
-        {
+        let connecting = until(connected_by.min(schedule.leave_by), connect(self.address));
+        match self.unless_cancelled(connecting).await {
             Some(Some(Ok(stream))) => Ok(stream),
-            // Its time is up, and its target may be well.
-            Some(None) if leaves_by < up_by => Err(AttemptOutcome::NotSent),
+            // The call's time is up, and its target may be well.
+            Some(None) if schedule.leave_by < connected_by => Err(AttemptOutcome::NotSent),
             Some(_) => Err(AttemptOutcome::ConnectFailed),
             None => Err(AttemptOutcome::NotSent),
         }
     }
 
-    /// Writes the call, unless it may not leave any more. None if it was taken back before its last byte.
-    async fn leaves(
+    /// Writes the request, unless the call may not leave any more. None if the call was cancelled before its last byte.
+    async fn write_request(
         &self,
         stream: &Stream,
-        call: &[u8],
-        by: Instant,
-        decided: Instant,
-        send: Option<&Sending>,
-    ) -> Option<Written> {
-        let ground = self.reach.common.copies();
-        let holds = |group| ground.is_some_and(|ground| ground.holds(group));
-        // Another may own the event soon.
-        let owned = || send.is_none_or(|send| send.groups.iter().all(|group| holds(*group)));
-        let wanted = || !self.taken_back.is_closed() && owned();
-        let write = async {
-            // The process may have stood still since.
-            if decided.elapsed() > look::STILL {
-                until(by, self.looks()).await;
+        request: &[u8],
+        schedule: &Schedule,
+        outgoing: Option<&OutgoingCall>,
+    ) -> Option<WriteOutcome> {
+        let may_leave = || !self.cancelled.is_closed() && self.owns_event(outgoing);
+        let writing = async {
+            // The process may have stood still since the decision.
+            if schedule.decided_at.elapsed() > stall_guard::MAX_GAP {
+                until(schedule.leave_by, self.pass_barrier()).await;
             }
-            writing::write(stream, call, by, wanted).await
+            write_call(stream, request, schedule.leave_by, may_leave).await
         };
-        self.unless_taken_back(write).await
+        self.unless_cancelled(writing).await
     }
 
-    /// Returns once all that came in has been decided on; what is taken back for it is taken back then.
-    async fn looks(&self) {
-        let (reply, looked) = async_channel::bounded(1);
-        let _ = self.reach.to_rounds.send(CameIn::Look(reply)).await;
-        let _ = looked.recv().await;
-        // Behind the target's actor, which the same round may have told to take calls back.
+    /// Whether no other process can own the event yet.
+    fn owns_event(&self, outgoing: Option<&OutgoingCall>) -> bool {
+        let Some(outgoing) = outgoing else {
+            return true;
+        };
+        let raft = self.context.server.replication();
+        outgoing
+            .groups
+            .iter()
+            .all(|group| raft.is_some_and(|raft| raft.holds_lease(*group)))
+    }
+
+    /// Returns once all inputs that had arrived have been decided on; calls that are to be cancelled for them are
+    /// cancelled then.
+    async fn pass_barrier(&self) {
+        let (reply, reached) = async_channel::bounded(1);
+        let _ = self.context.to_event_loop.send(Input::Barrier(reply)).await;
+        let _ = reached.recv().await;
+        // Behind the target's actor, which the same iteration may have told to cancel calls.
         future::yield_now().await;
     }
 
-    /// A place in the target's pool, that of the connection lent to it or one for a new connection. None if
-    /// none came free in half of its time, or it was taken back meanwhile.
-    async fn place(&mut self, began: Instant, ends: Instant, ping: bool) -> Option<Place> {
-        let Some(budgets) = self.reach.common.budgets.clone() else {
-            return Some(Place::free(&self.target));
+    /// A permit in the target's quota: that of the lent connection, or one for a new connection. None if none came free
+    /// in half of the call's time, or the call was cancelled meanwhile.
+    async fn acquire_permit(
+        &mut self,
+        schedule: &Schedule,
+        outgoing: Option<&OutgoingCall>,
+    ) -> Option<Permit> {
+        let Some(quotas) = self.context.server.quotas.clone() else {
+            return Some(Permit::unlimited(&self.target));
         };
-        let patient = began + (ends - began) / 2;
+        let wait_until = schedule.began + (schedule.ends - schedule.began) / 2;
         loop {
-            let kept = self.kept.as_ref().map(|kept| &kept.place);
-            let pool = match budgets.enter(&self.target, ping, ends, kept) {
-                Ok(None) => return self.kept.as_mut().map(|kept| kept.place.take(&self.target)),
-                Ok(place) => return place,
-                Err(pool) => pool,
-            };
-            // It may not be used now, and others may want its place.
-            self.kept = None;
-            self.unless_taken_back(until(patient, budgets.room(&pool)))
-                .await??;
+            let lent = self.lent.as_ref().map(|lent| &lent.permit);
+            match quotas.acquire(&self.target, kind_of(outgoing), schedule.ends, lent) {
+                Acquired::New(permit) => return Some(permit),
+                Acquired::Lent => {
+                    return self
+                        .lent
+                        .as_mut()
+                        .map(|lent| lent.permit.take(&self.target));
+                }
+                Acquired::Exhausted(pool) => {
+                    // The connection may not be used now, and others may want its part of the quota.
+                    self.lent = None;
+                    self.unless_cancelled(until(wait_until, quotas.capacity_freed(&pool)))
+                        .await??;
+                }
+            }
         }
     }
 
-    /// Writes the call, or ping, into a buffer; it is an error if it does not fit.
-    fn write(&self, buffer: &mut [u8], ends: Instant, send: Option<&Sending>) -> io::Result<usize> {
+    /// Encodes the request into a buffer; returns its length.
+    ///
+    /// # Errors
+    /// The request does not fit.
+    fn encode_request(
+        &self,
+        buffer: &mut [u8],
+        ends: Instant,
+        outgoing: Option<&OutgoingCall>,
+    ) -> io::Result<usize> {
         let size = buffer.len();
         let mut rest = buffer;
-        let Some(send) = send else {
+        let Some(outgoing) = outgoing else {
             http1::request(&mut rest, "GET", "/alive", &[("Host", &self.address)], 0)?;
             return Ok(size - rest.len());
         };
-        let left = ends.saturating_duration_since(Instant::now()).as_secs_f64();
-        let (id, deadline) = (&*send.event.0, format!("{left:.3}"));
+        let time_left = ends.saturating_duration_since(Instant::now()).as_secs_f64();
+        let deadline = format!("{time_left:.3}");
+        let id = &*outgoing.event.0;
         let mut fields: Vec<(&str, &dyn std::fmt::Display)> = vec![
             ("Host", &self.address),
             ("Req-Id", &id),
             ("Req-Deadline", &deadline),
         ];
-        if let Some(key) = &send.fingerprint {
-            fields.push(("Idempotency-Key", key));
+        if let Some(fingerprint) = &outgoing.fingerprint {
+            fields.push(("Idempotency-Key", fingerprint));
         }
-        http1::request(&mut rest, "POST", "/receive", &fields, send.body.len())?;
-        rest.write_all(&send.body)?;
+        http1::request(&mut rest, "POST", "/receive", &fields, outgoing.body.len())?;
+        rest.write_all(&outgoing.body)?;
         Ok(size - rest.len())
     }
 }
+
+fn kind_of(outgoing: Option<&OutgoingCall>) -> CallKind {
+    match outgoing {
+        Some(_) => CallKind::Attempt,
+        None => CallKind::HealthCheck,
+    }
+}
+
+fn response_timeout(status: u16) -> Duration {
+    match status {
+        200 => DELIVERED_RESPONSE_TIMEOUT,
+        _ => RESPONSE_TIMEOUT,
+    }
+}
+
+/// How a call ended whose response is not complete. `failure` is none if the time was up.
+fn incomplete_outcome(
+    status: Option<u16>,
+    failure: Option<&ExchangeError>,
+    kind: CallKind,
+) -> AttemptOutcome {
+    match (status, failure) {
+        // The first line says that the event was delivered, whatever became of the rest.
+        (Some(200), _) => AttemptOutcome::Delivered,
+        (_, None) => AttemptOutcome::TimedOut,
+        (_, Some(ExchangeError::Malformed(_))) => match kind {
+            // A response at least, which is enough for a health check.
+            CallKind::HealthCheck => AttemptOutcome::Rejected,
+            // The call has run, or may have.
+            CallKind::Attempt => AttemptOutcome::Cancelled,
+        },
+        (_, Some(ExchangeError::Io(_) | ExchangeError::TimedOut)) => AttemptOutcome::Reset,
+    }
+}
