--- a/tier/agent/src/run.rs
+++ b/tier/agent/src/run.rs
@@ -7,19 +7,16 @@
 use plankhill_protocol::feed::{FromSubscriber, Subscriber};
 use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_TIMEOUT};
 use plankhill_protocol::tables::Edge;
-use plankhill_protocol::transport::{listen, Channel, Hello};
-use plankhill_settings::Settings;
+use plankhill_protocol::transport::{listen, Channel, Hello, ListenError};
+use plankhill_settings::{run_on_current_thread, ProcessSignal, ProcessSignals, Settings};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch};
-use tokio::task::LocalSet;
 
-use crate::controllers::{controllers, ports};
 use crate::end::end;
 use crate::feeder::{serve, Audience, Source, PEERS, PROXY};
 use crate::homes::follow_homes;
 use crate::identity::edge;
 use crate::peers::monitor_peers;
-use crate::signals::{Request, Signals};
 
 /// Messages of the proxy that wait to be passed on.
 const UPWARDS: usize = 8;
@@ -27,17 +24,12 @@
 /// Why the agent could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The runtime or its signals.
+    /// The operating system refused the runtime, or a handler of signals.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A port of the range is taken.
-    #[error("cannot listen at {address}: {source}")]
-    Listen {
-        /// Where.
-        address: SocketAddr,
-        /// Why.
-        source: io::Error,
-    },
+    #[error(transparent)]
+    Listen(#[from] ListenError),
 }
 
 /// Runs the agent until SIGTERM.
@@ -45,20 +37,16 @@
 /// # Errors
 /// [`RunError`] if it cannot start.
 pub fn run(settings: Settings) -> Result<(), RunError> {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(RunError::Runtime)?;
-    LocalSet::new().block_on(&runtime, run_local(settings))
+    run_on_current_thread(run_local(settings)).map_err(RunError::Runtime)?
 }
 
 async fn run_local(mut settings: Settings) -> Result<(), RunError> {
-    let mut signals = Signals::listen().map_err(RunError::Runtime)?;
-    let loopback = listen_at(ports(&settings).agent_loopback(settings.ip))?;
-    let datagrams = bind_datagrams(ports(&settings).agent(settings.ip)).await?;
-    let peers = listen_at(ports(&settings).agent(settings.ip))?;
+    let mut signals = ProcessSignals::new().map_err(RunError::Runtime)?;
+    let loopback = listen(settings.agent_loopback_address())?;
+    let datagrams = bind_datagrams(settings.agent_address()).await?;
+    let peers = listen(settings.agent_address())?;
     let me = edge(&settings);
-    let (candidates, watched) = watch::channel(controllers(&settings));
+    let (candidates, watched) = watch::channel(settings.seed_controllers());
     let subscription = Rc::new(Subscription::start(SubscriptionOptions {
         hello: Hello::new(Channel::Feed, me.node.clone()),
         subscriber: Subscriber::Edge(me.clone()),
@@ -81,7 +69,7 @@
     ));
     tokio::task::spawn_local(follow_homes(me, subscription.clone()));
     tracing::info!(node = %settings.node_id, "agent started");
-    while let Request::Reload = signals.next().await {
+    while signals.next().await == ProcessSignal::ReloadSettings {
         reload(&mut settings, &candidates);
     }
     end(&subscription, proxies, settings.bounds.grace()).await;
@@ -116,22 +104,17 @@
 
 /// Takes over what may change while the process runs: the seeds and the bounds.
 fn reload(settings: &mut Settings, candidates: &watch::Sender<Vec<SocketAddr>>) {
-    match Settings::load() {
-        Ok(newest) => {
-            *settings = newest;
-            candidates.send_replace(controllers(settings));
-            tracing::info!("settings read again");
-        }
-        Err(error) => tracing::warn!(%error, "settings stay as they were"),
-    }
-}
-
-fn listen_at(address: SocketAddr) -> Result<TcpListener, RunError> {
-    listen(address).map_err(|source| RunError::Listen { address, source })
+    let Some(newest) = Settings::reload() else {
+        return;
+    };
+    *settings = newest;
+    candidates.send_replace(settings.seed_controllers());
+    tracing::info!("settings reloaded");
 }
 
-async fn bind_datagrams(address: SocketAddr) -> Result<UdpSocket, RunError> {
-    UdpSocket::bind(address)
-        .await
-        .map_err(|source| RunError::Listen { address, source })
+async fn bind_datagrams(address: SocketAddr) -> Result<UdpSocket, ListenError> {
+    match UdpSocket::bind(address).await {
+        Ok(socket) => Ok(socket),
+        Err(source) => Err(ListenError { address, source }),
+    }
 }
--- a/tier/controller/src/run.rs
+++ b/tier/controller/src/run.rs
@@ -139,5 +139,5 @@
 }
 
 fn listen_at(address: SocketAddr) -> Result<TcpListener, RunError> {
-    listen(address).map_err(|source| RunError::Listen { address, source })
+    listen(address).map_err(|error| RunError::Listen { address, source: error.source })
 }
--- a/tier/protocol/src/transport/mod.rs
+++ b/tier/protocol/src/transport/mod.rs
@@ -27,6 +27,8 @@
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A connection that takes longer to come up counts as failed.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Connections that the operating system holds until they are accepted.
+const ACCEPT_BACKLOG: u32 = 1_024;
 /// The largest frame, in bytes: a snapshot with a large configuration, with room to grow.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
@@ -127,15 +129,29 @@
         .map_err(|_| TransportError::DialTimeout)?
 }
 
-/// Listens where a restarted process can listen again at once.
+/// An address cannot be listened at.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot listen at {address}: {source}")]
+pub struct ListenError {
+    /// The address.
+    pub address: SocketAddr,
+    /// What the operating system answered.
+    pub source: io::Error,
+}
+
+/// Listens at `address`, which a process that is started again can use at once.
 ///
 /// # Errors
-/// The operating system's.
-pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+/// [`ListenError`] if the operating system refuses the address.
+pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
+    bind_and_listen(address).map_err(|source| ListenError { address, source })
+}
+
+fn bind_and_listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(1024)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// Options for every connection: no delay of small frames, and an end to silent peers.
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -132,7 +132,7 @@
 }
 
 fn bound(address: SocketAddr) -> Result<tokio::net::TcpListener, RunError> {
-    listen(address).map_err(|source| RunError::Listen { address, source })
+    listen(address).map_err(|error| RunError::Listen { address, source: error.source })
 }
 
 fn memory_for_bodies(settings: &Settings) -> usize {
--- a/tier/settings/src/lib.rs
+++ b/tier/settings/src/lib.rs
@@ -8,6 +8,8 @@
 mod limits;
 mod listeners;
 mod load;
+mod ports;
+mod process;
 mod settings;
 mod zones;
 
@@ -16,5 +18,7 @@
 pub use limits::{FaultTolerance, Limits};
 pub use listeners::Listeners;
 pub use load::{settings_path, DEFAULT_PATH, MAX_FILE_BYTES, PATH_VARIABLE};
-pub use settings::{MachineClass, PortRange, Settings};
+pub use ports::PortRange;
+pub use process::{run_on_current_thread, ProcessSignal, ProcessSignals};
+pub use settings::{MachineClass, Settings};
 pub use zones::Zones;
--- a/tier/settings/src/settings.rs
+++ b/tier/settings/src/settings.rs
@@ -4,10 +4,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use serde::{Deserialize, Deserializer, Serialize};
+use serde::{Deserialize, Deserializer};
 use validator::{Validate, ValidationError};
 
-use crate::{Bounds, FaultTolerance, Limits, Listeners, Zones};
+use crate::{Bounds, FaultTolerance, Limits, Listeners, PortRange, Zones};
 
 /// Most seed nodes accepted; the pages speak of three.
 const MAX_SEED_NODES: u64 = 64;
@@ -112,36 +112,6 @@
     Unknown,
 }
 
-/// A range of ports, both ends included.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "(u16, u16)")]
-pub struct PortRange {
-    /// First port of the range.
-    pub first: u16,
-    /// Last port of the range.
-    pub last: u16,
-}
-
-impl PortRange {
-    /// Number of ports in the range.
-    pub fn count(&self) -> usize {
-        usize::from(self.last).saturating_sub(usize::from(self.first)) + 1
-    }
-
-    /// The port `offset` places after the first, if the range holds it.
-    pub fn port(&self, offset: u16) -> Option<u16> {
-        self.first
-            .checked_add(offset)
-            .filter(|port| *port <= self.last)
-    }
-}
-
-impl From<(u16, u16)> for PortRange {
-    fn from((first, last): (u16, u16)) -> Self {
-        PortRange { first, last }
-    }
-}
-
 /// Reads a path; the empty string stands for none.
 fn optional_path<'de, D: Deserializer<'de>>(source: D) -> Result<Option<PathBuf>, D::Error> {
     let path = PathBuf::deserialize(source)?;
--- a/tier/settings/tests/common/mod.rs
+++ b/tier/settings/tests/common/mod.rs
@@ -1,4 +1,5 @@
 //! A valid settings file, and ways to change one key of it.
+#![allow(dead_code)] // Each test file uses a part of it.
 
 /// A valid settings file of a proxy.
 pub const VALID: &str = r#"
--- a/tier/store/src/process.rs
+++ b/tier/store/src/process.rs
@@ -63,7 +63,7 @@
         first: settings.port_range.first,
     };
     let node = open(&settings, ports, folder).await?;
-    let listener = listen(ports.store(settings.ip))?;
+    let listener = listen(ports.store(settings.ip)).map_err(|error| error.source)?;
     let me = node.me().clone();
     tracing::info!(node = %me.node, incarnation = me.incarnation.0, address = %me.address, "store started");
     let controllers = ports.controllers(&settings.seed_nodes);
