--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -100,7 +100,7 @@
         Feed {
             writer,
             source,
-            held: FeedPosition::Nothing,
+            held: FeedPosition::Empty,
             is_proxy: false,
             heartbeat,
             beat: Instant::now(),
@@ -115,7 +115,7 @@
                 subscriber,
                 held_revision: held,
             })) => {
-                self.held = FeedPosition::Revision(held);
+                self.held = FeedPosition::Claimed(held);
                 self.is_proxy = subscriber == Subscriber::Proxy;
             }
             _ => return "no subscription",
@@ -128,7 +128,7 @@
             tokio::select! {
                 (reader, message) = &mut reading => {
                     match message {
-                        Ok(FromSubscriber::RequestSnapshot) => self.held = FeedPosition::Nothing,
+                        Ok(FromSubscriber::RequestSnapshot) => self.held = FeedPosition::Empty,
                         // It is said again until the tables show it, so one that finds no room may be lost.
                         Ok(emptied @ FromSubscriber::Drained { .. }) if self.is_proxy => {
                             let _ = self.source.upwards.try_send(emptied);
--- a/tier/protocol/src/feed.rs
+++ b/tier/protocol/src/feed.rs
@@ -1,5 +1,5 @@
-//! Subscriptions to the control plane: agents and stores with a controller, agents with the home of a
-//! service, a proxy with the agent of its machine.
+//! The messages of subscriptions to the control plane: agents and stores subscribe to a controller, agents to the home
+//! of their zone, a proxy to the agent of its machine. [`crate::subscription`] is the subscriber's side.
 
 use std::net::SocketAddr;
 
@@ -8,69 +8,69 @@
 use crate::ids::{NodeId, Revision, StoreEpoch};
 use crate::tables::{Edge, StoreMember, TablesUpdate};
 
-/// Who subscribes.
+/// The kind of subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subscriber {
-    /// The agent of an edge machine; subscribing registers it.
+    /// The agent of an edge machine, at a controller; subscribing registers the edge.
     Edge(Edge),
-    /// A store; subscribing registers it.
+    /// A store, at a controller; subscribing registers the store.
     Store(StoreMember),
-    /// The proxy of the same machine, at its agent.
+    /// A proxy, at the agent of its machine.
     Proxy,
-    /// Another agent of the zone, at the zone's home.
+    /// An agent, at the home of its zone.
     Peer,
 }
 
-/// From a subscriber.
+/// A message from a subscriber to its feeder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromSubscriber {
     /// The first message on a connection.
     Subscribe {
-        /// Who it is.
+        /// The kind of subscriber.
         subscriber: Subscriber,
-        /// The revision that it holds already; 0 for nothing.
+        /// The revision of the subscriber's tables; 0 if it has none.
         held_revision: Revision,
     },
-    /// It has applied updates up to here; also sent as a heartbeat.
+    /// The subscriber has applied updates up to this revision; also its heartbeat.
     Applied(Revision),
-    /// An update did not fit: it wants a snapshot.
+    /// An update did not continue the subscriber's tables: the feeder has to send a snapshot.
     RequestSnapshot,
-    /// A store has copied all that belongs to it in the next set of this epoch.
+    /// A store has copied all its data of the next set of stores, in the view of this epoch.
     StoreSynced(StoreEpoch),
-    /// An agent no longer hears a peer that it monitors.
+    /// A peer does not answer the health checks of the agent that sends this.
     SuspectPeer(NodeId),
-    /// An orderly end: the edge is to be forgotten at once.
+    /// The edge shuts down in order: its registration ends at once.
     Deregister,
-    /// This edge, taken out of service by the order of this number, is empty: no client is connected and nothing is
-    /// under way. Said by the proxy to its agent, and by that to a controller.
+    /// The edge is drained: no client is connected and no request is in flight. Sent by the proxy to its agent, and by
+    /// the agent to a controller.
     Drained {
-        /// The order's number.
+        /// The number of the operator's order to drain the edge.
         number: u64,
     },
-    /// The home of its zone sends it updates from now on. It wants heartbeats only, and one at once whenever the
-    /// feeder's revision rises.
+    /// The home of the zone sends the updates from now on: the feeder has to send heartbeats only, and one at once
+    /// whenever its revision rises.
     HeartbeatsOnly,
-    /// It wants updates again, beginning with this revision that it holds.
+    /// The feeder has to send updates again.
     ResumeUpdates {
-        /// What it holds.
+        /// The revision of the subscriber's tables.
         held_revision: Revision,
     },
 }
 
-/// To a subscriber.
+/// A message from a feeder to its subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToSubscriber {
-    /// What brings it up to date. On a new connection it comes first, unless the subscriber holds the newest.
+    /// An update of the tables. On a new connection it comes first, unless the subscriber has the newest revision.
     Update(TablesUpdate),
-    /// Sent after the first update (or instead of it), and then regularly. The sender's committed revision, and whether it knows that this is the newest. A subscriber
-    /// whose controller is not current asks another one.
+    /// Sent after the first update, or instead of it, and then at intervals. A subscriber whose controller is not
+    /// current goes to another one.
     Heartbeat {
         /// The sender's committed revision.
         revision: Revision,
-        /// Whether the sender has confirmed lately that no later one exists without it.
+        /// Whether the sender has confirmed lately that no later revision exists without it.
         current: bool,
     },
-    /// Where the controllers listen for subscribers, all of them, also when the seeds are gone: sent once on
-    /// each connection, and when they change.
+    /// The addresses at which all controllers listen for subscribers, also when no seed is left. Sent once on each
+    /// connection, and when they change.
     Controllers(Vec<SocketAddr>),
 }
--- a/tier/protocol/src/feed_position.rs
+++ b/tier/protocol/src/feed_position.rs
@@ -1,39 +1,40 @@
-//! What a feeder sends to one subscriber: decisions without I/O.
+//! What a feeder has to send one subscriber. Decisions without I/O: the agent's feeder keeps one [`FeedPosition`] for
+//! each of its subscribers.
 
 use std::sync::Arc;
 
 use crate::ids::Revision;
 use crate::tables::{Tables, TablesUpdate};
 
-/// What a subscriber holds.
+/// The tables of a subscriber, as far as its feeder knows them.
 #[derive(Clone, Debug)]
 pub enum FeedPosition {
-    /// It said that it holds this revision; its contents are not known here.
-    Revision(Revision),
-    /// It was sent exactly these tables.
-    Tables(Arc<Tables>),
-    /// It asked for a snapshot.
-    Nothing,
+    /// The subscriber said that it has this revision; the feeder does not know the contents.
+    Claimed(Revision),
+    /// The feeder has sent the subscriber exactly these tables.
+    Sent(Arc<Tables>),
+    /// The subscriber has requested a snapshot.
+    Empty,
 }
 
 impl FeedPosition {
-    /// What brings the subscriber to `newest`, which it is taken to hold afterwards; None if it needs nothing,
-    /// or holds a later revision.
+    /// The update that brings the subscriber to `newest`, which it is taken to have afterwards. `None` if the
+    /// subscriber has this revision or a later one.
     pub fn advance_to(&mut self, newest: &Arc<Tables>) -> Option<TablesUpdate> {
         let update = match self {
-            FeedPosition::Revision(held) if *held > newest.revision => return None,
-            FeedPosition::Revision(held) if *held == newest.revision => None,
-            FeedPosition::Revision(_) | FeedPosition::Nothing => {
+            FeedPosition::Claimed(claimed) if *claimed > newest.revision => return None,
+            FeedPosition::Claimed(claimed) if *claimed == newest.revision => None,
+            FeedPosition::Claimed(_) | FeedPosition::Empty => {
                 Some(TablesUpdate::Snapshot(Tables::clone(newest)))
             }
-            FeedPosition::Tables(held) if held.revision >= newest.revision => return None,
-            FeedPosition::Tables(held) => Some(TablesUpdate::Changes {
-                from: held.revision,
+            FeedPosition::Sent(sent) if sent.revision >= newest.revision => return None,
+            FeedPosition::Sent(sent) => Some(TablesUpdate::Changes {
+                from: sent.revision,
                 to: newest.revision,
-                changes: newest.changes_since(held),
+                changes: newest.changes_since(sent),
             }),
         };
-        *self = FeedPosition::Tables(newest.clone());
+        *self = FeedPosition::Sent(newest.clone());
         update
     }
 }
--- a/tier/protocol/src/ids.rs
+++ b/tier/protocol/src/ids.rs
@@ -53,12 +53,12 @@
     ProgramId
 }
 name_type! {
-    /// A try of a client, as the `Request-Id` header names it; for a turn also the turn's name.
+    /// An attempt of a client, as the `Request-Id` header names it; it also names a turn.
     RequestId
 }
 
-/// Tells two lives of a machine's disk apart: drawn at random when the folder is empty, kept afterwards.
-/// For a process without a disk: drawn at its start.
+/// The incarnation of a machine's disk: drawn at random when the state folder is empty, kept afterwards. A process
+/// without a disk draws one at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -68,7 +68,7 @@
 )]
 pub struct Revision(pub u64);
 
-/// Number of a view of the stores; a higher one replaces all lower ones.
+/// Epoch of a view of the stores; a view replaces all views with lower epochs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/tier/protocol/src/shared_bytes.rs
+++ b/tier/protocol/src/shared_bytes.rs
@@ -1,4 +1,5 @@
-//! Encodes shared bytes as one block, not one by one; the form on the wire is the same.
+//! Encodes shared bytes as one block; the bytes on the wire are those of a sequence encoded one by one. For fields with
+//! `#[serde(with = "plankhill_protocol::shared_bytes")]`.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,23 +7,23 @@
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserializer, Serializer};
 
-/// Bytes set aside at once for a sequence of unknown length.
-const FIRST_CAPACITY: usize = 4 * 1_024;
+/// Most bytes that are reserved at once for a sequence, whose claimed length may be wrong.
+const MAX_INITIAL_CAPACITY: usize = 4 * 1_024;
 
-/// For `#[serde(with = "...")]`.
+/// Encodes `bytes`.
 ///
 /// # Errors
-/// Those of the format.
-pub fn serialize<S: Serializer>(bytes: &Arc<[u8]>, target: S) -> Result<S::Ok, S::Error> {
-    target.serialize_bytes(bytes)
+/// The serializer's.
+pub fn serialize<S: Serializer>(bytes: &Arc<[u8]>, serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.serialize_bytes(bytes)
 }
 
-/// For `#[serde(with = "...")]`.
+/// Decodes bytes.
 ///
 /// # Errors
-/// Those of the format.
-pub fn deserialize<'de, D: Deserializer<'de>>(source: D) -> Result<Arc<[u8]>, D::Error> {
-    source.deserialize_bytes(BytesVisitor)
+/// The deserializer's.
+pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<[u8]>, D::Error> {
+    deserializer.deserialize_bytes(BytesVisitor)
 }
 
 struct BytesVisitor;
@@ -39,7 +40,8 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Arc<[u8]>, A::Error> {
-        let mut bytes = Vec::with_capacity(sequence.size_hint().unwrap_or(0).min(FIRST_CAPACITY));
+        let mut bytes =
+            Vec::with_capacity(sequence.size_hint().unwrap_or(0).min(MAX_INITIAL_CAPACITY));
         while let Some(byte) = sequence.next_element()? {
             bytes.push(byte);
         }
--- a/tier/protocol/src/store_calls.rs
+++ b/tier/protocol/src/store_calls.rs
@@ -1,4 +1,4 @@
-//! What a proxy asks of a store: to begin and to end turns, to reserve and to settle budgets.
+//! Calls of a proxy to a store: begin and end turns, reserve and commit their budgets. Every call may be repeated.
 
 use std::sync::Arc;
 
@@ -6,71 +6,71 @@
 
 use crate::ids::{ProgramId, RequestId, StoreEpoch};
 
-/// The budget part of a turn's begin.
+/// The reservation that a turn makes in the budget of its program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
     /// Tokens that all turns of the program may generate together (`Budget`).
     pub budget: u64,
-    /// The most that this turn generates (second number of `Token-Usage`).
+    /// The most tokens that this turn generates (second number of `Token-Usage`).
     pub max_tokens: u64,
 }
 
-/// A turn that is kept so that later turns can go on from it.
+/// A completed turn that is stored so that later turns can continue it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRecord {
-    /// The turn's name: the `Request-Id` under which it was answered whole.
+    /// The turn's name: the `Request-Id` under which it was answered completely.
     pub turn: RequestId,
-    /// The program that it ran in.
+    /// The program of the turn.
     pub program: ProgramId,
-    /// The turn that it went on from, with the program under which that one is kept.
+    /// The turn that this one continued, with the program under which that turn is stored.
     pub previous: Option<TurnLocation>,
     /// The input that the client sent.
     #[serde(with = "crate::shared_bytes")]
     pub input: Arc<[u8]>,
-    /// The data of each of its events with a line feed behind, in order.
+    /// The data of each event of the answer with a line feed behind, in order.
     #[serde(with = "crate::shared_bytes")]
     pub output: Arc<[u8]>,
-    /// How long it is kept from its end on, in milliseconds.
+    /// How long the turn is stored from its end on, in milliseconds.
     pub retention_ms: u64,
 }
 
-/// Where a turn is kept.
+/// Where a turn is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TurnLocation {
     /// The turn.
     pub turn: RequestId,
-    /// The program whose replicas hold it.
+    /// The program whose replicas store the turn.
     pub program: ProgramId,
 }
 
-/// What a proxy asks.
+/// A call of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreCall {
-    /// Reserves the turn's most and fetches what it goes on from. Repeating it is harmless.
+    /// Reserves the turn's tokens and fetches the turns that this one continues. Idempotent.
     BeginTurn {
-        /// The view that the proxy knows.
+        /// The epoch of the view that the proxy knows.
         epoch: StoreEpoch,
         /// The program.
         program: ProgramId,
-        /// The turn's try.
+        /// The attempt's `Request-Id`, which names the turn.
         turn: RequestId,
-        /// None on a route without budgets.
+        /// `None` on a route without budgets.
         reservation: Option<Reservation>,
         /// The `Request-Id` named by `Previous`.
         previous: Option<RequestId>,
     },
-    /// Settles the turn's budget and, for a turn answered whole on a retained route, keeps it. Repeating it is
-    /// harmless.
+    /// Commits the tokens that the turn has used and, for a turn answered completely on a retained route, stores it.
+    /// Idempotent.
     EndTurn {
-        /// The view that the proxy knows.
+        /// The epoch of the view that the proxy knows.
         epoch: StoreEpoch,
         /// The program.
         program: ProgramId,
-        /// The turn's try.
+        /// The attempt's `Request-Id`, which names the turn.
         turn: RequestId,
-        /// Tokens handed to the client; None where nothing was reserved.
+        /// Tokens delivered to the client; `None` where nothing was reserved.
         tokens: Option<u64>,
-        /// What is to be kept.
+        /// The turn to store.
         record: Option<TurnRecord>,
     },
 }
@@ -80,20 +80,20 @@
 pub enum StoreReply {
     /// The turn may run.
     Begun {
-        /// For each turn of the chain from the oldest on: its input and then its output, joined.
+        /// Input and output of each turn that this one continues, from the oldest on, joined.
         #[serde(with = "crate::shared_bytes")]
         history: Arc<[u8]>,
-        /// Where `Previous` is kept, to be named in this turn's record.
+        /// Where the turn named by `Previous` is stored, for this turn's record.
         previous: Option<TurnLocation>,
     },
     /// One more turn does not fit into the budget (402).
     BudgetExhausted,
-    /// Surely no such turn (404).
+    /// There certainly is no such turn (404).
     NoSuchTurn,
-    /// Settled and kept on enough disks.
+    /// Committed, and stored on enough disks.
     Ended,
-    /// Too few stores answered, or the store is not in service: ask another, or give up with 503.
+    /// Too few stores answered, or the store is not in service: the proxy asks another one, or answers 503.
     Unavailable,
-    /// The caller's view is older than this store's.
+    /// The caller's view is older than that of this store, whose epoch this is.
     StaleEpoch(StoreEpoch),
 }
--- a/tier/protocol/src/subscription.rs
+++ b/tier/protocol/src/subscription.rs
@@ -1,13 +1,18 @@
-//! The client side of [`crate::feed`]: keeps one connection to one of several feeders, and publishes what it
-//! tells as immutable tables. Agents and stores use it towards controllers, a proxy towards its agent.
+//! The client side of [`crate::feed`]: keeps one connection to one of several feeders, and publishes their updates as
+//! immutable tables. Agents and stores subscribe to controllers, a proxy to the agent of its machine, an agent also to
+//! the home of its zone.
 //!
-//! A feeder that falls silent, says that it is not current, or stays behind what is held already is left for
-//! the next one at once. The published revision never goes back within the life of a subscription.
+//! A feeder that sends nothing for a time, says that it is not current, or stays behind the tables of the subscriber is
+//! left for the next one at once. The published revision never goes back during a subscription.
+//!
+//! A [`Subscription`] is the owner's handle. Its task (`task`) goes from feeder to feeder in the order of
+//! `rotation`; `session` is one connection, and `progress` decides, without I/O, what each message means.
 
-mod exchange;
-mod link;
 mod progress;
 mod rotation;
+mod session;
+mod status;
+mod task;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,161 +22,125 @@
 
 pub use progress::{Progress, Step, MAX_HOME_LAG};
 pub use rotation::Rotation;
+pub use status::LinkStatus;
 
 use crate::feed::{FromSubscriber, Subscriber};
 use crate::tables::Tables;
 use crate::transport::Hello;
+use task::SubscriptionTask;
 
-/// Longest silence of a controller: two of its heartbeats (300 ms) may be lost or late.
+/// A controller that sends nothing for this long is left: two of its heartbeats (300 ms) may be lost or late.
 pub const CONTROLLER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest silence of the agent of the same machine: its heartbeats (500 ms) share a fraction of a core with
-/// the proxy, and nothing else could be asked instead.
+/// The agent of the same machine is left after this time: its heartbeats (500 ms) share a fraction of a core with the
+/// proxy, and the proxy has no other feeder.
 pub const AGENT_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Orders of the owner that wait while no feeder is reached; further ones are dropped.
-const ORDERS: usize = 64;
+/// Most commands of the owner that wait while no feeder is connected; further ones are rejected.
+const MAX_PENDING_COMMANDS: usize = 64;
 
 /// What a subscription needs to know.
 pub struct SubscriptionOptions {
     /// The greeting, which names this machine.
     pub hello: Hello,
-    /// Who subscribes.
+    /// The kind of subscriber, with what registers it.
     pub subscriber: Subscriber,
-    /// Feeders to choose from. Those that a feeder tells ([`crate::feed::ToSubscriber::Controllers`]) are
-    /// added to them.
+    /// Feeders to choose from. The feeders that a feeder names ([`crate::feed::ToSubscriber::Controllers`]) are added
+    /// to them.
     pub candidates: watch::Receiver<Vec<SocketAddr>>,
-    /// A feeder that says nothing for this long is left.
+    /// A feeder that sends nothing for this long is left.
     pub feeder_timeout: Duration,
 }
 
-/// How the connection to a feeder stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LinkStatus {
-    /// Whether the connection is up, the feeder says that it is current, and the tables are at its revision.
-    pub current: bool,
-    /// Since when `current` and `address` are as they are.
-    pub changed_at: Instant,
-    /// The connected feeder; None while there is none.
-    pub address: Option<SocketAddr>,
-    /// Whether the feeder sends heartbeats only, and updates come from [`Subscription::offer`].
-    pub follows_home: bool,
-    /// When the tables were last known to be current. Rises without waking the watchers.
-    pub confirmed_at: Option<Instant>,
-}
-
-impl LinkStatus {
-    /// Not connected since `now`.
-    fn none(now: Instant) -> Self {
-        LinkStatus {
-            current: false,
-            changed_at: now,
-            address: None,
-            follows_home: false,
-            confirmed_at: None,
-        }
-    }
-
-    /// Whether the tables were known to be current at some moment within `age` before `now`.
-    pub fn confirmed_within(&self, age: Duration, now: Instant) -> bool {
-        self.confirmed_at
-            .is_some_and(|at| now.saturating_duration_since(at) <= age)
-    }
-}
-
-/// A running subscription. It ends when this is dropped.
+/// A running subscription. Dropping it closes the connection and ends the task.
 pub struct Subscription {
     tables: watch::Receiver<Arc<Tables>>,
-    standing: watch::Receiver<LinkStatus>,
-    orders: mpsc::Sender<Order>,
+    status: watch::Receiver<LinkStatus>,
+    commands: mpsc::Sender<Command>,
 }
 
-/// What the owner wants.
-enum Order {
-    /// A message to be sent; the owner may wait until it has been handed to the operating system.
+/// A command of the owner to the subscription's task.
+enum Command {
+    /// Send a message to the feeder.
     Send {
         message: FromSubscriber,
-        written: Option<oneshot::Sender<()>>,
+        /// Notified when the message has been handed to the operating system.
+        flushed: Option<oneshot::Sender<()>>,
     },
-    /// Updates come by offers from now on, until the feeder's heartbeats show that these lag.
-    ByHome,
-    /// Updates come from the feeder again.
-    Direct,
-    /// Tables from elsewhere.
+    /// Take updates from [`Command::Offer`], until the feeder's heartbeats show that the offers lag.
+    FollowHome,
+    /// Take updates from the feeder again.
+    FollowFeeder,
+    /// Tables of the home.
     Offer(Arc<Tables>),
 }
 
 impl Subscription {
-    /// Starts a subscription on the current `LocalSet`, holding nothing.
+    /// Starts a subscription on the current `LocalSet`, without any tables.
     pub fn start(options: SubscriptionOptions) -> Self {
         Subscription::start_from(options, Arc::default())
     }
 
-    /// Starts a subscription on the current `LocalSet`, holding these tables.
+    /// Starts a subscription on the current `LocalSet` from the tables that its owner has.
     pub fn start_from(options: SubscriptionOptions, held: Arc<Tables>) -> Self {
         let (publish_tables, tables) = watch::channel(held);
-        let (publish_standing, standing) = watch::channel(LinkStatus::none(Instant::now()));
-        let (orders, queue) = mpsc::channel(ORDERS);
-        let link = link::Link::new(options, publish_tables, publish_standing, queue);
-        tokio::task::spawn_local(link.run());
+        let (publish_status, status) = watch::channel(LinkStatus::disconnected(Instant::now()));
+        let (commands, received) = mpsc::channel(MAX_PENDING_COMMANDS);
+        let task = SubscriptionTask::new(options, publish_tables, publish_status, received);
+        // Ends when `commands` is dropped with the subscription.
+        tokio::task::spawn_local(task.run());
         Subscription {
             tables,
-            standing,
-            orders,
+            status,
+            commands,
         }
     }
 
-    /// The tables, replaced whole with every change.
+    /// The tables; each change replaces them by a new value.
     pub fn tables(&self) -> watch::Receiver<Arc<Tables>> {
         self.tables.clone()
     }
 
-    /// How the connection stands.
+    /// The status of the connection.
     pub fn status(&self) -> watch::Receiver<LinkStatus> {
-        self.standing.clone()
+        self.status.clone()
     }
 
-    /// Sends a message to the feeder, once. It may be lost with the connection: what has to arrive is to be
-    /// sent again whenever [`LinkStanding::address`] changes. False if the queue is full.
+    /// Sends a message to the feeder, once. The message may be lost with the connection: a message that has to arrive
+    /// is sent again whenever [`LinkStatus::address`] changes. False if the queue is full.
     pub fn send(&self, message: FromSubscriber) -> bool {
-        self.orders
-            .try_send(Order::Send {
-                message,
-                written: None,
-            })
-            .is_ok()
+        let flushed = None;
+        self.command(Command::Send { message, flushed })
     }
 
     /// Sends a message and waits until it has been handed to the operating system; false after `timeout`.
     pub async fn send_and_flush(&self, message: FromSubscriber, timeout: Duration) -> bool {
-        let (written, done) = oneshot::channel();
-        if self
-            .orders
-            .try_send(Order::Send {
-                message,
-                written: Some(written),
-            })
-            .is_err()
-        {
+        let (flushed, done) = oneshot::channel();
+        let flushed = Some(flushed);
+        if !self.command(Command::Send { message, flushed }) {
             return false;
         }
         matches!(tokio::time::timeout(timeout, done).await, Ok(Ok(())))
     }
 
-    /// From now on, updates come by [`Subscription::offer`]; the feeder sends heartbeats only. As soon as offers
+    /// Takes updates from [`Subscription::offer`] from now on; the feeder sends heartbeats only. As soon as the offers
     /// lag behind the feeder's revision by [`MAX_HOME_LAG`], and on every new connection, the feeder is asked for
-    /// updates again. Nothing happens while the feeder has announced more than is held. False if the queue is
-    /// full.
+    /// updates again. Nothing happens while the feeder has announced a later revision than the subscriber's. False if
+    /// the queue is full.
     pub fn follow_home(&self) -> bool {
-        self.orders.try_send(Order::ByHome).is_ok()
+        self.command(Command::FollowHome)
     }
 
-    /// Updates are to come from the feeder again. False if the queue is full.
+    /// Takes updates from the feeder again. False if the queue is full.
     pub fn follow_feeder(&self) -> bool {
-        self.orders.try_send(Order::Direct).is_ok()
+        self.command(Command::FollowFeeder)
     }
 
-    /// Tables from elsewhere. They are published if they are newer than what is held, and updates do not come
+    /// Offers tables of the home. They are published if they are newer than the subscriber's, and updates do not come
     /// from the feeder. False if the queue is full.
     pub fn offer(&self, tables: Arc<Tables>) -> bool {
-        self.orders.try_send(Order::Offer(tables)).is_ok()
+        self.command(Command::Offer(tables))
+    }
+
+    fn command(&self, command: Command) -> bool {
+        self.commands.try_send(command).is_ok()
     }
 }
--- a/tier/protocol/src/subscription/progress.rs
+++ b/tier/protocol/src/subscription/progress.rs
@@ -1,4 +1,5 @@
-//! What one feeder's messages mean for the tables that are held: decisions without I/O.
+//! What the messages of one feeder mean for the subscriber's tables. Decisions without I/O: time is passed in, and the
+//! session does what the returned [`Step`] says.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,126 +9,148 @@
 use crate::ids::Revision;
 use crate::tables::{Tables, TablesUpdate};
 
-/// Heartbeats in a row by which a feeder may be behind what is held: one may just have overtaken the change.
-const BEHIND_HEARTBEATS: u32 = 2;
-
-/// Heartbeats that may come instead of what was asked for: one may have been under way, the next may have
-/// crossed the question.
-const WAITED_HEARTBEATS: u32 = 3;
-/// How long a home may lag behind the revision that the feeder has announced: some ten times the way over one
-/// more machine, and a small part of the time within which a change must have spread.
+/// Heartbeats in a row by which a feeder may be behind the subscriber: one may just have overtaken the change.
+const MAX_HEARTBEATS_BEHIND: u32 = 2;
+/// Heartbeats that may come before the answer to a request: one may have been under way, the next may have crossed the
+/// request.
+const MAX_HEARTBEATS_BEFORE_ANSWER: u32 = 3;
+/// How long a home may lag behind the revision that the feeder has announced: some ten times the way over one more
+/// machine, and a small part of the time within which a change must have spread.
 pub const MAX_HOME_LAG: Duration = Duration::from_millis(150);
 
-/// What follows from one message.
+/// What the session has to do after one message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The tables changed; the feeder is to be told.
+    /// The tables changed: publish them and acknowledge the revision.
     Changed,
     /// Nothing changed. The tables are at the newest revision that the feeder has confirmed.
     Confirmed,
-    /// Nothing changed, and nothing is known about being current.
+    /// Nothing changed, and the feeder did not confirm that the tables are current.
     Unconfirmed,
-    /// An update did not fit: a snapshot is to be asked for.
-    WantsSnapshot,
-    /// Other feeders to try later.
-    Feeders(Vec<SocketAddr>),
-    /// The feeder is not current: another one is to be asked.
-    Leave,
-    /// What was asked for does not come: the connection is to begin anew.
-    Broken,
+    /// An update did not continue the tables: request a snapshot.
+    RequestSnapshot,
+    /// Remember these feeders as further candidates.
+    NewFeeders(Vec<SocketAddr>),
+    /// The feeder is not current: go to another one.
+    NotCurrent,
+    /// The answer to a request did not come: connect anew.
+    Reconnect,
 }
 
 /// Where updates come from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Source {
+enum UpdateSource {
     /// The feeder itself.
     #[default]
     Feeder,
-    /// The home of the zone, which lags since this moment, if it does.
-    Home { lags_since: Option<Instant> },
+    /// The home of the zone.
+    Home {
+        /// Since when the home has been behind the feeder; `None` while it is not.
+        behind_since: Option<Instant>,
+    },
+}
+
+/// A request of the subscriber whose answer has not come yet.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum PendingRequest {
+    /// The feeder owes no answer.
+    #[default]
+    None,
+    /// The feeder was asked for a snapshot.
+    Snapshot,
+    /// The feeder was asked to send updates again.
+    Updates,
 }
 
-/// Progress over one connection.
+/// A subscriber's progress over one connection to a feeder. Owned by the session.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// The feeder was asked for a snapshot that has not come yet.
-    asked_snapshot: bool,
-    /// The feeder was asked for updates that have not come yet.
-    asked_updates: bool,
-    /// Heartbeats that came instead of what was asked for.
-    waited: u32,
-    behind: u32,
-    source: Source,
+    pending: PendingRequest,
+    /// Heartbeats that came before the answer to the pending request.
+    heartbeats_before_answer: u32,
+    /// Heartbeats in a row that were behind the subscriber.
+    heartbeats_behind: u32,
+    source: UpdateSource,
+    /// The highest revision that the feeder has announced.
     announced: Revision,
 }
 
 impl Progress {
     /// Takes a message that came at `now`; applies an update to `tables`.
-    pub fn take(&mut self, message: ToSubscriber, tables: &mut Arc<Tables>, now: Instant) -> Step {
+    pub fn on_message(
+        &mut self,
+        message: ToSubscriber,
+        tables: &mut Arc<Tables>,
+        now: Instant,
+    ) -> Step {
         match message {
-            ToSubscriber::Update(update) => self.update(update, tables, now),
+            ToSubscriber::Update(update) => self.on_update(update, tables, now),
             ToSubscriber::Heartbeat { revision, current } => {
-                self.heartbeat(revision, current, tables.revision, now)
+                self.on_heartbeat(revision, current, tables.revision, now)
             }
-            ToSubscriber::Controllers(addresses) => Step::Feeders(addresses),
+            ToSubscriber::Controllers(addresses) => Step::NewFeeders(addresses),
         }
     }
 
-    /// Updates come from the home from now on, which is told by the answer. None if they already do, or if the
-    /// feeder has announced more than is held: that is to come first.
-    pub fn begin_by_home(&mut self, held: Revision) -> Option<FromSubscriber> {
-        if self.is_by_home() || self.announced > held {
+    /// Takes updates from the home from now on. Returns the message that tells the feeder so; `None` if updates
+    /// already come from the home, or if the feeder has announced more than `held_revision`: the subscriber has to
+    /// catch up first.
+    pub fn follow_home(&mut self, held_revision: Revision) -> Option<FromSubscriber> {
+        if self.follows_home() || self.announced > held_revision {
             return None;
         }
-        self.source = Source::Home { lags_since: None };
+        self.source = UpdateSource::Home { behind_since: None };
         Some(FromSubscriber::HeartbeatsOnly)
     }
 
     /// Whether updates come from the home.
-    pub fn is_by_home(&self) -> bool {
-        self.source != Source::Feeder
+    pub fn follows_home(&self) -> bool {
+        self.source != UpdateSource::Feeder
     }
 
-    /// Takes tables that the home sent.
-    pub fn offered(&mut self, offered: Arc<Tables>, tables: &mut Arc<Tables>) -> Step {
-        if !self.is_by_home() || offered.revision <= tables.revision {
+    /// Takes tables that the home sent; they replace `tables` if updates come from the home and they are newer.
+    pub fn on_offer(&mut self, offered: Arc<Tables>, tables: &mut Arc<Tables>) -> Step {
+        if !self.follows_home() || offered.revision <= tables.revision {
             return Step::Unconfirmed;
         }
         *tables = offered;
         if tables.revision >= self.announced {
-            self.source = Source::Home { lags_since: None };
+            self.source = UpdateSource::Home { behind_since: None };
         }
         Step::Changed
     }
 
-    /// When the feeder is to be asked for updates again, unless offers have caught up by then.
-    pub fn home_is_overdue_at(&self) -> Option<Instant> {
+    /// When the feeder has to be asked for updates again, unless the home has caught up by then.
+    pub fn home_deadline(&self) -> Option<Instant> {
         match self.source {
-            Source::Feeder => None,
-            Source::Home { lags_since } => lags_since.map(|since| since + MAX_HOME_LAG),
+            UpdateSource::Feeder => None,
+            UpdateSource::Home { behind_since } => behind_since.map(|since| since + MAX_HOME_LAG),
         }
     }
 
-    /// Updates come from the feeder from now on, which is told by the answer; None if they already do.
-    pub fn end_by_home(&mut self, held: Revision) -> Option<FromSubscriber> {
-        let was_by_home = self.is_by_home();
-        self.source = Source::Feeder;
-        (self.asked_snapshot, self.asked_updates) = (false, was_by_home);
-        was_by_home.then_some(FromSubscriber::ResumeUpdates {
-            held_revision: held,
-        })
+    /// Takes updates from the feeder from now on. Returns the message that tells the feeder so; `None` if they already
+    /// come from the feeder.
+    pub fn follow_feeder(&mut self, held_revision: Revision) -> Option<FromSubscriber> {
+        let followed_home = self.follows_home();
+        self.source = UpdateSource::Feeder;
+        if !followed_home {
+            self.pending = PendingRequest::None;
+            return None;
+        }
+        self.pending = PendingRequest::Updates;
+        Some(FromSubscriber::ResumeUpdates { held_revision })
     }
 
-    fn update(&mut self, update: TablesUpdate, tables: &mut Arc<Tables>, now: Instant) -> Step {
+    fn on_update(&mut self, update: TablesUpdate, tables: &mut Arc<Tables>, now: Instant) -> Step {
         let before = tables.revision;
-        if !Arc::make_mut(tables).apply(update) {
-            return if self.is_by_home() {
-                self.behind_the_feeder(now)
-            } else {
-                self.snapshot_once()
+        if Arc::make_mut(tables).apply(update).is_err() {
+            return match self.source {
+                UpdateSource::Home { .. } => self.on_announced_ahead(now),
+                UpdateSource::Feeder => self.request_snapshot_once(),
             };
         }
-        (self.asked_snapshot, self.asked_updates, self.waited) = (false, false, 0);
+        self.pending = PendingRequest::None;
+        self.heartbeats_before_answer = 0;
         if tables.revision == before {
             Step::Unconfirmed
         } else {
@@ -135,54 +158,54 @@
         }
     }
 
-    fn heartbeat(
+    fn on_heartbeat(
         &mut self,
         revision: Revision,
         current: bool,
-        held: Revision,
+        held_revision: Revision,
         now: Instant,
     ) -> Step {
         self.announced = self.announced.max(revision);
         if !current {
-            return Step::Leave;
+            return Step::NotCurrent;
         }
-        if revision > held {
-            return self.behind_the_feeder(now);
+        if revision > held_revision {
+            return self.on_announced_ahead(now);
         }
-        if revision == held {
-            self.behind = 0;
+        if revision == held_revision {
+            self.heartbeats_behind = 0;
             return Step::Confirmed;
         }
-        self.behind += 1;
-        if self.behind < BEHIND_HEARTBEATS {
+        self.heartbeats_behind += 1;
+        if self.heartbeats_behind < MAX_HEARTBEATS_BEHIND {
             Step::Unconfirmed
         } else {
-            Step::Leave
+            Step::NotCurrent
         }
     }
 
-    /// The feeder has announced more than is held.
-    fn behind_the_feeder(&mut self, now: Instant) -> Step {
-        if let Source::Home { lags_since } = &mut self.source {
-            lags_since.get_or_insert(now);
+    /// The feeder has announced a later revision than the subscriber's.
+    fn on_announced_ahead(&mut self, now: Instant) -> Step {
+        if let UpdateSource::Home { behind_since } = &mut self.source {
+            behind_since.get_or_insert(now);
             return Step::Unconfirmed;
         }
-        if self.asked_updates || self.asked_snapshot {
-            self.waited += 1;
-            return if self.waited < WAITED_HEARTBEATS {
-                Step::Unconfirmed
-            } else {
-                Step::Broken
-            };
+        if self.pending == PendingRequest::None {
+            return self.request_snapshot_once();
         }
-        self.snapshot_once()
-    }
-
-    fn snapshot_once(&mut self) -> Step {
-        if std::mem::replace(&mut self.asked_snapshot, true) {
+        self.heartbeats_before_answer += 1;
+        if self.heartbeats_before_answer < MAX_HEARTBEATS_BEFORE_ANSWER {
             Step::Unconfirmed
         } else {
-            Step::WantsSnapshot
+            Step::Reconnect
+        }
+    }
+
+    fn request_snapshot_once(&mut self) -> Step {
+        if self.pending == PendingRequest::Snapshot {
+            return Step::Unconfirmed;
         }
+        self.pending = PendingRequest::Snapshot;
+        Step::RequestSnapshot
     }
 }
--- a/tier/protocol/src/subscription/rotation.rs
+++ b/tier/protocol/src/subscription/rotation.rs
@@ -1,4 +1,4 @@
-//! Which feeder is tried next, and after what pause.
+//! Which feeder a subscription tries next, and after which backoff. Owned by the subscription's task; without I/O.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -6,68 +6,75 @@
 
 use crate::ids::NodeId;
 
-/// Pause after the first round in which no feeder was of use; it doubles with each further round.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between tries: well under the time within which a change must have spread.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
-/// Doublings until the longest pause.
-const MOST_DOUBLINGS: usize = 3;
+/// Backoff after the first pass over the candidates in which every feeder failed; it doubles with each further pass.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest backoff: well under the time within which a change must have spread.
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
+/// Doublings until the longest backoff.
+const MAX_DOUBLINGS: usize = 3;
 
-/// Goes through the candidates in turns. The first choice differs from machine to machine, so that not all
-/// hang on one feeder.
+/// Goes through the candidates in turns. The first choice differs from machine to machine, so that the subscribers
+/// spread over the feeders.
 #[derive(Clone, Debug)]
 pub struct Rotation {
-    place: usize,
-    fruitless: usize,
+    /// Counts on with each choice; its remainder is the candidate's index.
+    position: usize,
+    /// Candidates in a row that failed.
+    failures: usize,
 }
 
 impl Rotation {
-    /// Starts at a place drawn from the machine's name.
+    /// Starts at a candidate chosen by the hash of the machine's name.
     pub fn new(node: &NodeId) -> Self {
         let mut hasher = DefaultHasher::new();
         node.hash(&mut hasher);
-        // Only the place matters; a sixteenth of the range keeps the counter far from its end.
+        // Only the remainder matters; a sixteenth of the range keeps the counter far from its end.
+        let position = (hasher.finish() >> 36) as usize;
         Rotation {
-            place: (hasher.finish() >> 36) as usize,
-            fruitless: 0,
+            position,
+            failures: 0,
         }
     }
 
-    /// The next candidate; None if there is none.
-    pub fn next(&mut self, candidates: &[SocketAddr]) -> Option<SocketAddr> {
-        self.place = self.place.wrapping_add(1);
-        candidates
-            .get(self.place.checked_rem(candidates.len())?)
-            .copied()
+    /// The next candidate; `None` if there is none.
+    pub fn next_candidate(&mut self, candidates: &[SocketAddr]) -> Option<SocketAddr> {
+        self.position = self.position.wrapping_add(1);
+        let index = self.position.checked_rem(candidates.len())?;
+        candidates.get(index).copied()
     }
 
-    /// The last candidate was current for a while: the pauses begin anew.
-    pub fn useful(&mut self) {
-        self.fruitless = 0;
+    /// Records that the last candidate served this subscription: backoffs begin anew.
+    pub fn record_success(&mut self) {
+        self.failures = 0;
     }
 
-    /// The last candidate was of no use. How long to wait before the next: nothing within the first round.
-    pub fn useless(&mut self, candidates: usize) -> Duration {
-        let pause = self.pause(candidates);
-        self.fruitless = self.fruitless.saturating_add(1);
-        pause
+    /// Records that the last of `candidates` feeders failed. Returns the backoff before the next one, which is zero
+    /// within the first pass.
+    pub fn record_failure(&mut self, candidates: usize) -> Duration {
+        let backoff = self.backoff(candidates);
+        self.failures = self.failures.saturating_add(1);
+        backoff
     }
 
-    /// The last candidate could not be reached, which costs next to nothing. How long to wait before the next: a pause only
-    /// behind each whole round, so that one that comes up is found by the next round.
-    pub fn unreached(&mut self, candidates: usize) -> Duration {
-        let pause = self.useless(candidates);
-        match self.fruitless % candidates.max(1) {
-            0 => pause,
-            _ => Duration::ZERO,
+    /// Records that the last of `candidates` feeders could not be reached, which costs next to nothing. Returns the
+    /// backoff before the next one, which is zero except at the end of each pass: a feeder that comes up is found by
+    /// the next pass.
+    pub fn record_unreachable(&mut self, candidates: usize) -> Duration {
+        let backoff = self.record_failure(candidates);
+        if self.failures.is_multiple_of(candidates.max(1)) {
+            backoff
+        } else {
+            Duration::ZERO
         }
     }
 
-    /// The pause behind the present candidate, should it be of no use.
-    pub fn pause(&self, candidates: usize) -> Duration {
-        match self.fruitless.saturating_add(1) / candidates.max(1) {
-            0 => Duration::ZERO,
-            rounds => LONGEST_PAUSE.min(FIRST_PAUSE * (1 << (rounds - 1).min(MOST_DOUBLINGS))),
+    /// The backoff after the present one of `candidates` feeders, should it fail.
+    pub fn backoff(&self, candidates: usize) -> Duration {
+        let passes = self.failures.saturating_add(1) / candidates.max(1);
+        if passes == 0 {
+            return Duration::ZERO;
         }
+        let doublings = (passes - 1).min(MAX_DOUBLINGS);
+        MAX_BACKOFF.min(INITIAL_BACKOFF * (1 << doublings))
     }
 }
--- a/tier/protocol/src/tables.rs
+++ b/tier/protocol/src/tables.rs
@@ -1,6 +1,9 @@
-//! What the control plane tells the data plane: targets, stores, edges, configuration. Snapshots are
-//! immutable and replaced whole; [`TablesUpdate`] carries the changes between two revisions.
+//! What the control plane publishes to the data plane: targets, stores, edges, configuration.
+//!
+//! Controllers derive the [`Tables`] from the replicated state and own their revisions; all others have immutable
+//! snapshots, each of which is replaced as one value. [`TablesUpdate`] carries the changes between two revisions.
 
+mod change;
 mod order;
 
 use std::net::SocketAddr;
@@ -8,18 +11,17 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::Document;
-
 use crate::ids::{Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName};
 
+pub use change::{RevisionGap, TablesChange, TablesUpdate};
 pub use order::{compare_edges, compare_targets};
-use order::{differences, replace_at, same_place};
 
 /// Whether a target takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetState {
     /// Takes requests.
     Healthy,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes the requests in flight and takes no new ones.
     Draining,
 }
 
@@ -35,23 +37,24 @@
 /// One registered target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The incarnation's id.
+    /// The id of this start of the target.
     pub id: InstanceId,
-    /// The service that it belongs to.
+    /// The service to which the target belongs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address at which the process listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: ZoneName,
-    /// Requests that it works on at once.
+    /// Requests that the target executes at once.
     pub capacity: u32,
-    /// Whether it takes new requests.
+    /// Whether the target takes new requests.
     pub state: TargetState,
-    /// The highest `sequence` that it has sent with a change.
+    /// The highest `sequence` that the target has sent with a change.
     pub sequence: u64,
-    /// Milliseconds that it stays slow after its start, as it told when it registered; 0 if it told none.
+    /// Milliseconds for which the target warms up after its start, as it reported when it registered; 0 if it reported
+    /// none.
     pub warm_up_remaining_ms: u64,
-    /// The models that it serves, if it told any.
+    /// The models that the target serves, as far as it reported them.
     pub models: Vec<ServedModel>,
 }
 
@@ -60,24 +63,24 @@
 pub struct StoreMember {
     /// The machine.
     pub node: NodeId,
-    /// The life of its disk.
+    /// The incarnation of the store's disk.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// The address at which the process listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: ZoneName,
 }
 
-/// Which stores hold turns and budgets. While `next` is set, writes and budgets need a quorum in both sets.
+/// The view of the stores that keep turns and budgets. While `next` is set, writes and budgets need a quorum in both sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreView {
     /// Rises with every change.
     pub epoch: StoreEpoch,
-    /// The stores that hold everything.
+    /// The stores that have all data.
     pub serving: Vec<StoreMember>,
-    /// The set that takes over once each of its members has copied what belongs to it.
+    /// The set that takes over once each of its members has copied its share of the data.
     pub next: Option<Vec<StoreMember>>,
-    /// Lost stores that the tier bears at once (f).
+    /// Lost stores that the tier tolerates at once (f of a quorum system with 2f + 1 members).
     pub tolerated_faults: u32,
 }
 
@@ -86,18 +89,18 @@
 pub struct Edge {
     /// The machine.
     pub node: NodeId,
-    /// This life of its agent.
+    /// This start of the agent.
     pub incarnation: Incarnation,
     /// Where the agent listens for peers.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: ZoneName,
 }
 
 /// The operator's configuration as it was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationText {
-    /// Its version.
+    /// The version of the configuration.
     pub version: u64,
     /// The JSON document, byte for byte.
     pub document: Document,
@@ -106,9 +109,9 @@
 /// Everything that the data plane knows, at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tables {
-    /// The committed position that this shows.
+    /// The committed revision that these tables show.
     pub revision: Revision,
-    /// None before the operator's first.
+    /// The operator's configuration; `None` before the first one.
     pub configuration: Option<ConfigurationText>,
     /// All registered targets, by service and id.
     pub targets: Vec<Target>,
@@ -125,125 +128,8 @@
 pub struct Drain {
     /// The machine.
     pub node: NodeId,
-    /// The number of the order.
+    /// The number of the operator's order; a later order has a higher one.
     pub number: u64,
-    /// Whether it was empty since.
+    /// Whether the edge has reported since that it is drained.
     pub empty: bool,
 }
-
-/// One step from a revision to a later one.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TablesChange {
-    /// A target registered or changed.
-    TargetSet(Target),
-    /// A target is gone.
-    TargetRemoved(InstanceId),
-    /// The stores' view changed.
-    Stores(StoreView),
-    /// An edge appeared or changed.
-    EdgeSet(Edge),
-    /// An edge is gone.
-    EdgeRemoved(NodeId),
-    /// The configuration was replaced.
-    Configuration(ConfigurationText),
-    /// Other edges are out of service: all of them.
-    Drains(Vec<Drain>),
-}
-
-/// What brings a receiver up to date.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TablesUpdate {
-    /// Replaces everything.
-    Snapshot(Tables),
-    /// Applies to exactly revision `from`.
-    Changes {
-        /// The revision that the receiver must hold.
-        from: Revision,
-        /// The revision that it holds afterwards.
-        to: Revision,
-        /// In order.
-        changes: Vec<TablesChange>,
-    },
-}
-
-impl Tables {
-    /// Applies one update. False if it does not continue this revision; the caller then asks for a snapshot.
-    /// A snapshot older than what is held is ignored and counts as applied.
-    pub fn apply(&mut self, update: TablesUpdate) -> bool {
-        match update {
-            TablesUpdate::Snapshot(tables) => {
-                if tables.revision >= self.revision {
-                    *self = tables;
-                }
-                true
-            }
-            TablesUpdate::Changes { from, to, changes } => {
-                if to <= self.revision {
-                    return true;
-                }
-                if from != self.revision {
-                    return false;
-                }
-                changes.into_iter().for_each(|change| self.change(change));
-                self.revision = to;
-                true
-            }
-        }
-    }
-
-    /// The changes that lead from `older` to these tables.
-    pub fn changes_since(&self, older: &Tables) -> Vec<TablesChange> {
-        let mut changes = Vec::new();
-        // Removals come first: a target that moved to another service is removed from its old place, then set.
-        let gone = differences(&older.targets, &self.targets, compare_targets);
-        changes.extend(
-            gone.filter(|one| !same_place(&self.targets, one, compare_targets))
-                .map(|target| TablesChange::TargetRemoved(target.id.clone())),
-        );
-        let set = differences(&self.targets, &older.targets, compare_targets);
-        changes.extend(set.cloned().map(TablesChange::TargetSet));
-        let gone = differences(&older.edges, &self.edges, compare_edges);
-        changes.extend(
-            gone.filter(|one| !same_place(&self.edges, one, compare_edges))
-                .map(|edge| TablesChange::EdgeRemoved(edge.node.clone())),
-        );
-        let set = differences(&self.edges, &older.edges, compare_edges);
-        changes.extend(set.cloned().map(TablesChange::EdgeSet));
-        if self.stores != older.stores {
-            changes.push(TablesChange::Stores(self.stores.clone()));
-        }
-        if let Some(text) = self
-            .configuration
-            .as_ref()
-            .filter(|_| self.configuration != older.configuration)
-        {
-            changes.push(TablesChange::Configuration(text.clone()));
-        }
-        if self.drains != older.drains {
-            changes.push(TablesChange::Drains(self.drains.clone()));
-        }
-        changes
-    }
-
-    fn change(&mut self, change: TablesChange) {
-        match change {
-            TablesChange::TargetSet(target) => {
-                let place = self
-                    .targets
-                    .binary_search_by(|held| compare_targets(held, &target));
-                replace_at(&mut self.targets, place, target);
-            }
-            TablesChange::TargetRemoved(id) => self.targets.retain(|target| target.id != id),
-            TablesChange::Stores(view) => self.stores = view,
-            TablesChange::EdgeSet(edge) => {
-                let place = self
-                    .edges
-                    .binary_search_by(|held| held.node.cmp(&edge.node));
-                replace_at(&mut self.edges, place, edge);
-            }
-            TablesChange::EdgeRemoved(node) => self.edges.retain(|edge| edge.node != node),
-            TablesChange::Configuration(text) => self.configuration = Some(text),
-            TablesChange::Drains(drains) => self.drains = drains,
-        }
-    }
-}
--- a/tier/protocol/src/transport/caller.rs
+++ b/tier/protocol/src/transport/caller.rs
@@ -1,31 +1,28 @@
-//! Calls with answers over one connection, which comes up when it is needed.
+//! Calls with answers to one peer. Used by the clients of stores.
+//!
+//! All calls share one connection, which comes up with the first call and again after it broke. [`Shared`] owns the
+//! calls in flight and the connection; both tasks of a connection end with its [`Link`].
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
 use serde::de::DeserializeOwned;
-use serde::{Deserialize, Serialize};
-use tokio::sync::{mpsc, oneshot};
-use tokio::task::JoinHandle;
+use serde::Serialize;
+use tokio::sync::{mpsc, oneshot, Mutex};
+use tokio::task::spawn_local;
+use tokio::time::timeout;
 
-use super::{dial, FrameReader, FrameWriter, Hello};
+use super::abort_on_drop::AbortOnDrop;
+use super::envelope::{write_queue, Envelope};
+use super::{dial, Connection, FrameReader, Hello};
 
-/// Calls that may wait for the connection's writer.
-const WRITE_QUEUE: usize = 4_096;
+/// Most calls that wait for the connection's writer.
+const MAX_WRITE_QUEUE: usize = 4_096;
 /// After a failed dial, calls fail at once for this time.
-const REDIAL_PAUSE: Duration = Duration::from_millis(100);
-/// Frames written together at most.
-const BATCH: usize = 64;
-
-/// One call or its answer on the wire.
-#[derive(Serialize, Deserialize)]
-pub(super) struct Envelope<T> {
-    pub(super) call: u64,
-    pub(super) body: T,
-}
+const REDIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -51,235 +48,261 @@
     }
 }
 
+impl<Request, Reply> Caller<Request, Reply>
+where
+    Request: Serialize + 'static,
+    Reply: DeserializeOwned + 'static,
+{
+    /// A caller of the peer at `address`; nothing is connected yet.
+    pub fn new(address: SocketAddr, hello: Hello) -> Self {
+        let shared = Shared {
+            address,
+            hello,
+            state: RefCell::new(State::default()),
+            dialing: Mutex::new(()),
+        };
+        Caller {
+            shared: Rc::new(shared),
+        }
+    }
+
+    /// The peer's address.
+    pub fn address(&self) -> SocketAddr {
+        self.shared.address
+    }
+
+    /// Calls the peer and waits for its answer for at most `max_wait`, connecting included.
+    ///
+    /// # Errors
+    /// [`CallError`] says whether the peer may have seen the call.
+    pub async fn call(&self, request: Request, max_wait: Duration) -> Result<Reply, CallError> {
+        let started = Instant::now();
+        let deadline = started + max_wait;
+        let link = match timeout(max_wait, self.shared.connected()).await {
+            Ok(connected) => connected?,
+            Err(_elapsed) => return Err(CallError::NotSent),
+        };
+        let (answer, answered) = oneshot::channel();
+        let pending = self.shared.register_call(answer);
+        let envelope = Envelope {
+            call: pending.call,
+            body: request,
+        };
+        if link.writes.try_send(envelope).is_err() {
+            return Err(CallError::NotSent);
+        }
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        match timeout(remaining, answered).await {
+            Ok(Ok(reply)) => Ok(reply),
+            Ok(Err(_connection_closed)) => Err(CallError::NoAnswer),
+            Err(_elapsed) => {
+                self.shared.close_if_idle_since(link.number, started);
+                Err(CallError::NoAnswer)
+            }
+        }
+    }
+}
+
+/// What the clones of a caller and the tasks of its connection share.
 struct Shared<Request, Reply> {
     address: SocketAddr,
     hello: Hello,
     state: RefCell<State<Request, Reply>>,
-    dialing: tokio::sync::Mutex<()>,
+    /// Held while a connection is dialed: one dial at a time.
+    dialing: Mutex<()>,
 }
 
 struct State<Request, Reply> {
     link: Option<Link<Request>>,
-    next_call: u64,
-    failed_at: Option<Instant>,
+    /// The last number given to a call or a connection; both count on in one row.
+    last_number: u64,
+    /// When the last dial failed; `None` after one that came up.
+    dial_failed_at: Option<Instant>,
+    /// Who waits for the answer of each call in flight.
     waiting: HashMap<u64, oneshot::Sender<Reply>>,
 }
 
+/// The present connection. Dropping it ends its tasks.
 struct Link<Request> {
     number: u64,
     /// When the last answer came; at first, when the connection came up.
-    heard: Instant,
+    last_answer: Instant,
     writes: mpsc::Sender<Envelope<Request>>,
-    tasks: [JoinHandle<()>; 2],
+    _reading: AbortOnDrop,
+    _writing: AbortOnDrop,
 }
 
-impl<Request> Drop for Link<Request> {
-    fn drop(&mut self) {
-        self.tasks.iter().for_each(JoinHandle::abort);
+/// What a call needs of the present connection.
+struct LinkHandle<Request> {
+    number: u64,
+    writes: mpsc::Sender<Envelope<Request>>,
+}
+
+impl<Request> Link<Request> {
+    fn handle(&self) -> LinkHandle<Request> {
+        LinkHandle {
+            number: self.number,
+            writes: self.writes.clone(),
+        }
     }
 }
 
-impl<Request, Reply> Caller<Request, Reply>
-where
-    Request: Serialize + 'static,
-    Reply: DeserializeOwned + 'static,
-{
-    /// Calls the peer at this address; nothing is connected yet.
-    pub fn new(address: SocketAddr, hello: Hello) -> Self {
-        let state = State {
+impl<Request, Reply> Default for State<Request, Reply> {
+    fn default() -> Self {
+        State {
             link: None,
-            next_call: 0,
-            failed_at: None,
+            last_number: 0,
+            dial_failed_at: None,
             waiting: HashMap::new(),
-        };
-        let dialing = tokio::sync::Mutex::new(());
-        Caller {
-            shared: Rc::new(Shared {
-                address,
-                hello,
-                state: RefCell::new(state),
-                dialing,
-            }),
         }
     }
+}
 
-    /// The peer's address.
-    pub fn address(&self) -> SocketAddr {
-        self.shared.address
+impl<Request, Reply> State<Request, Reply> {
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// One call.
-    ///
-    /// # Errors
-    /// [`CallError`] when there is no answer within `timeout`.
-    pub async fn call(&self, request: Request, timeout: Duration) -> Result<Reply, CallError> {
-        let begun = Instant::now();
-        let ends = begun + timeout;
-        let connected = tokio::time::timeout(timeout, self.connected());
-        let (number, writes) = connected.await.map_err(|_| CallError::NotSent)??;
-        let (answer, answered) = oneshot::channel();
-        let call = {
-            let mut state = self.shared.state.borrow_mut();
-            state.next_call += 1;
-            let call = state.next_call;
-            state.waiting.insert(call, answer);
-            call
-        };
-        let _forget = Forget {
-            shared: &self.shared,
-            call,
-        };
-        if writes
-            .try_send(Envelope {
-                call,
-                body: request,
-            })
-            .is_err()
-        {
-            return Err(CallError::NotSent);
-        }
-        match tokio::time::timeout(ends.saturating_duration_since(Instant::now()), answered).await {
-            Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(_)) => Err(CallError::NoAnswer),
-            Err(_) => {
-                self.shared.suspect_if_silent(number, begun);
-                Err(CallError::NoAnswer)
-            }
+    /// The present connection, unless its writer has ended.
+    fn open_link(&self) -> Option<LinkHandle<Request>> {
+        let link = self.link.as_ref()?;
+        if link.writes.is_closed() {
+            return None;
         }
+        Some(link.handle())
     }
 
-    async fn connected(&self) -> Result<(u64, mpsc::Sender<Envelope<Request>>), CallError> {
-        let _one_at_a_time = self.shared.dialing.lock().await;
-        {
-            let state = self.shared.state.borrow();
-            if let Some(link) = state.link.as_ref().filter(|link| !link.writes.is_closed()) {
-                return Ok((link.number, link.writes.clone()));
-            }
-            if state
-                .failed_at
-                .is_some_and(|at| at.elapsed() < REDIAL_PAUSE)
-            {
-                return Err(CallError::NotSent);
-            }
-        }
-        self.shared.close();
-        let Ok(connection) = dial(self.shared.address, &self.shared.hello).await else {
-            self.shared.state.borrow_mut().failed_at = Some(Instant::now());
-            return Err(CallError::NotSent);
-        };
-        Ok(self
-            .shared
-            .clone()
-            .open(connection.reader, connection.writer))
+    fn is_backing_off(&self) -> bool {
+        self.dial_failed_at
+            .is_some_and(|failed_at| failed_at.elapsed() < REDIAL_BACKOFF)
     }
 }
 
-impl<Request, Reply> Shared<Request, Reply>
-where
-    Request: Serialize + 'static,
-    Reply: DeserializeOwned + 'static,
-{
-    fn open(
-        self: Rc<Self>,
-        reader: FrameReader,
-        writer: FrameWriter,
-    ) -> (u64, mpsc::Sender<Envelope<Request>>) {
-        let (writes, queue) = mpsc::channel(WRITE_QUEUE);
+impl<Request, Reply> Shared<Request, Reply> {
+    /// Enters a call in flight; the returned guard removes it again.
+    fn register_call(&self, answer: oneshot::Sender<Reply>) -> PendingCall<'_, Request, Reply> {
         let mut state = self.state.borrow_mut();
-        state.next_call += 1;
-        let number = state.next_call;
-        let reading = tokio::task::spawn_local(read(Rc::downgrade(&self), reader, number));
-        let writing = tokio::task::spawn_local(write(queue, writer));
-        state.failed_at = None;
-        let (heard, tasks) = (Instant::now(), [reading, writing]);
-        state.link = Some(Link {
-            number,
-            heard,
-            writes: writes.clone(),
-            tasks,
-        });
-        (number, writes)
+        let call = state.next_number();
+        state.waiting.insert(call, answer);
+        PendingCall { shared: self, call }
     }
 
-    /// All calls that wait on the connection end without an answer.
+    /// Closes the connection. All calls that wait on it end without an answer.
     fn close(&self) {
         let mut state = self.state.borrow_mut();
         state.link = None;
         state.waiting.clear();
     }
 
-    /// An answer came; who waits for it, if anyone still does.
-    fn heard(&self, number: u64, call: u64) -> Option<oneshot::Sender<Reply>> {
+    /// Records that an answer came over connection `number`; returns who waits for it, if anyone still does.
+    fn take_waiting(&self, number: u64, call: u64) -> Option<oneshot::Sender<Reply>> {
         let mut state = self.state.borrow_mut();
-        if let Some(link) = state.link.as_mut().filter(|link| link.number == number) {
-            link.heard = Instant::now();
+        if let Some(link) = state.link.as_mut() {
+            if link.number == number {
+                link.last_answer = Instant::now();
+            }
         }
         state.waiting.remove(&call)
     }
 
-    /// A call that began at `begun` timed out. If nothing at all has come since, the connection may be dead;
-    /// otherwise the peer is only slow with this one call, and the others go on.
-    fn suspect_if_silent(&self, number: u64, begun: Instant) {
-        let silent = self
-            .state
-            .borrow()
-            .link
-            .as_ref()
-            .is_some_and(|link| link.heard <= begun);
-        if silent {
-            self.suspect(number);
+    /// Closes connection `number` if no answer at all has come since `since`, when a call began that timed out: the
+    /// connection may be dead. Otherwise the peer is only slow with this one call, and the others go on.
+    fn close_if_idle_since(&self, number: u64, since: Instant) {
+        let is_idle = match &self.state.borrow().link {
+            Some(link) => link.last_answer <= since,
+            None => false,
+        };
+        if is_idle {
+            self.close_link(number);
         }
     }
 
-    /// This connection is dead: later calls use a new one, those under way get no answer.
-    fn suspect(&self, number: u64) {
-        let held = self.state.borrow().link.as_ref().map(|link| link.number);
-        if held == Some(number) {
+    /// Closes connection `number`, unless another one has taken its place. Later calls use a new connection, those in
+    /// flight get no answer.
+    fn close_link(&self, number: u64) {
+        let present = self.state.borrow().link.as_ref().map(|link| link.number);
+        if present == Some(number) {
             self.close();
         }
     }
 }
 
-async fn read<Request: Serialize + 'static, Reply: DeserializeOwned + 'static>(
-    shared: std::rc::Weak<Shared<Request, Reply>>,
+impl<Request, Reply> Shared<Request, Reply>
+where
+    Request: Serialize + 'static,
+    Reply: DeserializeOwned + 'static,
+{
+    /// The present connection, or a new one.
+    async fn connected(self: &Rc<Self>) -> Result<LinkHandle<Request>, CallError> {
+        let _one_dial_at_a_time = self.dialing.lock().await;
+        if let Some(link) = self.state.borrow().open_link() {
+            return Ok(link);
+        }
+        if self.state.borrow().is_backing_off() {
+            return Err(CallError::NotSent);
+        }
+        self.close();
+        match dial(self.address, &self.hello).await {
+            Ok(connection) => Ok(self.open(connection)),
+            Err(_) => {
+                self.state.borrow_mut().dial_failed_at = Some(Instant::now());
+                Err(CallError::NotSent)
+            }
+        }
+    }
+
+    /// Starts the tasks of a new connection, and makes it the present one.
+    fn open(self: &Rc<Self>, connection: Connection) -> LinkHandle<Request> {
+        let (writes, queue) = mpsc::channel(MAX_WRITE_QUEUE);
+        let mut state = self.state.borrow_mut();
+        let number = state.next_number();
+        let reading = spawn_local(read_answers(Rc::downgrade(self), connection.reader, number));
+        let writing = spawn_local(write_queue(queue, connection.writer));
+        let link = Link {
+            number,
+            last_answer: Instant::now(),
+            writes,
+            _reading: AbortOnDrop::new(reading),
+            _writing: AbortOnDrop::new(writing),
+        };
+        let handle = link.handle();
+        state.dial_failed_at = None;
+        state.link = Some(link);
+        handle
+    }
+}
+
+/// Hands the answers of connection `number` to those who wait for them, until the connection ends. The caller may be
+/// gone by then: the task does not keep it.
+async fn read_answers<Request, Reply>(
+    shared: Weak<Shared<Request, Reply>>,
     mut reader: FrameReader,
     number: u64,
-) {
+) where
+    Reply: DeserializeOwned,
+{
     while let Ok(envelope) = reader.next::<Envelope<Reply>>().await {
         let Some(shared) = shared.upgrade() else {
             return;
         };
-        let waiting = shared.heard(number, envelope.call);
-        if let Some(answer) = waiting {
-            // The caller may have stopped waiting.
+        if let Some(answer) = shared.take_waiting(number, envelope.call) {
+            // The call may have stopped waiting.
             let _ = answer.send(envelope.body);
         }
     }
     if let Some(shared) = shared.upgrade() {
-        shared.suspect(number);
-    }
-}
-
-async fn write<Request: Serialize>(
-    mut queue: mpsc::Receiver<Envelope<Request>>,
-    mut writer: FrameWriter,
-) {
-    let mut batch = Vec::new();
-    while queue.recv_many(&mut batch, BATCH).await > 0 {
-        if writer.send_all(&batch).await.is_err() {
-            return;
-        }
-        batch.clear();
+        shared.close_link(number);
     }
 }
 
-/// Forgets a call that nobody waits for any more.
-struct Forget<'a, Request, Reply> {
-    shared: &'a Rc<Shared<Request, Reply>>,
+/// A call in flight. Dropping it forgets the call.
+struct PendingCall<'a, Request, Reply> {
+    shared: &'a Shared<Request, Reply>,
     call: u64,
 }
 
-impl<Request, Reply> Drop for Forget<'_, Request, Reply> {
+impl<Request, Reply> Drop for PendingCall<'_, Request, Reply> {
     fn drop(&mut self) {
         self.shared.state.borrow_mut().waiting.remove(&self.call);
     }
--- a/tier/protocol/src/transport/frame.rs
+++ b/tier/protocol/src/transport/frame.rs
@@ -1,4 +1,7 @@
-//! Frames: a 4-byte little-endian length and that many bytes of `postcard`.
+//! Frames: a 4-byte little-endian length and that many bytes of `postcard`. One reader or writer owns each half of a
+//! connection.
+
+use std::io;
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -7,11 +10,12 @@
 
 use super::{TransportError, MAX_FRAME_BYTES};
 
+/// Bytes of the length in front of each frame.
 const LENGTH_BYTES: usize = 4;
-/// Room for reading: most frames are small, large ones are read past the buffer.
-const READ_BUFFER: usize = 8 * 1024;
-/// Frames up to this size keep their buffer for the next one.
-const KEPT_BUFFER: usize = 64 * 1024;
+/// Capacity of the read buffer, in bytes: most frames are small, large ones are read past the buffer.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+/// A frame's buffer up to this capacity, in bytes, is kept for the next frame.
+const MAX_KEPT_BUFFER_BYTES: usize = 64 * 1024;
 
 /// The incoming half of a connection.
 pub struct FrameReader<R = OwnedReadHalf> {
@@ -23,34 +27,41 @@
     /// Reads frames from this half.
     pub fn new(stream: R) -> Self {
         FrameReader {
-            stream: BufReader::with_capacity(READ_BUFFER, stream),
+            stream: BufReader::with_capacity(READ_BUFFER_BYTES, stream),
             buffer: Vec::new(),
         }
     }
 
-    /// The next message. Not cancel-safe: a dropped call may have taken part of a frame.
+    /// Reads the next message. Not cancel-safe: a dropped call may have taken part of a frame.
     ///
     /// # Errors
-    /// As [`TransportError`] says; the connection is of no further use.
+    /// [`TransportError`] if the connection ends or the frame is no `T`; the connection is of no further use.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<T, TransportError> {
         let length = self.stream.read_u32_le().await? as usize;
         if length > MAX_FRAME_BYTES {
             return Err(TransportError::FrameTooLong(length));
         }
         self.buffer.clear();
-        let taken = (&mut self.stream)
+        let received = (&mut self.stream)
             .take(length as u64)
             .read_to_end(&mut self.buffer)
             .await?;
-        if taken < length {
-            return Err(std::io::Error::from(std::io::ErrorKind::UnexpectedEof).into());
+        if received < length {
+            return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
         let message = postcard::from_bytes(&self.buffer)?;
-        if self.buffer.capacity() > KEPT_BUFFER {
+        if self.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
             self.buffer = Vec::new();
         }
         Ok(message)
     }
+
+    /// Reads the next message and gives the reader back with it. A task that waits for other events as well keeps the
+    /// returned future until it is ready, and so never drops one half-way through a frame.
+    pub async fn into_next<T: DeserializeOwned>(mut self) -> (Self, Result<T, TransportError>) {
+        let message = self.next().await;
+        (self, message)
+    }
 }
 
 /// The outgoing half of a connection.
@@ -67,7 +78,7 @@
     /// Sends one message.
     ///
     /// # Errors
-    /// As [`TransportError`] says; the connection is of no further use.
+    /// [`TransportError`] if the message is too long or the connection ends; the connection is of no further use.
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<(), TransportError> {
         let frame = encode(message)?;
         Ok(self.stream.write_all(&frame).await?)
@@ -76,7 +87,7 @@
     /// Sends several messages in one write.
     ///
     /// # Errors
-    /// As [`TransportError`] says; the connection is of no further use.
+    /// [`TransportError`] if the message is too long or the connection ends; the connection is of no further use.
     pub async fn send_all<T: Serialize>(&mut self, messages: &[T]) -> Result<(), TransportError> {
         let mut frames = Vec::new();
         for message in messages {
--- a/tier/protocol/src/transport/server.rs
+++ b/tier/protocol/src/transport/server.rs
@@ -1,25 +1,29 @@
-//! Answers calls that come over accepted connections.
+//! Answers calls that come over accepted connections. The stores run it.
 
-use std::cell::Cell;
 use std::future::Future;
-use std::rc::Rc;
+use std::io;
+use std::sync::Arc;
+use std::time::Duration;
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use tokio::net::TcpListener;
-use tokio::sync::mpsc;
+use tokio::sync::{mpsc, Semaphore};
+use tokio::task::spawn_local;
 
-use super::caller::Envelope;
-use super::{accept, Connection, FrameWriter, Hello, TransportError};
+use super::abort_on_drop::AbortOnDrop;
+use super::envelope::{write_queue, Envelope};
+use super::{accept, Connection, Hello, TransportError};
 
-/// Calls under way on one connection; further ones wait unread.
-const CALLS_AT_ONCE: usize = 1_024;
-/// Connections at once; further ones are closed.
-const CONNECTIONS: usize = 2_048;
-/// Frames written together at most.
-const BATCH: usize = 64;
+/// Most calls in flight on one connection; further ones stay unread.
+const MAX_CALLS_PER_CONNECTION: usize = 1_024;
+/// Most connections at once; further ones are closed.
+const MAX_CONNECTIONS: usize = 2_048;
+/// Backoff after a failed accept, when the process has no file descriptor left: open connections can end meanwhile.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts connections for ever and answers each call by `answer`. Must run inside a `LocalSet`.
+/// Accepts connections for ever and answers each call by `answer`, which gets the caller's greeting and the request.
+/// Must run inside a `LocalSet`.
 pub async fn serve_calls<Request, Reply, Answer, Answering>(
     listener: TcpListener,
     hello: Hello,
@@ -30,28 +34,29 @@
     Answer: Fn(Hello, Request) -> Answering + Clone + 'static,
     Answering: Future<Output = Reply> + 'static,
 {
-    let open = Rc::new(Cell::new(0_usize));
+    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok((stream, address)) = listener.accept().await else {
-            // Out of descriptors: give those that are open the time to end.
-            tokio::time::sleep(std::time::Duration::from_millis(20)).await;
+            tokio::time::sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        if open.get() >= CONNECTIONS {
+        let Ok(permit) = connections.clone().try_acquire_owned() else {
             continue;
-        }
-        open.set(open.get() + 1);
-        let (open, hello, answer) = (open.clone(), hello.clone(), answer.clone());
-        tokio::task::spawn_local(async move {
+        };
+        let hello = hello.clone();
+        let answer = answer.clone();
+        spawn_local(async move {
+            // Counts this connection until the task ends.
+            let _permit = permit;
             if let Ok(connection) = accept(stream, address, &hello).await {
-                let ended = serve_connection(connection, answer).await;
-                tracing::debug!(%address, error = %ended, "connection ended");
+                let error = serve_connection(connection, answer).await;
+                tracing::debug!(%address, %error, "connection of a caller closed");
             }
-            open.set(open.get() - 1);
         });
     }
 }
 
+/// Serves one connection; returns why it ended.
 async fn serve_connection<Request, Reply, Answer, Answering>(
     connection: Connection,
     answer: Answer,
@@ -68,39 +73,21 @@
         writer,
         ..
     } = connection;
-    let (replies, queue) = mpsc::channel::<Envelope<Reply>>(CALLS_AT_ONCE);
-    let writing = tokio::task::spawn_local(write(queue, writer));
-    let ended = loop {
-        // A place among the replies is taken first, so that calls under way are bounded.
-        let Ok(place) = replies.clone().reserve_owned().await else {
-            break std::io::Error::from(std::io::ErrorKind::BrokenPipe).into();
+    let (replies, queue) = mpsc::channel::<Envelope<Reply>>(MAX_CALLS_PER_CONNECTION);
+    let _writing = AbortOnDrop::new(spawn_local(write_queue(queue, writer)));
+    loop {
+        // Room for the reply is reserved before the call is read, which bounds the calls in flight.
+        let Ok(reply_permit) = replies.clone().reserve_owned().await else {
+            return io::Error::from(io::ErrorKind::BrokenPipe).into();
         };
-        match reader.next::<Envelope<Request>>().await {
-            Ok(Envelope { call, body }) => {
-                let answering = answer(peer.clone(), body);
-                tokio::task::spawn_local(async move {
-                    place.send(Envelope {
-                        call,
-                        body: answering.await,
-                    });
-                });
-            }
-            Err(error) => break error,
-        }
-    };
-    writing.abort();
-    ended
-}
-
-async fn write<Reply: Serialize>(
-    mut queue: mpsc::Receiver<Envelope<Reply>>,
-    mut writer: FrameWriter,
-) {
-    let mut batch = Vec::new();
-    while queue.recv_many(&mut batch, BATCH).await > 0 {
-        if writer.send_all(&batch).await.is_err() {
-            return;
-        }
-        batch.clear();
+        let Envelope { call, body } = match reader.next::<Envelope<Request>>().await {
+            Ok(envelope) => envelope,
+            Err(error) => return error,
+        };
+        let answering = answer(peer.clone(), body);
+        spawn_local(async move {
+            let body = answering.await;
+            reply_permit.send(Envelope { call, body });
+        });
     }
 }
--- a/tier/protocol/tests/calls.rs
+++ b/tier/protocol/tests/calls.rs
@@ -14,23 +14,23 @@
 use tokio::task::JoinHandle;
 
 /// Far beyond anything that a test waits for.
-const PATIENT: Duration = Duration::from_secs(60);
-const SHORT: Duration = Duration::from_millis(20);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(20);
 /// A call that is answered only when the test says so.
-const HELD: u64 = 0;
+const DELAYED_CALL: u64 = 0;
 
 fn hello() -> Hello {
     Hello::new(Channel::Store, NodeId::from("one"))
 }
 
-/// A server that answers with the double; [`HELD`] only after `release`.
+/// A server that answers with the double; [`DELAYED_CALL`] only after `release`.
 fn serve(address: SocketAddr, release: Rc<Notify>) -> (SocketAddr, JoinHandle<()>) {
     let listener = listen(address).unwrap();
     let address = listener.local_addr().unwrap();
     let answer = move |_: Hello, call: u64| {
         let release = release.clone();
         async move {
-            if call == HELD {
+            if call == DELAYED_CALL {
                 release.notified().await;
             }
             2 * call
@@ -43,14 +43,16 @@
 }
 
 #[test]
-fn each_call_gets_its_own_answer() {
+fn each_call_receives_its_own_answer() {
     run(async {
         let (address, _server) = serve(any_port(), Rc::default());
         let caller = Caller::<u64, u64>::new(address, hello());
         let calls: Vec<_> = (1..=100)
             .map(|call| {
                 let caller = caller.clone();
-                tokio::task::spawn_local(async move { (call, caller.call(call, PATIENT).await) })
+                tokio::task::spawn_local(
+                    async move { (call, caller.call(call, LONG_TIMEOUT).await) },
+                )
             })
             .collect();
         for call in calls {
@@ -68,47 +70,50 @@
         let caller = Caller::<u64, u64>::new(address, hello());
         let held = tokio::task::spawn_local({
             let caller = caller.clone();
-            async move { caller.call(HELD, PATIENT).await }
+            async move { caller.call(DELAYED_CALL, LONG_TIMEOUT).await }
         });
-        assert_eq!(caller.call(4, PATIENT).await, Ok(8));
+        assert_eq!(caller.call(4, LONG_TIMEOUT).await, Ok(8));
         release.notify_one();
         assert_eq!(held.await.unwrap(), Ok(0));
     });
 }
 
 #[test]
-fn a_call_without_an_answer_times_out_and_its_late_answer_goes_to_nobody() {
+fn a_call_without_an_answer_times_out_and_its_late_answer_is_discarded() {
     run(async {
         let release = Rc::new(Notify::new());
         let (address, _server) = serve(any_port(), release.clone());
         let caller = Caller::<u64, u64>::new(address, hello());
-        assert_eq!(caller.call(HELD, SHORT).await, Err(CallError::NoAnswer));
+        assert_eq!(
+            caller.call(DELAYED_CALL, SHORT_TIMEOUT).await,
+            Err(CallError::NoAnswer)
+        );
         release.notify_one();
-        assert_eq!(caller.call(5, PATIENT).await, Ok(10));
+        assert_eq!(caller.call(5, LONG_TIMEOUT).await, Ok(10));
     });
 }
 
 /// One slow call is no reason to give up those beside it, while the peer answers others.
 #[test]
-fn a_slow_call_does_not_end_the_others() {
+fn a_slow_call_does_not_close_the_connection_of_the_others() {
     run(async {
         let release = Rc::new(Notify::new());
         let (address, _server) = serve(any_port(), release.clone());
         let caller = Caller::<u64, u64>::new(address, hello());
         let patient = tokio::task::spawn_local({
             let caller = caller.clone();
-            async move { caller.call(HELD, PATIENT).await }
+            async move { caller.call(DELAYED_CALL, LONG_TIMEOUT).await }
         });
         // Answers go on coming until the short call has ended.
         let ended = Rc::new(Cell::new(false));
         let short = async {
-            let answer = caller.call(HELD, SHORT).await;
+            let answer = caller.call(DELAYED_CALL, SHORT_TIMEOUT).await;
             ended.set(true);
             answer
         };
         let others = async {
             while !ended.get() {
-                assert_eq!(caller.call(3, PATIENT).await, Ok(6));
+                assert_eq!(caller.call(3, LONG_TIMEOUT).await, Ok(6));
             }
         };
         assert_eq!(tokio::join!(short, others).0, Err(CallError::NoAnswer));
@@ -120,16 +125,16 @@
 }
 
 #[test]
-fn a_peer_that_is_not_there_has_surely_not_seen_the_call() {
+fn a_call_to_an_unreachable_peer_is_not_sent() {
     run(async {
         let gone = listen(any_port()).unwrap().local_addr().unwrap();
         let caller = Caller::<u64, u64>::new(gone, hello());
-        assert_eq!(caller.call(1, PATIENT).await, Err(CallError::NotSent));
+        assert_eq!(caller.call(1, LONG_TIMEOUT).await, Err(CallError::NotSent));
     });
 }
 
 #[test]
-fn a_peer_that_dies_may_have_seen_the_call() {
+fn a_call_to_a_peer_that_crashes_has_no_answer() {
     run(async {
         let listener = listen(any_port()).unwrap();
         let address = listener.local_addr().unwrap();
@@ -142,22 +147,22 @@
             let _call: (u64, u64) = connection.reader.next().await.unwrap();
         };
         assert_eq!(
-            tokio::join!(caller.call(1, PATIENT), dying).0,
+            tokio::join!(caller.call(1, LONG_TIMEOUT), dying).0,
             Err(CallError::NoAnswer)
         );
     });
 }
 
 #[test]
-fn a_restarted_peer_is_reached_again() {
+fn a_caller_reconnects_to_a_restarted_peer() {
     run(async {
         let (address, server) = serve(any_port(), Rc::default());
         let caller = Caller::<u64, u64>::new(address, hello());
-        assert_eq!(caller.call(1, PATIENT).await, Ok(2));
+        assert_eq!(caller.call(1, LONG_TIMEOUT).await, Ok(2));
         server.abort();
         assert!(server.await.unwrap_err().is_cancelled());
         let (again, _server) = serve(address, Rc::default());
         assert_eq!(again, address);
-        assert_eq!(caller.call(2, PATIENT).await, Ok(4));
+        assert_eq!(caller.call(2, LONG_TIMEOUT).await, Ok(4));
     });
 }
--- a/tier/protocol/tests/connect.rs
+++ b/tier/protocol/tests/connect.rs
@@ -12,7 +12,7 @@
 /// Guards machines that are back from a loss of power after others have begun to dial them: an opening packet that
 /// nobody took is sent again only after a second, and members that are not heard for 0.6 s are left out.
 #[test]
-fn an_opening_packet_that_nobody_took_is_not_waited_for() {
+fn a_lost_opening_packet_is_followed_by_a_second_attempt() {
     run(async {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_machine_that_refuses_is_not_waited_for() {
+fn a_refused_connection_fails_at_once() {
     run(async {
         let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
--- a/tier/protocol/tests/document.rs
+++ b/tier/protocol/tests/document.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn any_bytes_come_back() {
+fn any_bytes_are_decoded_as_they_were_encoded() {
     arbtest::arbtest(|random| {
         let (bytes, repeats): (Vec<u8>, u8) = random.arbitrary()?;
         let text = bytes.repeat(usize::from(repeats));
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn what_repeats_itself_becomes_short() {
+fn repetitive_documents_are_compressed() {
     let text = routes(500);
     assert!(encoded(&document(&text)).len() < text.len() / 3);
 }
 
 #[test]
-fn short_documents_are_encoded_as_they_are() {
+fn short_documents_are_not_compressed() {
     let text = b"{\"version\":1}";
     assert_eq!(
         encoded(&document(text)),
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn a_document_that_was_written_down_uncompressed_is_read() {
+fn a_stored_uncompressed_document_is_decoded() {
     let text = routes(500);
     let former = postcard::to_stdvec(&text).unwrap();
     assert_eq!(decoded(&former).unwrap(), document(&text));
 }
 
 #[test]
-fn a_short_document_that_begins_like_a_compressed_one_comes_back() {
+fn a_short_document_that_begins_with_the_compressed_tag_is_decoded() {
     let text = [1, 0, 0];
     assert_eq!(
         decoded(&encoded(&document(&text))).unwrap(),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn damaged_bytes_are_an_error_and_nothing_large_is_set_aside() {
+fn damaged_bytes_are_an_error_without_a_large_allocation() {
     arbtest::arbtest(|random| {
         let mut bytes: Vec<u8> = random.arbitrary()?;
         bytes.insert(0, 1);
--- a/tier/protocol/tests/frames.rs
+++ b/tier/protocol/tests/frames.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn memory_delivers_any_messages_over_any_cut() {
+fn memory_delivers_any_messages_in_chunks_of_any_size() {
     arbtest::arbtest(|draw| {
         let (messages, piece) = (any_messages(draw)?, draw.int_in_range(1..=40)?);
         let (to, from) = tokio::io::duplex(piece);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn memory_reports_a_torn_frame() {
+fn memory_reports_a_truncated_frame() {
     arbtest::arbtest(|draw| {
         let messages = vec![draw.arbitrary()?, draw.arbitrary::<Message>()?];
         let (first, bytes) = (encoded(&messages[..1]).len(), encoded(&messages));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn tcp_reports_a_torn_frame() {
+fn tcp_reports_a_truncated_frame() {
     let bytes = encoded(&[vec![1, 2, 3], vec![4, 5, 6]]);
     let error = run(async {
         let (to, from) = tcp().await;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_length_over_the_limit_is_refused_unread() {
+fn a_frame_over_the_limit_is_rejected_before_its_body_is_read() {
     let length = u32::try_from(MAX_FRAME_BYTES + 1).unwrap().to_le_bytes();
     let (to, from) = tokio::io::duplex(64);
     let error = run(ends_with(to, from, &length, 0));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn any_bytes_are_taken_without_a_panic() {
+fn any_bytes_are_read_without_a_panic() {
     arbtest::arbtest(|draw| {
         let bytes: Vec<u8> = draw.arbitrary()?;
         let (to, from) = tokio::io::duplex(16);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn another_version_is_refused() {
+fn another_protocol_version_is_rejected() {
     run(async {
         let listener = listen(any_port()).unwrap();
         let address = listener.local_addr().unwrap();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn both_sides_learn_whom_they_speak_to() {
+fn both_sides_receive_the_greeting_of_the_other() {
     run(async {
         let listener = listen(any_port()).unwrap();
         let address = listener.local_addr().unwrap();
--- a/tier/protocol/tests/homes.rs
+++ b/tier/protocol/tests/home_updates.rs
@@ -16,15 +16,15 @@
 use plankhill_protocol::tables::{Tables, TablesUpdate};
 
 /// The longest way from one machine to another, in steps of a millisecond.
-const MOST_STEPS: usize = 20;
+const MAX_DELAY_STEPS: usize = 20;
 /// Steps that a simulated world lasts.
 const STEPS: usize = 1_500;
 /// Steps between heartbeats.
-const HEARTBEAT: usize = 300;
+const HEARTBEAT_INTERVAL: usize = 300;
 
 /// Announced, overdue, asked, answered; a step for each of these.
 fn bound() -> usize {
-    MAX_HOME_LAG.as_millis() as usize + 3 * MOST_STEPS + 4
+    MAX_HOME_LAG.as_millis() as usize + 3 * MAX_DELAY_STEPS + 4
 }
 
 /// A connection: in order, each message after some steps.
@@ -57,7 +57,7 @@
     wants_updates: bool,
     held: FeedPosition,
     announced: Revision,
-    beat: usize,
+    heartbeat: usize,
 }
 
 impl Controller {
@@ -68,10 +68,10 @@
                 held_revision: held,
             } => {
                 (self.wants_updates, self.held, self.announced) =
-                    (true, FeedPosition::Revision(held), held);
+                    (true, FeedPosition::Claimed(held), held);
             }
             FromSubscriber::RequestSnapshot => {
-                (self.held, self.announced) = (FeedPosition::Nothing, Revision(0))
+                (self.held, self.announced) = (FeedPosition::Empty, Revision(0))
             }
             other => panic!("{other:?}"),
         }
@@ -81,18 +81,18 @@
         let rose = self.announced < newest.revision;
         self.announced = newest.revision;
         let update = self.held.advance_to(newest).filter(|_| self.wants_updates);
-        if !rose && update.is_none() && now < self.beat {
+        if !rose && update.is_none() && now < self.heartbeat {
             return Vec::new();
         }
-        self.beat = now + HEARTBEAT;
-        let beat = ToSubscriber::Heartbeat {
+        self.heartbeat = now + HEARTBEAT_INTERVAL;
+        let heartbeat = ToSubscriber::Heartbeat {
             revision: newest.revision,
             current: true,
         };
         update
             .map(ToSubscriber::Update)
             .into_iter()
-            .chain([beat])
+            .chain([heartbeat])
             .collect()
     }
 }
@@ -104,9 +104,9 @@
     let mut committed_at = vec![0];
     let mut controller = Controller {
         wants_updates: true,
-        held: FeedPosition::Nothing,
+        held: FeedPosition::Empty,
         announced: Revision(0),
-        beat: 0,
+        heartbeat: 0,
     };
     let (mut down, mut up, mut side) = (Line::new(), Line::new(), Line::new());
     let mut home = Arc::new(tables(0));
@@ -115,7 +115,7 @@
     let mut held = Arc::new(tables(0));
     for now in 0..STEPS {
         let instant = begin + Duration::from_millis(now as u64);
-        let later = |draw: &mut Unstructured<'_>| Ok(now + draw.int_in_range(1..=MOST_STEPS)?);
+        let later = |draw: &mut Unstructured<'_>| Ok(now + draw.int_in_range(1..=MAX_DELAY_STEPS)?);
         if draw.ratio(1, 60)? {
             let newest = Arc::new(any_tables(draw, history.len() as u64)?);
             to_home.send(later(draw)?, newest.clone());
@@ -134,22 +134,22 @@
         }
         let before = held.revision;
         while let Some(message) = down.arrived(now) {
-            if progress.take(message, &mut held, instant) == Step::WantsSnapshot {
+            if progress.on_message(message, &mut held, instant) == Step::RequestSnapshot {
                 up.send(later(draw)?, FromSubscriber::RequestSnapshot);
             }
         }
         while let Some(offered) = side.arrived(now) {
-            progress.offered(offered, &mut held);
+            progress.on_offer(offered, &mut held);
         }
         if progress
-            .home_is_overdue_at()
+            .home_deadline()
             .is_some_and(|overdue| overdue <= instant)
         {
-            let message = progress.end_by_home(held.revision);
+            let message = progress.follow_feeder(held.revision);
             up.send(later(draw)?, message.unwrap());
         }
         if home.revision >= held.revision && draw.ratio(1, 100)? {
-            if let Some(message) = progress.begin_by_home(held.revision) {
+            if let Some(message) = progress.follow_home(held.revision) {
                 up.send(later(draw)?, message);
             }
         }
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_home_that_works_brings_every_revision_in_time() {
+fn a_healthy_home_delivers_every_revision_within_the_bound() {
     arbtest::arbtest(|draw| play(draw, usize::MAX))
         .size_min(1 << 14)
         .size_max(1 << 17)
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_home_that_dies_at_any_moment_delays_nothing_beyond_the_bound() {
+fn a_home_that_crashes_at_any_moment_delays_no_revision_beyond_the_bound() {
     arbtest::arbtest(|draw| {
         let fails = draw.int_in_range(0..=STEPS)?;
         play(draw, fails)
@@ -191,50 +191,53 @@
 }
 
 #[test]
-fn offers_count_only_while_the_home_is_followed() {
+fn offers_are_applied_only_while_the_home_is_followed() {
     let mut held = Arc::new(tables(1));
     let mut progress = Progress::default();
     assert_eq!(
-        progress.offered(Arc::new(tables(2)), &mut held),
+        progress.on_offer(Arc::new(tables(2)), &mut held),
         Step::Unconfirmed
     );
-    progress.begin_by_home(held.revision);
+    progress.follow_home(held.revision);
     assert_eq!(
-        progress.offered(Arc::new(tables(2)), &mut held),
+        progress.on_offer(Arc::new(tables(2)), &mut held),
         Step::Changed
     );
     assert_eq!(
-        progress.offered(Arc::new(tables(1)), &mut held),
+        progress.on_offer(Arc::new(tables(1)), &mut held),
         Step::Unconfirmed
     );
     assert_eq!(held.revision, Revision(2));
 }
 
 #[test]
-fn a_home_that_catches_up_in_time_is_followed_on() {
+fn a_home_that_catches_up_in_time_stays_followed() {
     let (mut held, now) = (Arc::new(tables(1)), Instant::now());
     let mut progress = Progress::default();
-    progress.begin_by_home(held.revision);
+    progress.follow_home(held.revision);
     let announced = ToSubscriber::Heartbeat {
         revision: Revision(3),
         current: true,
     };
-    assert_eq!(progress.take(announced, &mut held, now), Step::Unconfirmed);
-    assert_eq!(progress.home_is_overdue_at(), Some(now + MAX_HOME_LAG));
-    progress.offered(Arc::new(tables(2)), &mut held);
-    assert_eq!(progress.home_is_overdue_at(), Some(now + MAX_HOME_LAG));
-    progress.offered(Arc::new(tables(3)), &mut held);
-    assert_eq!(progress.home_is_overdue_at(), None);
+    assert_eq!(
+        progress.on_message(announced, &mut held, now),
+        Step::Unconfirmed
+    );
+    assert_eq!(progress.home_deadline(), Some(now + MAX_HOME_LAG));
+    progress.on_offer(Arc::new(tables(2)), &mut held);
+    assert_eq!(progress.home_deadline(), Some(now + MAX_HOME_LAG));
+    progress.on_offer(Arc::new(tables(3)), &mut held);
+    assert_eq!(progress.home_deadline(), None);
 }
 
 #[test]
-fn a_feeder_asked_again_goes_on_from_what_is_held() {
+fn a_feeder_resumes_updates_from_the_subscribers_revision() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
-    assert_eq!(progress.end_by_home(held.revision), None);
-    progress.begin_by_home(held.revision);
+    assert_eq!(progress.follow_feeder(held.revision), None);
+    progress.follow_home(held.revision);
     assert_eq!(
-        progress.end_by_home(held.revision),
+        progress.follow_feeder(held.revision),
         Some(FromSubscriber::ResumeUpdates {
             held_revision: Revision(3)
         })
@@ -246,7 +249,7 @@
         changes: Vec::new(),
     });
     assert_eq!(
-        progress.take(update, &mut held, Instant::now()),
+        progress.on_message(update, &mut held, Instant::now()),
         Step::Changed
     );
 }
--- a/tier/protocol/tests/rotation.rs
+++ b/tier/protocol/tests/rotation.rs
@@ -14,50 +14,50 @@
 }
 
 #[test]
-fn one_round_reaches_every_candidate_without_a_pause() {
+fn one_pass_over_the_candidates_has_no_backoff() {
     let candidates = candidates(5);
     let mut rotation = Rotation::new(&NodeId::from("edge-1"));
     let mut seen = BTreeSet::new();
     for _ in 0..candidates.len() - 1 {
-        seen.extend(rotation.next(&candidates));
-        assert_eq!(rotation.useless(candidates.len()), Duration::ZERO);
+        seen.extend(rotation.next_candidate(&candidates));
+        assert_eq!(rotation.record_failure(candidates.len()), Duration::ZERO);
     }
-    seen.extend(rotation.next(&candidates));
+    seen.extend(rotation.next_candidate(&candidates));
     assert_eq!(seen.len(), candidates.len());
-    assert!(rotation.useless(candidates.len()) > Duration::ZERO);
+    assert!(rotation.record_failure(candidates.len()) > Duration::ZERO);
 }
 
 #[test]
-fn pauses_stay_short_and_begin_anew_after_success() {
+fn backoff_is_bounded_and_reset_by_success() {
     let mut rotation = Rotation::new(&NodeId::from("edge-1"));
     for _ in 0..1_000 {
-        assert!(rotation.useless(3) <= Duration::from_millis(250));
+        assert!(rotation.record_failure(3) <= Duration::from_millis(250));
     }
-    rotation.useful();
-    assert_eq!(rotation.useless(3), Duration::ZERO);
+    rotation.record_success();
+    assert_eq!(rotation.record_failure(3), Duration::ZERO);
 }
 
 #[test]
-fn candidates_that_cannot_be_reached_cost_one_pause_a_round() {
+fn unreachable_candidates_cost_one_backoff_a_pass() {
     let mut rotation = Rotation::new(&NodeId::from("edge-1"));
     for _ in 0..100 {
-        let pauses: Vec<Duration> = (0..3).map(|_| rotation.unreached(3)).collect();
+        let backoffs: Vec<Duration> = (0..3).map(|_| rotation.record_unreachable(3)).collect();
         assert_eq!(
-            pauses
+            backoffs
                 .iter()
-                .filter(|pause| **pause > Duration::ZERO)
+                .filter(|backoff| **backoff > Duration::ZERO)
                 .count(),
             1,
-            "{pauses:?}"
+            "{backoffs:?}"
         );
     }
 }
 
 #[test]
-fn without_candidates_there_is_a_pause_and_no_choice() {
+fn without_candidates_there_is_a_backoff_and_no_choice() {
     let mut rotation = Rotation::new(&NodeId::from("edge-1"));
-    assert_eq!(rotation.next(&[]), None);
-    assert!(rotation.useless(0) > Duration::ZERO);
+    assert_eq!(rotation.next_candidate(&[]), None);
+    assert!(rotation.record_failure(0) > Duration::ZERO);
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let mut taken = [0_u32; 3];
     for number in 0..300 {
         let node = NodeId::from(format!("edge-{number}").as_str());
-        let first = Rotation::new(&node).next(&candidates).unwrap();
+        let first = Rotation::new(&node).next_candidate(&candidates).unwrap();
         taken[usize::from(first.port() - 1_000)] += 1;
     }
     assert!(taken.iter().all(|count| *count > 60), "{taken:?}");
--- a/tier/protocol/tests/shared_bytes.rs
+++ b/tier/protocol/tests/shared_bytes.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_form_is_that_of_a_sequence() {
+fn shared_bytes_are_encoded_like_a_sequence() {
     arbtest::arbtest(|random| {
         let (number, bytes): (u64, Vec<u8>) = random.arbitrary()?;
         let shared = Shared {
--- a/tier/protocol/tests/subscription.rs
+++ b/tier/protocol/tests/subscription.rs
@@ -15,13 +15,13 @@
 use tokio::sync::watch;
 
 /// Far beyond anything that a test waits for.
-const PATIENT: Duration = Duration::from_secs(60);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn hello() -> Hello {
     Hello::new(Channel::Feed, NodeId::from("edge-1"))
 }
 
-fn subscribe(feeders: &[&TcpListener], silence: Duration) -> Subscription {
+fn subscribe(feeders: &[&TcpListener], feeder_timeout: Duration) -> Subscription {
     let addresses: Vec<SocketAddr> = feeders
         .iter()
         .map(|one| one.local_addr().unwrap())
@@ -32,7 +32,7 @@
         hello: hello(),
         subscriber,
         candidates,
-        feeder_timeout: silence,
+        feeder_timeout,
     })
 }
 
@@ -76,10 +76,10 @@
 }
 
 #[test]
-fn tables_and_standing_are_published() {
+fn tables_and_status_are_published() {
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
-        let subscription = subscribe(&[&one, &other], PATIENT);
+        let subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
         let (mut feeder, held) = welcome(&one, &other).await;
         assert_eq!(held, Revision(0));
         feeder.writer.send(&snapshot(3)).await.unwrap();
@@ -89,17 +89,17 @@
         feeder.writer.send(&heartbeat(3, true)).await.unwrap();
         subscription
             .status()
-            .wait_for(|standing| standing.current)
+            .wait_for(|status| status.current)
             .await
             .unwrap();
     });
 }
 
 #[test]
-fn a_feeder_that_closes_is_left_and_nothing_goes_back() {
+fn a_closed_feeder_is_replaced_and_the_revision_never_goes_back() {
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
-        let subscription = subscribe(&[&one, &other], PATIENT);
+        let subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
         let (mut feeder, _) = welcome(&one, &other).await;
         feeder.writer.send(&snapshot(3)).await.unwrap();
         expect(&mut feeder, FromSubscriber::Applied(Revision(3))).await;
@@ -113,10 +113,10 @@
 }
 
 #[test]
-fn a_feeder_that_is_not_current_is_left_for_another() {
+fn a_feeder_that_is_not_current_is_replaced() {
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
-        let _subscription = subscribe(&[&one, &other], PATIENT);
+        let _subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
         let ((stream, address), first) = visit(&one, &other).await;
         let mut feeder = accept(stream, address, &hello()).await.unwrap();
         feeder.writer.send(&heartbeat(0, false)).await.unwrap();
@@ -126,10 +126,10 @@
 }
 
 #[test]
-fn after_a_round_in_which_none_was_current_a_feeder_may_become_so() {
+fn after_a_pass_without_a_current_feeder_one_may_become_current() {
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
-        let subscription = subscribe(&[&one, &other], PATIENT);
+        let subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
         let (mut first, _) = welcome(&one, &other).await;
         first.writer.send(&heartbeat(0, false)).await.unwrap();
         let (mut second, _) = welcome(&one, &other).await;
@@ -142,7 +142,7 @@
         expect(&mut second, FromSubscriber::Applied(Revision(0))).await;
         subscription
             .status()
-            .wait_for(|standing| standing.current)
+            .wait_for(|status| status.current)
             .await
             .unwrap();
         // One that was current is left as soon as it is not.
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_silent_feeder_is_left() {
+fn a_feeder_that_times_out_is_replaced() {
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let _subscription = subscribe(&[&one, &other], Duration::from_millis(20));
@@ -162,10 +162,10 @@
 }
 
 #[test]
-fn feeders_that_a_feeder_names_are_tried_too() {
+fn feeders_named_by_a_feeder_become_candidates() {
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
-        let _subscription = subscribe(&[&one], PATIENT);
+        let _subscription = subscribe(&[&one], LONG_TIMEOUT);
         let (mut feeder, _) = welcome(&one, &other).await;
         let learnt = ToSubscriber::Controllers(vec![other.local_addr().unwrap()]);
         feeder.writer.send(&learnt).await.unwrap();
@@ -178,14 +178,14 @@
 }
 
 #[test]
-fn messages_of_the_owner_reach_the_feeder_and_the_end_of_the_owner_closes() {
+fn messages_reach_the_feeder_and_dropping_the_subscription_closes_the_connection() {
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
-        let subscription = subscribe(&[&one, &other], PATIENT);
+        let subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
         let (mut feeder, _) = welcome(&one, &other).await;
         assert!(
             subscription
-                .send_and_flush(FromSubscriber::Deregister, PATIENT)
+                .send_and_flush(FromSubscriber::Deregister, LONG_TIMEOUT)
                 .await
         );
         expect(&mut feeder, FromSubscriber::Deregister).await;
@@ -196,10 +196,10 @@
 
 /// A listener whose queue is full, as far as the dialing side can tell: it takes connections and says nothing.
 #[test]
-fn a_feeder_that_says_nothing_does_not_hold_up_the_others() {
+fn an_unresponsive_candidate_does_not_delay_the_others() {
     run(async {
         let (dark, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
-        let _subscription = subscribe(&[&dark, &other], PATIENT);
+        let _subscription = subscribe(&[&dark, &other], LONG_TIMEOUT);
         let (stream, address) = other.accept().await.unwrap();
         let mut connection = accept(stream, address, &hello()).await.unwrap();
         let first: FromSubscriber = connection.reader.next().await.unwrap();
--- a/tier/protocol/tests/tables.rs
+++ b/tier/protocol/tests/tables.rs
@@ -18,11 +18,14 @@
         let (older, newer) = (any_tables(draw, 3)?, any_tables(draw, 4)?);
         let mut held = older.clone();
         let changes = newer.changes_since(&older);
-        assert!(held.apply(TablesUpdate::Changes {
-            from: Revision(3),
-            to: Revision(4),
-            changes
-        }));
+        assert_eq!(
+            held.apply(TablesUpdate::Changes {
+                from: Revision(3),
+                to: Revision(4),
+                changes
+            }),
+            Ok(())
+        );
         assert_eq!(held, newer);
         Ok(())
     });
@@ -40,7 +43,7 @@
 /// A subscriber that follows feeders, each at some revision of one history, over connections that break at any
 /// message: it holds exactly what the history says, and never goes back.
 #[test]
-fn a_subscriber_never_goes_back_and_ends_at_the_newest() {
+fn a_subscribers_revision_never_goes_back_and_reaches_the_newest() {
     arbtest::arbtest(|draw| {
         let mut history = vec![Arc::new(Tables::default())];
         for revision in 1..=8 {
@@ -49,7 +52,7 @@
         let mut held = Arc::new(Tables::default());
         for _ in 0..draw.int_in_range(0..=6)? {
             let mut feeder = draw.int_in_range(0..=history.len() - 1)?;
-            let mut position = FeedPosition::Revision(held.revision);
+            let mut position = FeedPosition::Claimed(held.revision);
             let mut progress = Progress::default();
             while feeder < history.len() && draw.ratio(3, 4)? {
                 let before = held.revision;
@@ -60,7 +63,7 @@
             }
         }
         let (mut position, mut progress) =
-            (FeedPosition::Revision(held.revision), Progress::default());
+            (FeedPosition::Claimed(held.revision), Progress::default());
         deliver(&mut position, &mut progress, &history[8], &mut held);
         assert_eq!(held, history[8]);
         Ok(())
@@ -75,14 +78,14 @@
 ) {
     if let Some(update) = position.advance_to(newest) {
         assert_ne!(
-            progress.take(ToSubscriber::Update(update), held, Instant::now()),
-            Step::WantsSnapshot
+            progress.on_message(ToSubscriber::Update(update), held, Instant::now()),
+            Step::RequestSnapshot
         );
     }
 }
 
 #[test]
-fn a_gap_leads_to_one_request_for_a_snapshot() {
+fn a_revision_gap_causes_one_snapshot_request() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
     let gap = TablesUpdate::Changes {
@@ -90,36 +93,36 @@
         to: Revision(5),
         changes: Vec::new(),
     };
-    let step = progress.take(ToSubscriber::Update(gap.clone()), &mut held, Instant::now());
-    assert_eq!(step, Step::WantsSnapshot);
+    let step = progress.on_message(ToSubscriber::Update(gap.clone()), &mut held, Instant::now());
+    assert_eq!(step, Step::RequestSnapshot);
     assert_eq!(
-        progress.take(ToSubscriber::Update(gap), &mut held, Instant::now()),
+        progress.on_message(ToSubscriber::Update(gap), &mut held, Instant::now()),
         Step::Unconfirmed
     );
     let snapshot = ToSubscriber::Update(TablesUpdate::Snapshot(tables(5)));
     assert_eq!(
-        progress.take(snapshot, &mut held, Instant::now()),
+        progress.on_message(snapshot, &mut held, Instant::now()),
         Step::Changed
     );
     assert_eq!(held.revision, Revision(5));
 }
 
 #[test]
-fn a_heartbeat_ahead_of_the_tables_leads_to_a_snapshot() {
+fn a_heartbeat_ahead_of_the_tables_causes_a_snapshot_request() {
     let mut held = Arc::new(tables(3));
     let ahead = ToSubscriber::Heartbeat {
         revision: Revision(4),
         current: true,
     };
     assert_eq!(
-        Progress::default().take(ahead, &mut held, Instant::now()),
-        Step::WantsSnapshot
+        Progress::default().on_message(ahead, &mut held, Instant::now()),
+        Step::RequestSnapshot
     );
 }
 
 /// A feeder that answers with what does not fit is not waited for for ever.
 #[test]
-fn a_snapshot_that_does_not_come_breaks_the_connection() {
+fn a_missing_snapshot_causes_a_reconnect() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
     let gap = TablesUpdate::Changes {
@@ -127,40 +130,43 @@
         to: Revision(5),
         changes: Vec::new(),
     };
-    let beat = ToSubscriber::Heartbeat {
+    let heartbeat = ToSubscriber::Heartbeat {
         revision: Revision(5),
         current: true,
     };
-    let step = progress.take(ToSubscriber::Update(gap.clone()), &mut held, Instant::now());
-    assert_eq!(step, Step::WantsSnapshot);
+    let step = progress.on_message(ToSubscriber::Update(gap.clone()), &mut held, Instant::now());
+    assert_eq!(step, Step::RequestSnapshot);
     let mut steps = Vec::new();
     for _ in 0..3 {
-        progress.take(ToSubscriber::Update(gap.clone()), &mut held, Instant::now());
-        steps.push(progress.take(beat.clone(), &mut held, Instant::now()));
+        progress.on_message(ToSubscriber::Update(gap.clone()), &mut held, Instant::now());
+        steps.push(progress.on_message(heartbeat.clone(), &mut held, Instant::now()));
     }
-    assert_eq!(steps, [Step::Unconfirmed, Step::Unconfirmed, Step::Broken]);
+    assert_eq!(
+        steps,
+        [Step::Unconfirmed, Step::Unconfirmed, Step::Reconnect]
+    );
 }
 
 #[test]
-fn only_equal_and_current_confirms() {
+fn only_a_current_heartbeat_at_the_same_revision_confirms() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
-    let beat = |revision, current| ToSubscriber::Heartbeat {
+    let heartbeat = |revision, current| ToSubscriber::Heartbeat {
         revision: Revision(revision),
         current,
     };
     assert_eq!(
-        progress.take(beat(3, true), &mut held, Instant::now()),
+        progress.on_message(heartbeat(3, true), &mut held, Instant::now()),
         Step::Confirmed
     );
     assert_eq!(
-        progress.take(beat(3, false), &mut held, Instant::now()),
-        Step::Leave
+        progress.on_message(heartbeat(3, false), &mut held, Instant::now()),
+        Step::NotCurrent
     );
 }
 
 #[test]
-fn a_feeder_that_stays_behind_is_left() {
+fn a_feeder_that_stays_behind_is_not_current() {
     let mut held = Arc::new(tables(3));
     let mut progress = Progress::default();
     let behind = ToSubscriber::Heartbeat {
@@ -168,11 +174,11 @@
         current: true,
     };
     assert_eq!(
-        progress.take(behind.clone(), &mut held, Instant::now()),
+        progress.on_message(behind.clone(), &mut held, Instant::now()),
         Step::Unconfirmed
     );
     assert_eq!(
-        progress.take(behind, &mut held, Instant::now()),
-        Step::Leave
+        progress.on_message(behind, &mut held, Instant::now()),
+        Step::NotCurrent
     );
 }
