--- a/forwarder/emulator/src/world/troubles.rs
+++ b/forwarder/emulator/src/world/troubles.rs
@@ -46,7 +46,7 @@
                 }
                 self.queue.put(self.now + trouble.every, Step::GoneFor(at));
             }
-            SnapshotInstalled => {
+            Replaced => {
                 let targets = self.struck_targets(at);
                 let step = trouble.length / targets.len().max(1) as f64;
                 for (place, target) in targets.into_iter().enumerate() {
