--- a/decisions/src/scheduler.rs
+++ b/decisions/src/scheduler.rs
@@ -1,172 +1,195 @@
-//! Every decision of a forwarder, here and in the files under `decide/`. A host calls [`Forwarder::round`]
-//! once a round: what came in is handed over by the calls of `came_in` and `outcomes`, then the decisions go
-//! straight into the writer. A round looks only at destinations that something came in for or is due at. Each
-//! stands in three rosters (when something is due, whose turn it is, how much waits); see docs/design.md.
+//! Every decision on when and where an event is sent, and when it is given up. Nothing here does any I/O.
+//!
+//! A host owns one [`Scheduler`] and calls [`Scheduler::run_iteration`] once in each iteration of its event loop:
+//! first everything that came in since is handed over, then the decisions go straight into the host's
+//! [`Effects`]. A host is the forwarder on sockets, the simulator's adapter, the emulator, or the dispatcher of
+//! the serving tier.
+//!
+//! The modules are the steps on an event's way:
+//!
+//! | module | decides |
+//! | --- | --- |
+//! | `admission` | what is known of an event when it is accepted; quotas of members |
+//! | `endpoints` | which targets a destination has, by the endpoint list |
+//! | `key_order` | which event of an order key may go |
+//! | `fair_queueing` | which destination has the next turn, and which of its events can go |
+//! | `target_selection` | which target a call goes to |
+//! | `dispatch` | what a call carries and how long it may take |
+//! | `rate_limit`, `warm_up` | how many calls a second a lane takes, after rejections and after an outage |
+//! | `attempt_outcomes` | what the end of an attempt means for the event |
+//! | `call_assessment` | what the end of a call means for its target and lane |
+//! | `target_health`, `health_checks` | when a lane is offline, and what brings it back |
+//! | `idle_connections` | when idle connections are closed |
+//! | `deadlines`, `completion` | when an event is given up, and how |
+//! | `load_shedding` | which events make way when the event store fills |
+//! | `recovery` | what an earlier process or another forwarder did for an event |
+//!
+//! An iteration looks only at destinations that something came in for or is due at. Each destination stands in
+//! three ordered sets (when something is due, whose turn it is, how much waits); see `docs/design.md`.
 
-mod adopted;
-mod came_in;
-mod ends;
-mod health;
-mod outcomes;
-mod sends;
+mod admission;
+mod attempt_outcomes;
+mod call_assessment;
+mod completion;
+mod context;
+mod deadlines;
+mod dispatch;
+mod endpoints;
+mod fair_queueing;
+mod health_checks;
+mod idle_connections;
+mod key_order;
+mod load_shedding;
+mod rate_limit;
+mod recovery;
+mod target_health;
+mod target_selection;
+mod tuning;
+mod warm_up;
 
-use std::cmp::Reverse;
-use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashMap, VecDeque};
-use std::hash::{Hash, Hasher};
 
 use serde::{Deserialize, Serialize};
 
-use crate::interface::*;
-use crate::state::*;
+use crate::interface::{DecisionConfig, DestinationId, Effects, EventId, Ms, OrderKey, TargetId};
+use crate::state::{
+    BacklogRank, CallNumber, Destination, EventLocation, EventNumber, KeyCooldown, KeyQueue,
+    OrderedFloat, TurnRank,
+};
+use context::Context;
 
-/// What the decisions about one destination read besides it.
-#[derive(Default, Serialize, Deserialize)]
-struct Here {
-    #[serde(skip)]
-    terms: DecisionConfig,
-    started: Ms,
-    now: Ms,
-    draws: u64,
-    answers: AnswerTimes, // of all destinations
-    reused: Fading,       // calls on connections that had been idle
-    stale: Fading,        // those of them that were lost
-    stale_until: Ms,
-    counts: Vec<KindCounts>,
-    asked: Vec<Fading>, // by member: events taken inside its share
-}
-
-/// Its serialised form is what a process that takes over decides on from.
+/// The decisions of one process, and all that they rest on.
+///
+/// The serialized form is handed to the successor process in a hot restart, which goes on with
+/// [`Scheduler::resume`]. The order of the fields is that form.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Scheduler {
-    here: Here,
-    taken: u64,
-    calls_made: u64,
-    calls_out: usize,
+    context: Context,
+    events_accepted: EventNumber,
+    calls_sent: CallNumber,
+    calls_in_flight: usize,
     destinations: HashMap<DestinationId, Box<Destination>>,
-    homes: HashMap<TargetId, DestinationId>,
-    places: HashMap<EventId, (DestinationId, u64)>,
-    keys: Keys,
-    resting: VecDeque<(Ms, OrderKey)>,
+    destination_of_target: HashMap<TargetId, DestinationId>,
+    event_locations: HashMap<EventId, EventLocation>,
+    key_queues: HashMap<OrderKey, KeyQueue>,
+    key_cooldowns: VecDeque<KeyCooldown>,
+    /// Destinations that something came in for in this iteration.
     changed: BTreeSet<DestinationId>,
-    due: BTreeSet<(Moment, DestinationId)>,
-    ready: BTreeSet<(Turn, DestinationId)>,
-    doubtful_out: usize, // calls out to lanes in doubt
-    waiting: BTreeSet<(Backlog, DestinationId)>,
-    woken_at: Moment, // the ring that is already ordered
-    sends_until: Moment,
+    /// When something is due at a destination.
+    due: BTreeSet<(OrderedFloat, DestinationId)>,
+    /// Destinations that can send now: the first is next.
+    ready: BTreeSet<(TurnRank, DestinationId)>,
+    /// Calls in flight to lanes that were in doubt.
+    doubtful_calls_in_flight: usize,
+    /// Destinations with queued events: the last is first to shed load.
+    backlogs: BTreeSet<(BacklogRank, DestinationId)>,
+    /// The wake-up that the host has already been asked for.
+    next_wake_up: OrderedFloat,
+    /// No call is sent from then on: the process ends.
+    last_send_at: OrderedFloat,
+    /// Complete events that are kept only until their completion is acknowledged. Counted anew from the state
+    /// that is handed over, which an earlier version may have written.
     #[serde(skip)]
-    // counted anew from what is handed over, which an earlier version may have written
-    unheard: usize, // ended events that stay only until their notice is heard
+    unacknowledged_events: usize,
 }
 
-/// Long enough to know a destination's usual traffic, short against the length of a busy hour.
-const USUAL: Ms = 60_000.0;
-/// Answers are remembered over some ten of them at a call or two a second; 4, 7 and 15 s serve alike.
-const MEMORY: Ms = 7_000.0;
-/// The most that the least is which a call is given to be answered: six times a common answer of 250 ms.
-const LEAST_TIME: Ms = 1500.0;
-/// What was sent in the last moments, for the pace that a refusal cuts.
-const RECENT: Ms = 2_000.0;
-/// How long idle connections are closed after they did harm: longer than an outage mostly lasts.
-const REUSE: Ms = 60_000.0;
-/// Idle for less, a connection is used again and does no harm: about as long as a call; 1 ms serves alike.
-const BRIEF: Ms = 300.0;
-/// The design's second between pings.
-const PING: Ms = 1000.0;
-/// Calls a second past which what a refusal teaches is relearned by the call, not by the second.
-const OFTEN: f64 = 5.0;
-/// Held events end this long before patience does, so that the answer's round is in time.
-const LAST_MOMENT: Ms = 30.0;
-
 impl Scheduler {
-    pub fn new(terms: DecisionConfig, now: Ms) -> Self {
-        let here = Here {
-            started: now,
-            now,
-            ..Here::default()
+    /// A scheduler that knows no target and no event yet. `now` is on the host's clock, as in all that follows.
+    pub fn new(config: DecisionConfig, now: Ms) -> Self {
+        let scheduler = Scheduler {
+            context: Context::new(now),
+            ..Scheduler::default()
         };
-        Scheduler {
-            here,
-            ..Self::default()
-        }
-        .resume(terms)
+        scheduler.resume(config)
     }
 
-    /// Goes on, in another process, with terms of the same names.
-    pub fn resume(mut self, terms: DecisionConfig) -> Self {
-        self.here
-            .counts
-            .resize_with(terms.destination_kinds.len(), KindCounts::default);
-        self.here
-            .asked
-            .resize_with(terms.member_quotas.len(), Fading::default);
-        self.here.terms = terms;
-        self.unheard = self
+    /// Goes on in another process. `config` has to name the same traffic types, kinds, zones and members in the
+    /// same positions as that of the process before.
+    pub fn resume(mut self, config: DecisionConfig) -> Self {
+        self.context.set_config(config);
+        let events = self
             .destinations
             .values()
-            .flat_map(|d| d.events.values().filter(|e| e.unheard))
-            .count();
+            .flat_map(|destination| destination.events.values());
+        self.unacknowledged_events = events.filter(|event| event.awaits_acknowledgement).count();
         self
     }
 
-    /// One round: `came_in` hands over all that arrived, then the decisions are written.
-    pub fn run_iteration<E, D: Effects>(
+    /// One iteration of the host's event loop at the time `now`: `apply_inputs` hands over everything that came
+    /// in, then the decisions are written to `effects`, in the order in which they are to be carried out.
+    ///
+    /// # Errors
+    ///
+    /// The error of `apply_inputs`, after which no decision is made.
+    pub fn run_iteration<E, F: Effects>(
         &mut self,
         now: Ms,
-        came_in: impl FnOnce(&mut Self, &mut D) -> Result<(), E>,
-        out: &mut D,
+        apply_inputs: impl FnOnce(&mut Self, &mut F) -> Result<(), E>,
+        effects: &mut F,
     ) -> Result<(), E> {
-        (self.here.now, self.woken_at) = (
-            now,
-            Some(self.woken_at)
-                .filter(|at| at.0 > now)
-                .unwrap_or_default(),
-        );
-        came_in(self, out)?;
-        while self.due.first().is_some_and(|(at, _)| at.0 <= now) {
-            self.changed.extend(self.due.pop_first().map(|(_, id)| id));
+        self.begin_iteration(now);
+        apply_inputs(self, effects)?;
+        self.mark_due_destinations();
+        self.end_key_cooldowns();
+        for destination in self.changed.iter().copied().collect::<Vec<_>>() {
+            self.review_destination(destination, effects);
         }
-        while let Some((_, key)) = self.resting.pop_front_if(|(until, _)| *until <= now) {
-            self.forget_if_idle(key);
+        self.shed_load(effects);
+        while let Some(destination) = self.changed.pop_first() {
+            self.refile(destination);
         }
-        for id in self.changed.iter().copied().collect::<Vec<_>>() {
-            self.tend(id, out);
-        }
-        self.keep_room(out);
-        while let Some(id) = self.changed.pop_first() {
-            self.file(id);
+        self.send_calls(effects);
+        self.request_wake_up(effects);
+        Ok(())
+    }
+
+    fn begin_iteration(&mut self, now: Ms) {
+        self.context.now = now;
+        let is_pending = self.next_wake_up.0 > now;
+        if !is_pending {
+            self.next_wake_up = OrderedFloat::INFINITY;
         }
-        while self.calls_out < self.here.terms.max_calls_in_flight && now < self.sends_until.0 {
-            let Some(&((doubtful, ..), id)) = self.ready.first() else {
-                break;
-            };
-            // Slots are kept for destinations that answer: those in doubt have half of them at most. Guards
-            // against all that pins slots; harmful where most are slow and the slots would have sufficed.
-            if doubtful && 2 * self.doubtful_out >= self.here.terms.max_calls_in_flight {
-                break;
+    }
+
+    fn mark_due_destinations(&mut self) {
+        while let Some(&(due_at, destination)) = self.due.first() {
+            if due_at.0 > self.context.now {
+                return;
             }
-            self.send_next(id, out);
-            self.file(id);
+            self.due.pop_first();
+            self.changed.insert(destination);
         }
-        if let Some(&(at, _)) = self.due.first().filter(|(at, _)| *at < self.woken_at) {
-            self.woken_at = at;
-            out.wake_after(at.0 - now);
+    }
+
+    /// Everything that may be due at a destination, apart from its calls.
+    fn review_destination(&mut self, id: DestinationId, effects: &mut impl Effects) {
+        let Some(destination) = self.destinations.get_mut(&id) else {
+            return;
+        };
+        destination.forget_removed_targets(&self.context, &mut self.destination_of_target);
+        for event in self.events_to_complete(id) {
+            self.complete(id, event, effects);
         }
-        Ok(())
+        let destination = self
+            .destinations
+            .get_mut(&id)
+            .expect("only `refile` removes a destination");
+        destination.review_lanes(&mut self.context, effects);
     }
-}
 
-impl Here {
-    fn draw(&mut self, id: u64) -> f64 {
-        self.draws += 1;
-        let mut hasher = DefaultHasher::new();
-        (self.terms.seed, self.terms.instance, id, self.draws).hash(&mut hasher);
-        (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
+    /// Asks the host for a wake-up when the next thing is due, unless one comes before anyway.
+    fn request_wake_up(&mut self, effects: &mut impl Effects) {
+        let Some(&(due_at, _)) = self.due.first() else {
+            return;
+        };
+        if due_at < self.next_wake_up {
+            self.next_wake_up = due_at;
+            effects.wake_after(due_at.0 - self.context.now);
+        }
     }
-}
 
-/// A quarter either way, so that what failed together does not come again together.
-fn jitter(chance: f64) -> f64 {
-    0.75 + 0.5 * chance
+    /// Events that are neither complete nor waiting for an acknowledgement alone.
+    fn stored_event_count(&self) -> usize {
+        self.event_locations.len() - self.unacknowledged_events
+    }
 }
