--- a/forwarder/event-log/src/stored_format_tests.rs
+++ b/forwarder/event-log/src/stored_format_tests.rs
@@ -1,7 +1,7 @@
 //! The bytes of every kind of record in the log, as `tests/stored_format/records.txt` has them.
 
-use crate::frame::{AcceptedEvent, Mark, Outcome, Reader};
-use crate::promise::{DeliveryGuarantee, RepeatSafety};
+use crate::guarantee::{DeliveryGuarantee, RepeatSafety};
+use crate::log_record::{AcceptedEvent, FramedRecord, LogRecord, Outcome, RecordReader};
 
 const RECORDS: &str = include_str!("../tests/stored_format/records.txt");
 
@@ -16,8 +16,8 @@
         .collect()
 }
 
-fn taken(promised: Option<DeliveryGuarantee>) -> Mark<'static> {
-    Mark::Taken(AcceptedEvent {
+fn taken(guarantee: Option<DeliveryGuarantee>) -> LogRecord<'static> {
+    LogRecord::Accepted(AcceptedEvent {
         id: "event-é-1".into(),
         destination: 0x0102_0304_0506_0708,
         traffic_type: "invoices".into(),
@@ -25,12 +25,12 @@
         key: Some(0xfedc_ba98_7654_3210),
         fingerprint: Some("a1b2c3".into()),
         body: b"{\"body\":\x00\xff}"[..].into(),
-        guarantee: promised,
+        guarantee,
     })
 }
 
-fn least() -> Mark<'static> {
-    Mark::Taken(AcceptedEvent {
+fn least() -> LogRecord<'static> {
+    LogRecord::Accepted(AcceptedEvent {
         id: "b".into(),
         traffic_type: "t".into(),
         ..AcceptedEvent::default()
@@ -41,27 +41,27 @@
     "event-é-1".into()
 }
 
-fn sent(time_out: Option<f64>) -> Mark<'static> {
-    Mark::Sent {
+fn sent(timeout: Option<f64>) -> LogRecord<'static> {
+    LogRecord::Attempt {
         id: id(),
-        at: 1_764_000_000_456.5,
+        started_at: 1_764_000_000_456.5,
         zone: "zone-a".into(),
-        time_out,
+        timeout,
     }
 }
 
 /// One value of each record kind, and of each choice inside of them.
-fn samples() -> Vec<(String, Mark<'static>)> {
+fn samples() -> Vec<(String, LogRecord<'static>)> {
     let mut all = vec![
         ("Least".to_owned(), least()),
         ("Unpromised".to_owned(), taken(None)),
         ("SentWithoutTimeOut".to_owned(), sent(None)),
         (
             "EndedWithoutWait".to_owned(),
-            Mark::Ended {
+            LogRecord::Outcome {
                 id: id(),
                 outcome: Outcome::Rejected,
-                come_back_after: None,
+                retry_after: None,
             },
         ),
     ];
@@ -102,10 +102,10 @@
             Outcome::Rejected => "Dismissed",
             Outcome::Abandoned => "WrittenOff",
         };
-        let ended = Mark::Ended {
+        let ended = LogRecord::Outcome {
             id: id(),
             outcome,
-            come_back_after: Some(500.25),
+            retry_after: Some(500.25),
         };
         all.push((format!("Ended{kind}"), ended));
     }
@@ -115,27 +115,27 @@
             ordered: true,
         })),
         sent(Some(16_000.5)),
-        Mark::Unrun { id: id() },
-        Mark::Ended {
+        LogRecord::AttemptNotExecuted { id: id() },
+        LogRecord::Outcome {
             id: id(),
             outcome: Outcome::Abandoned,
-            come_back_after: Some(500.25),
+            retry_after: Some(500.25),
         },
-        Mark::Over { id: id() },
-        Mark::Cold {
+        LogRecord::Completed { id: id() },
+        LogRecord::WarmUp {
             target: "target-1".into(),
             since: 1_764_000_000_789.0,
-            usual: 12.75,
+            usual_rate: 12.75,
         },
     ];
     for mark in kinds {
         let name = match mark {
-            Mark::Taken(_) => "Taken",
-            Mark::Sent { .. } => "Sent",
-            Mark::Unrun { .. } => "Unrun",
-            Mark::Ended { .. } => "Ended",
-            Mark::Over { .. } => "Over",
-            Mark::Cold { .. } => "Cold",
+            LogRecord::Accepted(_) => "Taken",
+            LogRecord::Attempt { .. } => "Sent",
+            LogRecord::AttemptNotExecuted { .. } => "Unrun",
+            LogRecord::Outcome { .. } => "Ended",
+            LogRecord::Completed { .. } => "Over",
+            LogRecord::WarmUp { .. } => "Cold",
         };
         all.push((name.to_owned(), mark));
     }
@@ -149,30 +149,34 @@
         let mut bytes = Vec::new();
         mark.write(&mut bytes);
         assert_eq!(bytes, pinned(name), "{name}");
-        let mut reader = Reader::new(&bytes);
-        let (read, frame) = reader.next().expect("a whole frame");
+        let mut reader = RecordReader::new(&bytes);
+        let FramedRecord {
+            record: read,
+            frame,
+        } = reader.next().expect("a whole frame");
         assert_eq!(frame, bytes, "{name}");
         let mut again = Vec::new();
         read.write(&mut again);
         assert_eq!(again, bytes, "{name}");
-        assert_eq!(reader.read(), bytes.len(), "{name}");
+        assert_eq!(reader.position(), bytes.len(), "{name}");
     }
     assert_eq!(RECORDS.lines().count(), samples.len());
 }
 
 /// What the versions before wrote: without the traffic of a target, and without a promise or a time-out.
 #[test]
-fn a_note_of_a_target_without_its_traffic_is_read() {
+fn a_warm_up_record_without_its_usual_rate_is_read() {
     let bytes = pinned("Cold");
     let payload = &bytes[8..bytes.len() - 8];
     let mut older = (payload.len() as u32).to_le_bytes().to_vec();
     older.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
     older.extend_from_slice(payload);
-    let (read, _) = Reader::new(&older).next().expect("a whole frame");
+    let FramedRecord { record: read, .. } =
+        RecordReader::new(&older).next().expect("a whole frame");
     assert!(matches!(
         read,
-        Mark::Cold {
-            usual: 0.0,
+        LogRecord::WarmUp {
+            usual_rate: 0.0,
             since: 1_764_000_000_789.0,
             ..
         }
--- a/forwarder/event-log/tests/records.rs
+++ b/forwarder/event-log/tests/event_table.rs
@@ -1,6 +1,8 @@
 //! What one record writes as frames, another reads.
 
-use plankhill_event_log::*;
+use plankhill_event_log::{
+    frames as split_frames, AcceptedEvent, DeliveryGuarantee, EventTable, Outcome, RepeatSafety,
+};
 use rstest::rstest;
 
 fn event(id: &str) -> AcceptedEvent<'static> {
@@ -16,16 +18,16 @@
     record
         .pending_events()
         .iter()
-        .map(|owed| format!("{owed:?}"))
+        .map(|pending| format!("{pending:?}"))
         .collect()
 }
 
 #[rstest]
-fn a_record_told_the_marks_or_the_whole_owes_what_the_first_does() {
+fn a_table_of_the_same_frames_or_of_the_whole_state_has_the_same_pending_events() {
     let mut first = EventTable::default();
-    ["a", "b", "c", "d"]
-        .into_iter()
-        .for_each(|id| first.accept(event(id)));
+    for id in ["a", "b", "c", "d"] {
+        first.accept(event(id));
+    }
     first.record_attempt_with_timeout("a", 10.0, "z", 1500.0);
     first.record_attempt("b", 11.0, "z");
     first.record_attempt_not_executed("b");
@@ -34,14 +36,14 @@
     first.record_warm_up("t", 5.0, 7.0);
     first.record_warm_up("gone", 5.0, 7.0);
     first.record_warm_up_end("gone");
-    let marks = first.take_unwritten_frames();
+    let frames = first.take_unwritten_frames();
     assert!(first.unwritten_frames().is_empty());
-    let (mut told, mut whole, mut bytes) =
+    let (mut replica, mut whole, mut bytes) =
         (EventTable::default(), EventTable::default(), Vec::new());
-    assert_eq!(told.apply_frames(&marks), marks.len());
+    assert_eq!(replica.apply_frames(&frames), frames.len());
     first.write_frames(&mut bytes);
     assert_eq!(whole.apply_frames(&bytes), bytes.len());
-    for other in [&told, &whole] {
+    for other in [&replica, &whole] {
         assert_eq!(said(other), said(&first));
         assert_eq!(
             (other.reserved_bytes(), other.len()),
@@ -53,37 +55,40 @@
         );
     }
     assert_eq!(
-        first.pending_event("a").and_then(|owed| owed.timeout),
+        first.pending_event("a").and_then(|pending| pending.timeout),
         Some(1500.0)
     );
-    assert_eq!(first.pending_event("b").and_then(|owed| owed.timeout), None);
-    let cut: Vec<&[u8]> = frames(&marks).collect();
+    assert_eq!(
+        first.pending_event("b").and_then(|pending| pending.timeout),
+        None
+    );
+    let cut: Vec<&[u8]> = split_frames(&frames).collect();
     assert_eq!(
         (cut.len(), cut.concat()),
-        (12, marks),
+        (12, frames),
         "cut at frames, nothing is lost"
     );
 }
 
 #[rstest]
-fn marks_that_make_no_sense_change_nothing() {
-    let (mut first, mut told) = (EventTable::default(), EventTable::default());
+fn records_that_do_not_fit_the_state_change_nothing() {
+    let (mut first, mut replica) = (EventTable::default(), EventTable::default());
     first.accept(event("a"));
-    let marks = first.take_unwritten_frames();
-    told.apply_frames(&marks);
-    let before = (said(&told), told.reserved_bytes());
-    // Taken twice, marks of an event never taken, bytes that are no frame.
-    told.apply_frames(&marks);
+    let frames = first.take_unwritten_frames();
+    replica.apply_frames(&frames);
+    let before = (said(&replica), replica.reserved_bytes());
+    // Accepted twice, records of an event never accepted, bytes that are no frame.
+    replica.apply_frames(&frames);
     first.complete("a");
     first.accept(event("other"));
     first.take_unwritten_frames();
     first.record_attempt("other", 1.0, "z");
-    told.apply_frames(&first.take_unwritten_frames());
+    replica.apply_frames(&first.take_unwritten_frames());
     assert_eq!(
-        told.apply_frames(b"no frame at all, but long enough to be one"),
+        replica.apply_frames(b"no frame at all, but long enough to be one"),
         0
     );
-    assert_eq!((said(&told), told.reserved_bytes()), before);
+    assert_eq!((said(&replica), replica.reserved_bytes()), before);
 }
 
 #[rstest]
@@ -91,21 +96,21 @@
 #[case(RepeatSafety::Deduplicated { window: 1500.0, per_zone: false }, true)]
 #[case(RepeatSafety::Deduplicated { window: 0.5, per_zone: true }, false)]
 #[case(RepeatSafety::NonIdempotent, true)]
-fn what_was_promised_stays_with_an_event_also_past_its_end(
+fn an_event_keeps_its_guarantee_also_past_its_outcome(
     #[case] repeats: RepeatSafety,
     #[case] ordered: bool,
 ) {
-    let promised = Some(DeliveryGuarantee {
+    let guarantee = Some(DeliveryGuarantee {
         repeat_safety: repeats,
         ordered,
     });
     let (mut first, mut read) = (EventTable::default(), EventTable::default());
     first.accept(AcceptedEvent {
-        guarantee: promised,
+        guarantee,
         ..event("a")
     });
     first.accept(AcceptedEvent {
-        guarantee: promised,
+        guarantee,
         ..event("b")
     });
     first.accept(event("as an older text wrote it"));
@@ -116,13 +121,13 @@
     let read: Vec<_> = read
         .pending_events()
         .iter()
-        .map(|owed| owed.event.guarantee)
+        .map(|pending| pending.event.guarantee)
         .collect();
-    assert_eq!(read, [promised, promised, None]);
+    assert_eq!(read, [guarantee, guarantee, None]);
 }
 
 #[rstest]
-fn of_two_promises_the_stricter_of_each_part_holds() {
+fn of_two_guarantees_the_stricter_of_each_part_holds() {
     let known = |window, one_zone| RepeatSafety::Deduplicated {
         window,
         per_zone: one_zone,
@@ -166,7 +171,7 @@
 /// The bytes that the version before wrote and read: a frame of its form is read here, and what is written here
 /// begins with it, so that it reads all that it knows and passes over the rest.
 #[rstest]
-fn a_frame_begins_as_the_version_before_wrote_it() {
+fn a_frame_begins_as_the_previous_version_wrote_it() {
     let (mut older, mut newer) = (EventTable::default(), EventTable::default());
     older.accept(event("a"));
     newer.accept(AcceptedEvent {
--- a/forwarder/event-log/tests/stored_format.rs
+++ b/forwarder/event-log/tests/stored_format.rs
@@ -1,10 +1,12 @@
-//! The log's file as the text of 7dd1b2b wrote it: byte for byte what is written today, and opened and read
+//! The log's file as version 0.3.0 wrote it: byte for byte what is written today, and opened and read
 //! back entirely.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use plankhill_event_log::*;
+use plankhill_event_log::{
+    AcceptedEvent, DeliveryGuarantee, EventLog, Outcome, PendingEvent, RepeatSafety,
+};
 
 const DISK: u64 = 1_000_000;
 
@@ -14,7 +16,7 @@
         .join(name)
 }
 
-fn event(id: &'static str, promised: Option<DeliveryGuarantee>) -> AcceptedEvent<'static> {
+fn event(id: &'static str, guarantee: Option<DeliveryGuarantee>) -> AcceptedEvent<'static> {
     AcceptedEvent {
         id: id.into(),
         destination: 77,
@@ -23,24 +25,24 @@
         key: Some(9),
         fingerprint: Some(format!("fingerprint-{id}").into()),
         body: format!("body of {id}").into_bytes().into(),
-        guarantee: promised,
+        guarantee,
     }
 }
 
 /// Every kind of record, with and without what may be left out.
 fn written(folder: &Path) -> EventLog {
-    let (mut ledger, owed) = EventLog::open(folder, DISK).unwrap();
-    assert!(owed.is_empty());
-    let promise = |repeats, ordered| {
+    let (mut log, pending) = EventLog::open(folder, DISK).unwrap();
+    assert!(pending.is_empty());
+    let guarantee = |repeats, ordered| {
         Some(DeliveryGuarantee {
             repeat_safety: repeats,
             ordered,
         })
     };
-    ledger.accept(event("waits", promise(RepeatSafety::Idempotent, true)));
-    ledger.accept(event(
+    log.accept(event("waits", guarantee(RepeatSafety::Idempotent, true)));
+    log.accept(event(
         "out",
-        promise(
+        guarantee(
             RepeatSafety::Deduplicated {
                 window: 60_000.0,
                 per_zone: true,
@@ -48,10 +50,10 @@
             false,
         ),
     ));
-    ledger.accept(event("ran", promise(RepeatSafety::NonIdempotent, true)));
-    ledger.accept(event(
+    log.accept(event("ran", guarantee(RepeatSafety::NonIdempotent, true)));
+    log.accept(event(
         "ended",
-        promise(
+        guarantee(
             RepeatSafety::Deduplicated {
                 window: 5.5,
                 per_zone: false,
@@ -59,52 +61,52 @@
             true,
         ),
     ));
-    ledger.accept(event("over", None));
-    ledger.accept(AcceptedEvent {
+    log.accept(event("over", None));
+    log.accept(AcceptedEvent {
         id: "least".into(),
         traffic_type: "t".into(),
         ..AcceptedEvent::default()
     });
-    ledger.commit().unwrap();
-    ledger.record_attempt("out", 1_764_000_000_001.0, "zone-a");
-    ledger.record_attempt_with_timeout("out", 1_764_000_000_002.0, "zone-b", 8_000.0);
-    ledger.record_attempt("ran", 1_764_000_000_003.0, "zone-c");
-    ledger.record_attempt_not_executed("ran");
-    ledger.record_attempt("ended", 1_764_000_000_004.0, "zone-a");
-    ledger.record_outcome("ended", Outcome::Abandoned, Some(750.0));
-    ledger.record_outcome("least", Outcome::Rejected, None);
-    ledger.complete("over");
-    ledger.record_warm_up("cold", 1_764_000_000_005.0, 3.5);
-    ledger.record_warm_up("gone", 1_764_000_000_006.0, 4.5);
-    ledger.record_warm_up_end("gone");
-    ledger.commit().unwrap();
-    ledger.change_owner().unwrap();
-    ledger
+    log.commit().unwrap();
+    log.record_attempt("out", 1_764_000_000_001.0, "zone-a");
+    log.record_attempt_with_timeout("out", 1_764_000_000_002.0, "zone-b", 8_000.0);
+    log.record_attempt("ran", 1_764_000_000_003.0, "zone-c");
+    log.record_attempt_not_executed("ran");
+    log.record_attempt("ended", 1_764_000_000_004.0, "zone-a");
+    log.record_outcome("ended", Outcome::Abandoned, Some(750.0));
+    log.record_outcome("least", Outcome::Rejected, None);
+    log.complete("over");
+    log.record_warm_up("cold", 1_764_000_000_005.0, 3.5);
+    log.record_warm_up("gone", 1_764_000_000_006.0, 4.5);
+    log.record_warm_up_end("gone");
+    log.commit().unwrap();
+    log.change_owner().unwrap();
+    log
 }
 
-/// What a record in a fixture owes, entirely.
-fn owed_in(name: &str) -> Vec<String> {
+/// The pending events of a fixture, entirely.
+fn pending_in(name: &str) -> Vec<String> {
     let folder = tempfile::tempdir().unwrap();
     fs::copy(fixture(name), folder.path().join("ledger")).unwrap();
-    let (ledger, owed) = EventLog::open(folder.path(), DISK).unwrap();
+    let (log, pending) = EventLog::open(folder.path(), DISK).unwrap();
     assert_eq!(
-        ledger.warming_up_targets().collect::<Vec<_>>(),
+        log.warming_up_targets().collect::<Vec<_>>(),
         [("cold", 1_764_000_000_005.0, 3.5)]
     );
     assert_eq!(
-        ledger.file_length(),
+        log.file_length(),
         fs::metadata(fixture(name)).unwrap().len(),
         "nothing is cut off"
     );
-    assert!(ledger.contains_order_key(9));
-    owed.iter().map(described).collect()
+    assert!(log.contains_order_key(9));
+    pending.iter().map(described).collect()
 }
 
 /// In words of the test's own, so that the fixture does not depend on the code's names.
-fn described(owed: &PendingEvent) -> String {
-    let taken = &owed.event;
-    let promise = taken.guarantee.map(|promise| {
-        let repeats = match promise.repeat_safety {
+fn described(pending: &PendingEvent) -> String {
+    let taken = &pending.event;
+    let guarantee = taken.guarantee.map(|guarantee| {
+        let repeats = match guarantee.repeat_safety {
             RepeatSafety::Idempotent => "harmless".to_owned(),
             RepeatSafety::Deduplicated {
                 window,
@@ -114,9 +116,9 @@
             }
             RepeatSafety::NonIdempotent => "forbidden".to_owned(),
         };
-        format!("{repeats}, ordered {}", promise.ordered)
+        format!("{repeats}, ordered {}", guarantee.ordered)
     });
-    let ended = owed.outcome.map(|(outcome, come_back_after)| {
+    let ended = pending.outcome.map(|(outcome, come_back_after)| {
         let outcome = match outcome {
             Outcome::Rejected => "dismissed",
             Outcome::Abandoned => "written off",
@@ -129,21 +131,21 @@
         taken.id, taken.destination, taken.traffic_type, taken.deadline
     );
     let more = format!(
-        "{:?} {:?} {body:?} {promise:?}",
+        "{:?} {:?} {body:?} {guarantee:?}",
         taken.key, taken.fingerprint
     );
-    let sends = format!(
+    let attempts = format!(
         "{} {:?} {:?} {:?}",
-        owed.attempts, owed.may_have_run, owed.in_flight, owed.timeout
+        pending.attempts, pending.may_have_run, pending.in_flight, pending.timeout
     );
-    format!("{event} | {more} | {sends} | {ended:?}")
+    format!("{event} | {more} | {attempts} | {ended:?}")
 }
 
 #[test]
 fn the_file_is_written_as_pinned() {
     let folder = tempfile::tempdir().unwrap();
-    let ledger = written(folder.path());
-    drop(ledger);
+    let log = written(folder.path());
+    drop(log);
     let names: Vec<_> = fs::read_dir(folder.path())
         .unwrap()
         .map(|entry| entry.unwrap().file_name())
@@ -160,14 +162,14 @@
 fn the_file_is_rewritten_as_pinned() {
     let folder = tempfile::tempdir().unwrap();
     drop(written(folder.path()));
-    let (mut ledger, _) = EventLog::open(folder.path(), 100).unwrap();
-    ledger.record_attempt("waits", 1_764_000_000_007.0, "zone-a");
-    ledger.commit().unwrap();
+    let (mut log, _) = EventLog::open(folder.path(), 100).unwrap();
+    log.record_attempt("waits", 1_764_000_000_007.0, "zone-a");
+    log.commit().unwrap();
     assert_eq!(
         fs::read(folder.path().join("ledger")).unwrap(),
         fs::read(fixture("rewritten")).unwrap()
     );
-    ledger.clear().unwrap();
+    log.clear().unwrap();
     assert_eq!(
         fs::read(folder.path().join("ledger")).unwrap(),
         b"plankhill ledger 1\n"
@@ -175,14 +177,17 @@
 }
 
 #[test]
-fn a_file_as_written_before_is_read_entirely() {
+fn a_file_as_the_previous_version_wrote_it_is_read_entirely() {
     let expected = fs::read_to_string(fixture("owed.txt")).unwrap();
-    assert_eq!(owed_in("appended"), expected.lines().collect::<Vec<_>>());
+    assert_eq!(pending_in("appended"), expected.lines().collect::<Vec<_>>());
 }
 
 /// Of what has ended no body, fingerprint or sends are left in it.
 #[test]
-fn a_rewritten_file_as_written_before_is_read_entirely() {
+fn a_rewritten_file_as_the_previous_version_wrote_it_is_read_entirely() {
     let expected = fs::read_to_string(fixture("owed_rewritten.txt")).unwrap();
-    assert_eq!(owed_in("rewritten"), expected.lines().collect::<Vec<_>>());
+    assert_eq!(
+        pending_in("rewritten"),
+        expected.lines().collect::<Vec<_>>()
+    );
 }
--- a/forwarder/event-log/tests/torn.rs
+++ b/forwarder/event-log/tests/torn_writes.rs
@@ -2,7 +2,9 @@
 
 use std::fs;
 
-use plankhill_event_log::*;
+use plankhill_event_log::{
+    AcceptedEvent, DeliveryGuarantee, EventLog, EventTable, Outcome, RepeatSafety,
+};
 use rstest::rstest;
 
 fn event(id: &str) -> AcceptedEvent<'static> {
@@ -20,17 +22,17 @@
     }
 }
 
-fn said(ledger: &EventLog) -> (Vec<String>, Vec<(String, f64, f64)>, usize) {
-    let owed = ledger
+fn said(log: &EventLog) -> (Vec<String>, Vec<(String, f64, f64)>, usize) {
+    let pending = log
         .pending_events()
         .iter()
-        .map(|owed| format!("{owed:?}"))
+        .map(|pending| format!("{pending:?}"))
         .collect();
-    let cold = ledger
+    let cold = log
         .warming_up_targets()
         .map(|(target, since, usual)| (target.to_owned(), since, usual))
         .collect();
-    (owed, cold, ledger.reserved_bytes())
+    (pending, cold, log.reserved_bytes())
 }
 
 #[rstest]
@@ -41,21 +43,21 @@
 #[case::ended(|record: &mut EventTable| record.record_outcome("a", Outcome::Rejected, Some(500.0)))]
 #[case::over(|record: &mut EventTable| record.complete("a"))]
 #[case::cold(|record: &mut EventTable| record.record_warm_up("t", 9.0, 2.0))]
-fn a_frame_torn_at_any_byte_says_nothing(#[case] last: fn(&mut EventTable)) {
+fn a_record_torn_at_any_byte_is_dropped(#[case] last: fn(&mut EventTable)) {
     let folder = tempfile::tempdir().expect("a folder for the test");
     let open = || EventLog::open(folder.path(), 1_000_000).expect("opens").0;
     let file = folder.path().join("ledger");
-    let mut ledger = open();
-    ledger.accept(event("a"));
-    ledger.record_attempt("a", 5.0, "y");
-    ledger.record_warm_up("t", 4.0, 1.0);
-    ledger.commit().expect("writes");
-    let (before, whole) = (said(&ledger), ledger.file_length() as usize);
-    last(&mut ledger);
-    ledger.commit().expect("writes");
-    let after = said(&ledger);
+    let mut log = open();
+    log.accept(event("a"));
+    log.record_attempt("a", 5.0, "y");
+    log.record_warm_up("t", 4.0, 1.0);
+    log.commit().expect("writes");
+    let (before, whole) = (said(&log), log.file_length() as usize);
+    last(&mut log);
+    log.commit().expect("writes");
+    let after = said(&log);
     assert_ne!(before, after);
-    drop(ledger);
+    drop(log);
     let bytes = fs::read(&file).expect("there");
     for cut in whole..bytes.len() {
         fs::write(&file, &bytes[..cut]).expect("written");
@@ -75,17 +77,17 @@
     assert_eq!(said(&open()), after);
 }
 
-/// Ended before its first line was whole: a ledger with nothing in it.
+/// The process was killed before it had written the whole header.
 #[rstest]
-fn a_first_line_torn_at_any_byte_is_an_empty_ledger() {
+fn a_header_torn_at_any_byte_is_an_empty_log() {
     let folder = tempfile::tempdir().expect("a folder for the test");
     let first = b"plankhill ledger 1\n";
     for cut in 0..=first.len() {
         fs::write(folder.path().join("ledger"), &first[..cut]).expect("written");
-        let (mut ledger, owed) = EventLog::open(folder.path(), 1_000_000).expect("opens");
-        assert!(owed.is_empty());
-        ledger.accept(event("a"));
-        ledger.commit().expect("writes");
+        let (mut log, pending) = EventLog::open(folder.path(), 1_000_000).expect("opens");
+        assert!(pending.is_empty());
+        log.accept(event("a"));
+        log.commit().expect("writes");
         assert_eq!(
             EventLog::open(folder.path(), 1_000_000)
                 .expect("opens")
