--- a/forwarder/replication/benches/copies/fleet.rs
+++ b/forwarder/replication/benches/copies/fleet.rs
@@ -65,9 +65,9 @@
             Process::start(command)
         };
         let processes: Vec<Process> = (0..number).map(start).collect();
-        processes
-            .iter()
-            .for_each(|process| process.until_it_takes());
+        for process in &processes {
+            process.wait_until_it_accepts();
+        }
         Fleet {
             processes,
             _folder: folder,
@@ -130,7 +130,7 @@
         Process { child, listen }
     }
 
-    fn until_it_takes(&self) {
+    fn wait_until_it_accepts(&self) {
         let by = Instant::now() + Duration::from_secs(30);
         let mut number = 0;
         loop {
--- a/forwarder/replication/benches/copies/main.rs
+++ b/forwarder/replication/benches/copies/main.rs
@@ -28,9 +28,9 @@
     for serving in sizes {
         // Off and on in turn, so that what else the machine does meets both.
         for _ in 0..2 {
-            CASES
-                .into_iter()
-                .for_each(|keepers| costs(serving, clients, keepers, Duration::from_secs(seconds)));
+            for keepers in CASES {
+                costs(serving, clients, keepers, Duration::from_secs(seconds));
+            }
         }
     }
     println!(
--- a/forwarder/replication/src/adoption.rs
+++ b/forwarder/replication/src/adoption.rs
@@ -1,64 +1,77 @@
-//! What an heir does with each event that it finds in a record. It knows what the marks say; whether a call
-//! that was out when the owner was lost has ended, nobody can tell it.
+//! What a successor does with each pending event of a group that it came to lead. The event's records are all that
+//! it knows: whether an attempt that was in flight when the owner was lost has ended, nobody can tell.
+//!
+//! The forwarder's event loop calls [`plan_adoption`] for each event when a group has elected its instance.
 
 use plankhill_event_log::{Outcome, PendingEvent};
 
-/// What the heir itself knows of that id.
+/// What the successor itself knows of the event's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalKnowledge {
-    /// Nothing: a new one.
+    /// Nothing: the event is new here.
     Unknown,
-    /// It holds the event in another record.
+    /// The event is pending here in another group's log.
     Pending,
-    /// It still has a call of its own out, of a time when it led the record before.
+    /// An attempt of its own is still in flight, from a time when it led the group before.
     OwnAttemptInFlight,
-    /// It brought an event of that id to its end, or is telling that.
+    /// An event of that id was completed here, or its outcome is being reported.
     Completed,
 }
 
-/// What is done.
+/// What the successor does with the event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdoptionAction {
-    /// Goes on as after a restart. With a call out, neither it nor the next of its key is sent before then.
-    Restore { in_flight_until: Option<f64> },
-    /// One id is one event: what was done on both sides adds up, and so do the waits.
-    Merge { in_flight_until: Option<f64> },
-    /// Its end is told again.
+    /// Goes on with the event as after a restart.
+    Restore {
+        /// Where an attempt may be in flight: neither the event nor the next of its order key is attempted before
+        /// then, in milliseconds on the clock of `now`.
+        in_flight_until: Option<f64>,
+    },
+    /// Merges the event with the pending one of its id: the attempts of both sides add up, and so do the waits.
+    Merge {
+        /// As in [`AdoptionAction::Restore`].
+        in_flight_until: Option<f64>,
+    },
+    /// Reports the outcome again, with when the client may submit the event again (in milliseconds).
     NotifyAgain(Outcome, Option<f64>),
-    /// It waits for the outcome of the heir's own call, which nobody else had.
+    /// Awaits the result of its own attempt: nobody else had one in flight.
     AwaitOwnAttempt,
-    /// It has had its end.
+    /// Completes the record: the event has had its outcome.
     Discard,
 }
 
-/// The longest that a call is given to be answered, in milliseconds: for a send whose time-out was not noted.
-const LONGEST: f64 = 16_000.0;
+/// The longest that an attempt may take, in milliseconds: for an attempt whose timeout was not recorded.
+const MAX_ATTEMPT_TIMEOUT_MS: f64 = 16_000.0;
 
-/// `now`: the moment of the adoption, in milliseconds on the clock that the heir's waits go by. No call of an
-/// earlier owner begins after it: its lease ended before. One that began stays out for its time-out, and its
-/// process was ended by the kernel if it stood still for longer than `stall`. Twice that: once for the stall
-/// itself, once for what its timers and ours may be late.
+/// Decides what to do with `pending`.
+///
+/// `now` is the moment of the adoption and `watchdog_timeout` the time after which the kernel ends a process that
+/// stands still, both in milliseconds; `now` is on the clock that the successor's waits go by. No attempt of an
+/// earlier owner begins after `now`, since its lease ended before. One that began before stays in flight for its
+/// timeout and up to twice the watchdog's: once for the time that its process may stand still, once for what the
+/// timers of both processes may be late.
 pub fn plan_adoption(
-    owed: &PendingEvent,
-    finds: LocalKnowledge,
+    pending: &PendingEvent,
+    knowledge: LocalKnowledge,
     now: f64,
-    stall: f64,
+    watchdog_timeout: f64,
 ) -> AdoptionAction {
-    let span = owed.timeout.unwrap_or(LONGEST);
-    let out_until = owed.in_flight.as_ref().map(|_| now + span + 2.0 * stall);
-    match (finds, owed.outcome) {
+    let in_flight_until = in_flight_until(pending, now, watchdog_timeout);
+    match (knowledge, pending.outcome) {
         (LocalKnowledge::OwnAttemptInFlight, _) => AdoptionAction::AwaitOwnAttempt,
         (LocalKnowledge::Completed, _) => AdoptionAction::Discard,
-        // The one that is held gets its end, and one is enough.
+        // The pending one gets its outcome, and one outcome is enough.
         (LocalKnowledge::Pending, Some(_)) => AdoptionAction::Discard,
-        (LocalKnowledge::Pending, None) => AdoptionAction::Merge {
-            in_flight_until: out_until,
-        },
-        (LocalKnowledge::Unknown, Some((outcome, wait))) => {
-            AdoptionAction::NotifyAgain(outcome, wait)
+        (LocalKnowledge::Pending, None) => AdoptionAction::Merge { in_flight_until },
+        (LocalKnowledge::Unknown, Some((outcome, retry_after))) => {
+            AdoptionAction::NotifyAgain(outcome, retry_after)
         }
-        (LocalKnowledge::Unknown, None) => AdoptionAction::Restore {
-            in_flight_until: out_until,
-        },
+        (LocalKnowledge::Unknown, None) => AdoptionAction::Restore { in_flight_until },
     }
 }
+
+fn in_flight_until(pending: &PendingEvent, now: f64, watchdog_timeout: f64) -> Option<f64> {
+    pending.in_flight.as_ref()?;
+    let timeout = pending.timeout.unwrap_or(MAX_ATTEMPT_TIMEOUT_MS);
+    Some(now + timeout + 2.0 * watchdog_timeout)
+}
--- a/forwarder/replication/src/lib.rs
+++ b/forwarder/replication/src/lib.rs
@@ -1,7 +1,17 @@
-//! Copies of what a forwarder holds: losing a machine with its disk loses nothing that was promised. The
-//! record of a forwarder is the log of a group (`docs/copies.md`). Here stand what the group keeps, what a
-//! round of its owner waits for before anything leaves, and what an heir does with each event that it finds.
-//! No I/O and no clock; the forwarder carries it out.
+//! Replication of the forwarder's event log: losing a machine with its disk loses no event that was accepted.
+//!
+//! The event log of a forwarder is the log of a Raft group (`plankhill-raft-groups`). This package decides, without
+//! I/O and without a clock; the forwarder's event loop calls it and carries the decisions out:
+//!
+//! | module | decides |
+//! | --- | --- |
+//! | `state_machine` | what each replica of a group keeps |
+//! | `proposals` | in which commands, numbers and order an owner's records are proposed |
+//! | `pipeline` | when the effects of an event loop iteration may leave |
+//! | `roles` | which groups this instance owns, and which it only brings to their end |
+//! | `adoption` | what a successor does with each pending event of a group that it came to lead |
+//!
+//! `docs/copies.md` weighs the design.
 
 pub mod adoption;
 pub mod pipeline;
--- a/forwarder/replication/src/pipeline.rs
+++ b/forwarder/replication/src/pipeline.rs
@@ -1,64 +1,75 @@
-//! What rounds wait for. A round's marks are one proposal for each group that they belong to; what leaves by
-//! the round is held until those and the ones of all earlier rounds are decided, so that everything leaves in
-//! the order decided. Rounds go on meanwhile, up to a bound.
+//! When the effects of an event loop iteration may leave. An iteration's records are one proposal to each group
+//! they belong to. Its effects (answers, attempts, notices) are retained until these proposals and those of all
+//! earlier iterations are committed or discarded, so that effects leave in the order in which they were decided.
+//! The event loop goes on meanwhile, up to a bound.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use plankhill_raft_groups::GroupId;
 
-/// Rounds that wait at most, and the bytes of their commands; past either nothing more is taken.
-const MOST_ROUNDS: usize = 512;
-const MOST_BYTES: usize = 16 << 20;
+/// Iterations that may be retained; at that many, no event is accepted.
+const MAX_ITERATIONS: usize = 512;
+/// Bytes of commands that retained iterations may have proposed; at that many, no event is accepted.
+const MAX_COMMAND_BYTES: usize = 16 << 20;
 
+/// The iterations whose effects have not left, oldest first. `E` is what an iteration's effects are.
 pub struct CommitPipeline<E> {
-    rounds: VecDeque<Round<E>>,
-    bytes: usize,
+    iterations: VecDeque<Iteration<E>>,
+    command_bytes: usize,
 }
 
-struct Round<E> {
-    /// Those not decided yet.
-    waits: BTreeSet<(GroupId, u64)>,
-    bytes: usize,
-    void: BTreeSet<GroupId>,
-    counts: BTreeSet<GroupId>,
+struct Iteration<E> {
+    /// Proposals without an outcome: their group and number.
+    undecided: BTreeSet<(GroupId, u64)>,
+    command_bytes: usize,
+    groups: GroupOutcomes,
     effects: E,
 }
 
-/// A round of which all is decided.
+/// In which groups some of an iteration's proposals were committed, and in which some were discarded.
+#[derive(Debug, Default, PartialEq)]
+struct GroupOutcomes {
+    committed: BTreeSet<GroupId>,
+    discarded: BTreeSet<GroupId>,
+}
+
+/// An iteration of which every proposal has its outcome.
 #[derive(Debug, PartialEq)]
 pub struct ReleasedIteration<E> {
+    /// What is to leave, where its group committed it.
     pub effects: E,
-    /// Of these groups something surely never counts: what hangs on them does not leave.
-    void: BTreeSet<GroupId>,
-    counts: BTreeSet<GroupId>,
+    groups: GroupOutcomes,
 }
 
-/// What became of a round's marks in one group.
+/// What became of an iteration's records in one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
+    /// All of them are committed.
     Committed,
-    /// None of it ever does.
+    /// None of them ever will be.
     Discarded,
-    /// Some of it does, and nobody was told which.
+    /// Some of them are committed, and it is not known which.
     Partial,
 }
 
 impl<E> ReleasedIteration<E> {
-    /// What is to leave, and what became of what it waited for.
+    /// The effects, and apart from them the outcomes that they rest on.
     pub fn split(self) -> (E, ReleasedIteration<()>) {
         (
             self.effects,
             ReleasedIteration {
                 effects: (),
-                void: self.void,
-                counts: self.counts,
+                groups: self.groups,
             },
         )
     }
 
-    /// Of a group that the round marked nothing in, all that there is counts.
+    /// What became of the records in `group`. A group in which the iteration recorded nothing has nothing that could
+    /// be discarded.
     pub fn outcome_in(&self, group: GroupId) -> CommitOutcome {
-        match (self.void.contains(&group), self.counts.contains(&group)) {
+        let committed = self.groups.committed.contains(&group);
+        let discarded = self.groups.discarded.contains(&group);
+        match (discarded, committed) {
             (false, _) => CommitOutcome::Committed,
             (true, false) => CommitOutcome::Discarded,
             (true, true) => CommitOutcome::Partial,
@@ -69,109 +80,103 @@
 impl<E> Default for CommitPipeline<E> {
     fn default() -> Self {
         CommitPipeline {
-            rounds: VecDeque::new(),
-            bytes: 0,
+            iterations: VecDeque::new(),
+            command_bytes: 0,
         }
     }
 }
 
 impl<E> CommitPipeline<E> {
+    /// Whether no iteration is retained.
     pub fn is_empty(&self) -> bool {
-        self.rounds.is_empty()
+        self.iterations.is_empty()
     }
 
-    /// Whether takes are to be refused until some of it is decided; `more` bytes are about to be proposed.
+    /// Whether new events are to be rejected until some iterations have left. `more` bytes of commands are about to
+    /// be proposed.
     pub fn is_full(&self, more: usize) -> bool {
-        self.rounds.len() >= MOST_ROUNDS || self.bytes + more >= MOST_BYTES
+        self.iterations.len() >= MAX_ITERATIONS || self.command_bytes + more >= MAX_COMMAND_BYTES
     }
 
-    /// A round that proposed these, so many bytes in all.
+    /// Retains an iteration that made these proposals (group and number), of so many bytes in all.
     pub fn push(
         &mut self,
-        waits: impl IntoIterator<Item = (GroupId, u64)>,
-        bytes: usize,
+        proposals: impl IntoIterator<Item = (GroupId, u64)>,
+        command_bytes: usize,
         effects: E,
     ) {
-        let (void, counts) = (BTreeSet::new(), BTreeSet::new());
-        self.bytes += bytes;
-        self.rounds.push_back(Round {
-            waits: waits.into_iter().collect(),
-            bytes,
-            void,
-            counts,
+        self.command_bytes += command_bytes;
+        self.iterations.push_back(Iteration {
+            undecided: proposals.into_iter().collect(),
+            command_bytes,
+            groups: GroupOutcomes::default(),
             effects,
         });
     }
 
+    /// The group has committed this proposal.
     pub fn committed(&mut self, group: GroupId, number: u64) {
-        self.decided(group, number, true);
+        if let Some(iteration) = self.decide(group, number) {
+            iteration.groups.committed.insert(group);
+        }
     }
 
+    /// This proposal surely never is committed.
     pub fn discarded(&mut self, group: GroupId, number: u64) {
-        self.decided(group, number, false);
+        if let Some(iteration) = self.decide(group, number) {
+            iteration.groups.discarded.insert(group);
+        }
     }
 
-    fn decided(&mut self, group: GroupId, number: u64, counts: bool) {
-        let waits = self
-            .rounds
-            .iter_mut()
-            .find(|round| round.waits.contains(&(group, number)));
-        if let Some(round) = waits {
-            round.waits.remove(&(group, number));
-            if counts {
-                &mut round.counts
-            } else {
-                &mut round.void
-            }
-            .insert(group);
-        }
+    /// The iteration that made the proposal, which awaits it no longer.
+    fn decide(&mut self, group: GroupId, number: u64) -> Option<&mut Iteration<E>> {
+        self.iterations.iter_mut().find_map(|iteration| {
+            let was_undecided = iteration.undecided.remove(&(group, number));
+            was_undecided.then_some(iteration)
+        })
     }
 
-    /// The next round that waits for nothing, nor does one before it.
+    /// The oldest iteration, once each of its proposals has an outcome.
     pub fn release(&mut self) -> Option<ReleasedIteration<E>> {
-        self.rounds.front().filter(|round| round.waits.is_empty())?;
-        let Round {
-            bytes,
-            void,
-            counts,
-            effects,
-            ..
-        } = self.rounds.pop_front()?;
-        self.bytes -= bytes;
+        if !self.iterations.front()?.undecided.is_empty() {
+            return None;
+        }
+        let iteration = self.iterations.pop_front()?;
+        self.command_bytes -= iteration.command_bytes;
         Some(ReleasedIteration {
-            effects,
-            void,
-            counts,
+            effects: iteration.effects,
+            groups: iteration.groups,
         })
     }
 
-    /// Whether a round still waits for something of the group.
+    /// Whether an iteration awaits a proposal of the group.
     pub fn awaits_group(&self, group: GroupId) -> bool {
-        self.rounds
+        let mut undecided = self
+            .iterations
             .iter()
-            .any(|round| round.waits.iter().any(|(of, _)| *of == group))
+            .flat_map(|iteration| &iteration.undecided);
+        undecided.any(|(of, _)| *of == group)
     }
 
-    /// The group is led no more: no round waits for it, and what hangs on it never leaves with its round.
-    /// `parts` is handed each number that was not decided yet, with its round's effects.
-    pub fn abandon_group(&mut self, group: GroupId, mut parts: impl FnMut(u64, &mut E)) {
-        for round in &mut self.rounds {
-            let numbers: Vec<u64> = round
-                .waits
-                .iter()
-                .filter(|(of, _)| *of == group)
-                .map(|(_, number)| *number)
-                .collect();
+    /// The instance leads the group no longer: no iteration awaits it, and effects that rest on it do not leave with
+    /// their iteration. `take_undecided` is called with the number of each proposal without an outcome and the
+    /// effects of its iteration.
+    pub fn abandon_group(&mut self, group: GroupId, mut take_undecided: impl FnMut(u64, &mut E)) {
+        for iteration in &mut self.iterations {
+            let undecided = iteration.undecided.iter().filter(|(of, _)| *of == group);
+            let numbers: Vec<u64> = undecided.map(|(_, number)| *number).collect();
             for number in numbers {
-                round.waits.remove(&(group, number));
-                round.void.insert(group);
-                parts(number, &mut round.effects);
+                iteration.undecided.remove(&(group, number));
+                iteration.groups.discarded.insert(group);
+                take_undecided(number, &mut iteration.effects);
             }
         }
     }
 
-    /// What has not left yet, in the order in which it will.
+    /// The effects that have not left yet, in the order in which they will.
     pub fn pending_effects(&mut self) -> impl Iterator<Item = &mut E> {
-        self.rounds.iter_mut().map(|round| &mut round.effects)
+        self.iterations
+            .iter_mut()
+            .map(|iteration| &mut iteration.effects)
     }
 }
--- a/forwarder/replication/src/proposals.rs
+++ b/forwarder/replication/src/proposals.rs
@@ -1,4 +1,5 @@
-//! Commands on their way to the groups: numbered, and kept in order while the ring is full.
+//! Requests on their way to the Raft groups: commands are numbered for each group, and all wait in order while the
+//! ring to the Raft thread is full. The forwarder's event loop owns the queue.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,75 +8,84 @@
 
 use crate::state_machine::encode_command;
 
-/// A command is cut before it grows past that many bytes; one frame may alone be longer, by one body.
+/// Bytes of frames past which a command is split. One frame may by itself be longer, by one event's body.
 pub const MAX_COMMAND_BYTES: usize = 4 << 20;
 
+/// Requests that the Raft thread has not taken yet.
 #[derive(Default)]
 pub struct ProposalQueue {
-    numbers: HashMap<GroupId, u64>,
-    queue: VecDeque<GroupRequest>,
+    /// The number of each group's last command.
+    last_numbers: HashMap<GroupId, u64>,
+    requests: VecDeque<GroupRequest>,
 }
 
 impl ProposalQueue {
-    /// Numbers a command of these frames for the group; it leaves with the next `offer`.
+    /// Queues a command of these frames for the group, and returns its number.
     pub fn propose(&mut self, group: GroupId, frames: &[u8]) -> u64 {
-        let number = self.numbers.entry(group).or_default();
-        *number += 1;
-        self.queue.push_back(GroupRequest::Propose {
+        let last_number = self.last_numbers.entry(group).or_default();
+        *last_number += 1;
+        let number = *last_number;
+        let command = encode_command(group, frames);
+        self.requests.push_back(GroupRequest::Propose {
             group,
-            number: *number,
-            command: encode_command(group, frames),
+            number,
+            command,
         });
-        *number
+        number
     }
 
-    /// As `propose`, in as many commands as it takes, each of whole frames.
-    pub fn propose_split(&mut self, group: GroupId, all: &[u8]) -> Vec<u64> {
-        let (mut numbers, mut cut) = (Vec::new(), Vec::new());
-        for frame in frames(all) {
-            if !cut.is_empty() && cut.len() + frame.len() > MAX_COMMAND_BYTES {
-                numbers.push(self.propose(group, &cut));
-                cut.clear();
+    /// As [`ProposalQueue::propose`], in as many commands as it takes, each of whole frames.
+    pub fn propose_split(&mut self, group: GroupId, all_frames: &[u8]) -> Vec<u64> {
+        let mut numbers = Vec::new();
+        let mut part = Vec::new();
+        for frame in frames(all_frames) {
+            if !part.is_empty() && part.len() + frame.len() > MAX_COMMAND_BYTES {
+                numbers.push(self.propose(group, &part));
+                part.clear();
             }
-            cut.extend_from_slice(frame);
+            part.extend_from_slice(frame);
         }
-        if !cut.is_empty() {
-            numbers.push(self.propose(group, &cut));
+        if !part.is_empty() {
+            numbers.push(self.propose(group, &part));
         }
         numbers
     }
 
-    /// To found a group, or to dissolve one, behind what was proposed before.
-    pub fn enqueue(&mut self, order: GroupRequest) {
-        self.queue.push_back(order);
+    /// Queues a request to create or dissolve a group behind what was queued before.
+    pub fn enqueue(&mut self, request: GroupRequest) {
+        self.requests.push_back(request);
     }
 
-    /// Hands over what is waiting until one comes back; true if nothing is left.
-    pub fn submit(&mut self, mut to: impl FnMut(GroupRequest) -> Result<(), GroupRequest>) -> bool {
-        while let Some(order) = self.queue.pop_front() {
-            if let Err(order) = to(order) {
-                self.queue.push_front(order);
+    /// Hands the requests to `send` in their order until one comes back; true if none is left.
+    pub fn submit(
+        &mut self,
+        mut send: impl FnMut(GroupRequest) -> Result<(), GroupRequest>,
+    ) -> bool {
+        while let Some(request) = self.requests.pop_front() {
+            if let Err(request) = send(request) {
+                self.requests.push_front(request);
                 return false;
             }
         }
         true
     }
 
-    /// What has not left for the group never will; its numbers surely never count.
+    /// Drops the group's commands that were not handed over. They surely never are committed; the numbers of all of
+    /// them are returned, and given out again.
     pub fn withdraw(&mut self, group: GroupId) -> Vec<u64> {
-        let mut numbers = Vec::new();
-        self.queue.retain(|order| match order {
+        let mut withdrawn = Vec::new();
+        self.requests.retain(|request| match request {
             GroupRequest::Propose {
                 group: of, number, ..
             } if *of == group => {
-                numbers.push(*number);
+                withdrawn.push(*number);
                 false
             }
             _ => true,
         });
-        if let Some(last) = self.numbers.get_mut(&group) {
-            *last -= numbers.len() as u64;
+        if let Some(last_number) = self.last_numbers.get_mut(&group) {
+            *last_number -= withdrawn.len() as u64;
         }
-        numbers
+        withdrawn
     }
 }
--- a/forwarder/replication/src/roles.rs
+++ b/forwarder/replication/src/roles.rs
@@ -1,63 +1,70 @@
-//! Which records this instance owns. It has one group of its own, in which what is new is taken; others it
-//! led before, or was elected to lead, hold what they hold until that has ended.
+//! Which groups this instance owns. New events are accepted in one group that it founded itself; other groups that
+//! it led before, or was elected to lead, keep what is pending in them until that is completed. The forwarder's
+//! event loop owns the [`GroupRoles`] and carries out the requests that they return.
 
 use std::collections::BTreeSet;
 
 use plankhill_raft_groups::{GroupId, GroupRequest, Incarnation, Purpose};
 
-/// What a group is to the instance that came to lead it.
+/// What a group is to the instance that was elected to lead it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaderRole {
-    /// New events are taken here.
+    /// New events are accepted in it.
     Own,
-    /// What is in it is brought to its end, and nothing is added.
+    /// What is pending in it is completed, and nothing is added.
     Adopted,
 }
 
+/// The groups that this instance leads, and the instances it can reach.
 #[derive(Debug)]
 pub struct GroupRoles {
     me: Incarnation,
     own: Option<GroupId>,
     led: BTreeSet<GroupId>,
-    /// A group was ordered and is not led yet.
-    founding: bool,
-    /// Other instances that can be reached.
-    up: BTreeSet<Incarnation>,
+    /// A group was requested and is not led yet.
+    is_creating: bool,
+    reachable_peers: BTreeSet<Incarnation>,
 }
 
 impl GroupRoles {
+    /// The roles of an instance that leads nothing yet.
     pub fn new(me: Incarnation) -> Self {
         GroupRoles {
             me,
             own: None,
             led: BTreeSet::new(),
-            founding: false,
-            up: BTreeSet::new(),
+            is_creating: false,
+            reachable_peers: BTreeSet::new(),
         }
     }
 
-    /// A new life takes what is new in a new group: whoever leads an earlier one ends what is in it.
+    /// The request for a group of its own, if it has none and none is on the way. A new incarnation accepts events
+    /// in a new group: whoever leads an earlier one completes what is pending there.
     pub fn create_own_group(&mut self) -> Option<GroupRequest> {
-        let founds = self.own.is_none() && !self.founding;
-        self.founding |= founds;
-        founds.then_some(GroupRequest::Create {
+        if self.own.is_some() || self.is_creating {
+            return None;
+        }
+        self.is_creating = true;
+        Some(GroupRequest::Create {
             purpose: Purpose::EventLog,
         })
     }
 
-    /// Elected by a majority. Of the groups that it founded itself the newest is its own.
+    /// A majority has elected this instance to lead `group`. Of the groups that it founded itself, the newest is its
+    /// own.
     pub fn on_elected(&mut self, group: GroupId) -> LeaderRole {
         self.led.insert(group);
-        let newest = self.own.is_none_or(|own| own.number <= group.number);
-        if group.founder != self.me || !newest {
+        let is_newest = self.own.is_none_or(|own| own.number <= group.number);
+        if group.founder != self.me || !is_newest {
             return LeaderRole::Adopted;
         }
         self.own = Some(group);
-        self.founding = false;
+        self.is_creating = false;
         LeaderRole::Own
     }
 
-    /// Another may lead the group. What is new goes to a new one, as soon as there is a majority for it.
+    /// Another instance may lead the group. Where it was the own one, the request for a new one is returned: events
+    /// are accepted there as soon as it has a majority.
     pub fn on_deposed(&mut self, group: GroupId) -> Option<GroupRequest> {
         self.led.remove(&group);
         if self.own != Some(group) {
@@ -67,40 +74,54 @@
         self.create_own_group()
     }
 
-    /// The group where new events are taken.
+    /// The group in which new events are accepted.
     pub fn own_group(&self) -> Option<GroupId> {
         self.own
     }
 
+    /// The groups that this instance leads.
     pub fn led_groups(&self) -> impl Iterator<Item = GroupId> + '_ {
         self.led.iter().copied()
     }
 
+    /// Whether this instance leads the group.
     pub fn is_led(&self, group: GroupId) -> bool {
         self.led.contains(&group)
     }
 
-    pub fn set_peer_reachable(&mut self, who: Incarnation, up: bool) {
-        match up {
-            true => self.up.insert(who),
-            false => self.up.remove(&who),
-        };
+    /// Whether another instance can be reached.
+    pub fn set_peer_reachable(&mut self, peer: Incarnation, is_reachable: bool) {
+        if is_reachable {
+            self.reachable_peers.insert(peer);
+        } else {
+            self.reachable_peers.remove(&peer);
+        }
     }
 
-    /// Whether an event of a key that is new here has to wait for the group, of which a copy is kept here:
-    /// `owner` proposed in it last, and it `holds` an event of that key, as far as this copy knows. It does
-    /// where the group has lost its first owner, or is about to, and is not led here. One that this instance
-    /// owned and lost may have more committed than it knows, until somebody has gone on with it.
-    pub fn blocks_order_key(&self, group: GroupId, owner: Incarnation, holds: bool) -> bool {
-        let unsure = group.founder == self.me && owner == self.me;
-        let gone =
-            group.founder == self.me || owner != group.founder || !self.up.contains(&group.founder);
-        !self.is_led(group) && (unsure || gone && holds)
+    /// Whether a new event has to wait for events of its order key in `group`, of which a replica is kept here.
+    /// `owner` proposed in the group last, and `has_key` says whether an event of that key is pending, as far as the
+    /// replica knows.
+    ///
+    /// Such an event goes first where the group has lost its first owner, or is about to, and is not led here. A
+    /// group that this instance owned and lost may have more committed than the replica knows, until another owner
+    /// has gone on with it.
+    pub fn blocks_order_key(&self, group: GroupId, owner: Incarnation, has_key: bool) -> bool {
+        if self.is_led(group) {
+            return false;
+        }
+        let founded_here = group.founder == self.me;
+        let may_have_unseen_events = founded_here && owner == self.me;
+        let lost_its_owner = founded_here
+            || owner != group.founder
+            || !self.reachable_peers.contains(&group.founder);
+        may_have_unseen_events || (lost_its_owner && has_key)
     }
 
-    /// Nothing is left in an adopted group.
+    /// Nothing is pending in the group any more: the request to dissolve it, where it is an adopted one.
     pub fn on_group_emptied(&mut self, group: GroupId) -> Option<GroupRequest> {
-        let goes = self.own != Some(group) && self.led.remove(&group);
-        goes.then_some(GroupRequest::Dissolve { group })
+        if self.own == Some(group) || !self.led.remove(&group) {
+            return None;
+        }
+        Some(GroupRequest::Dissolve { group })
     }
 }
--- a/forwarder/replication/src/state_machine.rs
+++ b/forwarder/replication/src/state_machine.rs
@@ -1,90 +1,92 @@
-//! What each instance of a record's group keeps: the record itself, told by the ledger's frames, and whose it
-//! is. All that are kept here can be looked into by whoever takes events.
+//! The state machine of an event log's group: each replica keeps the [`EventTable`] that the owner's records make,
+//! and who the owner is. Only the Raft thread changes a replica; the forwarder's event loop looks into all replicas
+//! of its process through [`LocalReplicas`].
 
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 
 use plankhill_event_log::EventTable;
 use plankhill_raft_groups::{CorruptSnapshot, GroupId, Incarnation, StateMachine, Term};
 
-/// Ahead of a snapshot.
-const MAGIC: &[u8] = b"plankhill record 1\n";
-/// Ahead of a command's frames: the founder and the number of the group that it is for.
-const HEAD: usize = 12;
+/// The first bytes of a snapshot: its format and version.
+const SNAPSHOT_HEADER: &[u8] = b"plankhill record 1\n";
+/// Bytes of the group's id ahead of a command's frames: its founder, then its number, little-endian.
+const GROUP_ID_LEN: usize = 12;
+/// Stands for the group and the owner in a snapshot that has none yet: an incarnation is never zero.
+const NO_INCARNATION: Incarnation = Incarnation(0);
 
+/// The state of one replica.
 #[derive(Default)]
-struct Kept {
-    /// None until the first command.
+struct Replica {
+    /// `None` until the first command.
     group: Option<GroupId>,
-    /// Who proposed last: the owner, or one that was.
+    /// Who proposed last: the owner, or an earlier one.
     owner: Option<Incarnation>,
-    record: EventTable,
+    table: EventTable,
 }
 
-type Shared = Arc<Mutex<Kept>>;
+type SharedReplica = Arc<Mutex<Replica>>;
 
-/// The records that this instance keeps, its own and others'.
+/// The replicas of this process, of its own event log and of other instances'.
 #[derive(Clone, Default)]
-pub struct LocalReplicas(Arc<Mutex<Vec<Weak<Mutex<Kept>>>>>);
+pub struct LocalReplicas(Arc<Mutex<Vec<Weak<Mutex<Replica>>>>>);
 
 impl LocalReplicas {
-    /// The empty machine of a new group.
+    /// The empty state machine of a new group.
     pub fn new_state_machine(&self) -> EventLogStateMachine {
-        let kept = Shared::default();
-        let mut all = locked(&self.0);
-        all.retain(|kept| kept.strong_count() > 0);
-        all.push(Arc::downgrade(&kept));
-        EventLogStateMachine(kept)
+        let replica = SharedReplica::default();
+        let mut replicas = lock(&self.0);
+        replicas.retain(|replica| replica.strong_count() > 0);
+        replicas.push(Arc::downgrade(&replica));
+        EventLogStateMachine(replica)
     }
 
-    /// Whether any record kept here is such: told its group, who proposed in it last, and whether it holds an
-    /// event of that key.
+    /// Whether `matches` is true of any replica that has a command: called with its group, who proposed in the group
+    /// last, and whether an event of the order key `key` is pending in it.
     pub fn any(
         &self,
         key: u64,
-        mut is_such: impl FnMut(GroupId, Incarnation, bool) -> bool,
+        mut matches: impl FnMut(GroupId, Incarnation, bool) -> bool,
     ) -> bool {
-        locked(&self.0)
-            .iter()
-            .filter_map(Weak::upgrade)
-            .any(|kept| {
-                let kept = locked(&kept);
-                let of = kept.group.zip(kept.owner);
-                of.is_some_and(|(group, owner)| {
-                    is_such(group, owner, kept.record.contains_order_key(key))
-                })
-            })
+        let replicas = lock(&self.0);
+        replicas.iter().filter_map(Weak::upgrade).any(|replica| {
+            let replica = lock(&replica);
+            match (replica.group, replica.owner) {
+                (Some(group), Some(owner)) => {
+                    matches(group, owner, replica.table.contains_order_key(key))
+                }
+                _ => false,
+            }
+        })
     }
 }
 
-/// A thread that panicked left what is whole: nothing is changed half.
-fn locked<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
-    what.lock().unwrap_or_else(|broken| broken.into_inner())
+/// A thread that panicked left a whole state: no change here is visible by half.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Commands are the frames that one round of the owner marked. Frames that make no sense change nothing, and
-/// what follows a torn one in its command is not read: each instance reads the same.
-pub struct EventLogStateMachine(Shared);
+/// One replica as its Raft group drives it. A command is the frames that one event loop iteration of the owner
+/// recorded. Frames that do not fit the state change nothing, and what follows a torn frame in its command is not
+/// read: every replica reads the same.
+pub struct EventLogStateMachine(SharedReplica);
 
-/// A command for the group, of these frames.
+/// The command for `group` with these frames.
 pub fn encode_command(group: GroupId, frames: &[u8]) -> Vec<u8> {
-    let mut command = Vec::with_capacity(HEAD + frames.len());
+    let mut command = Vec::with_capacity(GROUP_ID_LEN + frames.len());
     command.extend_from_slice(&group.founder.0.to_le_bytes());
     command.extend_from_slice(&group.number.to_le_bytes());
     command.extend_from_slice(frames);
     command
 }
 
-/// The group and the frames of a command.
+/// The group and the frames of a command; `None` where the bytes are too short for one.
 pub fn decode_command(command: &[u8]) -> Option<(GroupId, &[u8])> {
-    let (head, frames) = command.split_at_checked(HEAD)?;
-    let founder = Incarnation(u64::from_le_bytes(head[..8].try_into().ok()?));
-    Some((
-        GroupId {
-            founder,
-            number: u32::from_le_bytes(head[8..].try_into().ok()?),
-        },
-        frames,
-    ))
+    let (id, frames) = command.split_at_checked(GROUP_ID_LEN)?;
+    let founder = Incarnation(u64::from_le_bytes(id[..8].try_into().ok()?));
+    let number = u32::from_le_bytes(id[8..].try_into().ok()?);
+    Some((GroupId { founder, number }, frames))
 }
 
 impl StateMachine for EventLogStateMachine {
@@ -92,60 +94,59 @@
         let Some((group, frames)) = decode_command(command) else {
             return;
         };
-        let mut kept = locked(&self.0);
-        if *kept.group.get_or_insert(group) == group {
-            kept.owner = Some(proposer);
-            kept.record.apply_frames(frames);
+        let mut replica = lock(&self.0);
+        if *replica.group.get_or_insert(group) == group {
+            replica.owner = Some(proposer);
+            replica.table.apply_frames(frames);
         }
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let kept = locked(&self.0);
-        let mut bytes = MAGIC.to_vec();
-        let group = kept.group.unwrap_or(GroupId {
-            founder: Incarnation(0),
+        let replica = lock(&self.0);
+        let group = replica.group.unwrap_or(GroupId {
+            founder: NO_INCARNATION,
             number: 0,
         });
-        bytes.extend_from_slice(&encode_command(
-            group,
-            &kept.owner.unwrap_or(Incarnation(0)).0.to_le_bytes(),
-        ));
-        kept.record.write_frames(&mut bytes);
+        let owner = replica.owner.unwrap_or(NO_INCARNATION);
+        let mut bytes = SNAPSHOT_HEADER.to_vec();
+        bytes.extend_from_slice(&encode_command(group, &owner.0.to_le_bytes()));
+        replica.table.write_frames(&mut bytes);
         bytes
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), CorruptSnapshot> {
-        let kept = read_all(snapshot)?;
-        *locked(&self.0) = kept;
+        let replica = decode_replica(snapshot)?;
+        *lock(&self.0) = replica;
         Ok(())
     }
 
     fn size(&self) -> usize {
-        locked(&self.0).record.reserved_bytes()
+        lock(&self.0).table.reserved_bytes()
     }
 }
 
-fn read_all(snapshot: &[u8]) -> Result<Kept, CorruptSnapshot> {
-    let rest = snapshot.strip_prefix(MAGIC).ok_or(CorruptSnapshot)?;
+fn decode_replica(snapshot: &[u8]) -> Result<Replica, CorruptSnapshot> {
+    let rest = snapshot
+        .strip_prefix(SNAPSHOT_HEADER)
+        .ok_or(CorruptSnapshot)?;
     let (group, rest) = decode_command(rest).ok_or(CorruptSnapshot)?;
-    let (owner, frames) = rest.split_at_checked(8).ok_or(CorruptSnapshot)?;
-    let owner = Incarnation(u64::from_le_bytes(
-        owner.try_into().map_err(|_| CorruptSnapshot)?,
-    ));
-    let mut record = EventTable::default();
-    if record.apply_frames(frames) != frames.len() {
+    let (owner, frames) = rest.split_first_chunk::<8>().ok_or(CorruptSnapshot)?;
+    let owner = Incarnation(u64::from_le_bytes(*owner));
+    let mut table = EventTable::default();
+    if table.apply_frames(frames) != frames.len() {
         return Err(CorruptSnapshot);
     }
-    // An incarnation is never zero.
-    let there = |who: Incarnation| who.0 != 0;
-    Ok(Kept {
-        group: Some(group).filter(|g| there(g.founder)),
-        owner: Some(owner).filter(|o| there(*o)),
-        record,
+    Ok(Replica {
+        group: Some(group).filter(|group| group.founder != NO_INCARNATION),
+        owner: Some(owner).filter(|owner| *owner != NO_INCARNATION),
+        table,
     })
 }
 
-/// The record out of a snapshot, as an heir is told it.
+/// The event table in a snapshot, which a successor goes on with.
+///
+/// # Errors
+/// The bytes are no snapshot of an [`EventLogStateMachine`].
 pub fn decode_snapshot(snapshot: &[u8]) -> Result<EventTable, CorruptSnapshot> {
-    read_all(snapshot).map(|kept| kept.record)
+    decode_replica(snapshot).map(|replica| replica.table)
 }
--- a/forwarder/replication/tests/adoption.rs
+++ b/forwarder/replication/tests/adoption.rs
@@ -1,41 +1,41 @@
-//! What an heir does with what it finds.
+//! What a successor does with the pending events of a group that it came to lead.
 
-use plankhill_event_log::*;
-use plankhill_replication::*;
+use plankhill_event_log::{AcceptedEvent, EventTable, Outcome, PendingEvent};
+use plankhill_replication::{plan_adoption, AdoptionAction, LocalKnowledge};
 use rstest::rstest;
 
 const NOW: f64 = 50_000.0;
-const STALL: f64 = 600.0;
+const WATCHDOG_TIMEOUT: f64 = 600.0;
 
-/// What a record owes of one event after these marks.
-fn owed(marks: impl FnOnce(&mut EventTable)) -> PendingEvent {
-    let mut record = EventTable::default();
-    record.accept(AcceptedEvent {
+/// One event after what `record` records of it.
+fn pending(record: impl FnOnce(&mut EventTable)) -> PendingEvent {
+    let mut table = EventTable::default();
+    table.accept(AcceptedEvent {
         id: "a".into(),
         ..AcceptedEvent::default()
     });
-    marks(&mut record);
-    record.pending_events().remove(0)
+    record(&mut table);
+    table.pending_events().remove(0)
 }
 
-fn adopted(finds: LocalKnowledge, marks: impl FnOnce(&mut EventTable)) -> AdoptionAction {
-    plan_adoption(&owed(marks), finds, NOW, STALL)
+fn adopted(knowledge: LocalKnowledge, record: impl FnOnce(&mut EventTable)) -> AdoptionAction {
+    plan_adoption(&pending(record), knowledge, NOW, WATCHDOG_TIMEOUT)
 }
 
 #[rstest]
-fn an_event_that_was_not_out_is_decided_at_once() {
+fn an_event_without_an_attempt_in_flight_is_restored_at_once() {
     assert_eq!(
         adopted(LocalKnowledge::Unknown, |_| ()),
         AdoptionAction::Restore {
             in_flight_until: None
         }
     );
-    let unrun = |record: &mut EventTable| {
-        record.record_attempt_with_timeout("a", 1.0, "z", 900.0);
-        record.record_attempt_not_executed("a");
+    let not_executed = |table: &mut EventTable| {
+        table.record_attempt_with_timeout("a", 1.0, "z", 900.0);
+        table.record_attempt_not_executed("a");
     };
     assert_eq!(
-        adopted(LocalKnowledge::Unknown, unrun),
+        adopted(LocalKnowledge::Unknown, not_executed),
         AdoptionAction::Restore {
             in_flight_until: None
         }
@@ -43,27 +43,27 @@
 }
 
 #[rstest]
-#[case::noted(Some(900.0), NOW + 900.0 + 2.0 * STALL)]
-#[case::noted_by_none(None, NOW + 16_000.0 + 2.0 * STALL)]
-fn a_call_of_the_old_owner_is_out_until_it_surely_is_not(
+#[case::noted(Some(900.0), NOW + 900.0 + 2.0 * WATCHDOG_TIMEOUT)]
+#[case::noted_by_none(None, NOW + 16_000.0 + 2.0 * WATCHDOG_TIMEOUT)]
+fn an_attempt_of_the_old_owner_is_in_flight_for_its_timeout_and_twice_the_watchdogs(
     #[case] span: Option<f64>,
     #[case] until: f64,
 ) {
-    let sent = |record: &mut EventTable| match span {
-        Some(span) => record.record_attempt_with_timeout("a", 1.0, "z", span),
-        None => record.record_attempt("a", 1.0, "z"),
+    let attempt = |table: &mut EventTable| match span {
+        Some(span) => table.record_attempt_with_timeout("a", 1.0, "z", span),
+        None => table.record_attempt("a", 1.0, "z"),
     };
     assert_eq!(
-        adopted(LocalKnowledge::Unknown, sent),
+        adopted(LocalKnowledge::Unknown, attempt),
         AdoptionAction::Restore {
             in_flight_until: Some(until)
         }
     );
-    let sent_again = |record: &mut EventTable| {
-        record.record_attempt_with_timeout("a", 1.0, "z", 8000.0);
-        sent(record);
+    let second_attempt = |table: &mut EventTable| {
+        table.record_attempt_with_timeout("a", 1.0, "z", 8000.0);
+        attempt(table);
     };
-    let adopted = adopted(LocalKnowledge::Unknown, sent_again);
+    let adopted = adopted(LocalKnowledge::Unknown, second_attempt);
     assert_eq!(
         adopted,
         AdoptionAction::Restore {
@@ -74,27 +74,27 @@
 }
 
 #[rstest]
-fn an_end_that_may_not_have_been_heard_is_told_again_once() {
-    let ended =
-        |record: &mut EventTable| record.record_outcome("a", Outcome::Rejected, Some(500.0));
+fn an_outcome_that_may_not_be_acknowledged_is_reported_again_once() {
+    let outcome =
+        |table: &mut EventTable| table.record_outcome("a", Outcome::Rejected, Some(500.0));
     assert_eq!(
-        adopted(LocalKnowledge::Unknown, ended),
+        adopted(LocalKnowledge::Unknown, outcome),
         AdoptionAction::NotifyAgain(Outcome::Rejected, Some(500.0))
     );
     assert_eq!(
-        adopted(LocalKnowledge::Pending, ended),
+        adopted(LocalKnowledge::Pending, outcome),
         AdoptionAction::Discard,
         "the one that is held gets its end"
     );
     assert_eq!(
-        adopted(LocalKnowledge::Completed, ended),
+        adopted(LocalKnowledge::Completed, outcome),
         AdoptionAction::Discard
     );
 }
 
 #[rstest]
-fn an_id_that_the_heir_knows_stays_one_event() {
-    let sent = |record: &mut EventTable| record.record_attempt_with_timeout("a", 1.0, "z", 900.0);
+fn an_id_that_the_successor_knows_stays_one_event() {
+    let attempt = |table: &mut EventTable| table.record_attempt_with_timeout("a", 1.0, "z", 900.0);
     assert_eq!(
         adopted(LocalKnowledge::Pending, |_| ()),
         AdoptionAction::Merge {
@@ -102,18 +102,18 @@
         }
     );
     assert_eq!(
-        adopted(LocalKnowledge::Pending, sent),
+        adopted(LocalKnowledge::Pending, attempt),
         AdoptionAction::Merge {
             in_flight_until: Some(NOW + 2100.0)
         }
     );
     assert_eq!(
-        adopted(LocalKnowledge::Completed, sent),
+        adopted(LocalKnowledge::Completed, attempt),
         AdoptionAction::Discard,
         "it has had its end here"
     );
     assert_eq!(
-        adopted(LocalKnowledge::OwnAttemptInFlight, sent),
+        adopted(LocalKnowledge::OwnAttemptInFlight, attempt),
         AdoptionAction::AwaitOwnAttempt,
         "its own call tells its outcome itself"
     );
--- a/forwarder/replication/tests/owners.rs
+++ b/forwarder/replication/tests/groups.rs
@@ -1,9 +1,11 @@
-//! Which groups an instance owns, and what its keepers keep of them.
+//! Which groups an instance owns, and what their replicas keep.
 
 use plankhill_event_log::{AcceptedEvent, EventTable};
-use plankhill_raft_groups::*;
+use plankhill_raft_groups::{
+    CorruptSnapshot, GroupId, GroupRequest, Incarnation, Purpose, StateMachine, Term,
+};
 use plankhill_replication::state_machine::encode_command;
-use plankhill_replication::*;
+use plankhill_replication::{GroupRoles, LeaderRole, LocalReplicas, ProposalQueue};
 use rstest::rstest;
 
 const ME: Incarnation = Incarnation(7);
@@ -16,7 +18,7 @@
 }
 
 #[rstest]
-fn a_deposed_owner_founds_anew_and_what_it_led_ends_where_it_is() {
+fn a_deposed_owner_creates_a_new_group_and_what_it_led_is_completed_where_it_is() {
     let mut roles = GroupRoles::new(ME);
     assert!(matches!(
         roles.create_own_group(),
@@ -55,7 +57,7 @@
 }
 
 #[rstest]
-fn a_new_life_leads_its_earlier_groups_as_an_heir_does() {
+fn a_new_incarnation_leads_its_earlier_groups_as_a_successor_does() {
     let mut roles = GroupRoles::new(ME);
     roles.create_own_group();
     assert_eq!(
@@ -78,61 +80,58 @@
 }
 
 #[rstest]
-fn keepers_that_heard_the_commands_or_a_snapshot_keep_the_same_record() {
-    let (mut own, mut keeper, mut late) = (
-        EventTable::default(),
-        LocalReplicas::default().new_state_machine(),
-        LocalReplicas::default().new_state_machine(),
-    );
+fn replicas_that_applied_the_commands_or_a_snapshot_keep_the_same_state() {
+    let mut own = EventTable::default();
+    let mut replica = LocalReplicas::default().new_state_machine();
+    let mut late = LocalReplicas::default().new_state_machine();
     own.accept(event("a", 10));
     own.accept(event("b", 10));
-    keeper.apply(
+    replica.apply(
         ME,
         Term(2),
         &encode_command(group(7, 1), &own.take_unwritten_frames()),
     );
     own.record_attempt_with_timeout("a", 5.0, "z", 900.0);
     own.complete("b");
-    keeper.apply(
+    replica.apply(
         ME,
         Term(2),
         &encode_command(group(7, 1), &own.take_unwritten_frames()),
     );
-    keeper.apply(ME, Term(2), b"");
-    keeper.apply(ME, Term(2), b"no frame");
-    assert_eq!(late.restore(&keeper.snapshot()), Ok(()));
-    assert_eq!(late.snapshot(), keeper.snapshot());
+    replica.apply(ME, Term(2), b"");
+    replica.apply(ME, Term(2), b"no frame");
+    assert_eq!(late.restore(&replica.snapshot()), Ok(()));
+    assert_eq!(late.snapshot(), replica.snapshot());
     assert_eq!(late.size(), own.reserved_bytes());
     let found = plankhill_replication::state_machine::decode_snapshot(&late.snapshot())
         .expect("a snapshot");
-    let owed = found.pending_events();
+    let pending = found.pending_events();
     assert_eq!(
-        (owed.len(), &*owed[0].event.id, owed[0].timeout),
+        (pending.len(), &*pending[0].event.id, pending[0].timeout),
         (1, "a", Some(900.0))
     );
 }
 
 #[rstest]
-fn a_torn_snapshot_is_refused_and_what_was_kept_stays() {
-    let (mut own, mut keeper) = (
-        EventTable::default(),
-        LocalReplicas::default().new_state_machine(),
-    );
+fn a_torn_snapshot_is_refused_and_the_state_stays() {
+    let mut own = EventTable::default();
+    let mut replica = LocalReplicas::default().new_state_machine();
     own.accept(event("a", 10));
-    keeper.apply(
+    replica.apply(
         ME,
         Term(2),
         &encode_command(group(7, 1), &own.take_unwritten_frames()),
     );
-    let (size, whole) = (keeper.size(), keeper.snapshot());
+    let size = replica.size();
+    let whole = replica.snapshot();
     for torn in [&b""[..], b"no snapshot", &whole[..whole.len() - 1]] {
-        assert_eq!(keeper.restore(torn), Err(CorruptSnapshot));
+        assert_eq!(replica.restore(torn), Err(CorruptSnapshot));
     }
-    assert_eq!(keeper.size(), size);
+    assert_eq!(replica.size(), size);
 }
 
 #[rstest]
-fn commands_are_cut_at_frames_and_wait_in_order_while_the_ring_is_full() {
+fn commands_are_split_at_frames_and_wait_in_order_while_the_ring_is_full() {
     let mut own = EventTable::default();
     (0..100).for_each(|n| own.accept(event(&format!("e{n}"), 60_000)));
     let all = own.take_unwritten_frames();
@@ -140,7 +139,7 @@
     assert_eq!(proposals.propose_split(group(7, 1), &all), [1, 2]);
     assert_eq!(proposals.propose(group(7, 1), b"x"), 3);
     assert_eq!(proposals.propose(group(8, 1), b"y"), 1);
-    let (mut room, mut keeper, mut numbers) =
+    let (mut room, mut replica, mut numbers) =
         (0, LocalReplicas::default().new_state_machine(), Vec::new());
     let mut hand = |room: &mut i32, order: GroupRequest| match order {
         GroupRequest::Propose {
@@ -148,7 +147,7 @@
         } if *room > 0 => {
             *room -= 1;
             numbers.push(number);
-            keeper.apply(ME, Term(2), &command);
+            replica.apply(ME, Term(2), &command);
             Ok(())
         }
         order => Err(order),
@@ -168,14 +167,14 @@
     assert!(proposals.submit(|order| hand(&mut room, order)));
     assert_eq!(numbers, [1, 2, 3]);
     assert_eq!(
-        keeper.size(),
+        replica.size(),
         own.reserved_bytes(),
         "no frame is lost at a cut"
     );
 }
 
 #[rstest]
-fn what_a_group_holds_goes_before_from_the_loss_of_its_first_owner_until_it_is_led_here() {
+fn a_group_blocks_its_order_keys_from_the_loss_of_its_first_owner_until_it_is_led_here() {
     let (other, heir) = (Incarnation(8), Incarnation(9));
     let mut roles = GroupRoles::new(ME);
     assert!(
--- a/forwarder/replication/tests/pipeline.rs
+++ b/forwarder/replication/tests/pipeline.rs
@@ -1,8 +1,8 @@
 //! What leaves, when, and in which order.
 
-use plankhill_raft_groups::*;
+use plankhill_raft_groups::{GroupId, Incarnation};
 use plankhill_replication::pipeline::CommitOutcome;
-use plankhill_replication::*;
+use plankhill_replication::CommitPipeline;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -18,7 +18,7 @@
 }
 
 #[rstest]
-fn what_a_round_decided_leaves_once_it_and_all_before_it_are_committed() {
+fn an_iterations_effects_leave_once_it_and_all_before_it_are_committed() {
     let mut pipeline = CommitPipeline::default();
     pipeline.push([(group(1), 1)], 10, 1);
     pipeline.push([(group(1), 2), (group(2), 1)], 10, 2);
@@ -40,7 +40,7 @@
 }
 
 #[rstest]
-fn what_is_void_in_one_group_counts_in_another() {
+fn records_discarded_in_one_group_count_in_another() {
     let mut pipeline = CommitPipeline::default();
     pipeline.push([(group(1), 1), (group(2), 1), (group(2), 2)], 10, 1);
     pipeline.discarded(group(1), 1);
@@ -53,7 +53,7 @@
 }
 
 #[rstest]
-fn past_its_bounds_nothing_more_is_taken_and_room_comes_back() {
+fn past_its_bounds_the_pipeline_is_full_until_an_iteration_leaves() {
     let mut pipeline = CommitPipeline::default();
     let mut number = 0;
     while !pipeline.is_full(0) {
@@ -71,7 +71,7 @@
 }
 
 #[rstest]
-fn a_group_that_is_lost_holds_nobody_up_and_what_hung_on_it_does_not_leave() {
+fn an_abandoned_group_holds_nothing_up_and_its_effects_do_not_leave() {
     let mut pipeline = CommitPipeline::default();
     pipeline.push([(group(1), 1)], 10, 1);
     pipeline.push([(group(1), 2), (group(2), 1)], 10, 2);
@@ -110,7 +110,7 @@
 
     /// Whatever the order of the answers, each round leaves once, in its turn, and only when decided.
     #[test]
-    fn rounds_leave_in_order_whatever_the_order_of_answers(
+    fn iterations_leave_in_order_whatever_the_order_of_answers(
         rounds in prop::collection::vec(prop::collection::btree_set(1..4_u32, 0..3), 1..20),
         picks in prop::collection::vec((any::<prop::sample::Index>(), any::<bool>()), 64),
     ) {
