--- a/tier/control/src/drains.rs
+++ b/tier/control/src/drains.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use plankhill_draining::room::{check, Member};
+use plankhill_draining::disruption_budget::{check_disruption_budget, BudgetMember};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::tables::Drain;
 use serde::{Deserialize, Serialize};
@@ -102,10 +102,10 @@
     }
 
     fn has_room(&self, leaving: &[NodeId], edges: &Edges) -> bool {
-        let members = edges.iter().map(|edge| Member {
+        let members = edges.iter().map(|edge| BudgetMember {
             zone: edge.zone.clone(),
-            leaves: leaving.contains(&edge.node) || self.nodes.contains_key(&edge.node),
+            is_draining: leaving.contains(&edge.node) || self.nodes.contains_key(&edge.node),
         });
-        check(&members.collect::<Vec<_>>()).is_ok()
+        check_disruption_budget(&members.collect::<Vec<_>>()).is_ok()
     }
 }
--- a/tier/draining/src/node.rs
+++ b/tier/draining/src/node.rs
@@ -1,218 +1,220 @@
-//! The states of one forwarder that is taken out of service, as a state machine.
+//! The states of one forwarder that drains, as a state machine.
 //!
-//! | state | new connections | open connections | leaves by | longest stay |
+//! | state | new connections | open connections | ends by | longest stay |
 //! | --- | --- | --- | --- | --- |
-//! | in service | welcome | kept | an order | - |
-//! | leaving | turned away | each closes behind its next answer | nothing under way and none open; the longest rest | the longest rest of a client |
-//! | closing | turned away | those at rest are closed, answers under way finish | nothing under way and none open | the longest reply |
-//! | empty | turned away | none | the order is lifted | until then |
+//! | in service | accepted | kept | a drain order | - |
+//! | draining | rejected | each closes behind its next response | nothing in flight and none open; the idle timeout | the idle timeout |
+//! | closing | rejected | idle ones are closed, responses in flight finish | nothing in flight and none open | the response timeout |
+//! | drained | rejected | none | the order is lifted | until then |
 //!
-//! A lifted order leads back into service from every state. A node that cannot reach the control plane keeps the
-//! newest order that it knows, and can always be ended by SIGTERM.
+//! A lifted order leads back into service from every state. A node that cannot reach the control plane keeps the newest
+//! order that it knows, and can always be ended by SIGTERM.
 //!
-//! The end of the process takes the same way with shorter stays, and leads back nowhere: connections at rest are closed
-//! once no more clients are sent here, what is under way then is cut when its time is over, and the process ends as
-//! soon as nothing is under way.
+//! A graceful shutdown takes the same way with shorter stays, and leads back nowhere: idle connections are closed once
+//! the platform sends no more clients, responses still in flight at the deadline are reset, and the process exits as
+//! soon as nothing is in flight.
+//!
+//! The proxy owns the [`NodeDrain`], tells it what it observes, and carries out the actions.
 
 use std::time::Duration;
 
-use crate::shutdown::{Shutdown, LAST_SETTLEMENTS, LAST_WRITES};
+use crate::shutdown::{Shutdown, COMMIT_TIMEOUT, FLUSH_DELAY};
 
-/// Left over a client's longest rest, so that its own end of the connection comes first.
-const REST_MARGIN: Duration = Duration::from_millis(500);
+/// Added to a client's idle timeout, so that the client closes its connection first.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Where the node stands.
+/// The state of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum NodeState {
-    /// It takes clients.
+    /// The node accepts clients.
     #[default]
     InService,
-    /// New clients go elsewhere; those on open connections are told to.
-    Leaving,
-    /// Connections at rest are closed.
+    /// New clients are rejected; those on open connections are told to reconnect elsewhere.
+    Draining,
+    /// Idle connections are closed.
     Closing,
-    /// Nothing is under way and no client is connected.
-    Empty,
+    /// Nothing is in flight and no client is connected.
+    Drained,
 }
 
-/// What the node sees of itself.
+/// What the node observes of itself and of the control plane's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeObservation {
-    /// The number of the order that takes it out of service, if there is one.
+    /// The number of the order that drains the node, if there is one.
     pub drain_order: Option<u64>,
     /// Set once the process was told to end.
     pub shutdown: Option<Shutdown>,
-    /// Whether the control plane knows that it was empty under this order.
+    /// Whether the control plane has recorded that the node drained under this order.
     pub drained_recorded: bool,
-    /// Requests that are under way.
+    /// Requests in flight.
     pub requests_in_flight: usize,
     /// Open connections of clients.
     pub open_connections: usize,
-    /// The longest rest of a client's connection that the configuration allows.
+    /// The longest idle timeout of a client's connection that the configuration allows.
     pub max_idle_timeout: Duration,
-    /// The longest time that a reply may take by the configuration.
+    /// The longest time that a response may take by the configuration.
     pub max_response_timeout: Duration,
 }
 
-/// What is to be done.
+impl NodeObservation {
+    fn has_clients(&self) -> bool {
+        self.requests_in_flight > 0 || self.open_connections > 0
+    }
+}
+
+/// What the node has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Say that new clients are not welcome, and end each connection behind its next answer.
+    /// Report that the node is not ready for new clients, and close each connection behind its next response.
     RejectNewClients,
-    /// Take clients again.
+    /// Accept clients again.
     AcceptNewClients,
-    /// Close the connections at rest; those with a reply under way close behind it.
+    /// Close the idle connections; those with a response in flight close behind it.
     CloseIdleConnections,
-    /// Cut what is still open: its time is over.
+    /// Reset what is still open: its time is over.
     ResetConnections,
-    /// Tell the control plane that the node is empty under the order of this number.
+    /// Report to the control plane that the node has drained under the order with this number.
     ReportDrained(u64),
-    /// End the process: nothing is under way any more, or the time for it is over.
+    /// Exit: nothing is in flight any more, or the time for it is over.
     ExitProcess,
 }
 
-/// One node.
+/// The drain of one node.
 #[derive(Clone, Debug, Default)]
 pub struct NodeDrain {
     state: NodeState,
-    order: Option<u64>,
-    since: Duration,
-    has_cut: bool,
-    /// On the way to the end of the process: when nothing was under way for the first time.
-    was_quiet: Option<Duration>,
+    /// The order that the state follows.
+    drain_order: Option<u64>,
+    /// When the state was entered.
+    entered_at: Duration,
+    /// Whether connections have been reset in this state.
+    has_reset: bool,
+    /// During a shutdown: when nothing was in flight for the first time.
+    idle_since: Option<Duration>,
 }
 
 impl NodeDrain {
-    /// Where it stands.
+    /// The present state.
     pub fn state(&self) -> NodeState {
         self.state
     }
 
-    /// Goes on by what is seen at `now`, a time that never goes back; what is to be done, in this order.
-    pub fn step(&mut self, now: Duration, seen: &NodeObservation) -> Vec<DrainAction> {
+    /// Advances by what is observed at `now`, a time that never goes back. Returns the actions in the order in which
+    /// they are to be carried out.
+    pub fn step(&mut self, now: Duration, observed: &NodeObservation) -> Vec<DrainAction> {
         let mut actions = Vec::new();
-        self.follow_orders(now, seen, &mut actions);
+        self.follow_orders(now, observed, &mut actions);
         if self.state == NodeState::InService {
             return actions;
         }
-        match seen.shutdown {
-            None => self.go_on(now, seen, &mut actions),
-            Some(shutdown) => self.end(now, shutdown, seen, &mut actions),
+        match observed.shutdown {
+            None => self.advance_drain(now, observed, &mut actions),
+            Some(shutdown) => self.advance_shutdown(now, shutdown, observed, &mut actions),
         }
-        if let (NodeState::Empty, Some(order), false) =
-            (self.state, self.order, seen.drained_recorded)
-        {
-            actions.push(DrainAction::ReportDrained(order));
+        if self.state == NodeState::Drained && !observed.drained_recorded {
+            if let Some(order) = self.drain_order {
+                actions.push(DrainAction::ReportDrained(order));
+            }
         }
         actions
     }
 
+    /// Enters or leaves service as the orders and the shutdown say.
     fn follow_orders(
         &mut self,
         now: Duration,
-        seen: &NodeObservation,
+        observed: &NodeObservation,
         actions: &mut Vec<DrainAction>,
     ) {
-        let is_other = seen.drain_order != self.order;
-        self.order = seen.drain_order;
-        let leaves = seen.drain_order.is_some() || seen.shutdown.is_some();
-        match (self.state, leaves) {
-            (NodeState::InService, true) => {
-                self.enter(
-                    NodeState::Leaving,
-                    now,
-                    Some(DrainAction::RejectNewClients),
-                    actions,
-                );
-            }
-            // Another order begins anew, unless the process ends anyway.
-            (_, true) if is_other && seen.shutdown.is_none() => {
-                self.enter(
-                    NodeState::Leaving,
-                    now,
-                    Some(DrainAction::RejectNewClients),
-                    actions,
-                );
+        let is_other_order = observed.drain_order != self.drain_order;
+        self.drain_order = observed.drain_order;
+        let is_shutting_down = observed.shutdown.is_some();
+        let has_to_drain = observed.drain_order.is_some() || is_shutting_down;
+        let is_in_service = self.state == NodeState::InService;
+        if !has_to_drain {
+            if !is_in_service {
+                self.enter(NodeState::InService, now);
+                actions.push(DrainAction::AcceptNewClients);
             }
-            (NodeState::InService, false) | (_, true) => {}
-            (_, false) => self.enter(
-                NodeState::InService,
-                now,
-                Some(DrainAction::AcceptNewClients),
-                actions,
-            ),
+            return;
+        }
+        // Another order begins anew, unless the process ends anyway.
+        if is_in_service || (is_other_order && !is_shutting_down) {
+            self.enter(NodeState::Draining, now);
+            actions.push(DrainAction::RejectNewClients);
         }
     }
 
-    fn go_on(&mut self, now: Duration, seen: &NodeObservation, actions: &mut Vec<DrainAction>) {
-        let is_empty = seen.requests_in_flight == 0 && seen.open_connections == 0;
-        let stayed = now.saturating_sub(self.since);
+    /// Advances a drain that an order has begun.
+    fn advance_drain(
+        &mut self,
+        now: Duration,
+        observed: &NodeObservation,
+        actions: &mut Vec<DrainAction>,
+    ) {
+        let is_draining = matches!(self.state, NodeState::Draining | NodeState::Closing);
+        if is_draining && !observed.has_clients() {
+            self.enter(NodeState::Drained, now);
+            return;
+        }
+        let stayed = now.saturating_sub(self.entered_at);
         match self.state {
-            NodeState::Leaving | NodeState::Closing if is_empty => {
-                self.enter(NodeState::Empty, now, None, actions);
-            }
-            NodeState::Leaving if stayed >= seen.max_idle_timeout + REST_MARGIN => {
-                self.enter(
-                    NodeState::Closing,
-                    now,
-                    Some(DrainAction::CloseIdleConnections),
-                    actions,
-                );
+            NodeState::Draining if stayed >= observed.max_idle_timeout + IDLE_TIMEOUT_MARGIN => {
+                self.enter(NodeState::Closing, now);
+                actions.push(DrainAction::CloseIdleConnections);
             }
-            NodeState::Closing if stayed >= seen.max_response_timeout && !self.has_cut => {
-                self.has_cut = true;
-                actions.push(DrainAction::ResetConnections);
+            NodeState::Closing if stayed >= observed.max_response_timeout => {
+                self.reset_once(actions);
             }
-            _ => {}
+            NodeState::InService
+            | NodeState::Draining
+            | NodeState::Closing
+            | NodeState::Drained => {}
         }
     }
 
-    /// On the way to the end of the process. Clients may be sent here for a while, whatever the state is. What comes
-    /// later, and is over at once, does not hold the end up.
-    fn end(
+    /// Advances a graceful shutdown. Clients may be sent here for a while, whatever the state is. Requests that come
+    /// later and complete at once do not delay the exit.
+    fn advance_shutdown(
         &mut self,
         now: Duration,
         shutdown: Shutdown,
-        seen: &NodeObservation,
+        observed: &NodeObservation,
         actions: &mut Vec<DrainAction>,
     ) {
         if now < shutdown.accept_until {
             return;
         }
         if self.state != NodeState::Closing {
-            self.enter(
-                NodeState::Closing,
-                now,
-                Some(DrainAction::CloseIdleConnections),
-                actions,
-            );
+            self.enter(NodeState::Closing, now);
+            actions.push(DrainAction::CloseIdleConnections);
         }
-        if now >= shutdown.response_deadline && !self.has_cut {
-            self.has_cut = true;
-            actions.push(DrainAction::ResetConnections);
+        if now >= shutdown.response_deadline {
+            self.reset_once(actions);
         }
-        let is_quiet = seen.requests_in_flight == 0;
-        if is_quiet && self.was_quiet.is_none() {
-            self.was_quiet = Some(now);
+        let is_idle = observed.requests_in_flight == 0;
+        if is_idle && self.idle_since.is_none() {
+            self.idle_since = Some(now);
         }
-        let has_written = self
-            .was_quiet
-            .is_some_and(|at| now.saturating_sub(at) >= LAST_WRITES);
-        if (is_quiet && has_written) || now >= shutdown.response_deadline + LAST_SETTLEMENTS {
+        let has_flushed = self
+            .idle_since
+            .is_some_and(|idle_since| now.saturating_sub(idle_since) >= FLUSH_DELAY);
+        let is_past_deadline = now >= shutdown.response_deadline + COMMIT_TIMEOUT;
+        if (is_idle && has_flushed) || is_past_deadline {
             actions.push(DrainAction::ExitProcess);
         }
     }
 
-    fn enter(
-        &mut self,
-        state: NodeState,
-        now: Duration,
-        action: Option<DrainAction>,
-        actions: &mut Vec<DrainAction>,
-    ) {
+    fn reset_once(&mut self, actions: &mut Vec<DrainAction>) {
+        if !self.has_reset {
+            self.has_reset = true;
+            actions.push(DrainAction::ResetConnections);
+        }
+    }
+
+    fn enter(&mut self, state: NodeState, now: Duration) {
         self.state = state;
-        self.since = now;
-        self.has_cut = false;
-        actions.extend(action);
+        self.entered_at = now;
+        self.has_reset = false;
     }
 }
--- a/tier/draining/src/rolling_restart.rs
+++ b/tier/draining/src/rolling_restart.rs
@@ -1,25 +1,26 @@
-//! The plan of a roll: every node of a list is drained, replaced or started anew by whoever runs the roll, and taken
-//! back, a few at a time.
+//! The plan of a rolling restart: each node of a list is drained, replaced or restarted by the operator, and returned
+//! to service, a few nodes at a time.
 //!
-//! The plan never has more nodes out at once than its bound, and never a node out for which [`crate::room`] finds no
-//! room. It stops by itself when another machine is lost, when a node does not get empty in time, or when a
-//! node does not come back.
+//! The command line (`plankhill-tier roll`) owns the [`RollingRestart`], shows it what the control plane reports, and
+//! carries out its steps. The plan never has more nodes out of service than its limit, and never drains a node beyond
+//! the [disruption budget](crate::disruption_budget). It stops by itself when another machine is lost, when a node does
+//! not drain in time, or when a node does not come back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 
-use crate::room::{check, Member};
+use crate::disruption_budget::{check_disruption_budget, BudgetMember};
 
-/// The bounds of a roll.
+/// The limits of a rolling restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestartLimits {
-    /// Nodes out of service at once.
+    /// Most nodes out of service at once.
     pub max_unavailable: usize,
-    /// The longest time until a node that was drained is empty.
+    /// The longest time from the drain order until the node has drained.
     pub drain_timeout: Duration,
-    /// The longest time until an empty node is back with a new life.
+    /// The longest time until a drained node is back with a new incarnation.
     pub restart_timeout: Duration,
 }
 
@@ -28,218 +29,252 @@
 pub struct NodeView {
     /// Its zone.
     pub zone: ZoneName,
-    /// The life of its agent.
+    /// The incarnation of its agent.
     pub incarnation: Incarnation,
 }
 
 /// What the control plane shows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// Live forwarders.
+    /// Registered forwarders.
     pub live: BTreeMap<NodeId, NodeView>,
-    /// Nodes that are out of service, and whether they are empty.
+    /// Nodes under a drain order, and whether they have drained.
     pub drains: BTreeMap<NodeId, bool>,
 }
 
-/// What the roll does next.
+/// The next step of a rolling restart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RestartStep {
-    /// Take this node out of service.
+    /// Drain this node.
     Drain(NodeId),
-    /// This node is empty: it may be replaced or started anew.
+    /// This node has drained: it may be replaced or restarted.
     Restart(NodeId),
-    /// This node is back: take it into service again.
+    /// This node is back: return it to service.
     Undrain(NodeId),
-    /// Nothing now.
+    /// Nothing to do now.
     Wait,
-    /// All nodes were done.
+    /// All nodes are done.
     Done,
-    /// The roll goes no further.
+    /// The rolling restart goes no further.
     Stop(StopReason),
 }
 
-/// Why a roll goes no further.
+/// Why a rolling restart goes no further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StopReason {
-    /// A machine is lost that the roll did not take out.
+    /// A machine is gone that the rolling restart has not released.
     #[error("{0} is lost")]
-    Lost(NodeId),
-    /// A node did not get empty in time.
+    NodeLost(NodeId),
+    /// A node did not drain in time.
     #[error("{0} does not get empty")]
-    NotEmpty(NodeId),
+    DrainTimedOut(NodeId),
     /// A node that was released did not come back in time.
     #[error("{0} does not come back")]
-    NotBack(NodeId),
-    /// Somebody else lifted an order of the roll, or gave one for a node that it had not reached.
+    RestartTimedOut(NodeId),
+    /// Another operator lifted an order of the rolling restart, or drained a node that it had not reached.
     #[error("{0} was drained or taken back by somebody else")]
-    Foreign(NodeId),
+    ConflictingOrder(NodeId),
 }
 
+/// The progress of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Progress {
-    Waiting,
-    Ordered {
-        since: Duration,
+    Pending,
+    Draining {
+        ordered_at: Duration,
         incarnation: Incarnation,
     },
-    Released {
-        since: Duration,
+    Restarting {
+        released_at: Duration,
         incarnation: Incarnation,
     },
-    Lifted,
+    Undraining,
     Done,
 }
 
-/// A roll under way.
+impl Progress {
+    fn is_out_of_service(&self) -> bool {
+        match self {
+            Progress::Draining { .. } | Progress::Restarting { .. } | Progress::Undraining => true,
+            Progress::Pending | Progress::Done => false,
+        }
+    }
+
+    /// Whether the node may be missing: it was released and has not been seen back in service.
+    fn is_released(&self) -> bool {
+        matches!(self, Progress::Restarting { .. } | Progress::Undraining)
+    }
+}
+
+#[derive(Clone, Debug)]
+struct PlannedNode {
+    node: NodeId,
+    progress: Progress,
+}
+
+/// A rolling restart in progress.
 #[derive(Clone, Debug)]
 pub struct RollingRestart {
-    bounds: RestartLimits,
-    nodes: Vec<(NodeId, Progress)>,
-    /// Machines that were live when the roll began.
-    expected: Vec<NodeId>,
+    limits: RestartLimits,
+    plan: Vec<PlannedNode>,
+    /// Machines that were registered when the rolling restart began.
+    registered_at_start: Vec<NodeId>,
 }
 
 impl RollingRestart {
-    /// A roll over these nodes, in their order.
-    pub fn new(bounds: RestartLimits, nodes: Vec<NodeId>, view: &FleetView) -> Self {
-        let expected = view.live.keys().cloned().collect();
-        let nodes = nodes
-            .into_iter()
-            .map(|node| (node, Progress::Waiting))
-            .collect();
+    /// A rolling restart over these nodes, in their order.
+    pub fn new(limits: RestartLimits, nodes: Vec<NodeId>, view: &FleetView) -> Self {
+        let planned = |node| PlannedNode {
+            node,
+            progress: Progress::Pending,
+        };
         RollingRestart {
-            bounds,
-            nodes,
-            expected,
+            limits,
+            plan: nodes.into_iter().map(planned).collect(),
+            registered_at_start: view.live.keys().cloned().collect(),
         }
     }
 
-    /// Nodes that are done, and all.
+    /// The number of nodes that are done, and of all nodes.
     pub fn progress(&self) -> (usize, usize) {
         let done = self
-            .nodes
+            .plan
             .iter()
-            .filter(|(_, progress)| *progress == Progress::Done)
+            .filter(|planned| planned.progress == Progress::Done)
             .count();
-        (done, self.nodes.len())
+        (done, self.plan.len())
     }
 
-    /// The next step by what the control plane shows at `now`. To be called again after the step was carried out and
-    /// the control plane shows it.
+    /// The next step by what the control plane shows at `now`, a time that never goes back. To be called again after
+    /// the step was carried out and the control plane shows it.
     pub fn step(&mut self, now: Duration, view: &FleetView) -> RestartStep {
-        if let Some(lost) = self.lost(view) {
-            return RestartStep::Stop(StopReason::Lost(lost));
+        if let Some(lost) = self.find_lost_node(view) {
+            return RestartStep::Stop(StopReason::NodeLost(lost));
         }
-        for at in 0..self.nodes.len() {
-            if let Some(step) = self.go_on(at, now, view) {
+        for planned in &mut self.plan {
+            if let Some(step) = planned.advance(&self.limits, now, view) {
                 return step;
             }
         }
         if self
-            .nodes
+            .plan
             .iter()
-            .all(|(_, progress)| *progress == Progress::Done)
+            .all(|planned| planned.progress == Progress::Done)
         {
             return RestartStep::Done;
         }
-        self.begin_next(now, view).unwrap_or(RestartStep::Wait)
+        self.drain_next(now, view).unwrap_or(RestartStep::Wait)
     }
 
-    /// A machine that was there at the start, is not there now, and is not one that the roll released.
-    fn lost(&self, view: &FleetView) -> Option<NodeId> {
-        let is_released = |node: &NodeId| {
-            let released = |(of, progress): &(NodeId, Progress)| {
-                of == node && matches!(progress, Progress::Released { .. } | Progress::Lifted)
-            };
-            self.nodes.iter().any(released)
-        };
-        let missing = self
-            .expected
+    /// A machine that was registered at the start, is missing now, and was not released.
+    fn find_lost_node(&self, view: &FleetView) -> Option<NodeId> {
+        let is_lost = |node: &&NodeId| !view.live.contains_key(*node) && !self.is_released(node);
+        self.registered_at_start.iter().find(is_lost).cloned()
+    }
+
+    fn is_released(&self, node: &NodeId) -> bool {
+        self.plan
             .iter()
-            .find(|node| !view.live.contains_key(*node) && !is_released(node));
-        missing.cloned()
+            .any(|planned| planned.node == *node && planned.progress.is_released())
     }
 
-    fn go_on(&mut self, at: usize, now: Duration, view: &FleetView) -> Option<RestartStep> {
-        let (node, progress) = self.nodes[at].clone();
-        let drained = view.drains.get(&node).copied();
-        match progress {
-            Progress::Waiting | Progress::Done => None,
-            Progress::Ordered { since, incarnation } => match drained {
+    /// Drains the first pending node that the disruption budget allows; `None` if none may drain now.
+    fn drain_next(&mut self, now: Duration, view: &FleetView) -> Option<RestartStep> {
+        let unavailable = self
+            .plan
+            .iter()
+            .filter(|planned| planned.progress.is_out_of_service())
+            .count();
+        if unavailable >= self.limits.max_unavailable {
+            return None;
+        }
+        let next = self.plan.iter_mut().find(|planned| {
+            planned.progress == Progress::Pending && may_drain(&planned.node, view)
+        })?;
+        let node = next.node.clone();
+        if view.drains.contains_key(&node) {
+            return Some(RestartStep::Stop(StopReason::ConflictingOrder(node)));
+        }
+        let incarnation = view.live.get(&node)?.incarnation;
+        next.progress = Progress::Draining {
+            ordered_at: now,
+            incarnation,
+        };
+        Some(RestartStep::Drain(node))
+    }
+}
+
+impl PlannedNode {
+    /// Advances a node that is out of service; `None` if it has no step now.
+    fn advance(
+        &mut self,
+        limits: &RestartLimits,
+        now: Duration,
+        view: &FleetView,
+    ) -> Option<RestartStep> {
+        let drained = view.drains.get(&self.node).copied();
+        let node = self.node.clone();
+        match self.progress {
+            Progress::Pending | Progress::Done => None,
+            Progress::Draining {
+                ordered_at,
+                incarnation,
+            } => match drained {
                 Some(true) => {
-                    self.nodes[at].1 = Progress::Released {
-                        since: now,
+                    self.progress = Progress::Restarting {
+                        released_at: now,
                         incarnation,
                     };
                     Some(RestartStep::Restart(node))
                 }
-                Some(false) if now.saturating_sub(since) < self.bounds.drain_timeout => None,
-                Some(false) => Some(RestartStep::Stop(StopReason::NotEmpty(node))),
-                None => Some(RestartStep::Stop(StopReason::Foreign(node))),
+                Some(false) if now.saturating_sub(ordered_at) < limits.drain_timeout => None,
+                Some(false) => Some(RestartStep::Stop(StopReason::DrainTimedOut(node))),
+                None => Some(RestartStep::Stop(StopReason::ConflictingOrder(node))),
             },
-            Progress::Released { since, incarnation } => {
-                let is_back = view
-                    .live
-                    .get(&node)
-                    .is_some_and(|live| live.incarnation != incarnation);
+            Progress::Restarting {
+                released_at,
+                incarnation,
+            } => {
                 if drained.is_none() {
-                    return Some(RestartStep::Stop(StopReason::Foreign(node)));
+                    return Some(RestartStep::Stop(StopReason::ConflictingOrder(node)));
                 }
-                if is_back {
-                    self.nodes[at].1 = Progress::Lifted;
+                if view
+                    .live
+                    .get(&node)
+                    .is_some_and(|live| live.incarnation != incarnation)
+                {
+                    self.progress = Progress::Undraining;
                     return Some(RestartStep::Undrain(node));
                 }
-                let is_late = now.saturating_sub(since) >= self.bounds.restart_timeout;
-                is_late.then_some(RestartStep::Stop(StopReason::NotBack(node)))
+                if now.saturating_sub(released_at) >= limits.restart_timeout {
+                    return Some(RestartStep::Stop(StopReason::RestartTimedOut(node)));
+                }
+                None
             }
-            Progress::Lifted if drained.is_none() => {
-                self.nodes[at].1 = Progress::Done;
+            Progress::Undraining => {
+                if drained.is_none() {
+                    self.progress = Progress::Done;
+                }
                 None
             }
-            Progress::Lifted => None,
         }
     }
-
-    /// Takes out the first node for which there is room.
-    fn begin_next(&mut self, now: Duration, view: &FleetView) -> Option<RestartStep> {
-        let out = self
-            .nodes
-            .iter()
-            .filter(|(_, progress)| is_out(progress))
-            .count();
-        if out >= self.bounds.max_unavailable {
-            return None;
-        }
-        let waiting = |(_, progress): &(NodeId, Progress)| *progress == Progress::Waiting;
-        let at = (0..self.nodes.len())
-            .find(|at| waiting(&self.nodes[*at]) && has_room(&self.nodes[*at].0, view))?;
-        let node = self.nodes[at].0.clone();
-        if view.drains.contains_key(&node) {
-            return Some(RestartStep::Stop(StopReason::Foreign(node)));
-        }
-        let incarnation = view.live.get(&node).map(|live| live.incarnation)?;
-        self.nodes[at].1 = Progress::Ordered {
-            since: now,
-            incarnation,
-        };
-        Some(RestartStep::Drain(node))
-    }
 }
 
-fn is_out(progress: &Progress) -> bool {
-    !matches!(progress, Progress::Waiting | Progress::Done)
-}
-
-/// Whether enough stay when the node leaves too.
-fn has_room(node: &NodeId, view: &FleetView) -> bool {
-    let member = |(name, live): (&NodeId, &NodeView)| Member {
-        zone: live.zone.clone(),
-        leaves: name == node || view.drains.contains_key(name),
-    };
-    let members: Vec<Member> = view.live.iter().map(member).collect();
+/// Whether the disruption budget allows the node to drain too. The last node in service of a zone never drains: a
+/// rolling restart does not take a whole zone out.
+fn may_drain(node: &NodeId, view: &FleetView) -> bool {
+    let members: Vec<BudgetMember> = view
+        .live
+        .iter()
+        .map(|(name, live)| BudgetMember {
+            zone: live.zone.clone(),
+            is_draining: name == node || view.drains.contains_key(name),
+        })
+        .collect();
     let zone = view.live.get(node).map(|live| &live.zone);
-    let zone_stays = members
+    let zone_stays_in_service = members
         .iter()
-        .any(|member| Some(&member.zone) == zone && !member.leaves);
-    zone_stays && check(&members).is_ok()
+        .any(|member| Some(&member.zone) == zone && !member.is_draining);
+    zone_stays_in_service && check_disruption_budget(&members).is_ok()
 }
--- a/tier/draining/src/shutdown.rs
+++ b/tier/draining/src/shutdown.rs
@@ -1,45 +1,51 @@
-//! The end of a process that was asked for, as the drain of its node sees it.
+//! The deadlines of a graceful shutdown: a process that was told to end (SIGTERM) and is killed after a grace period.
+//!
+//! The proxy makes a [`Shutdown`] when the signal comes, hands it to [`crate::node::NodeDrain::step`], and asks it
+//! which requests still begin.
 
 use std::time::Duration;
 
-/// The platform asks every second whether a node is ready and stops sending clients after two misses; a third second for
-/// the ones that are on their way.
-const CLIENTS_STILL_COME: Duration = Duration::from_secs(3);
-/// What comes so long after the request to end is begun whatever time it may take: most replies take a fraction of the
-/// longest, and a client that is refused here may be sent here again.
-const ALL_BEGUN: Duration = Duration::from_millis(2_900);
-/// The process is gone this long before it would be killed.
-const BEFORE_KILL: Duration = Duration::from_millis(300);
-/// Turns that were cut are settled in this time; the stores take some milliseconds.
-pub(crate) const LAST_SETTLEMENTS: Duration = Duration::from_millis(250);
-/// A reply that is finished may still wait in the process for a client that reads slowly.
-pub(crate) const LAST_WRITES: Duration = Duration::from_millis(100);
+/// The platform asks every second whether a node is ready and stops sending clients after two misses; a third second is
+/// for the clients that are on their way.
+const CLIENT_REDIRECT_DELAY: Duration = Duration::from_secs(3);
+/// Requests that arrive this soon after the signal are admitted however long they may take: most responses take a
+/// fraction of their timeout, and a client that is rejected here may be sent here again.
+const UNCONDITIONAL_ADMISSION: Duration = Duration::from_millis(2_900);
+/// The process exits at least this long before it would be killed.
+const KILL_MARGIN: Duration = Duration::from_millis(300);
+/// Turns that were reset are committed within this time; the stores take some milliseconds.
+pub(crate) const COMMIT_TIMEOUT: Duration = Duration::from_millis(250);
+/// A response that is complete may still wait in the process for a client that reads slowly.
+pub(crate) const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
-/// When a process that was told to end stops what. All times are on the clock of [`crate::node::NodeDrain::step`].
+/// The deadlines of a process that was told to end. All times are on the clock of
+/// [`crate::node::NodeDrain::step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
-    /// New clients may still be sent here until then.
+    /// The platform may still send new clients here until then.
     pub accept_until: Duration,
-    /// Until then every request is begun.
+    /// Every request is admitted until then.
     pub admit_all_until: Duration,
-    /// Every reply has to be over by then.
+    /// Every response has to be complete by then.
     pub response_deadline: Duration,
 }
 
 impl Shutdown {
-    /// For a process that is told at `asked` to end, and is killed `grace` later.
-    pub fn new(asked: Duration, grace: Duration) -> Self {
-        let for_replies = grace.saturating_sub(BEFORE_KILL + LAST_SETTLEMENTS + LAST_WRITES);
-        let replies_end = asked + for_replies;
+    /// The deadlines of a process that is told at `signalled_at` to end, and is killed `grace` later.
+    pub fn new(signalled_at: Duration, grace: Duration) -> Self {
+        let for_responses = grace.saturating_sub(KILL_MARGIN + COMMIT_TIMEOUT + FLUSH_DELAY);
+        let response_deadline = signalled_at + for_responses;
         Shutdown {
-            accept_until: replies_end.min(asked + CLIENTS_STILL_COME),
-            admit_all_until: replies_end.min(asked + ALL_BEGUN),
-            response_deadline: replies_end,
+            accept_until: response_deadline.min(signalled_at + CLIENT_REDIRECT_DELAY),
+            admit_all_until: response_deadline.min(signalled_at + UNCONDITIONAL_ADMISSION),
+            response_deadline,
         }
     }
 
-    /// Whether a request that came at `arrived` and may take until `deadline` is begun here. Later ones that would not
-    /// be over in time are better served by another node from their start than cut here.
+    /// Whether a request that arrived at `arrived` and may take until `deadline` begins here.
+    ///
+    /// A later request that would not be complete in time is better served by another node from its start than reset
+    /// here.
     pub fn admits(&self, arrived: Duration, deadline: Duration) -> bool {
         arrived < self.admit_all_until || deadline <= self.response_deadline
     }
--- a/tier/draining/tests/room.rs
+++ b/tier/draining/tests/disruption_budget.rs
@@ -1,16 +1,18 @@
-//! Who may leave: half of a zone stays, or none of it, and half of all.
+//! The disruption budget: a zone keeps half of its forwarders or drains as a whole, and half of all forwarders stay.
 
 use arbtest::arbtest;
-use plankhill_draining::room::{check, Member, NoRoom};
+use plankhill_draining::disruption_budget::{
+    check_disruption_budget, BudgetExceeded, BudgetMember,
+};
 use plankhill_protocol::ids::ZoneName;
 
-fn members(zones: &[(&str, usize, usize)]) -> Vec<Member> {
+fn members(zones: &[(&str, usize, usize)]) -> Vec<BudgetMember> {
     let of_zone = |(zone, all, leaving): &(&str, usize, usize)| {
         let (zone, leaving) = (ZoneName::from(*zone), *leaving);
         (0..*all)
-            .map(move |at| Member {
+            .map(move |at| BudgetMember {
                 zone: zone.clone(),
-                leaves: at < leaving,
+                is_draining: at < leaving,
             })
             .collect::<Vec<_>>()
     };
@@ -18,34 +20,37 @@
 }
 
 #[test]
-fn one_of_two_in_a_zone_may_leave() {
+fn one_of_two_in_a_zone_may_drain() {
     assert_eq!(
-        check(&members(&[("a", 2, 1), ("b", 2, 0), ("c", 2, 0)])),
+        check_disruption_budget(&members(&[("a", 2, 1), ("b", 2, 0), ("c", 2, 0)])),
         Ok(())
     );
 }
 
 #[test]
-fn more_than_half_of_a_zone_may_not_but_the_whole_zone_may() {
-    let refused = check(&members(&[("a", 5, 3), ("b", 5, 0), ("c", 5, 0)]));
-    assert_eq!(refused, Err(NoRoom::Zone(ZoneName::from("a"))));
+fn more_than_half_of_a_zone_may_not_drain_but_the_whole_zone_may() {
+    let refused = check_disruption_budget(&members(&[("a", 5, 3), ("b", 5, 0), ("c", 5, 0)]));
+    assert_eq!(refused, Err(BudgetExceeded::Zone(ZoneName::from("a"))));
     assert_eq!(
-        check(&members(&[("a", 5, 5), ("b", 5, 0), ("c", 5, 0)])),
+        check_disruption_budget(&members(&[("a", 5, 5), ("b", 5, 0), ("c", 5, 0)])),
         Ok(())
     );
 }
 
 #[test]
-fn all_zones_at_once_may_not() {
+fn more_than_half_of_all_forwarders_may_not_drain() {
     assert_eq!(
-        check(&members(&[("a", 4, 4), ("b", 4, 4), ("c", 4, 0)])),
-        Err(NoRoom::All)
+        check_disruption_budget(&members(&[("a", 4, 4), ("b", 4, 4), ("c", 4, 0)])),
+        Err(BudgetExceeded::All)
+    );
+    assert_eq!(
+        check_disruption_budget(&members(&[("a", 1, 1)])),
+        Err(BudgetExceeded::All)
     );
-    assert_eq!(check(&members(&[("a", 1, 1)])), Err(NoRoom::All));
 }
 
 #[test]
-fn what_may_leave_leaves_half() {
+fn allowed_drains_leave_half_in_service() {
     arbtest(|u| {
         let zones: [(usize, usize); 4] = [(); 4].map(|()| {
             let all = u.int_in_range(0..=6).unwrap_or(0);
@@ -58,8 +63,8 @@
             .map(|((all, leaving), name)| (name, *all, *leaving))
             .collect();
         let members = members(&zones);
-        if check(&members).is_ok() {
-            let staying = members.iter().filter(|member| !member.leaves).count();
+        if check_disruption_budget(&members).is_ok() {
+            let staying = members.iter().filter(|member| !member.is_draining).count();
             assert!(staying * 2 >= members.len());
             assert!(zones
                 .iter()
--- a/tier/draining/tests/node.rs
+++ b/tier/draining/tests/node.rs
@@ -1,14 +1,14 @@
-//! The states of one node, by plain calls.
+//! The states of one draining node, by plain calls.
 
 use std::time::Duration;
 
 use arbtest::arbtest;
 use plankhill_draining::node::{DrainAction, NodeDrain, NodeObservation, NodeState};
 
-const REST: Duration = Duration::from_secs(15);
-const REPLY: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn seen(order: Option<u64>, requests: usize, connections: usize) -> NodeObservation {
+fn observed(order: Option<u64>, requests: usize, connections: usize) -> NodeObservation {
     let shutdown = None;
     NodeObservation {
         drain_order: order,
@@ -16,8 +16,8 @@
         drained_recorded: false,
         requests_in_flight: requests,
         open_connections: connections,
-        max_idle_timeout: REST,
-        max_response_timeout: REPLY,
+        max_idle_timeout: IDLE_TIMEOUT,
+        max_response_timeout: RESPONSE_TIMEOUT,
     }
 }
 
@@ -26,103 +26,103 @@
 }
 
 #[test]
-fn without_an_order_nothing_happens() {
+fn without_an_order_the_node_stays_in_service() {
     let mut drain = NodeDrain::default();
-    assert_eq!(drain.step(at(1), &seen(None, 5, 5)), []);
+    assert_eq!(drain.step(at(1), &observed(None, 5, 5)), []);
     assert_eq!(drain.state(), NodeState::InService);
 }
 
 #[test]
-fn an_order_turns_clients_away_and_an_empty_node_says_so_until_it_is_recorded() {
+fn a_drained_node_reports_until_the_report_is_recorded() {
     let mut drain = NodeDrain::default();
     assert_eq!(
-        drain.step(at(1), &seen(Some(4), 2, 3)),
+        drain.step(at(1), &observed(Some(4), 2, 3)),
         [DrainAction::RejectNewClients]
     );
-    assert_eq!(drain.step(at(2), &seen(Some(4), 0, 1)), []);
+    assert_eq!(drain.step(at(2), &observed(Some(4), 0, 1)), []);
     assert_eq!(
-        drain.step(at(3), &seen(Some(4), 0, 0)),
+        drain.step(at(3), &observed(Some(4), 0, 0)),
         [DrainAction::ReportDrained(4)]
     );
     assert_eq!(
-        drain.step(at(4), &seen(Some(4), 0, 0)),
+        drain.step(at(4), &observed(Some(4), 0, 0)),
         [DrainAction::ReportDrained(4)]
     );
     let recorded = NodeObservation {
         drained_recorded: true,
-        ..seen(Some(4), 0, 0)
+        ..observed(Some(4), 0, 0)
     };
     assert_eq!(drain.step(at(5), &recorded), []);
-    assert_eq!(drain.state(), NodeState::Empty);
+    assert_eq!(drain.state(), NodeState::Drained);
 }
 
 #[test]
-fn connections_at_rest_are_left_to_their_clients_first() {
+fn idle_connections_are_closed_after_the_clients_idle_timeout() {
     let mut drain = NodeDrain::default();
-    drain.step(at(1), &seen(Some(1), 0, 2));
-    assert_eq!(drain.step(at(16), &seen(Some(1), 0, 2)), []);
+    drain.step(at(1), &observed(Some(1), 0, 2));
+    assert_eq!(drain.step(at(16), &observed(Some(1), 0, 2)), []);
     assert_eq!(
-        drain.step(at(17), &seen(Some(1), 0, 2)),
+        drain.step(at(17), &observed(Some(1), 0, 2)),
         [DrainAction::CloseIdleConnections]
     );
     assert_eq!(drain.state(), NodeState::Closing);
 }
 
 #[test]
-fn a_reply_is_never_cut_before_its_longest_time() {
+fn a_response_is_not_reset_before_its_timeout() {
     let mut drain = NodeDrain::default();
-    drain.step(at(1), &seen(Some(1), 1, 1));
-    drain.step(at(17), &seen(Some(1), 1, 1));
-    assert_eq!(drain.step(at(21), &seen(Some(1), 1, 1)), []);
+    drain.step(at(1), &observed(Some(1), 1, 1));
+    drain.step(at(17), &observed(Some(1), 1, 1));
+    assert_eq!(drain.step(at(21), &observed(Some(1), 1, 1)), []);
     assert_eq!(
-        drain.step(at(22), &seen(Some(1), 1, 1)),
+        drain.step(at(22), &observed(Some(1), 1, 1)),
         [DrainAction::ResetConnections]
     );
-    assert_eq!(drain.step(at(23), &seen(Some(1), 1, 1)), [], "once");
+    assert_eq!(drain.step(at(23), &observed(Some(1), 1, 1)), [], "once");
     assert_eq!(
-        drain.step(at(24), &seen(Some(1), 0, 0)),
+        drain.step(at(24), &observed(Some(1), 0, 0)),
         [DrainAction::ReportDrained(1)]
     );
 }
 
 #[test]
-fn a_lifted_order_leads_back_from_every_state() {
+fn a_lifted_order_returns_the_node_from_every_state() {
     for steps in 0..4 {
         let mut drain = NodeDrain::default();
         let states = [
-            seen(Some(1), 1, 1),
-            seen(Some(1), 1, 1),
-            seen(Some(1), 1, 1),
-            seen(Some(1), 0, 0),
+            observed(Some(1), 1, 1),
+            observed(Some(1), 1, 1),
+            observed(Some(1), 1, 1),
+            observed(Some(1), 0, 0),
         ];
         (0..=steps).for_each(|step| drop(drain.step(at(1 + 16 * step as u64), &states[step])));
         assert_eq!(
-            drain.step(at(100), &seen(None, 0, 0)),
+            drain.step(at(100), &observed(None, 0, 0)),
             [DrainAction::AcceptNewClients]
         );
         assert_eq!(drain.state(), NodeState::InService);
     }
 }
 
-/// Guards an order that was lifted and given again between two looks: what was reported of the first says nothing.
+/// Guards an order that was lifted and given again between two steps: a report for the first order says nothing.
 #[test]
-fn another_order_begins_anew() {
+fn another_order_restarts_the_drain() {
     let mut drain = NodeDrain::default();
-    drain.step(at(1), &seen(Some(1), 0, 0));
-    assert_eq!(drain.state(), NodeState::Empty);
+    drain.step(at(1), &observed(Some(1), 0, 0));
+    assert_eq!(drain.state(), NodeState::Drained);
     assert_eq!(
-        drain.step(at(2), &seen(Some(3), 1, 1)),
+        drain.step(at(2), &observed(Some(3), 1, 1)),
         [DrainAction::RejectNewClients]
     );
-    assert_eq!(drain.state(), NodeState::Leaving);
+    assert_eq!(drain.state(), NodeState::Draining);
     assert_eq!(
-        drain.step(at(3), &seen(Some(3), 0, 0)),
+        drain.step(at(3), &observed(Some(3), 0, 0)),
         [DrainAction::ReportDrained(3)]
     );
 }
 
 #[test]
-fn whatever_happens_a_node_says_that_it_is_empty_only_when_it_is() {
+fn a_node_reports_drained_only_with_nothing_in_flight() {
     arbtest(|u| {
         let mut drain = NodeDrain::default();
         let mut now = Duration::ZERO;
@@ -130,24 +130,25 @@
         for _ in 0..40 {
             now += Duration::from_millis(u.int_in_range(0..=8_000)?);
             let order = u.arbitrary::<bool>()?.then_some(u.int_in_range(1..=2)?);
-            let seen = seen(order, u.int_in_range(0..=2)?, u.int_in_range(0..=2)?);
-            for action in drain.step(now, &seen) {
+            let observed = observed(order, u.int_in_range(0..=2)?, u.int_in_range(0..=2)?);
+            for action in drain.step(now, &observed) {
                 match action {
                     DrainAction::RejectNewClients => away = true,
                     DrainAction::AcceptNewClients => (away, reported) = (false, None),
                     DrainAction::ReportDrained(number) => {
                         assert_eq!(Some(number), order);
-                        // The first report of an order comes with nothing under way.
+                        // The first report of an order comes with nothing in flight.
                         assert!(
                             reported == order
-                                || (seen.requests_in_flight == 0 && seen.open_connections == 0)
+                                || (observed.requests_in_flight == 0
+                                    && observed.open_connections == 0)
                         );
                         reported = order;
                     }
                     DrainAction::CloseIdleConnections | DrainAction::ResetConnections => {
                         assert!(away)
                     }
-                    DrainAction::ExitProcess => unreachable!("nobody asked for the end"),
+                    DrainAction::ExitProcess => unreachable!("no shutdown was observed"),
                 }
             }
             assert_eq!(away, order.is_some());
--- a/tier/draining/tests/roll.rs
+++ b/tier/draining/tests/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! Rolls over simulated fleets: bounds hold at each step, and the roll stops when it has to.
+//! Rolling restarts over simulated fleets: the limits hold at each step, and the restart stops when it has to.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 
-const BOUNDS: RestartLimits = RestartLimits {
+const LIMITS: RestartLimits = RestartLimits {
     max_unavailable: 3,
     drain_timeout: Duration::from_secs(30),
     restart_timeout: Duration::from_secs(60),
@@ -34,7 +34,7 @@
     view.live.keys().cloned().collect()
 }
 
-/// Carries a step out as an operator would, and lets each node be empty and back at once.
+/// Carries a step out as an operator would, and lets each node drain and come back at once.
 fn carry_out(view: &mut FleetView, step: &RestartStep) {
     match step {
         RestartStep::Drain(node) => drop(view.drains.insert(node.clone(), true)),
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn a_roll_over_seventy_seven_nodes_has_each_out_once() {
+fn a_rolling_restart_drains_each_node_once() {
     let mut view = fleet(4, 20);
-    let mut roll = RollingRestart::new(BOUNDS, all(&view), &view);
+    let mut restart = RollingRestart::new(LIMITS, all(&view), &view);
     let mut drained = Vec::new();
     for second in 0..10_000 {
-        let step = roll.step(Duration::from_secs(second), &view);
+        let step = restart.step(Duration::from_secs(second), &view);
         if let RestartStep::Drain(node) = &step {
             drained.push(node.clone());
         }
@@ -62,10 +62,10 @@
             break;
         }
         carry_out(&mut view, &step);
-        assert!(view.drains.len() <= BOUNDS.max_unavailable);
+        assert!(view.drains.len() <= LIMITS.max_unavailable);
     }
     assert_eq!(drained.len(), 80);
-    assert_eq!(roll.progress(), (80, 80));
+    assert_eq!(restart.progress(), (80, 80));
     assert!(view
         .live
         .values()
@@ -73,18 +73,18 @@
 }
 
 #[test]
-fn two_nodes_of_a_zone_with_two_are_never_out_together() {
+fn two_nodes_of_a_zone_of_two_are_never_out_together() {
     let mut view = fleet(3, 2);
-    let mut roll = RollingRestart::new(
+    let mut restart = RollingRestart::new(
         RestartLimits {
             max_unavailable: 6,
-            ..BOUNDS
+            ..LIMITS
         },
         all(&view),
         &view,
     );
     for second in 0..1_000 {
-        let step = roll.step(Duration::from_secs(second), &view);
+        let step = restart.step(Duration::from_secs(second), &view);
         if step == RestartStep::Done {
             return;
         }
@@ -100,96 +100,102 @@
 }
 
 #[test]
-fn the_last_node_of_a_zone_is_left_alone() {
+fn the_last_node_of_a_zone_is_not_drained() {
     let view = fleet(3, 1);
-    let mut roll = RollingRestart::new(BOUNDS, all(&view), &view);
-    assert_eq!(roll.step(Duration::ZERO, &view), RestartStep::Wait);
+    let mut restart = RollingRestart::new(LIMITS, all(&view), &view);
+    assert_eq!(restart.step(Duration::ZERO, &view), RestartStep::Wait);
 }
 
 #[test]
-fn another_lost_machine_stops_the_roll() {
+fn another_lost_machine_stops_the_rolling_restart() {
     let mut view = fleet(3, 4);
-    let mut roll = RollingRestart::new(BOUNDS, vec![node(0), node(1)], &view);
-    let step = roll.step(Duration::ZERO, &view);
+    let mut restart = RollingRestart::new(LIMITS, vec![node(0), node(1)], &view);
+    let step = restart.step(Duration::ZERO, &view);
     assert_eq!(step, RestartStep::Drain(node(0)));
     view.drains.insert(node(0), false);
     view.live.remove(&node(7));
     assert_eq!(
-        roll.step(Duration::from_secs(1), &view),
-        RestartStep::Stop(StopReason::Lost(node(7)))
+        restart.step(Duration::from_secs(1), &view),
+        RestartStep::Stop(StopReason::NodeLost(node(7)))
     );
 }
 
 #[test]
-fn a_node_that_dies_before_it_is_empty_stops_the_roll() {
+fn a_node_lost_before_it_has_drained_stops_the_rolling_restart() {
     let mut view = fleet(3, 4);
-    let mut roll = RollingRestart::new(BOUNDS, vec![node(0)], &view);
-    roll.step(Duration::ZERO, &view);
+    let mut restart = RollingRestart::new(LIMITS, vec![node(0)], &view);
+    restart.step(Duration::ZERO, &view);
     view.drains.insert(node(0), false);
     view.live.remove(&node(0));
     assert_eq!(
-        roll.step(Duration::from_secs(1), &view),
-        RestartStep::Stop(StopReason::Lost(node(0)))
+        restart.step(Duration::from_secs(1), &view),
+        RestartStep::Stop(StopReason::NodeLost(node(0)))
     );
 }
 
 #[test]
-fn a_node_that_does_not_get_empty_or_come_back_stops_the_roll() {
+fn drain_and_restart_timeouts_stop_the_rolling_restart() {
     let mut view = fleet(3, 4);
-    let bounds = RestartLimits {
+    let limits = RestartLimits {
         max_unavailable: 1,
-        ..BOUNDS
+        ..LIMITS
     };
-    let mut roll = RollingRestart::new(bounds, vec![node(0)], &view);
-    roll.step(Duration::ZERO, &view);
+    let mut restart = RollingRestart::new(limits, vec![node(0)], &view);
+    restart.step(Duration::ZERO, &view);
     view.drains.insert(node(0), false);
-    assert_eq!(roll.step(Duration::from_secs(29), &view), RestartStep::Wait);
     assert_eq!(
-        roll.clone().step(Duration::from_secs(30), &view),
-        RestartStep::Stop(StopReason::NotEmpty(node(0)))
+        restart.step(Duration::from_secs(29), &view),
+        RestartStep::Wait
+    );
+    assert_eq!(
+        restart.clone().step(Duration::from_secs(30), &view),
+        RestartStep::Stop(StopReason::DrainTimedOut(node(0)))
     );
     view.drains.insert(node(0), true);
     assert_eq!(
-        roll.step(Duration::from_secs(29), &view),
+        restart.step(Duration::from_secs(29), &view),
         RestartStep::Restart(node(0))
     );
     view.live.remove(&node(0));
-    assert_eq!(roll.step(Duration::from_secs(88), &view), RestartStep::Wait);
     assert_eq!(
-        roll.step(Duration::from_secs(89), &view),
-        RestartStep::Stop(StopReason::NotBack(node(0)))
+        restart.step(Duration::from_secs(88), &view),
+        RestartStep::Wait
+    );
+    assert_eq!(
+        restart.step(Duration::from_secs(89), &view),
+        RestartStep::Stop(StopReason::RestartTimedOut(node(0)))
     );
 }
 
 #[test]
-fn orders_of_others_stop_the_roll() {
+fn orders_of_other_operators_stop_the_rolling_restart() {
     let mut view = fleet(3, 4);
-    let mut roll = RollingRestart::new(BOUNDS, vec![node(0), node(1)], &view);
+    let mut restart = RollingRestart::new(LIMITS, vec![node(0), node(1)], &view);
     view.drains.insert(node(0), false);
     assert_eq!(
-        roll.step(Duration::ZERO, &view),
-        RestartStep::Stop(StopReason::Foreign(node(0)))
+        restart.step(Duration::ZERO, &view),
+        RestartStep::Stop(StopReason::ConflictingOrder(node(0)))
     );
     let mut view = fleet(3, 4);
-    let mut roll = RollingRestart::new(BOUNDS, vec![node(0)], &view);
-    roll.step(Duration::ZERO, &view);
+    let mut restart = RollingRestart::new(LIMITS, vec![node(0)], &view);
+    restart.step(Duration::ZERO, &view);
     assert_eq!(
-        roll.step(Duration::from_secs(1), &view),
-        RestartStep::Stop(StopReason::Foreign(node(0)))
+        restart.step(Duration::from_secs(1), &view),
+        RestartStep::Stop(StopReason::ConflictingOrder(node(0)))
     );
     view.drains.clear();
 }
 
-/// Nodes get empty, go and come back at any moment, machines are lost: no more are out than allowed, half stays.
+/// Nodes drain, go and come back at any moment, and machines are lost: no more are out than allowed, and half stays.
 #[test]
-fn bounds_hold_whatever_comes_when() {
+fn limits_hold_under_random_events() {
     arbtest(|u| {
         let mut view = fleet(u.int_in_range(1..=4)?, u.int_in_range(1..=5)?);
         let most_out = u.int_in_range(1..=4)?;
-        let mut roll = RollingRestart::new(
+        let mut restart = RollingRestart::new(
             RestartLimits {
                 max_unavailable: most_out,
-                ..BOUNDS
+                ..LIMITS
             },
             all(&view),
             &view,
@@ -197,7 +203,7 @@
         let mut now = Duration::ZERO;
         for _ in 0..60 {
             now += Duration::from_millis(u.int_in_range(0..=5_000)?);
-            match roll.step(now, &view) {
+            match restart.step(now, &view) {
                 RestartStep::Drain(node) => drop(view.drains.insert(node, false)),
                 RestartStep::Restart(node) => {
                     assert_eq!(view.drains.get(&node), Some(&true));
--- a/tier/draining/tests/shutdown.rs
+++ b/tier/draining/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a process, by plain calls.
+//! The graceful shutdown of a process, by plain calls.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     Shutdown::new(at(1_000), GRACE)
 }
 
-fn seen(order: Option<u64>, requests: usize, connections: usize) -> NodeObservation {
+fn observed(order: Option<u64>, requests: usize, connections: usize) -> NodeObservation {
     NodeObservation {
         drain_order: order,
         shutdown: Some(shutdown()),
@@ -30,64 +30,64 @@
 }
 
 #[test]
-fn clients_are_served_until_the_platform_sends_no_more() {
+fn clients_are_served_until_the_platform_redirects_them() {
     let mut drain = NodeDrain::default();
     assert_eq!(
-        drain.step(at(1_000), &seen(None, 1, 4)),
+        drain.step(at(1_000), &observed(None, 1, 4)),
         [DrainAction::RejectNewClients]
     );
-    assert_eq!(drain.step(at(3_900), &seen(None, 0, 4)), []);
+    assert_eq!(drain.step(at(3_900), &observed(None, 0, 4)), []);
     assert_eq!(
-        drain.step(at(4_000), &seen(None, 0, 4)),
+        drain.step(at(4_000), &observed(None, 0, 4)),
         [DrainAction::CloseIdleConnections]
     );
-    assert_eq!(drain.step(at(4_050), &seen(None, 0, 0)), []);
+    assert_eq!(drain.step(at(4_050), &observed(None, 0, 0)), []);
     assert_eq!(
-        drain.step(at(4_100), &seen(None, 0, 0)),
+        drain.step(at(4_100), &observed(None, 0, 0)),
         [DrainAction::ExitProcess]
     );
 }
 
 #[test]
-fn a_reply_under_way_is_waited_for_and_its_last_bytes_too() {
+fn a_response_in_flight_delays_the_exit_until_it_is_flushed() {
     let mut drain = NodeDrain::default();
-    drain.step(at(1_000), &seen(None, 1, 1));
+    drain.step(at(1_000), &observed(None, 1, 1));
     assert_eq!(
-        drain.step(at(4_000), &seen(None, 1, 1)),
+        drain.step(at(4_000), &observed(None, 1, 1)),
         [DrainAction::CloseIdleConnections]
     );
-    assert_eq!(drain.step(at(6_000), &seen(None, 1, 1)), []);
-    assert_eq!(drain.step(at(6_100), &seen(None, 0, 1)), []);
-    assert_eq!(drain.step(at(6_150), &seen(None, 0, 1)), []);
-    // Something else has begun meanwhile.
-    assert_eq!(drain.step(at(6_200), &seen(None, 1, 1)), []);
+    assert_eq!(drain.step(at(6_000), &observed(None, 1, 1)), []);
+    assert_eq!(drain.step(at(6_100), &observed(None, 0, 1)), []);
+    assert_eq!(drain.step(at(6_150), &observed(None, 0, 1)), []);
+    // Another request has begun meanwhile.
+    assert_eq!(drain.step(at(6_200), &observed(None, 1, 1)), []);
     assert_eq!(
-        drain.step(at(6_300), &seen(None, 0, 1)),
+        drain.step(at(6_300), &observed(None, 0, 1)),
         [DrainAction::ExitProcess]
     );
 }
 
 #[test]
-fn what_is_not_over_in_time_is_cut_before_the_kill() {
+fn responses_past_the_deadline_are_reset_before_the_kill() {
     let mut drain = NodeDrain::default();
-    drain.step(at(1_000), &seen(None, 1, 1));
-    drain.step(at(4_000), &seen(None, 1, 1));
+    drain.step(at(1_000), &observed(None, 1, 1));
+    drain.step(at(4_000), &observed(None, 1, 1));
     let end = shutdown().response_deadline;
     assert!(end < at(9_000));
     assert_eq!(
-        drain.step(end, &seen(None, 1, 1)),
+        drain.step(end, &observed(None, 1, 1)),
         [DrainAction::ResetConnections]
     );
-    assert_eq!(drain.step(end + at(100), &seen(None, 1, 1)), [], "once");
+    assert_eq!(drain.step(end + at(100), &observed(None, 1, 1)), [], "once");
     assert_eq!(
-        drain.step(end + at(250), &seen(None, 1, 1)),
+        drain.step(end + at(250), &observed(None, 1, 1)),
         [DrainAction::ExitProcess]
     );
     assert!(end + at(250) < at(9_000), "before the kill");
 }
 
 #[test]
-fn an_order_before_or_behind_it_changes_nothing_of_the_end() {
+fn drain_orders_do_not_change_a_shutdown() {
     for orders in [
         [Some(1), Some(1), Some(1)],
         [None, Some(2), None],
@@ -98,27 +98,27 @@
             at(0),
             &NodeObservation {
                 shutdown: None,
-                ..seen(orders[0], 1, 1)
+                ..observed(orders[0], 1, 1)
             },
         );
-        let actions = drain.step(at(1_000), &seen(orders[1], 1, 1));
+        let actions = drain.step(at(1_000), &observed(orders[1], 1, 1));
         assert!(!actions.contains(&DrainAction::AcceptNewClients));
         assert_ne!(drain.state(), NodeState::InService);
         assert_eq!(
-            drain.step(at(4_000), &seen(orders[2], 1, 1)),
+            drain.step(at(4_000), &observed(orders[2], 1, 1)),
             [DrainAction::CloseIdleConnections]
         );
-        assert_eq!(drain.step(at(4_200), &seen(orders[2], 0, 0)), []);
+        assert_eq!(drain.step(at(4_200), &observed(orders[2], 0, 0)), []);
         assert_eq!(
-            drain.step(at(4_300), &seen(orders[2], 0, 0)),
+            drain.step(at(4_300), &observed(orders[2], 0, 0)),
             [DrainAction::ExitProcess]
         );
     }
 }
 
-/// A stream that may take five of the eight seconds is begun while clients are sent here, later only where they are left.
+/// A stream that may take five of the eight seconds is admitted while the platform sends clients here; later only a shorter one is.
 #[test]
-fn later_only_what_can_be_over_in_time_is_begun() {
+fn late_requests_are_admitted_only_if_they_can_complete_in_time() {
     let begun = |after: u64, takes: u64| {
         let arrived = at(1_000 + after);
         shutdown().admits(arrived, arrived + at(takes))
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_short_grace_begins_nothing() {
+fn a_short_grace_admits_nothing() {
     for grace in [0, 100, 650] {
         let shutdown = Shutdown::new(at(1_000), at(grace));
         assert_eq!(shutdown.response_deadline, at(1_000));
@@ -143,24 +143,24 @@
     }
 }
 
-/// Whatever is seen, nothing is cut before the end of the time, and the process ends before it is killed.
+/// Whatever is observed, nothing is reset before the deadline, and the process exits before it is killed.
 #[test]
-fn nothing_that_was_begun_in_time_is_cut() {
+fn nothing_is_reset_before_the_response_deadline() {
     arbtest(|u| {
         let mut drain = NodeDrain::default();
         let mut now = at(1_000);
         let mut ended = None;
         while ended.is_none() {
             let order = u.arbitrary::<bool>()?.then_some(u.int_in_range(1..=2)?);
-            let seen = seen(order, u.int_in_range(0..=2)?, u.int_in_range(0..=2)?);
-            for action in drain.step(now, &seen) {
+            let observed = observed(order, u.int_in_range(0..=2)?, u.int_in_range(0..=2)?);
+            for action in drain.step(now, &observed) {
                 match action {
                     DrainAction::RejectNewClients => assert_eq!(now, at(1_000)),
                     DrainAction::CloseIdleConnections => assert!(now >= shutdown().accept_until),
                     DrainAction::ResetConnections => assert!(now >= shutdown().response_deadline),
-                    DrainAction::ExitProcess => ended = Some((now, seen.requests_in_flight)),
+                    DrainAction::ExitProcess => ended = Some((now, observed.requests_in_flight)),
                     DrainAction::ReportDrained(_) | DrainAction::AcceptNewClients => {
-                        unreachable!("the node is on its way out")
+                        unreachable!("the node is shutting down")
                     }
                 }
             }
