--- a/tier/control/src/configuration.rs
+++ b/tier/control/src/configuration.rs
@@ -1,4 +1,7 @@
-//! The operator's configuration, and which ones were taken before.
+//! The operator's configuration, and digests of the configurations accepted before.
+//!
+//! The history makes `PUT /-/config` idempotent: an operator that got no answer sends the same document again, to any
+//! controller, and a document that was accepted once is never rejected afterwards.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -8,24 +11,26 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 
-use crate::operation::Outcome;
+use crate::outcome::Outcome;
 
-/// Configurations that are remembered as taken. A long day has hundreds of changes, and at most eight orders
-/// are under way at once, so that a repeated order is far younger than this. One that is older is not refused: it may
-/// have been taken.
-pub const TAKEN_KEPT: usize = 1_024;
+/// Most accepted configurations that are remembered.
+///
+/// A long day has hundreds of changes, and at most eight requests are in flight at once, so that a repeated request is
+/// far younger than this. An older request is not rejected but gets [`Outcome::HistoryTrimmed`]: its configuration may
+/// have been accepted.
+pub const MAX_ACCEPTED_REMEMBERED: usize = 1_024;
 
-/// The current configuration and digests of those taken before it.
+/// The current configuration and digests of the accepted ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationHistory {
     current: Option<ConfigurationText>,
-    /// In the order in which they were taken, the current one last.
-    taken: VecDeque<Taken>,
+    /// In the order of acceptance, the current configuration last; at most [`MAX_ACCEPTED_REMEMBERED`].
+    accepted: VecDeque<AcceptedConfiguration>,
 }
 
 /// A configuration that was in force once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Taken {
+struct AcceptedConfiguration {
     version: u64,
     digest: u128,
 }
@@ -41,52 +46,56 @@
         self.current.as_ref().map_or(0, |current| current.version)
     }
 
-    /// Whether exactly this document was taken, now or before; then the version under which it was.
-    pub fn taken_as(&self, document: &[u8]) -> Option<u64> {
+    /// The version under which exactly this document was accepted, now or before; `None` if no such acceptance is
+    /// remembered.
+    pub fn accepted_version(&self, document: &[u8]) -> Option<u64> {
         let digest = digest(document);
-        self.taken
+        let newest_match = self
+            .accepted
             .iter()
             .rev()
-            .find(|taken| taken.digest == digest)
-            .map(|taken| taken.version)
+            .find(|accepted| accepted.digest == digest)?;
+        Some(newest_match.version)
     }
 
-    /// Whether a configuration with this version may have been taken and forgotten: versions only rise, so that all
-    /// those forgotten lie below the oldest one remembered.
-    pub fn may_have_forgotten(&self, version: u64) -> bool {
-        let oldest = self
-            .taken
+    /// Whether a configuration with this version may have been accepted and dropped from the history.
+    ///
+    /// Accepted versions only rise, so that all those dropped lie below the oldest one remembered.
+    pub fn may_have_been_trimmed(&self, version: u64) -> bool {
+        if self.accepted.len() < MAX_ACCEPTED_REMEMBERED {
+            return false;
+        }
+        self.accepted
             .front()
-            .filter(|_| self.taken.len() >= TAKEN_KEPT);
-        oldest.is_some_and(|oldest| version < oldest.version)
+            .is_some_and(|oldest| version < oldest.version)
     }
 
-    /// What [`ConfigurationHistory::put`] would answer.
-    pub fn judge(&self, expected: u64, version: u64, document: &[u8]) -> Outcome {
+    /// The outcome that [`ConfigurationHistory::put`] would have.
+    fn evaluate(&self, expected: u64, version: u64, document: &[u8]) -> Outcome {
         let current = self.current_version();
-        if self.taken_as(document) == Some(version) {
-            Outcome::Repeated
-        } else if self.may_have_forgotten(version) {
-            Outcome::Forgotten
+        if self.accepted_version(document) == Some(version) {
+            Outcome::Duplicate
+        } else if self.may_have_been_trimmed(version) {
+            Outcome::HistoryTrimmed
         } else if expected != current {
             Outcome::Conflict { current }
         } else if version <= current {
-            Outcome::NotAbove { current }
+            Outcome::VersionNotIncreasing { current }
         } else {
             Outcome::Applied
         }
     }
 
-    /// Takes a configuration if it builds on the current one.
+    /// Accepts a configuration if it builds on the current one and its version is higher.
     pub(crate) fn put(&mut self, expected: u64, version: u64, document: &Arc<[u8]>) -> Outcome {
-        let outcome = self.judge(expected, version, document);
-        if outcome.changed() {
-            self.taken.push_back(Taken {
+        let outcome = self.evaluate(expected, version, document);
+        if outcome.is_applied() {
+            self.accepted.push_back(AcceptedConfiguration {
                 version,
                 digest: digest(document),
             });
-            if self.taken.len() > TAKEN_KEPT {
-                self.taken.pop_front();
+            if self.accepted.len() > MAX_ACCEPTED_REMEMBERED {
+                self.accepted.pop_front();
             }
             self.current = Some(ConfigurationText {
                 version,
@@ -97,7 +106,8 @@
     }
 }
 
-/// Tells documents apart; the same on every controller and in every build.
+/// A digest of a document: SipHash-2-4 with 128 bits and an all-zero key, the same on every controller and in every
+/// build. The digests are stored, so that the function is format.
 fn digest(document: &[u8]) -> u128 {
     let mut hasher = SipHasher24::new();
     hasher.write(document);
--- a/tier/control/src/drains.rs
+++ b/tier/control/src/drains.rs
@@ -1,4 +1,7 @@
 //! Edges that the operator has taken out of service.
+//!
+//! Orders are numbered and name the order that they build on, so that of two operators with the same knowledge one
+//! gets [`Outcome::Conflict`] in place of undoing the other's order unseen.
 
 use std::collections::BTreeMap;
 
@@ -7,74 +10,70 @@
 use plankhill_protocol::tables::Drain;
 use serde::{Deserialize, Serialize};
 
+use crate::drain_order::{DrainAction, DrainOrder};
 use crate::edges::Edges;
-use crate::operation::Outcome;
+use crate::outcome::Outcome;
 
-/// Edges out of service at once; no more edges than that are known either.
+/// Most edges that drain at once; no more edges than that are registered either.
 const MAX_DRAINS: usize = 4_096;
 
-/// An order that takes edges out of service, or back.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DrainOrder {
-    /// The number of the last order that the operator knew of; 0 for none.
-    pub expected: u64,
-    /// The machines.
-    pub nodes: Vec<NodeId>,
-    /// Whether they leave; otherwise they are taken back.
-    pub leave: bool,
-}
-
-/// What is out of service, by numbered orders: two operators cannot overtake each other unseen.
+/// The draining edges and the number of the last order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drains {
-    number: u64,
-    last: Option<DrainOrder>,
+    last_number: u64,
+    last_order: Option<DrainOrder>,
     nodes: BTreeMap<NodeId, Drain>,
 }
 
 impl Drains {
     /// The number of the last order; 0 for none.
-    pub fn number(&self) -> u64 {
-        self.number
+    pub fn last_number(&self) -> u64 {
+        self.last_number
     }
 
-    /// What is out of service, in the order of names.
+    /// The draining edges, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &Drain> {
         self.nodes.values()
     }
 
-    /// Carries out an order. The last one, sent again, is acknowledged again.
-    pub(crate) fn order(&mut self, order: &DrainOrder, edges: &Edges) -> Outcome {
-        if self.last.as_ref() == Some(order) {
-            return Outcome::Repeated;
+    /// Applies an order. A repeat of the last order is acknowledged again and changes nothing.
+    pub(crate) fn apply_order(&mut self, order: &DrainOrder, edges: &Edges) -> Outcome {
+        if self.last_order.as_ref() == Some(order) {
+            return Outcome::Duplicate;
         }
-        if order.expected != self.number {
+        if order.expected != self.last_number {
             return Outcome::Conflict {
-                current: self.number,
+                current: self.last_number,
             };
         }
         if !order.nodes.iter().all(|node| self.is_known(node, edges)) {
             return Outcome::UnknownEdge;
         }
-        if order.leave {
+        if order.action == DrainAction::Drain {
             if self.nodes.len() + order.nodes.len() > MAX_DRAINS {
                 return Outcome::Full;
             }
-            if !self.has_room(&order.nodes, edges) {
+            if !self.is_within_budget(&order.nodes, edges) {
                 return Outcome::TooFewEdges;
             }
         }
-        self.number += 1;
-        order
-            .nodes
-            .iter()
-            .for_each(|node| self.set(node, order.leave));
-        self.last = Some(order.clone());
+        self.last_number += 1;
+        for node in &order.nodes {
+            match order.action {
+                DrainAction::Drain => self.drain(node),
+                DrainAction::Undrain => {
+                    self.nodes.remove(node);
+                }
+            }
+        }
+        self.last_order = Some(order.clone());
         Outcome::Applied
     }
 
-    /// An edge is empty under an order; of an earlier one it says nothing.
-    pub(crate) fn emptied(&mut self, node: &NodeId, number: u64) -> Outcome {
+    /// Records that an edge has drained under the order with this number.
+    ///
+    /// A report for an earlier order is ignored: the edge was in service in between and may have clients again.
+    pub(crate) fn record_drained(&mut self, node: &NodeId, number: u64) -> Outcome {
         match self.nodes.get_mut(node) {
             Some(drain) if drain.number == number && !drain.empty => {
                 drain.empty = true;
@@ -84,28 +83,31 @@
         }
     }
 
-    fn is_known(&self, node: &NodeId, edges: &Edges) -> bool {
-        edges.get(node).is_some() || self.nodes.contains_key(node)
-    }
-
-    fn set(&mut self, node: &NodeId, leave: bool) {
-        if !leave {
-            self.nodes.remove(node);
-        } else if !self.nodes.contains_key(node) {
+    /// Drains an edge under the present number. An edge that drains already keeps its number and its progress.
+    fn drain(&mut self, node: &NodeId) {
+        if !self.nodes.contains_key(node) {
             let drain = Drain {
                 node: node.clone(),
-                number: self.number,
+                number: self.last_number,
                 empty: false,
             };
             self.nodes.insert(node.clone(), drain);
         }
     }
 
-    fn has_room(&self, leaving: &[NodeId], edges: &Edges) -> bool {
-        let members = edges.iter().map(|edge| BudgetMember {
-            zone: edge.zone.clone(),
-            is_draining: leaving.contains(&edge.node) || self.nodes.contains_key(&edge.node),
-        });
-        check_disruption_budget(&members.collect::<Vec<_>>()).is_ok()
+    fn is_known(&self, node: &NodeId, edges: &Edges) -> bool {
+        edges.get(node).is_some() || self.nodes.contains_key(node)
+    }
+
+    /// Whether enough edges stay in service when these drain besides those that drain already.
+    fn is_within_budget(&self, draining: &[NodeId], edges: &Edges) -> bool {
+        let members: Vec<BudgetMember> = edges
+            .iter()
+            .map(|edge| BudgetMember {
+                zone: edge.zone.clone(),
+                is_draining: draining.contains(&edge.node) || self.nodes.contains_key(&edge.node),
+            })
+            .collect();
+        check_disruption_budget(&members).is_ok()
     }
 }
--- a/tier/control/src/edges.rs
+++ b/tier/control/src/edges.rs
@@ -1,4 +1,4 @@
-//! Live edge machines.
+//! Registered edge machines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,58 +7,56 @@
 use plankhill_protocol::tables::Edge;
 use serde::{Deserialize, Serialize};
 
-use crate::operation::Outcome;
+use crate::outcome::Outcome;
 
-/// Edges at once; far above the largest deployment described.
+/// Most edges registered at once; far above the largest deployment described.
 const MAX_EDGES: usize = 4_096;
 
-/// The live edges by machine.
+/// The registered edges by machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edges {
-    live: BTreeMap<NodeId, Arc<Edge>>,
+    registered: BTreeMap<NodeId, Arc<Edge>>,
 }
 
 impl Edges {
     /// All edges in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Edge>> {
-        self.live.values()
+        self.registered.values()
     }
 
-    /// One edge.
+    /// The edge on this machine.
     pub fn get(&self, node: &NodeId) -> Option<&Arc<Edge>> {
-        self.live.get(node)
+        self.registered.get(node)
     }
 
-    /// Whether [`Edges::set`] would change nothing.
-    pub fn is_known(&self, edge: &Edge) -> bool {
-        self.live
+    /// Whether exactly this edge is registered, so that registering it again changes nothing.
+    pub fn is_registered(&self, edge: &Edge) -> bool {
+        self.registered
             .get(&edge.node)
-            .is_some_and(|held| **held == *edge)
+            .is_some_and(|registered| **registered == *edge)
     }
 
-    /// Takes an edge in.
-    pub(crate) fn set(&mut self, edge: &Edge) -> Outcome {
-        if self.is_known(edge) {
+    /// Registers an edge, in place of an earlier incarnation on the same machine.
+    pub(crate) fn register(&mut self, edge: &Edge) -> Outcome {
+        if self.is_registered(edge) {
             return Outcome::Ignored;
         }
-        if !self.live.contains_key(&edge.node) && self.live.len() >= MAX_EDGES {
+        if !self.registered.contains_key(&edge.node) && self.registered.len() >= MAX_EDGES {
             return Outcome::Full;
         }
-        self.live.insert(edge.node.clone(), Arc::new(edge.clone()));
+        self.registered
+            .insert(edge.node.clone(), Arc::new(edge.clone()));
         Outcome::Applied
     }
 
-    /// Forgets one life of an edge.
+    /// Removes one incarnation of an edge. A later incarnation on the same machine stays.
     pub(crate) fn remove(&mut self, node: &NodeId, incarnation: Incarnation) -> Outcome {
-        if self
-            .live
-            .get(node)
-            .is_some_and(|held| held.incarnation == incarnation)
-        {
-            self.live.remove(node);
-            Outcome::Applied
-        } else {
-            Outcome::Ignored
+        match self.registered.get(node) {
+            Some(registered) if registered.incarnation == incarnation => {
+                self.registered.remove(node);
+                Outcome::Applied
+            }
+            _ => Outcome::Ignored,
         }
     }
 }
--- a/tier/control/src/lib.rs
+++ b/tier/control/src/lib.rs
@@ -1,24 +1,38 @@
 //! The replicated control state of the serving tier as a pure state machine.
 //!
-//! [`ControlState`] changes only by [`Operation`]s, applied in the one order that the chain gives. Applying
-//! depends on nothing but the state and the operation: no clock, no random numbers, no I/O.
+//! [`ControlState`] changes only by [`Operation`]s, applied in the one order that the chain gives. Applying an
+//! operation depends on nothing but the state and the operation: no clock, no random numbers, no I/O. Every controller
+//! that applies the same operations therefore holds the same state.
+//!
+//! The replica of each controller (`plankhill-replica`) owns the state and applies operations to it. The controller
+//! (`plankhill-controller`) proposes operations, reads committed states, and sends the tables made of them
+//! ([`build_tables`], [`diff_tables`]) to the data plane.
+//!
+//! [`ControlState`], [`Operation`] and [`Outcome`] are stored and sent between controllers: the order of their variants
+//! and fields is format. `tests/stored_format.rs` holds their bytes.
 
 mod configuration;
+mod drain_order;
 mod drains;
 mod edges;
 mod operation;
+mod outcome;
 mod retirements;
+mod singleton;
 mod state;
 mod stores;
 mod tables;
 mod targets;
 
-pub use configuration::{ConfigurationHistory, TAKEN_KEPT};
-pub use drains::{DrainOrder, Drains};
+pub use configuration::{ConfigurationHistory, MAX_ACCEPTED_REMEMBERED};
+pub use drain_order::{DrainAction, DrainOrder};
+pub use drains::Drains;
 pub use edges::Edges;
-pub use operation::{Duty, ExpiredTarget, Operation, Outcome};
+pub use operation::Operation;
+pub use outcome::Outcome;
 pub use retirements::{Retirement, Retirements};
+pub use singleton::{ExpiredTarget, SingletonTask};
 pub use state::ControlState;
 pub use stores::Stores;
-pub use tables::{changes_between, tables_of};
+pub use tables::{build_tables, diff_tables};
 pub use targets::Targets;
--- a/tier/control/src/operation.rs
+++ b/tier/control/src/operation.rs
@@ -1,4 +1,4 @@
-//! What changes the control state, and what it came to.
+//! The changes of the control state, as the chain orders and stores them.
 
 use std::sync::Arc;
 
@@ -6,140 +6,67 @@
 use plankhill_protocol::tables::{Edge, StoreMember, Target};
 use serde::{Deserialize, Serialize};
 
-use crate::drains::DrainOrder;
+use crate::drain_order::DrainOrder;
+use crate::singleton::SingletonTask;
 
-/// One change of the control state.
+/// One change of the control state. The order of the variants and of their fields is format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
-    /// The operator replaces the configuration. The document has been checked before.
+    /// The operator replaces the configuration. The controller has validated the document.
     PutConfiguration {
-        /// The version that it builds on (`If-Match`); 0 for the first.
+        /// The version that the configuration builds on (`If-Match`); 0 for the first.
         expected: u64,
-        /// Its own version.
+        /// The configuration's own version.
         version: u64,
         /// The JSON document, byte for byte.
         #[serde(with = "plankhill_protocol::shared_bytes")]
         document: Arc<[u8]>,
     },
     /// A target registers or reports a change.
-    SetTarget(Target),
-    /// A target ends in an orderly way; its id is never taken in again.
-    RemoveTarget(InstanceId),
-    /// The agent of an edge machine appears or changes.
-    SetEdge(Edge),
-    /// An agent ends in an orderly way.
-    RemoveEdge {
+    RegisterTarget(Target),
+    /// A target shuts down gracefully; its id is never registered again.
+    DeregisterTarget(InstanceId),
+    /// The agent of an edge machine registers or changes.
+    RegisterEdge(Edge),
+    /// An agent shuts down gracefully.
+    DeregisterEdge {
         /// The machine.
         node: NodeId,
-        /// The life of its agent; a later one stays.
+        /// The incarnation of its agent; a later one stays.
         incarnation: Incarnation,
     },
-    /// A store appears.
+    /// A store registers.
     RegisterStore {
         /// The store.
         member: StoreMember,
-        /// Lost stores that the tier bears at once (f).
-        faults: u32,
+        /// Simultaneous losses of stores that the tier tolerates (f).
+        tolerated_faults: u32,
     },
-    /// A store has copied all that belongs to it in the next set of an epoch.
+    /// A store has copied everything that belongs to it in the next set of an epoch.
     StoreSynced {
         /// The machine.
         node: NodeId,
-        /// The life of its disk.
+        /// The incarnation of its disk.
         incarnation: Incarnation,
-        /// The epoch whose next set it is ready for.
+        /// The epoch whose next set the store is ready for.
         epoch: StoreEpoch,
     },
-    /// The operator wants a store emptied.
+    /// The operator retires a store: its data moves to the others.
     RetireStore(NodeId),
-    /// The operator takes edges out of service, or back.
+    /// The operator drains edges, or returns them to service.
     OrderDrain(DrainOrder),
-    /// An edge that is out of service says that it is empty.
-    EdgeEmptied {
+    /// A draining edge reports that no client is connected and nothing is in flight.
+    EdgeDrained {
         /// The machine.
         node: NodeId,
-        /// The number of the order that took it out.
+        /// The number of the order that drains the edge.
         number: u64,
     },
-    /// Housekeeping by the head of the chain, fenced by the number of its view.
-    Duty {
-        /// The view in which the sender is the head.
+    /// A task of the singleton role, proposed by the head of the chain.
+    SingletonTask {
+        /// The view in which the proposer heads the chain: the fencing token.
         view: u64,
-        /// What is to be done.
-        duty: Duty,
+        /// The task.
+        task: SingletonTask,
     },
 }
-
-/// Housekeeping that one controller at a time does.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Duty {
-    /// Forget targets whose heartbeats have ended.
-    ExpireTargets(Vec<ExpiredTarget>),
-    /// Forget an edge that no controller hears any more.
-    ForgetEdge {
-        /// The machine.
-        node: NodeId,
-        /// The life of its agent that fell silent.
-        incarnation: Incarnation,
-    },
-    /// Start serving with the stores that have registered, though fewer than 2f+1 have come.
-    FoundStores,
-    /// Do without a store that no controller hears any more, where enough others are left.
-    DropStore {
-        /// The machine.
-        node: NodeId,
-        /// The life of its disk.
-        incarnation: Incarnation,
-    },
-}
-
-/// A target whose heartbeats have ended.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ExpiredTarget {
-    /// The target.
-    pub id: InstanceId,
-    /// Its newest committed sequence when that was found; a target that changed since stays.
-    pub sequence: u64,
-}
-
-/// What an operation came to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
-    /// The state changed as asked.
-    Applied,
-    /// Exactly this was taken before; the state did not change.
-    Repeated,
-    /// Nothing to change: older than what is known, known already, or meant for an earlier epoch.
-    Ignored,
-    /// Another configuration, or another order, came before.
-    Conflict {
-        /// The current version, or the number of the last order.
-        current: u64,
-    },
-    /// The configuration builds on the current one, but its version is not above it.
-    NotAbove {
-        /// The current version.
-        current: u64,
-    },
-    /// No store of that name.
-    UnknownStore,
-    /// Too few stores would be left.
-    TooFewStores,
-    /// No edge of that name.
-    UnknownEdge,
-    /// Too few edges would stay in service.
-    TooFewEdges,
-    /// A table is full.
-    Full,
-    /// The duty comes from the head of an older view.
-    Fenced,
-    /// The configuration is so old that nobody remembers whether it was taken.
-    Forgotten,
-}
-
-impl Outcome {
-    /// Whether the state changed.
-    pub fn changed(self) -> bool {
-        self == Outcome::Applied
-    }
-}
--- a/tier/control/src/retirements.rs
+++ b/tier/control/src/retirements.rs
@@ -1,59 +1,59 @@
-//! Stores that the operator wants emptied.
+//! Stores that the operator retires: their data moves to other stores before the machines are taken away.
 
 use std::collections::BTreeSet;
 
 use plankhill_protocol::ids::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::operation::Outcome;
+use crate::outcome::Outcome;
 use crate::stores::Stores;
 
-/// Machines remembered as retired; far above what one deployment retires.
+/// Most machines remembered as retired; far above what one deployment retires.
 const MAX_RETIRED: usize = 4_096;
 
-/// How far the emptying of a store is.
+/// The progress of a retirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retirement {
-    /// It still holds what others do not hold yet.
+    /// The store may hold data that no other store holds yet.
     InProgress,
-    /// All that it held is elsewhere.
+    /// Other stores hold everything that the store held.
     Completed,
 }
 
-/// The stores retired, for good: none is taken in again.
+/// The retired stores. A retirement is final: a retired store is never registered again.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retirements {
     nodes: BTreeSet<NodeId>,
 }
 
 impl Retirements {
-    /// Whether the store was retired, completed or not.
+    /// Whether the store is retired, with its data moved or not.
     pub fn contains(&self, node: &NodeId) -> bool {
         self.nodes.contains(node)
     }
 
-    /// How far the emptying is; `None` if it was never asked for.
+    /// The progress of a store's retirement; `None` if the store is not retired.
     pub fn progress(&self, node: &NodeId, stores: &Stores) -> Option<Retirement> {
         if !self.contains(node) {
             return None;
         }
-        Some(if stores.holds_data(node) {
-            Retirement::InProgress
+        if stores.holds_data(node) {
+            Some(Retirement::InProgress)
         } else {
-            Retirement::Completed
-        })
+            Some(Retirement::Completed)
+        }
     }
 
-    /// Starts emptying a store.
+    /// Starts to retire a store.
     pub(crate) fn start(&mut self, node: &NodeId, stores: &mut Stores) -> Outcome {
         if self.contains(node) {
-            return Outcome::Repeated;
+            return Outcome::Duplicate;
         }
         if self.nodes.len() >= MAX_RETIRED {
             return Outcome::Full;
         }
         let outcome = stores.retire(node);
-        if outcome.changed() {
+        if outcome.is_applied() {
             self.nodes.insert(node.clone());
         }
         outcome
--- a/tier/control/src/state.rs
+++ b/tier/control/src/state.rs
@@ -1,4 +1,4 @@
-//! The whole control state.
+//! The complete control state and the dispatch of operations to its tables.
 
 use plankhill_protocol::ids::Revision;
 use plankhill_protocol::tables::ConfigurationText;
@@ -7,12 +7,16 @@
 use crate::configuration::ConfigurationHistory;
 use crate::drains::Drains;
 use crate::edges::Edges;
-use crate::operation::{Duty, Operation, Outcome};
+use crate::operation::Operation;
+use crate::outcome::Outcome;
 use crate::retirements::Retirements;
+use crate::singleton::SingletonTask;
 use crate::stores::Stores;
 use crate::targets::Targets;
 
-/// Everything that the controllers agree on. Cloning is cheap: large parts are shared.
+/// The state that the controllers replicate. Cloning is cheap: large parts are shared.
+///
+/// The order of the fields is format: the chain stores and sends the encoded state as its snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     configuration: ConfigurationHistory,
@@ -20,13 +24,14 @@
     edges: Edges,
     stores: Stores,
     retirements: Retirements,
-    /// The newest view whose head has done a duty.
-    duty_view: u64,
+    /// The fencing token of singleton tasks: the newest view of the chain whose head has proposed one.
+    singleton_view: u64,
     drains: Drains,
 }
 
 impl ControlState {
-    /// Applies one operation; the same on every controller. `_revision` is the position that it makes.
+    /// Applies one operation. The result is the same on every controller: it depends on the state and the operation
+    /// only. `_revision` is the position of the operation in the order of the chain.
     pub fn apply(&mut self, _revision: Revision, operation: &Operation) -> Outcome {
         match operation {
             Operation::PutConfiguration {
@@ -34,38 +39,51 @@
                 version,
                 document,
             } => self.configuration.put(*expected, *version, document),
-            Operation::SetTarget(target) => self.targets.set(target),
-            Operation::RemoveTarget(id) => self.targets.remove(id),
-            Operation::SetEdge(edge) => self.edges.set(edge),
-            Operation::RemoveEdge { node, incarnation } => self.edges.remove(node, *incarnation),
-            Operation::RegisterStore { member, faults } => {
+            Operation::RegisterTarget(target) => self.targets.register(target),
+            Operation::DeregisterTarget(id) => self.targets.deregister(id),
+            Operation::RegisterEdge(edge) => self.edges.register(edge),
+            Operation::DeregisterEdge { node, incarnation } => {
+                self.edges.remove(node, *incarnation)
+            }
+            Operation::RegisterStore {
+                member,
+                tolerated_faults,
+            } => {
                 if self.retirements.contains(&member.node) {
                     return Outcome::Ignored;
                 }
-                self.stores.register(member, *faults)
+                self.stores.register(member, *tolerated_faults)
             }
             Operation::StoreSynced {
                 node,
                 incarnation,
                 epoch,
-            } => self.stores.synced(node, *incarnation, *epoch),
+            } => self.stores.record_synced(node, *incarnation, *epoch),
             Operation::RetireStore(node) => self.retirements.start(node, &mut self.stores),
-            Operation::OrderDrain(order) => self.drains.order(order, &self.edges),
-            Operation::EdgeEmptied { node, number } => self.drains.emptied(node, *number),
-            Operation::Duty { view, duty } => self.apply_duty(*view, duty),
+            Operation::OrderDrain(order) => self.drains.apply_order(order, &self.edges),
+            Operation::EdgeDrained { node, number } => self.drains.record_drained(node, *number),
+            Operation::SingletonTask { view, task } => self.apply_singleton_task(*view, task),
         }
     }
 
-    fn apply_duty(&mut self, view: u64, duty: &Duty) -> Outcome {
-        if view < self.duty_view {
+    /// Applies a singleton task unless its proposer has been superseded.
+    ///
+    /// The head of a later view may already act on newer knowledge; tasks of an earlier head that arrive behind its
+    /// first one would undo that.
+    fn apply_singleton_task(&mut self, view: u64, task: &SingletonTask) -> Outcome {
+        if view < self.singleton_view {
             return Outcome::Fenced;
         }
-        self.duty_view = view;
-        match duty {
-            Duty::ExpireTargets(expired) => self.targets.expire(expired),
-            Duty::ForgetEdge { node, incarnation } => self.edges.remove(node, *incarnation),
-            Duty::FoundStores => self.stores.found_with_fewer(),
-            Duty::DropStore { node, incarnation } => self.stores.drop_lost(node, *incarnation),
+        self.singleton_view = view;
+        match task {
+            SingletonTask::ExpireTargets(expired) => self.targets.expire(expired),
+            SingletonTask::ExpireEdge { node, incarnation } => {
+                self.edges.remove(node, *incarnation)
+            }
+            SingletonTask::BootstrapStores => self.stores.bootstrap_below_full_size(),
+            SingletonTask::RemoveLostStore { node, incarnation } => {
+                self.stores.remove_lost(node, *incarnation)
+            }
         }
     }
 
@@ -74,7 +92,7 @@
         self.configuration.current()
     }
 
-    /// Which configurations were taken.
+    /// The accepted configurations.
     pub fn configuration_history(&self) -> &ConfigurationHistory {
         &self.configuration
     }
@@ -84,7 +102,7 @@
         &self.targets
     }
 
-    /// The live edges.
+    /// The registered edges.
     pub fn edges(&self) -> &Edges {
         &self.edges
     }
@@ -99,7 +117,7 @@
         &self.drains
     }
 
-    /// The stores that the operator wants emptied.
+    /// The stores that the operator retires.
     pub fn retirements(&self) -> &Retirements {
         &self.retirements
     }
--- a/tier/control/src/tables.rs
+++ b/tier/control/src/tables.rs
@@ -1,4 +1,4 @@
-//! What the data plane receives of the control state: whole, or as the difference of two states.
+//! The tables that the data plane receives of the control state: complete, or as the difference of two states.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 
 use crate::state::ControlState;
 
-/// Everything that the data plane knows, at one revision.
-pub fn tables_of(state: &ControlState, revision: Revision) -> Tables {
+/// The tables of a state, which is the one at `revision`.
+pub fn build_tables(state: &ControlState, revision: Revision) -> Tables {
     let mut targets: Vec<Target> = state
         .targets()
         .iter()
@@ -26,15 +26,16 @@
     }
 }
 
-/// What turns the tables of one state into those of a later one.
-pub fn changes_between(before: &ControlState, after: &ControlState) -> Vec<TablesChange> {
+/// The changes that turn the tables of one state into those of a later one, in the order in which a receiver has to
+/// apply them.
+pub fn diff_tables(before: &ControlState, after: &ControlState) -> Vec<TablesChange> {
     let mut changes = Vec::new();
-    configuration_change(before, after, &mut changes);
-    target_changes(before, after, &mut changes);
+    diff_configuration(before, after, &mut changes);
+    diff_targets(before, after, &mut changes);
     if before.stores().view() != after.stores().view() {
         changes.push(TablesChange::Stores(after.stores().view().clone()));
     }
-    edge_changes(before, after, &mut changes);
+    diff_edges(before, after, &mut changes);
     if before.drains().iter().ne(after.drains().iter()) {
         changes.push(TablesChange::Drains(
             after.drains().iter().cloned().collect(),
@@ -43,7 +44,7 @@
     changes
 }
 
-fn configuration_change(
+fn diff_configuration(
     before: &ControlState,
     after: &ControlState,
     changes: &mut Vec<TablesChange>,
@@ -59,41 +60,54 @@
     }
 }
 
-fn target_changes(before: &ControlState, after: &ControlState, changes: &mut Vec<TablesChange>) {
-    let held: BTreeMap<&InstanceId, &Arc<Target>> = before
+fn diff_targets(before: &ControlState, after: &ControlState, changes: &mut Vec<TablesChange>) {
+    let earlier: BTreeMap<&InstanceId, &Arc<Target>> = before
         .targets()
         .iter()
         .map(|target| (&target.id, target))
         .collect();
-    let gone = held.keys().filter(|id| after.targets().get(id).is_none());
-    changes.extend(gone.map(|id| TablesChange::TargetRemoved((*id).clone())));
-    for target in after.targets().iter() {
-        let earlier = held.get(&target.id);
-        if earlier.is_some_and(|earlier| Arc::ptr_eq(earlier, target) || *earlier == target) {
-            continue;
+    for id in earlier.keys() {
+        if after.targets().get(id).is_none() {
+            changes.push(TablesChange::TargetRemoved((*id).clone()));
         }
-        // The tables are ordered by service, so that a target that moves leaves its former place first.
-        if earlier.is_some_and(|earlier| earlier.service != target.service) {
-            changes.push(TablesChange::TargetRemoved(target.id.clone()));
+    }
+    for target in after.targets().iter() {
+        if let Some(earlier) = earlier.get(&target.id) {
+            if is_unchanged(earlier, target) {
+                continue;
+            }
+            // The tables are ordered by service: a target that moves to another service leaves its former place first.
+            if earlier.service != target.service {
+                changes.push(TablesChange::TargetRemoved(target.id.clone()));
+            }
         }
         changes.push(TablesChange::TargetSet((**target).clone()));
     }
 }
 
-fn edge_changes(before: &ControlState, after: &ControlState, changes: &mut Vec<TablesChange>) {
-    let held: BTreeMap<&NodeId, &Arc<Edge>> = before
+fn diff_edges(before: &ControlState, after: &ControlState, changes: &mut Vec<TablesChange>) {
+    let earlier: BTreeMap<&NodeId, &Arc<Edge>> = before
         .edges()
         .iter()
         .map(|edge| (&edge.node, edge))
         .collect();
-    let gone = held.keys().filter(|node| after.edges().get(node).is_none());
-    changes.extend(gone.map(|node| TablesChange::EdgeRemoved((*node).clone())));
+    for node in earlier.keys() {
+        if after.edges().get(node).is_none() {
+            changes.push(TablesChange::EdgeRemoved((*node).clone()));
+        }
+    }
     for edge in after.edges().iter() {
-        let same = held
+        let is_unchanged = earlier
             .get(&edge.node)
-            .is_some_and(|held| Arc::ptr_eq(held, edge) || *held == edge);
-        if !same {
+            .is_some_and(|earlier| is_unchanged(earlier, edge));
+        if !is_unchanged {
             changes.push(TablesChange::EdgeSet((**edge).clone()));
         }
     }
 }
+
+/// Whether a row is the same in both states. Most rows are shared by the two states, so that comparing the pointers
+/// settles them without comparing the contents.
+fn is_unchanged<T: PartialEq>(before: &Arc<T>, after: &Arc<T>) -> bool {
+    Arc::ptr_eq(before, after) || before == after
+}
--- a/tier/control/tests/common/mod.rs
+++ b/tier/control/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::fmt::Debug;
 use std::sync::Arc;
 
-use plankhill_control::{ControlState, Duty, Operation, Outcome};
+use plankhill_control::{ControlState, Operation, Outcome, SingletonTask};
 use plankhill_protocol::ids::{
     Incarnation, InstanceId, NodeId, Revision, ServiceName, StoreEpoch, ZoneName,
 };
@@ -54,7 +54,7 @@
 pub fn register(member: &StoreMember) -> Operation {
     Operation::RegisterStore {
         member: member.clone(),
-        faults: 1,
+        tolerated_faults: 1,
     }
 }
 
@@ -66,12 +66,12 @@
     }
 }
 
-pub fn drop_store(member: &StoreMember) -> Operation {
-    let duty = Duty::DropStore {
+pub fn remove_lost_store(member: &StoreMember) -> Operation {
+    let task = SingletonTask::RemoveLostStore {
         node: member.node.clone(),
         incarnation: member.incarnation,
     };
-    Operation::Duty { view: 1, duty }
+    Operation::SingletonTask { view: 1, task }
 }
 
 pub fn put(expected: u64, version: u64, document: &str) -> Operation {
--- a/tier/control/tests/configuration.rs
+++ b/tier/control/tests/configuration.rs
@@ -1,12 +1,12 @@
-//! One order wins on each version, and an order that was taken is never refused.
+//! One put wins on each version, and a put that was applied is never rejected afterwards.
 
 mod common;
 
 use common::{apply, put};
-use plankhill_control::{ControlState, Outcome, TAKEN_KEPT};
+use plankhill_control::{ControlState, Outcome, MAX_ACCEPTED_REMEMBERED};
 
 #[test]
-fn the_first_builds_on_version_zero() {
+fn the_first_configuration_builds_on_version_zero() {
     let mut state = ControlState::default();
     assert_eq!(
         apply(&mut state, &put(3, 5, "a")),
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn of_two_changes_on_the_same_version_one_is_taken() {
+fn one_of_two_changes_on_the_same_version_is_applied() {
     let mut state = ControlState::default();
     apply(&mut state, &put(0, 5, "a"));
     assert_eq!(apply(&mut state, &put(5, 7, "b")), Outcome::Applied);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_same_number_with_other_content_loses() {
+fn another_document_with_the_same_version_conflicts() {
     let mut state = ControlState::default();
     apply(&mut state, &put(0, 5, "a"));
     apply(&mut state, &put(5, 7, "b"));
@@ -43,42 +43,42 @@
 }
 
 #[test]
-fn a_repeated_order_is_acknowledged_again() {
+fn a_repeated_put_is_a_duplicate() {
     let mut state = ControlState::default();
     apply(&mut state, &put(0, 5, "a"));
-    assert_eq!(apply(&mut state, &put(0, 5, "a")), Outcome::Repeated);
+    assert_eq!(apply(&mut state, &put(0, 5, "a")), Outcome::Duplicate);
 }
 
 #[test]
-fn an_order_taken_before_others_is_not_refused_and_changes_nothing() {
+fn a_put_repeated_after_later_ones_is_a_duplicate_and_changes_nothing() {
     let mut state = ControlState::default();
     apply(&mut state, &put(0, 5, "a"));
     apply(&mut state, &put(5, 7, "b"));
     apply(&mut state, &put(7, 9, "c"));
-    assert_eq!(apply(&mut state, &put(0, 5, "a")), Outcome::Repeated);
-    assert_eq!(apply(&mut state, &put(5, 7, "b")), Outcome::Repeated);
+    assert_eq!(apply(&mut state, &put(0, 5, "a")), Outcome::Duplicate);
+    assert_eq!(apply(&mut state, &put(5, 7, "b")), Outcome::Duplicate);
     assert_eq!(state.configuration_history().current_version(), 9);
 }
 
 #[test]
-fn a_version_that_does_not_rise_is_invalid() {
+fn a_version_that_does_not_increase_is_rejected() {
     let mut state = ControlState::default();
     apply(&mut state, &put(0, 5, "a"));
     assert_eq!(
         apply(&mut state, &put(5, 5, "b")),
-        Outcome::NotAbove { current: 5 }
+        Outcome::VersionNotIncreasing { current: 5 }
     );
     assert_eq!(
         apply(&mut state, &put(5, 4, "b")),
-        Outcome::NotAbove { current: 5 }
+        Outcome::VersionNotIncreasing { current: 5 }
     );
 }
 
 #[test]
-fn what_was_refused_once_is_never_taken_later() {
+fn a_rejected_put_is_never_applied_later() {
     arbtest::arbtest(|random| {
         let mut state = ControlState::default();
-        let mut refused = Vec::new();
+        let mut rejected = Vec::new();
         for _ in 0..random.int_in_range(1..=40)? {
             let expected = random.int_in_range(0..=8)?;
             let version = random.int_in_range(1..=8)?;
@@ -89,24 +89,27 @@
             if outcome == Outcome::Applied {
                 assert_eq!(expected, current);
                 assert!(version > current);
-                // An order for a version that was still to come may be refused first.
-                assert!(!refused.contains(&(order, true)));
+                // A put for a version that was still to come may be rejected first.
+                assert!(!rejected.contains(&(order, true)));
             }
-            if matches!(outcome, Outcome::Conflict { .. } | Outcome::NotAbove { .. }) {
-                refused.push((order, expected <= current));
+            if matches!(
+                outcome,
+                Outcome::Conflict { .. } | Outcome::VersionNotIncreasing { .. }
+            ) {
+                rejected.push((order, expected <= current));
             }
         }
         Ok(())
     });
 }
 
-/// A repeat of what was taken is never refused, however many have been taken since: where nobody remembers, nothing is
-/// settled. What was never taken is refused as long as that is known.
+/// A repeated put is never rejected, however many have been applied since: once the history has been trimmed, the
+/// outcome is open. A put that was never applied is rejected as long as the history shows it.
 #[test]
-fn an_order_that_is_forgotten_is_not_refused() {
+fn a_put_older_than_the_history_is_not_rejected() {
     let mut state = ControlState::default();
-    let kept = TAKEN_KEPT as u64;
-    let last = kept + 10;
+    let remembered = MAX_ACCEPTED_REMEMBERED as u64;
+    let last = remembered + 10;
     for version in 1..=last {
         let document = format!("document {version}");
         assert_eq!(
@@ -114,13 +117,13 @@
             Outcome::Applied
         );
     }
-    let oldest = last - kept + 1;
+    let oldest = last - remembered + 1;
     for version in 1..=last {
         let document = format!("document {version}");
         let expected = if version < oldest {
-            Outcome::Forgotten
+            Outcome::HistoryTrimmed
         } else {
-            Outcome::Repeated
+            Outcome::Duplicate
         };
         assert_eq!(
             apply(&mut state, &put(version - 1, version, &document)),
--- a/tier/control/tests/drains.rs
+++ b/tier/control/tests/drains.rs
@@ -1,23 +1,25 @@
-//! Orders that take edges out of service.
+//! Orders that drain edges.
 
 mod common;
 
 use common::{apply, edge};
-use plankhill_control::{changes_between, tables_of, ControlState, DrainOrder, Operation, Outcome};
+use plankhill_control::{
+    build_tables, diff_tables, ControlState, DrainAction, DrainOrder, Operation, Outcome,
+};
 use plankhill_protocol::ids::{NodeId, Revision, ZoneName};
 use plankhill_protocol::tables::{Drain, Edge, TablesChange};
 
-fn order(expected: u64, nodes: &[&str], leave: bool) -> Operation {
+fn order(expected: u64, nodes: &[&str], action: DrainAction) -> Operation {
     let nodes = nodes.iter().map(|node| NodeId::from(*node)).collect();
     Operation::OrderDrain(DrainOrder {
         expected,
         nodes,
-        leave,
+        action,
     })
 }
 
-fn emptied(node: &str, number: u64) -> Operation {
-    Operation::EdgeEmptied {
+fn drained(node: &str, number: u64) -> Operation {
+    Operation::EdgeDrained {
         node: NodeId::from(node),
         number,
     }
@@ -32,7 +34,7 @@
             ..edge(name, 1)
         };
         assert_eq!(
-            apply(&mut state, &Operation::SetEdge(edge)),
+            apply(&mut state, &Operation::RegisterEdge(edge)),
             Outcome::Applied
         );
     }
@@ -48,77 +50,80 @@
 }
 
 #[test]
-fn an_order_is_numbered_and_acknowledged_again_when_it_is_sent_again() {
+fn a_drain_order_is_numbered_and_its_repeat_is_a_duplicate() {
     let mut state = six_edges();
     assert_eq!(
-        apply(&mut state, &order(0, &["a1"], true)),
+        apply(&mut state, &order(0, &["a1"], DrainAction::Drain)),
         Outcome::Applied
     );
     assert_eq!(
-        apply(&mut state, &order(0, &["a1"], true)),
-        Outcome::Repeated
+        apply(&mut state, &order(0, &["a1"], DrainAction::Drain)),
+        Outcome::Duplicate
     );
     assert_eq!(
-        (state.drains().number(), drains(&state)),
+        (state.drains().last_number(), drains(&state)),
         (1, vec![("a1", 1, false)])
     );
 }
 
 #[test]
-fn of_two_operators_with_the_same_knowledge_one_wins() {
+fn one_of_two_drain_orders_on_the_same_number_is_applied() {
     let mut state = six_edges();
     assert_eq!(
-        apply(&mut state, &order(0, &["a1"], true)),
+        apply(&mut state, &order(0, &["a1"], DrainAction::Drain)),
         Outcome::Applied
     );
     assert_eq!(
-        apply(&mut state, &order(0, &["b1"], true)),
+        apply(&mut state, &order(0, &["b1"], DrainAction::Drain)),
         Outcome::Conflict { current: 1 }
     );
     assert_eq!(
-        apply(&mut state, &order(1, &["a1"], false)),
+        apply(&mut state, &order(1, &["a1"], DrainAction::Undrain)),
         Outcome::Applied
     );
-    // The first one's repeat comes late: what it asked for is not in force any more.
+    // The repeat of the first order comes late: the drain that it asked for is not in force any more.
     assert_eq!(
-        apply(&mut state, &order(0, &["a1"], true)),
+        apply(&mut state, &order(0, &["a1"], DrainAction::Drain)),
         Outcome::Conflict { current: 2 }
     );
     assert_eq!(drains(&state), []);
 }
 
 #[test]
-fn unknown_edges_and_too_many_are_refused() {
+fn drains_of_unknown_edges_and_beyond_the_disruption_budget_are_rejected() {
     let mut state = six_edges();
     assert_eq!(
-        apply(&mut state, &order(0, &["a1", "x"], true)),
+        apply(&mut state, &order(0, &["a1", "x"], DrainAction::Drain)),
         Outcome::UnknownEdge
     );
     assert_eq!(
-        apply(&mut state, &order(0, &["a1", "b1", "c1", "c2"], true)),
+        apply(
+            &mut state,
+            &order(0, &["a1", "b1", "c1", "c2"], DrainAction::Drain)
+        ),
         Outcome::TooFewEdges
     );
-    assert_eq!(state.drains().number(), 0);
+    assert_eq!(state.drains().last_number(), 0);
     assert_eq!(
-        apply(&mut state, &order(0, &["a1", "a2"], true)),
+        apply(&mut state, &order(0, &["a1", "a2"], DrainAction::Drain)),
         Outcome::Applied,
         "a whole zone"
     );
     assert_eq!(
-        apply(&mut state, &order(1, &["b1"], true)),
+        apply(&mut state, &order(1, &["b1"], DrainAction::Drain)),
         Outcome::Applied
     );
     assert_eq!(
-        apply(&mut state, &order(2, &["c1"], true)),
+        apply(&mut state, &order(2, &["c1"], DrainAction::Drain)),
         Outcome::TooFewEdges
     );
 }
 
 #[test]
-fn what_is_gone_counts_no_more_and_can_be_taken_back() {
+fn a_deregistered_edge_stays_drained_until_it_is_undrained() {
     let mut state = six_edges();
-    apply(&mut state, &order(0, &["a1"], true));
-    let gone = Operation::RemoveEdge {
+    apply(&mut state, &order(0, &["a1"], DrainAction::Drain));
+    let gone = Operation::DeregisterEdge {
         node: NodeId::from("a1"),
         incarnation: edge("a1", 1).incarnation,
     };
@@ -129,47 +134,44 @@
         "a new life of it stays out of service"
     );
     assert_eq!(
-        apply(&mut state, &order(1, &["a1"], false)),
+        apply(&mut state, &order(1, &["a1"], DrainAction::Undrain)),
         Outcome::Applied
     );
 }
 
 #[test]
-fn an_edge_is_empty_under_the_order_that_it_names_only() {
+fn a_drained_report_counts_for_its_own_order_only() {
     let mut state = six_edges();
-    apply(&mut state, &order(0, &["a1"], true));
-    apply(&mut state, &order(1, &["a1"], false));
-    apply(&mut state, &order(2, &["a1"], true));
-    assert_eq!(apply(&mut state, &emptied("a1", 1)), Outcome::Ignored);
-    assert_eq!(apply(&mut state, &emptied("a1", 3)), Outcome::Applied);
-    assert_eq!(apply(&mut state, &emptied("a1", 3)), Outcome::Ignored);
-    assert_eq!(apply(&mut state, &emptied("b1", 3)), Outcome::Ignored);
+    apply(&mut state, &order(0, &["a1"], DrainAction::Drain));
+    apply(&mut state, &order(1, &["a1"], DrainAction::Undrain));
+    apply(&mut state, &order(2, &["a1"], DrainAction::Drain));
+    assert_eq!(apply(&mut state, &drained("a1", 1)), Outcome::Ignored);
+    assert_eq!(apply(&mut state, &drained("a1", 3)), Outcome::Applied);
+    assert_eq!(apply(&mut state, &drained("a1", 3)), Outcome::Ignored);
+    assert_eq!(apply(&mut state, &drained("b1", 3)), Outcome::Ignored);
     assert_eq!(drains(&state), [("a1", 3, true)]);
 }
 
 #[test]
-fn a_second_order_for_the_same_edge_keeps_what_the_first_came_to() {
+fn a_second_drain_of_the_same_edge_keeps_its_progress() {
     let mut state = six_edges();
-    apply(&mut state, &order(0, &["a1"], true));
-    apply(&mut state, &emptied("a1", 1));
-    apply(&mut state, &order(1, &["a1", "b1"], true));
+    apply(&mut state, &order(0, &["a1"], DrainAction::Drain));
+    apply(&mut state, &drained("a1", 1));
+    apply(&mut state, &order(1, &["a1", "b1"], DrainAction::Drain));
     assert_eq!(drains(&state), [("a1", 1, true), ("b1", 2, false)]);
 }
 
 #[test]
-fn the_data_plane_hears_of_it() {
+fn drains_are_part_of_the_tables() {
     let mut state = six_edges();
     let before = state.clone();
-    apply(&mut state, &order(0, &["a1"], true));
+    apply(&mut state, &order(0, &["a1"], DrainAction::Drain));
     let drains = vec![Drain {
         node: NodeId::from("a1"),
         number: 1,
         empty: false,
     }];
-    assert_eq!(tables_of(&state, Revision(9)).drains, drains);
-    assert_eq!(
-        changes_between(&before, &state),
-        [TablesChange::Drains(drains)]
-    );
-    assert_eq!(changes_between(&state, &state), []);
+    assert_eq!(build_tables(&state, Revision(9)).drains, drains);
+    assert_eq!(diff_tables(&before, &state), [TablesChange::Drains(drains)]);
+    assert_eq!(diff_tables(&state, &state), []);
 }
--- a/tier/control/tests/stored_format.rs
+++ b/tier/control/tests/stored_format.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 
 use common::{apply, pinned};
-use plankhill_control::{ControlState, DrainOrder, Duty, ExpiredTarget, Operation, Outcome};
+use plankhill_control::{
+    ControlState, DrainAction, DrainOrder, ExpiredTarget, Operation, Outcome, SingletonTask,
+};
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId, ServiceName, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{Edge, ServedModel, StoreMember, Target, TargetState};
 
@@ -59,29 +61,29 @@
     }
 }
 
-fn duty(duty: Duty) -> Operation {
-    Operation::Duty { view: 9, duty }
+fn singleton(task: SingletonTask) -> Operation {
+    Operation::SingletonTask { view: 9, task }
 }
 
-/// The name of an operation in the fixture. A new variant does not compile before it has a name here; it also gets a
+/// The name of an operation in the fixture, which keeps the names of the text that wrote it. A new variant does not compile before it has a name here; it also gets a
 /// value in [`operations`] and a line in the fixture.
 fn operation_name(operation: &Operation) -> &'static str {
     match operation {
         Operation::PutConfiguration { .. } => "PutConfiguration",
-        Operation::SetTarget(_) => "SetTarget",
-        Operation::RemoveTarget(_) => "RemoveTarget",
-        Operation::SetEdge(_) => "SetEdge",
-        Operation::RemoveEdge { .. } => "RemoveEdge",
+        Operation::RegisterTarget(_) => "SetTarget",
+        Operation::DeregisterTarget(_) => "RemoveTarget",
+        Operation::RegisterEdge(_) => "SetEdge",
+        Operation::DeregisterEdge { .. } => "RemoveEdge",
         Operation::RegisterStore { .. } => "RegisterStore",
         Operation::StoreSynced { .. } => "StoreSynced",
         Operation::RetireStore(_) => "RetireStore",
         Operation::OrderDrain(_) => "OrderDrain",
-        Operation::EdgeEmptied { .. } => "EdgeEmptied",
-        Operation::Duty { view: _, duty } => match duty {
-            Duty::ExpireTargets(_) => "Duty.ExpireTargets",
-            Duty::ForgetEdge { .. } => "Duty.ForgetEdge",
-            Duty::FoundStores => "Duty.FoundStores",
-            Duty::DropStore { .. } => "Duty.DropStore",
+        Operation::EdgeDrained { .. } => "EdgeEmptied",
+        Operation::SingletonTask { view: _, task } => match task {
+            SingletonTask::ExpireTargets(_) => "Duty.ExpireTargets",
+            SingletonTask::ExpireEdge { .. } => "Duty.ForgetEdge",
+            SingletonTask::BootstrapStores => "Duty.FoundStores",
+            SingletonTask::RemoveLostStore { .. } => "Duty.DropStore",
         },
     }
 }
@@ -90,20 +92,20 @@
     let drained = DrainOrder {
         expected: 5,
         nodes: vec![NodeId::from("edge-1"), NodeId::from("edge-2")],
-        leave: true,
+        action: DrainAction::Drain,
     };
     vec![
         put(300, 301, r#"{"version":301}"#),
-        Operation::SetTarget(target("i-1", 8_080, TargetState::Draining)),
-        Operation::RemoveTarget(InstanceId::from("i-1")),
-        Operation::SetEdge(edge("edge-1", "north")),
-        Operation::RemoveEdge {
+        Operation::RegisterTarget(target("i-1", 8_080, TargetState::Draining)),
+        Operation::DeregisterTarget(InstanceId::from("i-1")),
+        Operation::RegisterEdge(edge("edge-1", "north")),
+        Operation::DeregisterEdge {
             node: NodeId::from("edge-1"),
             incarnation: Incarnation(77),
         },
         Operation::RegisterStore {
             member: store("store-1", 66),
-            faults: 2,
+            tolerated_faults: 2,
         },
         Operation::StoreSynced {
             node: NodeId::from("store-1"),
@@ -112,20 +114,20 @@
         },
         Operation::RetireStore(NodeId::from("store-1")),
         Operation::OrderDrain(drained),
-        Operation::EdgeEmptied {
+        Operation::EdgeDrained {
             node: NodeId::from("edge-1"),
             number: 6,
         },
-        duty(Duty::ExpireTargets(vec![ExpiredTarget {
+        singleton(SingletonTask::ExpireTargets(vec![ExpiredTarget {
             id: InstanceId::from("i-1"),
             sequence: 70_000,
         }])),
-        duty(Duty::ForgetEdge {
+        singleton(SingletonTask::ExpireEdge {
             node: NodeId::from("edge-1"),
             incarnation: Incarnation(77),
         }),
-        duty(Duty::FoundStores),
-        duty(Duty::DropStore {
+        singleton(SingletonTask::BootstrapStores),
+        singleton(SingletonTask::RemoveLostStore {
             node: NodeId::from("store-1"),
             incarnation: Incarnation(66),
         }),
@@ -136,34 +138,34 @@
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Applied => "Applied",
-        Outcome::Repeated => "Repeated",
+        Outcome::Duplicate => "Repeated",
         Outcome::Ignored => "Ignored",
         Outcome::Conflict { .. } => "Conflict",
-        Outcome::NotAbove { .. } => "NotAbove",
+        Outcome::VersionNotIncreasing { .. } => "NotAbove",
         Outcome::UnknownStore => "UnknownStore",
         Outcome::TooFewStores => "TooFewStores",
         Outcome::UnknownEdge => "UnknownEdge",
         Outcome::TooFewEdges => "TooFewEdges",
         Outcome::Full => "Full",
         Outcome::Fenced => "Fenced",
-        Outcome::Forgotten => "Forgotten",
+        Outcome::HistoryTrimmed => "Forgotten",
     }
 }
 
 fn outcomes() -> Vec<Outcome> {
     vec![
         Outcome::Applied,
-        Outcome::Repeated,
+        Outcome::Duplicate,
         Outcome::Ignored,
         Outcome::Conflict { current: 300 },
-        Outcome::NotAbove { current: 301 },
+        Outcome::VersionNotIncreasing { current: 301 },
         Outcome::UnknownStore,
         Outcome::TooFewStores,
         Outcome::UnknownEdge,
         Outcome::TooFewEdges,
         Outcome::Full,
         Outcome::Fenced,
-        Outcome::Forgotten,
+        Outcome::HistoryTrimmed,
     ]
 }
 
@@ -179,20 +181,20 @@
     state
 }
 
-/// Before the first view of the stores: one store waits.
+/// Before the first view of the stores: one candidate waits.
 fn founding() -> ControlState {
     state_after(&[Operation::RegisterStore {
         member: store("store-1", 61),
-        faults: 1,
+        tolerated_faults: 1,
     }])
 }
 
-/// Every field of the state differs from its default: a set of stores takes over from another, a target ended, a store
-/// was retired, edges are out of service.
+/// Every field of the state differs from its default: a set of stores takes over from another, a target has
+/// deregistered, a store is retired, an edge drains.
 fn complete() -> ControlState {
     let register = |node, incarnation| Operation::RegisterStore {
         member: store(node, incarnation),
-        faults: 1,
+        tolerated_faults: 1,
     };
     let synced = |node: &str, incarnation, epoch| Operation::StoreSynced {
         node: NodeId::from(node),
@@ -202,16 +204,16 @@
     let drained = DrainOrder {
         expected: 0,
         nodes: vec![NodeId::from("edge-1")],
-        leave: true,
+        action: DrainAction::Drain,
     };
     state_after(&[
         put(0, 300, r#"{"version":300}"#),
         put(300, 301, r#"{"version":301}"#),
-        Operation::SetTarget(target("i-1", 8_080, TargetState::Healthy)),
-        Operation::SetTarget(target("i-2", 8_081, TargetState::Draining)),
-        Operation::RemoveTarget(InstanceId::from("i-2")),
-        Operation::SetEdge(edge("edge-1", "north")),
-        Operation::SetEdge(edge("edge-2", "north")),
+        Operation::RegisterTarget(target("i-1", 8_080, TargetState::Healthy)),
+        Operation::RegisterTarget(target("i-2", 8_081, TargetState::Draining)),
+        Operation::DeregisterTarget(InstanceId::from("i-2")),
+        Operation::RegisterEdge(edge("edge-1", "north")),
+        Operation::RegisterEdge(edge("edge-2", "north")),
         register("store-1", 61),
         register("store-2", 62),
         register("store-3", 63),
@@ -223,15 +225,15 @@
         Operation::RetireStore(NodeId::from("store-1")),
         synced("store-2", 62, 4),
         Operation::OrderDrain(drained),
-        Operation::EdgeEmptied {
+        Operation::EdgeDrained {
             node: NodeId::from("edge-1"),
             number: 1,
         },
-        duty(Duty::ExpireTargets(vec![ExpiredTarget {
+        singleton(SingletonTask::ExpireTargets(vec![ExpiredTarget {
             id: InstanceId::from("i-1"),
             sequence: 70_000,
         }])),
-        Operation::SetTarget(target("i-3", 8_082, TargetState::Healthy)),
+        Operation::RegisterTarget(target("i-3", 8_082, TargetState::Healthy)),
     ])
 }
 
@@ -270,3 +272,16 @@
     ];
     pinned(STATES, values);
 }
+
+/// Drain orders were stored with a flag `leave` before they had an action.
+#[test]
+fn drain_actions_are_encoded_as_the_flag_that_they_replace() {
+    for (action, leave) in [(DrainAction::Undrain, false), (DrainAction::Drain, true)] {
+        let encoded = postcard::to_stdvec(&action).expect("encodes");
+        assert_eq!(encoded, postcard::to_stdvec(&leave).expect("encodes"));
+        assert_eq!(
+            postcard::from_bytes::<DrainAction>(&encoded).expect("decodes"),
+            action
+        );
+    }
+}
--- a/tier/control/tests/stores.rs
+++ b/tier/control/tests/stores.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeSet;
 
-use common::{apply, drop_store, register, store, synced, three_stores};
-use plankhill_control::{ControlState, Duty, Operation, Outcome, Retirement};
+use common::{apply, register, remove_lost_store, store, synced, three_stores};
+use plankhill_control::{ControlState, Operation, Outcome, Retirement, SingletonTask};
 use plankhill_protocol::ids::{Incarnation, NodeId};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_first_stores_serve_together_once_enough_have_come() {
+fn the_first_stores_serve_once_2f_plus_1_have_registered() {
     let mut state = ControlState::default();
     apply(&mut state, &register(&store("s1", 1)));
     apply(&mut state, &register(&store("s2", 2)));
@@ -41,10 +41,10 @@
 }
 
 #[test]
-fn fewer_stores_found_only_with_a_quorum() {
-    let found = Operation::Duty {
+fn fewer_stores_bootstrap_only_with_a_quorum() {
+    let found = Operation::SingletonTask {
         view: 1,
-        duty: Duty::FoundStores,
+        task: SingletonTask::BootstrapStores,
     };
     let mut state = ControlState::default();
     apply(&mut state, &register(&store("s1", 1)));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_new_life_replaces_the_former_one() {
+fn a_new_incarnation_replaces_the_former_one() {
     let (mut state, _) = three_stores();
     apply(&mut state, &register(&store("s2", 22)));
     assert_eq!(next_names(&state).unwrap(), ["s1", "s2", "s3"]);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_was_synced_for_an_earlier_epoch_does_not_count() {
+fn a_synced_report_for_an_earlier_epoch_is_ignored() {
     let (mut state, members) = three_stores();
     apply(&mut state, &register(&store("s4", 4)));
     assert_eq!(apply(&mut state, &synced(&members[0], 2)), Outcome::Applied);
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn a_store_that_comes_again_unchanged_changes_nothing() {
+fn an_unchanged_registration_of_a_store_is_ignored() {
     let (mut state, members) = three_stores();
     assert_eq!(apply(&mut state, &register(&members[0])), Outcome::Ignored);
     assert_eq!(epoch(&state), 1);
 }
 
 #[test]
-fn the_same_disk_at_another_address_keeps_its_place() {
+fn the_same_incarnation_at_another_address_need_not_sync() {
     let (mut state, members) = three_stores();
     let moved = StoreMember {
         address: ([10, 9, 9, 9], 7001).into(),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_store_is_retired_once_the_others_hold_everything() {
+fn a_retirement_completes_once_the_others_have_synced() {
     let (mut state, members) = three_stores();
     let s1 = members[0].node.clone();
     apply(&mut state, &register(&store("s4", 4)));
@@ -122,7 +122,7 @@
     );
     assert_eq!(
         apply(&mut state, &Operation::RetireStore(s1.clone())),
-        Outcome::Repeated
+        Outcome::Duplicate
     );
     let progress = |state: &ControlState| state.retirements().progress(&s1, state.stores());
     assert_eq!(progress(&state), Some(Retirement::InProgress));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_retired_store_is_not_taken_in_again() {
+fn a_retired_store_is_not_registered_again() {
     let (mut state, members) = three_stores();
     apply(&mut state, &register(&store("s4", 4)));
     sync_all(&mut state);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn retiring_is_refused_where_too_few_would_be_left() {
+fn a_retirement_that_leaves_too_few_stores_is_rejected() {
     let (mut state, members) = three_stores();
     let unknown = Operation::RetireStore(NodeId::from("nobody"));
     assert_eq!(apply(&mut state, &unknown), Outcome::UnknownStore);
@@ -162,26 +162,26 @@
 }
 
 #[test]
-fn a_store_that_joins_and_is_gone_is_dropped_again() {
+fn a_joining_store_that_is_lost_is_removed() {
     let (mut state, _) = three_stores();
     apply(&mut state, &register(&store("s4", 4)));
     assert_eq!(
-        apply(&mut state, &drop_store(&store("s4", 4))),
+        apply(&mut state, &remove_lost_store(&store("s4", 4))),
         Outcome::Applied
     );
     assert_eq!((epoch(&state), next_names(&state)), (3, None));
 }
 
 #[test]
-fn a_lost_store_leaves_once_its_successor_has_come() {
+fn a_lost_store_is_removed_once_its_successor_joins() {
     let (mut state, members) = three_stores();
     assert_eq!(
-        apply(&mut state, &drop_store(&members[2])),
+        apply(&mut state, &remove_lost_store(&members[2])),
         Outcome::Ignored
     );
     apply(&mut state, &register(&store("s4", 4)));
     assert_eq!(
-        apply(&mut state, &drop_store(&members[2])),
+        apply(&mut state, &remove_lost_store(&members[2])),
         Outcome::Applied
     );
     assert_eq!(next_names(&state).unwrap(), ["s1", "s2", "s4"]);
@@ -190,18 +190,19 @@
 }
 
 #[test]
-fn a_new_life_that_is_gone_too_leaves_the_serving_set_as_it_was() {
+fn a_lost_new_incarnation_leaves_the_serving_set_unchanged() {
     let (mut state, members) = three_stores();
     apply(&mut state, &register(&store("s3", 33)));
     assert_eq!(
-        apply(&mut state, &drop_store(&store("s3", 33))),
+        apply(&mut state, &remove_lost_store(&store("s3", 33))),
         Outcome::Applied
     );
     assert_eq!(next_names(&state), None);
     assert_eq!(state.stores().view().serving[2], members[2]);
 }
 
-/// Checks one step: who serves afterwards either served before, or was next and had synced in that epoch.
+/// Checks one step: a member that serves afterwards either served before, or was in the next set and had synced in that
+/// epoch.
 fn check_step(before: &StoreView, synced: &BTreeSet<NodeId>, after: &StoreView, outcome: Outcome) {
     assert!(after.epoch >= before.epoch);
     if outcome != Outcome::Applied {
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn no_store_ever_serves_that_has_not_synced() {
+fn a_store_serves_only_after_it_has_synced() {
     arbtest::arbtest(|random| {
         let mut state = ControlState::default();
         for _ in 0..random.int_in_range(1..=60)? {
@@ -235,7 +236,7 @@
             let operation = match random.int_in_range(0..=9)? {
                 0..=2 => register(&member),
                 3..=7 => synced(&member, epoch(&state).saturating_sub(stale)),
-                8 => drop_store(&member),
+                8 => remove_lost_store(&member),
                 _ => Operation::RetireStore(member.node.clone()),
             };
             let before = state.stores().view().clone();
--- a/tier/control/tests/tables.rs
+++ b/tier/control/tests/tables.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{apply, draining, edge, put, register, store, synced, target};
-use plankhill_control::{changes_between, tables_of, ControlState, Operation};
+use plankhill_control::{build_tables, diff_tables, ControlState, Operation};
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId, Revision, ServiceName};
 use plankhill_protocol::tables::{Tables, TablesUpdate, Target};
 
@@ -14,15 +14,15 @@
     let number = random.int_in_range(1..=9)?;
     let port = random.int_in_range(80..=83)?;
     Ok(match random.int_in_range(0..=8)? {
-        0 => Operation::SetTarget(target(name, port, number)),
-        1 => Operation::SetTarget(draining(name, port, number)),
-        2 => Operation::SetTarget(Target {
+        0 => Operation::RegisterTarget(target(name, port, number)),
+        1 => Operation::RegisterTarget(draining(name, port, number)),
+        2 => Operation::RegisterTarget(Target {
             service: ServiceName::from("tools"),
             ..target(name, port, number)
         }),
-        3 => Operation::RemoveTarget(InstanceId::from(name)),
-        4 => Operation::SetEdge(edge(name, number)),
-        5 => Operation::RemoveEdge {
+        3 => Operation::DeregisterTarget(InstanceId::from(name)),
+        4 => Operation::RegisterEdge(edge(name, number)),
+        5 => Operation::DeregisterEdge {
             node: NodeId::from(name),
             incarnation: Incarnation(number),
         },
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn changes_give_the_same_tables_as_a_snapshot() {
+fn changes_and_snapshot_give_the_same_tables() {
     arbtest::arbtest(|random| {
         let mut state = ControlState::default();
         let mut held = Tables::default();
@@ -42,9 +42,9 @@
             apply(&mut state, &any_operation(random)?);
             if random.arbitrary()? {
                 let (from, to) = (held.revision, Revision(step));
-                let changes = changes_between(&sent, &state);
+                let changes = diff_tables(&sent, &state);
                 assert!(held.apply(TablesUpdate::Changes { from, to, changes }));
-                assert_eq!(held, tables_of(&state, to));
+                assert_eq!(held, build_tables(&state, to));
                 sent = state.clone();
             }
         }
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn a_state_survives_its_encoding() {
+fn a_state_is_decoded_from_its_encoding() {
     let mut state = ControlState::default();
     for operation in [
         put(0, 3, "{}"),
-        Operation::SetTarget(target("x", 80, 1)),
+        Operation::RegisterTarget(target("x", 80, 1)),
         register(&store("s", 1)),
     ] {
         apply(&mut state, &operation);
--- a/tier/controller/src/admin/configuration.rs
+++ b/tier/controller/src/admin/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: taking it and reading it back.
+//! `/-/config`: the operator's configuration, put and read back.
 
 use bytes::Bytes;
 use hyper::header::IF_MATCH;
@@ -7,117 +7,126 @@
 use plankhill_control::{Operation, Outcome};
 use serde::Serialize;
 
-use super::answer::{failure, invalid, ok, ok_text, unavailable, unread, Answer};
-use super::body::{announced_length, read_body, BodyBudget, ReadableBody};
+use super::body::{max_body_length, read_body, BodyBudget, ReadableBody};
+use super::response::{
+    bad_request, body_error, error, ok, ok_json_text, unavailable, AdminResponse,
+};
 use super::OUTCOME_TIMEOUT;
-use crate::log::ControlLog;
-use crate::process::Controller;
+use crate::control_log::ControlLog;
+use crate::controller::Controller;
 
-/// Largest configuration taken, in bytes: about 25,000 routes.
-pub const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
+/// Largest configuration accepted, in bytes: about 25,000 routes.
+const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
 
-/// The answer to a configuration that is in force, or was.
+/// The response to a configuration that is in force, or was.
 #[derive(Serialize)]
-struct Taken {
+struct Accepted {
     version: u64,
 }
 
-/// Takes a configuration.
-pub async fn put<L: ControlLog>(
+/// Puts a configuration. The version that it builds on stands in `If-Match`.
+pub(super) async fn put<L: ControlLog>(
     controller: &Controller<L>,
     budget: &BodyBudget,
     request: Request<impl ReadableBody>,
-) -> Answer {
+) -> AdminResponse {
     let (head, body) = request.into_parts();
     let Some(expected) = expected_version(&head.headers) else {
-        return invalid("If-Match: must be the version that the configuration builds on");
+        return bad_request("If-Match: must be the version that the configuration builds on");
     };
-    let held =
-        announced_length(&body, MAX_CONFIGURATION_BYTES).and_then(|length| budget.take(length));
-    let _held = match held {
-        Ok(held) => held,
-        Err(error) => return unread(error),
+    let max_length = match max_body_length(&body, MAX_CONFIGURATION_BYTES) {
+        Ok(max_length) => max_length,
+        Err(cause) => return body_error(cause),
+    };
+    let _reservation = match budget.reserve(max_length) {
+        Ok(reservation) => reservation,
+        Err(cause) => return body_error(cause),
     };
     match read_body(body, MAX_CONFIGURATION_BYTES).await {
-        Ok(document) => judge(controller, expected, document).await,
-        Err(error) => unread(error),
+        Ok(document) => put_document(controller, expected, document).await,
+        Err(cause) => body_error(cause),
     }
 }
 
 /// The version in `If-Match`, with or without quotes.
-pub fn expected_version(headers: &HeaderMap) -> Option<u64> {
+fn expected_version(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get(IF_MATCH)?.to_str().ok()?;
     text.trim().trim_matches('"').parse().ok()
 }
 
-async fn judge<L: ControlLog>(
+async fn put_document<L: ControlLog>(
     controller: &Controller<L>,
     expected: u64,
     document: Bytes,
-) -> Answer {
-    if let Some(answer) = answer_from_history(controller, expected, &document) {
-        return answer;
+) -> AdminResponse {
+    if let Some(response) = respond_from_history(controller, expected, &document) {
+        return response;
     }
     let version = match Configuration::parse(&document) {
         Ok(configuration) => configuration.version,
-        Err(error) => return invalid(&error.to_string()),
+        Err(cause) => return bad_request(&cause.to_string()),
     };
     let operation = Operation::PutConfiguration {
         expected,
         version,
         document: document.as_ref().into(),
     };
+    // The operation holds a copy: the body need not stay in memory while the outcome is awaited.
     drop(document);
-    match controller.log.propose(operation, OUTCOME_TIMEOUT).await {
-        Ok(outcome) => answer_to(outcome, version),
+    match controller.log().propose(operation, OUTCOME_TIMEOUT).await {
+        Ok(outcome) => respond_to_outcome(outcome, version),
         Err(_) => unavailable(),
     }
 }
 
-/// What the committed state known here settles without reading the document: it was taken before, or it builds
-/// on a version that is surely not current any more.
-fn answer_from_history<L: ControlLog>(
+/// The response that the committed state known here settles without parsing the document: the document was accepted
+/// before, or it builds on a version that is surely not current any more.
+fn respond_from_history<L: ControlLog>(
     controller: &Controller<L>,
     expected: u64,
     document: &[u8],
-) -> Option<Answer> {
-    let known = controller.log.state().borrow().state.clone();
+) -> Option<AdminResponse> {
+    let known = controller.log().state().borrow().state.clone();
     let history = known.configuration_history();
-    if let Some(version) = history.taken_as(document) {
-        return Some(answer_to(Outcome::Repeated, version));
+    if let Some(version) = history.accepted_version(document) {
+        return Some(respond_to_outcome(Outcome::Duplicate, version));
     }
     let current = history.current_version();
-    // Its own version is above the one that it builds on.
-    let is_settled = expected < current && !history.may_have_forgotten(expected + 1);
-    is_settled.then(|| answer_to(Outcome::Conflict { current }, expected))
+    // The document's own version is above the one that it builds on.
+    if expected < current && !history.may_have_been_trimmed(expected + 1) {
+        return Some(respond_to_outcome(Outcome::Conflict { current }, expected));
+    }
+    None
 }
 
-fn answer_to(outcome: Outcome, version: u64) -> Answer {
+fn respond_to_outcome(outcome: Outcome, version: u64) -> AdminResponse {
     match outcome {
-        Outcome::Applied | Outcome::Repeated => ok(&Taken { version }),
+        Outcome::Applied | Outcome::Duplicate => ok(&Accepted { version }),
         Outcome::Conflict { current } => {
-            let error = format!("If-Match: version {current} is current");
-            failure(StatusCode::PRECONDITION_FAILED, &error)
+            let reason = format!("If-Match: version {current} is current");
+            error(StatusCode::PRECONDITION_FAILED, &reason)
         }
-        Outcome::NotAbove { current } => {
+        Outcome::VersionNotIncreasing { current } => {
             let message = format!("{version} is not above the current version {current}");
-            invalid(&Fault::new("version", message).to_string())
+            bad_request(&Fault::new("version", message).to_string())
         }
-        Outcome::Forgotten => {
-            let error = "version: too old to tell whether this configuration was taken";
-            failure(StatusCode::SERVICE_UNAVAILABLE, error)
+        Outcome::HistoryTrimmed => {
+            let reason = "version: too old to tell whether this configuration was taken";
+            error(StatusCode::SERVICE_UNAVAILABLE, reason)
         }
         _ => unavailable(),
     }
 }
 
-/// The newest configuration, byte for byte as it was sent.
-pub async fn get<L: ControlLog>(controller: &Controller<L>) -> Answer {
-    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else {
+/// Reads the newest configuration, byte for byte as it was put.
+pub(super) async fn get<L: ControlLog>(controller: &Controller<L>) -> AdminResponse {
+    let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
     };
     match newest.state.configuration() {
-        Some(configuration) => ok_text(Bytes::from_owner(configuration.document.text().clone())),
-        None => failure(StatusCode::NOT_FOUND, "there is no configuration yet"),
+        Some(configuration) => {
+            ok_json_text(Bytes::from_owner(configuration.document.text().clone()))
+        }
+        None => error(StatusCode::NOT_FOUND, "there is no configuration yet"),
     }
 }
--- a/tier/controller/src/admin/drains.rs
+++ b/tier/controller/src/admin/drains.rs
@@ -1,27 +1,27 @@
-//! Taking edges out of service, and back.
+//! `/-/drains`: taking edges out of service, and returning them.
 
 use hyper::StatusCode;
-use plankhill_control::{ControlState, DrainOrder, Operation, Outcome};
+use plankhill_control::{ControlState, DrainAction, DrainOrder, Operation, Outcome};
 use plankhill_protocol::ids::NodeId;
 use serde::{Deserialize, Serialize};
 use serde_json::Deserializer;
 
-use super::answer::{failure, invalid, ok, unavailable, unread, Answer};
 use super::body::{read_body, ReadableBody};
+use super::response::{bad_request, body_error, error, ok, unavailable, AdminResponse};
 use super::OUTCOME_TIMEOUT;
-use crate::log::ControlLog;
-use crate::process::Controller;
+use crate::control_log::ControlLog;
+use crate::controller::Controller;
 
-/// Largest order: the names of some thousand machines.
+/// Largest order, in bytes: the names of some thousand machines.
 const MAX_ORDER_BYTES: usize = 256 * 1_024;
 
 /// An order as the operator sends it.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Order {
+struct OrderBody {
     /// The number of the last order that the operator knows of; 0 for none.
     expected: u64,
-    /// Whether the edges leave; otherwise they are taken back.
+    /// Whether the edges drain; otherwise they return to service.
     leave: bool,
     /// The machines.
     #[serde(default)]
@@ -31,13 +31,12 @@
     zone: Option<String>,
 }
 
-/// What is out of service.
+/// The drains and the registered edges.
 #[derive(Serialize)]
 struct DrainList {
     /// The number of the last order.
     number: u64,
     drains: Vec<DrainEntry>,
-    /// The edges in service, with their zones and lives.
     edges: Vec<EdgeEntry>,
 }
 
@@ -45,6 +44,7 @@
 struct DrainEntry {
     node: String,
     number: u64,
+    /// `leaving` or `empty`.
     state: &'static str,
 }
 
@@ -55,49 +55,53 @@
     incarnation: u64,
 }
 
-/// Carries out an order.
-pub async fn order<L: ControlLog>(controller: &Controller<L>, body: impl ReadableBody) -> Answer {
+/// Carries out an order and lists the drains.
+pub(super) async fn order<L: ControlLog>(
+    controller: &Controller<L>,
+    body: impl ReadableBody,
+) -> AdminResponse {
     let text = match read_body(body, MAX_ORDER_BYTES).await {
         Ok(text) => text,
-        Err(error) => return unread(error),
+        Err(cause) => return body_error(cause),
     };
-    let order: Order = match serde_path_to_error::deserialize(&mut Deserializer::from_slice(&text))
-    {
-        Ok(order) => order,
-        Err(error) => return invalid(&format!("order cannot be read: {error}")),
-    };
-    // The zone's machines are those that are known anywhere; a newer order makes the number conflict.
-    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else {
+    let body: OrderBody =
+        match serde_path_to_error::deserialize(&mut Deserializer::from_slice(&text)) {
+            Ok(body) => body,
+            Err(cause) => return bad_request(&format!("order cannot be read: {cause}")),
+        };
+    // A zone means the machines that are registered anywhere, so that the newest state is needed. A newer order makes
+    // the number conflict.
+    let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
     };
-    let order = match resolved(order, &newest.state) {
+    let order = match resolve_order(body, &newest.state) {
         Ok(order) => order,
-        Err(nobody @ NamesNobody::NoMachine) => return invalid(&nobody.to_string()),
-        Err(nobody @ NamesNobody::EmptyZone) => {
-            return failure(StatusCode::NOT_FOUND, &nobody.to_string())
+        Err(cause @ EmptyOrder::NoNodes) => return bad_request(&cause.to_string()),
+        Err(cause @ EmptyOrder::EmptyZone) => {
+            return error(StatusCode::NOT_FOUND, &cause.to_string())
         }
     };
     match controller
-        .log
+        .log()
         .propose(Operation::OrderDrain(order), OUTCOME_TIMEOUT)
         .await
     {
-        Ok(Outcome::Applied | Outcome::Repeated) => list(controller).await,
-        Ok(Outcome::UnknownEdge) => failure(StatusCode::NOT_FOUND, "no such edge"),
+        Ok(Outcome::Applied | Outcome::Duplicate) => list(controller).await,
+        Ok(Outcome::UnknownEdge) => error(StatusCode::NOT_FOUND, "no such edge"),
         Ok(Outcome::TooFewEdges) => {
-            failure(StatusCode::CONFLICT, "too few edges would stay in service")
+            error(StatusCode::CONFLICT, "too few edges would stay in service")
+        }
+        Ok(Outcome::Conflict { current }) => {
+            let reason = format!("expected: order {current} came before");
+            error(StatusCode::PRECONDITION_FAILED, &reason)
         }
-        Ok(Outcome::Conflict { current }) => failure(
-            StatusCode::PRECONDITION_FAILED,
-            &format!("expected: order {current} came before"),
-        ),
         Ok(_) | Err(_) => unavailable(),
     }
 }
 
-/// What is out of service.
-pub async fn list<L: ControlLog>(controller: &Controller<L>) -> Answer {
-    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else {
+/// Lists the drains and the registered edges.
+pub(super) async fn list<L: ControlLog>(controller: &Controller<L>) -> AdminResponse {
+    let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
     };
     let state = &newest.state;
@@ -112,44 +116,51 @@
         incarnation: edge.incarnation.0,
     });
     ok(&DrainList {
-        number: state.drains().number(),
+        number: state.drains().last_number(),
         drains: drains.collect(),
         edges: edges.collect(),
     })
 }
 
-/// Why an order names nobody.
+/// Why an order names no machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-enum NamesNobody {
+enum EmptyOrder {
     #[error("nodes: no machine is named")]
-    NoMachine,
+    NoNodes,
     #[error("zone: no edge is there")]
     EmptyZone,
 }
 
-fn resolved(order: Order, state: &ControlState) -> Result<DrainOrder, NamesNobody> {
-    let mut nodes: Vec<NodeId> = order
+/// The machines that an order means: those that it names and those of its zone.
+fn resolve_order(body: OrderBody, state: &ControlState) -> Result<DrainOrder, EmptyOrder> {
+    let mut nodes: Vec<NodeId> = body
         .nodes
         .iter()
         .map(|node| NodeId::from(node.as_str()))
         .collect();
-    if let Some(zone) = &order.zone {
-        let of_zone = state
+    if let Some(zone) = &body.zone {
+        let in_zone = state
             .edges()
             .iter()
             .filter(|edge| edge.zone.as_str() == zone);
-        nodes.extend(of_zone.map(|edge| edge.node.clone()));
+        nodes.extend(in_zone.map(|edge| edge.node.clone()));
     }
     nodes.sort();
     nodes.dedup();
     if nodes.is_empty() {
-        return Err(order
-            .zone
-            .map_or(NamesNobody::NoMachine, |_| NamesNobody::EmptyZone));
+        return match body.zone {
+            Some(_) => Err(EmptyOrder::EmptyZone),
+            None => Err(EmptyOrder::NoNodes),
+        };
     }
+    let action = if body.leave {
+        DrainAction::Drain
+    } else {
+        DrainAction::Undrain
+    };
     Ok(DrainOrder {
-        expected: order.expected,
+        expected: body.expected,
         nodes,
-        leave: order.leave,
+        action,
     })
 }
--- a/tier/controller/src/admin/heartbeat.rs
+++ b/tier/controller/src/admin/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Reads what a target reports.
+//! Parses the heartbeats of targets.
 
 use std::net::SocketAddr;
 
@@ -6,31 +6,40 @@
 use plankhill_protocol::tables::{ServedModel, Target, TargetState};
 use serde::Deserialize;
 
-/// Longest name in a report, in bytes.
-const MAX_NAME_BYTES: usize = 255;
-/// Models that one report may name.
+use super::MAX_NAME_BYTES;
+
+/// Most models that one heartbeat may name.
 const MAX_MODELS: usize = 64;
 
-/// Why a report was not taken.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+/// Why a heartbeat was rejected.
+#[derive(Debug, thiserror::Error)]
 pub enum HeartbeatError {
-    /// It is no JSON, lacks a key, or a value is of another type.
+    /// The text is no JSON, lacks a key, or a value is of another type.
     #[error("heartbeat cannot be read: {0}")]
-    Unreadable(String),
-    /// The value of a key is not allowed.
-    #[error("{0}")]
-    Invalid(&'static str),
+    Unreadable(#[from] serde_json::Error),
+    /// A name is empty or too long.
+    #[error("{key}: must have 1 to {max} bytes", max = MAX_NAME_BYTES)]
+    NameLength {
+        /// The key of the name.
+        key: &'static str,
+    },
+    /// The target states that it takes no requests at all.
+    #[error("capacity: must not be 0")]
+    ZeroCapacity,
+    /// More models are named than allowed.
+    #[error("models: at most {max}", max = MAX_MODELS)]
+    TooManyModels,
 }
 
 #[derive(Deserialize)]
-struct Report {
+struct HeartbeatBody {
     service: String,
     address: SocketAddr,
     zone: String,
     capacity: u32,
     state: ReportedState,
-    #[serde(default)]
-    cold_remaining_ms: f64,
+    #[serde(default, rename = "cold_remaining_ms")]
+    warm_up_remaining_ms: f64,
     sequence: u64,
     #[serde(default)]
     models: Vec<ReportedModel>,
@@ -43,6 +52,15 @@
     Draining,
 }
 
+impl From<ReportedState> for TargetState {
+    fn from(state: ReportedState) -> Self {
+        match state {
+            ReportedState::Healthy => TargetState::Healthy,
+            ReportedState::Draining => TargetState::Draining,
+        }
+    }
+}
+
 #[derive(Deserialize)]
 struct ReportedModel {
     name: String,
@@ -50,48 +68,52 @@
     version: u64,
 }
 
-/// Reads the report of the target `id`. Keys that nobody knows are skipped.
+impl From<ReportedModel> for ServedModel {
+    fn from(model: ReportedModel) -> Self {
+        ServedModel {
+            name: model.name,
+            version: model.version,
+        }
+    }
+}
+
+/// Parses the heartbeat of the target `id`. Unknown keys are skipped.
 ///
 /// # Errors
-/// Names the key that is missing or wrong.
+/// [`HeartbeatError`], which names the key that is missing or wrong.
 pub fn parse_heartbeat(id: InstanceId, text: &[u8]) -> Result<Target, HeartbeatError> {
-    let report: Report = serde_json::from_slice(text)
-        .map_err(|error| HeartbeatError::Unreadable(error.to_string()))?;
-    check(&report)?;
-    let served = |model: ReportedModel| ServedModel {
-        name: model.name,
-        version: model.version,
-    };
+    let body: HeartbeatBody = serde_json::from_slice(text)?;
+    validate(&body)?;
     Ok(Target {
         id,
-        service: ServiceName::from(report.service.as_str()),
-        address: report.address,
-        zone: ZoneName::from(report.zone.as_str()),
-        capacity: report.capacity,
-        state: match report.state {
-            ReportedState::Healthy => TargetState::Healthy,
-            ReportedState::Draining => TargetState::Draining,
-        },
-        sequence: report.sequence,
-        // Whole milliseconds; negative ones and those too large are cut off.
-        warm_up_remaining_ms: report.cold_remaining_ms as u64,
-        models: report.models.into_iter().map(served).collect(),
+        service: ServiceName::from(body.service.as_str()),
+        address: body.address,
+        zone: ZoneName::from(body.zone.as_str()),
+        capacity: body.capacity,
+        state: body.state.into(),
+        sequence: body.sequence,
+        // Complete milliseconds; the conversion saturates, so that negative values become 0.
+        warm_up_remaining_ms: body.warm_up_remaining_ms as u64,
+        models: body.models.into_iter().map(ServedModel::from).collect(),
     })
 }
 
-fn check(report: &Report) -> Result<(), HeartbeatError> {
-    let allowed = |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len());
-    if !allowed(&report.service) {
-        return Err(HeartbeatError::Invalid("service: must have 1 to 255 bytes"));
-    }
-    if !allowed(&report.zone) {
-        return Err(HeartbeatError::Invalid("zone: must have 1 to 255 bytes"));
+fn validate(body: &HeartbeatBody) -> Result<(), HeartbeatError> {
+    check_name("service", &body.service)?;
+    check_name("zone", &body.zone)?;
+    if body.capacity == 0 {
+        return Err(HeartbeatError::ZeroCapacity);
     }
-    if report.capacity == 0 {
-        return Err(HeartbeatError::Invalid("capacity: must not be 0"));
-    }
-    if report.models.len() > MAX_MODELS {
-        return Err(HeartbeatError::Invalid("models: at most 64"));
+    if body.models.len() > MAX_MODELS {
+        return Err(HeartbeatError::TooManyModels);
     }
     Ok(())
 }
+
+fn check_name(key: &'static str, name: &str) -> Result<(), HeartbeatError> {
+    if (1..=MAX_NAME_BYTES).contains(&name.len()) {
+        Ok(())
+    } else {
+        Err(HeartbeatError::NameLength { key })
+    }
+}
--- a/tier/controller/src/admin/instances.rs
+++ b/tier/controller/src/admin/instances.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of targets, and their end.
+//! `/-/instances/{id}`: heartbeats of targets, and their graceful end.
 
 use std::time::Instant;
 
@@ -8,77 +8,66 @@
 use plankhill_protocol::tables::Target;
 use serde::Serialize;
 
-use super::answer::{failure, invalid, ok, unavailable, unread, Answer};
 use super::body::{read_body, ReadableBody};
 use super::heartbeat::parse_heartbeat;
+use super::response::{bad_request, body_error, error, ok, unavailable, AdminResponse};
 use super::OUTCOME_TIMEOUT;
-use crate::log::ControlLog;
-use crate::process::Controller;
+use crate::control_log::ControlLog;
+use crate::controller::Controller;
 
-/// Largest report; the same bound as for its answer.
+/// Largest heartbeat, in bytes; the same bound as for its response.
 const MAX_HEARTBEAT_BYTES: usize = 4 * 1_024;
 
-/// The answer to a report that was taken; nothing is asked of the target.
+/// The response to an accepted heartbeat: an empty object, since nothing is asked of the target.
 #[derive(Serialize)]
 struct Acknowledgement {}
 
-/// Takes a report. What says nothing new is answered from the committed state; what does is answered once it is
-/// committed.
-pub async fn heartbeat<L: ControlLog>(
+/// Handles a heartbeat. One without news is acknowledged from the committed state; one with news is acknowledged once
+/// it is committed.
+pub(super) async fn heartbeat<L: ControlLog>(
     controller: &Controller<L>,
     id: InstanceId,
     body: impl ReadableBody,
-) -> Answer {
+) -> AdminResponse {
     let text = match read_body(body, MAX_HEARTBEAT_BYTES).await {
         Ok(text) => text,
-        Err(error) => return unread(error),
+        Err(cause) => return body_error(cause),
     };
-    let report = match parse_heartbeat(id, &text) {
-        Ok(report) => report,
-        Err(error) => return invalid(&error.to_string()),
-    };
-    take_report(controller, report).await
+    match parse_heartbeat(id, &text) {
+        Ok(report) => register(controller, report).await,
+        Err(cause) => bad_request(&cause.to_string()),
+    }
 }
 
-async fn take_report<L: ControlLog>(controller: &Controller<L>, report: Target) -> Answer {
+async fn register<L: ControlLog>(controller: &Controller<L>, report: Target) -> AdminResponse {
     controller
-        .liveness
-        .borrow_mut()
-        .heard_target(&report.id, Instant::now());
-    let known = controller
-        .log
+        .liveness_mut()
+        .record_target(&report.id, Instant::now());
+    let is_up_to_date = controller
+        .log()
         .state()
         .borrow()
         .state
         .targets()
-        .is_known(&report);
-    if known && controller.log.is_current() {
+        .is_up_to_date(&report);
+    if is_up_to_date && controller.log().is_current() {
         return ok(&Acknowledgement {});
     }
-    acknowledge(
-        controller
-            .log
-            .propose(Operation::SetTarget(report), OUTCOME_TIMEOUT)
-            .await
-            .ok(),
-    )
+    propose(controller, Operation::RegisterTarget(report)).await
 }
 
-/// Forgets a target for good.
-pub async fn deregister<L: ControlLog>(controller: &Controller<L>, id: InstanceId) -> Answer {
-    acknowledge(
-        controller
-            .log
-            .propose(Operation::RemoveTarget(id), OUTCOME_TIMEOUT)
-            .await
-            .ok(),
-    )
+/// Removes a target for good.
+pub(super) async fn deregister<L: ControlLog>(
+    controller: &Controller<L>,
+    id: InstanceId,
+) -> AdminResponse {
+    propose(controller, Operation::DeregisterTarget(id)).await
 }
 
-fn acknowledge(outcome: Option<Outcome>) -> Answer {
-    match outcome {
-        None => unavailable(),
-        Some(Outcome::Full) => failure(StatusCode::SERVICE_UNAVAILABLE, "too many targets"),
-        Some(_) => ok(&Acknowledgement {}),
+async fn propose<L: ControlLog>(controller: &Controller<L>, operation: Operation) -> AdminResponse {
+    match controller.log().propose(operation, OUTCOME_TIMEOUT).await {
+        Ok(Outcome::Full) => error(StatusCode::SERVICE_UNAVAILABLE, "too many targets"),
+        Ok(_) => ok(&Acknowledgement {}),
+        Err(_) => unavailable(),
     }
 }
--- a/tier/controller/src/admin/retire.rs
+++ b/tier/controller/src/admin/retire.rs
@@ -1,64 +1,65 @@
-//! Emptying a store before it is taken away.
+//! `/-/retire/{node}`: moving the data of a store to others before the machine is taken away.
 
 use hyper::StatusCode;
 use plankhill_control::{Operation, Outcome, Retirement};
 use plankhill_protocol::ids::NodeId;
 use serde::{Deserialize, Serialize};
 
-use super::answer::{failure, invalid, ok, unavailable, unread, Answer};
 use super::body::{read_body, ReadableBody};
+use super::response::{bad_request, body_error, error, ok, unavailable, AdminResponse};
 use super::OUTCOME_TIMEOUT;
-use crate::log::ControlLog;
-use crate::process::Controller;
+use crate::control_log::ControlLog;
+use crate::controller::Controller;
 
-/// Largest order.
+/// Largest order, in bytes.
 const MAX_ORDER_BYTES: usize = 4 * 1_024;
 
-/// What the operator may say besides; the time is not needed, since nothing here is done early.
+/// An order as the operator sends it. The duration is validated and not used: nothing here is done early.
 #[derive(Deserialize)]
-struct Order {
+struct OrderBody {
     #[serde(default, rename = "duration_s")]
     _duration_s: f64,
 }
 
-/// How far the emptying is.
 #[derive(Serialize)]
-struct Progress {
+struct ProgressBody {
+    /// `in_progress` or `completed`.
     state: &'static str,
 }
 
-/// Starts emptying a store.
-pub async fn start<L: ControlLog>(
+/// Starts to retire a store.
+pub(super) async fn start<L: ControlLog>(
     controller: &Controller<L>,
     node: NodeId,
     body: impl ReadableBody,
-) -> Answer {
+) -> AdminResponse {
     let text = match read_body(body, MAX_ORDER_BYTES).await {
         Ok(text) => text,
-        Err(error) => return unread(error),
+        Err(cause) => return body_error(cause),
     };
     if !text.is_empty() {
-        if let Err(error) = serde_json::from_slice::<Order>(&text) {
-            return invalid(&format!("order cannot be read: {error}"));
+        if let Err(cause) = serde_json::from_slice::<OrderBody>(&text) {
+            return bad_request(&format!("order cannot be read: {cause}"));
         }
     }
     match controller
-        .log
+        .log()
         .propose(Operation::RetireStore(node), OUTCOME_TIMEOUT)
         .await
     {
-        Ok(Outcome::Applied | Outcome::Repeated) => ok(&Progress {
-            state: "in_progress",
-        }),
-        Ok(Outcome::UnknownStore) => unknown(),
-        Ok(Outcome::TooFewStores) => failure(StatusCode::CONFLICT, "too few stores would be left"),
+        Ok(Outcome::Applied | Outcome::Duplicate) => respond_with(Retirement::InProgress),
+        Ok(Outcome::UnknownStore) => unknown_store(),
+        Ok(Outcome::TooFewStores) => error(StatusCode::CONFLICT, "too few stores would be left"),
         Ok(_) | Err(_) => unavailable(),
     }
 }
 
-/// How far the emptying is.
-pub async fn progress<L: ControlLog>(controller: &Controller<L>, node: NodeId) -> Answer {
-    let Ok(newest) = controller.log.read(OUTCOME_TIMEOUT).await else {
+/// Shows the progress of a retirement.
+pub(super) async fn progress<L: ControlLog>(
+    controller: &Controller<L>,
+    node: NodeId,
+) -> AdminResponse {
+    let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
     };
     match newest
@@ -66,14 +67,19 @@
         .retirements()
         .progress(&node, newest.state.stores())
     {
-        Some(Retirement::InProgress) => ok(&Progress {
-            state: "in_progress",
-        }),
-        Some(Retirement::Completed) => ok(&Progress { state: "completed" }),
-        None => unknown(),
+        Some(progress) => respond_with(progress),
+        None => unknown_store(),
     }
 }
 
-fn unknown() -> Answer {
-    failure(StatusCode::NOT_FOUND, "no such store is being retired")
+fn respond_with(progress: Retirement) -> AdminResponse {
+    let state = match progress {
+        Retirement::InProgress => "in_progress",
+        Retirement::Completed => "completed",
+    };
+    ok(&ProgressBody { state })
+}
+
+fn unknown_store() -> AdminResponse {
+    error(StatusCode::NOT_FOUND, "no such store is being retired")
 }
--- a/tier/controller/src/admin/router.rs
+++ b/tier/controller/src/admin/router.rs
@@ -1,38 +1,37 @@
-//! Which call a request is.
+//! Which call a request is, by its method and path.
 
 use hyper::{Method, StatusCode};
 use plankhill_protocol::ids::{InstanceId, NodeId};
 
-/// Longest name in a path, in bytes.
-const MAX_NAME_BYTES: usize = 255;
+use super::MAX_NAME_BYTES;
 
-/// A call of the operator or of a target.
+/// A call of an operator or of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Replace the configuration.
+    /// `PUT /-/config`: replace the configuration.
     PutConfiguration,
-    /// Read the newest configuration.
+    /// `GET /-/config`: read the newest configuration.
     GetConfiguration,
-    /// Empty a store.
+    /// `POST /-/retire/{node}`: retire a store.
     Retire(NodeId),
-    /// How far the emptying is.
+    /// `GET /-/retire/{node}`: show the progress of a retirement.
     RetireProgress(NodeId),
-    /// Take edges out of service, or back.
+    /// `POST /-/drains`: drain edges, or return them to service.
     OrderDrain,
-    /// What is out of service.
+    /// `GET /-/drains`: list the drains.
     ListDrains,
-    /// A heartbeat.
+    /// `PUT /-/instances/{id}`: a heartbeat of a target.
     Heartbeat(InstanceId),
-    /// A target ends.
+    /// `DELETE /-/instances/{id}`: a target shuts down gracefully.
     Deregister(InstanceId),
-    /// What the command line shows.
+    /// `GET /-/status`: what the command line shows.
     Status,
 }
 
-/// Finds the call; otherwise the status to answer with.
+/// Finds the call; otherwise the status to respond with.
 ///
 /// # Errors
-/// 404 for an unknown path, 405 for a method that the path does not have, 400 for a name that is none.
+/// 404 for an unknown path, 405 for a method that the path does not have, 400 for an invalid name.
 pub fn route(method: &Method, path: &str) -> Result<Call, StatusCode> {
     if path == "/-/config" {
         return match *method {
@@ -49,14 +48,13 @@
         };
     }
     if path == "/-/status" {
-        return if *method == Method::GET {
-            Ok(Call::Status)
-        } else {
-            Err(StatusCode::METHOD_NOT_ALLOWED)
+        return match *method {
+            Method::GET => Ok(Call::Status),
+            _ => Err(StatusCode::METHOD_NOT_ALLOWED),
         };
     }
     if let Some(name) = path.strip_prefix("/-/retire/") {
-        let node = NodeId::from(checked(name)?);
+        let node = NodeId::from(check_name(name)?);
         return match *method {
             Method::POST => Ok(Call::Retire(node)),
             Method::GET => Ok(Call::RetireProgress(node)),
@@ -64,7 +62,7 @@
         };
     }
     if let Some(name) = path.strip_prefix("/-/instances/") {
-        let id = InstanceId::from(checked(name)?);
+        let id = InstanceId::from(check_name(name)?);
         return match *method {
             Method::PUT => Ok(Call::Heartbeat(id)),
             Method::DELETE => Ok(Call::Deregister(id)),
@@ -74,7 +72,7 @@
     Err(StatusCode::NOT_FOUND)
 }
 
-fn checked(name: &str) -> Result<&str, StatusCode> {
+fn check_name(name: &str) -> Result<&str, StatusCode> {
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains('/') {
         Err(StatusCode::BAD_REQUEST)
     } else {
--- a/tier/controller/src/admin/server.rs
+++ b/tier/controller/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of the operator and of targets.
+//! The HTTP server of operators and targets.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -8,69 +8,68 @@
 use hyper::service::service_fn;
 use hyper::Request;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use tokio::net::{TcpListener, TcpStream};
+use plankhill_protocol::transport::set_socket_options;
+use tokio::net::TcpListener;
 use tokio::sync::watch;
+use tokio::task::spawn_local;
 
-use super::answer::{failure, Answer};
 use super::body::{BodyBudget, ReadableBody};
+use super::response::{error, AdminResponse};
 use super::router::{route, Call};
 use super::{configuration, drains, instances, retire, status};
-use crate::log::ControlLog;
-use crate::process::Controller;
+use crate::control_log::ControlLog;
+use crate::controller::Controller;
+use crate::limited_listener::{AcceptedConnection, LimitedListener};
 
-/// Connections at once; further ones are closed.
-const CONNECTIONS: usize = 1_024;
-/// Pause after a failed accept, so that other connections can end.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time for the head of a request, counted from the end of the call before: callers that keep a connection send
-/// a heartbeat every second or so.
+/// The longest time for the head of a request, counted from the end of the call before: callers that keep a connection
+/// send a heartbeat every second or so.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest head of a request.
+/// Largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1_024;
-/// Memory for bodies that are being read: an eighth of a small machine's.
-const BODY_BYTES: usize = 32 << 20;
+/// Memory for the bodies that are being read, in bytes: an eighth of a small machine's.
+const BODY_BUDGET_BYTES: usize = 32 << 20;
 
-/// Accepts connections until `ending` says true; those open then end with their present call.
+/// Accepts connections until `shutting_down` is true; those open then end with their present call.
 pub async fn serve_admin<L: ControlLog>(
     controller: Rc<Controller<L>>,
     listener: TcpListener,
-    mut ending: watch::Receiver<bool>,
+    mut shutting_down: watch::Receiver<bool>,
 ) {
-    let budget = BodyBudget::new(BODY_BYTES);
-    let open = Rc::new(());
+    let budget = BodyBudget::new(BODY_BUDGET_BYTES);
+    let listener = LimitedListener::new(listener);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = ending.wait_for(|ending| *ending) => return,
+            _ = shutting_down.wait_for(|shutting_down| *shutting_down) => return,
         };
-        let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
-            continue;
-        };
-        if Rc::strong_count(&open) > CONNECTIONS {
-            continue;
-        }
-        let serving = serve_connection(controller.clone(), budget.clone(), stream, ending.clone());
-        let place = open.clone();
-        tokio::task::spawn_local(async move {
-            serving.await;
-            drop(place);
-        });
+        let (controller, budget) = (controller.clone(), budget.clone());
+        spawn_local(serve_connection(
+            controller,
+            budget,
+            accepted,
+            shutting_down.clone(),
+        ));
     }
 }
 
 async fn serve_connection<L: ControlLog>(
     controller: Rc<Controller<L>>,
     budget: BodyBudget,
-    stream: TcpStream,
-    mut ending: watch::Receiver<bool>,
+    accepted: AcceptedConnection,
+    mut shutting_down: watch::Receiver<bool>,
 ) {
-    if plankhill_protocol::transport::set_socket_options(&stream).is_err() {
+    let AcceptedConnection {
+        stream,
+        address,
+        permit: _permit,
+    } = accepted;
+    if set_socket_options(&stream).is_err() {
         return;
     }
     let service = service_fn(move |request| {
-        let (controller, budget) = (controller.clone(), budget.clone());
-        async move { Ok::<_, Infallible>(answer(&controller, &budget, request).await) }
+        let controller = controller.clone();
+        let budget = budget.clone();
+        async move { Ok::<_, Infallible>(handle_request(&controller, &budget, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -80,25 +79,25 @@
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = &mut connection => ended,
-        _ = ending.wait_for(|ending| *ending) => {
+        _ = shutting_down.wait_for(|shutting_down| *shutting_down) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(error) = ended {
-        tracing::debug!(%error, "connection ended");
+        tracing::debug!(%address, %error, "admin connection failed");
     }
 }
 
-/// Answers one request.
-pub async fn answer<L: ControlLog>(
+/// Responds to one request.
+pub async fn handle_request<L: ControlLog>(
     controller: &Controller<L>,
     budget: &BodyBudget,
     request: Request<impl ReadableBody>,
-) -> Answer {
+) -> AdminResponse {
     let call = match route(request.method(), request.uri().path()) {
         Ok(call) => call,
-        Err(status) => return failure(status, status.canonical_reason().unwrap_or("refused")),
+        Err(status) => return error(status, status.canonical_reason().unwrap_or("refused")),
     };
     match call {
         Call::PutConfiguration => configuration::put(controller, budget, request).await,
--- a/tier/controller/src/admin/status.rs
+++ b/tier/controller/src/admin/status.rs
@@ -1,15 +1,15 @@
-//! What this controller knows, for the command line.
+//! `/-/status`: what this controller knows, for the command line.
 
-use plankhill_protocol::tables::{StoreMember, Tables};
+use plankhill_protocol::tables::StoreMember;
 use serde::Serialize;
 
-use super::answer::{ok, Answer};
-use crate::log::ControlLog;
-use crate::process::Controller;
+use super::response::{ok, AdminResponse};
+use crate::control_log::{ChainPeer, ControlLog};
+use crate::controller::Controller;
 
-/// The whole status.
+/// The status. Its fields are what the users' pages name.
 #[derive(Serialize)]
-struct Status {
+struct StatusBody {
     node: String,
     current: bool,
     view: u64,
@@ -19,12 +19,12 @@
     configuration_version: u64,
     targets: usize,
     edges: Vec<String>,
-    stores: StoresStatus,
-    subscribers: Vec<SubscriberLag>,
+    stores: StoresBody,
+    subscribers: Vec<SubscriberBody>,
 }
 
 #[derive(Serialize)]
-struct StoresStatus {
+struct StoresBody {
     epoch: u64,
     serving: Vec<String>,
     next: Option<Vec<String>>,
@@ -32,57 +32,56 @@
 }
 
 #[derive(Serialize)]
-struct SubscriberLag {
+struct SubscriberBody {
     node: String,
     applied: u64,
+    /// Revisions that the subscriber has not reported as applied.
     behind: u64,
 }
 
-/// The status as this controller sees it, also when it is cut off.
-pub fn status<L: ControlLog>(controller: &Controller<L>) -> Answer {
-    let place = controller.log.place();
-    let committed = controller.log.state().borrow().clone();
-    let tables: Tables = plankhill_control::tables_of(&committed.state, committed.revision);
-    let stores = committed.state.stores();
-    let subscribers = controller.subscribers.borrow();
-    let lag = subscribers.iter().map(|subscriber| SubscriberLag {
-        node: subscriber.node.to_string(),
-        applied: subscriber.applied.0,
-        behind: committed.revision.0.saturating_sub(subscriber.applied.0),
-    });
-    ok(&Status {
-        node: controller.node.to_string(),
-        current: controller.log.is_current(),
-        view: place.view,
-        chain: place
-            .chain
-            .iter()
-            .map(|peer| peer.node.to_string())
-            .collect(),
-        voters: place
-            .voters
-            .iter()
-            .map(|peer| peer.node.to_string())
-            .collect(),
+/// Shows the status as this controller sees it, also when the controller is cut off from the others.
+pub(super) fn status<L: ControlLog>(controller: &Controller<L>) -> AdminResponse {
+    let chain_status = controller.log().chain_status();
+    let committed = controller.log().state().borrow().clone();
+    let state = &committed.state;
+    let stores = state.stores();
+    let subscribers = controller.subscribers().statuses();
+    ok(&StatusBody {
+        node: controller.node().to_string(),
+        current: controller.log().is_current(),
+        view: chain_status.view,
+        chain: peer_names(&chain_status.chain),
+        voters: peer_names(&chain_status.voters),
         revision: committed.revision.0,
-        configuration_version: committed.state.configuration_history().current_version(),
-        targets: tables.targets.len(),
-        edges: tables
-            .edges
+        configuration_version: state.configuration_history().current_version(),
+        targets: state.targets().len(),
+        edges: state
+            .edges()
             .iter()
             .map(|edge| edge.node.to_string())
             .collect(),
-        stores: StoresStatus {
+        stores: StoresBody {
             epoch: stores.view().epoch.0,
-            serving: names(&stores.view().serving),
-            next: stores.view().next.as_deref().map(names),
+            serving: member_names(&stores.view().serving),
+            next: stores.view().next.as_deref().map(member_names),
             synced: stores.synced_members().map(ToString::to_string).collect(),
         },
-        subscribers: lag.collect(),
+        subscribers: subscribers
+            .into_iter()
+            .map(|subscriber| SubscriberBody {
+                node: subscriber.node.to_string(),
+                applied: subscriber.applied.0,
+                behind: committed.revision.0.saturating_sub(subscriber.applied.0),
+            })
+            .collect(),
     })
 }
 
-fn names(members: &[StoreMember]) -> Vec<String> {
+fn peer_names(peers: &[ChainPeer]) -> Vec<String> {
+    peers.iter().map(|peer| peer.node.to_string()).collect()
+}
+
+fn member_names(members: &[StoreMember]) -> Vec<String> {
     members
         .iter()
         .map(|member| member.node.to_string())
--- a/tier/controller/src/log.rs
+++ b/tier/controller/src/control_log.rs
@@ -1,70 +1,80 @@
-//! What the controller needs of the chain, so that tests can stand in for it.
+//! The chain as the controller uses it: a trait, so that tests can put a log in memory in its place.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
+use plankhill_chain::Member;
 use plankhill_control::{ControlState, Operation, Outcome};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::Connection;
 use plankhill_replica::{CommittedState, ReplicaHandle, Unavailable};
 use tokio::sync::watch;
 
-/// A committed state with its place in the order of operations.
-pub type Committed = CommittedState<ControlState>;
+/// A committed control state with its position in the order of operations.
+pub type CommittedControlState = CommittedState<ControlState>;
 
-/// One controller and where it listens for the others.
+/// One controller and the address at which it listens for the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Peer {
+pub struct ChainPeer {
     /// The machine.
     pub node: NodeId,
     /// Its internal address.
     pub address: SocketAddr,
 }
 
-/// This controller's place among the others.
+impl From<Member> for ChainPeer {
+    fn from(member: Member) -> Self {
+        ChainPeer {
+            node: member.identity.node,
+            address: member.address,
+        }
+    }
+}
+
+/// The chain as this controller knows it, and whether this controller heads it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
-    /// Number of the newest view known here.
+pub struct ChainStatus {
+    /// The number of the newest view known here; 0 before the first.
     pub view: u64,
     /// Whether this controller heads the chain.
     pub is_head: bool,
     /// The chain, head first.
-    pub chain: Vec<Peer>,
-    /// All controllers that vote, also those out of service.
-    pub voters: Vec<Peer>,
+    pub chain: Vec<ChainPeer>,
+    /// All controllers that vote, also those that are out of the chain.
+    pub voters: Vec<ChainPeer>,
 }
 
-/// Ordered, replicated control state. Clones are handles to the same.
+/// The ordered, replicated log of control operations. Clones are handles to the same log.
 #[expect(async_fn_in_trait, reason = "used on one thread only")]
 pub trait ControlLog: Clone + 'static {
     /// Gets an operation committed.
     ///
     /// # Errors
-    /// If no outcome came in time; the operation may still be committed later.
+    /// [`Unavailable`] if no outcome came in time; the operation may still be committed later.
     async fn propose(
         &self,
         operation: Operation,
         timeout: Duration,
     ) -> Result<Outcome, Unavailable>;
 
-    /// The newest committed state known here.
-    fn state(&self) -> watch::Receiver<Arc<Committed>>;
+    /// The newest committed state known here, to wait for newer ones.
+    fn state(&self) -> watch::Receiver<Arc<CommittedControlState>>;
 
-    /// A state that holds everything committed before the call.
+    /// A linearizable read: a state that holds everything committed before the call.
     ///
     /// # Errors
-    /// If that could not be confirmed in time.
-    async fn read(&self, timeout: Duration) -> Result<Arc<Committed>, Unavailable>;
+    /// [`Unavailable`] if that could not be confirmed in time.
+    async fn read(&self, timeout: Duration) -> Result<Arc<CommittedControlState>, Unavailable>;
 
     /// Whether the state known here was confirmed lately to be the newest.
     fn is_current(&self) -> bool;
 
     /// The same, to wait for changes.
-    fn current_changes(&self) -> watch::Receiver<bool>;
+    fn watch_current(&self) -> watch::Receiver<bool>;
 
-    /// This controller's place among the others.
-    fn place(&self) -> Place;
+    /// The present chain as this controller knows it.
+    fn chain_status(&self) -> ChainStatus;
 
     /// Serves a connection that another controller opened for the chain, until it ends.
     async fn serve_chain(&self, connection: Connection);
@@ -79,11 +89,11 @@
         ReplicaHandle::propose(self, operation, timeout).await
     }
 
-    fn state(&self) -> watch::Receiver<Arc<Committed>> {
+    fn state(&self) -> watch::Receiver<Arc<CommittedControlState>> {
         ReplicaHandle::state(self)
     }
 
-    async fn read(&self, timeout: Duration) -> Result<Arc<Committed>, Unavailable> {
+    async fn read(&self, timeout: Duration) -> Result<Arc<CommittedControlState>, Unavailable> {
         ReplicaHandle::read(self, timeout).await
     }
 
@@ -91,21 +101,17 @@
         ReplicaHandle::is_current(self)
     }
 
-    fn current_changes(&self) -> watch::Receiver<bool> {
-        ReplicaHandle::current_changes(self)
+    fn watch_current(&self) -> watch::Receiver<bool> {
+        ReplicaHandle::watch_current(self)
     }
 
-    fn place(&self) -> Place {
-        let standing = self.status();
-        let peer = |member: plankhill_chain::Member| Peer {
-            node: member.identity.node,
-            address: member.address,
-        };
-        Place {
-            view: standing.view.0,
-            is_head: standing.is_head,
-            chain: standing.chain.into_iter().map(peer).collect(),
-            voters: standing.voters.into_iter().map(peer).collect(),
+    fn chain_status(&self) -> ChainStatus {
+        let status = self.status();
+        ChainStatus {
+            view: status.view.0,
+            is_head: status.is_head,
+            chain: status.chain.into_iter().map(ChainPeer::from).collect(),
+            voters: status.voters.into_iter().map(ChainPeer::from).collect(),
         }
     }
 
--- a/tier/controller/src/feed.rs
+++ b/tier/controller/src/feed.rs
@@ -1,10 +1,10 @@
-//! Subscriptions of agents and stores: each gets the tables at once as they change, and a heartbeat when
-//! nothing changes. Subscribing registers the machine.
+//! Subscriptions of agents and stores: each is sent the tables as they change, and a heartbeat when nothing changes.
+//! Subscribing registers the machine in the control state.
 
+mod registrar;
 mod registration;
 mod session;
-mod subscribers;
+mod update_stream;
 
-pub use registration::{other_lives, registration_of, should_register};
+pub use registration::{needs_registration, other_incarnations};
 pub use session::serve_subscriber;
-pub use subscribers::{SubscriberStatus, Subscribers};
--- a/tier/controller/src/feed/registration.rs
+++ b/tier/controller/src/feed/registration.rs
@@ -1,71 +1,71 @@
-//! Which operation a subscription calls for.
+//! Which operation a subscription calls for. Proxies and peers are served by agents and are never registered.
 
 use plankhill_control::{ControlState, Operation};
 use plankhill_protocol::feed::Subscriber;
 use plankhill_protocol::ids::Incarnation;
 
-use crate::liveness::MachineLife;
+use crate::liveness::MachineIncarnation;
 
-/// The life of a subscribed machine; `None` for those that agents serve.
-pub fn life_of(subscriber: &Subscriber) -> Option<MachineLife> {
+/// The incarnation of a subscribed machine; `None` for subscribers that are not registered.
+pub(super) fn machine_of(subscriber: &Subscriber) -> Option<MachineIncarnation> {
     match subscriber {
-        Subscriber::Edge(edge) => Some(MachineLife {
-            node: edge.node.clone(),
-            incarnation: edge.incarnation,
-        }),
-        Subscriber::Store(member) => Some(MachineLife {
-            node: member.node.clone(),
-            incarnation: member.incarnation,
-        }),
+        Subscriber::Edge(edge) => Some(MachineIncarnation::new(&edge.node, edge.incarnation)),
+        Subscriber::Store(member) => {
+            Some(MachineIncarnation::new(&member.node, member.incarnation))
+        }
         Subscriber::Proxy | Subscriber::Peer => None,
     }
 }
 
-/// What registers a subscriber; `None` for those that agents serve.
-pub fn registration_of(subscriber: &Subscriber, faults: u32) -> Option<Operation> {
+/// The operation that registers a subscriber; `None` for subscribers that are not registered.
+pub(super) fn registration_of(subscriber: &Subscriber, tolerated_faults: u32) -> Option<Operation> {
     match subscriber {
-        Subscriber::Edge(edge) => Some(Operation::SetEdge(edge.clone())),
+        Subscriber::Edge(edge) => Some(Operation::RegisterEdge(edge.clone())),
         Subscriber::Store(member) => Some(Operation::RegisterStore {
             member: member.clone(),
-            faults,
+            tolerated_faults,
         }),
         Subscriber::Proxy | Subscriber::Peer => None,
     }
 }
 
-/// Other lives of the subscriber's machine that the control state knows.
-pub fn other_lives(state: &ControlState, subscriber: &Subscriber) -> Vec<Incarnation> {
-    let mut lives: Vec<Incarnation> = match subscriber {
+/// Other incarnations of the subscriber's machine that the control state knows.
+pub fn other_incarnations(state: &ControlState, subscriber: &Subscriber) -> Vec<Incarnation> {
+    let known: Vec<Incarnation> = match subscriber {
         Subscriber::Edge(edge) => state
             .edges()
             .get(&edge.node)
             .iter()
-            .map(|held| held.incarnation)
+            .map(|registered| registered.incarnation)
             .collect(),
-        Subscriber::Store(member) => state.stores().lives_of(&member.node).collect(),
+        Subscriber::Store(member) => state.stores().incarnations_of(&member.node).collect(),
         Subscriber::Proxy | Subscriber::Peer => Vec::new(),
     };
-    let own = life_of(subscriber).map(|life| life.incarnation);
-    lives.retain(|life| Some(*life) != own);
-    lives
+    let own = machine_of(subscriber).map(|machine| machine.incarnation);
+    known
+        .into_iter()
+        .filter(|incarnation| Some(*incarnation) != own)
+        .collect()
 }
 
-/// Whether a subscriber still is to be registered. `former` are the other lives of its machine that were known
-/// when it subscribed: a life that came later took its place, and is left alone.
-pub fn should_register(
+/// Whether a subscriber is to be registered now. `former` are the other incarnations of its machine that were known when
+/// it subscribed: an incarnation that came later superseded the subscriber, and is left alone.
+pub fn needs_registration(
     state: &ControlState,
     subscriber: &Subscriber,
     former: &[Incarnation],
 ) -> bool {
-    let known = match subscriber {
-        Subscriber::Edge(edge) => state.edges().is_known(edge),
+    let is_registered = match subscriber {
+        Subscriber::Edge(edge) => state.edges().is_registered(edge),
         Subscriber::Store(member) => {
-            state.stores().is_known(member) || state.retirements().contains(&member.node)
+            state.stores().is_registered(member) || state.retirements().contains(&member.node)
         }
         Subscriber::Proxy | Subscriber::Peer => true,
     };
-    !known
-        && other_lives(state, subscriber)
-            .iter()
-            .all(|life| former.contains(life))
+    if is_registered {
+        return false;
+    }
+    other_incarnations(state, subscriber)
+        .iter()
+        .all(|incarnation| former.contains(incarnation))
 }
--- a/tier/controller/src/run.rs
+++ b/tier/controller/src/run.rs
@@ -1,8 +1,7 @@
-//! Starts the process and runs it until the platform ends it.
+//! Starts the controller process, reloads its settings on SIGHUP and shuts it down on SIGTERM.
 
 use std::io;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 
 use plankhill_control::ControlState;
@@ -16,42 +15,43 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-use crate::process::{start_tasks, Controller, Listeners};
+use crate::controller::Controller;
+use crate::tasks::{start_tasks, Listeners};
 
-/// Time for leaving the chain and for the calls under way at an orderly end; the platform gives several seconds.
-const LEAVING: Duration = Duration::from_millis(2_000);
-/// Time for the answers of the last calls, which wait for an outcome for less than a second.
-const LAST_ANSWERS: Duration = Duration::from_millis(1_000);
+/// Time for leaving the chain at a graceful shutdown; the platform grants several seconds.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Time for the responses in flight at a graceful shutdown: they wait for an outcome for less than a second.
+const RESPONSE_GRACE: Duration = Duration::from_millis(1_000);
 
 /// Why the controller could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A key of the settings that a controller needs is missing.
+    /// The settings lack a key that a controller needs.
     #[error("settings: {0} is needed by a controller")]
-    Setting(&'static str),
-    /// The runtime or its signals.
+    MissingSetting(&'static str),
+    /// The runtime or its signal handlers cannot be set up.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
     /// An address cannot be listened at.
     #[error("cannot listen at {address}: {source}")]
     Listen {
-        /// Where.
+        /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The chain cannot start.
+    /// The replica of the chain cannot start.
     #[error(transparent)]
-    Chain(#[from] StartError),
-    /// The chain's member ended by itself, as it does when its disk fails.
+    Replica(#[from] StartError),
+    /// The replica of the chain ended by itself, as it does when its disk fails.
     #[error("the disk failed")]
-    ChainEnded,
+    ReplicaEnded,
 }
 
 /// Runs the controller until SIGTERM.
 ///
 /// # Errors
-/// [`RunError`] if it cannot start, or its disk fails.
+/// [`RunError`] if the controller cannot start, or its disk fails.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -62,53 +62,59 @@
 
 async fn run_local(settings: Settings) -> Result<(), RunError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(RunError::Runtime)?;
-    let mut reload = signal(SignalKind::hangup()).map_err(RunError::Runtime)?;
-    let admin = settings
-        .listeners_map
-        .admin
-        .ok_or(RunError::Setting("listeners_map.admin"))?;
-    let (admin, internal) = (listen_at(admin)?, listen_at(internal_address(&settings))?);
-    let log: ReplicaHandle<ControlState> = start(replica_settings(&settings)?)?;
+    let mut hang_up = signal(SignalKind::hangup()).map_err(RunError::Runtime)?;
+    let listeners = bind_listeners(&settings)?;
+    let replica: ReplicaHandle<ControlState> = start(replica_settings(&settings)?)?;
     let node = NodeId::from(settings.node_id.as_str());
-    let controller = Controller::new(node, settings.fault_tolerance.nodes, log.clone());
-    let (ending, ended) = watch::channel(false);
-    start_tasks(
-        &controller,
-        Listeners { admin, internal },
-        settings.heartbeat(),
-        ended,
-    );
+    let controller = Controller::new(node, settings.fault_tolerance.nodes, replica.clone());
+    let (shut_down, shutting_down) = watch::channel(false);
+    start_tasks(&controller, listeners, settings.heartbeat(), shutting_down);
     tracing::info!(node = %settings.node_id, "controller started");
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            () = log.ended() => return Err(RunError::ChainEnded),
-            _ = reload.recv() => take_over_seeds(&log).await,
+            () = replica.ended() => return Err(RunError::ReplicaEnded),
+            _ = hang_up.recv() => reload_seeds(&replica).await,
         }
     }
-    end(&controller, &log, &ending).await;
+    shut_down.send_replace(true);
+    end_gracefully(controller.node(), &replica).await;
     Ok(())
 }
 
-/// Answers what is under way, and leaves the chain so that it goes on at once.
-async fn end(
-    controller: &Rc<Controller<ReplicaHandle<ControlState>>>,
-    log: &ReplicaHandle<ControlState>,
-    ending: &watch::Sender<bool>,
-) {
-    ending.send_replace(true);
-    tokio::time::sleep(LAST_ANSWERS).await;
-    let left = tokio::time::timeout(LEAVING, log.leave()).await.is_ok();
-    tracing::info!(node = %controller.node, left, "controller ends");
+/// Waits for the responses in flight, then leaves the chain, so that the others go on at once in place of waiting until
+/// they miss this replica.
+async fn end_gracefully(node: &NodeId, replica: &ReplicaHandle<ControlState>) {
+    tokio::time::sleep(RESPONSE_GRACE).await;
+    let has_left_chain = tokio::time::timeout(LEAVE_TIMEOUT, replica.leave())
+        .await
+        .is_ok();
+    tracing::info!(%node, has_left_chain, "controller stopped");
 }
 
-async fn take_over_seeds(log: &ReplicaHandle<ControlState>) {
+/// Takes the seeds from the changed settings. Every other setting stays as it was at the start.
+async fn reload_seeds(replica: &ReplicaHandle<ControlState>) {
     match Settings::load() {
-        Ok(settings) => log.set_seeds(seeds(&settings)).await,
-        Err(error) => tracing::warn!(%error, "settings stay as they were"),
+        Ok(settings) => replica.set_seeds(seed_addresses(&settings)).await,
+        Err(error) => tracing::warn!(%error, "settings reload failed; current settings kept"),
     }
 }
 
+fn bind_listeners(settings: &Settings) -> Result<Listeners, RunError> {
+    let admin = settings
+        .listeners_map
+        .admin
+        .ok_or(RunError::MissingSetting("listeners_map.admin"))?;
+    Ok(Listeners {
+        admin: listen_at(admin)?,
+        internal: listen_at(internal_address(settings))?,
+    })
+}
+
+fn listen_at(address: SocketAddr) -> Result<TcpListener, RunError> {
+    listen(address).map_err(|source| RunError::Listen { address, source })
+}
+
 fn replica_settings(settings: &Settings) -> Result<ReplicaSettings, RunError> {
     Ok(ReplicaSettings {
         node: NodeId::from(settings.node_id.as_str()),
@@ -116,8 +122,8 @@
         folder: settings
             .data_path
             .clone()
-            .ok_or(RunError::Setting("data_path"))?,
-        seeds: seeds(settings),
+            .ok_or(RunError::MissingSetting("data_path"))?,
+        seeds: seed_addresses(settings),
         bootstrap: settings.bootstrap,
         tolerated_faults: settings.fault_tolerance.nodes as usize,
     })
@@ -130,14 +136,10 @@
     .controller(settings.ip)
 }
 
-/// The seeds' machines at the controllers' internal port, which is the same on all machines.
-fn seeds(settings: &Settings) -> Vec<SocketAddr> {
+/// The internal addresses of the seeds' controllers; their port is the same on all machines.
+fn seed_addresses(settings: &Settings) -> Vec<SocketAddr> {
     PortRange {
         first: settings.port_range.first,
     }
     .controllers(&settings.seed_nodes)
 }
-
-fn listen_at(address: SocketAddr) -> Result<TcpListener, RunError> {
-    listen(address).map_err(|source| RunError::Listen { address, source })
-}
--- a/tier/controller/tests/bad_input.rs
+++ b/tier/controller/tests/bad_input.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn damaged_calls_are_answered_and_change_nothing_but_by_what_can_be_read() {
+fn malformed_calls_are_answered_and_change_nothing() {
     arbtest::arbtest(|random| {
         let tester = Tester::new();
         let method = METHODS[random.int_in_range(0..=METHODS.len() - 1)?];
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_damaged_configuration_is_in_force_only_if_it_is_acknowledged() {
+fn a_malformed_configuration_is_in_force_only_if_it_is_acknowledged() {
     arbtest::arbtest(|random| {
         let tester = Tester::new();
         let body = damaged(random)?;
--- a/tier/controller/tests/change_log.rs
+++ b/tier/controller/tests/change_log.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 
 use common::{edge, MemoryLog};
-use plankhill_control::{tables_of, Operation};
+use plankhill_control::{build_tables, Operation};
 use plankhill_controller::change_log::ChangeLog;
 use plankhill_controller::ControlLog;
 use plankhill_protocol::ids::Revision;
 use plankhill_protocol::tables::{Tables, TablesChange, TablesUpdate};
 
-fn newest(log: &MemoryLog) -> Arc<plankhill_controller::Committed> {
+fn newest(log: &MemoryLog) -> Arc<plankhill_controller::CommittedControlState> {
     log.state().borrow().clone()
 }
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_holder_of_the_newest_gets_nothing() {
+fn a_subscriber_at_the_newest_revision_is_sent_nothing() {
     let log = MemoryLog::new();
     let mut changes = ChangeLog::new(newest(&log));
     log.commit(&put(0, 1));
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn every_holder_comes_to_the_newest() {
+fn updates_bring_every_revision_to_the_newest() {
     arbtest::arbtest(|random| {
         let log = MemoryLog::new();
         let mut changes = ChangeLog::new(newest(&log));
         let mut holders = vec![Tables::default()];
         for step in 1..=random.int_in_range(1..=30)? {
             let operation = if random.arbitrary()? {
-                Operation::SetEdge(edge(["e1", "e2"][random.int_in_range(0..=1)?], step))
+                Operation::RegisterEdge(edge(["e1", "e2"][random.int_in_range(0..=1)?], step))
             } else {
                 put(
                     log.control().configuration_history().current_version(),
@@ -52,7 +52,7 @@
             if random.arbitrary()? {
                 changes.advance(newest(&log));
                 let state = changes.newest().clone();
-                holders.push(tables_of(&state.state, state.revision));
+                holders.push(build_tables(&state.state, state.revision));
             }
         }
         let end = changes.newest().clone();
@@ -60,7 +60,7 @@
             if let Some(update) = changes.update_since(holder.revision) {
                 assert!(holder.apply(update));
             }
-            assert_eq!(holder, tables_of(&end.state, end.revision));
+            assert_eq!(holder, build_tables(&end.state, end.revision));
         }
         Ok(())
     });
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn only_the_newest_document_is_sent() {
+fn only_the_newest_configuration_is_sent() {
     let log = MemoryLog::new();
     let mut changes = ChangeLog::new(newest(&log));
     for version in 1..=3 {
@@ -98,7 +98,7 @@
     let log = MemoryLog::new();
     let mut changes = ChangeLog::new(newest(&log));
     for step in 1..=600 {
-        log.commit(&Operation::SetEdge(edge("e", step)));
+        log.commit(&Operation::RegisterEdge(edge("e", step)));
         changes.advance(newest(&log));
     }
     assert!(matches!(
--- a/tier/controller/tests/cluster/process.rs
+++ b/tier/controller/tests/cluster/process.rs
@@ -10,7 +10,7 @@
 use hyper::Request;
 use hyper_util::rt::TokioIo;
 use plankhill_control::ControlState;
-use plankhill_controller::process::{start_tasks, Listeners};
+use plankhill_controller::tasks::{start_tasks, Listeners};
 use plankhill_controller::Controller;
 use plankhill_protocol::transport::listen;
 use plankhill_replica::{start, ReplicaHandle, ReplicaSettings};
--- a/tier/controller/tests/common/mod.rs
+++ b/tier/controller/tests/common/mod.rs
@@ -10,9 +10,9 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, StatusCode};
 use plankhill_control::{ControlState, Operation, Outcome};
-use plankhill_controller::admin::{answer, BodyBudget};
-use plankhill_controller::log::Place;
-use plankhill_controller::{Committed, ControlLog, Controller};
+use plankhill_controller::admin::{handle_request, BodyBudget};
+use plankhill_controller::control_log::ChainStatus;
+use plankhill_controller::{CommittedControlState, ControlLog, Controller};
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 use plankhill_protocol::tables::{Edge, StoreMember};
 use plankhill_protocol::transport::Connection;
@@ -23,19 +23,19 @@
 #[derive(Clone)]
 pub struct MemoryLog {
     shared: Rc<RefCell<Shared>>,
-    state: watch::Sender<Arc<Committed>>,
+    state: watch::Sender<Arc<CommittedControlState>>,
     reachable: watch::Sender<bool>,
 }
 
 struct Shared {
-    place: Place,
+    chain_status: ChainStatus,
     proposals: Vec<Operation>,
 }
 
 impl MemoryLog {
     pub fn new() -> Self {
         let shared = Shared {
-            place: Place::default(),
+            chain_status: ChainStatus::default(),
             proposals: Vec::new(),
         };
         let (state, _) = watch::channel(Arc::new(CommittedState::empty()));
@@ -52,8 +52,8 @@
         self.reachable.send_replace(reachable);
     }
 
-    pub fn set_place(&self, place: Place) {
-        self.shared.borrow_mut().place = place;
+    pub fn set_chain_status(&self, chain_status: ChainStatus) {
+        self.shared.borrow_mut().chain_status = chain_status;
     }
 
     pub fn proposals(&self) -> usize {
@@ -90,11 +90,11 @@
         Ok(outcome)
     }
 
-    fn state(&self) -> watch::Receiver<Arc<Committed>> {
+    fn state(&self) -> watch::Receiver<Arc<CommittedControlState>> {
         self.state.subscribe()
     }
 
-    async fn read(&self, _timeout: Duration) -> Result<Arc<Committed>, Unavailable> {
+    async fn read(&self, _timeout: Duration) -> Result<Arc<CommittedControlState>, Unavailable> {
         if *self.reachable.borrow() {
             Ok(self.state.borrow().clone())
         } else {
@@ -106,12 +106,12 @@
         *self.reachable.borrow()
     }
 
-    fn current_changes(&self) -> watch::Receiver<bool> {
+    fn watch_current(&self) -> watch::Receiver<bool> {
         self.reachable.subscribe()
     }
 
-    fn place(&self) -> Place {
-        self.shared.borrow().place.clone()
+    fn chain_status(&self) -> ChainStatus {
+        self.shared.borrow().chain_status.clone()
     }
 
     async fn serve_chain(&self, _connection: Connection) {}
@@ -164,7 +164,7 @@
         }
         let request = request.body(Full::new(body.into())).unwrap();
         block_on(async {
-            let response = answer(&*self.controller, &self.budget, request).await;
+            let response = handle_request(&*self.controller, &self.budget, request).await;
             let status = response.status();
             let retry_after = response.headers().contains_key("retry-after");
             let body = response.into_body().collect().await.unwrap().to_bytes();
@@ -244,6 +244,6 @@
 pub fn register(member: &StoreMember) -> Operation {
     Operation::RegisterStore {
         member: member.clone(),
-        faults: 1,
+        tolerated_faults: 1,
     }
 }
--- a/tier/controller/tests/configuration.rs
+++ b/tier/controller/tests/configuration.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 
 #[test]
-fn what_was_taken_is_read_back_byte_for_byte() {
+fn an_accepted_configuration_is_read_back_byte_for_byte() {
     let tester = Tester::new();
     assert_eq!(
         tester.call("GET", "/-/config", "").status,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_repeated_order_is_acknowledged_again_also_after_others() {
+fn a_repeated_put_is_acknowledged_also_after_later_ones() {
     let tester = Tester::new();
     for (expected, version) in [(0, 5), (5, 7), (7, 9)] {
         assert_eq!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn of_two_operators_on_the_same_version_one_wins() {
+fn one_of_two_operators_on_the_same_version_wins() {
     let tester = Tester::new();
     tester.put_configuration(0, configuration(5));
     assert_eq!(
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_is_refused_with_the_key() {
+fn an_invalid_configuration_is_rejected_with_its_key() {
     let tester = Tester::new();
     tester.put_configuration(0, configuration(5));
     let whole = configuration(7);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn if_match_is_needed() {
+fn a_put_without_if_match_is_rejected() {
     let tester = Tester::new();
     let answered = tester.call("PUT", "/-/config", configuration(5));
     assert_eq!(answered.status, StatusCode::BAD_REQUEST);
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn a_huge_document_is_refused_by_its_size() {
+fn a_configuration_beyond_the_size_limit_is_rejected() {
     let tester = Tester::new();
     let answered = tester.put_configuration(0, vec![b' '; (8 << 20) + 1]);
     assert_eq!(answered.status, StatusCode::PAYLOAD_TOO_LARGE);
 }
 
 #[test]
-fn thousands_of_routes_are_taken() {
+fn a_configuration_with_thousands_of_routes_is_accepted() {
     let tester = Tester::new();
     let text = configuration_with(5, 4_000);
     assert_eq!(
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_controller_that_is_cut_off_says_so() {
+fn a_partitioned_controller_responds_503() {
     let tester = Tester::new();
     tester.put_configuration(0, configuration(5));
     tester.log.set_reachable(false);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_order_without_a_clear_answer_is_settled_by_sending_it_again() {
+fn a_put_without_an_outcome_may_be_repeated() {
     let tester = Tester::new();
     tester.log.set_reachable(false);
     assert_eq!(
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn unknown_paths_and_methods_are_told() {
+fn unknown_paths_and_methods_are_rejected() {
     let tester = Tester::new();
     assert_eq!(tester.call("GET", "/", "").status, StatusCode::NOT_FOUND);
     assert_eq!(
@@ -169,9 +169,9 @@
 /// Guards repeats of orders that were taken before more others than anybody remembers: this controller must not settle
 /// them from the version that they build on.
 #[test]
-fn a_forgotten_order_is_left_without_a_clear_answer() {
+fn a_put_older_than_the_history_gets_503() {
     let tester = Tester::new();
-    let last = plankhill_control::TAKEN_KEPT as u64 + 2;
+    let last = plankhill_control::MAX_ACCEPTED_REMEMBERED as u64 + 2;
     for version in 1..=last {
         assert_eq!(
             tester
--- a/tier/controller/tests/drains.rs
+++ b/tier/controller/tests/drains.rs
@@ -15,7 +15,7 @@
             zone: ZoneName::from(&name[..1]),
             ..edge(name, 7)
         };
-        tester.log.commit(&Operation::SetEdge(edge));
+        tester.log.commit(&Operation::RegisterEdge(edge));
     }
     tester
 }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_order_names_machines_or_a_zone() {
+fn a_drain_order_names_machines_or_a_zone() {
     let tester = with_edges();
     let (status, list) = order(
         &tester,
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_repeat_is_acknowledged_and_an_order_on_an_older_one_is_not() {
+fn a_repeated_drain_order_is_acknowledged_and_a_stale_one_conflicts() {
     let tester = with_edges();
     let first = json!({"expected": 0, "leave": true, "nodes": ["a1"]});
     assert_eq!(order(&tester, &first).0, 200);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_cannot_be_done_is_refused_with_its_reason() {
+fn impossible_drain_orders_are_rejected_with_their_reason() {
     let tester = with_edges();
     let refused = |body: Value, wanted: u16, reason: &str| {
         let (status, answer) = order(&tester, &body);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_controller_that_is_cut_off_says_so() {
+fn a_partitioned_controller_responds_503() {
     let tester = with_edges();
     tester.log.set_reachable(false);
     let answered = tester.call(
@@ -141,13 +141,13 @@
 }
 
 #[test]
-fn an_edge_that_is_empty_is_shown_so() {
+fn a_drained_edge_is_listed_as_empty() {
     let tester = with_edges();
     order(
         &tester,
         &json!({"expected": 0, "leave": true, "nodes": ["a1"]}),
     );
-    tester.log.commit(&Operation::EdgeEmptied {
+    tester.log.commit(&Operation::EdgeDrained {
         node: "a1".into(),
         number: 1,
     });
--- a/tier/controller/tests/feed.rs
+++ b/tier/controller/tests/feed.rs
@@ -8,9 +8,9 @@
 
 use common::{block_on, edge, register, store, MemoryLog};
 use plankhill_control::Operation;
-use plankhill_controller::internal::serve_internal;
-use plankhill_controller::log::ControlLog;
-use plankhill_controller::process::publish_states;
+use plankhill_controller::control_log::ControlLog;
+use plankhill_controller::internal_server::serve_internal;
+use plankhill_controller::tasks::publish_committed_states;
 use plankhill_controller::Controller;
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
 use plankhill_protocol::ids::{NodeId, Revision};
@@ -25,7 +25,7 @@
     let controller = Controller::new(NodeId::from("core-1"), 1, log.clone());
     let listener = listen(([127, 0, 0, 1], 0).into()).unwrap();
     let address = listener.local_addr().unwrap();
-    spawn_local(publish_states(controller.clone()));
+    spawn_local(publish_committed_states(controller.clone()));
     spawn_local(serve_internal(controller.clone(), listener));
     (log, controller, address)
 }
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_agent_is_registered_and_gets_changes_as_they_come() {
+fn an_agent_is_registered_and_receives_changes() {
     block_on(async {
         let (log, _controller, address) = start();
         let subscription = subscribe(Subscriber::Edge(edge("edge-1", 1)), address);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_agent_that_leaves_is_forgotten_at_once() {
+fn an_agent_that_deregisters_is_removed_at_once() {
     block_on(async {
         let (log, _controller, address) = start();
         let watcher = subscribe(Subscriber::Proxy, address);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn stores_are_registered_and_their_reports_switch_the_view() {
+fn stores_are_registered_and_their_synced_reports_switch_the_view() {
     block_on(async {
         let (log, _controller, address) = start();
         for number in 1..=3 {
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_subscriber_hears_when_its_controller_becomes_current_and_when_it_is_no_more() {
+fn a_subscriber_is_notified_when_its_controller_becomes_current_or_stops_being() {
     block_on(async {
         let (log, _controller, address) = start();
         log.set_reachable(false);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn whoever_asks_for_a_snapshot_gets_one_whatever_the_log_reaches_back_to() {
+fn a_requested_snapshot_is_sent_also_to_a_subscriber_at_the_newest_revision() {
     block_on(async {
         let (log, _controller, address) = start();
         log.commit(&put(0, 5));
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn whoever_follows_a_home_is_told_of_revisions_only_until_it_asks_for_updates() {
+fn a_subscriber_that_follows_a_home_receives_heartbeats_only_until_it_resumes_updates() {
     block_on(async {
         let (log, _controller, address) = start();
         let held = log.state().borrow().revision;
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_controller_that_is_cut_off_is_not_taken_as_current() {
+fn a_partitioned_controller_is_not_current() {
     block_on(async {
         let (log, _controller, address) = start();
         let subscription = subscribe(Subscriber::Proxy, address);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_thing_that_speaks_another_protocol_is_closed() {
+fn a_connection_of_another_protocol_is_closed() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     block_on(async {
         let (_log, _controller, address) = start();
--- a/tier/controller/tests/heartbeats.rs
+++ b/tier/controller/tests/heartbeats.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_says_nothing_new_is_not_proposed() {
+fn heartbeats_without_news_are_not_proposed() {
     let tester = Tester::new();
     for sequence in 1..=5 {
         assert_eq!(
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn draining_is_acknowledged_once_it_is_committed() {
+fn a_draining_heartbeat_is_acknowledged_once_it_is_committed() {
     let tester = Tester::new();
     tester.call("PUT", PATH, heartbeat("healthy", 1));
     assert_eq!(
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn no_acknowledgement_is_given_by_a_controller_that_is_cut_off() {
+fn a_partitioned_controller_acknowledges_no_heartbeat() {
     let tester = Tester::new();
     tester.call("PUT", PATH, heartbeat("healthy", 1));
     tester.log.set_reachable(false);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_deregistered_target_is_not_raised_again() {
+fn a_heartbeat_of_a_deregistered_target_does_not_register_it() {
     let tester = Tester::new();
     tester.call("PUT", PATH, heartbeat("healthy", 1));
     assert_eq!(tester.call("DELETE", PATH, "").status, StatusCode::OK);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn bad_reports_are_refused_with_the_key() {
+fn invalid_heartbeats_are_rejected_with_their_key() {
     let tester = Tester::new();
     let whole = heartbeat("healthy", 1);
     let kinds = [
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_report_over_four_kibibytes_is_refused_by_its_size() {
+fn a_heartbeat_over_four_kibibytes_is_rejected() {
     let tester = Tester::new();
     let long = heartbeat("healthy", 1) + &" ".repeat(4_096);
     assert_eq!(
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn models_and_unknown_keys_are_read() {
+fn models_are_parsed_and_unknown_keys_skipped() {
     let tester = Tester::new();
     let text = heartbeat("healthy", 1).replacen(
         '{',
--- a/tier/controller/tests/histories.rs
+++ b/tier/controller/tests/histories.rs
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn orders_of_several_operators_are_linearizable() {
+fn histories_of_several_operators_are_linearizable() {
     (1..=4).for_each(|seed| play(seed * 7_919));
 }
 
@@ -246,7 +246,7 @@
 
 /// The check finds what it is there for.
 #[test]
-fn planted_histories_are_found() {
+fn planted_violations_are_found() {
     use Answer::{Found, Refused, Taken};
     let taken = |name, order| (name, order, Some(Taken));
     let both_confirmed = [
--- a/tier/controller/tests/registration.rs
+++ b/tier/controller/tests/registration.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{edge, register, store, MemoryLog};
-use plankhill_control::{Duty, Operation};
-use plankhill_controller::feed::{other_lives, should_register};
+use plankhill_control::{Operation, SingletonTask};
+use plankhill_controller::feed::{needs_registration, other_incarnations};
 use plankhill_protocol::feed::Subscriber;
 use plankhill_protocol::ids::Incarnation;
 
@@ -17,40 +17,40 @@
 }
 
 #[test]
-fn a_new_life_registers_in_place_of_the_former_one_and_again_when_it_was_dropped() {
+fn a_new_incarnation_replaces_the_former_one_and_registers_again_when_removed() {
     let log = three_stores();
     let subscriber = Subscriber::Store(store("s3", 33));
-    let former = other_lives(&log.control(), &subscriber);
+    let former = other_incarnations(&log.control(), &subscriber);
     assert_eq!(former, [Incarnation(3)]);
-    assert!(should_register(&log.control(), &subscriber, &former));
+    assert!(needs_registration(&log.control(), &subscriber, &former));
     log.commit(&register(&store("s3", 33)));
-    assert!(!should_register(&log.control(), &subscriber, &former));
+    assert!(!needs_registration(&log.control(), &subscriber, &former));
     let member = store("s3", 33);
-    let duty = Duty::DropStore {
+    let task = SingletonTask::RemoveLostStore {
         node: member.node,
         incarnation: member.incarnation,
     };
-    log.commit(&Operation::Duty { view: 1, duty });
-    assert!(should_register(&log.control(), &subscriber, &former));
+    log.commit(&Operation::SingletonTask { view: 1, task });
+    assert!(needs_registration(&log.control(), &subscriber, &former));
 }
 
 #[test]
-fn a_former_life_does_not_come_back_in_place_of_a_later_one() {
+fn a_former_incarnation_does_not_replace_a_later_one() {
     let log = three_stores();
     let subscriber = Subscriber::Store(store("s3", 3));
-    let former = other_lives(&log.control(), &subscriber);
+    let former = other_incarnations(&log.control(), &subscriber);
     log.commit(&register(&store("s3", 33)));
-    assert!(!should_register(&log.control(), &subscriber, &former));
+    assert!(!needs_registration(&log.control(), &subscriber, &former));
 }
 
 #[test]
-fn an_edge_that_was_forgotten_registers_again() {
+fn an_expired_edge_registers_again() {
     let log = MemoryLog::new();
     let subscriber = Subscriber::Edge(edge("e", 1));
-    assert!(should_register(&log.control(), &subscriber, &[]));
-    log.commit(&Operation::SetEdge(edge("e", 1)));
-    assert!(!should_register(&log.control(), &subscriber, &[]));
-    log.commit(&Operation::SetEdge(edge("e", 2)));
-    assert!(!should_register(&log.control(), &subscriber, &[]));
-    assert!(!should_register(&log.control(), &Subscriber::Proxy, &[]));
+    assert!(needs_registration(&log.control(), &subscriber, &[]));
+    log.commit(&Operation::RegisterEdge(edge("e", 1)));
+    assert!(!needs_registration(&log.control(), &subscriber, &[]));
+    log.commit(&Operation::RegisterEdge(edge("e", 2)));
+    assert!(!needs_registration(&log.control(), &subscriber, &[]));
+    assert!(!needs_registration(&log.control(), &Subscriber::Proxy, &[]));
 }
--- a/tier/controller/tests/retire.rs
+++ b/tier/controller/tests/retire.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn unknown_and_needed_stores_are_not_retired() {
+fn unknown_and_required_stores_are_not_retired() {
     let tester = with_stores(3);
     assert_eq!(
         tester.call("POST", "/-/retire/nobody", "").status,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn completed_only_once_the_others_hold_everything() {
+fn a_retirement_completes_only_once_the_others_have_synced() {
     let tester = with_stores(4);
     for _ in 0..2 {
         let answered = tester.call("POST", "/-/retire/s2", r#"{"duration_s":10}"#);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_cut_off_controller_does_not_tell_of_progress() {
+fn a_partitioned_controller_does_not_report_progress() {
     let tester = with_stores(4);
     tester.log.set_reachable(false);
     assert_eq!(
--- a/tier/controller/tests/three_controllers.rs
+++ b/tier/controller/tests/three_controllers.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_the_head_and_is_acknowledged_again() {
+fn acknowledged_puts_survive_the_loss_of_the_head() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     let head = cluster.head(0);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_controller_that_lost_its_disk_answers_with_the_newest() {
+fn a_controller_with_a_lost_disk_reads_the_newest() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     cluster.kill(1);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn all_killed_at_once_come_back_with_what_was_acknowledged() {
+fn acknowledged_writes_survive_a_kill_of_all_controllers() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     let target = heartbeat("draining", 3);
@@ -64,34 +64,43 @@
         cluster.call_until_clear(&ALL, "PUT", path, None, &target).0,
         StatusCode::OK
     );
-    ALL.into_iter().for_each(|place| cluster.kill(place));
-    ALL.into_iter()
-        .for_each(|place| cluster.start(place, false));
+    for place in ALL {
+        cluster.kill(place);
+    }
+    for place in ALL {
+        cluster.start(place, false);
+    }
     assert_eq!(cluster.put(&ALL, 5, &configuration(9)), StatusCode::OK);
-    ALL.into_iter()
-        .for_each(|place| assert_eq!(cluster.get(place), configuration(9)));
+    for place in ALL {
+        assert_eq!(cluster.get(place), configuration(9));
+    }
 }
 
 /// An operator reads the configuration back for seconds, from any controller, while others are killed together.
 #[test]
-fn reads_again_and_again_answer_the_newest_whole() {
+fn repeated_reads_return_the_complete_newest_configuration() {
     let mut cluster = Cluster::bootstrap();
     let mut current = 0;
     for (version, killed) in [(5, vec![0]), (9, vec![1, 2]), (12, vec![0, 1, 2])] {
         let document = padded(&configuration(version));
         assert_eq!(cluster.put(&ALL, current, &document), StatusCode::OK);
         current = version;
-        killed.iter().for_each(|place| cluster.kill(*place));
-        killed.iter().for_each(|place| cluster.start(*place, false));
+        for place in &killed {
+            cluster.kill(*place);
+        }
+        for place in &killed {
+            cluster.start(*place, false);
+        }
         for _ in 0..READS {
-            ALL.into_iter()
-                .for_each(|place| assert!(cluster.get(place) == document, "version {version}"));
+            for place in ALL {
+                assert!(cluster.get(place) == document, "version {version}");
+            }
         }
     }
 }
 
 #[test]
-fn one_controller_alone_acknowledges_nothing() {
+fn a_single_controller_acknowledges_nothing() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     cluster.kill(1);
--- a/tier/controller/tests/wire_format.rs
+++ b/tier/controller/tests/wire_format.rs
@@ -6,9 +6,10 @@
 use std::net::SocketAddr;
 
 use common::{block_on, configuration, edge, heartbeat, register, store, Answered, Tester};
-use plankhill_control::{DrainOrder, Operation};
-use plankhill_controller::liveness::{HeardReport, MachineLife};
-use plankhill_controller::log::{Peer, Place};
+use plankhill_control::{DrainAction, DrainOrder, Operation};
+use plankhill_controller::control_log::{ChainPeer, ChainStatus};
+use plankhill_controller::liveness::{LivenessReport, MachineIncarnation};
+use plankhill_controller::subscribers::SubscriberGuard;
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId, Revision};
 use plankhill_protocol::transport::{FrameReader, FrameWriter};
 
@@ -31,11 +32,11 @@
 
 #[test]
 fn reports_of_liveness_keep_their_bytes() {
-    let machine = |node: &str, incarnation| MachineLife {
+    let machine = |node: &str, incarnation| MachineIncarnation {
         node: NodeId::from(node),
         incarnation: Incarnation(incarnation),
     };
-    let report = HeardReport {
+    let report = LivenessReport {
         targets: vec![InstanceId::from("i-1"), InstanceId::from("i-2")],
         machines: vec![
             machine("edge-1", 0x0102_0304_0506_0708),
@@ -57,7 +58,7 @@
         let bytes = from_hex(hex);
         assert_eq!(
             FrameReader::new(&bytes[..])
-                .next::<HeardReport>()
+                .next::<LivenessReport>()
                 .await
                 .expect("decodes"),
             report
@@ -65,17 +66,17 @@
     });
 }
 
-fn peer(node: &str, port: u16) -> Peer {
-    Peer {
+fn peer(node: &str, port: u16) -> ChainPeer {
+    ChainPeer {
         node: NodeId::from(node),
         address: SocketAddr::from(([10, 0, 0, 1], port)),
     }
 }
 
-/// A controller whose every table holds something.
-fn filled() -> Tester {
+/// A controller whose every table holds something, and its subscriber.
+fn filled() -> (Tester, SubscriberGuard) {
     let tester = Tester::new();
-    tester.log.set_place(Place {
+    tester.log.set_chain_status(ChainStatus {
         view: 4,
         is_head: true,
         chain: vec![peer("core-1", 7_100), peer("core-2", 7_100)],
@@ -86,7 +87,7 @@
         ],
     });
     for name in ["edge-1", "edge-2"] {
-        tester.log.commit(&Operation::SetEdge(edge(name, 7)));
+        tester.log.commit(&Operation::RegisterEdge(edge(name, 7)));
     }
     for number in 1..=4 {
         tester
@@ -103,15 +104,15 @@
     let drained = DrainOrder {
         expected: 0,
         nodes: vec![NodeId::from("edge-1")],
-        leave: true,
+        action: DrainAction::Drain,
     };
     tester.log.commit(&Operation::OrderDrain(drained));
-    tester
+    let subscriber = tester
         .controller
-        .subscribers
-        .borrow_mut()
-        .add(NodeId::from("edge-1"), Revision(3));
-    tester
+        .subscribers()
+        .add(NodeId::from("edge-1"), Revision(3))
+        .expect("room for a subscriber");
+    (tester, subscriber)
 }
 
 fn line(name: &str, answered: &Answered) -> String {
@@ -129,7 +130,7 @@
 
 #[test]
 fn answers_of_the_admin_interface_keep_their_json() {
-    let tester = filled();
+    let (tester, _subscriber) = filled();
     let path = "/-/instances/i-1";
     let order = |text: &str| tester.call("POST", "/-/drains", text.to_owned());
     let no_zone = r#"{"expected":1,"leave":true,"zone":"x"}"#;
@@ -216,7 +217,7 @@
         line("unknown_method", &tester.call("DELETE", "/-/config", "")),
         line("bad_name", &tester.call("PUT", "/-/instances/", "")),
     ];
-    tester.log.commit(&Operation::EdgeEmptied {
+    tester.log.commit(&Operation::EdgeDrained {
         node: NodeId::from("edge-1"),
         number: 1,
     });
