--- a/tier/control/tests/tables.rs
+++ b/tier/control/tests/tables.rs
@@ -43,7 +43,8 @@
             if random.arbitrary()? {
                 let (from, to) = (held.revision, Revision(step));
                 let changes = changes_between(&sent, &state);
-                assert!(held.apply(TablesUpdate::Changes { from, to, changes }));
+                let update = TablesUpdate::Changes { from, to, changes };
+                assert_eq!(held.apply(update), Ok(()));
                 assert_eq!(held, tables_of(&state, to));
                 sent = state.clone();
             }
--- a/tier/controller/tests/change_log.rs
+++ b/tier/controller/tests/change_log.rs
@@ -58,7 +58,7 @@
         let end = changes.newest().clone();
         for mut holder in holders {
             if let Some(update) = changes.update_since(holder.revision) {
-                assert!(holder.apply(update));
+                assert_eq!(holder.apply(update), Ok(()));
             }
             assert_eq!(holder, tables_of(&end.state, end.revision));
         }
