--- a/forwarder/admin/src/disabled_targets.rs
+++ b/forwarder/admin/src/disabled_targets.rs
@@ -1,8 +1,9 @@
-//! Targets that operators have disabled. A target stays disabled until it is enabled, whatever the endpoint list says
-//! meanwhile: the list's word on a target is overlaid before the scheduler learns of it.
+//! Targets that operators have disabled. A target stays disabled until it is enabled, whatever the
+//! endpoint list says meanwhile: the list's word on a target is overlaid before the scheduler
+//! learns of it.
 //!
-//! Owned by the server's event loop, which records each change in the state folder (file `bans`) before the change is
-//! in force.
+//! Owned by the server's event loop, which records each change in the state folder (file `bans`)
+//! before the change is in force.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -11,7 +12,8 @@
 
 type Id = Rc<str>;
 
-/// Ids once listed are remembered, the latest this many: some replacements of every target of a large list.
+/// Ids once listed are remembered, the latest this many: some replacements of every target of a
+/// large list.
 pub const MAX_FORMERLY_LISTED: usize = 16_384;
 /// First line of the record.
 const FORMAT_LINE: &str = "plankhill bans 1";
@@ -63,8 +65,8 @@
 }
 
 impl DisabledTargets {
-    /// Parses a record: a line that names its format, an id a line, and a line with the CRC-32 of all before it in
-    /// hexadecimal.
+    /// Parses a record: a line that names its format, an id a line, and a line with the CRC-32 of
+    /// all before it in hexadecimal.
     ///
     /// # Errors
     /// The record is truncated, changed or of another format.
@@ -101,7 +103,8 @@
         text
     }
 
-    /// What switching the target would change. Nothing is changed yet: the record is to be written first.
+    /// What switching the target would change. Nothing is changed yet: the record is to be written
+    /// first.
     pub fn plan(&self, id: &str, switch: TargetSwitch) -> RecordChange {
         let is_disabled = self.is_disabled(id);
         let is_known =
@@ -122,7 +125,8 @@
         }
     }
 
-    /// Switches the target. Returns the state that the scheduler is to have, if the list names the target.
+    /// Switches the target. Returns the state that the scheduler is to have, if the list names the
+    /// target.
     pub fn apply(&mut self, id: &str, switch: TargetSwitch) -> Option<EndpointState> {
         match switch {
             TargetSwitch::Disable => self.disabled.insert(id.into()),
--- a/forwarder/admin/src/requests.rs
+++ b/forwarder/admin/src/requests.rs
@@ -1,5 +1,6 @@
-//! A request at the admin address: its method and path, parsed into what is asked. Called by the server's admin
-//! listener; the commands and replies also pass between the two processes of a hot restart.
+//! A request at the admin address: its method and path, parsed into what is asked. Called by the
+//! server's admin listener; the commands and replies also pass between the two processes of a hot
+//! restart.
 
 use percent_encoding::percent_decode_str;
 use serde::{Deserialize, Serialize};
--- a/forwarder/admin/tests/admin.rs
+++ b/forwarder/admin/tests/admin.rs
@@ -1,4 +1,5 @@
-//! Parsed requests of operators, and disabled targets under any order of list changes, switches and restarts.
+//! Parsed requests of operators, and disabled targets under any order of list changes, switches and
+//! restarts.
 
 use std::collections::{HashMap, HashSet};
 
@@ -71,7 +72,8 @@
 }
 
 proptest! {
-    /// Held against the plainest model: a disabled target is never reported as running, an enabled one as listed.
+    /// Held against the plainest model: a disabled target is never reported as running, an enabled
+    /// one as listed.
     #[test]
     fn a_target_stays_disabled_until_it_is_enabled(
         steps in proptest::collection::vec(step(), 1..60)
--- a/forwarder/buffer-pool/src/lib.rs
+++ b/forwarder/buffer-pool/src/lib.rs
@@ -1,7 +1,9 @@
-//! A pool of byte buffers of one size. A buffer belongs to its holder until the holder drops it; then it goes back to
-//! the pool. The pool makes no more buffers than its limit, so that memory stays bounded whatever comes in.
+//! A pool of byte buffers of one size. A buffer belongs to its holder until the holder drops it;
+//! then it goes back to the pool. The pool makes no more buffers than its limit, so that memory
+//! stays bounded whatever comes in.
 //!
-//! Used by `forwarder/server`: clients' requests and calls to targets each hold one buffer. Not thread-safe.
+//! Used by `forwarder/server`: clients' requests and calls to targets each hold one buffer. Not
+//! thread-safe.
 
 use std::cell::{Cell, RefCell};
 use std::ops::{Deref, DerefMut};
@@ -19,7 +21,8 @@
 }
 
 impl BufferPool {
-    /// A pool of buffers of `buffer_bytes` each, `max_buffers` at most. Memory is taken with a buffer's first use.
+    /// A pool of buffers of `buffer_bytes` each, `max_buffers` at most. Memory is taken with a
+    /// buffer's first use.
     pub fn new(buffer_bytes: usize, max_buffers: usize) -> Self {
         BufferPool(Rc::new(Shared {
             buffer_bytes,
@@ -29,7 +32,8 @@
         }))
     }
 
-    /// A buffer, or none at the limit. Its contents are arbitrary: those of the last holder, or zeros.
+    /// A buffer, or none at the limit. Its contents are arbitrary: those of the last holder, or
+    /// zeros.
     pub fn try_acquire(&self) -> Option<PooledBuffer> {
         if self.available() == 0 {
             return None;
--- a/forwarder/hot-restart/src/channel.rs
+++ b/forwarder/hot-restart/src/channel.rs
@@ -1,5 +1,5 @@
-//! Messages over a Unix socket in the state folder: each has its length before it, in four bytes with the least
-//! significant first, and may have a descriptor with it.
+//! Messages over a Unix socket in the state folder: each has its length before it, in four bytes
+//! with the least significant first, and may have a descriptor with it.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -20,14 +20,16 @@
 
 /// Name of the socket in the state folder.
 const FILE: &str = "handover";
-/// Longest path of a socket's address, with some reserve: the system takes 108 bytes (unix(7), `sun_path`).
+/// Longest path of a socket's address, with some reserve: the system takes 108 bytes (unix(7),
+/// `sun_path`).
 const MAX_SOCKET_PATH_BYTES: usize = 100;
-/// Longest message. The scheduler's state is bounded by its capacity and the endpoint list, a body by its limit.
+/// Longest message. The scheduler's state is bounded by its capacity and the endpoint list, a body
+/// by its limit.
 const MAX_MESSAGE_BYTES: usize = 256 << 20;
 const LENGTH_BYTES: usize = 4;
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// Descriptors that one read may bring. A descriptor goes with the first byte of its message, and one read never meets
-/// more than one message's.
+/// Descriptors that one read may bring. A descriptor goes with the first byte of its message, and
+/// one read never meets more than one message's.
 const MAX_DESCRIPTORS_PER_READ: usize = 4;
 
 /// An address of the socket, however long the folder's path is.
@@ -55,8 +57,8 @@
     }
 }
 
-/// Listens for successors. Only for the process that holds the lock: a socket that another process left there is not
-/// in use any more, and is replaced.
+/// Listens for successors. Only for the process that holds the lock: a socket that another process
+/// left there is not in use any more, and is replaced.
 ///
 /// # Errors
 /// The socket cannot be replaced or bound.
@@ -90,8 +92,8 @@
         MessageSender(Rc::new(stream))
     }
 
-    /// Sends one message, with the descriptor that it carries, which is closed here. One message at a time: the caller
-    /// waits for the end of one before the next.
+    /// Sends one message, with the descriptor that it carries, which is closed here. One message at
+    /// a time: the caller waits for the end of one before the next.
     ///
     /// # Errors
     /// The other process has gone.
@@ -149,8 +151,8 @@
     /// The next message, and the descriptor that it carries.
     ///
     /// # Errors
-    /// The other process has gone (`UnexpectedEof` or the socket's error), or sent bytes that are no message, or a
-    /// message without its descriptor (`InvalidData`).
+    /// The other process has gone (`UnexpectedEof` or the socket's error), or sent bytes that are
+    /// no message, or a message without its descriptor (`InvalidData`).
     pub async fn receive(&mut self) -> io::Result<(Message, Option<OwnedFd>)> {
         loop {
             if let Some(message) = self.decode_next()? {
--- a/forwarder/hot-restart/src/handshake.rs
+++ b/forwarder/hot-restart/src/handshake.rs
@@ -1,8 +1,9 @@
-//! The handshake of the two processes, without I/O. Exactly one of them decides at any moment: the predecessor until it
-//! has told the successor that the forwarder is the successor's, the successor from the change of owner on, which is
-//! one write to the event log.
+//! The handshake of the two processes, without I/O. Exactly one of them decides at any moment: the
+//! predecessor until it has told the successor that the forwarder is the successor's, the successor
+//! from the change of owner on, which is one write to the event log.
 //!
-//! Called by `forwarder/server` (`hot_restart::predecessor`, `hot_restart::successor`), which carries out the actions.
+//! Called by `forwarder/server` (`hot_restart::predecessor`, `hot_restart::successor`), which
+//! carries out the actions.
 
 /// What one of the processes receives, or finds out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/forwarder/hot-restart/src/lib.rs
+++ b/forwarder/hot-restart/src/lib.rs
@@ -1,5 +1,5 @@
-//! Hot restart: a running forwarder (the predecessor) hands over to a new process of it (the successor) without a
-//! moment in which both or neither decide.
+//! Hot restart: a running forwarder (the predecessor) hands over to a new process of it (the
+//! successor) without a moment in which both or neither decide.
 //!
 //! - [`handshake`] decides, without I/O, what each of the two does next.
 //! - [`messages`] is what they send each other; the bytes are pinned by `tests/wire_format.rs`.
--- a/forwarder/hot-restart/src/messages.rs
+++ b/forwarder/hot-restart/src/messages.rs
@@ -1,8 +1,9 @@
-//! Messages between the two processes of a hot restart, in MessagePack. Times are milliseconds on the predecessor's
-//! clock, which the successor takes over.
+//! Messages between the two processes of a hot restart, in MessagePack. Times are milliseconds on
+//! the predecessor's clock, which the successor takes over.
 //!
-//! A variant is encoded by its name and a struct by the order of its fields: `serde(rename)` keeps the names of the
-//! protocol, and the order of fields is fixed. `tests/wire_format.rs` pins the bytes.
+//! A variant is encoded by its name and a struct by the order of its fields: `serde(rename)` keeps
+//! the names of the protocol, and the order of fields is fixed. `tests/wire_format.rs` pins the
+//! bytes.
 
 use std::rc::Rc;
 
@@ -50,7 +51,8 @@
         /// The reply.
         reply: AdminReply,
     },
-    /// Calls of the predecessor's to the target whose last byte is not written are not to be written.
+    /// Calls of the predecessor's to the target whose last byte is not written are not to be
+    /// written.
     #[serde(rename = "TakeBack")]
     CancelUnsent(TargetId),
 
@@ -191,7 +193,8 @@
     /// The event is accepted and recorded.
     #[serde(rename = "TakenOn")]
     Accepted,
-    /// The event is not accepted. It may be submitted again, after that many milliseconds if they are given.
+    /// The event is not accepted. It may be submitted again, after that many milliseconds if they
+    /// are given.
     #[serde(rename = "Refused")]
     Rejected(Option<Ms>),
     /// The event was abandoned: an attempt may have run.
--- a/forwarder/hot-restart/src/state_lock.rs
+++ b/forwarder/hot-restart/src/state_lock.rs
@@ -1,5 +1,6 @@
-//! The lock of the state folder. A process that has a descriptor of the lock file holds the lock: it can be passed to
-//! another process without a moment in which nobody holds it, and it ends with the last descriptor.
+//! The lock of the state folder. A process that has a descriptor of the lock file holds the lock:
+//! it can be passed to another process without a moment in which nobody holds it, and it ends with
+//! the last descriptor.
 
 use std::fs::OpenOptions;
 use std::io;
--- a/forwarder/hot-restart/tests/channel.rs
+++ b/forwarder/hot-restart/tests/channel.rs
@@ -27,7 +27,8 @@
     })
 }
 
-/// Long messages, which go in pieces, between messages with connections: each connection arrives with its own.
+/// Long messages, which go in pieces, between messages with connections: each connection arrives
+/// with its own.
 #[rstest]
 fn each_descriptor_arrives_with_its_message() {
     let (one, other) = UnixStream::pair().expect("a pair");
--- a/forwarder/hot-restart/tests/handshake.rs
+++ b/forwarder/hot-restart/tests/handshake.rs
@@ -67,7 +67,8 @@
                     owner_changed: self.owner_changed,
                 });
             }
-            // What the successor said before it ended, and what lies on a connection that was given up, is not received.
+            // What the successor said before it ended, and what lies on a connection that was given
+            // up, is not received.
             Step::PredecessorReceives if self.predecessor_alive && !self.successor_alive => {
                 self.predecessor_receives(Signal::PeerGone {
                     owner_changed: self.owner_changed,
--- a/forwarder/hot-restart/tests/wire_format.rs
+++ b/forwarder/hot-restart/tests/wire_format.rs
@@ -1,6 +1,7 @@
-//! The bytes of every message that two processes of a hot restart send each other, as the version in service
-//! writes them: `wire_format/messages.txt` has a line with a name and the bytes in hexadecimal for each value.
-//! A process of another version must read the same, so a difference here is a change of the protocol.
+//! The bytes of every message that two processes of a hot restart send each other, as the version
+//! in service writes them: `wire_format/messages.txt` has a line with a name and the bytes in
+//! hexadecimal for each value. A process of another version must read the same, so a difference
+//! here is a change of the protocol.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -23,7 +24,8 @@
 
 const PINNED: &str = include_str!("wire_format/messages.txt");
 
-/// The name of each message in the fixture; without a wildcard, so that a new variant has to be pinned.
+/// The name of each message in the fixture; without a wildcard, so that a new variant has to be
+/// pinned.
 fn name(message: &Message) -> String {
     match message {
         Message::Hello { .. } => "Hello".into(),
@@ -206,7 +208,7 @@
     }
     for outcome in OUTCOMES {
         let ended = AttemptReport {
-            outcome: outcome,
+            outcome,
             elapsed: 12.5,
             event_complete: true,
             retry_after: 250.25,
--- a/forwarder/server/src/admin_listener.rs
+++ b/forwarder/server/src/admin_listener.rs
@@ -1,6 +1,7 @@
-//! The admin address: one request a connection, answered within a second whatever clients do. It has a task, a few
-//! connections and descriptors of its own. A caller that holds a connection without a complete request is closed in
-//! bounded time, and sooner, the longest wait first, if others come.
+//! The admin address: one request a connection, answered within a second whatever clients do. It
+//! has a task, a few connections and descriptors of its own. A caller that holds a connection
+//! without a complete request is closed in bounded time, and sooner, the longest wait first, if
+//! others come.
 //!
 //! Spawned by `server` where `PROXY_MGMT` is set; commands go to the event loop.
 
@@ -32,7 +33,8 @@
 /// Responses are owed within a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// What a caller still sends behind its response is read for so long, so that the response is not lost with a reset.
+/// What a caller still sends behind its response is read for so long, so that the response is not
+/// lost with a reset.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(250);
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// A head, and a body that means nothing.
@@ -89,7 +91,8 @@
     context: ServerContext,
     to_event_loop: Sender<Input>,
     open: Rc<Cell<usize>>,
-    /// Connections that wait for their caller, in the order in which they make room: one whose sender is dropped ends.
+    /// Connections that wait for their caller, in the order in which they make room: one whose
+    /// sender is dropped ends.
     waiting: Rc<RefCell<BTreeMap<WaitKey, Sender<()>>>>,
 }
 
@@ -214,8 +217,8 @@
             self.to_event_loop.send(input).await.ok()?;
             replies.recv().await.ok()
         };
-        // A command that was answered with a failure is not carried out later: the event loop sees that nobody waits
-        // any more.
+        // A command that was answered with a failure is not carried out later: the event loop sees
+        // that nobody waits any more.
         let reply = until(Instant::now() + COMMAND_TIMEOUT, replied)
             .await
             .flatten();
--- a/forwarder/server/src/client_gate.rs
+++ b/forwarder/server/src/client_gate.rs
@@ -1,5 +1,5 @@
-//! Whether clients are to come to this process: the gate is shut by operators who drain it, and at shutdown. Shared by
-//! the clients' connections, the event loop (which sets it) and `server`.
+//! Whether clients are to come to this process: the gate is shut by operators who drain it, and at
+//! shutdown. Shared by the clients' connections, the event loop (which sets it) and `server`.
 
 use std::cell::{Cell, RefCell};
 
@@ -37,7 +37,8 @@
         self.drained.get()
     }
 
-    /// Shuts the gate for good. Requests that are read from now on are answered, and never forwarded.
+    /// Shuts the gate for good. Requests that are read from now on are answered, and never
+    /// forwarded.
     pub fn shut_down(&self) {
         self.shutting_down.set(true);
         self.update();
--- a/forwarder/server/src/clients/broadcast.rs
+++ b/forwarder/server/src/clients/broadcast.rs
@@ -9,9 +9,9 @@
 use crate::stream::{is_closed_by_peer, Body};
 
 impl ClientConnection {
-    /// Responds once the control group's log has decided: 202 if the broadcast counts, 503 if it surely never will. A
-    /// broadcast cannot be withdrawn: a client that goes before its response finds out by submitting the broadcast
-    /// again under its id.
+    /// Responds once the control group's log has decided: 202 if the broadcast counts, 503 if it
+    /// surely never will. A broadcast cannot be withdrawn: a client that goes before its response
+    /// finds out by submitting the broadcast again under its id.
     pub(super) async fn submit_broadcast(
         &mut self,
         list: ListName,
--- a/forwarder/server/src/clients/connection.rs
+++ b/forwarder/server/src/clients/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a client: waits for a request without holding a buffer, reads the request, submits its event to
-//! the event loop and responds.
+//! One connection of a client: waits for a request without holding a buffer, reads the request,
+//! submits its event to the event loop and responds.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -22,8 +22,8 @@
 use crate::messages::{Input, Submission};
 use crate::stream::{is_closed_by_peer, is_quiet, until, Body, Stream};
 
-/// A request has to be complete so long after its first byte, the first one so long after its connection: a client
-/// that sends none is told so within the three seconds that it is owed.
+/// A request has to be complete so long after its first byte, the first one so long after its
+/// connection: a client that sends none is told so within the three seconds that it is owed.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(super) struct ClientConnection {
@@ -39,7 +39,8 @@
     pub(super) closing: bool,
     /// When bytes were last read from the connection.
     pub(super) last_read: Instant,
-    /// Since when unread bytes lie in the connection, if they came before the response that they wait for.
+    /// Since when unread bytes lie in the connection, if they came before the response that they
+    /// wait for.
     pub(super) readable_since: Option<Instant>,
     _counted: CountGuard,
 }
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Serves requests until the connection ends or is transferred. The first wait is for `reason`, until `deadline`.
+    /// Serves requests until the connection ends or is transferred. The first wait is for `reason`,
+    /// until `deadline`.
     pub(super) async fn run(mut self, reason: WaitReason, deadline: Instant) {
         let connections = self.connections.clone();
         let mut wait = NextWait { reason, deadline };
@@ -95,8 +97,8 @@
                     return self.transfer(successor, wait).await;
                 }
                 if !has_more {
-                    // Nothing lay in the connection in this very turn. A request that crosses its end is not read, and
-                    // its client submits again.
+                    // Nothing lay in the connection in this very turn. A request that crosses its
+                    // end is not read, and its client submits again.
                     return;
                 }
             }
@@ -131,7 +133,8 @@
                 return self.close().await;
             }
             if self.next_request.is_some() {
-                // Pipelined requests may never run out, nor wait for anything: the others have their turn.
+                // Pipelined requests may never run out, nor wait for anything: the others have
+                // their turn.
                 let turn = future::yield_now();
                 let turn = connections
                     .wait(WaitReason::Pipelined, wait.deadline, turn)
@@ -167,8 +170,8 @@
             began,
             ..
         } = request;
-        // The buffer goes back before the event is submitted: an event may be pending for long, and most bodies are
-        // short.
+        // The buffer goes back before the event is submitted: an event may be pending for long, and
+        // most bodies are short.
         match asked {
             Asked::Up if self.context.client_gate.is_shut() => self.respond(503, &[], "").await,
             Asked::Up => self.respond(200, &[], "").await,
@@ -204,8 +207,8 @@
         }
     }
 
-    /// An empty buffer for a request, unless few are left: calls are not to want for one, nor clients where the memory
-    /// is small for the calls.
+    /// An empty buffer for a request, unless few are left: calls are not to want for one, nor
+    /// clients where the memory is small for the calls.
     pub(super) fn new_partial_request(&self) -> Option<PartialRequest> {
         let buffers = &self.context.buffers;
         let reserved_for_calls = self
@@ -221,8 +224,8 @@
         Some(PartialRequest { buffer, filled: 0 })
     }
 
-    /// A buffer, with what came of the next request. Connections that have been half-way through a request for long
-    /// give way.
+    /// A buffer, with what came of the next request. Connections that have been half-way through a
+    /// request for long give way.
     async fn acquire_buffer(&mut self) -> Option<PartialRequest> {
         loop {
             if let Some(begun) = self.next_request.take() {
@@ -238,12 +241,14 @@
         }
     }
 
-    /// Waits for the next request without a buffer; false if the connection has nothing more to serve.
+    /// Waits for the next request without a buffer; false if the connection has nothing more to
+    /// serve.
     async fn wait_for_request(&mut self, wait: NextWait) -> bool {
         let gate_shut = async {
             self.context.client_gate.wait_until_shut().await;
             if wait.reason == WaitReason::FirstRequest {
-                // The front sent the connection here before it knew; its request comes right behind it.
+                // The front sent the connection here before it knew; its request comes right behind
+                // it.
                 Timer::after(FIRST_REQUEST_GRACE).await;
             }
         };
@@ -261,8 +266,8 @@
         (in_time && !self.context.client_gate.is_shut()) || !is_quiet(&self.stream)
     }
 
-    /// Submits an event to the event loop and responds to the client. A client that goes before it has its response
-    /// withdraws the event.
+    /// Submits an event to the event loop and responds to the client. A client that goes before it
+    /// has its response withdraws the event.
     async fn submit_event(&mut self, event: EventHeader, body: Body) -> Responded {
         // After a stall many have gone already.
         if is_closed_by_peer(&self.stream) {
@@ -275,8 +280,8 @@
         let id = event.id.clone();
         let deadline = self.context.clock.now() + event.timeout;
         let commit_timeout = to_duration(event.timeout);
-        // With replication an event that is not committed by then is neither accepted nor rejected: the connection is
-        // closed without a response.
+        // With replication an event that is not committed by then is neither accepted nor rejected:
+        // the connection is closed without a response.
         let commit_by = self
             .context
             .replication()
--- a/forwarder/server/src/clients/mod.rs
+++ b/forwarder/server/src/clients/mod.rs
@@ -1,7 +1,8 @@
 //! Connections of clients, those that are accepted and those that a predecessor process transfers.
 //!
-//! Each has a task ([`connection`]) that reads requests ([`read_request`], [`request`]), submits events to the event
-//! loop and responds ([`respond`]). [`waiting`] says which connections make room for others.
+//! Each has a task ([`connection`]) that reads requests ([`read_request`], [`request`]), submits
+//! events to the event loop and responds ([`respond`]). [`waiting`] says which connections make
+//! room for others.
 
 mod broadcast;
 mod connection;
@@ -41,9 +42,9 @@
 /// Between looks whether the last client has its response.
 const SERVED_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Returns once no client is connected. A client that is half-way through a request is owed its response, or is told
-/// that the request took too long. So is one that waits in the kernel's queue: shutdown may be due in the same turn in
-/// which it connects.
+/// Returns once no client is connected. A client that is half-way through a request is owed its
+/// response, or is told that the request took too long. So is one that waits in the kernel's queue:
+/// shutdown may be due in the same turn in which it connects.
 pub async fn wait_until_served(context: &ServerContext) {
     loop {
         while context.open_clients.get() > 0 {
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Connections that are served at most: the descriptors that targets, discovery, files, operators and the
-    /// predecessor process do not need.
+    /// Connections that are served at most: the descriptors that targets, discovery, files,
+    /// operators and the predecessor process do not need.
     fn max_connections(&self) -> usize {
         let config = &self.context.config;
         let admin = config
@@ -133,7 +134,8 @@
         future::yield_now().await;
     }
 
-    /// Serves a connection on which the predecessor process waited for the next request, for `time_left` more.
+    /// Serves a connection on which the predecessor process waited for the next request, for
+    /// `time_left` more.
     pub fn take_over(&self, stream: Stream, requests_served: u64, time_left: Duration) {
         let reason = match requests_served {
             0 => WaitReason::FirstRequest,
--- a/forwarder/server/src/clients/read_request.rs
+++ b/forwarder/server/src/clients/read_request.rs
@@ -11,7 +11,8 @@
 use super::request::{parse_head, PartialRequest, Request, RequestError};
 use crate::stream::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// Sizes and ends of chunks together, in bytes: those of the longest body in chunks of one byte fit.
+/// Sizes and ends of chunks together, in bytes: those of the longest body in chunks of one byte
+/// fit.
 const MAX_CHUNK_FRAMING_BYTES: usize = 6 * MAX_BODY_BYTES;
 
 const BODY_TOO_LONG: RequestError = RequestError::new(413, "the body is too long");
@@ -231,8 +232,8 @@
         filled: &mut usize,
     ) -> Result<(), Disconnected> {
         if *filled > 0 {
-            // A client whose bytes arrive as fast as they are read would never let the others have their turn, nor the
-            // time be up.
+            // A client whose bytes arrive as fast as they are read would never let the others have
+            // their turn, nor the time be up.
             future::yield_now().await;
         }
         let read = self.stream.read(&mut buffer[*filled..]).await.unwrap_or(0);
--- a/forwarder/server/src/clients/rejection_log.rs
+++ b/forwarder/server/src/clients/rejection_log.rs
@@ -1,4 +1,5 @@
-//! The log of rejected requests, shared by all connections: a flood of bad requests is not to flood the log.
+//! The log of rejected requests, shared by all connections: a flood of bad requests is not to flood
+//! the log.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
--- a/forwarder/server/src/clients/respond.rs
+++ b/forwarder/server/src/clients/respond.rs
@@ -13,10 +13,11 @@
 use crate::lingering_close;
 use crate::stream::is_quiet;
 
-/// A response for which its client makes no room is given up: the client waits for 400 ms, the response's first byte
-/// included.
+/// A response for which its client makes no room is given up: the client waits for 400 ms, the
+/// response's first byte included.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// What still arrives behind the last response is read for so long: a client that goes by the response closes at once.
+/// What still arrives behind the last response is read for so long: a client that goes by the
+/// response closes at once.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether the connection can go on behind a response.
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Ends the connection behind its last response; meanwhile the connection is the first to make room for others.
+    /// Ends the connection behind its last response; meanwhile the connection is the first to make
+    /// room for others.
     pub(super) async fn close(self) {
         let lingering = lingering_close::linger(&self.stream);
         let deadline = Instant::now() + LINGER_TIMEOUT;
@@ -66,8 +68,8 @@
             .await;
     }
 
-    /// Writes a response. It is the last one also if clients are not to come any more and nothing has arrived behind
-    /// the request: what has arrived is answered as well.
+    /// Writes a response. It is the last one also if clients are not to come any more and nothing
+    /// has arrived behind the request: what has arrived is answered as well.
     pub(super) async fn respond(
         &mut self,
         status: u16,
--- a/forwarder/server/src/clients/waiting.rs
+++ b/forwarder/server/src/clients/waiting.rs
@@ -1,5 +1,6 @@
-//! All connections of clients, and those of them that wait for their peer: when there are too many, connections that
-//! wait make room for new ones, in the order of [`WaitReason`] and the longest wait first.
+//! All connections of clients, and those of them that wait for their peer: when there are too many,
+//! connections that wait make room for new ones, in the order of [`WaitReason`] and the longest
+//! wait first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,11 +15,13 @@
 use crate::count_guard::CountGuard;
 use crate::stream::until;
 
-/// A connection that served requests before and gets none for so long is closed: some clients never close theirs, and
-/// have a limit on their number. Sooner would cross the requests of clients that come again.
+/// A connection that served requests before and gets none for so long is closed: some clients never
+/// close theirs, and have a limit on their number. Sooner would cross the requests of clients that
+/// come again.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that served one request gets so long for the next while many are open: clients have a limit on their
-/// connections, and those that served once and stay keep them from opening others for new events.
+/// A connection that served one request gets so long for the next while many are open: clients have
+/// a limit on their connections, and those that served once and stay keep them from opening others
+/// for new events.
 const SECOND_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 /// A connection's first request comes right behind it, but may come after the next connection.
 pub(super) const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
@@ -93,8 +96,8 @@
         CountGuard::try_new(&self.open, max)
     }
 
-    /// Whether one more connection finds room. As many as are open beyond the limit stop waiting, those first that wait
-    /// for the least; some of them may go on with what just arrived.
+    /// Whether one more connection finds room. As many as are open beyond the limit stop waiting,
+    /// those first that wait for the least; some of them may go on with what just arrived.
     pub(super) fn make_room(&self) -> bool {
         let excess = (self.open.get() + 1).saturating_sub(self.soft_limit.get());
         let mut ended = 0;
@@ -106,8 +109,8 @@
         excess == 0 || ended > 0
     }
 
-    /// Ends the wait that is first to make room. A connection that only just came, its request behind it, is spared
-    /// while there are others. False if none waits.
+    /// Ends the wait that is first to make room. A connection that only just came, its request
+    /// behind it, is spared while there are others. False if none waits.
     fn end_first_wait(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let may_end = |key: &WaitKey, wait: &Waiting| {
@@ -124,8 +127,8 @@
         }
     }
 
-    /// The connection that has been half-way through a request for longest gives its buffer back; false if none has
-    /// been for as long as an honest client takes.
+    /// The connection that has been half-way through a request for longest gives its buffer back;
+    /// false if none has been for as long as an honest client takes.
     pub(super) fn free_buffer(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let oldest = waiting.range((WaitReason::RestOfRequest, 0)..).next();
@@ -136,7 +139,8 @@
         waiting.remove(&key).is_some()
     }
 
-    /// How long a connection that served one request may stay without another. Many: over a quarter of the limit.
+    /// How long a connection that served one request may stay without another. Many: over a quarter
+    /// of the limit.
     pub(super) fn second_request_timeout(&self) -> Duration {
         let many_open = 4 * self.open.get() > self.soft_limit.get();
         if many_open {
--- a/forwarder/server/src/clock.rs
+++ b/forwarder/server/src/clock.rs
@@ -1,5 +1,6 @@
-//! The clock of the decisions: the system clock's time at the start, carried on by the monotonic clock. It never jumps
-//! within a process, and times that are written down can be read by the next process. Shared by all tasks.
+//! The clock of the decisions: the system clock's time at the start, carried on by the monotonic
+//! clock. It never jumps within a process, and times that are written down can be read by the next
+//! process. Shared by all tasks.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -27,7 +28,8 @@
         }
     }
 
-    /// Goes by the clock of a process that this one takes over from, which is `offset` ahead of the system's.
+    /// Goes by the clock of a process that this one takes over from, which is `offset` ahead of the
+    /// system's.
     pub fn follow(&self, offset: Ms) {
         let change = offset - self.ahead_of_system();
         self.unix_at_start.set(self.unix_at_start.get() + change);
--- a/forwarder/server/src/connection_quotas/control.rs
+++ b/forwarder/server/src/connection_quotas/control.rs
@@ -1,5 +1,5 @@
-//! State machine of the control group where it keeps leases of connection quotas. The first byte of a command says whose
-//! it is.
+//! State machine of the control group where it keeps leases of connection quotas. The first byte of
+//! a command says whose it is.
 
 use plankhill_connection_quotas::leases::{decode, LeaseTable};
 use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
--- a/forwarder/server/src/connection_quotas/control/wire_format_tests.rs
+++ b/forwarder/server/src/connection_quotas/control/wire_format_tests.rs
@@ -1,4 +1,5 @@
-//! The byte before a command of connection quotas in the control group's log, as the version in service writes it.
+//! The byte before a command of connection quotas in the control group's log, as the version in
+//! service writes it.
 
 use rstest::rstest;
 
--- a/forwarder/server/src/connection_quotas/control_group.rs
+++ b/forwarder/server/src/connection_quotas/control_group.rs
@@ -1,5 +1,5 @@
-//! The control group's events, and what is sent to the group: reports of what is wanted, and proposals while this process
-//! leads it.
+//! The control group's events, and what is sent to the group: reports of what is wanted, and
+//! proposals while this process leads it.
 
 use std::collections::BTreeMap;
 
--- a/forwarder/server/src/connection_quotas/mod.rs
+++ b/forwarder/server/src/connection_quotas/mod.rs
@@ -1,9 +1,10 @@
-//! Connection quotas, where the fleet file names a policy: each connection has a permit in its target's pool from before
-//! it is opened until it is closed. Where there is none a call waits, and ends as not sent if none comes free. What there
-//! is capacity for is decided in `plankhill-connection-quotas`; nothing about an event is decided here.
+//! Connection quotas, where the fleet file names a policy: each connection has a permit in its
+//! target's pool from before it is opened until it is closed. Where there is none a call waits, and
+//! ends as not sent if none comes free. What there is capacity for is decided in
+//! `plankhill-connection-quotas`; nothing about an event is decided here.
 //!
-//! Shared by the targets' actors and calls ([`permit`]), the event loop (which reports targets) and [`ticker`];
-//! [`control_group`] speaks with the fleet's control group.
+//! Shared by the targets' actors and calls ([`permit`]), the event loop (which reports targets) and
+//! [`ticker`]; [`control_group`] speaks with the fleet's control group.
 
 pub mod control;
 mod control_group;
@@ -51,8 +52,8 @@
 }
 
 impl ConnectionQuotas {
-    /// None where no policy is named. `max_stall`: after so many milliseconds the watchdog has ended a process that
-    /// stands still.
+    /// None where no policy is named. `max_stall`: after so many milliseconds the watchdog has
+    /// ended a process that stands still.
     pub fn start(
         config: &ForwarderConfig,
         incarnation: Incarnation,
@@ -65,7 +66,8 @@
             .iter()
             .map(|instance| (Instance(instance.name.clone()), instance.zone.clone()))
             .collect();
-        // No other process may use what this one is granted: the time of the start tells it from others of the folder.
+        // No other process may use what this one is granted: the time of the start tells it from
+        // others of the folder.
         let start_us = (now() * 1e3) as u64;
         let local = LocalQuotas::new(LocalQuotasConfig {
             instance: Instance(config.name.clone()),
@@ -111,8 +113,8 @@
             .set_warming_up(&target.0, now() + remaining);
     }
 
-    /// A target's actor begins: `close_surplus` has so many of its idle connections closed, and is false once the actor
-    /// has ended.
+    /// A target's actor begins: `close_surplus` has so many of its idle connections closed, and is
+    /// false once the actor has ended.
     pub fn actor_started(&self, target: &TargetId, close_surplus: impl Fn(u32) -> bool + 'static) {
         let mut actors = self.actors.borrow_mut();
         let actor = actors.entry(target.clone()).or_default();
--- a/forwarder/server/src/connection_quotas/permit.rs
+++ b/forwarder/server/src/connection_quotas/permit.rs
@@ -102,7 +102,8 @@
         }
     }
 
-    /// A permit for a call that is over by `ends`: that of the lent connection, or one for a new connection.
+    /// A permit for a call that is over by `ends`: that of the lent connection, or one for a new
+    /// connection.
     pub fn acquire(
         self: &Rc<Self>,
         target: &TargetId,
@@ -157,7 +158,8 @@
         Acquired::Lent
     }
 
-    /// Waits until there may be capacity. An idle connection elsewhere that takes the last of it is closed.
+    /// Waits until there may be capacity. An idle connection elsewhere that takes the last of it is
+    /// closed.
     pub async fn capacity_freed(&self, pool: &PoolId) {
         if self.local.borrow().is_exhausted(now(), pool) {
             self.close_idle(pool, 1);
--- a/forwarder/server/src/connection_quotas/ticker.rs
+++ b/forwarder/server/src/connection_quotas/ticker.rs
@@ -9,7 +9,8 @@
 /// How often surplus idle connections are looked for, and due commands.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reports what is wanted, closes surplus connections, and grants leases while this process leads the control group.
+/// Reports what is wanted, closes surplus connections, and grants leases while this process leads
+/// the control group.
 pub async fn run(context: ServerContext) {
     let (Some(raft), Some(quotas)) = (context.raft.clone(), context.quotas.clone()) else {
         return;
--- a/forwarder/server/src/context.rs
+++ b/forwarder/server/src/context.rs
@@ -1,5 +1,5 @@
-//! What every task of the server is given: the executor, the configuration and the state that tasks share. Made once by
-//! `server`; clones share everything.
+//! What every task of the server is given: the executor, the configuration and the state that tasks
+//! share. Made once by `server`; clones share everything.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -50,7 +50,8 @@
 }
 
 impl ServerContext {
-    /// The context of a process that begins, and the events of its Raft groups, if it is of a fleet.
+    /// The context of a process that begins, and the events of its Raft groups, if it is of a
+    /// fleet.
     ///
     /// # Errors
     /// The Raft groups cannot be started.
--- a/forwarder/server/src/count_guard.rs
+++ b/forwarder/server/src/count_guard.rs
@@ -1,4 +1,5 @@
-//! Counts of things that are open or in flight, kept by guards: a thing is counted until its guard is dropped.
+//! Counts of things that are open or in flight, kept by guards: a thing is counted until its guard
+//! is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/forwarder/server/src/disabled_targets.rs
+++ b/forwarder/server/src/disabled_targets.rs
@@ -1,5 +1,5 @@
-//! Targets that operators have disabled, with their record in the state folder: a change is in the file before anybody
-//! learns of it. Owned by the event loop.
+//! Targets that operators have disabled, with their record in the state folder: a change is in the
+//! file before anybody learns of it. Owned by the event loop.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,8 +10,8 @@
 /// Names of the record in the state folder, and of the one that takes its place.
 const FILE: &str = "bans";
 const NEW_FILE: &str = "bans.new";
-/// The record's share of the disk, as a divisor: the new record stands beside it, and the event log and the endpoint
-/// list leave a twentieth.
+/// The record's share of the disk, as a divisor: the new record stands beside it, and the event log
+/// and the endpoint list leave a twentieth.
 const DISK_SHARE: u64 = 80;
 
 /// The record cannot be used; without it nothing says which targets are disabled.
@@ -41,7 +41,8 @@
     NeverListed,
     /// The target is in that state already.
     Unchanged,
-    /// The record is written; the scheduler is to learn of that state, if the list names the target.
+    /// The record is written; the scheduler is to learn of that state, if the list names the
+    /// target.
     Changed(Option<EndpointState>),
 }
 
--- a/forwarder/server/src/discovery/backoff/tests.rs
+++ b/forwarder/server/src/discovery/backoff/tests.rs
@@ -55,7 +55,8 @@
             "seed {seed}: {} tries in the first second",
             in_second(0.0)
         );
-        // After the first tries, fewer than what an overbooked discovery answered, some eighteen a second.
+        // After the first tries, fewer than what an overbooked discovery answered, some eighteen a
+        // second.
         let most = (5..20).map(|s| in_second(s as f64)).max().unwrap_or(0);
         assert!(most <= 40, "seed {seed}: {most} tries in one second");
         let crowd = (10..200)
@@ -92,7 +93,8 @@
 /// Guards the time by which news counts as told: whatever failed, and after however many failures.
 #[test]
 fn whatever_failed_the_next_request_leaves_its_response_one_of_the_six_seconds() {
-    // Silent or refused, at once, as late as an ask after a failure may be, or a watch that stood for long.
+    // Silent or refused, at once, as late as an ask after a failure may be, or a watch that stood
+    // for long.
     for forwarders in [1.0, 20.0, 100.0, 300.0] {
         for (late, silent) in [(0, false), (2_500, false), (1_000, true), (2_500, true)] {
             let mut backoff = Backoff::for_fleet(7, "n1", forwarders);
--- a/forwarder/server/src/discovery/stored_list.rs
+++ b/forwarder/server/src/discovery/stored_list.rs
@@ -1,5 +1,6 @@
-//! The endpoint list as it was last received, for the next process (file `list` of the state folder): each entry as the
-//! text that discovery sent, by its id. A change of one entry costs that entry.
+//! The endpoint list as it was last received, for the next process (file `list` of the state
+//! folder): each entry as the text that discovery sent, by its id. A change of one entry costs that
+//! entry.
 //!
 //! Owned by the watch; read by the next process at its start.
 
@@ -46,7 +47,8 @@
         self.revision
     }
 
-    /// Applies a page of the list. An entry without an id cannot be told from others, and is left out.
+    /// Applies a page of the list. An entry without an id cannot be told from others, and is left
+    /// out.
     pub fn apply(&mut self, page: &Value) {
         self.revision = revision(page).or(self.revision);
         if is_complete(page) {
@@ -110,7 +112,8 @@
     }
 }
 
-/// Checks that the folder's file is such a list. An empty file is none: a machine that failed may leave it.
+/// Checks that the folder's file is such a list. An empty file is none: a machine that failed may
+/// leave it.
 ///
 /// # Errors
 /// The file cannot be read, or is something else.
--- a/forwarder/server/src/discovery/watch.rs
+++ b/forwarder/server/src/discovery/watch.rs
@@ -1,16 +1,19 @@
-//! The watch on discovery's endpoint list: what was last known at the start, then a watch without a break. Each page goes
-//! to the event loop and into the stored list. Spawned once by `server`.
+//! The watch on discovery's endpoint list: what was last known at the start, then a watch without a
+//! break. Each page goes to the event loop and into the stored list. Spawned once by `server`.
 //!
-//! Whatever call failed, a change counts as reported 6 s after discovery had it and could be reached. The sum:
+//! Whatever call failed, a change counts as reported 6 s after discovery had it and could be
+//! reached. The sum:
 //!
-//! - A request after a failed one waits for `WAIT_AFTER_FAILURE` and `RESPONSE_GRACE`, 2.5 s, its connect within that
-//!   (`http_exchange::CONNECT_TIMEOUT`). From one request to the next pass 5 s at most (`backoff.rs`): discovery that
-//!   can be reached now is asked within 5 s, and 1 s is left for connect and response.
-//! - A watch waits longer only behind a response. If its response begins and never ends: 2 s (`RESPONSE_TIMEOUT`), the
-//!   first backoff, 2 s at most, and 2 s left.
+//! - A request after a failed one waits for `WAIT_AFTER_FAILURE` and `RESPONSE_GRACE`, 2.5 s, its
+//!   connect within that (`http_exchange::CONNECT_TIMEOUT`). From one request to the next pass 5 s
+//!   at most (`backoff.rs`): discovery that can be reached now is asked within 5 s, and 1 s is left
+//!   for connect and response.
+//! - A watch waits longer only behind a response. If its response begins and never ends: 2 s
+//!   (`RESPONSE_TIMEOUT`), the first backoff, 2 s at most, and 2 s left.
 //! - If the watch breaks off: the first backoff, 2 s at most, and 4 s left.
-//! - If the watch is silent and then has its own time, 2 s past its wait: half a second of it (`RESPONSE_GRACE`), no
-//!   backoff, and 1.5 s left. Beside an agent and in small fleets a watch waits 4 s, and that too ends within the 6 s.
+//! - If the watch is silent and then has its own time, 2 s past its wait: half a second of it
+//!   (`RESPONSE_GRACE`), no backoff, and 1.5 s left. Beside an agent and in small fleets a watch
+//!   waits 4 s, and that too ends within the 6 s.
 
 use std::time::{Duration, Instant};
 
@@ -28,21 +31,22 @@
 use crate::messages::Input;
 use crate::stream::{until, Stream};
 
-/// How long a watch waits at discovery, which allows up to a minute. Where the list is pushed an agent on the same
-/// machine answers at no cost. Elsewhere each request costs the discovery of the whole fleet: so long for each forwarder
-/// that a fleet asks five times a second, as a hundred do with 20 s, while nothing changes.
+/// How long a watch waits at discovery, which allows up to a minute. Where the list is pushed an
+/// agent on the same machine answers at no cost. Elsewhere each request costs the discovery of the
+/// whole fleet: so long for each forwarder that a fleet asks five times a second, as a hundred do
+/// with 20 s, while nothing changes.
 const MIN_WAIT_MS: u64 = 4_000;
 const MAX_WAIT_MS: u64 = 20_000;
 const WAIT_PER_FORWARDER_MS: f64 = 200.0;
-/// How long a watch behind a failed call waits: an overbooked discovery answered after up to 2 s. The agent answers at
-/// once, and its silence is found out at once.
+/// How long a watch behind a failed call waits: an overbooked discovery answered after up to 2 s.
+/// The agent answers at once, and its silence is found out at once.
 const WAIT_AFTER_FAILURE_MS: u64 = 2_000;
 const AGENT_WAIT_AFTER_FAILURE_MS: u64 = 500;
 /// A request for the complete list is answered at once, by a discovery that many ask as well.
 const COMPLETE_LIST_WAIT_MS: u64 = 1_500;
-/// After its wait a watch is answered within that, or is begun anew on a new connection. What it missed counts as
-/// reported 2 s after the wait (or 6 s after its silence began, which is later only for shorter waits): the new request
-/// has the rest of that time for its response.
+/// After its wait a watch is answered within that, or is begun anew on a new connection. What it
+/// missed counts as reported 2 s after the wait (or 6 s after its silence began, which is later
+/// only for shorter waits): the new request has the rest of that time for its response.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 /// From a response's first byte to its last: a peer that trickles counts as silent.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -78,7 +82,8 @@
     /// The complete list was asked for, and changes were answered.
     #[error("the list that was answered is not whole")]
     Incomplete,
-    /// The page is of an older revision than the watch asked for: discovery is behind, or has begun anew.
+    /// The page is of an older revision than the watch asked for: discovery is behind, or has begun
+    /// anew.
     #[error("the list is of revision {listed}, older than {known}")]
     OlderRevision { listed: u64, known: u64 },
 }
@@ -92,9 +97,9 @@
     }
 }
 
-/// The list that a process starts with. What the agent has by now counts as reported: it is asked before anything is
-/// sent. While it is silent, the list holds that an earlier process stored, or `known`, the one in the configuration, if
-/// that is newer.
+/// The list that a process starts with. What the agent has by now counts as reported: it is asked
+/// before anything is sent. While it is silent, the list holds that an earlier process stored, or
+/// `known`, the one in the configuration, if that is newer.
 pub async fn load_initial(context: &ServerContext, known: Value) -> InitialList {
     let mut client = DiscoveryClient::new(context.clone());
     let request = client.request_list(None, COMPLETE_LIST_WAIT_MS);
@@ -270,7 +275,8 @@
     fn on_failure(&mut self, error: &WatchError, asked: Instant, since: Option<u64>) {
         self.client.disconnect();
         self.failed = true;
-        // The complete list is asked for once, as what discovery holds now; with each other retry the changes.
+        // The complete list is asked for once, as what discovery holds now; with each other retry
+        // the changes.
         let is_older = matches!(error, WatchError::OlderRevision { .. });
         self.ask_complete_list = since.is_some() && is_older;
         let failure = error.to_string();
@@ -305,8 +311,8 @@
         self.idle = None;
     }
 
-    /// Asks for what is newer than `since`, or without that for the complete list; discovery may wait `wait_ms`
-    /// milliseconds for a change.
+    /// Asks for what is newer than `since`, or without that for the complete list; discovery may
+    /// wait `wait_ms` milliseconds for a change.
     ///
     /// # Errors
     /// There is no response in time, or it is no page that was asked for.
@@ -358,8 +364,9 @@
         return Err(WatchError::NotAList);
     }
     match (revision(&page), since) {
-        // A watch waits for a newer revision: discovery is behind, or began anew. Changes in an older page were changed
-        // since; what discovery holds, if it began anew, the complete list says.
+        // A watch waits for a newer revision: discovery is behind, or began anew. Changes in an
+        // older page were changed since; what discovery holds, if it began anew, the complete list
+        // says.
         (Some(listed), Some(known)) if listed < known => {
             Err(WatchError::OlderRevision { listed, known })
         }
--- a/forwarder/server/src/endpoint_page.rs
+++ b/forwarder/server/src/endpoint_page.rs
@@ -1,5 +1,5 @@
-//! A page of the endpoint list, as discovery answers it in JSON: a complete list, or changes since a revision. Used by
-//! the watch, the stored list and the event loop.
+//! A page of the endpoint list, as discovery answers it in JSON: a complete list, or changes since
+//! a revision. Used by the watch, the stored list and the event loop.
 
 use std::net::SocketAddr;
 
@@ -44,7 +44,8 @@
     pub kind: DestinationKindId,
     pub zone: ZoneId,
     pub state: EndpointState,
-    /// Events a second that the destination takes, where sizes are rates; 0 if the entry does not say.
+    /// Events a second that the destination takes, where sizes are rates; 0 if the entry does not
+    /// say.
     pub advertised_rate: Option<f64>,
 }
 
--- a/forwarder/server/src/event_loop/accepted_types.rs
+++ b/forwarder/server/src/event_loop/accepted_types.rs
@@ -1,6 +1,7 @@
-//! Traffic types of events that an earlier process accepted. The guarantee given at acceptance goes on to hold
-//! whatever the settings say of the traffic type now: where they differ, the event is of a type of its own, under which
-//! the stricter of both holds. The scheduler knows such a type by its position alone, behind those of the settings.
+//! Traffic types of events that an earlier process accepted. The guarantee given at acceptance goes
+//! on to hold whatever the settings say of the traffic type now: where they differ, the event is of
+//! a type of its own, under which the stricter of both holds. The scheduler knows such a type by
+//! its position alone, behind those of the settings.
 //!
 //! Owned by the scheduler's host.
 
@@ -9,8 +10,8 @@
 use plankhill_event_log::{AcceptedEvent, DeliveryGuarantee, PendingEvent, RepeatSafety};
 use plankhill_forwarder_config::ForwarderConfig;
 
-/// Types beside those of the settings: some for each that the settings ever had. An event of one more is ended like
-/// one of an unknown type.
+/// Types beside those of the settings: some for each that the settings ever had. An event of one
+/// more is ended like one of an unknown type.
 const MAX_ACCEPTED_TYPES: usize = 64;
 
 /// A type that the settings name no more, or not with the same guarantee.
@@ -50,7 +51,8 @@
     }
 }
 
-/// The position of the event's type in the settings, if they guarantee all that was guaranteed at acceptance.
+/// The position of the event's type in the settings, if they guarantee all that was guaranteed at
+/// acceptance.
 fn unchanged_type(config: &ForwarderConfig, event: &AcceptedEvent) -> Option<TrafficTypeId> {
     let position = config
         .names
@@ -78,8 +80,8 @@
 }
 
 impl AcceptedTypes {
-    /// The type of an event that an earlier process accepted; the scheduler learns of one that is new to it. None if
-    /// nothing says what was guaranteed.
+    /// The type of an event that an earlier process accepted; the scheduler learns of one that is
+    /// new to it. None if nothing says what was guaranteed.
     pub fn resolve(
         &mut self,
         scheduler: &mut Scheduler,
--- a/forwarder/server/src/event_loop/command_queue.rs
+++ b/forwarder/server/src/event_loop/command_queue.rs
@@ -1,5 +1,5 @@
-//! Commands to targets: those of the iteration under way wait here until its log records are written. Owned by the
-//! scheduler's host.
+//! Commands to targets: those of the iteration under way wait here until its log records are
+//! written. Owned by the scheduler's host.
 
 use std::collections::HashSet;
 
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Attempts and health checks of the iteration never leave; their outcomes arrive with a later iteration.
+    /// Attempts and health checks of the iteration never leave; their outcomes arrive with a later
+    /// iteration.
     pub(super) fn fail_queued(&mut self) {
         for QueuedCommand { target, command } in self.take_queued() {
             self.targets.fail(target, command);
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Sends a command at once, ahead of the queued ones; a target without a mailbox does not need it.
+    /// Sends a command at once, ahead of the queued ones; a target without a mailbox does not need
+    /// it.
     pub(super) fn send_now(&mut self, target: &TargetId, command: TargetCommand) {
         let _ = self.targets.send(target, command);
     }
--- a/forwarder/server/src/event_loop/durable_log.rs
+++ b/forwarder/server/src/event_loop/durable_log.rs
@@ -1,5 +1,5 @@
-//! Where accepted events are recorded: a file of this process, or the Raft groups that this process leads. Owned by the
-//! scheduler's host.
+//! Where accepted events are recorded: a file of this process, or the Raft groups that this process
+//! leads. Owned by the scheduler's host.
 
 use std::io;
 
@@ -15,7 +15,8 @@
 }
 
 impl DurableLog {
-    /// Changes the tables that contain the event: two where an adopted table met an event that was pending here.
+    /// Changes the tables that contain the event: two where an adopted table met an event that was
+    /// pending here.
     fn update(&mut self, event: &EventId, change: impl Fn(&mut EventTable)) {
         match self {
             DurableLog::File(log) => change(log),
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Writes what was recorded before the iteration decides. With replication the records leave with all that the
-    /// iteration records.
+    /// Writes what was recorded before the iteration decides. With replication the records leave
+    /// with all that the iteration records.
     ///
     /// # Errors
     /// The file's error.
--- a/forwarder/server/src/event_loop/handover.rs
+++ b/forwarder/server/src/event_loop/handover.rs
@@ -1,5 +1,6 @@
-//! Handover to a successor process (hot restart): the loop pauses with its state handed out, and then goes on, relays
-//! or ends. Asked for by `hot_restart::predecessor`; the loop's state stays the loop's until the successor has begun.
+//! Handover to a successor process (hot restart): the loop pauses with its state handed out, and
+//! then goes on, relays or ends. Asked for by `hot_restart::predecessor`; the loop's state stays
+//! the loop's until the successor has begun.
 
 use std::time::Instant;
 
--- a/forwarder/server/src/event_loop/host/admission.rs
+++ b/forwarder/server/src/event_loop/host/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of new events: an event is recorded in the log if there is capacity for it and its id is new.
+//! Admission of new events: an event is recorded in the log if there is capacity for it and its id
+//! is new.
 
 use plankhill_event_log::AcceptedEvent;
 use slog::debug;
@@ -10,7 +11,8 @@
 use crate::notifier;
 
 impl SchedulerHost {
-    /// Records an event in the log if it can be accepted. The record is on the disk, or committed, only later.
+    /// Records an event in the log if it can be accepted. The record is on the disk, or committed,
+    /// only later.
     pub(in crate::event_loop) fn accept(&mut self, submission: &Submission) -> bool {
         if !self.has_capacity_for(submission) || self.is_known(submission) {
             return false;
@@ -37,7 +39,8 @@
         true
     }
 
-    /// Whether there is room for the event, for its outcome among the notices, and for its log records.
+    /// Whether there is room for the event, for its outcome among the notices, and for its log
+    /// records.
     fn has_capacity_for(&self, submission: &Submission) -> bool {
         let pending = self.retained.len();
         let outcomes = self.notices.unacknowledged() + pending;
--- a/forwarder/server/src/event_loop/host/adoption.rs
+++ b/forwarder/server/src/event_loop/host/adoption.rs
@@ -1,6 +1,7 @@
-//! Events of the Raft groups that replicate event logs: a group is led, or led no more, and proposals are committed or
-//! discarded. A group that this process comes to lead is adopted: its events are pending here from then on. What
-//! happens to each of them is decided by [`plan_adoption`].
+//! Events of the Raft groups that replicate event logs: a group is led, or led no more, and
+//! proposals are committed or discarded. A group that this process comes to lead is adopted: its
+//! events are pending here from then on. What happens to each of them is decided by
+//! [`plan_adoption`].
 
 use plankhill_decisions::interface::{EventId, TargetId};
 use plankhill_decisions::scheduler::Scheduler;
@@ -53,7 +54,8 @@
                 }
             }
             GroupEvent::Discarded { group, number } => {
-                // The proposal was made to a group that is lost, whether its deposition is known yet or not.
+                // The proposal was made to a group that is lost, whether its deposition is known
+                // yet or not.
                 self.lose_group(scheduler, group);
                 if let Some(log) = self.replicated_log() {
                     log.on_discarded((group, number));
@@ -81,8 +83,8 @@
         }
     }
 
-    /// Another process may own the group's events: they are not decided on here any more. One with an attempt in flight
-    /// is retained until the attempt ends, and no longer.
+    /// Another process may own the group's events: they are not decided on here any more. One with
+    /// an attempt in flight is retained until the attempt ends, and no longer.
     fn lose_group(&mut self, scheduler: &mut Scheduler, group: GroupId) {
         let Some(table) = self.replicated_log().and_then(|log| log.lose(group)) else {
             return;
@@ -108,8 +110,8 @@
         scheduler.on_completion_acknowledged(id);
     }
 
-    /// An attempt has ended: an event of a lost group was retained for that alone, and an event of an adopted group may
-    /// have waited for it.
+    /// An attempt has ended: an event of a lost group was retained for that alone, and an event of
+    /// an adopted group may have waited for it.
     pub(super) fn resume_after_attempt(&mut self, scheduler: &mut Scheduler, event: &EventId) {
         if let DurableLog::File(_) = self.log {
             return;
@@ -168,7 +170,8 @@
         }
     }
 
-    /// Events that a process without replication left in the state folder are proposed to the own group first.
+    /// Events that a process without replication left in the state folder are proposed to the own
+    /// group first.
     fn adopt_file(&mut self, scheduler: &mut Scheduler, group: GroupId) {
         let Some(log) = self.replicated_log() else {
             return;
@@ -185,7 +188,8 @@
         }
     }
 
-    /// What this process knows of an event of the group. None while an attempt is in flight that was withdrawn here.
+    /// What this process knows of an event of the group. None while an attempt is in flight that
+    /// was withdrawn here.
     fn local_knowledge(&self, group: GroupId, id: &EventId) -> Option<LocalKnowledge> {
         let DurableLog::Replicated(log) = &self.log else {
             return None;
@@ -254,7 +258,8 @@
     }
 }
 
-/// Targets that were warming up go on with it; those that are listed no more are dropped from the table.
+/// Targets that were warming up go on with it; those that are listed no more are dropped from the
+/// table.
 fn restore_warm_ups(
     scheduler: &mut Scheduler,
     table: &mut EventTable,
--- a/forwarder/server/src/event_loop/host/effects.rs
+++ b/forwarder/server/src/event_loop/host/effects.rs
@@ -1,5 +1,5 @@
-//! The scheduler's decisions as effects. They are gathered during an iteration and carried out after it, once they
-//! stand in the log.
+//! The scheduler's decisions as effects. They are gathered during an iteration and carried out
+//! after it, once they stand in the log.
 
 use plankhill_decisions::interface::{Effects, EventId, Ms, TargetId};
 use plankhill_event_log::Outcome;
@@ -24,8 +24,8 @@
         self.notices.send_staged(&self.context.log);
     }
 
-    /// An outcome other than delivery. A client that still waits is answered with it; otherwise it goes to the platform
-    /// as a notice, and the function returns true.
+    /// An outcome other than delivery. A client that still waits is answered with it; otherwise it
+    /// goes to the platform as a notice, and the function returns true.
     pub(super) fn end_event(
         &mut self,
         event: &EventId,
@@ -119,8 +119,9 @@
 
     fn cancel_unsent(&mut self, target: &TargetId) {
         self.cancel_staged_calls(target);
-        // At once, ahead of the iteration's own attempts: an attempt that does not leave needs no record, and neither
-        // a log that cannot be written nor a majority that does not answer may let it leave.
+        // At once, ahead of the iteration's own attempts: an attempt that does not leave needs no
+        // record, and neither a log that cannot be written nor a majority that does not answer may
+        // let it leave.
         self.cancel_at_predecessor(target);
         self.commands.send_now(target, TargetCommand::CancelUnsent);
     }
--- a/forwarder/server/src/event_loop/host/endpoints.rs
+++ b/forwarder/server/src/event_loop/host/endpoints.rs
@@ -86,7 +86,8 @@
         self.disabled_targets.targets_mut().on_removed(target);
     }
 
-    /// Carries out a command of operators; the reply is [`AdminReply::Done`] only once its effect is on the disk.
+    /// Carries out a command of operators; the reply is [`AdminReply::Done`] only once its effect
+    /// is on the disk.
     pub(super) fn run_admin_command(
         &mut self,
         scheduler: &mut Scheduler,
--- a/forwarder/server/src/event_loop/host/inputs.rs
+++ b/forwarder/server/src/event_loop/host/inputs.rs
@@ -33,8 +33,8 @@
                 self.commands.targets_mut().actor_stopped(&target);
             }
             Input::ConnectionInherited(connection) => self.inherit_connection(connection),
-            // Answered here, after the inputs before it: what is decided on them reaches the target's actor in the
-            // same turn of the executor.
+            // Answered here, after the inputs before it: what is decided on them reaches the
+            // target's actor in the same turn of the executor.
             Input::Barrier(reached) => {
                 let _ = reached.try_send(());
             }
@@ -45,7 +45,8 @@
                 self.record_outcome(scheduler, event, outcome);
             }
             Input::AdminCommand { command, reply } => {
-                // A caller that has been told of a failure meanwhile waits no more: the command is not carried out.
+                // A caller that has been told of a failure meanwhile waits no more: the command is
+                // not carried out.
                 if !reply.is_closed() {
                     let _ = reply.try_send(self.run_admin_command(scheduler, command));
                 }
--- a/forwarder/server/src/event_loop/host/mod.rs
+++ b/forwarder/server/src/event_loop/host/mod.rs
@@ -1,8 +1,9 @@
-//! The scheduler's host: everything that the decisions are carried out with. [`SchedulerHost`] implements
-//! [`Effects`](plankhill_decisions::interface::Effects), through which the scheduler writes its decisions, and applies
-//! the loop's inputs to the scheduler.
+//! The scheduler's host: everything that the decisions are carried out with. [`SchedulerHost`]
+//! implements [`Effects`](plankhill_decisions::interface::Effects), through which the scheduler
+//! writes its decisions, and applies the loop's inputs to the scheduler.
 //!
-//! Owned by [`EventLoop`](super::EventLoop), which alone calls it. Each submodule is one concern of the same struct.
+//! Owned by [`EventLoop`](super::EventLoop), which alone calls it. Each submodule is one concern of
+//! the same struct.
 
 mod admission;
 pub(super) mod adoption;
@@ -49,11 +50,13 @@
     wake_up_at: Option<Ms>,
     log: DurableLog,
     retained: RetainedEvents,
-    /// Events with an attempt in flight, completed ones too: an id is not accepted again before its attempt has ended.
+    /// Events with an attempt in flight, completed ones too: an id is not accepted again before its
+    /// attempt has ended.
     attempts_in_flight: HashSet<EventId>,
     /// Events that completed lately: another submission of one is not a new event.
     recently_completed: RecentEvents,
-    /// With replication: events that were delivered or abandoned here, which no adopted log brings back.
+    /// With replication: events that were delivered or abandoned here, which no adopted log brings
+    /// back.
     resolved_here: RecentEvents,
     notices: NoticeQueue,
     commands: CommandQueue,
@@ -134,7 +137,8 @@
         matches!(self.log, DurableLog::Replicated(_))
     }
 
-    /// Writes what was recorded to the disk. With replication records leave with all of the iteration instead.
+    /// Writes what was recorded to the disk. With replication records leave with all of the
+    /// iteration instead.
     ///
     /// # Errors
     /// The file's error: then none of what was recorded since the last commit is on the disk.
--- a/forwarder/server/src/event_loop/host/restore.rs
+++ b/forwarder/server/src/event_loop/host/restore.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Applies the endpoint list that the process starts with. Targets that were removed while no process ran are not
-    /// in the list, and no removal of them will be reported.
+    /// Applies the endpoint list that the process starts with. Targets that were removed while no
+    /// process ran are not in the list, and no removal of them will be reported.
     pub(in crate::event_loop) fn refresh_endpoints(
         &mut self,
         scheduler: &mut Scheduler,
@@ -68,7 +68,8 @@
     /// What another process needs beside the files of the state folder.
     ///
     /// # Errors
-    /// The scheduler cannot be encoded, or holds an event of a type that another process does not know.
+    /// The scheduler cannot be encoded, or holds an event of a type that another process does not
+    /// know.
     pub(in crate::event_loop) fn process_state(
         &self,
         scheduler: &Scheduler,
@@ -169,7 +170,8 @@
         }
         let type_known = self.submit_to_scheduler(scheduler, &event);
         if outcome.is_some() || !type_known {
-            // The event has an outcome, or gets one: without its type nothing says what was guaranteed.
+            // The event has an outcome, or gets one: without its type nothing says what was
+            // guaranteed.
             let unsendable = match may_have_run {
                 Some(_) => Outcome::Abandoned,
                 None => Outcome::Rejected,
@@ -201,9 +203,9 @@
         true
     }
 
-    /// When and in which zone the first attempt was made that may have run. A zone that the settings do not name any
-    /// more counts as unknown: an event that may be repeated in its zone alone is not sent again, and ends as one that
-    /// may have run.
+    /// When and in which zone the first attempt was made that may have run. A zone that the
+    /// settings do not name any more counts as unknown: an event that may be repeated in its zone
+    /// alone is not sent again, and ends as one that may have run.
     pub(super) fn first_attempt_that_may_have_run(
         &self,
         pending: &PendingEvent,
--- a/forwarder/server/src/event_loop/host/staging.rs
+++ b/forwarder/server/src/event_loop/host/staging.rs
@@ -1,5 +1,5 @@
-//! Effects of an iteration with replication: they wait until the iteration's records are committed, and then leave in
-//! the order of the iterations.
+//! Effects of an iteration with replication: they wait until the iteration's records are committed,
+//! and then leave in the order of the iterations.
 
 use plankhill_decisions::interface::{EventId, Ms, TargetId};
 use plankhill_hot_restart::SubmitResponse;
@@ -14,11 +14,13 @@
 use crate::event_loop::replicated_log::{IterationEffects, PendingNotice, PendingResponse};
 use crate::messages::{OutgoingCall, TargetCommand};
 
-/// Between tries to submit proposals that the ring had no room for, or to send calls that the lease did not allow.
+/// Between tries to submit proposals that the ring had no room for, or to send calls that the lease
+/// did not allow.
 const RETRY_INTERVAL: Ms = 2.0;
 
 impl SchedulerHost {
-    /// Proposes the iteration's records; its effects wait for them. `accepted`: events whose clients wait.
+    /// Proposes the iteration's records; its effects wait for them. `accepted`: events whose
+    /// clients wait.
     pub(in crate::event_loop) fn stage_effects(&mut self, accepted: Vec<EventId>) {
         let DurableLog::Replicated(log) = &mut self.log else {
             return;
@@ -101,13 +103,14 @@
         }
     }
 
-    /// A committed call leaves while this process surely owns its event. A lease that lapses on a busy machine comes
-    /// back with the next heartbeat, or the group is lost.
+    /// A committed call leaves while this process surely owns its event. A lease that lapses on a
+    /// busy machine comes back with the next heartbeat, or the group is lost.
     fn send_committed(&mut self, target: TargetId, mut call: OutgoingCall) {
         let DurableLog::Replicated(log) = &mut self.log else {
             return;
         };
-        // The time that the call waited here is not taken from its timeout, which follows the target's own answers.
+        // The time that the call waited here is not taken from its timeout, which follows the
+        // target's own answers.
         let deadline = self
             .retained
             .get(&call.event)
--- a/forwarder/server/src/event_loop/mod.rs
+++ b/forwarder/server/src/event_loop/mod.rs
@@ -1,13 +1,14 @@
-//! The event loop of the decisions. One task takes all inputs that have arrived, hands them to one iteration of the
-//! scheduler and carries out what the scheduler decides.
+//! The event loop of the decisions. One task takes all inputs that have arrived, hands them to one
+//! iteration of the scheduler and carries out what the scheduler decides.
 //!
-//! Called by `server`, which spawns [`EventLoop::run`] once. Other tasks reach the loop through its mailbox of
-//! [`Input`]s. The loop owns the scheduler and, in [`SchedulerHost`], the event log, the bodies of pending events and
-//! the mailboxes of the targets.
+//! Called by `server`, which spawns [`EventLoop::run`] once. Other tasks reach the loop through its
+//! mailbox of [`Input`]s. The loop owns the scheduler and, in [`SchedulerHost`], the event log, the
+//! bodies of pending events and the mailboxes of the targets.
 //!
-//! Order of writes: an accepted event and an attempt are in the event log before a client or a target can learn of
-//! them. Without replication the log is committed twice an iteration, after admission and after the decisions; with
-//! replication all effects of an iteration wait until its log records are committed by their Raft groups.
+//! Order of writes: an accepted event and an attempt are in the event log before a client or a
+//! target can learn of them. Without replication the log is committed twice an iteration, after
+//! admission and after the decisions; with replication all effects of an iteration wait until its
+//! log records are committed by their Raft groups.
 
 pub mod accepted_types;
 mod command_queue;
@@ -63,7 +64,8 @@
 }
 
 impl EventLoop {
-    /// A loop over an open event log. Nothing is decided before [`EventLoop::restore`] or [`EventLoop::resume`].
+    /// A loop over an open event log. Nothing is decided before [`EventLoop::restore`] or
+    /// [`EventLoop::resume`].
     pub fn new(
         context: ServerContext,
         log: EventLog,
@@ -82,11 +84,11 @@
         }
     }
 
-    /// Serves inputs until shutdown was requested and nothing is pending or unacknowledged, the mailbox is closed, or
-    /// a successor process has taken over.
+    /// Serves inputs until shutdown was requested and nothing is pending or unacknowledged, the
+    /// mailbox is closed, or a successor process has taken over.
     pub async fn run(mut self, mailbox: Receiver<Input>) {
-        // Decisions are as of the iteration's start: a timer that became due during a stall is not acted on before
-        // all sockets have been polled again.
+        // Decisions are as of the iteration's start: a timer that became due during a stall is not
+        // acted on before all sockets have been polled again.
         let mut last_start = Instant::now();
         while !self.is_finished() {
             let first = match self.host.wake_up_at() {
@@ -125,15 +127,15 @@
         self.lifecycle == Lifecycle::ShuttingDown && self.host.is_idle()
     }
 
-    /// The first iteration of a process that opened the state folder itself: the endpoint list, then what an earlier
-    /// process recorded of its targets and left pending.
+    /// The first iteration of a process that opened the state folder itself: the endpoint list,
+    /// then what an earlier process recorded of its targets and left pending.
     pub fn restore(&mut self, endpoint_list: &Value, pending: Vec<PendingEvent>) {
         self.host.start_iteration_now();
         self.decide(|scheduler, host| host.restore(scheduler, endpoint_list, pending));
     }
 
-    /// The first iteration of a process that took over from another: the endpoint list may have changed. The
-    /// scheduler's state was set by [`EventLoop::inherit`].
+    /// The first iteration of a process that took over from another: the endpoint list may have
+    /// changed. The scheduler's state was set by [`EventLoop::inherit`].
     pub fn resume(&mut self, endpoint_list: &Value) {
         self.host.start_iteration_now();
         self.decide(|scheduler, host| host.refresh_endpoints(scheduler, endpoint_list));
@@ -141,8 +143,8 @@
         self.host.wake_up_now();
     }
 
-    /// Takes over the state of another process, which still has calls in flight and is reached through
-    /// `to_predecessor`.
+    /// Takes over the state of another process, which still has calls in flight and is reached
+    /// through `to_predecessor`.
     pub fn inherit(
         &mut self,
         scheduler: Scheduler,
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Runs an iteration of its own for all group events if one of them changes which groups this process leads:
-    /// admission of new events depends on that. Returns the other inputs.
+    /// Runs an iteration of its own for all group events if one of them changes which groups this
+    /// process leads: admission of new events depends on that. Returns the other inputs.
     fn apply_leadership_changes(&mut self, inputs: Vec<Input>) -> Vec<Input> {
         if !inputs.iter().any(changes_leadership) {
             return inputs;
@@ -198,8 +200,8 @@
         others
     }
 
-    /// Records new events in the log and rejects those that cannot be accepted. Returns the inputs that the scheduler
-    /// is to have.
+    /// Records new events in the log and rejects those that cannot be accepted. Returns the inputs
+    /// that the scheduler is to have.
     fn admit(&mut self, inputs: Vec<Input>) -> Vec<Input> {
         let mut admitted = Vec::with_capacity(inputs.len());
         for input in inputs {
--- a/forwarder/server/src/event_loop/notice_queue.rs
+++ b/forwarder/server/src/event_loop/notice_queue.rs
@@ -1,5 +1,5 @@
-//! Completion notices on their way from the scheduler to the notifier, and the count of those that the platform has
-//! not acknowledged. Owned by the scheduler's host.
+//! Completion notices on their way from the scheduler to the notifier, and the count of those that
+//! the platform has not acknowledged. Owned by the scheduler's host.
 
 use std::collections::VecDeque;
 use std::vec::Drain;
@@ -42,15 +42,15 @@
         self.unacknowledged
     }
 
-    /// Takes the notices of this iteration, which count as unacknowledged from here on: fewer events are accepted
-    /// than there is room for outcomes.
+    /// Takes the notices of this iteration, which count as unacknowledged from here on: fewer
+    /// events are accepted than there is room for outcomes.
     pub(super) fn take_staged(&mut self) -> Drain<'_, CompletionNotice> {
         self.unacknowledged += self.staged.len();
         self.staged.drain(..)
     }
 
-    /// Passes the notices of this iteration to the notifier. Its mailbox has room: fewer events are accepted than it
-    /// holds.
+    /// Passes the notices of this iteration to the notifier. Its mailbox has room: fewer events are
+    /// accepted than it holds.
     pub(super) fn send_staged(&mut self, log: &Logger) {
         for notice in self.staged.drain(..) {
             log_notice(log, &notice);
--- a/forwarder/server/src/event_loop/recent_events.rs
+++ b/forwarder/server/src/event_loop/recent_events.rs
@@ -4,8 +4,8 @@
 
 use plankhill_decisions::interface::{EventId, Ms};
 
-/// How long an id is remembered. A second submission of an event comes at about the time of the first; deadlines are
-/// shorter on the longest of days.
+/// How long an id is remembered. A second submission of an event comes at about the time of the
+/// first; deadlines are shorter on the longest of days.
 const RECENT_EVENT_TTL: Ms = 30_000.0;
 /// Past that many ids the oldest go first: about a megabyte.
 const MAX_RECENT_EVENTS: usize = 8192;
--- a/forwarder/server/src/event_loop/replicated_log/commits.rs
+++ b/forwarder/server/src/event_loop/replicated_log/commits.rs
@@ -1,4 +1,5 @@
-//! Proposals of an iteration's records, and their fate: committed, discarded or unknown to a deposed leader.
+//! Proposals of an iteration's records, and their fate: committed, discarded or unknown to a
+//! deposed leader.
 
 use std::io;
 
--- a/forwarder/server/src/event_loop/replicated_log/leadership.rs
+++ b/forwarder/server/src/event_loop/replicated_log/leadership.rs
@@ -17,8 +17,9 @@
         role
     }
 
-    /// The group is led no more. A client that waits for an undecided proposal is still answered; all other effects
-    /// that depend on the group never leave. Returns the group's table, if it was led.
+    /// The group is led no more. A client that waits for an undecided proposal is still answered;
+    /// all other effects that depend on the group never leave. Returns the group's table, if it was
+    /// led.
     pub(in crate::event_loop) fn lose(&mut self, group: GroupId) -> Option<EventTable> {
         let table = self.tables.remove(&group)?;
         let orphaned = &mut self.orphaned_responses;
--- a/forwarder/server/src/event_loop/replicated_log/migration.rs
+++ b/forwarder/server/src/event_loop/replicated_log/migration.rs
@@ -1,5 +1,6 @@
-//! Migration of the log that an earlier process without replication left in the state folder: its events are proposed
-//! to the first group that this process leads, and the file is cleared only once all of them are committed.
+//! Migration of the log that an earlier process without replication left in the state folder: its
+//! events are proposed to the first group that this process leads, and the file is cleared only
+//! once all of them are committed.
 
 use std::io;
 
@@ -8,7 +9,8 @@
 
 use super::{IterationEffects, ProposalId, ReplicatedLog};
 
-/// The log of an earlier process without replication, until its events are committed by the own group.
+/// The log of an earlier process without replication, until its events are committed by the own
+/// group.
 pub(super) struct Migration {
     log: EventLog,
     /// Proposals that are not decided yet.
@@ -34,8 +36,8 @@
 }
 
 impl ReplicatedLog {
-    /// Events that an earlier process without replication left pending in the state folder, but for those that a led
-    /// group has.
+    /// Events that an earlier process without replication left pending in the state folder, but for
+    /// those that a led group has.
     pub(in crate::event_loop) fn unmigrated_events(&self) -> Vec<PendingEvent> {
         let Some(migration) = &self.migration else {
             return Vec::new();
@@ -50,7 +52,8 @@
         pending
     }
 
-    /// Proposes the state folder's log to the group, as proposals of their own ahead of the iteration's.
+    /// Proposes the state folder's log to the group, as proposals of their own ahead of the
+    /// iteration's.
     pub(in crate::event_loop) fn propose_migration(&mut self, group: GroupId) {
         let Some(migration) = &mut self.migration else {
             return;
--- a/forwarder/server/src/event_loop/replicated_log/mod.rs
+++ b/forwarder/server/src/event_loop/replicated_log/mod.rs
@@ -1,8 +1,9 @@
-//! Event tables of the Raft groups that this process leads, and effects that wait until their groups have committed
-//! the records. Which commits an effect waits for is decided in `plankhill_replication`.
+//! Event tables of the Raft groups that this process leads, and effects that wait until their
+//! groups have committed the records. Which commits an effect waits for is decided in
+//! `plankhill_replication`.
 //!
-//! Owned by the scheduler's host. A table runs ahead of what is committed; nothing that depends on a record leaves
-//! before the record is committed.
+//! Owned by the scheduler's host. A table runs ahead of what is committed; nothing that depends on
+//! a record leaves before the record is committed.
 
 mod commits;
 mod leadership;
@@ -25,7 +26,8 @@
 use crate::messages::{CompletionNotice, OutgoingCall};
 use crate::raft::RaftHandle;
 
-/// A client that waits for its accepted event's commit. Dropped, the client's connection is closed without an answer.
+/// A client that waits for its accepted event's commit. Dropped, the client's connection is closed
+/// without an answer.
 pub(super) struct PendingResponse {
     pub(super) group: GroupId,
     pub(super) response: Sender<SubmitResponse>,
@@ -44,7 +46,8 @@
     pub(super) notices: Vec<PendingNotice>,
 }
 
-/// An event of an adopted table, which waits for the end of an attempt that was withdrawn here under the same id.
+/// An event of an adopted table, which waits for the end of an attempt that was withdrawn here
+/// under the same id.
 pub(super) struct DeferredAdoption {
     pub(super) group: GroupId,
     pub(super) event: EventId,
@@ -69,7 +72,8 @@
 }
 
 impl ReplicatedLog {
-    /// `log` is the state folder's; what it still has pending goes into the first group that this process leads.
+    /// `log` is the state folder's; what it still has pending goes into the first group that this
+    /// process leads.
     pub(super) fn new(raft: Rc<RaftHandle>, log: EventLog) -> Self {
         let roles = GroupRoles::new(raft.incarnation());
         ReplicatedLog {
@@ -171,15 +175,16 @@
         }
     }
 
-    /// Whether an event of that key is pending in a group that lost its owner and has not ended yet.
+    /// Whether an event of that key is pending in a group that lost its owner and has not ended
+    /// yet.
     pub(super) fn blocks_order_key(&self, key: OrderKey) -> bool {
         self.raft.replicas().any(key.0, |group, owner, has_events| {
             self.roles.blocks_order_key(group, owner, has_events)
         })
     }
 
-    /// Whether a new event with a body of that many bytes can be recorded. The records of an iteration are one proposal
-    /// for each group: admission stops before they would be two.
+    /// Whether a new event with a body of that many bytes can be recorded. The records of an
+    /// iteration are one proposal for each group: admission stops before they would be two.
     pub(super) fn has_capacity_for(&self, body_bytes: usize) -> bool {
         let own = self.roles.own_group().and_then(|own| self.tables.get(&own));
         let Some(table) = own else {
--- a/forwarder/server/src/event_loop/retained_events.rs
+++ b/forwarder/server/src/event_loop/retained_events.rs
@@ -1,5 +1,5 @@
-//! Parts of each pending event that the scheduler does not keep: its body, its fingerprint and its waiting client.
-//! Owned by the scheduler's host.
+//! Parts of each pending event that the scheduler does not keep: its body, its fingerprint and its
+//! waiting client. Owned by the scheduler's host.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,7 +14,8 @@
 
 /// Kept of an event until it completes.
 pub(super) struct RetainedEvent {
-    /// Number of the request that submitted the event; another request may come under the same id. 0 after a restart.
+    /// Number of the request that submitted the event; another request may come under the same id.
+    /// 0 after a restart.
     request_number: u64,
     deadline: Ms,
     fingerprint: Option<Rc<str>>,
--- a/forwarder/server/src/event_loop/tests/adoption.rs
+++ b/forwarder/server/src/event_loop/tests/adoption.rs
@@ -16,8 +16,7 @@
 }
 
 #[test]
-fn a_new_leader_sends_untried_events_once_their_attempts_are_committed_and_dissolves_the_empty_group(
-) {
+fn a_new_leader_sends_untried_events_once_committed_and_dissolves_the_empty_group() {
     let harness = Harness::new(|_| ());
     let mut replica = table(|table| table.accept(accepted_event("a", "job")));
     harness.elect(others(1), &replica);
@@ -69,8 +68,7 @@
 }
 
 #[test]
-fn an_event_in_flight_at_the_old_leader_and_the_next_of_its_key_wait_until_that_call_has_surely_ended(
-) {
+fn an_event_in_flight_at_the_old_leader_and_the_next_of_its_key_wait_for_the_calls_end() {
     let harness = Harness::new(|_| ());
     let mut replica = table(|table| {
         table.accept(accepted_event("a", "job"));
--- a/forwarder/server/src/event_loop/tests/commits.rs
+++ b/forwarder/server/src/event_loop/tests/commits.rs
@@ -28,8 +28,7 @@
 }
 
 #[test]
-fn response_and_first_byte_leave_once_acceptance_and_attempt_are_committed_and_completion_is_recorded(
-) {
+fn response_and_first_byte_leave_once_acceptance_and_attempt_are_committed() {
     let (harness, mut replica) = leading();
     let response = harness.submit("a", JOB);
     let number = harness.next_proposal(own(1), &mut replica);
@@ -195,7 +194,8 @@
     assert!(replica.is_empty());
 }
 
-/// Guards the order of a key whose clients go on here while the successor of its first owner still has events of it.
+/// Guards the order of a key whose clients go on here while the successor of its first owner still
+/// has events of it.
 #[test]
 fn an_event_whose_order_key_is_pending_at_a_lost_owner_is_not_accepted_before_that_has_completed() {
     let (harness, mut replica) = leading();
@@ -251,7 +251,8 @@
     assert_eq!(harness.response(&response), Some(SubmitResponse::Accepted));
 }
 
-/// A cancelled call is one less: that waits for no majority, while another iteration's records may wait for long.
+/// A cancelled call is one less: that waits for no majority, while another iteration's records may
+/// wait for long.
 #[test]
 fn a_call_is_cancelled_while_an_iteration_waits_for_its_commit() {
     let mut target = HeldTarget::new();
--- a/forwarder/server/src/event_loop/tests/mod.rs
+++ b/forwarder/server/src/event_loop/tests/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop with replication: the Raft groups are a stand-in that answers when a test says so, the target is one
-//! on a socket.
+//! The event loop with replication: the Raft groups are a stand-in that answers when a test says
+//! so, the target is one on a socket.
 
 mod adoption;
 mod commits;
--- a/forwarder/server/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -1,5 +1,5 @@
-//! The actor of broadcasts: follows the control group's log, asks the log for what this instance is to do, and proposes
-//! while this instance leads the group. Spawned by `server`.
+//! The actor of broadcasts: follows the control group's log, asks the log for what this instance is
+//! to do, and proposes while this instance leads the group. Spawned by `server`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -21,7 +21,8 @@
 
 /// Between looks at what is to be asked of the control group, while there is nothing.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A call may outlast its event's deadline by so much: the longest time that the scheduler gives one.
+/// A call may outlast its event's deadline by so much: the longest time that the scheduler gives
+/// one.
 const MAX_CALL_OVERRUN: Ms = 10_000.0;
 /// Between proposals of the fleet file's layout, until the log has it.
 const LAYOUT_RETRY_INTERVAL: Ms = 2000.0;
--- a/forwarder/server/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -1,7 +1,9 @@
-//! Broadcasts, where the fleet file has lists: what clients submit goes to the fleet's control group, and copies that the
-//! group's log hands to this instance come into the event loop like any other event. See `docs/fanout.md`.
+//! Broadcasts, where the fleet file has lists: what clients submit goes to the fleet's control
+//! group, and copies that the group's log hands to this instance come into the event loop like any
+//! other event. See `docs/fanout.md`.
 //!
-//! [`Broadcasts`] is shared by the clients' connections, the event loop and [`actor`], which follows the log.
+//! [`Broadcasts`] is shared by the clients' connections, the event loop and [`actor`], which
+//! follows the log.
 
 pub mod actor;
 mod state_machine;
--- a/forwarder/server/src/fanout/state_machine.rs
+++ b/forwarder/server/src/fanout/state_machine.rs
@@ -1,4 +1,5 @@
-//! State machine of the control group where it keeps lists and broadcasts. The first byte of a command says whose it is.
+//! State machine of the control group where it keeps lists and broadcasts. The first byte of a
+//! command says whose it is.
 
 use plankhill_fanout::{Command, FanoutState};
 use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
--- a/forwarder/server/src/fanout/state_machine/wire_format_tests.rs
+++ b/forwarder/server/src/fanout/state_machine/wire_format_tests.rs
@@ -1,4 +1,5 @@
-//! The byte before a command of fan-out in the control group's log, as the version in service writes it.
+//! The byte before a command of fan-out in the control group's log, as the version in service
+//! writes it.
 
 use plankhill_fanout::Command;
 use rstest::rstest;
--- a/forwarder/server/src/fanout/submission.rs
+++ b/forwarder/server/src/fanout/submission.rs
@@ -46,7 +46,8 @@
                 Ok(SubmitResponse::Failed) => Outcome::Abandoned,
                 Ok(SubmitResponse::Accepted) | Err(_) => return,
             };
-            // The event ended before its record in the log counted: no notice of it goes out by itself.
+            // The event ended before its record in the log counted: no notice of it goes out by
+            // itself.
             broadcasts.pending.borrow_mut().remove(&id);
             broadcasts.unsubmitted.borrow_mut().add(id, copy, outcome);
             broadcasts.wake_actor();
@@ -54,7 +55,8 @@
         self.context.executor.spawn(await_response).detach();
     }
 
-    /// None if this instance does not serve the copy any more, or its settings lack the traffic type.
+    /// None if this instance does not serve the copy any more, or its settings lack the traffic
+    /// type.
     fn event_of(
         &self,
         id: &EventId,
--- a/forwarder/server/src/fanout/unsubmitted_outcomes.rs
+++ b/forwarder/server/src/fanout/unsubmitted_outcomes.rs
@@ -1,5 +1,6 @@
-//! Outcomes of copies that never were events here: rejected before they were submitted, or left by an instance that is
-//! lost. The platform is notified of them as of any other, by a notice that the event log keeps until it is acknowledged.
+//! Outcomes of copies that never were events here: rejected before they were submitted, or left by
+//! an instance that is lost. The platform is notified of them as of any other, by a notice that the
+//! event log keeps until it is acknowledged.
 
 use std::collections::HashMap;
 
@@ -8,7 +9,8 @@
 
 use super::BroadcastCopy;
 
-/// The event loop may have no room for a notice now: each outcome is passed to it again after so long.
+/// The event loop may have no room for a notice now: each outcome is passed to it again after so
+/// long.
 const RETRY_INTERVAL: Ms = 1000.0;
 /// Outcomes passed to the event loop at a time; it has that much room at least.
 const MAX_OUTCOMES_AT_ONCE: usize = 128;
--- a/forwarder/server/src/hot_restart/predecessor.rs
+++ b/forwarder/server/src/hot_restart/predecessor.rs
@@ -1,5 +1,5 @@
-//! The predecessor's side of a hot restart: hears which process asks, has the event loop pause, and hands over. What it
-//! does next is decided by [`Predecessor`]. Spawned by `server`.
+//! The predecessor's side of a hot restart: hears which process asks, has the event loop pause, and
+//! hands over. What it does next is decided by [`Predecessor`]. Spawned by `server`.
 
 use std::io;
 use std::net::TcpListener;
@@ -23,7 +23,8 @@
 
 /// A new process says hello at once.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the event loop pauses for a successor that does not get on: well under what a client waits.
+/// How long the event loop pauses for a successor that does not get on: well under what a client
+/// waits.
 const PREPARE_TIMEOUT: Duration = Duration::from_millis(250);
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Messages on their way to the successor, and from it.
@@ -238,8 +239,8 @@
         }
     }
 
-    /// Tells the successor that the forwarder is its own. Without a time limit: from now on it is, until the successor
-    /// is seen to have ended.
+    /// Tells the successor that the forwarder is its own. Without a time limit: from now on it is,
+    /// until the successor is seen to have ended.
     async fn transfer(
         &self,
         sender: &MessageSender,
--- a/forwarder/server/src/hot_restart/relay.rs
+++ b/forwarder/server/src/hot_restart/relay.rs
@@ -1,6 +1,6 @@
-//! The event loop's place in a process that has handed over: nothing is decided here any more. Inputs go to the
-//! successor, and its answers to the clients, operators and targets that wait here. The relay ends with the last of
-//! them.
+//! The event loop's place in a process that has handed over: nothing is decided here any more.
+//! Inputs go to the successor, and its answers to the clients, operators and targets that wait
+//! here. The relay ends with the last of them.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -68,7 +68,7 @@
             match until(Instant::now() + POLL_INTERVAL, self.next(&mailbox)).await {
                 None => (),
                 Some(Next::Input(input)) => {
-                    let Some(message) = self.to_message(input, &mut pending) else {
+                    let Some(message) = self.message_for(input, &mut pending) else {
                         continue;
                     };
                     if self.to_successor.send((message, None)).await.is_err() {
@@ -120,7 +120,7 @@
     }
 
     /// The message that passes an input on; none for an input that concerns this process alone.
-    fn to_message(&mut self, input: Input, pending: &mut PendingReplies) -> Option<Message> {
+    fn message_for(&mut self, input: Input, pending: &mut PendingReplies) -> Option<Message> {
         match input {
             Input::Submitted(submission) => {
                 let number = submission.request_number;
--- a/forwarder/server/src/hot_restart/successor.rs
+++ b/forwarder/server/src/hot_restart/successor.rs
@@ -1,5 +1,6 @@
-//! The successor's side of a hot restart: a new version that starts beside a running process takes over from it, or
-//! waits for the state folder's lock. What it does next is decided by [`Successor`]. Called by `server` at its start.
+//! The successor's side of a hot restart: a new version that starts beside a running process takes
+//! over from it, or waits for the state folder's lock. What it does next is decided by
+//! [`Successor`]. Called by `server` at its start.
 
 use std::collections::HashSet;
 use std::io;
@@ -11,7 +12,7 @@
 use async_io::{Async, Timer};
 use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, EventId, TargetId};
 use plankhill_decisions::scheduler::Scheduler;
-use plankhill_event_log::{EventLog, PendingEvent};
+use plankhill_event_log::{EventLog, OpenError, PendingEvent};
 use plankhill_hot_restart::{
     connect, Action, Message, MessageReceiver, MessageSender, ProcessState, Signal, StateLock,
     Successor, PROTOCOL_VERSION,
@@ -30,7 +31,8 @@
 
 /// How long a start waits for the folder while another process holds it and hands nothing over.
 const FOLDER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Messages to the predecessor that wait: answers to requests that it had half read, and calls to cancel.
+/// Messages to the predecessor that wait: answers to requests that it had half read, and calls to
+/// cancel.
 pub const MAX_QUEUED_MESSAGES: usize = 1024;
 /// Between tries.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -84,6 +86,9 @@
     /// The connection or a file failed.
     #[error(transparent)]
     Io(#[from] io::Error),
+    /// The event log cannot be opened.
+    #[error(transparent)]
+    EventLog(#[from] OpenError),
     /// The predecessor does not get on.
     #[error("timed out")]
     TimedOut,
@@ -244,7 +249,8 @@
 impl PredecessorLink {
     /// Receives the predecessor's messages until it ends.
     pub async fn run(mut self, mut receiver: MessageReceiver) {
-        // Both processes are within the memory limit of one: the predecessor keeps the memory that it had.
+        // Both processes are within the memory limit of one: the predecessor keeps the memory that
+        // it had.
         let buffers = self.context.buffers.clone();
         let max_buffers = buffers.max_buffers();
         buffers.set_max_buffers((max_buffers / 2).max(1));
--- a/forwarder/server/src/hot_restart/transfer.rs
+++ b/forwarder/server/src/hot_restart/transfer.rs
@@ -1,4 +1,5 @@
-//! The way to the successor process: while it is open, connections that wait for a request or a call go there.
+//! The way to the successor process: while it is open, connections that wait for a request or a
+//! call go there.
 
 use std::cell::RefCell;
 use std::os::fd::OwnedFd;
--- a/forwarder/server/src/http_exchange.rs
+++ b/forwarder/server/src/http_exchange.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 request and its response over a connection of ours. Used by calls to targets, the endpoint watch and
-//! the notifier; the parsing is in `plankhill_http1`.
+//! One HTTP/1.1 request and its response over a connection of ours. Used by calls to targets, the
+//! endpoint watch and the notifier; the parsing is in `plankhill_http1`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,12 +11,13 @@
 
 use crate::stream::{connect, is_quiet, until, Stream, MAX_HEAD_BYTES};
 
-/// A connect that takes longer is given up: the system repeats a lost packet after one second, then after two, four and
-/// eight, and a discovery that is back would be reached only then.
+/// A connect that takes longer is given up: the system repeats a lost packet after one second, then
+/// after two, four and eight, and a discovery that is back would be reached only then.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// From a response's first byte to its last: many times what a body of 64 KiB takes.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// The same for a response with status 200, whose rest says only whether its connection may serve again.
+/// The same for a response with status 200, whose rest says only whether its connection may serve
+/// again.
 pub const DELIVERED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Why there is no response.
@@ -58,15 +59,17 @@
     pub reusable: bool,
 }
 
-/// How much of a buffer is filled, and where in it the last response begins: interim ones, such as 100, may go ahead.
+/// How much of a buffer is filled, and where in it the last response begins: interim ones, such as
+/// 100, may go ahead.
 #[derive(Default)]
 pub struct ReadProgress {
     pub start: usize,
     pub filled: usize,
 }
 
-/// Sends a request over the idle connection, if it goes to `address`, or over a new one, and keeps the connection if it
-/// may serve again. `response_timeout` is from the response's first byte; the caller limits the time until then.
+/// Sends a request over the idle connection, if it goes to `address`, or over a new one, and keeps
+/// the connection if it may serve again. `response_timeout` is from the response's first byte; the
+/// caller limits the time until then.
 ///
 /// # Errors
 /// There is no connection, or no complete response.
@@ -101,11 +104,13 @@
         && is_quiet(stream)
 }
 
-/// Reads one response. `timeout` gives the time from the first byte on for a status, or for 0 until the status is
-/// known. `progress` says how far the buffer is filled, also if the reading is given up.
+/// Reads one response. `timeout` gives the time from the first byte on for a status, or for 0 until
+/// the status is known. `progress` says how far the buffer is filled, also if the reading is given
+/// up.
 ///
 /// # Errors
-/// The connection ends first, or the bytes are no response, do not end in time or do not fit the buffer.
+/// The connection ends first, or the bytes are no response, do not end in time or do not fit the
+/// buffer.
 pub async fn read_response(
     stream: &mut Stream,
     buffer: &mut [u8],
@@ -135,7 +140,8 @@
     }
 }
 
-/// The status of the response that begins at `progress.start`; 0 if its first line is none, or as long as a head.
+/// The status of the response that begins at `progress.start`; 0 if its first line is none, or as
+/// long as a head.
 async fn read_status(
     stream: &mut Stream,
     buffer: &mut [u8],
--- a/forwarder/server/src/lingering_close.rs
+++ b/forwarder/server/src/lingering_close.rs
@@ -1,7 +1,7 @@
-//! The one way in which a connection ends behind a response of ours: the writing side is shut down, what still arrives
-//! is read and dropped within bounds, then the connection is closed. A close over unread bytes resets the connection,
-//! and a response that its peer has not read yet is lost with that (RFC 9112, section 9.6). What is read here is never
-//! a request any more.
+//! The one way in which a connection ends behind a response of ours: the writing side is shut down,
+//! what still arrives is read and dropped within bounds, then the connection is closed. A close
+//! over unread bytes resets the connection, and a response that its peer has not read yet is lost
+//! with that (RFC 9112, section 9.6). What is read here is never a request any more.
 //!
 //! Used by the clients' connections and by the admin listener.
 
@@ -10,21 +10,22 @@
 
 use crate::stream::Stream;
 
-/// Bytes that are still read: a request at its longest three times over. A peer that sends more is no client.
+/// Bytes that are still read: a request at its longest three times over. A peer that sends more is
+/// no client.
 const MAX_DRAINED_BYTES: usize = 256 * 1024;
 /// Read at once, into the stack.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Shuts the writing side down, and returns once the peer has closed its side too or has sent too much. The caller
-/// limits the time.
+/// Shuts the writing side down, and returns once the peer has closed its side too or has sent too
+/// much. The caller limits the time.
 pub async fn linger(stream: &Stream) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let mut budget = MAX_DRAINED_BYTES;
     while drain(stream, &mut budget) == Drained::Open && stream.readable().await.is_ok() {}
 }
 
-/// Answers a connection for which there is no place, and that may not wait for one: what has arrived is read first, and
-/// what arrives with the response after it.
+/// Answers a connection for which there is no place, and that may not wait for one: what has
+/// arrived is read first, and what arrives with the response after it.
 pub fn reject(stream: &Stream, response: &[u8]) {
     let mut budget = MAX_DRAINED_BYTES;
     drain(stream, &mut budget);
--- a/forwarder/server/src/messages.rs
+++ b/forwarder/server/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages that the server's tasks put into each other's mailboxes: inputs of the event loop, commands to a target's
-//! actor, and notices for the notifier.
+//! Messages that the server's tasks put into each other's mailboxes: inputs of the event loop,
+//! commands to a target's actor, and notices for the notifier.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -43,7 +43,8 @@
     HandOver(HandoverRequest),
     /// The platform has acknowledged the notices of these events.
     NoticesAcknowledged(Vec<EventId>),
-    /// A broadcast's copy that is not to be submitted: its outcome is recorded, and the platform notified.
+    /// A broadcast's copy that is not to be submitted: its outcome is recorded, and the platform
+    /// notified.
     BroadcastOutcome {
         event: AcceptedEvent<'static>,
         outcome: Outcome,
@@ -57,8 +58,9 @@
     GroupEvent(GroupEvent),
     /// The process is to end once nothing is pending.
     ShutdownRequested,
-    /// A call is about to be written, some time after it was decided. Answered once the inputs before are applied: what
-    /// is decided on them reaches the target's actor in the same turn of the executor.
+    /// A call is about to be written, some time after it was decided. Answered once the inputs
+    /// before are applied: what is decided on them reaches the target's actor in the same turn of
+    /// the executor.
     Barrier(Sender<()>),
 }
 
@@ -141,9 +143,11 @@
     pub timeout: Ms,
     /// The event's deadline: nothing of the call leaves after it.
     pub deadline: Ms,
-    /// When the call's last byte has to have left, on the clock of the decisions; infinite where nothing bounds it.
+    /// When the call's last byte has to have left, on the clock of the decisions; infinite where
+    /// nothing bounds it.
     pub leave_by: Ms,
-    /// With replication: groups whose lease this process has to hold when the call's first byte leaves.
+    /// With replication: groups whose lease this process has to hold when the call's first byte
+    /// leaves.
     pub groups: Vec<GroupId>,
 }
 
--- a/forwarder/server/src/notifier.rs
+++ b/forwarder/server/src/notifier.rs
@@ -1,5 +1,5 @@
-//! The notifier: tells the platform of outcomes other than delivery, in order, again and again until each is
-//! acknowledged. Spawned once by `server`; the event loop fills its mailbox.
+//! The notifier: tells the platform of outcomes other than delivery, in order, again and again
+//! until each is acknowledged. Spawned once by `server`; the event loop fills its mailbox.
 
 use std::time::{Duration, Instant};
 
@@ -19,13 +19,15 @@
 pub const MAX_QUEUED_NOTICES: usize = 4096;
 /// Notices in one request: some twenty kilobytes.
 const MAX_NOTICES_PER_REQUEST: usize = 200;
-/// A response has the first of these, and twice as long with each failure up to the last. A notice has to be
-/// acknowledged 300 ms after its event's deadline, which ends shortly before, and the agent answers at once: a
-/// connection that has fallen silent costs 80 ms, and a second one 160 more, which leaves another try. A machine on
-/// which a response takes longer is reached by the tries that follow: a notice that is sent twice does no harm.
+/// A response has the first of these, and twice as long with each failure up to the last. A notice
+/// has to be acknowledged 300 ms after its event's deadline, which ends shortly before, and the
+/// agent answers at once: a connection that has fallen silent costs 80 ms, and a second one 160
+/// more, which leaves another try. A machine on which a response takes longer is reached by the
+/// tries that follow: a notice that is sent twice does no harm.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(80);
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Behind a refusal. The failure of an idle connection says nothing of a new one, and a timeout was a pause.
+/// Behind a refusal. The failure of an idle connection says nothing of a new one, and a timeout was
+/// a pause.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Why notices are not acknowledged.
@@ -75,7 +77,8 @@
             let was_connected = notifier.idle.is_some();
             match notifier.send(&batch).await {
                 Ok(Acknowledgement::Unreadable) if batch.len() > 1 => {
-                    // One unreadable notice must not hold up the others: each half is sent by itself.
+                    // One unreadable notice must not hold up the others: each half is sent by
+                    // itself.
                     let rest = batch.split_off(batch.len() / 2);
                     batches.push(rest);
                     batches.push(batch);
@@ -118,7 +121,8 @@
 }
 
 impl Notifier {
-    /// Adds notices that arrived meanwhile, to a batch that was not acknowledged too: none waits behind another.
+    /// Adds notices that arrived meanwhile, to a batch that was not acknowledged too: none waits
+    /// behind another.
     fn fill(&self, batch: &mut Vec<CompletionNotice>) {
         while batch.len() < MAX_NOTICES_PER_REQUEST {
             match self.notices.try_recv() {
--- a/forwarder/server/src/raft.rs
+++ b/forwarder/server/src/raft.rs
@@ -1,5 +1,6 @@
-//! The server's side of the Raft groups of its fleet, where a fleet file is named: requests to the groups, and the
-//! sign that the executor is alive, without which the groups' watchdog ends the process.
+//! The server's side of the Raft groups of its fleet, where a fleet file is named: requests to the
+//! groups, and the sign that the executor is alive, without which the groups' watchdog ends the
+//! process.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -75,8 +76,8 @@
 }
 
 impl RaftHandle {
-    /// `max_stall` is the longest time in milliseconds that a process may stand still; `replicas` are the event logs
-    /// that this process keeps, its own and others'.
+    /// `max_stall` is the longest time in milliseconds that a process may stand still; `replicas`
+    /// are the event logs that this process keeps, its own and others'.
     pub fn new(
         groups: Box<dyn Groups>,
         max_stall: Ms,
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Starts the groups and their threads; none, and nothing is started, where no fleet file is named.
+    /// Starts the groups and their threads; none, and nothing is started, where no fleet file is
+    /// named.
     ///
     /// # Errors
     /// The groups' folder, address or keys are of no use.
--- a/forwarder/server/src/raft_events.rs
+++ b/forwarder/server/src/raft_events.rs
@@ -1,4 +1,5 @@
-//! Events of the Raft groups, passed to the tasks that they concern: the event loop, broadcasts and connection quotas.
+//! Events of the Raft groups, passed to the tasks that they concern: the event loop, broadcasts and
+//! connection quotas.
 
 use async_channel::Sender;
 use async_io::Timer;
@@ -45,8 +46,8 @@
     error!(context.log, "threads of the Raft groups have ended");
 }
 
-/// Events of the control group alone are not for the event loop; of groups that were never led its numbers mean
-/// nothing there.
+/// Events of the control group alone are not for the event loop; of groups that were never led its
+/// numbers mean nothing there.
 fn concerns_event_logs(event: &GroupEvent) -> bool {
     match event {
         GroupEvent::Elected { purpose, .. } => *purpose == Purpose::EventLog,
--- a/forwarder/server/src/reload.rs
+++ b/forwarder/server/src/reload.rs
@@ -5,8 +5,8 @@
 
 use crate::context::ServerContext;
 
-/// Reads the configuration again: discovery's address and the quota policy take effect, other changes wait for a new
-/// start. A faulty configuration changes nothing.
+/// Reads the configuration again: discovery's address and the quota policy take effect, other
+/// changes wait for a new start. A faulty configuration changes nothing.
 pub fn reload_config(context: &ServerContext, discovery_moved: &Sender<()>) {
     let reloaded = plankhill_forwarder_config::reload_config(|name| std::env::var(name).ok());
     let config = match reloaded {
--- a/forwarder/server/src/server.rs
+++ b/forwarder/server/src/server.rs
@@ -1,5 +1,6 @@
-//! Start, signals and end of the process: wires the tasks, takes over from a predecessor process or opens the state
-//! folder, serves until a signal or a successor ends it, and shuts down gracefully. Called by `main`.
+//! Start, signals and end of the process: wires the tasks, takes over from a predecessor process or
+//! opens the state folder, serves until a signal or a successor ends it, and shuts down gracefully.
+//! Called by `main`.
 
 use std::io;
 use std::net::TcpListener;
@@ -67,7 +68,8 @@
     async_io::block_on(executor.run(serve(context, known_endpoints, group_events)))
 }
 
-/// The configured limit may be more than the system gives: clients would then leave none for discovery and the targets.
+/// The configured limit may be more than the system gives: clients would then leave none for
+/// discovery and the targets.
 fn limit_sockets(config: &mut ForwarderConfig) {
     let system_limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     let system_limit = usize::try_from(system_limit).unwrap_or(usize::MAX);
@@ -166,10 +168,7 @@
             to_fanout,
         ))
     });
-    let _quotas = match &context.quotas {
-        Some(_) => Some(executor.spawn(connection_quotas::ticker::run(context.clone()))),
-        None => None,
-    };
+    let _quotas = executor.spawn(connection_quotas::ticker::run(context.clone()));
     let hot_restart = HotRestart::of(&context);
     let state = open_if_unlocked(&context, hot_restart)?;
     let admin = match config.admin_address {
@@ -250,7 +249,8 @@
     Ok(())
 }
 
-/// Opens the state folder, unless another process holds its lock: then that process is to hand over, or to end.
+/// Opens the state folder, unless another process holds its lock: then that process is to hand
+/// over, or to end.
 fn open_if_unlocked(
     context: &ServerContext,
     hot_restart: HotRestart,
@@ -379,7 +379,8 @@
     /// Tells the watch that discovery has moved.
     to_watch: Sender<()>,
     event_loop: Task<()>,
-    /// Notices, endpoint list and the clients' listener: a successor does all that from the handover on.
+    /// Notices, endpoint list and the clients' listener: a successor does all that from the
+    /// handover on.
     successor_tasks: Vec<Task<()>>,
     /// Ends once this process has handed over.
     handed_over: Task<()>,
@@ -427,8 +428,8 @@
         info!(context.log, "server ended");
     }
 
-    /// Accepts nothing new, and ends once nothing is pending and all clients have their responses, or when the time is
-    /// up.
+    /// Accepts nothing new, and ends once nothing is pending and all clients have their responses,
+    /// or when the time is up.
     async fn shut_down(self, signals: &mut Signals) {
         let RunningServer {
             context,
@@ -464,8 +465,8 @@
             }
             future::pending().await
         };
-        // A successor that asked before the event loop learned of the shutdown may still take over: then it does all
-        // that.
+        // A successor that asked before the event loop learned of the shutdown may still take over:
+        // then it does all that.
         let successor = async {
             handed_over.await;
             drop(successor_tasks);
--- a/forwarder/server/src/state_folder.rs
+++ b/forwarder/server/src/state_folder.rs
@@ -1,11 +1,11 @@
-//! The state folder (`PROXY_STATE`) of a process that starts from it: checked and opened while no other process holds
-//! its lock.
+//! The state folder (`PROXY_STATE`) of a process that starts from it: checked and opened while no
+//! other process holds its lock.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
 use async_io::Async;
-use plankhill_event_log::{EventLog, PendingEvent};
+use plankhill_event_log::{EventLog, OpenError, PendingEvent};
 use plankhill_forwarder_config::ForwarderConfig;
 use plankhill_hot_restart::StateLock;
 
@@ -14,8 +14,8 @@
 
 /// Connections that wait to be accepted: several times what clients open in a burst.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Names the forwarder that the folder belongs to: its pending events name destinations of that forwarder's deployment
-/// alone.
+/// Names the forwarder that the folder belongs to: its pending events name destinations of that
+/// forwarder's deployment alone.
 const OWNER_FILE: &str = "owner";
 const NEW_OWNER_FILE: &str = "owner.new";
 
@@ -52,7 +52,7 @@
         /// The state folder.
         folder: String,
         /// The system's error, or what is wrong with the file.
-        error: io::Error,
+        error: OpenError,
     },
     /// The address cannot be listened on.
     #[error("{key}: {address} cannot be listened on: {error}")]
@@ -81,8 +81,8 @@
     })
 }
 
-/// Checks that the folder is that of the forwarder of our name, or nobody's yet. An empty owner file is none: a machine
-/// that failed may leave it.
+/// Checks that the folder is that of the forwarder of our name, or nobody's yet. An empty owner
+/// file is none: a machine that failed may leave it.
 ///
 /// # Errors
 /// The folder is another forwarder's, or the owner file cannot be read.
@@ -104,7 +104,8 @@
     }
 }
 
-/// Marks the folder as ours. Where the owner file cannot be written the folder stays nobody's, as before.
+/// Marks the folder as ours. Where the owner file cannot be written the folder stays nobody's, as
+/// before.
 fn write_owner(config: &ForwarderConfig) {
     let path = config.state_folder.join(OWNER_FILE);
     let new = config.state_folder.join(NEW_OWNER_FILE);
@@ -131,11 +132,12 @@
     /// Opens the folder and the clients' listener.
     ///
     /// # Errors
-    /// The folder is another forwarder's, one of its files is of no use, or the address cannot be listened on.
+    /// The folder is another forwarder's, one of its files is of no use, or the address cannot be
+    /// listened on.
     pub fn open(config: &ForwarderConfig, lock: Option<StateLock>) -> Result<Self, StartError> {
         check_owner(config)?;
-        // The event log comes last, as opening it truncates a torn end: whatever else is faulty leaves the folder as it
-        // is.
+        // The event log comes last, as opening it truncates a torn end: whatever else is faulty
+        // leaves the folder as it is.
         let disabled_targets =
             DisabledTargetStore::open(&config.state_folder, config.max_disk_bytes)?;
         stored_list::check(&config.state_folder)?;
@@ -145,7 +147,8 @@
                 folder: config.state_folder.display().to_string(),
                 error,
             })?;
-        // The library's backlog of 128 would overflow when many connect at once, and all others wait a second.
+        // The library's backlog of 128 would overflow when many connect at once, and all others
+        // wait a second.
         rustix::net::listen(&listener, LISTEN_BACKLOG)
             .map_err(|error| StartError::Backlog(error.into()))?;
         write_owner(config);
--- a/forwarder/server/src/stream.rs
+++ b/forwarder/server/src/stream.rs
@@ -1,4 +1,5 @@
-//! TCP connections as the server uses them, and waits with a time limit. Used by every task that has a connection.
+//! TCP connections as the server uses them, and waits with a time limit. Used by every task that
+//! has a connection.
 
 use std::future::Future;
 use std::io;
@@ -32,7 +33,8 @@
     Ok(stream)
 }
 
-/// The future's output, or none if `deadline` is first. A future that is ready at that moment still counts.
+/// The future's output, or none if `deadline` is first. A future that is ready at that moment still
+/// counts.
 pub async fn until<T>(deadline: Instant, future: impl Future<Output = T>) -> Option<T> {
     let completed = async { Some(future.await) };
     let timed_out = async {
--- a/forwarder/server/src/target_table.rs
+++ b/forwarder/server/src/target_table.rs
@@ -1,5 +1,5 @@
-//! Targets that are listed, and the mailboxes of those that have an actor. Owned by the event loop; after a handover by
-//! the relay.
+//! Targets that are listed, and the mailboxes of those that have an actor. Owned by the event loop;
+//! after a handover by the relay.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -104,7 +104,8 @@
             .is_some_and(|mailbox| !mailbox.is_closed());
         if !has_actor {
             if !starts_actor(&command) {
-                // No connection is idle and no call in flight: there is nothing to close or to cancel.
+                // No connection is idle and no call in flight: there is nothing to close or to
+                // cancel.
                 return Ok(());
             }
             target.mailbox = Some(start_actor(&self.context, id, target.address));
@@ -120,8 +121,9 @@
             .map_err(|error| error.into_inner())
     }
 
-    /// Room for every call that may be in flight, its return, and as many commands about idle connections. The mailbox
-    /// itself takes memory as commands come, which a bounded channel would take at once.
+    /// Room for every call that may be in flight, its return, and as many commands about idle
+    /// connections. The mailbox itself takes memory as commands come, which a bounded channel would
+    /// take at once.
     fn max_queued_commands(&self) -> usize {
         4 * self.context.server.config.decisions.max_calls_in_flight + 16
     }
--- a/forwarder/server/src/targets/actor.rs
+++ b/forwarder/server/src/targets/actor.rs
@@ -1,6 +1,6 @@
-//! The actor of one target: it owns the idle connections, lends one to each call and takes it back. The actor starts
-//! with a call and ends once the last connection is closed and no call is in flight, so that a target at rest costs an
-//! entry in a table.
+//! The actor of one target: it owns the idle connections, lends one to each call and takes it back.
+//! The actor starts with a call and ends once the last connection is closed and no call is in
+//! flight, so that a target at rest costs an entry in a table.
 //!
 //! Spawned by [`TargetTable`](crate::target_table::TargetTable).
 
@@ -21,8 +21,8 @@
 use crate::messages::{Input, OutgoingCall, ReturnedConnection, TargetCommand};
 use crate::stream::{is_quiet, until, Stream};
 
-/// How long an actor without a connection waits for its next call, or looks again whether a call is still in flight:
-/// longer than the interval of health checks of a target that is down.
+/// How long an actor without a connection waits for its next call, or looks again whether a call is
+/// still in flight: longer than the interval of health checks of a target that is down.
 const ACTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 struct IdleConnection {
@@ -75,7 +75,8 @@
                 actor.idle.remove(0);
             }
             None if actor.calls_in_flight.get() == 0 && mailbox.is_empty() => {
-                // Closed here, with nothing awaited since the mailbox was seen empty: no command can be lost in it.
+                // Closed here, with nothing awaited since the mailbox was seen empty: no command
+                // can be lost in it.
                 mailbox.close();
                 return actor.stop().await;
             }
@@ -118,7 +119,8 @@
             TargetCommand::AddressChanged(address) => {
                 self.address = address;
                 self.idle.clear();
-                // Another target may listen there now: what is not written yet is not to be written there.
+                // Another target may listen there now: what is not written yet is not to be written
+                // there.
                 self.cancel_unsent();
             }
             TargetCommand::TransferIdle => {
--- a/forwarder/server/src/targets/call.rs
+++ b/forwarder/server/src/targets/call.rs
@@ -1,7 +1,8 @@
-//! One call to a target, an attempt of an event or a health check: takes a permit, connects where no connection was
-//! lent, writes the request, reads the response and reports how the call ended.
+//! One call to a target, an attempt of an event or a health check: takes a permit, connects where
+//! no connection was lent, writes the request, reads the response and reports how the call ended.
 //!
-//! Spawned by the target's actor; the report goes to the event loop, a reusable connection back to the actor.
+//! Spawned by the target's actor; the report goes to the event loop, a reusable connection back to
+//! the actor.
 
 use std::future::Future;
 use std::io::{self, Write};
@@ -133,8 +134,8 @@
             .buffers
             .try_acquire()
             .ok_or(AttemptOutcome::NotSent)?;
-        // Declared before the connection, and so dropped after it: the permit is given back once the connection is
-        // closed.
+        // Declared before the connection, and so dropped after it: the permit is given back once
+        // the connection is closed.
         let permit = self
             .acquire_permit(schedule, outgoing)
             .await
@@ -171,7 +172,8 @@
         Ok(report)
     }
 
-    /// The connection is the last parameter, so that it is closed before its permit is given back if the actor is gone.
+    /// The connection is the last parameter, so that it is closed before its permit is given back
+    /// if the actor is gone.
     fn return_connection(&self, permit: Permit, stream: Stream) {
         if let Some(actor) = self.actor.upgrade() {
             let returned = ReturnedConnection {
@@ -209,7 +211,8 @@
                 .await;
             match written {
                 Some(WriteOutcome::Complete) => return Ok(stream),
-                // Nothing of the call is on the connection, and other bytes are, or the connection's end.
+                // Nothing of the call is on the connection, and other bytes are, or the
+                // connection's end.
                 Some(WriteOutcome::Unusable) if reused => (),
                 Some(WriteOutcome::Unusable | WriteOutcome::Broken) => {
                     return Err(AttemptOutcome::ConnectFailed);
@@ -224,7 +227,8 @@
         }
     }
 
-    /// None if the call is cancelled first. If both happen in one turn, the call is cancelled: it does not run yet.
+    /// None if the call is cancelled first. If both happen in one turn, the call is cancelled: it
+    /// does not run yet.
     async fn unless_cancelled<T>(&self, future: impl Future<Output = T>) -> Option<T> {
         let cancelled = async {
             let _ = self.cancelled.recv().await;
@@ -250,7 +254,8 @@
         }
     }
 
-    /// Writes the request, unless the call may not leave any more. None if the call was cancelled before its last byte.
+    /// Writes the request, unless the call may not leave any more. None if the call was cancelled
+    /// before its last byte.
     async fn write_request(
         &self,
         stream: &Stream,
@@ -281,8 +286,8 @@
             .all(|group| raft.is_some_and(|raft| raft.holds_lease(*group)))
     }
 
-    /// Returns once all inputs that had arrived have been decided on; calls that are to be cancelled for them are
-    /// cancelled then.
+    /// Returns once all inputs that had arrived have been decided on; calls that are to be
+    /// cancelled for them are cancelled then.
     async fn pass_barrier(&self) {
         let (reply, reached) = async_channel::bounded(1);
         let _ = self.context.to_event_loop.send(Input::Barrier(reply)).await;
@@ -291,8 +296,8 @@
         future::yield_now().await;
     }
 
-    /// A permit in the target's quota: that of the lent connection, or one for a new connection. None if none came free
-    /// in half of the call's time, or the call was cancelled meanwhile.
+    /// A permit in the target's quota: that of the lent connection, or one for a new connection.
+    /// None if none came free in half of the call's time, or the call was cancelled meanwhile.
     async fn acquire_permit(
         &mut self,
         schedule: &Schedule,
@@ -313,7 +318,8 @@
                         .map(|lent| lent.permit.take(&self.target));
                 }
                 Acquired::Exhausted(pool) => {
-                    // The connection may not be used now, and others may want its part of the quota.
+                    // The connection may not be used now, and others may want its part of the
+                    // quota.
                     self.lent = None;
                     self.unless_cancelled(until(wait_until, quotas.capacity_freed(&pool)))
                         .await??;
--- a/forwarder/server/src/targets/mod.rs
+++ b/forwarder/server/src/targets/mod.rs
@@ -1,7 +1,8 @@
 //! Targets: one actor for each that has a connection or a call in flight.
 //!
-//! `event_loop` decides what goes to a target and reaches its actor through [`TargetTable`](crate::target_table). The
-//! actor ([`actor`]) owns the connections, lends one to each call ([`call`]) and takes it back.
+//! `event_loop` decides what goes to a target and reaches its actor through
+//! [`TargetTable`](crate::target_table). The actor ([`actor`]) owns the connections, lends one to
+//! each call ([`call`]) and takes it back.
 
 mod actor;
 mod call;
--- a/forwarder/server/src/targets/response.rs
+++ b/forwarder/server/src/targets/response.rs
@@ -1,4 +1,5 @@
-//! Meaning of a target's responses: how the attempt ended, and what the response reports of the target.
+//! Meaning of a target's responses: how the attempt ended, and what the response reports of the
+//! target.
 
 use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, Ms};
 use plankhill_forwarder_config::LEFT;
@@ -6,8 +7,8 @@
 
 use crate::call_kind::CallKind;
 
-/// The share of its limit that a response reports as remaining, `Srv-Load: TEXT x0=0.4, x1=25`. A value that cannot be
-/// read reports nothing.
+/// The share of its limit that a response reports as remaining, `Srv-Load: TEXT x0=0.4, x1=25`. A
+/// value that cannot be read reports nothing.
 pub(super) fn limit_remaining(head: &ResponseHead) -> Option<f64> {
     let values = head.fields.one("Srv-Load").ok()??.strip_prefix("TEXT ")?;
     let value = values
--- a/forwarder/server/tests/bad_folders.rs
+++ b/forwarder/server/tests/bad_folders.rs
@@ -1,5 +1,6 @@
-//! A state folder that cannot be gone on from: one plain line that names the key and the file, and nothing in the
-//! folder is changed. A faulty configuration that is read again: logged, and all stays as it was.
+//! A state folder that cannot be gone on from: one plain line that names the key and the file, and
+//! nothing in the folder is changed. A faulty configuration that is read again: logged, and all
+//! stays as it was.
 
 mod peers;
 
@@ -104,7 +105,8 @@
     assert!(!none.exists() && fs::read(&file).expect("there") == b"something");
 }
 
-/// What one customer's forwarder took names destinations of that customer, under numbers that another has too.
+/// What one customer's forwarder took names destinations of that customer, under numbers that
+/// another has too.
 #[rstest]
 #[case::it_runs(true)]
 #[case::it_has_ended(false)]
--- a/forwarder/server/tests/bad_targets.rs
+++ b/forwarder/server/tests/bad_targets.rs
@@ -14,8 +14,8 @@
 use peers::held::rest;
 use peers::*;
 
-/// An answer that goes on for as long as the connection stands: it ends its connection, frees the one slot there is,
-/// and takes no memory and no descriptor.
+/// An answer that goes on for as long as the connection stands: it ends its connection, frees the
+/// one slot there is, and takes no memory and no descriptor.
 #[rstest]
 #[case::interim_answers("", "HTTP/1.1 100 Go\r\n\r\n", false)]
 #[case::head_byte_by_byte("HTTP/1.1 503 Full\r\n", "a", true)]
@@ -105,7 +105,8 @@
         .parse()
         .expect("a number");
     assert!(kilobytes < 50_000, "{kilobytes} kB");
-    // Discovery's two, one for operators, and what the two clients and targets may not have closed yet.
+    // Discovery's two, one for operators, and what the two clients and targets may not have closed
+    // yet.
     let more = descriptors() - before;
     assert!(more <= 8, "{more} descriptors more");
 }
@@ -134,7 +135,8 @@
     assert_eq!(rest(&mut first), "");
 }
 
-/// The target closes idle connections after a time, and a request written from then on is lost: ours end before.
+/// The target closes idle connections after a time, and a request written from then on is lost:
+/// ours end before.
 #[rstest]
 #[case::at_rest(false)]
 #[case::over_a_stall(true)]
--- a/forwarder/server/tests/callers.rs
+++ b/forwarder/server/tests/callers.rs
@@ -1,4 +1,5 @@
-//! The operators' address under callers that come all at once or hold on to their answered connections.
+//! The operators' address under callers that come all at once or hold on to their answered
+//! connections.
 
 mod peers;
 
@@ -38,8 +39,8 @@
     }
 }
 
-/// Bodies that never end and hardly grow, as fast as they can be sent: each is broken off soon, whatever its chunks
-/// weigh, and callers have their answers all the while.
+/// Bodies that never end and hardly grow, as fast as they can be sent: each is broken off soon,
+/// whatever its chunks weigh, and callers have their answers all the while.
 #[rstest]
 fn bodies_that_hardly_grow_hold_up_no_caller_and_are_broken_off() {
     let (forwarder, _calls, _notices, _) = all(0, |_| ());
@@ -64,7 +65,8 @@
         for _ in 0..10 {
             assert_eq!(forwarder.call("GET", "/-/ready"), 200);
         }
-        // What the kernel holds on the way comes on top. The bytes of a body alone would allow 256 MiB.
+        // What the kernel holds on the way comes on top. The bytes of a body alone would allow 256
+        // MiB.
         let written: Vec<usize> = floods
             .into_iter()
             .map(|flood| flood.join().expect("ends"))
--- a/forwarder/server/tests/calls.rs
+++ b/forwarder/server/tests/calls.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Guards against spoilt answers, which tell nothing of a target's health: they come at once and it is not
-/// taken offline for them, nor is the connection used again, which stays open.
+/// Guards against spoilt answers, which tell nothing of a target's health: they come at once and it
+/// is not taken offline for them, nor is the connection used again, which stays open.
 #[rstest]
 #[case("\u{7}\u{7f}noise\r\n")]
 #[case("HTTP/1.1 500 Oh\r\nContent-Length: -2\r\n\r\n")]
@@ -79,7 +79,8 @@
     }
 }
 
-/// At rest a target has no actor; the wait only makes sure of that, the verdict does not hang on it.
+/// At rest a target has no actor; the wait only makes sure of that, the verdict does not hang on
+/// it.
 #[rstest]
 fn a_target_that_came_to_rest_is_called_again() {
     let (forwarder, calls, _notices, _) = all(0, |_| ());
@@ -92,7 +93,8 @@
     }
 }
 
-/// Met before service: ten thousand idle targets took 270 MB, since each had an actor and its mailbox.
+/// Met before service: ten thousand idle targets took 270 MB, since each had an actor and its
+/// mailbox.
 #[rstest]
 #[case::few_slots(4)]
 #[case::many_slots(1024)]
@@ -126,8 +128,9 @@
     assert!(kilobytes < 50_000, "{kilobytes} kB for 10,000 destinations");
 }
 
-/// A first line that says 200 is true, and whoever stops short after it pins no slot: there is one here, and the next
-/// of the key wants it. A call taken for unanswered would be written off as one that may have run.
+/// A first line that says 200 is true, and whoever stops short after it pins no slot: there is one
+/// here, and the next of the key wants it. A call taken for unanswered would be written off as one
+/// that may have run.
 #[rstest]
 #[case::within_its_head("HTTP/1.1 200 OK\r\nContent-Le")]
 #[case::within_its_body("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc")]
@@ -137,8 +140,9 @@
         config["settings"]["familyInfo"]["slots"] = json!(1)
     });
     let ids: Vec<String> = (0..4).map(|number| format!("e{number}")).collect();
-    ids.iter()
-        .for_each(|id| forwarder.take(id, "charge", "Cookie: about=5\r\n"));
+    for id in &ids {
+        forwarder.take(id, "charge", "Cookie: about=5\r\n");
+    }
     for id in &ids {
         let call = next(&calls);
         assert_eq!(call.id(), id);
--- a/forwarder/server/tests/clients.rs
+++ b/forwarder/server/tests/clients.rs
@@ -78,8 +78,8 @@
     assert_eq!(next(&calls).id(), "stays");
 }
 
-/// Guards the others from connections that say nothing, or half of something, in any number: they make room
-/// at once, and are closed before anyone else is turned away.
+/// Guards the others from connections that say nothing, or half of something, in any number: they
+/// make room at once, and are closed before anyone else is turned away.
 #[rstest]
 #[case("")]
 #[case("POST /job HTTP/1.1\r\n")]
@@ -88,8 +88,9 @@
     let mut idle: Vec<_> = (0..100)
         .map(|_| TcpStream::connect(forwarder.address).expect("listens"))
         .collect();
-    idle.iter_mut()
-        .for_each(|stream| drop(stream.write_all(said.as_bytes())));
+    for stream in &mut idle {
+        let _ = stream.write_all(said.as_bytes());
+    }
     forwarder.take("a", "job", "");
     assert_eq!(next(&calls).id(), "a");
     for mut stream in idle {
@@ -98,7 +99,8 @@
     }
 }
 
-/// Met in incident rd2f32b: of a crowd each asks once and stays; who asks again and again is served on.
+/// Met in incident rd2f32b: of a crowd each asks once and stays; who asks again and again is served
+/// on.
 #[rstest]
 fn a_crowd_that_asks_once_and_stays_makes_room_before_a_regular() {
     let (forwarder, calls, _notices, _) = all(0, |config| config["limits"]["sockets"] = json!(64));
@@ -121,7 +123,8 @@
     assert_eq!(next(&calls).id(), "a");
 }
 
-/// Met on a day with a crowd: connections that asked once and stayed took all that clients may open.
+/// Met on a day with a crowd: connections that asked once and stayed took all that clients may
+/// open.
 #[rstest]
 fn where_many_are_open_one_that_asked_once_is_closed_long_before_a_regular() {
     let (forwarder, _calls, _notices, _) = all(0, |_| ());
@@ -162,7 +165,8 @@
     assert_eq!(next(&calls).id(), "a");
 }
 
-/// Guards an event's end from a client whose request comes in pieces: its patience began with the first of them.
+/// Guards an event's end from a client whose request comes in pieces: its patience began with the
+/// first of them.
 #[rstest]
 #[case::first(false)]
 #[case::behind_another(true)]
--- a/forwarder/server/tests/closing.rs
+++ b/forwarder/server/tests/closing.rs
@@ -22,7 +22,8 @@
     String::from_utf8(said).expect("text")
 }
 
-/// Longer than what is read at once, so that some of it surely lies unread when the answer is there.
+/// Longer than what is read at once, so that some of it surely lies unread when the answer is
+/// there.
 fn longer_than_a_buffer() -> Vec<u8> {
     [
         b"POST /job HTTP/1.1\r\nX-More: ".to_vec(),
@@ -59,7 +60,8 @@
     );
 }
 
-/// Guards whoever asks well from those that hold all buffers with half a request each, and these from a reset.
+/// Guards whoever asks well from those that hold all buffers with half a request each, and these
+/// from a reset.
 #[rstest]
 fn requests_that_stay_half_give_their_buffers_back_and_hear_why() {
     let (forwarder, calls, _notices, _) = all(0, |config| {
@@ -82,7 +84,8 @@
     forwarder.take("good", "job", "");
     assert_eq!(next(&calls).id(), "good");
     let mut first = halves.into_iter().next().expect("came");
-    // Its answer is there, unread, while it still sends: for as long as a line, the connection takes that.
+    // Its answer is there, unread, while it still sends: for as long as a line, the connection
+    // takes that.
     let mut seen = [0; 12];
     first.set_read_timeout(Some(LONG)).expect("a socket");
     assert_eq!(first.peek(&mut seen).expect("an answer"), 12);
@@ -113,7 +116,8 @@
     assert_eq!(next(&calls).id(), "c");
 }
 
-/// A rest is over, and a request comes, in one turn: the process stands still from before until after.
+/// A rest is over, and a request comes, in one turn: the process stands still from before until
+/// after.
 #[rstest]
 #[case::its_time_is_up(None)]
 #[case::it_is_asked_to_end(Some("-TERM"))]
--- a/forwarder/server/tests/descriptors.rs
+++ b/forwarder/server/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! Idle clients may fill the descriptors while discovery is down: the list is had again once it is back.
+//! Idle clients may fill the descriptors while discovery is down: the list is had again once it is
+//! back.
 
 mod peers;
 
--- a/forwarder/server/tests/floods.rs
+++ b/forwarder/server/tests/floods.rs
@@ -14,7 +14,8 @@
 
 const UP: &[u8] = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Guards the others from one whose requests never run out: each of them is answered without a wait for anything.
+/// Guards the others from one whose requests never run out: each of them is answered without a wait
+/// for anything.
 #[rstest]
 fn who_asks_without_an_end_does_not_keep_others_waiting() {
     let (forwarder, calls, _notices, _) = all(0, |_| ());
--- a/forwarder/server/tests/late_calls.rs
+++ b/forwarder/server/tests/late_calls.rs
@@ -12,8 +12,9 @@
 use peers::held::*;
 use peers::*;
 
-/// A repeat that is decided inside its window, and whose connection comes up after it: there the process has stood
-/// still, and nothing has told the call meanwhile. The destination may have forgotten the fingerprint.
+/// A repeat that is decided inside its window, and whose connection comes up after it: there the
+/// process has stood still, and nothing has told the call meanwhile. The destination may have
+/// forgotten the fingerprint.
 #[rstest]
 fn a_repeat_whose_connection_comes_up_after_its_window_does_not_leave() {
     let window = Duration::from_millis(1400);
@@ -42,7 +43,8 @@
     );
 }
 
-/// A call whose connection comes up after its event's patience has ended: nothing is sent after the end.
+/// A call whose connection comes up after its event's patience has ended: nothing is sent after the
+/// end.
 #[rstest]
 #[case::binding("charge")]
 #[case::retriable("job")]
@@ -74,8 +76,8 @@
     );
 }
 
-/// The answer came in time, and is read after it: the process stood still. A call taken for unanswered would be
-/// written off, though it was delivered.
+/// The answer came in time, and is read after it: the process stood still. A call taken for
+/// unanswered would be written off, though it was delivered.
 #[rstest]
 fn an_answer_that_came_in_a_stall_counts_after_its_time() {
     let target = HeldTarget::new();
--- a/forwarder/server/tests/listing.rs
+++ b/forwarder/server/tests/listing.rs
@@ -47,7 +47,8 @@
         json!({"id": "odd"}),
     ]));
     next(&watches); // the next watch comes once the page was handed on
-                    // What was answered before the KILL and not read by then: a retriable event goes again, once.
+                    // What was answered before the KILL and not read by then: a retriable event
+                    // goes again, once.
     let mut unread = Vec::new();
     for id in ["b", "c", "d", "e"] {
         if id == "d" {
@@ -67,7 +68,8 @@
     assert!(old_calls.try_recv().is_err());
 }
 
-/// Guards the list and the notices when the file names another discovery under load; a faulty file is no end.
+/// Guards the list and the notices when the file names another discovery under load; a faulty file
+/// is no end.
 #[rstest]
 fn on_sighup_list_watch_and_notices_move_and_nothing_is_lost() {
     let (target, calls) = stand_in();
@@ -102,7 +104,8 @@
     assert!(old_notices.try_recv().is_err() && calls.try_recv().is_err());
 }
 
-/// Guards drains and waits: after a stall the sockets are full of news, and a call may go before they are read.
+/// Guards drains and waits: after a stall the sockets are full of news, and a call may go before
+/// they are read.
 #[rstest]
 fn after_a_stall_all_news_are_heard_before_anything_is_sent() {
     let by = Instant::now() + LONG;
@@ -114,7 +117,8 @@
     }
 }
 
-/// Whether the stall began before the event's pause could end; if not, nothing is told by what came of it.
+/// Whether the stall began before the event's pause could end; if not, nothing is told by what came
+/// of it.
 fn the_pause_ends_in_a_stall() -> bool {
     // Half a second, less its jitter.
     const LEAST_PAUSE: Duration = Duration::from_millis(375);
@@ -127,7 +131,8 @@
     let call = next(&old_calls);
     let before_its_pause = Instant::now();
     call.answer(ERROR);
-    // Its pause and the watch's answer both end in the stall; the call of b says that the error was heard.
+    // Its pause and the watch's answer both end in the stall; the call of b says that the error was
+    // heard.
     forwarder.take("b", "job", "");
     next(&old_calls).answer(OK);
     forwarder.stop();
--- a/forwarder/server/tests/many_starts.rs
+++ b/forwarder/server/tests/many_starts.rs
@@ -1,5 +1,5 @@
-//! Thirty processes started at once over full ledgers, while discovery refuses, is mute, trickles, or answers after
-//! a time: each is ready within the page's ten seconds. The times are printed.
+//! Thirty processes started at once over full ledgers, while discovery refuses, is mute, trickles,
+//! or answers after a time: each is ready within the page's ten seconds. The times are printed.
 
 mod peers;
 
@@ -55,7 +55,8 @@
     }
 }
 
-/// As full as a process would let it get: untried events, such as were out, and ends that nobody has heard.
+/// As full as a process would let it get: untried events, such as were out, and ends that nobody
+/// has heard.
 fn fill(folder: &std::path::Path) -> usize {
     let (mut ledger, _) = EventLog::open(folder, DISK).expect("opens");
     let mut taken = 0;
--- a/forwarder/server/tests/notices_in_time.rs
+++ b/forwarder/server/tests/notices_in_time.rs
@@ -1,4 +1,5 @@
-//! A notice has to be heard 300 ms after its event's time is up, whatever became of the connection to the agent.
+//! A notice has to be heard 300 ms after its event's time is up, whatever became of the connection
+//! to the agent.
 
 mod peers;
 
@@ -39,7 +40,8 @@
         .collect()
 }
 
-/// The calls of events that may have run once one fails, and can't be sent again: their ends are owed then.
+/// The calls of events that may have run once one fails, and can't be sent again: their ends are
+/// owed then.
 fn out<const N: usize>(
     forwarder: &Forwarder,
     calls: &Receiver<Asked>,
--- a/forwarder/server/tests/operators.rs
+++ b/forwarder/server/tests/operators.rs
@@ -40,7 +40,8 @@
     assert_eq!(answer(&mut stream).0, 400);
 }
 
-/// Callers that hold on, most with half a call, fill all places several times over; clients take all of theirs.
+/// Callers that hold on, most with half a call, fill all places several times over; clients take
+/// all of theirs.
 #[rstest]
 fn half_callers_and_a_crowd_of_clients_hold_up_no_operator() {
     let (forwarder, _calls, _notices, _watches) = all(0, |_| ());
@@ -100,7 +101,8 @@
             .replace("dest=1", "dest=2");
         assert_eq!(forwarder.ask(marker.as_bytes()).0, 202);
         let mut call = next(&others);
-        // The kill may have come before the last marker's answer was read: that one comes again then.
+        // The kill may have come before the last marker's answer was read: that one comes again
+        // then.
         if call.id() == "l1" && id == "m2" {
             call.answer(OK);
             call = next(&others);
--- a/forwarder/server/tests/peers/by_hand.rs
+++ b/forwarder/server/tests/peers/by_hand.rs
@@ -1,4 +1,5 @@
-//! Discovery by hand: the story has each request's connection, and answers as well or as badly as it likes.
+//! Discovery by hand: the story has each request's connection, and answers as well or as badly as
+//! it likes.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/forwarder/server/tests/peers/held.rs
+++ b/forwarder/server/tests/peers/held.rs
@@ -7,8 +7,9 @@
 
 use super::LONG;
 
-/// Listens with room for one connection that waits, which is taken: the next dial gets no answer, and is repeated
-/// by the system of who dials, after a second at first, also while its process stands still.
+/// Listens with room for one connection that waits, which is taken: the next dial gets no answer,
+/// and is repeated by the system of who dials, after a second at first, also while its process
+/// stands still.
 pub struct HeldTarget {
     pub listener: TcpListener,
     fillers: Vec<TcpStream>,
@@ -70,7 +71,8 @@
     }
 }
 
-/// Returns once bytes from there lie unread in a socket on this machine, whose process stands still.
+/// Returns once bytes from there lie unread in a socket on this machine, whose process stands
+/// still.
 pub fn lies_unread(from: SocketAddr) {
     let from = format!(":{:04X}", from.port());
     let lies = |line: &str| {
--- a/forwarder/server/tests/peers/stand_ins.rs
+++ b/forwarder/server/tests/peers/stand_ins.rs
@@ -82,7 +82,8 @@
     (address, all)
 }
 
-/// Discovery: the watches are the story's; notices are heard at once, but for the first `deaf` of them.
+/// Discovery: the watches are the story's; notices are heard at once, but for the first `deaf` of
+/// them.
 pub fn discovery(deaf: usize) -> (SocketAddr, Receiver<Asked>, Receiver<Value>) {
     let (address, asked) = stand_in();
     let (watch, watches) = channel();
--- a/forwarder/server/tests/promises.rs
+++ b/forwarder/server/tests/promises.rs
@@ -1,5 +1,5 @@
-//! What was promised of an event when it was taken holds after a restart under other settings, and what settings
-//! say that one process may not take over from another.
+//! What was promised of an event when it was taken holds after a restart under other settings, and
+//! what settings say that one process may not take over from another.
 
 mod peers;
 
--- a/forwarder/server/tests/restarts.rs
+++ b/forwarder/server/tests/restarts.rs
@@ -43,7 +43,8 @@
     assert_eq!(next(&calls).id(), "c", "nothing else was owed");
 }
 
-/// Ended right after each 202, whatever the calls were doing: every event has an end, no binding one two.
+/// Ended right after each 202, whatever the calls were doing: every event has an end, no binding
+/// one two.
 #[rstest]
 fn ended_again_and_again_it_loses_nothing_and_repeats_nothing_binding() {
     let (mut forwarder, calls, notices, _) = all(0, |_| ());
@@ -128,7 +129,8 @@
     assert!(calls.try_recv().is_err());
 }
 
-/// A second after its end was asked for nothing is held and nothing more may come: but for the rest of what has begun.
+/// A second after its end was asked for nothing is held and nothing more may come: but for the rest
+/// of what has begun.
 #[rstest]
 fn who_is_half_way_through_a_request_when_it_is_asked_to_end_gets_an_answer() {
     let (mut forwarder, calls, _notices, _) = all(0, |_| ());
--- a/forwarder/server/tests/shutdown.rs
+++ b/forwarder/server/tests/shutdown.rs
@@ -57,7 +57,8 @@
     assert!(calls.try_recv().is_err());
 }
 
-/// The end is due in the very turn in which a client has come: the process stands still from before until after.
+/// The end is due in the very turn in which a client has come: the process stands still from before
+/// until after.
 #[rstest]
 fn who_comes_in_the_turn_of_the_end_gets_an_answer() {
     let (forwarder, calls, _notices, _) = all(0, |_| ());
@@ -80,7 +81,8 @@
     assert!(calls.try_recv().is_err());
 }
 
-/// Ends that nobody has heard are told where discovery is by then; and to be told twice to end is nothing new.
+/// Ends that nobody has heard are told where discovery is by then; and to be told twice to end is
+/// nothing new.
 #[rstest]
 fn signals_are_heeded_while_it_ends() {
     let (forwarder, calls, notices, _) = all(usize::MAX, |_| ());
@@ -101,7 +103,8 @@
     ends(forwarder);
 }
 
-/// Some clients rest until they are ended: nothing waits for them, nor for one whose answer they have not read.
+/// Some clients rest until they are ended: nothing waits for them, nor for one whose answer they
+/// have not read.
 #[rstest]
 fn it_ends_beside_clients_that_rest_and_targets_that_hang() {
     let (forwarder, calls, _notices, _) = all(0, |_| ());
@@ -125,7 +128,8 @@
     assert!(calls.try_recv().is_err());
 }
 
-/// A new process had asked, and takes over after the old one was asked to end: who comes then is the new one's.
+/// A new process had asked, and takes over after the old one was asked to end: who comes then is
+/// the new one's.
 #[rstest]
 fn one_that_takes_over_in_the_end_has_all_that_come_from_then_on() {
     let (forwarder, _calls, _notices, _) = all(0, |_| ());
--- a/forwarder/server/tests/silence.rs
+++ b/forwarder/server/tests/silence.rs
@@ -1,4 +1,5 @@
-//! Discovery falls silent in the ways that peers do, or breaks off: the watch on the list is begun anew.
+//! Discovery falls silent in the ways that peers do, or breaks off: the watch on the list is begun
+//! anew.
 
 mod peers;
 
@@ -29,7 +30,8 @@
     }
 }
 
-/// Discovery without a list for those that start; its connections stay open until the story drops them.
+/// Discovery without a list for those that start; its connections stay open until the story drops
+/// them.
 fn watched() -> (SocketAddr, Receiver<Watch>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -79,7 +81,8 @@
     Trickling,
 }
 
-/// What a silent watch missed counts as told two seconds after its wait: half of one before, the next has to be out.
+/// What a silent watch missed counts as told two seconds after its wait: half of one before, the
+/// next has to be out.
 #[rstest]
 #[case::silent(Falls::Silent)]
 #[case::half_open(Falls::HalfOpen)]
@@ -128,8 +131,8 @@
     again.came < silent.came + silent.wait + Duration::from_millis(1_500)
 }
 
-/// Guards the pushed list, which counts as told with no watch open: with the pauses that spare a discovery of its own
-/// to a fleet of 300, so many failures would keep it away for over a minute.
+/// Guards the pushed list, which counts as told with no watch open: with the pauses that spare a
+/// discovery of its own to a fleet of 300, so many failures would keep it away for over a minute.
 #[rstest]
 fn an_agent_that_breaks_off_again_and_again_is_asked_on_however_large_the_fleet() {
     let ((old, _old_calls), (new, new_calls)) = (stand_in(), stand_in());
--- a/forwarder/server/tests/sockets.rs
+++ b/forwarder/server/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The forwarder as its peers meet it: real sockets, with stand-ins for target, discovery and client.
+//! The forwarder as its peers meet it: real sockets, with stand-ins for target, discovery and
+//! client.
 
 mod peers;
 
@@ -93,7 +94,8 @@
     assert_eq!(next(&calls).body, b"body");
 }
 
-/// Guards a client's event from another that uses its id: neither leaving takes it back, nor is it sent twice.
+/// Guards a client's event from another that uses its id: neither leaving takes it back, nor is it
+/// sent twice.
 #[rstest]
 fn an_id_that_another_uses_too_is_taken_once_and_stays_its_owners() {
     let (forwarder, calls, _notices, _) = all(0, |_| ());
--- a/forwarder/server/tests/stored_format.rs
+++ b/forwarder/server/tests/stored_format.rs
@@ -1,6 +1,7 @@
-//! A state folder (`PROXY_STATE`) as the version in service wrote it, opened by this one: `stored_format/state`.
-//! It holds events still owed (untried, refused before they ran, attempted, with a call that was out, with an
-//! outcome that nobody has acknowledged), the endpoint list, the disabled targets and the folder's owner.
+//! A state folder (`PROXY_STATE`) as the version in service wrote it, opened by this one:
+//! `stored_format/state`. It holds events still owed (untried, refused before they ran, attempted,
+//! with a call that was out, with an outcome that nobody has acknowledged), the endpoint list, the
+//! disabled targets and the folder's owner.
 
 mod peers;
 
@@ -39,8 +40,8 @@
     list.replace(ADDRESS, &format!("{address}\""))
 }
 
-/// An event as the log says it: attempts, when the first was made that may have run, when the last was made
-/// that had no outcome, and the outcome with its advice in ms.
+/// An event as the log says it: attempts, when the first was made that may have run, when the last
+/// was made that had no outcome, and the outcome with its advice in ms.
 type Row = (
     u32,
     Option<f64>,
--- a/forwarder/server/tests/target_connections.rs
+++ b/forwarder/server/tests/target_connections.rs
@@ -17,9 +17,9 @@
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
     let (discovery, watches, _notices) = discovery(0);
     let forwarder = Forwarder::start(&config(discovery, old));
-    ["a", "b"]
-        .iter()
-        .for_each(|id| forwarder.take(id, "charge", CHARGE));
+    for id in ["a", "b"] {
+        forwarder.take(id, "charge", CHARGE);
+    }
     let call = next(&old_calls);
     next(&watches).answer(&page(&[member("t", new, "up")]));
     let _next = next(&watches);
@@ -47,7 +47,8 @@
     assert_eq!(written.try_iter().collect::<String>(), "");
 }
 
-/// The connection of a call comes up while the process stands still, and so does the word that its target leaves.
+/// The connection of a call comes up while the process stands still, and so does the word that its
+/// target leaves.
 #[rstest]
 fn a_call_whose_target_leaves_while_the_process_stands_still_is_not_written() {
     let mut target = HeldTarget::new();
--- a/forwarder/server/tests/told_in_time.rs
+++ b/forwarder/server/tests/told_in_time.rs
@@ -1,4 +1,5 @@
-//! Whatever call to discovery failed, a change counts as told 6 s after discovery had it and could be reached.
+//! Whatever call to discovery failed, a change counts as told 6 s after discovery had it and could
+//! be reached.
 
 mod peers;
 
@@ -56,8 +57,8 @@
     Older,
 }
 
-/// Guards the change that comes just behind a failed call: a watch that may stand long, and does so silently, would
-/// learn of it too late.
+/// Guards the change that comes just behind a failed call: a watch that may stand long, and does so
+/// silently, would learn of it too late.
 #[rstest]
 fn behind_a_failed_call_a_watch_waits_shortly_until_one_was_answered(
     #[values("pushed", "on_request")] told: &str,
@@ -127,8 +128,8 @@
     });
 }
 
-/// Guards drains: an answer that was under way for long, or one of a discovery that is behind, does not undo them.
-/// One that began anew with its numbers is heard when it says the whole.
+/// Guards drains: an answer that was under way for long, or one of a discovery that is behind, does
+/// not undo them. One that began anew with its numbers is heard when it says the whole.
 #[rstest]
 fn an_older_revision_undoes_nothing_and_a_whole_list_asked_for_is_taken_whatever_its_number() {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
@@ -165,7 +166,8 @@
     assert!(new_calls.try_recv().is_err());
 }
 
-/// Guards the discovery and the processor: whoever answers at once that there is nothing new is not asked without end.
+/// Guards the discovery and the processor: whoever answers at once that there is nothing new is not
+/// asked without end.
 #[rstest]
 #[case::changes(false)]
 #[case::whole(true)]
@@ -187,7 +189,8 @@
     );
 }
 
-/// Guards the 4 s after SIGHUP: the pause that spares a busy discovery to a fleet is no pause for another one.
+/// Guards the 4 s after SIGHUP: the pause that spares a busy discovery to a fleet is no pause for
+/// another one.
 #[rstest]
 fn a_new_address_is_asked_at_once_in_the_middle_of_a_pause() {
     assert!(
@@ -216,8 +219,8 @@
     began.elapsed() < Duration::from_millis(1_000)
 }
 
-/// Guards the list of a discovery whose network swallows a first packet: left to the system, a dial that was not
-/// answered is tried anew after one, two, four and eight seconds.
+/// Guards the list of a discovery whose network swallows a first packet: left to the system, a dial
+/// that was not answered is tried anew after one, two, four and eight seconds.
 #[rstest]
 fn a_dial_that_is_not_answered_is_given_up() {
     // A busy machine may be late once; without a bound of its own it is late each time.
--- a/forwarder/server/tests/upgrade.rs
+++ b/forwarder/server/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! A new version starts beside a running process: real processes on one folder, each side ended at each step.
+//! A new version starts beside a running process: real processes on one folder, each side ended at
+//! each step.
 
 mod peers;
 
@@ -52,7 +53,9 @@
         ["d", "e"],
         "nothing of the key goes while its head is out"
     );
-    free.into_iter().for_each(|call| call.answer(OK));
+    for call in free {
+        call.answer(OK);
+    }
     // A copy of an id that the first process has.
     assert_eq!(second.ask(&event("a", "charge", CHARGE)).0, 503);
     out.answer(OK);
@@ -119,7 +122,8 @@
     assert_eq!(next(&calls).id(), "a");
 }
 
-/// The old process dies before it hands over: the new one takes the lock, and starts from the ledger.
+/// The old process dies before it hands over: the new one takes the lock, and starts from the
+/// ledger.
 #[rstest]
 fn an_old_process_that_says_nothing_is_waited_for_until_it_has_gone() {
     let (mut first, calls, _notices, _watches) = all(0, |_| ());
@@ -186,8 +190,9 @@
     assert_eq!(ids, ["a", "b"]);
 }
 
-/// Where the platform gives no Unix socket, or no lock on the folder, or nobody ever comes: a plain start with one line
-/// in the log, and a plain restart. A folder in the way of the file stands for such a platform.
+/// Where the platform gives no Unix socket, or no lock on the folder, or nobody ever comes: a plain
+/// start with one line in the log, and a plain restart. A folder in the way of the file stands for
+/// such a platform.
 #[rstest]
 #[case::no_socket(Some("handover"), Some("hot restart not possible"))]
 #[case::no_lock(Some("lock"), Some("state folder cannot be locked"))]
@@ -204,7 +209,9 @@
         }
     });
     for id in ["a", "b"] {
-        said.into_iter().for_each(|said| forwarder.logged(said));
+        if let Some(said) = said {
+            forwarder.logged(said);
+        }
         forwarder.until_ready();
         forwarder.take(id, "charge", "");
         let call = next(&calls);
--- a/forwarder/server/tests/upgrade_signals.rs
+++ b/forwarder/server/tests/upgrade_signals.rs
@@ -1,5 +1,5 @@
-//! Signals to a running process while a new version takes over: it stands still, and has said *yours*, so that
-//! nothing goes on there before the story lets it.
+//! Signals to a running process while a new version takes over: it stands still, and has said
+//! *yours*, so that nothing goes on there before the story lets it.
 
 mod peers;
 
@@ -25,7 +25,8 @@
     (sender, receiver)
 }
 
-/// Told to end meanwhile, it goes on once the new one has gone without its frame, and ends in order.
+/// Told to end meanwhile, it goes on once the new one has gone without its frame, and ends in
+/// order.
 #[rstest]
 fn asked_to_end_while_it_stands_still_it_ends_in_order_when_the_new_one_has_gone() {
     let (mut first, calls, _notices, _watches) = all(0, |_| ());
@@ -44,7 +45,8 @@
     assert_eq!(next(&calls).id(), "b", "nothing was owed any more");
 }
 
-/// Where the new one begins after all, what is out in the old one comes to it, and the old one ends.
+/// Where the new one begins after all, what is out in the old one comes to it, and the old one
+/// ends.
 #[rstest]
 fn asked_to_end_while_it_stands_still_it_passes_on_what_is_out_when_the_new_one_begins() {
     let (mut first, calls, _notices, _watches) = all(0, |_| ());
--- a/forwarder/server/tests/upgrade_steps.rs
+++ b/forwarder/server/tests/upgrade_steps.rs
@@ -79,8 +79,8 @@
     second.until_ready();
 }
 
-/// The old process ends at each step; its state, listener and folder are those of a real one. Either way the new
-/// process goes on alone, and what was out may have run.
+/// The old process ends at each step; its state, listener and folder are those of a real one.
+/// Either way the new process goes on alone, and what was out may have run.
 #[rstest]
 fn the_old_process_may_end_at_any_step(
     #[values(Ends::Hello, Ends::State, Ends::Yours)] ends: Ends,
--- a/forwarder/server/tests/wire_format.rs
+++ b/forwarder/server/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The bytes of each request that the forwarder sends to targets and discovery, and of its answers to clients and
-//! operators: `wire_format/requests.txt` has a line with a name and the text, as a JSON string, for each.
+//! The bytes of each request that the forwarder sends to targets and discovery, and of its answers
+//! to clients and operators: `wire_format/requests.txt` has a line with a name and the text, as a
+//! JSON string, for each.
 
 mod peers;
 
@@ -14,7 +15,8 @@
 
 const PINNED: &str = include_str!("wire_format/requests.txt");
 
-/// The pinned text; `address` stands for `{host}` there, and the value of a field that names a time for `{seconds}`.
+/// The pinned text; `address` stands for `{host}` there, and the value of a field that names a time
+/// for `{seconds}`.
 fn pinned(name: &str, address: &str) -> String {
     let line = PINNED
         .lines()
@@ -24,7 +26,8 @@
     text.replace("{host}", address)
 }
 
-/// With the value of `Req-Deadline` replaced, which has to be a number of seconds with three decimals.
+/// With the value of `Req-Deadline` replaced, which has to be a number of seconds with three
+/// decimals.
 fn without_deadline(head: &str) -> String {
     let value = head
         .lines()
@@ -71,7 +74,8 @@
     let (discovery, requests) = by_hand();
     let host = discovery.to_string();
     let forwarder = Forwarder::start(&config(discovery, target));
-    // The whole list is asked before the program listens, and its answer is waited for only for a moment.
+    // The whole list is asked before the program listens, and its answer is waited for only for a
+    // moment.
     let mut whole = next(&requests);
     assert_eq!(whole.head, pinned("list", &host));
     whole.write(&list(42, true, &[member("t", target, "up")]));
--- a/forwarder/server/tests/zones.rs
+++ b/forwarder/server/tests/zones.rs
@@ -1,4 +1,5 @@
-//! A fingerprint that only its group knows: what may have run in a zone that is not known any more is sent nowhere.
+//! A fingerprint that only its group knows: what may have run in a zone that is not known any more
+//! is sent nowhere.
 
 mod peers;
 
@@ -9,7 +10,8 @@
 
 use peers::*;
 
-/// Two targets of one destination, each in a zone of its own, and a forwarder that binds orders to one zone.
+/// Two targets of one destination, each in a zone of its own, and a forwarder that binds orders to
+/// one zone.
 fn grouped(window: u64) -> (Forwarder, Receiver<Asked>, Receiver<Value>, Value) {
     let (target, calls) = stand_in();
     let (discovery, _watches, notices) = discovery(0);
@@ -20,8 +22,8 @@
     (Forwarder::start(&config), calls, notices, config)
 }
 
-/// Between the two lives the zone of the first send is struck from the settings: its target is listed in another,
-/// which is the first of those that are known now.
+/// Between the two lives the zone of the first send is struck from the settings: its target is
+/// listed in another, which is the first of those that are known now.
 #[rstest]
 fn what_may_have_run_in_a_zone_that_is_struck_is_not_resent_to_another() {
     let (mut forwarder, calls, notices, mut config) = grouped(4_000_000);
--- a/forwarder/simulator-adapter/src/main.rs
+++ b/forwarder/simulator-adapter/src/main.rs
@@ -1,15 +1,37 @@
-//! Speaks the bench's wire (one JSON value a line) and hands each field to the decision module.
+//! An adapter of the decision module to the bench's simulator: reads batches of events on standard input, one JSON
+//! value a line, and answers each with the decisions of the simulated forwarders on standard output.
+//!
+//! [`host`] owns the simulated forwarders, [`inputs`] turns the wire's events into inputs of a scheduler,
+//! [`decision_writer`] turns decisions into the wire's words, [`subscription`] asks for the endpoint list.
 
-mod arrivals;
+mod decision_writer;
+mod error;
+mod host;
+mod inputs;
 mod subscription;
-mod wire;
-mod written;
 
-use std::io::{stdin, stdout, BufWriter};
+use std::io::{stdin, stdout, BufRead, BufWriter, Write};
+
+use crate::error::{AdapterError, BatchError};
+use crate::host::Host;
 
 fn main() {
-    if let Err(trouble) = wire::serve(stdin().lock(), BufWriter::new(stdout().lock())) {
-        eprintln!("plankhill-simulator-adapter: {trouble}");
+    if let Err(error) = serve(stdin().lock(), BufWriter::new(stdout().lock())) {
+        eprintln!("plankhill-simulator-adapter: {error}");
         std::process::exit(1);
     }
 }
+
+/// Answers batches until the input ends.
+fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut host = Host::default();
+    for (index, line) in input.lines().enumerate() {
+        let at = |error: BatchError| AdapterError { line: index + 1, error };
+        let line = line.map_err(|error| at(BatchError::Read(error)))?;
+        let reply = host.run_batch(&line).map_err(at)?;
+        writeln!(output, "{reply}")
+            .and_then(|()| output.flush())
+            .map_err(|error| at(BatchError::Write(error)))?;
+    }
+    Ok(())
+}
--- a/forwarder/simulator-adapter/src/subscription.rs
+++ b/forwarder/simulator-adapter/src/subscription.rs
@@ -1,17 +1,19 @@
-//! Where the list answers only when asked, each instance asks for its changes from its start on, and anew
-//! after a failure: a list that nobody asked for counts as told all the same.
+//! Where the endpoint list is sent only when asked for, each forwarder asks for its changes from its start on, and
+//! anew after a failure: a change that nobody asked for counts as reported all the same.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
 use plankhill_decisions::interface::Ms;
 
-/// The first calls of a fleet that starts at once are drawn over this span, milliseconds.
-const FIRST: Ms = 2_000.0;
-/// The pause after a failed call, doubling up to a third of the time by which to ask again, milliseconds.
-const PAUSE: Ms = 500.0;
+/// The first requests of a fleet that starts at once are drawn over this span, in milliseconds.
+const FIRST_REQUEST_SPREAD: Ms = 2_000.0;
+/// The backoff after a failed request, doubling up to a third of the time by which to ask again, in milliseconds.
+const MIN_BACKOFF: Ms = 500.0;
+/// Failures beyond that double the backoff no more.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// When an instance asks next. The bench tells of a failure, by a list event in mode `Error`.
+/// When a forwarder asks next. The simulator reports a failure by a list event in mode `Error`.
 pub struct Subscription {
     ask_within: Ms,
     seed: u64,
@@ -19,31 +21,30 @@
 }
 
 impl Subscription {
+    /// `ask_within`: in milliseconds, by when to ask again.
     pub fn new(ask_within: Ms, seed: u64) -> Self {
-        Subscription {
-            ask_within,
-            seed,
-            failures: 0,
-        }
+        Subscription { ask_within, seed, failures: 0 }
     }
 
-    /// Milliseconds to the first call.
-    pub fn first(&self) -> Ms {
-        FIRST * self.draw()
+    /// Milliseconds to the first request.
+    pub fn first_delay(&self) -> Ms {
+        FIRST_REQUEST_SPREAD * self.draw()
     }
 
-    /// A call was answered.
-    pub fn told(&mut self) {
+    /// A request was answered.
+    pub fn on_answered(&mut self) {
         self.failures = 0;
     }
 
-    /// A call failed, or what was asked for broke off: milliseconds to the next call.
-    pub fn failed(&mut self) -> Ms {
-        let pause = PAUSE * f64::from(1 << self.failures.min(5));
+    /// A request failed, or the subscription broke off: milliseconds to the next request.
+    pub fn on_failed(&mut self) -> Ms {
+        let doubled = MIN_BACKOFF * f64::from(1 << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
-        pause.min(self.ask_within / 3.0).max(PAUSE) * (0.75 + 0.5 * self.draw())
+        let backoff = doubled.min(self.ask_within / 3.0).max(MIN_BACKOFF);
+        backoff * (0.75 + 0.5 * self.draw())
     }
 
+    /// Uniform in [0, 1), from the seed and the failures alone.
     fn draw(&self) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, self.failures, "subscription").hash(&mut hasher);
@@ -52,21 +53,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::Subscription;
-
-    #[test]
-    fn a_list_that_stays_away_is_asked_often_enough_to_count_as_asked() {
-        let mut subscription = Subscription::new(10_000.0, 7);
-        let pauses: Vec<f64> = (0..40).map(|_| subscription.failed()).collect();
-        assert!(
-            pauses.iter().all(|pause| (300.0..5_000.0).contains(pause)),
-            "{pauses:?}"
-        );
-        subscription.told();
-        assert!(
-            subscription.failed() < 700.0,
-            "a list that is back is near again"
-        );
-    }
-}
+mod tests;
--- a/forwarder/simulator-adapter/tests/wire.rs
+++ b/forwarder/simulator-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter as the bench runs it: lines in, lines out, plain messages and a non-zero exit otherwise.
+//! The adapter as the bench runs it: lines in, lines out, plain messages and a non-zero exit
+//! otherwise.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
