--- a/forwarder/process-tests/src/copies.rs
+++ b/forwarder/process-tests/src/copies.rs
@@ -9,7 +9,7 @@
 const OF_ANOTHER: &str = "own: false";
 
 /// What an owner logs once others keep its record in place of lost ones.
-const COPIED: &str = "a record is kept by";
+const COPIED: &str = "event log voters changed";
 
 impl World {
     /// So many instances that keep copies for each other, all of them taking events.
--- a/forwarder/raft-groups/benches/committed.rs
+++ b/forwarder/raft-groups/benches/committed.rs
@@ -8,10 +8,10 @@
 use plankhill_raft_groups::GroupRequest;
 
 #[allow(dead_code)]
-#[path = "../tests/together/mod.rs"]
-mod together;
+#[path = "../tests/cluster/mod.rs"]
+mod cluster;
 
-use together::Together;
+use cluster::Cluster;
 
 const SPAN: Duration = Duration::from_secs(4);
 
@@ -29,14 +29,12 @@
 fn heirs() {
     let mut times = Vec::new();
     for _ in 0..15 {
-        let mut all = Together::timed(3, "", "[copies]\nkeepers = 2\n");
+        let mut all = Cluster::timed(3, "", "[copies]\nkeepers = 2\n");
         let group = all.record(0);
         all.commit(0, group, 1, vec![1; 1000]);
         all.stop(0);
         let ended = Instant::now();
-        all.until("an heir leads", |all| {
-            together::leader(all, group).is_some()
-        });
+        all.until("an heir leads", |all| cluster::leader(all, group).is_some());
         times.push(ended.elapsed().as_secs_f64() * 1e3);
     }
     times.sort_by(f64::total_cmp);
@@ -51,7 +49,7 @@
         "[copies]\nkeepers = {}\nmemory_mb = 100000\ndisk_mb = 100000\n",
         voters - 1
     );
-    let mut all = Together::new(voters, &copies);
+    let mut all = Cluster::new(voters, &copies);
     let group = all.record(0);
     let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
     let mut out: BTreeMap<u64, Instant> = BTreeMap::new();
--- a/forwarder/raft-groups/src/disk/thread.rs
+++ b/forwarder/raft-groups/src/disk/thread.rs
@@ -1,5 +1,6 @@
-//! The disk's thread: a group's changes that came while it synced go into one frame and one sync. A disk that
-//! refuses is tried again; what it has not synced is not acknowledged.
+//! The disk's thread: a group's writes that came while it synced go into one frame and one sync. A disk that refuses
+//! is tried again; what is not synced is not acknowledged. The groups' thread sends [`ToDisk`] and receives
+//! [`FromDisk`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -11,35 +12,50 @@
 use rtrb::Consumer;
 use slog::{warn, Logger};
 
-use super::folder::{self, Identity, Met};
-use super::log::Log;
-use crate::core::effects::Persist;
-use crate::core::Kept;
-use crate::ring::Sender;
+use super::group_files;
+use super::group_log::{GroupLog, PersistError};
+use super::identity::{self, Identity};
+use super::known_starts::{self, KnownStarts};
+use crate::replica::effects::PersistRequest;
+use crate::replica::PersistedState;
+use crate::ring::RingSender;
 use crate::{GroupId, Purpose};
 
 /// To the disk.
 pub enum ToDisk {
-    Group {
+    /// A write of one group.
+    Persist {
+        /// The group.
         group: GroupId,
-        persist: Persist,
+        /// The write.
+        request: PersistRequest,
     },
-    /// A new group.
-    Make {
+    /// Makes a new group's file.
+    CreateGroup {
+        /// The group.
         group: GroupId,
+        /// What the group is for.
         purpose: Purpose,
-        kept: Kept,
+        /// Its first state.
+        state: PersistedState,
     },
-    /// A dissolved one.
-    Bury {
+    /// Removes a dissolved group's file.
+    RemoveGroup {
+        /// The group.
         group: GroupId,
     },
-    Identity {
+    /// Stores the identity.
+    StoreIdentity {
+        /// To be stored.
         identity: Identity,
+        /// Comes back once it is.
         token: u64,
     },
-    Met {
-        met: Met,
+    /// Stores the known starts.
+    StoreKnownStarts {
+        /// To be stored.
+        known_starts: KnownStarts,
+        /// Comes back once they are.
         token: u64,
     },
 }
@@ -47,70 +63,74 @@
 /// From the disk: what is synced.
 #[derive(Debug)]
 pub enum FromDisk {
-    Group {
+    /// All of a group's writes up to a number.
+    Persisted {
+        /// The group.
         group: GroupId,
+        /// The number.
         number: u64,
-        bytes: u64,
+        /// The length of the group's file, in bytes.
+        file_length: u64,
     },
-    Made {
+    /// A new group's file.
+    GroupCreated {
+        /// The group.
         group: GroupId,
     },
-    Noted {
+    /// The identity or the known starts.
+    Stored {
+        /// As it came.
         token: u64,
     },
 }
 
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// How long the thread sleeps at most where nothing is to be retried.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-pub struct Disk {
+/// The disk's thread, which owns the groups' files.
+pub struct DiskThread {
+    /// The instance's folder.
     pub folder: PathBuf,
+    /// What to write.
     pub inbox: Consumer<ToDisk>,
-    pub outbox: Sender<FromDisk>,
-    pub logs: BTreeMap<GroupId, Log>,
-    pub log: Logger,
+    /// What is written.
+    pub outbox: RingSender<FromDisk>,
+    /// The groups' files.
+    pub logs: BTreeMap<GroupId, GroupLog>,
+    /// For lines about a disk that refuses.
+    pub logger: Logger,
+    /// Ends the thread.
     pub stop: Arc<AtomicBool>,
 }
 
-/// What waits for one group, in its order.
+/// The writes that wait for one group's file, in their order.
 #[derive(Default)]
-struct Queue {
-    all: VecDeque<Persist>,
-    again_at: Option<Instant>,
+struct GroupQueue {
+    requests: VecDeque<PersistRequest>,
+    retry_at: Option<Instant>,
 }
 
-impl Disk {
+/// What waits for the disk.
+#[derive(Default)]
+struct Queues {
+    groups: BTreeMap<GroupId, GroupQueue>,
+    /// What concerns no group's log, retried like the rest.
+    others: VecDeque<ToDisk>,
+    others_retry_at: Option<Instant>,
+}
+
+fn is_due(retry_at: Option<Instant>) -> bool {
+    retry_at.is_none_or(|at| Instant::now() >= at)
+}
+
+impl DiskThread {
+    /// Runs until the thread is stopped or the groups' thread has ended.
     pub fn run(mut self) {
-        let mut queues: BTreeMap<GroupId, Queue> = BTreeMap::new();
-        // Those that concern no log, tried again like the rest.
-        let mut others: VecDeque<ToDisk> = VecDeque::new();
-        let mut again_at: Option<Instant> = None;
+        let mut queues = Queues::default();
         loop {
-            while let Ok(order) = self.inbox.pop() {
-                match order {
-                    ToDisk::Group { group, persist } => {
-                        queues.entry(group).or_default().all.push_back(persist)
-                    }
-                    other => {
-                        if let ToDisk::Bury { group } = &other {
-                            queues.remove(group);
-                        }
-                        others.push_back(other);
-                    }
-                }
-            }
-            if again_at.is_none_or(|at| Instant::now() >= at) {
-                again_at = self
-                    .notes(&mut others)
-                    .then(|| Instant::now() + AGAIN_AFTER);
-            }
-            let mut late = again_at.is_some();
-            for (group, queue) in &mut queues {
-                if queue.again_at.is_none_or(|at| Instant::now() >= at) {
-                    self.write(*group, queue);
-                }
-                late |= !queue.all.is_empty();
-            }
-            queues.retain(|_, queue| !queue.all.is_empty());
+            self.receive(&mut queues);
+            let is_retrying = self.write_all(&mut queues);
             self.outbox.flush();
             if !self.inbox.is_empty() {
                 continue;
@@ -118,82 +138,134 @@
             if self.stop.load(Ordering::Acquire) || self.inbox.is_abandoned() {
                 return;
             }
-            let clogged = late || self.outbox.is_clogged();
-            std::thread::park_timeout(if clogged {
-                AGAIN_AFTER / 4
+            let is_waiting = is_retrying || self.outbox.is_clogged();
+            std::thread::park_timeout(if is_waiting {
+                RETRY_INTERVAL / 4
             } else {
-                Duration::from_secs(1)
+                IDLE_INTERVAL
             });
         }
     }
 
-    fn write(&mut self, group: GroupId, queue: &mut Queue) {
-        queue.again_at = None;
+    fn receive(&mut self, queues: &mut Queues) {
+        while let Ok(request) = self.inbox.pop() {
+            match request {
+                ToDisk::Persist { group, request } => {
+                    queues
+                        .groups
+                        .entry(group)
+                        .or_default()
+                        .requests
+                        .push_back(request);
+                }
+                ToDisk::RemoveGroup { group } => {
+                    queues.groups.remove(&group);
+                    queues.others.push_back(request);
+                }
+                ToDisk::CreateGroup { .. }
+                | ToDisk::StoreIdentity { .. }
+                | ToDisk::StoreKnownStarts { .. } => queues.others.push_back(request),
+            }
+        }
+    }
+
+    /// Writes what is due. True where something has to be retried.
+    fn write_all(&mut self, queues: &mut Queues) -> bool {
+        if is_due(queues.others_retry_at) {
+            queues.others_retry_at = match self.carry_out_others(&mut queues.others) {
+                Ok(()) => None,
+                Err(error) => Some(self.retry_after(&error)),
+            };
+        }
+        let mut is_retrying = queues.others_retry_at.is_some();
+        for (group, queue) in &mut queues.groups {
+            if is_due(queue.retry_at) {
+                self.persist(*group, queue);
+            }
+            is_retrying |= !queue.requests.is_empty();
+        }
+        queues.groups.retain(|_, queue| !queue.requests.is_empty());
+        is_retrying
+    }
+
+    fn retry_after(&self, error: &io::Error) -> Instant {
+        warn!(self.logger, "disk write failed, retrying"; "error" => %error);
+        Instant::now() + RETRY_INTERVAL
+    }
+
+    fn persist(&mut self, group: GroupId, queue: &mut GroupQueue) {
+        queue.retry_at = None;
         let Some(log) = self.logs.get_mut(&group) else {
-            // Its file can't be made yet, or it was dissolved.
-            queue.again_at = Some(Instant::now() + AGAIN_AFTER);
+            // Its file can't be made yet, or the group was dissolved.
+            queue.retry_at = Some(Instant::now() + RETRY_INTERVAL);
             return;
         };
-        let all = queue.all.make_contiguous();
-        let done = match log.take(all) {
-            Ok(()) => all.len(),
-            Err((done, error)) => {
-                warn!(self.log, "disk refuses, tried again"; "error" => %error);
-                queue.again_at = Some(Instant::now() + AGAIN_AFTER);
-                done
+        let requests = queue.requests.make_contiguous();
+        let result = log.persist(requests);
+        let file_length = log.file_length();
+        let persisted = match result {
+            Ok(()) => requests.len(),
+            Err(PersistError { persisted, error }) => {
+                queue.retry_at = Some(self.retry_after(&error));
+                persisted
             }
         };
-        let number = queue.all.drain(..done).map(|p| p.number).max();
-        if let Some(number) = number.filter(|n| *n > 0) {
-            self.outbox.send(FromDisk::Group {
+        let newest = queue
+            .requests
+            .drain(..persisted)
+            .map(|request| request.number)
+            .max();
+        match newest {
+            // Nothing waits for a number of zero.
+            None | Some(0) => {}
+            Some(number) => self.outbox.send(FromDisk::Persisted {
                 group,
                 number,
-                bytes: log.bytes(),
-            });
+                file_length,
+            }),
         }
     }
 
-    /// True if one of them failed and has to be tried again.
-    fn notes(&mut self, others: &mut VecDeque<ToDisk>) -> bool {
-        while let Some(order) = others.pop_front() {
-            match self.note(&order) {
-                Ok(Some(done)) => self.outbox.send(done),
-                Ok(None) => {}
-                Err(error) => {
-                    warn!(self.log, "disk refuses, tried again"; "error" => %error);
-                    others.push_front(order);
-                    return true;
-                }
+    /// Carries out the requests in their order, up to one that fails.
+    fn carry_out_others(&mut self, others: &mut VecDeque<ToDisk>) -> io::Result<()> {
+        while let Some(request) = others.front() {
+            if let Some(done) = self.carry_out(request)? {
+                self.outbox.send(done);
             }
+            others.pop_front();
         }
-        false
+        Ok(())
     }
 
-    fn note(&mut self, order: &ToDisk) -> io::Result<Option<FromDisk>> {
-        Ok(match order {
-            ToDisk::Make {
+    fn carry_out(&mut self, request: &ToDisk) -> io::Result<Option<FromDisk>> {
+        match request {
+            ToDisk::CreateGroup {
                 group,
                 purpose,
-                kept,
+                state,
             } => {
-                let log = Log::make(&self.folder, *group, *purpose, kept)?;
+                let log = GroupLog::create(&self.folder, *group, *purpose, state)?;
                 self.logs.insert(*group, log);
-                Some(FromDisk::Made { group: *group })
+                Ok(Some(FromDisk::GroupCreated { group: *group }))
             }
-            ToDisk::Bury { group } => {
+            ToDisk::RemoveGroup { group } => {
                 self.logs.remove(group);
-                folder::bury(&self.folder, *group)?;
-                None
+                group_files::remove_dissolved(&self.folder, *group)?;
+                Ok(None)
             }
-            ToDisk::Identity { identity, token } => {
-                folder::note_identity(&self.folder, identity)?;
-                Some(FromDisk::Noted { token: *token })
+            ToDisk::StoreIdentity { identity, token } => {
+                identity::store(&self.folder, identity)?;
+                Ok(Some(FromDisk::Stored { token: *token }))
             }
-            ToDisk::Met { met, token } => {
-                folder::note_met(&self.folder, met)?;
-                Some(FromDisk::Noted { token: *token })
+            ToDisk::StoreKnownStarts {
+                known_starts,
+                token,
+            } => {
+                known_starts::store(&self.folder, known_starts)?;
+                Ok(Some(FromDisk::Stored { token: *token }))
             }
-            ToDisk::Group { .. } => None,
-        })
+            // Waits in its group's queue instead.
+            ToDisk::Persist { .. } => Ok(None),
+        }
     }
 }
--- a/forwarder/raft-groups/src/groups/review.rs
+++ b/forwarder/raft-groups/src/groups/review.rs
@@ -1,174 +1,222 @@
-//! What a leader does about its members: one that has gone is replaced, so that a second loss finds the copies
-//! made up.
+//! What a leader does about its group's members: one that is lost is replaced, so that a second loss finds all
+//! replicas complete.
 
 use slog::info;
 
-use crate::core::stamp::Change;
-use crate::links::shared::Peer;
-use crate::wire::said::Said;
-use crate::{roll, GroupId, Incarnation, Purpose};
+use super::thread::{GroupsThread, Undelivered};
+use crate::links::channels::{PeerIndex, ToLinks};
+use crate::placement::rank_voters;
+use crate::replica::entry_context::MembershipChange;
+use crate::replica::{MemberProgress, Replica};
+use crate::wire::message::PeerMessage;
+use crate::{GroupId, Incarnation, Purpose};
 
-use super::state::Groups;
+/// Learners that one change adds: a large fleet receives its control group's log soon.
+const MAX_LEARNERS_PER_CHANGE: usize = 16;
 
-/// Let in by one change: a large fleet hears its control group soon.
-const LEARNERS: usize = 16;
-
-impl Groups {
+impl GroupsThread {
+    /// Looks at all groups and peers.
     pub(super) fn review(&mut self, now: f64) {
-        self.silent_peers(now);
-        for (group, who) in std::mem::take(&mut self.unsent) {
-            self.with(group, |core, out| core.unreachable(who, out));
+        self.hang_up_on_silent_peers(now);
+        for Undelivered { group, to } in std::mem::take(&mut self.undelivered) {
+            self.with_replica(group, |replica, out| replica.report_unreachable(to, out));
         }
-        self.unsent.clear();
-        self.found_control(now);
-        self.foundings_go_on(now);
-        let led: Vec<GroupId> = self
-            .cores
-            .iter()
-            .filter(|(_, c)| c.leads().is_some())
-            .map(|(g, _)| *g)
-            .collect();
-        self.voters_told.retain(|group, _| led.contains(group));
-        for group in led {
-            self.tell_voters(group);
-            self.join(group);
-            let changes = match self.cores.get(&group).map(|core| core.purpose) {
-                Some(Purpose::EventLog) => self.record_changes(group, now),
-                Some(Purpose::Control) => self.control_changes(group, now),
-                None => continue,
-            };
-            if !changes.is_empty() {
-                self.with(group, |core, out| {
-                    core.change(&changes, out);
-                });
+        // What that made had nowhere to go either.
+        self.undelivered.clear();
+        self.found_control_group(now);
+        self.advance_foundings(now);
+        for group in self.led_groups() {
+            self.log_voters(group);
+            self.invite_new_members(group);
+            self.change_members(group, now);
+        }
+    }
+
+    /// The groups that this instance leads. Of the others, no voters are remembered as logged.
+    fn led_groups(&mut self) -> Vec<GroupId> {
+        let mut led = Vec::new();
+        for (group, hosted) in &mut self.groups {
+            if hosted.replica.is_leader() {
+                led.push(*group);
+            } else {
+                hosted.logged_voters = None;
             }
         }
+        led
     }
 
     /// A link that stands but brings nothing is no link.
-    fn silent_peers(&mut self, now: f64) {
-        for peer in 0..self.peers.len() {
-            if self.peers[peer].up.is_some()
-                && now - self.peers[peer].heard > self.fleet.timing.replace
-            {
-                self.rings
-                    .links
-                    .send(crate::links::shared::ToLinks::HangUp { peer });
+    fn hang_up_on_silent_peers(&mut self, now: f64) {
+        for (peer, state) in self.peers.iter().enumerate() {
+            let is_silent = now - state.received_at > self.instance.fleet.timing.replace;
+            if state.connected.is_some() && is_silent {
+                self.rings.links.send(ToLinks::HangUp { peer });
             }
         }
     }
 
-    /// One line for each change of who keeps a group that is led here.
-    fn tell_voters(&mut self, group: GroupId) {
-        let Some(core) = self.cores.get(&group) else {
+    /// Logs one line for each change of the voters of a group that is led here.
+    fn log_voters(&mut self, group: GroupId) {
+        let Some(hosted) = self.groups.get_mut(&group) else {
             return;
         };
-        let (mut voters, _) = core.members();
+        if !hosted.replica.is_membership_settled() {
+            return;
+        }
+        let mut voters = hosted.replica.voters();
         voters.sort();
-        if !core.is_settled() || self.voters_told.get(&group) == Some(&voters) {
+        if hosted.logged_voters.as_ref() == Some(&voters) {
             return;
         }
-        let what = match core.purpose {
-            Purpose::EventLog => "a record is kept by",
-            Purpose::Control => "the control group is kept by",
+        let message = match hosted.replica.purpose() {
+            Purpose::EventLog => "event log voters changed",
+            Purpose::Control => "control group voters changed",
         };
-        let id = format!("{:016x}-{}", group.founder.0, group.number);
-        info!(self.log, "{what}"; "group" => id, "voters" => voters.len());
-        self.voters_told.insert(group, voters);
+        info!(self.instance.logger, "{message}"; "group" => %group, "voters" => voters.len());
+        hosted.logged_voters = Some(voters);
     }
 
-    /// Those that are to learn of the group, and have not spoken yet.
-    fn join(&mut self, group: GroupId) {
-        let Some(core) = self.cores.get(&group) else {
+    /// Invites those that were added and have not sent anything yet.
+    fn invite_new_members(&mut self, group: GroupId) {
+        let Some(hosted) = self.groups.get(&group) else {
             return;
         };
-        let purpose = core.purpose;
-        let new: Vec<Incarnation> = core
-            .seen()
-            .iter()
-            .filter(|s| s.new)
-            .map(|s| s.who)
-            .collect();
-        for who in new {
-            if let Some(peer) = self.peer_of(who) {
-                self.say(peer, &Said::Join { group, purpose });
+        let purpose = hosted.replica.purpose();
+        let new_members = hosted
+            .replica
+            .member_progress()
+            .into_iter()
+            .filter(|member| member.is_new);
+        for member in new_members {
+            if let Some(peer) = self.peer_of(member.incarnation) {
+                self.rings
+                    .send_to_peer(peer, &PeerMessage::JoinGroup { group, purpose });
             }
         }
     }
 
-    fn record_changes(&self, group: GroupId, now: f64) -> Vec<Change> {
-        let (Some(core), Some(copies)) = (self.cores.get(&group), &self.fleet.replication) else {
+    fn change_members(&mut self, group: GroupId, now: f64) {
+        let Some(hosted) = self.groups.get(&group) else {
+            return;
+        };
+        let changes = match hosted.replica.purpose() {
+            Purpose::EventLog => self.event_log_changes(&hosted.replica, group, now),
+            Purpose::Control => self.control_changes(&hosted.replica, now),
+        };
+        if !changes.is_empty() {
+            self.with_replica(group, |replica, out| {
+                replica.change_members(&changes, out);
+            });
+        }
+    }
+
+    /// An event log's group has a fixed number of voters. One that is lost is replaced: a learner first, which becomes
+    /// a voter in the change that removes the lost one.
+    fn event_log_changes(
+        &self,
+        replica: &Replica,
+        group: GroupId,
+        now: f64,
+    ) -> Vec<MembershipChange> {
+        let Some(replication) = &self.instance.fleet.replication else {
             return Vec::new();
         };
-        let seen = core.seen();
-        let gone = |who: Incarnation| self.away(who, now) >= self.fleet.timing.replace;
-        let lost = seen.iter().find(|s| s.voter && gone(s.who)).map(|s| s.who);
-        let voters = 1 + seen.iter().filter(|s| s.voter).count();
-        let missing = lost.is_some() || voters < copies.keepers + 1;
-        if let Some(learner) = seen.iter().find(|s| !s.voter) {
-            if !missing || gone(learner.who) {
-                return vec![Change::Remove(learner.who)];
+        let members = replica.member_progress();
+        let is_lost = |incarnation: Incarnation| {
+            self.unreachable_for(incarnation, now) >= self.instance.fleet.timing.replace
+        };
+        let lost_voter = members
+            .iter()
+            .find(|member| member.is_voter && is_lost(member.incarnation));
+        let voter_count = 1 + members.iter().filter(|member| member.is_voter).count();
+        let is_voter_missing = lost_voter.is_some() || voter_count < replication.keepers + 1;
+        if let Some(learner) = members.iter().find(|member| !member.is_voter) {
+            if !is_voter_missing || is_lost(learner.incarnation) {
+                return vec![MembershipChange::Remove(learner.incarnation)];
             }
-            if !learner.up_to_date {
+            if !learner.is_up_to_date {
                 return Vec::new();
             }
-            let mut changes = vec![Change::Voter(learner.who)];
-            changes.extend(lost.map(Change::Remove));
-            return changes;
+            return replace(lost_voter, learner);
         }
-        if !missing {
+        if !is_voter_missing {
             return Vec::new();
         }
-        let all = &self.fleet.instances;
-        let may = |at: &Peer| {
-            let up = self.peers[*at].up.filter(|who| !core.is_member(*who));
-            up.filter(|_| self.is_there(*at, now) && self.peers[*at].left > 0)
-        };
-        let next = roll::keepers(all, &all[self.me], group.founder)
-            .iter()
-            .find_map(may);
-        next.map(Change::Learner).into_iter().collect()
+        let candidate = self.next_event_log_voter(replica, group, now);
+        candidate
+            .map(MembershipChange::AddLearner)
+            .into_iter()
+            .collect()
     }
 
-    /// All instances hear the control group's log; those named vote.
-    fn control_changes(&self, group: GroupId, now: f64) -> Vec<Change> {
-        let Some(core) = self.cores.get(&group) else {
-            return Vec::new();
+    /// The first choice of the ranking that is reachable, has capacity and is no member.
+    fn next_event_log_voter(
+        &self,
+        replica: &Replica,
+        group: GroupId,
+        now: f64,
+    ) -> Option<Incarnation> {
+        let instances = &self.instance.fleet.instances;
+        let ranked = rank_voters(instances, self.instance.own_instance(), group.founder);
+        ranked.into_iter().find_map(|peer: PeerIndex| {
+            let incarnation = self.peers[peer].connected?;
+            let has_capacity = self.peers[peer].capacity.free_bytes > 0;
+            let is_candidate =
+                !replica.is_member(incarnation) && self.is_reachable(peer, now) && has_capacity;
+            is_candidate.then_some(incarnation)
+        })
+    }
+
+    /// All instances receive the control group's log; those that the fleet file names vote.
+    fn control_changes(&self, replica: &Replica, now: f64) -> Vec<MembershipChange> {
+        let members = replica.member_progress();
+        let is_named = |member: &MemberProgress| {
+            let peer = self.peer_of(member.incarnation);
+            peer.map(|peer| self.instance.is_control_voter(peer))
         };
-        let named = |at: Peer| self.fleet.voters.contains(&self.fleet.instances[at].name);
-        let seen = core.seen();
-        let old = seen.iter().find(|s| self.away(s.who, now) == f64::INFINITY);
-        let heir = seen
+        let lost = members
+            .iter()
+            .find(|member| self.unreachable_for(member.incarnation, now).is_infinite());
+        let named_learner =
+            |member: &&MemberProgress| !member.is_voter && is_named(member) == Some(true);
+        let successor = members
             .iter()
-            .find(|s| !s.voter && s.up_to_date && self.peer_of(s.who).is_some_and(named));
-        if let Some(heir) = heir {
-            let mut changes = vec![Change::Voter(heir.who)];
-            changes.extend(old.map(|old| Change::Remove(old.who)));
-            return changes;
+            .filter(|member| member.is_up_to_date)
+            .find(named_learner);
+        if let Some(successor) = successor {
+            return replace(lost, successor);
         }
-        if let Some(old) = old.filter(|s| !s.voter) {
-            return vec![Change::Remove(old.who)];
+        if let Some(lost) = lost.filter(|member| !member.is_voter) {
+            return vec![MembershipChange::Remove(lost.incarnation)];
         }
-        let ups = self
-            .peers
-            .iter()
-            .filter_map(|p| p.up)
-            .filter(|who| !core.is_member(*who));
-        let next: Vec<Change> = ups.take(LEARNERS).map(Change::Learner).collect();
-        if !next.is_empty() {
-            return next;
+        let connected = self.peers.iter().filter_map(|peer| peer.connected);
+        let learners: Vec<MembershipChange> = connected
+            .filter(|incarnation| !replica.is_member(*incarnation))
+            .take(MAX_LEARNERS_PER_CHANGE)
+            .map(MembershipChange::AddLearner)
+            .collect();
+        if !learners.is_empty() {
+            return learners;
         }
-        // No longer named, or nowhere any more and nobody on the way to its place.
-        let coming = seen
+        // A voter that is no longer named; or one that is lost, where no learner is on its way to its place.
+        let unnamed = members
             .iter()
-            .any(|s| !s.voter && self.peer_of(s.who).is_some_and(named));
-        let surplus = seen
-            .iter()
-            .find(|s| s.voter && self.peer_of(s.who).is_some_and(|at| !named(at)));
-        surplus
-            .or(old.filter(|_| !coming))
-            .map(|s| Change::Remove(s.who))
+            .find(|member| member.is_voter && is_named(member) == Some(false));
+        let is_successor_coming = members.iter().any(|member| named_learner(&member));
+        let removed = match unnamed {
+            Some(unnamed) => Some(unnamed),
+            None => lost.filter(|_| !is_successor_coming),
+        };
+        removed
+            .map(|member| MembershipChange::Remove(member.incarnation))
             .into_iter()
             .collect()
     }
 }
+
+/// One change that makes `successor` a voter and removes `lost`, if any.
+fn replace(lost: Option<&MemberProgress>, successor: &MemberProgress) -> Vec<MembershipChange> {
+    let mut changes = vec![MembershipChange::AddVoter(successor.incarnation)];
+    changes.extend(lost.map(|lost| MembershipChange::Remove(lost.incarnation)));
+    changes
+}
--- a/forwarder/raft-groups/src/handle.rs
+++ b/forwarder/raft-groups/src/handle.rs
@@ -1,131 +1,120 @@
-//! The loop's side of a fleet: orders in, news out, and whether it may act on what it owns.
+//! The event loop's side of the groups: requests in, events out, and whether it may act on what it owns.
 
-use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, RwLock};
+use std::sync::{Arc, Mutex};
 use std::thread::{JoinHandle, Thread};
-use std::time::Instant;
 
-use rtrb::{Consumer, Producer};
+use rtrb::{Consumer, Producer, PushError};
 
+use crate::leases::Leases;
 use crate::watchdog::Watchdog;
 use crate::{GroupEvent, GroupId, GroupRequest, Incarnation};
 
-/// The longest command and report, in bytes.
-pub const LONGEST_COMMAND: usize = 8 << 20;
-pub const LONGEST_REPORT: usize = 64 << 10;
+/// The longest command, in bytes.
+pub const MAX_COMMAND_LEN: usize = 8 << 20;
+/// The longest report, in bytes.
+pub const MAX_REPORT_LEN: usize = 64 << 10;
 
-/// Until when each group is held, in microseconds since `begun` on this process's monotonic clock.
-pub struct Leases {
-    begun: Instant,
-    until: RwLock<HashMap<GroupId, Arc<AtomicU64>>>,
+/// What the groups' thread and the event loop both see.
+#[derive(Clone)]
+pub(crate) struct SharedStatus {
+    /// Ends all threads.
+    pub(crate) stop: Arc<AtomicBool>,
+    /// Up to how many bytes of commands, counted from the start, the replicas of the groups led here have capacity.
+    pub(crate) command_bytes_limit: Arc<AtomicU64>,
+    /// Why this instance may not go on.
+    pub(crate) fatal_error: Arc<Mutex<Option<String>>>,
 }
 
-impl Leases {
-    pub(crate) fn new(begun: Instant) -> Self {
-        Leases {
-            begun,
-            until: RwLock::default(),
+impl SharedStatus {
+    pub(crate) fn new() -> Self {
+        SharedStatus {
+            stop: Arc::new(AtomicBool::new(false)),
+            command_bytes_limit: Arc::new(AtomicU64::new(u64::MAX)),
+            fatal_error: Arc::new(Mutex::new(None)),
         }
     }
-
-    /// Milliseconds since the start.
-    pub(crate) fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1e3
-    }
-
-    pub(crate) fn of(&self, group: GroupId) -> Arc<AtomicU64> {
-        let mut all = self.until.write().unwrap_or_else(|e| e.into_inner());
-        all.entry(group).or_default().clone()
-    }
-
-    pub(crate) fn forget(&self, group: GroupId) {
-        self.until
-            .write()
-            .unwrap_or_else(|e| e.into_inner())
-            .remove(&group);
-    }
-
-    fn holds(&self, group: GroupId) -> bool {
-        let all = self.until.read().unwrap_or_else(|e| e.into_inner());
-        let until = all
-            .get(&group)
-            .map_or(0, |until| until.load(Ordering::Acquire));
-        ((self.begun.elapsed().as_micros()) as u64) < until
-    }
 }
 
-/// The loop's hold on the fleet. Dropped, its threads end; what they were handed and synced stays.
+/// The event loop's handle of its instance's groups. Dropping it ends their threads; what they were handed and synced
+/// stays.
 pub struct RaftGroups {
-    pub(crate) orders: Producer<GroupRequest>,
-    pub(crate) groups: Thread,
+    pub(crate) requests: Producer<GroupRequest>,
+    pub(crate) groups_thread: Thread,
     pub(crate) leases: Arc<Leases>,
-    pub(crate) stop: Arc<AtomicBool>,
+    pub(crate) status: SharedStatus,
     pub(crate) threads: Vec<JoinHandle<()>>,
-    pub(crate) deadman: Option<Watchdog>,
+    pub(crate) watchdog: Option<Watchdog>,
     pub(crate) incarnation: Incarnation,
-    /// Bytes of commands handed over, and those up to which keepers have room.
-    pub(crate) proposed: u64,
-    pub(crate) room: Arc<AtomicU64>,
-    pub(crate) refused: Arc<Mutex<Option<String>>>,
+    /// Bytes of commands handed over, counted from the start.
+    pub(crate) command_bytes: u64,
 }
 
 impl RaftGroups {
-    /// Hands an order to the groups' thread. It comes back when the ring is full or its body too long, and
-    /// then surely never counts. Never waits.
-    pub fn try_request(&mut self, order: GroupRequest) -> Result<(), GroupRequest> {
-        let mut bytes = 0;
-        let too_long = match &order {
-            GroupRequest::Propose { command, .. } => {
-                bytes = command.len() as u64;
-                command.len() > LONGEST_COMMAND
+    /// Hands a request to the groups' thread. Never waits.
+    ///
+    /// # Errors
+    /// The request comes back where the ring is full or its body too long; it surely never takes effect then.
+    pub fn try_request(&mut self, request: GroupRequest) -> Result<(), GroupRequest> {
+        let command_bytes = match &request {
+            GroupRequest::Propose { command, .. } if command.len() > MAX_COMMAND_LEN => {
+                return Err(request)
             }
-            GroupRequest::Report { body } => body.len() > LONGEST_REPORT,
-            GroupRequest::Create { .. } | GroupRequest::Dissolve { .. } => false,
+            GroupRequest::Report { body } if body.len() > MAX_REPORT_LEN => return Err(request),
+            GroupRequest::Propose { command, .. } => command.len() as u64,
+            GroupRequest::Report { .. }
+            | GroupRequest::Create { .. }
+            | GroupRequest::Dissolve { .. } => 0,
         };
-        if too_long {
-            return Err(order);
+        let pushed = self.requests.push(request);
+        self.groups_thread.unpark();
+        match pushed {
+            Ok(()) => {
+                self.command_bytes += command_bytes;
+                Ok(())
+            }
+            Err(PushError::Full(request)) => Err(request),
         }
-        let pushed = self.orders.push(order);
-        self.proposed += if pushed.is_ok() { bytes } else { 0 };
-        self.groups.unpark();
-        pushed.map_err(|rtrb::PushError::Full(order)| order)
     }
 
-    /// True only while this instance leads the group and a majority promised, recently enough, to elect no
-    /// other before a stall of this process would have ended it.
+    /// True only while this instance leads the group and a majority promised, recently enough, to elect no other
+    /// before a stall of this process would have ended it.
     pub fn holds_lease(&self, group: GroupId) -> bool {
-        self.leases.holds(group)
+        self.leases.is_held(group)
     }
 
-    /// False while too few keepers have room for what was proposed already and more: what would grow a record
-    /// has to be refused now, so that marks and ends of what is held still find room.
+    /// False while too few replicas have capacity for what was proposed already and more: what would make an event
+    /// log longer has to be rejected now, so that records and outcomes of what is pending still find capacity.
     pub fn has_capacity(&self) -> bool {
-        self.proposed < self.room.load(Ordering::Acquire)
+        self.command_bytes < self.status.command_bytes_limit.load(Ordering::Acquire)
     }
 
-    /// Says that the loop lives. From the first time on, to be said several times within `stall_ms`: where copies
-    /// are on, the kernel ends a process that did not say it for so long.
+    /// Tells the watchdog that the event loop lives. From the first call on, it has to be called several times within
+    /// [`RaftGroups::watchdog_timeout`]: where leases are used, the kernel ends a process that did not call it for so
+    /// long.
     pub fn feed_watchdog(&self) {
-        if let Some(deadman) = &self.deadman {
-            deadman.feed();
+        if let Some(watchdog) = &self.watchdog {
+            watchdog.feed();
         }
     }
 
-    /// The span within which [`Handle::alive`] has to be said, in milliseconds, if any.
+    /// The time within which [`RaftGroups::feed_watchdog`] has to be called, in milliseconds; `None`: there is no
+    /// watchdog.
     pub fn watchdog_timeout(&self) -> Option<f64> {
-        self.deadman.as_ref().map(Watchdog::span)
+        self.watchdog.as_ref().map(Watchdog::timeout)
     }
 
-    /// Why this instance may not go on, once its threads have ended over it: its folder lacks what was promised
-    /// from it. The process has to end; what it holds others own.
+    /// Why this instance may not go on, once its threads have ended over it: its folder lacks what was promised from
+    /// it. The process has to end; other instances own what is pending here.
     pub fn fatal_error(&self) -> Option<String> {
-        self.refused
+        self.status
+            .fatal_error
             .lock()
-            .unwrap_or_else(|e| e.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
             .clone()
     }
 
+    /// This instance's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
@@ -133,40 +122,42 @@
 
 impl Drop for RaftGroups {
     fn drop(&mut self) {
-        self.deadman = None;
-        self.stop.store(true, Ordering::Release);
-        self.groups.unpark();
+        // First, since the threads take a moment to end.
+        self.watchdog = None;
+        self.status.stop.store(true, Ordering::Release);
+        self.groups_thread.unpark();
         for thread in self.threads.drain(..) {
-            // A thread that panicked has said so.
+            // A thread that panicked has printed so.
             let _ = thread.join();
         }
     }
 }
 
-/// The news in their order.
+/// The groups' events in their order.
 pub struct GroupEventStream {
-    pub(crate) news: Consumer<GroupEvent>,
-    pub(crate) bell: async_channel::Receiver<()>,
-    pub(crate) groups: Thread,
+    pub(crate) events: Consumer<GroupEvent>,
+    pub(crate) wake_ups: async_channel::Receiver<()>,
+    pub(crate) groups_thread: Thread,
 }
 
 impl GroupEventStream {
+    /// The next event, if there is one now.
     pub fn try_next(&mut self) -> Option<GroupEvent> {
-        let news = self.news.pop().ok();
-        if news.is_some() {
+        let event = self.events.pop().ok();
+        if event.is_some() {
             // A full ring may have held the next back.
-            self.groups.unpark();
+            self.groups_thread.unpark();
         }
-        news
+        event
     }
 
-    /// Waits for the next. None once the fleet's threads have ended.
+    /// Waits for the next event. `None` once the groups' threads have ended.
     pub async fn next(&mut self) -> Option<GroupEvent> {
         loop {
-            if let Some(news) = self.try_next() {
-                return Some(news);
+            if let Some(event) = self.try_next() {
+                return Some(event);
             }
-            if self.bell.recv().await.is_err() {
+            if self.wake_ups.recv().await.is_err() {
                 return self.try_next();
             }
         }
--- a/forwarder/raft-groups/src/links/shared.rs
+++ b/forwarder/raft-groups/src/links/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the links' thread share, and what it and the groups' thread say to each other.
+//! What the tasks of the links' thread share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,127 +7,131 @@
 use plankhill_forwarder_config::fleet::FleetConfig;
 use slog::{warn, Logger};
 
-use crate::ring::Sender;
-use crate::wire::said::{Answer, Hello, Said};
-
-/// The place of an instance in the fleet file.
-pub type Peer = usize;
-
-/// To the links.
-pub enum ToLinks {
-    /// What this instance says first. Calls begin with it.
-    Hello(Hello),
-    /// A whole frame.
-    Say { to: Peer, frame: Vec<u8> },
-    /// Whether one who called is heard.
-    Answer { call: u64, answer: Answer },
-    /// One that was called is not who it should be.
-    HangUp { peer: Peer },
-}
-
-/// From the links.
-#[derive(Debug)]
-pub enum FromLinks {
-    /// Calls and waits for an answer.
-    Called { call: u64, peer: Peer, hello: Hello },
-    /// Has answered this instance's call.
-    Answered { peer: Peer, answer: Answer },
-    /// A whole frame from one who was welcomed.
-    Said { call: u64, said: Box<Said> },
-    /// The link to it broke.
-    Lost { peer: Peer },
-    /// One that called has gone.
-    Ended { call: u64 },
-}
+use super::channels::{FromLinks, PeerIndex};
+use crate::ring::RingSender;
+use crate::wire::message::{Hello, HelloReply};
 
-/// Frames that wait for a link, and their bytes: beyond them a frame is lost, as on the way.
-const FRAMES: usize = 4096;
-const BYTES: usize = 24 << 20;
-/// Calls taken at once for each instance of the fleet, and besides.
-pub(super) const CALLS_EACH: usize = 4;
-pub(super) const CALLS_BESIDE: usize = 16;
+/// Frames that may wait for a link: beyond them a frame is lost, as on the way.
+const MAX_WAITING_FRAMES: usize = 4096;
+/// Bytes of frames that may wait for a link.
+const MAX_WAITING_BYTES: usize = 24 << 20;
+/// At most one line about closed links is logged within it.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shared by the thread's tasks.
 pub(super) struct Shared {
-    pub fleet: FleetConfig,
-    pub me: Peer,
-    pub log: Logger,
-    pub said_at: Cell<Option<Instant>>,
-    pub outbox: RefCell<Sender<FromLinks>>,
-    pub hello: RefCell<Option<Hello>>,
-    pub answers: RefCell<HashMap<u64, async_channel::Sender<Answer>>>,
-    pub lines: Vec<Option<Line>>,
-    pub calls: Cell<u64>,
-    pub open_calls: Cell<usize>,
+    pub(super) fleet: FleetConfig,
+    pub(super) me: PeerIndex,
+    pub(super) logger: Logger,
+    pub(super) outbox: RefCell<RingSender<FromLinks>>,
+    /// What this instance sends first.
+    pub(super) hello: RefCell<Option<Hello>>,
+    /// Callers that wait for the reply to their hello, by connection.
+    pub(super) awaiting_reply: RefCell<HashMap<u64, async_channel::Sender<HelloReply>>>,
+    /// By peer; none for this instance itself.
+    pub(super) lines: Vec<Option<Line>>,
+    logged_at: Cell<Option<Instant>>,
 }
 
-/// What waits for one instance.
+/// What waits to be sent to one instance.
 pub(super) struct Line {
-    pub frames: async_channel::Sender<Vec<u8>>,
-    pub waiting: async_channel::Receiver<Vec<u8>>,
-    pub bytes: Cell<usize>,
-    pub hang_up: Cell<bool>,
+    frames: async_channel::Sender<Vec<u8>>,
+    waiting: async_channel::Receiver<Vec<u8>>,
+    waiting_bytes: Cell<usize>,
+    pub(super) is_hanging_up: Cell<bool>,
+}
+
+impl Line {
+    fn new() -> Self {
+        let (frames, waiting) = async_channel::bounded(MAX_WAITING_FRAMES);
+        Line {
+            frames,
+            waiting,
+            waiting_bytes: Cell::new(0),
+            is_hanging_up: Cell::new(false),
+        }
+    }
+
+    /// Queues a frame. It is dropped where too much waits.
+    fn push(&self, frame: Vec<u8>) {
+        let bytes = self.waiting_bytes.get() + frame.len();
+        if bytes <= MAX_WAITING_BYTES && self.frames.try_send(frame).is_ok() {
+            self.waiting_bytes.set(bytes);
+        }
+    }
+
+    /// Waits for the next frame. `None` once the thread ends.
+    pub(super) async fn next(&self) -> Option<Vec<u8>> {
+        let frame = self.waiting.recv().await.ok()?;
+        self.taken(&frame);
+        Some(frame)
+    }
+
+    /// The next frame, if one waits.
+    pub(super) fn try_next(&self) -> Option<Vec<u8>> {
+        let frame = self.waiting.try_recv().ok()?;
+        self.taken(&frame);
+        Some(frame)
+    }
+
+    fn taken(&self, frame: &[u8]) {
+        self.waiting_bytes
+            .set(self.waiting_bytes.get().saturating_sub(frame.len()));
+    }
 }
 
 impl Shared {
-    pub fn new(fleet: FleetConfig, me: Peer, log: Logger, outbox: Sender<FromLinks>) -> Self {
-        let line = |at: Peer| {
-            let (frames, waiting) = async_channel::bounded(FRAMES);
-            (at != me).then(|| Line {
-                frames,
-                waiting,
-                bytes: Cell::new(0),
-                hang_up: Cell::new(false),
-            })
-        };
+    pub(super) fn new(
+        fleet: FleetConfig,
+        me: PeerIndex,
+        logger: Logger,
+        outbox: RingSender<FromLinks>,
+    ) -> Self {
+        let peers = 0..fleet.instances.len();
+        let lines = peers.map(|peer| if peer == me { None } else { Some(Line::new()) });
         Shared {
-            lines: (0..fleet.instances.len()).map(line).collect(),
+            lines: lines.collect(),
             fleet,
             me,
-            log,
-            said_at: Cell::new(None),
+            logger,
             outbox: RefCell::new(outbox),
             hello: RefCell::new(None),
-            answers: RefCell::default(),
-            calls: Cell::new(0),
-            open_calls: Cell::new(0),
+            awaiting_reply: RefCell::default(),
+            logged_at: Cell::new(None),
         }
     }
 
-    /// One line a second, whatever is thrown at it.
-    pub fn complain(&self, what: &str, who: &str) {
+    /// Logs why a link was closed: one line a second, whatever arrives.
+    pub(super) fn log_closed(&self, error: &dyn std::fmt::Display, peer: &str) {
         let now = Instant::now();
         if self
-            .said_at
+            .logged_at
             .get()
-            .is_none_or(|at| now - at >= Duration::from_secs(1))
+            .is_none_or(|at| now - at >= LOG_INTERVAL)
         {
-            self.said_at.set(Some(now));
-            warn!(self.log, "fleet link closed"; "because" => what, "with" => who);
+            self.logged_at.set(Some(now));
+            warn!(self.logger, "peer link closed"; "error" => %error, "peer" => peer);
         }
     }
 
-    pub fn tell(&self, news: FromLinks) {
+    /// Sends to the groups' thread.
+    pub(super) fn notify(&self, event: FromLinks) {
         let mut outbox = self.outbox.borrow_mut();
-        outbox.send(news);
+        outbox.send(event);
         outbox.flush();
     }
 
-    pub fn heartbeat(&self) -> Duration {
-        Duration::from_secs_f64(self.fleet.timing.heartbeat / 1e3)
+    /// Sends a frame to a peer; it may be lost, as on the way.
+    pub(super) fn send(&self, to: PeerIndex, frame: Vec<u8>) {
+        if let Some(line) = self.lines.get(to).and_then(Option::as_ref) {
+            line.push(frame);
+        }
     }
 
-    pub fn election(&self) -> Duration {
-        Duration::from_secs_f64(self.fleet.timing.election / 1e3)
+    pub(super) fn heartbeat_interval(&self) -> Duration {
+        Duration::from_secs_f64(self.fleet.timing.heartbeat / 1e3)
     }
 
-    pub fn say(&self, to: Peer, frame: Vec<u8>) {
-        let Some(line) = self.lines.get(to).and_then(Option::as_ref) else {
-            return;
-        };
-        let bytes = line.bytes.get() + frame.len();
-        if bytes <= BYTES && line.frames.try_send(frame).is_ok() {
-            line.bytes.set(bytes);
-        }
+    pub(super) fn election_timeout(&self) -> Duration {
+        Duration::from_secs_f64(self.fleet.timing.election / 1e3)
     }
 }
--- /dev/null
+++ b/forwarder/raft-groups/src/replica/open_proposals/tests.rs
@@ -0,0 +1,29 @@
+//! What open proposals are answered.
+
+use super::OpenProposals;
+use crate::{GroupEvent, GroupId, Incarnation, Term};
+
+#[test]
+fn a_proposal_further_on_from_an_earlier_term_does_not_hide_a_later_one() {
+    let group = GroupId {
+        founder: Incarnation(1),
+        number: 1,
+    };
+    let mut open = OpenProposals::default();
+    open.appended(1, 20, Term(5));
+    // Its log was cut back to 13 by another leader; it leads anew.
+    open.entry_committed(14, Term(7));
+    open.appended(2, 15, Term(7));
+    open.entry_committed(15, Term(7));
+    open.entry_committed(20, Term(7));
+    let mut events = Vec::new();
+    open.take_answers(group, &mut events);
+    let answered = matches!(
+        events[..],
+        [
+            GroupEvent::Discarded { number: 1, .. },
+            GroupEvent::Committed { number: 2, .. }
+        ]
+    );
+    assert!(answered, "{events:?}");
+}
--- a/forwarder/raft-groups/src/ring.rs
+++ b/forwarder/raft-groups/src/ring.rs
@@ -3,94 +3,101 @@
 use std::collections::VecDeque;
 use std::thread::Thread;
 
-use rtrb::Producer;
+use rtrb::{Producer, PushError};
 
-/// How the receiver is woken.
-pub enum Bell {
+/// How a ring's receiver is woken.
+pub enum Waker {
+    /// A thread that parks.
     Thread(Thread),
+    /// A task that awaits a channel of one place.
     Task(async_channel::Sender<()>),
 }
 
-impl Bell {
-    pub fn ring(&self) {
+impl Waker {
+    fn wake(&self) {
         match self {
-            Bell::Thread(thread) => thread.unpark(),
-            // One that has not been heard yet is enough.
-            Bell::Task(bell) => drop(bell.try_send(())),
+            Waker::Thread(thread) => thread.unpark(),
+            Waker::Task(wake_up) => {
+                // A wake-up that was not received yet is enough.
+                let _ = wake_up.try_send(());
+            }
         }
     }
 }
 
-/// The sending end. What does not fit waits here in its order; who sends has to heed [`Sender::is_clogged`]
-/// and take nothing more in until it is over, so that what waits is bounded by what one turn of it makes.
-pub struct Sender<T> {
+/// The sending end of a ring. What does not fit waits here in its order. The sender has to look at
+/// [`RingSender::is_clogged`] and take nothing more in until that is over, so that what waits is bounded by what one
+/// iteration of its loop makes.
+pub struct RingSender<T> {
     ring: Producer<T>,
     waiting: VecDeque<T>,
-    bell: Bell,
+    waker: Waker,
 }
 
-/// How much may wait of what may be lost.
-const MOST_WAITING: usize = 4096;
+/// How many values may wait before [`RingSender::send_or_drop`] drops.
+const MAX_WAITING: usize = 4096;
 
-impl<T> Sender<T> {
-    pub fn new(ring: Producer<T>, bell: Bell) -> Self {
-        Sender {
+impl<T> RingSender<T> {
+    /// The sender of an empty ring.
+    pub fn new(ring: Producer<T>, waker: Waker) -> Self {
+        RingSender {
             ring,
             waiting: VecDeque::new(),
-            bell,
+            waker,
         }
     }
 
+    /// Sends with the next [`RingSender::flush`].
     pub fn send(&mut self, value: T) {
         self.waiting.push_back(value);
     }
 
-    /// Sends what may be lost: it is, while much waits before it.
-    pub fn send_or_lose(&mut self, value: T) {
-        if self.waiting.len() < MOST_WAITING {
+    /// Sends what may be lost: the value is dropped while much waits before it.
+    pub fn send_or_drop(&mut self, value: T) {
+        if self.waiting.len() < MAX_WAITING {
             self.waiting.push_back(value);
         }
     }
 
-    /// Sends it only where there is room at once.
+    /// Sends the value at once.
+    ///
+    /// # Errors
+    /// The value comes back where there is no place for it.
     pub fn try_send(&mut self, value: T) -> Result<(), T> {
         if !self.waiting.is_empty() {
             return Err(value);
         }
-        let sent = self
-            .ring
-            .push(value)
-            .map_err(|rtrb::PushError::Full(value)| value);
-        self.bell.ring();
-        sent
+        let pushed = self.ring.push(value);
+        self.waker.wake();
+        pushed.map_err(|PushError::Full(value)| value)
     }
 
-    /// Moves on what waits. True if anything went.
-    pub fn flush(&mut self) -> bool {
-        let mut any = false;
+    /// Moves what waits into the ring, as far as there is place.
+    pub fn flush(&mut self) {
+        if self.waiting.is_empty() {
+            return;
+        }
         while let Some(value) = self.waiting.pop_front() {
-            if let Err(rtrb::PushError::Full(value)) = self.ring.push(value) {
+            if let Err(PushError::Full(value)) = self.ring.push(value) {
                 self.waiting.push_front(value);
                 break;
             }
-            any = true;
-        }
-        if any || !self.waiting.is_empty() {
-            self.bell.ring();
         }
-        any
+        self.waker.wake();
     }
 
+    /// Wakes the receiver.
     pub fn wake(&self) {
-        self.bell.ring();
+        self.waker.wake();
     }
 
+    /// Whether anything waits for a place in the ring.
     pub fn is_clogged(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// The receiver has ended.
-    pub fn is_over(&self) -> bool {
+    /// Whether the receiver has ended.
+    pub fn is_abandoned(&self) -> bool {
         self.ring.is_abandoned()
     }
 }
--- a/forwarder/raft-groups/src/start.rs
+++ b/forwarder/raft-groups/src/start.rs
@@ -3,204 +3,222 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::net::TcpListener;
-use std::path::PathBuf;
-use std::sync::atomic::{AtomicBool, AtomicU64};
-use std::sync::{Arc, Mutex};
-use std::thread::Thread;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::thread::JoinHandle;
 use std::time::Instant;
 
 use plankhill_forwarder_config::fleet::FleetConfig;
 use rtrb::RingBuffer;
 
-use crate::core::{Core, Pace};
-use crate::disk::folder;
-use crate::disk::log::Log;
-use crate::disk::thread::Disk;
-use crate::groups::{Begun, Groups, Rings};
-use crate::handle::Leases;
-use crate::links::Links;
-use crate::ring::{Bell, Sender};
+use crate::disk::group_log::GroupLog;
+use crate::disk::thread::DiskThread;
+use crate::disk::{group_files, identity, known_starts};
+use crate::groups::{GroupsThread, InstanceContext, Rings, StoredState};
+use crate::handle::SharedStatus;
+use crate::leases::Leases;
+use crate::links::LinksThread;
+use crate::replica::{GroupTiming, Replica};
+use crate::ring::{RingSender, Waker};
 use crate::watchdog::Watchdog;
-use crate::{GroupEventStream, Purpose, RaftGroups, StateMachine};
+use crate::{GroupEventStream, GroupId, Purpose, RaftGroups, StateMachine};
 
-/// Makes the empty machine of a new group.
+/// Makes the empty state machine of a new group.
 pub type StateMachineFactory = Box<dyn Fn(Purpose) -> Box<dyn StateMachine> + Send>;
 
-/// All that an instance is started with.
+/// What an instance is started with.
 pub struct StartOptions {
+    /// The fleet file.
     pub fleet: FleetConfig,
     /// Which of the fleet's instances this is.
     pub name: String,
-    /// Its own folder, `fleet` under `PROXY_STATE`; made where there is none.
+    /// The instance's own folder, `fleet` in `PROXY_STATE`; made where there is none.
     pub folder: PathBuf,
+    /// For the threads' lines.
     pub log: slog::Logger,
+    /// The event loop's state machines.
     pub state_machines: StateMachineFactory,
 }
 
 /// Places in each ring.
-const PLACES: usize = 4096;
+const RING_CAPACITY: usize = 4096;
 
-/// Starts listening and the threads. The error says why this folder or address can't be used. Where copies are
-/// on, the kernel's timer runs from the first [`Handle::alive`].
-pub fn start(start: StartOptions) -> io::Result<(RaftGroups, GroupEventStream)> {
+/// Starts listening, and the instance's threads. Where leases are used, the watchdog runs from the first
+/// [`RaftGroups::feed_watchdog`].
+///
+/// # Errors
+/// The fleet file does not name the instance, or its folder or address can't be used.
+pub fn start(options: StartOptions) -> io::Result<(RaftGroups, GroupEventStream)> {
     let StartOptions {
         fleet,
         name,
         folder,
         log,
-        state_machines: machines,
-    } = start;
-    let me = fleet.instances.iter().position(|i| i.name == name);
+        state_machines,
+    } = options;
+    let me = fleet
+        .instances
+        .iter()
+        .position(|instance| instance.name == name);
     let me = me.ok_or_else(|| io::Error::other(format!("instances: none is named {name:?}")))?;
     let address = fleet.instances[me].address;
-    let listener = TcpListener::bind(address).map_err(|e| {
-        io::Error::new(
-            e.kind(),
-            format!("instances.address: {address} can't be listened at: {e}"),
-        )
+    let listener = TcpListener::bind(address).map_err(|error| {
+        let reason = format!("instances.address: {address} can't be listened at: {error}");
+        io::Error::new(error.kind(), reason)
     })?;
-    let identity = folder::begin(&folder)?;
-    let pace = Pace::new(
+    // Connection quotas rest on leases as event logs do.
+    let uses_leases = fleet.replication.is_some() || !fleet.pools.is_empty();
+    let watchdog_timeout = fleet.timing.stall;
+    let timing = GroupTiming::new(
         fleet.timing.heartbeat,
         fleet.timing.election,
-        fleet.timing.stall,
+        watchdog_timeout,
     );
-    let (mut logs, mut cores) = (BTreeMap::new(), BTreeMap::new());
-    for group in folder::groups(&folder)? {
-        let (file, kept) = Log::open(&folder, group)?;
-        let purpose = file.purpose();
-        let core = Core::new(
+    let (stored, logs) = load(&folder, &state_machines, timing)?;
+    let leases = Arc::new(Leases::new(Instant::now()));
+    let instance = InstanceContext {
+        fleet,
+        me,
+        folder,
+        logger: log,
+        state_machines,
+        timing,
+        leases,
+    };
+    let watchdog = if uses_leases {
+        Some(Watchdog::new(watchdog_timeout)?)
+    } else {
+        None
+    };
+    spawn_threads(instance, stored, logs, listener, watchdog)
+}
+
+/// Begins a start on the instance's folder, and reads what is in it.
+fn load(
+    folder: &Path,
+    state_machines: &StateMachineFactory,
+    timing: GroupTiming,
+) -> io::Result<(StoredState, BTreeMap<GroupId, GroupLog>)> {
+    let identity = identity::begin_start(folder)?;
+    let mut logs = BTreeMap::new();
+    let mut replicas = BTreeMap::new();
+    for group in group_files::groups(folder)? {
+        let (log, state) = GroupLog::open(folder, group)?;
+        let purpose = log.purpose();
+        let state_machine = state_machines(purpose);
+        let replica = Replica::new(
             group,
             purpose,
             identity.incarnation,
-            kept,
-            machines(purpose),
-            pace,
+            state,
+            state_machine,
+            timing,
         );
-        let core = core.map_err(|_| {
-            let path = folder::log_path(&folder, group);
+        let replica = replica.map_err(|fault| {
+            let path = group_files::log_path(folder, group);
             io::Error::new(
                 io::ErrorKind::InvalidData,
-                format!("{}: can't be made sense of", path.display()),
+                format!("{}: {fault}", path.display()),
             )
         })?;
-        cores.insert(group, core);
-        logs.insert(group, file);
+        replicas.insert(group, replica);
+        logs.insert(group, log);
     }
-    let leases = Arc::new(Leases::new(Instant::now()));
-    let begun = Begun {
-        met: folder::met(&folder)?,
-        gone: folder::gone(&folder)?.into_iter().collect(),
+    let stored = StoredState {
         identity,
-        me,
-        pace,
-        cores,
-        machines,
-        leases: leases.clone(),
-        log: log.clone(),
-        folder: folder.clone(),
-        fleet: fleet.clone(),
+        replicas,
+        dissolved: group_files::dissolved_groups(folder)?,
+        known_starts: known_starts::load(folder)?,
     };
-    // Parts of pools rest on it as records do.
-    let guarded = fleet.replication.is_some() || !fleet.pools.is_empty();
-    let deadman = guarded
-        .then(|| Watchdog::new(fleet.timing.stall))
-        .transpose()?;
-    spawn(begun, logs, listener, leases, deadman)
+    Ok((stored, logs))
 }
 
-fn spawn(
-    begun: Begun,
-    logs: BTreeMap<crate::GroupId, Log>,
+/// Starts the three threads. The rings between them need each receiver's thread to wake it, so the groups' thread is
+/// started first and handed its rings once the others run.
+fn spawn_threads(
+    instance: InstanceContext,
+    stored: StoredState,
+    logs: BTreeMap<GroupId, GroupLog>,
     listener: TcpListener,
-    leases: Arc<Leases>,
-    deadman: Option<Watchdog>,
+    watchdog: Option<Watchdog>,
 ) -> io::Result<(RaftGroups, GroupEventStream)> {
-    let stop = Arc::new(AtomicBool::new(false));
-    let room = Arc::new(AtomicU64::new(u64::MAX));
-    let refused = Arc::new(Mutex::new(None));
-    let incarnation = begun.identity.incarnation;
-    let (orders, from_loop) = RingBuffer::new(PLACES);
-    let (news, to_loop) = RingBuffer::new(PLACES);
-    let (links, from_groups) = RingBuffer::new(PLACES);
-    let (said, from_links) = RingBuffer::new(PLACES);
-    let (disk, to_disk) = RingBuffer::new(PLACES);
-    let (done, from_disk) = RingBuffer::new(PLACES);
-    let (news_bell, news_rings) = async_channel::bounded(1);
-    let (links_bell, links_ring) = async_channel::bounded(1);
+    let status = SharedStatus::new();
+    let leases = instance.leases.clone();
+    let incarnation = stored.identity.incarnation;
+    let (requests_in, requests_out) = RingBuffer::new(RING_CAPACITY);
+    let (events_in, events_out) = RingBuffer::new(RING_CAPACITY);
+    let (to_links_in, to_links_out) = RingBuffer::new(RING_CAPACITY);
+    let (from_links_in, from_links_out) = RingBuffer::new(RING_CAPACITY);
+    let (to_disk_in, to_disk_out) = RingBuffer::new(RING_CAPACITY);
+    let (from_disk_in, from_disk_out) = RingBuffer::new(RING_CAPACITY);
+    let (event_waker, event_wake_ups) = async_channel::bounded(1);
+    let (links_waker, links_wake_ups) = async_channel::bounded(1);
 
-    // The groups' thread waits for the others' names, they for its own.
-    let (hand, handed) = std::sync::mpsc::channel::<Rings>();
-    let (log, folder, fleet, me) = (
-        begun.log.clone(),
-        begun.folder.clone(),
-        begun.fleet.clone(),
-        begun.me,
-    );
-    let thread = |name: &str| std::thread::Builder::new().name(name.into());
-    let groups = thread("fleet-groups").spawn(move || {
-        if let Ok(rings) = handed.recv() {
-            Groups::new(begun, rings).run();
+    let fleet = instance.fleet.clone();
+    let me = instance.me;
+    let folder = instance.folder.clone();
+    let logger = instance.logger.clone();
+
+    let (rings_in, rings_out) = std::sync::mpsc::channel::<Rings>();
+    let groups_handle = spawn_thread("fleet-groups", move || {
+        // Where another thread could not be started, no rings come.
+        if let Ok(rings) = rings_out.recv() {
+            GroupsThread::new(instance, stored, rings).run();
         }
     })?;
-    let to_groups: Thread = groups.thread().clone();
-    let outbox = Sender::new(done, Bell::Thread(to_groups.clone()));
-    let writer = Disk {
+    let groups_thread = groups_handle.thread().clone();
+
+    let disk = DiskThread {
         folder,
-        inbox: to_disk,
-        outbox,
+        inbox: to_disk_out,
+        outbox: RingSender::new(from_disk_in, Waker::Thread(groups_thread.clone())),
         logs,
-        log: log.clone(),
-        stop: stop.clone(),
+        logger: logger.clone(),
+        stop: status.stop.clone(),
     };
-    let writer = thread("fleet-disk").spawn(move || writer.run())?;
-    let outbox = Sender::new(said, Bell::Thread(to_groups.clone()));
-    let stopped = stop.clone();
-    let talker = Links {
+    let disk_handle = spawn_thread("fleet-disk", move || disk.run())?;
+    let links = LinksThread {
         fleet,
         me,
         listener,
-        log,
-        inbox: from_groups,
-        bell: links_ring,
-        outbox,
-        stop: stopped,
+        logger,
+        inbox: to_links_out,
+        wake_ups: links_wake_ups,
+        outbox: RingSender::new(from_links_in, Waker::Thread(groups_thread.clone())),
+        stop: status.stop.clone(),
     };
-    let talker = thread("fleet-links").spawn(move || talker.run())?;
+    let links_handle = spawn_thread("fleet-links", move || links.run())?;
     let rings = Rings {
-        orders: from_loop,
-        news: Sender::new(news, Bell::Task(news_bell)),
-        links: Sender::new(links, Bell::Task(links_bell)),
-        from_links,
-        disk: Sender::new(disk, Bell::Thread(writer.thread().clone())),
-        from_disk,
-        stop: stop.clone(),
-        refused: refused.clone(),
-        room: room.clone(),
+        requests: requests_out,
+        events: RingSender::new(events_in, Waker::Task(event_waker)),
+        links: RingSender::new(to_links_in, Waker::Task(links_waker)),
+        from_links: from_links_out,
+        disk: RingSender::new(to_disk_in, Waker::Thread(disk_handle.thread().clone())),
+        from_disk: from_disk_out,
+        status: status.clone(),
     };
-    hand.send(rings)
+    rings_in
+        .send(rings)
         .map_err(|_| io::Error::other("the groups' thread has ended"))?;
-    let threads = vec![groups, talker, writer];
-    let groups = to_groups.clone();
-    let proposed = 0;
-    let handle = RaftGroups {
-        proposed,
-        orders,
-        groups,
+
+    let groups = RaftGroups {
+        requests: requests_in,
+        groups_thread: groups_thread.clone(),
         leases,
-        stop,
-        threads,
-        deadman,
+        status,
+        threads: vec![groups_handle, links_handle, disk_handle],
+        watchdog,
         incarnation,
-        room,
-        refused,
+        command_bytes: 0,
+    };
+    let events = GroupEventStream {
+        events: events_out,
+        wake_ups: event_wake_ups,
+        groups_thread,
     };
-    Ok((
-        handle,
-        GroupEventStream {
-            news: to_loop,
-            bell: news_rings,
-            groups: to_groups,
-        },
-    ))
+    Ok((groups, events))
+}
+
+fn spawn_thread(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
+    std::thread::Builder::new().name(name.to_owned()).spawn(run)
 }
--- a/forwarder/raft-groups/src/wire/frame.rs
+++ b/forwarder/raft-groups/src/wire/frame.rs
@@ -1,52 +1,72 @@
-//! Length, checksum, body.
+//! Frames: the body's length and its CRC-32, both as little-endian 32-bit numbers, then the body.
 
 use serde::{de::DeserializeOwned, Serialize};
 
-/// The longest body in bytes: a command of the longest kind with what stands beside it.
-pub const LONGEST: usize = 9 << 20;
-/// Bytes before the body.
-pub const HEAD: usize = 8;
+/// The longest body, in bytes: a command of the longest kind with what stands beside it.
+pub const MAX_BODY_LEN: usize = 9 << 20;
+/// Bytes ahead of the body.
+pub const HEADER_LEN: usize = 8;
 
-/// Why a frame is none.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+/// Why bytes are no frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// The announced body is longer than allowed.
+    #[error("an oversized frame")]
     Oversized,
+    /// The body does not fit its checksum, or is not of the expected type.
+    #[error("a torn frame")]
     Torn,
 }
 
-/// A frame with `value` as its body.
-pub fn frame<T: Serialize>(value: &T) -> Vec<u8> {
-    // Writing to memory what derives its form can't fail; an empty body would be refused by the reader.
-    let bytes = postcard::to_extend(value, vec![0; HEAD]).unwrap_or_else(|_| vec![0; HEAD]);
-    framed(bytes)
+/// What a frame's header announces.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FrameHeader {
+    /// The body's length in bytes.
+    pub length: usize,
+    /// The body's CRC-32.
+    pub checksum: u32,
 }
 
-/// The same around bytes that begin with [`HEAD`] bytes of room.
-pub fn framed(mut bytes: Vec<u8>) -> Vec<u8> {
-    let length = (bytes.len() - HEAD) as u32;
-    let sum = crc32fast::hash(&bytes[HEAD..]);
+/// A frame with `value` as its body.
+pub fn encode_frame<T: Serialize>(value: &T) -> Vec<u8> {
+    let mut bytes = postcard::to_extend(value, vec![0; HEADER_LEN])
+        .expect("writing a derived form to memory does not fail");
+    let length = (bytes.len() - HEADER_LEN) as u32;
+    let checksum = crc32fast::hash(&bytes[HEADER_LEN..]);
     bytes[..4].copy_from_slice(&length.to_le_bytes());
-    bytes[4..HEAD].copy_from_slice(&sum.to_le_bytes());
+    bytes[4..HEADER_LEN].copy_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
-/// Length and checksum of the body that follows, if it may be that long.
-pub fn head(bytes: [u8; HEAD], longest: usize) -> Result<(usize, u32), Broken> {
+/// Decodes a header.
+///
+/// # Errors
+/// [`FrameError::Oversized`] where the body would be longer than `max_body_len` bytes.
+pub fn decode_header(
+    bytes: [u8; HEADER_LEN],
+    max_body_len: usize,
+) -> Result<FrameHeader, FrameError> {
     let [a, b, c, d, e, f, g, h] = bytes;
     let length = u32::from_le_bytes([a, b, c, d]) as usize;
-    match length <= longest {
-        true => Ok((length, u32::from_le_bytes([e, f, g, h]))),
-        false => Err(Broken::Oversized),
+    if length > max_body_len {
+        return Err(FrameError::Oversized);
     }
+    Ok(FrameHeader {
+        length,
+        checksum: u32::from_le_bytes([e, f, g, h]),
+    })
 }
 
-/// The body's value. All of it has to be read.
-pub fn body<T: DeserializeOwned>(bytes: &[u8], sum: u32) -> Result<T, Broken> {
-    if crc32fast::hash(bytes) != sum {
-        return Err(Broken::Torn);
+/// Decodes the whole of a body.
+///
+/// # Errors
+/// [`FrameError::Torn`] where the body has another checksum, is no `T`, or has bytes behind it.
+pub fn decode_body<T: DeserializeOwned>(body: &[u8], checksum: u32) -> Result<T, FrameError> {
+    if crc32fast::hash(body) != checksum {
+        return Err(FrameError::Torn);
     }
-    match postcard::take_from_bytes(bytes) {
+    match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
-        _ => Err(Broken::Torn),
+        _ => Err(FrameError::Torn),
     }
 }
--- a/forwarder/raft-groups/tests/alone.rs
+++ b/forwarder/raft-groups/tests/child_process.rs
@@ -1,13 +1,13 @@
-//! What only a process of its own can show: the test starts itself anew as a child.
+//! What only a process of its own can show: the test runs itself as a child process.
 
 use std::io::{BufRead, BufReader};
 use std::os::unix::process::ExitStatusExt;
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use plankhill_raft_groups::core::effects::{Hard, Persist};
-use plankhill_raft_groups::core::Kept;
-use plankhill_raft_groups::disk::{folder, log::Log};
+use plankhill_raft_groups::disk::{group_log::GroupLog, identity};
+use plankhill_raft_groups::replica::effects::{HardState, PersistRequest};
+use plankhill_raft_groups::replica::PersistedState;
 use plankhill_raft_groups::watchdog::Watchdog;
 use plankhill_raft_groups::{GroupId, Incarnation, Purpose};
 use rstest::rstest;
@@ -41,7 +41,7 @@
 #[rstest]
 #[case::stopped(true)]
 #[case::hung(false)]
-fn a_process_that_stands_still_for_too_long_is_ended_by_the_kernel(#[case] stopped: bool) {
+fn a_process_that_does_not_feed_its_watchdog_is_ended_by_the_kernel(#[case] stopped: bool) {
     if is_child() {
         let deadman = Watchdog::new(400.0).unwrap();
         for turn in 0.. {
@@ -61,7 +61,7 @@
         "case_2_hung"
     };
     let mut child = child(&format!(
-        "a_process_that_stands_still_for_too_long_is_ended_by_the_kernel::{case}"
+        "a_process_that_does_not_feed_its_watchdog_is_ended_by_the_kernel::{case}"
     ));
     wait_for(&mut child, "lives");
     if stopped {
@@ -84,20 +84,27 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_what_it_took_is_whole_once_there_is_room() {
+fn a_full_disk_refuses_writes_and_what_it_took_is_complete_once_there_is_space() {
     if !is_child() {
-        let mut child = child("a_full_disk_refuses_and_what_it_took_is_whole_once_there_is_room");
+        let mut child =
+            child("a_full_disk_refuses_writes_and_what_it_took_is_complete_once_there_is_space");
         wait_for(&mut child, "test result: ok");
         assert!(child.wait().unwrap().success());
         return;
     }
     let place = tempfile::TempDir::new().unwrap();
-    folder::begin(place.path()).unwrap();
+    identity::begin_start(place.path()).unwrap();
     let group = GroupId {
         founder: Incarnation(1),
         number: 1,
     };
-    let mut log = Log::make(place.path(), group, Purpose::EventLog, &Kept::default()).unwrap();
+    let mut log = GroupLog::create(
+        place.path(),
+        group,
+        Purpose::EventLog,
+        &PersistedState::default(),
+    )
+    .unwrap();
     let persist = |index: u64| {
         let entry = raft::eraftpb::Entry {
             index,
@@ -105,9 +112,9 @@
             data: vec![index as u8; 1000].into(),
             ..Default::default()
         };
-        Persist {
+        PersistRequest {
             number: index,
-            hard: Some(Hard {
+            hard_state: Some(HardState {
                 term: 1,
                 vote: 0,
                 commit: 0,
@@ -118,16 +125,16 @@
     };
     room(5_500);
     let mut index = 1;
-    while log.take(&[persist(index)]).is_ok() {
+    while log.persist(&[persist(index)]).is_ok() {
         index += 1;
     }
     assert!((3..7).contains(&index), "{index}");
-    assert!(log.take(&[persist(index)]).is_err());
-    let (_, kept) = Log::open(place.path(), group).unwrap();
-    assert_eq!(kept.entries.len() as u64, index - 1);
+    assert!(log.persist(&[persist(index)]).is_err());
+    let (_, stored) = GroupLog::open(place.path(), group).unwrap();
+    assert_eq!(stored.entries.len() as u64, index - 1);
     room(libc::RLIM_INFINITY);
-    log.take(&[persist(index), persist(index + 1)]).unwrap();
-    let (_, kept) = Log::open(place.path(), group).unwrap();
-    let all: Vec<u64> = kept.entries.iter().map(|e| e.index).collect();
+    log.persist(&[persist(index), persist(index + 1)]).unwrap();
+    let (_, stored) = GroupLog::open(place.path(), group).unwrap();
+    let all: Vec<u64> = stored.entries.iter().map(|e| e.index).collect();
     assert_eq!(all, (1..=index + 1).collect::<Vec<_>>());
 }
--- a/forwarder/raft-groups/tests/together/mod.rs
+++ b/forwarder/raft-groups/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Several instances in one process, each with its threads, folder and address on the loopback. None says that its
-//! loop lives, so that the kernel's timer never runs: it would end the test with them (`alone.rs` has its story).
+//! Several instances in one process, each with its threads, folder and address on the loopback. None feeds its
+//! watchdog, so that the kernel's timer never runs: it would end the test with them (`child_process.rs` has its test).
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -81,7 +81,7 @@
     pub heard: Heard,
 }
 
-pub struct Together {
+pub struct Cluster {
     pub fleet: FleetConfig,
     pub folders: Vec<TempDir>,
     pub running: Vec<Option<Running>>,
@@ -110,9 +110,9 @@
     }
 }
 
-impl Together {
+impl Cluster {
     pub fn new(count: usize, more: &str) -> Self {
-        Together::timed(
+        Cluster::timed(
             count,
             "heartbeat_ms = 50\nelection_ms = 1500\nstall_ms = 1200\nreplace_ms = 3000\n",
             more,
@@ -130,7 +130,7 @@
         let mut fleet = read(&text).unwrap();
         fleet.found = true;
         let folders = (0..count).map(|_| TempDir::new().unwrap()).collect();
-        let mut all = Together {
+        let mut all = Cluster {
             fleet,
             folders,
             running: (0..count).map(|_| None).collect(),
@@ -187,7 +187,7 @@
     }
 
     /// Waits until it is so.
-    pub fn until(&mut self, what: &str, mut so: impl FnMut(&mut Together) -> bool) {
+    pub fn until(&mut self, what: &str, mut so: impl FnMut(&mut Cluster) -> bool) {
         let end = Instant::now() + Duration::from_secs(60);
         loop {
             self.pump();
@@ -288,7 +288,7 @@
 }
 
 /// Who leads the group, as far as it was told.
-pub fn leader(all: &mut Together, group: GroupId) -> Option<usize> {
+pub fn leader(all: &mut Cluster, group: GroupId) -> Option<usize> {
     (0..all.running.len()).find(|at| {
         let running = all.running[*at].as_ref();
         running.is_some_and(|r| r.heard.leads.contains_key(&group))
--- a/forwarder/raft-groups/tests/folders.rs
+++ b/forwarder/raft-groups/tests/folders.rs
@@ -2,9 +2,9 @@
 
 // Not all of it is used by each test.
 #[allow(dead_code)]
-mod together;
+mod cluster;
 
-use together::Together;
+use cluster::Cluster;
 
 const COPIES: &str = "[copies]\nkeepers = 2\n";
 
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_folder_restored_from_a_copy_is_refused_with_one_line() {
-    let mut all = Together::new(3, COPIES);
+    let mut all = Cluster::new(3, COPIES);
     let group = all.record(0);
     let copy = tempfile::TempDir::new().unwrap();
     copied(all.folders[1].path(), copy.path());
@@ -40,8 +40,8 @@
 
 /// A snapshot of a whole disk keeps the file's number: then it is the others who know better.
 #[test]
-fn a_disk_put_back_is_refused_by_those_who_know_a_later_start() {
-    let mut all = Together::new(3, COPIES);
+fn a_disk_put_back_is_refused_by_peers_that_know_a_later_start() {
+    let mut all = Cluster::new(3, COPIES);
     let group = all.record(0);
     all.stop(1);
     let path = all.folders[1].path().join("fleet/instance");
@@ -53,14 +53,12 @@
         all.until("it has gone", |all| !all.at(0).heard.up.contains_key("i1"));
     }
     let identity =
-        plankhill_raft_groups::disk::folder::begin(&all.folders[1].path().join("fleet")).unwrap();
+        plankhill_raft_groups::disk::identity::begin_start(&all.folders[1].path().join("fleet"))
+            .unwrap();
     let mut earlier = identity.clone();
     earlier.start.generation = 1;
-    plankhill_raft_groups::disk::folder::note_identity(
-        &all.folders[1].path().join("fleet"),
-        &earlier,
-    )
-    .unwrap();
+    plankhill_raft_groups::disk::identity::store(&all.folders[1].path().join("fleet"), &earlier)
+        .unwrap();
     assert!(!before.is_empty());
     all.start(1);
     all.until("it is refused", |all| {
@@ -71,20 +69,22 @@
         line.contains("is an older copy") && line.contains("knows start"),
         "{line}"
     );
-    assert_eq!(all.at(1).lines("fleet start refused"), 1);
+    assert_eq!(all.at(1).lines("instance may not go on"), 1);
     all.commit(0, group, 1, vec![1]);
 }
 
 #[test]
-fn a_torn_end_is_dropped_and_damage_before_it_is_told() {
-    let mut all = Together::new(3, COPIES);
+fn a_torn_end_is_cut_off_and_damage_before_it_is_an_error() {
+    let mut all = Cluster::new(3, COPIES);
     let group = all.record(0);
     for number in 1..=5 {
         all.commit(0, group, number, vec![number as u8; 100]);
     }
     all.stop(1);
-    let path =
-        plankhill_raft_groups::disk::folder::log_path(&all.folders[1].path().join("fleet"), group);
+    let path = plankhill_raft_groups::disk::group_files::log_path(
+        &all.folders[1].path().join("fleet"),
+        group,
+    );
     let whole = std::fs::read(&path).unwrap();
     std::fs::write(&path, [&whole[..], &[9, 0, 0, 0, 1, 2]].concat()).unwrap();
     drop(all.started(1).unwrap());
--- a/forwarder/raft-groups/tests/frames.rs
+++ b/forwarder/raft-groups/tests/frames.rs
@@ -1,22 +1,24 @@
-//! Frames from anyone: bounded, checked, closed on.
+//! Frames from anyone: bounded and checked, and the link is closed over what is none.
 
 // Not all of it is used by each test.
 #[allow(dead_code)]
-mod together;
+mod cluster;
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD, LONGEST};
-use plankhill_raft_groups::wire::mirror::{Entry, Kind, Message};
-use plankhill_raft_groups::wire::said::{Hello, Said, StartOptions, VERSION};
+use cluster::Cluster;
+use plankhill_raft_groups::wire::frame::{
+    decode_body, decode_header, encode_frame, FrameHeader, HEADER_LEN, MAX_BODY_LEN,
+};
+use plankhill_raft_groups::wire::message::{Hello, PeerMessage, Start, PROTOCOL_VERSION};
+use plankhill_raft_groups::wire::raft_message::{Entry, MessageKind, RaftMessage};
 use plankhill_raft_groups::{GroupId, Incarnation, InstanceName, Purpose};
 use proptest::prelude::*;
 use rstest::rstest;
-use together::Together;
 
-fn message() -> impl Strategy<Value = Message> {
+fn message() -> impl Strategy<Value = RaftMessage> {
     let entry = (
         any::<bool>(),
         any::<u64>(),
@@ -24,8 +26,8 @@
         any::<Vec<u8>>(),
         any::<Vec<u8>>(),
     );
-    let entry = entry.prop_map(|(change, term, index, data, context)| Entry {
-        change,
+    let entry = entry.prop_map(|(is_membership_change, term, index, data, context)| Entry {
+        is_membership_change,
         term,
         index,
         data,
@@ -45,8 +47,8 @@
                 context,
                 reject,
             )| {
-                Message {
-                    kind: Kind::Append,
+                RaftMessage {
+                    kind: MessageKind::Append,
                     to,
                     from,
                     term,
@@ -77,39 +79,39 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_frame_is_read_as_it_was_written_and_one_that_was_changed_is_not(
+    fn a_frame_is_decoded_as_it_was_encoded_and_a_changed_one_is_refused(
         message in message(),
         at in any::<prop::sample::Index>(),
         flip in 1u8..,
     ) {
-        let said = Said::Raft { group: group(), message };
-        let mut bytes = frame(&said);
-        let (length, sum) = head(bytes[..HEAD].try_into().unwrap(), LONGEST).unwrap();
-        prop_assert_eq!(length, bytes.len() - HEAD);
-        prop_assert_eq!(body::<Said>(&bytes[HEAD..], sum), Ok(said));
-        let at = HEAD + at.index(length);
+        let said = PeerMessage::Raft { group: group(), message };
+        let mut bytes = encode_frame(&said);
+        let FrameHeader { length, checksum } = decode_header(bytes[..HEADER_LEN].try_into().unwrap(), MAX_BODY_LEN).unwrap();
+        prop_assert_eq!(length, bytes.len() - HEADER_LEN);
+        prop_assert_eq!(decode_body::<PeerMessage>(&bytes[HEADER_LEN..], checksum), Ok(said));
+        let at = HEADER_LEN + at.index(length);
         bytes[at] ^= flip;
-        prop_assert!(body::<Said>(&bytes[HEAD..], sum).is_err());
+        prop_assert!(decode_body::<PeerMessage>(&bytes[HEADER_LEN..], checksum).is_err());
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in any::<Vec<u8>>()) {
-        let sum = crc32fast::hash(&bytes);
-        let _ = body::<Said>(&bytes, sum);
-        let _ = body::<Hello>(&bytes, sum);
+    fn any_bytes_are_decoded_or_refused(bytes in any::<Vec<u8>>()) {
+        let checksum = crc32fast::hash(&bytes);
+        let _ = decode_body::<PeerMessage>(&bytes, checksum);
+        let _ = decode_body::<Hello>(&bytes, checksum);
     }
 }
 
 fn hello(version: u32, fleet: &str, name: &str) -> Vec<u8> {
-    frame(&Hello {
+    encode_frame(&Hello {
         version,
         fleet: fleet.to_owned(),
         name: InstanceName(name.into()),
         to: InstanceName("i0".into()),
         incarnation: Incarnation(99),
-        start: StartOptions {
+        start: Start {
             generation: 1,
-            draw: 1,
+            nonce: 1,
         },
         control: None,
     })
@@ -122,14 +124,14 @@
 
 /// Whatever one throws at it, the link is closed with a line, and the group goes on.
 #[rstest]
-#[case::unknown(hello(VERSION, "t", "nobody"), "an unknown instance")]
-#[case::another_fleet(hello(VERSION, "u", "i1"), "another fleet")]
-#[case::another_version(hello(VERSION + 1, "t", "i1"), "another version")]
+#[case::unknown(hello(PROTOCOL_VERSION, "t", "nobody"), "an unknown instance")]
+#[case::another_fleet(hello(PROTOCOL_VERSION, "u", "i1"), "another fleet")]
+#[case::another_version(hello(PROTOCOL_VERSION + 1, "t", "i1"), "another version")]
 #[case::oversized(vec![255; 64], "an oversized frame")]
-#[case::torn(cut(hello(VERSION, "t", "i1")), "a torn frame")]
-#[case::garbage([&frame(&Said::Join { group: group(), purpose: Purpose::EventLog })[..HEAD], &[3; 200]].concat(), "a torn frame")]
-fn what_is_no_instance_s_frame_closes_the_link(#[case] bytes: Vec<u8>, #[case] told: &str) {
-    let mut all = Together::new(3, "[copies]\nkeepers = 2\n");
+#[case::torn(cut(hello(PROTOCOL_VERSION, "t", "i1")), "a torn frame")]
+#[case::garbage([&encode_frame(&PeerMessage::JoinGroup { group: group(), purpose: Purpose::EventLog })[..HEADER_LEN], &[3; 200]].concat(), "a torn frame")]
+fn a_frame_of_no_instance_closes_the_link(#[case] bytes: Vec<u8>, #[case] told: &str) {
+    let mut all = Cluster::new(3, "[copies]\nkeepers = 2\n");
     let group = all.record(0);
     let mut stream = TcpStream::connect(all.fleet.instances[0].address).unwrap();
     stream
--- a/forwarder/raft-groups/tests/instances.rs
+++ b/forwarder/raft-groups/tests/instances.rs
@@ -2,18 +2,18 @@
 
 // Not all of it is used by each test.
 #[allow(dead_code)]
-mod together;
+mod cluster;
 
 use std::time::{Duration, Instant};
 
+use cluster::{leader, Cluster};
 use plankhill_raft_groups::{GroupRequest, Purpose};
-use together::{leader, Together};
 
 const COPIES: &str = "[copies]\nkeepers = 2\n";
 
 #[test]
-fn a_record_outlives_its_owner_and_its_folder() {
-    let mut all = Together::new(3, COPIES);
+fn an_event_log_outlives_its_owner_and_its_folder() {
+    let mut all = Cluster::new(3, COPIES);
     let group = all.record(0);
     for number in 1..=20 {
         all.commit(0, group, number, vec![number as u8]);
@@ -24,20 +24,20 @@
     all.until("an heir leads", |all| {
         (1..3).any(|at| all.at(at).heard.leads.contains_key(&group))
     });
-    let heir = (1..3)
+    let successor = (1..3)
         .find(|at| all.at(*at).heard.leads.contains_key(&group))
         .unwrap();
     let expected: Vec<u8> = (1..=20).collect();
-    assert_eq!(all.at(heir).heard.leads[&group].1, expected);
+    assert_eq!(all.at(successor).heard.leads[&group].1, expected);
     all.until("the heir holds", |all| {
-        all.at(heir).handle.holds_lease(group)
+        all.at(successor).handle.holds_lease(group)
     });
 }
 
 #[test]
-fn all_hear_the_control_group_and_its_leader_hears_reports() {
-    let mut all = Together::new(4, "[control]\nvoters = [\"i0\", \"i1\", \"i2\"]\n");
-    let control = |all: &mut Together| {
+fn all_instances_receive_the_control_groups_log_and_its_leader_receives_reports() {
+    let mut all = Cluster::new(4, "[control]\nvoters = [\"i0\", \"i1\", \"i2\"]\n");
+    let control = |all: &mut Cluster| {
         let leads = |at: &usize| !all.running[*at].as_ref().unwrap().heard.leads.is_empty();
         (0..4).find(leads)
     };
@@ -45,14 +45,14 @@
     let first = control(&mut all).unwrap();
     let group = *all.at(first).heard.leads.keys().next().unwrap();
     all.commit(first, group, 1, vec![5]);
-    let heard = |all: &mut Together, at: usize, word: u8| {
+    let heard = |all: &mut Cluster, at: usize, word: u8| {
         let heard = &all.at(at).heard;
         heard.applied.contains(&vec![word])
             || heard.replaced.as_ref().is_some_and(|s| s.contains(&word))
     };
     all.until("all hear it", |all| (0..4).all(|at| heard(all, at, 5)));
     all.until("three vote", |all| {
-        all.at(first).lines("the control group is kept by voters=3") >= 1
+        all.at(first).lines("control group voters changed voters=3") >= 1
     });
     let report = GroupRequest::Report { body: vec![9] };
     all.at(3).handle.try_request(report).unwrap();
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn a_whole_fleet_started_again_has_all_that_counted() {
-    let mut all = Together::new(3, COPIES);
+fn a_restarted_fleet_has_all_that_was_committed() {
+    let mut all = Cluster::new(3, COPIES);
     let group = all.record(0);
     for number in 1..=5 {
         all.commit(0, group, number, vec![number as u8]);
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn an_owner_without_its_keepers_takes_nothing_and_says_void_only_once_it_is() {
-    let mut all = Together::new(3, COPIES);
+fn an_owner_without_a_majority_commits_nothing_and_discards_only_what_is_decided() {
+    let mut all = Cluster::new(3, COPIES);
     let group = all.record(0);
     all.commit(0, group, 1, vec![1]);
     all.stop(1);
@@ -107,9 +107,8 @@
     });
     all.propose(0, group, 3, vec![3]);
     // Kept by itself alone: open as long as it may still count, with what was refused after it.
-    let open = |all: &mut Together| {
-        all.at(0).heard.committed.len() == 1 && all.at(0).heard.void.is_empty()
-    };
+    let open =
+        |all: &mut Cluster| all.at(0).heard.committed.len() == 1 && all.at(0).heard.void.is_empty();
     assert!(open(&mut all));
     all.start(1);
     all.until("both are answered", |all| {
@@ -126,15 +125,15 @@
 }
 
 #[test]
-fn a_dissolved_record_is_forgotten_by_all_and_not_made_again() {
-    let mut all = Together::new(3, COPIES);
+fn a_dissolved_group_is_forgotten_by_all_and_not_made_again() {
+    let mut all = Cluster::new(3, COPIES);
     let group = all.record(0);
     all.commit(0, group, 1, vec![1]);
     all.at(0)
         .handle
         .try_request(GroupRequest::Dissolve { group })
         .unwrap();
-    let files = |all: &Together, at: usize, kind: &str| {
+    let files = |all: &Cluster, at: usize, kind: &str| {
         let groups = std::fs::read_dir(all.folders[at].path().join("fleet/groups")).unwrap();
         groups
             .filter(|f| f.as_ref().unwrap().path().extension().unwrap() == kind)
@@ -146,8 +145,8 @@
 }
 
 #[test]
-fn a_full_ring_gives_the_order_back_and_what_was_taken_is_answered() {
-    let mut all = Together::new(3, COPIES);
+fn a_full_ring_gives_the_request_back_and_what_was_taken_is_answered() {
+    let mut all = Cluster::new(3, COPIES);
     let group = all.record(0);
     // Nobody fetches the news: in the end no order is taken any more.
     let mut taken = 0;
@@ -180,8 +179,8 @@
 }
 
 #[test]
-fn nine_instances_keep_each_other_s_records_and_hear_one_control_group() {
-    let mut all = Together::new(
+fn nine_instances_replicate_each_others_event_logs_and_follow_one_control_group() {
+    let mut all = Cluster::new(
         9,
         "[copies]\nkeepers = 2\n[control]\nvoters = [\"i0\", \"i1\", \"i2\"]\n",
     );
@@ -193,18 +192,18 @@
             })
             .unwrap();
     }
-    let own = |all: &mut Together, at: usize| {
+    let own = |all: &mut Cluster, at: usize| {
         let me = all.at(at).handle.incarnation();
         let mut leads = all.at(at).heard.leads.iter();
         leads
             .find(|(group, (purpose, _))| group.founder == me && *purpose == Purpose::EventLog)
             .map(|(g, _)| *g)
     };
-    let records = |all: &mut Together| (0..9).filter(|at| own(all, *at).is_some()).count();
+    let records = |all: &mut Cluster| (0..9).filter(|at| own(all, *at).is_some()).count();
     // The first also founds the control group.
     all.until("each leads its record", |all| records(all) == 9);
-    let control = |all: &mut Together| {
-        let purpose = |at: usize, all: &mut Together| {
+    let control = |all: &mut Cluster| {
+        let purpose = |at: usize, all: &mut Cluster| {
             let mut leads = all.at(at).heard.leads.iter();
             leads
                 .find(|(_, (purpose, _))| *purpose == Purpose::Control)
@@ -215,7 +214,7 @@
     all.until("one leads the control group", |all| control(all).is_some());
     let (at, group) = control(&mut all).unwrap();
     all.commit(at, group, 1, vec![4]);
-    let heard = |all: &mut Together, at: usize| {
+    let heard = |all: &mut Cluster, at: usize| {
         let heard = &all.at(at).heard;
         heard.applied.contains(&vec![4])
             || heard
--- a/forwarder/raft-groups/tests/keepers.rs
+++ b/forwarder/raft-groups/tests/members.rs
@@ -1,17 +1,17 @@
-//! Keepers that are lost, replaced, full, silent.
+//! Voters that are lost, replaced, full or silent.
 
 // Not all of it is used by each test.
 #[allow(dead_code)]
-mod together;
+mod cluster;
 
+use cluster::{leader, Cluster};
 use plankhill_raft_groups::GroupId;
-use together::{leader, Together};
 
 const COPIES: &str = "[copies]\nkeepers = 2\n";
 
 #[test]
-fn keepers_at_their_cap_have_takes_refused_but_not_the_ends_that_make_room() {
-    let mut all = Together::new(3, "[copies]\nkeepers = 2\nmemory_mb = 1\n");
+fn replicas_at_their_limit_stop_the_owner_from_accepting_but_not_from_completing() {
+    let mut all = Cluster::new(3, "[copies]\nkeepers = 2\nmemory_mb = 1\n");
     let group = all.record(0);
     for round in 0..4u64 {
         let (mut taken, from) = (0, 1000 * round);
@@ -31,17 +31,17 @@
     }
 }
 
-fn keeps(all: &Together, at: usize, group: GroupId) -> bool {
-    plankhill_raft_groups::disk::folder::log_path(&all.folders[at].path().join("fleet"), group)
+fn keeps(all: &Cluster, at: usize, group: GroupId) -> bool {
+    plankhill_raft_groups::disk::group_files::log_path(&all.folders[at].path().join("fleet"), group)
         .exists()
 }
 
 #[test]
-fn one_that_was_replaced_and_returns_with_its_folder_is_let_in_again_when_needed() {
-    let mut all = Together::new(4, COPIES);
+fn a_replaced_voter_that_returns_with_its_folder_is_added_again_when_needed() {
+    let mut all = Cluster::new(4, COPIES);
     let group = all.record(0);
     all.until("three keep it", |all| {
-        all.at(0).lines("a record is kept by voters=3") == 1
+        all.at(0).lines("event log voters changed voters=3") == 1
     });
     let keepers: Vec<usize> = (1..4).filter(|at| keeps(&all, *at, group)).collect();
     let [first, second] = keepers[..] else {
@@ -50,24 +50,24 @@
     all.stop(first);
     all.commit(0, group, 1, vec![1]);
     all.until("it is replaced", |all| {
-        all.at(0).lines("a record is kept by voters=3") == 2
+        all.at(0).lines("event log voters changed voters=3") == 2
     });
     all.start(first);
     all.commit(0, group, 2, vec![2]);
     all.stop(second);
     all.until("it is let in again", |all| {
-        all.at(0).lines("a record is kept by voters=3") == 3
+        all.at(0).lines("event log voters changed voters=3") == 3
     });
     all.commit(0, group, 3, vec![3]);
     all.stop(0);
     all.until("an heir leads", |all| leader(all, group).is_some());
-    let heir = leader(&mut all, group).unwrap();
-    assert_eq!(all.at(heir).heard.leads[&group].1, [1, 2, 3]);
+    let successor = leader(&mut all, group).unwrap();
+    assert_eq!(all.at(successor).heard.leads[&group].1, [1, 2, 3]);
 }
 
 #[test]
-fn an_instance_that_accepts_and_says_nothing_holds_nobody_up() {
-    let mut all = Together::new(4, COPIES);
+fn an_instance_that_accepts_connections_and_sends_nothing_holds_nothing_up() {
+    let mut all = Cluster::new(4, COPIES);
     all.stop(3);
     let address = all.fleet.instances[3].address;
     let silent = std::net::TcpListener::bind(address).unwrap();
@@ -79,17 +79,17 @@
 }
 
 #[test]
-fn copies_are_made_up_between_two_losses() {
-    let mut all = Together::new(4, COPIES);
+fn lost_replicas_are_replaced_between_two_losses() {
+    let mut all = Cluster::new(4, COPIES);
     let group = all.record(0);
     all.commit(0, group, 1, vec![7; 3 << 20]);
     all.lose(0);
     all.until("an heir leads", |all| leader(all, group).is_some());
-    let heir = leader(&mut all, group).unwrap();
+    let successor = leader(&mut all, group).unwrap();
     all.until("another keeps it too", |all| {
-        all.at(heir).lines("a record is kept by") >= 1
+        all.at(successor).lines("event log voters changed") >= 1
     });
-    all.lose(heir);
+    all.lose(successor);
     all.until("the second heir leads", |all| leader(all, group).is_some());
     let second = leader(&mut all, group).unwrap();
     assert_eq!(all.at(second).heard.leads[&group].1.len(), 3 << 20);
--- a/forwarder/raft-groups/tests/roll.rs
+++ b/forwarder/raft-groups/tests/placement.rs
@@ -1,7 +1,7 @@
-//! Who keeps whose record.
+//! Which instances vote in whose group.
 
 use plankhill_forwarder_config::fleet::Instance;
-use plankhill_raft_groups::{roll, Incarnation};
+use plankhill_raft_groups::{placement::rank_voters, Incarnation};
 
 fn instances(machines: usize, zones: usize) -> Vec<Instance> {
     let one = |at: usize| Instance {
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn keepers_stand_on_other_machines_and_in_other_zones_and_their_work_is_spread() {
+fn voters_are_on_other_machines_and_in_other_zones_and_their_load_is_spread() {
     let mut all = instances(12, 3);
     // Two processes on one machine.
     all[1].machine = all[0].machine.clone();
     let mut kept = vec![0; all.len()];
     for founder in 1..=600 {
         let owner = &all[founder as usize % all.len()];
-        let chosen = &roll::keepers(&all, owner, Incarnation(founder))[..2];
+        let chosen = &rank_voters(&all, owner, Incarnation(founder))[..2];
         for at in chosen {
             assert_ne!(all[*at].machine, owner.machine);
             assert_ne!(all[*at].zone, owner.zone);
@@ -33,19 +33,21 @@
 }
 
 #[test]
-fn an_instance_more_or_less_moves_only_its_own_share() {
+fn an_added_instance_moves_only_its_own_share() {
     let before = instances(20, 1);
     let after = instances(21, 1);
-    let (mut moved, mut all) = (0, 0);
+    let mut moved = 0;
+    let mut all = 0;
     for founder in 1..=1000u64 {
         let owner = &before[founder as usize % before.len()];
         let chosen = |from: &[Instance]| {
-            let chosen = roll::keepers(from, owner, Incarnation(founder))
+            let chosen = rank_voters(from, owner, Incarnation(founder))
                 .into_iter()
                 .take(2);
             chosen.map(|at| from[at].name.clone()).collect::<Vec<_>>()
         };
-        let (old, new) = (chosen(&before), chosen(&after));
+        let old = chosen(&before);
+        let new = chosen(&after);
         // Who is new is the instance that came, or was chosen before.
         assert!(new.iter().all(|n| n == "i20" || old.contains(n)));
         moved += new.iter().filter(|n| !old.contains(n)).count();
--- a/forwarder/raft-groups/tests/core.rs
+++ b/forwarder/raft-groups/tests/replica.rs
@@ -1,4 +1,4 @@
-//! What a group promises, in a seeded world of faults.
+//! What a group promises, in a seeded simulation with faults.
 
 mod world;
 
@@ -35,7 +35,7 @@
 #[case::of_three(3, 0, 12)]
 #[case::of_five(5, 0, 8)]
 #[case::whose_log_is_cut(3, 200_000, 4)]
-fn a_group_loses_nothing_and_has_one_owner_through_faults(
+fn a_group_loses_no_command_and_has_one_lease_holder_through_faults(
     #[case] voters: usize,
     #[case] large: usize,
     #[case] few: u64,
@@ -67,7 +67,8 @@
     // The other's log is as long, so that nothing but the promise keeps it from the lead.
     world.quiet = true;
     world.run(200.0, 0.0);
-    let (keeper, other) = ((owner + 1) % 3, (owner + 2) % 3);
+    let keeper = (owner + 1) % 3;
+    let other = (owner + 2) % 3;
     world.cut_off(owner, other);
     // Somewhere in the other's second attempt.
     world.run(700.0 + 20.0 * seed as f64, 0.0);
--- a/forwarder/raft-groups/tests/stored_format.rs
+++ b/forwarder/raft-groups/tests/stored_format.rs
@@ -1,16 +1,22 @@
-//! The bytes of an instance's folder: whose it is, whom it met, the groups' logs and what is in them.
+//! The bytes of an instance's folder: its identity, the known starts, the groups' logs and what is in them.
 
 use std::fs;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-use plankhill_raft_groups::core::effects::{Base, Hard, Persist, Voters};
-use plankhill_raft_groups::core::stamp::{Change, Counted, Stamp, Whole};
-use plankhill_raft_groups::core::Kept;
-use plankhill_raft_groups::disk::folder::{self, Identity, Met};
-use plankhill_raft_groups::disk::log::Log;
-use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD};
-use plankhill_raft_groups::wire::said::StartOptions;
+use plankhill_raft_groups::disk::group_files;
+use plankhill_raft_groups::disk::group_log::GroupLog;
+use plankhill_raft_groups::disk::identity::{self, Identity};
+use plankhill_raft_groups::disk::known_starts::{self, KnownStart, KnownStarts};
+use plankhill_raft_groups::replica::effects::{
+    HardState, Membership, PersistRequest, SnapshotBase,
+};
+use plankhill_raft_groups::replica::entry_context::{
+    CommittedProposals, EntryContext, GroupState, MembershipChange,
+};
+use plankhill_raft_groups::replica::PersistedState;
+use plankhill_raft_groups::wire::frame::{decode_body, decode_header, encode_frame, HEADER_LEN};
+use plankhill_raft_groups::wire::message::Start;
 use plankhill_raft_groups::{
     CorruptSnapshot, GroupId, Incarnation, InstanceName, Purpose, StateMachine, Term,
 };
@@ -31,9 +37,9 @@
 }
 
 fn in_frame<T: DeserializeOwned>(bytes: &[u8]) -> T {
-    let (length, sum) = head(bytes[..HEAD].try_into().unwrap(), bytes.len()).unwrap();
-    assert_eq!(length, bytes.len() - HEAD);
-    body(&bytes[HEAD..], sum).unwrap()
+    let header = decode_header(bytes[..HEADER_LEN].try_into().unwrap(), bytes.len()).unwrap();
+    assert_eq!(header.length, bytes.len() - HEADER_LEN);
+    decode_body(&bytes[HEADER_LEN..], header.checksum).unwrap()
 }
 
 const GROUP: GroupId = GroupId {
@@ -49,22 +55,22 @@
     assert_eq!(identity.incarnation, Incarnation(0xfedc_ba98_7654_3210));
     assert_eq!(
         identity.start,
-        StartOptions {
+        Start {
             generation: 5,
-            draw: 0x1122_3344_5566_7788
+            nonce: 0x1122_3344_5566_7788
         }
     );
     assert_eq!(identity.next_group, 301);
-    assert_eq!(frame(&identity), bytes);
+    assert_eq!(encode_frame(&identity), bytes);
     // Written: as pinned up to the file's own numbers.
     let place = tempfile::tempdir().unwrap();
-    folder::note_identity(place.path(), &identity).unwrap();
+    identity::store(place.path(), &identity).unwrap();
     let path = place.path().join("instance");
     let file = fs::metadata(&path).unwrap();
     let written = fs::read(&path).unwrap();
     let numbers = postcard::to_stdvec(&(300u64, 1_764_000_000_000_000_123u64)).unwrap();
     let fixed = bytes.len() - numbers.len();
-    assert_eq!(written[HEAD..fixed], bytes[HEAD..fixed]);
+    assert_eq!(written[HEADER_LEN..fixed], bytes[HEADER_LEN..fixed]);
     assert_eq!(bytes[fixed..], numbers);
     // A file system that does not say when it was made has the number only.
     let made = file
@@ -76,7 +82,7 @@
     assert_eq!(written[fixed..], own);
     // Begun on, its start grows by one and the rest stays.
     let before = identity.clone();
-    identity = folder::begin(place.path()).unwrap();
+    identity = identity::begin_start(place.path()).unwrap();
     assert_eq!(
         (identity.incarnation, identity.next_group),
         (before.incarnation, before.next_group)
@@ -86,59 +92,68 @@
 
 #[test]
 fn whom_it_met_is_as_pinned() {
-    let mut met = Met::new();
+    let mut met = KnownStarts::new();
     met.insert(
         Incarnation(300),
-        (
-            InstanceName("one".into()),
-            StartOptions {
+        KnownStart {
+            name: InstanceName("one".into()),
+            start: Start {
                 generation: 4,
-                draw: 500,
+                nonce: 500,
             },
-        ),
+        },
     );
     met.insert(
         Incarnation(7),
-        (
-            InstanceName("two".into()),
-            StartOptions {
+        KnownStart {
+            name: InstanceName("two".into()),
+            start: Start {
                 generation: 1,
-                draw: 1 << 40,
+                nonce: 1 << 40,
             },
-        ),
+        },
     );
     let place = tempfile::tempdir().unwrap();
-    folder::note_met(place.path(), &met).unwrap();
+    known_starts::store(place.path(), &met).unwrap();
     let path = place.path().join("met");
     assert_eq!(fs::read(&path).unwrap(), pinned("Met"));
     fs::write(&path, pinned("Met")).unwrap();
-    assert_eq!(folder::met(place.path()).unwrap(), met);
+    assert_eq!(known_starts::load(place.path()).unwrap(), met);
 }
 
 #[test]
 fn groups_files_are_named_as_before() {
     let place = tempfile::tempdir().unwrap();
-    folder::begin(place.path()).unwrap();
-    Log::make(place.path(), GROUP, Purpose::EventLog, &Kept::default()).unwrap();
+    identity::begin_start(place.path()).unwrap();
+    GroupLog::create(
+        place.path(),
+        GROUP,
+        Purpose::EventLog,
+        &PersistedState::default(),
+    )
+    .unwrap();
     let log = place.path().join("groups/0102030405060708-300.log");
     assert!(log.exists());
-    assert_eq!(folder::log_path(place.path(), GROUP), log);
-    assert_eq!(folder::groups(place.path()).unwrap(), [GROUP]);
-    folder::bury(place.path(), GROUP).unwrap();
+    assert_eq!(group_files::log_path(place.path(), GROUP), log);
+    assert_eq!(group_files::groups(place.path()).unwrap(), [GROUP]);
+    group_files::remove_dissolved(place.path(), GROUP).unwrap();
     assert!(!log.exists());
     assert!(place
         .path()
         .join("groups/0102030405060708-300.gone")
         .exists());
-    assert_eq!(folder::gone(place.path()).unwrap(), [GROUP]);
+    assert_eq!(
+        group_files::dissolved_groups(place.path()).unwrap(),
+        [GROUP]
+    );
 }
 
-fn voters() -> Voters {
-    Voters {
+fn voters() -> Membership {
+    Membership {
         voters: vec![1, 200],
         learners: vec![3],
-        outgoing: vec![4, 5],
-        learners_next: vec![6],
+        outgoing_voters: vec![4, 5],
+        next_learners: vec![6],
         auto_leave: true,
     }
 }
@@ -155,21 +170,21 @@
     entry
 }
 
-fn kept() -> Kept {
-    Kept {
-        base: Base {
+fn kept() -> PersistedState {
+    PersistedState {
+        base: SnapshotBase {
             index: 11,
             term: 12,
-            voters: voters(),
-            whole: pinned("Whole"),
+            members: voters(),
+            state: pinned("Whole"),
         },
-        hard: Hard {
+        hard_state: HardState {
             term: 13,
             vote: 14,
             commit: 11,
         },
         entries: vec![entry(12, false), entry(13, true)],
-        restarted: false,
+        is_restart: false,
     }
 }
 
@@ -187,22 +202,22 @@
 }
 
 /// One batch of two, one without a vote, and one that replaces the end of the log.
-fn batches() -> Vec<Persist> {
-    let hard = Some(Hard {
+fn batches() -> Vec<PersistRequest> {
+    let hard = Some(HardState {
         term: 15,
         vote: 16,
         commit: 12,
     });
     vec![
-        Persist {
+        PersistRequest {
             number: 1,
-            hard,
+            hard_state: hard,
             entries: vec![entry(14, false)],
             base: None,
         },
-        Persist {
+        PersistRequest {
             number: 2,
-            hard: None,
+            hard_state: None,
             entries: vec![entry(15, false), entry(16, true)],
             base: None,
         },
@@ -213,17 +228,17 @@
 fn a_groups_log_is_written_as_pinned() {
     for purpose in [Purpose::EventLog, Purpose::Control] {
         let place = tempfile::tempdir().unwrap();
-        folder::begin(place.path()).unwrap();
-        let mut log = Log::make(place.path(), GROUP, purpose, &kept()).unwrap();
-        log.take(&batches()).unwrap();
-        log.take(&[Persist {
+        identity::begin_start(place.path()).unwrap();
+        let mut log = GroupLog::create(place.path(), GROUP, purpose, &kept()).unwrap();
+        log.persist(&batches()).unwrap();
+        log.persist(&[PersistRequest {
             number: 3,
-            hard: None,
+            hard_state: None,
             entries: vec![entry(15, true)],
             base: None,
         }])
         .unwrap();
-        let written = fs::read(folder::log_path(place.path(), GROUP)).unwrap();
+        let written = fs::read(group_files::log_path(place.path(), GROUP)).unwrap();
         assert_eq!(written, fs::read(fixture(name_of(purpose))).unwrap());
     }
 }
@@ -232,36 +247,36 @@
 #[test]
 fn a_cut_log_is_written_as_pinned() {
     let place = tempfile::tempdir().unwrap();
-    folder::begin(place.path()).unwrap();
-    let mut log = Log::make(place.path(), GROUP, Purpose::EventLog, &kept()).unwrap();
-    log.take(&batches()).unwrap();
-    let base = Base {
+    identity::begin_start(place.path()).unwrap();
+    let mut log = GroupLog::create(place.path(), GROUP, Purpose::EventLog, &kept()).unwrap();
+    log.persist(&batches()).unwrap();
+    let base = SnapshotBase {
         index: 14,
         term: 12,
-        voters: voters(),
-        whole: vec![5, 6, 7],
+        members: voters(),
+        state: vec![5, 6, 7],
     };
-    let hard = Some(Hard {
+    let hard = Some(HardState {
         term: 17,
         vote: 18,
         commit: 14,
     });
-    let cut = Persist {
+    let cut = PersistRequest {
         number: 0,
-        hard,
+        hard_state: hard,
         entries: vec![entry(15, false)],
         base: Some(base),
     };
-    log.take(&[cut]).unwrap();
-    let written = fs::read(folder::log_path(place.path(), GROUP)).unwrap();
+    log.persist(&[cut]).unwrap();
+    let written = fs::read(group_files::log_path(place.path(), GROUP)).unwrap();
     assert_eq!(written, fs::read(fixture("cut.log")).unwrap());
 }
 
-fn opened(name: &str) -> (Log, Kept) {
+fn opened(name: &str) -> (GroupLog, PersistedState) {
     let place = tempfile::tempdir().unwrap();
-    folder::begin(place.path()).unwrap();
-    fs::copy(fixture(name), folder::log_path(place.path(), GROUP)).unwrap();
-    Log::open(place.path(), GROUP).unwrap()
+    identity::begin_start(place.path()).unwrap();
+    fs::copy(fixture(name), group_files::log_path(place.path(), GROUP)).unwrap();
+    GroupLog::open(place.path(), GROUP).unwrap()
 }
 
 #[test]
@@ -270,13 +285,13 @@
         let (log, read) = opened(name_of(purpose));
         assert_eq!(log.purpose(), purpose);
         assert_eq!(
-            log.bytes(),
+            log.file_length(),
             fs::metadata(fixture(name_of(purpose))).unwrap().len()
         );
         assert_eq!(read.base, kept().base);
         assert_eq!(
-            read.hard,
-            Hard {
+            read.hard_state,
+            HardState {
                 term: 15,
                 vote: 16,
                 commit: 12
@@ -289,21 +304,21 @@
             entry(15, true),
         ];
         assert_eq!(read.entries, entries);
-        assert!(read.restarted);
+        assert!(read.is_restart);
     }
     let (_, read) = opened("cut.log");
     assert_eq!(
         read.base,
-        Base {
+        SnapshotBase {
             index: 14,
             term: 12,
-            voters: voters(),
-            whole: vec![5, 6, 7]
+            members: voters(),
+            state: vec![5, 6, 7]
         }
     );
     assert_eq!(
-        read.hard,
-        Hard {
+        read.hard_state,
+        HardState {
             term: 17,
             vote: 18,
             commit: 14
@@ -315,60 +330,68 @@
 #[test]
 fn what_stands_beside_a_command_is_as_pinned() {
     let changes = vec![
-        Change::Learner(Incarnation(300)),
-        Change::Voter(Incarnation(1 << 40)),
-        Change::Remove(Incarnation(7)),
+        MembershipChange::AddLearner(Incarnation(300)),
+        MembershipChange::AddVoter(Incarnation(1 << 40)),
+        MembershipChange::Remove(Incarnation(7)),
     ];
     let all = [
-        Stamp::Command {
+        EntryContext::Command {
             proposer: Incarnation(0xfedc_ba98_7654_3210),
             term: Term(300),
             number: 70_000,
         },
-        Stamp::Dissolve { term: Term(301) },
-        Stamp::Voters {
+        EntryContext::Dissolve { term: Term(301) },
+        EntryContext::Members {
             term: Term(302),
             changes: changes.clone(),
         },
     ];
     for stamp in all {
         let name = match &stamp {
-            Stamp::Command { .. } => "Command",
-            Stamp::Dissolve { .. } => "Dissolve",
-            Stamp::Voters { .. } => "Voters",
+            EntryContext::Command { .. } => "Command",
+            EntryContext::Dissolve { .. } => "Dissolve",
+            EntryContext::Members { .. } => "Voters",
         };
-        assert_eq!(stamp.bytes(), pinned(name), "{name}");
-        assert_eq!(Stamp::read(&pinned(name)), Some(stamp), "{name}");
+        assert_eq!(stamp.to_bytes(), pinned(name), "{name}");
+        assert_eq!(
+            EntryContext::from_bytes(&pinned(name)),
+            Some(stamp),
+            "{name}"
+        );
     }
     for change in changes {
         let name = match change {
-            Change::Learner(_) => "ChangeLearner",
-            Change::Voter(_) => "ChangeVoter",
-            Change::Remove(_) => "ChangeRemove",
+            MembershipChange::AddLearner(_) => "ChangeLearner",
+            MembershipChange::AddVoter(_) => "ChangeVoter",
+            MembershipChange::Remove(_) => "ChangeRemove",
         };
-        let stamp = Stamp::Voters {
+        let stamp = EntryContext::Members {
             term: Term(1),
             changes: vec![change],
         };
-        assert_eq!(stamp.bytes(), pinned(name), "{name}");
-        assert_eq!(Stamp::read(&pinned(name)), Some(stamp), "{name}");
+        assert_eq!(stamp.to_bytes(), pinned(name), "{name}");
+        assert_eq!(
+            EntryContext::from_bytes(&pinned(name)),
+            Some(stamp),
+            "{name}"
+        );
     }
 }
 
 #[test]
 fn a_groups_whole_state_is_as_pinned() {
-    let mut counted = Counted::default();
-    counted.note(Incarnation(300), Term(2), 70_000);
-    counted.note(Incarnation(7), Term(301), 1);
-    let whole = Whole {
-        counted: counted.clone(),
-        dissolved: true,
-        machine: vec![1, 2, 3],
+    let mut counted = CommittedProposals::default();
+    counted.record(Incarnation(300), Term(2), 70_000);
+    counted.record(Incarnation(7), Term(301), 1);
+    let whole = GroupState {
+        committed: counted.clone(),
+        is_dissolved: true,
+        state_machine: vec![1, 2, 3],
     };
-    assert_eq!(postcard::to_stdvec(&whole).unwrap(), pinned("Whole"));
-    let read: Whole = postcard::from_bytes(&pinned("Whole")).unwrap();
+    assert_eq!(whole.to_bytes(), pinned("Whole"));
+    let read: GroupState = GroupState::from_bytes(&pinned("Whole")).unwrap();
     assert_eq!(
-        (read.counted, read.dissolved, read.machine),
+        (read.committed, read.is_dissolved, read.state_machine),
         (counted, true, vec![1, 2, 3])
     );
 }
@@ -390,19 +413,19 @@
 
 #[test]
 fn a_founded_groups_first_state_is_as_pinned() {
-    let kept = Kept::founded(&[Incarnation(300), Incarnation(7)], &Machines(b"empty"));
-    assert_eq!(kept.base.whole, pinned("FoundedWhole"));
+    let kept = PersistedState::founded(&[Incarnation(300), Incarnation(7)], &Machines(b"empty"));
+    assert_eq!(kept.base.state, pinned("FoundedWhole"));
     assert_eq!((kept.base.index, kept.base.term), (1, 1));
     assert_eq!(
-        kept.base.voters,
-        Voters {
+        kept.base.members,
+        Membership {
             voters: vec![300, 7],
-            ..Voters::default()
+            ..Membership::default()
         }
     );
     assert_eq!(
-        kept.hard,
-        Hard {
+        kept.hard_state,
+        HardState {
             term: 1,
             vote: 0,
             commit: 1
--- a/forwarder/raft-groups/tests/wire_format.rs
+++ b/forwarder/raft-groups/tests/wire_format.rs
@@ -1,9 +1,13 @@
 //! The bytes of all that instances send to each other.
 
-use plankhill_raft_groups::core::effects::Voters;
-use plankhill_raft_groups::wire::frame::{body, frame, head, HEAD, LONGEST};
-use plankhill_raft_groups::wire::mirror::{Entry, Kind, Message, State};
-use plankhill_raft_groups::wire::said::{Answer, Hello, Said, Slice, StartOptions, VERSION};
+use plankhill_raft_groups::replica::effects::Membership;
+use plankhill_raft_groups::wire::frame::{
+    decode_body, decode_header, encode_frame, HEADER_LEN, MAX_BODY_LEN,
+};
+use plankhill_raft_groups::wire::message::{
+    Hello, HelloReply, PeerMessage, SnapshotChunk, Start, PROTOCOL_VERSION,
+};
+use plankhill_raft_groups::wire::raft_message::{Entry, MessageKind, RaftMessage, Snapshot};
 use plankhill_raft_groups::{GroupId, Incarnation, InstanceName, Purpose};
 use serde::{de::DeserializeOwned, Serialize};
 
@@ -23,10 +27,14 @@
 /// The value's frame is the pinned one, and the pinned one is read as the value.
 fn check<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: T) {
     let bytes = pinned(name);
-    assert_eq!(frame(&value), bytes, "{name}");
-    let (length, sum) = head(bytes[..HEAD].try_into().unwrap(), LONGEST).unwrap();
-    assert_eq!(length, bytes.len() - HEAD, "{name}");
-    assert_eq!(body::<T>(&bytes[HEAD..], sum), Ok(value), "{name}");
+    assert_eq!(encode_frame(&value), bytes, "{name}");
+    let header = decode_header(bytes[..HEADER_LEN].try_into().unwrap(), MAX_BODY_LEN).unwrap();
+    assert_eq!(header.length, bytes.len() - HEADER_LEN, "{name}");
+    assert_eq!(
+        decode_body::<T>(&bytes[HEADER_LEN..], header.checksum),
+        Ok(value),
+        "{name}"
+    );
 }
 
 fn group() -> GroupId {
@@ -38,34 +46,34 @@
 
 fn hello() -> Hello {
     Hello {
-        version: VERSION,
+        version: PROTOCOL_VERSION,
         fleet: "fleet-a".into(),
         name: InstanceName("one".into()),
         to: InstanceName("two".into()),
         incarnation: Incarnation(0xfedc_ba98_7654_3210),
-        start: StartOptions {
+        start: Start {
             generation: 5,
-            draw: 0x1122_3344_5566_7788,
+            nonce: 0x1122_3344_5566_7788,
         },
         control: Some(group()),
     }
 }
 
-fn message(kind: Kind) -> Message {
-    let voters = Voters {
+fn message(kind: MessageKind) -> RaftMessage {
+    let voters = Membership {
         voters: vec![1, 200],
         learners: vec![3],
-        outgoing: vec![4, 5],
-        learners_next: vec![6],
+        outgoing_voters: vec![4, 5],
+        next_learners: vec![6],
         auto_leave: true,
     };
-    let state = State {
+    let state = Snapshot {
         index: 11,
         term: 12,
-        voters,
+        members: voters,
         data: vec![1, 2, 3],
     };
-    Message {
+    RaftMessage {
         kind,
         to: 21,
         from: 22,
@@ -74,14 +82,14 @@
         index: 25,
         entries: vec![
             Entry {
-                change: false,
+                is_membership_change: false,
                 term: 23,
                 index: 26,
                 data: vec![4, 5],
                 context: vec![6],
             },
             Entry {
-                change: true,
+                is_membership_change: true,
                 term: 23,
                 index: 27,
                 data: vec![7],
@@ -90,7 +98,7 @@
         ],
         commit: 28,
         commit_term: 29,
-        snapshot: (kind == Kind::Snapshot).then_some(state),
+        snapshot: (kind == MessageKind::Snapshot).then_some(state),
         request_snapshot: 30,
         reject: true,
         reject_hint: 31,
@@ -105,10 +113,15 @@
     let mut without = hello();
     without.control = None;
     check("HelloWithoutControl", without);
-    for answer in [Answer::Welcome(hello()), Answer::OlderCopy { known: 300 }] {
+    for answer in [
+        HelloReply::Welcome(hello()),
+        HelloReply::StaleFolder {
+            known_generation: 300,
+        },
+    ] {
         let name = match &answer {
-            Answer::Welcome(_) => "Welcome",
-            Answer::OlderCopy { .. } => "OlderCopy",
+            HelloReply::Welcome(_) => "Welcome",
+            HelloReply::StaleFolder { .. } => "OlderCopy",
         };
         check(name, answer);
     }
@@ -118,41 +131,41 @@
 fn every_message_is_as_pinned() {
     let purposes = [Purpose::EventLog, Purpose::Control];
     let mut all = vec![
-        Said::Beat {
-            left: 1 << 40,
+        PeerMessage::Heartbeat {
+            free_bytes: 1 << 40,
             control: Some(group()),
         },
-        Said::Raft {
+        PeerMessage::Raft {
             group: group(),
-            message: message(Kind::Append),
+            message: message(MessageKind::Append),
         },
-        Said::Slice {
+        PeerMessage::SnapshotChunk {
             group: group(),
-            slice: Slice {
-                message: Some(message(Kind::Snapshot)),
+            chunk: SnapshotChunk {
+                message: Some(message(MessageKind::Snapshot)),
                 offset: 262_144,
                 total: 262_147,
                 bytes: vec![1, 2, 3],
             },
         },
-        Said::Taken {
+        PeerMessage::ChunkReceived {
             group: group(),
             offset: 262_147,
         },
-        Said::Gone { group: group() },
-        Said::Dissolved { group: group() },
-        Said::Report {
+        PeerMessage::NotMember { group: group() },
+        PeerMessage::GroupDissolved { group: group() },
+        PeerMessage::Report {
             body: vec![9, 8, 7],
         },
     ];
     for purpose in purposes {
         let voters = vec![Incarnation(300), Incarnation(2)];
-        all.push(Said::Found {
+        all.push(PeerMessage::FoundGroup {
             group: group(),
             purpose,
             voters,
         });
-        all.push(Said::Join {
+        all.push(PeerMessage::JoinGroup {
             group: group(),
             purpose,
         });
@@ -163,19 +176,19 @@
             Purpose::Control => "Control",
         };
         let name = match &said {
-            Said::Beat { .. } => "Beat".to_owned(),
-            Said::Raft { .. } => "Raft".to_owned(),
-            Said::Slice { .. } => "Slice".to_owned(),
-            Said::Taken { .. } => "Taken".to_owned(),
-            Said::Found { purpose, .. } => format!("Found{}", of(purpose)),
-            Said::Join { purpose, .. } => format!("Join{}", of(purpose)),
-            Said::Gone { .. } => "Gone".to_owned(),
-            Said::Dissolved { .. } => "Dissolved".to_owned(),
-            Said::Report { .. } => "Report".to_owned(),
+            PeerMessage::Heartbeat { .. } => "Beat".to_owned(),
+            PeerMessage::Raft { .. } => "Raft".to_owned(),
+            PeerMessage::SnapshotChunk { .. } => "Slice".to_owned(),
+            PeerMessage::ChunkReceived { .. } => "Taken".to_owned(),
+            PeerMessage::FoundGroup { purpose, .. } => format!("Found{}", of(purpose)),
+            PeerMessage::JoinGroup { purpose, .. } => format!("Join{}", of(purpose)),
+            PeerMessage::NotMember { .. } => "Gone".to_owned(),
+            PeerMessage::GroupDissolved { .. } => "Dissolved".to_owned(),
+            PeerMessage::Report { .. } => "Report".to_owned(),
         };
         check(&name, said);
     }
-    let slice = Slice {
+    let chunk = SnapshotChunk {
         message: None,
         offset: 3,
         total: 9,
@@ -183,15 +196,15 @@
     };
     check(
         "LaterSlice",
-        Said::Slice {
+        PeerMessage::SnapshotChunk {
             group: group(),
-            slice,
+            chunk,
         },
     );
     check(
         "BeatWithoutControl",
-        Said::Beat {
-            left: 0,
+        PeerMessage::Heartbeat {
+            free_bytes: 0,
             control: None,
         },
     );
@@ -201,31 +214,31 @@
 #[test]
 fn every_kind_of_rafts_messages_is_as_pinned() {
     let kinds = [
-        Kind::Append,
-        Kind::AppendResponse,
-        Kind::RequestVote,
-        Kind::RequestVoteResponse,
-        Kind::Snapshot,
-        Kind::Heartbeat,
-        Kind::HeartbeatResponse,
-        Kind::RequestPreVote,
-        Kind::RequestPreVoteResponse,
+        MessageKind::Append,
+        MessageKind::AppendResponse,
+        MessageKind::RequestVote,
+        MessageKind::RequestVoteResponse,
+        MessageKind::Snapshot,
+        MessageKind::Heartbeat,
+        MessageKind::HeartbeatResponse,
+        MessageKind::RequestPreVote,
+        MessageKind::RequestPreVoteResponse,
     ];
     for kind in kinds {
         let name = match kind {
-            Kind::Append => "Append",
-            Kind::AppendResponse => "AppendResponse",
-            Kind::RequestVote => "RequestVote",
-            Kind::RequestVoteResponse => "RequestVoteResponse",
-            Kind::Snapshot => "Snapshot",
-            Kind::Heartbeat => "Heartbeat",
-            Kind::HeartbeatResponse => "HeartbeatResponse",
-            Kind::RequestPreVote => "RequestPreVote",
-            Kind::RequestPreVoteResponse => "RequestPreVoteResponse",
+            MessageKind::Append => "Append",
+            MessageKind::AppendResponse => "AppendResponse",
+            MessageKind::RequestVote => "RequestVote",
+            MessageKind::RequestVoteResponse => "RequestVoteResponse",
+            MessageKind::Snapshot => "Snapshot",
+            MessageKind::Heartbeat => "Heartbeat",
+            MessageKind::HeartbeatResponse => "HeartbeatResponse",
+            MessageKind::RequestPreVote => "RequestPreVote",
+            MessageKind::RequestPreVoteResponse => "RequestPreVoteResponse",
         };
         check(
             &format!("Raft{name}"),
-            Said::Raft {
+            PeerMessage::Raft {
                 group: group(),
                 message: message(kind),
             },
@@ -233,6 +246,6 @@
         let raft = message(kind)
             .into_raft()
             .expect("nothing in it contradicts the rest");
-        assert_eq!(Message::of(&raft), Some(message(kind)), "{name}");
+        assert_eq!(RaftMessage::from_raft(&raft), Some(message(kind)), "{name}");
     }
 }
--- a/forwarder/raft-groups/tests/world/checks.rs
+++ b/forwarder/raft-groups/tests/world/checks.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use plankhill_raft_groups::core::Core;
+use plankhill_raft_groups::replica::Replica;
 use plankhill_raft_groups::{GroupEvent, Incarnation};
 
-use super::all::words;
+use super::command_list::words;
 use super::{World, STALL};
 
 impl World {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// All that is told as committed is in every later leader's state, and nothing void is.
+    /// CommandList that is told as committed is in every later leader's state, and nothing void is.
     fn agree(&mut self, me: Incarnation, state: Vec<u64>) {
         let common = self.agreed.len().min(state.len());
         if self.agreed[..common] != state[..common] || state.len() < self.agreed.len() {
@@ -60,7 +60,7 @@
         let now = self.now;
         for at in 0..self.nodes.len() {
             let node = &mut self.nodes[at];
-            let until = node.core.as_ref().map_or(0.0, Core::lease);
+            let until = node.core.as_ref().map_or(0.0, Replica::lease_until);
             if node.core.is_none() {
                 node.held = f64::NEG_INFINITY;
             }
--- a/forwarder/raft-groups/tests/world/all.rs
+++ b/forwarder/raft-groups/tests/world/command_list.rs
@@ -1,12 +1,12 @@
-//! A machine that keeps all commands.
+//! A state machine that keeps all commands.
 
 use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
 
 /// Keeps all commands.
 #[derive(Default)]
-pub struct All(Vec<u64>);
+pub struct CommandList(Vec<u64>);
 
-impl StateMachine for All {
+impl StateMachine for CommandList {
     fn apply(&mut self, _: Incarnation, _: Term, command: &[u8]) {
         self.0
             .push(u64::from_le_bytes(command[..8].try_into().unwrap()));
--- a/forwarder/raft-groups/tests/world/misfortunes.rs
+++ b/forwarder/raft-groups/tests/world/faults.rs
@@ -1,7 +1,7 @@
 //! Links that break, nodes that crash, folders that are lost, and how a leader makes up for it.
 
-use plankhill_raft_groups::core::stamp::Change;
-use plankhill_raft_groups::core::Kept;
+use plankhill_raft_groups::replica::entry_context::MembershipChange;
+use plankhill_raft_groups::replica::PersistedState;
 use plankhill_raft_groups::Incarnation;
 use rand::Rng;
 
@@ -15,33 +15,36 @@
             let Some(core) = &self.nodes[at].core else {
                 continue;
             };
-            if core.leads().is_none() {
+            if !core.is_leader() {
                 continue;
             }
-            let seen = core.seen();
+            let seen = core.member_progress();
             let gone = seen
                 .iter()
-                .find(|s| !lives.contains(&s.who))
-                .map(|s| (s.who, s.voter));
+                .find(|s| !lives.contains(&s.incarnation))
+                .map(|s| (s.incarnation, s.is_voter));
             let ready = seen
                 .iter()
-                .find(|s| !s.voter && s.up_to_date && lives.contains(&s.who));
+                .find(|s| !s.is_voter && s.is_up_to_date && lives.contains(&s.incarnation));
             let new = lives.iter().find(|l| !core.is_member(**l));
             let changes = match (gone, ready, new) {
-                (Some((gone, false)), _, _) => vec![Change::Remove(gone)],
+                (Some((gone, false)), _, _) => vec![MembershipChange::Remove(gone)],
                 (Some((gone, true)), Some(new), _) => {
-                    vec![Change::Voter(new.who), Change::Remove(gone)]
+                    vec![
+                        MembershipChange::AddVoter(new.incarnation),
+                        MembershipChange::Remove(gone),
+                    ]
                 }
-                (Some(_), None, Some(new)) => vec![Change::Learner(*new)],
+                (Some(_), None, Some(new)) => vec![MembershipChange::AddLearner(*new)],
                 _ => continue,
             };
             self.with(at, |core, out| {
-                core.change(&changes, out);
+                core.change_members(&changes, out);
             });
         }
     }
 
-    pub(super) fn misfortunes(&mut self, rough: f64) {
+    pub(super) fn inject_faults(&mut self, rough: f64) {
         if !self.rng.random_bool(0.004 * rough) {
             return;
         }
@@ -85,7 +88,7 @@
         let holds = |n: &super::Node| {
             n.core
                 .as_ref()
-                .is_some_and(|c| self.now * n.rate < c.lease())
+                .is_some_and(|c| self.now * n.rate < c.lease_until())
         };
         self.nodes.iter().position(holds)
     }
@@ -96,13 +99,13 @@
             .nodes
             .iter()
             .filter_map(|n| n.core.as_ref())
-            .find(|c| c.leads().is_some());
+            .find(|c| c.is_leader());
         let Some(leader) = leader else { return false };
-        let seen = leader.seen();
+        let seen = leader.member_progress();
         seen.len() + 1 == self.nodes.len()
-            && seen
-                .iter()
-                .all(|s| s.voter && s.up_to_date && self.nodes.iter().any(|n| n.me == s.who))
+            && seen.iter().all(|s| {
+                s.is_voter && s.is_up_to_date && self.nodes.iter().any(|n| n.me == s.incarnation)
+            })
     }
 
     /// What was handed to the disk lately may be on it or not.
@@ -111,13 +114,13 @@
         node.core = None;
         let kept = self.rng.random_range(0..=node.queue.len());
         for (_, persist) in node.queue.drain(..).take(kept) {
-            node.disk.take(persist);
+            node.disk.apply(persist);
         }
         node.back_at = f64::INFINITY;
     }
 
     fn wipe(&mut self, at: usize) {
-        self.nodes[at].disk = Kept::default();
+        self.nodes[at].disk = PersistedState::default();
         if self.planted != Planted::SameLife {
             self.lives += 1;
             self.nodes[at].me = Incarnation(self.lives);
--- a/forwarder/raft-groups/tests/world/mod.rs
+++ b/forwarder/raft-groups/tests/world/mod.rs
@@ -1,20 +1,20 @@
-//! Several cores in one seeded world: frames are dropped, doubled, delayed and reordered, disks are slow, clocks
+//! Several replicas in one seeded simulation: frames are dropped, doubled, delayed and reordered, disks are slow, clocks
 //! run apart, nodes crash and come back with or without their folder. Every step is checked.
 
-mod all;
 mod checks;
-mod misfortunes;
+mod command_list;
+mod faults;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use plankhill_raft_groups::core::effects::{Effects, Persist};
-use plankhill_raft_groups::core::{Core, Kept, Pace};
+use plankhill_raft_groups::replica::effects::{Effects, PersistRequest};
+use plankhill_raft_groups::replica::{GroupTiming, PersistedState, Replica};
 use plankhill_raft_groups::{GroupId, Incarnation, Purpose, Term};
 use raft::eraftpb::Message;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use all::All;
+use command_list::CommandList;
 
 /// What is done wrong on purpose, to show that the checks bite.
 #[derive(Clone, Copy, Default, PartialEq)]
@@ -33,10 +33,10 @@
 const STALL: f64 = 120.0;
 
 struct Node {
-    core: Option<Core>,
+    core: Option<Replica>,
     me: Incarnation,
-    disk: Kept,
-    queue: Vec<(f64, Persist)>,
+    disk: PersistedState,
+    queue: Vec<(f64, PersistRequest)>,
     /// Its clock against the world's.
     rate: f64,
     /// When it was last seen to hold.
@@ -49,7 +49,7 @@
 pub struct World {
     now: f64,
     rng: ChaCha8Rng,
-    pace: Pace,
+    pace: GroupTiming,
     nodes: Vec<Node>,
     frames: Vec<(f64, Message)>,
     /// From, to.
@@ -75,7 +75,7 @@
 impl World {
     pub fn new(seed: u64, voters: usize, large: usize, planted: Planted) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut pace = Pace::new(40.0, 400.0, STALL);
+        let mut pace = GroupTiming::new(40.0, 400.0, STALL);
         pace.seed = Some(seed);
         let ids: Vec<Incarnation> = (1..=voters as u64).map(Incarnation).collect();
         let group = GroupId {
@@ -85,7 +85,7 @@
         let node = |me: &Incarnation| Node {
             core: None,
             me: *me,
-            disk: Kept::founded(&ids, &All::default()),
+            disk: PersistedState::founded(&ids, &CommandList::default()),
             queue: Vec::new(),
             rate: rng.random_range(0.98..1.02),
             held: f64::NEG_INFINITY,
@@ -129,7 +129,7 @@
             self.ticks();
             self.proposals();
             self.replacements();
-            self.misfortunes(rough);
+            self.inject_faults(rough);
             self.check_holds();
         }
     }
@@ -151,19 +151,20 @@
             }
             let restarted = now > 1.0 && self.planted != Planted::VotesAtOnce;
             let disk = &node.disk;
-            let (base, hard, entries) = (disk.base.clone(), disk.hard, disk.entries.clone());
-            let kept = Kept {
+            let (base, hard_state, entries) =
+                (disk.base.clone(), disk.hard_state, disk.entries.clone());
+            let kept = PersistedState {
                 base,
-                hard,
+                hard_state,
                 entries,
-                restarted,
+                is_restart: restarted,
             };
-            let core = Core::new(
+            let core = Replica::new(
                 group,
                 Purpose::EventLog,
                 node.me,
                 kept,
-                Box::<All>::default(),
+                Box::<CommandList>::default(),
                 pace,
             );
             node.core = Some(core.expect("a folder that was synced is whole"));
@@ -186,7 +187,7 @@
             {
                 let (_, persist) = self.nodes[at].queue.remove(0);
                 let number = persist.number;
-                self.nodes[at].disk.take(persist);
+                self.nodes[at].disk.apply(persist);
                 self.with(at, |core, out| core.persisted(number, out));
             }
         }
@@ -227,10 +228,7 @@
 
     fn proposals(&mut self) {
         for at in 0..self.nodes.len() {
-            let leads = self.nodes[at]
-                .core
-                .as_ref()
-                .is_some_and(|c| c.leads().is_some());
+            let leads = self.nodes[at].core.as_ref().is_some_and(|c| c.is_leader());
             if leads && !self.quiet && self.rng.random_bool(0.1) {
                 self.next_command += 1;
                 let command = self.next_command;
@@ -244,7 +242,7 @@
         }
     }
 
-    fn with(&mut self, at: usize, act: impl FnOnce(&mut Core, &mut Effects)) {
+    fn with(&mut self, at: usize, act: impl FnOnce(&mut Replica, &mut Effects)) {
         let node = &mut self.nodes[at];
         let Some(core) = &mut node.core else { return };
         let mut out = Effects::default();
@@ -259,11 +257,11 @@
             let due = node.queue.last().map_or(due, |(last, _)| last.max(due));
             node.queue.push((due, persist));
         }
-        for message in out.send {
+        for message in out.messages {
             let due = self.now + self.rng.random_range(0.0..15.0);
             self.frames.push((due, message));
         }
-        for news in out.news {
+        for news in out.events {
             self.hear(me, news);
         }
     }
