--- a/tier/chain/src/effect.rs
+++ b/tier/chain/src/effect.rs
@@ -1,15 +1,16 @@
-//! What a member wants done, and what may only be done once something is on disk.
+//! What a member wants done by the driver that owns it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use plankhill_protocol::ids::Revision;
 
-use crate::durable::{RequestNumber, Write};
+use crate::entry::RequestNumber;
 use crate::message::Message;
+use crate::storage::Write;
 use crate::view::ViewNumber;
 
-/// Milliseconds on a clock of the process that never goes back.
+/// Milliseconds: a duration, or a time on a clock of the process that never goes back.
 pub type Millis = u64;
 
 /// Names a batch of writes; batches are numbered in the order in which they have to reach the disk.
@@ -19,46 +20,41 @@
 /// Something that the driver has to do, in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a message; it may be lost.
+    /// Send a message, which may be lost.
     Send {
         /// Where the receiver listens.
         to: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// Write to the disk, after all earlier batches, and report the ticket when it is synced.
+    /// Write to the disk, after all earlier batches, and report the ticket to
+    /// [`crate::ChainMember::on_persisted`] when the batch is synced.
     Persist {
-        /// To be reported.
+        /// Names the batch.
         ticket: Ticket,
         /// The changes.
         writes: Vec<Write>,
     },
-    /// A proposal made here was committed.
-    Proposed {
+    /// A proposal made at this member was committed.
+    ProposalCommitted {
         /// The proposal.
         request: RequestNumber,
-        /// What it came to.
+        /// What the state machine answered.
         outcome: Arc<[u8]>,
     },
-    /// A proposal made here is given up; it may still be committed.
+    /// A proposal made at this member is abandoned; the operation may still be committed.
     ProposalFailed(RequestNumber),
-    /// A read asked here can be answered from the present state.
+    /// A read asked for at this member can be answered from the present state.
     ReadReady(u64),
-    /// A read asked here is given up.
+    /// A read asked for at this member is abandoned.
     ReadFailed(u64),
 }
 
-/// What waits for a batch of writes to be synced.
-#[derive(Clone, Debug)]
-pub(crate) enum Deferred {
-    /// Nothing.
-    Nothing,
-    /// A message may be sent.
-    Send(SocketAddr, Message),
-    /// A vote of this member may be counted by its own proposal.
-    Vote(Message),
-    /// Operations of this view up to here are on disk.
-    Position(ViewNumber, Revision),
-    /// This view is on disk, with the operations up to here.
-    View(ViewNumber, Revision),
+/// A position of the log in a view.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct LogPosition {
+    /// The view.
+    pub(crate) view: ViewNumber,
+    /// The last operation.
+    pub(crate) revision: Revision,
 }
--- a/tier/chain/src/lib.rs
+++ b/tier/chain/src/lib.rs
@@ -1,19 +1,33 @@
-//! Chain replication and its membership view, without I/O: time, messages and the completion of writes come in
-//! as arguments, what is to be done comes out as effects. `docs/system/chain.md` has the arguments.
+//! Chain replication of a state machine and the reconfiguration of the chain, without I/O.
+//!
+//! [`ChainMember`] is a deterministic core: messages, time and the completion of disk writes come
+//! in as arguments, [`Effect`]s come out. `plankhill-replica` owns the disk, the connections and
+//! the clock around the core. `docs/system/chain.md` holds the protocol and the arguments for its
+//! safety; the protocol follows van Renesse and Schneider, "Chain Replication for Supporting High
+//! Throughput and Availability" (OSDI 2004), with views that are agreed on by single-decree Paxos
+//! as in Lamport, Malkhi and Zhou, "Vertical Paxos and Primary-Backup Replication" (PODC 2009).
 
-mod durable;
+mod acceptor;
+mod applied_state;
 mod effect;
+mod entry;
+mod failure_detector;
 mod log;
-mod machine;
 mod member;
 mod message;
-mod peers;
+mod outbox;
+mod replicated_log;
+mod rng;
+mod state_machine;
+mod storage;
 pub mod timing;
 mod view;
 
-pub use durable::{Acceptor, Ballot, Durable, Entry, RequestNumber, Snapshot, Storage, Write};
+pub use acceptor::{Acceptor, Ballot};
 pub use effect::{Effect, Millis, Ticket};
-pub use machine::{BadSnapshot, StateMachine};
-pub use member::{ChainMember, Configuration};
+pub use entry::{Entry, RequestNumber};
+pub use member::{ChainMember, MemberConfig};
 pub use message::{Echo, Heartbeat, Message};
+pub use state_machine::{BadSnapshot, StateMachine};
+pub use storage::{DurableState, Snapshot, Storage, Write};
 pub use view::{Identity, Member, View, ViewNumber};
--- a/tier/chain/src/log.rs
+++ b/tier/chain/src/log.rs
@@ -4,24 +4,25 @@
 
 use plankhill_protocol::ids::Revision;
 
-use crate::durable::{Entry, RequestNumber};
+use crate::entry::{Entry, RequestNumber};
 
 /// Operations in order, from the one after the snapshot on.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
-    before: Revision,
+    snapshot_revision: Revision,
     entries: VecDeque<Entry>,
-    bytes: usize,
+    /// Bytes of all operations in `entries`.
+    size_bytes: usize,
 }
 
 impl Log {
     /// What a disk held after a snapshot; anything behind a gap is left out.
-    pub(crate) fn new(snapshot: Revision, kept: BTreeMap<Revision, Entry>) -> Self {
+    pub(crate) fn new(snapshot_revision: Revision, stored: BTreeMap<Revision, Entry>) -> Self {
         let mut log = Self {
-            before: snapshot,
+            snapshot_revision,
             ..Self::default()
         };
-        for (revision, entry) in kept {
+        for (revision, entry) in stored {
             if revision == log.next() {
                 log.push(entry);
             }
@@ -29,49 +30,49 @@
         log
     }
 
-    /// The operation before the first one kept.
-    pub(crate) fn before(&self) -> Revision {
-        self.before
+    /// The last operation that the snapshot contains.
+    pub(crate) fn snapshot_revision(&self) -> Revision {
+        self.snapshot_revision
     }
 
     /// The last operation.
     pub(crate) fn last(&self) -> Revision {
-        Revision(self.before.0 + self.entries.len() as u64)
+        Revision(self.snapshot_revision.0 + self.entries.len() as u64)
     }
 
-    /// The place of the next operation.
-    pub(crate) fn next(&self) -> Revision {
+    /// The revision of the next operation.
+    fn next(&self) -> Revision {
         Revision(self.last().0 + 1)
     }
 
-    /// Bytes of the operations kept.
-    pub(crate) fn bytes(&self) -> usize {
-        self.bytes
+    /// Bytes of the operations after the snapshot.
+    pub(crate) fn size_bytes(&self) -> usize {
+        self.size_bytes
     }
 
-    /// Appends an operation and tells its place.
+    /// Appends an operation and returns its revision.
     pub(crate) fn push(&mut self, entry: Entry) -> Revision {
-        self.bytes += entry.operation.len();
+        self.size_bytes += entry.operation.len();
         self.entries.push_back(entry);
         self.last()
     }
 
-    /// The operation at a place.
+    /// The operation with this revision.
     pub(crate) fn get(&self, revision: Revision) -> Option<&Entry> {
-        let index = revision.0.checked_sub(self.before.0 + 1)?;
+        let index = revision.0.checked_sub(self.snapshot_revision.0 + 1)?;
         self.entries.get(usize::try_from(index).ok()?)
     }
 
-    /// Operations after one place up to another, as many as `bytes` allows, one at least.
-    pub(crate) fn range(&self, after: Revision, upto: Revision, bytes: usize) -> Vec<Entry> {
+    /// Operations after one revision up to another, as many as `max_bytes` allows, one at least.
+    pub(crate) fn range(&self, after: Revision, up_to: Revision, max_bytes: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut size = 0;
-        for place in after.0 + 1..=upto.0 {
-            let Some(entry) = self.get(Revision(place)) else {
+        for revision in after.0 + 1..=up_to.0 {
+            let Some(entry) = self.get(Revision(revision)) else {
                 break;
             };
             size += entry.operation.len();
-            if size > bytes && !taken.is_empty() {
+            if size > max_bytes && !taken.is_empty() {
                 break;
             }
             taken.push(entry.clone());
@@ -79,36 +80,38 @@
         taken
     }
 
-    /// Drops all operations after a place.
+    /// Drops all operations after a revision.
     pub(crate) fn truncate(&mut self, last: Revision) {
         while self.last() > last {
             let Some(dropped) = self.entries.pop_back() else {
                 break;
             };
-            self.bytes -= dropped.operation.len();
+            self.size_bytes -= dropped.operation.len();
         }
     }
 
-    /// Drops the operations that a snapshot holds; starts anew behind it where it lies beyond the end.
-    pub(crate) fn trim(&mut self, snapshot: Revision) {
-        while self.before < snapshot {
+    /// Drops the operations that a snapshot contains; starts anew behind the snapshot where it lies
+    /// beyond the end.
+    pub(crate) fn compact(&mut self, snapshot_revision: Revision) {
+        while self.snapshot_revision < snapshot_revision {
             match self.entries.pop_front() {
-                Some(dropped) => self.bytes -= dropped.operation.len(),
+                Some(dropped) => self.size_bytes -= dropped.operation.len(),
                 None => {
-                    self.before = snapshot;
+                    self.snapshot_revision = snapshot_revision;
                     return;
                 }
             }
-            self.before.0 += 1;
+            self.snapshot_revision.0 += 1;
         }
     }
 
-    /// Whether a proposal stands in the log after a place.
-    pub(crate) fn holds_after(&self, after: Revision, request: &RequestNumber) -> bool {
-        let skipped = usize::try_from(after.0.saturating_sub(self.before.0)).unwrap_or(usize::MAX);
+    /// Whether a proposal stands in the log after a revision.
+    pub(crate) fn contains_after(&self, after: Revision, request: RequestNumber) -> bool {
+        let skipped = after.0.saturating_sub(self.snapshot_revision.0);
+        let skipped = usize::try_from(skipped).unwrap_or(usize::MAX);
         self.entries
             .iter()
             .skip(skipped)
-            .any(|entry| entry.request == *request)
+            .any(|entry| entry.request == request)
     }
 }
--- /dev/null
+++ b/tier/chain/src/member/bootstrap.rs
@@ -0,0 +1,97 @@
+//! The first view. Only machines whose disk names them as founders vote on it and propose it.
+
+use plankhill_protocol::ids::Revision;
+
+use crate::effect::Millis;
+use crate::state_machine::StateMachine;
+use crate::timing::{BOOTSTRAP_TIMEOUT, PROMISE_TIMEOUT};
+use crate::view::{Identity, Member, View, ViewNumber};
+
+use super::proposer::Promises;
+use super::ChainMember;
+
+impl<M: StateMachine> ChainMember<M> {
+    /// This member's rank among the founders heard, if the first view is due: when all of them are
+    /// heard, or a majority after [`BOOTSTRAP_TIMEOUT`].
+    pub(super) fn founding_rank(&self) -> Option<usize> {
+        let me = self.local.address();
+        let founders = self.local.founders()?;
+        if !founders.contains(&me) {
+            return None;
+        }
+        let mut heard = Vec::with_capacity(founders.len());
+        for address in founders {
+            let is_heard = |peer: &Member| peer.address == *address;
+            if *address == me || self.founders_heard().any(is_heard) {
+                heard.push(*address);
+            }
+        }
+        let waits_for_all = self.local.uptime(self.now) < BOOTSTRAP_TIMEOUT;
+        if heard.len() < self.quorum() || (heard.len() < founders.len() && waits_for_all) {
+            return None;
+        }
+        heard.iter().position(|address| *address == me)
+    }
+
+    fn founders_heard(&self) -> impl Iterator<Item = &Member> {
+        let founders = self
+            .failure_detector
+            .peers()
+            .filter(|peer| peer.heartbeat().founder);
+        founders.map(|peer| peer.member())
+    }
+
+    /// Every founder known, this member last where it is one.
+    pub(super) fn founding_electors(&self) -> Vec<Member> {
+        let mut electors = Vec::new();
+        for peer in self.failure_detector.peers() {
+            if self.is_founder(peer.identity()) {
+                electors.push(peer.member().clone());
+            }
+        }
+        if self.is_founder(self.local.identity()) {
+            electors.push(self.local.member().clone());
+        }
+        electors
+    }
+
+    /// Whether somebody votes on the first view: this member's founders have the address, and the
+    /// machine's own disk names it as one.
+    pub(super) fn is_founder(&self, identity: &Identity) -> bool {
+        let Some(founders) = self.local.founders() else {
+            return false;
+        };
+        if self.local.is(identity) {
+            return founders.contains(&self.local.address());
+        }
+        match self.failure_detector.peer(identity) {
+            Some(peer) => peer.heartbeat().founder && founders.contains(&peer.member().address),
+            None => false,
+        }
+    }
+
+    /// The first view: all founders that have promised, in the order of the settings.
+    pub(super) fn plan_founding(&self, promises: &Promises, waited: Millis) -> Option<View> {
+        let electors = self.electors();
+        let has_promised = |member: &Member| promises.contains_key(&member.identity.node);
+        if waited < PROMISE_TIMEOUT && !electors.iter().all(has_promised) {
+            return None;
+        }
+        let mut voters = Vec::new();
+        for address in self.local.founders()? {
+            let is_there = |member: &&Member| has_promised(member) && member.address == *address;
+            voters.extend(electors.iter().find(is_there).cloned());
+        }
+        let chain = voters
+            .iter()
+            .map(|member| member.identity.node.clone())
+            .collect();
+        voters.sort_by(|one, other| one.identity.cmp(&other.identity));
+        Some(View {
+            number: ViewNumber(1),
+            voters,
+            chain,
+            base: Revision(0),
+        })
+    }
+}
--- a/tier/chain/src/member/catch_up.rs
+++ b/tier/chain/src/member/catch_up.rs
@@ -1,75 +1,77 @@
-//! Members outside the chain take operations from its links, until they can be taken in.
+//! A member outside the chain gets the operations that it lacks from members of the chain, until it
+//! can be taken in.
 
 use plankhill_protocol::ids::Revision;
 
-use crate::durable::{Entry, Snapshot, Write};
-use crate::effect::{Deferred, Millis};
-use crate::log::Log;
-use crate::machine::StateMachine;
+use crate::effect::{LogPosition, Millis};
+use crate::entry::Entry;
 use crate::message::Message;
-use crate::timing::ASK_AGAIN;
+use crate::outbox::AfterSync;
+use crate::state_machine::StateMachine;
+use crate::storage::{Snapshot, Write};
+use crate::timing::REQUEST_RETRY_INTERVAL;
 use crate::view::{Identity, ViewNumber};
 
-use super::replication::MESSAGE_BYTES;
+use super::replication::MAX_MESSAGE_BYTES;
 use super::ChainMember;
 
-/// What this member has asked for.
+/// The request for operations that is open.
 #[derive(Debug, Default)]
 pub(super) struct CatchUp {
-    asked: Option<Millis>,
+    requested_at: Option<Millis>,
 }
 
 impl CatchUp {
-    /// Nothing is under way any more.
-    pub(super) fn restart(&mut self) {
-        self.asked = None;
+    /// No request is open any more.
+    pub(super) fn reset(&mut self) {
+        self.requested_at = None;
+    }
+
+    fn is_pending(&self, now: Millis) -> bool {
+        match self.requested_at {
+            Some(requested_at) => now.saturating_sub(requested_at) < REQUEST_RETRY_INTERVAL,
+            None => false,
+        }
     }
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// A link of the chain has operations that are missing here.
-    pub(super) fn fetch_if_behind(&mut self, link: &Identity, position: Revision) {
-        let asked = self
-            .catch_up
-            .asked
-            .is_some_and(|at| self.now.saturating_sub(at) < ASK_AGAIN);
-        if asked
-            || self.disk_is_away()
-            || self.in_chain()
-            || !self.view.in_chain(link)
-            || position <= self.log.last()
-        {
+    /// A member of the chain has operations up to here. Asks for those that are missing here.
+    pub(super) fn fetch_if_behind(&mut self, from: &Identity, revision: Revision) {
+        let is_behind = self.view.is_in_chain(from) && revision > self.log.last();
+        if !is_behind || self.is_in_chain() || !self.is_disk_available() {
             return;
         }
-        self.catch_up.asked = Some(self.now);
+        if self.catch_up.is_pending(self.now) {
+            return;
+        }
+        self.catch_up.requested_at = Some(self.now);
         let fetch = Message::Fetch {
             view: self.view.number,
             after: self.log.last(),
         };
-        self.send_to(link, fetch);
+        self.send_to(from, fetch);
     }
 
-    /// A member outside the chain asks for what is on disk here.
+    /// A member outside the chain asks for operations. It gets what is on disk here.
     pub(super) fn on_fetch(&mut self, from: &Identity, view: ViewNumber, after: Revision) {
-        if view != self.view.number || self.durable.0 != view || !self.in_chain() {
+        if view != self.view.number || !self.is_view_persisted() || !self.is_in_chain() {
             return;
         }
-        if after < self.log.before() {
-            let snapshot = self.snapshot.clone();
-            self.send_to(from, Message::Install { view, snapshot });
-            return;
-        }
-        let entries = self.log.range(after, self.durable.1, MESSAGE_BYTES);
-        let committed = self.replicated.revision();
-        self.send_to(
-            from,
+        let answer = if after < self.log.snapshot_revision() {
+            Message::Install {
+                view,
+                snapshot: self.log.snapshot().clone(),
+            }
+        } else {
             Message::Fetched {
                 view,
                 after,
-                entries,
-                committed,
-            },
-        );
+                entries: self.log.persisted_after(after, MAX_MESSAGE_BYTES),
+                committed: self.log.committed(),
+            }
+        };
+        self.send_to(from, answer);
     }
 
     /// The operations asked for.
@@ -81,34 +83,29 @@
         entries: Vec<Entry>,
         committed: Revision,
     ) {
-        self.catch_up.restart();
-        if view != self.view.number
-            || self.in_chain()
-            || after != self.log.last()
-            || self.disk_is_away()
-        {
+        self.catch_up.reset();
+        let is_due = view == self.view.number && !self.is_in_chain() && after == self.log.last();
+        if !is_due || !self.is_disk_available() {
             return;
         }
         self.append(entries);
         self.on_committed(from, view, committed);
     }
 
-    /// A state instead of the operations asked for.
+    /// A snapshot instead of the operations asked for. A snapshot that is not one of the state
+    /// machine changes nothing.
     pub(super) fn on_install(&mut self, from: &Identity, view: ViewNumber, snapshot: Snapshot) {
-        self.catch_up.restart();
-        let is_due =
-            view == self.view.number && !self.in_chain() && snapshot.revision > self.log.last();
-        if !is_due || self.disk_is_away() {
+        self.catch_up.reset();
+        let revision = snapshot.revision;
+        let is_due = view == self.view.number && !self.is_in_chain() && revision > self.log.last();
+        if !is_due || !self.is_disk_available() {
             return;
         }
-        if self.replicated.restore(&snapshot).is_err() {
+        if self.log.install(snapshot.clone()).is_err() {
             return;
         }
-        self.log = Log::new(snapshot.revision, Default::default());
-        self.snapshot = snapshot.clone();
-        let revision = snapshot.revision;
         let writes = vec![Write::Snapshot(snapshot), Write::Committed(revision)];
-        self.persist(writes, Deferred::Position(view, revision));
+        self.persist(writes, AfterSync::Appended(LogPosition { view, revision }));
         self.finish_reads();
         self.fetch_if_behind(from, Revision(revision.0 + 1));
     }
--- a/tier/chain/src/member/mod.rs
+++ b/tier/chain/src/member/mod.rs
@@ -1,75 +1,99 @@
-//! One member of the chain: takes in messages, time and finished writes, and says what is to be done.
+//! One member of the chain: takes in messages, time and finished writes, and returns effects.
+//!
+//! [`ChainMember`] wires parts that each own one thing. The submodules hold what a member does, one
+//! concern each:
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | `heartbeats` | sending and receiving heartbeats, the contacts that get them |
+//! | `availability` | whether this member should stay in the chain; whether its state is current |
+//! | `reconfiguration` | whether another view is needed, and which member proposes it when |
+//! | `proposer`, `voting`, `vote` | the agreement on a view: proposing and voting |
+//! | `view_plan`, `bootstrap` | which view to propose; the first view |
+//! | `view_change` | adopting a view, and starting again with the one on disk |
+//! | `proposals`, `ordering` | operations proposed at this member; their order at the head |
+//! | `replication`, `commit` | operations on their way down the chain; commit, apply, snapshot |
+//! | `catch_up` | a member outside the chain gets the operations that it lacks |
+//! | `reads`, `read_confirmation` | linearizable reads: asked for here; confirmed at the tail |
 
-mod adopt;
-mod attempt;
+mod availability;
+mod bootstrap;
 mod catch_up;
-mod effects;
-mod presence;
+mod commit;
+mod heartbeats;
+mod local_node;
+mod ordering;
 mod proposals;
+mod proposer;
+mod read_confirmation;
 mod reads;
-mod reform;
+mod reconfiguration;
 mod replication;
-mod votes;
+mod view_change;
+mod view_plan;
+mod vote;
+mod voting;
 
-use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 use plankhill_protocol::ids::Revision;
 
-use crate::durable::{Acceptor, Durable, Snapshot};
-use crate::effect::{Deferred, Effect, Millis, Ticket};
+use crate::acceptor::Acceptor;
+use crate::effect::{Effect, Millis, Ticket};
+use crate::failure_detector::FailureDetector;
 use crate::log::Log;
-use crate::machine::{BadSnapshot, Replicated, StateMachine};
 use crate::message::Message;
-use crate::peers::Peers;
-use crate::view::{Identity, Member, View, ViewNumber};
+use crate::outbox::{AfterSync, Outbox};
+use crate::replicated_log::ReplicatedLog;
+use crate::rng::Rng;
+use crate::state_machine::{BadSnapshot, StateMachine};
+use crate::storage::{DurableState, Write};
+use crate::timing::HEARTBEAT_INTERVAL;
+use crate::view::{Identity, Member, View};
 
-use attempt::Attempts;
+pub(crate) use vote::Vote;
+
+use availability::Availability;
 use catch_up::CatchUp;
-use presence::Presence;
-use proposals::Proposals;
-use reads::Reads;
-use replication::Passing;
+use heartbeats::HeartbeatSchedule;
+use local_node::LocalNode;
+use proposals::PendingProposals;
+use proposer::Proposer;
+use read_confirmation::ReadConfirmation;
+use reads::PendingReads;
+use replication::SuccessorProgress;
 
 /// What a member is told at its start.
 #[derive(Clone, Debug)]
-pub struct Configuration {
-    /// Itself.
+pub struct MemberConfig {
+    /// The member itself.
     pub member: Member,
-    /// Losses to be borne at once (f): nothing is acknowledged before f+1 members have it.
-    pub tolerated: usize,
+    /// Losses to be borne at once (f): nothing is acknowledged before f+1 members have it on disk.
+    pub tolerated_faults: usize,
     /// Where the seeds' controllers listen.
     pub seeds: Vec<SocketAddr>,
     /// A random number.
-    pub random: u64,
+    pub random_seed: u64,
 }
 
 /// One member of the chain.
 pub struct ChainMember<M> {
-    me: Member,
-    tolerated: usize,
-    seeds: Vec<SocketAddr>,
+    local: LocalNode,
     now: Millis,
-    random: u64,
-    founders: Option<Vec<SocketAddr>>,
-    acceptor: Acceptor,
+    rng: Rng,
     view: View,
-    /// The view on disk, and the last operation on disk in it.
-    durable: (ViewNumber, Revision),
-    log: Log,
-    snapshot: Snapshot,
-    replicated: Replicated<M>,
-    peers: Peers,
-    presence: Presence,
-    passing: Passing,
-    attempts: Attempts,
+    acceptor: Acceptor,
+    proposer: Proposer,
+    log: ReplicatedLog<M>,
+    failure_detector: FailureDetector,
+    heartbeat_schedule: HeartbeatSchedule,
+    availability: Availability,
+    successor: SuccessorProgress,
     catch_up: CatchUp,
-    proposals: Proposals,
-    reads: Reads,
-    effects: Vec<Effect>,
-    tickets: Ticket,
-    /// What waits for the disk, with the time at which it was handed over.
-    deferred: VecDeque<(Ticket, Millis, Deferred)>,
+    proposals: PendingProposals,
+    reads: PendingReads,
+    read_confirmation: ReadConfirmation,
+    outbox: Outbox,
 }
 
 impl<M: StateMachine> ChainMember<M> {
@@ -78,56 +102,67 @@
     /// # Errors
     /// [`BadSnapshot`] when the snapshot on the disk is not one of this state machine.
     pub fn new(
-        configuration: Configuration,
-        disk: Durable,
+        config: MemberConfig,
+        disk: DurableState,
         machine: M,
         now: Millis,
     ) -> Result<Self, BadSnapshot> {
-        let replicated = Replicated::new(machine, &disk.snapshot)?;
-        let log = Log::new(disk.snapshot.revision, disk.entries);
-        let acceptor = match disk.acceptor.instance == disk.view.number.next() {
+        let next_view = disk.view.number.next();
+        let acceptor = match disk.acceptor.instance == next_view {
             true => disk.acceptor,
-            false => Acceptor::fresh(disk.view.number.next()),
+            false => Acceptor::fresh(next_view),
         };
-        let random = configuration.random | 1;
+        let seed = config.random_seed | 1;
+        let log = Log::new(disk.snapshot.revision, disk.entries);
         let mut member = Self {
-            me: configuration.member,
-            tolerated: configuration.tolerated,
-            seeds: configuration.seeds,
+            local: LocalNode::new(config, disk.founders, now),
             now,
-            random,
-            founders: disk.founders,
+            rng: Rng::new(seed),
             acceptor,
-            durable: (disk.view.number, log.last()),
+            proposer: Proposer::default(),
+            log: ReplicatedLog::new(machine, disk.snapshot, log, disk.view.number)?,
             view: disk.view,
-            log,
-            snapshot: disk.snapshot,
-            replicated,
-            peers: Peers::new(now),
-            presence: Presence::new(random >> 1, now),
-            passing: Passing::default(),
-            attempts: Attempts::default(),
+            failure_detector: FailureDetector::new(now),
+            heartbeat_schedule: HeartbeatSchedule::new(seed >> 1, now),
+            availability: Availability::default(),
+            successor: SuccessorProgress::default(),
             catch_up: CatchUp::default(),
-            proposals: Proposals::default(),
-            reads: Reads::new(random),
-            effects: Vec::new(),
-            tickets: Ticket::default(),
-            deferred: VecDeque::new(),
+            proposals: PendingProposals::default(),
+            reads: PendingReads::default(),
+            read_confirmation: ReadConfirmation::new(seed >> 1),
+            outbox: Outbox::default(),
         };
         member.resume(disk.committed);
         Ok(member)
     }
 
-    /// Takes in a message. `from` is who the connection was opened by, or answered by.
+    /// Takes in a message. `from` is the member at the other end of the connection.
     pub fn receive(&mut self, from: &Identity, message: Message, now: Millis) {
-        self.now = self.now.max(now);
+        self.advance_clock(now);
         match message {
             Message::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat),
-            Message::Decided(view) => self.adopt(view),
+            Message::Decided(view) => self.adopt_view(view),
             Message::Prepare { instance, ballot } => self.on_prepare(from, instance, ballot),
             Message::Accept { ballot, view } => self.on_accept(from, ballot, view),
-            Message::Promise { .. } | Message::Refuse { .. } | Message::Accepted { .. } => {
-                self.on_vote(from, message);
+            Message::Promise {
+                instance,
+                ballot,
+                accepted,
+                last_revision,
+            } => {
+                let vote = Vote::Promise {
+                    instance,
+                    ballot,
+                    accepted,
+                    last_revision,
+                };
+                self.on_vote(from, vote);
+            }
+            Message::Refuse { instance, promised } => {
+                self.on_vote(from, Vote::Refuse { instance, promised });
+            }
+            Message::Accepted { instance, ballot } => {
+                self.on_vote(from, Vote::Accepted { instance, ballot });
             }
             Message::Forward { view, entry } => self.on_forward(from, view, entry),
             Message::Append {
@@ -143,64 +178,87 @@
                 after,
                 entries,
                 committed,
-            } => {
-                self.on_fetched(from, view, after, entries, committed);
-            }
+            } => self.on_fetched(from, view, after, entries, committed),
             Message::Install { view, snapshot } => self.on_install(from, view, snapshot),
-            Message::Read { view, read } => self.on_read(from, view, read),
-            Message::ReadAt { read, revision } => self.on_read_at(read, revision),
-            Message::Confirm { view, round } => self.on_confirm(from, view, round),
-            Message::Confirmed { view, round } => self.on_confirmed(from, view, round),
+            Message::Read { view, read_id } => self.on_read(from, view, read_id),
+            Message::ReadAt { read_id, revision } => self.on_read_at(read_id, revision),
+            Message::Confirm {
+                view,
+                confirmation_id,
+            } => self.on_confirm(from, view, confirmation_id),
+            Message::Confirmed {
+                view,
+                confirmation_id,
+            } => self.on_confirmed(from, view, confirmation_id),
         }
     }
 
     /// A batch of writes, and with it all earlier ones, survives a loss of power now.
-    pub fn persisted(&mut self, ticket: Ticket, now: Millis) {
-        self.now = self.now.max(now);
-        self.presence.disk_refuses = false;
-        while self
-            .deferred
-            .front()
-            .is_some_and(|(waits_for, _, _)| *waits_for <= ticket)
-        {
-            let Some((_, _, deferred)) = self.deferred.pop_front() else {
-                return;
-            };
-            self.carry_out(deferred);
+    pub fn on_persisted(&mut self, ticket: Ticket, now: Millis) {
+        self.advance_clock(now);
+        self.availability.disk_writes_again();
+        while let Some(after) = self.outbox.pop_synced(ticket) {
+            self.on_synced(after);
         }
     }
 
-    /// The disk has refused to write, as a full one does. It goes on being tried; until a batch has been written the
-    /// others go on without this member.
-    pub fn disk_refuses(&mut self, now: Millis) {
-        self.now = self.now.max(now);
-        self.presence.disk_refuses = true;
+    /// The disk has refused to write, as a full one does. The driver goes on trying; until a batch
+    /// has been written the other members go on without this one.
+    pub fn on_disk_refused(&mut self, now: Millis) {
+        self.advance_clock(now);
+        self.availability.disk_refused();
         self.send_heartbeats();
     }
 
     /// Time passes; to be called at [`ChainMember::next_tick`] at the latest.
     pub fn tick(&mut self, now: Millis) {
-        self.now = self.now.max(now);
-        self.keep_presence();
-        self.drive_attempts();
+        self.advance_clock(now);
+        self.failure_detector.tick(self.now);
+        self.send_due_heartbeats();
+        self.drive_proposer();
         self.resend_operations();
-        self.repeat_proposals();
-        self.repeat_reads();
+        self.retry_proposals();
+        self.retry_reads();
+    }
+
+    /// When `tick` has something to do next.
+    pub fn next_tick(&self) -> Millis {
+        let is_busy = !self.proposer.is_idle()
+            || !self.proposals.is_empty()
+            || !self.reads.is_empty()
+            || !self.read_confirmation.is_idle();
+        let interval = match is_busy {
+            true => HEARTBEAT_INTERVAL / 3,
+            false => HEARTBEAT_INTERVAL,
+        };
+        self.heartbeat_schedule.next_at().min(self.now + interval)
+    }
+
+    /// Takes over other seeds.
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
+        self.local.set_seeds(seeds);
+    }
+
+    /// Asks the other members to go on without this one.
+    pub fn leave(&mut self, now: Millis) {
+        self.advance_clock(now);
+        self.availability.leave();
+        self.send_heartbeats();
     }
 
     /// What is to be done, in this order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.effects)
+        self.outbox.take_effects()
     }
 
-    /// The state machine, with all committed operations that are known here applied.
+    /// The state machine, with all operations applied that are known here to be committed.
     pub fn machine(&self) -> &M {
-        self.replicated.machine()
+        self.log.machine()
     }
 
     /// The last operation applied.
     pub fn revision(&self) -> Revision {
-        self.replicated.revision()
+        self.log.committed()
     }
 
     /// The newest view known; number 0 for none.
@@ -208,32 +266,71 @@
         &self.view
     }
 
-    /// Itself.
-    pub fn me(&self) -> &Member {
-        &self.me
+    /// This member's identity and address.
+    pub fn member(&self) -> &Member {
+        self.local.member()
     }
 
-    /// Whether this member has promised to help with the next view, and takes no operations in this one.
-    fn is_sealed(&self) -> bool {
-        self.acceptor.promised.is_some()
+    /// Times given by the driver never go back.
+    fn advance_clock(&mut self, now: Millis) {
+        self.now = self.now.max(now);
     }
 
-    fn in_chain(&self) -> bool {
-        self.view.in_chain(&self.me.identity)
+    fn on_synced(&mut self, after: AfterSync) {
+        match after {
+            AfterSync::Nothing => {}
+            AfterSync::Send(to, message) => self.outbox.send(to, message),
+            AfterSync::CountVote(vote) => {
+                let me = self.local.identity().clone();
+                self.on_vote(&me, vote);
+            }
+            AfterSync::ViewAdopted(position) => {
+                self.log.set_persisted(position);
+                self.send_heartbeats();
+            }
+            AfterSync::Appended(position) => {
+                self.log.set_persisted(position);
+                self.on_appended(position.view);
+            }
+        }
     }
 
-    fn is_head(&self) -> bool {
-        self.view.place(&self.me.identity) == Some(0)
+    fn persist(&mut self, writes: Vec<Write>, after: AfterSync) {
+        self.outbox.persist(writes, after, self.now);
     }
 
-    fn is_tail(&self) -> bool {
-        self.view
-            .place(&self.me.identity)
-            .is_some_and(|place| place + 1 == self.view.chain.len())
+    /// Sends to a machine that was heard or that the view names.
+    fn send_to(&mut self, to: &Identity, message: Message) {
+        if let Some(address) = self.address_of(to) {
+            self.outbox.send(address, message);
+        }
+    }
+
+    fn address_of(&self, identity: &Identity) -> Option<SocketAddr> {
+        if let Some(peer) = self.failure_detector.peer(identity) {
+            return Some(peer.member().address);
+        }
+        let voter = self.view.voter(identity)?;
+        Some(voter.address)
+    }
+
+    /// Whether the view on disk is the newest one known here.
+    fn is_view_persisted(&self) -> bool {
+        self.log.persisted().view == self.view.number
+    }
+
+    fn is_in_chain(&self) -> bool {
+        self.view.is_in_chain(self.local.identity())
     }
 
-    /// Links that a chain needs before it may acknowledge: f+1, or all machines of a core that has fewer.
-    fn required_links(&self, voters: usize) -> usize {
-        voters.max(self.seeds.len()).min(self.tolerated + 1)
+    fn is_head(&self) -> bool {
+        self.view.position_of(self.local.identity()) == Some(0)
+    }
+
+    fn is_tail(&self) -> bool {
+        match self.view.position_of(self.local.identity()) {
+            Some(position) => position + 1 == self.view.chain.len(),
+            None => false,
+        }
     }
 }
--- a/tier/chain/src/member/proposals.rs
+++ b/tier/chain/src/member/proposals.rs
@@ -3,145 +3,204 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::durable::{Entry, RequestNumber};
 use crate::effect::{Effect, Millis};
-use crate::machine::StateMachine;
+use crate::entry::{Entry, RequestNumber};
 use crate::message::Message;
-use crate::timing::ASK_AGAIN;
+use crate::state_machine::StateMachine;
+use crate::timing::REQUEST_RETRY_INTERVAL;
 
 use super::ChainMember;
 
-/// Proposals waiting at once; more fail at once.
-const WAITING: usize = 4_096;
+/// Proposals pending at once; more fail at once.
+const MAX_PENDING_PROPOSALS: usize = 4_096;
 
 /// Proposals that wait for their outcome.
 #[derive(Debug, Default)]
-pub(super) struct Proposals {
-    waiting: BTreeMap<RequestNumber, Waiting>,
+pub(super) struct PendingProposals {
+    pending: BTreeMap<RequestNumber, PendingProposal>,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingProposal {
     entry: Entry,
-    ends: Millis,
-    sent: Option<Millis>,
+    deadline: Millis,
+    sent_at: Option<Millis>,
 }
 
-impl Proposals {
+impl PendingProposal {
+    fn is_due(&self, now: Millis) -> bool {
+        match self.sent_at {
+            Some(sent_at) => now.saturating_sub(sent_at) >= REQUEST_RETRY_INTERVAL,
+            None => true,
+        }
+    }
+}
+
+/// A proposal that has to be sent now.
+struct DueProposal {
+    entry: Entry,
+    attempt: Attempt,
+}
+
+/// Whether a proposal was sent before in this view.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Attempt {
+    First,
+    Retry,
+}
+
+impl PendingProposals {
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
+    }
+
+    fn is_full(&self) -> bool {
+        self.pending.len() >= MAX_PENDING_PROPOSALS
+    }
+
+    fn insert(&mut self, entry: Entry, deadline: Millis) {
+        let proposal = PendingProposal {
+            entry,
+            deadline,
+            sent_at: None,
+        };
+        self.pending.insert(proposal.entry.request, proposal);
+    }
+
+    /// Removes a proposal; whether it was pending.
+    fn complete(&mut self, request: RequestNumber) -> bool {
+        self.pending.remove(&request).is_some()
+    }
+
+    /// Removes the proposals whose deadline has passed.
+    fn take_expired(&mut self, now: Millis) -> Vec<RequestNumber> {
+        let mut expired = Vec::new();
+        self.pending.retain(|request, proposal| {
+            let is_expired = proposal.deadline <= now;
+            if is_expired {
+                expired.push(*request);
+            }
+            !is_expired
+        });
+        expired
+    }
+
+    /// Removes all proposals.
+    fn take_all(&mut self) -> Vec<RequestNumber> {
+        std::mem::take(&mut self.pending).into_keys().collect()
+    }
+
+    /// The proposals that have to be sent now; they count as sent.
+    fn take_due(&mut self, now: Millis) -> Vec<DueProposal> {
+        let mut due = Vec::new();
+        for proposal in self.pending.values_mut() {
+            if !proposal.is_due(now) {
+                continue;
+            }
+            let attempt = match proposal.sent_at {
+                None => Attempt::First,
+                Some(_) => Attempt::Retry,
+            };
+            proposal.sent_at = Some(now);
+            due.push(DueProposal {
+                entry: proposal.entry.clone(),
+                attempt,
+            });
+        }
+        due
+    }
+
+    fn mark_all_unsent(&mut self) {
+        for proposal in self.pending.values_mut() {
+            proposal.sent_at = None;
+        }
     }
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// Proposes an operation, to be given up at `ends`. Answered by an effect: at once where this member is
-    /// cut off.
+    /// Proposes an operation, to be abandoned at `deadline`. Answered by
+    /// [`Effect::ProposalCommitted`] or [`Effect::ProposalFailed`]: at once where this member is
+    /// cut off or has too many proposals pending.
     pub fn propose(
         &mut self,
         request: RequestNumber,
         operation: Arc<[u8]>,
-        ends: Millis,
+        deadline: Millis,
         now: Millis,
     ) {
-        self.now = self.now.max(now);
-        if let Some(outcome) = self.replicated.outcome(&request).cloned() {
-            self.effects.push(Effect::Proposed { request, outcome });
-        } else if !self.is_connected(self.now) || self.proposals.waiting.len() >= WAITING {
-            self.effects.push(Effect::ProposalFailed(request));
-        } else {
-            let entry = Entry {
-                request,
-                origin: self.me.identity.node.clone(),
-                operation,
-            };
-            self.proposals.waiting.insert(
-                request,
-                Waiting {
-                    entry,
-                    ends,
-                    sent: None,
-                },
-            );
-            self.send_proposals();
+        self.advance_clock(now);
+        if let Some(outcome) = self.log.outcome(request) {
+            self.outbox
+                .push(Effect::ProposalCommitted { request, outcome });
+            return;
+        }
+        if !self.is_connected(self.now) || self.proposals.is_full() {
+            self.outbox.push(Effect::ProposalFailed(request));
+            return;
         }
+        let entry = Entry {
+            request,
+            origin: self.local.identity().node.clone(),
+            operation,
+        };
+        self.proposals.insert(entry, deadline);
+        self.send_due_proposals();
     }
 
-    /// Time has passed: gives up what is too old, or everything if this member is cut off.
-    pub(super) fn repeat_proposals(&mut self) {
-        let (now, connected) = (self.now, self.is_connected(self.now));
-        let given_up = |waiting: &Waiting| !connected || waiting.ends <= now;
-        let failed: Vec<_> = self
-            .proposals
-            .waiting
-            .iter()
-            .filter(|(_, waiting)| given_up(waiting))
-            .collect();
-        let failed: Vec<_> = failed.into_iter().map(|(request, _)| *request).collect();
+    /// Time has passed: abandons the proposals whose deadline has passed, or all of them if this
+    /// member is cut off.
+    pub(super) fn retry_proposals(&mut self) {
+        let failed = match self.is_connected(self.now) {
+            true => self.proposals.take_expired(self.now),
+            false => self.proposals.take_all(),
+        };
         for request in failed {
-            self.proposals.waiting.remove(&request);
-            self.effects.push(Effect::ProposalFailed(request));
+            self.outbox.push(Effect::ProposalFailed(request));
         }
-        self.send_proposals();
+        self.send_due_proposals();
     }
 
-    /// The view changed: the new head has to get them all.
+    /// The view changed: the new head has to get all of them.
     pub(super) fn restart_proposals(&mut self) {
-        self.proposals
-            .waiting
-            .values_mut()
-            .for_each(|waiting| waiting.sent = None);
-        self.send_proposals();
+        self.proposals.mark_all_unsent();
+        self.send_due_proposals();
     }
 
-    /// Sends what is due: first to the head alone, later to all links, as the head may be the one member that
-    /// does not hear this one.
-    fn send_proposals(&mut self) {
-        let (now, view) = (self.now, self.view.number);
-        let Some(head) = self.view.head().map(|head| head.identity.clone()) else {
+    /// Sends what is due: first to the head alone, later to the complete chain, as the head may be
+    /// the one member that does not hear this one.
+    fn send_due_proposals(&mut self) {
+        let Some(head) = self.view.head() else {
             return;
         };
-        let due = |waiting: &Waiting| {
-            waiting
-                .sent
-                .is_none_or(|at| now.saturating_sub(at) >= ASK_AGAIN)
-        };
-        let mut entries = Vec::new();
-        for waiting in self
-            .proposals
-            .waiting
-            .values_mut()
-            .filter(|waiting| due(waiting))
-        {
-            entries.push((waiting.entry.clone(), waiting.sent.is_none()));
-            waiting.sent = Some(now);
-        }
-        for (entry, first) in entries {
-            if head == self.me.identity {
+        let head = head.identity.clone();
+        let view = self.view.number;
+        for DueProposal { entry, attempt } in self.proposals.take_due(self.now) {
+            if self.local.is(&head) {
                 self.on_forward(&head, view, entry);
-            } else if first {
-                self.send_to(&head, Message::Forward { view, entry });
-            } else {
-                self.send_to_links(&Message::Forward { view, entry });
+                continue;
+            }
+            let forward = Message::Forward { view, entry };
+            match attempt {
+                Attempt::First => self.send_to(&head, forward),
+                Attempt::Retry => self.send_to_chain(&forward),
             }
         }
     }
 
-    fn send_to_links(&mut self, message: &Message) {
-        let others = self
-            .view
-            .links()
-            .map(|link| &link.identity)
-            .filter(|link| **link != self.me.identity);
-        let others: Vec<_> = others.cloned().collect();
-        for link in others {
-            self.send_to(&link, message.clone());
+    fn send_to_chain(&mut self, message: &Message) {
+        let members: Vec<_> = self.view.chain_members().cloned().collect();
+        for member in members {
+            if !self.local.is(&member.identity) {
+                self.send_to(&member.identity, message.clone());
+            }
         }
     }
 
     /// A proposal was committed.
     pub(super) fn on_outcome(&mut self, request: RequestNumber, outcome: Arc<[u8]>) {
-        if self.proposals.waiting.remove(&request).is_some() {
-            self.effects.push(Effect::Proposed { request, outcome });
+        if self.proposals.complete(request) {
+            self.outbox
+                .push(Effect::ProposalCommitted { request, outcome });
         }
     }
 }
--- /dev/null
+++ b/tier/chain/src/member/read_confirmation.rs
@@ -0,0 +1,190 @@
+//! Reads at the tail: answered once a majority of the voters has confirmed, after the read came,
+//! that the tail's view is still theirs. Had a later view been decided before, a voter of this
+//! majority would have accepted it, and would refuse.
+
+use std::collections::BTreeSet;
+
+use plankhill_protocol::ids::{NodeId, Revision};
+
+use crate::effect::Millis;
+use crate::message::Message;
+use crate::state_machine::StateMachine;
+use crate::timing::REQUEST_RETRY_INTERVAL;
+use crate::view::{Identity, ViewNumber};
+
+use super::ChainMember;
+
+/// Reads that wait for the next confirmation; more are dropped and asked for again.
+const MAX_QUEUED_READS: usize = 1_024;
+
+/// The open confirmation, and the reads that came after it began.
+#[derive(Debug)]
+pub(super) struct ReadConfirmation {
+    queued: Vec<QueuedRead>,
+    open: Option<Confirmation>,
+    last_id: u64,
+}
+
+/// A read that another member, or this one, has asked for.
+#[derive(Clone, Debug)]
+struct QueuedRead {
+    from: Identity,
+    read_id: u64,
+}
+
+/// Reads that wait for a majority of the voters.
+#[derive(Debug)]
+struct Confirmation {
+    id: u64,
+    /// What was committed when the confirmation began, after all of its reads had come.
+    revision: Revision,
+    reads: Vec<QueuedRead>,
+    confirmed_by: BTreeSet<NodeId>,
+    sent_at: Millis,
+}
+
+impl ReadConfirmation {
+    /// Confirmations are numbered from a random number on, so that answers to a former incarnation
+    /// do not count.
+    pub(super) fn new(last_id: u64) -> Self {
+        Self {
+            queued: Vec::new(),
+            open: None,
+            last_id,
+        }
+    }
+
+    /// Whether no confirmation is open.
+    pub(super) fn is_idle(&self) -> bool {
+        self.open.is_none()
+    }
+
+    /// The view changed: reads are sent to the new tail by those who ask.
+    pub(super) fn reset(&mut self) {
+        self.queued.clear();
+        self.open = None;
+    }
+
+    fn is_full(&self) -> bool {
+        self.queued.len() >= MAX_QUEUED_READS
+    }
+
+    /// Begins a confirmation for all queued reads.
+    fn begin(&mut self, revision: Revision, now: Millis) {
+        self.last_id += 1;
+        self.open = Some(Confirmation {
+            id: self.last_id,
+            revision,
+            reads: std::mem::take(&mut self.queued),
+            confirmed_by: BTreeSet::new(),
+            sent_at: now,
+        });
+    }
+
+    /// Counts a voter's answer; the confirmation if it is complete with that.
+    fn confirm(&mut self, id: u64, voter: &NodeId, majority: usize) -> Option<Confirmation> {
+        let open = self.open.as_mut()?;
+        if open.id != id {
+            return None;
+        }
+        open.confirmed_by.insert(voter.clone());
+        if open.confirmed_by.len() < majority {
+            return None;
+        }
+        self.open.take()
+    }
+}
+
+impl<M: StateMachine> ChainMember<M> {
+    /// A read reaches the tail.
+    pub(super) fn on_read(&mut self, from: &Identity, view: ViewNumber, read_id: u64) {
+        if view != self.view.number || !self.is_tail() || self.read_confirmation.is_full() {
+            return;
+        }
+        self.read_confirmation.queued.push(QueuedRead {
+            from: from.clone(),
+            read_id,
+        });
+        if self.read_confirmation.is_idle() {
+            self.begin_confirmation();
+        }
+    }
+
+    fn begin_confirmation(&mut self) {
+        if self.read_confirmation.queued.is_empty() {
+            return;
+        }
+        self.read_confirmation.begin(self.log.committed(), self.now);
+        self.ask_voters();
+    }
+
+    /// Time has passed: asks the voters again.
+    pub(super) fn retry_confirmation(&mut self) {
+        let Some(open) = &self.read_confirmation.open else {
+            return;
+        };
+        if self.now.saturating_sub(open.sent_at) >= REQUEST_RETRY_INTERVAL {
+            self.ask_voters();
+        }
+    }
+
+    fn ask_voters(&mut self) {
+        let Some(open) = self.read_confirmation.open.as_mut() else {
+            return;
+        };
+        open.sent_at = self.now;
+        let confirmation_id = open.id;
+        let view = self.view.number;
+        for voter in self.view.voters.clone() {
+            let voter = voter.identity;
+            if self.local.is(&voter) {
+                self.on_confirm(&voter, view, confirmation_id);
+                continue;
+            }
+            let confirm = Message::Confirm {
+                view,
+                confirmation_id,
+            };
+            self.send_to(&voter, confirm);
+        }
+    }
+
+    /// The tail asks this voter whether it is still in the tail's view.
+    pub(super) fn on_confirm(&mut self, from: &Identity, view: ViewNumber, confirmation_id: u64) {
+        let is_voter = self.view.voter(self.local.identity()).is_some();
+        if view != self.view.number || self.acceptor.is_sealed() || !is_voter {
+            return;
+        }
+        if self.local.is(from) {
+            self.on_confirmed(from, view, confirmation_id);
+            return;
+        }
+        let confirmed = Message::Confirmed {
+            view,
+            confirmation_id,
+        };
+        self.send_to(from, confirmed);
+    }
+
+    /// A voter confirms the view.
+    pub(super) fn on_confirmed(&mut self, from: &Identity, view: ViewNumber, confirmation_id: u64) {
+        if view != self.view.number || self.view.voter(from).is_none() {
+            return;
+        }
+        let majority = self.view.majority();
+        let confirmed = self
+            .read_confirmation
+            .confirm(confirmation_id, &from.node, majority);
+        let Some(confirmation) = confirmed else {
+            return;
+        };
+        let revision = confirmation.revision;
+        for QueuedRead { from, read_id } in confirmation.reads {
+            match self.local.is(&from) {
+                true => self.on_read_at(read_id, revision),
+                false => self.send_to(&from, Message::ReadAt { read_id, revision }),
+            }
+        }
+        self.begin_confirmation();
+    }
+}
--- a/tier/chain/src/member/reads.rs
+++ b/tier/chain/src/member/reads.rs
@@ -1,266 +1,172 @@
-//! Linearizable reads: asked at any member, answered by the tail once a majority has confirmed its view.
+//! Linearizable reads asked for at this member. The tail answers with a revision
+//! (`read_confirmation`); the read is ready once that revision is applied here.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-use plankhill_protocol::ids::{NodeId, Revision};
+use plankhill_protocol::ids::Revision;
 
 use crate::effect::{Effect, Millis};
-use crate::machine::StateMachine;
 use crate::message::Message;
-use crate::timing::ASK_AGAIN;
-use crate::view::{Identity, ViewNumber};
+use crate::state_machine::StateMachine;
+use crate::timing::REQUEST_RETRY_INTERVAL;
 
 use super::ChainMember;
 
-/// Reads waiting at once, here and at the tail.
-const WAITING: usize = 1_024;
+/// Reads pending at once; more fail at once.
+const MAX_PENDING_READS: usize = 1_024;
 
-/// Reads asked here, and those that the tail answers.
+/// Reads that wait for the tail, or for operations to be applied.
 #[derive(Debug, Default)]
-pub(super) struct Reads {
-    asked: BTreeMap<u64, Asked>,
-    /// At the tail: not yet part of a round.
-    queued: Vec<Question>,
-    round: Option<Round>,
-    rounds: u64,
+pub(super) struct PendingReads {
+    pending: BTreeMap<u64, PendingRead>,
 }
 
 #[derive(Debug)]
-struct Asked {
-    ends: Millis,
-    sent: Option<Millis>,
-    at: Option<Revision>,
-}
-
-#[derive(Clone, Debug)]
-struct Question {
-    from: Identity,
-    read: u64,
-}
-
-/// Questions that wait for the voters' word that the view is still theirs.
-#[derive(Debug)]
-struct Round {
-    number: u64,
-    revision: Revision,
-    questions: Vec<Question>,
-    confirmed: BTreeSet<NodeId>,
-    sent: Millis,
+struct PendingRead {
+    deadline: Millis,
+    sent_at: Option<Millis>,
+    /// The tail's answer.
+    revision: Option<Revision>,
 }
 
-impl Reads {
-    /// Rounds are numbered from a random number on, so that answers to a former life do not count.
-    pub(super) fn new(random: u64) -> Self {
-        Self {
-            rounds: random >> 1,
-            ..Self::default()
+impl PendingRead {
+    fn is_due(&self, now: Millis) -> bool {
+        if self.revision.is_some() {
+            return false;
+        }
+        match self.sent_at {
+            Some(sent_at) => now.saturating_sub(sent_at) >= REQUEST_RETRY_INTERVAL,
+            None => true,
         }
     }
+}
 
+impl PendingReads {
     pub(super) fn is_empty(&self) -> bool {
-        self.asked.is_empty() && self.round.is_none()
+        self.pending.is_empty()
     }
-}
 
-impl<M: StateMachine> ChainMember<M> {
-    /// Asks for a state that holds all that is committed now. `read` is a number not used before. Answered by
-    /// an effect: at once where this member is cut off.
-    pub fn read(&mut self, read: u64, ends: Millis, now: Millis) {
-        self.now = self.now.max(now);
-        if !self.is_connected(self.now) || self.reads.asked.len() >= WAITING {
-            self.effects.push(Effect::ReadFailed(read));
-            return;
-        }
-        self.reads.asked.insert(
-            read,
-            Asked {
-                ends,
-                sent: None,
-                at: None,
-            },
-        );
-        self.send_reads();
+    fn is_full(&self) -> bool {
+        self.pending.len() >= MAX_PENDING_READS
     }
 
-    pub(super) fn repeat_reads(&mut self) {
-        let (now, connected) = (self.now, self.is_connected(self.now));
-        let given_up = |asked: &Asked| !connected || asked.ends <= now;
-        let failed: Vec<_> = self
-            .reads
-            .asked
-            .iter()
-            .filter(|(_, asked)| given_up(asked))
-            .map(|(read, _)| *read)
-            .collect();
-        for read in failed {
-            self.reads.asked.remove(&read);
-            self.effects.push(Effect::ReadFailed(read));
-        }
-        self.send_reads();
-        let stalled = |round: &Round| now.saturating_sub(round.sent) >= ASK_AGAIN;
-        if self.reads.round.as_ref().is_some_and(stalled) {
-            self.ask_voters();
-        }
+    fn insert(&mut self, read_id: u64, deadline: Millis) {
+        let read = PendingRead {
+            deadline,
+            sent_at: None,
+            revision: None,
+        };
+        self.pending.insert(read_id, read);
     }
 
-    /// The view changed: the new tail has to answer.
-    pub(super) fn restart_reads(&mut self) {
-        self.reads.queued.clear();
-        self.reads.round = None;
-        self.reads
-            .asked
-            .values_mut()
-            .for_each(|asked| asked.sent = None);
-        self.send_reads();
+    /// Removes the reads for which the condition holds.
+    fn take_if(&mut self, condition: impl Fn(&PendingRead) -> bool) -> Vec<u64> {
+        let mut taken = Vec::new();
+        self.pending.retain(|read_id, read| {
+            let is_taken = condition(read);
+            if is_taken {
+                taken.push(*read_id);
+            }
+            !is_taken
+        });
+        taken
     }
 
-    fn send_reads(&mut self) {
-        let (now, view) = (self.now, self.view.number);
-        let Some(tail) = self.view.tail().map(|tail| tail.identity.clone()) else {
-            return;
-        };
-        let due = |asked: &Asked| {
-            asked.at.is_none()
-                && asked
-                    .sent
-                    .is_none_or(|at| now.saturating_sub(at) >= ASK_AGAIN)
-        };
-        let mut reads = Vec::new();
-        for (read, asked) in self.reads.asked.iter_mut().filter(|(_, asked)| due(asked)) {
-            asked.sent = Some(now);
-            reads.push(*read);
-        }
-        for read in reads {
-            match tail == self.me.identity {
-                true => self.on_read(&tail, view, read),
-                false => self.send_to(&tail, Message::Read { view, read }),
+    /// The reads that have to be sent to the tail now; they count as sent.
+    fn take_due(&mut self, now: Millis) -> Vec<u64> {
+        let mut due = Vec::new();
+        for (read_id, read) in &mut self.pending {
+            if read.is_due(now) {
+                read.sent_at = Some(now);
+                due.push(*read_id);
             }
         }
+        due
     }
 
-    /// A question reaches the tail.
-    pub(super) fn on_read(&mut self, from: &Identity, view: ViewNumber, read: u64) {
-        if view != self.view.number || !self.is_tail() || self.reads.queued.len() >= WAITING {
-            return;
+    fn mark_all_unsent(&mut self) {
+        for read in self.pending.values_mut() {
+            read.sent_at = None;
         }
-        self.reads.queued.push(Question {
-            from: from.clone(),
-            read,
-        });
-        if self.reads.round.is_none() {
-            self.start_round();
+    }
+
+    /// The tail has answered; whether the read was pending.
+    fn set_revision(&mut self, read_id: u64, revision: Revision) -> bool {
+        match self.pending.get_mut(&read_id) {
+            Some(read) => {
+                read.revision = Some(revision);
+                true
+            }
+            None => false,
         }
     }
+}
 
-    fn start_round(&mut self) {
-        let questions = std::mem::take(&mut self.reads.queued);
-        if questions.is_empty() {
+impl<M: StateMachine> ChainMember<M> {
+    /// Asks for a state with everything that is committed now. `read_id` is a number not used
+    /// before. Answered by [`Effect::ReadReady`] or [`Effect::ReadFailed`]: at once where this
+    /// member is cut off or has too many reads pending.
+    pub fn read(&mut self, read_id: u64, deadline: Millis, now: Millis) {
+        self.advance_clock(now);
+        if !self.is_connected(self.now) || self.reads.is_full() {
+            self.outbox.push(Effect::ReadFailed(read_id));
             return;
         }
-        self.reads.rounds += 1;
-        self.reads.round = Some(Round {
-            number: self.reads.rounds,
-            revision: self.replicated.revision(),
-            questions,
-            confirmed: BTreeSet::new(),
-            sent: self.now,
-        });
-        self.ask_voters();
+        self.reads.insert(read_id, deadline);
+        self.send_due_reads();
     }
 
-    fn ask_voters(&mut self) {
+    /// Time has passed: abandons the reads whose deadline has passed, or all of them if this member
+    /// is cut off.
+    pub(super) fn retry_reads(&mut self) {
         let now = self.now;
-        let Some(round) = self.reads.round.as_mut() else {
-            return;
-        };
-        round.sent = now;
-        let (view, number) = (self.view.number, round.number);
-        let voters: Vec<_> = self
-            .view
-            .voters
-            .iter()
-            .map(|voter| voter.identity.clone())
-            .collect();
-        for voter in voters {
-            match voter == self.me.identity {
-                true => self.on_confirm(&voter, view, number),
-                false => self.send_to(
-                    &voter,
-                    Message::Confirm {
-                        view,
-                        round: number,
-                    },
-                ),
-            }
+        let is_connected = self.is_connected(now);
+        let failed = self
+            .reads
+            .take_if(|read| !is_connected || read.deadline <= now);
+        for read_id in failed {
+            self.outbox.push(Effect::ReadFailed(read_id));
         }
+        self.send_due_reads();
+        self.retry_confirmation();
     }
 
-    /// A voter is asked whether it is still in the tail's view.
-    pub(super) fn on_confirm(&mut self, from: &Identity, view: ViewNumber, round: u64) {
-        let votes = self.view.voter(&self.me.identity).is_some();
-        if view != self.view.number || self.is_sealed() || !votes {
-            return;
-        }
-        match *from == self.me.identity {
-            true => self.on_confirmed(from, view, round),
-            false => self.send_to(from, Message::Confirmed { view, round }),
-        }
+    /// The view changed: the new tail has to answer.
+    pub(super) fn restart_reads(&mut self) {
+        self.reads.mark_all_unsent();
+        self.send_due_reads();
     }
 
-    /// A voter still is.
-    pub(super) fn on_confirmed(&mut self, from: &Identity, view: ViewNumber, number: u64) {
-        let votes = self.view.voter(from).is_some();
-        let majority = self.view.majority();
-        let Some(round) = self.reads.round.as_mut() else {
-            return;
-        };
-        if view != self.view.number || number != round.number || !votes {
-            return;
-        }
-        round.confirmed.insert(from.node.clone());
-        if round.confirmed.len() < majority {
-            return;
-        }
-        let Some(round) = self.reads.round.take() else {
+    fn send_due_reads(&mut self) {
+        let Some(tail) = self.view.tail() else {
             return;
         };
-        for question in round.questions {
-            match question.from == self.me.identity {
-                true => self.on_read_at(question.read, round.revision),
-                false => {
-                    let answer = Message::ReadAt {
-                        read: question.read,
-                        revision: round.revision,
-                    };
-                    self.send_to(&question.from, answer);
-                }
+        let tail = tail.identity.clone();
+        let view = self.view.number;
+        for read_id in self.reads.take_due(self.now) {
+            match self.local.is(&tail) {
+                true => self.on_read(&tail, view, read_id),
+                false => self.send_to(&tail, Message::Read { view, read_id }),
             }
         }
-        self.start_round();
     }
 
     /// The tail's answer.
-    pub(super) fn on_read_at(&mut self, read: u64, revision: Revision) {
-        if let Some(asked) = self.reads.asked.get_mut(&read) {
-            asked.at = Some(revision);
+    pub(super) fn on_read_at(&mut self, read_id: u64, revision: Revision) {
+        if self.reads.set_revision(read_id, revision) {
             self.finish_reads();
         }
     }
 
-    /// Answers the reads whose revision has been reached here.
+    /// Answers the reads whose revision has been applied here.
     pub(super) fn finish_reads(&mut self) {
-        let revision = self.replicated.revision();
-        let done = |asked: &Asked| asked.at.is_some_and(|at| at <= revision);
-        let ready: Vec<_> = self
-            .reads
-            .asked
-            .iter()
-            .filter(|(_, asked)| done(asked))
-            .map(|(read, _)| *read)
-            .collect();
-        for read in ready {
-            self.reads.asked.remove(&read);
-            self.effects.push(Effect::ReadReady(read));
+        let applied = self.log.committed();
+        let is_ready = |read: &PendingRead| match read.revision {
+            Some(revision) => revision <= applied,
+            None => false,
+        };
+        for read_id in self.reads.take_if(is_ready) {
+            self.outbox.push(Effect::ReadReady(read_id));
         }
     }
 }
--- a/tier/chain/src/member/replication.rs
+++ b/tier/chain/src/member/replication.rs
@@ -1,84 +1,78 @@
-//! Operations on their way down the chain, and the commit at its tail.
-
-use std::sync::Arc;
+//! Operations on their way down the chain: each member syncs them before it passes them to its
+//! successor.
 
 use plankhill_protocol::ids::Revision;
 
-use crate::durable::{Entry, Write};
-use crate::effect::{Deferred, Millis};
-use crate::machine::StateMachine;
+use crate::effect::{LogPosition, Millis};
+use crate::entry::Entry;
 use crate::message::Message;
-use crate::timing::RESEND;
+use crate::outbox::AfterSync;
+use crate::state_machine::StateMachine;
+use crate::timing::APPEND_RETRY_INTERVAL;
 use crate::view::{Identity, ViewNumber};
 
 use super::ChainMember;
 
-/// Operations under way at once; the head takes no more.
-const UNCOMMITTED: u64 = 1_024;
 /// Bytes of operations in one message.
-pub(super) const MESSAGE_BYTES: usize = 512 * 1024;
-/// Committed operations kept beside the snapshot, by number and by bytes.
-const SNAPSHOT_EVERY: u64 = 512;
-const SNAPSHOT_BYTES: usize = 4 * 1024 * 1024;
+pub(super) const MAX_MESSAGE_BYTES: usize = 512 * 1024;
 
-/// What this link has passed on to the next.
+/// What this member has passed on to its successor.
 #[derive(Debug, Default)]
-pub(super) struct Passing {
+pub(super) struct SuccessorProgress {
     /// The last operation sent.
     sent: Revision,
-    /// The last operation that the next link has on disk, as far as is known.
-    kept: Revision,
-    /// When the next link got on, or when it was sent something while it lacked nothing.
-    moved_at: Millis,
+    /// The last operation that the successor has on disk, as far as is known.
+    matched: Revision,
+    /// When the successor advanced, or when it was sent something while it lacked nothing.
+    progress_at: Millis,
 }
 
-impl Passing {
-    /// The next link is thought to have everything up to here.
-    pub(super) fn from(revision: Revision) -> Self {
+impl SuccessorProgress {
+    /// The successor is thought to have everything up to here.
+    pub(super) fn caught_up_to(revision: Revision) -> Self {
         Self {
             sent: revision,
-            kept: revision,
-            moved_at: 0,
+            matched: revision,
+            progress_at: 0,
         }
     }
-}
 
-impl<M: StateMachine> ChainMember<M> {
-    /// A proposal reaches the head, or a link that its sender reaches instead of the head.
-    pub(super) fn on_forward(&mut self, from: &Identity, view: ViewNumber, entry: Entry) {
-        if view != self.view.number || self.is_sealed() || !self.in_chain() {
-            return;
-        }
-        if let Some(outcome) = self.replicated.outcome(&entry.request).cloned() {
-            self.tell_outcome(&entry, outcome);
-        } else if self.is_head() {
-            self.order(entry);
-        } else if from.node == entry.origin {
-            self.send_to_head(Message::Forward { view, entry });
-        }
+    /// Whether the successor has everything that was sent.
+    fn is_caught_up(&self) -> bool {
+        self.sent <= self.matched
     }
 
-    fn order(&mut self, entry: Entry) {
-        let committed = self.replicated.revision();
-        // A log behind what is committed has lost what it had: nothing can be ordered on top of it.
-        let Some(under_way) = self.log.last().0.checked_sub(committed.0) else {
-            return;
-        };
-        if under_way < UNCOMMITTED
-            && !self.disk_is_away()
-            && !self.log.holds_after(committed, &entry.request)
-        {
-            self.append(vec![entry]);
+    /// The successor has this revision on its disk. An operation that is committed here is on every
+    /// disk of the chain, so that the position may not go back below `committed`.
+    fn on_position(&mut self, revision: Revision, committed: Revision, now: Millis) {
+        if revision > self.matched {
+            self.progress_at = now;
         }
+        self.matched = revision.max(committed);
     }
 
-    fn send_to_head(&mut self, message: Message) {
-        if let Some(head) = self.view.head().map(|head| head.identity.clone()) {
-            self.send_to(&head, message);
+    /// Everything up to here is committed, and so on the successor's disk.
+    fn on_committed(&mut self, revision: Revision, now: Millis) {
+        if revision > self.matched {
+            self.matched = revision;
+            self.progress_at = now;
         }
     }
 
-    /// Operations from the link before this one.
+    /// Whether the successor has not advanced for so long that messages count as lost.
+    fn has_stalled(&self, now: Millis) -> bool {
+        now.saturating_sub(self.progress_at) >= APPEND_RETRY_INTERVAL
+    }
+
+    /// Everything after this revision will be sent again.
+    fn rewind_to(&mut self, revision: Revision, now: Millis) {
+        self.sent = revision;
+        self.progress_at = now;
+    }
+}
+
+impl<M: StateMachine> ChainMember<M> {
+    /// Operations from the predecessor.
     pub(super) fn on_append(
         &mut self,
         from: &Identity,
@@ -86,19 +80,20 @@
         previous: Revision,
         entries: Vec<Entry>,
     ) {
-        let place = self
-            .view
-            .place(&self.me.identity)
-            .and_then(|place| place.checked_sub(1));
-        let before = place.and_then(|place| self.view.link(place));
-        let from_before = before.is_some_and(|link| link.identity == *from);
-        let is_due = view == self.view.number && from_before && previous <= self.log.last();
-        if !is_due || self.is_sealed() || self.disk_is_away() {
+        let is_from_predecessor = match self.view.predecessor_of(self.local.identity()) {
+            Some(predecessor) => predecessor.identity == *from,
+            None => false,
+        };
+        // Behind a gap nothing is taken; the predecessor sends again.
+        let follows = previous <= self.log.last();
+        if view != self.view.number || !is_from_predecessor || !follows {
+            return;
+        }
+        if self.acceptor.is_sealed() || !self.is_disk_available() {
             return;
         }
-        let held = usize::try_from(self.log.last().0 - previous.0).unwrap_or(usize::MAX);
-        let new: Vec<_> = entries.into_iter().skip(held).collect();
-        self.append(new);
+        let known = usize::try_from(self.log.last().0 - previous.0).unwrap_or(usize::MAX);
+        self.append(entries.into_iter().skip(known).collect());
     }
 
     /// Puts operations at the end of the log, on disk before anything else happens to them.
@@ -106,163 +101,87 @@
         if entries.is_empty() {
             return;
         }
-        let mut writes = Vec::with_capacity(entries.len() + 1);
-        for entry in entries {
-            let revision = self.log.push(entry.clone());
-            writes.push(Write::Append { revision, entry });
-        }
-        writes.push(Write::Committed(self.replicated.revision()));
-        self.persist(
-            writes,
-            Deferred::Position(self.view.number, self.log.last()),
-        );
+        let writes = self.log.append(entries);
+        let position = LogPosition {
+            view: self.view.number,
+            revision: self.log.last(),
+        };
+        self.persist(writes, AfterSync::Appended(position));
     }
 
-    /// Operations of a view have reached the disk here.
-    pub(super) fn on_position(&mut self, view: ViewNumber) {
+    /// Operations of a view have reached the disk.
+    pub(super) fn on_appended(&mut self, view: ViewNumber) {
         if view != self.view.number {
             return;
         }
         if self.is_tail() {
             self.commit_at_tail();
-        } else if self.in_chain() {
-            self.pass_on();
-        }
-    }
-
-    fn commit_at_tail(&mut self) {
-        if self.view.chain.len() < self.required_links(self.view.voters.len()) {
-            return;
-        }
-        let revision = self.durable.1;
-        if revision <= self.replicated.revision() {
-            return;
-        }
-        self.commit_to(revision);
-        let view = self.view.number;
-        for contact in self.contacts() {
-            self.send(contact, Message::Committed { view, revision });
+        } else if self.is_in_chain() {
+            self.send_to_successor();
         }
     }
 
-    /// Sends what is on disk here and was not sent yet to the next link.
-    fn pass_on(&mut self) {
-        if self.durable.0 != self.view.number || self.is_sealed() {
+    /// Sends what is on disk and was not sent yet.
+    fn send_to_successor(&mut self) {
+        if !self.is_view_persisted() || self.acceptor.is_sealed() {
             return;
         }
-        let Some(place) = self.view.place(&self.me.identity) else {
-            return;
-        };
-        let Some(next) = self.view.link(place + 1).map(|link| link.identity.clone()) else {
+        let Some(successor) = self.view.successor_of(self.local.identity()) else {
             return;
         };
-        let mut previous = self.passing.sent;
-        if previous <= self.passing.kept {
-            self.passing.moved_at = self.now;
+        let successor = successor.identity.clone();
+        if self.successor.is_caught_up() {
+            self.successor.progress_at = self.now;
         }
-        while previous < self.durable.1 {
-            let entries = self.log.range(previous, self.durable.1, MESSAGE_BYTES);
+        while self.successor.sent < self.log.persisted().revision {
+            let previous = self.successor.sent;
+            let entries = self.log.persisted_after(previous, MAX_MESSAGE_BYTES);
             if entries.is_empty() {
                 break;
             }
-            let after = Revision(previous.0 + entries.len() as u64);
-            self.send_to(
-                &next,
-                Message::Append {
-                    view: self.view.number,
-                    previous,
-                    entries,
-                },
-            );
-            previous = after;
+            self.successor.sent = Revision(previous.0 + entries.len() as u64);
+            let append = Message::Append {
+                view: self.view.number,
+                previous,
+                entries,
+            };
+            self.send_to(&successor, append);
         }
-        self.passing.sent = previous;
     }
 
-    /// The next link says what it has on disk.
-    pub(super) fn on_link_position(&mut self, from: &Identity, position: Revision) {
-        let Some(place) = self.view.place(&self.me.identity) else {
-            return;
+    /// A member's heartbeat says what the member has on disk.
+    pub(super) fn on_successor_position(&mut self, from: &Identity, revision: Revision) {
+        let is_successor = match self.view.successor_of(self.local.identity()) {
+            Some(successor) => successor.identity == *from,
+            None => false,
         };
-        if self.view.link(place + 1).map(|link| &link.identity) != Some(from) {
-            return;
-        }
-        if position > self.passing.kept {
-            self.passing.moved_at = self.now;
+        if is_successor {
+            self.successor
+                .on_position(revision, self.log.committed(), self.now);
+            self.resend_operations();
         }
-        self.passing.kept = position.max(self.replicated.revision());
-        self.resend_operations();
     }
 
-    /// Sends again what the next link does not seem to have got.
+    /// Sends again what the successor does not seem to have got.
     pub(super) fn resend_operations(&mut self) {
-        let kept = self.passing.kept.max(self.log.before());
-        let waited = self.now.saturating_sub(self.passing.moved_at) >= RESEND;
-        if self.in_chain() && !self.is_tail() && waited && kept < self.durable.1 {
-            self.passing.sent = kept;
-            self.passing.moved_at = self.now;
-            self.pass_on();
+        if !self.is_in_chain() || self.is_tail() || !self.successor.has_stalled(self.now) {
+            return;
+        }
+        let matched = self.successor.matched.max(self.log.snapshot_revision());
+        if matched < self.log.persisted().revision {
+            self.successor.rewind_to(matched, self.now);
+            self.send_to_successor();
         }
     }
 
-    /// Somebody in this view says that operations up to here are committed. All logs of one view are
-    /// beginnings of the head's.
+    /// Somebody in this view says that operations up to here are committed. All logs of one view
+    /// are beginnings of the head's, so that the operations here are the same ones.
     pub(super) fn on_committed(&mut self, from: &Identity, view: ViewNumber, revision: Revision) {
         if view != self.view.number {
             return;
         }
         self.commit_to(revision.min(self.log.last()));
-        if revision > self.passing.kept {
-            self.passing.kept = revision;
-            self.passing.moved_at = self.now;
-        }
+        self.successor.on_committed(revision, self.now);
         self.fetch_if_behind(from, revision);
     }
-
-    /// Applies operations up to a place; they are in the log.
-    pub(super) fn commit_to(&mut self, revision: Revision) {
-        while self.replicated.revision() < revision {
-            let place = Revision(self.replicated.revision().0 + 1);
-            let Some(entry) = self.log.get(place).cloned() else {
-                return;
-            };
-            let outcome = self.replicated.apply(&entry);
-            self.announce(&entry, outcome);
-        }
-        self.finish_reads();
-        self.snapshot_if_due();
-    }
-
-    fn announce(&mut self, entry: &Entry, outcome: Arc<[u8]>) {
-        if entry.origin == self.me.identity.node || self.is_tail() {
-            self.tell_outcome(entry, outcome);
-        }
-    }
-
-    fn tell_outcome(&mut self, entry: &Entry, outcome: Arc<[u8]>) {
-        let request = entry.request;
-        if entry.origin == self.me.identity.node {
-            self.on_outcome(request, outcome);
-            return;
-        }
-        let origin = self
-            .peers
-            .all()
-            .find(|peer| peer.heartbeat.member.identity.node == entry.origin);
-        if let Some(to) = origin.map(|peer| peer.heartbeat.member.address) {
-            self.send(to, Message::Outcome { request, outcome });
-        }
-    }
-
-    fn snapshot_if_due(&mut self) {
-        let revision = self.replicated.revision();
-        let many = revision.0 - self.log.before().0 >= SNAPSHOT_EVERY;
-        let large = self.log.bytes() >= SNAPSHOT_BYTES && revision > self.log.before();
-        if many || large {
-            self.snapshot = self.replicated.snapshot();
-            self.log.trim(revision);
-            let write = Write::Snapshot(self.snapshot.clone());
-            self.persist(vec![write, Write::Committed(revision)], Deferred::Nothing);
-        }
-    }
 }
--- /dev/null
+++ b/tier/chain/src/member/view_plan.rs
@@ -0,0 +1,94 @@
+//! Which view to propose, given the promises of the present view's voters.
+
+use crate::effect::Millis;
+use crate::state_machine::StateMachine;
+use crate::timing::{CATCH_UP_TIMEOUT, PROMISE_TIMEOUT};
+use crate::view::{Member, View};
+
+use super::proposer::Promises;
+use super::reconfiguration::MAX_JOINER_LAG;
+use super::ChainMember;
+
+impl<M: StateMachine> ChainMember<M> {
+    /// The view to ask for; `None` while it is better to wait for further promises or a joiner.
+    pub(super) fn plan_view(&self, promises: &Promises, waited: Millis) -> Option<View> {
+        if !self.view.number.is_founded() {
+            return self.plan_founding(promises, waited);
+        }
+        let has_promised = |member: &Member| match promises.get(&member.identity.node) {
+            Some(promise) => promise.identity == member.identity,
+            None => false,
+        };
+        let mut sealed = Vec::new();
+        let mut survivors = Vec::new();
+        let mut is_promise_missing = false;
+        for member in self.view.chain_members() {
+            let stays = self.stays(&member.identity);
+            if !has_promised(member) {
+                is_promise_missing |= stays;
+                continue;
+            }
+            sealed.push(member);
+            if stays {
+                survivors.push(member);
+            }
+        }
+        if is_promise_missing && waited < PROMISE_TIMEOUT {
+            return None;
+        }
+        // Members that want to leave are kept where the chain would be too short without them.
+        self.compose_view(&survivors, promises, waited)
+            .or_else(|| self.compose_view(&sealed, promises, waited))
+    }
+
+    /// The view with these members of the present chain, which have promised and so are sealed, and
+    /// all joiners.
+    fn compose_view(
+        &self,
+        survivors: &[&Member],
+        promises: &Promises,
+        waited: Millis,
+    ) -> Option<View> {
+        // The lowest revision of the survivors: each of them has everything up to there, and
+        // everything committed lies there or below, since every survivor had synced it before it
+        // was sealed.
+        let promises = survivors
+            .iter()
+            .filter_map(|member| promises.get(&member.identity.node));
+        let base = promises.map(|promise| promise.last_revision).min()?;
+        let joiners = self.joiners(base, 0);
+        let is_joiner_missing = self.joiners(base, MAX_JOINER_LAG).len() > joiners.len();
+        if is_joiner_missing && waited < CATCH_UP_TIMEOUT {
+            return None;
+        }
+        let voters = self.next_voters(&joiners);
+        let members = survivors.iter().copied().chain(&joiners);
+        let chain: Vec<_> = members.map(|member| member.identity.node.clone()).collect();
+        if chain.len() < self.local.required_chain_len(voters.len()) {
+            return None;
+        }
+        Some(View {
+            number: self.view.number.next(),
+            voters,
+            chain,
+            base,
+        })
+    }
+
+    /// The voters with the joiners among them: a new incarnation of a disk replaces the old one,
+    /// and voters that are gone make room.
+    fn next_voters(&self, joiners: &[Member]) -> Vec<Member> {
+        let is_replaced = |voter: &Member| {
+            let mut joiners = joiners.iter();
+            joiners.any(|joiner| joiner.identity.node == voter.identity.node)
+        };
+        let mut voters = self.view.voters.clone();
+        voters.retain(|voter| !is_replaced(voter));
+        voters.extend(joiners.iter().cloned());
+        while let Some(gone) = self.voter_to_drop(&voters) {
+            voters.retain(|voter| voter.identity != gone);
+        }
+        voters.sort_by(|one, other| one.identity.cmp(&other.identity));
+        voters
+    }
+}
--- /dev/null
+++ b/tier/chain/src/member/voting.rs
@@ -0,0 +1,85 @@
+//! A voter's answers in the agreement on the next view. Promises and acceptances are on disk before
+//! they are sent, so that a voter that restarts keeps them.
+
+use crate::acceptor::Ballot;
+use crate::message::Message;
+use crate::outbox::AfterSync;
+use crate::state_machine::StateMachine;
+use crate::storage::Write;
+use crate::view::{Identity, View, ViewNumber};
+
+use super::{ChainMember, Vote};
+
+impl<M: StateMachine> ChainMember<M> {
+    /// First phase. With the promise this member stops taking operations in its present view, so
+    /// that the revision in the promise stays true until the next view begins.
+    pub(super) fn on_prepare(&mut self, from: &Identity, instance: ViewNumber, ballot: Ballot) {
+        if !self.admit_ballot(from, instance, &ballot) {
+            return;
+        }
+        let was_sealed = self.acceptor.is_sealed();
+        self.acceptor.promise(ballot.clone());
+        let promise = Vote::Promise {
+            instance,
+            ballot,
+            accepted: self.acceptor.accepted.clone(),
+            last_revision: self.log.last(),
+        };
+        self.send_vote_when_persisted(from, promise);
+        if !was_sealed {
+            self.send_heartbeats();
+        }
+    }
+
+    /// Second phase.
+    pub(super) fn on_accept(&mut self, from: &Identity, ballot: Ballot, view: View) {
+        let instance = view.number;
+        if !self.admit_ballot(from, instance, &ballot) {
+            return;
+        }
+        self.acceptor.accept(ballot.clone(), view);
+        self.send_vote_when_persisted(from, Vote::Accepted { instance, ballot });
+    }
+
+    /// Whether this member votes on that view and has promised no later ballot. A proposer that is
+    /// behind, or whose ballot is too low, is told so.
+    fn admit_ballot(&mut self, from: &Identity, instance: ViewNumber, ballot: &Ballot) -> bool {
+        if instance <= self.view.number {
+            let decided = Message::Decided(self.view.clone());
+            self.send_to(from, decided);
+            return false;
+        }
+        let votes_on_instance =
+            instance == self.acceptor.instance && self.is_elector(self.local.identity());
+        if !votes_on_instance || !self.is_elector(from) {
+            return false;
+        }
+        self.proposer.observe_ballot(ballot, self.now);
+        if !self.is_disk_available() {
+            // The vote could not be written; the proposer asks again.
+            return false;
+        }
+        let Some(promised) = self.acceptor.later_promise(ballot).cloned() else {
+            return true;
+        };
+        let refusal = Vote::Refuse { instance, promised };
+        match self.local.is(from) {
+            true => self.on_vote(from, refusal),
+            false => self.send_to(from, refusal.into()),
+        }
+        false
+    }
+
+    /// Writes the acceptor to disk, and counts or sends the vote after that.
+    fn send_vote_when_persisted(&mut self, to: &Identity, vote: Vote) {
+        let after = if self.local.is(to) {
+            AfterSync::CountVote(vote)
+        } else {
+            match self.address_of(to) {
+                Some(address) => AfterSync::Send(address, vote.into()),
+                None => AfterSync::Nothing,
+            }
+        };
+        self.persist(vec![Write::Acceptor(self.acceptor.clone())], after);
+    }
+}
--- a/tier/chain/src/message.rs
+++ b/tier/chain/src/message.rs
@@ -1,11 +1,14 @@
-//! What members say to each other.
+//! Messages between members. The order of variants and fields is the wire format
+//! (`tests/wire_format`).
 
 use std::sync::Arc;
 
 use plankhill_protocol::ids::Revision;
 use serde::{Deserialize, Serialize};
 
-use crate::durable::{Ballot, Entry, RequestNumber, Snapshot};
+use crate::acceptor::Ballot;
+use crate::entry::{Entry, RequestNumber};
+use crate::storage::Snapshot;
 use crate::view::{Identity, Member, View, ViewNumber};
 
 /// Sent to every contact a few times a second.
@@ -15,37 +18,51 @@
     pub member: Member,
     /// Rises by one with each heartbeat of a process; starts at random.
     pub sequence: u64,
-    /// Everyone whom the sender hears.
+    /// The newest heartbeat of each member that the sender has received lately.
     pub echoes: Vec<Echo>,
     /// The newest view on the sender's disk.
     pub view: ViewNumber,
-    /// Whether the sender has promised to help with the next view.
+    /// Whether the sender has promised a ballot for the next view.
     pub sealed: bool,
     /// The last operation on the sender's disk.
-    pub position: Revision,
+    pub last_revision: Revision,
     /// The last operation that the sender knows to be committed.
     pub committed: Revision,
-    /// The chain should go on without the sender: it is about to end, or its disk does not answer.
+    /// The chain should go on without the sender: the sender is about to end, its disk does not
+    /// answer, or a majority of the voters does not reach it.
     pub leaving: bool,
     /// The sender may found the first view.
     pub founder: bool,
-    /// For the chain's tail: how long ago, in ms, it is sure that a majority of the voters was in this view.
-    pub confirmed_age: Option<u64>,
+    /// From the chain's tail: how long ago, in ms, a majority of the voters was surely in this
+    /// view.
+    pub confirmed_age_ms: Option<u64>,
 }
 
-/// The newest heartbeat that was heard from someone.
+impl Heartbeat {
+    /// Whether the sender has lately received a heartbeat of this member.
+    pub(crate) fn echoes_identity(&self, identity: &Identity) -> bool {
+        self.echo_of(identity).is_some()
+    }
+
+    /// The echo of this member's newest heartbeat.
+    pub(crate) fn echo_of(&self, identity: &Identity) -> Option<&Echo> {
+        self.echoes.iter().find(|echo| echo.identity == *identity)
+    }
+}
+
+/// The newest heartbeat that was received from one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// Who was heard.
+    /// The member that had sent the heartbeat.
     pub identity: Identity,
-    /// Its number.
+    /// The heartbeat's number.
     pub sequence: u64,
 }
 
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender lives.
+    /// The sender is alive.
     Heartbeat(Heartbeat),
     /// This view was agreed on.
     Decided(View),
@@ -64,17 +81,17 @@
         ballot: Ballot,
         /// What the sender had accepted before.
         accepted: Option<(Ballot, View)>,
-        /// The last operation on the sender's disk. It takes no more in its present view.
-        position: Revision,
+        /// The last operation in the sender's log. The sender takes no more in its present view.
+        last_revision: Revision,
     },
-    /// A later attempt has been promised.
+    /// Answer to `Prepare` or `Accept`: a later ballot has been promised.
     Refuse {
         /// The view to agree on.
         instance: ViewNumber,
-        /// The attempt that was promised.
+        /// The ballot that was promised.
         promised: Ballot,
     },
-    /// Second phase.
+    /// Second phase of the agreement on a view.
     Accept {
         /// The attempt.
         ballot: Ballot,
@@ -95,34 +112,34 @@
         /// The proposal.
         entry: Entry,
     },
-    /// Operations, from one link of the chain to the next.
+    /// Operations, from one chain member to its successor.
     Append {
-        /// The view in which they are passed on.
+        /// The view in which the operations are passed on.
         view: ViewNumber,
         /// The operation before the first of them.
         previous: Revision,
         /// The operations in order.
         entries: Vec<Entry>,
     },
-    /// From the tail: everything up to here is committed.
+    /// Everything up to here is committed.
     Committed {
         /// The tail's view.
         view: ViewNumber,
         /// The last committed operation.
         revision: Revision,
     },
-    /// From the tail to the member that proposed.
+    /// To the member that proposed: the proposal was committed.
     Outcome {
         /// The proposal.
         request: RequestNumber,
-        /// What it came to.
+        /// What the state machine answered.
         outcome: Arc<[u8]>,
     },
     /// A member outside the chain asks for operations.
     Fetch {
-        /// Its view.
+        /// The sender's view.
         view: ViewNumber,
-        /// The last one that it has.
+        /// The last operation that the sender has.
         after: Revision,
     },
     /// Answer to `Fetch`.
@@ -136,7 +153,7 @@
         /// What the sender knows to be committed.
         committed: Revision,
     },
-    /// Answer to `Fetch` where the operations asked for are not kept any more.
+    /// Answer to `Fetch` where the operations asked for have been replaced by a snapshot.
     Install {
         /// The sender's view.
         view: ViewNumber,
@@ -148,12 +165,12 @@
         /// The sender's view.
         view: ViewNumber,
         /// Chosen by the sender.
-        read: u64,
+        read_id: u64,
     },
     /// Answer to `Read`, after a majority of the voters has confirmed the view.
     ReadAt {
         /// From the question.
-        read: u64,
+        read_id: u64,
         /// All that had been committed when the question came.
         revision: Revision,
     },
@@ -162,13 +179,13 @@
         /// The view.
         view: ViewNumber,
         /// Chosen by the tail.
-        round: u64,
+        confirmation_id: u64,
     },
-    /// It is, and the sender has not promised anything for the next one.
+    /// Answer to `Confirm`: the sender is in that view and has promised no ballot for the next one.
     Confirmed {
         /// The view.
         view: ViewNumber,
         /// From the question.
-        round: u64,
+        confirmation_id: u64,
     },
 }
--- /dev/null
+++ b/tier/chain/src/outbox.rs
@@ -0,0 +1,86 @@
+//! Effects that wait for the driver, and what follows once a batch of writes is synced.
+//!
+//! The member queues both; the driver takes the effects after each call and reports synced batches.
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+use crate::effect::{Effect, LogPosition, Millis, Ticket};
+use crate::member::Vote;
+use crate::message::Message;
+use crate::storage::Write;
+
+/// What follows once a batch of writes is synced.
+#[derive(Clone, Debug)]
+pub(crate) enum AfterSync {
+    /// Nothing.
+    Nothing,
+    /// The message may be sent.
+    Send(SocketAddr, Message),
+    /// A vote of this member may be counted by its own attempt.
+    CountVote(Vote),
+    /// Operations up to here are on disk.
+    Appended(LogPosition),
+    /// A new view is on disk, with the operations up to here.
+    ViewAdopted(LogPosition),
+}
+
+/// A batch of writes that the driver has not reported as synced.
+#[derive(Debug)]
+struct PendingBatch {
+    ticket: Ticket,
+    submitted_at: Millis,
+    after: AfterSync,
+}
+
+/// Effects and pending batches of one member.
+#[derive(Debug, Default)]
+pub(crate) struct Outbox {
+    effects: Vec<Effect>,
+    last_ticket: Ticket,
+    pending_batches: VecDeque<PendingBatch>,
+}
+
+impl Outbox {
+    /// Queues an effect.
+    pub(crate) fn push(&mut self, effect: Effect) {
+        self.effects.push(effect);
+    }
+
+    /// Queues a message.
+    pub(crate) fn send(&mut self, to: SocketAddr, message: Message) {
+        self.push(Effect::Send { to, message });
+    }
+
+    /// Queues a batch of writes, and what follows once the batch is synced.
+    pub(crate) fn persist(&mut self, writes: Vec<Write>, after: AfterSync, now: Millis) {
+        self.last_ticket.0 += 1;
+        let ticket = self.last_ticket;
+        self.pending_batches.push_back(PendingBatch {
+            ticket,
+            submitted_at: now,
+            after,
+        });
+        self.push(Effect::Persist { ticket, writes });
+    }
+
+    /// All queued effects, in order.
+    pub(crate) fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+
+    /// Removes the oldest pending batch if that batch is synced; what follows from it.
+    pub(crate) fn pop_synced(&mut self, ticket: Ticket) -> Option<AfterSync> {
+        if self.pending_batches.front()?.ticket > ticket {
+            return None;
+        }
+        let batch = self.pending_batches.pop_front()?;
+        Some(batch.after)
+    }
+
+    /// When the oldest pending batch was submitted.
+    pub(crate) fn oldest_pending_since(&self) -> Option<Millis> {
+        let oldest = self.pending_batches.front()?;
+        Some(oldest.submitted_at)
+    }
+}
--- a/tier/chain/src/durable.rs
+++ b/tier/chain/src/storage.rs
@@ -4,63 +4,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
+use plankhill_protocol::ids::{Incarnation, Revision};
 use serde::{Deserialize, Serialize};
 
-use crate::view::{View, ViewNumber};
-
-/// Name of a proposed operation, drawn at random by the member that proposes it; the same at each repeat.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RequestNumber(pub u128);
-
-/// One operation in the chain's order.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// Name of the proposal.
-    pub request: RequestNumber,
-    /// The member that waits for the outcome.
-    pub origin: NodeId,
-    /// What the state machine is to apply.
-    pub operation: Arc<[u8]>,
-}
-
-/// Orders the attempts to agree on one view.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ballot {
-    /// Raised for each attempt.
-    pub round: u64,
-    /// Who attempts; two members never use the same ballot.
-    pub proposer: NodeId,
-}
-
-/// A voter's part in the agreement on the view that follows its present one.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Acceptor {
-    /// The view that is to be agreed on.
-    pub instance: ViewNumber,
-    /// Nothing below this ballot is accepted any more. Once set, the member takes no operations in its
-    /// present view.
-    pub promised: Option<Ballot>,
-    /// What was accepted last.
-    pub accepted: Option<(Ballot, View)>,
-}
-
-impl Acceptor {
-    /// Nothing promised yet for a view.
-    pub fn fresh(instance: ViewNumber) -> Self {
-        Self {
-            instance,
-            ..Self::default()
-        }
-    }
-}
+use crate::acceptor::Acceptor;
+use crate::entry::{Entry, RequestNumber};
+use crate::view::View;
 
 /// The state after a committed operation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last operation that it holds.
+    /// The last operation that the snapshot contains; 0 before the first.
     pub revision: Revision,
-    /// The state machine.
+    /// The state machine's own encoding; empty before the first operation.
     pub machine: Arc<[u8]>,
     /// Outcomes of the newest proposals, oldest first.
     pub outcomes: Vec<(RequestNumber, Arc<[u8]>)>,
@@ -69,7 +25,7 @@
 /// One change of what is on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Write {
-    /// The life of this disk begins.
+    /// An empty disk gets its incarnation.
     Incarnation(Incarnation),
     /// This member may found the first view, together with those at these addresses.
     Founders(Vec<SocketAddr>),
@@ -77,9 +33,9 @@
     Acceptor(Acceptor),
     /// A view that was agreed on.
     View(View),
-    /// An operation takes its place in the order.
+    /// An operation is added to the log.
     Append {
-        /// Its place.
+        /// The operation's position in the order.
         revision: Revision,
         /// The operation.
         entry: Entry,
@@ -88,13 +44,13 @@
     Truncate(Revision),
     /// Operations up to here are known to be committed.
     Committed(Revision),
-    /// A newer snapshot; operations that it holds need not be kept.
+    /// A newer snapshot; operations that the snapshot contains need not be kept.
     Snapshot(Snapshot),
 }
 
 /// Everything that a member finds on its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Durable {
+pub struct DurableState {
     /// Missing on an empty disk.
     pub incarnation: Option<Incarnation>,
     /// Present where this member may found the first view.
@@ -111,8 +67,8 @@
     pub entries: BTreeMap<Revision, Entry>,
 }
 
-impl Durable {
-    /// Takes in one change; the reference that each storage has to match.
+impl DurableState {
+    /// Applies one change. The reference that each [`Storage`] has to match.
     pub fn apply(&mut self, write: &Write) {
         match write {
             Write::Incarnation(incarnation) => self.incarnation = Some(*incarnation),
@@ -136,28 +92,31 @@
 
 /// Keeps what a member has to remember over a loss of power.
 pub trait Storage {
-    /// What can go wrong.
+    /// Why the storage could not do what was asked.
     type Error: std::error::Error;
 
     /// Everything that was written.
     ///
     /// # Errors
     /// The implementation's, also when what is found cannot be read.
-    fn load(&mut self) -> Result<Durable, Self::Error>;
+    fn load(&mut self) -> Result<DurableState, Self::Error>;
 
     /// Writes the changes in order, all or none of them; returns when they survive a loss of power.
     ///
     /// # Errors
-    /// The implementation's; the storage may not be used any further then, until it has recovered.
+    /// The implementation's. The storage may not be used any further then, until
+    /// [`Storage::recover`] has succeeded.
     fn write(&mut self, changes: &[Write]) -> Result<(), Self::Error>;
 
-    /// After a failed write: makes the storage fit for use again, with everything that was written before. Of the
-    /// changes whose write has failed all may be there, or none.
+    /// After a failed write: makes the storage fit for use again, with everything that was written
+    /// before. Of the changes whose write has failed all may be there, or none.
     ///
     /// # Errors
-    /// The implementation's, while the disk takes no writes or what lies there cannot be read any more.
+    /// The implementation's, while the disk takes no writes or what lies there cannot be read any
+    /// more.
     fn recover(&mut self) -> Result<(), Self::Error>;
 
-    /// Whether the cause of an error may pass, as a full disk does, so that another attempt makes sense.
-    fn may_pass(error: &Self::Error) -> bool;
+    /// Whether the cause of an error may pass, as a full disk does, so that another attempt makes
+    /// sense.
+    fn is_transient(error: &Self::Error) -> bool;
 }
--- a/tier/chain/src/view.rs
+++ b/tier/chain/src/view.rs
@@ -12,18 +12,24 @@
 pub struct ViewNumber(pub u64);
 
 impl ViewNumber {
+    /// Whether there is a view at all.
+    pub fn is_founded(self) -> bool {
+        self.0 > 0
+    }
+
     /// The number of the view that follows this one.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// One life of a machine's disk. A machine whose disk was lost comes back as another identity.
+/// One incarnation of a machine's disk. A machine whose disk was lost comes back as another
+/// identity.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
     /// The machine.
     pub node: NodeId,
-    /// The life of its disk.
+    /// The incarnation of its disk.
     pub incarnation: Incarnation,
 }
 
@@ -39,14 +45,14 @@
 /// What a majority of the former view's voters agreed on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Its number.
+    /// The view's number.
     pub number: ViewNumber,
     /// Who votes on the next view. Sorted by machine.
     pub voters: Vec<Member>,
     /// Who is in service, head first; all of them voters.
     pub chain: Vec<NodeId>,
-    /// Every member of the chain holds exactly the operations up to here when the view begins; all of them
-    /// are committed, and everything committed in former views is among them.
+    /// Every member of the chain has exactly the operations up to here when the view begins. All of
+    /// them are committed, and everything committed in former views is among them.
     pub base: Revision,
 }
 
@@ -63,34 +69,44 @@
             .find(|voter| voter.identity.node == *node)
     }
 
-    /// Place in the chain, 0 for the head.
-    pub fn place(&self, identity: &Identity) -> Option<usize> {
+    /// Position in the chain, 0 for the head.
+    pub fn position_of(&self, identity: &Identity) -> Option<usize> {
         self.voter(identity)?;
         self.chain.iter().position(|node| *node == identity.node)
     }
 
     /// Whether this identity is in service.
-    pub fn in_chain(&self, identity: &Identity) -> bool {
-        self.place(identity).is_some()
+    pub fn is_in_chain(&self, identity: &Identity) -> bool {
+        self.position_of(identity).is_some()
     }
 
-    /// The member at a place of the chain.
-    pub fn link(&self, place: usize) -> Option<&Member> {
-        self.voter_on(self.chain.get(place)?)
+    /// The member at a position of the chain.
+    pub fn member_at(&self, position: usize) -> Option<&Member> {
+        self.voter_on(self.chain.get(position)?)
     }
 
     /// The first of the chain, which orders the operations.
     pub fn head(&self) -> Option<&Member> {
-        self.link(0)
+        self.member_at(0)
     }
 
-    /// The last of the chain, which commits and answers.
+    /// The last of the chain, which commits and answers reads.
     pub fn tail(&self) -> Option<&Member> {
-        self.link(self.chain.len().checked_sub(1)?)
+        self.member_at(self.chain.len().checked_sub(1)?)
     }
 
-    /// The members of the chain in order.
-    pub fn links(&self) -> impl Iterator<Item = &Member> {
+    /// The member before this one in the chain.
+    pub fn predecessor_of(&self, identity: &Identity) -> Option<&Member> {
+        self.member_at(self.position_of(identity)?.checked_sub(1)?)
+    }
+
+    /// The member after this one in the chain.
+    pub fn successor_of(&self, identity: &Identity) -> Option<&Member> {
+        self.member_at(self.position_of(identity)? + 1)
+    }
+
+    /// The members of the chain, head first.
+    pub fn chain_members(&self) -> impl Iterator<Item = &Member> {
         self.chain.iter().filter_map(|node| self.voter_on(node))
     }
 
@@ -98,4 +114,14 @@
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
+
+    /// Whether the voters for which `counts` holds make a majority.
+    pub(crate) fn is_majority(&self, counts: impl Fn(&Identity) -> bool) -> bool {
+        let counted = self
+            .voters
+            .iter()
+            .filter(|voter| counts(&voter.identity))
+            .count();
+        counted >= self.majority()
+    }
 }
--- a/tier/chain/tests/ballots.rs
+++ b/tier/chain/tests/ballots.rs
@@ -1,14 +1,14 @@
-//! A ballot is used for one view only, over crashes of its proposer.
+//! A ballot is used for one view only, also after a crash of its proposer.
 
-mod three_links;
+mod three_members;
 
 use plankhill_chain::{
     Ballot, ChainMember, Effect, Heartbeat, Identity, Message, Millis, Ticket, ViewNumber, Write,
 };
 use plankhill_protocol::ids::Revision;
-use three_links::{disk, member, start, Nothing};
+use three_members::{disk, member, start, EmptyMachine};
 
-/// A heartbeat of the second link, which goes on; nothing is heard of the third.
+/// A heartbeat of the second member, which is alive; nothing is received of the third.
 fn heartbeat(sequence: u64) -> Message {
     Message::Heartbeat(Heartbeat {
         member: member(2),
@@ -16,36 +16,37 @@
         echoes: Vec::new(),
         view: ViewNumber(1),
         sealed: false,
-        position: Revision(0),
+        last_revision: Revision(0),
         committed: Revision(0),
         leaving: false,
         founder: false,
-        confirmed_age: None,
+        confirmed_age_ms: None,
     })
 }
 
 fn promise(from: u8, ballot: &Ballot) -> (Identity, Message) {
-    let (instance, position) = (ViewNumber(2), Revision(0));
+    let (instance, last_revision) = (ViewNumber(2), Revision(0));
     let promise = Message::Promise {
         instance,
         ballot: ballot.clone(),
         accepted: None,
-        position,
+        last_revision,
     };
     (member(from).identity, promise)
 }
 
-/// Lets time pass until the member asks for promises; its ballot, and the batches that it hands to its disk.
-fn until_it_asks(
-    link: &mut ChainMember<Nothing>,
+/// Lets time pass until the member asks for promises; its ballot, the batches that it has
+/// submitted, and the time.
+fn run_until_prepare(
+    proposer: &mut ChainMember<EmptyMachine>,
     from: Millis,
 ) -> (Ballot, Vec<(Ticket, Vec<Write>)>, Millis) {
     let mut batches = Vec::new();
     for step in 0..200 {
         let now = from + step * 50;
-        link.receive(&member(2).identity, heartbeat(step), now);
-        link.tick(now);
-        for effect in link.take_effects() {
+        proposer.receive(&member(2).identity, heartbeat(step), now);
+        proposer.tick(now);
+        for effect in proposer.take_effects() {
             match effect {
                 Effect::Persist { ticket, writes } => batches.push((ticket, writes)),
                 Effect::Send {
@@ -59,7 +60,7 @@
     panic!("no attempt");
 }
 
-fn asks_for_a_view(link: &mut ChainMember<Nothing>) -> bool {
+fn sends_accept(proposer: &mut ChainMember<EmptyMachine>) -> bool {
     let accepts = |effect: &Effect| {
         matches!(
             effect,
@@ -69,43 +70,42 @@
             }
         )
     };
-    link.take_effects().iter().any(accepts)
+    proposer.take_effects().iter().any(accepts)
 }
 
-/// Guards a proposer whose disk is slower than those of the others: with their promises alone it asked for a view, was killed
-/// before its own promise was on disk, and its next life used the same ballot for another view. Two views of one number
-/// could follow.
+/// Guards a proposer whose disk is slower than those of the others: with their promises alone the
+/// proposer asked for a view, was killed before its own promise was on disk, and used the same
+/// ballot for another view after its restart. Two views of one number could follow.
 #[test]
-fn a_proposer_asks_for_a_view_only_once_its_own_promise_is_on_disk() {
-    let mut link = start(1, &disk(), 0);
-    let (ballot, batches, now) = until_it_asks(&mut link, 0);
+fn a_proposer_sends_accept_only_after_its_own_promise_is_on_disk() {
+    let mut proposer = start(1, &disk(), 0);
+    let (ballot, batches, now) = run_until_prepare(&mut proposer, 0);
     for from in [2, 3] {
         let (identity, promise) = promise(from, &ballot);
-        link.receive(&identity, promise, now);
+        proposer.receive(&identity, promise, now);
     }
-    link.tick(now + 250);
+    proposer.tick(now + 250);
     assert!(
-        !asks_for_a_view(&mut link),
-        "its own promise is not on disk yet"
+        !sends_accept(&mut proposer),
+        "the own promise is not on disk yet"
     );
     let (ticket, _) = batches.last().expect("a promise of its own");
-    link.persisted(*ticket, now + 260);
-    link.tick(now + 300);
-    assert!(asks_for_a_view(&mut link));
+    proposer.on_persisted(*ticket, now + 260);
+    proposer.tick(now + 300);
+    assert!(sends_accept(&mut proposer));
 }
 
-/// With its promise on disk, the next life's ballot is a later one.
+/// With its promise on disk, the proposer's ballot after a restart is a later one.
 #[test]
-fn the_next_life_uses_another_ballot() {
+fn a_restarted_proposer_uses_a_later_ballot() {
     let mut disk = disk();
-    let mut link = start(1, &disk, 0);
-    let (first, batches, now) = until_it_asks(&mut link, 0);
-    batches
-        .iter()
-        .flat_map(|(_, writes)| writes)
-        .for_each(|write| disk.apply(write));
-    drop(link);
-    let mut next_life = start(1, &disk, now);
-    let (second, ..) = until_it_asks(&mut next_life, now);
+    let mut proposer = start(1, &disk, 0);
+    let (first, batches, now) = run_until_prepare(&mut proposer, 0);
+    for write in batches.iter().flat_map(|(_, writes)| writes) {
+        disk.apply(write);
+    }
+    drop(proposer);
+    let mut restarted = start(1, &disk, now);
+    let (second, ..) = run_until_prepare(&mut restarted, now);
     assert!(second > first, "{first:?} {second:?}");
 }
--- a/tier/chain/tests/confirmations.rs
+++ b/tier/chain/tests/confirmations.rs
@@ -1,37 +1,38 @@
-//! What a member that has just started makes of its tail's word, and how soon it speaks itself.
+//! What a member that has just started learns from its tail's confirmation, and how soon it sends
+//! heartbeats itself.
 
-mod three_links;
+mod three_members;
 
 use std::net::SocketAddr;
 
-use plankhill_chain::timing::CURRENT;
+use plankhill_chain::timing::CONFIRMATION_TTL;
 use plankhill_chain::{ChainMember, Echo, Effect, Heartbeat, Message, Millis, ViewNumber};
 use plankhill_protocol::ids::Revision;
-use three_links::{disk, member, start, Nothing};
+use three_members::{disk, member, start, EmptyMachine};
 
-/// The tail's word is older than the process that hears it.
-const AGE: u64 = 400;
-/// From a start until the tail is heard.
-const HEARD_AFTER: Millis = 5;
+/// The age of the tail's confirmation in ms: older than the process that receives it.
+const CONFIRMATION_AGE_MS: u64 = 400;
+/// From a start until the tail's heartbeat is received.
+const RECEIVED_AFTER: Millis = 5;
 
-fn heartbeat(from: u8, echoes: Vec<Echo>, confirmed_age: Option<u64>) -> Message {
+fn heartbeat(from: u8, echoes: Vec<Echo>, confirmed_age_ms: Option<u64>) -> Message {
     Message::Heartbeat(Heartbeat {
         member: member(from),
         sequence: 40,
         echoes,
         view: ViewNumber(1),
         sealed: false,
-        position: Revision(0),
+        last_revision: Revision(0),
         committed: Revision(0),
         leaving: false,
         founder: false,
-        confirmed_age,
+        confirmed_age_ms,
     })
 }
 
 /// The heartbeats that the member sends now, with their receivers.
-fn heartbeats(link: &mut ChainMember<Nothing>) -> Vec<(SocketAddr, Heartbeat)> {
-    let sent = link
+fn heartbeats(member: &mut ChainMember<EmptyMachine>) -> Vec<(SocketAddr, Heartbeat)> {
+    let sent = member
         .take_effects()
         .into_iter()
         .filter_map(|effect| match effect {
@@ -44,10 +45,11 @@
     sent.collect()
 }
 
-/// Whether a head whose clock began so is current once the tail, sure of its view before, has echoed it.
-fn is_current_after_the_tails_word(began_at: Millis) -> bool {
-    let mut head = start(1, &disk(), began_at);
-    head.tick(began_at);
+/// Whether a head whose clock began at this time is current once the tail, confirmed before the
+/// start, has echoed it.
+fn is_current_after_confirmation(started_at: Millis) -> bool {
+    let mut head = start(1, &disk(), started_at);
+    head.tick(started_at);
     let (_, own) = heartbeats(&mut head)
         .pop()
         .expect("a heartbeat at the start");
@@ -55,31 +57,31 @@
         identity: member(1).identity,
         sequence: own.sequence,
     };
-    let now = began_at + HEARD_AFTER;
+    let now = started_at + RECEIVED_AFTER;
     head.receive(
         &member(3).identity,
-        heartbeat(3, vec![echo], Some(AGE)),
+        heartbeat(3, vec![echo], Some(CONFIRMATION_AGE_MS)),
         now,
     );
     head.is_current(now)
 }
 
 #[test]
-fn what_the_tail_was_sure_of_before_the_member_started_counts() {
-    assert!(is_current_after_the_tails_word(CURRENT));
+fn a_confirmation_from_before_the_start_counts() {
+    assert!(is_current_after_confirmation(CONFIRMATION_TTL));
     // That is why a member's clock does not begin at 0: there is no time before it.
-    assert!(!is_current_after_the_tails_word(0));
+    assert!(!is_current_after_confirmation(0));
 }
 
 #[test]
-fn a_member_that_is_heard_anew_is_answered_at_once_and_only_then() {
-    let mut head = start(1, &disk(), CURRENT);
-    head.tick(CURRENT);
+fn a_first_heartbeat_is_answered_at_once_and_later_ones_are_not() {
+    let mut head = start(1, &disk(), CONFIRMATION_TTL);
+    head.tick(CONFIRMATION_TTL);
     heartbeats(&mut head);
     head.receive(
         &member(2).identity,
         heartbeat(2, Vec::new(), None),
-        CURRENT + 1,
+        CONFIRMATION_TTL + 1,
     );
     let answered = heartbeats(&mut head);
     let receivers: Vec<SocketAddr> = answered.iter().map(|(to, _)| *to).collect();
@@ -92,15 +94,15 @@
     head.receive(
         &member(2).identity,
         heartbeat(2, Vec::new(), None),
-        CURRENT + 2,
+        CONFIRMATION_TTL + 2,
     );
     assert!(heartbeats(&mut head).is_empty());
 }
 
 #[test]
-fn a_tail_that_becomes_sure_of_its_view_tells_everyone_at_once() {
-    let mut tail = start(3, &disk(), CURRENT);
-    tail.tick(CURRENT);
+fn a_tail_that_gets_confirmed_sends_heartbeats_to_everyone_at_once() {
+    let mut tail = start(3, &disk(), CONFIRMATION_TTL);
+    tail.tick(CONFIRMATION_TTL);
     let (_, own) = heartbeats(&mut tail)
         .pop()
         .expect("a heartbeat at the start");
@@ -111,15 +113,15 @@
     tail.receive(
         &member(1).identity,
         heartbeat(1, vec![echo], None),
-        CURRENT + 1,
+        CONFIRMATION_TTL + 1,
     );
-    assert!(tail.is_current(CURRENT + 1));
-    let told = heartbeats(&mut tail);
+    assert!(tail.is_current(CONFIRMATION_TTL + 1));
+    let sent = heartbeats(&mut tail);
     assert!(
-        told.iter()
-            .all(|(_, heartbeat)| heartbeat.confirmed_age == Some(1)),
-        "{told:?}"
+        sent.iter()
+            .all(|(_, heartbeat)| heartbeat.confirmed_age_ms == Some(1)),
+        "{sent:?}"
     );
-    let receivers: Vec<SocketAddr> = told.iter().map(|(to, _)| *to).collect();
+    let receivers: Vec<SocketAddr> = sent.iter().map(|(to, _)| *to).collect();
     assert_eq!(receivers, [member(1).address, member(2).address]);
 }
--- a/tier/chain/tests/model/model.rs
+++ b/tier/chain/tests/model/model.rs
@@ -5,9 +5,9 @@
 use crate::rules;
 use crate::state::{Acceptor, Identity, Machine, Message, View, World};
 
-/// A mistake in the rules that has to be found.
+/// A bug in the rules that has to be found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedBug {
     /// The base is the highest position of a survivor, not the lowest.
     BaseTooHigh,
     /// The base lies one below the lowest position.
@@ -16,11 +16,11 @@
     LostDiskVotes,
     /// Promises and acceptances are forgotten in a crash.
     PromiseUnsynced,
-    /// A link takes operations after it has promised to help with the next view.
+    /// A member takes operations after it has promised to help with the next view.
     SealIgnored,
     /// The tail answers reads by itself.
-    TailDoesNotAsk,
-    /// One link is enough for a chain.
+    UnconfirmedReads,
+    /// One member is enough for a chain.
     ShortChain,
     /// A proposer does not wait for its own promise.
     BallotUsedTwice,
@@ -40,7 +40,7 @@
     pub wipes: u8,
     pub crashes: u8,
     pub reads: u8,
-    pub planted: Option<Planted>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
 /// Something that may happen.
@@ -72,7 +72,7 @@
         machine: u8,
         from: u8,
     },
-    Tell {
+    Report {
         machine: u8,
     },
     LoseDisk {
@@ -96,9 +96,12 @@
 
     fn init_states(&self) -> Vec<World> {
         let voters: Vec<Identity> = (0..self.machines)
-            .map(|machine| Identity { machine, life: 0 })
+            .map(|machine| Identity {
+                machine,
+                incarnation: 0,
+            })
             .collect();
-        // Of three machines all are links; of four one is a voter only.
+        // Of three machines all are in the chain; of four one is a voter only.
         let chain = (0..self.machines.min(3)).collect();
         let view = View {
             number: 1,
@@ -107,13 +110,13 @@
             base: 0,
         };
         let machine = Machine {
-            life: 0,
+            incarnation: 0,
             view: view.clone(),
             acceptor: Acceptor::default(),
             log: Vec::new(),
             committed: 0,
             round: 0,
-            asked: None,
+            proposed_view: None,
         };
         vec![World {
             machines: vec![machine; self.machines.into()],
@@ -126,12 +129,12 @@
             wipes: 0,
             crashes: 0,
             reads: 0,
-            broken: None,
+            violation: None,
         }]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.broken.is_none() {
+        if world.violation.is_none() {
             rules::steps(self, world, steps);
         }
     }
@@ -144,8 +147,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is broken", |_, world: &World| {
-                world.broken.is_none()
+            Property::always("no invariant is violated", |_, world: &World| {
+                world.violation.is_none()
             }),
             Property::sometimes("a later view commits", |bounds: &Bounds, world: &World| {
                 bounds.operations == 0 || world.commits.iter().any(|commit| commit.view > 1)
--- a/tier/chain/tests/model/rules/agreement.rs
+++ b/tier/chain/tests/model/rules/agreement.rs
@@ -1,10 +1,10 @@
 //! The agreement on the next view.
 
-use crate::model::{Bounds, Planted};
+use crate::model::{Bounds, InjectedBug};
 use crate::state::{Acceptor, Ballot, Identity, Message, View, World};
 
 use super::log::commit;
-use super::{identity, of, of_mut, open_ballot, LINKS};
+use super::{identity, machine_of, machine_of_mut, open_ballot, REQUIRED_MEMBERS};
 
 pub(super) type Promise<'world> = (Identity, &'world Option<(Ballot, View)>, usize);
 
@@ -18,12 +18,12 @@
         .iter()
         .filter_map(move |message| match message {
             Message::Promise {
-                instance: of,
+                instance: voted_instance,
                 ballot: by,
                 from,
                 accepted,
                 position,
-            } if *of == instance && *by == ballot => Some((*from, accepted, *position)),
+            } if *voted_instance == instance && *by == ballot => Some((*from, accepted, *position)),
             _ => None,
         })
 }
@@ -35,7 +35,7 @@
     ballot: Ballot,
     from: Identity,
 ) -> bool {
-    let (me, machine) = (identity(world, voter), of(world, voter));
+    let (me, machine) = (identity(world, voter), machine_of(world, voter));
     let is_due =
         machine.view.number + 1 == instance && machine.view.votes(me) && machine.view.votes(from);
     is_due
@@ -56,7 +56,7 @@
         return;
     }
     let me = identity(world, voter);
-    let machine = of_mut(world, voter);
+    let machine = machine_of_mut(world, voter);
     machine.acceptor.promised = Some(ballot);
     let (accepted, position) = (machine.acceptor.accepted.clone(), machine.log.len());
     world.network.insert(Message::Promise {
@@ -74,7 +74,7 @@
         return;
     }
     let me = identity(world, voter);
-    let acceptor = &mut of_mut(world, voter).acceptor;
+    let acceptor = &mut machine_of_mut(world, voter).acceptor;
     acceptor.promised = Some(ballot);
     acceptor.accepted = Some((ballot, view));
     world.network.insert(Message::Accepted {
@@ -94,37 +94,40 @@
     let Some(ballot) = open_ballot(world, proposer) else {
         return;
     };
-    let (from, view) = (identity(world, proposer), of(world, proposer).view.clone());
+    let (from, view) = (
+        identity(world, proposer),
+        machine_of(world, proposer).view.clone(),
+    );
     let instance = view.number + 1;
-    let heard: Vec<_> = promises(world, instance, ballot)
+    let received: Vec<_> = promises(world, instance, ballot)
         .filter(|(from, ..)| view.votes(*from) && chosen.contains(&from.machine))
         .map(|(from, accepted, position)| (from, accepted.clone(), position))
         .collect();
-    let bound = heard
+    let bound = received
         .iter()
         .filter_map(|(_, accepted, _)| accepted.clone())
         .max_by_key(|(by, _)| *by);
     let next = match bound {
         Some((_, bound)) => Some(bound),
-        None => plan(bounds, world, &view, &heard, joiners),
+        None => plan(bounds, world, &view, &received, joiners),
     };
     if let Some(view) = next {
-        of_mut(world, proposer).asked = Some(view.clone());
+        machine_of_mut(world, proposer).proposed_view = Some(view.clone());
         world.network.insert(Message::Accept { ballot, view, from });
     }
 }
 
-pub(super) type Heard = (Identity, Option<(Ballot, View)>, usize);
+pub(super) type ReceivedPromise = (Identity, Option<(Ballot, View)>, usize);
 
 pub(super) fn plan(
     bounds: &Bounds,
     world: &World,
     view: &View,
-    heard: &[Heard],
+    received: &[ReceivedPromise],
     joiners: &[Identity],
 ) -> Option<View> {
     let position = |link: &u8| {
-        let promised = heard
+        let promised = received
             .iter()
             .find(|(from, ..)| from.machine == *link && view.votes(*from));
         promised.map(|(.., position)| *position)
@@ -136,18 +139,18 @@
         .filter(|link| position(link).is_some())
         .collect();
     let positions = survivors.iter().filter_map(position);
-    let base = match bounds.planted {
-        Some(Planted::BaseTooHigh) => positions.max()?,
-        Some(Planted::BaseTooLow) => positions.min()?.saturating_sub(1),
+    let base = match bounds.injected_bug {
+        Some(InjectedBug::BaseTooHigh) => positions.max()?,
+        Some(InjectedBug::BaseTooLow) => positions.min()?.saturating_sub(1),
         _ => positions.min()?,
     };
-    let holds = |joiner: &Identity| {
+    let has_reported = |joiner: &Identity| {
         world.network.iter().any(|message| {
-            matches!(message, Message::Holds { from, view: of, position }
-                if from == joiner && *of == view.number && *position >= base)
+            matches!(message, Message::Reported { from, view: reported_view, position }
+                if from == joiner && *reported_view == view.number && *position >= base)
         })
     };
-    if !joiners.iter().all(holds) {
+    if !joiners.iter().all(has_reported) {
         return None;
     }
     let replaced = |voter: &Identity| joiners.iter().any(|joiner| joiner.machine == voter.machine);
@@ -164,10 +167,10 @@
         .copied()
         .chain(joiners.iter().map(|joiner| joiner.machine))
         .collect();
-    let enough = if bounds.plants(Planted::ShortChain) {
+    let enough = if bounds.has_bug(InjectedBug::ShortChain) {
         1
     } else {
-        LINKS
+        REQUIRED_MEMBERS
     };
     (chain.len() >= enough).then(|| View {
         number: view.number + 1,
@@ -181,16 +184,16 @@
     let Some(ballot) = open_ballot(world, proposer) else {
         return;
     };
-    let view = of(world, proposer).view.clone();
+    let view = machine_of(world, proposer).view.clone();
     let instance = view.number + 1;
     let accepted = world.network.iter().filter(|message| {
-        matches!(message, Message::Accepted { instance: of, ballot: by, from }
-            if *of == instance && *by == ballot && view.votes(*from))
+        matches!(message, Message::Accepted { instance: voted_instance, ballot: by, from }
+            if *voted_instance == instance && *by == ballot && view.votes(*from))
     });
     if accepted.count() < view.majority() {
         return;
     }
-    let Some(next) = of(world, proposer).asked.clone() else {
+    let Some(next) = machine_of(world, proposer).proposed_view.clone() else {
         return;
     };
     world.decided.insert(next.clone());
@@ -199,7 +202,7 @@
 }
 
 pub(super) fn adopt(world: &mut World, machine: u8, view: View) {
-    let adopting = of_mut(world, machine);
+    let adopting = machine_of_mut(world, machine);
     if view.number <= adopting.view.number {
         return;
     }
@@ -212,7 +215,7 @@
     adopting.log.truncate(keep);
     adopting.acceptor = Acceptor::default();
     adopting.round = 0;
-    adopting.asked = None;
+    adopting.proposed_view = None;
     adopting.view = view;
     if follows {
         commit(world, machine, keep);
--- a/tier/chain/tests/model/rules/check.rs
+++ b/tier/chain/tests/model/rules/check.rs
@@ -2,24 +2,24 @@
 
 use std::collections::BTreeSet;
 
-use crate::state::{Ballot, Broken, Commit, Identity, Message, View, World};
+use crate::state::{Ballot, Commit, Identity, Message, View, Violation, World};
 
 /// What must hold in every state.
 pub(super) fn check(world: &mut World) {
-    let broken = two_views(world)
+    let violation = conflicting_views(world)
         .or_else(|| ballot_used_twice(world))
-        .or_else(|| two_orders(world))
-        .or_else(|| lost(world));
-    world.broken = world.broken.or(broken);
+        .or_else(|| conflicting_orders(world))
+        .or_else(|| lost_operation(world));
+    world.violation = world.violation.or(violation);
 }
 
-pub(super) fn two_views(world: &World) -> Option<Broken> {
+pub(super) fn conflicting_views(world: &World) -> Option<Violation> {
     let numbers: BTreeSet<u8> = world.decided.iter().map(|view| view.number).collect();
-    (numbers.len() < world.decided.len()).then_some(Broken::TwoViews)
+    (numbers.len() < world.decided.len()).then_some(Violation::ConflictingViews)
 }
 
-pub(super) fn ballot_used_twice(world: &World) -> Option<Broken> {
-    let asked: Vec<_> = world
+pub(super) fn ballot_used_twice(world: &World) -> Option<Violation> {
+    let proposed_view: Vec<_> = world
         .network
         .iter()
         .filter_map(|message| match message {
@@ -28,25 +28,32 @@
         })
         .collect();
     let clash = |(ballot, view): &(&Ballot, &View)| {
-        asked
-            .iter()
-            .any(|(other, asked)| other == ballot && asked.number == view.number && asked != view)
+        proposed_view.iter().any(|(other, proposed_view)| {
+            other == ballot && proposed_view.number == view.number && proposed_view != view
+        })
     };
-    asked.iter().any(clash).then_some(Broken::BallotUsedTwice)
+    proposed_view
+        .iter()
+        .any(clash)
+        .then_some(Violation::BallotUsedTwice)
 }
 
-pub(super) fn two_orders(world: &World) -> Option<Broken> {
+pub(super) fn conflicting_orders(world: &World) -> Option<Violation> {
     let clash = |one: &Commit| {
         world
             .commits
             .iter()
             .any(|other| one.position == other.position && one.operation != other.operation)
     };
-    world.commits.iter().any(clash).then_some(Broken::TwoOrders)
+    world
+        .commits
+        .iter()
+        .any(clash)
+        .then_some(Violation::ConflictingOrders)
 }
 
 /// Every later view begins with what was acknowledged, and its links have it.
-pub(super) fn lost(world: &World) -> Option<Broken> {
+pub(super) fn lost_operation(world: &World) -> Option<Violation> {
     let missing = |commit: &Commit| {
         let later = world
             .decided
@@ -56,12 +63,12 @@
         let not_held = world.machines.iter().zip(0..).any(|(machine, number)| {
             let me = Identity {
                 machine: number,
-                life: machine.life,
+                incarnation: machine.incarnation,
             };
             let is_link = machine.view.place(me).is_some() && machine.view.number > commit.view;
             is_link && machine.log.get(commit.position - 1) != Some(&commit.operation)
         });
         too_low || not_held
     };
-    world.commits.iter().any(missing).then_some(Broken::Lost)
+    world.commits.iter().any(missing).then_some(Violation::Lost)
 }
--- a/tier/chain/tests/model/rules/log.rs
+++ b/tier/chain/tests/model/rules/log.rs
@@ -1,14 +1,14 @@
 //! Operations on their way down the chain.
 
-use crate::model::{Bounds, Planted};
-use crate::state::{Broken, Commit, Identity, Message, World};
+use crate::model::{Bounds, InjectedBug};
+use crate::state::{Commit, Identity, Message, Violation, World};
 
-use super::{identity, is_sealed, of, of_mut, LINKS};
+use super::{identity, is_sealed, machine_of, machine_of_mut, REQUIRED_MEMBERS};
 
 /// A link has an operation on disk and passes it on; the message may come whenever it likes.
 pub(super) fn push(world: &mut World, link: u8, operation: u8) {
     let from = identity(world, link);
-    let machine = of_mut(world, link);
+    let machine = machine_of_mut(world, link);
     let (view, previous) = (machine.view.number, machine.log.len());
     machine.log.push(operation);
     if !machine.view.is_tail(from) {
@@ -22,11 +22,11 @@
 }
 
 pub(super) fn commit_at_tail(bounds: &Bounds, world: &mut World, tail: u8) {
-    let machine = of(world, tail);
-    let enough = if bounds.plants(Planted::ShortChain) {
+    let machine = machine_of(world, tail);
+    let enough = if bounds.has_bug(InjectedBug::ShortChain) {
         1
     } else {
-        LINKS
+        REQUIRED_MEMBERS
     };
     if machine.view.chain.len() < enough {
         return;
@@ -41,7 +41,7 @@
 
 /// A machine knows that everything up to here is committed, and whoever asks it is told so.
 pub(super) fn commit(world: &mut World, machine: u8, revision: usize) {
-    let known = of_mut(world, machine);
+    let known = machine_of_mut(world, machine);
     let (view, before) = (known.view.number, known.committed);
     known.committed = before.max(revision.min(known.log.len()));
     let new: Vec<_> = (before..known.committed)
@@ -56,9 +56,10 @@
             .machines
             .iter()
             .filter(|other| other.log.get(commit.position - 1) == Some(&commit.operation));
-        // A disk that was lost since cannot count: the tail's word came before, or it is a loss that is borne.
-        if copies.count() + usize::from(world.wipes) < LINKS {
-            world.broken = Some(Broken::FewCopies);
+        // A disk that was lost since cannot count: the tail's word came before, or it is a loss
+        // that is borne.
+        if copies.count() + usize::from(world.wipes) < REQUIRED_MEMBERS {
+            world.violation = Some(Violation::TooFewReplicas);
         }
         world.commits.insert(commit);
     }
@@ -74,7 +75,7 @@
     operation: u8,
 ) {
     let me = identity(world, to);
-    let machine = of(world, to);
+    let machine = machine_of(world, to);
     let place = machine
         .view
         .place(me)
@@ -88,8 +89,8 @@
 }
 
 pub(super) fn fetch(world: &mut World, machine: u8, from: u8) {
-    let (source, link) = (of(world, from).clone(), identity(world, from));
-    let fetching = of_mut(world, machine);
+    let (source, link) = (machine_of(world, from).clone(), identity(world, from));
+    let fetching = machine_of_mut(world, machine);
     let is_link = source.view.place(link).is_some();
     if fetching.view.number == 0 {
         // An empty machine hears of the view first.
--- a/tier/chain/tests/model/rules/mod.rs
+++ b/tier/chain/tests/model/rules/mod.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::model::{Bounds, Planted, Step};
+use crate::model::{Bounds, InjectedBug, Step};
 use crate::state::{Acceptor, Ballot, Identity, Machine, Message, Read, View, World};
 
 use agreement::{adopt, decide, on_accept, on_prepare, propose};
@@ -18,31 +18,31 @@
 pub use steps::steps;
 
 /// Links that a chain needs: one loss is borne.
-const LINKS: usize = 2;
+const REQUIRED_MEMBERS: usize = 2;
 
 impl Bounds {
-    fn plants(&self, planted: Planted) -> bool {
-        self.planted == Some(planted)
+    fn has_bug(&self, injected_bug: InjectedBug) -> bool {
+        self.injected_bug == Some(injected_bug)
     }
 }
 
 fn identity(world: &World, machine: u8) -> Identity {
     Identity {
         machine,
-        life: world.machines[usize::from(machine)].life,
+        incarnation: world.machines[usize::from(machine)].incarnation,
     }
 }
 
-fn of(world: &World, machine: u8) -> &Machine {
+fn machine_of(world: &World, machine: u8) -> &Machine {
     &world.machines[usize::from(machine)]
 }
 
-fn of_mut(world: &mut World, machine: u8) -> &mut Machine {
+fn machine_of_mut(world: &mut World, machine: u8) -> &mut Machine {
     &mut world.machines[usize::from(machine)]
 }
 
 fn is_sealed(bounds: &Bounds, machine: &Machine) -> bool {
-    machine.acceptor.promised.is_some() && !bounds.plants(Planted::SealIgnored)
+    machine.acceptor.promised.is_some() && !bounds.has_bug(InjectedBug::SealIgnored)
 }
 
 fn next_round(machine: &Machine) -> u8 {
@@ -54,7 +54,7 @@
 
 /// The attempt of a link that is still open: the one with its newest round.
 fn open_ballot(world: &World, proposer: u8) -> Option<Ballot> {
-    let round = of(world, proposer).round;
+    let round = machine_of(world, proposer).round;
     (round > 0).then_some(Ballot { round, proposer })
 }
 
@@ -71,9 +71,9 @@
         Step::BeginAttempt { proposer } => {
             world.attempts += 1;
             let from = identity(world, proposer);
-            let machine = of_mut(world, proposer);
+            let machine = machine_of_mut(world, proposer);
             machine.round = next_round(machine);
-            machine.asked = None;
+            machine.proposed_view = None;
             let ballot = Ballot {
                 round: machine.round,
                 proposer,
@@ -92,9 +92,9 @@
         } => propose(bounds, world, proposer, &promises, &joiners),
         Step::Decide { proposer } => decide(world, proposer),
         Step::Fetch { machine, from } => fetch(world, machine, from),
-        Step::Tell { machine } => {
-            let (from, told) = (identity(world, machine), of(world, machine));
-            let message = Message::Holds {
+        Step::Report { machine } => {
+            let (from, told) = (identity(world, machine), machine_of(world, machine));
+            let message = Message::Reported {
                 from,
                 view: told.view.number,
                 position: told.log.len(),
@@ -103,43 +103,43 @@
         }
         Step::LoseDisk { machine } => {
             world.wipes += 1;
-            let lost = of_mut(world, machine);
-            let life = if bounds.plants(Planted::LostDiskVotes) {
-                lost.life
+            let lost = machine_of_mut(world, machine);
+            let incarnation = if bounds.has_bug(InjectedBug::LostDiskVotes) {
+                lost.incarnation
             } else {
-                lost.life + 1
+                lost.incarnation + 1
             };
-            let view = if bounds.plants(Planted::LostDiskVotes) {
+            let view = if bounds.has_bug(InjectedBug::LostDiskVotes) {
                 lost.view.clone()
             } else {
                 View::default()
             };
             *lost = Machine {
-                life,
+                incarnation,
                 view,
                 acceptor: Acceptor::default(),
                 log: Vec::new(),
                 committed: 0,
                 round: 0,
-                asked: None,
+                proposed_view: None,
             };
         }
         Step::Crash { machine } => crash(bounds, world, machine),
         Step::BeginRead { tail } => {
             world.reads += 1;
-            let owed = world
+            let acknowledged = world
                 .commits
                 .iter()
                 .map(|commit| commit.position)
                 .max()
                 .unwrap_or(0);
-            let (me, machine) = (identity(world, tail), of(world, tail));
+            let (me, machine) = (identity(world, tail), machine_of(world, tail));
             let (view, revision) = (machine.view.number, machine.committed);
             world.read = Some(Read {
                 tail: me,
                 view,
                 revision,
-                owed,
+                acknowledged,
                 confirmed: BTreeSet::new(),
             });
         }
@@ -166,7 +166,7 @@
         } => {
             on_append(bounds, world, to, view, from, previous, operation);
         }
-        Message::Committed { view, revision } if of(world, to).view.number == view => {
+        Message::Committed { view, revision } if machine_of(world, to).view.number == view => {
             commit(world, to, revision)
         }
         // Taken by those that act on them.
@@ -177,10 +177,10 @@
 fn crash(bounds: &Bounds, world: &mut World, machine: u8) {
     world.crashes += 1;
     let me = identity(world, machine);
-    let crashed = of_mut(world, machine);
+    let crashed = machine_of_mut(world, machine);
     crashed.round = 0;
-    crashed.asked = None;
-    if bounds.plants(Planted::PromiseUnsynced) {
+    crashed.proposed_view = None;
+    if bounds.has_bug(InjectedBug::PromiseUnsynced) {
         crashed.acceptor = Acceptor::default();
     }
     if crashed.view.is_tail(me) {
--- a/tier/chain/tests/model/rules/steps.rs
+++ b/tier/chain/tests/model/rules/steps.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeSet;
 
-use crate::model::{Bounds, Planted, Step};
+use crate::model::{Bounds, InjectedBug, Step};
 use crate::state::{Identity, Machine, Message, View, World};
 
 use super::agreement::promises;
-use super::{identity, is_sealed, of, open_ballot};
+use super::{identity, is_sealed, machine_of, open_ballot};
 
 /// Everything that may happen next.
 pub fn steps(bounds: &Bounds, world: &World, steps: &mut Vec<Step>) {
     for number in 0..bounds.machines {
-        let (machine, me) = (of(world, number), identity(world, number));
+        let (machine, me) = (machine_of(world, number), identity(world, number));
         let place = machine.view.place(me);
         if place == Some(0) && !is_sealed(bounds, machine) && world.operations < bounds.operations {
             steps.push(Step::Order { head: number });
@@ -53,7 +53,7 @@
 /// What a machine outside the chain does; in the last view that is explored nobody joins any more.
 fn outside(bounds: &Bounds, machine: &Machine, number: u8, steps: &mut Vec<Step>) {
     if machine.view.number < bounds.views {
-        steps.push(Step::Tell { machine: number });
+        steps.push(Step::Report { machine: number });
         steps.extend((0..bounds.machines).map(|from| Step::Fetch {
             machine: number,
             from,
@@ -65,9 +65,9 @@
     let Some(ballot) = open_ballot(world, proposer) else {
         return;
     };
-    let view = &of(world, proposer).view;
+    let view = &machine_of(world, proposer).view;
     let instance = view.number + 1;
-    if of(world, proposer).asked.is_some() {
+    if machine_of(world, proposer).proposed_view.is_some() {
         steps.push(Step::Decide { proposer });
         return;
     }
@@ -76,7 +76,7 @@
         .map(|(from, ..)| from.machine)
         .collect();
     for promises in subsets(&promised.into_iter().collect::<Vec<_>>()) {
-        let waits = !promises.contains(&proposer) && !bounds.plants(Planted::BallotUsedTwice);
+        let waits = !promises.contains(&proposer) && !bounds.has_bug(InjectedBug::BallotUsedTwice);
         if promises.len() < view.majority() || waits {
             continue;
         }
@@ -93,11 +93,11 @@
 /// Lives outside the chain that have told what they hold.
 fn holders(world: &World, view: &View) -> Vec<Identity> {
     let told = world.network.iter().filter_map(|message| match message {
-        Message::Holds { from, view: of, .. }
-            if *of == view.number && view.place(*from).is_none() =>
-        {
-            Some(*from)
-        }
+        Message::Reported {
+            from,
+            view: reported_view,
+            ..
+        } if *reported_view == view.number && view.place(*from).is_none() => Some(*from),
         _ => None,
     });
     told.collect::<BTreeSet<_>>().into_iter().collect()
--- a/tier/chain/tests/model/state.rs
+++ b/tier/chain/tests/model/state.rs
@@ -1,12 +1,12 @@
-//! What a state of the model holds.
+//! The state of the model.
 
 use std::collections::BTreeSet;
 
-/// A life of a disk.
+/// One incarnation of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
     pub machine: u8,
-    pub life: u8,
+    pub incarnation: u8,
 }
 
 /// Who is in the chain.
@@ -17,7 +17,7 @@
     pub voters: Vec<Identity>,
     /// Machines, head first.
     pub chain: Vec<u8>,
-    /// Operations with which every link begins.
+    /// Operations with which every member of the chain begins.
     pub base: usize,
 }
 
@@ -26,7 +26,7 @@
         self.voters.contains(&identity)
     }
 
-    /// The place in the chain of this life of a disk.
+    /// The position in the chain of this incarnation of a disk.
     pub fn place(&self, identity: Identity) -> Option<usize> {
         self.chain
             .iter()
@@ -57,10 +57,10 @@
     pub accepted: Option<(Ballot, View)>,
 }
 
-/// One machine: what is on its disk, and the little that a crash forgets.
+/// One machine: its disk, and the little that a crash forgets.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Machine {
-    pub life: u8,
+    pub incarnation: u8,
     pub view: View,
     pub acceptor: Acceptor,
     pub log: Vec<u8>,
@@ -68,11 +68,11 @@
     pub committed: usize,
     /// The round of its open attempt; forgotten in a crash.
     pub round: u8,
-    /// What it has asked for by that attempt; forgotten in a crash.
-    pub asked: Option<View>,
+    /// The view that it has proposed by that attempt; forgotten in a crash.
+    pub proposed_view: Option<View>,
 }
 
-/// What is under way, and stays so.
+/// A message that was sent; it stays in the network.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
     Prepare {
@@ -98,7 +98,7 @@
         from: Identity,
     },
     Decided(View),
-    /// From a link to the next one.
+    /// From a member of the chain to its successor.
     Append {
         view: u8,
         from: Identity,
@@ -109,8 +109,8 @@
         view: u8,
         revision: usize,
     },
-    /// From a machine outside the chain: what it holds.
-    Holds {
+    /// From a machine outside the chain: the operations that it has.
+    Reported {
         from: Identity,
         view: u8,
         position: usize,
@@ -133,28 +133,28 @@
     /// What the tail knew to be committed when it came, which is the answer.
     pub revision: usize,
     /// What had been acknowledged anywhere when it came.
-    pub owed: usize,
+    pub acknowledged: usize,
     pub confirmed: BTreeSet<u8>,
 }
 
-/// What must never happen.
+/// The invariant that a state violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Broken {
+pub enum Violation {
     /// Two views of one number.
-    TwoViews,
-    /// Two views asked for by one ballot, of which two may then be decided.
+    ConflictingViews,
+    /// Two views proposed by one ballot, of which two may then be decided.
     BallotUsedTwice,
-    /// Two operations at one place.
-    TwoOrders,
+    /// Two operations at one position.
+    ConflictingOrders,
     /// Something acknowledged is missing in a later view.
     Lost,
-    /// Something was acknowledged with too few copies.
-    FewCopies,
+    /// Something was acknowledged with too few replicas.
+    TooFewReplicas,
     /// A read misses what was acknowledged before it.
-    OldRead,
+    StaleRead,
 }
 
-/// Everything.
+/// The complete state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     pub machines: Vec<Machine>,
@@ -167,5 +167,5 @@
     pub wipes: u8,
     pub crashes: u8,
     pub reads: u8,
-    pub broken: Option<Broken>,
+    pub violation: Option<Violation>,
 }
--- a/tier/chain/tests/simulation/days.rs
+++ b/tier/chain/tests/simulation/days.rs
@@ -1,72 +1,77 @@
 //! The chain under seeded faults in virtual time.
 
-use crate::world::faults::CATCH_UP;
-use crate::world::{Shape, World};
+use crate::world::faults::RECOVERY_TIMEOUT;
+use crate::world::{World, WorldConfig};
 
-/// Worlds for each shape; debug builds are some ten times slower.
+/// Worlds for each configuration; debug builds are some ten times slower.
 const SEEDS: u64 = if cfg!(debug_assertions) { 40 } else { 400 };
 
-/// Runs one world to the end and says what broke.
-fn play(seed: u64, shape: Shape) -> Result<usize, String> {
-    let mut world = World::new(seed, shape);
-    world.strike = seed.is_multiple_of(2);
+/// Runs one world to the end; the number of acknowledged operations, or the first violation.
+fn play(seed: u64, config: WorldConfig) -> Result<usize, String> {
+    let mut world = World::new(seed, config);
+    world.fault_after_acknowledgement = seed.is_multiple_of(2);
     world.run(2_500);
-    world.trouble();
+    world.start_faults();
     world.run(25_000);
-    world.calm();
-    world.run(CATCH_UP);
-    settle(&mut world)?;
-    let book = world.book.borrow();
-    book.broken
+    world.stop_faults();
+    world.run(RECOVERY_TIMEOUT);
+    assert_recovered(&mut world)?;
+    let history = world.history.borrow();
+    history
+        .violations
         .values()
         .next()
         .cloned()
-        .map_or(Ok(book.acknowledgements()), Err)
+        .map_or(Ok(history.acknowledgements()), Err)
 }
 
-/// After calm has returned: everyone serves, everyone is answered, everything acknowledged is there.
-fn settle(world: &mut World) -> Result<(), String> {
-    let up: Vec<_> = (0..world.machines.len())
-        .filter(|at| world.machines[*at].is_up())
+/// After the faults have ended: all members are in service, all clients are answered, nothing
+/// acknowledged is lost.
+fn assert_recovered(world: &mut World) -> Result<(), String> {
+    let running: Vec<_> = (0..world.machines.len())
+        .filter(|index| world.machines[*index].is_up())
         .collect();
-    if world.book.borrow().broken.is_empty() && world.in_service() < up.len() {
-        let views: Vec<_> = up
+    if world.history.borrow().violations.is_empty() && world.in_service() < running.len() {
+        let views: Vec<_> = running
             .iter()
-            .filter_map(|at| world.machines[*at].process.as_ref())
+            .filter_map(|index| world.machines[*index].process.as_ref())
             .map(|member| member.view())
             .collect();
         return Err(format!(
             "only {} of {} in service: {views:?}",
             world.in_service(),
-            up.len()
+            running.len()
         ));
     }
-    let requests: Vec<_> = up
+    let requests: Vec<_> = running
         .iter()
-        .map(|at| world.propose(*at, 1_000_000 + *at as u64))
+        .map(|index| world.propose(*index, 1_000_000 + *index as u64))
         .collect();
     world.run(1_000);
-    if world.book.borrow().broken.is_empty()
+    if world.history.borrow().violations.is_empty()
         && requests.iter().any(|request| world.is_proposed(*request))
     {
-        return Err("a proposal was not answered after calm had returned".into());
+        return Err("a proposal was not answered after the faults had ended".into());
     }
-    world.clients_gone = true;
+    world.are_clients_stopped = true;
     world.run(1_000);
-    for at in up {
-        let held = world.machines[at]
+    for index in running {
+        let applied = world.machines[index]
             .process
             .as_ref()
-            .map(|member| member.machine().held.clone());
-        world.book.borrow_mut().kept(&held.unwrap_or_default());
+            .map(|member| member.machine().applied.clone());
+        world
+            .history
+            .borrow_mut()
+            .check_nothing_lost(&applied.unwrap_or_default());
     }
     Ok(())
 }
 
-fn play_all(shape: &Shape) {
+fn play_all(config: &WorldConfig) {
     let mut acknowledged = 0;
     for seed in 0..SEEDS {
-        match play(seed, shape.clone()) {
+        match play(seed, config.clone()) {
             Ok(count) => acknowledged += count,
             Err(what) => panic!("seed {seed}: {what}"),
         }
@@ -78,34 +83,34 @@
 }
 
 #[test]
-fn three_machines_that_bear_one_loss() {
-    play_all(&Shape {
+fn three_machines_tolerate_one_fault() {
+    play_all(&WorldConfig {
         machines: 3,
         seeds: 3,
-        tolerated: 1,
-        pace: 40,
-        planted: None,
+        tolerated_faults: 1,
+        operation_interval: 40,
+        injected_bug: None,
     });
 }
 
 #[test]
-fn five_machines_that_bear_two_losses() {
-    play_all(&Shape {
+fn five_machines_tolerate_two_faults() {
+    play_all(&WorldConfig {
         machines: 5,
         seeds: 3,
-        tolerated: 2,
-        pace: 60,
-        planted: None,
+        tolerated_faults: 2,
+        operation_interval: 60,
+        injected_bug: None,
     });
 }
 
 #[test]
-fn four_machines_that_bear_one_loss() {
-    play_all(&Shape {
+fn four_machines_tolerate_one_fault() {
+    play_all(&WorldConfig {
         machines: 4,
         seeds: 3,
-        tolerated: 1,
-        pace: 60,
-        planted: None,
+        tolerated_faults: 1,
+        operation_interval: 60,
+        injected_bug: None,
     });
 }
--- a/tier/chain/tests/simulation/main.rs
+++ b/tier/chain/tests/simulation/main.rs
@@ -1,9 +1,9 @@
 //! The chain in a simulated world.
 
 mod days;
-mod long_cuts;
+mod injected_bugs;
+mod long_absences;
 mod outage;
-mod planted;
 mod scenes;
 mod second_losses;
 mod world;
--- a/tier/chain/tests/simulation/outage.rs
+++ b/tier/chain/tests/simulation/outage.rs
@@ -2,82 +2,88 @@
 
 use plankhill_chain::Millis;
 
-use crate::world::{Shape, World};
+use crate::world::{World, WorldConfig};
 
-/// Five machines that are back within so long of each other.
-const APART: [Millis; 5] = [900, 960, 1_170, 1_180, 1_200];
+/// When each of five machines starts again after the loss of power, in ms.
+const RESTART_DELAYS: [Millis; 5] = [900, 960, 1_170, 1_180, 1_200];
 
-/// Until connections to machines that have just come up stand: one staggered attempt and a way.
-const DIALED_WITHIN: Millis = 200;
+/// Until connections to machines that have just come up are established: one staggered attempt and
+/// one way.
+const DIAL_LIMIT: Millis = 200;
 /// From the last start until every machine is current.
-const CURRENT_WITHIN: Millis = 500;
-/// The same where all connections come up at once: some ways between the machines, no heartbeat's pause.
-const CURRENT_AT_ONCE: Millis = 60;
+const CURRENT_LIMIT: Millis = 500;
+/// The same where all connections come up at once: some ways between the machines, no heartbeat
+/// interval.
+const IMMEDIATE_CURRENT_LIMIT: Millis = 60;
 
 /// The first of the five machines to come back.
-fn first_back(seed: u64) -> usize {
+fn first_to_restart(seed: u64) -> usize {
     seed as usize % 5
 }
 
-/// Five machines that have all lost power just now, and come back one after the other; and the view that they had.
-fn all_off(seed: u64) -> (World, u64) {
+/// Five machines that have all lost power just now, and restart one after the other; and the number
+/// of their view.
+fn after_power_loss(seed: u64) -> (World, u64) {
     let mut world = World::new(
         seed,
-        Shape {
+        WorldConfig {
             machines: 5,
             seeds: 3,
-            tolerated: 2,
-            pace: 50,
-            planted: None,
+            tolerated_faults: 2,
+            operation_interval: 50,
+            injected_bug: None,
         },
     );
     world.run(4_000);
     assert_eq!(world.in_service(), 5, "seed {seed}");
     let view = world.newest_view();
-    (0..5).for_each(|at| world.stop(at));
-    for (place, delay) in APART.into_iter().enumerate() {
-        world.restart_after((first_back(seed) + place) % 5, delay);
+    for index in 0..5 {
+        world.stop(index);
+    }
+    for (position, delay) in RESTART_DELAYS.into_iter().enumerate() {
+        world.schedule_restart((first_to_restart(seed) + position) % 5, delay);
     }
     (world, view)
 }
 
-/// Five machines that all lost power and are all back; the first to come is not heard by the others for so long after
-/// the last start. Says by how many views they are further.
-fn back(seed: u64, unheard: Millis) -> (World, u64) {
-    let (mut world, view) = all_off(seed);
-    let first = first_back(seed);
-    let unheard_by: Vec<_> = (0..5)
-        .filter(|at| *at != first)
-        .map(|at| (first, at))
+/// Five machines that all lost power and have all restarted; the heartbeats of the first one do not
+/// reach the others until so long after the last start. Returns how many views have followed.
+fn restart_all(seed: u64, partitioned_for: Millis) -> (World, u64) {
+    let (mut world, view) = after_power_loss(seed);
+    let first = first_to_restart(seed);
+    let partitions: Vec<_> = (0..5)
+        .filter(|index| *index != first)
+        .map(|index| (first, index))
         .collect();
-    world.cut(&unheard_by);
-    world.run(APART[4] + unheard);
+    world.partition(&partitions);
+    world.run(RESTART_DELAYS[4] + partitioned_for);
     world.heal();
-    world.run(CURRENT_WITHIN);
-    let further = world.newest_view() - view;
-    (world, further)
+    world.run(CURRENT_LIMIT);
+    let views_since = world.newest_view() - view;
+    (world, views_since)
 }
 
 #[test]
-fn all_machines_that_were_off_go_on_in_their_view() {
+fn a_power_loss_everywhere_does_not_change_the_view() {
     for seed in 0..20 {
-        let (world, further) = back(seed, DIALED_WITHIN);
-        assert_eq!(further, 0, "seed {seed}");
+        let (world, views_since) = restart_all(seed, DIAL_LIMIT);
+        assert_eq!(views_since, 0, "seed {seed}");
         assert!(world.all_current(), "seed {seed}");
     }
 }
 
 #[test]
-fn machines_that_were_off_are_current_without_waiting_for_the_next_heartbeats() {
+fn after_a_power_loss_members_are_current_without_a_heartbeat_interval() {
     for seed in 0..20 {
-        let (mut world, _) = all_off(seed);
-        world.run(APART[4] + CURRENT_AT_ONCE);
+        let (mut world, _) = after_power_loss(seed);
+        world.run(RESTART_DELAYS[4] + IMMEDIATE_CURRENT_LIMIT);
         assert!(world.all_current(), "seed {seed}");
     }
 }
 
-/// What a dial that hangs costs: a machine that is not heard for 0.6 s is left out, and taken in again by a second view.
+/// The cost of a dial that hangs: a machine that is not heard for 0.6 s is removed, and joins again
+/// by a second view.
 #[test]
-fn a_machine_whose_dials_hang_is_left_out() {
-    assert!((0..20).all(|seed| back(seed, 700).1 > 0));
+fn a_member_whose_dials_hang_is_removed_from_the_chain() {
+    assert!((0..20).all(|seed| restart_all(seed, 700).1 > 0));
 }
--- a/tier/chain/tests/simulation/world/checker.rs
+++ b/tier/chain/tests/simulation/world/checker.rs
@@ -7,52 +7,52 @@
 use plankhill_chain::{BadSnapshot, StateMachine, View, ViewNumber};
 use plankhill_protocol::ids::Revision;
 
-/// What must hold.
+/// What must hold at every step, or at the end of a world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
+pub enum Invariant {
     /// All members apply the same operations in the same order.
-    OneOrder,
+    SingleOrder,
     /// Nothing is applied twice.
-    Once,
+    AppliedOnce,
     /// One view for each number.
-    OneView,
-    /// All acknowledgements of an operation tell the same outcome.
-    OneOutcome,
-    /// What is acknowledged is on f+1 disks.
-    Copies,
-    /// A read holds everything seen before it.
-    Reads,
+    SingleView,
+    /// All acknowledgements of an operation report the same outcome.
+    SingleOutcome,
+    /// An operation is on f+1 disks when it is acknowledged.
+    ReplicatedWhenAcknowledged,
+    /// A read returns everything observed before it.
+    FreshReads,
     /// Everything acknowledged is there at the end.
-    Kept,
-    /// After calm has returned all serve and answer.
-    Service,
+    NothingLost,
+    /// After the faults have ended, all members are in service and answer.
+    Availability,
 }
 
-/// What has been seen so far.
+/// Everything observed so far.
 #[derive(Debug, Default)]
-pub struct Book {
-    /// Operations in the order in which any member first applied them; `None` for a repeat.
+pub struct History {
+    /// Operations in the order in which any member first applied them.
     order: Vec<u64>,
     views: BTreeMap<ViewNumber, View>,
     acknowledged: BTreeMap<u64, u64>,
-    /// The highest revision that anybody outside has seen the effect of.
-    seen: u64,
-    /// Rules broken, each with the first case.
-    pub broken: BTreeMap<Rule, String>,
+    /// The highest revision whose effect was observed outside of the chain.
+    highest_observed: u64,
+    /// Invariants violated, each with the first case.
+    pub violations: BTreeMap<Invariant, String>,
 }
 
-impl Book {
-    pub fn fail(&mut self, rule: Rule, what: String) {
-        self.broken.entry(rule).or_insert(what);
+impl History {
+    pub fn record_violation(&mut self, invariant: Invariant, what: String) {
+        self.violations.entry(invariant).or_insert(what);
     }
 
     /// A member applies an operation.
-    pub fn applied(&mut self, revision: Revision, operation: u64) {
+    pub fn record_applied(&mut self, revision: Revision, operation: u64) {
         let index = revision.0 as usize - 1;
         match self.order.get(index) {
             Some(known) if *known == operation => {}
-            Some(known) => self.fail(
-                Rule::OneOrder,
+            Some(known) => self.record_violation(
+                Invariant::SingleOrder,
                 format!(
                     "revision {} is {known} here and {operation} there",
                     revision.0
@@ -61,8 +61,8 @@
             None => {
                 self.order.resize(index, u64::MAX);
                 if self.order.contains(&operation) {
-                    self.fail(
-                        Rule::Once,
+                    self.record_violation(
+                        Invariant::AppliedOnce,
                         format!("operation {operation} is applied twice"),
                     );
                 }
@@ -71,59 +71,59 @@
         }
     }
 
-    /// A member has taken over a view.
-    pub fn adopted(&mut self, view: &View) {
+    /// A member has adopted a view.
+    pub fn record_adopted(&mut self, view: &View) {
         let known = self
             .views
             .entry(view.number)
             .or_insert_with(|| view.clone());
         if known != view {
             let what = format!("two views {}: {known:?} and {view:?}", view.number.0);
-            self.fail(Rule::OneView, what);
+            self.record_violation(Invariant::SingleView, what);
         }
     }
 
-    /// The operator was told that an operation stands at a revision.
-    pub fn acknowledged(&mut self, operation: u64, revision: u64) {
+    /// A client was notified that an operation was committed at a revision.
+    pub fn record_acknowledged(&mut self, operation: u64, revision: u64) {
         let before = *self.acknowledged.entry(operation).or_insert(revision);
         if before != revision {
-            self.fail(
-                Rule::OneOutcome,
+            self.record_violation(
+                Invariant::SingleOutcome,
                 format!("operation {operation} came to {before} and to {revision}"),
             );
         }
-        self.seen = self.seen.max(revision);
+        self.highest_observed = self.highest_observed.max(revision);
     }
 
-    /// What a read that starts now has to hold.
-    pub fn seen(&self) -> u64 {
-        self.seen
+    /// The revision that a read that starts now has to return at least.
+    pub fn highest_observed(&self) -> u64 {
+        self.highest_observed
     }
 
     /// A read has been answered.
-    pub fn read(&mut self, had_to_hold: u64, revision: u64) {
-        if revision < had_to_hold {
-            self.fail(
-                Rule::Reads,
-                format!("a read found {revision}, {had_to_hold} had been seen before it"),
+    pub fn record_read(&mut self, expected: u64, revision: u64) {
+        if revision < expected {
+            self.record_violation(
+                Invariant::FreshReads,
+                format!("a read found {revision}, {expected} had been seen before it"),
             );
         }
-        self.seen = self.seen.max(revision);
+        self.highest_observed = self.highest_observed.max(revision);
     }
 
-    /// The state at the end holds everything acknowledged, at its place.
-    pub fn kept(&mut self, state: &[(u64, u64)]) {
-        let held: BTreeMap<u64, u64> = state.iter().copied().collect();
+    /// The state at the end contains everything acknowledged, at its revision.
+    pub fn check_nothing_lost(&mut self, state: &[(u64, u64)]) {
+        let found: BTreeMap<u64, u64> = state.iter().copied().collect();
         let missing: Vec<_> = self
             .acknowledged
             .iter()
-            .filter(|(operation, revision)| held.get(operation) != Some(revision))
-            .map(|(operation, revision)| (*operation, *revision, held.get(operation).copied()))
+            .filter(|(operation, revision)| found.get(operation) != Some(revision))
+            .map(|(operation, revision)| (*operation, *revision, found.get(operation).copied()))
             .collect();
         if !missing.is_empty() {
             let last = state.last();
-            self.fail(
-                Rule::Kept,
+            self.record_violation(
+                Invariant::NothingLost,
                 format!("acknowledged and lost (operation, revision, found): {missing:?}, last {last:?}"),
             );
         }
@@ -138,31 +138,33 @@
     }
 }
 
-/// A list of operations with their revisions; tells the book what it applies.
-pub struct Listing {
-    pub held: Vec<(u64, u64)>,
-    book: Rc<RefCell<Book>>,
+/// A list of operations with their revisions, which reports to the history what it applies.
+pub struct RecordingMachine {
+    pub applied: Vec<(u64, u64)>,
+    history: Rc<RefCell<History>>,
 }
 
-impl Listing {
-    pub fn new(book: Rc<RefCell<Book>>) -> Self {
+impl RecordingMachine {
+    pub fn new(history: Rc<RefCell<History>>) -> Self {
         Self {
-            held: Vec::new(),
-            book,
+            applied: Vec::new(),
+            history,
         }
     }
 }
 
-impl StateMachine for Listing {
+impl StateMachine for RecordingMachine {
     fn apply(&mut self, revision: Revision, operation: &[u8]) -> Vec<u8> {
         let operation = u64::from_le_bytes(operation.try_into().unwrap());
-        self.book.borrow_mut().applied(revision, operation);
-        self.held.push((operation, revision.0));
+        self.history
+            .borrow_mut()
+            .record_applied(revision, operation);
+        self.applied.push((operation, revision.0));
         revision.0.to_le_bytes().to_vec()
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let rows = self.held.iter();
+        let rows = self.applied.iter();
         rows.flat_map(|(operation, revision)| {
             [operation.to_le_bytes(), revision.to_le_bytes()].concat()
         })
@@ -177,7 +179,7 @@
                 .map_err(|_| BadSnapshot)
         };
         let rows = snapshot.chunks(16);
-        self.held = rows
+        self.applied = rows
             .map(|row| {
                 Ok((
                     number(row.get(..8).ok_or(BadSnapshot)?)?,
--- a/tier/chain/tests/simulation/world/clients.rs
+++ b/tier/chain/tests/simulation/world/clients.rs
@@ -1,78 +1,79 @@
-//! What clients ask for, and what they were told.
+//! Clients that propose and read, and the answers that they wait for.
 
 use super::machine::Input;
-use super::{Asked, Event, World};
+use super::{Event, PendingCall, World};
 
 impl World {
     pub(super) fn next_operation(&mut self) {
-        if self.clients_gone {
+        if self.are_clients_stopped {
             return;
         }
-        let delay = self.chance.between(1, 2 * self.shape.pace);
-        self.at(delay, Event::Operation);
+        let delay = self.rng.between(1, 2 * self.config.operation_interval);
+        self.schedule(delay, Event::Operation);
         self.operations += 1;
-        let (operation, at) = (self.operations, self.any_machine());
-        self.propose(at, operation);
+        let (operation, index) = (self.operations, self.any_machine());
+        self.propose(index, operation);
     }
 
-    /// Proposes an operation at a machine, which need not be able to take it.
-    pub fn propose(&mut self, at: usize, operation: u64) -> u128 {
-        let request = u128::from(self.chance.number()) << 64 | u128::from(operation);
-        self.propose_as(at, request, operation);
+    /// Proposes an operation at a machine, which may be down or partitioned.
+    pub fn propose(&mut self, index: usize, operation: u64) -> u128 {
+        let request = u128::from(self.rng.next_u64()) << 64 | u128::from(operation);
+        self.propose_as(index, request, operation);
         request
     }
 
-    pub(super) fn propose_as(&mut self, at: usize, request: u128, operation: u64) {
-        if self.machines[at].is_up() {
-            let asked = Asked {
-                machine: at,
-                life: self.machines[at].life,
+    pub(super) fn propose_as(&mut self, index: usize, request: u128, operation: u64) {
+        if self.machines[index].is_up() {
+            let call = PendingCall {
+                machine: index,
+                process_epoch: self.machines[index].process_epoch,
             };
-            self.proposals.insert(request, (operation, asked));
-            let ends = self.now + 4_000;
-            self.input(
-                at,
+            self.proposals.insert(request, (operation, call));
+            let deadline = self.now + 4_000;
+            self.deliver_input(
+                index,
                 Input::Propose {
                     request,
                     operation,
-                    ends,
+                    deadline,
                 },
             );
         }
     }
 
     pub(super) fn any_machine(&mut self) -> usize {
-        self.chance.below(self.machines.len() as u64) as usize
+        self.rng.below(self.machines.len() as u64) as usize
     }
 
     pub(super) fn next_read(&mut self) {
-        let delay = self.chance.between(1, 4 * self.shape.pace);
-        self.at(delay, Event::Read);
-        let at = self.any_machine();
-        if !self.machines[at].is_up() {
+        let delay = self.rng.between(1, 4 * self.config.operation_interval);
+        self.schedule(delay, Event::Read);
+        let index = self.any_machine();
+        if !self.machines[index].is_up() {
             return;
         }
-        let read = self.chance.number();
-        let asked = Asked {
-            machine: at,
-            life: self.machines[at].life,
+        let read = self.rng.next_u64();
+        let call = PendingCall {
+            machine: index,
+            process_epoch: self.machines[index].process_epoch,
         };
-        self.reads.insert(read, (self.book.borrow().seen(), asked));
-        let ends = self.now + 4_000;
-        self.input(at, Input::Read { read, ends });
+        self.reads
+            .insert(read, (self.history.borrow().highest_observed(), call));
+        let deadline = self.now + 4_000;
+        self.deliver_input(index, Input::Read { read, deadline });
     }
 
-    /// Forgets what processes that have ended were asked.
-    pub fn forget_asked(&mut self, at: usize) {
-        let life = self.machines[at].life;
+    /// Drops the pending calls of a process that ends.
+    pub fn forget_pending_calls(&mut self, index: usize) {
+        let process_epoch = self.machines[index].process_epoch;
         self.proposals
-            .retain(|_, (_, asked)| asked.machine != at || asked.life != life);
+            .retain(|_, (_, call)| call.machine != index || call.process_epoch != process_epoch);
         self.reads
-            .retain(|_, (_, asked)| asked.machine != at || asked.life != life);
+            .retain(|_, (_, call)| call.machine != index || call.process_epoch != process_epoch);
     }
 
     pub fn is_acknowledged(&self, operation: u64) -> bool {
-        self.book.borrow().is_acknowledged(operation)
+        self.history.borrow().is_acknowledged(operation)
     }
 
     /// The machine that heads the newest view.
--- a/tier/chain/tests/simulation/world/disks.rs
+++ b/tier/chain/tests/simulation/world/disks.rs
@@ -1,44 +1,65 @@
-//! Disks that take their time.
+//! Disks: syncs take time, and fail or stall for a while.
 
 use plankhill_chain::Ticket;
 
-use super::faults::Planted;
+use super::faults::InjectedBug;
 use super::machine::Input;
-use super::{Event, World, REFUSED_STEP, STALL_STEP};
+use super::{Event, World, REJECTION_RETRY_INTERVAL, STALL_RETRY_INTERVAL};
 
 impl World {
-    /// A sync takes in everything that waits when it begins.
-    pub(super) fn sync_next(&mut self, at: usize) {
-        if self.syncing.contains_key(&at) {
+    /// A sync covers all batches that are pending when it begins.
+    pub(super) fn sync_next(&mut self, index: usize) {
+        if self.syncing.contains_key(&index) {
             return;
         }
-        let machine = &self.machines[at];
+        let machine = &self.machines[index];
         let Some((ticket, _)) = machine.disk.waiting.back() else {
             return;
         };
-        let (ticket, life) = (ticket.0, machine.life);
-        self.syncing.insert(at, ticket);
-        let takes = self.chance.between(2, 9);
-        self.at(takes, Event::Synced { at, life, ticket });
+        let (ticket, process_epoch) = (ticket.0, machine.process_epoch);
+        self.syncing.insert(index, ticket);
+        let takes = self.rng.between(2, 9);
+        self.schedule(
+            takes,
+            Event::Synced {
+                index,
+                process_epoch,
+                ticket,
+            },
+        );
     }
 
-    pub(super) fn synced(&mut self, at: usize, life: u64, ticket: u64) {
-        if self.machines[at].life != life || !self.machines[at].is_up() {
+    pub(super) fn synced(&mut self, index: usize, process_epoch: u64, ticket: u64) {
+        if self.machines[index].process_epoch != process_epoch || !self.machines[index].is_up() {
             return;
         }
-        if self.machines[at].stalled_until > self.now {
-            self.at(STALL_STEP, Event::Synced { at, life, ticket });
+        if self.machines[index].stalled_until > self.now {
+            self.schedule(
+                STALL_RETRY_INTERVAL,
+                Event::Synced {
+                    index,
+                    process_epoch,
+                    ticket,
+                },
+            );
             return;
         }
-        if self.machines[at].full_until > self.now {
-            self.input(at, Input::DiskRefuses);
-            self.at(REFUSED_STEP, Event::Synced { at, life, ticket });
+        if self.machines[index].full_until > self.now {
+            self.deliver_input(index, Input::DiskRejected);
+            self.schedule(
+                REJECTION_RETRY_INTERVAL,
+                Event::Synced {
+                    index,
+                    process_epoch,
+                    ticket,
+                },
+            );
             return;
         }
-        let lies = self.shape.planted == Some(Planted::DiskLies);
-        if self.syncing.get(&at) == Some(&ticket) {
-            self.syncing.remove(&at);
-            let disk = &mut self.machines[at].disk;
+        let lies = self.config.injected_bug == Some(InjectedBug::UnsyncedDisk);
+        if self.syncing.get(&index) == Some(&ticket) {
+            self.syncing.remove(&index);
+            let disk = &mut self.machines[index].disk;
             while !lies
                 && disk
                     .waiting
@@ -48,10 +69,12 @@
                 let Some((_, writes)) = disk.waiting.pop_front() else {
                     break;
                 };
-                writes.iter().for_each(|write| disk.synced.apply(write));
+                for write in &writes {
+                    disk.synced.apply(write);
+                }
             }
         }
-        self.input(at, Input::Persisted(Ticket(ticket)));
-        self.sync_next(at);
+        self.deliver_input(index, Input::Persisted(Ticket(ticket)));
+        self.sync_next(index);
     }
 }
--- a/tier/chain/tests/simulation/world/faults.rs
+++ b/tier/chain/tests/simulation/world/faults.rs
@@ -1,76 +1,96 @@
-//! Faults of the world, and mistakes that are planted to see them found.
+//! Faults of the world, and bugs that are injected to see that an invariant finds them.
 
 use plankhill_chain::{Message, Millis};
 
 use super::machine::Machine;
 use super::World;
 
-/// A machine that is back counts as lost for this long, in ms (`catch_up_s` of the tightest deployment known).
-pub const CATCH_UP: Millis = 4_100;
+/// A machine that is back counts as lost for this long, in ms (`catch_up_s` of the tightest
+/// deployment known).
+pub const RECOVERY_TIMEOUT: Millis = 4_100;
 
-/// A mistake that some rule has to find.
+/// A bug that some invariant has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// Disks say that they have synced what they have not.
-    DiskLies,
+pub enum InjectedBug {
+    /// Disks report syncs that have not happened.
+    UnsyncedDisk,
     /// A lost disk keeps its incarnation, so that its old votes count.
-    IncarnationKept,
+    IncarnationReused,
     /// Voters answer each attempt as if it were the first.
     PromisesForgotten,
-    /// One copy is enough to acknowledge.
-    AnyCopies,
-    /// Questions whether a view is still current are always answered with yes.
-    AlwaysConfirmed,
-    /// Messages of older views pass for ones of the receiver's view.
-    ViewsIgnored,
-    /// Repeats of a proposal carry a new name.
-    RepeatsUnnamed,
-    /// Some outcomes are told wrong.
+    /// One replica is enough to acknowledge.
+    SingleReplicaCommits,
+    /// Voters confirm every view.
+    ViewAlwaysConfirmed,
+    /// Messages of older views count as ones of the receiver's view.
+    ViewsNotChecked,
+    /// Retries of a proposal carry a new request number.
+    RetriesRenamed,
+    /// Some outcomes are altered on their way.
     OutcomesAltered,
-    /// Nobody hears of a decision.
+    /// Decisions reach nobody.
     DecisionsLost,
 }
 
 impl World {
-    /// Applies the planted mistake to a message.
-    pub(super) fn tamper(&mut self, from: usize, to: usize, message: Message) -> Option<Message> {
-        match (self.shape.planted, message) {
-            (Some(Planted::ViewsIgnored), message) => Some(self.with_view_of(to, message)),
-            (Some(Planted::PromisesForgotten), Message::Decided(_)) if !self.chance.one_in(4) => {
+    /// Applies the injected bug to a message; `None` drops the message.
+    pub(super) fn apply_injected_bug(
+        &mut self,
+        from: usize,
+        to: usize,
+        message: Message,
+    ) -> Option<Message> {
+        match (self.config.injected_bug, message) {
+            (Some(InjectedBug::ViewsNotChecked), message) => Some(self.with_view_of(to, message)),
+            (Some(InjectedBug::PromisesForgotten), Message::Decided(_)) if !self.rng.one_in(4) => {
                 None
             }
-            (Some(Planted::RepeatsUnnamed), Message::Forward { view, mut entry }) => {
+            (Some(InjectedBug::RetriesRenamed), Message::Forward { view, mut entry }) => {
                 entry.request.0 ^= u128::from(self.now) << 32;
                 Some(Message::Forward { view, entry })
             }
             (
-                Some(Planted::PromisesForgotten),
+                Some(InjectedBug::PromisesForgotten),
                 Message::Promise {
                     instance,
                     ballot,
-                    position,
+                    last_revision,
                     ..
                 },
             ) => Some(Message::Promise {
                 instance,
                 ballot,
                 accepted: None,
-                position,
+                last_revision,
             }),
-            (Some(Planted::OutcomesAltered), Message::Outcome { request, outcome }) => {
+            (Some(InjectedBug::OutcomesAltered), Message::Outcome { request, outcome }) => {
                 let told = u64::from_le_bytes(outcome.as_ref().try_into().unwrap()) + self.now % 2;
                 Some(Message::Outcome {
                     request,
                     outcome: told.to_le_bytes().to_vec().into(),
                 })
             }
-            (Some(Planted::DecisionsLost), Message::Decided(_)) if self.now > 4_000 => None,
-            (Some(Planted::AlwaysConfirmed), Message::Confirm { view, round }) => {
+            (Some(InjectedBug::DecisionsLost), Message::Decided(_)) if self.now > 4_000 => None,
+            (
+                Some(InjectedBug::ViewAlwaysConfirmed),
+                Message::Confirm {
+                    view,
+                    confirmation_id,
+                },
+            ) => {
                 let voter = self.machines[to]
                     .process
                     .as_ref()
-                    .map(|member| member.me().identity.clone());
-                let answered = voter.map(|voter| (voter, Message::Confirmed { view, round }));
+                    .map(|member| member.member().identity.clone());
+                let answered = voter.map(|voter| {
+                    (
+                        voter,
+                        Message::Confirmed {
+                            view,
+                            confirmation_id,
+                        },
+                    )
+                });
                 if let Some((voter, answer)) = answered {
                     self.answer(from, voter, answer);
                 }
@@ -99,164 +119,176 @@
     }
 
     /// Starts the sequence of faults.
-    pub fn trouble(&mut self) {
-        self.faults_on = true;
-        self.fault_after(1);
+    pub fn start_faults(&mut self) {
+        self.are_faults_enabled = true;
+        self.schedule_fault(1);
     }
 
     /// Ends all faults; machines that are down start.
-    pub fn calm(&mut self) {
-        self.faults_on = false;
+    pub fn stop_faults(&mut self) {
+        self.are_faults_enabled = false;
         self.heal();
         for machine in &mut self.machines {
             machine.stalled_until = 0;
             machine.full_until = 0;
         }
-        for at in 0..self.machines.len() {
-            self.thaw(at);
-            if !self.machines[at].is_up() {
-                self.restart_after(at, 1);
+        for index in 0..self.machines.len() {
+            self.thaw(index);
+            if !self.machines[index].is_up() {
+                self.schedule_restart(index, 1);
             }
         }
     }
 
     pub(super) fn next_fault(&mut self) {
-        if !self.faults_on {
+        if !self.are_faults_enabled {
             return;
         }
-        self.strike_now();
-        let soon = self.chance.one_in(3);
+        self.inject_fault();
+        let soon = self.rng.one_in(3);
         let delay = if soon {
-            self.chance.below(200)
+            self.rng.below(200)
         } else {
-            self.chance.between(500, 7_000)
+            self.rng.between(500, 7_000)
         };
-        self.fault_after(delay);
+        self.schedule_fault(delay);
     }
 
-    pub(super) fn strike_now(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         let present: Vec<_> = (0..self.machines.len())
-            .filter(|at| !self.machines[*at].removed)
+            .filter(|index| !self.machines[*index].removed)
             .collect();
-        let Some(at) = self.chance.pick(&present) else {
+        let Some(index) = self.rng.pick(&present) else {
             return;
         };
-        let Some(other) = self.chance.pick(&present) else {
+        let Some(other) = self.rng.pick(&present) else {
             return;
         };
-        let wipes = self.shape.planted == Some(Planted::IncarnationKept) && self.chance.one_in(2);
-        let drawn = if wipes { 8 } else { self.chance.below(15) };
+        let wipes =
+            self.config.injected_bug == Some(InjectedBug::IncarnationReused) && self.rng.one_in(2);
+        let drawn = if wipes { 8 } else { self.rng.below(15) };
         match drawn {
-            0 | 1 => self.kill(at),
-            2 | 3 => self.freeze(at),
-            4 => self.cut(&[(at, other)]),
-            5 => self.cut(&[(at, other), (other, at)]),
-            6 => self.isolate(at),
-            7 => present.iter().for_each(|at| self.kill(*at)),
+            0 | 1 => self.kill(index),
+            2 | 3 => self.freeze(index),
+            4 => self.partition(&[(index, other)]),
+            5 => self.partition(&[(index, other), (other, index)]),
+            6 => self.isolate(index),
+            7 => {
+                for index in present {
+                    self.kill(index);
+                }
+            }
             8 | 9 => self.lose_disks(&present),
-            10 => self.replace(at),
+            10 => self.replace(index),
             11 => self.heal(),
-            12 => self.stall(at),
-            13 => self.fill(at),
-            _ => present.iter().for_each(|at| self.freeze(*at)),
+            12 => self.stall(index),
+            13 => self.fill(index),
+            _ => {
+                for index in present {
+                    self.freeze(index);
+                }
+            }
         }
     }
 
-    pub fn kill(&mut self, at: usize) {
-        if !self.machines[at].is_up() {
+    pub fn kill(&mut self, index: usize) {
+        if !self.machines[index].is_up() {
             return;
         }
-        self.forget_asked(at);
-        self.stop(at);
-        let delay = self.chance.between(50, 1_500);
-        self.restart_after(at, delay);
+        self.forget_pending_calls(index);
+        self.stop(index);
+        let delay = self.rng.between(50, 1_500);
+        self.schedule_restart(index, delay);
     }
 
-    pub fn freeze(&mut self, at: usize) {
-        if !self.machines[at].is_up() || self.machines[at].frozen {
+    pub fn freeze(&mut self, index: usize) {
+        if !self.machines[index].is_up() || self.machines[index].frozen {
             return;
         }
-        self.machines[at].frozen = true;
-        self.disturbed_at = self.disturbed_at.max(self.now);
-        let delay = self.chance.between(20, 5_000);
-        self.thaw_after(at, delay);
+        self.machines[index].frozen = true;
+        self.last_fault_at = self.last_fault_at.max(self.now);
+        let delay = self.rng.between(20, 5_000);
+        self.schedule_thaw(index, delay);
     }
 
     /// The disk answers nothing for a while.
-    pub fn stall(&mut self, at: usize) {
-        let until = self.now + self.chance.between(100, 5_000);
-        self.machines[at].stalled_until = until;
-        self.disturbed_at = self.disturbed_at.max(until);
+    pub fn stall(&mut self, index: usize) {
+        let until = self.now + self.rng.between(100, 5_000);
+        self.machines[index].stalled_until = until;
+        self.last_fault_at = self.last_fault_at.max(until);
     }
 
-    /// The disk refuses to write for a while.
-    pub fn fill(&mut self, at: usize) {
-        let until = self.now + self.chance.between(100, 8_000);
-        self.machines[at].full_until = until;
-        self.disturbed_at = self.disturbed_at.max(until);
+    /// The disk rejects writes for a while.
+    pub fn fill(&mut self, index: usize) {
+        let until = self.now + self.rng.between(100, 8_000);
+        self.machines[index].full_until = until;
+        self.last_fault_at = self.last_fault_at.max(until);
     }
 
-    pub fn cut(&mut self, pairs: &[(usize, usize)]) {
-        self.disturbed_at = self.disturbed_at.max(self.now);
-        self.cuts
+    pub fn partition(&mut self, pairs: &[(usize, usize)]) {
+        self.last_fault_at = self.last_fault_at.max(self.now);
+        self.partitions
             .extend(pairs.iter().filter(|(from, to)| from != to));
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
-        self.disturbed_at = self.disturbed_at.max(self.now);
+        self.partitions.clear();
+        self.last_fault_at = self.last_fault_at.max(self.now);
     }
 
-    pub fn isolate(&mut self, at: usize) {
-        let others = (0..self.machines.len()).filter(|other| *other != at);
+    pub fn isolate(&mut self, index: usize) {
+        let others = (0..self.machines.len()).filter(|other| *other != index);
         let pairs: Vec<_> = others
-            .flat_map(|other| [(at, other), (other, at)])
+            .flat_map(|other| [(index, other), (other, index)])
             .collect();
-        self.cut(&pairs);
+        self.partition(&pairs);
     }
 
-    /// As many machines as are tolerated lose their disks, at times while all others lose power. Only when no
-    /// machine counts as lost already.
+    /// As many machines as are tolerated lose their disks, at times while all others lose power.
+    /// Only when no machine counts as lost already.
     fn lose_disks(&mut self, present: &[usize]) {
-        if !self.is_whole() {
+        if !self.is_recovered() {
             return;
         }
-        let all_lose_power = self.chance.one_in(2);
+        let all_lose_power = self.rng.one_in(2);
         let mut left = present.to_vec();
-        for _ in 0..self.shape.tolerated {
-            let Some(at) = self.chance.pick(&left) else {
+        for _ in 0..self.config.tolerated_faults {
+            let Some(index) = self.rng.pick(&left) else {
                 return;
             };
-            left.retain(|other| *other != at);
-            self.kill(at);
-            self.machines[at].disk = Default::default();
+            left.retain(|other| *other != index);
+            self.kill(index);
+            self.machines[index].disk = Default::default();
         }
         if all_lose_power {
-            left.iter().for_each(|at| self.kill(*at));
+            for index in left {
+                self.kill(index);
+            }
         }
     }
 
     /// A machine goes for good and an empty one comes at another address.
-    fn replace(&mut self, at: usize) {
-        if !self.is_whole() || self.machines.len() > 12 {
+    fn replace(&mut self, index: usize) {
+        if !self.is_recovered() || self.machines.len() > 12 {
             return;
         }
-        self.kill(at);
-        self.machines[at].disk = Default::default();
-        self.machines[at].removed = true;
+        self.kill(index);
+        self.machines[index].disk = Default::default();
+        self.machines[index].removed = true;
         let successor = Machine::new(self.machines.len());
         self.machines.push(successor);
-        let delay = self.chance.between(100, 1_500);
-        self.restart_after(self.machines.len() - 1, delay);
+        let delay = self.rng.between(100, 1_500);
+        self.schedule_restart(self.machines.len() - 1, delay);
     }
 
-    /// Whether nothing has happened for long enough that no machine counts as lost.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the last fault is so long ago that no machine counts as lost any more.
+    pub fn is_recovered(&self) -> bool {
         let up = self
             .machines
             .iter()
             .all(|machine| machine.removed || (machine.is_up() && !machine.frozen));
-        up && self.cuts.is_empty() && self.now.saturating_sub(self.disturbed_at) >= CATCH_UP
+        up && self.partitions.is_empty()
+            && self.now.saturating_sub(self.last_fault_at) >= RECOVERY_TIMEOUT
     }
 
     /// Machines in service, by the newest view that any of them knows.
@@ -272,7 +304,7 @@
         let serving = |view: &plankhill_chain::View| {
             members
                 .clone()
-                .filter(|member| view.in_chain(&member.me().identity))
+                .filter(|member| view.is_in_chain(&member.member().identity))
                 .count()
         };
         newest.map_or(0, serving)
@@ -281,11 +313,9 @@
     /// Whether every machine is up and calls itself current.
     pub fn all_current(&self) -> bool {
         let now = self.now;
-        let current = |machine: &super::machine::Machine| {
-            machine
-                .process
-                .as_ref()
-                .is_some_and(|it| it.is_current(now))
+        let current = |machine: &Machine| {
+            let member = machine.process.as_ref();
+            member.is_some_and(|member| member.is_current(now))
         };
         self.machines.iter().all(current)
     }
