--- a/tier/chain/tests/simulation/world/machine.rs
+++ b/tier/chain/tests/simulation/world/machine.rs
@@ -6,23 +6,24 @@
 use std::rc::Rc;
 
 use plankhill_chain::{
-    ChainMember, Configuration, Durable, Effect, Identity, Member, Message, Millis, Ticket, Write,
+    ChainMember, DurableState, Effect, Identity, Member, MemberConfig, Message, Millis, Ticket,
+    Write,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 
-use super::chance::Chance;
-use super::checker::{Book, Listing};
+use super::checker::{History, RecordingMachine};
+use super::rng::SimRng;
 
 /// What survives the process.
 #[derive(Default)]
 pub struct Disk {
-    pub synced: Durable,
-    /// Batches that the process has handed over, the first of them being written.
+    pub synced: DurableState,
+    /// Batches that the process has submitted, the first of them being written.
     pub waiting: VecDeque<(Ticket, Vec<Write>)>,
 }
 
 impl Disk {
-    /// Whether an operation would be found here after a loss of power.
+    /// Whether an operation would be on the disk after a loss of power.
     pub fn holds(&self, revision: u64) -> bool {
         let last = self
             .synced
@@ -35,29 +36,32 @@
             && last.max(self.synced.snapshot.revision) >= Revision(revision)
     }
 
-    /// The process or the power is gone: some of what waited has still reached the disk, in order.
-    pub fn lose(&mut self, chance: &mut Chance) {
-        let survives = chance.below(self.waiting.len() as u64 + 1);
+    /// The process or the power ends: some of the pending batches have still reached the disk, in
+    /// order.
+    pub fn crash(&mut self, rng: &mut SimRng) {
+        let survives = rng.below(self.waiting.len() as u64 + 1);
         for (_, writes) in self.waiting.drain(..).take(survives as usize) {
-            writes.iter().for_each(|write| self.synced.apply(write));
+            for write in &writes {
+                self.synced.apply(write);
+            }
         }
     }
 }
 
-/// Something that a process takes in.
+/// An input of a process.
 pub enum Input {
     Message(Identity, Message),
     Persisted(Ticket),
-    DiskRefuses,
+    DiskRejected,
     Tick,
     Propose {
         request: u128,
         operation: u64,
-        ends: Millis,
+        deadline: Millis,
     },
     Read {
         read: u64,
-        ends: Millis,
+        deadline: Millis,
     },
 }
 
@@ -66,16 +70,16 @@
     pub node: NodeId,
     pub address: SocketAddr,
     pub disk: Disk,
-    pub process: Option<ChainMember<Listing>>,
-    /// Tells events of former lives apart.
-    pub life: u64,
+    pub process: Option<ChainMember<RecordingMachine>>,
+    /// Tells events of former starts of the process apart.
+    pub process_epoch: u64,
     pub frozen: bool,
-    /// What has come while it was frozen.
-    pub held_back: VecDeque<Input>,
+    /// Inputs that came while the process was frozen.
+    pub queued_inputs: VecDeque<Input>,
     pub tick_at: Millis,
     /// The disk answers nothing until then.
     pub stalled_until: Millis,
-    /// The disk refuses to write until then.
+    /// The disk rejects writes until then.
     pub full_until: Millis,
     /// Gone for good.
     pub removed: bool,
@@ -89,9 +93,9 @@
             address,
             disk: Disk::default(),
             process: None,
-            life: 0,
+            process_epoch: 0,
             frozen: false,
-            held_back: VecDeque::new(),
+            queued_inputs: VecDeque::new(),
             tick_at: 0,
             stalled_until: 0,
             full_until: 0,
@@ -107,25 +111,25 @@
     pub fn start(
         &mut self,
         start: Start,
-        book: &Rc<RefCell<Book>>,
+        history: &Rc<RefCell<History>>,
         now: Millis,
-        chance: &mut Chance,
+        rng: &mut SimRng,
     ) {
-        self.life += 1;
+        self.process_epoch += 1;
         self.frozen = false;
-        self.held_back.clear();
+        self.queued_inputs.clear();
         if self.disk.synced.incarnation.is_none() {
             let founders = start.bootstrap.then(|| start.seeds.clone());
             let founders = founders.filter(|founders| founders.contains(&self.address));
             self.disk
                 .synced
                 .apply(&Write::Incarnation(Incarnation(start.incarnation)));
-            founders
-                .into_iter()
-                .for_each(|founders| self.disk.synced.apply(&Write::Founders(founders)));
+            if let Some(founders) = founders {
+                self.disk.synced.apply(&Write::Founders(founders));
+            }
         }
         let incarnation = self.disk.synced.incarnation.unwrap();
-        let configuration = Configuration {
+        let configuration = MemberConfig {
             member: Member {
                 identity: Identity {
                     node: self.node.clone(),
@@ -133,45 +137,50 @@
                 },
                 address: self.address,
             },
-            tolerated: start.tolerated,
+            tolerated_faults: start.tolerated_faults,
             seeds: start.seeds,
-            random: chance.number(),
+            random_seed: rng.next_u64(),
         };
-        let machine = Listing::new(Rc::clone(book));
+        let machine = RecordingMachine::new(Rc::clone(history));
         let member = ChainMember::new(configuration, self.disk.synced.clone(), machine, now);
         self.process = member.ok();
         self.tick_at = now;
     }
 
-    /// The process ends; nothing of it is left but the disk.
-    pub fn stop(&mut self, chance: &mut Chance) {
+    /// The process ends; only the disk is left.
+    pub fn stop(&mut self, rng: &mut SimRng) {
         self.process = None;
-        self.disk.lose(chance);
+        self.disk.crash(rng);
     }
 
-    /// Hands something to the process and returns what it wants done.
+    /// Delivers an input to the process; the effects that follow.
     pub fn take(&mut self, input: Input, now: Millis) -> Vec<Effect> {
         let Some(member) = self.process.as_mut() else {
             return Vec::new();
         };
         if self.frozen {
-            self.held_back.push_back(input);
+            self.queued_inputs.push_back(input);
             return Vec::new();
         }
         match input {
             Input::Message(from, message) => member.receive(&from, message, now),
-            Input::Persisted(ticket) => member.persisted(ticket, now),
-            Input::DiskRefuses => member.disk_refuses(now),
+            Input::Persisted(ticket) => member.on_persisted(ticket, now),
+            Input::DiskRejected => member.on_disk_refused(now),
             Input::Tick => member.tick(now),
             Input::Propose {
                 request,
                 operation,
-                ends,
+                deadline,
             } => {
                 let request = plankhill_chain::RequestNumber(request);
-                member.propose(request, operation.to_le_bytes().to_vec().into(), ends, now);
+                member.propose(
+                    request,
+                    operation.to_le_bytes().to_vec().into(),
+                    deadline,
+                    now,
+                );
             }
-            Input::Read { read, ends } => member.read(read, ends, now),
+            Input::Read { read, deadline } => member.read(read, deadline, now),
         }
         member.take_effects()
     }
@@ -182,6 +191,6 @@
 pub struct Start {
     pub bootstrap: bool,
     pub incarnation: u64,
-    pub tolerated: usize,
+    pub tolerated_faults: usize,
     pub seeds: Vec<SocketAddr>,
 }
--- a/tier/chain/tests/simulation/world/mod.rs
+++ b/tier/chain/tests/simulation/world/mod.rs
@@ -1,6 +1,6 @@
-//! A world in virtual time: machines with disks, links between them, clients, and faults that follow from a seed.
+//! A world in virtual time: machines with disks, links between them, clients, and faults that
+//! follow from a seed.
 
-pub mod chance;
 pub mod checker;
 mod clients;
 mod disks;
@@ -8,6 +8,7 @@
 pub mod machine;
 mod network;
 mod processes;
+pub mod rng;
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -18,85 +19,103 @@
 use plankhill_chain::{Effect, Identity, Message, Millis};
 use plankhill_protocol::ids::Revision;
 
-use chance::Chance;
-use checker::{Book, Rule};
-use faults::Planted;
+use checker::{History, Invariant};
+use faults::InjectedBug;
 use machine::{Input, Machine};
+use rng::SimRng;
 
-/// A disk that does not answer is asked again after this long, in ms.
-const STALL_STEP: Millis = 20;
+/// A disk that does not answer is checked again after this long, in ms.
+const STALL_RETRY_INTERVAL: Millis = 20;
 
-/// A disk that refuses to write is tried again after this long, in ms.
-const REFUSED_STEP: Millis = 100;
+/// A disk that rejects writes is tried again after this long, in ms.
+const REJECTION_RETRY_INTERVAL: Millis = 100;
 
-/// What a world is like.
+/// The size of a world, its load and its bug.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct WorldConfig {
     pub machines: usize,
     pub seeds: usize,
-    pub tolerated: usize,
-    /// Between operations, in ms.
-    pub pace: u64,
-    pub planted: Option<Planted>,
+    pub tolerated_faults: usize,
+    /// The mean time between operations, in ms.
+    pub operation_interval: u64,
+    pub injected_bug: Option<InjectedBug>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Deliver { to: usize, life: u64, number: u64 },
-    Synced { at: usize, life: u64, ticket: u64 },
-    Tick { at: usize, life: u64 },
+    Deliver {
+        to: usize,
+        process_epoch: u64,
+        number: u64,
+    },
+    Synced {
+        index: usize,
+        process_epoch: u64,
+        ticket: u64,
+    },
+    Tick {
+        index: usize,
+        process_epoch: u64,
+    },
     Operation,
-    Repeat { request: u128, operation: u64 },
+    Repeat {
+        request: u128,
+        operation: u64,
+    },
     Read,
-    Start { at: usize },
-    Thaw { at: usize },
+    Start {
+        index: usize,
+    },
+    Thaw {
+        index: usize,
+    },
     Fault,
 }
 
-/// A proposal or a read that waits.
-struct Asked {
+/// A proposal or a read that waits for its answer.
+struct PendingCall {
     machine: usize,
-    life: u64,
+    process_epoch: u64,
 }
 
 pub struct World {
     pub now: Millis,
     pub machines: Vec<Machine>,
-    pub book: Rc<RefCell<Book>>,
-    pub chance: Chance,
-    pub shape: Shape,
-    /// Ordered pairs between which nothing gets through.
-    pub cuts: Vec<(usize, usize)>,
+    pub history: Rc<RefCell<History>>,
+    pub rng: SimRng,
+    pub config: WorldConfig,
+    /// Ordered pairs (from, to) between which no message gets through.
+    pub partitions: Vec<(usize, usize)>,
     /// When the last fault ended or began.
-    pub disturbed_at: Millis,
-    pub faults_on: bool,
+    pub last_fault_at: Millis,
+    pub are_faults_enabled: bool,
     queue: BinaryHeap<Reverse<(Millis, u64, Event)>>,
     sequence: u64,
     messages: HashMap<u64, (usize, Identity, Message)>,
     arrivals: BTreeMap<(usize, usize), Millis>,
     syncing: BTreeMap<usize, u64>,
     operations: u64,
-    proposals: BTreeMap<u128, (u64, Asked)>,
-    reads: BTreeMap<u64, (u64, Asked)>,
+    proposals: BTreeMap<u128, (u64, PendingCall)>,
+    reads: BTreeMap<u64, (u64, PendingCall)>,
     incarnations: u64,
     /// Whether an acknowledgement is followed by a fault at once.
-    pub strike: bool,
-    /// Nobody proposes any more.
-    pub clients_gone: bool,
+    pub fault_after_acknowledgement: bool,
+    /// No client proposes any more.
+    pub are_clients_stopped: bool,
 }
 
 impl World {
-    pub fn new(seed: u64, shape: Shape) -> Self {
-        let machines = (0..shape.machines).map(Machine::new).collect();
+    pub fn new(seed: u64, config: WorldConfig) -> Self {
+        let machines = (0..config.machines).map(Machine::new).collect();
         let mut world = Self {
             now: 0,
             machines,
-            book: Rc::default(),
-            chance: Chance::new(seed),
-            shape,
-            cuts: Vec::new(),
-            disturbed_at: 0,
-            faults_on: false,
+            history: Rc::default(),
+            rng: SimRng::new(seed),
+            config,
+            partitions: Vec::new(),
+            last_fault_at: 0,
+            are_faults_enabled: false,
             queue: BinaryHeap::new(),
             sequence: 0,
             messages: HashMap::new(),
@@ -106,30 +125,40 @@
             proposals: BTreeMap::new(),
             reads: BTreeMap::new(),
             incarnations: 0,
-            strike: false,
-            clients_gone: false,
+            fault_after_acknowledgement: false,
+            are_clients_stopped: false,
         };
         for machine in 0..world.machines.len() {
-            let delay = world.chance.below(300);
-            world.at(delay, Event::Start { at: machine });
+            let delay = world.rng.below(300);
+            world.schedule(delay, Event::Start { index: machine });
         }
-        world.at(500, Event::Operation);
-        world.at(700, Event::Read);
+        world.schedule(500, Event::Operation);
+        world.schedule(700, Event::Read);
         world
     }
 
-    fn at(&mut self, delay: Millis, event: Event) {
+    /// A world whose members have founded a chain and are all in service.
+    pub fn settled(seed: u64, config: WorldConfig) -> Self {
+        let machines = config.machines;
+        let mut world = Self::new(seed, config);
+        world.run(3_000);
+        assert_eq!(world.in_service(), machines, "seed {seed}");
+        world
+    }
+
+    fn schedule(&mut self, delay: Millis, event: Event) {
         self.sequence += 1;
         self.queue
             .push(Reverse((self.now + delay, self.sequence, event)));
     }
 
-    /// Lets time pass; stops early when a rule is broken without a planted mistake.
+    /// Lets time pass; stops early when an invariant is violated without an injected bug.
     pub fn run(&mut self, duration: Millis) {
         let end = self.now + duration;
         while let Some(Reverse((time, _, _))) = self.queue.peek() {
-            let broken = self.shape.planted.is_none() && !self.book.borrow().broken.is_empty();
-            if *time > end || broken {
+            let violations =
+                self.config.injected_bug.is_none() && !self.history.borrow().violations.is_empty();
+            if *time > end || violations {
                 break;
             }
             let Some(Reverse((time, _, event))) = self.queue.pop() else {
@@ -142,7 +171,7 @@
     }
 
     pub fn seeds(&self) -> Vec<SocketAddr> {
-        self.machines[..self.shape.seeds]
+        self.machines[..self.config.seeds]
             .iter()
             .map(|machine| machine.address)
             .collect()
@@ -150,81 +179,102 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Deliver { to, life, number } => self.deliver(to, life, number),
-            Event::Synced { at, life, ticket } => self.synced(at, life, ticket),
-            Event::Tick { at, life } => {
-                let machine = &self.machines[at];
-                if machine.life == life && machine.tick_at <= self.now {
-                    self.input(at, Input::Tick);
+            Event::Deliver {
+                to,
+                process_epoch,
+                number,
+            } => self.deliver(to, process_epoch, number),
+            Event::Synced {
+                index,
+                process_epoch,
+                ticket,
+            } => self.synced(index, process_epoch, ticket),
+            Event::Tick {
+                index,
+                process_epoch,
+            } => {
+                let machine = &self.machines[index];
+                if machine.process_epoch == process_epoch && machine.tick_at <= self.now {
+                    self.deliver_input(index, Input::Tick);
                 }
             }
             Event::Operation => self.next_operation(),
             Event::Repeat { request, operation } => {
-                let at = self.any_machine();
-                self.propose_as(at, request, operation);
+                let index = self.any_machine();
+                self.propose_as(index, request, operation);
             }
             Event::Read => self.next_read(),
-            Event::Start { at } => self.start(at),
-            Event::Thaw { at } => self.thaw(at),
+            Event::Start { index } => self.start(index),
+            Event::Thaw { index } => self.thaw(index),
             Event::Fault => self.next_fault(),
         }
     }
 
-    fn input(&mut self, at: usize, input: Input) {
+    fn deliver_input(&mut self, index: usize, input: Input) {
         let now = self.now;
-        let effects = self.machines[at].take(input, now);
+        let effects = self.machines[index].take(input, now);
         for effect in effects {
             // One effect may bring a fault on that ends the process before the next.
-            if self.machines[at].is_up() {
-                self.carry_out(at, effect);
+            if self.machines[index].is_up() {
+                self.carry_out_effect(index, effect);
             }
         }
-        self.look_at(at);
+        self.observe(index);
     }
 
-    fn look_at(&mut self, at: usize) {
-        let machine = &mut self.machines[at];
+    fn observe(&mut self, index: usize) {
+        let machine = &mut self.machines[index];
         let Some(member) = machine.process.as_ref().filter(|_| !machine.frozen) else {
             return;
         };
         if member.view().number.0 > 0 {
-            self.book.borrow_mut().adopted(member.view());
+            self.history.borrow_mut().record_adopted(member.view());
         }
-        let (tick_at, life) = (member.next_tick().max(self.now + 1), machine.life);
+        let (tick_at, process_epoch) =
+            (member.next_tick().max(self.now + 1), machine.process_epoch);
         if machine.tick_at <= self.now || tick_at < machine.tick_at {
             machine.tick_at = tick_at;
-            self.at(tick_at - self.now, Event::Tick { at, life });
+            self.schedule(
+                tick_at - self.now,
+                Event::Tick {
+                    index,
+                    process_epoch,
+                },
+            );
         }
     }
 
-    fn carry_out(&mut self, at: usize, effect: Effect) {
+    fn carry_out_effect(&mut self, index: usize, effect: Effect) {
         match effect {
-            Effect::Send { to, message } => self.send(at, to, message),
+            Effect::Send { to, message } => self.send(index, to, message),
             Effect::Persist { ticket, writes } => {
-                if self.shape.planted == Some(Planted::DiskLies) {
-                    let life = self.machines[at].life;
-                    self.at(
+                if self.config.injected_bug == Some(InjectedBug::UnsyncedDisk) {
+                    let process_epoch = self.machines[index].process_epoch;
+                    self.schedule(
                         0,
                         Event::Synced {
-                            at,
-                            life,
+                            index,
+                            process_epoch,
                             ticket: ticket.0,
                         },
                     );
                 }
-                self.machines[at].disk.waiting.push_back((ticket, writes));
-                self.sync_next(at);
+                self.machines[index]
+                    .disk
+                    .waiting
+                    .push_back((ticket, writes));
+                self.sync_next(index);
             }
-            Effect::Proposed { request, outcome } => {
+            Effect::ProposalCommitted { request, outcome } => {
                 let Some((operation, _)) = self.proposals.remove(&request.0) else {
                     return;
                 };
                 let revision = u64::from_le_bytes(outcome.as_ref().try_into().unwrap());
                 self.acknowledge(operation, revision);
-                if self.chance.one_in(8) {
-                    // The acknowledgement was lost on its way to the operator.
-                    let delay = self.chance.between(1, 3_000);
-                    self.at(
+                if self.rng.one_in(8) {
+                    // The acknowledgement was lost on its way to the client.
+                    let delay = self.rng.between(1, 3_000);
+                    self.schedule(
                         delay,
                         Event::Repeat {
                             request: request.0,
@@ -235,32 +285,38 @@
             }
             Effect::ProposalFailed(request) => drop(self.proposals.remove(&request.0)),
             Effect::ReadReady(read) => {
-                let Some((had_to_hold, _)) = self.reads.remove(&read) else {
+                let Some((expected_revision, _)) = self.reads.remove(&read) else {
                     return;
                 };
-                let revision = self.machines[at]
+                let revision = self.machines[index]
                     .process
                     .as_ref()
                     .map_or(Revision(0), |member| member.revision());
-                self.book.borrow_mut().read(had_to_hold, revision.0);
+                self.history
+                    .borrow_mut()
+                    .record_read(expected_revision, revision.0);
             }
             Effect::ReadFailed(read) => drop(self.reads.remove(&read)),
         }
     }
 
     fn acknowledge(&mut self, operation: u64, revision: u64) {
-        self.book.borrow_mut().acknowledged(operation, revision);
+        self.history
+            .borrow_mut()
+            .record_acknowledged(operation, revision);
         let copies = self
             .machines
             .iter()
             .filter(|machine| machine.disk.holds(revision))
             .count();
-        if copies <= self.shape.tolerated {
+        if copies <= self.config.tolerated_faults {
             let what = format!("revision {revision} was acknowledged with {copies} synced copies");
-            self.book.borrow_mut().fail(Rule::Copies, what);
+            self.history
+                .borrow_mut()
+                .record_violation(Invariant::ReplicatedWhenAcknowledged, what);
         }
-        if self.strike && self.faults_on && self.chance.one_in(20) {
-            self.strike_now();
+        if self.fault_after_acknowledgement && self.are_faults_enabled && self.rng.one_in(20) {
+            self.inject_fault();
         }
     }
 }
--- a/tier/chain/tests/simulation/world/processes.rs
+++ b/tier/chain/tests/simulation/world/processes.rs
@@ -2,69 +2,69 @@
 
 use plankhill_chain::Millis;
 
-use super::faults::Planted;
+use super::faults::InjectedBug;
 use super::machine::{Input, Start};
 use super::{Event, World};
 
 impl World {
-    pub(super) fn start(&mut self, at: usize) {
-        if self.machines[at].is_up() || self.machines[at].removed {
+    pub(super) fn start(&mut self, index: usize) {
+        if self.machines[index].is_up() || self.machines[index].removed {
             return;
         }
         self.incarnations += 1;
-        let first = self.machines[at].life == 0 && at < self.shape.machines;
-        let keeps_name = self.shape.planted == Some(Planted::IncarnationKept);
+        let first = self.machines[index].process_epoch == 0 && index < self.config.machines;
+        let keeps_name = self.config.injected_bug == Some(InjectedBug::IncarnationReused);
         let incarnation = if keeps_name {
-            at as u64 + 1
+            index as u64 + 1
         } else {
             1_000 + self.incarnations
         };
         let start = Start {
             bootstrap: first,
             incarnation,
-            tolerated: match self.shape.planted {
-                Some(Planted::AnyCopies) => 0,
-                _ => self.shape.tolerated,
+            tolerated_faults: match self.config.injected_bug {
+                Some(InjectedBug::SingleReplicaCommits) => 0,
+                _ => self.config.tolerated_faults,
             },
             seeds: self.seeds(),
         };
-        self.disturbed_at = self.disturbed_at.max(self.now);
-        self.machines[at].start(start, &self.book, self.now, &mut self.chance);
-        self.input(at, Input::Tick);
+        self.last_fault_at = self.last_fault_at.max(self.now);
+        self.machines[index].start(start, &self.history, self.now, &mut self.rng);
+        self.deliver_input(index, Input::Tick);
     }
 
-    pub fn restart_after(&mut self, at: usize, delay: Millis) {
-        self.at(delay, Event::Start { at });
+    pub fn schedule_restart(&mut self, index: usize, delay: Millis) {
+        self.schedule(delay, Event::Start { index });
     }
 
-    pub fn thaw_after(&mut self, at: usize, delay: Millis) {
-        self.at(delay, Event::Thaw { at });
+    pub fn schedule_thaw(&mut self, index: usize, delay: Millis) {
+        self.schedule(delay, Event::Thaw { index });
     }
 
-    pub fn fault_after(&mut self, delay: Millis) {
-        self.at(delay, Event::Fault);
+    pub fn schedule_fault(&mut self, delay: Millis) {
+        self.schedule(delay, Event::Fault);
     }
 
-    pub fn thaw(&mut self, at: usize) {
-        if !self.machines[at].frozen {
+    pub fn thaw(&mut self, index: usize) {
+        if !self.machines[index].frozen {
             return;
         }
-        self.machines[at].frozen = false;
-        self.disturbed_at = self.disturbed_at.max(self.now);
-        self.input(at, Input::Tick);
-        // What it takes in may bring the next fault on.
-        while !self.machines[at].frozen {
-            let Some(input) = self.machines[at].held_back.pop_front() else {
+        self.machines[index].frozen = false;
+        self.last_fault_at = self.last_fault_at.max(self.now);
+        self.deliver_input(index, Input::Tick);
+        // A queued input may bring the next fault on.
+        while !self.machines[index].frozen {
+            let Some(input) = self.machines[index].queued_inputs.pop_front() else {
                 return;
             };
-            self.input(at, input);
+            self.deliver_input(index, input);
         }
     }
 
     /// The process or the power of a machine ends.
-    pub fn stop(&mut self, at: usize) {
-        self.disturbed_at = self.disturbed_at.max(self.now);
-        self.machines[at].stop(&mut self.chance);
-        self.syncing.remove(&at);
+    pub fn stop(&mut self, index: usize) {
+        self.last_fault_at = self.last_fault_at.max(self.now);
+        self.machines[index].stop(&mut self.rng);
+        self.syncing.remove(&index);
     }
 }
--- a/tier/chain/tests/simulation/world/chance.rs
+++ b/tier/chain/tests/simulation/world/rng.rs
@@ -2,14 +2,14 @@
 
 /// SplitMix64.
 #[derive(Clone, Debug)]
-pub struct Chance(u64);
+pub struct SimRng(u64);
 
-impl Chance {
+impl SimRng {
     pub fn new(seed: u64) -> Self {
         Self(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ 0xD1B5_4A32_D192_ED03)
     }
 
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -18,7 +18,7 @@
     }
 
     pub fn below(&mut self, bound: u64) -> u64 {
-        self.number() % bound.max(1)
+        self.next_u64() % bound.max(1)
     }
 
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
--- a/tier/chain/tests/three_links/mod.rs
+++ b/tier/chain/tests/three_members/mod.rs
@@ -1,18 +1,18 @@
-//! Three links of a chain that the test speaks for, one by one.
+//! A chain of three members, of which the test drives one and speaks for the others.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
 
 use plankhill_chain::{
-    BadSnapshot, ChainMember, Configuration, Durable, Identity, Member, Millis, StateMachine, View,
-    ViewNumber, Write,
+    BadSnapshot, ChainMember, DurableState, Identity, Member, MemberConfig, Millis, StateMachine,
+    View, ViewNumber, Write,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 
 /// A state without content.
-pub struct Nothing;
+pub struct EmptyMachine;
 
-impl StateMachine for Nothing {
+impl StateMachine for EmptyMachine {
     fn apply(&mut self, _: Revision, _: &[u8]) -> Vec<u8> {
         Vec::new()
     }
@@ -26,7 +26,7 @@
     }
 }
 
-/// The link with this number, from 1 on.
+/// The member with this number, from 1 on.
 pub fn member(number: u8) -> Member {
     let identity = Identity {
         node: NodeId::from(format!("core-{number}").as_str()),
@@ -38,25 +38,25 @@
     }
 }
 
-/// The link with this number, started at this time of its clock, with this on its disk.
-pub fn start(number: u8, disk: &Durable, now: Millis) -> ChainMember<Nothing> {
-    let configuration = Configuration {
+/// The member with this number, started at this time of its clock, with this on its disk.
+pub fn start(number: u8, disk: &DurableState, now: Millis) -> ChainMember<EmptyMachine> {
+    let configuration = MemberConfig {
         member: member(number),
-        tolerated: 1,
+        tolerated_faults: 1,
         seeds: (1..=3).map(|number| member(number).address).collect(),
-        random: 5,
+        random_seed: 5,
     };
-    ChainMember::new(configuration, disk.clone(), Nothing, now).expect("a member")
+    ChainMember::new(configuration, disk.clone(), EmptyMachine, now).expect("a member")
 }
 
-/// The disk of a link of the first view, without operations.
-pub fn disk() -> Durable {
+/// The disk of a member of the first view, without operations.
+pub fn disk() -> DurableState {
     let voters: Vec<Member> = (1..=3).map(member).collect();
     let chain = voters
         .iter()
         .map(|voter| voter.identity.node.clone())
         .collect();
-    let mut disk = Durable::default();
+    let mut disk = DurableState::default();
     disk.apply(&Write::Incarnation(Incarnation(7)));
     disk.apply(&Write::View(View {
         number: ViewNumber(1),
--- a/tier/chain/tests/wire_format.rs
+++ b/tier/chain/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The bytes of every message between members, as `tests/wire_format/messages.txt` holds them. Members of different
-//! versions talk to each other: a line there changes only together with the protocol's version.
+//! The bytes of every message between members, as `tests/wire_format/messages.txt` holds them.
+//! Members of different versions talk to each other: a line there changes only together with the
+//! protocol's version.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -83,16 +84,16 @@
         ],
         view: ViewNumber(300),
         sealed: true,
-        position: Revision(70_001),
+        last_revision: Revision(70_001),
         committed: Revision(70_000),
         leaving: true,
         founder: true,
-        confirmed_age: Some(250),
+        confirmed_age_ms: Some(250),
     }
 }
 
-/// One message of each variant, in the order of the variants: the one that follows `previous`. A new variant does not
-/// compile until it stands in this order, and with it in the recorded bytes.
+/// One message of each variant, in the order of the variants: the one that follows `previous`. A
+/// new variant does not compile until it stands in this order, and with it in the recorded bytes.
 fn message_after(previous: Option<&Message>) -> Option<Message> {
     let (view_number, revision) = (ViewNumber(300), Revision(70_000));
     let next = match previous {
@@ -115,13 +116,13 @@
                 },
                 view(),
             )),
-            position: Revision(70_001),
+            last_revision: Revision(70_001),
         },
         Some(Message::Promise {
             instance: _,
             ballot: _,
             accepted: _,
-            position: _,
+            last_revision: _,
         }) => Message::Refuse {
             instance: ViewNumber(301),
             promised: ballot(),
@@ -191,30 +192,39 @@
             snapshot: _,
         }) => Message::Read {
             view: view_number,
-            read: 1 << 63,
+            read_id: 1 << 63,
         },
-        Some(Message::Read { view: _, read: _ }) => Message::ReadAt {
-            read: 1 << 63,
+        Some(Message::Read {
+            view: _,
+            read_id: _,
+        }) => Message::ReadAt {
+            read_id: 1 << 63,
             revision,
         },
         Some(Message::ReadAt {
-            read: _,
+            read_id: _,
             revision: _,
         }) => Message::Confirm {
             view: view_number,
-            round: 1 << 62,
+            confirmation_id: 1 << 62,
         },
-        Some(Message::Confirm { view: _, round: _ }) => Message::Confirmed {
+        Some(Message::Confirm {
+            view: _,
+            confirmation_id: _,
+        }) => Message::Confirmed {
             view: view_number,
-            round: 1 << 62,
+            confirmation_id: 1 << 62,
         },
-        Some(Message::Confirmed { view: _, round: _ }) => return None,
+        Some(Message::Confirmed {
+            view: _,
+            confirmation_id: _,
+        }) => return None,
     };
     Some(next)
 }
 
-/// What the lines of the recorded bytes are called: the variants in their order, then those whose optional fields are
-/// empty.
+/// What the lines of the recorded bytes are called: the variants in their order, then those whose
+/// optional fields are empty.
 const LABELS: [&str; 20] = [
     "Heartbeat",
     "Decided",
@@ -247,14 +257,14 @@
         messages.push(message);
     }
     messages.push(Message::Heartbeat(Heartbeat {
-        confirmed_age: None,
+        confirmed_age_ms: None,
         ..heartbeat()
     }));
     messages.push(Message::Promise {
         instance: ViewNumber(301),
         ballot: ballot(),
         accepted: None,
-        position: Revision(70_001),
+        last_revision: Revision(70_001),
     });
     assert_eq!(messages.len(), LABELS.len());
     LABELS.into_iter().zip(messages).collect()
--- a/tier/replica/src/control.rs
+++ b/tier/replica/src/control_state.rs
@@ -3,7 +3,7 @@
 use plankhill_control::{ControlState, Operation, Outcome};
 use plankhill_protocol::ids::Revision;
 
-use crate::state::ReplicatedState;
+use crate::committed_state::ReplicatedState;
 
 impl ReplicatedState for ControlState {
     type Operation = Operation;
--- /dev/null
+++ b/tier/replica/src/disk_wait.rs
@@ -0,0 +1,77 @@
+//! A replica whose disk cannot be opened yet, as a full one cannot. Callers are answered at once
+//! meanwhile.
+
+use std::time::Duration;
+
+use plankhill_disk_health::Backoff;
+
+use crate::channels::TaskEnds;
+use crate::command::Command;
+use crate::committed_state::ReplicatedState;
+use crate::settings::ReplicaSettings;
+use crate::start::{new_driver, open_disk};
+use crate::storage::{OpenedFolder, StorageError};
+
+/// Tries to open the disk again and again, and runs the replica then.
+pub(crate) async fn wait_for_disk<S: ReplicatedState>(
+    mut settings: ReplicaSettings,
+    mut ends: TaskEnds<S>,
+    first_error: StorageError,
+) {
+    let mut error = first_error;
+    let mut backoff = Backoff::default();
+    while error.is_transient() {
+        tracing::warn!(%error, "disk cannot be opened; retrying");
+        match reject_commands(&mut settings, &mut ends, backoff.next_delay()).await {
+            Waited::Elapsed => {}
+            Waited::HandlesDropped => return,
+        }
+        error = match open_disk(&settings) {
+            Ok(opened) => return run(settings, opened, ends).await,
+            Err(error) => error,
+        };
+    }
+    tracing::error!(%error, "disk is unusable");
+}
+
+async fn run<S: ReplicatedState>(
+    settings: ReplicaSettings,
+    opened: OpenedFolder,
+    ends: TaskEnds<S>,
+) {
+    tracing::info!("disk is open");
+    match new_driver(settings, opened, ends) {
+        Ok(driver) => driver.run().await,
+        Err(error) => tracing::error!(%error, "replica cannot start"),
+    }
+}
+
+/// Why waiting has ended.
+enum Waited {
+    /// The time was up.
+    Elapsed,
+    /// Nobody has a handle any more.
+    HandlesDropped,
+}
+
+/// Leaves everything unanswered until the delay is over: dropped commands tell their callers that
+/// the chain cannot be reached.
+async fn reject_commands<S: ReplicatedState>(
+    settings: &mut ReplicaSettings,
+    ends: &mut TaskEnds<S>,
+    delay: Duration,
+) -> Waited {
+    let elapsed = tokio::time::sleep(delay);
+    tokio::pin!(elapsed);
+    loop {
+        tokio::select! {
+            () = &mut elapsed => return Waited::Elapsed,
+            command = ends.commands.recv() => match command {
+                Some(Command::SetSeeds(seeds)) => settings.seeds = seeds,
+                Some(_) => {}
+                None => return Waited::HandlesDropped,
+            },
+            Some(_) = ends.inbox.recv() => {}
+        }
+    }
+}
--- a/tier/replica/src/lib.rs
+++ b/tier/replica/src/lib.rs
@@ -1,16 +1,29 @@
-//! Runs a member of the chain: storage, connections and clock around `plankhill-chain`.
+//! Runs one member of the chain: storage, connections and clock around `plankhill-chain`.
 //!
-//! [`Log`] is the handle that the rest of the process uses; the member itself runs as one task.
+//! [`start`] opens the disk and spawns the task that owns the member; the controller keeps the
+//! [`ReplicaHandle`] and hands every connection that another member opens to
+//! [`ReplicaHandle::serve`]. `docs/system/chain.md` has the protocol.
 
-mod control;
+mod channels;
+mod clock;
+mod command;
+mod committed_state;
+mod control_state;
+mod disk_wait;
+mod driver;
 mod handle;
-mod links;
-mod machine;
+mod peer_connections;
+mod pending_calls;
+mod published;
+mod random;
+mod settings;
 mod start;
-mod state;
+mod status;
 pub mod storage;
-mod task;
+mod typed_machine;
 
-pub use handle::{ReplicaHandle, ReplicaStatus, Unavailable};
-pub use start::{start, ReplicaSettings, StartError};
-pub use state::{CommittedState, ReplicatedState};
+pub use committed_state::{CommittedState, ReplicatedState};
+pub use handle::{ReplicaHandle, Unavailable};
+pub use settings::ReplicaSettings;
+pub use start::{start, StartError};
+pub use status::ReplicaStatus;
--- /dev/null
+++ b/tier/replica/src/peer_connections/outgoing.rs
@@ -0,0 +1,142 @@
+//! Sending over a connection that this member opens, and opens again whenever it ends.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use plankhill_chain::{Identity, Message};
+use plankhill_protocol::transport::{dial, Channel, Connection, Hello, TransportError};
+use tokio::sync::{mpsc, Notify};
+use tokio::task::JoinHandle;
+
+use super::introduction::Introduction;
+
+/// Messages that wait for a connection; more are dropped, as every message may be.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+/// Messages written together.
+const MAX_BATCH: usize = 64;
+/// Before the first attempt to connect again; doubled after each failure.
+const INITIAL_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest backoff: members that are all back at once have to hear each other before one counts
+/// as failed (0.6 s).
+const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
+
+/// A queue of messages to one member and the task that sends them; the task ends when this is
+/// dropped.
+pub(super) struct OutgoingConnection {
+    queue: mpsc::Sender<Message>,
+    /// The other member was heard, and so can be reached now.
+    heard: Arc<Notify>,
+    task: JoinHandle<()>,
+}
+
+impl Drop for OutgoingConnection {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+impl OutgoingConnection {
+    pub(super) fn open(to: SocketAddr, me: Identity) -> Self {
+        let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let heard = Arc::new(Notify::new());
+        let sender = Sender {
+            to,
+            me,
+            messages,
+            heard: Arc::clone(&heard),
+        };
+        Self {
+            queue,
+            heard,
+            task: tokio::spawn(sender.run()),
+        }
+    }
+
+    /// Queues a message. A full queue loses the message.
+    pub(super) fn send(&self, message: Message) {
+        let _ = self.queue.try_send(message);
+    }
+
+    /// Ends the backoff.
+    pub(super) fn retry_now(&self) {
+        self.heard.notify_one();
+    }
+}
+
+/// The task's part.
+struct Sender {
+    to: SocketAddr,
+    me: Identity,
+    messages: mpsc::Receiver<Message>,
+    heard: Arc<Notify>,
+}
+
+impl Sender {
+    async fn run(mut self) {
+        let hello = Hello::new(Channel::Chain, self.me.node.clone());
+        let to = self.to;
+        let mut backoff = INITIAL_RECONNECT_BACKOFF;
+        loop {
+            match dial(to, &hello).await {
+                Ok(connection) => {
+                    backoff = INITIAL_RECONNECT_BACKOFF;
+                    match self.send_over(connection).await {
+                        Ok(()) => tracing::debug!(%to, "connection to a peer was closed"),
+                        Err(error) => tracing::debug!(%to, %error, "connection to a peer failed"),
+                    }
+                }
+                Err(error) => tracing::debug!(%to, %error, "connection to a peer cannot be opened"),
+            }
+            // The backoff ends early when the peer is heard.
+            let _ = tokio::time::timeout(backoff, self.heard.notified()).await;
+            backoff = MAX_RECONNECT_BACKOFF.min(backoff * 2);
+        }
+    }
+
+    /// Sends until the connection ends.
+    async fn send_over(&mut self, connection: Connection) -> Result<(), TransportError> {
+        let Connection {
+            mut reader,
+            mut writer,
+            ..
+        } = connection;
+        let newest_heartbeat = self.drain_to_newest_heartbeat();
+        let introduction = Introduction {
+            identity: self.me.clone(),
+        };
+        writer.send(&introduction).await?;
+        if let Some(heartbeat) = newest_heartbeat {
+            writer.send(&heartbeat).await?;
+        }
+        // Nothing comes back on this connection but its end.
+        let ended = reader.next::<Introduction>();
+        tokio::pin!(ended);
+        let mut batch = Vec::new();
+        loop {
+            tokio::select! {
+                _ = &mut ended => return Ok(()),
+                taken = self.messages.recv_many(&mut batch, MAX_BATCH) => {
+                    if taken == 0 {
+                        return Ok(());
+                    }
+                    writer.send_all(&batch).await?;
+                    batch.clear();
+                }
+            }
+        }
+    }
+
+    /// Messages that waited for the connection are too old to be of use, but for the last
+    /// heartbeat: the other member may wait for this one to be heard, and a late heartbeat claims
+    /// nothing that was not so.
+    fn drain_to_newest_heartbeat(&mut self) -> Option<Message> {
+        let mut newest = None;
+        while let Ok(message) = self.messages.try_recv() {
+            if matches!(message, Message::Heartbeat(_)) {
+                newest = Some(message);
+            }
+        }
+        newest
+    }
+}
--- a/tier/replica/src/links/wire_format_tests.rs
+++ b/tier/replica/src/peer_connections/wire_format_tests.rs
@@ -5,7 +5,7 @@
 use plankhill_chain::Identity;
 use plankhill_protocol::ids::{Incarnation, NodeId};
 
-use super::Introduction;
+use super::introduction::Introduction;
 
 const RECORDED: [u8; 16] = [
     6, b'c', b'o', b'r', b'e', b'-', b'1', 0x88, 0x8e, 0x98, 0xa8, 0xc0, 0xe0, 0x80, 0x81, 0x01,
--- /dev/null
+++ b/tier/replica/src/random.rs
@@ -0,0 +1,9 @@
+//! Random numbers for incarnations, request numbers and the member's own generator.
+
+use std::collections::hash_map::RandomState;
+use std::hash::{BuildHasher, Hasher};
+
+/// A random number, from the keys that the standard library draws from the operating system.
+pub(crate) fn random_u64() -> u64 {
+    RandomState::new().build_hasher().finish()
+}
--- a/tier/replica/src/storage/folder.rs
+++ b/tier/replica/src/storage/folder.rs
@@ -1,94 +1,99 @@
 //! The folder of a member: a database, and a file that says that its first sync is over.
 //!
-//! A folder without that file, or with a database that cannot be read, counts as empty: the member starts as a
-//! new incarnation, which takes part only after it holds everything.
+//! A folder without that file, or with a database that cannot be read, counts as empty: the member
+//! starts as a new incarnation, which takes part only after it has everything.
 
 use std::fs::{self, File};
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 
-use plankhill_chain::{Durable, Storage, Write};
+use plankhill_chain::{DurableState, Storage, Write};
 use plankhill_protocol::ids::Incarnation;
 
-use super::fjall::{FjallStorage, StorageError};
+use super::error::StorageError;
+use super::fjall::FjallStorage;
 
 /// Folder of the database.
 const DATABASE: &str = "chain";
 /// Made and synced once the incarnation is in the database.
-const READY: &str = "chain-ready";
+const READY_FILE: &str = "chain-ready";
 
-/// What a folder holds.
+/// A folder that is open.
 pub struct OpenedFolder {
     /// Where changes go.
     pub storage: FjallStorage,
     /// What has been written there; the incarnation is set.
-    pub held: Durable,
+    pub durable: DurableState,
 }
 
-/// Opens a folder. If it is empty, a life of the disk begins: `fresh` names it, `founders` is set where the member
-/// may found the first view.
+/// Opens a folder. An empty one gets the incarnation `fresh`, and `founders` where the member may
+/// found the first view.
 ///
 /// # Errors
-/// [`StorageError`] when nothing can be made there.
+/// [`StorageError`] when nothing can be made there, or what is there cannot be read for a cause
+/// that may pass.
 pub fn open_folder(
     folder: &Path,
     fresh: Incarnation,
     founders: Option<Vec<SocketAddr>>,
 ) -> Result<OpenedFolder, StorageError> {
-    if folder.join(READY).exists() {
-        match open_existing(&folder.join(DATABASE)) {
-            Ok(Some(opened)) => return Ok(opened),
-            Ok(None) => {
-                tracing::error!("database without an incarnation; starting with an empty disk")
-            }
-            Err(error) if error.may_pass() => return Err(error),
-            Err(error) => {
-                tracing::error!(%error, "database cannot be read; starting with an empty disk")
-            }
+    if !folder.join(READY_FILE).exists() {
+        return create(folder, fresh, founders);
+    }
+    match open_existing(&folder.join(DATABASE)) {
+        Ok(Some(opened)) => return Ok(opened),
+        Ok(None) => {
+            tracing::error!("database has no incarnation; starting with an empty disk");
+        }
+        Err(error) if error.is_transient() => return Err(error),
+        Err(error) => {
+            tracing::error!(%error, "database is unreadable; starting with an empty disk");
         }
-        return make_new(folder, fresh, None);
     }
-    make_new(folder, fresh, founders)
+    // A lost disk founds nothing: a view may exist by now.
+    create(folder, fresh, None)
 }
 
 fn open_existing(folder: &Path) -> Result<Option<OpenedFolder>, StorageError> {
     let mut storage = FjallStorage::open(folder)?;
-    let held = storage.load()?;
-    Ok(held
-        .incarnation
-        .is_some()
-        .then_some(OpenedFolder { storage, held }))
+    let durable = storage.load()?;
+    let has_incarnation = durable.incarnation.is_some();
+    Ok(has_incarnation.then_some(OpenedFolder { storage, durable }))
 }
 
-fn make_new(
+/// Makes a new database in place of what is there. The file that says that the folder is ready
+/// comes last, so that a crash before leaves a folder that counts as empty.
+fn create(
     folder: &Path,
     incarnation: Incarnation,
     founders: Option<Vec<SocketAddr>>,
 ) -> Result<OpenedFolder, StorageError> {
-    clear(folder)?;
+    clear(folder).map_err(|error| StorageError::folder(folder, error))?;
     let mut storage = FjallStorage::open(&folder.join(DATABASE))?;
     let mut writes = vec![Write::Incarnation(incarnation)];
-    writes.extend(founders.map(Write::Founders));
+    if let Some(founders) = founders {
+        writes.push(Write::Founders(founders));
+    }
     storage.write(&writes)?;
-    mark_ready(folder)?;
-    let held = storage.load()?;
-    Ok(OpenedFolder { storage, held })
+    mark_ready(folder).map_err(|error| StorageError::folder(folder, error))?;
+    let durable = storage.load()?;
+    Ok(OpenedFolder { storage, durable })
 }
 
 fn clear(folder: &Path) -> io::Result<()> {
     fs::create_dir_all(folder)?;
-    unless_missing(fs::remove_file(folder.join(READY)))?;
+    ignore_missing(fs::remove_file(folder.join(READY_FILE)))?;
     File::open(folder)?.sync_all()?;
-    unless_missing(fs::remove_dir_all(folder.join(DATABASE)))
+    ignore_missing(fs::remove_dir_all(folder.join(DATABASE)))
 }
 
 fn mark_ready(folder: &Path) -> io::Result<()> {
-    File::create(folder.join(READY))?.sync_all()?;
+    File::create(folder.join(READY_FILE))?.sync_all()?;
     File::open(folder)?.sync_all()
 }
 
-fn unless_missing(removed: io::Result<()>) -> io::Result<()> {
+fn ignore_missing(removed: io::Result<()>) -> io::Result<()> {
     match removed {
         Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
         _ => Ok(()),
--- a/tier/replica/src/storage/mod.rs
+++ b/tier/replica/src/storage/mod.rs
@@ -1,11 +1,12 @@
-//! Storages of a member, and the thread that writes to one.
+//! The disk of a member: a database in a folder, and the thread that writes to it.
 
+mod database;
+mod error;
 mod fjall;
 mod folder;
-mod memory;
 mod writer;
 
-pub use self::fjall::{FjallStorage, StorageError};
+pub use self::fjall::FjallStorage;
+pub use error::StorageError;
 pub use folder::{open_folder, OpenedFolder};
-pub use memory::MemoryStorage;
-pub use writer::{start_writer, Batch, Written};
+pub use writer::{start_writer, DiskReport, DiskWriter, WriteBatch, WriterStopped};
--- a/tier/replica/src/machine/stored_format_tests.rs
+++ b/tier/replica/src/typed_machine/stored_format_tests.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::TypedMachine;
-use crate::state::ReplicatedState;
+use crate::committed_state::ReplicatedState;
 
 /// Counts by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
 fn a_recorded_snapshot_is_read_back() {
     let mut machine = TypedMachine::<Counts>::new();
     machine.restore(Revision(135), SNAPSHOT).unwrap();
-    let published = machine.publish(Revision(135), ViewNumber(2));
+    let published = machine.committed(Revision(135), ViewNumber(2));
     let counts = BTreeMap::from([("one".to_owned(), 300)]);
     assert_eq!(
         *published.state,
@@ -89,7 +89,7 @@
     machine.apply(Revision(1), ADD);
     machine.restore(Revision(0), &[]).unwrap();
     assert_eq!(
-        *machine.publish(Revision(0), ViewNumber(0)).state,
+        *machine.committed(Revision(0), ViewNumber(0)).state,
         Counts::default()
     );
     assert!(machine.restore(Revision(1), &[]).is_err());
--- a/tier/replica/tests/chain.rs
+++ b/tier/replica/tests/chain.rs
@@ -2,57 +2,65 @@
 
 mod common;
 
-use common::{free_address, three, Machine, PATIENCE};
+use common::{free_address, start_three_machines, Machine, TEST_TIMEOUT};
 
 #[tokio::test(flavor = "current_thread")]
-async fn operations_of_all_members_are_ordered_once() {
-    let machines = three().await;
+async fn operations_proposed_at_all_members_are_committed_once() {
+    let machines = start_three_machines().await;
     for machine in &machines {
-        machine.until_reaches_others().await;
+        machine.wait_wait_for_current().await;
     }
     for (count, machine) in machines.iter().enumerate() {
-        assert_eq!(machine.say("word").await, count + 1);
+        assert_eq!(machine.propose("word").await, count + 1);
     }
     for machine in &machines {
-        let state = machine.log().read(PATIENCE).await.unwrap();
+        let state = machine.handle().read(TEST_TIMEOUT).await.unwrap();
         assert_eq!(state.state.0.len(), 3);
     }
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn the_chain_goes_on_without_a_link_and_takes_it_back() {
-    let mut machines = three().await;
-    machines[0].until_reaches_others().await;
-    machines[0].say("one").await;
+async fn the_chain_goes_on_without_a_failed_member_which_rejoins() {
+    let mut machines = start_three_machines().await;
+    machines[0].wait_wait_for_current().await;
+    machines[0].propose("one").await;
     for dead in 0..3 {
         machines[dead].kill().await;
         let alive = &machines[(dead + 1) % 3];
-        alive.until(|standing| standing.chain.len() == 2).await;
-        alive.say("more").await;
+        alive
+            .wait_for_status(|status| status.chain.len() == 2)
+            .await;
+        alive.propose("more").await;
         machines[dead].settings.bootstrap = false;
         machines[dead].start();
         machines[dead]
-            .until(|standing| standing.in_chain && standing.chain.len() == 3)
+            .wait_for_status(|status| status.is_in_chain && status.chain.len() == 3)
             .await;
     }
-    let state = machines[1].log().read(PATIENCE).await.unwrap();
+    let state = machines[1].handle().read(TEST_TIMEOUT).await.unwrap();
     assert_eq!(state.state.0.len(), 4);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_lost_disk_and_a_new_machine_are_filled_before_they_count() {
-    let mut machines = three().await;
-    machines[0].until_reaches_others().await;
-    machines[0].say("one").await;
+async fn a_wiped_member_and_a_replacement_catch_up_before_they_join() {
+    let mut machines = start_three_machines().await;
+    machines[0].wait_wait_for_current().await;
+    machines[0].propose("one").await;
     machines[2].kill().await;
     machines[2].wipe();
     machines[2].start();
-    let standing = machines[2]
-        .until(|standing| standing.in_chain && standing.chain.len() == 3)
+    let status = machines[2]
+        .wait_for_status(|status| status.is_in_chain && status.chain.len() == 3)
         .await;
-    assert_eq!(standing.voters.len(), 3);
+    assert_eq!(status.voters.len(), 3);
     assert_eq!(
-        machines[2].log().read(PATIENCE).await.unwrap().state.0,
+        machines[2]
+            .handle()
+            .read(TEST_TIMEOUT)
+            .await
+            .unwrap()
+            .state
+            .0,
         ["one"]
     );
 
@@ -60,65 +68,73 @@
     let seeds = machines[1].settings.seeds.clone();
     let mut successor = Machine::new("d", free_address().await, seeds, false);
     successor.start();
-    let names = |standing: &plankhill_replica::ReplicaStatus| {
-        standing
+    let names = |status: &plankhill_replica::ReplicaStatus| {
+        status
             .voters
             .iter()
             .map(|voter| voter.identity.node.to_string())
             .collect::<Vec<_>>()
     };
-    let standing = successor
-        .until(|standing| {
-            standing.in_chain && standing.chain.len() == 3 && standing.voters.len() == 3
+    let status = successor
+        .wait_for_status(|status| {
+            status.is_in_chain && status.chain.len() == 3 && status.voters.len() == 3
         })
         .await;
-    assert_eq!(names(&standing), ["b", "c", "d"]);
-    assert_eq!(successor.say("two").await, 2);
+    assert_eq!(names(&status), ["b", "c", "d"]);
+    assert_eq!(successor.propose("two").await, 2);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn everything_is_there_after_all_were_killed_and_one_wiped() {
-    let mut machines = three().await;
-    machines[0].until_reaches_others().await;
-    machines[0].say("one").await;
+async fn all_operations_survive_a_crash_of_all_members_and_a_wiped_disk() {
+    let mut machines = start_three_machines().await;
+    machines[0].wait_wait_for_current().await;
+    machines[0].propose("one").await;
     for machine in &mut machines {
         machine.kill().await;
         machine.settings.bootstrap = false;
     }
     machines[0].wipe();
-    machines.iter_mut().for_each(Machine::start);
+    for machine in &mut machines {
+        machine.start();
+    }
     machines[0]
-        .until(|standing| standing.in_chain && standing.chain.len() == 3)
+        .wait_for_status(|status| status.is_in_chain && status.chain.len() == 3)
         .await;
     assert_eq!(
-        machines[0].log().read(PATIENCE).await.unwrap().state.0,
+        machines[0]
+            .handle()
+            .read(TEST_TIMEOUT)
+            .await
+            .unwrap()
+            .state
+            .0,
         ["one"]
     );
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn an_orderly_end_leaves_the_chain_first() {
-    let machines = three().await;
-    machines[0].until_reaches_others().await;
-    machines[0].log().leave().await;
-    let standing = machines[1]
-        .until(|standing| standing.chain.len() == 2)
+async fn a_graceful_shutdown_leaves_the_chain_first() {
+    let machines = start_three_machines().await;
+    machines[0].wait_wait_for_current().await;
+    machines[0].handle().leave().await;
+    let status = machines[1]
+        .wait_for_status(|status| status.chain.len() == 2)
         .await;
-    assert_eq!(standing.voters.len(), 3);
+    assert_eq!(status.voters.len(), 3);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_member_alone_says_so_at_once() {
-    let mut machines = three().await;
+async fn a_partitioned_member_fails_calls_at_once() {
+    let mut machines = start_three_machines().await;
     machines[1].kill().await;
     machines[2].kill().await;
-    machines[0].until_cut_off().await;
+    machines[0].wait_until_not_current().await;
     let asked = std::time::Instant::now();
     assert!(machines[0]
-        .log()
-        .propose("lost".into(), PATIENCE)
+        .handle()
+        .propose("lost".into(), TEST_TIMEOUT)
         .await
         .is_err());
-    assert!(machines[0].log().read(PATIENCE).await.is_err());
-    assert!(asked.elapsed() < PATIENCE / 2);
+    assert!(machines[0].handle().read(TEST_TIMEOUT).await.is_err());
+    assert!(asked.elapsed() < TEST_TIMEOUT / 2);
 }
--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -15,23 +15,23 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// Long enough for every change of view, short enough to fail a test that hangs.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Long enough for every change of the view, short enough to fail a test that hangs.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// See [`Words::apply`].
-pub const ONLY: &str = "only ";
+/// A word with this prefix replaces all others, see [`WordList::apply`].
+pub const REPLACE_PREFIX: &str = "only ";
 
-/// A list of words.
+/// The replicated state of these tests: a list of words.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Words(pub Vec<String>);
+pub struct WordList(pub Vec<String>);
 
-impl ReplicatedState for Words {
+impl ReplicatedState for WordList {
     type Operation = String;
     type Outcome = usize;
 
-    /// A word that begins with [`ONLY`] takes the place of all others.
+    /// A word that begins with [`REPLACE_PREFIX`] replaces all others.
     fn apply(&mut self, _: Revision, operation: &String) -> usize {
-        if operation.starts_with(ONLY) {
+        if operation.starts_with(REPLACE_PREFIX) {
             self.0.clear();
         }
         self.0.push(operation.clone());
@@ -47,7 +47,7 @@
 }
 
 struct Running {
-    log: ReplicaHandle<Words>,
+    handle: ReplicaHandle<WordList>,
     serving: JoinHandle<()>,
 }
 
@@ -89,9 +89,9 @@
 
     pub fn start(&mut self) {
         let listener = plankhill_protocol::transport::listen(self.settings.address).unwrap();
-        let log = start::<Words>(self.settings.clone()).unwrap();
-        let serving = tokio::spawn(serve(listener, self.settings.node.clone(), log.clone()));
-        self.running = Some(Running { log, serving });
+        let handle = start::<WordList>(self.settings.clone()).unwrap();
+        let serving = tokio::spawn(serve(listener, self.settings.node.clone(), handle.clone()));
+        self.running = Some(Running { handle, serving });
     }
 
     /// The process ends; the disk stays. Returns when the disk is free.
@@ -99,10 +99,10 @@
         let Some(mut running) = self.running.take() else {
             return;
         };
-        running.log.abort();
-        running.log.ended().await;
+        running.handle.abort();
+        running.handle.ended().await;
         running.serving.abort();
-        // It was told to end.
+        // The task was aborted, so that its result is an error.
         let _ = (&mut running.serving).await;
     }
 
@@ -124,61 +124,74 @@
                 };
                 // Files are laid out in advance: what counts is the blocks that hold something.
                 bytes += metadata.blocks() * 512;
-                folders.extend(metadata.is_dir().then(|| entry.path()));
+                if metadata.is_dir() {
+                    folders.push(entry.path());
+                }
             }
         }
         bytes
     }
 
-    pub fn log(&self) -> &ReplicaHandle<Words> {
-        &self.running.as_ref().unwrap().log
+    pub fn handle(&self) -> &ReplicaHandle<WordList> {
+        &self.running.as_ref().unwrap().handle
     }
 
-    /// Waits for a standing.
-    pub async fn until(&self, wanted: impl FnMut(&ReplicaStatus) -> bool) -> ReplicaStatus {
-        let mut standing = self.log().watch_status();
-        let found = tokio::time::timeout(PATIENCE, standing.wait_for(wanted)).await;
+    /// Waits for a status for which the condition holds.
+    pub async fn wait_for_status(
+        &self,
+        wanted: impl FnMut(&ReplicaStatus) -> bool,
+    ) -> ReplicaStatus {
+        let mut status = self.handle().watch_status();
+        let found = tokio::time::timeout(TEST_TIMEOUT, status.wait_for(wanted)).await;
         assert!(found.expect("in time").is_ok(), "the member has ended");
-        self.log().status()
+        self.handle().status()
     }
 
     /// Waits until the member knows that it is current.
-    pub async fn until_reaches_others(&self) {
-        self.until_current(true).await;
+    pub async fn wait_wait_for_current(&self) {
+        self.wait_for_current(true).await;
     }
 
-    /// Waits until it knows that it is not.
-    pub async fn until_cut_off(&self) {
-        self.until_current(false).await;
+    /// Waits until the member knows that it is not current.
+    pub async fn wait_until_not_current(&self) {
+        self.wait_for_current(false).await;
     }
 
-    async fn until_current(&self, wanted: bool) {
-        let mut current = self.log().watch_current();
-        let found = tokio::time::timeout(PATIENCE, current.wait_for(|held| *held == wanted)).await;
+    async fn wait_for_current(&self, wanted: bool) {
+        let mut current = self.handle().watch_current();
+        let found = tokio::time::timeout(
+            TEST_TIMEOUT,
+            current.wait_for(|is_current| *is_current == wanted),
+        )
+        .await;
         found.expect("in time").unwrap();
     }
 
-    pub async fn say(&self, word: &str) -> usize {
-        self.log().propose(word.to_owned(), PATIENCE).await.unwrap()
+    /// Gets a word committed; how many words there are then.
+    pub async fn propose(&self, word: &str) -> usize {
+        self.handle()
+            .propose(word.to_owned(), TEST_TIMEOUT)
+            .await
+            .unwrap()
     }
 }
 
-async fn serve(listener: TcpListener, node: NodeId, log: ReplicaHandle<Words>) {
+async fn serve(listener: TcpListener, node: NodeId, handle: ReplicaHandle<WordList>) {
     let hello = Hello::new(Channel::Chain, node);
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let (stream, address) = listener.accept().await.unwrap();
-        let (hello, log) = (hello.clone(), log.clone());
+        let (hello, handle) = (hello.clone(), handle.clone());
         connections.spawn(async move {
             if let Ok(connection) = accept(stream, address, &hello).await {
-                log.serve(connection).await;
+                handle.serve(connection).await;
             }
         });
     }
 }
 
-/// Three machines that found a chain, all in service.
-pub async fn three() -> Vec<Machine> {
+/// Three machines that have founded a chain, all in service.
+pub async fn start_three_machines() -> Vec<Machine> {
     let addresses = [
         free_address().await,
         free_address().await,
@@ -190,9 +203,13 @@
         .zip(addresses)
         .map(|(name, address)| Machine::new(name, address, addresses.to_vec(), true))
         .collect();
-    machines.iter_mut().for_each(Machine::start);
+    for machine in &mut machines {
+        machine.start();
+    }
     for machine in &machines {
-        machine.until(|standing| standing.chain.len() == 3).await;
+        machine
+            .wait_for_status(|status| status.chain.len() == 3)
+            .await;
     }
     machines
 }
--- a/tier/replica/tests/refusing_disk.rs
+++ b/tier/replica/tests/refusing_disk.rs
@@ -1,19 +1,19 @@
-//! Disks that refuse to write for a while, as a full one does.
+//! Disks that reject writes for a while, as a full one does.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use arbtest::arbtest;
-use plankhill_chain::{Durable, Entry, RequestNumber, Snapshot, Storage, Ticket, Write};
+use plankhill_chain::{DurableState, Entry, RequestNumber, Snapshot, Storage, Ticket, Write};
 use plankhill_disk_health::Backoff;
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
-use plankhill_replica::storage::{open_folder, start_writer, Batch, FjallStorage, Written};
+use plankhill_replica::storage::{open_folder, start_writer, DiskReport, FjallStorage, WriteBatch};
 use tempfile::TempDir;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::watch;
 
 /// How far a write gets before it fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reached {
+enum FailurePoint {
     /// Not a byte is written.
     Nothing,
     /// A part of the batch; what opens the disk later leaves it out.
@@ -22,86 +22,93 @@
     Sync,
 }
 
-/// The disk, seen from outside of the thread.
+/// The content of the disk, seen from outside of the thread.
 #[derive(Clone, Default)]
-struct Seen {
-    held: Arc<Mutex<Durable>>,
+struct DiskContent {
+    durable: Arc<Mutex<DurableState>>,
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("refused")]
-struct Refused {
-    passes: bool,
+#[error("rejected")]
+struct Rejected {
+    is_transient: bool,
 }
 
 /// Fails from one of its writes on, so many times.
-struct RefusingStorage {
-    seen: Seen,
+struct RejectingStorage {
+    content: DiskContent,
     writes: usize,
     fails_at: usize,
-    refusals: usize,
-    reached: Reached,
-    passes: bool,
+    rejections: usize,
+    failure_point: FailurePoint,
+    is_transient: bool,
     is_broken: bool,
 }
 
-impl RefusingStorage {
+impl RejectingStorage {
     /// Refuses so many times from this write on, for a cause that passes.
-    fn new(seen: &Seen, fails_at: usize, refusals: usize, reached: Reached) -> Self {
-        let seen = seen.clone();
-        RefusingStorage {
-            seen,
+    fn new(
+        content: &DiskContent,
+        fails_at: usize,
+        rejections: usize,
+        failure_point: FailurePoint,
+    ) -> Self {
+        let content = content.clone();
+        RejectingStorage {
+            content,
             writes: 0,
             fails_at,
-            refusals,
-            reached,
-            passes: true,
+            rejections,
+            failure_point,
+            is_transient: true,
             is_broken: false,
         }
     }
 }
 
-impl Storage for RefusingStorage {
-    type Error = Refused;
+impl Storage for RejectingStorage {
+    type Error = Rejected;
 
-    fn load(&mut self) -> Result<Durable, Refused> {
-        Ok(self.seen.held.lock().expect("a lock").clone())
+    fn load(&mut self) -> Result<DurableState, Rejected> {
+        Ok(self.content.durable.lock().expect("a lock").clone())
     }
 
-    fn write(&mut self, changes: &[Write]) -> Result<(), Refused> {
+    fn write(&mut self, changes: &[Write]) -> Result<(), Rejected> {
         assert!(
             !self.is_broken,
             "a storage that failed is used without having recovered"
         );
-        let fails = self.writes >= self.fails_at && self.refusals > 0;
-        if !fails || self.reached == Reached::Sync {
-            let mut held = self.seen.held.lock().expect("a lock");
-            changes.iter().for_each(|change| held.apply(change));
+        let fails = self.writes >= self.fails_at && self.rejections > 0;
+        if !fails || self.failure_point == FailurePoint::Sync {
+            let mut durable = self.content.durable.lock().expect("a lock");
+            for change in changes {
+                durable.apply(change);
+            }
         }
         if fails {
-            self.refusals -= 1;
+            self.rejections -= 1;
             self.is_broken = true;
-            return Err(Refused {
-                passes: self.passes,
+            return Err(Rejected {
+                is_transient: self.is_transient,
             });
         }
         self.writes += 1;
         Ok(())
     }
 
-    fn recover(&mut self) -> Result<(), Refused> {
-        if self.refusals > 0 && self.reached == Reached::Nothing {
-            self.refusals -= 1;
-            return Err(Refused {
-                passes: self.passes,
+    fn recover(&mut self) -> Result<(), Rejected> {
+        if self.rejections > 0 && self.failure_point == FailurePoint::Nothing {
+            self.rejections -= 1;
+            return Err(Rejected {
+                is_transient: self.is_transient,
             });
         }
         self.is_broken = false;
         Ok(())
     }
 
-    fn may_pass(error: &Refused) -> bool {
-        error.passes
+    fn is_transient(error: &Rejected) -> bool {
+        error.is_transient
     }
 }
 
@@ -118,7 +125,7 @@
 }
 
 /// Batches as a member hands them over: a beginning, operations, a cut, a snapshot.
-fn batches() -> Vec<Batch> {
+fn batches() -> Vec<WriteBatch> {
     let snapshot = Snapshot {
         revision: Revision(3),
         machine: vec![7; 40].into(),
@@ -132,77 +139,96 @@
         vec![Write::Snapshot(snapshot), Write::Committed(Revision(3))],
         vec![append(4), Write::Committed(Revision(4))],
     ];
-    (1..).map(Ticket).zip(writes).collect()
+    let tickets = (1..).map(Ticket);
+    tickets
+        .zip(writes)
+        .map(|(ticket, writes)| WriteBatch { ticket, writes })
+        .collect()
 }
 
-fn applied(batches: &[Batch]) -> Durable {
-    let mut held = Durable::default();
-    batches
-        .iter()
-        .flat_map(|(_, writes)| writes)
-        .for_each(|write| held.apply(write));
-    held
+fn applied(batches: &[WriteBatch]) -> DurableState {
+    let mut durable = DurableState::default();
+    for write in batches.iter().flat_map(|batch| &batch.writes) {
+        durable.apply(write);
+    }
+    durable
 }
 
-/// Hands the batches over one by one, each as soon as the one before it is synced; what the thread told.
-fn write_all(storage: RefusingStorage) -> Vec<Written> {
-    let (report, mut written) = mpsc::unbounded_channel();
+/// Submits the batches one by one, each as soon as the one before it is synced; what the thread
+/// reported.
+fn write_all(storage: RejectingStorage) -> Vec<DiskReport> {
     let (in_use, _) = watch::channel(());
-    let pauses = Backoff::with_initial_delay(Duration::ZERO);
-    let queue = start_writer(storage, report, in_use, pauses).expect("a thread");
-    let mut told = Vec::new();
+    let backoff = Backoff::with_initial_delay(Duration::ZERO);
+    let mut writer = start_writer(storage, in_use, backoff).expect("a thread");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
+    let mut reports = Vec::new();
     for batch in batches() {
-        if queue.send(batch).is_err() {
+        if writer.submit(batch).is_err() {
             break;
         }
-        while let Some(news) = written.blocking_recv() {
-            told.push(news);
-            if news != Written::Refused {
+        while let Some(report) = runtime.block_on(writer.next_report()) {
+            reports.push(report);
+            if report != DiskReport::Rejected {
                 break;
             }
         }
     }
-    told
+    reports
 }
 
 #[test]
-fn whichever_write_is_refused_everything_is_written_in_order() {
+fn rejected_batches_are_written_later_in_order() {
     for fails_at in 0..batches().len() {
-        for reached in [Reached::Nothing, Reached::Half, Reached::Sync] {
-            for refusals in 1..4 {
-                let seen = Seen::default();
-                let storage = RefusingStorage::new(&seen, fails_at, refusals, reached);
-                let told = write_all(storage);
-                let synced: Vec<_> = told
+        for failure_point in [
+            FailurePoint::Nothing,
+            FailurePoint::Half,
+            FailurePoint::Sync,
+        ] {
+            for rejections in 1..4 {
+                let content = DiskContent::default();
+                let storage = RejectingStorage::new(&content, fails_at, rejections, failure_point);
+                let reports = write_all(storage);
+                let synced: Vec<_> = reports
                     .iter()
-                    .filter(|news| **news != Written::Refused)
+                    .filter(|report| **report != DiskReport::Rejected)
                     .copied()
                     .collect();
                 let expected: Vec<_> = (1..=6)
-                    .map(|ticket| Written::Synced(Ticket(ticket)))
+                    .map(|ticket| DiskReport::Synced(Ticket(ticket)))
                     .collect();
-                assert_eq!(synced, expected, "{fails_at} {reached:?} {refusals}");
                 assert_eq!(
-                    told[fails_at],
-                    Written::Refused,
-                    "told before the batch is synced"
+                    synced, expected,
+                    "{fails_at} {failure_point:?} {rejections}"
+                );
+                assert_eq!(
+                    reports[fails_at],
+                    DiskReport::Rejected,
+                    "reported before the batch is synced"
+                );
+                assert_eq!(
+                    *content.durable.lock().expect("a lock"),
+                    applied(&batches())
                 );
-                assert_eq!(*seen.held.lock().expect("a lock"), applied(&batches()));
             }
         }
     }
 }
 
 #[test]
-fn a_disk_that_cannot_get_well_ends_the_thread() {
-    let seen = Seen::default();
-    let storage = RefusingStorage {
-        passes: false,
-        ..RefusingStorage::new(&seen, 2, 1, Reached::Half)
+fn a_permanent_disk_error_stops_the_writer() {
+    let content = DiskContent::default();
+    let storage = RejectingStorage {
+        is_transient: false,
+        ..RejectingStorage::new(&content, 2, 1, FailurePoint::Half)
     };
-    let told = write_all(storage);
-    assert_eq!(told.last(), Some(&Written::Failed));
-    assert_eq!(*seen.held.lock().expect("a lock"), applied(&batches()[..2]));
+    let reports = write_all(storage);
+    assert_eq!(reports.last(), Some(&DiskReport::Failed));
+    assert_eq!(
+        *content.durable.lock().expect("a lock"),
+        applied(&batches()[..2])
+    );
 }
 
 /// Makes the folder of a database look full to the probe.
@@ -213,24 +239,26 @@
 }
 
 #[test]
-fn a_database_is_read_while_the_disk_is_full_and_written_again_afterwards() {
+fn a_full_disk_can_be_read_and_is_written_again_with_free_space() {
     arbtest(|input| {
         let folder = TempDir::new().expect("a folder");
         let mut storage = open_folder(folder.path(), Incarnation(9), None)
             .expect("a storage")
             .storage;
-        let mut expected = Durable::default();
-        for (_, writes) in batches() {
+        let mut expected = DurableState::default();
+        for WriteBatch { writes, .. } in batches() {
             if input.arbitrary()? {
                 fill(&folder);
                 let error = storage.recover().expect_err("no room");
-                assert!(FjallStorage::may_pass(&error));
+                assert!(FjallStorage::is_transient(&error));
                 assert_eq!(storage.load().expect("readable").entries, expected.entries);
                 // The probe has removed its file, and with it what stood for the full disk.
                 storage.recover().expect("room again");
             }
             storage.write(&writes).expect("written");
-            writes.iter().for_each(|write| expected.apply(write));
+            for write in &writes {
+                expected.apply(write);
+            }
             assert_eq!(storage.load().expect("readable"), expected);
         }
         Ok(())
@@ -239,7 +267,7 @@
 }
 
 #[test]
-fn another_disk_in_its_place_is_not_taken_for_the_one_that_failed() {
+fn a_replaced_disk_is_not_reopened() {
     let folder = TempDir::new().expect("a folder");
     let mut storage = open_folder(folder.path(), Incarnation(9), None)
         .expect("a storage")
@@ -247,7 +275,7 @@
     std::fs::remove_dir_all(folder.path().join("chain")).expect("removed");
     std::fs::create_dir(folder.path().join("chain")).expect("made");
     let error = storage.recover().expect_err("another disk");
-    assert!(!FjallStorage::may_pass(&error), "{error}");
+    assert!(!FjallStorage::is_transient(&error), "{error}");
     let error = storage.write(&[append(1)]).expect_err("closed");
-    assert!(FjallStorage::may_pass(&error), "{error}");
+    assert!(FjallStorage::is_transient(&error), "{error}");
 }
--- a/tier/replica/tests/returning.rs
+++ b/tier/replica/tests/returning.rs
@@ -1,102 +1,106 @@
-//! A member that was away while operations went on, and comes back while they do.
+//! A member that was down while operations went on, and rejoins while they do.
 
 mod common;
 
 use std::time::Instant;
 
-use common::{three, Machine, Words, ONLY, PATIENCE};
+use common::{start_three_machines, Machine, WordList, REPLACE_PREFIX, TEST_TIMEOUT};
 use plankhill_replica::ReplicaHandle;
 
 /// The disk of a core machine in the deployments known, in bytes.
 const DISK_BYTES: u64 = 128_000_000;
-/// The largest configuration that a controller takes, in bytes; debug builds take seconds for each of that size.
-const LARGEST: usize = if cfg!(debug_assertions) {
+/// The largest configuration that a controller takes, in bytes; debug builds take seconds for each
+/// of that size.
+const MAX_CONFIGURATION_BYTES: usize = if cfg!(debug_assertions) {
     512 * 1024
 } else {
     8 * 1024 * 1024
 };
 
-/// Gets a word committed. A member that is busy may take itself for cut off: callers ask again then, as here.
-async fn say(log: &ReplicaHandle<Words>, word: &str) {
+/// Gets a word committed. A busy member may take itself for cut off: callers retry then, as here.
+async fn propose(handle: &ReplicaHandle<WordList>, word: &str) {
     let asked = Instant::now();
-    while log.propose(word.to_owned(), PATIENCE).await.is_err() {
-        assert!(asked.elapsed() < PATIENCE, "no answer");
+    while handle.propose(word.to_owned(), TEST_TIMEOUT).await.is_err() {
+        assert!(asked.elapsed() < TEST_TIMEOUT, "no answer");
         tokio::task::yield_now().await;
     }
 }
 
 /// Gets so many operations committed, some of them at once.
-async fn say_many(machine: &Machine, count: usize, at_once: usize) {
+async fn propose_many(machine: &Machine, count: usize, at_once: usize) {
     let mut waiting = tokio::task::JoinSet::new();
     for number in 0..count {
         if waiting.len() >= at_once {
             waiting.join_next().await;
         }
-        let log = machine.log().clone();
-        waiting.spawn(async move { say(&log, &format!("{ONLY}{number}")).await });
+        let handle = machine.handle().clone();
+        waiting.spawn(async move { propose(&handle, &format!("{REPLACE_PREFIX}{number}")).await });
     }
     while waiting.join_next().await.is_some() {}
 }
 
-/// The member is back, and holds what was committed last.
-async fn holds_the_newest(machine: &Machine, newest: &str) {
+/// The member is back in the chain, and has what was committed last.
+async fn assert_rejoined_with_newest(machine: &Machine, newest: &str) {
     machine
-        .until(|standing| standing.in_chain && standing.chain.len() == 3)
+        .wait_for_status(|status| status.is_in_chain && status.chain.len() == 3)
         .await;
     let asked = Instant::now();
     let state = loop {
-        if let Ok(state) = machine.log().read(PATIENCE).await {
+        if let Ok(state) = machine.handle().read(TEST_TIMEOUT).await {
             break state;
         }
-        assert!(asked.elapsed() < PATIENCE, "no answer");
+        assert!(asked.elapsed() < TEST_TIMEOUT, "no answer");
         tokio::task::yield_now().await;
     };
     assert!(state.state.0 == [newest], "{} words", state.state.0.len());
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn after_five_five_hundred_and_five_thousand_operations() {
-    let mut machines = three().await;
-    machines[0].until_reaches_others().await;
-    for (away, count) in [5, 500, 5_000].into_iter().enumerate() {
-        machines[away].kill().await;
-        machines[away].settings.bootstrap = false;
-        let alive = (away + 1) % 3;
+async fn a_member_rejoins_after_missing_five_to_five_thousand_operations() {
+    let mut machines = start_three_machines().await;
+    machines[0].wait_wait_for_current().await;
+    for (down, count) in [5, 500, 5_000].into_iter().enumerate() {
+        machines[down].kill().await;
+        machines[down].settings.bootstrap = false;
+        let alive = (down + 1) % 3;
         machines[alive]
-            .until(|standing| standing.chain.len() == 2)
+            .wait_for_status(|status| status.chain.len() == 2)
             .await;
-        say_many(&machines[alive], count, 200).await;
-        machines[away].start();
+        propose_many(&machines[alive], count, 200).await;
+        machines[down].start();
         let began = Instant::now();
         // Changes go on meanwhile.
-        say_many(&machines[alive], 200, 20).await;
-        say(machines[alive].log(), &format!("{ONLY}last")).await;
-        holds_the_newest(&machines[away], &format!("{ONLY}last")).await;
+        propose_many(&machines[alive], 200, 20).await;
+        propose(machines[alive].handle(), &format!("{REPLACE_PREFIX}last")).await;
+        assert_rejoined_with_newest(&machines[down], &format!("{REPLACE_PREFIX}last")).await;
         println!("{count} operations: back after {:?}", began.elapsed());
     }
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn after_large_operations_within_the_disk() {
-    let mut machines = three().await;
-    machines[0].until_reaches_others().await;
+async fn a_member_rejoins_after_large_operations_and_the_disk_stays_bounded() {
+    let mut machines = start_three_machines().await;
+    machines[0].wait_wait_for_current().await;
     machines[2].kill().await;
     machines[2].settings.bootstrap = false;
     machines[0]
-        .until(|standing| standing.chain.len() == 2)
+        .wait_for_status(|status| status.chain.len() == 2)
         .await;
     let mut last = String::new();
     let mut most = 0;
     for number in 0..30 {
-        last = format!("{ONLY}{number} {}", "x".repeat(LARGEST - 64));
-        say(machines[0].log(), &last).await;
+        last = format!(
+            "{REPLACE_PREFIX}{number} {}",
+            "x".repeat(MAX_CONFIGURATION_BYTES - 64)
+        );
+        propose(machines[0].handle(), &last).await;
         most = most.max(machines[0].bytes_on_disk());
     }
     machines[2].start();
     let began = Instant::now();
-    holds_the_newest(&machines[2], &last).await;
+    assert_rejoined_with_newest(&machines[2], &last).await;
     println!(
-        "30 of {LARGEST} bytes: {most} bytes on disk at most, back after {:?}",
+        "30 of {MAX_CONFIGURATION_BYTES} bytes: {most} bytes on disk at most, back after {:?}",
         began.elapsed()
     );
     assert!(most < DISK_BYTES, "{most} bytes on disk");
--- a/tier/replica/tests/storage.rs
+++ b/tier/replica/tests/storage.rs
@@ -1,18 +1,48 @@
 //! One suite that every storage passes.
 
+use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::path::Path;
 
 use arbtest::{arbitrary, arbtest};
 use plankhill_chain::{
-    Acceptor, Ballot, Durable, Entry, Identity, Member, RequestNumber, Snapshot, Storage, View,
-    ViewNumber, Write,
+    Acceptor, Ballot, DurableState, Entry, Identity, Member, RequestNumber, Snapshot, Storage,
+    View, ViewNumber, Write,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
-use plankhill_replica::storage::{open_folder, FjallStorage, MemoryStorage};
+use plankhill_replica::storage::{open_folder, FjallStorage};
 use tempfile::TempDir;
 
-/// Something that can be closed and opened again.
+/// A storage without a disk.
+#[derive(Clone, Debug, Default)]
+struct MemoryStorage {
+    durable: DurableState,
+}
+
+impl Storage for MemoryStorage {
+    type Error = Infallible;
+
+    fn load(&mut self) -> Result<DurableState, Infallible> {
+        Ok(self.durable.clone())
+    }
+
+    fn write(&mut self, changes: &[Write]) -> Result<(), Infallible> {
+        for change in changes {
+            self.durable.apply(change);
+        }
+        Ok(())
+    }
+
+    fn recover(&mut self) -> Result<(), Infallible> {
+        Ok(())
+    }
+
+    fn is_transient(error: &Infallible) -> bool {
+        match *error {}
+    }
+}
+
+/// A storage that can be closed and opened again.
 trait Reopened: Storage + Sized {
     fn reopened(self, folder: &Path) -> Self;
 }
@@ -54,8 +84,8 @@
     }
 }
 
-/// Batches as a member writes them: operations follow each other, the last ones may be cut off, snapshots
-/// take the first ones away.
+/// Batches as a member writes them: operations follow each other, the last ones may be cut off,
+/// snapshots take the first ones away.
 struct Writer {
     before: u64,
     last: u64,
@@ -108,18 +138,20 @@
 }
 
 /// Whatever is written is found again, also after the storage was opened anew.
-fn keeps_what_is_written<S: Reopened>(mut open: impl FnMut(&Path) -> S) {
+fn assert_returns_what_was_written<S: Reopened>(mut open: impl FnMut(&Path) -> S) {
     arbtest(|input| {
         let folder = TempDir::new().unwrap();
         let mut storage = open(folder.path());
         let mut writer = Writer { before: 0, last: 0 };
-        let mut expected = Durable::default();
+        let mut expected = DurableState::default();
         for _ in 0..input.int_in_range(1..=12)? {
             let mut batch = Vec::new();
             for _ in 0..input.int_in_range(1..=8)? {
                 batch.push(writer.change(input)?);
             }
-            batch.iter().for_each(|change| expected.apply(change));
+            for change in &batch {
+                expected.apply(change);
+            }
             storage.write(&batch).unwrap();
             if input.ratio(1, 4)? {
                 storage = storage.reopened(folder.path());
@@ -131,48 +163,48 @@
     .budget_ms(2_000);
 }
 
-fn begins_empty<S: Reopened>(open: impl Fn(&Path) -> S) {
+fn assert_begins_empty<S: Reopened>(open: impl Fn(&Path) -> S) {
     let folder = TempDir::new().unwrap();
-    assert_eq!(open(folder.path()).load().unwrap(), Durable::default());
+    assert_eq!(open(folder.path()).load().unwrap(), DurableState::default());
 }
 
 #[test]
-fn memory_keeps_what_is_written() {
-    begins_empty(|_| MemoryStorage::default());
-    keeps_what_is_written(|_| MemoryStorage::default());
+fn memory_storage_returns_what_was_written() {
+    assert_begins_empty(|_| MemoryStorage::default());
+    assert_returns_what_was_written(|_| MemoryStorage::default());
 }
 
 #[test]
-fn fjall_keeps_what_is_written() {
+fn fjall_storage_returns_what_was_written() {
     let open = |folder: &Path| FjallStorage::open(folder).unwrap();
-    begins_empty(open);
-    keeps_what_is_written(open);
+    assert_begins_empty(open);
+    assert_returns_what_was_written(open);
 }
 
 #[test]
-fn a_folder_keeps_its_incarnation_until_it_is_lost() {
+fn a_folder_retains_its_incarnation_and_founders() {
     let folder = TempDir::new().unwrap();
     let founders = vec![SocketAddr::from(([127, 0, 0, 1], 1))];
     let first = open_folder(folder.path(), Incarnation(1), Some(founders.clone())).unwrap();
-    assert_eq!(first.held.incarnation, Some(Incarnation(1)));
-    assert_eq!(first.held.founders, Some(founders.clone()));
+    assert_eq!(first.durable.incarnation, Some(Incarnation(1)));
+    assert_eq!(first.durable.founders, Some(founders.clone()));
     drop(first);
     let again = open_folder(folder.path(), Incarnation(2), None).unwrap();
-    assert_eq!(again.held.incarnation, Some(Incarnation(1)));
-    assert_eq!(again.held.founders, Some(founders));
+    assert_eq!(again.durable.incarnation, Some(Incarnation(1)));
+    assert_eq!(again.durable.founders, Some(founders));
 }
 
 #[test]
-fn a_folder_whose_first_sync_never_ended_is_empty() {
+fn a_folder_without_its_ready_file_counts_as_empty() {
     let folder = TempDir::new().unwrap();
     drop(open_folder(folder.path(), Incarnation(1), None).unwrap());
     std::fs::remove_file(folder.path().join("chain-ready")).unwrap();
     let again = open_folder(folder.path(), Incarnation(2), None).unwrap();
-    assert_eq!(again.held.incarnation, Some(Incarnation(2)));
+    assert_eq!(again.durable.incarnation, Some(Incarnation(2)));
 }
 
 #[test]
-fn a_torn_end_of_the_journal_is_left_out() {
+fn a_torn_journal_end_is_dropped() {
     let folder = TempDir::new().unwrap();
     let mut opened = open_folder(folder.path(), Incarnation(1), None).unwrap();
     let append = |number| Write::Append {
@@ -184,9 +216,9 @@
     drop(opened);
     tear_journals(&folder.path().join("chain"));
     let again = open_folder(folder.path(), Incarnation(2), None).unwrap();
-    assert_eq!(again.held.incarnation, Some(Incarnation(1)));
+    assert_eq!(again.durable.incarnation, Some(Incarnation(1)));
     assert_eq!(
-        again.held.entries.keys().copied().collect::<Vec<_>>(),
+        again.durable.entries.keys().copied().collect::<Vec<_>>(),
         [Revision(1)]
     );
 }
--- a/tier/replica/tests/stored_format.rs
+++ b/tier/replica/tests/stored_format.rs
@@ -1,5 +1,6 @@
-//! The rows of a member's database, as `tests/stored_format/rows.txt` holds them, and a folder as an earlier build wrote
-//! it (`tests/stored_format/folder`). Stored data has to stay readable: neither may be made anew for a changed build.
+//! The rows of a member's database, as `tests/stored_format/rows.txt` holds them, and a folder as
+//! an earlier build wrote it (`tests/stored_format/folder`). Stored data has to stay readable:
+//! neither may be made anew for a changed build.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,8 +10,8 @@
 
 use fjall::{Database, KeyspaceCreateOptions};
 use plankhill_chain::{
-    Acceptor, Ballot, Durable, Entry, Identity, Member, RequestNumber, Snapshot, Storage, View,
-    ViewNumber, Write,
+    Acceptor, Ballot, DurableState, Entry, Identity, Member, RequestNumber, Snapshot, Storage,
+    View, ViewNumber, Write,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 use plankhill_replica::storage::{open_folder, FjallStorage};
@@ -95,8 +96,8 @@
     }
 }
 
-/// One change of each kind, in the order of the variants: the one that follows `previous`. A new kind does not compile
-/// until it stands in this order, and with it in the recorded rows.
+/// One change of each kind, in the order of the variants: the one that follows `previous`. A new
+/// kind does not compile until it stands in this order, and with it in the recorded rows.
 fn change_after(previous: Option<&Write>) -> Option<Write> {
     let next = match previous {
         None => Write::Incarnation(INCARNATION),
@@ -119,7 +120,8 @@
     Some(next)
 }
 
-/// A change of each kind, with operations before the snapshot and behind the cut, which are not kept.
+/// A change of each kind, with operations before the snapshot and behind the cut, which are not
+/// kept.
 fn changes() -> Vec<Write> {
     let mut changes = Vec::new();
     let mut next = change_after(None);
@@ -136,8 +138,8 @@
 }
 
 /// What the changes come to.
-fn durable() -> Durable {
-    Durable {
+fn durable() -> DurableState {
+    DurableState {
         incarnation: Some(INCARNATION),
         founders: Some(founders()),
         acceptor: acceptor(),
@@ -165,7 +167,8 @@
     rows.iter().map(row).collect()
 }
 
-/// Rows after all changes, and after a new acceptor has taken the place of one that has promised and accepted.
+/// Rows after all changes, and after a new acceptor has taken the place of one that has promised
+/// and accepted.
 fn written_rows(folder: &Path) -> Vec<String> {
     let mut storage = open_folder(folder, INCARNATION, None).unwrap().storage;
     storage.write(&changes()).unwrap();
@@ -211,7 +214,7 @@
     // Version control does not keep this folder, which is empty.
     fs::create_dir_all(folder.path().join("chain/keyspaces/1/tables")).unwrap();
     let opened = open_folder(folder.path(), Incarnation(1), None).unwrap();
-    assert_eq!(opened.held, durable());
+    assert_eq!(opened.durable, durable());
 }
 
 #[test]
@@ -222,7 +225,7 @@
         .storage;
     storage.write(&changes()).unwrap();
     assert_eq!(storage.load().unwrap(), durable());
-    let mut applied = Durable::default();
+    let mut applied = DurableState::default();
     for change in changes() {
         applied.apply(&change);
     }
--- a/tier/replica/tests/waiting_for_disk.rs
+++ b/tier/replica/tests/waiting_for_disk.rs
@@ -1,17 +1,17 @@
-//! A member whose disk cannot be opened at its start.
+//! A replica whose disk cannot be opened at its start.
 
 mod common;
 
 use std::time::Duration;
 
-use common::Words;
+use common::WordList;
 use plankhill_protocol::ids::NodeId;
 use plankhill_replica::{start, ReplicaSettings};
 use tempfile::TempDir;
 
 /// A file lies where the folder has to be made, and is taken away later.
 #[tokio::test(flavor = "current_thread")]
-async fn a_member_whose_disk_cannot_be_opened_says_so_at_once_and_starts_when_it_can() {
+async fn a_replica_whose_disk_cannot_be_opened_fails_calls_at_once_and_starts_later() {
     let parent = TempDir::new().expect("a folder");
     let in_the_way = parent.path().join("data");
     std::fs::write(&in_the_way, "").expect("a file");
@@ -24,16 +24,16 @@
         bootstrap: true,
         tolerated_faults: 0,
     };
-    let log = start::<Words>(settings).expect("a handle");
-    let patience = Duration::from_secs(600);
-    assert!(log.propose("early".into(), patience).await.is_err());
-    assert!(log.read(patience).await.is_err());
-    assert!(!log.is_current());
+    let handle = start::<WordList>(settings).expect("a handle");
+    let timeout = Duration::from_secs(600);
+    assert!(handle.propose("early".into(), timeout).await.is_err());
+    assert!(handle.read(timeout).await.is_err());
+    assert!(!handle.is_current());
     std::fs::remove_file(&in_the_way).expect("removed");
-    let mut standing = log.watch_status();
-    standing
-        .wait_for(|standing| standing.is_head)
+    let mut status = handle.watch_status();
+    status
+        .wait_for(|status| status.is_head)
         .await
         .expect("a member");
-    assert_eq!(log.propose("word".into(), patience).await, Ok(1));
+    assert_eq!(handle.propose("word".into(), timeout).await, Ok(1));
 }
