--- a/tier/controller/tests/stored_format.rs
+++ b/tier/controller/tests/stored_format.rs
@@ -49,7 +49,7 @@
 fn the_storage_finds_what_a_controller_wrote() {
     let folder = folder_of_a_controller();
     let opened = open_folder(folder.path(), Incarnation(1), None).expect("opens");
-    let held = opened.held;
+    let held = opened.durable;
     assert_eq!(held.incarnation, Some(INCARNATION));
     assert_eq!(held.view.chain, [NodeId::from("core-1")]);
     assert_eq!(held.snapshot.revision, Revision(512));
