--- a/tier/control/src/configuration.rs
+++ b/tier/control/src/configuration.rs
@@ -1,7 +1,8 @@
 //! The operator's configuration, and digests of the configurations accepted before.
 //!
-//! The history makes `PUT /-/config` idempotent: an operator that got no answer sends the same document again, to any
-//! controller, and a document that was accepted once is never rejected afterwards.
+//! The history makes `PUT /-/config` idempotent: an operator that got no answer sends the same
+//! document again, to any controller, and a document that was accepted once is never rejected
+//! afterwards.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -15,16 +16,17 @@
 
 /// Most accepted configurations that are remembered.
 ///
-/// A long day has hundreds of changes, and at most eight requests are in flight at once, so that a repeated request is
-/// far younger than this. An older request is not rejected but gets [`Outcome::HistoryTrimmed`]: its configuration may
-/// have been accepted.
+/// A long day has hundreds of changes, and at most eight requests are in flight at once, so that a
+/// repeated request is far younger than this. An older request is not rejected but gets
+/// [`Outcome::HistoryTrimmed`]: its configuration may have been accepted.
 pub const MAX_ACCEPTED_REMEMBERED: usize = 1_024;
 
 /// The current configuration and digests of the accepted ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationHistory {
     current: Option<ConfigurationText>,
-    /// In the order of acceptance, the current configuration last; at most [`MAX_ACCEPTED_REMEMBERED`].
+    /// In the order of acceptance, the current configuration last; at most
+    /// [`MAX_ACCEPTED_REMEMBERED`].
     accepted: VecDeque<AcceptedConfiguration>,
 }
 
@@ -46,8 +48,8 @@
         self.current.as_ref().map_or(0, |current| current.version)
     }
 
-    /// The version under which exactly this document was accepted, now or before; `None` if no such acceptance is
-    /// remembered.
+    /// The version under which exactly this document was accepted, now or before; `None` if no such
+    /// acceptance is remembered.
     pub fn accepted_version(&self, document: &[u8]) -> Option<u64> {
         let digest = digest(document);
         let newest_match = self
@@ -58,7 +60,8 @@
         Some(newest_match.version)
     }
 
-    /// Whether a configuration with this version may have been accepted and dropped from the history.
+    /// Whether a configuration with this version may have been accepted and dropped from the
+    /// history.
     ///
     /// Accepted versions only rise, so that all those dropped lie below the oldest one remembered.
     pub fn may_have_been_trimmed(&self, version: u64) -> bool {
@@ -106,8 +109,8 @@
     }
 }
 
-/// A digest of a document: SipHash-2-4 with 128 bits and an all-zero key, the same on every controller and in every
-/// build. The digests are stored, so that the function is format.
+/// A digest of a document: SipHash-2-4 with 128 bits and an all-zero key, the same on every
+/// controller and in every build. The digests are stored, so that the function is format.
 fn digest(document: &[u8]) -> u128 {
     let mut hasher = SipHasher24::new();
     hasher.write(document);
--- a/tier/control/src/drains.rs
+++ b/tier/control/src/drains.rs
@@ -1,7 +1,7 @@
 //! Edges that the operator has taken out of service.
 //!
-//! Orders are numbered and name the order that they build on, so that of two operators with the same knowledge one
-//! gets [`Outcome::Conflict`] in place of undoing the other's order unseen.
+//! Orders are numbered and name the order that they build on, so that of two operators with the
+//! same knowledge one gets [`Outcome::Conflict`] in place of undoing the other's order unseen.
 
 use std::collections::BTreeMap;
 
@@ -72,7 +72,8 @@
 
     /// Records that an edge has drained under the order with this number.
     ///
-    /// A report for an earlier order is ignored: the edge was in service in between and may have clients again.
+    /// A report for an earlier order is ignored: the edge was in service in between and may have
+    /// clients again.
     pub(crate) fn record_drained(&mut self, node: &NodeId, number: u64) -> Outcome {
         match self.nodes.get_mut(node) {
             Some(drain) if drain.number == number && !drain.empty => {
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Drains an edge under the present number. An edge that drains already keeps its number and its progress.
+    /// Drains an edge under the present number. An edge that drains already keeps its number and
+    /// its progress.
     fn drain(&mut self, node: &NodeId) {
         if !self.nodes.contains_key(node) {
             let drain = Drain {
--- a/tier/control/src/outcome.rs
+++ b/tier/control/src/outcome.rs
@@ -1,4 +1,5 @@
-//! The result of applying an operation, which the chain returns to the controller that proposed the operation.
+//! The result of applying an operation, which the chain returns to the controller that proposed the
+//! operation.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,14 +12,16 @@
     Applied,
     /// Exactly this request was applied before.
     Duplicate,
-    /// Nothing to change: the request is older than the state, already in the state, or for an earlier epoch.
+    /// Nothing to change: the request is older than the state, already in the state, or for an
+    /// earlier epoch.
     Ignored,
     /// Another configuration, or another drain order, was applied first.
     Conflict {
         /// The current configuration version, or the number of the last drain order.
         current: u64,
     },
-    /// The configuration builds on the current one, but its version is not above the current version.
+    /// The configuration builds on the current one, but its version is not above the current
+    /// version.
     VersionNotIncreasing {
         /// The current configuration version.
         current: u64,
@@ -35,7 +38,8 @@
     Full,
     /// The singleton task was proposed by the head of an older view of the chain.
     Fenced,
-    /// The configuration is older than the remembered history: whether it was accepted before is unknown.
+    /// The configuration is older than the remembered history: whether it was accepted before is
+    /// unknown.
     HistoryTrimmed,
 }
 
--- a/tier/control/src/retirements.rs
+++ b/tier/control/src/retirements.rs
@@ -1,4 +1,5 @@
-//! Stores that the operator retires: their data moves to other stores before the machines are taken away.
+//! Stores that the operator retires: their data moves to other stores before the machines are taken
+//! away.
 
 use std::collections::BTreeSet;
 
--- a/tier/control/src/singleton.rs
+++ b/tier/control/src/singleton.rs
@@ -1,7 +1,8 @@
 //! Work that exactly one controller does at a time: the head of the chain.
 //!
-//! Each task carries the number of the view in which its proposer heads the chain. The number is a fencing token:
-//! [`ControlState`](crate::ControlState) rejects tasks from views older than the newest one seen.
+//! Each task carries the number of the view in which its proposer heads the chain. The number is a
+//! fencing token: [`ControlState`](crate::ControlState) rejects tasks from views older than the
+//! newest one seen.
 
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId};
 use serde::{Deserialize, Serialize};
@@ -34,6 +35,7 @@
 pub struct ExpiredTarget {
     /// The target.
     pub id: InstanceId,
-    /// Its newest committed sequence when its silence was found; a target that has reported a change since stays.
+    /// Its newest committed sequence when its silence was found; a target that has reported a
+    /// change since stays.
     pub sequence: u64,
 }
--- a/tier/control/src/state.rs
+++ b/tier/control/src/state.rs
@@ -24,14 +24,16 @@
     edges: Edges,
     stores: Stores,
     retirements: Retirements,
-    /// The fencing token of singleton tasks: the newest view of the chain whose head has proposed one.
+    /// The fencing token of singleton tasks: the newest view of the chain whose head has proposed
+    /// one.
     singleton_view: u64,
     drains: Drains,
 }
 
 impl ControlState {
-    /// Applies one operation. The result is the same on every controller: it depends on the state and the operation
-    /// only. `_revision` is the position of the operation in the order of the chain.
+    /// Applies one operation. The result is the same on every controller: it depends on the state
+    /// and the operation only. `_revision` is the position of the operation in the order of the
+    /// chain.
     pub fn apply(&mut self, _revision: Revision, operation: &Operation) -> Outcome {
         match operation {
             Operation::PutConfiguration {
@@ -68,8 +70,8 @@
 
     /// Applies a singleton task unless its proposer has been superseded.
     ///
-    /// The head of a later view may already act on newer knowledge; tasks of an earlier head that arrive behind its
-    /// first one would undo that.
+    /// The head of a later view may already act on newer knowledge; tasks of an earlier head that
+    /// arrive behind its first one would undo that.
     fn apply_singleton_task(&mut self, view: u64, task: &SingletonTask) -> Outcome {
         if view < self.singleton_view {
             return Outcome::Fenced;
--- a/tier/control/src/stores.rs
+++ b/tier/control/src/stores.rs
@@ -1,9 +1,10 @@
 //! The stores that hold turns and budgets, and the transition from one set of stores to the next.
 //!
-//! Before the first view, registered stores wait as bootstrap candidates (`bootstrap`). Afterwards every change of the
-//! set goes through a next set (`reconfiguration`): while the view has one, writes need a quorum in both sets, and the
-//! next set becomes the serving one once each of its members has copied everything that belongs to it. Every change of
-//! the view raises its epoch, which voids what members reported as synced before.
+//! Before the first view, registered stores wait as bootstrap candidates (`bootstrap`). Afterwards
+//! every change of the set goes through a next set (`reconfiguration`): while the view has one,
+//! writes need a quorum in both sets, and the next set becomes the serving one once each of its
+//! members has copied everything that belongs to it. Every change of the view raises its epoch,
+//! which voids what members reported as synced before.
 
 mod bootstrap;
 mod reconfiguration;
@@ -40,7 +41,8 @@
         self.synced.iter()
     }
 
-    /// Whether exactly this store is where its last registration put it, so that registering it again changes nothing.
+    /// Whether exactly this store is where its last registration put it, so that registering it
+    /// again changes nothing.
     pub fn is_registered(&self, member: &StoreMember) -> bool {
         self.desired_members().contains(member)
             || self.bootstrap_candidates.get(&member.node) == Some(member)
--- a/tier/control/src/stores/reconfiguration.rs
+++ b/tier/control/src/stores/reconfiguration.rs
@@ -19,8 +19,9 @@
         Outcome::Applied
     }
 
-    /// Changes the address or zone of an incarnation that is in the view already: its data is where it was, so that it
-    /// need not sync. Returns false if the incarnation has to join as a new one would.
+    /// Changes the address or zone of an incarnation that is in the view already: its data is where
+    /// it was, so that it need not sync. Returns false if the incarnation has to join as a new one
+    /// would.
     pub(super) fn update_same_incarnation(&mut self, member: &StoreMember) -> bool {
         let next = self.view.next.iter_mut().flatten();
         for present in self.view.serving.iter_mut().chain(next) {
@@ -28,7 +29,8 @@
                 *present = member.clone();
             }
         }
-        // A serving incarnation may have been removed from the next set meanwhile; it then has to join again.
+        // A serving incarnation may have been removed from the next set meanwhile; it then has to
+        // join again.
         let is_desired = self.desired_members().contains(member);
         if is_desired {
             self.advance_epoch();
@@ -36,7 +38,8 @@
         is_desired
     }
 
-    /// Records that a member of the next set is ready. The last member to be ready makes the next set the serving one.
+    /// Records that a member of the next set is ready. The last member to be ready makes the next
+    /// set the serving one.
     pub(crate) fn record_synced(
         &mut self,
         node: &NodeId,
@@ -79,9 +82,11 @@
         Outcome::Applied
     }
 
-    /// Removes a store that has been lost for long: one that was joining, or a serving one that others replace.
+    /// Removes a store that has been lost for long: one that was joining, or a serving one that
+    /// others replace.
     ///
-    /// Where fewer than 2f+1 would remain, the transition in progress is abandoned and the serving set stays.
+    /// Where fewer than 2f+1 would remain, the transition in progress is abandoned and the serving
+    /// set stays.
     pub(crate) fn remove_lost(&mut self, node: &NodeId, incarnation: Incarnation) -> Outcome {
         if !self.can_remove_lost(node, incarnation) {
             return Outcome::Ignored;
@@ -95,7 +100,8 @@
         Outcome::Applied
     }
 
-    /// Whether [`SingletonTask::RemoveLostStore`](crate::SingletonTask::RemoveLostStore) would change something.
+    /// Whether [`SingletonTask::RemoveLostStore`](crate::SingletonTask::RemoveLostStore) would
+    /// change something.
     pub fn can_remove_lost(&self, node: &NodeId, incarnation: Incarnation) -> bool {
         let is_lost = |member: &StoreMember| is_incarnation(member, node, incarnation);
         if !self.desired_members().iter().any(is_lost) {
--- a/tier/control/src/targets.rs
+++ b/tier/control/src/targets.rs
@@ -10,17 +10,19 @@
 use crate::outcome::Outcome;
 use crate::singleton::ExpiredTarget;
 
-/// Most targets registered at once; far above the largest deployment described, and about 8 MB of memory.
+/// Most targets registered at once; far above the largest deployment described, and about 8 MB of
+/// memory.
 const MAX_TARGETS: usize = 16_384;
-/// Most ids of deregistered targets that are remembered. A late heartbeat is seconds old, and a release deregisters a
-/// few targets a second.
+/// Most ids of deregistered targets that are remembered. A late heartbeat is seconds old, and a
+/// release deregisters a few targets a second.
 const MAX_DEREGISTERED_REMEMBERED: usize = 4_096;
 
 /// The registered targets by id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Targets {
     registered: BTreeMap<InstanceId, Arc<Target>>,
-    /// Ids of targets that shut down gracefully, oldest first; at most [`MAX_DEREGISTERED_REMEMBERED`].
+    /// Ids of targets that shut down gracefully, oldest first; at most
+    /// [`MAX_DEREGISTERED_REMEMBERED`].
     deregistered: VecDeque<InstanceId>,
 }
 
@@ -60,8 +62,8 @@
         }
     }
 
-    /// Registers a report. A report of a deregistered target, a late report, and a report that differs in nothing but
-    /// its sequence change nothing.
+    /// Registers a report. A report of a deregistered target, a late report, and a report that
+    /// differs in nothing but its sequence change nothing.
     pub(crate) fn register(&mut self, report: &Target) -> Outcome {
         if self.is_up_to_date(report) {
             return Outcome::Ignored;
@@ -76,10 +78,11 @@
         Outcome::Applied
     }
 
-    /// Removes another target at the report's address: an address belongs to the target that reported it last.
+    /// Removes another target at the report's address: an address belongs to the target that
+    /// reported it last.
     ///
-    /// The former owner does not count as deregistered: if it is alive after all, its next heartbeat registers it
-    /// again.
+    /// The former owner does not count as deregistered: if it is alive after all, its next
+    /// heartbeat registers it again.
     fn remove_former_owner_of_address(&mut self, report: &Target) {
         self.registered
             .retain(|id, registered| *id == report.id || registered.address != report.address);
@@ -118,8 +121,8 @@
     }
 }
 
-/// Whether two reports differ in nothing but the fields that every heartbeat changes: the sequence and the remaining
-/// warm-up time.
+/// Whether two reports differ in nothing but the fields that every heartbeat changes: the sequence
+/// and the remaining warm-up time.
 fn is_same_registration(one: &Target, other: &Target) -> bool {
     one.service == other.service
         && one.address == other.address
--- a/tier/control/tests/common/mod.rs
+++ b/tier/control/tests/common/mod.rs
@@ -96,8 +96,8 @@
     (state, members)
 }
 
-/// Checks values against a fixture with a line `name hex` for each, in the same order: encoding gives the bytes, and
-/// the bytes give the value.
+/// Checks values against a fixture with a line `name hex` for each, in the same order: encoding
+/// gives the bytes, and the bytes give the value.
 pub fn pinned<T>(fixture: &str, values: Vec<(&str, T)>)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
--- a/tier/control/tests/configuration.rs
+++ b/tier/control/tests/configuration.rs
@@ -103,8 +103,9 @@
     });
 }
 
-/// A repeated put is never rejected, however many have been applied since: once the history has been trimmed, the
-/// outcome is open. A put that was never applied is rejected as long as the history shows it.
+/// A repeated put is never rejected, however many have been applied since: once the history has
+/// been trimmed, the outcome is open. A put that was never applied is rejected as long as the
+/// history shows it.
 #[test]
 fn a_put_older_than_the_history_is_not_rejected() {
     let mut state = ControlState::default();
--- a/tier/control/tests/drains.rs
+++ b/tier/control/tests/drains.rs
@@ -81,7 +81,8 @@
         apply(&mut state, &order(1, &["a1"], DrainAction::Undrain)),
         Outcome::Applied
     );
-    // The repeat of the first order comes late: the drain that it asked for is not in force any more.
+    // The repeat of the first order comes late: the drain that it asked for is not in force any
+    // more.
     assert_eq!(
         apply(&mut state, &order(0, &["a1"], DrainAction::Drain)),
         Outcome::Conflict { current: 2 }
--- a/tier/control/tests/stored_format.rs
+++ b/tier/control/tests/stored_format.rs
@@ -1,6 +1,6 @@
-//! The bytes of operations, outcomes and the control state, as the chain stores them and sends them to other
-//! controllers. The fixtures were written once by the text that was in service; a change that moves a variant or a
-//! field no longer gives these bytes.
+//! The bytes of operations, outcomes and the control state, as the chain stores them and sends them
+//! to other controllers. The fixtures were written once by the text that was in service; a change
+//! that moves a variant or a field no longer gives these bytes.
 
 mod common;
 
@@ -65,8 +65,9 @@
     Operation::SingletonTask { view: 9, task }
 }
 
-/// The name of an operation in the fixture, which keeps the names of the text that wrote it. A new variant does not compile before it has a name here; it also gets a
-/// value in [`operations`] and a line in the fixture.
+/// The name of an operation in the fixture, which keeps the names of the text that wrote it. A new
+/// variant does not compile before it has a name here; it also gets a value in [`operations`] and a
+/// line in the fixture.
 fn operation_name(operation: &Operation) -> &'static str {
     match operation {
         Operation::PutConfiguration { .. } => "PutConfiguration",
@@ -189,8 +190,8 @@
     }])
 }
 
-/// Every field of the state differs from its default: a set of stores takes over from another, a target has
-/// deregistered, a store is retired, an edge drains.
+/// Every field of the state differs from its default: a set of stores takes over from another, a
+/// target has deregistered, a store is retired, an edge drains.
 fn complete() -> ControlState {
     let register = |node, incarnation| Operation::RegisterStore {
         member: store(node, incarnation),
--- a/tier/control/tests/stores.rs
+++ b/tier/control/tests/stores.rs
@@ -201,8 +201,8 @@
     assert_eq!(state.stores().view().serving[2], members[2]);
 }
 
-/// Checks one step: a member that serves afterwards either served before, or was in the next set and had synced in that
-/// epoch.
+/// Checks one step: a member that serves afterwards either served before, or was in the next set
+/// and had synced in that epoch.
 fn check_step(before: &StoreView, synced: &BTreeSet<NodeId>, after: &StoreView, outcome: Outcome) {
     assert!(after.epoch >= before.epoch);
     if outcome != Outcome::Applied {
--- a/tier/control/tests/targets.rs
+++ b/tier/control/tests/targets.rs
@@ -1,4 +1,5 @@
-//! Reports are ordered by `sequence`, a deregistered target stays deregistered, and an address has one owner.
+//! Reports are ordered by `sequence`, a deregistered target stays deregistered, and an address has
+//! one owner.
 
 mod common;
 
--- a/tier/controller/src/admin/body.rs
+++ b/tier/controller/src/admin/body.rs
@@ -13,8 +13,8 @@
 /// Bytes that one permit of the budget stands for.
 const BYTES_PER_PERMIT: usize = 1_024;
 
-/// The longest time for a body: eight megabytes take under a second on the slowest link described, and callers give up
-/// a little later than that.
+/// The longest time for a body: eight megabytes take under a second on the slowest link described,
+/// and callers give up a little later than that.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The body of a request, from a connection or from a test.
--- a/tier/controller/src/admin/configuration.rs
+++ b/tier/controller/src/admin/configuration.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// The response that the committed state known here settles without parsing the document: the document was accepted
-/// before, or it builds on a version that is surely not current any more.
+/// The response that the committed state known here settles without parsing the document: the
+/// document was accepted before, or it builds on a version that is surely not current any more.
 fn respond_from_history<L: ControlLog>(
     controller: &Controller<L>,
     expected: u64,
--- a/tier/controller/src/admin/drains.rs
+++ b/tier/controller/src/admin/drains.rs
@@ -69,8 +69,8 @@
             Ok(body) => body,
             Err(cause) => return bad_request(&format!("order cannot be read: {cause}")),
         };
-    // A zone means the machines that are registered anywhere, so that the newest state is needed. A newer order makes
-    // the number conflict.
+    // A zone means the machines that are registered anywhere, so that the newest state is needed. A
+    // newer order makes the number conflict.
     let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
     };
--- a/tier/controller/src/admin/instances.rs
+++ b/tier/controller/src/admin/instances.rs
@@ -22,8 +22,8 @@
 #[derive(Serialize)]
 struct Acknowledgement {}
 
-/// Handles a heartbeat. One without news is acknowledged from the committed state; one with news is acknowledged once
-/// it is committed.
+/// Handles a heartbeat. One without news is acknowledged from the committed state; one with news is
+/// acknowledged once it is committed.
 pub(super) async fn heartbeat<L: ControlLog>(
     controller: &Controller<L>,
     id: InstanceId,
--- a/tier/controller/src/admin/response.rs
+++ b/tier/controller/src/admin/response.rs
@@ -1,4 +1,5 @@
-//! Responses of the admin interface. Status codes, error texts and JSON forms are what operators and targets rely on.
+//! Responses of the admin interface. Status codes, error texts and JSON forms are what operators
+//! and targets rely on.
 
 use bytes::Bytes;
 use http_body_util::Full;
--- a/tier/controller/src/admin/retire.rs
+++ b/tier/controller/src/admin/retire.rs
@@ -14,7 +14,8 @@
 /// Largest order, in bytes.
 const MAX_ORDER_BYTES: usize = 4 * 1_024;
 
-/// An order as the operator sends it. The duration is validated and not used: nothing here is done early.
+/// An order as the operator sends it. The duration is validated and not used: nothing here is done
+/// early.
 #[derive(Deserialize)]
 struct OrderBody {
     #[serde(default, rename = "duration_s")]
--- a/tier/controller/src/admin/server.rs
+++ b/tier/controller/src/admin/server.rs
@@ -21,8 +21,8 @@
 use crate::controller::Controller;
 use crate::limited_listener::{AcceptedConnection, LimitedListener};
 
-/// The longest time for the head of a request, counted from the end of the call before: callers that keep a connection
-/// send a heartbeat every second or so.
+/// The longest time for the head of a request, counted from the end of the call before: callers
+/// that keep a connection send a heartbeat every second or so.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
 /// Largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1_024;
--- a/tier/controller/src/admin/status.rs
+++ b/tier/controller/src/admin/status.rs
@@ -39,7 +39,8 @@
     behind: u64,
 }
 
-/// Shows the status as this controller sees it, also when the controller is cut off from the others.
+/// Shows the status as this controller sees it, also when the controller is cut off from the
+/// others.
 pub(super) fn status<L: ControlLog>(controller: &Controller<L>) -> AdminResponse {
     let chain_status = controller.log().chain_status();
     let committed = controller.log().state().borrow().clone();
--- a/tier/controller/src/change_log.rs
+++ b/tier/controller/src/change_log.rs
@@ -1,7 +1,7 @@
 //! The latest changes of the tables, so that a subscriber that lags a little is sent only those.
 //!
-//! The controller owns one change log and advances it with every committed state that it publishes; the sessions of
-//! subscribers read it.
+//! The controller owns one change log and advances it with every committed state that it publishes;
+//! the sessions of subscribers read it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -63,7 +63,8 @@
         self.newest = state;
     }
 
-    /// The update that brings a subscriber from `held_revision` to the newest; `None` if it holds the newest.
+    /// The update that brings a subscriber from `held_revision` to the newest; `None` if it holds
+    /// the newest.
     pub fn update_since(&self, held_revision: Revision) -> Option<TablesUpdate> {
         if held_revision >= self.newest.revision {
             return None;
@@ -79,14 +80,16 @@
         TablesUpdate::Snapshot(build_tables(&self.newest.state, self.newest.revision))
     }
 
-    /// Keeps one document in memory at most: a subscriber that is sent an earlier step is sent the newest one too.
+    /// Keeps one document in memory at most: a subscriber that is sent an earlier step is sent the
+    /// newest one too.
     fn drop_earlier_configurations(&mut self) {
         for step in &mut self.steps {
             step.changes.retain(|change| !is_configuration(change));
         }
     }
 
-    /// `None` if the revision lies between two steps or before the first, or too many changes follow it.
+    /// `None` if the revision lies between two steps or before the first, or too many changes
+    /// follow it.
     fn changes_since(&self, held_revision: Revision) -> Option<TablesUpdate> {
         let first = self
             .steps
--- a/tier/controller/src/control_log.rs
+++ b/tier/controller/src/control_log.rs
@@ -1,4 +1,5 @@
-//! The chain as the controller uses it: a trait, so that tests can put a log in memory in its place.
+//! The chain as the controller uses it: a trait, so that tests can put a log in memory in its
+//! place.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/tier/controller/src/controller.rs
+++ b/tier/controller/src/controller.rs
@@ -1,7 +1,7 @@
 //! The state that the tasks of one controller share.
 //!
-//! One [`Controller`] belongs to one process. All tasks run on one thread, so that its parts are in cells; no task
-//! keeps a borrow while it waits.
+//! One [`Controller`] belongs to one process. All tasks run on one thread, so that its parts are in
+//! cells; no task keeps a borrow while it waits.
 
 use std::cell::{Ref, RefCell, RefMut};
 use std::net::SocketAddr;
@@ -35,7 +35,8 @@
 }
 
 impl<L: ControlLog> Controller<L> {
-    /// A controller on `node` over `log`, for a tier that tolerates the loss of `tolerated_faults` stores at once (f).
+    /// A controller on `node` over `log`, for a tier that tolerates the loss of `tolerated_faults`
+    /// stores at once (f).
     pub fn new(node: NodeId, tolerated_faults: u32, log: L) -> Rc<Self> {
         let state = log.state().borrow().clone();
         let (newest_revision, _) = watch::channel(state.revision);
--- a/tier/controller/src/feed.rs
+++ b/tier/controller/src/feed.rs
@@ -1,5 +1,5 @@
-//! Subscriptions of agents and stores: each is sent the tables as they change, and a heartbeat when nothing changes.
-//! Subscribing registers the machine in the control state.
+//! Subscriptions of agents and stores: each is sent the tables as they change, and a heartbeat when
+//! nothing changes. Subscribing registers the machine in the control state.
 
 mod registrar;
 mod registration;
--- a/tier/controller/src/feed/registrar.rs
+++ b/tier/controller/src/feed/registrar.rs
@@ -10,11 +10,12 @@
 use crate::control_log::ControlLog;
 use crate::controller::Controller;
 
-/// The longest wait for one registration to be committed; it is proposed again while the connection lasts.
+/// The longest wait for one registration to be committed; it is proposed again while the connection
+/// lasts.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Proposes the registration of a subscriber whenever the control state lacks it. Belongs to the subscriber's session;
-/// dropping the registrar ends a proposal in flight.
+/// Proposes the registration of a subscriber whenever the control state lacks it. Belongs to the
+/// subscriber's session; dropping the registrar ends a proposal in flight.
 pub(super) struct Registrar {
     subscriber: Subscriber,
     /// Other incarnations of the machine that were known when it subscribed.
--- a/tier/controller/src/feed/registration.rs
+++ b/tier/controller/src/feed/registration.rs
@@ -1,4 +1,5 @@
-//! Which operation a subscription calls for. Proxies and peers are served by agents and are never registered.
+//! Which operation a subscription calls for. Proxies and peers are served by agents and are never
+//! registered.
 
 use plankhill_control::{ControlState, Operation};
 use plankhill_protocol::feed::Subscriber;
@@ -48,8 +49,9 @@
         .collect()
 }
 
-/// Whether a subscriber is to be registered now. `former` are the other incarnations of its machine that were known when
-/// it subscribed: an incarnation that came later superseded the subscriber, and is left alone.
+/// Whether a subscriber is to be registered now. `former` are the other incarnations of its machine
+/// that were known when it subscribed: an incarnation that came later superseded the subscriber,
+/// and is left alone.
 pub fn needs_registration(
     state: &ControlState,
     subscriber: &Subscriber,
--- a/tier/controller/src/feed/session.rs
+++ b/tier/controller/src/feed/session.rs
@@ -22,7 +22,8 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// A subscriber that sends no first message in this time is disconnected.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A subscriber that reads nothing for this long is disconnected; it comes back with the revision that it holds.
+/// A subscriber that reads nothing for this long is disconnected; it comes back with the revision
+/// that it holds.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A subscriber that sends nothing for this long is disconnected: it answers every heartbeat.
 const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
@@ -209,10 +210,12 @@
         }
     }
 
-    /// Sends the update that the subscriber lacks and, after an update or when one is due, a heartbeat.
+    /// Sends the update that the subscriber lacks and, after an update or when one is due, a
+    /// heartbeat.
     ///
-    /// Updates wait until this controller is current: before that they may be old, and when all machines come back
-    /// together the snapshots of all subscribers would delay what the controllers send each other.
+    /// Updates wait until this controller is current: before that they may be old, and when all
+    /// machines come back together the snapshots of all subscribers would delay what the
+    /// controllers send each other.
     async fn send_due(&mut self) -> Result<(), WriteFailed> {
         let messages = self.due_messages();
         if messages.is_empty() {
@@ -264,8 +267,8 @@
 /// The connection broke, or the subscriber reads nothing.
 struct WriteFailed;
 
-/// Receives one message. The reader comes back with it, so that the call can go on over several iterations of a loop:
-/// reading is not cancel-safe.
+/// Receives one message. The reader comes back with it, so that the call can go on over several
+/// iterations of a loop: reading is not cancel-safe.
 async fn receive(mut reader: FrameReader) -> (FrameReader, Result<FromSubscriber, TransportError>) {
     let message = reader.next().await;
     (reader, message)
--- a/tier/controller/src/feed/update_stream.rs
+++ b/tier/controller/src/feed/update_stream.rs
@@ -10,7 +10,8 @@
 enum Delivery {
     /// Updates and heartbeats.
     Updates,
-    /// Heartbeats: another process sends the updates, and the subscriber only needs to hear that the revision rose.
+    /// Heartbeats: another process sends the updates, and the subscriber only needs to hear that
+    /// the revision rose.
     HeartbeatsOnly,
 }
 
@@ -54,7 +55,8 @@
         self.delivery == Delivery::Updates
     }
 
-    /// Advances to the newest revision; `None` if the subscriber holds it and has not requested a snapshot.
+    /// Advances to the newest revision; `None` if the subscriber holds it and has not requested a
+    /// snapshot.
     pub(super) fn advance(&mut self, change_log: &ChangeLog) -> Option<TablesUpdate> {
         let update = if std::mem::take(&mut self.snapshot_requested) {
             change_log.snapshot()
@@ -68,8 +70,8 @@
         Some(update)
     }
 
-    /// The revision to announce in a heartbeat. A subscriber may hold a revision that is not known here; it must see
-    /// that this controller is behind.
+    /// The revision to announce in a heartbeat. A subscriber may hold a revision that is not known
+    /// here; it must see that this controller is behind.
     pub(super) fn announced_revision(&self, change_log: &ChangeLog) -> Revision {
         self.held_revision.min(change_log.newest().revision)
     }
--- a/tier/controller/src/internal_server.rs
+++ b/tier/controller/src/internal_server.rs
@@ -1,4 +1,5 @@
-//! Connections of other processes of the tier: subscriptions, chain traffic, and other controllers' liveness reports.
+//! Connections of other processes of the tier: subscriptions, chain traffic, and other controllers'
+//! liveness reports.
 
 use std::rc::Rc;
 
--- a/tier/controller/src/lib.rs
+++ b/tier/controller/src/lib.rs
@@ -1,8 +1,9 @@
-//! The control plane process: the admin interface of operators and targets, the subscriptions of agents and stores, and
-//! the singleton tasks that one controller at a time does.
+//! The control plane process: the admin interface of operators and targets, the subscriptions of
+//! agents and stores, and the singleton tasks that one controller at a time does.
 //!
-//! Everything that lasts goes through the chain ([`ControlLog`]). Besides the chain, a controller knows only when each
-//! target and each machine was last heard from ([`liveness`]); the controllers report that to the head of the chain.
+//! Everything that lasts goes through the chain ([`ControlLog`]). Besides the chain, a controller
+//! knows only when each target and each machine was last heard from ([`liveness`]); the controllers
+//! report that to the head of the chain.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/tier/controller/src/liveness.rs
+++ b/tier/controller/src/liveness.rs
@@ -1,8 +1,8 @@
-//! When each target and each machine was last heard from, by this controller or by one that reported it. Time is passed
-//! in.
+//! When each target and each machine was last heard from, by this controller or by one that
+//! reported it. Time is passed in.
 //!
-//! The controller owns one [`Liveness`]; the admin interface records heartbeats, the sessions of subscribers record
-//! messages, and the head's singleton tasks act on silence.
+//! The controller owns one [`Liveness`]; the admin interface records heartbeats, the sessions of
+//! subscribers record messages, and the head's singleton tasks act on silence.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,7 +13,8 @@
 /// Most senders remembered of each kind; far above the largest deployment described.
 const MAX_SENDERS: usize = 32_768;
 
-/// One incarnation of a machine of the tier. Sent to other controllers: the order of the fields is format.
+/// One incarnation of a machine of the tier. Sent to other controllers: the order of the fields is
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MachineIncarnation {
     /// The machine.
@@ -32,8 +33,8 @@
     }
 }
 
-/// The senders that a controller has heard from lately; sent to the head of the chain. The order of the fields is
-/// format.
+/// The senders that a controller has heard from lately; sent to the head of the chain. The order of
+/// the fields is format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessReport {
     /// Targets that sent heartbeats.
@@ -44,8 +45,8 @@
 
 /// When each sender was last heard from.
 ///
-/// What other controllers reported is kept apart from what was heard here and is never reported on, so that two
-/// controllers cannot keep a sender alive by reporting it to each other.
+/// What other controllers reported is kept apart from what was heard here and is never reported on,
+/// so that two controllers cannot keep a sender alive by reporting it to each other.
 #[derive(Debug, Default)]
 pub struct Liveness {
     local: LastHeard,
--- a/tier/controller/src/liveness_reports.rs
+++ b/tier/controller/src/liveness_reports.rs
@@ -1,5 +1,5 @@
-//! Liveness reports between controllers: each controller reports to the head of the chain whom it has heard from, since
-//! only the head acts on silence.
+//! Liveness reports between controllers: each controller reports to the head of the chain whom it
+//! has heard from, since only the head acts on silence.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/tier/controller/src/run.rs
+++ b/tier/controller/src/run.rs
@@ -20,7 +20,8 @@
 
 /// Time for leaving the chain at a graceful shutdown; the platform grants several seconds.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time for the responses in flight at a graceful shutdown: they wait for an outcome for less than a second.
+/// Time for the responses in flight at a graceful shutdown: they wait for an outcome for less than
+/// a second.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1_000);
 
 /// Why the controller could not run.
@@ -82,8 +83,8 @@
     Ok(())
 }
 
-/// Waits for the responses in flight, then leaves the chain, so that the others go on at once in place of waiting until
-/// they miss this replica.
+/// Waits for the responses in flight, then leaves the chain, so that the others go on at once in
+/// place of waiting until they miss this replica.
 async fn end_gracefully(node: &NodeId, replica: &ReplicaHandle<ControlState>) {
     tokio::time::sleep(RESPONSE_GRACE).await;
     let has_left_chain = tokio::time::timeout(LEAVE_TIMEOUT, replica.leave())
--- a/tier/controller/src/singleton/runner.rs
+++ b/tier/controller/src/singleton/runner.rs
@@ -12,8 +12,8 @@
 /// The time between two looks at what is due.
 const SCHEDULE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Proposes the singleton tasks that are due, for ever, whenever this controller heads the chain. `heartbeat_interval`
-/// is the time between two heartbeats of a target.
+/// Proposes the singleton tasks that are due, for ever, whenever this controller heads the chain.
+/// `heartbeat_interval` is the time between two heartbeats of a target.
 pub async fn run_singleton_tasks<L: ControlLog>(
     controller: Rc<Controller<L>>,
     heartbeat_interval: Duration,
--- a/tier/controller/src/singleton/scheduler.rs
+++ b/tier/controller/src/singleton/scheduler.rs
@@ -12,14 +12,16 @@
 
 /// Heartbeats that a target may miss in a row before it expires.
 const MAX_MISSED_HEARTBEATS: u32 = 4;
-/// Added to the missed heartbeats: a target tries the next controller after a second without an answer.
+/// Added to the missed heartbeats: a target tries the next controller after a second without an
+/// answer.
 const HEARTBEAT_MARGIN: Duration = Duration::from_secs(1);
-/// Edges and joining stores that are silent for this long are lost: above the contact bound of deployments (3 s), so
-/// that a short partition does not remove them.
+/// Edges and joining stores that are silent for this long are lost: above the contact bound of
+/// deployments (3 s), so that a short partition does not remove them.
 const MACHINE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A serving store that is silent for this long is removed although no store has just joined, if enough others serve:
-/// its successor may have joined before it ended, and while the lost store counts the next loss is one too many. Well
-/// above the partitions and freezes from which stores come back with their disks.
+/// A serving store that is silent for this long is removed although no store has just joined, if
+/// enough others serve: its successor may have joined before it ended, and while the lost store
+/// counts the next loss is one too many. Well above the partitions and freezes from which stores
+/// come back with their disks.
 const SERVING_STORE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Stores start within 0.3 s of each other; fewer than 2f+1 after this time are all that there are.
 const BOOTSTRAP_GRACE: Duration = Duration::from_secs(4);
@@ -40,8 +42,8 @@
     pub now: Instant,
 }
 
-/// Decides which singleton tasks are due. Each controller owns one and asks it again and again, also while another
-/// controller heads the chain.
+/// Decides which singleton tasks are due. Each controller owns one and asks it again and again,
+/// also while another controller heads the chain.
 #[derive(Debug)]
 pub struct SingletonScheduler {
     target_timeout: Duration,
@@ -69,8 +71,8 @@
 
     /// The tasks that are due now; none unless this controller is the head and current.
     ///
-    /// A new head listens for as long as the silence that it acts on, and so does every head to a sender that has just
-    /// been registered: another controller may hear from it.
+    /// A new head listens for as long as the silence that it acts on, and so does every head to a
+    /// sender that has just been registered: another controller may hear from it.
     pub fn due_tasks(&mut self, input: &ScheduleInput<'_>) -> Vec<SingletonTask> {
         let Some(head_since) = self.update_head_since(input) else {
             self.targets.clear();
@@ -93,7 +95,8 @@
         due
     }
 
-    /// Since when this controller has been the head and current; a new view with the same head does not interrupt that.
+    /// Since when this controller has been the head and current; a new view with the same head does
+    /// not interrupt that.
     fn update_head_since(&mut self, input: &ScheduleInput<'_>) -> Option<Instant> {
         if !input.status.is_head || !input.is_current {
             self.head_since = None;
@@ -136,7 +139,8 @@
             .collect()
     }
 
-    /// At most one store is removed at a time. A serving store is removed early only if a new one is about to join.
+    /// At most one store is removed at a time. A serving store is removed early only if a new one
+    /// is about to join.
     fn lost_store(&self, input: &ScheduleInput<'_>) -> Option<SingletonTask> {
         let view = input.state.stores().view();
         let serves = |member: &StoreMember| {
--- a/tier/controller/src/tasks.rs
+++ b/tier/controller/src/tasks.rs
@@ -22,9 +22,9 @@
     pub internal: TcpListener,
 }
 
-/// Starts everything that a controller does. The tasks belong to the `LocalSet` and end with it; the admin interface
-/// accepts no more connections once `shutting_down` is true. `heartbeat_interval` is the time between two heartbeats of
-/// a target.
+/// Starts everything that a controller does. The tasks belong to the `LocalSet` and end with it;
+/// the admin interface accepts no more connections once `shutting_down` is true.
+/// `heartbeat_interval` is the time between two heartbeats of a target.
 ///
 /// # Panics
 /// Outside of a `LocalSet`.
--- a/tier/controller/tests/cluster/mod.rs
+++ b/tier/controller/tests/cluster/mod.rs
@@ -23,7 +23,8 @@
 
 /// Longest wait for one answer, and for a controller to be current, on a busy machine.
 const ANSWER: Duration = Duration::from_secs(20);
-/// Rounds over the machines without a clear answer: a controller may be current and lose that again.
+/// Rounds over the machines without a clear answer: a controller may be current and lose that
+/// again.
 const TRIES: usize = 20;
 /// Three controllers of one system.
 pub struct Cluster {
@@ -167,8 +168,8 @@
         self.runtime.block_on(exchange)
     }
 
-    /// Calls at the same moment, each at one machine; `answered` is told of each by its place in the list, in the order in
-    /// which the answers come.
+    /// Calls at the same moment, each at one machine; `answered` is told of each by its place in
+    /// the list, in the order in which the answers come.
     pub fn call_together(&self, calls: &[Call], mut answered: impl FnMut(usize, Option<Answered>)) {
         let mut waiting = tokio::task::JoinSet::new();
         for (number, call) in calls.iter().enumerate() {
--- a/tier/controller/tests/configuration.rs
+++ b/tier/controller/tests/configuration.rs
@@ -166,8 +166,8 @@
     );
 }
 
-/// Guards repeats of orders that were taken before more others than anybody remembers: this controller must not settle
-/// them from the version that they build on.
+/// Guards repeats of orders that were taken before more others than anybody remembers: this
+/// controller must not settle them from the version that they build on.
 #[test]
 fn a_put_older_than_the_history_gets_503() {
     let tester = Tester::new();
--- a/tier/controller/tests/histories.rs
+++ b/tier/controller/tests/histories.rs
@@ -1,6 +1,6 @@
-//! Histories of several operators over three controllers, checked for linearizability against a register with
-//! compare-and-swap: races on one version, one number with other content, repeats at other controllers, reads, while
-//! controllers are killed and lose their disks.
+//! Histories of several operators over three controllers, checked for linearizability against a
+//! register with compare-and-swap: races on one version, one number with other content, repeats at
+//! other controllers, reads, while controllers are killed and lose their disks.
 
 mod cluster;
 mod common;
@@ -24,7 +24,8 @@
     }
 }
 
-/// Controllers that go and come back in one history: the check takes exponential time where answers are unclear.
+/// Controllers that go and come back in one history: the check takes exponential time where answers
+/// are unclear.
 const ROUNDS: usize = 2;
 
 /// What happened to an order, in the order in which it did.
@@ -116,7 +117,8 @@
         });
     }
 
-    /// A read without an answer says nothing; a change without one may be in force at any later moment, or never.
+    /// A read without an answer says nothing; a change without one may be in force at any later
+    /// moment, or never.
     fn history(&self) -> History {
         let is_answered = |wanted: usize| {
             self.events
--- a/tier/controller/tests/singleton_tasks.rs
+++ b/tier/controller/tests/singleton_tasks.rs
@@ -14,8 +14,8 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// One controller's scheduler over a log in memory. The stores are `s1`, `s2` and so on, each with its number as its
-/// incarnation.
+/// One controller's scheduler over a log in memory. The stores are `s1`, `s2` and so on, each with
+/// its number as its incarnation.
 struct World {
     log: MemoryLog,
     scheduler: SingletonScheduler,
--- a/tier/controller/tests/stored_format.rs
+++ b/tier/controller/tests/stored_format.rs
@@ -1,7 +1,8 @@
 //! A state folder as a controller in service wrote it, opened by this text.
 //!
-//! The folder holds a snapshot at revision 512 and operations up to revision 520: a configuration of version 5, the
-//! target `i-1`, the edge `edge-1`, three stores and an order that takes nothing out of service.
+//! The folder holds a snapshot at revision 512 and operations up to revision 520: a configuration
+//! of version 5, the target `i-1`, the edge `edge-1`, three stores and an order that takes nothing
+//! out of service.
 
 mod common;
 
--- a/tier/controller/tests/three_controllers.rs
+++ b/tier/controller/tests/three_controllers.rs
@@ -1,4 +1,5 @@
-//! The operator's orders over three controllers with their disks, while some are killed or lose a disk.
+//! The operator's orders over three controllers with their disks, while some are killed or lose a
+//! disk.
 
 mod cluster;
 mod common;
@@ -76,7 +77,8 @@
     }
 }
 
-/// An operator reads the configuration back for seconds, from any controller, while others are killed together.
+/// An operator reads the configuration back for seconds, from any controller, while others are
+/// killed together.
 #[test]
 fn repeated_reads_return_the_complete_newest_configuration() {
     let mut cluster = Cluster::bootstrap();
--- a/tier/controller/tests/wire_format.rs
+++ b/tier/controller/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes that controllers send to each other besides the chain's, and the JSON of the admin interface, as in the
-//! text that was in service when the fixtures were written.
+//! The bytes that controllers send to each other besides the chain's, and the JSON of the admin
+//! interface, as in the text that was in service when the fixtures were written.
 
 mod common;
 
--- a/tier/draining/src/disruption_budget.rs
+++ b/tier/draining/src/disruption_budget.rs
@@ -1,6 +1,7 @@
 //! Whether enough forwarders stay in service once some have drained.
 //!
-//! Called by the control state for each drain order, and by the rolling restart before it drains another node.
+//! Called by the control state for each drain order, and by the rolling restart before it drains
+//! another node.
 
 use std::collections::BTreeMap;
 
@@ -18,8 +19,8 @@
 /// The bound that a drain would break.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BudgetExceeded {
-    /// The platform uses all forwarders of a zone again where under half of them report that they are ready, so that
-    /// the draining ones would go on receiving clients.
+    /// The platform uses all forwarders of a zone again where under half of them report that they
+    /// are ready, so that the draining ones would go on receiving clients.
     #[error("under half of zone {0} would stay in service")]
     Zone(ZoneName),
     /// A zone may drain as a whole, but half of all forwarders have to stay.
@@ -27,12 +28,12 @@
     All,
 }
 
-/// Checks that enough forwarders stay in service: half of all, and half of each zone unless the zone drains as a whole
-/// and its clients go to the nearest other one.
+/// Checks that enough forwarders stay in service: half of all, and half of each zone unless the
+/// zone drains as a whole and its clients go to the nearest other one.
 ///
 /// # Errors
-/// [`BudgetExceeded`] with the first bound that does not hold: that on all forwarders, then the zones in the order of
-/// their names.
+/// [`BudgetExceeded`] with the first bound that does not hold: that on all forwarders, then the
+/// zones in the order of their names.
 pub fn check_disruption_budget(members: &[BudgetMember]) -> Result<(), BudgetExceeded> {
     let mut zones: BTreeMap<&ZoneName, Availability> = BTreeMap::new();
     let mut all = Availability::default();
--- a/tier/draining/src/node.rs
+++ b/tier/draining/src/node.rs
@@ -7,12 +7,12 @@
 //! | closing | rejected | idle ones are closed, responses in flight finish | nothing in flight and none open | the response timeout |
 //! | drained | rejected | none | the order is lifted | until then |
 //!
-//! A lifted order leads back into service from every state. A node that cannot reach the control plane keeps the newest
-//! order that it knows, and can always be ended by SIGTERM.
+//! A lifted order leads back into service from every state. A node that cannot reach the control
+//! plane keeps the newest order that it knows, and can always be ended by SIGTERM.
 //!
-//! A graceful shutdown takes the same way with shorter stays, and leads back nowhere: idle connections are closed once
-//! the platform sends no more clients, responses still in flight at the deadline are reset, and the process exits as
-//! soon as nothing is in flight.
+//! A graceful shutdown takes the same way with shorter stays, and leads back nowhere: idle
+//! connections are closed once the platform sends no more clients, responses still in flight at the
+//! deadline are reset, and the process exits as soon as nothing is in flight.
 //!
 //! The proxy owns the [`NodeDrain`], tells it what it observes, and carries out the actions.
 
@@ -65,7 +65,8 @@
 /// What the node has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Report that the node is not ready for new clients, and close each connection behind its next response.
+    /// Report that the node is not ready for new clients, and close each connection behind its next
+    /// response.
     RejectNewClients,
     /// Accept clients again.
     AcceptNewClients,
@@ -99,8 +100,8 @@
         self.state
     }
 
-    /// Advances by what is observed at `now`, a time that never goes back. Returns the actions in the order in which
-    /// they are to be carried out.
+    /// Advances by what is observed at `now`, a time that never goes back. Returns the actions in
+    /// the order in which they are to be carried out.
     pub fn step(&mut self, now: Duration, observed: &NodeObservation) -> Vec<DrainAction> {
         let mut actions = Vec::new();
         self.follow_orders(now, observed, &mut actions);
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Advances a graceful shutdown. Clients may be sent here for a while, whatever the state is. Requests that come
-    /// later and complete at once do not delay the exit.
+    /// Advances a graceful shutdown. Clients may be sent here for a while, whatever the state is.
+    /// Requests that come later and complete at once do not delay the exit.
     fn advance_shutdown(
         &mut self,
         now: Duration,
--- a/tier/draining/src/rolling_restart.rs
+++ b/tier/draining/src/rolling_restart.rs
@@ -1,10 +1,11 @@
-//! The plan of a rolling restart: each node of a list is drained, replaced or restarted by the operator, and returned
-//! to service, a few nodes at a time.
+//! The plan of a rolling restart: each node of a list is drained, replaced or restarted by the
+//! operator, and returned to service, a few nodes at a time.
 //!
-//! The command line (`plankhill-tier roll`) owns the [`RollingRestart`], shows it what the control plane reports, and
-//! carries out its steps. The plan never has more nodes out of service than its limit, and never drains a node beyond
-//! the [disruption budget](crate::disruption_budget). It stops by itself when another machine is lost, when a node does
-//! not drain in time, or when a node does not come back.
+//! The command line (`plankhill-tier roll`) owns the [`RollingRestart`], shows it what the control
+//! plane reports, and carries out its steps. The plan never has more nodes out of service than its
+//! limit, and never drains a node beyond the [disruption budget](crate::disruption_budget). It
+//! stops by itself when another machine is lost, when a node does not drain in time, or when a node
+//! does not come back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -71,7 +72,8 @@
     /// A node that was released did not come back in time.
     #[error("{0} does not come back")]
     RestartTimedOut(NodeId),
-    /// Another operator lifted an order of the rolling restart, or drained a node that it had not reached.
+    /// Another operator lifted an order of the rolling restart, or drained a node that it had not
+    /// reached.
     #[error("{0} was drained or taken back by somebody else")]
     ConflictingOrder(NodeId),
 }
@@ -145,8 +147,8 @@
         (done, self.plan.len())
     }
 
-    /// The next step by what the control plane shows at `now`, a time that never goes back. To be called again after
-    /// the step was carried out and the control plane shows it.
+    /// The next step by what the control plane shows at `now`, a time that never goes back. To be
+    /// called again after the step was carried out and the control plane shows it.
     pub fn step(&mut self, now: Duration, view: &FleetView) -> RestartStep {
         if let Some(lost) = self.find_lost_node(view) {
             return RestartStep::Stop(StopReason::NodeLost(lost));
@@ -178,7 +180,8 @@
             .any(|planned| planned.node == *node && planned.progress.is_released())
     }
 
-    /// Drains the first pending node that the disruption budget allows; `None` if none may drain now.
+    /// Drains the first pending node that the disruption budget allows; `None` if none may drain
+    /// now.
     fn drain_next(&mut self, now: Duration, view: &FleetView) -> Option<RestartStep> {
         let unavailable = self
             .plan
@@ -261,8 +264,8 @@
     }
 }
 
-/// Whether the disruption budget allows the node to drain too. The last node in service of a zone never drains: a
-/// rolling restart does not take a whole zone out.
+/// Whether the disruption budget allows the node to drain too. The last node in service of a zone
+/// never drains: a rolling restart does not take a whole zone out.
 fn may_drain(node: &NodeId, view: &FleetView) -> bool {
     let members: Vec<BudgetMember> = view
         .live
--- a/tier/draining/src/shutdown.rs
+++ b/tier/draining/src/shutdown.rs
@@ -1,15 +1,17 @@
-//! The deadlines of a graceful shutdown: a process that was told to end (SIGTERM) and is killed after a grace period.
+//! The deadlines of a graceful shutdown: a process that was told to end (SIGTERM) and is killed
+//! after a grace period.
 //!
-//! The proxy makes a [`Shutdown`] when the signal comes, hands it to [`crate::node::NodeDrain::step`], and asks it
-//! which requests still begin.
+//! The proxy makes a [`Shutdown`] when the signal comes, hands it to
+//! [`crate::node::NodeDrain::step`], and asks it which requests still begin.
 
 use std::time::Duration;
 
-/// The platform asks every second whether a node is ready and stops sending clients after two misses; a third second is
-/// for the clients that are on their way.
+/// The platform asks every second whether a node is ready and stops sending clients after two
+/// misses; a third second is for the clients that are on their way.
 const CLIENT_REDIRECT_DELAY: Duration = Duration::from_secs(3);
-/// Requests that arrive this soon after the signal are admitted however long they may take: most responses take a
-/// fraction of their timeout, and a client that is rejected here may be sent here again.
+/// Requests that arrive this soon after the signal are admitted however long they may take: most
+/// responses take a fraction of their timeout, and a client that is rejected here may be sent here
+/// again.
 const UNCONDITIONAL_ADMISSION: Duration = Duration::from_millis(2_900);
 /// The process exits at least this long before it would be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
@@ -31,7 +33,8 @@
 }
 
 impl Shutdown {
-    /// The deadlines of a process that is told at `signalled_at` to end, and is killed `grace` later.
+    /// The deadlines of a process that is told at `signalled_at` to end, and is killed `grace`
+    /// later.
     pub fn new(signalled_at: Duration, grace: Duration) -> Self {
         let for_responses = grace.saturating_sub(KILL_MARGIN + COMMIT_TIMEOUT + FLUSH_DELAY);
         let response_deadline = signalled_at + for_responses;
@@ -44,8 +47,8 @@
 
     /// Whether a request that arrived at `arrived` and may take until `deadline` begins here.
     ///
-    /// A later request that would not be complete in time is better served by another node from its start than reset
-    /// here.
+    /// A later request that would not be complete in time is better served by another node from its
+    /// start than reset here.
     pub fn admits(&self, arrived: Duration, deadline: Duration) -> bool {
         arrived < self.admit_all_until || deadline <= self.response_deadline
     }
--- a/tier/draining/tests/disruption_budget.rs
+++ b/tier/draining/tests/disruption_budget.rs
@@ -1,4 +1,5 @@
-//! The disruption budget: a zone keeps half of its forwarders or drains as a whole, and half of all forwarders stay.
+//! The disruption budget: a zone keeps half of its forwarders or drains as a whole, and half of all
+//! forwarders stay.
 
 use arbtest::arbtest;
 use plankhill_draining::disruption_budget::{
--- a/tier/draining/tests/node.rs
+++ b/tier/draining/tests/node.rs
@@ -104,7 +104,8 @@
     }
 }
 
-/// Guards an order that was lifted and given again between two steps: a report for the first order says nothing.
+/// Guards an order that was lifted and given again between two steps: a report for the first order
+/// says nothing.
 #[test]
 fn another_order_restarts_the_drain() {
     let mut drain = NodeDrain::default();
--- a/tier/draining/tests/rolling_restart.rs
+++ b/tier/draining/tests/rolling_restart.rs
@@ -1,4 +1,5 @@
-//! Rolling restarts over simulated fleets: the limits hold at each step, and the restart stops when it has to.
+//! Rolling restarts over simulated fleets: the limits hold at each step, and the restart stops when
+//! it has to.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -186,7 +187,8 @@
     view.drains.clear();
 }
 
-/// Nodes drain, go and come back at any moment, and machines are lost: no more are out than allowed, and half stays.
+/// Nodes drain, go and come back at any moment, and machines are lost: no more are out than
+/// allowed, and half stays.
 #[test]
 fn limits_hold_under_random_events() {
     arbtest(|u| {
--- a/tier/draining/tests/shutdown.rs
+++ b/tier/draining/tests/shutdown.rs
@@ -116,7 +116,8 @@
     }
 }
 
-/// A stream that may take five of the eight seconds is admitted while the platform sends clients here; later only a shorter one is.
+/// A stream that may take five of the eight seconds is admitted while the platform sends clients
+/// here; later only a shorter one is.
 #[test]
 fn late_requests_are_admitted_only_if_they_can_complete_in_time() {
     let begun = |after: u64, takes: u64| {
@@ -143,7 +144,8 @@
     }
 }
 
-/// Whatever is observed, nothing is reset before the deadline, and the process exits before it is killed.
+/// Whatever is observed, nothing is reset before the deadline, and the process exits before it is
+/// killed.
 #[test]
 fn nothing_is_reset_before_the_response_deadline() {
     arbtest(|u| {
