--- a/tier/agent/src/homes.rs
+++ b/tier/agent/src/homes.rs
@@ -1,7 +1,7 @@
-//! Follows the home of this machine's zone, so that the controllers need not send every update to each edge.
+//! Takes updates from the home of this machine's zone, so that the controllers need not send every update to each edge.
 //!
-//! Correctness does not rest on it: a controller announces each revision at once, and if the home has not
-//! brought it within [`plankhill_protocol::subscription::HOME_LAG`] the controller is asked itself.
+//! Correctness does not rest on homes: a controller announces each revision at once, and if the home has not sent that
+//! revision within [`plankhill_protocol::subscription::MAX_HOME_LAG`], the controller is asked for it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,56 +10,56 @@
 
 use plankhill_membership::homes::home_to_follow;
 use plankhill_protocol::feed::Subscriber;
-use plankhill_protocol::subscription::{Subscription, SubscriptionOptions};
+use plankhill_protocol::subscription::{LinkStatus, Subscription, SubscriptionOptions};
 use plankhill_protocol::tables::{Edge, Tables};
 use plankhill_protocol::transport::{Channel, Hello};
 use tokio::sync::watch;
 use tokio::time::{timeout, Instant};
 
-use crate::feeder::PEERS;
+use crate::feeder::PEER_FEEDER;
 
-/// A home that says nothing for three of its heartbeats is not worth a connection.
-const SILENCE: Duration = PEERS.heartbeat.saturating_mul(3);
+/// A home that sends nothing for three of its heartbeat intervals is left.
+const HOME_TIMEOUT: Duration = PEER_FEEDER.heartbeat_interval.saturating_mul(3);
 /// A home that cannot be reached within this time has failed.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-/// Pause after a home failed; it doubles with each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_secs(5);
-/// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Backoff after a home failed; it doubles with each failure in a row.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(5);
+/// Longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// Why a home is followed no more.
+/// Why a home is not followed any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
+enum FollowEnd {
     /// The zone has another home now.
-    Moved,
-    /// It lagged, or its connection broke.
-    Failed,
+    HomeChanged,
+    /// The home lagged, or its connection broke.
+    HomeFailed,
     /// This agent ends.
-    Over,
+    AgentEnds,
 }
 
-/// Follows homes until the subscription to the controllers ends.
+/// Follows the home of the zone of `me` until the subscription to the controllers ends.
 pub async fn follow_homes(me: Edge, controllers: Rc<Subscription>) {
     let mut tables = controllers.tables();
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
-        let home = home_to_follow(&me, &tables.borrow_and_update().edges).map(|home| home.address);
+        let home = address_of_home(&me, &tables.borrow_and_update().edges);
         let Some(home) = home else {
             if tables.changed().await.is_err() {
                 return;
             }
             continue;
         };
-        match follow(&me, home, &controllers).await {
-            Ended::Over => return,
-            Ended::Moved => pause = FIRST_PAUSE,
-            Ended::Failed => {
-                tracing::info!(%home, "home failed");
-                let moved =
+        match FollowedHome::new(&me, home, &controllers).run().await {
+            FollowEnd::AgentEnds => return,
+            FollowEnd::HomeChanged => backoff = INITIAL_BACKOFF,
+            FollowEnd::HomeFailed => {
+                tracing::info!(%home, "zone home failed");
+                let changed =
                     tables.wait_for(|tables| address_of_home(&me, &tables.edges) != Some(home));
-                // The result tells nothing new: the loop looks at the tables anyway.
-                let _ = timeout(pause, moved).await;
-                pause = LONGEST_PAUSE.min(pause * 2);
+                // Either way the loop looks at the tables again.
+                let _ = timeout(backoff, changed).await;
+                backoff = MAX_BACKOFF.min(backoff * 2);
             }
         }
     }
@@ -69,60 +69,112 @@
     home_to_follow(me, edges).map(|home| home.address)
 }
 
-/// Follows one home.
-async fn follow(me: &Edge, address: SocketAddr, controllers: &Subscription) -> Ended {
-    let (mut own, mut link) = (controllers.tables(), controllers.status());
-    let home = subscribe(me, address, &own);
-    let (mut offered, mut standing) = (home.tables(), home.status());
-    let connected_by = Instant::now() + CONNECT_LIMIT;
-    let mut connected = false;
-    let mut by_home = false;
-    loop {
-        if address_of_home(me, &own.borrow_and_update().edges) != Some(address) {
-            controllers.follow_feeder();
-            return Ended::Moved;
+/// One home that this agent follows. Dropping it ends the subscription to the home.
+struct FollowedHome<'a> {
+    me: &'a Edge,
+    address: SocketAddr,
+    controllers: &'a Subscription,
+    own_tables: watch::Receiver<Arc<Tables>>,
+    controller_status: watch::Receiver<LinkStatus>,
+    home_tables: watch::Receiver<Arc<Tables>>,
+    home_status: watch::Receiver<LinkStatus>,
+    connect_deadline: Instant,
+    /// Whether the home has been connected.
+    connected: bool,
+    /// Whether the subscription to the controllers takes its updates from offers.
+    following: bool,
+    _home: Subscription,
+}
+
+impl<'a> FollowedHome<'a> {
+    /// Subscribes to the home at `address`.
+    fn new(me: &'a Edge, address: SocketAddr, controllers: &'a Subscription) -> Self {
+        let own_tables = controllers.tables();
+        let home = subscribe(me, address, &own_tables);
+        FollowedHome {
+            me,
+            address,
+            controllers,
+            own_tables,
+            controller_status: controllers.status(),
+            home_tables: home.tables(),
+            home_status: home.status(),
+            connect_deadline: Instant::now() + CONNECT_TIMEOUT,
+            connected: false,
+            following: false,
+            _home: home,
         }
-        let state = *standing.borrow_and_update();
-        if connected && state.address.is_none() {
-            controllers.follow_feeder();
-            return Ended::Failed;
+    }
+
+    async fn run(mut self) -> FollowEnd {
+        loop {
+            if let Err(end) = self.update() {
+                return end;
+            }
+            if let Err(end) = self.changed().await {
+                return end;
+            }
         }
-        connected |= state.address.is_some();
-        let fell_back = !link.borrow_and_update().follows_home;
-        if by_home && fell_back {
-            return Ended::Failed;
+    }
+
+    /// Acts on the present tables and statuses.
+    fn update(&mut self) -> Result<(), FollowEnd> {
+        let home = address_of_home(self.me, &self.own_tables.borrow_and_update().edges);
+        if home != Some(self.address) {
+            self.controllers.follow_feeder();
+            return Err(FollowEnd::HomeChanged);
+        }
+        let home_status = *self.home_status.borrow_and_update();
+        if self.connected && home_status.address.is_none() {
+            self.controllers.follow_feeder();
+            return Err(FollowEnd::HomeFailed);
         }
-        by_home = !fell_back;
-        let newest = offered.borrow_and_update().clone();
-        let held = own.borrow().revision;
-        if by_home && newest.revision > held {
-            controllers.offer(newest);
-        } else if !by_home && state.current && newest.revision >= held {
-            controllers.follow_home();
+        self.connected |= home_status.address.is_some();
+        let follows_home = self.controller_status.borrow_and_update().follows_home;
+        if self.following && !follows_home {
+            // The home lagged, and the subscription went back to the controller.
+            return Err(FollowEnd::HomeFailed);
+        }
+        self.following = follows_home;
+        let offered = self.home_tables.borrow_and_update().clone();
+        let held_revision = self.own_tables.borrow().revision;
+        if self.following {
+            if offered.revision > held_revision {
+                self.controllers.offer(offered);
+            }
+        } else if home_status.current && offered.revision >= held_revision {
+            self.controllers.follow_home();
         }
+        Ok(())
+    }
+
+    /// Waits until any of the tables or statuses changes, or the home should have been connected.
+    async fn changed(&mut self) -> Result<(), FollowEnd> {
         let changed = tokio::select! {
-            changed = own.changed() => changed,
-            changed = link.changed() => changed,
-            changed = offered.changed() => changed,
-            changed = standing.changed() => changed,
-            () = tokio::time::sleep_until(connected_by), if !connected => {
-                return Ended::Failed;
+            changed = self.own_tables.changed() => changed,
+            changed = self.controller_status.changed() => changed,
+            changed = self.home_tables.changed() => changed,
+            changed = self.home_status.changed() => changed,
+            () = tokio::time::sleep_until(self.connect_deadline), if !self.connected => {
+                return Err(FollowEnd::HomeFailed);
             }
         };
-        if changed.is_err() {
-            return Ended::Over;
-        }
+        changed.map_err(|_ended| FollowEnd::AgentEnds)
     }
 }
 
-/// A subscription at the home, which begins with what is held.
-fn subscribe(me: &Edge, address: SocketAddr, own: &watch::Receiver<Arc<Tables>>) -> Subscription {
+/// A subscription to the home, which starts from this agent's tables.
+fn subscribe(
+    me: &Edge,
+    address: SocketAddr,
+    own_tables: &watch::Receiver<Arc<Tables>>,
+) -> Subscription {
     let (_, candidates) = watch::channel(vec![address]);
     let options = SubscriptionOptions {
         hello: Hello::new(Channel::Peer, me.node.clone()),
         subscriber: Subscriber::Peer,
         candidates,
-        feeder_timeout: SILENCE,
+        feeder_timeout: HOME_TIMEOUT,
     };
-    Subscription::start_from(options, own.borrow().clone())
+    Subscription::start_from(options, own_tables.borrow().clone())
 }
--- a/tier/agent/src/identity.rs
+++ b/tier/agent/src/identity.rs
@@ -1,4 +1,4 @@
-//! How this process is known to the others.
+//! How this process is registered with the controllers.
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 
@@ -6,7 +6,7 @@
 use plankhill_protocol::tables::Edge;
 use plankhill_settings::Settings;
 
-/// This life of this machine's agent. The machine has no disk: each start is a new life.
+/// This machine as an edge. The machine has no disk: each start is a new incarnation.
 pub(crate) fn edge(settings: &Settings) -> Edge {
     Edge {
         node: NodeId::from(settings.node_id.as_str()),
--- a/tier/agent/src/run.rs
+++ b/tier/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the agent's parts and runs them until the platform ends the process.
+//! Puts the process together and runs it until SIGTERM. Called by `plankhill-tier agent`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,15 +11,16 @@
 use plankhill_settings::{run_on_current_thread, ProcessSignal, ProcessSignals, Settings};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch};
+use tokio::task::spawn_local;
 
-use crate::end::end;
-use crate::feeder::{serve, Audience, Source, PEERS, PROXY};
+use crate::failure_detection::detect_failures;
+use crate::feeder::{serve, FeedSource, FeederOptions, PEER_FEEDER, PROXY_FEEDER};
 use crate::homes::follow_homes;
 use crate::identity::edge;
-use crate::peers::monitor_peers;
+use crate::shutdown::shut_down;
 
-/// Messages of the proxy that wait to be passed on.
-const UPWARDS: usize = 8;
+/// Most messages of the proxy that wait to be forwarded.
+const MAX_FORWARDED_MESSAGES: usize = 8;
 
 /// Why the agent could not run.
 #[derive(Debug, thiserror::Error)]
@@ -47,37 +48,42 @@
     let peers = listen(settings.agent_address())?;
     let me = edge(&settings);
     let (candidates, watched) = watch::channel(settings.seed_controllers());
-    let subscription = Rc::new(Subscription::start(SubscriptionOptions {
-        hello: Hello::new(Channel::Feed, me.node.clone()),
-        subscriber: Subscriber::Edge(me.clone()),
-        candidates: watched,
-        feeder_timeout: CONTROLLER_TIMEOUT,
-    }));
-    let (upwards, messages) = mpsc::channel(UPWARDS);
-    tokio::task::spawn_local(pass_upwards(messages, subscription.clone()));
-    let source = Source {
+    let subscription = Rc::new(subscribe(&me, watched));
+    let (to_controllers, messages) = mpsc::channel(MAX_FORWARDED_MESSAGES);
+    spawn_local(forward_to_controllers(messages, subscription.clone()));
+    let source = FeedSource {
         tables: subscription.tables(),
-        standing: subscription.status(),
-        upwards,
+        status: subscription.status(),
+        to_controllers,
     };
-    let proxies = start_feeder(loopback, Channel::Feed, &me, &source, PROXY);
-    start_feeder(peers, Channel::Peer, &me, &source, PEERS);
-    tokio::task::spawn_local(monitor_peers(
+    let connected_proxies = start_feeder(loopback, Channel::Feed, &me, &source, PROXY_FEEDER);
+    start_feeder(peers, Channel::Peer, &me, &source, PEER_FEEDER);
+    spawn_local(detect_failures(
         datagrams,
         me.node.clone(),
         subscription.clone(),
     ));
-    tokio::task::spawn_local(follow_homes(me, subscription.clone()));
+    spawn_local(follow_homes(me, subscription.clone()));
     tracing::info!(node = %settings.node_id, "agent started");
     while signals.next().await == ProcessSignal::ReloadSettings {
         reload(&mut settings, &candidates);
     }
-    end(&subscription, proxies, settings.bounds.grace()).await;
+    shut_down(&subscription, connected_proxies, settings.bounds.grace()).await;
     Ok(())
 }
 
-/// Passes what the proxy says on to a controller, if one is connected; it is said again otherwise.
-async fn pass_upwards(
+/// Subscribes to one of the controllers, which registers this machine as an edge.
+fn subscribe(me: &Edge, candidates: watch::Receiver<Vec<SocketAddr>>) -> Subscription {
+    Subscription::start(SubscriptionOptions {
+        hello: Hello::new(Channel::Feed, me.node.clone()),
+        subscriber: Subscriber::Edge(me.clone()),
+        candidates,
+        feeder_timeout: CONTROLLER_TIMEOUT,
+    })
+}
+
+/// Forwards messages of the proxy to a controller, if one is connected; the proxy repeats them otherwise.
+async fn forward_to_controllers(
     mut messages: mpsc::Receiver<FromSubscriber>,
     subscription: Rc<Subscription>,
 ) {
@@ -88,17 +94,17 @@
     }
 }
 
-/// Feeds one kind of subscribers; how many are connected.
+/// Starts a feeder of one kind of subscribers. Returns how many of them are connected.
 fn start_feeder(
     listener: TcpListener,
     channel: Channel,
     me: &Edge,
-    source: &Source,
-    audience: Audience,
+    source: &FeedSource,
+    options: FeederOptions,
 ) -> watch::Receiver<usize> {
     let (connected, count) = watch::channel(0);
     let hello = Hello::new(channel, me.node.clone());
-    tokio::task::spawn_local(serve(listener, hello, source.clone(), audience, connected));
+    spawn_local(serve(listener, hello, source.clone(), options, connected));
     count
 }
 
--- a/tier/agent/tests/feeding.rs
+++ b/tier/agent/tests/feeder.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use plankhill_agent::feeder::{serve, Audience, Source, PEERS, PROXY};
+use plankhill_agent::feeder::{serve, FeedSource, FeederOptions, PEER_FEEDER, PROXY_FEEDER};
 use plankhill_agent::homes::follow_homes;
 use plankhill_membership::homes::home_of;
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
@@ -18,7 +18,7 @@
 use tokio::task::{JoinHandle, LocalSet};
 
 /// Far beyond anything that a test waits for.
-const PATIENT: Duration = Duration::from_secs(60);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -53,7 +53,7 @@
         hello,
         subscriber,
         candidates,
-        feeder_timeout: PATIENT,
+        feeder_timeout: LONG_TIMEOUT,
     })
 }
 
@@ -102,27 +102,27 @@
     while connection.reader.next::<FromSubscriber>().await.unwrap() != wanted {}
 }
 
-fn start_feeder(of: &Subscription, audience: Audience) -> (SocketAddr, JoinHandle<()>) {
+fn start_feeder(of: &Subscription, options: FeederOptions) -> (SocketAddr, JoinHandle<()>) {
     let listener = listen(any_port()).unwrap();
     let address = listener.local_addr().unwrap();
-    let (upwards, _) = mpsc::channel(1);
-    let source = Source {
+    let (to_controllers, _) = mpsc::channel(1);
+    let source = FeedSource {
         tables: of.tables(),
-        standing: of.status(),
-        upwards,
+        status: of.status(),
+        to_controllers,
     };
     let (connected, _) = watch::channel(0);
-    let serving = serve(listener, hello("edge-1"), source, audience, connected);
+    let serving = serve(listener, hello("edge-1"), source, options, connected);
     (address, tokio::task::spawn_local(serving))
 }
 
 #[test]
-fn a_proxy_gets_what_the_agent_gets_and_is_current_when_the_agent_is() {
+fn a_proxy_receives_the_agents_tables_and_is_current_when_the_agent_is() {
     run(async {
         let controller = Controller::new();
         let me = edge("edge-1", any_port());
         let agent = subscribe("edge-1", Subscriber::Edge(me.clone()), controller.address());
-        let (loopback, _feeder) = start_feeder(&agent, PROXY);
+        let (loopback, _feeder) = start_feeder(&agent, PROXY_FEEDER);
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
         let mut link = controller.welcome().await;
         let tables = Tables {
@@ -139,7 +139,7 @@
             .unwrap();
         proxy
             .status()
-            .wait_for(|standing| standing.current)
+            .wait_for(|status| status.current)
             .await
             .unwrap();
     });
@@ -148,7 +148,7 @@
 /// Guards the start after an outage: the proxy takes clients once it knows that its tables are current, and must not
 /// wait for the next heartbeat to hear so.
 #[test]
-fn a_proxy_is_told_at_once_when_its_agent_becomes_current() {
+fn a_proxy_is_notified_at_once_when_its_agent_becomes_current() {
     run(async {
         let controller = Controller::new();
         let me = edge("edge-1", any_port());
@@ -156,9 +156,9 @@
         let never = Duration::from_secs(3_600);
         let (loopback, _feeder) = start_feeder(
             &agent,
-            Audience {
-                heartbeat: never,
-                ..PROXY
+            FeederOptions {
+                heartbeat_interval: never,
+                ..PROXY_FEEDER
             },
         );
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
@@ -178,26 +178,26 @@
         send(&mut link, heartbeat(3)).await;
         proxy
             .status()
-            .wait_for(|standing| standing.current)
+            .wait_for(|status| status.current)
             .await
             .unwrap();
     });
 }
 
 #[test]
-fn a_proxy_of_an_agent_that_knows_nothing_yet_is_not_current() {
+fn a_proxy_of_an_agent_without_tables_is_not_current() {
     run(async {
         let controller = Controller::new();
         let me = edge("edge-1", any_port());
         let agent = subscribe("edge-1", Subscriber::Edge(me), controller.address());
-        let (loopback, _feeder) = start_feeder(&agent, PROXY);
+        let (loopback, _feeder) = start_feeder(&agent, PROXY_FEEDER);
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
-        let mut standing = proxy.status();
-        standing
-            .wait_for(|standing| standing.address.is_some())
+        let mut status = proxy.status();
+        status
+            .wait_for(|status| status.address.is_some())
             .await
             .unwrap();
-        assert!(!standing.borrow().current);
+        assert!(!status.borrow().current);
     });
 }
 
@@ -228,7 +228,7 @@
     let other = edge(other_name, any_port());
     let placeholder = Subscriber::Edge(edge(home_name.as_str(), any_port()));
     let home_agent = subscribe(home_name.as_str(), placeholder, controller.address());
-    let (address, home_feeder) = start_feeder(&home_agent, PEERS);
+    let (address, home_feeder) = start_feeder(&home_agent, PEER_FEEDER);
     let home = edge(home_name.as_str(), address);
     let mut home_link = controller.welcome().await;
     let mut edges = vec![home, other.clone()];
@@ -242,7 +242,7 @@
     send(&mut home_link, heartbeat(3)).await;
     home_agent
         .status()
-        .wait_for(|standing| standing.current)
+        .wait_for(|status| status.current)
         .await
         .unwrap();
 
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn the_home_brings_what_the_controller_only_announces() {
+fn the_home_delivers_a_revision_that_the_controller_only_announces() {
     run(async {
         let mut zone = zone().await;
         send(&mut zone.other, heartbeat(4)).await;
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_home_that_brings_nothing_is_left_for_the_controller() {
+fn a_home_that_lags_is_replaced_by_the_controller() {
     run(async {
         let mut zone = zone().await;
         send(&mut zone.other, heartbeat(4)).await;
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn a_home_that_leaves_the_zone_is_left_before_anything_is_announced() {
+fn a_home_that_leaves_the_zone_is_replaced_before_the_next_announcement() {
     run(async {
         let mut zone = zone().await;
         zone.home_feeder.abort();
--- a/tier/agent/tests/wire_format.rs
+++ b/tier/agent/tests/wire_format.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use plankhill_agent::feeder::{serve, Audience, Source, PROXY};
-use plankhill_agent::peers::monitor_peers;
+use plankhill_agent::failure_detection::detect_failures;
+use plankhill_agent::feeder::{serve, FeedSource, FeederOptions, PROXY_FEEDER};
 use plankhill_protocol::feed::{Subscriber, ToSubscriber};
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision, ZoneName};
 use plankhill_protocol::subscription::{Subscription, SubscriptionOptions};
@@ -19,7 +19,7 @@
 use tokio::task::LocalSet;
 
 /// Far beyond anything that a test waits for.
-const PATIENT: Duration = Duration::from_secs(60);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -68,7 +68,7 @@
         // A fixed address, since it is part of the bytes.
         subscriber: Subscriber::Edge(edge("edge-1", SocketAddr::from(([127, 0, 0, 1], 7_002)))),
         candidates,
-        feeder_timeout: PATIENT,
+        feeder_timeout: LONG_TIMEOUT,
     }))
 }
 
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_a_proxy_and_a_controller_get_keeps_its_bytes() {
+fn messages_to_a_proxy_and_to_a_controller_keep_their_bytes() {
     run(async {
         let controller = listen(any_port()).unwrap();
         let agent = subscribe(&controller);
@@ -113,19 +113,19 @@
 
         let loopback = listen(any_port()).unwrap();
         let address = loopback.local_addr().unwrap();
-        let (upwards, mut passed) = mpsc::channel(1);
-        let source = Source {
+        let (to_controllers, mut passed) = mpsc::channel(1);
+        let source = FeedSource {
             tables: agent.tables(),
-            standing: agent.status(),
-            upwards,
+            status: agent.status(),
+            to_controllers,
         };
         let hello = Hello::new(Channel::Feed, NodeId::from("edge-1"));
         let (connected, _) = watch::channel(0);
-        let audience = Audience {
-            heartbeat: PATIENT,
-            ..PROXY
+        let options = FeederOptions {
+            heartbeat_interval: LONG_TIMEOUT,
+            ..PROXY_FEEDER
         };
-        tokio::task::spawn_local(serve(loopback, hello, source, audience, connected));
+        tokio::task::spawn_local(serve(loopback, hello, source, options, connected));
         let mut proxy = TcpStream::connect(address).await.unwrap();
         proxy.write_all(&pinned("HelloToController")).await.unwrap();
         assert_next_bytes(&mut proxy, "HelloToController").await;
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn datagrams_of_a_monitor_keep_their_bytes() {
+fn datagrams_of_a_failure_detector_keep_their_bytes() {
     run(async {
         let controller = listen(any_port()).unwrap();
         let subscription = subscribe(&controller);
@@ -157,7 +157,7 @@
             edges,
             ..Tables::default()
         };
-        tokio::task::spawn_local(monitor_peers(own, NodeId::from("edge-1"), subscription));
+        tokio::task::spawn_local(detect_failures(own, NodeId::from("edge-1"), subscription));
         send(&mut link, &tables).await;
         let mut buffer = [0_u8; 512];
         let (length, from) = peer.recv_from(&mut buffer).await.unwrap();
--- a/tier/membership/src/rendezvous.rs
+++ b/tier/membership/src/rendezvous.rs
@@ -1,13 +1,15 @@
-//! Rendezvous hashing: every process picks the same members for a key, and a change of membership moves few
-//! keys.
+//! Rendezvous hashing (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998): every process
+//! picks the same members for a key, and a change of the membership moves few keys.
 
 use std::hash::Hasher;
 
 use plankhill_protocol::ids::NodeId;
 use siphasher::sip::SipHasher13;
 
-/// The same in all processes of a deployment; any other constant would do.
-const KEYS: (u64, u64) = (0x706c_616e_6b68_696c, 0x6c2d_7469_6572_2031);
+/// Keys of the hash. The same in all processes of a deployment, and in all versions: another key would move all data.
+const HASH_KEYS: (u64, u64) = (0x706c_616e_6b68_696c, 0x6c2d_7469_6572_2031);
+/// Stands between the key and the member, so that no two pairs are hashed alike; no UTF-8 text holds this byte.
+const SEPARATOR: u8 = 0xff;
 
 /// The `count` members that score highest for this key, best first; all of them if there are fewer.
 pub fn top<'a>(
@@ -22,16 +24,16 @@
     scored.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The member that scores highest for this key; None if there are no members.
+/// The member that scores highest for this key; `None` if there are no members.
 pub fn first<'a>(key: &str, members: impl Iterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
     members.max_by_key(|member| (score(key, member), *member))
 }
 
-/// How high a member scores for a key.
+/// The score of a member for a key. Equal scores are ordered by the member's name.
 fn score(key: &str, member: &NodeId) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(KEYS.0, KEYS.1);
+    let mut hasher = SipHasher13::new_with_keys(HASH_KEYS.0, HASH_KEYS.1);
     hasher.write(key.as_bytes());
-    hasher.write_u8(0xff);
+    hasher.write_u8(SEPARATOR);
     hasher.write(member.as_str().as_bytes());
     hasher.finish()
 }
--- a/tier/membership/tests/monitor.rs
+++ b/tier/membership/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Monitors in a simulated world.
+//! Failure detectors in a simulated world.
 
 mod world;
 
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn a_machine_that_is_gone_is_found_in_time() {
+fn a_failed_machine_is_suspected_in_time() {
     for seed in 0..SEEDS {
         let mut world = World::new(MACHINES, seed);
         let gone = world.node(seed as usize % MACHINES);
         world.run_until(seconds(5));
-        world.health.insert(gone.clone(), Health::Gone);
+        world.health.insert(gone.clone(), Health::Failed);
         world.run_until(seconds(12));
-        if world.monitors_of(&gone) < 2 {
+        if world.detectors_of(&gone) < 2 {
             continue;
         }
         let found = world
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn nobody_is_found_wrongly_under_loss() {
+fn packet_loss_causes_no_false_suspicion() {
     for seed in 0..SEEDS {
         let mut world = World::new(MACHINES, seed);
         world.loss = 20;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_slow_machine_is_not_a_gone_one() {
+fn a_slow_machine_is_not_suspected() {
     for seed in 0..SEEDS {
         let mut world = World::new(MACHINES, seed);
         world.loss = 5;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_machine_that_wakes_blames_nobody() {
+fn a_machine_that_resumes_after_a_freeze_suspects_nobody() {
     for seed in 0..SEEDS {
         let mut world = World::new(MACHINES, seed);
         let frozen = world.node(0);
@@ -100,12 +100,12 @@
 }
 
 #[test]
-fn a_machine_that_hears_nobody_blames_itself() {
+fn an_isolated_machine_suspects_nobody() {
     for seed in 0..SEEDS {
         let mut world = World::new(MACHINES, seed);
         world.run_until(seconds(5));
         for number in 1..MACHINES {
-            world.health.insert(world.node(number), Health::Gone);
+            world.health.insert(world.node(number), Health::Failed);
         }
         world.run_until(seconds(5) + Duration::from_millis(2_500));
         let before = world.reports.len();
--- a/tier/membership/tests/rendezvous.rs
+++ b/tier/membership/tests/rendezvous.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use plankhill_membership::homes::{home_of, home_to_follow};
-use plankhill_membership::peers::{monitored, MONITORED};
+use plankhill_membership::peers::{monitored_peers, MONITORED_PEERS};
 use plankhill_membership::rendezvous::{first, top};
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 use plankhill_protocol::tables::Edge;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_member_that_goes_moves_only_what_it_had() {
+fn removing_a_member_moves_only_its_keys() {
     arbtest::arbtest(|draw| {
         let members = nodes(draw.int_in_range(2..=9)?);
         let key: String = draw.arbitrary()?;
@@ -76,18 +76,18 @@
 }
 
 #[test]
-fn everyone_is_monitored_by_some_and_nobody_by_itself() {
+fn members_are_monitored_by_several_others_and_not_by_themselves() {
     let members = nodes(30);
     let mut by: BTreeMap<&NodeId, usize> = BTreeMap::new();
     for member in &members {
-        let peers = monitored(member, members.iter());
-        assert_eq!(peers.len(), MONITORED);
+        let peers = monitored_peers(member, members.iter());
+        assert_eq!(peers.len(), MONITORED_PEERS);
         assert!(!peers.contains(&member));
-        peers
-            .into_iter()
-            .for_each(|peer| *by.entry(peer).or_default() += 1);
+        for peer in peers {
+            *by.entry(peer).or_default() += 1;
+        }
     }
-    // By chance a few have no monitor; controllers hear of their end by the silence of their subscriptions.
+    // By chance a few are probed by nobody; controllers find their end by the timeout of their subscriptions.
     assert!(by.len() > members.len() * 8 / 10, "{by:?}");
 }
 
--- a/tier/membership/tests/wire_format.rs
+++ b/tier/membership/tests/wire_format.rs
@@ -1,15 +1,15 @@
 //! Pins the bytes of the datagrams between agents: `tests/wire_format/datagram.txt` holds one line `Variant hex` for
 //! each, as written by the build that the tier had before its code was renamed for readers. No test rewrites it.
 
-use plankhill_membership::probe::Datagram;
+use plankhill_membership::datagram::Datagram;
 use plankhill_protocol::ids::NodeId;
 
 /// The name in the fixture; a new variant does not compile before somebody has looked here.
 fn variant(datagram: &Datagram) -> &'static str {
     match datagram {
         Datagram::Probe { .. } => "Probe",
-        Datagram::Relay { .. } => "Relay",
-        Datagram::Alive { .. } => "Alive",
+        Datagram::ProbeRequest { .. } => "Relay",
+        Datagram::Ack { .. } => "Alive",
     }
 }
 
@@ -28,11 +28,11 @@
             sequence: 300,
             to: NodeId::from("edge-2"),
         },
-        Datagram::Relay {
+        Datagram::ProbeRequest {
             sequence: u64::MAX,
             about: NodeId::from("edge-3"),
         },
-        Datagram::Alive { sequence: 301 },
+        Datagram::Ack { sequence: 301 },
     ];
     let pinned: Vec<(&str, Vec<u8>)> = include_str!("wire_format/datagram.txt")
         .lines()
--- a/tier/membership/tests/world/mod.rs
+++ b/tier/membership/tests/world/mod.rs
@@ -1,22 +1,22 @@
-//! A simulated world of monitors: virtual time, delays and losses drawn from a seed.
+//! A simulated world of failure detectors: virtual time, delays and losses drawn from a seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use plankhill_membership::monitor::{Action, Monitor};
-use plankhill_membership::probe::Datagram;
-use plankhill_membership::relays::Asker;
+use plankhill_membership::datagram::Datagram;
+use plankhill_membership::failure_detector::{Action, FailureDetector};
+use plankhill_membership::indirect_probes::Requester;
 use plankhill_protocol::ids::NodeId;
 
 /// How a machine fares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     /// Handles a datagram within a few milliseconds.
-    Well,
+    Healthy,
     /// Takes five times as long for everything, and is loaded.
     Slow,
     /// Handles nothing; what comes is lost.
-    Gone,
+    Failed,
     /// Stands still until this time; what comes waits.
     Frozen(Duration),
 }
@@ -46,7 +46,7 @@
     /// Datagrams lost of a thousand.
     pub loss: u64,
     pub health: BTreeMap<NodeId, Health>,
-    monitors: BTreeMap<NodeId, Monitor>,
+    detectors: BTreeMap<NodeId, FailureDetector>,
     events: BTreeMap<(Duration, u64), Event>,
     count: u64,
     pub reports: Vec<Report>,
@@ -66,18 +66,18 @@
             loss: 0,
             health: nodes
                 .iter()
-                .map(|node| (node.clone(), Health::Well))
+                .map(|node| (node.clone(), Health::Healthy))
                 .collect(),
-            monitors: BTreeMap::new(),
+            detectors: BTreeMap::new(),
             events: BTreeMap::new(),
             count: 0,
             reports: Vec::new(),
             sent: 0,
         };
         for node in &nodes {
-            let mut monitor = Monitor::new(node.clone(), begin);
-            monitor.set_members(nodes.iter());
-            world.monitors.insert(node.clone(), monitor);
+            let mut detector = FailureDetector::new(node.clone(), begin);
+            detector.set_members(nodes.iter());
+            world.detectors.insert(node.clone(), detector);
             let offset = Duration::from_millis(world.draw(300));
             world.at(offset, Event::Tick(node.clone()));
         }
@@ -89,11 +89,11 @@
         NodeId::from(format!("edge-{number}").as_str())
     }
 
-    /// Those that monitor a machine.
-    pub fn monitors_of(&self, node: &NodeId) -> usize {
-        self.monitors
+    /// How many machines probe this one.
+    pub fn detectors_of(&self, node: &NodeId) -> usize {
+        self.detectors
             .values()
-            .filter(|monitor| monitor.peers().contains(node))
+            .filter(|detector| detector.peers().contains(node))
             .count()
     }
 
@@ -135,16 +135,16 @@
             Event::Tick(node) | Event::Arrives { to: node, .. } => node.clone(),
         };
         match self.health[&node] {
-            Health::Gone => return,
+            Health::Failed => return,
             Health::Frozen(until) if self.now < until => return self.at(until, event),
-            Health::Well | Health::Slow | Health::Frozen(_) => {}
+            Health::Healthy | Health::Slow | Health::Frozen(_) => {}
         }
         let now = self.begin + self.now;
-        let monitor = self.monitors.get_mut(&node).unwrap();
+        let detector = self.detectors.get_mut(&node).unwrap();
         let actions = match event {
             Event::Tick(_) => {
-                let actions = monitor.tick(now);
-                let next = monitor
+                let actions = detector.tick(now);
+                let next = detector
                     .next_tick()
                     .unwrap()
                     .saturating_duration_since(self.begin);
@@ -153,10 +153,10 @@
                 actions
             }
             Event::Arrives { from, datagram, .. } => match datagram {
-                Datagram::Probe { sequence, .. } => vec![Action::Alive { to: from, sequence }],
-                Datagram::Relay { sequence, about } => monitor
-                    .relay(
-                        Asker {
+                Datagram::Probe { sequence, .. } => vec![Action::Ack { to: from, sequence }],
+                Datagram::ProbeRequest { sequence, about } => detector
+                    .on_probe_request(
+                        Requester {
                             node: from,
                             sequence,
                         },
@@ -165,25 +165,23 @@
                     )
                     .into_iter()
                     .collect(),
-                Datagram::Alive { sequence } => {
-                    monitor.answered(sequence, now).into_iter().collect()
-                }
+                Datagram::Ack { sequence } => detector.on_ack(sequence, now).into_iter().collect(),
             },
         };
-        actions
-            .into_iter()
-            .for_each(|action| self.act(&node, action));
+        for action in actions {
+            self.act(&node, action);
+        }
     }
 
     fn act(&mut self, from: &NodeId, action: Action) {
         let (to, datagram) = match action {
             Action::Probe { to, sequence } => (to.clone(), Datagram::Probe { sequence, to }),
-            Action::Relay {
+            Action::RequestProbe {
                 via,
                 about,
                 sequence,
-            } => (via, Datagram::Relay { sequence, about }),
-            Action::Alive { to, sequence } => (to, Datagram::Alive { sequence }),
+            } => (via, Datagram::ProbeRequest { sequence, about }),
+            Action::Ack { to, sequence } => (to, Datagram::Ack { sequence }),
             Action::Suspect(about) => {
                 self.reports.push(Report {
                     at: self.now,
