--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -1,5 +1,5 @@
 //! Sends the tables of this machine to subscribers: to the proxy of the same machine, and to the other agents of the
-//! zone while this machine is their home. Accepts the connections; each is served by a [`session`].
+//! zone while this machine is their home. Accepts the connections; each is served by a `session`.
 
 mod session;
 
