--- a/tier/dispatch/tests/decisions_digest/faults.rs
+++ b/tier/dispatch/tests/decisions_digest/faults.rs
@@ -65,7 +65,7 @@
 
 /// Runs the world with that seed; every third one with room for few requests.
 pub fn run(seed: u64) -> Transcript {
-    let most_requests = if seed % 3 == 0 { FEW_REQUESTS } else { 1_000 };
+    let most_requests = if seed.is_multiple_of(3) { FEW_REQUESTS } else { 1_000 };
     let settings = DispatchSettings { seed, zone: ZoneName::from(ZONES[0]), most_requests };
     let mut world = World {
         now: 0.0,
@@ -124,7 +124,7 @@
             Happens::Request => {
                 self.request();
                 if now < LENGTH {
-                    let rate = if (now / 5_000.0) as u64 % 2 == 0 { 3.0 } else { 12.0 };
+                    let rate = if ((now / 5_000.0) as u64).is_multiple_of(2) { 3.0 } else { 12.0 };
                     let pause = rate * (0.2 + 1.6 * self.draw());
                     self.at(now + pause, Happens::Request);
                 }
