--- a/tests/fleet/destination.rs
+++ b/decisions/tests/fleet/destination.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 
 use super::*;
 
@@ -35,8 +35,9 @@
     pub fn is_down(now: Ms) -> bool {
         (FAILS..BACK).contains(&now)
     }
-    pub fn warmth(now: Ms, terms: &Terms) -> f64 {
-        let warm = terms.cold_share + (1.0 - terms.cold_share) * (now - BACK) / terms.warm_after;
+    pub fn warmth(now: Ms, terms: &DecisionConfig) -> f64 {
+        let warm = terms.warm_up_initial_share
+            + (1.0 - terms.warm_up_initial_share) * (now - BACK) / terms.warm_up_duration;
         if now < BACK {
             1.0
         } else {
@@ -44,20 +45,24 @@
         }
     }
     /// Counts a call or a ping.
-    pub fn count(&mut self, now: Ms, terms: &Terms) {
-        if !(BACK..BACK + terms.warm_after).contains(&now) {
+    pub fn count(&mut self, now: Ms, terms: &DecisionConfig) {
+        if !(BACK..BACK + terms.warm_up_duration).contains(&now) {
             return;
         }
         self.came.push_back(now);
         while self.came.front().is_some_and(|at| *at <= now - SPAN) {
             self.came.pop_front();
         }
-        let allowed = terms.tip_multiple * Self::warmth(now, terms) * self.full_rate * SPAN / 1000.0;
+        let allowed =
+            terms.overload_multiple * Self::warmth(now, terms) * self.full_rate * SPAN / 1000.0;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let share = self.came.len() as f64 / bound;
         if share > self.worst.0 {
-            let told =
-                format!("{} of {bound:.1}, {:.1} s after its return", self.came.len(), (now - BACK) / 1000.0);
+            let told = format!(
+                "{} of {bound:.1}, {:.1} s after its return",
+                self.came.len(),
+                (now - BACK) / 1000.0
+            );
             self.worst = (share, told);
         }
     }
@@ -76,39 +81,65 @@
 }
 
 /// What the destination does in a step; what it answers is told to the forwarders.
-pub fn works(to: &mut Destination, members: &mut [Member], chance: &mut Chance, now: Ms, terms: &Terms) {
+pub fn works(
+    to: &mut Destination,
+    members: &mut [Member],
+    chance: &mut Chance,
+    now: Ms,
+    terms: &DecisionConfig,
+) {
     let mut told = |call: &Call, fate| {
-        let ended = Ended { took: now - call.came, ..Ended::plain(fate) };
-        members[call.from].came_in.push(CameIn::Ended(call.name.clone(), ended));
+        let ended = AttemptReport {
+            elapsed: now - call.came,
+            ..AttemptReport::from_outcome(fate)
+        };
+        members[call.from]
+            .came_in
+            .push(CameIn::Ended(call.name.clone(), ended));
     };
     if Destination::is_down(now) {
-        for call in to.working.drain(..).map(|(_, call)| call).chain(to.queue.drain(..)) {
+        for call in to
+            .working
+            .drain(..)
+            .map(|(_, call)| call)
+            .chain(to.queue.drain(..))
+        {
             if call.waits > 0.0 {
-                told(&call, Fate::Reset);
+                told(&call, AttemptOutcome::Reset);
             }
         }
         return;
     }
     to.working.retain(|(ends, call)| {
         if *ends <= now && call.waits > now {
-            told(call, Fate::Delivered);
+            told(call, AttemptOutcome::Delivered);
         }
         *ends > now
     });
-    for (_, call) in to.working.iter_mut().filter(|(_, call)| call.waits > 0.0 && call.waits <= now) {
-        told(call, Fate::TimedOut);
+    for (_, call) in to
+        .working
+        .iter_mut()
+        .filter(|(_, call)| call.waits > 0.0 && call.waits <= now)
+    {
+        told(call, AttemptOutcome::TimedOut);
         call.waits = 0.0;
     }
     to.queue.retain(|call| {
         if call.waits <= now {
-            told(call, Fate::TimedOut);
+            told(call, AttemptOutcome::TimedOut);
         }
         call.waits > now
     });
     while to.working.len() < to.servers() {
-        let Some(call) = to.queue.pop_front() else { break };
+        let Some(call) = to.queue.pop_front() else {
+            break;
+        };
         let slows = to.answers != Answers::StayQuick;
-        let pace = if slows { Destination::warmth(now, terms) } else { 1.0 };
+        let pace = if slows {
+            Destination::warmth(now, terms)
+        } else {
+            1.0
+        };
         let work = WORK * (0.5 + chance.draw()) / pace;
         to.working.push((now + work, call));
     }
--- a/tests/fleet/mod.rs
+++ b/decisions/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::host::*;
 pub use destination::*;
-use plankhill::interface::*;
+use plankhill_decisions::interface::*;
 
 pub const STEP: Ms = 20.0;
 pub const SPAN: Ms = 3_000.0; // the settings' time, over which calls are counted
@@ -51,24 +51,39 @@
 }
 
 pub enum CameIn {
-    Ended(String, Ended),
-    Pinged(Fate),
+    Ended(String, AttemptReport),
+    Pinged(AttemptOutcome),
 }
 
 pub fn member(instance: u64, fleet: f64, seed: u64, now: Ms) -> Host {
     let mut host = Host::new(|terms| {
-        (terms.seed, terms.instance, terms.forwarders) = (seed, instance, fleet);
-        (terms.slots, terms.room) = (200, 400);
+        (terms.seed, terms.instance, terms.forwarder_count) = (seed, instance, fleet);
+        (terms.max_calls_in_flight, terms.event_capacity) = (200, 400);
     });
     host.idle(now);
     host
 }
 
 /// The largest share of the bound that any span came to.
-pub fn worst(fleet: usize, full_rate: f64, answers: Answers, traffic: Traffic, seed: u64) -> (f64, String) {
+pub fn worst(
+    fleet: usize,
+    full_rate: f64,
+    answers: Answers,
+    traffic: Traffic,
+    seed: u64,
+) -> (f64, String) {
     let mut chance = Chance(seed);
-    let terms = Terms { forwarders: fleet as f64, ..terms() };
-    let weight = |n: usize| if traffic == Traffic::Skewed { 1.0 / (1.0 + n as f64) } else { 1.0 };
+    let terms = DecisionConfig {
+        forwarder_count: fleet as f64,
+        ..terms()
+    };
+    let weight = |n: usize| {
+        if traffic == Traffic::Skewed {
+            1.0 / (1.0 + n as f64)
+        } else {
+            1.0
+        }
+    };
     let all: f64 = (0..fleet).map(weight).sum();
     let mut members: Vec<Member> = (0..fleet)
         .map(|n| Member {
@@ -102,9 +117,9 @@
             if restarts && n % 2 == 0 {
                 member.back_at = now + 1_000.0;
                 member.came_in.clear();
-                to.working
-                    .iter_mut()
-                    .for_each(|(_, call)| call.waits = if call.from == n { 0.0 } else { call.waits });
+                to.working.iter_mut().for_each(|(_, call)| {
+                    call.waits = if call.from == n { 0.0 } else { call.waits }
+                });
                 to.queue.retain(|call| call.from != n);
             }
             let mut fresh: Vec<String> = Vec::new();
@@ -127,19 +142,33 @@
                         let held = member.held.get_mut(name).expect("held");
                         (held.sends, held.out) = (held.sends + 1, true);
                         let waits = now + member.host.given;
-                        let call = Call { from: n, name: name.to_owned(), came: now, waits };
+                        let call = Call {
+                            from: n,
+                            name: name.to_owned(),
+                            came: now,
+                            waits,
+                        };
                         if Destination::is_down(now) {
-                            member.came_in.push(CameIn::Ended(call.name, Ended::plain(Fate::NoConnection)));
+                            member.came_in.push(CameIn::Ended(
+                                call.name,
+                                AttemptReport::from_outcome(AttemptOutcome::ConnectFailed),
+                            ));
                         } else if to.queue.len() >= to.queue_takes() {
-                            member.came_in.push(CameIn::Ended(call.name, Ended::plain(Fate::Full)));
+                            member.came_in.push(CameIn::Ended(
+                                call.name,
+                                AttemptReport::from_outcome(AttemptOutcome::Rejected),
+                            ));
                         } else {
                             to.queue.push_back(call);
                         }
                     }
                     ["ping", "t"] => {
                         to.count(now, &terms);
-                        let fate =
-                            if Destination::is_down(now) { Fate::NoConnection } else { Fate::Delivered };
+                        let fate = if Destination::is_down(now) {
+                            AttemptOutcome::ConnectFailed
+                        } else {
+                            AttemptOutcome::Delivered
+                        };
                         member.came_in.push(CameIn::Pinged(fate));
                     }
                     ["dismiss", name] => {
@@ -170,11 +199,13 @@
         member.back_at = 0.0;
         let held = &member.held;
         let told = member.host.at(now, |f| {
-            noted.iter().for_each(|(target, since, usual)| f.was_cold(target, *since, *usual));
+            noted
+                .iter()
+                .for_each(|(target, since, usual)| f.restore_warm_up(target, *since, *usual));
             for (name, held) in held {
-                f.taken(event(name), DestinationId(1), RETRIABLE, held.ends, None);
+                f.accept_event(event(name), DestinationId(1), RETRIABLE, held.ends, None);
                 let may_have_run = held.out.then_some((now, ZoneId(0)));
-                f.restored(&event(name), held.sends, may_have_run, held.out);
+                f.restore_attempts(&event(name), held.sends, may_have_run, held.out);
             }
         });
         member.held.values_mut().for_each(|held| held.out = false);
@@ -182,11 +213,18 @@
     }
     let came_in = std::mem::take(&mut member.came_in);
     for name in &fresh {
-        member.held.insert(name.clone(), Held { ends: now + 20_000.0, sends: 0, out: false });
+        member.held.insert(
+            name.clone(),
+            Held {
+                ends: now + 20_000.0,
+                sends: 0,
+                out: false,
+            },
+        );
     }
     for came_in in &came_in {
         if let CameIn::Ended(name, ended) = came_in {
-            if ended.fate == Fate::Delivered {
+            if ended.outcome == AttemptOutcome::Delivered {
                 member.held.remove(name);
             } else if let Some(held) = member.held.get_mut(name) {
                 held.out = false;
@@ -196,12 +234,22 @@
     member.host.at(now, |f| {
         for came_in in came_in {
             match came_in {
-                CameIn::Ended(name, ended) => f.send_ended(&event(&name), ended).expect("was sent"),
-                CameIn::Pinged(fate) => f.ping_ended(&target("t"), fate).expect("was listed"),
+                CameIn::Ended(name, ended) => {
+                    f.on_attempt_ended(&event(&name), ended).expect("was sent")
+                }
+                CameIn::Pinged(fate) => f
+                    .on_health_check_ended(&target("t"), fate)
+                    .expect("was listed"),
             }
         }
         for name in fresh {
-            f.taken(event(&name), DestinationId(1), RETRIABLE, now + 20_000.0, None);
+            f.accept_event(
+                event(&name),
+                DestinationId(1),
+                RETRIABLE,
+                now + 20_000.0,
+                None,
+            );
         }
     })
 }
--- a/operators/src/bans.rs
+++ b/forwarder/admin/src/bans.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use plankhill::interface::{Listing, TargetId};
+use plankhill_decisions::interface::{EndpointState, TargetId};
 
 type Id = Rc<str>;
 
@@ -17,7 +17,7 @@
 pub struct Bans {
     banned: BTreeSet<Id>,
     /// What the list says now.
-    listed: HashMap<Id, Listing>,
+    listed: HashMap<Id, EndpointState>,
     /// Ids that were listed and are not any more, the latest last.
     gone: HashSet<Id>,
     by_leaving: VecDeque<Id>,
@@ -47,9 +47,13 @@
 impl Bans {
     /// Reads a record: a line of its form, an id a line, and a line with the checksum of all before it.
     pub fn read(record: &str) -> Result<Bans, Damaged> {
-        let cut = record.trim_end_matches('\n').rfind('\n').ok_or(Damaged("it has no checksum"))?;
+        let cut = record
+            .trim_end_matches('\n')
+            .rfind('\n')
+            .ok_or(Damaged("it has no checksum"))?;
         let (text, sum) = record.split_at(cut + 1);
-        let sum = u32::from_str_radix(sum.trim_end(), 16).map_err(|_| Damaged("it has no checksum"))?;
+        let sum =
+            u32::from_str_radix(sum.trim_end(), 16).map_err(|_| Damaged("it has no checksum"))?;
         if crc32fast::hash(text.as_bytes()) != sum {
             return Err(Damaged("its checksum differs"));
         }
@@ -57,7 +61,10 @@
         if lines.next() != Some(FIRST_LINE) {
             return Err(Damaged("it has another form"));
         }
-        Ok(Bans { banned: lines.map(Id::from).collect(), ..Bans::default() })
+        Ok(Bans {
+            banned: lines.map(Id::from).collect(),
+            ..Bans::default()
+        })
     }
 
     fn record<'a>(ids: impl Iterator<Item = &'a Id>) -> String {
@@ -73,18 +80,24 @@
         match (known, self.holds(id) == ban) {
             (false, _) => Change::NeverListed,
             (true, true) => Change::Nothing,
-            (true, false) if ban => Change::Record(Self::record(self.banned.iter().chain([&id.into()]))),
-            (true, false) => Change::Record(Self::record(self.banned.iter().filter(|other| &***other != id))),
+            (true, false) if ban => {
+                Change::Record(Self::record(self.banned.iter().chain([&id.into()])))
+            }
+            (true, false) => Change::Record(Self::record(
+                self.banned.iter().filter(|other| &***other != id),
+            )),
         }
     }
 
     /// Bans the target or lifts its ban; what the module is to hear of it, if the list names it.
-    pub fn set(&mut self, id: &str, ban: bool) -> Option<Listing> {
+    pub fn set(&mut self, id: &str, ban: bool) -> Option<EndpointState> {
         match ban {
             true => self.banned.insert(id.into()),
             false => self.banned.remove(id),
         };
-        self.listed.get(id).map(|listing| self.overlaid(id, *listing))
+        self.listed
+            .get(id)
+            .map(|listing| self.overlaid(id, *listing))
     }
 
     pub fn holds(&self, id: &str) -> bool {
@@ -97,7 +110,7 @@
     }
 
     /// The list names the target; what the module is to hear.
-    pub fn listed(&mut self, TargetId(id): &TargetId, listing: Listing) -> Listing {
+    pub fn listed(&mut self, TargetId(id): &TargetId, listing: EndpointState) -> EndpointState {
         if self.gone.remove(id) {
             self.by_leaving.retain(|other| other != id);
         }
@@ -124,13 +137,15 @@
         }
         self.by_leaving.push_back(id);
         while self.by_leaving.len() > REMEMBERED {
-            self.by_leaving.pop_front().map(|oldest| self.gone.remove(&oldest));
+            self.by_leaving
+                .pop_front()
+                .map(|oldest| self.gone.remove(&oldest));
         }
     }
 
-    fn overlaid(&self, id: &str, listing: Listing) -> Listing {
+    fn overlaid(&self, id: &str, listing: EndpointState) -> EndpointState {
         match listing {
-            Listing::Running if self.holds(id) => Listing::Leaving,
+            EndpointState::Running if self.holds(id) => EndpointState::Draining,
             as_told => as_told,
         }
     }
--- a/operators/tests/orders.rs
+++ b/forwarder/admin/tests/orders.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use plankhill::interface::{Listing, TargetId};
-use plankhill_operators::*;
+use plankhill_admin::*;
+use plankhill_decisions::interface::{EndpointState, TargetId};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -20,7 +20,11 @@
 #[case("POST", "/-/targets/%ff/disable", Err(Refused::Id))]
 #[case("POST", "/-/targets/a/b/disable", Err(Refused::NoSuchPath))]
 #[case("GET", "/up", Err(Refused::NoSuchPath))]
-fn a_call_is_read(#[case] method: &str, #[case] path: &str, #[case] expected: Result<Asked, Refused>) {
+fn a_call_is_read(
+    #[case] method: &str,
+    #[case] path: &str,
+    #[case] expected: Result<Asked, Refused>,
+) {
     assert_eq!(asked(method, path), expected);
 }
 
@@ -29,7 +33,10 @@
 #[case("plankhill bans 1\ns\n", "no checksum")]
 #[case("plankhill bans 1\na\n00000000\n", "checksum differs")]
 fn a_damaged_record_is_said_to_be_so(#[case] record: &str, #[case] why: &str) {
-    let said = Bans::read(record).map(|_| ()).expect_err("damaged").to_string();
+    let said = Bans::read(record)
+        .map(|_| ())
+        .expect_err("damaged")
+        .to_string();
     assert!(said.contains(why), "{said}");
 }
 
@@ -63,9 +70,9 @@
         for step in steps {
             match step {
                 Step::Listed(n, runs) => {
-                    let listing = if runs { Listing::Running } else { Listing::Leaving };
+                    let listing = if runs { EndpointState::Running } else { EndpointState::Draining };
                     let told = bans.listed(&id(n), listing);
-                    prop_assert_eq!(told == Listing::Running, runs && !banned.contains(&n));
+                    prop_assert_eq!(told == EndpointState::Running, runs && !banned.contains(&n));
                     list.insert(n, listing);
                     ever.insert(n);
                 }
@@ -83,8 +90,8 @@
                         if ban { banned.insert(n) } else { banned.remove(&n) };
                         let listed = list.get(&n).copied();
                         prop_assert_eq!(told.is_some(), listed.is_some());
-                        let runs = listed == Some(Listing::Running) && !ban;
-                        prop_assert_eq!(told == Some(Listing::Running), runs);
+                        let runs = listed == Some(EndpointState::Running) && !ban;
+                        prop_assert_eq!(told == Some(EndpointState::Running), runs);
                     }
                 },
                 Step::Restart => {
--- a/terms/src/fleet.rs
+++ b/forwarder/config/src/fleet.rs
@@ -11,17 +11,17 @@
 mod checks;
 mod kinds;
 
-pub use kinds::{Copies, Instance, Timing};
+pub use kinds::{Instance, ReplicationConfig, Timing};
 use kinds::{Kept, Row, Spans};
 
 /// All that the file says. `pools` and `fanout` are read by those that they concern.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
-    pub fleet: String,
+pub struct FleetConfig {
+    pub name: String,
     pub instances: Vec<Instance>,
     pub timing: Timing,
     /// None: no record is copied.
-    pub copies: Option<Copies>,
+    pub replication: Option<ReplicationConfig>,
     /// Names of the control group's voters; the first founds it when told so.
     pub voters: Vec<String>,
     pub pools: toml::Table,
@@ -30,7 +30,7 @@
     pub found: bool,
 }
 
-impl Fleet {
+impl FleetConfig {
     pub fn instance(&self, name: &str) -> Option<&Instance> {
         self.instances.iter().find(|i| i.name == name)
     }
@@ -57,8 +57,10 @@
 }
 
 /// What the variables name: None where `PROXY_FLEET` is not set. `name` is this forwarder's own.
-pub fn fleet(variable: impl Fn(&str) -> Option<String>, name: &str) -> Plain<Option<Fleet>> {
-    let Some(path) = variable("PROXY_FLEET") else { return Ok(None) };
+pub fn fleet(variable: impl Fn(&str) -> Option<String>, name: &str) -> Plain<Option<FleetConfig>> {
+    let Some(path) = variable("PROXY_FLEET") else {
+        return Ok(None);
+    };
     let text = std::fs::read_to_string(&path);
     let text = text.map_err(|e| format!("PROXY_FLEET: {path} cannot be read: {e}"))?;
     let mut fleet = read(&text).map_err(|e| format!("{path}: {e}"))?;
@@ -69,12 +71,14 @@
     };
     match fleet.instance(name) {
         Some(_) => Ok(Some(fleet)),
-        None => Err(format!("{path}: instances: none is named {name:?}, as PROXY_NAME or name says")),
+        None => Err(format!(
+            "{path}: instances: none is named {name:?}, as PROXY_NAME or name says"
+        )),
     }
 }
 
 /// The file's text, checked.
-pub fn read(text: &str) -> Plain<Fleet> {
+pub fn read(text: &str) -> Plain<FleetConfig> {
     let file: File = toml::from_str(text).map_err(|e| match e.span() {
         Some(span) => format!("line {}: {}", checks::line(text, span.start), e.message()),
         None => e.message().to_owned(),
@@ -85,7 +89,10 @@
     }
     let instances = checks::instances(file.instances.get_ref(), &fault)?;
     if instances.is_empty() {
-        return Err(fault(file.instances.span().start, "instances: none is named".into()));
+        return Err(fault(
+            file.instances.span().start,
+            "instances: none is named".into(),
+        ));
     }
     let at = file.timing.as_ref().map_or(0, |t| t.span().start);
     let timing = checks::timing(&file.timing.map(Spanned::into_inner).unwrap_or_default());
@@ -96,21 +103,28 @@
     });
     let mut voters = Vec::new();
     let mut seen = BTreeSet::new();
-    for voter in file.control.map(|c| c.into_inner().voters).unwrap_or_default() {
+    for voter in file
+        .control
+        .map(|c| c.into_inner().voters)
+        .unwrap_or_default()
+    {
         let (at, name) = (voter.span().start, voter.into_inner());
         if !instances.iter().any(|i| i.name == name) {
-            return Err(fault(at, format!("control.voters: {name:?} is no instance")));
+            return Err(fault(
+                at,
+                format!("control.voters: {name:?} is no instance"),
+            ));
         }
         if !seen.insert(name.clone()) {
             return Err(fault(at, format!("control.voters: {name:?} stands twice")));
         }
         voters.push(name);
     }
-    Ok(Fleet {
-        fleet: file.fleet.into_inner(),
+    Ok(FleetConfig {
+        name: file.fleet.into_inner(),
         instances,
         timing,
-        copies: copies.transpose()?,
+        replication: copies.transpose()?,
         voters,
         pools: file.pools,
         fanout: file.fanout,
--- a/terms/src/fleet/kinds.rs
+++ b/forwarder/config/src/fleet/kinds.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -30,7 +30,7 @@
 
 /// What an instance keeps for others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Copies {
+pub struct ReplicationConfig {
     /// For each record: f failures are borne by 2f.
     pub keepers: usize,
     /// Bytes of memory and disk for the records of others; at them appends are refused, nothing is dropped.
@@ -59,7 +59,12 @@
 
 impl Default for Spans {
     fn default() -> Self {
-        Spans { heartbeat_ms: 100.0, election_ms: 1000.0, stall_ms: 600.0, replace_ms: 5000.0 }
+        Spans {
+            heartbeat_ms: 100.0,
+            election_ms: 1000.0,
+            stall_ms: 600.0,
+            replace_ms: 5000.0,
+        }
     }
 }
 
--- a/terms/src/scenario.rs
+++ b/forwarder/config/src/scenario.rs
@@ -4,7 +4,7 @@
 
 mod check;
 
-pub use plankhill::interface::Ms;
+pub use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
 
 use crate::tables::Text;
@@ -29,8 +29,8 @@
     pub clients: Clients,
     pub traffic: Vec<Traffic>,
     pub destinations: Vec<Group>,
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<Fault>,
     /// Only so many of the troubles, the first ones, are played: for sweeps over how many come together.
     #[serde(default)]
     pub troubles_played: Option<usize>,
@@ -309,7 +309,14 @@
 
 impl Default for Answer {
     fn default() -> Self {
-        Answer { shape: Shape::LogNormal, mean: 50.0, spread: 0.5, tail: 0.01, alpha: 1.5, differ: 0.0 }
+        Answer {
+            shape: Shape::LogNormal,
+            mean: 50.0,
+            spread: 0.5,
+            tail: 0.01,
+            alpha: 1.5,
+            differ: 0.0,
+        }
     }
 }
 
@@ -357,7 +364,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Connections are refused.
     Down,
     /// Calls are taken and never run or answered.
@@ -402,8 +409,8 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    pub kind: TroubleKind,
+pub struct Fault {
+    pub kind: FaultKind,
     pub start: Ms,
     pub length: Ms,
     #[serde(default = "one")]
@@ -478,7 +485,10 @@
 
 impl Scenario {
     pub fn longest_patience(&self) -> Ms {
-        self.traffic.iter().map(|traffic| traffic.patience).fold(0.0, f64::max)
+        self.traffic
+            .iter()
+            .map(|traffic| traffic.patience)
+            .fold(0.0, f64::max)
     }
 
     /// Reads and checks. A message is one line with file, line, key and what is allowed.
@@ -486,7 +496,7 @@
         let mut scenario: Scenario = text.holds()?;
         check::check(&scenario).map_err(|(key, what)| text.wrong(&key, &what))?;
         if let Some(most) = scenario.troubles_played {
-            scenario.troubles.truncate(most);
+            scenario.faults.truncate(most);
         }
         Ok(scenario)
     }
--- a/pools/src/local/counts.rs
+++ b/forwarder/connection-quotas/src/local/counts.rs
@@ -5,7 +5,7 @@
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Use {
+pub enum ConnectionUse {
     Event(MemberId),
     /// A ping or trial: on the policy's reserve if there is one, else as any.
     Trial,
@@ -25,7 +25,14 @@
 
 impl Counts {
     pub fn new(facts: Facts, standing: u32) -> Counts {
-        Counts { facts, idle: 0, standing, events: Vec::new(), trials: 0, trial_wanted: Demand::default() }
+        Counts {
+            facts,
+            idle: 0,
+            standing,
+            events: Vec::new(),
+            trials: 0,
+            trial_wanted: Demand::default(),
+        }
     }
 
     pub fn busy(&self) -> u32 {
@@ -37,17 +44,24 @@
     }
 
     /// Counts one in if there is room, an idle one (`from_idle`) or a new one.
-    pub fn enter(&mut self, now: f64, allowed: &Allowed, what: Use, from_idle: bool, members: usize) -> bool {
+    pub fn enter(
+        &mut self,
+        now: f64,
+        allowed: &Allowed,
+        what: ConnectionUse,
+        from_idle: bool,
+        members: usize,
+    ) -> bool {
         if self.events.len() < members {
             self.events.resize_with(members, Default::default);
         }
         let fits = self.all() + u32::from(!from_idle) <= allowed.all;
         let own = match (what, &allowed.members) {
-            (Use::Trial, Some(members)) => {
+            (ConnectionUse::Trial, Some(members)) => {
                 let events: u32 = members.iter().sum();
                 self.trials < allowed.trials || allowed.trials == 0 && self.busy() < events
             }
-            (Use::Event(MemberId(member)), Some(members)) => {
+            (ConnectionUse::Event(MemberId(member)), Some(members)) => {
                 let member = usize::from(member);
                 self.busy_of(member) < members.get(member).copied().unwrap_or(0)
             }
@@ -58,11 +72,11 @@
             self.idle -= u32::from(from_idle);
         }
         match what {
-            Use::Trial => {
+            ConnectionUse::Trial => {
                 self.trials += u32::from(enters);
                 note(&mut self.trial_wanted, now, enters);
             }
-            Use::Event(MemberId(member)) => {
+            ConnectionUse::Event(MemberId(member)) => {
                 if let Some((busy, demand)) = self.events.get_mut(usize::from(member)) {
                     *busy += u32::from(enters);
                     note(demand, now, enters);
@@ -76,13 +90,13 @@
         self.events.get(member).map_or(0, |(busy, _)| *busy)
     }
 
-    fn ended(&mut self, now: f64, what: Use) {
+    fn ended(&mut self, now: f64, what: ConnectionUse) {
         match what {
-            Use::Trial => {
+            ConnectionUse::Trial => {
                 self.trials = self.trials.saturating_sub(1);
                 self.trial_wanted.closed(now);
             }
-            Use::Event(MemberId(member)) => {
+            ConnectionUse::Event(MemberId(member)) => {
                 if let Some((busy, demand)) = self.events.get_mut(usize::from(member)) {
                     *busy = busy.saturating_sub(1);
                     demand.closed(now);
@@ -91,12 +105,12 @@
         }
     }
 
-    pub fn rests(&mut self, now: f64, what: Use) {
+    pub fn rests(&mut self, now: f64, what: ConnectionUse) {
         self.ended(now, what);
         self.idle += 1;
     }
 
-    pub fn left(&mut self, now: f64, what: Option<Use>) {
+    pub fn left(&mut self, now: f64, what: Option<ConnectionUse>) {
         match what {
             Some(what) => self.ended(now, what),
             None => self.idle = self.idle.saturating_sub(1),
@@ -104,7 +118,11 @@
     }
 
     pub fn wants(&mut self, now: f64) -> (Vec<u32>, u32) {
-        let members = self.events.iter_mut().map(|(_, demand)| demand.wants(now)).collect();
+        let members = self
+            .events
+            .iter_mut()
+            .map(|(_, demand)| demand.wants(now))
+            .collect();
         (members, self.trial_wanted.wants(now))
     }
 
--- a/pools/src/local/mod.rs
+++ b/forwarder/connection-quotas/src/local/mod.rs
@@ -10,27 +10,27 @@
 use crate::language::{Facts, MemberId, Policy, PoolId, OTHERS};
 use crate::leases::*;
 
+pub use counts::ConnectionUse;
 use counts::Counts;
-pub use counts::Use;
 
 /// Whether a connection may be used.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Entry {
+pub enum Admission {
     /// No budget holds for the target.
-    Unbounded,
+    Unlimited,
     /// It is counted there now.
-    In(PoolId),
+    Admitted(PoolId),
     /// There is no room there.
-    Full(PoolId),
+    Exhausted(PoolId),
 }
 
-pub struct Local {
+pub struct LocalQuotas {
     /// As its own file says, until one is agreed on; to be agreed on if its edition is higher.
     told: Policy,
     text: String,
     instances: Vec<(Instance, String)>,
     grace: f64,
-    book: Book,
+    book: LeaseTable,
     holder: Holder,
     targets: BTreeMap<String, Known>,
     pools: BTreeMap<PoolId, Counts>,
@@ -44,9 +44,9 @@
 }
 
 /// What a forwarder is told of pools at its start.
-pub struct Start {
+pub struct LocalQuotasConfig {
     pub instance: Instance,
-    pub life: Life,
+    pub life: MemberIncarnation,
     pub text: String,
     pub policy: Policy,
     /// All instances of the fleet, with their zones.
@@ -55,14 +55,14 @@
     pub grace: f64,
 }
 
-impl Local {
-    pub fn new(start: Start) -> Local {
-        Local {
+impl LocalQuotas {
+    pub fn new(start: LocalQuotasConfig) -> LocalQuotas {
+        LocalQuotas {
             told: start.policy,
             text: start.text,
             instances: start.instances,
             grace: start.grace,
-            book: Book::default(),
+            book: LeaseTable::default(),
             holder: Holder::new(start.instance, start.life),
             targets: BTreeMap::new(),
             pools: BTreeMap::new(),
@@ -72,7 +72,7 @@
     }
 
     /// Another policy than at the start, checked. It is in force once the fleet has agreed on it.
-    pub fn told(&mut self, text: String, policy: Policy) {
+    pub fn set_policy(&mut self, text: String, policy: Policy) {
         (self.text, self.told) = (text, policy);
     }
 
@@ -85,17 +85,21 @@
         self.policy().lease.renew
     }
 
-    pub fn listed(&mut self, facts: Facts) {
-        let cold_until = self.targets.get(&facts.target).map_or(f64::MIN, |known| known.cold_until);
-        self.targets.insert(facts.target.clone(), Known { facts, cold_until });
+    pub fn upsert_target(&mut self, facts: Facts) {
+        let cold_until = self
+            .targets
+            .get(&facts.target)
+            .map_or(f64::MIN, |known| known.cold_until);
+        self.targets
+            .insert(facts.target.clone(), Known { facts, cold_until });
     }
 
-    pub fn gone(&mut self, target: &str) {
+    pub fn remove_target(&mut self, target: &str) {
         self.targets.remove(target);
     }
 
     /// It is warming up until then.
-    pub fn cold(&mut self, target: &str, until: f64) {
+    pub fn set_warming_up(&mut self, target: &str, until: f64) {
         if let Some(known) = self.targets.get_mut(target) {
             known.cold_until = until;
         }
@@ -107,15 +111,24 @@
     }
 
     fn standing(&self, pool: &PoolId, facts: &Facts) -> u32 {
-        let stands = self.book.standing(facts, self.holder.instance()).filter(|(counted, _)| counted == pool);
+        let stands = self
+            .book
+            .standing(facts, self.holder.instance())
+            .filter(|(counted, _)| counted == pool);
         stands.map_or(0, |(_, standing)| standing)
     }
 
     /// The book's policies have changed.
     fn stands_anew(&mut self) {
-        let parts = self.pools.iter().map(|(pool, counts)| self.standing(pool, &counts.facts));
+        let parts = self
+            .pools
+            .iter()
+            .map(|(pool, counts)| self.standing(pool, &counts.facts));
         let parts: Vec<u32> = parts.collect();
-        self.pools.values_mut().zip(parts).for_each(|(counts, part)| counts.standing = part);
+        self.pools
+            .values_mut()
+            .zip(parts)
+            .for_each(|(counts, part)| counts.standing = part);
     }
 
     /// What may be open at a pool up to `until`.
@@ -125,33 +138,47 @@
     }
 
     /// Counts a connection in, a new one or one that stood idle in `from`, for a use that is over by `until`.
-    pub fn enter(&mut self, now: f64, until: f64, target: &str, what: Use, from: Option<&PoolId>) -> Entry {
-        let Some((pool, facts)) = self.pool_of(target) else { return Entry::Unbounded };
+    pub fn acquire(
+        &mut self,
+        now: f64,
+        until: f64,
+        target: &str,
+        what: ConnectionUse,
+        from: Option<&PoolId>,
+    ) -> Admission {
+        let Some((pool, facts)) = self.pool_of(target) else {
+            return Admission::Unlimited;
+        };
         if !self.pools.contains_key(&pool) {
             let facts = facts.clone();
             let standing = self.standing(&pool, &facts);
-            self.pools.insert(pool.clone(), Counts::new(facts, standing));
+            self.pools
+                .insert(pool.clone(), Counts::new(facts, standing));
         }
         let allowed = self.allowed(now, until, &pool);
         let members = self.policy().members.len();
-        let Some(counts) = self.pools.get_mut(&pool) else { return Entry::Full(pool) };
+        let Some(counts) = self.pools.get_mut(&pool) else {
+            return Admission::Exhausted(pool);
+        };
         let idle = from == Some(&pool);
         if counts.enter(now, &allowed, what, idle, members) {
-            Entry::In(pool)
+            Admission::Admitted(pool)
         } else {
-            Entry::Full(pool)
+            Admission::Exhausted(pool)
         }
     }
 
     /// A connection's use is over, and it stays open. False if it has to be closed: it counts until it was.
-    pub fn rests(&mut self, now: f64, pool: &PoolId, what: Use) -> bool {
-        let Some(counts) = self.pools.get_mut(pool) else { return false };
+    pub fn release_idle(&mut self, now: f64, pool: &PoolId, what: ConnectionUse) -> bool {
+        let Some(counts) = self.pools.get_mut(pool) else {
+            return false;
+        };
         counts.rests(now, what);
         self.surplus_at(now, pool) == Some(0)
     }
 
     /// A connection was closed, from that use or as an idle one.
-    pub fn left(&mut self, now: f64, pool: &PoolId, what: Option<Use>) {
+    pub fn connection_closed(&mut self, now: f64, pool: &PoolId, what: Option<ConnectionUse>) {
         if let Some(counts) = self.pools.get_mut(pool) {
             counts.left(now, what);
         }
@@ -166,19 +193,26 @@
 
     /// Idle connections that are to be closed, by pool.
     pub fn surplus(&self, now: f64) -> Vec<(PoolId, u32)> {
-        let all = self.pools.keys().filter_map(|pool| Some((pool.clone(), self.surplus_at(now, pool)?)));
+        let all = self
+            .pools
+            .keys()
+            .filter_map(|pool| Some((pool.clone(), self.surplus_at(now, pool)?)));
         all.filter(|(_, surplus)| *surplus > 0).collect()
     }
 
     /// Whether one more might be counted in, so that someone who waits had better look again.
-    pub fn has_room(&self, now: f64, pool: &PoolId) -> bool {
-        let Some(counts) = self.pools.get(pool) else { return false };
+    pub fn has_capacity(&self, now: f64, pool: &PoolId) -> bool {
+        let Some(counts) = self.pools.get(pool) else {
+            return false;
+        };
         counts.busy() < self.allowed(now, now, pool).all
     }
 
     /// Whether all that may be open there is, some of it idle.
-    pub fn is_taken(&self, now: f64, pool: &PoolId) -> bool {
-        let Some(counts) = self.pools.get(pool).filter(|counts| counts.idle > 0) else { return false };
+    pub fn is_exhausted(&self, now: f64, pool: &PoolId) -> bool {
+        let Some(counts) = self.pools.get(pool).filter(|counts| counts.idle > 0) else {
+            return false;
+        };
         counts.all() >= self.allowed(now, now, pool).all
     }
 
@@ -188,12 +222,20 @@
             return None;
         }
         self.reports_at = now + self.renews();
-        let open: BTreeMap<PoolId, u32> =
-            self.pools.iter().map(|(pool, counts)| (pool.clone(), counts.all())).collect();
-        let stands: BTreeMap<&PoolId, u32> =
-            self.pools.iter().map(|(pool, counts)| (pool, counts.standing)).collect();
+        let open: BTreeMap<PoolId, u32> = self
+            .pools
+            .iter()
+            .map(|(pool, counts)| (pool.clone(), counts.all()))
+            .collect();
+        let stands: BTreeMap<&PoolId, u32> = self
+            .pools
+            .iter()
+            .map(|(pool, counts)| (pool, counts.standing))
+            .collect();
         let edition = self.book.policy().map_or(0, |(policy, _)| policy.edition);
-        self.holder.open(now, &open, edition, |pool| stands.get(pool).copied().unwrap_or(0));
+        self.holder.open(now, &open, edition, |pool| {
+            stands.get(pool).copied().unwrap_or(0)
+        });
         let wants = self.wants(now);
         self.pools.retain(|_, counts| !counts.is_over(now));
         Some(encode(&self.holder.report(now, wants)))
@@ -202,12 +244,18 @@
     fn wants(&mut self, now: f64) -> Vec<WantsOf> {
         let policy = self.policy().clone();
         let others = usize::from(policy.member(OTHERS).0);
-        let Local { targets, pools, .. } = self;
+        let LocalQuotas { targets, pools, .. } = self;
         let mut wants = Vec::new();
         for (pool, counts) in pools.iter_mut() {
             let mut facts = counts.facts.clone();
-            let known: Vec<&Known> = targets.values().filter(|known| counted_there(pool, known)).collect();
-            if let Some(first) = known.iter().find(|known| known.facts.target == facts.target) {
+            let known: Vec<&Known> = targets
+                .values()
+                .filter(|known| counted_there(pool, known))
+                .collect();
+            if let Some(first) = known
+                .iter()
+                .find(|known| known.facts.target == facts.target)
+            {
                 facts = first.facts.clone();
             }
             facts.cold = known.iter().any(|known| known.cold_until > now);
@@ -218,7 +266,11 @@
                 members.resize(members.len().max(others + 1), 0);
                 members[others] += std::mem::take(&mut trials);
             }
-            wants.push(WantsOf { facts, members, trials });
+            wants.push(WantsOf {
+                facts,
+                members,
+                trials,
+            });
         }
         wants
     }
--- a/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -7,8 +7,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use plankhill::interface::{Fate, Listing, Ms, TargetId, Terms};
-use plankhill_terms::scenario;
+use plankhill_decisions::interface::{AttemptOutcome, DecisionConfig, EndpointState, Ms, TargetId};
+use plankhill_forwarder_config::scenario;
 use slotmap::new_key_type;
 
 new_key_type! { pub struct EventKey; }
@@ -21,7 +21,7 @@
         destination: u32,
         kind: usize,
         zone: usize,
-        listing: Listing,
+        listing: EndpointState,
     },
     Left {
         target: u32,
@@ -46,13 +46,13 @@
     },
     SendEnded {
         event: EventKey,
-        fate: Fate,
+        fate: AttemptOutcome,
         took: Ms,
         wait: Ms,
     },
     PingEnded {
         target: u32,
-        fate: Fate,
+        fate: AttemptOutcome,
     },
     Heard {
         event: EventKey,
@@ -69,13 +69,34 @@
 
 #[derive(Clone, Debug)]
 pub enum Decision {
-    Send { event: EventKey, target: u32, time_out: Ms },
-    End { event: EventKey, dismissed: bool, come_back_after: Option<Ms>, by_notice: bool },
-    Ping { target: u32 },
-    CloseIdle { target: u32 },
-    TakeBack { target: u32 },
-    Cold { target: u32, since: Ms, usual: f64 },
-    Wake { pause: Ms },
+    Send {
+        event: EventKey,
+        target: u32,
+        time_out: Ms,
+    },
+    End {
+        event: EventKey,
+        dismissed: bool,
+        come_back_after: Option<Ms>,
+        by_notice: bool,
+    },
+    Ping {
+        target: u32,
+    },
+    CloseIdle {
+        target: u32,
+    },
+    TakeBack {
+        target: u32,
+    },
+    Cold {
+        target: u32,
+        since: Ms,
+        usual: f64,
+    },
+    Wake {
+        pause: Ms,
+    },
 }
 
 pub trait Decider {
@@ -89,13 +110,19 @@
 /// `time_out` is what a baseline gives each call.
 pub fn start(
     kind: scenario::Decider,
-    terms: Terms,
+    terms: DecisionConfig,
     time_out: Ms,
     names: &TargetNames,
     now: Ms,
 ) -> Box<dyn Decider> {
     use scenario::Decider::*;
-    let mut habits = plain::Habits { sends: u32::MAX, time_out, breaker: false, budget: false, aimd: false };
+    let mut habits = plain::Habits {
+        sends: u32::MAX,
+        time_out,
+        breaker: false,
+        budget: false,
+        aimd: false,
+    };
     match kind {
         Module => return Box::new(module::Module::start(terms, names.clone(), now)),
         OneTry => habits.sends = 1,
--- a/emulator/src/lib.rs
+++ b/forwarder/emulator/src/lib.rs
@@ -4,12 +4,12 @@
 //! is made and what it leaves out.
 
 pub mod bound;
-pub mod chance;
 pub mod clients;
 pub mod deciders;
 mod limits;
 pub mod outcome;
 pub mod queue;
+pub mod random;
 pub mod struck;
 mod tally;
 mod world;
@@ -17,7 +17,7 @@
 pub use world::World;
 
 use outcome::Outcome;
-use plankhill_terms::scenario::Scenario;
+use plankhill_forwarder_config::scenario::Scenario;
 
 /// Plays a day to its end.
 pub fn play(scenario: &Scenario) -> Outcome {
--- a/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -1,17 +1,17 @@
 //! The way back of a call, and all that ends the forwarder's side of it.
 
-use plankhill::interface::{Fate, Ms};
-use plankhill_rules::Fact;
-use plankhill_terms::scenario::TroubleKind;
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
+use plankhill_forwarder_config::scenario::FaultKind;
+use plankhill_invariants::Observation;
 
 use super::parts::Member;
 use super::{CallKey, Step, World};
-use crate::chance::draw;
 use crate::deciders::Input;
+use crate::random::uniform;
 
 impl World<'_> {
     /// The target answers now: the answer travels back, unless something takes it.
-    pub(super) fn respond(&mut self, key: CallKey, fate: Fate, wait: Ms) {
+    pub(super) fn respond(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
         (call.fate, call.wait) = (fate, wait);
         let (forwarder, target) = (call.forwarder, call.target);
@@ -27,16 +27,22 @@
 
     /// Whether answers of the target to the forwarder get lost now.
     pub(super) fn is_cut(&self, forwarder: u32, destination: u32, target: u32) -> bool {
-        let Some(active) = self.active.get(&destination) else { return false };
+        let Some(active) = self.active.get(&destination) else {
+            return false;
+        };
         active.iter().any(|&at| {
-            let trouble = &self.scenario.troubles[at as usize];
+            let trouble = &self.scenario.faults[at as usize];
             let struck = (trouble.strength * self.forwarders.len() as f64).ceil();
-            trouble.kind == TroubleKind::CutOneWay && (forwarder as f64) < struck && self.covers(at, target)
+            trouble.kind == FaultKind::CutOneWay
+                && (forwarder as f64) < struck
+                && self.covers(at, target)
         })
     }
 
     pub(super) fn answered(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key) else { return };
+        let Some(call) = self.calls.get(key) else {
+            return;
+        };
         if call.over_here {
             if !call.there {
                 self.calls.remove(key);
@@ -48,40 +54,69 @@
     }
 
     pub(super) fn time_out(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key).filter(|call| !call.over_here) else { return };
-        let fate = if call.written { Fate::TimedOut } else { Fate::NoConnection };
+        let Some(call) = self.calls.get(key).filter(|call| !call.over_here) else {
+            return;
+        };
+        let fate = if call.written {
+            AttemptOutcome::TimedOut
+        } else {
+            AttemptOutcome::ConnectFailed
+        };
         self.call_over(key, fate, 0.0);
     }
 
     /// The forwarder learns how the call ended, with its next round.
-    pub(super) fn call_over(&mut self, key: CallKey, fate: Fate, wait: Ms) {
+    pub(super) fn call_over(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
         call.over_here = true;
-        let (forwarder, target, lane, ping, began) =
-            (call.forwarder, call.target, call.lane, call.ping, call.began);
+        let (forwarder, target, lane, ping, began) = (
+            call.forwarder,
+            call.target,
+            call.lane,
+            call.ping,
+            call.began,
+        );
         let (in_outage, written, there) = (call.in_outage, call.written, call.there);
         let members = call.members.clone();
         let destination = self.targets[target as usize].destination;
-        let good = fate == Fate::Delivered;
-        if !good && fate != Fate::NotSent {
-            self.tally.call_failed(destination, self.now, fate == Fate::Full);
+        let good = fate == AttemptOutcome::Delivered;
+        if !good && fate != AttemptOutcome::NotSent {
+            self.tally
+                .call_failed(destination, self.now, fate == AttemptOutcome::Rejected);
         }
         if !good && in_outage {
-            self.tell(Fact::SawFailure { forwarder, lane });
+            self.tell(Observation::SawFailure { forwarder, lane });
         }
         if written && self.tracked(destination) {
-            let kept = matches!(fate, Fate::Delivered | Fate::Full | Fate::Error);
+            let kept = matches!(
+                fate,
+                AttemptOutcome::Delivered | AttemptOutcome::Rejected | AttemptOutcome::Error
+            );
             self.put_back(forwarder, target, kept);
         }
         let took = self.now - began;
         for Member { event, .. } in members {
-            self.incoming(forwarder, Input::SendEnded { event, fate, took, wait }, Some((lane, written)));
+            self.incoming(
+                forwarder,
+                Input::SendEnded {
+                    event,
+                    fate,
+                    took,
+                    wait,
+                },
+                Some((lane, written)),
+            );
         }
         if ping {
-            self.incoming(forwarder, Input::PingEnded { target, fate }, Some((lane, written)));
+            self.incoming(
+                forwarder,
+                Input::PingEnded { target, fate },
+                Some((lane, written)),
+            );
         }
         // A connection still coming up is given back when it is up.
-        let coming_up = !written && fate != Fate::NoConnection && self.tracked(destination);
+        let coming_up =
+            !written && fate != AttemptOutcome::ConnectFailed && self.tracked(destination);
         if !there && !coming_up {
             self.calls.remove(key);
         }
@@ -90,11 +125,20 @@
     /// All calls at targets of the destination that are down now are broken off; half of them have run.
     pub(super) fn break_calls(&mut self, destination: u32) {
         let targets: Vec<u32> = self.destinations[destination as usize].targets.clone();
-        let down: Vec<u32> = targets.into_iter().filter(|target| self.plight(*target).down).collect();
-        if down.iter().all(|target| self.targets[*target as usize].busy == 0) {
+        let down: Vec<u32> = targets
+            .into_iter()
+            .filter(|target| self.plight(*target).down)
+            .collect();
+        if down
+            .iter()
+            .all(|target| self.targets[*target as usize].busy == 0)
+        {
             return;
         }
-        let there = self.calls.iter().filter(|(_, call)| call.there && down.contains(&call.target));
+        let there = self
+            .calls
+            .iter()
+            .filter(|(_, call)| call.there && down.contains(&call.target));
         let there: Vec<CallKey> = there.map(|(key, _)| key).collect();
         for target in &down {
             let it = &mut self.targets[*target as usize];
@@ -102,7 +146,7 @@
             it.waiting.clear();
         }
         for key in there {
-            let ran = self.calls[key].served && draw(&mut self.chance_faults) < 0.5;
+            let ran = self.calls[key].served && uniform(&mut self.chance_faults) < 0.5;
             if ran {
                 self.apply(key);
             }
@@ -113,7 +157,7 @@
             if call.over_here {
                 self.calls.remove(key);
             } else {
-                self.respond(key, Fate::Reset, 0.0);
+                self.respond(key, AttemptOutcome::Reset, 0.0);
             }
         }
     }
@@ -123,11 +167,11 @@
         let life = self.forwarders[forwarder as usize].life;
         let unwritten = self.calls.iter().filter(|(_, call)| {
             let ours = call.forwarder == forwarder && call.life == life && call.target == target;
-            ours && !call.written && !call.over_here && call.fate != Fate::NoConnection
+            ours && !call.written && !call.over_here && call.fate != AttemptOutcome::ConnectFailed
         });
         let unwritten: Vec<CallKey> = unwritten.map(|(key, _)| key).collect();
         for key in unwritten {
-            self.call_over(key, Fate::NotSent, 0.0);
+            self.call_over(key, AttemptOutcome::NotSent, 0.0);
         }
     }
 }
--- a/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -1,14 +1,14 @@
 //! A call at its target: the limit, the queue and the servers. The forwarder's side of it may be over (timed
 //! out) while the target's is not; the call is forgotten when both are.
 
-use plankhill::interface::{Fate, Ms};
-use plankhill_rules::Fact;
-use plankhill_terms::scenario::Repeats;
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
+use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_invariants::Observation;
 
 use super::parts::{Call, Event, Member};
 use super::{CallKey, Step, World};
-use crate::chance::draw;
 use crate::deciders::EventKey;
+use crate::random::uniform;
 
 /// What each further event of a call weighs, as the deployments' pages have it: only a little.
 const RIDER: f64 = 0.25;
@@ -16,16 +16,29 @@
 const PING_WORK: f64 = 0.2;
 
 impl World<'_> {
-    pub(super) fn begin_call(&mut self, forwarder: u32, target: u32, events: Vec<EventKey>, time_out: Ms) {
+    pub(super) fn begin_call(
+        &mut self,
+        forwarder: u32,
+        target: u32,
+        events: Vec<EventKey>,
+        time_out: Ms,
+    ) {
         let ping = events.is_empty();
         let members: Vec<Member> = events
             .iter()
             .map(|&event| {
                 let Event { number, ticket, .. } = &self.events[event];
-                Member { event, number: *number, origin: ticket.origin, traffic: ticket.traffic }
+                Member {
+                    event,
+                    number: *number,
+                    origin: ticket.origin,
+                    traffic: ticket.traffic,
+                }
             })
             .collect();
-        let works = members.iter().map(|member| self.scenario.traffic[member.traffic as usize].work);
+        let works = members
+            .iter()
+            .map(|member| self.scenario.traffic[member.traffic as usize].work);
         let work = works.fold(if ping { PING_WORK } else { 0.0 }, f64::max);
         let sends = members.len() as u64;
         let it = &self.targets[target as usize];
@@ -45,7 +58,7 @@
             there: false,
             served: false,
             in_outage: false,
-            fate: Fate::Delivered,
+            fate: AttemptOutcome::Delivered,
             wait: 0.0,
             mute: false,
             work,
@@ -67,8 +80,11 @@
     }
 
     pub(super) fn reaches(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key) else { return };
-        let (target, lane, forwarder, reused) = (call.target, call.lane, call.forwarder, call.reused);
+        let Some(call) = self.calls.get(key) else {
+            return;
+        };
+        let (target, lane, forwarder, reused) =
+            (call.target, call.lane, call.forwarder, call.reused);
         let weight = 1.0 + RIDER * call.members.len().saturating_sub(1) as f64;
         let destination = self.targets[target as usize].destination;
         let outage = self.lanes[lane as usize].outage;
@@ -78,31 +94,41 @@
         let plight = self.plight(target);
         if plight.down {
             // It went while the call was on its way.
-            return self.respond(key, Fate::Reset, 0.0);
+            return self.respond(key, AttemptOutcome::Reset, 0.0);
         }
         if plight.silent || plight.half_open && reused {
             return;
         }
-        let group = &self.scenario.destinations[self.destinations[destination as usize].group as usize];
-        let admitted = self.lanes[lane as usize].gauge.admit(&group.limit, plight.left_of_limit, self.now);
+        let group =
+            &self.scenario.destinations[self.destinations[destination as usize].group as usize];
+        let admitted =
+            self.lanes[lane as usize]
+                .gauge
+                .admit(&group.limit, plight.left_of_limit, self.now);
         if let Err(room_at) = admitted {
             let least = group.limit.tells_wait;
-            let wait = if least > 0.0 { least.max(room_at.unwrap_or(0.0) - self.now) } else { 0.0 };
-            return self.respond(key, Fate::Full, wait);
+            let wait = if least > 0.0 {
+                least.max(room_at.unwrap_or(0.0) - self.now)
+            } else {
+                0.0
+            };
+            return self.respond(key, AttemptOutcome::Rejected, wait);
         }
-        if plight.erring > 0.0 && draw(&mut self.chance_faults) < plight.erring {
-            if draw(&mut self.chance_faults) < 0.5 {
-                return self.respond(key, Fate::Error, 0.0);
+        if plight.erring > 0.0 && uniform(&mut self.chance_faults) < plight.erring {
+            if uniform(&mut self.chance_faults) < 0.5 {
+                return self.respond(key, AttemptOutcome::Error, 0.0);
             }
-            self.calls[key].fate = Fate::Error;
-        } else if plight.resetting > 0.0 && draw(&mut self.chance_faults) < plight.resetting {
-            if draw(&mut self.chance_faults) < 0.5 {
-                return self.respond(key, Fate::Reset, 0.0);
+            self.calls[key].fate = AttemptOutcome::Error;
+        } else if plight.resetting > 0.0 && uniform(&mut self.chance_faults) < plight.resetting {
+            if uniform(&mut self.chance_faults) < 0.5 {
+                return self.respond(key, AttemptOutcome::Reset, 0.0);
             }
-            self.calls[key].fate = Fate::Reset;
+            self.calls[key].fate = AttemptOutcome::Reset;
         }
         self.calls[key].mute = plight.hung;
-        let servers = (group.servers as f64 * plight.left_of_limit).ceil().max(1.0) as u32;
+        let servers = (group.servers as f64 * plight.left_of_limit)
+            .ceil()
+            .max(1.0) as u32;
         let room = group.queue;
         let it = &mut self.targets[target as usize];
         if it.busy < servers {
@@ -114,7 +140,7 @@
             self.lanes[lane as usize].gauge.inside += 1;
             self.calls[key].there = true;
         } else {
-            self.respond(key, Fate::Full, 0.0);
+            self.respond(key, AttemptOutcome::Rejected, 0.0);
         }
     }
 
@@ -127,12 +153,14 @@
         let it = &self.targets[target as usize];
         let group = self.destinations[it.destination as usize].group as usize;
         let factor = it.factor * work * self.plight(target).slow / self.warmth(lane);
-        let takes = self.answers[group].draw(&mut self.chance_answers) * factor;
+        let takes = self.answers[group].uniform(&mut self.chance_answers) * factor;
         self.queue.put(self.now + takes, Step::Served(key));
     }
 
     pub(super) fn served(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get_mut(key) else { return };
+        let Some(call) = self.calls.get_mut(key) else {
+            return;
+        };
         if !call.there {
             return; // it was broken off there
         }
@@ -140,7 +168,8 @@
         let (target, lane, fate, over_here, mute) =
             (call.target, call.lane, call.fate, call.over_here, call.mute);
         self.apply(key);
-        self.tally.totals.ran_unheard += (over_here || mute || fate != Fate::Delivered) as u64;
+        self.tally.totals.ran_unheard +=
+            (over_here || mute || fate != AttemptOutcome::Delivered) as u64;
         self.leave_server(target, lane);
         if over_here {
             self.calls.remove(key);
@@ -152,21 +181,32 @@
     /// The events of the call take effect.
     pub(super) fn apply(&mut self, key: CallKey) {
         let members = std::mem::take(&mut self.calls[key].members);
-        for &Member { number, origin, traffic, .. } in &members {
+        for &Member {
+            number,
+            origin,
+            traffic,
+            ..
+        } in &members
+        {
             let effect = self.effect(traffic);
-            self.tell(Fact::Applied { event: number, origin, effect });
+            self.tell(Observation::Applied {
+                event: number,
+                origin,
+                effect,
+            });
         }
         self.calls[key].members = members;
     }
 
-    pub(super) fn effect(&self, traffic: u8) -> plankhill_rules::Effect {
+    pub(super) fn effect(&self, traffic: u8) -> plankhill_invariants::Idempotency {
         let of = &self.scenario.traffic[traffic as usize];
         match of.effect {
-            Repeats::Retriable => plankhill_rules::Effect::Retriable,
-            Repeats::Binding => plankhill_rules::Effect::Binding,
-            Repeats::Fingerprinted => {
-                plankhill_rules::Effect::Fingerprinted { window: of.window, one_group: of.one_zone }
-            }
+            Repeats::Retriable => plankhill_invariants::Idempotency::Idempotent,
+            Repeats::Binding => plankhill_invariants::Idempotency::NonIdempotent,
+            Repeats::Fingerprinted => plankhill_invariants::Idempotency::Deduplicated {
+                window: of.window,
+                one_group: of.one_zone,
+            },
         }
     }
 
--- a/emulator/src/world/clients_side.rs
+++ b/forwarder/emulator/src/world/clients_side.rs
@@ -1,14 +1,14 @@
 //! Clients: handing in, hearing of ends, and coming again.
 
-use plankhill::interface::{Listing, Ms};
-use plankhill_rules::{End, Fact};
+use plankhill_decisions::interface::{EndpointState, Ms};
+use plankhill_invariants::{Completion, Observation};
 
 use super::parts::{Event, Incoming};
 use super::{Step, World};
-use crate::chance::{between, draw, exponential};
 use crate::clients::Ticket;
 use crate::deciders::{EventKey, Input};
-use crate::outcome::Cause;
+use crate::outcome::LossCause;
+use crate::random::{between, exponential, uniform};
 
 /// What is left of an event's patience at the door, at the least.
 const LEAST_PATIENCE: Ms = 100.0;
@@ -23,7 +23,7 @@
         let count = self.forwarders.len();
         let first = match ticket.key {
             Some(key) => (key.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % count,
-            None => (draw(&mut self.chance_returns) * count as f64) as usize,
+            None => (uniform(&mut self.chance_returns) * count as f64) as usize,
         };
         let lag = self.scenario.forwarders.front_lag;
         let believed = |at: &usize| {
@@ -47,10 +47,12 @@
         self.introduce(at, ticket.destination, inputs);
         let heard = self.forwarders[at as usize].heard;
         let targets = &self.destinations[ticket.destination as usize].targets;
-        let named = targets.iter().any(|target| self.targets[*target as usize].as_of(heard) != Listing::Gone);
+        let named = targets
+            .iter()
+            .any(|target| self.targets[*target as usize].as_of(heard) != EndpointState::Removed);
         let full = self.forwarders[at as usize].held >= self.scenario.forwarders.room;
         if full || !named || ticket.patience_ends - self.now < LEAST_PATIENCE {
-            ticket.cause = Cause::NoRoom;
+            ticket.cause = LossCause::NoRoom;
             self.tally.totals.dismissed += 1;
             return self.dismissed(ticket, self.scenario.rules.longest_advice);
         }
@@ -60,9 +62,16 @@
         let of = &self.scenario.traffic[ticket.traffic as usize];
         let key = ticket.key.filter(|_| of.ordered);
         let (origin, patience_ends) = (ticket.origin, ticket.patience_ends);
-        self.tell(Fact::Taken { forwarder: at, event: number, origin, effect, key, patience_ends });
+        self.tell(Observation::Taken {
+            forwarder: at,
+            event: number,
+            origin,
+            effect,
+            key,
+            patience_ends,
+        });
         let (destination, traffic) = (ticket.destination, ticket.traffic as usize);
-        ticket.cause = Cause::Waited;
+        ticket.cause = LossCause::Waited;
         let event = self.events.insert(Event {
             ticket,
             number,
@@ -77,13 +86,20 @@
         self.forwarders[at as usize].held += 1;
         self.tally.totals.taken += 1;
         self.tally.totals.most_held = self.tally.totals.most_held.max(self.events.len() as u64);
-        inputs.push(Input::Taken { event, destination, traffic, patience_ends, key, again: false });
+        inputs.push(Input::Taken {
+            event,
+            destination,
+            traffic,
+            patience_ends,
+            key,
+            again: false,
+        });
     }
 
     /// Nobody took the event: the client tries again while that can matter.
     pub(super) fn not_handed_in(&mut self, mut ticket: Ticket) {
         let again = exponential(&mut self.chance_returns, self.scenario.clients.again_after);
-        ticket.cause = Cause::NoForwarder;
+        ticket.cause = LossCause::NoForwarder;
         self.comes_again(ticket, again);
     }
 
@@ -101,7 +117,11 @@
     pub(super) fn dismissed(&mut self, mut ticket: Ticket, come_back_after: Option<Ms>) {
         let of = &self.scenario.clients;
         let storms = self.storm > 0.0;
-        let most = if storms { (of.returns as f64 * self.storm).ceil() as u32 } else { of.returns };
+        let most = if storms {
+            (of.returns as f64 * self.storm).ceil() as u32
+        } else {
+            of.returns
+        };
         if ticket.returns >= most {
             let cause = ticket.cause;
             return self.tally.unpaid(self.scenario, &ticket, cause);
@@ -115,18 +135,29 @@
         self.comes_again(ticket, pause);
     }
 
-    pub(super) fn client_hears(&mut self, ticket: Ticket, dismissed: bool, come_back_after: Option<Ms>) {
+    pub(super) fn client_hears(
+        &mut self,
+        ticket: Ticket,
+        dismissed: bool,
+        come_back_after: Option<Ms>,
+    ) {
         if dismissed {
             self.dismissed(ticket, come_back_after);
         } else {
-            self.tally.unpaid(self.scenario, &ticket, Cause::MayHaveRun);
+            self.tally
+                .unpaid(self.scenario, &ticket, LossCause::MayHaveRun);
         }
     }
 
     pub(super) fn delivered(&mut self, at: u32, key: EventKey) {
         let event = self.events.remove(key).expect("held");
         self.forwarders[at as usize].held -= 1;
-        self.tell(Fact::Ended { forwarder: at, event: event.number, end: End::Completed, by_notice: false });
+        self.tell(Observation::Ended {
+            forwarder: at,
+            event: event.number,
+            end: Completion::Completed,
+            by_notice: false,
+        });
         self.tally.delivered(self.scenario, &event.ticket, self.now);
     }
 
@@ -138,7 +169,9 @@
         come_back_after: Option<Ms>,
         by_notice: bool,
     ) {
-        let Some(event) = self.events.get_mut(key) else { return };
+        let Some(event) = self.events.get_mut(key) else {
+            return;
+        };
         event.ended = true;
         let number = event.number;
         if dismissed {
@@ -146,12 +179,24 @@
         } else {
             self.tally.totals.written_off += 1;
         }
-        let end = if dismissed { End::Dismissed } else { End::WrittenOff };
-        self.tell(Fact::Ended { forwarder: at, event: number, end, by_notice });
+        let end = if dismissed {
+            Completion::Rejected
+        } else {
+            Completion::Abandoned
+        };
+        self.tell(Observation::Ended {
+            forwarder: at,
+            event: number,
+            end,
+            by_notice,
+        });
         if by_notice {
             self.events[key].unheard = Some((dismissed, come_back_after));
             let life = self.forwarders[at as usize].life;
-            return self.queue.put(self.now + self.scenario.forwarders.notice, Step::Heard(at, life, key));
+            return self.queue.put(
+                self.now + self.scenario.forwarders.notice,
+                Step::Heard(at, life, key),
+            );
         }
         let event = self.events.remove(key).expect("seen");
         self.forwarders[at as usize].held -= 1;
@@ -163,8 +208,12 @@
         if self.forwarders[at as usize].life != life {
             return; // the next life tells it again
         }
-        let Some(event) = self.events.get_mut(key) else { return };
-        let Some((dismissed, come_back_after)) = event.unheard.take() else { return };
+        let Some(event) = self.events.get_mut(key) else {
+            return;
+        };
+        let Some((dismissed, come_back_after)) = event.unheard.take() else {
+            return;
+        };
         let ticket = event.ticket.clone();
         self.client_hears(ticket, dismissed, come_back_after);
         self.incoming(at, Input::Heard { event: key }, None);
--- a/emulator/src/world/ground.rs
+++ b/forwarder/emulator/src/world/ground.rs
@@ -2,12 +2,12 @@
 
 use std::collections::VecDeque;
 
-use plankhill::interface::Listing;
-use plankhill_terms::scenario::{Group, Ms, Scenario, TroubleKind};
+use plankhill_decisions::interface::EndpointState;
+use plankhill_forwarder_config::scenario::{FaultKind, Group, Ms, Scenario};
 
 use super::{CallKey, World};
-use crate::chance::{between, stream, Concern};
 use crate::limits::Gauge;
+use crate::random::{between, stream, RandomStream};
 use crate::struck::Struck;
 
 pub(super) struct Destination {
@@ -27,9 +27,9 @@
     pub waiting: VecDeque<CallKey>,
     pub connections: u32,
     /// As the list says now.
-    pub listing: Listing,
+    pub listing: EndpointState,
     /// By change of the list, from the first; running before.
-    pub told: Vec<(u32, Listing)>,
+    pub told: Vec<(u32, EndpointState)>,
     /// Not there: its place was given up.
     pub left: bool,
 }
@@ -86,7 +86,7 @@
     struck: &Struck,
     seed: u64,
 ) -> (Vec<Destination>, Vec<Target>, Vec<Lane>) {
-    let mut chance = stream(seed, Concern::Targets);
+    let mut chance = stream(seed, RandomStream::Targets);
     let (mut destinations, mut targets, mut lanes) = (Vec::new(), Vec::new(), Vec::new());
     for (at, &group) in struck.groups.iter().enumerate() {
         let of = &scenario.destinations[group as usize];
@@ -95,16 +95,38 @@
         let destination = at as u32;
         for place in 0..of.targets {
             if place == 0 || of.routes_apart {
-                lanes.push(Lane { destination, ..Lane::default() });
+                lanes.push(Lane {
+                    destination,
+                    ..Lane::default()
+                });
             }
             let differ = of.answer.differ;
-            let factor = if differ > 0.0 { between(&mut chance, 1.0 - differ, 1.0 + differ) } else { 1.0 };
+            let factor = if differ > 0.0 {
+                between(&mut chance, 1.0 - differ, 1.0 + differ)
+            } else {
+                1.0
+            };
             let zone = (at + place) % scenario.network.zones.len();
-            let lane = if of.routes_apart { lanes.len() - 1 } else { first_lane };
-            targets.push(Target::new(destination, lane as u32, zone as u16, place as u16, factor));
+            let lane = if of.routes_apart {
+                lanes.len() - 1
+            } else {
+                first_lane
+            };
+            targets.push(Target::new(
+                destination,
+                lane as u32,
+                zone as u16,
+                place as u16,
+                factor,
+            ));
         }
-        let list = (first_target..targets.len()).map(|target| target as u32).collect();
-        destinations.push(Destination { group, targets: list });
+        let list = (first_target..targets.len())
+            .map(|target| target as u32)
+            .collect();
+        destinations.push(Destination {
+            group,
+            targets: list,
+        });
     }
     (destinations, targets, lanes)
 }
@@ -120,16 +142,20 @@
             busy: 0,
             waiting: VecDeque::new(),
             connections: 0,
-            listing: Listing::Running,
+            listing: EndpointState::Running,
             told: Vec::new(),
             left: false,
         }
     }
 
     /// How the list speaks of the target for one that has heard so many changes.
-    pub fn as_of(&self, changes: usize) -> Listing {
-        let heard = self.told.iter().rev().find(|(change, _)| (*change as usize) < changes);
-        heard.map_or(Listing::Running, |(_, listing)| *listing)
+    pub fn as_of(&self, changes: usize) -> EndpointState {
+        let heard = self
+            .told
+            .iter()
+            .rev()
+            .find(|(change, _)| (*change as usize) < changes);
+        heard.map_or(EndpointState::Running, |(_, listing)| *listing)
     }
 }
 
@@ -142,22 +168,24 @@
         let it = &self.targets[target as usize];
         let mut plight = WELL;
         plight.down = it.left || self.lanes[it.lane as usize].tipped_until > self.now;
-        let Some(active) = self.active.get(&it.destination) else { return plight };
+        let Some(active) = self.active.get(&it.destination) else {
+            return plight;
+        };
         for &at in active {
             if !self.covers(at, target) {
                 continue;
             }
-            let trouble = &self.scenario.troubles[at as usize];
+            let trouble = &self.scenario.faults[at as usize];
             match trouble.kind {
-                TroubleKind::Down => plight.down = true,
-                TroubleKind::Flapping => plight.down |= self.flapped_down[at as usize],
-                TroubleKind::Silent => plight.silent = true,
-                TroubleKind::Hung => plight.hung = true,
-                TroubleKind::HalfOpen => plight.half_open = true,
-                TroubleKind::Slow => plight.slow *= trouble.strength,
-                TroubleKind::Erring => plight.erring = plight.erring.max(trouble.strength),
-                TroubleKind::Resetting => plight.resetting = plight.resetting.max(trouble.strength),
-                TroubleKind::LimitLowered => plight.left_of_limit *= trouble.strength,
+                FaultKind::Down => plight.down = true,
+                FaultKind::Flapping => plight.down |= self.flapped_down[at as usize],
+                FaultKind::Silent => plight.silent = true,
+                FaultKind::Hung => plight.hung = true,
+                FaultKind::HalfOpen => plight.half_open = true,
+                FaultKind::Slow => plight.slow *= trouble.strength,
+                FaultKind::Erring => plight.erring = plight.erring.max(trouble.strength),
+                FaultKind::Resetting => plight.resetting = plight.resetting.max(trouble.strength),
+                FaultKind::LimitLowered => plight.left_of_limit *= trouble.strength,
                 _ => (),
             }
         }
@@ -166,12 +194,16 @@
 
     /// Whether the trouble, which strikes the target's destination, strikes the target.
     pub(super) fn covers(&self, trouble: u16, target: u32) -> bool {
-        let whom = &self.scenario.troubles[trouble as usize].whom;
+        let whom = &self.scenario.faults[trouble as usize].whom;
         let it = &self.targets[target as usize];
-        let zone =
-            whom.zone.as_ref().is_none_or(|zone| self.scenario.network.zones[it.zone as usize] == *zone);
+        let zone = whom
+            .zone
+            .as_ref()
+            .is_none_or(|zone| self.scenario.network.zones[it.zone as usize] == *zone);
         let all = self.group_of(it.destination).targets as f64;
-        zone && whom.targets.is_none_or(|share| (it.place as f64) < (share * all).ceil())
+        zone && whom
+            .targets
+            .is_none_or(|share| (it.place as f64) < (share * all).ceil())
     }
 
     /// Calls a second that a target serves when it is warm and well.
@@ -191,20 +223,30 @@
         for &target in &self.destinations[of as usize].targets {
             let it = &self.targets[target as usize];
             let plight = self.plight(target);
-            if it.lane == lane && it.listing != Listing::Gone && !plight.is_outage() {
+            if it.lane == lane && it.listing != EndpointState::Removed && !plight.is_outage() {
                 sum += self.full_pace(target) * plight.left_of_limit / plight.slow;
                 left = left.min(plight.left_of_limit);
             }
         }
-        let most = if limited { Gauge::rate(&group.limit) * left } else { f64::INFINITY };
+        let most = if limited {
+            Gauge::rate(&group.limit) * left
+        } else {
+            f64::INFINITY
+        };
         sum.min(most) * self.warmth(lane)
     }
 
     pub(super) fn capacity_of(&self, destination: u32) -> f64 {
         let targets = &self.destinations[destination as usize].targets;
-        let mut lanes: Vec<u32> = targets.iter().map(|target| self.targets[*target as usize].lane).collect();
+        let mut lanes: Vec<u32> = targets
+            .iter()
+            .map(|target| self.targets[*target as usize].lane)
+            .collect();
         lanes.sort_unstable();
         lanes.dedup();
-        lanes.into_iter().map(|lane| self.lane_capacity(lane, true)).sum()
+        lanes
+            .into_iter()
+            .map(|lane| self.lane_capacity(lane, true))
+            .sum()
     }
 }
--- a/emulator/src/world/lists.rs
+++ b/forwarder/emulator/src/world/lists.rs
@@ -1,11 +1,11 @@
 //! The list as each forwarder has heard it.
 
-use plankhill::interface::Listing;
-use plankhill_rules::Fact;
+use plankhill_decisions::interface::EndpointState;
+use plankhill_invariants::Observation;
 
 use super::{Step, World};
-use crate::chance::{between, draw};
 use crate::deciders::Input;
+use crate::random::{between, uniform};
 
 impl World<'_> {
     /// A forwarder's decisions hear of a destination when the first event goes there: until then they could
@@ -17,25 +17,41 @@
         let heard = self.forwarders[at as usize].heard;
         for target in self.destinations[destination as usize].targets.clone() {
             let listing = self.targets[target as usize].as_of(heard);
-            if listing != Listing::Gone {
+            if listing != EndpointState::Removed {
                 self.list_one(at, target, listing, inputs);
             }
         }
     }
 
-    pub(super) fn list_one(&mut self, at: u32, target: u32, listing: Listing, inputs: &mut Vec<Input>) {
-        self.tell(Fact::Listed { forwarder: at, target, leaves: listing != Listing::Running });
+    pub(super) fn list_one(
+        &mut self,
+        at: u32,
+        target: u32,
+        listing: EndpointState,
+        inputs: &mut Vec<Input>,
+    ) {
+        self.tell(Observation::Listed {
+            forwarder: at,
+            target,
+            leaves: listing != EndpointState::Running,
+        });
         let it = &self.targets[target as usize];
-        if listing == Listing::Gone {
+        if listing == EndpointState::Removed {
             return inputs.push(Input::Left { target });
         }
         let kind = self.destinations[it.destination as usize].group as usize;
         let (destination, zone) = (it.destination, it.zone as usize);
-        inputs.push(Input::Listed { target, destination, kind, zone, listing });
+        inputs.push(Input::Listed {
+            target,
+            destination,
+            kind,
+            zone,
+            listing,
+        });
     }
 
     /// The list changed at a target: every forwarder hears of it in its own time.
-    pub(super) fn list_changed(&mut self, target: u32, listing: Listing) {
+    pub(super) fn list_changed(&mut self, target: u32, listing: EndpointState) {
         let change = self.changes.len() as u32;
         self.changes.push((self.now, target));
         let it = &mut self.targets[target as usize];
@@ -69,18 +85,32 @@
         news.extend(it.heard as u32..self.changes.len() as u32);
         it.heard = self.changes.len();
         for change in news {
-            if partial > 0.0 && draw(&mut self.chance_lists) < partial {
+            if partial > 0.0 && uniform(&mut self.chance_lists) < partial {
                 self.forwarders[at as usize].missed.push(change);
                 continue;
             }
             let target = self.changes[change as usize].1;
             let (kind, destination, zone) = {
                 let it = &self.targets[target as usize];
-                (self.destinations[it.destination as usize].group as usize, it.destination, it.zone as usize)
+                (
+                    self.destinations[it.destination as usize].group as usize,
+                    it.destination,
+                    it.zone as usize,
+                )
             };
             let listing = self.targets[target as usize].as_of(change as usize + 1);
             if self.forwarders[at as usize].told.contains(&destination) {
-                self.incoming(at, Input::Listed { target, destination, kind, zone, listing }, None);
+                self.incoming(
+                    at,
+                    Input::Listed {
+                        target,
+                        destination,
+                        kind,
+                        zone,
+                        listing,
+                    },
+                    None,
+                );
             }
         }
         if !self.forwarders[at as usize].missed.is_empty() {
--- a/emulator/src/world/lives.rs
+++ b/forwarder/emulator/src/world/lives.rs
@@ -1,16 +1,16 @@
 //! Lives of a forwarder: its start, stalls and ends, the record that outlasts a process, and what happens to
 //! what was held when one ends.
 
-use plankhill::interface::{Fate, Ms};
-use plankhill_rules::{Cut, Fact};
-use plankhill_terms::scenario::Repeats;
+use plankhill_decisions::interface::{AttemptOutcome, Ms};
+use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_invariants::{Cut, Observation};
 use rustc_hash::FxHashSet;
 
 use super::parts::Incoming;
 use super::{CallKey, Step, World};
-use crate::chance::exponential;
 use crate::deciders::{EventKey, Input};
-use crate::outcome::Cause;
+use crate::outcome::LossCause;
+use crate::random::exponential;
 
 /// A process that was asked to end stays for so long at the least: clients still come.
 pub(super) const CLOSING_LEAST: Ms = 1_000.0;
@@ -23,14 +23,17 @@
         }
         it.stalled_until = it.stalled_until.max(until);
         let life = it.life;
-        self.tell(Fact::Halted { forwarder: at });
+        self.tell(Observation::Halted { forwarder: at });
         self.queue.put(until, Step::Recovers(at, life));
     }
 
     pub(super) fn recovers(&mut self, at: u32, life: u32) {
         let it = &self.forwarders[at as usize];
         if it.life == life && it.stalled_until <= self.now {
-            self.tell(Fact::Resumed { forwarder: at, anew: false });
+            self.tell(Observation::Resumed {
+                forwarder: at,
+                anew: false,
+            });
             self.call_round(at);
         }
     }
@@ -45,7 +48,8 @@
         let life = it.life;
         self.incoming(at, Input::Closing { ends }, None);
         self.queue.put(ends, Step::LifeEnds(at, life));
-        self.queue.put(self.now + CLOSING_LEAST, Step::Ring(at, life));
+        self.queue
+            .put(self.now + CLOSING_LEAST, Step::Ring(at, life));
     }
 
     pub(super) fn life_ends(&mut self, at: u32, life: u32) {
@@ -69,8 +73,10 @@
         it.told.clear();
         let inbox = std::mem::take(&mut it.inbox);
         let targets: Vec<u32> = it.idle.keys().copied().collect();
-        self.tell(Fact::Halted { forwarder: at });
-        targets.into_iter().for_each(|target| self.close_idle(at, target));
+        self.tell(Observation::Halted { forwarder: at });
+        targets
+            .into_iter()
+            .for_each(|target| self.close_idle(at, target));
         let mut unwritten = FxHashSet::default();
         // What lay unread is as if never said: a client that was not answered hands in again.
         for incoming in inbox {
@@ -83,7 +89,7 @@
                     // The client has heard, only the process has not.
                     if let Some(held) = self.events.remove(event) {
                         self.forwarders[at as usize].held -= 1;
-                        self.tell(Fact::Heard { event: held.number });
+                        self.tell(Observation::Heard { event: held.number });
                     }
                 }
                 Incoming::Input(Input::SendEnded { event, .. }, Some((_, false))) => {
@@ -102,14 +108,17 @@
     /// The forwarder's side of all its calls is over: what was written may run. Its record can't tell what
     /// was not, but the rules can.
     pub(super) fn drop_calls(&mut self, at: u32, mut unwritten: FxHashSet<EventKey>) {
-        let ours = self.calls.iter().filter(|(_, call)| call.forwarder == at && !call.over_here);
+        let ours = self
+            .calls
+            .iter()
+            .filter(|(_, call)| call.forwarder == at && !call.over_here);
         let ours: Vec<CallKey> = ours.map(|(key, _)| key).collect();
         for key in ours {
             let call = &mut self.calls[key];
             call.over_here = true;
             let (target, written) = (call.target, call.written);
             // A connection that is coming up is given back when it is up.
-            let coming_up = !written && call.fate != Fate::NoConnection;
+            let coming_up = !written && call.fate != AttemptOutcome::ConnectFailed;
             if !written {
                 unwritten.extend(call.members.iter().map(|member| member.event));
             }
@@ -133,7 +142,11 @@
             let event = &mut self.events[key];
             event.may_have_run.get_or_insert((event.sent_at, zone));
             if !unwritten.contains(&key) {
-                self.tell(Fact::SendOver { forwarder: at, event: number, cut: Cut::Short });
+                self.tell(Observation::SendOver {
+                    forwarder: at,
+                    event: number,
+                    cut: Cut::Short,
+                });
             }
         }
     }
@@ -144,23 +157,27 @@
     }
 
     pub(super) fn machine_lost(&mut self, at: u32) {
-        let held = self.events.iter().filter(|(_, event)| event.forwarder == at);
+        let held = self
+            .events
+            .iter()
+            .filter(|(_, event)| event.forwarder == at);
         let mut held: Vec<(u64, EventKey)> = held.map(|(key, event)| (event.number, key)).collect();
         held.sort_unstable();
         self.forwarders[at as usize].cold.clear();
         self.forwarders[at as usize].held = 0;
         for (number, key) in held {
             let event = self.events.remove(key).expect("held");
-            self.tell(Fact::Lost { event: number });
+            self.tell(Observation::Lost { event: number });
             if event.ended && event.unheard.is_none() {
                 continue; // its client has heard
             }
             self.tally.totals.lost += 1;
             let mut ticket = event.ticket;
-            ticket.cause = Cause::NoForwarder;
+            ticket.cause = LossCause::NoForwarder;
             let binds = self.scenario.traffic[ticket.traffic as usize].effect == Repeats::Binding;
             if event.ended || binds && event.may_have_run.is_some() {
-                self.tally.unpaid(self.scenario, &ticket, Cause::NoForwarder);
+                self.tally
+                    .unpaid(self.scenario, &ticket, LossCause::NoForwarder);
                 continue;
             }
             let again = exponential(&mut self.chance_returns, self.scenario.clients.again_after);
--- a/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -16,18 +16,18 @@
 mod step;
 mod troubles;
 
-use plankhill::interface::TargetId;
-use plankhill_rules::{Bounds, Checker, Fact};
-use plankhill_terms::scenario::{Ms, Scenario, TroubleKind};
+use plankhill_decisions::interface::TargetId;
+use plankhill_forwarder_config::scenario::{FaultKind, Ms, Scenario};
+use plankhill_invariants::{Bounds, Checker, Observation};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 use slotmap::{new_key_type, SlotMap};
 
-use crate::chance::{exponential, stream, AnswerTimes, Concern};
 use crate::clients::{Clients, Ticket};
 use crate::deciders::{EventKey, TargetNames};
-use crate::outcome::{Cause, Outcome};
+use crate::outcome::{LossCause, Outcome};
 use crate::queue::Queue;
+use crate::random::{exponential, stream, AnswerTimes, RandomStream};
 use crate::struck::Struck;
 use crate::tally::Tally;
 
@@ -86,8 +86,13 @@
             ..Bounds::default()
         };
         let (destinations, targets, lanes) = ground::build(scenario, &struck, seed);
-        let names = (0..targets.len()).map(|at| TargetId(at.to_string().into())).collect::<Vec<_>>();
-        let half_open = scenario.troubles.iter().any(|trouble| trouble.kind == TroubleKind::HalfOpen);
+        let names = (0..targets.len())
+            .map(|at| TargetId(at.to_string().into()))
+            .collect::<Vec<_>>();
+        let half_open = scenario
+            .faults
+            .iter()
+            .any(|trouble| trouble.kind == FaultKind::HalfOpen);
         let mut clients = Clients::new(scenario, &struck, seed);
         let next_arrival = clients.next();
         let mut world = World {
@@ -96,7 +101,11 @@
             queue: Queue::default(),
             next_arrival,
             clients,
-            answers: scenario.destinations.iter().map(|group| AnswerTimes::new(&group.answer)).collect(),
+            answers: scenario
+                .destinations
+                .iter()
+                .map(|group| AnswerTimes::new(&group.answer))
+                .collect(),
             latency: latencies(scenario),
             destinations,
             targets,
@@ -107,22 +116,24 @@
             events: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             active: FxHashMap::default(),
-            flapped_down: vec![false; scenario.troubles.len()],
+            flapped_down: vec![false; scenario.faults.len()],
             storm: 0.0,
             checker: Checker::new(bounds),
             tally: Tally::new(scenario, &struck),
             taken: 0,
             coming: 0,
             given_up_at: scenario.length + 2.0 * scenario.longest_patience() + 60_000.0,
-            chance_answers: stream(seed, Concern::Answers),
-            chance_network: stream(seed, Concern::Network),
-            chance_faults: stream(seed, Concern::Faults),
-            chance_lists: stream(seed, Concern::Lists),
-            chance_returns: stream(seed, Concern::Returns),
+            chance_answers: stream(seed, RandomStream::Answers),
+            chance_network: stream(seed, RandomStream::Network),
+            chance_faults: stream(seed, RandomStream::Faults),
+            chance_lists: stream(seed, RandomStream::Lists),
+            chance_returns: stream(seed, RandomStream::Returns),
             struck,
             tracks_connections: half_open,
         };
-        world.forwarders = (0..scenario.forwarders.count).map(|at| world.new_forwarder(at as u32)).collect();
+        world.forwarders = (0..scenario.forwarders.count)
+            .map(|at| world.new_forwarder(at as u32))
+            .collect();
         world.foresee_troubles();
         if let Some(ticket) = &world.next_arrival {
             world.queue.put(ticket.first_at, Step::Arrival);
@@ -133,7 +144,9 @@
 
     /// One step; false when the day is over: nothing new comes in then, and what was taken has its end.
     pub fn step(&mut self) -> bool {
-        let Some((at, step)) = self.queue.pop() else { return false };
+        let Some((at, step)) = self.queue.pop() else {
+            return false;
+        };
         let quiet = self.events.is_empty() && self.coming == 0 && at > self.scenario.length;
         if quiet || at > self.given_up_at {
             self.queue.put(at, step);
@@ -167,15 +180,22 @@
                 left.push(*ticket);
             }
         }
-        left.extend(self.events.values().filter(|event| !event.ended).map(|event| event.ticket.clone()));
+        left.extend(
+            self.events
+                .values()
+                .filter(|event| !event.ended)
+                .map(|event| event.ticket.clone()),
+        );
         for ticket in left {
-            self.tally.unpaid(self.scenario, &ticket, Cause::DayOver);
+            self.tally
+                .unpaid(self.scenario, &ticket, LossCause::DayOver);
         }
-        self.tally.outcome(self.scenario, self.scenario.seed, &self.checker)
+        self.tally
+            .outcome(self.scenario, self.scenario.seed, &self.checker)
     }
 
-    fn tell(&mut self, fact: Fact) {
-        self.checker.tell(self.now, fact);
+    fn tell(&mut self, fact: Observation) {
+        self.checker.observe(self.now, fact);
     }
 
     fn arrival(&mut self) {
@@ -191,11 +211,14 @@
     /// One way between two zones, with jitter; `None` if the message is lost.
     fn travel(&mut self, from: usize, to: usize) -> Option<Ms> {
         let network = &self.scenario.network;
-        if network.loss > 0.0 && crate::chance::draw(&mut self.chance_network) < network.loss {
+        if network.loss > 0.0 && crate::random::uniform(&mut self.chance_network) < network.loss {
             return None;
         }
-        let jitter =
-            if network.jitter > 0.0 { exponential(&mut self.chance_network, network.jitter) } else { 0.0 };
+        let jitter = if network.jitter > 0.0 {
+            exponential(&mut self.chance_network, network.jitter)
+        } else {
+            0.0
+        };
         Some(self.latency[from][to] + jitter)
     }
 
@@ -216,7 +239,13 @@
 
 fn latencies(scenario: &Scenario) -> Vec<Vec<Ms>> {
     let network = &scenario.network;
-    let place = |name: &str| network.zones.iter().position(|zone| zone == name).expect("checked");
+    let place = |name: &str| {
+        network
+            .zones
+            .iter()
+            .position(|zone| zone == name)
+            .expect("checked")
+    };
     let mut all = vec![vec![network.between; network.zones.len()]; network.zones.len()];
     for (zone, row) in all.iter_mut().enumerate() {
         row[zone] = network.within;
--- a/emulator/src/world/troubles.rs
+++ b/forwarder/emulator/src/world/troubles.rs
@@ -1,26 +1,27 @@
 //! Troubles begin, turn and end. What one does to a call is read where the call meets it; what is here
 //! changes the world at an instant: lists, lives, broken calls and outages.
 
-use plankhill::interface::{Listing, TargetId};
-use plankhill_terms::scenario::{Ms, TroubleKind};
+use plankhill_decisions::interface::{EndpointState, TargetId};
+use plankhill_forwarder_config::scenario::{FaultKind, Ms};
 
 use super::ground::Target;
 use super::{Step, World};
 
 impl World<'_> {
     pub(super) fn foresee_troubles(&mut self) {
-        for (at, trouble) in self.scenario.troubles.iter().enumerate() {
+        for (at, trouble) in self.scenario.faults.iter().enumerate() {
             if trouble.start < self.scenario.length {
                 self.queue.put(trouble.start, Step::Begins(at as u16));
-                self.queue.put(trouble.start + trouble.length, Step::Ends(at as u16));
+                self.queue
+                    .put(trouble.start + trouble.length, Step::Ends(at as u16));
             }
         }
     }
 
     pub(super) fn begins(&mut self, at: u16) {
-        use TroubleKind::*;
+        use FaultKind::*;
         let scenario = self.scenario;
-        let trouble = &scenario.troubles[at as usize];
+        let trouble = &scenario.faults[at as usize];
         let end = trouble.start + trouble.length;
         match trouble.kind {
             Flood | MassWake => (), // the clients' stream holds them
@@ -41,47 +42,47 @@
             }
             Gone => {
                 for target in self.struck_targets(at) {
-                    self.list_changed(target, Listing::Leaving);
+                    self.list_changed(target, EndpointState::Draining);
                 }
                 self.queue.put(self.now + trouble.every, Step::GoneFor(at));
             }
-            Replaced => {
+            SnapshotInstalled => {
                 let targets = self.struck_targets(at);
                 let step = trouble.length / targets.len().max(1) as f64;
                 for (place, target) in targets.into_iter().enumerate() {
-                    self.queue.put(self.now + place as f64 * step, Step::OneByOne(at, target));
+                    self.queue
+                        .put(self.now + place as f64 * step, Step::OneByOne(at, target));
                 }
             }
             Flapping => self.switch(at, true, |world| {
                 world.flapped_down[at as usize] = true;
                 world.queue.put(world.now + trouble.every, Step::Turns(at));
             }),
-            Down | Silent | Hung | Slow | Erring | Resetting | LimitLowered | HalfOpen | CutOneWay => {
-                self.switch(at, true, |_| ())
-            }
+            Down | Silent | Hung | Slow | Erring | Resetting | LimitLowered | HalfOpen
+            | CutOneWay => self.switch(at, true, |_| ()),
         }
     }
 
     pub(super) fn ends(&mut self, at: u16) {
-        use TroubleKind::*;
-        match self.scenario.troubles[at as usize].kind {
+        use FaultKind::*;
+        match self.scenario.faults[at as usize].kind {
             RetryStorm => self.storm = 0.0,
             Gone => {
                 for target in self.struck_targets(at) {
                     self.targets[target as usize].left = false;
-                    self.list_changed(target, Listing::Running);
+                    self.list_changed(target, EndpointState::Running);
                 }
                 self.note_struck(at);
             }
-            Down | Silent | Hung | Slow | Flapping | Erring | Resetting | LimitLowered | HalfOpen
-            | CutOneWay => self.switch(at, false, |_| ()),
+            Down | Silent | Hung | Slow | Flapping | Erring | Resetting | LimitLowered
+            | HalfOpen | CutOneWay => self.switch(at, false, |_| ()),
             _ => (),
         }
     }
 
     /// A flapping trouble turns from down to up, or back.
     pub(super) fn turns(&mut self, at: u16) {
-        let trouble = &self.scenario.troubles[at as usize];
+        let trouble = &self.scenario.faults[at as usize];
         if self.now >= trouble.start + trouble.length {
             return;
         }
@@ -113,14 +114,19 @@
 
     fn struck_targets(&self, at: u16) -> Vec<u32> {
         let destinations = &self.struck.destinations[at as usize];
-        let targets = destinations.iter().flat_map(|d| &self.destinations[*d as usize].targets);
-        targets.copied().filter(|target| self.covers(at, *target)).collect()
+        let targets = destinations
+            .iter()
+            .flat_map(|d| &self.destinations[*d as usize].targets);
+        targets
+            .copied()
+            .filter(|target| self.covers(at, *target))
+            .collect()
     }
 
     /// Targets that were told to leave are gone.
     pub(super) fn gone_for_good(&mut self, at: u16) {
         for target in self.struck_targets(at) {
-            if self.targets[target as usize].listing == Listing::Leaving {
+            if self.targets[target as usize].listing == EndpointState::Draining {
                 self.leaves(target);
             }
         }
@@ -128,7 +134,7 @@
 
     fn leaves(&mut self, target: u32) {
         self.targets[target as usize].left = true;
-        self.list_changed(target, Listing::Gone);
+        self.list_changed(target, EndpointState::Removed);
         self.break_calls(self.targets[target as usize].destination);
     }
 
@@ -136,22 +142,27 @@
     /// still there after the notice, it is gone then.
     pub(super) fn replace_one(&mut self, at: u16, target: u32) {
         match self.targets[target as usize].listing {
-            Listing::Running => {
+            EndpointState::Running => {
                 let it = &self.targets[target as usize];
                 let new = Target::new(it.destination, it.lane, it.zone, it.place, it.factor);
                 let destination = it.destination as usize;
                 let number = self.targets.len() as u32;
                 self.targets.push(new);
-                self.names.borrow_mut().push(TargetId(number.to_string().into()));
+                self.names
+                    .borrow_mut()
+                    .push(TargetId(number.to_string().into()));
                 self.destinations[destination].targets.push(number);
                 // Not there for those that have not heard of it.
-                self.targets[number as usize].told.push((0, Listing::Gone));
-                self.list_changed(number, Listing::Running);
-                self.list_changed(target, Listing::Leaving);
-                let notice: Ms = self.scenario.troubles[at as usize].every;
-                self.queue.put(self.now + notice, Step::OneByOne(at, target));
+                self.targets[number as usize]
+                    .told
+                    .push((0, EndpointState::Removed));
+                self.list_changed(number, EndpointState::Running);
+                self.list_changed(target, EndpointState::Draining);
+                let notice: Ms = self.scenario.faults[at as usize].every;
+                self.queue
+                    .put(self.now + notice, Step::OneByOne(at, target));
             }
-            Listing::Leaving => {
+            EndpointState::Draining => {
                 self.leaves(target);
                 // Nobody new is told of it: it is forgotten with its destination's old list.
                 let destination = self.targets[target as usize].destination as usize;
@@ -160,7 +171,7 @@
                     self.forget_former(destination);
                 }
             }
-            Listing::Gone => (),
+            EndpointState::Removed => (),
         }
     }
 
@@ -170,16 +181,16 @@
         let targets = &self.targets;
         self.destinations[destination].targets.retain(|target| {
             let it = &targets[*target as usize];
-            it.listing != Listing::Gone || it.as_of(heard) != Listing::Gone
+            it.listing != EndpointState::Removed || it.as_of(heard) != EndpointState::Removed
         });
     }
 
     pub(super) fn strike_forwarder(&mut self, at: u16, forwarder: u32) {
-        let trouble = &self.scenario.troubles[at as usize];
+        let trouble = &self.scenario.faults[at as usize];
         match trouble.kind {
-            TroubleKind::ForwarderKilled => self.process_ends(forwarder, trouble.every, true),
-            TroubleKind::ForwarderLost => self.process_ends(forwarder, trouble.every, false),
-            TroubleKind::ForwarderReplaced => self.asked_to_end(forwarder),
+            FaultKind::ForwarderKilled => self.process_ends(forwarder, trouble.every, true),
+            FaultKind::ForwarderLost => self.process_ends(forwarder, trouble.every, false),
+            FaultKind::ForwarderReplaced => self.asked_to_end(forwarder),
             _ => self.stalls(forwarder, self.now + trouble.length.min(trouble.every)),
         }
     }
--- a/fanout/src/leading.rs
+++ b/forwarder/fanout/src/leading.rs
@@ -4,11 +4,11 @@
 
 use std::collections::BTreeMap;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 use crate::command::Command;
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 
 /// Ticks of the log are so far apart.
 const TICK: Ms = 1000.0;
@@ -21,7 +21,7 @@
 const WAITS: f64 = 0.5;
 
 #[derive(Default)]
-pub struct Leading {
+pub struct Coordinator {
     ticked: Option<Ms>,
     looked: Option<Ms>,
     /// Since when it can't be reached.
@@ -30,9 +30,15 @@
     lost: BTreeMap<(InstanceId, u64), Ms>,
 }
 
-impl Leading {
+impl Coordinator {
     /// What to propose now. `up` are the instances that can be reached; a call takes `longest_call` at most.
-    pub fn asks(&mut self, now: Ms, state: &Fanout, up: &[InstanceId], longest_call: Ms) -> Vec<Command> {
+    pub fn poll_commands(
+        &mut self,
+        now: Ms,
+        state: &FanoutState,
+        up: &[InstanceId],
+        longest_call: Ms,
+    ) -> Vec<Command> {
         let mut commands = Vec::new();
         if self.looked.is_some_and(|looked| now - looked < LOOK) {
             return commands;
@@ -44,7 +50,8 @@
                 commands.push(Command::Joined(*instance));
             }
         }
-        self.lost.retain(|(instance, time), _| state.times_lost(*instance) == Some(*time));
+        self.lost
+            .retain(|(instance, time), _| state.times_lost(*instance) == Some(*time));
         for instance in state.known_instances().filter(|i| !up.contains(i)) {
             let since = *self.silent.entry(instance).or_insert(now);
             match state.times_lost(instance) {
@@ -63,7 +70,9 @@
             return commands;
         }
         self.ticked = Some(now);
-        let over = state.broadcasts().filter(|(_, b)| b.at + WAITS * b.patience <= now);
+        let over = state
+            .broadcasts()
+            .filter(|(_, b)| b.at + WAITS * b.patience <= now);
         let over: Vec<Position> = over.map(|(position, _)| position).collect();
         if state.any_waits(&over) {
             commands.push(Command::TimeUp(over));
--- a/fanout/src/names.rs
+++ b/forwarder/fanout/src/names.rs
@@ -1,6 +1,6 @@
 //! The names that commands and state use.
 
-use plankhill::interface::{DestinationId, EventId};
+use plankhill_decisions::interface::{DestinationId, EventId};
 use serde::{Deserialize, Serialize};
 
 /// A destination as a member of lists.
@@ -28,7 +28,9 @@
 pub struct InstanceId(pub u64);
 
 /// A broadcast's place among all that were taken, from 1.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Position(pub u64);
 
 /// The id of the event that a copy is, the same whoever spreads it and however often.
--- a/fanout/src/verdict.rs
+++ b/forwarder/fanout/src/verdict.rs
@@ -1,10 +1,10 @@
 //! What is held of a subscriber, and the figures that it rests on.
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
 
 use crate::names::*;
-use crate::state::Fanout;
+use crate::state::FanoutState;
 
 /// A verdict says on which figures it rests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -45,9 +45,12 @@
     pub(crate) confirmed: bool,
 }
 
-impl Fanout {
+impl FanoutState {
     pub fn judged(&self, subscriber: Subscriber) -> Judged {
-        self.followers.get(&subscriber).map(|f| f.verdict.judged).unwrap_or_default()
+        self.followers
+            .get(&subscriber)
+            .map(|f| f.verdict.judged)
+            .unwrap_or_default()
     }
 
     /// All whose verdict is another than that they keep up.
--- a/fanout/tests/walk/forwarder.rs
+++ b/forwarder/fanout/tests/walk/forwarder.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use plankhill::interface::{EventId, Ms};
+use plankhill_decisions::interface::{EventId, Ms};
 use plankhill_fanout::*;
 
 use super::checker::{Checker, Copy};
@@ -39,7 +39,7 @@
 pub struct Ledger<'a>(pub &'a Forwarder);
 
 impl Host for Ledger<'_> {
-    fn owes(&self, event: &EventId) -> bool {
+    fn is_pending(&self, event: &EventId) -> bool {
         self.0.plant != Plant::ForgetsLedger && self.0.ledger.contains_key(event)
     }
 }
@@ -81,29 +81,54 @@
             match entry.ended {
                 Some(_) => self.notices.push((now, id)),
                 None if entry.binding && entry.may_have_run && !resends => {
-                    self.ends(now, &id, Outcome::WrittenOff)
+                    self.ends(now, &id, Outcome::Abandoned)
                 }
                 None => resumed.push((entry.copy, id)),
             }
         }
         resumed.sort_by_key(|((_, position), _)| *position);
-        resumed.into_iter().for_each(|((s, _), id)| self.queues.entry(s).or_default().push_back(id));
+        resumed
+            .into_iter()
+            .for_each(|((s, _), id)| self.queues.entry(s).or_default().push_back(id));
     }
 
-    pub fn carries_out(&mut self, now: Ms, order: Order, binding: bool, checker: &mut Checker) {
+    pub fn carries_out(
+        &mut self,
+        now: Ms,
+        order: HostRequest,
+        binding: bool,
+        checker: &mut Checker,
+    ) {
         match order {
-            Order::HandIn { event, subscriber, position, patience_ends } => {
+            HostRequest::Submit {
+                event,
+                subscriber,
+                position,
+                deadline: patience_ends,
+            } => {
                 if self.plant == Plant::DropsHandIn && position.0 % 7 == 0 {
                     return;
                 }
                 let copy = (subscriber, position);
                 checker.handed(self.id, copy, self.ledger.contains_key(&event));
-                let entry = Entry { copy, binding, patience_ends, may_have_run: false, ended: None };
+                let entry = Entry {
+                    copy,
+                    binding,
+                    patience_ends,
+                    may_have_run: false,
+                    ended: None,
+                };
                 self.ledger.insert(event.clone(), entry);
                 self.queues.entry(subscriber).or_default().push_back(event);
             }
-            Order::TellEnd { subscriber, position, outcome, .. } => {
-                self.told.push((now + 50.0, (subscriber, position), outcome));
+            HostRequest::NotifyOutcome {
+                subscriber,
+                position,
+                outcome,
+                ..
+            } => {
+                self.told
+                    .push((now + 50.0, (subscriber, position), outcome));
             }
             _ => (),
         }
@@ -121,33 +146,57 @@
         &mut self,
         now: Ms,
         mut takes: impl FnMut(Copy) -> (Ms, bool),
-        station: &mut Station,
+        station: &mut LocalInstance,
         checker: &mut Checker,
     ) {
         let local = self.local(now);
-        let over: Vec<EventId> =
-            self.out.iter().filter(|(_, (at, _))| *at <= now).map(|(id, _)| id.clone()).collect();
+        let over: Vec<EventId> = self
+            .out
+            .iter()
+            .filter(|(_, (at, _))| *at <= now)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in over {
             let delivers = self.out.remove(&id).is_some_and(|(_, delivers)| delivers);
-            let Some(entry) = self.ledger.get(&id) else { continue };
+            let Some(entry) = self.ledger.get(&id) else {
+                continue;
+            };
             let copy = entry.copy;
             if delivers {
                 checker.delivered(copy);
                 self.ledger.remove(&id);
-                self.queues.entry(copy.0).or_default().retain(|other| *other != id);
-                station.over(local, copy, Outcome::Completed);
+                self.queues
+                    .entry(copy.0)
+                    .or_default()
+                    .retain(|other| *other != id);
+                station.on_outcome_acknowledged(local, copy, Outcome::Completed);
             } else if entry.binding {
-                self.ends(now, &id, Outcome::WrittenOff);
+                self.ends(now, &id, Outcome::Abandoned);
             }
         }
-        let heads = self.queues.values().filter(|_| self.rests <= now).filter_map(|q| q.front());
-        let heads: Vec<EventId> = heads.filter(|id| !self.out.contains_key(id)).cloned().collect();
+        let heads = self
+            .queues
+            .values()
+            .filter(|_| self.rests <= now)
+            .filter_map(|q| q.front());
+        let heads: Vec<EventId> = heads
+            .filter(|id| !self.out.contains_key(id))
+            .cloned()
+            .collect();
         for id in heads {
-            let Some(entry) = self.ledger.get_mut(&id).filter(|entry| entry.ended.is_none()) else {
+            let Some(entry) = self
+                .ledger
+                .get_mut(&id)
+                .filter(|entry| entry.ended.is_none())
+            else {
                 continue;
             };
             if entry.patience_ends <= local && self.plant != Plant::OutlastsPatience {
-                let outcome = if entry.may_have_run { Outcome::WrittenOff } else { Outcome::Dismissed };
+                let outcome = if entry.may_have_run {
+                    Outcome::Abandoned
+                } else {
+                    Outcome::Rejected
+                };
                 self.ends(now, &id, outcome);
                 continue;
             }
@@ -155,24 +204,37 @@
             let (copy, binding) = (entry.copy, entry.binding);
             let (took, delivers) = takes(copy);
             checker.call(now, copy, self.id, now + took, binding);
-            station.called(local, copy);
+            station.on_attempt_started(local, copy);
             self.out.insert(id, (now + took, delivers));
         }
-        let (heard, notices) = std::mem::take(&mut self.notices).into_iter().partition(|(at, _)| *at <= now);
+        let (heard, notices) = std::mem::take(&mut self.notices)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.notices = notices;
         for (_, id) in heard {
-            let Some(entry) = self.ledger.remove(&id) else { continue };
-            self.queues.entry(entry.copy.0).or_default().retain(|other| *other != id);
+            let Some(entry) = self.ledger.remove(&id) else {
+                continue;
+            };
+            self.queues
+                .entry(entry.copy.0)
+                .or_default()
+                .retain(|other| *other != id);
             checker.noticed(entry.copy);
-            station.over(local, entry.copy, entry.ended.unwrap_or(Outcome::WrittenOff));
+            station.on_outcome_acknowledged(
+                local,
+                entry.copy,
+                entry.ended.unwrap_or(Outcome::Abandoned),
+            );
         }
-        let (heard, told) = std::mem::take(&mut self.told).into_iter().partition(|(at, ..)| *at <= now);
+        let (heard, told) = std::mem::take(&mut self.told)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.told = told;
         for (_, copy, outcome) in heard {
             if self.plant != Plant::TellsNoEnd {
                 checker.noticed(copy);
             }
-            station.over(local, copy, outcome);
+            station.on_outcome_acknowledged(local, copy, outcome);
         }
     }
 }
--- a/fanout/tests/walk/process.rs
+++ b/forwarder/fanout/tests/walk/process.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 use plankhill_fanout::*;
 
 use super::checker::Checker;
@@ -12,7 +12,7 @@
 pub struct Process {
     pub forwarder: Forwarder,
     /// None while it is down.
-    pub station: Option<Station>,
+    pub station: Option<LocalInstance>,
     pub applied: usize,
     /// It does nothing until then; only its calls go on.
     pub stalled: Ms,
@@ -26,12 +26,14 @@
 
 impl Process {
     pub fn starts(&mut self, now: Ms, log: &[Command], from: usize) {
-        let mut state = Fanout::default();
-        log[..from].iter().for_each(|command| drop(state.apply(command.clone())));
-        let state = Fanout::from_bytes(&state.to_bytes()).expect("a snapshot can be read");
+        let mut state = FanoutState::default();
+        log[..from]
+            .iter()
+            .for_each(|command| drop(state.apply(command.clone())));
+        let state = FanoutState::from_bytes(&state.to_bytes()).expect("a snapshot can be read");
         self.forwarder.restart(now);
         let process = (now * 1000.0) as u64 + 1;
-        let station = Station::new(InstanceId(self.forwarder.id), process, state);
+        let station = LocalInstance::new(InstanceId(self.forwarder.id), process, state);
         self.attempts.clear();
         (self.station, self.applied) = (Some(station), from);
     }
@@ -40,48 +42,88 @@
         let local = self.forwarder.local(now);
         let mut all = Vec::new();
         for command in log.iter().take(most) {
-            let Some(station) = self.station.as_mut() else { return };
+            let Some(station) = self.station.as_mut() else {
+                return;
+            };
             all.extend(station.applied(local, &Ledger(&self.forwarder), command.clone()));
             self.applied += 1;
         }
         self.carry_out(now, all, checker);
     }
 
-    fn carry_out(&mut self, now: Ms, orders: Vec<Order>, checker: &mut Checker) {
+    fn carry_out(&mut self, now: Ms, orders: Vec<HostRequest>, checker: &mut Checker) {
         for order in orders {
-            let Some(station) = self.station.as_ref() else { return };
+            let Some(station) = self.station.as_ref() else {
+                return;
+            };
             let copy = match &order {
-                Order::HandIn { subscriber, position, .. } => (*subscriber, *position),
-                Order::TellEnd { subscriber, position, .. } => (*subscriber, *position),
-                Order::Took(number) | Order::Refused(number, _) => {
-                    let took = matches!(order, Order::Took(_));
+                HostRequest::Submit {
+                    subscriber,
+                    position,
+                    ..
+                } => (*subscriber, *position),
+                HostRequest::NotifyOutcome {
+                    subscriber,
+                    position,
+                    ..
+                } => (*subscriber, *position),
+                HostRequest::Accepted(number) | HostRequest::Rejected(number, _) => {
+                    let took = matches!(order, HostRequest::Accepted(_));
                     let answered = self.attempts.remove(number);
-                    answered.into_iter().for_each(|id| checker.answered(&id, took));
+                    answered
+                        .into_iter()
+                        .for_each(|id| checker.answered(&id, took));
                     continue;
                 }
-                Order::AllEnded(..) => continue,
+                HostRequest::BroadcastCompleted(..) => continue,
             };
             if station.holds(copy) {
-                let binding = station.fields(copy.1).is_some_and(|b| b.traffic == "binding");
+                let binding = station
+                    .fields(copy.1)
+                    .is_some_and(|b| b.traffic == "binding");
                 self.forwarder.carries_out(now, order, binding, checker);
             }
         }
     }
 
     /// Planted: what it does before the log says so.
-    pub fn early(&mut self, now: Ms, plant: Plant, asked: &[Command], checker: &mut Checker) -> Vec<Command> {
+    pub fn early(
+        &mut self,
+        now: Ms,
+        plant: Plant,
+        asked: &[Command],
+        checker: &mut Checker,
+    ) -> Vec<Command> {
         let by = InstanceId(self.forwarder.id);
-        let Some(station) = self.station.as_ref() else { return Vec::new() };
+        let Some(station) = self.station.as_ref() else {
+            return Vec::new();
+        };
         let mut state = station.state().clone();
         match plant {
             Plant::HandsBeforeCommit => {
                 for command in asked.iter().filter(|c| matches!(c, Command::Spread { .. })) {
                     for news in state.apply(command.clone()) {
-                        let News::Hand { subscriber, position, end: None, .. } = news else { continue };
-                        let Some(b) = station.fields(position) else { continue };
-                        let (event, patience_ends) = (copy_id(&b.id, subscriber), b.at + b.patience);
+                        let News::Hand {
+                            subscriber,
+                            position,
+                            end: None,
+                            ..
+                        } = news
+                        else {
+                            continue;
+                        };
+                        let Some(b) = station.fields(position) else {
+                            continue;
+                        };
+                        let (event, patience_ends) =
+                            (copy_id(&b.id, subscriber), b.at + b.patience);
                         let binding = b.traffic == "binding";
-                        let order = Order::HandIn { event, subscriber, position, patience_ends };
+                        let order = HostRequest::Submit {
+                            event,
+                            subscriber,
+                            position,
+                            deadline: patience_ends,
+                        };
                         self.forwarder.carries_out(now, order, binding, checker);
                     }
                 }
@@ -92,7 +134,7 @@
                     .held_by(by)
                     .into_iter()
                     .filter(|(s, _, end)| end.is_none() && state.server(*s) != Some(by));
-                let (outcome, waited, own) = (Outcome::WrittenOff, 0.0, 0.0);
+                let (outcome, waited, own) = (Outcome::Abandoned, 0.0, 0.0);
                 let ends = held.map(|(subscriber, position, _)| CopyEnd {
                     subscriber,
                     position,
@@ -104,7 +146,11 @@
                 if ends.is_empty() {
                     Vec::new()
                 } else {
-                    vec![Command::Ended { by, process: state.process(by), ends }]
+                    vec![Command::Ended {
+                        by,
+                        process: state.process(by),
+                        ends,
+                    }]
                 }
             }
             _ => Vec::new(),
--- a/handover/src/words.rs
+++ b/forwarder/hot-restart/src/words.rs
@@ -3,8 +3,8 @@
 
 use std::rc::Rc;
 
-use plankhill::interface::*;
-use plankhill_operators::{Order, Reply};
+use plankhill_admin::{Order, Reply};
+use plankhill_decisions::interface::*;
 use serde::{Deserialize, Serialize};
 
 /// Of the words and of the module's state. A change of either form makes it another.
@@ -59,10 +59,10 @@
         event: EventId,
         number: u64,
     },
-    SendEnded(EventId, Ended),
+    SendEnded(EventId, AttemptReport),
     PingEnded {
         target: TargetId,
-        fate: Fate,
+        fate: AttemptOutcome,
     },
     Operator {
         number: u64,
@@ -98,7 +98,7 @@
 pub struct Event {
     pub id: EventId,
     pub destination: DestinationId,
-    pub traffic: TrafficId,
+    pub traffic: TrafficTypeId,
     pub patience: Ms,
     pub key: Option<OrderKey>,
     pub fingerprint: Option<Rc<str>>,
--- a/rules/src/checker/taking.rs
+++ b/forwarder/invariants/src/checker/taking.rs
@@ -2,20 +2,24 @@
 
 use super::kept::{Line, Owed};
 use super::Checker;
-use crate::facts::{Effect, End, Ms, Rule};
+use crate::facts::{Completion, Idempotency, Invariant, Ms};
 
 impl Checker {
     pub(super) fn taken(
         &mut self,
         forwarder: u32,
         event: u64,
-        effect: Effect,
+        effect: Idempotency,
         key: Option<u64>,
         patience_ends: Ms,
     ) {
         self.taken += 1;
         if let Some(key) = key {
-            self.lines.entry((forwarder, key)).or_default().queue.push_back(event);
+            self.lines
+                .entry((forwarder, key))
+                .or_default()
+                .queue
+                .push_back(event);
         }
         let owed = Owed {
             forwarder,
@@ -30,28 +34,49 @@
             unpromised: false,
         };
         if self.owed.insert(event, owed).is_some() {
-            self.breach(Rule::OneEnd, format!("event {event} was taken twice"));
+            self.breach(Invariant::OneEnd, format!("event {event} was taken twice"));
         }
     }
 
-    pub(super) fn ended(&mut self, event: u64, end: End, by_notice: bool) {
+    pub(super) fn ended(&mut self, event: u64, end: Completion, by_notice: bool) {
         let (now, rounding) = (self.now, self.bounds.rounding);
         let Some(owed) = self.owed.get(&event) else {
-            return self.breach(Rule::OneEnd, format!("event {event} ended, but is not owed"));
+            return self.breach(
+                Invariant::OneEnd,
+                format!("event {event} ended, but is not owed"),
+            );
         };
         if owed.ended {
-            return self.breach(Rule::OneEnd, format!("event {event} ended a second time"));
+            return self.breach(
+                Invariant::OneEnd,
+                format!("event {event} ended a second time"),
+            );
         }
         let (effect, ran, ends) = (owed.effect, owed.may_have_run.is_some(), owed.patience_ends);
         let late = now > ends + rounding && !owed.unpromised;
         if late && !self.excused(owed.forwarder, ends) {
-            self.breach(Rule::OneEnd, format!("event {event} ended {:.1} ms after its patience", now - ends));
+            self.breach(
+                Invariant::OneEnd,
+                format!(
+                    "event {event} ended {:.1} ms after its patience",
+                    now - ends
+                ),
+            );
         }
         // Its client may hand it in again: only where that does no harm.
-        let bound =
-            effect == Effect::Binding || matches!(effect, Effect::Fingerprinted { one_group: true, .. });
-        if end == End::Dismissed && ran && bound {
-            self.breach(Rule::NoEffectTwice, format!("event {event} may have run and was dismissed"));
+        let bound = effect == Idempotency::NonIdempotent
+            || matches!(
+                effect,
+                Idempotency::Deduplicated {
+                    one_group: true,
+                    ..
+                }
+            );
+        if end == Completion::Rejected && ran && bound {
+            self.breach(
+                Invariant::NoEffectTwice,
+                format!("event {event} may have run and was dismissed"),
+            );
         }
         self.ends += 1;
         let owed = self.owed.get_mut(&event).expect("seen");
@@ -61,8 +86,12 @@
 
     /// The forwarder could not act when the patience ended, and has not had the time to since.
     pub(super) fn excused(&self, forwarder: u32, patience_ends: Ms) -> bool {
-        let Some(it) = self.forwarders.get(&forwarder) else { return false };
-        let Some((resumed, halted)) = it.pause else { return false };
+        let Some(it) = self.forwarders.get(&forwarder) else {
+            return false;
+        };
+        let Some((resumed, halted)) = it.pause else {
+            return false;
+        };
         if let Some(within) = self.bounds.heir_within {
             let heir_has_it = halted.max(patience_ends) + within;
             let has_it_back = resumed + self.bounds.after_halt;
@@ -86,7 +115,9 @@
     }
 
     pub(super) fn forget_if_over(&mut self, event: u64) {
-        let Some(owed) = self.owed.get(&event) else { return };
+        let Some(owed) = self.owed.get(&event) else {
+            return;
+        };
         if !owed.ended || owed.unheard || owed.out {
             return;
         }
--- a/fleet-tests/examples/broadcasts.rs
+++ b/forwarder/process-tests/examples/broadcasts.rs
@@ -1,19 +1,21 @@
 //! Broadcasts on sockets: three processes on loopback, two destinations that answer after 5 ms, one client that
 //! hands in a broadcast each 50 ms or as many milliseconds as it is told, at each instance in turn. Tells the time to the 202 and from it to the
-//! last delivery. `cargo run --release -p plankhill-fleet-tests --example broadcasts [ms]`
+//! last delivery. `cargo run --release -p plankhill-process-tests --example broadcasts [ms]`
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 
 const BROADCASTS: usize = 400;
 /// Those of the first seconds, in which cohorts are given to instances, do not count.
 const FIRST: usize = 100;
 
 fn main() {
-    let each = std::env::args().nth(1).map_or(50, |ms| ms.parse().expect("milliseconds"));
+    let each = std::env::args()
+        .nth(1)
+        .map_or(50, |ms| ms.parse().expect("milliseconds"));
     let world = World::broadcasting(3);
     world.set_targets(Manner::Answers(Duration::from_millis(5)));
     let mut taken = HashMap::new();
@@ -33,7 +35,11 @@
         match seen {
             Seen::Began { call, event, .. } => drop(calls.insert(call, event)),
             Seen::Replied { call, status: 200 } => {
-                let broadcast = ids[&calls[&call]].split('~').next().unwrap_or_default().to_owned();
+                let broadcast = ids[&calls[&call]]
+                    .split('~')
+                    .next()
+                    .unwrap_or_default()
+                    .to_owned();
                 last.insert(broadcast, at);
             }
             _ => (),
--- a/fleet-tests/tests/walks.rs
+++ b/forwarder/process-tests/tests/walks.rs
@@ -1,7 +1,7 @@
 //! Walks that draw faults. `PLANKHILL_SEEDS=40` plays as many more than CI does; a failure shows its seed
 //! and steps.
 
-use plankhill_fleet_tests::*;
+use plankhill_process_tests::*;
 use rstest::rstest;
 
 const STEPS: usize = 14;
@@ -43,6 +43,7 @@
 #[case(alone)]
 #[case(copied)]
 fn more_seeds_on_call(#[case] walk: fn(u64)) {
-    let more = std::env::var("PLANKHILL_SEEDS").map_or(0, |number| number.parse().expect("a number"));
+    let more =
+        std::env::var("PLANKHILL_SEEDS").map_or(0, |number| number.parse().expect("a number"));
     (MORE..MORE + more).for_each(walk);
 }
--- a/fleet/src/core/mod.rs
+++ b/forwarder/raft-groups/src/core/mod.rs
@@ -20,7 +20,7 @@
 use raft::eraftpb::{HardState, Message};
 use raft::{RawNode, StateRole};
 
-use crate::{GroupId, Incarnation, Machine, Purpose, Term};
+use crate::{GroupId, Incarnation, Purpose, StateMachine, Term};
 use effects::{Effects, Hard};
 pub use kept::Kept;
 use open::Open;
@@ -42,7 +42,7 @@
     pub purpose: Purpose,
     me: Incarnation,
     node: RawNode<Store>,
-    machine: Box<dyn Machine>,
+    machine: Box<dyn StateMachine>,
     counted: Counted,
     pace: Pace,
     /// Ticks since its leader was heard, or it led itself.
@@ -78,19 +78,38 @@
         purpose: Purpose,
         me: Incarnation,
         kept: Kept,
-        mut machine: Box<dyn Machine>,
+        mut machine: Box<dyn StateMachine>,
         pace: Pace,
     ) -> Result<Self, Fault> {
-        let Kept { base, hard, entries, restarted } = kept;
-        let mut whole = Whole { counted: Counted::default(), dissolved: false, machine: Vec::new() };
+        let Kept {
+            base,
+            hard,
+            entries,
+            restarted,
+        } = kept;
+        let mut whole = Whole {
+            counted: Counted::default(),
+            dissolved: false,
+            machine: Vec::new(),
+        };
         if base.index > 0 {
             whole = postcard::from_bytes(&base.whole).map_err(|_| Fault::Torn)?;
             machine.restore(&whole.machine).map_err(|_| Fault::Torn)?;
         }
         let last = base.index + entries.len() as u64;
         let commit = hard.commit.clamp(base.index, last);
-        let raft_hard = HardState { term: hard.term, vote: hard.vote, commit, ..HardState::default() };
-        let store = Store::new((base.index, base.term), raft_hard, base.voters.into(), entries);
+        let raft_hard = HardState {
+            term: hard.term,
+            vote: hard.vote,
+            commit,
+            ..HardState::default()
+        };
+        let store = Store::new(
+            (base.index, base.term),
+            raft_hard,
+            base.voters.into(),
+            entries,
+        );
         let raft = raft::Config {
             id: me.0,
             election_tick: pace.election as usize,
--- a/fleet/src/ids.rs
+++ b/forwarder/raft-groups/src/ids.rs
@@ -26,11 +26,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Purpose {
     /// What one forwarder holds: it and its keepers. The instance that leads owns the record.
-    Record,
+    EventLog,
     /// The one group of the whole fleet: parts of budgets, groups of subscribers. All instances hear its log.
     Control,
 }
 
 /// Counts the owners of a group: each new leader begins one. What an earlier one proposed late is void.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Term(pub u64);
--- a/fleet/src/mail.rs
+++ b/forwarder/raft-groups/src/mail.rs
@@ -5,13 +5,17 @@
 
 /// From the loop.
 #[derive(Debug)]
-pub enum Order {
+pub enum GroupRequest {
     /// Founds a group of which this instance is the first leader, with keepers chosen by the roll.
     /// [`News::Leads`] follows once a majority is there.
-    Found { purpose: Purpose },
+    Create { purpose: Purpose },
     /// To be committed; numbers grow by one for each group. Answered once by `Committed` or `Void`, in the
     /// order of the numbers, as long as this instance lived all the time.
-    Propose { group: GroupId, number: u64, command: Vec<u8> },
+    Propose {
+        group: GroupId,
+        number: u64,
+        command: Vec<u8>,
+    },
     /// To the instance that leads the control group, best effort: reports of demand, ends. At most 64 KiB.
     Report { body: Vec<u8> },
     /// Nothing is kept in it any more: its keepers forget it.
@@ -20,22 +24,39 @@
 
 /// To the loop.
 #[derive(Debug)]
-pub enum News {
+pub enum GroupEvent {
     /// This instance leads the group from now on: `state` is the machine's snapshot with all that can ever
     /// count from before `term`. For a record's group: it owns what is in it.
-    Leads { group: GroupId, purpose: Purpose, term: Term, state: Vec<u8> },
+    Elected {
+        group: GroupId,
+        purpose: Purpose,
+        term: Term,
+        state: Vec<u8>,
+    },
     /// Another may lead by now. What was proposed and not answered yet stays open until it is decided.
     Deposed { group: GroupId },
     /// Applied on a majority's log: it counts.
     Committed { group: GroupId, number: u64 },
     /// It surely never counts.
-    Void { group: GroupId, number: u64 },
+    Discarded { group: GroupId, number: u64 },
     /// A command of the control group, in the log's order; every instance hears it.
-    Applied { proposer: Incarnation, term: Term, command: Vec<u8> },
+    Applied {
+        proposer: Incarnation,
+        term: Term,
+        command: Vec<u8>,
+    },
     /// The control group's state as a whole, in place of commands that were missed.
-    Replaced { state: Vec<u8> },
+    SnapshotInstalled { state: Vec<u8> },
     /// A report that came in while this instance leads the control group.
-    Reported { from: InstanceName, incarnation: Incarnation, body: Vec<u8> },
+    ReportReceived {
+        from: InstanceName,
+        incarnation: Incarnation,
+        body: Vec<u8>,
+    },
     /// An instance can be reached, or can't any more.
-    Peer { name: InstanceName, incarnation: Incarnation, up: bool },
+    PeerChanged {
+        name: InstanceName,
+        incarnation: Incarnation,
+        reachable: bool,
+    },
 }
--- a/fleet/tests/keepers.rs
+++ b/forwarder/raft-groups/tests/keepers.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod together;
 
-use plankhill_fleet::GroupId;
+use plankhill_raft_groups::GroupId;
 use together::{leader, Together};
 
 const COPIES: &str = "[copies]\nkeepers = 2\n";
@@ -16,10 +16,10 @@
     for round in 0..4u64 {
         let (mut taken, from) = (0, 1000 * round);
         // What a beat told is counted against what it may not have heard of: early on it may refuse too much.
-        while taken < 5 || all.at(0).handle.room() {
+        while taken < 5 || all.at(0).handle.has_capacity() {
             assert!(taken < 100, "takes are never refused");
             taken += 1;
-            all.until("there is room", |all| all.at(0).handle.room());
+            all.until("there is room", |all| all.at(0).handle.has_capacity());
             all.commit(0, group, from + taken, vec![1; 60_000]);
         }
         // Marks, then the end of all of them.
@@ -27,28 +27,37 @@
             all.commit(0, group, from + 500 + mark, vec![2; 100]);
         }
         all.commit(0, group, from + 900, b"end".to_vec());
-        all.until("there is room again", |all| all.at(0).handle.room());
+        all.until("there is room again", |all| all.at(0).handle.has_capacity());
     }
 }
 
 fn keeps(all: &Together, at: usize, group: GroupId) -> bool {
-    plankhill_fleet::disk::folder::log_path(&all.folders[at].path().join("fleet"), group).exists()
+    plankhill_raft_groups::disk::folder::log_path(&all.folders[at].path().join("fleet"), group)
+        .exists()
 }
 
 #[test]
 fn one_that_was_replaced_and_returns_with_its_folder_is_let_in_again_when_needed() {
     let mut all = Together::new(4, COPIES);
     let group = all.record(0);
-    all.until("three keep it", |all| all.at(0).lines("a record is kept by voters=3") == 1);
+    all.until("three keep it", |all| {
+        all.at(0).lines("a record is kept by voters=3") == 1
+    });
     let keepers: Vec<usize> = (1..4).filter(|at| keeps(&all, *at, group)).collect();
-    let [first, second] = keepers[..] else { panic!("two others keep it: {keepers:?}") };
+    let [first, second] = keepers[..] else {
+        panic!("two others keep it: {keepers:?}")
+    };
     all.stop(first);
     all.commit(0, group, 1, vec![1]);
-    all.until("it is replaced", |all| all.at(0).lines("a record is kept by voters=3") == 2);
+    all.until("it is replaced", |all| {
+        all.at(0).lines("a record is kept by voters=3") == 2
+    });
     all.start(first);
     all.commit(0, group, 2, vec![2]);
     all.stop(second);
-    all.until("it is let in again", |all| all.at(0).lines("a record is kept by voters=3") == 3);
+    all.until("it is let in again", |all| {
+        all.at(0).lines("a record is kept by voters=3") == 3
+    });
     all.commit(0, group, 3, vec![3]);
     all.stop(0);
     all.until("an heir leads", |all| leader(all, group).is_some());
@@ -77,7 +86,9 @@
     all.lose(0);
     all.until("an heir leads", |all| leader(all, group).is_some());
     let heir = leader(&mut all, group).unwrap();
-    all.until("another keeps it too", |all| all.at(heir).lines("a record is kept by") >= 1);
+    all.until("another keeps it too", |all| {
+        all.at(heir).lines("a record is kept by") >= 1
+    });
     all.lose(heir);
     all.until("the second heir leads", |all| leader(all, group).is_some());
     let second = leader(&mut all, group).unwrap();
--- a/fleet/tests/together/mod.rs
+++ b/forwarder/raft-groups/tests/together/mod.rs
@@ -6,18 +6,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use plankhill_fleet::{
-    start, GroupId, Handle, Incarnation, Machine, News, NewsStream, Order, Purpose, Start,
+use plankhill_forwarder_config::fleet::{read, FleetConfig};
+use plankhill_raft_groups::{
+    start, GroupEvent, GroupEventStream, GroupId, GroupRequest, Incarnation, Purpose, RaftGroups,
+    StartOptions, StateMachine,
 };
-use plankhill_fleet::{Term, Torn};
-use plankhill_terms::fleet::{read, Fleet};
+use plankhill_raft_groups::{CorruptSnapshot, Term};
 use tempfile::TempDir;
 
 /// Keeps the bytes of all commands, in their order, up to one that ends them all.
 #[derive(Default)]
 pub struct Bytes(Vec<u8>);
 
-impl Machine for Bytes {
+impl StateMachine for Bytes {
     fn apply(&mut self, _: Incarnation, _: Term, command: &[u8]) {
         match command {
             b"end" => self.0.clear(),
@@ -27,7 +28,7 @@
     fn snapshot(&self) -> Vec<u8> {
         self.0.clone()
     }
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), Torn> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), CorruptSnapshot> {
         self.0 = snapshot.to_vec();
         Ok(())
     }
@@ -75,27 +76,37 @@
 
 pub struct Running {
     lines: Lines,
-    pub handle: Handle,
-    news: NewsStream,
+    pub handle: RaftGroups,
+    news: GroupEventStream,
     pub heard: Heard,
 }
 
 pub struct Together {
-    pub fleet: Fleet,
+    pub fleet: FleetConfig,
     pub folders: Vec<TempDir>,
     pub running: Vec<Option<Running>>,
 }
 
 /// Free addresses: bound once, so that the system gives other ports to others meanwhile.
 fn addresses(count: usize) -> Vec<String> {
-    let all: Vec<TcpListener> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-    all.iter().map(|l| l.local_addr().unwrap().to_string()).collect()
+    let all: Vec<TcpListener> = (0..count)
+        .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
+        .collect();
+    all.iter()
+        .map(|l| l.local_addr().unwrap().to_string())
+        .collect()
 }
 
 impl Running {
     /// How often a line was logged.
     pub fn lines(&self, line: &str) -> usize {
-        self.lines.0.lock().unwrap().iter().filter(|l| l.contains(line)).count()
+        self.lines
+            .0
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|l| l.contains(line))
+            .count()
     }
 }
 
@@ -111,14 +122,19 @@
     pub fn timed(count: usize, timing: &str, more: &str) -> Self {
         let mut text = "fleet = \"t\"\n".to_owned();
         for (at, address) in addresses(count).iter().enumerate() {
-            text +=
-                &format!("[[instances]]\nname = \"i{at}\"\naddress = \"{address}\"\nmachine = \"m{at}\"\n");
+            text += &format!(
+                "[[instances]]\nname = \"i{at}\"\naddress = \"{address}\"\nmachine = \"m{at}\"\n"
+            );
         }
         text += &format!("[timing]\n{timing}{more}");
         let mut fleet = read(&text).unwrap();
         fleet.found = true;
         let folders = (0..count).map(|_| TempDir::new().unwrap()).collect();
-        let mut all = Together { fleet, folders, running: (0..count).map(|_| None).collect() };
+        let mut all = Together {
+            fleet,
+            folders,
+            running: (0..count).map(|_| None).collect(),
+        };
         for at in 0..count {
             all.start(at);
         }
@@ -144,14 +160,19 @@
 
     fn started_once(&self, at: usize) -> std::io::Result<Running> {
         let lines = Lines::default();
-        let (handle, news) = start(Start {
+        let (handle, news) = start(StartOptions {
             fleet: self.fleet.clone(),
             name: format!("i{at}"),
             folder: self.folders[at].path().join("fleet"),
             log: slog::Logger::root(lines.clone(), slog::o!()),
-            machines: Box::new(|_| Box::<Bytes>::default()),
+            state_machines: Box::new(|_| Box::<Bytes>::default()),
         })?;
-        Ok(Running { lines, handle, news, heard: Heard::default() })
+        Ok(Running {
+            lines,
+            handle,
+            news,
+            heard: Heard::default(),
+        })
     }
 
     /// Ends it: its threads at once, as far as the others can tell.
@@ -173,8 +194,17 @@
             if so(self) {
                 return;
             }
-            let lines = || self.running.iter().flatten().map(|r| r.lines.0.lock().unwrap().clone());
-            assert!(Instant::now() < end, "waited in vain until {what}: {:#?}", lines().collect::<Vec<_>>());
+            let lines = || {
+                self.running
+                    .iter()
+                    .flatten()
+                    .map(|r| r.lines.0.lock().unwrap().clone())
+            };
+            assert!(
+                Instant::now() < end,
+                "waited in vain until {what}: {:#?}",
+                lines().collect::<Vec<_>>()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -184,19 +214,28 @@
             while let Some(news) = running.news.try_next() {
                 let heard = &mut running.heard;
                 match news {
-                    News::Leads { group, purpose, state, .. } => {
-                        drop(heard.leads.insert(group, (purpose, state)))
+                    GroupEvent::Elected {
+                        group,
+                        purpose,
+                        state,
+                        ..
+                    } => drop(heard.leads.insert(group, (purpose, state))),
+                    GroupEvent::Deposed { group } => drop(heard.leads.remove(&group)),
+                    GroupEvent::Committed { group, number } => {
+                        heard.committed.push((group, number))
                     }
-                    News::Deposed { group } => drop(heard.leads.remove(&group)),
-                    News::Committed { group, number } => heard.committed.push((group, number)),
-                    News::Void { group, number } => heard.void.push((group, number)),
-                    News::Applied { command, .. } => heard.applied.push(command),
-                    News::Replaced { state } => heard.replaced = Some(state),
-                    News::Reported { body, .. } => heard.reports.push(body),
-                    News::Peer { name, incarnation, up: true } => {
+                    GroupEvent::Discarded { group, number } => heard.void.push((group, number)),
+                    GroupEvent::Applied { command, .. } => heard.applied.push(command),
+                    GroupEvent::SnapshotInstalled { state } => heard.replaced = Some(state),
+                    GroupEvent::ReportReceived { body, .. } => heard.reports.push(body),
+                    GroupEvent::PeerChanged {
+                        name,
+                        incarnation,
+                        reachable: true,
+                    } => {
                         heard.up.insert(name.0.to_string(), incarnation);
                     }
-                    News::Peer { name, .. } => drop(heard.up.remove(&*name.0)),
+                    GroupEvent::PeerChanged { name, .. } => drop(heard.up.remove(&*name.0)),
                 }
             }
         }
@@ -209,24 +248,42 @@
     /// Founds a record on an instance.
     pub fn record(&mut self, at: usize) -> GroupId {
         let before: Vec<GroupId> = self.at(at).heard.leads.keys().copied().collect();
-        self.at(at).handle.try_order(Order::Found { purpose: Purpose::Record }).unwrap();
-        self.until("a record is led", |all| all.new_record(at, &before).is_some());
+        self.at(at)
+            .handle
+            .try_request(GroupRequest::Create {
+                purpose: Purpose::EventLog,
+            })
+            .unwrap();
+        self.until("a record is led", |all| {
+            all.new_record(at, &before).is_some()
+        });
         self.new_record(at, &before).unwrap()
     }
 
     fn new_record(&mut self, at: usize, before: &[GroupId]) -> Option<GroupId> {
         let leads = &self.at(at).heard.leads;
-        let new = leads.iter().find(|(g, (purpose, _))| *purpose == Purpose::Record && !before.contains(g));
+        let new = leads
+            .iter()
+            .find(|(g, (purpose, _))| *purpose == Purpose::EventLog && !before.contains(g));
         new.map(|(group, _)| *group)
     }
 
     pub fn propose(&mut self, at: usize, group: GroupId, number: u64, command: Vec<u8>) {
-        self.at(at).handle.try_order(Order::Propose { group, number, command }).unwrap();
+        self.at(at)
+            .handle
+            .try_request(GroupRequest::Propose {
+                group,
+                number,
+                command,
+            })
+            .unwrap();
     }
 
     pub fn commit(&mut self, at: usize, group: GroupId, number: u64, command: Vec<u8>) {
         self.propose(at, group, number, command);
-        self.until("it counts", |all| all.at(at).heard.committed.contains(&(group, number)));
+        self.until("it counts", |all| {
+            all.at(at).heard.committed.contains(&(group, number))
+        });
     }
 }
 
--- a/copies/src/pipeline.rs
+++ b/forwarder/replication/src/pipeline.rs
@@ -4,13 +4,13 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use plankhill_fleet::GroupId;
+use plankhill_raft_groups::GroupId;
 
 /// Rounds that wait at most, and the bytes of their commands; past either nothing more is taken.
 const MOST_ROUNDS: usize = 512;
 const MOST_BYTES: usize = 16 << 20;
 
-pub struct Pipeline<E> {
+pub struct CommitPipeline<E> {
     rounds: VecDeque<Round<E>>,
     bytes: usize,
 }
@@ -26,7 +26,7 @@
 
 /// A round of which all is decided.
 #[derive(Debug, PartialEq)]
-pub struct Released<E> {
+pub struct ReleasedIteration<E> {
     pub effects: E,
     /// Of these groups something surely never counts: what hangs on them does not leave.
     void: BTreeSet<GroupId>,
@@ -35,37 +35,47 @@
 
 /// What became of a round's marks in one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decided {
-    Counts,
+pub enum CommitOutcome {
+    Committed,
     /// None of it ever does.
-    Void,
+    Discarded,
     /// Some of it does, and nobody was told which.
-    Partly,
+    Partial,
 }
 
-impl<E> Released<E> {
+impl<E> ReleasedIteration<E> {
     /// What is to leave, and what became of what it waited for.
-    pub fn split(self) -> (E, Released<()>) {
-        (self.effects, Released { effects: (), void: self.void, counts: self.counts })
+    pub fn split(self) -> (E, ReleasedIteration<()>) {
+        (
+            self.effects,
+            ReleasedIteration {
+                effects: (),
+                void: self.void,
+                counts: self.counts,
+            },
+        )
     }
 
     /// Of a group that the round marked nothing in, all that there is counts.
-    pub fn in_group(&self, group: GroupId) -> Decided {
+    pub fn outcome_in(&self, group: GroupId) -> CommitOutcome {
         match (self.void.contains(&group), self.counts.contains(&group)) {
-            (false, _) => Decided::Counts,
-            (true, false) => Decided::Void,
-            (true, true) => Decided::Partly,
+            (false, _) => CommitOutcome::Committed,
+            (true, false) => CommitOutcome::Discarded,
+            (true, true) => CommitOutcome::Partial,
         }
     }
 }
 
-impl<E> Default for Pipeline<E> {
+impl<E> Default for CommitPipeline<E> {
     fn default() -> Self {
-        Pipeline { rounds: VecDeque::new(), bytes: 0 }
+        CommitPipeline {
+            rounds: VecDeque::new(),
+            bytes: 0,
+        }
     }
 }
 
-impl<E> Pipeline<E> {
+impl<E> CommitPipeline<E> {
     pub fn is_empty(&self) -> bool {
         self.rounds.is_empty()
     }
@@ -76,47 +86,82 @@
     }
 
     /// A round that proposed these, so many bytes in all.
-    pub fn push(&mut self, waits: impl IntoIterator<Item = (GroupId, u64)>, bytes: usize, effects: E) {
+    pub fn push(
+        &mut self,
+        waits: impl IntoIterator<Item = (GroupId, u64)>,
+        bytes: usize,
+        effects: E,
+    ) {
         let (void, counts) = (BTreeSet::new(), BTreeSet::new());
         self.bytes += bytes;
-        self.rounds.push_back(Round { waits: waits.into_iter().collect(), bytes, void, counts, effects });
+        self.rounds.push_back(Round {
+            waits: waits.into_iter().collect(),
+            bytes,
+            void,
+            counts,
+            effects,
+        });
     }
 
     pub fn committed(&mut self, group: GroupId, number: u64) {
         self.decided(group, number, true);
     }
 
-    pub fn void(&mut self, group: GroupId, number: u64) {
+    pub fn discarded(&mut self, group: GroupId, number: u64) {
         self.decided(group, number, false);
     }
 
     fn decided(&mut self, group: GroupId, number: u64, counts: bool) {
-        let waits = self.rounds.iter_mut().find(|round| round.waits.contains(&(group, number)));
+        let waits = self
+            .rounds
+            .iter_mut()
+            .find(|round| round.waits.contains(&(group, number)));
         if let Some(round) = waits {
             round.waits.remove(&(group, number));
-            if counts { &mut round.counts } else { &mut round.void }.insert(group);
+            if counts {
+                &mut round.counts
+            } else {
+                &mut round.void
+            }
+            .insert(group);
         }
     }
 
     /// The next round that waits for nothing, nor does one before it.
-    pub fn release(&mut self) -> Option<Released<E>> {
+    pub fn release(&mut self) -> Option<ReleasedIteration<E>> {
         self.rounds.front().filter(|round| round.waits.is_empty())?;
-        let Round { bytes, void, counts, effects, .. } = self.rounds.pop_front()?;
+        let Round {
+            bytes,
+            void,
+            counts,
+            effects,
+            ..
+        } = self.rounds.pop_front()?;
         self.bytes -= bytes;
-        Some(Released { effects, void, counts })
+        Some(ReleasedIteration {
+            effects,
+            void,
+            counts,
+        })
     }
 
     /// Whether a round still waits for something of the group.
-    pub fn waits_for(&self, group: GroupId) -> bool {
-        self.rounds.iter().any(|round| round.waits.iter().any(|(of, _)| *of == group))
+    pub fn awaits_group(&self, group: GroupId) -> bool {
+        self.rounds
+            .iter()
+            .any(|round| round.waits.iter().any(|(of, _)| *of == group))
     }
 
     /// The group is led no more: no round waits for it, and what hangs on it never leaves with its round.
     /// `parts` is handed each number that was not decided yet, with its round's effects.
-    pub fn lose(&mut self, group: GroupId, mut parts: impl FnMut(u64, &mut E)) {
+    pub fn abandon_group(&mut self, group: GroupId, mut parts: impl FnMut(u64, &mut E)) {
         for round in &mut self.rounds {
-            let numbers: Vec<u64> =
-                round.waits.iter().filter(|(of, _)| *of == group).map(|(_, number)| *number).collect();
+            let numbers: Vec<u64> = round
+                .waits
+                .iter()
+                .filter(|(of, _)| *of == group)
+                .map(|(_, number)| *number)
+                .collect();
             for number in numbers {
                 round.waits.remove(&(group, number));
                 round.void.insert(group);
@@ -126,7 +171,7 @@
     }
 
     /// What has not left yet, in the order in which it will.
-    pub fn waiting(&mut self) -> impl Iterator<Item = &mut E> {
+    pub fn pending_effects(&mut self) -> impl Iterator<Item = &mut E> {
         self.rounds.iter_mut().map(|round| &mut round.effects)
     }
 }
--- a/forwarder/src/budgets/group.rs
+++ b/forwarder/server/src/budgets/group.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use plankhill_fleet::{GroupId, News, Order, Purpose};
-use plankhill_pools::leases::{encode, Command};
+use plankhill_connection_quotas::leases::{encode, Command};
+use plankhill_raft_groups::{GroupEvent, GroupId, GroupRequest, Purpose};
 use slog::{info, warn, Logger};
 
 use super::control::{framed, of_pools};
@@ -27,50 +27,63 @@
     pub(super) fn tick(&self, ground: &Ground, log: &Logger) {
         let at = now();
         let surplus = self.local.borrow().surplus(at);
-        surplus.iter().for_each(|(pool, surplus)| self.close(pool, *surplus));
+        surplus
+            .iter()
+            .for_each(|(pool, surplus)| self.close(pool, *surplus));
         let waited_for: Vec<_> = self.waiting.borrow().keys().cloned().collect();
         waited_for.iter().for_each(|pool| self.wake(pool));
         let report = self.local.borrow_mut().report(at);
         if let Some(body) = report {
             // Lost, it is made again with the next renewal.
-            let _ = ground.order(Order::Report { body });
+            let _ = ground.order(GroupRequest::Report { body });
         }
         let due = self.local.borrow_mut().due(at);
-        due.into_iter().for_each(|command| self.propose(ground, log, command));
+        due.into_iter()
+            .for_each(|command| self.propose(ground, log, command));
     }
 
     /// News of the control group; others change nothing.
-    pub fn news(&self, ground: &Ground, log: &Logger, news: &News) {
+    pub fn news(&self, ground: &Ground, log: &Logger, news: &GroupEvent) {
         let at = now();
         match news {
-            News::Leads { group, purpose: Purpose::Control, term, state } => {
+            GroupEvent::Elected {
+                group,
+                purpose: Purpose::Control,
+                term,
+                state,
+            } => {
                 info!(log, "gives the parts of pools"; "term" => term.0);
                 self.proposals.borrow_mut().leads = Some(*group);
                 self.local.borrow_mut().leads(at, term.0, state);
             }
-            News::Deposed { group } if self.proposals.borrow().leads == Some(*group) => {
+            GroupEvent::Deposed { group } if self.proposals.borrow().leads == Some(*group) => {
                 info!(log, "gives the parts of pools no more");
                 self.proposals.borrow_mut().leads = None;
                 self.local.borrow_mut().deposed();
             }
-            News::Committed { group, number } => {
+            GroupEvent::Committed { group, number } => {
                 self.proposals.borrow_mut().open.remove(&(*group, *number));
             }
-            News::Void { group, number } => {
+            GroupEvent::Discarded { group, number } => {
                 let void = self.proposals.borrow_mut().open.remove(&(*group, *number));
-                void.iter().for_each(|command| self.local.borrow_mut().void(command));
+                void.iter()
+                    .for_each(|command| self.local.borrow_mut().void(command));
             }
-            News::Applied { term, command, .. } => {
+            GroupEvent::Applied { term, command, .. } => {
                 if let Some(command) = of_pools(command) {
                     self.local.borrow_mut().applied(at, term.0, command);
                 }
             }
-            News::Replaced { state } => self.local.borrow_mut().replaced(state),
-            News::Reported { body, .. } => {
+            GroupEvent::SnapshotInstalled { state } => self.local.borrow_mut().replaced(state),
+            GroupEvent::ReportReceived { body, .. } => {
                 let command = self.local.borrow_mut().reported(at, body);
-                command.into_iter().for_each(|command| self.propose(ground, log, command));
+                command
+                    .into_iter()
+                    .for_each(|command| self.propose(ground, log, command));
             }
-            News::Leads { .. } | News::Deposed { .. } | News::Peer { .. } => (),
+            GroupEvent::Elected { .. }
+            | GroupEvent::Deposed { .. }
+            | GroupEvent::PeerChanged { .. } => (),
         }
     }
 
@@ -85,7 +98,14 @@
         }
         let number = proposals.numbers.get(&group).copied().unwrap_or(0) + 1;
         let body = framed(encode(&command));
-        if ground.order(Order::Propose { group, number, command: body }).is_err() {
+        if ground
+            .order(GroupRequest::Propose {
+                group,
+                number,
+                command: body,
+            })
+            .is_err()
+        {
             warn!(log, "the fleet's ring is full: parts of pools come later");
             return self.local.borrow_mut().void(&command);
         }
--- a/forwarder/src/budgets/place.rs
+++ b/forwarder/server/src/budgets/place.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use plankhill::interface::*;
-use plankhill_pools::language::PoolId;
-use plankhill_pools::local::{Entry, Use};
+use plankhill_connection_quotas::language::PoolId;
+use plankhill_connection_quotas::local::{Admission, ConnectionUse};
+use plankhill_decisions::interface::*;
 
 use super::{now, Budgets};
 
@@ -15,13 +15,17 @@
     counted: RefCell<Option<(Rc<Budgets>, PoolId)>>,
     target: TargetId,
     /// None while the connection stands idle.
-    used: Cell<Option<Use>>,
+    used: Cell<Option<ConnectionUse>>,
 }
 
 impl Place {
     /// Where no budget holds.
     pub fn free(target: &TargetId) -> Place {
-        Place { counted: RefCell::new(None), target: target.clone(), used: Cell::new(None) }
+        Place {
+            counted: RefCell::new(None),
+            target: target.clone(),
+            used: Cell::new(None),
+        }
     }
 
     /// The place itself, to go on apart from its connection; a free one stays behind.
@@ -32,9 +36,13 @@
     /// The connection's use is over. False if it has to be closed.
     pub fn rests(&self) -> bool {
         let counted = self.counted.borrow();
-        let Some((budgets, pool)) = counted.as_ref() else { return true };
-        let Some(what) = self.used.take() else { return true };
-        let stays = budgets.local.borrow_mut().rests(now(), pool, what);
+        let Some((budgets, pool)) = counted.as_ref() else {
+            return true;
+        };
+        let Some(what) = self.used.take() else {
+            return true;
+        };
+        let stays = budgets.local.borrow_mut().release_idle(now(), pool, what);
         budgets.idle(&self.target, pool, 1);
         budgets.wake(pool);
         stays
@@ -43,12 +51,17 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let Some((budgets, pool)) = self.counted.take() else { return };
+        let Some((budgets, pool)) = self.counted.take() else {
+            return;
+        };
         let used = self.used.take();
         if used.is_none() {
             budgets.idle(&self.target, &pool, -1);
         }
-        budgets.local.borrow_mut().left(now(), &pool, used);
+        budgets
+            .local
+            .borrow_mut()
+            .connection_closed(now(), &pool, used);
         budgets.wake(&pool);
     }
 }
@@ -57,7 +70,9 @@
     /// Connections that stand idle at a target.
     fn idle(&self, target: &TargetId, pool: &PoolId, change: i32) {
         let mut actors = self.actors.borrow_mut();
-        let Some(actor) = actors.get_mut(target) else { return };
+        let Some(actor) = actors.get_mut(target) else {
+            return;
+        };
         let count = actor.idle.entry(pool.clone()).or_default();
         *count = count.saturating_add_signed(change);
         if *count == 0 {
@@ -74,25 +89,36 @@
         ends: Instant,
         kept: Option<&Place>,
     ) -> Result<Option<Place>, PoolId> {
-        let what = if ping { Use::Trial } else { self.event() };
+        let what = if ping {
+            ConnectionUse::Trial
+        } else {
+            self.event()
+        };
         let left = ends.saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
         let from = kept.and_then(|kept| Some(kept.counted.borrow().as_ref()?.1.clone()));
         let at = now();
-        let entry = self.local.borrow_mut().enter(at, at + left, &target.0, what, from.as_ref());
+        let entry = self
+            .local
+            .borrow_mut()
+            .acquire(at, at + left, &target.0, what, from.as_ref());
         match entry {
-            Entry::Unbounded => Ok(kept.is_none().then(|| Place::free(target))),
-            Entry::Full(pool) => Err(pool),
-            Entry::In(pool) => {
+            Admission::Unlimited => Ok(kept.is_none().then(|| Place::free(target))),
+            Admission::Exhausted(pool) => Err(pool),
+            Admission::Admitted(pool) => {
                 let counted = Some((self.clone(), pool.clone()));
                 let Some(kept) = kept else {
                     let (target, used) = (target.clone(), Cell::new(Some(what)));
-                    return Ok(Some(Place { counted: RefCell::new(counted), target, used }));
+                    return Ok(Some(Place {
+                        counted: RefCell::new(counted),
+                        target,
+                        used,
+                    }));
                 };
                 if let Some(from) = &from {
                     self.idle(target, from, -1);
                     if *from != pool {
                         // Another policy counts it elsewhere.
-                        self.local.borrow_mut().left(at, from, None);
+                        self.local.borrow_mut().connection_closed(at, from, None);
                     }
                 }
                 *kept.counted.borrow_mut() = counted;
@@ -104,7 +130,7 @@
 
     /// Waits until there may be room. An idle connection that takes the last place elsewhere is closed.
     pub async fn room(&self, pool: &PoolId) {
-        if self.local.borrow().is_taken(now(), pool) {
+        if self.local.borrow().is_exhausted(now(), pool) {
             self.close(pool, 1);
         }
         let woken = self.waits(pool);
--- a/forwarder/src/clients/client.rs
+++ b/forwarder/server/src/clients/client.rs
@@ -6,8 +6,8 @@
 use async_channel::Sender;
 use async_io::Timer;
 use futures_lite::future;
-use plankhill::interface::Ms;
-use plankhill_handover::{Event, Verdict, Word};
+use plankhill_decisions::interface::Ms;
+use plankhill_hot_restart::{Event, Verdict, Word};
 use slog::debug;
 
 use super::door::{Door, Left, Waits, IDLE, JUST_CAME};
@@ -60,7 +60,9 @@
                 by = Instant::now() + READING;
             }
             let Some(begun) = self.buffer().await else {
-                return self.refuse(Refusal(503, "no memory for more requests")).await;
+                return self
+                    .refuse(Refusal(503, "no memory for more requests"))
+                    .await;
             };
             let request = match door.waits(Waits::Reads, by, self.read(begun)).await {
                 Ok(Ok(Some(request))) => request,
@@ -70,8 +72,17 @@
                     return self.refuse(Refusal(408, "the request took too long")).await;
                 }
             };
-            waits = if waits == Waits::Silent { Waits::Once } else { Waits::Idle };
-            by = Instant::now() + if waits == Waits::Once { door.once() } else { IDLE };
+            waits = if waits == Waits::Silent {
+                Waits::Once
+            } else {
+                Waits::Idle
+            };
+            by = Instant::now()
+                + if waits == Waits::Once {
+                    door.once()
+                } else {
+                    IDLE
+                };
             self.last |= request.closes || self.full;
             let answered = match request.asked {
                 Asked::Up if self.common.gate.is_shut() => self.respond(503, &[], "").await,
@@ -115,15 +126,26 @@
         };
         let left = by.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
         if let Ok(stream) = self.stream.into_inner() {
-            let _ = to.send((Word::Client { asked, left }, Some(stream.into()))).await;
+            let _ = to
+                .send((Word::Client { asked, left }, Some(stream.into())))
+                .await;
         }
     }
 
     pub(super) fn fresh(&self) -> Option<Begun> {
         // Calls are not to want for one, nor clients where the memory is small for the slots.
         let pool = &self.common.pool;
-        let spare = pool.left() > self.common.told.terms.slots.min(pool.most() / 2);
-        spare.then(|| pool.take()).flatten().map(|buffer| Begun { buffer, filled: 0 })
+        let spare = pool.left()
+            > self
+                .common
+                .told
+                .decisions
+                .max_calls_in_flight
+                .min(pool.most() / 2);
+        spare
+            .then(|| pool.take())
+            .flatten()
+            .map(|buffer| Begun { buffer, filled: 0 })
     }
 
     /// With what came of the next request. Those that are half-way through theirs for long give way.
@@ -150,7 +172,11 @@
             let _ = self.stream.readable().await;
         };
         let over = future::or(closes, self.common.passes.opens());
-        let more = self.door.waits(waits, by, future::or(readable, over)).await.is_ok();
+        let more = self
+            .door
+            .waits(waits, by, future::or(readable, over))
+            .await
+            .is_ok();
         // What has come by then is still answered.
         more && !self.common.gate.is_shut() || !is_quiet(&self.stream)
     }
@@ -167,20 +193,34 @@
             return self.tell(Verdict::Refused(None)).await;
         }
         // Copies are handed in under ids of their own.
-        if self.common.fanout.as_ref().is_some_and(|fanout| fanout.bars(&event.id)) {
+        if self
+            .common
+            .fanout
+            .as_ref()
+            .is_some_and(|fanout| fanout.bars(&event.id))
+        {
             return self.tell(Verdict::Refused(None)).await;
         }
         if self.full {
-            let wait = self.common.told.terms.longest_advice;
+            let wait = self.common.told.decisions.max_retry_after;
             return self.tell(Verdict::Refused(wait)).await;
         }
         let (answer, verdict) = async_channel::bounded(1);
         let id = event.id.clone();
         let patience_ends = self.common.clock.now() + event.patience;
         // What is not committed by then is neither taken nor refused: the connection is closed without a word.
-        let patience = self.common.copies().map(|_| Instant::now() + millis(event.patience));
+        let patience = self
+            .common
+            .copies()
+            .map(|_| Instant::now() + millis(event.patience));
         let number = self.common.number();
-        let handed = Handed { number, event, patience_ends, body, answer };
+        let handed = Handed {
+            number,
+            event,
+            patience_ends,
+            body,
+            answer,
+        };
         if self.to_rounds.send(CameIn::Event(handed)).await.is_err() {
             self.last = true;
             return self.tell(Verdict::Refused(None)).await;
--- a/forwarder/src/clients/mod.rs
+++ b/forwarder/server/src/clients/mod.rs
@@ -62,17 +62,28 @@
 
 impl Clients {
     pub fn new(common: Common, to_rounds: Sender<CameIn>) -> Self {
-        let door = Rc::new(Door { open: common.clients.clone(), ..Door::default() });
-        Clients { common, to_rounds, door }
+        let door = Rc::new(Door {
+            open: common.clients.clone(),
+            ..Door::default()
+        });
+        Clients {
+            common,
+            to_rounds,
+            door,
+        }
     }
 
     /// As many are served at most: what the targets, discovery, the files and operators do not need, nor the
     /// process that this one took over from.
     fn most(&self) -> usize {
         let told = &self.common.told;
-        let callers = told.mgmt.map_or(0, |_| operators::MOST + 1);
-        let others = most_idle(told) + told.terms.slots + FILES + callers + self.common.aside.get();
-        told.sockets.saturating_sub(others).max(1)
+        let callers = told.admin_address.map_or(0, |_| operators::MOST + 1);
+        let others = most_idle(told)
+            + told.decisions.max_calls_in_flight
+            + FILES
+            + callers
+            + self.common.aside.get();
+        told.max_sockets.saturating_sub(others).max(1)
     }
 
     pub async fn listen(self, listener: Async<TcpListener>) {
@@ -122,18 +133,35 @@
 
     fn turn_away(&self, stream: Stream) {
         let mut message = Vec::with_capacity(128);
-        let fields: [(&str, &dyn std::fmt::Display); 2] = [("Retry-After", &1), ("Connection", &"close")];
+        let fields: [(&str, &dyn std::fmt::Display); 2] =
+            [("Retry-After", &1), ("Connection", &"close")];
         let _ = http1::response(&mut message, 503, &fields, 0);
         closing::turn_away(&stream, &message);
     }
 
     fn serve(&self, stream: Stream, full: bool, counted: Counted, waits: Waits, left: Duration) {
-        let Clients { common, to_rounds, door } = self.clone();
+        let Clients {
+            common,
+            to_rounds,
+            door,
+        } = self.clone();
         let executor = common.executor.clone();
         let came = Instant::now();
         let (begun, last, ready) = (None, false, None);
-        let client =
-            Client { common, to_rounds, stream, full, door, begun, last, came, ready, _counted: counted };
-        executor.spawn(client.run(waits, Instant::now() + left)).detach();
+        let client = Client {
+            common,
+            to_rounds,
+            stream,
+            full,
+            door,
+            begun,
+            last,
+            came,
+            ready,
+            _counted: counted,
+        };
+        executor
+            .spawn(client.run(waits, Instant::now() + left))
+            .detach();
     }
 }
--- a/forwarder/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -13,12 +13,14 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use plankhill::interface::*;
-use plankhill_fanout::{copy_of, Broadcast, BroadcastId, Fanout, InstanceId, Layout, ListName};
-use plankhill_fanout::{Host, Outcome, Position, Refusal, Station, Subscriber};
-use plankhill_fleet::Incarnation;
-use plankhill_handover::{Event, Verdict};
-use plankhill_ledger::Outcome as End;
+use plankhill_decisions::interface::*;
+use plankhill_event_log::Outcome as End;
+use plankhill_fanout::{
+    copy_of, Broadcast, BroadcastId, FanoutState, InstanceId, Layout, ListName,
+};
+use plankhill_fanout::{Host, LocalInstance, Outcome, Position, Rejection, Subscriber};
+use plankhill_hot_restart::{Event, Verdict};
+use plankhill_raft_groups::Incarnation;
 
 pub use self::machine::Control;
 use crate::clock::Clock;
@@ -39,7 +41,7 @@
 pub struct FanOut {
     clock: Clock,
     layout: Layout,
-    station: RefCell<Station>,
+    station: RefCell<LocalInstance>,
     /// Copies that the rounds have, from handing in to the end that was heard.
     owed: RefCell<HashSet<EventId>>,
     /// How copies ended whose notice is on its way.
@@ -59,7 +61,7 @@
 struct Owed<'a>(&'a HashSet<EventId>);
 
 impl Host for Owed<'_> {
-    fn owes(&self, event: &EventId) -> bool {
+    fn is_pending(&self, event: &EventId) -> bool {
         self.0.contains(event)
     }
 }
@@ -68,7 +70,7 @@
     pub fn new(clock: Clock, me: Incarnation, layout: Layout) -> Rc<Self> {
         // Microseconds grow from process to process of a folder.
         let process = (clock.now() * 1000.0) as u64;
-        let station = Station::new(InstanceId(me.0), process, Fanout::default());
+        let station = LocalInstance::new(InstanceId(me.0), process, FanoutState::default());
         Rc::new(FanOut {
             clock,
             layout,
@@ -90,9 +92,9 @@
         traffic: String,
         event: Event,
         body: &Body,
-    ) -> Result<Receiver<Verdict>, Refusal> {
+    ) -> Result<Receiver<Verdict>, Rejection> {
         if self.closing.get() {
-            return Err(Refusal::Full);
+            return Err(Rejection::Full);
         }
         let now = self.clock.now();
         let broadcast = Broadcast {
@@ -114,7 +116,8 @@
 
     /// Whether the id is that of a copy: no client may hand in an event under it meanwhile.
     pub fn bars(&self, event: &EventId) -> bool {
-        copy_of(event).is_some_and(|(broadcast, _)| self.station.borrow().state().is_kept(&broadcast))
+        copy_of(event)
+            .is_some_and(|(broadcast, _)| self.station.borrow().state().is_kept(&broadcast))
     }
 
     fn copy(&self, event: &EventId) -> Option<Copy> {
@@ -136,8 +139,12 @@
 
     /// A call of the event goes to the target.
     pub fn sends(&self, event: &EventId, target: &TargetId) {
-        let Some(copy) = self.copy(event).filter(|_| self.is_owed(event)) else { return };
-        self.station.borrow_mut().called(self.clock.now(), copy);
+        let Some(copy) = self.copy(event).filter(|_| self.is_owed(event)) else {
+            return;
+        };
+        self.station
+            .borrow_mut()
+            .on_attempt_started(self.clock.now(), copy);
         let mut serves = self.serves.borrow_mut();
         if serves.len() < self.layout.bounds.kept_in_all {
             serves.insert(target.clone(), copy.0);
@@ -147,7 +154,9 @@
     /// The target is parked or cold: its subscriber is not slow for that.
     pub fn rests(&self, target: &TargetId) {
         if let Some(subscriber) = self.serves.borrow().get(target) {
-            self.station.borrow_mut().rests(*subscriber, self.clock.now() + RESTS);
+            self.station
+                .borrow_mut()
+                .exclude_from_lag(*subscriber, self.clock.now() + RESTS);
         }
     }
 
@@ -159,20 +168,32 @@
     /// The event was given up; its notice goes out.
     pub fn ended(&self, event: &EventId, outcome: End) {
         if self.is_owed(event) {
-            self.ends.borrow_mut().insert(event.clone(), outcome_of(outcome));
+            self.ends
+                .borrow_mut()
+                .insert(event.clone(), outcome_of(outcome));
         }
     }
 
     /// The event was delivered, or its end was heard.
     pub fn over(&self, event: &EventId, delivered: bool) {
         let owed = self.owed.borrow_mut().remove(event);
-        let known = self.ends.borrow_mut().remove(event).or(self.telling.borrow_mut().heard(event));
+        let known = self
+            .ends
+            .borrow_mut()
+            .remove(event)
+            .or(self.telling.borrow_mut().heard(event));
         if !owed && known.is_none() {
             return;
         }
-        let outcome = if delivered { Outcome::Completed } else { known.unwrap_or(Outcome::WrittenOff) };
+        let outcome = if delivered {
+            Outcome::Completed
+        } else {
+            known.unwrap_or(Outcome::Abandoned)
+        };
         if let Some(copy) = self.copy(event) {
-            self.station.borrow_mut().over(self.clock.now(), copy, outcome);
+            self.station
+                .borrow_mut()
+                .on_outcome_acknowledged(self.clock.now(), copy, outcome);
             self.rings();
         }
     }
@@ -192,14 +213,14 @@
 
 fn outcome_of(end: End) -> Outcome {
     match end {
-        End::Dismissed => Outcome::Dismissed,
-        End::WrittenOff => Outcome::WrittenOff,
+        End::Rejected => Outcome::Rejected,
+        End::Abandoned => Outcome::Abandoned,
     }
 }
 
 fn end_of(outcome: Outcome) -> End {
     match outcome {
-        Outcome::Dismissed => End::Dismissed,
-        Outcome::Completed | Outcome::WrittenOff => End::WrittenOff,
+        Outcome::Rejected => End::Rejected,
+        Outcome::Completed | Outcome::Abandoned => End::Abandoned,
     }
 }
--- a/forwarder/src/heir.rs
+++ b/forwarder/server/src/heir.rs
@@ -1,5 +1,5 @@
 //! The part of a new version that starts beside a running process: it takes over from it, or waits for the
-//! folder's lock. What it does next is decided in `plankhill_handover::Heir`.
+//! folder's lock. What it does next is decided in `plankhill_hot_restart::Heir`.
 
 use std::collections::HashSet;
 use std::io;
@@ -9,11 +9,11 @@
 
 use async_channel::Sender;
 use async_io::{Async, Timer};
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_handover::*;
-use plankhill_ledger::{Ledger, Owed};
-use plankhill_terms::fields::Plain;
+use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
+use plankhill_event_log::{EventLog, PendingEvent};
+use plankhill_forwarder_config::fields::Plain;
+use plankhill_hot_restart::*;
 use slog::{info, warn};
 
 use crate::alone;
@@ -38,10 +38,10 @@
 /// What the process that ran before hands over.
 pub struct Inherited {
     pub state: State,
-    pub forwarder: Forwarder,
+    pub forwarder: Scheduler,
     pub listener: Async<TcpListener>,
-    pub ledger: Ledger,
-    pub owed: Vec<Owed>,
+    pub ledger: EventLog,
+    pub owed: Vec<PendingEvent>,
     pub left_out: LeftOut,
     pub lock: Lock,
     pub passage: Passage,
@@ -56,7 +56,7 @@
 /// While another process holds the folder.
 pub async fn take_over(common: &Common) -> Plain<Start> {
     let by = Instant::now() + WAITING;
-    let folder = &common.told.state;
+    let folder = &common.told.state_folder;
     let mut told = false;
     alone::is_ours(&common.told)?;
     loop {
@@ -82,12 +82,20 @@
 }
 
 async fn ask(common: &Common) -> io::Result<Inherited> {
-    let (folder, mut role) = (&common.told.state, Heir::default());
+    let (folder, mut role) = (&common.told.state_folder, Heir::default());
     let passage = connect(folder).await?;
     let mut ears = passage.ears();
     let by = Instant::now() + ASKING;
     let late = || io::Error::from(io::ErrorKind::TimedOut);
-    passage.tell(&Word::Hello { version: VERSION, names: common.told.all_names() }, None).await?;
+    passage
+        .tell(
+            &Word::Hello {
+                version: VERSION,
+                names: common.told.all_names(),
+            },
+            None,
+        )
+        .await?;
     let (state, listener) = match until(by, ears.next()).await.ok_or_else(late)?? {
         (Word::State(state), Some(listener)) => (*state, listener),
         (Word::No { why }, _) => {
@@ -98,13 +106,18 @@
     };
     // It stands still until this one is prepared.
     let read = read(common, &state, listener);
-    if role.hears(Happens::State { readable: read.is_ok() }) != Does::Prepares {
+    if role.hears(Happens::State {
+        readable: read.is_ok(),
+    }) != Does::Prepares
+    {
         return Err(read.err().unwrap_or_else(late));
     }
     let (forwarder, listener, mut ledger, owed, left_out) = read?;
     passage.tell(&Word::Prepared, None).await?;
     let heard = until(by, ears.next()).await.ok_or_else(late)??;
-    let (Word::Yours, Some(lock)) = heard else { return Err(io::Error::other("it goes on itself")) };
+    let (Word::Yours, Some(lock)) = heard else {
+        return Err(io::Error::other("it goes on itself"));
+    };
     if role.hears(Happens::Yours) == Does::Begins {
         ledger.change_owner()?;
     }
@@ -112,25 +125,43 @@
     common.numbers.set(state.next_number);
     passage.tell(&Word::Begun, None).await?;
     let lock = Lock::passed(lock);
-    Ok(Inherited { state, forwarder, listener, ledger, owed, left_out, lock, passage, ears })
+    Ok(Inherited {
+        state,
+        forwarder,
+        listener,
+        ledger,
+        owed,
+        left_out,
+        lock,
+        passage,
+        ears,
+    })
 }
 
-type Read = (Forwarder, Async<TcpListener>, Ledger, Vec<Owed>, LeftOut);
+type Read = (
+    Scheduler,
+    Async<TcpListener>,
+    EventLog,
+    Vec<PendingEvent>,
+    LeftOut,
+);
 
 fn read(common: &Common, state: &State, listener: OwnedFd) -> io::Result<Read> {
     let told = &common.told;
     let listener = Async::new(TcpListener::from(listener))?;
-    if listener.get_ref().local_addr()?.ip() != told.listen.ip() {
+    if listener.get_ref().local_addr()?.ip() != told.listen_address.ip() {
         return Err(io::Error::other("it listens at another address"));
     }
     let forwarder = rmp_serde::from_slice(&state.module).map_err(io::Error::other)?;
-    let (ledger, owed) = Ledger::open(&told.state, told.disk)?;
+    let (ledger, owed) = EventLog::open(&told.state_folder, told.max_disk_bytes)?;
     if let Some(traffic) = broken(told, &owed) {
-        let why =
-            format!("profiles: {traffic:?}: an event is owed that was promised more than the settings say");
+        let why = format!(
+            "profiles: {traffic:?}: an event is owed that was promised more than the settings say"
+        );
         return Err(io::Error::other(why));
     }
-    let left_out = LeftOut::open(&told.state, told.disk).map_err(io::Error::other)?;
+    let left_out =
+        LeftOut::open(&told.state_folder, told.max_disk_bytes).map_err(io::Error::other)?;
     Ok((forwarder, listener, ledger, owed, left_out))
 }
 
@@ -162,11 +193,20 @@
         self.common.pool.set_most(most);
         // Its calls may have run, and say nothing of their targets.
         for event in self.out {
-            let ended = CameIn::SendEnded(event, Ended::plain(Fate::Cancelled));
+            let ended = CameIn::SendEnded(
+                event,
+                AttemptReport::from_outcome(AttemptOutcome::Cancelled),
+            );
             let _ = self.to_rounds.send(ended).await;
         }
         for target in self.pings {
-            let _ = self.to_rounds.send(CameIn::PingEnded { target, fate: Fate::NotSent }).await;
+            let _ = self
+                .to_rounds
+                .send(CameIn::PingEnded {
+                    target,
+                    fate: AttemptOutcome::NotSent,
+                })
+                .await;
         }
     }
 
@@ -189,7 +229,9 @@
         let came = match word {
             Word::Client { asked, left } => {
                 // What was held there is held here now.
-                self.common.aside.set(self.common.aside.get().saturating_sub(1));
+                self.common
+                    .aside
+                    .set(self.common.aside.get().saturating_sub(1));
                 self.clients.take_over(stream?, asked, millis(left));
                 return Some(());
             }
@@ -198,7 +240,9 @@
                 return Some(());
             }
             Word::Idle { target, age } => {
-                let since = Instant::now().checked_sub(millis(age)).unwrap_or_else(Instant::now);
+                let since = Instant::now()
+                    .checked_sub(millis(age))
+                    .unwrap_or_else(Instant::now);
                 CameIn::Kept(target, stream?, since)
             }
             Word::Event(handed) => {
@@ -221,9 +265,10 @@
                 self.pings.remove(&target);
                 CameIn::PingEnded { target, fate }
             }
-            Word::Operator { number, order } => {
-                CameIn::Operator(order, self.passes_on(move |reply| Word::Reply { number, reply }))
-            }
+            Word::Operator { number, order } => CameIn::Operator(
+                order,
+                self.passes_on(move |reply| Word::Reply { number, reply }),
+            ),
             // What it says before it hands over, or what this one says itself.
             _ => return Some(()),
         };
--- a/forwarder/src/list.rs
+++ b/forwarder/server/src/list.rs
@@ -61,33 +61,50 @@
     let (mut bytes, mut stream) = (vec![0; LONGEST], None);
     let whole = watch(common, None, WHOLE_LIST, &mut stream, &mut bytes);
     match until(Instant::now() + AT_START, whole).await {
-        Some(Ok(page)) if is_whole(&page) => return Start { known: page, had: true },
+        Some(Ok(page)) if is_whole(&page) => {
+            return Start {
+                known: page,
+                had: true,
+            }
+        }
         Some(Err(e)) => warn!(common.log, "discovery cannot be asked at the start"; "error" => %e),
         _ => warn!(common.log, "discovery is silent at the start"),
     }
-    let kept = kept::read(&common.told.state).filter(|kept| revision(kept) >= revision(&known));
-    Start { known: kept.unwrap_or(known), had: false }
+    let kept =
+        kept::read(&common.told.state_folder).filter(|kept| revision(kept) >= revision(&known));
+    Start {
+        known: kept.unwrap_or(known),
+        had: false,
+    }
 }
 
 /// Watches until the rounds end. When discovery moves, the watch goes on at its new address.
 pub async fn run(common: Common, start: Start, to_rounds: Sender<CameIn>, moved: Receiver<()>) {
     // It has a small part of the disk.
-    let most = common.told.disk / 40;
+    let most = common.told.max_disk_bytes / 40;
     let mut list = Kept::default();
     let Start { known, had } = start;
     list.take(&known);
     drop(known);
-    list.write(&common.told.state, most);
+    list.write(&common.told.state_folder, most);
     let (mut bytes, mut stream) = (vec![0; LONGEST], None);
     let mut trouble = String::new();
-    let forwarders = common.told.terms.forwarders;
+    let forwarders = common.told.decisions.forwarder_count;
     let shared = common.told.names.ask_within.is_some();
     let mut pause = match shared {
-        true => Pause::new(common.told.terms.seed, &common.told.name, forwarders),
+        true => Pause::new(common.told.decisions.seed, &common.told.name, forwarders),
         false => Pause::beside(),
     };
-    let stands = if shared { ((WATCH_EACH * forwarders) as u64).clamp(WATCH.0, WATCH.1) } else { WATCH.0 };
-    let short = if shared { AFTER_FAILURE } else { AFTER_FAILURE_BESIDE };
+    let stands = if shared {
+        ((WATCH_EACH * forwarders) as u64).clamp(WATCH.0, WATCH.1)
+    } else {
+        WATCH.0
+    };
+    let short = if shared {
+        AFTER_FAILURE
+    } else {
+        AFTER_FAILURE_BESIDE
+    };
     let moves = || async {
         if moved.recv().await.is_err() {
             future::pending::<()>().await;
@@ -136,7 +153,7 @@
                     pause.answered();
                 }
                 list.take(&page);
-                list.write(&common.told.state, most);
+                list.write(&common.told.state_folder, most);
                 if to_rounds.send(CameIn::List(page)).await.is_err() {
                     return;
                 }
@@ -177,8 +194,16 @@
         let answer = ask(kept, to, &request, bytes, WHOLE).await?;
         let bad = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
         let head = &bytes[answer.head.clone()];
-        if plankhill_http1::ResponseHead::read(head).map_err(|e| bad(e.to_string()))?.status != 200 {
-            return Err(bad(String::from_utf8_lossy(head).lines().next().unwrap_or_default().to_owned()));
+        if plankhill_http1::ResponseHead::read(head)
+            .map_err(|e| bad(e.to_string()))?
+            .status
+            != 200
+        {
+            return Err(bad(String::from_utf8_lossy(head)
+                .lines()
+                .next()
+                .unwrap_or_default()
+                .to_owned()));
         }
         let page: Value = serde_json::from_slice(&bytes[answer.body])
             .map_err(|e| bad(format!("the list is not JSON: {e}")))?;
@@ -188,12 +213,18 @@
         // A watch waits for something newer: this is the word of one that is behind, or that began anew. What it
         // changes was changed since; what it holds, if it began anew, it says when asked for the whole.
         match (revision(&page), since) {
-            (Some(said), Some(since)) if said < since => Err(io::Error::other(Older { said, since })),
-            (_, None) if !is_whole(&page) => Err(bad("the list that was answered is not whole".into())),
+            (Some(said), Some(since)) if said < since => {
+                Err(io::Error::other(Older { said, since }))
+            }
+            (_, None) if !is_whole(&page) => {
+                Err(bad("the list that was answered is not whole".into()))
+            }
             _ => Ok(page),
         }
     };
-    until(until_silent, exchange).await.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
+    until(until_silent, exchange)
+        .await
+        .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
 }
 
 /// A page with an older revision than the watch asked for.
@@ -205,7 +236,11 @@
 
 impl std::fmt::Display for Older {
     fn fmt(&self, to: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(to, "the list is of revision {}, older than {}", self.said, self.since)
+        write!(
+            to,
+            "the list is of revision {}, older than {}",
+            self.said, self.since
+        )
     }
 }
 
--- a/forwarder/src/mail.rs
+++ b/forwarder/server/src/mail.rs
@@ -5,11 +5,11 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use plankhill::interface::*;
-use plankhill_fleet::{GroupId, News};
-use plankhill_handover::{Event, State, Verdict, Word};
-use plankhill_ledger::{Outcome, Taken};
-use plankhill_operators::{Order, Reply};
+use plankhill_admin::{Order, Reply};
+use plankhill_decisions::interface::*;
+use plankhill_event_log::{AcceptedEvent, Outcome};
+use plankhill_hot_restart::{Event, State, Verdict, Word};
+use plankhill_raft_groups::{GroupEvent, GroupId};
 use serde_json::Value;
 
 use crate::budgets::Place;
@@ -21,10 +21,10 @@
     Event(Handed),
     /// The client that handed it in under that number went away before it had its answer.
     Withdrawn(EventId, u64),
-    SendEnded(EventId, Ended),
+    SendEnded(EventId, AttemptReport),
     PingEnded {
         target: TargetId,
-        fate: Fate,
+        fate: AttemptOutcome,
     },
     List(Value),
     /// The target's actor has ended: it had nothing left to own.
@@ -38,11 +38,11 @@
     },
     Heard(Vec<EventId>),
     /// A copy of a broadcast that is not to be handed in: its end is noted and told.
-    TellEnd(Taken<'static>, Outcome),
+    TellEnd(AcceptedEvent<'static>, Outcome),
     /// What operators ask; who asked waits for the reply.
     Operator(Order, Sender<Reply>),
     /// What the groups say that keep copies.
-    Ground(News),
+    Ground(GroupEvent),
     Closing,
     /// A call is about to be written, some time after it was decided. Answered once what came in before is handed
     /// over: what is decided on it is told to the target's actor in the same turn.
--- a/forwarder/src/passes.rs
+++ b/forwarder/server/src/passes.rs
@@ -4,7 +4,7 @@
 use std::os::fd::OwnedFd;
 
 use async_channel::{Receiver, Sender};
-use plankhill_handover::{Passage, Word};
+use plankhill_hot_restart::{Passage, Word};
 
 /// A word, with a descriptor that is closed here once it is told.
 pub type Told = (Word, Option<OwnedFd>);
@@ -28,7 +28,11 @@
 impl Default for Passes {
     fn default() -> Self {
         let (shut, opens) = async_channel::bounded(1);
-        Passes { to: RefCell::default(), shut: RefCell::new(Some(shut)), opens }
+        Passes {
+            to: RefCell::default(),
+            shut: RefCell::new(Some(shut)),
+            opens,
+        }
     }
 }
 
