--- a/forwarder/src/rounds/hands.rs
+++ b/forwarder/server/src/rounds/hands.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use async_channel::Sender;
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_fleet::GroupId;
-use plankhill_handover::{Verdict, Word};
+use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
+use plankhill_hot_restart::{Verdict, Word};
+use plankhill_raft_groups::GroupId;
 use slog::{debug, warn};
 
 use super::keeps::Keeps;
@@ -63,36 +63,49 @@
 }
 
 impl Hands {
-    pub(super) fn hand_over(&mut self, to: &mut Forwarder, what: CameIn) {
+    pub(super) fn hand_over(&mut self, to: &mut Scheduler, what: CameIn) {
         match what {
-            CameIn::Event(Handed { event, patience_ends, .. }) => {
-                to.taken(event.id, event.destination, event.traffic, patience_ends, event.key);
+            CameIn::Event(Handed {
+                event,
+                patience_ends,
+                ..
+            }) => {
+                to.accept_event(
+                    event.id,
+                    event.destination,
+                    event.traffic,
+                    patience_ends,
+                    event.key,
+                );
             }
             CameIn::Withdrawn(id, number) => {
                 if self.held.get(&id).is_some_and(|held| held.number == number) {
                     self.held.remove(&id);
                     self.over(&id);
-                    to.withdrawn(&id);
+                    to.withdraw_event(&id);
                 }
             }
             CameIn::SendEnded(event, ended) => {
                 self.out.remove(&event);
-                if ended.over {
+                if ended.event_complete {
                     self.over(&event);
-                    self.common.fanout.iter().for_each(|fanout| fanout.over(&event, true));
+                    self.common
+                        .fanout
+                        .iter()
+                        .for_each(|fanout| fanout.over(&event, true));
                     self.settled.add(&event, self.now);
                     self.held.remove(&event);
-                } else if !ended.fate.may_have_run() {
+                } else if !ended.outcome.may_have_run() {
                     self.keeps.unrun(&event);
                 }
-                if let Err(Unknown(what)) = to.send_ended(&event, ended) {
+                if let Err(UnknownId(what)) = to.on_attempt_ended(&event, ended) {
                     warn!(self.common.log, "a send ended that is not known"; "event" => &*event.0, "what" => what);
                 }
                 self.has_ended(to, &event);
             }
             CameIn::PingEnded { target, fate } => {
                 self.pings.remove(&target);
-                if to.ping_ended(&target, fate).is_err() {
+                if to.on_health_check_ended(&target, fate).is_err() {
                     debug!(self.common.log, "a ping ended at a target that is gone"; "target" => &*target.0);
                 }
             }
@@ -102,8 +115,15 @@
                 let goes_to = stream.get_ref().peer_addr().ok();
                 if let Some(to) = goes_to.filter(|to| self.targets.address(&target) == Some(*to)) {
                     let place = Place::free(&target);
-                    let back = Returned { stream, to, since, place };
-                    let _ = self.targets.tell(&target, ToTarget::Returned(Box::new(back)));
+                    let back = Returned {
+                        stream,
+                        to,
+                        since,
+                        place,
+                    };
+                    let _ = self
+                        .targets
+                        .tell(&target, ToTarget::Returned(Box::new(back)));
                 }
             }
             CameIn::Look(reply) => drop(reply.try_send(())),
@@ -112,8 +132,11 @@
                 self.unheard -= events.len();
                 for id in events {
                     self.over(&id);
-                    self.common.fanout.iter().for_each(|fanout| fanout.over(&id, false));
-                    to.heard(&id);
+                    self.common
+                        .fanout
+                        .iter()
+                        .for_each(|fanout| fanout.over(&id, false));
+                    to.on_completion_acknowledged(&id);
                 }
             }
             CameIn::TellEnd(taken, end) => self.tells(to, taken, end),
@@ -123,7 +146,7 @@
                 let _ = reply.try_send(self.order(to, order));
             }
             CameIn::Ground(news) => self.ground_says(to, news),
-            CameIn::Closing => to.closing(self.now + self.common.told.closing_time),
+            CameIn::Closing => to.begin_shutdown(self.now + self.common.told.shutdown_timeout),
         }
     }
 
--- a/forwarder/src/rounds/listing.rs
+++ b/forwarder/server/src/rounds/listing.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashSet;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_operators::{Order, Reply};
+use plankhill_admin::{Order, Reply};
+use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
 use serde_json::Value;
 use slog::{error, info, warn};
 
@@ -13,13 +13,13 @@
 use crate::page;
 
 impl Hands {
-    pub(super) fn listed(&mut self, to: &mut Forwarder, page: &Value) {
+    pub(super) fn listed(&mut self, to: &mut Scheduler, page: &Value) {
         let (told, log) = (self.common.told.clone(), self.common.log.clone());
         let whole = page::is_whole(page);
         let mut named = HashSet::new();
         let mut gone = Vec::new();
         if whole {
-            to.list_replaced();
+            to.on_endpoint_list_replaced();
         }
         page::hand_over(
             page,
@@ -37,11 +37,19 @@
             |what| warn!(log, "an entry of the list cannot be read"; "what" => what),
         );
         if whole {
-            gone.extend(self.targets.ids().filter(|id| !named.contains(*id)).cloned());
+            gone.extend(
+                self.targets
+                    .ids()
+                    .filter(|id| !named.contains(*id))
+                    .cloned(),
+            );
         }
         for id in gone {
             self.targets.remove(&id);
-            self.common.fanout.iter().for_each(|fanout| fanout.gone(&id));
+            self.common
+                .fanout
+                .iter()
+                .for_each(|fanout| fanout.gone(&id));
             if let Some(budgets) = &self.common.budgets {
                 budgets.gone(&id);
             }
@@ -51,13 +59,21 @@
         }
     }
 
-    pub(super) fn order(&mut self, to: &mut Forwarder, order: Order) -> Reply {
+    pub(super) fn order(&mut self, to: &mut Scheduler, order: Order) -> Reply {
         let log = self.common.log.clone();
         let (id, ban) = match order {
             Order::Drain | Order::Resume => {
                 let drains = order == Order::Drain;
                 self.common.gate.drain(drains);
-                info!(log, "{}", if drains { "is being emptied of clients" } else { "takes clients again" });
+                info!(
+                    log,
+                    "{}",
+                    if drains {
+                        "is being emptied of clients"
+                    } else {
+                        "takes clients again"
+                    }
+                );
                 return Reply::Done;
             }
             Order::Disable(id) => (id, true),
@@ -70,9 +86,11 @@
                 info!(log, "{}", if ban { "a target is left out" } else { "a target may serve again" };
                     "target" => &*id);
                 let target = TargetId((&*id).into());
-                listing.into_iter().for_each(|listing| to.relisted(&target, listing));
+                listing
+                    .into_iter()
+                    .for_each(|listing| to.set_endpoint_state(&target, listing));
                 // It was restarted meanwhile.
-                (!ban).then(|| to.restarted(&target));
+                (!ban).then(|| to.on_target_restarted(&target));
             }
             Err(e) => {
                 error!(log, "the targets left out cannot be written"; "error" => %e);
--- a/forwarder/src/rounds/mod.rs
+++ b/forwarder/server/src/rounds/mod.rs
@@ -24,10 +24,10 @@
 use std::time::Instant;
 
 use async_channel::{Receiver, Sender};
-use plankhill::decide::Forwarder;
-use plankhill::interface::*;
-use plankhill_handover::{State, Verdict};
-use plankhill_ledger::{Ledger, Owed};
+use plankhill_decisions::interface::*;
+use plankhill_decisions::scheduler::Scheduler;
+use plankhill_event_log::{EventLog, PendingEvent};
+use plankhill_hot_restart::{State, Verdict};
 use serde_json::Value;
 use slog::error;
 
@@ -49,7 +49,7 @@
 
 pub struct Rounds {
     hands: Hands,
-    forwarder: Forwarder,
+    forwarder: Scheduler,
     to_notices: Sender<Notice>,
     closing: bool,
     /// Events taken in the round, whose clients have no answer yet.
@@ -61,14 +61,18 @@
 impl Rounds {
     pub fn new(
         common: Common,
-        ledger: Ledger,
+        ledger: EventLog,
         left_out: LeftOut,
         to_notices: Sender<Notice>,
         to_rounds: Sender<CameIn>,
     ) -> Self {
         let now = common.clock.now();
-        let forwarder = Forwarder::start(common.told.terms.clone(), now);
-        let reach = Reach { common: common.clone(), to_rounds, idle: Rc::new(Cell::new(0)) };
+        let forwarder = Scheduler::new(common.told.decisions.clone(), now);
+        let reach = Reach {
+            common: common.clone(),
+            to_rounds,
+            idle: Rc::new(Cell::new(0)),
+        };
         let keeps = match common.copies() {
             Some(ground) => Keeps::Copies(Box::new(Copies::new(ground.clone(), ledger))),
             None => Keeps::File(Box::new(ledger)),
@@ -94,7 +98,14 @@
             unheard: 0,
             wake_at: None,
         };
-        Rounds { hands, forwarder, to_notices, closing: false, fresh: Vec::new(), asked: None }
+        Rounds {
+            hands,
+            forwarder,
+            to_notices,
+            closing: false,
+            fresh: Vec::new(),
+            asked: None,
+        }
     }
 
     /// Serves until it is closing and nothing is held or unheard.
@@ -131,17 +142,22 @@
     }
 
     /// The first round: the list, and what an earlier process noted of its targets and still owes.
-    pub fn restore(&mut self, list: &Value, owed: Vec<Owed>) {
+    pub fn restore(&mut self, list: &Value, owed: Vec<PendingEvent>) {
         self.hands.now = self.hands.common.clock.now();
         self.decide(|forwarder, hands| {
             hands.listed(forwarder, list);
             // What went while no process ran is not in the list, and no word of it will come.
-            hands.keeps.forget_targets(|target| hands.targets.holds(&TargetId(target.into())));
-            let Keeps::File(ledger) = &hands.keeps else { return hands.founds() };
-            for (target, since, usual) in ledger.cold() {
-                forwarder.was_cold(&TargetId(target.into()), since, usual);
+            hands
+                .keeps
+                .forget_targets(|target| hands.targets.holds(&TargetId(target.into())));
+            let Keeps::File(ledger) = &hands.keeps else {
+                return hands.founds();
+            };
+            for (target, since, usual) in ledger.warming_up_targets() {
+                forwarder.restore_warm_up(&TargetId(target.into()), since, usual);
             }
-            owed.into_iter().for_each(|event| hands.restore(forwarder, event));
+            owed.into_iter()
+                .for_each(|event| hands.restore(forwarder, event));
         });
     }
 
@@ -151,15 +167,23 @@
         self.hands.now = self.hands.common.clock.now();
         self.decide(|forwarder, hands| {
             hands.listed(forwarder, list);
-            hands.keeps.forget_targets(|target| hands.targets.holds(&TargetId(target.into())));
+            hands
+                .keeps
+                .forget_targets(|target| hands.targets.holds(&TargetId(target.into())));
         });
         // Much may be due.
         self.hands.wake_at = Some(self.hands.common.clock.now());
     }
 
     /// Goes on from what another process handed over, of which `elder` still has calls out.
-    pub fn inherit(&mut self, forwarder: Forwarder, state: State, owed: Vec<Owed>, elder: Sender<Told>) {
-        self.forwarder = forwarder.resumed(self.hands.common.told.terms.clone());
+    pub fn inherit(
+        &mut self,
+        forwarder: Scheduler,
+        state: State,
+        owed: Vec<PendingEvent>,
+        elder: Sender<Told>,
+    ) {
+        self.forwarder = forwarder.resume(self.hands.common.told.decisions.clone());
         self.hands.inherit(state, owed);
         self.hands.elder = Some(elder);
     }
@@ -167,11 +191,14 @@
     fn round(&mut self, mut came_in: Vec<CameIn>) {
         if came_in.iter().any(adopting::turns) {
             // Whether a new event can be taken hangs on it.
-            let (news, rest) = came_in.into_iter().partition(|what| matches!(what, CameIn::Ground(_)));
+            let (news, rest) = came_in
+                .into_iter()
+                .partition(|what| matches!(what, CameIn::Ground(_)));
             came_in = rest;
             let news: Vec<CameIn> = news;
             self.decide(|forwarder, hands| {
-                news.into_iter().for_each(|what| hands.hand_over(forwarder, what))
+                news.into_iter()
+                    .for_each(|what| hands.hand_over(forwarder, what))
             });
         }
         self.closing |= came_in.iter().any(|what| matches!(what, CameIn::Closing));
@@ -184,9 +211,15 @@
                 continue;
             }
             if let CameIn::Event(handed) = &what {
-                let known = self.forwarder.knows(handed.event.destination);
+                let known = self.forwarder.knows_destination(handed.event.destination);
                 if self.closing || !known || !self.hands.takes(handed) {
-                    let wait = self.hands.common.told.terms.longest_advice.filter(|_| !self.closing);
+                    let wait = self
+                        .hands
+                        .common
+                        .told
+                        .decisions
+                        .max_retry_after
+                        .filter(|_| !self.closing);
                     let _ = handed.answer.try_send(Verdict::Refused(wait));
                     continue;
                 }
@@ -209,30 +242,46 @@
         }
         self.fresh = fresh;
         self.decide(|forwarder, hands| {
-            accepted.into_iter().for_each(|what| hands.hand_over(forwarder, what))
+            accepted
+                .into_iter()
+                .for_each(|what| hands.hand_over(forwarder, what))
         });
         for id in std::mem::take(&mut self.fresh) {
-            let answer = self.hands.held.get_mut(&id).and_then(|held| held.answer.take());
+            let answer = self
+                .hands
+                .held
+                .get_mut(&id)
+                .and_then(|held| held.answer.take());
             answer.map(|answer| answer.try_send(Verdict::TakenOn));
         }
     }
 
-    fn decide(&mut self, came_in: impl FnOnce(&mut Forwarder, &mut Hands)) {
-        let Rounds { hands, forwarder, to_notices, closing, fresh, .. } = self;
+    fn decide(&mut self, came_in: impl FnOnce(&mut Scheduler, &mut Hands)) {
+        let Rounds {
+            hands,
+            forwarder,
+            to_notices,
+            closing,
+            fresh,
+            ..
+        } = self;
         let mut writes = true;
         if hands.wake_at.is_some_and(|at| at <= hands.now) {
             hands.wake_at = None;
         }
-        let hand_over = |forwarder: &mut Forwarder, hands: &mut Hands| -> Result<(), Unknown> {
+        let hand_over = |forwarder: &mut Scheduler, hands: &mut Hands| -> Result<(), UnknownId> {
             came_in(forwarder, hands);
             Ok(())
         };
-        let _ = forwarder.round(hands.now, hand_over, hands);
+        let _ = forwarder.run_iteration(hands.now, hand_over, hands);
         if hands.keeps.copies().is_some() {
             // What is not committed does not go out.
             hands.stage(std::mem::take(fresh));
             hands.leave(to_notices);
-            return hands.common.ready.set(!*closing && !hands.targets.is_empty());
+            return hands
+                .common
+                .ready
+                .set(!*closing && !hands.targets.is_empty());
         }
         if let Err(e) = hands.keeps.commit() {
             // What is not on the disk does not go out: a restart must know of each send.
@@ -240,7 +289,10 @@
             hands.unsend();
             writes = false;
         }
-        hands.common.ready.set(writes && !*closing && !hands.targets.is_empty());
+        hands
+            .common
+            .ready
+            .set(writes && !*closing && !hands.targets.is_empty());
         hands.carry_out(to_notices);
     }
 }
--- a/forwarder/src/rounds/staging.rs
+++ b/forwarder/server/src/rounds/staging.rs
@@ -1,10 +1,10 @@
 //! Where copies are kept: what a round decided waits here until its marks are committed, and then leaves.
 
 use async_channel::Sender;
-use plankhill::interface::*;
-use plankhill_copies::pipeline::Decided;
-use plankhill_copies::Released;
-use plankhill_handover::Verdict;
+use plankhill_decisions::interface::*;
+use plankhill_hot_restart::Verdict;
+use plankhill_replication::pipeline::CommitOutcome;
+use plankhill_replication::ReleasedIteration;
 use slog::info;
 
 use super::copies::{Answer, Effects};
@@ -18,14 +18,19 @@
 impl Hands {
     /// Nothing is held, unheard or still to be decided.
     pub(super) fn is_done(&mut self) -> bool {
-        let waits = self.keeps.copies().is_some_and(|copies| !copies.pipeline.is_empty());
+        let waits = self
+            .keeps
+            .copies()
+            .is_some_and(|copies| !copies.pipeline.is_empty());
         self.held.is_empty() && self.unheard == 0 && !waits
     }
 
     /// The first word to the groups: this life takes what is new in a new one.
     pub(super) fn founds(&mut self) {
-        let Some(copies) = self.keeps.copies() else { return };
-        let founds = copies.roles.starts();
+        let Some(copies) = self.keeps.copies() else {
+            return;
+        };
+        let founds = copies.roles.create_own_group();
         copies.order(founds);
     }
 
@@ -34,7 +39,10 @@
         let mut answers = Vec::new();
         for id in fresh {
             let to = self.held.get_mut(&id).and_then(|held| held.answer.take());
-            let group = self.keeps.copies().and_then(|copies| copies.roles.own());
+            let group = self
+                .keeps
+                .copies()
+                .and_then(|copies| copies.roles.own_group());
             answers.extend(group.zip(to).map(|(group, to)| Answer { group, to }));
         }
         // Counted from here on: fewer are to be taken than there is room for ends.
@@ -43,8 +51,14 @@
         let with_groups = |notice: Notice| (keeps.groups_of(&notice.event), notice);
         let notices = self.notices.drain(..).map(with_groups).collect();
         let outbox = std::mem::take(&mut self.outbox);
-        let Some(copies) = self.keeps.copies() else { return };
-        copies.propose(Effects { answers, outbox, notices });
+        let Some(copies) = self.keeps.copies() else {
+            return;
+        };
+        copies.propose(Effects {
+            answers,
+            outbox,
+            notices,
+        });
         for group in copies.dissolve_empty() {
             info!(self.common.log, "an adopted record is empty"; "group" => name(group));
         }
@@ -52,12 +66,18 @@
 
     /// Hands the proposals over, and lets leave what is committed.
     pub(super) fn leave(&mut self, to_notices: &Sender<Notice>) {
-        let Some(copies) = self.keeps.copies() else { return };
+        let Some(copies) = self.keeps.copies() else {
+            return;
+        };
         let all_offered = copies.offer();
         for (id, send) in std::mem::take(&mut self.stuck) {
             self.let_send(id, send);
         }
-        while let Some(released) = self.keeps.copies().and_then(|copies| copies.pipeline.release()) {
+        while let Some(released) = self
+            .keeps
+            .copies()
+            .and_then(|copies| copies.pipeline.release())
+        {
             let (effects, decided) = released.split();
             self.let_leave(effects, &decided);
         }
@@ -72,20 +92,28 @@
         }
     }
 
-    fn let_leave(&mut self, effects: Effects, decided: &Released<()>) {
-        let Effects { answers, outbox, notices } = effects;
+    fn let_leave(&mut self, effects: Effects, decided: &ReleasedIteration<()>) {
+        let Effects {
+            answers,
+            outbox,
+            notices,
+        } = effects;
         for Answer { group, to } in answers {
-            let _ = match decided.in_group(group) {
-                Decided::Counts => to.try_send(Verdict::TakenOn),
-                Decided::Void => to.try_send(Verdict::Refused(None)),
+            let _ = match decided.outcome_in(group) {
+                CommitOutcome::Committed => to.try_send(Verdict::TakenOn),
+                CommitOutcome::Discarded => to.try_send(Verdict::Refused(None)),
                 // Nobody knows: the connection is closed without a word.
-                Decided::Partly => Ok(()),
+                CommitOutcome::Partial => Ok(()),
             };
         }
         for (id, word) in outbox {
             match word {
                 ToTarget::Send(mut send) => {
-                    if send.groups.iter().any(|group| decided.in_group(*group) != Decided::Counts) {
+                    if send
+                        .groups
+                        .iter()
+                        .any(|group| decided.outcome_in(*group) != CommitOutcome::Committed)
+                    {
                         send.groups.clear();
                     }
                     self.let_send(id, send);
@@ -94,7 +122,10 @@
             }
         }
         for (groups, notice) in notices {
-            if groups.iter().all(|group| decided.in_group(*group) != Decided::Counts) {
+            if groups
+                .iter()
+                .all(|group| decided.outcome_in(*group) != CommitOutcome::Committed)
+            {
                 // Whoever owns the event now decides on its end.
                 self.unheard -= 1;
                 continue;
@@ -107,11 +138,17 @@
     /// A committed send leaves while this forwarder surely owns its event. A lease that lapses on a busy machine
     /// comes back with the next heartbeat, or the group is lost.
     fn let_send(&mut self, id: TargetId, mut send: Sending) {
-        let Keeps::Copies(copies) = &self.keeps else { return };
+        let Keeps::Copies(copies) = &self.keeps else {
+            return;
+        };
         // What it waited here is not taken from its time-out, which follows the target's own answers.
-        let ends = self.held.get(&send.event).map_or(0.0, |held| held.patience_ends);
+        let ends = self
+            .held
+            .get(&send.event)
+            .map_or(0.0, |held| held.patience_ends);
         let left = send.time_out.min(ends - self.common.clock.now());
-        let led = !send.groups.is_empty() && send.groups.iter().all(|group| copies.roles.is_led(*group));
+        let led =
+            !send.groups.is_empty() && send.groups.iter().all(|group| copies.roles.is_led(*group));
         if !led || left <= 0.0 {
             return self.targets.turn_back(id, ToTarget::Send(send));
         }
@@ -130,9 +167,17 @@
 
     /// Sends to the target that wait here are not to leave.
     pub(super) fn unstage(&mut self, target: &TargetId) {
-        self.stuck.iter_mut().filter(|(to, _)| to == target).for_each(|(_, send)| send.groups.clear());
-        let Some(copies) = self.keeps.copies() else { return };
-        let waiting = copies.pipeline.waiting().flat_map(|effects| &mut effects.outbox);
+        self.stuck
+            .iter_mut()
+            .filter(|(to, _)| to == target)
+            .for_each(|(_, send)| send.groups.clear());
+        let Some(copies) = self.keeps.copies() else {
+            return;
+        };
+        let waiting = copies
+            .pipeline
+            .pending_effects()
+            .flat_map(|effects| &mut effects.outbox);
         for (_, word) in waiting.filter(|(to, _)| to == target) {
             if let ToTarget::Send(send) = word {
                 send.groups.clear();
@@ -142,6 +187,6 @@
 }
 
 /// As the log says it.
-pub(super) fn name(group: plankhill_fleet::GroupId) -> String {
+pub(super) fn name(group: plankhill_raft_groups::GroupId) -> String {
     format!("{:016x}/{}", group.founder.0, group.number)
 }
--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
-use plankhill_protocol::feeder::Held;
-use plankhill_protocol::subscription::LinkStanding;
+use plankhill_protocol::feed_position::FeedPosition;
+use plankhill_protocol::subscription::LinkStatus;
 use plankhill_protocol::tables::Tables;
 use plankhill_protocol::transport::{accept, FrameReader, FrameWriter, Hello, TransportError};
 use tokio::net::TcpListener;
@@ -23,10 +23,16 @@
 
 /// The proxy of the same machine. Each heartbeat wakes both processes, and these share a fraction of a core. A
 /// new connection may come before the end of the old one is seen.
-pub const PROXY: Audience = Audience { heartbeat: Duration::from_millis(500), connections: 4 };
+pub const PROXY: Audience = Audience {
+    heartbeat: Duration::from_millis(500),
+    connections: 4,
+};
 /// Other agents of the zone. They do not rely on heartbeats: what counts is that updates come as soon as a
 /// controller has announced them.
-pub const PEERS: Audience = Audience { heartbeat: Duration::from_secs(10), connections: 64 };
+pub const PEERS: Audience = Audience {
+    heartbeat: Duration::from_secs(10),
+    connections: 64,
+};
 /// The tables count as current if a controller confirmed them within this time: five of its heartbeats, and
 /// half of the shortest contact bound.
 const CONFIRMED_WITHIN: Duration = Duration::from_millis(1_500);
@@ -41,7 +47,7 @@
     /// The tables of this machine.
     pub tables: watch::Receiver<Arc<Tables>>,
     /// How the link to the controllers stands.
-    pub standing: watch::Receiver<LinkStanding>,
+    pub standing: watch::Receiver<LinkStatus>,
     /// What subscribers say to the controllers.
     pub upwards: mpsc::Sender<FromSubscriber>,
 }
@@ -66,8 +72,9 @@
         let (hello, source, connected) = (hello.clone(), source.clone(), connected.clone());
         tokio::task::spawn_local(async move {
             if let Ok(connection) = accept(stream, address, &hello).await {
-                let ended =
-                    Feed::new(connection.writer, source, audience.heartbeat).run(connection.reader).await;
+                let ended = Feed::new(connection.writer, source, audience.heartbeat)
+                    .run(connection.reader)
+                    .await;
                 tracing::info!(node = %connection.peer.node, reason = ended, "subscriber left");
             }
             connected.send_modify(|count| *count -= 1);
@@ -79,7 +86,7 @@
 struct Feed {
     writer: FrameWriter,
     source: Source,
-    held: Held,
+    held: FeedPosition,
     /// Whether it is the proxy of this machine, which speaks for it.
     is_proxy: bool,
     heartbeat: Duration,
@@ -93,7 +100,7 @@
         Feed {
             writer,
             source,
-            held: Held::Nothing,
+            held: FeedPosition::Nothing,
             is_proxy: false,
             heartbeat,
             beat: Instant::now(),
@@ -104,8 +111,11 @@
     /// Feeds until the connection ends; says why it did.
     async fn run(mut self, mut reader: FrameReader) -> &'static str {
         match timeout(WRITE_LIMIT, reader.next()).await {
-            Ok(Ok(FromSubscriber::Subscribe { subscriber, held })) => {
-                self.held = Held::Revision(held);
+            Ok(Ok(FromSubscriber::Subscribe {
+                subscriber,
+                held_revision: held,
+            })) => {
+                self.held = FeedPosition::Revision(held);
                 self.is_proxy = subscriber == Subscriber::Proxy;
             }
             _ => return "no subscription",
@@ -118,9 +128,9 @@
             tokio::select! {
                 (reader, message) = &mut reading => {
                     match message {
-                        Ok(FromSubscriber::WantsSnapshot) => self.held = Held::Nothing,
+                        Ok(FromSubscriber::RequestSnapshot) => self.held = FeedPosition::Nothing,
                         // It is said again until the tables show it, so one that finds no room may be lost.
-                        Ok(emptied @ FromSubscriber::Emptied { .. }) if self.is_proxy => {
+                        Ok(emptied @ FromSubscriber::Drained { .. }) if self.is_proxy => {
                             let _ = self.source.upwards.try_send(emptied);
                         }
                         Ok(_) => {}
@@ -148,19 +158,28 @@
     async fn send_newest(&mut self) -> bool {
         let tables = self.source.tables.borrow_and_update().clone();
         let mut messages = Vec::new();
-        messages.extend(self.held.advance(&tables).map(ToSubscriber::Update));
+        messages.extend(self.held.advance_to(&tables).map(ToSubscriber::Update));
         if messages.is_empty() && self.beat > Instant::now() {
             return true;
         }
         self.beat = Instant::now() + self.heartbeat;
         self.told_current = self.is_current();
-        messages.push(ToSubscriber::Heartbeat { revision: tables.revision, current: self.told_current });
-        matches!(timeout(WRITE_LIMIT, self.writer.send_all(&messages)).await, Ok(Ok(())))
+        messages.push(ToSubscriber::Heartbeat {
+            revision: tables.revision,
+            current: self.told_current,
+        });
+        matches!(
+            timeout(WRITE_LIMIT, self.writer.send_all(&messages)).await,
+            Ok(Ok(()))
+        )
     }
 
     fn is_current(&self) -> bool {
         let now = std::time::Instant::now();
-        self.source.standing.borrow().confirmed_within(CONFIRMED_WITHIN, now)
+        self.source
+            .standing
+            .borrow()
+            .confirmed_within(CONFIRMED_WITHIN, now)
     }
 }
 
--- a/tier/command/src/roll.rs
+++ b/tier/command/src/roll.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use plankhill_draining::roll::{Bounds, FleetView, NodeView, Roll, Step};
+use plankhill_draining::rolling_restart::{
+    FleetView, NodeView, RestartLimits, RestartStep, RollingRestart,
+};
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 use serde_json::Value;
 
@@ -20,7 +22,9 @@
 
 /// Runs the roll to its end; fails where it stops.
 pub(crate) fn run(plan: &RollArguments) -> ExitStatus {
-    let Some(address) = parse_address(&plan.address) else { return ExitStatus::Usage };
+    let Some(address) = parse_address(&plan.address) else {
+        return ExitStatus::Usage;
+    };
     match roll(address, plan) {
         Ok(done) => print(&format!("done: {done} forwarders")),
         Err(error) => {
@@ -36,16 +40,23 @@
     #[error("{0}")]
     Call(#[from] CallError),
     #[error("{0}")]
-    Stopped(#[from] plankhill_draining::roll::Stopped),
+    Stopped(#[from] plankhill_draining::rolling_restart::StopReason),
 }
 
 fn roll(address: SocketAddr, plan: &RollArguments) -> Result<usize, RollError> {
     let view = view_of(&list(address)?);
     let named = plan.nodes.iter().map(|node| NodeId::from(node.as_str()));
-    let nodes = if plan.nodes.is_empty() { view.live.keys().cloned().collect() } else { named.collect() };
-    let bounds =
-        Bounds { most_out: plan.most_out, empty_within: plan.empty_within, back_within: plan.back_within };
-    let mut roll = Roll::new(bounds, nodes, &view);
+    let nodes = if plan.nodes.is_empty() {
+        view.live.keys().cloned().collect()
+    } else {
+        named.collect()
+    };
+    let bounds = RestartLimits {
+        max_unavailable: plan.most_out,
+        drain_timeout: plan.empty_within,
+        restart_timeout: plan.back_within,
+    };
+    let mut roll = RollingRestart::new(bounds, nodes, &view);
     let started = Instant::now();
     let mut failures = 0;
     loop {
@@ -62,25 +73,30 @@
         };
         failures = 0;
         match roll.step(started.elapsed(), &view) {
-            Step::Drain(node) => {
+            RestartStep::Drain(node) => {
                 print(&format!("drain {node}"));
                 order(address, &node, true)?;
             }
-            Step::Release(node) => drop(print(&format!("empty {node}: start it anew"))),
-            Step::Undrain(node) => {
+            RestartStep::Restart(node) => drop(print(&format!("empty {node}: start it anew"))),
+            RestartStep::Undrain(node) => {
                 order(address, &node, false)?;
                 print(&format!("back {node}"));
             }
-            Step::Wait => std::thread::sleep(LOOK),
-            Step::Done => return Ok(roll.count().0),
-            Step::Stop(stopped) => return Err(stopped.into()),
+            RestartStep::Wait => std::thread::sleep(LOOK),
+            RestartStep::Done => return Ok(roll.progress().0),
+            RestartStep::Stop(stopped) => return Err(stopped.into()),
         }
     }
 }
 
 fn order(address: SocketAddr, node: &NodeId, leave: bool) -> Result<(), CallError> {
     let nodes = vec![node.to_string()];
-    let order = DrainArguments { address: address.to_string(), leave, nodes, zone: None };
+    let order = DrainArguments {
+        address: address.to_string(),
+        leave,
+        nodes,
+        zone: None,
+    };
     send(address, &order).map(drop)
 }
 
@@ -90,9 +106,17 @@
     let live = |row: Value| {
         let zone = ZoneName::from(text(&row, "zone").as_str());
         let incarnation = Incarnation(row["incarnation"].as_u64().unwrap_or_default());
-        (NodeId::from(text(&row, "node").as_str()), NodeView { zone, incarnation })
+        (
+            NodeId::from(text(&row, "node").as_str()),
+            NodeView { zone, incarnation },
+        )
+    };
+    let drain = |row: Value| {
+        (
+            NodeId::from(text(&row, "node").as_str()),
+            row["state"] == "empty",
+        )
     };
-    let drain = |row: Value| (NodeId::from(text(&row, "node").as_str()), row["state"] == "empty");
     FleetView {
         live: rows("edges").into_iter().map(live).collect(),
         drains: rows("drains").into_iter().map(drain).collect(),
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 use std::convert::Infallible;
 
-use plankhill::decide::Forwarder;
-use plankhill::interface::{DestinationId, Fate, Ms, OrderKey};
+use plankhill_decisions::interface::{AttemptOutcome, DestinationId, Ms, OrderKey};
+use plankhill_decisions::scheduler::Scheduler;
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::Target;
 
@@ -14,7 +14,9 @@
 use crate::bridge::Bridge;
 use crate::holds::Holds;
 use crate::inputs::Input;
-use crate::interface::{Command, DispatchSettings, Ended, NewRequest, PingAnswer, RequestKey, UpstreamLoad};
+use crate::interface::{
+    Command, DispatchSettings, Ended, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+};
 use crate::module_terms;
 use crate::requests::{Request, Requests};
 use crate::retry::Verdict;
@@ -28,7 +30,7 @@
 /// [`Dispatcher::ended`], also after a withdrawal.
 pub struct Dispatcher {
     settings: DispatchSettings,
-    module: Forwarder,
+    module: Scheduler,
     inputs: Vec<Input>,
     requests: Requests,
     targets: Targets,
@@ -48,7 +50,7 @@
     /// A dispatcher that knows no target yet.
     pub fn new(settings: DispatchSettings, now: Ms) -> Self {
         let settle = SettleTime::default();
-        let module = Forwarder::start(module_terms::terms(&settings, settle.value()), now);
+        let module = Scheduler::new(module_terms::terms(&settings, settle.value()), now);
         let draws = settings.seed;
         Dispatcher {
             settings,
@@ -71,7 +73,9 @@
     pub fn tables_changed(&mut self, targets: &[Target]) {
         let changes = self.targets.replace(&self.settings.zone, targets);
         if !changes.is_empty() {
-            self.allocators.values_mut().for_each(Allocator::targets_changed);
+            self.allocators
+                .values_mut()
+                .for_each(Allocator::targets_changed);
         }
         self.inputs.extend(changes.into_iter().map(Input::Relisted));
     }
@@ -102,16 +106,26 @@
 
     /// Until when a new request is held: what it may wait for begins once its session no longer rests.
     fn first_hold(&self, now: Ms, new: &NewRequest) -> Ms {
-        let behind = new.session.is_some_and(|session| self.requests.has_session(session));
-        let held_for = if behind { HeldFor::Session } else { HeldFor::FirstSend };
-        let from = new.session.map_or(now, |session| self.rests.over_at(now, session));
+        let behind = new
+            .session
+            .is_some_and(|session| self.requests.has_session(session));
+        let held_for = if behind {
+            HeldFor::Session
+        } else {
+            HeldFor::FirstSend
+        };
+        let from = new
+            .session
+            .map_or(now, |session| self.rests.over_at(now, session));
         admission::hold_until(from, held_for, new.objective, new.deadline)
     }
 
     /// The client has left, or has its answer by other means: the request is not sent any more. A call that
     /// is out is the proxy's to end.
     pub fn withdrawn(&mut self, key: RequestKey) {
-        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
         request.is_over = true;
         self.holds.remove(key);
         self.requests.forget_if_done(key);
@@ -127,19 +141,24 @@
 
     /// A call ended. Ignored if none was out.
     pub fn ended(&mut self, now: Ms, key: RequestKey, target: &InstanceId, ended: Ended) {
-        let Some(request) = self.requests.get_mut(key).filter(|request| request.is_out) else { return };
+        let Some(request) = self.requests.get_mut(key).filter(|request| request.is_out) else {
+            return;
+        };
         request.is_out = false;
         request.attempts.count(ended.fate);
-        if let Some(session) = request.session.filter(|_| Verdict::of(ended.fate) == Verdict::MayHaveRun) {
+        if let Some(session) = request
+            .session
+            .filter(|_| Verdict::of(ended.fate) == Verdict::MayHaveRun)
+        {
             self.rests.begin(now, session, now + self.settle.value());
         }
         let wait = self.note_end(now, target, &ended);
         let over = self.decide_next(now, key, ended.fate);
-        let told = plankhill::interface::Ended {
-            took: ended.took,
-            over,
-            wait,
-            ..plankhill::interface::Ended::plain(ended.fate)
+        let told = plankhill_decisions::interface::AttemptReport {
+            elapsed: ended.took,
+            event_complete: over,
+            retry_after: wait,
+            ..plankhill_decisions::interface::AttemptReport::from_outcome(ended.fate)
         };
         self.inputs.push(Input::SendEnded(key, told));
         self.requests.forget_if_done(key);
@@ -147,37 +166,51 @@
 
     /// What the end says of the target; returns the wait that holds it.
     fn note_end(&mut self, now: Ms, target: &InstanceId, ended: &Ended) -> Ms {
-        let settled = ended.longest_pause.and_then(|pause| self.settle.seen(pause));
+        let settled = ended
+            .longest_pause
+            .and_then(|pause| self.settle.seen(pause));
         settled.into_iter().for_each(|rest| self.retune(rest));
-        let Some(known) = self.targets.get_mut(&target_id(target)) else { return 0.0 };
+        let Some(known) = self.targets.get_mut(&target_id(target)) else {
+            return 0.0;
+        };
         known.load.ended();
         if let Some(load) = ended.load {
             known.load.reported(now, load);
         }
         match ended.fate {
-            Fate::Delivered => known.load.answered(ended.took),
-            Fate::Full => {
-                let wait = ended.retry_after.unwrap_or_else(|| known.load.wait_after_refusal(now));
+            AttemptOutcome::Delivered => known.load.answered(ended.took),
+            AttemptOutcome::Rejected => {
+                let wait = ended
+                    .retry_after
+                    .unwrap_or_else(|| known.load.wait_after_refusal(now));
                 known.closed_until = now + wait;
                 return wait;
             }
-            Fate::Error | Fate::TimedOut | Fate::NoConnection | Fate::Reset => known.load.failed(now),
-            Fate::NotSent => known.load.failed(now),
-            Fate::Cancelled => (),
+            AttemptOutcome::Error
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::Reset => known.load.failed(now),
+            AttemptOutcome::NotSent => known.load.failed(now),
+            AttemptOutcome::Cancelled => (),
         }
         0.0
     }
 
     /// Whether the request is over by this end; if it is not, it is held for its next call.
-    fn decide_next(&mut self, now: Ms, key: RequestKey, fate: Fate) -> bool {
-        let Some(request) = self.requests.get_mut(key) else { return true };
-        if fate == Fate::Delivered {
+    fn decide_next(&mut self, now: Ms, key: RequestKey, fate: AttemptOutcome) -> bool {
+        let Some(request) = self.requests.get_mut(key) else {
+            return true;
+        };
+        if fate == AttemptOutcome::Delivered {
             request.is_over = true;
         }
         if request.is_over {
             return true;
         }
-        if !request.attempts.allow_another(request.repeats, request.max_attempts) {
+        if !request
+            .attempts
+            .allow_another(request.repeats, request.max_attempts)
+        {
             self.given_up.push(key);
             return true;
         }
@@ -193,15 +226,15 @@
     /// Changes the rest of a session after a call that may still run.
     fn retune(&mut self, rest: Ms) {
         let module = std::mem::take(&mut self.module);
-        self.module = module.resumed(module_terms::terms(&self.settings, rest));
+        self.module = module.resume(module_terms::terms(&self.settings, rest));
     }
 
     /// A health check was answered, or was not.
     pub fn pinged(&mut self, target: &InstanceId, answer: PingAnswer) {
         let id = target_id(target);
         let fate = match answer {
-            PingAnswer::Healthy => Fate::Delivered,
-            PingAnswer::Unhealthy => Fate::Error,
+            PingAnswer::Healthy => AttemptOutcome::Delivered,
+            PingAnswer::Unhealthy => AttemptOutcome::Error,
         };
         self.inputs.push(Input::PingEnded(id, fate));
     }
@@ -211,7 +244,10 @@
     pub fn commands(&mut self, now: Ms) -> Vec<Command> {
         let mut commands = Vec::new();
         self.wake_at.take_if(|at| *at <= now);
-        let (inputs, given_up) = (std::mem::take(&mut self.inputs), std::mem::take(&mut self.given_up));
+        let (inputs, given_up) = (
+            std::mem::take(&mut self.inputs),
+            std::mem::take(&mut self.given_up),
+        );
         let mut bridge = Bridge {
             now,
             requests: &mut self.requests,
@@ -223,7 +259,7 @@
             wake_at: &mut self.wake_at,
         };
         given_up.into_iter().for_each(|key| bridge.end(key));
-        let hand_over = |module: &mut Forwarder, bridge: &mut Bridge| -> Result<(), Infallible> {
+        let hand_over = |module: &mut Scheduler, bridge: &mut Bridge| -> Result<(), Infallible> {
             inputs.into_iter().for_each(|input| input.hand_over(module));
             while let Some(key) = bridge.holds.pop_over(bridge.now) {
                 bridge.end(key);
@@ -231,9 +267,13 @@
             }
             Ok(())
         };
-        let Ok(()) = self.module.round(now, hand_over, &mut bridge);
+        let Ok(()) = self.module.run_iteration(now, hand_over, &mut bridge);
         self.targets.forget_gone();
-        let wake_at = self.wake_at.into_iter().chain(self.holds.next()).reduce(f64::min);
+        let wake_at = self
+            .wake_at
+            .into_iter()
+            .chain(self.holds.next())
+            .reduce(f64::min);
         commands.extend(wake_at.map(Command::WakeAt));
         commands
     }
--- a/tier/dispatch/src/settle.rs
+++ b/tier/dispatch/src/settle.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use plankhill::interface::Ms;
+use plankhill_decisions::interface::Ms;
 
 /// The rest before any answer was seen.
 const INITIAL: Ms = 200.0;
@@ -28,7 +28,10 @@
 
 impl Default for SettleTime {
     fn default() -> Self {
-        SettleTime { usual_pause: None, in_use: INITIAL }
+        SettleTime {
+            usual_pause: None,
+            in_use: INITIAL,
+        }
     }
 }
 
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use plankhill::interface::{DestinationId, Listing, Ms, TargetId, ZoneId};
+use plankhill_decisions::interface::{DestinationId, EndpointState, Ms, TargetId, ZoneId};
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
 
@@ -22,7 +22,7 @@
     /// The end of the wait after its last refusal.
     pub(crate) closed_until: Ms,
     service: DestinationId,
-    listing: Listing,
+    listing: EndpointState,
 }
 
 /// A difference for the decision module.
@@ -31,7 +31,7 @@
     pub(crate) target: TargetId,
     pub(crate) service: DestinationId,
     pub(crate) zone: ZoneId,
-    pub(crate) listing: Listing,
+    pub(crate) listing: EndpointState,
 }
 
 /// All targets, also those that are gone and still have calls out.
@@ -64,8 +64,10 @@
 
     /// Takes over new tables; returns what changed.
     pub(crate) fn replace(&mut self, own_zone: &ZoneName, listed: &[Target]) -> Vec<Relisted> {
-        let named: HashMap<&str, &Target> =
-            listed.iter().map(|target| (target.id.as_str(), target)).collect();
+        let named: HashMap<&str, &Target> = listed
+            .iter()
+            .map(|target| (target.id.as_str(), target))
+            .collect();
         let mut changes = self.gone(&named);
         for target in listed {
             changes.extend(self.enter(own_zone, target));
@@ -77,12 +79,17 @@
         let mut changes = Vec::new();
         for (id, known) in &mut self.by_id {
             let is_named = named.contains_key(known.id.as_str());
-            if is_named || known.listing == Listing::Gone {
+            if is_named || known.listing == EndpointState::Removed {
                 continue;
             }
-            known.listing = Listing::Gone;
+            known.listing = EndpointState::Removed;
             let (service, zone) = (known.service, ZoneId::UNKNOWN);
-            changes.push(Relisted { target: id.clone(), service, zone, listing: Listing::Gone });
+            changes.push(Relisted {
+                target: id.clone(),
+                service,
+                zone,
+                listing: EndpointState::Removed,
+            });
         }
         changes
     }
@@ -92,8 +99,8 @@
         let service = self.service(&target.service);
         let zone = self.zone(&target.zone);
         let listing = match target.state {
-            TargetState::Healthy => Listing::Running,
-            TargetState::Draining => Listing::Leaving,
+            TargetState::Healthy => EndpointState::Running,
+            TargetState::Draining => EndpointState::Draining,
         };
         if let Some(known) = self.by_id.get_mut(&id) {
             known.address = target.address;
@@ -101,7 +108,12 @@
                 return None;
             }
             known.listing = listing;
-            return Some(Relisted { target: id, service: known.service, zone, listing });
+            return Some(Relisted {
+                target: id,
+                service: known.service,
+                zone,
+                listing,
+            });
         }
         let known = KnownTarget {
             id: target.id.clone(),
@@ -115,26 +127,37 @@
             listing,
         };
         self.by_id.insert(id.clone(), known);
-        Some(Relisted { target: id, service, zone, listing })
+        Some(Relisted {
+            target: id,
+            service,
+            zone,
+            listing,
+        })
     }
 
     /// The hashes of the service's targets that take new requests.
     pub(crate) fn running_hashes(&self, service: DestinationId) -> Vec<u64> {
         let of_service = self.by_id.values().filter(|known| known.service == service);
-        of_service.filter(|known| known.listing == Listing::Running).map(|known| known.hash).collect()
+        of_service
+            .filter(|known| known.listing == EndpointState::Running)
+            .map(|known| known.hash)
+            .collect()
     }
 
     /// When the first target that refused takes calls again; none where no wait runs.
     pub(crate) fn opens_at(&self, service: DestinationId, now: Ms) -> Option<Ms> {
         let of_service = self.by_id.values().filter(|known| known.service == service);
-        let running = of_service.filter(|known| known.listing == Listing::Running);
-        let waits = running.map(|known| known.closed_until).filter(|until| *until > now);
+        let running = of_service.filter(|known| known.listing == EndpointState::Running);
+        let waits = running
+            .map(|known| known.closed_until)
+            .filter(|until| *until > now);
         waits.reduce(f64::min)
     }
 
     /// Forgets targets that are gone and have no call out.
     pub(crate) fn forget_gone(&mut self) {
-        self.by_id.retain(|_, known| known.listing != Listing::Gone || known.load.out() > 0);
+        self.by_id
+            .retain(|_, known| known.listing != EndpointState::Removed || known.load.out() > 0);
     }
 }
 
--- a/tier/dispatch/tests/decisions_digest/faults.rs
+++ b/tier/dispatch/tests/decisions_digest/faults.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use plankhill_dispatch::{
-    Command, DispatchSettings, Dispatcher, Ended, Fate, Ms, NewRequest, PingAnswer, PrefixPart, Repeats,
-    RequestKey, UpstreamLoad,
+    AttemptOutcome, Command, DispatchSettings, Dispatcher, Ended, Ms, NewRequest, PingAnswer,
+    PrefixPart, Repeats, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
@@ -38,8 +38,16 @@
 
 enum Happens {
     Request,
-    Ended { key: u64, target: String, number: u64, ended: Ended },
-    Pinged { target: String, healthy: bool },
+    Ended {
+        key: u64,
+        target: String,
+        number: u64,
+        ended: Ended,
+    },
+    Pinged {
+        target: String,
+        healthy: bool,
+    },
     Withdrawn(u64),
     ConditionChanges,
     TablesChange,
@@ -65,8 +73,16 @@
 
 /// Runs the world with that seed; every third one with room for few requests.
 pub fn run(seed: u64) -> Transcript {
-    let most_requests = if seed.is_multiple_of(3) { FEW_REQUESTS } else { 1_000 };
-    let settings = DispatchSettings { seed, zone: ZoneName::from(ZONES[0]), most_requests };
+    let most_requests = if seed.is_multiple_of(3) {
+        FEW_REQUESTS
+    } else {
+        1_000
+    };
+    let settings = DispatchSettings {
+        seed,
+        zone: ZoneName::from(ZONES[0]),
+        most_requests,
+    };
     let mut world = World {
         now: 0.0,
         draws: mixed(seed),
@@ -106,7 +122,8 @@
     fn at(&mut self, when: Ms, happens: Happens) {
         self.count += 1;
         self.due.insert(self.count, happens);
-        self.agenda.push(Reverse(((when * 1_000.0).ceil() as u64, self.count)));
+        self.agenda
+            .push(Reverse(((when * 1_000.0).ceil() as u64, self.count)));
     }
 
     fn go_on(&mut self) {
@@ -124,20 +141,34 @@
             Happens::Request => {
                 self.request();
                 if now < LENGTH {
-                    let rate = if ((now / 5_000.0) as u64).is_multiple_of(2) { 3.0 } else { 12.0 };
+                    let rate = if ((now / 5_000.0) as u64).is_multiple_of(2) {
+                        3.0
+                    } else {
+                        12.0
+                    };
                     let pause = rate * (0.2 + 1.6 * self.draw());
                     self.at(now + pause, Happens::Request);
                 }
             }
-            Happens::Ended { key, target, number, ended } => {
+            Happens::Ended {
+                key,
+                target,
+                number,
+                ended,
+            } => {
                 if self.out.get(&key) != Some(&(target.clone(), number)) {
                     return;
                 }
                 self.ends(key, &target, ended);
             }
             Happens::Pinged { target, healthy } => {
-                let answer = if healthy { PingAnswer::Healthy } else { PingAnswer::Unhealthy };
-                self.dispatcher.pinged(&InstanceId::from(target.as_str()), answer);
+                let answer = if healthy {
+                    PingAnswer::Healthy
+                } else {
+                    PingAnswer::Unhealthy
+                };
+                self.dispatcher
+                    .pinged(&InstanceId::from(target.as_str()), answer);
             }
             Happens::Withdrawn(key) => {
                 if self.over.insert(key, true) == Some(true) {
@@ -146,7 +177,7 @@
                 self.transcript.line(&format!("withdrawn {key}"));
                 self.dispatcher.withdrawn(RequestKey(key));
                 if let Some((target, _)) = self.out.get(&key).cloned() {
-                    self.ends(key, &target, Ended::plain(Fate::Cancelled));
+                    self.ends(key, &target, Ended::plain(AttemptOutcome::Cancelled));
                 }
             }
             Happens::ConditionChanges => {
@@ -173,15 +204,18 @@
         if let Some(machine) = self.machine(target) {
             machine.calls -= 1;
         }
-        if ended.fate == Fate::Delivered {
+        if ended.fate == AttemptOutcome::Delivered {
             self.over.insert(key, true);
         }
         self.transcript.ended(0, self.now, key, target, &ended);
-        self.dispatcher.ended(self.now, RequestKey(key), &InstanceId::from(target), ended);
+        self.dispatcher
+            .ended(self.now, RequestKey(key), &InstanceId::from(target), ended);
     }
 
     fn machine(&mut self, id: &str) -> Option<&mut Machine> {
-        self.machines.iter_mut().find(|machine| machine.listed.id.as_str() == id)
+        self.machines
+            .iter_mut()
+            .find(|machine| machine.listed.id.as_str() == id)
     }
 
     fn request(&mut self) {
@@ -189,7 +223,11 @@
         let (key, now) = (self.keys, self.now);
         let deadline = now + 300.0 + 4_000.0 * self.draw();
         let has_prompt = self.below(2) == 0;
-        let session = if self.below(3) == 0 { Some(self.below(12)) } else { None };
+        let session = if self.below(3) == 0 {
+            Some(self.below(12))
+        } else {
+            None
+        };
         let subject = self.below(4);
         let own = session.map_or(1_000 + key, |session| 100 + session);
         let finish_left = match self.below(4) {
@@ -201,7 +239,11 @@
         let new = NewRequest {
             key: RequestKey(key),
             service: ServiceName::from(SERVICES[self.below(2) as usize]),
-            repeats: if self.below(2) == 0 { Repeats::Allowed } else { Repeats::Forbidden },
+            repeats: if self.below(2) == 0 {
+                Repeats::Allowed
+            } else {
+                Repeats::Forbidden
+            },
             session,
             deadline,
             objective: 50.0 + 450.0 * self.draw(),
@@ -209,7 +251,16 @@
             priority: self.below(3) as u8,
             finish_left,
             prefix: match has_prompt {
-                true => vec![PrefixPart { id: subject, tokens: 2_000 }, PrefixPart { id: own, tokens: 300 }],
+                true => vec![
+                    PrefixPart {
+                        id: subject,
+                        tokens: 2_000,
+                    },
+                    PrefixPart {
+                        id: own,
+                        tokens: 300,
+                    },
+                ],
                 false => Vec::new(),
             },
         };
@@ -228,7 +279,12 @@
         self.wake += 1;
         for command in commands {
             match command {
-                Command::Send { request, target, deadline, .. } => {
+                Command::Send {
+                    request,
+                    target,
+                    deadline,
+                    ..
+                } => {
                     self.sends(request.0, target.as_str(), deadline);
                 }
                 Command::Refuse { request, .. } | Command::Fail { request, .. } => {
@@ -259,33 +315,51 @@
             None => Condition::Dead,
         };
         let calls = self.machine(target).map_or(0, |machine| machine.calls);
-        let load = UpstreamLoad { running: calls.min(4), waiting: calls.saturating_sub(4), slots: 4 };
+        let load = UpstreamLoad {
+            running: calls.min(4),
+            waiting: calls.saturating_sub(4),
+            slots: 4,
+        };
         let (took, fate) = match condition {
-            Condition::Well if calls > 12 => (2.0, Fate::Full),
-            Condition::Well if chance < 0.02 => (work, Fate::Reset),
-            Condition::Well => (work, Fate::Delivered),
-            Condition::Slow => (10.0 * work, Fate::Delivered),
-            Condition::Full => (2.0, Fate::Full),
-            Condition::Failing if chance < 0.7 => (5.0, Fate::Error),
-            Condition::Failing => (work, Fate::Delivered),
-            Condition::Dead if chance < 0.5 => (1.0, Fate::NoConnection),
-            Condition::Dead => (3.0, Fate::Reset),
-            Condition::Hanging => (f64::INFINITY, Fate::TimedOut),
+            Condition::Well if calls > 12 => (2.0, AttemptOutcome::Rejected),
+            Condition::Well if chance < 0.02 => (work, AttemptOutcome::Reset),
+            Condition::Well => (work, AttemptOutcome::Delivered),
+            Condition::Slow => (10.0 * work, AttemptOutcome::Delivered),
+            Condition::Full => (2.0, AttemptOutcome::Rejected),
+            Condition::Failing if chance < 0.7 => (5.0, AttemptOutcome::Error),
+            Condition::Failing => (work, AttemptOutcome::Delivered),
+            Condition::Dead if chance < 0.5 => (1.0, AttemptOutcome::ConnectFailed),
+            Condition::Dead => (3.0, AttemptOutcome::Reset),
+            Condition::Hanging => (f64::INFINITY, AttemptOutcome::TimedOut),
         };
         let in_time = self.now + took < deadline;
         let at = if in_time { self.now + took } else { deadline };
-        let fate = if in_time { fate } else { Fate::TimedOut };
+        let fate = if in_time {
+            fate
+        } else {
+            AttemptOutcome::TimedOut
+        };
         let ended = Ended {
             fate,
             took: at - self.now,
-            retry_after: (fate == Fate::Full && chance < 0.5).then_some(100.0),
-            load: (fate == Fate::Delivered || fate == Fate::Full).then_some(load),
-            longest_pause: (fate == Fate::Delivered).then_some(work / 3.0),
+            retry_after: (fate == AttemptOutcome::Rejected && chance < 0.5).then_some(100.0),
+            load: (fate == AttemptOutcome::Delivered || fate == AttemptOutcome::Rejected)
+                .then_some(load),
+            longest_pause: (fate == AttemptOutcome::Delivered).then_some(work / 3.0),
         };
-        if fate == Fate::Delivered && chance < 0.3 {
-            self.dispatcher.load_seen(self.now, &InstanceId::from(target), load);
+        if fate == AttemptOutcome::Delivered && chance < 0.3 {
+            self.dispatcher
+                .load_seen(self.now, &InstanceId::from(target), load);
         }
-        self.at(at, Happens::Ended { key, target: target.to_owned(), number, ended });
+        self.at(
+            at,
+            Happens::Ended {
+                key,
+                target: target.to_owned(),
+                number,
+                ended,
+            },
+        );
     }
 
     fn pings(&mut self, target: &str) {
@@ -297,7 +371,13 @@
             Some(Condition::Dead) | None => (1.0, false),
             Some(Condition::Hanging) => (900.0, false),
         };
-        self.at(self.now + after, Happens::Pinged { target: target.to_owned(), healthy });
+        self.at(
+            self.now + after,
+            Happens::Pinged {
+                target: target.to_owned(),
+                healthy,
+            },
+        );
     }
 
     /// Of half of the calls nothing was written yet.
@@ -310,8 +390,19 @@
             .collect();
         for (key, number) in calls {
             if self.below(2) == 0 {
-                let ended = Ended { took: 1.0, ..Ended::plain(Fate::NotSent) };
-                self.at(self.now + 0.5, Happens::Ended { key, target: target.to_owned(), number, ended });
+                let ended = Ended {
+                    took: 1.0,
+                    ..Ended::plain(AttemptOutcome::NotSent)
+                };
+                self.at(
+                    self.now + 0.5,
+                    Happens::Ended {
+                        key,
+                        target: target.to_owned(),
+                        number,
+                        ended,
+                    },
+                );
             }
         }
     }
@@ -347,19 +438,29 @@
         let listed = Target {
             id: InstanceId::from(format!("i-{number}").as_str()),
             service: ServiceName::from(SERVICES[number as usize % 2]),
-            address: format!("127.0.0.1:{}", 8_000 + number).parse().expect("an address"),
+            address: format!("127.0.0.1:{}", 8_000 + number)
+                .parse()
+                .expect("an address"),
             zone: ZoneName::from(ZONES[number as usize % 3]),
             capacity: 4,
             state: TargetState::Healthy,
             sequence: 1,
-            cold_remaining_ms: 0,
+            warm_up_remaining_ms: 0,
             models: Vec::new(),
         };
-        self.machines.push(Machine { listed, condition: Condition::Well, calls: 0 });
+        self.machines.push(Machine {
+            listed,
+            condition: Condition::Well,
+            calls: 0,
+        });
     }
 
     fn list(&mut self) {
-        let listed: Vec<Target> = self.machines.iter().map(|machine| machine.listed.clone()).collect();
+        let listed: Vec<Target> = self
+            .machines
+            .iter()
+            .map(|machine| machine.listed.clone())
+            .collect();
         self.dispatcher.tables_changed(&listed);
     }
 }
--- a/tier/worth-report/src/main.rs
+++ b/tier/loss-report/src/main.rs
@@ -1,11 +1,11 @@
-//! `plankhill-worth-report REPORT...`: where the worth of days was lost, from the bench's reports of them.
+//! `plankhill-loss-report REPORT...`: where the worth of days was lost, from the bench's reports of them.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use lexopt::{Arg, Parser};
-use plankhill_worth_report::{DayReport, Ledger, ReportError};
+use plankhill_loss_report::{DayReport, Ledger, ReportError};
 
 /// Prices below this share of the worth owed are left out.
 const LEAST_PRICE: f64 = 0.0005;
@@ -14,7 +14,7 @@
     let files = match arguments() {
         Ok(files) => files,
         Err(error) => {
-            eprintln!("{error}; usage: plankhill-worth-report REPORT...");
+            eprintln!("{error}; usage: plankhill-loss-report REPORT...");
             return ExitCode::from(2);
         }
     };
@@ -41,7 +41,8 @@
 }
 
 fn tell(file: &Path) -> Result<(), ReportError> {
-    let report = DayReport::read(file).inspect_err(|error| eprintln!("{}: {error}", file.display()))?;
+    let report =
+        DayReport::read(file).inspect_err(|error| eprintln!("{}: {error}", file.display()))?;
     let ledger = Ledger::of(&report);
     println!("{}", file.display());
     println!(
@@ -52,7 +53,10 @@
         ledger.lost()
     );
     for cause in &ledger.causes {
-        println!("  {:<36} {:>7.1}  {:.4}", cause.cause, cause.programs, cause.share);
+        println!(
+            "  {:<36} {:>7.1}  {:.4}",
+            cause.cause, cause.programs, cause.share
+        );
     }
     for price in report.prices.iter().filter(|price| price.2 >= LEAST_PRICE) {
         println!("  price: {:<29} {:>7.1}  {:.4}", price.0, price.1, price.2);
--- a/tier/protocol/src/subscription/progress.rs
+++ b/tier/protocol/src/subscription/progress.rs
@@ -16,7 +16,7 @@
 const WAITED_HEARTBEATS: u32 = 3;
 /// How long a home may lag behind the revision that the feeder has announced: some ten times the way over one
 /// more machine, and a small part of the time within which a change must have spread.
-pub const HOME_LAG: Duration = Duration::from_millis(150);
+pub const MAX_HOME_LAG: Duration = Duration::from_millis(150);
 
 /// What follows from one message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -104,7 +104,7 @@
     pub fn home_is_overdue_at(&self) -> Option<Instant> {
         match self.source {
             Source::Feeder => None,
-            Source::Home { lags_since } => lags_since.map(|since| since + HOME_LAG),
+            Source::Home { lags_since } => lags_since.map(|since| since + MAX_HOME_LAG),
         }
     }
 
@@ -113,13 +113,19 @@
         let was_by_home = self.is_by_home();
         self.source = Source::Feeder;
         (self.asked_snapshot, self.asked_updates) = (false, was_by_home);
-        was_by_home.then_some(FromSubscriber::Updates { held })
+        was_by_home.then_some(FromSubscriber::ResumeUpdates {
+            held_revision: held,
+        })
     }
 
     fn update(&mut self, update: TablesUpdate, tables: &mut Arc<Tables>, now: Instant) -> Step {
         let before = tables.revision;
         if !Arc::make_mut(tables).apply(update) {
-            return if self.is_by_home() { self.behind_the_feeder(now) } else { self.snapshot_once() };
+            return if self.is_by_home() {
+                self.behind_the_feeder(now)
+            } else {
+                self.snapshot_once()
+            };
         }
         (self.asked_snapshot, self.asked_updates, self.waited) = (false, false, 0);
         if tables.revision == before {
@@ -129,7 +135,13 @@
         }
     }
 
-    fn heartbeat(&mut self, revision: Revision, current: bool, held: Revision, now: Instant) -> Step {
+    fn heartbeat(
+        &mut self,
+        revision: Revision,
+        current: bool,
+        held: Revision,
+        now: Instant,
+    ) -> Step {
         self.announced = self.announced.max(revision);
         if !current {
             return Step::Leave;
@@ -157,7 +169,11 @@
         }
         if self.asked_updates || self.asked_snapshot {
             self.waited += 1;
-            return if self.waited < WAITED_HEARTBEATS { Step::Unconfirmed } else { Step::Broken };
+            return if self.waited < WAITED_HEARTBEATS {
+                Step::Unconfirmed
+            } else {
+                Step::Broken
+            };
         }
         self.snapshot_once()
     }
--- a/tier/protocol/src/tables/order.rs
+++ b/tier/protocol/src/tables/order.rs
@@ -5,12 +5,12 @@
 use super::{Edge, Target};
 
 /// The order of [`Tables::targets`].
-pub fn target_order(one: &Target, other: &Target) -> Ordering {
+pub fn compare_targets(one: &Target, other: &Target) -> Ordering {
     (&one.service, &one.id).cmp(&(&other.service, &other.id))
 }
 
 /// The order of [`Tables::edges`].
-pub fn edge_order(one: &Edge, other: &Edge) -> Ordering {
+pub fn compare_edges(one: &Edge, other: &Edge) -> Ordering {
     one.node.cmp(&other.node)
 }
 
@@ -20,10 +20,12 @@
     other: &'a [T],
     order: fn(&T, &T) -> Ordering,
 ) -> impl Iterator<Item = &'a T> {
-    list.iter().filter(move |one| match other.binary_search_by(|held| order(held, one)) {
-        Ok(at) => other[at] != **one,
-        Err(_) => true,
-    })
+    list.iter().filter(
+        move |one| match other.binary_search_by(|held| order(held, one)) {
+            Ok(at) => other[at] != **one,
+            Err(_) => true,
+        },
+    )
 }
 
 /// Whether the list holds something at the place of `one`.
--- a/tier/protocol/src/transport/mod.rs
+++ b/tier/protocol/src/transport/mod.rs
@@ -28,7 +28,7 @@
 /// A connection that takes longer to come up counts as failed.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(800);
 /// The largest frame, in bytes: a snapshot with a large configuration, with room to grow.
-pub const MAX_FRAME: usize = 32 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -59,7 +59,11 @@
 impl Hello {
     /// A greeting of this version.
     pub fn new(channel: Channel, node: NodeId) -> Self {
-        Hello { version: PROTOCOL_VERSION, channel, node }
+        Hello {
+            version: PROTOCOL_VERSION,
+            channel,
+            node,
+        }
     }
 }
 
@@ -69,8 +73,8 @@
     /// The operating system reported an error, or the peer closed.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// A frame longer than [`MAX_FRAME`].
-    #[error("frame of {0} bytes; at most {MAX_FRAME}")]
+    /// A frame longer than [`MAX_FRAME_BYTES`].
+    #[error("frame of {0} bytes; at most {MAX_FRAME_BYTES}")]
     FrameTooLong(usize),
     /// Bytes that are no message of the expected type.
     #[error("message: {0}")]
@@ -104,7 +108,9 @@
         let stream = connect(address).await?;
         greet(stream, address, hello).await
     };
-    tokio::time::timeout(DIAL_TIMEOUT, connecting).await.map_err(|_| TransportError::DialTimeout)?
+    tokio::time::timeout(DIAL_TIMEOUT, connecting)
+        .await
+        .map_err(|_| TransportError::DialTimeout)?
 }
 
 /// Accepts one connection and greets; the caller passes the stream of its listener.
@@ -136,13 +142,17 @@
 ///
 /// # Errors
 /// The operating system's.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
-async fn greet(stream: TcpStream, address: SocketAddr, hello: &Hello) -> Result<Connection, TransportError> {
-    tune(&stream)?;
+async fn greet(
+    stream: TcpStream,
+    address: SocketAddr,
+    hello: &Hello,
+) -> Result<Connection, TransportError> {
+    set_socket_options(&stream)?;
     let (read, write) = stream.into_split();
     let (mut reader, mut writer) = (FrameReader::new(read), FrameWriter::new(write));
     writer.send(hello).await?;
@@ -150,5 +160,10 @@
     if peer.version != PROTOCOL_VERSION {
         return Err(TransportError::Version(peer.version));
     }
-    Ok(Connection { peer, address, reader, writer })
+    Ok(Connection {
+        peer,
+        address,
+        reader,
+        writer,
+    })
 }
--- a/tier/protocol/tests/homes.rs
+++ b/tier/protocol/tests/homes.rs
@@ -10,9 +10,9 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use common::{any_tables, tables};
 use plankhill_protocol::feed::{FromSubscriber, ToSubscriber};
-use plankhill_protocol::feeder::Held;
+use plankhill_protocol::feed_position::FeedPosition;
 use plankhill_protocol::ids::Revision;
-use plankhill_protocol::subscription::{Progress, Step, HOME_LAG};
+use plankhill_protocol::subscription::{Progress, Step, MAX_HOME_LAG};
 use plankhill_protocol::tables::{Tables, TablesUpdate};
 
 /// The longest way from one machine to another, in steps of a millisecond.
@@ -24,7 +24,7 @@
 
 /// Announced, overdue, asked, answered; a step for each of these.
 fn bound() -> usize {
-    HOME_LAG.as_millis() as usize + 3 * MOST_STEPS + 4
+    MAX_HOME_LAG.as_millis() as usize + 3 * MOST_STEPS + 4
 }
 
 /// A connection: in order, each message after some steps.
@@ -34,7 +34,9 @@
 
 impl<T> Line<T> {
     fn new() -> Self {
-        Line { under_way: VecDeque::new() }
+        Line {
+            under_way: VecDeque::new(),
+        }
     }
 
     fn send(&mut self, arrives: usize, message: T) {
@@ -53,7 +55,7 @@
 /// The controller's end of the subscription.
 struct Controller {
     wants_updates: bool,
-    held: Held,
+    held: FeedPosition,
     announced: Revision,
     beat: usize,
 }
@@ -62,10 +64,15 @@
     fn take(&mut self, message: FromSubscriber) {
         match message {
             FromSubscriber::HeartbeatsOnly => self.wants_updates = false,
-            FromSubscriber::Updates { held } => {
-                (self.wants_updates, self.held, self.announced) = (true, Held::Revision(held), held);
+            FromSubscriber::ResumeUpdates {
+                held_revision: held,
+            } => {
+                (self.wants_updates, self.held, self.announced) =
+                    (true, FeedPosition::Revision(held), held);
+            }
+            FromSubscriber::RequestSnapshot => {
+                (self.held, self.announced) = (FeedPosition::Nothing, Revision(0))
             }
-            FromSubscriber::WantsSnapshot => (self.held, self.announced) = (Held::Nothing, Revision(0)),
             other => panic!("{other:?}"),
         }
     }
@@ -73,13 +80,20 @@
     fn send(&mut self, newest: &Arc<Tables>, now: usize) -> Vec<ToSubscriber> {
         let rose = self.announced < newest.revision;
         self.announced = newest.revision;
-        let update = self.held.advance(newest).filter(|_| self.wants_updates);
+        let update = self.held.advance_to(newest).filter(|_| self.wants_updates);
         if !rose && update.is_none() && now < self.beat {
             return Vec::new();
         }
         self.beat = now + HEARTBEAT;
-        let beat = ToSubscriber::Heartbeat { revision: newest.revision, current: true };
-        update.map(ToSubscriber::Update).into_iter().chain([beat]).collect()
+        let beat = ToSubscriber::Heartbeat {
+            revision: newest.revision,
+            current: true,
+        };
+        update
+            .map(ToSubscriber::Update)
+            .into_iter()
+            .chain([beat])
+            .collect()
     }
 }
 
@@ -88,8 +102,12 @@
     let begin = Instant::now();
     let mut history = vec![Arc::new(tables(0))];
     let mut committed_at = vec![0];
-    let mut controller =
-        Controller { wants_updates: true, held: Held::Nothing, announced: Revision(0), beat: 0 };
+    let mut controller = Controller {
+        wants_updates: true,
+        held: FeedPosition::Nothing,
+        announced: Revision(0),
+        beat: 0,
+    };
     let (mut down, mut up, mut side) = (Line::new(), Line::new(), Line::new());
     let mut home = Arc::new(tables(0));
     let mut to_home = Line::new();
@@ -117,13 +135,16 @@
         let before = held.revision;
         while let Some(message) = down.arrived(now) {
             if progress.take(message, &mut held, instant) == Step::WantsSnapshot {
-                up.send(later(draw)?, FromSubscriber::WantsSnapshot);
+                up.send(later(draw)?, FromSubscriber::RequestSnapshot);
             }
         }
         while let Some(offered) = side.arrived(now) {
             progress.offered(offered, &mut held);
         }
-        if progress.home_is_overdue_at().is_some_and(|overdue| overdue <= instant) {
+        if progress
+            .home_is_overdue_at()
+            .is_some_and(|overdue| overdue <= instant)
+        {
             let message = progress.end_by_home(held.revision);
             up.send(later(draw)?, message.unwrap());
         }
@@ -133,16 +154,29 @@
             }
         }
         assert!(held.revision >= before, "went back");
-        assert_eq!(held, history[held.revision.0 as usize], "holds what never was");
-        let due = committed_at.iter().rposition(|at| at + bound() <= now).unwrap_or(0);
-        assert!(held.revision.0 as usize >= due, "at {now}: holds {:?}, due {due}", held.revision);
+        assert_eq!(
+            held, history[held.revision.0 as usize],
+            "holds what never was"
+        );
+        let due = committed_at
+            .iter()
+            .rposition(|at| at + bound() <= now)
+            .unwrap_or(0);
+        assert!(
+            held.revision.0 as usize >= due,
+            "at {now}: holds {:?}, due {due}",
+            held.revision
+        );
     }
     Ok(())
 }
 
 #[test]
 fn a_home_that_works_brings_every_revision_in_time() {
-    arbtest::arbtest(|draw| play(draw, usize::MAX)).size_min(1 << 14).size_max(1 << 17).budget_ms(2_000);
+    arbtest::arbtest(|draw| play(draw, usize::MAX))
+        .size_min(1 << 14)
+        .size_max(1 << 17)
+        .budget_ms(2_000);
 }
 
 #[test]
@@ -160,10 +194,19 @@
 fn offers_count_only_while_the_home_is_followed() {
     let mut held = Arc::new(tables(1));
     let mut progress = Progress::default();
-    assert_eq!(progress.offered(Arc::new(tables(2)), &mut held), Step::Unconfirmed);
+    assert_eq!(
+        progress.offered(Arc::new(tables(2)), &mut held),
+        Step::Unconfirmed
+    );
     progress.begin_by_home(held.revision);
-    assert_eq!(progress.offered(Arc::new(tables(2)), &mut held), Step::Changed);
-    assert_eq!(progress.offered(Arc::new(tables(1)), &mut held), Step::Unconfirmed);
+    assert_eq!(
+        progress.offered(Arc::new(tables(2)), &mut held),
+        Step::Changed
+    );
+    assert_eq!(
+        progress.offered(Arc::new(tables(1)), &mut held),
+        Step::Unconfirmed
+    );
     assert_eq!(held.revision, Revision(2));
 }
 
@@ -172,11 +215,14 @@
     let (mut held, now) = (Arc::new(tables(1)), Instant::now());
     let mut progress = Progress::default();
     progress.begin_by_home(held.revision);
-    let announced = ToSubscriber::Heartbeat { revision: Revision(3), current: true };
+    let announced = ToSubscriber::Heartbeat {
+        revision: Revision(3),
+        current: true,
+    };
     assert_eq!(progress.take(announced, &mut held, now), Step::Unconfirmed);
-    assert_eq!(progress.home_is_overdue_at(), Some(now + HOME_LAG));
+    assert_eq!(progress.home_is_overdue_at(), Some(now + MAX_HOME_LAG));
     progress.offered(Arc::new(tables(2)), &mut held);
-    assert_eq!(progress.home_is_overdue_at(), Some(now + HOME_LAG));
+    assert_eq!(progress.home_is_overdue_at(), Some(now + MAX_HOME_LAG));
     progress.offered(Arc::new(tables(3)), &mut held);
     assert_eq!(progress.home_is_overdue_at(), None);
 }
@@ -187,8 +233,20 @@
     let mut progress = Progress::default();
     assert_eq!(progress.end_by_home(held.revision), None);
     progress.begin_by_home(held.revision);
-    assert_eq!(progress.end_by_home(held.revision), Some(FromSubscriber::Updates { held: Revision(3) }));
+    assert_eq!(
+        progress.end_by_home(held.revision),
+        Some(FromSubscriber::ResumeUpdates {
+            held_revision: Revision(3)
+        })
+    );
     let (from, to) = (Revision(3), Revision(4));
-    let update = ToSubscriber::Update(TablesUpdate::Changes { from, to, changes: Vec::new() });
-    assert_eq!(progress.take(update, &mut held, Instant::now()), Step::Changed);
+    let update = ToSubscriber::Update(TablesUpdate::Changes {
+        from,
+        to,
+        changes: Vec::new(),
+    });
+    assert_eq!(
+        progress.take(update, &mut held, Instant::now()),
+        Step::Changed
+    );
 }
--- a/tier/proxy/src/connect.rs
+++ b/tier/proxy/src/connect.rs
@@ -6,7 +6,7 @@
 
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use plankhill_protocol::transport::tune;
+use plankhill_protocol::transport::set_socket_options;
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
@@ -23,8 +23,11 @@
 /// The operating system's, or that of HTTP's start.
 pub async fn connect(address: SocketAddr, permit: OpenPermit) -> io::Result<TargetConnection> {
     let stream = TcpStream::connect(address).await?;
-    tune(&stream)?;
-    let probes = TcpKeepalive::new().with_time(PROBE_EVERY).with_interval(PROBE_EVERY).with_retries(PROBES);
+    set_socket_options(&stream)?;
+    let probes = TcpKeepalive::new()
+        .with_time(PROBE_EVERY)
+        .with_interval(PROBE_EVERY)
+        .with_retries(PROBES);
     SockRef::from(&stream).set_tcp_keepalive(&probes)?;
     let handshake = http1::handshake(TokioIo::new(stream));
     let (sender, connection) = handshake.await.map_err(io::Error::other)?;
@@ -33,5 +36,10 @@
             tracing::debug!(%address, %error, "connection to a target ended");
         }
     }));
-    Ok(TargetConnection { sender, reused: false, driver, permit })
+    Ok(TargetConnection {
+        sender,
+        reused: false,
+        driver,
+        permit,
+    })
 }
--- a/tier/proxy/src/draining.rs
+++ b/tier/proxy/src/draining.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use plankhill_configuration::RouteTable;
-use plankhill_draining::node::{Action, NodeDrain, NodeState, Seen};
+use plankhill_draining::node::{DrainAction, NodeDrain, NodeObservation, NodeState};
 use plankhill_protocol::feed::FromSubscriber;
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::tables::Tables;
@@ -26,7 +26,12 @@
 pub type Say = Box<dyn Fn(FromSubscriber) -> bool>;
 
 /// Follows the orders for this node, until the process is to end. Without a sender of tables the newest order stays.
-pub async fn follow(proxy: Rc<Proxy>, node: NodeId, mut tables: watch::Receiver<Arc<Tables>>, say: Say) {
+pub async fn follow(
+    proxy: Rc<Proxy>,
+    node: NodeId,
+    mut tables: watch::Receiver<Arc<Tables>>,
+    say: Say,
+) {
     let mut drain = NodeDrain::default();
     let mut shutdown = proxy.life.shutdown();
     let mut has_sender = true;
@@ -34,12 +39,16 @@
         let seen = seen(&proxy, &node, &tables.borrow_and_update().clone());
         for action in drain.step(duration(proxy.clock.now()), &seen) {
             carry_out(&proxy, action, &say);
-            if action == Action::EndProcess {
+            if action == DrainAction::ExitProcess {
                 return;
             }
         }
         let looks = drain.state() != NodeState::InService;
-        let pause = if seen.shutdown.is_some() { LOOK_AT_THE_END } else { LOOK };
+        let pause = if seen.shutdown.is_some() {
+            LOOK_AT_THE_END
+        } else {
+            LOOK
+        };
         tokio::select! {
             changed = tables.changed(), if has_sender => has_sender = changed.is_ok(),
             // The life holds the sender.
@@ -50,39 +59,48 @@
     }
 }
 
-fn seen(proxy: &Proxy, node: &NodeId, tables: &Tables) -> Seen {
+fn seen(proxy: &Proxy, node: &NodeId, tables: &Tables) -> NodeObservation {
     let order = tables.drains.iter().find(|drain| drain.node == *node);
     let snapshot = proxy.snapshots.newest();
     let routes = snapshot.routes.as_ref();
-    Seen {
-        order: order.map(|drain| drain.number),
+    NodeObservation {
+        drain_order: order.map(|drain| drain.number),
         shutdown: *proxy.life.shutdown().borrow(),
-        recorded: order.is_some_and(|drain| drain.empty),
-        requests: proxy.life.requests(),
-        connections: proxy.life.clients(),
-        longest_rest: routes.map_or(LONGEST, |routes| routes.limits().idle_timeout),
-        longest_reply: routes.map_or(LONGEST, |routes| longest_timeout(routes)),
+        drained_recorded: order.is_some_and(|drain| drain.empty),
+        requests_in_flight: proxy.life.requests(),
+        open_connections: proxy.life.clients(),
+        max_idle_timeout: routes.map_or(LONGEST, |routes| routes.limits().idle_timeout),
+        max_response_timeout: routes.map_or(LONGEST, |routes| longest_timeout(routes)),
     }
 }
 
 fn longest_timeout(routes: &RouteTable) -> Duration {
-    routes.routes().map(|route| route.timeout).max().unwrap_or(LONGEST)
+    routes
+        .routes()
+        .map(|route| route.timeout)
+        .max()
+        .unwrap_or(LONGEST)
 }
 
-fn carry_out(proxy: &Proxy, action: Action, say: &Say) {
-    tracing::info!(?action, requests = proxy.life.requests(), clients = proxy.life.clients(), "draining");
+fn carry_out(proxy: &Proxy, action: DrainAction, say: &Say) {
+    tracing::info!(
+        ?action,
+        requests = proxy.life.requests(),
+        clients = proxy.life.clients(),
+        "draining"
+    );
     match action {
-        Action::TurnAway => proxy.life.set_leaving(true),
-        Action::Welcome => {
+        DrainAction::RejectNewClients => proxy.life.set_leaving(true),
+        DrainAction::AcceptNewClients => {
             proxy.life.set_leaving(false);
             proxy.life.set_connections(Connections::Keep);
         }
-        Action::CloseIdle => proxy.life.set_connections(Connections::CloseIdle),
-        Action::Cut => proxy.life.set_connections(Connections::Cut),
-        Action::ReportEmpty(number) => {
+        DrainAction::CloseIdleConnections => proxy.life.set_connections(Connections::CloseIdle),
+        DrainAction::ResetConnections => proxy.life.set_connections(Connections::Cut),
+        DrainAction::ReportDrained(number) => {
             // Said again until the tables show it.
-            let _ = say(FromSubscriber::Emptied { number });
+            let _ = say(FromSubscriber::Drained { number });
         }
-        Action::EndProcess => proxy.life.set_over(),
+        DrainAction::ExitProcess => proxy.life.set_over(),
     }
 }
--- a/tier/proxy/src/exchange.rs
+++ b/tier/proxy/src/exchange.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use plankhill_dispatch::{Fate, Ms, UpstreamLoad};
+use plankhill_dispatch::{AttemptOutcome, Ms, UpstreamLoad};
 use plankhill_protocol::ids::RequestId;
 use tokio::time::{timeout_at, Instant};
 
@@ -55,7 +55,10 @@
         }
         let left = (call.deadline - now).max(1.0) as u64;
         headers.insert(headers::DEADLINE_MS, headers::number_value(left));
-        headers.insert(headers::PRIORITY, headers::number_value(call.priority.into()));
+        headers.insert(
+            headers::PRIORITY,
+            headers::number_value(call.priority.into()),
+        );
         if let Some(id) = self.last_event_id {
             headers.insert(headers::LAST_EVENT_ID, headers::number_value(id));
         }
@@ -82,16 +85,16 @@
 
 impl TargetHead {
     /// How the call ends if the whole answer comes.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> AttemptOutcome {
         if self.status == StatusCode::MISDIRECTED_REQUEST {
             // Another target listens there: the one that was meant is gone.
-            Fate::NoConnection
+            AttemptOutcome::ConnectFailed
         } else if self.headers.contains_key(headers::NOT_EXECUTED) {
-            Fate::Full
+            AttemptOutcome::Rejected
         } else if self.status.is_server_error() {
-            Fate::Error
+            AttemptOutcome::Error
         } else {
-            Fate::Delivered
+            AttemptOutcome::Delivered
         }
     }
 
@@ -100,12 +103,18 @@
         let value = text(&self.headers, headers::UPSTREAM_LOAD.as_str())?;
         let mut parts = value.split(',').map(|part| part.trim().parse::<u32>().ok());
         let (running, waiting, slots) = (parts.next()??, parts.next()??, parts.next()??);
-        Some(UpstreamLoad { running, waiting, slots })
+        Some(UpstreamLoad {
+            running,
+            waiting,
+            slots,
+        })
     }
 
     /// The target's `Retry-After`, in milliseconds.
     pub fn retry_after(&self) -> Option<Ms> {
-        number::<f64>(&self.headers, "retry-after").filter(|seconds| seconds.is_finite()).map(|s| s * 1e3)
+        number::<f64>(&self.headers, "retry-after")
+            .filter(|seconds| seconds.is_finite())
+            .map(|s| s * 1e3)
     }
 }
 
@@ -128,15 +137,18 @@
         call: &Call,
         outgoing: &Outgoing,
         most_connections: usize,
-    ) -> Result<TargetHead, Fate> {
+    ) -> Result<TargetHead, AttemptOutcome> {
         let deadline = self.clock.instant(call.deadline);
         loop {
             let mut connection = self.connection(call, deadline, most_connections).await?;
-            match self.write(&mut connection, call, outgoing, deadline).await? {
+            match self
+                .write(&mut connection, call, outgoing, deadline)
+                .await?
+            {
                 Some(response) => return checked(response, connection, outgoing),
                 // It was closed while it rested.
                 None if connection.reused => {}
-                None => return Err(Fate::NoConnection),
+                None => return Err(AttemptOutcome::ConnectFailed),
             }
         }
     }
@@ -148,20 +160,25 @@
         call: &Call,
         outgoing: &Outgoing,
         deadline: Instant,
-    ) -> Result<Option<Response<Incoming>>, Fate> {
-        let ready = timeout_at(deadline, connection.sender.ready()).await.map_err(|_| Fate::NotSent)?;
+    ) -> Result<Option<Response<Incoming>>, AttemptOutcome> {
+        let ready = timeout_at(deadline, connection.sender.ready())
+            .await
+            .map_err(|_| AttemptOutcome::NotSent)?;
         if call.leave.is_taken_back() {
-            return Err(Fate::NotSent);
+            return Err(AttemptOutcome::NotSent);
         }
         if ready.is_err() {
             return Ok(None);
         }
         let request = outgoing.request(call, self.clock.now());
         match timeout_at(deadline, connection.sender.try_send_request(request)).await {
-            Err(_) => Err(Fate::TimedOut),
+            Err(_) => Err(AttemptOutcome::TimedOut),
             Ok(Ok(response)) => Ok(Some(response)),
             // The message comes back where nothing of it was written.
-            Ok(Err(mut error)) => error.take_message().map(|_| None).ok_or(Fate::Reset),
+            Ok(Err(mut error)) => error
+                .take_message()
+                .map(|_| None)
+                .ok_or(AttemptOutcome::Reset),
         }
     }
 
@@ -170,15 +187,18 @@
         call: &Call,
         deadline: Instant,
         most_connections: usize,
-    ) -> Result<TargetConnection, Fate> {
+    ) -> Result<TargetConnection, AttemptOutcome> {
         if let Some(connection) = self.pool.take_idle(&call.target, Instant::now()) {
             return Ok(connection);
         }
-        let permit = self.pool.permit(&call.target, most_connections).ok_or(Fate::NotSent)?;
+        let permit = self
+            .pool
+            .permit(&call.target, most_connections)
+            .ok_or(AttemptOutcome::NotSent)?;
         let until = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         tokio::select! {
-            connected = dial(call.address, permit, until) => connected.ok_or(Fate::NoConnection),
-            () = call.leave.taken_back() => Err(Fate::NotSent),
+            connected = dial(call.address, permit, until) => connected.ok_or(AttemptOutcome::ConnectFailed),
+            () = call.leave.taken_back() => Err(AttemptOutcome::NotSent),
         }
     }
 }
@@ -192,7 +212,7 @@
     response: Response<Incoming>,
     connection: TargetConnection,
     outgoing: &Outgoing,
-) -> Result<TargetHead, Fate> {
+) -> Result<TargetHead, AttemptOutcome> {
     let (head, body) = response.into_parts();
     let ours = match text(&head.headers, headers::REQUEST_ID.as_str()) {
         Some(echoed) => echoed == outgoing.request_id.as_str(),
@@ -200,10 +220,16 @@
         None => !connection.reused,
     };
     if !ours || head.status.is_informational() || !is_plausible(head.status, &head.headers) {
-        return Err(Fate::Reset);
+        return Err(AttemptOutcome::Reset);
     }
     let is_early = !head.status.is_success() && outgoing.body.len() > SHORT_BODY;
-    Ok(TargetHead { status: head.status, headers: head.headers, body, connection, is_early })
+    Ok(TargetHead {
+        status: head.status,
+        headers: head.headers,
+        body,
+        connection,
+        is_early,
+    })
 }
 
 /// A success has the target's stamp. A status that promises that the request has not run says so in its
@@ -212,9 +238,9 @@
     let stamped = headers.contains_key(headers::UPSTREAM_SIGNATURE);
     let not_executed = headers.contains_key(headers::NOT_EXECUTED);
     match status {
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE | StatusCode::REQUEST_TIMEOUT => {
-            not_executed
-        }
+        StatusCode::TOO_MANY_REQUESTS
+        | StatusCode::SERVICE_UNAVAILABLE
+        | StatusCode::REQUEST_TIMEOUT => not_executed,
         _ => stamped || !status.is_success(),
     }
 }
--- a/tier/proxy/src/feed.rs
+++ b/tier/proxy/src/feed.rs
@@ -5,7 +5,7 @@
 use plankhill_protocol::feed::Subscriber;
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::ports::PortRange;
-use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, AGENT_SILENCE};
+use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, AGENT_TIMEOUT};
 use plankhill_protocol::transport::{Channel, Hello};
 use plankhill_settings::Settings;
 use tokio::sync::watch;
@@ -14,19 +14,22 @@
 
 /// Subscribes at the agent that the settings' port range names.
 pub fn subscribe(settings: &Settings) -> Subscription {
-    let agent = PortRange { first: settings.port_range.first }.agent_loopback(settings.ip);
+    let agent = PortRange {
+        first: settings.port_range.first,
+    }
+    .agent_loopback(settings.ip);
     let (_, candidates) = watch::channel(vec![agent]);
     Subscription::start(SubscriptionOptions {
         hello: Hello::new(Channel::Feed, NodeId::from(settings.node_id.as_str())),
         subscriber: Subscriber::Proxy,
         candidates,
-        silence: AGENT_SILENCE,
+        feeder_timeout: AGENT_TIMEOUT,
     })
 }
 
 /// Puts each change of the tables in force. Ends with the subscription.
 pub async fn follow(proxy: Rc<Proxy>, subscription: Rc<Subscription>) {
-    let (mut tables, mut standing) = (subscription.tables(), subscription.standing());
+    let (mut tables, mut standing) = (subscription.tables(), subscription.status());
     loop {
         tokio::select! {
             changed = tables.changed() => {
@@ -43,7 +46,10 @@
             }
         }
         if standing.borrow_and_update().current && !proxy.life.is_current() {
-            tracing::info!(revision = proxy.snapshots.newest().tables.revision.0, "tables are current");
+            tracing::info!(
+                revision = proxy.snapshots.newest().tables.revision.0,
+                "tables are current"
+            );
             proxy.life.set_current();
         }
     }
@@ -59,6 +65,12 @@
         proxy.turns.view_changed(&snapshot.tables.stores);
     }
     proxy.admission.tables_changed(&snapshot);
-    let known = |target: &_| snapshot.tables.targets.iter().any(|listed| listed.id == *target);
+    let known = |target: &_| {
+        snapshot
+            .tables
+            .targets
+            .iter()
+            .any(|listed| listed.id == *target)
+    };
     proxy.targets.pool.sweep(tokio::time::Instant::now(), known);
 }
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use plankhill_configuration::Route;
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::turns::{Reservation, TurnPlace, TurnRecord};
+use plankhill_protocol::store_calls::{Reservation, TurnLocation, TurnRecord};
 use plankhill_store_client::{BeginOutcome, BeginTurn, EndOutcome, EndTurn};
 use tokio::time::Instant;
 
@@ -51,7 +51,7 @@
     turn: RequestId,
     reservation: Option<Reservation>,
     previous: Option<RequestId>,
-    place: Option<TurnPlace>,
+    place: Option<TurnLocation>,
     /// How long it is kept, on a route that keeps turns.
     retention: Option<Duration>,
     tokens_per_event: u64,
@@ -70,7 +70,10 @@
         let (program, turn) = (facts.program.clone()?, facts.request_id.clone()?);
         let reservation = facts.budget.map(|budget| {
             let most = facts.usage.map_or(budget, |usage| usage.most);
-            Reservation { budget, most }
+            Reservation {
+                budget,
+                max_tokens: most,
+            }
         });
         if reservation.is_none() && !route.retained {
             return None;
@@ -120,13 +123,15 @@
             }
             BeginOutcome::BudgetSpent => Err(TurnRefusal::BudgetSpent),
             BeginOutcome::NoSuchTurn => Err(TurnRefusal::NoSuchTurn),
-            BeginOutcome::Unsure => Err(TurnRefusal::Unsure),
+            BeginOutcome::Unavailable => Err(TurnRefusal::Unsure),
         }
     }
 
     /// Settles and keeps; true once enough stores have acknowledged it, false if they have not by `until`.
     pub async fn end(&self, handed: &Handed, until: Instant) -> bool {
-        let Some(call) = self.end_call(handed) else { return true };
+        let Some(call) = self.end_call(handed) else {
+            return true;
+        };
         let within = until.saturating_duration_since(Instant::now());
         self.store.end(call, within).await == EndOutcome::Ended
     }
@@ -142,12 +147,23 @@
     }
 
     fn end_call(&self, handed: &Handed) -> Option<EndTurn> {
-        let tokens = self.reservation.as_ref().map(|_| handed.events.saturating_mul(self.tokens_per_event));
-        let record = self.retention.filter(|_| handed.whole).map(|retention| self.record(handed, retention));
+        let tokens = self
+            .reservation
+            .as_ref()
+            .map(|_| handed.events.saturating_mul(self.tokens_per_event));
+        let record = self
+            .retention
+            .filter(|_| handed.whole)
+            .map(|retention| self.record(handed, retention));
         if tokens.is_none() && record.is_none() {
             return None;
         }
-        Some(EndTurn { program: self.program.clone(), turn: self.turn.clone(), tokens, record })
+        Some(EndTurn {
+            program: self.program.clone(),
+            turn: self.turn.clone(),
+            tokens,
+            record,
+        })
     }
 
     fn record(&self, handed: &Handed, retention: Duration) -> TurnRecord {
--- a/tier/proxy/src/whole.rs
+++ b/tier/proxy/src/whole.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Response, StatusCode};
-use plankhill_dispatch::{Ended, Fate, Ms, UpstreamLoad};
+use plankhill_dispatch::{AttemptOutcome, Ended, Ms, UpstreamLoad};
 use tokio::time::Instant;
 
 use crate::body::AnswerBody;
@@ -22,7 +22,7 @@
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
-    fate: Fate,
+    fate: AttemptOutcome,
     load: Option<UpstreamLoad>,
     retry_after: Option<Ms>,
 }
@@ -37,31 +37,46 @@
         pool: &TargetPool,
         deadline: Instant,
         memory: &mut Portion,
-    ) -> Result<Self, Fate> {
+    ) -> Result<Self, AttemptOutcome> {
         let (fate, load, retry_after) = (head.fate(), head.load(), head.retry_after());
         // Without a length it ends with its connection, in order; a reset is no end.
         let is_reusable = is_framed(&head) && !head.is_early;
         let body = match read_whole(head.body, MOST_ANSWER_BYTES, deadline, memory).await {
             Ok(body) => body,
-            Err(ReadError::TimedOut) => return Err(Fate::TimedOut),
-            Err(ReadError::Broken) => return Err(Fate::Reset),
+            Err(ReadError::TimedOut) => return Err(AttemptOutcome::TimedOut),
+            Err(ReadError::Broken) => return Err(AttemptOutcome::Reset),
             // Another target's answer would be no smaller.
-            Err(ReadError::TooLarge | ReadError::OutOfMemory) => return Err(Fate::Cancelled),
+            Err(ReadError::TooLarge | ReadError::OutOfMemory) => {
+                return Err(AttemptOutcome::Cancelled)
+            }
         };
         if is_reusable {
             pool.put_back(head.connection, &head.headers, Instant::now());
         }
-        Ok(WholeAnswer { status: head.status, headers: head.headers, body, fate, load, retry_after })
+        Ok(WholeAnswer {
+            status: head.status,
+            headers: head.headers,
+            body,
+            fate,
+            load,
+            retry_after,
+        })
     }
 
     /// How the call ended.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> AttemptOutcome {
         self.fate
     }
 
     /// The end of the call as the dispatcher wants to hear it.
     pub fn ended(&self, took: Ms) -> Ended {
-        Ended { fate: self.fate, took, retry_after: self.retry_after, load: self.load, longest_pause: None }
+        Ended {
+            fate: self.fate,
+            took,
+            retry_after: self.retry_after,
+            load: self.load,
+            longest_pause: None,
+        }
     }
 
     /// The answer to the client: the target's, unchanged.
@@ -80,7 +95,8 @@
 
 /// Whether the end of the body is marked.
 fn is_framed(head: &TargetHead) -> bool {
-    let without_body = head.status == StatusCode::NO_CONTENT || head.status == StatusCode::NOT_MODIFIED;
+    let without_body =
+        head.status == StatusCode::NO_CONTENT || head.status == StatusCode::NOT_MODIFIED;
     without_body
         || head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING)
--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -9,7 +9,7 @@
 
 use plankhill_protocol::ids::{NodeId, Revision};
 use plankhill_protocol::transport::{accept, Channel, Hello};
-use plankhill_replica::{start, Log, ReplicaSettings, ReplicatedState, Standing};
+use plankhill_replica::{start, ReplicaHandle, ReplicaSettings, ReplicaStatus, ReplicatedState};
 use serde::{Deserialize, Serialize};
 use tempfile::TempDir;
 use tokio::net::TcpListener;
@@ -47,7 +47,7 @@
 }
 
 struct Running {
-    log: Log<Words>,
+    log: ReplicaHandle<Words>,
     serving: JoinHandle<()>,
 }
 
@@ -78,9 +78,13 @@
             folder: folder.path().to_path_buf(),
             seeds,
             bootstrap,
-            tolerated: 1,
+            tolerated_faults: 1,
         };
-        Self { settings, folder, running: None }
+        Self {
+            settings,
+            folder,
+            running: None,
+        }
     }
 
     pub fn start(&mut self) {
@@ -92,7 +96,9 @@
 
     /// The process ends; the disk stays. Returns when the disk is free.
     pub async fn kill(&mut self) {
-        let Some(mut running) = self.running.take() else { return };
+        let Some(mut running) = self.running.take() else {
+            return;
+        };
         running.log.abort();
         running.log.ended().await;
         running.serving.abort();
@@ -113,7 +119,9 @@
         let mut bytes = 0;
         while let Some(folder) = folders.pop() {
             for entry in std::fs::read_dir(folder).unwrap().map(Result::unwrap) {
-                let Ok(metadata) = entry.metadata() else { continue };
+                let Ok(metadata) = entry.metadata() else {
+                    continue;
+                };
                 // Files are laid out in advance: what counts is the blocks that hold something.
                 bytes += metadata.blocks() * 512;
                 folders.extend(metadata.is_dir().then(|| entry.path()));
@@ -122,16 +130,16 @@
         bytes
     }
 
-    pub fn log(&self) -> &Log<Words> {
+    pub fn log(&self) -> &ReplicaHandle<Words> {
         &self.running.as_ref().unwrap().log
     }
 
     /// Waits for a standing.
-    pub async fn until(&self, wanted: impl FnMut(&Standing) -> bool) -> Standing {
-        let mut standing = self.log().standing_changes();
+    pub async fn until(&self, wanted: impl FnMut(&ReplicaStatus) -> bool) -> ReplicaStatus {
+        let mut standing = self.log().watch_status();
         let found = tokio::time::timeout(PATIENCE, standing.wait_for(wanted)).await;
         assert!(found.expect("in time").is_ok(), "the member has ended");
-        self.log().standing()
+        self.log().status()
     }
 
     /// Waits until the member knows that it is current.
@@ -145,7 +153,7 @@
     }
 
     async fn until_current(&self, wanted: bool) {
-        let mut current = self.log().current_changes();
+        let mut current = self.log().watch_current();
         let found = tokio::time::timeout(PATIENCE, current.wait_for(|held| *held == wanted)).await;
         found.expect("in time").unwrap();
     }
@@ -155,7 +163,7 @@
     }
 }
 
-async fn serve(listener: TcpListener, node: NodeId, log: Log<Words>) {
+async fn serve(listener: TcpListener, node: NodeId, log: ReplicaHandle<Words>) {
     let hello = Hello::new(Channel::Chain, node);
     let mut connections = tokio::task::JoinSet::new();
     loop {
@@ -171,7 +179,11 @@
 
 /// Three machines that found a chain, all in service.
 pub async fn three() -> Vec<Machine> {
-    let addresses = [free_address().await, free_address().await, free_address().await];
+    let addresses = [
+        free_address().await,
+        free_address().await,
+        free_address().await,
+    ];
     let names = ["a", "b", "c"];
     let mut machines: Vec<_> = names
         .iter()
--- a/tier/store/src/link.rs
+++ b/tier/store/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use plankhill_protocol::feed::{FromSubscriber, Subscriber};
-use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_SILENCE};
+use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, CONTROLLER_TIMEOUT};
 use plankhill_protocol::tables::Tables;
 use plankhill_protocol::transport::{Channel, Hello};
 use tokio::sync::watch;
@@ -20,15 +20,21 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Follows the control plane, for ever.
-pub async fn follow<P: Peers, D: Disk, C: Clock>(node: Rc<Node<P, D, C>>, controllers: Vec<SocketAddr>) {
+pub async fn follow<P: Peers, D: Disk, C: Clock>(
+    node: Rc<Node<P, D, C>>,
+    controllers: Vec<SocketAddr>,
+) {
     let (_candidates, candidates) = watch::channel(controllers);
     let subscription = Subscription::start(SubscriptionOptions {
         hello: Hello::new(Channel::Feed, node.me().node.clone()),
         subscriber: Subscriber::Store(node.me().clone()),
         candidates,
-        silence: CONTROLLER_SILENCE,
+        feeder_timeout: CONTROLLER_TIMEOUT,
     });
-    tokio::join!(take_views(&node, subscription.tables()), report_copies(&node, &subscription));
+    tokio::join!(
+        take_views(&node, subscription.tables()),
+        report_copies(&node, &subscription)
+    );
 }
 
 async fn take_views<P: Peers, D: Disk, C: Clock>(
@@ -41,9 +47,12 @@
     }
 }
 
-async fn report_copies<P: Peers, D: Disk, C: Clock>(node: &Rc<Node<P, D, C>>, subscription: &Subscription) {
+async fn report_copies<P: Peers, D: Disk, C: Clock>(
+    node: &Rc<Node<P, D, C>>,
+    subscription: &Subscription,
+) {
     let mut copied = node.copied_epoch();
-    let mut standing = subscription.standing();
+    let mut standing = subscription.status();
     loop {
         let epoch = *copied.borrow_and_update();
         let view = node.view();
--- a/tier/store/src/node/begin.rs
+++ b/tier/store/src/node/begin.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use plankhill_conversations::account::{Account, TurnState, Verdict};
+use plankhill_conversations::peer::{EndedTurn, PeerRequest, PeerResponse};
+use plankhill_conversations::placement::Tally;
 use plankhill_protocol::ids::{ProgramId, RequestId};
+use plankhill_protocol::store_calls::{Reservation, StoreReply};
 use plankhill_protocol::tables::StoreView;
-use plankhill_protocol::turns::{Reservation, StoreReply};
-use plankhill_turns::account::{Account, TurnState, Verdict};
-use plankhill_turns::peer::{EndedTurn, PeerRequest, PeerResponse};
-use plankhill_turns::placement::Tally;
 
 use super::chain::ChainEnd;
 use super::end::Written;
@@ -39,29 +39,35 @@
         let chain = async {
             match &begin.previous {
                 Some(previous) => self.read_chain(&begin.program, previous).await,
-                None => ChainEnd::Found { history: Arc::from([]), place: None },
+                None => ChainEnd::Found {
+                    history: Arc::from([]),
+                    place: None,
+                },
             }
         };
         let (reserved, chain) = tokio::join!(self.reserve(&begin), chain);
         match (reserved, chain) {
             (Reserved::Spent, _) => {
                 self.release(&begin, TurnState::Refused);
-                StoreReply::BudgetSpent
+                StoreReply::BudgetExhausted
             }
             (_, ChainEnd::NoSuchTurn) => {
                 self.release(&begin, TurnState::Settled { tokens: 0 });
                 StoreReply::NoSuchTurn
             }
-            (Reserved::Granted, ChainEnd::Found { history, place }) => {
-                StoreReply::Begun { history, previous: place }
-            }
-            _ => StoreReply::Unsure,
+            (Reserved::Granted, ChainEnd::Found { history, place }) => StoreReply::Begun {
+                history,
+                previous: place,
+            },
+            _ => StoreReply::Unavailable,
         }
     }
 
     async fn reserve(self: &Rc<Self>, begin: &Begin) -> Reserved {
-        let Some(reservation) = &begin.reservation else { return Reserved::Granted };
-        if reservation.most > reservation.budget {
+        let Some(reservation) = &begin.reservation else {
+            return Reserved::Granted;
+        };
+        if reservation.max_tokens > reservation.budget {
             return Reserved::Spent;
         }
         loop {
@@ -84,7 +90,7 @@
         let request = PeerRequest::Reserve {
             program: begin.program.clone(),
             turn: begin.turn.clone(),
-            most: reservation.most,
+            most: reservation.max_tokens,
             previous: begin.previous.clone(),
         };
         let mut tally = Tally::new(view, &begin.program);
--- a/tier/store/src/node/end.rs
+++ b/tier/store/src/node/end.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use plankhill_conversations::account::TurnState;
+use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
+use plankhill_conversations::placement::Tally;
 use plankhill_protocol::ids::{ProgramId, RequestId};
+use plankhill_protocol::store_calls::{StoreReply, TurnLocation, TurnRecord};
 use plankhill_protocol::tables::StoreView;
-use plankhill_protocol::turns::{StoreReply, TurnPlace, TurnRecord};
-use plankhill_turns::account::TurnState;
-use plankhill_turns::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
-use plankhill_turns::placement::Tally;
 
 use super::Node;
 use crate::clock::Clock;
@@ -43,13 +43,18 @@
         });
         if let Some(kept) = &kept {
             if self.extend_elsewhere(&kept.record, kept.remaining_ms).await != Written::Enough {
-                return StoreReply::Unsure;
+                return StoreReply::Unavailable;
             }
         }
-        let ended = EndedTurn { program, turn, state, kept };
+        let ended = EndedTurn {
+            program,
+            turn,
+            state,
+            kept,
+        };
         match self.write_end(ended).await {
             Written::Enough => StoreReply::Ended,
-            Written::TooFew | Written::Moved => StoreReply::Unsure,
+            Written::TooFew | Written::Moved => StoreReply::Unavailable,
         }
     }
 
@@ -62,8 +67,11 @@
     /// A chain that goes on in another program lies at other stores: they are told to keep it as long.
     async fn extend_elsewhere(self: &Rc<Self>, record: &TurnRecord, keep_ms: u64) -> Written {
         match &record.previous {
-            Some(TurnPlace { turn, program }) if *program != record.program => {
-                let request = PeerRequest::Extend { turn: turn.clone(), keep_ms };
+            Some(TurnLocation { turn, program }) if *program != record.program => {
+                let request = PeerRequest::Extend {
+                    turn: turn.clone(),
+                    keep_ms,
+                };
                 self.write(program, &request).await
             }
             _ => Written::Enough,
--- a/tier/store/src/node/mod.rs
+++ b/tier/store/src/node/mod.rs
@@ -21,11 +21,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use plankhill_conversations::index::Index;
+use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
 use plankhill_protocol::ids::{RequestId, StoreEpoch};
+use plankhill_protocol::store_calls::{StoreCall, StoreReply, TurnRecord};
 use plankhill_protocol::tables::{StoreMember, StoreView};
-use plankhill_protocol::turns::{StoreCall, StoreReply, TurnRecord};
-use plankhill_turns::index::Index;
-use plankhill_turns::wire::{StoreAnswer, StoreRequest};
 use tokio::sync::watch;
 
 use crate::clock::Clock;
@@ -85,20 +85,37 @@
     /// Answers a proxy. Its epoch does not matter: the replicas decide which views are still good.
     async fn answer_proxy(self: Rc<Self>, call: StoreCall) -> StoreReply {
         if self.state.borrow().view.serving.is_empty() {
-            return StoreReply::Unsure;
+            return StoreReply::Unavailable;
         }
         let answering = async {
             match call {
-                StoreCall::BeginTurn { program, turn, reservation, previous, .. } => {
-                    let begin = begin::Begin { program, turn, reservation, previous };
+                StoreCall::BeginTurn {
+                    program,
+                    turn,
+                    reservation,
+                    previous,
+                    ..
+                } => {
+                    let begin = begin::Begin {
+                        program,
+                        turn,
+                        reservation,
+                        previous,
+                    };
                     self.begin(begin).await
                 }
-                StoreCall::EndTurn { program, turn, tokens, record, .. } => {
-                    self.end(program, turn, tokens, record).await
-                }
+                StoreCall::EndTurn {
+                    program,
+                    turn,
+                    tokens,
+                    record,
+                    ..
+                } => self.end(program, turn, tokens, record).await,
             }
         };
-        tokio::time::timeout(CALL_TIMEOUT, answering).await.unwrap_or(StoreReply::Unsure)
+        tokio::time::timeout(CALL_TIMEOUT, answering)
+            .await
+            .unwrap_or(StoreReply::Unavailable)
     }
 
     /// Who this store is.
--- a/tier/store/src/node/serve_copies.rs
+++ b/tier/store/src/node/serve_copies.rs
@@ -1,9 +1,9 @@
 //! The answers to a store that copies what belongs to it.
 
+use plankhill_conversations::peer::{PeerResponse, StoreSet};
+use plankhill_conversations::placement::holds;
 use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
 use plankhill_protocol::tables::StoreMember;
-use plankhill_turns::peer::{PeerResponse, StoreSet};
-use plankhill_turns::placement::holds;
 
 use super::Node;
 use crate::clock::Clock;
@@ -31,13 +31,15 @@
         let Some(members) = members.filter(|_| view.epoch == epoch) else {
             return PeerResponse::OldEpoch(view.clone());
         };
-        let belongs = |program: &ProgramId| holds(members, program, view.faults, store);
+        let belongs = |program: &ProgramId| holds(members, program, view.tolerated_faults, store);
         PeerResponse::Programs(state.index.list(after, PAGE_PROGRAMS, belongs))
     }
 
     pub(super) fn outline_programs(&self, programs: &[ProgramId]) -> PeerResponse {
         let state = self.state.borrow();
-        let outlines = programs.iter().filter_map(|program| state.index.outline(program));
+        let outlines = programs
+            .iter()
+            .filter_map(|program| state.index.outline(program));
         PeerResponse::Outlines(outlines.collect())
     }
 
