--- a/tier/dispatch/examples/round_cost.rs
+++ b/tier/dispatch/examples/round_cost.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use plankhill_dispatch::{
-    AttemptOutcome, Command, DispatchSettings, Dispatcher, Ended, NewRequest, PrefixPart, Repeats,
-    RequestKey,
+    AttemptOutcome, AttemptResult, Command, DispatchSettings, Dispatcher, Idempotency, NewRequest,
+    PrefixPart, RequestKey,
 };
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
@@ -28,24 +28,24 @@
     let settings = DispatchSettings {
         seed: 1,
         zone: "near".into(),
-        most_requests: 1_000,
+        max_requests: 1_000,
     };
     let mut dispatcher = Dispatcher::new(settings, 0.0);
-    dispatcher.tables_changed(&(0..TARGETS).map(target).collect::<Vec<_>>());
+    dispatcher.set_targets(&(0..TARGETS).map(target).collect::<Vec<_>>());
     let mut out: VecDeque<(RequestKey, InstanceId)> = VecDeque::new();
     let start = Instant::now();
     for number in 0..REQUESTS {
         let now = number as f64;
-        dispatcher.request(now, request(number, now, parts));
-        out.extend(dispatcher.commands(now).into_iter().filter_map(sent));
+        dispatcher.enqueue(now, request(number, now, parts));
+        out.extend(dispatcher.poll_commands(now).into_iter().filter_map(sent));
         if out.len() >= OUT {
             let (key, target) = out.pop_front().expect("some are out");
-            let ended = Ended {
-                took: 50.0,
-                ..Ended::plain(AttemptOutcome::Delivered)
+            let ended = AttemptResult {
+                elapsed: 50.0,
+                ..AttemptResult::from_outcome(AttemptOutcome::Delivered)
             };
-            dispatcher.ended(now, key, &target, ended);
-            out.extend(dispatcher.commands(now).into_iter().filter_map(sent));
+            dispatcher.on_attempt_ended(now, key, &target, ended);
+            out.extend(dispatcher.poll_commands(now).into_iter().filter_map(sent));
         }
     }
     start.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64
@@ -82,13 +82,13 @@
     NewRequest {
         key: RequestKey(number),
         service: "models".into(),
-        repeats: Repeats::Allowed,
+        idempotency: Idempotency::Idempotent,
         session: (parts > 0).then_some(number),
         deadline: now + 1e9,
-        objective: 1e9,
+        latency_target: 1e9,
         max_attempts: 2,
-        priority: 1,
-        finish_left: Some(3_000.0),
+        route_priority: 1,
+        program_time_left: Some(3_000.0),
         prefix: (0..parts).map(part).collect(),
     }
 }
--- a/tier/dispatch/src/allocation.rs
+++ b/tier/dispatch/src/allocation.rs
@@ -1,82 +1,86 @@
-//! Which targets keep which shared text: rendezvous hashing with bounded loads.
+//! Which targets cache which shared prefix: rendezvous hashing with bounded loads (Mirrokni, Thorup
+//! and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2018).
 //!
-//! Each text takes targets in its own rendezvous order until its share of the requests has found room; a target has
-//! room for its equal part of all requests. So few targets keep a text, all are used alike, and proxies that see
-//! about the same mix agree on nearly all of it without a word between them.
+//! Each prefix takes targets in its own rendezvous order until its share of the requests is placed; a
+//! target has capacity for an equal part of all requests. Few targets cache a prefix, all targets are
+//! used alike, and proxies that see about the same mix of prompts agree on nearly all of it without a
+//! message between them. The dispatcher owns one [`Allocator`] for each service.
 
+use std::cmp::Reverse;
 use std::collections::HashMap;
 
 use plankhill_decisions::interface::Ms;
 
-use crate::affinity::rendezvous_weight;
-use crate::demand::{Demand, TextShare};
+use crate::prefix_demand::{PrefixDemand, PrefixShare};
+use crate::rendezvous::rendezvous_weight;
 
-/// Texts that are given targets by their share; rarer ones keep to the first target of their order.
-const MOST_TEXTS: usize = 64;
-/// The allocation is worked out anew after this time, as the mix changes.
-const LIFE: Ms = 500.0;
-/// Room of less than this part of a target's is left unused.
-const LEAST_PART: f64 = 0.02;
+/// Prefixes that are given targets by their share; rarer ones keep to the first target of their order.
+const MAX_PREFIXES: usize = 64;
+/// The allocation is computed anew after this time, as the mix of prompts changes.
+const ALLOCATION_TTL: Ms = 500.0;
+/// Free capacity of less than this part of a target's is left unused.
+const MIN_CAPACITY_PART: f64 = 0.02;
 
-/// The part of a text's requests that a target is to take.
+/// The part of a prefix's requests that a target is to take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Quota {
+pub struct PrefixQuota {
     /// The target's hash.
     pub target: u64,
-    /// As a share of all requests of the service.
+    /// As a share of all requests of the service, from 0 to 1.
     pub share: f64,
 }
 
-/// The targets of each text.
+/// The targets of each prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Allocation {
-    texts: HashMap<u64, Vec<Quota>>,
+    quotas: HashMap<u64, Vec<PrefixQuota>>,
 }
 
 impl Allocation {
-    /// Gives every text its targets.
-    pub fn of(mut shares: Vec<TextShare>, targets: &[u64]) -> Self {
-        let each = 1.0 / targets.len().max(1) as f64;
-        let mut room: HashMap<u64, f64> = targets.iter().map(|target| (*target, each)).collect();
+    /// Gives every prefix its targets.
+    pub fn new(mut demand: Vec<PrefixShare>, targets: &[u64]) -> Self {
+        let equal_part = 1.0 / targets.len().max(1) as f64;
+        let mut capacity: HashMap<u64, f64> =
+            targets.iter().map(|target| (*target, equal_part)).collect();
         // In an order that does not change with the shares.
-        shares.sort_by_key(|share| share.text);
-        let texts = shares
-            .iter()
-            .map(|share| (share.text, take(share, targets, each, &mut room)));
-        Allocation {
-            texts: texts.collect(),
+        demand.sort_by_key(|share| share.prefix);
+        let mut quotas = HashMap::new();
+        for wanted in &demand {
+            let taken = take_capacity(wanted, targets, equal_part, &mut capacity);
+            quotas.insert(wanted.prefix, taken);
         }
+        Allocation { quotas }
     }
 
-    /// The targets that keep the text; empty for a rare one.
-    pub fn keepers(&self, text: u64) -> &[Quota] {
-        self.texts.get(&text).map_or(&[], Vec::as_slice)
+    /// The targets that cache the prefix; empty for a rare one.
+    pub fn targets_of(&self, prefix: u64) -> &[PrefixQuota] {
+        self.quotas.get(&prefix).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Takes room for one text in its rendezvous order.
-fn take(
-    wanted: &TextShare,
+/// Takes capacity for one prefix in its rendezvous order.
+fn take_capacity(
+    wanted: &PrefixShare,
     targets: &[u64],
-    each: f64,
-    room: &mut HashMap<u64, f64>,
-) -> Vec<Quota> {
+    equal_part: f64,
+    capacity: &mut HashMap<u64, f64>,
+) -> Vec<PrefixQuota> {
     let mut order: Vec<u64> = targets.to_vec();
-    order.sort_by_key(|target| std::cmp::Reverse(rendezvous_weight(wanted.text, *target)));
-    let mut left = wanted.share;
+    order.sort_by_key(|target| Reverse(rendezvous_weight(wanted.prefix, *target)));
+    let mut remaining = wanted.share;
     let mut quotas = Vec::new();
     for target in order {
-        if left <= 0.0 {
+        if remaining <= 0.0 {
             break;
         }
-        let free = room.entry(target).or_default();
-        if *free < LEAST_PART * each {
+        let free = capacity.entry(target).or_default();
+        if *free < MIN_CAPACITY_PART * equal_part {
             continue;
         }
-        let share = free.min(left);
+        let share = free.min(remaining);
         *free -= share;
-        left -= share;
-        quotas.push(Quota { target, share });
+        remaining -= share;
+        quotas.push(PrefixQuota { target, share });
     }
     quotas
 }
@@ -84,27 +88,27 @@
 /// The mix of a service's prompts and the allocation that follows from it.
 #[derive(Debug, Default)]
 pub struct Allocator {
-    demand: Demand,
+    demand: PrefixDemand,
     allocation: Allocation,
-    made_at: Option<Ms>,
+    computed_at: Option<Ms>,
 }
 
 impl Allocator {
-    /// A request that asks for the text came in.
-    pub fn note(&mut self, now: Ms, text: u64) {
-        self.demand.note(now, text);
+    /// A request with the shared prefix came.
+    pub fn record(&mut self, now: Ms, prefix: u64) {
+        self.demand.record(now, prefix);
     }
 
-    /// The service's targets changed.
-    pub fn targets_changed(&mut self) {
-        self.made_at = None;
+    /// The service's targets changed: the allocation is computed anew at its next use.
+    pub fn invalidate(&mut self) {
+        self.computed_at = None;
     }
 
-    /// The allocation, worked out anew over these targets if it has grown old.
+    /// The allocation, computed anew over `targets` if it has expired.
     pub fn current(&mut self, now: Ms, targets: impl FnOnce() -> Vec<u64>) -> &Allocation {
-        if self.made_at.is_none_or(|at| now - at >= LIFE) {
-            self.allocation = Allocation::of(self.demand.most_asked(MOST_TEXTS), &targets());
-            self.made_at = Some(now);
+        if self.computed_at.is_none_or(|at| now - at >= ALLOCATION_TTL) {
+            self.allocation = Allocation::new(self.demand.most_frequent(MAX_PREFIXES), &targets());
+            self.computed_at = Some(now);
         }
         &self.allocation
     }
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -1,290 +1,270 @@
-//! The dispatcher: what the proxy hands in is gathered, and one round of the decision module makes commands
-//! of it.
+//! The dispatcher: gathers what the proxy reports, runs one iteration of the scheduler on it, and
+//! returns the commands that follow. The proxy's admission is its only caller.
 
-use std::collections::HashMap;
 use std::convert::Infallible;
 
-use plankhill_decisions::interface::{AttemptOutcome, DestinationId, Ms, OrderKey};
+use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, Ms, OrderKey};
 use plankhill_decisions::scheduler::Scheduler;
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::Target;
 
-use crate::admission::{self, HeldFor};
+use crate::admission::{self, QueueReason};
 use crate::allocation::Allocator;
-use crate::bridge::Bridge;
-use crate::holds::Holds;
-use crate::inputs::Input;
-use crate::interface::{
-    Command, DispatchSettings, Ended, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
-};
-use crate::module_terms;
-use crate::requests::{Request, Requests};
-use crate::retry::Verdict;
-use crate::settle::{SessionRests, SettleTime};
-use crate::targets::{target_id, Targets};
+use crate::attempt::{AttemptResult, UpstreamLoad};
+use crate::command::{Command, HealthCheckResult};
+use crate::command_writer::CommandWriter;
+use crate::dispatch_state::DispatchState;
+use crate::pending_requests::{NextStep, PendingRequest};
+use crate::request::{NewRequest, RequestKey};
+use crate::retry::ExecutionState;
+use crate::scheduler_config;
+use crate::scheduler_input::SchedulerInput;
+use crate::session_cooldown::{CooldownEstimate, SessionCooldowns};
+use crate::settings::DispatchSettings;
+use crate::targets::target_id;
 
-/// Decides which request goes next to which target.
+/// Decides which request is sent next to which target.
 ///
-/// Every request ends by one of: a call that was delivered, [`Command::Refuse`], [`Command::Fail`], or the
-/// proxy's own [`Dispatcher::withdrawn`]. Every [`Command::Send`] has to be answered by one
-/// [`Dispatcher::ended`], also after a withdrawal.
+/// Every request ends by one of: an attempt that was delivered, [`Command::Reject`],
+/// [`Command::Fail`], or the proxy's own [`Dispatcher::cancel`]. Every [`Command::Send`] has to be
+/// answered by one [`Dispatcher::on_attempt_ended`], also after a cancellation.
 pub struct Dispatcher {
     settings: DispatchSettings,
-    module: Scheduler,
-    inputs: Vec<Input>,
-    requests: Requests,
-    targets: Targets,
-    /// What prompts each service is asked for, and which targets keep them.
-    allocators: HashMap<DestinationId, Allocator>,
-    holds: Holds,
-    settle: SettleTime,
-    rests: SessionRests,
-    draws: u64,
-    /// Requests whose end was decided outside the module's round.
-    given_up: Vec<RequestKey>,
-    /// When the module asked for its next round.
-    wake_at: Option<Ms>,
+    scheduler: Scheduler,
+    /// Inputs for the scheduler's next iteration, in the order in which they came.
+    inputs: Vec<SchedulerInput>,
+    state: DispatchState,
+    cooldown_estimate: CooldownEstimate,
+    session_cooldowns: SessionCooldowns,
+    /// Requests that may not be sent again; their clients are answered by the next iteration.
+    exhausted: Vec<RequestKey>,
+    /// When the scheduler asked for its next iteration.
+    next_iteration_at: Option<Ms>,
 }
 
 impl Dispatcher {
     /// A dispatcher that knows no target yet.
     pub fn new(settings: DispatchSettings, now: Ms) -> Self {
-        let settle = SettleTime::default();
-        let module = Scheduler::new(module_terms::terms(&settings, settle.value()), now);
-        let draws = settings.seed;
+        let cooldown_estimate = CooldownEstimate::default();
+        let config = scheduler_config::decision_config(&settings, cooldown_estimate.value());
+        let state = DispatchState::new(settings.seed);
         Dispatcher {
             settings,
-            module,
+            scheduler: Scheduler::new(config, now),
             inputs: Vec::new(),
-            requests: Requests::default(),
-            targets: Targets::default(),
-            allocators: HashMap::new(),
-            holds: Holds::default(),
-            settle,
-            rests: SessionRests::default(),
-            draws,
-            given_up: Vec::new(),
-            wake_at: None,
+            state,
+            cooldown_estimate,
+            session_cooldowns: SessionCooldowns::default(),
+            exhausted: Vec::new(),
+            next_iteration_at: None,
         }
     }
 
-    /// Takes over the tables' targets. Draining ones get nothing new, those not named any more neither; a new
-    /// id at an old address inherits nothing.
-    pub fn tables_changed(&mut self, targets: &[Target]) {
-        let changes = self.targets.replace(&self.settings.zone, targets);
+    /// Takes over the endpoint list of new tables. Draining targets and those not listed any more get
+    /// nothing new; a new id at an old address inherits nothing.
+    pub fn set_targets(&mut self, targets: &[Target]) {
+        let changes = self.state.targets.replace(&self.settings.zone, targets);
         if !changes.is_empty() {
-            self.allocators
+            self.state
+                .allocators
                 .values_mut()
-                .for_each(Allocator::targets_changed);
+                .for_each(Allocator::invalidate);
         }
-        self.inputs.extend(changes.into_iter().map(Input::Relisted));
+        self.inputs
+            .extend(changes.into_iter().map(SchedulerInput::EndpointChanged));
     }
 
-    /// Takes in a request.
-    pub fn request(&mut self, now: Ms, new: NewRequest) {
+    /// Takes in a request. Ignored if one with the same key is pending.
+    pub fn enqueue(&mut self, now: Ms, new: NewRequest) {
         let key = new.key;
-        if self.requests.get(key).is_some() {
+        if self.state.requests.get(key).is_some() {
             return;
         }
-        let priority = admission::priority(new.priority, new.finish_left, new.objective);
-        let service = self.targets.service(&new.service);
-        let hold_until = self.first_hold(now, &new);
-        self.holds.set(key, hold_until);
-        let request = Request::new(&new, service, priority);
-        if let Some(text) = request.chains.text() {
-            self.allocators.entry(service).or_default().note(now, text);
+        let priority = admission::priority(
+            new.route_priority,
+            new.program_time_left,
+            new.latency_target,
+        );
+        let service = self.state.targets.service_id(&new.service);
+        let queued_until = self.first_queue_deadline(now, &new);
+        self.state.queue_timeouts.set(key, queued_until);
+        let request = PendingRequest::new(&new, service, priority);
+        if let Some(prefix) = request.prompt.shared_prefix() {
+            self.state
+                .allocators
+                .entry(service)
+                .or_default()
+                .record(now, prefix);
         }
-        self.requests.insert(key, request);
-        self.inputs.push(Input::Taken {
+        self.state.requests.insert(key, request);
+        self.inputs.push(SchedulerInput::RequestArrived {
             key,
             service,
-            traffic: module_terms::traffic_of(new.repeats, priority),
+            traffic_type: scheduler_config::traffic_type_of(new.idempotency, priority),
             deadline: new.deadline,
             session: new.session.map(OrderKey),
         });
     }
 
-    /// Until when a new request is held: what it may wait for begins once its session no longer rests.
-    fn first_hold(&self, now: Ms, new: &NewRequest) -> Ms {
-        let behind = new
-            .session
-            .is_some_and(|session| self.requests.has_session(session));
-        let held_for = if behind {
-            HeldFor::Session
+    /// Until when a new request is queued. The time-out begins once its session's cool-down is over.
+    fn first_queue_deadline(&self, now: Ms, new: &NewRequest) -> Ms {
+        let Some(session) = new.session else {
+            let reason = QueueReason::FirstSend;
+            return admission::queue_deadline(now, reason, new.latency_target, new.deadline);
+        };
+        let reason = if self.state.requests.has_session(session) {
+            QueueReason::Session
         } else {
-            HeldFor::FirstSend
+            QueueReason::FirstSend
         };
-        let from = new
-            .session
-            .map_or(now, |session| self.rests.over_at(now, session));
-        admission::hold_until(from, held_for, new.objective, new.deadline)
+        let from = self.session_cooldowns.ready_at(now, session);
+        admission::queue_deadline(from, reason, new.latency_target, new.deadline)
     }
 
-    /// The client has left, or has its answer by other means: the request is not sent any more. A call that
-    /// is out is the proxy's to end.
-    pub fn withdrawn(&mut self, key: RequestKey) {
-        let Some(request) = self.requests.get_mut(key) else {
+    /// The client has left, or has its answer by other means: the request is not sent any more. An
+    /// attempt in flight is the proxy's to end.
+    pub fn cancel(&mut self, key: RequestKey) {
+        let Some(request) = self.state.requests.get_mut(key) else {
             return;
         };
-        request.is_over = true;
-        self.holds.remove(key);
-        self.requests.forget_if_done(key);
-        self.inputs.push(Input::Withdrawn(key));
+        request.complete();
+        self.state.queue_timeouts.remove(key);
+        self.state.requests.forget_if_complete(key);
+        self.inputs.push(SchedulerInput::RequestWithdrawn(key));
     }
 
-    /// A target told its load, in the head of an answer.
-    pub fn load_seen(&mut self, now: Ms, target: &InstanceId, load: UpstreamLoad) {
-        if let Some(known) = self.targets.get_mut(&target_id(target)) {
-            known.load.reported(now, load);
-        }
+    /// A target reported its load in the head of an answer whose end is still to come.
+    pub fn on_load_reported(&mut self, now: Ms, target: &InstanceId, load: UpstreamLoad) {
+        self.state.targets.on_load_reported(now, target, load);
     }
 
-    /// A call ended. Ignored if none was out.
-    pub fn ended(&mut self, now: Ms, key: RequestKey, target: &InstanceId, ended: Ended) {
-        let Some(request) = self.requests.get_mut(key).filter(|request| request.is_out) else {
+    /// An attempt ended. Ignored if none was in flight.
+    pub fn on_attempt_ended(
+        &mut self,
+        now: Ms,
+        key: RequestKey,
+        target: &InstanceId,
+        result: AttemptResult,
+    ) {
+        let Some(request) = self.state.requests.get_mut(key) else {
             return;
         };
-        request.is_out = false;
-        request.attempts.count(ended.fate);
-        if let Some(session) = request
-            .session
-            .filter(|_| Verdict::of(ended.fate) == Verdict::MayHaveRun)
-        {
-            self.rests.begin(now, session, now + self.settle.value());
+        if !request.is_in_flight() {
+            return;
+        }
+        let next_step = request.on_attempt_ended(now, result.outcome);
+        if let Some(session) = request.session {
+            self.begin_cooldown(now, session, result.outcome);
         }
-        let wait = self.note_end(now, target, &ended);
-        let over = self.decide_next(now, key, ended.fate);
-        let told = plankhill_decisions::interface::AttemptReport {
-            elapsed: ended.took,
-            event_complete: over,
-            retry_after: wait,
-            ..plankhill_decisions::interface::AttemptReport::from_outcome(ended.fate)
+        let retry_after = self.record_at_target(now, target, &result);
+        let event_complete = match next_step {
+            NextStep::Complete => true,
+            NextStep::GiveUp => {
+                self.exhausted.push(key);
+                true
+            }
+            NextStep::QueueUntil(until) => {
+                self.state.queue_timeouts.set(key, until);
+                false
+            }
+        };
+        let report = AttemptReport {
+            elapsed: result.elapsed,
+            event_complete,
+            retry_after,
+            ..AttemptReport::from_outcome(result.outcome)
         };
-        self.inputs.push(Input::SendEnded(key, told));
-        self.requests.forget_if_done(key);
+        self.inputs.push(SchedulerInput::AttemptEnded(key, report));
+        self.state.requests.forget_if_complete(key);
     }
 
-    /// What the end says of the target; returns the wait that holds it.
-    fn note_end(&mut self, now: Ms, target: &InstanceId, ended: &Ended) -> Ms {
-        let settled = ended
-            .longest_pause
-            .and_then(|pause| self.settle.seen(pause));
-        settled.into_iter().for_each(|rest| self.retune(rest));
-        let Some(known) = self.targets.get_mut(&target_id(target)) else {
-            return 0.0;
-        };
-        known.load.ended();
-        if let Some(load) = ended.load {
-            known.load.reported(now, load);
+    /// After an attempt that may still be executed the session's next request waits.
+    fn begin_cooldown(&mut self, now: Ms, session: u64, outcome: AttemptOutcome) {
+        if ExecutionState::from_outcome(outcome) == ExecutionState::MayHaveExecuted {
+            let until = now + self.cooldown_estimate.value();
+            self.session_cooldowns.begin(now, session, until);
         }
-        match ended.fate {
-            AttemptOutcome::Delivered => known.load.answered(ended.took),
-            AttemptOutcome::Rejected => {
-                let wait = ended
-                    .retry_after
-                    .unwrap_or_else(|| known.load.wait_after_refusal(now));
-                known.closed_until = now + wait;
-                return wait;
-            }
-            AttemptOutcome::Error
-            | AttemptOutcome::TimedOut
-            | AttemptOutcome::ConnectFailed
-            | AttemptOutcome::Reset => known.load.failed(now),
-            AttemptOutcome::NotSent => known.load.failed(now),
-            AttemptOutcome::Cancelled => (),
-        }
-        0.0
     }
 
-    /// Whether the request is over by this end; if it is not, it is held for its next call.
-    fn decide_next(&mut self, now: Ms, key: RequestKey, fate: AttemptOutcome) -> bool {
-        let Some(request) = self.requests.get_mut(key) else {
-            return true;
-        };
-        if fate == AttemptOutcome::Delivered {
-            request.is_over = true;
-        }
-        if request.is_over {
-            return true;
+    /// Takes in what the end of an attempt says of its target; returns the backoff that closes the
+    /// target, 0 if it stays open.
+    fn record_at_target(&mut self, now: Ms, target: &InstanceId, result: &AttemptResult) -> Ms {
+        if let Some(pause) = result.longest_pause {
+            if let Some(cooldown) = self.cooldown_estimate.record_pause(pause) {
+                self.reconfigure(cooldown);
+            }
         }
-        if !request
-            .attempts
-            .allow_another(request.repeats, request.max_attempts)
-        {
-            self.given_up.push(key);
-            return true;
+        match self.state.targets.get_mut(&target_id(target)) {
+            Some(known) => known.on_attempt_ended(now, result),
+            None => 0.0,
         }
-        let held_for = match Verdict::of(fate) {
-            Verdict::NotRun => HeldFor::Refused,
-            Verdict::MayHaveRun | Verdict::Ran => HeldFor::NextSend,
-        };
-        let until = admission::hold_until(now, held_for, request.objective, request.deadline);
-        self.holds.set(key, until);
-        false
     }
 
-    /// Changes the rest of a session after a call that may still run.
-    fn retune(&mut self, rest: Ms) {
-        let module = std::mem::take(&mut self.module);
-        self.module = module.resume(module_terms::terms(&self.settings, rest));
+    /// Puts another cool-down of sessions in force.
+    fn reconfigure(&mut self, key_cooldown: Ms) {
+        let scheduler = std::mem::take(&mut self.scheduler);
+        let config = scheduler_config::decision_config(&self.settings, key_cooldown);
+        self.scheduler = scheduler.resume(config);
     }
 
     /// A health check was answered, or was not.
-    pub fn pinged(&mut self, target: &InstanceId, answer: PingAnswer) {
-        let id = target_id(target);
-        let fate = match answer {
-            PingAnswer::Healthy => AttemptOutcome::Delivered,
-            PingAnswer::Unhealthy => AttemptOutcome::Error,
+    pub fn on_health_check_ended(&mut self, target: &InstanceId, result: HealthCheckResult) {
+        let outcome = match result {
+            HealthCheckResult::Healthy => AttemptOutcome::Delivered,
+            HealthCheckResult::Unhealthy => AttemptOutcome::Error,
         };
-        self.inputs.push(Input::PingEnded(id, fate));
+        self.inputs
+            .push(SchedulerInput::HealthCheckEnded(target_id(target), outcome));
     }
 
-    /// Runs one round of the decision module and returns what is to be done. To be called after anything was
-    /// handed in, and at the time of the last [`Command::WakeAt`].
-    pub fn commands(&mut self, now: Ms) -> Vec<Command> {
-        let mut commands = Vec::new();
-        self.wake_at.take_if(|at| *at <= now);
-        let (inputs, given_up) = (
-            std::mem::take(&mut self.inputs),
-            std::mem::take(&mut self.given_up),
-        );
-        let mut bridge = Bridge {
-            now,
-            requests: &mut self.requests,
-            targets: &mut self.targets,
-            allocators: &mut self.allocators,
-            holds: &mut self.holds,
-            commands: &mut commands,
-            draws: &mut self.draws,
-            wake_at: &mut self.wake_at,
-        };
-        given_up.into_iter().for_each(|key| bridge.end(key));
-        let hand_over = |module: &mut Scheduler, bridge: &mut Bridge| -> Result<(), Infallible> {
-            inputs.into_iter().for_each(|input| input.hand_over(module));
-            while let Some(key) = bridge.holds.pop_over(bridge.now) {
-                bridge.end(key);
-                Input::Withdrawn(key).hand_over(module);
+    /// Runs one iteration of the scheduler and returns what the proxy is to do. To be called after
+    /// anything was reported, and at the time of the last [`Command::WakeAt`].
+    pub fn poll_commands(&mut self, now: Ms) -> Vec<Command> {
+        let inputs = std::mem::take(&mut self.inputs);
+        let exhausted = std::mem::take(&mut self.exhausted);
+        let pending_iteration = self.next_iteration_at.filter(|at| *at > now);
+        let mut writer = CommandWriter::new(now, &mut self.state, pending_iteration);
+        for key in exhausted {
+            writer.answer(key);
+        }
+        let apply_inputs = |scheduler: &mut Scheduler, writer: &mut CommandWriter| {
+            for input in inputs {
+                input.apply(scheduler);
             }
-            Ok(())
+            while let Some(key) = writer.pop_expired() {
+                writer.answer(key);
+                SchedulerInput::RequestWithdrawn(key).apply(scheduler);
+            }
+            Ok::<(), Infallible>(())
         };
-        let Ok(()) = self.module.run_iteration(now, hand_over, &mut bridge);
-        self.targets.forget_gone();
-        let wake_at = self
-            .wake_at
-            .into_iter()
-            .chain(self.holds.next())
-            .reduce(f64::min);
-        commands.extend(wake_at.map(Command::WakeAt));
+        let Ok(()) = self.scheduler.run_iteration(now, apply_inputs, &mut writer);
+        let written = writer.finish();
+        self.next_iteration_at = written.next_iteration_at;
+        self.state.targets.forget_removed();
+        let mut commands = written.commands;
+        if let Some(at) = earliest(
+            self.next_iteration_at,
+            self.state.queue_timeouts.next_expiry(),
+        ) {
+            commands.push(Command::WakeAt(at));
+        }
         commands
     }
 
-    /// Requests that are held or out.
+    /// Requests that are queued or in flight.
     pub fn len(&self) -> usize {
-        self.requests.len()
+        self.state.requests.len()
     }
 
-    /// Whether nothing is held or out.
+    /// Whether no request is queued or in flight.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
+
+fn earliest(one: Option<Ms>, other: Option<Ms>) -> Option<Ms> {
+    match (one, other) {
+        (Some(one), Some(other)) => Some(one.min(other)),
+        (some, None) | (None, some) => some,
+    }
+}
--- a/tier/dispatch/src/lib.rs
+++ b/tier/dispatch/src/lib.rs
@@ -1,26 +1,42 @@
-//! Dispatch of requests to targets, without I/O: the decision module (`plankhill`) applied inside the proxy.
+//! Dispatch of client requests to targets, without I/O.
 //!
-//! The decision module decides which request goes next and when; here stand what the tier knows besides
-//! (prefix caches, reported load, attempts, urgency) and the translation between both. Time is passed in as
-//! an argument, in milliseconds on the proxy's clock.
+//! The proxy hands in requests, ends of attempts and endpoint lists, and gets [`Command`]s back. The
+//! decision module (`plankhill-decisions`) decides which request goes next and when; this crate adds
+//! what only the serving tier knows (prefix caches, reported load, retries, priorities) and translates
+//! between both. Time is passed in as an argument, in milliseconds on the proxy's clock.
+//!
+//! A request's way through the crate: [`Dispatcher::enqueue`] sets its queue time-out ([`admission`]),
+//! the scheduler offers it to the targets that are open, `target_selection` takes the cheapest of them,
+//! and [`Dispatcher::on_attempt_ended`] decides by [`retry`] whether another attempt follows.
 
 pub mod admission;
 pub mod affinity;
 pub mod allocation;
-mod bridge;
-pub mod demand;
+mod attempt;
+mod command;
+mod command_writer;
+mod dispatch_state;
 mod dispatcher;
-mod holds;
-mod inputs;
-mod interface;
-pub mod load;
-mod module_terms;
-mod placement;
-mod requests;
+mod pending_requests;
+pub mod prefix_cache;
+pub mod prefix_chain;
+pub mod prefix_demand;
+mod queue_timeouts;
+pub mod rendezvous;
+mod request;
 pub mod retry;
-pub mod settle;
+mod rng;
+mod scheduler_config;
+mod scheduler_input;
+pub mod session_cooldown;
+mod settings;
+pub mod target_load;
+mod target_selection;
 mod targets;
 
+pub use attempt::{AttemptResult, UpstreamLoad};
+pub use command::{Command, HealthCheckResult};
 pub use dispatcher::Dispatcher;
-pub use interface::*;
 pub use plankhill_decisions::interface::{AttemptOutcome, Ms};
+pub use request::{Idempotency, NewRequest, PrefixPart, RequestKey};
+pub use settings::DispatchSettings;
--- a/tier/dispatch/src/retry.rs
+++ b/tier/dispatch/src/retry.rs
@@ -1,98 +1,117 @@
-//! Whether a request whose call ended undelivered goes again.
+//! Whether a request whose attempt ended undelivered is sent again. The only place that decides so.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 
-use crate::interface::Repeats;
+use crate::request::Idempotency;
 
-/// What is known of a request after a call has ended.
+/// Whether a target executed a request, as far as is known after an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Verdict {
-    /// The target did not run it and never will.
-    NotRun,
+pub enum ExecutionState {
+    /// The target did not execute the request and never will.
+    NotExecuted,
     /// Nobody can tell.
-    MayHaveRun,
-    /// The target ran it, with success or not.
-    Ran,
+    MayHaveExecuted,
+    /// The target executed the request, with success or not.
+    Executed,
 }
 
-impl Verdict {
-    /// What the end of a call says.
-    pub fn of(fate: AttemptOutcome) -> Self {
-        match fate {
+impl ExecutionState {
+    /// The state after an attempt with this outcome.
+    pub fn from_outcome(outcome: AttemptOutcome) -> Self {
+        match outcome {
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => {
-                Verdict::NotRun
+                ExecutionState::NotExecuted
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => {
-                Verdict::MayHaveRun
+                ExecutionState::MayHaveExecuted
             }
-            AttemptOutcome::Delivered | AttemptOutcome::Error => Verdict::Ran,
+            AttemptOutcome::Delivered | AttemptOutcome::Error => ExecutionState::Executed,
         }
     }
 }
 
-/// Calls of one request that surely did not run, beyond `max_attempts`. Each costs a round trip or less; after
-/// this many the service as a whole is full or gone.
-const MOST_NOT_RUN: u32 = 3;
+/// Attempts of one request that were surely not executed, beyond `max_attempts`. Each costs a round
+/// trip or less; after this many the service as a whole is full or gone.
+const MAX_NOT_EXECUTED: u32 = 3;
 
-/// A call that may be repeated is given this many objectives, or usual answer times if that is longer: past
-/// both its answer is lost more often than late.
-const GIVEN_OBJECTIVES: f64 = 2.0;
-const GIVEN_ANSWERS: f64 = 8.0;
-/// No more than this share of the time left, so that the next call has as much.
-const GIVEN_SHARE: f64 = 0.5;
+/// An attempt that another may follow is given this many latency targets, or typical answer times if
+/// that is longer: past both its answer is lost more often than late.
+const ATTEMPT_TIMEOUT_TARGETS: f64 = 2.0;
+const ATTEMPT_TIMEOUT_ANSWERS: f64 = 8.0;
+/// The attempt is given no more than this share of the time left, so that the next one has as much.
+const MAX_ATTEMPT_SHARE: f64 = 0.5;
 
-/// When a call ends as timed out: at the request's deadline, or earlier where another call may follow.
-pub fn call_deadline(
+/// Whether another attempt may follow the one that is about to be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Followup {
+    /// This attempt is the last one.
+    None,
+    /// Another attempt may follow.
+    Possible,
+}
+
+/// When an attempt that is sent now ends as timed out: at the request's deadline, or earlier where
+/// another attempt may follow.
+pub fn attempt_deadline(
     now: Ms,
     deadline: Ms,
-    objective: Ms,
-    usual_answer: Ms,
-    may_follow: bool,
+    latency_target: Ms,
+    typical_answer_time: Ms,
+    followup: Followup,
 ) -> Ms {
-    if !may_follow {
-        return deadline;
+    match followup {
+        Followup::None => deadline,
+        Followup::Possible => {
+            let timeout = (ATTEMPT_TIMEOUT_TARGETS * latency_target)
+                .max(ATTEMPT_TIMEOUT_ANSWERS * typical_answer_time);
+            now + timeout.min(MAX_ATTEMPT_SHARE * (deadline - now))
+        }
     }
-    let given = (GIVEN_OBJECTIVES * objective).max(GIVEN_ANSWERS * usual_answer);
-    now + given.min(GIVEN_SHARE * (deadline - now))
 }
 
-/// What one request has been through so far.
+/// The attempts of one request so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Attempts {
-    /// Calls that ran or may have run. `max_attempts` bounds them.
-    pub run: u32,
-    /// Calls that surely did not.
-    pub not_run: u32,
-    /// How the last one ended.
+    /// Attempts that were or may have been executed. `max_attempts` bounds them.
+    pub executed: u32,
+    /// Attempts that surely were not.
+    pub not_executed: u32,
+    /// How the last attempt ended.
     pub last: Option<AttemptOutcome>,
 }
 
 impl Attempts {
-    /// Counts a call that has ended.
-    pub fn count(&mut self, fate: AttemptOutcome) {
-        self.last = Some(fate);
-        match Verdict::of(fate) {
-            Verdict::NotRun => self.not_run += 1,
-            Verdict::MayHaveRun | Verdict::Ran => self.run += 1,
+    /// Counts an attempt that has ended.
+    pub fn record(&mut self, outcome: AttemptOutcome) {
+        self.last = Some(outcome);
+        match ExecutionState::from_outcome(outcome) {
+            ExecutionState::NotExecuted => self.not_executed += 1,
+            ExecutionState::MayHaveExecuted | ExecutionState::Executed => self.executed += 1,
         }
     }
 
-    /// Whether any call may have run.
-    pub fn may_have_run(&self) -> bool {
-        self.run > 0
+    /// Whether any attempt was or may have been executed.
+    pub fn may_have_executed(&self) -> bool {
+        self.executed > 0
     }
 
-    /// Whether another call could follow the one that is about to leave, were its answer lost.
-    pub fn more_after_this(&self, repeats: Repeats, max_attempts: u32) -> bool {
-        repeats == Repeats::Allowed && self.run + 1 < max_attempts
+    /// Whether another attempt could follow the one that is about to be sent, were its answer lost.
+    pub fn followup(&self, idempotency: Idempotency, max_attempts: u32) -> Followup {
+        match idempotency {
+            Idempotency::Idempotent if self.executed + 1 < max_attempts => Followup::Possible,
+            Idempotency::Idempotent | Idempotency::NonIdempotent => Followup::None,
+        }
     }
 
-    /// Whether another call is allowed. The proxy's own end of a call (`Cancelled`) is final.
-    pub fn allow_another(&self, repeats: Repeats, max_attempts: u32) -> bool {
+    /// Whether another attempt is allowed. An attempt that the proxy itself ended (`Cancelled`) is
+    /// final.
+    pub fn allows_another(&self, idempotency: Idempotency, max_attempts: u32) -> bool {
         if self.last == Some(AttemptOutcome::Cancelled) {
             return false;
         }
-        let once = repeats == Repeats::Forbidden && self.may_have_run();
-        !once && self.run < max_attempts.max(1) && self.not_run <= MOST_NOT_RUN
+        if idempotency == Idempotency::NonIdempotent && self.may_have_executed() {
+            return false;
+        }
+        self.executed < max_attempts.max(1) && self.not_executed <= MAX_NOT_EXECUTED
     }
 }
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -1,16 +1,22 @@
-//! The targets that the tables name, by the module's ids, and what differs between two tables.
+//! The targets that the endpoint lists name, by the scheduler's ids, and the differences between two
+//! lists. Owned by the dispatcher's state.
 
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-use plankhill_decisions::interface::{DestinationId, EndpointState, Ms, TargetId, ZoneId};
+use plankhill_decisions::interface::{
+    AttemptOutcome, DestinationId, EndpointState, Ms, TargetId, ZoneId,
+};
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
 
-use crate::affinity::{target_hash, Kept};
-use crate::load::TargetLoad;
+use crate::attempt::{AttemptResult, UpstreamLoad};
+use crate::prefix_cache::{PrefixCache, PREFILL_TIME_PER_TOKEN};
+use crate::prefix_chain::PrefixChain;
+use crate::rendezvous::target_hash;
+use crate::target_load::TargetLoad;
 
-/// One start of a target, and what this proxy knows of it.
+/// One incarnation of a target, and what this proxy knows of it.
 #[derive(Debug)]
 pub(crate) struct KnownTarget {
     pub(crate) id: InstanceId,
@@ -18,23 +24,68 @@
     pub(crate) in_own_zone: bool,
     pub(crate) hash: u64,
     pub(crate) load: TargetLoad,
-    pub(crate) kept: Kept,
-    /// The end of the wait after its last refusal.
-    pub(crate) closed_until: Ms,
+    pub(crate) prefix_cache: PrefixCache,
+    /// The end of the backoff after its last rejection.
+    closed_until: Ms,
     service: DestinationId,
-    listing: EndpointState,
+    state: EndpointState,
 }
 
-/// A difference for the decision module.
+impl KnownTarget {
+    /// A request with this prompt is sent to the target.
+    pub(crate) fn on_sent(&mut self, now: Ms, prompt: &PrefixChain, has_shared_prefix: bool) {
+        self.load.on_sent();
+        let prefill = self.prefill_time(prompt, has_shared_prefix);
+        self.load.on_prefill(now, prefill);
+        self.prefix_cache.record(prompt);
+    }
+
+    /// An attempt has ended; returns the backoff that closes the target, 0 if it stays open.
+    pub(crate) fn on_attempt_ended(&mut self, now: Ms, result: &AttemptResult) -> Ms {
+        self.load.on_ended();
+        if let Some(load) = result.load {
+            self.load.on_report(now, load);
+        }
+        match result.outcome {
+            AttemptOutcome::Delivered => self.load.on_answer(result.elapsed),
+            AttemptOutcome::Rejected => return self.close_after_rejection(now, result.retry_after),
+            AttemptOutcome::Error
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::Reset
+            | AttemptOutcome::NotSent => self.load.on_failure(now),
+            AttemptOutcome::Cancelled => (),
+        }
+        0.0
+    }
+
+    /// How long the target takes to prefill what it does not cache of the prompt.
+    pub(crate) fn prefill_time(&self, prompt: &PrefixChain, has_shared_prefix: bool) -> Ms {
+        let tokens = self.prefix_cache.missing_tokens(prompt, has_shared_prefix);
+        PREFILL_TIME_PER_TOKEN * f64::from(tokens)
+    }
+
+    fn close_after_rejection(&mut self, now: Ms, retry_after: Option<Ms>) -> Ms {
+        let backoff = retry_after.unwrap_or_else(|| self.load.rejection_backoff(now));
+        self.closed_until = now + backoff;
+        backoff
+    }
+
+    fn is_running(&self) -> bool {
+        self.state == EndpointState::Running
+    }
+}
+
+/// A difference between two endpoint lists, for the scheduler.
 #[derive(Clone, Debug)]
-pub(crate) struct Relisted {
+pub(crate) struct EndpointChange {
     pub(crate) target: TargetId,
     pub(crate) service: DestinationId,
     pub(crate) zone: ZoneId,
-    pub(crate) listing: EndpointState,
+    pub(crate) state: EndpointState,
 }
 
-/// All targets, also those that are gone and still have calls out.
+/// All targets, also those that are removed and still have attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Targets {
     by_id: HashMap<TargetId, KnownTarget>,
@@ -51,68 +102,70 @@
         self.by_id.get_mut(id)
     }
 
-    /// The service's number in the decision module. Names are few: the operator's configurations hold them.
-    pub(crate) fn service(&mut self, name: &ServiceName) -> DestinationId {
+    /// The service's id in the scheduler. Names are few: the operator's configurations hold them.
+    pub(crate) fn service_id(&mut self, name: &ServiceName) -> DestinationId {
         let next = DestinationId(self.services.len() as u64);
         *self.services.entry(name.clone()).or_insert(next)
     }
 
-    fn zone(&mut self, name: &ZoneName) -> ZoneId {
+    fn zone_id(&mut self, name: &ZoneName) -> ZoneId {
         let next = ZoneId(self.zones.len());
         *self.zones.entry(name.clone()).or_insert(next)
     }
 
-    /// Takes over new tables; returns what changed.
-    pub(crate) fn replace(&mut self, own_zone: &ZoneName, listed: &[Target]) -> Vec<Relisted> {
-        let named: HashMap<&str, &Target> = listed
-            .iter()
-            .map(|target| (target.id.as_str(), target))
-            .collect();
-        let mut changes = self.gone(&named);
+    /// Takes over a new endpoint list; returns what changed.
+    ///
+    /// Removed targets come first, in no particular order.
+    pub(crate) fn replace(
+        &mut self,
+        own_zone: &ZoneName,
+        listed: &[Target],
+    ) -> Vec<EndpointChange> {
+        let mut changes = self.remove_unlisted(listed);
         for target in listed {
-            changes.extend(self.enter(own_zone, target));
+            changes.extend(self.add_or_update(own_zone, target));
         }
         changes
     }
 
-    fn gone(&mut self, named: &HashMap<&str, &Target>) -> Vec<Relisted> {
+    fn remove_unlisted(&mut self, listed: &[Target]) -> Vec<EndpointChange> {
+        let listed_ids: HashSet<&str> = listed.iter().map(|target| target.id.as_str()).collect();
         let mut changes = Vec::new();
         for (id, known) in &mut self.by_id {
-            let is_named = named.contains_key(known.id.as_str());
-            if is_named || known.listing == EndpointState::Removed {
+            let is_listed = listed_ids.contains(known.id.as_str());
+            if is_listed || known.state == EndpointState::Removed {
                 continue;
             }
-            known.listing = EndpointState::Removed;
-            let (service, zone) = (known.service, ZoneId::UNKNOWN);
-            changes.push(Relisted {
+            known.state = EndpointState::Removed;
+            changes.push(EndpointChange {
                 target: id.clone(),
-                service,
-                zone,
-                listing: EndpointState::Removed,
+                service: known.service,
+                zone: ZoneId::UNKNOWN,
+                state: EndpointState::Removed,
             });
         }
         changes
     }
 
-    fn enter(&mut self, own_zone: &ZoneName, target: &Target) -> Option<Relisted> {
+    fn add_or_update(&mut self, own_zone: &ZoneName, target: &Target) -> Option<EndpointChange> {
         let id = target_id(&target.id);
-        let service = self.service(&target.service);
-        let zone = self.zone(&target.zone);
-        let listing = match target.state {
+        let service = self.service_id(&target.service);
+        let zone = self.zone_id(&target.zone);
+        let state = match target.state {
             TargetState::Healthy => EndpointState::Running,
             TargetState::Draining => EndpointState::Draining,
         };
         if let Some(known) = self.by_id.get_mut(&id) {
             known.address = target.address;
-            if known.listing == listing {
+            if known.state == state {
                 return None;
             }
-            known.listing = listing;
-            return Some(Relisted {
+            known.state = state;
+            return Some(EndpointChange {
                 target: id,
                 service: known.service,
                 zone,
-                listing,
+                state,
             });
         }
         let known = KnownTarget {
@@ -121,47 +174,54 @@
             in_own_zone: target.zone == *own_zone,
             hash: target_hash(&target.id),
             load: TargetLoad::new(target.capacity),
-            kept: Kept::default(),
+            prefix_cache: PrefixCache::default(),
             closed_until: f64::NEG_INFINITY,
             service,
-            listing,
+            state,
         };
         self.by_id.insert(id.clone(), known);
-        Some(Relisted {
+        Some(EndpointChange {
             target: id,
             service,
             zone,
-            listing,
+            state,
         })
     }
 
     /// The hashes of the service's targets that take new requests.
     pub(crate) fn running_hashes(&self, service: DestinationId) -> Vec<u64> {
-        let of_service = self.by_id.values().filter(|known| known.service == service);
-        of_service
-            .filter(|known| known.listing == EndpointState::Running)
-            .map(|known| known.hash)
-            .collect()
+        self.running(service).map(|target| target.hash).collect()
     }
 
-    /// When the first target that refused takes calls again; none where no wait runs.
+    /// When the first backoff after a rejection ends; none where no backoff runs.
     pub(crate) fn opens_at(&self, service: DestinationId, now: Ms) -> Option<Ms> {
-        let of_service = self.by_id.values().filter(|known| known.service == service);
-        let running = of_service.filter(|known| known.listing == EndpointState::Running);
-        let waits = running
-            .map(|known| known.closed_until)
-            .filter(|until| *until > now);
-        waits.reduce(f64::min)
+        self.running(service)
+            .map(|target| target.closed_until)
+            .filter(|until| *until > now)
+            .reduce(f64::min)
+    }
+
+    /// Takes in a load report that came ahead of its answer's end.
+    pub(crate) fn on_load_reported(&mut self, now: Ms, target: &InstanceId, load: UpstreamLoad) {
+        if let Some(known) = self.by_id.get_mut(&target_id(target)) {
+            known.load.on_report(now, load);
+        }
+    }
+
+    /// Forgets targets that are removed and have no attempt in flight.
+    pub(crate) fn forget_removed(&mut self) {
+        self.by_id
+            .retain(|_, known| known.state != EndpointState::Removed || known.load.in_flight() > 0);
     }
 
-    /// Forgets targets that are gone and have no call out.
-    pub(crate) fn forget_gone(&mut self) {
+    fn running(&self, service: DestinationId) -> impl Iterator<Item = &KnownTarget> {
         self.by_id
-            .retain(|_, known| known.listing != EndpointState::Removed || known.load.out() > 0);
+            .values()
+            .filter(move |known| known.service == service && known.is_running())
     }
 }
 
-/// The target's name in the decision module.
+/// The target's id in the scheduler.
 pub(crate) fn target_id(id: &InstanceId) -> TargetId {
     TargetId(id.as_str().into())
 }
--- a/tier/dispatch/tests/admission.rs
+++ b/tier/dispatch/tests/admission.rs
@@ -1,14 +1,16 @@
 //! Urgency, holds and the advice when to come back.
 
 use arbtest::arbtest;
-use plankhill_dispatch::admission::{hold_until, priority, retry_after, HeldFor, LAST_PRIORITY};
-use plankhill_dispatch::settle::SettleTime;
+use plankhill_dispatch::admission::{
+    priority, queue_deadline, retry_after, QueueReason, LOWEST_PRIORITY,
+};
+use plankhill_dispatch::session_cooldown::CooldownEstimate;
 
-const REASONS: [HeldFor; 4] = [
-    HeldFor::FirstSend,
-    HeldFor::Refused,
-    HeldFor::NextSend,
-    HeldFor::Session,
+const REASONS: [QueueReason; 4] = [
+    QueueReason::FirstSend,
+    QueueReason::Rejected,
+    QueueReason::Failed,
+    QueueReason::Session,
 ];
 
 #[test]
@@ -18,7 +20,7 @@
         let objective = f64::from(u.arbitrary::<u32>()?);
         let deadline = now + f64::from(u.arbitrary::<u32>()?);
         let held_for = *u.choose(&REASONS)?;
-        let until = hold_until(now, held_for, objective, deadline);
+        let until = queue_deadline(now, held_for, objective, deadline);
         assert!((now..=deadline).contains(&until));
         Ok(())
     })
@@ -27,7 +29,7 @@
 
 #[test]
 fn a_request_never_sent_is_refused_within_a_quarter_of_its_objective() {
-    assert!(hold_until(0.0, HeldFor::FirstSend, 250.0, 5_000.0) < 62.5);
+    assert!(queue_deadline(0.0, QueueReason::FirstSend, 250.0, 5_000.0) < 62.5);
 }
 
 #[test]
@@ -47,7 +49,9 @@
 fn priorities_and_advice_stay_in_their_bounds() {
     arbtest(|u| {
         let left = u.arbitrary::<Option<i32>>()?.map(f64::from);
-        assert!(priority(u.arbitrary()?, left, f64::from(u.arbitrary::<u16>()?)) <= LAST_PRIORITY);
+        assert!(
+            priority(u.arbitrary()?, left, f64::from(u.arbitrary::<u16>()?)) <= LOWEST_PRIORITY
+        );
         let opens_at = u.arbitrary::<Option<i32>>()?.map(f64::from);
         let advice = retry_after(0.0, opens_at, f64::from(u.arbitrary::<u32>()?), 0.5);
         assert!((1.0..=1_000.0).contains(&advice));
@@ -58,19 +62,19 @@
 
 #[test]
 fn the_settle_time_follows_the_pauses_within_answers() {
-    let mut settle = SettleTime::default();
-    let before = settle.value();
+    let mut cooldown = CooldownEstimate::default();
+    let before = cooldown.value();
     (0..100).for_each(|_| {
-        settle.seen(15.0);
+        cooldown.record_pause(15.0);
     });
-    assert!(settle.value() < before);
+    assert!(cooldown.value() < before);
     (0..100).for_each(|_| {
-        settle.seen(300.0);
+        cooldown.record_pause(300.0);
     });
-    assert!(settle.value() > 300.0);
-    assert_eq!(settle.seen(f64::NAN), None);
+    assert!(cooldown.value() > 300.0);
+    assert_eq!(cooldown.record_pause(f64::NAN), None);
     (0..100).for_each(|_| {
-        settle.seen(1e9);
+        cooldown.record_pause(1e9);
     });
-    assert_eq!(settle.value(), 1_000.0);
+    assert_eq!(cooldown.value(), 1_000.0);
 }
--- a/tier/dispatch/tests/affinity.rs
+++ b/tier/dispatch/tests/affinity.rs
@@ -6,9 +6,12 @@
 
 use arbtest::arbtest;
 use common::*;
-use plankhill_dispatch::affinity::{rank_costs, target_hash, Chains, Kept};
+use plankhill_dispatch::affinity::rank_costs;
 use plankhill_dispatch::allocation::Allocation;
-use plankhill_dispatch::demand::TextShare;
+use plankhill_dispatch::prefix_cache::PrefixCache;
+use plankhill_dispatch::prefix_chain::PrefixChain;
+use plankhill_dispatch::prefix_demand::PrefixShare;
+use plankhill_dispatch::rendezvous::target_hash;
 use plankhill_dispatch::*;
 use plankhill_protocol::ids::InstanceId;
 
@@ -19,8 +22,8 @@
         .collect()
 }
 
-fn chains(list: &[(u64, u32)]) -> Chains {
-    Chains::of(&parts(list))
+fn chains(list: &[(u64, u32)]) -> PrefixChain {
+    PrefixChain::from_parts(&parts(list))
 }
 
 fn prompt(key: u64, now: Ms, session: u64, list: &[(u64, u32)]) -> NewRequest {
@@ -32,30 +35,45 @@
 
 #[test]
 fn a_part_is_kept_only_behind_all_parts_before_it() {
-    let mut kept = Kept::default();
-    kept.note(&chains(&[(1, 100), (2, 10)]));
-    assert_eq!(kept.missing(&chains(&[(1, 100), (2, 10)]), false), 0);
-    assert_eq!(kept.missing(&chains(&[(1, 100), (3, 10)]), false), 10);
-    assert_eq!(kept.missing(&chains(&[(3, 100), (2, 10)]), false), 110);
+    let mut cache = PrefixCache::default();
+    cache.record(&chains(&[(1, 100), (2, 10)]));
+    assert_eq!(
+        cache.missing_tokens(&chains(&[(1, 100), (2, 10)]), false),
+        0
+    );
+    assert_eq!(
+        cache.missing_tokens(&chains(&[(1, 100), (3, 10)]), false),
+        10
+    );
+    assert_eq!(
+        cache.missing_tokens(&chains(&[(3, 100), (2, 10)]), false),
+        110
+    );
 }
 
 #[test]
 fn of_a_part_that_has_grown_only_the_growth_is_missing() {
-    let mut kept = Kept::default();
-    kept.note(&chains(&[(1, 100), (2, 10)]));
-    assert_eq!(kept.missing(&chains(&[(1, 100), (2, 25)]), false), 15);
+    let mut cache = PrefixCache::default();
+    cache.record(&chains(&[(1, 100), (2, 10)]));
+    assert_eq!(
+        cache.missing_tokens(&chains(&[(1, 100), (2, 25)]), false),
+        15
+    );
 }
 
 #[test]
 fn parts_unused_longest_are_forgotten_first() {
-    let mut kept = Kept::default();
+    let mut cache = PrefixCache::default();
     let shared = (1, 1_000);
     for session in 10..5_000 {
-        kept.note(&chains(&[shared, (session, 10)]));
+        cache.record(&chains(&[shared, (session, 10)]));
     }
-    assert_eq!(kept.missing(&chains(&[shared, (4_999, 10)]), false), 0);
     assert_eq!(
-        kept.missing(&chains(&[shared, (10, 10)]), false),
+        cache.missing_tokens(&chains(&[shared, (4_999, 10)]), false),
+        0
+    );
+    assert_eq!(
+        cache.missing_tokens(&chains(&[shared, (10, 10)]), false),
         10,
         "the shared part was used ever since"
     );
@@ -111,7 +129,7 @@
                 let settings = DispatchSettings { seed, ..settings() };
                 proxy.dispatcher = Dispatcher::new(settings, 0.0);
                 let listed: Vec<_> = names.iter().map(|id| healthy(id)).collect();
-                proxy.dispatcher.tables_changed(&listed);
+                proxy.dispatcher.set_targets(&listed);
                 let new = prompt(1, 1.0, 1, &[(subject, 2_000), (seed, 100)]);
                 proxy.takes(1.0, new).expect("sent")
             })
@@ -141,7 +159,7 @@
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, prompt(1, 1.0, 1, &[(7, 4_000), (8, 10)]));
     proxy.ends(2.0, 1, "a", AttemptOutcome::Delivered);
-    proxy.dispatcher.tables_changed(&[healthy("a2")]);
+    proxy.dispatcher.set_targets(&[healthy("a2")]);
     assert_eq!(
         proxy
             .takes(3.0, prompt(2, 3.0, 1, &[(7, 4_000), (8, 20)]))
@@ -152,10 +170,16 @@
 
 #[test]
 fn a_text_that_targets_keep_for_others_is_not_missing_there() {
-    let mut kept = Kept::default();
-    assert_eq!(kept.missing(&chains(&[(1, 100), (2, 10)]), true), 10);
-    kept.note(&chains(&[(1, 100), (2, 10)]));
-    assert_eq!(kept.missing(&chains(&[(1, 100), (2, 25)]), true), 15);
+    let mut cache = PrefixCache::default();
+    assert_eq!(
+        cache.missing_tokens(&chains(&[(1, 100), (2, 10)]), true),
+        10
+    );
+    cache.record(&chains(&[(1, 100), (2, 10)]));
+    assert_eq!(
+        cache.missing_tokens(&chains(&[(1, 100), (2, 25)]), true),
+        15
+    );
 }
 
 #[test]
@@ -168,13 +192,13 @@
             .map(|name| target_hash(&InstanceId::from(name.as_str())))
             .collect();
         let prompt = chains(&[(u.arbitrary()?, 10), (u.arbitrary()?, 10)]);
-        let text = prompt.text().expect("two parts");
-        let shares = vec![TextShare {
-            text,
+        let prefix = prompt.shared_prefix().expect("two parts");
+        let shares = vec![PrefixShare {
+            prefix,
             share: u.int_in_range(1..=100)? as f64 / 100.0,
         }];
-        let allocation = Allocation::of(shares, &hashes);
-        let keepers = allocation.keepers(text);
+        let allocation = Allocation::new(shares, &hashes);
+        let keepers = allocation.targets_of(prefix);
         let costs = rank_costs(&prompt, &hashes, keepers);
         let turned: Vec<u64> = hashes.iter().rev().copied().collect();
         let mut turned_costs = rank_costs(&prompt, &turned, keepers);
@@ -182,17 +206,17 @@
         assert_eq!(costs, turned_costs);
         assert_eq!(costs.iter().filter(|rank| rank.cost == 0.0).count(), 1);
         assert_eq!(
-            costs.iter().filter(|rank| rank.keeps_text).count(),
+            costs.iter().filter(|rank| rank.has_shared_prefix).count(),
             keepers.len()
         );
         let dearest_keeper = costs
             .iter()
-            .filter(|rank| rank.keeps_text)
+            .filter(|rank| rank.has_shared_prefix)
             .map(|rank| rank.cost)
             .fold(0.0, f64::max);
         assert!(costs
             .iter()
-            .all(|rank| rank.keeps_text || rank.cost > dearest_keeper));
+            .all(|rank| rank.has_shared_prefix || rank.cost > dearest_keeper));
         Ok(())
     })
     .budget_ms(500);
@@ -201,7 +225,7 @@
 #[test]
 fn missing_tokens_never_exceed_the_prompt() {
     arbtest(|u| {
-        let mut kept = Kept::default();
+        let mut cache = PrefixCache::default();
         for _ in 0..u.int_in_range(0..=20)? {
             let list: Vec<(u64, u32)> = u.arbitrary()?;
             let prompt = chains(&list);
@@ -209,8 +233,8 @@
                 .iter()
                 .take(64)
                 .fold(0u32, |sum, part| sum.saturating_add(part.1));
-            assert!(kept.missing(&prompt, false) <= all);
-            kept.note(&prompt);
+            assert!(cache.missing_tokens(&prompt, false) <= all);
+            cache.record(&prompt);
         }
         Ok(())
     })
--- a/tier/dispatch/tests/attempts.rs
+++ b/tier/dispatch/tests/attempts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use plankhill_dispatch::retry::{Attempts, Verdict};
+use plankhill_dispatch::retry::{Attempts, ExecutionState};
 use plankhill_dispatch::*;
 
 const FATES: [AttemptOutcome; 8] = [
@@ -21,7 +21,7 @@
 fn only_what_was_refused_or_never_left_surely_did_not_run() {
     let not_run: Vec<AttemptOutcome> = FATES
         .into_iter()
-        .filter(|fate| Verdict::of(*fate) == Verdict::NotRun)
+        .filter(|fate| ExecutionState::from_outcome(*fate) == ExecutionState::NotExecuted)
         .collect();
     assert_eq!(
         not_run,
@@ -37,9 +37,13 @@
 fn what_may_not_be_repeated_goes_again_only_after_what_did_not_run() {
     for fate in FATES {
         let mut attempts = Attempts::default();
-        attempts.count(fate);
-        let again = attempts.allow_another(Repeats::Forbidden, 3);
-        assert_eq!(again, Verdict::of(fate) == Verdict::NotRun, "{fate:?}");
+        attempts.record(fate);
+        let again = attempts.allows_another(Idempotency::NonIdempotent, 3);
+        assert_eq!(
+            again,
+            ExecutionState::from_outcome(fate) == ExecutionState::NotExecuted,
+            "{fate:?}"
+        );
     }
 }
 
@@ -104,7 +108,7 @@
 #[test]
 fn a_request_that_no_target_takes_is_refused_long_before_its_deadline() {
     let mut proxy = Proxy::with(&["a", "b"]);
-    let mut commands = proxy.at(1.0, |dispatcher| dispatcher.request(1.0, once(1, 1.0)));
+    let mut commands = proxy.at(1.0, |dispatcher| dispatcher.enqueue(1.0, once(1, 1.0)));
     let mut now = 1.0;
     while let Some((_, target)) = sends(&commands).into_iter().next() {
         now += 1.0;
@@ -122,10 +126,10 @@
 fn without_a_target_a_request_is_refused_within_a_quarter_of_its_objective() {
     let mut proxy = Proxy::with(&[]);
     assert!(proxy
-        .at(1.0, |dispatcher| dispatcher.request(1.0, request(1, 1.0)))
+        .at(1.0, |dispatcher| dispatcher.enqueue(1.0, request(1, 1.0)))
         .is_empty());
     let commands = proxy.until(1.0 + 0.25 * 500.0);
-    let [Command::Refuse { retry_after, .. }] = commands[..] else {
+    let [Command::Reject { retry_after, .. }] = commands[..] else {
         panic!("{commands:?}")
     };
     assert!((1.0..=1_000.0).contains(&retry_after));
@@ -138,11 +142,11 @@
         [Command::Send { deadline, .. }] => *deadline,
         other => panic!("{other:?}"),
     };
-    let first = deadline_of(&proxy.at(1.0, |dispatcher| dispatcher.request(1.0, request(1, 1.0))));
+    let first = deadline_of(&proxy.at(1.0, |dispatcher| dispatcher.enqueue(1.0, request(1, 1.0))));
     assert!((1_000.0..=2_501.0).contains(&first));
-    let stream = deadline_of(&proxy.at(2.0, |dispatcher| dispatcher.request(2.0, turn(2, 2.0, 9))));
+    let stream = deadline_of(&proxy.at(2.0, |dispatcher| dispatcher.enqueue(2.0, turn(2, 2.0, 9))));
     assert_eq!(stream, 5_002.0);
-    let binding = deadline_of(&proxy.at(3.0, |dispatcher| dispatcher.request(3.0, once(3, 3.0))));
+    let binding = deadline_of(&proxy.at(3.0, |dispatcher| dispatcher.enqueue(3.0, once(3, 3.0))));
     assert_eq!(binding, 5_003.0);
 }
 
@@ -158,9 +162,9 @@
 fn a_told_wait_holds_the_target() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, request(1, 1.0));
-    let full = Ended {
+    let full = AttemptResult {
         retry_after: Some(100.0),
-        ..Ended::plain(AttemptOutcome::Rejected)
+        ..AttemptResult::from_outcome(AttemptOutcome::Rejected)
     };
     proxy.ends_with(2.0, 1, "a", full);
     assert!(sends(&proxy.until(101.0)).is_empty());
--- a/tier/dispatch/tests/common/mod.rs
+++ b/tier/dispatch/tests/common/mod.rs
@@ -37,7 +37,7 @@
     DispatchSettings {
         seed: 7,
         zone: ZoneName::from("near"),
-        most_requests: 1000,
+        max_requests: 1000,
     }
 }
 
@@ -46,20 +46,20 @@
     NewRequest {
         key: RequestKey(key),
         service: ServiceName::from(SERVICE),
-        repeats: Repeats::Allowed,
+        idempotency: Idempotency::Idempotent,
         session: None,
         deadline: now + 5_000.0,
-        objective: 500.0,
+        latency_target: 500.0,
         max_attempts: 2,
-        priority: 1,
-        finish_left: None,
+        route_priority: 1,
+        program_time_left: None,
         prefix: Vec::new(),
     }
 }
 
 pub fn once(key: u64, now: Ms) -> NewRequest {
     NewRequest {
-        repeats: Repeats::Forbidden,
+        idempotency: Idempotency::NonIdempotent,
         ..request(key, now)
     }
 }
@@ -84,7 +84,7 @@
     pub fn with(targets: &[&str]) -> Self {
         let mut dispatcher = Dispatcher::new(settings(), 0.0);
         let listed: Vec<Target> = targets.iter().map(|id| healthy(id)).collect();
-        dispatcher.tables_changed(&listed);
+        dispatcher.set_targets(&listed);
         Proxy {
             dispatcher,
             now: 0.0,
@@ -97,7 +97,7 @@
     pub fn at(&mut self, now: Ms, hand_in: impl FnOnce(&mut Dispatcher)) -> Vec<Command> {
         self.now = now;
         hand_in(&mut self.dispatcher);
-        let commands = self.dispatcher.commands(now);
+        let commands = self.dispatcher.poll_commands(now);
         if let Some(transcript) = &mut self.transcript {
             transcript.round(0, now, &commands);
         }
@@ -125,7 +125,7 @@
 
     /// Hands in a request; returns the target that it was sent to at once.
     pub fn takes(&mut self, now: Ms, new: NewRequest) -> Option<String> {
-        sent_to(&self.at(now, |dispatcher| dispatcher.request(now, new)))
+        sent_to(&self.at(now, |dispatcher| dispatcher.enqueue(now, new)))
     }
 
     pub fn ends(&mut self, now: Ms, key: u64, target: &str, fate: AttemptOutcome) -> Vec<Command> {
@@ -133,23 +133,31 @@
             now,
             key,
             target,
-            Ended {
-                took: 50.0,
-                ..Ended::plain(fate)
+            AttemptResult {
+                elapsed: 50.0,
+                ..AttemptResult::from_outcome(fate)
             },
         )
     }
 
-    pub fn ends_with(&mut self, now: Ms, key: u64, target: &str, ended: Ended) -> Vec<Command> {
+    pub fn ends_with(
+        &mut self,
+        now: Ms,
+        key: u64,
+        target: &str,
+        ended: AttemptResult,
+    ) -> Vec<Command> {
         let target = InstanceId::from(target);
         self.at(now, |dispatcher| {
-            dispatcher.ended(now, RequestKey(key), &target, ended)
+            dispatcher.on_attempt_ended(now, RequestKey(key), &target, ended)
         })
     }
 
-    pub fn pinged(&mut self, now: Ms, target: &str, answer: PingAnswer) -> Vec<Command> {
+    pub fn pinged(&mut self, now: Ms, target: &str, answer: HealthCheckResult) -> Vec<Command> {
         let target = InstanceId::from(target);
-        self.at(now, |dispatcher| dispatcher.pinged(&target, answer))
+        self.at(now, |dispatcher| {
+            dispatcher.on_health_check_ended(&target, answer)
+        })
     }
 }
 
@@ -174,7 +182,7 @@
 pub fn is_refused(commands: &[Command], key: u64) -> bool {
     commands
         .iter()
-        .any(|command| matches!(command, Command::Refuse { request, .. } if request.0 == key))
+        .any(|command| matches!(command, Command::Reject { request, .. } if request.0 == key))
 }
 
 pub fn is_failed(commands: &[Command], key: u64) -> bool {
@@ -185,7 +193,7 @@
 
 pub fn pings(commands: &[Command]) -> Vec<String> {
     let ping = |command: &Command| match command {
-        Command::Ping { target, .. } => Some(target.as_str().to_owned()),
+        Command::HealthCheck { target, .. } => Some(target.as_str().to_owned()),
         _ => None,
     };
     commands.iter().filter_map(ping).collect()
--- a/tier/dispatch/tests/common/transcript.rs
+++ b/tier/dispatch/tests/common/transcript.rs
@@ -3,7 +3,7 @@
 //! Floating-point numbers are written as the bits of their value, targets by their ids. The words are the
 //! transcript's own, so that a renamed type leaves the digest as it is.
 
-use plankhill_dispatch::{AttemptOutcome, Command, Ended, Ms};
+use plankhill_dispatch::{AttemptOutcome, AttemptResult, Command, Ms};
 
 /// FNV-1a with 64 bits: its constants are fixed by its authors, so that a digest outlives compilers.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -52,12 +52,12 @@
     }
 
     /// The end of a call.
-    pub fn ended(&mut self, proxy: usize, now: Ms, key: u64, target: &str, ended: &Ended) {
-        let fate = fate_word(ended.fate);
+    pub fn ended(&mut self, proxy: usize, now: Ms, key: u64, target: &str, ended: &AttemptResult) {
+        let fate = fate_word(ended.outcome);
         self.line(&format!(
             "{proxy} {} ended {key} {target} {fate} {}",
             bits(now),
-            bits(ended.took)
+            bits(ended.elapsed)
         ));
     }
 
@@ -89,14 +89,14 @@
                 bits(*deadline)
             )
         }
-        Command::Refuse {
+        Command::Reject {
             request,
             retry_after,
         } => format!("refuse {} {}", request.0, bits(*retry_after)),
         Command::Fail { request, last } => format!("fail {} {}", request.0, fate_word(*last)),
-        Command::Ping { target, address } => format!("ping {} {address}", target.as_str()),
-        Command::CloseIdle { target } => format!("close-idle {}", target.as_str()),
-        Command::TakeBack { target } => format!("take-back {}", target.as_str()),
+        Command::HealthCheck { target, address } => format!("ping {} {address}", target.as_str()),
+        Command::CloseIdleConnections { target } => format!("close-idle {}", target.as_str()),
+        Command::CancelUnsent { target } => format!("take-back {}", target.as_str()),
         Command::WakeAt(at) => format!("wake {}", bits(*at)),
     }
 }
--- a/tier/dispatch/tests/decisions_digest/faults.rs
+++ b/tier/dispatch/tests/decisions_digest/faults.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use plankhill_dispatch::{
-    AttemptOutcome, Command, DispatchSettings, Dispatcher, Ended, Ms, NewRequest, PingAnswer,
-    PrefixPart, Repeats, RequestKey, UpstreamLoad,
+    AttemptOutcome, AttemptResult, Command, DispatchSettings, Dispatcher, HealthCheckResult,
+    Idempotency, Ms, NewRequest, PrefixPart, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
@@ -38,11 +38,11 @@
 
 enum Happens {
     Request,
-    Ended {
+    AttemptResult {
         key: u64,
         target: String,
         number: u64,
-        ended: Ended,
+        ended: AttemptResult,
     },
     Pinged {
         target: String,
@@ -73,7 +73,7 @@
 
 /// Runs the world with that seed; every third one with room for few requests.
 pub fn run(seed: u64) -> Transcript {
-    let most_requests = if seed.is_multiple_of(3) {
+    let max_requests = if seed.is_multiple_of(3) {
         FEW_REQUESTS
     } else {
         1_000
@@ -81,7 +81,7 @@
     let settings = DispatchSettings {
         seed,
         zone: ZoneName::from(ZONES[0]),
-        most_requests,
+        max_requests,
     };
     let mut world = World {
         now: 0.0,
@@ -150,7 +150,7 @@
                     self.at(now + pause, Happens::Request);
                 }
             }
-            Happens::Ended {
+            Happens::AttemptResult {
                 key,
                 target,
                 number,
@@ -163,21 +163,25 @@
             }
             Happens::Pinged { target, healthy } => {
                 let answer = if healthy {
-                    PingAnswer::Healthy
+                    HealthCheckResult::Healthy
                 } else {
-                    PingAnswer::Unhealthy
+                    HealthCheckResult::Unhealthy
                 };
                 self.dispatcher
-                    .pinged(&InstanceId::from(target.as_str()), answer);
+                    .on_health_check_ended(&InstanceId::from(target.as_str()), answer);
             }
             Happens::Withdrawn(key) => {
                 if self.over.insert(key, true) == Some(true) {
                     return;
                 }
                 self.transcript.line(&format!("withdrawn {key}"));
-                self.dispatcher.withdrawn(RequestKey(key));
+                self.dispatcher.cancel(RequestKey(key));
                 if let Some((target, _)) = self.out.get(&key).cloned() {
-                    self.ends(key, &target, Ended::plain(AttemptOutcome::Cancelled));
+                    self.ends(
+                        key,
+                        &target,
+                        AttemptResult::from_outcome(AttemptOutcome::Cancelled),
+                    );
                 }
             }
             Happens::ConditionChanges => {
@@ -199,17 +203,21 @@
         self.round();
     }
 
-    fn ends(&mut self, key: u64, target: &str, ended: Ended) {
+    fn ends(&mut self, key: u64, target: &str, ended: AttemptResult) {
         self.out.remove(&key);
         if let Some(machine) = self.machine(target) {
             machine.calls -= 1;
         }
-        if ended.fate == AttemptOutcome::Delivered {
+        if ended.outcome == AttemptOutcome::Delivered {
             self.over.insert(key, true);
         }
         self.transcript.ended(0, self.now, key, target, &ended);
-        self.dispatcher
-            .ended(self.now, RequestKey(key), &InstanceId::from(target), ended);
+        self.dispatcher.on_attempt_ended(
+            self.now,
+            RequestKey(key),
+            &InstanceId::from(target),
+            ended,
+        );
     }
 
     fn machine(&mut self, id: &str) -> Option<&mut Machine> {
@@ -230,7 +238,7 @@
         };
         let subject = self.below(4);
         let own = session.map_or(1_000 + key, |session| 100 + session);
-        let finish_left = match self.below(4) {
+        let program_time_left = match self.below(4) {
             0 => Some(-5.0),
             1 => Some(600.0),
             2 => Some(60_000.0),
@@ -239,17 +247,17 @@
         let new = NewRequest {
             key: RequestKey(key),
             service: ServiceName::from(SERVICES[self.below(2) as usize]),
-            repeats: if self.below(2) == 0 {
-                Repeats::Allowed
+            idempotency: if self.below(2) == 0 {
+                Idempotency::Idempotent
             } else {
-                Repeats::Forbidden
+                Idempotency::NonIdempotent
             },
             session,
             deadline,
-            objective: 50.0 + 450.0 * self.draw(),
+            latency_target: 50.0 + 450.0 * self.draw(),
             max_attempts: 1 + self.below(3) as u32,
-            priority: self.below(3) as u8,
-            finish_left,
+            route_priority: self.below(3) as u8,
+            program_time_left,
             prefix: match has_prompt {
                 true => vec![
                     PrefixPart {
@@ -269,12 +277,12 @@
             let when = now + 200.0 * self.draw();
             self.at(when, Happens::Withdrawn(key));
         }
-        self.dispatcher.request(now, new);
+        self.dispatcher.enqueue(now, new);
     }
 
     fn round(&mut self) {
         let now = self.now;
-        let commands = self.dispatcher.commands(now);
+        let commands = self.dispatcher.poll_commands(now);
         self.transcript.round(0, now, &commands);
         self.wake += 1;
         for command in commands {
@@ -287,12 +295,12 @@
                 } => {
                     self.sends(request.0, target.as_str(), deadline);
                 }
-                Command::Refuse { request, .. } | Command::Fail { request, .. } => {
+                Command::Reject { request, .. } | Command::Fail { request, .. } => {
                     self.over.insert(request.0, true);
                 }
-                Command::Ping { target, .. } => self.pings(target.as_str()),
-                Command::CloseIdle { .. } => (),
-                Command::TakeBack { target } => self.takes_back(target.as_str()),
+                Command::HealthCheck { target, .. } => self.pings(target.as_str()),
+                Command::CloseIdleConnections { .. } => (),
+                Command::CancelUnsent { target } => self.takes_back(target.as_str()),
                 Command::WakeAt(at) => {
                     let number = self.wake;
                     self.at(at.max(now) + 0.001, Happens::Wake(number));
@@ -339,9 +347,9 @@
         } else {
             AttemptOutcome::TimedOut
         };
-        let ended = Ended {
-            fate,
-            took: at - self.now,
+        let ended = AttemptResult {
+            outcome: fate,
+            elapsed: at - self.now,
             retry_after: (fate == AttemptOutcome::Rejected && chance < 0.5).then_some(100.0),
             load: (fate == AttemptOutcome::Delivered || fate == AttemptOutcome::Rejected)
                 .then_some(load),
@@ -349,11 +357,11 @@
         };
         if fate == AttemptOutcome::Delivered && chance < 0.3 {
             self.dispatcher
-                .load_seen(self.now, &InstanceId::from(target), load);
+                .on_load_reported(self.now, &InstanceId::from(target), load);
         }
         self.at(
             at,
-            Happens::Ended {
+            Happens::AttemptResult {
                 key,
                 target: target.to_owned(),
                 number,
@@ -390,13 +398,13 @@
             .collect();
         for (key, number) in calls {
             if self.below(2) == 0 {
-                let ended = Ended {
-                    took: 1.0,
-                    ..Ended::plain(AttemptOutcome::NotSent)
+                let ended = AttemptResult {
+                    elapsed: 1.0,
+                    ..AttemptResult::from_outcome(AttemptOutcome::NotSent)
                 };
                 self.at(
                     self.now + 0.5,
-                    Happens::Ended {
+                    Happens::AttemptResult {
                         key,
                         target: target.to_owned(),
                         number,
@@ -461,6 +469,6 @@
             .iter()
             .map(|machine| machine.listed.clone())
             .collect();
-        self.dispatcher.tables_changed(&listed);
+        self.dispatcher.set_targets(&listed);
     }
 }
--- a/tier/dispatch/tests/fleet/world/mod.rs
+++ b/tier/dispatch/tests/fleet/world/mod.rs
@@ -47,7 +47,7 @@
     Arrives(u64),
     Reaches(usize, Call),
     Done(usize, Call),
-    Answered(usize, Call, Ended),
+    Answered(usize, Call, AttemptResult),
     Wakes(usize, Ms),
 }
 
@@ -95,10 +95,10 @@
             let settings = DispatchSettings {
                 seed: at as u64,
                 zone: ZONES[zone].into(),
-                most_requests: 1_000,
+                max_requests: 1_000,
             };
             let mut dispatcher = Dispatcher::new(settings, 0.0);
-            dispatcher.tables_changed(&listed);
+            dispatcher.set_targets(&listed);
             Member {
                 zone,
                 dispatcher,
@@ -165,26 +165,29 @@
                     prefix,
                     ..once(key, now)
                 };
-                self.proxies[proxy].dispatcher.request(now, new);
+                self.proxies[proxy].dispatcher.enqueue(now, new);
                 self.round(proxy);
             }
             Happens::Reaches(server, call) => self.reaches(server, call),
             Happens::Done(server, call) => self.done(server, call),
             Happens::Answered(server, call, ended) => {
                 let id = self.servers[server].id.clone();
-                let ended = Ended {
-                    took: now - call.sent,
+                let ended = AttemptResult {
+                    elapsed: now - call.sent,
                     ..ended
                 };
-                if ended.fate == AttemptOutcome::Delivered {
-                    self.answered.push(ended.took);
+                if ended.outcome == AttemptOutcome::Delivered {
+                    self.answered.push(ended.elapsed);
                 }
                 if let Some(transcript) = &mut self.transcript {
                     transcript.ended(call.proxy, now, call.key, id.as_str(), &ended);
                 }
-                self.proxies[call.proxy]
-                    .dispatcher
-                    .ended(now, RequestKey(call.key), &id, ended);
+                self.proxies[call.proxy].dispatcher.on_attempt_ended(
+                    now,
+                    RequestKey(call.key),
+                    &id,
+                    ended,
+                );
                 self.round(call.proxy);
             }
             Happens::Wakes(proxy, at) if self.proxies[proxy].wake_at == Some(at) => {
@@ -225,7 +228,7 @@
     fn round(&mut self, proxy: usize) {
         let now = self.now;
         self.proxies[proxy].wake_at = None;
-        let commands = self.proxies[proxy].dispatcher.commands(now);
+        let commands = self.proxies[proxy].dispatcher.poll_commands(now);
         if let Some(transcript) = &mut self.transcript {
             transcript.round(proxy, now, &commands);
         }
@@ -251,7 +254,7 @@
                         Happens::Reaches(server, call),
                     );
                 }
-                Command::Refuse { .. } | Command::Fail { .. } => self.refused += 1,
+                Command::Reject { .. } | Command::Fail { .. } => self.refused += 1,
                 Command::WakeAt(at) => {
                     self.proxies[proxy].wake_at = Some(at);
                     self.at(at.max(now) + 0.001, Happens::Wakes(proxy, at));
@@ -303,9 +306,9 @@
             waiting: server.waiting.len() as u32,
             slots: server.slots as u32,
         };
-        let ended = Ended {
+        let ended = AttemptResult {
             load: Some(load),
-            ..Ended::plain(fate)
+            ..AttemptResult::from_outcome(fate)
         };
         let way = self.way(call.proxy, at);
         self.at(self.now + way, Happens::Answered(at, call, ended));
--- a/tier/dispatch/tests/health.rs
+++ b/tier/dispatch/tests/health.rs
@@ -9,9 +9,7 @@
 #[test]
 fn draining_and_gone_targets_get_nothing() {
     let mut proxy = Proxy::with(&["a", "b", "c"]);
-    proxy
-        .dispatcher
-        .tables_changed(&[healthy("a"), draining("b")]);
+    proxy.dispatcher.set_targets(&[healthy("a"), draining("b")]);
     for key in 0..20 {
         assert_eq!(proxy.takes(1.0, request(key, 1.0)).as_deref(), Some("a"));
     }
@@ -21,7 +19,7 @@
 fn a_new_target_at_an_old_address_inherits_nothing() {
     let mut proxy = Proxy::with(&["a"]);
     takes_offline(&mut proxy, "a");
-    proxy.dispatcher.tables_changed(&[healthy("a2")]);
+    proxy.dispatcher.set_targets(&[healthy("a2")]);
     assert_eq!(proxy.takes(20.0, request(9, 20.0)).as_deref(), Some("a2"));
 }
 
@@ -30,10 +28,10 @@
     let mut proxy = Proxy::with(&["a"]);
     assert_eq!(takes_offline(&mut proxy, "a"), ["a"], "asked at once");
     let commands = proxy.at(20.0, |dispatcher| {
-        dispatcher.request(20.0, request(9, 20.0))
+        dispatcher.enqueue(20.0, request(9, 20.0))
     });
     assert!(sends(&commands).is_empty());
-    assert!(sends(&proxy.pinged(21.0, "a", PingAnswer::Unhealthy)).is_empty());
+    assert!(sends(&proxy.pinged(21.0, "a", HealthCheckResult::Unhealthy)).is_empty());
     let commands = proxy.until(130.0);
     assert!(is_refused(&commands, 9), "held briefly");
     assert!(
@@ -41,9 +39,9 @@
         "the next one is due after about a second"
     );
     proxy.at(1_300.0, |dispatcher| {
-        dispatcher.request(1_300.0, request(11, 1_300.0))
+        dispatcher.enqueue(1_300.0, request(11, 1_300.0))
     });
-    let commands = proxy.pinged(1_301.0, "a", PingAnswer::Healthy);
+    let commands = proxy.pinged(1_301.0, "a", HealthCheckResult::Healthy);
     assert_eq!(sends(&commands), [(11, "a".to_owned())]);
 }
 
@@ -62,12 +60,12 @@
     let mut now = 1.0;
     for key in 0..6 {
         proxy.takes(now, once(key, now)).expect("not offline");
-        let full = Ended {
+        let full = AttemptResult {
             retry_after: Some(1.0),
-            ..Ended::plain(AttemptOutcome::Rejected)
+            ..AttemptResult::from_outcome(AttemptOutcome::Rejected)
         };
         proxy.ends_with(now + 1.0, key, "a", full);
-        proxy.dispatcher.withdrawn(RequestKey(key));
+        proxy.dispatcher.cancel(RequestKey(key));
         now += 200.0;
     }
 }
@@ -95,7 +93,7 @@
     let mut proxy = Proxy::with(&["a"]);
     let mut other = healthy("x");
     other.service = "tools".into();
-    proxy.dispatcher.tables_changed(&[healthy("a"), other]);
+    proxy.dispatcher.set_targets(&[healthy("a"), other]);
     for key in 0..10 {
         assert_eq!(proxy.takes(1.0, request(key, 1.0)).as_deref(), Some("a"));
         let tool = NewRequest {
@@ -110,12 +108,12 @@
 fn ends_of_calls_to_targets_that_are_gone_are_taken_in() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, request(1, 1.0));
-    proxy.dispatcher.tables_changed(&[]);
+    proxy.dispatcher.set_targets(&[]);
     proxy.until(2.0);
     proxy.ends(3.0, 1, "a", AttemptOutcome::Delivered);
     proxy
         .dispatcher
-        .pinged(&InstanceId::from("a"), PingAnswer::Healthy);
+        .on_health_check_ended(&InstanceId::from("a"), HealthCheckResult::Healthy);
     proxy.until(10_000.0);
     assert!(proxy.dispatcher.is_empty());
 }
--- a/tier/dispatch/tests/load.rs
+++ b/tier/dispatch/tests/load.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use common::*;
-use plankhill_dispatch::load::TargetLoad;
+use plankhill_dispatch::target_load::TargetLoad;
 use plankhill_dispatch::*;
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::TargetState;
@@ -38,7 +38,7 @@
     let mut proxy = Proxy::with(&["a", "b"]);
     proxy
         .dispatcher
-        .load_seen(1.0, &InstanceId::from("a"), report(4, 10));
+        .on_load_reported(1.0, &InstanceId::from("a"), report(4, 10));
     for key in 0..6 {
         assert_eq!(proxy.takes(2.0, request(key, 2.0)).as_deref(), Some("b"));
     }
@@ -47,15 +47,15 @@
 #[test]
 fn own_calls_are_not_counted_twice_and_reports_fade() {
     let mut load = TargetLoad::new(4);
-    load.sent();
-    load.sent();
-    load.reported(0.0, report(3, 0));
+    load.on_sent();
+    load.on_sent();
+    load.on_report(0.0, report(3, 0));
     assert_eq!(load.estimate(0.0, 0.0), 3.0);
     assert!(load.estimate(5_000.0, 0.0) < 2.1);
-    load.ended();
-    load.ended();
-    load.ended();
-    assert_eq!(load.out(), 0);
+    load.on_ended();
+    load.on_ended();
+    load.on_ended();
+    assert_eq!(load.in_flight(), 0);
 }
 
 #[test]
@@ -63,16 +63,16 @@
     let common = 4.0;
     let believed = |running: u32| {
         let mut load = TargetLoad::new(24);
-        load.reported(0.0, report(running, 0));
+        load.on_report(0.0, report(running, 0));
         (load.estimate(1_000.0, common) - common) / (f64::from(running) - common)
     };
     assert!(believed(8) < 0.05, "{}", believed(8));
     assert!(believed(24) > 0.6, "{}", believed(24));
     // It fades as well, and one that reports few again is believed at once.
     let mut load = TargetLoad::new(24);
-    load.reported(0.0, report(24, 50));
+    load.on_report(0.0, report(24, 50));
     assert!(load.estimate(20_000.0, common) < common + 0.2);
-    load.reported(20_000.0, report(2, 0));
+    load.on_report(20_000.0, report(2, 0));
     assert_eq!(load.estimate(20_000.0, common), 2.0);
 }
 
@@ -82,7 +82,7 @@
         let mut load = TargetLoad::new(random.arbitrary()?);
         for _ in 0..random.int_in_range(0..=8_u32)? {
             let (running, waiting, slots) = random.arbitrary()?;
-            load.reported(
+            load.on_report(
                 f64::from(random.arbitrary::<u16>()?),
                 UpstreamLoad {
                     running,
@@ -90,7 +90,7 @@
                     slots,
                 },
             );
-            load.answered(f64::from(random.arbitrary::<u32>()?));
+            load.on_answer(f64::from(random.arbitrary::<u32>()?));
         }
         let now = f64::from(random.arbitrary::<u32>()?);
         let common = f64::from(random.arbitrary::<u16>()?);
@@ -98,7 +98,7 @@
         let cost = load.cost(now, estimate, 100.0);
         assert!(estimate.is_finite() && estimate >= 0.0, "{estimate}");
         assert!(cost.is_finite() && cost >= 0.0, "{cost}");
-        assert!(load.wait_after_refusal(now).is_finite());
+        assert!(load.rejection_backoff(now).is_finite());
         Ok(())
     });
 }
@@ -107,8 +107,8 @@
 fn a_queue_costs_more_than_free_slots() {
     let cost = |running, waiting| {
         let mut load = TargetLoad::new(4);
-        load.answered(100.0);
-        load.reported(0.0, report(running, waiting));
+        load.on_answer(100.0);
+        load.on_report(0.0, report(running, waiting));
         load.cost(0.0, load.estimate(0.0, 0.0), 100.0)
     };
     assert!(cost(0, 0) < cost(1, 0));
@@ -122,9 +122,9 @@
     for took in [0.0, 1.0, 100.0, 1e9] {
         for waiting in [0, 24, u32::MAX] {
             let mut load = TargetLoad::new(4);
-            load.answered(took);
-            load.reported(0.0, report(4, waiting));
-            assert!((1.0..=1_000.0).contains(&load.wait_after_refusal(0.0)));
+            load.on_answer(took);
+            load.on_report(0.0, report(4, waiting));
+            assert!((1.0..=1_000.0).contains(&load.rejection_backoff(0.0)));
         }
     }
 }
@@ -133,7 +133,7 @@
 fn the_own_zone_goes_first_until_it_is_fuller() {
     let mut proxy = Proxy::with(&[]);
     let far = target("far", "far", TargetState::Healthy);
-    proxy.dispatcher.tables_changed(&[healthy("near"), far]);
+    proxy.dispatcher.set_targets(&[healthy("near"), far]);
     assert_eq!(proxy.takes(1.0, request(1, 1.0)).as_deref(), Some("near"));
     assert_eq!(
         proxy.takes(1.0, request(2, 1.0)).as_deref(),
--- a/tier/dispatch/tests/properties/world.rs
+++ b/tier/dispatch/tests/properties/world.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use plankhill_dispatch::retry::Verdict;
+use plankhill_dispatch::retry::ExecutionState;
 use plankhill_dispatch::*;
 use plankhill_protocol::tables::{Target, TargetState};
 
@@ -66,7 +66,7 @@
             0..=3 => {
                 let new = self.draw_request(u)?;
                 self.proxy
-                    .at(now, |dispatcher| dispatcher.request(now, new))
+                    .at(now, |dispatcher| dispatcher.enqueue(now, new))
             }
             4..=7 => {
                 let Some((key, target)) = self.draw_call(u)? else {
@@ -82,7 +82,7 @@
                 };
                 self.seen.get_mut(&key).expect("live").withdrawn = true;
                 self.proxy
-                    .at(now, |dispatcher| dispatcher.withdrawn(RequestKey(key)))
+                    .at(now, |dispatcher| dispatcher.cancel(RequestKey(key)))
             }
             _ => {
                 let before = self.listed.clone();
@@ -93,7 +93,7 @@
                 };
                 self.proxy.at(now, |dispatcher| {
                     for listed in &steps {
-                        dispatcher.tables_changed(listed);
+                        dispatcher.set_targets(listed);
                     }
                 })
             }
@@ -111,14 +111,14 @@
         } else {
             None
         };
-        new.repeats = if u.arbitrary()? {
-            Repeats::Allowed
+        new.idempotency = if u.arbitrary()? {
+            Idempotency::Idempotent
         } else {
-            Repeats::Forbidden
+            Idempotency::NonIdempotent
         };
         new.max_attempts = u.int_in_range(0..=3)?;
         new.deadline = now + f64::from(u.int_in_range(50..=2_000u32)?);
-        new.objective = f64::from(u.int_in_range(0..=500u32)?);
+        new.latency_target = f64::from(u.int_in_range(0..=500u32)?);
         let seen = Seen {
             new: new.clone(),
             out: None,
@@ -173,7 +173,7 @@
         let seen = self.seen.get_mut(&key).expect("seen");
         seen.out = None;
         seen.ends += u32::from(fate == AttemptOutcome::Delivered);
-        if Verdict::of(fate) != Verdict::NotRun {
+        if ExecutionState::from_outcome(fate) != ExecutionState::NotExecuted {
             seen.run += 1;
             seen.may_have_run = true;
         }
@@ -190,7 +190,7 @@
                 } => {
                     self.check_send(request.0, target.as_str(), *deadline);
                 }
-                Command::Refuse {
+                Command::Reject {
                     request,
                     retry_after,
                 } => {
@@ -202,9 +202,9 @@
                     let seen = self.end(request.0);
                     assert!(seen.may_have_run, "what has surely not run is refused");
                 }
-                Command::Ping { .. }
-                | Command::CloseIdle { .. }
-                | Command::TakeBack { .. }
+                Command::HealthCheck { .. }
+                | Command::CloseIdleConnections { .. }
+                | Command::CancelUnsent { .. }
                 | Command::WakeAt(_) => (),
             }
         }
@@ -226,7 +226,7 @@
             "attempts are bounded"
         );
         assert!(
-            seen.new.repeats == Repeats::Allowed || !seen.may_have_run,
+            seen.new.idempotency == Idempotency::Idempotent || !seen.may_have_run,
             "at most one run"
         );
         if let Some(session) = seen.new.session {
--- a/tier/dispatch/tests/sessions.rs
+++ b/tier/dispatch/tests/sessions.rs
@@ -58,7 +58,7 @@
     let mut proxy = Proxy::with(&["a"]);
     let try_of = |key, now| NewRequest {
         session: Some(9),
-        objective: 50.0,
+        latency_target: 50.0,
         ..once(key, now)
     };
     proxy.takes(1.0, try_of(1, 1.0));
@@ -73,7 +73,7 @@
     proxy.takes(1.0, turn(1, 1.0, 9));
     proxy.takes(2.0, turn(2, 2.0, 9));
     assert!(proxy
-        .at(3.0, |dispatcher| dispatcher.withdrawn(RequestKey(1)))
+        .at(3.0, |dispatcher| dispatcher.cancel(RequestKey(1)))
         .is_empty());
     assert_eq!(
         sends(&proxy.ends(4.0, 1, "a", AttemptOutcome::Delivered)),
--- a/tier/dispatch/tests/wire_format.rs
+++ b/tier/dispatch/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! Numbers on which all proxies of a deployment have to agree, also while two versions run: the hash of a target
 //! and its weight in a rendezvous order.
 
-use plankhill_dispatch::affinity::{rendezvous_weight, target_hash};
+use plankhill_dispatch::rendezvous::{rendezvous_weight, target_hash};
 use plankhill_protocol::ids::InstanceId;
 
 const TARGETS: [&str; 4] = ["i-1", "i-00000001", "gpu-7.zone-b", ""];
--- a/tier/proxy/src/admission.rs
+++ b/tier/proxy/src/admission.rs
@@ -5,7 +5,8 @@
 use std::rc::Rc;
 
 use plankhill_dispatch::{
-    AttemptOutcome, Command, Ended, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+    AttemptOutcome, AttemptResult, Command, HealthCheckResult, Ms, NewRequest, RequestKey,
+    UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
 use tokio::sync::{mpsc, Notify};
@@ -89,7 +90,7 @@
     }
 
     /// A health check has ended.
-    pub fn pinged(&self, target: &InstanceId, answer: PingAnswer) {
+    pub fn pinged(&self, target: &InstanceId, answer: HealthCheckResult) {
         self.decisions.borrow_mut().pinged(target, answer);
         self.carry_out();
     }
@@ -150,17 +151,17 @@
                     let _ = mailbox.orders.send(Order::Call(call));
                 }
             }
-            Command::Refuse {
+            Command::Reject {
                 request,
                 retry_after,
             } => self.close(request, Order::Refuse(retry_after)),
             Command::Fail { request, last } => self.close(request, Order::Fail(last)),
             // The receiver lives as long as the process.
-            Command::Ping { target, address } => {
+            Command::HealthCheck { target, address } => {
                 drop(self.pings.send(PingOrder { target, address }))
             }
-            Command::CloseIdle { target } => self.pool.close_idle(&target),
-            Command::TakeBack { target } => self.take_back(&target),
+            Command::CloseIdleConnections { target } => self.pool.close_idle(&target),
+            Command::CancelUnsent { target } => self.take_back(&target),
             Command::WakeAt(at) => self.wake_at(at),
         }
     }
@@ -189,7 +190,7 @@
         }
     }
 
-    fn ended(&self, key: RequestKey, ended: Ended) {
+    fn ended(&self, key: RequestKey, ended: AttemptResult) {
         let out = self
             .mailboxes
             .borrow_mut()
@@ -205,7 +206,7 @@
     fn leave(&self, key: RequestKey, place: Place) {
         match place {
             Place::Held => self.decisions.borrow_mut().withdrawn(key),
-            Place::Out => self.ended(key, Ended::plain(AttemptOutcome::Cancelled)),
+            Place::Out => self.ended(key, AttemptResult::from_outcome(AttemptOutcome::Cancelled)),
             Place::Done => {}
         }
         if self.mailboxes.borrow_mut().remove(&key).is_some() {
@@ -245,8 +246,8 @@
     }
 
     /// The call under way has ended.
-    pub fn ended(&mut self, ended: Ended) {
-        self.place = if ended.fate == AttemptOutcome::Delivered {
+    pub fn ended(&mut self, ended: AttemptResult) {
+        self.place = if ended.outcome == AttemptOutcome::Delivered {
             Place::Done
         } else {
             Place::Held
--- a/tier/proxy/src/answer.rs
+++ b/tier/proxy/src/answer.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use plankhill_dispatch::retry::Verdict;
+use plankhill_dispatch::retry::ExecutionState;
 use plankhill_dispatch::{AttemptOutcome, Ms};
 use plankhill_protocol::ids::RequestId;
 
@@ -41,8 +41,8 @@
 /// 504 after a time-out, 502 otherwise. Neither promises anything. A request whose last call surely did not
 /// run may have run before, so that the dispatcher's word that it failed is not softened to 503.
 fn status_of_failure(last: AttemptOutcome) -> StatusCode {
-    match (Verdict::of(last), last) {
-        (Verdict::MayHaveRun, AttemptOutcome::TimedOut) => StatusCode::GATEWAY_TIMEOUT,
+    match (ExecutionState::from_outcome(last), last) {
+        (ExecutionState::MayHaveExecuted, AttemptOutcome::TimedOut) => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     }
 }
--- a/tier/proxy/src/decisions.rs
+++ b/tier/proxy/src/decisions.rs
@@ -1,7 +1,7 @@
 //! The dispatcher as the proxy uses it, so that tests can put another in its place.
 
 use plankhill_dispatch::{
-    Command, Dispatcher, Ended, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+    AttemptResult, Command, Dispatcher, HealthCheckResult, Ms, NewRequest, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
 
@@ -16,9 +16,9 @@
     /// The client of a request that is held, not out, went away.
     fn withdrawn(&mut self, request: RequestKey);
     /// A call of a request to this target ended.
-    fn ended(&mut self, now: Ms, request: RequestKey, target: &InstanceId, ended: Ended);
+    fn ended(&mut self, now: Ms, request: RequestKey, target: &InstanceId, ended: AttemptResult);
     /// A health check was answered, or not.
-    fn pinged(&mut self, target: &InstanceId, answer: PingAnswer);
+    fn pinged(&mut self, target: &InstanceId, answer: HealthCheckResult);
     /// An answer told how full its target is.
     fn load_seen(&mut self, now: Ms, target: &InstanceId, load: UpstreamLoad);
     /// What is to be done now, in order.
@@ -27,30 +27,30 @@
 
 impl Decisions for Dispatcher {
     fn tables_changed(&mut self, snapshot: &Snapshot) {
-        Dispatcher::tables_changed(self, &snapshot.tables.targets);
+        Dispatcher::set_targets(self, &snapshot.tables.targets);
     }
 
     fn request(&mut self, now: Ms, request: NewRequest) {
-        Dispatcher::request(self, now, request);
+        Dispatcher::enqueue(self, now, request);
     }
 
     fn withdrawn(&mut self, request: RequestKey) {
-        Dispatcher::withdrawn(self, request);
+        Dispatcher::cancel(self, request);
     }
 
-    fn ended(&mut self, now: Ms, request: RequestKey, target: &InstanceId, ended: Ended) {
-        Dispatcher::ended(self, now, request, target, ended);
+    fn ended(&mut self, now: Ms, request: RequestKey, target: &InstanceId, ended: AttemptResult) {
+        Dispatcher::on_attempt_ended(self, now, request, target, ended);
     }
 
-    fn pinged(&mut self, target: &InstanceId, answer: PingAnswer) {
-        Dispatcher::pinged(self, target, answer);
+    fn pinged(&mut self, target: &InstanceId, answer: HealthCheckResult) {
+        Dispatcher::on_health_check_ended(self, target, answer);
     }
 
     fn load_seen(&mut self, now: Ms, target: &InstanceId, load: UpstreamLoad) {
-        Dispatcher::load_seen(self, now, target, load);
+        Dispatcher::on_load_reported(self, now, target, load);
     }
 
     fn commands(&mut self, now: Ms) -> Vec<Command> {
-        Dispatcher::commands(self, now)
+        Dispatcher::poll_commands(self, now)
     }
 }
--- a/tier/proxy/src/exchange.rs
+++ b/tier/proxy/src/exchange.rs
@@ -85,7 +85,7 @@
 
 impl TargetHead {
     /// How the call ends if the whole answer comes.
-    pub fn fate(&self) -> AttemptOutcome {
+    pub fn outcome(&self) -> AttemptOutcome {
         if self.status == StatusCode::MISDIRECTED_REQUEST {
             // Another target listens there: the one that was meant is gone.
             AttemptOutcome::ConnectFailed
--- a/tier/proxy/src/facts.rs
+++ b/tier/proxy/src/facts.rs
@@ -31,7 +31,7 @@
     /// A hash of `Session`.
     pub session: Option<u64>,
     /// `Finish-Ms`; negative if the program is late.
-    pub finish_left: Option<Ms>,
+    pub program_time_left: Option<Ms>,
     /// `Budget`, in tokens.
     pub budget: Option<u64>,
     /// `Token-Usage`.
@@ -52,7 +52,7 @@
             deadline: number(headers, "deadline-ms").filter(|deadline: &Ms| deadline.is_finite()),
             program: text(headers, "program").map(ProgramId::from),
             session: text(headers, "session").map(hash),
-            finish_left: number(headers, "finish-ms").filter(|left: &Ms| left.is_finite()),
+            program_time_left: number(headers, "finish-ms").filter(|left: &Ms| left.is_finite()),
             budget: number(headers, "budget"),
             usage: text(headers, "token-usage").and_then(usage),
             previous: text(headers, "previous").map(RequestId::from),
--- a/tier/proxy/src/intake.rs
+++ b/tier/proxy/src/intake.rs
@@ -6,7 +6,7 @@
 use hyper::header::{self, HeaderMap};
 use hyper::{Request, StatusCode, Uri};
 use plankhill_configuration::{Route, RouteTable};
-use plankhill_dispatch::{Ms, NewRequest, Repeats, RequestKey};
+use plankhill_dispatch::{Idempotency, Ms, NewRequest, RequestKey};
 use plankhill_protocol::ids::{RequestId, ServiceName};
 use tokio::time::Instant;
 
@@ -54,17 +54,17 @@
         NewRequest {
             key,
             service: self.service.clone(),
-            repeats: if route.is_retryable() {
-                Repeats::Allowed
+            idempotency: if route.is_retryable() {
+                Idempotency::Idempotent
             } else {
-                Repeats::Forbidden
+                Idempotency::NonIdempotent
             },
             session: self.facts.session.filter(|_| route.is_streaming()),
             deadline: self.deadline,
-            objective: milliseconds(route.latency_target.unwrap_or(route.timeout)),
+            latency_target: milliseconds(route.latency_target.unwrap_or(route.timeout)),
             max_attempts: route.max_attempts,
-            priority: route.priority.min(LOWEST_PRIORITY) as u8,
-            finish_left: self.facts.finish_left,
+            route_priority: route.priority.min(LOWEST_PRIORITY) as u8,
+            program_time_left: self.facts.program_time_left,
             prefix: if route.session_affinity {
                 self.facts.prefix.clone()
             } else {
--- a/tier/proxy/src/ping.rs
+++ b/tier/proxy/src/ping.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
-use plankhill_dispatch::PingAnswer;
+use plankhill_dispatch::HealthCheckResult;
 use plankhill_protocol::ids::InstanceId;
 use tokio::sync::mpsc;
 use tokio::time::{timeout_at, Instant};
@@ -31,9 +31,9 @@
         tokio::task::spawn_local(async move {
             let healthy = ping(&proxy, &order).await.is_some();
             let answer = if healthy {
-                PingAnswer::Healthy
+                HealthCheckResult::Healthy
             } else {
-                PingAnswer::Unhealthy
+                HealthCheckResult::Unhealthy
             };
             proxy.admission.pinged(&order.target, answer);
         });
--- a/tier/proxy/src/plain.rs
+++ b/tier/proxy/src/plain.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hyper::Response;
-use plankhill_dispatch::{AttemptOutcome, Ended};
+use plankhill_dispatch::{AttemptOutcome, AttemptResult};
 
 use crate::answer;
 use crate::body::AnswerBody;
@@ -37,15 +37,15 @@
         match outcome {
             Ok(answer) => {
                 admitted.ended(answer.ended(took));
-                match answer.fate() {
+                match answer.outcome() {
                     AttemptOutcome::Delivered => return answer.into_response(&job.outgoing.method),
                     AttemptOutcome::Error => failure = Some(answer),
                     _ => {}
                 }
             }
-            Err(fate) => admitted.ended(Ended {
-                took,
-                ..Ended::plain(fate)
+            Err(fate) => admitted.ended(AttemptResult {
+                elapsed: took,
+                ..AttemptResult::from_outcome(fate)
             }),
         }
     }
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -111,7 +111,7 @@
     let dispatch = DispatchSettings {
         seed: seed(),
         zone: zone.clone(),
-        most_requests: MOST_REQUESTS,
+        max_requests: MOST_REQUESTS,
     };
     let decisions = Box::new(Dispatcher::new(dispatch, clock.now()));
     let admission = Rc::new(Admission::new(clock, decisions, pool.clone(), pings));
--- a/tier/proxy/src/stream/run.rs
+++ b/tier/proxy/src/stream/run.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hyper::StatusCode;
-use plankhill_dispatch::{AttemptOutcome, Ended, Ms};
+use plankhill_dispatch::{AttemptOutcome, AttemptResult, Ms};
 use tokio::time::Instant;
 
 use super::client::Client;
@@ -117,7 +117,7 @@
             let sent = self.proxy.clock.now();
             let fate = match self.call(&call, sent).await {
                 Ok(ended) | Err(ended) => {
-                    let fate = ended.fate;
+                    let fate = ended.outcome;
                     admitted.ended(ended);
                     fate
                 }
@@ -128,7 +128,7 @@
         }
     }
 
-    async fn call(&mut self, call: &Call, sent: Ms) -> Result<Ended, Ended> {
+    async fn call(&mut self, call: &Call, sent: Ms) -> Result<AttemptResult, AttemptResult> {
         self.job.outgoing.last_event_id = self.passed.last_id;
         let exchange =
             self.proxy
@@ -136,15 +136,15 @@
                 .exchange(call, &self.job.outgoing, self.job.most_connections);
         let head = exchange.await;
         let took = self.proxy.clock.now() - sent;
-        let ended = |fate| Ended {
-            took,
-            ..Ended::plain(fate)
+        let ended = |fate| AttemptResult {
+            elapsed: took,
+            ..AttemptResult::from_outcome(fate)
         };
         let head = head.map_err(ended)?;
-        if is_stream(head.status, &head.headers) && head.fate() == AttemptOutcome::Delivered {
+        if is_stream(head.status, &head.headers) && head.outcome() == AttemptOutcome::Delivered {
             self.stream(call, head).await.map_err(ended)?;
             let longest_pause = Some(self.passed.longest_pause);
-            return Ok(Ended {
+            return Ok(AttemptResult {
                 longest_pause,
                 ..ended(AttemptOutcome::Delivered)
             });
@@ -159,9 +159,9 @@
         .await;
         let answer = answer.map_err(ended)?;
         let mut told = answer.ended(took);
-        match answer.fate() {
+        match answer.outcome() {
             AttemptOutcome::Delivered if self.client.has_begun() => {
-                told.fate = AttemptOutcome::Error
+                told.outcome = AttemptOutcome::Error
             }
             AttemptOutcome::Delivered => {
                 let response = answer.into_response(&self.job.outgoing.method);
--- a/tier/proxy/src/whole.rs
+++ b/tier/proxy/src/whole.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Response, StatusCode};
-use plankhill_dispatch::{AttemptOutcome, Ended, Ms, UpstreamLoad};
+use plankhill_dispatch::{AttemptOutcome, AttemptResult, Ms, UpstreamLoad};
 use tokio::time::Instant;
 
 use crate::body::AnswerBody;
@@ -22,7 +22,7 @@
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
-    fate: AttemptOutcome,
+    outcome: AttemptOutcome,
     load: Option<UpstreamLoad>,
     retry_after: Option<Ms>,
 }
@@ -38,7 +38,7 @@
         deadline: Instant,
         memory: &mut Portion,
     ) -> Result<Self, AttemptOutcome> {
-        let (fate, load, retry_after) = (head.fate(), head.load(), head.retry_after());
+        let (outcome, load, retry_after) = (head.outcome(), head.load(), head.retry_after());
         // Without a length it ends with its connection, in order; a reset is no end.
         let is_reusable = is_framed(&head) && !head.is_early;
         let body = match read_whole(head.body, MOST_ANSWER_BYTES, deadline, memory).await {
@@ -57,22 +57,22 @@
             status: head.status,
             headers: head.headers,
             body,
-            fate,
+            outcome,
             load,
             retry_after,
         })
     }
 
     /// How the call ended.
-    pub fn fate(&self) -> AttemptOutcome {
-        self.fate
+    pub fn outcome(&self) -> AttemptOutcome {
+        self.outcome
     }
 
     /// The end of the call as the dispatcher wants to hear it.
-    pub fn ended(&self, took: Ms) -> Ended {
-        Ended {
-            fate: self.fate,
-            took,
+    pub fn ended(&self, took: Ms) -> AttemptResult {
+        AttemptResult {
+            outcome: self.outcome,
+            elapsed: took,
             retry_after: self.retry_after,
             load: self.load,
             longest_pause: None,
--- a/tier/proxy/tests/support/round_robin.rs
+++ b/tier/proxy/tests/support/round_robin.rs
@@ -4,7 +4,8 @@
 
 use plankhill_dispatch::retry::Attempts;
 use plankhill_dispatch::{
-    AttemptOutcome, Command, Ended, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+    AttemptOutcome, AttemptResult, Command, HealthCheckResult, Ms, NewRequest, RequestKey,
+    UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
@@ -41,9 +42,9 @@
                 target: target.id.clone(),
                 address: target.address,
                 deadline: request.deadline,
-                priority: request.priority,
+                priority: request.route_priority,
             }),
-            None => self.commands.push_back(Command::Refuse {
+            None => self.commands.push_back(Command::Reject {
                 request: key,
                 retry_after: RETRY_AFTER,
             }),
@@ -66,25 +67,26 @@
         self.requests.remove(&request);
     }
 
-    fn ended(&mut self, _now: Ms, key: RequestKey, _target: &InstanceId, ended: Ended) {
+    fn ended(&mut self, _now: Ms, key: RequestKey, _target: &InstanceId, ended: AttemptResult) {
         let Some((request, attempts)) = self.requests.get_mut(&key) else {
             return;
         };
-        attempts.count(ended.fate);
-        if ended.fate == AttemptOutcome::Delivered || ended.fate == AttemptOutcome::Cancelled {
+        attempts.record(ended.outcome);
+        if ended.outcome == AttemptOutcome::Delivered || ended.outcome == AttemptOutcome::Cancelled
+        {
             self.requests.remove(&key);
-        } else if attempts.allow_another(request.repeats, request.max_attempts) {
+        } else if attempts.allows_another(request.idempotency, request.max_attempts) {
             self.send(key);
         } else {
-            let may_have_run = attempts.may_have_run();
+            let may_have_run = attempts.may_have_executed();
             self.requests.remove(&key);
             self.commands.push_back(if may_have_run {
                 Command::Fail {
                     request: key,
-                    last: ended.fate,
+                    last: ended.outcome,
                 }
             } else {
-                Command::Refuse {
+                Command::Reject {
                     request: key,
                     retry_after: RETRY_AFTER,
                 }
@@ -92,7 +94,7 @@
         }
     }
 
-    fn pinged(&mut self, _target: &InstanceId, _answer: PingAnswer) {}
+    fn pinged(&mut self, _target: &InstanceId, _answer: HealthCheckResult) {}
 
     fn load_seen(&mut self, _now: Ms, _target: &InstanceId, _load: UpstreamLoad) {}
 
--- a/tier/proxy/tests/wire_format.rs
+++ b/tier/proxy/tests/wire_format.rs
@@ -76,7 +76,7 @@
     assert_eq!(facts.deadline, Some(1_500.0));
     assert_eq!(facts.program.expect("read").as_str(), "p1");
     assert!(facts.session.is_some());
-    assert_eq!(facts.finish_left, Some(-20.0));
+    assert_eq!(facts.program_time_left, Some(-20.0));
     assert_eq!(facts.budget, Some(900));
     let usage = facts.usage.expect("read");
     assert_eq!((usage.prompt, usage.most), (12, 34));
