--- a/decisions/tests/decision_stream.rs
+++ b/decisions/tests/decision_stream.rs
@@ -6,8 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-use host::{event, target, terms};
-use plankhill_decisions::interface::*;
+use host::{config, event, target};
+use plankhill_decisions::interface::{
+    AttemptOutcome, AttemptReport, DecisionConfig, DestinationId, DestinationKindId, Effects,
+    EndpointState, EventId, Idempotency, Ms, OrderKey, TargetId, TrafficTypeId, UnknownId, ZoneId,
+};
 use plankhill_decisions::scheduler::Scheduler;
 use rstest::rstest;
 
@@ -143,44 +146,44 @@
     }
 }
 
-/// Terms differ with the seed, so that each switch is met on both sides.
-fn terms_of(seed: u64) -> DecisionConfig {
-    let mut terms = terms();
-    terms.seed = seed;
-    terms.instance = seed % 3;
-    terms.forwarder_count = [1.0, 2.0, 9.0, 60.0][(seed % 4) as usize];
-    terms.max_calls_in_flight = [4, 12, 40][(seed % 3) as usize];
-    terms.event_capacity = [40, 120][(seed % 2) as usize];
-    terms.health_checks_allowed = seed % 5 != 4;
-    terms.member_quotas = vec![0.5, 3.0, 40.0];
-    terms.over_quota_value_weight = 0.25;
-    terms.max_retry_after = (seed % 4 != 3).then_some(2000.0);
-    terms.tuning.paces_calls = seed % 6 != 5;
-    terms.tuning.release_on_health_check_only = seed % 7 == 6;
+/// Configurations differ with the seed, so that each switch is met on both sides.
+fn config_of(seed: u64) -> DecisionConfig {
+    let mut config = config();
+    config.seed = seed;
+    config.instance = seed % 3;
+    config.forwarder_count = [1.0, 2.0, 9.0, 60.0][(seed % 4) as usize];
+    config.max_calls_in_flight = [4, 12, 40][(seed % 3) as usize];
+    config.event_capacity = [40, 120][(seed % 2) as usize];
+    config.health_checks_allowed = seed % 5 != 4;
+    config.member_quotas = vec![0.5, 3.0, 40.0];
+    config.over_quota_value_weight = 0.25;
+    config.max_retry_after = (seed % 4 != 3).then_some(2000.0);
+    config.tuning.paces_calls = seed % 6 != 5;
+    config.tuning.release_on_health_check_only = seed % 7 == 6;
     if let Idempotency::Deduplicated {
         per_zone: one_zone, ..
-    } = &mut terms.traffic_types[1].idempotency
+    } = &mut config.traffic_types[1].idempotency
     {
         *one_zone = seed % 2 == 1;
     }
-    terms.traffic_types[2].value = 4.0;
-    terms.traffic_types[1].ordered = seed % 3 == 2;
-    terms
+    config.traffic_types[2].value = 4.0;
+    config.traffic_types[1].ordered = seed % 3 == 2;
+    config
 }
 
 fn target_of(destination: u64, number: u64) -> TargetId {
     target(&format!("t{destination}-{number}"))
 }
 
-fn list(forwarder: &mut Scheduler, destination: u64, number: u64, listing: EndpointState) {
+fn list(scheduler: &mut Scheduler, destination: u64, number: u64, state: EndpointState) {
     let kind = DestinationKindId((destination % 2) as usize);
     let zone = ZoneId((number % 2) as usize);
-    forwarder.on_endpoint_listed(
+    scheduler.on_endpoint_listed(
         target_of(destination, number),
         DestinationId(destination),
         kind,
         zone,
-        listing,
+        state,
     );
 }
 
@@ -196,8 +199,8 @@
     of.iter().nth(at).cloned()
 }
 
-/// How a call to the destination ends: each destination has hours of its own kind of trouble.
-fn fate(random: &mut Random, destination: u64, now: Ms) -> AttemptOutcome {
+/// How a call to the destination ends: each destination has times of its own kind of fault.
+fn outcome(random: &mut Random, destination: u64, now: Ms) -> AttemptOutcome {
     let hour = (now / 9000.0) as u64 + destination;
     let bad = match hour % 6 {
         0 => AttemptOutcome::ConnectFailed,
@@ -218,13 +221,13 @@
     }
 }
 
-fn report(random: &mut Random, fate: AttemptOutcome) -> AttemptReport {
-    let took = if fate == AttemptOutcome::TimedOut {
+fn report(random: &mut Random, outcome: AttemptOutcome) -> AttemptReport {
+    let took = if outcome == AttemptOutcome::TimedOut {
         900.0 + 1200.0 * random.unit()
     } else {
         5.0 + 300.0 * random.unit()
     };
-    let wait = if fate == AttemptOutcome::Rejected && random.one_in(3) {
+    let wait = if outcome == AttemptOutcome::Rejected && random.one_in(3) {
         4000.0 * random.unit()
     } else {
         0.0
@@ -234,12 +237,12 @@
         elapsed: took,
         retry_after: wait,
         limit_remaining: left,
-        event_complete: fate == AttemptOutcome::Delivered || random.one_in(40),
-        ..AttemptReport::from_outcome(fate)
+        event_complete: outcome == AttemptOutcome::Delivered || random.one_in(40),
+        ..AttemptReport::from_outcome(outcome)
     }
 }
 
-/// What one round hands over.
+/// Makes the inputs of one iteration after another.
 struct World {
     random: Random,
     now: Ms,
@@ -247,7 +250,7 @@
 }
 
 impl World {
-    fn accept(&mut self, forwarder: &mut Scheduler, recorder: &mut Recorder) {
+    fn accept(&mut self, scheduler: &mut Scheduler, recorder: &mut Recorder) {
         self.accepted += 1;
         let id = event(&format!("e{}", self.accepted));
         let destination = DestinationId(1 + self.random.below(DESTINATIONS));
@@ -257,23 +260,23 @@
             .then(|| OrderKey(self.random.below(12)));
         let traffic = TrafficTypeId(self.random.below(3) as usize);
         let patience_ends = self.now + 1000.0 + 19_000.0 * self.random.unit();
-        forwarder.accept_event(id.clone(), destination, traffic, patience_ends, key);
+        scheduler.accept_event(id.clone(), destination, traffic, patience_ends, key);
         recorder.live.insert(id.clone());
         match self.random.below(24) {
             0..8 => {
-                forwarder.charge_member(&id, self.random.below(4) as usize, self.random.one_in(5))
+                scheduler.charge_member(&id, self.random.below(4) as usize, self.random.one_in(5))
             }
             8 => {
                 let sends = self.random.below(3) as u32;
                 let ran = (sends > 0).then(|| (self.now - 500.0 * self.random.unit(), ZoneId(1)));
-                forwarder.restore_attempts(&id, sends, ran, sends > 0 && self.random.one_in(2));
+                scheduler.restore_attempts(&id, sends, ran, sends > 0 && self.random.one_in(2));
             }
             9 => {
-                forwarder.restore_attempts(&id, 1, Some((self.now - 10.0, ZoneId(0))), true);
-                forwarder.defer_for_remote_attempt(&id, self.now + 2000.0 * self.random.unit());
+                scheduler.restore_attempts(&id, 1, Some((self.now - 10.0, ZoneId(0))), true);
+                scheduler.defer_for_remote_attempt(&id, self.now + 2000.0 * self.random.unit());
             }
             10 => {
-                forwarder.restore_completed(&id);
+                scheduler.restore_completed(&id);
                 recorder.live.remove(&id);
                 recorder.unacknowledged.insert(id);
             }
@@ -281,7 +284,7 @@
         }
     }
 
-    fn end_calls(&mut self, forwarder: &mut Scheduler, recorder: &mut Recorder) {
+    fn end_calls(&mut self, scheduler: &mut Scheduler, recorder: &mut Recorder) {
         let out: Vec<EventId> = recorder.in_flight.keys().cloned().collect();
         for id in out {
             if !self.random.one_in(3) {
@@ -289,83 +292,83 @@
             }
             let target = recorder.in_flight.remove(&id).expect("in flight");
             let destination = target.0[1..2].parse().expect("a digit");
-            let fate = fate(&mut self.random, destination, self.now);
-            let report = report(&mut self.random, fate);
+            let outcome = outcome(&mut self.random, destination, self.now);
+            let report = report(&mut self.random, outcome);
             if report.event_complete {
                 recorder.live.remove(&id);
             }
-            forwarder.on_attempt_ended(&id, report).expect("was sent");
+            scheduler.on_attempt_ended(&id, report).expect("was sent");
         }
     }
 
-    fn end_health_checks(&mut self, forwarder: &mut Scheduler, recorder: &mut Recorder) {
+    fn end_health_checks(&mut self, scheduler: &mut Scheduler, recorder: &mut Recorder) {
         let Some(target) = pick(&mut self.random, &recorder.health_checks) else {
             return;
         };
         recorder.health_checks.remove(&target);
         let destination = target.0[1..2].parse().expect("a digit");
-        let fate = fate(&mut self.random, destination, self.now);
+        let outcome = outcome(&mut self.random, destination, self.now);
         // A target that was forgotten meanwhile is unknown.
-        let known = forwarder.on_health_check_ended(&target, fate);
+        let known = scheduler.on_health_check_ended(&target, outcome);
         recorder.record("ping_ended", format_args!("{known:?}"));
     }
 
-    fn change_list(&mut self, forwarder: &mut Scheduler) {
+    fn change_list(&mut self, scheduler: &mut Scheduler) {
         let (destination, number) = any_target(&mut self.random);
         match self.random.below(8) {
             0 => {
-                forwarder.on_endpoint_list_replaced();
+                scheduler.on_endpoint_list_replaced();
                 for destination in 1..=DESTINATIONS {
                     for number in 0..TARGETS {
                         if !self.random.one_in(12) {
-                            list(forwarder, destination, number, EndpointState::Running);
+                            list(scheduler, destination, number, EndpointState::Running);
                         }
                     }
                 }
             }
-            1 => forwarder
+            1 => scheduler
                 .set_endpoint_state(&target_of(destination, number), EndpointState::Removed),
-            2 => forwarder
+            2 => scheduler
                 .set_endpoint_state(&target_of(destination, number), EndpointState::Draining),
-            3 => forwarder.on_target_restarted(&target_of(destination, number)),
-            4 => forwarder
+            3 => scheduler.on_target_restarted(&target_of(destination, number)),
+            4 => scheduler
                 .set_advertised_rate(DestinationId(destination), 200.0 * self.random.unit()),
-            _ => list(forwarder, destination, number, EndpointState::Running),
+            _ => list(scheduler, destination, number, EndpointState::Running),
         }
     }
 
-    fn came_in(&mut self, forwarder: &mut Scheduler, recorder: &mut Recorder) {
-        self.end_calls(forwarder, recorder);
+    fn inputs(&mut self, scheduler: &mut Scheduler, recorder: &mut Recorder) {
+        self.end_calls(scheduler, recorder);
         if self.random.one_in(2) {
-            self.end_health_checks(forwarder, recorder);
+            self.end_health_checks(scheduler, recorder);
         }
         let flood = if self.random.one_in(150) { 60 } else { 0 };
         for _ in 0..self.random.below(4) + flood {
-            self.accept(forwarder, recorder);
+            self.accept(scheduler, recorder);
         }
         if self.random.one_in(40) {
-            self.change_list(forwarder);
+            self.change_list(scheduler);
         }
         if self.random.one_in(3) {
             if let Some(id) = pick(&mut self.random, &recorder.unacknowledged) {
                 recorder.unacknowledged.remove(&id);
-                forwarder.on_completion_acknowledged(&id);
+                scheduler.on_completion_acknowledged(&id);
             }
         }
         if self.random.one_in(60) {
             if let Some(id) = pick(&mut self.random, &recorder.live) {
                 recorder.live.remove(&id);
-                forwarder.withdraw_event(&id);
+                scheduler.withdraw_event(&id);
             }
         }
         if self.random.one_in(60) {
             if let Some(id) = pick(&mut self.random, &recorder.live) {
-                forwarder.merge_remote_attempts(&id, 1, Some((self.now - 100.0, ZoneId(0))));
+                scheduler.merge_remote_attempts(&id, 1, Some((self.now - 100.0, ZoneId(0))));
             }
         }
         if self.random.one_in(400) {
             for (target, (since, usual)) in &recorder.warming_up {
-                forwarder.restore_warm_up(target, *since, *usual);
+                scheduler.restore_warm_up(target, *since, *usual);
             }
         }
     }
@@ -379,10 +382,10 @@
         now: 0.0,
         accepted: 0,
     };
-    let mut forwarder = Scheduler::new(terms_of(seed), 0.0);
+    let mut scheduler = Scheduler::new(config_of(seed), 0.0);
     for destination in 1..=DESTINATIONS {
         for number in 0..TARGETS {
-            list(&mut forwarder, destination, number, EndpointState::Running);
+            list(&mut scheduler, destination, number, EndpointState::Running);
         }
     }
     for round in 0..ROUNDS {
@@ -394,23 +397,23 @@
         world.now += 1.0 + quiet * world.random.unit();
         let now = world.now;
         if round + 400 == ROUNDS {
-            forwarder.begin_shutdown(now + 30_000.0);
+            scheduler.begin_shutdown(now + 30_000.0);
         }
         if world.random.one_in(500) {
-            let state = rmp_serde::to_vec(&forwarder).expect("encodes");
-            forwarder = rmp_serde::from_slice::<Scheduler>(&state)
+            let state = rmp_serde::to_vec(&scheduler).expect("encodes");
+            scheduler = rmp_serde::from_slice::<Scheduler>(&state)
                 .expect("decodes")
-                .resume(terms_of(seed));
+                .resume(config_of(seed));
         }
-        let hand_over = |forwarder: &mut Scheduler, recorder: &mut Recorder| {
-            world.came_in(forwarder, recorder);
+        let apply_inputs = |scheduler: &mut Scheduler, recorder: &mut Recorder| {
+            world.inputs(scheduler, recorder);
             Ok::<(), UnknownId>(())
         };
-        forwarder
-            .run_iteration(now, hand_over, &mut recorder)
+        scheduler
+            .run_iteration(now, apply_inputs, &mut recorder)
             .expect("names only what was introduced");
         let known = (1..=DESTINATIONS + 1)
-            .filter(|&id| forwarder.knows_destination(DestinationId(id)))
+            .filter(|&id| scheduler.knows_destination(DestinationId(id)))
             .count();
         recorder.digest.add(&format!("round {now:?} {known}\n"));
     }
--- a/decisions/tests/fleet/destination.rs
+++ b/decisions/tests/fleet/destination.rs
@@ -1,146 +1,216 @@
-//! The destination: what it answers and when, and how many calls came to it in any span.
+//! The destination: what it answers and when, and how many calls came to it in any window.
 
 use std::collections::VecDeque;
 
-use plankhill_decisions::interface::*;
+use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, DecisionConfig, Ms};
 
-use super::*;
+use super::{Random, COMES_BACK_AT, FAILS_AT, WINDOW, WORK};
 
-/// Whether answers tell of its load.
+/// Whether responses tell of the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answers {
+pub enum Responses {
     SlowDown,
-    Refused,   // its queue is short
-    StayQuick, // they tell nothing of its load: it answers as ever until it falls
+    /// The queue is short.
+    Rejected,
+    /// The destination responds as ever until it falls over.
+    StayQuick,
 }
 
+/// A call that has reached the destination.
 pub struct Call {
-    pub from: usize,
-    pub name: String,
-    pub came: Ms,
-    pub waits: Ms, // until its forwarder no longer waits
+    pub member: usize,
+    pub event: String,
+    pub arrived_at: Ms,
+    /// Until then its forwarder waits for the response; 0 once the forwarder does not wait any more.
+    pub waits_until: Ms,
 }
 
-/// It works on as many calls at once as it has servers, each slower while it is cold.
+struct CallInService {
+    ends_at: Ms,
+    call: Call,
+}
+
+/// A response on its way to a member of the fleet.
+pub struct Response {
+    pub member: usize,
+    pub event: String,
+    pub report: AttemptReport,
+}
+
+/// The most load that a window had.
+pub struct Peak {
+    /// The share of the calls that the destination bears.
+    pub share: f64,
+    pub description: String,
+}
+
+/// The destination serves as many calls at once as it has servers, each more slowly while it is warming up.
 pub struct Destination {
-    pub answers: Answers,
-    pub full_rate: f64, // calls a second
-    pub working: Vec<(Ms, Call)>,
-    pub queue: VecDeque<Call>,
-    pub came: VecDeque<Ms>,
-    pub worst: (f64, String),
+    responses: Responses,
+    /// Calls a second.
+    full_rate: f64,
+    in_service: Vec<CallInService>,
+    queue: VecDeque<Call>,
+    /// When the calls and health checks of the last window came.
+    arrivals: VecDeque<Ms>,
+    pub peak: Peak,
 }
 
 impl Destination {
+    pub fn new(responses: Responses, full_rate: f64) -> Self {
+        Destination {
+            responses,
+            full_rate,
+            in_service: Vec::new(),
+            queue: VecDeque::new(),
+            arrivals: VecDeque::new(),
+            peak: Peak {
+                share: 0.0,
+                description: String::new(),
+            },
+        }
+    }
+
     pub fn is_down(now: Ms) -> bool {
-        (FAILS..BACK).contains(&now)
+        (FAILS_AT..COMES_BACK_AT).contains(&now)
     }
-    pub fn warmth(now: Ms, terms: &DecisionConfig) -> f64 {
-        let warm = terms.warm_up_initial_share
-            + (1.0 - terms.warm_up_initial_share) * (now - BACK) / terms.warm_up_duration;
-        if now < BACK {
-            1.0
-        } else {
-            warm.min(1.0)
+
+    /// The share of its capacity that the destination has.
+    fn warmth(now: Ms, config: &DecisionConfig) -> f64 {
+        if now < COMES_BACK_AT {
+            return 1.0;
         }
+        let initial = config.warm_up_initial_share;
+        let warmth = initial + (1.0 - initial) * (now - COMES_BACK_AT) / config.warm_up_duration;
+        warmth.min(1.0)
     }
-    /// Counts a call or a ping.
-    pub fn count(&mut self, now: Ms, terms: &DecisionConfig) {
-        if !(BACK..BACK + terms.warm_up_duration).contains(&now) {
+
+    /// Counts a call or a health check that comes while the destination is warming up.
+    pub fn count_arrival(&mut self, now: Ms, config: &DecisionConfig) {
+        let warms_up = COMES_BACK_AT..COMES_BACK_AT + config.warm_up_duration;
+        if !warms_up.contains(&now) {
             return;
         }
-        self.came.push_back(now);
-        while self.came.front().is_some_and(|at| *at <= now - SPAN) {
-            self.came.pop_front();
+        self.arrivals.push_back(now);
+        while self.arrivals.front().is_some_and(|at| *at <= now - WINDOW) {
+            self.arrivals.pop_front();
         }
         let allowed =
-            terms.overload_multiple * Self::warmth(now, terms) * self.full_rate * SPAN / 1000.0;
+            config.overload_multiple * Self::warmth(now, config) * self.full_rate * WINDOW / 1000.0;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
-        let share = self.came.len() as f64 / bound;
-        if share > self.worst.0 {
-            let told = format!(
-                "{} of {bound:.1}, {:.1} s after its return",
-                self.came.len(),
-                (now - BACK) / 1000.0
-            );
-            self.worst = (share, told);
+        let arrivals = self.arrivals.len();
+        let share = arrivals as f64 / bound;
+        if share > self.peak.share {
+            let seconds = (now - COMES_BACK_AT) / 1000.0;
+            let description = format!("{arrivals} of {bound:.1}, {seconds:.1} s after its return");
+            self.peak = Peak { share, description };
         }
     }
-    pub fn servers(&self) -> usize {
-        match self.answers {
-            Answers::StayQuick => usize::MAX / 16,
-            _ => (self.full_rate * WORK / 1000.0).round().max(1.0) as usize,
+
+    fn servers(&self) -> usize {
+        match self.responses {
+            Responses::StayQuick => usize::MAX / 16,
+            Responses::SlowDown | Responses::Rejected => {
+                (self.full_rate * WORK / 1000.0).round().max(1.0) as usize
+            }
         }
     }
-    pub fn queue_takes(&self) -> usize {
-        match self.answers {
-            Answers::Refused => self.servers(),
-            _ => 8 * self.servers(),
+
+    fn max_queue(&self) -> usize {
+        match self.responses {
+            Responses::Rejected => self.servers(),
+            Responses::SlowDown | Responses::StayQuick => 8 * self.servers(),
         }
     }
-}
 
-/// What the destination does in a step; what it answers is told to the forwarders.
-pub fn works(
-    to: &mut Destination,
-    members: &mut [Member],
-    chance: &mut Chance,
-    now: Ms,
-    terms: &DecisionConfig,
-) {
-    let mut told = |call: &Call, fate| {
-        let ended = AttemptReport {
-            elapsed: now - call.came,
-            ..AttemptReport::from_outcome(fate)
-        };
-        members[call.from]
-            .came_in
-            .push(CameIn::Ended(call.name.clone(), ended));
-    };
-    if Destination::is_down(now) {
-        for call in to
-            .working
-            .drain(..)
-            .map(|(_, call)| call)
-            .chain(to.queue.drain(..))
-        {
-            if call.waits > 0.0 {
-                told(&call, AttemptOutcome::Reset);
+    /// Takes a call in, or responds at once that it is rejected.
+    pub fn receive(&mut self, call: Call) -> Result<(), AttemptOutcome> {
+        if self.queue.len() >= self.max_queue() {
+            return Err(AttemptOutcome::Rejected);
+        }
+        self.queue.push_back(call);
+        Ok(())
+    }
+
+    /// The member's process has ended: it waits for no response any more.
+    pub fn forget_member(&mut self, member: usize) {
+        for served in &mut self.in_service {
+            if served.call.member == member {
+                served.call.waits_until = 0.0;
             }
         }
-        return;
+        self.queue.retain(|call| call.member != member);
     }
-    to.working.retain(|(ends, call)| {
-        if *ends <= now && call.waits > now {
-            told(call, AttemptOutcome::Delivered);
+
+    /// What the destination does in a step, and the responses that leave it.
+    pub fn serve(
+        &mut self,
+        random: &mut Random,
+        now: Ms,
+        config: &DecisionConfig,
+    ) -> Vec<Response> {
+        if Destination::is_down(now) {
+            return self.reset_all(now);
         }
-        *ends > now
-    });
-    for (_, call) in to
-        .working
-        .iter_mut()
-        .filter(|(_, call)| call.waits > 0.0 && call.waits <= now)
-    {
-        told(call, AttemptOutcome::TimedOut);
-        call.waits = 0.0;
+        let mut responses = Vec::new();
+        self.in_service.retain(|served| {
+            if served.ends_at <= now && served.call.waits_until > now {
+                responses.push(served.call.response(now, AttemptOutcome::Delivered));
+            }
+            served.ends_at > now
+        });
+        for served in &mut self.in_service {
+            let call = &mut served.call;
+            if call.waits_until > 0.0 && call.waits_until <= now {
+                responses.push(call.response(now, AttemptOutcome::TimedOut));
+                call.waits_until = 0.0;
+            }
+        }
+        self.queue.retain(|call| {
+            if call.waits_until <= now {
+                responses.push(call.response(now, AttemptOutcome::TimedOut));
+            }
+            call.waits_until > now
+        });
+        self.start_service(random, now, config);
+        responses
     }
-    to.queue.retain(|call| {
-        if call.waits <= now {
-            told(call, AttemptOutcome::TimedOut);
+
+    fn start_service(&mut self, random: &mut Random, now: Ms, config: &DecisionConfig) {
+        while self.in_service.len() < self.servers() {
+            let Some(call) = self.queue.pop_front() else {
+                return;
+            };
+            let speed = match self.responses {
+                Responses::StayQuick => 1.0,
+                Responses::SlowDown | Responses::Rejected => Destination::warmth(now, config),
+            };
+            let work = WORK * (0.5 + random.draw()) / speed;
+            let ends_at = now + work;
+            self.in_service.push(CallInService { ends_at, call });
+        }
+    }
+
+    fn reset_all(&mut self, now: Ms) -> Vec<Response> {
+        let in_service = self.in_service.drain(..).map(|served| served.call);
+        let calls = in_service.chain(self.queue.drain(..));
+        let awaited = calls.filter(|call| call.waits_until > 0.0);
+        awaited
+            .map(|call| call.response(now, AttemptOutcome::Reset))
+            .collect()
+    }
+}
+
+impl Call {
+    fn response(&self, now: Ms, outcome: AttemptOutcome) -> Response {
+        let elapsed = now - self.arrived_at;
+        Response {
+            member: self.member,
+            event: self.event.clone(),
+            report: AttemptReport {
+                elapsed,
+                ..AttemptReport::from_outcome(outcome)
+            },
         }
-        call.waits > now
-    });
-    while to.working.len() < to.servers() {
-        let Some(call) = to.queue.pop_front() else {
-            break;
-        };
-        let slows = to.answers != Answers::StayQuick;
-        let pace = if slows {
-            Destination::warmth(now, terms)
-        } else {
-            1.0
-        };
-        let work = WORK * (0.5 + chance.draw()) / pace;
-        to.working.push((now + work, call));
     }
 }
--- a/decisions/tests/fleet/mod.rs
+++ b/decisions/tests/fleet/mod.rs
@@ -1,24 +1,33 @@
-//! A fleet of forwarders that are driven together against one destination, which fails and comes back cold.
+//! A fleet of forwarders, driven together against one destination that fails, comes back and warms up.
 
 mod destination;
+mod member;
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 
-use crate::host::*;
-pub use destination::*;
-use plankhill_decisions::interface::*;
+use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, DecisionConfig, Ms};
 
-pub const STEP: Ms = 20.0;
-pub const SPAN: Ms = 3_000.0; // the settings' time, over which calls are counted
-pub const FAILS: Ms = 20_000.0;
-pub const BACK: Ms = 26_000.0;
-pub const ENDS: Ms = 37_000.0;
-pub const WORK: Ms = 200.0;
-pub const LOAD: f64 = 0.9; // of what it takes when warm: what usually goes there
+use crate::host::config;
+use destination::{Call, Destination};
+use member::{Input, Member};
 
-pub struct Chance(u64);
+pub use destination::{Peak, Responses};
 
-impl Chance {
+const STEP: Ms = 20.0;
+/// The time of the configuration over which calls are counted.
+const WINDOW: Ms = 3_000.0;
+pub const FAILS_AT: Ms = 20_000.0;
+pub const COMES_BACK_AT: Ms = 26_000.0;
+const ENDS_AT: Ms = 37_000.0;
+/// What a call takes, on the mean, at a warm destination.
+const WORK: Ms = 200.0;
+/// The usual traffic, as a share of what the destination takes when it is warm.
+const LOAD: f64 = 0.9;
+
+/// SplitMix64.
+pub struct Random(u64);
+
+impl Random {
     pub fn draw(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -27,229 +36,183 @@
     }
 }
 
+/// How the fleet's traffic is spread over its members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Traffic {
     Even,
-    Skewed,    // the first gets many times what the last gets
-    Moved(Ms), // half of them hand all theirs to the other half at that time
-    Restarted, // half of them restart while it is cold
-}
-
-#[derive(Clone)]
-pub struct Held {
-    pub ends: Ms,
-    pub sends: u32,
-    pub out: bool,
-}
-
-pub struct Member {
-    pub host: Host,
-    pub share: f64,
-    pub held: BTreeMap<String, Held>,
-    pub came_in: Vec<CameIn>,
-    pub back_at: Ms,
+    /// The first member gets many times the traffic of the last.
+    Skewed,
+    /// Half of the members hand all their traffic to the other half at that time.
+    MovedAt(Ms),
+    /// Half of the members restart while the destination is warming up.
+    Restarted,
 }
 
-pub enum CameIn {
-    Ended(String, AttemptReport),
-    Pinged(AttemptOutcome),
+/// An event that its client submits again after a rejection.
+struct Resubmission {
+    at: Ms,
+    member: usize,
+    event: String,
 }
 
-pub fn member(instance: u64, fleet: f64, seed: u64, now: Ms) -> Host {
-    let mut host = Host::new(|terms| {
-        (terms.seed, terms.instance, terms.forwarder_count) = (seed, instance, fleet);
-        (terms.max_calls_in_flight, terms.event_capacity) = (200, 400);
-    });
-    host.idle(now);
-    host
+struct World {
+    config: DecisionConfig,
+    random: Random,
+    destination: Destination,
+    members: Vec<Member>,
+    traffic: Traffic,
+    full_rate: f64,
+    resubmissions: VecDeque<Resubmission>,
+    events: u64,
+    now: Ms,
 }
 
-/// The largest share of the bound that any span came to.
-pub fn worst(
-    fleet: usize,
+/// The most load that any window of the warm-up had.
+pub fn peak_load(
+    fleet_size: usize,
     full_rate: f64,
-    answers: Answers,
+    responses: Responses,
     traffic: Traffic,
     seed: u64,
-) -> (f64, String) {
-    let mut chance = Chance(seed);
-    let terms = DecisionConfig {
-        forwarder_count: fleet as f64,
-        ..terms()
-    };
-    let weight = |n: usize| {
-        if traffic == Traffic::Skewed {
-            1.0 / (1.0 + n as f64)
-        } else {
-            1.0
+) -> Peak {
+    let mut world = World::new(fleet_size, full_rate, responses, traffic, seed);
+    while world.now < ENDS_AT {
+        world.step();
+    }
+    world.destination.peak
+}
+
+impl World {
+    fn new(
+        fleet_size: usize,
+        full_rate: f64,
+        responses: Responses,
+        traffic: Traffic,
+        seed: u64,
+    ) -> Self {
+        let weight = |number: usize| match traffic {
+            Traffic::Skewed => 1.0 / (1.0 + number as f64),
+            Traffic::Even | Traffic::MovedAt(_) | Traffic::Restarted => 1.0,
+        };
+        let total: f64 = (0..fleet_size).map(weight).sum();
+        let member = |number| Member::new(number, fleet_size, seed, weight(number) / total);
+        World {
+            config: DecisionConfig {
+                forwarder_count: fleet_size as f64,
+                ..config()
+            },
+            random: Random(seed),
+            destination: Destination::new(responses, full_rate),
+            members: (0..fleet_size).map(member).collect(),
+            traffic,
+            full_rate,
+            resubmissions: VecDeque::new(),
+            events: 0,
+            now: 0.0,
         }
-    };
-    let all: f64 = (0..fleet).map(weight).sum();
-    let mut members: Vec<Member> = (0..fleet)
-        .map(|n| Member {
-            host: member(n as u64, fleet as f64, seed, 0.0),
-            share: weight(n) / all,
-            held: BTreeMap::new(),
-            came_in: Vec::new(),
-            back_at: 0.0,
-        })
-        .collect();
-    let mut to = Destination {
-        answers,
-        full_rate,
-        working: Vec::new(),
-        queue: VecDeque::new(),
-        came: VecDeque::new(),
-        worst: (0.0, String::new()),
-    };
-    let mut again: VecDeque<(Ms, usize, String)> = VecDeque::new();
-    let (mut number, mut now) = (0, 0.0);
-    while now < ENDS {
-        now += STEP;
-        works(&mut to, &mut members, &mut chance, now, &terms);
-        if matches!(traffic, Traffic::Moved(at) if (at..at + STEP).contains(&now)) {
-            for (n, member) in members.iter_mut().enumerate() {
-                member.share *= if n % 2 == 0 { 0.0 } else { 2.0 };
-            }
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        for response in self
+            .destination
+            .serve(&mut self.random, self.now, &self.config)
+        {
+            let input = Input::AttemptEnded(response.event, response.report);
+            self.members[response.member].inputs.push(input);
         }
-        let restarts = traffic == Traffic::Restarted && (now - BACK - 2_500.0).abs() < STEP / 2.0;
-        for (n, member) in members.iter_mut().enumerate() {
-            if restarts && n % 2 == 0 {
-                member.back_at = now + 1_000.0;
-                member.came_in.clear();
-                to.working.iter_mut().for_each(|(_, call)| {
-                    call.waits = if call.from == n { 0.0 } else { call.waits }
-                });
-                to.queue.retain(|call| call.from != n);
-            }
-            let mut fresh: Vec<String> = Vec::new();
-            if chance.draw() < full_rate * LOAD * member.share * STEP / 1000.0 {
-                number += 1;
-                fresh.push(format!("e{number}"));
-            }
-            while again.front().is_some_and(|(at, ..)| *at <= now) && again[0].1 == n {
-                fresh.extend(again.pop_front().map(|(_, _, name)| name));
+        self.move_traffic();
+        let restarts = self.traffic == Traffic::Restarted
+            && (self.now - COMES_BACK_AT - 2_500.0).abs() < STEP / 2.0;
+        for number in 0..self.members.len() {
+            if restarts && number % 2 == 0 {
+                self.members[number].stop(self.now + 1_000.0);
+                self.destination.forget_member(number);
             }
-            if now < member.back_at {
+            let new_events = self.new_events(number);
+            if self.members[number].is_stopped(self.now) {
                 continue;
             }
-            let told = round(member, n, now, fresh, seed, fleet);
-            for word in told {
-                let words: Vec<&str> = word.split(' ').collect();
-                match words[..] {
-                    ["send", name, "to", "t"] => {
-                        to.count(now, &terms);
-                        let held = member.held.get_mut(name).expect("held");
-                        (held.sends, held.out) = (held.sends + 1, true);
-                        let waits = now + member.host.given;
-                        let call = Call {
-                            from: n,
-                            name: name.to_owned(),
-                            came: now,
-                            waits,
-                        };
-                        if Destination::is_down(now) {
-                            member.came_in.push(CameIn::Ended(
-                                call.name,
-                                AttemptReport::from_outcome(AttemptOutcome::ConnectFailed),
-                            ));
-                        } else if to.queue.len() >= to.queue_takes() {
-                            member.came_in.push(CameIn::Ended(
-                                call.name,
-                                AttemptReport::from_outcome(AttemptOutcome::Rejected),
-                            ));
-                        } else {
-                            to.queue.push_back(call);
-                        }
-                    }
-                    ["ping", "t"] => {
-                        to.count(now, &terms);
-                        let fate = if Destination::is_down(now) {
-                            AttemptOutcome::ConnectFailed
-                        } else {
-                            AttemptOutcome::Delivered
-                        };
-                        member.came_in.push(CameIn::Pinged(fate));
-                    }
-                    ["dismiss", name] => {
-                        member.held.remove(name);
-                        if !name.ends_with('r') && chance.draw() < 0.6 {
-                            again.push_back((now + 1_000.0, n, format!("{name}r")));
-                        }
-                    }
-                    _ => (),
-                }
+            for effect in self.members[number].run(self.now, &new_events) {
+                self.carry_out(number, &effect);
             }
         }
     }
-    to.worst
-}
 
-pub fn round(
-    member: &mut Member,
-    n: usize,
-    now: Ms,
-    fresh: Vec<String>,
-    seed: u64,
-    fleet: usize,
-) -> Vec<String> {
-    if member.back_at > 0.0 {
-        let noted = std::mem::take(&mut member.host.cold);
-        member.host = self::member(n as u64, fleet as f64, seed, now);
-        member.back_at = 0.0;
-        let held = &member.held;
-        let told = member.host.at(now, |f| {
-            noted
-                .iter()
-                .for_each(|(target, since, usual)| f.restore_warm_up(target, *since, *usual));
-            for (name, held) in held {
-                f.accept_event(event(name), DestinationId(1), RETRIABLE, held.ends, None);
-                let may_have_run = held.out.then_some((now, ZoneId(0)));
-                f.restore_attempts(&event(name), held.sends, may_have_run, held.out);
-            }
-        });
-        member.held.values_mut().for_each(|held| held.out = false);
-        return told;
-    }
-    let came_in = std::mem::take(&mut member.came_in);
-    for name in &fresh {
-        member.held.insert(
-            name.clone(),
-            Held {
-                ends: now + 20_000.0,
-                sends: 0,
-                out: false,
-            },
-        );
+    fn move_traffic(&mut self) {
+        let Traffic::MovedAt(at) = self.traffic else {
+            return;
+        };
+        if !(at..at + STEP).contains(&self.now) {
+            return;
+        }
+        for member in &mut self.members {
+            member.traffic_share *= if member.number % 2 == 0 { 0.0 } else { 2.0 };
+        }
     }
-    for came_in in &came_in {
-        if let CameIn::Ended(name, ended) = came_in {
-            if ended.outcome == AttemptOutcome::Delivered {
-                member.held.remove(name);
-            } else if let Some(held) = member.held.get_mut(name) {
-                held.out = false;
-            }
+
+    /// The events that clients submit to the member in this step, for the first time or again.
+    fn new_events(&mut self, number: usize) -> Vec<String> {
+        let mut new_events = Vec::new();
+        let expected = self.full_rate * LOAD * self.members[number].traffic_share * STEP / 1000.0;
+        if self.random.draw() < expected {
+            self.events += 1;
+            new_events.push(format!("e{}", self.events));
+        }
+        let now = self.now;
+        let is_due = |next: &mut Resubmission| next.at <= now && next.member == number;
+        while let Some(resubmission) = self.resubmissions.pop_front_if(is_due) {
+            new_events.push(resubmission.event);
         }
+        new_events
     }
-    member.host.at(now, |f| {
-        for came_in in came_in {
-            match came_in {
-                CameIn::Ended(name, ended) => {
-                    f.on_attempt_ended(&event(&name), ended).expect("was sent")
+
+    fn carry_out(&mut self, number: usize, effect: &str) {
+        let words: Vec<&str> = effect.split(' ').collect();
+        match words[..] {
+            ["send", name, "to", "t"] => self.attempt(number, name),
+            ["health-check", "t"] => {
+                self.destination.count_arrival(self.now, &self.config);
+                let outcome = if Destination::is_down(self.now) {
+                    AttemptOutcome::ConnectFailed
+                } else {
+                    AttemptOutcome::Delivered
+                };
+                let input = Input::HealthCheckEnded(outcome);
+                self.members[number].inputs.push(input);
+            }
+            ["reject", name] => {
+                self.members[number].log_rejection(name);
+                if !name.ends_with('r') && self.random.draw() < 0.6 {
+                    self.resubmissions.push_back(Resubmission {
+                        at: self.now + 1_000.0,
+                        member: number,
+                        event: format!("{name}r"),
+                    });
                 }
-                CameIn::Pinged(fate) => f
-                    .on_health_check_ended(&target("t"), fate)
-                    .expect("was listed"),
             }
+            _ => (),
         }
-        for name in fresh {
-            f.accept_event(
-                event(&name),
-                DestinationId(1),
-                RETRIABLE,
-                now + 20_000.0,
-                None,
-            );
+    }
+
+    fn attempt(&mut self, number: usize, name: &str) {
+        self.destination.count_arrival(self.now, &self.config);
+        let waits_until = self.members[number].log_attempt(self.now, name);
+        let call = Call {
+            member: number,
+            event: name.to_owned(),
+            arrived_at: self.now,
+            waits_until,
+        };
+        let received = if Destination::is_down(self.now) {
+            Err(AttemptOutcome::ConnectFailed)
+        } else {
+            self.destination.receive(call)
+        };
+        if let Err(outcome) = received {
+            let report = AttemptReport::from_outcome(outcome);
+            let input = Input::AttemptEnded(name.to_owned(), report);
+            self.members[number].inputs.push(input);
         }
-    })
+    }
 }
--- a/decisions/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -1,48 +1,56 @@
-//! The one fake host of the stories: a forwarder, a clock that the story sets, and its decisions as words.
+//! The host of the tests: a scheduler, a clock that the test sets, and the effects of each iteration as words
+//! ("send a to t", "reject a", "abandon a", "health-check t", "close t", "cancel unsent t").
 
-#![allow(dead_code)] // each file of stories uses its part
+#![allow(dead_code)] // each test file uses its part
 
-use plankhill_decisions::interface::*;
+use plankhill_decisions::interface::{
+    AttemptOutcome, AttemptReport, DecisionConfig, DestinationId, DestinationKind,
+    DestinationKindId, Effects, EndpointState, EventId, Idempotency, Ms, OrderKey, TargetId,
+    TrafficType, TrafficTypeId, Tuning, UnknownId, ZoneId,
+};
 use plankhill_decisions::scheduler::Scheduler;
 
-pub const RETRIABLE: TrafficTypeId = TrafficTypeId(0);
-pub const FINGERPRINTED: TrafficTypeId = TrafficTypeId(1);
-pub const BINDING: TrafficTypeId = TrafficTypeId(2); // ordered
+pub const IDEMPOTENT: TrafficTypeId = TrafficTypeId(0);
+pub const DEDUPLICATED: TrafficTypeId = TrafficTypeId(1);
+/// Ordered.
+pub const NON_IDEMPOTENT: TrafficTypeId = TrafficTypeId(2);
 
 pub struct Host {
-    pub forwarder: Scheduler,
+    pub scheduler: Scheduler,
     pub now: Ms,
-    pub notices: bool, // ends of events go as notices
-    pub cold: Vec<(TargetId, Ms, f64)>,
-    pub given: Ms,     // the time that the last call was given
-    pub leaves_by: Ms, // and when its last byte has to have left
+    /// Completions go as notifications, which have to be acknowledged.
+    pub by_notification: bool,
+    /// Target, start of the warm-up, and calls a second that usually go there.
+    pub recorded_warm_ups: Vec<(TargetId, Ms, f64)>,
+    /// The time that the last attempt was given.
+    pub last_timeout: Ms,
+    /// When the last byte of the last attempt has to have left.
+    pub last_leaves_by: Ms,
 }
 
-/// One forwarder of two, with 8 slots and room for 40; kind 0 shares a limit, kind 1 has routes apart and
-/// takes 4 events a call.
-pub fn terms() -> DecisionConfig {
-    let traffic = |effect, ordered| TrafficType {
-        idempotency: effect,
+/// One forwarder of two, with 8 calls in flight and a capacity of 40 events. Destinations of kind 0 share a
+/// limit; those of kind 1 have independent routes and take 4 events a call.
+pub fn config() -> DecisionConfig {
+    let traffic_type = |idempotency, ordered| TrafficType {
+        idempotency,
         soft_limit: 1000.0,
         patience: 20_000.0,
         value: 1.0,
         value_at_end: 0.2,
         ordered,
     };
+    let deduplicated = Idempotency::Deduplicated {
+        window: 5000.0,
+        per_zone: false,
+    };
     DecisionConfig {
         seed: 7,
         instance: 0,
         forwarder_count: 2.0,
         traffic_types: vec![
-            traffic(Idempotency::Idempotent, false),
-            traffic(
-                Idempotency::Deduplicated {
-                    window: 5000.0,
-                    per_zone: false,
-                },
-                false,
-            ),
-            traffic(Idempotency::NonIdempotent, true),
+            traffic_type(Idempotency::Idempotent, false),
+            traffic_type(deduplicated, false),
+            traffic_type(Idempotency::NonIdempotent, true),
         ],
         destination_kinds: vec![
             DestinationKind {
@@ -69,7 +77,7 @@
     }
 }
 
-pub fn plain() -> Host {
+pub fn default_host() -> Host {
     Host::new(|_| ())
 }
 
@@ -84,21 +92,21 @@
 impl Host {
     /// Destination 1 has target `t`, destination 2 has target `u`, destination 3 the routes `v` and `w`.
     pub fn new(change: impl FnOnce(&mut DecisionConfig)) -> Self {
-        let mut terms = terms();
-        change(&mut terms);
+        let mut config = config();
+        change(&mut config);
         let mut host = Host {
-            forwarder: Scheduler::new(terms, 0.0),
+            scheduler: Scheduler::new(config, 0.0),
             now: 0.0,
-            notices: false,
-            cold: Vec::new(),
-            given: 0.0,
-            leaves_by: 0.0,
+            by_notification: false,
+            recorded_warm_ups: Vec::new(),
+            last_timeout: 0.0,
+            last_leaves_by: 0.0,
         };
-        host.at(0.0, |f| {
-            for (name, of, kind) in [("t", 1, 0), ("u", 2, 0), ("v", 3, 1), ("w", 3, 1)] {
-                f.on_endpoint_listed(
+        host.run(0.0, |scheduler| {
+            for (name, destination, kind) in [("t", 1, 0), ("u", 2, 0), ("v", 3, 1), ("w", 3, 1)] {
+                scheduler.on_endpoint_listed(
                     target(name),
-                    DestinationId(of),
+                    DestinationId(destination),
                     DestinationKindId(kind),
                     ZoneId(0),
                     EndpointState::Running,
@@ -108,155 +116,178 @@
         host
     }
 
-    /// A round at `now`; wake-ups are left out of what it returns.
-    pub fn at(&mut self, now: Ms, came_in: impl FnOnce(&mut Scheduler)) -> Vec<String> {
+    /// An iteration at `now`. Wake-ups are left out of the effects that are returned.
+    pub fn run(&mut self, now: Ms, apply: impl FnOnce(&mut Scheduler)) -> Vec<String> {
         self.now = now;
-        let mut told = Told(
-            Vec::new(),
-            self.notices,
-            Vec::new(),
-            self.given,
-            self.leaves_by,
-        );
-        let hand_over = |forwarder: &mut Scheduler, _: &mut Told| {
-            came_in(forwarder);
+        let mut log = EffectLog {
+            words: Vec::new(),
+            by_notification: self.by_notification,
+            recorded_warm_ups: &mut self.recorded_warm_ups,
+            last_timeout: &mut self.last_timeout,
+            last_leaves_by: &mut self.last_leaves_by,
+        };
+        let apply_inputs = |scheduler: &mut Scheduler, _: &mut EffectLog| {
+            apply(scheduler);
             Ok::<(), UnknownId>(())
         };
-        self.forwarder
-            .run_iteration(now, hand_over, &mut told)
-            .expect("the story names only what it introduced");
-        self.cold.append(&mut told.2);
-        (self.given, self.leaves_by) = (told.3, told.4);
-        told.0
+        let result = self.scheduler.run_iteration(now, apply_inputs, &mut log);
+        result.expect("the test names only what it introduced");
+        log.words
     }
 
+    /// An iteration for which nothing came in.
     pub fn idle(&mut self, now: Ms) -> Vec<String> {
-        self.at(now, |_| ())
+        self.run(now, |_| ())
     }
 
-    /// Takes an event for a destination, with 20 s of patience.
-    pub fn take(
+    /// Accepts an event for a destination, with a deadline in 20 s.
+    pub fn accept(
         &mut self,
         now: Ms,
         name: &str,
-        traffic: TrafficTypeId,
-        of: u64,
-        key: Option<u64>,
+        traffic_type: TrafficTypeId,
+        destination: u64,
+        order_key: Option<u64>,
     ) -> Vec<String> {
-        self.at(now, |f| {
-            f.accept_event(
+        let destination = DestinationId(destination);
+        let order_key = order_key.map(OrderKey);
+        self.run(now, |scheduler| {
+            scheduler.accept_event(
                 event(name),
-                DestinationId(of),
-                traffic,
+                destination,
+                traffic_type,
                 now + 20_000.0,
-                key.map(OrderKey),
-            )
+                order_key,
+            );
         })
     }
 
-    pub fn ends(&mut self, now: Ms, name: &str, fate: AttemptOutcome) -> Vec<String> {
-        self.ends_with(now, name, fate, 0.0)
+    pub fn end_attempt(&mut self, now: Ms, name: &str, outcome: AttemptOutcome) -> Vec<String> {
+        self.end_attempt_with_retry_after(now, name, outcome, 0.0)
     }
 
-    pub fn ends_with(
+    pub fn end_attempt_with_retry_after(
         &mut self,
         now: Ms,
         name: &str,
-        fate: AttemptOutcome,
-        wait: Ms,
+        outcome: AttemptOutcome,
+        retry_after: Ms,
     ) -> Vec<String> {
-        self.ends_told(now, name, fate, wait, None)
+        self.end_attempt_with_report(now, name, outcome, retry_after, None)
     }
 
-    pub fn ends_told(
+    pub fn end_attempt_with_report(
         &mut self,
         now: Ms,
         name: &str,
-        fate: AttemptOutcome,
-        wait: Ms,
-        left: Option<f64>,
+        outcome: AttemptOutcome,
+        retry_after: Ms,
+        limit_remaining: Option<f64>,
     ) -> Vec<String> {
-        let took = if fate == AttemptOutcome::TimedOut {
+        let elapsed = if outcome == AttemptOutcome::TimedOut {
             1500.0
         } else {
             100.0
         };
-        self.at(now, |f| {
-            f.on_attempt_ended(
-                &event(name),
-                AttemptReport {
-                    elapsed: took,
-                    retry_after: wait,
-                    limit_remaining: left,
-                    ..AttemptReport::from_outcome(fate)
-                },
-            )
-            .expect("was sent")
+        let report = AttemptReport {
+            elapsed,
+            retry_after,
+            limit_remaining,
+            ..AttemptReport::from_outcome(outcome)
+        };
+        self.run(now, |scheduler| {
+            scheduler
+                .on_attempt_ended(&event(name), report)
+                .expect("was sent")
         })
     }
 
-    pub fn ping_ends(&mut self, now: Ms, name: &str, fate: AttemptOutcome) -> Vec<String> {
-        self.at(now, |f| {
-            f.on_health_check_ended(&target(name), fate)
-                .expect("was listed")
+    pub fn end_health_check(
+        &mut self,
+        now: Ms,
+        name: &str,
+        outcome: AttemptOutcome,
+    ) -> Vec<String> {
+        self.run(now, |scheduler| {
+            scheduler
+                .on_health_check_ended(&target(name), outcome)
+                .expect("was listed");
         })
     }
 
     /// Destination 1 answers ten events a second until `until`; its usual traffic is known then.
-    pub fn runs_well(&mut self, until: Ms) {
+    pub fn run_healthily(&mut self, until: Ms) {
         while self.now < until {
-            let (now, name) = (self.now + 100.0, format!("well{}", self.now));
-            assert!(self
-                .take(now, &name, RETRIABLE, 1, None)
-                .contains(&format!("send {name} to t")));
-            self.ends(now, &name, AttemptOutcome::Delivered);
+            let now = self.now + 100.0;
+            let name = format!("well{}", self.now);
+            let effects = self.accept(now, &name, IDEMPOTENT, 1, None);
+            assert!(effects.contains(&format!("send {name} to t")));
+            self.end_attempt(now, &name, AttemptOutcome::Delivered);
         }
     }
 
-    /// Destination 1 fails twice in a row and a ping goes out.
-    pub fn goes_offline(&mut self, from: Ms) {
-        self.take(from, "down1", FINGERPRINTED, 1, None);
-        self.take(from, "down2", FINGERPRINTED, 1, None);
-        self.ends(from + 1.0, "down1", AttemptOutcome::ConnectFailed);
-        let told = self.ends(from + 1.0, "down2", AttemptOutcome::ConnectFailed);
-        assert_eq!(told, ["ping t"]);
+    /// Destination 1 fails twice in a row and a health check is sent.
+    pub fn take_offline(&mut self, from: Ms) {
+        self.accept(from, "down1", DEDUPLICATED, 1, None);
+        self.accept(from, "down2", DEDUPLICATED, 1, None);
+        self.end_attempt(from + 1.0, "down1", AttemptOutcome::ConnectFailed);
+        let effects = self.end_attempt(from + 1.0, "down2", AttemptOutcome::ConnectFailed);
+        assert_eq!(effects, ["health-check t"]);
     }
 }
 
-pub fn sends(told: &[String]) -> usize {
-    told.iter().filter(|word| word.starts_with("send")).count()
+/// How many of the effects are attempts.
+pub fn attempts_in(effects: &[String]) -> usize {
+    effects
+        .iter()
+        .filter(|effect| effect.starts_with("send"))
+        .count()
 }
 
-struct Told(Vec<String>, bool, Vec<(TargetId, Ms, f64)>, Ms, Ms);
+struct EffectLog<'a> {
+    words: Vec<String>,
+    by_notification: bool,
+    recorded_warm_ups: &'a mut Vec<(TargetId, Ms, f64)>,
+    last_timeout: &'a mut Ms,
+    last_leaves_by: &'a mut Ms,
+}
 
-impl Effects for Told {
-    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
-        assert!(time_out > 0.0);
-        (self.3, self.4) = (time_out, leaves_by);
-        self.0.push(format!("send {} to {}", event.0, target.0));
+impl Effects for EffectLog<'_> {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, timeout: Ms, leaves_by: Ms) {
+        assert!(timeout > 0.0);
+        *self.last_timeout = timeout;
+        *self.last_leaves_by = leaves_by;
+        self.words.push(format!("send {} to {}", event.0, target.0));
     }
-    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
-        let _ = come_back_after;
-        self.0.push(format!("dismiss {}", event.0));
-        self.1
+
+    fn reject(&mut self, event: &EventId, _retry_after: Option<Ms>) -> bool {
+        self.words.push(format!("reject {}", event.0));
+        self.by_notification
     }
+
     fn abandon(&mut self, event: &EventId) -> bool {
-        self.0.push(format!("write off {}", event.0));
-        self.1
+        self.words.push(format!("abandon {}", event.0));
+        self.by_notification
     }
+
     fn health_check(&mut self, target: &TargetId) {
-        self.0.push(format!("ping {}", target.0));
+        self.words.push(format!("health-check {}", target.0));
     }
+
     fn close_idle_connections(&mut self, target: &TargetId) {
-        self.0.push(format!("close {}", target.0));
+        self.words.push(format!("close {}", target.0));
     }
+
     fn cancel_unsent(&mut self, target: &TargetId) {
-        self.0.push(format!("take back {}", target.0));
+        self.words.push(format!("cancel unsent {}", target.0));
     }
-    fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
-        self.2.push((target.clone(), since, usual));
+
+    fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual_rate: f64) {
+        self.recorded_warm_ups
+            .push((target.clone(), since, usual_rate));
     }
-    fn wake_after(&mut self, pause: Ms) {
-        assert!(pause > 0.0);
+
+    fn wake_after(&mut self, delay: Ms) {
+        assert!(delay > 0.0);
     }
 }
--- a/decisions/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -1,16 +1,18 @@
-//! Stories of the targets of a destination: which one is called, for how long, over which connection.
+//! The targets of a destination: which one is called, for how long, over which connection.
 
 mod host;
 
-use host::*;
-use plankhill_decisions::interface::*;
+use host::{attempts_in, default_host, event, target, Host, DEDUPLICATED, IDEMPOTENT};
+use plankhill_decisions::interface::{
+    AttemptOutcome, AttemptReport, DestinationId, DestinationKindId, EndpointState, Ms, ZoneId,
+};
 use rstest::rstest;
 
 #[rstest]
-fn nothing_goes_to_a_target_that_leaves() {
-    let mut host = plain();
-    host.at(1.0, |f| {
-        f.on_endpoint_listed(
+fn nothing_is_sent_to_a_draining_target() {
+    let mut host = default_host();
+    host.run(1.0, |scheduler| {
+        scheduler.on_endpoint_listed(
             target("t"),
             DestinationId(1),
             DestinationKindId(0),
@@ -18,9 +20,9 @@
             EndpointState::Draining,
         )
     });
-    assert!(host.take(2.0, "a", RETRIABLE, 1, None).is_empty());
-    host.at(3.0, |f| {
-        f.on_endpoint_listed(
+    assert!(host.accept(2.0, "a", IDEMPOTENT, 1, None).is_empty());
+    host.run(3.0, |scheduler| {
+        scheduler.on_endpoint_listed(
             target("t2"),
             DestinationId(1),
             DestinationKindId(0),
@@ -29,26 +31,26 @@
         )
     });
     assert_eq!(
-        host.at(4.0, |f| f.on_endpoint_list_replaced()),
-        ["take back t2"],
+        host.run(4.0, |scheduler| scheduler.on_endpoint_list_replaced()),
+        ["cancel unsent t2"],
         "its call may not be written yet"
     );
-    let told = host.take(5.0, "b", RETRIABLE, 1, None);
+    let effects = host.accept(5.0, "b", IDEMPOTENT, 1, None);
     assert_eq!(
-        sends(&told),
+        attempts_in(&effects),
         0,
-        "a whole list without it took t2 away: {told:?}"
+        "a whole list without it elapsed t2 away: {effects:?}"
     );
 }
 
-/// Met on days with bad clients: events for destinations that nobody lists were taken on.
+/// Regression: events for destinations that no endpoint list names were accepted.
 #[rstest]
 fn a_destination_is_known_while_it_is_listed_and_for_a_minute_after() {
-    let mut host = plain();
-    let known = |host: &Host, of| host.forwarder.knows_destination(DestinationId(of));
+    let mut host = default_host();
+    let known = |host: &Host, of| host.scheduler.knows_destination(DestinationId(of));
     assert!(known(&host, 1) && !known(&host, 70_000));
-    host.at(10.0, |f| {
-        f.set_endpoint_state(&target("t"), EndpointState::Removed)
+    host.run(10.0, |scheduler| {
+        scheduler.set_endpoint_state(&target("t"), EndpointState::Removed)
     });
     host.idle(50_000.0);
     assert!(known(&host, 1), "its next targets may be on the way");
@@ -57,10 +59,10 @@
 }
 
 #[rstest]
-fn of_two_targets_the_one_that_failed_is_left_alone() {
-    let mut host = plain();
-    host.at(0.0, |f| {
-        f.on_endpoint_listed(
+fn of_two_targets_the_one_that_failed_is_ejected() {
+    let mut host = default_host();
+    host.run(0.0, |scheduler| {
+        scheduler.on_endpoint_listed(
             target("t2"),
             DestinationId(1),
             DestinationKindId(0),
@@ -68,22 +70,22 @@
             EndpointState::Running,
         )
     });
-    let told = host.take(1.0, "a", FINGERPRINTED, 1, None);
-    host.ends(2.0, "a", AttemptOutcome::ConnectFailed);
+    let effects = host.accept(1.0, "a", DEDUPLICATED, 1, None);
+    host.end_attempt(2.0, "a", AttemptOutcome::ConnectFailed);
     for at in 0..10 {
         let name = format!("e{at}");
-        let next = host.take(3.0 + at as f64, &name, FINGERPRINTED, 1, None);
-        assert_ne!(told[0].rsplit(' ').next(), next[0].rsplit(' ').next());
-        host.ends(3.0 + at as f64, &name, AttemptOutcome::Delivered);
+        let next = host.accept(3.0 + at as f64, &name, DEDUPLICATED, 1, None);
+        assert_ne!(effects[0].rsplit(' ').next(), next[0].rsplit(' ').next());
+        host.end_attempt(3.0 + at as f64, &name, AttemptOutcome::Delivered);
     }
 }
 
-/// Met on nairobi-relay quiet: nine of ten events paid for a new connection, though one stood idle beside it.
+/// Regression: nine of ten calls opened a new connection, though another target had an idle one.
 #[rstest]
-fn of_two_targets_alike_the_one_with_an_idle_connection_is_taken() {
-    let mut host = plain();
-    host.at(0.0, |f| {
-        f.on_endpoint_listed(
+fn of_two_targets_alike_the_one_with_an_idle_connection_is_selected() {
+    let mut host = default_host();
+    host.run(0.0, |scheduler| {
+        scheduler.on_endpoint_listed(
             target("t2"),
             DestinationId(1),
             DestinationKindId(0),
@@ -91,81 +93,89 @@
             EndpointState::Running,
         )
     });
-    let told = host.take(1.0, "first", RETRIABLE, 1, None);
-    host.ends(10.0, "first", AttemptOutcome::Delivered);
+    let effects = host.accept(1.0, "first", IDEMPOTENT, 1, None);
+    host.end_attempt(10.0, "first", AttemptOutcome::Delivered);
     for n in 0..10 {
         let (name, at) = (format!("e{n}"), 100.0 * (n + 1) as f64);
-        let next = host.take(at, &name, RETRIABLE, 1, None);
-        assert_eq!(next[0].split(" to ").last(), told[0].split(" to ").last());
-        host.ends(at + 10.0, &name, AttemptOutcome::Delivered);
+        let next = host.accept(at, &name, IDEMPOTENT, 1, None);
+        assert_eq!(
+            next[0].split(" to ").last(),
+            effects[0].split(" to ").last()
+        );
+        host.end_attempt(at + 10.0, &name, AttemptOutcome::Delivered);
     }
 }
 
-/// Met on the wide day: calls were over in 22 ms, and each that got no answer pinned one of 13 slots for 1.5 s.
+/// Regression: calls took 22 ms, and each without a response stayed one of 13 calls in flight for 1.5 s.
 #[rstest]
 #[case(20.0, 150.0..300.0)]
 #[case(200.0, 1500.0..1501.0)]
-fn the_time_that_calls_are_given_goes_by_what_answers_take(
-    #[case] took: Ms,
+fn the_timeout_of_a_call_follows_the_response_times(
+    #[case] elapsed: Ms,
     #[case] given: std::ops::Range<Ms>,
 ) {
-    let mut host = plain();
+    let mut host = default_host();
     for step in 0..200 {
         let (now, name) = (1.0 + 50.0 * step as f64, format!("e{step}"));
-        host.take(now, &name, RETRIABLE, 1, None);
-        host.at(now, |f| {
-            f.on_attempt_ended(
-                &event(&name),
-                AttemptReport {
-                    elapsed: took,
-                    ..AttemptReport::from_outcome(AttemptOutcome::Delivered)
-                },
-            )
-            .expect("was sent")
+        host.accept(now, &name, IDEMPOTENT, 1, None);
+        host.run(now, |scheduler| {
+            scheduler
+                .on_attempt_ended(
+                    &event(&name),
+                    AttemptReport {
+                        elapsed,
+                        ..AttemptReport::from_outcome(AttemptOutcome::Delivered)
+                    },
+                )
+                .expect("was sent")
         });
     }
-    assert!(given.contains(&host.given), "{} ms", host.given);
+    assert!(
+        given.contains(&host.last_timeout),
+        "{} ms",
+        host.last_timeout
+    );
 }
 
-/// Met on amman-tyre-centres-later rough-2: idle connections were dropped unseen, and each call on one was lost.
+/// Regression: idle connections were dropped without a word, and each call on one was lost.
 #[rstest]
 fn idle_connections_are_closed_once_calls_on_them_are_lost() {
-    let mut host = plain();
-    host.take(1.0, "fresh", RETRIABLE, 1, None);
+    let mut host = default_host();
+    host.accept(1.0, "fresh", IDEMPOTENT, 1, None);
     assert!(host
-        .ends(100.0, "fresh", AttemptOutcome::Delivered)
+        .end_attempt(100.0, "fresh", AttemptOutcome::Delivered)
         .is_empty());
     assert!(
         host.idle(3000.0).is_empty(),
         "kept while nothing speaks against it"
     );
-    host.take(3001.0, "lost", RETRIABLE, 1, None);
-    host.ends(4600.0, "lost", AttemptOutcome::TimedOut);
+    host.accept(3001.0, "lost", IDEMPOTENT, 1, None);
+    host.end_attempt(4600.0, "lost", AttemptOutcome::TimedOut);
     assert!(host.idle(4901.0).contains(&"close t".into()));
-    host.take(6000.0, "next", RETRIABLE, 1, None);
-    host.ends(6100.0, "next", AttemptOutcome::Delivered);
-    host.ends(6200.0, "lost", AttemptOutcome::Delivered);
+    host.accept(6000.0, "next", IDEMPOTENT, 1, None);
+    host.end_attempt(6100.0, "next", AttemptOutcome::Delivered);
+    host.end_attempt(6200.0, "lost", AttemptOutcome::Delivered);
     assert_eq!(host.idle(6501.0), ["close t"]);
 }
 
-/// Met on nairobi-relay and lahore-outbound big-1 and on seoul-delivery: idle connections of others took all
-/// that a target accepts, a third of all connections were refused, and destinations that were well were parked.
+/// Regression: idle connections of other forwarders took all that a target accepts, a third of all connections were
+/// refused, and healthy destinations went offline.
 #[rstest]
 #[case(AttemptOutcome::Delivered, 1100.0, true)]
 #[case(AttemptOutcome::Rejected, 1100.0, true)]
 #[case(AttemptOutcome::Delivered, 8000.0, false)]
-fn idle_connections_are_closed_where_a_refused_one_is_followed_soon_by_an_answer(
+fn idle_connections_are_closed_where_a_refused_connection_is_soon_followed_by_an_answer(
     #[case] answer: AttemptOutcome,
     #[case] answered: f64,
     #[case] closes: bool,
 ) {
-    let mut host = plain();
-    host.take(1.0, "a", RETRIABLE, 1, None);
-    host.ends(20.0, "a", AttemptOutcome::ConnectFailed);
+    let mut host = default_host();
+    host.accept(1.0, "a", IDEMPOTENT, 1, None);
+    host.end_attempt(20.0, "a", AttemptOutcome::ConnectFailed);
     assert!(host.idle(1000.0).contains(&"send a to t".into()));
-    host.ends(answered, "a", answer);
-    host.take(9_000.0, "b", RETRIABLE, 2, None);
-    host.ends(9_100.0, "b", AttemptOutcome::Delivered);
+    host.end_attempt(answered, "a", answer);
+    host.accept(9_000.0, "b", IDEMPOTENT, 2, None);
+    host.end_attempt(9_100.0, "b", AttemptOutcome::Delivered);
     assert_eq!(
         host.idle(9_401.0).contains(&"close u".into()),
         closes,
@@ -173,16 +183,18 @@
     );
 }
 
-/// Met there too: the first minute's evidence came too late for a fleet of two hundred.
+/// Regression: the evidence of the first minute came too late for a fleet of two hundred.
 #[rstest]
 #[case(2.0, false)]
 #[case(200.0, true)]
-fn a_fleet_that_outnumbers_what_the_told_rate_serves_at_once_keeps_no_idle_connections(
+fn a_fleet_that_outnumbers_the_calls_that_the_advertised_rate_allows_at_once_keeps_no_idle_connections(
     #[case] forwarders: f64,
     #[case] closes: bool,
 ) {
-    let mut host = Host::new(|terms| terms.forwarder_count = forwarders);
-    host.at(0.0, |f| f.set_advertised_rate(DestinationId(1), 200.0));
-    host.runs_well(1500.0);
+    let mut host = Host::new(|config| config.forwarder_count = forwarders);
+    host.run(0.0, |scheduler| {
+        scheduler.set_advertised_rate(DestinationId(1), 200.0)
+    });
+    host.run_healthily(1500.0);
     assert_eq!(host.idle(1900.0).contains(&"close t".into()), closes);
 }
--- a/decisions/tests/wire_format.rs
+++ b/decisions/tests/wire_format.rs
@@ -7,7 +7,10 @@
 mod host;
 
 use host::{event, target};
-use plankhill_decisions::interface::*;
+use plankhill_decisions::interface::{
+    AttemptOutcome, AttemptReport, DecisionConfig, DestinationId, DestinationKindId, Effects,
+    EndpointState, EventId, Ms, OrderKey, TargetId, TrafficTypeId, UnknownId, ZoneId,
+};
 use plankhill_decisions::scheduler::Scheduler;
 use rstest::rstest;
 use serde::de::DeserializeOwned;
@@ -54,8 +57,8 @@
 }
 
 /// Each variant, with the name that its fixture has. No wildcard: a new variant does not compile unpinned.
-fn fate_name(fate: AttemptOutcome) -> &'static str {
-    match fate {
+fn outcome_name(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Delivered => "Fate::Delivered",
         AttemptOutcome::Error => "Fate::Error",
         AttemptOutcome::Rejected => "Fate::Full",
@@ -67,15 +70,15 @@
     }
 }
 
-fn listing_name(listing: EndpointState) -> &'static str {
-    match listing {
+fn endpoint_state_name(endpoint_state: EndpointState) -> &'static str {
+    match endpoint_state {
         EndpointState::Running => "Listing::Running",
         EndpointState::Draining => "Listing::Leaving",
         EndpointState::Removed => "Listing::Gone",
     }
 }
 
-const FATES: [AttemptOutcome; 8] = [
+const OUTCOMES: [AttemptOutcome; 8] = [
     AttemptOutcome::Delivered,
     AttemptOutcome::Error,
     AttemptOutcome::Rejected,
@@ -100,19 +103,19 @@
 
 #[rstest]
 fn outcomes_have_the_pinned_form() {
-    for fate in FATES {
-        assert_pinned(fate_name(fate), &fate);
+    for outcome in OUTCOMES {
+        assert_pinned(outcome_name(outcome), &outcome);
     }
 }
 
 #[rstest]
 fn endpoint_states_have_the_pinned_form() {
-    for listing in [
+    for endpoint_state in [
         EndpointState::Running,
         EndpointState::Draining,
         EndpointState::Removed,
     ] {
-        assert_pinned(listing_name(listing), &listing);
+        assert_pinned(endpoint_state_name(endpoint_state), &endpoint_state);
     }
 }
 
@@ -133,17 +136,17 @@
 }
 
 /// One of each that the state keeps in an unordered map, so that its bytes have one order.
-fn terms() -> DecisionConfig {
-    let mut terms = host::terms();
-    for traffic in &mut terms.traffic_types {
+fn config() -> DecisionConfig {
+    let mut config = host::config();
+    for traffic in &mut config.traffic_types {
         traffic.ordered = true;
     }
-    terms.member_quotas = vec![0.5];
-    terms
+    config.member_quotas = vec![0.5];
+    config
 }
 
-fn accept(forwarder: &mut Scheduler, name: &str, traffic: TrafficTypeId) {
-    forwarder.accept_event(
+fn accept(scheduler: &mut Scheduler, name: &str, traffic: TrafficTypeId) {
+    scheduler.accept_event(
         event(name),
         DestinationId(7),
         traffic,
@@ -152,33 +155,35 @@
     );
 }
 
-fn ends(forwarder: &mut Scheduler, name: &str, ended: AttemptReport) {
-    forwarder
+fn end_attempt(scheduler: &mut Scheduler, name: &str, ended: AttemptReport) {
+    scheduler
         .on_attempt_ended(&event(name), ended)
         .expect("was sent");
 }
 
-/// What comes in at one round of the story, and when. The state after the round is in the fixture by this name,
+/// What comes in at one iteration of the story, and when. The state after it is in the fixture by this name,
 /// but not where `UNPINNED`: two events are in the state then, in an unordered map.
 type Step = (&'static str, Ms, fn(&mut Scheduler));
 
 const UNPINNED: &str = "unpinned";
 
 const STORY: [Step; 26] = [
-    ("listed", 100.0, |f| {
-        f.on_endpoint_listed(
+    ("listed", 100.0, |scheduler| {
+        scheduler.on_endpoint_listed(
             target("t"),
             DestinationId(7),
             DestinationKindId(1),
             ZoneId(3),
             EndpointState::Running,
         );
-        f.set_advertised_rate(DestinationId(7), 12.5);
+        scheduler.set_advertised_rate(DestinationId(7), 12.5);
     }),
-    ("in-flight", 200.0, |f| accept(f, "a", TrafficTypeId(1))),
-    ("failed", 250.0, |f| {
-        ends(
-            f,
+    ("in-flight", 200.0, |scheduler| {
+        accept(scheduler, "a", TrafficTypeId(1))
+    }),
+    ("failed", 250.0, |scheduler| {
+        end_attempt(
+            scheduler,
             "a",
             AttemptReport {
                 elapsed: 50.0,
@@ -187,9 +192,9 @@
         )
     }),
     ("retried", 900.0, |_| ()),
-    ("ejected", 1000.0, |f| {
-        ends(
-            f,
+    ("ejected", 1000.0, |scheduler| {
+        end_attempt(
+            scheduler,
             "a",
             AttemptReport {
                 elapsed: 100.0,
@@ -197,18 +202,20 @@
             },
         )
     }),
-    ("health-checked", 1100.0, |f| {
-        f.on_health_check_ended(&target("t"), AttemptOutcome::ConnectFailed)
+    ("health-checked", 1100.0, |scheduler| {
+        scheduler
+            .on_health_check_ended(&target("t"), AttemptOutcome::ConnectFailed)
             .expect("is listed")
     }),
-    ("released", 2600.0, |f| {
-        f.on_health_check_ended(&target("t"), AttemptOutcome::Delivered)
+    ("released", 2600.0, |scheduler| {
+        scheduler
+            .on_health_check_ended(&target("t"), AttemptOutcome::Delivered)
             .expect("is listed")
     }),
     ("warming-up", 4500.0, |_| ()),
-    ("reset", 4600.0, |f| {
-        ends(
-            f,
+    ("reset", 4600.0, |scheduler| {
+        end_attempt(
+            scheduler,
             "a",
             AttemptReport {
                 elapsed: 100.0,
@@ -216,37 +223,39 @@
             },
         )
     }),
-    ("completed", 9000.0, |f| {
-        f.on_completion_acknowledged(&event("a"))
+    ("completed", 9000.0, |scheduler| {
+        scheduler.on_completion_acknowledged(&event("a"))
     }),
-    ("accepted-again", 9100.0, |f| {
-        accept(f, "b", TrafficTypeId(0));
-        f.restore_attempts(&event("b"), 0, None, false);
+    ("accepted-again", 9100.0, |scheduler| {
+        accept(scheduler, "b", TrafficTypeId(0));
+        scheduler.restore_attempts(&event("b"), 0, None, false);
     }),
-    ("charged", 9200.0, |f| {
-        f.charge_member(&event("b"), 0, false)
+    ("charged", 9200.0, |scheduler| {
+        scheduler.charge_member(&event("b"), 0, false)
     }),
-    ("over-quota", 9300.0, |f| {
-        (0..8).for_each(|_| f.charge_member(&event("b"), 0, false))
+    ("over-quota", 9300.0, |scheduler| {
+        for _ in 0..8 {
+            scheduler.charge_member(&event("b"), 0, false);
+        }
     }),
-    (UNPINNED, 13_000.0, |f| {
-        f.withdraw_event(&event("b"));
-        ends(
-            f,
+    (UNPINNED, 13_000.0, |scheduler| {
+        scheduler.withdraw_event(&event("b"));
+        end_attempt(
+            scheduler,
             "b",
             AttemptReport {
                 elapsed: 3500.0,
                 ..AttemptReport::from_outcome(AttemptOutcome::Cancelled)
             },
         );
-        f.accept_event(
+        scheduler.accept_event(
             event("d"),
             DestinationId(7),
             TrafficTypeId(0),
             33_000.0,
             None,
         );
-        f.accept_event(
+        scheduler.accept_event(
             event("e"),
             DestinationId(7),
             TrafficTypeId(0),
@@ -254,9 +263,9 @@
             None,
         );
     }),
-    ("half-delivered", 13_100.0, |f| {
-        ends(
-            f,
+    ("half-delivered", 13_100.0, |scheduler| {
+        end_attempt(
+            scheduler,
             "d",
             AttemptReport {
                 elapsed: 100.0,
@@ -264,9 +273,9 @@
             },
         )
     }),
-    ("delivered", 13_250.0, |f| {
-        ends(
-            f,
+    ("delivered", 13_250.0, |scheduler| {
+        end_attempt(
+            scheduler,
             "e",
             AttemptReport {
                 elapsed: 200.0,
@@ -275,8 +284,8 @@
         )
     }),
     ("cooled-down", 30_000.0, |_| ()),
-    ("accepted-non-idempotent", 40_000.0, |f| {
-        f.accept_event(
+    ("accepted-non-idempotent", 40_000.0, |scheduler| {
+        scheduler.accept_event(
             event("c"),
             DestinationId(7),
             TrafficTypeId(2),
@@ -284,19 +293,19 @@
             Some(OrderKey(6)),
         );
     }),
-    ("rejected-by-target", 40_100.0, |f| {
+    ("rejected-by-target", 40_100.0, |scheduler| {
         let report = AttemptReport {
             elapsed: 10.0,
             retry_after: 3000.0,
             limit_remaining: Some(0.75),
             ..AttemptReport::from_outcome(AttemptOutcome::Rejected)
         };
-        ends(f, "c", report);
+        end_attempt(scheduler, "c", report);
     }),
     ("paced", 44_000.0, |_| ()),
-    ("idle-connection", 44_100.0, |f| {
-        ends(
-            f,
+    ("idle-connection", 44_100.0, |scheduler| {
+        end_attempt(
+            scheduler,
             "c",
             AttemptReport {
                 elapsed: 90.0,
@@ -304,31 +313,31 @@
             },
         )
     }),
-    ("draining", 44_200.0, |f| {
-        f.set_endpoint_state(&target("t"), EndpointState::Draining)
+    ("draining", 44_200.0, |scheduler| {
+        scheduler.set_endpoint_state(&target("t"), EndpointState::Draining)
     }),
-    ("shutdown", 44_300.0, |f| {
-        f.defer_for_remote_attempt(&event("c"), 50_000.0);
-        f.merge_remote_attempts(&event("c"), 2, Some((39_000.0, ZoneId(1))));
-        f.begin_shutdown(60_000.0);
+    ("shutdown", 44_300.0, |scheduler| {
+        scheduler.defer_for_remote_attempt(&event("c"), 50_000.0);
+        scheduler.merge_remote_attempts(&event("c"), 2, Some((39_000.0, ZoneId(1))));
+        scheduler.begin_shutdown(60_000.0);
     }),
-    ("acknowledged", 58_000.0, |f| {
-        f.on_completion_acknowledged(&event("c"));
-        f.set_endpoint_state(&target("t"), EndpointState::Running);
+    ("acknowledged", 58_000.0, |scheduler| {
+        scheduler.on_completion_acknowledged(&event("c"));
+        scheduler.set_endpoint_state(&target("t"), EndpointState::Running);
     }),
-    ("too-late-to-send", 59_000.0, |f| {
-        f.accept_event(
+    ("too-late-to-send", 59_000.0, |scheduler| {
+        scheduler.accept_event(
             event("f"),
             DestinationId(7),
             TrafficTypeId(0),
             90_000.0,
             None,
         );
-        f.restore_attempts(&event("f"), 0, None, false);
+        scheduler.restore_attempts(&event("f"), 0, None, false);
     }),
-    ("without-targets", 59_900.0, |f| {
-        f.withdraw_event(&event("f"));
-        f.set_endpoint_state(&target("t"), EndpointState::Removed);
+    ("without-targets", 59_900.0, |scheduler| {
+        scheduler.withdraw_event(&event("f"));
+        scheduler.set_endpoint_state(&target("t"), EndpointState::Removed);
     }),
 ];
 
@@ -350,28 +359,28 @@
     fn wake_after(&mut self, _: Ms) {}
 }
 
-fn play(forwarder: &mut Scheduler, (_, now, came_in): Step) {
-    let hand_over = |forwarder: &mut Scheduler, _: &mut Notified| {
-        came_in(forwarder);
+fn play(scheduler: &mut Scheduler, (_, now, inputs): Step) {
+    let apply_inputs = |scheduler: &mut Scheduler, _: &mut Notified| {
+        inputs(scheduler);
         Ok::<(), UnknownId>(())
     };
-    forwarder
-        .run_iteration(now, hand_over, &mut Notified)
+    scheduler
+        .run_iteration(now, apply_inputs, &mut Notified)
         .expect("the story names only what it introduced");
 }
 
-fn state(forwarder: &Scheduler) -> String {
-    to_hex(&rmp_serde::to_vec(forwarder).expect("encodes"))
+fn state(scheduler: &Scheduler) -> String {
+    to_hex(&rmp_serde::to_vec(scheduler).expect("encodes"))
 }
 
 #[rstest]
 fn the_state_has_the_pinned_form_at_each_step_of_a_story() {
-    let mut forwarder = Scheduler::new(terms(), 50.0);
+    let mut scheduler = Scheduler::new(config(), 50.0);
     for step in STORY {
-        play(&mut forwarder, step);
+        play(&mut scheduler, step);
         if step.0 != UNPINNED {
             assert_eq!(
-                state(&forwarder),
+                state(&scheduler),
                 expected(STATES, step.0),
                 "the state when {}",
                 step.0
@@ -391,18 +400,18 @@
         let pinned = expected(STATES, step.0);
         let decoded: Scheduler =
             rmp_serde::from_slice(&from_hex(&pinned)).expect("the fixture decodes");
-        let mut forwarder = decoded.resume(terms());
+        let mut scheduler = decoded.resume(config());
         assert_eq!(
-            state(&forwarder),
+            state(&scheduler),
             pinned,
             "the state when {}, decoded",
             step.0
         );
         for next in &STORY[at + 1..] {
-            play(&mut forwarder, *next);
+            play(&mut scheduler, *next);
             if next.0 != UNPINNED {
                 assert_eq!(
-                    state(&forwarder),
+                    state(&scheduler),
                     expected(STATES, next.0),
                     "from {} to {}",
                     step.0,
