--- a/decisions/src/interface.rs
+++ b/decisions/src/interface.rs
@@ -1,9 +1,9 @@
-//! The names that a host and the decision module share: ids, the configuration, the report of an attempt, and
-//! the effects that a host carries out. Nothing is decided here and no value is tuned.
+//! The names that a host and the decision module share: ids, the configuration, the report of an
+//! attempt, and the effects that a host carries out. Nothing is decided here and no value is tuned.
 //!
-//! Ids, [`EndpointState`], [`AttemptOutcome`] and [`AttemptReport`] also travel between two processes in a hot
-//! restart: structs as arrays of their fields, enum variants by name. Where the name of a variant is not its
-//! serialized one, `serde(rename)` keeps that.
+//! Ids, [`EndpointState`], [`AttemptOutcome`] and [`AttemptReport`] also travel between two
+//! processes in a hot restart: structs as arrays of their fields, enum variants by name. Where the
+//! name of a variant is not its serialized one, `serde(rename)` keeps that.
 
 use std::rc::Rc;
 
@@ -90,13 +90,15 @@
 /// What the destinations of one kind have in common.
 #[derive(Clone, Debug)]
 pub struct DestinationKind {
-    /// Each target has its own limit, health and retry-after. Otherwise a destination's targets share them.
+    /// Each target has its own limit, health and retry-after. Otherwise a destination's targets
+    /// share them.
     pub independent_routes: bool,
     /// The upper bound of events in one call.
     pub max_events_per_call: usize,
 }
 
-/// The backoff before an event's first retry, by the outcome of its attempt. It doubles with the attempts.
+/// The backoff before an event's first retry, by the outcome of its attempt. It doubles with the
+/// attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBackoff {
     /// Milliseconds after a failure.
@@ -112,10 +114,12 @@
 pub struct Tuning {
     /// The backoff before a retry.
     pub retry_backoff: RetryBackoff,
-    /// Calls are paced after rejections and while a lane is warming up. Off where targets queue and reject for
-    /// themselves and a rejection costs nothing: only a retry-after holds a lane back then.
+    /// Calls are paced after rejections and while a lane is warming up. Off where targets queue and
+    /// reject for themselves and a rejection costs nothing: only a retry-after holds a lane back
+    /// then.
     pub paces_calls: bool,
-    /// An offline lane is released by a health check alone, not by the answer to a call that was in flight.
+    /// An offline lane is released by a health check alone, not by the answer to a call that was in
+    /// flight.
     pub release_on_health_check_only: bool,
 }
 
@@ -142,7 +146,8 @@
     pub health_checks_allowed: bool,
     /// The retry-after in milliseconds that rejected clients are given; none is given without it.
     pub max_retry_after: Option<Ms>,
-    /// Events a second that each member may ask of all forwarders together. Empty where there are no members.
+    /// Events a second that each member may ask of all forwarders together. Empty where there are
+    /// no members.
     pub member_quotas: Vec<f64>,
     /// The value of an event beyond its member's quota, as a share of the usual value.
     pub over_quota_value_weight: f64,
@@ -221,7 +226,8 @@
     pub event_complete: bool,
     /// Milliseconds to wait as the answer asked; 0 if it asked for none.
     pub retry_after: Ms,
-    /// The share of its limit that the target reports as left, from 0 to 1. Any other number reports nothing.
+    /// The share of its limit that the target reports as left, from 0 to 1. Any other number
+    /// reports nothing.
     pub limit_remaining: Option<f64>,
 }
 
@@ -238,7 +244,8 @@
     }
 }
 
-/// The host named an event, attempt or target that the scheduler does not know; the text says which.
+/// The host named an event, attempt or target that the scheduler does not know; the text says
+/// which.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownId(pub &'static str);
 
@@ -247,8 +254,8 @@
 
 /// Carries out the decisions of one iteration, in the order in which they are made.
 pub trait Effects {
-    /// The position, among the targets that take the event now, of the one that is to have it. None leaves the
-    /// choice to the scheduler.
+    /// The position, among the targets that take the event now, of the one that is to have it. None
+    /// leaves the choice to the scheduler.
     fn select_target(
         &mut self,
         _event: &EventId,
@@ -257,15 +264,16 @@
         None
     }
 
-    /// Sends an attempt of the event, which is given `timeout` milliseconds for its answer. Attempts in a row to one
-    /// target are one call, up to the kind's bound of events in a call.
+    /// Sends an attempt of the event, which is given `timeout` milliseconds for its answer.
+    /// Attempts in a row to one target are one call, up to the kind's bound of events in a call.
     ///
-    /// The attempt's last byte has to have left by the time `leaves_by`, or none of it may leave: it ends as not
-    /// sent then. Infinite where nothing bounds it.
+    /// The attempt's last byte has to have left by the time `leaves_by`, or none of it may leave:
+    /// it ends as not sent then. Infinite where nothing bounds it.
     fn send_attempt(&mut self, event: &EventId, target: &TargetId, timeout: Ms, leaves_by: Ms);
 
-    /// Completes an event whose repeat by the client does no harm; the client may come back after so many
-    /// milliseconds. True if the completion goes as a notification, whose acknowledgement follows by
+    /// Completes an event whose repeat by the client does no harm; the client may come back after
+    /// so many milliseconds. True if the completion goes as a notification, whose acknowledgement
+    /// follows by
     /// [`on_completion_acknowledged`](crate::scheduler::Scheduler::on_completion_acknowledged).
     fn reject(&mut self, event: &EventId, retry_after: Option<Ms>) -> bool;
 
@@ -282,8 +290,9 @@
     /// Cancels the calls to the target of which nothing is written yet: they end as not sent.
     fn cancel_unsent(&mut self, target: &TargetId);
 
-    /// Records that the target's lane is warming up since the time `since`, and that `usual_rate` calls a second usually
-    /// go there, for [`restore_warm_up`](crate::scheduler::Scheduler::restore_warm_up) after a restart.
+    /// Records that the target's lane is warming up since the time `since`, and that `usual_rate`
+    /// calls a second usually go there, for
+    /// [`restore_warm_up`](crate::scheduler::Scheduler::restore_warm_up) after a restart.
     fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual_rate: f64);
 
     /// Asks for an iteration after so many milliseconds at the latest.
--- a/decisions/src/scheduler.rs
+++ b/decisions/src/scheduler.rs
@@ -1,9 +1,10 @@
-//! Every decision on when and where an event is sent, and when it is given up. Nothing here does any I/O.
+//! Every decision on when and where an event is sent, and when it is given up. Nothing here does
+//! any I/O.
 //!
-//! A host owns one [`Scheduler`] and calls [`Scheduler::run_iteration`] once in each iteration of its event loop:
-//! first everything that came in since is handed over, then the decisions go straight into the host's
-//! [`Effects`]. A host is the forwarder on sockets, the simulator's adapter, the emulator, or the dispatcher of
-//! the serving tier.
+//! A host owns one [`Scheduler`] and calls [`Scheduler::run_iteration`] once in each iteration of
+//! its event loop: first everything that came in since is handed over, then the decisions go
+//! straight into the host's [`Effects`]. A host is the forwarder on sockets, the simulator's
+//! adapter, the emulator, or the dispatcher of the serving tier.
 //!
 //! The modules are the steps on an event's way:
 //!
@@ -24,8 +25,9 @@
 //! | `load_shedding` | which events make way when the event store fills |
 //! | `recovery` | what an earlier process or another forwarder did for an event |
 //!
-//! An iteration looks only at destinations that something came in for or is due at. Each destination stands in
-//! three ordered sets (when something is due, whose turn it is, how much waits); see `docs/design.md`.
+//! An iteration looks only at destinations that something came in for or is due at. Each
+//! destination stands in three ordered sets (when something is due, whose turn it is, how much
+//! waits); see `docs/design.md`.
 
 mod admission;
 mod attempt_outcomes;
@@ -87,14 +89,15 @@
     next_wake_up: OrderedFloat,
     /// No call is sent from then on: the process ends.
     last_send_at: OrderedFloat,
-    /// Complete events that are kept only until their completion is acknowledged. Counted anew from the state
-    /// that is handed over, which an earlier version may have written.
+    /// Complete events that are kept only until their completion is acknowledged. Counted anew from
+    /// the state that is handed over, which an earlier version may have written.
     #[serde(skip)]
     unacknowledged_events: usize,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no target and no event yet. `now` is on the host's clock, as in all that follows.
+    /// A scheduler that knows no target and no event yet. `now` is on the host's clock, as in all
+    /// that follows.
     pub fn new(config: DecisionConfig, now: Ms) -> Self {
         let scheduler = Scheduler {
             context: Context::new(now),
@@ -103,8 +106,8 @@
         scheduler.resume(config)
     }
 
-    /// Goes on in another process. `config` has to name the same traffic types, kinds, zones and members in the
-    /// same positions as that of the process before.
+    /// Goes on in another process. `config` has to name the same traffic types, kinds, zones and
+    /// members in the same positions as that of the process before.
     pub fn resume(mut self, config: DecisionConfig) -> Self {
         self.context.set_config(config);
         let events = self
@@ -115,8 +118,9 @@
         self
     }
 
-    /// One iteration of the host's event loop at the time `now`: `apply_inputs` hands over everything that came
-    /// in, then the decisions are written to `effects`, in the order in which they are to be carried out.
+    /// One iteration of the host's event loop at the time `now`: `apply_inputs` hands over
+    /// everything that came in, then the decisions are written to `effects`, in the order in which
+    /// they are to be carried out.
     ///
     /// # Errors
     ///
--- a/decisions/src/scheduler/attempt_outcomes.rs
+++ b/decisions/src/scheduler/attempt_outcomes.rs
@@ -32,7 +32,8 @@
 }
 
 impl Scheduler {
-    /// An attempt of the event has ended. Where a call carries several events, each has its own report.
+    /// An attempt of the event has ended. Where a call carries several events, each has its own
+    /// report.
     ///
     /// # Errors
     ///
@@ -88,7 +89,8 @@
         })
     }
 
-    /// What the report says of the target and its lane. The first report of a call counts for the whole call.
+    /// What the report says of the target and its lane. The first report of a call counts for the
+    /// whole call.
     fn assess_attempt(&mut self, attempt: &EndedAttempt, report: AttemptReport) {
         let destination = self.destinations.get_mut(&attempt.destination);
         let destination = destination.expect("an event has a destination");
@@ -136,8 +138,8 @@
 }
 
 impl Destination {
-    /// No call goes to the lane before the end of the retry-after. Every event of a call may be given one of its
-    /// own.
+    /// No call goes to the lane before the end of the retry-after. Every event of a call may be
+    /// given one of its own.
     fn heed_retry_after(&mut self, context: &Context, lane_index: usize, retry_after: Ms) {
         let lane = &mut self.lanes[lane_index];
         lane.retry_after_ends = lane.retry_after_ends.max(context.now + retry_after);
@@ -148,7 +150,8 @@
 }
 
 impl Context {
-    /// Sets the end of the backoff before the event's retry: it doubles with the attempts, and is jittered.
+    /// Sets the end of the backoff before the event's retry: it doubles with the attempts, and is
+    /// jittered.
     fn back_off(&mut self, number: EventNumber, event: &mut PendingEvent, outcome: AttemptOutcome) {
         let initial = self.config.tuning.retry_backoff.initial(outcome);
         let doublings = event.attempts.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1;
--- a/decisions/src/scheduler/call_assessment.rs
+++ b/decisions/src/scheduler/call_assessment.rs
@@ -1,5 +1,5 @@
-//! The end of a call, and what it means for its target and its lane: once for a call, however many events it
-//! carried.
+//! The end of a call, and what it means for its target and its lane: once for a call, however many
+//! events it carried.
 
 use super::context::{jitter, Context, Draw};
 use super::tuning::{
@@ -9,8 +9,8 @@
 use crate::interface::{AttemptOutcome, AttemptReport, Ms, TargetId};
 use crate::state::{Destination, Pace, TargetLane};
 
-/// How strongly the spread after a rejection grows with the square of the rejected share; 4, 10 and 20 times
-/// the share served worse.
+/// How strongly the spread after a rejection grows with the square of the rejected share; 4, 10 and
+/// 20 times the share served worse.
 const REJECTED_SHARE_FACTOR: f64 = 15.0;
 
 /// The spread doubles with each of so many rejections in a row.
@@ -19,8 +19,8 @@
 /// No spread is longer than the time in which so many calls usually go to the lane.
 const MAX_SPREAD_CALLS: f64 = 8.0;
 
-/// A rejection takes a tenth from the recent rate: half and twice as much move the loss from lateness to
-/// rejections.
+/// A rejection takes a tenth from the recent rate: half and twice as much move the loss from
+/// lateness to rejections.
 const PACE_AFTER_REJECTION: f64 = 0.9;
 
 /// A rejection sets no pace below this, in calls a second.
@@ -35,7 +35,8 @@
 
 /// What an assessment reads before it changes the lane.
 struct LaneBeforeCall {
-    /// Milliseconds between two calls to a lane that has to warm up after a long retry-after; else 0.
+    /// Milliseconds between two calls to a lane that has to warm up after a long retry-after; else
+    /// 0.
     warm_up_spacing: Ms,
     /// Until the trial call of a lane that goes offline; 0 where health checks are allowed.
     trial_delay: Ms,
@@ -69,7 +70,8 @@
                 self.on_rejected(context, lane_index, sent_at, &report, &before);
             }
             AttemptOutcome::TimedOut if report.elapsed < context.min_call_timeout() => {
-                // Cut short by the deadline: the target had no time to answer, which says nothing of its health.
+                // Cut short by the deadline: the target had no time to answer, which says nothing
+                // of its health.
             }
             AttemptOutcome::Error
             | AttemptOutcome::TimedOut
@@ -101,7 +103,8 @@
     fn on_lane_answered(&mut self, context: &mut Context, lane_index: usize) {
         let now = context.now;
         let lane = &mut self.lanes[lane_index];
-        // A connection refused, and an answer soon after: no outage, the targets take no more connections.
+        // A connection refused, and an answer soon after: no outage, the targets take no more
+        // connections.
         let connect_failed_at = lane.connect_failed_at.take();
         let is_out_of_connections =
             connect_failed_at.is_some_and(|at| now - at < 3.0 * HEALTH_CHECK_INTERVAL);
@@ -134,7 +137,8 @@
         statistics
             .delivered
             .add(now, CONNECTION_EVIDENCE_WINDOW, 1.0);
-        // The lane is under its limit, as far as responses tell; `warm_up_budget` bounds the sum over the fleet.
+        // The lane is under its limit, as far as responses tell; `warm_up_budget` bounds the sum
+        // over the fleet.
         lane.warm_up_multiplier =
             if elapsed < TIMELY_RESPONSE_FACTOR * lane.usual_response_time(context) {
                 (lane.warm_up_multiplier.max(1.0) * WARM_UP_MULTIPLIER_GROWTH)
@@ -161,7 +165,8 @@
             .limit_remaining
             .filter(|share| (0.0..=1.0).contains(share));
         self.lanes[lane_index].warm_up_multiplier = 1.0;
-        // Where rejected calls use up the limit, nearly all report it used up; 3 in 10 do elsewhere.
+        // Where rejected calls use up the limit, nearly all report it used up; 3 in 10 do
+        // elsewhere.
         let is_limit_used_up = limit_remaining.is_none_or(|share| share < 0.2);
         let weight = if is_limit_used_up { 2.0 } else { 0.2 };
         let statistics = &mut context.kind_statistics[self.kind.0];
@@ -197,11 +202,11 @@
         self.lanes[lane_index].backoff_ends = now + retry_after + spread * before.random;
     }
 
-    /// The time over which calls that were rejected are spread, as all that were rejected together, or were
-    /// given the same retry-after, must not come back together.
+    /// The time over which calls that were rejected are spread, as all that were rejected together,
+    /// or were given the same retry-after, must not come back together.
     ///
-    /// The spread grows with the share of the kind's calls that are rejected, as these may use up the limit, and
-    /// shrinks with the rate.
+    /// The spread grows with the share of the kind's calls that are rejected, as these may use up
+    /// the limit, and shrinks with the rate.
     fn rejection_spread(&self, context: &Context, lane_index: usize, recent_rate: f64) -> Ms {
         let now = context.now;
         let statistics = &context.kind_statistics[self.kind.0];
@@ -238,7 +243,8 @@
             .expect("a target is kept while it is called");
         target.eject(now, report.outcome, jitter(before.random));
         lane.connect_failed_at = if is_connect_failure { Some(now) } else { None };
-        // One connection refused where nothing had failed is a sign of the crowd, not of the destination.
+        // One connection refused where nothing had failed is a sign of the crowd, not of the
+        // destination.
         if is_connect_failure && is_crowded && lane.consecutive_failures == 0 {
             let statistics = &mut context.kind_statistics[self.kind.0];
             statistics
@@ -253,8 +259,8 @@
         if !(is_connection_at_fault && was_delivered_lately) {
             lane.consecutive_failures += 1;
         }
-        // A slow lane gets more time. Where others were answered since, the response was lost: more time for
-        // that would only pin calls in flight.
+        // A slow lane gets more time. Where others were answered since, the response was lost: more
+        // time for that would only pin calls in flight.
         if report.outcome == AttemptOutcome::TimedOut && lane.answered_at < sent_at {
             lane.response_times
                 .add(now, RESPONSE_TIME_WINDOW, report.elapsed);
@@ -264,9 +270,9 @@
 }
 
 impl TargetLane {
-    /// Rejected again with much of the reported limit left, and nothing delivered in between: the destination may
-    /// be closed, and has to warm up then. That guards against whatever rejects all; it does harm where a tight
-    /// limit looks the same for long.
+    /// Rejected again with much of the reported limit left, and nothing delivered in between: the
+    /// destination may be closed, and has to warm up then. That guards against whatever rejects
+    /// all; it does harm where a tight limit looks the same for long.
     fn suspect_closure(&mut self, context: &Context, limit_remaining: Option<f64>) {
         let is_much_left = limit_remaining.is_none_or(|share| share >= 0.5);
         self.unexplained_rejections = if is_much_left {
@@ -283,8 +289,8 @@
         }
     }
 
-    /// The calls a second that went to the lane in the last moments. A burst is rejected within less, so that
-    /// what left at once tells more, if it is much.
+    /// The calls a second that went to the lane in the last moments. A burst is rejected within
+    /// less, so that what left at once tells more, if it is much.
     fn recent_rate(&self, now: Ms) -> f64 {
         let recent =
             self.recent_calls.value(now, RECENT_CALLS_WINDOW) * 1000.0 / RECENT_CALLS_WINDOW;
--- a/decisions/src/scheduler/completion.rs
+++ b/decisions/src/scheduler/completion.rs
@@ -5,9 +5,9 @@
 use crate::state::{EventLocation, EventNumber, PendingEvent};
 
 impl Scheduler {
-    /// The queued events of a destination that are to be completed now: those without hope, and those over
-    /// their member's quota while more than a third of the event store is filled. The latter take no capacity
-    /// that others need.
+    /// The queued events of a destination that are to be completed now: those without hope, and
+    /// those over their member's quota while more than a third of the event store is filled. The
+    /// latter take no capacity that others need.
     pub(super) fn events_to_complete(&self, id: DestinationId) -> Vec<EventNumber> {
         let context = &self.context;
         let is_capacity_scarce = 3 * self.stored_event_count() > context.config.event_capacity;
@@ -23,8 +23,8 @@
             .collect()
     }
 
-    /// Completes a queued event without a delivery: rejected where a further attempt by the client does no
-    /// harm, abandoned where it might.
+    /// Completes a queued event without a delivery: rejected where a further attempt by the client
+    /// does no harm, abandoned where it might.
     pub(super) fn complete(
         &mut self,
         id: DestinationId,
@@ -53,8 +53,8 @@
         self.forget_if_finished(id, number);
     }
 
-    /// The client acknowledged the notification of the event's completion. Only now may the next event of its
-    /// order key go.
+    /// The client acknowledged the notification of the event's completion. Only now may the next
+    /// event of its order key go.
     pub fn on_completion_acknowledged(&mut self, id: &EventId) {
         self.update_event(id, |event| event.awaits_acknowledgement = false);
     }
@@ -78,7 +78,8 @@
         self.forget_if_finished(destination_id, number);
     }
 
-    /// Forgets an event of which nothing more is expected, and lets the next one of its order key go.
+    /// Forgets an event of which nothing more is expected, and lets the next one of its order key
+    /// go.
     pub(super) fn forget_if_finished(&mut self, id: DestinationId, number: EventNumber) {
         let destination = self
             .destinations
--- a/decisions/src/scheduler/context.rs
+++ b/decisions/src/scheduler/context.rs
@@ -1,5 +1,5 @@
-//! What the decisions about one destination read besides it: the configuration, the time, the random source
-//! and what all destinations together have shown.
+//! What the decisions about one destination read besides it: the configuration, the time, the
+//! random source and what all destinations together have shown.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -10,8 +10,8 @@
 use crate::interface::{DecisionConfig, Ms};
 use crate::state::{DecayingSum, EventNumber, KindStatistics, ResponseTimes};
 
-/// Owned by the scheduler and handed to each destination's decisions. The order of the fields is the form of a
-/// hot restart.
+/// Owned by the scheduler and handed to each destination's decisions. The order of the fields is
+/// the form of a hot restart.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct Context {
     #[serde(skip)]
@@ -78,8 +78,8 @@
         self.config = config;
     }
 
-    /// A random number from 0 to 1. The same inputs draw the same numbers: the hash of the seed, the instance,
-    /// the purpose and the count of draws.
+    /// A random number from 0 to 1. The same inputs draw the same numbers: the hash of the seed,
+    /// the instance, the purpose and the count of draws.
     pub(super) fn draw(&mut self, draw: Draw) -> f64 {
         self.draws += 1;
         let mut hasher = DefaultHasher::new();
@@ -93,7 +93,8 @@
         (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The time that a response takes at all destinations. A second, until anything has been answered.
+    /// The time that a response takes at all destinations. A second, until anything has been
+    /// answered.
     pub(super) fn common_response_time(&self) -> Ms {
         let total_time = self
             .response_times
@@ -103,8 +104,8 @@
     }
 }
 
-/// A factor of a quarter either way, so that attempts that failed together do not come again together.
-/// `random` is from 0 to 1.
+/// A factor of a quarter either way, so that attempts that failed together do not come again
+/// together. `random` is from 0 to 1.
 pub(super) fn jitter(random: f64) -> f64 {
     0.75 + 0.5 * random
 }
--- a/decisions/src/scheduler/deadlines.rs
+++ b/decisions/src/scheduler/deadlines.rs
@@ -1,5 +1,5 @@
-//! Until when an event may be attempted: its deadline, its number of attempts, and the time for which its target
-//! recognizes a repeat.
+//! Until when an event may be attempted: its deadline, its number of attempts, and the time for
+//! which its target recognizes a repeat.
 
 use super::context::Context;
 use crate::interface::{Idempotency, Ms};
@@ -9,8 +9,8 @@
 const DEADLINE_MARGIN: Ms = 30.0;
 
 impl Context {
-    /// When the event may no longer be attempted because it may have run, or has had all its attempts. In the
-    /// past if that is so already.
+    /// When the event may no longer be attempted because it may have run, or has had all its
+    /// attempts. In the past if that is so already.
     pub(super) fn retries_end(&self, event: &PendingEvent) -> Ms {
         if event.attempts >= self.config.max_attempts {
             return f64::NEG_INFINITY;
@@ -22,8 +22,8 @@
         self.deduplication_ends(event)
     }
 
-    /// When the destination forgets the fingerprint of an event that may have run. Infinite for every other
-    /// event. A repeat after that could run a second time.
+    /// When the destination forgets the fingerprint of an event that may have run. Infinite for
+    /// every other event. A repeat after that could run a second time.
     pub(super) fn deduplication_ends(&self, event: &PendingEvent) -> Ms {
         match (event.may_have_run, self.idempotency(event)) {
             (Some(execution), Idempotency::Deduplicated { window, .. }) => {
@@ -39,7 +39,8 @@
             .min(event.deadline - DEADLINE_MARGIN)
     }
 
-    /// Whether a queued event is to be completed now: no further attempt is possible, or its deadline is near.
+    /// Whether a queued event is to be completed now: no further attempt is possible, or its
+    /// deadline is near.
     pub(super) fn is_hopeless(&self, event: &PendingEvent) -> bool {
         let next_attempt_at = self.now.max(event.not_before);
         next_attempt_at >= self.retries_end(event) || self.now >= event.deadline - DEADLINE_MARGIN
--- a/decisions/src/scheduler/dispatch.rs
+++ b/decisions/src/scheduler/dispatch.rs
@@ -12,7 +12,8 @@
     CallNumber, Destination, EventNumber, InFlightCall, LaneTarget, OrderedFloat, TargetLane,
 };
 
-/// The weight of each further event of a call, against the call's first: the wire says only that it is a little.
+/// The weight of each further event of a call, against the call's first: the wire says only that it
+/// is a little.
 const EXTRA_EVENT_WEIGHT: f64 = 0.25;
 
 /// A call is given this multiple of a usual response time: few responses take longer.
@@ -22,8 +23,8 @@
 const MAX_CALL_TIMEOUT: Ms = 8000.0;
 
 impl Scheduler {
-    /// The process ends at the time `ends`. A call in flight then may have run, so that none is sent in the last
-    /// moments.
+    /// The process ends at the time `ends`. A call in flight then may have run, so that none is
+    /// sent in the last moments.
     pub fn begin_shutdown(&mut self, ends: Ms) {
         self.last_send_at = OrderedFloat(ends - MAX_MIN_CALL_TIMEOUT);
     }
@@ -146,9 +147,10 @@
 }
 
 impl Context {
-    /// The shortest time that a call is given. Where calls are over in 20 ms, a call without a response must not
-    /// stay in flight for seconds. Of the responses that came, one in three hundred took over eight times the
-    /// common one; with 15, peers that fell silent at every thirtieth call took half of the calls in flight.
+    /// The shortest time that a call is given. Where calls are over in 20 ms, a call without a
+    /// response must not stay in flight for seconds. Of the responses that came, one in three
+    /// hundred took over eight times the common one; with 15, peers that fell silent at every
+    /// thirtieth call took half of the calls in flight.
     pub(super) fn min_call_timeout(&self) -> Ms {
         (8.0 * self.common_response_time()).min(MAX_MIN_CALL_TIMEOUT)
     }
--- a/decisions/src/scheduler/endpoints.rs
+++ b/decisions/src/scheduler/endpoints.rs
@@ -33,8 +33,9 @@
         self.changed.insert(destination_id);
     }
 
-    /// The endpoint list names a target. A target that is known already keeps its health; a new one shares the
-    /// lane of the others, or has a lane of its own where the kind's routes are independent.
+    /// The endpoint list names a target. A target that is known already keeps its health; a new one
+    /// shares the lane of the others, or has a lane of its own where the kind's routes are
+    /// independent.
     ///
     /// # Panics
     ///
@@ -67,14 +68,15 @@
         lane.targets.push(Target::new(id, zone, state));
     }
 
-    /// The endpoint list says how many calls a second the destination takes from all forwarders together.
+    /// The endpoint list says how many calls a second the destination takes from all forwarders
+    /// together.
     pub fn set_advertised_rate(&mut self, destination: DestinationId, calls_per_second: f64) {
         let destination = self.destinations.entry(destination).or_default();
         destination.advertised_rate = calls_per_second.max(0.0);
     }
 
-    /// The target was restarted and serves again: its failures before that say nothing, and what is new to it
-    /// has to warm up.
+    /// The target was restarted and serves again: its failures before that say nothing, and what is
+    /// new to it has to warm up.
     pub fn on_target_restarted(&mut self, id: &TargetId) {
         let Some(destination_id) = self.destination_of_target.get(id) else {
             return;
@@ -96,8 +98,8 @@
 }
 
 impl Destination {
-    /// Forgets removed targets with their last call, health check, retry-after and warm-up: a target that comes
-    /// back under its id before that is still waited for.
+    /// Forgets removed targets with their last call, health check, retry-after and warm-up: a
+    /// target that comes back under its id before that is still waited for.
     pub(super) fn forget_removed_targets(
         &mut self,
         context: &Context,
--- a/decisions/src/scheduler/fair_queueing.rs
+++ b/decisions/src/scheduler/fair_queueing.rs
@@ -1,8 +1,9 @@
-//! Fair queueing: which destination has the next turn, and which of its events can go to which targets.
+//! Fair queueing: which destination has the next turn, and which of its events can go to which
+//! targets.
 //!
-//! Each destination stands in three ordered sets of the scheduler: `due` by when something is due, `ready` by
-//! whose turn it is, `backlogs` by how much waits. The destination keeps the entries it has there, so that they
-//! are found again when it is filed anew.
+//! Each destination stands in three ordered sets of the scheduler: `due` by when something is due,
+//! `ready` by whose turn it is, `backlogs` by how much waits. The destination keeps the entries it
+//! has there, so that they are found again when it is filed anew.
 
 use std::collections::HashMap;
 
@@ -25,12 +26,13 @@
 }
 
 impl Scheduler {
-    /// Sends calls while calls in flight are below their limit, one for each turn of a destination. The
-    /// destination with the fewest calls in flight is next, and of two alike the one whose last call is longer ago.
+    /// Sends calls while calls in flight are below their limit, one for each turn of a destination.
+    /// The destination with the fewest calls in flight is next, and of two alike the one whose last
+    /// call is longer ago.
     ///
-    /// Destinations in doubt come last and have half of the limit at most, so that the other half is kept for
-    /// destinations that answer. That guards against all that pins calls; where most destinations are slow and
-    /// the limit would have sufficed it does harm.
+    /// Destinations in doubt come last and have half of the limit at most, so that the other half
+    /// is kept for destinations that answer. That guards against all that pins calls; where most
+    /// destinations are slow and the limit would have sufficed it does harm.
     pub(super) fn send_calls(&mut self, effects: &mut impl Effects) {
         let max_calls = self.context.config.max_calls_in_flight;
         while self.calls_in_flight < max_calls && self.context.now < self.last_send_at.0 {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Enters a destination anew in the index, or forgets one that has been unused for a while: memory is
-    /// bounded by what is pending and listed.
+    /// Enters a destination anew in the index, or forgets one that has been unused for a while:
+    /// memory is bounded by what is pending and listed.
     pub(super) fn refile(&mut self, id: DestinationId) {
         self.remove_from_index(id);
         let Some(destination) = self.destinations.get_mut(&id) else {
@@ -96,7 +98,8 @@
         };
     }
 
-    /// When a destination without events and targets is forgotten: its next targets may be on the way.
+    /// When a destination without events and targets is forgotten: its next targets may be on the
+    /// way.
     fn forgotten_at(&self) -> Option<Ms> {
         self.unused_since.map(|since| since + USUAL_TRAFFIC_WINDOW)
     }
@@ -203,8 +206,8 @@
         }
     }
 
-    /// When something other than a call is due: the end of an event, a health check, the closing of an idle
-    /// connection, the end of a deduplication window, or the end of an unused destination.
+    /// When something other than a call is due: the end of an event, a health check, the closing of
+    /// an idle connection, the end of a deduplication window, or the end of an unused destination.
     fn next_review_at(&self, context: &Context) -> Ms {
         let mut next = f64::INFINITY;
         for event in self.events.values() {
--- a/decisions/src/scheduler/health_checks.rs
+++ b/decisions/src/scheduler/health_checks.rs
@@ -1,4 +1,5 @@
-//! Health checks of offline lanes, and the trial calls that stand in for them where they are not allowed.
+//! Health checks of offline lanes, and the trial calls that stand in for them where they are not
+//! allowed.
 
 use super::context::{jitter, Context, Draw};
 use super::tuning::HEALTH_CHECK_INTERVAL;
@@ -28,8 +29,8 @@
             .expect("a target that is mapped to a destination is in it");
         let context = &mut self.context;
         let interval = destination.health_check_interval(context, lane_index);
-        // The fleet learns of a return within one interval: its first calls are spread over the spacing of a
-        // lane that is warming up.
+        // The fleet learns of a return within one interval: its first calls are spread over the
+        // spacing of a lane that is warming up.
         let spacing = destination.call_spacing(context, lane_index);
         let first_call_delay = spacing * context.draw(Draw::FirstCallAfterHealthCheck);
         let now = context.now;
@@ -64,12 +65,12 @@
         }
     }
 
-    /// The time to the lane's next health check: a second, or as the warm-up budget asks, of which half is for
-    /// health checks and half for the calls that an answer lets go.
+    /// The time to the lane's next health check: a second, or as the warm-up budget asks, of which
+    /// half is for health checks and half for the calls that an answer lets go.
     ///
-    /// Each forwarder learns of a return by its own health checks, so that the interval is two thirds of a
-    /// second at most for each root of the fleet's size. Half of that pushed small destinations over; at a tenth
-    /// of the fleet's size a forwarder learned of a return 10 s late.
+    /// Each forwarder learns of a return by its own health checks, so that the interval is two
+    /// thirds of a second at most for each root of the fleet's size. Half of that pushed small
+    /// destinations over; at a tenth of the fleet's size a forwarder learned of a return 10 s late.
     pub(super) fn health_check_interval(&self, context: &mut Context, lane_index: usize) -> Ms {
         let spacing = match self.rate_limit(context, lane_index) {
             Some(calls_per_second) => 2000.0 / calls_per_second,
@@ -82,8 +83,8 @@
 }
 
 impl TargetLane {
-    /// When the lane's next health check is due. Infinite unless the lane is offline with a running target and
-    /// no health check in flight, and events wait for it.
+    /// When the lane's next health check is due. Infinite unless the lane is offline with a running
+    /// target and no health check in flight, and events wait for it.
     pub(super) fn health_check_due_at(&self, context: &Context, has_queued_events: bool) -> Ms {
         let is_wanted = has_queued_events
             && context.config.health_checks_allowed
@@ -97,7 +98,8 @@
         }
     }
 
-    /// When an offline lane takes a trial call: only where health checks are not allowed, and one at a time.
+    /// When an offline lane takes a trial call: only where health checks are not allowed, and one
+    /// at a time.
     pub(super) fn trial_call_at(&self, context: &Context) -> Ms {
         if context.config.health_checks_allowed || self.has_calls_in_flight() {
             f64::INFINITY
--- a/decisions/src/scheduler/idle_connections.rs
+++ b/decisions/src/scheduler/idle_connections.rs
@@ -1,15 +1,16 @@
 //! Idle connections: when they are closed.
 //!
-//! A target, or a box in between, may drop an idle connection without a word, and a call on it is lost. Targets
-//! may also run out of connections that idle forwarders keep open. In both cases idle connections are closed for
-//! a while. A mistake costs the price of new connections.
+//! A target, or a box in between, may drop an idle connection without a word, and a call on it is
+//! lost. Targets may also run out of connections that idle forwarders keep open. In both cases idle
+//! connections are closed for a while. A mistake costs the price of new connections.
 
 use super::context::Context;
 use super::tuning::{CONNECTION_EVIDENCE_WINDOW, IDLE_CONNECTION_GRACE};
 use crate::interface::{AttemptOutcome, DestinationKindId, Ms};
 use crate::state::Destination;
 
-/// The time constant of calls over reused connections: long enough for several calls, short against a fault.
+/// The time constant of calls over reused connections: long enough for several calls, short against
+/// a fault.
 const REUSED_CALLS_WINDOW: Ms = 5_000.0;
 
 /// Idle connections are closed for so long after calls on them were lost.
@@ -35,8 +36,9 @@
         }
     }
 
-    /// Whether idle connections to destinations of the kind are closed now: calls on them were lost, or new
-    /// connections refused. Where forwarders crowd, half a refusal is presumed, up to 100 deliveries.
+    /// Whether idle connections to destinations of the kind are closed now: calls on them were
+    /// lost, or new connections refused. Where forwarders crowd, half a refusal is presumed, up to
+    /// 100 deliveries.
     pub(super) fn closes_idle_connections(
         &self,
         kind: DestinationKindId,
@@ -59,8 +61,8 @@
 }
 
 impl Destination {
-    /// Whether the fleet has more forwarders than twice the calls that the destination's targets serve at once,
-    /// by the advertised rate.
+    /// Whether the fleet has more forwarders than twice the calls that the destination's targets
+    /// serve at once, by the advertised rate.
     pub(super) fn is_crowded(&self, context: &Context) -> bool {
         if self.advertised_rate <= 0.0 {
             return false;
--- a/decisions/src/scheduler/key_order.rs
+++ b/decisions/src/scheduler/key_order.rs
@@ -1,14 +1,16 @@
-//! Order keys: events of one key go one at a time, in the order of acceptance, over all destinations.
+//! Order keys: events of one key go one at a time, in the order of acceptance, over all
+//! destinations.
 //!
-//! The next event of a key goes once the one before is finished. Where an attempt was cut short it may still be
-//! executing at the target; the key then cools down before the next event goes.
+//! The next event of a key goes once the one before is finished. Where an attempt was cut short it
+//! may still be executing at the target; the key then cools down before the next event goes.
 
 use super::Scheduler;
 use crate::interface::{Ms, OrderKey};
 use crate::state::{EventNumber, KeyCooldown, KeyQueue, PendingEvent};
 
 impl Scheduler {
-    /// Holds back the key's next events for as long as an attempt that was cut short may go on executing.
+    /// Holds back the key's next events for as long as an attempt that was cut short may go on
+    /// executing.
     pub(super) fn cool_down_key(&mut self, order_key: OrderKey) {
         self.cool_down_key_until(
             order_key,
@@ -36,7 +38,8 @@
         }
     }
 
-    /// Takes a finished event out of its key's queue; the destination of the key's next event may send.
+    /// Takes a finished event out of its key's queue; the destination of the key's next event may
+    /// send.
     pub(super) fn leave_key_queue(&mut self, order_key: OrderKey, number: EventNumber) {
         let queue = self
             .key_queues
@@ -67,8 +70,8 @@
             .is_some_and(|first| first.number != number)
     }
 
-    /// The end of the cool-down for an event at the head of the queue. A cool-down holds back the events behind
-    /// the one that was cut short, not that event's own retry.
+    /// The end of the cool-down for an event at the head of the queue. A cool-down holds back the
+    /// events behind the one that was cut short, not that event's own retry.
     pub(super) fn cooldown_for(&self, event: &PendingEvent) -> Ms {
         if event.attempts > 0 {
             0.0
--- a/decisions/src/scheduler/load_shedding.rs
+++ b/decisions/src/scheduler/load_shedding.rs
@@ -7,17 +7,19 @@
 use crate::interface::{DestinationId, Effects};
 use crate::state::{EventNumber, OrderedFloat, PendingEvent};
 
-/// The share of the event store that may fill before events make way: the tenth that is left takes in a burst.
+/// The share of the event store that may fill before events make way: the tenth that is left takes
+/// in a burst.
 const HIGH_WATERMARK: f64 = 0.9;
 
 impl Scheduler {
-    /// Completes queued events until the event store is below its high watermark, so that events for
-    /// destinations that work are not rejected for lack of capacity.
+    /// Completes queued events until the event store is below its high watermark, so that events
+    /// for destinations that work are not rejected for lack of capacity.
     ///
-    /// Victims come from the destination with the longest blocked backlog first, and among its events the one
-    /// with the lowest value first, newest first on a tie. Events that a restart found accepted and that were
-    /// never attempted are exempt: their clients hold a 202. Events that only wait for an acknowledgement take
-    /// no capacity; counted in, one too many would have all queued events make way.
+    /// Victims come from the destination with the longest blocked backlog first, and among its
+    /// events the one with the lowest value first, newest first on a tie. Events that a restart
+    /// found accepted and that were never attempted are exempt: their clients hold a 202. Events
+    /// that only wait for an acknowledgement take no capacity; counted in, one too many would have
+    /// all queued events make way.
     pub(super) fn shed_load(&mut self, effects: &mut impl Effects) {
         if self.is_above_high_watermark() {
             for destination in self.changed.iter().copied().collect::<Vec<_>>() {
--- a/decisions/src/scheduler/rate_limit.rs
+++ b/decisions/src/scheduler/rate_limit.rs
@@ -1,6 +1,7 @@
 //! How many calls a second this forwarder allows itself to a lane, and what usually goes there.
 //!
-//! Two things speak for a limit: recent rejections, and a destination that is warming up (`warm_up`).
+//! Two things speak for a limit: recent rejections, and a destination that is warming up
+//! (`warm_up`).
 
 use super::context::Context;
 use super::tuning::{FREQUENT_CALLS_PER_SECOND, USUAL_TRAFFIC_WINDOW};
@@ -13,15 +14,18 @@
 /// The growth of a pace in a second.
 const PACE_RECOVERY_PER_SECOND: f64 = 0.08;
 
-/// A destination's advertised rate is believed up to so many times the rate that was counted. Where one event
-/// comes in a minute its count is off by some times; a rate advertised a hundredfold is wrong.
+/// A destination's advertised rate is believed up to so many times the rate that was counted. Where
+/// one event comes in a minute its count is off by some times; a rate advertised a hundredfold is
+/// wrong.
 const MAX_ADVERTISED_TO_COUNTED: f64 = 4.0;
 
-/// Quiet time that is assumed before the start, or a single burst after it would pass for usual traffic.
+/// Quiet time that is assumed before the start, or a single burst after it would pass for usual
+/// traffic.
 const ASSUMED_QUIET_TIME: Ms = 2_000.0;
 
 impl Destination {
-    /// The calls a second that this forwarder allows itself to a lane; none where nothing speaks for a limit.
+    /// The calls a second that this forwarder allows itself to a lane; none where nothing speaks
+    /// for a limit.
     pub(super) fn rate_limit(&self, context: &Context, lane_index: usize) -> Option<f64> {
         let mut calls_per_second = f64::INFINITY;
         if let Some(pace) = self.current_pace(context, lane_index) {
@@ -47,8 +51,8 @@
         }
     }
 
-    /// The pace that a rejection set, grown with the time since: by a share of itself, and where calls are
-    /// frequent by a share of the usual rate as well.
+    /// The pace that a rejection set, grown with the time since: by a share of itself, and where
+    /// calls are frequent by a share of the usual rate as well.
     fn paced_rate(&self, context: &Context, pace: Pace) -> f64 {
         let accepted_per_second = self.usual_per_lane_and_second(context, &self.accepted_events);
         let goal = pace.calls_per_second.max(accepted_per_second);
@@ -60,11 +64,12 @@
         grown.max(self.advertised_rate / context.config.forwarder_count / self.running_lane_count())
     }
 
-    /// What usually goes to each lane in a second, now or before it had to warm up, also in an earlier process.
+    /// What usually goes to each lane in a second, now or before it had to warm up, also in an
+    /// earlier process.
     ///
-    /// Events accepted are counted, or calls if they are far fewer, as one may carry several events (half more,
-    /// as calls are few). What comes again in an outage is not usual. An even part of the advertised rate is, up
-    /// to some times the rate that was counted.
+    /// Events accepted are counted, or calls if they are far fewer, as one may carry several events
+    /// (half more, as calls are few). What comes again in an outage is not usual. An even part of
+    /// the advertised rate is, up to some times the rate that was counted.
     pub(super) fn usual_rate(&self, context: &Context) -> f64 {
         let accepted = self.usual_per_lane_and_second(context, &self.accepted_events);
         let called = self.usual_per_lane_and_second(context, &self.sent_calls);
--- a/decisions/src/scheduler/target_health.rs
+++ b/decisions/src/scheduler/target_health.rs
@@ -1,8 +1,9 @@
-//! The health of targets and lanes: ejection of one target, and lanes that go offline and come back.
+//! The health of targets and lanes: ejection of one target, and lanes that go offline and come
+//! back.
 //!
-//! A target that failed is ejected for a while: the others of its lane are preferred. A lane that failed twice
-//! in a row goes offline: its queue is parked until a health check, or a trial call where health checks are not
-//! allowed, is answered.
+//! A target that failed is ejected for a while: the others of its lane are preferred. A lane that
+//! failed twice in a row goes offline: its queue is parked until a health check, or a trial call
+//! where health checks are not allowed, is answered.
 
 use super::context::Context;
 use super::tuning::{IDLE_CONNECTION_GRACE, RESPONSE_TIME_WINDOW};
@@ -12,19 +13,20 @@
 /// So many failures in a row take a lane offline.
 const OFFLINE_AFTER_FAILURES: i32 = 2;
 
-/// The ejection of a target after its first failure. It doubles with each further one, up to a bound.
+/// The ejection of a target after its first failure. It doubles with each further one, up to a
+/// bound.
 const EJECTION_AFTER_FAILURE: Ms = 500.0;
 
-/// The ejection after a refused connection. Refusals last: past the backoff of an event that met one; half a
-/// second did not do.
+/// The ejection after a refused connection. Refusals last: past the backoff of an event that met
+/// one; half a second did not do.
 const EJECTION_AFTER_CONNECT_FAILURE: Ms = 2000.0;
 
 /// Failures in a row that still lengthen an ejection.
 const MAX_EJECTION_FAILURES: i32 = 5;
 
 impl Destination {
-    /// What is due at the lanes: warm-ups to record, idle connections to close, unsent calls to cancel, health
-    /// checks to send.
+    /// What is due at the lanes: warm-ups to record, idle connections to close, unsent calls to
+    /// cancel, health checks to send.
     pub(super) fn review_lanes(&mut self, context: &mut Context, effects: &mut impl Effects) {
         let now = context.now;
         let closes_idle = context.closes_idle_connections(self.kind, self.is_crowded(context));
@@ -35,8 +37,8 @@
             let last_recorded = lane.recorded_warm_up;
             let unrecorded = lane.take_unrecorded_warm_up();
             if let Some(since) = unrecorded {
-                // What went there before the outage is what the lane can take: in an outage little goes, and
-                // much comes again.
+                // What went there before the outage is what the lane can take: in an outage little
+                // goes, and much comes again.
                 let is_new_outage =
                     last_recorded == 0.0 || since - last_recorded > context.config.warm_up_duration;
                 if is_new_outage {
@@ -59,8 +61,8 @@
                     target.idle_since = None;
                     effects.close_idle_connections(&target.id);
                 }
-                // A call that waits for its connection could be written after the target's grace period, after
-                // the deduplication window or inside a retry-after.
+                // A call that waits for its connection could be written after the target's grace
+                // period, after the deduplication window or inside a retry-after.
                 let is_too_late = !target.is_running()
                     || lane.retry_after_ends > now
                     || lapsed_targets.contains(&target.id);
@@ -86,8 +88,8 @@
 }
 
 impl TargetLane {
-    /// The time that a response of the lane usually takes. Its own responses outweigh those of the other lanes
-    /// after two.
+    /// The time that a response of the lane usually takes. Its own responses outweigh those of the
+    /// other lanes after two.
     pub(super) fn usual_response_time(&self, context: &Context) -> Ms {
         let own_total_time = self
             .response_times
@@ -102,8 +104,8 @@
         self.consecutive_failures > 0 || is_slow
     }
 
-    /// Takes the lane offline if it has failed often enough: a health check goes at once, or a trial call after
-    /// `trial_delay`. Whatever was offline warms up when it returns.
+    /// Takes the lane offline if it has failed often enough: a health check goes at once, or a
+    /// trial call after `trial_delay`. Whatever was offline warms up when it returns.
     pub(super) fn go_offline_after_failures(&mut self, now: Ms, trial_delay: Ms) {
         if self.consecutive_failures < OFFLINE_AFTER_FAILURES {
             return;
--- a/decisions/src/scheduler/target_selection.rs
+++ b/decisions/src/scheduler/target_selection.rs
@@ -5,8 +5,8 @@
 use crate::state::{Destination, EventNumber, LaneTarget, PendingEvent, Target};
 
 impl Context {
-    /// Whether an attempt of the event may go to the target. Where targets recognize repeats only within a
-    /// zone, an event that may have run stays in the zone of its first attempt.
+    /// Whether an attempt of the event may go to the target. Where targets recognize repeats only
+    /// within a zone, an event that may have run stays in the zone of its first attempt.
     pub(super) fn may_attempt(&self, event: &PendingEvent, target: &Target) -> bool {
         match event.may_have_run {
             Some(execution) if self.idempotency(event).retries_in_zone() => {
@@ -18,8 +18,8 @@
 }
 
 impl Destination {
-    /// The target for a call whose first event is given: the one that the host selects, or else the better of
-    /// two that are drawn at random (power of two choices).
+    /// The target for a call whose first event is given: the one that the host selects, or else the
+    /// better of two that are drawn at random (power of two choices).
     ///
     /// # Panics
     ///
@@ -63,8 +63,8 @@
 }
 
 impl Target {
-    /// The least is preferred: not ejected, then fewer calls in flight, then an idle connection, as a new one
-    /// has a price.
+    /// The least is preferred: not ejected, then fewer calls in flight, then an idle connection, as
+    /// a new one has a price.
     fn selection_cost(&self, now: Ms) -> (bool, usize, bool) {
         (
             self.ejected_until > now,
--- a/decisions/src/scheduler/warm_up.rs
+++ b/decisions/src/scheduler/warm_up.rs
@@ -1,18 +1,19 @@
-//! Warm-up (slow start): a destination that comes back from an outage takes a part of its usual load first, and
-//! more would push it over. The forwarders of a fleet share that part without talking to each other.
+//! Warm-up (slow start): a destination that comes back from an outage takes a part of its usual
+//! load first, and more would push it over. The forwarders of a fleet share that part without
+//! talking to each other.
 
 use super::context::Context;
 use super::tuning::HEALTH_CHECK_INTERVAL;
 use crate::interface::Ms;
 use crate::state::{Destination, TargetLane};
 
-/// The share of the overload rate that a forwarder allows itself, with its usual traffic for its part of the
-/// destination's capacity. 0.6, 0.8 and 1 kept the rules alike and each step paid; a tenth is left for the
-/// weight of health checks.
+/// The share of the overload rate that a forwarder allows itself, with its usual traffic for its
+/// part of the destination's capacity. 0.6, 0.8 and 1 kept the rules alike and each step paid; a
+/// tenth is left for the weight of health checks.
 const WARM_UP_BUDGET_SHARE: f64 = 0.9;
 
-/// The time over which random bursts above the budget are allowed for, for all forwarders together. No
-/// configuration tells it; in a shorter time one more call is borne a second.
+/// The time over which random bursts above the budget are allowed for, for all forwarders together.
+/// No configuration tells it; in a shorter time one more call is borne a second.
 const WARM_UP_BURST_WINDOW: Ms = 3_000.0;
 
 impl Destination {
@@ -41,14 +42,15 @@
 }
 
 impl TargetLane {
-    /// The lane warms up from now on, or from the end of a retry-after: a late time-out does not shorten it.
+    /// The lane warms up from now on, or from the end of a retry-after: a late time-out does not
+    /// shorten it.
     pub(super) fn begin_warm_up(&mut self, now: Ms) {
         let since = self.warming_up_since.unwrap_or(now);
         self.warming_up_since = Some(since.max(now).max(self.retry_after_ends));
     }
 
-    /// Whether the lane warms up now. It may have returned later than is taken here, by half of the longest
-    /// interval of health checks.
+    /// Whether the lane warms up now. It may have returned later than is taken here, by half of the
+    /// longest interval of health checks.
     pub(super) fn is_warming_up(&self, context: &Context) -> bool {
         let config = &context.config;
         let fleet_factor = (config.forwarder_count.sqrt() / 1.5).max(1.0);
@@ -59,8 +61,8 @@
         }
     }
 
-    /// The start of a warm-up that the host has not been asked to record yet. From then on the lane counts as
-    /// recorded.
+    /// The start of a warm-up that the host has not been asked to record yet. From then on the lane
+    /// counts as recorded.
     pub(super) fn take_unrecorded_warm_up(&mut self) -> Option<Ms> {
         let since = self.warming_up_since?;
         let recorded = std::mem::replace(&mut self.recorded_warm_up, since);
--- a/decisions/src/state/decaying_sum.rs
+++ b/decisions/src/state/decaying_sum.rs
@@ -4,8 +4,8 @@
 
 use crate::interface::Ms;
 
-/// A sum that decays exponentially. It is brought up to date when it is read or added to, so that one that
-/// nobody asks for costs nothing.
+/// A sum that decays exponentially. It is brought up to date when it is read or added to, so that
+/// one that nobody asks for costs nothing.
 ///
 /// The time constant is the caller's: each sum has to be read and added to with the same one.
 #[derive(Default, Serialize, Deserialize)]
--- a/decisions/src/state/destination.rs
+++ b/decisions/src/state/destination.rs
@@ -68,7 +68,8 @@
     /// In the order of acceptance.
     pub(crate) events: BTreeMap<EventNumber, PendingEvent>,
     pub(crate) calls: BTreeMap<CallNumber, InFlightCall>,
-    /// Calls a second that the endpoint list says the destination takes; 0 if the list does not say.
+    /// Calls a second that the endpoint list says the destination takes; 0 if the list does not
+    /// say.
     pub(crate) advertised_rate: f64,
     pub(crate) accepted_events: DecayingSum,
     /// Calls, of one event or of several.
--- a/decisions/src/state/event.rs
+++ b/decisions/src/state/event.rs
@@ -26,7 +26,8 @@
     pub(crate) zone: ZoneId,
 }
 
-/// An event from its acceptance until its completion is known to its client and no call carries it any more.
+/// An event from its acceptance until its completion is known to its client and no call carries it
+/// any more.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct PendingEvent {
     pub(crate) id: EventId,
--- a/decisions/src/state/ordered_float.rs
+++ b/decisions/src/state/ordered_float.rs
@@ -4,7 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A floating-point number with the total order of IEEE 754. Times on the host's clock are sorted by it.
+/// A floating-point number with the total order of IEEE 754. Times on the host's clock are sorted
+/// by it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct OrderedFloat(pub(crate) f64);
 
--- a/decisions/src/state/target_lane.rs
+++ b/decisions/src/state/target_lane.rs
@@ -45,8 +45,8 @@
     pub(crate) set_at: Ms,
 }
 
-/// The targets that share one limit, one health and one retry-after: those of a destination, or of one of its
-/// routes where the routes are independent.
+/// The targets that share one limit, one health and one retry-after: those of a destination, or of
+/// one of its routes where the routes are independent.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct TargetLane {
     pub(crate) targets: Vec<Target>,
--- a/decisions/tests/decision_stream.rs
+++ b/decisions/tests/decision_stream.rs
@@ -1,5 +1,6 @@
-//! Every decision, with all its arguments in full precision, over seeded random inputs: a digest for each seed
-//! against the one that an earlier version gave. A change of the code that changes no decision changes none.
+//! Every decision, with all its arguments in full precision, over seeded random inputs: a digest
+//! for each seed against the one that an earlier version gave. A change of the code that changes no
+//! decision changes none.
 
 mod host;
 
--- a/decisions/tests/fleet/destination.rs
+++ b/decisions/tests/fleet/destination.rs
@@ -21,7 +21,8 @@
     pub member: usize,
     pub event: String,
     pub arrived_at: Ms,
-    /// Until then its forwarder waits for the response; 0 once the forwarder does not wait any more.
+    /// Until then its forwarder waits for the response; 0 once the forwarder does not wait any
+    /// more.
     pub waits_until: Ms,
 }
 
@@ -44,7 +45,8 @@
     pub description: String,
 }
 
-/// The destination serves as many calls at once as it has servers, each more slowly while it is warming up.
+/// The destination serves as many calls at once as it has servers, each more slowly while it is
+/// warming up.
 pub struct Destination {
     responses: Responses,
     /// Calls a second.
--- a/decisions/tests/fleet/member.rs
+++ b/decisions/tests/fleet/member.rs
@@ -1,4 +1,5 @@
-//! A member of the fleet: a forwarder, what it has accepted, and what came in for its next iteration.
+//! A member of the fleet: a forwarder, what it has accepted, and what came in for its next
+//! iteration.
 
 use std::collections::BTreeMap;
 
--- a/decisions/tests/fleet/mod.rs
+++ b/decisions/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of forwarders, driven together against one destination that fails, comes back and warms up.
+//! A fleet of forwarders, driven together against one destination that fails, comes back and warms
+//! up.
 
 mod destination;
 mod member;
--- a/decisions/tests/fleet_warm_up.rs
+++ b/decisions/tests/fleet_warm_up.rs
@@ -1,6 +1,6 @@
-//! A whole fleet against one destination that comes back and warms up: what all forwarders send, health checks
-//! included, stays under what the configuration allows the destination at that moment, with an allowance for
-//! random bursts.
+//! A whole fleet against one destination that comes back and warms up: what all forwarders send,
+//! health checks included, stays under what the configuration allows the destination at that
+//! moment, with an allowance for random bursts.
 
 mod fleet;
 mod host;
@@ -28,8 +28,8 @@
     }
 }
 
-/// The warm-up multiplier lets each forwarder's budget grow where its responses stay quick, and a destination that
-/// responds as ever until it falls over gives no sign to stop at.
+/// The warm-up multiplier lets each forwarder's budget grow where its responses stay quick, and a
+/// destination that responds as ever until it falls over gives no sign to stop at.
 #[rstest]
 fn a_fleet_stays_under_the_overload_rate_where_responses_tell_nothing_of_the_load() {
     for (fleet_size, full_rate) in [(3, 10.0), (20, 50.0), (30, 50.0)] {
--- a/decisions/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -1,5 +1,6 @@
-//! The host of the tests: a scheduler, a clock that the test sets, and the effects of each iteration as words
-//! ("send a to t", "reject a", "abandon a", "health-check t", "close t", "cancel unsent t").
+//! The host of the tests: a scheduler, a clock that the test sets, and the effects of each
+//! iteration as words ("send a to t", "reject a", "abandon a", "health-check t", "close t", "cancel
+//! unsent t").
 
 #![allow(dead_code)] // each test file uses its part
 
@@ -28,8 +29,8 @@
     pub last_leaves_by: Ms,
 }
 
-/// One forwarder of two, with 8 calls in flight and a capacity of 40 events. Destinations of kind 0 share a
-/// limit; those of kind 1 have independent routes and take 4 events a call.
+/// One forwarder of two, with 8 calls in flight and a capacity of 40 events. Destinations of kind 0
+/// share a limit; those of kind 1 have independent routes and take 4 events a call.
 pub fn config() -> DecisionConfig {
     let traffic_type = |idempotency, ordered| TrafficType {
         idempotency,
@@ -90,7 +91,8 @@
 }
 
 impl Host {
-    /// Destination 1 has target `t`, destination 2 has target `u`, destination 3 the routes `v` and `w`.
+    /// Destination 1 has target `t`, destination 2 has target `u`, destination 3 the routes `v` and
+    /// `w`.
     pub fn new(change: impl FnOnce(&mut DecisionConfig)) -> Self {
         let mut config = config();
         change(&mut config);
--- a/decisions/tests/key_order.rs
+++ b/decisions/tests/key_order.rs
@@ -62,7 +62,8 @@
     );
 }
 
-/// Key order on sockets: an event that is completed by a notification is finished only once that is acknowledged.
+/// Key order on sockets: an event that is completed by a notification is finished only once that is
+/// acknowledged.
 #[rstest]
 fn the_next_event_of_a_key_goes_once_the_completion_is_acknowledged() {
     let mut host = default_host();
@@ -135,7 +136,8 @@
     );
 }
 
-/// Regression (emulator): a connection came up late, and a retry was written after its deduplication window.
+/// Regression (emulator): a connection came up late, and a retry was written after its
+/// deduplication window.
 #[rstest]
 fn a_retry_that_is_unsent_when_its_window_ends_is_cancelled() {
     let mut host = default_host();
--- a/decisions/tests/load_shedding.rs
+++ b/decisions/tests/load_shedding.rs
@@ -1,4 +1,5 @@
-//! Calls in flight and the event store: which destination gets the next call, and which events are shed.
+//! Calls in flight and the event store: which destination gets the next call, and which events are
+//! shed.
 
 mod host;
 
@@ -29,7 +30,8 @@
     assert_eq!(effects, ["send a to t", "send d to u", "send b to t"]);
 }
 
-/// Regression: destinations in doubt, a tenth of all, had half of the calls in flight most of the time.
+/// Regression: destinations in doubt, a tenth of all, had half of the calls in flight most of the
+/// time.
 #[rstest]
 fn a_destination_in_doubt_leaves_half_of_the_calls_in_flight_to_others() {
     let mut host = Host::new(|config| config.max_calls_in_flight = 4);
@@ -63,7 +65,8 @@
     );
 }
 
-/// Regression: events of an offline destination filled the event store, and all others were rejected.
+/// Regression: events of an offline destination filled the event store, and all others were
+/// rejected.
 #[rstest]
 fn a_blocked_destination_does_not_fill_the_event_store() {
     let mut host = default_host();
@@ -87,7 +90,8 @@
     );
 }
 
-/// Regression: one member sent five times its usual traffic, and events of all members were rejected alike.
+/// Regression: one member sent five times its usual traffic, and events of all members were
+/// rejected alike.
 #[rstest]
 #[case::within_its_share(50.0, 0)]
 #[case::beyond_it(1.0, 5)]
@@ -130,8 +134,8 @@
     );
 }
 
-/// Regression: with one queued event for each of many destinations, the event of the highest destination number
-/// was shed, though it could have gone at once.
+/// Regression: with one queued event for each of many destinations, the event of the highest
+/// destination number was shed, though it could have gone at once.
 #[rstest]
 fn events_that_can_go_now_are_not_shed_for_blocked_ones() {
     let mut host = Host::new(|config| config.event_capacity = 5);
@@ -148,8 +152,8 @@
     );
 }
 
-/// Regression: an event that was shed counted as stored until its completion was acknowledged, so that one event too
-/// many had all 37 queued events shed in one iteration.
+/// Regression: an event that was shed counted as stored until its completion was acknowledged, so
+/// that one event too many had all 37 queued events shed in one iteration.
 #[rstest]
 fn one_event_too_many_sheds_one_though_its_completion_is_unacknowledged() {
     let mut host = default_host();
@@ -183,8 +187,8 @@
     );
 }
 
-/// An earlier version did not count unacknowledged completions: the state that it hands over has them, but not their
-/// number.
+/// An earlier version did not count unacknowledged completions: the state that it hands over has
+/// them, but not their number.
 #[rstest]
 fn completions_unacknowledged_before_a_hot_restart_take_no_capacity_after_it() {
     let mut host = default_host();
@@ -208,8 +212,9 @@
         .is_empty());
 }
 
-/// Regression: events that a restart restored without an attempt, for a destination warming up, were shed in the first
-/// iterations. New events, whose clients can go elsewhere, are shed before them.
+/// Regression: events that a restart restored without an attempt, for a destination warming up,
+/// were shed in the first iterations. New events, whose clients can go elsewhere, are shed before
+/// them.
 #[rstest]
 fn events_restored_without_an_attempt_are_not_shed_for_new_events() {
     let mut host = default_host();
--- a/decisions/tests/offline_lanes.rs
+++ b/decisions/tests/offline_lanes.rs
@@ -33,7 +33,8 @@
     assert_eq!(host.idle(1500.0), ["send a to t"]);
 }
 
-/// Regression: a burst after the start passed for usual traffic, and health checks went every second.
+/// Regression: a burst after the start passed for usual traffic, and health checks went every
+/// second.
 #[rstest]
 fn many_forwarders_space_their_health_checks_and_send_none_for_nothing() {
     let mut host = Host::new(|config| config.forwarder_count = 200.0);
@@ -58,9 +59,10 @@
     );
 }
 
-/// Regression: one of a hundred forwarders sent a health check to a destination that was down, then none for 10 s; the
-/// destination was back after 4 s, and the events queued for it passed their deadlines. Every 3.3 s was too often: with the
-/// calls that followed, the health checks of 52 forwarders overloaded a small destination as it came back.
+/// Regression: one of a hundred forwarders sent a health check to a destination that was down, then
+/// none for 10 s; the destination was back after 4 s, and the events queued for it passed their
+/// deadlines. Every 3.3 s was too often: with the calls that followed, the health checks of 52
+/// forwarders overloaded a small destination as it came back.
 #[rstest]
 fn of_a_hundred_forwarders_each_learns_of_a_return_within_seconds() {
     for seed in [1, 2, 3] {
@@ -105,8 +107,8 @@
     );
 }
 
-/// Regression: calls of a backlog close to its deadline were cut short after some milliseconds, and two of them took a
-/// destination offline that had just come back.
+/// Regression: calls of a backlog close to its deadline were cut short after some milliseconds, and
+/// two of them took a destination offline that had just come back.
 #[rstest]
 fn calls_cut_short_by_the_deadline_take_no_lane_offline() {
     let mut host = default_host();
@@ -138,7 +140,8 @@
     );
 }
 
-/// Regression: the retry went to the dead one of two targets again, and the destination went offline and had to warm up.
+/// Regression: the retry went to the dead one of two targets again, and the destination went
+/// offline and had to warm up.
 #[rstest]
 fn one_dead_target_of_two_does_not_take_its_lane_offline() {
     for seed in 0..40 {
--- a/decisions/tests/rate_limits.rs
+++ b/decisions/tests/rate_limits.rs
@@ -40,7 +40,8 @@
     );
 }
 
-/// Regression: a closed route gave all forwarders the time when it opens, and all came within seconds of that.
+/// Regression: a closed route gave all forwarders the time when it opens, and all came within
+/// seconds of that.
 #[rstest]
 fn first_calls_after_a_long_retry_after_are_spread_by_the_warm_up_budget() {
     let early = |seed: u64| {
@@ -161,8 +162,9 @@
     assert!((1..=8).contains(&sent), "{sent} in two seconds");
 }
 
-/// Regression: a forwarder that was rejected among its first calls held back for the rest of the run what the destination
-/// would have taken; and the rejection of a burst set a pace below the usual traffic.
+/// Regression: a forwarder that was rejected among its first calls held back for the rest of the
+/// run what the destination would have taken; and the rejection of a burst set a pace below the
+/// usual traffic.
 #[rstest]
 #[case(1.0)]
 #[case(6_000.0)]
@@ -192,8 +194,9 @@
     );
 }
 
-/// Regression: where rejected calls use up the limit, 198 forwarders that came back within seconds left 0.6 of a
-/// destination's 5.7 calls a second. A spread by the fleet's size had others wait a minute for nothing.
+/// Regression: where rejected calls use up the limit, 198 forwarders that came back within seconds
+/// left 0.6 of a destination's 5.7 calls a second. A spread by the fleet's size had others wait a
+/// minute for nothing.
 #[rstest]
 fn the_spread_grows_with_the_share_of_calls_that_are_rejected() {
     let back = |refused: u64, left: Option<f64>, seed: u64| {
@@ -239,8 +242,8 @@
     );
 }
 
-/// Regression: after one rejection by a destination that took sixty calls a second, forwarders held back for twenty
-/// seconds.
+/// Regression: after one rejection by a destination that took sixty calls a second, forwarders held
+/// back for twenty seconds.
 #[rstest]
 fn the_spread_after_a_rejection_spans_eight_usual_calls_at_most() {
     for seed in 0..30 {
@@ -266,8 +269,8 @@
     }
 }
 
-/// Regression: a burst was rejected as a destination came back, and for seconds 59 forwarders kept to paces that left half
-/// of the advertised rate unused, while they shed queued events.
+/// Regression: a burst was rejected as a destination came back, and for seconds 59 forwarders kept
+/// to paces that left half of the advertised rate unused, while they shed queued events.
 #[rstest]
 #[case::advertised(40.0, 15, 25)]
 #[case::not_advertised(0.0, 0, 5)]
--- a/decisions/tests/recovery.rs
+++ b/decisions/tests/recovery.rs
@@ -63,8 +63,8 @@
     assert_eq!(host.idle(301.0), ["send b to t"]);
 }
 
-/// A destination comes back while a forwarder restarts with a backlog for it. Where half of a fleet restarts, the first
-/// calls come together too: they are spread over the interval of health checks.
+/// A destination comes back while a forwarder restarts with a backlog for it. Where half of a fleet
+/// restarts, the first calls come together too: they are spread over the interval of health checks.
 #[rstest]
 #[case(true, 0..2, 1)]
 #[case(false, 8..9, 8)]
@@ -102,7 +102,8 @@
     assert_eq!(attempts_in(&effects) + later, in_a_pause);
 }
 
-/// Regression (`fleet_warm_up.rs`): fifteen of thirty forwarders sent a call each in the moment of their restart.
+/// Regression (`fleet_warm_up.rs`): fifteen of thirty forwarders sent a call each in the moment of
+/// their restart.
 #[rstest]
 fn a_fleet_that_restarts_together_spreads_its_first_calls_to_a_destination_warming_up() {
     let at_once = (0..20_u64).filter(|&seed| {
@@ -116,8 +117,8 @@
     assert!(at_once.count() <= 5, "most send in the moment they restart");
 }
 
-/// Regression: a destination that was down over a restart got half a call a second from a forwarder that knew of the
-/// warm-up, and not its share of the usual traffic.
+/// Regression: a destination that was down over a restart got half a call a second from a forwarder
+/// that knew of the warm-up, and not its share of the usual traffic.
 #[rstest]
 fn the_warm_up_budget_outlasts_a_restart() {
     let mut earlier = default_host();
--- a/decisions/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -106,7 +106,8 @@
     }
 }
 
-/// Regression: calls took 22 ms, and each without a response stayed one of 13 calls in flight for 1.5 s.
+/// Regression: calls took 22 ms, and each without a response stayed one of 13 calls in flight for
+/// 1.5 s.
 #[rstest]
 #[case(20.0, 150.0..300.0)]
 #[case(200.0, 1500.0..1501.0)]
@@ -158,8 +159,8 @@
     assert_eq!(host.idle(6501.0), ["close t"]);
 }
 
-/// Regression: idle connections of other forwarders took all that a target accepts, a third of all connections were
-/// refused, and healthy destinations went offline.
+/// Regression: idle connections of other forwarders took all that a target accepts, a third of all
+/// connections were refused, and healthy destinations went offline.
 #[rstest]
 #[case(AttemptOutcome::Delivered, 1100.0, true)]
 #[case(AttemptOutcome::Rejected, 1100.0, true)]
--- a/decisions/tests/warm_up.rs
+++ b/decisions/tests/warm_up.rs
@@ -6,8 +6,8 @@
 use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, DestinationId, Ms};
 use rstest::rstest;
 
-/// Regression: with health checks every 2 s, 44 forwarders learned of a return within that time, each sent a call when
-/// its health check was answered, and the destination was overloaded.
+/// Regression: with health checks every 2 s, 44 forwarders learned of a return within that time,
+/// each sent a call when its health check was answered, and the destination was overloaded.
 #[rstest]
 fn a_fleet_that_learns_of_a_return_together_spreads_its_first_calls() {
     let at_once = (0..20_u64).filter(|&seed| {
@@ -23,7 +23,8 @@
     );
 }
 
-/// Regression: an offline destination was sent its whole backlog when its first health check was answered.
+/// Regression: an offline destination was sent its whole backlog when its first health check was
+/// answered.
 #[rstest]
 fn an_offline_lane_warms_up_when_it_returns() {
     let mut host = default_host();
@@ -41,7 +42,8 @@
     assert!(attempts_in(&host.end_health_check(20_200.0, "t", AttemptOutcome::Delivered)) <= 1);
 }
 
-/// The second case is a regression: events submitted again after rejections were counted as usual traffic.
+/// The second case is a regression: events submitted again after rejections were counted as usual
+/// traffic.
 #[rstest]
 #[case(20)]
 #[case(300)]
@@ -66,7 +68,8 @@
     for step in 1..=20 {
         sent += attempts_in(&host.idle(26_000.0 + 100.0 * step as f64));
     }
-    // Half a minute of 10 a second or so, cold at a fifth, tipping at twice that, half as warm again by then.
+    // Half a minute of 10 a second or so, cold at a fifth, tipping at twice that, half as warm
+    // again by then.
     assert!((1..=15).contains(&sent), "{sent} in two seconds");
 }
 
@@ -115,7 +118,8 @@
     assert!(sent(100.0) > sent(900.0));
 }
 
-/// Regression: a closed destination gave all forwarders the time when it opens, and was sent a burst at that moment.
+/// Regression: a closed destination gave all forwarders the time when it opens, and was sent a
+/// burst at that moment.
 #[rstest]
 fn a_destination_warms_up_after_a_long_retry_after() {
     let mut host =
@@ -138,8 +142,8 @@
     assert!((1..=6).contains(&sent), "{sent} in a second");
 }
 
-/// Regression: a destination that closed for 15 s from the second second on got a call in two seconds afterwards, as hardly
-/// any had gone there meanwhile.
+/// Regression: a destination that closed for 15 s from the second second on got a call in two
+/// seconds afterwards, as hardly any had gone there meanwhile.
 #[rstest]
 fn the_warm_up_budget_follows_the_rate_before_a_long_retry_after() {
     let mut host =
@@ -175,7 +179,8 @@
     }
 }
 
-/// Regression: a call that timed out during a retry-after of twenty seconds let the warm-up end before the retry-after.
+/// Regression: a call that timed out during a retry-after of twenty seconds let the warm-up end
+/// before the retry-after.
 #[rstest]
 fn a_late_timeout_does_not_shorten_the_warm_up_of_a_closed_destination() {
     let mut host =
@@ -201,8 +206,9 @@
     assert!(sent <= 6, "{sent} in a second");
 }
 
-/// Regression: at a limit that is used up, two rejections in a row passed for a closed destination, and its events waited
-/// for a warm-up that was not needed. A closed destination reports most of its limit left.
+/// Regression: at a limit that is used up, two rejections in a row passed for a closed destination,
+/// and its events waited for a warm-up that was not needed. A closed destination reports most of
+/// its limit left.
 #[rstest]
 #[case::used_up(Some(0.1), false)]
 #[case::much_left(Some(0.9), true)]
@@ -228,8 +234,9 @@
     assert_eq!(!host.recorded_warm_ups.is_empty(), warms_up);
 }
 
-/// Regression: a forwarder that sees one event in a minute counts next to nothing as usual, and events queued for
-/// destinations that opened again passed their deadlines. A wrong advertised rate must not overload them.
+/// Regression: a forwarder that sees one event in a minute counts next to nothing as usual, and
+/// events queued for destinations that opened again passed their deadlines. A wrong advertised rate
+/// must not overload them.
 #[rstest]
 fn the_warm_up_budget_believes_the_advertised_rate_up_to_a_bound() {
     let sent = |rate: f64| {
--- a/decisions/tests/wire_format.rs
+++ b/decisions/tests/wire_format.rs
@@ -1,8 +1,10 @@
-//! The encoded form of all that this package's types contribute to a hot restart: ids, reports and the state
-//! of the scheduler. Both processes of a hot restart use MessagePack with structs as arrays (positions are the
-//! format, field names are not) and enum variants by name (variant names are the format).
+//! The encoded form of all that this package's types contribute to a hot restart: ids, reports and
+//! the state of the scheduler. Both processes of a hot restart use MessagePack with structs as
+//! arrays (positions are the format, field names are not) and enum variants by name (variant names
+//! are the format).
 //!
-//! The expected bytes are fixtures that an earlier version wrote. A fixture is never rewritten by a test.
+//! The expected bytes are fixtures that an earlier version wrote. A fixture is never rewritten by a
+//! test.
 
 mod host;
 
@@ -56,7 +58,8 @@
     );
 }
 
-/// Each variant, with the name that its fixture has. No wildcard: a new variant does not compile unpinned.
+/// Each variant, with the name that its fixture has. No wildcard: a new variant does not compile
+/// unpinned.
 fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Delivered => "Fate::Delivered",
@@ -161,8 +164,8 @@
         .expect("was sent");
 }
 
-/// What comes in at one iteration of the story, and when. The state after it is in the fixture by this name,
-/// but not where `UNPINNED`: two events are in the state then, in an unordered map.
+/// What comes in at one iteration of the story, and when. The state after it is in the fixture by
+/// this name, but not where `UNPINNED`: two events are in the state then, in an unordered map.
 type Step = (&'static str, Ms, fn(&mut Scheduler));
 
 const UNPINNED: &str = "unpinned";
@@ -389,7 +392,8 @@
     }
 }
 
-/// Each pinned state is resumed, encodes to the same bytes, and the story leads from it to the next pinned one.
+/// Each pinned state is resumed, encodes to the same bytes, and the story leads from it to the next
+/// pinned one.
 #[rstest]
 fn a_pinned_state_is_resumed_and_leads_to_the_next_one() {
     for (at, step) in STORY
