--- a/tier/controller/src/feed/session.rs
+++ b/tier/controller/src/feed/session.rs
@@ -2,11 +2,13 @@
 
 use std::fmt;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use plankhill_control::Operation;
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
+use plankhill_protocol::ids::StoreEpoch;
 use plankhill_protocol::transport::{Connection, FrameReader, FrameWriter};
 use tokio::time::timeout;
 
@@ -73,10 +75,15 @@
 /// Why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SessionEnd {
+    /// The subscriber said that it leaves, or sent a message that only begins a connection.
     Unsubscribed,
+    /// The connection ended, or a message could not be read.
     ConnectionClosed,
+    /// The connection broke, or the subscriber reads nothing.
     WriteFailed,
+    /// The subscriber sends nothing.
     ReadTimedOut,
+    /// This process ends.
     ControllerStopped,
 }
 
@@ -92,13 +99,8 @@
     }
 }
 
-/// Whether a session goes on after a message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Continuation {
-    Continue,
-    End,
-}
-
+/// The state of one subscription. The session owns the connection and everything that belongs to
+/// it; dropping the session ends the subscription.
 struct Session<L: ControlLog> {
     controller: Rc<Controller<L>>,
     writer: FrameWriter,
@@ -123,8 +125,8 @@
         loop {
             newest_revision.borrow_and_update();
             self.registrar.register_if_missing(&self.controller);
-            if self.send_due().await.is_err() {
-                return SessionEnd::WriteFailed;
+            if let Err(end) = self.send_due().await {
+                return end;
             }
             if self.last_received.elapsed() > READ_TIMEOUT {
                 return SessionEnd::ReadTimedOut;
@@ -135,8 +137,8 @@
                         return SessionEnd::ConnectionClosed;
                     };
                     self.record_received();
-                    if self.handle(message) == Continuation::End {
-                        return SessionEnd::Unsubscribed;
+                    if let ControlFlow::Break(end) = self.handle(message) {
+                        return end;
                     }
                     receiving = Box::pin(reader.into_next());
                 }
@@ -161,52 +163,53 @@
         }
     }
 
-    fn handle(&mut self, message: FromSubscriber) -> Continuation {
+    fn handle(&mut self, message: FromSubscriber) -> ControlFlow<SessionEnd> {
         match message {
             FromSubscriber::Applied(revision) => self.guard.record_applied(revision),
             FromSubscriber::RequestSnapshot => self.updates.request_snapshot(),
-            FromSubscriber::StoreSynced(epoch) => {
-                if let Some(MachineIncarnation { node, incarnation }) = self.machine.clone() {
-                    let synced = Operation::StoreSynced {
-                        node,
-                        incarnation,
-                        epoch,
-                    };
-                    self.controller.propose_detached(synced);
-                }
-            }
+            FromSubscriber::StoreSynced(epoch) => self.propose_synced(epoch),
             FromSubscriber::SuspectPeer(node) => {
                 tracing::info!(%node, "peer suspected by an agent");
             }
-            FromSubscriber::Deregister => {
-                self.deregister_edge();
-                return Continuation::End;
-            }
-            FromSubscriber::Drained { number } => {
-                if let Subscriber::Edge(edge) = self.registrar.subscriber() {
-                    let drained = Operation::EdgeDrained {
-                        node: edge.node.clone(),
-                        number,
-                    };
-                    self.controller.propose_detached(drained);
-                }
-            }
+            FromSubscriber::Drained { number } => self.propose_drained(number),
             FromSubscriber::HeartbeatsOnly => self.updates.pause(),
             FromSubscriber::ResumeUpdates { held_revision } => self.updates.resume(held_revision),
+            FromSubscriber::Deregister => {
+                self.propose_deregistration();
+                return ControlFlow::Break(SessionEnd::Unsubscribed);
+            }
             // Only the first message of a connection may be one.
-            FromSubscriber::Subscribe { .. } => return Continuation::End,
+            FromSubscriber::Subscribe { .. } => {
+                return ControlFlow::Break(SessionEnd::Unsubscribed);
+            }
+        }
+        ControlFlow::Continue(())
+    }
+
+    fn propose_synced(&self, epoch: StoreEpoch) {
+        if let Some(MachineIncarnation { node, incarnation }) = self.machine.clone() {
+            self.controller.propose_detached(Operation::StoreSynced {
+                node,
+                incarnation,
+                epoch,
+            });
         }
-        Continuation::Continue
     }
 
-    fn deregister_edge(&self) {
+    fn propose_drained(&self, number: u64) {
         if let Subscriber::Edge(edge) = self.registrar.subscriber() {
             let node = edge.node.clone();
-            let deregister = Operation::DeregisterEdge {
-                node,
+            self.controller
+                .propose_detached(Operation::EdgeDrained { node, number });
+        }
+    }
+
+    fn propose_deregistration(&self) {
+        if let Subscriber::Edge(edge) = self.registrar.subscriber() {
+            self.controller.propose_detached(Operation::DeregisterEdge {
+                node: edge.node.clone(),
                 incarnation: edge.incarnation,
-            };
-            self.controller.propose_detached(deregister);
+            });
         }
     }
 
@@ -216,14 +219,14 @@
     /// Updates wait until this controller is current: before that they may be old, and when all
     /// machines come back together the snapshots of all subscribers would delay what the
     /// controllers send each other.
-    async fn send_due(&mut self) -> Result<(), WriteFailed> {
+    async fn send_due(&mut self) -> Result<(), SessionEnd> {
         let messages = self.due_messages();
         if messages.is_empty() {
             return Ok(());
         }
         match timeout(WRITE_TIMEOUT, self.writer.send_all(&messages)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(WriteFailed),
+            Ok(Err(_)) | Err(_) => Err(SessionEnd::WriteFailed),
         }
     }
 
@@ -263,6 +266,3 @@
         Some(addresses)
     }
 }
-
-/// The connection broke, or the subscriber reads nothing.
-struct WriteFailed;
--- a/tier/controller/src/singleton/scheduler.rs
+++ b/tier/controller/src/singleton/scheduler.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use plankhill_control::{ControlState, ExpiredTarget, SingletonTask};
-use plankhill_protocol::ids::InstanceId;
-use plankhill_protocol::tables::StoreMember;
+use plankhill_protocol::ids::{InstanceId, NodeId};
+use plankhill_protocol::tables::StoreView;
 
 use super::first_seen::FirstSeen;
 use crate::control_log::ChainStatus;
@@ -106,17 +106,17 @@
     }
 
     fn expired_targets(&self, input: &ScheduleInput<'_>) -> Option<SingletonTask> {
-        let expired: Vec<ExpiredTarget> = input
+        let silent = input
             .state
             .targets()
             .iter()
-            .filter(|target| self.is_target_silent(&target.id, input))
-            .map(|target| ExpiredTarget {
-                id: target.id.clone(),
-                sequence: target.sequence,
-            })
-            .take(MAX_EXPIRED_PER_TASK)
-            .collect();
+            .filter(|target| self.is_target_silent(&target.id, input));
+        let mut expired = Vec::new();
+        for target in silent.take(MAX_EXPIRED_PER_TASK) {
+            let id = target.id.clone();
+            let sequence = target.sequence;
+            expired.push(ExpiredTarget { id, sequence });
+        }
         if expired.is_empty() {
             return None;
         }
@@ -124,33 +124,24 @@
     }
 
     fn expired_edges(&self, input: &ScheduleInput<'_>) -> Vec<SingletonTask> {
-        input
-            .state
-            .edges()
-            .iter()
-            .map(|edge| MachineIncarnation::new(&edge.node, edge.incarnation))
-            .filter(|machine| self.is_machine_silent(machine, MACHINE_TIMEOUT, input))
-            .map(
-                |MachineIncarnation { node, incarnation }| SingletonTask::ExpireEdge {
-                    node,
-                    incarnation,
-                },
-            )
-            .collect()
+        let mut expired = Vec::new();
+        for edge in input.state.edges().iter() {
+            let machine = MachineIncarnation::new(&edge.node, edge.incarnation);
+            if self.is_machine_silent(&machine, MACHINE_TIMEOUT, input) {
+                let MachineIncarnation { node, incarnation } = machine;
+                expired.push(SingletonTask::ExpireEdge { node, incarnation });
+            }
+        }
+        expired
     }
 
     /// At most one store is removed at a time. A serving store is removed early only if a new one
     /// is about to join.
     fn lost_store(&self, input: &ScheduleInput<'_>) -> Option<SingletonTask> {
-        let view = input.state.stores().view();
-        let serves = |member: &StoreMember| {
-            view.serving
-                .iter()
-                .any(|serving| serving.node == member.node)
-        };
-        let successor_joins = view.next.iter().flatten().any(|member| !serves(member));
-        let members = view.next.as_ref().unwrap_or(&view.serving);
-        for member in members {
+        let stores = input.state.stores();
+        let view = stores.view();
+        let successor_joins = has_joining_machine(view);
+        for member in view.next.as_ref().unwrap_or(&view.serving) {
             let is_joining = !view.serving.contains(member);
             let timeout = if is_joining || successor_joins {
                 MACHINE_TIMEOUT
@@ -159,10 +150,7 @@
             };
             let machine = MachineIncarnation::new(&member.node, member.incarnation);
             if self.is_machine_silent(&machine, timeout, input)
-                && input
-                    .state
-                    .stores()
-                    .can_remove_lost(&member.node, member.incarnation)
+                && stores.can_remove_lost(&member.node, member.incarnation)
             {
                 let MachineIncarnation { node, incarnation } = machine;
                 return Some(SingletonTask::RemoveLostStore { node, incarnation });
@@ -190,6 +178,13 @@
     }
 }
 
+/// Whether a machine that does not serve is about to join.
+fn has_joining_machine(view: &StoreView) -> bool {
+    let serves = |node: &NodeId| view.serving.iter().any(|serving| serving.node == *node);
+    let mut next = view.next.iter().flatten();
+    next.any(|member| !serves(&member.node))
+}
+
 /// The stores of the view, then the edges.
 fn registered_machines(state: &ControlState) -> impl Iterator<Item = MachineIncarnation> + '_ {
     let view = state.stores().view();
--- a/tier/controller/tests/bad_input.rs
+++ b/tier/controller/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Whatever comes in, an answer goes out and nothing changes.
+//! Malformed calls get a response and change nothing.
 
 mod common;
 
@@ -18,7 +18,7 @@
 ];
 
 /// A proper body with some of its bytes changed, cut off or doubled.
-fn damaged(
+fn malformed(
     random: &mut arbtest::arbitrary::Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<Vec<u8>> {
     let whole = if random.arbitrary()? {
@@ -44,7 +44,7 @@
         let tester = Tester::new();
         let method = METHODS[random.int_in_range(0..=METHODS.len() - 1)?];
         let path = PATHS[random.int_in_range(0..=PATHS.len() - 1)?];
-        let answered = tester.call(method, path, damaged(random)?);
+        let answered = tester.call(method, path, malformed(random)?);
         let status = answered.status.as_u16();
         assert!(
             [200, 400, 404, 405, 409, 413].contains(&status),
@@ -63,7 +63,7 @@
 fn a_malformed_configuration_is_in_force_only_if_it_is_acknowledged() {
     arbtest::arbtest(|random| {
         let tester = Tester::new();
-        let body = damaged(random)?;
+        let body = malformed(random)?;
         let answered = tester.put_configuration(0, body.clone());
         let control = tester.log.control();
         let in_force = control
--- a/tier/controller/tests/change_log.rs
+++ b/tier/controller/tests/change_log.rs
@@ -1,10 +1,10 @@
-//! What subscribers are sent: changes where they are known, snapshots otherwise.
+//! Updates for subscribers: changes where the log reaches back, snapshots otherwise.
 
 mod common;
 
 use std::sync::Arc;
 
-use common::{edge, MemoryLog};
+use common::{edge, put, MemoryLog};
 use plankhill_control::{build_tables, Operation};
 use plankhill_controller::change_log::ChangeLog;
 use plankhill_controller::ControlLog;
@@ -15,14 +15,6 @@
     log.state().borrow().clone()
 }
 
-fn put(expected: u64, version: u64) -> Operation {
-    Operation::PutConfiguration {
-        expected,
-        version,
-        document: Arc::from(&b"{}"[..]),
-    }
-}
-
 #[test]
 fn a_subscriber_at_the_newest_revision_is_sent_nothing() {
     let log = MemoryLog::new();
@@ -38,7 +30,7 @@
     arbtest::arbtest(|random| {
         let log = MemoryLog::new();
         let mut changes = ChangeLog::new(newest(&log));
-        let mut holders = vec![Tables::default()];
+        let mut subscribers = vec![Tables::default()];
         for step in 1..=random.int_in_range(1..=30)? {
             let operation = if random.arbitrary()? {
                 Operation::RegisterEdge(edge(["e1", "e2"][random.int_in_range(0..=1)?], step))
@@ -52,15 +44,15 @@
             if random.arbitrary()? {
                 changes.advance(newest(&log));
                 let state = changes.newest().clone();
-                holders.push(build_tables(&state.state, state.revision));
+                subscribers.push(build_tables(&state.state, state.revision));
             }
         }
         let end = changes.newest().clone();
-        for mut holder in holders {
-            if let Some(update) = changes.update_since(holder.revision) {
-                assert_eq!(holder.apply(update), Ok(()));
+        for mut subscriber in subscribers {
+            if let Some(update) = changes.update_since(subscriber.revision) {
+                assert_eq!(subscriber.apply(update), Ok(()));
             }
-            assert_eq!(holder, build_tables(&end.state, end.revision));
+            assert_eq!(subscriber, build_tables(&end.state, end.revision));
         }
         Ok(())
     });
--- a/tier/controller/tests/cluster/mod.rs
+++ b/tier/controller/tests/cluster/mod.rs
@@ -22,10 +22,11 @@
 use process::{exchange, free_address, run};
 
 /// Longest wait for one answer, and for a controller to be current, on a busy machine.
-const ANSWER: Duration = Duration::from_secs(20);
-/// Rounds over the machines without a clear answer: a controller may be current and lose that
-/// again.
-const TRIES: usize = 20;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Most rounds of calls to the machines without a clear answer: a controller may be current and
+/// lose that again.
+const MAX_ATTEMPTS: usize = 20;
+
 /// Three controllers of one system.
 pub struct Cluster {
     machines: Vec<Machine>,
@@ -47,7 +48,7 @@
 
 /// One call about the configuration.
 pub struct Call {
-    pub place: usize,
+    pub machine: usize,
     pub method: &'static str,
     pub expected: Option<u64>,
     pub body: String,
@@ -72,13 +73,15 @@
         };
         let machines = (1..=3).map(machine).collect();
         let mut cluster = Cluster { machines, runtime };
-        (0..3).for_each(|place| cluster.start(place, true));
+        for index in 0..3 {
+            cluster.start(index, true);
+        }
         cluster
     }
 
     /// Starts a machine with the disk that it has.
-    pub fn start(&mut self, place: usize, bootstrap: bool) {
-        let machine = &self.machines[place];
+    pub fn start(&mut self, index: usize, bootstrap: bool) {
+        let machine = &self.machines[index];
         let settings = ReplicaSettings {
             node: NodeId::from(machine.node.as_str()),
             address: machine.internal,
@@ -94,23 +97,23 @@
         let admin = machine.admin;
         let (kill, killed) = oneshot::channel();
         let thread = std::thread::spawn(move || run(settings, admin, killed));
-        self.machines[place].running = Some(Running { kill, thread });
+        self.machines[index].running = Some(Running { kill, thread });
     }
 
     /// Kills a machine; what it has not synced may be lost.
-    pub fn kill(&mut self, place: usize) {
-        let running = self.machines[place].running.take().unwrap();
-        // A thread that ended already needs no telling.
+    pub fn kill(&mut self, index: usize) {
+        let running = self.machines[index].running.take().unwrap();
+        // A thread that has ended already needs no signal.
         let _ = running.kill.send(());
         running.thread.join().unwrap();
     }
 
     /// Gives a machine an empty disk.
-    pub fn wipe(&mut self, place: usize) {
-        self.machines[place].disk = TempDir::new().unwrap();
+    pub fn wipe(&mut self, index: usize) {
+        self.machines[index].disk = TempDir::new().unwrap();
     }
 
-    /// The place of the machine that heads the chain, as one of the others sees it.
+    /// The index of the machine that heads the chain, as one of the others sees it.
     pub fn head(&self, seen_from: usize) -> usize {
         let (_, status) = self.call(seen_from, "GET", "/-/status", None, "").unwrap();
         let named = |machine: &Machine| status.find(&format!("\"{}\"", machine.node));
@@ -119,7 +122,7 @@
         let first = |machine: &Machine| head.find(&format!("\"{}\"", machine.node));
         assert!(self.machines.iter().any(|machine| named(machine).is_some()));
         (0..3)
-            .min_by_key(|place| first(&self.machines[*place]).unwrap_or(usize::MAX))
+            .min_by_key(|index| first(&self.machines[*index]).unwrap_or(usize::MAX))
             .unwrap()
     }
 
@@ -136,20 +139,20 @@
             if links == Some(wanted) {
                 return;
             }
-            assert!(asked.elapsed() < ANSWER, "{links:?} links");
+            assert!(asked.elapsed() < ANSWER_TIMEOUT, "{links:?} links");
         }
     }
 
     /// One call; `None` if no answer came.
     pub fn call(
         &self,
-        place: usize,
+        index: usize,
         method: &str,
         path: &str,
         expected: Option<u64>,
         body: &str,
     ) -> Option<Answered> {
-        let address = self.machines[place].admin;
+        let address = self.machines[index].admin;
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -161,19 +164,19 @@
             .body(Full::new(Bytes::from(body.to_owned())))
             .unwrap();
         let exchange = async {
-            tokio::time::timeout(ANSWER, exchange(address, request))
+            tokio::time::timeout(ANSWER_TIMEOUT, exchange(address, request))
                 .await
                 .ok()?
         };
         self.runtime.block_on(exchange)
     }
 
-    /// Calls at the same moment, each at one machine; `answered` is told of each by its place in
-    /// the list, in the order in which the answers come.
+    /// Calls at the same moment, each at one machine; `answered` is called for each with its index
+    /// in the list, in the order in which the answers come.
     pub fn call_together(&self, calls: &[Call], mut answered: impl FnMut(usize, Option<Answered>)) {
         let mut waiting = tokio::task::JoinSet::new();
         for (number, call) in calls.iter().enumerate() {
-            let address = self.machines[call.place].admin;
+            let address = self.machines[call.machine].admin;
             let mut request = Request::builder()
                 .method(call.method)
                 .uri("/-/config")
@@ -185,7 +188,7 @@
                 .body(Full::new(Bytes::from(call.body.clone())))
                 .unwrap();
             let exchange = async move {
-                tokio::time::timeout(ANSWER, exchange(address, request))
+                tokio::time::timeout(ANSWER_TIMEOUT, exchange(address, request))
                     .await
                     .ok()?
             };
@@ -205,30 +208,30 @@
     /// Calls the machines in turn, as the operator does, until one gives a clear answer.
     pub fn call_until_clear(
         &self,
-        places: &[usize],
+        indices: &[usize],
         method: &str,
         path: &str,
         expected: Option<u64>,
         body: &str,
     ) -> Answered {
-        for _ in 0..TRIES {
-            let mut answers = places
+        for _ in 0..MAX_ATTEMPTS {
+            let mut answers = indices
                 .iter()
-                .filter_map(|place| self.call(*place, method, path, expected, body));
+                .filter_map(|index| self.call(*index, method, path, expected, body));
             let clear = answers.find(|(status, _)| *status != StatusCode::SERVICE_UNAVAILABLE);
             if let Some(clear) = clear {
                 return clear;
             }
-            self.wait_until_current(places);
+            self.wait_until_current(indices);
         }
         panic!("no clear answer");
     }
 
     /// Waits until one of the machines says that it is current.
-    fn wait_until_current(&self, places: &[usize]) {
-        let addresses = places
+    fn wait_until_current(&self, indices: &[usize]) {
+        let addresses = indices
             .iter()
-            .map(|place| self.machines[*place].internal)
+            .map(|index| self.machines[*index].internal)
             .collect();
         let waiting = async {
             let (_keep, candidates) = watch::channel(addresses);
@@ -240,30 +243,30 @@
             });
             let mut standing = subscription.status();
             let current = standing.wait_for(|standing| standing.current);
-            let in_time = tokio::time::timeout(ANSWER, current).await.is_ok();
+            let in_time = tokio::time::timeout(ANSWER_TIMEOUT, current).await.is_ok();
             assert!(in_time, "no controller is current");
         };
         tokio::task::LocalSet::new().block_on(&self.runtime, waiting);
     }
 
     /// Sends a configuration until there is a clear answer.
-    pub fn put(&self, places: &[usize], expected: u64, document: &str) -> StatusCode {
-        self.call_until_clear(places, "PUT", "/-/config", Some(expected), document)
+    pub fn put(&self, indices: &[usize], expected: u64, document: &str) -> StatusCode {
+        self.call_until_clear(indices, "PUT", "/-/config", Some(expected), document)
             .0
     }
 
     /// Reads the configuration until there is a clear answer.
-    pub fn get(&self, place: usize) -> String {
-        self.call_until_clear(&[place], "GET", "/-/config", None, "")
+    pub fn get(&self, index: usize) -> String {
+        self.call_until_clear(&[index], "GET", "/-/config", None, "")
             .1
     }
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        for place in 0..self.machines.len() {
-            if self.machines[place].running.is_some() {
-                self.kill(place);
+        for index in 0..self.machines.len() {
+            if self.machines[index].running.is_some() {
+                self.kill(index);
             }
         }
     }
--- a/tier/controller/tests/cluster/process.rs
+++ b/tier/controller/tests/cluster/process.rs
@@ -33,7 +33,7 @@
     Some((status, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// An address that nobody listens at, another one with every call.
+/// A free address, another one with every call.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let span = PORTS.end - PORTS.start;
--- a/tier/controller/tests/common/mod.rs
+++ b/tier/controller/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use plankhill_replica::{CommittedState, Unavailable};
 use tokio::sync::watch;
 
-/// Commits at once, unless it is cut off.
+/// Commits at once, unless it is partitioned from the others.
 #[derive(Clone)]
 pub struct MemoryLog {
     shared: Rc<RefCell<Shared>>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Cuts the controller off from the others, or joins it again.
+    /// Partitions the controller from the others, or ends the partition.
     pub fn set_reachable(&self, reachable: bool) {
         self.reachable.send_replace(reachable);
     }
@@ -124,7 +124,7 @@
     budget: BodyBudget,
 }
 
-/// What came back.
+/// A response.
 #[derive(Debug)]
 pub struct Answered {
     pub status: StatusCode,
@@ -241,6 +241,15 @@
     }
 }
 
+/// A put of an empty document, which only the log takes.
+pub fn put(expected: u64, version: u64) -> Operation {
+    Operation::PutConfiguration {
+        expected,
+        version,
+        document: Arc::from(&b"{}"[..]),
+    }
+}
+
 pub fn register(member: &StoreMember) -> Operation {
     Operation::RegisterStore {
         member: member.clone(),
--- a/tier/controller/tests/configuration.rs
+++ b/tier/controller/tests/configuration.rs
@@ -144,7 +144,7 @@
         StatusCode::SERVICE_UNAVAILABLE
     );
     tester.log.set_reachable(true);
-    // The first sending was committed after all.
+    // The first attempt was committed after all.
     tester.put_configuration(0, configuration(5));
     assert_eq!(
         tester.put_configuration(0, configuration(5)).status,
@@ -166,8 +166,8 @@
     );
 }
 
-/// Guards repeats of orders that were taken before more others than anybody remembers: this
-/// controller must not settle them from the version that they build on.
+/// Guards repeats of puts that are older than the remembered history: this controller must not
+/// reject them because of the version that they build on.
 #[test]
 fn a_put_older_than_the_history_gets_503() {
     let tester = Tester::new();
--- a/tier/controller/tests/drains.rs
+++ b/tier/controller/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Orders that take edges out of service, as the operator sends them.
+//! Drain orders over HTTP.
 
 mod common;
 
@@ -78,7 +78,7 @@
 #[test]
 fn impossible_drain_orders_are_rejected_with_their_reason() {
     let tester = with_edges();
-    let refused = |body: Value, wanted: u16, reason: &str| {
+    let assert_rejected = |body: Value, wanted: u16, reason: &str| {
         let (status, answer) = order(&tester, &body);
         assert_eq!(status, wanted, "{body}");
         assert!(
@@ -88,29 +88,29 @@
             "{answer}"
         );
     };
-    refused(
+    assert_rejected(
         json!({"expected": 0, "leave": true, "nodes": ["x"]}),
         404,
         "no such edge",
     );
-    refused(
+    assert_rejected(
         json!({"expected": 0, "leave": true, "zone": "x"}),
         404,
         "zone",
     );
-    refused(json!({"expected": 0, "leave": true}), 400, "nodes");
-    refused(json!({"leave": true, "nodes": ["a1"]}), 400, "expected");
-    refused(
+    assert_rejected(json!({"expected": 0, "leave": true}), 400, "nodes");
+    assert_rejected(json!({"leave": true, "nodes": ["a1"]}), 400, "expected");
+    assert_rejected(
         json!({"expected": 0, "leave": true, "nodes": ["a1"], "force": true}),
         400,
         "force",
     );
-    refused(
+    assert_rejected(
         json!({"expected": 0, "leave": "yes", "nodes": ["a1"]}),
         400,
         "leave",
     );
-    refused(
+    assert_rejected(
         json!({"expected": 0, "leave": true, "nodes": ["a1", "b1", "c1", "c2"]}),
         409,
         "too few",
@@ -130,7 +130,7 @@
         (answered.status.as_u16(), answered.retry_after),
         (503, true)
     );
-    // A zone that is not known here may have come up since: nothing is settled.
+    // A zone that is not known here may have registered since: the outcome is open.
     let zone = tester.call(
         "POST",
         "/-/drains",
--- a/tier/controller/tests/feed.rs
+++ b/tier/controller/tests/feed.rs
@@ -6,8 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::{block_on, edge, register, store, MemoryLog};
-use plankhill_control::Operation;
+use common::{block_on, edge, put, register, store, MemoryLog};
 use plankhill_controller::control_log::ControlLog;
 use plankhill_controller::internal_server::serve_internal;
 use plankhill_controller::tasks::publish_committed_states;
@@ -47,14 +46,6 @@
     subscription.tables().wait_for(holds).await.unwrap().clone()
 }
 
-fn put(expected: u64, version: u64) -> Operation {
-    Operation::PutConfiguration {
-        expected,
-        version,
-        document: Arc::from(&b"{}"[..]),
-    }
-}
-
 #[test]
 fn an_agent_is_registered_and_receives_changes() {
     block_on(async {
@@ -113,7 +104,7 @@
     });
 }
 
-/// A connection on which the test speaks for the subscriber.
+/// A connection on which the test is the subscriber.
 async fn connect(address: SocketAddr, held: Revision) -> Connection {
     let hello = Hello::new(Channel::Feed, NodeId::from("subscriber"));
     let mut connection = dial(address, &hello).await.unwrap();
@@ -133,7 +124,7 @@
     ) {}
 }
 
-/// The next message that is no heartbeat of a revision that was announced before.
+/// The next message other than a heartbeat of an announced revision.
 async fn next(connection: &mut Connection, announced: Revision) -> ToSubscriber {
     loop {
         match connection.reader.next().await.unwrap() {
@@ -213,15 +204,15 @@
             .send(&FromSubscriber::HeartbeatsOnly)
             .await
             .unwrap();
-        // A heartbeat that answers nothing: what was sent before it has been read by then.
+        // The controller has read everything sent before once it sends a regular heartbeat.
         next_heartbeat(&mut connection).await;
         next_heartbeat(&mut connection).await;
         log.commit(&put(0, 5));
         let newest = log.state().borrow().revision;
-        let told = next(&mut connection, held).await;
+        let notified = next(&mut connection, held).await;
         assert!(
-            matches!(told, ToSubscriber::Heartbeat { revision, .. } if revision == newest),
-            "{told:?}"
+            matches!(notified, ToSubscriber::Heartbeat { revision, .. } if revision == newest),
+            "{notified:?}"
         );
         connection
             .writer
--- a/tier/controller/tests/heartbeats.rs
+++ b/tier/controller/tests/heartbeats.rs
@@ -41,7 +41,7 @@
         StatusCode::OK
     );
     assert_eq!(state(&tester), Some(TargetState::Draining));
-    // A late one is acknowledged and changes nothing.
+    // A late heartbeat is acknowledged and changes nothing.
     assert_eq!(
         tester.call("PUT", PATH, heartbeat("healthy", 1)).status,
         StatusCode::OK
--- a/tier/controller/tests/histories.rs
+++ b/tier/controller/tests/histories.rs
@@ -9,13 +9,13 @@
 use cluster::{Call, Cluster};
 use common::configuration_with;
 use hyper::StatusCode;
-use register::{Answer, Content, History, Order, Register};
+use register::{Answer, Content, History, Register, Request};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
 
 /// Random numbers below a bound (xorshift), the same for the same seed.
-struct Chance(u64);
+struct Rng(u64);
 
-impl Chance {
+impl Rng {
     fn below(&mut self, bound: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -26,9 +26,9 @@
 
 /// Controllers that go and come back in one history: the check takes exponential time where answers
 /// are unclear.
-const ROUNDS: usize = 2;
+const RESTARTS: usize = 2;
 
-/// What happened to an order, in the order in which it did.
+/// An event of a history.
 enum Event {
     Sent(usize),
     Answered(usize, Answer),
@@ -36,9 +36,10 @@
 
 /// Several operators that know what was answered, and do not always heed it.
 struct Operators {
-    chance: Chance,
-    /// Each as of an operator of its own: one who got no clear answer goes on as another one.
-    orders: Vec<Order>,
+    rng: Rng,
+    /// Each request is that of an operator of its own: an operator that got no clear answer goes on
+    /// as another one.
+    requests: Vec<Request>,
     events: Vec<Event>,
     /// The newest content that was acknowledged or read.
     newest: Content,
@@ -48,25 +49,24 @@
 
 impl Operators {
     fn new(seed: u64) -> Self {
-        let (orders, events, sent) = (Vec::new(), Vec::new(), Vec::new());
         Operators {
-            chance: Chance(seed | 1),
-            orders,
-            events,
+            rng: Rng(seed | 1),
+            requests: Vec::new(),
+            events: Vec::new(),
             newest: (0, 0),
-            sent,
+            sent: Vec::new(),
             clear: 0,
         }
     }
 
-    fn next_order(&mut self) -> Order {
-        let before = self.chance.below(self.sent.len().max(1));
-        match self.chance.below(8) {
-            0 | 1 => Order::Read,
+    fn next_request(&mut self) -> Request {
+        let before = self.rng.below(self.sent.len().max(1));
+        match self.rng.below(8) {
+            0 | 1 => Request::Read,
             // Sent again as it was, after a lost answer or long after.
             2 | 3 if !self.sent.is_empty() => {
                 let (expected, content) = self.sent[before];
-                Order::Put { expected, content }
+                Request::Put { expected, content }
             }
             // On a version that is not current any more.
             4 if !self.sent.is_empty() => {
@@ -78,37 +78,37 @@
     }
 
     /// A change on this version; several may bear the same number.
-    fn change(&mut self, expected: u64) -> Order {
-        let version = expected + 1 + self.chance.below(2) as u64;
-        let content = (version, 1 + self.chance.below(3));
+    fn change(&mut self, expected: u64) -> Request {
+        let version = expected + 1 + self.rng.below(2) as u64;
+        let content = (version, 1 + self.rng.below(3));
         self.sent.push((expected, content));
-        Order::Put { expected, content }
+        Request::Put { expected, content }
     }
 
-    /// Some orders at the same moment, at any of these controllers.
-    fn act(&mut self, cluster: &Cluster, places: &[usize]) {
-        let orders: Vec<Order> = (0..3).map(|_| self.next_order()).collect();
-        let first = self.orders.len();
-        self.orders.extend(orders.iter().cloned());
+    /// Some requests at the same moment, at any of these controllers.
+    fn act(&mut self, cluster: &Cluster, machines: &[usize]) {
+        let requests: Vec<Request> = (0..3).map(|_| self.next_request()).collect();
+        let first = self.requests.len();
+        self.requests.extend(requests.iter().cloned());
         self.events
-            .extend((first..self.orders.len()).map(Event::Sent));
-        let calls: Vec<Call> = orders
+            .extend((first..self.requests.len()).map(Event::Sent));
+        let calls: Vec<Call> = requests
             .iter()
-            .map(|order| {
-                let place = places[self.chance.below(places.len())];
-                call(place, order)
+            .map(|request| {
+                let machine = machines[self.rng.below(machines.len())];
+                call(machine, request)
             })
             .collect();
         cluster.call_together(&calls, |number, answered| {
             let Some(answer) =
-                answered.and_then(|(status, body)| clear_answer(&orders[number], status, &body))
+                answered.and_then(|(status, body)| clear_answer(&requests[number], status, &body))
             else {
                 return;
             };
             self.clear += 1;
-            match (&answer, &orders[number]) {
-                (Answer::Found(content), _) => self.newest = self.newest.max(*content),
-                (Answer::Taken, Order::Put { content, .. }) => {
+            match (&answer, &requests[number]) {
+                (Answer::Read(content), _) => self.newest = self.newest.max(*content),
+                (Answer::Accepted, Request::Put { content, .. }) => {
                     self.newest = self.newest.max(*content)
                 }
                 _ => {}
@@ -128,16 +128,17 @@
         let mut history = LinearizabilityTester::new(Register::default());
         for event in &self.events {
             match event {
-                Event::Sent(name) if self.orders[*name] == Order::Read && !is_answered(*name) => {}
+                Event::Sent(name)
+                    if self.requests[*name] == Request::Read && !is_answered(*name) => {}
                 Event::Sent(name) => {
                     history
-                        .on_invoke(*name, self.orders[*name].clone())
+                        .on_invoke(*name, self.requests[*name].clone())
                         .expect("a new operator");
                 }
                 Event::Answered(name, answer) => {
                     history
                         .on_return(*name, answer.clone())
-                        .expect("an open order");
+                        .expect("an open request");
                 }
             }
         }
@@ -145,21 +146,21 @@
     }
 }
 
-fn call(place: usize, order: &Order) -> Call {
-    match order {
-        Order::Read => Call {
-            place,
+fn call(machine: usize, request: &Request) -> Call {
+    match request {
+        Request::Read => Call {
+            machine,
             method: "GET",
             expected: None,
             body: String::new(),
         },
-        Order::Put {
+        Request::Put {
             expected,
             content: (version, routes),
         } => {
             let body = configuration_with(*version, *routes);
             Call {
-                place,
+                machine,
                 method: "PUT",
                 expected: Some(*expected),
                 body,
@@ -169,16 +170,16 @@
 }
 
 /// What an answer settles; none for one that settles nothing.
-fn clear_answer(order: &Order, status: StatusCode, body: &str) -> Option<Answer> {
-    match (order, status) {
-        (Order::Put { .. }, StatusCode::OK) => Some(Answer::Taken),
-        (Order::Put { .. }, StatusCode::PRECONDITION_FAILED | StatusCode::BAD_REQUEST) => {
-            Some(Answer::Refused)
+fn clear_answer(request: &Request, status: StatusCode, body: &str) -> Option<Answer> {
+    match (request, status) {
+        (Request::Put { .. }, StatusCode::OK) => Some(Answer::Accepted),
+        (Request::Put { .. }, StatusCode::PRECONDITION_FAILED | StatusCode::BAD_REQUEST) => {
+            Some(Answer::Rejected)
         }
-        (Order::Read, StatusCode::OK) => Some(Answer::Found(content_of(body))),
-        (Order::Read, StatusCode::NOT_FOUND) => Some(Answer::Found((0, 0))),
+        (Request::Read, StatusCode::OK) => Some(Answer::Read(content_of(body))),
+        (Request::Read, StatusCode::NOT_FOUND) => Some(Answer::Read((0, 0))),
         (_, StatusCode::SERVICE_UNAVAILABLE) => None,
-        (order, status) => panic!("{order:?}: {status}"),
+        (request, status) => panic!("{request:?}: {status}"),
     }
 }
 
@@ -188,24 +189,24 @@
     (document["version"].as_u64().expect("a version"), routes)
 }
 
-fn others(place: usize) -> Vec<usize> {
-    (0..3).filter(|other| *other != place).collect()
+fn others(machine: usize) -> Vec<usize> {
+    (0..3).filter(|other| *other != machine).collect()
 }
 
 /// Orders while each controller in turn is killed, or loses its disk, and comes back.
 fn play(seed: u64) {
     let mut cluster = Cluster::bootstrap();
     let mut operators = Operators::new(seed);
-    for round in 0..ROUNDS {
+    for restart in 0..RESTARTS {
         operators.act(&cluster, &[0, 1, 2]);
-        let gone = operators.chance.below(3);
+        let gone = operators.rng.below(3);
         cluster.kill(gone);
         let left = others(gone);
         operators.act(&cluster, &left);
         // Another loss may only come once this one is repaired.
         cluster.wait_for_links(left[0], 2);
         operators.act(&cluster, &left);
-        if round % 2 == 0 {
+        if restart % 2 == 0 {
             cluster.wipe(gone);
         }
         cluster.start(gone, false);
@@ -213,9 +214,13 @@
         cluster.wait_for_links(left[0], 3);
     }
     operators.act(&cluster, &[0, 1, 2]);
-    let (orders, clear, history) = (operators.orders.len(), operators.clear, operators.history());
-    println!("seed {seed}: {orders} orders, {clear} clear answers");
-    assert!(clear > orders / 3, "{clear} of {orders}");
+    let (requests, clear, history) = (
+        operators.requests.len(),
+        operators.clear,
+        operators.history(),
+    );
+    println!("seed {seed}: {requests} requests, {clear} clear answers");
+    assert!(clear > requests / 3, "{clear} of {requests}");
     assert!(history.is_consistent(), "seed {seed}: {history:?}");
 }
 
@@ -224,23 +229,23 @@
     (1..=4).for_each(|seed| play(seed * 7_919));
 }
 
-fn history(steps: &[(usize, Order, Option<Answer>)]) -> History {
+fn history(steps: &[(usize, Request, Option<Answer>)]) -> History {
     let mut history = LinearizabilityTester::new(Register::default());
-    for (name, order, answer) in steps {
+    for (name, request, answer) in steps {
         history
-            .on_invoke(*name, order.clone())
+            .on_invoke(*name, request.clone())
             .expect("a new operator");
         if let Some(answer) = answer {
             history
                 .on_return(*name, answer.clone())
-                .expect("an open order");
+                .expect("an open request");
         }
     }
     history
 }
 
-fn put(expected: u64, version: u64, routes: usize) -> Order {
-    Order::Put {
+fn put(expected: u64, version: u64, routes: usize) -> Request {
+    Request::Put {
         expected,
         content: (version, routes),
     }
@@ -249,32 +254,32 @@
 /// The check finds what it is there for.
 #[test]
 fn planted_violations_are_found() {
-    use Answer::{Found, Refused, Taken};
-    let taken = |name, order| (name, order, Some(Taken));
-    let both_confirmed = [
-        taken(0, put(0, 5, 1)),
-        taken(1, put(5, 7, 1)),
-        taken(2, put(5, 7, 2)),
+    use Answer::{Accepted, Read, Rejected};
+    let accepted = |name, request| (name, request, Some(Accepted));
+    let both_accepted = [
+        accepted(0, put(0, 5, 1)),
+        accepted(1, put(5, 7, 1)),
+        accepted(2, put(5, 7, 2)),
     ];
-    let repeat_refused = [taken(0, put(0, 5, 1)), (1, put(0, 5, 1), Some(Refused))];
+    let repeat_rejected = [accepted(0, put(0, 5, 1)), (1, put(0, 5, 1), Some(Rejected))];
     let old_read = [
-        taken(0, put(0, 5, 1)),
-        taken(1, put(5, 7, 1)),
-        (2, Order::Read, Some(Found((5, 1)))),
+        accepted(0, put(0, 5, 1)),
+        accepted(1, put(5, 7, 1)),
+        (2, Request::Read, Some(Read((5, 1)))),
     ];
     let lost = [
-        taken(0, put(0, 5, 1)),
-        (1, Order::Read, Some(Found((0, 0)))),
+        accepted(0, put(0, 5, 1)),
+        (1, Request::Read, Some(Read((0, 0)))),
     ];
-    for planted in [&both_confirmed[..], &repeat_refused, &old_read, &lost] {
+    for planted in [&both_accepted[..], &repeat_rejected, &old_read, &lost] {
         assert!(!history(planted).is_consistent(), "{planted:?}");
     }
-    // An order without a clear answer may be in force or not.
+    // A request without a clear answer may be in force or not.
     let unclear = |found| {
         [
-            taken(0, put(0, 5, 1)),
+            accepted(0, put(0, 5, 1)),
             (1, put(5, 7, 1), None),
-            (2, Order::Read, Some(Found(found))),
+            (2, Request::Read, Some(Read(found))),
         ]
     };
     assert!(history(&unclear((7, 1))).is_consistent());
--- a/tier/controller/tests/register/mod.rs
+++ b/tier/controller/tests/register/mod.rs
@@ -1,4 +1,4 @@
-//! What operators may rely on: a register with compare-and-swap that knows repeats.
+//! The guarantee of the configuration: a register with compare-and-swap that recognizes repeats.
 
 use std::collections::BTreeSet;
 
@@ -8,41 +8,41 @@
 pub type Content = (u64, usize);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Order {
+pub enum Request {
     Put { expected: u64, content: Content },
     Read,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    Taken,
-    Refused,
-    Found(Content),
+    Accepted,
+    Rejected,
+    Read(Content),
 }
 
-/// What the operators may rely on.
+/// The specification that histories are checked against.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Register {
     pub current: Content,
-    pub taken: BTreeSet<Content>,
+    pub accepted: BTreeSet<Content>,
 }
 
 impl SequentialSpec for Register {
-    type Op = Order;
+    type Op = Request;
     type Ret = Answer;
 
-    fn invoke(&mut self, order: &Order) -> Answer {
-        match order {
-            Order::Read => Answer::Found(self.current),
-            Order::Put { content, .. } if self.taken.contains(content) => Answer::Taken,
-            Order::Put { expected, content }
+    fn invoke(&mut self, request: &Request) -> Answer {
+        match request {
+            Request::Read => Answer::Read(self.current),
+            Request::Put { content, .. } if self.accepted.contains(content) => Answer::Accepted,
+            Request::Put { expected, content }
                 if *expected == self.current.0 && content.0 > self.current.0 =>
             {
                 self.current = *content;
-                self.taken.insert(*content);
-                Answer::Taken
+                self.accepted.insert(*content);
+                Answer::Accepted
             }
-            Order::Put { .. } => Answer::Refused,
+            Request::Put { .. } => Answer::Rejected,
         }
     }
 }
--- a/tier/controller/tests/registration.rs
+++ b/tier/controller/tests/registration.rs
@@ -1,4 +1,4 @@
-//! A subscriber is registered again if it was forgotten, but never in place of a later life.
+//! A subscriber is registered again if it was removed, but never in place of a later incarnation.
 
 mod common;
 
--- a/tier/controller/tests/retire.rs
+++ b/tier/controller/tests/retire.rs
@@ -1,4 +1,4 @@
-//! Emptying a store over HTTP.
+//! Retiring a store over HTTP.
 
 mod common;
 
--- a/tier/controller/tests/three_controllers.rs
+++ b/tier/controller/tests/three_controllers.rs
@@ -1,5 +1,5 @@
-//! The operator's orders over three controllers with their disks, while some are killed or lose a
-//! disk.
+//! Configuration changes over three controllers with their disks, while some are killed or lose
+//! a disk.
 
 mod cluster;
 mod common;
@@ -9,18 +9,18 @@
 use hyper::StatusCode;
 
 const ALL: [usize; 3] = [0, 1, 2];
-/// Reads from each controller behind each change.
-const READS: usize = 10;
+/// Reads from each controller after each change.
+const READS_PER_CONTROLLER: usize = 10;
 /// White space that makes a document as long as one of many routes.
-const PADDING: usize = 200_000;
+const PADDING_BYTES: usize = 200_000;
 
 /// The same configuration as a long document.
 fn padded(document: &str) -> String {
-    format!("{}{document}", " ".repeat(PADDING))
+    format!("{}{document}", " ".repeat(PADDING_BYTES))
 }
 
-fn others(place: usize) -> Vec<usize> {
-    ALL.into_iter().filter(|other| *other != place).collect()
+fn others(machine: usize) -> Vec<usize> {
+    ALL.into_iter().filter(|other| *other != machine).collect()
 }
 
 #[test]
@@ -30,9 +30,12 @@
     let head = cluster.head(0);
     cluster.kill(head);
     let left = others(head);
-    for place in &left {
-        assert_eq!(cluster.put(&[*place], 0, &configuration(5)), StatusCode::OK);
-        assert_eq!(cluster.get(*place), configuration(5));
+    for machine in &left {
+        assert_eq!(
+            cluster.put(&[*machine], 0, &configuration(5)),
+            StatusCode::OK
+        );
+        assert_eq!(cluster.get(*machine), configuration(5));
     }
     assert_eq!(cluster.put(&left, 5, &configuration(7)), StatusCode::OK);
     assert_eq!(
@@ -65,15 +68,15 @@
         cluster.call_until_clear(&ALL, "PUT", path, None, &target).0,
         StatusCode::OK
     );
-    for place in ALL {
-        cluster.kill(place);
+    for machine in ALL {
+        cluster.kill(machine);
     }
-    for place in ALL {
-        cluster.start(place, false);
+    for machine in ALL {
+        cluster.start(machine, false);
     }
     assert_eq!(cluster.put(&ALL, 5, &configuration(9)), StatusCode::OK);
-    for place in ALL {
-        assert_eq!(cluster.get(place), configuration(9));
+    for machine in ALL {
+        assert_eq!(cluster.get(machine), configuration(9));
     }
 }
 
@@ -87,15 +90,15 @@
         let document = padded(&configuration(version));
         assert_eq!(cluster.put(&ALL, current, &document), StatusCode::OK);
         current = version;
-        for place in &killed {
-            cluster.kill(*place);
+        for machine in &killed {
+            cluster.kill(*machine);
         }
-        for place in &killed {
-            cluster.start(*place, false);
+        for machine in &killed {
+            cluster.start(*machine, false);
         }
-        for _ in 0..READS {
-            for place in ALL {
-                assert!(cluster.get(place) == document, "version {version}");
+        for _ in 0..READS_PER_CONTROLLER {
+            for machine in ALL {
+                assert!(cluster.get(machine) == document, "version {version}");
             }
         }
     }
