--- a/tier/disk-health/tests/room.rs
+++ b/tier/disk-health/tests/disk_health.rs
@@ -1,21 +1,21 @@
-//! The pauses, and the probe.
+//! The backoff, and the check of free space.
 
 use std::time::Duration;
 
 use plankhill_disk_health::{check_free_space, Backoff};
 
 #[test]
-fn pauses_grow_up_to_a_bound() {
-    let mut pauses = Backoff::default();
-    let taken: Vec<u64> = (0..7)
-        .map(|_| pauses.next_delay().as_millis() as u64)
+fn delays_double_up_to_a_bound() {
+    let mut backoff = Backoff::default();
+    let delays: Vec<u64> = (0..7)
+        .map(|_| backoff.next_delay().as_millis() as u64)
         .collect();
-    assert_eq!(taken, [100, 200, 400, 800, 1_600, 2_000, 2_000]);
+    assert_eq!(delays, [100, 200, 400, 800, 1_600, 2_000, 2_000]);
     assert_eq!(Backoff::default().next_delay(), Duration::from_millis(100));
 }
 
 #[test]
-fn a_folder_with_room_is_left_as_it_was() {
+fn a_folder_with_free_space_is_left_unchanged() {
     let folder = tempfile::tempdir().expect("a folder");
     assert!(check_free_space(folder.path()).is_ok());
     assert_eq!(
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn a_folder_that_takes_nothing_is_told() {
+fn a_folder_that_takes_no_bytes_is_reported() {
     let folder = tempfile::tempdir().expect("a folder");
     assert!(check_free_space(&folder.path().join("missing")).is_err());
     // A device that is always full stands for the file.
     std::os::unix::fs::symlink("/dev/full", folder.path().join("room-probe")).expect("a link");
-    let error = check_free_space(folder.path()).expect_err("no room");
+    let error = check_free_space(folder.path()).expect_err("no free space");
     assert_eq!(error.kind(), std::io::ErrorKind::StorageFull);
 }
