--- a/tier/conversations/src/account.rs
+++ b/tier/conversations/src/account.rs
@@ -1,6 +1,9 @@
-//! The budget account of a program: what each of its turns may still generate or has handed out.
+//! The budget account of a program: what each of its turns may still generate or has generated.
 //!
-//! Accounts of several stores are merged in any order and any number of times with the same result.
+//! Each replica of a program owns an account of it, and changes the account when a turn reserves or
+//! commits tokens. Accounts are merged like a state-based CRDT: a turn's state only rises in the order
+//! of [`TurnState`], so that accounts of several stores give the same result in any order of merging
+//! and however often each is merged.
 
 use std::collections::BTreeMap;
 
@@ -8,38 +11,39 @@
 use plankhill_protocol::store_calls::Reservation;
 use serde::{Deserialize, Serialize};
 
-/// Turns that one account holds at most; a program with more gets no further turn.
-pub const MAX_TURNS: usize = 8_192;
+/// Turns in one account at most; a program with more turns gets no further reservation.
+pub const MAX_ACCOUNT_TURNS: usize = 8_192;
 
-/// What is known of one turn. Later ones replace earlier ones when two accounts are merged.
+/// What an account knows of one turn. A state that compares greater replaces a lesser one on a merge:
+/// a reservation gives way to a rejection, and both to a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum TurnState {
-    /// It may run and counts at its most.
+    /// The turn may be running; all that it may generate is charged.
     Reserved {
-        /// Tokens that it generates at most.
-        most: u64,
+        /// Tokens that the turn generates at most.
+        max_tokens: u64,
     },
-    /// It did not fit and never runs.
-    Refused,
-    /// It is over.
-    Settled {
-        /// Tokens handed to the client.
+    /// The turn did not fit into the budget, and never runs.
+    Rejected,
+    /// The turn has ended.
+    Committed {
+        /// Tokens that were sent to the client.
         tokens: u64,
     },
 }
 
 impl TurnState {
-    /// Tokens that count against the budget.
-    pub fn tokens(self) -> u64 {
+    /// Tokens that the turn takes from the budget.
+    pub fn charged_tokens(self) -> u64 {
         match self {
-            TurnState::Reserved { most } => most,
-            TurnState::Refused => 0,
-            TurnState::Settled { tokens } => tokens,
+            TurnState::Reserved { max_tokens } => max_tokens,
+            TurnState::Rejected => 0,
+            TurnState::Committed { tokens } => tokens,
         }
     }
 }
 
-/// All turns of one program that a store knows.
+/// The states of all turns of one program that a store knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
     turns: BTreeMap<RequestId, TurnState>,
@@ -47,22 +51,22 @@
 
 /// Whether a turn may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It fits.
+pub enum BudgetDecision {
+    /// The turn fits into the budget.
     Granted,
-    /// It does not fit, or was refused before.
-    Spent,
-    /// It is over already: the question is a late repeat.
-    Over,
+    /// The turn does not fit, or was rejected before.
+    Exhausted,
+    /// The turn has ended already: the request is a late repeat.
+    AlreadyEnded,
 }
 
 impl Account {
-    /// Takes in what is known of a turn. True if that was news.
+    /// Raises the state of a turn. Returns whether the account changed.
     pub fn merge(&mut self, turn: &RequestId, state: TurnState) -> bool {
         match self.turns.get_mut(turn) {
-            Some(held) if *held >= state => false,
-            Some(held) => {
-                *held = state;
+            Some(known) if *known >= state => false,
+            Some(known) => {
+                *known = state;
                 true
             }
             None => {
@@ -72,47 +76,57 @@
         }
     }
 
-    /// Takes in all that another store knows.
+    /// Merges all states of another store's account of the same program.
     pub fn merge_all(&mut self, other: &Account) {
         for (turn, state) in &other.turns {
             self.merge(turn, *state);
         }
     }
 
-    /// What is known of a turn.
+    /// The state of a turn; None for one that the account does not know.
     pub fn state(&self, turn: &RequestId) -> Option<TurnState> {
         self.turns.get(turn).copied()
     }
 
-    /// All turns, in the order of their names.
+    /// All turns with their states, in the order of their names.
     pub fn turns(&self) -> impl Iterator<Item = (&RequestId, TurnState)> {
         self.turns.iter().map(|(turn, state)| (turn, *state))
     }
 
-    /// Turns held.
+    /// Number of turns in the account.
     pub fn len(&self) -> usize {
         self.turns.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether the account knows no turn.
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
     }
 
-    /// Whether the turn may run, every other turn counted at what is known of it. The account must be the
-    /// union of what enough stores know, each with this turn's reservation in it.
-    pub fn verdict(&self, turn: &RequestId, reservation: &Reservation) -> Verdict {
+    /// Decides whether a turn may run, every other turn charged at its state.
+    ///
+    /// Safe only on the merged accounts of a write quorum each of which holds this turn's reservation:
+    /// two turns that are decided at the same time then see each other in at least one of them, and
+    /// cannot both take the last tokens.
+    pub fn decide(&self, turn: &RequestId, reservation: &Reservation) -> BudgetDecision {
         match self.state(turn) {
-            Some(TurnState::Refused) => return Verdict::Spent,
-            Some(TurnState::Settled { .. }) => return Verdict::Over,
+            Some(TurnState::Rejected) => return BudgetDecision::Exhausted,
+            Some(TurnState::Committed { .. }) => return BudgetDecision::AlreadyEnded,
             Some(TurnState::Reserved { .. }) | None => {}
         }
-        let others = self.turns().filter(|(other, _)| *other != turn);
-        let tokens = others.fold(0_u64, |sum, (_, state)| sum.saturating_add(state.tokens()));
-        if tokens.saturating_add(reservation.max_tokens) <= reservation.budget {
-            Verdict::Granted
+        let charged = self.tokens_charged_to_others(turn);
+        if charged.saturating_add(reservation.max_tokens) <= reservation.budget {
+            BudgetDecision::Granted
         } else {
-            Verdict::Spent
+            BudgetDecision::Exhausted
         }
     }
+
+    fn tokens_charged_to_others(&self, turn: &RequestId) -> u64 {
+        self.turns()
+            .filter(|(other, _)| *other != turn)
+            .fold(0, |sum, (_, state)| {
+                sum.saturating_add(state.charged_tokens())
+            })
+    }
 }
--- a/tier/conversations/src/lib.rs
+++ b/tier/conversations/src/lib.rs
@@ -1,8 +1,19 @@
-//! Retained turns and token budgets over several stores, without I/O.
+//! Conversations' retained turns and programs' token budgets over several stores, without I/O.
+//!
+//! A conversation is a chain of turns: each turn names the turn that it continues. Stores
+//! (`plankhill-store`) keep the turns and the budget accounts of programs on disk, replicated over
+//! `2 * faults + 1` of them. This package has the data that stores own ([`account`], [`turn_index`]), the
+//! rules that they share ([`placement`], [`quorum`]), their messages ([`wire`], [`peer`]) and the form
+//! of their rows on disk ([`keys`], [`rows`]). Proxies use [`wire`] through `plankhill-store-client`.
+//!
+//! The form of messages, keys and rows is fixed: `tests/wire_format.rs` and `tests/stored_format.rs` pin
+//! their bytes. Enum variants and struct fields are encoded by position and never move.
 
 pub mod account;
-pub mod index;
+pub mod keys;
 pub mod peer;
 pub mod placement;
+pub mod quorum;
 pub mod rows;
+pub mod turn_index;
 pub mod wire;
--- a/tier/conversations/src/peer.rs
+++ b/tier/conversations/src/peer.rs
@@ -1,4 +1,8 @@
-//! What stores ask of each other.
+//! Messages between stores.
+//!
+//! Every call names the epoch of the caller's view. A store answers calls of its own epoch only, so that
+//! replicas of an older view cannot acknowledge a write that the newer view's replicas do not have.
+//! Repairs, hints and views are taken whatever their epoch: they only add to what a store knows.
 
 use std::sync::Arc;
 
@@ -12,149 +16,152 @@
 /// A call of one store to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerCall {
-    /// The caller's view. A store refuses calls of older views than its own.
+    /// The epoch of the caller's view.
     pub epoch: StoreEpoch,
-    /// What is asked.
+    /// The request.
     pub body: PeerRequest,
 }
 
-/// What one store asks of another.
+/// A request of one store to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Take in the turn's reservation, sync it, and tell all that is known of the program.
+    /// Add a turn's reservation to the program's account, sync the account, and send it.
     Reserve {
         /// The program.
         program: ProgramId,
         /// The turn.
         turn: RequestId,
-        /// Tokens that it generates at most.
-        most: u64,
-        /// Its `Previous`: that chain is not to expire while the turn runs.
+        /// Tokens that the turn generates at most.
+        max_tokens: u64,
+        /// The turn that this one continues: its chain must not expire while the turn runs.
         previous: Option<RequestId>,
     },
-    /// Take in what became of a turn, and sync it.
-    End(EndedTurn),
-    /// Send the turn and those of its ancestors that are here.
-    Chain {
+    /// Merge the update of a turn that has ended, and sync it.
+    EndTurn(TurnUpdate),
+    /// Send the turn and those of its ancestors that this store has.
+    ReadChain {
         /// The newest turn of the chain.
         turn: RequestId,
     },
-    /// Say whether the turn is here.
-    Locate {
+    /// Say whether this store has the turn.
+    LocateTurn {
         /// The turn.
         turn: RequestId,
     },
-    /// Keep the turn and its ancestors that are here at least this long from now on, also after a restart.
-    Extend {
+    /// Retain the turn, and its ancestors at this store, for at least this time from now on, also after
+    /// a restart.
+    ExtendRetention {
         /// The turn.
         turn: RequestId,
-        /// How long, in milliseconds.
-        keep_ms: u64,
+        /// The time in milliseconds.
+        retention_ms: u64,
     },
-    /// Take in what was missed, and sync it.
-    Repair(Vec<EndedTurn>),
-    /// Keep in mind that a store has missed what became of a turn. Best effort.
-    KeepHint {
-        /// The store that missed it.
+    /// Merge updates that the receiver has missed, and sync them. Without an update: say whether the
+    /// receiver can be reached.
+    Repair(Vec<TurnUpdate>),
+    /// Store the hint that another store has missed an update of a turn. Best effort.
+    StoreHint {
+        /// The store that missed the update.
         node: NodeId,
         /// The program.
         program: ProgramId,
         /// The turn.
         turn: RequestId,
     },
-    /// List the programs that belong to the caller in a set, in the order of their names.
+    /// List programs of which the caller is a replica in a set, in the order of their names.
     ListPrograms {
         /// The set.
         set: StoreSet,
         /// The caller.
         store: StoreMember,
-        /// Where to go on; None to begin.
+        /// The last program of the page before; None for the first page.
         after: Option<ProgramId>,
     },
-    /// Send accounts and the names of turns.
+    /// Send accounts and the names of retained turns.
     OutlinePrograms {
-        /// Which.
+        /// The programs.
         programs: Vec<ProgramId>,
     },
-    /// Send turns.
+    /// Send retained turns.
     FetchTurns {
-        /// Which; the answer may hold fewer.
+        /// The turns; the answer may have fewer.
         turns: Vec<RequestId>,
     },
-    /// Take this view if it is newer.
-    TakeView(StoreView),
+    /// Install this view if it is newer than the receiver's.
+    InstallView(StoreView),
 }
 
 /// One of the sets of a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreSet {
-    /// Those that hold everything.
+    /// The stores that have everything.
     Serving,
-    /// Those that take over.
+    /// The stores that take over from the serving ones.
     Next,
 }
 
-/// What became of a turn.
+/// What one store tells another of a turn. Merging an update twice changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndedTurn {
+pub struct TurnUpdate {
     /// The program.
     pub program: ProgramId,
     /// The turn.
     pub turn: RequestId,
-    /// What its budget account holds of it; None without a reservation.
+    /// The turn's state in the program's account; None of a turn without a reservation.
     pub state: Option<TurnState>,
-    /// What is kept of it.
-    pub kept: Option<KeptTurn>,
+    /// The turn itself; None of a turn that is not retained.
+    pub retained: Option<RetainedTurn>,
 }
 
-/// A turn as it goes from store to store.
+/// A turn that later turns can continue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptTurn {
+pub struct RetainedTurn {
     /// The turn.
     pub record: Arc<TurnRecord>,
-    /// How much longer it is kept, in milliseconds.
+    /// How much longer the turn is retained, in milliseconds. Stores send time left, not times of day:
+    /// their clocks differ.
     pub remaining_ms: u64,
 }
 
 /// The answer to a [`PeerCall`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerReply {
-    /// The answering life of the store; it counts only for the sets that name this life.
+    /// The answering store's incarnation; the answer counts only for sets that name it.
     pub incarnation: Incarnation,
     /// The answer.
     pub body: PeerResponse,
 }
 
-/// What a store answers to another.
+/// The body of a store's answer to another store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// Synced; all that is known of the program.
+    /// The reservation is synced; the program's account at this store.
     Account(Account),
-    /// Done, and synced where something was to be kept.
+    /// The request was carried out, and synced where it asks for that.
     Done,
-    /// Turns from the newest to older ones.
+    /// Turns of a chain, from the newest to older ones.
     Chain {
         /// The turns.
         turns: Vec<Arc<TurnRecord>>,
-        /// Where to go on, if the chain is longer than what is here.
+        /// The next older turn, if the chain is longer than what this store has.
         rest: Option<TurnLocation>,
     },
-    /// The turn is here.
-    Located,
-    /// The turn is not here.
-    NotHere,
-    /// Programs with a digest of all that is known of each; an empty list is the end.
+    /// This store has the turn.
+    TurnPresent,
+    /// This store does not have the turn.
+    TurnAbsent,
+    /// Programs with digests; an empty list is the end.
     Programs(Vec<ProgramDigest>),
-    /// Accounts and the names of turns.
+    /// Accounts and the names of retained turns.
     Outlines(Vec<ProgramOutline>),
-    /// Turns.
-    Turns(Vec<KeptTurn>),
-    /// The caller's view is older than this one.
-    OldEpoch(StoreView),
-    /// The caller's view is newer: the caller sends it and asks again.
-    Behind,
-    /// It can't be done now: a bound is reached or the disk fails.
-    Unable,
+    /// Retained turns.
+    Turns(Vec<RetainedTurn>),
+    /// The caller's view is older than this store's, which follows.
+    StaleEpoch(StoreView),
+    /// The caller's view is newer than this store's: the caller sends its view and calls again.
+    ReceiverStale,
+    /// The request cannot be carried out now: a bound is reached or the disk fails.
+    Unavailable,
 }
 
 /// A program in a list.
@@ -162,7 +169,8 @@
 pub struct ProgramDigest {
     /// The program.
     pub program: ProgramId,
-    /// The same at two stores that hold the same.
+    /// Digest of the program's account and of the names of its retained turns; equal at two stores that
+    /// know the same.
     pub digest: u64,
 }
 
@@ -171,8 +179,8 @@
 pub struct ProgramOutline {
     /// The program.
     pub program: ProgramId,
-    /// Its budget.
+    /// The program's budget account.
     pub account: Account,
-    /// The turns kept of it.
+    /// The names of the program's retained turns.
     pub turns: Vec<RequestId>,
 }
--- a/tier/conversations/src/turn_index.rs
+++ b/tier/conversations/src/turn_index.rs
@@ -1,6 +1,8 @@
-//! What one store knows, without the turns' bytes: budget accounts, and which turns are kept until when.
+//! What one store knows, without the turns' bytes: budget accounts, and which turns are retained until
+//! when.
 //!
-//! Times are milliseconds of the store's own clock.
+//! The store's node owns the index, builds it from the rows on disk at a start, and changes it with
+//! every update. All times are milliseconds of the store's own time of day.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,25 +11,26 @@
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 
-use crate::account::{Account, TurnState, MAX_TURNS};
+use crate::account::{Account, TurnState, MAX_ACCOUNT_TURNS};
 use crate::peer::{ProgramDigest, ProgramOutline};
 
-/// A budget account is dropped when nothing happened to it for this time: long after any program has ended.
-pub const ACCOUNT_KEPT_MS: u64 = 5 * 60 * 1_000;
+/// A budget account without a change for this time is dropped, in milliseconds: long after any program
+/// has ended.
+pub const ACCOUNT_TTL_MS: u64 = 5 * 60 * 1_000;
 
 /// Rough size of an entry besides the turn's bytes: names, tree and table nodes.
-const ENTRY_BYTES: u64 = 400;
+const ENTRY_OVERHEAD_BYTES: u64 = 400;
 
-/// A turn that is kept.
+/// A retained turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TurnEntry {
-    /// The program that it ran in.
+    /// The program that the turn ran in.
     pub program: ProgramId,
-    /// The turn that it went on from.
+    /// The turn that this one continues.
     pub previous: Option<TurnLocation>,
-    /// Bytes of its input and output.
+    /// Bytes of the turn's input and output.
     pub bytes: u64,
-    /// When it may go.
+    /// When the turn expires.
     pub expires_ms: u64,
 }
 
@@ -41,36 +44,59 @@
             expires_ms,
         }
     }
+
+    fn previous_turn(&self) -> Option<RequestId> {
+        self.previous.as_ref().map(|previous| previous.turn.clone())
+    }
+
+    /// Bytes that the index counts for the turn.
+    fn charged_bytes(&self) -> u64 {
+        self.bytes + ENTRY_OVERHEAD_BYTES
+    }
+}
+
+/// A budget account that was dropped by its age.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ExpiredAccount {
+    /// The program.
+    pub program: ProgramId,
+    /// The program's account as it was.
+    pub account: Account,
 }
 
-/// What went away by age.
+/// All that was dropped by its age.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Expired {
     /// Turns.
     pub turns: Vec<RequestId>,
     /// Budget accounts.
-    pub accounts: Vec<(ProgramId, Account)>,
+    pub accounts: Vec<ExpiredAccount>,
 }
 
 #[derive(Debug, Default)]
 struct Program {
     account: Account,
     turns: BTreeSet<RequestId>,
+    /// The last change of the account.
     used_ms: u64,
 }
 
-/// All accounts and turns of a store.
+/// All accounts and retained turns of a store.
+///
+/// Invariant: a retained turn expires no earlier than any retained turn that continues it, so that a
+/// chain stays complete from its newest turn on.
 #[derive(Debug, Default)]
-pub struct Index {
+pub struct TurnIndex {
     programs: BTreeMap<ProgramId, Program>,
     turns: HashMap<RequestId, TurnEntry>,
-    /// Ancestors that are not here, and how long they would be needed.
-    wanted: HashMap<RequestId, u64>,
+    /// Until when ancestors that are not here yet have to be retained once they come.
+    pending_extensions: HashMap<RequestId, u64>,
     bytes: u64,
 }
 
-impl Index {
-    /// Takes in what is known of a turn's budget. True if that was news, false also for one turn too many.
+impl TurnIndex {
+    /// Merges the state of a turn into its program's account. Returns whether the account changed; of a
+    /// turn beyond [`MAX_ACCOUNT_TURNS`] it never does.
     pub fn merge_state(
         &mut self,
         program: &ProgramId,
@@ -78,161 +104,181 @@
         state: TurnState,
         now_ms: u64,
     ) -> bool {
-        let held = self.programs.entry(program.clone()).or_default();
-        held.used_ms = held.used_ms.max(now_ms);
-        if held.account.len() >= MAX_TURNS && held.account.state(turn).is_none() {
+        let program = self.programs.entry(program.clone()).or_default();
+        program.used_ms = program.used_ms.max(now_ms);
+        let turns_before = program.account.len();
+        if turns_before >= MAX_ACCOUNT_TURNS && program.account.state(turn).is_none() {
             return false;
         }
-        let before = held.account.len();
-        let news = held.account.merge(turn, state);
-        self.bytes += (held.account.len() - before) as u64 * ENTRY_BYTES;
-        news
+        let has_changed = program.account.merge(turn, state);
+        let added = program.account.len() - turns_before;
+        self.bytes += added as u64 * ENTRY_OVERHEAD_BYTES;
+        has_changed
     }
 
-    /// What is known of a program's budget.
+    /// The budget account of a program.
     pub fn account(&self, program: &ProgramId) -> Option<&Account> {
         self.programs.get(program).map(|program| &program.account)
     }
 
-    /// Keeps a turn, and its ancestors as long as it. True if it was not here.
-    pub fn keep(&mut self, turn: &RequestId, mut entry: TurnEntry) -> bool {
-        let wanted = self.wanted.remove(turn).unwrap_or(0);
-        let until = entry.expires_ms.max(wanted);
+    /// Retains a turn, and its ancestors as long as the turn. Returns whether the turn was not here
+    /// before; one that was is extended.
+    pub fn retain(&mut self, turn: &RequestId, mut entry: TurnEntry) -> bool {
+        let pending = self.pending_extensions.remove(turn).unwrap_or(0);
+        let expires_ms = entry.expires_ms.max(pending);
         if self.turns.contains_key(turn) {
-            self.extend(turn, until);
+            self.extend(turn, expires_ms);
             return false;
         }
-        let previous = entry
-            .previous
-            .as_ref()
-            .map(|previous| previous.turn.clone());
-        entry.expires_ms = until;
-        self.bytes += entry.bytes + ENTRY_BYTES;
+        entry.expires_ms = expires_ms;
+        self.bytes += entry.charged_bytes();
         let program = self.programs.entry(entry.program.clone()).or_default();
         program.turns.insert(turn.clone());
+        let previous = entry.previous_turn();
         self.turns.insert(turn.clone(), entry);
         if let Some(previous) = previous {
-            self.extend(&previous, until);
+            self.extend(&previous, expires_ms);
         }
         true
     }
 
-    /// Keeps a turn and its ancestors at least until then. Those that are not here are extended when they come.
+    /// Retains a turn and its ancestors at least until a time. An ancestor that is not here is extended
+    /// when it comes.
     pub fn extend(&mut self, turn: &RequestId, until_ms: u64) {
         let mut next = Some(turn.clone());
         while let Some(turn) = next.take() {
             let Some(entry) = self.turns.get_mut(&turn) else {
-                let wanted = self.wanted.entry(turn).or_default();
-                *wanted = until_ms.max(*wanted);
+                let pending = self.pending_extensions.entry(turn).or_default();
+                *pending = until_ms.max(*pending);
                 return;
             };
             if entry.expires_ms < until_ms {
                 entry.expires_ms = until_ms;
-                next = entry
-                    .previous
-                    .as_ref()
-                    .map(|previous| previous.turn.clone());
+                next = entry.previous_turn();
             }
         }
     }
 
-    /// A turn that is kept.
+    /// A retained turn.
     pub fn turn(&self, turn: &RequestId) -> Option<&TurnEntry> {
         self.turns.get(turn)
     }
 
-    /// Drops a turn that could not be written, or that is of no use any more.
-    pub fn forget(&mut self, turn: &RequestId) {
+    /// Drops a turn that expired or could not be written.
+    pub fn remove(&mut self, turn: &RequestId) {
         let Some(entry) = self.turns.remove(turn) else {
             return;
         };
-        self.bytes = self.bytes.saturating_sub(entry.bytes + ENTRY_BYTES);
+        self.bytes = self.bytes.saturating_sub(entry.charged_bytes());
         if let Some(program) = self.programs.get_mut(&entry.program) {
             program.turns.remove(turn);
         }
     }
 
-    /// Drops what is too old, and tells what that was.
+    /// Drops all that has expired, and returns it.
     pub fn expire(&mut self, now_ms: u64) -> Expired {
-        let old = self
+        let turns = self.expired_turns(now_ms);
+        for turn in &turns {
+            self.remove(turn);
+        }
+        self.pending_extensions
+            .retain(|_, until_ms| *until_ms > now_ms);
+        let accounts = self.expire_accounts(now_ms);
+        self.programs.retain(|_, program| !program.is_empty());
+        Expired { turns, accounts }
+    }
+
+    fn expired_turns(&self, now_ms: u64) -> Vec<RequestId> {
+        let expired = self
             .turns
             .iter()
             .filter(|(_, entry)| entry.expires_ms <= now_ms);
-        let turns: Vec<RequestId> = old.map(|(turn, _)| turn.clone()).collect();
-        turns.iter().for_each(|turn| self.forget(turn));
-        self.wanted.retain(|_, until| *until > now_ms);
+        expired.map(|(turn, _)| turn.clone()).collect()
+    }
+
+    fn expire_accounts(&mut self, now_ms: u64) -> Vec<ExpiredAccount> {
         let mut accounts = Vec::new();
-        let bytes = &mut self.bytes;
-        self.programs.retain(|name, program| {
-            if program.used_ms.saturating_add(ACCOUNT_KEPT_MS) <= now_ms
-                && !program.account.is_empty()
+        for (name, program) in &mut self.programs {
+            if program.used_ms.saturating_add(ACCOUNT_TTL_MS) > now_ms || program.account.is_empty()
             {
-                let account = std::mem::take(&mut program.account);
-                *bytes = bytes.saturating_sub(account.len() as u64 * ENTRY_BYTES);
-                accounts.push((name.clone(), account));
+                continue;
             }
-            !program.turns.is_empty() || !program.account.is_empty()
-        });
-        Expired { turns, accounts }
+            let account = std::mem::take(&mut program.account);
+            let freed = account.len() as u64 * ENTRY_OVERHEAD_BYTES;
+            self.bytes = self.bytes.saturating_sub(freed);
+            accounts.push(ExpiredAccount {
+                program: name.clone(),
+                account,
+            });
+        }
+        accounts
     }
 
-    /// Programs after `after` that pass the filter, in the order of their names; `limit` at most.
-    pub fn list(
+    /// Digests of the programs after `after` that pass the filter, in the order of their names; `limit`
+    /// at most.
+    pub fn list_programs(
         &self,
         after: Option<&ProgramId>,
         limit: usize,
-        belongs: impl Fn(&ProgramId) -> bool,
+        is_listed: impl Fn(&ProgramId) -> bool,
     ) -> Vec<ProgramDigest> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let programs = self
             .programs
             .range::<ProgramId, _>((start, Bound::Unbounded));
-        let belonging = programs.filter(|(name, _)| belongs(name)).take(limit);
-        let digests = belonging.map(|(name, held)| ProgramDigest {
-            program: name.clone(),
-            digest: held.digest(),
-        });
-        digests.collect()
+        programs
+            .filter(|(name, _)| is_listed(name))
+            .take(limit)
+            .map(|(name, program)| ProgramDigest {
+                program: name.clone(),
+                digest: program.digest(),
+            })
+            .collect()
     }
 
-    /// A digest of all that is known of a program; None if nothing is.
+    /// A digest of all that is known of a program; None of an unknown program.
     pub fn digest(&self, program: &ProgramId) -> Option<u64> {
         self.programs.get(program).map(Program::digest)
     }
 
-    /// What is known of a program.
+    /// The account and the names of the retained turns of a program; None of an unknown program.
     pub fn outline(&self, program: &ProgramId) -> Option<ProgramOutline> {
-        let held = self.programs.get(program)?;
-        let turns = held.turns.iter().cloned().collect();
+        let known = self.programs.get(program)?;
         Some(ProgramOutline {
             program: program.clone(),
-            account: held.account.clone(),
-            turns,
+            account: known.account.clone(),
+            turns: known.turns.iter().cloned().collect(),
         })
     }
 
-    /// Bytes of all turns with what is needed to find them.
+    /// Bytes of all retained turns and accounts, with an estimate of what the index itself takes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Turns that are kept.
+    /// Number of retained turns.
     pub fn len(&self) -> usize {
         self.turns.len()
     }
 
-    /// Whether no turn is kept.
+    /// Whether no turn is retained.
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
     }
 }
 
 impl Program {
+    fn is_empty(&self) -> bool {
+        self.turns.is_empty() && self.account.is_empty()
+    }
+
+    /// Part of the wire format: stores compare digests with each other. `DefaultHasher::new()` has fixed
+    /// keys; the derived order of hashing is pinned in `tests/wire_format.rs`.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        self.account
-            .turns()
-            .for_each(|entry| entry.hash(&mut hasher));
+        for entry in self.account.turns() {
+            entry.hash(&mut hasher);
+        }
         self.turns.hash(&mut hasher);
         hasher.finish()
     }
--- a/tier/conversations/src/wire.rs
+++ b/tier/conversations/src/wire.rs
@@ -1,4 +1,4 @@
-//! What goes over a connection to a store: calls of proxies and of other stores.
+//! Messages on a connection to a store: calls of proxies and of other stores.
 
 use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use serde::{Deserialize, Serialize};
@@ -14,9 +14,9 @@
     Peer(PeerCall),
 }
 
-/// The answer to a [`StoreRequest`] of the same kind.
+/// The answer to a [`StoreRequest`], of the same kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     /// To a proxy.
     Proxy(StoreReply),
     /// To another store.
--- a/tier/conversations/tests/placement.rs
+++ b/tier/conversations/tests/placement.rs
@@ -1,8 +1,8 @@
-//! Who holds a program, and how many are enough.
+//! Replicas of a program, and quorums of them.
 
 use arbtest::arbtest;
-use plankhill_conversations::placement::{replicas, Quorum, Tally};
-use plankhill_conversations::rows::{account_key, hint_key, split_key};
+use plankhill_conversations::placement::replicas;
+use plankhill_conversations::quorum::{Quorum, WriteQuorum};
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, StoreEpoch, ZoneName};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn what_was_written_is_met_by_every_read() {
+fn read_and_write_quorums_intersect() {
     for members in 1..20 {
         for faults in 0..5 {
-            let quorum = Quorum::of(members, faults);
+            let quorum = Quorum::new(members, faults);
             assert!(quorum.write + quorum.read > members);
             assert!(quorum.read * 2 > members);
             assert!(quorum.write >= 1 && quorum.write <= members && quorum.read <= members);
@@ -61,67 +61,52 @@
 }
 
 #[test]
-fn programs_spread_over_the_stores() {
+fn programs_are_spread_evenly_over_the_stores() {
     let stores = members(6);
-    let mut held = [0_u32; 6];
+    let mut programs_of = [0_u32; 6];
     for number in 0..3_000 {
         let program = ProgramId::from(format!("{number:x}").as_str());
         for member in replicas(&stores, &program, 1) {
-            held[member.incarnation.0 as usize] += 1;
+            programs_of[member.incarnation.0 as usize] += 1;
         }
     }
     assert!(
-        held.iter().all(|held| (1_300..1_700).contains(held)),
-        "{held:?}"
+        programs_of
+            .iter()
+            .all(|programs_of| (1_300..1_700).contains(programs_of)),
+        "{programs_of:?}"
     );
 }
 
 #[test]
-fn while_the_set_changes_both_sets_must_have_written() {
+fn a_changing_view_needs_a_write_quorum_in_both_sets() {
     let program = ProgramId::from("program");
-    let mut tally = Tally::new(
+    let mut quorum = WriteQuorum::new(
         &view(members(3), Some(vec![member(2), member(3), member(4)]), 1),
         &program,
     );
-    tally.written(&member(0), Incarnation(0));
-    tally.written(&member(2), Incarnation(2));
-    assert!(!tally.is_enough());
-    tally.written(&member(4), Incarnation(4));
-    assert!(tally.is_enough());
+    quorum.record_write(&member(0), Incarnation(0));
+    quorum.record_write(&member(2), Incarnation(2));
+    assert!(!quorum.is_reached());
+    quorum.record_write(&member(4), Incarnation(4));
+    assert!(quorum.is_reached());
 }
 
 #[test]
-fn another_life_of_a_store_counts_only_where_it_is_named() {
+fn another_incarnation_of_a_store_does_not_count() {
     let program = ProgramId::from("program");
-    let mut tally = Tally::new(&view(members(3), None, 1), &program);
-    tally.written(&member(0), Incarnation(0));
-    tally.written(&member(1), Incarnation(77));
-    tally.written(&member(0), Incarnation(0));
-    assert!(!tally.is_enough());
-    tally.written(&member(1), Incarnation(1));
-    assert!(tally.is_enough());
+    let mut quorum = WriteQuorum::new(&view(members(3), None, 1), &program);
+    quorum.record_write(&member(0), Incarnation(0));
+    quorum.record_write(&member(1), Incarnation(77));
+    quorum.record_write(&member(0), Incarnation(0));
+    assert!(!quorum.is_reached());
+    quorum.record_write(&member(1), Incarnation(1));
+    assert!(quorum.is_reached());
 }
 
 #[test]
-fn without_stores_nothing_is_enough() {
-    assert!(!Tally::new(&view(Vec::new(), None, 1), &ProgramId::from("program")).is_enough());
-}
-
-#[test]
-fn keys_of_several_names_come_apart_again() {
-    arbtest(|source| {
-        let (one, two, three): (&str, &str, &str) = (
-            source.arbitrary()?,
-            source.arbitrary()?,
-            source.arbitrary()?,
-        );
-        let key = account_key(&one.into(), &two.into());
-        assert_eq!(split_key(&key), Some(vec![one, two]));
-        let key = hint_key(&one.into(), &two.into(), &three.into());
-        assert_eq!(split_key(&key), Some(vec![one, two, three]));
-        let bytes: &[u8] = source.arbitrary()?;
-        // Whatever lies on a disk is read or passed over.
-        let _ = split_key(bytes);
-        Ok(())
-    });
+fn an_empty_view_never_reaches_a_quorum() {
+    assert!(
+        !WriteQuorum::new(&view(Vec::new(), None, 1), &ProgramId::from("program")).is_reached()
+    );
 }
--- a/tier/conversations/tests/stored_format.rs
+++ b/tier/conversations/tests/stored_format.rs
@@ -8,9 +8,9 @@
 
 use pins::{chain, Pins};
 use plankhill_conversations::account::TurnState;
+use plankhill_conversations::keys::{account_key, hint_key, turn_key, INCARNATION_KEY, VIEW_KEY};
 use plankhill_conversations::rows::{
-    account_key, hint_key, incarnation_row, read_row, turn_key, view_row, AccountRow, RowChange,
-    Table, TurnRow, INCARNATION_KEY, VIEW_KEY,
+    decode_row, incarnation_row, view_row, AccountRow, RowChange, Table, TurnRow,
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
@@ -61,10 +61,10 @@
 
 fn next_turn_state(last: Option<&TurnState>) -> Option<TurnState> {
     match last {
-        None => Some(TurnState::Reserved { most: 70_000 }),
-        Some(TurnState::Reserved { .. }) => Some(TurnState::Refused),
-        Some(TurnState::Refused) => Some(TurnState::Settled { tokens: 1_234 }),
-        Some(TurnState::Settled { .. }) => None,
+        None => Some(TurnState::Reserved { max_tokens: 70_000 }),
+        Some(TurnState::Reserved { .. }) => Some(TurnState::Rejected),
+        Some(TurnState::Rejected) => Some(TurnState::Committed { tokens: 1_234 }),
+        Some(TurnState::Committed { .. }) => None,
     }
 }
 
@@ -83,7 +83,7 @@
                 pins.check_bytes("Hints", &hint_key(&member(3).node, &program(), &turn()))
             }
             Table::Extensions => pins.check_bytes("Extensions", &turn_key(&turn())),
-            Table::Own => {
+            Table::Metadata => {
                 pins.check_bytes("Own.Incarnation", INCARNATION_KEY);
                 pins.check_bytes("Own.View", VIEW_KEY);
             }
@@ -102,8 +102,8 @@
                 for state in chain(next_turn_state) {
                     let name = match state {
                         TurnState::Reserved { .. } => "Accounts.Reserved",
-                        TurnState::Refused => "Accounts.Refused",
-                        TurnState::Settled { .. } => "Accounts.Settled",
+                        TurnState::Rejected => "Accounts.Refused",
+                        TurnState::Committed { .. } => "Accounts.Settled",
                     };
                     pins.check(
                         name,
@@ -116,7 +116,7 @@
             }
             Table::Hints => pins.check("Hints", &()),
             Table::Extensions => pins.check("Extensions", &1_790_000_000_789_u64),
-            Table::Own => {
+            Table::Metadata => {
                 pins.check("Own.Incarnation", &member(1).incarnation);
                 pins.check("Own.View", &view());
             }
@@ -131,21 +131,21 @@
     let incarnation = incarnation_row(member(1).incarnation);
     assert_eq!(
         (incarnation.table, incarnation.key.as_slice()),
-        (Table::Own, INCARNATION_KEY)
+        (Table::Metadata, INCARNATION_KEY)
     );
     let pinned = pins.take("Own.Incarnation");
     assert_eq!(
-        read_row::<Incarnation>(&pinned),
+        decode_row::<Incarnation>(&pinned),
         Some(member(1).incarnation)
     );
     assert_eq!(value(incarnation), pinned);
     let row = view_row(&view());
-    assert_eq!((row.table, row.key.as_slice()), (Table::Own, VIEW_KEY));
+    assert_eq!((row.table, row.key.as_slice()), (Table::Metadata, VIEW_KEY));
     let pinned = pins.take("Own.View");
-    assert_eq!(read_row::<StoreView>(&pinned), Some(view()));
+    assert_eq!(decode_row::<StoreView>(&pinned), Some(view()));
     assert_eq!(value(row), pinned);
     let row = RowChange::set(Table::Turns, turn_key(&turn()), &turn_row());
     let pinned = pins.take("Turns");
-    assert_eq!(read_row::<TurnRow>(&pinned), Some(turn_row()));
+    assert_eq!(decode_row::<TurnRow>(&pinned), Some(turn_row()));
     assert_eq!(value(row), pinned);
 }
--- a/tier/conversations/tests/turn_index.rs
+++ b/tier/conversations/tests/turn_index.rs
@@ -1,11 +1,11 @@
-//! What a store knows: expiry with chains, lists, bounds.
+//! The index of a store: expiry of chains, lists, digests, bytes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use arbtest::arbtest;
 use plankhill_conversations::account::TurnState;
-use plankhill_conversations::index::{Index, TurnEntry, ACCOUNT_KEPT_MS};
+use plankhill_conversations::turn_index::{TurnEntry, TurnIndex, ACCOUNT_TTL_MS};
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn ancestors_stay_as_long_as_a_descendant_in_any_order_of_coming() {
+fn ancestors_are_retained_as_long_as_their_descendants_in_any_order_of_arrival() {
     arbtest(|source| {
         let count = source.int_in_range(1..=12)?;
         let mut parents = BTreeMap::new();
@@ -47,10 +47,10 @@
             parents.insert(number, (parent, expires));
             order.insert(source.choose_index(order.len() + 1)?, number);
         }
-        let mut index = Index::default();
+        let mut index = TurnIndex::default();
         for number in &order {
             let (parent, expires) = parents[number];
-            assert!(index.keep(
+            assert!(index.retain(
                 &turn(*number),
                 TurnEntry::new(&record(*number, parent), expires)
             ));
@@ -76,76 +76,76 @@
 }
 
 #[test]
-fn two_that_know_the_same_have_the_same_digest() {
-    let (mut one, mut other) = (Index::default(), Index::default());
+fn equal_content_has_an_equal_digest() {
+    let (mut one, mut other) = (TurnIndex::default(), TurnIndex::default());
     for (index, numbers) in [(&mut one, [0, 3, 6]), (&mut other, [6, 0, 3])] {
         for number in numbers {
-            index.keep(
+            index.retain(
                 &turn(number),
                 TurnEntry::new(&record(number, None), 50 + number as u64),
             );
             index.merge_state(
                 &program(0),
                 &turn(number),
-                TurnState::Settled { tokens: 1 },
+                TurnState::Committed { tokens: 1 },
                 number as u64,
             );
         }
     }
     assert_eq!(one.digest(&program(0)), other.digest(&program(0)));
-    other.merge_state(&program(0), &turn(9), TurnState::Refused, 0);
+    other.merge_state(&program(0), &turn(9), TurnState::Rejected, 0);
     assert_ne!(one.digest(&program(0)), other.digest(&program(0)));
 }
 
 #[test]
-fn lists_come_in_pages_without_gaps() {
-    let mut index = Index::default();
+fn pages_of_a_list_have_no_gaps() {
+    let mut index = TurnIndex::default();
     for number in 0..50 {
-        index.merge_state(&program(number), &turn(number), TurnState::Refused, 0);
+        index.merge_state(&program(number), &turn(number), TurnState::Rejected, 0);
     }
-    let belongs = |name: &ProgramId| !name.as_str().ends_with('7');
+    let is_listed = |name: &ProgramId| !name.as_str().ends_with('7');
     let mut listed = Vec::new();
     let mut after = None;
     loop {
-        let page = index.list(after.as_ref(), 7, belongs);
+        let page = index.list_programs(after.as_ref(), 7, is_listed);
         let Some(last) = page.last() else { break };
         after = Some(last.program.clone());
         listed.extend(page.into_iter().map(|entry| entry.program));
     }
-    let expected: Vec<_> = (0..50).map(program).filter(belongs).collect();
+    let expected: Vec<_> = (0..50).map(program).filter(is_listed).collect();
     assert_eq!(listed, expected);
 }
 
 #[test]
-fn accounts_stay_for_a_while_after_their_last_use() {
-    let mut index = Index::default();
+fn accounts_expire_after_their_ttl() {
+    let mut index = TurnIndex::default();
     index.merge_state(
         &program(1),
         &turn(1),
-        TurnState::Reserved { most: 5 },
+        TurnState::Reserved { max_tokens: 5 },
         1_000,
     );
-    assert!(index.expire(999 + ACCOUNT_KEPT_MS).accounts.is_empty());
+    assert!(index.expire(999 + ACCOUNT_TTL_MS).accounts.is_empty());
     index.merge_state(
         &program(1),
         &turn(2),
-        TurnState::Reserved { most: 5 },
+        TurnState::Reserved { max_tokens: 5 },
         2_000,
     );
-    assert!(index.expire(1_999 + ACCOUNT_KEPT_MS).accounts.is_empty());
-    let expired = index.expire(2_000 + ACCOUNT_KEPT_MS);
+    assert!(index.expire(1_999 + ACCOUNT_TTL_MS).accounts.is_empty());
+    let expired = index.expire(2_000 + ACCOUNT_TTL_MS);
     assert_eq!(expired.accounts.len(), 1);
-    assert_eq!(expired.accounts[0].1.len(), 2);
+    assert_eq!(expired.accounts[0].account.len(), 2);
     assert!(index.account(&program(1)).is_none());
     assert_eq!(index.bytes(), 0);
 }
 
 #[test]
-fn a_turn_that_could_not_be_written_is_not_there() {
-    let mut index = Index::default();
-    index.keep(&turn(1), TurnEntry::new(&record(1, None), 100));
-    index.forget(&turn(1));
+fn a_removed_turn_is_absent_and_can_be_retained_again() {
+    let mut index = TurnIndex::default();
+    index.retain(&turn(1), TurnEntry::new(&record(1, None), 100));
+    index.remove(&turn(1));
     assert!(index.turn(&turn(1)).is_none());
     assert_eq!(index.bytes(), 0);
-    assert!(index.keep(&turn(1), TurnEntry::new(&record(1, None), 100)));
+    assert!(index.retain(&turn(1), TurnEntry::new(&record(1, None), 100)));
 }
--- a/tier/conversations/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -8,12 +8,12 @@
 
 use pins::{chain, Pins};
 use plankhill_conversations::account::{Account, TurnState};
-use plankhill_conversations::index::{Index, TurnEntry};
 use plankhill_conversations::peer::{
-    EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest,
-    ProgramOutline, StoreSet,
+    PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, RetainedTurn,
+    StoreSet, TurnUpdate,
 };
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::turn_index::{TurnEntry, TurnIndex};
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::store_calls::{
     Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord,
@@ -50,19 +50,19 @@
     }
 }
 
-fn kept() -> KeptTurn {
-    KeptTurn {
+fn kept() -> RetainedTurn {
+    RetainedTurn {
         record: Arc::new(record()),
         remaining_ms: 3_600_001,
     }
 }
 
-fn ended() -> EndedTurn {
-    EndedTurn {
+fn ended() -> TurnUpdate {
+    TurnUpdate {
         program: program(),
         turn: turn(),
-        state: Some(TurnState::Settled { tokens: 1_234 }),
-        kept: Some(kept()),
+        state: Some(TurnState::Committed { tokens: 1_234 }),
+        retained: Some(kept()),
     }
 }
 
@@ -95,10 +95,10 @@
 
 fn next_turn_state(last: Option<&TurnState>) -> Option<TurnState> {
     match last {
-        None => Some(TurnState::Reserved { most: 70_000 }),
-        Some(TurnState::Reserved { .. }) => Some(TurnState::Refused),
-        Some(TurnState::Refused) => Some(TurnState::Settled { tokens: 1_234 }),
-        Some(TurnState::Settled { .. }) => None,
+        None => Some(TurnState::Reserved { max_tokens: 70_000 }),
+        Some(TurnState::Reserved { .. }) => Some(TurnState::Rejected),
+        Some(TurnState::Rejected) => Some(TurnState::Committed { tokens: 1_234 }),
+        Some(TurnState::Committed { .. }) => None,
     }
 }
 
@@ -115,23 +115,25 @@
         None => Some(PeerRequest::Reserve {
             program: program(),
             turn: turn(),
-            most: 70_000,
+            max_tokens: 70_000,
             previous: Some(previous()),
         }),
-        Some(PeerRequest::Reserve { .. }) => Some(PeerRequest::End(ended())),
-        Some(PeerRequest::End(_)) => Some(PeerRequest::Chain { turn: turn() }),
-        Some(PeerRequest::Chain { .. }) => Some(PeerRequest::Locate { turn: turn() }),
-        Some(PeerRequest::Locate { .. }) => Some(PeerRequest::Extend {
+        Some(PeerRequest::Reserve { .. }) => Some(PeerRequest::EndTurn(ended())),
+        Some(PeerRequest::EndTurn(_)) => Some(PeerRequest::ReadChain { turn: turn() }),
+        Some(PeerRequest::ReadChain { .. }) => Some(PeerRequest::LocateTurn { turn: turn() }),
+        Some(PeerRequest::LocateTurn { .. }) => Some(PeerRequest::ExtendRetention {
             turn: turn(),
-            keep_ms: 60_000,
+            retention_ms: 60_000,
         }),
-        Some(PeerRequest::Extend { .. }) => Some(PeerRequest::Repair(vec![ended(), ended()])),
-        Some(PeerRequest::Repair(_)) => Some(PeerRequest::KeepHint {
+        Some(PeerRequest::ExtendRetention { .. }) => {
+            Some(PeerRequest::Repair(vec![ended(), ended()]))
+        }
+        Some(PeerRequest::Repair(_)) => Some(PeerRequest::StoreHint {
             node: member(3).node,
             program: program(),
             turn: turn(),
         }),
-        Some(PeerRequest::KeepHint { .. }) => Some(PeerRequest::ListPrograms {
+        Some(PeerRequest::StoreHint { .. }) => Some(PeerRequest::ListPrograms {
             set: StoreSet::Next,
             store: member(3),
             after: Some(program()),
@@ -142,24 +144,24 @@
         Some(PeerRequest::OutlinePrograms { .. }) => Some(PeerRequest::FetchTurns {
             turns: vec![previous(), turn()],
         }),
-        Some(PeerRequest::FetchTurns { .. }) => Some(PeerRequest::TakeView(view())),
-        Some(PeerRequest::TakeView(_)) => None,
+        Some(PeerRequest::FetchTurns { .. }) => Some(PeerRequest::InstallView(view())),
+        Some(PeerRequest::InstallView(_)) => None,
     }
 }
 
 fn peer_request_name(request: &PeerRequest) -> &'static str {
     match request {
         PeerRequest::Reserve { .. } => "Reserve",
-        PeerRequest::End(_) => "End",
-        PeerRequest::Chain { .. } => "Chain",
-        PeerRequest::Locate { .. } => "Locate",
-        PeerRequest::Extend { .. } => "Extend",
+        PeerRequest::EndTurn(_) => "End",
+        PeerRequest::ReadChain { .. } => "Chain",
+        PeerRequest::LocateTurn { .. } => "Locate",
+        PeerRequest::ExtendRetention { .. } => "Extend",
         PeerRequest::Repair(_) => "Repair",
-        PeerRequest::KeepHint { .. } => "KeepHint",
+        PeerRequest::StoreHint { .. } => "KeepHint",
         PeerRequest::ListPrograms { .. } => "ListPrograms",
         PeerRequest::OutlinePrograms { .. } => "OutlinePrograms",
         PeerRequest::FetchTurns { .. } => "FetchTurns",
-        PeerRequest::TakeView(_) => "TakeView",
+        PeerRequest::InstallView(_) => "TakeView",
     }
 }
 
@@ -171,9 +173,9 @@
             turns: vec![Arc::new(record())],
             rest: Some(place()),
         }),
-        Some(PeerResponse::Chain { .. }) => Some(PeerResponse::Located),
-        Some(PeerResponse::Located) => Some(PeerResponse::NotHere),
-        Some(PeerResponse::NotHere) => Some(PeerResponse::Programs(vec![ProgramDigest {
+        Some(PeerResponse::Chain { .. }) => Some(PeerResponse::TurnPresent),
+        Some(PeerResponse::TurnPresent) => Some(PeerResponse::TurnAbsent),
+        Some(PeerResponse::TurnAbsent) => Some(PeerResponse::Programs(vec![ProgramDigest {
             program: program(),
             digest: 0xfedc_ba98_7654_3210,
         }])),
@@ -183,10 +185,10 @@
             turns: vec![previous(), turn()],
         }])),
         Some(PeerResponse::Outlines(_)) => Some(PeerResponse::Turns(vec![kept(), kept()])),
-        Some(PeerResponse::Turns(_)) => Some(PeerResponse::OldEpoch(view())),
-        Some(PeerResponse::OldEpoch(_)) => Some(PeerResponse::Behind),
-        Some(PeerResponse::Behind) => Some(PeerResponse::Unable),
-        Some(PeerResponse::Unable) => None,
+        Some(PeerResponse::Turns(_)) => Some(PeerResponse::StaleEpoch(view())),
+        Some(PeerResponse::StaleEpoch(_)) => Some(PeerResponse::ReceiverStale),
+        Some(PeerResponse::ReceiverStale) => Some(PeerResponse::Unavailable),
+        Some(PeerResponse::Unavailable) => None,
     }
 }
 
@@ -195,14 +197,14 @@
         PeerResponse::Account(_) => "Account",
         PeerResponse::Done => "Done",
         PeerResponse::Chain { .. } => "Chain",
-        PeerResponse::Located => "Located",
-        PeerResponse::NotHere => "NotHere",
+        PeerResponse::TurnPresent => "Located",
+        PeerResponse::TurnAbsent => "NotHere",
         PeerResponse::Programs(_) => "Programs",
         PeerResponse::Outlines(_) => "Outlines",
         PeerResponse::Turns(_) => "Turns",
-        PeerResponse::OldEpoch(_) => "OldEpoch",
-        PeerResponse::Behind => "Behind",
-        PeerResponse::Unable => "Unable",
+        PeerResponse::StaleEpoch(_) => "OldEpoch",
+        PeerResponse::ReceiverStale => "Behind",
+        PeerResponse::Unavailable => "Unable",
     }
 }
 
@@ -284,18 +286,18 @@
 }
 
 /// All answers, with the names of their lines.
-fn answers() -> Vec<(String, StoreAnswer)> {
+fn answers() -> Vec<(String, StoreResponse)> {
     let to_proxies = chain(next_store_reply).into_iter().map(|reply| {
         (
             format!("Proxy.{}", store_reply_name(&reply)),
-            StoreAnswer::Proxy(reply),
+            StoreResponse::Proxy(reply),
         )
     });
     let to_peers = chain(next_peer_response).into_iter().map(|body| {
         let name = format!("Peer.{}", peer_response_name(&body));
         (
             name,
-            StoreAnswer::Peer(PeerReply {
+            StoreResponse::Peer(PeerReply {
                 incarnation: member(1).incarnation,
                 body,
             }),
@@ -327,7 +329,7 @@
     let mut pins = Pins::parse(include_str!("wire_format/answers.txt"));
     for (name, answer) in answers() {
         match &answer {
-            StoreAnswer::Proxy(_) | StoreAnswer::Peer(_) => pins.check(&name, &answer),
+            StoreResponse::Proxy(_) | StoreResponse::Peer(_) => pins.check(&name, &answer),
         }
     }
     pins.finish();
@@ -337,13 +339,13 @@
 #[test]
 fn digests_of_programs_keep_their_values() {
     let mut pins = Pins::parse(include_str!("wire_format/digests.txt"));
-    let mut index = Index::default();
+    let mut index = TurnIndex::default();
     pins.check("NoAccountNoTurns", &index.digest(&program()));
     for (turn, state) in account().turns() {
         index.merge_state(&program(), turn, state, 1_000);
     }
     pins.check("AccountOfThreeStates", &index.digest(&program()));
-    index.keep(&turn(), TurnEntry::new(&record(), 5_000));
+    index.retain(&turn(), TurnEntry::new(&record(), 5_000));
     pins.check("AccountAndOneTurn", &index.digest(&program()));
     pins.finish();
 }
--- a/tier/store-client/src/client.rs
+++ b/tier/store-client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client itself.
+//! The client: which call goes to which store when, and how its answers become the proxy's.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,25 +10,24 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout_at, Instant};
 
-use crate::calls::{StoreCalls, TcpStores};
-use crate::choice::StoreChoice;
+use crate::in_flight::{CallOutcome, InFlight, Waited};
+use crate::selector::StoreSelector;
+use crate::transport::{StoreTransport, TcpTransport};
 use crate::turns::{BeginOutcome, BeginTurn, EndOutcome, EndTurn};
 
-/// The longest that one store is waited for: it gives up by itself a little earlier.
-const LONGEST_CALL: Duration = Duration::from_millis(700);
-/// After this time without an answer the next store is asked as well: many times what a store takes.
-const HEDGE_AFTER: Duration = Duration::from_millis(200);
-/// Pause after all stores were asked in vain.
-const ROUND_PAUSE: Duration = Duration::from_millis(60);
-/// Answers that wait to be read.
-const ANSWERS: usize = 64;
+/// How long one store is waited for: a store abandons a call by itself a little earlier.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// After this time without an answer the next store is called as well: many times what a store takes.
+const HEDGE_DELAY: Duration = Duration::from_millis(200);
+/// Backoff after all stores were called in vain.
+const RETRY_BACKOFF: Duration = Duration::from_millis(60);
 
 /// Calls the stores. Clones share everything. For one thread, inside a `LocalSet`.
-pub struct StoreClient<C = TcpStores> {
-    shared: Rc<Shared<C>>,
+pub struct StoreClient<T = TcpTransport> {
+    shared: Rc<Shared<T>>,
 }
 
-impl<C> Clone for StoreClient<C> {
+impl<T> Clone for StoreClient<T> {
     fn clone(&self) -> Self {
         StoreClient {
             shared: self.shared.clone(),
@@ -36,155 +35,147 @@
     }
 }
 
-struct Shared<C> {
+struct Shared<T> {
     zone: ZoneName,
     epoch: Cell<StoreEpoch>,
-    choice: RefCell<StoreChoice>,
-    calls: C,
+    selector: RefCell<StoreSelector>,
+    transport: T,
 }
 
 impl StoreClient {
-    /// A client of the proxy on this machine; it knows no stores before [`StoreClient::set_view`].
+    /// A client of the proxy on the machine `node`; it knows no store before [`StoreClient::set_view`].
     pub fn new(node: NodeId, zone: ZoneName) -> Self {
-        StoreClient::with_calls(TcpStores::new(node), zone)
+        StoreClient::with_transport(TcpTransport::new(node), zone)
     }
 }
 
-impl<C: StoreCalls> StoreClient<C> {
-    /// A client that reaches the stores in its own way.
-    pub fn with_calls(calls: C, zone: ZoneName) -> Self {
+impl<T: StoreTransport> StoreClient<T> {
+    /// A client that reaches the stores over another transport.
+    pub fn with_transport(transport: T, zone: ZoneName) -> Self {
         let shared = Shared {
             zone,
             epoch: Cell::default(),
-            choice: RefCell::default(),
-            calls,
+            selector: RefCell::default(),
+            transport,
         };
         StoreClient {
             shared: Rc::new(shared),
         }
     }
 
-    /// Takes the present view of the stores; older ones than the one held are ignored.
+    /// Takes the current view of the stores; one that is older than the client's is ignored.
     pub fn set_view(&self, view: &StoreView) {
         if view.epoch < self.shared.epoch.get() {
             return;
         }
         self.shared.epoch.set(view.epoch);
         self.shared
-            .choice
+            .selector
             .borrow_mut()
             .set_view(view, &self.shared.zone);
         let addresses: Vec<_> = view.serving.iter().map(|member| member.address).collect();
-        self.shared.calls.keep_only(&addresses);
+        self.shared.transport.retain_addresses(&addresses);
     }
 
     /// Whether any store is known.
     pub fn is_ready(&self) -> bool {
-        !self.shared.choice.borrow().is_empty()
+        !self.shared.selector.borrow().is_empty()
     }
 
-    /// Reserves the turn's most and fetches what it goes on from; ends within `budget`.
-    pub async fn begin_turn(&self, begin: BeginTurn, budget: Duration) -> BeginOutcome {
-        match self.ask(|epoch| begin.call(epoch), budget).await {
+    /// Reserves the turn's tokens and fetches the history that the turn continues; ends within `timeout`.
+    pub async fn begin_turn(&self, begin: BeginTurn, timeout: Duration) -> BeginOutcome {
+        match self.call(|epoch| begin.to_call(epoch), timeout).await {
             Some(StoreReply::Begun { history, previous }) => {
                 BeginOutcome::Begun { history, previous }
             }
             Some(StoreReply::BudgetExhausted) => BeginOutcome::BudgetSpent,
             Some(StoreReply::NoSuchTurn) => BeginOutcome::NoSuchTurn,
-            _ => BeginOutcome::Unavailable,
+            Some(StoreReply::Ended | StoreReply::Unavailable | StoreReply::StaleEpoch(_))
+            | None => BeginOutcome::Unavailable,
         }
     }
 
-    /// Settles the turn and keeps its record; ends within `budget`.
-    pub async fn end_turn(&self, end: EndTurn, budget: Duration) -> EndOutcome {
-        match self.ask(|epoch| end.call(epoch), budget).await {
+    /// Commits the turn's tokens and stores its record; ends within `timeout`.
+    pub async fn end_turn(&self, end: EndTurn, timeout: Duration) -> EndOutcome {
+        match self.call(|epoch| end.to_call(epoch), timeout).await {
             Some(StoreReply::Ended) => EndOutcome::Ended,
             _ => EndOutcome::Unavailable,
         }
     }
 
-    /// Asks the stores until one knows; None when the time is up.
-    async fn ask(
+    /// Calls the stores, one after the other and again from the first one, until one of them can tell;
+    /// None when the time is over.
+    async fn call(
         &self,
         call: impl Fn(StoreEpoch) -> StoreCall,
-        budget: Duration,
+        timeout: Duration,
     ) -> Option<StoreReply> {
-        let ends = Instant::now() + budget;
-        let (answers, mut answered) = mpsc::channel(ANSWERS);
-        let mut asking = 0_usize;
+        let deadline = Instant::now() + timeout;
+        let mut in_flight = InFlight::new();
         loop {
-            let order = self.shared.choice.borrow().order(Instant::now());
-            for member in order {
-                if Instant::now() >= ends {
+            let members = self.shared.selector.borrow().ordered(Instant::now());
+            for member in members {
+                if Instant::now() >= deadline {
                     return None;
                 }
-                self.start(member, call(self.shared.epoch.get()), answers.clone());
-                asking += 1;
-                let hedge = ends.min(Instant::now() + HEDGE_AFTER);
-                if let Ok(Some(answer)) = timeout_at(hedge, answered.recv()).await {
-                    asking -= 1;
-                    if answer.is_some() {
-                        return answer;
-                    }
+                self.start_call(member, call(self.shared.epoch.get()), in_flight.begin());
+                let hedge_at = deadline.min(Instant::now() + HEDGE_DELAY);
+                if let Waited::Outcome(Some(reply)) = in_flight.next(hedge_at).await {
+                    return Some(reply);
                 }
             }
-            // All have been asked; those that have not answered yet may still know.
-            while asking > 0 {
-                let answer = timeout_at(ends, answered.recv()).await.ok()?;
-                asking -= 1;
-                if let Some(Some(reply)) = answer {
-                    return Some(reply);
+            // All stores have been called; those that have not answered yet may still be able to tell.
+            while !in_flight.is_empty() {
+                match in_flight.next(deadline).await {
+                    Waited::Outcome(Some(reply)) => return Some(reply),
+                    Waited::Outcome(None) => {}
+                    Waited::TimedOut => return None,
                 }
             }
-            let pause_ends = Instant::now() + ROUND_PAUSE;
-            if pause_ends >= ends {
+            let retry_at = Instant::now() + RETRY_BACKOFF;
+            if retry_at >= deadline {
                 return None;
             }
-            tokio::time::sleep_until(pause_ends).await;
+            tokio::time::sleep_until(retry_at).await;
         }
     }
 
-    /// Asks one store. The answer is None if it does not know, or none came.
-    fn start(
-        &self,
-        member: StoreMember,
-        call: StoreCall,
-        answers: mpsc::Sender<Option<StoreReply>>,
-    ) {
+    /// Calls one store in a task of its own, which ends with the call's timeout.
+    fn start_call(&self, member: StoreMember, call: StoreCall, outcome: mpsc::Sender<CallOutcome>) {
         let shared = self.shared.clone();
-        let calling = shared.calls.call(member.address, call, LONGEST_CALL);
+        let reply = shared.transport.call(member.address, call, CALL_TIMEOUT);
         tokio::task::spawn_local(async move {
-            let slow_at = Instant::now() + HEDGE_AFTER;
-            let mut calling = std::pin::pin!(calling);
-            let reply = match timeout_at(slow_at, &mut calling).await {
+            let slow_at = Instant::now() + HEDGE_DELAY;
+            let mut reply = std::pin::pin!(reply);
+            let reply = match timeout_at(slow_at, &mut reply).await {
                 Ok(reply) => reply,
                 Err(_) => {
-                    // Others are asked first until it answers again.
-                    shared.note(&member.node, false);
-                    calling.await
+                    // Other stores are called first until this one answers.
+                    shared.record_failure(&member.node);
+                    reply.await
                 }
             };
-            let known = reply.ok().filter(is_known);
-            shared.note(&member.node, known.is_some());
-            // The caller may have heard from another store.
-            let _ = answers.send(known).await;
+            let reply = reply.ok().filter(is_conclusive);
+            if reply.is_some() {
+                shared.selector.borrow_mut().record_success(&member.node);
+            } else {
+                shared.record_failure(&member.node);
+            }
+            // The caller may have the answer of another store.
+            let _ = outcome.send(reply).await;
         });
     }
 }
 
-impl<C> Shared<C> {
-    /// Notes whether a store knew. One that did not, or was slow, is asked last for a while.
-    fn note(&self, node: &NodeId, knew: bool) {
-        let mut choice = self.choice.borrow_mut();
-        if knew {
-            choice.answered(node);
-        } else {
-            choice.failed(node, Instant::now());
-        }
+impl<T> Shared<T> {
+    fn record_failure(&self, node: &NodeId) {
+        self.selector
+            .borrow_mut()
+            .record_failure(node, Instant::now());
     }
 }
 
-/// Whether a store knew.
-fn is_known(reply: &StoreReply) -> bool {
+/// Whether a reply answers the call, so that no other store has to be called.
+fn is_conclusive(reply: &StoreReply) -> bool {
     !matches!(reply, StoreReply::Unavailable | StoreReply::StaleEpoch(_))
 }
--- a/tier/store-client/src/selector.rs
+++ b/tier/store-client/src/selector.rs
@@ -1,4 +1,4 @@
-//! Which store is asked next.
+//! The order in which a proxy calls the stores.
 
 use std::time::Duration;
 
@@ -6,61 +6,73 @@
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use tokio::time::Instant;
 
-/// A store that failed is asked last for this time: long enough to skip a dead store, short enough to come
-/// back to the one in the own zone soon after its return.
-const AVOIDED: Duration = Duration::from_millis(1_000);
+/// A store that failed is called last for this time: long enough to skip a dead store, short enough to
+/// return to the store in the own zone soon after it is back.
+const DEPRIORITIZED_TTL: Duration = Duration::from_millis(1_000);
 
-/// The order in which a proxy asks the stores.
+/// A store that failed lately.
+#[derive(Debug)]
+struct Deprioritized {
+    node: NodeId,
+    until: Instant,
+}
+
+/// Orders the serving stores by zone, and those that failed lately behind all others.
 #[derive(Debug, Default)]
-pub struct StoreChoice {
+pub struct StoreSelector {
     members: Vec<StoreMember>,
-    avoided: Vec<(NodeId, Instant)>,
+    deprioritized: Vec<Deprioritized>,
 }
 
-impl StoreChoice {
-    /// Takes a new view: the serving stores, those of the own zone first.
+impl StoreSelector {
+    /// Takes the serving stores of a new view, those of the own zone first.
     pub fn set_view(&mut self, view: &StoreView, zone: &ZoneName) {
         self.members = view.serving.clone();
         self.members
-            .sort_by(|one, other| order(one, zone).cmp(&order(other, zone)));
+            .sort_by(|one, other| rank(one, zone).cmp(&rank(other, zone)));
         let members = &self.members;
-        self.avoided
-            .retain(|(node, _)| members.iter().any(|member| member.node == *node));
+        self.deprioritized
+            .retain(|failed| members.iter().any(|member| member.node == failed.node));
     }
 
-    /// The stores in the order in which they are to be asked; those that failed lately come last.
-    pub fn order(&self, now: Instant) -> Vec<StoreMember> {
-        let (late, ready): (Vec<_>, Vec<_>) = self
+    /// The stores in the order in which they are to be called.
+    pub fn ordered(&self, now: Instant) -> Vec<StoreMember> {
+        let (mut ordered, last): (Vec<_>, Vec<_>) = self
             .members
             .iter()
             .cloned()
-            .partition(|member| self.is_avoided(&member.node, now));
-        ready.into_iter().chain(late).collect()
+            .partition(|member| !self.is_deprioritized(&member.node, now));
+        ordered.extend(last);
+        ordered
     }
 
-    /// Whether any store is known.
+    /// Whether no store is known.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// A store failed or did not answer in time.
-    pub fn failed(&mut self, node: &NodeId, now: Instant) {
-        self.answered(node);
-        self.avoided.push((node.clone(), now + AVOIDED));
+    /// Records that a store failed, or did not answer in time.
+    pub fn record_failure(&mut self, node: &NodeId, now: Instant) {
+        self.record_success(node);
+        let until = now + DEPRIORITIZED_TTL;
+        self.deprioritized.push(Deprioritized {
+            node: node.clone(),
+            until,
+        });
     }
 
-    /// A store answered.
-    pub fn answered(&mut self, node: &NodeId) {
-        self.avoided.retain(|(avoided, _)| avoided != node);
+    /// Records that a store answered.
+    pub fn record_success(&mut self, node: &NodeId) {
+        self.deprioritized.retain(|failed| failed.node != *node);
     }
 
-    fn is_avoided(&self, node: &NodeId, now: Instant) -> bool {
-        self.avoided
+    fn is_deprioritized(&self, node: &NodeId, now: Instant) -> bool {
+        self.deprioritized
             .iter()
-            .any(|(avoided, until)| avoided == node && now < *until)
+            .any(|failed| failed.node == *node && now < failed.until)
     }
 }
 
-fn order<'a>(member: &'a StoreMember, zone: &ZoneName) -> (bool, &'a NodeId) {
+fn rank<'a>(member: &'a StoreMember, zone: &ZoneName) -> (bool, &'a NodeId) {
     (member.zone != *zone, &member.node)
 }
--- a/tier/store-client/src/transport.rs
+++ b/tier/store-client/src/transport.rs
@@ -1,4 +1,4 @@
-//! How calls get to the stores.
+//! Connections to the stores.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,14 +6,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 
-/// Calls stores.
-pub trait StoreCalls: 'static {
-    /// One call; the answer comes within `timeout` or not at all.
+/// Calls stores. Tests put stores of their own behind it.
+pub trait StoreTransport: 'static {
+    /// Calls a store once.
+    ///
+    /// # Errors
+    /// [`CallError`] if no answer comes within `timeout`.
     fn call(
         &self,
         address: SocketAddr,
@@ -21,33 +24,33 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<StoreReply, CallError>> + 'static;
 
-    /// Only these stores are called from now on.
-    fn keep_only(&self, addresses: &[SocketAddr]);
+    /// Closes the connections to all stores but these.
+    fn retain_addresses(&self, addresses: &[SocketAddr]);
 }
 
-/// Calls over TCP; one connection to each store.
-pub struct TcpStores {
+/// Calls over TCP, with one connection to each store.
+pub struct TcpTransport {
     node: NodeId,
-    callers: RefCell<HashMap<SocketAddr, Caller<StoreRequest, StoreAnswer>>>,
+    callers: RefCell<HashMap<SocketAddr, Caller<StoreRequest, StoreResponse>>>,
 }
 
-impl TcpStores {
-    /// Calls in the name of this machine.
+impl TcpTransport {
+    /// Calls in the name of the machine `node`.
     pub fn new(node: NodeId) -> Self {
-        TcpStores {
+        TcpTransport {
             node,
             callers: RefCell::default(),
         }
     }
 
-    fn caller(&self, address: SocketAddr) -> Caller<StoreRequest, StoreAnswer> {
+    fn caller(&self, address: SocketAddr) -> Caller<StoreRequest, StoreResponse> {
         let mut callers = self.callers.borrow_mut();
-        let fresh = || Caller::new(address, Hello::new(Channel::Store, self.node.clone()));
-        callers.entry(address).or_insert_with(fresh).clone()
+        let connect = || Caller::new(address, Hello::new(Channel::Store, self.node.clone()));
+        callers.entry(address).or_insert_with(connect).clone()
     }
 }
 
-impl StoreCalls for TcpStores {
+impl StoreTransport for TcpTransport {
     fn call(
         &self,
         address: SocketAddr,
@@ -57,15 +60,14 @@
         let caller = self.caller(address);
         async move {
             match caller.call(StoreRequest::Proxy(call), timeout).await? {
-                StoreAnswer::Proxy(reply) => Ok(reply),
-                StoreAnswer::Peer(_) => Err(CallError::NoAnswer),
+                StoreResponse::Proxy(reply) => Ok(reply),
+                StoreResponse::Peer(_) => Err(CallError::NoAnswer),
             }
         }
     }
 
-    fn keep_only(&self, addresses: &[SocketAddr]) {
-        self.callers
-            .borrow_mut()
-            .retain(|address, _| addresses.contains(address));
+    fn retain_addresses(&self, addresses: &[SocketAddr]) {
+        let mut callers = self.callers.borrow_mut();
+        callers.retain(|address, _| addresses.contains(address));
     }
 }
--- a/tier/store-client/src/turns.rs
+++ b/tier/store-client/src/turns.rs
@@ -1,4 +1,4 @@
-//! What a proxy asks of the stores, and what comes of it.
+//! What a proxy asks of the stores for one turn, and the outcomes.
 
 use std::sync::Arc;
 
@@ -10,57 +10,59 @@
 pub struct BeginTurn {
     /// The program.
     pub program: ProgramId,
-    /// The turn's try.
+    /// The turn's attempt.
     pub turn: RequestId,
     /// None on a route without budgets.
     pub reservation: Option<Reservation>,
-    /// The `Request-Id` that `Previous` names.
+    /// The `Request-Id` that the header `Previous` names.
     pub previous: Option<RequestId>,
 }
 
-/// How [`crate::StoreClient::begin_turn`] ended.
+/// The outcome of [`crate::StoreClient::begin_turn`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BeginOutcome {
-    /// The turn may run; the caller ends it with [`crate::StoreClient::end_turn`] whatever becomes of it.
+    /// The turn may run; the caller ends it with [`crate::StoreClient::end_turn`] whatever its outcome.
     Begun {
-        /// Inputs and outputs of the chain, joined from the oldest on.
+        /// Inputs and outputs of the chain that the turn continues, joined from the oldest on.
         history: Arc<[u8]>,
         /// What the turn's own record names as its previous turn.
         previous: Option<TurnLocation>,
     },
-    /// 402.
+    /// The turn does not fit into its program's budget (402).
     BudgetSpent,
-    /// 404.
+    /// Surely no store has the previous turn (404).
     NoSuchTurn,
-    /// 503. If a reservation was asked for it may stand: the caller settles it with 0 tokens.
+    /// No store could tell in time (503). If a reservation was asked for, it may stand: the caller ends the
+    /// turn with 0 tokens.
     Unavailable,
 }
 
-/// What is to be kept of a turn that ended.
+/// What is stored of a turn that ended.
 #[derive(Clone, Debug)]
 pub struct EndTurn {
     /// The program.
     pub program: ProgramId,
-    /// The turn's try.
+    /// The turn's attempt.
     pub turn: RequestId,
-    /// Tokens handed to the client; Some(0) for a turn that surely has not run; None without a reservation.
+    /// Tokens sent to the client; Some(0) of a turn that surely has not run; None without a reservation.
     pub tokens: Option<u64>,
-    /// What later turns go on from; only for a turn answered whole on a retained route.
+    /// The turn that later turns may continue; only of a turn that was answered completely on a route with
+    /// retention.
     pub record: Option<TurnRecord>,
 }
 
-/// How [`crate::StoreClient::end_turn`] ended.
+/// The outcome of [`crate::StoreClient::end_turn`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndOutcome {
-    /// On enough disks.
+    /// The end is synced at a write quorum.
     Ended,
-    /// Not known; the answer's last byte must not go to the client.
+    /// No store could tell in time; the last byte of the answer must not go to the client.
     Unavailable,
 }
 
 impl BeginTurn {
-    /// The call for a store.
-    pub(crate) fn call(&self, epoch: StoreEpoch) -> StoreCall {
+    /// The call to a store.
+    pub(crate) fn to_call(&self, epoch: StoreEpoch) -> StoreCall {
         StoreCall::BeginTurn {
             epoch,
             program: self.program.clone(),
@@ -72,8 +74,8 @@
 }
 
 impl EndTurn {
-    /// The call for a store.
-    pub(crate) fn call(&self, epoch: StoreEpoch) -> StoreCall {
+    /// The call to a store.
+    pub(crate) fn to_call(&self, epoch: StoreEpoch) -> StoreCall {
         StoreCall::EndTurn {
             epoch,
             program: self.program.clone(),
--- a/tier/store-client/tests/client.rs
+++ b/tier/store-client/tests/client.rs
@@ -1,4 +1,4 @@
-//! Which store a proxy asks, and when it asks another one. In virtual time.
+//! Which store a client calls, and when it calls another one. In virtual time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
-use plankhill_store_client::{EndOutcome, EndTurn, StoreCalls, StoreChoice, StoreClient};
+use plankhill_store_client::{EndOutcome, EndTurn, StoreClient, StoreSelector, StoreTransport};
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
@@ -41,40 +41,40 @@
     vec![member(1, "west"), member(2, "east"), member(3, "north")]
 }
 
-/// When a store answers, and what; nothing if it is silent.
+/// After which time a store answers, and its reply; None of a store that never answers.
 #[derive(Clone)]
 struct Answer {
     after_ms: u64,
     reply: Option<StoreReply>,
 }
 
-/// Stores that answer after a time, or not at all.
+/// Simulated stores that answer after a time, or not at all.
 #[derive(Clone, Default)]
-struct Stores {
+struct SimulatedStores {
     answers: Rc<RefCell<BTreeMap<SocketAddr, Answer>>>,
-    asked: Rc<RefCell<Vec<SocketAddr>>>,
+    called: Rc<RefCell<Vec<SocketAddr>>>,
 }
 
-impl Stores {
+impl SimulatedStores {
     fn set(&self, number: u8, after_ms: u64, reply: Option<StoreReply>) {
         self.answers
             .borrow_mut()
             .insert(address(number), Answer { after_ms, reply });
     }
 
-    fn take_asked(&self) -> Vec<SocketAddr> {
-        self.asked.take()
+    fn take_called(&self) -> Vec<SocketAddr> {
+        self.called.take()
     }
 }
 
-impl StoreCalls for Stores {
+impl StoreTransport for SimulatedStores {
     fn call(
         &self,
         address: SocketAddr,
         _: StoreCall,
         timeout: Duration,
     ) -> impl Future<Output = Result<StoreReply, CallError>> + 'static {
-        self.asked.borrow_mut().push(address);
+        self.called.borrow_mut().push(address);
         let answer = self.answers.borrow().get(&address).cloned();
         async move {
             let Some(Answer { after_ms, reply }) = answer else {
@@ -93,11 +93,11 @@
         }
     }
 
-    fn keep_only(&self, _: &[SocketAddr]) {}
+    fn retain_addresses(&self, _: &[SocketAddr]) {}
 }
 
-/// How an end of a turn went, and how long it took.
-async fn end(client: &StoreClient<Stores>, budget_ms: u64) -> (EndOutcome, u64) {
+/// Ends a turn. Returns the outcome, and how long that took in milliseconds.
+async fn end(client: &StoreClient<SimulatedStores>, timeout_ms: u64) -> (EndOutcome, u64) {
     let started = Instant::now();
     let turn = EndTurn {
         program: ProgramId::from("program"),
@@ -106,58 +106,58 @@
         record: None,
     };
     let outcome = client
-        .end_turn(turn, Duration::from_millis(budget_ms))
+        .end_turn(turn, Duration::from_millis(timeout_ms))
         .await;
     (outcome, started.elapsed().as_millis() as u64)
 }
 
-fn client(stores: &Stores) -> StoreClient<Stores> {
-    let client = StoreClient::with_calls(stores.clone(), ZoneName::from("east"));
+fn client(stores: &SimulatedStores) -> StoreClient<SimulatedStores> {
+    let client = StoreClient::with_transport(stores.clone(), ZoneName::from("east"));
     client.set_view(&view(1, three()));
     client
 }
 
-fn run<T>(story: impl Future<Output = T>) -> T {
+fn run<T>(scenario: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), story)
+    LocalSet::new().block_on(&runtime.expect("a runtime"), scenario)
 }
 
 #[test]
-fn the_store_of_the_own_zone_is_asked_alone() {
+fn only_the_store_of_the_own_zone_is_called() {
     run(async {
-        let stores = Stores::default();
+        let stores = SimulatedStores::default();
         (1..=3).for_each(|number| stores.set(number, 10, Some(StoreReply::Ended)));
         let (outcome, took) = end(&client(&stores), 1_000).await;
         assert_eq!((outcome, took), (EndOutcome::Ended, 10));
-        assert_eq!(stores.take_asked(), [address(2)]);
+        assert_eq!(stores.take_called(), [address(2)]);
     });
 }
 
 #[test]
-fn a_store_that_fails_is_followed_by_the_next_at_once_and_avoided_for_a_while() {
+fn a_failed_store_is_followed_by_the_next_at_once_and_deprioritized_for_a_while() {
     run(async {
-        let stores = Stores::default();
+        let stores = SimulatedStores::default();
         stores.set(1, 10, Some(StoreReply::Ended));
         stores.set(3, 10, Some(StoreReply::Ended));
         let client = client(&stores);
         assert_eq!(end(&client, 1_000).await, (EndOutcome::Ended, 10));
-        assert_eq!(stores.take_asked(), [address(2), address(1)]);
+        assert_eq!(stores.take_called(), [address(2), address(1)]);
         assert_eq!(end(&client, 1_000).await, (EndOutcome::Ended, 10));
-        assert_eq!(stores.take_asked(), [address(1)]);
+        assert_eq!(stores.take_called(), [address(1)]);
         stores.set(2, 10, Some(StoreReply::Ended));
         tokio::time::advance(Duration::from_millis(1_100)).await;
         assert_eq!(end(&client, 1_000).await, (EndOutcome::Ended, 10));
-        assert_eq!(stores.take_asked(), [address(2)]);
+        assert_eq!(stores.take_called(), [address(2)]);
     });
 }
 
 #[test]
-fn a_silent_store_is_hedged() {
+fn an_unresponsive_store_is_hedged() {
     run(async {
-        let stores = Stores::default();
+        let stores = SimulatedStores::default();
         stores.set(1, 10, Some(StoreReply::Ended));
         stores.set(2, 0, None);
         let client = client(&stores);
@@ -169,28 +169,29 @@
 #[test]
 fn a_slow_answer_still_counts() {
     run(async {
-        let stores = Stores::default();
+        let stores = SimulatedStores::default();
         stores.set(2, 650, Some(StoreReply::Ended));
         assert_eq!(end(&client(&stores), 1_000).await, (EndOutcome::Ended, 650));
     });
 }
 
 #[test]
-fn stores_that_are_unsure_are_asked_again_until_the_time_is_up() {
+fn unavailable_stores_are_called_again_until_the_timeout() {
     run(async {
-        let stores = Stores::default();
+        let stores = SimulatedStores::default();
         (1..=3).for_each(|number| stores.set(number, 20, Some(StoreReply::Unavailable)));
         let (outcome, took) = end(&client(&stores), 500).await;
         assert_eq!(outcome, EndOutcome::Unavailable);
         assert!((440..=500).contains(&took), "{took}");
-        assert!(stores.take_asked().len() >= 9);
+        assert!(stores.take_called().len() >= 9);
     });
 }
 
 #[test]
-fn without_stores_it_ends_in_time() {
+fn without_stores_a_call_ends_within_its_timeout() {
     run(async {
-        let client = StoreClient::with_calls(Stores::default(), ZoneName::from("east"));
+        let client =
+            StoreClient::with_transport(SimulatedStores::default(), ZoneName::from("east"));
         assert!(!client.is_ready());
         let (outcome, took) = end(&client, 300).await;
         assert_eq!(outcome, EndOutcome::Unavailable);
@@ -201,32 +202,32 @@
 #[test]
 fn older_views_are_ignored() {
     run(async {
-        let stores = Stores::default();
+        let stores = SimulatedStores::default();
         stores.set(4, 10, Some(StoreReply::Ended));
         let client = client(&stores);
         client.set_view(&view(3, vec![member(4, "east")]));
         client.set_view(&view(2, three()));
         assert_eq!(end(&client, 1_000).await, (EndOutcome::Ended, 10));
-        assert_eq!(stores.take_asked(), [address(4)]);
+        assert_eq!(stores.take_called(), [address(4)]);
     });
 }
 
 #[test]
-fn the_choice_prefers_the_zone_and_forgets_failures() {
+fn the_selector_prefers_the_zone_and_forgets_failures() {
     run(async {
-        let mut choice = StoreChoice::default();
-        choice.set_view(&view(1, three()), &ZoneName::from("north"));
-        let order = |choice: &StoreChoice| -> Vec<_> {
-            choice
-                .order(Instant::now())
+        let mut selector = StoreSelector::default();
+        selector.set_view(&view(1, three()), &ZoneName::from("north"));
+        let order = |selector: &StoreSelector| -> Vec<_> {
+            selector
+                .ordered(Instant::now())
                 .into_iter()
                 .map(|member| member.address)
                 .collect()
         };
-        assert_eq!(order(&choice), [address(3), address(1), address(2)]);
-        choice.failed(&member(3, "").node, Instant::now());
-        assert_eq!(order(&choice), [address(1), address(2), address(3)]);
-        choice.answered(&member(3, "").node);
-        assert_eq!(order(&choice), [address(3), address(1), address(2)]);
+        assert_eq!(order(&selector), [address(3), address(1), address(2)]);
+        selector.record_failure(&member(3, "").node, Instant::now());
+        assert_eq!(order(&selector), [address(1), address(2), address(3)]);
+        selector.record_success(&member(3, "").node);
+        assert_eq!(order(&selector), [address(3), address(1), address(2)]);
     });
 }
--- a/tier/store/src/clock.rs
+++ b/tier/store/src/clock.rs
@@ -1,14 +1,14 @@
-//! The store's time of day.
+//! The store's time of day. Expiry times on disk are read by it, so that it must not restart at zero.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Time of day in milliseconds that never goes back within the life of a process.
+/// A time of day that never goes back while the process runs.
 pub trait Clock: 'static {
     /// Milliseconds since 1970.
     fn now_ms(&self) -> u64;
 }
 
-/// The machine's time of day at the start, and its steady clock from then on.
+/// The machine's time of day at the start of the process, and its monotonic clock from then on.
 pub struct SystemClock {
     start_ms: u64,
     started: Instant,
@@ -17,11 +17,11 @@
 impl SystemClock {
     /// Reads both clocks.
     pub fn start() -> Self {
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         SystemClock {
-            start_ms: since.as_millis() as u64,
+            start_ms: since_epoch.as_millis() as u64,
             started: Instant::now(),
         }
     }
--- a/tier/store/src/control_plane.rs
+++ b/tier/store/src/control_plane.rs
@@ -1,4 +1,5 @@
-//! The store's link to the control plane: where views come from and finished copies are reported.
+//! The store's subscription to the controllers: views of the stores come from them, and finished
+//! transfers are reported to them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,58 +13,62 @@
 use tokio::sync::watch;
 
 use crate::clock::Clock;
-use crate::disk::Disk;
 use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-/// A finished copy is reported again while the view has not changed: messages are lost with connections.
+/// A finished transfer is reported again while the view has not changed: messages are lost with
+/// connections.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Follows the control plane, for ever.
-pub async fn follow<P: Peers, D: Disk, C: Clock>(
-    node: Rc<Node<P, D, C>>,
+/// Installs the controllers' views in the node and reports its transfers, until the node's task ends.
+pub async fn follow_control_plane<P: Peers, S: Storage, C: Clock>(
+    node: Rc<Node<P, S, C>>,
     controllers: Vec<SocketAddr>,
 ) {
     let (_candidates, candidates) = watch::channel(controllers);
     let subscription = Subscription::start(SubscriptionOptions {
-        hello: Hello::new(Channel::Feed, node.me().node.clone()),
-        subscriber: Subscriber::Store(node.me().clone()),
+        hello: Hello::new(Channel::Feed, node.identity().node.clone()),
+        subscriber: Subscriber::Store(node.identity().clone()),
         candidates,
         feeder_timeout: CONTROLLER_TIMEOUT,
     });
     tokio::join!(
-        take_views(&node, subscription.tables()),
-        report_copies(&node, &subscription)
+        install_views(&node, subscription.tables()),
+        report_transfers(&node, &subscription)
     );
 }
 
-async fn take_views<P: Peers, D: Disk, C: Clock>(
-    node: &Rc<Node<P, D, C>>,
+async fn install_views<P: Peers, S: Storage, C: Clock>(
+    node: &Rc<Node<P, S, C>>,
     mut tables: watch::Receiver<Arc<Tables>>,
 ) {
     while tables.changed().await.is_ok() {
         let tables = tables.borrow_and_update().clone();
-        node.take_view(&tables.stores);
+        node.install_view(&tables.stores);
     }
 }
 
-async fn report_copies<P: Peers, D: Disk, C: Clock>(
-    node: &Rc<Node<P, D, C>>,
+/// Reports when a transfer finishes, when the link to the controllers changes, and at an interval.
+async fn report_transfers<P: Peers, S: Storage, C: Clock>(
+    node: &Rc<Node<P, S, C>>,
     subscription: &Subscription,
 ) {
-    let mut copied = node.copied_epoch();
-    let mut standing = subscription.status();
+    let mut transferred = node.transferred_epoch();
+    let mut status = subscription.status();
     loop {
-        let epoch = *copied.borrow_and_update();
-        let view = node.view();
-        if let Some(epoch) = epoch.filter(|epoch| view.epoch == *epoch && view.next.is_some()) {
-            subscription.send(FromSubscriber::StoreSynced(epoch));
+        let transferred_epoch = *transferred.borrow_and_update();
+        if let Some(epoch) = transferred_epoch {
+            let view = node.view();
+            if view.epoch == epoch && view.next.is_some() {
+                subscription.send(FromSubscriber::StoreSynced(epoch));
+            }
         }
-        standing.borrow_and_update();
+        status.borrow_and_update();
         tokio::select! {
-            changed = copied.changed() => if changed.is_err() { return },
-            changed = standing.changed() => if changed.is_err() { return },
-            () = tokio::time::sleep(REPORT_INTERVAL), if epoch.is_some() => {}
+            changed = transferred.changed() => if changed.is_err() { return },
+            changed = status.changed() => if changed.is_err() { return },
+            () = tokio::time::sleep(REPORT_INTERVAL), if transferred_epoch.is_some() => {}
         }
     }
 }
--- a/tier/store/src/node/coordinator/begin_turn.rs
+++ b/tier/store/src/node/coordinator/begin_turn.rs
@@ -1,137 +1,148 @@
-//! The begin of a turn: its reservation and its chain, side by side.
+//! The begin of a turn: its reservation and the chain that it continues, at the same time.
 
 use std::rc::Rc;
 use std::sync::Arc;
 
-use plankhill_conversations::account::{Account, TurnState, Verdict};
-use plankhill_conversations::peer::{EndedTurn, PeerRequest, PeerResponse};
-use plankhill_conversations::placement::Tally;
+use plankhill_conversations::account::{Account, BudgetDecision, TurnState};
+use plankhill_conversations::peer::{PeerRequest, PeerResponse, TurnUpdate};
+use plankhill_conversations::quorum::WriteQuorum;
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::store_calls::{Reservation, StoreReply};
 use plankhill_protocol::tables::StoreView;
 
-use super::chain::ChainEnd;
-use super::end::Written;
-use super::Node;
+use super::end_turn::WriteOutcome;
+use super::read_chain::ChainLookup;
 use crate::clock::Clock;
-use crate::disk::Disk;
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
 /// A turn that is to begin.
-pub(super) struct Begin {
+pub(super) struct TurnStart {
     pub(super) program: ProgramId,
     pub(super) turn: RequestId,
+    /// None on a route without budgets.
     pub(super) reservation: Option<Reservation>,
+    /// The turn that this one continues.
     pub(super) previous: Option<RequestId>,
 }
 
-/// How a reservation ended.
-enum Reserved {
+/// The outcome of a reservation.
+enum ReserveOutcome {
     Granted,
-    Spent,
-    Unsure,
-    /// A newer view came up.
-    Moved,
+    BudgetExhausted,
+    /// Too few replicas answered, or the turn has ended already.
+    Unavailable,
+    /// A replica has a newer view.
+    ViewChanged,
 }
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    pub(super) async fn begin(self: &Rc<Self>, begin: Begin) -> StoreReply {
-        let chain = async {
-            match &begin.previous {
-                Some(previous) => self.read_chain(&begin.program, previous).await,
-                None => ChainEnd::Found {
-                    history: Arc::from([]),
-                    place: None,
-                },
-            }
-        };
-        let (reserved, chain) = tokio::join!(self.reserve(&begin), chain);
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    pub(super) async fn begin_turn(self: &Rc<Self>, start: TurnStart) -> StoreReply {
+        let (reserved, chain) = tokio::join!(self.reserve(&start), self.read_previous(&start));
         match (reserved, chain) {
-            (Reserved::Spent, _) => {
-                self.release(&begin, TurnState::Refused);
+            (ReserveOutcome::BudgetExhausted, _) => {
+                self.release_reservation(&start, TurnState::Rejected);
                 StoreReply::BudgetExhausted
             }
-            (_, ChainEnd::NoSuchTurn) => {
-                self.release(&begin, TurnState::Settled { tokens: 0 });
+            (_, ChainLookup::NotFound) => {
+                self.release_reservation(&start, TurnState::Committed { tokens: 0 });
                 StoreReply::NoSuchTurn
             }
-            (Reserved::Granted, ChainEnd::Found { history, place }) => StoreReply::Begun {
-                history,
-                previous: place,
+            (ReserveOutcome::Granted, ChainLookup::Found { history, newest }) => {
+                StoreReply::Begun {
+                    history,
+                    previous: newest,
+                }
+            }
+            // A reservation that was made stands until the proxy ends the turn.
+            (ReserveOutcome::Unavailable | ReserveOutcome::ViewChanged, _)
+            | (_, ChainLookup::Unavailable) => StoreReply::Unavailable,
+        }
+    }
+
+    async fn read_previous(self: &Rc<Self>, start: &TurnStart) -> ChainLookup {
+        match &start.previous {
+            Some(previous) => self.read_chain(&start.program, previous).await,
+            None => ChainLookup::Found {
+                history: Arc::from([]),
+                newest: None,
             },
-            _ => StoreReply::Unavailable,
         }
     }
 
-    async fn reserve(self: &Rc<Self>, begin: &Begin) -> Reserved {
-        let Some(reservation) = &begin.reservation else {
-            return Reserved::Granted;
+    /// Reserves a turn's tokens, anew with each newer view that comes up meanwhile.
+    async fn reserve(self: &Rc<Self>, start: &TurnStart) -> ReserveOutcome {
+        let Some(reservation) = &start.reservation else {
+            return ReserveOutcome::Granted;
         };
         if reservation.max_tokens > reservation.budget {
-            return Reserved::Spent;
+            return ReserveOutcome::BudgetExhausted;
         }
         loop {
             let view = self.view();
-            match self.reserve_in(&view, begin, reservation).await {
-                Reserved::Moved if self.view().epoch > view.epoch => {}
-                Reserved::Moved => return Reserved::Unsure,
-                reserved => return reserved,
+            match self.reserve_in_view(&view, start, reservation).await {
+                ReserveOutcome::ViewChanged if self.views.epoch() > view.epoch => {}
+                ReserveOutcome::ViewChanged => return ReserveOutcome::Unavailable,
+                outcome => return outcome,
             }
         }
     }
 
-    /// Writes the reservation to the replicas, and decides by all that enough of them know.
-    async fn reserve_in(
+    /// Writes the reservation to the replicas, and decides by the merged accounts of a write quorum.
+    async fn reserve_in_view(
         self: &Rc<Self>,
         view: &StoreView,
-        begin: &Begin,
+        start: &TurnStart,
         reservation: &Reservation,
-    ) -> Reserved {
+    ) -> ReserveOutcome {
         let request = PeerRequest::Reserve {
-            program: begin.program.clone(),
-            turn: begin.turn.clone(),
-            most: reservation.max_tokens,
-            previous: begin.previous.clone(),
+            program: start.program.clone(),
+            turn: start.turn.clone(),
+            max_tokens: reservation.max_tokens,
+            previous: start.previous.clone(),
         };
-        let mut tally = Tally::new(view, &begin.program);
-        let mut round = self.ask_all(view, tally.members(), &request);
-        let mut known = Account::default();
-        while let Some(answer) = round.recv().await {
+        let mut quorum = WriteQuorum::new(view, &start.program);
+        let mut replies = self.broadcast(view, quorum.members(), &request);
+        let mut merged = Account::default();
+        while let Some(answer) = replies.recv().await {
             let Some(reply) = answer.reply else { continue };
             match reply.body {
                 PeerResponse::Account(account) => {
-                    known.merge_all(&account);
-                    tally.written(&answer.member, reply.incarnation);
+                    merged.merge_all(&account);
+                    quorum.record_write(&answer.member, reply.incarnation);
                 }
-                PeerResponse::OldEpoch(_) => return Reserved::Moved,
+                PeerResponse::StaleEpoch(_) => return ReserveOutcome::ViewChanged,
                 _ => {}
             }
-            if tally.is_enough() {
-                return match known.verdict(&begin.turn, reservation) {
-                    Verdict::Granted => Reserved::Granted,
-                    Verdict::Spent => Reserved::Spent,
-                    Verdict::Over => Reserved::Unsure,
+            if quorum.is_reached() {
+                return match merged.decide(&start.turn, reservation) {
+                    BudgetDecision::Granted => ReserveOutcome::Granted,
+                    BudgetDecision::Exhausted => ReserveOutcome::BudgetExhausted,
+                    BudgetDecision::AlreadyEnded => ReserveOutcome::Unavailable,
                 };
             }
         }
-        Reserved::Unsure
+        ReserveOutcome::Unavailable
     }
 
-    /// The turn does not run: its reservation is given up, without waiting for it.
-    fn release(self: &Rc<Self>, begin: &Begin, state: TurnState) {
-        if begin.reservation.is_none() {
+    /// Releases the reservation of a turn that does not run, without waiting for it.
+    fn release_reservation(self: &Rc<Self>, start: &TurnStart, state: TurnState) {
+        if start.reservation.is_none() {
             return;
         }
-        let ended = EndedTurn {
-            program: begin.program.clone(),
-            turn: begin.turn.clone(),
+        let update = TurnUpdate {
+            program: start.program.clone(),
+            turn: start.turn.clone(),
             state: Some(state),
-            kept: None,
+            retained: None,
         };
         let node = self.clone();
         tokio::task::spawn_local(async move {
-            if node.write_end(ended).await != Written::Enough {
-                tracing::debug!("a reservation could not be given up");
+            let program = update.program.clone();
+            let turn = update.turn.clone();
+            if node.write_update(update).await != WriteOutcome::Written {
+                tracing::debug!(%program, %turn, "releasing a reservation failed");
             }
         });
     }
--- a/tier/store/src/node/coordinator/broadcast.rs
+++ b/tier/store/src/node/coordinator/broadcast.rs
@@ -1,4 +1,4 @@
-//! One request to several stores at once. What is asked of a store goes on when the caller stops waiting.
+//! Calls to other stores, and to several at once.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,47 +8,54 @@
 use plankhill_protocol::transport::CallError;
 use tokio::sync::mpsc;
 
-use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::PEER_TIMEOUT;
+use crate::limits::PEER_TIMEOUT;
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-/// An answer of one of the stores.
-pub(super) struct RoundReply {
+/// The outcome of a call to one of several stores.
+pub(super) struct MemberReply {
     /// The store as the view names it.
     pub(super) member: StoreMember,
-    /// None without an answer.
+    /// None without an answer in time.
     pub(super) reply: Option<PeerReply>,
 }
 
-/// The answers to one request, as they come; None after the last.
-pub(super) type Round = mpsc::Receiver<RoundReply>;
-
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// Asks all of them.
-    pub(super) fn ask_all(
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Sends a request to several stores. The receiver gets their replies as they come, and None after the
+    /// last; the channel has a slot for each store.
+    ///
+    /// Every call runs to its end also if the receiver is dropped: replicas that were not waited for get
+    /// the write too, or a hint if they miss it.
+    pub(super) fn broadcast(
         self: &Rc<Self>,
         view: &StoreView,
         members: Vec<StoreMember>,
         request: &PeerRequest,
-    ) -> Round {
-        let (replies, round) = mpsc::channel(members.len().max(1));
+    ) -> mpsc::Receiver<MemberReply> {
+        let (replies, receiver) = mpsc::channel(members.len().max(1));
         for member in members {
-            let (node, view, request, replies) =
-                (self.clone(), view.clone(), request.clone(), replies.clone());
+            let node = self.clone();
+            let view = view.clone();
+            let request = request.clone();
+            let replies = replies.clone();
             tokio::task::spawn_local(async move {
-                let reply = node.ask(&view, &member, &request, PEER_TIMEOUT).await.ok();
+                let reply = node.call(&view, &member, &request, PEER_TIMEOUT).await.ok();
                 node.hint_if_missed(&view, &member, &request, reply.as_ref());
-                // The caller may have heard enough.
-                let _ = replies.send(RoundReply { member, reply }).await;
+                // The caller may have enough replies already.
+                let _ = replies.send(MemberReply { member, reply }).await;
             });
         }
-        round
+        receiver
     }
 
-    /// Asks one store. One that is behind gets the view first; a newer view in the answer is taken.
-    pub(super) async fn ask(
+    /// Calls one store. A store whose view is older gets the caller's view first; a newer view in the
+    /// reply is installed here.
+    ///
+    /// # Errors
+    /// [`CallError`] without a reply within `timeout`, which holds for each of up to three messages.
+    pub(in crate::node) async fn call(
         self: &Rc<Self>,
         view: &StoreView,
         member: &StoreMember,
@@ -57,10 +64,10 @@
     ) -> Result<PeerReply, CallError> {
         let reply = self.send(view, member, request.clone(), timeout).await?;
         match &reply.body {
-            PeerResponse::OldEpoch(newer) => self.take_view(newer),
-            PeerResponse::Behind => {
-                self.send(view, member, PeerRequest::TakeView(view.clone()), timeout)
-                    .await?;
+            PeerResponse::StaleEpoch(newer) => self.install_view(newer),
+            PeerResponse::ReceiverStale => {
+                let install = PeerRequest::InstallView(view.clone());
+                self.send(view, member, install, timeout).await?;
                 return self.send(view, member, request.clone(), timeout).await;
             }
             _ => {}
@@ -79,10 +86,10 @@
             epoch: view.epoch,
             body,
         };
-        if member.address == self.parts.me.address {
-            // Boxed: a store may ask itself on behalf of a call that it answers.
+        if member.address == self.identity.address {
+            // Boxed: a store may call itself on behalf of a call that it answers.
             return Ok(Box::pin(self.clone().answer_peer(call)).await);
         }
-        self.parts.peers.call(member.address, call, timeout).await
+        self.peers.call(member.address, call, timeout).await
     }
 }
--- a/tier/store/src/node/coordinator/end_turn.rs
+++ b/tier/store/src/node/coordinator/end_turn.rs
@@ -1,112 +1,125 @@
-//! The end of a turn: what it handed out, and what later turns go on from.
+//! The end of a turn: the tokens that it has generated, and its record for turns that continue it.
 
 use std::rc::Rc;
 use std::sync::Arc;
 
 use plankhill_conversations::account::TurnState;
-use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
-use plankhill_conversations::placement::Tally;
+use plankhill_conversations::peer::{PeerRequest, PeerResponse, RetainedTurn, TurnUpdate};
+use plankhill_conversations::quorum::WriteQuorum;
 use plankhill_protocol::ids::{ProgramId, RequestId};
-use plankhill_protocol::store_calls::{StoreReply, TurnLocation, TurnRecord};
+use plankhill_protocol::store_calls::{StoreReply, TurnRecord};
 use plankhill_protocol::tables::StoreView;
 
-use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-/// Whether enough replicas have written.
+/// A turn that has ended.
+pub(super) struct TurnEnd {
+    pub(super) program: ProgramId,
+    pub(super) turn: RequestId,
+    /// Tokens sent to the client; None without a reservation.
+    pub(super) tokens: Option<u64>,
+    /// The turn's record, if later turns may continue it.
+    pub(super) record: Option<TurnRecord>,
+}
+
+/// The outcome of a write to a program's replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Written {
-    Enough,
-    TooFew,
-    /// A newer view came up.
-    Moved,
+pub(super) enum WriteOutcome {
+    /// A write quorum of every set of the view has synced the write.
+    Written,
+    TooFewReplicas,
+    /// A replica has a newer view.
+    ViewChanged,
 }
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    pub(super) async fn end(
-        self: &Rc<Self>,
-        program: ProgramId,
-        turn: RequestId,
-        tokens: Option<u64>,
-        record: Option<TurnRecord>,
-    ) -> StoreReply {
-        let state = tokens.map(|tokens| TurnState::Settled { tokens });
-        if state.is_none() && record.is_none() {
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    pub(super) async fn end_turn(self: &Rc<Self>, end: TurnEnd) -> StoreReply {
+        let state = end.tokens.map(|tokens| TurnState::Committed { tokens });
+        let retained = end.record.map(|record| self.retained_turn(record));
+        if state.is_none() && retained.is_none() {
             return StoreReply::Ended;
         }
-        let slack_ms = self.parts.figures.slack_ms;
-        let kept = record.map(|record| KeptTurn {
-            remaining_ms: record.retention_ms.saturating_add(slack_ms),
-            record: Arc::new(record),
-        });
-        if let Some(kept) = &kept {
-            if self.extend_elsewhere(&kept.record, kept.remaining_ms).await != Written::Enough {
+        // The chain first: a turn must not outlive the turns that it continues.
+        if let Some(retained) = &retained {
+            if self.extend_other_program(retained).await != WriteOutcome::Written {
                 return StoreReply::Unavailable;
             }
         }
-        let ended = EndedTurn {
-            program,
-            turn,
+        let update = TurnUpdate {
+            program: end.program,
+            turn: end.turn,
             state,
-            kept,
+            retained,
         };
-        match self.write_end(ended).await {
-            Written::Enough => StoreReply::Ended,
-            Written::TooFew | Written::Moved => StoreReply::Unavailable,
+        match self.write_update(update).await {
+            WriteOutcome::Written => StoreReply::Ended,
+            WriteOutcome::TooFewReplicas | WriteOutcome::ViewChanged => StoreReply::Unavailable,
         }
     }
 
-    /// Writes what became of a turn to its replicas.
-    pub(super) async fn write_end(self: &Rc<Self>, ended: EndedTurn) -> Written {
-        let program = ended.program.clone();
-        self.write(&program, &PeerRequest::End(ended)).await
+    fn retained_turn(&self, record: TurnRecord) -> RetainedTurn {
+        let slack_ms = self.limits.retention_slack_ms;
+        RetainedTurn {
+            remaining_ms: record.retention_ms.saturating_add(slack_ms),
+            record: Arc::new(record),
+        }
     }
 
-    /// A chain that goes on in another program lies at other stores: they are told to keep it as long.
-    async fn extend_elsewhere(self: &Rc<Self>, record: &TurnRecord, keep_ms: u64) -> Written {
-        match &record.previous {
-            Some(TurnLocation { turn, program }) if *program != record.program => {
-                let request = PeerRequest::Extend {
-                    turn: turn.clone(),
-                    keep_ms,
-                };
-                self.write(program, &request).await
-            }
-            _ => Written::Enough,
+    /// Writes an update of a turn to its program's replicas.
+    pub(super) async fn write_update(self: &Rc<Self>, update: TurnUpdate) -> WriteOutcome {
+        let program = update.program.clone();
+        self.write(&program, &PeerRequest::EndTurn(update)).await
+    }
+
+    /// Extends the chain that a turn continues if that lies at another program's replicas; the turn's own
+    /// replicas extend the chain with the turn.
+    async fn extend_other_program(self: &Rc<Self>, retained: &RetainedTurn) -> WriteOutcome {
+        let Some(previous) = &retained.record.previous else {
+            return WriteOutcome::Written;
+        };
+        if previous.program == retained.record.program {
+            return WriteOutcome::Written;
         }
+        let request = PeerRequest::ExtendRetention {
+            turn: previous.turn.clone(),
+            retention_ms: retained.remaining_ms,
+        };
+        self.write(&previous.program, &request).await
     }
 
-    async fn write(self: &Rc<Self>, program: &ProgramId, request: &PeerRequest) -> Written {
+    /// Writes to a program's replicas, anew with each newer view that comes up meanwhile.
+    async fn write(self: &Rc<Self>, program: &ProgramId, request: &PeerRequest) -> WriteOutcome {
         loop {
             let view = self.view();
-            match self.write_in(&view, program, request).await {
-                Written::Moved if self.view().epoch > view.epoch => {}
-                written => return written,
+            match self.write_in_view(&view, program, request).await {
+                WriteOutcome::ViewChanged if self.views.epoch() > view.epoch => {}
+                outcome => return outcome,
             }
         }
     }
 
-    async fn write_in(
+    async fn write_in_view(
         self: &Rc<Self>,
         view: &StoreView,
         program: &ProgramId,
         request: &PeerRequest,
-    ) -> Written {
-        let mut tally = Tally::new(view, program);
-        let mut round = self.ask_all(view, tally.members(), request);
-        while let Some(answer) = round.recv().await {
+    ) -> WriteOutcome {
+        let mut quorum = WriteQuorum::new(view, program);
+        let mut replies = self.broadcast(view, quorum.members(), request);
+        while let Some(answer) = replies.recv().await {
             let Some(reply) = answer.reply else { continue };
             match reply.body {
-                PeerResponse::Done => tally.written(&answer.member, reply.incarnation),
-                PeerResponse::OldEpoch(_) => return Written::Moved,
+                PeerResponse::Done => quorum.record_write(&answer.member, reply.incarnation),
+                PeerResponse::StaleEpoch(_) => return WriteOutcome::ViewChanged,
                 _ => {}
             }
-            if tally.is_enough() {
-                return Written::Enough;
+            if quorum.is_reached() {
+                return WriteOutcome::Written;
             }
         }
-        Written::TooFew
+        WriteOutcome::TooFewReplicas
     }
 }
--- /dev/null
+++ b/tier/store/src/node/coordinator/mod.rs
@@ -0,0 +1,70 @@
+//! The coordinating side of a proxy's call: requests to a program's replicas, and the answer that follows
+//! from theirs.
+//!
+//! Any store may coordinate. It owns no state of a call beyond the call's own future: replicas decide by
+//! their epochs which views are still good, so that a coordinator with an old view cannot do harm.
+
+mod begin_turn;
+mod broadcast;
+mod end_turn;
+mod read_chain;
+
+use std::rc::Rc;
+
+use plankhill_protocol::store_calls::{StoreCall, StoreReply};
+
+use super::Node;
+use crate::clock::Clock;
+use crate::limits::CALL_TIMEOUT;
+use crate::peers::Peers;
+use crate::storage::Storage;
+use begin_turn::TurnStart;
+use end_turn::TurnEnd;
+
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Answers a proxy. The proxy's epoch does not matter: the replicas decide which views are still good.
+    pub(super) async fn answer_proxy(self: Rc<Self>, call: StoreCall) -> StoreReply {
+        if self.views.borrow().serving.is_empty() {
+            return StoreReply::Unavailable;
+        }
+        match tokio::time::timeout(CALL_TIMEOUT, self.coordinate(call)).await {
+            Ok(reply) => reply,
+            Err(_) => StoreReply::Unavailable,
+        }
+    }
+
+    async fn coordinate(self: &Rc<Self>, call: StoreCall) -> StoreReply {
+        match call {
+            StoreCall::BeginTurn {
+                epoch: _,
+                program,
+                turn,
+                reservation,
+                previous,
+            } => {
+                self.begin_turn(TurnStart {
+                    program,
+                    turn,
+                    reservation,
+                    previous,
+                })
+                .await
+            }
+            StoreCall::EndTurn {
+                epoch: _,
+                program,
+                turn,
+                tokens,
+                record,
+            } => {
+                self.end_turn(TurnEnd {
+                    program,
+                    turn,
+                    tokens,
+                    record,
+                })
+                .await
+            }
+        }
+    }
+}
--- a/tier/store/src/node/coordinator/read_chain.rs
+++ b/tier/store/src/node/coordinator/read_chain.rs
@@ -1,225 +1,170 @@
-//! Reading a chain of turns: from here as far as possible, the rest from other stores.
+//! Reading a chain of turns: from this store as far as possible, the rest from other stores.
 
 use std::rc::Rc;
 use std::sync::Arc;
 
 use plankhill_conversations::peer::{PeerRequest, PeerResponse};
-use plankhill_conversations::placement::{addresses, is_serving, replicas, Quorum};
-use plankhill_conversations::rows::{read_row, turn_key, Table, TurnRow};
+use plankhill_conversations::placement::{is_serving, replicas, unique_addresses};
+use plankhill_conversations::quorum::Quorum;
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
-use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::{FIRST_READ_TIMEOUT, MOST_CHAIN_BYTES, PEER_TIMEOUT};
+use crate::limits::{MAX_CHAIN_BYTES, PEER_TIMEOUT, PREFERRED_REPLICA_TIMEOUT};
+use crate::node::chain_segment::ChainSegment;
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-/// How reading a chain ended.
-pub(super) enum ChainEnd {
+/// The outcome of reading a chain.
+pub(super) enum ChainLookup {
     Found {
+        /// Inputs and outputs of all turns, joined from the oldest on.
         history: Arc<[u8]>,
-        place: Option<TurnLocation>,
+        /// The newest turn of the chain; None of an empty chain.
+        newest: Option<TurnLocation>,
     },
-    NoSuchTurn,
-    Unsure,
+    /// Surely no store has the newest turn.
+    NotFound,
+    /// Too few stores answered, or the chain is incomplete or too long.
+    Unavailable,
 }
 
-/// Some turns of a chain, from the newest to older ones.
-#[derive(Default)]
-pub(super) struct ChainPart {
-    turns: Vec<Arc<TurnRecord>>,
-    rest: Option<TurnLocation>,
+/// Why a segment of a chain could not be read.
+enum SegmentError {
+    NotFound,
+    Unavailable,
 }
 
-/// Why a part of a chain could not be read.
-enum NoPart {
-    NoSuchTurn,
-    Unsure,
-}
-
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// Reads the chain that ends with this turn. `program` is the one that asks, most often also the turn's.
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Reads the chain that ends with `turn`. `program` is the calling turn's, most often also this one's.
     pub(super) async fn read_chain(
         self: &Rc<Self>,
         program: &ProgramId,
         turn: &RequestId,
-    ) -> ChainEnd {
+    ) -> ChainLookup {
         let mut turns: Vec<Arc<TurnRecord>> = Vec::new();
         let mut bytes = 0;
         let mut next = Some(TurnLocation {
             turn: turn.clone(),
             program: program.clone(),
         });
-        while let Some(place) = next.take() {
-            let part = match self.read_part(&place).await {
-                Ok(part) => part,
-                // A turn is kept as long as those that go on from it, so its absence is no proof.
-                Err(NoPart::NoSuchTurn) if turns.is_empty() => return ChainEnd::NoSuchTurn,
-                Err(_) => return ChainEnd::Unsure,
+        while let Some(location) = next.take() {
+            let segment = match self.read_segment(&location).await {
+                Ok(segment) => segment,
+                Err(SegmentError::NotFound) if turns.is_empty() => return ChainLookup::NotFound,
+                // An ancestor is retained as long as its descendants: that it is absent proves nothing
+                // about the newest turn, which was found.
+                Err(SegmentError::NotFound | SegmentError::Unavailable) => {
+                    return ChainLookup::Unavailable
+                }
             };
-            bytes += part
-                .turns
-                .iter()
-                .map(|turn| turn.input.len() + turn.output.len())
-                .sum::<usize>();
-            if bytes > MOST_CHAIN_BYTES {
-                tracing::warn!(bytes, "chain too long");
-                return ChainEnd::Unsure;
+            bytes += segment.bytes();
+            if bytes > MAX_CHAIN_BYTES {
+                tracing::warn!(%turn, bytes, "conversation chain exceeds the size limit");
+                return ChainLookup::Unavailable;
             }
-            turns.extend(part.turns);
-            next = part.rest;
+            turns.extend(segment.turns);
+            next = segment.rest;
         }
-        let place = turns.first().map(|newest| place_of(newest));
-        ChainEnd::Found {
-            history: join(&turns, bytes),
-            place,
+        let newest = turns.first().map(|newest| location_of(newest));
+        ChainLookup::Found {
+            history: join_history(&turns, bytes),
+            newest,
         }
     }
 
-    async fn read_part(self: &Rc<Self>, place: &TurnLocation) -> Result<ChainPart, NoPart> {
-        let part = self.part_here(&place.turn);
-        if part.turns.is_empty() {
-            self.part_elsewhere(place).await
+    async fn read_segment(
+        self: &Rc<Self>,
+        location: &TurnLocation,
+    ) -> Result<ChainSegment, SegmentError> {
+        let segment = self.local_segment(&location.turn);
+        if segment.turns.is_empty() {
+            self.read_remote_segment(location).await
         } else {
-            Ok(part)
+            Ok(segment)
         }
     }
 
-    /// The turn and its ancestors as far as they are here.
-    fn part_here(&self, turn: &RequestId) -> ChainPart {
-        let mut part = ChainPart::default();
-        let mut bytes = 0;
-        let mut next = Some(turn.clone());
-        while let Some(turn) = next.take() {
-            let Some(record) = self.turn_here(&turn) else {
-                break;
-            };
-            bytes += record.input.len() + record.output.len();
-            part.rest = record.previous.clone();
-            part.turns.push(record);
-            if bytes > MOST_CHAIN_BYTES {
-                break;
+    /// Asks the most preferred other replica, and then all stores.
+    async fn read_remote_segment(
+        self: &Rc<Self>,
+        location: &TurnLocation,
+    ) -> Result<ChainSegment, SegmentError> {
+        let view = self.view();
+        if let Some(preferred) = self.preferred_replica(&view, &location.program) {
+            let reading = self.read_segment_from(&view, &preferred, &location.turn);
+            // A timeout shorter than the call's own: the connection stays good for later calls.
+            let read = tokio::time::timeout(PREFERRED_REPLICA_TIMEOUT, reading).await;
+            if let Ok(Some(segment)) = read {
+                return Ok(segment);
             }
-            next = part.rest.as_ref().map(|place| place.turn.clone());
-        }
-        part
-    }
-
-    /// A turn that is kept here.
-    pub(super) fn turn_here(&self, turn: &RequestId) -> Option<Arc<TurnRecord>> {
-        let state = self.state.borrow();
-        state.index.turn(turn)?;
-        if let Some(record) = state.unwritten.get(turn) {
-            return Some(record.clone());
         }
-        let row = match self.parts.disk.read(Table::Turns, &turn_key(turn)) {
-            Ok(row) => row?,
-            Err(error) => {
-                tracing::warn!(%error, "turn not read");
-                return None;
-            }
-        };
-        read_row::<TurnRow>(&row).map(|row| row.record)
+        let member = self.locate_turn(&view, &location.turn).await?;
+        let segment = self.read_segment_from(&view, &member, &location.turn).await;
+        segment.ok_or(SegmentError::Unavailable)
     }
 
-    /// Asks the first other replica, and then all stores.
-    async fn part_elsewhere(self: &Rc<Self>, place: &TurnLocation) -> Result<ChainPart, NoPart> {
-        let view = self.view();
-        let here = &self.parts.me.address;
-        let holders = replicas(&view.serving, &place.program, view.tolerated_faults);
-        let first = holders
+    fn preferred_replica(&self, view: &StoreView, program: &ProgramId) -> Option<StoreMember> {
+        replicas(&view.serving, program, view.tolerated_faults)
             .into_iter()
-            .find(|member| member.address != *here)
-            .cloned();
-        if let Some(first) = first {
-            let reading = self.part_of(&view, &first, &place.turn);
-            // The connection is good for longer than this one answer is waited for.
-            if let Ok(Some(part)) = tokio::time::timeout(FIRST_READ_TIMEOUT, reading).await {
-                return Ok(part);
-            }
-        }
-        let located = self.locate(&view, &place.turn).await?;
-        let part = self.part_of(&view, &located, &place.turn).await;
-        part.ok_or(NoPart::Unsure)
+            .find(|member| member.address != self.identity.address)
+            .cloned()
     }
 
-    async fn part_of(
+    async fn read_segment_from(
         self: &Rc<Self>,
         view: &StoreView,
         member: &StoreMember,
         turn: &RequestId,
-    ) -> Option<ChainPart> {
-        let request = PeerRequest::Chain { turn: turn.clone() };
-        match self
-            .ask(view, member, &request, PEER_TIMEOUT)
-            .await
-            .ok()?
-            .body
-        {
+    ) -> Option<ChainSegment> {
+        let request = PeerRequest::ReadChain { turn: turn.clone() };
+        let reply = self.call(view, member, &request, PEER_TIMEOUT).await.ok()?;
+        match reply.body {
             PeerResponse::Chain { turns, rest } if !turns.is_empty() => {
-                Some(ChainPart { turns, rest })
+                Some(ChainSegment { turns, rest })
             }
             _ => None,
         }
     }
 
-    /// A store that holds the turn. That there is none is known only when so many serving stores do not hold
-    /// it that it cannot have been written.
-    async fn locate(
+    /// Finds a store that has the turn. No store has it only if it is absent at so many serving stores that
+    /// no write quorum can have written it.
+    async fn locate_turn(
         self: &Rc<Self>,
         view: &StoreView,
         turn: &RequestId,
-    ) -> Result<StoreMember, NoPart> {
-        let members = addresses(view.serving.iter().chain(view.next.iter().flatten()));
-        let mut round = self.ask_all(view, members, &PeerRequest::Locate { turn: turn.clone() });
+    ) -> Result<StoreMember, SegmentError> {
+        let members = unique_addresses(view.serving.iter().chain(view.next.iter().flatten()));
+        let request = PeerRequest::LocateTurn { turn: turn.clone() };
+        let mut replies = self.broadcast(view, members, &request);
         let mut absent = 0;
-        while let Some(answer) = round.recv().await {
+        while let Some(answer) = replies.recv().await {
             let Some(reply) = answer.reply else { continue };
             match reply.body {
-                PeerResponse::Located => return Ok(answer.member),
-                PeerResponse::NotHere => {
-                    let life = StoreMember {
+                PeerResponse::TurnPresent => return Ok(answer.member),
+                PeerResponse::TurnAbsent => {
+                    let answering = StoreMember {
                         incarnation: reply.incarnation,
                         ..answer.member
                     };
-                    absent += usize::from(is_serving(view, &life));
+                    if is_serving(view, &answering) {
+                        absent += 1;
+                    }
                 }
                 _ => {}
             }
         }
-        let enough = Quorum::of(view.serving.len(), view.tolerated_faults).read;
-        Err(if absent >= enough {
-            NoPart::NoSuchTurn
-        } else {
-            NoPart::Unsure
-        })
-    }
-
-    /// Answers another store that reads a chain.
-    pub(super) fn chain_here(&self, turn: &RequestId) -> PeerResponse {
-        let ChainPart { turns, rest } = self.part_here(turn);
-        if turns.is_empty() {
-            self.locate_here(turn)
-        } else {
-            PeerResponse::Chain { turns, rest }
-        }
-    }
-
-    /// Answers whether a turn is here; one that is but can't be read is no answer.
-    pub(super) fn locate_here(&self, turn: &RequestId) -> PeerResponse {
-        if self.state.borrow().index.turn(turn).is_none() {
-            PeerResponse::NotHere
-        } else if self.turn_here(turn).is_some() {
-            PeerResponse::Located
+        if absent >= Quorum::new(view.serving.len(), view.tolerated_faults).read {
+            Err(SegmentError::NotFound)
         } else {
-            PeerResponse::Unable
+            Err(SegmentError::Unavailable)
         }
     }
 }
 
-fn place_of(record: &TurnRecord) -> TurnLocation {
+fn location_of(record: &TurnRecord) -> TurnLocation {
     TurnLocation {
         turn: record.turn.clone(),
         program: record.program.clone(),
@@ -227,7 +172,7 @@
 }
 
 /// Inputs and outputs, oldest first.
-fn join(turns: &[Arc<TurnRecord>], bytes: usize) -> Arc<[u8]> {
+fn join_history(turns: &[Arc<TurnRecord>], bytes: usize) -> Arc<[u8]> {
     let mut history = Vec::with_capacity(bytes);
     for turn in turns.iter().rev() {
         history.extend_from_slice(&turn.input);
--- a/tier/store/src/node/load.rs
+++ b/tier/store/src/node/load.rs
@@ -1,98 +1,111 @@
-//! The start of a store: what its disk holds.
+//! The start of a node: builds its state from the rows on disk, and continues what the process before
+//! may have left undone.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use plankhill_conversations::index::TurnEntry;
-use plankhill_conversations::rows::{read_row, split_key, AccountRow, Table, TurnRow, VIEW_KEY};
-use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
+use plankhill_conversations::keys::{split_key, VIEW_KEY};
+use plankhill_conversations::rows::{decode_row, AccountRow, Table, TurnRow};
+use plankhill_conversations::turn_index::{TurnEntry, TurnIndex};
+use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
 use plankhill_protocol::tables::StoreView;
-use tokio::sync::watch;
 
-use super::{Node, Parts, State};
+use super::state::{HintTable, MissedUpdate, RowWriter, TurnTable, ViewState};
+use super::{Node, NodeParts};
 use crate::clock::Clock;
-use crate::disk::{Disk, DiskError};
 use crate::peers::Peers;
+use crate::storage::{Storage, StorageError};
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// Reads the disk.
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Builds a node from the rows on its disk. Rows that cannot be decoded are passed over.
     ///
     /// # Errors
-    /// [`DiskError::Failed`].
-    pub fn load(parts: Parts<P, D, C>) -> Result<Rc<Self>, DiskError> {
-        let mut state = State::default();
-        let row = parts.disk.read(Table::Own, VIEW_KEY)?;
-        if let Some(view) = row.and_then(|row| read_row::<StoreView>(&row)) {
-            state.view = view;
-        }
-        load_turns(&parts.disk, &mut state)?;
-        load_accounts(&parts.disk, &mut state)?;
-        load_hints(&parts.disk, &mut state)?;
+    /// [`StorageError`] if the disk cannot be read.
+    pub fn load(parts: NodeParts<P, S, C>) -> Result<Rc<Self>, StorageError> {
+        let view = load_view(&parts.storage)?;
+        let mut index = TurnIndex::default();
+        load_turns(&parts.storage, &mut index)?;
+        load_extensions(&parts.storage, &mut index)?;
+        load_accounts(&parts.storage, &mut index)?;
+        let hints = load_hints(&parts.storage)?;
+        let turns = TurnTable::new(index, parts.limits.max_index_bytes);
         tracing::info!(
-            epoch = state.view.epoch.0,
-            turns = state.index.len(),
-            hints = state.hints.len(),
-            "loaded"
+            epoch = view.epoch.0,
+            turns = turns.len(),
+            hints = hints.len(),
+            "store state loaded"
         );
-        let durable = state.view.epoch;
-        let node = Node {
-            parts,
-            state: RefCell::new(state),
-            durable_epoch: watch::Sender::new(StoreEpoch(durable.0)),
-            copied_epoch: watch::Sender::new(None),
-        };
-        Ok(Rc::new(node))
+        Ok(Rc::new(Node {
+            identity: parts.identity,
+            limits: parts.limits,
+            peers: parts.peers,
+            clock: parts.clock,
+            rows: RowWriter::new(parts.storage),
+            views: ViewState::new(view),
+            turns: RefCell::new(turns),
+            hints: RefCell::new(hints),
+        }))
     }
 
-    /// Goes on with what the last life may have left undone, for ever. To be called once.
+    /// Runs the node's background work until its task ends. To be called once.
     pub async fn run(self: Rc<Self>) {
         let view = self.view();
-        let copying = self.copy_for(&view);
+        let transferring = self.transfer_for(&view);
         let catching_up = self.catch_up();
         tokio::join!(
-            copying,
+            transferring,
             catching_up,
             self.clone().run_expiry(),
-            self.clone().run_repair()
+            self.clone().run_hint_delivery()
         );
     }
 }
 
-fn load_turns(disk: &impl Disk, state: &mut State) -> Result<(), DiskError> {
-    disk.scan(Table::Turns, &mut |_, row| {
-        if let Some(row) = read_row::<TurnRow>(row) {
-            state.index.keep(
+fn load_view(storage: &impl Storage) -> Result<StoreView, StorageError> {
+    let row = storage.read(Table::Metadata, VIEW_KEY)?;
+    Ok(row.and_then(|row| decode_row(&row)).unwrap_or_default())
+}
+
+fn load_turns(storage: &impl Storage, index: &mut TurnIndex) -> Result<(), StorageError> {
+    storage.scan(Table::Turns, &mut |_, row| {
+        if let Some(row) = decode_row::<TurnRow>(row) {
+            index.retain(
                 &row.record.turn,
                 TurnEntry::new(&row.record, row.expires_ms),
             );
         }
-    })?;
-    disk.scan(Table::Extensions, &mut |key, row| {
-        let turn = std::str::from_utf8(key).ok().map(RequestId::from);
-        if let (Some(turn), Some(until_ms)) = (turn, read_row::<u64>(row)) {
-            state.index.extend(&turn, until_ms);
+    })
+}
+
+fn load_extensions(storage: &impl Storage, index: &mut TurnIndex) -> Result<(), StorageError> {
+    storage.scan(Table::Extensions, &mut |key, row| {
+        if let (Ok(turn), Some(until_ms)) = (std::str::from_utf8(key), decode_row(row)) {
+            index.extend(&RequestId::from(turn), until_ms);
         }
     })
 }
 
-fn load_accounts(disk: &impl Disk, state: &mut State) -> Result<(), DiskError> {
-    disk.scan(Table::Accounts, &mut |key, row| {
+fn load_accounts(storage: &impl Storage, index: &mut TurnIndex) -> Result<(), StorageError> {
+    storage.scan(Table::Accounts, &mut |key, row| {
         let names = split_key(key).unwrap_or_default();
-        if let ([program, turn], Some(row)) = (names.as_slice(), read_row::<AccountRow>(row)) {
-            let (program, turn) = (ProgramId::from(*program), RequestId::from(*turn));
-            state
-                .index
-                .merge_state(&program, &turn, row.state, row.used_ms);
+        if let ([program, turn], Some(row)) = (names.as_slice(), decode_row::<AccountRow>(row)) {
+            let program = ProgramId::from(*program);
+            let turn = RequestId::from(*turn);
+            index.merge_state(&program, &turn, row.state, row.used_ms);
         }
     })
 }
 
-fn load_hints(disk: &impl Disk, state: &mut State) -> Result<(), DiskError> {
-    disk.scan(Table::Hints, &mut |key, _| {
+fn load_hints(storage: &impl Storage) -> Result<HintTable, StorageError> {
+    let mut hints = HintTable::default();
+    storage.scan(Table::Hints, &mut |key, _| {
         if let [node, program, turn] = split_key(key).unwrap_or_default().as_slice() {
-            state
-                .hints
-                .add(&(*node).into(), &(*program).into(), &(*turn).into());
+            let update = MissedUpdate {
+                program: ProgramId::from(*program),
+                turn: RequestId::from(*turn),
+            };
+            hints.insert(&NodeId::from(*node), update);
         }
-    })
+    })?;
+    Ok(hints)
 }
--- a/tier/store/src/node/mod.rs
+++ b/tier/store/src/node/mod.rs
@@ -1,134 +1,106 @@
-//! One store: answers proxies and other stores, repairs what others missed, copies what belongs to it.
+//! One store: answers proxies and other stores, repairs what others missed, and copies the programs that
+//! it becomes a replica of.
+//!
+//! A proxy may call any store; the called store coordinates the call (`coordinator`): it sends requests
+//! to the program's replicas, itself among them if it is one, and answers once a quorum has synced. The
+//! replica's side is in `replica`. `repair` delivers updates that a replica missed (hinted handoff)
+//! and compares with other stores after a start; `transfer` copies programs when the set of stores
+//! changes. `state` has the structs that own the node's state, each its own part.
 
-mod begin;
-mod catch_up;
-mod chain;
-mod copy;
-mod copy_source;
-mod end;
+mod chain_segment;
+mod coordinator;
 mod expiry;
-mod hints;
 mod load;
 mod repair;
 mod replica;
-mod round;
-mod serve_copies;
-mod unwritten;
+mod state;
+mod transfer;
 mod view;
 
 use std::cell::RefCell;
-use std::collections::HashMap;
 use std::rc::Rc;
-use std::sync::Arc;
 
-use plankhill_conversations::index::Index;
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
-use plankhill_protocol::ids::{RequestId, StoreEpoch};
-use plankhill_protocol::store_calls::{StoreCall, StoreReply, TurnRecord};
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
+use plankhill_protocol::ids::StoreEpoch;
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use tokio::sync::watch;
 
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::{Figures, CALL_TIMEOUT};
+use crate::limits::Limits;
 use crate::peers::Peers;
-use hints::Hints;
-use unwritten::UnwrittenStates;
+use crate::storage::Storage;
+use state::{HintTable, RowWriter, TurnTable, ViewState};
 
-/// What a store is made of.
-pub struct Parts<P, D, C> {
-    /// Who it is.
-    pub me: StoreMember,
-    /// Times and bounds.
-    pub figures: Figures,
-    /// The other stores.
+/// What a node is built from.
+pub struct NodeParts<P, S, C> {
+    /// The store's own entry in views.
+    pub identity: StoreMember,
+    /// Bounds.
+    pub limits: Limits,
+    /// Calls to the other stores.
     pub peers: P,
-    /// Its rows.
-    pub disk: D,
-    /// Its time.
+    /// The store's rows.
+    pub storage: S,
+    /// The store's time of day.
     pub clock: C,
 }
 
 /// One store. For one thread, inside a `LocalSet`.
-pub struct Node<P, D, C> {
-    parts: Parts<P, D, C>,
-    state: RefCell<State>,
-    /// The highest epoch whose view is on disk.
-    durable_epoch: watch::Sender<StoreEpoch>,
-    /// The epoch of the last view whose next set this store has copied everything for.
-    copied_epoch: watch::Sender<Option<StoreEpoch>>,
+///
+/// Invariants, on which acknowledgements rest:
+/// - An update is in memory before its rows are handed to the disk, and the disk's commits take effect in
+///   the order of their calls: a later row of the same turn never loses what an earlier one had.
+/// - An update is acknowledged only after its rows are synced, a repeated one only after those of the
+///   first are.
+/// - A view is acted on as the copying side only once it is synced here: calls of older views are then
+///   refused for good, also after a restart.
+pub struct Node<P, S, C> {
+    identity: StoreMember,
+    limits: Limits,
+    peers: P,
+    clock: C,
+    rows: RowWriter<S>,
+    views: ViewState,
+    turns: RefCell<TurnTable>,
+    hints: RefCell<HintTable>,
 }
 
-/// What a store knows.
-#[derive(Default)]
-struct State {
-    view: StoreView,
-    index: Index,
-    /// Turns whose rows are on their way to the disk.
-    unwritten: HashMap<RequestId, Arc<TurnRecord>>,
-    hints: Hints,
-    /// What became of turns and is not known to be on disk.
-    unwritten_states: UnwrittenStates,
-    /// A disk that failed takes no more writes in this life.
-    disk_failed: bool,
-}
-
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// Answers one call.
-    pub async fn answer(self: Rc<Self>, request: StoreRequest) -> StoreAnswer {
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Answers one call of a proxy or of another store.
+    pub async fn answer(self: Rc<Self>, request: StoreRequest) -> StoreResponse {
         match request {
-            StoreRequest::Proxy(call) => StoreAnswer::Proxy(self.answer_proxy(call).await),
-            StoreRequest::Peer(call) => StoreAnswer::Peer(self.answer_peer(call).await),
+            StoreRequest::Proxy(call) => StoreResponse::Proxy(self.answer_proxy(call).await),
+            StoreRequest::Peer(call) => StoreResponse::Peer(self.answer_peer(call).await),
         }
     }
 
-    /// Answers a proxy. Its epoch does not matter: the replicas decide which views are still good.
-    async fn answer_proxy(self: Rc<Self>, call: StoreCall) -> StoreReply {
-        if self.state.borrow().view.serving.is_empty() {
-            return StoreReply::Unavailable;
-        }
-        let answering = async {
-            match call {
-                StoreCall::BeginTurn {
-                    program,
-                    turn,
-                    reservation,
-                    previous,
-                    ..
-                } => {
-                    let begin = begin::Begin {
-                        program,
-                        turn,
-                        reservation,
-                        previous,
-                    };
-                    self.begin(begin).await
-                }
-                StoreCall::EndTurn {
-                    program,
-                    turn,
-                    tokens,
-                    record,
-                    ..
-                } => self.end(program, turn, tokens, record).await,
-            }
-        };
-        tokio::time::timeout(CALL_TIMEOUT, answering)
-            .await
-            .unwrap_or(StoreReply::Unavailable)
+    /// The store's own entry in views.
+    pub fn identity(&self) -> &StoreMember {
+        &self.identity
+    }
+
+    /// Whether the disk has failed: the process has to start anew.
+    pub fn has_storage_failed(&self) -> bool {
+        self.rows.has_failed()
+    }
+
+    /// The newest view that this store knows.
+    pub fn view(&self) -> StoreView {
+        self.views.current()
     }
 
-    /// Who this store is.
-    pub fn me(&self) -> &StoreMember {
-        &self.parts.me
+    /// The epoch of the last view for whose next set this store has copied all its programs; the
+    /// controllers are told.
+    pub fn transferred_epoch(&self) -> watch::Receiver<Option<StoreEpoch>> {
+        self.views.watch_transferred()
     }
 
-    /// Whether the disk has failed: the process is to start anew.
-    pub fn disk_failed(&self) -> bool {
-        self.state.borrow().disk_failed
+    /// Number of updates that other stores have missed as far as this one knows.
+    pub fn pending_hints(&self) -> usize {
+        self.hints.borrow().len()
     }
 
     fn now_ms(&self) -> u64 {
-        self.parts.clock.now_ms()
+        self.clock.now_ms()
     }
 }
--- a/tier/store/src/node/repair/catch_up.rs
+++ b/tier/store/src/node/repair/catch_up.rs
@@ -1,6 +1,8 @@
-//! After a start: takes in what this store has missed while it was away, and finds out what others lack.
+//! Anti-entropy after a start: merges the updates that this store has missed while it was away, and finds
+//! out which ones other stores lack.
 //!
-//! Hints do the same where a store was away and came back as it was; a start may have lost some of them.
+//! Hints do the same for a store that was away and came back as it was; a start may have lost some of
+//! them.
 
 use std::rc::Rc;
 
@@ -8,29 +10,29 @@
 use plankhill_conversations::placement::is_serving;
 use plankhill_protocol::tables::StoreMember;
 
-use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::{CATCH_UP_PAUSE, CATCH_UP_ROUNDS};
+use crate::limits::{CATCH_UP_INTERVAL, MAX_CATCH_UP_ATTEMPTS};
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
     /// Compares with each other serving store until all have answered, or for a bounded time.
-    pub(super) async fn catch_up(self: &Rc<Self>) {
+    pub(in crate::node) async fn catch_up(self: &Rc<Self>) {
         let mut compared: Vec<StoreMember> = Vec::new();
-        for _ in 0..CATCH_UP_ROUNDS {
+        for _ in 0..MAX_CATCH_UP_ATTEMPTS {
             let view = self.view();
-            let others = view
+            let pending: Vec<&StoreMember> = view
                 .serving
                 .iter()
-                .filter(|member| member.node != self.parts.me.node);
-            let left: Vec<&StoreMember> =
-                others.filter(|member| !compared.contains(member)).collect();
-            if !view.serving.is_empty() && (left.is_empty() || !is_serving(&view, &self.parts.me)) {
+                .filter(|member| member.node != self.identity.node && !compared.contains(member))
+                .collect();
+            let is_done = pending.is_empty() || !is_serving(&view, &self.identity);
+            if is_done && !view.serving.is_empty() {
                 return;
             }
-            self.durable(view.epoch).await;
-            for source in left {
+            self.views.wait_durable(view.epoch).await;
+            for source in pending {
                 if self
                     .copy_from(&view, StoreSet::Serving, source)
                     .await
@@ -39,7 +41,7 @@
                     compared.push(source.clone());
                 }
             }
-            tokio::time::sleep(CATCH_UP_PAUSE).await;
+            tokio::time::sleep(CATCH_UP_INTERVAL).await;
         }
     }
 }
--- a/tier/store/src/node/repair/delivery.rs
+++ b/tier/store/src/node/repair/delivery.rs
@@ -1,147 +1,129 @@
-//! Delivers what stores have missed, once they are back.
+//! Delivering missed updates to stores that are back.
 
-use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use plankhill_conversations::peer::{EndedTurn, KeptTurn, PeerRequest, PeerResponse};
-use plankhill_conversations::rows::{hint_key, RowChange, Table};
-use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
+use plankhill_conversations::keys::hint_key;
+use plankhill_conversations::peer::{PeerRequest, PeerResponse, TurnUpdate};
+use plankhill_conversations::rows::{RowChange, Table};
+use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::tables::StoreMember;
 
-use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::{HINT_INTERVAL, MESSAGE_BYTES, PEER_TIMEOUT, REPAIR_TURNS};
+use crate::limits::{HINT_DELIVERY_INTERVAL, MAX_MESSAGE_BYTES, MAX_REPAIR_UPDATES, PEER_TIMEOUT};
+use crate::node::chain_segment::record_bytes;
+use crate::node::state::MissedUpdate;
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// Delivers hints, for ever.
-    pub async fn run_repair(self: Rc<Self>) {
+/// Missed updates that fit into one message.
+#[derive(Default)]
+struct RepairBatch {
+    hints: Vec<MissedUpdate>,
+    /// The update of each hint, in the same order.
+    updates: Vec<TurnUpdate>,
+}
+
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Delivers hints at an interval, to all stores at the same time, until the node's task ends.
+    pub(in crate::node) async fn run_hint_delivery(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(HINT_INTERVAL).await;
-            let nodes = self.state.borrow().hints.nodes();
-            let delivering = nodes.into_iter().map(|node| {
+            tokio::time::sleep(HINT_DELIVERY_INTERVAL).await;
+            let nodes = self.hints.borrow().nodes();
+            let mut deliveries = Vec::with_capacity(nodes.len());
+            for node in nodes {
                 let this = self.clone();
-                tokio::task::spawn_local(async move { this.repair(&node).await })
-            });
-            for delivery in delivering.collect::<Vec<_>>() {
-                // A delivery that panicked is tried again like one that failed.
+                let delivery = async move { this.deliver_hints(&node).await };
+                deliveries.push(tokio::task::spawn_local(delivery));
+            }
+            for delivery in deliveries {
+                // A delivery that panicked is attempted again like one that failed.
                 let _ = delivery.await;
             }
         }
     }
 
-    async fn repair(self: &Rc<Self>, node: &NodeId) {
-        let Some(member) = self.member(node) else {
-            self.drop_hints(node);
+    async fn deliver_hints(self: &Rc<Self>, node: &NodeId) {
+        let Some(member) = self.find_member(node) else {
+            // No view names the store any more.
+            let hints = self.hints.borrow().first(node, usize::MAX);
+            self.remove_hints(node, &hints);
             return;
         };
-        // Whether it is there at all, before turns are read and sent.
+        // Whether the store can be reached at all, before turns are read and sent.
         if !self.send_repair(&member, Vec::new()).await {
             return;
         }
         loop {
-            let missed = self.state.borrow().hints.first(node, REPAIR_TURNS);
-            if missed.is_empty() {
+            let hints = self.hints.borrow().first(node, MAX_REPAIR_UPDATES);
+            if hints.is_empty() {
                 return;
             }
-            let (taken, ended) = self.read_missed(missed);
-            if !self.send_repair(&member, ended).await {
+            let batch = self.read_repair_batch(hints);
+            if !self.send_repair(&member, batch.updates).await {
                 return;
             }
-            tracing::debug!(%node, turns = taken.len(), "missed turns delivered");
-            self.remove_hints(node, &taken);
+            tracing::debug!(%node, updates = batch.hints.len(), "missed updates delivered");
+            self.remove_hints(node, &batch.hints);
         }
     }
 
-    async fn send_repair(self: &Rc<Self>, member: &StoreMember, ended: Vec<EndedTurn>) -> bool {
-        let reply = self
-            .ask(
-                &self.view(),
-                member,
-                &PeerRequest::Repair(ended),
-                PEER_TIMEOUT,
-            )
-            .await;
-        matches!(reply.map(|reply| reply.body), Ok(PeerResponse::Done))
+    /// Returns whether the store has synced the updates.
+    async fn send_repair(self: &Rc<Self>, member: &StoreMember, updates: Vec<TurnUpdate>) -> bool {
+        let request = PeerRequest::Repair(updates);
+        match self
+            .call(&self.view(), member, &request, PEER_TIMEOUT)
+            .await
+        {
+            Ok(reply) => reply.body == PeerResponse::Done,
+            Err(_) => false,
+        }
     }
 
-    /// The member of the sets with this name, the newest life of it.
-    fn member(&self, node: &NodeId) -> Option<StoreMember> {
-        let state = self.state.borrow();
-        let mut members = state.view.next.iter().flatten().chain(&state.view.serving);
+    /// The member with this name, as the next set names it if it does.
+    fn find_member(&self, node: &NodeId) -> Option<StoreMember> {
+        let view = self.views.borrow();
+        let mut members = view.next.iter().flatten().chain(&view.serving);
         members.find(|member| member.node == *node).cloned()
     }
 
-    /// Reads as many as go into one message.
-    fn read_missed(
-        &self,
-        missed: Vec<(ProgramId, RequestId)>,
-    ) -> (Vec<(ProgramId, RequestId)>, Vec<EndedTurn>) {
-        let (mut taken, mut ended) = (Vec::new(), Vec::new());
+    /// Reads as many of the updates as fit into one message, at least one.
+    fn read_repair_batch(&self, hints: Vec<MissedUpdate>) -> RepairBatch {
+        let mut batch = RepairBatch::default();
         let mut bytes = 0;
-        for (program, turn) in missed {
-            let held = self.held(&program, &turn);
-            bytes += held
-                .kept
+        for hint in hints {
+            let update = self.local_update(&hint);
+            bytes += update
+                .retained
                 .as_ref()
-                .map_or(0, |kept| kept.record.input.len() + kept.record.output.len());
-            taken.push((program, turn));
-            ended.push(held);
-            if bytes >= MESSAGE_BYTES {
+                .map_or(0, |turn| record_bytes(&turn.record));
+            batch.hints.push(hint);
+            batch.updates.push(update);
+            if bytes >= MAX_MESSAGE_BYTES {
                 break;
             }
         }
-        (taken, ended)
+        batch
     }
 
-    /// All that is here of a turn; what has expired since is of no use to anybody.
-    fn held(&self, program: &ProgramId, turn: &RequestId) -> EndedTurn {
-        let state = self
-            .state
-            .borrow()
-            .index
-            .account(program)
-            .and_then(|account| account.state(turn));
-        EndedTurn {
-            program: program.clone(),
-            turn: turn.clone(),
-            state,
-            kept: self.kept_here(turn),
+    /// All that this store knows of a turn; nothing of one that has expired since.
+    fn local_update(&self, hint: &MissedUpdate) -> TurnUpdate {
+        TurnUpdate {
+            program: hint.program.clone(),
+            turn: hint.turn.clone(),
+            state: self.turns.borrow().account_state(&hint.program, &hint.turn),
+            retained: self.local_retained_turn(&hint.turn),
         }
     }
 
-    /// A turn with the time that it still has.
-    pub(super) fn kept_here(&self, turn: &RequestId) -> Option<KeptTurn> {
-        let expires_ms = self.state.borrow().index.turn(turn)?.expires_ms;
-        let record = self.turn_here(turn)?;
-        Some(KeptTurn {
-            record,
-            remaining_ms: expires_ms.saturating_sub(self.now_ms()),
-        })
-    }
-
-    fn drop_hints(&self, node: &NodeId) {
-        let missed: BTreeSet<_> = self
-            .state
-            .borrow()
-            .hints
-            .first(node, usize::MAX)
-            .into_iter()
-            .collect();
-        self.remove_hints(node, &Vec::from_iter(missed));
-    }
-
-    fn remove_hints(&self, node: &NodeId, delivered: &[(ProgramId, RequestId)]) {
-        let mut changes = Vec::new();
-        for (program, turn) in delivered {
-            self.state.borrow_mut().hints.remove(node, program, turn);
-            changes.push(RowChange::remove(
-                Table::Hints,
-                hint_key(node, program, turn),
-            ));
+    fn remove_hints(&self, node: &NodeId, delivered: &[MissedUpdate]) {
+        let mut changes = Vec::with_capacity(delivered.len());
+        for hint in delivered {
+            self.hints.borrow_mut().remove(node, hint);
+            let key = hint_key(node, &hint.program, &hint.turn);
+            changes.push(RowChange::remove(Table::Hints, key));
         }
         // A hint that comes back after a loss of power is delivered once more, which is harmless.
-        drop(self.parts.disk.commit(changes));
+        self.rows.commit_best_effort(changes);
     }
 }
--- a/tier/store/src/node/repair/hints.rs
+++ b/tier/store/src/node/repair/hints.rs
@@ -1,126 +1,100 @@
-//! Which stores have missed what. What a hint stands for is read from this store when it is delivered.
+//! Recording which store has missed which update.
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
+use plankhill_conversations::keys::hint_key;
 use plankhill_conversations::peer::{PeerReply, PeerRequest, PeerResponse};
 use plankhill_conversations::placement::replicas;
-use plankhill_conversations::rows::{hint_key, RowChange, Table};
-use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
+use plankhill_conversations::rows::{RowChange, Table};
+use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
-use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::{MOST_HINTS, PEER_TIMEOUT};
+use crate::limits::PEER_TIMEOUT;
+use crate::node::state::MissedUpdate;
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-/// What one store has missed.
-type Missed = BTreeSet<(ProgramId, RequestId)>;
-
-/// All that stores have missed.
-#[derive(Debug, Default)]
-pub(super) struct Hints {
-    missed: BTreeMap<NodeId, Missed>,
-}
-
-impl Hints {
-    /// True if it is new and there is room for it.
-    pub(super) fn add(&mut self, node: &NodeId, program: &ProgramId, turn: &RequestId) -> bool {
-        let missed = self.missed.entry(node.clone()).or_default();
-        missed.len() < MOST_HINTS && missed.insert((program.clone(), turn.clone()))
-    }
-
-    /// The first few that a store has missed.
-    pub(super) fn first(&self, node: &NodeId, count: usize) -> Vec<(ProgramId, RequestId)> {
-        self.missed.get(node).map_or_else(Vec::new, |missed| {
-            missed.iter().take(count).cloned().collect()
-        })
-    }
-
-    pub(super) fn remove(&mut self, node: &NodeId, program: &ProgramId, turn: &RequestId) {
-        if let Some(missed) = self.missed.get_mut(node) {
-            missed.remove(&(program.clone(), turn.clone()));
-            if missed.is_empty() {
-                self.missed.remove(node);
-            }
-        }
-    }
-
-    /// The stores that have missed something.
-    pub(super) fn nodes(&self) -> Vec<NodeId> {
-        self.missed.keys().cloned().collect()
-    }
-
-    pub(super) fn len(&self) -> usize {
-        self.missed.values().map(BTreeSet::len).sum()
-    }
-}
-
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// What stores have missed as far as this one knows.
-    pub fn hints_waiting(&self) -> usize {
-        self.state.borrow().hints.len()
-    }
-
-    /// Remembers that a store has missed the end of a turn.
-    pub(super) fn add_hint(&self, node: &NodeId, program: &ProgramId, turn: &RequestId) {
-        if *node == self.parts.me.node || !self.state.borrow_mut().hints.add(node, program, turn) {
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Records that a store has missed an update.
+    pub(in crate::node) fn add_hint(&self, node: &NodeId, update: MissedUpdate) {
+        if *node == self.identity.node {
             return;
         }
-        let change = RowChange::set(Table::Hints, hint_key(node, program, turn), &());
-        // A hint is worth no waiting: what it stands for is on enough disks.
-        drop(self.parts.disk.commit(vec![change]));
+        let key = hint_key(node, &update.program, &update.turn);
+        if self.hints.borrow_mut().insert(node, update) {
+            // No caller waits for a hint: the update that it names is on a write quorum's disks.
+            self.rows
+                .commit_best_effort(vec![RowChange::set(Table::Hints, key, &())]);
+        }
     }
 
-    /// After a request to one store: a hint if that store has missed the end of a turn.
-    pub(super) fn hint_if_missed(
+    /// After a call to one store: records a hint if the store has missed the end of a turn.
+    ///
+    /// The hint is kept where the update is: at this store if it is a replica of the program and the other
+    /// one missed the update, at the first other replica if not.
+    pub(in crate::node) fn hint_if_missed(
         self: &Rc<Self>,
         view: &StoreView,
         member: &StoreMember,
         request: &PeerRequest,
         reply: Option<&PeerReply>,
     ) {
-        let PeerRequest::End(ended) = request else {
+        let PeerRequest::EndTurn(update) = request else {
             return;
         };
-        let settled = matches!(
-            reply.map(|reply| &reply.body),
-            // With an older view the whole request is made anew.
-            Some(PeerResponse::Done | PeerResponse::OldEpoch(_))
-        );
-        if settled {
+        if is_received(reply) {
             return;
         }
-        let (program, turn) = (&ended.program, &ended.turn);
-        let holds = replicas(&view.serving, program, view.tolerated_faults);
-        let here = self.parts.me.address;
-        if member.address != here && holds.iter().any(|holder| holder.address == here) {
-            self.add_hint(&member.node, program, turn);
+        let missed = MissedUpdate {
+            program: update.program.clone(),
+            turn: update.turn.clone(),
+        };
+        let replicas = replicas(&view.serving, &missed.program, view.tolerated_faults);
+        let own_address = self.identity.address;
+        let is_replica_here = replicas
+            .iter()
+            .any(|replica| replica.address == own_address);
+        if member.address != own_address && is_replica_here {
+            self.add_hint(&member.node, missed);
             return;
         }
-        // This store does not hold the turn, or has missed it itself: one that holds it keeps the hint.
-        let Some(holder) = holds
+        let other = replicas
             .into_iter()
-            .find(|holder| holder.node != member.node)
-            .cloned()
-        else {
-            return;
-        };
-        let request = PeerRequest::KeepHint {
-            node: member.node.clone(),
-            program: program.clone(),
-            turn: turn.clone(),
+            .find(|replica| replica.node != member.node);
+        if let Some(replica) = other {
+            self.send_hint(view, replica, &member.node, missed);
+        }
+    }
+
+    fn send_hint(
+        self: &Rc<Self>,
+        view: &StoreView,
+        replica: &StoreMember,
+        missed_by: &NodeId,
+        update: MissedUpdate,
+    ) {
+        let request = PeerRequest::StoreHint {
+            node: missed_by.clone(),
+            program: update.program,
+            turn: update.turn,
         };
-        let (node, view) = (self.clone(), view.clone());
+        let node = self.clone();
+        let view = view.clone();
+        let replica = replica.clone();
         tokio::task::spawn_local(async move {
-            if node
-                .ask(&view, &holder, &request, PEER_TIMEOUT)
-                .await
-                .is_err()
-            {
-                tracing::debug!(holder = %holder.node, "hint not kept");
+            if let Err(error) = node.call(&view, &replica, &request, PEER_TIMEOUT).await {
+                tracing::debug!(node = %replica.node, %error, "sending a hint failed");
             }
         });
     }
 }
+
+/// Whether no hint is needed. After an answer of a newer view the coordinator sends the whole request anew.
+fn is_received(reply: Option<&PeerReply>) -> bool {
+    match reply {
+        Some(reply) => matches!(reply.body, PeerResponse::Done | PeerResponse::StaleEpoch(_)),
+        None => false,
+    }
+}
--- /dev/null
+++ b/tier/store/src/node/replica/local_turns.rs
@@ -0,0 +1,91 @@
+//! Reads of the turns that this store has.
+
+use std::sync::Arc;
+
+use plankhill_conversations::keys::turn_key;
+use plankhill_conversations::peer::{PeerResponse, RetainedTurn};
+use plankhill_conversations::rows::{decode_row, Table, TurnRow};
+use plankhill_protocol::ids::RequestId;
+use plankhill_protocol::store_calls::TurnRecord;
+
+use crate::clock::Clock;
+use crate::limits::MAX_CHAIN_BYTES;
+use crate::node::chain_segment::{record_bytes, ChainSegment};
+use crate::node::Node;
+use crate::peers::Peers;
+use crate::storage::Storage;
+
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// A retained turn of this store; None also of one whose row cannot be read.
+    pub(in crate::node) fn local_turn(&self, turn: &RequestId) -> Option<Arc<TurnRecord>> {
+        let turns = self.turns.borrow();
+        if !turns.contains(turn) {
+            return None;
+        }
+        if let Some(record) = turns.unwritten_turn(turn) {
+            return Some(record);
+        }
+        match self.rows.read(Table::Turns, &turn_key(turn)) {
+            Ok(row) => decode_row::<TurnRow>(&row?).map(|row| row.record),
+            Err(error) => {
+                tracing::warn!(%turn, %error, "reading a turn failed");
+                None
+            }
+        }
+    }
+
+    /// A retained turn with the time that it is still retained.
+    pub(in crate::node) fn local_retained_turn(&self, turn: &RequestId) -> Option<RetainedTurn> {
+        let expires_ms = self.turns.borrow().expires_ms(turn)?;
+        let record = self.local_turn(turn)?;
+        let remaining_ms = expires_ms.saturating_sub(self.now_ms());
+        Some(RetainedTurn {
+            record,
+            remaining_ms,
+        })
+    }
+
+    /// The turn and its ancestors as far as this store has them, up to the bound on a chain.
+    pub(in crate::node) fn local_segment(&self, turn: &RequestId) -> ChainSegment {
+        let mut segment = ChainSegment::default();
+        let mut bytes = 0;
+        let mut next = Some(turn.clone());
+        while let Some(turn) = next.take() {
+            let Some(record) = self.local_turn(&turn) else {
+                break;
+            };
+            bytes += record_bytes(&record);
+            segment.rest = record.previous.clone();
+            segment.turns.push(record);
+            if bytes > MAX_CHAIN_BYTES {
+                break;
+            }
+            next = segment.rest.as_ref().map(|location| location.turn.clone());
+        }
+        segment
+    }
+
+    /// Answers a store that reads a chain.
+    pub(super) fn local_chain(&self, turn: &RequestId) -> PeerResponse {
+        let segment = self.local_segment(turn);
+        if segment.turns.is_empty() {
+            return self.local_presence(turn);
+        }
+        PeerResponse::Chain {
+            turns: segment.turns,
+            rest: segment.rest,
+        }
+    }
+
+    /// Answers whether this store has a turn. A turn that is retained and cannot be read is neither present
+    /// nor absent.
+    pub(super) fn local_presence(&self, turn: &RequestId) -> PeerResponse {
+        if !self.turns.borrow().contains(turn) {
+            PeerResponse::TurnAbsent
+        } else if self.local_turn(turn).is_some() {
+            PeerResponse::TurnPresent
+        } else {
+            PeerResponse::Unavailable
+        }
+    }
+}
--- /dev/null
+++ b/tier/store/src/node/replica/mod.rs
@@ -0,0 +1,87 @@
+//! The replica's side: answers to other stores, or to this store's own coordinator.
+
+mod local_turns;
+mod programs;
+mod updates;
+
+use std::rc::Rc;
+
+use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
+use plankhill_protocol::ids::StoreEpoch;
+
+use super::state::MissedUpdate;
+use super::Node;
+use crate::clock::Clock;
+use crate::peers::Peers;
+use crate::storage::Storage;
+
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Answers another store, or this one.
+    pub(super) async fn answer_peer(self: Rc<Self>, call: PeerCall) -> PeerReply {
+        let incarnation = self.identity.incarnation;
+        let body = match self.check_epoch(&call) {
+            Ok(()) => self.handle(call.epoch, call.body).await,
+            Err(refusal) => refusal,
+        };
+        PeerReply { incarnation, body }
+    }
+
+    /// The epoch is a fencing token: calls of other views are refused, so that no write quorum consists of
+    /// replicas that have gone over to different views. Repairs, hints and views themselves are taken from
+    /// any view: they only add to what this store knows.
+    ///
+    /// # Errors
+    /// The response that refuses the call.
+    fn check_epoch(&self, call: &PeerCall) -> Result<(), PeerResponse> {
+        let is_unfenced = matches!(
+            call.body,
+            PeerRequest::Repair(_) | PeerRequest::InstallView(_) | PeerRequest::StoreHint { .. }
+        );
+        let view = self.views.borrow();
+        if is_unfenced || call.epoch == view.epoch {
+            Ok(())
+        } else if call.epoch < view.epoch {
+            Err(PeerResponse::StaleEpoch(view.clone()))
+        } else {
+            Err(PeerResponse::ReceiverStale)
+        }
+    }
+
+    async fn handle(self: Rc<Self>, epoch: StoreEpoch, request: PeerRequest) -> PeerResponse {
+        match request {
+            PeerRequest::Reserve {
+                program,
+                turn,
+                max_tokens,
+                previous,
+            } => {
+                self.reserve_locally(&program, &turn, max_tokens, previous.as_ref())
+                    .await
+            }
+            PeerRequest::EndTurn(update) => self.merge_updates(vec![update]).await,
+            PeerRequest::Repair(missed) => self.merge_updates(missed).await,
+            PeerRequest::ReadChain { turn } => self.local_chain(&turn),
+            PeerRequest::LocateTurn { turn } => self.local_presence(&turn),
+            PeerRequest::ExtendRetention { turn, retention_ms } => {
+                self.extend_locally(&turn, retention_ms).await
+            }
+            PeerRequest::StoreHint {
+                node,
+                program,
+                turn,
+            } => {
+                self.add_hint(&node, MissedUpdate { program, turn });
+                PeerResponse::Done
+            }
+            PeerRequest::ListPrograms { set, store, after } => {
+                self.list_programs(epoch, set, &store, after.as_ref()).await
+            }
+            PeerRequest::OutlinePrograms { programs } => self.outline_programs(&programs),
+            PeerRequest::FetchTurns { turns } => self.fetch_turns(&turns),
+            PeerRequest::InstallView(view) => {
+                self.install_view(&view);
+                PeerResponse::Done
+            }
+        }
+    }
+}
--- a/tier/store/src/node/replica/programs.rs
+++ b/tier/store/src/node/replica/programs.rs
@@ -1,19 +1,22 @@
-//! The answers to a store that copies what belongs to it.
+//! Answers to a store that compares its programs with this one's, or copies them.
 
 use plankhill_conversations::peer::{PeerResponse, StoreSet};
-use plankhill_conversations::placement::holds;
+use plankhill_conversations::placement::is_replica;
 use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
 use plankhill_protocol::tables::StoreMember;
 
-use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::{MESSAGE_BYTES, PAGE_PROGRAMS};
+use crate::limits::{MAX_MESSAGE_BYTES, MAX_PAGE_ENTRIES};
+use crate::node::chain_segment::record_bytes;
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// Lists what belongs to a store in a set. The view is on disk here before the answer, so that no write of
-    /// an older one is taken any more, in this life or a later one.
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Lists the programs of which a store is a replica in a set.
+    ///
+    /// The view is on disk here before the answer, so that this store accepts no write of an older view any
+    /// more, in this process or a later one: the caller would miss such a write.
     pub(super) async fn list_programs(
         &self,
         epoch: StoreEpoch,
@@ -21,39 +24,41 @@
         store: &StoreMember,
         after: Option<&ProgramId>,
     ) -> PeerResponse {
-        self.durable(epoch).await;
-        let state = self.state.borrow();
-        let view = &state.view;
+        self.views.wait_durable(epoch).await;
+        let view = self.views.borrow();
         let members = match set {
             StoreSet::Serving => Some(&view.serving),
             StoreSet::Next => view.next.as_ref(),
         };
+        // A newer view may have come while this one was written.
         let Some(members) = members.filter(|_| view.epoch == epoch) else {
-            return PeerResponse::OldEpoch(view.clone());
+            return PeerResponse::StaleEpoch(view.clone());
         };
-        let belongs = |program: &ProgramId| holds(members, program, view.tolerated_faults, store);
-        PeerResponse::Programs(state.index.list(after, PAGE_PROGRAMS, belongs))
+        let is_listed =
+            |program: &ProgramId| is_replica(members, program, view.tolerated_faults, store);
+        let turns = self.turns.borrow();
+        PeerResponse::Programs(turns.list_programs(after, MAX_PAGE_ENTRIES, is_listed))
     }
 
+    /// The accounts and the names of the retained turns of programs; unknown ones are left out.
     pub(super) fn outline_programs(&self, programs: &[ProgramId]) -> PeerResponse {
-        let state = self.state.borrow();
-        let outlines = programs
-            .iter()
-            .filter_map(|program| state.index.outline(program));
+        let turns = self.turns.borrow();
+        let outlines = programs.iter().filter_map(|program| turns.outline(program));
         PeerResponse::Outlines(outlines.collect())
     }
 
-    /// As many as go into one message, at least one; those that are gone or can't be read are left out.
+    /// As many turns as fit into one message, at least one. Turns that are gone or cannot be read are left
+    /// out.
     pub(super) fn fetch_turns(&self, turns: &[RequestId]) -> PeerResponse {
         let mut found = Vec::new();
         let mut bytes = 0;
         for turn in turns {
-            if bytes >= MESSAGE_BYTES {
+            if bytes >= MAX_MESSAGE_BYTES {
                 break;
             }
-            if let Some(kept) = self.kept_here(turn) {
-                bytes += kept.record.input.len() + kept.record.output.len();
-                found.push(kept);
+            if let Some(retained) = self.local_retained_turn(turn) {
+                bytes += record_bytes(&retained.record);
+                found.push(retained);
             }
         }
         PeerResponse::Turns(found)
--- /dev/null
+++ b/tier/store/src/node/state/row_writer.rs
@@ -0,0 +1,67 @@
+//! The node's way to its disk: commits, with note of a disk that has failed.
+
+use std::cell::Cell;
+use std::future::Future;
+use std::rc::Rc;
+
+use plankhill_conversations::rows::{RowChange, Table};
+
+use crate::storage::{Storage, StorageError};
+
+/// Owns the store's rows and whether the disk has failed.
+pub(in crate::node) struct RowWriter<S> {
+    storage: S,
+    /// A disk that failed takes no more writes in this process.
+    has_failed: Rc<Cell<bool>>,
+}
+
+impl<S: Storage> RowWriter<S> {
+    pub(in crate::node) fn new(storage: S) -> Self {
+        RowWriter {
+            storage,
+            has_failed: Rc::default(),
+        }
+    }
+
+    /// Whether a commit has failed for good.
+    pub(in crate::node) fn has_failed(&self) -> bool {
+        self.has_failed.get()
+    }
+
+    /// Writes the changes, and ends once they are synced. The commit begins with the call: commits take
+    /// effect in the order in which this method is called, whether or not the callers wait.
+    pub(in crate::node) fn commit(
+        &self,
+        changes: Vec<RowChange>,
+    ) -> impl Future<Output = Result<(), StorageError>> + 'static + use<'_, S> {
+        let written = self.storage.commit(changes);
+        let has_failed = self.has_failed.clone();
+        async move {
+            let outcome = written.await;
+            if let Err(error) = &outcome {
+                tracing::warn!(%error, "commit failed");
+                if matches!(error, StorageError::Failed(_)) {
+                    has_failed.set(true);
+                }
+            }
+            outcome
+        }
+    }
+
+    /// Writes the changes without waiting for them, for rows whose loss does no harm.
+    pub(in crate::node) fn commit_best_effort(&self, changes: Vec<RowChange>) {
+        drop(self.storage.commit(changes));
+    }
+
+    /// A row of a commit that has ended.
+    ///
+    /// # Errors
+    /// Those of [`Storage::read`].
+    pub(in crate::node) fn read(
+        &self,
+        table: Table,
+        key: &[u8],
+    ) -> Result<Option<Vec<u8>>, StorageError> {
+        self.storage.read(table, key)
+    }
+}
--- /dev/null
+++ b/tier/store/src/node/state/turn_table.rs
@@ -0,0 +1,260 @@
+//! The turns and accounts of a store as they are in memory, and the rows that bring the disk up to them.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+
+use plankhill_conversations::account::{Account, TurnState};
+use plankhill_conversations::keys::{account_key, turn_key};
+use plankhill_conversations::peer::{ProgramDigest, ProgramOutline, RetainedTurn, TurnUpdate};
+use plankhill_conversations::rows::{AccountRow, RowChange, Table, TurnRow};
+use plankhill_conversations::turn_index::{Expired, TurnEntry, TurnIndex};
+use plankhill_protocol::ids::{ProgramId, RequestId};
+use plankhill_protocol::store_calls::TurnRecord;
+
+use super::unwritten_states::{StateWrite, UnwrittenStates};
+use crate::limits::RUNNING_TURN_TTL_MS;
+
+/// The store's bound on turns and accounts is reached.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::node) struct NoCapacity;
+
+/// Rows of merged updates that have to be written, and what depends on their write.
+#[derive(Default)]
+pub(in crate::node) struct UpdateBatch {
+    changes: Vec<RowChange>,
+    /// Turns that are new at this store: they are dropped again if the write fails.
+    new_turns: Vec<RequestId>,
+    state_writes: Vec<StateWrite>,
+}
+
+impl UpdateBatch {
+    /// Takes the rows out, to be written.
+    pub(in crate::node) fn take_changes(&mut self) -> Vec<RowChange> {
+        std::mem::take(&mut self.changes)
+    }
+}
+
+/// Owns the index of turns and accounts, and what of it is not on disk yet.
+pub(in crate::node) struct TurnTable {
+    index: TurnIndex,
+    /// Turns whose rows are on their way to the disk: reads take them from here.
+    unwritten_turns: HashMap<RequestId, Arc<TurnRecord>>,
+    unwritten_states: UnwrittenStates,
+    max_bytes: u64,
+}
+
+impl TurnTable {
+    /// Begins with the index of what is on disk.
+    pub(in crate::node) fn new(index: TurnIndex, max_bytes: u64) -> Self {
+        TurnTable {
+            index,
+            unwritten_turns: HashMap::new(),
+            unwritten_states: UnwrittenStates::default(),
+            max_bytes,
+        }
+    }
+
+    /// Adds a turn's reservation to its program's account, and retains the chain that the turn continues
+    /// while the turn runs. Returns the row to be written.
+    ///
+    /// # Errors
+    /// [`NoCapacity`] if the bound on bytes, or on turns of one account, is reached.
+    pub(in crate::node) fn reserve(
+        &mut self,
+        program: &ProgramId,
+        turn: &RequestId,
+        max_tokens: u64,
+        previous: Option<&RequestId>,
+        now_ms: u64,
+    ) -> Result<RowChange, NoCapacity> {
+        if self.index.bytes() >= self.max_bytes {
+            return Err(NoCapacity);
+        }
+        if let Some(previous) = previous {
+            if self.index.turn(previous).is_some() {
+                self.index.extend(previous, now_ms + RUNNING_TURN_TTL_MS);
+            }
+        }
+        self.index
+            .merge_state(program, turn, TurnState::Reserved { max_tokens }, now_ms);
+        // The row has the merged state, which may be further than this reservation.
+        let state = self.account_state(program, turn).ok_or(NoCapacity)?;
+        Ok(account_row(program, turn, state, now_ms))
+    }
+
+    /// Merges an update, and adds its rows to the batch.
+    ///
+    /// # Errors
+    /// [`NoCapacity`] if the bound on bytes is reached; the update's account state is merged all the same.
+    pub(in crate::node) fn merge(
+        &mut self,
+        update: TurnUpdate,
+        now_ms: u64,
+        batch: &mut UpdateBatch,
+    ) -> Result<(), NoCapacity> {
+        if let Some(state) = update.state {
+            self.merge_state(&update.program, &update.turn, state, now_ms, batch);
+        }
+        match update.retained {
+            Some(retained) => self.retain(update.turn, retained, now_ms, batch),
+            None => Ok(()),
+        }
+    }
+
+    /// A state that changes nothing is written all the same while an earlier write of it may have failed:
+    /// the caller takes the answer as proof that the state is on disk.
+    fn merge_state(
+        &mut self,
+        program: &ProgramId,
+        turn: &RequestId,
+        state: TurnState,
+        now_ms: u64,
+        batch: &mut UpdateBatch,
+    ) {
+        let has_changed = self.index.merge_state(program, turn, state, now_ms);
+        if !has_changed && !self.unwritten_states.contains(program, turn) {
+            return;
+        }
+        let merged = self.account_state(program, turn).unwrap_or(state);
+        batch
+            .changes
+            .push(account_row(program, turn, merged, now_ms));
+        batch
+            .state_writes
+            .push(self.unwritten_states.begin_write(program, turn));
+    }
+
+    /// A turn that is here already needs no row: its own row is on disk, or on its way there before any
+    /// row of this batch.
+    fn retain(
+        &mut self,
+        turn: RequestId,
+        retained: RetainedTurn,
+        now_ms: u64,
+        batch: &mut UpdateBatch,
+    ) -> Result<(), NoCapacity> {
+        let expires_ms = now_ms.saturating_add(retained.remaining_ms);
+        let entry = TurnEntry::new(&retained.record, expires_ms);
+        let bytes = self.index.bytes().saturating_add(entry.bytes);
+        if !self.contains(&turn) && bytes > self.max_bytes {
+            return Err(NoCapacity);
+        }
+        if !self.index.retain(&turn, entry) {
+            return Ok(());
+        }
+        let row = TurnRow {
+            expires_ms,
+            record: retained.record,
+        };
+        batch
+            .changes
+            .push(RowChange::set(Table::Turns, turn_key(&turn), &row));
+        self.unwritten_turns.insert(turn.clone(), row.record);
+        batch.new_turns.push(turn);
+        Ok(())
+    }
+
+    /// Records that the rows of a batch are synced.
+    pub(in crate::node) fn batch_written(&mut self, batch: UpdateBatch) {
+        for turn in &batch.new_turns {
+            self.unwritten_turns.remove(turn);
+        }
+        for write in batch.state_writes {
+            self.unwritten_states.finish_write(write);
+        }
+    }
+
+    /// Drops the new turns of a batch that could not be written. Account states stay, as unwritten ones:
+    /// forgetting a reservation or a commit could grant tokens twice.
+    pub(in crate::node) fn batch_failed(&mut self, batch: UpdateBatch) {
+        for turn in &batch.new_turns {
+            self.unwritten_turns.remove(turn);
+            self.index.remove(turn);
+        }
+    }
+
+    /// Retains a turn and its ancestors at least until a time. Returns the row to be written.
+    pub(in crate::node) fn extend(&mut self, turn: &RequestId, until_ms: u64) -> RowChange {
+        self.index.extend(turn, until_ms);
+        RowChange::set(Table::Extensions, turn_key(turn), &until_ms)
+    }
+
+    /// Drops all that has expired. Returns the changes that remove its rows.
+    pub(in crate::node) fn expire(&mut self, now_ms: u64) -> Vec<RowChange> {
+        removals(&self.index.expire(now_ms))
+    }
+
+    /// Whether the turn is retained here.
+    pub(in crate::node) fn contains(&self, turn: &RequestId) -> bool {
+        self.index.turn(turn).is_some()
+    }
+
+    /// When a retained turn expires.
+    pub(in crate::node) fn expires_ms(&self, turn: &RequestId) -> Option<u64> {
+        Some(self.index.turn(turn)?.expires_ms)
+    }
+
+    /// A turn whose row is on its way to the disk.
+    pub(in crate::node) fn unwritten_turn(&self, turn: &RequestId) -> Option<Arc<TurnRecord>> {
+        self.unwritten_turns.get(turn).cloned()
+    }
+
+    /// The budget account of a program.
+    pub(in crate::node) fn account(&self, program: &ProgramId) -> Option<&Account> {
+        self.index.account(program)
+    }
+
+    /// The state of a turn in its program's account.
+    pub(in crate::node) fn account_state(
+        &self,
+        program: &ProgramId,
+        turn: &RequestId,
+    ) -> Option<TurnState> {
+        self.index.account(program)?.state(turn)
+    }
+
+    /// A page of programs; see [`TurnIndex::list_programs`].
+    pub(in crate::node) fn list_programs(
+        &self,
+        after: Option<&ProgramId>,
+        limit: usize,
+        is_listed: impl Fn(&ProgramId) -> bool,
+    ) -> Vec<ProgramDigest> {
+        self.index.list_programs(after, limit, is_listed)
+    }
+
+    /// The digest of a program; None of an unknown one.
+    pub(in crate::node) fn digest(&self, program: &ProgramId) -> Option<u64> {
+        self.index.digest(program)
+    }
+
+    /// The account and the names of the retained turns of a program.
+    pub(in crate::node) fn outline(&self, program: &ProgramId) -> Option<ProgramOutline> {
+        self.index.outline(program)
+    }
+
+    /// Number of retained turns.
+    pub(in crate::node) fn len(&self) -> usize {
+        self.index.len()
+    }
+}
+
+fn account_row(program: &ProgramId, turn: &RequestId, state: TurnState, used_ms: u64) -> RowChange {
+    let row = AccountRow { state, used_ms };
+    RowChange::set(Table::Accounts, account_key(program, turn), &row)
+}
+
+fn removals(expired: &Expired) -> Vec<RowChange> {
+    let mut changes = Vec::new();
+    for turn in &expired.turns {
+        changes.push(RowChange::remove(Table::Turns, turn_key(turn)));
+        changes.push(RowChange::remove(Table::Extensions, turn_key(turn)));
+    }
+    for expired in &expired.accounts {
+        for (turn, _) in expired.account.turns() {
+            let key = account_key(&expired.program, turn);
+            changes.push(RowChange::remove(Table::Accounts, key));
+        }
+    }
+    changes
+}
--- a/tier/store/src/node/state/unwritten_states.rs
+++ b/tier/store/src/node/state/unwritten_states.rs
@@ -1,44 +1,48 @@
-//! What became of turns and is not known to be on disk: it is in memory, and a write of it is under way or has failed.
+//! Which turns' account states are in memory and not known to be on disk: a write of them is in progress
+//! or has failed.
 
 use std::collections::HashMap;
 
 use plankhill_protocol::ids::{ProgramId, RequestId};
 
-/// One write of a turn's state.
+/// One write of a turn's account state.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct StateWrite {
+pub(in crate::node) struct StateWrite {
     program: ProgramId,
     turn: RequestId,
     number: u64,
 }
 
-/// The newest write of each turn whose state may not be on disk. Its size is bounded by the accounts in memory.
+/// The newest write of each turn whose account state may not be on disk. Bounded by the accounts in memory.
 #[derive(Debug, Default)]
 pub(super) struct UnwrittenStates {
     newest: HashMap<(ProgramId, RequestId), u64>,
-    last: u64,
+    last_number: u64,
 }
 
 impl UnwrittenStates {
     /// Whether the state of a turn may not be on disk.
     pub(super) fn contains(&self, program: &ProgramId, turn: &RequestId) -> bool {
-        !self.newest.is_empty() && self.newest.contains_key(&(program.clone(), turn.clone()))
+        if self.newest.is_empty() {
+            return false;
+        }
+        self.newest.contains_key(&(program.clone(), turn.clone()))
     }
 
-    /// A write of all that is known of a turn begins.
-    pub(super) fn begin(&mut self, program: &ProgramId, turn: &RequestId) -> StateWrite {
-        self.last += 1;
+    /// Begins a write of all that is known of a turn.
+    pub(super) fn begin_write(&mut self, program: &ProgramId, turn: &RequestId) -> StateWrite {
+        self.last_number += 1;
         self.newest
-            .insert((program.clone(), turn.clone()), self.last);
+            .insert((program.clone(), turn.clone()), self.last_number);
         StateWrite {
             program: program.clone(),
             turn: turn.clone(),
-            number: self.last,
+            number: self.last_number,
         }
     }
 
-    /// A write has reached the disk. One that was begun later may still be under way.
-    pub(super) fn written(&mut self, write: StateWrite) {
+    /// Records that a write is synced. A write that began later may still be in progress.
+    pub(super) fn finish_write(&mut self, write: StateWrite) {
         let key = (write.program, write.turn);
         if self.newest.get(&key) == Some(&write.number) {
             self.newest.remove(&key);
--- /dev/null
+++ b/tier/store/src/node/state/view_state.rs
@@ -0,0 +1,78 @@
+//! The view of the stores that a node knows, and how far the node has followed it.
+
+use std::cell::{Ref, RefCell};
+
+use plankhill_protocol::ids::StoreEpoch;
+use plankhill_protocol::tables::StoreView;
+use tokio::sync::watch;
+
+/// Owns the newest view, and the epochs that are durable and transferred.
+pub(in crate::node) struct ViewState {
+    current: RefCell<StoreView>,
+    /// The highest epoch whose view is on disk.
+    durable_epoch: watch::Sender<StoreEpoch>,
+    /// The epoch of the last view for whose next set this store has copied all its programs.
+    transferred_epoch: watch::Sender<Option<StoreEpoch>>,
+}
+
+impl ViewState {
+    /// Begins with the view on disk.
+    pub(in crate::node) fn new(stored: StoreView) -> Self {
+        ViewState {
+            durable_epoch: watch::Sender::new(stored.epoch),
+            transferred_epoch: watch::Sender::new(None),
+            current: RefCell::new(stored),
+        }
+    }
+
+    /// The newest view.
+    pub(in crate::node) fn current(&self) -> StoreView {
+        self.current.borrow().clone()
+    }
+
+    /// The newest view, borrowed: not to be held while waiting.
+    pub(in crate::node) fn borrow(&self) -> Ref<'_, StoreView> {
+        self.current.borrow()
+    }
+
+    /// The epoch of the newest view.
+    pub(in crate::node) fn epoch(&self) -> StoreEpoch {
+        self.current.borrow().epoch
+    }
+
+    /// Whether no view newer than this one is known.
+    pub(in crate::node) fn is_current(&self, view: &StoreView) -> bool {
+        self.epoch() == view.epoch
+    }
+
+    /// Replaces the view by a newer one.
+    pub(in crate::node) fn replace(&self, view: StoreView) {
+        *self.current.borrow_mut() = view;
+    }
+
+    /// Records that the view of an epoch is on disk.
+    pub(in crate::node) fn set_durable(&self, epoch: StoreEpoch) {
+        self.durable_epoch.send_if_modified(|durable| {
+            let is_newer = epoch > *durable;
+            *durable = epoch.max(*durable);
+            is_newer
+        });
+    }
+
+    /// Waits until the view of this epoch, or of a later one, is on disk.
+    pub(in crate::node) async fn wait_durable(&self, epoch: StoreEpoch) {
+        let mut durable = self.durable_epoch.subscribe();
+        // Fails only without a sender, and the sender lives as long as this struct.
+        let _ = durable.wait_for(|durable| *durable >= epoch).await;
+    }
+
+    /// Records that this store has copied all its programs of an epoch's next set.
+    pub(in crate::node) fn set_transferred(&self, epoch: StoreEpoch) {
+        self.transferred_epoch.send_replace(Some(epoch));
+    }
+
+    /// Changes of the transferred epoch.
+    pub(in crate::node) fn watch_transferred(&self) -> watch::Receiver<Option<StoreEpoch>> {
+        self.transferred_epoch.subscribe()
+    }
+}
