--- a/tier/store/src/node/transfer/copy_from.rs
+++ b/tier/store/src/node/transfer/copy_from.rs
@@ -1,50 +1,51 @@
-//! Copies from one store what it knows more than this one.
+//! Copying from one store what it knows more than this one, program by program.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use plankhill_conversations::peer::{
-    EndedTurn, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, StoreSet,
+    PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, RetainedTurn, StoreSet, TurnUpdate,
 };
-use plankhill_conversations::placement::holds;
+use plankhill_conversations::placement::is_replica;
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
-use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::{PAGE_PROGRAMS, PEER_TIMEOUT};
+use crate::limits::{MAX_PAGE_ENTRIES, PEER_TIMEOUT};
+use crate::node::state::MissedUpdate;
+use crate::node::Node;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-/// A source failed, or the view has changed.
-pub(super) struct Interrupted;
+/// The source failed, this store's disk did, or the view has changed: the copy begins again.
+pub(in crate::node) struct CopyError;
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// Copies all that belongs to this store in a set of the view; ends early where that fails.
-    pub(super) async fn copy_from(
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Copies all programs of which this store is a replica in a set of the view.
+    ///
+    /// # Errors
+    /// [`CopyError`] if the copy is incomplete.
+    pub(in crate::node) async fn copy_from(
         self: &Rc<Self>,
         view: &StoreView,
         set: StoreSet,
         source: &StoreMember,
-    ) -> Result<(), Interrupted> {
+    ) -> Result<(), CopyError> {
         let mut after: Option<ProgramId> = None;
         loop {
-            let store = self.parts.me.clone();
-            let request = PeerRequest::ListPrograms {
-                set,
-                store,
-                after: after.clone(),
-            };
-            let PeerResponse::Programs(page) = self.ask_source(view, source, request).await? else {
-                return Err(Interrupted);
+            let store = self.identity.clone();
+            let request = PeerRequest::ListPrograms { set, store, after };
+            let PeerResponse::Programs(page) = self.call_source(view, source, request).await?
+            else {
+                return Err(CopyError);
             };
             let Some(last) = page.last() else {
                 return Ok(());
             };
             after = Some(last.program.clone());
-            let is_last = page.len() < PAGE_PROGRAMS;
+            let is_last_page = page.len() < MAX_PAGE_ENTRIES;
             self.copy_page(view, source, page).await?;
-            if is_last {
+            if is_last_page {
                 return Ok(());
             }
         }
@@ -55,146 +56,156 @@
         view: &StoreView,
         source: &StoreMember,
         page: Vec<ProgramDigest>,
-    ) -> Result<(), Interrupted> {
-        let programs = self.differing(page);
+    ) -> Result<(), CopyError> {
+        let programs = self.differing_programs(page);
         if programs.is_empty() {
             return Ok(());
         }
         let request = PeerRequest::OutlinePrograms { programs };
-        let PeerResponse::Outlines(outlines) = self.ask_source(view, source, request).await? else {
-            return Err(Interrupted);
+        let PeerResponse::Outlines(outlines) = self.call_source(view, source, request).await?
+        else {
+            return Err(CopyError);
         };
-        self.hint_what_it_lacks(view, source, &outlines);
-        let mut missing = self.missing_turns(&outlines);
-        self.take(outlines.into_iter().flat_map(account_states).collect())
+        self.hint_missing_at_source(view, source, &outlines);
+        let missing = self.missing_turns(&outlines);
+        self.merge_copied(outlines.into_iter().flat_map(account_updates).collect())
             .await?;
+        self.copy_turns(view, source, missing).await
+    }
+
+    async fn copy_turns(
+        self: &Rc<Self>,
+        view: &StoreView,
+        source: &StoreMember,
+        mut missing: BTreeSet<RequestId>,
+    ) -> Result<(), CopyError> {
         while !missing.is_empty() {
-            let turns: Vec<RequestId> = missing.iter().take(PAGE_PROGRAMS).cloned().collect();
+            let turns: Vec<RequestId> = missing.iter().take(MAX_PAGE_ENTRIES).cloned().collect();
             let request = PeerRequest::FetchTurns {
                 turns: turns.clone(),
             };
-            let PeerResponse::Turns(found) = self.ask_source(view, source, request).await? else {
-                return Err(Interrupted);
+            let PeerResponse::Turns(found) = self.call_source(view, source, request).await? else {
+                return Err(CopyError);
             };
-            // Those before the last one found that are not among them are gone at the source.
-            let asked = found
-                .last()
-                .map_or(turns.as_slice(), |last| up_to(&turns, &last.record.turn));
-            asked.iter().for_each(|turn| {
+            for turn in answered_turns(&turns, &found) {
                 missing.remove(turn);
-            });
-            let ended = found.into_iter().map(|kept| EndedTurn {
-                program: kept.record.program.clone(),
-                turn: kept.record.turn.clone(),
-                state: None,
-                kept: Some(kept),
-            });
-            self.take(ended.collect()).await?;
+            }
+            self.merge_copied(found.into_iter().map(turn_update).collect())
+                .await?;
         }
         Ok(())
     }
 
-    /// Programs of which the source knows something else than this store.
-    fn differing(&self, page: Vec<ProgramDigest>) -> Vec<ProgramId> {
-        let state = self.state.borrow();
-        let differing = page
-            .into_iter()
-            .filter(|listed| state.index.digest(&listed.program) != Some(listed.digest));
-        differing.map(|listed| listed.program).collect()
+    /// The programs of which the source knows something else than this store.
+    fn differing_programs(&self, page: Vec<ProgramDigest>) -> Vec<ProgramId> {
+        let turns = self.turns.borrow();
+        page.into_iter()
+            .filter(|listed| turns.digest(&listed.program) != Some(listed.digest))
+            .map(|listed| listed.program)
+            .collect()
     }
 
-    /// The source may have missed what its hints were lost of: this store delivers it.
-    fn hint_what_it_lacks(
+    /// Records hints of what the source lacks: the hints that other stores had of it may be lost.
+    fn hint_missing_at_source(
         &self,
         view: &StoreView,
         source: &StoreMember,
         outlines: &[ProgramOutline],
     ) {
         for theirs in outlines {
-            if !holds(
-                &view.serving,
-                &theirs.program,
-                view.tolerated_faults,
-                source,
-            ) {
+            let program = &theirs.program;
+            if !is_replica(&view.serving, program, view.tolerated_faults, source) {
                 continue;
             }
-            let lacking = {
-                let state = self.state.borrow();
-                state
-                    .index
-                    .outline(&theirs.program)
-                    .map_or_else(Vec::new, |ours| lacking(theirs, &ours))
+            let Some(ours) = self.turns.borrow().outline(program) else {
+                continue;
             };
-            lacking
-                .iter()
-                .for_each(|turn| self.add_hint(&source.node, &theirs.program, turn));
+            for turn in turns_lacking(theirs, &ours) {
+                self.add_hint(
+                    &source.node,
+                    MissedUpdate {
+                        program: program.clone(),
+                        turn,
+                    },
+                );
+            }
         }
     }
 
     fn missing_turns(&self, outlines: &[ProgramOutline]) -> BTreeSet<RequestId> {
-        let state = self.state.borrow();
+        let local = self.turns.borrow();
         let turns = outlines.iter().flat_map(|outline| &outline.turns);
         turns
-            .filter(|turn| state.index.turn(turn).is_none())
+            .filter(|turn| !local.contains(turn))
             .cloned()
             .collect()
     }
 
-    async fn take(&self, ended: Vec<EndedTurn>) -> Result<(), Interrupted> {
-        match self.take_ended(ended).await {
+    async fn merge_copied(&self, updates: Vec<TurnUpdate>) -> Result<(), CopyError> {
+        match self.merge_updates(updates).await {
             PeerResponse::Done => Ok(()),
-            _ => Err(Interrupted),
+            _ => Err(CopyError),
         }
     }
 
-    /// Asks exactly the life of the store that the view names.
-    async fn ask_source(
+    /// Calls exactly the incarnation of the store that the view names: another one may have lost what it
+    /// is asked for.
+    async fn call_source(
         self: &Rc<Self>,
         view: &StoreView,
         source: &StoreMember,
         request: PeerRequest,
-    ) -> Result<PeerResponse, Interrupted> {
-        let reply = self
-            .ask(view, source, &request, PEER_TIMEOUT)
-            .await
-            .map_err(|_| Interrupted)?;
-        if reply.incarnation == source.incarnation {
-            Ok(reply.body)
-        } else {
-            Err(Interrupted)
+    ) -> Result<PeerResponse, CopyError> {
+        match self.call(view, source, &request, PEER_TIMEOUT).await {
+            Ok(reply) if reply.incarnation == source.incarnation => Ok(reply.body),
+            Ok(_) | Err(_) => Err(CopyError),
         }
     }
 }
 
-fn account_states(outline: ProgramOutline) -> Vec<EndedTurn> {
+fn account_updates(outline: ProgramOutline) -> Vec<TurnUpdate> {
     let program = outline.program;
-    let states = outline.account.turns().map(|(turn, state)| EndedTurn {
+    let updates = outline.account.turns().map(|(turn, state)| TurnUpdate {
         program: program.clone(),
         turn: turn.clone(),
         state: Some(state),
-        kept: None,
+        retained: None,
     });
-    states.collect()
+    updates.collect()
 }
 
-/// The names up to and with this one.
-fn up_to<'a>(turns: &'a [RequestId], last: &RequestId) -> &'a [RequestId] {
-    let end = turns
-        .iter()
-        .position(|turn| turn == last)
-        .map_or(turns.len(), |at| at + 1);
-    &turns[..end]
+fn turn_update(retained: RetainedTurn) -> TurnUpdate {
+    TurnUpdate {
+        program: retained.record.program.clone(),
+        turn: retained.record.turn.clone(),
+        state: None,
+        retained: Some(retained),
+    }
+}
+
+/// The requested turns up to the last one found: those among them that were not found are gone at the
+/// source. Without any turn found all of them are.
+fn answered_turns<'a>(requested: &'a [RequestId], found: &[RetainedTurn]) -> &'a [RequestId] {
+    let last = found.last().map(|last| &last.record.turn);
+    match requested.iter().position(|turn| Some(turn) == last) {
+        Some(position) => &requested[..=position],
+        None => requested,
+    }
 }
 
-/// Turns that one store knows and the other does not, or knows less of.
-fn lacking(theirs: &ProgramOutline, ours: &ProgramOutline) -> Vec<RequestId> {
-    let held: BTreeSet<&RequestId> = theirs.turns.iter().collect();
-    let turns = ours.turns.iter().filter(|turn| !held.contains(turn));
-    let states = ours
-        .account
-        .turns()
-        .filter(|(turn, state)| theirs.account.state(turn) < Some(*state));
-    let lacking: BTreeSet<&RequestId> = turns.chain(states.map(|(turn, _)| turn)).collect();
-    lacking.into_iter().cloned().collect()
+/// Turns that this store knows and the other one does not, or knows less of.
+fn turns_lacking(theirs: &ProgramOutline, ours: &ProgramOutline) -> BTreeSet<RequestId> {
+    let their_turns: BTreeSet<&RequestId> = theirs.turns.iter().collect();
+    let mut lacking = BTreeSet::new();
+    for turn in &ours.turns {
+        if !their_turns.contains(turn) {
+            lacking.insert(turn.clone());
+        }
+    }
+    for (turn, state) in ours.account.turns() {
+        if theirs.account.state(turn) < Some(state) {
+            lacking.insert(turn.clone());
+        }
+    }
+    lacking
 }
--- a/tier/store/src/node/transfer/mod.rs
+++ b/tier/store/src/node/transfer/mod.rs
@@ -1,61 +1,76 @@
-//! Takes over: copies all that belongs to this store in the next set from the serving stores.
+//! Transfer of programs to the next set: copies all programs of which this store is a replica there from
+//! the serving stores, and reports when it has them.
+//!
+//! The controllers switch to the next set once each of its members has reported. Between the two views
+//! writes need a quorum of both sets, so that nothing that is written meanwhile is missed.
+
+mod copy_from;
 
 use std::rc::Rc;
 
 use plankhill_conversations::peer::StoreSet;
-use plankhill_conversations::placement::{is_same, is_serving, Quorum};
+use plankhill_conversations::placement::{is_same_incarnation, is_serving};
+use plankhill_conversations::quorum::Quorum;
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
-use super::copy_source::Interrupted;
 use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
-use crate::figures::COPY_PAUSE;
+use crate::limits::TRANSFER_RETRY_BACKOFF;
 use crate::peers::Peers;
+use crate::storage::Storage;
+use copy_from::CopyError;
 
-/// Rounds in which stores that do not answer are tried again though enough others have answered.
-const PATIENT_ROUNDS: u32 = 2;
+/// Attempts in which stores that did not answer are called again though a read quorum was copied from.
+const MIN_ATTEMPTS: u32 = 2;
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// Copies for this view, whose fence is on disk here; ends when done, or when a newer view has come.
-    pub(super) async fn copy_for(self: &Rc<Self>, view: &StoreView) {
-        let me = &self.parts.me;
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Copies this store's programs of the view's next set; the view is on disk here. Ends when done, or
+    /// when a newer view has come.
+    ///
+    /// A read quorum of the serving stores is enough: at least one of them has each acknowledged write.
+    pub(super) async fn transfer_for(self: &Rc<Self>, view: &StoreView) {
         let Some(next) = &view.next else { return };
-        if !next.iter().any(|member| is_same(member, me)) {
+        if !next
+            .iter()
+            .any(|member| is_same_incarnation(member, &self.identity))
+        {
             return;
         }
-        let enough = Quorum::of(view.serving.len(), view.tolerated_faults).read;
-        let own = usize::from(is_serving(view, me));
-        let others = view.serving.iter().filter(|member| member.node != me.node);
-        let mut left: Vec<StoreMember> = others.cloned().collect();
-        let mut copied = own;
-        let mut rounds = 0;
-        while self.is_current(view) {
+        let quorum = Quorum::new(view.serving.len(), view.tolerated_faults).read;
+        let mut copied = if is_serving(view, &self.identity) {
+            1
+        } else {
+            0
+        };
+        let mut pending: Vec<StoreMember> = view
+            .serving
+            .iter()
+            .filter(|member| member.node != self.identity.node)
+            .cloned()
+            .collect();
+        let mut attempts = 0;
+        while self.views.is_current(view) {
             let mut failed = Vec::new();
-            for source in std::mem::take(&mut left) {
+            for source in pending {
                 match self.copy_from(view, StoreSet::Next, &source).await {
                     Ok(()) => copied += 1,
-                    Err(Interrupted) => failed.push(source),
+                    Err(CopyError) => failed.push(source),
                 }
             }
-            left = failed;
-            rounds += 1;
-            if left.is_empty() || (copied >= enough && rounds >= PATIENT_ROUNDS) {
+            pending = failed;
+            attempts += 1;
+            if pending.is_empty() || (copied >= quorum && attempts >= MIN_ATTEMPTS) {
                 break;
             }
-            tokio::time::sleep(COPY_PAUSE).await;
+            tokio::time::sleep(TRANSFER_RETRY_BACKOFF).await;
         }
-        if copied >= enough && self.is_current(view) {
+        if copied >= quorum && self.views.is_current(view) {
             tracing::info!(
                 epoch = view.epoch.0,
                 sources = copied,
-                "copied all that belongs here"
+                "store transfer complete"
             );
-            self.copied_epoch.send_replace(Some(view.epoch));
+            self.views.set_transferred(view.epoch);
         }
     }
-
-    pub(super) fn is_current(&self, view: &StoreView) -> bool {
-        self.state.borrow().view.epoch == view.epoch
-    }
 }
--- a/tier/store/src/node/view.rs
+++ b/tier/store/src/node/view.rs
@@ -1,73 +1,48 @@
-//! The view of the stores: taken when newer, on disk before anybody may rely on it.
+//! Installing a view of the stores: in force for answers at once, on disk before the store copies for it
+//! or lists its programs to a store that does.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use plankhill_conversations::rows::view_row;
-use plankhill_protocol::ids::StoreEpoch;
 use plankhill_protocol::tables::StoreView;
-use tokio::sync::watch;
 
 use super::Node;
 use crate::clock::Clock;
-use crate::disk::Disk;
 use crate::peers::Peers;
+use crate::storage::Storage;
 
-/// A view that the disk refused to take is written again after this long.
-const VIEW_RETRY: Duration = Duration::from_millis(300);
+/// Backoff before a view that the disk refused is written again.
+const VIEW_WRITE_BACKOFF: Duration = Duration::from_millis(300);
 
-impl<P: Peers, D: Disk, C: Clock> Node<P, D, C> {
-    /// The newest view that this store knows.
-    pub fn view(&self) -> StoreView {
-        self.state.borrow().view.clone()
-    }
-
-    /// Takes a view if it is newer: calls of older ones are refused from now on.
-    pub fn take_view(self: &Rc<Self>, view: &StoreView) {
-        if view.epoch <= self.state.borrow().view.epoch {
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Installs a view if it is newer than the current one. Calls of older views are refused from now on.
+    pub fn install_view(self: &Rc<Self>, view: &StoreView) {
+        if view.epoch <= self.views.epoch() {
             return;
         }
         tracing::info!(
             epoch = view.epoch.0,
             serving = view.serving.len(),
-            changing = view.next.is_some(),
-            "view of the stores"
+            is_changing = view.next.is_some(),
+            "store view installed"
         );
-        self.state.borrow_mut().view = view.clone();
-        let written = self.parts.disk.commit(vec![view_row(view)]);
-        let (node, view) = (self.clone(), view.clone());
+        self.views.replace(view.clone());
+        // The commit begins here, so that views reach the disk in the order of their epochs.
+        let written = self.rows.commit(vec![view_row(view)]);
+        let node = self.clone();
+        let view = view.clone();
         tokio::task::spawn_local(async move {
             let mut outcome = written.await;
-            while let Err(error) = outcome {
-                node.note_disk_error(&error);
-                tokio::time::sleep(VIEW_RETRY).await;
-                if !node.is_current(&view) {
+            while outcome.is_err() {
+                tokio::time::sleep(VIEW_WRITE_BACKOFF).await;
+                if !node.views.is_current(&view) {
                     return;
                 }
-                outcome = node.parts.disk.commit(vec![view_row(&view)]).await;
+                outcome = node.rows.commit(vec![view_row(&view)]).await;
             }
-            node.view_is_durable(&view).await;
-        });
-    }
-
-    async fn view_is_durable(self: &Rc<Self>, view: &StoreView) {
-        self.durable_epoch.send_if_modified(|epoch| {
-            let newer = view.epoch > *epoch;
-            *epoch = view.epoch.max(*epoch);
-            newer
+            node.views.set_durable(view.epoch);
+            node.transfer_for(&view).await;
         });
-        self.copy_for(view).await;
-    }
-
-    /// Waits until the view of this epoch is on disk.
-    pub(super) async fn durable(&self, epoch: StoreEpoch) {
-        let mut durable = self.durable_epoch.subscribe();
-        // The sender lives as long as this node.
-        let _ = durable.wait_for(|durable| *durable >= epoch).await;
-    }
-
-    /// The epoch for whose next set this store has copied everything; to be told to the controller.
-    pub fn copied_epoch(&self) -> watch::Receiver<Option<StoreEpoch>> {
-        self.copied_epoch.subscribe()
     }
 }
--- a/tier/store/src/peers.rs
+++ b/tier/store/src/peers.rs
@@ -7,16 +7,20 @@
 use std::time::Duration;
 
 use plankhill_conversations::peer::{PeerCall, PeerReply};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 
-/// Connections to stores that are kept; views hold far fewer.
-const MOST_CALLERS: usize = 256;
+/// Connections that are kept; views have far fewer stores. Beyond the bound all are closed, so that the
+/// addresses of stores that are gone do not pile up.
+const MAX_CONNECTIONS: usize = 256;
 
 /// Calls other stores.
 pub trait Peers: 'static {
-    /// One call; the answer comes within `timeout` or not at all.
+    /// Calls a store once.
+    ///
+    /// # Errors
+    /// [`CallError`] if no answer comes within `timeout`.
     fn call(
         &self,
         address: SocketAddr,
@@ -25,14 +29,14 @@
     ) -> impl Future<Output = Result<PeerReply, CallError>> + 'static;
 }
 
-/// Calls over TCP; one connection to each store.
+/// Calls over TCP, with one connection to each store.
 pub struct TcpPeers {
     node: NodeId,
-    callers: RefCell<HashMap<SocketAddr, Caller<StoreRequest, StoreAnswer>>>,
+    callers: RefCell<HashMap<SocketAddr, Caller<StoreRequest, StoreResponse>>>,
 }
 
 impl TcpPeers {
-    /// Calls in the name of this machine.
+    /// Calls in the name of the machine `node`.
     pub fn new(node: NodeId) -> Self {
         TcpPeers {
             node,
@@ -40,13 +44,13 @@
         }
     }
 
-    fn caller(&self, address: SocketAddr) -> Caller<StoreRequest, StoreAnswer> {
+    fn caller(&self, address: SocketAddr) -> Caller<StoreRequest, StoreResponse> {
         let mut callers = self.callers.borrow_mut();
-        if callers.len() >= MOST_CALLERS && !callers.contains_key(&address) {
+        if callers.len() >= MAX_CONNECTIONS && !callers.contains_key(&address) {
             callers.clear();
         }
-        let fresh = || Caller::new(address, Hello::new(Channel::Store, self.node.clone()));
-        callers.entry(address).or_insert_with(fresh).clone()
+        let connect = || Caller::new(address, Hello::new(Channel::Store, self.node.clone()));
+        callers.entry(address).or_insert_with(connect).clone()
     }
 }
 
@@ -60,8 +64,8 @@
         let caller = self.caller(address);
         async move {
             match caller.call(StoreRequest::Peer(call), timeout).await? {
-                StoreAnswer::Peer(reply) => Ok(reply),
-                StoreAnswer::Proxy(_) => Err(CallError::NoAnswer),
+                StoreResponse::Peer(reply) => Ok(reply),
+                StoreResponse::Proxy(_) => Err(CallError::NoAnswer),
             }
         }
     }
--- a/tier/store/src/process.rs
+++ b/tier/store/src/process.rs
@@ -1,4 +1,4 @@
-//! The process around a store.
+//! The process around a node: its folder, listener, signals, and its end.
 
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
@@ -17,14 +17,14 @@
 use tokio::task::LocalSet;
 
 use crate::clock::SystemClock;
-use crate::disk::{open_folder, DiskError, FjallDisk};
-use crate::figures::{Figures, CALL_TIMEOUT};
-use crate::link::follow;
-use crate::node::{Node, Parts};
+use crate::control_plane::follow_control_plane;
+use crate::limits::{Limits, CALL_TIMEOUT};
+use crate::node::{Node, NodeParts};
 use crate::peers::TcpPeers;
+use crate::storage::{open_state_folder, FjallStorage, StorageError};
 
-/// How often a failed disk is looked for.
-const DISK_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the process looks whether its disk has failed.
+const STORAGE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why the process ended.
 #[derive(Debug, thiserror::Error)]
@@ -32,23 +32,23 @@
     /// The settings name no folder for data.
     #[error("settings: data_path is missing")]
     NoDataPath,
-    /// The operating system refused something at the start.
+    /// The operating system refused a runtime, a listener or a signal handler.
     #[error("start: {0}")]
     Start(#[from] io::Error),
-    /// The disk.
+    /// The state folder could not be read.
     #[error(transparent)]
-    Disk(#[from] DiskError),
+    Storage(#[from] StorageError),
     /// The disk failed while the store was serving.
     #[error("the disk failed; starting anew reads what it holds")]
     DiskFailed,
 }
 
-type StoreNode = Node<TcpPeers, FjallDisk, SystemClock>;
+type StoreNode = Node<TcpPeers, FjallStorage, SystemClock>;
 
-/// Runs the store until it is told to end.
+/// Runs the store until a signal (SIGTERM or SIGINT) ends it.
 ///
 /// # Errors
-/// As [`RunError`] says.
+/// [`RunError`] when the store cannot start, or its disk fails.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -57,73 +57,79 @@
 }
 
 async fn serve(settings: Settings) -> Result<(), RunError> {
-    let ended = termination()?;
+    let terminated = termination_signal()?;
     let folder = settings.data_path.clone().ok_or(RunError::NoDataPath)?;
     let ports = PortRange {
         first: settings.port_range.first,
     };
-    let node = open(&settings, ports, folder).await?;
+    let node = open_node(&settings, ports, folder).await?;
     let listener = listen(ports.store(settings.ip))?;
-    let me = node.me().clone();
-    tracing::info!(node = %me.node, incarnation = me.incarnation.0, address = %me.address, "store started");
+    let identity = node.identity().clone();
+    tracing::info!(
+        node = %identity.node,
+        incarnation = identity.incarnation.0,
+        address = %identity.address,
+        "store started"
+    );
     let controllers = ports.controllers(&settings.seed_nodes);
     tokio::task::spawn_local(node.clone().run());
-    tokio::task::spawn_local(follow(node.clone(), controllers));
+    tokio::task::spawn_local(follow_control_plane(node.clone(), controllers));
     let serving = tokio::task::spawn_local(answer_calls(node.clone(), listener));
     tokio::select! {
-        () = ended => {
+        () = terminated => {
             serving.abort();
-            // Calls that are under way get their answers.
+            // Calls in progress get their answers.
             tokio::time::sleep(CALL_TIMEOUT).await;
-            tracing::info!("store ended");
+            tracing::info!("store stopped");
             Ok(())
         }
-        () = disk_failure(&node) => Err(RunError::DiskFailed),
+        () = storage_failure(&node) => Err(RunError::DiskFailed),
     }
 }
 
-async fn open(
+async fn open_node(
     settings: &Settings,
     ports: PortRange,
     folder: PathBuf,
 ) -> Result<Rc<StoreNode>, RunError> {
-    let opened = open_folder(&folder, draw_incarnation()).await;
+    let opened = open_state_folder(&folder, draw_incarnation()).await;
     let node = NodeId::from(settings.node_id.as_str());
-    let me = StoreMember {
+    let identity = StoreMember {
         node: node.clone(),
         incarnation: opened.incarnation,
         address: ports.store(settings.ip),
         zone: ZoneName::from(settings.zone.as_str()),
     };
-    let parts = Parts {
-        me,
-        figures: Figures::of(settings),
+    let parts = NodeParts {
+        identity,
+        limits: Limits::from_settings(settings),
         peers: TcpPeers::new(node),
-        disk: opened.disk,
+        storage: opened.storage,
         clock: SystemClock::start(),
     };
     Ok(Node::load(parts)?)
 }
 
 async fn answer_calls(node: Rc<StoreNode>, listener: TcpListener) {
-    let hello = Hello::new(Channel::Store, node.me().node.clone());
+    let hello = Hello::new(Channel::Store, node.identity().node.clone());
     serve_calls(listener, hello, move |_, request| {
         node.clone().answer(request)
     })
     .await;
 }
 
-async fn disk_failure(node: &StoreNode) {
-    while !node.disk_failed() {
-        tokio::time::sleep(DISK_CHECK_INTERVAL).await;
+async fn storage_failure(node: &StoreNode) {
+    while !node.has_storage_failed() {
+        tokio::time::sleep(STORAGE_CHECK_INTERVAL).await;
     }
 }
 
-/// Ends when the process is told to end.
-fn termination() -> io::Result<impl Future<Output = ()>> {
+/// A future that ends when the process is told to end.
+fn termination_signal() -> io::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // Other seeds come with the feed: without a handler the signal would end the process.
+    // Controllers' addresses come with the feed, so a store reloads nothing; without a handler the
+    // signal would end the process.
     let _reload = signal(SignalKind::hangup())?;
     Ok(async move {
         tokio::select! {
@@ -133,7 +139,7 @@
     })
 }
 
-/// A number that no other life of a disk has: from the system's random source and the time of day.
+/// A number that no other incarnation of a disk has: from the system's random source and the time of day.
 fn draw_incarnation() -> Incarnation {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/tier/store/src/storage/fjall/mod.rs
+++ b/tier/store/src/storage/fjall/mod.rs
@@ -1,76 +1,94 @@
-//! Rows in a `fjall` database, written by one thread.
+//! Rows in a `fjall` database (a log-structured merge tree), written by one thread.
+//!
+//! The node's thread reads through [`SharedRows`] and sends commits to the [`writer`]; the writer's thread
+//! owns the database and replaces the rows after a failure.
+
+mod database;
+mod pending_bytes;
+mod shared_rows;
+mod writer;
 
-use std::cell::Cell;
 use std::future::Future;
 use std::path::Path;
-use std::rc::Rc;
 use std::sync::mpsc::Sender;
 
 use plankhill_conversations::rows::{RowChange, Table};
 use tokio::sync::oneshot;
 
-use super::writer::{ended, failed, start_writer, Commit, SharedRows};
-use super::{Disk, DiskError};
-
-/// Bytes that wait to be written; a commit beyond fails at once.
-const MOST_WAITING: usize = 24 * 1024 * 1024;
+use super::{Storage, StorageError};
+use database::{row_key, table_prefix};
+use pending_bytes::{PendingBytes, PendingBytesGuard};
+use shared_rows::SharedRows;
+use writer::{start_writer, Commit};
 
-/// Rows in a `fjall` database.
+/// Rows in a `fjall` database. Clones share the database; the thread ends with the last of them.
 #[derive(Clone)]
-pub struct FjallDisk {
+pub struct FjallStorage {
     rows: SharedRows,
     commits: Sender<Commit>,
-    waiting: Rc<Cell<usize>>,
+    pending: PendingBytes,
 }
 
-impl FjallDisk {
+/// A commit that was sent to the writer.
+struct SentCommit {
+    outcome: oneshot::Receiver<Result<(), StorageError>>,
+    pending: PendingBytesGuard,
+}
+
+impl FjallStorage {
     /// Opens the database in this folder, or makes one.
     ///
     /// # Errors
-    /// [`DiskError::Unreadable`] when there is one that is broken, [`DiskError::Failed`] when the disk fails.
-    pub fn open(folder: &Path) -> Result<Self, DiskError> {
+    /// [`StorageError::Unreadable`] of a damaged database, [`StorageError::Failed`] of a disk that fails.
+    pub fn open(folder: &Path) -> Result<Self, StorageError> {
         let (rows, commits) = start_writer(folder)?;
-        Ok(FjallDisk {
+        Ok(FjallStorage {
             rows,
             commits,
-            waiting: Rc::default(),
+            pending: PendingBytes::default(),
         })
     }
+
+    fn send_commit(&self, changes: Vec<RowChange>) -> Result<SentCommit, StorageError> {
+        let bytes = changes.iter().map(RowChange::bytes).sum();
+        let Some(pending) = self.pending.reserve(bytes) else {
+            return Err(StorageError::Busy);
+        };
+        let (done, outcome) = oneshot::channel();
+        match self.commits.send(Commit { changes, done }) {
+            Ok(()) => Ok(SentCommit { outcome, pending }),
+            Err(_) => Err(writer_ended()),
+        }
+    }
 }
 
-impl Disk for FjallDisk {
+impl Storage for FjallStorage {
     fn commit(
         &self,
         changes: Vec<RowChange>,
-    ) -> impl Future<Output = Result<(), DiskError>> + 'static {
-        let bytes: usize = changes.iter().map(RowChange::bytes).sum();
-        let waiting = self.waiting.clone();
-        let queued = if waiting.get() + bytes > MOST_WAITING {
-            Err(DiskError::Busy)
-        } else {
-            let (done, outcome) = oneshot::channel();
-            let sent = self.commits.send(Commit { changes, done });
-            sent.map(|()| outcome).map_err(|_| ended())
-        };
-        let counted = queued.is_ok().then(|| Counted::new(waiting, bytes));
+    ) -> impl Future<Output = Result<(), StorageError>> + 'static {
+        let sent = self.send_commit(changes);
         async move {
-            let outcome = queued?.await.unwrap_or_else(|_| Err(ended()));
-            drop(counted);
+            let SentCommit { outcome, pending } = sent?;
+            let outcome = outcome.await.unwrap_or_else(|_| Err(writer_ended()));
+            drop(pending);
             outcome
         }
     }
 
-    fn read(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, DiskError> {
-        self.rows.look(|rows| {
-            let value = rows.get(row_key(table, key)).map_err(failed)?;
+    fn read(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StorageError> {
+        self.rows.with(|rows| {
+            let value = rows
+                .get(row_key(table, key))
+                .map_err(StorageError::failed)?;
             Ok(value.map(|value| value.to_vec()))
         })
     }
 
-    fn scan(&self, table: Table, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<(), DiskError> {
-        self.rows.look(|rows| {
-            for row in rows.prefix([prefix(table)]) {
-                let (key, value) = row.into_inner().map_err(failed)?;
+    fn scan(&self, table: Table, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<(), StorageError> {
+        self.rows.with(|rows| {
+            for row in rows.prefix([table_prefix(table)]) {
+                let (key, value) = row.into_inner().map_err(StorageError::failed)?;
                 visit(&key[1..], &value);
             }
             Ok(())
@@ -78,39 +96,6 @@
     }
 }
 
-/// Bytes that wait while the caller does.
-struct Counted {
-    waiting: Rc<Cell<usize>>,
-    bytes: usize,
-}
-
-impl Counted {
-    fn new(waiting: Rc<Cell<usize>>, bytes: usize) -> Self {
-        waiting.set(waiting.get() + bytes);
-        Counted { waiting, bytes }
-    }
-}
-
-impl Drop for Counted {
-    fn drop(&mut self) {
-        self.waiting.set(self.waiting.get() - self.bytes);
-    }
-}
-
-pub(super) fn row_key(table: Table, key: &[u8]) -> Vec<u8> {
-    let mut row = Vec::with_capacity(key.len() + 1);
-    row.push(prefix(table));
-    row.extend_from_slice(key);
-    row
-}
-
-/// The tables' first bytes; they are on disks and never change.
-fn prefix(table: Table) -> u8 {
-    match table {
-        Table::Turns => b't',
-        Table::Accounts => b'a',
-        Table::Hints => b'h',
-        Table::Extensions => b'e',
-        Table::Own => b'o',
-    }
+fn writer_ended() -> StorageError {
+    StorageError::Failed("the writing thread has ended".into())
 }
--- a/tier/store/src/storage/fjall/writer.rs
+++ b/tier/store/src/storage/fjall/writer.rs
@@ -1,71 +1,38 @@
-//! The thread that writes to a `fjall` database. All commits that wait during a sync share the next one.
+//! The thread that writes to a `fjall` database. All commits that wait during a sync share the next one
+//! (group commit).
 //!
-//! After a failed write the database has to be closed and opened anew. It is read as it is until the disk takes some
-//! bytes again; until then every commit is refused at once.
+//! After a failed write the database has to be closed and opened anew. Until the disk takes bytes again
+//! the rows can still be read, and every commit is refused at once.
 
-use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
-use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Instant;
 
-use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
-use plankhill_conversations::rows::{RowChange, Table, INCARNATION_KEY};
+use fjall::{Database, PersistMode};
+use plankhill_conversations::rows::RowChange;
 use plankhill_disk_health::{check_free_space, Backoff};
 use tokio::sync::oneshot;
 
-use super::fjall::row_key;
-use super::DiskError;
+use super::super::StorageError;
+use super::database::{is_transient, open_database, read_incarnation_row, row_key};
+use super::shared_rows::SharedRows;
 
-/// All tables lie in one keyspace, so that one flush frees a whole journal.
-const KEYSPACE: &str = "rows";
-/// Written to tables of the database from this size on: small beside the memory of a machine.
-const MEMTABLE_BYTES: u64 = 512 * 1024;
-/// The least that the library takes: most journals are freed long before.
-const JOURNAL_BYTES: u64 = 64 * 1024 * 1024;
-/// Blocks kept in memory: turns are read once or twice, mostly from the memtable.
-const CACHE_BYTES: u64 = 256 * 1024;
-/// Files kept open.
-const OPEN_FILES: usize = 64;
-/// Commits in one sync.
-const MOST_TOGETHER: usize = 1_024;
+/// Commits that join the first one in a batch.
+const MAX_JOINED_COMMITS: usize = 1_024;
 
-/// A commit on its way to the thread.
+/// A commit on its way to the writer.
 pub(super) struct Commit {
     pub(super) changes: Vec<RowChange>,
-    pub(super) done: oneshot::Sender<Result<(), DiskError>>,
+    pub(super) done: oneshot::Sender<Result<(), StorageError>>,
 }
 
-/// The rows as they can be read; none while the database is being opened anew.
-#[derive(Clone, Default)]
-pub(super) struct SharedRows {
-    rows: Arc<RwLock<Option<Keyspace>>>,
-}
-
-impl SharedRows {
-    /// Looks at the rows, which stay open meanwhile.
-    pub(super) fn look<T>(
-        &self,
-        look: impl FnOnce(&Keyspace) -> Result<T, DiskError>,
-    ) -> Result<T, DiskError> {
-        // Nobody panics with the lock; its content would be whole all the same.
-        let rows = self.rows.read().unwrap_or_else(PoisonError::into_inner);
-        match &*rows {
-            Some(rows) => look(rows),
-            None => Err(DiskError::Refused(
-                "the database is being opened anew".into(),
-            )),
-        }
-    }
-
-    fn replace(&self, rows: Option<Keyspace>) {
-        *self.rows.write().unwrap_or_else(PoisonError::into_inner) = rows;
-    }
-}
-
-/// Opens the database in this folder, or makes one, and starts the thread, which ends with the sender.
-pub(super) fn start_writer(folder: &Path) -> Result<(SharedRows, Sender<Commit>), DiskError> {
-    let (database, keyspace) = open(folder)?;
+/// Opens the database in this folder, or makes one, and starts the writer's thread, which ends with the
+/// last sender.
+///
+/// # Errors
+/// Those of [`open_database`]; [`StorageError::Failed`] if no thread could be started.
+pub(super) fn start_writer(folder: &Path) -> Result<(SharedRows, Sender<Commit>), StorageError> {
+    let (database, keyspace) = open_database(folder)?;
     let rows = SharedRows::default();
     rows.replace(Some(keyspace));
     let (commits, queue) = channel();
@@ -74,158 +41,185 @@
         database: Some(database),
         rows: rows.clone(),
         queue,
-        condition: Condition::Well,
-        life: None,
+        condition: DiskCondition::Writable,
+        incarnation_row: None,
     };
     let thread = std::thread::Builder::new().name("disk".into());
-    thread.spawn(move || writer.run()).map_err(failed)?;
+    thread
+        .spawn(move || writer.run())
+        .map_err(StorageError::failed)?;
     Ok((rows, commits))
 }
 
-/// What the disk is good for.
-enum Condition {
-    /// It writes.
-    Well,
-    /// It refuses to write, and is tried again at that time.
+/// Whether the disk takes writes.
+enum DiskCondition {
+    /// The disk takes writes.
+    Writable,
+    /// The disk refuses writes; the writer attempts to recover at `retry_at`.
     Refusing {
         cause: String,
-        next_try: Instant,
-        pauses: Backoff,
+        retry_at: Instant,
+        backoff: Backoff,
     },
-    /// It is of no use any more.
+    /// The disk takes no more writes until the process starts anew.
     Failed(String),
 }
 
+impl DiskCondition {
+    fn refusing(cause: String, mut backoff: Backoff) -> Self {
+        let retry_at = Instant::now() + backoff.next_delay();
+        DiskCondition::Refusing {
+            cause,
+            retry_at,
+            backoff,
+        }
+    }
+}
+
+/// Why the writer wakes up.
+enum Wakeup {
+    Commit(Commit),
+    RecoveryDue,
+    /// The last sender is gone.
+    Closed,
+}
+
+/// Owns the database and the way back after a failed write.
 struct Writer {
     folder: PathBuf,
-    /// Missing while a failed database could not be opened again.
+    /// None while a failed database could not be opened again.
     database: Option<Database>,
     rows: SharedRows,
     queue: Receiver<Commit>,
-    condition: Condition,
-    /// The row that tells the life of the disk, as last read: what is opened anew has to be the same disk.
-    life: Option<Vec<u8>>,
+    condition: DiskCondition,
+    /// The row that names the disk's incarnation, as last read: the database that is opened after a
+    /// failure has to be on the same disk.
+    incarnation_row: Option<Vec<u8>>,
 }
 
 impl Writer {
     fn run(mut self) {
         loop {
-            let first = match &self.condition {
-                Condition::Refusing { next_try, .. } => {
-                    let pause = next_try.saturating_duration_since(Instant::now());
-                    match self.queue.recv_timeout(pause) {
-                        Ok(commit) => Some(commit),
-                        Err(RecvTimeoutError::Timeout) => None,
-                        Err(RecvTimeoutError::Disconnected) => return,
-                    }
+            match self.wait() {
+                Wakeup::Commit(first) => {
+                    self.recover_if_due();
+                    self.process_batch(first);
                 }
-                Condition::Well | Condition::Failed(_) => match self.queue.recv() {
-                    Ok(commit) => Some(commit),
-                    Err(_) => return,
-                },
-            };
-            self.recover_if_due();
-            if let Some(first) = first {
-                self.take(first);
+                Wakeup::RecoveryDue => self.recover_if_due(),
+                Wakeup::Closed => return,
             }
         }
     }
 
-    /// Writes a commit and all that wait behind it, or refuses them.
-    fn take(&mut self, first: Commit) {
-        let mut together = vec![first];
-        together.extend(self.queue.try_iter().take(MOST_TOGETHER));
+    fn wait(&self) -> Wakeup {
+        let DiskCondition::Refusing { retry_at, .. } = &self.condition else {
+            return match self.queue.recv() {
+                Ok(commit) => Wakeup::Commit(commit),
+                Err(_) => Wakeup::Closed,
+            };
+        };
+        let delay = retry_at.saturating_duration_since(Instant::now());
+        match self.queue.recv_timeout(delay) {
+            Ok(commit) => Wakeup::Commit(commit),
+            Err(RecvTimeoutError::Timeout) => Wakeup::RecoveryDue,
+            Err(RecvTimeoutError::Disconnected) => Wakeup::Closed,
+        }
+    }
+
+    /// Writes or refuses a commit and all that wait behind it.
+    fn process_batch(&mut self, first: Commit) {
+        let mut commits = vec![first];
+        commits.extend(self.queue.try_iter().take(MAX_JOINED_COMMITS));
         let outcome = match &self.condition {
-            Condition::Well => self.write(&mut together),
-            Condition::Refusing { cause, .. } => Err(DiskError::Refused(cause.clone())),
-            Condition::Failed(cause) => Err(DiskError::Failed(cause.clone())),
+            DiskCondition::Writable => self.write(&mut commits),
+            DiskCondition::Refusing { cause, .. } => Err(StorageError::Refused(cause.clone())),
+            DiskCondition::Failed(cause) => Err(StorageError::Failed(cause.clone())),
         };
-        for commit in together {
+        for commit in commits {
             // The caller may have stopped waiting.
             let _ = commit.done.send(outcome.clone());
         }
     }
 
-    fn write(&mut self, together: &mut [Commit]) -> Result<(), DiskError> {
-        let Err(error) = self.write_batch(together) else {
+    fn write(&mut self, commits: &mut [Commit]) -> Result<(), StorageError> {
+        let Err(error) = self.write_batch(commits) else {
             return Ok(());
         };
-        tracing::error!(%error, "writing failed");
+        tracing::error!(%error, "disk write failed");
         let cause = error.to_string();
-        let pauses = Backoff::default();
-        let passes = may_pass(&error);
-        self.condition = if passes {
-            refusing(cause.clone(), pauses)
-        } else {
-            Condition::Failed(cause.clone())
-        };
-        Err(if passes {
-            DiskError::Refused(cause)
+        if is_transient(&error) {
+            self.condition = DiskCondition::refusing(cause.clone(), Backoff::default());
+            Err(StorageError::Refused(cause))
         } else {
-            DiskError::Failed(cause)
-        })
+            self.condition = DiskCondition::Failed(cause.clone());
+            Err(StorageError::Failed(cause))
+        }
     }
 
-    fn write_batch(&self, together: &mut [Commit]) -> fjall::Result<()> {
+    fn write_batch(&self, commits: &mut [Commit]) -> fjall::Result<()> {
         let Some(database) = &self.database else {
             return Err(fjall::Error::Poisoned);
         };
-        self.rows
-            .look(|rows| {
-                let mut batch = database.batch().durability(Some(PersistMode::SyncData));
-                for change in together
-                    .iter_mut()
-                    .flat_map(|commit| commit.changes.drain(..))
-                {
-                    let key = row_key(change.table, &change.key);
-                    match change.value {
-                        Some(value) => batch.insert(rows, key, value),
-                        None => batch.remove(rows, key),
-                    }
+        let written = self.rows.with(|rows| {
+            let mut batch = database.batch().durability(Some(PersistMode::SyncData));
+            for change in commits
+                .iter_mut()
+                .flat_map(|commit| commit.changes.drain(..))
+            {
+                let key = row_key(change.table, &change.key);
+                match change.value {
+                    Some(value) => batch.insert(rows, key, value),
+                    None => batch.remove(rows, key),
                 }
-                Ok(batch.commit())
-            })
-            .unwrap_or(Err(fjall::Error::Poisoned))
+            }
+            Ok(batch.commit())
+        });
+        match written {
+            Ok(written) => written,
+            // Without rows there is no database to write to either.
+            Err(_) => Err(fjall::Error::Poisoned),
+        }
     }
 
-    /// Opens the database anew, once the disk takes some bytes.
+    /// Attempts to recover if the disk refuses writes and the backoff is over.
     fn recover_if_due(&mut self) {
-        let Condition::Refusing {
-            next_try, pauses, ..
+        let DiskCondition::Refusing {
+            retry_at, backoff, ..
         } = self.condition
         else {
             return;
         };
-        if Instant::now() < next_try {
+        if Instant::now() < retry_at {
             return;
         }
         self.condition = match self.recover() {
             Ok(()) => {
-                tracing::info!("the disk writes again");
-                Condition::Well
+                tracing::info!("disk writable again");
+                DiskCondition::Writable
             }
-            Err(DiskError::Unreadable(cause)) => {
-                tracing::error!(cause, "the disk is of no use any more");
-                Condition::Failed(cause)
+            Err(StorageError::Unreadable(error)) => {
+                tracing::error!(error, "disk failed for good");
+                DiskCondition::Failed(error)
             }
             Err(error) => {
-                tracing::warn!(%error, "the disk refuses to write");
-                refusing(error.to_string(), pauses)
+                tracing::warn!(%error, "disk still refuses writes");
+                DiskCondition::refusing(error.to_string(), backoff)
             }
         };
     }
 
-    fn recover(&mut self) -> Result<(), DiskError> {
-        check_free_space(&self.folder).map_err(failed)?;
-        if let Ok(life) = self.rows.look(life_of) {
-            self.life = life;
+    /// Opens the database anew, once the disk takes bytes. The rows stay readable until then.
+    fn recover(&mut self) -> Result<(), StorageError> {
+        check_free_space(&self.folder).map_err(StorageError::failed)?;
+        if let Ok(row) = self.rows.with(read_incarnation_row) {
+            self.incarnation_row = row;
         }
         // The folder is locked while a database is open.
         self.rows.replace(None);
         self.database = None;
-        let (database, keyspace) = open(&self.folder)?;
-        if life_of(&keyspace)? != self.life {
-            return Err(DiskError::Unreadable(
+        let (database, keyspace) = open_database(&self.folder)?;
+        if read_incarnation_row(&keyspace)? != self.incarnation_row {
+            return Err(StorageError::Unreadable(
                 "another disk lies in its place".into(),
             ));
         }
@@ -234,61 +228,3 @@
         Ok(())
     }
 }
-
-fn refusing(cause: String, mut pauses: Backoff) -> Condition {
-    let next_try = Instant::now() + pauses.next_delay();
-    Condition::Refusing {
-        cause,
-        next_try,
-        pauses,
-    }
-}
-
-fn open(folder: &Path) -> Result<(Database, Keyspace), DiskError> {
-    let builder = Database::builder(folder)
-        .worker_threads(1)
-        .cache_size(CACHE_BYTES)
-        .max_cached_files(Some(OPEN_FILES))
-        .max_journaling_size(JOURNAL_BYTES)
-        .manual_journal_persist(true);
-    let database = builder.open().map_err(opening)?;
-    let options = || KeyspaceCreateOptions::default().max_memtable_size(MEMTABLE_BYTES);
-    let rows = database.keyspace(KEYSPACE, options).map_err(opening)?;
-    Ok((database, rows))
-}
-
-/// The row that tells the life of a disk.
-fn life_of(rows: &Keyspace) -> Result<Option<Vec<u8>>, DiskError> {
-    let row = rows
-        .get(row_key(Table::Own, INCARNATION_KEY))
-        .map_err(failed)?;
-    Ok(row.map(|row| row.to_vec()))
-}
-
-pub(super) fn failed(error: impl std::fmt::Display) -> DiskError {
-    DiskError::Failed(error.to_string())
-}
-
-pub(super) fn ended() -> DiskError {
-    DiskError::Failed("the writing thread has ended".into())
-}
-
-/// Tells a broken database from a disk that fails for a while, as a full one does: the former never gets well.
-fn opening(error: fjall::Error) -> DiskError {
-    match may_pass(&error) {
-        true => failed(error),
-        false => DiskError::Unreadable(error.to_string()),
-    }
-}
-
-/// Whether the cause may pass: nothing says that what lies on the disk is damaged.
-fn may_pass(error: &fjall::Error) -> bool {
-    match error {
-        fjall::Error::Io(io) | fjall::Error::Storage(fjall::LsmError::Io(io)) => !matches!(
-            io.kind(),
-            ErrorKind::NotFound | ErrorKind::UnexpectedEof | ErrorKind::InvalidData
-        ),
-        fjall::Error::Locked | fjall::Error::Poisoned => true,
-        _ => false,
-    }
-}
--- a/tier/store/src/storage/memory.rs
+++ b/tier/store/src/storage/memory.rs
@@ -1,4 +1,4 @@
-//! Rows in memory with the time and the losses of a disk, for tests.
+//! Rows in memory with the latency and the losses of a disk, for simulations.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,132 +9,140 @@
 use plankhill_conversations::rows::{RowChange, Table};
 use tokio::time::Instant;
 
-use super::{Disk, DiskError};
+use super::{Storage, StorageError};
+
+/// How much longer than a sync a write takes on a disk that ignores syncs.
+const UNSYNCED_WRITE_SYNCS: u32 = 20;
 
 type Rows = BTreeMap<(Table, Vec<u8>), Vec<u8>>;
 
 /// Rows in memory. Clones share them, as processes that start one after the other share a disk.
 #[derive(Clone, Default)]
-pub struct MemoryDisk {
-    shared: Rc<Shared>,
+pub struct MemoryStorage {
+    disk: Rc<SimulatedDisk>,
 }
 
 #[derive(Default)]
-struct Shared {
+struct SimulatedDisk {
     synced: RefCell<Rows>,
     sync_time: Cell<Duration>,
     busy_until: Cell<Option<Instant>>,
-    failing: Cell<bool>,
-    refusing: Cell<bool>,
+    is_failing: Cell<bool>,
+    is_refusing: Cell<bool>,
     ignores_syncs: Cell<bool>,
-    life: Cell<u64>,
+    /// Number of losses of power so far: a commit from before the last one is lost.
+    power_losses: Cell<u64>,
 }
 
-impl MemoryDisk {
+impl MemoryStorage {
     /// An empty disk whose syncs take this long.
     pub fn new(sync_time: Duration) -> Self {
-        let disk = MemoryDisk::default();
-        disk.shared.sync_time.set(sync_time);
-        disk
+        let storage = MemoryStorage::default();
+        storage.disk.sync_time.set(sync_time);
+        storage
     }
 
-    /// Ends the commits under way without a trace, as a loss of power does.
+    /// Drops the commits in progress without a trace, as a loss of power does.
     pub fn lose_power(&self) {
-        self.shared.life.set(self.shared.life.get() + 1);
-        self.shared.busy_until.set(None);
+        self.disk.power_losses.set(self.disk.power_losses.get() + 1);
+        self.disk.busy_until.set(None);
     }
 
     /// Loses everything.
     pub fn wipe(&self) {
         self.lose_power();
-        self.shared.synced.borrow_mut().clear();
+        self.disk.synced.borrow_mut().clear();
     }
 
     /// From now on commits fail, or succeed again.
-    pub fn set_failing(&self, failing: bool) {
-        self.shared.failing.set(failing);
+    pub fn set_failing(&self, is_failing: bool) {
+        self.disk.is_failing.set(is_failing);
     }
 
-    /// From now on commits are refused as by a full disk, or taken again.
-    pub fn set_refusing(&self, refusing: bool) {
-        self.shared.refusing.set(refusing);
+    /// From now on commits are refused as by a full disk, or written again.
+    pub fn set_refusing(&self, is_refusing: bool) {
+        self.disk.is_refusing.set(is_refusing);
     }
 
     /// How long syncs take from now on.
     pub fn set_sync_time(&self, sync_time: Duration) {
-        self.shared.sync_time.set(sync_time);
-    }
-
-    /// A planted fault: commits end before they are synced.
-    pub fn set_ignores_syncs(&self, ignores: bool) {
-        self.shared.ignores_syncs.set(ignores);
+        self.disk.sync_time.set(sync_time);
     }
 
-    /// When a commit that is called now is synced: one shares the sync that begins after it was called.
-    fn synced_at(&self) -> Instant {
-        let now = Instant::now();
-        let sync_time = self.shared.sync_time.get();
-        let ends = match self.shared.busy_until.get() {
-            // A sync is under way and another one waits already.
-            Some(until) if until > now + sync_time => until,
-            Some(until) if until > now => until + sync_time,
-            _ => now + sync_time,
-        };
-        self.shared.busy_until.set(Some(ends));
-        ends
+    /// An injected fault: commits end before they are synced.
+    pub fn set_ignores_syncs(&self, ignores_syncs: bool) {
+        self.disk.ignores_syncs.set(ignores_syncs);
     }
 }
 
-impl Disk for MemoryDisk {
+impl Storage for MemoryStorage {
     fn commit(
         &self,
         changes: Vec<RowChange>,
-    ) -> impl Future<Output = Result<(), DiskError>> + 'static {
-        let shared = self.shared.clone();
-        let life = shared.life.get();
-        let synced_at = self.synced_at();
-        let (done, waiting) = tokio::sync::oneshot::channel();
+    ) -> impl Future<Output = Result<(), StorageError>> + 'static {
+        let disk = self.disk.clone();
+        let power_losses = disk.power_losses.get();
+        let synced_at = disk.schedule_sync();
+        let (done, outcome) = tokio::sync::oneshot::channel();
         // The disk goes on with what it was given, whether or not the caller waits.
         tokio::task::spawn_local(async move {
-            if !shared.ignores_syncs.get() {
-                tokio::time::sleep_until(synced_at).await;
-                shared.write(life, changes);
-                let _ = done.send(shared.outcome());
+            if disk.ignores_syncs.get() {
+                let _ = done.send(disk.outcome());
+                let delay = UNSYNCED_WRITE_SYNCS * disk.sync_time.get();
+                tokio::time::sleep_until(synced_at + delay).await;
+                disk.write(power_losses, changes);
             } else {
-                let _ = done.send(shared.outcome());
-                tokio::time::sleep_until(synced_at + 20 * shared.sync_time.get()).await;
-                shared.write(life, changes);
+                tokio::time::sleep_until(synced_at).await;
+                disk.write(power_losses, changes);
+                let _ = done.send(disk.outcome());
             }
         });
         async move {
-            match waiting.await {
+            match outcome.await {
                 Ok(outcome) => outcome,
+                // The simulated process has ended with its tasks: the commit never ends.
                 Err(_) => std::future::pending().await,
             }
         }
     }
 
-    fn read(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, DiskError> {
+    fn read(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StorageError> {
         Ok(self
-            .shared
+            .disk
             .synced
             .borrow()
             .get(&(table, key.to_vec()))
             .cloned())
     }
 
-    fn scan(&self, table: Table, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<(), DiskError> {
-        let rows = self.shared.synced.borrow();
-        rows.iter()
-            .filter(|((other, _), _)| *other == table)
-            .for_each(|((_, key), value)| visit(key, value));
+    fn scan(&self, table: Table, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<(), StorageError> {
+        for ((row_table, key), value) in self.disk.synced.borrow().iter() {
+            if *row_table == table {
+                visit(key, value);
+            }
+        }
         Ok(())
     }
 }
 
-impl Shared {
-    fn write(&self, life: u64, changes: Vec<RowChange>) {
-        if self.life.get() != life || self.failing.get() || self.refusing.get() {
+impl SimulatedDisk {
+    /// When a commit that is called now is synced: it shares the sync that begins after its call.
+    fn schedule_sync(&self) -> Instant {
+        let now = Instant::now();
+        let sync_time = self.sync_time.get();
+        let synced_at = match self.busy_until.get() {
+            // A sync is in progress and another one waits already.
+            Some(until) if until > now + sync_time => until,
+            Some(until) if until > now => until + sync_time,
+            _ => now + sync_time,
+        };
+        self.busy_until.set(Some(synced_at));
+        synced_at
+    }
+
+    fn write(&self, power_losses: u64, changes: Vec<RowChange>) {
+        let is_lost = self.power_losses.get() != power_losses;
+        if is_lost || self.is_failing.get() || self.is_refusing.get() {
             return;
         }
         let mut rows = self.synced.borrow_mut();
@@ -146,12 +154,12 @@
         }
     }
 
-    fn outcome(&self) -> Result<(), DiskError> {
-        if self.failing.get() {
-            return Err(DiskError::Failed("planted".into()));
+    fn outcome(&self) -> Result<(), StorageError> {
+        if self.is_failing.get() {
+            return Err(StorageError::failed("injected failure"));
         }
-        if self.refusing.get() {
-            return Err(DiskError::Refused("no space is left".into()));
+        if self.is_refusing.get() {
+            return Err(StorageError::Refused("no space is left".into()));
         }
         Ok(())
     }
--- a/tier/store/src/storage/mod.rs
+++ b/tier/store/src/storage/mod.rs
@@ -1,53 +1,73 @@
-//! Where a store keeps its rows. Every implementation passes the contract in `tests/disk_contract.rs`.
+//! Where a store keeps its rows. Every implementation passes the contract in `tests/storage_contract.rs`.
+//!
+//! The node owns a [`Storage`] and is the only one that writes to it. [`FjallStorage`] is the storage of
+//! the process, in the folder that [`open_state_folder`] opens; [`MemoryStorage`] is the storage of
+//! simulations.
 
 mod fjall;
-mod folder;
 mod memory;
-mod writer;
+mod state_folder;
 
 use std::future::Future;
 
 use plankhill_conversations::rows::{RowChange, Table};
 
-pub use fjall::FjallDisk;
-pub use folder::{open_folder, OpenedFolder};
-pub use memory::MemoryDisk;
+pub use fjall::FjallStorage;
+pub use memory::MemoryStorage;
+pub use state_folder::{open_state_folder, StateFolder};
 
 /// Why rows could not be written or read.
+///
+/// Causes are texts: one failure of the database answers all commits of a batch, and the database's
+/// errors cannot be cloned.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum DiskError {
-    /// Too much waits to be written already.
-    #[error("too much waits to be written")]
+pub enum StorageError {
+    /// Too many bytes wait to be written already.
+    #[error("too many bytes wait to be written")]
     Busy,
-    /// The disk takes no writes for now, as a full one does. It goes on being tried, and can be read meanwhile.
+    /// The disk refuses writes for now, as a full one does. The storage goes on attempting to write, and
+    /// can be read meanwhile.
     #[error("the disk refuses to write: {0}")]
     Refused(String),
-    /// What lies on the disk is no database of this kind, or a broken one.
+    /// The files are no database of this kind, or a damaged one.
     #[error("unreadable database: {0}")]
     Unreadable(String),
-    /// The disk or the database failed for good; nothing more can be written until the process starts anew.
+    /// The disk or the database failed; nothing more can be written until the process starts anew.
     #[error("disk: {0}")]
     Failed(String),
 }
 
+impl StorageError {
+    /// A failure that lasts until the process starts anew.
+    fn failed(cause: impl std::fmt::Display) -> Self {
+        StorageError::Failed(cause.to_string())
+    }
+}
+
 /// Rows that outlast a loss of power.
-pub trait Disk: 'static {
-    /// Writes the changes, all or none of them, and ends once they are synced. Commits take effect and end in
-    /// the order of their calls; one without changes ends once all earlier ones are synced.
+pub trait Storage: 'static {
+    /// Writes the changes, all or none of them, and ends once they are synced.
+    ///
+    /// The commit begins with the call, and goes on if the future is dropped. Commits take effect and end
+    /// in the order of their calls; one without changes ends once all earlier ones are synced.
+    ///
+    /// # Errors
+    /// [`StorageError::Busy`], [`StorageError::Refused`] and [`StorageError::Failed`]; the rows are then
+    /// as they were.
     fn commit(
         &self,
         changes: Vec<RowChange>,
-    ) -> impl Future<Output = Result<(), DiskError>> + 'static;
+    ) -> impl Future<Output = Result<(), StorageError>> + 'static;
 
-    /// A row of a commit that has ended; one of a commit under way may or may not be there yet.
+    /// A row of a commit that has ended; a row of one that is in progress may or may not be there yet.
     ///
     /// # Errors
-    /// [`DiskError::Failed`]; [`DiskError::Refused`] for a moment after the disk had refused to write.
-    fn read(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, DiskError>;
+    /// [`StorageError::Failed`]; [`StorageError::Refused`] for a moment after the disk refused a write.
+    fn read(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StorageError>;
 
-    /// Shows all rows of a table in the order of their keys.
+    /// Calls `visit` with the key and the value of each row of a table, in the order of the keys.
     ///
     /// # Errors
-    /// As for [`Disk::read`].
-    fn scan(&self, table: Table, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<(), DiskError>;
+    /// As for [`Storage::read`].
+    fn scan(&self, table: Table, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<(), StorageError>;
 }
--- a/tier/store/tests/simulation/control.rs
+++ b/tier/store/tests/simulation/control.rs
@@ -5,16 +5,16 @@
 use plankhill_protocol::ids::{NodeId, StoreEpoch};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
-use super::{milliseconds, Plant, World};
+use super::{milliseconds, SeededBug, World};
 
 impl World {
     /// The first view: all machines that are there.
-    pub fn found(self: &Rc<Self>) {
-        let serving = self.wanted();
-        let faults = if self.plant == Plant::NoSpareCopies {
+    pub fn publish_first_view(self: &Rc<Self>) {
+        let serving = self.desired_members();
+        let faults = if self.bug == SeededBug::NoSpareReplicas {
             0
         } else {
-            self.faults
+            self.tolerated_faults
         };
         *self.view.borrow_mut() = StoreView {
             epoch: StoreEpoch(1),
@@ -22,11 +22,11 @@
             next: None,
             tolerated_faults: faults,
         };
-        self.spread();
+        self.publish_view();
     }
 
     /// The stores that are to serve: all that are not to be retired, each as it is now.
-    fn wanted(&self) -> Vec<StoreMember> {
+    fn desired_members(&self) -> Vec<StoreMember> {
         let retired = self.retired.borrow();
         let machines = self.machines.borrow();
         let members = machines.values().map(|machine| machine.member.clone());
@@ -41,10 +41,10 @@
             tokio::time::sleep(milliseconds(20)).await;
             if let Some(view) = self.next_view() {
                 *self.view.borrow_mut() = view;
-                self.spread();
+                self.publish_view();
             }
             if self.chance(20) {
-                self.spread();
+                self.publish_view();
             }
             self.remove_retired();
         }
@@ -53,22 +53,22 @@
     fn next_view(&self) -> Option<StoreView> {
         let view = self.view.borrow().clone();
         let epoch = StoreEpoch(view.epoch.0 + 1);
-        let wanted = self.wanted();
+        let desired = self.desired_members();
         match &view.next {
-            Some(next) if *next == wanted => {
+            Some(next) if *next == desired => {
                 let copied = next.iter().all(|member| self.has_copied(member, &view));
-                let switches = copied || self.plant == Plant::SwitchesAtOnce;
+                let switches = copied || self.bug == SeededBug::SwitchesBeforeTransfer;
                 switches.then_some(StoreView {
                     epoch,
-                    serving: wanted,
+                    serving: desired,
                     next: None,
                     ..view
                 })
             }
-            None if view.serving == wanted => None,
+            None if view.serving == desired => None,
             _ => Some(StoreView {
                 epoch,
-                next: Some(wanted),
+                next: Some(desired),
                 ..view
             }),
         }
@@ -79,28 +79,32 @@
         let Some(machine) = machines.get(&member.node) else {
             return false;
         };
-        let reached = !self.network.borrow().unheard.contains(&member.node);
+        let reached = !self
+            .network
+            .borrow()
+            .outbound_blocked
+            .contains(&member.node);
         let copied = machine
             .node()
-            .and_then(|node| *node.copied_epoch().borrow());
+            .and_then(|node| *node.transferred_epoch().borrow());
         reached && machine.member == *member && copied == Some(view.epoch)
     }
 
-    /// Sends the view to all, each after a time of its own.
-    pub fn spread(self: &Rc<Self>) {
+    /// Sends the view to all stores, to each after a delay of its own.
+    pub fn publish_view(self: &Rc<Self>) {
         for node in self.nodes() {
             let (world, view) = (self.clone(), self.view.borrow().clone());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(milliseconds(world.within(2..80))).await;
-                world.tell(&node, &view);
+                world.deliver_view(&node, &view);
             });
         }
     }
 
-    fn tell(self: &Rc<Self>, node: &NodeId, view: &StoreView) {
-        let cut = {
+    fn deliver_view(self: &Rc<Self>, node: &NodeId, view: &StoreView) {
+        let is_blocked = {
             let network = self.network.borrow();
-            network.deafened.contains(node) || network.deaf.contains(node)
+            network.inbound_blocked.contains(node) || network.control_blocked.contains(node)
         };
         let machines = self.machines.borrow();
         let Some(machine) = machines.get(node) else {
@@ -109,10 +113,10 @@
         let frozen = machine
             .frozen_until
             .is_some_and(|until| until > tokio::time::Instant::now());
-        if let Some(running) = machine.node().filter(|_| !cut && !frozen) {
-            // Inside the machine's own life: what follows ends with it.
+        if let Some(running) = machine.node().filter(|_| !is_blocked && !frozen) {
+            // Inside the machine's own process: tasks of the view end with the process.
             let view = view.clone();
-            machine.inside(async move { running.take_view(&view) });
+            machine.inside(async move { running.install_view(&view) });
         }
     }
 
@@ -133,6 +137,8 @@
             .filter(|node| !named(node))
             .cloned()
             .collect();
-        gone.iter().for_each(|node| self.remove(node));
+        for node in &gone {
+            self.remove(node);
+        }
     }
 }
--- a/tier/store/tests/simulation/faults.rs
+++ b/tier/store/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles that come one after the other, never more at once than the tier bears.
+//! Faults that come one after the other, never more at once than the tier tolerates.
 
 use std::rc::Rc;
 
@@ -9,18 +9,18 @@
 /// After its return a machine still counts as lost for this time.
 pub const CATCH_UP_MS: u64 = 4_100;
 
-/// How long a store hears nothing from the control plane.
-const DEAF_MS: u64 = 4_000;
+/// How long no view of the control plane reaches a store.
+const CONTROL_BLOCKED_MS: u64 = 4_000;
 
 /// What happens to one machine, or to all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     Kill,
     Wipe,
     Freeze,
-    CutOff,
-    /// One hears everybody and is heard by nobody, or the other way round.
-    CutOneWay,
+    Isolate,
+    /// One receives all messages and its own reach no machine, or the other way round.
+    IsolateOneWay,
     SlowDisk,
     /// The disk takes no writes for a while.
     FailingDisk,
@@ -30,8 +30,8 @@
     Add,
     /// One is replaced by an empty one at another address.
     Replace,
-    /// One hears nothing from the control plane for a while; the next trouble comes meanwhile.
-    Deaf,
+    /// No view of the control plane reaches one for a while; the next fault comes meanwhile.
+    BlockControlPlane,
     /// All lose power.
     Power,
     /// One loses its disk while all others lose power.
@@ -42,116 +42,128 @@
     KillSeveral,
 }
 
-const ALL: [Trouble; 16] = [
-    Trouble::Kill,
-    Trouble::Wipe,
-    Trouble::Freeze,
-    Trouble::CutOff,
-    Trouble::CutOneWay,
-    Trouble::SlowDisk,
-    Trouble::FailingDisk,
-    Trouble::FullDisk,
-    Trouble::Retire,
-    Trouble::Add,
-    Trouble::Replace,
-    Trouble::Deaf,
-    Trouble::Power,
-    Trouble::PowerAndWipe,
-    Trouble::WipeThenKill,
-    Trouble::KillSeveral,
+const ALL: [Fault; 16] = [
+    Fault::Kill,
+    Fault::Wipe,
+    Fault::Freeze,
+    Fault::Isolate,
+    Fault::IsolateOneWay,
+    Fault::SlowDisk,
+    Fault::FailingDisk,
+    Fault::FullDisk,
+    Fault::Retire,
+    Fault::Add,
+    Fault::Replace,
+    Fault::BlockControlPlane,
+    Fault::Power,
+    Fault::PowerAndWipe,
+    Fault::WipeThenKill,
+    Fault::KillSeveral,
 ];
 
 impl World {
-    /// One trouble after the other.
-    pub async fn run_troubles(self: Rc<Self>, count: u64, kinds: &[Trouble]) {
-        let kinds = if kinds.is_empty() { &ALL } else { kinds };
+    /// Injects one fault after the other.
+    pub async fn run_faults(self: Rc<Self>, count: u64, fault_kinds: &[Fault]) {
+        let fault_kinds = if fault_kinds.is_empty() {
+            &ALL
+        } else {
+            fault_kinds
+        };
         for number in 0..count {
             tokio::time::sleep(milliseconds(self.within(50..1_500))).await;
-            let kind = kinds[self.within(0..kinds.len() as u64) as usize];
-            self.trouble(kind, 100 + number).await;
+            let kind = fault_kinds[self.within(0..fault_kinds.len() as u64) as usize];
+            self.inject(kind, 100 + number).await;
         }
     }
 
-    async fn trouble(self: &Rc<Self>, kind: Trouble, number: u64) {
+    async fn inject(self: &Rc<Self>, kind: Fault, number: u64) {
         let nodes = self.nodes();
         let node = nodes[self.within(0..nodes.len() as u64) as usize].clone();
-        let away = self.within(20..2_500);
+        let downtime_ms = self.within(20..2_500);
         match kind {
-            Trouble::Kill => {
+            Fault::Kill => {
                 self.kill(&node);
-                self.back_after(&node, away).await;
+                self.restart_after(&node, downtime_ms).await;
             }
-            Trouble::Wipe => {
+            Fault::Wipe => {
                 self.wipe(&node);
-                self.back_after(&node, away).await;
+                self.restart_after(&node, downtime_ms).await;
             }
-            Trouble::Freeze => {
-                self.freeze(&node, away);
-                tokio::time::sleep(milliseconds(away + CATCH_UP_MS)).await;
+            Fault::Freeze => {
+                self.freeze(&node, downtime_ms);
+                tokio::time::sleep(milliseconds(downtime_ms + CATCH_UP_MS)).await;
             }
-            Trouble::CutOff => self.cut(&node, true, true, away).await,
-            Trouble::CutOneWay => {
-                let hears = self.chance(50);
-                self.cut(&node, !hears, hears, away).await;
+            Fault::Isolate => self.isolate(&node, true, true, downtime_ms).await,
+            Fault::IsolateOneWay => {
+                let is_receiving = self.chance(50);
+                self.isolate(&node, !is_receiving, is_receiving, downtime_ms)
+                    .await;
             }
-            Trouble::SlowDisk => self.slow_disk(&node, away).await,
-            Trouble::FailingDisk => self.failing_disk(&node, away).await,
-            Trouble::FullDisk => self.full_disk(&node, away).await,
-            Trouble::Replace => {
+            Fault::SlowDisk => self.slow_disk(&node, downtime_ms).await,
+            Fault::FailingDisk => self.failing_disk(&node, downtime_ms).await,
+            Fault::FullDisk => self.full_disk(&node, downtime_ms).await,
+            Fault::Replace => {
                 self.remove(&node);
-                tokio::time::sleep(milliseconds(away)).await;
+                tokio::time::sleep(milliseconds(downtime_ms)).await;
                 self.add_machine_named(number, &node);
                 tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
             }
-            Trouble::WipeThenKill => {
+            Fault::WipeThenKill => {
                 self.wipe(&node);
-                tokio::time::sleep(milliseconds(away)).await;
+                tokio::time::sleep(milliseconds(downtime_ms)).await;
                 self.start(&node);
                 tokio::time::sleep(milliseconds(self.within(0..700))).await;
                 let other = nodes[self.within(0..nodes.len() as u64) as usize].clone();
                 self.kill(&other);
-                self.back_after(&other, 1_500).await;
+                self.restart_after(&other, 1_500).await;
             }
-            Trouble::KillSeveral => {
+            Fault::KillSeveral => {
                 let killed: Vec<NodeId> = nodes.into_iter().filter(|_| self.chance(60)).collect();
-                killed.iter().for_each(|node| self.kill(node));
+                for node in &killed {
+                    self.kill(node);
+                }
                 tokio::time::sleep(milliseconds(self.within(20..1_000))).await;
-                killed.iter().for_each(|node| self.start(node));
+                for node in &killed {
+                    self.start(node);
+                }
                 tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
             }
-            Trouble::Retire => self.retire(&node).await,
-            Trouble::Add => {
+            Fault::Retire => self.retire(&node).await,
+            Fault::Add => {
                 self.add_machine(number);
-                tokio::time::sleep(milliseconds(away)).await;
+                tokio::time::sleep(milliseconds(downtime_ms)).await;
             }
-            Trouble::Deaf => self.deafen(&node),
-            Trouble::Power | Trouble::PowerAndWipe => self.power(&node, kind, away).await,
+            Fault::BlockControlPlane => self.block_control_plane(&node),
+            Fault::Power | Fault::PowerAndWipe => self.power(&node, kind, downtime_ms).await,
         }
     }
 
-    fn deafen(self: &Rc<Self>, node: &NodeId) {
-        self.network.borrow_mut().deaf.insert(node.clone());
+    fn block_control_plane(self: &Rc<Self>, node: &NodeId) {
+        self.network
+            .borrow_mut()
+            .control_blocked
+            .insert(node.clone());
         let (world, node) = (self.clone(), node.clone());
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(milliseconds(DEAF_MS)).await;
-            world.network.borrow_mut().deaf.remove(&node);
+            tokio::time::sleep(milliseconds(CONTROL_BLOCKED_MS)).await;
+            world.network.borrow_mut().control_blocked.remove(&node);
         });
     }
 
-    async fn cut(&self, node: &NodeId, to: bool, from: bool, away: u64) {
+    async fn isolate(&self, node: &NodeId, to: bool, from: bool, downtime_ms: u64) {
         {
             let mut network = self.network.borrow_mut();
-            network.unheard.extend(from.then(|| node.clone()));
-            network.deafened.extend(to.then(|| node.clone()));
+            network.outbound_blocked.extend(from.then(|| node.clone()));
+            network.inbound_blocked.extend(to.then(|| node.clone()));
         }
-        tokio::time::sleep(milliseconds(away)).await;
-        self.network.borrow_mut().unheard.remove(node);
-        self.network.borrow_mut().deafened.remove(node);
+        tokio::time::sleep(milliseconds(downtime_ms)).await;
+        self.network.borrow_mut().outbound_blocked.remove(node);
+        self.network.borrow_mut().inbound_blocked.remove(node);
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
     }
 
-    /// The process notices a disk that fails, ends, and starts anew once the disk is well.
-    async fn failing_disk(self: &Rc<Self>, node: &NodeId, away: u64) {
+    /// The process notices a disk that fails, ends, and starts anew once the disk works again.
+    async fn failing_disk(self: &Rc<Self>, node: &NodeId, downtime_ms: u64) {
         let disk = self
             .machines
             .borrow()
@@ -159,14 +171,14 @@
             .map(|machine| machine.disk.clone());
         let Some(disk) = disk else { return };
         disk.set_failing(true);
-        tokio::time::sleep(milliseconds(away)).await;
+        tokio::time::sleep(milliseconds(downtime_ms)).await;
         self.kill(node);
         disk.set_failing(false);
-        self.back_after(node, 100).await;
+        self.restart_after(node, 100).await;
     }
 
     /// The process stays up: it refuses what has to be written, and goes on reading and repairing.
-    async fn full_disk(&self, node: &NodeId, away: u64) {
+    async fn full_disk(&self, node: &NodeId, downtime_ms: u64) {
         let disk = self
             .machines
             .borrow()
@@ -174,7 +186,7 @@
             .map(|machine| machine.disk.clone());
         let Some(disk) = disk else { return };
         disk.set_refusing(true);
-        tokio::time::sleep(milliseconds(away)).await;
+        tokio::time::sleep(milliseconds(downtime_ms)).await;
         disk.set_refusing(false);
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
         let running = self
@@ -183,12 +195,12 @@
             .get(node)
             .and_then(|machine| machine.node());
         assert!(
-            running.is_none_or(|store| !store.disk_failed()),
+            running.is_none_or(|store| !store.has_storage_failed()),
             "a full disk does not end a store"
         );
     }
 
-    async fn slow_disk(&self, node: &NodeId, away: u64) {
+    async fn slow_disk(&self, node: &NodeId, downtime_ms: u64) {
         let disk = self
             .machines
             .borrow()
@@ -196,15 +208,15 @@
             .map(|machine| machine.disk.clone());
         let Some(disk) = disk else { return };
         disk.set_sync_time(milliseconds(900));
-        tokio::time::sleep(milliseconds(away)).await;
+        tokio::time::sleep(milliseconds(downtime_ms)).await;
         disk.set_sync_time(milliseconds(5));
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
     }
 
     /// Retires a store if enough are left, and loses the disk of another one as soon as it is gone.
     async fn retire(self: &Rc<Self>, node: &NodeId) {
-        let least = 2 * self.faults as usize + 1;
-        if self.nodes().len() <= least {
+        let min_stores = 2 * self.tolerated_faults as usize + 1;
+        if self.nodes().len() <= min_stores {
             return;
         }
         self.retired.borrow_mut().push(node.clone());
@@ -214,22 +226,26 @@
         let nodes = self.nodes();
         let other = nodes[self.within(0..nodes.len() as u64) as usize].clone();
         self.wipe(&other);
-        self.back_after(&other, 100).await;
+        self.restart_after(&other, 100).await;
     }
 
-    async fn power(self: &Rc<Self>, node: &NodeId, kind: Trouble, away: u64) {
+    async fn power(self: &Rc<Self>, node: &NodeId, kind: Fault, downtime_ms: u64) {
         let nodes = self.nodes();
-        nodes.iter().for_each(|node| self.kill(node));
-        if kind == Trouble::PowerAndWipe {
+        for node in &nodes {
+            self.kill(node);
+        }
+        if kind == Fault::PowerAndWipe {
             self.wipe(node);
         }
-        tokio::time::sleep(milliseconds(away.min(1_000))).await;
-        nodes.iter().for_each(|node| self.start(node));
+        tokio::time::sleep(milliseconds(downtime_ms.min(1_000))).await;
+        for node in &nodes {
+            self.start(node);
+        }
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
     }
 
-    async fn back_after(self: &Rc<Self>, node: &NodeId, away: u64) {
-        tokio::time::sleep(milliseconds(away)).await;
+    async fn restart_after(self: &Rc<Self>, node: &NodeId, downtime_ms: u64) {
+        tokio::time::sleep(milliseconds(downtime_ms)).await;
         self.start(node);
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
     }
--- a/tier/store/tests/simulation/machine.rs
+++ b/tier/store/tests/simulation/machine.rs
@@ -5,32 +5,33 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use plankhill_conversations::rows::{turn_key, Table};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::keys::turn_key;
+use plankhill_conversations::rows::Table;
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
 use plankhill_protocol::ids::{Incarnation, NodeId, RequestId, ZoneName};
 use plankhill_protocol::tables::StoreMember;
 use plankhill_store::clock::Clock;
-use plankhill_store::disk::{Disk, MemoryDisk};
-use plankhill_store::figures::Figures;
-use plankhill_store::node::{Node, Parts};
+use plankhill_store::limits::Limits;
+use plankhill_store::node::{Node, NodeParts};
+use plankhill_store::storage::{MemoryStorage, Storage};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{AbortHandle, LocalSet};
 use tokio::time::Instant;
 
 use super::network::SimulatedPeers;
-use super::{milliseconds, Plant, World};
+use super::{milliseconds, SeededBug, World};
 
-pub type StoreNode = Node<SimulatedPeers, MemoryDisk, WorldClock>;
+pub type StoreNode = Node<SimulatedPeers, MemoryStorage, SimulatedClock>;
 type LocalWork = Pin<Box<dyn Future<Output = ()>>>;
-type Calls = mpsc::UnboundedSender<(StoreRequest, oneshot::Sender<StoreAnswer>)>;
+type Calls = mpsc::UnboundedSender<(StoreRequest, oneshot::Sender<StoreResponse>)>;
 
 /// Virtual time as a time of day.
-pub struct WorldClock {
+pub struct SimulatedClock {
     started: Instant,
     speed: u64,
 }
 
-impl Clock for WorldClock {
+impl Clock for SimulatedClock {
     fn now_ms(&self) -> u64 {
         1_000_000_000 + self.started.elapsed().as_millis() as u64 * self.speed
     }
@@ -38,20 +39,20 @@
 
 pub struct Machine {
     pub member: StoreMember,
-    pub disk: MemoryDisk,
+    pub disk: MemoryStorage,
     pub frozen_until: Option<Instant>,
-    life: Option<Life>,
+    process: Option<Process>,
 }
 
-/// One life of a store's process.
-struct Life {
+/// A running store.
+struct Process {
     node: Rc<StoreNode>,
     calls: Calls,
     work: mpsc::UnboundedSender<LocalWork>,
     task: AbortHandle,
 }
 
-impl Drop for Life {
+impl Drop for Process {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -59,7 +60,7 @@
 
 impl Machine {
     pub fn queue(&self) -> Option<Calls> {
-        self.life.as_ref().map(|life| life.calls.clone())
+        self.process.as_ref().map(|process| process.calls.clone())
     }
 
     /// Whether the turn is on the disk.
@@ -67,16 +68,16 @@
         matches!(self.disk.read(Table::Turns, &turn_key(turn)), Ok(Some(_)))
     }
 
-    /// Does something inside the process, which ends with it.
+    /// Runs work inside the process; the work ends with the process.
     pub fn inside(&self, work: impl Future<Output = ()> + 'static) {
-        if let Some(life) = &self.life {
+        if let Some(process) = &self.process {
             // A process that is ending does nothing more.
-            let _ = life.work.send(Box::pin(work));
+            let _ = process.work.send(Box::pin(work));
         }
     }
 
     pub fn node(&self) -> Option<Rc<StoreNode>> {
-        self.life.as_ref().map(|life| life.node.clone())
+        self.process.as_ref().map(|process| process.node.clone())
     }
 }
 
@@ -95,13 +96,13 @@
             address: SocketAddr::from((ip, 7_000)),
             zone: ZoneName::from(format!("zone-{}", number % 3).as_str()),
         };
-        let disk = MemoryDisk::new(milliseconds(self.within(2..10)));
-        disk.set_ignores_syncs(self.plant == Plant::DisksIgnoreSyncs);
+        let disk = MemoryStorage::new(milliseconds(self.within(2..10)));
+        disk.set_ignores_syncs(self.bug == SeededBug::DisksIgnoreSyncs);
         let machine = Machine {
             member,
             disk,
             frozen_until: None,
-            life: None,
+            process: None,
         };
         self.machines.borrow_mut().insert(node.clone(), machine);
         self.start(node);
@@ -120,27 +121,27 @@
         let mut machines = self.machines.borrow_mut();
         let Some(machine) = machines
             .get_mut(node)
-            .filter(|machine| machine.life.is_none())
+            .filter(|machine| machine.process.is_none())
         else {
             return;
         };
-        let speed = if self.plant == Plant::FastClocks {
+        let speed = if self.bug == SeededBug::FastClocks {
             20
         } else {
             1
         };
-        let parts = Parts {
-            me: machine.member.clone(),
-            figures: Figures {
-                slack_ms: 10_000,
-                most_bytes: 50_000_000,
+        let parts = NodeParts {
+            identity: machine.member.clone(),
+            limits: Limits {
+                retention_slack_ms: 10_000,
+                max_index_bytes: 50_000_000,
             },
             peers: SimulatedPeers {
                 world: Rc::downgrade(self),
                 from: node.clone(),
             },
-            disk: machine.disk.clone(),
-            clock: WorldClock {
+            storage: machine.disk.clone(),
+            clock: SimulatedClock {
                 started: self.started,
                 speed,
             },
@@ -153,7 +154,7 @@
         process.spawn_local(started.clone().run());
         process.spawn_local(answer_calls(started.clone(), queue));
         let task = tokio::task::spawn_local(process).abort_handle();
-        machine.life = Some(Life {
+        machine.process = Some(Process {
             node: started,
             calls,
             work,
@@ -164,7 +165,7 @@
     /// Ends the process; what its disk has not synced is lost.
     pub fn kill(&self, node: &NodeId) {
         if let Some(machine) = self.machines.borrow_mut().get_mut(node) {
-            machine.life = None;
+            machine.process = None;
             machine.disk.lose_power();
         }
     }
@@ -174,7 +175,7 @@
         self.kill(node);
         if let Some(machine) = self.machines.borrow_mut().get_mut(node) {
             machine.disk.wipe();
-            if self.plant != Plant::SameIncarnation {
+            if self.bug != SeededBug::SameIncarnation {
                 machine.member.incarnation.0 += 1;
             }
         }
@@ -200,7 +201,7 @@
 
 async fn answer_calls(
     node: Rc<StoreNode>,
-    mut queue: mpsc::UnboundedReceiver<(StoreRequest, oneshot::Sender<StoreAnswer>)>,
+    mut queue: mpsc::UnboundedReceiver<(StoreRequest, oneshot::Sender<StoreResponse>)>,
 ) {
     while let Some((request, answer)) = queue.recv().await {
         let node = node.clone();
--- a/tier/store/tests/simulation/mod.rs
+++ b/tier/store/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated deployment in virtual time: stores, the control plane as far as stores see it, and proxies.
 //! A seed determines everything that happens.
 
-// Each test uses its part of the world.
+// Each test uses a part of the simulation.
 #![allow(dead_code)]
 
 pub mod control;
@@ -29,60 +29,60 @@
 use programs::Programs;
 use rng::Rng;
 
-/// Something in the world that is broken on purpose: the checks must see it.
+/// A defect that a test puts into the deployment: the checks must detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
-    Nothing,
+pub enum SeededBug {
+    None,
     /// Disks say that they have synced before they have.
     DisksIgnoreSyncs,
-    /// Stores are told that no store may be lost.
-    NoSpareCopies,
-    /// A store whose disk is empty calls itself what it was before, and copies nothing.
+    /// The views say that no fault has to be tolerated.
+    NoSpareReplicas,
+    /// A store with an empty disk keeps its old incarnation, and copies nothing.
     SameIncarnation,
-    /// The control plane does not wait for copies.
-    SwitchesAtOnce,
-    /// Stores do not tell each other of reservations.
-    AccountsUntold,
+    /// The control plane does not wait for transfers.
+    SwitchesBeforeTransfer,
+    /// Stores answer reservations with empty accounts.
+    AccountsNotSent,
     /// Clocks run 20 times too fast.
     FastClocks,
     /// Stores do not refuse calls of older views.
-    NoFence,
-    /// What stores send to others as repairs is lost, and they copy nothing.
+    NoEpochFencing,
+    /// Repairs are lost, and stores copy nothing.
     NoRepairs,
 }
 
 pub struct World {
-    pub plant: Plant,
+    pub bug: SeededBug,
     pub rng: RefCell<Rng>,
     pub machines: RefCell<BTreeMap<NodeId, Machine>>,
     pub network: RefCell<Network>,
     pub view: RefCell<StoreView>,
     pub retired: RefCell<Vec<NodeId>>,
     pub programs: RefCell<Programs>,
-    pub faults: u32,
+    pub tolerated_faults: u32,
     pub started: Instant,
     pub ended: Cell<bool>,
-    /// Whether retired machines stay for a while.
+    /// Whether machines that are retired stay in place.
     pub keeps_retired: Cell<bool>,
 }
 
 impl World {
-    pub fn new(seed: u64, stores: u64, faults: u32, plant: Plant) -> Rc<Self> {
+    pub fn new(seed: u64, stores: u64, tolerated_faults: u32, bug: SeededBug) -> Rc<Self> {
         let world = Rc::new(World {
-            plant,
+            bug,
             rng: RefCell::new(Rng::new(seed)),
             machines: RefCell::default(),
             network: RefCell::default(),
             view: RefCell::default(),
             retired: RefCell::default(),
             programs: RefCell::default(),
-            faults,
+            tolerated_faults,
             started: Instant::now(),
             ended: Cell::new(false),
             keeps_retired: Cell::new(false),
         });
         (0..stores).for_each(|number| world.add_machine(number));
-        world.found();
+        world.publish_first_view();
         world
     }
 
@@ -103,11 +103,11 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Runs a story in virtual time.
-pub fn run<T>(story: impl Future<Output = T>) -> T {
+/// Runs a scenario in virtual time.
+pub fn run<T>(scenario: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), story)
+    LocalSet::new().block_on(&runtime.expect("a runtime"), scenario)
 }
--- a/tier/store/tests/simulation/network.rs
+++ b/tier/store/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Calls between machines: they take time, are cut, lost, held up by frozen machines.
+//! Calls between machines: calls take time, are partitioned or lost, and wait for frozen machines.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -8,23 +8,23 @@
 
 use plankhill_conversations::account::Account;
 use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::CallError;
 use plankhill_store::peers::Peers;
 use tokio::sync::oneshot;
 
-use super::{milliseconds, Plant, World};
+use super::{milliseconds, SeededBug, World};
 
 #[derive(Default)]
 pub struct Network {
-    /// Machines that nobody hears.
-    pub unheard: BTreeSet<NodeId>,
-    /// Machines that hear nobody.
-    pub deafened: BTreeSet<NodeId>,
-    /// Machines that hear nothing from the control plane.
-    pub deaf: BTreeSet<NodeId>,
-    /// Lost messages in a hundred.
+    /// Machines whose messages reach no machine.
+    pub outbound_blocked: BTreeSet<NodeId>,
+    /// Machines that no message reaches.
+    pub inbound_blocked: BTreeSet<NodeId>,
+    /// Machines that no view of the control plane reaches.
+    pub control_blocked: BTreeSet<NodeId>,
+    /// Lost messages, in percent.
     pub loss: u64,
 }
 
@@ -36,10 +36,10 @@
         to: SocketAddr,
         request: StoreRequest,
         timeout: Duration,
-    ) -> Result<StoreAnswer, CallError> {
+    ) -> Result<StoreResponse, CallError> {
         let (answer, answered) = oneshot::channel();
         let world = self.clone();
-        // A message under way arrives even if its sender has stopped waiting.
+        // A message in flight arrives even if its sender has stopped waiting.
         tokio::task::spawn_local(async move {
             // The sender may have stopped waiting.
             let _ = answer.send(world.deliver(from, to, request).await);
@@ -55,10 +55,10 @@
         from: Option<NodeId>,
         to: SocketAddr,
         request: StoreRequest,
-    ) -> Result<StoreAnswer, CallError> {
+    ) -> Result<StoreResponse, CallError> {
         let to = self.node_at(to).ok_or(CallError::NotSent)?;
         self.pass(from.as_ref(), Some(&to)).await;
-        let request = self.harmed_request(&to, request);
+        let request = self.tamper_with_request(&to, request);
         let queue = self
             .machines
             .borrow()
@@ -71,26 +71,26 @@
             .map_err(|_| CallError::NotSent)?;
         let answer = answered.await.map_err(|_| CallError::NoAnswer)?;
         self.pass(Some(&to), from.as_ref()).await;
-        Ok(self.harmed_answer(answer))
+        Ok(self.tamper_with_answer(answer))
     }
 
     /// One way; does not end for a message that is lost.
     async fn pass(&self, from: Option<&NodeId>, to: Option<&NodeId>) {
-        self.thawed(from).await;
+        self.wait_until_thawed(from).await;
         tokio::time::sleep(milliseconds(self.within(1..5))).await;
         let lost = {
             let network = self.network.borrow();
-            let cut = from.is_some_and(|from| network.unheard.contains(from))
-                || to.is_some_and(|to| network.deafened.contains(to));
-            cut || self.chance(network.loss)
+            let is_blocked = from.is_some_and(|from| network.outbound_blocked.contains(from))
+                || to.is_some_and(|to| network.inbound_blocked.contains(to));
+            is_blocked || self.chance(network.loss)
         };
         if lost {
             std::future::pending::<()>().await;
         }
-        self.thawed(to).await;
+        self.wait_until_thawed(to).await;
     }
 
-    async fn thawed(&self, node: Option<&NodeId>) {
+    async fn wait_until_thawed(&self, node: Option<&NodeId>) {
         let Some(node) = node else { return };
         let until = self
             .machines
@@ -102,32 +102,34 @@
         }
     }
 
-    fn harmed_request(&self, to: &NodeId, mut request: StoreRequest) -> StoreRequest {
+    fn tamper_with_request(&self, to: &NodeId, mut request: StoreRequest) -> StoreRequest {
         if let StoreRequest::Peer(call) = &mut request {
-            if self.plant == Plant::NoFence {
+            if self.bug == SeededBug::NoEpochFencing {
                 let machines = self.machines.borrow();
                 if let Some(node) = machines.get(to).and_then(|machine| machine.node()) {
                     call.epoch = node.view().epoch;
                 }
             }
-            if let (Plant::NoRepairs, PeerRequest::Repair(missed)) = (self.plant, &mut call.body) {
+            if let (SeededBug::NoRepairs, PeerRequest::Repair(missed)) = (self.bug, &mut call.body)
+            {
                 missed.clear();
             }
         }
         request
     }
 
-    fn harmed_answer(&self, mut answer: StoreAnswer) -> StoreAnswer {
-        let StoreAnswer::Peer(PeerReply { body, .. }) = &mut answer else {
+    fn tamper_with_answer(&self, mut answer: StoreResponse) -> StoreResponse {
+        let StoreResponse::Peer(PeerReply { body, .. }) = &mut answer else {
             return answer;
         };
-        match (self.plant, body) {
-            (Plant::AccountsUntold, PeerResponse::Account(account)) => {
+        match (self.bug, body) {
+            (SeededBug::AccountsNotSent, PeerResponse::Account(account)) => {
                 *account = Account::default()
             }
-            (Plant::SameIncarnation | Plant::NoRepairs, PeerResponse::Programs(programs)) => {
-                programs.clear()
-            }
+            (
+                SeededBug::SameIncarnation | SeededBug::NoRepairs,
+                PeerResponse::Programs(programs),
+            ) => programs.clear(),
             _ => {}
         }
         answer
@@ -154,8 +156,8 @@
                 .call(Some(from), address, StoreRequest::Peer(call), timeout)
                 .await?
             {
-                StoreAnswer::Peer(reply) => Ok(reply),
-                StoreAnswer::Proxy(_) => Err(CallError::NoAnswer),
+                StoreResponse::Peer(reply) => Ok(reply),
+                StoreResponse::Proxy(_) => Err(CallError::NoAnswer),
             }
         }
     }
--- a/tier/store/tests/simulation/programs.rs
+++ b/tier/store/tests/simulation/programs.rs
@@ -1,4 +1,4 @@
-//! What clients have seen, and what must hold of it.
+//! The oracle: what clients have seen, and the invariants on it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,22 +6,22 @@
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use tokio::time::Instant;
 
-/// How long turns are kept in this world.
+/// How long turns are retained in the simulation.
 pub const RETENTION: Duration = Duration::from_secs(60);
 
 /// What clients know of a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turn {
-    pub most: u64,
-    /// Tokens handed to the client so far.
-    pub handed: u64,
-    /// Whether the client knows that it is settled.
-    pub settled: bool,
+    pub max_tokens: u64,
+    /// Tokens sent to the client so far.
+    pub delivered_tokens: u64,
+    /// Whether the client knows that the turn is committed.
+    pub is_committed: bool,
 }
 
-/// A turn that was answered whole.
+/// A turn that was answered completely.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct AnsweredTurn {
     pub turn: RequestId,
     pub program: ProgramId,
     pub history: Vec<u8>,
@@ -32,10 +32,10 @@
 pub struct Programs {
     pub budgets: BTreeMap<ProgramId, u64>,
     pub turns: BTreeMap<ProgramId, BTreeMap<RequestId, Turn>>,
-    pub answered: Vec<Answered>,
+    pub answered: Vec<AnsweredTurn>,
     pub begun: u64,
-    pub spent: u64,
-    pub unsure: u64,
+    pub rejected: u64,
+    pub unavailable: u64,
 }
 
 impl Programs {
@@ -46,65 +46,77 @@
     pub fn turn(&mut self, program: &ProgramId, turn: &RequestId) -> &mut Turn {
         let turns = self.turns.entry(program.clone()).or_default();
         turns.entry(turn.clone()).or_insert(Turn {
-            most: 0,
-            handed: 0,
-            settled: false,
+            max_tokens: 0,
+            delivered_tokens: 0,
+            is_committed: false,
         })
     }
 
-    /// Tokens are handed to a client.
-    pub fn hand(&mut self, program: &ProgramId, turn: &RequestId, tokens: u64) {
-        self.turn(program, turn).handed += tokens;
-        let handed: u64 = self.turns[program].values().map(|turn| turn.handed).sum();
+    /// Records tokens that are sent to a client; all of a program must fit into its budget.
+    pub fn record_tokens(&mut self, program: &ProgramId, turn: &RequestId, tokens: u64) {
+        self.turn(program, turn).delivered_tokens += tokens;
+        let delivered_tokens: u64 = self.turns[program]
+            .values()
+            .map(|turn| turn.delivered_tokens)
+            .sum();
         let budget = self.budget(program);
         assert!(
-            handed <= budget,
-            "BUDGET: {program} was handed {handed} of {budget}"
+            delivered_tokens <= budget,
+            "BUDGET: {program} was sent {delivered_tokens} of {budget}"
         );
     }
 
-    /// What counts of each turn: of those that a client does not know to be settled their most.
-    pub fn counted(&self, program: &ProgramId) -> BTreeMap<RequestId, u64> {
+    /// Tokens charged for each turn: the maximum of a turn that its client does not know to be committed.
+    pub fn charged(&self, program: &ProgramId) -> BTreeMap<RequestId, u64> {
         let turns = self.turns.get(program).into_iter().flatten();
         turns
             .map(|(name, turn)| {
                 (
                     name.clone(),
-                    if turn.settled { turn.handed } else { turn.most },
+                    if turn.is_committed {
+                        turn.delivered_tokens
+                    } else {
+                        turn.max_tokens
+                    },
                 )
             })
             .collect()
     }
 
-    /// A turn was refused because the budget is spent. `before` is what counted when it was asked for: others
-    /// may have been settled while the answer was on its way.
-    pub fn refused(
+    /// Checks that the budget was exhausted for a rejected turn. `before` has the charges at the time of the
+    /// request: other turns may have been committed while the answer was in flight.
+    pub fn check_rejection(
         &mut self,
         program: &ProgramId,
         turn: &RequestId,
         before: &BTreeMap<RequestId, u64>,
     ) {
-        self.spent += 1;
-        let most = self.turn(program, turn).most;
+        self.rejected += 1;
+        let max_tokens = self.turn(program, turn).max_tokens;
         let others = self
-            .counted(program)
+            .charged(program)
             .into_iter()
             .filter(|(other, _)| other != turn);
         let turns = &self.turns[program];
-        // One that began since counted at its most for a while.
-        let at_most = |other: &RequestId| before.get(other).copied().unwrap_or(turns[other].most);
-        let counted: u64 = others
+        // A turn that began since then was charged its maximum for a while.
+        let at_most = |other: &RequestId| {
+            before
+                .get(other)
+                .copied()
+                .unwrap_or(turns[other].max_tokens)
+        };
+        let charged: u64 = others
             .map(|(other, tokens)| tokens.max(at_most(&other)))
             .sum();
         let budget = self.budget(program);
         assert!(
-            counted + most > budget,
-            "REFUSED: {program} has {counted} of {budget}, one asks {most}"
+            charged + max_tokens > budget,
+            "REFUSED: {program} has {charged} of {budget}, one asks {max_tokens}"
         );
     }
 
-    /// No such turn, a store said.
-    pub fn absent(&self, previous: &RequestId) {
+    /// Checks that a turn that no store has was not answered to a client within its retention.
+    pub fn check_absence(&self, previous: &RequestId) {
         let known = self
             .answered
             .iter()
@@ -114,8 +126,8 @@
         }
     }
 
-    /// A turn began with this history.
-    pub fn began(&mut self, previous: Option<&RequestId>, history: &[u8]) {
+    /// Checks the history that a turn began with.
+    pub fn check_history(&mut self, previous: Option<&RequestId>, history: &[u8]) {
         self.begun += 1;
         let Some(previous) = previous else {
             assert!(history.is_empty(), "UNASKED: a history for the first turn");
--- a/tier/store/tests/simulation/proxy.rs
+++ b/tier/store/tests/simulation/proxy.rs
@@ -6,22 +6,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
 use plankhill_protocol::ids::{ProgramId, RequestId, ZoneName};
 use plankhill_protocol::store_calls::{
     Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord,
 };
 use plankhill_protocol::transport::CallError;
 use plankhill_store_client::{
-    BeginOutcome, BeginTurn, EndOutcome, EndTurn, StoreCalls, StoreClient,
+    BeginOutcome, BeginTurn, EndOutcome, EndTurn, StoreClient, StoreTransport,
 };
 use tokio::time::Instant;
 
-use super::programs::{Answered, RETENTION};
+use super::programs::{AnsweredTurn, RETENTION};
 use super::{milliseconds, World};
 
-const BEGIN_TIME: Duration = Duration::from_millis(1_500);
-const END_TIME: Duration = Duration::from_millis(2_500);
+const BEGIN_TIMEOUT: Duration = Duration::from_millis(1_500);
+const END_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl World {
     /// A client that takes turns, one after the other.
@@ -38,7 +38,7 @@
         }
     }
 
-    fn choose_previous(&self, program: &ProgramId) -> Option<RequestId> {
+    fn pick_previous(&self, program: &ProgramId) -> Option<RequestId> {
         if self.chance(15) {
             return None;
         }
@@ -57,52 +57,51 @@
 
     async fn take_turn(
         self: &Rc<Self>,
-        client: &StoreClient<WorldStores>,
+        client: &StoreClient<SimulatedTransport>,
         program: &ProgramId,
         turn: &RequestId,
     ) {
-        let most = self.within(20..60);
+        let max_tokens = self.within(20..60);
         let budget = {
             let budget = self.within(80..500);
             let mut programs = self.programs.borrow_mut();
-            programs.turn(program, turn).most = most;
+            programs.turn(program, turn).max_tokens = max_tokens;
             *programs.budgets.entry(program.clone()).or_insert(budget)
         };
-        let previous = self.choose_previous(program);
+        let previous = self.pick_previous(program);
         let begin = BeginTurn {
             program: program.clone(),
             turn: turn.clone(),
-            reservation: Some(Reservation {
-                budget,
-                max_tokens: most,
-            }),
+            reservation: Some(Reservation { budget, max_tokens }),
             previous: previous.clone(),
         };
-        let counted = self.programs.borrow().counted(program);
-        match client.begin_turn(begin, BEGIN_TIME).await {
+        let charged = self.programs.borrow().charged(program);
+        match client.begin_turn(begin, BEGIN_TIMEOUT).await {
             BeginOutcome::Begun {
                 history,
-                previous: place,
+                previous: location,
             } => {
                 self.programs
                     .borrow_mut()
-                    .began(previous.as_ref(), &history);
-                self.run_turn(client, program, turn, most, &history, place)
+                    .check_history(previous.as_ref(), &history);
+                self.run_turn(client, program, turn, max_tokens, &history, location)
                     .await;
             }
             BeginOutcome::BudgetSpent => {
-                self.programs.borrow_mut().refused(program, turn, &counted);
+                self.programs
+                    .borrow_mut()
+                    .check_rejection(program, turn, &charged);
             }
             BeginOutcome::NoSuchTurn => {
                 if let Some(previous) = &previous {
-                    self.programs.borrow().absent(previous);
+                    self.programs.borrow().check_absence(previous);
                 }
             }
             BeginOutcome::Unavailable => {
-                self.programs.borrow_mut().unsure += 1;
+                self.programs.borrow_mut().unavailable += 1;
                 let end = end_turn(program, turn, 0, None);
-                if client.end_turn(end, END_TIME).await == EndOutcome::Ended {
-                    self.programs.borrow_mut().turn(program, turn).settled = true;
+                if client.end_turn(end, END_TIMEOUT).await == EndOutcome::Ended {
+                    self.programs.borrow_mut().turn(program, turn).is_committed = true;
                 }
             }
         }
@@ -110,26 +109,28 @@
 
     async fn run_turn(
         self: &Rc<Self>,
-        client: &StoreClient<WorldStores>,
+        client: &StoreClient<SimulatedTransport>,
         program: &ProgramId,
         turn: &RequestId,
-        most: u64,
+        max_tokens: u64,
         history: &[u8],
         previous: Option<TurnLocation>,
     ) {
-        let tokens = self.within(0..most + 1);
-        let mut handed = 0;
-        while handed < tokens {
-            let step = self.within(1..20).min(tokens - handed);
+        let tokens = self.within(0..max_tokens + 1);
+        let mut delivered_tokens = 0;
+        while delivered_tokens < tokens {
+            let step = self.within(1..20).min(tokens - delivered_tokens);
             tokio::time::sleep(milliseconds(self.within(5..60))).await;
-            self.programs.borrow_mut().hand(program, turn, step);
-            handed += step;
+            self.programs
+                .borrow_mut()
+                .record_tokens(program, turn, step);
+            delivered_tokens += step;
             if self.chance(1) {
-                // The proxy dies with the turn under way.
+                // The proxy dies with the turn in flight.
                 return;
             }
         }
-        let is_whole = self.chance(90);
+        let is_complete = self.chance(90);
         let record = TurnRecord {
             turn: turn.clone(),
             program: program.clone(),
@@ -138,18 +139,18 @@
             output: bytes(format!("out {turn};"), self.within(0..80)),
             retention_ms: RETENTION.as_millis() as u64,
         };
-        let answered = Answered {
+        let answered = AnsweredTurn {
             turn: turn.clone(),
             program: program.clone(),
             history: [history, &record.input, &record.output].concat(),
             at: Instant::now(),
         };
-        let end = end_turn(program, turn, tokens, is_whole.then_some(record));
-        if client.end_turn(end, END_TIME).await == EndOutcome::Ended {
+        let end = end_turn(program, turn, tokens, is_complete.then_some(record));
+        if client.end_turn(end, END_TIMEOUT).await == EndOutcome::Ended {
             let mut programs = self.programs.borrow_mut();
-            programs.turn(program, turn).settled = true;
-            if is_whole {
-                programs.answered.push(Answered {
+            programs.turn(program, turn).is_committed = true;
+            if is_complete {
+                programs.answered.push(AnsweredTurn {
                     at: Instant::now(),
                     ..answered
                 });
@@ -157,13 +158,13 @@
         }
     }
 
-    /// A proxy's client; it hears of views late.
-    pub fn store_client(self: &Rc<Self>, zone: u64) -> StoreClient<WorldStores> {
-        let calls = WorldStores {
+    /// A proxy's client, which gets views late.
+    pub fn store_client(self: &Rc<Self>, zone: u64) -> StoreClient<SimulatedTransport> {
+        let calls = SimulatedTransport {
             world: Rc::downgrade(self),
         };
         let client =
-            StoreClient::with_calls(calls, ZoneName::from(format!("zone-{zone}").as_str()));
+            StoreClient::with_transport(calls, ZoneName::from(format!("zone-{zone}").as_str()));
         let (world, follower) = (self.clone(), client.clone());
         client.set_view(&self.view.borrow());
         tokio::task::spawn_local(async move {
@@ -177,11 +178,11 @@
 }
 
 /// The network as a proxy sees it.
-pub struct WorldStores {
+pub struct SimulatedTransport {
     world: Weak<World>,
 }
 
-impl StoreCalls for WorldStores {
+impl StoreTransport for SimulatedTransport {
     fn call(
         &self,
         address: SocketAddr,
@@ -195,13 +196,13 @@
                 .call(None, address, StoreRequest::Proxy(call), timeout)
                 .await?
             {
-                StoreAnswer::Proxy(reply) => Ok(reply),
-                StoreAnswer::Peer(_) => Err(CallError::NoAnswer),
+                StoreResponse::Proxy(reply) => Ok(reply),
+                StoreResponse::Peer(_) => Err(CallError::NoAnswer),
             }
         }
     }
 
-    fn keep_only(&self, _: &[SocketAddr]) {}
+    fn retain_addresses(&self, _: &[SocketAddr]) {}
 }
 
 fn end_turn(
--- a/tier/store/tests/simulation/scenario.rs
+++ b/tier/store/tests/simulation/scenario.rs
@@ -1,97 +1,103 @@
-//! A whole story: clients, troubles, and what must hold after them.
+//! A scenario: clients, faults, and the invariants after them.
 
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use plankhill_conversations::placement::{replicas, Quorum};
+use plankhill_conversations::placement::replicas;
+use plankhill_conversations::quorum::Quorum;
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::tables::StoreMember;
 use plankhill_store_client::{BeginOutcome, BeginTurn, StoreClient};
 
-use super::faults::Trouble;
+use super::faults::Fault;
 use super::machine::Machine;
 use super::programs::RETENTION;
-use super::proxy::WorldStores;
-use super::{milliseconds, run, Plant, World};
+use super::proxy::SimulatedTransport;
+use super::{milliseconds, run, SeededBug, World};
 
-/// What a story consists of.
+/// The parameters of a scenario.
 #[derive(Clone, Copy, Debug)]
-pub struct Story {
+pub struct Scenario {
     pub stores: u64,
-    pub faults: u32,
+    pub tolerated_faults: u32,
     pub clients: u64,
     pub turns: u64,
-    pub troubles: u64,
-    /// Lost messages in a hundred at most.
+    pub fault_count: u64,
+    /// Lost messages at most, in percent.
     pub loss: u64,
-    pub kinds: &'static [Trouble],
-    pub plant: Plant,
+    pub fault_kinds: &'static [Fault],
+    pub bug: SeededBug,
 }
 
-impl Story {
-    pub const SMALL: Story = Story {
+impl Scenario {
+    pub const SMALL: Scenario = Scenario {
         stores: 3,
-        faults: 1,
+        tolerated_faults: 1,
         clients: 4,
         turns: 25,
-        troubles: 2,
+        fault_count: 2,
         loss: 2,
-        kinds: &[],
-        plant: Plant::Nothing,
+        fault_kinds: &[],
+        bug: SeededBug::None,
     };
 }
 
-/// What happened, to see that a story was not empty.
+/// What happened, to see that a scenario was not empty.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct Summary {
     pub answered: u64,
     pub begun: u64,
-    pub spent: u64,
-    pub unsure: u64,
+    pub rejected: u64,
+    pub unavailable: u64,
 }
 
-/// Tells the story of one seed; panics where something does not hold.
-pub fn tell(seed: u64, story: Story) -> Told {
+/// Runs a scenario with one seed; panics where an invariant does not hold.
+pub fn run_scenario(seed: u64, scenario: Scenario) -> Summary {
     run(async move {
-        let world = World::new(seed, story.stores, story.faults, story.plant);
-        world.network.borrow_mut().loss = world.within(0..story.loss + 1);
+        let world = World::new(
+            seed,
+            scenario.stores,
+            scenario.tolerated_faults,
+            scenario.bug,
+        );
+        world.network.borrow_mut().loss = world.within(0..scenario.loss + 1);
         tokio::task::spawn_local(world.clone().run_control());
         tokio::time::sleep(milliseconds(200)).await;
-        let clients = (0..story.clients)
-            .map(|name| tokio::task::spawn_local(world.clone().run_client(name, story.turns)));
+        let clients = (0..scenario.clients)
+            .map(|name| tokio::task::spawn_local(world.clone().run_client(name, scenario.turns)));
         let clients: Vec<_> = clients.collect();
         world
             .clone()
-            .run_troubles(story.troubles, story.kinds)
+            .run_faults(scenario.fault_count, scenario.fault_kinds)
             .await;
         for client in clients {
             join(client.await);
         }
         world.network.borrow_mut().loss = 0;
-        settle(&world).await;
+        wait_for_stable_view(&world).await;
         check_found(&world).await;
         check_repaired(&world);
         world.ended.set(true);
         let programs = world.programs.borrow();
-        Told {
+        Summary {
             answered: programs.answered.len() as u64,
             begun: programs.begun,
-            spent: programs.spent,
-            unsure: programs.unsure,
+            rejected: programs.rejected,
+            unavailable: programs.unavailable,
         }
     })
 }
 
-/// A panic of a client is the story's own.
+/// A panic of a client is the scenario's own.
 fn join(outcome: Result<(), tokio::task::JoinError>) {
     if let Err(error) = outcome {
         std::panic::resume_unwind(error.into_panic());
     }
 }
 
-/// All machines are there: views come to rest in time.
-async fn settle(world: &Rc<World>) {
+/// All machines run: the view must be stable in time.
+async fn wait_for_stable_view(world: &Rc<World>) {
     tokio::time::sleep(Duration::from_millis(super::faults::CATCH_UP_MS)).await;
     let view = world.view.borrow().clone();
     assert!(
@@ -100,7 +106,7 @@
     );
 }
 
-/// Each turn that was answered whole is found, and one that never was is known not to be.
+/// Each turn that was answered completely must be found, and one that never was must be known as absent.
 async fn check_found(world: &Rc<World>) {
     let client = world.store_client(0);
     let answered = world.programs.borrow().answered.clone();
@@ -133,26 +139,26 @@
     );
 }
 
-/// Nothing is left to be delivered, and each turn lies on all of its replicas' disks, but for those whose
-/// hint was lost with its store: they lie on enough.
+/// No hint may be pending, and each turn must be on all of its replicas' disks. A turn whose hint was lost
+/// with its store must be on a write quorum of them.
 fn check_repaired(world: &Rc<World>) {
     let view = world.view.borrow().clone();
     let machines = world.machines.borrow();
-    let waiting: usize = machines
+    let pending: usize = machines
         .values()
         .filter_map(Machine::node)
-        .map(|node| node.hints_waiting())
+        .map(|node| node.pending_hints())
         .sum();
-    assert!(waiting == 0, "REPAIR: {waiting} hints are left");
+    assert!(pending == 0, "REPAIR: {pending} hints are left");
     let answered = world.programs.borrow().answered.clone();
     let mut short = 0;
     for turn in answered.iter().filter(|turn| turn.at.elapsed() < RETENTION) {
-        let holders = replicas(&view.serving, &turn.program, world.faults);
-        let holds = |member: &&&StoreMember| machines[&member.node].has_turn(&turn.turn);
-        let copies = holders.iter().filter(holds).count();
-        let enough = Quorum::of(holders.len(), world.faults).write;
+        let members = replicas(&view.serving, &turn.program, world.tolerated_faults);
+        let has_turn = |member: &&&StoreMember| machines[&member.node].has_turn(&turn.turn);
+        let copies = members.iter().filter(has_turn).count();
+        let enough = Quorum::new(members.len(), world.tolerated_faults).write;
         assert!(copies >= enough, "COPIES: {copies} of {}", turn.turn);
-        short += usize::from(copies < holders.len());
+        short += usize::from(copies < members.len());
     }
     assert!(
         short * 20 <= answered.len(),
@@ -162,7 +168,7 @@
 }
 
 async fn read(
-    client: &StoreClient<WorldStores>,
+    client: &StoreClient<SimulatedTransport>,
     program: &ProgramId,
     turn: &RequestId,
 ) -> BeginOutcome {
--- a/tier/store/tests/simulation_checks.rs
+++ b/tier/store/tests/simulation_checks.rs
@@ -1,68 +1,77 @@
-//! Each check of the simulated deployment bites: something is broken on purpose, and a few hundred seeds
-//! show it.
+//! Each check of the simulated deployment detects the defects that it is for: a defect is put in, and a few
+//! hundred seeds show it.
 
-mod world;
+mod simulation;
 
 use std::panic::catch_unwind;
 
-use world::faults::Trouble;
-use world::scenario::{tell, Story};
-use world::Plant;
+use simulation::faults::Fault;
+use simulation::scenario::{run_scenario, Scenario};
+use simulation::SeededBug;
 
-/// Seeds that are tried until a check bites.
+/// Seeds that are run until a check fails.
 const SEEDS: u64 = 300;
 
-/// The first seed whose story ends with one of these checks.
-fn bites(story: Story, checks: &[&str]) {
+/// Checks that the scenario fails with one of these checks for some seed.
+fn assert_detected(scenario: Scenario, checks: &[&str]) {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
     let found = (0..SEEDS).find(|seed| {
-        let Err(panic) = catch_unwind(|| tell(*seed, story)) else {
+        let Err(panic) = catch_unwind(|| run_scenario(*seed, scenario)) else {
             return false;
         };
         let text = panic.downcast_ref::<String>().cloned().unwrap_or_default();
         checks.iter().any(|check| text.starts_with(check))
     });
     std::panic::set_hook(hook);
-    assert!(found.is_some(), "no seed shows {:?}", story.plant);
+    assert!(found.is_some(), "no seed shows {:?}", scenario.bug);
 }
 
 #[test]
-fn planted_faults_are_seen() {
-    let power = &[Trouble::Power];
-    let wipe = &[Trouble::Wipe];
-    let wipes = &[Trouble::Wipe, Trouble::PowerAndWipe];
-    let moves = &[Trouble::Add, Trouble::Retire];
-    let story = |plant, kinds| Story {
-        plant,
-        kinds,
-        troubles: 4,
-        ..Story::SMALL
+fn seeded_bugs_are_detected() {
+    let power = &[Fault::Power];
+    let wipe = &[Fault::Wipe];
+    let wipes = &[Fault::Wipe, Fault::PowerAndWipe];
+    let moves = &[Fault::Add, Fault::Retire];
+    let scenario = |bug, fault_kinds| Scenario {
+        bug,
+        fault_kinds,
+        fault_count: 4,
+        ..Scenario::SMALL
     };
-    bites(story(Plant::DisksIgnoreSyncs, power), &["LOST"]);
-    // Without a spare copy nobody can say what a lost disk held: the set never changes.
-    bites(story(Plant::NoSpareCopies, wipe), &["CATCH UP", "LOST"]);
-    bites(story(Plant::SameIncarnation, wipes), &["LOST", "BUDGET"]);
-    bites(
-        Story {
+    assert_detected(scenario(SeededBug::DisksIgnoreSyncs, power), &["LOST"]);
+    // Without a spare replica no store knows what was on a lost disk: the set never changes.
+    assert_detected(
+        scenario(SeededBug::NoSpareReplicas, wipe),
+        &["CATCH UP", "LOST"],
+    );
+    assert_detected(
+        scenario(SeededBug::SameIncarnation, wipes),
+        &["LOST", "BUDGET"],
+    );
+    assert_detected(
+        Scenario {
             stores: 4,
-            ..story(Plant::SwitchesAtOnce, moves)
+            ..scenario(SeededBug::SwitchesBeforeTransfer, moves)
         },
         &["LOST", "BUDGET"],
     );
-    bites(
-        Story {
-            troubles: 0,
-            ..story(Plant::AccountsUntold, power)
+    assert_detected(
+        Scenario {
+            fault_count: 0,
+            ..scenario(SeededBug::AccountsNotSent, power)
         },
         &["BUDGET"],
     );
-    bites(
-        Story {
-            troubles: 0,
-            ..story(Plant::FastClocks, power)
+    assert_detected(
+        Scenario {
+            fault_count: 0,
+            ..scenario(SeededBug::FastClocks, power)
         },
         &["LOST"],
     );
-    bites(story(Plant::NoRepairs, &[Trouble::CutOff]), &["REPAIR"]);
+    assert_detected(
+        scenario(SeededBug::NoRepairs, &[Fault::Isolate]),
+        &["REPAIR"],
+    );
 }
--- a/tier/store/tests/simulation_seeds.rs
+++ b/tier/store/tests/simulation_seeds.rs
@@ -1,9 +1,9 @@
 //! Many seeds of the simulated deployment. `STORE_SEEDS=from..to` chooses them.
 
-mod world;
+mod simulation;
 
-use world::faults::Trouble;
-use world::scenario::{tell, Story, Told};
+use simulation::faults::Fault;
+use simulation::scenario::{run_scenario, Scenario, Summary};
 
 fn seeds(count: u64) -> std::ops::Range<u64> {
     let Ok(range) = std::env::var("STORE_SEEDS") else {
@@ -13,15 +13,15 @@
     from.parse().expect("from")..to.parse().expect("to")
 }
 
-fn tell_all(count: u64, story: Story) -> Told {
-    let mut sum = Told::default();
+fn run_seeds(count: u64, scenario: Scenario) -> Summary {
+    let mut sum = Summary::default();
     for seed in seeds(count) {
-        let told = std::panic::catch_unwind(|| tell(seed, story));
-        let told = told.unwrap_or_else(|_| panic!("seed {seed} of {story:?}"));
-        sum.answered += told.answered;
-        sum.begun += told.begun;
-        sum.spent += told.spent;
-        sum.unsure += told.unsure;
+        let summary = std::panic::catch_unwind(|| run_scenario(seed, scenario));
+        let summary = summary.unwrap_or_else(|_| panic!("seed {seed} of {scenario:?}"));
+        sum.answered += summary.answered;
+        sum.begun += summary.begun;
+        sum.rejected += summary.rejected;
+        sum.unavailable += summary.unavailable;
     }
     println!("{sum:?}");
     assert!(sum.answered > 0 && sum.begun > 0);
@@ -29,57 +29,60 @@
 }
 
 #[test]
-fn without_troubles_nothing_is_unsure() {
-    let told = tell_all(
+fn without_faults_hardly_any_turn_is_unavailable() {
+    let summary = run_seeds(
         20,
-        Story {
-            troubles: 0,
-            ..Story::SMALL
+        Scenario {
+            fault_count: 0,
+            ..Scenario::SMALL
         },
     );
-    assert!(told.unsure * 20 < told.begun, "{told:?}");
-    assert!(told.spent > 0, "budgets were never spent: {told:?}");
+    assert!(summary.unavailable * 20 < summary.begun, "{summary:?}");
+    assert!(
+        summary.rejected > 0,
+        "no budget was ever exhausted: {summary:?}"
+    );
 }
 
 #[test]
-fn three_stores_bear_all_troubles() {
-    tell_all(200, Story::SMALL);
+fn three_stores_tolerate_all_faults() {
+    run_seeds(200, Scenario::SMALL);
 }
 
 #[test]
-fn four_stores_bear_all_troubles() {
-    tell_all(
+fn four_stores_tolerate_all_faults() {
+    run_seeds(
         200,
-        Story {
+        Scenario {
             stores: 4,
-            troubles: 3,
-            ..Story::SMALL
+            fault_count: 3,
+            ..Scenario::SMALL
         },
     );
 }
 
 #[test]
-fn six_stores_bear_two_lost_at_once() {
-    tell_all(
+fn six_stores_tolerate_two_lost_at_once() {
+    run_seeds(
         60,
-        Story {
+        Scenario {
             stores: 6,
-            faults: 2,
-            ..Story::SMALL
+            tolerated_faults: 2,
+            ..Scenario::SMALL
         },
     );
 }
 
 #[test]
-fn retired_stores_take_nothing_with_them() {
-    let kinds = &[Trouble::Retire, Trouble::Add];
-    tell_all(
+fn retiring_stores_loses_nothing() {
+    let fault_kinds = &[Fault::Retire, Fault::Add];
+    run_seeds(
         60,
-        Story {
+        Scenario {
             stores: 4,
-            troubles: 4,
-            kinds,
-            ..Story::SMALL
+            fault_count: 4,
+            fault_kinds,
+            ..Scenario::SMALL
         },
     );
 }
--- a/tier/store/tests/state_folder.rs
+++ b/tier/store/tests/state_folder.rs
@@ -1,20 +1,20 @@
-//! A store's folder: empty, kept, half made, unreadable.
+//! A store's state folder: empty, existing, partly created, unreadable.
 
 use std::fs;
 use std::path::Path;
 
 use plankhill_protocol::ids::Incarnation;
-use plankhill_store::disk::open_folder;
+use plankhill_store::storage::open_state_folder;
 
 const FIRST: Incarnation = Incarnation(1);
 const SECOND: Incarnation = Incarnation(2);
 
-async fn incarnation(folder: &Path, fresh: Incarnation) -> Incarnation {
-    open_folder(folder, fresh).await.incarnation
+async fn incarnation(folder: &Path, new_incarnation: Incarnation) -> Incarnation {
+    open_state_folder(folder, new_incarnation).await.incarnation
 }
 
 #[tokio::test]
-async fn a_kept_folder_keeps_its_incarnation() {
+async fn an_existing_folder_keeps_its_incarnation() {
     let folder = tempfile::tempdir().expect("a folder");
     let data = folder.path().join("not/yet/there");
     assert_eq!(incarnation(&data, FIRST).await, FIRST);
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_folder_whose_first_sync_is_not_over_counts_as_empty() {
+async fn a_folder_without_its_ready_file_counts_as_empty() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(incarnation(folder.path(), FIRST).await, FIRST);
     fs::remove_file(folder.path().join("ready")).expect("a file");
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn a_database_that_cannot_be_read_counts_as_empty() {
+async fn an_unreadable_database_counts_as_empty() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(incarnation(folder.path(), FIRST).await, FIRST);
     empty_files(&folder.path().join("rows"));
--- a/tier/store/tests/storage_contract.rs
+++ b/tier/store/tests/storage_contract.rs
@@ -1,10 +1,10 @@
-//! What every disk must do.
+//! The contract of every storage.
 
 use std::future::Future;
 use std::time::Duration;
 
 use plankhill_conversations::rows::{RowChange, Table};
-use plankhill_store::disk::{Disk, FjallDisk, MemoryDisk};
+use plankhill_store::storage::{FjallStorage, MemoryStorage, Storage};
 use tokio::task::LocalSet;
 
 fn row(key: &str, value: &str) -> RowChange {
@@ -15,51 +15,61 @@
     }
 }
 
-fn read(disk: &impl Disk, table: Table, key: &str) -> Option<String> {
-    let value = disk.read(table, key.as_bytes()).expect("a readable disk");
+fn read(storage: &impl Storage, table: Table, key: &str) -> Option<String> {
+    let value = storage
+        .read(table, key.as_bytes())
+        .expect("a readable disk");
     value.map(|value| String::from_utf8(value).expect("text"))
 }
 
-fn keys(disk: &impl Disk, table: Table) -> Vec<String> {
+fn keys(storage: &impl Storage, table: Table) -> Vec<String> {
     let mut keys = Vec::new();
     let mut visit = |key: &[u8], _: &[u8]| keys.push(String::from_utf8_lossy(key).into_owned());
-    disk.scan(table, &mut visit).expect("a readable disk");
+    storage.scan(table, &mut visit).expect("a readable disk");
     keys
 }
 
-/// All that a disk must do while it is open.
-async fn keeps_its_contract(disk: impl Disk) {
-    a_row_is_there_once_its_commit_has_ended(&disk).await;
-    a_removed_row_is_gone(&disk).await;
-    tables_do_not_mix(&disk).await;
-    rows_come_in_the_order_of_their_keys(&disk).await;
-    commits_end_in_the_order_of_their_calls(&disk).await;
-    a_commit_goes_on_when_nobody_waits(&disk).await;
+/// All that a storage must do while it is open.
+async fn check_contract(storage: impl Storage) {
+    a_row_is_there_once_its_commit_has_ended(&storage).await;
+    a_removed_row_is_gone(&storage).await;
+    tables_are_separate(&storage).await;
+    scans_are_ordered_by_key(&storage).await;
+    commits_end_in_the_order_of_their_calls(&storage).await;
+    a_commit_goes_on_when_its_future_is_dropped(&storage).await;
 }
 
-async fn a_row_is_there_once_its_commit_has_ended(disk: &impl Disk) {
-    disk.commit(vec![row("one", "first"), row("two", "second")])
+async fn a_row_is_there_once_its_commit_has_ended(storage: &impl Storage) {
+    storage
+        .commit(vec![row("one", "first"), row("two", "second")])
         .await
         .expect("a commit");
-    assert_eq!(read(disk, Table::Turns, "one").as_deref(), Some("first"));
-    disk.commit(vec![row("one", "changed")])
+    assert_eq!(read(storage, Table::Turns, "one").as_deref(), Some("first"));
+    storage
+        .commit(vec![row("one", "changed")])
         .await
         .expect("a commit");
-    assert_eq!(read(disk, Table::Turns, "one").as_deref(), Some("changed"));
-    assert_eq!(read(disk, Table::Turns, "on"), None);
+    assert_eq!(
+        read(storage, Table::Turns, "one").as_deref(),
+        Some("changed")
+    );
+    assert_eq!(read(storage, Table::Turns, "on"), None);
 }
 
-async fn a_removed_row_is_gone(disk: &impl Disk) {
+async fn a_removed_row_is_gone(storage: &impl Storage) {
     let removals = vec![
         RowChange::remove(Table::Turns, b"one".to_vec()),
         RowChange::remove(Table::Turns, b"never there".to_vec()),
     ];
-    disk.commit(removals).await.expect("a commit");
-    assert_eq!(read(disk, Table::Turns, "one"), None);
-    assert_eq!(read(disk, Table::Turns, "two").as_deref(), Some("second"));
+    storage.commit(removals).await.expect("a commit");
+    assert_eq!(read(storage, Table::Turns, "one"), None);
+    assert_eq!(
+        read(storage, Table::Turns, "two").as_deref(),
+        Some("second")
+    );
 }
 
-async fn tables_do_not_mix(disk: &impl Disk) {
+async fn tables_are_separate(storage: &impl Storage) {
     for table in Table::ALL {
         let value = format!("{table:?}").into_bytes();
         let change = RowChange {
@@ -67,97 +77,103 @@
             key: b"same".to_vec(),
             value: Some(value),
         };
-        disk.commit(vec![change]).await.expect("a commit");
+        storage.commit(vec![change]).await.expect("a commit");
     }
     for table in Table::ALL {
-        assert_eq!(read(disk, table, "same"), Some(format!("{table:?}")));
+        assert_eq!(read(storage, table, "same"), Some(format!("{table:?}")));
     }
-    assert_eq!(keys(disk, Table::Hints), ["same"]);
+    assert_eq!(keys(storage, Table::Hints), ["same"]);
 }
 
-async fn rows_come_in_the_order_of_their_keys(disk: &impl Disk) {
-    disk.commit(vec![row("b", ""), row("a", ""), row("", ""), row("ab", "")])
+async fn scans_are_ordered_by_key(storage: &impl Storage) {
+    storage
+        .commit(vec![row("b", ""), row("a", ""), row("", ""), row("ab", "")])
         .await
         .expect("a commit");
     assert_eq!(
-        keys(disk, Table::Turns),
+        keys(storage, Table::Turns),
         ["", "a", "ab", "b", "same", "two"]
     );
 }
 
-async fn commits_end_in_the_order_of_their_calls(disk: &impl Disk) {
-    let first = disk.commit(vec![row("order", "1")]);
-    let second = disk.commit(vec![row("order", "2")]);
-    let barrier = disk.commit(Vec::new());
+async fn commits_end_in_the_order_of_their_calls(storage: &impl Storage) {
+    let first = storage.commit(vec![row("order", "1")]);
+    let second = storage.commit(vec![row("order", "2")]);
+    let barrier = storage.commit(Vec::new());
     barrier.await.expect("a commit");
-    assert_eq!(read(disk, Table::Turns, "order").as_deref(), Some("2"));
+    assert_eq!(read(storage, Table::Turns, "order").as_deref(), Some("2"));
     second.await.expect("a commit");
     first.await.expect("a commit");
 }
 
-async fn a_commit_goes_on_when_nobody_waits(disk: &impl Disk) {
-    drop(disk.commit(vec![row("dropped", "kept")]));
-    disk.commit(Vec::new()).await.expect("a commit");
-    assert_eq!(read(disk, Table::Turns, "dropped").as_deref(), Some("kept"));
+async fn a_commit_goes_on_when_its_future_is_dropped(storage: &impl Storage) {
+    drop(storage.commit(vec![row("dropped", "kept")]));
+    storage.commit(Vec::new()).await.expect("a commit");
+    assert_eq!(
+        read(storage, Table::Turns, "dropped").as_deref(),
+        Some("kept")
+    );
 }
 
-fn run<T>(story: impl Future<Output = T>) -> T {
+fn run<T>(scenario: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), story)
+    LocalSet::new().block_on(&runtime.expect("a runtime"), scenario)
 }
 
 #[test]
-fn memory_keeps_the_contract() {
-    world_time(keeps_its_contract(MemoryDisk::new(Duration::from_millis(
-        5,
-    ))));
+fn memory_storage_fulfils_the_contract() {
+    run_in_virtual_time(check_contract(MemoryStorage::new(Duration::from_millis(5))));
 }
 
 #[test]
-fn fjall_keeps_the_contract() {
+fn fjall_storage_fulfils_the_contract() {
     let folder = tempfile::tempdir().expect("a folder");
-    run(async { keeps_its_contract(FjallDisk::open(folder.path()).expect("a database")).await });
+    run(async { check_contract(FjallStorage::open(folder.path()).expect("a database")).await });
 }
 
 #[test]
-fn fjall_holds_synced_rows_when_it_is_opened_again() {
+fn fjall_storage_has_synced_rows_when_opened_again() {
     let folder = tempfile::tempdir().expect("a folder");
     run(async {
-        let disk = FjallDisk::open(folder.path()).expect("a database");
-        disk.commit(vec![row("kept", "value")])
+        let storage = FjallStorage::open(folder.path()).expect("a database");
+        storage
+            .commit(vec![row("kept", "value")])
             .await
             .expect("a commit");
-        disk.commit(vec![RowChange::remove(Table::Turns, b"gone".to_vec())])
+        storage
+            .commit(vec![RowChange::remove(Table::Turns, b"gone".to_vec())])
             .await
             .expect("a commit");
         // The copy is what another process finds after this one was killed.
         let copy = tempfile::tempdir().expect("a folder");
         copy_folder(folder.path(), copy.path());
-        let again = FjallDisk::open(copy.path()).expect("a database");
+        let again = FjallStorage::open(copy.path()).expect("a database");
         assert_eq!(read(&again, Table::Turns, "kept").as_deref(), Some("value"));
     });
 }
 
 #[test]
-fn fjall_holds_synced_rows_behind_a_torn_journal() {
+fn fjall_storage_has_synced_rows_before_a_torn_journal_entry() {
     let folder = tempfile::tempdir().expect("a folder");
     run(async {
-        let disk = FjallDisk::open(folder.path()).expect("a database");
-        disk.commit(vec![row("kept", "value")])
+        let storage = FjallStorage::open(folder.path()).expect("a database");
+        storage
+            .commit(vec![row("kept", "value")])
             .await
             .expect("a commit");
         let copy = tempfile::tempdir().expect("a folder");
         copy_folder(folder.path(), copy.path());
-        disk.commit(vec![row("torn", &"x".repeat(5_000))])
+        storage
+            .commit(vec![row("torn", &"x".repeat(5_000))])
             .await
             .expect("a commit");
         let torn = tempfile::tempdir().expect("a folder");
         copy_folder(folder.path(), torn.path());
         let torn_files = tear_what_is_newer(copy.path(), torn.path());
         assert!(torn_files > 0, "nothing was torn");
-        let again = FjallDisk::open(torn.path()).expect("a database");
+        let again = FjallStorage::open(torn.path()).expect("a database");
         assert_eq!(read(&again, Table::Turns, "kept").as_deref(), Some("value"));
         assert_eq!(read(&again, Table::Turns, "torn"), None);
     });
@@ -212,10 +228,10 @@
 }
 
 /// In virtual time.
-fn world_time<T>(story: impl Future<Output = T>) -> T {
+fn run_in_virtual_time<T>(scenario: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), story)
+    LocalSet::new().block_on(&runtime.expect("a runtime"), scenario)
 }
--- a/tier/store/tests/stored_format.rs
+++ b/tier/store/tests/stored_format.rs
@@ -10,21 +10,19 @@
 use std::time::Duration;
 
 use plankhill_conversations::account::TurnState;
-use plankhill_conversations::peer::{KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse};
-use plankhill_conversations::rows::{
-    account_key, hint_key, read_row, turn_key, AccountRow, Table, TurnRow, INCARNATION_KEY,
-    VIEW_KEY,
-};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
+use plankhill_conversations::keys::{account_key, hint_key, turn_key, INCARNATION_KEY, VIEW_KEY};
+use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse, RetainedTurn};
+use plankhill_conversations::rows::{decode_row, AccountRow, Table, TurnRow};
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
 use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use plankhill_protocol::transport::CallError;
 use plankhill_store::clock::Clock;
-use plankhill_store::disk::{open_folder, Disk, FjallDisk};
-use plankhill_store::figures::Figures;
-use plankhill_store::node::{Node, Parts};
+use plankhill_store::limits::Limits;
+use plankhill_store::node::{Node, NodeParts};
 use plankhill_store::peers::Peers;
+use plankhill_store::storage::{open_state_folder, FjallStorage, Storage};
 
 /// The time of day at which the folder was written, in milliseconds.
 const WRITTEN_MS: u64 = 1_790_000_000_000;
@@ -56,7 +54,7 @@
     }
 }
 
-type StoreNode = Node<NoPeers, FjallDisk, FixedClock>;
+type StoreNode = Node<NoPeers, FjallStorage, FixedClock>;
 
 fn program(number: u8) -> ProgramId {
     ProgramId::from(format!("program-{number}").as_str())
@@ -151,18 +149,18 @@
 }
 
 async fn load(folder: &Path) -> Rc<StoreNode> {
-    let opened = open_folder(folder, FRESH).await;
-    let parts = Parts {
-        me: StoreMember {
+    let opened = open_state_folder(folder, FRESH).await;
+    let parts = NodeParts {
+        identity: StoreMember {
             incarnation: opened.incarnation,
             ..member(1)
         },
-        figures: Figures {
-            slack_ms: 10_000,
-            most_bytes: 50_000_000,
+        limits: Limits {
+            retention_slack_ms: 10_000,
+            max_index_bytes: 50_000_000,
         },
         peers: NoPeers,
-        disk: opened.disk,
+        storage: opened.storage,
         clock: FixedClock(WRITTEN_MS + 1_000),
     };
     Node::load(parts).expect("a readable folder")
@@ -175,15 +173,15 @@
         body,
     };
     match node.clone().answer(StoreRequest::Peer(call)).await {
-        StoreAnswer::Peer(reply) => {
+        StoreResponse::Peer(reply) => {
             assert_eq!(reply.incarnation, STORED);
             reply.body
         }
-        StoreAnswer::Proxy(reply) => panic!("{reply:?}"),
+        StoreResponse::Proxy(reply) => panic!("{reply:?}"),
     }
 }
 
-fn rows(disk: &impl Disk, table: Table) -> Vec<(Vec<u8>, Vec<u8>)> {
+fn rows(disk: &impl Storage, table: Table) -> Vec<(Vec<u8>, Vec<u8>)> {
     let mut rows = Vec::new();
     disk.scan(table, &mut |key, value| {
         rows.push((key.to_vec(), value.to_vec()))
@@ -193,7 +191,7 @@
 }
 
 fn read<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> T {
-    read_row(bytes).expect("a row of this table")
+    decode_row(bytes).expect("a row of this table")
 }
 
 #[test]
@@ -201,9 +199,9 @@
     run(async {
         let folder = copied_state();
         let node = load(folder.path()).await;
-        assert_eq!(node.me().incarnation, STORED);
+        assert_eq!(node.identity().incarnation, STORED);
         assert_eq!(node.view(), view());
-        assert_eq!(node.hints_waiting(), 2);
+        assert_eq!(node.pending_hints(), 2);
 
         let programs = vec![program(1), program(2), program(3)];
         let PeerResponse::Outlines(outlines) =
@@ -218,9 +216,9 @@
             .map(|(name, state)| (name.clone(), state))
             .collect();
         let expected = [
-            (turn(1), TurnState::Settled { tokens: 321 }),
-            (turn(3), TurnState::Reserved { most: 600 }),
-            (turn(4), TurnState::Refused),
+            (turn(1), TurnState::Committed { tokens: 321 }),
+            (turn(3), TurnState::Reserved { max_tokens: 600 }),
+            (turn(4), TurnState::Rejected),
         ];
         assert_eq!(states, expected);
         assert_eq!(outlines[0].turns, [turn(1)]);
@@ -229,7 +227,7 @@
             .turns()
             .map(|(name, state)| (name.clone(), state))
             .collect();
-        assert_eq!(states, [(turn(2), TurnState::Settled { tokens: 0 })]);
+        assert_eq!(states, [(turn(2), TurnState::Committed { tokens: 0 })]);
         assert_eq!(outlines[1].turns, [turn(2)]);
 
         let turns = vec![turn(1), turn(2), turn(3)];
@@ -238,11 +236,11 @@
         };
         // The second turn keeps the first one as long as itself; an extension keeps both longer than that.
         let expected = [
-            KeptTurn {
+            RetainedTurn {
                 record: first_record(),
                 remaining_ms: 499_000,
             },
-            KeptTurn {
+            RetainedTurn {
                 record: second_record(),
                 remaining_ms: 499_000,
             },
@@ -254,7 +252,7 @@
             rest: None,
         };
         assert_eq!(
-            ask(&node, PeerRequest::Chain { turn: turn(2) }).await,
+            ask(&node, PeerRequest::ReadChain { turn: turn(2) }).await,
             expected
         );
     });
@@ -264,10 +262,10 @@
 fn the_folder_holds_the_rows_of_each_table() {
     run(async {
         let folder = copied_state();
-        let opened = open_folder(folder.path(), FRESH).await;
+        let opened = open_state_folder(folder.path(), FRESH).await;
         assert_eq!(opened.incarnation, STORED);
         for table in Table::ALL {
-            let rows = rows(&opened.disk, table);
+            let rows = rows(&opened.storage, table);
             let keys: Vec<&[u8]> = rows.iter().map(|(key, _)| key.as_slice()).collect();
             match table {
                 Table::Turns => {
@@ -293,16 +291,16 @@
                     let expected = [
                         (
                             account_key(&program(1), &turn(1)),
-                            TurnState::Settled { tokens: 321 },
+                            TurnState::Committed { tokens: 321 },
                         ),
                         (
                             account_key(&program(1), &turn(3)),
-                            TurnState::Reserved { most: 600 },
+                            TurnState::Reserved { max_tokens: 600 },
                         ),
-                        (account_key(&program(1), &turn(4)), TurnState::Refused),
+                        (account_key(&program(1), &turn(4)), TurnState::Rejected),
                         (
                             account_key(&program(2), &turn(2)),
-                            TurnState::Settled { tokens: 0 },
+                            TurnState::Committed { tokens: 0 },
                         ),
                     ];
                     assert_eq!(rows.len(), expected.len());
@@ -329,7 +327,7 @@
                     assert_eq!(keys, [turn_key(&turn(2))]);
                     assert_eq!(read::<u64>(&rows[0].1), WRITTEN_MS + 500_000);
                 }
-                Table::Own => {
+                Table::Metadata => {
                     assert_eq!(keys, [INCARNATION_KEY, VIEW_KEY]);
                     assert_eq!(read::<Incarnation>(&rows[0].1), STORED);
                     assert_eq!(read::<StoreView>(&rows[1].1), view());
@@ -343,7 +341,10 @@
 fn a_new_folder_has_the_same_files_as_the_stored_one() {
     run(async {
         let fresh = tempfile::tempdir().expect("a folder");
-        assert_eq!(open_folder(fresh.path(), FRESH).await.incarnation, FRESH);
+        assert_eq!(
+            open_state_folder(fresh.path(), FRESH).await.incarnation,
+            FRESH
+        );
         assert_eq!(names(fresh.path()), ["ready", "rows"]);
         assert_eq!(names(copied_state().path()), ["ready", "rows"]);
     });
