--- a/tier/proxy/src/admission.rs
+++ b/tier/proxy/src/admission.rs
@@ -1,56 +1,68 @@
-//! Hands requests to the dispatcher and carries out what it commands.
+//! Hands requests to the dispatcher and carries out its commands.
+//!
+//! The task of a request holds an [`AdmittedRequest`] and waits there for decisions; the dispatcher's
+//! commands reach it through a channel. Health checks go to their own task. One [`Admission`] is shared
+//! by all tasks of the process and owns the dispatcher.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
 use plankhill_dispatch::{
-    AttemptOutcome, AttemptResult, Command, HealthCheckResult, Ms, NewRequest, RequestKey,
-    UpstreamLoad,
+    AttemptOutcome, AttemptResult, Command, HealthCheckResult, NewRequest, RequestKey, UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
-use tokio::sync::{mpsc, Notify};
+use tokio::sync::mpsc;
 
 use crate::clock::Clock;
-use crate::decisions::Decisions;
-use crate::orders::{Call, Leave, Order, PingOrder};
+use crate::decision::{Attempt, Decision, HealthCheckRequest, SendPermit};
+use crate::dispatch::Dispatch;
 use crate::snapshot::Snapshot;
 use crate::target_pool::TargetPool;
+use crate::wake_up::WakeUp;
 
-struct Mailbox {
-    orders: mpsc::UnboundedSender<Order>,
-    out: Option<(InstanceId, Rc<Leave>)>,
+/// A request that the dispatcher knows and that is not answered yet.
+struct PendingRequest {
+    /// To the request's task. Holds at most one decision: none follows an attempt before the task has
+    /// reported its end, and an answer is the last one.
+    decisions: mpsc::UnboundedSender<Decision>,
+    in_flight: Option<InFlightAttempt>,
+}
+
+struct InFlightAttempt {
+    target: InstanceId,
+    send_permit: Rc<SendPermit>,
 }
 
 /// The dispatcher, the requests that it knows, and the time at which it wants to be asked again.
 pub struct Admission {
     clock: Clock,
-    decisions: RefCell<Box<dyn Decisions>>,
-    mailboxes: RefCell<HashMap<RequestKey, Mailbox>>,
+    dispatcher: RefCell<Box<dyn Dispatch>>,
+    pending: RefCell<HashMap<RequestKey, PendingRequest>>,
     next_key: Cell<u64>,
-    wake_at: Cell<Option<Ms>>,
-    wake_changed: Notify,
+    wake_up: WakeUp,
     pool: Rc<TargetPool>,
-    pings: mpsc::UnboundedSender<PingOrder>,
+    /// Bounded by the dispatcher: it has one health check of a target under way at a time.
+    health_checks: mpsc::UnboundedSender<HealthCheckRequest>,
 }
 
 impl Admission {
-    /// Health checks that are due go to `pings`.
+    /// Health checks that are due go to `health_checks`, whose receiver has to live as long as the
+    /// process.
     pub fn new(
         clock: Clock,
-        decisions: Box<dyn Decisions>,
+        dispatcher: Box<dyn Dispatch>,
         pool: Rc<TargetPool>,
-        pings: mpsc::UnboundedSender<PingOrder>,
+        health_checks: mpsc::UnboundedSender<HealthCheckRequest>,
     ) -> Self {
         Admission {
             clock,
-            decisions: RefCell::new(decisions),
-            mailboxes: RefCell::default(),
+            dispatcher: RefCell::new(dispatcher),
+            pending: RefCell::default(),
             next_key: Cell::new(1),
-            wake_at: Cell::new(None),
-            wake_changed: Notify::new(),
+            wake_up: WakeUp::default(),
             pool,
-            pings,
+            health_checks,
         }
     }
 
@@ -61,74 +73,65 @@
         RequestKey(key)
     }
 
-    /// Hands a request over.
-    pub fn admit(self: &Rc<Self>, request: NewRequest) -> Admitted {
-        let (sender, orders) = mpsc::unbounded_channel();
+    /// Hands a request to the dispatcher.
+    pub fn admit(self: &Rc<Self>, request: NewRequest) -> AdmittedRequest {
+        let (sender, decisions) = mpsc::unbounded_channel();
         let key = request.key;
-        self.mailboxes.borrow_mut().insert(
-            key,
-            Mailbox {
-                orders: sender,
-                out: None,
-            },
-        );
+        let pending = PendingRequest {
+            decisions: sender,
+            in_flight: None,
+        };
+        self.pending.borrow_mut().insert(key, pending);
         let now = self.clock.now();
-        self.decisions.borrow_mut().request(now, request);
-        self.carry_out();
-        Admitted {
+        self.dispatcher.borrow_mut().enqueue(now, request);
+        self.carry_out_commands();
+        AdmittedRequest {
             admission: self.clone(),
             key,
-            orders,
-            place: Place::Held,
+            decisions,
+            phase: Phase::Queued,
         }
     }
 
     /// The tables were replaced.
-    pub fn tables_changed(&self, snapshot: &Snapshot) {
-        self.decisions.borrow_mut().tables_changed(snapshot);
-        self.carry_out();
+    pub fn on_tables_changed(&self, snapshot: &Snapshot) {
+        self.dispatcher.borrow_mut().on_tables_changed(snapshot);
+        self.carry_out_commands();
     }
 
     /// A health check has ended.
-    pub fn pinged(&self, target: &InstanceId, answer: HealthCheckResult) {
-        self.decisions.borrow_mut().pinged(target, answer);
-        self.carry_out();
+    pub fn on_health_check_ended(&self, target: &InstanceId, result: HealthCheckResult) {
+        self.dispatcher
+            .borrow_mut()
+            .on_health_check_ended(target, result);
+        self.carry_out_commands();
     }
 
-    /// An answer's head told how full its target is.
-    pub fn load_seen(&self, target: &InstanceId, load: UpstreamLoad) {
+    /// A target reported its load in the head of an answer.
+    pub fn on_load_reported(&self, target: &InstanceId, load: UpstreamLoad) {
         let now = self.clock.now();
-        self.decisions.borrow_mut().load_seen(now, target, load);
-        self.carry_out();
+        self.dispatcher
+            .borrow_mut()
+            .on_load_reported(now, target, load);
+        self.carry_out_commands();
     }
 
     /// Asks the dispatcher whenever it wanted to be asked again. Never returns.
-    pub async fn keep_time(&self) {
+    pub async fn run_timer(&self) {
         loop {
-            match self.wake_at.get() {
-                None => self.wake_changed.notified().await,
-                Some(at) => {
-                    let due = tokio::time::sleep_until(self.clock.instant(at));
-                    tokio::select! {
-                        () = due => {
-                            self.wake_at.set(None);
-                            self.carry_out();
-                        }
-                        () = self.wake_changed.notified() => {}
-                    }
-                }
-            }
+            self.wake_up.due(self.clock).await;
+            self.carry_out_commands();
         }
     }
 
-    fn carry_out(&self) {
-        let commands = self.decisions.borrow_mut().commands(self.clock.now());
-        commands
-            .into_iter()
-            .for_each(|command| self.carry_out_one(command));
+    fn carry_out_commands(&self) {
+        let commands = self.dispatcher.borrow_mut().poll_commands(self.clock.now());
+        for command in commands {
+            self.carry_out(command);
+        }
     }
 
-    fn carry_out_one(&self, command: Command) {
+    fn carry_out(&self, command: Command) {
         match command {
             Command::Send {
                 request,
@@ -137,134 +140,150 @@
                 deadline,
                 priority,
             } => {
-                let leave = Rc::new(Leave::default());
-                if let Some(mailbox) = self.mailboxes.borrow_mut().get_mut(&request) {
-                    mailbox.out = Some((target.clone(), leave.clone()));
-                    let call = Call {
-                        target,
-                        address,
-                        deadline,
-                        priority,
-                        leave,
-                    };
-                    // The request's task may just be ending; it reports that by itself.
-                    let _ = mailbox.orders.send(Order::Call(call));
-                }
+                let send_permit = Rc::new(SendPermit::default());
+                let attempt = Attempt {
+                    target,
+                    address,
+                    deadline,
+                    priority,
+                    send_permit,
+                };
+                self.begin_attempt(request, attempt);
             }
             Command::Reject {
                 request,
                 retry_after,
-            } => self.close(request, Order::Refuse(retry_after)),
-            Command::Fail { request, last } => self.close(request, Order::Fail(last)),
-            // The receiver lives as long as the process.
+            } => {
+                self.answer(request, Decision::Reject(retry_after));
+            }
+            Command::Fail { request, last } => self.answer(request, Decision::Fail(last)),
             Command::HealthCheck { target, address } => {
-                drop(self.pings.send(PingOrder { target, address }))
+                // Never an error: the receiver lives as long as the process.
+                let _ = self
+                    .health_checks
+                    .send(HealthCheckRequest { target, address });
             }
             Command::CloseIdleConnections { target } => self.pool.close_idle(&target),
-            Command::CancelUnsent { target } => self.take_back(&target),
-            Command::WakeAt(at) => self.wake_at(at),
+            Command::CancelUnsent { target } => self.revoke_send_permits(&target),
+            Command::WakeAt(at) => self.wake_up.set_if_earlier(at),
         }
     }
 
-    fn close(&self, request: RequestKey, order: Order) {
-        if let Some(mailbox) = self.mailboxes.borrow_mut().remove(&request) {
-            let _ = mailbox.orders.send(order);
-        }
+    fn begin_attempt(&self, request: RequestKey, attempt: Attempt) {
+        let mut pending = self.pending.borrow_mut();
+        let Some(pending) = pending.get_mut(&request) else {
+            return;
+        };
+        pending.in_flight = Some(InFlightAttempt {
+            target: attempt.target.clone(),
+            send_permit: attempt.send_permit.clone(),
+        });
+        // The request's task may be ending; it reports that by itself.
+        let _ = pending.decisions.send(Decision::Attempt(attempt));
     }
 
-    fn take_back(&self, target: &InstanceId) {
-        let mailboxes = self.mailboxes.borrow();
-        let calls = mailboxes
-            .values()
-            .filter_map(|mailbox| mailbox.out.as_ref());
-        calls
-            .filter(|(to, _)| to == target)
-            .for_each(|(_, leave)| leave.take_back());
+    fn answer(&self, request: RequestKey, decision: Decision) {
+        if let Some(pending) = self.pending.borrow_mut().remove(&request) {
+            // The request's task may be ending; then nobody waits for the answer.
+            let _ = pending.decisions.send(decision);
+        }
     }
 
-    /// A later time than the one set already needs no change: the dispatcher sets it again when asked.
-    fn wake_at(&self, at: Ms) {
-        if self.wake_at.get().is_none_or(|set| at < set) {
-            self.wake_at.set(Some(at));
-            self.wake_changed.notify_one();
+    fn revoke_send_permits(&self, target: &InstanceId) {
+        for pending in self.pending.borrow().values() {
+            match &pending.in_flight {
+                Some(attempt) if attempt.target == *target => attempt.send_permit.revoke(),
+                Some(_) | None => {}
+            }
         }
     }
 
-    fn ended(&self, key: RequestKey, ended: AttemptResult) {
-        let out = self
-            .mailboxes
-            .borrow_mut()
-            .get_mut(&key)
-            .and_then(|mailbox| mailbox.out.take());
-        if let Some((target, _)) = out {
+    fn on_attempt_ended(&self, key: RequestKey, result: AttemptResult) {
+        let ended = match self.pending.borrow_mut().get_mut(&key) {
+            Some(pending) => pending.in_flight.take(),
+            None => None,
+        };
+        if let Some(attempt) = ended {
             let now = self.clock.now();
-            self.decisions.borrow_mut().ended(now, key, &target, ended);
-            self.carry_out();
+            self.dispatcher
+                .borrow_mut()
+                .on_attempt_ended(now, key, &attempt.target, result);
+            self.carry_out_commands();
         }
     }
 
-    fn leave(&self, key: RequestKey, place: Place) {
-        match place {
-            Place::Held => self.decisions.borrow_mut().withdrawn(key),
-            Place::Out => self.ended(key, AttemptResult::from_outcome(AttemptOutcome::Cancelled)),
-            Place::Done => {}
+    /// The request's task has ended in this phase.
+    fn on_task_ended(&self, key: RequestKey, phase: Phase) {
+        match phase {
+            Phase::Queued => self.dispatcher.borrow_mut().cancel(key),
+            Phase::InFlight => {
+                let cancelled = AttemptResult::from_outcome(AttemptOutcome::Cancelled);
+                self.on_attempt_ended(key, cancelled);
+            }
+            Phase::Done => {}
         }
-        if self.mailboxes.borrow_mut().remove(&key).is_some() {
-            self.carry_out();
+        let removed = self.pending.borrow_mut().remove(&key);
+        if removed.is_some() {
+            self.carry_out_commands();
         }
     }
 }
 
+/// Where a request stands, as its task knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    Held,
-    Out,
+enum Phase {
+    Queued,
+    InFlight,
     Done,
 }
 
-/// A request that the dispatcher knows. Dropping it before its end tells the dispatcher that it is given up.
-pub struct Admitted {
+impl Phase {
+    fn after(decision: &Decision) -> Self {
+        match decision {
+            Decision::Attempt(_) => Phase::InFlight,
+            Decision::Reject(_) | Decision::Fail(_) => Phase::Done,
+        }
+    }
+}
+
+/// A request that the dispatcher knows. Dropping it before its end tells the dispatcher that the
+/// request is cancelled.
+pub struct AdmittedRequest {
     admission: Rc<Admission>,
     key: RequestKey,
-    orders: mpsc::UnboundedReceiver<Order>,
-    place: Place,
+    decisions: mpsc::UnboundedReceiver<Decision>,
+    phase: Phase,
 }
 
-impl Admitted {
-    /// The next decision; after [`Order::Call`], [`Admitted::ended`] has to come first.
-    pub async fn next_order(&mut self) -> Order {
-        let order = self
-            .orders
-            .recv()
-            .await
-            .unwrap_or(Order::Fail(AttemptOutcome::Cancelled));
-        self.place = match order {
-            Order::Call(_) => Place::Out,
-            Order::Refuse(_) | Order::Fail(_) => Place::Done,
+impl AdmittedRequest {
+    /// The next decision. After [`Decision::Attempt`], [`AdmittedRequest::on_attempt_ended`] has to
+    /// come before the next call.
+    pub async fn next_decision(&mut self) -> Decision {
+        let decision = match self.decisions.recv().await {
+            Some(decision) => decision,
+            None => Decision::Fail(AttemptOutcome::Cancelled),
         };
-        order
+        self.phase = Phase::after(&decision);
+        decision
     }
 
-    /// The call under way has ended.
-    pub fn ended(&mut self, ended: AttemptResult) {
-        self.place = if ended.outcome == AttemptOutcome::Delivered {
-            Place::Done
-        } else {
-            Place::Held
+    /// The attempt in flight has ended.
+    pub fn on_attempt_ended(&mut self, result: AttemptResult) {
+        self.phase = match result.outcome {
+            AttemptOutcome::Delivered => Phase::Done,
+            _ => Phase::Queued,
         };
-        self.admission.ended(self.key, ended);
+        self.admission.on_attempt_ended(self.key, result);
     }
 }
 
-impl Drop for Admitted {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        // An order that has not been looked at yet changes the place: a call was decided on, or the end.
-        if let Ok(order) = self.orders.try_recv() {
-            self.place = match order {
-                Order::Call(_) => Place::Out,
-                Order::Refuse(_) | Order::Fail(_) => Place::Done,
-            };
+        // A decision that the task has not taken yet changes the phase: an attempt began, or the
+        // request was answered.
+        if let Ok(decision) = self.decisions.try_recv() {
+            self.phase = Phase::after(&decision);
         }
-        self.admission.leave(self.key, self.place);
+        self.admission.on_task_ended(self.key, self.phase);
     }
 }
--- a/tier/proxy/src/reading.rs
+++ b/tier/proxy/src/body_reader.rs
@@ -1,58 +1,59 @@
-//! Reads bodies whole, within bounds of size, memory and time.
+//! Reads bodies completely, within bounds of size, memory and time: those of clients' requests
+//! ([`crate::request_reader`]) and of targets' answers ([`crate::buffered_response`]).
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use tokio::time::{timeout_at, Instant};
 
-use crate::memory::Portion;
+use crate::memory_budget::MemoryReservation;
 
-/// Why a body was not read whole.
+/// Why a body was not read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     #[error("the body is too large")]
     TooLarge,
-    /// There is no memory for it now.
+    /// There is no memory for the body now.
     #[error("there is no memory for the body")]
     OutOfMemory,
-    /// It took too long.
-    #[error("the body took too long")]
+    /// The body did not end in time.
+    #[error("the body timed out")]
     TimedOut,
-    /// It broke off, or its bytes are no body.
-    #[error("the body broke off")]
-    Broken,
+    /// The connection ended before the body did, or the bytes are no body.
+    #[error("the body is truncated")]
+    Truncated,
 }
 
-/// Reads at most `most` bytes until `deadline`, in memory that `portion` accounts for.
+/// Reads at most `max_bytes` until `deadline`, in memory that `memory` accounts for.
 ///
 /// # Errors
-/// Why the body is not there whole.
-pub async fn read_whole(
+/// Why the body was not read completely.
+pub async fn read_complete(
     mut body: Incoming,
-    most: usize,
+    max_bytes: usize,
     deadline: Instant,
-    portion: &mut Portion,
+    memory: &mut MemoryReservation,
 ) -> Result<Bytes, ReadError> {
     let mut first = Bytes::new();
     let mut joined = BytesMut::new();
     loop {
         let frame = match timeout_at(deadline, body.frame()).await {
             Err(_) => return Err(ReadError::TimedOut),
-            Ok(Some(Err(_))) => return Err(ReadError::Broken),
+            Ok(Some(Err(_))) => return Err(ReadError::Truncated),
             Ok(None) => break,
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if first.len() + joined.len() + data.len() > most {
+        if first.len() + joined.len() + data.len() > max_bytes {
             return Err(ReadError::TooLarge);
         }
-        portion
+        memory
             .grow(data.len())
             .map_err(|_| ReadError::OutOfMemory)?;
-        // Nearly all bodies come in one piece, which is not copied.
+        // Nearly all bodies come in one chunk, which is not copied.
         if first.is_empty() && joined.is_empty() {
             first = data;
         } else {
@@ -60,9 +61,8 @@
             joined.extend_from_slice(&data);
         }
     }
-    Ok(if joined.is_empty() {
-        first
-    } else {
-        joined.freeze()
-    })
+    if joined.is_empty() {
+        return Ok(first);
+    }
+    Ok(joined.freeze())
 }
--- /dev/null
+++ b/tier/proxy/src/buffered_response.rs
@@ -0,0 +1,106 @@
+//! Answers of targets that are passed on only once they have arrived completely.
+
+use bytes::Bytes;
+use hyper::header::{self, HeaderMap};
+use hyper::{Method, Response, StatusCode};
+use plankhill_dispatch::{AttemptOutcome, AttemptResult, Ms, UpstreamLoad};
+use tokio::time::Instant;
+
+use crate::body_reader::{read_complete, ReadError};
+use crate::headers::strip_connection_headers;
+use crate::memory_budget::MemoryReservation;
+use crate::response_body::ResponseBody;
+use crate::target_pool::TargetPool;
+use crate::upstream_response::UpstreamResponse;
+
+/// The largest answer that is buffered, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+
+/// An answer that has arrived completely.
+#[derive(Clone, Debug)]
+pub struct BufferedResponse {
+    status: StatusCode,
+    headers: HeaderMap,
+    body: Bytes,
+    outcome: AttemptOutcome,
+    load: Option<UpstreamLoad>,
+    retry_after: Option<Ms>,
+}
+
+impl BufferedResponse {
+    /// Reads the rest of an answer. The connection goes back to the pool.
+    ///
+    /// # Errors
+    /// How the attempt ended if the answer does not arrive completely by `deadline`.
+    pub async fn read(
+        response: UpstreamResponse,
+        pool: &TargetPool,
+        deadline: Instant,
+        memory: &mut MemoryReservation,
+    ) -> Result<Self, AttemptOutcome> {
+        let outcome = response.outcome();
+        let load = response.load();
+        let retry_after = response.retry_after();
+        // Without a length the body ends with its connection, in order; a reset is no end.
+        let is_reusable = is_framed(&response) && !response.is_early;
+        let body = match read_complete(response.body, MAX_RESPONSE_BYTES, deadline, memory).await {
+            Ok(body) => body,
+            Err(ReadError::TimedOut) => return Err(AttemptOutcome::TimedOut),
+            Err(ReadError::Truncated) => return Err(AttemptOutcome::Reset),
+            // Another target's answer would be no smaller.
+            Err(ReadError::TooLarge | ReadError::OutOfMemory) => {
+                return Err(AttemptOutcome::Cancelled);
+            }
+        };
+        if is_reusable {
+            pool.put_back(response.connection, &response.headers, Instant::now());
+        }
+        let (status, headers) = (response.status, response.headers);
+        Ok(BufferedResponse {
+            status,
+            headers,
+            body,
+            outcome,
+            load,
+            retry_after,
+        })
+    }
+
+    /// How the attempt ended.
+    pub fn outcome(&self) -> AttemptOutcome {
+        self.outcome
+    }
+
+    /// The end of the attempt for the dispatcher; `elapsed` is the time until the answer's end.
+    pub fn attempt_result(&self, elapsed: Ms) -> AttemptResult {
+        AttemptResult {
+            outcome: self.outcome,
+            elapsed,
+            retry_after: self.retry_after,
+            load: self.load,
+            longest_pause: None,
+        }
+    }
+
+    /// The answer to the client: the target's, unchanged but for the headers of the connection.
+    pub fn into_response(self, method: &Method) -> Response<ResponseBody> {
+        let mut headers = self.headers;
+        strip_connection_headers(&mut headers);
+        if method != Method::HEAD {
+            headers.remove(header::CONTENT_LENGTH);
+        }
+        let mut response = Response::new(ResponseBody::complete(self.body));
+        *response.status_mut() = self.status;
+        *response.headers_mut() = headers;
+        response
+    }
+}
+
+/// Whether the end of the body is marked.
+fn is_framed(response: &UpstreamResponse) -> bool {
+    let has_no_body =
+        response.status == StatusCode::NO_CONTENT || response.status == StatusCode::NOT_MODIFIED;
+    has_no_body
+        || response.headers.contains_key(header::CONTENT_LENGTH)
+        || response.headers.contains_key(header::TRANSFER_ENCODING)
+}
--- a/tier/proxy/src/clock.rs
+++ b/tier/proxy/src/clock.rs
@@ -5,14 +5,17 @@
 use plankhill_dispatch::Ms;
 use tokio::time::Instant;
 
-/// The steady clock of this process.
+/// The longest span that is told apart from "for ever": a year.
+const MAX_SPAN: Ms = 31_536_000_000.0;
+
+/// The monotonic clock of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts at zero.
+    /// A clock that shows zero now.
     pub fn start() -> Self {
         Clock {
             start: Instant::now(),
@@ -35,13 +38,10 @@
     span.as_secs_f64() * 1_000.0
 }
 
-/// The longest span that is told apart from "for ever": a year.
-const LONGEST_MS: Ms = 31_536_000_000.0;
-
-/// A span from milliseconds; negative ones and no numbers are nothing, excessive ones a year.
+/// A span from milliseconds. Negative ones and NaN become zero, longer ones than a year a year.
 pub fn duration(span: Ms) -> Duration {
     if span.is_nan() {
         return Duration::ZERO;
     }
-    Duration::from_secs_f64(span.clamp(0.0, LONGEST_MS) / 1_000.0)
+    Duration::from_secs_f64(span.clamp(0.0, MAX_SPAN) / 1_000.0)
 }
--- a/tier/proxy/src/connect.rs
+++ b/tier/proxy/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opens connections to targets.
+//! Opens connections to targets. Called by [`crate::target_client`] and [`crate::health_check`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,28 +12,29 @@
 
 use crate::target_pool::{Driver, OpenPermit, TargetConnection};
 
-/// A target that has lost power answers no probe: after [`PROBES`] of them the connection breaks.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// See [`PROBE_EVERY`].
-const PROBES: u32 = 2;
+/// The interval of TCP keep-alive probes. A target that has lost power answers none: after
+/// [`MAX_KEEPALIVE_PROBES`] of them the connection breaks.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// See [`KEEPALIVE_INTERVAL`].
+const MAX_KEEPALIVE_PROBES: u32 = 2;
 
-/// Connects and starts the task that drives the connection.
+/// Connects and starts the task that drives the connection; the task ends with the connection.
 ///
 /// # Errors
 /// The operating system's, or that of HTTP's start.
 pub async fn connect(address: SocketAddr, permit: OpenPermit) -> io::Result<TargetConnection> {
     let stream = TcpStream::connect(address).await?;
     set_socket_options(&stream)?;
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
-    SockRef::from(&stream).set_tcp_keepalive(&probes)?;
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(MAX_KEEPALIVE_PROBES);
+    SockRef::from(&stream).set_tcp_keepalive(&keepalive)?;
     let handshake = http1::handshake(TokioIo::new(stream));
     let (sender, connection) = handshake.await.map_err(io::Error::other)?;
     let driver = Driver(tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
-            tracing::debug!(%address, %error, "connection to a target ended");
+            tracing::debug!(%address, %error, "target connection failed");
         }
     }));
     Ok(TargetConnection {
--- a/tier/proxy/src/draining.rs
+++ b/tier/proxy/src/draining.rs
@@ -1,4 +1,5 @@
-//! Takes this node out of service, and back, as the control plane orders; and to its end, when the process is told to end.
+//! Takes this node out of service and back, as the control plane orders, and ends the process in order
+//! after SIGTERM. Started once by [`crate::run()`]; the decisions are those of `plankhill-draining`.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,95 +13,104 @@
 use tokio::sync::watch;
 
 use crate::clock::duration;
-use crate::life::Connections;
+use crate::lifecycle::ConnectionPolicy;
 use crate::process::Proxy;
 
-/// While the node is out of service, it looks at itself this often. In service it is woken by new tables only.
-const LOOK: Duration = Duration::from_millis(250);
-/// While the process ends it looks at itself this often.
-const LOOK_AT_THE_END: Duration = Duration::from_millis(25);
-/// While there is no configuration, nothing rests or runs for longer than this.
-const LONGEST: Duration = Duration::from_secs(60);
+/// While the node is out of service, the drain looks at it this often. In service it is woken by new
+/// tables only.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// The same while the process ends.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Bound on idle connections and on answers while there is no configuration.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Says something to the agent of this machine; false if it cannot be said now.
-pub type Say = Box<dyn Fn(FromSubscriber) -> bool>;
+/// Sends a message to the agent of this machine; false if it cannot be sent now.
+pub type Report = Box<dyn Fn(FromSubscriber) -> bool>;
 
-/// Follows the orders for this node, until the process is to end. Without a sender of tables the newest order stays.
+/// Follows the orders for this node until the process is to end. Once the sender of `tables` is gone,
+/// the newest order stays in force.
 pub async fn follow(
     proxy: Rc<Proxy>,
     node: NodeId,
     mut tables: watch::Receiver<Arc<Tables>>,
-    say: Say,
+    report: Report,
 ) {
     let mut drain = NodeDrain::default();
-    let mut shutdown = proxy.life.shutdown();
+    let mut shutdown = proxy.lifecycle.shutdown();
     let mut has_sender = true;
     loop {
-        let seen = seen(&proxy, &node, &tables.borrow_and_update().clone());
+        let seen = observe(&proxy, &node, &tables.borrow_and_update().clone());
         for action in drain.step(duration(proxy.clock.now()), &seen) {
-            carry_out(&proxy, action, &say);
+            carry_out(&proxy, action, &report);
             if action == DrainAction::ExitProcess {
                 return;
             }
         }
-        let looks = drain.state() != NodeState::InService;
-        let pause = if seen.shutdown.is_some() {
-            LOOK_AT_THE_END
-        } else {
-            LOOK
+        let polls = drain.state() != NodeState::InService;
+        let interval = match seen.shutdown {
+            Some(_) => SHUTDOWN_POLL_INTERVAL,
+            None => DRAIN_POLL_INTERVAL,
         };
         tokio::select! {
             changed = tables.changed(), if has_sender => has_sender = changed.is_ok(),
-            // The life holds the sender.
+            // Never an error: the lifecycle holds the sender.
             _ = shutdown.changed() => {}
-            () = proxy.life.became_quiet(), if looks => {}
-            () = tokio::time::sleep(pause), if looks => {}
+            () = proxy.lifecycle.became_idle(), if polls => {}
+            () = tokio::time::sleep(interval), if polls => {}
         }
     }
 }
 
-fn seen(proxy: &Proxy, node: &NodeId, tables: &Tables) -> NodeObservation {
+fn observe(proxy: &Proxy, node: &NodeId, tables: &Tables) -> NodeObservation {
     let order = tables.drains.iter().find(|drain| drain.node == *node);
     let snapshot = proxy.snapshots.newest();
-    let routes = snapshot.routes.as_ref();
+    let (max_idle_timeout, max_response_timeout) = match &snapshot.routes {
+        Some(routes) => (routes.limits().idle_timeout, max_route_timeout(routes)),
+        None => (DEFAULT_TIMEOUT, DEFAULT_TIMEOUT),
+    };
     NodeObservation {
         drain_order: order.map(|drain| drain.number),
-        shutdown: *proxy.life.shutdown().borrow(),
+        shutdown: *proxy.lifecycle.shutdown().borrow(),
         drained_recorded: order.is_some_and(|drain| drain.empty),
-        requests_in_flight: proxy.life.requests(),
-        open_connections: proxy.life.clients(),
-        max_idle_timeout: routes.map_or(LONGEST, |routes| routes.limits().idle_timeout),
-        max_response_timeout: routes.map_or(LONGEST, |routes| longest_timeout(routes)),
+        requests_in_flight: proxy.lifecycle.work_in_flight(),
+        open_connections: proxy.lifecycle.open_connections(),
+        max_idle_timeout,
+        max_response_timeout,
     }
 }
 
-fn longest_timeout(routes: &RouteTable) -> Duration {
+fn max_route_timeout(routes: &RouteTable) -> Duration {
     routes
         .routes()
         .map(|route| route.timeout)
         .max()
-        .unwrap_or(LONGEST)
+        .unwrap_or(DEFAULT_TIMEOUT)
 }
 
-fn carry_out(proxy: &Proxy, action: DrainAction, say: &Say) {
+fn carry_out(proxy: &Proxy, action: DrainAction, report: &Report) {
+    let lifecycle = &proxy.lifecycle;
     tracing::info!(
         ?action,
-        requests = proxy.life.requests(),
-        clients = proxy.life.clients(),
-        "draining"
+        work_in_flight = lifecycle.work_in_flight(),
+        open_connections = lifecycle.open_connections(),
+        "drain action"
     );
     match action {
-        DrainAction::RejectNewClients => proxy.life.set_leaving(true),
+        DrainAction::RejectNewClients => lifecycle.set_draining(true),
         DrainAction::AcceptNewClients => {
-            proxy.life.set_leaving(false);
-            proxy.life.set_connections(Connections::Keep);
+            lifecycle.set_draining(false);
+            lifecycle.set_connection_policy(ConnectionPolicy::KeepOpen);
+        }
+        DrainAction::CloseIdleConnections => {
+            lifecycle.set_connection_policy(ConnectionPolicy::CloseIdle)
+        }
+        DrainAction::ResetConnections => {
+            lifecycle.set_connection_policy(ConnectionPolicy::CloseAll)
         }
-        DrainAction::CloseIdleConnections => proxy.life.set_connections(Connections::CloseIdle),
-        DrainAction::ResetConnections => proxy.life.set_connections(Connections::Cut),
         DrainAction::ReportDrained(number) => {
-            // Said again until the tables show it.
-            let _ = say(FromSubscriber::Drained { number });
+            // The drain reports again until the tables show it.
+            let _ = report(FromSubscriber::Drained { number });
         }
-        DrainAction::ExitProcess => proxy.life.set_over(),
+        DrainAction::ExitProcess => lifecycle.end_process(),
     }
 }
--- a/tier/proxy/src/headers.rs
+++ b/tier/proxy/src/headers.rs
@@ -1,28 +1,28 @@
-//! Which headers are passed along.
+//! Names of headers, and which headers are passed along. The names are format.
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// Names the only target that may run a request.
+/// Names the only target that may execute a request.
 pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("expected-instance");
-/// What is left of the time for an answer, in milliseconds.
+/// The time left for an answer, in milliseconds.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
-/// The rank of a request at a target.
+/// The priority of a request at a target, from 0 (most urgent) to 9.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// From which event on a stream goes on.
+/// The id of the event after which a stream goes on.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// The name of a client's try, echoed by targets.
+/// The client's name for a request, echoed by targets.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// A target says that it did not run the request.
+/// A target says that it did not execute the request and never will.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// The stamp of the target that ran the request.
+/// The signature of the target that executed the request.
 pub const UPSTREAM_SIGNATURE: HeaderName = HeaderName::from_static("upstream-signature");
 /// The target that answered.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("instance-id");
-/// How full the target is.
+/// The load of the target.
 pub const UPSTREAM_LOAD: HeaderName = HeaderName::from_static("upstream-load");
 
-/// Headers that concern one connection, or the framing of a body on it.
-const OF_ONE_CONNECTION: [HeaderName; 10] = [
+/// Headers that concern one connection, or the framing of a body on it (RFC 9110, section 7.6.1).
+const HOP_BY_HOP: [HeaderName; 10] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -35,17 +35,26 @@
     header::EXPECT,
 ];
 
-/// Takes out the headers that concern one connection only, those named in `Connection` included.
+/// Headers that a sender cannot have removed by naming them in `Connection`: the exchange itself rests
+/// on them.
+const PROTECTED: [HeaderName; 4] = [
+    REQUEST_ID,
+    UPSTREAM_SIGNATURE,
+    header::HOST,
+    header::CONTENT_LENGTH,
+];
+
+/// Removes the headers that concern one connection only, those named in `Connection` included.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     for name in named_in_connection(headers) {
         headers.remove(name);
     }
-    for name in &OF_ONE_CONNECTION {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
 }
 
-/// Whether `Connection` holds `close`.
+/// Whether `Connection` has the option `close`.
 pub fn says_close(headers: &HeaderMap) -> bool {
     connection_options(headers).any(|option| option.eq_ignore_ascii_case("close"))
 }
@@ -56,21 +65,14 @@
 }
 
 fn named_in_connection(headers: &HeaderMap) -> Vec<HeaderName> {
-    connection_options(headers)
-        .filter_map(|option| option.parse().ok())
-        .filter(may_be_named)
-        .collect()
-}
-
-/// A sender cannot take away what the exchange itself rests on.
-fn may_be_named(name: &HeaderName) -> bool {
-    ![
-        REQUEST_ID,
-        UPSTREAM_SIGNATURE,
-        header::HOST,
-        header::CONTENT_LENGTH,
-    ]
-    .contains(name)
+    let mut names = Vec::new();
+    for option in connection_options(headers) {
+        match option.parse::<HeaderName>() {
+            Ok(name) if !PROTECTED.contains(&name) => names.push(name),
+            Ok(_) | Err(_) => {}
+        }
+    }
+    names
 }
 
 fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
--- /dev/null
+++ b/tier/proxy/src/in_flight.rs
@@ -0,0 +1,89 @@
+//! Counts of the process's work and of its clients' connections, held by guards. Owned by
+//! [`crate::lifecycle::Lifecycle`]; draining waits for both to become zero.
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+use tokio::sync::Notify;
+
+/// Work that has to be finished before the process ends, and open connections of clients.
+#[derive(Debug, Default)]
+pub struct InFlight {
+    work: Cell<usize>,
+    connections: Cell<usize>,
+    work_finished: Notify,
+    became_idle: Notify,
+}
+
+impl InFlight {
+    /// Work begins; it ends when the guard is dropped.
+    pub fn begin_work(self: &Rc<Self>) -> WorkGuard {
+        self.work.set(self.work.get() + 1);
+        WorkGuard {
+            in_flight: self.clone(),
+        }
+    }
+
+    /// A client has connected; its connection ends when the guard is dropped.
+    pub fn begin_connection(self: &Rc<Self>) -> ConnectionGuard {
+        self.connections.set(self.connections.get() + 1);
+        ConnectionGuard {
+            in_flight: self.clone(),
+        }
+    }
+
+    /// Guards of work that are alive.
+    pub fn work(&self) -> usize {
+        self.work.get()
+    }
+
+    /// Guards of connections that are alive.
+    pub fn connections(&self) -> usize {
+        self.connections.get()
+    }
+
+    /// Returns when the last work, or the last connection, ends.
+    pub async fn became_idle(&self) {
+        self.became_idle.notified().await;
+    }
+
+    /// Returns once no work is left.
+    pub async fn work_finished(&self) {
+        while self.work.get() > 0 {
+            self.work_finished.notified().await;
+        }
+    }
+}
+
+/// Work that has to be finished before the process ends.
+#[derive(Debug)]
+pub struct WorkGuard {
+    in_flight: Rc<InFlight>,
+}
+
+impl Drop for WorkGuard {
+    fn drop(&mut self) {
+        let left = self.in_flight.work.get() - 1;
+        self.in_flight.work.set(left);
+        self.in_flight.work_finished.notify_one();
+        if left == 0 {
+            self.in_flight.became_idle.notify_waiters();
+        }
+    }
+}
+
+/// An open connection of a client.
+#[derive(Debug)]
+pub struct ConnectionGuard {
+    in_flight: Rc<InFlight>,
+}
+
+impl Drop for ConnectionGuard {
+    fn drop(&mut self) {
+        let left = self.in_flight.connections.get() - 1;
+        self.in_flight.connections.set(left);
+        if left == 0 {
+            self.in_flight.became_idle.notify_waiters();
+        }
+    }
+}
--- a/tier/proxy/src/process.rs
+++ b/tier/proxy/src/process.rs
@@ -1,29 +1,29 @@
-//! What the tasks of the process share.
+//! What the tasks of the process share. Assembled once by [`crate::run()`].
 
 use std::rc::Rc;
 
 use crate::admission::Admission;
 use crate::clock::Clock;
-use crate::exchange::Targets;
-use crate::life::Life;
-use crate::memory::Memory;
+use crate::lifecycle::Lifecycle;
+use crate::memory_budget::MemoryBudget;
 use crate::snapshot::SnapshotCell;
+use crate::target_client::TargetClient;
 use crate::turn_store::TurnStore;
 
 /// The process as its tasks see it.
 pub struct Proxy {
     /// The clock of all deadlines.
     pub clock: Clock,
-    /// The tables.
+    /// The tables in force.
     pub snapshots: SnapshotCell,
     /// The dispatcher.
     pub admission: Rc<Admission>,
     /// Connections to targets.
-    pub targets: Targets,
-    /// Turns and budgets.
+    pub target_client: TargetClient,
+    /// Turns of conversations, and budgets.
     pub turns: Rc<dyn TurnStore>,
     /// Memory for bodies.
-    pub memory: Rc<Memory>,
-    /// Where the process stands in its life.
-    pub life: Rc<Life>,
+    pub memory: Rc<MemoryBudget>,
+    /// The phase of the process.
+    pub lifecycle: Rc<Lifecycle>,
 }
--- /dev/null
+++ b/tier/proxy/src/request_reader.rs
@@ -0,0 +1,172 @@
+//! Reads a client's request completely, finds its route, and decides whether the proxy takes it.
+//! Called by `responder` for each request.
+
+use std::sync::Arc;
+
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderMap};
+use hyper::{Request, StatusCode, Uri};
+use plankhill_configuration::{Route, RouteTable};
+use plankhill_dispatch::Ms;
+use plankhill_protocol::ids::{RequestId, ServiceName};
+use tokio::time::Instant;
+
+use crate::body_reader::{read_complete, ReadError};
+use crate::client_request::ClientRequest;
+use crate::clock::milliseconds;
+use crate::headers::strip_connection_headers;
+use crate::process::Proxy;
+use crate::request_headers::RequestHeaders;
+use crate::snapshot::Snapshot;
+use crate::upstream_request::UpstreamRequest;
+
+/// The share of the connections that a target accepts that all proxies together may hold: a target
+/// accepts fewer while its queue is long.
+const CONNECTION_SHARE: f64 = 0.7;
+/// However many proxies there are, each may hold this many connections to a target.
+const MIN_CONNECTIONS: usize = 2;
+
+/// Why a request is answered by the proxy itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RejectReason {
+    /// The request cannot be served; answered with this status.
+    Final(StatusCode),
+    /// The client may come back soon.
+    Overloaded,
+    /// The process ends before the request would be answered; another node takes it from its start.
+    ShuttingDown,
+}
+
+/// A request that is not passed on to any target. It was not executed.
+#[derive(Clone, Debug)]
+pub struct Rejection {
+    /// Why.
+    pub reason: RejectReason,
+    /// The client's name for the request, if it gave one.
+    pub request_id: Option<RequestId>,
+}
+
+/// Reads the request; its time runs from `arrived` on.
+///
+/// # Errors
+/// How the request is answered instead.
+pub async fn read_request(
+    proxy: &Proxy,
+    request: Request<Incoming>,
+    snapshot: &Snapshot,
+    arrived: Ms,
+) -> Result<ClientRequest, Rejection> {
+    let (head, body) = request.into_parts();
+    let headers = RequestHeaders::read(&head.headers);
+    let reject = |reason| Rejection {
+        reason,
+        request_id: headers.request_id.clone(),
+    };
+    let Some(routes) = &snapshot.routes else {
+        return Err(reject(RejectReason::Overloaded));
+    };
+    let mut memory = proxy.memory.reservation();
+    let limits = routes.limits();
+    let max_body_bytes = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
+    let route = find_route(routes, &head.headers, &head.uri);
+    // The time of a request also covers its body.
+    let body_timeout = match &route {
+        Some(route) => route.timeout.min(limits.idle_timeout),
+        None => limits.idle_timeout,
+    };
+    let body_until = Instant::now() + body_timeout;
+    let body = match read_complete(body, max_body_bytes, body_until, &mut memory).await {
+        Ok(body) => body,
+        Err(error) => return Err(reject(error.into())),
+    };
+    let Some(route) = route else {
+        return Err(reject(RejectReason::Final(StatusCode::NOT_FOUND)));
+    };
+    let Some(request_id) = headers.request_id.clone() else {
+        return Err(reject(RejectReason::Final(StatusCode::BAD_REQUEST)));
+    };
+    let service_name = pick_service(&route, &headers, request_id.as_str());
+    let deadline = arrived + time_allowed(&route, &headers);
+    if !proxy.lifecycle.admits(arrived, deadline) {
+        return Err(reject(RejectReason::ShuttingDown));
+    }
+    let service = routes.service(&service_name);
+    let accepted_connections = service.map_or(0, |service| service.max_connections);
+    let engine = service.and_then(|service| service.engine.as_ref());
+    Ok(ClientRequest {
+        upstream: UpstreamRequest {
+            method: head.method,
+            uri: origin_form(head.uri),
+            headers: upstream_headers(head.headers),
+            body,
+            request_id,
+            last_event_id: None,
+        },
+        service: ServiceName::from(&*service_name),
+        max_connections: max_connections(accepted_connections, snapshot.tables.edges.len()),
+        tokens_per_event: engine.map_or(1, |engine| u64::from(engine.chunk_size)),
+        route,
+        headers,
+        deadline,
+        memory,
+    })
+}
+
+impl From<ReadError> for RejectReason {
+    fn from(error: ReadError) -> Self {
+        match error {
+            ReadError::TooLarge => RejectReason::Final(StatusCode::PAYLOAD_TOO_LARGE),
+            ReadError::OutOfMemory => RejectReason::Overloaded,
+            ReadError::TimedOut => RejectReason::Final(StatusCode::REQUEST_TIMEOUT),
+            ReadError::Truncated => RejectReason::Final(StatusCode::BAD_REQUEST),
+        }
+    }
+}
+
+fn find_route(routes: &RouteTable, headers: &HeaderMap, uri: &Uri) -> Option<Arc<Route>> {
+    let host = match headers
+        .get(header::HOST)
+        .and_then(|host| host.to_str().ok())
+    {
+        Some(host) => host,
+        None => uri.host()?,
+    };
+    routes.find(host, uri.path()).cloned()
+}
+
+/// The shorter of the client's deadline and the route's time-out.
+fn time_allowed(route: &Route, headers: &RequestHeaders) -> Ms {
+    let timeout = milliseconds(route.timeout);
+    match headers.deadline {
+        Some(deadline) => deadline.min(timeout),
+        None => timeout,
+    }
+}
+
+/// Sessions stay with one service, whose targets cache their prompts.
+fn pick_service(route: &Route, headers: &RequestHeaders, request_id: &str) -> Arc<str> {
+    match headers.session {
+        Some(session) if route.session_affinity => route.pick_service(&session.to_string()).clone(),
+        Some(_) | None => route.pick_service(request_id).clone(),
+    }
+}
+
+/// The share of one of `edges` proxies in the connections that a target accepts.
+fn max_connections(accepted: u32, edges: usize) -> usize {
+    let share = f64::from(accepted) * CONNECTION_SHARE / edges.max(1) as f64;
+    (share as usize).max(MIN_CONNECTIONS)
+}
+
+fn upstream_headers(mut headers: HeaderMap) -> HeaderMap {
+    strip_connection_headers(&mut headers);
+    // The body is framed anew.
+    headers.remove(header::CONTENT_LENGTH);
+    headers
+}
+
+fn origin_form(uri: Uri) -> Uri {
+    match uri.path_and_query() {
+        Some(path) if uri.authority().is_some() => Uri::from(path.clone()),
+        _ => uri,
+    }
+}
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts the process together.
+//! Assembles the process and runs it until it is asked to end.
 
 use std::hash::{BuildHasher, RandomState};
 use std::io;
@@ -10,28 +10,29 @@
 use plankhill_protocol::transport::listen;
 use plankhill_settings::Settings;
 use plankhill_store_client::StoreClient;
+use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use tokio::task::LocalSet;
+use tokio::task::{spawn_local, LocalSet};
 
 use crate::admission::Admission;
 use crate::clock::Clock;
-use crate::exchange::Targets;
-use crate::life::Life;
-use crate::memory::Memory;
-use crate::orders::PingOrder;
+use crate::decision::HealthCheckRequest;
+use crate::lifecycle::Lifecycle;
+use crate::memory_budget::MemoryBudget;
 use crate::process::Proxy;
-use crate::shutdown::Signals;
+use crate::signals::Signals;
 use crate::snapshot::SnapshotCell;
+use crate::target_client::TargetClient;
 use crate::target_pool::TargetPool;
-use crate::{draining, feed, listener, ping, ready};
+use crate::{draining, health_check, listener, readiness, table_feed};
 
-/// Descriptors that are left for connections to targets, to stores and to the agent, as a share of all.
-const SHARE_FOR_OTHERS: f64 = 0.4;
-
-/// Bodies may take up this share of the process's memory; the rest is for connections and tables.
-const SHARE_FOR_BODIES: f64 = 0.4;
-/// Requests held or out at once: each holds some kilobytes, and more could not be served in time.
-const MOST_REQUESTS: usize = 2_000;
+/// The share of all descriptors that is left for connections to targets, to stores and to the agent.
+const RESERVED_DESCRIPTOR_SHARE: f64 = 0.4;
+/// The share of the process's memory for bodies; the rest is for connections and tables.
+const BODY_MEMORY_SHARE: f64 = 0.4;
+/// Requests queued or in flight at once: each takes some kilobytes, and more could not be served in
+/// time.
+const MAX_REQUESTS: usize = 2_000;
 
 /// Why the process ended without being asked to.
 #[derive(Debug, thiserror::Error)]
@@ -63,83 +64,85 @@
     LocalSet::new().block_on(&runtime, serve(settings))
 }
 
+/// The tasks that are started here run until the end of the process: the local set drops them.
 async fn serve(settings: Settings) -> Result<(), RunError> {
-    let clients = settings
-        .listeners_map
-        .http
-        .ok_or(RunError::NoListener("http"))?;
-    let readiness = settings
-        .listeners_map
+    let listeners = &settings.listeners_map;
+    let clients = listeners.http.ok_or(RunError::NoListener("http"))?;
+    let readiness_checks = listeners
         .readiness
         .ok_or(RunError::NoListener("readiness"))?;
     let signals = Signals::catch()?;
-    let clients = bound(clients)?;
-    let readiness = bound(readiness)?;
-    let (pings, ping_orders) = mpsc::unbounded_channel();
-    let proxy = assemble(&settings, pings);
-    let (follower, subscription) = (proxy.clone(), feed::subscribe(&settings));
-    let subscription = Rc::new(subscription);
-    let say = subscription.clone();
-    let say: draining::Say = Box::new(move |message| say.send(message));
+    let clients = bind(clients)?;
+    let readiness_checks = bind(readiness_checks)?;
+    let (check_sender, health_checks) = mpsc::unbounded_channel();
+    let proxy = assemble(&settings, check_sender);
+    let subscription = Rc::new(table_feed::subscribe(&settings));
+    let report: draining::Report = {
+        let subscription = subscription.clone();
+        Box::new(move |message| subscription.send(message))
+    };
     let node = NodeId::from(settings.node_id.as_str());
-    tokio::task::spawn_local(draining::follow(
+    spawn_local(draining::follow(
         proxy.clone(),
         node,
         subscription.tables(),
-        say,
+        report,
     ));
-    tokio::task::spawn_local(feed::follow(follower, subscription));
-    tokio::task::spawn_local(ping::carry_out(proxy.clone(), ping_orders));
+    spawn_local(table_feed::follow(proxy.clone(), subscription));
+    spawn_local(health_check::run(proxy.clone(), health_checks));
     let admission = proxy.admission.clone();
-    tokio::task::spawn_local(async move { admission.keep_time().await });
-    tokio::task::spawn_local(ready::serve(proxy.clone(), readiness));
-    tokio::task::spawn_local(listener::serve(
+    spawn_local(async move { admission.run_timer().await });
+    spawn_local(readiness::serve(proxy.clone(), readiness_checks));
+    spawn_local(listener::serve(
         proxy.clone(),
         clients,
-        most_clients(&settings),
+        max_clients(&settings),
     ));
     tracing::info!(node = %settings.node_id, "proxy started");
-    signals.ended(proxy, settings.bounds).await;
+    signals.process_ended(proxy, settings.bounds).await;
     Ok(())
 }
 
-fn assemble(settings: &Settings, pings: mpsc::UnboundedSender<PingOrder>) -> Rc<Proxy> {
+fn assemble(
+    settings: &Settings,
+    health_checks: mpsc::UnboundedSender<HealthCheckRequest>,
+) -> Rc<Proxy> {
     let clock = Clock::start();
     let pool = Rc::new(TargetPool::default());
     let zone = ZoneName::from(settings.zone.as_str());
     let node = NodeId::from(settings.node_id.as_str());
-    let dispatch = DispatchSettings {
-        seed: seed(),
+    let dispatch_settings = DispatchSettings {
+        seed: random_seed(),
         zone: zone.clone(),
-        max_requests: MOST_REQUESTS,
+        max_requests: MAX_REQUESTS,
     };
-    let decisions = Box::new(Dispatcher::new(dispatch, clock.now()));
-    let admission = Rc::new(Admission::new(clock, decisions, pool.clone(), pings));
+    let dispatcher = Box::new(Dispatcher::new(dispatch_settings, clock.now()));
+    let admission = Admission::new(clock, dispatcher, pool.clone(), health_checks);
     Rc::new(Proxy {
         clock,
         snapshots: SnapshotCell::default(),
-        admission,
-        targets: Targets { clock, pool },
+        admission: Rc::new(admission),
+        target_client: TargetClient { clock, pool },
         turns: Rc::new(StoreClient::new(node, zone)),
-        memory: Rc::new(Memory::new(memory_for_bodies(settings))),
-        life: Rc::new(Life::default()),
+        memory: Rc::new(MemoryBudget::new(body_memory_bytes(settings))),
+        lifecycle: Rc::new(Lifecycle::default()),
     })
 }
 
 /// Differs from process to process: the library's hash keys are drawn at random.
-fn seed() -> u64 {
+fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
 
-fn bound(address: SocketAddr) -> Result<tokio::net::TcpListener, RunError> {
+fn bind(address: SocketAddr) -> Result<TcpListener, RunError> {
     listen(address).map_err(|source| RunError::Listen { address, source })
 }
 
-fn memory_for_bodies(settings: &Settings) -> usize {
-    (settings.limits.memory_bytes() as f64 * SHARE_FOR_BODIES) as usize
+fn body_memory_bytes(settings: &Settings) -> usize {
+    (settings.limits.memory_bytes() as f64 * BODY_MEMORY_SHARE) as usize
 }
 
-fn most_clients(settings: &Settings) -> usize {
-    let most = settings.limits.max_fds as f64 * (1.0 - SHARE_FOR_OTHERS);
-    (most as usize).max(1)
+fn max_clients(settings: &Settings) -> usize {
+    let max = settings.limits.max_fds as f64 * (1.0 - RESERVED_DESCRIPTOR_SHARE);
+    (max as usize).max(1)
 }
--- a/tier/proxy/src/snapshot.rs
+++ b/tier/proxy/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the proxy acts on: one immutable snapshot, replaced whole.
+//! The tables in force: one immutable snapshot, replaced as a whole by `table_feed`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use plankhill_configuration::{Configuration, RouteTable};
 use plankhill_protocol::tables::{ConfigurationText, Tables};
 
-/// The tables at one revision, with the configuration read.
+/// The tables at one revision, with the configuration parsed.
 #[derive(Debug, Default)]
 pub struct Snapshot {
     /// As the agent sent them.
@@ -28,35 +28,30 @@
         self.newest.borrow().clone()
     }
 
-    /// Replaces the snapshot unless the tables are older than what is held; true if it did.
+    /// Replaces the snapshot unless the tables are of an older revision; true if it did.
     pub fn replace(&self, tables: Arc<Tables>) -> bool {
-        let held = self.newest();
-        if tables.revision < held.tables.revision {
+        let current = self.newest();
+        if tables.revision < current.tables.revision {
             return false;
         }
-        let routes = routes_of(tables.configuration.as_ref(), &held);
+        let routes = parse_routes(tables.configuration.as_ref(), &current);
         *self.newest.borrow_mut() = Rc::new(Snapshot { tables, routes });
         true
     }
 }
 
-/// Reads the configuration anew only if it differs. One that cannot be read, which the controllers never
+/// Parses the configuration only if it differs. One that cannot be parsed, which the controllers never
 /// send, leaves the former one in force.
-fn routes_of(text: Option<&ConfigurationText>, held: &Snapshot) -> Option<Rc<RouteTable>> {
+fn parse_routes(text: Option<&ConfigurationText>, current: &Snapshot) -> Option<Rc<RouteTable>> {
     let text = text?;
-    if held
-        .tables
-        .configuration
-        .as_ref()
-        .is_some_and(|former| former == text)
-    {
-        return held.routes.clone();
+    if current.tables.configuration.as_ref() == Some(text) {
+        return current.routes.clone();
     }
     match Configuration::parse(&text.document) {
         Ok(configuration) => Some(Rc::new(RouteTable::new(configuration))),
         Err(error) => {
-            tracing::error!(version = text.version, %error, "configuration cannot be read");
-            held.routes.clone()
+            tracing::error!(version = text.version, %error, "configuration invalid; previous kept");
+            current.routes.clone()
         }
     }
 }
--- a/tier/proxy/src/stream/events.rs
+++ b/tier/proxy/src/stream/events.rs
@@ -1,16 +1,17 @@
-//! Cuts a `text/event-stream` into whole events, however its bytes arrive.
+//! Cuts a `text/event-stream` into complete events, however its bytes arrive (WHATWG HTML, section
+//! 9.2, "Server-sent events"; lines end with a line feed, with or without a carriage return).
 
 use bytes::{Bytes, BytesMut};
 
 /// The largest event, in bytes; a stream with a larger one is broken off.
-pub const MOST_EVENT_BYTES: usize = 64 * 1024;
+pub const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// An event of more than [`MOST_EVENT_BYTES`].
+/// An event of more than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event of more than {MOST_EVENT_BYTES} bytes")]
+#[error("an event of more than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     /// Its bytes, the blank line behind it included.
@@ -20,8 +21,8 @@
 }
 
 impl Event {
-    /// Appends its data with one line feed behind; several `data` lines are joined by line feeds. An event
-    /// without data adds nothing.
+    /// Appends the event's data with one line feed behind; several `data` lines are joined by line
+    /// feeds. An event without data adds nothing.
     pub fn append_data(&self, output: &mut Vec<u8>) {
         for data in lines(&self.bytes).filter_map(|line| field(line, b"data")) {
             output.extend_from_slice(data);
@@ -30,50 +31,54 @@
     }
 }
 
-/// Holds the bytes of the event that is not yet whole.
+/// Holds the bytes of the event that is not yet complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
-    /// The start of the last line that is not yet whole.
+    buffer: BytesMut,
+    /// Offset of the last line that is not yet complete.
     line_start: usize,
 }
 
 impl EventSplitter {
     /// Takes bytes as they arrive.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if it is there.
+    /// The next complete event, if there is one.
     ///
     /// # Errors
-    /// If the event has grown too long.
+    /// [`EventTooLong`] if the event has grown too long.
     pub fn next_event(&mut self) -> Result<Option<Event>, EventTooLong> {
-        while let Some(offset) = self.held[self.line_start..]
-            .iter()
-            .position(|byte| *byte == b'\n')
-        {
+        while let Some(offset) = self.next_line_feed() {
             let line_end = self.line_start + offset;
-            let line = &self.held[self.line_start..line_end];
-            let blank = line.is_empty() || line == b"\r";
+            let line = &self.buffer[self.line_start..line_end];
+            let is_blank = line.is_empty() || line == b"\r";
             self.line_start = line_end + 1;
-            if blank {
+            if is_blank {
                 return Ok(Some(self.take_event()));
             }
         }
-        if self.held.len() > MOST_EVENT_BYTES {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EventTooLong);
         }
         Ok(None)
     }
 
-    /// What is left of an event that is not whole.
+    /// The bytes of an event that is not complete.
     pub fn into_rest(self) -> Bytes {
-        self.held.freeze()
+        self.buffer.freeze()
+    }
+
+    /// The offset of the next line feed, from the start of the line.
+    fn next_line_feed(&self) -> Option<usize> {
+        self.buffer[self.line_start..]
+            .iter()
+            .position(|byte| *byte == b'\n')
     }
 
     fn take_event(&mut self) -> Event {
-        let bytes = self.held.split_to(self.line_start).freeze();
+        let bytes = self.buffer.split_to(self.line_start).freeze();
         self.line_start = 0;
         let id = lines(&bytes)
             .filter_map(|line| field(line, b"id"))
--- /dev/null
+++ b/tier/proxy/src/stream/turn_completion.rs
@@ -0,0 +1,102 @@
+//! What is left to be done for a stream's turn, however the stream ends.
+
+use plankhill_dispatch::Ms;
+
+use crate::client_request::ClientRequest;
+use crate::in_flight::WorkGuard;
+use crate::process::Proxy;
+use crate::turn::{DeliveredOutput, Turn, TurnError};
+
+/// The stores are waited for during this share of the time left: a target needs the rest.
+const BEGIN_SHARE: f64 = 0.5;
+
+/// A stream's turn and what was delivered of it. Owned by the stream's task, so that the turn can be
+/// settled after a cancellation.
+pub(super) struct TurnCompletion {
+    /// The turn, if the stores know of it.
+    turn: Option<Turn>,
+    pub(super) delivered: DeliveredOutput,
+    /// Whether the stores have acknowledged the end.
+    is_settled: bool,
+}
+
+impl TurnCompletion {
+    pub(super) fn of_request(proxy: &Proxy, request: &ClientRequest) -> Self {
+        let turn = Turn::of_request(
+            &proxy.turns,
+            &request.route,
+            &request.headers,
+            request.tokens_per_event,
+            &request.upstream.body,
+        );
+        TurnCompletion {
+            turn,
+            delivered: DeliveredOutput::default(),
+            is_settled: false,
+        }
+    }
+
+    /// Reserves tokens and fetches the previous turn, and puts both inputs into the request's body.
+    ///
+    /// # Errors
+    /// Why the turn is not sent. Memory that is used up counts as unavailable stores: the client may
+    /// come back soon.
+    pub(super) async fn begin(
+        &mut self,
+        proxy: &Proxy,
+        request: &mut ClientRequest,
+    ) -> Result<(), TurnError> {
+        let Some(turn) = &mut self.turn else {
+            return Ok(());
+        };
+        let now = proxy.clock.now();
+        let until = now + (request.deadline - now) * BEGIN_SHARE;
+        let body = match turn.begin(proxy.clock.instant(until)).await {
+            Ok(body) => body,
+            Err(error) => {
+                // A turn that does not fit into the budget reserves nothing.
+                self.is_settled = error == TurnError::BudgetExhausted;
+                return Err(error);
+            }
+        };
+        let history_bytes = body.len() - request.upstream.body.len();
+        if request.memory.grow(history_bytes).is_err() {
+            return Err(TurnError::StoresUnavailable);
+        }
+        request.upstream.body = body;
+        Ok(())
+    }
+
+    /// Whether the data of events is kept for the turn's record.
+    pub(super) fn is_retained(&self) -> bool {
+        self.turn.as_ref().is_some_and(Turn::is_retained)
+    }
+
+    /// Stores a retained turn before its answer ends; false if the stores have not acknowledged it by
+    /// `deadline`. Other turns are settled in the background.
+    pub(super) async fn store_retained(&mut self, proxy: &Proxy, deadline: Ms) -> bool {
+        let Some(turn) = self.turn.as_ref().filter(|turn| turn.is_retained()) else {
+            return true;
+        };
+        if turn
+            .end(&self.delivered, proxy.clock.instant(deadline))
+            .await
+        {
+            self.is_settled = true;
+            return true;
+        }
+        // The answer is truncated, and the turn settled by what was delivered.
+        self.delivered.is_complete = false;
+        false
+    }
+
+    /// Settles the turn unless the stores have acknowledged its end.
+    pub(super) fn settle_in_background(self, work: WorkGuard) {
+        if self.is_settled {
+            return;
+        }
+        if let Some(turn) = self.turn {
+            turn.settle_in_background(self.delivered, work);
+        }
+    }
+}
--- a/tier/proxy/src/feed.rs
+++ b/tier/proxy/src/table_feed.rs
@@ -1,14 +1,18 @@
-//! Follows the agent of this machine.
+//! Follows the tables that the agent of this machine sends, and puts each revision in force. Started
+//! once by [`crate::run()`].
 
 use std::rc::Rc;
+use std::sync::Arc;
 
 use plankhill_protocol::feed::Subscriber;
-use plankhill_protocol::ids::NodeId;
+use plankhill_protocol::ids::{InstanceId, NodeId};
 use plankhill_protocol::ports::PortRange;
 use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, AGENT_TIMEOUT};
+use plankhill_protocol::tables::Tables;
 use plankhill_protocol::transport::{Channel, Hello};
 use plankhill_settings::Settings;
 use tokio::sync::watch;
+use tokio::time::Instant;
 
 use crate::process::Proxy;
 
@@ -29,7 +33,8 @@
 
 /// Puts each change of the tables in force. Ends with the subscription.
 pub async fn follow(proxy: Rc<Proxy>, subscription: Rc<Subscription>) {
-    let (mut tables, mut standing) = (subscription.tables(), subscription.status());
+    let mut tables = subscription.tables();
+    let mut status = subscription.status();
     loop {
         tokio::select! {
             changed = tables.changed() => {
@@ -39,38 +44,36 @@
                 let newest = tables.borrow_and_update().clone();
                 put_in_force(&proxy, newest);
             }
-            changed = standing.changed() => {
+            changed = status.changed() => {
                 if changed.is_err() {
                     return;
                 }
             }
         }
-        if standing.borrow_and_update().current && !proxy.life.is_current() {
-            tracing::info!(
-                revision = proxy.snapshots.newest().tables.revision.0,
-                "tables are current"
-            );
-            proxy.life.set_current();
+        if status.borrow_and_update().current && !proxy.lifecycle.has_current_tables() {
+            let revision = proxy.snapshots.newest().tables.revision.0;
+            tracing::info!(revision, "tables current");
+            proxy.lifecycle.mark_tables_current();
         }
     }
 }
 
-fn put_in_force(proxy: &Proxy, tables: std::sync::Arc<plankhill_protocol::tables::Tables>) {
-    let stores = proxy.snapshots.newest().tables.stores.clone();
+fn put_in_force(proxy: &Proxy, tables: Arc<Tables>) {
+    let previous_stores = proxy.snapshots.newest().tables.stores.clone();
     if !proxy.snapshots.replace(tables) {
         return;
     }
     let snapshot = proxy.snapshots.newest();
-    if snapshot.tables.stores != stores {
-        proxy.turns.view_changed(&snapshot.tables.stores);
+    if snapshot.tables.stores != previous_stores {
+        proxy.turns.set_view(&snapshot.tables.stores);
     }
-    proxy.admission.tables_changed(&snapshot);
-    let known = |target: &_| {
+    proxy.admission.on_tables_changed(&snapshot);
+    let is_listed = |target: &InstanceId| {
         snapshot
             .tables
             .targets
             .iter()
             .any(|listed| listed.id == *target)
     };
-    proxy.targets.pool.sweep(tokio::time::Instant::now(), known);
+    proxy.target_client.pool.sweep(Instant::now(), is_listed);
 }
--- a/tier/proxy/src/target_pool.rs
+++ b/tier/proxy/src/target_pool.rs
@@ -1,4 +1,5 @@
-//! Connections to targets: kept open between calls, bounded for each target.
+//! Connections to targets: kept open between attempts, bounded for each target. One pool is shared by
+//! all tasks of the process.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,15 +14,18 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::facts::text;
 use crate::headers::says_close;
+use crate::request_headers::text;
 
-/// Idle connections are given up this long before the target closes them, so that no request meets the close.
-const MARGIN: Duration = Duration::from_millis(400);
-/// How long a connection rests where the target states no time: it has less than a whole second then.
-const UNSTATED: Duration = Duration::from_millis(150);
+/// Idle connections are closed this long before the target closes them, so that no request meets the
+/// close.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(400);
+/// The idle time-out where the target states none: the target's is less than a whole second then.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(150);
+/// A longer time-out in `Keep-Alive` is not believed.
+const MAX_KEEP_ALIVE_SECONDS: u64 = 3_600;
 
-/// Ends the task that drives a connection when the connection is no longer wanted.
+/// Ends the task that drives a connection when the connection is dropped.
 #[derive(Debug)]
 pub struct Driver(pub JoinHandle<()>);
 
@@ -44,127 +48,134 @@
     }
 }
 
-/// An open connection, in use by one call or idle.
+/// An open connection, in use by one attempt or idle.
 #[derive(Debug)]
 pub struct TargetConnection {
     /// Takes requests.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether an answer has come over it before.
+    /// Whether an answer has come over the connection before.
     pub reused: bool,
     /// Keeps the connection driven.
     pub driver: Driver,
-    /// Counts it.
+    /// Counts the connection.
     pub permit: OpenPermit,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: TargetConnection,
-    until: Instant,
+    usable_until: Instant,
 }
 
+impl IdleConnection {
+    fn is_usable(&self, now: Instant) -> bool {
+        self.usable_until > now && !self.connection.sender.is_closed()
+    }
+}
+
+/// The connections to one target.
 #[derive(Debug, Default)]
-struct OfTarget {
+struct TargetConnections {
     /// The one used last is at the end.
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
+    /// Connections in use and idle.
     open: usize,
 }
 
-/// All connections to targets, by the target's id: an address used again never meets an old connection.
+/// All connections to targets, by the target's id: an address that is used again never meets an old
+/// connection.
+///
+/// Connections are dropped only while `targets` is not borrowed: their permits borrow the pool to
+/// count themselves out.
 #[derive(Debug, Default)]
 pub struct TargetPool {
-    targets: RefCell<HashMap<InstanceId, OfTarget>>,
+    targets: RefCell<HashMap<InstanceId, TargetConnections>>,
 }
 
 impl TargetPool {
-    /// An idle connection that was used last, if there is one that can still be used.
+    /// The idle connection that was used last, if there is one that can still be used.
     pub fn take_idle(&self, target: &InstanceId, now: Instant) -> Option<TargetConnection> {
         let mut unusable = Vec::new();
         let found = {
             let mut targets = self.targets.borrow_mut();
-            let of_target = targets.get_mut(target)?;
+            let connections = targets.get_mut(target)?;
             loop {
-                match of_target.idle.pop() {
+                match connections.idle.pop() {
                     None => break None,
-                    Some(idle) if usable(&idle, now) => break Some(idle.connection),
+                    Some(idle) if idle.is_usable(now) => break Some(idle.connection),
                     Some(idle) => unusable.push(idle),
                 }
             }
         };
-        // Dropped without the borrow: their permits count themselves out.
         drop(unusable);
         found
     }
 
-    /// Leave to open one more connection, if fewer than `most` are open.
-    pub fn permit(self: &Rc<Self>, target: &InstanceId, most: usize) -> Option<OpenPermit> {
+    /// A permit to open one more connection, if fewer than `max` are open.
+    pub fn permit(self: &Rc<Self>, target: &InstanceId, max: usize) -> Option<OpenPermit> {
         let mut targets = self.targets.borrow_mut();
-        let of_target = targets.entry(target.clone()).or_default();
-        if of_target.open >= most {
+        let connections = targets.entry(target.clone()).or_default();
+        if connections.open >= max {
             return None;
         }
-        of_target.open += 1;
+        connections.open += 1;
         Some(OpenPermit {
             pool: self.clone(),
             target: target.clone(),
         })
     }
 
-    /// Keeps a connection whose answer came whole, unless the answer's head speaks against it.
+    /// Keeps a connection whose answer arrived completely, unless the answer's head speaks against it.
     pub fn put_back(&self, mut connection: TargetConnection, head: &HeaderMap, now: Instant) {
         if says_close(head) || connection.sender.is_closed() {
             return;
         }
         connection.reused = true;
         let target = connection.permit.target.clone();
-        let until = now + rest(head);
+        let usable_until = now + idle_timeout(head);
         let expired = {
             let mut targets = self.targets.borrow_mut();
-            let of_target = targets.entry(target).or_default();
-            let expired: Vec<Idle> = of_target
+            let connections = targets.entry(target).or_default();
+            let expired: Vec<IdleConnection> = connections
                 .idle
-                .extract_if(.., |idle| !usable(idle, now))
+                .extract_if(.., |idle| !idle.is_usable(now))
                 .collect();
-            of_target.idle.push(Idle { connection, until });
+            connections.idle.push(IdleConnection {
+                connection,
+                usable_until,
+            });
             expired
         };
         drop(expired);
     }
 
-    /// Closes the connections to a target that no call uses.
+    /// Closes the connections to a target that no attempt uses.
     pub fn close_idle(&self, target: &InstanceId) {
         let idle = match self.targets.borrow_mut().get_mut(target) {
-            Some(of_target) => std::mem::take(&mut of_target.idle),
+            Some(connections) => std::mem::take(&mut connections.idle),
             None => return,
         };
         drop(idle);
     }
 
-    /// Closes every idle connection that has rested long enough, or whose target is not `known`.
+    /// Closes every idle connection whose time-out is over, or whose target is not `known`.
     pub fn sweep(&self, now: Instant, known: impl Fn(&InstanceId) -> bool) {
-        let unusable: Vec<Idle> = self
-            .targets
-            .borrow_mut()
-            .iter_mut()
-            .flat_map(|(target, of_target)| {
-                let gone = !known(target);
-                of_target
-                    .idle
-                    .extract_if(.., move |idle| gone || !usable(idle, now))
-                    .collect::<Vec<_>>()
-            })
-            .collect();
+        let mut unusable: Vec<IdleConnection> = Vec::new();
+        for (target, connections) in self.targets.borrow_mut().iter_mut() {
+            let is_known = known(target);
+            let closed = connections
+                .idle
+                .extract_if(.., |idle| !is_known || !idle.is_usable(now));
+            unusable.extend(closed);
+        }
         drop(unusable);
     }
 
     /// Idle connections that can still be used.
     pub fn usable(&self, now: Instant) -> usize {
         let targets = self.targets.borrow();
-        targets
-            .values()
-            .flat_map(|of_target| &of_target.idle)
-            .filter(|idle| usable(idle, now))
-            .count()
+        let idle = targets.values().flat_map(|connections| &connections.idle);
+        idle.filter(|idle| idle.is_usable(now)).count()
     }
 
     /// Connections open to all targets.
@@ -172,41 +183,35 @@
         self.targets
             .borrow()
             .values()
-            .map(|of_target| of_target.open)
+            .map(|connections| connections.open)
             .sum()
     }
 
     fn release(&self, target: &InstanceId) {
         let mut targets = self.targets.borrow_mut();
-        let Some(of_target) = targets.get_mut(target) else {
+        let Some(connections) = targets.get_mut(target) else {
             return;
         };
-        of_target.open = of_target.open.saturating_sub(1);
-        if of_target.open == 0 && of_target.idle.is_empty() {
+        connections.open = connections.open.saturating_sub(1);
+        if connections.open == 0 && connections.idle.is_empty() {
             targets.remove(target);
         }
     }
 }
 
-fn usable(idle: &Idle, now: Instant) -> bool {
-    idle.until > now && !idle.connection.sender.is_closed()
-}
-
-/// How long a connection may rest after an answer with this head.
-fn rest(head: &HeaderMap) -> Duration {
+/// How long a connection may be idle after an answer with this head.
+fn idle_timeout(head: &HeaderMap) -> Duration {
     match text(head, "keep-alive").and_then(keep_alive_seconds) {
-        Some(seconds) => Duration::from_secs(seconds).saturating_sub(MARGIN),
-        None => UNSTATED,
+        Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_TIMEOUT_MARGIN),
+        None => DEFAULT_IDLE_TIMEOUT,
     }
 }
 
+/// The `timeout` parameter of a `Keep-Alive` header (RFC 2068, section 19.7.1.1).
 fn keep_alive_seconds(value: &str) -> Option<u64> {
     let timeout = value
         .split(',')
         .find_map(|part| part.trim().strip_prefix("timeout="))?;
-    timeout
-        .trim()
-        .parse()
-        .ok()
-        .filter(|seconds| *seconds <= 3_600)
+    let seconds = timeout.trim().parse().ok()?;
+    (seconds <= MAX_KEEP_ALIVE_SECONDS).then_some(seconds)
 }
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -1,4 +1,5 @@
-//! A turn of a program: what it reserves and fetches before it runs, settles and keeps afterwards.
+//! A turn of an agent program: what it reserves and fetches at the stores before it is sent to a
+//! target, and what it settles and stores afterwards. Owned by the task of its stream.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,37 +12,37 @@
 use plankhill_store_client::{BeginOutcome, BeginTurn, EndOutcome, EndTurn};
 use tokio::time::Instant;
 
-use crate::facts::Facts;
-use crate::life::Work;
+use crate::in_flight::WorkGuard;
+use crate::request_headers::RequestHeaders;
 use crate::turn_store::TurnStore;
 
-/// How long a settlement is tried in the background. What stays unsettled counts at its most: too much, never
-/// too little.
-const SETTLE_FOR: Duration = Duration::from_secs(20);
+/// How long a settlement is attempted in the background. A turn that stays unsettled counts with its
+/// reservation: too much, never too little.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a turn may not run.
+/// Why a turn is not sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum TurnRefusal {
+pub enum TurnError {
     /// One more turn does not fit into the budget.
-    #[error("the budget is spent")]
-    BudgetSpent,
+    #[error("the budget is exhausted")]
+    BudgetExhausted,
     /// `Previous` surely names no turn.
     #[error("no such turn")]
     NoSuchTurn,
     /// Too few stores answered.
-    #[error("the stores cannot tell")]
-    Unsure,
+    #[error("the stores are unavailable")]
+    StoresUnavailable,
 }
 
-/// What a turn has handed to its client.
+/// What was delivered to the client of a turn.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Handed {
-    /// Events.
+pub struct DeliveredOutput {
+    /// Number of events.
     pub events: u64,
     /// The data of each event with a line feed behind.
-    pub output: Vec<u8>,
-    /// Whether the answer is whole.
-    pub whole: bool,
+    pub data: Vec<u8>,
+    /// Whether the target's answer was delivered completely.
+    pub is_complete: bool,
 }
 
 /// A turn that the stores know of.
@@ -51,61 +52,67 @@
     turn: RequestId,
     reservation: Option<Reservation>,
     previous: Option<RequestId>,
-    place: Option<TurnLocation>,
-    /// How long it is kept, on a route that keeps turns.
+    /// Where the stores keep the previous turn; known once the turn has begun.
+    previous_location: Option<TurnLocation>,
+    /// How long the turn is stored, on a route that stores turns.
     retention: Option<Duration>,
     tokens_per_event: u64,
     input: Bytes,
 }
 
 impl Turn {
-    /// The turn that a request is, if it is one that the stores have to know of.
-    pub fn of(
+    /// The turn that a request with these headers is, if the stores have to know of it.
+    pub fn of_request(
         store: &Rc<dyn TurnStore>,
         route: &Route,
-        facts: &Facts,
+        headers: &RequestHeaders,
         tokens_per_event: u64,
         input: &Bytes,
     ) -> Option<Self> {
-        let (program, turn) = (facts.program.clone()?, facts.request_id.clone()?);
-        let reservation = facts.budget.map(|budget| {
-            let most = facts.usage.map_or(budget, |usage| usage.most);
-            Reservation {
-                budget,
-                max_tokens: most,
-            }
-        });
+        let program = headers.program.clone()?;
+        let turn = headers.request_id.clone()?;
+        let reservation = reservation_of(headers);
         if reservation.is_none() && !route.retained {
             return None;
         }
+        let previous = if route.retained {
+            headers.previous.clone()
+        } else {
+            None
+        };
+        let retention = if route.retained {
+            Some(route.retention)
+        } else {
+            None
+        };
         Some(Turn {
             store: store.clone(),
             program,
             turn,
             reservation,
-            previous: facts.previous.clone().filter(|_| route.retained),
-            place: None,
-            retention: route.retained.then_some(route.retention),
+            previous,
+            previous_location: None,
+            retention,
             tokens_per_event,
             input: input.clone(),
         })
     }
 
-    /// Whether the end of the answer waits until the turn is kept.
-    pub fn is_kept(&self) -> bool {
+    /// Whether the end of the answer waits until the turn is stored.
+    pub fn is_retained(&self) -> bool {
         self.retention.is_some()
     }
 
-    /// Whether the stores have to know of it before it runs.
+    /// Whether the stores have to know of the turn before it is sent.
     fn needs_begin(&self) -> bool {
         self.reservation.is_some() || self.previous.is_some()
     }
 
-    /// Reserves and fetches; returns the body for the target.
+    /// Reserves tokens and fetches the previous turn; returns the body for the target.
     ///
     /// # Errors
-    /// Why the turn may not run.
-    pub async fn begin(&mut self, until: Instant) -> Result<Bytes, TurnRefusal> {
+    /// Why the turn is not sent.
+    pub async fn begin(&mut self, until: Instant) -> Result<Bytes, TurnError> {
         if !self.needs_begin() {
             return Ok(self.input.clone());
         }
@@ -115,70 +122,83 @@
             reservation: self.reservation.clone(),
             previous: self.previous.clone(),
         };
-        let within = until.saturating_duration_since(Instant::now());
-        match self.store.begin(call, within).await {
+        let timeout = until.saturating_duration_since(Instant::now());
+        match self.store.begin(call, timeout).await {
             BeginOutcome::Begun { history, previous } => {
-                self.place = previous;
-                Ok(joined(&history, &self.input))
+                self.previous_location = previous;
+                Ok(join(&history, &self.input))
             }
-            BeginOutcome::BudgetSpent => Err(TurnRefusal::BudgetSpent),
-            BeginOutcome::NoSuchTurn => Err(TurnRefusal::NoSuchTurn),
-            BeginOutcome::Unavailable => Err(TurnRefusal::Unsure),
+            BeginOutcome::BudgetSpent => Err(TurnError::BudgetExhausted),
+            BeginOutcome::NoSuchTurn => Err(TurnError::NoSuchTurn),
+            BeginOutcome::Unavailable => Err(TurnError::StoresUnavailable),
         }
     }
 
-    /// Settles and keeps; true once enough stores have acknowledged it, false if they have not by `until`.
-    pub async fn end(&self, handed: &Handed, until: Instant) -> bool {
-        let Some(call) = self.end_call(handed) else {
+    /// Settles the budget and stores the turn; true once enough stores have acknowledged it, false if
+    /// they have not by `until`.
+    pub async fn end(&self, delivered: &DeliveredOutput, until: Instant) -> bool {
+        let Some(call) = self.end_call(delivered) else {
             return true;
         };
-        let within = until.saturating_duration_since(Instant::now());
-        self.store.end(call, within).await == EndOutcome::Ended
+        let timeout = until.saturating_duration_since(Instant::now());
+        self.store.end(call, timeout).await == EndOutcome::Ended
     }
 
-    /// Settles in the background.
-    pub fn settle(self, handed: Handed, work: Work) {
+    /// Settles the turn in the background. The process does not end before: `work` says so.
+    pub fn settle_in_background(self, delivered: DeliveredOutput, work: WorkGuard) {
         tokio::task::spawn_local(async move {
-            let _work = work;
-            if !self.end(&handed, Instant::now() + SETTLE_FOR).await {
-                tracing::warn!(program = %self.program, turn = %self.turn, "a turn stays unsettled");
+            if !self.end(&delivered, Instant::now() + SETTLE_TIMEOUT).await {
+                tracing::warn!(program = %self.program, turn = %self.turn, "turn not settled");
             }
+            drop(work);
         });
     }
 
-    fn end_call(&self, handed: &Handed) -> Option<EndTurn> {
-        let tokens = self
-            .reservation
-            .as_ref()
-            .map(|_| handed.events.saturating_mul(self.tokens_per_event));
-        let record = self
-            .retention
-            .filter(|_| handed.whole)
-            .map(|retention| self.record(handed, retention));
+    /// None if the stores need not know of the end.
+    fn end_call(&self, delivered: &DeliveredOutput) -> Option<EndTurn> {
+        let used_tokens = delivered.events.saturating_mul(self.tokens_per_event);
+        let tokens = self.reservation.as_ref().map(|_| used_tokens);
+        let record = match self.retention {
+            Some(retention) if delivered.is_complete => Some(self.record(delivered, retention)),
+            Some(_) | None => None,
+        };
         if tokens.is_none() && record.is_none() {
             return None;
         }
+        let program = self.program.clone();
+        let turn = self.turn.clone();
         Some(EndTurn {
-            program: self.program.clone(),
-            turn: self.turn.clone(),
+            program,
+            turn,
             tokens,
             record,
         })
     }
 
-    fn record(&self, handed: &Handed, retention: Duration) -> TurnRecord {
+    fn record(&self, delivered: &DeliveredOutput, retention: Duration) -> TurnRecord {
         TurnRecord {
             turn: self.turn.clone(),
             program: self.program.clone(),
-            previous: self.place.clone(),
+            previous: self.previous_location.clone(),
             input: Arc::from(self.input.as_ref()),
-            output: Arc::from(handed.output.as_slice()),
+            output: Arc::from(delivered.data.as_slice()),
             retention_ms: u64::try_from(retention.as_millis()).unwrap_or(u64::MAX),
         }
     }
 }
 
-fn joined(history: &[u8], input: &Bytes) -> Bytes {
+/// The `Budget` header with the most tokens that the turn generates; the whole budget where the
+/// headers do not say.
+fn reservation_of(headers: &RequestHeaders) -> Option<Reservation> {
+    let budget = headers.budget?;
+    let max_tokens = match headers.usage {
+        Some(usage) => usage.max_generated,
+        None => budget,
+    };
+    Some(Reservation { budget, max_tokens })
+}
+
+fn join(history: &[u8], input: &Bytes) -> Bytes {
     if history.is_empty() {
         return input.clone();
     }
--- a/tier/proxy/src/turn_store.rs
+++ b/tier/proxy/src/turn_store.rs
@@ -1,4 +1,4 @@
-//! The stores as the proxy uses them, so that tests can put others in their place.
+//! The stores as the proxy uses them: a trait, so that tests can put others in their place.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,28 +10,29 @@
 /// A future for this thread only.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Keeps turns and budgets. Repeating a call is harmless.
+/// Keeps turns and budgets. Calls are idempotent.
 pub trait TurnStore {
-    /// Another view of the stores holds from now on.
-    fn view_changed(&self, view: &StoreView);
-    /// Reserves the turn's most and fetches what it goes on from; [`BeginOutcome::Unsure`] after `within`.
-    fn begin(&self, turn: BeginTurn, within: Duration) -> LocalFuture<BeginOutcome>;
-    /// Settles the turn's budget and keeps what is to be kept; [`EndOutcome::Unsure`] after `within`.
-    fn end(&self, turn: EndTurn, within: Duration) -> LocalFuture<EndOutcome>;
+    /// Another view of the stores is in force from now on.
+    fn set_view(&self, view: &StoreView);
+    /// Reserves the turn's most tokens and fetches the turn that it follows;
+    /// [`BeginOutcome::Unavailable`] after `timeout`.
+    fn begin(&self, turn: BeginTurn, timeout: Duration) -> LocalFuture<BeginOutcome>;
+    /// Settles the turn's budget and stores its record; [`EndOutcome::Unavailable`] after `timeout`.
+    fn end(&self, turn: EndTurn, timeout: Duration) -> LocalFuture<EndOutcome>;
 }
 
 impl TurnStore for StoreClient {
-    fn view_changed(&self, view: &StoreView) {
-        self.set_view(view);
+    fn set_view(&self, view: &StoreView) {
+        StoreClient::set_view(self, view);
     }
 
-    fn begin(&self, turn: BeginTurn, within: Duration) -> LocalFuture<BeginOutcome> {
+    fn begin(&self, turn: BeginTurn, timeout: Duration) -> LocalFuture<BeginOutcome> {
         let client = self.clone();
-        Box::pin(async move { client.begin_turn(turn, within).await })
+        Box::pin(async move { client.begin_turn(turn, timeout).await })
     }
 
-    fn end(&self, turn: EndTurn, within: Duration) -> LocalFuture<EndOutcome> {
+    fn end(&self, turn: EndTurn, timeout: Duration) -> LocalFuture<EndOutcome> {
         let client = self.clone();
-        Box::pin(async move { client.end_turn(turn, within).await })
+        Box::pin(async move { client.end_turn(turn, timeout).await })
     }
 }
--- a/tier/proxy/tests/plain.rs
+++ b/tier/proxy/tests/buffered.rs
@@ -226,7 +226,7 @@
         };
         let ask = async {
             assert_eq!(world.ask(&first).await.expect("an answer").text(), "one");
-            while world.proxy.targets.pool.usable(Instant::now()) > 0 {
+            while world.proxy.target_client.pool.usable(Instant::now()) > 0 {
                 tokio::task::yield_now().await;
             }
             assert_eq!(world.ask(&second).await.expect("an answer").text(), "two");
--- a/tier/proxy/tests/connections.rs
+++ b/tier/proxy/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to targets that are used again: which answer belongs to which request, and what may have run.
+//! ConnectionPolicy to targets that are used again: which answer belongs to which request, and what may have run.
 
 mod support;
 
--- a/tier/proxy/tests/draining.rs
+++ b/tier/proxy/tests/draining.rs
@@ -8,10 +8,10 @@
 use plankhill_draining::shutdown::Shutdown;
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::tables::{Drain, Tables};
-use plankhill_proxy::life::Connections;
-use plankhill_proxy::ready::is_ready;
+use plankhill_proxy::lifecycle::ConnectionPolicy;
+use plankhill_proxy::readiness::is_ready;
+use support::drain_orders::{settled, Orders};
 use support::on_one_thread;
-use support::orders::{settled, Orders};
 use support::peer::Listening;
 use support::world::{answer, chunk, event, get, stream_head, turn, World, LAST_CHUNK};
 use tokio::join;
@@ -114,9 +114,9 @@
         let _orders = Orders::follow(&world);
         world
             .proxy
-            .life
-            .shut_down(Shutdown::new(Duration::ZERO, Duration::ZERO));
-        let ending = world.proxy.life.over();
+            .lifecycle
+            .begin_shutdown(Shutdown::new(Duration::ZERO, Duration::ZERO));
+        let ending = world.proxy.lifecycle.process_ended();
         let (_, cut) = join!(ending, client.chunk());
         assert_eq!(cut, None, "no end that looks complete");
         assert_eq!(world.stores.first_end().await.tokens, Some(3));
@@ -131,7 +131,10 @@
         let (mut resting, mut busy) = (world.client().await, world.client().await);
         busy.send(&get("once", "r1")).await;
         let (mut peer, _) = target.request().await;
-        world.proxy.life.set_connections(Connections::CloseIdle);
+        world
+            .proxy
+            .lifecycle
+            .set_connection_policy(ConnectionPolicy::CloseIdle);
         assert_eq!(resting.closed().await, b"");
         peer.send(&answer("200 OK", "r1", "", "body")).await;
         assert_eq!(busy.receive().await.expect("an answer").text(), "body");
@@ -147,10 +150,16 @@
         let mut client = world.client().await;
         client.send(&get("once", "r1")).await;
         let _held = target.request().await;
-        world.proxy.life.set_connections(Connections::Cut);
+        world
+            .proxy
+            .lifecycle
+            .set_connection_policy(ConnectionPolicy::CloseAll);
         assert_eq!(client.closed().await, b"");
         assert_eq!(
-            (world.proxy.life.clients(), world.proxy.life.requests()),
+            (
+                world.proxy.lifecycle.open_connections(),
+                world.proxy.lifecycle.work_in_flight()
+            ),
             (0, 0)
         );
     });
--- a/tier/proxy/tests/events.rs
+++ b/tier/proxy/tests/events.rs
@@ -1,6 +1,6 @@
 //! Events come out whole, however their bytes arrive.
 
-use plankhill_proxy::stream::events::{Event, EventSplitter, MOST_EVENT_BYTES};
+use plankhill_proxy::stream::events::{Event, EventSplitter, MAX_EVENT_BYTES};
 
 fn split(pieces: &[&[u8]]) -> (Vec<Event>, Vec<u8>) {
     let mut splitter = EventSplitter::default();
@@ -52,15 +52,15 @@
 fn data_has_a_line_feed_behind_each_line() {
     let (events, _) = split(&[b"versions: 3\nid: 1\ndata: one\ndata:two\n\n: nothing\n\n"]);
     let mut output = Vec::new();
-    events
-        .iter()
-        .for_each(|event| event.append_data(&mut output));
+    for event in &events {
+        event.append_data(&mut output);
+    }
     assert_eq!(output, b"one\ntwo\n");
 }
 
 #[test]
 fn an_endless_event_is_an_error() {
     let mut splitter = EventSplitter::default();
-    splitter.push(&vec![b'x'; MOST_EVENT_BYTES + 1]);
+    splitter.push(&vec![b'x'; MAX_EVENT_BYTES + 1]);
     assert!(splitter.next_event().is_err());
 }
--- a/tier/proxy/tests/life.rs
+++ b/tier/proxy/tests/lifecycle.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use plankhill_draining::shutdown::Shutdown;
+use support::drain_orders::Orders;
 use support::on_one_thread;
-use support::orders::Orders;
 use support::peer::{Listening, Peer};
 use support::world::{
     answer, chunk, configuration, event, get, stream_head, tables, World, LAST_CHUNK,
@@ -37,9 +37,9 @@
             (early.status(), early.header("retry-after").is_some()),
             (503, true)
         );
-        world.proxy.life.set_current();
+        world.proxy.lifecycle.mark_tables_current();
         assert_eq!(readiness(&world).await, 200);
-        world.proxy.life.shut_down(in_an_hour());
+        world.proxy.lifecycle.begin_shutdown(in_an_hour());
         assert_eq!(readiness(&world).await, 503);
     });
 }
@@ -54,7 +54,7 @@
         // Served in the order of their coming: the first request has been read when this one is answered.
         let _ = readiness(&world).await;
         world.set_tables(tables(&[target.address()], &configuration()));
-        world.proxy.life.set_current();
+        world.proxy.lifecycle.mark_tables_current();
         let (mut peer, _) = target.request().await;
         peer.send(&answer("200 OK", "r1", "", "body")).await;
         assert_eq!(client.receive().await.expect("an answer").text(), "body");
@@ -82,7 +82,7 @@
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
         let mut open = world.client().await;
-        world.proxy.life.shut_down(in_an_hour());
+        world.proxy.lifecycle.begin_shutdown(in_an_hour());
         open.send(&get("once", "r1")).await;
         let (mut peer, _) = target.request().await;
         peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "body"))
@@ -113,11 +113,11 @@
             .await;
         assert!(client.head().await.is_some());
         let _orders = Orders::follow(&world);
-        world.proxy.life.shut_down(Shutdown {
+        world.proxy.lifecycle.begin_shutdown(Shutdown {
             accept_until: Duration::ZERO,
             ..in_an_hour()
         });
-        let ending = world.proxy.life.over();
+        let ending = world.proxy.lifecycle.process_ended();
         let finishing = async {
             assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
             peer.send(LAST_CHUNK).await;
--- a/tier/proxy/tests/limits.rs
+++ b/tier/proxy/tests/limits.rs
@@ -55,7 +55,7 @@
     on_one_thread(async {
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
-        let before = world.proxy.memory.left();
+        let before = world.proxy.memory.free_bytes();
         let large = "x".repeat(90_000);
         let (one, two, three) = (post("r1", &large), post("r2", &large), post("r3", &large));
         let serve = async {
@@ -70,6 +70,6 @@
             }
         };
         join!(world.ask(&one), world.ask(&two), serve);
-        assert_eq!(world.proxy.memory.left(), before);
+        assert_eq!(world.proxy.memory.free_bytes(), before);
     });
 }
--- a/tier/proxy/tests/ending.rs
+++ b/tier/proxy/tests/shutdown.rs
@@ -6,10 +6,10 @@
 
 use plankhill_draining::shutdown::Shutdown;
 use plankhill_proxy::clock::duration;
-use plankhill_proxy::life::Connections;
-use plankhill_proxy::shutdown::end;
+use plankhill_proxy::lifecycle::ConnectionPolicy;
+use plankhill_proxy::signals::shut_down;
+use support::drain_orders::{settled, Orders};
 use support::on_one_thread;
-use support::orders::{settled, Orders};
 use support::peer::{Listening, Peer};
 use support::world::{answer, chunk, event, get, stream_head, World, LAST_CHUNK};
 use tokio::task;
@@ -26,19 +26,19 @@
         admit_all_until: all_begun_until,
         response_deadline: replies_end,
     };
-    world.proxy.life.shut_down(shutdown);
+    world.proxy.lifecycle.begin_shutdown(shutdown);
     shutdown
 }
 
 /// No more clients come: connections at rest are closed.
 async fn close_idle(world: &World, shutdown: Shutdown) {
-    world.proxy.life.shut_down(Shutdown {
+    world.proxy.lifecycle.begin_shutdown(Shutdown {
         accept_until: Duration::ZERO,
         ..shutdown
     });
-    let mut connections = world.proxy.life.connections();
+    let mut connections = world.proxy.lifecycle.connection_policy();
     connections
-        .wait_for(|wanted| *wanted == Connections::CloseIdle)
+        .wait_for(|wanted| *wanted == ConnectionPolicy::CloseIdle)
         .await
         .expect("a life");
     settled().await;
@@ -104,7 +104,7 @@
             assert!(got.header("retry-after").is_some());
             assert_eq!(client.closed().await, b"");
         }
-        assert_eq!(world.proxy.life.turned_away(), 2);
+        assert_eq!(world.proxy.lifecycle.rejected_requests(), 2);
         // The next thing that the target hears is a request that can be over in time.
         client = world.client().await;
         client.send(&get("once", "r2").replace("9000", "900")).await;
@@ -123,7 +123,7 @@
         let request = get("once", "r1");
         let (first, rest) = request.split_at(30);
         client.send(first).await;
-        while world.proxy.life.requests() == 0 {
+        while world.proxy.lifecycle.work_in_flight() == 0 {
             task::yield_now().await;
         }
         let shutdown = ending(&world, HOUR);
@@ -137,7 +137,7 @@
             ("whole", Some("close"))
         );
         drop(client);
-        world.proxy.life.over().await;
+        world.proxy.lifecycle.process_ended().await;
     });
 }
 
@@ -151,7 +151,7 @@
             .replace("GET", "POST")
             .replace("\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n");
         client.send(&(head + "half")).await;
-        while world.proxy.life.requests() == 0 {
+        while world.proxy.lifecycle.work_in_flight() == 0 {
             task::yield_now().await;
         }
         let shutdown = ending(&world, HOUR);
@@ -178,7 +178,7 @@
         assert!(peer.receive().await.is_some());
         peer.send(&answer("200 OK", "r1", "", "sent")).await;
         assert_eq!(client.receive().await.expect("an answer").text(), "sent");
-        world.proxy.life.over().await;
+        world.proxy.lifecycle.process_ended().await;
     });
 }
 
@@ -200,7 +200,7 @@
         assert_eq!(client.chunk().await, Some(Some(event(2, "b").into_bytes())));
         assert_eq!(client.chunk().await, Some(None));
         assert_eq!(client.closed().await, b"");
-        world.proxy.life.over().await;
+        world.proxy.lifecycle.process_ended().await;
     });
 }
 
@@ -251,7 +251,7 @@
         let (world, _orders) = world(&target).await;
         let shutdown = ending(&world, HOUR);
         close_idle(&world, shutdown).await;
-        world.proxy.life.over().await;
+        world.proxy.lifecycle.process_ended().await;
         let got = world.ask(&get("once", "r1")).await.expect("an answer");
         assert_eq!(
             (got.status(), got.header("retry-after").is_some()),
@@ -268,7 +268,7 @@
         let (_silent, _late) = (rested(&world, &target).await, world.client().await);
         let shutdown = ending(&world, HOUR);
         close_idle(&world, shutdown).await;
-        world.proxy.life.over().await;
+        world.proxy.lifecycle.process_ended().await;
     });
 }
 
@@ -277,7 +277,7 @@
     on_one_thread(async {
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
-        end(&world.proxy, Duration::from_millis(50)).await;
-        assert!(world.proxy.life.turns_away());
+        shut_down(&world.proxy, Duration::from_millis(50)).await;
+        assert!(world.proxy.lifecycle.is_draining());
     });
 }
--- a/tier/proxy/tests/signals.rs
+++ b/tier/proxy/tests/signals.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
-use plankhill_proxy::shutdown::Signals;
+use plankhill_proxy::signals::Signals;
 use plankhill_settings::Bounds;
+use support::drain_orders::Orders;
 use support::on_one_thread;
-use support::orders::Orders;
 use support::peer::Listening;
 use support::world::{chunk, event, get, stream_head, World, LAST_CHUNK};
 use tokio::task;
@@ -19,7 +19,7 @@
         let signals = Signals::catch().expect("signals");
         let bounds: Bounds =
             serde_json::from_value(serde_json::json!({ "grace_s": 8 })).expect("bounds");
-        let ended = task::spawn_local(signals.ended(world.proxy.clone(), bounds));
+        let ended = task::spawn_local(signals.process_ended(world.proxy.clone(), bounds));
         let mut client = world.client().await;
         client
             .send(&get("stream", "r1").replace("9000", "2000"))
@@ -29,7 +29,7 @@
             .await;
         assert!(client.head().await.is_some());
         signal("TERM");
-        let mut shutdown = world.proxy.life.shutdown();
+        let mut shutdown = world.proxy.lifecycle.shutdown();
         let first = *shutdown.wait_for(Option::is_some).await.expect("a life");
         signal("TERM");
         signal("HUP");
@@ -37,7 +37,7 @@
         assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
         assert_eq!(client.chunk().await, Some(Some(event(2, "b").into_bytes())));
         assert_eq!(client.chunk().await, Some(None));
-        assert_eq!(*world.proxy.life.shutdown().borrow(), first);
+        assert_eq!(*world.proxy.lifecycle.shutdown().borrow(), first);
         assert!(!ended.is_finished(), "clients may still come");
         ended.abort();
     });
--- a/tier/proxy/tests/streams.rs
+++ b/tier/proxy/tests/streams.rs
@@ -185,7 +185,7 @@
         assert!(client.head().await.is_some());
         drop(client);
         assert_eq!(peer.closed().await, b"");
-        world.proxy.life.idle().await;
+        world.proxy.lifecycle.work_finished().await;
     });
 }
 
@@ -200,7 +200,7 @@
             let (mut peer, _) = target.request().await;
             drop(client);
             assert_eq!(peer.closed().await, b"");
-            world.proxy.life.idle().await;
+            world.proxy.lifecycle.work_finished().await;
         }
     });
 }
--- a/tier/proxy/tests/support/mod.rs
+++ b/tier/proxy/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! A proxy inside the test's process, before scripted targets and clients on the loopback address.
 #![allow(dead_code)]
 
-pub mod orders;
+pub mod drain_orders;
 pub mod peer;
 pub mod round_robin;
 pub mod stores;
--- a/tier/proxy/tests/support/peer.rs
+++ b/tier/proxy/tests/support/peer.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Connections take in little before they are read.
+    /// ConnectionPolicy take in little before they are read.
     pub async fn with_small_buffers() -> Listening {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4 * 1024).expect("an option");
--- a/tier/proxy/tests/support/round_robin.rs
+++ b/tier/proxy/tests/support/round_robin.rs
@@ -1,4 +1,4 @@
-//! Targets in turns: stands in for the dispatcher.
+//! TargetClient in turns: stands in for the dispatcher.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,7 +10,7 @@
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
 
-use plankhill_proxy::decisions::Decisions;
+use plankhill_proxy::dispatch::Dispatch;
 use plankhill_proxy::snapshot::Snapshot;
 
 /// What refused clients are told, in milliseconds.
@@ -52,27 +52,34 @@
     }
 }
 
-impl Decisions for RoundRobin {
-    fn tables_changed(&mut self, snapshot: &Snapshot) {
+impl Dispatch for RoundRobin {
+    fn on_tables_changed(&mut self, snapshot: &Snapshot) {
         self.targets.clone_from(&snapshot.tables.targets);
     }
 
-    fn request(&mut self, _now: Ms, request: NewRequest) {
+    fn enqueue(&mut self, _now: Ms, request: NewRequest) {
         let key = request.key;
         self.requests.insert(key, (request, Attempts::default()));
         self.send(key);
     }
 
-    fn withdrawn(&mut self, request: RequestKey) {
+    fn cancel(&mut self, request: RequestKey) {
         self.requests.remove(&request);
     }
 
-    fn ended(&mut self, _now: Ms, key: RequestKey, _target: &InstanceId, ended: AttemptResult) {
+    fn on_attempt_ended(
+        &mut self,
+        _now: Ms,
+        key: RequestKey,
+        _target: &InstanceId,
+        result: AttemptResult,
+    ) {
         let Some((request, attempts)) = self.requests.get_mut(&key) else {
             return;
         };
-        attempts.record(ended.outcome);
-        if ended.outcome == AttemptOutcome::Delivered || ended.outcome == AttemptOutcome::Cancelled
+        attempts.record(result.outcome);
+        if result.outcome == AttemptOutcome::Delivered
+            || result.outcome == AttemptOutcome::Cancelled
         {
             self.requests.remove(&key);
         } else if attempts.allows_another(request.idempotency, request.max_attempts) {
@@ -83,7 +90,7 @@
             self.commands.push_back(if may_have_run {
                 Command::Fail {
                     request: key,
-                    last: ended.outcome,
+                    last: result.outcome,
                 }
             } else {
                 Command::Reject {
@@ -94,11 +101,11 @@
         }
     }
 
-    fn pinged(&mut self, _target: &InstanceId, _answer: HealthCheckResult) {}
+    fn on_health_check_ended(&mut self, _target: &InstanceId, _result: HealthCheckResult) {}
 
-    fn load_seen(&mut self, _now: Ms, _target: &InstanceId, _load: UpstreamLoad) {}
+    fn on_load_reported(&mut self, _now: Ms, _target: &InstanceId, _load: UpstreamLoad) {}
 
-    fn commands(&mut self, _now: Ms) -> Vec<Command> {
+    fn poll_commands(&mut self, _now: Ms) -> Vec<Command> {
         self.commands.drain(..).collect()
     }
 }
--- a/tier/proxy/tests/support/stores.rs
+++ b/tier/proxy/tests/support/stores.rs
@@ -38,9 +38,9 @@
 pub struct InMemory(pub Rc<Stores>);
 
 impl TurnStore for InMemory {
-    fn view_changed(&self, _view: &StoreView) {}
+    fn set_view(&self, _view: &StoreView) {}
 
-    fn begin(&self, turn: BeginTurn, _within: Duration) -> LocalFuture<BeginOutcome> {
+    fn begin(&self, turn: BeginTurn, _timeout: Duration) -> LocalFuture<BeginOutcome> {
         self.0.begun.borrow_mut().push(turn);
         let nothing = BeginOutcome::Begun {
             history: Arc::from([]),
@@ -50,7 +50,7 @@
         Box::pin(async { outcome })
     }
 
-    fn end(&self, turn: EndTurn, _within: Duration) -> LocalFuture<EndOutcome> {
+    fn end(&self, turn: EndTurn, _timeout: Duration) -> LocalFuture<EndOutcome> {
         self.0.ended.borrow_mut().push(turn);
         self.0.end_came.notify_one();
         let outcome = if self.0.refuse_ends.get() {
--- a/tier/proxy/tests/support/world.rs
+++ b/tier/proxy/tests/support/world.rs
@@ -8,13 +8,13 @@
 use plankhill_protocol::tables::{ConfigurationText, Tables, Target, TargetState};
 use plankhill_proxy::admission::Admission;
 use plankhill_proxy::clock::Clock;
-use plankhill_proxy::exchange::Targets;
-use plankhill_proxy::life::Life;
-use plankhill_proxy::memory::Memory;
+use plankhill_proxy::lifecycle::Lifecycle;
+use plankhill_proxy::memory_budget::MemoryBudget;
 use plankhill_proxy::process::Proxy;
 use plankhill_proxy::snapshot::SnapshotCell;
+use plankhill_proxy::target_client::TargetClient;
 use plankhill_proxy::target_pool::TargetPool;
-use plankhill_proxy::{listener, ready};
+use plankhill_proxy::{listener, readiness};
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 
@@ -22,10 +22,10 @@
 use super::round_robin::RoundRobin;
 use super::stores::{InMemory, Stores};
 
-/// Connections of clients at once.
+/// ConnectionPolicy of clients at once.
 const MOST_CLIENTS: usize = 64;
 
-/// Memory for bodies, in bytes.
+/// MemoryBudget for bodies, in bytes.
 const MEMORY: usize = 250_000;
 
 /// A proxy with its addresses.
@@ -48,10 +48,10 @@
             clock,
             snapshots: SnapshotCell::default(),
             admission: Rc::new(Admission::new(clock, decisions, pool.clone(), pings)),
-            targets: Targets { clock, pool },
+            target_client: TargetClient { clock, pool },
             turns: Rc::new(InMemory(stores.clone())),
-            memory: Rc::new(Memory::new(MEMORY)),
-            life: Rc::new(Life::default()),
+            memory: Rc::new(MemoryBudget::new(MEMORY)),
+            lifecycle: Rc::new(Lifecycle::default()),
         });
         let (client_listener, clients) = listening().await;
         let (ready_listener, readiness) = listening().await;
@@ -60,7 +60,7 @@
             client_listener,
             MOST_CLIENTS,
         ));
-        tokio::task::spawn_local(ready::serve(proxy.clone(), ready_listener));
+        tokio::task::spawn_local(readiness::serve(proxy.clone(), ready_listener));
         World {
             proxy,
             stores,
@@ -74,7 +74,7 @@
         let world = World::unready().await;
         let addresses: Vec<SocketAddr> = targets.iter().map(|target| target.address()).collect();
         world.set_tables(tables(&addresses, &configuration()));
-        world.proxy.life.set_current();
+        world.proxy.lifecycle.mark_tables_current();
         world
     }
 
@@ -82,7 +82,7 @@
         self.proxy.snapshots.replace(Arc::new(tables));
         self.proxy
             .admission
-            .tables_changed(&self.proxy.snapshots.newest());
+            .on_tables_changed(&self.proxy.snapshots.newest());
     }
 
     pub async fn client(&self) -> Peer {
--- a/tier/proxy/tests/wire_format.rs
+++ b/tier/proxy/tests/wire_format.rs
@@ -4,8 +4,8 @@
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use plankhill_dispatch::PrefixPart;
-use plankhill_proxy::facts::Facts;
 use plankhill_proxy::headers;
+use plankhill_proxy::request_headers::RequestHeaders;
 
 const HEADERS: [(&str, HeaderName); 9] = [
     ("EXPECTED_INSTANCE", headers::EXPECTED_INSTANCE),
@@ -41,7 +41,7 @@
     let hash_of = |session: &str| {
         let mut headers = HeaderMap::new();
         headers.insert("session", HeaderValue::from_str(session).expect("a value"));
-        Facts::of(&headers).session.expect("a session")
+        RequestHeaders::read(&headers).session.expect("a session")
     };
     let lines: Vec<String> = SESSIONS
         .iter()
@@ -71,17 +71,17 @@
     for (name, value) in sent {
         headers.insert(name, HeaderValue::from_static(value));
     }
-    let facts = Facts::of(&headers);
-    assert_eq!(facts.request_id.expect("read").as_str(), "r1");
-    assert_eq!(facts.deadline, Some(1_500.0));
-    assert_eq!(facts.program.expect("read").as_str(), "p1");
-    assert!(facts.session.is_some());
-    assert_eq!(facts.program_time_left, Some(-20.0));
-    assert_eq!(facts.budget, Some(900));
-    let usage = facts.usage.expect("read");
-    assert_eq!((usage.prompt, usage.most), (12, 34));
-    assert_eq!(facts.previous.expect("read").as_str(), "r0");
-    assert_eq!(facts.last_event_id, Some(56));
+    let read = RequestHeaders::read(&headers);
+    assert_eq!(read.request_id.expect("read").as_str(), "r1");
+    assert_eq!(read.deadline, Some(1_500.0));
+    assert_eq!(read.program.expect("read").as_str(), "p1");
+    assert!(read.session.is_some());
+    assert_eq!(read.program_time_left, Some(-20.0));
+    assert_eq!(read.budget, Some(900));
+    let usage = read.usage.expect("read");
+    assert_eq!((usage.prompt, usage.max_generated), (12, 34));
+    assert_eq!(read.previous.expect("read").as_str(), "r0");
+    assert_eq!(read.last_event_id, Some(56));
     let parts = [
         PrefixPart {
             id: 0xff,
@@ -92,5 +92,5 @@
             tokens: 20,
         },
     ];
-    assert_eq!(facts.prefix, parts);
+    assert_eq!(read.prefix, parts);
 }
