--- a/tier/controller/tests/histories.rs
+++ b/tier/controller/tests/histories.rs
@@ -1,6 +1,6 @@
-//! Histories of several operators over three controllers, checked for linearizability against a register with
-//! compare-and-swap: races on one version, one number with other content, repeats at other controllers, reads, while
-//! controllers are killed and lose their disks.
+//! Histories of several operators over three controllers, checked for linearizability against a
+//! register with compare-and-swap: races on one version, one number with other content, repeats at
+//! other controllers, reads, while controllers are killed and lose their disks.
 
 mod cluster;
 mod common;
@@ -24,7 +24,8 @@
     }
 }
 
-/// Controllers that go and come back in one history: the check takes exponential time where answers are unclear.
+/// Controllers that go and come back in one history: the check takes exponential time where answers
+/// are unclear.
 const ROUNDS: usize = 2;
 
 /// What happened to an order, in the order in which it did.
@@ -116,7 +117,8 @@
         });
     }
 
-    /// A read without an answer says nothing; a change without one may be in force at any later moment, or never.
+    /// A read without an answer says nothing; a change without one may be in force at any later
+    /// moment, or never.
     fn history(&self) -> History {
         let is_answered = |wanted: usize| {
             self.events
@@ -218,7 +220,7 @@
 }
 
 #[test]
-fn orders_of_several_operators_are_linearizable() {
+fn histories_of_several_operators_are_linearizable() {
     (1..=4).for_each(|seed| play(seed * 7_919));
 }
 
@@ -246,7 +248,7 @@
 
 /// The check finds what it is there for.
 #[test]
-fn planted_histories_are_found() {
+fn planted_violations_are_found() {
     use Answer::{Found, Refused, Taken};
     let taken = |name, order| (name, order, Some(Taken));
     let both_confirmed = [
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -135,7 +135,10 @@
 }
 
 fn bind(address: SocketAddr) -> Result<TcpListener, RunError> {
-    listen(address).map_err(|source| RunError::Listen { address, source })
+    listen(address).map_err(|error| RunError::Listen {
+        address,
+        source: error.source,
+    })
 }
 
 fn body_memory_bytes(settings: &Settings) -> usize {
