--- a/tier/controller/tests/feed.rs
+++ b/tier/controller/tests/feed.rs
@@ -6,11 +6,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::{block_on, edge, register, store, MemoryLog};
-use plankhill_control::Operation;
-use plankhill_controller::internal::serve_internal;
-use plankhill_controller::log::ControlLog;
-use plankhill_controller::process::publish_states;
+use common::{block_on, edge, put, register, store, MemoryLog};
+use plankhill_controller::control_log::ControlLog;
+use plankhill_controller::internal_server::serve_internal;
+use plankhill_controller::tasks::publish_committed_states;
 use plankhill_controller::Controller;
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
 use plankhill_protocol::ids::{NodeId, Revision};
@@ -25,7 +24,7 @@
     let controller = Controller::new(NodeId::from("core-1"), 1, log.clone());
     let listener = listen(([127, 0, 0, 1], 0).into()).unwrap();
     let address = listener.local_addr().unwrap();
-    spawn_local(publish_states(controller.clone()));
+    spawn_local(publish_committed_states(controller.clone()));
     spawn_local(serve_internal(controller.clone(), listener));
     (log, controller, address)
 }
@@ -47,16 +46,8 @@
     subscription.tables().wait_for(holds).await.unwrap().clone()
 }
 
-fn put(expected: u64, version: u64) -> Operation {
-    Operation::PutConfiguration {
-        expected,
-        version,
-        document: Arc::from(&b"{}"[..]),
-    }
-}
-
 #[test]
-fn an_agent_is_registered_and_gets_changes_as_they_come() {
+fn an_agent_is_registered_and_receives_changes() {
     block_on(async {
         let (log, _controller, address) = start();
         let subscription = subscribe(Subscriber::Edge(edge("edge-1", 1)), address);
@@ -73,7 +64,7 @@
 }
 
 #[test]
-fn an_agent_that_leaves_is_forgotten_at_once() {
+fn an_agent_that_deregisters_is_removed_at_once() {
     block_on(async {
         let (log, _controller, address) = start();
         let watcher = subscribe(Subscriber::Proxy, address);
@@ -87,7 +78,7 @@
 }
 
 #[test]
-fn stores_are_registered_and_their_reports_switch_the_view() {
+fn stores_are_registered_and_their_synced_reports_switch_the_view() {
     block_on(async {
         let (log, _controller, address) = start();
         for number in 1..=3 {
@@ -113,7 +104,7 @@
     });
 }
 
-/// A connection on which the test speaks for the subscriber.
+/// A connection on which the test is the subscriber.
 async fn connect(address: SocketAddr, held: Revision) -> Connection {
     let hello = Hello::new(Channel::Feed, NodeId::from("subscriber"));
     let mut connection = dial(address, &hello).await.unwrap();
@@ -133,7 +124,7 @@
     ) {}
 }
 
-/// The next message that is no heartbeat of a revision that was announced before.
+/// The next message other than a heartbeat of an announced revision.
 async fn next(connection: &mut Connection, announced: Revision) -> ToSubscriber {
     loop {
         match connection.reader.next().await.unwrap() {
@@ -145,7 +136,7 @@
 }
 
 #[test]
-fn a_subscriber_hears_when_its_controller_becomes_current_and_when_it_is_no_more() {
+fn a_subscriber_is_notified_when_its_controller_becomes_current_or_stops_being() {
     block_on(async {
         let (log, _controller, address) = start();
         log.set_reachable(false);
@@ -183,7 +174,7 @@
 }
 
 #[test]
-fn whoever_asks_for_a_snapshot_gets_one_whatever_the_log_reaches_back_to() {
+fn a_requested_snapshot_is_sent_also_to_a_subscriber_at_the_newest_revision() {
     block_on(async {
         let (log, _controller, address) = start();
         log.commit(&put(0, 5));
@@ -203,7 +194,7 @@
 }
 
 #[test]
-fn whoever_follows_a_home_is_told_of_revisions_only_until_it_asks_for_updates() {
+fn a_subscriber_that_follows_a_home_receives_heartbeats_only_until_it_resumes_updates() {
     block_on(async {
         let (log, _controller, address) = start();
         let held = log.state().borrow().revision;
@@ -213,15 +204,15 @@
             .send(&FromSubscriber::HeartbeatsOnly)
             .await
             .unwrap();
-        // A heartbeat that answers nothing: what was sent before it has been read by then.
+        // The controller has read everything sent before once it sends a regular heartbeat.
         next_heartbeat(&mut connection).await;
         next_heartbeat(&mut connection).await;
         log.commit(&put(0, 5));
         let newest = log.state().borrow().revision;
-        let told = next(&mut connection, held).await;
+        let notified = next(&mut connection, held).await;
         assert!(
-            matches!(told, ToSubscriber::Heartbeat { revision, .. } if revision == newest),
-            "{told:?}"
+            matches!(notified, ToSubscriber::Heartbeat { revision, .. } if revision == newest),
+            "{notified:?}"
         );
         connection
             .writer
@@ -236,7 +227,7 @@
 }
 
 #[test]
-fn a_controller_that_is_cut_off_is_not_taken_as_current() {
+fn a_partitioned_controller_is_not_current() {
     block_on(async {
         let (log, _controller, address) = start();
         let subscription = subscribe(Subscriber::Proxy, address);
@@ -255,7 +246,7 @@
 }
 
 #[test]
-fn a_thing_that_speaks_another_protocol_is_closed() {
+fn a_connection_of_another_protocol_is_closed() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     block_on(async {
         let (_log, _controller, address) = start();
--- a/tier/controller/tests/three_controllers.rs
+++ b/tier/controller/tests/three_controllers.rs
@@ -1,4 +1,5 @@
-//! The operator's orders over three controllers with their disks, while some are killed or lose a disk.
+//! Configuration changes over three controllers with their disks, while some are killed or lose
+//! a disk.
 
 mod cluster;
 mod common;
@@ -8,30 +9,33 @@
 use hyper::StatusCode;
 
 const ALL: [usize; 3] = [0, 1, 2];
-/// Reads from each controller behind each change.
-const READS: usize = 10;
+/// Reads from each controller after each change.
+const READS_PER_CONTROLLER: usize = 10;
 /// White space that makes a document as long as one of many routes.
-const PADDING: usize = 200_000;
+const PADDING_BYTES: usize = 200_000;
 
 /// The same configuration as a long document.
 fn padded(document: &str) -> String {
-    format!("{}{document}", " ".repeat(PADDING))
+    format!("{}{document}", " ".repeat(PADDING_BYTES))
 }
 
-fn others(place: usize) -> Vec<usize> {
-    ALL.into_iter().filter(|other| *other != place).collect()
+fn others(machine: usize) -> Vec<usize> {
+    ALL.into_iter().filter(|other| *other != machine).collect()
 }
 
 #[test]
-fn what_was_acknowledged_outlives_the_head_and_is_acknowledged_again() {
+fn acknowledged_puts_survive_the_loss_of_the_head() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     let head = cluster.head(0);
     cluster.kill(head);
     let left = others(head);
-    for place in &left {
-        assert_eq!(cluster.put(&[*place], 0, &configuration(5)), StatusCode::OK);
-        assert_eq!(cluster.get(*place), configuration(5));
+    for machine in &left {
+        assert_eq!(
+            cluster.put(&[*machine], 0, &configuration(5)),
+            StatusCode::OK
+        );
+        assert_eq!(cluster.get(*machine), configuration(5));
     }
     assert_eq!(cluster.put(&left, 5, &configuration(7)), StatusCode::OK);
     assert_eq!(
@@ -44,7 +48,7 @@
 }
 
 #[test]
-fn a_controller_that_lost_its_disk_answers_with_the_newest() {
+fn a_controller_with_a_lost_disk_reads_the_newest() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     cluster.kill(1);
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn all_killed_at_once_come_back_with_what_was_acknowledged() {
+fn acknowledged_writes_survive_a_kill_of_all_controllers() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     let target = heartbeat("draining", 3);
@@ -64,34 +68,44 @@
         cluster.call_until_clear(&ALL, "PUT", path, None, &target).0,
         StatusCode::OK
     );
-    ALL.into_iter().for_each(|place| cluster.kill(place));
-    ALL.into_iter()
-        .for_each(|place| cluster.start(place, false));
+    for machine in ALL {
+        cluster.kill(machine);
+    }
+    for machine in ALL {
+        cluster.start(machine, false);
+    }
     assert_eq!(cluster.put(&ALL, 5, &configuration(9)), StatusCode::OK);
-    ALL.into_iter()
-        .for_each(|place| assert_eq!(cluster.get(place), configuration(9)));
+    for machine in ALL {
+        assert_eq!(cluster.get(machine), configuration(9));
+    }
 }
 
-/// An operator reads the configuration back for seconds, from any controller, while others are killed together.
+/// An operator reads the configuration back for seconds, from any controller, while others are
+/// killed together.
 #[test]
-fn reads_again_and_again_answer_the_newest_whole() {
+fn repeated_reads_return_the_complete_newest_configuration() {
     let mut cluster = Cluster::bootstrap();
     let mut current = 0;
     for (version, killed) in [(5, vec![0]), (9, vec![1, 2]), (12, vec![0, 1, 2])] {
         let document = padded(&configuration(version));
         assert_eq!(cluster.put(&ALL, current, &document), StatusCode::OK);
         current = version;
-        killed.iter().for_each(|place| cluster.kill(*place));
-        killed.iter().for_each(|place| cluster.start(*place, false));
-        for _ in 0..READS {
-            ALL.into_iter()
-                .for_each(|place| assert!(cluster.get(place) == document, "version {version}"));
+        for machine in &killed {
+            cluster.kill(*machine);
+        }
+        for machine in &killed {
+            cluster.start(*machine, false);
+        }
+        for _ in 0..READS_PER_CONTROLLER {
+            for machine in ALL {
+                assert!(cluster.get(machine) == document, "version {version}");
+            }
         }
     }
 }
 
 #[test]
-fn one_controller_alone_acknowledges_nothing() {
+fn a_single_controller_acknowledges_nothing() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     cluster.kill(1);
--- /dev/null
+++ b/tier/store/src/node/replica/updates.rs
@@ -0,0 +1,80 @@
+//! Writes of a replica: reservations, updates of turns, extensions. Each is in memory before its rows are
+//! handed to the disk, and is answered once they are synced.
+
+use plankhill_conversations::peer::{PeerResponse, TurnUpdate};
+use plankhill_protocol::ids::{ProgramId, RequestId};
+
+use crate::clock::Clock;
+use crate::node::state::UpdateBatch;
+use crate::node::Node;
+use crate::peers::Peers;
+use crate::storage::{Storage, StorageError};
+
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Adds a reservation to the program's account, and answers with the account as it is once the
+    /// reservation is synced.
+    pub(super) async fn reserve_locally(
+        &self,
+        program: &ProgramId,
+        turn: &RequestId,
+        max_tokens: u64,
+        previous: Option<&RequestId>,
+    ) -> PeerResponse {
+        let now_ms = self.now_ms();
+        let reserved = self
+            .turns
+            .borrow_mut()
+            .reserve(program, turn, max_tokens, previous, now_ms);
+        let Ok(change) = reserved else {
+            return PeerResponse::Unavailable;
+        };
+        if self.rows.commit(vec![change]).await.is_err() {
+            return PeerResponse::Unavailable;
+        }
+        let account = self.turns.borrow().account(program).cloned();
+        PeerResponse::Account(account.unwrap_or_default())
+    }
+
+    /// Merges updates of turns, and answers once all of them are synced.
+    pub(in crate::node) async fn merge_updates(&self, updates: Vec<TurnUpdate>) -> PeerResponse {
+        let mut batch = UpdateBatch::default();
+        for update in updates {
+            let merged = self
+                .turns
+                .borrow_mut()
+                .merge(update, self.now_ms(), &mut batch);
+            if merged.is_err() {
+                tracing::warn!("turn rejected: storage capacity exhausted");
+                // What was merged before is written all the same; the answer stays the same.
+                let _ = self.write_batch(batch).await;
+                return PeerResponse::Unavailable;
+            }
+        }
+        match self.write_batch(batch).await {
+            Ok(()) => PeerResponse::Done,
+            Err(_) => PeerResponse::Unavailable,
+        }
+    }
+
+    /// Writes a batch, also one without rows: the commit then ends after the earlier ones, which may have
+    /// the rows of updates that were here already.
+    async fn write_batch(&self, mut batch: UpdateBatch) -> Result<(), StorageError> {
+        let outcome = self.rows.commit(batch.take_changes()).await;
+        let mut turns = self.turns.borrow_mut();
+        match outcome {
+            Ok(()) => turns.batch_written(batch),
+            Err(_) => turns.batch_failed(batch),
+        }
+        outcome
+    }
+
+    /// Retains a turn and its ancestors for at least this time, and answers once that is synced.
+    pub(super) async fn extend_locally(&self, turn: &RequestId, retention_ms: u64) -> PeerResponse {
+        let until_ms = self.now_ms().saturating_add(retention_ms);
+        let change = self.turns.borrow_mut().extend(turn, until_ms);
+        match self.rows.commit(vec![change]).await {
+            Ok(()) => PeerResponse::Done,
+            Err(_) => PeerResponse::Unavailable,
+        }
+    }
+}
