--- a/forwarder/config/src/pools.rs
+++ b/forwarder/config/src/pools.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use plankhill_connection_quotas::language::{Known, Policy};
+use plankhill_connection_quotas::language::{KnownNames, Policy};
 
 use crate::decisions::Names;
 use crate::fields::Plain;
@@ -45,7 +45,7 @@
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{name} cannot be read: {e}"))?;
     // Settings without members say nothing of their names.
     let members = Some(names.members.as_slice()).filter(|members| !members.is_empty());
-    let known = Known {
+    let known = KnownNames {
         kinds: Some(&names.kinds),
         zones: Some(&names.zones),
         members,
--- a/forwarder/connection-quotas/examples/demand.rs
+++ b/forwarder/connection-quotas/examples/demand.rs
@@ -12,10 +12,13 @@
 use fleet::leased::Leased;
 use fleet::traffic::{play, Traffic};
 
+/// Forwarders of the simulated fleet.
 pub const FORWARDERS: usize = 100;
+/// Targets of the simulated fleet.
 pub const TARGETS: usize = 2;
 /// Connections that a target takes, idle ones counted.
 pub const TAKES: u32 = 150;
+/// Members with their weights.
 pub const MEMBERS: [(&str, f64); 3] = [("large", 3.0), ("others", 1.0), ("small", 1.0)];
 
 fn main() {
--- a/forwarder/connection-quotas/examples/fleet/leased.rs
+++ b/forwarder/connection-quotas/examples/fleet/leased.rs
@@ -1,6 +1,6 @@
 //! Leases over the real book, giver and holders; the log takes 20 ms, a report 10 ms.
 
-use plankhill_connection_quotas::language::{Facts, Known, PoolId};
+use plankhill_connection_quotas::language::{Facts, KnownNames, PoolId};
 use plankhill_connection_quotas::leases::{encode, Instance, LeaseTable, MemberIncarnation};
 use plankhill_connection_quotas::local::{
     Admission, ConnectionUse, LocalQuotas, LocalQuotasConfig,
@@ -35,13 +35,13 @@
             .map(|at| (Instance(format!("i{at:03}")), String::new()))
             .collect();
         let local = |at: usize| {
-            let policy = plankhill_connection_quotas::policy("p", &text, &Known::default())
+            let policy = plankhill_connection_quotas::policy("p", &text, &KnownNames::default())
                 .expect("is sound");
-            let (instance, life) = (instances[at].0.clone(), MemberIncarnation(at as u64));
+            let (instance, incarnation) = (instances[at].0.clone(), MemberIncarnation(at as u64));
             let (text, instances) = (text.clone(), instances.clone());
             let mut local = LocalQuotas::new(LocalQuotasConfig {
                 instance,
-                life,
+                incarnation,
                 text,
                 policy,
                 instances,
--- a/forwarder/connection-quotas/src/language/grammar.rs
+++ b/forwarder/connection-quotas/src/language/grammar.rs
@@ -1,12 +1,12 @@
-//! The parser that pest makes of `grammar.pest`, and its rules by the words a reader knows.
+//! The parser that pest makes of `grammar.pest`, and its rules by the words that a policy's author knows.
 
 #[derive(pest_derive::Parser)]
 #[grammar = "language/grammar.pest"]
-pub struct Grammar;
+pub(super) struct Grammar;
 
-/// A rule of the grammar as a reader knows it.
-pub fn named(asked: Rule) -> &'static str {
-    match asked {
+/// A rule of the grammar as a policy's author knows it.
+pub(super) fn describe(expected: Rule) -> &'static str {
+    match expected {
         Rule::whole | Rule::language => "a whole number",
         Rule::percent => "a percentage as `2.5%`",
         Rule::span => "a time as `10s` or `500ms`",
--- a/forwarder/connection-quotas/src/language/lending.rs
+++ b/forwarder/connection-quotas/src/language/lending.rs
@@ -1,47 +1,48 @@
-//! Who lends to whom by name: lists that lead on, and circles in them. What one lends to another, and that one
-//! can't use, goes on along the other's list; in a circle nobody could say who gives back first.
+//! Which member lends to which by name: lists that lead on, and circles in them. Connections that one member lends
+//! to another, and that the other can't use, go on along the other's list; in a circle it would be undefined which
+//! member gives back first.
 
 use super::policy::{MemberTerms, Reach};
 
 /// The members of a circle of lending, in its order, if there is one.
-pub fn circle(members: &[MemberTerms]) -> Option<Vec<usize>> {
+pub(super) fn find_circle(members: &[MemberTerms]) -> Option<Vec<usize>> {
     let mut done = vec![false; members.len()];
     for start in 0..members.len() {
-        let mut way = Vec::new();
-        if let Some(found) = follow(members, start, &mut way, &mut done) {
+        let mut path = Vec::new();
+        if let Some(found) = follow(members, start, &mut path, &mut done) {
             return Some(found);
         }
     }
     None
 }
 
-/// No deeper than there are members, of which the checks bound the number.
+/// Follows the lists from one member. No deeper than there are members, whose number the checks bound.
 fn follow(
     members: &[MemberTerms],
     at: usize,
-    way: &mut Vec<usize>,
+    path: &mut Vec<usize>,
     done: &mut [bool],
 ) -> Option<Vec<usize>> {
-    if let Some(begins) = way.iter().position(|step| *step == at) {
-        return Some(way[begins..].to_vec());
+    if let Some(begins) = path.iter().position(|step| *step == at) {
+        return Some(path[begins..].to_vec());
     }
     if done[at] {
         return None;
     }
-    way.push(at);
+    path.push(at);
     if let Reach::Only(to) = &members[at].lends {
         for next in to {
-            if let Some(found) = follow(members, *next, way, done) {
+            if let Some(found) = follow(members, *next, path, done) {
                 return Some(found);
             }
         }
     }
-    way.pop();
+    path.pop();
     done[at] = true;
     None
 }
 
-/// For each member whom its unused share may reach: those that borrow, itself left out.
+/// For each member, whom its unused share may reach: those that borrow, itself left out.
 pub fn reaches(members: &[MemberTerms]) -> Vec<Vec<usize>> {
     (0..members.len())
         .map(|from| reach_of(members, from))
--- a/forwarder/connection-quotas/src/language/policy.rs
+++ b/forwarder/connection-quotas/src/language/policy.rs
@@ -1,50 +1,73 @@
-//! A checked policy, and what it says of one target as far as that is known. No fault can be left in it.
+//! A checked policy, and what it says of one target as far as that is known. No error can be left in it.
 
-use super::tree::{Counted, Of, Over, Percent, Scope, When};
+use serde::{Deserialize, Serialize};
 
-/// Who is named nowhere counts as this member.
+use super::tree::{Condition, CountedAt, Over, Percent, Scope, Selection};
+
+/// Clients that the policy names nowhere count as this member.
 pub const OTHERS: &str = "others";
 
-/// The place of a member in its policy's list, which is in the order of names.
-#[derive(
-    Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
-)]
+/// The position of a member in its policy's list, which is in the order of names.
+#[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct MemberId(pub u16);
 
-/// Where connections are counted: the name of a target, or the number of a destination.
-#[derive(
-    Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, serde::Deserialize, serde::Serialize,
-)]
+/// Where connections are counted. The order of variants is the form on the wire.
+#[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum PoolId {
+    /// At one target, by its name.
     Target(String),
+    /// At all targets of a destination together, by its number.
     Destination(u64),
 }
 
-/// What is known of a target, or of a destination's targets together.
-#[derive(Clone, Debug, Default, Eq, PartialEq, serde::Deserialize, serde::Serialize)]
+/// What is known of a target, or of a destination's targets together. The order of fields is the form on the wire.
+#[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Facts {
+    /// The target's name.
     pub target: String,
+    /// Its destination's number.
     pub destination: u64,
+    /// Its destination's kind.
     pub kind: String,
+    /// Its zone; empty where it has none.
     pub zone: String,
+    /// Whether it is warming up.
     pub cold: bool,
+    /// Whether it is draining.
     pub draining: bool,
 }
 
+impl Facts {
+    /// The facts that do not change while a target is listed.
+    pub(crate) fn lasting(&self) -> Facts {
+        Facts {
+            zone: String::new(),
+            cold: false,
+            draining: false,
+            ..self.clone()
+        }
+    }
+}
+
+/// A policy that was found sound.
 #[derive(Clone, Debug)]
 pub struct Policy {
+    /// Of two policies, the one with the higher number is in force.
     pub edition: u64,
+    /// How long leases last.
     pub lease: LeaseTerms,
-    /// In the order of their names; always with one called `others`.
+    /// In the order of their names; always with one called [`OTHERS`].
     pub members: Vec<String>,
     pub(super) budgets: Vec<Budget>,
     pub(super) rules: Vec<Rule>,
 }
 
-/// Times are milliseconds.
-#[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize, serde::Serialize)]
+/// How long leases last.
+#[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 pub struct LeaseTerms {
+    /// In milliseconds.
     pub lasts: f64,
+    /// How often a holder asks for another one, in milliseconds.
     pub renew: f64,
     /// By how much a clock may go fast or slow, as a share.
     pub drift: f64,
@@ -52,112 +75,133 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Budget {
-    pub scope: Scope,
-    pub terms: PoolTerms,
+    pub(super) scope: Scope,
+    pub(super) terms: PoolTerms,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Rule {
-    pub scope: Option<Scope>,
-    pub when: When,
-    pub change: Change,
+    pub(super) scope: Option<Scope>,
+    pub(super) when: Condition,
+    pub(super) change: Change,
 }
 
-/// What a rule puts in the place of what its budget says.
+/// What a rule puts in the place of its budget's terms.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Change {
-    pub connections: Option<u32>,
-    pub part: Option<Percent>,
-    pub reserve: Option<u32>,
-    pub over: Option<Over>,
-    pub members: Vec<(usize, MemberChange)>,
+    pub(super) connections: Option<u32>,
+    pub(super) part: Option<Percent>,
+    pub(super) reserve: Option<u32>,
+    pub(super) over: Option<Over>,
+    pub(super) members: Vec<ChangedMember>,
+}
+
+/// A change of the member at that position.
+#[derive(Clone, Debug)]
+pub(super) struct ChangedMember {
+    pub(super) member: usize,
+    pub(super) change: MemberChange,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberChange {
-    pub weight: Option<u32>,
-    pub floor: Option<u32>,
-    pub ceiling: Option<u32>,
-    pub lends: Option<Reach>,
-    pub borrows: Option<bool>,
+    pub(super) weight: Option<u32>,
+    pub(super) floor: Option<u32>,
+    pub(super) ceiling: Option<u32>,
+    pub(super) lends: Option<Reach>,
+    pub(super) borrows: Option<bool>,
 }
 
 /// Whom a member's unused share may reach.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reach {
+    /// Every member that borrows.
     All,
-    /// Places of members, in their order; what those can't use goes on along their own lists.
+    /// The members at these positions, in order; what those can't use goes on along their own lists.
     Only(Vec<usize>),
 }
 
-/// What holds for one pool. Counts are connections of all forwarders together, idle ones too.
+/// What holds for one pool. Numbers are connections of all forwarders together, idle ones too.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolTerms {
+    /// All connections.
     pub connections: u32,
-    /// Of these, for pings and trials.
+    /// Of these, for health checks and trials.
     pub reserve: u32,
     /// Of these, for forwarders that hold no lease.
     pub standing: u32,
+    /// How a member's share is divided over forwarders.
     pub over: Over,
-    /// In the order of `Policy::members`.
+    /// In the order of [`Policy::members`].
     pub members: Vec<MemberTerms>,
 }
 
+/// What holds for one member at a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberTerms {
+    /// Its weight among the members.
     pub weight: u32,
+    /// Connections that it has at the least.
     pub floor: u32,
+    /// Connections that it has at the most.
     pub ceiling: u32,
+    /// Whom its unused share may reach.
     pub lends: Reach,
+    /// Whether it may use others' unused shares.
     pub borrows: bool,
 }
 
 impl MemberChange {
-    pub(super) fn apply(&self, to: &mut MemberTerms) {
-        to.weight = self.weight.unwrap_or(to.weight);
-        to.floor = self.floor.unwrap_or(to.floor);
-        to.ceiling = self.ceiling.unwrap_or(to.ceiling);
-        to.borrows = self.borrows.unwrap_or(to.borrows);
+    pub(super) fn apply(&self, terms: &mut MemberTerms) {
+        terms.weight = self.weight.unwrap_or(terms.weight);
+        terms.floor = self.floor.unwrap_or(terms.floor);
+        terms.ceiling = self.ceiling.unwrap_or(terms.ceiling);
+        terms.borrows = self.borrows.unwrap_or(terms.borrows);
         if let Some(lends) = &self.lends {
-            to.lends = lends.clone();
+            terms.lends = lends.clone();
         }
     }
 }
 
-/// What a part of a budget is in whole connections; one at the least.
-pub(super) fn part_of(connections: u32, part: Percent) -> u32 {
+/// A part of a budget in whole connections; one at the least.
+fn part_of(connections: u32, part: Percent) -> u32 {
     ((u64::from(connections) * part.0 / 10_000) as u32).max(1)
 }
 
 impl Change {
-    /// Of two rules, the one that leaves fewer connections goes before.
-    pub(super) fn apply(&self, base: u32, to: &mut PoolTerms) {
-        let told = self
-            .part
-            .map(|part| part_of(base, part))
-            .or(self.connections);
-        to.connections = told.map_or(to.connections, |told| told.min(to.connections));
-        to.reserve = self.reserve.unwrap_or(to.reserve);
-        to.over = self.over.unwrap_or(to.over);
-        for (at, change) in &self.members {
-            change.apply(&mut to.members[*at]);
+    /// Of two rules, the one that leaves fewer connections holds. `base` is the budget's own number of connections.
+    pub(super) fn apply(&self, base: u32, terms: &mut PoolTerms) {
+        let connections = match self.part {
+            Some(part) => Some(part_of(base, part)),
+            None => self.connections,
+        };
+        if let Some(connections) = connections {
+            terms.connections = connections.min(terms.connections);
+        }
+        terms.reserve = self.reserve.unwrap_or(terms.reserve);
+        terms.over = self.over.unwrap_or(terms.over);
+        for ChangedMember { member, change } in &self.members {
+            change.apply(&mut terms.members[*member]);
         }
     }
 }
 
 /// How narrow a scope is: of several budgets the narrowest holds.
-pub(super) fn rank(scope: &Scope) -> u8 {
+fn rank(scope: &Scope) -> u8 {
     match scope {
         Scope::Target(_) => 3,
         Scope::Destination(_)
         | Scope::Each {
-            of: Of::Destination(_),
+            of: Selection::Destination(_),
             ..
         } => 2,
         Scope::Each {
-            of: Of::Kind(_), ..
+            of: Selection::Kind(_),
+            ..
         } => 1,
-        Scope::Each { of: Of::All, .. } => 0,
+        Scope::Each {
+            of: Selection::All, ..
+        } => 0,
     }
 }
 
@@ -165,84 +209,86 @@
     match scope {
         Scope::Target(name) => *name == facts.target,
         Scope::Destination(number) => *number == facts.destination,
-        Scope::Each { of: Of::All, .. } => true,
         Scope::Each {
-            of: Of::Kind(kind), ..
+            of: Selection::All, ..
+        } => true,
+        Scope::Each {
+            of: Selection::Kind(kind),
+            ..
         } => *kind == facts.kind,
         Scope::Each {
-            of: Of::Destination(number),
+            of: Selection::Destination(number),
             ..
         } => *number == facts.destination,
     }
 }
 
-impl When {
+impl Condition {
     fn holds(&self, facts: &Facts) -> bool {
         match self {
-            When::Any(conditions) => conditions.iter().any(|condition| condition.holds(facts)),
-            When::All(conditions) => conditions.iter().all(|condition| condition.holds(facts)),
-            When::Not(condition) => !condition.holds(facts),
-            When::Cold => facts.cold,
-            When::Draining => facts.draining,
-            When::Zone(names) => names.iter().any(|name| name.what == facts.zone),
-            When::Kind(names) => names.iter().any(|name| name.what == facts.kind),
-            When::Destination(number) => *number == facts.destination,
+            Condition::Any(conditions) => conditions.iter().any(|one| one.holds(facts)),
+            Condition::All(conditions) => conditions.iter().all(|one| one.holds(facts)),
+            Condition::Not(condition) => !condition.holds(facts),
+            Condition::WarmingUp => facts.cold,
+            Condition::Draining => facts.draining,
+            Condition::Zone(names) => names.iter().any(|name| name.value == facts.zone),
+            Condition::Kind(names) => names.iter().any(|name| name.value == facts.kind),
+            Condition::Destination(number) => *number == facts.destination,
         }
     }
 }
 
+impl Rule {
+    fn holds(&self, facts: &Facts) -> bool {
+        let is_in_scope = self
+            .scope
+            .as_ref()
+            .is_none_or(|scope| holds_for(scope, facts));
+        is_in_scope && self.when.holds(facts)
+    }
+}
+
 impl Policy {
     fn budget(&self, facts: &Facts) -> Option<&Budget> {
-        let fitting = self
+        let matching = self
             .budgets
             .iter()
             .filter(|budget| holds_for(&budget.scope, facts));
-        fitting.max_by_key(|budget| rank(&budget.scope))
+        matching.max_by_key(|budget| rank(&budget.scope))
     }
 
-    /// Where the connections to a target are counted; nowhere if no budget holds for it.
+    /// Where the connections to a target are counted; `None` where no budget holds for it.
     pub fn pool(&self, facts: &Facts) -> Option<PoolId> {
-        Some(match &self.budget(facts)?.scope {
-            Scope::Target(_)
-            | Scope::Each {
-                counted: Counted::Target,
-                ..
-            } => PoolId::Target(facts.target.clone()),
-            Scope::Destination(_)
-            | Scope::Each {
-                counted: Counted::Destination,
-                ..
-            } => PoolId::Destination(facts.destination),
+        let counted = match &self.budget(facts)?.scope {
+            Scope::Target(_) => CountedAt::Target,
+            Scope::Destination(_) => CountedAt::Destination,
+            Scope::Each { counted, .. } => *counted,
+        };
+        Some(match counted {
+            CountedAt::Target => PoolId::Target(facts.target.clone()),
+            CountedAt::Destination => PoolId::Destination(facts.destination),
         })
     }
 
-    /// What holds whatever the rules say: their connections are never more.
+    /// The terms whatever the rules say: their connections are never more.
     pub fn base(&self, facts: &Facts) -> Option<&PoolTerms> {
         self.budget(facts).map(|budget| &budget.terms)
     }
 
-    /// What holds with the rules whose conditions are met, in the order they are written.
+    /// The terms with the rules whose conditions hold, in the order written.
     pub fn terms(&self, facts: &Facts) -> Option<PoolTerms> {
-        let budget = self.budget(facts)?;
-        let mut terms = budget.terms.clone();
-        let met = self.rules.iter().filter(|rule| {
-            rule.scope
-                .as_ref()
-                .is_none_or(|scope| holds_for(scope, facts))
-                && rule.when.holds(facts)
-        });
-        met.for_each(|rule| rule.change.apply(budget.terms.connections, &mut terms));
+        let base = self.base(facts)?;
+        let mut terms = base.clone();
+        for rule in self.rules.iter().filter(|rule| rule.holds(facts)) {
+            rule.change.apply(base.connections, &mut terms);
+        }
         Some(terms)
     }
 
-    /// The place of a member by its name.
+    /// The position of a member by its name; that of [`OTHERS`] where the policy does not name it.
     pub fn member(&self, name: &str) -> MemberId {
-        let others = || self.members.iter().position(|known| known == OTHERS);
-        let place = self
-            .members
-            .iter()
-            .position(|known| known == name)
-            .or_else(others);
-        MemberId(place.unwrap_or(0) as u16)
+        let position_of = |name: &str| self.members.iter().position(|member| member == name);
+        let position = position_of(name).or_else(|| position_of(OTHERS));
+        MemberId(position.unwrap_or(0) as u16)
     }
 }
--- a/forwarder/connection-quotas/src/language/print.rs
+++ b/forwarder/connection-quotas/src/language/print.rs
@@ -2,130 +2,122 @@
 
 use std::fmt::{self, Display, Formatter};
 
-use super::tree::*;
+use super::tree::{
+    Amount, BudgetKey, Condition, LeaseKey, Lends, Located, MemberKey, MemberTree, Over, Tree,
+};
 
 impl Display for Tree {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
             "language {}\nedition {}",
-            self.language.what, self.edition.what
+            self.language.value, self.edition.value
         )?;
         for lease in &self.lease {
             writeln!(f, "\nlease {{")?;
-            for key in &lease.what {
-                match key {
-                    LeaseKey::Lasts(ms) => writeln!(f, "  lasts {}ms", ms.what)?,
-                    LeaseKey::Renew(ms) => writeln!(f, "  renew {}ms", ms.what)?,
-                    LeaseKey::Drift(percent) => writeln!(f, "  drift {}", percent.what)?,
-                }
+            for key in &lease.value {
+                write_lease_key(f, key)?;
             }
             writeln!(f, "}}")?;
         }
         for member in &self.members {
             writeln!(f)?;
-            print_member(f, member, "")?;
+            write_member(f, member, "")?;
         }
         for budget in &self.budgets {
-            writeln!(f, "\nbudget {} {{", budget.scope.what)?;
-            print_keys(f, &budget.keys)?;
+            writeln!(f, "\nbudget {} {{", budget.scope.value)?;
+            write_budget_keys(f, &budget.keys)?;
             writeln!(f, "}}")?;
         }
         for rule in &self.rules {
-            write!(f, "\nrule \"{}\"", rule.name.what)?;
+            write!(f, "\nrule \"{}\"", rule.name.value)?;
             if let Some(scope) = &rule.scope {
-                write!(f, " for {}", scope.what)?;
+                write!(f, " for {}", scope.value)?;
             }
             writeln!(f, " when {} {{", rule.when)?;
-            print_keys(f, &rule.keys)?;
+            write_budget_keys(f, &rule.keys)?;
             writeln!(f, "}}")?;
         }
         Ok(())
     }
 }
 
-fn print_keys(f: &mut Formatter<'_>, keys: &[BudgetKey]) -> fmt::Result {
+fn write_lease_key(f: &mut Formatter<'_>, key: &LeaseKey) -> fmt::Result {
+    match key {
+        LeaseKey::Lasts(ms) => writeln!(f, "  lasts {}ms", ms.value),
+        LeaseKey::Renew(ms) => writeln!(f, "  renew {}ms", ms.value),
+        LeaseKey::Drift(percent) => writeln!(f, "  drift {}", percent.value),
+    }
+}
+
+fn write_budget_keys(f: &mut Formatter<'_>, keys: &[BudgetKey]) -> fmt::Result {
     for key in keys {
         match key {
-            BudgetKey::Connections(At {
-                what: Amount::Whole(n),
-                ..
-            }) => writeln!(f, "  connections {n}")?,
-            BudgetKey::Connections(At {
-                what: Amount::Part(p),
-                ..
-            }) => writeln!(f, "  connections {p}")?,
-            BudgetKey::Reserve(n) => writeln!(f, "  reserve {}", n.what)?,
-            BudgetKey::Standing(n) => writeln!(f, "  standing {}", n.what)?,
-            BudgetKey::Over(At {
-                what: Over::Evenly, ..
-            }) => writeln!(f, "  over forwarders evenly")?,
-            BudgetKey::Over(At {
-                what: Over::ByDemand,
-                ..
-            }) => writeln!(f, "  over forwarders by demand")?,
-            BudgetKey::Over(At {
-                what: Over::ByZone, ..
-            }) => writeln!(f, "  over forwarders by zone")?,
-            BudgetKey::Member(member) => print_member(f, member, "  ")?,
+            BudgetKey::Connections(amount) => match amount.value {
+                Amount::Whole(number) => writeln!(f, "  connections {number}")?,
+                Amount::Part(part) => writeln!(f, "  connections {part}")?,
+            },
+            BudgetKey::Reserve(number) => writeln!(f, "  reserve {}", number.value)?,
+            BudgetKey::Standing(number) => writeln!(f, "  standing {}", number.value)?,
+            BudgetKey::Over(over) => match over.value {
+                Over::Evenly => writeln!(f, "  over forwarders evenly")?,
+                Over::ByDemand => writeln!(f, "  over forwarders by demand")?,
+                Over::ByZone => writeln!(f, "  over forwarders by zone")?,
+            },
+            BudgetKey::Member(member) => write_member(f, member, "  ")?,
         }
     }
     Ok(())
 }
 
-fn print_member(f: &mut Formatter<'_>, member: &MemberTree, indent: &str) -> fmt::Result {
-    writeln!(f, "{indent}member \"{}\" {{", member.name.what)?;
+fn write_member(f: &mut Formatter<'_>, member: &MemberTree, indent: &str) -> fmt::Result {
+    writeln!(f, "{indent}member \"{}\" {{", member.name.value)?;
     for key in &member.keys {
+        write!(f, "{indent}  ")?;
         match key {
-            MemberKey::Weight(n) => writeln!(f, "{indent}  weight {}", n.what)?,
-            MemberKey::Floor(n) => writeln!(f, "{indent}  floor {}", n.what)?,
-            MemberKey::Ceiling(n) => writeln!(f, "{indent}  ceiling {}", n.what)?,
-            MemberKey::Lends(At {
-                what: Lends::All, ..
-            }) => writeln!(f, "{indent}  lends all")?,
-            MemberKey::Lends(At {
-                what: Lends::Nothing,
-                ..
-            }) => writeln!(f, "{indent}  lends nothing")?,
-            MemberKey::Lends(At {
-                what: Lends::To(names),
-                ..
-            }) => {
-                writeln!(f, "{indent}  lends to {}", listed(names))?;
-            }
-            MemberKey::Borrows(At { what, .. }) => {
-                writeln!(f, "{indent}  borrows {}", if *what { "yes" } else { "no" })?;
+            MemberKey::Weight(number) => writeln!(f, "weight {}", number.value)?,
+            MemberKey::Floor(number) => writeln!(f, "floor {}", number.value)?,
+            MemberKey::Ceiling(number) => writeln!(f, "ceiling {}", number.value)?,
+            MemberKey::Lends(lends) => match &lends.value {
+                Lends::All => writeln!(f, "lends all")?,
+                Lends::Nothing => writeln!(f, "lends nothing")?,
+                Lends::To(names) => writeln!(f, "lends to {}", quoted_list(names))?,
+            },
+            MemberKey::Borrows(borrows) => {
+                writeln!(f, "borrows {}", if borrows.value { "yes" } else { "no" })?;
             }
         }
     }
     writeln!(f, "{indent}}}")
 }
 
-fn listed(names: &[At<String>]) -> String {
-    names
+fn quoted_list(names: &[Located<String>]) -> String {
+    let quoted: Vec<String> = names
         .iter()
-        .map(|name| format!("\"{}\"", name.what))
-        .collect::<Vec<_>>()
-        .join(", ")
+        .map(|name| format!("\"{}\"", name.value))
+        .collect();
+    quoted.join(", ")
 }
 
-impl Display for When {
+impl Display for Condition {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let joined = |f: &mut Formatter<'_>, conditions: &[When], word: &str| -> fmt::Result {
-            for (at, condition) in conditions.iter().enumerate() {
-                write!(f, "{}({condition})", if at > 0 { word } else { "" })?;
-            }
-            Ok(())
-        };
         match self {
-            When::Any(conditions) => joined(f, conditions, " or "),
-            When::All(conditions) => joined(f, conditions, " and "),
-            When::Not(condition) => write!(f, "not ({condition})"),
-            When::Cold => f.write_str("cold"),
-            When::Draining => f.write_str("draining"),
-            When::Zone(names) => write!(f, "zone in ({})", listed(names)),
-            When::Kind(names) => write!(f, "kind in ({})", listed(names)),
-            When::Destination(number) => write!(f, "destination is {number}"),
+            Condition::Any(conditions) => write_joined(f, conditions, " or "),
+            Condition::All(conditions) => write_joined(f, conditions, " and "),
+            Condition::Not(condition) => write!(f, "not ({condition})"),
+            Condition::WarmingUp => f.write_str("cold"),
+            Condition::Draining => f.write_str("draining"),
+            Condition::Zone(names) => write!(f, "zone in ({})", quoted_list(names)),
+            Condition::Kind(names) => write!(f, "kind in ({})", quoted_list(names)),
+            Condition::Destination(number) => write!(f, "destination is {number}"),
         }
     }
 }
+
+fn write_joined(f: &mut Formatter<'_>, conditions: &[Condition], word: &str) -> fmt::Result {
+    for (at, condition) in conditions.iter().enumerate() {
+        let separator = if at > 0 { word } else { "" };
+        write!(f, "{separator}({condition})")?;
+    }
+    Ok(())
+}
--- a/forwarder/connection-quotas/src/leases/holder.rs
+++ b/forwarder/connection-quotas/src/leases/holder.rs
@@ -1,156 +1,171 @@
-//! A holder's side: what it has asked, what it was given, and what it may have open at any moment. Every use of
+//! A holder's side: what it has asked for, what it was granted, and what it may have open at any moment. Every use of
 //! a connection asks here first, so that a process that slept past its lease's end closes before it opens.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::words::*;
+use super::messages::{
+    Grant, Instance, LeaseNumber, MemberIncarnation, PoolDemand, PoolGrant, Report, MAX_POOLS,
+};
 use crate::language::PoolId;
 
-/// Reports whose answers may still come; one that was made earlier is answered in vain.
-const MOST_ASKED: usize = 32;
+/// Reports that a lease may still answer; one that answers an earlier one is not used.
+const MAX_PENDING_REPORTS: usize = 32;
 
 /// What a holder may have open at one pool.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Allowed {
+pub struct Allowance {
     /// All together, idle ones counted.
-    pub all: u32,
-    /// By member; none of the members is bounded by itself where there is no lease.
+    pub total: u32,
+    /// By member; without a lease no member is bounded by itself.
     pub members: Option<Vec<u32>>,
+    /// For health checks and trials.
     pub trials: u32,
 }
 
+/// One instance's lease. Times are milliseconds of the instance's clock.
 #[derive(Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     instance: Instance,
-    life: MemberIncarnation,
-    asked: u64,
-    /// When each of the last reports was made.
-    asks: VecDeque<(u64, f64)>,
-    lease: Option<Held>,
-    closed: Number,
-    /// The policy whose standing parts it has closed down to.
+    incarnation: MemberIncarnation,
+    last_report: u64,
+    pending_reports: VecDeque<PendingReport>,
+    lease: Option<HeldLease>,
+    closed_to: LeaseNumber,
+    /// Of the policy whose standing shares it has closed down to.
     edition: u64,
 }
 
 #[derive(Debug)]
-struct Held {
-    number: Number,
-    ends: f64,
-    parts: BTreeMap<PoolId, PartOf>,
+struct PendingReport {
+    number: u64,
+    made_at: f64,
 }
 
-impl Holder {
-    pub fn new(instance: Instance, life: MemberIncarnation) -> Self {
-        Holder {
+#[derive(Debug)]
+struct HeldLease {
+    number: LeaseNumber,
+    ends_at: f64,
+    pools: BTreeMap<PoolId, PoolGrant>,
+}
+
+impl LeaseHolder {
+    /// A holder without a lease.
+    pub fn new(instance: Instance, incarnation: MemberIncarnation) -> Self {
+        LeaseHolder {
             instance,
-            life,
-            asked: 0,
-            asks: VecDeque::new(),
+            incarnation,
+            last_report: 0,
+            pending_reports: VecDeque::new(),
             lease: None,
-            closed: Number(0),
+            closed_to: LeaseNumber(0),
             edition: 0,
         }
     }
 
+    /// Whose it is.
     pub fn instance(&self) -> &Instance {
         &self.instance
     }
 
     /// A report, which asks for a lease that counts from `now` on.
-    pub fn report(&mut self, now: f64, mut wants: Vec<WantsOf>) -> Report {
-        self.asked += 1;
-        self.asks.push_back((self.asked, now));
-        if self.asks.len() > MOST_ASKED {
-            self.asks.pop_front();
+    pub fn report(&mut self, now: f64, mut demands: Vec<PoolDemand>) -> Report {
+        self.last_report += 1;
+        let number = self.last_report;
+        self.pending_reports.push_back(PendingReport {
+            number,
+            made_at: now,
+        });
+        if self.pending_reports.len() > MAX_PENDING_REPORTS {
+            self.pending_reports.pop_front();
         }
-        wants.truncate(MOST_POOLS);
-        let (instance, life, edition) = (self.instance.clone(), self.life, self.edition);
+        demands.truncate(MAX_POOLS);
         Report {
-            instance,
-            life,
-            asked: self.asked,
-            closed: self.closed,
-            edition,
-            wants,
+            instance: self.instance.clone(),
+            incarnation: self.incarnation,
+            number,
+            closed_to: self.closed_to,
+            edition: self.edition,
+            demands,
         }
     }
 
-    /// A lease that was written down. Those of others, of an earlier life, and old ones change nothing.
+    /// A lease was committed. Those of other instances, of an earlier incarnation, and old ones change nothing.
     pub fn granted(&mut self, grant: &Grant) {
-        let mine = grant.instance == self.instance && grant.life == self.life;
-        let newer = self
+        let is_own = grant.instance == self.instance && grant.incarnation == self.incarnation;
+        let is_newer = self
             .lease
             .as_ref()
             .is_none_or(|lease| lease.number < grant.number);
-        let asked = self.asks.iter().find(|(asked, _)| *asked == grant.asked);
-        let Some((_, at)) = asked.filter(|_| mine && newer) else {
+        if !is_own || !is_newer {
+            return;
+        }
+        let report = self
+            .pending_reports
+            .iter()
+            .find(|report| report.number == grant.report);
+        let Some(report) = report else {
             return;
         };
-        let parts = grant
-            .parts
+        let pools = grant
+            .pools
             .iter()
-            .map(|part| (part.pool.clone(), part.clone()))
-            .collect();
-        self.lease = Some(Held {
+            .map(|share| (share.pool.clone(), share.clone()));
+        self.lease = Some(HeldLease {
             number: grant.number,
-            ends: at + grant.lasts,
-            parts,
+            ends_at: report.made_at + grant.ttl,
+            pools: pools.collect(),
         });
-        self.asks.retain(|(asked, _)| *asked > grant.asked);
+        self.pending_reports
+            .retain(|report| report.number > grant.report);
     }
 
     /// When the lease ends, if one is held at `now`.
-    pub fn ends(&self, now: f64) -> Option<f64> {
-        self.lease
-            .as_ref()
-            .map(|lease| lease.ends)
-            .filter(|ends| now < *ends)
+    pub fn ends_at(&self, now: f64) -> Option<f64> {
+        self.lease_at(now).map(|lease| lease.ends_at)
     }
 
-    /// What may be open from `now` up to `until`; `standing` is what it has without a lease. That holds once
-    /// this life had a first one: before, its book may be an old one.
-    pub fn allowed(&self, now: f64, until: f64, pool: &PoolId, standing: u32) -> Allowed {
+    fn lease_at(&self, now: f64) -> Option<&HeldLease> {
+        self.lease.as_ref().filter(|lease| now < lease.ends_at)
+    }
+
+    /// What may be open from `now` up to `until`. `standing` is what the instance has without a lease, which counts
+    /// once this incarnation had a first one: before, its lease table may be an old one.
+    pub fn allowance(&self, now: f64, until: f64, pool: &PoolId, standing: u32) -> Allowance {
         let standing = if self.lease.is_some() { standing } else { 0 };
-        let alone = Allowed {
-            all: standing,
-            members: None,
-            trials: 0,
-        };
-        let Some(lease) = self
-            .lease
-            .as_ref()
-            .filter(|lease| now < lease.ends && until <= lease.ends)
-        else {
-            return alone;
-        };
-        match lease.parts.get(pool) {
-            Some(part) if part.all() > standing => Allowed {
-                all: part.all(),
-                members: Some(part.members.clone()),
-                trials: part.trials,
+        let lease = self.lease_at(now).filter(|lease| until <= lease.ends_at);
+        match lease.and_then(|lease| lease.pools.get(pool)) {
+            Some(share) if share.total() > standing => Allowance {
+                total: share.total(),
+                members: Some(share.members.clone()),
+                trials: share.trials,
+            },
+            _ => Allowance {
+                total: standing,
+                members: None,
+                trials: 0,
             },
-            _ => alone,
         }
     }
 
-    /// Told what is open at each pool: once it is no more than is allowed, no earlier lease is relied on, and no
-    /// earlier policy. `edition` is the newest policy heard, and `standing` what there is without a lease by it.
-    pub fn open(
+    /// Looks at what is open at each pool: once it is no more than allowed, no earlier lease is relied on, and no
+    /// earlier policy. `edition` is that of the newest policy received, and `standing` what the instance has without a
+    /// lease by it.
+    pub fn observe_open(
         &mut self,
         now: f64,
         open: &BTreeMap<PoolId, u32>,
         edition: u64,
         standing: impl Fn(&PoolId) -> u32,
     ) {
-        let within = |(pool, open): (&PoolId, &u32)| {
-            *open <= self.allowed(now, now, pool, standing(pool)).all
-        };
-        if !open.iter().all(within) {
+        let is_within = open
+            .iter()
+            .all(|(pool, open)| *open <= self.allowance(now, now, pool, standing(pool)).total);
+        if !is_within {
             return;
         }
         self.edition = edition;
-        if let Some(lease) = self.lease.as_ref().filter(|lease| now < lease.ends) {
-            self.closed = lease.number;
+        if let Some(number) = self.lease_at(now).map(|lease| lease.number) {
+            self.closed_to = number;
         }
     }
 }
--- /dev/null
+++ b/forwarder/connection-quotas/src/leases/lease_table/accounting.rs
@@ -0,0 +1,134 @@
+//! What the table counts: what each instance may have open at a pool, and whether one more lease fits.
+
+use std::collections::BTreeMap;
+
+use super::super::messages::{Instance, PoolGrant};
+use super::super::standing::{all_standing, standing};
+use super::{AgreedPolicy, LeaseTable};
+use crate::language::{Facts, Policy, PoolId};
+
+impl AgreedPolicy {
+    /// What stands for an instance by this policy; nothing at a pool that the policy does not count at.
+    fn standing(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
+        standing(self.set_aside(pool, facts), pool, instance, &self.instances)
+    }
+
+    /// Connections that the policy sets aside at a pool for instances without a lease.
+    fn set_aside(&self, pool: &PoolId, facts: &Facts) -> u32 {
+        if self.policy.pool(facts).as_ref() != Some(pool) {
+            return 0;
+        }
+        self.policy.base(facts).map_or(0, |terms| terms.standing)
+    }
+}
+
+impl LeaseTable {
+    /// Whether a share fits beside what all others may have open.
+    pub(super) fn fits(&self, policy: &Policy, share: &PoolGrant, instance: &Instance) -> bool {
+        let pool = &share.pool;
+        let facts = share.facts.lasting();
+        if policy.pool(&facts).as_ref() != Some(pool) {
+            return false;
+        }
+        let own_standing = self.max_standing(pool, &facts, instance);
+        let asked = share.total().max(own_standing);
+        // What does not grow is no more than it was: a quota that was lowered is come down to.
+        if asked <= self.max_leased(pool, instance).max(own_standing) {
+            return true;
+        }
+        let quota = policy.base(&facts).map_or(0, |terms| terms.connections);
+        let others = self.counted(pool, &facts, Some(instance));
+        others.saturating_add(asked) <= quota && !self.is_counted_elsewhere(policy, pool, &facts)
+    }
+
+    /// Whether leases by an older policy count the same connections at another pool.
+    fn is_counted_elsewhere(&self, policy: &Policy, pool: &PoolId, facts: &Facts) -> bool {
+        let is_same =
+            |other: &Facts| other.target == facts.target || other.destination == facts.destination;
+        let is_leased = |pool: &PoolId| {
+            let mut open = self.leases.values().flat_map(|leases| &leases.open);
+            open.any(|lease| {
+                lease
+                    .pools
+                    .get(pool)
+                    .is_some_and(|connections| *connections > 0)
+            })
+        };
+        self.facts.iter().any(|(other, other_facts)| {
+            other != pool
+                && is_same(other_facts)
+                && policy.pool(other_facts).as_ref() != Some(other)
+                && is_leased(other)
+        })
+    }
+
+    /// The most that leases allow an instance.
+    fn max_leased(&self, pool: &PoolId, instance: &Instance) -> u32 {
+        let Some(leases) = self.leases.get(instance) else {
+            return 0;
+        };
+        let leased = leases.open.iter().filter_map(|lease| lease.pools.get(pool));
+        leased.copied().max().unwrap_or(0)
+    }
+
+    /// The most that stands for an instance by all policies that it may still go by.
+    fn max_standing(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
+        let standing = self
+            .policies
+            .iter()
+            .map(|agreed| agreed.standing(pool, facts, instance));
+        standing.max().unwrap_or(0)
+    }
+
+    /// What one instance may have open at a pool.
+    pub fn counted_of(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
+        self.max_leased(pool, instance)
+            .max(self.max_standing(pool, facts, instance))
+    }
+
+    /// What all instances but `without` may have open at a pool: by leases, and by what stands without.
+    pub fn counted(&self, pool: &PoolId, facts: &Facts, without: Option<&Instance>) -> u32 {
+        let mut counted: BTreeMap<&Instance, u32> = BTreeMap::new();
+        for agreed in &self.policies {
+            let standing = all_standing(agreed.set_aside(pool, facts), pool, &agreed.instances);
+            for ((name, _), connections) in agreed.instances.iter().zip(standing) {
+                let most = counted.entry(name).or_default();
+                *most = connections.max(*most);
+            }
+        }
+        for name in self.leases.keys() {
+            let most = counted.entry(name).or_default();
+            *most = self.max_leased(pool, name).max(*most);
+        }
+        let others = counted
+            .into_iter()
+            .filter(|(name, _)| Some(*name) != without);
+        others.map(|(_, connections)| connections).sum()
+    }
+
+    /// What each instance of the newest policy may have open without a lease, in their order.
+    pub fn all_standing(&self, pool: &PoolId, facts: &Facts) -> Vec<u32> {
+        let Some((newest, earlier)) = self.policies.split_last() else {
+            return Vec::new();
+        };
+        let mut standing = all_standing(newest.set_aside(pool, facts), pool, &newest.instances);
+        for earlier in earlier {
+            for ((name, _), connections) in newest.instances.iter().zip(&mut standing) {
+                *connections = (*connections).min(earlier.standing(pool, facts, name));
+            }
+        }
+        standing
+    }
+
+    /// Where an instance's connections to a target are counted, and what it may have open there without a lease: the
+    /// least by all policies that are not settled.
+    pub fn standing(&self, facts: &Facts, instance: &Instance) -> Option<(PoolId, u32)> {
+        let pool = self.policies.last()?.policy.pool(facts)?;
+        let standing = self
+            .policies
+            .iter()
+            .map(|agreed| agreed.standing(&pool, facts, instance));
+        let least = standing.min().unwrap_or(0);
+        Some((pool, least))
+    }
+}
--- a/forwarder/connection-quotas/src/local/mod.rs
+++ b/forwarder/connection-quotas/src/local/mod.rs
@@ -1,53 +1,51 @@
-//! One forwarder's side of the pools, without I/O: what is open, what may be, what is wanted, and, while it
-//! leads the control group, what the others get. Its host counts connections in and out here, carries bytes, and
-//! tells the time: milliseconds of a clock that only grows and counts a machine's sleep.
-
-mod counts;
-mod group;
+//! One forwarder's side of connection quotas, without I/O: what is open, what may be, what is wanted, and, while it
+//! leads the control group, what the others get. The forwarder's server owns a [`LocalQuotas`], counts connections in
+//! and out here, carries its bytes, and tells the time: milliseconds of a clock that only grows and counts a machine's
+//! sleep.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `pool_counts` | what is open at one pool from here |
+//! | `control_group` | what comes from the control group, and what is issued while it is led from here |
+
+mod control_group;
+mod pool_counts;
 
 use std::collections::BTreeMap;
 
 use crate::language::{Facts, MemberId, Policy, PoolId, OTHERS};
-use crate::leases::*;
+use crate::leases::{
+    encode, Allowance, Instance, LeaseHolder, LeaseIssuer, LeaseTable, MemberIncarnation,
+    PoolDemand,
+};
+
+pub use pool_counts::ConnectionUse;
+use pool_counts::{ConnectionOrigin, PoolCounts};
 
-pub use counts::ConnectionUse;
-use counts::Counts;
+/// Idle connections are closed so long before a lease ends, in milliseconds: a tick of the server and a busy event loop
+/// fit between.
+const CLOSING_TIME_MS: f64 = 250.0;
 
 /// Whether a connection may be used.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// No budget holds for the target.
+    /// No quota holds for the target.
     Unlimited,
-    /// It is counted there now.
+    /// The connection is counted at that pool now.
     Admitted(PoolId),
-    /// There is no room there.
+    /// That pool has no capacity.
     Exhausted(PoolId),
 }
 
-pub struct LocalQuotas {
-    /// As its own file says, until one is agreed on; to be agreed on if its edition is higher.
-    told: Policy,
-    text: String,
-    instances: Vec<(Instance, String)>,
-    grace: f64,
-    book: LeaseTable,
-    holder: Holder,
-    targets: BTreeMap<String, Known>,
-    pools: BTreeMap<PoolId, Counts>,
-    gives: Option<(u64, Giver)>,
-    reports_at: f64,
-}
-
-struct Known {
-    facts: Facts,
-    cold_until: f64,
-}
-
-/// What a forwarder is told of pools at its start.
+/// What a forwarder is told of quotas at its start.
 pub struct LocalQuotasConfig {
+    /// Its own name.
     pub instance: Instance,
-    pub life: MemberIncarnation,
+    /// This start of its process.
+    pub incarnation: MemberIncarnation,
+    /// The policy's text.
     pub text: String,
+    /// The policy.
     pub policy: Policy,
     /// All instances of the fleet, with their zones.
     pub instances: Vec<(Instance, String)>,
@@ -55,29 +53,65 @@
     pub grace: f64,
 }
 
+/// One forwarder's side of connection quotas.
+pub struct LocalQuotas {
+    /// As its own file says: in force until one is agreed on, and to be agreed on if its edition is higher.
+    own_policy: Policy,
+    own_policy_text: String,
+    instances: Vec<(Instance, String)>,
+    grace: f64,
+    table: LeaseTable,
+    holder: LeaseHolder,
+    targets: BTreeMap<String, KnownTarget>,
+    pools: BTreeMap<PoolId, PoolCounts>,
+    /// While it leads the control group.
+    issuer: Option<LeaseIssuer>,
+    next_report_at: f64,
+}
+
+struct KnownTarget {
+    facts: Facts,
+    warming_up_until: f64,
+}
+
+impl KnownTarget {
+    fn is_counted_at(&self, pool: &PoolId) -> bool {
+        match pool {
+            PoolId::Target(name) => *name == self.facts.target,
+            PoolId::Destination(number) => *number == self.facts.destination,
+        }
+    }
+}
+
 impl LocalQuotas {
-    pub fn new(start: LocalQuotasConfig) -> LocalQuotas {
+    /// Nothing is open, and no policy is agreed on.
+    pub fn new(config: LocalQuotasConfig) -> LocalQuotas {
         LocalQuotas {
-            told: start.policy,
-            text: start.text,
-            instances: start.instances,
-            grace: start.grace,
-            book: LeaseTable::default(),
-            holder: Holder::new(start.instance, start.life),
+            own_policy: config.policy,
+            own_policy_text: config.text,
+            instances: config.instances,
+            grace: config.grace,
+            table: LeaseTable::default(),
+            holder: LeaseHolder::new(config.instance, config.incarnation),
             targets: BTreeMap::new(),
             pools: BTreeMap::new(),
-            gives: None,
-            reports_at: 0.0,
+            issuer: None,
+            next_report_at: 0.0,
         }
     }
 
-    /// Another policy than at the start, checked. It is in force once the fleet has agreed on it.
+    /// Takes another policy than at the start, checked. It is in force once the fleet has agreed on it.
     pub fn set_policy(&mut self, text: String, policy: Policy) {
-        (self.text, self.told) = (text, policy);
+        self.own_policy_text = text;
+        self.own_policy = policy;
     }
 
+    /// The policy in force.
     pub fn policy(&self) -> &Policy {
-        self.book.policy().map_or(&self.told, |(policy, _)| policy)
+        match self.table.policy() {
+            Some((policy, _)) => policy,
+            None => &self.own_policy,
+        }
     }
 
     /// How often to report, and to look what is due, in milliseconds.
@@ -85,23 +119,28 @@
         self.policy().lease.renew
     }
 
+    /// Adds a target, or replaces what is known of it.
     pub fn upsert_target(&mut self, facts: Facts) {
-        let cold_until = self
-            .targets
-            .get(&facts.target)
-            .map_or(f64::MIN, |known| known.cold_until);
-        self.targets
-            .insert(facts.target.clone(), Known { facts, cold_until });
+        let known = self.targets.get(&facts.target);
+        let warming_up_until = known.map_or(f64::MIN, |known| known.warming_up_until);
+        self.targets.insert(
+            facts.target.clone(),
+            KnownTarget {
+                facts,
+                warming_up_until,
+            },
+        );
     }
 
+    /// Forgets a target.
     pub fn remove_target(&mut self, target: &str) {
         self.targets.remove(target);
     }
 
-    /// It is warming up until then.
+    /// The target is warming up until then.
     pub fn set_warming_up(&mut self, target: &str, until: f64) {
         if let Some(known) = self.targets.get_mut(target) {
-            known.cold_until = until;
+            known.warming_up_until = until;
         }
     }
 
@@ -111,30 +150,28 @@
     }
 
     fn standing(&self, pool: &PoolId, facts: &Facts) -> u32 {
-        let stands = self
-            .book
-            .standing(facts, self.holder.instance())
-            .filter(|(counted, _)| counted == pool);
-        stands.map_or(0, |(_, standing)| standing)
+        match self.table.standing(facts, self.holder.instance()) {
+            Some((counted, standing)) if counted == *pool => standing,
+            _ => 0,
+        }
     }
 
-    /// The book's policies have changed.
-    fn stands_anew(&mut self) {
-        let parts = self
+    /// The table's policies have changed.
+    fn update_standing(&mut self) {
+        let standing: Vec<u32> = self
             .pools
             .iter()
-            .map(|(pool, counts)| self.standing(pool, &counts.facts));
-        let parts: Vec<u32> = parts.collect();
-        self.pools
-            .values_mut()
-            .zip(parts)
-            .for_each(|(counts, part)| counts.standing = part);
+            .map(|(pool, counts)| self.standing(pool, counts.facts()))
+            .collect();
+        for (counts, standing) in self.pools.values_mut().zip(standing) {
+            counts.set_standing(standing);
+        }
     }
 
     /// What may be open at a pool up to `until`.
-    fn allowed(&self, now: f64, until: f64, pool: &PoolId) -> Allowed {
-        let standing = self.pools.get(pool).map_or(0, |counts| counts.standing);
-        self.holder.allowed(now, until, pool, standing)
+    fn allowance(&self, now: f64, until: f64, pool: &PoolId) -> Allowance {
+        let standing = self.pools.get(pool).map_or(0, PoolCounts::standing);
+        self.holder.allowance(now, until, pool, standing)
     }
 
     /// Counts a connection in, a new one or one that stood idle in `from`, for a use that is over by `until`.
@@ -143,7 +180,7 @@
         now: f64,
         until: f64,
         target: &str,
-        what: ConnectionUse,
+        connection_use: ConnectionUse,
         from: Option<&PoolId>,
     ) -> Admission {
         let Some((pool, facts)) = self.pool_of(target) else {
@@ -153,144 +190,156 @@
             let facts = facts.clone();
             let standing = self.standing(&pool, &facts);
             self.pools
-                .insert(pool.clone(), Counts::new(facts, standing));
+                .insert(pool.clone(), PoolCounts::new(facts, standing));
         }
-        let allowed = self.allowed(now, until, &pool);
+        let allowance = self.allowance(now, until, &pool);
         let members = self.policy().members.len();
+        let origin = if from == Some(&pool) {
+            ConnectionOrigin::Idle
+        } else {
+            ConnectionOrigin::New
+        };
         let Some(counts) = self.pools.get_mut(&pool) else {
             return Admission::Exhausted(pool);
         };
-        let idle = from == Some(&pool);
-        if counts.enter(now, &allowed, what, idle, members) {
+        if counts.acquire(now, &allowance, connection_use, origin, members) {
             Admission::Admitted(pool)
         } else {
             Admission::Exhausted(pool)
         }
     }
 
-    /// A connection's use is over, and it stays open. False if it has to be closed: it counts until it was.
-    pub fn release_idle(&mut self, now: f64, pool: &PoolId, what: ConnectionUse) -> bool {
+    /// A connection's use is over, and it stays open. False where it has to be closed: it counts until it is.
+    pub fn release_idle(&mut self, now: f64, pool: &PoolId, connection_use: ConnectionUse) -> bool {
         let Some(counts) = self.pools.get_mut(pool) else {
             return false;
         };
-        counts.rests(now, what);
+        counts.release_idle(now, connection_use);
         self.surplus_at(now, pool) == Some(0)
     }
 
     /// A connection was closed, from that use or as an idle one.
-    pub fn connection_closed(&mut self, now: f64, pool: &PoolId, what: Option<ConnectionUse>) {
+    pub fn connection_closed(
+        &mut self,
+        now: f64,
+        pool: &PoolId,
+        connection_use: Option<ConnectionUse>,
+    ) {
         if let Some(counts) = self.pools.get_mut(pool) {
-            counts.left(now, what);
+            counts.closed(now, connection_use);
         }
     }
 
     fn surplus_at(&self, now: f64, pool: &PoolId) -> Option<u32> {
         let counts = self.pools.get(pool)?;
-        // Closing is over by then, with a tick of the host and a busy loop between.
-        let most = self.allowed(now, now + CLOSING, pool).all;
-        Some(counts.all().saturating_sub(most).min(counts.idle))
+        let allowed = self.allowance(now, now + CLOSING_TIME_MS, pool).total;
+        Some(counts.total().saturating_sub(allowed).min(counts.idle()))
     }
 
     /// Idle connections that are to be closed, by pool.
     pub fn surplus(&self, now: f64) -> Vec<(PoolId, u32)> {
-        let all = self
-            .pools
-            .keys()
-            .filter_map(|pool| Some((pool.clone(), self.surplus_at(now, pool)?)));
-        all.filter(|(_, surplus)| *surplus > 0).collect()
+        let mut surplus = Vec::new();
+        for pool in self.pools.keys() {
+            match self.surplus_at(now, pool) {
+                None | Some(0) => {}
+                Some(connections) => surplus.push((pool.clone(), connections)),
+            }
+        }
+        surplus
     }
 
-    /// Whether one more might be counted in, so that someone who waits had better look again.
+    /// Whether one more might be counted in, so that a waiting use had better look again.
     pub fn has_capacity(&self, now: f64, pool: &PoolId) -> bool {
-        let Some(counts) = self.pools.get(pool) else {
-            return false;
-        };
-        counts.busy() < self.allowed(now, now, pool).all
+        match self.pools.get(pool) {
+            Some(counts) => counts.busy() < self.allowance(now, now, pool).total,
+            None => false,
+        }
     }
 
     /// Whether all that may be open there is, some of it idle.
     pub fn is_exhausted(&self, now: f64, pool: &PoolId) -> bool {
-        let Some(counts) = self.pools.get(pool).filter(|counts| counts.idle > 0) else {
-            return false;
-        };
-        counts.all() >= self.allowed(now, now, pool).all
+        match self.pools.get(pool) {
+            Some(counts) if counts.idle() > 0 => {
+                counts.total() >= self.allowance(now, now, pool).total
+            }
+            _ => false,
+        }
     }
 
     /// What it wants, in bytes for the leader, when that is due.
     pub fn report(&mut self, now: f64) -> Option<Vec<u8>> {
-        if now < self.reports_at {
+        if now < self.next_report_at {
             return None;
         }
-        self.reports_at = now + self.renews();
-        let open: BTreeMap<PoolId, u32> = self
-            .pools
-            .iter()
-            .map(|(pool, counts)| (pool.clone(), counts.all()))
+        self.next_report_at = now + self.renews();
+        let pools = self.pools.iter();
+        let open: BTreeMap<PoolId, u32> = pools
+            .map(|(pool, counts)| (pool.clone(), counts.total()))
             .collect();
-        let stands: BTreeMap<&PoolId, u32> = self
-            .pools
-            .iter()
-            .map(|(pool, counts)| (pool, counts.standing))
-            .collect();
-        let edition = self.book.policy().map_or(0, |(policy, _)| policy.edition);
-        self.holder.open(now, &open, edition, |pool| {
-            stands.get(pool).copied().unwrap_or(0)
-        });
-        let wants = self.wants(now);
+        let edition = self.table.policy().map_or(0, |(policy, _)| policy.edition);
+        let pools = &self.pools;
+        let standing = |pool: &PoolId| pools.get(pool).map_or(0, PoolCounts::standing);
+        self.holder.observe_open(now, &open, edition, standing);
+        let demands = self.demands(now);
         self.pools.retain(|_, counts| !counts.is_over(now));
-        Some(encode(&self.holder.report(now, wants)))
+        Some(encode(&self.holder.report(now, demands)))
     }
 
-    fn wants(&mut self, now: f64) -> Vec<WantsOf> {
+    fn demands(&mut self, now: f64) -> Vec<PoolDemand> {
         let policy = self.policy().clone();
         let others = usize::from(policy.member(OTHERS).0);
-        let LocalQuotas { targets, pools, .. } = self;
-        let mut wants = Vec::new();
-        for (pool, counts) in pools.iter_mut() {
-            let mut facts = counts.facts.clone();
-            let known: Vec<&Known> = targets
-                .values()
-                .filter(|known| counted_there(pool, known))
-                .collect();
-            if let Some(first) = known
-                .iter()
-                .find(|known| known.facts.target == facts.target)
-            {
-                facts = first.facts.clone();
-            }
-            facts.cold = known.iter().any(|known| known.cold_until > now);
-            facts.draining = !known.is_empty() && known.iter().all(|known| known.facts.draining);
-            let (mut members, mut trials) = counts.wants(now);
+        let targets = &self.targets;
+        let mut demands = Vec::new();
+        for (pool, counts) in &mut self.pools {
+            let facts = pool_facts(now, pool, counts.facts(), targets);
+            let wanted = counts.wanted(now);
+            let mut members = wanted.members;
+            let mut trials = wanted.trials;
             if policy.terms(&facts).is_some_and(|terms| terms.reserve == 0) {
-                // Nothing is kept for them: they are as the events of others.
+                // Nothing is reserved for trials: they are as the events of others.
                 members.resize(members.len().max(others + 1), 0);
-                members[others] += std::mem::take(&mut trials);
+                members[others] += trials;
+                trials = 0;
             }
-            wants.push(WantsOf {
+            demands.push(PoolDemand {
                 facts,
                 members,
                 trials,
             });
         }
-        wants
+        demands
     }
 
     /// Connections open at a pool from here, idle ones counted.
     pub fn open(&self, pool: &PoolId) -> u32 {
-        self.pools.get(pool).map_or(0, Counts::all)
+        self.pools.get(pool).map_or(0, PoolCounts::total)
     }
 
+    /// The position of a member in the policy in force.
     pub fn member(&self, name: &str) -> MemberId {
         self.policy().member(name)
     }
 }
 
-/// Idle connections are closed so long before a lease ends, in milliseconds.
-const CLOSING: f64 = 250.0;
-
-fn counted_there(pool: &PoolId, known: &Known) -> bool {
-    match pool {
-        PoolId::Target(name) => *name == known.facts.target,
-        PoolId::Destination(number) => *number == known.facts.destination,
-    }
+/// What is known of all targets of a pool together. `first` are the facts of the first target that was used there.
+fn pool_facts(
+    now: f64,
+    pool: &PoolId,
+    first: &Facts,
+    targets: &BTreeMap<String, KnownTarget>,
+) -> Facts {
+    let known: Vec<&KnownTarget> = targets
+        .values()
+        .filter(|known| known.is_counted_at(pool))
+        .collect();
+    let mut facts = match known
+        .iter()
+        .find(|known| known.facts.target == first.target)
+    {
+        Some(known) => known.facts.clone(),
+        None => first.clone(),
+    };
+    facts.cold = known.iter().any(|known| known.warming_up_until > now);
+    facts.draining = !known.is_empty() && known.iter().all(|known| known.facts.draining);
+    facts
 }
--- a/forwarder/connection-quotas/src/split/mod.rs
+++ b/forwarder/connection-quotas/src/split/mod.rs
@@ -1,8 +1,8 @@
-//! The split of one pool: first over members, then each member's part over forwarders. Pure arithmetic: the
-//! same wants give the same parts, in whatever order they come.
+//! The split of one pool: first over members, then each member's share over forwarders. Pure arithmetic: the same
+//! demands give the same shares, in whatever order they come. The lease issuer calls it.
 
-mod fill;
-mod lent;
+mod borrowing;
+mod max_min;
 
 use std::collections::BTreeMap;
 
@@ -10,214 +10,238 @@
 use crate::language::tree::Over;
 use crate::language::PoolTerms;
 
-pub use fill::{fill, Vessel};
+use borrowing::Borrowing;
+pub use max_min::{max_min_shares, Claim, MaxMinShares};
 
 /// What one forwarder wants of a pool.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wants {
+pub struct ForwarderDemand {
     /// Connections by member, in the order of the policy's members; missing ones want none.
     pub members: Vec<u32>,
-    /// Connections for pings and trials.
+    /// Connections for health checks and trials.
     pub trials: u32,
-    /// What it has for sure, without a lease too.
+    /// What it has without a lease too.
     pub standing: u32,
-    /// It is in the zone of the pool's target.
-    pub near: bool,
+    /// Whether it is in the zone of the pool's target.
+    pub is_near: bool,
 }
 
-/// What one forwarder gets.
+/// What one forwarder gets, in connections.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Part {
+pub struct Share {
+    /// By member.
     pub members: Vec<u32>,
+    /// For health checks and trials.
     pub trials: u32,
 }
 
-impl Part {
-    pub fn all(&self) -> u32 {
+impl Share {
+    /// All of it.
+    pub fn total(&self) -> u32 {
         self.members.iter().sum::<u32>() + self.trials
     }
 }
 
-/// What rounding owes forwarders: by member (trials behind the last) and forwarder, in connections.
-pub type Owed = BTreeMap<(usize, u16), f64>;
+/// Whom rounding owes something.
+#[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
+pub struct CarryKey {
+    /// A member's position; trials are behind the last one.
+    pub member: usize,
+    /// A forwarder's position.
+    pub forwarder: u16,
+}
+
+/// What rounding owes, in connections.
+pub type RoundingCarry = BTreeMap<CarryKey, f64>;
 
-/// Splits a pool over the forwarders that want something, named by their place among all instances. All
-/// `standing` parts, of those that are not named too, are taken off first: `standing` is their sum.
+/// Splits a pool over the forwarders that want something, named by their position among all instances. All `standing`
+/// shares, of those that are not named too, are taken off first: `standing` is their sum. `carry` is what rounding
+/// owed before, and then what it owes after.
 pub fn split(
     terms: &PoolTerms,
     standing: u32,
-    wants: &BTreeMap<u16, Wants>,
-    owed: &mut Owed,
-) -> BTreeMap<u16, Part> {
+    demands: &BTreeMap<u16, ForwarderDemand>,
+    carry: &mut RoundingCarry,
+) -> BTreeMap<u16, Share> {
     let count = terms.members.len();
-    let mut parts: BTreeMap<u16, Part> = wants
+    let mut shares: BTreeMap<u16, Share> = demands
         .iter()
-        .map(|(id, wants)| (*id, alone(count, wants)))
+        .map(|(id, demand)| (*id, standing_share(count, demand)))
         .collect();
-    let have: Vec<u32> = (0..count)
-        .map(|m| parts.values().map(|part| part.members[m]).sum())
+    let standing_by_member: Vec<u32> = (0..count)
+        .map(|member| shares.values().map(|share| share.members[member]).sum())
         .collect();
     // What stands aside for a forwarder that does not use it is nobody's.
-    let unused = standing.saturating_sub(have.iter().sum());
+    let unused = standing.saturating_sub(standing_by_member.iter().sum());
     let free = terms
         .connections
         .saturating_sub(terms.reserve)
         .saturating_sub(unused);
-    let totals = over_members(terms, free, &have, &total(count, wants));
-    let mut all_owed = Owed::new();
+    let wanted = wanted_by_member(count, demands);
+    let totals = split_over_members(terms, free, &standing_by_member, &wanted);
+    let mut rounding = Rounding {
+        before: carry,
+        after: RoundingCarry::new(),
+    };
     for (member, total) in totals.into_iter().enumerate() {
-        let vessels = parts.iter().map(|(id, part)| {
-            let want = &wants[id];
-            let wanted = want.members.get(member).copied().unwrap_or(0);
-            (
-                *id,
-                want.near,
-                vessel(terms.over, part.members[member], wanted),
-            )
+        let claims = shares.iter().map(|(id, share)| {
+            let demand = &demands[id];
+            let wanted = demand.members.get(member).copied().unwrap_or(0);
+            let claim = forwarder_claim(terms.over, share.members[member], wanted);
+            ForwarderClaim {
+                id: *id,
+                is_near: demand.is_near,
+                claim,
+            }
         });
-        let got = over_forwarders(
-            terms.over,
-            total,
-            vessels.collect(),
-            member,
-            owed,
-            &mut all_owed,
-        );
-        for (id, got) in got {
-            parts.entry(id).or_default().members[member] = got;
+        let claims = claims.collect();
+        for (id, connections) in
+            split_over_forwarders(terms.over, total, claims, member, &mut rounding)
+        {
+            shares.entry(id).or_default().members[member] = connections;
         }
     }
-    let trials = wants.iter().filter(|(_, wants)| wants.trials > 0);
-    let vessels =
-        trials.map(|(id, wants)| (*id, wants.near, vessel(Over::Evenly, 0, wants.trials)));
-    for (id, got) in over_forwarders(
-        Over::Evenly,
-        terms.reserve,
-        vessels.collect(),
-        count,
-        owed,
-        &mut all_owed,
-    ) {
-        parts.entry(id).or_default().trials = got;
+    let trials = demands.iter().filter(|(_, demand)| demand.trials > 0);
+    let claims = trials.map(|(id, demand)| ForwarderClaim {
+        id: *id,
+        is_near: demand.is_near,
+        claim: forwarder_claim(Over::Evenly, 0, demand.trials),
+    });
+    let claims = claims.collect();
+    for (id, connections) in
+        split_over_forwarders(Over::Evenly, terms.reserve, claims, count, &mut rounding)
+    {
+        shares.entry(id).or_default().trials = connections;
     }
-    *owed = all_owed;
-    parts
+    *carry = rounding.after;
+    shares
 }
 
-/// The part a forwarder makes of what it has for sure, by itself: evenly, as far as wanted.
-fn alone(count: usize, wants: &Wants) -> Part {
-    let vessel = |member: usize| {
-        let most = wants.members.get(member).copied().unwrap_or(0);
-        Vessel {
-            weight: 1.0,
-            least: 0,
-            most,
-            owed: 0.0,
-        }
-    };
-    let vessels: Vec<Vessel> = (0..count).map(vessel).collect();
-    Part {
-        members: fill(wants.standing, &vessels).0,
+/// How a forwarder divides what it has without a lease over its members, by itself: evenly, as far as wanted.
+fn standing_share(count: usize, demand: &ForwarderDemand) -> Share {
+    let claims = (0..count).map(|member| Claim {
+        weight: 1.0,
+        min: 0,
+        max: demand.members.get(member).copied().unwrap_or(0),
+        carry: 0.0,
+    });
+    let claims: Vec<Claim> = claims.collect();
+    Share {
+        members: max_min_shares(demand.standing, &claims).shares,
         trials: 0,
     }
 }
 
-fn total(count: usize, wants: &BTreeMap<u16, Wants>) -> Vec<u32> {
-    let of = |member: usize| {
-        wants
+fn wanted_by_member(count: usize, demands: &BTreeMap<u16, ForwarderDemand>) -> Vec<u32> {
+    let wanted = (0..count).map(|member| {
+        demands
             .values()
-            .filter_map(|wants| wants.members.get(member))
+            .filter_map(|demand| demand.members.get(member))
             .sum()
-    };
-    (0..count).map(of).collect()
+    });
+    wanted.collect()
 }
 
-/// Members' parts: of its own share each has what it wants, then what is left over is lent.
-fn over_members(terms: &PoolTerms, free: u32, have: &[u32], wants: &[u32]) -> Vec<u32> {
-    let vessels = terms.members.iter().zip(have).map(|(member, have)| {
-        let least = member.floor.min(member.ceiling).max(*have);
-        Vessel {
-            weight: f64::from(member.weight),
-            least,
-            most: member.ceiling.max(*have),
-            owed: 0.0,
-        }
+/// Members' shares: of its own share each has what it wants, then what is left over is lent. `standing` is what each has
+/// without a lease.
+fn split_over_members(terms: &PoolTerms, free: u32, standing: &[u32], wanted: &[u32]) -> Vec<u32> {
+    let members = || terms.members.iter().zip(standing);
+    let claims = members().map(|(member, standing)| Claim {
+        weight: f64::from(member.weight),
+        min: member.floor.min(member.ceiling).max(*standing),
+        max: member.ceiling.max(*standing),
+        carry: 0.0,
     });
-    let (shares, _) = fill(free, &vessels.collect::<Vec<_>>());
-    let ceilings = terms
-        .members
+    let claims: Vec<Claim> = claims.collect();
+    let own_shares = max_min_shares(free, &claims).shares;
+    let wanted: Vec<u32> = wanted
         .iter()
-        .zip(have)
-        .map(|(member, have)| member.ceiling.max(*have));
-    let wants: Vec<u32> = wants
-        .iter()
-        .zip(ceilings)
-        .map(|(want, ceiling)| (*want).min(ceiling))
+        .zip(&claims)
+        .map(|(wanted, claim)| (*wanted).min(claim.max))
         .collect();
-    let mut parts: Vec<u32> = shares
+    let mut shares: Vec<u32> = own_shares
         .iter()
-        .zip(&wants)
-        .map(|(share, want)| (*share).min(*want))
+        .zip(&wanted)
+        .map(|(own, wanted)| (*own).min(*wanted))
         .collect();
-    let left = shares
+    let unused = own_shares
         .iter()
-        .zip(&parts)
-        .map(|(share, part)| share - part)
+        .zip(&shares)
+        .map(|(own, share)| own - share)
         .collect();
     let weights: Vec<u32> = terms.members.iter().map(|member| member.weight).collect();
-    lent::Lent::new(left, &reaches(&terms.members)).give(&mut parts, &wants, &weights);
-    parts
+    Borrowing::new(unused, &reaches(&terms.members)).raise(&mut shares, &wanted, &weights);
+    shares
 }
 
-fn vessel(over: Over, has: u32, wants: u32) -> Vessel {
-    let weight = if over == Over::ByDemand {
-        f64::from(wants)
-    } else {
-        1.0
+fn forwarder_claim(over: Over, has: u32, wanted: u32) -> Claim {
+    let weight = match over {
+        Over::ByDemand => f64::from(wanted),
+        Over::Evenly | Over::ByZone => 1.0,
     };
-    Vessel {
+    Claim {
         weight,
-        least: has,
-        most: wants.max(has),
-        owed: 0.0,
+        min: has,
+        max: wanted.max(has),
+        carry: 0.0,
     }
 }
 
-/// Forwarders with what each may get at the least and most, and whether it is near.
-type Vessels = Vec<(u16, bool, Vessel)>;
+/// A forwarder's claim on a member's share.
+struct ForwarderClaim {
+    id: u16,
+    is_near: bool,
+    claim: Claim,
+}
+
+/// What rounding owes before a split, and after it.
+struct Rounding<'a> {
+    before: &'a RoundingCarry,
+    after: RoundingCarry,
+}
 
-fn over_forwarders(
+fn split_over_forwarders(
     over: Over,
     total: u32,
-    vessels: Vessels,
+    claims: Vec<ForwarderClaim>,
     member: usize,
-    owed: &Owed,
-    owed_now: &mut Owed,
+    rounding: &mut Rounding,
 ) -> Vec<(u16, u32)> {
-    let mut got = Vec::new();
-    let (near, far): (Vessels, Vessels) = vessels
+    let (near, far): (Vec<ForwarderClaim>, Vec<ForwarderClaim>) = claims
         .into_iter()
-        .partition(|(_, near, _)| *near || over != Over::ByZone);
-    // What those afar have for sure is not for those near.
-    let kept: u32 = far.iter().map(|(_, _, vessel)| vessel.least).sum();
+        .partition(|claim| claim.is_near || over != Over::ByZone);
+    // What those far away have without a lease is not for those near.
+    let kept_for_far: u32 = far.iter().map(|far| far.claim.min).sum();
     let mut left = total;
-    for (group, kept) in [(near, kept), (far, 0)] {
-        let owing = |id: u16| owed.get(&(member, id)).copied().unwrap_or(0.0);
-        let vessels: Vec<Vessel> = group
-            .iter()
-            .map(|(id, _, vessel)| Vessel {
-                owed: owing(*id),
-                ..*vessel
-            })
-            .collect();
-        let (parts, owes) = fill(left.saturating_sub(kept), &vessels);
-        for (((id, _, _), part), owes) in group.iter().zip(parts).zip(owes) {
-            left = left.saturating_sub(part);
-            got.push((*id, part));
-            if owes != 0.0 {
-                owed_now.insert((member, *id), owes);
+    let mut shares = Vec::new();
+    for (group, kept) in [(near, kept_for_far), (far, 0)] {
+        let claims = group.iter().map(|forwarder| {
+            let key = CarryKey {
+                member,
+                forwarder: forwarder.id,
+            };
+            let carry = rounding.before.get(&key).copied().unwrap_or(0.0);
+            Claim {
+                carry,
+                ..forwarder.claim
+            }
+        });
+        let claims: Vec<Claim> = claims.collect();
+        let divided = max_min_shares(left.saturating_sub(kept), &claims);
+        let divided = divided.shares.into_iter().zip(divided.carry);
+        for (forwarder, (share, carry)) in group.iter().zip(divided) {
+            left = left.saturating_sub(share);
+            shares.push((forwarder.id, share));
+            if carry != 0.0 {
+                rounding.after.insert(
+                    CarryKey {
+                        member,
+                        forwarder: forwarder.id,
+                    },
+                    carry,
+                );
             }
         }
     }
-    got
+    shares
 }
--- a/forwarder/connection-quotas/tests/fleet/mod.rs
+++ b/forwarder/connection-quotas/tests/fleet/mod.rs
@@ -5,7 +5,10 @@
 use std::collections::BTreeMap;
 
 use plankhill_connection_quotas::language::{Facts, PoolId};
-use plankhill_connection_quotas::leases::*;
+use plankhill_connection_quotas::leases::{
+    Command, Grant, Instance, LeaseHolder, LeaseIssuer, LeaseTable, MemberIncarnation, Outcome,
+    Report,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -66,7 +69,7 @@
         let mut instance = |at: usize| {
             let name = Instance(format!("i{at}"));
             Process {
-                holder: Holder::new(name.clone(), MemberIncarnation(at as u64)),
+                holder: LeaseHolder::new(name.clone(), MemberIncarnation(at as u64)),
                 name,
                 // As far apart as they may be.
                 rate: if chance.random() {
@@ -189,9 +192,9 @@
                 continue;
             }
             if planted == Planted::CountedFromReceipt && grant.instance == instance.name {
-                let now_asked = instance.holder.report(clock, Vec::new()).asked;
+                let now_asked = instance.holder.report(clock, Vec::new()).number;
                 instance.holder.granted(&Grant {
-                    asked: now_asked,
+                    report: now_asked,
                     ..grant.clone()
                 });
             }
@@ -213,7 +216,7 @@
             } else {
                 STALL
             };
-            instance.gives = Some((self.term, Giver::new(clock, grace, &instance.book)));
+            instance.gives = Some((self.term, LeaseIssuer::new(clock, grace, &instance.book)));
         }
     }
 
@@ -227,8 +230,8 @@
             .filter(|call| call.is_some_and(|ends| ends <= clock))
             .for_each(|call| *call = None);
         // A lease that ended leaves calls only where the process stood still: those are cut.
-        let most = instance.allowed(clock, clock) as usize;
-        let ended = instance.holder.ends(clock).is_none();
+        let most = instance.allowance(clock, clock) as usize;
+        let ended = instance.holder.ends_at(clock).is_none();
         while instance.open.len() > most {
             match instance.open.iter().position(Option::is_none) {
                 Some(idle) => instance.open.remove(idle),
@@ -242,7 +245,7 @@
             let ends = Some(clock + self.chance.random_range(20.0..TIME_OUT));
             let instance = &mut self.instances[at];
             match instance.open.iter_mut().find(|call| call.is_none()) {
-                Some(idle) if instance.holder.ends(clock + TIME_OUT).is_some() => *idle = ends,
+                Some(idle) if instance.holder.ends_at(clock + TIME_OUT).is_some() => *idle = ends,
                 _ if room > 0 => {
                     instance.open.push(ends);
                     self.seen.opened += 1;
@@ -264,7 +267,7 @@
             let edition = policy.edition;
             instance
                 .holder
-                .open(clock, &BTreeMap::from([(pool(), open)]), edition, |_| {
+                .observe_open(clock, &BTreeMap::from([(pool(), open)]), edition, |_| {
                     standing
                 });
         }
--- a/forwarder/connection-quotas/tests/fleet/process.rs
+++ b/forwarder/connection-quotas/tests/fleet/process.rs
@@ -1,4 +1,4 @@
-use plankhill_connection_quotas::leases::*;
+use plankhill_connection_quotas::leases::{Instance, LeaseHolder, LeaseIssuer, LeaseTable};
 
 use super::{pool, TIME_OUT};
 
@@ -7,7 +7,7 @@
     pub name: Instance,
     pub rate: f64,
     pub ahead: f64,
-    pub holder: Holder,
+    pub holder: LeaseHolder,
     pub book: LeaseTable,
     pub heard: usize,
     /// A snapshot on its disk, with what it had heard by then.
@@ -20,7 +20,7 @@
     /// It stood still between the look at its lease and the opening.
     pub about_to_open: bool,
     pub reports_at: f64,
-    pub gives: Option<(u64, Giver)>,
+    pub gives: Option<(u64, LeaseIssuer)>,
     /// What its book says of it without a lease.
     pub standing: u32,
     pub ends_ignored: bool,
@@ -35,26 +35,26 @@
     pub fn is_near_its_end(&self, now: f64) -> bool {
         let clock = self.clock(now);
         self.holder
-            .ends(clock)
+            .ends_at(clock)
             .is_some_and(|ends| ends - clock < 50.0)
             && self.stalled_until <= now
     }
 
-    pub fn allowed(&self, clock: f64, until: f64) -> u32 {
+    pub fn allowance(&self, clock: f64, until: f64) -> u32 {
         let (clock, until) = if self.ends_ignored {
             (f64::MIN, f64::MIN)
         } else {
             (clock, until)
         };
         self.holder
-            .allowed(clock, until, &pool(), self.standing)
-            .all
+            .allowance(clock, until, &pool(), self.standing)
+            .total
     }
 
     /// For calls that end in time.
     pub fn room(&self, now: f64) -> u32 {
         let clock = self.clock(now);
-        self.allowed(clock, clock + TIME_OUT)
+        self.allowance(clock, clock + TIME_OUT)
             .saturating_sub(self.open.len() as u32)
     }
 }
--- a/forwarder/connection-quotas/tests/fleet/talk.rs
+++ b/forwarder/connection-quotas/tests/fleet/talk.rs
@@ -1,6 +1,6 @@
 //! Reports and proposals on their way.
 
-use plankhill_connection_quotas::leases::*;
+use plankhill_connection_quotas::leases::{Command, PoolDemand, Report};
 use rand::Rng;
 
 use super::{facts, Fleet};
@@ -35,9 +35,9 @@
                 continue;
             };
             let (term, granted) = (*term, giver.reported(clock, &instance.book, report));
-            granted
-                .into_iter()
-                .for_each(|command| self.propose(term, command));
+            if let Some(command) = granted {
+                self.propose(term, command);
+            }
         }
     }
 
@@ -54,7 +54,7 @@
             return;
         }
         instance.reports_at = clock + 300.0;
-        let wants = WantsOf {
+        let wants = PoolDemand {
             facts: facts(),
             members: vec![instance.wants],
             trials: 0,
@@ -84,7 +84,8 @@
             return;
         };
         let (term, due) = (*term, giver.due(clock, &instance.book));
-        due.into_iter()
-            .for_each(|command| self.propose(term, command));
+        for command in due {
+            self.propose(term, command);
+        }
     }
 }
--- a/forwarder/connection-quotas/tests/fleet/trouble.rs
+++ b/forwarder/connection-quotas/tests/fleet/trouble.rs
@@ -1,6 +1,6 @@
 //! What goes wrong in the fleet, by chance and on purpose.
 
-use plankhill_connection_quotas::leases::*;
+use plankhill_connection_quotas::leases::{LeaseHolder, LeaseTable, MemberIncarnation};
 use rand::Rng;
 
 use super::{facts, Fleet, STALL, STEP};
@@ -99,7 +99,7 @@
         self.lives += 1;
         let instance = &mut self.instances[at];
         instance.open.clear();
-        instance.holder = Holder::new(instance.name.clone(), MemberIncarnation(self.lives));
+        instance.holder = LeaseHolder::new(instance.name.clone(), MemberIncarnation(self.lives));
         instance.book = LeaseTable::restore(&instance.saved.1).expect("was a book");
         (instance.heard, instance.gives) = (instance.saved.0, None);
         (instance.stalled_until, instance.about_to_open) = (0.0, false);
--- a/forwarder/connection-quotas/tests/language.rs
+++ b/forwarder/connection-quotas/tests/language.rs
@@ -1,7 +1,7 @@
 //! Stories of the policy language: what is written means what the reference says, reads back the same, and
 //! each fault is told with its place, its key and a way out.
 
-use plankhill_connection_quotas::language::{read, Facts, Known, PoolId};
+use plankhill_connection_quotas::language::{read, Facts, KnownNames, PoolId};
 use plankhill_connection_quotas::policy;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -34,7 +34,7 @@
 
 #[test]
 fn the_narrowest_budget_holds_and_says_where_connections_are_counted() {
-    let policy = policy("p", WHOLE, &Known::default()).expect("is sound");
+    let policy = policy("p", WHOLE, &KnownNames::default()).expect("is sound");
     assert_eq!(
         policy.pool(&facts("t-1", 4)),
         Some(PoolId::Target("t-1".into()))
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn rules_whose_conditions_are_met_lower_a_budget_and_the_lowest_counts() {
-    let policy = policy("p", WHOLE, &Known::default()).expect("is sound");
+fn rules_whose_conditions_hold_lower_a_budget_and_the_lowest_counts() {
+    let policy = policy("p", WHOLE, &KnownNames::default()).expect("is sound");
     let connections = |facts: &Facts| policy.terms(facts).expect("has a budget").connections;
     let (warm, cold) = (
         facts("t", 9),
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn a_budget_takes_over_what_is_said_of_members_and_may_say_it_anew() {
-    let policy = policy("p", WHOLE, &Known::default()).expect("is sound");
+fn a_budget_inherits_the_terms_of_members_and_may_override_them() {
+    let policy = policy("p", WHOLE, &KnownNames::default()).expect("is sound");
     let terms = policy.terms(&facts("t", 9)).expect("has a budget");
     let of = |name: &str| &terms.members[policy.member(name).0 as usize];
     assert_eq!((of("shop").weight, of("shop").floor), (3, 2));
@@ -199,9 +199,9 @@
     "lease { lasts 10 }",
     "p:2:15: 10: cannot stand here; here may stand: a time as `10s` or `500ms`"
 )]
-fn a_fault_is_told_with_its_place_its_key_and_a_way_out(#[case] text: &str, #[case] said: &str) {
+fn an_error_has_its_position_its_key_and_a_way_out(#[case] text: &str, #[case] said: &str) {
     let (kinds, zones) = (["webhook".to_owned()], ["north".to_owned()]);
-    let known = Known {
+    let known = KnownNames {
         kinds: Some(&kinds),
         zones: Some(&zones),
         members: None,
@@ -213,9 +213,9 @@
 }
 
 #[test]
-fn all_faults_of_a_file_are_told_at_once() {
+fn all_errors_of_a_file_are_reported_at_once() {
     let text = "language 2 edition 1\nmember a { weight 5000 }\nbudget each target { reserve 1 }";
-    let faults = policy("p", text, &Known::default()).expect_err("is faulty");
+    let faults = policy("p", text, &KnownNames::default()).expect_err("is faulty");
     let keys: Vec<&str> = faults.0.iter().map(|fault| fault.key.as_str()).collect();
     assert_eq!(
         keys,
@@ -320,7 +320,7 @@
     #![proptest_config(seeded(256))]
 
     #[test]
-    fn what_is_read_and_written_out_reads_the_same_again(text in text()) {
+    fn a_printed_tree_reads_into_the_same_tree(text in text()) {
         let tree = read("p", &text).expect("is in the grammar");
         let again = tree.to_string();
         prop_assert_eq!(read("p", &again).expect("is in the grammar still"), tree);
@@ -328,8 +328,8 @@
 
     #[test]
     fn no_text_makes_it_panic(text in "[ -~\n]{0,80}", cut in 0..400usize) {
-        let _ = policy("p", &text, &Known::default());
+        let _ = policy("p", &text, &KnownNames::default());
         let whole: String = WHOLE.chars().take(cut).collect();
-        let _ = policy("p", &(whole + &text), &Known::default());
+        let _ = policy("p", &(whole + &text), &KnownNames::default());
     }
 }
--- a/forwarder/connection-quotas/tests/leases.rs
+++ b/forwarder/connection-quotas/tests/leases.rs
@@ -4,8 +4,11 @@
 mod fleet;
 
 use fleet::{policy, Fleet, Planted, BUDGET, STEP};
-use plankhill_connection_quotas::language::{Facts, Known, PoolId};
-use plankhill_connection_quotas::leases::*;
+use plankhill_connection_quotas::language::{Facts, KnownNames, PoolId};
+use plankhill_connection_quotas::leases::{
+    decode, standing, Command, Grant, Instance, LeaseHolder, LeaseIssuer, LeaseNumber, LeaseTable,
+    MemberIncarnation, Outcome, PoolDemand, PoolGrant,
+};
 use rstest::rstest;
 
 const MINUTE: u32 = (60_000.0 / STEP) as u32;
@@ -28,7 +31,7 @@
 }
 
 #[test]
-fn the_budget_holds_at_every_step_whatever_fails() {
+fn the_quota_holds_at_every_step_through_faults() {
     let (mut opened, mut leaders, mut ended) = (0u64, 0u64, 0u64);
     let seeds = std::env::var("POOLS_SEEDS")
         .ok()
@@ -65,7 +68,7 @@
 }
 
 #[test]
-fn once_all_is_well_nearly_all_of_the_budget_is_in_use() {
+fn without_faults_nearly_all_of_the_quota_is_in_use() {
     for seed in 0..5 {
         let mut fleet = walk(seed, Planted::Nothing);
         fleet.faults = false;
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn what_stands_without_a_lease_sums_up_to_what_is_set_aside() {
+fn shares_without_a_lease_sum_up_to_what_is_set_aside() {
     for (aside, count) in [(0, 3), (2, 5), (7, 3), (100, 7), (3, 100)] {
         let all = listed(count);
         for target in 0..20 {
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn a_book_outlasts_its_writing_down_and_refuses_what_passes_the_budget() {
+fn a_table_survives_its_snapshot_and_refuses_leases_past_the_quota() {
     let mut book = LeaseTable::default();
     let text = "language 1 edition 4 budget each target { connections 10 standing 2 }".to_owned();
     assert_eq!(
@@ -123,7 +126,7 @@
                 instances: listed(2)
             }
         ),
-        Outcome::Done
+        Outcome::Applied
     );
     let facts = Facts {
         target: "t".into(),
@@ -133,15 +136,15 @@
         let pool = PoolId::Target("t".into());
         Command::Grant(Grant {
             instance: Instance(format!("i{instance}")),
-            life: MemberIncarnation(1),
-            asked: number,
-            closed: Number(0),
+            incarnation: MemberIncarnation(1),
+            report: number,
+            closed_to: LeaseNumber(0),
             edition: 4,
-            number: Number(number),
-            lasts: 1_000.0,
+            number: LeaseNumber(number),
+            ttl: 1_000.0,
             grace: 0.0,
             drift: 0.01,
-            parts: vec![PartOf {
+            pools: vec![PoolGrant {
                 pool,
                 facts: facts.clone(),
                 members: vec![part],
@@ -154,13 +157,13 @@
         Outcome::Refused,
         "one stands for the other"
     );
-    assert_eq!(book.apply(1, &grant(0, 1, 9)), Outcome::Done);
+    assert_eq!(book.apply(1, &grant(0, 1, 9)), Outcome::Applied);
     let mut again = LeaseTable::restore(&book.snapshot()).expect("is a book");
     for book in [&mut book, &mut again] {
         assert_eq!(book.apply(1, &grant(1, 1, 2)), Outcome::Refused);
         assert_eq!(
             book.apply(1, &grant(0, 2, 3)),
-            Outcome::Done,
+            Outcome::Applied,
             "the earlier one may be held still"
         );
         assert_eq!(book.apply(1, &grant(1, 1, 2)), Outcome::Refused);
@@ -175,12 +178,12 @@
                 2,
                 &Command::Ended {
                     instance,
-                    number: Number(1)
+                    number: LeaseNumber(1)
                 }
             ),
-            Outcome::Done
+            Outcome::Applied
         );
-        assert_eq!(book.apply(2, &grant(1, 1, 7)), Outcome::Done);
+        assert_eq!(book.apply(2, &grant(1, 1, 7)), Outcome::Applied);
     }
     assert!(LeaseTable::restore(b"no book").is_err() && decode::<Command>(&[9, 9, 9]).is_none());
 }
@@ -201,13 +204,17 @@
         destination: 3,
         ..Facts::default()
     };
-    let mut holder = Holder::new(Instance("i0".into()), MemberIncarnation(1));
-    let mut giver = Giver::new(0.0, 100.0, &book);
+    let mut holder = LeaseHolder::new(Instance("i0".into()), MemberIncarnation(1));
+    let mut giver = LeaseIssuer::new(0.0, 100.0, &book);
     let mut now = 0.0;
-    let mut ask = |book: &mut LeaseTable, holder: &mut Holder, giver: &mut Giver, edition| -> u32 {
+    let mut ask = |book: &mut LeaseTable,
+                   holder: &mut LeaseHolder,
+                   giver: &mut LeaseIssuer,
+                   edition|
+     -> u32 {
         now += 2_000.0;
-        holder.open(now, &Default::default(), edition, |_| 0);
-        let wants = WantsOf {
+        holder.observe_open(now, &Default::default(), edition, |_| 0);
+        let wants = PoolDemand {
             facts: facts.clone(),
             members: vec![6],
             trials: 0,
@@ -221,14 +228,14 @@
         let Command::Grant(grant) = command else {
             return 0;
         };
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Applied {
             holder.granted(&grant);
         }
         let pool = book
             .policy()
             .and_then(|(policy, _)| policy.pool(&facts))
             .expect("has a budget");
-        holder.allowed(now, now, &pool, 0).all
+        holder.allowance(now, now, &pool, 0).total
     };
     assert_eq!(ask(&mut book, &mut holder, &mut giver, 1), 6);
     book.apply(1, &agree(text(2, "each destination")));
@@ -237,7 +244,7 @@
         0,
         "the other lease counts still"
     );
-    let known = Known::default();
+    let known = KnownNames::default();
     assert!(plankhill_connection_quotas::policy("p", &text(2, "each destination"), &known).is_ok());
     for _ in 0..8 {
         for command in giver.due(1e5, &book) {
--- a/forwarder/connection-quotas/tests/local.rs
+++ b/forwarder/connection-quotas/tests/local.rs
@@ -1,6 +1,6 @@
 //! A forwarder's side by plain calls: two of them, one of which leads, and bytes carried between them.
 
-use plankhill_connection_quotas::language::{Facts, Known, PoolId, OTHERS};
+use plankhill_connection_quotas::language::{Facts, KnownNames, PoolId, OTHERS};
 use plankhill_connection_quotas::leases::{encode, Command, Instance, MemberIncarnation};
 use plankhill_connection_quotas::local::{
     Admission, ConnectionUse, LocalQuotas, LocalQuotasConfig,
@@ -11,14 +11,15 @@
 
 fn local(name: &str) -> LocalQuotas {
     let policy =
-        plankhill_connection_quotas::policy("p", POLICY, &Known::default()).expect("is sound");
+        plankhill_connection_quotas::policy("p", POLICY, &KnownNames::default()).expect("is sound");
     let instances = ["a", "b"]
         .map(|name| (Instance(name.into()), String::new()))
         .to_vec();
-    let (instance, life, text) = (Instance(name.into()), MemberIncarnation(7), POLICY.into());
+    let (instance, incarnation, text) =
+        (Instance(name.into()), MemberIncarnation(7), POLICY.into());
     let mut local = LocalQuotas::new(LocalQuotasConfig {
         instance,
-        life,
+        incarnation,
         text,
         policy,
         instances,
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn what_no_budget_names_has_no_bound_and_what_one_names_has_none_before_it_is_agreed() {
+fn a_target_without_a_quota_is_unlimited_and_one_with_a_quota_has_nothing_before_it_is_agreed() {
     let mut alone = local("a");
     let what = event(&alone);
     assert_eq!(
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn parts_follow_what_is_wanted_and_never_sum_up_to_more_than_the_budget() {
+fn shares_follow_demand_and_never_sum_up_to_more_than_the_quota() {
     let mut two = Two::new();
     for _ in 0..6 {
         open(&mut two.a, two.now, 20);
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn what_one_no_longer_wants_is_closed_and_given_to_the_other() {
+fn connections_no_longer_wanted_are_closed_and_granted_to_the_other() {
     let mut two = Two::new();
     for _ in 0..6 {
         open(&mut two.a, two.now, 20);
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn past_its_lease_idle_ones_are_closed_and_only_what_stands_is_opened() {
+fn past_its_lease_idle_connections_are_closed_and_only_standing_ones_opened() {
     let mut two = Two::new();
     for _ in 0..6 {
         open(&mut two.a, two.now, 20);
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn a_ping_has_the_reserve_where_events_took_all_else() {
+fn a_health_check_has_the_reserve_where_events_took_all_else() {
     let mut two = Two::new();
     for _ in 0..6 {
         open(&mut two.a, two.now, 20);
--- a/forwarder/connection-quotas/tests/split.rs
+++ b/forwarder/connection-quotas/tests/split.rs
@@ -4,7 +4,7 @@
 
 use plankhill_connection_quotas::language::tree::Over;
 use plankhill_connection_quotas::language::{lending::reaches, MemberTerms, PoolTerms, Reach};
-use plankhill_connection_quotas::split::{split, Owed, Part, Wants};
+use plankhill_connection_quotas::split::{split, ForwarderDemand, RoundingCarry, Share};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -50,7 +50,7 @@
         })
 }
 
-type Case = (PoolTerms, BTreeMap<u16, Wants>);
+type Case = (PoolTerms, BTreeMap<u16, ForwarderDemand>);
 
 fn case() -> impl Strategy<Value = Case> {
     let wants = (
@@ -67,10 +67,10 @@
             .map(|(place, (id, (members, trials, near)))| {
                 (
                     id,
-                    Wants {
+                    ForwarderDemand {
                         members,
                         trials,
-                        near,
+                        is_near: near,
                         standing: stands(place),
                     },
                 )
@@ -80,11 +80,11 @@
     })
 }
 
-fn parts((terms, wants): &Case) -> BTreeMap<u16, Part> {
-    split(terms, terms.standing, wants, &mut Owed::new())
+fn parts((terms, wants): &Case) -> BTreeMap<u16, Share> {
+    split(terms, terms.standing, wants, &mut RoundingCarry::new())
 }
 
-fn of_member(parts: &BTreeMap<u16, Part>, member: usize) -> u32 {
+fn of_member(parts: &BTreeMap<u16, Share>, member: usize) -> u32 {
     parts.values().map(|part| part.members[member]).sum()
 }
 
@@ -93,7 +93,7 @@
 }
 
 /// What is out or set aside: a forwarder counts with its part, or what it has for sure if that is more.
-fn counted((terms, wants): &Case, parts: &BTreeMap<u16, Part>) -> u32 {
+fn counted((terms, wants): &Case, parts: &BTreeMap<u16, Share>) -> u32 {
     let named: u32 = wants.values().map(|wants| wants.standing).sum();
     let sums = parts
         .iter()
@@ -123,7 +123,7 @@
     #![proptest_config(seeded(512))]
 
     #[test]
-    fn the_budget_is_never_passed_and_nobody_gets_more_than_it_wants(case in case()) {
+    fn the_quota_is_never_passed_and_no_share_is_more_than_wanted(case in case()) {
         let parts = parts(&case);
         prop_assert!(counted(&case, &parts) <= case.0.connections);
         for (id, part) in &parts {
@@ -147,7 +147,7 @@
     }
 
     #[test]
-    fn nothing_is_idle_that_someone_wants_and_may_have(case in case()) {
+    fn no_connection_is_idle_that_a_member_wants_and_may_have(case in case()) {
         let parts = parts(&case);
         let terms = &case.0;
         let reaches = reaches(&terms.members);
@@ -166,7 +166,7 @@
     }
 
     #[test]
-    fn what_a_member_asks_beyond_its_need_gains_it_nothing(case in case(), member in 0..MEMBERS, more in 1..50u32) {
+    fn a_member_that_asks_beyond_its_need_gains_nothing(case in case(), member in 0..MEMBERS, more in 1..50u32) {
         let (mut case, before) = (case.clone(), parts(&case));
         // Ways that follow the demand of forwarders believe what forwarders measure: members are the rivals.
         let Some(first) = case.1.keys().next().copied() else { return Ok(()) };
@@ -208,7 +208,7 @@
             prop_assert!(a.abs_diff(b) <= 2, "member {at}: {a} and {b}");
         }
         // A remainder that changes hands can cost one who may not borrow its last one.
-        let sum = |parts: &BTreeMap<u16, Part>| (0..MEMBERS).map(|at| of_member(parts, at)).sum::<u32>();
+        let sum = |parts: &BTreeMap<u16, Share>| (0..MEMBERS).map(|at| of_member(parts, at)).sum::<u32>();
         prop_assert!(sum(&before) <= sum(&after) + 1 && sum(&after) <= sum(&before) + 2);
     }
 
@@ -217,12 +217,12 @@
         let member = MemberTerms { weight: 1, floor: 0, ceiling: u32::MAX, lends: Reach::All, borrows: true };
         let (reserve, standing, over, members) = (0, 0, Over::Evenly, vec![member]);
         let terms = PoolTerms { connections, reserve, standing, over, members };
-        let wants = Wants { members: vec![20], ..Wants::default() };
-        let wants: BTreeMap<u16, Wants> = (0..forwarders).map(|id| (id, wants.clone())).collect();
-        let (mut owed, mut got) = (Owed::new(), vec![0; usize::from(forwarders)]);
+        let wants = ForwarderDemand { members: vec![20], ..ForwarderDemand::default() };
+        let wants: BTreeMap<u16, ForwarderDemand> = (0..forwarders).map(|id| (id, wants.clone())).collect();
+        let (mut owed, mut got) = (RoundingCarry::new(), vec![0; usize::from(forwarders)]);
         for _ in 0..forwarders {
             for (id, part) in split(&terms, 0, &wants, &mut owed) {
-                got[usize::from(id)] += part.all();
+                got[usize::from(id)] += part.total();
             }
         }
         prop_assert!(got.iter().all(|sum| sum.abs_diff(connections) <= 1), "{got:?}");
@@ -240,12 +240,12 @@
     };
     let wants = BTreeMap::from([(
         7,
-        Wants {
+        ForwarderDemand {
             members: wants.to_vec(),
-            ..Wants::default()
+            ..ForwarderDemand::default()
         },
     )]);
-    split(&terms, 0, &wants, &mut Owed::new())[&7]
+    split(&terms, 0, &wants, &mut RoundingCarry::new())[&7]
         .members
         .clone()
 }
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn what_is_lent_by_name_goes_on_along_the_lists_and_not_to_who_does_not_borrow() {
+fn connections_lent_by_name_go_on_along_the_lists_and_not_to_members_that_do_not_borrow() {
     let chain = |middle| {
         let reaches = [Reach::Only(vec![1]), Reach::Only(vec![2]), Reach::All];
         let [first, second, third] = reaches;
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn who_could_have_borrowed_from_another_makes_way() {
+fn a_member_that_could_have_borrowed_from_another_makes_way() {
     // The first lends to both that want, the second to the last alone: each gets one.
     let members = vec![
         lender(1, Reach::Only(vec![2, 3]), true),
@@ -322,16 +322,16 @@
         over,
         members,
     };
-    let wants = |near| Wants {
+    let wants = |near| ForwarderDemand {
         members: vec![8, 0],
-        near,
-        ..Wants::default()
+        is_near: near,
+        ..ForwarderDemand::default()
     };
     let parts = split(
         &terms,
         0,
         &BTreeMap::from([(1, wants(false)), (2, wants(true))]),
-        &mut Owed::new(),
+        &mut RoundingCarry::new(),
     );
-    assert_eq!((parts[&1].all(), parts[&2].all()), (2, 8));
+    assert_eq!((parts[&1].total(), parts[&2].total()), (2, 8));
 }
--- a/forwarder/connection-quotas/tests/stored_format.rs
+++ b/forwarder/connection-quotas/tests/stored_format.rs
@@ -1,7 +1,10 @@
 //! The bytes of what holders and givers send, of the giving group's log, and of its book's snapshot.
 
 use plankhill_connection_quotas::language::{Facts, LeaseTerms, MemberId, PoolId};
-use plankhill_connection_quotas::leases::*;
+use plankhill_connection_quotas::leases::{
+    decode, encode, Command, Grant, Instance, LeaseNumber, LeaseTable, MemberIncarnation, Outcome,
+    PoolDemand, PoolGrant, Report,
+};
 use serde::{de::DeserializeOwned, Serialize};
 
 const PINNED: &str = include_str!("stored_format/values.txt");
@@ -46,15 +49,15 @@
 fn grant(pool: PoolId, number: u64) -> Grant {
     Grant {
         instance: Instance("one".into()),
-        life: MemberIncarnation(0xfedc_ba98_7654_3210),
-        asked: 300,
-        closed: Number(number - 1),
+        incarnation: MemberIncarnation(0xfedc_ba98_7654_3210),
+        report: 300,
+        closed_to: LeaseNumber(number - 1),
         edition: 7,
-        number: Number(number),
-        lasts: 3_000.0,
+        number: LeaseNumber(number),
+        ttl: 3_000.0,
         grace: 600.5,
         drift: 0.01,
-        parts: vec![PartOf {
+        pools: vec![PoolGrant {
             pool,
             facts: facts(),
             members: vec![3, 2],
@@ -76,18 +79,18 @@
 
 #[test]
 fn a_report_is_as_pinned() {
-    let wants = vec![WantsOf {
+    let wants = vec![PoolDemand {
         facts: facts(),
         members: vec![300, 2],
         trials: 9,
     }];
     let report = Report {
         instance: Instance("one".into()),
-        life: MemberIncarnation(0xfedc_ba98_7654_3210),
-        asked: 300,
-        closed: Number(70_000),
+        incarnation: MemberIncarnation(0xfedc_ba98_7654_3210),
+        number: 300,
+        closed_to: LeaseNumber(70_000),
         edition: 7,
-        wants,
+        demands: wants,
     };
     check("Report", report);
 }
@@ -102,7 +105,7 @@
         Command::Settled { edition: 300 },
         Command::Ended {
             instance: Instance("one".into()),
-            number: Number(70_000),
+            number: LeaseNumber(70_000),
         },
     ];
     all.extend(pools().map(|pool| Command::Grant(grant(pool, 70_000))));
@@ -110,7 +113,7 @@
         let name = match &command {
             Command::Policy { .. } => "Policy".to_owned(),
             Command::Settled { .. } => "Settled".to_owned(),
-            Command::Grant(grant) => format!("Grant{}", name_of(&grant.parts[0].pool)),
+            Command::Grant(grant) => format!("Grant{}", name_of(&grant.pools[0].pool)),
             Command::Ended { .. } => "Ended".to_owned(),
         };
         check(&name, command);
@@ -146,7 +149,7 @@
         },
         Command::Grant(grant(PoolId::Target("t-1".into()), 3)),
         Command::Grant(Grant {
-            closed: Number(0),
+            closed_to: LeaseNumber(0),
             ..grant(PoolId::Target("t-1".into()), 4)
         }),
         Command::Policy {
@@ -155,7 +158,7 @@
         },
     ];
     for command in &commands {
-        assert_eq!(book.apply(300, command), Outcome::Done, "{command:?}");
+        assert_eq!(book.apply(300, command), Outcome::Applied, "{command:?}");
     }
     assert_eq!(book.snapshot(), pinned("Book"));
     let read = LeaseTable::restore(&pinned("Book")).unwrap();
--- a/forwarder/server/src/connection_quotas/mod.rs
+++ b/forwarder/server/src/connection_quotas/mod.rs
@@ -69,7 +69,7 @@
         let start_us = (now() * 1e3) as u64;
         let local = LocalQuotas::new(LocalQuotasConfig {
             instance: Instance(config.name.clone()),
-            life: MemberIncarnation(incarnation.0.rotate_left(20) ^ start_us),
+            incarnation: MemberIncarnation(incarnation.0.rotate_left(20) ^ start_us),
             text: source.text.clone(),
             policy: source.policy.clone(),
             instances,
