--- a/forwarder/server/src/hot_restart/successor.rs
+++ b/forwarder/server/src/hot_restart/successor.rs
@@ -214,7 +214,8 @@
         return Err(HandoverError::OtherAddress);
     }
     let scheduler = rmp_serde::from_slice(&state.scheduler)?;
-    let (event_log, pending) = EventLog::open(&config.state_folder, config.max_disk_bytes)?;
+    let (event_log, pending) =
+        EventLog::open(&config.state_folder, config.max_disk_bytes).map_err(io::Error::from)?;
     if let Some(traffic_type) = first_weakened(config, &pending) {
         return Err(HandoverError::WeakenedGuarantee(traffic_type.to_owned()));
     }
--- a/forwarder/server/src/state_folder.rs
+++ b/forwarder/server/src/state_folder.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener};
 
 use async_io::Async;
-use plankhill_event_log::{EventLog, PendingEvent};
+use plankhill_event_log::{EventLog, OpenError, PendingEvent};
 use plankhill_forwarder_config::ForwarderConfig;
 use plankhill_hot_restart::StateLock;
 
@@ -52,7 +52,7 @@
         /// The state folder.
         folder: String,
         /// The system's error, or what is wrong with the file.
-        error: io::Error,
+        error: OpenError,
     },
     /// The address cannot be listened on.
     #[error("{key}: {address} cannot be listened on: {error}")]
