--- a/tier/settings/src/error.rs
+++ b/tier/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a settings file can't be used.
+//! Why a settings file cannot be used.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,10 +6,10 @@
 use plankhill_validation::Faults;
 use thiserror::Error;
 
-/// Why a settings file can't be used.
+/// Why a settings file cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be opened or read.
+    /// The file cannot be opened or read.
     #[error("cannot read the settings file {}: {source}", path.display())]
     Read {
         /// The file that was asked for.
@@ -17,7 +17,7 @@
         /// What the operating system answered.
         source: io::Error,
     },
-    /// The file is no TOML, lacks a key, or holds a value that isn't allowed.
+    /// The file is no TOML, lacks a key, or has a value that is not allowed; the faults name the keys.
     #[error("settings are not valid: {0}")]
     Invalid(Faults),
 }
--- a/tier/settings/src/limits.rs
+++ b/tier/settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! What a process may use, and what the system must bear losing.
+//! The tables `[limits]` and `[fault_tolerance]`: what a process may use, and the losses that the system tolerates.
 
 use serde::Deserialize;
 use validator::Validate;
@@ -9,10 +9,10 @@
 /// Bits in one megabit.
 const BITS_PER_MBIT: f64 = 1_000_000.0;
 
-/// Most cores or processors accepted.
+/// Largest number of cores or processors accepted.
 const MAX_CPUS: f64 = 4096.0;
 
-/// Most megabytes or megabits a second accepted.
+/// Largest number of megabytes, or of megabits a second, accepted.
 const MAX_MEGA: f64 = 1e9;
 
 /// What one process may use of its machine.
@@ -29,7 +29,7 @@
     /// Memory in megabytes; a process that uses more is killed.
     #[validate(range(exclusive_min = 0.0, max = MAX_MEGA, message = "must lie above 0"))]
     pub memory_mb: f64,
-    /// File descriptors, those kept back for files included.
+    /// File descriptors, those reserved for files included.
     #[validate(range(min = 1, message = "must not be 0"))]
     pub max_fds: u64,
     /// Bandwidth of the machine's link in megabits a second; 0 stands for no limit.
@@ -53,9 +53,13 @@
         (self.disk_mb * BYTES_PER_MB) as u64
     }
 
-    /// Bandwidth of the machine's link in bytes a second; `None` if it isn't limited.
+    /// Bandwidth of the machine's link in bytes a second; `None` if it is not limited.
     pub fn bandwidth_bytes_per_second(&self) -> Option<u64> {
-        (self.bandwidth_mbps > 0.0).then_some((self.bandwidth_mbps * BITS_PER_MBIT / 8.0) as u64)
+        if self.bandwidth_mbps > 0.0 {
+            Some((self.bandwidth_mbps * BITS_PER_MBIT / 8.0) as u64)
+        } else {
+            None
+        }
     }
 }
 
@@ -63,7 +67,7 @@
     1.0
 }
 
-/// What the system may lose at once while it keeps all rules.
+/// The losses that the system tolerates at once while it keeps all rules.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 pub struct FaultTolerance {
     /// Machines that count for a quorum.
--- a/tier/settings/src/listeners.rs
+++ b/tier/settings/src/listeners.rs
@@ -1,17 +1,17 @@
-//! Addresses at which a process serves callers from outside the tier.
+//! The table `[listeners_map]`: the addresses at which a process serves callers from outside the tier.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Deserializer};
 
-/// Addresses by purpose; a purpose that the role doesn't serve is absent.
+/// Addresses by purpose; a purpose that the role does not serve is absent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Listeners {
     /// For requests of clients.
     #[serde(deserialize_with = "optional_address")]
     pub http: Option<SocketAddr>,
-    /// For the question whether this process takes new clients.
+    /// For readiness: whether this process takes new clients.
     #[serde(deserialize_with = "optional_address")]
     pub readiness: Option<SocketAddr>,
     /// For the operator and for heartbeats of targets.
--- a/tier/settings/src/load.rs
+++ b/tier/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Finding, reading and checking the file.
+//! Finds, reads and checks the settings file.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -16,7 +16,7 @@
 /// The settings file used where the environment names none.
 pub const DEFAULT_PATH: &str = "/etc/plankhill/local.toml";
 
-/// Largest settings file read, in bytes; a real one has about two thousand.
+/// Largest settings file that is read, in bytes; a real one has about two thousand.
 pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Path of the settings file of this process.
@@ -31,7 +31,7 @@
     /// Reads the settings file of this process ([`settings_path`]).
     ///
     /// # Errors
-    /// If the file can't be read, lacks a key or holds a value that isn't allowed.
+    /// [`SettingsError`] if the file cannot be read, lacks a key or has a value that is not allowed.
     pub fn load() -> Result<Settings, SettingsError> {
         Settings::read(&settings_path())
     }
--- a/tier/settings/src/settings.rs
+++ b/tier/settings/src/settings.rs
@@ -9,7 +9,7 @@
 
 use crate::{Bounds, FaultTolerance, Limits, Listeners, PortRange, Zones};
 
-/// Most seed nodes accepted; the pages speak of three.
+/// Largest number of seed nodes accepted; deployments have three.
 const MAX_SEED_NODES: u64 = 64;
 
 /// Longest name of a node, role, zone or region, in bytes.
@@ -18,7 +18,7 @@
 /// Longest interval between heartbeats accepted, in milliseconds (one hour).
 const MAX_HEARTBEAT_MS: u64 = 3_600_000;
 
-/// What the settings file tells a process about itself and its surroundings.
+/// The settings of one process: the process itself, its machine, and the system around it.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 pub struct Settings {
     /// Name of this machine, unique in the system.
@@ -29,7 +29,7 @@
     pub role: String,
     /// The class this machine belongs to.
     pub machine_class: MachineClass,
-    /// What the role serves to callers from outside.
+    /// The interfaces that the role serves to callers from outside.
     #[serde(default)]
     pub serves: Vec<String>,
     /// Address of this machine.
@@ -48,10 +48,10 @@
     #[serde(default)]
     #[validate(length(max = MAX_SEED_NODES, message = "must hold at most 64 addresses"))]
     pub seed_nodes: Vec<SocketAddr>,
-    /// True only at the very first start of the whole system.
+    /// Whether this is the very first start of the whole system.
     #[serde(default)]
     pub bootstrap: bool,
-    /// True if the loss of this machine counts against [`FaultTolerance::nodes`].
+    /// Whether the loss of this machine counts against [`FaultTolerance::nodes`].
     #[serde(default)]
     pub counts_for_quorum: bool,
     /// Folder for this process's data, on machines with a disk.
@@ -69,10 +69,10 @@
     /// Addresses at which this process serves callers from outside.
     #[serde(default)]
     pub listeners_map: Listeners,
-    /// What this process may use.
+    /// The resources that this process may use.
     #[validate(nested)]
     pub limits: Limits,
-    /// What may be lost at once.
+    /// The losses that are tolerated at once.
     pub fault_tolerance: FaultTolerance,
     /// Figures of the rules.
     #[serde(default)]
@@ -86,14 +86,14 @@
         Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// True if the part of the rules called `name` is in force.
+    /// Whether the part of the rules called `name` is in force.
     pub fn has_invariant(&self, name: &str) -> bool {
         self.invariants.iter().any(|invariant| invariant == name)
     }
 
-    /// True if the role serves `what` to callers from outside.
-    pub fn serves(&self, what: &str) -> bool {
-        self.serves.iter().any(|served| served == what)
+    /// Whether the role serves `interface` to callers from outside.
+    pub fn serves(&self, interface: &str) -> bool {
+        self.serves.iter().any(|served| served == interface)
     }
 }
 
@@ -103,11 +103,11 @@
 pub enum MachineClass {
     /// Reached by clients; has no disk.
     Edge,
-    /// Holds the control state.
+    /// Stores the control state.
     Core,
-    /// Holds turns and budgets.
+    /// Stores turns and budgets.
     Storage,
-    /// A class that this version doesn't know.
+    /// A class that this version does not know.
     #[serde(other)]
     Unknown,
 }
@@ -120,21 +120,21 @@
 
 fn check_port_range(range: &PortRange) -> Result<(), ValidationError> {
     if range.first == 0 {
-        return Err(fault("the first port must not be 0"));
+        return Err(invalid_value("the first port must not be 0"));
     }
     if range.first > range.last {
-        return Err(fault("the first port must not lie above the last"));
+        return Err(invalid_value("the first port must not lie above the last"));
     }
     Ok(())
 }
 
 fn check_address(address: &Ipv4Addr) -> Result<(), ValidationError> {
     if address.is_unspecified() || address.is_multicast() || address.is_broadcast() {
-        return Err(fault("must be the address of one machine"));
+        return Err(invalid_value("must be the address of one machine"));
     }
     Ok(())
 }
 
-fn fault(message: &'static str) -> ValidationError {
+fn invalid_value(message: &'static str) -> ValidationError {
     ValidationError::new("value").with_message(message.into())
 }
--- a/tier/settings/src/zones.rs
+++ b/tier/settings/src/zones.rs
@@ -1,4 +1,4 @@
-//! The zones of the system and their regions.
+//! The table `[zones]`: the zones of the system and their regions.
 
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
         self.0.len()
     }
 
-    /// True if the file lists no zone.
+    /// Whether the file lists no zone.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/tier/settings/tests/faults.rs
+++ b/tier/settings/tests/faults.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn text_that_is_no_toml_is_an_error() {
+fn text_that_is_no_toml_is_rejected() {
     for text in [
         "node_id = ",
         "[limits",
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_file_cut_anywhere_is_read_or_refused_without_panic() {
+fn a_file_truncated_anywhere_is_read_or_rejected_without_a_panic() {
     arbtest::arbtest(|source| {
         let length = source.int_in_range(0..=VALID.len())?;
         let _ = VALID[..length].parse::<Settings>();
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn any_text_is_read_or_refused_without_panic() {
+fn any_text_is_read_or_rejected_without_a_panic() {
     arbtest::arbtest(|source| {
         let line: String = source.arbitrary()?;
         let _ = format!("{VALID}\n{line}").parse::<Settings>();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_file_is_read_from_disk_and_an_endless_one_is_refused() {
+fn a_file_is_read_from_disk_and_an_endless_one_is_rejected() {
     let mut file = tempfile::NamedTempFile::new().expect("a file can be made");
     file.write_all(VALID.as_bytes())
         .expect("the file can be written");
--- a/tier/settings/tests/reading.rs
+++ b/tier/settings/tests/reading.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn zones_know_their_regions() {
+fn zones_have_regions() {
     let zones = read(VALID).zones;
     assert_eq!(zones.region_of("shore"), Some("coast"));
     assert_eq!(zones.region_of("moon"), None);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn bounds_take_whole_numbers_fractions_and_truth_values() {
+fn bounds_are_whole_numbers_fractions_or_booleans() {
     let bounds = read(VALID).bounds;
     assert_eq!(bounds.drain(), Duration::from_millis(1500));
     assert_eq!(bounds.catch_up(), Duration::from_millis(4400));
