--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -111,7 +111,7 @@
     let dispatch = DispatchSettings {
         seed: seed(),
         zone: zone.clone(),
-        most_requests: MOST_REQUESTS,
+        max_requests: MOST_REQUESTS,
     };
     let decisions = Box::new(Dispatcher::new(dispatch, clock.now()));
     let admission = Rc::new(Admission::new(clock, decisions, pool.clone(), pings));
@@ -132,7 +132,10 @@
 }
 
 fn bound(address: SocketAddr) -> Result<tokio::net::TcpListener, RunError> {
-    listen(address).map_err(|error| RunError::Listen { address, source: error.source })
+    listen(address).map_err(|error| RunError::Listen {
+        address,
+        source: error.source,
+    })
 }
 
 fn memory_for_bodies(settings: &Settings) -> usize {
