--- a/tier/configuration/src/check.rs
+++ b/tier/configuration/src/check.rs
@@ -19,7 +19,7 @@
         check_timeout(index, route, &mut faults);
         check_services(index, route, &services, &mut faults);
     }
-    check_distinct_places(configuration, &mut faults);
+    check_distinct_routes(configuration, &mut faults);
     faults
 }
 
@@ -59,15 +59,15 @@
     faults: &mut Faults,
 ) {
     let list = format!("routes[{index}].weighted_services");
-    for (place, share) in weighted.iter().enumerate() {
+    for (position, share) in weighted.iter().enumerate() {
         check_known(
-            format!("{list}[{place}].service"),
+            format!("{list}[{position}].service"),
             &share.service,
             known,
             faults,
         );
         if !share.weight.is_finite() || share.weight < 0.0 {
-            faults.add(format!("{list}[{place}].weight"), "must not be negative");
+            faults.add(format!("{list}[{position}].weight"), "must not be negative");
         }
     }
     let sum: f64 = weighted.iter().map(|share| share.weight).sum();
@@ -85,11 +85,11 @@
 }
 
 /// Adds a fault for each route that has host and prefix of an earlier one.
-fn check_distinct_places(configuration: &Configuration, faults: &mut Faults) {
-    let mut places = HashMap::with_capacity(configuration.routes.len());
+fn check_distinct_routes(configuration: &Configuration, faults: &mut Faults) {
+    let mut indexes = HashMap::with_capacity(configuration.routes.len());
     for (index, route) in configuration.routes.iter().enumerate() {
-        let place = (normalized_host(&route.host), route.path_prefix.as_ref());
-        let first = *places.entry(place).or_insert(index);
+        let position = (normalized_host(&route.host), route.path_prefix.as_ref());
+        let first = *indexes.entry(position).or_insert(index);
         if first != index {
             let message = format!("routes[{first}] has the same host and prefix");
             faults.add(format!("routes[{index}].path_prefix"), message);
--- a/tier/configuration/src/configuration.rs
+++ b/tier/configuration/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What a document of the operator says.
+//! The meaning of the operator's document.
 
 use plankhill_validation::{Fault, Faults};
 use serde::Deserialize;
@@ -9,7 +9,7 @@
 /// Routes, services and limits of one version.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 pub struct Configuration {
-    /// Number of the version; it rises by uneven steps.
+    /// The version. Versions rise by any steps.
     pub version: u64,
     /// Routes, no two with the same host and prefix.
     #[validate(nested)]
@@ -17,7 +17,7 @@
     /// Services, no two with the same name.
     #[validate(nested)]
     pub services: Vec<Service>,
-    /// Bounds on what clients may send.
+    /// Limits of what clients may send.
     #[validate(nested)]
     pub limits: Limits,
 }
@@ -26,7 +26,7 @@
     /// Reads and checks a document, all but its version number.
     ///
     /// # Errors
-    /// If the document can't be read whole or isn't valid by itself.
+    /// [`ConfigurationError`] if the document cannot be read completely or is not valid by itself.
     pub fn parse(bytes: &[u8]) -> Result<Configuration, ConfigurationError> {
         let configuration = Configuration::read(bytes)?;
         let faults = check::faults_of_configuration(&configuration);
@@ -37,7 +37,7 @@
     /// Checks that this may follow the version `current` (0 if there is none).
     ///
     /// # Errors
-    /// If the number of the version is not above `current`.
+    /// [`ConfigurationError::Invalid`] if the version is not above `current`.
     pub fn check(&self, current: u64) -> Result<(), ConfigurationError> {
         if self.version > current {
             return Ok(());
--- a/tier/configuration/src/content.rs
+++ b/tier/configuration/src/content.rs
@@ -2,31 +2,34 @@
 
 use serde_json::{Number, Value};
 
-/// True if both are JSON with the same content, whatever the order of keys, the white space and
-/// the way numbers are written. Two documents that are no JSON are the same only byte by byte.
-pub fn same_content(left: &[u8], right: &[u8]) -> bool {
+/// Whether both are JSON with the same content, whatever the order of keys, the white space and the way numbers are
+/// written. Two documents that are no JSON are the same only byte by byte.
+pub fn has_same_content(left: &[u8], right: &[u8]) -> bool {
     if left == right {
         return true;
     }
     match (serde_json::from_slice(left), serde_json::from_slice(right)) {
-        (Ok(left), Ok(right)) => same_value(&left, &right),
+        (Ok(left), Ok(right)) => is_same_value(&left, &right),
         _ => false,
     }
 }
 
-fn same_value(left: &Value, right: &Value) -> bool {
+fn is_same_value(left: &Value, right: &Value) -> bool {
     match (left, right) {
-        (Value::Number(left), Value::Number(right)) => same_number(left, right),
+        (Value::Number(left), Value::Number(right)) => is_same_number(left, right),
         (Value::Array(left), Value::Array(right)) => {
             left.len() == right.len()
                 && left
                     .iter()
                     .zip(right)
-                    .all(|(left, right)| same_value(left, right))
+                    .all(|(left, right)| is_same_value(left, right))
         }
         (Value::Object(left), Value::Object(right)) => {
-            let same_under =
-                |(key, value)| right.get(key).is_some_and(|other| same_value(value, other));
+            let same_under = |(key, value)| {
+                right
+                    .get(key)
+                    .is_some_and(|other| is_same_value(value, other))
+            };
             left.len() == right.len() && left.iter().all(same_under)
         }
         _ => left == right,
@@ -34,7 +37,7 @@
 }
 
 /// Compares whole numbers exactly, and a fraction with any number by value (`60` and `60.0`).
-fn same_number(left: &Number, right: &Number) -> bool {
+fn is_same_number(left: &Number, right: &Number) -> bool {
     if left.is_f64() || right.is_f64() {
         left.as_f64() == right.as_f64()
     } else {
--- a/tier/configuration/src/document.rs
+++ b/tier/configuration/src/document.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::{same_content, Configuration, ConfigurationError};
+use crate::{has_same_content, Configuration, ConfigurationError};
 
 /// Largest document accepted, in bytes: about 40,000 routes, a sixteenth of a small machine's memory.
 pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
@@ -13,7 +13,7 @@
 /// The bytes of a configuration, kept so that the operator reads back what was sent.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Number of the version that the bytes hold.
+    /// The version that the bytes name.
     pub version: u64,
     /// The JSON text.
     #[serde(
@@ -24,7 +24,7 @@
 }
 
 impl Document {
-    /// Keeps `bytes`, which hold the version `version`.
+    /// A document of `bytes`, which name the version `version`; they are not checked.
     pub fn new(version: u64, bytes: impl Into<Arc<[u8]>>) -> Document {
         Document {
             version,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Reads and checks `bytes`, and keeps them.
+    /// Reads and checks `bytes`.
     ///
     /// # Errors
     /// As [`Configuration::parse`].
@@ -50,9 +50,9 @@
         ))
     }
 
-    /// True if `other` has the same number and says the same.
-    pub fn same_content(&self, other: &Document) -> bool {
-        self.version == other.version && same_content(&self.bytes, &other.bytes)
+    /// Whether `other` has the same version and the same content ([`has_same_content`]).
+    pub fn has_same_content(&self, other: &Document) -> bool {
+        self.version == other.version && has_same_content(&self.bytes, &other.bytes)
     }
 }
 
--- a/tier/configuration/src/error.rs
+++ b/tier/configuration/src/error.rs
@@ -1,21 +1,21 @@
-//! Why a configuration or a change between two of them can't be used.
+//! Why a configuration, or a patch between two documents, cannot be used.
 
 use plankhill_validation::{Fault, Faults};
 use thiserror::Error;
 
-/// Why a configuration can't be used.
+/// Why a configuration cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
-    /// The document is no JSON, is cut short, lacks a key or holds a value of a wrong type.
+    /// The document is no JSON, is truncated, lacks a key or has a value of a wrong type.
     #[error("configuration cannot be read: {0}")]
     Unreadable(Fault),
-    /// The document can be read, and at least one of its values isn't allowed.
+    /// The document can be read, and at least one of its values is not allowed.
     #[error("configuration is not valid: {0}")]
     Invalid(Faults),
 }
 
 impl ConfigurationError {
-    /// What is wrong, key by key; never empty.
+    /// The faults, key by key; never empty.
     pub fn faults(&self) -> Faults {
         match self {
             ConfigurationError::Unreadable(fault) => fault.clone().into(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// Why a change between two documents can't be made or applied.
+/// Why a patch between two documents cannot be made or applied.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PatchError {
     /// The patch builds on another version than the given document's.
@@ -35,13 +35,13 @@
         /// Version of the given document.
         found: u64,
     },
-    /// A document is no JSON object, or one of its lists can't be read.
+    /// A document is no JSON object, or one of its lists cannot be read; the text is the JSON reader's.
     #[error("document cannot be read: {0}")]
     Document(String),
-    /// The patch keeps a key that the document lacks.
+    /// The patch retains a key that the document lacks.
     #[error("document has no key {0}")]
     MissingKey(String),
-    /// The patch keeps elements that the document's list lacks.
+    /// The patch retains elements that the list of this key lacks.
     #[error("list {0} has no such elements")]
     MissingElements(String),
     /// The result would be larger than [`crate::MAX_DOCUMENT_BYTES`].
--- a/tier/configuration/src/limits.rs
+++ b/tier/configuration/src/limits.rs
@@ -1,4 +1,4 @@
-//! What clients may send.
+//! Limits of what clients may send.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::fields;
 
-/// Bounds on what a client may send and for how long its connection may rest.
+/// Limits of what a client may send, and of how long its connection may be idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Validate)]
 pub struct Limits {
     /// Largest head of a request, in bytes.
@@ -17,13 +17,13 @@
     /// Largest body of a request, in bytes.
     #[serde(deserialize_with = "fields::whole")]
     pub max_body_bytes: u64,
-    /// Longest time for the sending of a request's head.
+    /// Longest time in which a client has to send a request's head.
     #[serde(
         rename = "header_timeout_ms",
         deserialize_with = "fields::milliseconds"
     )]
     pub header_timeout: Duration,
-    /// Longest rest of a connection between two requests.
+    /// Longest time for which a connection may be idle between two requests.
     #[serde(rename = "idle_timeout_ms", deserialize_with = "fields::milliseconds")]
     pub idle_timeout: Duration,
 }
--- a/tier/configuration/src/patch.rs
+++ b/tier/configuration/src/patch.rs
@@ -1,15 +1,19 @@
-//! What differs between two documents, so that big configurations travel as changes.
+//! The difference of two documents, so that large configurations can be sent as changes: [`diff`] finds it, [`apply`]
+//! applies it.
+
+mod apply;
+mod diff;
 
 use serde::{Deserialize, Serialize};
 
-/// What turns the document of one version into that of another.
+/// The changes that turn the document of one version into that of another.
 ///
-/// Elements of lists (routes, services) that stand in both are named by their place in the old
-/// list; everything else is carried as JSON text.
+/// Elements of lists (routes, services) that stand in both are named by their index in the old list; everything else is
+/// carried as JSON text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
-    /// Version of the document that this builds on.
-    pub base: u64,
+    /// Version of the document to which the patch applies.
+    pub base_version: u64,
     /// Version of the document that results.
     pub version: u64,
     /// Every key of the resulting document; the others are dropped.
@@ -33,17 +37,17 @@
     /// From this JSON text.
     Value(String),
     /// From the old document's list, and from new elements between.
-    List(Vec<ListPart>),
+    List(Vec<ListSegment>),
 }
 
-/// Some elements of a list, in order.
+/// A segment of a list: consecutive elements, in order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListPart {
+pub enum ListSegment {
     /// Elements of the old list.
     Keep {
-        /// Place of the first one, from 0.
+        /// Index of the first one.
         first: u32,
-        /// How many follow each other.
+        /// Number of elements.
         count: u32,
     },
     /// One new element, as JSON text.
@@ -51,7 +55,7 @@
 }
 
 impl Patch {
-    /// Bytes of JSON text that the patch carries.
+    /// Bytes of JSON text in the patch.
     pub fn text_bytes(&self) -> usize {
         self.fields
             .iter()
@@ -65,16 +69,16 @@
         match self {
             FieldChange::Keep => 0,
             FieldChange::Value(text) => text.len(),
-            FieldChange::List(parts) => parts.iter().map(ListPart::text_bytes).sum(),
+            FieldChange::List(parts) => parts.iter().map(ListSegment::text_bytes).sum(),
         }
     }
 }
 
-impl ListPart {
+impl ListSegment {
     fn text_bytes(&self) -> usize {
         match self {
-            ListPart::Keep { .. } => 0,
-            ListPart::Add(text) => text.len(),
+            ListSegment::Keep { .. } => 0,
+            ListSegment::Add(text) => text.len(),
         }
     }
 }
--- a/tier/configuration/src/patch_apply.rs
+++ b/tier/configuration/src/patch/apply.rs
@@ -1,9 +1,11 @@
-//! Applies a change to the document it builds on.
+//! Applies a patch to its base document.
 
 use serde_json::value::RawValue;
 
-use crate::patch_between::{raw_elements, raw_fields, RawFields};
-use crate::{Document, FieldChange, FieldPatch, ListPart, Patch, PatchError, MAX_DOCUMENT_BYTES};
+use crate::patch::diff::{raw_elements, raw_fields, RawFields};
+use crate::{
+    Document, FieldChange, FieldPatch, ListSegment, Patch, PatchError, MAX_DOCUMENT_BYTES,
+};
 
 impl Patch {
     /// The document that results from applying this to `old`.
@@ -12,11 +14,11 @@
     /// keys may differ.
     ///
     /// # Errors
-    /// If `old` has another version, or lacks what the patch keeps, or the result is too large.
+    /// [`PatchError`] if `old` has another version, or lacks what the patch retains, or the result is too large.
     pub fn apply(&self, old: &Document) -> Result<Document, PatchError> {
-        if old.version != self.base {
+        if old.version != self.base_version {
             return Err(PatchError::OtherBase {
-                expected: self.base,
+                expected: self.base_version,
                 found: old.version,
             });
         }
@@ -37,23 +39,23 @@
     old: &RawFields<'_>,
     writer: &mut Writer,
 ) -> Result<(), PatchError> {
-    writer.push(&quoted(&field.key)?)?;
+    writer.push(&quote_key(&field.key)?)?;
     writer.push(":")?;
     match &field.change {
-        FieldChange::Keep => writer.push(kept(&field.key, old)?.get()),
+        FieldChange::Keep => writer.push(retained_field(&field.key, old)?.get()),
         FieldChange::Value(text) => writer.push(text),
         FieldChange::List(parts) => {
-            let elements = raw_elements(kept(&field.key, old)?)?;
+            let elements = raw_elements(retained_field(&field.key, old)?)?;
             write_list(&field.key, parts, &elements, writer)
         }
     }
 }
 
-fn quoted(key: &str) -> Result<String, PatchError> {
+fn quote_key(key: &str) -> Result<String, PatchError> {
     serde_json::to_string(key).map_err(|error| PatchError::Document(error.to_string()))
 }
 
-fn kept<'a>(key: &str, old: &RawFields<'a>) -> Result<&'a RawValue, PatchError> {
+fn retained_field<'a>(key: &str, old: &RawFields<'a>) -> Result<&'a RawValue, PatchError> {
     old.get(key)
         .copied()
         .ok_or_else(|| PatchError::MissingKey(key.to_owned()))
@@ -61,7 +63,7 @@
 
 fn write_list(
     key: &str,
-    parts: &[ListPart],
+    parts: &[ListSegment],
     old: &[&RawValue],
     writer: &mut Writer,
 ) -> Result<(), PatchError> {
@@ -69,13 +71,13 @@
     writer.push("[")?;
     for part in parts {
         match part {
-            ListPart::Add(text) => {
+            ListSegment::Add(text) => {
                 writer.separate(written)?;
                 writer.push(text)?;
                 written += 1;
             }
-            ListPart::Keep { first, count } => {
-                for element in kept_elements(key, old, *first, *count)? {
+            ListSegment::Keep { first, count } => {
+                for element in retained_elements(key, old, *first, *count)? {
                     writer.separate(written)?;
                     writer.push(element.get())?;
                     written += 1;
@@ -86,7 +88,7 @@
     writer.push("]")
 }
 
-fn kept_elements<'a, 'b>(
+fn retained_elements<'a, 'b>(
     key: &str,
     old: &'b [&'a RawValue],
     first: u32,
--- a/tier/configuration/src/patch_between.rs
+++ b/tier/configuration/src/patch/diff.rs
@@ -1,19 +1,19 @@
-//! Finds what differs between two documents.
+//! Finds the difference of two documents.
 
 use std::collections::{BTreeMap, HashMap};
 
 use serde_json::value::RawValue;
 
-use crate::{Document, FieldChange, FieldPatch, ListPart, Patch, PatchError};
+use crate::{Document, FieldChange, FieldPatch, ListSegment, Patch, PatchError};
 
 /// The keys of a document with their JSON text.
 pub(crate) type RawFields<'a> = BTreeMap<String, &'a RawValue>;
 
 impl Patch {
-    /// What turns `old` into `new`.
+    /// The patch that turns `old` into `new`.
     ///
     /// # Errors
-    /// If one of the two is no JSON object.
+    /// [`PatchError::Document`] if one of the two is no JSON object.
     pub fn between(old: &Document, new: &Document) -> Result<Patch, PatchError> {
         let old_fields = raw_fields(&old.bytes)?;
         let new_fields = raw_fields(&new.bytes)?;
@@ -26,7 +26,7 @@
             fields.push(FieldPatch { key, change });
         }
         Ok(Patch {
-            base: old.version,
+            base_version: old.version,
             version: new.version,
             fields,
         })
@@ -47,7 +47,7 @@
     if old.get() == new.get() {
         Ok(FieldChange::Keep)
     } else if is_list(old) && is_list(new) {
-        Ok(FieldChange::List(list_parts(
+        Ok(FieldChange::List(list_segments(
             &raw_elements(old)?,
             &raw_elements(new)?,
         )))
@@ -60,38 +60,38 @@
     value.get().starts_with('[')
 }
 
-fn list_parts(old: &[&RawValue], new: &[&RawValue]) -> Vec<ListPart> {
-    let mut places: HashMap<&str, u32> = HashMap::with_capacity(old.len());
-    for (place, element) in (0_u32..).zip(old) {
-        places.entry(element.get()).or_insert(place);
+fn list_segments(old: &[&RawValue], new: &[&RawValue]) -> Vec<ListSegment> {
+    let mut indexes: HashMap<&str, u32> = HashMap::with_capacity(old.len());
+    for (index, element) in (0_u32..).zip(old) {
+        indexes.entry(element.get()).or_insert(index);
     }
-    let mut parts: Vec<ListPart> = Vec::new();
+    let mut parts: Vec<ListSegment> = Vec::new();
     for element in new {
-        if extend_last(&mut parts, old, element) {
+        if extend_last_run(&mut parts, old, element) {
             continue;
         }
-        parts.push(match places.get(element.get()) {
-            Some(first) => ListPart::Keep {
+        parts.push(match indexes.get(element.get()) {
+            Some(first) => ListSegment::Keep {
                 first: *first,
                 count: 1,
             },
-            None => ListPart::Add(element.get().to_owned()),
+            None => ListSegment::Add(element.get().to_owned()),
         });
     }
     parts
 }
 
-/// Lengthens the last kept run if the old list goes on with `element`.
-fn extend_last(parts: &mut [ListPart], old: &[&RawValue], element: &RawValue) -> bool {
-    let Some(ListPart::Keep { first, count }) = parts.last_mut() else {
+/// Extends the last retained run if the next element of the old list is `element`.
+fn extend_last_run(parts: &mut [ListSegment], old: &[&RawValue], element: &RawValue) -> bool {
+    let Some(ListSegment::Keep { first, count }) = parts.last_mut() else {
         return false;
     };
     let next = (*first + *count) as usize;
-    let goes_on = old
+    let continues = old
         .get(next)
         .is_some_and(|candidate| candidate.get() == element.get());
-    if goes_on {
+    if continues {
         *count += 1;
     }
-    goes_on
+    continues
 }
--- a/tier/configuration/src/route.rs
+++ b/tier/configuration/src/route.rs
@@ -8,15 +8,15 @@
 
 use crate::fields;
 
-/// What may be repeated of a request.
+/// Whether a request of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
     /// Answered by a series of events; repeated only where the route is resumable.
     Streaming,
-    /// May run more than once.
+    /// The request may be executed more than once.
     Idempotent,
-    /// May run at most once per try of the client.
+    /// The request may be executed at most once for each attempt of the client.
     NonIdempotent,
 }
 
@@ -44,39 +44,39 @@
 pub struct Route {
     /// Name, for people.
     pub name: Arc<str>,
-    /// Host of the requests; case doesn't matter.
+    /// Host of the requests; case does not matter.
     #[validate(length(min = 1, message = "must not be empty"))]
     pub host: Arc<str>,
     /// Start of the requests' path.
     #[validate(custom(function = check_prefix))]
     pub path_prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time the system may hold a request.
+    /// Longest time that a request may stay in the system.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) earns its full worth.
+    /// Time within which an answer (a stream's first event) earns its full value.
     pub latency_target: Option<Duration>,
-    /// Rank; 0 is highest.
+    /// Priority; 0 is highest.
     pub priority: u32,
-    /// Most targets that one try of a client may be sent to.
+    /// Largest number of targets to which one attempt of a client may be sent.
     #[validate(range(min = 1, message = "must not be 0"))]
     pub max_attempts: u32,
-    /// True if the system keeps the turns of this route.
+    /// Whether the stores retain the turns of this route.
     pub retained: bool,
-    /// How long a kept turn can be gone on from.
+    /// How long a retained turn can be continued.
     pub retention: Duration,
-    /// True if requests share parts of their prompts.
+    /// Whether requests of a session share the prefixes of their prompts.
     pub session_affinity: bool,
-    /// True if a stream may be taken up at another target.
+    /// Whether a stream may be resumed at another target.
     pub resumable: bool,
-    /// Longest pause between events at which an answer stays in time.
+    /// Longest gap between two events of an answer that is on time.
     pub event_gap_target: Option<Duration>,
     /// The services that answer.
     pub services: RouteServices,
 }
 
 impl Route {
-    /// True if a request of this route may run more than once.
+    /// Whether a request of this route may be executed more than once.
     pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// True if answers of this route are series of events.
+    /// Whether answers of this route are series of events.
     pub fn is_streaming(&self) -> bool {
         self.kind == RouteKind::Streaming
     }
--- a/tier/configuration/src/service.rs
+++ b/tier/configuration/src/service.rs
@@ -1,4 +1,4 @@
-//! A service: a set of like targets.
+//! A service: a set of targets that are alike.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 /// Path of the health check where the configuration names none.
 const DEFAULT_HEALTH_CHECK: &str = "/healthz";
 
-/// A set of like targets, and how to speak with them.
+/// A set of targets that are alike, and how proxies reach them.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 pub struct Service {
     /// Name, unique in the configuration.
@@ -27,16 +27,16 @@
     /// Protocol spoken with the targets.
     #[serde(default, deserialize_with = "fields::or_default")]
     pub protocol: Protocol,
-    /// True if the targets are spoken to over TLS.
+    /// Whether proxies reach the targets over TLS.
     #[serde(default, deserialize_with = "fields::or_default")]
     pub tls: bool,
-    /// How much a cold target speeds up each second, where that is told.
+    /// How much a target that warms up speeds up each second, if the operator says so.
     #[serde(default, rename = "cold_per_s")]
     pub warm_up_rate_per_s: Option<f64>,
-    /// True if a target runs a repeated request only once.
+    /// Whether a target executes a repeated request only once.
     #[serde(default, alias = "dedupes", deserialize_with = "fields::or_default")]
     pub idempotent: bool,
-    /// What is known of the model engine, for targets that run one.
+    /// The model engine, for targets that run one.
     #[serde(default)]
     #[validate(nested)]
     pub engine: Option<Engine>,
@@ -49,15 +49,15 @@
     /// HTTP/1.1.
     #[default]
     H1,
-    /// A protocol that this version doesn't know.
+    /// A protocol that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// What is known of a target's model engine.
+/// A target's model engine.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 pub struct Engine {
-    /// Requests that one target runs at once.
+    /// Requests that one target executes at once.
     #[serde(deserialize_with = "fields::whole")]
     #[validate(range(min = 1, message = "must not be 0"))]
     pub capacity: u32,
--- a/tier/configuration/tests/content.rs
+++ b/tier/configuration/tests/content.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use plankhill_configuration::{same_content, Document};
+use plankhill_configuration::{has_same_content, Document};
 use serde_json::Value;
 
 use common::{text, valid};
 
 #[test]
-fn order_of_keys_white_space_and_form_of_numbers_do_not_matter() {
+fn key_order_white_space_and_number_format_are_ignored() {
     let same = [
         (r#"{"a":1,"b":[1,2]}"#, r#" { "b" : [ 1, 2 ] , "a" : 1 } "#),
         (r#"{"a":60}"#, r#"{"a":60.0}"#),
@@ -18,14 +18,14 @@
     ];
     for (left, right) in same {
         assert!(
-            same_content(left.as_bytes(), right.as_bytes()),
+            has_same_content(left.as_bytes(), right.as_bytes()),
             "{left} {right}"
         );
     }
 }
 
 #[test]
-fn order_of_lists_values_and_keys_matter() {
+fn list_order_values_and_keys_are_compared() {
     let different = [
         (r#"{"a":[1,2]}"#, r#"{"a":[2,1]}"#),
         (r#"{"a":1}"#, r#"{"a":2}"#),
@@ -38,22 +38,22 @@
     ];
     for (left, right) in different {
         assert!(
-            !same_content(left.as_bytes(), right.as_bytes()),
+            !has_same_content(left.as_bytes(), right.as_bytes()),
             "{left} {right}"
         );
     }
 }
 
 #[test]
-fn documents_are_the_same_only_under_one_number() {
+fn documents_are_equal_only_with_the_same_version() {
     let pretty = serde_json::to_vec_pretty(&valid()).expect("a value can be written");
     let document = Document::new(7, text(&valid()));
-    assert!(document.same_content(&Document::new(7, pretty.clone())));
-    assert!(!document.same_content(&Document::new(8, pretty)));
+    assert!(document.has_same_content(&Document::new(7, pretty.clone())));
+    assert!(!document.has_same_content(&Document::new(8, pretty)));
 }
 
 #[test]
-fn a_document_is_the_same_as_itself_written_anew() {
+fn a_document_equals_itself_serialized_again() {
     arbtest::arbtest(|source| {
         let fields: Vec<(String, i64, bool, Option<String>)> = source.arbitrary()?;
         let value: Value = fields
@@ -62,7 +62,7 @@
             .collect::<serde_json::Map<_, _>>()
             .into();
         let pretty = serde_json::to_vec_pretty(&value).expect("a value can be written");
-        assert!(same_content(&text(&value), &pretty));
+        assert!(has_same_content(&text(&value), &pretty));
         Ok(())
     });
 }
--- a/tier/configuration/tests/faults.rs
+++ b/tier/configuration/tests/faults.rs
@@ -7,12 +7,12 @@
 
 use common::{route, text, valid, with, with_key, without};
 
-fn refuse(document: &Value) -> ConfigurationError {
+fn rejected(document: &Value) -> ConfigurationError {
     Configuration::parse(&text(document)).expect_err(&document.to_string())
 }
 
 fn faulty_keys(document: &Value) -> Vec<String> {
-    refuse(document)
+    rejected(document)
         .faults()
         .iter()
         .map(|fault| fault.key.clone())
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_document_cut_short_is_refused_at_every_place() {
+fn a_document_truncated_anywhere_is_rejected() {
     let bytes = text(&valid());
     for length in 0..bytes.len() {
         let refused = Configuration::parse(&bytes[..length]);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_is_no_json_object_is_refused() {
+fn a_document_that_is_no_json_object_is_rejected() {
     for bytes in [
         &b""[..],
         b"[]",
@@ -51,13 +51,13 @@
 }
 
 #[test]
-fn deep_nesting_is_refused_without_overflow() {
+fn deep_nesting_is_rejected_without_overflow() {
     let bytes = [b"{\"other\":".to_vec(), vec![b'['; 1 << 20]].concat();
     assert!(Configuration::parse(&bytes).is_err());
 }
 
 #[test]
-fn a_huge_document_is_refused() {
+fn a_document_over_the_limit_is_rejected() {
     let bytes = vec![b' '; MAX_DOCUMENT_BYTES + 1];
     let refused = Configuration::parse(&bytes).expect_err("too large");
     assert_eq!(
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_missing_key_is_named_with_its_place() {
+fn a_missing_key_is_named_with_its_path() {
     let cases = [
         ("", "version"),
         ("", "routes"),
@@ -85,7 +85,7 @@
         ("/limits", "max_body_bytes"),
     ];
     for (pointer, key) in cases {
-        let message = refuse(&without(pointer, key)).to_string();
+        let message = rejected(&without(pointer, key)).to_string();
         let place = pointer
             .trim_start_matches('/')
             .replace("/1", "[1]")
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_wrong_type_is_named_with_its_place() {
+fn a_wrong_type_is_named_with_its_path() {
     let cases = [
         ("/version", json!("7"), "version"),
         ("/version", json!(-7), "version"),
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn weights_that_sum_to_zero_are_refused() {
+fn weights_that_sum_to_zero_are_rejected() {
     let weights = json!([{"service": "models", "weight": 0}, {"service": "tools", "weight": 0}]);
     assert_eq!(
         faulty_keys(&with("/routes/2/weighted_services", weights)),
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn two_routes_with_the_same_host_and_prefix_are_refused() {
+fn two_routes_with_the_same_host_and_prefix_are_rejected() {
     for host in ["front.example", "FRONT.example", "front.example:80"] {
         let mut twin = route("twin", "/look/", "streaming");
         twin["host"] = json!(host);
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn two_services_with_one_name_are_refused() {
+fn two_services_with_one_name_are_rejected() {
     let mut document = valid();
     let twin = document["services"][1].clone();
     document["services"]
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_key_given_twice_is_refused() {
+fn a_key_given_twice_is_rejected() {
     let twice =
         String::from_utf8(text(&valid()))
             .expect("text")
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_version_that_is_not_above_the_current_one_is_refused() {
+fn a_version_that_is_not_above_the_current_one_is_rejected() {
     let configuration = Configuration::parse(&text(&valid())).expect("valid");
     assert!(configuration.check(0).is_ok());
     assert!(configuration.check(6).is_ok());
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn any_bytes_are_read_or_refused_without_panic() {
+fn any_bytes_are_read_or_rejected_without_a_panic() {
     let bytes = text(&valid());
     arbtest::arbtest(|source| {
         let mut changed = bytes.clone();
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn a_key_of_any_value_is_read_or_refused_without_panic() {
+fn a_key_of_any_value_is_read_or_rejected_without_a_panic() {
     let values = [
         json!(null),
         json!(0),
--- a/tier/configuration/tests/lookup.rs
+++ b/tier/configuration/tests/lookup.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn lookup_agrees_with_trying_every_route() {
+fn lookup_agrees_with_a_linear_search() {
     arbtest::arbtest(|source| {
         let piece = |source: &mut arbtest::arbitrary::Unstructured<'_>| {
             Ok::<_, arbtest::arbitrary::Error>(*source.choose(&["a", "b", "ab", "é"])?)
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn shares_follow_the_weights_and_stay_the_same_for_a_request() {
+fn requests_are_split_by_weight_and_one_request_always_alike() {
     let table = table(&valid());
     let route = table
         .find("front.example", "/chat/split/2")
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_share_of_zero_gets_nothing() {
+fn a_service_with_weight_zero_gets_no_requests() {
     for (place, other) in [(0, "tools"), (1, "models")] {
         let document = with(
             &format!("/routes/2/weighted_services/{place}/weight"),
--- a/tier/configuration/tests/patches.rs
+++ b/tier/configuration/tests/patches.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbitrary::{self, Unstructured};
 use plankhill_configuration::{
-    same_content, Document, FieldChange, FieldPatch, ListPart, Patch, PatchError,
+    has_same_content, Document, FieldChange, FieldPatch, ListSegment, Patch, PatchError,
     MAX_DOCUMENT_BYTES,
 };
 use serde_json::{json, Map, Value};
@@ -16,7 +16,7 @@
 }
 
 /// Makes the patch, sends it, applies it, and checks the result.
-fn assert_travels(old: &Value, new: &Value) -> Patch {
+fn assert_patched(old: &Value, new: &Value) -> Patch {
     let (old, new) = (document(1, old), document(2, new));
     let patch = Patch::between(&old, &new).expect("both are objects");
     let wire = postcard::to_stdvec(&patch).expect("a patch can be sent");
@@ -25,7 +25,7 @@
     let result = received.apply(&old).expect("it builds on the old document");
     assert_eq!(result.version, 2);
     assert!(
-        same_content(&result.bytes, &new.bytes),
+        has_same_content(&result.bytes, &new.bytes),
         "{:?}",
         String::from_utf8_lossy(&result.bytes)
     );
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn nothing_changed_carries_no_text_but_the_version() {
-    let patch = assert_travels(&valid(), &with("/version", json!(9)));
+fn a_patch_without_changes_carries_only_the_version() {
+    let patch = assert_patched(&valid(), &with("/version", json!(9)));
     assert!(patch.text_bytes() < 60, "{patch:?}");
 }
 
 #[test]
-fn one_changed_route_of_many_carries_that_route_alone() {
+fn a_patch_of_one_changed_route_carries_only_that_route() {
     let routes = (0..2000)
         .map(|index| route("r", &format!("/{index}/"), "idempotent"))
         .collect();
@@ -47,7 +47,7 @@
     let mut new = old.clone();
     new["version"] = json!(8);
     new["routes"][1234]["timeout_ms"] = json!(77);
-    let patch = assert_travels(&old, &new);
+    let patch = assert_patched(&old, &new);
     assert!(patch.text_bytes() < 600, "{} bytes", patch.text_bytes());
     assert!(patch.fields.iter().map(parts).all(|parts| parts <= 3));
 }
@@ -71,35 +71,35 @@
         &["b", "b", "b"],
         &[],
     ] {
-        assert_travels(&old, &with("/routes", list(names)));
+        assert_patched(&old, &with("/routes", list(names)));
     }
 }
 
 #[test]
-fn keys_may_come_go_and_change_their_type() {
+fn keys_may_be_added_removed_and_change_their_type() {
     let old = json!({"version": 1, "kept": {"a": 1}, "gone": 2, "list": [1, 2], "value": 3});
     let new =
         json!({"version": 2, "kept": {"a": 1}, "came": [7], "list": {"no": "list"}, "value": [3]});
-    assert_travels(&old, &new);
-    assert_travels(&new, &old);
+    assert_patched(&old, &new);
+    assert_patched(&new, &old);
 }
 
 #[test]
-fn unknown_keys_and_odd_keys_travel() {
+fn unknown_keys_are_patched() {
     let old = json!({"version": 1, "a \"quoted\"\n key": [1], "é": null});
     let new = json!({"version": 2, "a \"quoted\"\n key": [1, 1.5e300], "é": [null]});
-    assert_travels(&old, &new);
+    assert_patched(&old, &new);
 }
 
 #[test]
-fn any_two_documents_travel_and_patches_follow_each_other() {
+fn any_two_documents_are_patched_and_patches_can_be_chained() {
     arbtest::arbtest(|source| {
         let values = [
             any_document(source)?,
             any_document(source)?,
             any_document(source)?,
         ];
-        assert_travels(&values[0], &values[1]);
+        assert_patched(&values[0], &values[1]);
         let documents: Vec<Document> = (1..)
             .zip(&values)
             .map(|(version, value)| document(version, value))
@@ -108,7 +108,7 @@
         let second = Patch::between(&documents[1], &documents[2]).expect("objects");
         let middle = first.apply(&documents[0]).expect("its base");
         let last = second.apply(&middle).expect("its base, written anew");
-        assert!(last.same_content(&documents[2]));
+        assert!(last.has_same_content(&documents[2]));
         Ok(())
     });
 }
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_patch_is_refused_on_another_version() {
+fn a_patch_is_rejected_on_another_version() {
     let patch = Patch::between(&document(1, &valid()), &document(2, &valid())).expect("objects");
     let refused = patch.apply(&document(3, &valid()));
     assert_eq!(
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn what_is_no_object_has_no_patch() {
+fn a_document_that_is_no_object_has_no_patch() {
     for bytes in ["", "[]", "null", "{", "{\"a\":}"] {
         let broken = Document::new(1, bytes.as_bytes());
         assert!(Patch::between(&broken, &document(2, &valid())).is_err());
@@ -163,7 +163,7 @@
 
 fn patch_of(change: FieldChange) -> Patch {
     Patch {
-        base: 1,
+        base_version: 1,
         version: 2,
         fields: vec![FieldPatch {
             key: "list".into(),
@@ -173,10 +173,10 @@
 }
 
 #[test]
-fn a_patch_that_keeps_what_is_not_there_is_refused() {
+fn a_patch_that_retains_missing_elements_is_rejected() {
     let old = document(1, &json!({"list": [1, 2]}));
     for (first, count) in [(0, 3), (3, 1), (u32::MAX, u32::MAX)] {
-        let patch = patch_of(FieldChange::List(vec![ListPart::Keep { first, count }]));
+        let patch = patch_of(FieldChange::List(vec![ListSegment::Keep { first, count }]));
         assert_eq!(
             patch.apply(&old),
             Err(PatchError::MissingElements("list".into()))
@@ -195,10 +195,10 @@
 }
 
 #[test]
-fn a_patch_that_would_grow_beyond_bounds_is_refused() {
+fn a_patch_that_would_grow_beyond_bounds_is_rejected() {
     let old = document(1, &json!({"list": ["x".repeat(1 << 16)]}));
     let times = MAX_DOCUMENT_BYTES / (1 << 16) + 1;
-    let parts = vec![ListPart::Keep { first: 0, count: 1 }; times];
+    let parts = vec![ListSegment::Keep { first: 0, count: 1 }; times];
     assert_eq!(
         patch_of(FieldChange::List(parts)).apply(&old),
         Err(PatchError::TooLarge)
--- a/tier/configuration/tests/reading.rs
+++ b/tier/configuration/tests/reading.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_may_run_again_follows_from_kind_and_resuming() {
+fn retryability_follows_from_kind_and_resumability() {
     let configuration = read(&with("/routes/0/resumable", json!(true)));
     let may_run_again = |index: usize| configuration.routes[index].is_retryable();
     assert_eq!(
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_share_of_zero_is_allowed_beside_others() {
+fn a_weight_of_zero_is_allowed_beside_others() {
     read(&with("/routes/2/weighted_services/0/weight", json!(0)));
 }
 
