--- /dev/null
+++ b/tier/chain/tests/simulation/random_faults.rs
@@ -0,0 +1,116 @@
+//! The chain under random faults that follow from a seed.
+
+use crate::world::faults::RECOVERY_TIMEOUT;
+use crate::world::{World, WorldConfig};
+
+/// Worlds for each configuration; debug builds are some ten times slower.
+const SEEDS: u64 = if cfg!(debug_assertions) { 40 } else { 400 };
+
+/// Runs one world to the end; the number of acknowledged operations, or the first violation.
+fn play(seed: u64, config: WorldConfig) -> Result<usize, String> {
+    let mut world = World::new(seed, config);
+    world.fault_after_acknowledgement = seed.is_multiple_of(2);
+    world.run(2_500);
+    world.start_faults();
+    world.run(25_000);
+    world.stop_faults();
+    world.run(RECOVERY_TIMEOUT);
+    assert_recovered(&mut world)?;
+    let history = world.history.borrow();
+    history
+        .violations
+        .values()
+        .next()
+        .cloned()
+        .map_or(Ok(history.acknowledgements()), Err)
+}
+
+/// After the faults have ended: all members are in service, all clients are answered, nothing
+/// acknowledged is lost.
+fn assert_recovered(world: &mut World) -> Result<(), String> {
+    let running: Vec<_> = (0..world.machines.len())
+        .filter(|index| world.machines[*index].is_up())
+        .collect();
+    if world.history.borrow().violations.is_empty() && world.in_service() < running.len() {
+        let views: Vec<_> = running
+            .iter()
+            .filter_map(|index| world.machines[*index].process.as_ref())
+            .map(|member| member.view())
+            .collect();
+        return Err(format!(
+            "only {} of {} in service: {views:?}",
+            world.in_service(),
+            running.len()
+        ));
+    }
+    let requests: Vec<_> = running
+        .iter()
+        .map(|index| world.propose(*index, 1_000_000 + *index as u64))
+        .collect();
+    world.run(1_000);
+    if world.history.borrow().violations.is_empty()
+        && requests.iter().any(|request| world.is_proposed(*request))
+    {
+        return Err("a proposal was not answered after the faults had ended".into());
+    }
+    world.are_clients_stopped = true;
+    world.run(1_000);
+    for index in running {
+        let applied = world.machines[index]
+            .process
+            .as_ref()
+            .map(|member| member.machine().applied.clone());
+        world
+            .history
+            .borrow_mut()
+            .check_nothing_lost(&applied.unwrap_or_default());
+    }
+    Ok(())
+}
+
+fn play_all(config: &WorldConfig) {
+    let mut acknowledged = 0;
+    for seed in 0..SEEDS {
+        match play(seed, config.clone()) {
+            Ok(count) => acknowledged += count,
+            Err(what) => panic!("seed {seed}: {what}"),
+        }
+    }
+    assert!(
+        acknowledged as u64 > SEEDS * 50,
+        "{acknowledged} operations were acknowledged in {SEEDS} worlds"
+    );
+}
+
+#[test]
+fn three_machines_tolerate_one_fault() {
+    play_all(&WorldConfig {
+        machines: 3,
+        seeds: 3,
+        tolerated_faults: 1,
+        operation_interval: 40,
+        injected_bug: None,
+    });
+}
+
+#[test]
+fn five_machines_tolerate_two_faults() {
+    play_all(&WorldConfig {
+        machines: 5,
+        seeds: 3,
+        tolerated_faults: 2,
+        operation_interval: 60,
+        injected_bug: None,
+    });
+}
+
+#[test]
+fn four_machines_tolerate_one_fault() {
+    play_all(&WorldConfig {
+        machines: 4,
+        seeds: 3,
+        tolerated_faults: 1,
+        operation_interval: 60,
+        injected_bug: None,
+    });
+}
--- a/tier/store/src/process.rs
+++ b/tier/store/src/process.rs
@@ -10,7 +10,7 @@
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
 use plankhill_protocol::ports::PortRange;
 use plankhill_protocol::tables::StoreMember;
-use plankhill_protocol::transport::{listen, serve_calls, Channel, Hello};
+use plankhill_protocol::transport::{listen, serve_calls, Channel, Hello, ListenError};
 use plankhill_settings::Settings;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -32,9 +32,12 @@
     /// The settings name no folder for data.
     #[error("settings: data_path is missing")]
     NoDataPath,
-    /// The operating system refused a runtime, a listener or a signal handler.
+    /// The operating system refused a runtime or a signal handler.
     #[error("start: {0}")]
     Start(#[from] io::Error),
+    /// The store's address cannot be listened at.
+    #[error("start: {0}")]
+    Listen(#[from] ListenError),
     /// The state folder could not be read.
     #[error(transparent)]
     Storage(#[from] StorageError),
