--- a/tier/conversations/tests/pins/mod.rs
+++ b/tier/conversations/tests/pins/mod.rs
@@ -1,8 +1,10 @@
 //! Fixture files of pinned bytes: a line `Name hex` for each value; without hex for a value of no bytes.
 
-// Each test uses its part.
+// Each test uses a part of this module.
 #![allow(dead_code)]
 
+pub mod values;
+
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
--- a/tier/conversations/tests/stored_format.rs
+++ b/tier/conversations/tests/stored_format.rs
@@ -1,70 +1,24 @@
-//! The bytes of all that a store puts on disk, as they have always been: keys and rows. The expected bytes lie in
-//! `stored_format/` and never change.
+//! The bytes of all keys and rows of a store. The expected bytes are in `stored_format/` and never change; their labels
+//! are the names of the text that wrote them.
 
 mod pins;
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 
+use pins::values::{member, next_turn_state, program, record, turn, view};
 use pins::{chain, Pins};
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::keys::{account_key, hint_key, turn_key, INCARNATION_KEY, VIEW_KEY};
 use plankhill_conversations::rows::{
     decode_row, incarnation_row, view_row, AccountRow, RowChange, Table, TurnRow,
 };
-use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
-use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
-use plankhill_protocol::tables::{StoreMember, StoreView};
-
-fn program() -> ProgramId {
-    ProgramId::from("program-1")
-}
-
-fn turn() -> RequestId {
-    RequestId::from("turn-2")
-}
-
-fn member(number: u8) -> StoreMember {
-    StoreMember {
-        node: NodeId::from(format!("store-{number}").as_str()),
-        incarnation: Incarnation(0x0123_4567_89ab_cdef + u64::from(number)),
-        address: SocketAddr::from(([10, 0, 0, number], 7_000)),
-        zone: ZoneName::from(format!("zone-{number}").as_str()),
-    }
-}
-
-fn view() -> StoreView {
-    StoreView {
-        epoch: StoreEpoch(300),
-        serving: vec![member(1), member(2)],
-        next: Some(vec![member(2), member(3)]),
-        tolerated_faults: 2,
-    }
-}
+use plankhill_protocol::ids::Incarnation;
+use plankhill_protocol::tables::StoreView;
 
 fn turn_row() -> TurnRow {
     TurnRow {
         expires_ms: 1_790_000_000_123,
-        record: Arc::new(TurnRecord {
-            turn: turn(),
-            program: program(),
-            previous: Some(TurnLocation {
-                turn: RequestId::from("turn-1"),
-                program: ProgramId::from("program-0"),
-            }),
-            input: Arc::from(*b"the input\n"),
-            output: Arc::from(*b"the output\n"),
-            retention_ms: 86_400_000,
-        }),
-    }
-}
-
-fn next_turn_state(last: Option<&TurnState>) -> Option<TurnState> {
-    match last {
-        None => Some(TurnState::Reserved { max_tokens: 70_000 }),
-        Some(TurnState::Reserved { .. }) => Some(TurnState::Rejected),
-        Some(TurnState::Rejected) => Some(TurnState::Committed { tokens: 1_234 }),
-        Some(TurnState::Committed { .. }) => None,
+        record: Arc::new(record()),
     }
 }
 
--- a/tier/conversations/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -1,106 +1,21 @@
-//! The bytes of all that goes over a connection to a store, as they have always been: between a proxy and a store,
-//! and between two stores. The expected bytes lie in `wire_format/` and never change.
+//! The bytes of all messages on a connection to a store, between a proxy and a store and between two stores. The
+//! expected bytes are in `wire_format/` and never change; their labels are the names of the text that wrote them.
 
 mod pins;
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 
+use pins::values::{
+    account, location, member, previous, program, record, retained_turn, turn, turn_update, view,
+};
 use pins::{chain, Pins};
-use plankhill_conversations::account::{Account, TurnState};
 use plankhill_conversations::peer::{
-    PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, RetainedTurn,
-    StoreSet, TurnUpdate,
+    PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, StoreSet,
 };
 use plankhill_conversations::turn_index::{TurnEntry, TurnIndex};
 use plankhill_conversations::wire::{StoreRequest, StoreResponse};
-use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
-use plankhill_protocol::store_calls::{
-    Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord,
-};
-use plankhill_protocol::tables::{StoreMember, StoreView};
-
-fn program() -> ProgramId {
-    ProgramId::from("program-1")
-}
-
-fn turn() -> RequestId {
-    RequestId::from("turn-2")
-}
-
-fn previous() -> RequestId {
-    RequestId::from("turn-1")
-}
-
-fn place() -> TurnLocation {
-    TurnLocation {
-        turn: previous(),
-        program: ProgramId::from("program-0"),
-    }
-}
-
-fn record() -> TurnRecord {
-    TurnRecord {
-        turn: turn(),
-        program: program(),
-        previous: Some(place()),
-        input: Arc::from(*b"the input\n"),
-        output: Arc::from(*b"the output\n"),
-        retention_ms: 86_400_000,
-    }
-}
-
-fn kept() -> RetainedTurn {
-    RetainedTurn {
-        record: Arc::new(record()),
-        remaining_ms: 3_600_001,
-    }
-}
-
-fn ended() -> TurnUpdate {
-    TurnUpdate {
-        program: program(),
-        turn: turn(),
-        state: Some(TurnState::Committed { tokens: 1_234 }),
-        retained: Some(kept()),
-    }
-}
-
-fn member(number: u8) -> StoreMember {
-    StoreMember {
-        node: NodeId::from(format!("store-{number}").as_str()),
-        incarnation: Incarnation(0x0123_4567_89ab_cdef + u64::from(number)),
-        address: SocketAddr::from(([10, 0, 0, number], 7_000)),
-        zone: ZoneName::from(format!("zone-{number}").as_str()),
-    }
-}
-
-fn view() -> StoreView {
-    StoreView {
-        epoch: StoreEpoch(300),
-        serving: vec![member(1), member(2)],
-        next: Some(vec![member(2), member(3)]),
-        tolerated_faults: 2,
-    }
-}
-
-/// An account that holds a turn in each state.
-fn account() -> Account {
-    let mut account = Account::default();
-    for (number, state) in chain(next_turn_state).into_iter().enumerate() {
-        account.merge(&RequestId::from(format!("turn-{number}").as_str()), state);
-    }
-    account
-}
-
-fn next_turn_state(last: Option<&TurnState>) -> Option<TurnState> {
-    match last {
-        None => Some(TurnState::Reserved { max_tokens: 70_000 }),
-        Some(TurnState::Reserved { .. }) => Some(TurnState::Rejected),
-        Some(TurnState::Rejected) => Some(TurnState::Committed { tokens: 1_234 }),
-        Some(TurnState::Committed { .. }) => None,
-    }
-}
+use plankhill_protocol::ids::{ProgramId, StoreEpoch};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply};
 
 fn next_store_set(last: Option<&StoreSet>) -> Option<StoreSet> {
     match last {
@@ -118,7 +33,7 @@
             max_tokens: 70_000,
             previous: Some(previous()),
         }),
-        Some(PeerRequest::Reserve { .. }) => Some(PeerRequest::EndTurn(ended())),
+        Some(PeerRequest::Reserve { .. }) => Some(PeerRequest::EndTurn(turn_update())),
         Some(PeerRequest::EndTurn(_)) => Some(PeerRequest::ReadChain { turn: turn() }),
         Some(PeerRequest::ReadChain { .. }) => Some(PeerRequest::LocateTurn { turn: turn() }),
         Some(PeerRequest::LocateTurn { .. }) => Some(PeerRequest::ExtendRetention {
@@ -126,7 +41,7 @@
             retention_ms: 60_000,
         }),
         Some(PeerRequest::ExtendRetention { .. }) => {
-            Some(PeerRequest::Repair(vec![ended(), ended()]))
+            Some(PeerRequest::Repair(vec![turn_update(), turn_update()]))
         }
         Some(PeerRequest::Repair(_)) => Some(PeerRequest::StoreHint {
             node: member(3).node,
@@ -171,7 +86,7 @@
         Some(PeerResponse::Account(_)) => Some(PeerResponse::Done),
         Some(PeerResponse::Done) => Some(PeerResponse::Chain {
             turns: vec![Arc::new(record())],
-            rest: Some(place()),
+            rest: Some(location()),
         }),
         Some(PeerResponse::Chain { .. }) => Some(PeerResponse::TurnPresent),
         Some(PeerResponse::TurnPresent) => Some(PeerResponse::TurnAbsent),
@@ -184,7 +99,9 @@
             account: account(),
             turns: vec![previous(), turn()],
         }])),
-        Some(PeerResponse::Outlines(_)) => Some(PeerResponse::Turns(vec![kept(), kept()])),
+        Some(PeerResponse::Outlines(_)) => {
+            Some(PeerResponse::Turns(vec![retained_turn(), retained_turn()]))
+        }
         Some(PeerResponse::Turns(_)) => Some(PeerResponse::StaleEpoch(view())),
         Some(PeerResponse::StaleEpoch(_)) => Some(PeerResponse::ReceiverStale),
         Some(PeerResponse::ReceiverStale) => Some(PeerResponse::Unavailable),
@@ -242,7 +159,7 @@
     match last {
         None => Some(StoreReply::Begun {
             history: Arc::from(*b"a history"),
-            previous: Some(place()),
+            previous: Some(location()),
         }),
         Some(StoreReply::Begun { .. }) => Some(StoreReply::BudgetExhausted),
         Some(StoreReply::BudgetExhausted) => Some(StoreReply::NoSuchTurn),
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -121,7 +121,7 @@
                 self.place = previous;
                 Ok(joined(&history, &self.input))
             }
-            BeginOutcome::BudgetSpent => Err(TurnRefusal::BudgetSpent),
+            BeginOutcome::BudgetExhausted => Err(TurnRefusal::BudgetSpent),
             BeginOutcome::NoSuchTurn => Err(TurnRefusal::NoSuchTurn),
             BeginOutcome::Unavailable => Err(TurnRefusal::Unsure),
         }
--- a/tier/proxy/tests/turns.rs
+++ b/tier/proxy/tests/turns.rs
@@ -108,7 +108,7 @@
         let target = Listening::start().await;
         let world = World::with_targets(&[&target]).await;
         let refusals = [
-            (BeginOutcome::BudgetSpent, 402),
+            (BeginOutcome::BudgetExhausted, 402),
             (BeginOutcome::NoSuchTurn, 404),
             (BeginOutcome::Unavailable, 503),
         ];
--- a/tier/store-client/src/client.rs
+++ b/tier/store-client/src/client.rs
@@ -88,7 +88,7 @@
             Some(StoreReply::Begun { history, previous }) => {
                 BeginOutcome::Begun { history, previous }
             }
-            Some(StoreReply::BudgetExhausted) => BeginOutcome::BudgetSpent,
+            Some(StoreReply::BudgetExhausted) => BeginOutcome::BudgetExhausted,
             Some(StoreReply::NoSuchTurn) => BeginOutcome::NoSuchTurn,
             Some(StoreReply::Ended | StoreReply::Unavailable | StoreReply::StaleEpoch(_))
             | None => BeginOutcome::Unavailable,
--- a/tier/store-client/src/turns.rs
+++ b/tier/store-client/src/turns.rs
@@ -29,7 +29,7 @@
         previous: Option<TurnLocation>,
     },
     /// The turn does not fit into its program's budget (402).
-    BudgetSpent,
+    BudgetExhausted,
     /// Surely no store has the previous turn (404).
     NoSuchTurn,
     /// No store could tell in time (503). If a reservation was asked for, it may stand: the caller ends the
--- a/tier/store/src/node/state/row_writer.rs
+++ b/tier/store/src/node/state/row_writer.rs
@@ -30,6 +30,8 @@
 
     /// Writes the changes, and ends once they are synced. The commit begins with the call: commits take
     /// effect in the order in which this method is called, whether or not the callers wait.
+    ///
+    /// The future borrows nothing, so that a task may own it.
     pub(in crate::node) fn commit(
         &self,
         changes: Vec<RowChange>,
--- a/tier/store/tests/simulation/proxy.rs
+++ b/tier/store/tests/simulation/proxy.rs
@@ -87,7 +87,7 @@
                 self.run_turn(client, program, turn, max_tokens, &history, location)
                     .await;
             }
-            BeginOutcome::BudgetSpent => {
+            BeginOutcome::BudgetExhausted => {
                 self.programs
                     .borrow_mut()
                     .check_rejection(program, turn, &charged);
