--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -128,7 +128,7 @@
                 self.previous_location = previous;
                 Ok(join(&history, &self.input))
             }
-            BeginOutcome::BudgetSpent => Err(TurnError::BudgetExhausted),
+            BeginOutcome::BudgetExhausted => Err(TurnError::BudgetExhausted),
             BeginOutcome::NoSuchTurn => Err(TurnError::NoSuchTurn),
             BeginOutcome::Unavailable => Err(TurnError::StoresUnavailable),
         }
