--- a/tier/chain/tests/model/rules/agreement.rs
+++ b/tier/chain/tests/model/rules/agreement.rs
@@ -4,10 +4,16 @@
 use crate::state::{Acceptor, Ballot, Identity, Message, View, World};
 
 use super::log::commit;
-use super::{identity, machine_of, machine_of_mut, open_ballot, REQUIRED_MEMBERS};
+use super::{identity, machine_of, machine_of_mut, open_ballot, required_members};
 
-pub(super) type Promise<'world> = (Identity, &'world Option<(Ballot, View)>, usize);
+/// One voter's promise.
+pub(super) struct Promise<'world> {
+    pub(super) from: Identity,
+    accepted: &'world Option<(Ballot, View)>,
+    position: usize,
+}
 
+/// The promises for a ballot.
 pub(super) fn promises(
     world: &World,
     instance: u8,
@@ -23,19 +29,18 @@
                 from,
                 accepted,
                 position,
-            } if *voted_instance == instance && *by == ballot => Some((*from, accepted, *position)),
+            } if *voted_instance == instance && *by == ballot => Some(Promise {
+                from: *from,
+                accepted,
+                position: *position,
+            }),
             _ => None,
         })
 }
 
-pub(super) fn may_vote(
-    world: &World,
-    voter: u8,
-    instance: u8,
-    ballot: Ballot,
-    from: Identity,
-) -> bool {
-    let (me, machine) = (identity(world, voter), machine_of(world, voter));
+fn may_vote(world: &World, voter: u8, instance: u8, ballot: Ballot, from: Identity) -> bool {
+    let me = identity(world, voter);
+    let machine = machine_of(world, voter);
     let is_due =
         machine.view.number + 1 == instance && machine.view.votes(me) && machine.view.votes(from);
     is_due
@@ -58,7 +63,8 @@
     let me = identity(world, voter);
     let machine = machine_of_mut(world, voter);
     machine.acceptor.promised = Some(ballot);
-    let (accepted, position) = (machine.acceptor.accepted.clone(), machine.log.len());
+    let accepted = machine.acceptor.accepted.clone();
+    let position = machine.log.len();
     world.network.insert(Message::Promise {
         instance,
         ballot,
@@ -94,18 +100,15 @@
     let Some(ballot) = open_ballot(world, proposer) else {
         return;
     };
-    let (from, view) = (
-        identity(world, proposer),
-        machine_of(world, proposer).view.clone(),
-    );
+    let from = identity(world, proposer);
+    let view = machine_of(world, proposer).view.clone();
     let instance = view.number + 1;
     let received: Vec<_> = promises(world, instance, ballot)
-        .filter(|(from, ..)| view.votes(*from) && chosen.contains(&from.machine))
-        .map(|(from, accepted, position)| (from, accepted.clone(), position))
+        .filter(|promise| view.votes(promise.from) && chosen.contains(&promise.from.machine))
         .collect();
     let bound = received
         .iter()
-        .filter_map(|(_, accepted, _)| accepted.clone())
+        .filter_map(|promise| promise.accepted.clone())
         .max_by_key(|(by, _)| *by);
     let next = match bound {
         Some((_, bound)) => Some(bound),
@@ -117,26 +120,25 @@
     }
 }
 
-pub(super) type ReceivedPromise = (Identity, Option<(Ballot, View)>, usize);
-
-pub(super) fn plan(
+/// The view that follows, where no promise reports an earlier acceptance.
+fn plan(
     bounds: &Bounds,
     world: &World,
     view: &View,
-    received: &[ReceivedPromise],
+    received: &[Promise<'_>],
     joiners: &[Identity],
 ) -> Option<View> {
-    let position = |link: &u8| {
+    let position = |member: &u8| {
         let promised = received
             .iter()
-            .find(|(from, ..)| from.machine == *link && view.votes(*from));
-        promised.map(|(.., position)| *position)
+            .find(|promise| promise.from.machine == *member && view.votes(promise.from));
+        promised.map(|promise| promise.position)
     };
     let survivors: Vec<u8> = view
         .chain
         .iter()
         .copied()
-        .filter(|link| position(link).is_some())
+        .filter(|member| position(member).is_some())
         .collect();
     let positions = survivors.iter().filter_map(position);
     let base = match bounds.injected_bug {
@@ -153,12 +155,13 @@
     if !joiners.iter().all(has_reported) {
         return None;
     }
-    let replaced = |voter: &Identity| joiners.iter().any(|joiner| joiner.machine == voter.machine);
+    let is_replaced =
+        |voter: &Identity| joiners.iter().any(|joiner| joiner.machine == voter.machine);
     let mut voters: Vec<_> = view
         .voters
         .iter()
         .copied()
-        .filter(|voter| !replaced(voter))
+        .filter(|voter| !is_replaced(voter))
         .collect();
     voters.extend(joiners);
     voters.sort();
@@ -167,12 +170,10 @@
         .copied()
         .chain(joiners.iter().map(|joiner| joiner.machine))
         .collect();
-    let enough = if bounds.has_bug(InjectedBug::ShortChain) {
-        1
-    } else {
-        REQUIRED_MEMBERS
-    };
-    (chain.len() >= enough).then(|| View {
+    if chain.len() < required_members(bounds) {
+        return None;
+    }
+    Some(View {
         number: view.number + 1,
         voters,
         chain,
--- a/tier/chain/tests/model/rules/check.rs
+++ b/tier/chain/tests/model/rules/check.rs
@@ -1,10 +1,10 @@
-//! What must hold in every state.
+//! The invariants.
 
 use std::collections::BTreeSet;
 
 use crate::state::{Ballot, Commit, Identity, Message, View, Violation, World};
 
-/// What must hold in every state.
+/// Records the first invariant that the state violates.
 pub(super) fn check(world: &mut World) {
     let violation = conflicting_views(world)
         .or_else(|| ballot_used_twice(world))
@@ -13,13 +13,15 @@
     world.violation = world.violation.or(violation);
 }
 
-pub(super) fn conflicting_views(world: &World) -> Option<Violation> {
+/// Two views of one number.
+fn conflicting_views(world: &World) -> Option<Violation> {
     let numbers: BTreeSet<u8> = world.decided.iter().map(|view| view.number).collect();
     (numbers.len() < world.decided.len()).then_some(Violation::ConflictingViews)
 }
 
-pub(super) fn ballot_used_twice(world: &World) -> Option<Violation> {
-    let proposed_view: Vec<_> = world
+/// Two views proposed by one ballot.
+fn ballot_used_twice(world: &World) -> Option<Violation> {
+    let proposals: Vec<_> = world
         .network
         .iter()
         .filter_map(|message| match message {
@@ -27,19 +29,20 @@
             _ => None,
         })
         .collect();
-    let clash = |(ballot, view): &(&Ballot, &View)| {
-        proposed_view.iter().any(|(other, proposed_view)| {
-            other == ballot && proposed_view.number == view.number && proposed_view != view
+    let is_in_conflict = |(ballot, view): &(&Ballot, &View)| {
+        proposals.iter().any(|(other_ballot, other_view)| {
+            other_ballot == ballot && other_view.number == view.number && other_view != view
         })
     };
-    proposed_view
+    proposals
         .iter()
-        .any(clash)
+        .any(is_in_conflict)
         .then_some(Violation::BallotUsedTwice)
 }
 
-pub(super) fn conflicting_orders(world: &World) -> Option<Violation> {
-    let clash = |one: &Commit| {
+/// Two operations committed at one position.
+fn conflicting_orders(world: &World) -> Option<Violation> {
+    let is_in_conflict = |one: &Commit| {
         world
             .commits
             .iter()
@@ -48,27 +51,32 @@
     world
         .commits
         .iter()
-        .any(clash)
+        .any(is_in_conflict)
         .then_some(Violation::ConflictingOrders)
 }
 
-/// Every later view begins with what was acknowledged, and its links have it.
-pub(super) fn lost_operation(world: &World) -> Option<Violation> {
-    let missing = |commit: &Commit| {
+/// Every later view begins with everything acknowledged, and the members of its chain have it.
+fn lost_operation(world: &World) -> Option<Violation> {
+    let is_missing = |commit: &Commit| {
         let later = world
             .decided
             .iter()
             .filter(|view| view.number > commit.view);
-        let too_low = later.clone().any(|view| view.base < commit.position);
-        let not_held = world.machines.iter().zip(0..).any(|(machine, number)| {
+        let is_base_too_low = later.clone().any(|view| view.base < commit.position);
+        let is_missing_at_member = world.machines.iter().zip(0..).any(|(machine, number)| {
             let me = Identity {
                 machine: number,
                 incarnation: machine.incarnation,
             };
-            let is_link = machine.view.position(me).is_some() && machine.view.number > commit.view;
-            is_link && machine.log.get(commit.position - 1) != Some(&commit.operation)
+            let is_member =
+                machine.view.position(me).is_some() && machine.view.number > commit.view;
+            is_member && machine.log.get(commit.position - 1) != Some(&commit.operation)
         });
-        too_low || not_held
+        is_base_too_low || is_missing_at_member
     };
-    world.commits.iter().any(missing).then_some(Violation::Lost)
+    world
+        .commits
+        .iter()
+        .any(is_missing)
+        .then_some(Violation::Lost)
 }
--- a/tier/chain/tests/model/rules/mod.rs
+++ b/tier/chain/tests/model/rules/mod.rs
@@ -17,9 +17,16 @@
 use reads::{answer_read, confirm};
 pub use steps::steps;
 
-/// Links that a chain needs: one loss is borne.
+/// Members that a chain needs: one loss is tolerated.
 const REQUIRED_MEMBERS: usize = 2;
 
+fn required_members(bounds: &Bounds) -> usize {
+    match bounds.has_bug(InjectedBug::ShortChain) {
+        true => 1,
+        false => REQUIRED_MEMBERS,
+    }
+}
+
 impl Bounds {
     fn has_bug(&self, injected_bug: InjectedBug) -> bool {
         self.injected_bug == Some(injected_bug)
@@ -52,7 +59,7 @@
         + 1
 }
 
-/// The attempt of a link that is still open: the one with its newest round.
+/// The ballot of a member's open attempt: the one with its newest round.
 fn open_ballot(world: &World, proposer: u8) -> Option<Ballot> {
     let round = machine_of(world, proposer).round;
     (round > 0).then_some(Ballot { round, proposer })
@@ -93,11 +100,11 @@
         Step::Decide { proposer } => decide(world, proposer),
         Step::Fetch { machine, from } => fetch(world, machine, from),
         Step::Report { machine } => {
-            let (from, told) = (identity(world, machine), machine_of(world, machine));
+            let reporting = machine_of(world, machine);
             let message = Message::Reported {
-                from,
-                view: told.view.number,
-                position: told.log.len(),
+                from: identity(world, machine),
+                view: reporting.view.number,
+                position: reporting.log.len(),
             };
             world.network.insert(message);
         }
@@ -133,12 +140,11 @@
                 .map(|commit| commit.position)
                 .max()
                 .unwrap_or(0);
-            let (me, machine) = (identity(world, tail), machine_of(world, tail));
-            let (view, revision) = (machine.view.number, machine.committed);
+            let machine = machine_of(world, tail);
             world.read = Some(Read {
-                tail: me,
-                view,
-                revision,
+                tail: identity(world, tail),
+                view: machine.view.number,
+                revision: machine.committed,
                 acknowledged,
                 confirmed: BTreeSet::new(),
             });
@@ -169,7 +175,7 @@
         Message::Committed { view, revision } if machine_of(world, to).view.number == view => {
             commit(world, to, revision)
         }
-        // Taken by those that act on them.
+        // Other messages are read by the steps that act on them.
         _ => {}
     }
 }
@@ -184,7 +190,7 @@
         crashed.acceptor = Acceptor::default();
     }
     if crashed.view.is_tail(me) {
-        // What the tail has on its disk, every link before it has as well.
+        // What the tail has on its disk, every member before it has as well.
         let revision = crashed.log.len();
         commit(world, machine, revision);
     }
--- a/tier/chain/tests/model/rules/steps.rs
+++ b/tier/chain/tests/model/rules/steps.rs
@@ -11,7 +11,8 @@
 /// Everything that may happen next.
 pub fn steps(bounds: &Bounds, world: &World, steps: &mut Vec<Step>) {
     for number in 0..bounds.machines {
-        let (machine, me) = (machine_of(world, number), identity(world, number));
+        let machine = machine_of(world, number);
+        let me = identity(world, number);
         let position = machine.view.position(me);
         if position == Some(0)
             && !is_sealed(bounds, machine)
@@ -22,14 +23,14 @@
         if machine.view.is_tail(me) && machine.log.len() > machine.committed {
             steps.push(Step::CommitAtTail { tail: number });
         }
-        let attempts = world.attempts < bounds.attempts && number < bounds.proposers;
-        if position.is_some() && machine.view.number < bounds.views && attempts {
+        let may_attempt = world.attempts < bounds.attempts && number < bounds.proposers;
+        if position.is_some() && machine.view.number < bounds.views && may_attempt {
             steps.push(Step::BeginAttempt { proposer: number });
         }
         if position.is_some() {
-            proposals(bounds, world, number, steps);
+            steps_of_an_attempt(bounds, world, number, steps);
         } else {
-            outside(bounds, machine, number, steps);
+            steps_outside_the_chain(bounds, machine, number, steps);
         }
         if world.wipes < bounds.wipes {
             steps.push(Step::LoseDisk { machine: number });
@@ -54,7 +55,7 @@
 }
 
 /// What a machine outside the chain does; in the last view that is explored nobody joins any more.
-fn outside(bounds: &Bounds, machine: &Machine, number: u8, steps: &mut Vec<Step>) {
+fn steps_outside_the_chain(bounds: &Bounds, machine: &Machine, number: u8, steps: &mut Vec<Step>) {
     if machine.view.number < bounds.views {
         steps.push(Step::Report { machine: number });
         steps.extend((0..bounds.machines).map(|from| Step::Fetch {
@@ -64,7 +65,7 @@
     }
 }
 
-fn proposals(bounds: &Bounds, world: &World, proposer: u8, steps: &mut Vec<Step>) {
+fn steps_of_an_attempt(bounds: &Bounds, world: &World, proposer: u8, steps: &mut Vec<Step>) {
     let Some(ballot) = open_ballot(world, proposer) else {
         return;
     };
@@ -75,15 +76,16 @@
         return;
     }
     let promised: BTreeSet<u8> = promises(world, instance, ballot)
-        .filter(|(from, ..)| view.votes(*from))
-        .map(|(from, ..)| from.machine)
+        .filter(|promise| view.votes(promise.from))
+        .map(|promise| promise.from.machine)
         .collect();
     for promises in subsets(&promised.into_iter().collect::<Vec<_>>()) {
-        let waits = !promises.contains(&proposer) && !bounds.has_bug(InjectedBug::BallotUsedTwice);
-        if promises.len() < view.majority() || waits {
+        let lacks_own_promise =
+            !promises.contains(&proposer) && !bounds.has_bug(InjectedBug::BallotUsedTwice);
+        if promises.len() < view.majority() || lacks_own_promise {
             continue;
         }
-        for joiners in subsets(&holders(world, view)) {
+        for joiners in subsets(&reporters(world, view)) {
             steps.push(Step::Propose {
                 proposer,
                 promises: promises.clone(),
@@ -93,9 +95,9 @@
     }
 }
 
-/// Lives outside the chain that have told what they hold.
-fn holders(world: &World, view: &View) -> Vec<Identity> {
-    let told = world.network.iter().filter_map(|message| match message {
+/// Disks outside the chain that have reported which operations they have.
+fn reporters(world: &World, view: &View) -> Vec<Identity> {
+    let reporters = world.network.iter().filter_map(|message| match message {
         Message::Reported {
             from,
             view: reported_view,
@@ -103,16 +105,16 @@
         } if *reported_view == view.number && view.position(*from).is_none() => Some(*from),
         _ => None,
     });
-    told.collect::<BTreeSet<_>>().into_iter().collect()
+    reporters.collect::<BTreeSet<_>>().into_iter().collect()
 }
 
 fn subsets<T: Clone>(items: &[T]) -> Vec<Vec<T>> {
     let chosen = |mask: usize| {
-        let kept = items
+        let chosen = items
             .iter()
             .enumerate()
             .filter(move |(position, _)| mask & (1 << position) != 0);
-        kept.map(|(_, item)| item.clone()).collect()
+        chosen.map(|(_, item)| item.clone()).collect()
     };
     (0..1_usize << items.len()).map(chosen).collect()
 }
