--- a/tier/chain/src/failure_detector.rs
+++ b/tier/chain/src/failure_detector.rs
@@ -1,6 +1,6 @@
 //! Which members this one receives heartbeats of, and which receive this member's.
 //!
-//! Time-outs count only while this process ran: after a freeze nobody counts as silent at once.
+//! Time-outs count only while this process ran: after a freeze no peer times out at once.
 //! Echoes carry the sequence numbers of received heartbeats back, so that all times are of this
 //! member's own clock.
 
@@ -57,8 +57,8 @@
         now.saturating_sub(self.stable_since)
     }
 
-    /// A time, of this member's clock, at which the peer was surely in this member's view and not
-    /// sealed.
+    /// A time, of this member's clock, at which the peer was in this member's view, and not sealed,
+    /// for certain.
     pub(crate) fn confirmed_at(&self) -> Option<Millis> {
         self.confirmed_sent_at
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// What a heartbeat says of the receiver's view.
+/// What a heartbeat confirms of the receiver's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ViewConfirmation {
     /// The sender is in the receiver's view and not sealed.
@@ -95,7 +95,7 @@
 }
 
 impl FailureDetector {
-    /// Knows nobody yet.
+    /// A failure detector without peers.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             peers: BTreeMap::new(),
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Whether a heartbeat has come lately. Unlike [`FailureDetector::has_timed_out`], nobody is
-    /// given time after a start or a freeze.
+    /// Whether a heartbeat has come within [`PEER_TIMEOUT`] ms. Unlike
+    /// [`FailureDetector::has_timed_out`], no peer is given time after a start or a freeze.
     pub(crate) fn is_alive(&self, identity: &Identity, now: Millis) -> bool {
         self.peer(identity)
             .is_some_and(|peer| peer.age(now) < PEER_TIMEOUT)
--- a/tier/chain/src/log.rs
+++ b/tier/chain/src/log.rs
@@ -16,7 +16,7 @@
 }
 
 impl Log {
-    /// What a disk held after a snapshot; anything behind a gap is left out.
+    /// The operations on a disk after a snapshot; operations behind a gap are dropped.
     pub(crate) fn new(snapshot_revision: Revision, stored: BTreeMap<Revision, Entry>) -> Self {
         let mut log = Self {
             snapshot_revision,
--- a/tier/chain/src/member/availability.rs
+++ b/tier/chain/src/member/availability.rs
@@ -1,5 +1,5 @@
-//! Whether this member is of use to the chain. Heartbeats say so, so that the others go on without
-//! a member that leaves, whose disk does not answer or that is cut off.
+//! Whether this member is of use to the chain. Heartbeats carry the answer, so that the others go
+//! on without a member that leaves, whose disk does not answer or that is partitioned.
 
 use crate::effect::Millis;
 use crate::state_machine::StateMachine;
@@ -38,8 +38,8 @@
             && self.is_majority_with_self(|voter| self.failure_detector.is_reachable(voter, now))
     }
 
-    /// Whether a majority of the voters is heard, this member among them. After a start or a freeze
-    /// everybody counts as heard for a while.
+    /// Whether heartbeats of a majority of the voters come, this member among them. After a start
+    /// or a freeze everybody counts as alive for [`crate::timing::PEER_TIMEOUT`] ms.
     pub(super) fn receives_from_majority(&self) -> bool {
         !self.view.number.is_founded()
             || self.is_majority_with_self(|voter| {
@@ -53,8 +53,8 @@
     }
 
     /// Whether the others should go on without this member: the member was asked to leave, its disk
-    /// takes nothing, or it hears too few to be of use. The others may still hear a member whose
-    /// network is cut in one direction only.
+    /// takes nothing, or too few heartbeats come. The others may still receive heartbeats of a
+    /// member that is partitioned in one direction only.
     pub(super) fn is_leaving(&self) -> bool {
         self.availability.is_leaving || !self.is_disk_available() || !self.receives_from_majority()
     }
--- a/tier/chain/src/member/bootstrap.rs
+++ b/tier/chain/src/member/bootstrap.rs
@@ -11,26 +11,26 @@
 use super::ChainMember;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// This member's rank among the founders heard, if the first view is due: when all of them are
-    /// heard, or a majority after [`BOOTSTRAP_TIMEOUT`].
+    /// This member's rank among the founders that send heartbeats, if the first view is due: when
+    /// all founders do, or a majority after [`BOOTSTRAP_TIMEOUT`].
     pub(super) fn founding_rank(&self) -> Option<usize> {
         let me = self.local.address();
         let founders = self.local.founders()?;
         if !founders.contains(&me) {
             return None;
         }
-        let mut heard = Vec::with_capacity(founders.len());
+        let mut alive = Vec::with_capacity(founders.len());
         for address in founders {
             let is_alive = |peer: &Member| peer.address == *address;
             if *address == me || self.known_founders().any(is_alive) {
-                heard.push(*address);
+                alive.push(*address);
             }
         }
         let waits_for_all = self.local.uptime(self.now) < BOOTSTRAP_TIMEOUT;
-        if heard.len() < self.quorum() || (heard.len() < founders.len() && waits_for_all) {
+        if alive.len() < self.quorum() || (alive.len() < founders.len() && waits_for_all) {
             return None;
         }
-        heard.iter().position(|address| *address == me)
+        alive.iter().position(|address| *address == me)
     }
 
     fn known_founders(&self) -> impl Iterator<Item = &Member> {
@@ -55,8 +55,8 @@
         electors
     }
 
-    /// Whether somebody votes on the first view: this member's founders have the address, and the
-    /// machine's own disk names it as one.
+    /// Whether a machine votes on the first view: its address is among this member's founders, and
+    /// its own disk names it as a founder.
     pub(super) fn is_founder(&self, identity: &Identity) -> bool {
         let Some(founders) = self.local.founders() else {
             return false;
--- a/tier/chain/src/member/freshness.rs
+++ b/tier/chain/src/member/freshness.rs
@@ -1,9 +1,9 @@
 //! Whether the state of this member is current, without a message for each call.
 //!
 //! Heartbeats carry echoes of the heartbeats received. The tail knows from the echoes when a
-//! majority was surely in its view; a member knows from the tail's echo that the tail said so after
-//! a certain heartbeat of its own. All times are of one machine's clock, and a freeze makes them
-//! older, never younger (`docs/system/chain.md`, "Why reads are newest").
+//! majority was in its view for certain; a member knows from the tail's echo that the tail reported
+//! this after a certain heartbeat of the member. All times are of one machine's clock, and a freeze
+//! makes them older, never younger (`docs/system/chain.md`, "Why reads are newest").
 
 use crate::effect::Millis;
 use crate::message::Heartbeat;
@@ -46,8 +46,9 @@
         }
     }
 
-    /// The tail says how long ago a majority was surely in its view. The own heartbeat that the
-    /// tail echoes was sent before the tail said so, which bounds the time on this member's clock.
+    /// The tail reports how long ago a majority was in its view for certain. The own heartbeat that
+    /// the tail echoes was sent before the tail's report, which bounds the time on this member's
+    /// clock.
     pub(super) fn take_confirmation(&mut self, heartbeat: &Heartbeat) {
         let Some(age) = heartbeat.confirmed_age_ms else {
             return;
@@ -67,7 +68,8 @@
         self.freshness.confirm(confirmed_at);
     }
 
-    /// The latest time at which a majority of the voters was surely in this view and not sealed.
+    /// The latest time at which a majority of the voters was in this view, and not sealed, for
+    /// certain.
     pub(super) fn majority_confirmed_at(&self) -> Option<Millis> {
         let mut times = Vec::with_capacity(self.view.voters.len());
         for voter in &self.view.voters {
--- a/tier/chain/src/member/heartbeats.rs
+++ b/tier/chain/src/member/heartbeats.rs
@@ -126,11 +126,10 @@
             self.now,
         );
         if self.is_tail() && !was_current && self.is_current(self.now) {
-            // All members wait for the confirmation of a tail that has just become sure of its
-            // view.
+            // All members wait for the confirmation of a tail whose view has just been confirmed.
             self.send_heartbeats();
         } else if !was_alive {
-            // A machine that is heard anew waits for its echo.
+            // A machine whose first heartbeat comes waits for the echo.
             let answer = Message::Heartbeat(self.next_heartbeat());
             self.outbox.send(heartbeat.member.address, answer);
         }
--- a/tier/chain/src/member/mod.rs
+++ b/tier/chain/src/member/mod.rs
@@ -1,6 +1,6 @@
 //! One member of the chain: takes in messages, time and finished writes, and returns effects.
 //!
-//! [`ChainMember`] wires parts that each own one thing. The submodules hold what a member does, one
+//! [`ChainMember`] wires parts that each own one thing. The submodules are what a member does, one
 //! concern each:
 //!
 //! | module | concern |
@@ -65,7 +65,7 @@
 use reads::PendingReads;
 use replication::SuccessorProgress;
 
-/// What a member is told at its start.
+/// Settings and identity of a member at its start.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
     /// The member itself.
@@ -303,7 +303,7 @@
         self.outbox.persist(writes, after, self.now);
     }
 
-    /// Sends to a machine that was heard or that the view names.
+    /// Sends to a machine whose address is known by its heartbeat or by the view.
     fn send_to(&mut self, to: &Identity, message: Message) {
         if let Some(address) = self.address_of(to) {
             self.outbox.send(address, message);
--- a/tier/chain/src/member/proposals.rs
+++ b/tier/chain/src/member/proposals.rs
@@ -120,7 +120,7 @@
 impl<M: StateMachine> ChainMember<M> {
     /// Proposes an operation, to be abandoned at `deadline`. Answered by
     /// [`Effect::ProposalCommitted`] or [`Effect::ProposalFailed`]: at once where this member is
-    /// cut off or has too many proposals pending.
+    /// partitioned or has too many proposals pending.
     pub fn propose(
         &mut self,
         request: RequestNumber,
@@ -148,7 +148,7 @@
     }
 
     /// Time has passed: abandons the proposals whose deadline has passed, or all of them if this
-    /// member is cut off.
+    /// member is partitioned.
     pub(super) fn retry_proposals(&mut self) {
         let failed = match self.is_connected(self.now) {
             true => self.proposals.take_expired(self.now),
@@ -167,7 +167,7 @@
     }
 
     /// Sends what is due: first to the head alone, later to the complete chain, as the head may be
-    /// the one member that does not hear this one.
+    /// the one member that this one does not reach.
     fn send_due_proposals(&mut self) {
         let Some(head) = self.view.head() else {
             return;
--- a/tier/chain/src/member/proposer.rs
+++ b/tier/chain/src/member/proposer.rs
@@ -1,7 +1,7 @@
 //! Proposing the next view (single-decree Paxos: one decision for each view number).
 //!
-//! `reconfiguration` says whether and when this member proposes, `view_plan` which view. A member
-//! has one attempt at a time; an attempt ends with a decision, a later ballot or a time-out.
+//! `reconfiguration` decides whether and when this member proposes, `view_plan` which view. A
+//! member has one attempt at a time; an attempt ends with a decision, a later ballot or a time-out.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -211,8 +211,8 @@
         self.founding_electors()
     }
 
-    /// Whether somebody votes on the next view: voters of the present one, or before the first the
-    /// founders.
+    /// Whether an identity votes on the next view: voters of the present one do, or before the
+    /// first view the founders.
     pub(super) fn is_elector(&self, identity: &Identity) -> bool {
         match self.view.number.is_founded() {
             true => self.view.voter(identity).is_some(),
--- a/tier/chain/src/member/reads.rs
+++ b/tier/chain/src/member/reads.rs
@@ -59,7 +59,7 @@
         self.pending.insert(read_id, read);
     }
 
-    /// Removes the reads for which the condition holds.
+    /// Removes and returns the reads for which the condition is true.
     fn take_if(&mut self, condition: impl Fn(&PendingRead) -> bool) -> Vec<u64> {
         let mut taken = Vec::new();
         self.pending.retain(|read_id, read| {
@@ -105,7 +105,7 @@
 impl<M: StateMachine> ChainMember<M> {
     /// Asks for a state with everything that is committed now. `read_id` is a number not used
     /// before. Answered by [`Effect::ReadReady`] or [`Effect::ReadFailed`]: at once where this
-    /// member is cut off or has too many reads pending.
+    /// member is partitioned or has too many reads pending.
     pub fn read(&mut self, read_id: u64, deadline: Millis, now: Millis) {
         self.advance_clock(now);
         if !self.is_connected(self.now) || self.reads.is_full() {
@@ -117,7 +117,7 @@
     }
 
     /// Time has passed: abandons the reads whose deadline has passed, or all of them if this member
-    /// is cut off.
+    /// is partitioned.
     pub(super) fn retry_reads(&mut self) {
         let now = self.now;
         let is_connected = self.is_connected(now);
--- a/tier/chain/src/member/reconfiguration.rs
+++ b/tier/chain/src/member/reconfiguration.rs
@@ -67,7 +67,7 @@
         rank
     }
 
-    /// Whether a member of the chain is heard and wants to go on.
+    /// Whether a member of the chain is alive and does not want to leave.
     pub(super) fn stays(&self, identity: &Identity) -> bool {
         let is_leaving = match self.local.is(identity) {
             true => self.is_leaving(),
@@ -95,7 +95,7 @@
     }
 
     /// Machines outside the chain that have all operations up to `base`, but for the last `max_lag`
-    /// of them, and that hear and are heard by every present member of the chain.
+    /// of them, and that exchange heartbeats both ways with every present member of the chain.
     pub(super) fn joiners(&self, base: Revision, max_lag: u64) -> Vec<Member> {
         let is_near = |peer: &&Peer| peer.heartbeat().last_revision.0 + max_lag >= base.0;
         let joiners = self.failure_detector.peers();
--- a/tier/chain/src/member/replication.rs
+++ b/tier/chain/src/member/replication.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// A member's heartbeat says what the member has on disk.
+    /// A member's heartbeat reports the last operation on its disk.
     pub(super) fn on_successor_position(&mut self, from: &Identity, revision: Revision) {
         let is_successor = match self.view.successor_of(self.local.identity()) {
             Some(successor) => successor.identity == *from,
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Somebody in this view says that operations up to here are committed. All logs of one view
-    /// are beginnings of the head's, so that the operations here are the same ones.
+    /// Another member of this view reports that operations up to here are committed. All logs of
+    /// one view are beginnings of the head's, so that the operations here are the same ones.
     pub(super) fn on_committed(&mut self, from: &Identity, view: ViewNumber, revision: Revision) {
         if view != self.view.number {
             return;
--- a/tier/chain/src/member/view_change.rs
+++ b/tier/chain/src/member/view_change.rs
@@ -46,8 +46,8 @@
         self.begin_view();
     }
 
-    /// View, cut and acceptor reach the disk in one batch: a member never finds the view with
-    /// operations that are void in it, nor with promises for an older one.
+    /// View, truncation and acceptor reach the disk in one batch: a member never finds the view
+    /// with operations that are void in it, nor with promises for an older one.
     fn persist_view(&mut self, last_kept: Revision) {
         let writes = vec![
             Write::View(self.view.clone()),
--- a/tier/chain/src/member/view_plan.rs
+++ b/tier/chain/src/member/view_plan.rs
@@ -76,7 +76,7 @@
     }
 
     /// The voters with the joiners among them: a new incarnation of a disk replaces the old one,
-    /// and voters that are gone make room.
+    /// and voters that have failed for good are dropped.
     fn next_voters(&self, joiners: &[Member]) -> Vec<Member> {
         let is_replaced = |voter: &Member| {
             let mut joiners = joiners.iter();
--- a/tier/chain/src/member/voting.rs
+++ b/tier/chain/src/member/voting.rs
@@ -41,8 +41,8 @@
         self.send_vote_when_persisted(from, Vote::Accepted { instance, ballot });
     }
 
-    /// Whether this member votes on that view and has promised no later ballot. A proposer that is
-    /// behind, or whose ballot is too low, is told so.
+    /// Whether this member votes on that view and has promised no later ballot. A proposer whose
+    /// view is too old gets the decided view; one whose ballot is too low gets a refusal.
     fn admit_ballot(&mut self, from: &Identity, instance: ViewNumber, ballot: &Ballot) -> bool {
         if instance <= self.view.number {
             let decided = Message::Decided(self.view.clone());
--- a/tier/chain/src/message.rs
+++ b/tier/chain/src/message.rs
@@ -33,8 +33,8 @@
     pub leaving: bool,
     /// The sender may found the first view.
     pub founder: bool,
-    /// From the chain's tail: how long ago, in ms, a majority of the voters was surely in this
-    /// view.
+    /// From the chain's tail: how long ago, in ms, a majority of the voters was in this view for
+    /// certain.
     pub confirmed_age_ms: Option<u64>,
 }
 
--- a/tier/chain/src/timing.rs
+++ b/tier/chain/src/timing.rs
@@ -19,7 +19,7 @@
 pub const VOTER_REMOVAL_TIMEOUT: Millis = 2_000;
 /// A member proposes a view this much later for each member that ranks before it.
 pub const PROPOSER_RANK_INTERVAL: Millis = 150;
-/// A proposer waits so long for the promises of chain members that it still hears.
+/// A proposer waits so long for the promises of chain members that are alive.
 pub const PROMISE_TIMEOUT: Millis = 200;
 /// A proposer waits so long for a member that is still catching up.
 pub const CATCH_UP_TIMEOUT: Millis = 400;
--- a/tier/chain/src/view.rs
+++ b/tier/chain/src/view.rs
@@ -115,7 +115,7 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the voters for which `counts` holds make a majority.
+    /// Whether the voters for which `counts` is true make a majority.
     pub(crate) fn is_majority(&self, counts: impl Fn(&Identity) -> bool) -> bool {
         let counted = self
             .voters
--- a/tier/chain/tests/model/main.rs
+++ b/tier/chain/tests/model/main.rs
@@ -1,6 +1,6 @@
 //! The agreement on views and the chain as a model that is explored completely: every order of
 //! messages, every crash, one lost disk. Messages never go away once they are sent, so that they
-//! may come late, again, or not at all, as over a cut.
+//! may come late, again, or not at all, as over a network partition.
 //!
 //! The model restates the rules of `plankhill_chain` without time: the member itself counts
 //! milliseconds of silence, so that its states do not recur and could not be explored to an end.
@@ -76,7 +76,7 @@
     }
 }
 
-/// Any two of four machines may be cut off from the others.
+/// Any two of four machines may be partitioned from the others.
 #[test]
 fn four_machines_in_halves_keep_all_invariants() {
     assert_holds(Bounds {
--- a/tier/chain/tests/model/state.rs
+++ b/tier/chain/tests/model/state.rs
@@ -30,7 +30,7 @@
     pub fn position(&self, identity: Identity) -> Option<usize> {
         self.chain
             .iter()
-            .position(|link| *link == identity.machine)
+            .position(|member| *member == identity.machine)
             .filter(|_| self.votes(identity))
     }
 
--- a/tier/chain/tests/simulation/outage.rs
+++ b/tier/chain/tests/simulation/outage.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// The cost of a dial that hangs: a machine that is not heard for 0.6 s is removed, and joins again
-/// by a second view.
+/// The cost of a dial that hangs: a machine without a heartbeat for 0.6 s is removed, and joins
+/// again by a second view.
 #[test]
 fn a_member_whose_dials_hang_is_removed_from_the_chain() {
     assert!((0..20).all(|seed| restart_all(seed, 700).1 > 0));
--- a/tier/chain/tests/simulation/scenes.rs
+++ b/tier/chain/tests/simulation/scenes.rs
@@ -81,7 +81,7 @@
 fn a_member_with_a_full_disk_leaves_the_chain_and_rejoins() {
     each(|mut world, index, scene| {
         world.machines[index].full_until = world.now + 60_000;
-        // The first rejected write tells the member.
+        // The first rejected write notifies the member.
         world.run(RECOVERY_LIMIT);
         assert_served(&mut world, &others(index), scene);
         assert_eq!(world.in_service(), 2, "{scene}");
@@ -141,7 +141,7 @@
             assert_served(
                 &mut world,
                 &[0, 1, 2],
-                &format!("seed {seed}, cut {from} to {to}"),
+                &format!("seed {seed}, partition {from} to {to}"),
             );
         }
     }
--- a/tier/chain/tests/simulation/world/faults.rs
+++ b/tier/chain/tests/simulation/world/faults.rs
@@ -64,10 +64,11 @@
                 last_revision,
             }),
             (Some(InjectedBug::OutcomesAltered), Message::Outcome { request, outcome }) => {
-                let told = u64::from_le_bytes(outcome.as_ref().try_into().unwrap()) + self.now % 2;
+                let altered =
+                    u64::from_le_bytes(outcome.as_ref().try_into().unwrap()) + self.now % 2;
                 Some(Message::Outcome {
                     request,
-                    outcome: told.to_le_bytes().to_vec().into(),
+                    outcome: altered.to_le_bytes().to_vec().into(),
                 })
             }
             (Some(InjectedBug::DecisionsLost), Message::Decided(_)) if self.now > 4_000 => None,
--- a/tier/chain/tests/simulation/world/machine.rs
+++ b/tier/chain/tests/simulation/world/machine.rs
@@ -81,7 +81,7 @@
     pub stalled_until: Millis,
     /// The disk rejects writes until then.
     pub full_until: Millis,
-    /// Gone for good.
+    /// Replaced by another machine.
     pub removed: bool,
 }
 
--- a/tier/replica/src/clock.rs
+++ b/tier/replica/src/clock.rs
@@ -5,9 +5,8 @@
 use plankhill_chain::timing::CONFIRMATION_TTL;
 use plankhill_chain::Millis;
 
-/// What the clock says at the start of its process. The clock does not begin at 0: what a member is
-/// told of may have happened before the member started, up to the time for which a confirmation
-/// counts.
+/// The clock's time at the start of its process. The clock does not begin at 0: a confirmation may
+/// concern a time before the member started, up to the time for which a confirmation counts.
 pub(crate) const STARTED_AT: Millis = CONFIRMATION_TTL;
 
 /// Milliseconds since the start of the replica, never going back.
@@ -16,7 +15,7 @@
 }
 
 impl Clock {
-    /// A clock that says [`STARTED_AT`] now.
+    /// A clock whose time is [`STARTED_AT`] now.
     pub(crate) fn start() -> Self {
         Self {
             started: Instant::now(),
@@ -29,14 +28,14 @@
         STARTED_AT.saturating_add(elapsed)
     }
 
-    /// When the clock says this time.
+    /// The instant at which the clock reaches this time.
     pub(crate) fn instant_of(&self, time: Millis) -> Instant {
         self.started + Duration::from_millis(time.saturating_sub(STARTED_AT))
     }
 }
 
 /// A time so long after `now`. A timeout too long for the clock ends about as late as the clock can
-/// say.
+/// count.
 pub(crate) fn deadline(now: Millis, timeout: Duration) -> Millis {
     now + Millis::try_from(timeout.as_millis()).unwrap_or(Millis::MAX >> 1)
 }
--- a/tier/replica/src/disk_wait.rs
+++ b/tier/replica/src/disk_wait.rs
@@ -50,7 +50,7 @@
 enum Waited {
     /// The time was up.
     Elapsed,
-    /// Nobody has a handle any more.
+    /// All handles were dropped.
     HandlesDropped,
 }
 
--- a/tier/replica/src/driver.rs
+++ b/tier/replica/src/driver.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Runs until all handles are gone or the disk fails.
+    /// Runs until all handles are dropped or the disk fails.
     pub(crate) async fn run(mut self) {
         self.member.tick(self.clock.now());
         loop {
--- a/tier/replica/src/handle.rs
+++ b/tier/replica/src/handle.rs
@@ -15,7 +15,7 @@
 use crate::peer_connections::receive_from;
 use crate::status::ReplicaStatus;
 
-/// There is no answer: this member is cut off, its disk is not open, or the time was up. An
+/// There is no answer: this member is partitioned, its disk is not open, or the time was up. An
 /// operation proposed may still be committed later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the chain cannot be reached")]
@@ -39,7 +39,7 @@
     /// operation has to be sent.
     ///
     /// # Errors
-    /// [`Unavailable`], at once when this member knows that it is cut off, otherwise after
+    /// [`Unavailable`], at once when this member knows that it is partitioned, otherwise after
     /// `timeout`.
     pub async fn propose(
         &self,
@@ -63,14 +63,14 @@
     /// A linearizable read: a state with everything that was committed when this was called.
     ///
     /// # Errors
-    /// [`Unavailable`], at once when this member knows that it is cut off, otherwise after
+    /// [`Unavailable`], at once when this member knows that it is partitioned, otherwise after
     /// `timeout`.
     pub async fn read(&self, timeout: Duration) -> Result<Arc<CommittedState<S>>, Unavailable> {
         let (answer, state) = oneshot::channel();
         self.ask(Command::Read { timeout, answer }, state).await
     }
 
-    /// Whether this member has heard, within [`plankhill_chain::timing::CONFIRMATION_TTL`], that a
+    /// Whether this member knows, within [`plankhill_chain::timing::CONFIRMATION_TTL`] ms, that a
     /// majority confirmed the chain's tail and that nothing was committed there which is missing
     /// here.
     pub fn is_current(&self) -> bool {
@@ -82,7 +82,7 @@
         self.ends.is_current.clone()
     }
 
-    /// This member's place in the newest view that it knows.
+    /// This member's role in the newest view that it knows.
     pub fn status(&self) -> ReplicaStatus {
         self.ends.status.borrow().clone()
     }
@@ -114,7 +114,7 @@
 
     /// Takes over other seeds from changed settings.
     pub async fn set_seeds(&self, seeds: Vec<SocketAddr>) {
-        // Without the task nobody needs the seeds.
+        // Without the task the seeds are not needed.
         let _ = self.ends.commands.send(Command::SetSeeds(seeds)).await;
     }
 
--- a/tier/replica/src/peer_connections/incoming.rs
+++ b/tier/replica/src/peer_connections/incoming.rs
@@ -15,7 +15,7 @@
 }
 
 /// Receives from one accepted connection until it ends. A sender that introduces itself as another
-/// machine than in its greeting is not heard.
+/// machine than in its greeting is rejected.
 pub(crate) async fn receive_from(connection: Connection, inbox: mpsc::Sender<Received>) {
     // The writer is kept: dropping it would end the connection.
     let Connection {
--- a/tier/replica/src/peer_connections/introduction.rs
+++ b/tier/replica/src/peer_connections/introduction.rs
@@ -3,7 +3,7 @@
 use plankhill_chain::Identity;
 use serde::{Deserialize, Serialize};
 
-/// Says which disk the sender has; the greeting of the transport names only the machine.
+/// Names the sender's disk; the greeting of the transport names only the machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Introduction {
     pub(super) identity: Identity,
--- a/tier/replica/src/peer_connections/mod.rs
+++ b/tier/replica/src/peer_connections/mod.rs
@@ -43,8 +43,8 @@
         connection.send(message);
     }
 
-    /// The member that listens there was heard: a connection that waits for its backoff is tried at
-    /// once.
+    /// A heartbeat of the member that listens there has come: a connection that waits for its
+    /// backoff is tried at once.
     pub(crate) fn retry_now(&self, address: SocketAddr) {
         if let Some(connection) = self.outgoing.get(&address) {
             connection.retry_now();
--- a/tier/replica/src/peer_connections/outgoing.rs
+++ b/tier/replica/src/peer_connections/outgoing.rs
@@ -17,15 +17,15 @@
 const MAX_BATCH: usize = 64;
 /// Before the first attempt to connect again; doubled after each failure.
 const INITIAL_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff: members that are all back at once have to hear each other before one counts
-/// as failed (0.6 s).
+/// The longest backoff: members that all restart at once have to exchange heartbeats before one
+/// counts as failed (0.6 s).
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
 
 /// A queue of messages to one member and the task that sends them; the task ends when this is
 /// dropped.
 pub(super) struct OutgoingConnection {
     queue: mpsc::Sender<Message>,
-    /// The other member was heard, and so can be reached now.
+    /// A heartbeat of the peer has come, so that the peer can be reached now.
     peer_alive: Arc<Notify>,
     task: JoinHandle<()>,
 }
@@ -88,7 +88,7 @@
                 }
                 Err(error) => tracing::debug!(%to, %error, "connection to a peer cannot be opened"),
             }
-            // The backoff ends early when the peer is heard.
+            // The backoff ends early when a heartbeat of the peer comes.
             let _ = tokio::time::timeout(backoff, self.peer_alive.notified()).await;
             backoff = MAX_RECONNECT_BACKOFF.min(backoff * 2);
         }
@@ -128,7 +128,7 @@
     }
 
     /// Messages that waited for the connection are too old to be of use, but for the last
-    /// heartbeat: the other member may wait for this one to be heard, and a late heartbeat claims
+    /// heartbeat: the peer may wait for a heartbeat of this member, and a late heartbeat claims
     /// nothing that was not so.
     fn drain_to_newest_heartbeat(&mut self) -> Option<Message> {
         let mut newest = None;
--- a/tier/replica/src/settings.rs
+++ b/tier/replica/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a replica is told at its start.
+//! The settings of a replica.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/tier/replica/src/status.rs
+++ b/tier/replica/src/status.rs
@@ -1,8 +1,8 @@
-//! The place of a replica in the chain, as the rest of the process sees it.
+//! The role of a replica in the chain, as the rest of the process sees it.
 
 use plankhill_chain::{Member, ViewNumber};
 
-/// The place of this member in the newest view that it knows.
+/// The role of this member in the newest view that it knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaStatus {
     /// Number of the view; 0 before the first.
--- a/tier/replica/src/storage/database.rs
+++ b/tier/replica/src/storage/database.rs
@@ -35,8 +35,8 @@
 pub(super) struct OpenDatabase {
     database: Database,
     rows: Keyspace,
-    /// The lowest and the highest revision that an operation in the database may have: what a cut
-    /// and a snapshot have to remove.
+    /// The lowest and the highest revision that an operation in the database may have: what a
+    /// truncation and a snapshot have to remove.
     first: Revision,
     last: Revision,
 }
--- a/tier/replica/src/storage/error.rs
+++ b/tier/replica/src/storage/error.rs
@@ -33,7 +33,7 @@
     /// The database was closed after a failed write and could not be opened again yet.
     #[error("the database is closed after a failed write")]
     Closed,
-    /// Another disk lies in the place of the one that was open.
+    /// Another disk was found in place of the one that was open.
     #[error("the disk was replaced by another one")]
     Replaced,
 }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Whether the operating system's error says that the bytes found are not what was written.
+/// Whether the operating system's error means that the bytes found are not those written.
 fn is_damage(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/tier/replica/src/storage/folder.rs
+++ b/tier/replica/src/storage/folder.rs
@@ -1,4 +1,4 @@
-//! The folder of a member: a database, and a file that says that its first sync is over.
+//! The folder of a member: a database, and a file that exists once the first sync is over.
 //!
 //! A folder without that file, or with a database that cannot be read, counts as empty: the member
 //! starts as a new incarnation, which takes part only after it has everything.
@@ -62,8 +62,8 @@
     Ok(has_incarnation.then_some(OpenedFolder { storage, durable }))
 }
 
-/// Makes a new database in place of what is there. The file that says that the folder is ready
-/// comes last, so that a crash before leaves a folder that counts as empty.
+/// Makes a new database in place of what is there. The file that marks the folder as ready comes
+/// last, so that a crash before leaves a folder that counts as empty.
 fn create(
     folder: &Path,
     incarnation: Incarnation,
--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -136,7 +136,7 @@
         &self.running.as_ref().unwrap().handle
     }
 
-    /// Waits for a status for which the condition holds.
+    /// Waits for a status for which the condition is true.
     pub async fn wait_for_status(
         &self,
         wanted: impl FnMut(&ReplicaStatus) -> bool,
--- a/tier/replica/tests/refusing_disk.rs
+++ b/tier/replica/tests/refusing_disk.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// Batches as a member hands them over: a beginning, operations, a cut, a snapshot.
+/// Batches as a member submits them: incarnation, operations, a truncation, a snapshot.
 fn batches() -> Vec<WriteBatch> {
     let snapshot = Snapshot {
         revision: Revision(3),
@@ -234,7 +234,7 @@
 /// Makes the folder of a database look full to the probe.
 fn fill(folder: &TempDir) -> std::path::PathBuf {
     let probe = folder.path().join("chain").join("room-probe");
-    std::os::unix::fs::symlink("/dev/full", &probe).expect("a link");
+    std::os::unix::fs::symlink("/dev/full", &probe).expect("a symbolic link");
     probe
 }
 
--- a/tier/replica/tests/returning.rs
+++ b/tier/replica/tests/returning.rs
@@ -17,7 +17,8 @@
     8 * 1024 * 1024
 };
 
-/// Gets a word committed. A busy member may take itself for cut off: callers retry then, as here.
+/// Gets a word committed. A busy member may take itself for partitioned: callers retry then, as
+/// here.
 async fn propose(handle: &ReplicaHandle<WordList>, word: &str) {
     let asked = Instant::now();
     while handle.propose(word.to_owned(), TEST_TIMEOUT).await.is_err() {
--- a/tier/replica/tests/storage.rs
+++ b/tier/replica/tests/storage.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// Batches as a member writes them: operations follow each other, the last ones may be cut off,
-/// snapshots take the first ones away.
+/// Batches as a member writes them: operations follow each other, the last ones may be truncated,
+/// snapshots replace the first ones.
 struct Writer {
     before: u64,
     last: u64,
--- a/tier/replica/tests/stored_format.rs
+++ b/tier/replica/tests/stored_format.rs
@@ -120,8 +120,8 @@
     Some(next)
 }
 
-/// A change of each kind, with operations before the snapshot and behind the cut, which are not
-/// kept.
+/// A change of each kind, with operations before the snapshot and behind the truncation, which are
+/// not kept.
 fn changes() -> Vec<Write> {
     let mut changes = Vec::new();
     let mut next = change_after(None);
