--- a/tier/validation/src/fault.rs
+++ b/tier/validation/src/fault.rs
@@ -5,8 +5,8 @@
 /// The key under which a fault of the whole document is listed.
 const WHOLE_DOCUMENT: &str = "document";
 
-/// What is wrong with the value of one key.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// What is wrong with the value of one key. Ordered by key, then by message.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
     /// Path of the key from the root of the document, for example `routes[3].timeout_ms`.
     pub key: String,
@@ -74,12 +74,15 @@
         self.0.len()
     }
 
-    /// True if nothing is wrong.
+    /// Whether nothing is wrong.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// `Ok` if nothing is wrong, otherwise the faults.
+    /// `Ok` if nothing is wrong.
+    ///
+    /// # Errors
+    /// The faults, if there are any.
     pub fn into_result(self) -> Result<(), Faults> {
         if self.is_empty() {
             Ok(())
@@ -89,6 +92,12 @@
     }
 }
 
+impl From<Vec<Fault>> for Faults {
+    fn from(faults: Vec<Fault>) -> Self {
+        Faults(faults)
+    }
+}
+
 impl From<Fault> for Faults {
     fn from(fault: Fault) -> Self {
         Faults(vec![fault])
--- a/tier/validation/src/flatten.rs
+++ b/tier/validation/src/flatten.rs
@@ -2,29 +2,28 @@
 
 use validator::{ValidationError, ValidationErrors, ValidationErrorsKind};
 
-use crate::Faults;
+use crate::{Fault, Faults};
 
 /// The name `validator` gives to faults of a struct as a whole.
 const WHOLE_STRUCT: &str = "__all__";
 
-/// Lists every error of `errors` under the path of its key, sorted by that path.
+/// Lists every error of `errors` under the path of its key, sorted by that path and then by the message.
 pub fn faults_of(errors: &ValidationErrors) -> Faults {
     let mut found = Vec::new();
     collect(errors, "", &mut found);
     found.sort();
-    let mut faults = Faults::new();
-    for (key, message) in found {
-        faults.add(key, message);
-    }
-    faults
+    Faults::from(found)
 }
 
-fn collect(errors: &ValidationErrors, parent: &str, found: &mut Vec<(String, String)>) {
+/// Adds the errors below the key `parent` to `found`.
+fn collect(errors: &ValidationErrors, parent: &str, found: &mut Vec<Fault>) {
     for (name, kind) in errors.errors() {
         let key = join(parent, name);
         match kind {
             ValidationErrorsKind::Field(list) => {
-                found.extend(list.iter().map(|error| (key.clone(), message_of(error))));
+                for error in list {
+                    found.push(Fault::new(key.clone(), message_of(error)));
+                }
             }
             ValidationErrorsKind::Struct(inner) => collect(inner, &key, found),
             ValidationErrorsKind::List(items) => {
@@ -37,10 +36,12 @@
 }
 
 fn join(parent: &str, name: &str) -> String {
-    match (parent.is_empty(), name == WHOLE_STRUCT) {
-        (true, _) => name.to_owned(),
-        (false, true) => parent.to_owned(),
-        (false, false) => format!("{parent}.{name}"),
+    if parent.is_empty() {
+        name.to_owned()
+    } else if name == WHOLE_STRUCT {
+        parent.to_owned()
+    } else {
+        format!("{parent}.{name}")
     }
 }
 
--- a/tier/validation/tests/keys.rs
+++ b/tier/validation/tests/keys.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn nested_keys_are_joined_by_dots_and_places_stand_in_brackets() {
+fn nested_keys_are_joined_by_dots_and_indexes_stand_in_brackets() {
     let outer = Outer {
         name: String::new(),
         inner: Inner { number: 0 },
