--- a/tier/store/tests/simulation/faults.rs
+++ b/tier/store/tests/simulation/faults.rs
@@ -162,14 +162,11 @@
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
     }
 
-    /// The process notices a disk that fails, ends, and starts anew once the disk works again.
+    /// The disk fails; the process ends, and starts anew once the disk works again.
     async fn failing_disk(self: &Rc<Self>, node: &NodeId, downtime_ms: u64) {
-        let disk = self
-            .machines
-            .borrow()
-            .get(node)
-            .map(|machine| machine.disk.clone());
-        let Some(disk) = disk else { return };
+        let Some(disk) = self.disk(node) else {
+            return;
+        };
         disk.set_failing(true);
         tokio::time::sleep(milliseconds(downtime_ms)).await;
         self.kill(node);
@@ -177,14 +174,11 @@
         self.restart_after(node, 100).await;
     }
 
-    /// The process stays up: it refuses what has to be written, and goes on reading and repairing.
+    /// The disk is full; the process refuses writes, and goes on reading and repairing.
     async fn full_disk(&self, node: &NodeId, downtime_ms: u64) {
-        let disk = self
-            .machines
-            .borrow()
-            .get(node)
-            .map(|machine| machine.disk.clone());
-        let Some(disk) = disk else { return };
+        let Some(disk) = self.disk(node) else {
+            return;
+        };
         disk.set_refusing(true);
         tokio::time::sleep(milliseconds(downtime_ms)).await;
         disk.set_refusing(false);
@@ -196,24 +190,21 @@
             .and_then(|machine| machine.node());
         assert!(
             running.is_none_or(|store| !store.has_storage_failed()),
-            "a full disk does not end a store"
+            "a full disk must not end a store"
         );
     }
 
     async fn slow_disk(&self, node: &NodeId, downtime_ms: u64) {
-        let disk = self
-            .machines
-            .borrow()
-            .get(node)
-            .map(|machine| machine.disk.clone());
-        let Some(disk) = disk else { return };
+        let Some(disk) = self.disk(node) else {
+            return;
+        };
         disk.set_sync_time(milliseconds(900));
         tokio::time::sleep(milliseconds(downtime_ms)).await;
         disk.set_sync_time(milliseconds(5));
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
     }
 
-    /// Retires a store if enough are left, and loses the disk of another one as soon as it is gone.
+    /// Retires a store if enough stores are left, and wipes another one as soon as the first is gone.
     async fn retire(self: &Rc<Self>, node: &NodeId) {
         let min_stores = 2 * self.tolerated_faults as usize + 1;
         if self.nodes().len() <= min_stores {
--- a/tier/store/tests/simulation/machine.rs
+++ b/tier/store/tests/simulation/machine.rs
@@ -193,6 +193,11 @@
         self.machines.borrow_mut().remove(node);
     }
 
+    pub fn disk(&self, node: &NodeId) -> Option<MemoryStorage> {
+        let machines = self.machines.borrow();
+        machines.get(node).map(|machine| machine.disk.clone())
+    }
+
     /// The machines that are there.
     pub fn nodes(&self) -> Vec<NodeId> {
         self.machines.borrow().keys().cloned().collect()
--- a/tier/store/tests/storage_contract.rs
+++ b/tier/store/tests/storage_contract.rs
@@ -1,8 +1,12 @@
 //! The contract of every storage.
 
+mod folders;
+
 use std::future::Future;
+use std::path::Path;
 use std::time::Duration;
 
+use folders::copy_folder;
 use plankhill_conversations::rows::{RowChange, Table};
 use plankhill_store::storage::{FjallStorage, MemoryStorage, Storage};
 use tokio::task::LocalSet;
@@ -171,7 +175,7 @@
             .expect("a commit");
         let torn = tempfile::tempdir().expect("a folder");
         copy_folder(folder.path(), torn.path());
-        let torn_files = tear_what_is_newer(copy.path(), torn.path());
+        let torn_files = tear_newer_files(copy.path(), torn.path());
         assert!(torn_files > 0, "nothing was torn");
         let again = FjallStorage::open(torn.path()).expect("a database");
         assert_eq!(read(&again, Table::Turns, "kept").as_deref(), Some("value"));
@@ -179,21 +183,19 @@
     });
 }
 
-/// Cuts the files of `newer` that have changed since `older` in the middle of what was added, and puts other
-/// bytes there. How many there were.
-fn tear_what_is_newer(older: &std::path::Path, newer: &std::path::Path) -> usize {
+/// Truncates the files of `newer` that have changed since `older` inside their added bytes, and overwrites some
+/// of these. Returns the number of such files.
+fn tear_newer_files(older: &Path, newer: &Path) -> usize {
     let mut torn = 0;
     for entry in std::fs::read_dir(newer).expect("a folder") {
         let path = entry.expect("an entry").path();
         let before = older.join(path.file_name().expect("a name"));
         if path.is_dir() {
-            torn += tear_what_is_newer(&before, &path);
+            torn += tear_newer_files(&before, &path);
             continue;
         }
-        let (old, mut new) = (
-            std::fs::read(&before).unwrap_or_default(),
-            std::fs::read(&path).expect("a file"),
-        );
+        let old = std::fs::read(&before).unwrap_or_default();
+        let mut new = std::fs::read(&path).expect("a file");
         let same = old
             .iter()
             .zip(&new)
@@ -214,20 +216,7 @@
     torn
 }
 
-fn copy_folder(from: &std::path::Path, to: &std::path::Path) {
-    for entry in std::fs::read_dir(from).expect("a folder") {
-        let path = entry.expect("an entry").path();
-        let target = to.join(path.file_name().expect("a name"));
-        if path.is_dir() {
-            std::fs::create_dir_all(&target).expect("a folder");
-            copy_folder(&path, &target);
-        } else {
-            std::fs::copy(&path, &target).expect("a file");
-        }
-    }
-}
-
-/// In virtual time.
+/// Runs a scenario in virtual time.
 fn run_in_virtual_time<T>(scenario: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
--- a/tier/store/tests/stored_format.rs
+++ b/tier/store/tests/stored_format.rs
@@ -1,5 +1,7 @@
-//! A state folder of a store, written by an earlier text and kept in `stored_format/state`, is opened by this one
-//! with all that lies in it: incarnation, view, turns, budgets, extensions and hints.
+//! The state folder in `stored_format/state` was written by an earlier version; this version opens it with all of its
+//! content: incarnation, view, turns, budgets, extensions and hints.
+
+mod folders;
 
 use std::fs;
 use std::future::Future;
@@ -9,6 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use folders::copy_folder;
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::keys::{account_key, hint_key, turn_key, INCARNATION_KEY, VIEW_KEY};
 use plankhill_conversations::peer::{PeerCall, PeerReply, PeerRequest, PeerResponse, RetainedTurn};
@@ -128,24 +131,11 @@
     folder
 }
 
-fn copy_folder(from: &Path, to: &Path) {
-    for entry in fs::read_dir(from).expect("a folder") {
-        let path = entry.expect("an entry").path();
-        let target = to.join(path.file_name().expect("a name"));
-        if path.is_dir() {
-            fs::create_dir_all(&target).expect("a folder");
-            copy_folder(&path, &target);
-        } else {
-            fs::copy(&path, &target).expect("a file");
-        }
-    }
-}
-
-fn run<T>(story: impl Future<Output = T>) -> T {
+fn run<T>(scenario: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build();
-    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), story)
+    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), scenario)
 }
 
 async fn load(folder: &Path) -> Rc<StoreNode> {
