--- a/tier/store/src/process.rs
+++ b/tier/store/src/process.rs
@@ -66,7 +66,7 @@
         first: settings.port_range.first,
     };
     let node = open_node(&settings, ports, folder).await?;
-    let listener = listen(ports.store(settings.ip))?;
+    let listener = listen(ports.store(settings.ip)).map_err(|error| error.source)?;
     let identity = node.identity().clone();
     tracing::info!(
         node = %identity.node,
