--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -236,19 +236,19 @@
                 .iter()
                 .map(|rule| RuleCount {
                     rule: rule.name().to_owned(),
-                    broken: checker.count(*rule),
+                    broken: checker.violation_count(*rule),
                 })
                 .collect(),
             breaches: checker
-                .breaches()
+                .violations()
                 .iter()
                 .take(20)
                 .map(|breach| {
                     format!(
                         "{:.3} ms: {}: {}",
                         breach.at,
-                        breach.rule.name(),
-                        breach.what
+                        breach.invariant.name(),
+                        breach.description
                     )
                 })
                 .collect(),
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -85,7 +85,7 @@
                 .call_failed(destination, self.now, fate == AttemptOutcome::Rejected);
         }
         if !good && in_outage {
-            self.tell(Observation::SawFailure { forwarder, lane });
+            self.tell(Observation::FailureObserved { forwarder, lane });
         }
         if written && self.tracked(destination) {
             let kept = matches!(
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -189,10 +189,10 @@
         } in &members
         {
             let effect = self.effect(traffic);
-            self.tell(Observation::Applied {
+            self.tell(Observation::EffectApplied {
                 event: number,
                 origin,
-                effect,
+                idempotency: effect,
             });
         }
         self.calls[key].members = members;
--- a/forwarder/emulator/src/world/clients_side.rs
+++ b/forwarder/emulator/src/world/clients_side.rs
@@ -62,13 +62,13 @@
         let of = &self.scenario.traffic[ticket.traffic as usize];
         let key = ticket.key.filter(|_| of.ordered);
         let (origin, patience_ends) = (ticket.origin, ticket.patience_ends);
-        self.tell(Observation::Taken {
+        self.tell(Observation::Accepted {
             forwarder: at,
             event: number,
             origin,
-            effect,
+            idempotency: effect,
             key,
-            patience_ends,
+            deadline: patience_ends,
         });
         let (destination, traffic) = (ticket.destination, ticket.traffic as usize);
         ticket.cause = LossCause::Waited;
@@ -152,11 +152,11 @@
     pub(super) fn delivered(&mut self, at: u32, key: EventKey) {
         let event = self.events.remove(key).expect("held");
         self.forwarders[at as usize].held -= 1;
-        self.tell(Observation::Ended {
+        self.tell(Observation::Completed {
             forwarder: at,
             event: event.number,
-            end: Completion::Completed,
-            by_notice: false,
+            completion: Completion::Completed,
+            by_notification: false,
         });
         self.tally.delivered(self.scenario, &event.ticket, self.now);
     }
@@ -184,11 +184,11 @@
         } else {
             Completion::Abandoned
         };
-        self.tell(Observation::Ended {
+        self.tell(Observation::Completed {
             forwarder: at,
             event: number,
-            end,
-            by_notice,
+            completion: end,
+            by_notification: by_notice,
         });
         if by_notice {
             self.events[key].unheard = Some((dismissed, come_back_after));
--- a/forwarder/emulator/src/world/cold.rs
+++ b/forwarder/emulator/src/world/cold.rs
@@ -65,7 +65,7 @@
                 None => load.push((forwarder, weight)),
             }
         }
-        self.tell(Observation::Tipped { lane, load });
+        self.tell(Observation::Overloaded { lane, load });
         self.tell(Observation::OutageBegan { lane });
         self.queue.put(until, Step::Upright(lane));
         self.break_calls(of);
@@ -117,7 +117,7 @@
         let it = &mut self.lanes[lane as usize];
         if it.cold.as_ref().is_some_and(|cold| cold.since == since) {
             it.cold = None;
-            self.tell(Observation::Warm { lane });
+            self.tell(Observation::WarmedUp { lane });
         }
     }
 }
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -92,14 +92,14 @@
         let from = self.forwarders[forwarder as usize].zone;
         let to = self.targets[target as usize].zone as usize;
         if ping {
-            self.tell(Observation::Pinged {
+            self.tell(Observation::HealthCheckSent {
                 forwarder,
                 target,
                 lane,
             });
         }
         for member in &members {
-            self.tell(Observation::Sent {
+            self.tell(Observation::AttemptSent {
                 forwarder,
                 event: member.number,
                 target,
--- a/forwarder/emulator/src/world/lists.rs
+++ b/forwarder/emulator/src/world/lists.rs
@@ -30,10 +30,10 @@
         listing: EndpointState,
         inputs: &mut Vec<Input>,
     ) {
-        self.tell(Observation::Listed {
+        self.tell(Observation::EndpointListed {
             forwarder: at,
             target,
-            leaves: listing != EndpointState::Running,
+            is_draining: listing != EndpointState::Running,
         });
         let it = &self.targets[target as usize];
         if listing == EndpointState::Removed {
--- a/forwarder/emulator/src/world/lives.rs
+++ b/forwarder/emulator/src/world/lives.rs
@@ -3,7 +3,7 @@
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::Repeats;
-use plankhill_invariants::{Cut, Observation};
+use plankhill_invariants::{AttemptEnd, Observation};
 use rustc_hash::FxHashSet;
 
 use super::parts::Incoming;
@@ -32,7 +32,7 @@
         if it.life == life && it.stalled_until <= self.now {
             self.tell(Observation::Resumed {
                 forwarder: at,
-                anew: false,
+                is_new_process: false,
             });
             self.call_round(at);
         }
@@ -89,7 +89,7 @@
                     // The client has heard, only the process has not.
                     if let Some(held) = self.events.remove(event) {
                         self.forwarders[at as usize].held -= 1;
-                        self.tell(Observation::Heard { event: held.number });
+                        self.tell(Observation::CompletionAcknowledged { event: held.number });
                     }
                 }
                 Incoming::Input(Input::SendEnded { event, .. }, Some((_, false))) => {
@@ -142,10 +142,10 @@
             let event = &mut self.events[key];
             event.may_have_run.get_or_insert((event.sent_at, zone));
             if !unwritten.contains(&key) {
-                self.tell(Observation::SendOver {
+                self.tell(Observation::AttemptEnded {
                     forwarder: at,
                     event: number,
-                    cut: Cut::Short,
+                    outcome: AttemptEnd::CutShort,
                 });
             }
         }
@@ -167,7 +167,7 @@
         self.forwarders[at as usize].held = 0;
         for (number, key) in held {
             let event = self.events.remove(key).expect("held");
-            self.tell(Observation::Lost { event: number });
+            self.tell(Observation::EventLost { event: number });
             if event.ended && event.unheard.is_none() {
                 continue; // its client has heard
             }
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -80,9 +80,9 @@
         let struck = Struck::new(scenario, seed);
         let rules = &scenario.rules;
         let bounds = Bounds {
-            grace: rules.grace,
-            key_rest: rules.key_rest,
-            remembered: 2.0 * scenario.longest_patience() + 120_000.0,
+            drain_grace: rules.grace,
+            key_cooldown: rules.key_rest,
+            effects_remembered_for: 2.0 * scenario.longest_patience() + 120_000.0,
             ..Bounds::default()
         };
         let (destinations, targets, lanes) = ground::build(scenario, &struck, seed);
--- a/forwarder/emulator/src/world/rounds.rs
+++ b/forwarder/emulator/src/world/rounds.rs
@@ -1,7 +1,7 @@
 //! Rounds of a forwarder: what came in between them is handed over, and decisions are carried out.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
-use plankhill_invariants::{Cut, Observation};
+use plankhill_invariants::{AttemptEnd, Observation};
 
 use super::lives::CLOSING_LEAST;
 use super::parts::Incoming;
@@ -179,7 +179,7 @@
                     return;
                 };
                 self.forwarders[at as usize].held -= 1;
-                self.tell(Observation::Heard { event: held.number });
+                self.tell(Observation::CompletionAcknowledged { event: held.number });
                 inputs.push(input);
             }
             other => inputs.push(other),
@@ -215,24 +215,24 @@
             _ => LossCause::Failed,
         };
         let cut = match fate {
-            AttemptOutcome::Delivered => Cut::Delivered,
-            AttemptOutcome::Error => Cut::Error,
+            AttemptOutcome::Delivered => AttemptEnd::Delivered,
+            AttemptOutcome::Error => AttemptEnd::Error,
             AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => {
-                Cut::Short
+                AttemptEnd::CutShort
             }
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => {
-                Cut::NotRun
+                AttemptEnd::NotExecuted
             }
         };
         if written {
-            self.tell(Observation::SendOver {
+            self.tell(Observation::AttemptEnded {
                 forwarder: at,
                 event: number,
-                cut,
+                outcome: cut,
             });
         }
         if wait > 0.0 {
-            self.tell(Observation::Wait {
+            self.tell(Observation::RetryAfterReceived {
                 forwarder: at,
                 lane,
                 until: self.now + wait,
--- a/forwarder/emulator/src/world/starts.rs
+++ b/forwarder/emulator/src/world/starts.rs
@@ -83,7 +83,7 @@
         let life = self.forwarders[at as usize].life;
         self.tell(Observation::Resumed {
             forwarder: at,
-            anew: true,
+            is_new_process: true,
         });
         let decider = self.start_decider(at, life);
         let it = &mut self.forwarders[at as usize];
--- a/forwarder/invariants/src/checker.rs
+++ b/forwarder/invariants/src/checker.rs
@@ -1,43 +1,61 @@
-//! Facts in, breaches out. Each rule reads the same small record of events, keys, targets and lanes.
+//! Observations in, violations out. Each invariant reads the same small record of events, keys, targets and
+//! lanes; the files beside this one have the invariants by subject.
 
+mod attempts;
 mod bounds;
+mod completion;
 mod effects;
 mod fleet;
-mod kept;
-mod sending;
-mod taking;
+mod records;
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-use crate::facts::*;
+use crate::invariant::{Invariant, Violation};
+use crate::observation::{Ms, Observation};
+use records::{
+    AppliedEffect, ForwarderRecord, Halt, KeyQueue, KeyQueueId, PendingEvent, SubscriberServers,
+    TargetConnections,
+};
+
 pub use bounds::Bounds;
-use kept::*;
 
-/// How many breaches are kept whole; past that they are counted.
-const KEPT: usize = 200;
+/// Violations past so many are counted, not described.
+const MAX_DESCRIBED_VIOLATIONS: usize = 200;
+
+/// How many events were accepted and completed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EventCounts {
+    /// Events accepted so far.
+    pub accepted: u64,
+    /// Events completed or lost so far; the others are pending.
+    pub completed: u64,
+}
 
+/// Checks the invariants of one run.
 #[derive(Default)]
 pub struct Checker {
     bounds: Bounds,
     now: Ms,
-    owed: HashMap<u64, Owed>,
-    lines: HashMap<(u32, u64), Line>,
-    /// Keys in the order in which their rests end.
-    resting: VecDeque<(Ms, (u32, u64))>,
-    forwarders: BTreeMap<u32, Forwarder>,
-    saw_failure: HashMap<u32, HashSet<u32>>,
-    applied: HashMap<u64, Applied>,
-    doors: HashMap<u32, Door>,
-    served: HashMap<u32, Served>,
-    /// Applied fingerprints in the order in which they fade.
-    fading: VecDeque<(Ms, u64)>,
-    breaches: Vec<Violation>,
-    counts: BTreeMap<Invariant, u64>,
-    taken: u64,
-    ends: u64,
+    events: HashMap<u64, PendingEvent>,
+    key_queues: HashMap<KeyQueueId, KeyQueue>,
+    /// Key queues in the order in which their cool-downs end.
+    cooldowns: VecDeque<(Ms, KeyQueueId)>,
+    forwarders: BTreeMap<u32, ForwarderRecord>,
+    /// By lane with an outage, or warming up after one: the forwarders that saw a failure there.
+    informed: HashMap<u32, HashSet<u32>>,
+    effects: HashMap<u64, AppliedEffect>,
+    /// Effects in the order in which they are forgotten.
+    effects_to_forget: VecDeque<(Ms, u64)>,
+    connections: HashMap<u32, TargetConnections>,
+    subscribers: HashMap<u32, SubscriberServers>,
+    violations: Vec<Violation>,
+    violation_counts: BTreeMap<Invariant, u64>,
+    accepted: u64,
+    completed: u64,
 }
 
 impl Checker {
+    /// A checker of a run that has not begun.
     pub fn new(bounds: Bounds) -> Self {
         Checker {
             bounds,
@@ -45,173 +63,173 @@
         }
     }
 
-    /// Facts come in the order of their time.
-    pub fn observe(&mut self, now: Ms, fact: Observation) {
+    /// Takes the next observation. Observations come in the order of their time; one that does not counts as a
+    /// violation, of the reporter.
+    pub fn observe(&mut self, now: Ms, observation: Observation) {
         if now < self.now {
-            self.breach(
-                Invariant::OneEnd,
-                format!(
-                    "told of {now} ms after {} ms: the teller is at fault",
-                    self.now
-                ),
-            );
+            let last = self.now;
+            let description = format!("told of {now} ms after {last} ms: the teller is at fault");
+            self.report(Invariant::CompletedOnce, description);
         }
         self.now = self.now.max(now);
-        while let Some(&(_, place)) = self.resting.front().filter(|(until, _)| *until <= self.now) {
-            self.resting.pop_front();
-            self.forget_if_empty(place);
-        }
-        match fact {
-            Observation::Taken {
+        self.end_cooldowns();
+        match observation {
+            Observation::Accepted {
                 forwarder,
                 event,
-                effect,
+                idempotency,
                 key,
-                patience_ends,
+                deadline,
                 ..
-            } => self.taken(forwarder, event, effect, key, patience_ends),
-            Observation::Sent {
+            } => self.accept(forwarder, event, idempotency, key, deadline),
+            Observation::AttemptSent {
                 forwarder,
                 event,
                 target,
                 group,
                 lane,
-            } => self.sent(forwarder, event, target, group, lane),
-            Observation::Pinged {
+            } => self.send_attempt(forwarder, event, target, group, lane),
+            Observation::HealthCheckSent {
                 forwarder,
                 target,
                 lane,
             } => {
-                self.drains(forwarder, target, "a ping");
-                self.waits(forwarder, lane, "a ping");
+                self.check_draining(forwarder, target, "a ping");
+                self.check_retry_after(forwarder, lane, "a ping");
             }
-            Observation::SendOver { event, cut, .. } => self.send_over(event, cut),
-            Observation::Ended {
+            Observation::AttemptEnded { event, outcome, .. } => self.end_attempt(event, outcome),
+            Observation::Completed {
                 event,
-                end,
-                by_notice,
+                completion,
+                by_notification,
                 ..
-            } => self.ended(event, end, by_notice),
-            Observation::Heard { event } => {
-                if let Some(owed) = self.owed.get_mut(&event) {
-                    owed.unheard = false;
-                    self.forget_if_over(event);
-                }
-            }
-            Observation::Applied {
+            } => self.complete(event, completion, by_notification),
+            Observation::CompletionAcknowledged { event } => self.acknowledge(event),
+            Observation::EffectApplied {
                 event,
                 origin,
-                effect,
-            } => self.applied(event, origin, effect),
-            Observation::Listed {
+                idempotency,
+            } => self.apply_effect(event, origin, idempotency),
+            Observation::EndpointListed {
                 forwarder,
                 target,
-                leaves,
-            } => {
-                let leaving = &mut self.forwarders.entry(forwarder).or_default().leaving;
-                if leaves {
-                    leaving.entry(target).or_insert(now);
-                } else {
-                    leaving.remove(&target);
-                }
-            }
-            Observation::Wait {
+                is_draining,
+            } => self.list_endpoint(forwarder, target, is_draining, now),
+            Observation::RetryAfterReceived {
                 forwarder,
                 lane,
                 until,
             } => {
-                let waits = &mut self.forwarders.entry(forwarder).or_default().waits;
-                let known = waits.entry(lane).or_insert(until);
-                *known = known.max(until);
+                let record = self.forwarders.entry(forwarder).or_default();
+                let ends = record.retry_after_ends.entry(lane).or_insert(until);
+                *ends = ends.max(until);
             }
             Observation::OutageBegan { lane } => {
-                self.saw_failure.entry(lane).or_default();
+                self.informed.entry(lane).or_default();
             }
-            Observation::SawFailure { forwarder, lane } => {
-                if let Some(saw) = self.saw_failure.get_mut(&lane) {
-                    saw.insert(forwarder);
+            Observation::FailureObserved { forwarder, lane } => {
+                if let Some(informed) = self.informed.get_mut(&lane) {
+                    informed.insert(forwarder);
                 }
             }
-            Observation::Tipped { lane, load } => self.tipped(lane, &load),
-            Observation::Warm { lane } => {
-                self.saw_failure.remove(&lane);
+            Observation::Overloaded { lane, load } => self.check_overload(lane, &load),
+            Observation::WarmedUp { lane } => {
+                self.informed.remove(&lane);
             }
             Observation::Halted { forwarder } => {
-                let it = self.forwarders.entry(forwarder).or_default();
-                it.halted = true;
-                it.pause = Some((f64::INFINITY, now));
+                let record = self.forwarders.entry(forwarder).or_default();
+                record.is_halted = true;
+                record.last_halt = Some(Halt {
+                    began: now,
+                    ended: f64::INFINITY,
+                });
+            }
+            Observation::Resumed {
+                forwarder,
+                is_new_process,
+            } => self.resume(forwarder, is_new_process),
+            Observation::AcceptanceUnconfirmed { event } => self.mark_unconfirmed(event),
+            Observation::ConnectionLimitSet { target, limit } => {
+                self.set_connection_limit(target, limit);
+            }
+            Observation::ConnectionOpened { forwarder, target } => {
+                self.open_connection(forwarder, target);
+            }
+            Observation::ConnectionClosed { forwarder, target } => {
+                self.close_connection(forwarder, target);
             }
-            Observation::Resumed { forwarder, anew } => self.resumed(forwarder, anew),
-            Observation::Unpromised { event } => self.not_promised(event),
-            Observation::Budget { target, most } => self.budget(target, most),
-            Observation::Opened { forwarder, target } => self.opened(forwarder, target),
-            Observation::Closed { forwarder, target } => self.closed(forwarder, target),
-            Observation::Serves {
+            Observation::ServiceStarted {
                 forwarder,
                 subscriber,
-            } => self.serves(forwarder, subscriber),
-            Observation::ServesNoMore {
+            } => self.start_service(forwarder, subscriber),
+            Observation::ServiceEnded {
                 forwarder,
                 subscriber,
-            } => self.serves_no_more(forwarder, subscriber),
-            Observation::Lost { event } => {
-                if let Some(owed) = self.owed.get_mut(&event) {
-                    (owed.ended, owed.unheard, owed.out) = (true, false, false);
-                    self.ends += 1;
-                    self.forget_if_over(event);
-                }
-            }
+            } => self.end_service(forwarder, subscriber),
+            Observation::EventLost { event } => self.lose(event),
         }
     }
 
-    /// At the end of a run: what is still owed must have its patience before it, or a halted forwarder.
+    /// At the end of a run: reports every event that passed its deadline without a completion, unless a halted
+    /// forwarder excuses that.
     pub fn finish(&mut self, now: Ms) {
         self.now = self.now.max(now);
-        let mut late: Vec<u64> = self
-            .owed
-            .iter()
-            .filter(|(_, owed)| {
-                !owed.ended && !owed.unpromised && owed.patience_ends + self.bounds.rounding < now
-            })
-            .filter(|(_, owed)| !self.excused(owed.forwarder, owed.patience_ends))
-            .map(|(&event, _)| event)
-            .collect();
+        let is_late = |event: &PendingEvent| {
+            event.owes_completion() && event.deadline + self.bounds.rounding < now
+        };
+        let late = self.events.iter().filter(|(_, event)| is_late(event));
+        let late = late.filter(|(_, event)| !self.is_excused(event.accepted_by, event.deadline));
+        let mut late: Vec<u64> = late.map(|(&number, _)| number).collect();
         late.sort_unstable();
-        for event in late {
-            let ends = self.owed[&event].patience_ends;
-            self.breach(
-                Invariant::OneEnd,
-                format!("event {event} has no end; its patience was over at {ends:.3} ms"),
-            );
+        for number in late {
+            let deadline = self.events[&number].deadline;
+            let description =
+                format!("event {number} has no end; its patience was over at {deadline:.3} ms");
+            self.report(Invariant::CompletedOnce, description);
         }
     }
 
-    pub fn breaches(&self) -> &[Violation] {
-        &self.breaches
+    /// The violations in the order in which they were found; the first 200 of them.
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
-    pub fn count(&self, rule: Invariant) -> u64 {
-        self.counts.get(&rule).copied().unwrap_or(0)
+    /// How often the invariant was violated.
+    pub fn violation_count(&self, invariant: Invariant) -> u64 {
+        self.violation_counts.get(&invariant).copied().unwrap_or(0)
     }
 
-    /// Events taken and ended so far; the rest is still owed.
-    pub fn books(&self) -> (u64, u64) {
-        (self.taken, self.ends)
+    /// How many events were accepted and completed so far.
+    pub fn event_counts(&self) -> EventCounts {
+        EventCounts {
+            accepted: self.accepted,
+            completed: self.completed,
+        }
     }
 
-    /// How much the checker keeps: events, keys and fingerprints.
-    pub fn kept(&self) -> usize {
-        self.owed.len() + self.lines.len() + self.applied.len()
+    /// How many records the checker has: events, keys and effects.
+    pub fn retained_entries(&self) -> usize {
+        self.events.len() + self.key_queues.len() + self.effects.len()
     }
 
-    fn breach(&mut self, rule: Invariant, what: String) {
-        *self.counts.entry(rule).or_default() += 1;
-        if self.breaches.len() < KEPT {
-            self.breaches.push(Violation {
+    fn report(&mut self, invariant: Invariant, description: String) {
+        *self.violation_counts.entry(invariant).or_default() += 1;
+        if self.violations.len() < MAX_DESCRIBED_VIOLATIONS {
+            self.violations.push(Violation {
                 at: self.now,
-                rule,
-                what,
+                invariant,
+                description,
             });
         }
     }
+
+    fn end_cooldowns(&mut self) {
+        while let Some(&(ends, queue)) = self.cooldowns.front() {
+            if ends > self.now {
+                return;
+            }
+            self.cooldowns.pop_front();
+            self.forget_key_if_idle(queue);
+        }
+    }
 }
--- a/forwarder/invariants/src/checker/fleet.rs
+++ b/forwarder/invariants/src/checker/fleet.rs
@@ -1,113 +1,113 @@
 //! What holds over all forwarders of a fleet together.
 
 use super::Checker;
-use crate::facts::{Invariant, Ms};
+use crate::invariant::Invariant;
+use crate::observation::Ms;
 
 impl Checker {
-    /// Its client heard no answer and owes itself the next step. The event holds back no other of its key.
-    pub(super) fn not_promised(&mut self, event: u64) {
-        let Some(owed) = self.owed.get_mut(&event) else {
+    /// The client heard no answer and has to take the next step itself. The event holds back no other of its key.
+    pub(super) fn mark_unconfirmed(&mut self, number: u64) {
+        let Some(event) = self.events.get_mut(&number) else {
             return;
         };
-        owed.unpromised = true;
-        let place = owed.key.map(|key| (owed.forwarder, key));
-        if let Some(line) = place.and_then(|place| self.lines.get_mut(&place)) {
-            line.queue.retain(|&queued| queued != event);
+        event.is_unconfirmed = true;
+        let Some(id) = event.queue_id() else {
+            return;
+        };
+        if let Some(queue) = self.key_queues.get_mut(&id) {
+            queue.events.retain(|&queued| queued != number);
         }
     }
 
-    pub(super) fn budget(&mut self, target: u32, most: u32) {
-        self.doors.entry(target).or_default().most = Some(most);
-        self.within_budget(target);
+    pub(super) fn set_connection_limit(&mut self, target: u32, limit: u32) {
+        self.connections.entry(target).or_default().limit = Some(limit);
+        self.check_connection_limit(target);
     }
 
-    pub(super) fn opened(&mut self, forwarder: u32, target: u32) {
-        *self
-            .doors
-            .entry(target)
-            .or_default()
-            .open
-            .entry(forwarder)
-            .or_default() += 1;
-        self.within_budget(target);
+    pub(super) fn open_connection(&mut self, forwarder: u32, target: u32) {
+        let connections = self.connections.entry(target).or_default();
+        *connections.open_by_forwarder.entry(forwarder).or_default() += 1;
+        self.check_connection_limit(target);
     }
 
-    pub(super) fn closed(&mut self, forwarder: u32, target: u32) {
-        let door = self.doors.entry(target).or_default();
-        match door.open.get_mut(&forwarder) {
+    pub(super) fn close_connection(&mut self, forwarder: u32, target: u32) {
+        let connections = self.connections.entry(target).or_default();
+        match connections.open_by_forwarder.get_mut(&forwarder) {
             Some(open) if *open > 1 => *open -= 1,
-            Some(_) => drop(door.open.remove(&forwarder)),
+            Some(_) => {
+                connections.open_by_forwarder.remove(&forwarder);
+            }
             None => {
-                let said = format!(
+                let description = format!(
                     "a connection of forwarder {forwarder} to target {target} closed that was not open"
                 );
-                self.breach(Invariant::WithinBudget, said);
+                self.report(Invariant::WithinConnectionLimit, description);
             }
         }
     }
 
-    fn within_budget(&mut self, target: u32) {
-        let Some(door) = self.doors.get(&target) else {
+    fn check_connection_limit(&mut self, target: u32) {
+        let Some(connections) = self.connections.get(&target) else {
             return;
         };
-        let open: u32 = door.open.values().sum();
-        if let Some(most) = door.most.filter(|most| open > *most) {
-            self.breach(
-                Invariant::WithinBudget,
-                format!("target {target} has {open} connections open, {most} at most"),
-            );
+        let Some(limit) = connections.limit else {
+            return;
+        };
+        let open: u32 = connections.open_by_forwarder.values().sum();
+        if open > limit {
+            let description =
+                format!("target {target} has {open} connections open, {limit} at most");
+            self.report(Invariant::WithinConnectionLimit, description);
         }
     }
 
-    pub(super) fn serves(&mut self, forwarder: u32, subscriber: u32) {
-        let by = &mut self.served.entry(subscriber).or_default().by;
-        by.push(forwarder);
-        if by.len() > 1 {
-            let said = format!("subscriber {subscriber} is served by forwarders {by:?}");
-            self.breach(Invariant::OneServer, said);
+    pub(super) fn start_service(&mut self, forwarder: u32, subscriber: u32) {
+        let servers = &mut self.subscribers.entry(subscriber).or_default().forwarders;
+        servers.push(forwarder);
+        if servers.len() > 1 {
+            let description =
+                format!("subscriber {subscriber} is served by forwarders {servers:?}");
+            self.report(Invariant::OneServerPerSubscriber, description);
         }
     }
 
-    pub(super) fn serves_no_more(&mut self, forwarder: u32, subscriber: u32) {
-        let by = &mut self.served.entry(subscriber).or_default().by;
-        let before = by.len();
-        by.retain(|&server| server != forwarder);
-        if by.len() == before {
-            let said = format!(
+    pub(super) fn end_service(&mut self, forwarder: u32, subscriber: u32) {
+        let servers = &mut self.subscribers.entry(subscriber).or_default().forwarders;
+        let before = servers.len();
+        servers.retain(|&server| server != forwarder);
+        if servers.len() == before {
+            let description = format!(
                 "forwarder {forwarder} stopped to serve subscriber {subscriber}, which it did not"
             );
-            self.breach(Invariant::OneServer, said);
+            self.report(Invariant::OneServerPerSubscriber, description);
         }
     }
 
-    /// At the end of a run whose peers all work again and that waited for it: nothing that was promised is
-    /// without an end, whatever its patience, and each subscriber has its server.
-    pub fn all_over(&mut self, now: Ms) {
+    /// At the end of a run whose forwarders all work again and that waited for it: every accepted event has its
+    /// completion, whatever its deadline, and each subscriber its server.
+    pub fn finish_after_recovery(&mut self, now: Ms) {
         self.now = self.now.max(now);
-        let promised = self
-            .owed
+        let lost = self
+            .events
             .iter()
-            .filter(|(_, owed)| !owed.ended && !owed.unpromised);
-        let mut lost: Vec<u64> = promised.map(|(&event, _)| event).collect();
+            .filter(|(_, event)| event.owes_completion());
+        let mut lost: Vec<u64> = lost.map(|(&number, _)| number).collect();
         lost.sort_unstable();
-        for event in lost {
-            let by = self.owed[&event].forwarder;
-            self.breach(
-                Invariant::NothingLost,
-                format!("event {event}, promised by forwarder {by}, has no end"),
-            );
+        for number in lost {
+            let forwarder = self.events[&number].accepted_by;
+            let description =
+                format!("event {number}, promised by forwarder {forwarder}, has no end");
+            self.report(Invariant::NoAcceptedEventLost, description);
         }
-        let alone = self
-            .served
+        let unserved = self
+            .subscribers
             .iter()
-            .filter(|(_, served)| served.by.is_empty());
-        let mut alone: Vec<u32> = alone.map(|(&subscriber, _)| subscriber).collect();
-        alone.sort_unstable();
-        for subscriber in alone {
-            self.breach(
-                Invariant::OneServer,
-                format!("subscriber {subscriber} is served by nobody"),
-            );
+            .filter(|(_, servers)| servers.forwarders.is_empty());
+        let mut unserved: Vec<u32> = unserved.map(|(&subscriber, _)| subscriber).collect();
+        unserved.sort_unstable();
+        for subscriber in unserved {
+            let description = format!("subscriber {subscriber} is served by nobody");
+            self.report(Invariant::OneServerPerSubscriber, description);
         }
     }
 }
--- a/forwarder/invariants/src/lib.rs
+++ b/forwarder/invariants/src/lib.rs
@@ -1,9 +1,13 @@
-//! The six rules, held against what happened. A model, or later the forwarder on scripted sockets, tells a
-//! [`Checker`] each fact in the order of its time; the checker knows nothing of how decisions are made.
-//! What it keeps ends with what it is about: an event with its end and last send, a key with its rest.
+//! The invariants of the event forwarder, checked against what happened.
+//!
+//! An emulator, or a test of real processes, reports each [`Observation`] to a [`Checker`] in the order of its
+//! time. The checker knows nothing of how decisions are made, and does no I/O. Its memory is bounded by what is
+//! pending: an event's record ends with its completion and its last attempt, a key's with its cool-down.
 
 mod checker;
-mod facts;
+mod invariant;
+mod observation;
 
-pub use checker::{Bounds, Checker};
-pub use facts::{Completion, Cut, Idempotency, Invariant, Ms, Observation, Violation};
+pub use checker::{Bounds, Checker, EventCounts};
+pub use invariant::{Invariant, Violation};
+pub use observation::{AttemptEnd, Completion, Idempotency, Ms, Observation};
--- a/forwarder/invariants/tests/planted.rs
+++ b/forwarder/invariants/tests/planted.rs
@@ -1,38 +1,40 @@
-//! A fault of every rule is planted in an otherwise clean run and must be found, and nothing else.
+//! A violation of every invariant is planted in an otherwise clean run and must be found, and nothing else.
 
-use plankhill_invariants::*;
+use plankhill_invariants::{
+    AttemptEnd, Bounds, Checker, Completion, EventCounts, Idempotency, Invariant, Ms, Observation,
+};
 use rstest::rstest;
 
-const BINDING: Idempotency = Idempotency::NonIdempotent;
-const FINGERPRINTED: Idempotency = Idempotency::Deduplicated {
+const NON_IDEMPOTENT: Idempotency = Idempotency::NonIdempotent;
+const DEDUPLICATED: Idempotency = Idempotency::Deduplicated {
     window: 1000.0,
     one_group: true,
 };
 
 fn bounds() -> Bounds {
     Bounds {
-        key_rest: 300.0,
+        key_cooldown: 300.0,
         ..Bounds::default()
     }
 }
 
-fn taken(event: u64, effect: Idempotency, key: Option<u64>) -> Observation {
-    taken_until(10_000.0, event, effect, key)
+fn accepted(event: u64, idempotency: Idempotency, key: Option<u64>) -> Observation {
+    accepted_until(10_000.0, event, idempotency, key)
 }
 
-fn taken_until(
-    patience_ends: Ms,
+fn accepted_until(
+    deadline: Ms,
     event: u64,
-    effect: Idempotency,
+    idempotency: Idempotency,
     key: Option<u64>,
 ) -> Observation {
-    Observation::Taken {
+    Observation::Accepted {
         forwarder: 1,
         event,
         origin: event,
-        effect,
+        idempotency,
         key,
-        patience_ends,
+        deadline,
     }
 }
 
@@ -41,7 +43,7 @@
 }
 
 fn sent_to(event: u64, target: u32, group: u32) -> Observation {
-    Observation::Sent {
+    Observation::AttemptSent {
         forwarder: 1,
         event,
         target,
@@ -51,7 +53,7 @@
 }
 
 fn sent_by(forwarder: u32, event: u64) -> Observation {
-    Observation::Sent {
+    Observation::AttemptSent {
         forwarder,
         event,
         target: 1,
@@ -60,134 +62,147 @@
     }
 }
 
-fn over(event: u64, cut: Cut) -> Observation {
-    Observation::SendOver {
+fn attempt_ended(event: u64, outcome: AttemptEnd) -> Observation {
+    Observation::AttemptEnded {
         forwarder: 1,
         event,
-        cut,
+        outcome,
     }
 }
 
-fn ended(event: u64, end: Completion) -> Observation {
-    Observation::Ended {
+fn completed(event: u64, end: Completion) -> Observation {
+    Observation::Completed {
         forwarder: 1,
         event,
-        end,
-        by_notice: false,
+        completion: end,
+        by_notification: false,
     }
 }
 
-/// What breaks when the facts are told in turn, 100 ms apart.
-fn broken(facts: Vec<Observation>) -> Vec<Invariant> {
+/// The invariants that are violated by the observations, made 100 ms apart.
+fn violated(observations: Vec<Observation>) -> Vec<Invariant> {
     let mut checker = Checker::new(bounds());
-    for (at, fact) in facts.into_iter().enumerate() {
-        checker.observe(100.0 * at as f64, fact);
+    for (at, observation) in observations.into_iter().enumerate() {
+        checker.observe(100.0 * at as f64, observation);
     }
     checker
-        .breaches()
+        .violations()
         .iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.invariant)
         .collect()
 }
 
 #[rstest]
-fn a_clean_run_breaks_nothing_and_leaves_nothing_behind() {
+fn a_clean_run_violates_nothing_and_leaves_nothing_behind() {
     let mut checker = Checker::new(Bounds {
-        remembered: 1000.0,
+        effects_remembered_for: 1000.0,
         ..bounds()
     });
     for event in 0..50 {
         let at = 1000.0 * event as f64;
         checker.observe(
             at,
-            taken_until(at + 900.0, event, FINGERPRINTED, Some(event % 3)),
+            accepted_until(at + 900.0, event, DEDUPLICATED, Some(event % 3)),
         );
         checker.observe(at + 1.0, sent(event));
-        checker.observe(at + 2.0, over(event, Cut::Short));
+        checker.observe(at + 2.0, attempt_ended(event, AttemptEnd::CutShort));
         checker.observe(at + 400.0, sent(event));
         checker.observe(
             at + 402.0,
-            Observation::Applied {
+            Observation::EffectApplied {
                 event,
                 origin: event,
-                effect: FINGERPRINTED,
+                idempotency: DEDUPLICATED,
             },
         );
-        checker.observe(at + 403.0, over(event, Cut::Delivered));
-        checker.observe(at + 403.0, ended(event, Completion::Completed));
+        checker.observe(at + 403.0, attempt_ended(event, AttemptEnd::Delivered));
+        checker.observe(at + 403.0, completed(event, Completion::Completed));
     }
     checker.finish(100_000.0);
-    assert_eq!(checker.breaches(), []);
-    assert_eq!(checker.books(), (50, 50));
-    assert!(checker.kept() <= 3, "{} things are kept", checker.kept());
+    assert_eq!(checker.violations(), []);
+    assert_eq!(
+        checker.event_counts(),
+        EventCounts {
+            accepted: 50,
+            completed: 50
+        }
+    );
+    assert!(
+        checker.retained_entries() <= 3,
+        "{} things are kept",
+        checker.retained_entries()
+    );
 }
 
 #[rstest]
-#[case::two_ends(vec![taken(1, BINDING, None), ended(1, Completion::Rejected), ended(1, Completion::Rejected)], Invariant::OneEnd)]
-#[case::sent_after_its_end(vec![taken(1, BINDING, None), ended(1, Completion::Rejected), sent(1)], Invariant::OneEnd)]
-#[case::taken_twice(vec![taken(1, BINDING, None), taken(1, BINDING, None)], Invariant::OneEnd)]
-#[case::two_sends_out(vec![taken(1, BINDING, None), sent(1), sent(1)], Invariant::NoEffectTwice)]
-#[case::binding_sent_again(vec![taken(1, BINDING, None), sent(1), over(1, Cut::Short), sent(1)], Invariant::NoEffectTwice)]
-#[case::binding_dismissed(vec![taken(1, BINDING, None), sent(1), over(1, Cut::Error), ended(1, Completion::Rejected)], Invariant::NoEffectTwice)]
-#[case::outside_its_group(vec![taken(1, FINGERPRINTED, None), sent(1), over(1, Cut::Short), sent_to(1, 2, 2)], Invariant::NoEffectTwice)]
+#[case::two_completions(vec![accepted(1, NON_IDEMPOTENT, None), completed(1, Completion::Rejected), completed(1, Completion::Rejected)], Invariant::CompletedOnce)]
+#[case::attempted_after_its_completion(vec![accepted(1, NON_IDEMPOTENT, None), completed(1, Completion::Rejected), sent(1)], Invariant::CompletedOnce)]
+#[case::accepted_twice(vec![accepted(1, NON_IDEMPOTENT, None), accepted(1, NON_IDEMPOTENT, None)], Invariant::CompletedOnce)]
+#[case::two_attempts_in_flight(vec![accepted(1, NON_IDEMPOTENT, None), sent(1), sent(1)], Invariant::NoDuplicateEffect)]
+#[case::non_idempotent_event_retried(vec![accepted(1, NON_IDEMPOTENT, None), sent(1), attempt_ended(1, AttemptEnd::CutShort), sent(1)], Invariant::NoDuplicateEffect)]
+#[case::non_idempotent_event_rejected(vec![accepted(1, NON_IDEMPOTENT, None), sent(1), attempt_ended(1, AttemptEnd::Error), completed(1, Completion::Rejected)], Invariant::NoDuplicateEffect)]
+#[case::outside_its_group(vec![accepted(1, DEDUPLICATED, None), sent(1), attempt_ended(1, AttemptEnd::CutShort), sent_to(1, 2, 2)], Invariant::NoDuplicateEffect)]
 #[case::effect_twice(vec![
-    Observation::Applied { event: 1, origin: 7, effect: BINDING },
-    Observation::Applied { event: 2, origin: 7, effect: BINDING },
-], Invariant::NoEffectTwice)]
-#[case::overtaken(vec![taken(1, BINDING, Some(5)), taken(2, BINDING, Some(5)), sent(2)], Invariant::KeyOrder)]
-#[case::key_at_rest(vec![
-    taken(1, BINDING, Some(5)), taken(2, BINDING, Some(5)), sent(1), over(1, Cut::Short), ended(1, Completion::Abandoned), sent(2),
+    Observation::EffectApplied { event: 1, origin: 7, idempotency: NON_IDEMPOTENT },
+    Observation::EffectApplied { event: 2, origin: 7, idempotency: NON_IDEMPOTENT },
+], Invariant::NoDuplicateEffect)]
+#[case::overtaken(vec![accepted(1, NON_IDEMPOTENT, Some(5)), accepted(2, NON_IDEMPOTENT, Some(5)), sent(2)], Invariant::KeyOrder)]
+#[case::key_cooling_down(vec![
+    accepted(1, NON_IDEMPOTENT, Some(5)), accepted(2, NON_IDEMPOTENT, Some(5)), sent(1), attempt_ended(1, AttemptEnd::CutShort), completed(1, Completion::Abandoned), sent(2),
 ], Invariant::KeyOrder)]
-#[case::before_the_notice_was_heard(vec![
-    taken(1, BINDING, Some(5)), taken(2, BINDING, Some(5)),
-    Observation::Ended { forwarder: 1, event: 1, end: Completion::Rejected, by_notice: true }, sent(2),
+#[case::before_the_completion_was_acknowledged(vec![
+    accepted(1, NON_IDEMPOTENT, Some(5)), accepted(2, NON_IDEMPOTENT, Some(5)),
+    Observation::Completed { forwarder: 1, event: 1, completion: Completion::Rejected, by_notification: true }, sent(2),
 ], Invariant::KeyOrder)]
-#[case::told_wait(vec![taken(1, BINDING, None), Observation::Wait { forwarder: 1, lane: 1, until: 900.0 }, sent(1)], Invariant::WaitsHeeded)]
-#[case::ping_in_a_told_wait(vec![
-    Observation::Wait { forwarder: 1, lane: 1, until: 900.0 }, Observation::Pinged { forwarder: 1, target: 1, lane: 1 },
-], Invariant::WaitsHeeded)]
+#[case::within_a_retry_after(vec![accepted(1, NON_IDEMPOTENT, None), Observation::RetryAfterReceived { forwarder: 1, lane: 1, until: 900.0 }, sent(1)], Invariant::RetryAftersRespected)]
+#[case::health_check_within_a_retry_after(vec![
+    Observation::RetryAfterReceived { forwarder: 1, lane: 1, until: 900.0 }, Observation::HealthCheckSent { forwarder: 1, target: 1, lane: 1 },
+], Invariant::RetryAftersRespected)]
 #[case::to_a_draining_target(vec![
-    taken(1, BINDING, None), Observation::Listed { forwarder: 1, target: 1, leaves: true },
-    taken(2, BINDING, None), taken(3, BINDING, None), sent(1),
-], Invariant::DrainsKept)]
-#[case::pushed_over(vec![
-    Observation::OutageBegan { lane: 1 }, Observation::SawFailure { forwarder: 1, lane: 1 },
-    Observation::Tipped { lane: 1, load: vec![(1, 8.0), (2, 2.0)] },
-], Invariant::NotPushedOver)]
-fn a_planted_fault_is_caught(#[case] facts: Vec<Observation>, #[case] rule: Invariant) {
-    assert_eq!(broken(facts), [rule]);
+    accepted(1, NON_IDEMPOTENT, None), Observation::EndpointListed { forwarder: 1, target: 1, is_draining: true },
+    accepted(2, NON_IDEMPOTENT, None), accepted(3, NON_IDEMPOTENT, None), sent(1),
+], Invariant::DrainsRespected)]
+#[case::overloaded_by_informed_forwarders(vec![
+    Observation::OutageBegan { lane: 1 }, Observation::FailureObserved { forwarder: 1, lane: 1 },
+    Observation::Overloaded { lane: 1, load: vec![(1, 8.0), (2, 2.0)] },
+], Invariant::NoOverloadAfterOutage)]
+fn a_planted_violation_is_found(
+    #[case] observations: Vec<Observation>,
+    #[case] invariant: Invariant,
+) {
+    assert_eq!(violated(observations), [invariant]);
 }
 
-/// The same as a fault above, but for the one thing that makes it allowed.
+/// The same as a violation above, but for the one thing that makes it allowed.
 #[rstest]
-#[case::a_wait_for_another_lane(vec![taken(1, BINDING, None), Observation::Wait { forwarder: 1, lane: 2, until: 900.0 }, sent(1)])]
-#[case::a_wait_of_another_forwarder(vec![taken(1, BINDING, None), Observation::Wait { forwarder: 2, lane: 1, until: 900.0 }, sent(1)])]
-#[case::within_the_grace(vec![taken(1, BINDING, None), Observation::Listed { forwarder: 1, target: 1, leaves: true }, sent(1)])]
-#[case::surely_not_run(vec![taken(1, BINDING, None), sent(1), over(1, Cut::NotRun), sent(1)])]
-#[case::its_own_next_send(vec![taken(1, FINGERPRINTED, Some(5)), sent(1), over(1, Cut::Short), sent(1)])]
-#[case::pushed_over_by_strangers(vec![
-    Observation::OutageBegan { lane: 1 }, Observation::SawFailure { forwarder: 1, lane: 1 },
-    Observation::Tipped { lane: 1, load: vec![(1, 2.0), (2, 8.0)] },
+#[case::a_retry_after_for_another_lane(vec![accepted(1, NON_IDEMPOTENT, None), Observation::RetryAfterReceived { forwarder: 1, lane: 2, until: 900.0 }, sent(1)])]
+#[case::a_retry_after_of_another_forwarder(vec![accepted(1, NON_IDEMPOTENT, None), Observation::RetryAfterReceived { forwarder: 2, lane: 1, until: 900.0 }, sent(1)])]
+#[case::within_the_grace(vec![accepted(1, NON_IDEMPOTENT, None), Observation::EndpointListed { forwarder: 1, target: 1, is_draining: true }, sent(1)])]
+#[case::surely_not_executed(vec![accepted(1, NON_IDEMPOTENT, None), sent(1), attempt_ended(1, AttemptEnd::NotExecuted), sent(1)])]
+#[case::its_own_retry(vec![accepted(1, DEDUPLICATED, Some(5)), sent(1), attempt_ended(1, AttemptEnd::CutShort), sent(1)])]
+#[case::overloaded_by_uninformed_forwarders(vec![
+    Observation::OutageBegan { lane: 1 }, Observation::FailureObserved { forwarder: 1, lane: 1 },
+    Observation::Overloaded { lane: 1, load: vec![(1, 2.0), (2, 8.0)] },
 ])]
-fn what_is_allowed_is_no_fault(#[case] facts: Vec<Observation>) {
-    assert_eq!(broken(facts), []);
+fn what_is_allowed_is_no_violation(#[case] observations: Vec<Observation>) {
+    assert_eq!(violated(observations), []);
 }
 
 #[rstest]
-#[case::after_the_window(FINGERPRINTED, 1200.0, 1)]
-#[case::inside_the_window(FINGERPRINTED, 900.0, 0)]
+#[case::after_the_window(DEDUPLICATED, 1200.0, 1)]
+#[case::inside_the_window(DEDUPLICATED, 900.0, 0)]
 #[case::without_a_window(Idempotency::Idempotent, 5000.0, 0)]
-fn a_fingerprint_holds_for_its_window(
-    #[case] effect: Idempotency,
+fn repeats_are_deduplicated_within_the_window(
+    #[case] idempotency: Idempotency,
     #[case] again: Ms,
-    #[case] breaches: usize,
+    #[case] violations: usize,
 ) {
     let mut checker = Checker::new(bounds());
-    checker.observe(0.0, taken(1, effect, None));
+    checker.observe(0.0, accepted(1, idempotency, None));
     checker.observe(0.0, sent(1));
-    checker.observe(100.0, over(1, Cut::Short));
+    checker.observe(100.0, attempt_ended(1, AttemptEnd::CutShort));
     checker.observe(again, sent(1));
-    assert_eq!(checker.breaches().len(), breaches);
+    assert_eq!(checker.violations().len(), violations);
 }
 
 #[rstest]
@@ -195,112 +210,115 @@
 #[case::it_was_halted(vec![(9_000.0, Observation::Halted { forwarder: 1 })], 0)]
 #[case::another_was_halted(vec![(9_000.0, Observation::Halted { forwarder: 2 })], 1)]
 #[case::it_had_time_since(vec![
-    (9_000.0, Observation::Halted { forwarder: 1 }), (11_000.0, Observation::Resumed { forwarder: 1, anew: true }),
+    (9_000.0, Observation::Halted { forwarder: 1 }), (11_000.0, Observation::Resumed { forwarder: 1, is_new_process: true }),
 ], 1)]
-fn an_event_without_an_end_is_found(
-    #[case] facts: Vec<(Ms, Observation)>,
-    #[case] breaches: usize,
+fn an_event_without_a_completion_is_found(
+    #[case] observations: Vec<(Ms, Observation)>,
+    #[case] violations: usize,
 ) {
     let mut checker = Checker::new(bounds());
-    checker.observe(0.0, taken(1, Idempotency::Idempotent, None));
-    facts
-        .into_iter()
-        .for_each(|(at, fact)| checker.observe(at, fact));
+    checker.observe(0.0, accepted(1, Idempotency::Idempotent, None));
+    for (at, observation) in observations {
+        checker.observe(at, observation);
+    }
     checker.finish(14_000.0);
-    assert_eq!(checker.breaches().len(), breaches);
+    assert_eq!(checker.violations().len(), violations);
 }
 
 #[rstest]
-#[case::two_forwarders_send_at_once(vec![taken(1, FINGERPRINTED, None), sent_by(1, 1), sent_by(2, 1)], Invariant::NoEffectTwice)]
-#[case::the_heir_sends_a_binding_event_again(
-    vec![taken(1, BINDING, None), sent_by(1, 1), over(1, Cut::Short), sent_by(2, 1)], Invariant::NoEffectTwice)]
-#[case::the_heir_sends_after_the_end(vec![taken(1, BINDING, None), ended(1, Completion::Abandoned), sent_by(2, 1)], Invariant::OneEnd)]
-#[case::a_second_end_from_the_heir(vec![
-    taken(1, BINDING, None), ended(1, Completion::Abandoned),
-    Observation::Ended { forwarder: 2, event: 1, end: Completion::Abandoned, by_notice: true },
-], Invariant::OneEnd)]
-#[case::overtaken_at_the_heir(vec![taken(1, BINDING, Some(5)), taken(2, BINDING, Some(5)), sent_by(2, 2)], Invariant::KeyOrder)]
-#[case::the_heir_sends_while_the_key_rests(vec![
-    taken(1, BINDING, Some(5)), taken(2, BINDING, Some(5)), sent_by(1, 1), over(1, Cut::Short),
-    ended(1, Completion::Abandoned), sent_by(2, 2),
+#[case::two_forwarders_attempt_at_once(vec![accepted(1, DEDUPLICATED, None), sent_by(1, 1), sent_by(2, 1)], Invariant::NoDuplicateEffect)]
+#[case::the_successor_retries_a_non_idempotent_event(
+    vec![accepted(1, NON_IDEMPOTENT, None), sent_by(1, 1), attempt_ended(1, AttemptEnd::CutShort), sent_by(2, 1)], Invariant::NoDuplicateEffect)]
+#[case::the_successor_attempts_after_the_completion(vec![accepted(1, NON_IDEMPOTENT, None), completed(1, Completion::Abandoned), sent_by(2, 1)], Invariant::CompletedOnce)]
+#[case::a_second_completion_by_the_successor(vec![
+    accepted(1, NON_IDEMPOTENT, None), completed(1, Completion::Abandoned),
+    Observation::Completed { forwarder: 2, event: 1, completion: Completion::Abandoned, by_notification: true },
+], Invariant::CompletedOnce)]
+#[case::overtaken_at_the_successor(vec![accepted(1, NON_IDEMPOTENT, Some(5)), accepted(2, NON_IDEMPOTENT, Some(5)), sent_by(2, 2)], Invariant::KeyOrder)]
+#[case::the_successor_attempts_while_the_key_cools_down(vec![
+    accepted(1, NON_IDEMPOTENT, Some(5)), accepted(2, NON_IDEMPOTENT, Some(5)), sent_by(1, 1), attempt_ended(1, AttemptEnd::CutShort),
+    completed(1, Completion::Abandoned), sent_by(2, 2),
 ], Invariant::KeyOrder)]
-#[case::an_unpromised_binding_event_twice(vec![
-    taken(1, BINDING, None), Observation::Unpromised { event: 1 }, sent_by(1, 1), over(1, Cut::Short), sent_by(2, 1),
-], Invariant::NoEffectTwice)]
-#[case::above_the_budget(vec![
-    Observation::Budget { target: 1, most: 2 }, Observation::Opened { forwarder: 1, target: 1 },
-    Observation::Opened { forwarder: 2, target: 1 }, Observation::Opened { forwarder: 3, target: 1 },
-], Invariant::WithinBudget)]
+#[case::an_unconfirmed_non_idempotent_event_twice(vec![
+    accepted(1, NON_IDEMPOTENT, None), Observation::AcceptanceUnconfirmed { event: 1 }, sent_by(1, 1), attempt_ended(1, AttemptEnd::CutShort), sent_by(2, 1),
+], Invariant::NoDuplicateEffect)]
+#[case::above_the_connection_limit(vec![
+    Observation::ConnectionLimitSet { target: 1, limit: 2 }, Observation::ConnectionOpened { forwarder: 1, target: 1 },
+    Observation::ConnectionOpened { forwarder: 2, target: 1 }, Observation::ConnectionOpened { forwarder: 3, target: 1 },
+], Invariant::WithinConnectionLimit)]
 #[case::two_servers(vec![
-    Observation::Serves { forwarder: 1, subscriber: 4 }, Observation::Serves { forwarder: 2, subscriber: 4 },
-], Invariant::OneServer)]
-#[case::a_stranger_stops(vec![
-    Observation::Serves { forwarder: 1, subscriber: 4 }, Observation::ServesNoMore { forwarder: 2, subscriber: 4 },
-], Invariant::OneServer)]
-fn a_fault_between_forwarders_is_caught(#[case] facts: Vec<Observation>, #[case] rule: Invariant) {
-    assert_eq!(broken(facts), [rule]);
+    Observation::ServiceStarted { forwarder: 1, subscriber: 4 }, Observation::ServiceStarted { forwarder: 2, subscriber: 4 },
+], Invariant::OneServerPerSubscriber)]
+#[case::a_stranger_ends_the_service(vec![
+    Observation::ServiceStarted { forwarder: 1, subscriber: 4 }, Observation::ServiceEnded { forwarder: 2, subscriber: 4 },
+], Invariant::OneServerPerSubscriber)]
+fn a_violation_between_forwarders_is_found(
+    #[case] observations: Vec<Observation>,
+    #[case] invariant: Invariant,
+) {
+    assert_eq!(violated(observations), [invariant]);
 }
 
 #[rstest]
-#[case::the_heir_goes_on_in_order(vec![
-    taken(1, FINGERPRINTED, Some(5)), taken(2, BINDING, Some(5)), sent_by(1, 1), over(1, Cut::Error),
-    sent_by(2, 1), over(1, Cut::Delivered), ended(1, Completion::Completed), sent_by(2, 2),
+#[case::the_successor_goes_on_in_order(vec![
+    accepted(1, DEDUPLICATED, Some(5)), accepted(2, NON_IDEMPOTENT, Some(5)), sent_by(1, 1), attempt_ended(1, AttemptEnd::Error),
+    sent_by(2, 1), attempt_ended(1, AttemptEnd::Delivered), completed(1, Completion::Completed), sent_by(2, 2),
 ])]
-#[case::an_unpromised_event_holds_back_no_other(vec![
-    taken(1, BINDING, Some(5)), Observation::Unpromised { event: 1 }, taken(2, BINDING, Some(5)), sent_by(1, 2),
+#[case::an_unconfirmed_event_holds_back_no_other(vec![
+    accepted(1, NON_IDEMPOTENT, Some(5)), Observation::AcceptanceUnconfirmed { event: 1 }, accepted(2, NON_IDEMPOTENT, Some(5)), sent_by(1, 2),
 ])]
-#[case::a_part_that_moved(vec![
-    Observation::Budget { target: 1, most: 1 }, Observation::Opened { forwarder: 1, target: 1 },
-    Observation::Closed { forwarder: 1, target: 1 }, Observation::Opened { forwarder: 2, target: 1 },
+#[case::a_connection_that_moved(vec![
+    Observation::ConnectionLimitSet { target: 1, limit: 1 }, Observation::ConnectionOpened { forwarder: 1, target: 1 },
+    Observation::ConnectionClosed { forwarder: 1, target: 1 }, Observation::ConnectionOpened { forwarder: 2, target: 1 },
 ])]
 #[case::a_subscriber_that_moved(vec![
-    Observation::Serves { forwarder: 1, subscriber: 4 }, Observation::ServesNoMore { forwarder: 1, subscriber: 4 },
-    Observation::Serves { forwarder: 2, subscriber: 4 },
+    Observation::ServiceStarted { forwarder: 1, subscriber: 4 }, Observation::ServiceEnded { forwarder: 1, subscriber: 4 },
+    Observation::ServiceStarted { forwarder: 2, subscriber: 4 },
 ])]
-fn what_is_allowed_between_forwarders_is_no_fault(#[case] facts: Vec<Observation>) {
-    assert_eq!(broken(facts), []);
+fn what_is_allowed_between_forwarders_is_no_violation(#[case] observations: Vec<Observation>) {
+    assert_eq!(violated(observations), []);
 }
 
 #[rstest]
-#[case::promised_and_not_ended(vec![taken(1, BINDING, None)], &[Invariant::NothingLost])]
-#[case::ended(vec![taken(1, BINDING, None), ended(1, Completion::Rejected)], &[])]
-#[case::never_promised(vec![taken(1, BINDING, None), Observation::Unpromised { event: 1 }], &[])]
+#[case::accepted_and_not_completed(vec![accepted(1, NON_IDEMPOTENT, None)], &[Invariant::NoAcceptedEventLost])]
+#[case::completed(vec![accepted(1, NON_IDEMPOTENT, None), completed(1, Completion::Rejected)], &[])]
+#[case::never_confirmed(vec![accepted(1, NON_IDEMPOTENT, None), Observation::AcceptanceUnconfirmed { event: 1 }], &[])]
 #[case::served_by_nobody(vec![
-    Observation::Serves { forwarder: 1, subscriber: 4 }, Observation::ServesNoMore { forwarder: 1, subscriber: 4 },
-], &[Invariant::OneServer])]
-fn once_all_works_again_all_that_was_promised_has_its_end(
-    #[case] facts: Vec<Observation>,
-    #[case] broken: &[Invariant],
+    Observation::ServiceStarted { forwarder: 1, subscriber: 4 }, Observation::ServiceEnded { forwarder: 1, subscriber: 4 },
+], &[Invariant::OneServerPerSubscriber])]
+fn after_recovery_every_accepted_event_is_completed(
+    #[case] observations: Vec<Observation>,
+    #[case] violated: &[Invariant],
 ) {
     let mut checker = Checker::new(bounds());
-    facts
-        .into_iter()
-        .for_each(|fact| checker.observe(0.0, fact));
-    checker.all_over(100.0);
-    let rules: Vec<Invariant> = checker
-        .breaches()
+    for observation in observations {
+        checker.observe(0.0, observation);
+    }
+    checker.finish_after_recovery(100.0);
+    let invariants: Vec<Invariant> = checker
+        .violations()
         .iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.invariant)
         .collect();
-    assert_eq!(rules, broken);
+    assert_eq!(invariants, violated);
 }
 
-/// With copies a machine that stays gone is no excuse: an heir has what it owed.
+/// With replication a machine that stays gone is no excuse: a successor has what it owed.
 #[rstest]
-#[case::the_heir_has_had_its_time(Some(2_000.0), 13_000.0, 1)]
-#[case::the_heir_has_some_time_left(Some(2_000.0), 11_500.0, 0)]
-#[case::there_are_no_copies(None, 13_000.0, 0)]
-fn a_halted_forwarder_excuses_until_its_heir_has_its_events(
-    #[case] heir_within: Option<Ms>,
+#[case::the_successor_has_had_its_time(Some(2_000.0), 13_000.0, 1)]
+#[case::the_successor_has_some_time_left(Some(2_000.0), 11_500.0, 0)]
+#[case::there_is_no_replication(None, 13_000.0, 0)]
+fn a_halted_forwarder_excuses_until_its_successor_has_its_events(
+    #[case] takeover_within: Option<Ms>,
     #[case] ends: Ms,
-    #[case] breaches: usize,
+    #[case] violations: usize,
 ) {
     let mut checker = Checker::new(Bounds {
-        heir_within,
+        takeover_within,
         ..bounds()
     });
-    checker.observe(0.0, taken(1, Idempotency::Idempotent, None));
+    checker.observe(0.0, accepted(1, Idempotency::Idempotent, None));
     checker.observe(9_500.0, Observation::Halted { forwarder: 1 });
-    checker.observe(ends, ended(1, Completion::Abandoned));
-    assert_eq!(checker.breaches().len(), breaches);
+    checker.observe(ends, completed(1, Completion::Abandoned));
+    assert_eq!(checker.violations().len(), violations);
 }
--- a/forwarder/process-tests/src/verdict.rs
+++ b/forwarder/process-tests/src/verdict.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use plankhill_invariants::{
-    Bounds, Checker, Completion, Cut, Idempotency, Ms, Observation, Violation,
+    AttemptEnd, Bounds, Checker, Completion, Idempotency, Ms, Observation, Violation,
 };
 
 use crate::book::{self, Book, Seen};
@@ -53,28 +53,30 @@
     let mut facts = std::mem::take(&mut story.facts);
     facts.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut checker = Checker::new(Bounds {
-        after_halt: LATE,
-        heir_within,
+        resumption_grace: LATE,
+        takeover_within: heir_within,
         ..Bounds::default()
     });
     facts
         .into_iter()
         .for_each(|(at, fact)| checker.observe(at, fact));
-    checker.all_over(book.now());
-    let (taken, ended) = checker.books();
+    checker.finish_after_recovery(book.now());
+    let counts = checker.event_counts();
     eprintln!(
-        "{taken} events handed in, {ended} ended, {} calls",
+        "{} events handed in, {} ended, {} calls",
+        counts.accepted,
+        counts.completed,
         story.calls.len()
     );
     let ids = book.ids();
-    for breach in checker.breaches().iter().take(10) {
+    for breach in checker.violations().iter().take(10) {
         eprintln!(
             "{:.1} ms: {}: {}",
             breach.at,
-            breach.rule.name(),
-            breach.what
+            breach.invariant.name(),
+            breach.description
         );
-        let after = breach.what.split("event ").nth(1).unwrap_or_default();
+        let after = breach.description.split("event ").nth(1).unwrap_or_default();
         let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
         let Ok(event) = digits.parse() else { continue };
         eprintln!("    event {event} is {:?}", ids.get(&event));
@@ -83,7 +85,7 @@
             .filter(|(_, seen)| of_event(seen))
             .for_each(|(at, seen)| eprintln!("    {at:9.1} {seen:?}"));
     }
-    checker.breaches().to_vec()
+    checker.violations().to_vec()
 }
 
 impl Story {
@@ -135,10 +137,10 @@
                 let (forwarder, target) = (instance as u32, target as u32);
                 self.facts.push((
                     at,
-                    Observation::Listed {
+                    Observation::EndpointListed {
                         forwarder,
                         target,
-                        leaves,
+                        is_draining: leaves,
                     },
                 ));
             }
@@ -166,7 +168,7 @@
                     at,
                     Observation::Resumed {
                         forwarder: instance as u32,
-                        anew,
+                        is_new_process: anew,
                     },
                 ));
             }
@@ -184,7 +186,7 @@
             let (forwarder, event, target) = (call.instance as u32, call.event, call.target as u32);
             facts.push((
                 call.began,
-                Observation::Sent {
+                Observation::AttemptSent {
                     forwarder,
                     event,
                     target,
@@ -198,23 +200,23 @@
             let cut = match call.replied {
                 Some((at, 200)) if read => {
                     sure.entry(event).or_insert((at, call.instance));
-                    Cut::Delivered
+                    AttemptEnd::Delivered
                 }
                 Some((at, 200)) => {
                     let last = maybe.entry(event).or_insert((at, call.instance));
                     last.0 = last.0.max(at);
-                    Cut::Short
+                    AttemptEnd::CutShort
                 }
-                Some((_, 503)) => Cut::NotRun,
-                Some(_) => Cut::Error,
-                None => Cut::Short,
+                Some((_, 503)) => AttemptEnd::NotExecuted,
+                Some(_) => AttemptEnd::Error,
+                None => AttemptEnd::CutShort,
             };
             facts.push((
                 self.over_at(call),
-                Observation::SendOver {
+                Observation::AttemptEnded {
                     forwarder,
                     event,
-                    cut,
+                    outcome: cut,
                 },
             ));
         }
@@ -243,17 +245,17 @@
                     let key = key.map(|key| key + LIVES * lives.count() as u64);
                     facts.push((
                         *at,
-                        Observation::Taken {
+                        Observation::Accepted {
                             forwarder,
                             event,
                             origin,
-                            effect,
+                            idempotency: effect,
                             key,
-                            patience_ends,
+                            deadline: patience_ends,
                         },
                     ));
                     if self.unheard.contains(&event) {
-                        facts.push((*at, Observation::Unpromised { event }));
+                        facts.push((*at, Observation::AcceptanceUnconfirmed { event }));
                     }
                     let ran = |call: &&Call| {
                         call.event == event && !matches!(call.replied, Some((_, 503)))
@@ -266,10 +268,10 @@
                     facts.extend(whole.map(|at| {
                         (
                             at,
-                            Observation::Applied {
+                            Observation::EffectApplied {
                                 event,
                                 origin,
-                                effect,
+                                idempotency: effect,
                             },
                         )
                     }));
@@ -282,11 +284,11 @@
                     };
                     facts.push((
                         *at,
-                        Observation::Ended {
+                        Observation::Completed {
                             forwarder: 0,
                             event,
-                            end,
-                            by_notice: false,
+                            completion: end,
+                            by_notification: false,
                         },
                     ));
                 }
@@ -300,14 +302,14 @@
                     };
                     facts.push((
                         *at,
-                        Observation::Ended {
+                        Observation::Completed {
                             forwarder: 0,
                             event,
-                            end,
-                            by_notice: true,
+                            completion: end,
+                            by_notification: true,
                         },
                     ));
-                    facts.push((*at, Observation::Heard { event }));
+                    facts.push((*at, Observation::CompletionAcknowledged { event }));
                 }
                 _ => (),
             }
@@ -319,11 +321,11 @@
             let forwarder = instance as u32;
             facts.push((
                 at,
-                Observation::Ended {
+                Observation::Completed {
                     forwarder,
                     event,
-                    end: Completion::Completed,
-                    by_notice: false,
+                    completion: Completion::Completed,
+                    by_notification: false,
                 },
             ));
         }
--- a/forwarder/process-tests/tests/verdict.rs
+++ b/forwarder/process-tests/tests/verdict.rs
@@ -49,16 +49,16 @@
 
 #[rstest]
 #[case::delivered(vec![called(1, 0, 200)], &[])]
-#[case::lost(vec![], &[Invariant::NothingLost])]
-#[case::two_ends(vec![called(1, 0, 200), given_up()], &[Invariant::OneEnd])]
+#[case::lost(vec![], &[Invariant::NoAcceptedEventLost])]
+#[case::two_ends(vec![called(1, 0, 200), given_up()], &[Invariant::CompletedOnce])]
 #[case::an_answer_that_was_never_read(vec![called(1, 0, 200), hindered(), given_up()], &[])]
 #[case::given_up_as_it_was_answered(vec![called(1, 0, 200), vec![Seen::Gone { call: 1 }], given_up()], &[])]
 #[case::told_twice(vec![called(1, 0, 500), given_up(), given_up()], &[])]
-#[case::by_the_heir_again(vec![called(1, 0, 500), called(2, 1, 200)], &[Invariant::NoEffectTwice, Invariant::NoEffectTwice])]
+#[case::by_the_heir_again(vec![called(1, 0, 500), called(2, 1, 200)], &[Invariant::NoDuplicateEffect, Invariant::NoDuplicateEffect])]
 #[case::turned_away_first(vec![called(1, 0, 503), called(2, 1, 200)], &[])]
-#[case::after_its_end(vec![called(1, 0, 500), given_up(), called(2, 1, 503)], &[Invariant::OneEnd, Invariant::OneEnd])]
+#[case::after_its_end(vec![called(1, 0, 500), given_up(), called(2, 1, 503)], &[Invariant::CompletedOnce, Invariant::CompletedOnce])]
 #[case::while_one_is_out(vec![vec![began(1, 0), Seen::Whole { call: 1 }], called(2, 1, 503)],
-    &[Invariant::NoEffectTwice, Invariant::NothingLost])]
+    &[Invariant::NoDuplicateEffect, Invariant::NoAcceptedEventLost])]
 fn a_planted_fault_is_caught(#[case] after: Vec<Vec<Seen>>, #[case] rules: &[Invariant]) {
     let book = Book::default();
     let all = [ASKED, TAKEN]
@@ -68,7 +68,7 @@
         .for_each(|(at, seen)| book.note_at(at as f64, seen));
     let broken: Vec<Invariant> = breaches(&book, None)
         .iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.invariant)
         .collect();
     assert_eq!(broken, rules);
 }
@@ -78,7 +78,7 @@
 #[rstest]
 #[case::still_out(vec![began(2, 0), Seen::Whole { call: 2 }], &[])]
 #[case::delivered(called(2, 0, 200), &[])]
-#[case::failed(called(2, 0, 500), &[Invariant::NothingLost])]
+#[case::failed(called(2, 0, 500), &[Invariant::NoAcceptedEventLost])]
 fn an_event_is_sent_again_whose_answer_was_never_read(
     #[case] after: Vec<Seen>,
     #[case] rules: &[Invariant],
@@ -102,7 +102,7 @@
         .for_each(|(at, seen)| book.note_at(at as f64, seen));
     let broken: Vec<Invariant> = breaches(&book, None)
         .iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.invariant)
         .collect();
     assert_eq!(broken, rules);
 }
@@ -119,14 +119,14 @@
     world.start(0);
     let broken = breaches(&world.book, None);
     assert_eq!(
-        broken.iter().map(|breach| breach.rule).collect::<Vec<_>>(),
-        [Invariant::NothingLost]
+        broken.iter().map(|violation| violation.invariant).collect::<Vec<_>>(),
+        [Invariant::NoAcceptedEventLost]
     );
 }
 
 #[rstest]
 #[case::within_the_grace(200.0, &[])]
-#[case::long_after(2_000.0, &[Invariant::DrainsKept])]
+#[case::long_after(2_000.0, &[Invariant::DrainsRespected])]
 fn a_call_to_a_target_that_leaves_is_found(#[case] at: f64, #[case] rules: &[Invariant]) {
     let book = Book::default();
     let listed = Seen::Listed {
@@ -142,7 +142,7 @@
         .for_each(|seen| book.note_at(at, seen));
     let broken: Vec<Invariant> = breaches(&book, None)
         .iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.invariant)
         .collect();
     assert_eq!(broken, rules);
 }
