--- a/tier/control/tests/tables.rs
+++ b/tier/control/tests/tables.rs
@@ -43,7 +43,8 @@
             if random.arbitrary()? {
                 let (from, to) = (held.revision, Revision(step));
                 let changes = diff_tables(&sent, &state);
-                assert!(held.apply(TablesUpdate::Changes { from, to, changes }));
+                let update = TablesUpdate::Changes { from, to, changes };
+                assert_eq!(held.apply(update), Ok(()));
                 assert_eq!(held, build_tables(&state, to));
                 sent = state.clone();
             }
--- a/tier/controller/src/feed/session.rs
+++ b/tier/controller/src/feed/session.rs
@@ -2,12 +2,14 @@
 
 use std::fmt;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use plankhill_control::Operation;
 use plankhill_protocol::feed::{FromSubscriber, Subscriber, ToSubscriber};
-use plankhill_protocol::transport::{Connection, FrameReader, FrameWriter, TransportError};
+use plankhill_protocol::ids::StoreEpoch;
+use plankhill_protocol::transport::{Connection, FrameReader, FrameWriter};
 use tokio::time::timeout;
 
 use super::registrar::Registrar;
@@ -22,7 +24,8 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// A subscriber that sends no first message in this time is disconnected.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A subscriber that reads nothing for this long is disconnected; it comes back with the revision that it holds.
+/// A subscriber that reads nothing for this long is disconnected; it comes back with the revision
+/// that it holds.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A subscriber that sends nothing for this long is disconnected: it answers every heartbeat.
 const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
@@ -72,10 +75,15 @@
 /// Why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SessionEnd {
+    /// The subscriber said that it leaves, or sent a message that only begins a connection.
     Unsubscribed,
+    /// The connection ended, or a message could not be read.
     ConnectionClosed,
+    /// The connection broke, or the subscriber reads nothing.
     WriteFailed,
+    /// The subscriber sends nothing.
     ReadTimedOut,
+    /// This process ends.
     ControllerStopped,
 }
 
@@ -91,13 +99,8 @@
     }
 }
 
-/// Whether a session goes on after a message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Continuation {
-    Continue,
-    End,
-}
-
+/// The state of one subscription. The session owns the connection and everything that belongs to
+/// it; dropping the session ends the subscription.
 struct Session<L: ControlLog> {
     controller: Rc<Controller<L>>,
     writer: FrameWriter,
@@ -117,13 +120,13 @@
     async fn run(mut self, reader: FrameReader) -> SessionEnd {
         let mut newest_revision = self.controller.watch_revision();
         let mut current = self.controller.log().watch_current();
-        let mut receiving = Box::pin(receive(reader));
+        let mut receiving = Box::pin(reader.into_next());
         self.record_received();
         loop {
             newest_revision.borrow_and_update();
             self.registrar.register_if_missing(&self.controller);
-            if self.send_due().await.is_err() {
-                return SessionEnd::WriteFailed;
+            if let Err(end) = self.send_due().await {
+                return end;
             }
             if self.last_received.elapsed() > READ_TIMEOUT {
                 return SessionEnd::ReadTimedOut;
@@ -134,10 +137,10 @@
                         return SessionEnd::ConnectionClosed;
                     };
                     self.record_received();
-                    if self.handle(message) == Continuation::End {
-                        return SessionEnd::Unsubscribed;
+                    if let ControlFlow::Break(end) = self.handle(message) {
+                        return end;
                     }
-                    receiving = Box::pin(receive(reader));
+                    receiving = Box::pin(reader.into_next());
                 }
                 changed = newest_revision.changed() => {
                     if changed.is_err() {
@@ -160,67 +163,70 @@
         }
     }
 
-    fn handle(&mut self, message: FromSubscriber) -> Continuation {
+    fn handle(&mut self, message: FromSubscriber) -> ControlFlow<SessionEnd> {
         match message {
             FromSubscriber::Applied(revision) => self.guard.record_applied(revision),
             FromSubscriber::RequestSnapshot => self.updates.request_snapshot(),
-            FromSubscriber::StoreSynced(epoch) => {
-                if let Some(MachineIncarnation { node, incarnation }) = self.machine.clone() {
-                    let synced = Operation::StoreSynced {
-                        node,
-                        incarnation,
-                        epoch,
-                    };
-                    self.controller.propose_detached(synced);
-                }
-            }
+            FromSubscriber::StoreSynced(epoch) => self.propose_synced(epoch),
             FromSubscriber::SuspectPeer(node) => {
                 tracing::info!(%node, "peer suspected by an agent");
             }
-            FromSubscriber::Deregister => {
-                self.deregister_edge();
-                return Continuation::End;
-            }
-            FromSubscriber::Drained { number } => {
-                if let Subscriber::Edge(edge) = self.registrar.subscriber() {
-                    let drained = Operation::EdgeDrained {
-                        node: edge.node.clone(),
-                        number,
-                    };
-                    self.controller.propose_detached(drained);
-                }
-            }
+            FromSubscriber::Drained { number } => self.propose_drained(number),
             FromSubscriber::HeartbeatsOnly => self.updates.pause(),
             FromSubscriber::ResumeUpdates { held_revision } => self.updates.resume(held_revision),
+            FromSubscriber::Deregister => {
+                self.propose_deregistration();
+                return ControlFlow::Break(SessionEnd::Unsubscribed);
+            }
             // Only the first message of a connection may be one.
-            FromSubscriber::Subscribe { .. } => return Continuation::End,
+            FromSubscriber::Subscribe { .. } => {
+                return ControlFlow::Break(SessionEnd::Unsubscribed);
+            }
         }
-        Continuation::Continue
+        ControlFlow::Continue(())
     }
 
-    fn deregister_edge(&self) {
+    fn propose_synced(&self, epoch: StoreEpoch) {
+        if let Some(MachineIncarnation { node, incarnation }) = self.machine.clone() {
+            self.controller.propose_detached(Operation::StoreSynced {
+                node,
+                incarnation,
+                epoch,
+            });
+        }
+    }
+
+    fn propose_drained(&self, number: u64) {
         if let Subscriber::Edge(edge) = self.registrar.subscriber() {
             let node = edge.node.clone();
-            let deregister = Operation::DeregisterEdge {
-                node,
+            self.controller
+                .propose_detached(Operation::EdgeDrained { node, number });
+        }
+    }
+
+    fn propose_deregistration(&self) {
+        if let Subscriber::Edge(edge) = self.registrar.subscriber() {
+            self.controller.propose_detached(Operation::DeregisterEdge {
+                node: edge.node.clone(),
                 incarnation: edge.incarnation,
-            };
-            self.controller.propose_detached(deregister);
+            });
         }
     }
 
-    /// Sends the update that the subscriber lacks and, after an update or when one is due, a heartbeat.
+    /// Sends the update that the subscriber lacks and, after an update or when one is due, a
+    /// heartbeat.
     ///
-    /// Updates wait until this controller is current: before that they may be old, and when all machines come back
-    /// together the snapshots of all subscribers would delay what the controllers send each other.
-    async fn send_due(&mut self) -> Result<(), WriteFailed> {
+    /// Updates wait until this controller is current: before that they may be old, and when all
+    /// machines come back together the snapshots of all subscribers would delay what the
+    /// controllers send each other.
+    async fn send_due(&mut self) -> Result<(), SessionEnd> {
         let messages = self.due_messages();
         if messages.is_empty() {
             return Ok(());
         }
         match timeout(WRITE_TIMEOUT, self.writer.send_all(&messages)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(WriteFailed),
+            Ok(Err(_)) | Err(_) => Err(SessionEnd::WriteFailed),
         }
     }
 
@@ -260,13 +266,3 @@
         Some(addresses)
     }
 }
-
-/// The connection broke, or the subscriber reads nothing.
-struct WriteFailed;
-
-/// Receives one message. The reader comes back with it, so that the call can go on over several iterations of a loop:
-/// reading is not cancel-safe.
-async fn receive(mut reader: FrameReader) -> (FrameReader, Result<FromSubscriber, TransportError>) {
-    let message = reader.next().await;
-    (reader, message)
-}
--- a/tier/conversations/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -1,106 +1,21 @@
-//! The bytes of all that goes over a connection to a store, as they have always been: between a proxy and a store,
-//! and between two stores. The expected bytes lie in `wire_format/` and never change.
+//! The bytes of all messages on a connection to a store, between a proxy and a store and between two stores. The
+//! expected bytes are in `wire_format/` and never change; their labels are the names of the text that wrote them.
 
 mod pins;
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 
+use pins::values::{
+    account, location, member, previous, program, record, retained_turn, turn, turn_update, view,
+};
 use pins::{chain, Pins};
-use plankhill_conversations::account::{Account, TurnState};
-use plankhill_conversations::index::{Index, TurnEntry};
 use plankhill_conversations::peer::{
-    EndedTurn, KeptTurn, PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest,
-    ProgramOutline, StoreSet,
-};
-use plankhill_conversations::wire::{StoreAnswer, StoreRequest};
-use plankhill_protocol::ids::{Incarnation, NodeId, ProgramId, RequestId, StoreEpoch, ZoneName};
-use plankhill_protocol::store_calls::{
-    Reservation, StoreCall, StoreReply, TurnLocation, TurnRecord,
+    PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, StoreSet,
 };
-use plankhill_protocol::tables::{StoreMember, StoreView};
-
-fn program() -> ProgramId {
-    ProgramId::from("program-1")
-}
-
-fn turn() -> RequestId {
-    RequestId::from("turn-2")
-}
-
-fn previous() -> RequestId {
-    RequestId::from("turn-1")
-}
-
-fn place() -> TurnLocation {
-    TurnLocation {
-        turn: previous(),
-        program: ProgramId::from("program-0"),
-    }
-}
-
-fn record() -> TurnRecord {
-    TurnRecord {
-        turn: turn(),
-        program: program(),
-        previous: Some(place()),
-        input: Arc::from(*b"the input\n"),
-        output: Arc::from(*b"the output\n"),
-        retention_ms: 86_400_000,
-    }
-}
-
-fn kept() -> KeptTurn {
-    KeptTurn {
-        record: Arc::new(record()),
-        remaining_ms: 3_600_001,
-    }
-}
-
-fn ended() -> EndedTurn {
-    EndedTurn {
-        program: program(),
-        turn: turn(),
-        state: Some(TurnState::Settled { tokens: 1_234 }),
-        kept: Some(kept()),
-    }
-}
-
-fn member(number: u8) -> StoreMember {
-    StoreMember {
-        node: NodeId::from(format!("store-{number}").as_str()),
-        incarnation: Incarnation(0x0123_4567_89ab_cdef + u64::from(number)),
-        address: SocketAddr::from(([10, 0, 0, number], 7_000)),
-        zone: ZoneName::from(format!("zone-{number}").as_str()),
-    }
-}
-
-fn view() -> StoreView {
-    StoreView {
-        epoch: StoreEpoch(300),
-        serving: vec![member(1), member(2)],
-        next: Some(vec![member(2), member(3)]),
-        tolerated_faults: 2,
-    }
-}
-
-/// An account that holds a turn in each state.
-fn account() -> Account {
-    let mut account = Account::default();
-    for (number, state) in chain(next_turn_state).into_iter().enumerate() {
-        account.merge(&RequestId::from(format!("turn-{number}").as_str()), state);
-    }
-    account
-}
-
-fn next_turn_state(last: Option<&TurnState>) -> Option<TurnState> {
-    match last {
-        None => Some(TurnState::Reserved { most: 70_000 }),
-        Some(TurnState::Reserved { .. }) => Some(TurnState::Refused),
-        Some(TurnState::Refused) => Some(TurnState::Settled { tokens: 1_234 }),
-        Some(TurnState::Settled { .. }) => None,
-    }
-}
+use plankhill_conversations::turn_index::{TurnEntry, TurnIndex};
+use plankhill_conversations::wire::{StoreRequest, StoreResponse};
+use plankhill_protocol::ids::{ProgramId, StoreEpoch};
+use plankhill_protocol::store_calls::{Reservation, StoreCall, StoreReply};
 
 fn next_store_set(last: Option<&StoreSet>) -> Option<StoreSet> {
     match last {
@@ -115,23 +30,25 @@
         None => Some(PeerRequest::Reserve {
             program: program(),
             turn: turn(),
-            most: 70_000,
+            max_tokens: 70_000,
             previous: Some(previous()),
         }),
-        Some(PeerRequest::Reserve { .. }) => Some(PeerRequest::End(ended())),
-        Some(PeerRequest::End(_)) => Some(PeerRequest::Chain { turn: turn() }),
-        Some(PeerRequest::Chain { .. }) => Some(PeerRequest::Locate { turn: turn() }),
-        Some(PeerRequest::Locate { .. }) => Some(PeerRequest::Extend {
+        Some(PeerRequest::Reserve { .. }) => Some(PeerRequest::EndTurn(turn_update())),
+        Some(PeerRequest::EndTurn(_)) => Some(PeerRequest::ReadChain { turn: turn() }),
+        Some(PeerRequest::ReadChain { .. }) => Some(PeerRequest::LocateTurn { turn: turn() }),
+        Some(PeerRequest::LocateTurn { .. }) => Some(PeerRequest::ExtendRetention {
             turn: turn(),
-            keep_ms: 60_000,
+            retention_ms: 60_000,
         }),
-        Some(PeerRequest::Extend { .. }) => Some(PeerRequest::Repair(vec![ended(), ended()])),
-        Some(PeerRequest::Repair(_)) => Some(PeerRequest::KeepHint {
+        Some(PeerRequest::ExtendRetention { .. }) => {
+            Some(PeerRequest::Repair(vec![turn_update(), turn_update()]))
+        }
+        Some(PeerRequest::Repair(_)) => Some(PeerRequest::StoreHint {
             node: member(3).node,
             program: program(),
             turn: turn(),
         }),
-        Some(PeerRequest::KeepHint { .. }) => Some(PeerRequest::ListPrograms {
+        Some(PeerRequest::StoreHint { .. }) => Some(PeerRequest::ListPrograms {
             set: StoreSet::Next,
             store: member(3),
             after: Some(program()),
@@ -142,24 +59,24 @@
         Some(PeerRequest::OutlinePrograms { .. }) => Some(PeerRequest::FetchTurns {
             turns: vec![previous(), turn()],
         }),
-        Some(PeerRequest::FetchTurns { .. }) => Some(PeerRequest::TakeView(view())),
-        Some(PeerRequest::TakeView(_)) => None,
+        Some(PeerRequest::FetchTurns { .. }) => Some(PeerRequest::InstallView(view())),
+        Some(PeerRequest::InstallView(_)) => None,
     }
 }
 
 fn peer_request_name(request: &PeerRequest) -> &'static str {
     match request {
         PeerRequest::Reserve { .. } => "Reserve",
-        PeerRequest::End(_) => "End",
-        PeerRequest::Chain { .. } => "Chain",
-        PeerRequest::Locate { .. } => "Locate",
-        PeerRequest::Extend { .. } => "Extend",
+        PeerRequest::EndTurn(_) => "End",
+        PeerRequest::ReadChain { .. } => "Chain",
+        PeerRequest::LocateTurn { .. } => "Locate",
+        PeerRequest::ExtendRetention { .. } => "Extend",
         PeerRequest::Repair(_) => "Repair",
-        PeerRequest::KeepHint { .. } => "KeepHint",
+        PeerRequest::StoreHint { .. } => "KeepHint",
         PeerRequest::ListPrograms { .. } => "ListPrograms",
         PeerRequest::OutlinePrograms { .. } => "OutlinePrograms",
         PeerRequest::FetchTurns { .. } => "FetchTurns",
-        PeerRequest::TakeView(_) => "TakeView",
+        PeerRequest::InstallView(_) => "TakeView",
     }
 }
 
@@ -169,11 +86,11 @@
         Some(PeerResponse::Account(_)) => Some(PeerResponse::Done),
         Some(PeerResponse::Done) => Some(PeerResponse::Chain {
             turns: vec![Arc::new(record())],
-            rest: Some(place()),
+            rest: Some(location()),
         }),
-        Some(PeerResponse::Chain { .. }) => Some(PeerResponse::Located),
-        Some(PeerResponse::Located) => Some(PeerResponse::NotHere),
-        Some(PeerResponse::NotHere) => Some(PeerResponse::Programs(vec![ProgramDigest {
+        Some(PeerResponse::Chain { .. }) => Some(PeerResponse::TurnPresent),
+        Some(PeerResponse::TurnPresent) => Some(PeerResponse::TurnAbsent),
+        Some(PeerResponse::TurnAbsent) => Some(PeerResponse::Programs(vec![ProgramDigest {
             program: program(),
             digest: 0xfedc_ba98_7654_3210,
         }])),
@@ -182,11 +99,13 @@
             account: account(),
             turns: vec![previous(), turn()],
         }])),
-        Some(PeerResponse::Outlines(_)) => Some(PeerResponse::Turns(vec![kept(), kept()])),
-        Some(PeerResponse::Turns(_)) => Some(PeerResponse::OldEpoch(view())),
-        Some(PeerResponse::OldEpoch(_)) => Some(PeerResponse::Behind),
-        Some(PeerResponse::Behind) => Some(PeerResponse::Unable),
-        Some(PeerResponse::Unable) => None,
+        Some(PeerResponse::Outlines(_)) => {
+            Some(PeerResponse::Turns(vec![retained_turn(), retained_turn()]))
+        }
+        Some(PeerResponse::Turns(_)) => Some(PeerResponse::StaleEpoch(view())),
+        Some(PeerResponse::StaleEpoch(_)) => Some(PeerResponse::ReceiverStale),
+        Some(PeerResponse::ReceiverStale) => Some(PeerResponse::Unavailable),
+        Some(PeerResponse::Unavailable) => None,
     }
 }
 
@@ -195,14 +114,14 @@
         PeerResponse::Account(_) => "Account",
         PeerResponse::Done => "Done",
         PeerResponse::Chain { .. } => "Chain",
-        PeerResponse::Located => "Located",
-        PeerResponse::NotHere => "NotHere",
+        PeerResponse::TurnPresent => "Located",
+        PeerResponse::TurnAbsent => "NotHere",
         PeerResponse::Programs(_) => "Programs",
         PeerResponse::Outlines(_) => "Outlines",
         PeerResponse::Turns(_) => "Turns",
-        PeerResponse::OldEpoch(_) => "OldEpoch",
-        PeerResponse::Behind => "Behind",
-        PeerResponse::Unable => "Unable",
+        PeerResponse::StaleEpoch(_) => "OldEpoch",
+        PeerResponse::ReceiverStale => "Behind",
+        PeerResponse::Unavailable => "Unable",
     }
 }
 
@@ -240,7 +159,7 @@
     match last {
         None => Some(StoreReply::Begun {
             history: Arc::from(*b"a history"),
-            previous: Some(place()),
+            previous: Some(location()),
         }),
         Some(StoreReply::Begun { .. }) => Some(StoreReply::BudgetExhausted),
         Some(StoreReply::BudgetExhausted) => Some(StoreReply::NoSuchTurn),
@@ -284,18 +203,18 @@
 }
 
 /// All answers, with the names of their lines.
-fn answers() -> Vec<(String, StoreAnswer)> {
+fn answers() -> Vec<(String, StoreResponse)> {
     let to_proxies = chain(next_store_reply).into_iter().map(|reply| {
         (
             format!("Proxy.{}", store_reply_name(&reply)),
-            StoreAnswer::Proxy(reply),
+            StoreResponse::Proxy(reply),
         )
     });
     let to_peers = chain(next_peer_response).into_iter().map(|body| {
         let name = format!("Peer.{}", peer_response_name(&body));
         (
             name,
-            StoreAnswer::Peer(PeerReply {
+            StoreResponse::Peer(PeerReply {
                 incarnation: member(1).incarnation,
                 body,
             }),
@@ -327,7 +246,7 @@
     let mut pins = Pins::parse(include_str!("wire_format/answers.txt"));
     for (name, answer) in answers() {
         match &answer {
-            StoreAnswer::Proxy(_) | StoreAnswer::Peer(_) => pins.check(&name, &answer),
+            StoreResponse::Proxy(_) | StoreResponse::Peer(_) => pins.check(&name, &answer),
         }
     }
     pins.finish();
@@ -337,13 +256,13 @@
 #[test]
 fn digests_of_programs_keep_their_values() {
     let mut pins = Pins::parse(include_str!("wire_format/digests.txt"));
-    let mut index = Index::default();
+    let mut index = TurnIndex::default();
     pins.check("NoAccountNoTurns", &index.digest(&program()));
     for (turn, state) in account().turns() {
         index.merge_state(&program(), turn, state, 1_000);
     }
     pins.check("AccountOfThreeStates", &index.digest(&program()));
-    index.keep(&turn(), TurnEntry::new(&record(), 5_000));
+    index.retain(&turn(), TurnEntry::new(&record(), 5_000));
     pins.check("AccountAndOneTurn", &index.digest(&program()));
     pins.finish();
 }
--- a/tier/proxy/tests/support/round_robin.rs
+++ b/tier/proxy/tests/support/round_robin.rs
@@ -1,15 +1,16 @@
-//! Targets in turns: stands in for the dispatcher.
+//! TargetClient in turns: stands in for the dispatcher.
 
 use std::collections::{HashMap, VecDeque};
 
 use plankhill_dispatch::retry::Attempts;
 use plankhill_dispatch::{
-    AttemptOutcome, Command, Ended, Ms, NewRequest, PingAnswer, RequestKey, UpstreamLoad,
+    AttemptOutcome, AttemptResult, Command, HealthCheckResult, Ms, NewRequest, RequestKey,
+    UpstreamLoad,
 };
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
 
-use plankhill_proxy::decisions::Decisions;
+use plankhill_proxy::dispatch::Dispatch;
 use plankhill_proxy::snapshot::Snapshot;
 
 /// What refused clients are told, in milliseconds.
@@ -41,9 +42,9 @@
                 target: target.id.clone(),
                 address: target.address,
                 deadline: request.deadline,
-                priority: request.priority,
+                priority: request.route_priority,
             }),
-            None => self.commands.push_back(Command::Refuse {
+            None => self.commands.push_back(Command::Reject {
                 request: key,
                 retry_after: RETRY_AFTER,
             }),
@@ -51,40 +52,48 @@
     }
 }
 
-impl Decisions for RoundRobin {
-    fn tables_changed(&mut self, snapshot: &Snapshot) {
+impl Dispatch for RoundRobin {
+    fn on_tables_changed(&mut self, snapshot: &Snapshot) {
         self.targets.clone_from(&snapshot.tables.targets);
     }
 
-    fn request(&mut self, _now: Ms, request: NewRequest) {
+    fn enqueue(&mut self, _now: Ms, request: NewRequest) {
         let key = request.key;
         self.requests.insert(key, (request, Attempts::default()));
         self.send(key);
     }
 
-    fn withdrawn(&mut self, request: RequestKey) {
+    fn cancel(&mut self, request: RequestKey) {
         self.requests.remove(&request);
     }
 
-    fn ended(&mut self, _now: Ms, key: RequestKey, _target: &InstanceId, ended: Ended) {
+    fn on_attempt_ended(
+        &mut self,
+        _now: Ms,
+        key: RequestKey,
+        _target: &InstanceId,
+        result: AttemptResult,
+    ) {
         let Some((request, attempts)) = self.requests.get_mut(&key) else {
             return;
         };
-        attempts.count(ended.fate);
-        if ended.fate == AttemptOutcome::Delivered || ended.fate == AttemptOutcome::Cancelled {
+        attempts.record(result.outcome);
+        if result.outcome == AttemptOutcome::Delivered
+            || result.outcome == AttemptOutcome::Cancelled
+        {
             self.requests.remove(&key);
-        } else if attempts.allow_another(request.repeats, request.max_attempts) {
+        } else if attempts.allows_another(request.idempotency, request.max_attempts) {
             self.send(key);
         } else {
-            let may_have_run = attempts.may_have_run();
+            let may_have_run = attempts.may_have_executed();
             self.requests.remove(&key);
             self.commands.push_back(if may_have_run {
                 Command::Fail {
                     request: key,
-                    last: ended.fate,
+                    last: result.outcome,
                 }
             } else {
-                Command::Refuse {
+                Command::Reject {
                     request: key,
                     retry_after: RETRY_AFTER,
                 }
@@ -92,11 +101,11 @@
         }
     }
 
-    fn pinged(&mut self, _target: &InstanceId, _answer: PingAnswer) {}
+    fn on_health_check_ended(&mut self, _target: &InstanceId, _result: HealthCheckResult) {}
 
-    fn load_seen(&mut self, _now: Ms, _target: &InstanceId, _load: UpstreamLoad) {}
+    fn on_load_reported(&mut self, _now: Ms, _target: &InstanceId, _load: UpstreamLoad) {}
 
-    fn commands(&mut self, _now: Ms) -> Vec<Command> {
+    fn poll_commands(&mut self, _now: Ms) -> Vec<Command> {
         self.commands.drain(..).collect()
     }
 }
