--- a/forwarder/http1/src/chunks.rs
+++ b/forwarder/http1/src/chunks.rs
@@ -1,28 +1,39 @@
-//! A body in chunks, decoded in place as it comes in.
+//! A body in chunks (RFC 9112, section 7.1), decoded in place as it comes in.
 
 use crate::Malformed;
 
-/// Longest line of a chunk's size with its extensions, and all trailers together.
-const LONGEST_LINE: usize = 4096;
+/// The longest line of a chunk's size with its extensions, and all trailers together, in bytes.
+const MAX_LINE_LEN: usize = 4096;
+const TOO_LONG: Malformed = Malformed("a chunk's size or the trailers are too long");
 
+/// Where in a chunked body the decoder is.
 #[derive(Default)]
 pub struct Chunks {
-    at: Part,
+    next: Part,
 }
 
+/// What comes next.
 #[derive(Default, Clone, Copy)]
 enum Part {
+    /// The line with a chunk's size.
     #[default]
     Size,
+    /// So many bytes of a chunk.
     Data(usize),
+    /// The line end behind a chunk.
     DataEnd,
+    /// A trailer, or the empty line behind all; so many bytes of trailers came before.
     Trailer(usize),
-    Over,
+    /// Nothing.
+    End,
 }
 
 impl Chunks {
-    /// Decodes `bytes[*read..end]` and appends the data at `*write`, which never overtakes `*read`.
-    /// True once the last chunk and the trailers have been read.
+    /// Decodes `bytes[*read..end]` and appends the data at `*write`, which never overtakes `*read`. True once the last
+    /// chunk and the trailers have been read.
+    ///
+    /// # Errors
+    /// The body is not in chunks, or a line of it is too long.
     pub fn decode(
         &mut self,
         bytes: &mut [u8],
@@ -32,66 +43,74 @@
     ) -> Result<bool, Malformed> {
         loop {
             let rest = &bytes[*read..end];
-            match self.at {
-                Part::Over => return Ok(true),
+            match self.next {
+                Part::End => return Ok(true),
                 Part::Data(left) => {
-                    let now = left.min(rest.len());
-                    bytes.copy_within(*read..*read + now, *write);
-                    (*read, *write) = (*read + now, *write + now);
-                    self.at = if now == left {
-                        Part::DataEnd
-                    } else {
-                        Part::Data(left - now)
-                    };
-                    if now < left {
+                    let length = left.min(rest.len());
+                    bytes.copy_within(*read..*read + length, *write);
+                    *read += length;
+                    *write += length;
+                    if length < left {
+                        self.next = Part::Data(left - length);
                         return Ok(false);
                     }
+                    self.next = Part::DataEnd;
                 }
                 Part::DataEnd => {
-                    if rest.len() < 2 {
+                    let Some(line_end) = rest.get(..2) else {
                         return Ok(false);
-                    }
-                    if &rest[..2] != b"\r\n" {
+                    };
+                    if line_end != b"\r\n" {
                         return Err(Malformed("a chunk is longer than its size"));
                     }
-                    (*read, self.at) = (*read + 2, Part::Size);
+                    *read += 2;
+                    self.next = Part::Size;
                 }
-                Part::Size | Part::Trailer(_) => {
-                    let Some(length) = rest.windows(2).position(|w| w == b"\r\n") else {
-                        return if rest.len() > LONGEST_LINE {
-                            Err(TOO_LONG)
-                        } else {
-                            Ok(false)
-                        };
+                Part::Size => {
+                    let Some(line) = first_line(rest)? else {
+                        return Ok(false);
                     };
-                    let next = match self.at {
-                        Part::Trailer(_) if length == 0 => Part::Over,
-                        Part::Trailer(seen) if seen + length > LONGEST_LINE => {
-                            return Err(TOO_LONG)
-                        }
-                        Part::Trailer(seen) => Part::Trailer(seen + length),
-                        _ => match size(&rest[..length])? {
-                            0 => Part::Trailer(0),
-                            size => Part::Data(size),
-                        },
+                    self.next = match read_size(line)? {
+                        0 => Part::Trailer(0),
+                        size => Part::Data(size),
                     };
-                    (*read, self.at) = (*read + length + 2, next);
+                    *read += line.len() + 2;
+                }
+                Part::Trailer(before) => {
+                    let Some(line) = first_line(rest)? else {
+                        return Ok(false);
+                    };
+                    self.next = match line.len() {
+                        0 => Part::End,
+                        length if before + length > MAX_LINE_LEN => return Err(TOO_LONG),
+                        length => Part::Trailer(before + length),
+                    };
+                    *read += line.len() + 2;
                 }
             }
         }
     }
 }
 
-const TOO_LONG: Malformed = Malformed("a chunk's size or the trailers are too long");
+/// The first line without its end, once all of it is there.
+fn first_line(bytes: &[u8]) -> Result<Option<&[u8]>, Malformed> {
+    match bytes.windows(2).position(|window| window == b"\r\n") {
+        Some(length) => Ok(Some(&bytes[..length])),
+        None if bytes.len() > MAX_LINE_LEN => Err(TOO_LONG),
+        None => Ok(None),
+    }
+}
 
-fn size(line: &[u8]) -> Result<usize, Malformed> {
+fn read_size(line: &[u8]) -> Result<usize, Malformed> {
+    const NOT_A_NUMBER: Malformed = Malformed("a chunk's size is not a number");
     let digits = line
-        .split(|b| *b == b';')
+        .split(|byte| *byte == b';')
         .next()
         .unwrap_or_default()
         .trim_ascii_end();
-    let valid = (1..=8).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(digits).ok().filter(|_| valid);
-    text.and_then(|t| usize::from_str_radix(t, 16).ok())
-        .ok_or(Malformed("a chunk's size is not a number"))
+    if !(1..=8).contains(&digits.len()) || !digits.iter().all(u8::is_ascii_hexdigit) {
+        return Err(NOT_A_NUMBER);
+    }
+    let digits = std::str::from_utf8(digits).map_err(|_| NOT_A_NUMBER)?;
+    usize::from_str_radix(digits, 16).map_err(|_| NOT_A_NUMBER)
 }
--- a/forwarder/http1/src/write.rs
+++ b/forwarder/http1/src/write.rs
@@ -1,9 +1,12 @@
-//! Writes heads; a body follows as it is.
+//! Heads to be sent; a body follows as it is.
 
 use std::fmt::Display;
 use std::io::{Result, Write};
 
-/// Writes the head of a request with a body of that length.
+/// Writes the head of a request with a body of `body` bytes.
+///
+/// # Errors
+/// Those of `out`.
 pub fn request(
     out: &mut impl Write,
     method: &str,
@@ -11,7 +14,7 @@
     fields: &[(&str, &dyn Display)],
     body: usize,
 ) -> Result<()> {
-    head(
+    write_head(
         out,
         format_args!("{method} {target} HTTP/1.1"),
         fields,
@@ -19,15 +22,21 @@
     )
 }
 
-/// Writes the head of a response with a body of that length; a 204 and any under 200 have none.
+/// Writes the head of a response with a body of `body` bytes; a 204 and any under 200 have none.
+///
+/// # Errors
+/// Those of `out`.
 pub fn response(
     out: &mut impl Write,
     status: u16,
     fields: &[(&str, &dyn Display)],
     body: usize,
 ) -> Result<()> {
-    let length = (status >= 200 && status != 204).then_some(body);
-    head(
+    let length = match status {
+        ..200 | 204 => None,
+        _ => Some(body),
+    };
+    write_head(
         out,
         format_args!("HTTP/1.1 {status} {}", reason(status)),
         fields,
@@ -35,13 +44,13 @@
     )
 }
 
-fn head(
+fn write_head(
     out: &mut impl Write,
-    first: impl Display,
+    first_line: impl Display,
     fields: &[(&str, &dyn Display)],
     body: Option<usize>,
 ) -> Result<()> {
-    write!(out, "{first}\r\n")?;
+    write!(out, "{first_line}\r\n")?;
     for (name, value) in fields {
         write!(out, "{name}: {value}\r\n")?;
     }
@@ -51,6 +60,7 @@
     out.write_all(b"\r\n")
 }
 
+/// The reason phrase of a status (RFC 9110, section 15), of those that the forwarder sends.
 fn reason(status: u16) -> &'static str {
     match status {
         100 => "Continue",
--- a/forwarder/http1/tests/messages.rs
+++ b/forwarder/http1/tests/messages.rs
@@ -1,13 +1,13 @@
 //! Messages as peers write them, whole, torn and wrong.
 
-use plankhill_http1::*;
+use plankhill_http1::{request, response, Body, Chunks, HeadSearch, RequestHead, ResponseHead};
 use rstest::rstest;
 
 const GOOD: &str =
     "POST /a/b?c HTTP/1.1\r\nHost: x\r\nCookie: z=1; about=7f\r\nContent-Length:  3 \r\n\r\nabc";
 
 #[rstest]
-fn a_head_is_found_however_it_is_cut() {
+fn a_head_is_found_however_it_is_split() {
     let end = GOOD.len() - 3;
     for cut in 1..GOOD.len() {
         let mut search = HeadSearch::default();
@@ -51,7 +51,7 @@
 #[case("/a?b", "/a")]
 #[case("http://host:1/a/b#c", "/a/b")]
 #[case("http://host", "/")]
-fn a_target_may_come_with_its_address(#[case] target: &str, #[case] path: &str) {
+fn a_request_target_may_have_an_address(#[case] target: &str, #[case] path: &str) {
     let head = format!("GET {target} HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(
         RequestHead::read(head.as_bytes()).expect("good").path(),
@@ -80,7 +80,7 @@
     Body::Length(0),
     true
 )]
-fn answers_are_read(
+fn responses_are_read(
     #[case] head: &str,
     #[case] status: u16,
     #[case] body: Body,
@@ -103,7 +103,7 @@
 #[case("ICY 200 OK\r\n\r\n")]
 #[case("HTTP/1.1 200 OHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")]
 #[case("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")]
-fn answers_that_are_none_are_refused(#[case] head: &str) {
+fn malformed_responses_are_refused(#[case] head: &str) {
     assert!(ResponseHead::read(head.as_bytes()).is_err());
 }
 
@@ -111,12 +111,12 @@
 #[rstest]
 #[case("HTTP/1.1 200 OHTTP/1.1 503 Full\r\n")]
 #[case("HTTP/1.1 200HTTP/1.1 200 OK\r\n")]
-fn a_first_line_within_another_says_nothing(#[case] line: &str) {
+fn a_first_line_within_another_has_no_status(#[case] line: &str) {
     assert_eq!(ResponseHead::status_in(line.as_bytes()), None);
 }
 
 #[rstest]
-fn chunks_are_decoded_in_place_however_they_are_cut() {
+fn chunks_are_decoded_in_place_however_they_are_split() {
     let coded = b"3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\nNEXT";
     for cut in 0..coded.len() {
         let mut bytes = coded.to_vec();
