--- a/forwarder/cli/build.rs
+++ b/forwarder/cli/build.rs
@@ -3,9 +3,9 @@
 use std::process::Command;
 
 fn main() {
-    let said = |words: &[&str]| {
+    let git = |arguments: &[&str]| {
         let output = Command::new("git")
-            .args(words)
+            .args(arguments)
             .output()
             .ok()
             .filter(|output| output.status.success())?;
@@ -13,9 +13,9 @@
             .ok()
             .map(|text| text.trim().to_owned())
     };
-    let commit = said(&["rev-parse", "--short=12", "HEAD"]).unwrap_or_else(|| "unknown".into());
+    let commit = git(&["rev-parse", "--short=12", "HEAD"]).unwrap_or_else(|| "unknown".into());
     println!("cargo:rustc-env=PLANKHILL_COMMIT={commit}");
-    if let Some(folder) = said(&["rev-parse", "--absolute-git-dir"]) {
+    if let Some(folder) = git(&["rev-parse", "--absolute-git-dir"]) {
         println!("cargo:rerun-if-changed={folder}/HEAD");
         println!("cargo:rerun-if-changed={folder}/logs/HEAD");
     }
--- a/forwarder/cli/src/emulate.rs
+++ b/forwarder/cli/src/emulate.rs
@@ -1,4 +1,4 @@
-//! One scenario, played once.
+//! `plankhill emulate` and `plankhill scenarios`.
 
 use std::io::Write;
 use std::time::Instant;
@@ -6,46 +6,55 @@
 use plankhill_experiments::shipped::{self, SHIPPED};
 use plankhill_forwarder_config::scenario::Scenario;
 
+use crate::error::CliError;
 use crate::summary;
-use crate::Fault;
 
+/// Plays one scenario and prints its outcome.
+///
+/// # Errors
+/// The scenario, or a key that is set over it, is wrong.
 pub fn emulate(
     out: &mut impl Write,
     scenario: &str,
     seed: Option<u64>,
     set: &[String],
     json: bool,
-) -> Result<(), Fault> {
-    let mut text = shipped::find(scenario).map_err(Fault::Given)?;
+) -> Result<(), CliError> {
+    let mut text = shipped::find(scenario).map_err(CliError::Usage)?;
     for pair in set {
-        let (key, value) = pair
-            .split_once('=')
-            .ok_or_else(|| Fault::Given(format!("--set {pair}: is not of the form KEY=VALUE")))?;
-        text.set(key, value).map_err(Fault::Given)?;
+        let (key, value) = pair.split_once('=').ok_or_else(|| {
+            CliError::Usage(format!("--set {pair}: is not of the form KEY=VALUE"))
+        })?;
+        text.set(key, value).map_err(CliError::Usage)?;
     }
     if let Some(seed) = seed {
-        text.set("seed", &seed.to_string()).map_err(Fault::Given)?;
+        text.set("seed", &seed.to_string())
+            .map_err(CliError::Usage)?;
     }
-    let scenario = Scenario::read(&text).map_err(Fault::Given)?;
-    let began = Instant::now();
+    let scenario = Scenario::read(&text).map_err(CliError::Usage)?;
+    let started_at = Instant::now();
     let outcome = plankhill_emulator::play(&scenario);
     if json {
-        let line = serde_json::to_string(&outcome).map_err(|e| Fault::Outside(e.to_string()))?;
+        let line = serde_json::to_string(&outcome).map_err(|e| CliError::Failure(e.to_string()))?;
         writeln!(out, "{line}")?;
         return Ok(());
     }
-    summary::print(out, &outcome, began.elapsed())?;
+    summary::print(out, &outcome, started_at.elapsed())?;
     Ok(())
 }
 
-pub fn scenarios(out: &mut impl Write, name: Option<&str>) -> Result<(), Fault> {
+/// Lists the scenarios that come with the program, or prints one.
+///
+/// # Errors
+/// No scenario has that name.
+pub fn scenarios(out: &mut impl Write, name: Option<&str>) -> Result<(), CliError> {
     if let Some(name) = name {
-        let text = shipped::named(name).map_err(Fault::Given)?;
+        let text = shipped::named(name).map_err(CliError::Usage)?;
         out.write_all(text.as_bytes())?;
         return Ok(());
     }
     for (name, text) in SHIPPED {
-        let about = shipped::about(name, text).map_err(Fault::Outside)?;
+        let about = shipped::about(name, text).map_err(CliError::Failure)?;
         writeln!(out, "{name:22} {about}")?;
     }
     Ok(())
--- /dev/null
+++ b/forwarder/cli/src/error.rs
@@ -0,0 +1,49 @@
+//! Why the command ends without having done its work, and with which exit status.
+
+use std::io::ErrorKind;
+
+use plankhill_experiments::Stopped;
+
+/// Why the command ends without having done its work. Its text is the one line on standard error.
+#[derive(Debug, thiserror::Error)]
+pub enum CliError {
+    /// The arguments, or a file that they name, are wrong: exit status 2.
+    #[error("{0}")]
+    Usage(String),
+    /// Something outside failed: exit status 1.
+    #[error("{0}")]
+    Failure(String),
+    /// The reader of standard output has gone: exit status 0.
+    #[error("standard output is closed")]
+    OutputClosed,
+}
+
+impl CliError {
+    /// The exit status of the command.
+    pub fn exit_status(&self) -> u8 {
+        match self {
+            CliError::Usage(_) => 2,
+            CliError::Failure(_) => 1,
+            CliError::OutputClosed => 0,
+        }
+    }
+}
+
+impl From<std::io::Error> for CliError {
+    fn from(error: std::io::Error) -> Self {
+        match error.kind() {
+            ErrorKind::BrokenPipe => CliError::OutputClosed,
+            _ => CliError::Failure(error.to_string()),
+        }
+    }
+}
+
+impl From<Stopped> for CliError {
+    fn from(stopped: Stopped) -> Self {
+        match stopped {
+            Stopped::Given(reason) => CliError::Usage(reason),
+            Stopped::Outside(reason) => CliError::Failure(reason),
+            Stopped::Asked => CliError::Failure("stopped before its end".into()),
+        }
+    }
+}
--- a/forwarder/cli/src/experiment.rs
+++ b/forwarder/cli/src/experiment.rs
@@ -1,44 +1,39 @@
-//! Experiments and their reports.
+//! `plankhill experiment` and `plankhill report`.
 
 use std::io::Write;
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
 
 use indicatif::{ProgressBar, ProgressStyle};
-use plankhill_experiments::{report as pages, run, shipped, Folder, Plan, Stopped};
+use plankhill_experiments::{report as pages, run, shipped, Folder, Plan};
 use plankhill_forwarder_config::experiment::Experiment;
 use plankhill_forwarder_config::tables::Text;
 
-use crate::Fault;
-
-impl From<Stopped> for Fault {
-    fn from(stopped: Stopped) -> Self {
-        match stopped {
-            Stopped::Given(what) => Fault::Given(what),
-            Stopped::Outside(what) => Fault::Outside(what),
-            Stopped::Asked => Fault::Outside("stopped before its end".into()),
-        }
-    }
-}
+use crate::error::CliError;
 
+/// Plays the days of an experiment, or those that an earlier run has not played, and stores them in `dir`.
+///
+/// # Errors
+/// The experiment or its scenario is wrong, or the folder can't be written.
 pub fn experiment(
     out: &mut impl Write,
     file: &Path,
     dir: &Path,
     jobs: Option<usize>,
     quiet: bool,
-) -> Result<(), Fault> {
-    let text = Text::read(file).map_err(Fault::Given)?;
-    let experiment = Experiment::read(&text).map_err(Fault::Given)?;
+) -> Result<(), CliError> {
+    let text = Text::read(file).map_err(CliError::Usage)?;
+    let experiment = Experiment::read(&text).map_err(CliError::Usage)?;
     let beside = file
         .parent()
         .unwrap_or(Path::new("."))
         .join(&experiment.scenario);
-    let scenario = match beside.is_file() {
-        true => Text::read(&beside),
-        false => shipped::find(&experiment.scenario),
+    let scenario = if beside.is_file() {
+        Text::read(&beside)
+    } else {
+        shipped::find(&experiment.scenario)
     };
-    let scenario = scenario.map_err(|what| Fault::Given(text.wrong("scenario", &what)))?;
+    let scenario = scenario.map_err(|reason| CliError::Usage(text.wrong("scenario", &reason)))?;
     let commit = env!("PLANKHILL_COMMIT").to_owned();
     let scenario_text = scenario.text().to_owned();
     let plan = Plan::new(
@@ -48,26 +43,29 @@
         scenario_text,
         commit,
     );
-    let plan = plan.map_err(Fault::Given)?;
+    let plan = plan.map_err(CliError::Usage)?;
     let folder = Folder::open(dir, &plan)?;
-    let bar = if quiet {
+    let progress = if quiet {
         ProgressBar::hidden()
     } else {
         ProgressBar::new(plan.days.len() as u64)
     };
     let style = "{pos} of {len} days, {elapsed} gone, {eta} left {wide_bar}";
-    bar.set_style(ProgressStyle::with_template(style).map_err(|e| Fault::Outside(e.to_string()))?);
-    bar.set_position(folder.held() as u64);
-    bar.reset_eta();
+    progress.set_style(
+        ProgressStyle::with_template(style).map_err(|e| CliError::Failure(e.to_string()))?,
+    );
+    progress.set_position(folder.held() as u64);
+    progress.reset_eta();
     run(
         &plan,
         &folder,
         jobs.unwrap_or(0),
         &AtomicBool::new(false),
-        || bar.inc(1),
+        || progress.inc(1),
     )?;
-    bar.finish_and_clear();
-    let (days, shown) = (plan.days.len(), dir.display());
+    progress.finish_and_clear();
+    let days = plan.days.len();
+    let shown = dir.display();
     writeln!(
         out,
         "{days} days in {shown}; `plankhill report {shown}` draws them"
@@ -75,7 +73,11 @@
     Ok(())
 }
 
-pub fn report(out: &mut impl Write, dir: &Path) -> Result<(), Fault> {
+/// Writes the report of the results in `dir`.
+///
+/// # Errors
+/// The folder has no results, or can't be written.
+pub fn report(out: &mut impl Write, dir: &Path) -> Result<(), CliError> {
     pages::write(dir)?;
     writeln!(out, "{}", dir.join("report.html").display())?;
     Ok(())
--- a/forwarder/cli/src/main.rs
+++ b/forwarder/cli/src/main.rs
@@ -1,31 +1,41 @@
-//! `plankhill`: the one command of the project for people. What is wrong with what it is given ends it with
-//! one line on standard error and exit status 2; anything else that fails, with 1.
+//! `plankhill`: the forwarder's command line. Wrong arguments and files end it with one line on standard error and
+//! exit status 2; anything else that fails, with 1 (`error`).
+//!
+//! | module | subcommands |
+//! | --- | --- |
+//! | `emulate` | `emulate`, `scenarios` |
+//! | `experiment` | `experiment`, `report` |
+//! | `convert` | `convert` |
+//! | `summary` | what `emulate` prints |
 
 mod convert;
 mod emulate;
+mod error;
 mod experiment;
 mod summary;
 
-use std::io::{ErrorKind, Write};
+use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
 
+use error::CliError;
+
 #[derive(Parser)]
 #[command(
     name = "plankhill",
     version,
     about = "Delivers events; here: plays, compares and reports days of it"
 )]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
-    word: Word,
+    subcommand: PlankhillCommand,
 }
 
 #[derive(Subcommand)]
-enum Word {
+enum PlankhillCommand {
     /// Plays one scenario and prints what it came to.
     #[command(after_help = "Examples:
   plankhill emulate ordinary-day
@@ -98,55 +108,34 @@
     Off,
 }
 
-/// Why the command ends without having done its work.
-pub enum Fault {
-    /// What it was given is wrong: status 2.
-    Given(String),
-    /// Something outside failed: status 1.
-    Outside(String),
-    /// Whoever read its output has gone: no fault.
-    Unread,
-}
-
-impl From<std::io::Error> for Fault {
-    fn from(error: std::io::Error) -> Self {
-        match error.kind() {
-            ErrorKind::BrokenPipe => Fault::Unread,
-            _ => Fault::Outside(error.to_string()),
-        }
-    }
-}
-
 fn main() -> ExitCode {
-    match run(Line::parse().word) {
-        Ok(()) | Err(Fault::Unread) => ExitCode::SUCCESS,
-        Err(Fault::Given(what)) => {
-            eprintln!("plankhill: {what}");
-            ExitCode::from(2)
-        }
-        Err(Fault::Outside(what)) => {
-            eprintln!("plankhill: {what}");
-            ExitCode::FAILURE
+    match run(Arguments::parse().subcommand) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            if !matches!(error, CliError::OutputClosed) {
+                eprintln!("plankhill: {error}");
+            }
+            ExitCode::from(error.exit_status())
         }
     }
 }
 
-fn run(word: Word) -> Result<(), Fault> {
+fn run(subcommand: PlankhillCommand) -> Result<(), CliError> {
     let mut out = std::io::stdout().lock();
-    match word {
-        Word::Emulate {
+    match subcommand {
+        PlankhillCommand::Emulate {
             scenario,
             seed,
             set,
             json,
         } => emulate::emulate(&mut out, &scenario, seed, &set, json),
-        Word::Experiment {
+        PlankhillCommand::Experiment {
             file,
             out: dir,
             jobs,
             quiet,
         } => experiment::experiment(&mut out, &file, &dir, jobs, quiet),
-        Word::Convert {
+        PlankhillCommand::Convert {
             file,
             to,
             retry_after,
@@ -155,14 +144,14 @@
             &mut out,
             &file,
             &to,
-            retry_after.map(|word| word == Switch::On),
+            retry_after.map(|switch| switch == Switch::On),
             dry_run,
         ),
-        Word::Report { dir } => experiment::report(&mut out, &dir),
-        Word::Scenarios { name } => emulate::scenarios(&mut out, name.as_deref()),
-        Word::Completions { shell } => {
+        PlankhillCommand::Report { dir } => experiment::report(&mut out, &dir),
+        PlankhillCommand::Scenarios { name } => emulate::scenarios(&mut out, name.as_deref()),
+        PlankhillCommand::Completions { shell } => {
             let mut script = Vec::new();
-            clap_complete::generate(shell, &mut Line::command(), "plankhill", &mut script);
+            clap_complete::generate(shell, &mut Arguments::command(), "plankhill", &mut script);
             out.write_all(&script)?;
             Ok(())
         }
--- a/forwarder/cli/src/summary.rs
+++ b/forwarder/cli/src/summary.rs
@@ -5,7 +5,18 @@
 
 use plankhill_emulator::outcome::Outcome;
 
+/// Prints an outcome that took `took` to play.
+///
+/// # Errors
+/// Those of `out`.
 pub fn print(out: &mut impl Write, outcome: &Outcome, took: Duration) -> io::Result<()> {
+    print_totals(out, outcome, took)?;
+    print_traffic(out, outcome)?;
+    print_causes(out, outcome)?;
+    print_rules(out, outcome)
+}
+
+fn print_totals(out: &mut impl Write, outcome: &Outcome, took: Duration) -> io::Result<()> {
     let totals = &outcome.totals;
     let minutes = outcome.length / 60_000.0;
     writeln!(out, "{}", outcome.about)?;
@@ -36,7 +47,10 @@
         out,
         "most      {} events held, {} calls out\n",
         totals.most_held, totals.most_out
-    )?;
+    )
+}
+
+fn print_traffic(out: &mut impl Write, outcome: &Outcome) -> io::Result<()> {
     writeln!(
         out,
         "time to delivery     events   delivered  payoff     half     95%     99%   longest"
@@ -66,15 +80,24 @@
             span(time(1.0))
         )?;
     }
-    if !outcome.causes.is_empty() {
-        writeln!(out, "\npayoff that was not delivered, by cause")?;
-        let mut causes: Vec<_> = outcome.causes.iter().collect();
-        causes.sort_by(|a, b| b.1.total_cmp(a.1));
-        for (cause, lost) in causes {
-            let share = 100.0 * lost / totals.asked.max(1e-9);
-            writeln!(out, "  {share:6.2}%  {}", cause.description())?;
-        }
+    Ok(())
+}
+
+fn print_causes(out: &mut impl Write, outcome: &Outcome) -> io::Result<()> {
+    if outcome.causes.is_empty() {
+        return Ok(());
+    }
+    writeln!(out, "\npayoff that was not delivered, by cause")?;
+    let mut causes: Vec<_> = outcome.causes.iter().collect();
+    causes.sort_by(|a, b| b.1.total_cmp(a.1));
+    for (cause, lost) in causes {
+        let share = 100.0 * lost / outcome.totals.asked.max(1e-9);
+        writeln!(out, "  {share:6.2}%  {}", cause.description())?;
     }
+    Ok(())
+}
+
+fn print_rules(out: &mut impl Write, outcome: &Outcome) -> io::Result<()> {
     if outcome.broken() == 0 {
         return writeln!(out, "\nall six rules kept");
     }
@@ -88,6 +111,7 @@
     Ok(())
 }
 
+/// A time in milliseconds, in the unit that reads best.
 fn span(time: f64) -> String {
     match time {
         time if time < 1000.0 => format!("{time:.0} ms"),
