--- a/forwarder/process-tests/src/copies.rs
+++ b/forwarder/process-tests/src/copies.rs
@@ -5,7 +5,7 @@
 use crate::{until, Answer, Effect, Handed, Manner, Relay, Seen, Told, World};
 
 /// What an instance logs once it owns a record, and how it tells another's from its own.
-const LEADS: &str = "leads a record,";
+const LEADS: &str = "event log group led,";
 const OF_ANOTHER: &str = "own: false";
 
 /// What an owner logs once others keep its record in place of lost ones.
--- a/forwarder/process-tests/src/verdict.rs
+++ b/forwarder/process-tests/src/verdict.rs
@@ -76,7 +76,11 @@
             breach.invariant.name(),
             breach.description
         );
-        let after = breach.description.split("event ").nth(1).unwrap_or_default();
+        let after = breach
+            .description
+            .split("event ")
+            .nth(1)
+            .unwrap_or_default();
         let digits: String = after.chars().take_while(char::is_ascii_digit).collect();
         let Ok(event) = digits.parse() else { continue };
         eprintln!("    event {event} is {:?}", ids.get(&event));
--- a/forwarder/process-tests/tests/alone.rs
+++ b/forwarder/process-tests/tests/alone.rs
@@ -122,7 +122,7 @@
     world.until_sent("out", 1);
     world.hinder(0);
     world.process(0).signal(Signal::TERM);
-    world.process(0).until_said("closes", 0);
+    world.process(0).until_said("shutdown started", 0);
     for number in 0..10 {
         assert_eq!(
             world.hand_in(
--- a/forwarder/process-tests/tests/pools.rs
+++ b/forwarder/process-tests/tests/pools.rs
@@ -24,7 +24,12 @@
     );
     world.start_all();
     until("one gives", || {
-        (0..3).any(|instance| world.process(instance).said("gives the parts of pools,") > 0)
+        (0..3).any(|instance| {
+            world
+                .process(instance)
+                .said("connection quotas: leads the control group,")
+                > 0
+        })
     });
     world.set_targets(Manner::Answers(Duration::from_millis(100)));
     world
--- a/forwarder/process-tests/tests/verdict.rs
+++ b/forwarder/process-tests/tests/verdict.rs
@@ -119,7 +119,10 @@
     world.start(0);
     let broken = breaches(&world.book, None);
     assert_eq!(
-        broken.iter().map(|violation| violation.invariant).collect::<Vec<_>>(),
+        broken
+            .iter()
+            .map(|violation| violation.invariant)
+            .collect::<Vec<_>>(),
         [Invariant::NoAcceptedEventLost]
     );
 }
--- a/forwarder/replication/benches/copies/fleet.rs
+++ b/forwarder/replication/benches/copies/fleet.rs
@@ -123,7 +123,7 @@
                 .next()?
                 .parse()
                 .ok();
-            told.filter(|_| line.contains("starts"))
+            told.filter(|_| line.contains("server started"))
         });
         let listen = listen.expect("tells where it listens");
         thread::spawn(move || lines.count());
