--- a/tier/command/src/arguments.rs
+++ b/tier/command/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: what it asks for, and why it is not understood.
 
 mod draining;
 
@@ -8,13 +8,13 @@
 use lexopt::{Arg, Parser, ValueExt};
 use thiserror::Error;
 
-use draining::{parse_drain, parse_roll};
-pub use draining::{DrainArguments, RollArguments};
+use draining::{parse_drain, parse_rolling_restart};
+pub use draining::{DrainAction, DrainArguments, RollingRestartArguments};
 
 /// Programs of the demo unless the command line says otherwise: enough to be under way at both kills.
 const DEFAULT_DEMO_PROGRAMS: u32 = 40;
 
-/// Most programs of the demo; with more it would take over a minute.
+/// Largest number of programs of the demo; with more it would take over a minute.
 const MAX_DEMO_PROGRAMS: u32 = 200;
 
 /// What the command line asks for.
@@ -52,33 +52,43 @@
     Drains {
         /// Address of the controller, as `IP:PORT`.
         address: String,
-        /// Print the answer as received.
-        json: bool,
+        /// Form of the answer on standard output.
+        form: AnswerForm,
     },
     /// Take forwarders out of service and back, a few at a time.
-    Roll(RollArguments),
+    RollingRestart(RollingRestartArguments),
     /// Ask a controller for its status.
     Status {
         /// Address of the controller, as `IP:PORT`.
         address: String,
-        /// Print the answer as received.
-        json: bool,
+        /// Form of the answer on standard output.
+        form: AnswerForm,
     },
 }
 
 /// A role of the serving tier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Holds the control state.
+    /// Stores the control state.
     Controller,
     /// Links one machine's proxy to the control plane.
     Agent,
     /// Carries requests from clients to targets.
     Proxy,
-    /// Keeps turns and budgets.
+    /// Stores turns and budgets.
     Store,
 }
 
+/// Form in which a controller's answer is printed.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub enum AnswerForm {
+    /// For people.
+    #[default]
+    Text,
+    /// JSON, as received.
+    Json,
+}
+
 /// Form of the log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogFormat {
@@ -109,7 +119,7 @@
         /// The argument that is missing.
         what: &'static str,
     },
-    /// `check` can't check this.
+    /// `check` cannot check this.
     #[error("check knows settings and configuration, not {0:?}")]
     UnknownKind(String),
     /// The number of programs is none, or out of bounds.
@@ -132,7 +142,7 @@
     /// Parses the arguments after the program's name.
     ///
     /// # Errors
-    /// If they don't form a command.
+    /// [`UsageError`] if they do not form a command.
     pub fn parse(arguments: impl IntoIterator<Item = OsString>) -> Result<Command, UsageError> {
         let mut parser = Parser::from_args(arguments);
         let name = match parser.next()? {
@@ -148,16 +158,16 @@
             "proxy" => parse_role(parser, Role::Proxy),
             "store" => parse_role(parser, Role::Store),
             "check" => parse_check(parser),
-            "drain" => parse_drain(parser, true),
-            "undrain" => parse_drain(parser, false),
-            "drains" => parse_question(parser, "drains", |address, json| Command::Drains {
+            "drain" => parse_drain(parser, DrainAction::Drain),
+            "undrain" => parse_drain(parser, DrainAction::Undrain),
+            "drains" => parse_query(parser, "drains", |address, form| Command::Drains {
                 address,
-                json,
+                form,
             }),
-            "roll" => parse_roll(parser),
-            "status" => parse_question(parser, "status", |address, json| Command::Status {
+            "roll" => parse_rolling_restart(parser),
+            "status" => parse_query(parser, "status", |address, form| Command::Status {
                 address,
-                json,
+                form,
             }),
             "demo" => parse_demo(parser),
             _ => Err(UsageError::UnknownCommand(name)),
@@ -208,24 +218,24 @@
     }
 }
 
-/// `ADDRESS [--json]`, as of a command that asks a controller; `command` makes it of both.
-fn parse_question(
+/// `ADDRESS [--json]`, the arguments of a command `name` that queries a controller; `command` makes the command.
+fn parse_query(
     mut parser: Parser,
     name: &'static str,
-    command: impl FnOnce(String, bool) -> Command,
+    command: impl FnOnce(String, AnswerForm) -> Command,
 ) -> Result<Command, UsageError> {
     let mut address = None;
-    let mut json = false;
+    let mut form = AnswerForm::default();
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Short('h') | Arg::Long("help") => return Ok(Command::Help),
-            Arg::Long("json") => json = true,
+            Arg::Long("json") => form = AnswerForm::Json,
             Arg::Value(value) if address.is_none() => address = Some(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
     let address = address.ok_or(missing(name, "the address of a controller"))?;
-    Ok(command(address, json))
+    Ok(command(address, form))
 }
 
 fn parse_demo(mut parser: Parser) -> Result<Command, UsageError> {
--- a/tier/command/src/arguments/draining.rs
+++ b/tier/command/src/arguments/draining.rs
@@ -1,4 +1,4 @@
-//! The commands that take forwarders out of service.
+//! The arguments of `drain`, `undrain` and `roll`.
 
 use std::time::Duration;
 
@@ -6,45 +6,64 @@
 
 use super::{missing, Command, UsageError};
 
-/// Forwarders out at once in a roll, unless the command line says otherwise.
-const DEFAULT_MOST_OUT: usize = 1;
-/// Seconds that a forwarder may take to get empty, unless the command line says otherwise: clients may rest for
-/// most of a minute.
-const DEFAULT_EMPTY_WITHIN: u64 = 120;
-/// Seconds that a forwarder may take to come back, unless the command line says otherwise.
-const DEFAULT_BACK_WITHIN: u64 = 600;
+/// Forwarders out of service at once, unless the command line says otherwise.
+const DEFAULT_MAX_UNAVAILABLE: usize = 1;
+/// Seconds that a forwarder may take to drain, unless the command line says otherwise: clients may be idle for most of a
+/// minute.
+const DEFAULT_DRAIN_TIMEOUT_S: u64 = 120;
+/// Seconds that a forwarder may take to restart, unless the command line says otherwise.
+const DEFAULT_RESTART_TIMEOUT_S: u64 = 600;
+
+/// What an order tells forwarders to do.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DrainAction {
+    /// Drain: go out of service.
+    Drain,
+    /// Go back into service.
+    Undrain,
+}
+
+impl DrainAction {
+    /// The command's name.
+    fn command(self) -> &'static str {
+        match self {
+            DrainAction::Drain => "drain",
+            DrainAction::Undrain => "undrain",
+        }
+    }
+}
 
 /// An order for forwarders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainArguments {
     /// Address of a controller, as `IP:PORT`.
     pub address: String,
-    /// Whether they leave; otherwise they are taken back.
-    pub leave: bool,
-    /// The machines.
+    /// What the forwarders have to do.
+    pub action: DrainAction,
+    /// The machines by name.
     pub nodes: Vec<String>,
-    /// All machines of a zone.
+    /// The zone of which all machines are meant besides.
     pub zone: Option<String>,
 }
 
-/// A roll over forwarders.
+/// A rolling restart of forwarders.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RollArguments {
+pub struct RollingRestartArguments {
     /// Address of a controller, as `IP:PORT`.
     pub address: String,
     /// The machines; all if none is named.
     pub nodes: Vec<String>,
-    /// Out of service at once.
-    pub most_out: usize,
-    /// The longest time until one is empty.
-    pub empty_within: Duration,
-    /// The longest time until one is back.
-    pub back_within: Duration,
+    /// Largest number out of service at once.
+    pub max_unavailable: usize,
+    /// Longest time until one has drained.
+    pub drain_timeout: Duration,
+    /// Longest time until one has restarted.
+    pub restart_timeout: Duration,
 }
 
-pub(super) fn parse_drain(mut parser: Parser, leave: bool) -> Result<Command, UsageError> {
-    let name = if leave { "drain" } else { "undrain" };
-    let (mut values, mut zone) = (Vec::new(), None);
+pub(super) fn parse_drain(mut parser: Parser, action: DrainAction) -> Result<Command, UsageError> {
+    let mut values = Vec::new();
+    let mut zone = None;
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Short('h') | Arg::Long("help") => return Ok(Command::Help),
@@ -53,48 +72,55 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let (address, nodes) = split(name, values)?;
+    let (address, nodes) = split_values(action.command(), values)?;
     if nodes.is_empty() && zone.is_none() {
-        return Err(missing(name, "the name of a machine, or --zone"));
+        return Err(missing(
+            action.command(),
+            "the name of a machine, or --zone",
+        ));
     }
     Ok(Command::Drain(DrainArguments {
         address,
-        leave,
+        action,
         nodes,
         zone,
     }))
 }
 
-pub(super) fn parse_roll(mut parser: Parser) -> Result<Command, UsageError> {
+pub(super) fn parse_rolling_restart(mut parser: Parser) -> Result<Command, UsageError> {
     let mut values = Vec::new();
-    let (mut most_out, mut empty_within, mut back_within) =
-        (DEFAULT_MOST_OUT, DEFAULT_EMPTY_WITHIN, DEFAULT_BACK_WITHIN);
+    let mut max_unavailable = DEFAULT_MAX_UNAVAILABLE;
+    let mut drain_timeout = Duration::from_secs(DEFAULT_DRAIN_TIMEOUT_S);
+    let mut restart_timeout = Duration::from_secs(DEFAULT_RESTART_TIMEOUT_S);
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Short('h') | Arg::Long("help") => return Ok(Command::Help),
-            Arg::Long("most") => most_out = at_least_one("--most", parser.value()?.string()?)?,
+            Arg::Long("most") => max_unavailable = parse_count("--most", &mut parser)?,
             Arg::Long("empty-within") => {
-                empty_within = at_least_one("--empty-within", parser.value()?.string()?)? as u64;
+                drain_timeout = parse_seconds("--empty-within", &mut parser)?;
             }
             Arg::Long("back-within") => {
-                back_within = at_least_one("--back-within", parser.value()?.string()?)? as u64;
+                restart_timeout = parse_seconds("--back-within", &mut parser)?;
             }
             Arg::Value(value) => values.push(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
-    let (address, nodes) = split("roll", values)?;
-    Ok(Command::Roll(RollArguments {
+    let (address, nodes) = split_values("roll", values)?;
+    Ok(Command::RollingRestart(RollingRestartArguments {
         address,
         nodes,
-        most_out,
-        empty_within: Duration::from_secs(empty_within),
-        back_within: Duration::from_secs(back_within),
+        max_unavailable,
+        drain_timeout,
+        restart_timeout,
     }))
 }
 
 /// The controller's address and the machines behind it.
-fn split(command: &'static str, values: Vec<String>) -> Result<(String, Vec<String>), UsageError> {
+fn split_values(
+    command: &'static str,
+    values: Vec<String>,
+) -> Result<(String, Vec<String>), UsageError> {
     let mut values = values.into_iter();
     let address = values
         .next()
@@ -102,7 +128,14 @@
     Ok((address, values.collect()))
 }
 
-fn at_least_one(option: &'static str, text: String) -> Result<usize, UsageError> {
+/// The value of `option`, a number of seconds from 1 on.
+fn parse_seconds(option: &'static str, parser: &mut Parser) -> Result<Duration, UsageError> {
+    Ok(Duration::from_secs(parse_count(option, parser)? as u64))
+}
+
+/// The value of `option`, a number from 1 on.
+fn parse_count(option: &'static str, parser: &mut Parser) -> Result<usize, UsageError> {
+    let text = parser.value()?.string()?;
     match text.parse() {
         Ok(number) if number >= 1 => Ok(number),
         _ => Err(UsageError::NoCount { option, text }),
--- a/tier/command/src/check.rs
+++ b/tier/command/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use plankhill_configuration::{Configuration, Faults};
+use plankhill_configuration::{Configuration, ConfigurationError, Faults};
 use plankhill_settings::{Settings, SettingsError};
 
 use crate::{print, print_error, ExitStatus};
@@ -22,11 +22,7 @@
         Ok(bytes) => bytes,
         Err(error) => return unreadable(&format!("cannot read {}: {error}", file.display())),
     };
-    let checked = Configuration::parse(&bytes).and_then(|configuration| {
-        configuration.check(0)?;
-        Ok(configuration)
-    });
-    match checked {
+    match parse_first(&bytes) {
         Ok(configuration) => print(&format!(
             "{}: configuration is valid (version {}, {} routes, {} services)",
             file.display(),
@@ -38,6 +34,13 @@
     }
 }
 
+/// Reads a configuration as if it were the first one of a tier.
+fn parse_first(bytes: &[u8]) -> Result<Configuration, ConfigurationError> {
+    let configuration = Configuration::parse(bytes)?;
+    configuration.check(0)?;
+    Ok(configuration)
+}
+
 fn report(file: &Path, faults: &Faults) -> ExitStatus {
     for fault in faults.iter() {
         print(&format!("{}: {fault}", file.display()));
--- a/tier/command/src/controller_call.rs
+++ b/tier/command/src/controller_call.rs
@@ -1,4 +1,4 @@
-//! Calls of a controller's interface for operators.
+//! Calls of a controller's interface for operators (HTTP/1.1, JSON), one connection each.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Longest wait for a whole answer; a controller in service answers within milliseconds.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for a complete answer; a controller in service answers within milliseconds.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Largest answer read, in bytes: a status of ten thousand machines stays below it.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
@@ -26,13 +26,13 @@
     /// The runtime or the connection could not be set up.
     #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
-    /// The exchange broke off.
+    /// The connection broke during the call.
     #[error("the call failed: {0}")]
     Call(#[from] hyper::Error),
     /// The request could not be built.
     #[error("the call failed: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The controller refused the call.
+    /// The controller rejected the call.
     #[error("the controller answered {status}{}", reason_text(.reason))]
     Refused {
         /// Its status.
@@ -40,14 +40,14 @@
         /// Its reason, if it gave one.
         reason: Option<String>,
     },
-    /// The body broke off or is too large.
+    /// The body is truncated or too large.
     #[error("the answer could not be read: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// The answer is no JSON.
     #[error("the answer is no JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// No whole answer came in time.
-    #[error("no answer within {} s", TIMEOUT.as_secs())]
+    /// No complete answer came in time.
+    #[error("no answer within {} s", CALL_TIMEOUT.as_secs())]
     TimedOut(#[from] tokio::time::error::Elapsed),
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl ControllerCall {
-    /// Reads what stands at a path.
+    /// A call that reads `path`.
     pub(crate) fn get(path: &'static str) -> Self {
         ControllerCall {
             method: Method::GET,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sends an order.
+    /// A call that posts `order` to `path`.
     pub(crate) fn post(path: &'static str, order: &Value) -> Self {
         ControllerCall {
             method: Method::POST,
@@ -77,12 +77,16 @@
         }
     }
 
-    /// Calls the controller at `address`; the body of its answer.
+    /// Calls the controller at `address`; returns the body of its answer.
+    ///
+    /// # Errors
+    /// [`CallError`] if no answer with status 200 comes within [`CALL_TIMEOUT`].
     pub(crate) fn send(self, address: SocketAddr) -> Result<Bytes, CallError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        runtime.block_on(async { tokio::time::timeout(TIMEOUT, self.exchange(address)).await? })
+        runtime
+            .block_on(async { tokio::time::timeout(CALL_TIMEOUT, self.exchange(address)).await? })
     }
 
     async fn exchange(self, address: SocketAddr) -> Result<Bytes, CallError> {
@@ -107,14 +111,15 @@
     }
 }
 
-/// The reason in the body of a refusal.
+/// The reason in the body of a rejection.
 fn reason_of(body: &[u8]) -> Option<String> {
     let body: Value = serde_json::from_slice(body).ok()?;
     body.get("error")?.as_str().map(str::to_owned)
 }
 
 fn reason_text(reason: &Option<String>) -> String {
-    reason
-        .as_ref()
-        .map_or_else(String::new, |reason| format!(": {reason}"))
+    match reason {
+        Some(reason) => format!(": {reason}"),
+        None => String::new(),
+    }
 }
--- a/tier/command/src/exit.rs
+++ b/tier/command/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes.
+//! Exit codes of the command.
 
 use std::process::ExitCode;
 
@@ -9,7 +9,7 @@
     Success,
     /// The checked file is not valid, or the role or call failed: code 1.
     Failure,
-    /// The command line is not understood, or a file it names can't be read: code 2.
+    /// The command line is not understood, or a file it names cannot be read: code 2.
     Usage,
 }
 
--- a/tier/command/src/lib.rs
+++ b/tier/command/src/lib.rs
@@ -1,4 +1,5 @@
-//! The command plankhill-tier: starts each role of the serving tier, checks settings, shows status.
+//! The command `plankhill-tier`: starts each role of the serving tier, checks files, and speaks with controllers for the
+//! operator.
 
 mod arguments;
 mod check;
@@ -9,14 +10,17 @@
 mod logging;
 mod render;
 mod role;
-mod roll;
+mod rolling_restart;
 mod status;
 mod usage;
 
 use std::ffi::OsString;
 use std::io::Write;
 
-pub use arguments::{Command, DrainArguments, LogFormat, Role, RollArguments, UsageError};
+pub use arguments::{
+    AnswerForm, Command, DrainAction, DrainArguments, LogFormat, Role, RollingRestartArguments,
+    UsageError,
+};
 pub use exit::ExitStatus;
 pub use render::render;
 
@@ -41,10 +45,10 @@
         Command::CheckSettings { file } => check::settings(&file),
         Command::CheckConfiguration { file } => check::configuration(&file),
         Command::Demo { programs } => demo::show(programs),
-        Command::Drain(order) => drains::order(&order),
-        Command::Drains { address, json } => drains::show(&address, json),
-        Command::Roll(plan) => roll::run(&plan),
-        Command::Status { address, json } => status::show(&address, json),
+        Command::Drain(order) => drains::send_order(&order),
+        Command::Drains { address, form } => drains::show(&address, form),
+        Command::RollingRestart(plan) => rolling_restart::run(&plan),
+        Command::Status { address, form } => status::show(&address, form),
     }
 }
 
--- a/tier/command/src/logging.rs
+++ b/tier/command/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output.
+//! Log lines on standard output, for the roles. Commands that end by themselves do not log.
 
 use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::layer::SubscriberExt;
@@ -14,32 +14,33 @@
 pub(crate) fn start(format: LogFormat) {
     let wanted = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
     let parsed = parse_levels(&wanted);
-    let not_understood = parsed.is_none();
+    let is_understood = parsed.is_some();
     let levels = parsed.unwrap_or_else(default_levels);
     tracing_subscriber::registry()
         .with(lines(format).with_filter(levels))
         .init();
-    if not_understood {
+    if !is_understood {
         tracing::warn!(
             variable = LEVEL_VARIABLE,
             value = wanted,
-            "level is not understood, using info"
+            "log level not understood; using info"
         );
     }
 }
 
-/// Parses a list such as `info,plankhill_proxy=debug`; `None` if a part is not understood.
+/// Parses a list such as `info,plankhill_proxy=debug`; `None` if a segment of it is not understood.
 fn parse_levels(text: &str) -> Option<Targets> {
     let text = text.trim();
     if text.is_empty() {
         return Some(default_levels());
     }
-    // `Targets` takes any bare word for the name of a package, which would silence all others.
-    let understood = |part: &str| part.contains('=') || part.trim().parse::<LevelFilter>().is_ok();
-    text.split(',')
-        .all(understood)
-        .then(|| text.parse().ok())
-        .flatten()
+    for segment in text.split(',') {
+        // `Targets` takes any bare word for the name of a package, which would silence all others.
+        if !segment.contains('=') && segment.trim().parse::<LevelFilter>().is_err() {
+            return None;
+        }
+    }
+    text.parse().ok()
 }
 
 fn default_levels() -> Targets {
--- a/tier/command/src/render.rs
+++ b/tier/command/src/render.rs
@@ -1,4 +1,4 @@
-//! JSON written for people: indented keys, and tables for lists of like objects.
+//! JSON rendered for people: indented keys, and tables for lists of objects that are alike.
 
 use serde_json::{Map, Value};
 
@@ -8,7 +8,7 @@
 /// Spaces between two columns of a table.
 const COLUMN_GAP: usize = 2;
 
-/// Writes `value` for people.
+/// Renders `value` for people, one line for each key.
 pub fn render(value: &Value) -> String {
     let mut text = String::new();
     write_value(value, 0, &mut text);
@@ -60,54 +60,59 @@
     if elements.is_empty() {
         return None;
     }
-    let row = |element: &'_ Value| {
-        element
-            .as_object()
-            .is_some_and(|row| row.values().all(fits_line))
-    };
-    if elements.iter().all(row) {
-        elements.iter().map(Value::as_object).collect()
-    } else {
-        None
+    let mut rows = Vec::with_capacity(elements.len());
+    for element in elements {
+        let row = element.as_object()?;
+        if !row.values().all(fits_line) {
+            return None;
+        }
+        rows.push(row);
     }
+    Some(rows)
 }
 
 fn write_table(rows: &[&Map<String, Value>], depth: usize, text: &mut String) {
+    let columns = columns_of(rows);
+    let mut lines: Vec<Vec<String>> = vec![columns.iter().map(ToString::to_string).collect()];
+    for row in rows {
+        let cells = columns.iter().map(|column| cell_text(row, column));
+        lines.push(cells.collect());
+    }
+    let mut widths = vec![0; columns.len()];
+    for line in &lines {
+        for (width, cell) in widths.iter_mut().zip(line) {
+            *width = cell.chars().count().max(*width);
+        }
+    }
+    let gap = " ".repeat(COLUMN_GAP);
+    for line in &lines {
+        let cells = line.iter().zip(&widths);
+        let padded: Vec<String> = cells
+            .map(|(cell, width)| format!("{cell:width$}"))
+            .collect();
+        push_line(depth, &padded.join(&gap), text);
+    }
+}
+
+/// The keys of all rows, in the order in which they first occur.
+fn columns_of<'a>(rows: &[&'a Map<String, Value>]) -> Vec<&'a str> {
     let mut columns: Vec<&str> = Vec::new();
     for key in rows.iter().flat_map(|row| row.keys()) {
         if !columns.contains(&key.as_str()) {
             columns.push(key);
         }
     }
-    let heading: Vec<String> = columns.iter().map(|column| (*column).to_owned()).collect();
-    let cell = |row: &&Map<String, Value>, column: &str| {
-        row.get(column).map(line_text).unwrap_or_default()
-    };
-    let body = rows
-        .iter()
-        .map(|row| columns.iter().map(|column| cell(row, column)).collect());
-    let lines: Vec<Vec<String>> = std::iter::once(heading).chain(body).collect();
-    let widths: Vec<usize> = (0..columns.len())
-        .map(|place| widest(lines.iter().map(|line| line[place].as_str())))
-        .collect();
-    for line in &lines {
-        let cells = line
-            .iter()
-            .zip(&widths)
-            .map(|(cell, width)| format!("{cell:width$}"));
-        push_line(
-            depth,
-            &cells.collect::<Vec<_>>().join(&" ".repeat(COLUMN_GAP)),
-            text,
-        );
-    }
+    columns
 }
 
-fn widest<'a>(cells: impl Iterator<Item = &'a str>) -> usize {
-    cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
+fn cell_text(row: &Map<String, Value>, column: &str) -> String {
+    match row.get(column) {
+        Some(value) => line_text(value),
+        None => String::new(),
+    }
 }
 
-/// True for plain values and for lists of them.
+/// Whether `value` is plain, or a list of plain values.
 fn fits_line(value: &Value) -> bool {
     match value {
         Value::Object(fields) => fields.is_empty(),
--- a/tier/command/src/role.rs
+++ b/tier/command/src/role.rs
@@ -26,7 +26,7 @@
     match run(role) {
         Ok(()) => ExitStatus::Success,
         Err(error) => {
-            tracing::error!(?role, %error, "role ended");
+            tracing::error!(?role, %error, "role failed");
             ExitStatus::Failure
         }
     }
--- a/tier/command/src/status.rs
+++ b/tier/command/src/status.rs
@@ -5,17 +5,17 @@
 use serde_json::Value;
 
 use crate::controller_call::{CallError, ControllerCall};
-use crate::{print, print_error, render, ExitStatus};
+use crate::{print, print_error, render, AnswerForm, ExitStatus};
 
 /// Path of the status on a controller's `admin` address.
 const STATUS_PATH: &str = "/-/status";
 
 /// Asks the controller at `address` and prints its status.
-pub(crate) fn show(address: &str, json: bool) -> ExitStatus {
+pub(crate) fn show(address: &str, form: AnswerForm) -> ExitStatus {
     let Some(address) = parse_address(address) else {
         return ExitStatus::Usage;
     };
-    match status_text(address, json) {
+    match status_text(address, form) {
         Ok(text) => print(&text),
         Err(error) => {
             print_error(&format!("{address}: {error}"));
@@ -24,7 +24,7 @@
     }
 }
 
-/// Reads `IP:PORT`; says so where it is none.
+/// Parses `IP:PORT`; prints an error if `text` has another form.
 pub(crate) fn parse_address(text: &str) -> Option<SocketAddr> {
     let address = text.parse().ok();
     if address.is_none() {
@@ -33,11 +33,13 @@
     address
 }
 
-fn status_text(address: SocketAddr, json: bool) -> Result<String, CallError> {
+fn status_text(address: SocketAddr, form: AnswerForm) -> Result<String, CallError> {
     let body = ControllerCall::get(STATUS_PATH).send(address)?;
-    if json {
-        return Ok(String::from_utf8_lossy(&body).into_owned());
+    match form {
+        AnswerForm::Json => Ok(String::from_utf8_lossy(&body).into_owned()),
+        AnswerForm::Text => {
+            let status: Value = serde_json::from_slice(&body)?;
+            Ok(render(&status))
+        }
     }
-    let status: Value = serde_json::from_slice(&body)?;
-    Ok(render(&status))
 }
--- a/tier/command/tests/arguments.rs
+++ b/tier/command/tests/arguments.rs
@@ -4,13 +4,16 @@
 
 use std::time::Duration;
 
-use plankhill_tier::{Command, DrainArguments, LogFormat, Role, RollArguments, UsageError};
+use plankhill_tier::{
+    AnswerForm, Command, DrainAction, DrainArguments, LogFormat, Role, RollingRestartArguments,
+    UsageError,
+};
 
 fn parse(line: &str) -> Result<Command, UsageError> {
     Command::parse(line.split_whitespace().map(OsString::from))
 }
 
-fn understood(line: &str) -> Command {
+fn parsed(line: &str) -> Command {
     parse(line).unwrap_or_else(|error| panic!("{line}: {error}"))
 }
 
@@ -24,7 +27,7 @@
     ];
     for (name, role) in roles {
         assert_eq!(
-            understood(name),
+            parsed(name),
             Command::Run {
                 role,
                 log_format: LogFormat::Text
@@ -34,17 +37,17 @@
 }
 
 #[test]
-fn the_form_of_log_lines_is_chosen() {
+fn the_log_format_is_chosen() {
     for line in ["proxy --log-format json", "proxy --log-format=json"] {
         assert_eq!(
-            understood(line),
+            parsed(line),
             Command::Run {
                 role: Role::Proxy,
                 log_format: LogFormat::Json
             }
         );
     }
-    let text = understood("proxy --log-format text");
+    let text = parsed("proxy --log-format text");
     assert_eq!(
         text,
         Command::Run {
@@ -57,12 +60,12 @@
 #[test]
 fn files_are_checked_by_kind() {
     assert_eq!(
-        understood("check settings a.toml"),
+        parsed("check settings a.toml"),
         Command::CheckSettings {
             file: "a.toml".into()
         }
     );
-    let configuration = understood("check configuration a.json");
+    let configuration = parsed("check configuration a.json");
     assert_eq!(
         configuration,
         Command::CheckConfiguration {
@@ -72,85 +75,82 @@
 }
 
 #[test]
-fn status_takes_an_address_and_maybe_json() {
+fn status_takes_an_address_and_optionally_json() {
     let address = "127.0.0.1:9001".to_owned();
     assert_eq!(
-        understood("status 127.0.0.1:9001"),
+        parsed("status 127.0.0.1:9001"),
         Command::Status {
             address: address.clone(),
-            json: false
+            form: AnswerForm::Text
         }
     );
     assert_eq!(
-        understood("status --json 127.0.0.1:9001"),
+        parsed("status --json 127.0.0.1:9001"),
         Command::Status {
             address,
-            json: true
+            form: AnswerForm::Json
         }
     );
 }
 
 #[test]
 fn orders_name_machines_or_a_zone() {
-    let order = |leave, nodes: &[&str], zone: Option<&str>| {
+    let order = |action, nodes: &[&str], zone: Option<&str>| {
         Command::Drain(DrainArguments {
             address: "127.0.0.1:9001".to_owned(),
-            leave,
+            action,
             nodes: nodes.iter().map(ToString::to_string).collect(),
             zone: zone.map(str::to_owned),
         })
     };
     assert_eq!(
-        understood("drain 127.0.0.1:9001 a b"),
-        order(true, &["a", "b"], None)
+        parsed("drain 127.0.0.1:9001 a b"),
+        order(DrainAction::Drain, &["a", "b"], None)
     );
     assert_eq!(
-        understood("undrain 127.0.0.1:9001 --zone z a"),
-        order(false, &["a"], Some("z"))
+        parsed("undrain 127.0.0.1:9001 --zone z a"),
+        order(DrainAction::Undrain, &["a"], Some("z"))
     );
     assert!(parse("drain 127.0.0.1:9001").is_err_and(|error| error.to_string().contains("--zone")));
     assert!(parse("drain").is_err_and(|error| error.to_string().contains("address")));
 }
 
 #[test]
-fn a_roll_has_bounds() {
-    let roll = |nodes: &[&str], most_out, empty: u64, back: u64| {
-        Command::Roll(RollArguments {
+fn a_rolling_restart_has_limits() {
+    let roll = |nodes: &[&str], max_unavailable, drain: u64, restart: u64| {
+        Command::RollingRestart(RollingRestartArguments {
             address: "127.0.0.1:9001".to_owned(),
             nodes: nodes.iter().map(ToString::to_string).collect(),
-            most_out,
-            empty_within: Duration::from_secs(empty),
-            back_within: Duration::from_secs(back),
+            max_unavailable,
+            drain_timeout: Duration::from_secs(drain),
+            restart_timeout: Duration::from_secs(restart),
         })
     };
-    assert_eq!(understood("roll 127.0.0.1:9001"), roll(&[], 1, 120, 600));
+    assert_eq!(parsed("roll 127.0.0.1:9001"), roll(&[], 1, 120, 600));
     let line = "roll 127.0.0.1:9001 a --most 4 --empty-within 30 --back-within 60 b";
-    assert_eq!(understood(line), roll(&["a", "b"], 4, 30, 60));
+    assert_eq!(parsed(line), roll(&["a", "b"], 4, 30, 60));
     assert!(parse("roll 127.0.0.1:9001 --most 0")
         .is_err_and(|error| error.to_string().contains("--most")));
 }
 
 #[test]
 fn the_demo_takes_a_number_of_programs() {
-    assert_eq!(understood("demo"), Command::Demo { programs: 40 });
-    assert_eq!(
-        understood("demo --programs 7"),
-        Command::Demo { programs: 7 }
-    );
+    assert_eq!(parsed("demo"), Command::Demo { programs: 40 });
+    assert_eq!(parsed("demo --programs 7"), Command::Demo { programs: 7 });
 }
 
 #[test]
 fn help_and_version_are_known_everywhere() {
     for line in ["--help", "-h", "proxy --help", "check -h", "status --help"] {
-        assert_eq!(understood(line), Command::Help, "{line}");
+        assert_eq!(parsed(line), Command::Help, "{line}");
     }
     for line in ["--version", "-V"] {
-        assert_eq!(understood(line), Command::Version, "{line}");
+        assert_eq!(parsed(line), Command::Version, "{line}");
     }
 }
 
 #[test]
-fn what_is_not_understood_is_named() {
+fn errors_name_the_argument_that_is_not_parsed() {
     let cases = [
         ("", "no command"),
         ("serve", "serve"),
--- a/tier/command/tests/checking.rs
+++ b/tier/command/tests/checking.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_ends_with_code_2() {
+fn a_missing_file_ends_with_code_2() {
     for kind in ["settings", "configuration"] {
         let checked = run(command(&["check", kind, "/nowhere/file"]));
         assert_eq!(checked.code, 2);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_command_line_that_is_not_understood_ends_with_code_2() {
+fn a_usage_error_ends_with_code_2() {
     let refused = run(command(&["serve"]));
     assert_eq!(refused.code, 2);
     assert!(
--- a/tier/command/tests/drains.rs
+++ b/tier/command/tests/drains.rs
@@ -9,13 +9,15 @@
 use common::{command, run};
 
 /// A request's first line and body.
-struct Asked {
+struct ReceivedRequest {
     line: String,
     body: String,
 }
 
 /// Answers one connection after another by these, and ends.
-fn controller(answers: Vec<(&'static str, &'static str)>) -> (SocketAddr, JoinHandle<Vec<Asked>>) {
+fn controller(
+    answers: Vec<(&'static str, &'static str)>,
+) -> (SocketAddr, JoinHandle<Vec<ReceivedRequest>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let serve = move |(status, body): (&str, &str)| {
@@ -45,7 +47,7 @@
             .write_all(answer.as_bytes())
             .expect("the caller reads");
         let body = String::from_utf8(asked).expect("text");
-        Asked {
+        ReceivedRequest {
             line: head[0].trim().to_owned(),
             body,
         }
@@ -61,7 +63,7 @@
     r#"{"number":4,"drains":[{"node":"edge-1","number":4,"state":"leaving"}],"edges":[]}"#;
 
 #[test]
-fn an_order_builds_on_the_last_one() {
+fn an_order_names_the_last_order_it_builds_on() {
     let (address, served) = controller(vec![("200 OK", NONE), ("200 OK", LEAVING)]);
     let shown = run(command(&["drain", &address.to_string(), "edge-1"]));
     assert_eq!(shown.code, 0, "{}", shown.errors);
@@ -81,7 +83,7 @@
 }
 
 #[test]
-fn a_refusal_is_told_with_its_reason() {
+fn a_rejection_is_printed_with_its_reason() {
     let refusal = r#"{"error":"too few edges would stay in service"}"#;
     let (address, served) = controller(vec![("200 OK", NONE), ("409 Conflict", refusal)]);
     let shown = run(command(&["drain", &address.to_string(), "--zone", "z"]));
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn what_is_out_of_service_is_shown_as_received() {
+fn drains_are_printed_as_received() {
     let (address, served) = controller(vec![("200 OK", LEAVING)]);
     let shown = run(command(&["drains", "--json", &address.to_string()]));
     assert_eq!(
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn a_roll_drains_releases_and_takes_back() {
+fn a_rolling_restart_drains_restarts_and_undrains() {
     let at_first = r#"{"number":0,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":1},{"node":"b","zone":"z","incarnation":1}]}"#;
     let empty = r#"{"number":1,"drains":[{"node":"a","number":1,"state":"empty"}],"edges":[{"node":"a","zone":"z","incarnation":1},{"node":"b","zone":"z","incarnation":1}]}"#;
     let back = r#"{"number":1,"drains":[{"node":"a","number":1,"state":"empty"}],"edges":[{"node":"a","zone":"z","incarnation":2},{"node":"b","zone":"z","incarnation":1}]}"#;
@@ -129,7 +131,7 @@
         ]
     );
     let asked = served.join().expect("served");
-    let orders: Vec<&Asked> = asked
+    let orders: Vec<&ReceivedRequest> = asked
         .iter()
         .filter(|asked| asked.line.starts_with("POST"))
         .collect();
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn a_roll_stops_when_a_machine_is_lost() {
+fn a_rolling_restart_stops_when_a_machine_is_lost() {
     let both = r#"{"number":0,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":1},{"node":"b","zone":"z","incarnation":1}]}"#;
     let one = r#"{"number":0,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":1}]}"#;
     let (address, served) = controller(vec![("200 OK", both), ("200 OK", one)]);
--- a/tier/command/tests/status.rs
+++ b/tier/command/tests/status.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_refusal_and_an_answer_that_is_no_json_are_failures() {
+fn a_rejection_and_an_answer_that_is_no_json_are_failures() {
     let refused = status_of(answer("503 Service Unavailable", ""), &[]);
     assert_eq!(refused.code, 1);
     assert!(refused.errors.contains("503"), "{}", refused.errors);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn nobody_at_the_address_is_a_failure() {
+fn a_refused_connection_is_a_failure() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener
         .local_addr()
@@ -94,6 +94,6 @@
 }
 
 #[test]
-fn what_is_no_address_is_a_wrong_command_line() {
+fn an_invalid_address_is_a_usage_error() {
     assert_eq!(run(command(&["status", "somewhere"])).code, 2);
 }
