--- a/tier/loss-report/src/lib.rs
+++ b/tier/loss-report/src/lib.rs
@@ -1,10 +1,10 @@
-//! Where the worth of a day was lost, from the report that the operators' bench writes about it.
+//! Where the value of a day was lost, from the report that the operators' bench writes about it. A tool for development.
 //!
-//! The report tells worth by windows of time and the faults with their spans, not the fate of each program. So the loss of
-//! a window is put down to the faults that were under way around it, in equal parts where there were several.
+//! The report gives value by windows of time and the faults with their spans, not the fate of each program. So the loss
+//! of a window is attributed to the faults that were under way around it, in equal shares where there were several.
 
-mod ledger;
+mod attribution;
 mod report;
 
-pub use ledger::{Ledger, LostTo, Span};
+pub use attribution::{LossByCause, LossReport, Span};
 pub use report::{DayReport, Event, Price, ReportError, Window};
--- a/tier/loss-report/src/main.rs
+++ b/tier/loss-report/src/main.rs
@@ -1,14 +1,14 @@
-//! `plankhill-loss-report REPORT...`: where the worth of days was lost, from the bench's reports of them.
+//! `plankhill-loss-report REPORT...`: where the value of days was lost, from the bench's reports of them.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use lexopt::{Arg, Parser};
-use plankhill_loss_report::{DayReport, Ledger, ReportError};
+use plankhill_loss_report::{DayReport, LossReport, ReportError};
 
-/// Prices below this share of the worth owed are left out.
-const LEAST_PRICE: f64 = 0.0005;
+/// Prices below this share of the value owed are left out.
+const MIN_PRICE_SHARE: f64 = 0.0005;
 
 fn main() -> ExitCode {
     let files = match arguments() {
@@ -18,7 +18,10 @@
             return ExitCode::from(2);
         }
     };
-    let failed = files.iter().filter(|file| tell(file).is_err()).count();
+    let failed = files
+        .iter()
+        .filter(|file| print_report(file).is_err())
+        .count();
     if failed > 0 {
         return ExitCode::FAILURE;
     }
@@ -40,26 +43,34 @@
     Ok(files.into_iter().map(PathBuf::from).collect())
 }
 
-fn tell(file: &Path) -> Result<(), ReportError> {
+/// Prints the losses of one day; prints the error too, if there is one.
+fn print_report(file: &Path) -> Result<(), ReportError> {
     let report =
         DayReport::read(file).inspect_err(|error| eprintln!("{}: {error}", file.display()))?;
-    let ledger = Ledger::of(&report);
+    let losses = LossReport::new(&report);
     println!("{}", file.display());
     println!(
         "  {} programs, {} late, {} not served; lost {:.1}",
-        ledger.programs,
-        ledger.late,
-        ledger.not_served,
-        ledger.lost()
+        losses.programs,
+        losses.late,
+        losses.not_served,
+        losses.total_loss()
     );
-    for cause in &ledger.causes {
+    for loss in &losses.losses {
         println!(
             "  {:<36} {:>7.1}  {:.4}",
-            cause.cause, cause.programs, cause.share
+            loss.cause, loss.programs, loss.share
         );
     }
-    for price in report.prices.iter().filter(|price| price.2 >= LEAST_PRICE) {
-        println!("  price: {:<29} {:>7.1}  {:.4}", price.0, price.1, price.2);
+    for price in report
+        .prices
+        .iter()
+        .filter(|price| price.share >= MIN_PRICE_SHARE)
+    {
+        println!(
+            "  price: {:<29} {:>7.1}  {:.4}",
+            price.reason, price.amount, price.share
+        );
     }
     Ok(())
 }
--- a/tier/loss-report/src/report.rs
+++ b/tier/loss-report/src/report.rs
@@ -1,4 +1,4 @@
-//! The parts of a day's report that the ledger needs. Other fields are skipped.
+//! The fields of a day's report that the attribution needs, as the bench writes them (JSON). Other fields are skipped.
 
 use std::path::Path;
 
@@ -7,32 +7,32 @@
 /// Why a report cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// The file.
+    /// The file cannot be read.
     #[error("cannot be read: {0}")]
     File(#[from] std::io::Error),
-    /// Its content; the message names the key.
+    /// The file is no report of a day; the message names the key.
     #[error("is no report of a day: {0}")]
     Content(#[from] serde_json::Error),
 }
 
-/// One day.
+/// The report of one day.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DayReport {
     /// Programs by the time at which they began, in order.
     pub windows: Vec<Window>,
     /// Faults and planned work.
     pub events: Vec<Event>,
-    /// What was deducted.
+    /// The deductions.
     pub prices: Vec<Price>,
 }
 
 /// Programs that began within one window.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Window {
-    /// When the window begins, in seconds from the start of traffic.
+    /// The beginning of the window, in seconds from the start of traffic.
     #[serde(rename = "name", deserialize_with = "seconds")]
     pub from: f64,
-    /// Programs.
+    /// The programs that began in the window.
     #[serde(rename = "n")]
     pub programs: u32,
     /// Those that ended late.
@@ -41,24 +41,32 @@
     pub refused: u32,
     /// Those that failed.
     pub failed: u32,
-    /// The worth earned as a share of what was owed.
-    pub worth: f64,
+    /// The value earned as a share of the value owed.
+    #[serde(rename = "worth")]
+    pub value: f64,
 }
 
 /// A fault, or planned work.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
-    /// When it began, in seconds from the start of traffic.
+    /// The beginning, in seconds from the start of traffic.
     pub at_s: f64,
-    /// When it ended.
+    /// The end, in seconds from the start of traffic.
     pub to_s: f64,
-    /// What it was.
+    /// The kind, as the bench names it.
     pub kind: String,
 }
 
-/// One deduction: what for, the amount in its own unit, and the share of the worth owed.
+/// One deduction; an array of three values in the report.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Price(pub String, pub f64, pub f64);
+pub struct Price {
+    /// What the deduction is for.
+    pub reason: String,
+    /// The amount in its own unit.
+    pub amount: f64,
+    /// The amount as a share of the value owed.
+    pub share: f64,
+}
 
 impl DayReport {
     /// Reads a report.
@@ -70,7 +78,7 @@
     }
 }
 
-fn seconds<'de, D: Deserializer<'de>>(source: D) -> Result<f64, D::Error> {
-    let text = String::deserialize(source)?;
+fn seconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let text = String::deserialize(deserializer)?;
     text.parse().map_err(serde::de::Error::custom)
 }
--- a/tier/loss-report/tests/ledger.rs
+++ b/tier/loss-report/tests/attribution.rs
@@ -1,15 +1,15 @@
-//! The causes add up to the loss, and each window's loss goes to what was under way around it.
+//! The losses by cause add up to the loss, and each window's loss is attributed to the faults around it.
 
-use plankhill_loss_report::{DayReport, Event, Ledger, Window};
+use plankhill_loss_report::{DayReport, Event, LossReport, Window};
 
-fn window(from: f64, programs: u32, worth: f64) -> Window {
+fn window(from: f64, programs: u32, value: f64) -> Window {
     Window {
         from,
         programs,
         late: 0,
         refused: 0,
         failed: 0,
-        worth,
+        value,
     }
 }
 
@@ -21,17 +21,17 @@
     }
 }
 
-fn ledger(windows: Vec<Window>, events: Vec<Event>) -> Ledger {
-    Ledger::of(&DayReport {
+fn loss_report(windows: Vec<Window>, events: Vec<Event>) -> LossReport {
+    LossReport::new(&DayReport {
         windows,
         events,
         prices: Vec::new(),
     })
 }
 
-fn lost_to(ledger: &Ledger, cause: &str) -> f64 {
-    ledger
-        .causes
+fn lost_to(report: &LossReport, cause: &str) -> f64 {
+    report
+        .losses
         .iter()
         .filter(|lost| lost.cause == cause)
         .map(|lost| lost.programs)
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn causes_add_up_to_the_loss() {
+fn losses_by_cause_add_up_to_the_total() {
     arbtest::arbtest(|random| {
         let count = random.int_in_range(0..=20_u32)?;
         let mut windows = Vec::new();
@@ -58,15 +58,15 @@
         }
         let lost: f64 = windows
             .iter()
-            .map(|one| f64::from(one.programs) * (1.0 - one.worth))
+            .map(|one| f64::from(one.programs) * (1.0 - one.value))
             .sum();
-        assert!((ledger(windows, events).lost() - lost).abs() < 1e-6);
+        assert!((loss_report(windows, events).total_loss() - lost).abs() < 1e-6);
         Ok(())
     });
 }
 
 #[test]
-fn several_faults_share_a_window_and_far_ones_have_no_part() {
+fn faults_around_a_window_share_its_loss_and_distant_ones_do_not() {
     let windows = vec![
         window(0.0, 100, 1.0),
         window(10.0, 100, 0.8),
@@ -77,15 +77,15 @@
         event("burst", 9.0, 14.0),
         event("config_change", 10.0, 12.0),
     ];
-    let ledger = ledger(windows, events);
-    assert!((lost_to(&ledger, "kill") - 10.0).abs() < 1e-9);
-    assert!((lost_to(&ledger, "burst") - 10.0).abs() < 1e-9);
-    assert!((lost_to(&ledger, "nothing under way") - 5.0).abs() < 1e-9);
-    assert_eq!(ledger.programs, 250);
+    let report = loss_report(windows, events);
+    assert!((lost_to(&report, "kill") - 10.0).abs() < 1e-9);
+    assert!((lost_to(&report, "burst") - 10.0).abs() < 1e-9);
+    assert!((lost_to(&report, "nothing under way") - 5.0).abs() < 1e-9);
+    assert_eq!(report.programs, 250);
 }
 
 #[test]
-fn a_report_is_read_and_a_wrong_one_names_its_key() {
+fn a_report_is_read_and_the_error_of_an_invalid_one_names_the_key() {
     let text = r#"{"windows":[{"name":"4","n":7,"late":2,"refused":0,"failed":1,"worth":0.5,"p50_ms":1.0}],
         "events":[{"at_s":1.0,"to_s":2.0,"kind":"burst","what":"","planned":false}],"prices":[["memory",2.0,0.01]],"G":0.5}"#;
     let report: DayReport = serde_json::from_str(text).unwrap();
