--- a/tier/command/src/demo.rs
+++ b/tier/command/src/demo.rs
@@ -9,7 +9,7 @@
     match run(programs) {
         Ok(report) => {
             print(&format!("\n{report}"));
-            if report.is_whole() {
+            if report.is_success() {
                 ExitStatus::Success
             } else {
                 ExitStatus::Failure
--- a/tier/demo/src/call.rs
+++ b/tier/demo/src/call.rs
@@ -16,30 +16,30 @@
 /// Largest body read, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Its body.
     pub body: Bytes,
 }
 
-/// Why no whole answer came.
+/// Why no complete answer came.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// No connection came up.
     #[error("no connection: {0}")]
     Connect(#[from] std::io::Error),
-    /// The exchange broke off.
+    /// The connection broke during the call.
     #[error("broken off: {0}")]
     Broken(#[from] hyper::Error),
-    /// The body broke off, or is too large.
+    /// The body is truncated or too large.
     #[error("body broken off: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// It took too long.
+    /// No complete answer came in time.
     #[error("no whole answer in time")]
     TimedOut(#[from] tokio::time::error::Elapsed),
 }
@@ -56,7 +56,10 @@
     }
 }
 
-/// Sends `request` to `address` and reads the whole answer within `limit`.
+/// Sends `request` to `address` and reads the complete answer within `limit`.
+///
+/// # Errors
+/// [`CallError`] if no complete answer comes, whatever its status would be.
 pub async fn call(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
--- a/tier/demo/src/client.rs
+++ b/tier/demo/src/client.rs
@@ -1,5 +1,6 @@
-//! A client's requests, with the tries that clients make.
+//! A client's requests, with the attempts that clients make.
 
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -7,29 +8,30 @@
 use http_body_util::Full;
 use hyper::header::{HeaderValue, HOST};
 use hyper::{Method, Request, StatusCode};
+use thiserror::Error;
 use tokio::time::sleep;
 
-use crate::call::{call, Answer};
+use crate::call::{call, Answer, CallError};
 use crate::configuration;
-use crate::front::Front;
-use crate::tally::Tally;
+use crate::counts::SharedCounts;
+use crate::load_balancer::LoadBalancer;
 
-/// Longest wait for the answer to one try.
-const TRY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for the answer to one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Tries of one request.
-const MAX_TRIES: u32 = 6;
+/// Attempts of one request.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// Pause before the second try; it grows with each.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Backoff before the second attempt; it grows by itself with each further one.
+const RETRY_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Longest pause that a `Retry-After` is obeyed with.
+/// Longest `Retry-After` that is obeyed.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A client's request; each try gets an id of its own.
+/// A client's request; each attempt gets an id of its own.
 #[derive(Debug, Clone)]
 pub(crate) struct ClientRequest {
-    /// Start of the ids of its tries, unique in the run.
+    /// Prefix of the ids of its attempts, unique in the run.
     pub(crate) name: String,
     pub(crate) method: Method,
     pub(crate) path: &'static str,
@@ -39,52 +41,91 @@
 
 /// A request that was answered.
 #[derive(Debug)]
-pub(crate) struct Answered {
-    /// Id of the try that was answered.
+pub(crate) struct AnsweredRequest {
+    /// Id of the attempt that was answered.
     pub(crate) id: String,
     pub(crate) answer: Answer,
 }
 
+/// No attempt of a request was answered conclusively.
+#[derive(Debug, Error)]
+#[error("{request}: {last_failure}")]
+pub(crate) struct RequestError {
+    request: String,
+    last_failure: AttemptFailure,
+}
+
+/// Why one attempt failed.
+#[derive(Debug, Error)]
+enum AttemptFailure {
+    #[error("{proxy} answered {status}")]
+    Status {
+        proxy: SocketAddr,
+        status: StatusCode,
+    },
+    #[error("{proxy}: {error}")]
+    Call { proxy: SocketAddr, error: CallError },
+}
+
+impl AttemptFailure {
+    /// What happened, in two or three words.
+    fn kind(&self) -> String {
+        match self {
+            AttemptFailure::Status { status, .. } => format!("answered {}", status.as_u16()),
+            AttemptFailure::Call { error, .. } => error.kind().to_owned(),
+        }
+    }
+}
+
 /// Sends requests to the proxies.
 #[derive(Debug, Clone)]
 pub(crate) struct Client {
-    pub(crate) front: Arc<Front>,
-    pub(crate) tally: Arc<Tally>,
-    /// Place of the client among all, by which its proxies are chosen.
-    pub(crate) place: usize,
+    pub(crate) load_balancer: Arc<LoadBalancer>,
+    pub(crate) counts: Arc<SharedCounts>,
+    /// Index of the client among all, by which its proxies are chosen.
+    pub(crate) index: usize,
 }
 
 impl Client {
-    /// Sends `request` until a try succeeds or is refused for good.
+    /// Sends `request` until an attempt succeeds or is rejected for good.
     ///
     /// # Errors
-    /// What the last try saw.
-    pub(crate) async fn send(&self, request: &ClientRequest) -> Result<Answered, String> {
-        let mut seen = String::new();
-        for number in 0..MAX_TRIES {
+    /// [`RequestError`] with the failure of the last attempt.
+    pub(crate) async fn send(
+        &self,
+        request: &ClientRequest,
+    ) -> Result<AnsweredRequest, RequestError> {
+        let mut number = 0;
+        loop {
             let id = format!("{}-{number}", request.name);
-            let proxy = self.front.choose(self.place + number as usize);
-            let pause = match call(proxy, built(request, &id), TRY_TIMEOUT).await {
-                Ok(answer) if is_final(answer.status) => return Ok(Answered { id, answer }),
+            let proxy = self
+                .load_balancer
+                .choose_proxy(self.index + number as usize);
+            let mut backoff = RETRY_BACKOFF * (number + 1);
+            let failure = match call(proxy, build_request(request, &id), ATTEMPT_TIMEOUT).await {
+                Ok(answer) if is_final(answer.status) => return Ok(AnsweredRequest { id, answer }),
                 Ok(answer) => {
-                    seen = format!("{proxy} answered {}", answer.status);
-                    self.count_failed(format!("answered {}", answer.status.as_u16()));
-                    retry_after(&answer)
-                }
-                Err(error) => {
-                    seen = format!("{proxy}: {error}");
-                    self.count_failed(error.kind().to_owned());
-                    None
+                    backoff = retry_after(&answer).unwrap_or(backoff);
+                    let status = answer.status;
+                    AttemptFailure::Status { proxy, status }
                 }
+                Err(error) => AttemptFailure::Call { proxy, error },
             };
-            sleep(pause.unwrap_or(RETRY_PAUSE * (number + 1))).await;
+            self.count_failure(failure.kind());
+            sleep(backoff).await;
+            number += 1;
+            if number == MAX_ATTEMPTS {
+                return Err(RequestError {
+                    request: request.name.clone(),
+                    last_failure: failure,
+                });
+            }
         }
-        Err(format!("{}: {seen}", request.name))
     }
 
-    fn count_failed(&self, what: String) {
-        self.tally
-            .update(|counts| *counts.failed_tries.entry(what).or_default() += 1);
+    fn count_failure(&self, kind: String) {
+        self.counts
+            .update(|counts| *counts.failed_attempts.entry(kind).or_default() += 1);
     }
 }
 
@@ -105,7 +146,7 @@
         .map(|pause| pause.min(MAX_RETRY_AFTER))
 }
 
-fn built(request: &ClientRequest, id: &str) -> Request<Full<Bytes>> {
+fn build_request(request: &ClientRequest, id: &str) -> Request<Full<Bytes>> {
     let mut built = Request::new(Full::new(Bytes::from(request.body.clone())));
     *built.method_mut() = request.method.clone();
     *built.uri_mut() = hyper::Uri::from_static(request.path);
@@ -113,7 +154,7 @@
     headers.insert(HOST, HeaderValue::from_static(configuration::HOST));
     let own = [
         ("request-id", id.to_owned()),
-        ("deadline-ms", TRY_TIMEOUT.as_millis().to_string()),
+        ("deadline-ms", ATTEMPT_TIMEOUT.as_millis().to_string()),
     ];
     for (name, value) in own.iter().chain(&request.headers) {
         if let Ok(value) = HeaderValue::from_str(value) {
--- a/tier/demo/src/tally.rs
+++ b/tier/demo/src/counts.rs
@@ -7,17 +7,17 @@
 /// Counts of one run.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Counts {
-    pub(crate) programs_begun: u32,
-    pub(crate) programs_whole: u32,
+    pub(crate) programs_started: u32,
+    pub(crate) programs_completed: u32,
     pub(crate) turns: u32,
-    pub(crate) calls: u32,
-    /// What failed tries saw, and how many.
-    pub(crate) failed_tries: BTreeMap<String, u32>,
-    /// Turns whose target got something else than the history and the new input.
-    pub(crate) wrong_histories: u32,
-    /// Turns refused because the budget was spent.
-    pub(crate) budget_refusals: u32,
-    /// Times from a turn's first try to its whole answer.
+    pub(crate) tool_calls: u32,
+    /// Failed attempts by what they saw.
+    pub(crate) failed_attempts: BTreeMap<String, u32>,
+    /// Turns whose target received another prompt than the history with the new input.
+    pub(crate) wrong_prompts: u32,
+    /// Turns rejected because the budget was exhausted.
+    pub(crate) budget_rejections: u32,
+    /// Times from a turn's first attempt to its complete answer.
     pub(crate) turn_times: Vec<Duration>,
     /// Why programs failed.
     pub(crate) failures: Vec<String>,
@@ -25,11 +25,11 @@
 
 /// Counts shared by all programs.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct SharedCounts {
     counts: Mutex<Counts>,
 }
 
-impl Tally {
+impl SharedCounts {
     /// Changes the counts.
     pub(crate) fn update(&self, change: impl FnOnce(&mut Counts)) {
         change(&mut self.counts.lock().unwrap_or_else(PoisonError::into_inner));
--- a/tier/demo/src/events.rs
+++ b/tier/demo/src/events.rs
@@ -5,7 +5,7 @@
     format!("id: {id}\ndata: {data}\n\n")
 }
 
-/// The data of each event of a whole stream.
+/// The data of each event of a complete stream.
 pub fn data_of(stream: &str) -> Vec<&str> {
     stream
         .lines()
--- a/tier/demo/src/fleet.rs
+++ b/tier/demo/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of the tier.
+//! The processes of the demo's tier.
 
 use std::fs::File;
 use std::io;
@@ -11,13 +11,13 @@
 use tokio::time::{sleep, Instant};
 
 use crate::layout::{Machine, Role};
-use crate::settings_file::{text, Surroundings};
+use crate::settings_file::{render_settings, SettingsContext};
 
 /// Time between SIGTERM and SIGKILL.
-const GRACE: Duration = Duration::from_secs(8);
+const GRACE_PERIOD: Duration = Duration::from_secs(8);
 
-/// Pause between two looks at whether a process has ended.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Time between two checks whether a process has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// All processes of the tier; those still running are killed when this is dropped.
 pub struct Fleet {
@@ -45,6 +45,9 @@
     }
 
     /// Starts every role of `machines`, for the first time.
+    ///
+    /// # Errors
+    /// If a folder, a file or a process cannot be made.
     pub fn bootstrap(&mut self, machines: &[Machine]) -> io::Result<()> {
         for machine in machines {
             for role in machine.class.roles() {
@@ -59,22 +62,28 @@
         Ok(())
     }
 
-    /// Kills `role` on `machine` without warning.
+    /// Kills `role` on `machine` (SIGKILL).
+    ///
+    /// # Errors
+    /// If there is no such process, or it cannot be killed.
     pub fn kill(&mut self, machine: &Machine, role: Role) -> io::Result<()> {
         let process = self.find(machine, role)?;
         process.child.kill()?;
         process.child.wait().map(drop)
     }
 
-    /// Starts a killed process again, with what its disk holds.
+    /// Starts a killed process again on the state of its disk.
+    ///
+    /// # Errors
+    /// If there is no such process, or it cannot be started.
     pub fn restart(&mut self, machine: &Machine, role: Role) -> io::Result<()> {
         let child = self.spawn(machine, role, false)?;
         self.find(machine, role)?.child = child;
         Ok(())
     }
 
-    /// Names of the processes that ended by themselves.
-    pub fn ended(&mut self) -> Vec<String> {
+    /// Names of the processes that exited by themselves.
+    pub fn exited(&mut self) -> Vec<String> {
         let has_ended = |process: &mut Process| !matches!(process.child.try_wait(), Ok(None));
         let ended = self
             .processes
@@ -83,28 +92,20 @@
         ended.collect()
     }
 
-    /// Asks all processes to end and waits for them; kills those that don't within the grace period.
+    /// Asks all processes to end and waits for them; kills those that do not within the grace period.
     /// Returns how many had to be killed.
     pub async fn stop(&mut self) -> usize {
         for process in &self.processes {
             // A process that has ended already needs no signal.
             let _ = kill_process(Pid::from_child(&process.child), Signal::TERM);
         }
-        let until = Instant::now() + GRACE;
+        let until = Instant::now() + GRACE_PERIOD;
         while self.running() > 0 && Instant::now() < until {
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.running()
     }
 
-    /// Names and numbers of all processes.
-    pub fn running_processes(&self) -> Vec<(String, u32)> {
-        self.processes
-            .iter()
-            .map(|process| (process.name(), process.child.id()))
-            .collect()
-    }
-
     fn running(&mut self) -> usize {
         self.processes
             .iter_mut()
@@ -125,12 +126,12 @@
         let data = self.folder.join(&name);
         std::fs::create_dir_all(&data)?;
         let settings = self.folder.join(format!("{name}.toml"));
-        let around = Surroundings {
+        let around = SettingsContext {
             seeds: &self.seeds,
             bootstrap,
             data: &data,
         };
-        std::fs::write(&settings, text(machine, role, &around))?;
+        std::fs::write(&settings, render_settings(machine, role, &around))?;
         let log = File::options()
             .create(true)
             .append(true)
@@ -154,7 +155,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for process in &mut self.processes {
-            // Nothing is left to do about a process that can't be killed.
+            // Nothing is left to do about a process that cannot be killed.
             let _ = process.child.kill();
             let _ = process.child.wait();
         }
--- a/tier/demo/src/heartbeat.rs
+++ b/tier/demo/src/heartbeat.rs
@@ -10,24 +10,24 @@
 use tokio::time::sleep;
 
 use crate::configuration::{CAPACITY, MODELS};
-use crate::control_plane::{send, Order};
+use crate::control_plane::{send, ControlRequest};
 use crate::settings_file::HEARTBEAT_MS;
 use crate::target::Target;
 
 /// Longest wait for the acknowledgement of one heartbeat.
-const LIMIT: Duration = Duration::from_secs(3);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Sends heartbeats of `target` for as long as the demo runs.
-pub(crate) async fn keep_up(target: Arc<Target>, controllers: Arc<[SocketAddr]>) {
+pub(crate) async fn send_heartbeats(target: Arc<Target>, controllers: Arc<[SocketAddr]>) {
     for sequence in 1_usize.. {
         let order = heartbeat(&target, sequence);
         // The next heartbeat repeats what one without an acknowledgement said.
-        let _ = send(&controllers, sequence, &order, LIMIT).await;
+        let _ = send(&controllers, sequence, &order, HEARTBEAT_TIMEOUT).await;
         sleep(Duration::from_millis(HEARTBEAT_MS)).await;
     }
 }
 
-fn heartbeat(target: &Target, sequence: usize) -> Order {
+fn heartbeat(target: &Target, sequence: usize) -> ControlRequest {
     let mut body = json!({
         "service": target.service, "address": target.address.to_string(), "zone": target.zone,
         "version": "v1", "capacity": CAPACITY, "state": "healthy", "cold_remaining_ms": 0,
@@ -38,10 +38,10 @@
         body["models"] = json!([{"name": "m", "version": 1, "adapters": []}]);
     }
     let path = format!("/-/instances/{}", target.id);
-    Order {
+    ControlRequest {
         method: Method::PUT,
         path,
-        base: None,
+        base_version: None,
         body: Bytes::from(body.to_string()),
     }
 }
--- a/tier/demo/src/history.rs
+++ b/tier/demo/src/history.rs
@@ -1,4 +1,4 @@
-//! What a target must get for a turn: everything said before, and the new input.
+//! The prompt that a target must receive for a turn: all inputs and outputs before, and the new input.
 
 use std::hash::Hasher;
 
@@ -11,12 +11,12 @@
 }
 
 impl History {
-    /// Digest of the body that a target gets for a turn that brings `input`.
+    /// Digest of the body that a target receives for a turn with `input`.
     pub fn digest_with(&self, input: &str) -> String {
         digest(&[&self.bytes, input.as_bytes()].concat())
     }
 
-    /// Adds a turn that was answered whole.
+    /// Adds a turn that was answered completely.
     pub fn add(&mut self, input: &str, events: &[&str]) {
         self.bytes.extend_from_slice(input.as_bytes());
         for data in events {
--- a/tier/demo/src/layout.rs
+++ b/tier/demo/src/layout.rs
@@ -2,15 +2,20 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
+use plankhill_settings::PortRange;
+
 /// Zones of the demo, all in one region.
 pub const ZONES: [&str; 3] = ["north", "south", "shore"];
 
 /// The region of the zones.
 pub const REGION: &str = "inland";
 
-/// First and last port of the traffic inside the tier. All ports of the demo lie below those that
-/// systems hand out by themselves, and away from those that services commonly use.
-pub const PORT_RANGE: (u16, u16) = (27400, 27415);
+/// The ports for the traffic inside the tier. All ports of the demo lie below those that systems hand out by themselves,
+/// and away from those that services commonly use.
+pub const PORT_RANGE: PortRange = PortRange {
+    first: 27400,
+    last: 27415,
+};
 
 const ADMIN_PORT: u16 = 27001;
 const HTTP_PORT: u16 = 28001;
@@ -78,27 +83,27 @@
     pub fn machines(self, class: Class) -> Vec<Machine> {
         (0..)
             .zip(ZONES)
-            .map(|(place, zone)| self.machine(class, place, zone))
+            .map(|(index, zone)| self.machine(class, index, zone))
             .collect()
     }
 
-    /// Address of target `place`.
-    pub fn target(self, place: u8) -> SocketAddr {
-        SocketAddr::from((self.address(Class::Target, place), TARGET_PORT))
+    /// Address of target `index`.
+    pub fn target(self, index: u8) -> SocketAddr {
+        SocketAddr::from((self.address(Class::Target, index), TARGET_PORT))
     }
 
-    fn machine(self, class: Class, place: u8, zone: &'static str) -> Machine {
+    fn machine(self, class: Class, index: u8, zone: &'static str) -> Machine {
         let name = format!("{}-{zone}-1", class.name());
         Machine {
             name,
             class,
-            ip: self.address(class, place),
+            ip: self.address(class, index),
             zone,
         }
     }
 
-    fn address(self, class: Class, place: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.second, self.third, class as u8 + place)
+    fn address(self, class: Class, index: u8) -> Ipv4Addr {
+        Ipv4Addr::new(127, self.second, self.third, class as u8 + index)
     }
 }
 
--- a/tier/demo/src/lib.rs
+++ b/tier/demo/src/lib.rs
@@ -7,21 +7,21 @@
 mod client;
 pub mod configuration;
 pub mod control_plane;
+mod counts;
+mod demo_run;
 mod drain;
 mod error;
 pub mod events;
 pub mod fleet;
-mod front;
 mod heartbeat;
 pub mod history;
 pub mod layout;
-mod narration;
+mod load_balancer;
 mod program;
+mod progress_printer;
 mod report;
 mod scenario;
 pub mod settings_file;
-mod stage;
-mod tally;
 mod target;
 mod target_answer;
 
@@ -43,10 +43,10 @@
 ///
 /// # Errors
 /// If the tier does not start or does not take the configuration. What clients saw is no error:
-/// [`Report::is_whole`] judges it.
+/// [`Report::is_success`] judges it.
 pub fn run(options: &DemoOptions) -> Result<Report, DemoError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(scenario::play(options))
+    runtime.block_on(scenario::run(options))
 }
--- a/tier/demo/src/front.rs
+++ b/tier/demo/src/load_balancer.rs
@@ -14,18 +14,18 @@
 use crate::call::call;
 use crate::layout::Machine;
 
-/// Path of the question whether a proxy takes new clients.
+/// Path of a proxy's readiness.
 const READY_PATH: &str = "/-/ready";
 
-/// Pause between two questions.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// Time between two health checks of a proxy.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest wait for an answer.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time for the answer to a health check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// All proxies, and which of them take new clients.
 #[derive(Debug)]
-pub(crate) struct Front {
+pub(crate) struct LoadBalancer {
     proxies: Vec<Proxy>,
 }
 
@@ -36,38 +36,38 @@
     ready: AtomicBool,
 }
 
-impl Front {
+impl LoadBalancer {
     /// The proxies on `edges`, none ready yet.
-    pub(crate) fn new(edges: &[Machine]) -> Arc<Front> {
+    pub(crate) fn new(edges: &[Machine]) -> Arc<LoadBalancer> {
         let proxy = |edge: &Machine| Proxy {
             http: edge.http(),
             readiness: edge.readiness(),
             ready: AtomicBool::new(false),
         };
-        Arc::new(Front {
+        Arc::new(LoadBalancer {
             proxies: edges.iter().map(proxy).collect(),
         })
     }
 
-    /// Asks every proxy again and again whether it is ready.
-    pub(crate) fn watch(self: &Arc<Front>) {
-        for place in 0..self.proxies.len() {
-            tokio::spawn(self.clone().watch_one(place));
+    /// Starts a task for each proxy that checks its readiness, for as long as the demo runs.
+    pub(crate) fn start_health_checks(self: &Arc<LoadBalancer>) {
+        for index in 0..self.proxies.len() {
+            tokio::spawn(self.clone().check_health(index));
         }
     }
 
-    async fn watch_one(self: Arc<Front>, place: usize) {
-        let proxy = &self.proxies[place];
+    async fn check_health(self: Arc<LoadBalancer>, index: usize) {
+        let proxy = &self.proxies[index];
         loop {
             proxy
                 .ready
                 .store(is_ready(proxy.readiness).await, Ordering::Relaxed);
-            sleep(ASK_PAUSE).await;
+            sleep(HEALTH_CHECK_INTERVAL).await;
         }
     }
 
     /// Number of proxies that take new clients.
-    pub(crate) fn ready(&self) -> usize {
+    pub(crate) fn ready_count(&self) -> usize {
         self.proxies
             .iter()
             .filter(|proxy| proxy.ready.load(Ordering::Relaxed))
@@ -79,16 +79,17 @@
         self.proxies.len()
     }
 
-    /// The proxy for try `number`; any if none is ready.
-    pub(crate) fn choose(&self, number: usize) -> SocketAddr {
+    /// The proxy for attempt `number`: one of the ready ones; any if none is ready.
+    pub(crate) fn choose_proxy(&self, number: usize) -> SocketAddr {
         let ready: Vec<&Proxy> = self
             .proxies
             .iter()
             .filter(|proxy| proxy.ready.load(Ordering::Relaxed))
             .collect();
-        match ready.is_empty() {
-            true => self.proxies[number % self.proxies.len()].http,
-            false => ready[number % ready.len()].http,
+        if ready.is_empty() {
+            self.proxies[number % self.proxies.len()].http
+        } else {
+            ready[number % ready.len()].http
         }
     }
 }
@@ -99,5 +100,5 @@
     if let Ok(host) = address.to_string().parse() {
         request.headers_mut().insert(HOST, host);
     }
-    matches!(call(address, request, ASK_TIMEOUT).await, Ok(answer) if answer.status == StatusCode::OK)
+    matches!(call(address, request, HEALTH_CHECK_TIMEOUT).await, Ok(answer) if answer.status == StatusCode::OK)
 }
--- a/tier/demo/src/program.rs
+++ b/tier/demo/src/program.rs
@@ -1,11 +1,13 @@
-//! Agent programs: turns that go on from each other, with a call of a tool after each.
+//! Agent programs: turns that continue each other, with a call of a tool after each.
 
+use std::str::Utf8Error;
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
+use thiserror::Error;
 use tokio::time::{sleep, Instant};
 
-use crate::client::{Answered, Client, ClientRequest};
+use crate::client::{AnsweredRequest, Client, ClientRequest, RequestError};
 use crate::configuration::{TOOL_PATH, TURN_PATH};
 use crate::events;
 use crate::history::History;
@@ -14,15 +16,15 @@
 pub(crate) const TURN_TOKENS: u32 = 24;
 
 /// Time left to a program, as it tells the tier.
-const FINISH: Duration = Duration::from_secs(30);
+const FINISH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time that a program thinks between two turns.
-const THINKING: Duration = Duration::from_millis(400);
+const THINK_TIME: Duration = Duration::from_millis(400);
 
 /// What a program does.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Plan {
-    /// Place of the program among all.
+pub(crate) struct ProgramPlan {
+    /// Number of the program among all.
     pub(crate) number: u32,
     /// Turns that it takes.
     pub(crate) turns: u32,
@@ -30,48 +32,65 @@
     pub(crate) budget: u32,
 }
 
+/// Why a program failed.
+#[derive(Debug, Error)]
+enum ProgramError {
+    #[error(transparent)]
+    Request(#[from] RequestError),
+    #[error("{0}")]
+    Stream(#[from] Utf8Error),
+    #[error("turn {id} was answered {status}")]
+    Turn { id: String, status: StatusCode },
+    #[error("call {id} was answered {status}")]
+    ToolCall { id: String, status: StatusCode },
+}
+
 /// How a program's next turn went.
-enum Turn {
-    Whole,
-    BudgetSpent,
+enum TurnOutcome {
+    Completed,
+    BudgetExhausted,
 }
 
 /// Runs a program to its end and counts what it saw.
-pub(crate) async fn run(plan: Plan, client: Client) {
-    client.tally.update(|counts| counts.programs_begun += 1);
+pub(crate) async fn run(plan: ProgramPlan, client: Client) {
+    client.counts.update(|counts| counts.programs_started += 1);
     let mut program = Program {
         plan,
         client: client.clone(),
         previous: None,
         history: History::default(),
     };
-    match program.play().await {
-        Ok(()) => client.tally.update(|counts| counts.programs_whole += 1),
-        Err(reason) => client.tally.update(|counts| counts.failures.push(reason)),
+    match program.run_turns().await {
+        Ok(()) => client
+            .counts
+            .update(|counts| counts.programs_completed += 1),
+        Err(error) => client
+            .counts
+            .update(|counts| counts.failures.push(error.to_string())),
     }
 }
 
 struct Program {
-    plan: Plan,
+    plan: ProgramPlan,
     client: Client,
-    /// Id of the last turn that was answered whole.
+    /// Id of the last turn that was answered completely.
     previous: Option<String>,
     history: History,
 }
 
 impl Program {
-    async fn play(&mut self) -> Result<(), String> {
+    async fn run_turns(&mut self) -> Result<(), ProgramError> {
         for number in 1..=self.plan.turns {
             match self.take_turn(number).await? {
-                Turn::Whole => self.call_tool(number).await?,
-                Turn::BudgetSpent => return Ok(()),
+                TurnOutcome::Completed => self.call_tool(number).await?,
+                TurnOutcome::BudgetExhausted => return Ok(()),
             }
-            sleep(THINKING).await;
+            sleep(THINK_TIME).await;
         }
         Ok(())
     }
 
-    async fn take_turn(&mut self, number: u32) -> Result<Turn, String> {
+    async fn take_turn(&mut self, number: u32) -> Result<TurnOutcome, ProgramError> {
         let input = format!("program {} says sentence {number}\n", self.plan.number);
         let begun = Instant::now();
         let answered = self.client.send(&self.turn_request(number, &input)).await?;
@@ -79,31 +98,38 @@
             StatusCode::OK => self.accept(&input, begun.elapsed(), answered),
             StatusCode::PAYMENT_REQUIRED => {
                 self.client
-                    .tally
-                    .update(|counts| counts.budget_refusals += 1);
-                Ok(Turn::BudgetSpent)
+                    .counts
+                    .update(|counts| counts.budget_rejections += 1);
+                Ok(TurnOutcome::BudgetExhausted)
             }
-            status => Err(format!("turn {} was answered {status}", answered.id)),
+            status => Err(ProgramError::Turn {
+                id: answered.id,
+                status,
+            }),
         }
     }
 
-    fn accept(&mut self, input: &str, time: Duration, answered: Answered) -> Result<Turn, String> {
-        let stream =
-            std::str::from_utf8(&answered.answer.body).map_err(|error| error.to_string())?;
+    fn accept(
+        &mut self,
+        input: &str,
+        time: Duration,
+        answered: AnsweredRequest,
+    ) -> Result<TurnOutcome, ProgramError> {
+        let stream = std::str::from_utf8(&answered.answer.body)?;
         let data = events::data_of(stream);
         let expected = self.history.digest_with(input);
         let right = !data.is_empty() && data.iter().all(|data| data.starts_with(&expected));
         self.history.add(input, &data);
         self.previous = Some(answered.id);
-        self.client.tally.update(|counts| {
+        self.client.counts.update(|counts| {
             counts.turns += 1;
             counts.turn_times.push(time);
-            counts.wrong_histories += u32::from(!right);
+            counts.wrong_prompts += u32::from(!right);
         });
-        Ok(Turn::Whole)
+        Ok(TurnOutcome::Completed)
     }
 
-    async fn call_tool(&self, number: u32) -> Result<(), String> {
+    async fn call_tool(&self, number: u32) -> Result<(), ProgramError> {
         let request = ClientRequest {
             name: self.request_name("tool", number),
             method: Method::GET,
@@ -112,13 +138,12 @@
             body: String::new(),
         };
         let answered = self.client.send(&request).await?;
-        if !answered.answer.status.is_success() {
-            return Err(format!(
-                "call {} was answered {}",
-                answered.id, answered.answer.status
-            ));
+        let status = answered.answer.status;
+        if !status.is_success() {
+            let id = answered.id;
+            return Err(ProgramError::ToolCall { id, status });
         }
-        self.client.tally.update(|counts| counts.calls += 1);
+        self.client.counts.update(|counts| counts.tool_calls += 1);
         Ok(())
     }
 
@@ -147,11 +172,11 @@
         vec![
             ("program", format!("{number:06x}")),
             ("session", format!("{number:06x}")),
-            ("finish-ms", FINISH.as_millis().to_string()),
+            ("finish-ms", FINISH_TIMEOUT.as_millis().to_string()),
         ]
     }
 
-    /// Start of the ids of a request's tries.
+    /// Prefix of the ids of a request's attempts.
     fn request_name(&self, kind: &str, number: u32) -> String {
         format!("{kind}-{:x}-{number:x}", self.plan.number)
     }
--- a/tier/demo/src/narration.rs
+++ b/tier/demo/src/progress_printer.rs
@@ -5,19 +5,19 @@
 use tokio::time::Instant;
 
 /// Prints lines on standard output.
-pub(crate) struct Narration {
+pub(crate) struct ProgressPrinter {
     begun: Instant,
 }
 
-impl Narration {
-    pub(crate) fn begin() -> Narration {
-        Narration {
+impl ProgressPrinter {
+    pub(crate) fn start() -> ProgressPrinter {
+        ProgressPrinter {
             begun: Instant::now(),
         }
     }
 
     /// Prints `text` with the time since the start.
-    pub(crate) fn say(&self, text: &str) {
+    pub(crate) fn print(&self, text: &str) {
         // A reader that is gone is no reason to stop.
         let _ = writeln!(
             std::io::stdout(),
--- a/tier/demo/src/report.rs
+++ b/tier/demo/src/report.rs
@@ -3,18 +3,18 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::tally::Counts;
+use crate::counts::Counts;
 
 /// What clients saw.
 #[derive(Debug, Clone)]
 pub struct Report {
     pub(crate) counts: Counts,
-    /// Requests that targets ran again.
-    pub(crate) run_again: usize,
+    /// Requests that targets executed again.
+    pub(crate) repeated_executions: usize,
     /// Time from the order that drained a proxy until it was empty.
-    pub(crate) empty_after: Duration,
+    pub(crate) drain_time: Duration,
     /// Time from the acknowledgement of the second configuration until every ready proxy served it.
-    pub(crate) spread: Option<Duration>,
+    pub(crate) propagation: Option<Duration>,
     /// Whether the operator read back what was acknowledged.
     pub(crate) read_back: bool,
     /// Processes that ended by themselves.
@@ -24,14 +24,16 @@
 }
 
 impl Report {
-    /// True if every program ended whole, every prompt was right, nothing ran twice, and the
+    /// Whether every program completed, every prompt was right, nothing ran twice, and the
     /// configuration was in force and read back.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_success(&self) -> bool {
         let counts = &self.counts;
-        let programs = counts.programs_begun > 0 && counts.programs_whole == counts.programs_begun;
-        let turns =
-            counts.wrong_histories == 0 && counts.budget_refusals == 1 && self.run_again == 0;
-        programs && turns && self.spread.is_some() && self.read_back && self.ended.is_empty()
+        let programs =
+            counts.programs_started > 0 && counts.programs_completed == counts.programs_started;
+        let turns = counts.wrong_prompts == 0
+            && counts.budget_rejections == 1
+            && self.repeated_executions == 0;
+        programs && turns && self.propagation.is_some() && self.read_back && self.ended.is_empty()
     }
 }
 
@@ -42,7 +44,7 @@
         writeln!(
             formatter,
             "  programs       {} of {} whole",
-            counts.programs_whole, counts.programs_begun
+            counts.programs_completed, counts.programs_started
         )?;
         writeln!(
             formatter,
@@ -51,21 +53,21 @@
             self.time(0.5),
             self.time(1.0)
         )?;
-        writeln!(formatter, "  tool calls     {}", counts.calls)?;
-        writeln!(formatter, "  failed tries   {}", self.failed_tries())?;
-        writeln!(formatter, "  wrong prompts  {}", counts.wrong_histories)?;
-        writeln!(formatter, "  run twice      {}", self.run_again)?;
+        writeln!(formatter, "  tool calls     {}", counts.tool_calls)?;
+        writeln!(formatter, "  failed tries   {}", self.failed_attempts())?;
+        writeln!(formatter, "  wrong prompts  {}", counts.wrong_prompts)?;
+        writeln!(formatter, "  run twice      {}", self.repeated_executions)?;
         writeln!(
             formatter,
             "  budget spent   {} (one program has a budget of two turns)",
-            counts.budget_refusals
+            counts.budget_rejections
         )?;
         writeln!(
             formatter,
             "  drained        a proxy was empty after {} ms",
-            self.empty_after.as_millis()
+            self.drain_time.as_millis()
         )?;
-        match self.spread {
+        match self.propagation {
             Some(time) => writeln!(
                 formatter,
                 "  configuration  on every proxy {} ms after its acknowledgement",
@@ -93,11 +95,11 @@
 }
 
 impl Report {
-    /// Failed tries by what they saw, for people.
-    fn failed_tries(&self) -> String {
+    /// Failed attempts by what they saw, for people.
+    fn failed_attempts(&self) -> String {
         let kinds = self
             .counts
-            .failed_tries
+            .failed_attempts
             .iter()
             .map(|(what, count)| format!("{count} {what}"));
         let listed = kinds.collect::<Vec<_>>().join(", ");
@@ -112,9 +114,9 @@
     fn time(&self, share: f64) -> String {
         let mut times = self.counts.turn_times.clone();
         times.sort_unstable();
-        let place = (share * times.len().saturating_sub(1) as f64).round() as usize;
+        let index = (share * times.len().saturating_sub(1) as f64).round() as usize;
         times
-            .get(place)
+            .get(index)
             .map_or("-".to_owned(), |time| format!("{} ms", time.as_millis()))
     }
 }
--- a/tier/demo/src/scenario.rs
+++ b/tier/demo/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in the demo, in order.
+//! The steps of the demo, in order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,181 +10,183 @@
 
 use crate::client::{Client, ClientRequest};
 use crate::configuration::{self, ADDED_PATH};
-use crate::control_plane::{self, send, Order};
-use crate::front::Front;
+use crate::control_plane::{self, send, ControlRequest};
+use crate::counts::SharedCounts;
+use crate::demo_run::DemoRun;
 use crate::layout::Role;
-use crate::program::{self, Plan, TURN_TOKENS};
+use crate::load_balancer::LoadBalancer;
+use crate::program::{self, ProgramPlan, TURN_TOKENS};
 use crate::report::Report;
-use crate::stage::Stage;
-use crate::tally::Tally;
 use crate::{DemoError, DemoOptions};
 
 /// Longest wait for the tier to come up, and for an order to be acknowledged, in seconds.
-const START_SECONDS: u64 = 20;
+const START_TIMEOUT_S: u64 = 20;
 
-/// Time that a killed process stays away.
-const AWAY: Duration = Duration::from_secs(2);
+/// Time until a killed process is started again.
+const DOWNTIME: Duration = Duration::from_secs(2);
 
 /// Time between two programs' starts.
-const PROGRAM_GAP: Duration = Duration::from_millis(150);
+const PROGRAM_START_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Turns of a program.
 const TURNS: u32 = 5;
 
 /// Time within which a configuration has to be on every proxy.
-const SPREAD_LIMIT: Duration = Duration::from_secs(5);
-
-/// Pause between two looks at something awaited.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
-
-/// Plays the demo.
-pub(crate) async fn play(options: &DemoOptions) -> Result<Report, DemoError> {
-    let mut stage = Stage::set(options.program.clone()).await?;
-    stage.put_configuration(0, &configuration::first()).await?;
-    stage.wait_for_proxies().await?;
-    let programs = stage.start_programs(options.programs);
-    sleep(AWAY).await;
-    let empty_after = stage.drain_proxy().await?;
-    let spread = stage.kill_controller().await?;
-    stage.kill_proxy().await?;
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Time between two checks whether an awaited event has come.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Runs the demo to its end.
+pub(crate) async fn run(options: &DemoOptions) -> Result<Report, DemoError> {
+    let mut demo = DemoRun::start(options.program.clone()).await?;
+    demo.put_configuration(0, &configuration::first()).await?;
+    demo.wait_for_proxies().await?;
+    let programs = demo.start_programs(options.programs);
+    sleep(DOWNTIME).await;
+    let drain_time = demo.drain_proxy().await?;
+    let propagation = demo.kill_controller().await?;
+    demo.kill_proxy().await?;
     for program in programs {
-        // A program that panics is missing among the whole ones.
+        // A program that panics is missing among the completed ones.
         let _ = program.await;
     }
-    stage.narration.say("all programs have ended");
-    let report = stage.end(empty_after, spread).await;
-    stage.keep_logs_unless(report.is_whole());
+    demo.progress.print("all programs have ended");
+    let report = demo.end(drain_time, propagation).await;
+    if !report.is_success() {
+        demo.keep_logs();
+    }
     Ok(report)
 }
 
-impl Stage {
+impl DemoRun {
     /// Sends a configuration until it is acknowledged.
     async fn put_configuration(&mut self, base: u64, document: &Value) -> Result<(), DemoError> {
-        let order = Order::configuration(base, document);
-        let limit = Duration::from_secs(START_SECONDS);
+        let order = ControlRequest::configuration(base, document);
+        let limit = Duration::from_secs(START_TIMEOUT_S);
         match send(&self.controllers, 0, &order, limit).await {
             Some(answer) if answer.status == StatusCode::OK => {
-                self.narration.say(&format!(
+                self.progress.print(&format!(
                     "configuration {} is acknowledged",
                     document["version"]
                 ));
                 Ok(())
             }
             _ => {
-                self.say_standing().await;
-                Err(self.too_late("the acknowledgement of the configuration", START_SECONDS))
+                self.print_controller_status().await;
+                Err(self.timed_out("the acknowledgement of the configuration", START_TIMEOUT_S))
             }
         }
     }
 
     async fn wait_for_proxies(&mut self) -> Result<(), DemoError> {
-        let until = Instant::now() + Duration::from_secs(START_SECONDS);
-        while self.front.ready() < self.front.len() {
+        let until = Instant::now() + Duration::from_secs(START_TIMEOUT_S);
+        while self.load_balancer.ready_count() < self.load_balancer.len() {
             if Instant::now() >= until {
-                return Err(self.too_late("readiness of every proxy", START_SECONDS));
+                return Err(self.timed_out("readiness of every proxy", START_TIMEOUT_S));
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.narration.say("every proxy takes clients");
+        self.progress.print("every proxy takes clients");
         Ok(())
     }
 
     fn start_programs(&self, count: u32) -> Vec<JoinHandle<()>> {
-        self.narration.say(&format!(
+        self.progress.print(&format!(
             "{count} programs begin, one of them with a budget of two turns"
         ));
         let start = |number: u32| {
             let turns_paid = if number == 0 { 2 } else { 4 * TURNS };
-            let plan = Plan {
+            let plan = ProgramPlan {
                 number,
                 turns: TURNS,
                 budget: turns_paid * TURN_TOKENS,
             };
             let client = self.client(number as usize);
             tokio::spawn(async move {
-                sleep(PROGRAM_GAP * number).await;
+                sleep(PROGRAM_START_INTERVAL * number).await;
                 program::run(plan, client).await;
             })
         };
         (0..count).map(start).collect()
     }
 
-    /// Tells how each controller sees the control plane.
-    async fn say_standing(&self) {
+    /// Prints each controller's view of the control plane.
+    async fn print_controller_status(&self) {
         for core in &self.cores {
             let line = match control_plane::status(core.admin()).await {
-                Some(status) => format!("{}: {}", core.name, standing(&status)),
+                Some(status) => format!("{}: {}", core.name, status_line(&status)),
                 None => format!("{}: no status", core.name),
             };
-            self.narration.say(&line);
+            self.progress.print(&line);
         }
     }
 
     /// Kills a controller, changes the configuration meanwhile, and starts it again.
     async fn kill_controller(&mut self) -> Result<Option<Duration>, DemoError> {
         let core = self.cores[0].clone();
-        self.say_standing().await;
+        self.print_controller_status().await;
         self.fleet.kill(&core, Role::Controller)?;
-        self.narration
-            .say(&format!("killed the controller on {}", core.name));
+        self.progress
+            .print(&format!("killed the controller on {}", core.name));
         self.put_configuration(1, &configuration::second()).await?;
-        let spread = self.time_until_in_force().await;
-        sleep(AWAY).await;
+        let propagation = self.time_until_in_force().await;
+        sleep(DOWNTIME).await;
         self.fleet.restart(&core, Role::Controller)?;
-        self.narration
-            .say(&format!("started the controller on {} again", core.name));
-        Ok(spread)
+        self.progress
+            .print(&format!("started the controller on {} again", core.name));
+        Ok(propagation)
     }
 
     /// Kills a proxy and starts it again.
     async fn kill_proxy(&mut self) -> Result<(), DemoError> {
         let edge = self.edges[1].clone();
         self.fleet.kill(&edge, Role::Proxy)?;
-        self.narration
-            .say(&format!("killed the proxy on {}", edge.name));
-        sleep(AWAY).await;
+        self.progress
+            .print(&format!("killed the proxy on {}", edge.name));
+        sleep(DOWNTIME).await;
         self.fleet.restart(&edge, Role::Proxy)?;
-        self.narration
-            .say(&format!("started the proxy on {} again", edge.name));
+        self.progress
+            .print(&format!("started the proxy on {} again", edge.name));
         Ok(())
     }
 
     /// Time until every proxy serves the route that the second configuration added.
     async fn time_until_in_force(&self) -> Option<Duration> {
         let begun = Instant::now();
-        for (place, edge) in self.edges.iter().enumerate() {
-            let front = Front::new(std::slice::from_ref(edge));
+        for (index, edge) in self.edges.iter().enumerate() {
+            let load_balancer = LoadBalancer::new(std::slice::from_ref(edge));
             let client = Client {
-                front,
-                tally: Arc::new(Tally::default()),
-                place: 0,
+                load_balancer,
+                counts: Arc::new(SharedCounts::default()),
+                index: 0,
             };
             let mut number = 0;
-            while !serves_added_route(&client, place, number).await {
-                if begun.elapsed() > SPREAD_LIMIT {
+            while !serves_added_route(&client, index, number).await {
+                if begun.elapsed() > PROPAGATION_TIMEOUT {
                     return None;
                 }
                 number += 1;
-                sleep(LOOK_PAUSE).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
-        self.narration
-            .say("every proxy serves the route that it adds");
+        self.progress
+            .print("every proxy serves the route that it adds");
         Some(begun.elapsed())
     }
 
     /// Reads back the configuration, stops all processes and puts the report together.
-    async fn end(&mut self, empty_after: Duration, spread: Option<Duration>) -> Report {
+    async fn end(&mut self, drain_time: Duration, propagation: Option<Duration>) -> Report {
         let read_back = self.reads_back(&configuration::second()).await;
-        let ended = self.fleet.ended();
+        let ended = self.fleet.exited();
         let killed_at_end = self.fleet.stop().await;
-        self.narration.say("all processes have ended");
-        let run_again = self.runs.repeated();
+        self.progress.print("all processes have ended");
+        let repeated_executions = self.executions.repeated();
         Report {
-            counts: self.tally.counts(),
-            run_again,
-            empty_after,
-            spread,
+            counts: self.counts.counts(),
+            repeated_executions,
+            drain_time,
+            propagation,
             read_back,
             ended,
             killed_at_end,
@@ -192,24 +194,30 @@
     }
 
     async fn reads_back(&self, expected: &Value) -> bool {
-        let limit = Duration::from_secs(START_SECONDS);
-        let answer = send(&self.controllers, 0, &Order::get("/-/config"), limit).await;
+        let limit = Duration::from_secs(START_TIMEOUT_S);
+        let answer = send(
+            &self.controllers,
+            0,
+            &ControlRequest::get("/-/config"),
+            limit,
+        )
+        .await;
         let read = answer.and_then(|answer| serde_json::from_slice::<Value>(&answer.body).ok());
         read.as_ref() == Some(expected)
     }
 }
 
 /// A controller's view in one line.
-fn standing(status: &Value) -> String {
+fn status_line(status: &Value) -> String {
     let keys = ["view", "chain", "voters", "current", "revision"];
     let parts = keys.map(|key| format!("{key} {}", status[key].to_string().replace('"', "")));
     parts.join(", ")
 }
 
 /// True if the client's proxy serves the route that the second configuration adds.
-async fn serves_added_route(client: &Client, place: usize, number: u32) -> bool {
+async fn serves_added_route(client: &Client, index: usize, number: u32) -> bool {
     let request = ClientRequest {
-        name: format!("added-{place}-{number}"),
+        name: format!("added-{index}-{number}"),
         method: Method::GET,
         path: ADDED_PATH,
         headers: Vec::new(),
--- a/tier/demo/src/settings_file.rs
+++ b/tier/demo/src/settings_file.rs
@@ -10,7 +10,7 @@
 pub const HEARTBEAT_MS: u64 = 1000;
 
 /// What a settings file says besides the machine and the role.
-pub struct Surroundings<'a> {
+pub struct SettingsContext<'a> {
     /// Addresses of the controllers.
     pub seeds: &'a [SocketAddr],
     /// True at the first start of the whole tier.
@@ -20,7 +20,7 @@
 }
 
 /// The text of the settings file for `role` on `machine`.
-pub fn text(machine: &Machine, role: Role, around: &Surroundings<'_>) -> String {
+pub fn render_settings(machine: &Machine, role: Role, around: &SettingsContext<'_>) -> String {
     let has_disk = machine.class != Class::Edge;
     let serves = role
         .serves()
@@ -33,7 +33,7 @@
         .collect();
     let mut text = String::new();
     let mut line = |key: &str, value: String| {
-        // Writing to a string doesn't fail.
+        // Writing to a string does not fail.
         let _ = writeln!(text, "{key} = {value}");
     };
     line("node_id", format!("{:?}", machine.name));
@@ -45,7 +45,7 @@
     line("region", format!("{REGION:?}"));
     line(
         "port_range",
-        format!("[{}, {}]", PORT_RANGE.0, PORT_RANGE.1),
+        format!("[{}, {}]", PORT_RANGE.first, PORT_RANGE.last),
     );
     line("seed_nodes", format!("[{}]", seeds.join(", ")));
     line("bootstrap", around.bootstrap.to_string());
--- a/tier/demo/src/target.rs
+++ b/tier/demo/src/target.rs
@@ -1,4 +1,4 @@
-//! Stand-in targets: they serve requests in this process and tell the digest of what they got.
+//! Stand-in targets: they serve requests in this process and answer with the digest of the prompt.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -18,12 +18,12 @@
     pub(crate) service: &'static str,
     pub(crate) zone: &'static str,
     pub(crate) address: SocketAddr,
-    pub(crate) runs: Arc<Runs>,
+    pub(crate) executions: Arc<Executions>,
 }
 
-/// Which requests the targets have run.
+/// Which requests the targets have executed.
 #[derive(Debug, Default)]
-pub(crate) struct Runs {
+pub(crate) struct Executions {
     seen: Mutex<Seen>,
 }
 
@@ -33,16 +33,16 @@
     repeated: usize,
 }
 
-impl Runs {
-    /// Notes that the request `id` is run.
-    pub(crate) fn note(&self, id: &str) {
+impl Executions {
+    /// Records that the request `id` is executed.
+    pub(crate) fn record(&self, id: &str) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         if !seen.ids.insert(id.to_owned()) {
             seen.repeated += 1;
         }
     }
 
-    /// How often a request was run again.
+    /// How often a request was executed again.
     pub(crate) fn repeated(&self) -> usize {
         self.seen
             .lock()
--- a/tier/demo/src/target_answer.rs
+++ b/tier/demo/src/target_answer.rs
@@ -21,17 +21,17 @@
 /// Path of a target's report.
 const REPORT_PATH: &str = "/-/report";
 
-/// Pause before each event.
-const EVENT_PAUSE: Duration = Duration::from_millis(15);
+/// Time before each event.
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Time that a tool works.
-const TOOL_WORK: Duration = Duration::from_millis(10);
+/// Time that a tool call takes.
+const TOOL_DURATION: Duration = Duration::from_millis(10);
 
 /// Events of a stream whose request tells no number of tokens.
 const DEFAULT_EVENTS: u32 = 8;
 
-/// Events that wait for a slow reader.
-const EVENT_QUEUE: usize = 4;
+/// Most events that wait for a slow reader.
+const MAX_QUEUED_EVENTS: usize = 4;
 
 type Body = BoxBody<Bytes, Infallible>;
 
@@ -85,7 +85,9 @@
         .get("request-id")
         .cloned()
         .unwrap_or(HeaderValue::from_static(""));
-    target.runs.note(&String::from_utf8_lossy(id.as_bytes()));
+    target
+        .executions
+        .record(&String::from_utf8_lossy(id.as_bytes()));
     let mut response = if target.service == MODELS {
         let mut streamed = Response::new(stream(digest(&body), events_wanted(&head.headers)));
         set(
@@ -95,7 +97,7 @@
         );
         streamed
     } else {
-        sleep(TOOL_WORK).await;
+        sleep(TOOL_DURATION).await;
         Response::new(text(format!("{{\"done\":\"{}\"}}", head.uri.path())))
     };
     set(
@@ -118,10 +120,10 @@
 
 /// A stream of events that each tell `digest`.
 fn stream(digest: String, events: u32) -> Body {
-    let (mut sender, body) = Channel::<Bytes, Infallible>::new(EVENT_QUEUE);
+    let (mut sender, body) = Channel::<Bytes, Infallible>::new(MAX_QUEUED_EVENTS);
     tokio::spawn(async move {
         for id in 1..=events {
-            sleep(EVENT_PAUSE).await;
+            sleep(EVENT_INTERVAL).await;
             let event = events::write(id, &format!("{digest} {id}"));
             if sender.send_data(Bytes::from(event)).await.is_err() {
                 return;
--- a/tier/demo/tests/history.rs
+++ b/tier/demo/tests/history.rs
@@ -4,7 +4,7 @@
 use plankhill_demo::history::{digest, History};
 
 #[test]
-fn a_turn_brings_all_inputs_and_outputs_before_it() {
+fn a_turn_carries_all_inputs_and_outputs_before_it() {
     let mut history = History::default();
     assert_eq!(history.digest_with("one\n"), digest(b"one\n"));
     history.add("one\n", &["a", "b"]);
--- a/tier/demo/tests/inputs.rs
+++ b/tier/demo/tests/inputs.rs
@@ -5,7 +5,7 @@
 use plankhill_configuration::{Document, RouteTable};
 use plankhill_demo::configuration::{self, ADDED_PATH, HOST, TOOL_PATH, TURN_PATH};
 use plankhill_demo::layout::{Class, Network, Role};
-use plankhill_demo::settings_file::{text, Surroundings};
+use plankhill_demo::settings_file::{render_settings, SettingsContext};
 use plankhill_settings::Settings;
 
 #[test]
@@ -19,12 +19,12 @@
     for class in [Class::Core, Class::Storage, Class::Edge] {
         for machine in network.machines(class) {
             for role in class.roles() {
-                let around = Surroundings {
+                let around = SettingsContext {
                     seeds: &seeds,
                     bootstrap: true,
                     data: Path::new("/tmp/demo \"data\""),
                 };
-                let settings: Settings = text(&machine, *role, &around)
+                let settings: Settings = render_settings(&machine, *role, &around)
                     .parse()
                     .expect("valid settings");
                 assert_eq!(settings.node_id, machine.name);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn networks_of_two_processes_differ_and_never_hold_the_usual_loopback_address() {
+fn networks_of_two_processes_differ_and_never_contain_the_usual_loopback_address() {
     some_process_ids().for_each(|pid| {
         let machine = &Network::of_process(pid).machines(Class::Core)[0];
         assert!(machine.ip.is_loopback());
@@ -71,7 +71,7 @@
         .flat_map(|class| network.machines(class))
         .map(|machine| machine.ip)
         .collect();
-    addresses.extend((0..6).map(|place| match network.target(place).ip() {
+    addresses.extend((0..6).map(|index| match network.target(index).ip() {
         std::net::IpAddr::V4(ip) => ip,
         std::net::IpAddr::V6(ip) => panic!("{ip} is no IPv4 address"),
     }));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn both_configurations_are_valid_and_route_what_programs_ask_for() {
+fn both_configurations_are_valid_and_route_the_programs_requests() {
     let (_, first) =
         Document::parse(configuration::first().to_string().into_bytes()).expect("valid");
     let (_, second) =
