--- a/tier/protocol/src/lib.rs
+++ b/tier/protocol/src/lib.rs
@@ -15,7 +15,6 @@
 pub mod feed;
 pub mod feed_position;
 pub mod ids;
-pub mod ports;
 pub mod shared_bytes;
 pub mod store_calls;
 pub mod subscription;
--- a/tier/proxy/src/table_feed.rs
+++ b/tier/proxy/src/table_feed.rs
@@ -6,7 +6,6 @@
 
 use plankhill_protocol::feed::Subscriber;
 use plankhill_protocol::ids::{InstanceId, NodeId};
-use plankhill_protocol::ports::PortRange;
 use plankhill_protocol::subscription::{Subscription, SubscriptionOptions, AGENT_TIMEOUT};
 use plankhill_protocol::tables::Tables;
 use plankhill_protocol::transport::{Channel, Hello};
@@ -18,11 +17,7 @@
 
 /// Subscribes at the agent that the settings' port range names.
 pub fn subscribe(settings: &Settings) -> Subscription {
-    let agent = PortRange {
-        first: settings.port_range.first,
-    }
-    .agent_loopback(settings.ip);
-    let (_, candidates) = watch::channel(vec![agent]);
+    let (_, candidates) = watch::channel(vec![settings.agent_loopback_address()]);
     Subscription::start(SubscriptionOptions {
         hello: Hello::new(Channel::Feed, NodeId::from(settings.node_id.as_str())),
         subscriber: Subscriber::Proxy,
--- a/tier/store/src/process.rs
+++ b/tier/store/src/process.rs
@@ -8,7 +8,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use plankhill_protocol::ids::{Incarnation, NodeId, ZoneName};
-use plankhill_protocol::ports::PortRange;
 use plankhill_protocol::tables::StoreMember;
 use plankhill_protocol::transport::{listen, serve_calls, Channel, Hello, ListenError};
 use plankhill_settings::Settings;
@@ -62,11 +61,8 @@
 async fn serve(settings: Settings) -> Result<(), RunError> {
     let terminated = termination_signal()?;
     let folder = settings.data_path.clone().ok_or(RunError::NoDataPath)?;
-    let ports = PortRange {
-        first: settings.port_range.first,
-    };
-    let node = open_node(&settings, ports, folder).await?;
-    let listener = listen(ports.store(settings.ip)).map_err(|error| error.source)?;
+    let node = open_node(&settings, folder).await?;
+    let listener = listen(settings.store_address()).map_err(|error| error.source)?;
     let identity = node.identity().clone();
     tracing::info!(
         node = %identity.node,
@@ -74,7 +70,7 @@
         address = %identity.address,
         "store started"
     );
-    let controllers = ports.controllers(&settings.seed_nodes);
+    let controllers = settings.seed_controllers();
     tokio::task::spawn_local(node.clone().run());
     tokio::task::spawn_local(follow_control_plane(node.clone(), controllers));
     let serving = tokio::task::spawn_local(answer_calls(node.clone(), listener));
@@ -90,17 +86,13 @@
     }
 }
 
-async fn open_node(
-    settings: &Settings,
-    ports: PortRange,
-    folder: PathBuf,
-) -> Result<Rc<StoreNode>, RunError> {
+async fn open_node(settings: &Settings, folder: PathBuf) -> Result<Rc<StoreNode>, RunError> {
     let opened = open_state_folder(&folder, draw_incarnation()).await;
     let node = NodeId::from(settings.node_id.as_str());
     let identity = StoreMember {
         node: node.clone(),
         incarnation: opened.incarnation,
-        address: ports.store(settings.ip),
+        address: settings.store_address(),
         zone: ZoneName::from(settings.zone.as_str()),
     };
     let parts = NodeParts {
