--- a/tier/agent/src/failure_detection.rs
+++ b/tier/agent/src/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Probes peers by datagrams on the agents' port, answers their probes, and reports failed peers to a controller. The
-//! decisions are those of [`FailureDetector`].
+//! Probes peers by datagrams on the agents' port, answers their probes, and reports failed peers to
+//! a controller. The decisions are those of [`FailureDetector`].
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Acts on a datagram. Datagrams of machines that are no edges are ignored, and those that cannot be decoded.
+    /// Acts on a datagram. Datagrams of machines that are no edges are ignored, and those that
+    /// cannot be decoded.
     fn on_datagram(&mut self, bytes: &[u8], sender: SocketAddr) {
         let mut edges = self.tables.edges.iter();
         let Some(sender) = edges.find(|edge| edge.address == sender) else {
--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -1,5 +1,6 @@
-//! Sends the tables of this machine to subscribers: to the proxy of the same machine, and to the other agents of the
-//! zone while this machine is their home. Accepts the connections; each is served by a `session`.
+//! Sends the tables of this machine to subscribers: to the proxy of the same machine, and to the
+//! other agents of the zone while this machine is their home. Accepts the connections; each is
+//! served by a `session`.
 
 mod session;
 
@@ -22,19 +23,20 @@
     pub max_connections: usize,
 }
 
-/// For the proxy of the same machine. Each heartbeat wakes both processes, and these share a fraction of a core. A new
-/// connection may come before the end of the old one is seen.
+/// For the proxy of the same machine. Each heartbeat wakes both processes, and these share a
+/// fraction of a core. A new connection may come before the end of the old one is seen.
 pub const PROXY_FEEDER: FeederOptions = FeederOptions {
     heartbeat_interval: Duration::from_millis(500),
     max_connections: 4,
 };
-/// For other agents of the zone. They do not rely on heartbeats, but on updates as soon as a controller has announced
-/// them.
+/// For other agents of the zone. They do not rely on heartbeats, but on updates as soon as a
+/// controller has announced them.
 pub const PEER_FEEDER: FeederOptions = FeederOptions {
     heartbeat_interval: Duration::from_secs(10),
     max_connections: 64,
 };
-/// Backoff after a failed accept, when the process has no file descriptor left: open connections can end meanwhile.
+/// Backoff after a failed accept, when the process has no file descriptor left: open connections
+/// can end meanwhile.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// What a feeder sends, and where it passes messages of its subscribers on to.
--- a/tier/agent/src/feeder/session.rs
+++ b/tier/agent/src/feeder/session.rs
@@ -10,8 +10,8 @@
 
 use super::FeedSource;
 
-/// The tables count as current if a controller confirmed them within this time: five of its heartbeats, and half of the
-/// shortest contact bound.
+/// The tables count as current if a controller confirmed them within this time: five of its
+/// heartbeats, and half of the shortest contact bound.
 const CONFIRMATION_TTL: Duration = Duration::from_millis(1_500);
 /// Time for the first message of a subscriber.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -121,7 +121,8 @@
             Ok(drained @ FromSubscriber::Drained { .. })
                 if self.subscriber == Subscriber::Proxy =>
             {
-                // The proxy repeats the message until the tables show it, so one that finds the queue full may be lost.
+                // The proxy repeats the message until the tables show it, so one that finds the
+                // queue full may be lost.
                 let _ = self.source.to_controllers.try_send(drained);
             }
             Ok(_) => {}
--- a/tier/agent/src/homes.rs
+++ b/tier/agent/src/homes.rs
@@ -1,7 +1,9 @@
-//! Takes updates from the home of this machine's zone, so that the controllers need not send every update to each edge.
+//! Takes updates from the home of this machine's zone, so that the controllers need not send every
+//! update to each edge.
 //!
-//! Correctness does not rest on homes: a controller announces each revision at once, and if the home has not sent that
-//! revision within [`plankhill_protocol::subscription::MAX_HOME_LAG`], the controller is asked for it.
+//! Correctness does not rest on homes: a controller announces each revision at once, and if the
+//! home has not sent that revision within [`plankhill_protocol::subscription::MAX_HOME_LAG`], the
+//! controller is asked for it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/tier/agent/src/run.rs
+++ b/tier/agent/src/run.rs
@@ -82,7 +82,8 @@
     })
 }
 
-/// Forwards messages of the proxy to a controller, if one is connected; the proxy repeats them otherwise.
+/// Forwards messages of the proxy to a controller, if one is connected; the proxy repeats them
+/// otherwise.
 async fn forward_to_controllers(
     mut messages: mpsc::Receiver<FromSubscriber>,
     subscription: Rc<Subscription>,
--- a/tier/agent/src/shutdown.rs
+++ b/tier/agent/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The orderly end of the agent: the proxy of the same machine gets updates as long as it drains, then the edge is
-//! deregistered.
+//! The orderly end of the agent: the proxy of the same machine gets updates as long as it drains,
+//! then the edge is deregistered.
 
 use std::time::Duration;
 
@@ -13,7 +13,8 @@
 /// Time for handing the last message to the operating system.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Waits until no proxy is connected any more, or the grace time is nearly over; then deregisters the edge.
+/// Waits until no proxy is connected any more, or the grace time is nearly over; then deregisters
+/// the edge.
 pub(crate) async fn shut_down(
     subscription: &Subscription,
     mut connected_proxies: watch::Receiver<usize>,
--- a/tier/agent/tests/feeder.rs
+++ b/tier/agent/tests/feeder.rs
@@ -145,8 +145,8 @@
     });
 }
 
-/// Guards the start after an outage: the proxy takes clients once it knows that its tables are current, and must not
-/// wait for the next heartbeat to hear so.
+/// Guards the start after an outage: the proxy takes clients once it knows that its tables are
+/// current, and must not wait for the next heartbeat to hear so.
 #[test]
 fn a_proxy_is_notified_at_once_when_its_agent_becomes_current() {
     run(async {
--- a/tier/agent/tests/wire_format.rs
+++ b/tier/agent/tests/wire_format.rs
@@ -1,6 +1,7 @@
-//! Pins the bytes that an agent sends: to the proxy of its machine, to a controller, and to another agent. The fixture
-//! `tests/wire_format/agent.txt` holds one line `Name hex` for each, as written by the build that the tier had before
-//! its code was renamed for readers. No test rewrites it. An agent keeps nothing on disk.
+//! Pins the bytes that an agent sends: to the proxy of its machine, to a controller, and to another
+//! agent. The fixture `tests/wire_format/agent.txt` holds one line `Name hex` for each, as written
+//! by the build that the tier had before its code was renamed for readers. No test rewrites it. An
+//! agent keeps nothing on disk.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/tier/command/src/arguments.rs
+++ b/tier/command/src/arguments.rs
@@ -11,7 +11,8 @@
 use draining::{parse_drain, parse_rolling_restart};
 pub use draining::{DrainAction, DrainArguments, RollingRestartArguments};
 
-/// Programs of the demo unless the command line says otherwise: enough to be under way at both kills.
+/// Programs of the demo unless the command line says otherwise: enough to be under way at both
+/// kills.
 const DEFAULT_DEMO_PROGRAMS: u32 = 40;
 
 /// Largest number of programs of the demo; with more it would take over a minute.
@@ -218,7 +219,8 @@
     }
 }
 
-/// `ADDRESS [--json]`, the arguments of a command `name` that queries a controller; `command` makes the command.
+/// `ADDRESS [--json]`, the arguments of a command `name` that queries a controller; `command` makes
+/// the command.
 fn parse_query(
     mut parser: Parser,
     name: &'static str,
--- a/tier/command/src/arguments/draining.rs
+++ b/tier/command/src/arguments/draining.rs
@@ -8,8 +8,8 @@
 
 /// Forwarders out of service at once, unless the command line says otherwise.
 const DEFAULT_MAX_UNAVAILABLE: usize = 1;
-/// Seconds that a forwarder may take to drain, unless the command line says otherwise: clients may be idle for most of a
-/// minute.
+/// Seconds that a forwarder may take to drain, unless the command line says otherwise: clients may
+/// be idle for most of a minute.
 const DEFAULT_DRAIN_TIMEOUT_S: u64 = 120;
 /// Seconds that a forwarder may take to restart, unless the command line says otherwise.
 const DEFAULT_RESTART_TIMEOUT_S: u64 = 600;
--- a/tier/command/src/lib.rs
+++ b/tier/command/src/lib.rs
@@ -1,5 +1,5 @@
-//! The command `plankhill-tier`: starts each role of the serving tier, checks files, and speaks with controllers for the
-//! operator.
+//! The command `plankhill-tier`: starts each role of the serving tier, checks files, and speaks
+//! with controllers for the operator.
 
 mod arguments;
 mod check;
--- a/tier/command/src/rolling_restart.rs
+++ b/tier/command/src/rolling_restart.rs
@@ -1,5 +1,5 @@
-//! Carries out a rolling restart: drains forwarders, says when each may be started anew, and takes them back into
-//! service. The decisions are those of [`RollingRestart`].
+//! Carries out a rolling restart: drains forwarders, says when each may be started anew, and takes
+//! them back into service. The decisions are those of [`RollingRestart`].
 
 use std::net::SocketAddr;
 use std::thread::sleep;
--- a/tier/command/tests/demo.rs
+++ b/tier/command/tests/demo.rs
@@ -1,4 +1,5 @@
-//! The demo, whole: processes of every role, a proxy drained, a controller and a proxy killed, nothing seen of it.
+//! The demo, whole: processes of every role, a proxy drained, a controller and a proxy killed,
+//! nothing seen of it.
 
 mod common;
 
@@ -6,8 +7,9 @@
 
 use common::{command, run};
 
-/// A folder in memory, where the system has one. All machines of the demo share one disk; a sync on the
-/// disk of a busy host can take seconds, which the tier takes for the loss of every machine at once.
+/// A folder in memory, where the system has one. All machines of the demo share one disk; a sync on
+/// the disk of a busy host can take seconds, which the tier takes for the loss of every machine at
+/// once.
 const MEMORY_FOLDER: &str = "/dev/shm";
 
 #[test]
--- a/tier/configuration/src/content.rs
+++ b/tier/configuration/src/content.rs
@@ -2,8 +2,8 @@
 
 use serde_json::{Number, Value};
 
-/// Whether both are JSON with the same content, whatever the order of keys, the white space and the way numbers are
-/// written. Two documents that are no JSON are the same only byte by byte.
+/// Whether both are JSON with the same content, whatever the order of keys, the white space and the
+/// way numbers are written. Two documents that are no JSON are the same only byte by byte.
 pub fn has_same_content(left: &[u8], right: &[u8]) -> bool {
     if left == right {
         return true;
--- a/tier/configuration/src/document.rs
+++ b/tier/configuration/src/document.rs
@@ -7,7 +7,8 @@
 
 use crate::{has_same_content, Configuration, ConfigurationError};
 
-/// Largest document accepted, in bytes: about 40,000 routes, a sixteenth of a small machine's memory.
+/// Largest document accepted, in bytes: about 40,000 routes, a sixteenth of a small machine's
+/// memory.
 pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
 
 /// The bytes of a configuration, kept so that the operator reads back what was sent.
--- a/tier/configuration/src/error.rs
+++ b/tier/configuration/src/error.rs
@@ -35,7 +35,8 @@
         /// Version of the given document.
         found: u64,
     },
-    /// A document is no JSON object, or one of its lists cannot be read; the text is the JSON reader's.
+    /// A document is no JSON object, or one of its lists cannot be read; the text is the JSON
+    /// reader's.
     #[error("document cannot be read: {0}")]
     Document(String),
     /// The patch retains a key that the document lacks.
--- a/tier/configuration/src/lib.rs
+++ b/tier/configuration/src/lib.rs
@@ -1,8 +1,9 @@
 //! The operator's configuration: reading, checking, route lookup, and changes between versions.
 //!
-//! A [`Document`] is the bytes that the operator sent, a [`Configuration`] their meaning, a [`RouteTable`] the lookup
-//! that is built from it once per version, and a [`Patch`] the difference of two documents. Without I/O: controllers
-//! check documents with this package, proxies build their route tables, and `plankhill-tier check` reads files.
+//! A [`Document`] is the bytes that the operator sent, a [`Configuration`] their meaning, a
+//! [`RouteTable`] the lookup that is built from it once per version, and a [`Patch`] the difference
+//! of two documents. Without I/O: controllers check documents with this package, proxies build
+//! their route tables, and `plankhill-tier check` reads files.
 
 mod check;
 mod configuration;
--- a/tier/configuration/src/patch.rs
+++ b/tier/configuration/src/patch.rs
@@ -1,5 +1,5 @@
-//! The difference of two documents, so that large configurations can be sent as changes: [`diff`] finds it, [`apply`]
-//! applies it.
+//! The difference of two documents, so that large configurations can be sent as changes: [`diff`]
+//! finds it, [`apply`] applies it.
 
 mod apply;
 mod diff;
@@ -8,8 +8,8 @@
 
 /// The changes that turn the document of one version into that of another.
 ///
-/// Elements of lists (routes, services) that stand in both are named by their index in the old list; everything else is
-/// carried as JSON text.
+/// Elements of lists (routes, services) that stand in both are named by their index in the old
+/// list; everything else is carried as JSON text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
     /// Version of the document to which the patch applies.
--- a/tier/configuration/src/patch/apply.rs
+++ b/tier/configuration/src/patch/apply.rs
@@ -14,7 +14,8 @@
     /// keys may differ.
     ///
     /// # Errors
-    /// [`PatchError`] if `old` has another version, or lacks what the patch retains, or the result is too large.
+    /// [`PatchError`] if `old` has another version, or lacks what the patch retains, or the result
+    /// is too large.
     pub fn apply(&self, old: &Document) -> Result<Document, PatchError> {
         if old.version != self.base_version {
             return Err(PatchError::OtherBase {
--- a/tier/demo/src/drain.rs
+++ b/tier/demo/src/drain.rs
@@ -25,7 +25,8 @@
 }
 
 impl DemoRun {
-    /// Drains a proxy, waits until it is empty, and takes it back into service. Returns the time until it was empty.
+    /// Drains a proxy, waits until it is empty, and takes it back into service. Returns the time
+    /// until it was empty.
     pub(crate) async fn drain_proxy(&mut self) -> Result<Duration, DemoError> {
         let name = self.edges[2].name.clone();
         let begun = Instant::now();
--- a/tier/demo/src/fleet.rs
+++ b/tier/demo/src/fleet.rs
@@ -92,8 +92,8 @@
         ended.collect()
     }
 
-    /// Asks all processes to end and waits for them; kills those that do not within the grace period.
-    /// Returns how many had to be killed.
+    /// Asks all processes to end and waits for them; kills those that do not within the grace
+    /// period. Returns how many had to be killed.
     pub async fn stop(&mut self) -> usize {
         for process in &self.processes {
             // A process that has ended already needs no signal.
--- a/tier/demo/src/history.rs
+++ b/tier/demo/src/history.rs
@@ -1,4 +1,5 @@
-//! The prompt that a target must receive for a turn: all inputs and outputs before, and the new input.
+//! The prompt that a target must receive for a turn: all inputs and outputs before, and the new
+//! input.
 
 use std::hash::Hasher;
 
--- a/tier/demo/src/layout.rs
+++ b/tier/demo/src/layout.rs
@@ -10,8 +10,8 @@
 /// The region of the zones.
 pub const REGION: &str = "inland";
 
-/// The ports for the traffic inside the tier. All ports of the demo lie below those that systems hand out by themselves,
-/// and away from those that services commonly use.
+/// The ports for the traffic inside the tier. All ports of the demo lie below those that systems
+/// hand out by themselves, and away from those that services commonly use.
 pub const PORT_RANGE: PortRange = PortRange {
     first: 27400,
     last: 27415,
--- a/tier/loss-report/src/attribution.rs
+++ b/tier/loss-report/src/attribution.rs
@@ -4,8 +4,8 @@
 
 use crate::report::{DayReport, Event, Window};
 
-/// A window's programs may meet a fault that begins this long after the window, in seconds: about as long as a program
-/// runs.
+/// A window's programs may meet a fault that begins this long after the window, in seconds: about
+/// as long as a program runs.
 const PROGRAM_DURATION_S: f64 = 1.5;
 /// A fault has effects for this long after its end, in seconds.
 const AFTER_EFFECT_S: f64 = 2.0;
--- a/tier/loss-report/src/main.rs
+++ b/tier/loss-report/src/main.rs
@@ -1,4 +1,5 @@
-//! `plankhill-loss-report REPORT...`: where the value of days was lost, from the bench's reports of them.
+//! `plankhill-loss-report REPORT...`: where the value of days was lost, from the bench's reports of
+//! them.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
--- a/tier/loss-report/src/report.rs
+++ b/tier/loss-report/src/report.rs
@@ -1,4 +1,5 @@
-//! The fields of a day's report that the attribution needs, as the bench writes them (JSON). Other fields are skipped.
+//! The fields of a day's report that the attribution needs, as the bench writes them (JSON). Other
+//! fields are skipped.
 
 use std::path::Path;
 
--- a/tier/loss-report/tests/attribution.rs
+++ b/tier/loss-report/tests/attribution.rs
@@ -1,4 +1,5 @@
-//! The losses by cause add up to the loss, and each window's loss is attributed to the faults around it.
+//! The losses by cause add up to the loss, and each window's loss is attributed to the faults
+//! around it.
 
 use plankhill_loss_report::{DayReport, Event, LossReport, Window};
 
--- a/tier/membership/src/failure_detector.rs
+++ b/tier/membership/src/failure_detector.rs
@@ -1,9 +1,10 @@
-//! Finds peers that have failed, in the manner of SWIM (see [`crate::datagram`]). Runs in each agent; time is passed in,
-//! and the agent sends what [`Action`] says.
+//! Finds peers that have failed, in the manner of SWIM (see [`crate::datagram`]). Runs in each
+//! agent; time is passed in, and the agent sends what [`Action`] says.
 //!
-//! One peer after the other is probed. A peer that does not answer is probed again, directly and through another
-//! machine, and suspected if no answer comes by either way. A detector that did not run for a while, or that receives
-//! no answer of any peer, takes itself for the faulty one and suspects nobody.
+//! One peer after the other is probed. A peer that does not answer is probed again, directly and
+//! through another machine, and suspected if no answer comes by either way. A detector that did not
+//! run for a while, or that receives no answer of any peer, takes itself for the faulty one and
+//! suspects nobody.
 
 use std::time::{Duration, Instant};
 
@@ -12,12 +13,15 @@
 use crate::indirect_probes::{IndirectProbes, Requester};
 use crate::peers::monitored_peers;
 
-/// Time between two probes; each peer's turn comes every [`crate::peers::MONITORED_PEERS`] of them. A failed peer is
-/// found within 1.5 s + 2 x [`PROBE_TIMEOUT`], well under the contact bound of deployments (3 s).
+/// Time between two probes; each peer's turn comes every [`crate::peers::MONITORED_PEERS`] of them.
+/// A failed peer is found within 1.5 s + 2 x [`PROBE_TIMEOUT`], well under the contact bound of
+/// deployments (3 s).
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for an answer: many times the way there and back, also of a machine that is five times slower.
+/// Time for an answer: many times the way there and back, also of a machine that is five times
+/// slower.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// A detector that is called this much later than due did not run: missing answers say nothing of the peers.
+/// A detector that is called this much later than due did not run: missing answers say nothing of
+/// the peers.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(250);
 /// With several peers, a detector that received no answer of any for this long is cut off itself.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -160,7 +164,8 @@
         })
     }
 
-    /// Takes the request of another machine to probe `about`. Machines that are no members are not probed.
+    /// Takes the request of another machine to probe `about`. Machines that are no members are not
+    /// probed.
     pub fn on_probe_request(
         &mut self,
         requester: Requester,
@@ -196,7 +201,8 @@
         actions
     }
 
-    /// Probes a peer that did not answer once more, under the same number: directly and through another machine.
+    /// Probes a peer that did not answer once more, under the same number: directly and through
+    /// another machine.
     fn probe_again(&mut self, probe: PendingProbe, now: Instant, actions: &mut Vec<Action>) {
         let PendingProbe { sequence, peer, .. } = probe;
         self.pending.push(PendingProbe {
--- a/tier/membership/src/indirect_probes.rs
+++ b/tier/membership/src/indirect_probes.rs
@@ -1,4 +1,5 @@
-//! Probes that a machine sends for others. Owned by the [`crate::failure_detector::FailureDetector`]; time is passed in.
+//! Probes that a machine sends for others. Owned by the
+//! [`crate::failure_detector::FailureDetector`]; time is passed in.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -49,7 +50,8 @@
         true
     }
 
-    /// Takes the answer to `sequence`. Returns the machine to pass it on to; `None` if no such probe is in flight.
+    /// Takes the answer to `sequence`. Returns the machine to pass it on to; `None` if no such
+    /// probe is in flight.
     pub fn on_ack(&mut self, sequence: u64) -> Option<Requester> {
         let mut probes = self.in_flight.iter();
         let index = probes.position(|probe| probe.sequence == sequence)?;
--- a/tier/membership/src/peers.rs
+++ b/tier/membership/src/peers.rs
@@ -4,8 +4,8 @@
 
 use crate::rendezvous;
 
-/// Peers that each machine probes, so that about as many probe it: two must agree on a suspicion, and one of the three
-/// may have failed as well.
+/// Peers that each machine probes, so that about as many probe it: two must agree on a suspicion,
+/// and one of the three may have failed as well.
 pub const MONITORED_PEERS: usize = 3;
 
 /// The peers that `me` probes among all members.
--- a/tier/membership/src/rendezvous.rs
+++ b/tier/membership/src/rendezvous.rs
@@ -1,14 +1,17 @@
-//! Rendezvous hashing (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998): every process
-//! picks the same members for a key, and a change of the membership moves few keys.
+//! Rendezvous hashing (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
+//! 1998): every process picks the same members for a key, and a change of the membership moves few
+//! keys.
 
 use std::hash::Hasher;
 
 use plankhill_protocol::ids::NodeId;
 use siphasher::sip::SipHasher13;
 
-/// Keys of the hash. The same in all processes of a deployment, and in all versions: another key would move all data.
+/// Keys of the hash. The same in all processes of a deployment, and in all versions: another key
+/// would move all data.
 const HASH_KEYS: (u64, u64) = (0x706c_616e_6b68_696c, 0x6c2d_7469_6572_2031);
-/// Stands between the key and the member, so that no two pairs are hashed alike; no UTF-8 text holds this byte.
+/// Stands between the key and the member, so that no two pairs are hashed alike; no UTF-8 text
+/// holds this byte.
 const SEPARATOR: u8 = 0xff;
 
 /// The `count` members that score highest for this key, best first; all of them if there are fewer.
--- a/tier/membership/tests/rendezvous.rs
+++ b/tier/membership/tests/rendezvous.rs
@@ -87,7 +87,8 @@
             *by.entry(peer).or_default() += 1;
         }
     }
-    // By chance a few are probed by nobody; controllers find their end by the timeout of their subscriptions.
+    // By chance a few are probed by nobody; controllers find their end by the timeout of their
+    // subscriptions.
     assert!(by.len() > members.len() * 8 / 10, "{by:?}");
 }
 
--- a/tier/membership/tests/wire_format.rs
+++ b/tier/membership/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! Pins the bytes of the datagrams between agents: `tests/wire_format/datagram.txt` holds one line `Variant hex` for
-//! each, as written by the build that the tier had before its code was renamed for readers. No test rewrites it.
+//! Pins the bytes of the datagrams between agents: `tests/wire_format/datagram.txt` holds one line
+//! `Variant hex` for each, as written by the build that the tier had before its code was renamed
+//! for readers. No test rewrites it.
 
 use plankhill_membership::datagram::Datagram;
 use plankhill_protocol::ids::NodeId;
--- a/tier/membership/tests/world/mod.rs
+++ b/tier/membership/tests/world/mod.rs
@@ -110,7 +110,8 @@
         self.now = end;
     }
 
-    /// When two different machines had reported this one within `window`; None if that never happened.
+    /// When two different machines had reported this one within `window`; None if that never
+    /// happened.
     pub fn found(&self, about: &NodeId, window: Duration) -> Option<Duration> {
         let reports: Vec<_> = self
             .reports
--- a/tier/protocol/src/document.rs
+++ b/tier/protocol/src/document.rs
@@ -1,7 +1,7 @@
 //! The text of a configuration, which is compressed wherever it is sent or stored.
 //!
-//! Configurations of hundreds of routes repeat themselves. When all machines start together, every subscriber needs one
-//! at the same moment, over the links of the machines that run controllers.
+//! Configurations of hundreds of routes repeat themselves. When all machines start together, every
+//! subscriber needs one at the same moment, over the links of the machines that run controllers.
 
 use std::fmt;
 use std::ops::Deref;
@@ -15,16 +15,17 @@
 
 /// Shorter documents, in bytes, are not compressed.
 const MIN_COMPRESSED_BYTES: usize = 1_024;
-/// First byte of the compressed form. No JSON document begins with it; a document that does is compressed however short
-/// it is.
+/// First byte of the compressed form. No JSON document begins with it; a document that does is
+/// compressed however short it is.
 const COMPRESSED_TAG: u8 = 1;
-/// A compressed form that claims to be of a longer document, in bytes, is refused: the longest configuration that the
-/// control plane takes.
+/// A compressed form that claims to be of a longer document, in bytes, is refused: the longest
+/// configuration that the control plane takes.
 const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
 /// Bytes of the little-endian length that lies before the compressed bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes that are kept as they are and encoded compressed: once, when any clone of them is first encoded.
+/// Bytes that are kept as they are and encoded compressed: once, when any clone of them is first
+/// encoded.
 #[derive(Clone)]
 pub struct Document {
     text: Arc<[u8]>,
@@ -38,7 +39,8 @@
     /// The compressed form lacks its length.
     #[error("document: its length is missing")]
     NoLength,
-    /// The compressed form claims to be of a document of this many bytes, longer than any configuration may be.
+    /// The compressed form claims to be of a document of this many bytes, longer than any
+    /// configuration may be.
     #[error("document: {0} bytes are too many")]
     TooLong(usize),
     /// The compressed bytes are damaged.
@@ -56,7 +58,8 @@
         self.encoded.get_or_init(|| encode(&self.text))
     }
 
-    /// Reads the encoded form. Documents that were stored before any was compressed are read as well.
+    /// Reads the encoded form. Documents that were stored before any was compressed are read as
+    /// well.
     fn decode(encoded: Arc<[u8]>) -> Result<Self, DocumentError> {
         let text = match encoded.split_first() {
             Some((&COMPRESSED_TAG, compressed)) => decompress(compressed)?.into(),
--- a/tier/protocol/src/feed.rs
+++ b/tier/protocol/src/feed.rs
@@ -1,5 +1,6 @@
-//! The messages of subscriptions to the control plane: agents and stores subscribe to a controller, agents to the home
-//! of their zone, a proxy to the agent of its machine. [`crate::subscription`] is the subscriber's side.
+//! The messages of subscriptions to the control plane: agents and stores subscribe to a controller,
+//! agents to the home of their zone, a proxy to the agent of its machine. [`crate::subscription`]
+//! is the subscriber's side.
 
 use std::net::SocketAddr;
 
@@ -41,14 +42,14 @@
     SuspectPeer(NodeId),
     /// The edge shuts down in order: its registration ends at once.
     Deregister,
-    /// The edge is drained: no client is connected and no request is in flight. Sent by the proxy to its agent, and by
-    /// the agent to a controller.
+    /// The edge is drained: no client is connected and no request is in flight. Sent by the proxy
+    /// to its agent, and by the agent to a controller.
     Drained {
         /// The number of the operator's order to drain the edge.
         number: u64,
     },
-    /// The home of the zone sends the updates from now on: the feeder has to send heartbeats only, and one at once
-    /// whenever its revision rises.
+    /// The home of the zone sends the updates from now on: the feeder has to send heartbeats only,
+    /// and one at once whenever its revision rises.
     HeartbeatsOnly,
     /// The feeder has to send updates again.
     ResumeUpdates {
@@ -60,17 +61,18 @@
 /// A message from a feeder to its subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToSubscriber {
-    /// An update of the tables. On a new connection it comes first, unless the subscriber has the newest revision.
+    /// An update of the tables. On a new connection it comes first, unless the subscriber has the
+    /// newest revision.
     Update(TablesUpdate),
-    /// Sent after the first update, or instead of it, and then at intervals. A subscriber whose controller is not
-    /// current goes to another one.
+    /// Sent after the first update, or instead of it, and then at intervals. A subscriber whose
+    /// controller is not current goes to another one.
     Heartbeat {
         /// The sender's committed revision.
         revision: Revision,
         /// Whether the sender has confirmed lately that no later revision exists without it.
         current: bool,
     },
-    /// The addresses at which all controllers listen for subscribers, also when no seed is left. Sent once on each
-    /// connection, and when they change.
+    /// The addresses at which all controllers listen for subscribers, also when no seed is left.
+    /// Sent once on each connection, and when they change.
     Controllers(Vec<SocketAddr>),
 }
--- a/tier/protocol/src/feed_position.rs
+++ b/tier/protocol/src/feed_position.rs
@@ -1,5 +1,5 @@
-//! What a feeder has to send one subscriber. Decisions without I/O: the agent's feeder keeps one [`FeedPosition`] for
-//! each of its subscribers.
+//! What a feeder has to send one subscriber. Decisions without I/O: the agent's feeder keeps one
+//! [`FeedPosition`] for each of its subscribers.
 
 use std::sync::Arc;
 
@@ -18,8 +18,8 @@
 }
 
 impl FeedPosition {
-    /// The update that brings the subscriber to `newest`, which it is taken to have afterwards. `None` if the
-    /// subscriber has this revision or a later one.
+    /// The update that brings the subscriber to `newest`, which it is taken to have afterwards.
+    /// `None` if the subscriber has this revision or a later one.
     pub fn advance_to(&mut self, newest: &Arc<Tables>) -> Option<TablesUpdate> {
         let update = match self {
             FeedPosition::Claimed(claimed) if *claimed > newest.revision => return None,
--- a/tier/protocol/src/ids.rs
+++ b/tier/protocol/src/ids.rs
@@ -57,8 +57,8 @@
     RequestId
 }
 
-/// The incarnation of a machine's disk: drawn at random when the state folder is empty, kept afterwards. A process
-/// without a disk draws one at each start.
+/// The incarnation of a machine's disk: drawn at random when the state folder is empty, kept
+/// afterwards. A process without a disk draws one at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
--- a/tier/protocol/src/shared_bytes.rs
+++ b/tier/protocol/src/shared_bytes.rs
@@ -1,5 +1,5 @@
-//! Encodes shared bytes as one block; the bytes on the wire are those of a sequence encoded one by one. For fields with
-//! `#[serde(with = "plankhill_protocol::shared_bytes")]`.
+//! Encodes shared bytes as one block; the bytes on the wire are those of a sequence encoded one by
+//! one. For fields with `#[serde(with = "plankhill_protocol::shared_bytes")]`.
 
 use std::fmt;
 use std::sync::Arc;
--- a/tier/protocol/src/store_calls.rs
+++ b/tier/protocol/src/store_calls.rs
@@ -1,4 +1,5 @@
-//! Calls of a proxy to a store: begin and end turns, reserve and commit their budgets. Every call may be repeated.
+//! Calls of a proxy to a store: begin and end turns, reserve and commit their budgets. Every call
+//! may be repeated.
 
 use std::sync::Arc;
 
@@ -59,8 +60,8 @@
         /// The `Request-Id` named by `Previous`.
         previous: Option<RequestId>,
     },
-    /// Commits the tokens that the turn has used and, for a turn answered completely on a retained route, stores it.
-    /// Idempotent.
+    /// Commits the tokens that the turn has used and, for a turn answered completely on a retained
+    /// route, stores it. Idempotent.
     EndTurn {
         /// The epoch of the view that the proxy knows.
         epoch: StoreEpoch,
@@ -92,7 +93,8 @@
     NoSuchTurn,
     /// Committed, and stored on enough disks.
     Ended,
-    /// Too few stores answered, or the store is not in service: the proxy asks another one, or answers 503.
+    /// Too few stores answered, or the store is not in service: the proxy asks another one, or
+    /// answers 503.
     Unavailable,
     /// The caller's view is older than that of this store, whose epoch this is.
     StaleEpoch(StoreEpoch),
--- a/tier/protocol/src/subscription/progress.rs
+++ b/tier/protocol/src/subscription/progress.rs
@@ -1,5 +1,5 @@
-//! What the messages of one feeder mean for the subscriber's tables. Decisions without I/O: time is passed in, and the
-//! session does what the returned [`Step`] says.
+//! What the messages of one feeder mean for the subscriber's tables. Decisions without I/O: time is
+//! passed in, and the session does what the returned [`Step`] says.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,13 +9,14 @@
 use crate::ids::Revision;
 use crate::tables::{Tables, TablesUpdate};
 
-/// Heartbeats in a row by which a feeder may be behind the subscriber: one may just have overtaken the change.
+/// Heartbeats in a row by which a feeder may be behind the subscriber: one may just have overtaken
+/// the change.
 const MAX_HEARTBEATS_BEHIND: u32 = 2;
-/// Heartbeats that may come before the answer to a request: one may have been under way, the next may have crossed the
-/// request.
+/// Heartbeats that may come before the answer to a request: one may have been under way, the next
+/// may have crossed the request.
 const MAX_HEARTBEATS_BEFORE_ANSWER: u32 = 3;
-/// How long a home may lag behind the revision that the feeder has announced: some ten times the way over one more
-/// machine, and a small part of the time within which a change must have spread.
+/// How long a home may lag behind the revision that the feeder has announced: some ten times the
+/// way over one more machine, and a small part of the time within which a change must have spread.
 pub const MAX_HOME_LAG: Duration = Duration::from_millis(150);
 
 /// What the session has to do after one message.
@@ -92,9 +93,9 @@
         }
     }
 
-    /// Takes updates from the home from now on. Returns the message that tells the feeder so; `None` if updates
-    /// already come from the home, or if the feeder has announced more than `held_revision`: the subscriber has to
-    /// catch up first.
+    /// Takes updates from the home from now on. Returns the message that notifies the feeder;
+    /// `None` if updates already come from the home, or if the feeder has announced more than
+    /// `held_revision`: the subscriber has to catch up first.
     pub fn follow_home(&mut self, held_revision: Revision) -> Option<FromSubscriber> {
         if self.follows_home() || self.announced > held_revision {
             return None;
@@ -108,7 +109,8 @@
         self.source != UpdateSource::Feeder
     }
 
-    /// Takes tables that the home sent; they replace `tables` if updates come from the home and they are newer.
+    /// Takes tables that the home sent; they replace `tables` if updates come from the home and
+    /// they are newer.
     pub fn on_offer(&mut self, offered: Arc<Tables>, tables: &mut Arc<Tables>) -> Step {
         if !self.follows_home() || offered.revision <= tables.revision {
             return Step::Unconfirmed;
@@ -128,8 +130,8 @@
         }
     }
 
-    /// Takes updates from the feeder from now on. Returns the message that tells the feeder so; `None` if they already
-    /// come from the feeder.
+    /// Takes updates from the feeder from now on. Returns the message that notifies the feeder;
+    /// `None` if they already come from the feeder.
     pub fn follow_feeder(&mut self, held_revision: Revision) -> Option<FromSubscriber> {
         let followed_home = self.follows_home();
         self.source = UpdateSource::Feeder;
--- a/tier/protocol/src/subscription/rotation.rs
+++ b/tier/protocol/src/subscription/rotation.rs
@@ -1,4 +1,5 @@
-//! Which feeder a subscription tries next, and after which backoff. Owned by the subscription's task; without I/O.
+//! Which feeder a subscription tries next, and after which backoff. Owned by the subscription's
+//! task; without I/O.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -6,15 +7,16 @@
 
 use crate::ids::NodeId;
 
-/// Backoff after the first pass over the candidates in which every feeder failed; it doubles with each further pass.
+/// Backoff after the first pass over the candidates in which every feeder failed; it doubles with
+/// each further pass.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest backoff: well under the time within which a change must have spread.
 const MAX_BACKOFF: Duration = Duration::from_millis(250);
 /// Doublings until the longest backoff.
 const MAX_DOUBLINGS: usize = 3;
 
-/// Goes through the candidates in turns. The first choice differs from machine to machine, so that the subscribers
-/// spread over the feeders.
+/// Goes through the candidates in turns. The first choice differs from machine to machine, so that
+/// the subscribers spread over the feeders.
 #[derive(Clone, Debug)]
 pub struct Rotation {
     /// Counts on with each choice; its remainder is the candidate's index.
@@ -48,17 +50,17 @@
         self.failures = 0;
     }
 
-    /// Records that the last of `candidates` feeders failed. Returns the backoff before the next one, which is zero
-    /// within the first pass.
+    /// Records that the last of `candidates` feeders failed. Returns the backoff before the next
+    /// one, which is zero within the first pass.
     pub fn record_failure(&mut self, candidates: usize) -> Duration {
         let backoff = self.backoff(candidates);
         self.failures = self.failures.saturating_add(1);
         backoff
     }
 
-    /// Records that the last of `candidates` feeders could not be reached, which costs next to nothing. Returns the
-    /// backoff before the next one, which is zero except at the end of each pass: a feeder that comes up is found by
-    /// the next pass.
+    /// Records that the last of `candidates` feeders could not be reached, which costs next to
+    /// nothing. Returns the backoff before the next one, which is zero except at the end of each
+    /// pass: a feeder that comes up is found by the next pass.
     pub fn record_unreachable(&mut self, candidates: usize) -> Duration {
         let backoff = self.record_failure(candidates);
         if self.failures.is_multiple_of(candidates.max(1)) {
--- a/tier/protocol/src/subscription/session.rs
+++ b/tier/protocol/src/subscription/session.rs
@@ -1,5 +1,5 @@
-//! One connection of a subscription to one feeder, from the message that subscribes to its end. Started by
-//! [`super::task`]; the decisions are those of [`Progress`].
+//! One connection of a subscription to one feeder, from the message that subscribes to its end.
+//! Started by [`super::task`]; the decisions are those of [`Progress`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,8 +48,8 @@
 }
 
 impl<'a> Session<'a> {
-    /// A session with the feeder at `address`. A feeder that is not current is left after `stale_timeout`; never if
-    /// there is none.
+    /// A session with the feeder at `address`. A feeder that is not current is left after
+    /// `stale_timeout`; never if there is none.
     pub(super) fn new(
         task: &'a mut SubscriptionTask,
         writer: FrameWriter,
@@ -172,9 +172,9 @@
         self.acknowledge(revision).await
     }
 
-    /// Goes to another feeder, if there is one: at once if this one was current before, otherwise after
-    /// `stale_timeout`. When all controllers have started together, none is current yet, and going from one to the
-    /// next would bring nothing but load.
+    /// Goes to another feeder, if there is one: at once if this one was current before, otherwise
+    /// after `stale_timeout`. When all controllers have started together, none is current yet, and
+    /// going from one to the next would bring nothing but load.
     async fn on_not_current(&mut self, revision: Revision) -> Result<(), ConnectionDone> {
         tracing::debug!(address = %self.address, "feeder not current");
         self.current = false;
@@ -187,7 +187,8 @@
         self.acknowledge(revision).await
     }
 
-    /// Answers an update or a heartbeat. Agents need no answer of their subscribers: it would only wake two processes.
+    /// Answers an update or a heartbeat. Agents need no answer of their subscribers: it would only
+    /// wake two processes.
     async fn acknowledge(&mut self, revision: Revision) -> Result<(), ConnectionDone> {
         match self.task.options.subscriber {
             Subscriber::Proxy | Subscriber::Peer => Ok(()),
@@ -252,7 +253,8 @@
             .home_deadline()
             .is_some_and(|deadline| now >= deadline)
         {
-            tracing::info!(address = %self.address, "zone home lags; updates resumed from the feeder");
+            let address = self.address;
+            tracing::info!(%address, "zone home lags; updates resumed from the feeder");
             return self.follow_feeder().await;
         }
         Ok(())
--- a/tier/protocol/src/subscription/status.rs
+++ b/tier/protocol/src/subscription/status.rs
@@ -1,4 +1,5 @@
-//! What a subscription publishes about its connection. Written by the subscription's task, read by the owner.
+//! What a subscription publishes about its connection. Written by the subscription's task, read by
+//! the owner.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,13 +7,15 @@
 /// The status of the connection to a feeder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkStatus {
-    /// Whether the connection is up, the feeder says that it is current, and the tables are at its revision.
+    /// Whether the connection is up, the feeder says that it is current, and the tables are at its
+    /// revision.
     pub current: bool,
     /// When `current`, `address` or `follows_home` changed last.
     pub changed_at: Instant,
     /// The connected feeder; `None` while there is none.
     pub address: Option<SocketAddr>,
-    /// Whether the feeder sends heartbeats only, and updates come from [`super::Subscription::offer`].
+    /// Whether the feeder sends heartbeats only, and updates come from
+    /// [`super::Subscription::offer`].
     pub follows_home: bool,
     /// When the tables were last known to be current. Rises without waking the watchers.
     pub confirmed_at: Option<Instant>,
--- a/tier/protocol/src/subscription/task.rs
+++ b/tier/protocol/src/subscription/task.rs
@@ -1,5 +1,5 @@
-//! The task of a subscription: connects to one feeder after the other, and publishes the tables and the status that
-//! the owner of the [`super::Subscription`] reads.
+//! The task of a subscription: connects to one feeder after the other, and publishes the tables and
+//! the status that the owner of the [`super::Subscription`] reads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,8 @@
 
 /// Most feeders that are remembered of those that a feeder named.
 const MAX_NAMED_FEEDERS: usize = 64;
-/// A candidate that has not answered after this time gets company: many times the way there and back.
+/// A candidate that has not answered after this time gets company: many times the way there and
+/// back.
 const DIAL_STAGGER_INTERVAL: Duration = Duration::from_millis(150);
 /// Most candidates that are dialed at once.
 const MAX_CONCURRENT_DIALS: usize = 4;
@@ -80,8 +81,9 @@
         }
     }
 
-    /// The first connection that comes up; `None` when the owner has dropped the subscription. A machine without power
-    /// does not answer at all, so the next candidate is dialed while the last one has not answered.
+    /// The first connection that comes up; `None` when the owner has dropped the subscription. A
+    /// machine without power does not answer at all, so the next candidate is dialed while the last
+    /// one has not answered.
     async fn connect(&mut self, rotation: &mut Rotation) -> Option<Connection> {
         let mut dials = JoinSet::new();
         let mut next_dial = Instant::now();
@@ -158,8 +160,8 @@
         candidates
     }
 
-    /// One connection, from its first message to its end. A feeder that is not current may become so within
-    /// `stale_timeout`.
+    /// One connection, from its first message to its end. A feeder that is not current may become
+    /// so within `stale_timeout`.
     async fn run_session(&mut self, connection: Connection, stale_timeout: Duration) -> SessionEnd {
         let Connection {
             address,
--- a/tier/protocol/src/tables.rs
+++ b/tier/protocol/src/tables.rs
@@ -1,7 +1,8 @@
 //! What the control plane publishes to the data plane: targets, stores, edges, configuration.
 //!
-//! Controllers derive the [`Tables`] from the replicated state and own their revisions; all others have immutable
-//! snapshots, each of which is replaced as one value. [`TablesUpdate`] carries the changes between two revisions.
+//! Controllers derive the [`Tables`] from the replicated state and own their revisions; all others
+//! have immutable snapshots, each of which is replaced as one value. [`TablesUpdate`] carries the
+//! changes between two revisions.
 
 mod change;
 mod order;
@@ -51,8 +52,8 @@
     pub state: TargetState,
     /// The highest `sequence` that the target has sent with a change.
     pub sequence: u64,
-    /// Milliseconds for which the target warms up after its start, as it reported when it registered; 0 if it reported
-    /// none.
+    /// Milliseconds for which the target warms up after its start, as it reported when it
+    /// registered; 0 if it reported none.
     pub warm_up_remaining_ms: u64,
     /// The models that the target serves, as far as it reported them.
     pub models: Vec<ServedModel>,
@@ -71,7 +72,8 @@
     pub zone: ZoneName,
 }
 
-/// The view of the stores that keep turns and budgets. While `next` is set, writes and budgets need a quorum in both sets.
+/// The view of the stores that keep turns and budgets. While `next` is set, writes and budgets need
+/// a quorum in both sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreView {
     /// Rises with every change.
--- a/tier/protocol/src/tables/change.rs
+++ b/tier/protocol/src/tables/change.rs
@@ -52,8 +52,8 @@
 }
 
 impl Tables {
-    /// Applies one update. An update to this revision or an older one changes nothing and counts as applied: the
-    /// revision never goes back.
+    /// Applies one update. An update to this revision or an older one changes nothing and counts as
+    /// applied: the revision never goes back.
     ///
     /// # Errors
     /// [`RevisionGap`] if the update does not continue this revision; the tables stay as they were.
@@ -113,7 +113,8 @@
         changes
     }
 
-    /// Removals come first: a target that moved to another service is removed from its old position, then set.
+    /// Removals come first: a target that moved to another service is removed from its old
+    /// position, then set.
     fn add_target_changes(&self, older: &Tables, changes: &mut Vec<TablesChange>) {
         for target in differences(&older.targets, &self.targets, compare_targets) {
             if !contains(&self.targets, target, compare_targets) {
--- a/tier/protocol/src/transport.rs
+++ b/tier/protocol/src/transport.rs
@@ -1,5 +1,6 @@
-//! Connections inside the tier: `postcard` messages in frames of a 4-byte little-endian length, after one [`Hello`] each
-//! way. A peer that does not acknowledge sent bytes for [`USER_TIMEOUT`] breaks the connection.
+//! Connections inside the tier: `postcard` messages in frames of a 4-byte little-endian length,
+//! after one [`Hello`] each way. A peer that does not acknowledge sent bytes for [`USER_TIMEOUT`]
+//! breaks the connection.
 //!
 //! - `frame`: one half of a connection each.
 //! - `connection`: opens connections, accepts them, exchanges greetings.
@@ -29,9 +30,11 @@
 
 /// Version of everything in this package. Other versions are refused at the start of a connection.
 pub const PROTOCOL_VERSION: u32 = 2;
-/// Unacknowledged bytes break a connection after this time; well under the contact bound of deployments (3 s).
+/// Unacknowledged bytes break a connection after this time; well under the contact bound of
+/// deployments (3 s).
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A connection that takes longer to come up, greetings included, counts as failed.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(800);
-/// The largest frame, in bytes without its length: a snapshot with a large configuration, with room to grow.
+/// The largest frame, in bytes without its length: a snapshot with a large configuration, with room
+/// to grow.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
--- a/tier/protocol/src/transport/caller.rs
+++ b/tier/protocol/src/transport/caller.rs
@@ -1,7 +1,8 @@
 //! Calls with answers to one peer. Used by the clients of stores.
 //!
-//! All calls share one connection, which comes up with the first call and again after it broke. [`Shared`] owns the
-//! calls in flight and the connection; both tasks of a connection end with its [`Link`].
+//! All calls share one connection, which comes up with the first call and again after it broke.
+//! [`Shared`] owns the calls in flight and the connection; both tasks of a connection end with its
+//! [`Link`].
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -195,7 +196,8 @@
         state.waiting.clear();
     }
 
-    /// Records that an answer came over connection `number`; returns who waits for it, if anyone still does.
+    /// Records that an answer came over connection `number`; returns who waits for it, if anyone
+    /// still does.
     fn take_waiting(&self, number: u64, call: u64) -> Option<oneshot::Sender<Reply>> {
         let mut state = self.state.borrow_mut();
         if let Some(link) = state.link.as_mut() {
@@ -206,8 +208,9 @@
         state.waiting.remove(&call)
     }
 
-    /// Closes connection `number` if no answer at all has come since `since`, when a call began that timed out: the
-    /// connection may be dead. Otherwise the peer is only slow with this one call, and the others go on.
+    /// Closes connection `number` if no answer at all has come since `since`, when a call began
+    /// that timed out: the connection may be dead. Otherwise the peer is only slow with this one
+    /// call, and the others go on.
     fn close_if_idle_since(&self, number: u64, since: Instant) {
         let is_idle = match &self.state.borrow().link {
             Some(link) => link.last_answer <= since,
@@ -218,8 +221,8 @@
         }
     }
 
-    /// Closes connection `number`, unless another one has taken its place. Later calls use a new connection, those in
-    /// flight get no answer.
+    /// Closes connection `number`, unless another one has taken its place. Later calls use a new
+    /// connection, those in flight get no answer.
     fn close_link(&self, number: u64) {
         let present = self.state.borrow().link.as_ref().map(|link| link.number);
         if present == Some(number) {
@@ -273,8 +276,8 @@
     }
 }
 
-/// Hands the answers of connection `number` to those who wait for them, until the connection ends. The caller may be
-/// gone by then: the task does not keep it.
+/// Hands the answers of connection `number` to those who wait for them, until the connection ends.
+/// The caller may be gone by then: the task does not keep it.
 async fn read_answers<Request, Reply>(
     shared: Weak<Shared<Request, Reply>>,
     mut reader: FrameReader,
--- a/tier/protocol/src/transport/frame.rs
+++ b/tier/protocol/src/transport/frame.rs
@@ -1,5 +1,5 @@
-//! Frames: a 4-byte little-endian length and that many bytes of `postcard`. One reader or writer owns each half of a
-//! connection.
+//! Frames: a 4-byte little-endian length and that many bytes of `postcard`. One reader or writer
+//! owns each half of a connection.
 
 use std::io;
 
@@ -12,7 +12,8 @@
 
 /// Bytes of the length in front of each frame.
 const LENGTH_BYTES: usize = 4;
-/// Capacity of the read buffer, in bytes: most frames are small, large ones are read past the buffer.
+/// Capacity of the read buffer, in bytes: most frames are small, large ones are read past the
+/// buffer.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 /// A frame's buffer up to this capacity, in bytes, is kept for the next frame.
 const MAX_KEPT_BUFFER_BYTES: usize = 64 * 1024;
@@ -35,7 +36,8 @@
     /// Reads the next message. Not cancel-safe: a dropped call may have taken part of a frame.
     ///
     /// # Errors
-    /// [`TransportError`] if the connection ends or the frame is no `T`; the connection is of no further use.
+    /// [`TransportError`] if the connection ends or the frame is no `T`; the connection is of no
+    /// further use.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<T, TransportError> {
         let length = self.stream.read_u32_le().await? as usize;
         if length > MAX_FRAME_BYTES {
@@ -56,8 +58,9 @@
         Ok(message)
     }
 
-    /// Reads the next message and gives the reader back with it. A task that waits for other events as well keeps the
-    /// returned future until it is ready, and so never drops one half-way through a frame.
+    /// Reads the next message and gives the reader back with it. A task that waits for other events
+    /// as well keeps the returned future until it is ready, and so never drops one half-way through
+    /// a frame.
     pub async fn into_next<T: DeserializeOwned>(mut self) -> (Self, Result<T, TransportError>) {
         let message = self.next().await;
         (self, message)
@@ -78,7 +81,8 @@
     /// Sends one message.
     ///
     /// # Errors
-    /// [`TransportError`] if the message is too long or the connection ends; the connection is of no further use.
+    /// [`TransportError`] if the message is too long or the connection ends; the connection is of
+    /// no further use.
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<(), TransportError> {
         let frame = encode(message)?;
         Ok(self.stream.write_all(&frame).await?)
@@ -87,7 +91,8 @@
     /// Sends several messages in one write.
     ///
     /// # Errors
-    /// [`TransportError`] if the message is too long or the connection ends; the connection is of no further use.
+    /// [`TransportError`] if the message is too long or the connection ends; the connection is of
+    /// no further use.
     pub async fn send_all<T: Serialize>(&mut self, messages: &[T]) -> Result<(), TransportError> {
         let mut frames = Vec::new();
         for message in messages {
--- a/tier/protocol/src/transport/server.rs
+++ b/tier/protocol/src/transport/server.rs
@@ -19,11 +19,12 @@
 const MAX_CALLS_PER_CONNECTION: usize = 1_024;
 /// Most connections at once; further ones are closed.
 const MAX_CONNECTIONS: usize = 2_048;
-/// Backoff after a failed accept, when the process has no file descriptor left: open connections can end meanwhile.
+/// Backoff after a failed accept, when the process has no file descriptor left: open connections
+/// can end meanwhile.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts connections for ever and answers each call by `answer`, which gets the caller's greeting and the request.
-/// Must run inside a `LocalSet`.
+/// Accepts connections for ever and answers each call by `answer`, which gets the caller's greeting
+/// and the request. Must run inside a `LocalSet`.
 pub async fn serve_calls<Request, Reply, Answer, Answering>(
     listener: TcpListener,
     hello: Hello,
--- a/tier/protocol/src/transport/socket.rs
+++ b/tier/protocol/src/transport/socket.rs
@@ -26,8 +26,8 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Sets the options of every connection: small frames are sent without delay, and a peer that does not acknowledge for
-/// [`USER_TIMEOUT`] breaks the connection (`TCP_USER_TIMEOUT`, RFC 5482).
+/// Sets the options of every connection: small frames are sent without delay, and a peer that does
+/// not acknowledge for [`USER_TIMEOUT`] breaks the connection (`TCP_USER_TIMEOUT`, RFC 5482).
 ///
 /// # Errors
 /// The operating system's.
--- a/tier/protocol/tests/calls.rs
+++ b/tier/protocol/tests/calls.rs
@@ -68,13 +68,13 @@
         let release = Rc::new(Notify::new());
         let (address, _server) = serve(any_port(), release.clone());
         let caller = Caller::<u64, u64>::new(address, hello());
-        let held = tokio::task::spawn_local({
+        let delayed = tokio::task::spawn_local({
             let caller = caller.clone();
             async move { caller.call(DELAYED_CALL, LONG_TIMEOUT).await }
         });
         assert_eq!(caller.call(4, LONG_TIMEOUT).await, Ok(8));
         release.notify_one();
-        assert_eq!(held.await.unwrap(), Ok(0));
+        assert_eq!(delayed.await.unwrap(), Ok(0));
     });
 }
 
@@ -93,7 +93,7 @@
     });
 }
 
-/// One slow call is no reason to give up those beside it, while the peer answers others.
+/// One slow call is no reason to abandon the others, while the peer answers others.
 #[test]
 fn a_slow_call_does_not_close_the_connection_of_the_others() {
     run(async {
--- a/tier/protocol/tests/common/mod.rs
+++ b/tier/protocol/tests/common/mod.rs
@@ -29,7 +29,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Tables with nothing but a revision and one edge whose zone tells them apart.
+/// Tables with nothing but a revision and one edge whose zone distinguishes them.
 pub fn tables(revision: u64) -> Tables {
     Tables {
         revision: Revision(revision),
--- a/tier/protocol/tests/frames.rs
+++ b/tier/protocol/tests/frames.rs
@@ -1,4 +1,5 @@
-//! The contract of connections: every pair of halves has to pass it, here those of TCP and of memory.
+//! The contract of connections: every pair of halves has to pass it, here those of TCP and of
+//! memory.
 
 mod common;
 
@@ -42,7 +43,7 @@
         .collect()
 }
 
-/// What was sent arrives, whole and in order, and then the end.
+/// The messages arrive complete and in order, and then the end of the connection.
 async fn delivers(
     to: impl AsyncWrite + Unpin,
     from: impl AsyncRead + Unpin,
@@ -67,12 +68,12 @@
     tokio::join!(sending, receiving);
 }
 
-/// These bytes, and then the end: the error that the reader reports after `whole` messages.
+/// These bytes, and then the end: the error that the reader reports after `complete` messages.
 async fn ends_with(
     mut to: impl AsyncWrite + Unpin,
     from: impl AsyncRead + Unpin,
     bytes: &[u8],
-    whole: usize,
+    complete: usize,
 ) -> TransportError {
     let sending = async {
         // The reader may have ended already.
@@ -81,7 +82,7 @@
     };
     let receiving = async {
         let mut reader = FrameReader::new(from);
-        for _ in 0..whole {
+        for _ in 0..complete {
             reader.next::<Message>().await.unwrap();
         }
         reader.next::<Message>().await.unwrap_err()
--- a/tier/protocol/tests/home_updates.rs
+++ b/tier/protocol/tests/home_updates.rs
@@ -1,5 +1,5 @@
-//! A subscriber whose updates come from the home of its zone, in virtual time: whatever the home does, it holds
-//! each revision within a bound of its commit.
+//! A subscriber whose updates come from the home of its zone, in virtual time: whatever the home
+//! does, it holds each revision within a bound of its commit.
 
 mod common;
 
--- a/tier/protocol/tests/subscription.rs
+++ b/tier/protocol/tests/subscription.rs
@@ -194,7 +194,8 @@
     });
 }
 
-/// A listener whose queue is full, as far as the dialing side can tell: it takes connections and says nothing.
+/// A listener whose queue is full, as far as the dialing side can tell: it takes connections and
+/// says nothing.
 #[test]
 fn an_unresponsive_candidate_does_not_delay_the_others() {
     run(async {
--- a/tier/protocol/tests/tables.rs
+++ b/tier/protocol/tests/tables.rs
@@ -40,8 +40,8 @@
     });
 }
 
-/// A subscriber that follows feeders, each at some revision of one history, over connections that break at any
-/// message: it holds exactly what the history says, and never goes back.
+/// A subscriber that follows feeders, each at some revision of one history, over connections that
+/// break at any message: it holds exactly what the history says, and never goes back.
 #[test]
 fn a_subscribers_revision_never_goes_back_and_reaches_the_newest() {
     arbtest::arbtest(|draw| {
--- a/tier/protocol/tests/wire_format/pinned.rs
+++ b/tier/protocol/tests/wire_format/pinned.rs
@@ -9,12 +9,13 @@
 
 /// A type whose encoding is pinned.
 pub trait Pinned: Serialize + DeserializeOwned + PartialEq + Debug {
-    /// The name of the value's variant in the fixture; of a struct, its own name. Names stay when the code's change.
+    /// The name of the value's variant in the fixture; of a struct, its own name. Names stay when
+    /// the code's change.
     fn variant(&self) -> &'static str;
 }
 
-/// Checks that `values` are encoded to the bytes of the fixture `type_name.txt`, one line each in this order, and
-/// that the bytes are decoded to the values again.
+/// Checks that `values` are encoded to the bytes of the fixture `type_name.txt`, one line each in
+/// this order, and that the bytes are decoded to the values again.
 pub fn assert_pinned<T: Pinned>(type_name: &str, values: &[T]) {
     let mut names = BTreeSet::new();
     let mut lines = Vec::new();
--- a/tier/settings/src/bound_value.rs
+++ b/tier/settings/src/bound_value.rs
@@ -19,7 +19,8 @@
         self.0
     }
 
-    /// The duration of this many seconds. Panics on a value that is negative or no number: checked settings hold none.
+    /// The duration of this many seconds. Panics on a value that is negative or no number: checked
+    /// settings hold none.
     pub(crate) fn seconds(self) -> Duration {
         Duration::from_secs_f64(self.0)
     }
--- a/tier/settings/src/bounds.rs
+++ b/tier/settings/src/bounds.rs
@@ -10,11 +10,11 @@
 /// Largest value accepted: a year in milliseconds.
 const MAX_BOUND: f64 = 31_536_000_000.0;
 
-/// The figures of the deployment's rules. Each missing key takes its default, which is the figure of the deployments
-/// known when this was written.
+/// The figures of the deployment's rules. Each missing key takes its default, which is the figure
+/// of the deployments known when this was written.
 ///
-/// All keys are checked. Those without an accessor are figures of rules that no process acts on; the pages of the
-/// deployments say what they mean.
+/// All keys are checked. Those without an accessor are figures of rules that no process acts on;
+/// the pages of the deployments say what they mean.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Validate)]
 #[serde(default)]
 pub struct Bounds {
@@ -92,7 +92,8 @@
         self.catch_up_s.seconds()
     }
 
-    /// Time after the acknowledgement of `draining` within which a target still takes requests. Default: 2000 ms.
+    /// Time after the acknowledgement of `draining` within which a target still takes requests.
+    /// Default: 2000 ms.
     pub fn drain(&self) -> Duration {
         self.drain_ms.milliseconds()
     }
@@ -102,7 +103,8 @@
         self.grace_s.seconds()
     }
 
-    /// Time after its acknowledgement within which a configuration is in force everywhere. Default: 2000 ms.
+    /// Time after its acknowledgement within which a configuration is in force everywhere. Default:
+    /// 2000 ms.
     pub fn propagation(&self) -> Duration {
         self.propagation_ms.milliseconds()
     }
--- a/tier/settings/src/error.rs
+++ b/tier/settings/src/error.rs
@@ -17,7 +17,8 @@
         /// What the operating system answered.
         source: io::Error,
     },
-    /// The file is no TOML, lacks a key, or has a value that is not allowed; the faults name the keys.
+    /// The file is no TOML, lacks a key, or has a value that is not allowed; the faults name the
+    /// keys.
     #[error("settings are not valid: {0}")]
     Invalid(Faults),
 }
--- a/tier/settings/src/limits.rs
+++ b/tier/settings/src/limits.rs
@@ -1,4 +1,5 @@
-//! The tables `[limits]` and `[fault_tolerance]`: what a process may use, and the losses that the system tolerates.
+//! The tables `[limits]` and `[fault_tolerance]`: what a process may use, and the losses that the
+//! system tolerates.
 
 use serde::Deserialize;
 use validator::Validate;
--- a/tier/settings/src/listeners.rs
+++ b/tier/settings/src/listeners.rs
@@ -1,4 +1,5 @@
-//! The table `[listeners_map]`: the addresses at which a process serves callers from outside the tier.
+//! The table `[listeners_map]`: the addresses at which a process serves callers from outside the
+//! tier.
 
 use std::net::SocketAddr;
 
--- a/tier/settings/src/load.rs
+++ b/tier/settings/src/load.rs
@@ -31,7 +31,8 @@
     /// Reads the settings file of this process ([`settings_path`]).
     ///
     /// # Errors
-    /// [`SettingsError`] if the file cannot be read, lacks a key or has a value that is not allowed.
+    /// [`SettingsError`] if the file cannot be read, lacks a key or has a value that is not
+    /// allowed.
     pub fn load() -> Result<Settings, SettingsError> {
         Settings::read(&settings_path())
     }
--- a/tier/settings/src/ports.rs
+++ b/tier/settings/src/ports.rs
@@ -1,4 +1,5 @@
-//! Which port of the machines' common range carries what. All machines of a deployment share one range.
+//! Which port of the machines' common range carries what. All machines of a deployment share one
+//! range.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -10,7 +11,8 @@
 const CONTROLLER_OFFSET: u16 = 0;
 /// Offset of the stores' port: calls of proxies and of other stores.
 const STORE_OFFSET: u16 = 1;
-/// Offset of the agents' port on the machine's address: health checks (UDP) and subscriptions of peers (TCP).
+/// Offset of the agents' port on the machine's address: health checks (UDP) and subscriptions of
+/// peers (TCP).
 const AGENT_OFFSET: u16 = 2;
 /// Offset of the agents' port on the loopback address, for the proxy of the same machine.
 const AGENT_LOOPBACK_OFFSET: u16 = 3;
@@ -38,13 +40,14 @@
             .filter(|port| *port <= self.last)
     }
 
-    /// The address at which the controller on the machine `ip` listens for other processes of the tier.
+    /// The address at which the controller on the machine `ip` listens for other processes of the
+    /// tier.
     pub fn controller(self, ip: Ipv4Addr) -> SocketAddr {
         self.address(ip, CONTROLLER_OFFSET)
     }
 
-    /// The addresses at which the controllers on the seeds' machines listen for other processes of the tier, in the
-    /// order of the seeds. Seeds with an IPv6 address are left out.
+    /// The addresses at which the controllers on the seeds' machines listen for other processes of
+    /// the tier, in the order of the seeds. Seeds with an IPv6 address are left out.
     pub fn controllers(self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut controllers = Vec::with_capacity(seeds.len());
         for seed in seeds {
@@ -67,8 +70,8 @@
 
     /// The address at which the agent on the machine `ip` listens for the proxy of that machine.
     ///
-    /// A machine whose own address is a loopback one stands beside others on one host, in trials; each of them then
-    /// needs an address of its own here.
+    /// A machine whose own address is a loopback one stands beside others on one host, in trials;
+    /// each of them then needs an address of its own here.
     pub fn agent_loopback(self, ip: Ipv4Addr) -> SocketAddr {
         let loopback = if ip.is_loopback() {
             ip
--- a/tier/settings/src/process.rs
+++ b/tier/settings/src/process.rs
@@ -1,5 +1,6 @@
-//! What every process of the tier does alike: it runs on one thread, ends on SIGTERM, and reads its settings again on
-//! SIGHUP. The agent, the store, the proxy and the controller call this from their `run` functions.
+//! What every process of the tier does alike: it runs on one thread, ends on SIGTERM, and reads its
+//! settings again on SIGHUP. The agent, the store, the proxy and the controller call this from
+//! their `run` functions.
 
 use std::future::Future;
 use std::io;
@@ -58,8 +59,8 @@
 }
 
 impl Settings {
-    /// Reads the settings file again ([`Settings::load`]). Where it cannot be used, a warning is logged and `None` is
-    /// returned: the process goes on with the settings that it has.
+    /// Reads the settings file again ([`Settings::load`]). Where it cannot be used, a warning is
+    /// logged and `None` is returned: the process goes on with the settings that it has.
     pub fn reload() -> Option<Settings> {
         match Settings::load() {
             Ok(settings) => Some(settings),
--- a/tier/validation/src/flatten.rs
+++ b/tier/validation/src/flatten.rs
@@ -7,7 +7,8 @@
 /// The name `validator` gives to faults of a struct as a whole.
 const WHOLE_STRUCT: &str = "__all__";
 
-/// Lists every error of `errors` under the path of its key, sorted by that path and then by the message.
+/// Lists every error of `errors` under the path of its key, sorted by that path and then by the
+/// message.
 pub fn faults_of(errors: &ValidationErrors) -> Faults {
     let mut found = Vec::new();
     collect(errors, "", &mut found);
--- a/tier/validation/src/lib.rs
+++ b/tier/validation/src/lib.rs
@@ -1,5 +1,5 @@
-//! Faults of checked input, each named with its key. Settings and configuration report their faults by this package,
-//! and the command line prints them.
+//! Faults of checked input, each named with its key. Settings and configuration report their faults
+//! by this package, and the command line prints them.
 
 mod fault;
 mod flatten;
