--- a/tier/protocol/tests/connect.rs
+++ b/tier/protocol/tests/connect.rs
@@ -10,7 +10,8 @@
 use tokio::net::{TcpSocket, TcpStream};
 
 /// Guards machines that are back from a loss of power after others have begun to dial them: an
-/// opening packet that nobody took is sent again only after a second, and members without a message for 0.6 s are removed.
+/// opening packet that nobody took is sent again only after a second, and members without a message
+/// for 0.6 s are removed.
 #[test]
 fn a_lost_opening_packet_is_followed_by_a_second_attempt() {
     run(async {
