--- a/tier/conversations/src/account.rs
+++ b/tier/conversations/src/account.rs
@@ -105,7 +105,7 @@
 
     /// Decides whether a turn may run, every other turn charged at its state.
     ///
-    /// Safe only on the merged accounts of a write quorum each of which holds this turn's reservation:
+    /// Safe only on the merged accounts of a write quorum each of which has this turn's reservation:
     /// two turns that are decided at the same time then see each other in at least one of them, and
     /// cannot both take the last tokens.
     pub fn decide(&self, turn: &RequestId, reservation: &Reservation) -> BudgetDecision {
--- a/tier/conversations/src/peer.rs
+++ b/tier/conversations/src/peer.rs
@@ -100,7 +100,7 @@
     Next,
 }
 
-/// What one store tells another of a turn. Merging an update twice changes nothing.
+/// What one store sends to another about a turn. Merging an update twice changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnUpdate {
     /// The program.
--- a/tier/disk-health/src/free_space.rs
+++ b/tier/disk-health/src/free_space.rs
@@ -21,7 +21,7 @@
 pub fn check_free_space(folder: &Path) -> io::Result<()> {
     let path = folder.join(CHECK_FILE);
     let written = write_check_file(&path);
-    // The file goes even if it could not be written whole; the first error is the one that is reported.
+    // The file is removed also after a failed write; the first error is the one that is reported.
     let removed = fs::remove_file(&path);
     written.and(removed)
 }
--- a/tier/store/src/node/coordinator/broadcast.rs
+++ b/tier/store/src/node/coordinator/broadcast.rs
@@ -54,7 +54,7 @@
     /// reply is installed here.
     ///
     /// # Errors
-    /// [`CallError`] without a reply within `timeout`, which holds for each of up to three messages.
+    /// [`CallError`] without a reply within `timeout`, which applies to each of up to three messages.
     pub(in crate::node) async fn call(
         self: &Rc<Self>,
         view: &StoreView,
--- a/tier/store/src/node/mod.rs
+++ b/tier/store/src/node/mod.rs
@@ -90,7 +90,7 @@
     }
 
     /// The epoch of the last view for whose next set this store has copied all its programs; the
-    /// controllers are told.
+    /// controllers are notified.
     pub fn transferred_epoch(&self) -> watch::Receiver<Option<StoreEpoch>> {
         self.views.watch_transferred()
     }
--- a/tier/store/src/node/repair/hints.rs
+++ b/tier/store/src/node/repair/hints.rs
@@ -32,7 +32,7 @@
 
     /// After a call to one store: records a hint if the store has missed the end of a turn.
     ///
-    /// The hint is kept where the update is: at this store if it is a replica of the program and the other
+    /// The hint is stored where the update is: at this store if it is a replica of the program and the other
     /// one missed the update, at the first other replica if not.
     pub(in crate::node) fn hint_if_missed(
         self: &Rc<Self>,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Whether no hint is needed. After an answer of a newer view the coordinator sends the whole request anew.
+/// Whether no hint is needed. After an answer of a newer view the coordinator sends the request anew to all replicas.
 fn is_received(reply: Option<&PeerReply>) -> bool {
     match reply {
         Some(reply) => matches!(reply.body, PeerResponse::Done | PeerResponse::StaleEpoch(_)),
--- a/tier/store/src/node/state/row_writer.rs
+++ b/tier/store/src/node/state/row_writer.rs
@@ -1,4 +1,4 @@
-//! The node's way to its disk: commits, with note of a disk that has failed.
+//! The node's commits to its storage, and whether the storage has failed.
 
 use std::cell::Cell;
 use std::future::Future;
--- a/tier/store/src/node/state/view_state.rs
+++ b/tier/store/src/node/state/view_state.rs
@@ -30,7 +30,7 @@
         self.current.borrow().clone()
     }
 
-    /// The newest view, borrowed: not to be held while waiting.
+    /// The newest view, borrowed: the caller must drop it before it awaits.
     pub(in crate::node) fn borrow(&self) -> Ref<'_, StoreView> {
         self.current.borrow()
     }
--- a/tier/store/src/node/transfer/copy_from.rs
+++ b/tier/store/src/node/transfer/copy_from.rs
@@ -17,7 +17,7 @@
 use crate::peers::Peers;
 use crate::storage::Storage;
 
-/// The source failed, this store's disk did, or the view has changed: the copy begins again.
+/// The source failed, this store's disk did, or the view has changed. The caller copies from the source again.
 pub(in crate::node) struct CopyError;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
--- a/tier/store/src/peers.rs
+++ b/tier/store/src/peers.rs
@@ -11,7 +11,7 @@
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 
-/// Connections that are kept; views have far fewer stores. Beyond the bound all are closed, so that the
+/// Open connections; views have far fewer stores. Beyond the bound all are closed, so that the
 /// addresses of stores that are gone do not pile up.
 const MAX_CONNECTIONS: usize = 256;
 
--- a/tier/store/src/process.rs
+++ b/tier/store/src/process.rs
@@ -42,7 +42,7 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// The disk failed while the store was serving.
-    #[error("the disk failed; starting anew reads what it holds")]
+    #[error("the disk failed; the next start reads what is on it")]
     DiskFailed,
 }
 
@@ -127,7 +127,7 @@
     }
 }
 
-/// A future that ends when the process is told to end.
+/// A future that ends with SIGTERM or SIGINT.
 fn termination_signal() -> io::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/tier/store/src/storage/fjall/database.rs
+++ b/tier/store/src/storage/fjall/database.rs
@@ -9,7 +9,7 @@
 
 use super::super::StorageError;
 
-/// All tables lie in one keyspace, so that one flush frees a whole journal.
+/// All tables lie in one keyspace, so that one flush frees a complete journal.
 const KEYSPACE: &str = "rows";
 /// Size from which rows in memory are written to tables of the database: small beside the memory of a
 /// machine.
--- a/tier/store/src/storage/fjall/mod.rs
+++ b/tier/store/src/storage/fjall/mod.rs
@@ -51,9 +51,7 @@
 
     fn send_commit(&self, changes: Vec<RowChange>) -> Result<SentCommit, StorageError> {
         let bytes = changes.iter().map(RowChange::bytes).sum();
-        let Some(pending) = self.pending.reserve(bytes) else {
-            return Err(StorageError::Busy);
-        };
+        let pending = self.pending.reserve(bytes)?;
         let (done, outcome) = oneshot::channel();
         match self.commits.send(Commit { changes, done }) {
             Ok(()) => Ok(SentCommit { outcome, pending }),
--- a/tier/store/src/storage/fjall/pending_bytes.rs
+++ b/tier/store/src/storage/fjall/pending_bytes.rs
@@ -3,6 +3,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
+use super::super::StorageError;
+
 /// Bytes that wait to be written; a commit beyond fails at once. This bounds the writer's queue, which
 /// has no bound of its own.
 const MAX_PENDING_BYTES: usize = 24 * 1024 * 1024;
@@ -20,14 +22,21 @@
 }
 
 impl PendingBytes {
-    /// Counts the bytes of a commit; None if they exceed the bound.
-    pub(super) fn reserve(&self, bytes: usize) -> Option<PendingBytesGuard> {
-        let total = self.bytes.get() + bytes;
+    /// Counts the bytes of a commit.
+    ///
+    /// # Errors
+    /// [`StorageError::Busy`] if they exceed the bound.
+    pub(super) fn reserve(&self, bytes: usize) -> Result<PendingBytesGuard, StorageError> {
+        let pending_bytes = self.bytes.get();
+        let total = pending_bytes + bytes;
         if total > MAX_PENDING_BYTES {
-            return None;
+            return Err(StorageError::Busy {
+                pending_bytes,
+                commit_bytes: bytes,
+            });
         }
         self.bytes.set(total);
-        Some(PendingBytesGuard {
+        Ok(PendingBytesGuard {
             total: self.bytes.clone(),
             bytes,
         })
--- a/tier/store/src/storage/mod.rs
+++ b/tier/store/src/storage/mod.rs
@@ -23,8 +23,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StorageError {
     /// Too many bytes wait to be written already.
-    #[error("too many bytes wait to be written")]
-    Busy,
+    #[error("{pending_bytes} bytes wait to be written; {commit_bytes} more exceed the bound")]
+    Busy {
+        /// Bytes of the commits in progress.
+        pending_bytes: usize,
+        /// Bytes of the commit that was refused.
+        commit_bytes: usize,
+    },
     /// The disk refuses writes for now, as a full one does. The storage goes on attempting to write, and
     /// can be read meanwhile.
     #[error("the disk refuses to write: {0}")]
