--- a/tier/store/src/storage/mod.rs
+++ b/tier/store/src/storage/mod.rs
@@ -1,11 +1,9 @@
 //! Where a store keeps its rows. Every implementation passes the contract in `tests/storage_contract.rs`.
 //!
 //! The node owns a [`Storage`] and is the only one that writes to it. [`FjallStorage`] is the storage of
-//! the process, in the folder that [`open_state_folder`] opens; [`MemoryStorage`] is the storage of
-//! simulations.
+//! the process, in the folder that [`open_state_folder`] opens; tests have one in memory.
 
 mod fjall;
-mod memory;
 mod state_folder;
 
 use std::future::Future;
@@ -13,7 +11,6 @@
 use plankhill_conversations::rows::{RowChange, Table};
 
 pub use fjall::FjallStorage;
-pub use memory::MemoryStorage;
 pub use state_folder::{open_state_folder, StateFolder};
 
 /// Why rows could not be written or read.
--- a/tier/store/tests/simulation/machine.rs
+++ b/tier/store/tests/simulation/machine.rs
@@ -13,11 +13,12 @@
 use plankhill_store::clock::Clock;
 use plankhill_store::limits::Limits;
 use plankhill_store::node::{Node, NodeParts};
-use plankhill_store::storage::{MemoryStorage, Storage};
+use plankhill_store::storage::Storage;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{AbortHandle, LocalSet};
 use tokio::time::Instant;
 
+use super::memory_storage::MemoryStorage;
 use super::network::SimulatedPeers;
 use super::{milliseconds, SeededBug, World};
 
--- a/tier/store/src/storage/memory.rs
+++ b/tier/store/tests/simulation/memory_storage.rs
@@ -1,4 +1,7 @@
-//! Rows in memory with the latency and the losses of a disk, for simulations.
+//! Rows in memory with the latency and the losses of a disk.
+
+// Each test uses a part of this storage.
+#![allow(dead_code)]
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,10 +10,9 @@
 use std::time::Duration;
 
 use plankhill_conversations::rows::{RowChange, Table};
+use plankhill_store::storage::{Storage, StorageError};
 use tokio::time::Instant;
 
-use super::{Storage, StorageError};
-
 /// How much longer than a sync a write takes on a disk that ignores syncs.
 const UNSYNCED_WRITE_SYNCS: u32 = 20;
 
@@ -156,7 +158,7 @@
 
     fn outcome(&self) -> Result<(), StorageError> {
         if self.is_failing.get() {
-            return Err(StorageError::failed("injected failure"));
+            return Err(StorageError::Failed("injected failure".into()));
         }
         if self.is_refusing.get() {
             return Err(StorageError::Refused("no space is left".into()));
--- a/tier/store/tests/simulation/mod.rs
+++ b/tier/store/tests/simulation/mod.rs
@@ -7,6 +7,7 @@
 pub mod control;
 pub mod faults;
 pub mod machine;
+pub mod memory_storage;
 pub mod network;
 pub mod programs;
 pub mod proxy;
--- a/tier/store/tests/storage_contract.rs
+++ b/tier/store/tests/storage_contract.rs
@@ -1,14 +1,17 @@
 //! The contract of every storage.
 
 mod folders;
+#[path = "simulation/memory_storage.rs"]
+mod memory_storage;
 
 use std::future::Future;
 use std::path::Path;
 use std::time::Duration;
 
 use folders::copy_folder;
+use memory_storage::MemoryStorage;
 use plankhill_conversations::rows::{RowChange, Table};
-use plankhill_store::storage::{FjallStorage, MemoryStorage, Storage};
+use plankhill_store::storage::{FjallStorage, Storage};
 use tokio::task::LocalSet;
 
 fn row(key: &str, value: &str) -> RowChange {
