--- a/tier/dispatch/examples/round_cost.rs
+++ b/tier/dispatch/examples/dispatch_cost.rs
@@ -1,4 +1,4 @@
-//! Prints what a request costs the dispatcher in processor time: 20 targets, 50 requests out, two rounds a
+//! Prints what a request costs the dispatcher in processor time: 20 targets, 50 requests out, two iterations a
 //! request.
 
 use std::collections::VecDeque;
--- a/tier/dispatch/tests/admission.rs
+++ b/tier/dispatch/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Urgency, holds and the advice when to come back.
+//! Priorities, queue time-outs and `Retry-After`.
 
 use arbtest::arbtest;
 use plankhill_dispatch::admission::{
@@ -14,13 +14,13 @@
 ];
 
 #[test]
-fn no_hold_outlasts_the_deadline() {
+fn no_queue_deadline_is_later_than_the_request_deadline() {
     arbtest(|u| {
         let now = f64::from(u.arbitrary::<u32>()?);
-        let objective = f64::from(u.arbitrary::<u32>()?);
+        let latency_target = f64::from(u.arbitrary::<u32>()?);
         let deadline = now + f64::from(u.arbitrary::<u32>()?);
-        let held_for = *u.choose(&REASONS)?;
-        let until = queue_deadline(now, held_for, objective, deadline);
+        let reason = *u.choose(&REASONS)?;
+        let until = queue_deadline(now, reason, latency_target, deadline);
         assert!((now..=deadline).contains(&until));
         Ok(())
     })
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn a_request_never_sent_is_refused_within_a_quarter_of_its_objective() {
+fn a_request_never_sent_is_rejected_within_a_quarter_of_its_latency_target() {
     assert!(queue_deadline(0.0, QueueReason::FirstSend, 250.0, 5_000.0) < 62.5);
 }
 
 #[test]
-fn routes_of_higher_rank_are_more_urgent() {
+fn routes_of_higher_priority_are_more_urgent() {
     assert!(priority(0, None, 250.0) < priority(1, None, 250.0));
     assert!(priority(1, None, 250.0) < priority(2, None, 250.0));
 }
@@ -46,22 +46,22 @@
 }
 
 #[test]
-fn priorities_and_advice_stay_in_their_bounds() {
+fn priorities_and_retry_after_stay_within_bounds() {
     arbtest(|u| {
         let left = u.arbitrary::<Option<i32>>()?.map(f64::from);
         assert!(
             priority(u.arbitrary()?, left, f64::from(u.arbitrary::<u16>()?)) <= LOWEST_PRIORITY
         );
         let opens_at = u.arbitrary::<Option<i32>>()?.map(f64::from);
-        let advice = retry_after(0.0, opens_at, f64::from(u.arbitrary::<u32>()?), 0.5);
-        assert!((1.0..=1_000.0).contains(&advice));
+        let advised = retry_after(0.0, opens_at, f64::from(u.arbitrary::<u32>()?), 0.5);
+        assert!((1.0..=1_000.0).contains(&advised));
         Ok(())
     })
     .budget_ms(500);
 }
 
 #[test]
-fn the_settle_time_follows_the_pauses_within_answers() {
+fn the_session_cooldown_follows_the_pauses_within_answers() {
     let mut cooldown = CooldownEstimate::default();
     let before = cooldown.value();
     (0..100).for_each(|_| {
--- a/tier/dispatch/tests/affinity.rs
+++ b/tier/dispatch/tests/affinity.rs
@@ -1,18 +1,21 @@
-//! Prompts go where their parts are kept, within a bound on load, and all proxies agree on where new ones go.
+//! Prompts go to targets that cache their parts, within a bound on load, and all proxies select the same target for
+//! new ones.
 
 mod common;
 
 use std::collections::HashSet;
 
 use arbtest::arbtest;
-use common::*;
+use common::{healthy, settings, turn, Proxy};
 use plankhill_dispatch::affinity::rank_costs;
 use plankhill_dispatch::allocation::Allocation;
 use plankhill_dispatch::prefix_cache::PrefixCache;
 use plankhill_dispatch::prefix_chain::PrefixChain;
 use plankhill_dispatch::prefix_demand::PrefixShare;
 use plankhill_dispatch::rendezvous::target_hash;
-use plankhill_dispatch::*;
+use plankhill_dispatch::{
+    AttemptOutcome, DispatchSettings, Dispatcher, Ms, NewRequest, PrefixPart,
+};
 use plankhill_protocol::ids::InstanceId;
 
 fn parts(parts: &[(u64, u32)]) -> Vec<PrefixPart> {
@@ -22,7 +25,7 @@
         .collect()
 }
 
-fn chains(list: &[(u64, u32)]) -> PrefixChain {
+fn chain(list: &[(u64, u32)]) -> PrefixChain {
     PrefixChain::from_parts(&parts(list))
 }
 
@@ -34,19 +37,16 @@
 }
 
 #[test]
-fn a_part_is_kept_only_behind_all_parts_before_it() {
+fn a_part_is_cached_only_behind_all_parts_before_it() {
     let mut cache = PrefixCache::default();
-    cache.record(&chains(&[(1, 100), (2, 10)]));
+    cache.record(&chain(&[(1, 100), (2, 10)]));
+    assert_eq!(cache.missing_tokens(&chain(&[(1, 100), (2, 10)]), false), 0);
     assert_eq!(
-        cache.missing_tokens(&chains(&[(1, 100), (2, 10)]), false),
-        0
-    );
-    assert_eq!(
-        cache.missing_tokens(&chains(&[(1, 100), (3, 10)]), false),
+        cache.missing_tokens(&chain(&[(1, 100), (3, 10)]), false),
         10
     );
     assert_eq!(
-        cache.missing_tokens(&chains(&[(3, 100), (2, 10)]), false),
+        cache.missing_tokens(&chain(&[(3, 100), (2, 10)]), false),
         110
     );
 }
@@ -54,26 +54,26 @@
 #[test]
 fn of_a_part_that_has_grown_only_the_growth_is_missing() {
     let mut cache = PrefixCache::default();
-    cache.record(&chains(&[(1, 100), (2, 10)]));
+    cache.record(&chain(&[(1, 100), (2, 10)]));
     assert_eq!(
-        cache.missing_tokens(&chains(&[(1, 100), (2, 25)]), false),
+        cache.missing_tokens(&chain(&[(1, 100), (2, 25)]), false),
         15
     );
 }
 
 #[test]
-fn parts_unused_longest_are_forgotten_first() {
+fn least_recently_used_parts_are_evicted_first() {
     let mut cache = PrefixCache::default();
     let shared = (1, 1_000);
     for session in 10..5_000 {
-        cache.record(&chains(&[shared, (session, 10)]));
+        cache.record(&chain(&[shared, (session, 10)]));
     }
     assert_eq!(
-        cache.missing_tokens(&chains(&[shared, (4_999, 10)]), false),
+        cache.missing_tokens(&chain(&[shared, (4_999, 10)]), false),
         0
     );
     assert_eq!(
-        cache.missing_tokens(&chains(&[shared, (10, 10)]), false),
+        cache.missing_tokens(&chain(&[shared, (10, 10)]), false),
         10,
         "the shared part was used ever since"
     );
@@ -101,7 +101,7 @@
 
 /// Guards turns that move as the mix of the prompts changes: what the session has said would be read again.
 #[test]
-fn a_session_stays_while_the_share_of_its_text_grows() {
+fn a_session_stays_while_the_share_of_its_prefix_grows() {
     let mut proxy = Proxy::with(&["a", "b", "c", "d", "e", "f", "g", "h"]);
     let mut now = 0.0;
     for session in 0..10u64 {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn proxies_that_know_nothing_agree() {
+fn proxies_without_history_select_the_same_target() {
     let names = ["a", "b", "c", "d", "e", "f"];
     for subject in 0..50 {
         let chosen: HashSet<String> = (0..6)
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_target_that_is_new_at_the_place_of_another_holds_nothing() {
+fn a_new_target_at_the_address_of_another_caches_nothing() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, prompt(1, 1.0, 1, &[(7, 4_000), (8, 10)]));
     proxy.ends(2.0, 1, "a", AttemptOutcome::Delivered);
@@ -169,17 +169,11 @@
 }
 
 #[test]
-fn a_text_that_targets_keep_for_others_is_not_missing_there() {
+fn a_prefix_cached_for_other_proxies_is_not_missing() {
     let mut cache = PrefixCache::default();
-    assert_eq!(
-        cache.missing_tokens(&chains(&[(1, 100), (2, 10)]), true),
-        10
-    );
-    cache.record(&chains(&[(1, 100), (2, 10)]));
-    assert_eq!(
-        cache.missing_tokens(&chains(&[(1, 100), (2, 25)]), true),
-        15
-    );
+    assert_eq!(cache.missing_tokens(&chain(&[(1, 100), (2, 10)]), true), 10);
+    cache.record(&chain(&[(1, 100), (2, 10)]));
+    assert_eq!(cache.missing_tokens(&chain(&[(1, 100), (2, 25)]), true), 15);
 }
 
 #[test]
@@ -191,32 +185,32 @@
             .iter()
             .map(|name| target_hash(&InstanceId::from(name.as_str())))
             .collect();
-        let prompt = chains(&[(u.arbitrary()?, 10), (u.arbitrary()?, 10)]);
+        let prompt = chain(&[(u.arbitrary()?, 10), (u.arbitrary()?, 10)]);
         let prefix = prompt.shared_prefix().expect("two parts");
         let shares = vec![PrefixShare {
             prefix,
             share: u.int_in_range(1..=100)? as f64 / 100.0,
         }];
         let allocation = Allocation::new(shares, &hashes);
-        let keepers = allocation.targets_of(prefix);
-        let costs = rank_costs(&prompt, &hashes, keepers);
-        let turned: Vec<u64> = hashes.iter().rev().copied().collect();
-        let mut turned_costs = rank_costs(&prompt, &turned, keepers);
-        turned_costs.reverse();
-        assert_eq!(costs, turned_costs);
+        let quotas = allocation.targets_of(prefix);
+        let costs = rank_costs(&prompt, &hashes, quotas);
+        let reversed: Vec<u64> = hashes.iter().rev().copied().collect();
+        let mut reversed_costs = rank_costs(&prompt, &reversed, quotas);
+        reversed_costs.reverse();
+        assert_eq!(costs, reversed_costs);
         assert_eq!(costs.iter().filter(|rank| rank.cost == 0.0).count(), 1);
         assert_eq!(
             costs.iter().filter(|rank| rank.has_shared_prefix).count(),
-            keepers.len()
+            quotas.len()
         );
-        let dearest_keeper = costs
+        let highest_cost_of_quotas = costs
             .iter()
             .filter(|rank| rank.has_shared_prefix)
             .map(|rank| rank.cost)
             .fold(0.0, f64::max);
         assert!(costs
             .iter()
-            .all(|rank| rank.has_shared_prefix || rank.cost > dearest_keeper));
+            .all(|rank| rank.has_shared_prefix || rank.cost > highest_cost_of_quotas));
         Ok(())
     })
     .budget_ms(500);
@@ -228,7 +222,7 @@
         let mut cache = PrefixCache::default();
         for _ in 0..u.int_in_range(0..=20)? {
             let list: Vec<(u64, u32)> = u.arbitrary()?;
-            let prompt = chains(&list);
+            let prompt = chain(&list);
             let all = list
                 .iter()
                 .take(64)
--- a/tier/dispatch/tests/allocation.rs
+++ b/tier/dispatch/tests/allocation.rs
@@ -1,4 +1,4 @@
-//! Shared texts are spread over targets by their share of the requests, the same at all proxies.
+//! Shared prefixes are spread over targets by their share of the requests, the same at all proxies.
 
 use std::collections::HashMap;
 
@@ -36,20 +36,20 @@
 }
 
 #[test]
-fn what_is_counted_is_bounded() {
+fn counted_prefixes_are_bounded() {
     let mut demand = PrefixDemand::default();
-    (0..100_000).for_each(|text| demand.record(1.0, text));
+    (0..100_000).for_each(|prefix| demand.record(1.0, prefix));
     assert!(demand.most_frequent(usize::MAX).len() <= 1_024);
 }
 
 #[test]
-fn no_target_is_given_more_than_its_part_and_all_that_is_asked_for_finds_room() {
+fn no_target_exceeds_its_capacity_and_all_demand_is_placed() {
     arbtest(|u| {
         let targets = hashes(u.int_in_range(1..=40)?);
         let weights: Vec<u8> = u.arbitrary()?;
         let sum: f64 = weights.iter().map(|weight| f64::from(*weight)).sum::<f64>() + 1.0;
-        let share = |(text, weight): (usize, &u8)| PrefixShare {
-            prefix: text as u64,
+        let share = |(prefix, weight): (usize, &u8)| PrefixShare {
+            prefix: prefix as u64,
             share: f64::from(*weight) / sum,
         };
         let shares: Vec<PrefixShare> = weights.iter().enumerate().map(share).collect();
@@ -76,9 +76,9 @@
 fn proxies_that_see_about_the_same_mix_agree_on_most_targets() {
     let targets = hashes(60);
     let mix = |noise: f64| {
-        let share = |text: u64| PrefixShare {
-            prefix: text,
-            share: if text.is_multiple_of(2) {
+        let share = |prefix: u64| PrefixShare {
+            prefix,
+            share: if prefix.is_multiple_of(2) {
                 0.15 + noise
             } else {
                 0.15 - noise
@@ -88,14 +88,14 @@
     };
     let (one, other) = (mix(0.0), mix(0.02));
     let (mut same, mut all) = (0, 0);
-    for text in 0..6 {
-        let kept = one.targets_of(text);
-        all += kept.len();
-        same += kept
+    for prefix in 0..6 {
+        let quotas = one.targets_of(prefix);
+        all += quotas.len();
+        same += quotas
             .iter()
             .filter(|quota| {
                 other
-                    .targets_of(text)
+                    .targets_of(prefix)
                     .iter()
                     .any(|it| it.target == quota.target)
             })
@@ -105,28 +105,28 @@
 }
 
 #[test]
-fn a_target_that_leaves_moves_little_else() {
+fn a_removed_target_moves_few_quotas_of_others() {
     let targets = hashes(30);
     let shares: Vec<PrefixShare> = (0..6)
-        .map(|text| PrefixShare {
-            prefix: text,
+        .map(|prefix| PrefixShare {
+            prefix,
             share: 0.15,
         })
         .collect();
     let before = Allocation::new(shares.clone(), &targets);
     let after = Allocation::new(shares, &targets[1..]);
-    let kept = |allocation: &Allocation| -> Vec<(u64, u64)> {
-        let of = |text| {
+    let quotas_of = |allocation: &Allocation| -> Vec<(u64, u64)> {
+        let of = |prefix| {
             allocation
-                .targets_of(text)
+                .targets_of(prefix)
                 .iter()
-                .map(move |quota| (text, quota.target))
+                .map(move |quota| (prefix, quota.target))
         };
         (0..6)
-            .flat_map(|text| of(text).collect::<Vec<_>>())
+            .flat_map(|prefix| of(prefix).collect::<Vec<_>>())
             .collect()
     };
-    let (before, after) = (kept(&before), kept(&after));
+    let (before, after) = (quotas_of(&before), quotas_of(&after));
     let stayed = before.iter().filter(|pair| after.contains(pair)).count();
     assert!(
         stayed * 10 >= before.len() * 7,
--- a/tier/dispatch/tests/attempts.rs
+++ b/tier/dispatch/tests/attempts.rs
@@ -1,10 +1,10 @@
-//! What goes again after which end, and how a request ends that does not.
+//! Which requests are retried after which outcome, and how the others are answered.
 
 mod common;
 
-use common::*;
+use common::{is_rejected, once, request, sends, sent_to, turn, Proxy};
 use plankhill_dispatch::retry::{Attempts, ExecutionState};
-use plankhill_dispatch::*;
+use plankhill_dispatch::{AttemptOutcome, AttemptResult, Command, Idempotency, RequestKey};
 
 const FATES: [AttemptOutcome; 8] = [
     AttemptOutcome::Delivered,
@@ -18,7 +18,7 @@
 ];
 
 #[test]
-fn only_what_was_refused_or_never_left_surely_did_not_run() {
+fn only_rejected_unsent_and_unconnected_attempts_surely_did_not_execute() {
     let not_run: Vec<AttemptOutcome> = FATES
         .into_iter()
         .filter(|fate| ExecutionState::from_outcome(*fate) == ExecutionState::NotExecuted)
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_may_not_be_repeated_goes_again_only_after_what_did_not_run() {
+fn a_non_idempotent_request_is_retried_only_if_not_executed() {
     for fate in FATES {
         let mut attempts = Attempts::default();
         attempts.record(fate);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_and_may_not_be_repeated_fails_at_once() {
+fn a_non_idempotent_request_that_may_have_executed_fails_at_once() {
     for fate in [
         AttemptOutcome::Error,
         AttemptOutcome::TimedOut,
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_refused_request_goes_to_another_target_soon() {
+fn a_rejected_request_is_soon_retried_at_another_target() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let first = proxy.takes(1.0, once(1, 1.0)).expect("sent");
     proxy.ends(2.0, 1, &first, AttemptOutcome::Rejected);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_idempotent_request_goes_to_another_target_after_a_pause() {
+fn an_idempotent_request_is_retried_at_another_target_after_a_backoff() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let first = proxy.takes(1.0, request(1, 1.0)).expect("sent");
     assert!(sends(&proxy.ends(2.0, 1, &first, AttemptOutcome::Reset)).is_empty());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn attempts_that_may_have_run_are_bounded() {
+fn attempts_that_may_have_executed_are_bounded() {
     let mut proxy = Proxy::with(&["a", "b", "c"]);
     let first = proxy.takes(1.0, request(1, 1.0)).expect("sent");
     proxy.ends(2.0, 1, &first, AttemptOutcome::Reset);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_request_that_no_target_takes_is_refused_long_before_its_deadline() {
+fn a_request_that_no_target_takes_is_rejected_long_before_its_deadline() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let mut commands = proxy.at(1.0, |dispatcher| dispatcher.enqueue(1.0, once(1, 1.0)));
     let mut now = 1.0;
@@ -114,16 +114,19 @@
         now += 1.0;
         commands = proxy.ends(now, 1, &target, AttemptOutcome::Rejected);
         while commands.is_empty() {
-            now = proxy.wake_at.expect("held requests have an end").max(now);
+            now = proxy
+                .wake_at
+                .expect("queued requests have a time-out")
+                .max(now);
             commands = proxy.at(now, |_| ());
         }
     }
-    assert!(is_refused(&commands, 1));
-    assert!(now < 1_000.0, "refused at {now}");
+    assert!(is_rejected(&commands, 1));
+    assert!(now < 1_000.0, "rejected at {now}");
 }
 
 #[test]
-fn without_a_target_a_request_is_refused_within_a_quarter_of_its_objective() {
+fn without_a_target_a_request_is_rejected_within_a_quarter_of_its_latency_target() {
     let mut proxy = Proxy::with(&[]);
     assert!(proxy
         .at(1.0, |dispatcher| dispatcher.enqueue(1.0, request(1, 1.0)))
@@ -136,7 +139,7 @@
 }
 
 #[test]
-fn a_lost_answer_leaves_time_for_another_call() {
+fn a_lost_answer_leaves_time_for_another_attempt() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let deadline_of = |commands: &[Command]| match commands {
         [Command::Send { deadline, .. }] => *deadline,
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_call_that_found_no_connection_free_goes_to_another_target() {
+fn an_unsent_attempt_is_retried_at_another_target() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let first = proxy.takes(1.0, once(1, 1.0)).expect("sent");
     proxy.ends(2.0, 1, &first, AttemptOutcome::NotSent);
@@ -159,7 +162,7 @@
 }
 
 #[test]
-fn a_told_wait_holds_the_target() {
+fn retry_after_closes_the_target() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, request(1, 1.0));
     let full = AttemptResult {
--- a/tier/dispatch/tests/common/mod.rs
+++ b/tier/dispatch/tests/common/mod.rs
@@ -4,7 +4,10 @@
 
 mod transcript;
 
-use plankhill_dispatch::*;
+use plankhill_dispatch::{
+    AttemptOutcome, AttemptResult, Command, DispatchSettings, Dispatcher, HealthCheckResult,
+    Idempotency, Ms, NewRequest, RequestKey,
+};
 use plankhill_protocol::ids::{InstanceId, ServiceName, ZoneName};
 use plankhill_protocol::tables::{Target, TargetState};
 pub use transcript::Transcript;
@@ -153,7 +156,12 @@
         })
     }
 
-    pub fn pinged(&mut self, now: Ms, target: &str, answer: HealthCheckResult) -> Vec<Command> {
+    pub fn health_checked(
+        &mut self,
+        now: Ms,
+        target: &str,
+        answer: HealthCheckResult,
+    ) -> Vec<Command> {
         let target = InstanceId::from(target);
         self.at(now, |dispatcher| {
             dispatcher.on_health_check_ended(&target, answer)
@@ -179,7 +187,7 @@
     commands.iter().filter_map(send).collect()
 }
 
-pub fn is_refused(commands: &[Command], key: u64) -> bool {
+pub fn is_rejected(commands: &[Command], key: u64) -> bool {
     commands
         .iter()
         .any(|command| matches!(command, Command::Reject { request, .. } if request.0 == key))
@@ -191,10 +199,10 @@
         .any(|command| matches!(command, Command::Fail { request, .. } if request.0 == key))
 }
 
-pub fn pings(commands: &[Command]) -> Vec<String> {
-    let ping = |command: &Command| match command {
+pub fn health_checks(commands: &[Command]) -> Vec<String> {
+    let check = |command: &Command| match command {
         Command::HealthCheck { target, .. } => Some(target.as_str().to_owned()),
         _ => None,
     };
-    commands.iter().filter_map(ping).collect()
+    commands.iter().filter_map(check).collect()
 }
--- a/tier/dispatch/tests/decisions_digest/main.rs
+++ b/tier/dispatch/tests/decisions_digest/main.rs
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn plain_services_below_their_capacity() {
+fn services_below_their_capacity() {
     compare("plain", 0..40, |seed| {
         run_fleet(Fleet::new(6, 11, 6, 24, 60.0), seed, 660.0, 4.0)
     });
 }
 
 #[test]
-fn plain_services_beyond_their_capacity() {
+fn services_beyond_their_capacity() {
     compare("overload", 0..40, |seed| {
         run_fleet(Fleet::new(6, 11, 6, 24, 60.0), seed, 1_650.0, 0.5)
     });
--- a/tier/dispatch/tests/fleet/world/mod.rs
+++ b/tier/dispatch/tests/fleet/world/mod.rs
@@ -5,8 +5,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
 
-use crate::common::*;
-use plankhill_dispatch::*;
+use crate::common::{once, target, Transcript};
+use plankhill_dispatch::{
+    AttemptOutcome, AttemptResult, Command, DispatchSettings, Dispatcher, Ms, NewRequest,
+    PrefixPart, RequestKey, UpstreamLoad,
+};
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::{Target, TargetState};
 
@@ -31,7 +34,7 @@
     wake_at: Option<Ms>,
 }
 
-/// Works on `slots` calls at once, queues `queue` more and refuses the rest.
+/// Works on `slots` calls at once, queues `queue` more and rejects the rest.
 struct Server {
     id: InstanceId,
     zone: usize,
@@ -63,7 +66,7 @@
     pub subjects: Option<u64>,
     subject_of: HashMap<u64, u64>,
     pub answered: Vec<Ms>,
-    pub refused: usize,
+    pub rejected: usize,
     /// Shared parts that some target read.
     pub shared_reads: usize,
     /// What was decided, if it is to be compared.
@@ -117,7 +120,7 @@
             subjects: None,
             subject_of: HashMap::new(),
             answered: Vec::new(),
-            refused: 0,
+            rejected: 0,
             shared_reads: 0,
             transcript: None,
         }
@@ -254,7 +257,7 @@
                         Happens::Reaches(server, call),
                     );
                 }
-                Command::Reject { .. } | Command::Fail { .. } => self.refused += 1,
+                Command::Reject { .. } | Command::Fail { .. } => self.rejected += 1,
                 Command::WakeAt(at) => {
                     self.proxies[proxy].wake_at = Some(at);
                     self.at(at.max(now) + 0.001, Happens::Wakes(proxy, at));
--- a/tier/dispatch/tests/health.rs
+++ b/tier/dispatch/tests/health.rs
@@ -1,13 +1,15 @@
-//! Which targets get calls: not those that drain, are gone, or are offline.
+//! Which targets get requests: not those that are draining, removed or offline.
 
 mod common;
 
-use common::*;
-use plankhill_dispatch::*;
+use common::{draining, health_checks, healthy, is_rejected, once, request, sends, sent_to, Proxy};
+use plankhill_dispatch::{
+    AttemptOutcome, AttemptResult, HealthCheckResult, NewRequest, RequestKey,
+};
 use plankhill_protocol::ids::InstanceId;
 
 #[test]
-fn draining_and_gone_targets_get_nothing() {
+fn draining_and_removed_targets_get_no_requests() {
     let mut proxy = Proxy::with(&["a", "b", "c"]);
     proxy.dispatcher.set_targets(&[healthy("a"), draining("b")]);
     for key in 0..20 {
@@ -31,22 +33,22 @@
         dispatcher.enqueue(20.0, request(9, 20.0))
     });
     assert!(sends(&commands).is_empty());
-    assert!(sends(&proxy.pinged(21.0, "a", HealthCheckResult::Unhealthy)).is_empty());
+    assert!(sends(&proxy.health_checked(21.0, "a", HealthCheckResult::Unhealthy)).is_empty());
     let commands = proxy.until(130.0);
-    assert!(is_refused(&commands, 9), "held briefly");
+    assert!(is_rejected(&commands, 9), "queued briefly");
     assert!(
-        pings(&commands).is_empty(),
+        health_checks(&commands).is_empty(),
         "the next one is due after about a second"
     );
     proxy.at(1_300.0, |dispatcher| {
         dispatcher.enqueue(1_300.0, request(11, 1_300.0))
     });
-    let commands = proxy.pinged(1_301.0, "a", HealthCheckResult::Healthy);
+    let commands = proxy.health_checked(1_301.0, "a", HealthCheckResult::Healthy);
     assert_eq!(sends(&commands), [(11, "a".to_owned())]);
 }
 
 #[test]
-fn an_answer_to_a_call_does_not_release_an_offline_target() {
+fn an_answer_to_a_request_does_not_release_an_offline_target() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, request(5, 1.0));
     takes_offline(&mut proxy, "a");
@@ -55,7 +57,7 @@
 }
 
 #[test]
-fn refusals_as_full_take_no_target_offline() {
+fn rejections_take_no_target_offline() {
     let mut proxy = Proxy::with(&["a"]);
     let mut now = 1.0;
     for key in 0..6 {
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn one_dead_target_does_not_hold_requests_that_others_take() {
+fn a_dead_target_does_not_delay_requests_that_others_take() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let mut now = 1.0;
     for key in 0..50 {
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn calls_of_other_services_targets_are_never_mixed() {
+fn requests_go_only_to_targets_of_their_service() {
     let mut proxy = Proxy::with(&["a"]);
     let mut other = healthy("x");
     other.service = "tools".into();
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn ends_of_calls_to_targets_that_are_gone_are_taken_in() {
+fn ends_of_attempts_at_removed_targets_are_accepted() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, request(1, 1.0));
     proxy.dispatcher.set_targets(&[]);
@@ -118,11 +120,11 @@
     assert!(proxy.dispatcher.is_empty());
 }
 
-/// Two calls fail there; returns which targets are pinged then.
+/// Two attempts fail there; returns the targets whose health is checked then.
 fn takes_offline(proxy: &mut Proxy, target: &str) -> Vec<String> {
     for key in [101, 102] {
         proxy.takes(1.0, once(key, 1.0));
     }
     proxy.ends(10.0, 101, target, AttemptOutcome::ConnectFailed);
-    pings(&proxy.ends(10.0, 102, target, AttemptOutcome::ConnectFailed))
+    health_checks(&proxy.ends(10.0, 102, target, AttemptOutcome::ConnectFailed))
 }
--- a/tier/dispatch/tests/load.rs
+++ b/tier/dispatch/tests/load.rs
@@ -1,12 +1,12 @@
-//! Calls go where few are, by the proxy's own count and by what targets report.
+//! Requests go to the least loaded targets, by the proxy's own count and by the reports of targets.
 
 mod common;
 
 use std::collections::HashMap;
 
-use common::*;
+use common::{healthy, request, target, Proxy};
 use plankhill_dispatch::target_load::TargetLoad;
-use plankhill_dispatch::*;
+use plankhill_dispatch::UpstreamLoad;
 use plankhill_protocol::ids::InstanceId;
 use plankhill_protocol::tables::TargetState;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn calls_spread_evenly() {
+fn requests_spread_evenly() {
     let mut proxy = Proxy::with(&["a", "b", "c", "d"]);
     let mut calls = HashMap::<String, usize>::new();
     for key in 0..40 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_target_that_reports_many_gets_none_while_others_report_few() {
+fn a_target_that_reports_high_load_gets_no_requests_while_others_report_low_load() {
     let mut proxy = Proxy::with(&["a", "b"]);
     proxy
         .dispatcher
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn own_calls_are_not_counted_twice_and_reports_fade() {
+fn own_attempts_are_not_counted_twice_and_reports_decay() {
     let mut load = TargetLoad::new(4);
     load.on_sent();
     load.on_sent();
@@ -59,25 +59,25 @@
 }
 
 #[test]
-fn a_report_of_far_more_than_is_common_is_believed_for_longer() {
-    let common = 4.0;
+fn an_unusually_high_report_is_trusted_for_longer() {
+    let typical = 4.0;
     let believed = |running: u32| {
         let mut load = TargetLoad::new(24);
         load.on_report(0.0, report(running, 0));
-        (load.estimate(1_000.0, common) - common) / (f64::from(running) - common)
+        (load.estimate(1_000.0, typical) - typical) / (f64::from(running) - typical)
     };
     assert!(believed(8) < 0.05, "{}", believed(8));
     assert!(believed(24) > 0.6, "{}", believed(24));
     // It fades as well, and one that reports few again is believed at once.
     let mut load = TargetLoad::new(24);
     load.on_report(0.0, report(24, 50));
-    assert!(load.estimate(20_000.0, common) < common + 0.2);
+    assert!(load.estimate(20_000.0, typical) < typical + 0.2);
     load.on_report(20_000.0, report(2, 0));
-    assert_eq!(load.estimate(20_000.0, common), 2.0);
+    assert_eq!(load.estimate(20_000.0, typical), 2.0);
 }
 
 #[test]
-fn reports_that_make_no_sense_leave_every_cost_finite() {
+fn implausible_reports_leave_every_cost_finite() {
     arbtest::arbtest(|random| {
         let mut load = TargetLoad::new(random.arbitrary()?);
         for _ in 0..random.int_in_range(0..=8_u32)? {
@@ -93,8 +93,8 @@
             load.on_answer(f64::from(random.arbitrary::<u32>()?));
         }
         let now = f64::from(random.arbitrary::<u32>()?);
-        let common = f64::from(random.arbitrary::<u16>()?);
-        let estimate = load.estimate(now, common);
+        let typical = f64::from(random.arbitrary::<u16>()?);
+        let estimate = load.estimate(now, typical);
         let cost = load.cost(now, estimate, 100.0);
         assert!(estimate.is_finite() && estimate >= 0.0, "{estimate}");
         assert!(cost.is_finite() && cost >= 0.0, "{cost}");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_wait_after_a_refusal_is_bounded() {
+fn the_backoff_after_a_rejection_is_bounded() {
     for took in [0.0, 1.0, 100.0, 1e9] {
         for waiting in [0, 24, u32::MAX] {
             let mut load = TargetLoad::new(4);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn the_own_zone_goes_first_until_it_is_fuller() {
+fn the_own_zone_is_preferred_until_it_is_fuller() {
     let mut proxy = Proxy::with(&[]);
     let far = target("far", "far", TargetState::Healthy);
     proxy.dispatcher.set_targets(&[healthy("near"), far]);
--- a/tier/dispatch/tests/properties/main.rs
+++ b/tier/dispatch/tests/properties/main.rs
@@ -1,4 +1,4 @@
-//! What holds whatever requests come and however their calls end.
+//! Invariants for any requests and any ends of their attempts.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -8,7 +8,7 @@
 use world::World;
 
 #[test]
-fn every_request_has_one_end_and_no_call_that_it_may_not_have() {
+fn every_request_has_one_outcome_and_no_forbidden_attempt() {
     arbtest(|u| {
         let mut world = World::new();
         for _ in 0..60 {
--- a/tier/dispatch/tests/properties/world.rs
+++ b/tier/dispatch/tests/properties/world.rs
@@ -4,10 +4,10 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use plankhill_dispatch::retry::ExecutionState;
-use plankhill_dispatch::*;
+use plankhill_dispatch::{AttemptOutcome, Command, Idempotency, Ms, NewRequest, RequestKey};
 use plankhill_protocol::tables::{Target, TargetState};
 
-use crate::common::*;
+use crate::common::{draining, healthy, request, Proxy};
 
 const TARGETS: [&str; 4] = ["a", "b", "c", "d"];
 const FATES: [AttemptOutcome; 8] = [
@@ -26,7 +26,7 @@
     new: NewRequest,
     out: Option<String>,
     run: u32,
-    may_have_run: bool,
+    may_have_executed: bool,
     ends: u32,
     withdrawn: bool,
 }
@@ -123,7 +123,7 @@
             new: new.clone(),
             out: None,
             run: 0,
-            may_have_run: false,
+            may_have_executed: false,
             ends: 0,
             withdrawn: false,
         };
@@ -175,7 +175,7 @@
         seen.ends += u32::from(fate == AttemptOutcome::Delivered);
         if ExecutionState::from_outcome(fate) != ExecutionState::NotExecuted {
             seen.run += 1;
-            seen.may_have_run = true;
+            seen.may_have_executed = true;
         }
     }
 
@@ -195,12 +195,18 @@
                     retry_after,
                 } => {
                     let seen = self.end(request.0);
-                    assert!(!seen.may_have_run, "a refusal promises that it has not run");
+                    assert!(
+                        !seen.may_have_executed,
+                        "a rejection promises that it was not executed"
+                    );
                     assert!(*retry_after > 0.0);
                 }
                 Command::Fail { request, .. } => {
                     let seen = self.end(request.0);
-                    assert!(seen.may_have_run, "what has surely not run is refused");
+                    assert!(
+                        seen.may_have_executed,
+                        "what was surely not executed is rejected"
+                    );
                 }
                 Command::HealthCheck { .. }
                 | Command::CloseIdleConnections { .. }
@@ -219,14 +225,14 @@
         assert_eq!(state, TargetState::Healthy, "nothing to draining targets");
         let seen = &self.seen[&key];
         assert_eq!((seen.ends, seen.withdrawn), (0, false), "not after its end");
-        assert!(seen.out.is_none(), "one call at a time");
+        assert!(seen.out.is_none(), "one attempt at a time");
         assert!(self.proxy.now < deadline && deadline <= seen.new.deadline);
         assert!(
             seen.run < seen.new.max_attempts.max(1),
             "attempts are bounded"
         );
         assert!(
-            seen.new.idempotency == Idempotency::Idempotent || !seen.may_have_run,
+            seen.new.idempotency == Idempotency::Idempotent || !seen.may_have_executed,
             "at most one run"
         );
         if let Some(session) = seen.new.session {
@@ -236,7 +242,7 @@
                     && (**other < key || seen.out.is_some())
             });
             for (_, earlier) in earlier {
-                assert!(earlier.out.is_none(), "one turn of a session is out");
+                assert!(earlier.out.is_none(), "one turn of a session is in flight");
                 assert!(
                     earlier.ends > 0 || earlier.withdrawn,
                     "in the order of arrival"
@@ -249,8 +255,11 @@
     fn end(&mut self, key: u64) -> &Seen {
         let now = self.proxy.now;
         let seen = self.seen.get_mut(&key).expect("seen");
-        assert!(seen.out.is_none(), "no end while a call is out");
-        assert!(!seen.withdrawn, "nobody waits for it");
+        assert!(
+            seen.out.is_none(),
+            "no answer while an attempt is in flight"
+        );
+        assert!(!seen.withdrawn, "its client has left");
         seen.ends += 1;
         assert_eq!(seen.ends, 1, "one end");
         assert!(
--- a/tier/dispatch/tests/sessions.rs
+++ b/tier/dispatch/tests/sessions.rs
@@ -1,12 +1,12 @@
-//! One turn of a session is out at a time, in the order of arrival; requests without one wait behind nothing.
+//! One turn of a session is in flight at a time, in the order of arrival; requests without a session wait behind none.
 
 mod common;
 
-use common::*;
-use plankhill_dispatch::*;
+use common::{is_failed, once, sends, turn, Proxy};
+use plankhill_dispatch::{AttemptOutcome, NewRequest, RequestKey};
 
 #[test]
-fn turns_of_a_session_go_one_at_a_time_in_order() {
+fn turns_of_a_session_are_sent_one_at_a_time_in_order() {
     let mut proxy = Proxy::with(&["a", "b"]);
     let first = proxy.takes(1.0, turn(1, 1.0, 9)).expect("sent at once");
     assert_eq!(proxy.takes(2.0, turn(2, 2.0, 9)), None);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn after_an_error_the_next_turn_goes_at_once_and_after_a_reset_it_rests() {
+fn after_an_error_the_next_turn_is_sent_at_once_and_after_a_reset_it_waits() {
     for (fate, rests) in [
         (AttemptOutcome::Error, false),
         (AttemptOutcome::Reset, true),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_next_try_of_a_session_that_rests_is_not_refused_for_it() {
+fn a_request_of_a_session_in_cooldown_is_not_rejected_for_it() {
     let mut proxy = Proxy::with(&["a"]);
     let try_of = |key, now| NewRequest {
         session: Some(9),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_turn_whose_client_left_holds_its_session_until_its_call_has_ended() {
+fn a_cancelled_turn_blocks_its_session_until_its_attempt_has_ended() {
     let mut proxy = Proxy::with(&["a"]);
     proxy.takes(1.0, turn(1, 1.0, 9));
     proxy.takes(2.0, turn(2, 2.0, 9));
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -8,11 +8,11 @@
 use plankhill_dispatch::{DispatchSettings, Dispatcher};
 use plankhill_protocol::ids::{NodeId, ZoneName};
 use plankhill_protocol::transport::listen;
-use plankhill_settings::Settings;
+use plankhill_settings::{run_on_current_thread, ProcessSignals, Settings};
 use plankhill_store_client::StoreClient;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use tokio::task::{spawn_local, LocalSet};
+use tokio::task::spawn_local;
 
 use crate::admission::Admission;
 use crate::clock::Clock;
@@ -20,11 +20,10 @@
 use crate::lifecycle::Lifecycle;
 use crate::memory_budget::MemoryBudget;
 use crate::process::Proxy;
-use crate::signals::Signals;
 use crate::snapshot::SnapshotCell;
 use crate::target_client::TargetClient;
 use crate::target_pool::TargetPool;
-use crate::{draining, health_check, listener, readiness, table_feed};
+use crate::{draining, health_check, listener, readiness, signals, table_feed};
 
 /// The share of all descriptors that is left for connections to targets, to stores and to the agent.
 const RESERVED_DESCRIPTOR_SHARE: f64 = 0.4;
@@ -58,10 +57,7 @@
 /// # Errors
 /// [`RunError`] if it cannot start.
 pub fn run(settings: Settings) -> Result<(), RunError> {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()?;
-    LocalSet::new().block_on(&runtime, serve(settings))
+    run_on_current_thread(serve(settings))?
 }
 
 /// The tasks that are started here run until the end of the process: the local set drops them.
@@ -71,7 +67,7 @@
     let readiness_checks = listeners
         .readiness
         .ok_or(RunError::NoListener("readiness"))?;
-    let signals = Signals::catch()?;
+    let process_signals = ProcessSignals::new()?;
     let clients = bind(clients)?;
     let readiness_checks = bind(readiness_checks)?;
     let (check_sender, health_checks) = mpsc::unbounded_channel();
@@ -99,7 +95,7 @@
         max_clients(&settings),
     ));
     tracing::info!(node = %settings.node_id, "proxy started");
-    signals.process_ended(proxy, settings.bounds).await;
+    signals::process_ended(process_signals, proxy, settings.bounds).await;
     Ok(())
 }
 
--- a/tier/proxy/tests/buffered.rs
+++ b/tier/proxy/tests/buffered.rs
@@ -1,4 +1,4 @@
-//! Requests whose answers are passed on whole, before targets in every kind of trouble.
+//! Requests whose answers are passed on whole, before targets with every kind of fault.
 
 mod support;
 
@@ -11,8 +11,7 @@
 #[test]
 fn request_and_answer_pass_unchanged() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let request = "POST /once/a%20b/?q=%2F HTTP/1.1\r\nHost: host.example\r\nRequest-Id: r1\r\n\
              Deadline-Ms: 9000\r\nX-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\nTransfer-Encoding: chunked\r\n\r\n\
              3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
@@ -47,10 +46,9 @@
 }
 
 #[test]
-fn a_failure_of_the_target_is_passed_on_as_it_is() {
+fn a_target_failure_passes_unchanged() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let serve = async {
             let (mut peer, _) = target.request().await;
             peer.send(&answer("500 Internal Server Error", "r1", "", "broken"))
@@ -92,7 +90,7 @@
 }
 
 /// Everything that says nothing of whether the request has run.
-const TROUBLES: [(&str, bool); 9] = [
+const FAULTS: [(&str, bool); 9] = [
     ("HTTP/1.1 503 Full\r\nRequest-Id: r1\r\nUpstream-Signature: s\r\nContent-Length: 0\r\n\r\n", false),
     ("", false),
     ("", true),
@@ -105,9 +103,9 @@
 ];
 
 #[test]
-fn what_may_have_run_is_not_repeated_where_that_is_forbidden() {
+fn a_non_idempotent_request_that_may_have_executed_is_not_retried() {
     on_one_thread(async {
-        for (first, reset) in TROUBLES {
+        for (first, reset) in FAULTS {
             let got = first_answer_is(first, reset, "once").await;
             assert_eq!((got.status(), got.text().as_str()), (502, ""), "{first:?}");
             assert_eq!(got.header("upstream-signature"), None);
@@ -116,9 +114,9 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_where_that_is_allowed() {
+fn an_idempotent_request_that_may_have_executed_is_retried() {
     on_one_thread(async {
-        for (first, reset) in TROUBLES {
+        for (first, reset) in FAULTS {
             let got = first_answer_is(first, reset, "again").await;
             assert_eq!(
                 (got.status(), got.text().as_str()),
@@ -130,7 +128,7 @@
 }
 
 #[test]
-fn what_was_not_executed_goes_to_another_target() {
+fn a_request_not_executed_is_retried_at_another_target() {
     on_one_thread(async {
         let refusals = [
             "HTTP/1.1 503 Full\r\nRequest-Id: r1\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n",
@@ -148,7 +146,7 @@
 }
 
 #[test]
-fn where_no_target_has_run_it_the_client_is_told_when_to_come_back() {
+fn a_request_that_no_target_executed_is_rejected_with_retry_after() {
     on_one_thread(async {
         let gone = Listening::start().await;
         let world = World::with_targets(&[&gone]).await;
@@ -163,10 +161,9 @@
 }
 
 #[test]
-fn bytes_after_a_whole_answer_belong_to_no_request() {
+fn bytes_after_a_complete_answer_belong_to_no_request() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let (first, second) = (get("once", "r1"), get("once", "r2"));
         let serve = async {
             let (mut peer, _) = target.request().await;
@@ -179,18 +176,17 @@
             (peer, next)
         };
         let ask = async {
-            assert_eq!(world.ask(&first).await.expect("an answer").text(), "one");
-            assert_eq!(world.ask(&second).await.expect("an answer").text(), "two");
+            world.ask_text(&first, "one").await;
+            world.ask_text(&second, "two").await;
         };
         join!(ask, serve);
     });
 }
 
 #[test]
-fn a_late_answer_in_the_place_of_the_next_is_not_passed_on() {
+fn a_late_answer_to_an_earlier_request_is_not_passed_on() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let (first, second) = (get("once", "r1"), get("once", "r2"));
         let serve = async {
             let (mut peer, _) = target.request().await;
@@ -202,7 +198,7 @@
             peer
         };
         let ask = async {
-            assert_eq!(world.ask(&first).await.expect("an answer").text(), "one");
+            world.ask_text(&first, "one").await;
             assert_eq!(world.ask(&second).await.expect("an answer").status(), 502);
         };
         join!(ask, serve);
@@ -210,10 +206,9 @@
 }
 
 #[test]
-fn a_connection_that_the_target_closed_costs_no_request() {
+fn an_idle_connection_closed_by_the_target_fails_no_request() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let (first, second) = (get("once", "r1"), get("once", "r2"));
         let serve = async {
             let (mut peer, _) = target.request().await;
@@ -225,11 +220,11 @@
             next
         };
         let ask = async {
-            assert_eq!(world.ask(&first).await.expect("an answer").text(), "one");
+            world.ask_text(&first, "one").await;
             while world.proxy.target_client.pool.usable(Instant::now()) > 0 {
                 tokio::task::yield_now().await;
             }
-            assert_eq!(world.ask(&second).await.expect("an answer").text(), "two");
+            world.ask_text(&second, "two").await;
         };
         join!(ask, serve);
     });
--- a/tier/proxy/tests/connections.rs
+++ b/tier/proxy/tests/connections.rs
@@ -8,7 +8,7 @@
 use tokio::join;
 
 /// A target that is full turns r1 away and keeps the connection.
-const TURNED_AWAY: &str =
+const REJECTED: &str =
     "HTTP/1.1 503 Full\r\nRequest-Id: r1\r\nNot-Executed: 1\r\nKeep-Alive: timeout=9\r\n\
      Content-Length: 0\r\n\r\n";
 
@@ -26,7 +26,7 @@
 /// Guards a target that turns a long request away before it has read it, and keeps the connection: the next request went
 /// out behind the unread body and came to a 502, though nobody had read it.
 #[test]
-fn a_connection_whose_last_body_may_be_unread_is_not_used_again() {
+fn a_connection_whose_request_body_may_be_unread_is_not_reused() {
     on_one_thread(async {
         let target = Listening::with_small_buffers().await;
         let world = World::with_targets(&[&target]).await;
@@ -34,7 +34,7 @@
         let serve = async {
             let mut early = target.accept().await;
             assert!(early.head().await.is_some());
-            early.send(TURNED_AWAY).await;
+            early.send(REJECTED).await;
             // The same request comes anew, whole, and its connection is used again.
             let (mut next, request) = target.request().await;
             assert_eq!(
@@ -55,8 +55,8 @@
             );
         };
         let ask = async {
-            assert_eq!(world.ask(&first).await.expect("an answer").text(), "one");
-            assert_eq!(world.ask(&second).await.expect("an answer").text(), "two");
+            world.ask_text(&first, "one").await;
+            world.ask_text(&second, "two").await;
         };
         join!(ask, serve);
     });
@@ -64,29 +64,27 @@
 
 /// A refusal of a short request costs no connection.
 #[test]
-fn a_short_request_that_was_turned_away_leaves_its_connection_usable() {
+fn a_rejected_short_request_leaves_its_connection_reusable() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let request = get("once", "r1");
         let serve = async {
             let (mut peer, _) = target.request().await;
-            peer.send(TURNED_AWAY).await;
+            peer.send(REJECTED).await;
             assert!(peer.receive().await.is_some(), "over the same connection");
             peer.send(&answer("200 OK", "r1", "", "one")).await;
         };
-        let ask = async { assert_eq!(world.ask(&request).await.expect("an answer").text(), "one") };
+        let ask = async { world.ask_text(&request, "one").await };
         join!(ask, serve);
     });
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_if_its_connection_ends_in_order() {
+fn an_answer_without_a_length_is_complete_if_its_connection_ends_in_order() {
     on_one_thread(async {
         let head = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nUpstream-Signature: s\r\n\r\n";
         for (is_reset, status, body) in [(false, 200, "all of it"), (true, 502, "")] {
-            let target = Listening::start().await;
-            let world = World::with_targets(&[&target]).await;
+            let (target, world) = World::with_one_target().await;
             let request = get("once", "r1");
             let serve = async {
                 let (mut peer, _) = target.request().await;
@@ -111,11 +109,10 @@
 
 /// Both ends close at the same moment, again and again: no request is eaten, and none is sent twice.
 #[test]
-fn a_close_at_rest_that_crosses_a_request_is_no_reset_of_a_new_one() {
+fn a_close_while_idle_that_crosses_a_request_is_no_reset_of_a_new_connection() {
     on_one_thread(async {
         for _ in 0..20 {
-            let target = Listening::start().await;
-            let world = World::with_targets(&[&target]).await;
+            let (target, world) = World::with_one_target().await;
             let (first, second) = (get("once", "r1"), get("once", "r2"));
             let serve = async {
                 let (mut peer, _) = target.request().await;
@@ -133,7 +130,7 @@
                 }
             };
             let ask = async {
-                assert_eq!(world.ask(&first).await.expect("an answer").text(), "one");
+                world.ask_text(&first, "one").await;
                 let got = world.ask(&second).await.expect("an answer");
                 assert!(matches!(
                     (got.status(), got.text().as_str()),
--- a/tier/proxy/tests/draining.rs
+++ b/tier/proxy/tests/draining.rs
@@ -10,18 +10,16 @@
 use plankhill_protocol::tables::{Drain, Tables};
 use plankhill_proxy::lifecycle::ConnectionPolicy;
 use plankhill_proxy::readiness::is_ready;
-use support::drain_orders::{settled, Orders};
+use support::drain_orders::{settled, DrainOrders};
 use support::on_one_thread;
-use support::peer::Listening;
-use support::world::{answer, chunk, event, get, stream_head, turn, World, LAST_CHUNK};
+use support::world::{answer, chunk, event, get, turn, World, LAST_CHUNK};
 use tokio::join;
 
 #[test]
-fn an_order_turns_clients_away_and_a_lifted_one_welcomes_them() {
+fn a_drain_order_makes_the_node_unready_until_it_is_lifted() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        let orders = Orders::follow(&world);
+        let (_target, world) = World::with_one_target().await;
+        let orders = DrainOrders::follow(&world);
         settled().await;
         assert!(is_ready(&world.proxy));
         orders.set(Some(1)).await;
@@ -32,11 +30,10 @@
 }
 
 #[test]
-fn an_order_for_another_node_is_none() {
+fn a_drain_order_for_another_node_is_ignored() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        let orders = Orders::follow(&world);
+        let (_target, world) = World::with_one_target().await;
+        let orders = DrainOrders::follow(&world);
         let other = Drain {
             node: NodeId::from("other"),
             number: 1,
@@ -54,34 +51,27 @@
 }
 
 #[test]
-fn a_reply_under_way_is_finished_and_its_connection_closes_behind_it() {
+fn a_draining_node_finishes_the_answer_in_flight_and_closes_its_connection() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        let orders = Orders::follow(&world);
-        let mut client = world.client().await;
-        client.send(&get("stream", "r1")).await;
-        let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
-            .await;
-        assert!(client.head().await.is_some());
+        let (target, world) = World::with_one_target().await;
+        let orders = DrainOrders::follow(&world);
+        let (mut client, mut peer) = world.begin_stream(&target, &get("stream", "r1")).await;
         orders.set(Some(5)).await;
-        assert_eq!(orders.said.borrow().len(), 0);
+        assert_eq!(orders.reported.borrow().len(), 0);
         peer.send(&(chunk(&event(2, "b")) + LAST_CHUNK)).await;
         assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
         assert_eq!(client.chunk().await, Some(Some(event(2, "b").into_bytes())));
         assert_eq!(client.chunk().await, Some(None));
         drop(client);
-        orders.until_said(5).await;
+        orders.until_reported(5).await;
     });
 }
 
 #[test]
-fn what_comes_on_an_open_connection_is_served_and_told_to_close() {
+fn a_draining_node_serves_a_request_on_an_open_connection_and_closes_it() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        let orders = Orders::follow(&world);
+        let (target, world) = World::with_one_target().await;
+        let orders = DrainOrders::follow(&world);
         let mut client = world.client().await;
         settled().await;
         orders.set(Some(1)).await;
@@ -94,24 +84,20 @@
             (200, Some("close"))
         );
         assert_eq!(client.closed().await, b"");
-        orders.until_said(1).await;
+        orders.until_reported(1).await;
     });
 }
 
 /// A process that ends settles what it cuts by what its client was handed, not by the turn's most.
 #[test]
-fn a_turn_that_the_end_cuts_counts_by_what_was_handed() {
+fn a_turn_truncated_by_shutdown_is_settled_by_its_delivered_events() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        let mut client = world.client().await;
-        client.send(&turn("stream", "r1", "", "in")).await;
-        let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+        let (target, world) = World::with_one_target().await;
+        let (mut client, _peer) = world
+            .begin_stream(&target, &turn("stream", "r1", "", "in"))
             .await;
-        assert!(client.head().await.is_some());
         assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
-        let _orders = Orders::follow(&world);
+        let _orders = DrainOrders::follow(&world);
         world
             .proxy
             .lifecycle
@@ -124,10 +110,9 @@
 }
 
 #[test]
-fn connections_at_rest_are_closed_and_a_reply_under_way_is_finished() {
+fn idle_connections_are_closed_and_the_answer_in_flight_is_finished() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let (mut resting, mut busy) = (world.client().await, world.client().await);
         busy.send(&get("once", "r1")).await;
         let (mut peer, _) = target.request().await;
@@ -143,10 +128,9 @@
 }
 
 #[test]
-fn in_the_end_all_connections_are_cut() {
+fn close_all_closes_connections_with_requests_in_flight() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let mut client = world.client().await;
         client.send(&get("once", "r1")).await;
         let _held = target.request().await;
--- a/tier/proxy/tests/events.rs
+++ b/tier/proxy/tests/events.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn any_cuts_give_the_same_events() {
+fn events_do_not_depend_on_how_bytes_arrive() {
     arbtest::arbtest(|source| {
         let ends = ["\n\n", "\r\n\r\n"];
         let count = source.int_in_range(0..=6)?;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_endless_event_is_an_error() {
+fn an_event_over_the_limit_is_an_error() {
     let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; MAX_EVENT_BYTES + 1]);
     assert!(splitter.next_event().is_err());
--- a/tier/proxy/tests/executions.rs
+++ b/tier/proxy/tests/executions.rs
@@ -49,11 +49,11 @@
 
 /// Random numbers that follow from a seed (splitmix64).
 #[derive(Clone)]
-struct Chance(Rc<RefCell<u64>>);
+struct Rng(Rc<RefCell<u64>>);
 
-impl Chance {
+impl Rng {
     fn new(seed: u64) -> Self {
-        Chance(Rc::new(RefCell::new(seed)))
+        Rng(Rc::new(RefCell::new(seed)))
     }
 
     fn below(&self, bound: usize) -> usize {
@@ -70,10 +70,10 @@
 type Runs = Rc<RefCell<HashMap<String, usize>>>;
 
 /// Serves one connection until it ends; several requests may come on it.
-async fn serve_connection(mut peer: Peer, runs: Runs, chance: Chance) {
+async fn serve_connection(mut peer: Peer, runs: Runs, rng: Rng) {
     while let Some(request) = peer.receive().await {
         let id = request.header("request-id").expect("an id").to_owned();
-        let behaviour = BEHAVIOURS[chance.below(BEHAVIOURS.len())];
+        let behaviour = BEHAVIOURS[rng.below(BEHAVIOURS.len())];
         let runs_it = !matches!(
             behaviour,
             Behaviour::RefuseAsFull | Behaviour::RefuseAsAnother
@@ -118,10 +118,10 @@
     format!("body of {id}")
 }
 
-async fn serve(target: Listening, runs: Runs, chance: Chance) {
+async fn serve(target: Listening, runs: Runs, rng: Rng) {
     loop {
         let peer = target.accept().await;
-        spawn_local(serve_connection(peer, runs.clone(), chance.clone()));
+        spawn_local(serve_connection(peer, runs.clone(), rng.clone()));
     }
 }
 
@@ -133,13 +133,13 @@
 }
 
 /// Sends requests one behind the other, over a connection of its own that is opened anew at random.
-async fn client(world: Rc<World>, number: usize, chance: Chance) -> Vec<Answered> {
+async fn client(world: Rc<World>, number: usize, rng: Rng) -> Vec<Answered> {
     let mut connection: Option<Peer> = None;
     let mut all = Vec::new();
     for request in 0..REQUESTS {
         let id = format!("c{number}-{request}");
-        let may_repeat = chance.below(2) == 0;
-        let mut peer = match connection.take().filter(|_| chance.below(3) > 0) {
+        let may_repeat = rng.below(2) == 0;
+        let mut peer = match connection.take().filter(|_| rng.below(3) > 0) {
             Some(peer) => peer,
             None => world.client().await,
         };
@@ -160,15 +160,15 @@
 }
 
 async fn play(seed: u64) {
-    let chance = Chance::new(seed);
+    let rng = Rng::new(seed);
     let runs = Runs::default();
     let (one, other) = (Listening::start().await, Listening::start().await);
     let world = Rc::new(World::with_targets(&[&one, &other]).await);
-    spawn_local(serve(one, runs.clone(), chance.clone()));
-    spawn_local(serve(other, runs.clone(), chance.clone()));
+    spawn_local(serve(one, runs.clone(), rng.clone()));
+    spawn_local(serve(other, runs.clone(), rng.clone()));
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
-        clients.spawn_local(client(world.clone(), number, chance.clone()));
+        clients.spawn_local(client(world.clone(), number, rng.clone()));
     }
     let answered: Vec<Answered> = clients.join_all().await.into_iter().flatten().collect();
     assert_eq!(answered.len(), CLIENTS * REQUESTS, "seed {seed}");
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn at_random_interleavings_nothing_runs_twice_and_promises_hold() {
+fn random_interleavings_execute_nothing_twice_and_keep_rejections_true() {
     on_one_thread(async {
         for seed in SEEDS {
             play(seed).await;
--- a/tier/proxy/tests/lifecycle.rs
+++ b/tier/proxy/tests/lifecycle.rs
@@ -5,12 +5,10 @@
 use std::time::Duration;
 
 use plankhill_draining::shutdown::Shutdown;
-use support::drain_orders::Orders;
+use support::drain_orders::DrainOrders;
 use support::on_one_thread;
 use support::peer::{Listening, Peer};
-use support::world::{
-    answer, chunk, configuration, event, get, stream_head, tables, World, LAST_CHUNK,
-};
+use support::world::{answer, configuration, event, get, tables, World, LAST_CHUNK};
 use tokio::join;
 
 /// The end was asked for, and nothing has to be over yet.
@@ -25,7 +23,7 @@
 }
 
 #[test]
-fn ready_with_a_configuration_that_is_known_to_be_the_newest() {
+fn ready_once_a_configuration_is_known_to_be_current() {
     on_one_thread(async {
         let world = World::unready().await;
         assert_eq!(readiness(&world).await, 503);
@@ -45,7 +43,7 @@
 }
 
 #[test]
-fn a_request_that_comes_just_before_the_tables_waits_for_them() {
+fn a_request_waits_for_the_first_tables() {
     on_one_thread(async {
         let target = Listening::start().await;
         let world = World::unready().await;
@@ -62,10 +60,9 @@
 }
 
 #[test]
-fn older_tables_do_not_come_back_in_force() {
+fn tables_of_an_older_revision_are_ignored() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let mut newer = tables(&[target.address()], &configuration());
         newer.revision.0 = 5;
         newer.configuration = None;
@@ -77,10 +74,9 @@
 }
 
 #[test]
-fn what_comes_while_the_process_ends_is_answered_and_the_connection_closed() {
+fn a_request_during_shutdown_is_answered_and_its_connection_closed() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let mut open = world.client().await;
         world.proxy.lifecycle.begin_shutdown(in_an_hour());
         open.send(&get("once", "r1")).await;
@@ -102,17 +98,11 @@
 }
 
 #[test]
-fn the_end_waits_for_the_last_bytes_of_a_stream() {
+fn shutdown_waits_for_the_last_bytes_of_a_stream() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        let mut client = world.client().await;
-        client.send(&get("stream", "r1")).await;
-        let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
-            .await;
-        assert!(client.head().await.is_some());
-        let _orders = Orders::follow(&world);
+        let (target, world) = World::with_one_target().await;
+        let (mut client, mut peer) = world.begin_stream(&target, &get("stream", "r1")).await;
+        let _orders = DrainOrders::follow(&world);
         world.proxy.lifecycle.begin_shutdown(Shutdown {
             accept_until: Duration::ZERO,
             ..in_an_hour()
--- a/tier/proxy/tests/limits.rs
+++ b/tier/proxy/tests/limits.rs
@@ -3,7 +3,6 @@
 mod support;
 
 use support::on_one_thread;
-use support::peer::Listening;
 use support::world::{answer, World};
 use tokio::join;
 
@@ -15,10 +14,9 @@
 }
 
 #[test]
-fn requests_that_cannot_be_served_get_the_status_that_says_why() {
+fn requests_that_cannot_be_served_are_rejected_with_the_status_of_the_cause() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (_target, world) = World::with_one_target().await;
         let cases = [
             (
                 "GET /none/x HTTP/1.1\r\nHost: host.example\r\nRequest-Id: r1\r\n\r\n".to_owned(),
@@ -51,10 +49,9 @@
 }
 
 #[test]
-fn bodies_beyond_the_memory_are_refused_and_the_memory_comes_back() {
+fn bodies_beyond_the_memory_budget_are_rejected_and_memory_is_released() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let before = world.proxy.memory.free_bytes();
         let large = "x".repeat(90_000);
         let (one, two, three) = (post("r1", &large), post("r2", &large), post("r3", &large));
--- a/tier/proxy/tests/shutdown.rs
+++ b/tier/proxy/tests/shutdown.rs
@@ -8,17 +8,17 @@
 use plankhill_proxy::clock::duration;
 use plankhill_proxy::lifecycle::ConnectionPolicy;
 use plankhill_proxy::signals::shut_down;
-use support::drain_orders::{settled, Orders};
+use support::drain_orders::{settled, DrainOrders};
 use support::on_one_thread;
 use support::peer::{Listening, Peer};
-use support::world::{answer, chunk, event, get, stream_head, World, LAST_CHUNK};
+use support::world::{answer, chunk, event, get, World, LAST_CHUNK};
 use tokio::task;
 
 /// Longer than any request of these tests may take.
 const HOUR: Duration = Duration::from_secs(3_600);
 
 /// The end was asked for and clients still come; replies may take `left` from now on.
-fn ending(world: &World, left: Duration) -> Shutdown {
+fn begin_shutdown(world: &World, left: Duration) -> Shutdown {
     let replies_end = duration(world.proxy.clock.now()) + left;
     let all_begun_until = Duration::ZERO;
     let shutdown = Shutdown {
@@ -40,18 +40,19 @@
     connections
         .wait_for(|wanted| *wanted == ConnectionPolicy::CloseIdle)
         .await
-        .expect("a life");
+        .expect("a lifecycle");
     settled().await;
 }
 
-async fn world(target: &Listening) -> (World, Orders) {
-    let world = World::with_targets(&[target]).await;
-    let orders = Orders::follow(&world);
-    (world, orders)
+/// A proxy with one target, whose node follows drain orders.
+async fn world_with_drain() -> (Listening, World, DrainOrders) {
+    let (target, world) = World::with_one_target().await;
+    let orders = DrainOrders::follow(&world);
+    (target, world, orders)
 }
 
 /// A request that was answered once, so that the connection rests.
-async fn rested(world: &World, target: &Listening) -> (Peer, Peer) {
+async fn idle_connection(world: &World, target: &Listening) -> (Peer, Peer) {
     let mut client = world.client().await;
     client.send(&get("once", "r0")).await;
     let (mut peer, _) = target.request().await;
@@ -67,12 +68,11 @@
 }
 
 #[test]
-fn a_connection_that_stays_open_gets_one_more_answer_that_closes_it() {
+fn an_idle_connection_gets_one_more_answer_during_shutdown() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
-        let (mut client, mut peer) = rested(&world, &target).await;
-        ending(&world, HOUR);
+        let (target, world, _orders) = world_with_drain().await;
+        let (mut client, mut peer) = idle_connection(&world, &target).await;
+        begin_shutdown(&world, HOUR);
         settled().await;
         client.send(&get("once", "r1")).await;
         assert!(peer.receive().await.is_some());
@@ -88,12 +88,11 @@
 
 /// The request may take nine seconds, and five are left: it is another node's.
 #[test]
-fn what_could_not_be_over_in_time_is_refused_at_once_and_never_passed_on() {
+fn a_request_that_cannot_end_before_shutdown_is_rejected_and_not_sent() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
-        let (mut client, mut peer) = rested(&world, &target).await;
-        ending(&world, Duration::from_secs(5));
+        let (target, world, _orders) = world_with_drain().await;
+        let (mut client, mut peer) = idle_connection(&world, &target).await;
+        begin_shutdown(&world, Duration::from_secs(5));
         for (route, mut client) in [("once", client), ("stream", world.client().await)] {
             client.send(&get(route, "r1")).await;
             let got = client.receive().await.expect("an answer");
@@ -115,18 +114,17 @@
 }
 
 #[test]
-fn a_head_that_is_half_read_when_connections_close_is_answered() {
+fn a_request_whose_head_is_arriving_when_idle_connections_close_is_answered() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
-        let (mut client, mut peer) = rested(&world, &target).await;
+        let (target, world, _orders) = world_with_drain().await;
+        let (mut client, mut peer) = idle_connection(&world, &target).await;
         let request = get("once", "r1");
         let (first, rest) = request.split_at(30);
         client.send(first).await;
         while world.proxy.lifecycle.work_in_flight() == 0 {
             task::yield_now().await;
         }
-        let shutdown = ending(&world, HOUR);
+        let shutdown = begin_shutdown(&world, HOUR);
         close_idle(&world, shutdown).await;
         client.send(rest).await;
         assert!(peer.receive().await.is_some());
@@ -142,10 +140,9 @@
 }
 
 #[test]
-fn a_body_that_is_half_read_when_connections_close_is_answered() {
+fn a_request_whose_body_is_arriving_when_idle_connections_close_is_answered() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
+        let (target, world, _orders) = world_with_drain().await;
         let mut client = world.client().await;
         let head = get("once", "r1")
             .replace("GET", "POST")
@@ -154,7 +151,7 @@
         while world.proxy.lifecycle.work_in_flight() == 0 {
             task::yield_now().await;
         }
-        let shutdown = ending(&world, HOUR);
+        let shutdown = begin_shutdown(&world, HOUR);
         close_idle(&world, shutdown).await;
         client.send("half").await;
         let (mut peer, request) = target.request().await;
@@ -165,15 +162,14 @@
 }
 
 #[test]
-fn a_request_that_waits_to_be_sent_when_connections_close_is_answered() {
+fn a_queued_request_is_answered_when_idle_connections_close() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
+        let (target, world, _orders) = world_with_drain().await;
         let mut client = world.client().await;
         client.send(&get("once", "r1")).await;
         // The connection to the target is up, and nothing of the request has been read from it.
         let mut peer = target.accept().await;
-        let shutdown = ending(&world, HOUR);
+        let shutdown = begin_shutdown(&world, HOUR);
         close_idle(&world, shutdown).await;
         assert!(peer.receive().await.is_some());
         peer.send(&answer("200 OK", "r1", "", "sent")).await;
@@ -183,17 +179,11 @@
 }
 
 #[test]
-fn a_stream_under_way_runs_to_its_end_and_then_its_connection_closes() {
+fn a_stream_in_flight_ends_completely_before_its_connection_closes() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
-        let mut client = world.client().await;
-        client.send(&get("stream", "r1")).await;
-        let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
-            .await;
-        assert!(client.head().await.is_some());
-        let shutdown = ending(&world, HOUR);
+        let (target, world, _orders) = world_with_drain().await;
+        let (mut client, mut peer) = world.begin_stream(&target, &get("stream", "r1")).await;
+        let shutdown = begin_shutdown(&world, HOUR);
         close_idle(&world, shutdown).await;
         assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
         peer.send(&(chunk(&event(2, "b")) + LAST_CHUNK)).await;
@@ -205,12 +195,11 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_a_resting_connection_is_not_passed_on() {
+fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_sent() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
-        let (mut client, mut peer) = rested(&world, &target).await;
-        let shutdown = ending(&world, HOUR);
+        let (target, world, _orders) = world_with_drain().await;
+        let (mut client, mut peer) = idle_connection(&world, &target).await;
+        let shutdown = begin_shutdown(&world, HOUR);
         close_idle(&world, shutdown).await;
         client.send(&get("once", "r1")).await;
         assert_eq!(
@@ -229,10 +218,9 @@
 
 /// An answer that is given before the body was read reaches the client, although bytes of the body are unread.
 #[test]
-fn an_early_answer_is_not_eaten_by_the_unread_body() {
+fn an_answer_before_the_body_was_read_reaches_the_client() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
+        let (_target, world, _orders) = world_with_drain().await;
         let mut client = world.client().await;
         let head = get("once", "r1").replace("GET", "POST");
         let head = head.replace("\r\n\r\n", "\r\nContent-Length: 200000\r\n\r\n");
@@ -245,11 +233,10 @@
 
 /// What comes between the decision to end and the end itself would be cut by it.
 #[test]
-fn once_the_end_is_decided_on_nothing_is_passed_on() {
+fn once_the_process_end_is_decided_no_request_is_sent() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
-        let shutdown = ending(&world, HOUR);
+        let (_target, world, _orders) = world_with_drain().await;
+        let shutdown = begin_shutdown(&world, HOUR);
         close_idle(&world, shutdown).await;
         world.proxy.lifecycle.process_ended().await;
         let got = world.ask(&get("once", "r1")).await.expect("an answer");
@@ -261,22 +248,20 @@
 }
 
 #[test]
-fn a_client_that_never_closes_does_not_hold_the_end_up() {
+fn a_client_that_never_closes_does_not_delay_shutdown() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let (world, _orders) = world(&target).await;
-        let (_silent, _late) = (rested(&world, &target).await, world.client().await);
-        let shutdown = ending(&world, HOUR);
+        let (target, world, _orders) = world_with_drain().await;
+        let (_silent, _late) = (idle_connection(&world, &target).await, world.client().await);
+        let shutdown = begin_shutdown(&world, HOUR);
         close_idle(&world, shutdown).await;
         world.proxy.lifecycle.process_ended().await;
     });
 }
 
 #[test]
-fn without_a_follower_of_orders_the_end_still_comes() {
+fn shutdown_ends_after_the_grace_time_without_a_drain_task() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (_target, world) = World::with_one_target().await;
         shut_down(&world.proxy, Duration::from_millis(50)).await;
         assert!(world.proxy.lifecycle.is_draining());
     });
--- a/tier/proxy/tests/signals.rs
+++ b/tier/proxy/tests/signals.rs
@@ -2,35 +2,31 @@
 
 mod support;
 
-use plankhill_proxy::signals::Signals;
-use plankhill_settings::Bounds;
-use support::drain_orders::Orders;
+use plankhill_proxy::signals::process_ended;
+use plankhill_settings::{Bounds, ProcessSignals};
+use support::drain_orders::DrainOrders;
 use support::on_one_thread;
-use support::peer::Listening;
-use support::world::{chunk, event, get, stream_head, World, LAST_CHUNK};
+use support::world::{chunk, event, get, World, LAST_CHUNK};
 use tokio::task;
 
 #[test]
-fn signals_behind_the_first_change_nothing() {
+fn signals_after_sigterm_are_ignored() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        let _orders = Orders::follow(&world);
-        let signals = Signals::catch().expect("signals");
+        let (target, world) = World::with_one_target().await;
+        let _orders = DrainOrders::follow(&world);
+        let signals = ProcessSignals::new().expect("signals");
         let bounds: Bounds =
             serde_json::from_value(serde_json::json!({ "grace_s": 8 })).expect("bounds");
-        let ended = task::spawn_local(signals.process_ended(world.proxy.clone(), bounds));
-        let mut client = world.client().await;
-        client
-            .send(&get("stream", "r1").replace("9000", "2000"))
+        let ended = task::spawn_local(process_ended(signals, world.proxy.clone(), bounds));
+        let (mut client, mut peer) = world
+            .begin_stream(&target, &get("stream", "r1").replace("9000", "2000"))
             .await;
-        let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
-            .await;
-        assert!(client.head().await.is_some());
         signal("TERM");
         let mut shutdown = world.proxy.lifecycle.shutdown();
-        let first = *shutdown.wait_for(Option::is_some).await.expect("a life");
+        let first = *shutdown
+            .wait_for(Option::is_some)
+            .await
+            .expect("a lifecycle");
         signal("TERM");
         signal("HUP");
         peer.send(&(chunk(&event(2, "b")) + LAST_CHUNK)).await;
--- a/tier/proxy/tests/streams.rs
+++ b/tier/proxy/tests/streams.rs
@@ -16,10 +16,9 @@
 }
 
 #[test]
-fn events_are_passed_on_as_they_arrive() {
+fn events_are_relayed_as_they_arrive() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let mut client = world.client().await;
         client.send(&get("stream", "r1")).await;
         let (mut peer, _) = target.request().await;
@@ -42,8 +41,7 @@
 #[test]
 fn the_connection_serves_the_next_request_after_a_stream() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let mut client = world.client().await;
         client.send(&get("stream", "r1")).await;
         let (mut peer, _) = target.request().await;
@@ -60,7 +58,7 @@
 }
 
 #[test]
-fn a_break_cuts_a_stream_that_may_not_be_resumed() {
+fn a_reset_truncates_a_stream_that_is_not_resumable() {
     on_one_thread(async {
         for reset in [false, true] {
             let (target, other) = (Listening::start().await, Listening::start().await);
@@ -87,10 +85,9 @@
 }
 
 #[test]
-fn a_break_before_the_first_event_is_answered_with_502() {
+fn a_reset_before_the_first_event_is_answered_with_502() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let request = get("stream", "r1");
         let serve = async {
             let (mut peer, _) = target.request().await;
@@ -106,7 +103,7 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_target() {
+fn a_resumable_stream_continues_at_another_target() {
     on_one_thread(async {
         let (first, second) = (Listening::start().await, Listening::start().await);
         let world = World::with_targets(&[&first, &second]).await;
@@ -136,7 +133,7 @@
 }
 
 #[test]
-fn a_run_from_the_start_is_not_joined_to_the_first() {
+fn events_of_a_second_execution_from_the_start_are_not_relayed() {
     on_one_thread(async {
         let (first, second) = (Listening::start().await, Listening::start().await);
         let world = World::with_targets(&[&first, &second]).await;
@@ -154,7 +151,7 @@
 }
 
 #[test]
-fn a_refusal_on_a_streaming_route_goes_to_another_target() {
+fn a_rejection_on_a_streaming_route_is_retried_at_another_target() {
     on_one_thread(async {
         let (full, free) = (Listening::start().await, Listening::start().await);
         let world = World::with_targets(&[&full, &free]).await;
@@ -174,10 +171,9 @@
 }
 
 #[test]
-fn a_client_that_leaves_closes_the_targets_connection() {
+fn a_client_disconnect_closes_the_connection_to_the_target() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let mut client = world.client().await;
         client.send(&get("stream", "r1")).await;
         let (mut peer, _) = target.request().await;
@@ -190,11 +186,10 @@
 }
 
 #[test]
-fn a_client_that_leaves_before_the_answer_closes_the_targets_connection() {
+fn a_client_disconnect_before_the_answer_closes_the_connection_to_the_target() {
     on_one_thread(async {
         for route in ["stream", "once"] {
-            let target = Listening::start().await;
-            let world = World::with_targets(&[&target]).await;
+            let (target, world) = World::with_one_target().await;
             let mut client = world.client().await;
             client.send(&get(route, "r1")).await;
             let (mut peer, _) = target.request().await;
@@ -206,7 +201,7 @@
 }
 
 #[test]
-fn a_stream_taken_up_by_the_client_repeats_nothing() {
+fn a_stream_resumed_by_the_client_repeats_no_event() {
     on_one_thread(async {
         let (first, second) = (Listening::start().await, Listening::start().await);
         let world = World::with_targets(&[&first, &second]).await;
--- a/tier/proxy/tests/support/drain_orders.rs
+++ b/tier/proxy/tests/support/drain_orders.rs
@@ -1,4 +1,4 @@
-//! Orders for the node under test.
+//! DrainOrders for the node under test.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,28 +14,28 @@
 use super::world::World;
 
 /// What the node said, and where its orders come from.
-pub struct Orders {
+pub struct DrainOrders {
     pub tables: watch::Sender<Arc<Tables>>,
-    pub said: Rc<RefCell<Vec<FromSubscriber>>>,
+    pub reported: Rc<RefCell<Vec<FromSubscriber>>>,
 }
 
-impl Orders {
-    pub fn follow(world: &World) -> Orders {
+impl DrainOrders {
+    pub fn follow(world: &World) -> DrainOrders {
         let newest = world.proxy.snapshots.newest().tables.clone();
         let (tables, watched) = watch::channel(newest);
-        let said: Rc<RefCell<Vec<FromSubscriber>>> = Rc::default();
-        let heard = said.clone();
-        let say = Box::new(move |message| {
-            heard.borrow_mut().push(message);
+        let reported: Rc<RefCell<Vec<FromSubscriber>>> = Rc::default();
+        let sent = reported.clone();
+        let report = Box::new(move |message| {
+            sent.borrow_mut().push(message);
             true
         });
         task::spawn_local(draining::follow(
             world.proxy.clone(),
             NodeId::from("me"),
             watched,
-            say,
+            report,
         ));
-        Orders { tables, said }
+        DrainOrders { tables, reported }
     }
 
     pub async fn set(&self, number: Option<u64>) {
@@ -54,9 +54,9 @@
         settled().await;
     }
 
-    pub async fn until_said(&self, number: u64) {
+    pub async fn until_reported(&self, number: u64) {
         while !self
-            .said
+            .reported
             .borrow()
             .contains(&FromSubscriber::Drained { number })
         {
--- a/tier/proxy/tests/support/world.rs
+++ b/tier/proxy/tests/support/world.rs
@@ -23,7 +23,7 @@
 use super::stores::{InMemory, Stores};
 
 /// ConnectionPolicy of clients at once.
-const MOST_CLIENTS: usize = 64;
+const MAX_CLIENTS: usize = 64;
 
 /// MemoryBudget for bodies, in bytes.
 const MEMORY: usize = 250_000;
@@ -41,13 +41,18 @@
     pub async fn unready() -> World {
         let clock = Clock::start();
         let pool = Rc::new(TargetPool::default());
-        let (pings, _) = tokio::sync::mpsc::unbounded_channel();
-        let decisions = Box::new(RoundRobin::default());
+        let (health_checks, _) = tokio::sync::mpsc::unbounded_channel();
+        let dispatcher = Box::new(RoundRobin::default());
         let stores = Rc::new(Stores::default());
         let proxy = Rc::new(Proxy {
             clock,
             snapshots: SnapshotCell::default(),
-            admission: Rc::new(Admission::new(clock, decisions, pool.clone(), pings)),
+            admission: Rc::new(Admission::new(
+                clock,
+                dispatcher,
+                pool.clone(),
+                health_checks,
+            )),
             target_client: TargetClient { clock, pool },
             turns: Rc::new(InMemory(stores.clone())),
             memory: Rc::new(MemoryBudget::new(MEMORY)),
@@ -55,11 +60,7 @@
         });
         let (client_listener, clients) = listening().await;
         let (ready_listener, readiness) = listening().await;
-        tokio::task::spawn_local(listener::serve(
-            proxy.clone(),
-            client_listener,
-            MOST_CLIENTS,
-        ));
+        tokio::task::spawn_local(listener::serve(proxy.clone(), client_listener, MAX_CLIENTS));
         tokio::task::spawn_local(readiness::serve(proxy.clone(), ready_listener));
         World {
             proxy,
@@ -78,6 +79,13 @@
         world
     }
 
+    /// A proxy with one target.
+    pub async fn with_one_target() -> (Listening, World) {
+        let target = Listening::start().await;
+        let world = World::with_targets(&[&target]).await;
+        (target, world)
+    }
+
     pub fn set_tables(&self, tables: Tables) {
         self.proxy.snapshots.replace(Arc::new(tables));
         self.proxy
@@ -95,6 +103,24 @@
         client.send(request).await;
         client.receive().await
     }
+
+    /// One request over a connection of its own, whose answer must have this body.
+    pub async fn ask_text(&self, request: &str, body: &str) {
+        let answer = self.ask(request).await.expect("an answer");
+        assert_eq!(answer.text(), body);
+    }
+
+    /// A request whose target, the second peer, has sent the head of a stream and the event 1 with
+    /// data `a`; the client, the first peer, has received the head.
+    pub async fn begin_stream(&self, target: &Listening, request: &str) -> (Peer, Peer) {
+        let mut client = self.client().await;
+        client.send(request).await;
+        let (mut peer, _) = target.request().await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+            .await;
+        assert!(client.head().await.is_some());
+        (client, peer)
+    }
 }
 
 async fn listening() -> (TcpListener, SocketAddr) {
--- a/tier/proxy/tests/turns.rs
+++ b/tier/proxy/tests/turns.rs
@@ -18,10 +18,9 @@
 }
 
 #[test]
-fn a_turn_is_reserved_before_and_settled_after_it() {
+fn a_turn_reserves_tokens_before_it_is_sent_and_settles_them_after() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let request = turn("stream", "r1", "", "in");
         let serve = async {
             let (mut peer, request) = target.request().await;
@@ -47,10 +46,9 @@
 }
 
 #[test]
-fn a_kept_turn_gets_its_chain_and_ends_after_it_is_kept() {
+fn a_retained_turn_gets_its_history_and_ends_after_it_is_stored() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let place = TurnLocation {
             turn: RequestId::from("r0"),
             program: ProgramId::from("parent"),
@@ -86,10 +84,9 @@
 }
 
 #[test]
-fn a_turn_that_cannot_be_kept_is_cut() {
+fn a_retained_turn_that_cannot_be_stored_is_truncated() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         world.stores.refuse_ends.set(true);
         let request = turn("kept", "r1", "", "in");
         let serve = async {
@@ -103,10 +100,9 @@
 }
 
 #[test]
-fn a_turn_that_the_stores_refuse_is_not_sent() {
+fn a_turn_that_the_stores_reject_is_not_sent() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (_target, world) = World::with_one_target().await;
         let refusals = [
             (BeginOutcome::BudgetSpent, 402),
             (BeginOutcome::NoSuchTurn, 404),
@@ -123,7 +119,7 @@
 }
 
 #[test]
-fn a_turn_that_has_not_run_is_settled_with_nothing() {
+fn a_turn_not_executed_is_settled_with_no_tokens() {
     on_one_thread(async {
         let gone = Listening::start().await;
         let world = World::with_targets(&[&gone]).await;
@@ -138,10 +134,9 @@
 }
 
 #[test]
-fn a_broken_turn_is_settled_with_what_was_handed_out_and_not_kept() {
+fn a_truncated_turn_is_settled_by_its_delivered_events_and_not_stored() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
+        let (target, world) = World::with_one_target().await;
         let mut client = world.client().await;
         client.send(&turn("kept", "r1", "", "in")).await;
         let (mut peer, _) = target.request().await;
@@ -155,16 +150,12 @@
 }
 
 #[test]
-fn a_turn_whose_client_left_is_settled_with_what_was_handed_out() {
+fn a_turn_whose_client_disconnected_is_settled_by_its_delivered_events() {
     on_one_thread(async {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        let mut client = world.client().await;
-        client.send(&turn("kept", "r1", "", "in")).await;
-        let (mut peer, _) = target.request().await;
-        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+        let (target, world) = World::with_one_target().await;
+        let (client, mut peer) = world
+            .begin_stream(&target, &turn("kept", "r1", "", "in"))
             .await;
-        assert!(client.head().await.is_some());
         drop(client);
         let end = world.stores.first_end().await;
         assert_eq!(end.tokens, Some(3));
