--- a/tier/dispatch/examples/dispatch_cost.rs
+++ b/tier/dispatch/examples/dispatch_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what a request costs the dispatcher in processor time: 20 targets, 50 requests out, two iterations a
-//! request.
+//! Prints what a request costs the dispatcher in processor time: 20 targets, 50 requests out, two
+//! iterations a request.
 
 use std::collections::VecDeque;
 use std::time::Instant;
--- a/tier/dispatch/src/admission.rs
+++ b/tier/dispatch/src/admission.rs
@@ -1,5 +1,5 @@
-//! How urgent a request is, how long it is queued while no target takes it, and when the client of a
-//! rejected request is to come back. Pure functions; the dispatcher calls them.
+//! How urgent a request is, how long it is queued while no target takes it, and when the client of
+//! a rejected request is to come back. Pure functions; the dispatcher calls them.
 
 use plankhill_decisions::interface::Ms;
 
@@ -8,8 +8,8 @@
 /// The least urgent value of the `Priority` header.
 pub const LOWEST_PRIORITY: u8 = 9;
 
-/// A request that was never sent is queued for this share of its latency target: one rejected within a
-/// quarter of it still earns most of its value by the client's next request.
+/// A request that was never sent is queued for this share of its latency target: one rejected
+/// within a quarter of it still earns most of its value by the client's next request.
 const FIRST_SEND_SHARE: f64 = 0.2;
 /// A request that a target rejected is queued a little longer: a slot there comes free within an
 /// answer's time.
@@ -52,9 +52,9 @@
     (now + timeout.max(0.0)).min(deadline)
 }
 
-/// When the client of a rejected request is to come back, counted from `now`: when the service's first
-/// target may take requests again (`opens_at`), spread by `random` (0 to 1) so that clients do not all
-/// come at once.
+/// When the client of a rejected request is to come back, counted from `now`: when the service's
+/// first target may take requests again (`opens_at`), spread by `random` (0 to 1) so that clients
+/// do not all come at once.
 pub fn retry_after(now: Ms, opens_at: Option<Ms>, latency_target: Ms, random: f64) -> Ms {
     let opens_in = match opens_at {
         Some(at) => at - now,
@@ -66,8 +66,8 @@
 
 /// The value of the `Priority` header.
 ///
-/// Only the agent program as a whole counts: a program that can still be in time goes before one that
-/// is late, and near its end it must not wait.
+/// Only the agent program as a whole counts: a program that can still be in time goes before one
+/// that is late, and near its end it must not wait.
 pub fn priority(route_priority: u8, program_time_left: Option<Ms>, latency_target: Ms) -> u8 {
     let by_route = 3 + route_priority.min(2) * 2;
     let by_program = match program_time_left {
--- a/tier/dispatch/src/affinity.rs
+++ b/tier/dispatch/src/affinity.rs
@@ -1,8 +1,8 @@
 //! What each target costs a prompt by its rank in the rendezvous orders.
 //!
 //! A rendezvous hash of the shared prefix ranks the targets, the same at all proxies;
-//! [`crate::allocation`] says which of them cache it. Among these a rendezvous hash of the session's
-//! own part gives each session its target.
+//! [`crate::allocation`] says which of them cache it. Among these a rendezvous hash of the
+//! session's own part gives each session its target.
 
 use plankhill_decisions::interface::Ms;
 
@@ -87,8 +87,8 @@
     score: f64,
 }
 
-/// The ranks of the targets that have a share, in the session's weighted rendezvous order: over many
-/// sessions each target is first as often as its share is large.
+/// The ranks of the targets that have a share, in the session's weighted rendezvous order: over
+/// many sessions each target is first as often as its share is large.
 fn session_ranks(
     session: u64,
     target_hashes: &[u64],
--- a/tier/dispatch/src/allocation.rs
+++ b/tier/dispatch/src/allocation.rs
@@ -1,10 +1,10 @@
 //! Which targets cache which shared prefix: rendezvous hashing with bounded loads (Mirrokni, Thorup
 //! and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2018).
 //!
-//! Each prefix takes targets in its own rendezvous order until its share of the requests is placed; a
-//! target has capacity for an equal part of all requests. Few targets cache a prefix, all targets are
-//! used alike, and proxies that see about the same mix of prompts agree on nearly all of it without a
-//! message between them. The dispatcher owns one [`Allocator`] for each service.
+//! Each prefix takes targets in its own rendezvous order until its share of the requests is placed;
+//! a target has capacity for an equal part of all requests. Few targets cache a prefix, all targets
+//! are used alike, and proxies that see about the same mix of prompts agree on nearly all of it
+//! without a message between them. The dispatcher owns one [`Allocator`] for each service.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -14,7 +14,8 @@
 use crate::prefix_demand::{PrefixDemand, PrefixShare};
 use crate::rendezvous::rendezvous_weight;
 
-/// Prefixes that are given targets by their share; rarer ones keep to the first target of their order.
+/// Prefixes that are given targets by their share; rarer ones keep to the first target of their
+/// order.
 const MAX_PREFIXES: usize = 64;
 /// The allocation is computed anew after this time, as the mix of prompts changes.
 const ALLOCATION_TTL: Ms = 500.0;
--- a/tier/dispatch/src/attempt.rs
+++ b/tier/dispatch/src/attempt.rs
@@ -22,8 +22,8 @@
 /// - `TimedOut`: no complete answer by the attempt's deadline;
 /// - `ConnectFailed`: no connection came up, nothing was written;
 /// - `Reset`: the connection broke after something was written: the request may have been executed;
-/// - `Cancelled`: the proxy ended the attempt (the client has left, or the answer cannot be read): the
-///   request may have been executed;
+/// - `Cancelled`: the proxy ended the attempt (the client has left, or the answer cannot be read):
+///   the request may have been executed;
 /// - `NotSent`: the proxy wrote nothing of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
--- a/tier/dispatch/src/command.rs
+++ b/tier/dispatch/src/command.rs
@@ -41,16 +41,17 @@
         /// When the client is to come back, counted from now.
         retry_after: Ms,
     },
-    /// Final answer for a request that may have been executed: the last target's own failure if it has
-    /// arrived completely; otherwise 504 after a time-out and 502 after any other outcome. An answer
-    /// that has begun is truncated.
+    /// Final answer for a request that may have been executed: the last target's own failure if it
+    /// has arrived completely; otherwise 504 after a time-out and 502 after any other outcome. An
+    /// answer that has begun is truncated.
     Fail {
         /// The request.
         request: RequestKey,
         /// How its last attempt ended.
         last: AttemptOutcome,
     },
-    /// Sends the service's health check; [`crate::Dispatcher::on_health_check_ended`] has to follow.
+    /// Sends the service's health check; [`crate::Dispatcher::on_health_check_ended`] has to
+    /// follow.
     HealthCheck {
         /// The target.
         target: InstanceId,
@@ -67,7 +68,7 @@
         /// The target.
         target: InstanceId,
     },
-    /// [`crate::Dispatcher::poll_commands`] is to be called at this time, if nothing else calls for it
-    /// earlier. Replaces an earlier wake-up; commands without it need none.
+    /// [`crate::Dispatcher::poll_commands`] is to be called at this time, if nothing else calls for
+    /// it earlier. Replaces an earlier wake-up; commands without it need none.
     WakeAt(Ms),
 }
--- a/tier/dispatch/src/command_writer.rs
+++ b/tier/dispatch/src/command_writer.rs
@@ -1,5 +1,6 @@
-//! Carries out the scheduler's decisions of one iteration: changes the dispatcher's state and writes
-//! the commands for the proxy. Created by [`crate::Dispatcher::poll_commands`] for one iteration.
+//! Carries out the scheduler's decisions of one iteration: changes the dispatcher's state and
+//! writes the commands for the proxy. Created by [`crate::Dispatcher::poll_commands`] for one
+//! iteration.
 
 use plankhill_decisions::interface::{Effects, EventId, Ms, TargetId};
 
@@ -190,8 +191,8 @@
     }
 }
 
-/// A request without a prompt: of the targets with the same cost any may get it, and proxies that all
-/// took the first one would meet there. The order of the targets is rotated at random.
+/// A request without a prompt: of the targets with the same cost any may get it, and proxies that
+/// all took the first one would meet there. The order of the targets is rotated at random.
 fn select_without_prompt(
     now: Ms,
     prompt: &PrefixChain,
--- a/tier/dispatch/src/dispatch_state.rs
+++ b/tier/dispatch/src/dispatch_state.rs
@@ -1,5 +1,5 @@
-//! The state that decisions are carried out on: requests, targets and the random source. Owned by the
-//! dispatcher; the command writer borrows it during an iteration of the scheduler.
+//! The state that decisions are carried out on: requests, targets and the random source. Owned by
+//! the dispatcher; the command writer borrows it during an iteration of the scheduler.
 
 use std::collections::HashMap;
 
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Takes over the endpoint list of new tables. Draining targets and those not listed any more get
-    /// nothing new; a new id at an old address inherits nothing.
+    /// Takes over the endpoint list of new tables. Draining targets and those not listed any more
+    /// get nothing new; a new id at an old address inherits nothing.
     pub fn set_targets(&mut self, targets: &[Target]) {
         let changes = self.state.targets.replace(&self.settings.zone, targets);
         if !changes.is_empty() {
@@ -106,7 +106,8 @@
         });
     }
 
-    /// Until when a new request is queued. The time-out begins once its session's cool-down is over.
+    /// Until when a new request is queued. The time-out begins once its session's cool-down is
+    /// over.
     fn first_queue_deadline(&self, now: Ms, new: &NewRequest) -> Ms {
         let Some(session) = new.session else {
             let reason = QueueReason::FirstSend;
--- a/tier/dispatch/src/pending_requests.rs
+++ b/tier/dispatch/src/pending_requests.rs
@@ -40,8 +40,8 @@
     pub(crate) latency_target: Ms,
     pub(crate) priority: u8,
     pub(crate) prompt: PrefixChain,
-    /// Whether the target selected for the last attempt is one of those that cache the prompt's shared
-    /// prefix.
+    /// Whether the target selected for the last attempt is one of those that cache the prompt's
+    /// shared prefix.
     pub(crate) at_prefix_target: bool,
     deadline: Ms,
     idempotency: Idempotency,
--- a/tier/dispatch/src/prefix_cache.rs
+++ b/tier/dispatch/src/prefix_cache.rs
@@ -1,5 +1,5 @@
-//! What one target's prefix cache holds, as far as this proxy knows: the chains that this proxy sent
-//! there. Owned by the target's entry in the table of targets.
+//! What one target's prefix cache holds, as far as this proxy knows: the chains that this proxy
+//! sent there. Owned by the target's entry in the table of targets.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,8 +10,8 @@
 /// The time in which a target prefills one token: about 40 tokens in a millisecond.
 pub const PREFILL_TIME_PER_TOKEN: Ms = 0.025;
 
-/// Chain links remembered for each target; the oldest are forgotten first. Targets cache some tens of
-/// sessions.
+/// Chain links remembered for each target; the oldest are forgotten first. Targets cache some tens
+/// of sessions.
 const MAX_LINKS: usize = 512;
 
 /// The links that one target is taken to hold.
@@ -53,8 +53,8 @@
         self.evict_oldest();
     }
 
-    /// Tokens of the prompt that the target has to prefill. `has_shared_prefix` says that requests of
-    /// other proxies had the target prefill the shared prefix.
+    /// Tokens of the prompt that the target has to prefill. `has_shared_prefix` says that requests
+    /// of other proxies had the target prefill the shared prefix.
     pub fn missing_tokens(&self, prompt: &PrefixChain, has_shared_prefix: bool) -> u32 {
         let by_others = if has_shared_prefix {
             prompt.shared_prefix_tokens()
--- a/tier/dispatch/src/prefix_chain.rs
+++ b/tier/dispatch/src/prefix_chain.rs
@@ -44,8 +44,8 @@
         self.links.is_empty()
     }
 
-    /// The hash of the prefix that the prompt shares with others: its first part, unless that is its
-    /// only one.
+    /// The hash of the prefix that the prompt shares with others: its first part, unless that is
+    /// its only one.
     pub fn shared_prefix(&self) -> Option<u64> {
         self.shared_link().map(|link| link.hash)
     }
@@ -55,8 +55,8 @@
         self.shared_link().map_or(0, |link| link.tokens)
     }
 
-    /// The hash that names the session: the part behind the shared prefix. Prompts of sub-agents begin
-    /// with that of their parent.
+    /// The hash that names the session: the part behind the shared prefix. Prompts of sub-agents
+    /// begin with that of their parent.
     pub(crate) fn session(&self) -> u64 {
         match self.links.as_slice() {
             [] => 0,
--- a/tier/dispatch/src/prefix_demand.rs
+++ b/tier/dispatch/src/prefix_demand.rs
@@ -1,21 +1,21 @@
 //! The share of a service's requests that each shared prefix makes up, as this proxy sees it.
 //!
-//! A proxy of a large fleet sees too little of the load at any one target to find out by itself that
-//! all proxies put the same prompts there. Each proxy does see the mix of the prompts: a prefix that
-//! makes up a fifth of the requests belongs on a fifth of the targets, whichever proxy sends them
-//! ([`crate::allocation`]).
+//! A proxy of a large fleet sees too little of the load at any one target to find out by itself
+//! that all proxies put the same prompts there. Each proxy does see the mix of the prompts: a
+//! prefix that makes up a fifth of the requests belongs on a fifth of the targets, whichever proxy
+//! sends them ([`crate::allocation`]).
 
 use std::collections::HashMap;
 
 use plankhill_decisions::interface::Ms;
 
-/// Counts lose half of their weight in this time: long enough for some tens of requests at a proxy of
-/// a large fleet.
+/// Counts lose half of their weight in this time: long enough for some tens of requests at a proxy
+/// of a large fleet.
 const HALF_LIFE: Ms = 10_000.0;
 /// Prefixes whose count has decayed below this are forgotten.
 const MIN_COUNT: f64 = 0.2;
-/// Requests that are taken to have had other prefixes before any was seen: the first request does not
-/// count as all there is.
+/// Requests that are taken to have had other prefixes before any was seen: the first request does
+/// not count as all there is.
 const PRIOR_REQUESTS: f64 = 5.0;
 /// Prefixes counted for a service; beyond it new ones count as rare.
 const MAX_PREFIXES: usize = 1_024;
--- a/tier/dispatch/src/queue_timeouts.rs
+++ b/tier/dispatch/src/queue_timeouts.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Times are sorted as whole microseconds; rounded up, so that a wake-up at that time finds the wait
-/// expired.
+/// Times are sorted as whole microseconds; rounded up, so that a wake-up at that time finds the
+/// wait expired.
 fn microseconds(time: Ms) -> u64 {
     (time.max(0.0) * 1000.0).ceil() as u64
 }
--- a/tier/dispatch/src/rendezvous.rs
+++ b/tier/dispatch/src/rendezvous.rs
@@ -41,8 +41,8 @@
     (rendezvous_weight(key, target_hash) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The increment and the finisher of splitmix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom
-/// Number Generators", 2014).
+/// The increment and the finisher of splitmix64 (Steele, Lea and Flood, "Fast Splittable
+/// Pseudorandom Number Generators", 2014).
 pub(crate) fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/tier/dispatch/src/retry.rs
+++ b/tier/dispatch/src/retry.rs
@@ -34,8 +34,8 @@
 /// trip or less; after this many the service as a whole is full or gone.
 const MAX_NOT_EXECUTED: u32 = 3;
 
-/// An attempt that another may follow is given this many latency targets, or typical answer times if
-/// that is longer: past both its answer is lost more often than late.
+/// An attempt that another may follow is given this many latency targets, or typical answer times
+/// if that is longer: past both its answer is lost more often than late.
 const ATTEMPT_TIMEOUT_TARGETS: f64 = 2.0;
 const ATTEMPT_TIMEOUT_ANSWERS: f64 = 8.0;
 /// The attempt is given no more than this share of the time left, so that the next one has as much.
--- a/tier/dispatch/src/scheduler_config.rs
+++ b/tier/dispatch/src/scheduler_config.rs
@@ -1,8 +1,8 @@
 //! The decision module's configuration for use inside the tier.
 //!
-//! Neutral there: warm-up, the pace after rejections, spread and quotas (`Tuning::paces_calls` is off).
-//! A target of the tier rejects for itself, by a status that promises that nothing was executed, and
-//! queues what it can; pacing calls would delay requests that the target accepts.
+//! Neutral there: warm-up, the pace after rejections, spread and quotas (`Tuning::paces_calls` is
+//! off). A target of the tier rejects for itself, by a status that promises that nothing was
+//! executed, and queues what it can; pacing calls would delay requests that the target accepts.
 
 use plankhill_decisions::interface::{
     DecisionConfig, DestinationKind, DestinationKindId, Idempotency as SchedulerIdempotency, Ms,
@@ -19,9 +19,9 @@
 const MAX_CALLS_IN_FLIGHT: usize = 1 << 20;
 /// The dispatcher bounds the attempts of each request itself ([`crate::retry`]), below this.
 const MAX_ATTEMPTS: u32 = 64;
-/// The first backoff before a request is sent again; it doubles. Half a second after a failure, as for
-/// events that wait for seconds, would use up a whole latency target. After an attempt that was not
-/// executed, another target may have capacity now.
+/// The first backoff before a request is sent again; it doubles. Half a second after a failure, as
+/// for events that wait for seconds, would use up a whole latency target. After an attempt that was
+/// not executed, another target may have capacity now.
 const RETRY_BACKOFF: RetryBackoff = RetryBackoff {
     after_failure: 40.0,
     after_rejection: 4.0,
@@ -31,8 +31,8 @@
 /// never.
 const NO_AGE: Ms = 1e12;
 
-/// The configuration for a proxy with these settings. `key_cooldown` is the pause of a session after
-/// an attempt that may still be executed.
+/// The configuration for a proxy with these settings. `key_cooldown` is the pause of a session
+/// after an attempt that may still be executed.
 pub(crate) fn decision_config(settings: &DispatchSettings, key_cooldown: Ms) -> DecisionConfig {
     DecisionConfig {
         seed: settings.seed,
--- a/tier/dispatch/src/scheduler_input.rs
+++ b/tier/dispatch/src/scheduler_input.rs
@@ -1,4 +1,5 @@
-//! Inputs that are gathered between two iterations of the scheduler, in the order in which they came.
+//! Inputs that are gathered between two iterations of the scheduler, in the order in which they
+//! came.
 
 use plankhill_decisions::interface::{
     AttemptOutcome, AttemptReport, DestinationId, EndpointState, Ms, OrderKey, TargetId,
@@ -33,8 +34,8 @@
 }
 
 impl SchedulerInput {
-    /// Applies the input. An input about a request or target that the scheduler does not know is about
-    /// one that was forgotten meanwhile: nothing is to be decided about it.
+    /// Applies the input. An input about a request or target that the scheduler does not know is
+    /// about one that was forgotten meanwhile: nothing is to be decided about it.
     pub(crate) fn apply(self, scheduler: &mut Scheduler) {
         match self {
             SchedulerInput::EndpointChanged(change) => apply_endpoint_change(change, scheduler),
--- a/tier/dispatch/src/session_cooldown.rs
+++ b/tier/dispatch/src/session_cooldown.rs
@@ -10,8 +10,8 @@
 
 /// The cool-down before any answer was seen.
 const INITIAL_COOLDOWN: Ms = 200.0;
-/// Bounds of the cool-down: a round trip inside a region, and the time by which any target has noticed
-/// a closed connection.
+/// Bounds of the cool-down: a round trip inside a region, and the time by which any target has
+/// noticed a closed connection.
 const MIN_COOLDOWN: Ms = 20.0;
 const MAX_COOLDOWN: Ms = 1_000.0;
 /// The weight of the newest answer in the average.
--- a/tier/dispatch/src/target_load.rs
+++ b/tier/dispatch/src/target_load.rs
@@ -5,8 +5,9 @@
 
 use crate::attempt::UpstreamLoad;
 
-/// A report loses half of its weight in this time. The requests in flight at a target change within an
-/// answer's time, so that an older report says less than the load that is typical of the service.
+/// A report loses half of its weight in this time. The requests in flight at a target change within
+/// an answer's time, so that an older report says less than the load that is typical of the
+/// service.
 const REPORT_HALF_LIFE: Ms = 150.0;
 /// The same for a report of unusually many requests: a target that is slow, or that many proxies
 /// prefer, stays so for seconds.
@@ -17,12 +18,12 @@
 const UNUSUAL_EXTRA: f64 = 8.0;
 /// What is typical of a service loses half of its weight in this time once nothing is reported.
 const TYPICAL_HALF_LIFE: Ms = 2_000.0;
-/// The cost of a target whose slots are all taken, in expected milliseconds; less in proportion while
-/// they are not. Services without prompts slow down a little near their limit.
+/// The cost of a target whose slots are all taken, in expected milliseconds; less in proportion
+/// while they are not. Services without prompts slow down a little near their limit.
 pub const FULL_SLOTS_COST: Ms = 100.0;
-/// The same where prompts are prefilled: each request in flight comes with some that are still to be
-/// prefilled, 20 ms at 32 slots. With 3 ms a burst left six times as many programs late, with 40 ms
-/// sessions moved too often.
+/// The same where prompts are prefilled: each request in flight comes with some that are still to
+/// be prefilled, 20 ms at 32 slots. With 3 ms a burst left six times as many programs late, with 40
+/// ms sessions moved too often.
 pub const FULL_SLOTS_COST_WITH_PREFILL: Ms = 640.0;
 /// The weight of the newest answer in the typical answer time.
 const ANSWER_TIME_WEIGHT: f64 = 0.1;
@@ -112,8 +113,8 @@
         self.reported_others * (-self.report_age(now) / TYPICAL_HALF_LIFE).exp2()
     }
 
-    /// Requests of all proxies that are probably there: as reported, and with the age of the report as
-    /// many of other proxies as is typical of the service (`typical_others`).
+    /// Requests of all proxies that are probably there: as reported, and with the age of the report
+    /// as many of other proxies as is typical of the service (`typical_others`).
     pub fn estimate(&self, now: Ms, typical_others: f64) -> f64 {
         let is_unusual = self.reported_others > UNUSUAL_FACTOR * typical_others + UNUSUAL_EXTRA;
         let half_life = if is_unusual {
@@ -126,8 +127,8 @@
     }
 
     /// How much longer an answer from this target takes than from an idle one, in expected
-    /// milliseconds. `estimate` is the number of requests there, `full_slots_cost` the cost once all
-    /// slots are taken.
+    /// milliseconds. `estimate` is the number of requests there, `full_slots_cost` the cost once
+    /// all slots are taken.
     pub fn cost(&self, now: Ms, estimate: f64, full_slots_cost: Ms) -> Ms {
         let running = estimate.min(self.slots);
         let waiting = estimate - running;
--- a/tier/dispatch/src/target_selection.rs
+++ b/tier/dispatch/src/target_selection.rs
@@ -1,5 +1,5 @@
-//! Which of the targets that are open to a request gets it: the one with the least cost, in expected
-//! milliseconds of answer time. Called for each send by [`crate::command_writer`].
+//! Which of the targets that are open to a request gets it: the one with the least cost, in
+//! expected milliseconds of answer time. Called for each send by [`crate::command_writer`].
 
 use plankhill_decisions::interface::Ms;
 
@@ -15,9 +15,9 @@
 /// prompt that it caches goes elsewhere.
 const LOAD_BOUND_FACTOR: f64 = 1.25;
 const LOAD_BOUND_EXTRA: f64 = 6.0;
-/// Prefill delays all requests in flight at the target, so that its weight grows by this share for each
-/// of them. Under a burst 0.25 and 1.2 left more programs late: sessions stuck to full targets, or
-/// moved too often.
+/// Prefill delays all requests in flight at the target, so that its weight grows by this share for
+/// each of them. Under a burst 0.25 and 1.2 left more programs late: sessions stuck to full
+/// targets, or moved too often.
 const PREFILL_WEIGHT_PER_REQUEST: f64 = 0.6;
 
 /// The target that a request goes to.
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -1,5 +1,5 @@
-//! The targets that the endpoint lists name, by the scheduler's ids, and the differences between two
-//! lists. Owned by the dispatcher's state.
+//! The targets that the endpoint lists name, by the scheduler's ids, and the differences between
+//! two lists. Owned by the dispatcher's state.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/tier/dispatch/tests/affinity.rs
+++ b/tier/dispatch/tests/affinity.rs
@@ -1,5 +1,5 @@
-//! Prompts go to targets that cache their parts, within a bound on load, and all proxies select the same target for
-//! new ones.
+//! Prompts go to targets that cache their parts, within a bound on load, and all proxies select the
+//! same target for new ones.
 
 mod common;
 
@@ -99,7 +99,8 @@
     }
 }
 
-/// Guards turns that move as the mix of the prompts changes: what the session has said would be read again.
+/// Guards turns that move as the mix of the prompts changes: what the session has said would be
+/// read again.
 #[test]
 fn a_session_stays_while_the_share_of_its_prefix_grows() {
     let mut proxy = Proxy::with(&["a", "b", "c", "d", "e", "f", "g", "h"]);
--- a/tier/dispatch/tests/common/transcript.rs
+++ b/tier/dispatch/tests/common/transcript.rs
@@ -1,11 +1,12 @@
 //! Decisions as lines of text, and a digest over them.
 //!
-//! Floating-point numbers are written as the bits of their value, targets by their ids. The words are the
-//! transcript's own, so that a renamed type leaves the digest as it is.
+//! Floating-point numbers are written as the bits of their value, targets by their ids. The words
+//! are the transcript's own, so that a renamed type leaves the digest as it is.
 
 use plankhill_dispatch::{AttemptOutcome, AttemptResult, Command, Ms};
 
-/// FNV-1a with 64 bits: its constants are fixed by its authors, so that a digest outlives compilers.
+/// FNV-1a with 64 bits: its constants are fixed by its authors, so that a digest outlives
+/// compilers.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0000_0100_0000_01b3;
 
--- a/tier/dispatch/tests/decisions_digest/faults.rs
+++ b/tier/dispatch/tests/decisions_digest/faults.rs
@@ -1,5 +1,5 @@
-//! One proxy before targets that come, drain, go, fail, are slow and recover; requests of two services, with and
-//! without sessions and prompts, some of which their clients give up.
+//! One proxy before targets that come, drain, go, fail, are slow and recover; requests of two
+//! services, with and without sessions and prompts, some of which their clients give up.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/tier/dispatch/tests/decisions_digest/main.rs
+++ b/tier/dispatch/tests/decisions_digest/main.rs
@@ -1,12 +1,14 @@
-//! The decisions of the dispatcher, and of the decision module beneath it, as they were when the digests in
-//! `digests.txt` were taken: which request went to which target at what time, and how it ended.
+//! The decisions of the dispatcher, and of the decision module beneath it, as they were when the
+//! digests in `digests.txt` were taken: which request went to which target at what time, and how it
+//! ended.
 //!
-//! A line of the file is the name of a world, its seed, the number of lines of its transcript, and their digest.
-//! Tables change by one target at a time: where several go at once the dispatcher takes them in the order of a hash
-//! map, which differs from run to run.
+//! A line of the file is the name of a world, its seed, the number of lines of its transcript, and
+//! their digest. Tables change by one target at a time: where several go at once the dispatcher
+//! takes them in the order of a hash map, which differs from run to run.
 //!
-//! The worlds draw with a generator of their own. They use the logarithm and the power of two of the platform's
-//! mathematics library, as the dispatcher does: another library may round a last digit otherwise.
+//! The worlds draw with a generator of their own. They use the logarithm and the power of two of
+//! the platform's mathematics library, as the dispatcher does: another library may round a last
+//! digit otherwise.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tier/dispatch/tests/fleet/main.rs
+++ b/tier/dispatch/tests/fleet/main.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// Guards many proxies of which each sees little of the load: all of them put a new prompt at the same few targets.
+/// Guards many proxies of which each sees little of the load: all of them put a new prompt at the
+/// same few targets.
 #[test]
 fn many_proxies_with_little_traffic_each_spread_shared_prefixes_over_the_targets() {
     let (servers, subjects) = (60, 6);
--- a/tier/dispatch/tests/sessions.rs
+++ b/tier/dispatch/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! One turn of a session is in flight at a time, in the order of arrival; requests without a session wait behind none.
+//! One turn of a session is in flight at a time, in the order of arrival; requests without a
+//! session wait behind none.
 
 mod common;
 
--- a/tier/dispatch/tests/wire_format.rs
+++ b/tier/dispatch/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Numbers on which all proxies of a deployment have to agree, also while two versions run: the hash of a target
-//! and its weight in a rendezvous order.
+//! Numbers on which all proxies of a deployment have to agree, also while two versions run: the
+//! hash of a target and its weight in a rendezvous order.
 
 use plankhill_dispatch::rendezvous::{rendezvous_weight, target_hash};
 use plankhill_protocol::ids::InstanceId;
--- a/tier/proxy/src/admission.rs
+++ b/tier/proxy/src/admission.rs
@@ -1,8 +1,8 @@
 //! Hands requests to the dispatcher and carries out its commands.
 //!
-//! The task of a request holds an [`AdmittedRequest`] and waits there for decisions; the dispatcher's
-//! commands reach it through a channel. Health checks go to their own task. One [`Admission`] is shared
-//! by all tasks of the process and owns the dispatcher.
+//! The task of a request holds an [`AdmittedRequest`] and waits there for decisions; the
+//! dispatcher's commands reach it through a channel. Health checks go to their own task. One
+//! [`Admission`] is shared by all tasks of the process and owns the dispatcher.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,8 +23,8 @@
 
 /// A request that the dispatcher knows and that is not answered yet.
 struct PendingRequest {
-    /// To the request's task. Holds at most one decision: none follows an attempt before the task has
-    /// reported its end, and an answer is the last one.
+    /// To the request's task. Holds at most one decision: none follows an attempt before the task
+    /// has reported its end, and an answer is the last one.
     decisions: mpsc::UnboundedSender<Decision>,
     in_flight: Option<InFlightAttempt>,
 }
--- a/tier/proxy/src/client_connection.rs
+++ b/tier/proxy/src/client_connection.rs
@@ -15,8 +15,9 @@
 use crate::in_flight::WorkGuard;
 use crate::lifecycle::Lifecycle;
 
-/// Bytes that a client still sends on a connection that was closed here are read for so long: unread
-/// bytes would have the system reset the connection, and the reset could overtake the last answer.
+/// Bytes that a client still sends on a connection that was closed here are read for so long:
+/// unread bytes would have the system reset the connection, and the reset could overtake the last
+/// answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// No more bytes are read while lingering.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
@@ -49,7 +50,8 @@
         self.arriving_request.take();
     }
 
-    /// The request has been read and its answer begins; bytes that arrive now belong to the next one.
+    /// The request has been read and its answer begins; bytes that arrive now belong to the next
+    /// one.
     pub fn on_response_head(&self) {
         self.is_serving.set(false);
     }
--- a/tier/proxy/src/connection_server.rs
+++ b/tier/proxy/src/connection_server.rs
@@ -69,8 +69,9 @@
 /// Returns when a connection that was open before the policy changed is to be closed while idle, or
 /// behind the answer under way.
 ///
-/// Where a part of a request has come the HTTP library would drop it: such a connection closes behind
-/// its answer, which says so, and a connection that is opened later closes behind its first answer.
+/// Where a part of a request has come the HTTP library would drop it: such a connection closes
+/// behind its answer, which says so, and a connection that is opened later closes behind its first
+/// answer.
 async fn wait_idle_close(lifecycle: &Lifecycle, activity: &ConnectionActivity) {
     let mut policy = lifecycle.connection_policy();
     let is_old = *policy.borrow_and_update() < ConnectionPolicy::CloseIdle;
--- a/tier/proxy/src/draining.rs
+++ b/tier/proxy/src/draining.rs
@@ -1,5 +1,6 @@
-//! Takes this node out of service and back, as the control plane orders, and ends the process in order
-//! after SIGTERM. Started once by [`crate::run()`]; the decisions are those of `plankhill-draining`.
+//! Takes this node out of service and back, as the control plane orders, and ends the process in
+//! order after SIGTERM. Started once by [`crate::run()`]; the decisions are those of
+//! `plankhill-draining`.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,8 +17,8 @@
 use crate::lifecycle::ConnectionPolicy;
 use crate::process::Proxy;
 
-/// While the node is out of service, the drain looks at it this often. In service it is woken by new
-/// tables only.
+/// While the node is out of service, the drain looks at it this often. In service it is woken by
+/// new tables only.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// The same while the process ends.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(25);
@@ -27,8 +28,8 @@
 /// Sends a message to the agent of this machine; false if it cannot be sent now.
 pub type Report = Box<dyn Fn(FromSubscriber) -> bool>;
 
-/// Follows the orders for this node until the process is to end. Once the sender of `tables` is gone,
-/// the newest order stays in force.
+/// Follows the orders for this node until the process is to end. Once the sender of `tables` is
+/// gone, the newest order stays in force.
 pub async fn follow(
     proxy: Rc<Proxy>,
     node: NodeId,
--- a/tier/proxy/src/headers.rs
+++ b/tier/proxy/src/headers.rs
@@ -35,8 +35,8 @@
     header::EXPECT,
 ];
 
-/// Headers that a sender cannot have removed by naming them in `Connection`: the exchange itself rests
-/// on them.
+/// Headers that a sender cannot have removed by naming them in `Connection`: the exchange itself
+/// rests on them.
 const PROTECTED: [HeaderName; 4] = [
     REQUEST_ID,
     UPSTREAM_SIGNATURE,
--- a/tier/proxy/src/lib.rs
+++ b/tier/proxy/src/lib.rs
@@ -7,8 +7,8 @@
 //! 1. [`listener`] accepts the connection, `connection_server` serves it;
 //! 2. `responder` waits for tables if need be, [`request_reader`] reads the request and finds its
 //!    route;
-//! 3. [`admission`] hands the request to the dispatcher ([`dispatch`]), whose [`decision`]s come back to
-//!    the request's task;
+//! 3. [`admission`] hands the request to the dispatcher ([`dispatch`]), whose [`decision`]s come
+//!    back to the request's task;
 //! 4. [`buffered`] or [`stream`] carries them out: [`target_client`] sends each attempt over a
 //!    connection of the [`target_pool`], and the answer is passed on completely or event by event;
 //! 5. where no target's answer is passed on, [`local_response`] makes one.
--- a/tier/proxy/src/lifecycle.rs
+++ b/tier/proxy/src/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The phases of the process: waiting for its first tables, serving, draining, ending.
 //!
-//! One [`Lifecycle`] is shared by all tasks. The table feed says when tables are current, draining and
-//! the signals say when the process leaves service, and the tasks that serve clients ask here.
+//! One [`Lifecycle`] is shared by all tasks. The table feed says when tables are current, draining
+//! and the signals say when the process leaves service, and the tasks that serve clients ask here.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/tier/proxy/src/listener.rs
+++ b/tier/proxy/src/listener.rs
@@ -13,8 +13,8 @@
 /// After a failed accept (no descriptor is left), connections that are open get this time to end.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts for ever, with at most `max_clients` connections at once; further ones wait in the system's
-/// queue.
+/// Accepts for ever, with at most `max_clients` connections at once; further ones wait in the
+/// system's queue.
 pub async fn serve(proxy: Rc<Proxy>, listener: TcpListener, max_clients: usize) {
     let slots = Arc::new(Semaphore::new(max_clients));
     loop {
--- a/tier/proxy/src/local_response.rs
+++ b/tier/proxy/src/local_response.rs
@@ -32,8 +32,8 @@
     response
 }
 
-/// The answer to a request whose last attempt ended with `last`, without an answer of the target: 504
-/// after a time-out, 502 otherwise. Neither promises anything.
+/// The answer to a request whose last attempt ended with `last`, without an answer of the target:
+/// 504 after a time-out, 502 otherwise. Neither promises anything.
 ///
 /// A request whose last attempt surely was not executed may have been executed before, so that the
 /// dispatcher's decision that it failed is not softened to 503.
--- a/tier/proxy/src/readiness.rs
+++ b/tier/proxy/src/readiness.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Whether new clients are welcome: the tables are current, they hold a configuration, and the node is
-/// not draining.
+/// Whether new clients are welcome: the tables are current, they hold a configuration, and the node
+/// is not draining.
 pub fn is_ready(proxy: &Proxy) -> bool {
     let lifecycle = &proxy.lifecycle;
     lifecycle.has_current_tables()
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -25,7 +25,8 @@
 use crate::target_pool::TargetPool;
 use crate::{draining, health_check, listener, readiness, signals, table_feed};
 
-/// The share of all descriptors that is left for connections to targets, to stores and to the agent.
+/// The share of all descriptors that is left for connections to targets, to stores and to the
+/// agent.
 const RESERVED_DESCRIPTOR_SHARE: f64 = 0.4;
 /// The share of the process's memory for bodies; the rest is for connections and tables.
 const BODY_MEMORY_SHARE: f64 = 0.4;
--- a/tier/proxy/src/signals.rs
+++ b/tier/proxy/src/signals.rs
@@ -10,9 +10,9 @@
 use crate::clock::duration;
 use crate::process::Proxy;
 
-/// Returns when the process is to end: SIGTERM begins the shutdown, during which further signals change
-/// nothing. SIGHUP before it has the settings read again; addresses stay as they were at the start,
-/// since the platform restarts a process that is to listen elsewhere.
+/// Returns when the process is to end: SIGTERM begins the shutdown, during which further signals
+/// change nothing. SIGHUP before it has the settings read again; addresses stay as they were at the
+/// start, since the platform restarts a process that is to listen elsewhere.
 pub async fn process_ended(mut signals: ProcessSignals, proxy: Rc<Proxy>, mut bounds: Bounds) {
     loop {
         match signals.next().await {
--- a/tier/proxy/src/snapshot.rs
+++ b/tier/proxy/src/snapshot.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Parses the configuration only if it differs. One that cannot be parsed, which the controllers never
-/// send, leaves the former one in force.
+/// Parses the configuration only if it differs. One that cannot be parsed, which the controllers
+/// never send, leaves the former one in force.
 fn parse_routes(text: Option<&ConfigurationText>, current: &Snapshot) -> Option<Rc<RouteTable>> {
     let text = text?;
     if current.tables.configuration.as_ref() == Some(text) {
--- a/tier/proxy/src/stream/client_channel.rs
+++ b/tier/proxy/src/stream/client_channel.rs
@@ -1,5 +1,5 @@
-//! The client's side of a stream: the head once, then chunks. One end is the stream's task, the other
-//! the body that the HTTP library polls.
+//! The client's side of a stream: the head once, then chunks. One end is the stream's task, the
+//! other the body that the HTTP library polls.
 
 use std::future::Future;
 
@@ -11,7 +11,8 @@
 use crate::local_response;
 use crate::response_body::{BodyChunk, ResponseBody};
 
-/// Chunks that wait for a client that reads slowly; beyond it the target's stream is not read either.
+/// Chunks that wait for a client that reads slowly; beyond it the target's stream is not read
+/// either.
 const MAX_WAITING_CHUNKS: usize = 16;
 
 /// The first message to the client.
--- a/tier/proxy/src/stream/event_relay.rs
+++ b/tier/proxy/src/stream/event_relay.rs
@@ -97,7 +97,8 @@
     fn record(&mut self, event: &Event) -> Result<(), AttemptOutcome> {
         match (event.id, self.progress.last_event_id) {
             (Some(id), Some(last)) if id <= last => {
-                // Another execution from the start: its events would be joined to those of the first.
+                // Another execution from the start: its events would be joined to those of the
+                // first.
                 return Err(AttemptOutcome::Reset);
             }
             _ => {}
--- a/tier/proxy/src/stream/turn_completion.rs
+++ b/tier/proxy/src/stream/turn_completion.rs
@@ -10,8 +10,8 @@
 /// The stores are waited for during this share of the time left: a target needs the rest.
 const BEGIN_SHARE: f64 = 0.5;
 
-/// A stream's turn and what was delivered of it. Owned by the stream's task, so that the turn can be
-/// settled after a cancellation.
+/// A stream's turn and what was delivered of it. Owned by the stream's task, so that the turn can
+/// be settled after a cancellation.
 pub(super) struct TurnCompletion {
     /// The turn, if the stores know of it.
     turn: Option<Turn>,
@@ -39,8 +39,8 @@
     /// Reserves tokens and fetches the previous turn, and puts both inputs into the request's body.
     ///
     /// # Errors
-    /// Why the turn is not sent. Memory that is used up counts as unavailable stores: the client may
-    /// come back soon.
+    /// Why the turn is not sent. Memory that is used up counts as unavailable stores: the client
+    /// may come back soon.
     pub(super) async fn begin(
         &mut self,
         proxy: &Proxy,
@@ -72,8 +72,8 @@
         self.turn.as_ref().is_some_and(Turn::is_retained)
     }
 
-    /// Stores a retained turn before its answer ends; false if the stores have not acknowledged it by
-    /// `deadline`. Other turns are settled in the background.
+    /// Stores a retained turn before its answer ends; false if the stores have not acknowledged it
+    /// by `deadline`. Other turns are settled in the background.
     pub(super) async fn store_retained(&mut self, proxy: &Proxy, deadline: Ms) -> bool {
         let Some(turn) = self.turn.as_ref().filter(|turn| turn.is_retained()) else {
             return true;
--- a/tier/proxy/src/table_feed.rs
+++ b/tier/proxy/src/table_feed.rs
@@ -1,5 +1,5 @@
-//! Follows the tables that the agent of this machine sends, and puts each revision in force. Started
-//! once by [`crate::run()`].
+//! Follows the tables that the agent of this machine sends, and puts each revision in force.
+//! Started once by [`crate::run()`].
 
 use std::rc::Rc;
 use std::sync::Arc;
--- a/tier/proxy/src/target_client.rs
+++ b/tier/proxy/src/target_client.rs
@@ -1,5 +1,5 @@
-//! One attempt at a target: takes or opens a connection, writes the request, reads the answer's head.
-//! Called by the task of each request; the connections are the pool's.
+//! One attempt at a target: takes or opens a connection, writes the request, reads the answer's
+//! head. Called by the task of each request; the connections are the pool's.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +38,8 @@
 }
 
 impl TargetClient {
-    /// Writes the request and reads the answer's head, with at most `max_connections` to the target.
+    /// Writes the request and reads the answer's head, with at most `max_connections` to the
+    /// target.
     ///
     /// # Errors
     /// How the attempt ended without an answer to this request.
--- a/tier/proxy/src/target_pool.rs
+++ b/tier/proxy/src/target_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to targets: kept open between attempts, bounded for each target. One pool is shared by
-//! all tasks of the process.
+//! Connections to targets: kept open between attempts, bounded for each target. One pool is shared
+//! by all tasks of the process.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,8 +17,8 @@
 use crate::headers::says_close;
 use crate::request_headers::text;
 
-/// Idle connections are closed this long before the target closes them, so that no request meets the
-/// close.
+/// Idle connections are closed this long before the target closes them, so that no request meets
+/// the close.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(400);
 /// The idle time-out where the target states none: the target's is less than a whole second then.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(150);
@@ -125,7 +125,8 @@
         })
     }
 
-    /// Keeps a connection whose answer arrived completely, unless the answer's head speaks against it.
+    /// Keeps a connection whose answer arrived completely, unless the answer's head speaks against
+    /// it.
     pub fn put_back(&self, mut connection: TargetConnection, head: &HeaderMap, now: Instant) {
         if says_close(head) || connection.sender.is_closed() {
             return;
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -16,8 +16,8 @@
 use crate::request_headers::RequestHeaders;
 use crate::turn_store::TurnStore;
 
-/// How long a settlement is attempted in the background. A turn that stays unsettled counts with its
-/// reservation: too much, never too little.
+/// How long a settlement is attempted in the background. A turn that stays unsettled counts with
+/// its reservation: too much, never too little.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why a turn is not sent to a target.
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Settles the budget and stores the turn; true once enough stores have acknowledged it, false if
-    /// they have not by `until`.
+    /// Settles the budget and stores the turn; true once enough stores have acknowledged it, false
+    /// if they have not by `until`.
     pub async fn end(&self, delivered: &DeliveredOutput, until: Instant) -> bool {
         let Some(call) = self.end_call(delivered) else {
             return true;
--- a/tier/proxy/src/turn_store.rs
+++ b/tier/proxy/src/turn_store.rs
@@ -17,7 +17,8 @@
     /// Reserves the turn's most tokens and fetches the turn that it follows;
     /// [`BeginOutcome::Unavailable`] after `timeout`.
     fn begin(&self, turn: BeginTurn, timeout: Duration) -> LocalFuture<BeginOutcome>;
-    /// Settles the turn's budget and stores its record; [`EndOutcome::Unavailable`] after `timeout`.
+    /// Settles the turn's budget and stores its record; [`EndOutcome::Unavailable`] after
+    /// `timeout`.
     fn end(&self, turn: EndTurn, timeout: Duration) -> LocalFuture<EndOutcome>;
 }
 
--- a/tier/proxy/src/upstream_request.rs
+++ b/tier/proxy/src/upstream_request.rs
@@ -1,4 +1,5 @@
-//! What is sent to targets for one request. Written by [`crate::target_client`], once for each attempt.
+//! What is sent to targets for one request. Written by [`crate::target_client`], once for each
+//! attempt.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -23,7 +24,8 @@
     pub body: Bytes,
     /// The client's name for the request.
     pub request_id: RequestId,
-    /// The id of the event after which the stream goes on, if not after the one that the client named.
+    /// The id of the event after which the stream goes on, if not after the one that the client
+    /// named.
     pub last_event_id: Option<u64>,
 }
 
--- a/tier/proxy/src/upstream_response.rs
+++ b/tier/proxy/src/upstream_response.rs
@@ -1,5 +1,6 @@
-//! The head of a target's answer: which outcome it stands for, and whether it can be passed on at all.
-//! Read by [`crate::target_client`]; the body is read by [`crate::buffered_response`] or by the stream.
+//! The head of a target's answer: which outcome it stands for, and whether it can be passed on at
+//! all. Read by [`crate::target_client`]; the body is read by [`crate::buffered_response`] or by
+//! the stream.
 
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
@@ -11,8 +12,8 @@
 use crate::target_pool::TargetConnection;
 use crate::upstream_request::UpstreamRequest;
 
-/// A body of at most this size, in bytes, is sent with its head and read with it. Of a longer one the
-/// target may not have read the rest when it rejects the request.
+/// A body of at most this size, in bytes, is sent with its head and read with it. Of a longer one
+/// the target may not have read the rest when it rejects the request.
 const MAX_SHORT_BODY_BYTES: usize = 2 * 1024;
 
 /// The head of a target's answer; its body is still to come.
@@ -35,8 +36,8 @@
     /// Checks a head that came over `connection` in answer to `request`.
     ///
     /// # Errors
-    /// [`AttemptOutcome::Reset`] for the answer to another request, and for one that cannot be passed
-    /// on: neither says anything about this request.
+    /// [`AttemptOutcome::Reset`] for the answer to another request, and for one that cannot be
+    /// passed on: neither says anything about this request.
     pub(crate) fn check(
         response: Response<Incoming>,
         connection: TargetConnection,
@@ -101,8 +102,9 @@
 
 /// Whether the head can be passed on.
 ///
-/// A success has the target's signature. A status that promises that the request was not executed says
-/// so in its headers; without that it can be passed on neither as it is nor with another status.
+/// A success has the target's signature. A status that promises that the request was not executed
+/// says so in its headers; without that it can be passed on neither as it is nor with another
+/// status.
 fn is_plausible(status: StatusCode, headers: &HeaderMap) -> bool {
     let is_signed = headers.contains_key(headers::UPSTREAM_SIGNATURE);
     let says_not_executed = headers.contains_key(headers::NOT_EXECUTED);
--- a/tier/proxy/src/wake_up.rs
+++ b/tier/proxy/src/wake_up.rs
@@ -15,8 +15,8 @@
 }
 
 impl WakeUp {
-    /// Sets the time unless an earlier one is set. A later one needs no change: the dispatcher sets it
-    /// again when it is asked.
+    /// Sets the time unless an earlier one is set. A later one needs no change: the dispatcher sets
+    /// it again when it is asked.
     pub(crate) fn set_if_earlier(&self, at: Ms) {
         if self.at.get().is_none_or(|set| at < set) {
             self.at.set(Some(at));
--- a/tier/proxy/tests/connections.rs
+++ b/tier/proxy/tests/connections.rs
@@ -1,4 +1,5 @@
-//! ConnectionPolicy to targets that are used again: which answer belongs to which request, and what may have run.
+//! ConnectionPolicy to targets that are used again: which answer belongs to which request, and what
+//! may have run.
 
 mod support;
 
@@ -23,8 +24,8 @@
     )
 }
 
-/// Guards a target that turns a long request away before it has read it, and keeps the connection: the next request went
-/// out behind the unread body and came to a 502, though nobody had read it.
+/// Guards a target that turns a long request away before it has read it, and keeps the connection:
+/// the next request went out behind the unread body and came to a 502, though nobody had read it.
 #[test]
 fn a_connection_whose_request_body_may_be_unread_is_not_reused() {
     on_one_thread(async {
@@ -107,7 +108,8 @@
     });
 }
 
-/// Both ends close at the same moment, again and again: no request is eaten, and none is sent twice.
+/// Both ends close at the same moment, again and again: no request is eaten, and none is sent
+/// twice.
 #[test]
 fn a_close_while_idle_that_crosses_a_request_is_no_reset_of_a_new_connection() {
     on_one_thread(async {
@@ -119,7 +121,8 @@
                 peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one"))
                     .await;
                 drop(peer);
-                // Either the close was seen, and a new connection comes, or the request met it and may have run.
+                // Either the close was seen, and a new connection comes, or the request met it and
+                // may have run.
                 tokio::select! {
                     (mut next, request) = target.request() => {
                         assert_eq!(request.header("request-id"), Some("r2"));
--- a/tier/proxy/tests/executions.rs
+++ b/tier/proxy/tests/executions.rs
@@ -1,5 +1,5 @@
-//! Random interleavings before targets that count what they run: nothing that may run once runs twice, nothing that was
-//! refused as not run has run, and no answer holds another request's bytes.
+//! Random interleavings before targets that count what they run: nothing that may run once runs
+//! twice, nothing that was refused as not run has run, and no answer holds another request's bytes.
 
 mod support;
 
--- a/tier/proxy/tests/lifecycle.rs
+++ b/tier/proxy/tests/lifecycle.rs
@@ -49,7 +49,8 @@
         let world = World::unready().await;
         let mut client = world.client().await;
         client.send(&get("once", "r1")).await;
-        // Served in the order of their coming: the first request has been read when this one is answered.
+        // Served in the order of their coming: the first request has been read when this one is
+        // answered.
         let _ = readiness(&world).await;
         world.set_tables(tables(&[target.address()], &configuration()));
         world.proxy.lifecycle.mark_tables_current();
--- a/tier/proxy/tests/shutdown.rs
+++ b/tier/proxy/tests/shutdown.rs
@@ -216,7 +216,8 @@
     });
 }
 
-/// An answer that is given before the body was read reaches the client, although bytes of the body are unread.
+/// An answer that is given before the body was read reaches the client, although bytes of the body
+/// are unread.
 #[test]
 fn an_answer_before_the_body_was_read_reaches_the_client() {
     on_one_thread(async {
--- a/tier/proxy/tests/support/peer.rs
+++ b/tier/proxy/tests/support/peer.rs
@@ -82,7 +82,8 @@
         Some(String::from_utf8(end).expect("text"))
     }
 
-    /// The next chunk of a body; `Some(None)` at its proper end, none if the connection ends before.
+    /// The next chunk of a body; `Some(None)` at its proper end, none if the connection ends
+    /// before.
     pub async fn chunk(&mut self) -> Option<Option<Vec<u8>>> {
         let line = self.until(b"\r\n").await?;
         let line = String::from_utf8(line).expect("text");
--- a/tier/proxy/tests/wire_format.rs
+++ b/tier/proxy/tests/wire_format.rs
@@ -1,6 +1,7 @@
-//! What the proxy writes with names and numbers of its own: headers to targets, and the hash of a session, by which
-//! all proxies of a deployment draw the same service and rank the same targets. Everything else that it sends to
-//! processes of this system is written by the protocol, the draining and the store client packages.
+//! What the proxy writes with names and numbers of its own: headers to targets, and the hash of a
+//! session, by which all proxies of a deployment draw the same service and rank the same targets.
+//! Everything else that it sends to processes of this system is written by the protocol, the
+//! draining and the store client packages.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use plankhill_dispatch::PrefixPart;
