--- a/tier/proxy/tests/turns.rs
+++ b/tier/proxy/tests/turns.rs
@@ -104,7 +104,7 @@
     on_one_thread(async {
         let (_target, world) = World::with_one_target().await;
         let refusals = [
-            (BeginOutcome::BudgetSpent, 402),
+            (BeginOutcome::BudgetExhausted, 402),
             (BeginOutcome::NoSuchTurn, 404),
             (BeginOutcome::Unavailable, 503),
         ];
