--- a/forwarder/emulator/benches/speed.rs
+++ b/forwarder/emulator/benches/speed.rs
@@ -1,6 +1,8 @@
 //! Events a second of one thread, by the number of destinations and of forwarders, and the queue of what is
 //! still to happen against the standard library's heap. Figures stand in `docs/emulator.md`.
 
+#![allow(missing_docs)] // `criterion_group` makes a public function without one
+
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -90,13 +92,13 @@
     let mut group = criterion.benchmark_group("queue");
     group.throughput(Throughput::Elements(TURNS));
     for held in [100, 10_000, 1_000_000] {
-        let mut chance = stream(1, RandomStream::Network);
+        let mut rng = stream(1, RandomStream::Network);
         let gaps: Vec<f64> = (0..4096)
             .map(|at| {
                 if at % 5 == 0 {
                     2000.0
                 } else {
-                    exponential(&mut chance, 50.0)
+                    exponential(&mut rng, 50.0)
                 }
             })
             .collect();
--- a/forwarder/emulator/src/struck.rs
+++ b/forwarder/emulator/src/affected.rs
@@ -5,7 +5,7 @@
 
 use crate::random::{stream, uniform, RandomStream};
 
-pub struct Struck {
+pub struct Affected {
     /// By destination: its share of the traffic.
     pub weights: Vec<f64>,
     /// By destination: its group.
@@ -16,10 +16,10 @@
     pub forwarders: Vec<Vec<u32>>,
 }
 
-impl Struck {
+impl Affected {
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let (weights, groups) = popularity(scenario);
-        let mut chance = stream(seed, RandomStream::Struck);
+        let mut rng = stream(seed, RandomStream::Affected);
         let by_use = by_use(&weights);
         let mut destinations = Vec::new();
         let mut forwarders = Vec::new();
@@ -35,7 +35,7 @@
                 list.retain(|at| *at as usize % scenario.clients.tenants == tenant);
             }
             if let Some(share) = whom.at_random {
-                list.retain(|_| uniform(&mut chance) < share);
+                list.retain(|_| uniform(&mut rng) < share);
             }
             if let Some(most) = whom.first {
                 list.truncate(most);
@@ -51,10 +51,10 @@
             list.sort_unstable();
             destinations.push(list);
             forwarders.push(struck_forwarders(scenario, trouble, &mut || {
-                uniform(&mut chance)
+                uniform(&mut rng)
             }));
         }
-        Struck {
+        Affected {
             weights,
             groups,
             destinations,
--- a/forwarder/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -7,21 +7,22 @@
 
 use plankhill_forwarder_config::scenario::{FaultKind, Ms, Scenario};
 
+use crate::affected::Affected;
 use crate::clients::{worth, Clients};
-use crate::limits::Gauge;
-use crate::struck::Struck;
+use crate::rate_limiter::RateLimiter;
 
 /// The steps in which capacity is counted.
 const STEP: Ms = 1000.0;
 
 /// The most payoff that the day's clients could be paid, as a share of what they ask for.
 pub fn max_value_share(scenario: &Scenario) -> f64 {
-    let struck = Struck::new(scenario, scenario.seed);
+    let struck = Affected::new(scenario, scenario.seed);
     let mut events: Vec<Vec<(Ms, u8)>> = vec![Vec::new(); struck.weights.len()];
     let mut asked = 0.0;
-    for ticket in Clients::new(scenario, &struck, scenario.seed) {
-        asked += scenario.traffic[ticket.traffic as usize].payoff;
-        events[ticket.destination as usize].push((ticket.first_at, ticket.traffic));
+    for client_event in Clients::new(scenario, &struck, scenario.seed) {
+        asked += scenario.traffic[client_event.traffic as usize].payoff;
+        events[client_event.destination as usize]
+            .push((client_event.first_at, client_event.traffic));
     }
     let mut paid = 0.0;
     for (destination, events) in events.iter().enumerate() {
@@ -38,7 +39,7 @@
 
 /// By descending worth, each event in the latest step with room before its end: for jobs of one size that is
 /// the best there is, and leaving out when each came can only add.
-fn most_at(scenario: &Scenario, struck: &Struck, destination: u32, events: &[(Ms, u8)]) -> f64 {
+fn most_at(scenario: &Scenario, struck: &Affected, destination: u32, events: &[(Ms, u8)]) -> f64 {
     let longest = scenario.longest_patience();
     let steps = ((scenario.length + longest) / STEP).ceil() as usize + 1;
     let open: Vec<f64> = (0..steps)
@@ -83,7 +84,9 @@
             passed.push(at);
             at = if before[at] != at { before[at] } else { at - 1 };
         }
-        passed.into_iter().for_each(|full| before[full] = at);
+        for full in passed {
+            before[full] = at;
+        }
         if at > 0 {
             room[at - 1] -= 1.0 / per_call;
             paid += worth;
@@ -93,7 +96,7 @@
 }
 
 /// Calls a second that the destination serves at a time, knowing all troubles.
-fn capacity(scenario: &Scenario, struck: &Struck, destination: u32, at: Ms) -> f64 {
+fn capacity(scenario: &Scenario, struck: &Affected, destination: u32, at: Ms) -> f64 {
     let group = &scenario.destinations[struck.groups[destination as usize] as usize];
     let each = group.servers as f64 * 1000.0 / group.answer.mean;
     let work: f64 = scenario
@@ -106,7 +109,7 @@
             .iter()
             .map(|traffic| traffic.share)
             .sum::<f64>();
-    let (mut targets, mut limit) = (group.targets as f64, Gauge::rate(&group.limit));
+    let (mut targets, mut limit) = (group.targets as f64, RateLimiter::rate(&group.limit));
     for (trouble, list) in scenario.faults.iter().zip(&struck.destinations) {
         let on = trouble.start <= at && at + STEP <= trouble.start + trouble.length;
         if !on || list.binary_search(&destination).is_err() {
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -8,13 +8,13 @@
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Zipf};
 
+use crate::affected::Affected;
 use crate::outcome::LossCause;
 use crate::random::{exponential, stream, uniform, RandomStream};
-use crate::struck::Struck;
 
 /// An event as its client sees it, over all the times that it is handed in.
 #[derive(Clone, Debug)]
-pub struct Ticket {
+pub struct ClientEvent {
     pub origin: u64,
     pub destination: u32,
     pub traffic: u8,
@@ -48,21 +48,21 @@
     swings: bool,
     left: u64,
     whose: Whose,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 pub struct Clients<'a> {
     scenario: &'a Scenario,
     sources: Vec<Source>,
-    clump: VecDeque<Ticket>,
+    clump: VecDeque<ClientEvent>,
     traffic: WeightedAliasIndex<f64>,
     keys_of: Vec<f64>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     origins: u64,
 }
 
 impl<'a> Clients<'a> {
-    pub fn new(scenario: &'a Scenario, struck: &Struck, seed: u64) -> Self {
+    pub fn new(scenario: &'a Scenario, struck: &Affected, seed: u64) -> Self {
         let of = &scenario.clients;
         let all: Vec<u32> = (0..struck.weights.len() as u32).collect();
         let weighted = |list: &[u32]| {
@@ -80,7 +80,7 @@
         let mut sources = Vec::new();
         let mut add = |start: Ms, length: Ms, rate: f64, swings, left, whose| {
             if rate > 0.0 {
-                let chance = stream(
+                let rng = stream(
                     seed.wrapping_add(sources.len() as u64),
                     RandomStream::Arrivals,
                 );
@@ -92,7 +92,7 @@
                     swings,
                     left,
                     whose,
-                    chance,
+                    rng,
                 });
             }
         };
@@ -138,7 +138,7 @@
             }
         }
         for source in &mut sources {
-            source.next_at += exponential(&mut source.chance, source.gap);
+            source.next_at += exponential(&mut source.rng, source.gap);
         }
         let shares = scenario
             .traffic
@@ -156,21 +156,21 @@
             clump: VecDeque::new(),
             traffic: WeightedAliasIndex::new(shares).expect("shares are checked"),
             keys_of,
-            chance: stream(seed, RandomStream::Front),
+            rng: stream(seed, RandomStream::Front),
             origins: 0,
         }
     }
 
-    fn ticket(&mut self, destination: u32, at: Ms) -> Ticket {
-        let traffic = self.traffic.sample(&mut self.chance);
+    fn client_event(&mut self, destination: u32, at: Ms) -> ClientEvent {
+        let traffic = self.traffic.sample(&mut self.rng);
         let of = &self.scenario.traffic[traffic];
         let key = of.ordered.then(|| {
             let keys = self.keys_of[destination as usize];
             let zipf = Zipf::new(keys, self.scenario.clients.key_zipf).expect("checked");
-            (destination as u64) << 32 | zipf.sample(&mut self.chance) as u64
+            (destination as u64) << 32 | zipf.sample(&mut self.rng) as u64
         });
         self.origins += 1;
-        Ticket {
+        ClientEvent {
             origin: self.origins,
             destination,
             traffic: traffic as u8,
@@ -185,11 +185,11 @@
 
 /// Events in the order of time; of two sources at one instant the first goes first.
 impl Iterator for Clients<'_> {
-    type Item = Ticket;
+    type Item = ClientEvent;
 
-    fn next(&mut self) -> Option<Ticket> {
-        if let Some(ticket) = self.clump.pop_front() {
-            return Some(ticket);
+    fn next(&mut self) -> Option<ClientEvent> {
+        if let Some(client_event) = self.clump.pop_front() {
+            return Some(client_event);
         }
         loop {
             let mut first: Option<usize> = None;
@@ -201,31 +201,31 @@
             }
             let source = &mut self.sources[first?];
             let at = source.next_at;
-            source.next_at += exponential(&mut source.chance, source.gap);
-            if source.swings && uniform(&mut source.chance) > share_of_peak(self.scenario, at) {
+            source.next_at += exponential(&mut source.rng, source.gap);
+            if source.swings && uniform(&mut source.rng) > share_of_peak(self.scenario, at) {
                 continue;
             }
             source.left -= 1;
             let destination = match &mut source.whose {
-                Whose::Weighted(weights, list) => list[weights.sample(&mut source.chance)],
+                Whose::Weighted(weights, list) => list[weights.sample(&mut source.rng)],
                 Whose::Each(list, next) => {
                     *next += 1;
                     list[(*next - 1) % list.len()]
                 }
             };
             let of = &self.scenario.clients;
-            let clumped = of.clumps > 0.0 && uniform(&mut self.chance) < of.clumps;
+            let clumped = of.clumps > 0.0 && uniform(&mut self.rng) < of.clumps;
             let extra = if clumped {
-                exponential(&mut self.chance, of.clump_size - 1.0).round() as usize
+                exponential(&mut self.rng, of.clump_size - 1.0).round() as usize
             } else {
                 0
             };
-            let ticket = self.ticket(destination, at);
+            let client_event = self.client_event(destination, at);
             for _ in 0..extra {
-                let next = self.ticket(destination, at);
+                let next = self.client_event(destination, at);
                 self.clump.push_back(next);
             }
-            return Some(ticket);
+            return Some(client_event);
         }
     }
 }
--- a/forwarder/emulator/src/deciders/plain.rs
+++ b/forwarder/emulator/src/deciders/baseline.rs
@@ -1,7 +1,7 @@
 //! Baselines: what a service does that was written in a week. They keep an event's class, a key's order, a
 //! told wait and a drain; parking, cold returns, fair turns and making room they do not know.
 
-mod serving;
+mod dispatch;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,7 +13,7 @@
 use crate::random::{stream, uniform, RandomStream};
 
 /// What one baseline does beyond trying.
-pub struct Habits {
+pub struct BaselineOptions {
     /// Sends of one event at the most; the terms' cap holds besides.
     pub sends: u32,
     /// What a call is given.
@@ -42,8 +42,8 @@
     may_have_run: Option<(Ms, usize)>,
     out: Option<u32>,
     order: u64,
-    fresh: bool,
-    unheard: bool,
+    accepted_now: bool,
+    unacknowledged: bool,
 }
 
 #[derive(Default)]
@@ -59,19 +59,19 @@
 }
 
 #[derive(Default)]
-struct Line {
+struct KeyQueue {
     queue: VecDeque<EventKey>,
     rests_until: Ms,
 }
 
-pub struct Plain {
+pub struct Baseline {
     terms: DecisionConfig,
-    habits: Habits,
-    chance: ChaCha8Rng,
+    options: BaselineOptions,
+    rng: ChaCha8Rng,
     events: FxHashMap<EventKey, Event>,
     destinations: BTreeMap<u32, Destination>,
     homes: FxHashMap<u32, u32>,
-    keys: FxHashMap<u64, Line>,
+    keys: FxHashMap<u64, KeyQueue>,
     /// When something is due for a destination.
     due: BTreeSet<(u64, u32)>,
     ends: BTreeSet<(u64, EventKey)>,
@@ -81,13 +81,13 @@
     sends_until: Ms,
 }
 
-impl Plain {
-    pub fn new(terms: DecisionConfig, habits: Habits) -> Self {
-        let chance = stream(terms.seed, RandomStream::Baselines);
-        Plain {
+impl Baseline {
+    pub fn new(terms: DecisionConfig, options: BaselineOptions) -> Self {
+        let rng = stream(terms.seed, RandomStream::Baselines);
+        Baseline {
             terms,
-            habits,
-            chance,
+            options,
+            rng,
             events: FxHashMap::default(),
             destinations: BTreeMap::new(),
             homes: FxHashMap::default(),
@@ -103,7 +103,7 @@
 
     fn take(&mut self, input: &Input, now: Ms) {
         match *input {
-            Input::Listed {
+            Input::EndpointListed {
                 target,
                 destination,
                 zone,
@@ -119,7 +119,7 @@
                 }
                 self.due.insert((now.to_bits(), destination));
             }
-            Input::Left { target } => {
+            Input::EndpointRemoved { target } => {
                 if let Some(to) = self
                     .homes
                     .remove(&target)
@@ -128,7 +128,7 @@
                     to.targets.retain(|(id, ..)| *id != target);
                 }
             }
-            Input::Taken {
+            Input::Accepted {
                 event,
                 destination,
                 traffic,
@@ -157,15 +157,15 @@
                     may_have_run: None,
                     out: None,
                     order,
-                    fresh: !again,
-                    unheard: false,
+                    accepted_now: !again,
+                    unacknowledged: false,
                 };
                 self.ends
                     .insert(((patience_ends - LAST_MOMENT).max(0.0).to_bits(), event));
                 self.events.insert(event, held);
                 self.due.insert((now.to_bits(), destination));
             }
-            Input::Restored {
+            Input::AttemptsRestored {
                 event,
                 sends,
                 may_have_run,
@@ -183,20 +183,20 @@
                     line.rests_until = now + self.terms.key_cooldown;
                 }
             }
-            Input::EndedBefore { event } => {
+            Input::CompletionRestored { event } => {
                 if let Some(held) = self.events.get_mut(&event) {
-                    held.unheard = true;
+                    held.unacknowledged = true;
                     if let Some(to) = self.destinations.get_mut(&held.destination) {
                         to.waiting.remove(&held.order);
                     }
                 }
             }
-            Input::SendEnded {
+            Input::AttemptEnded {
                 event, fate, wait, ..
             } => self.send_ended(event, fate, wait, now),
-            Input::Heard { event } => self.forget(event, now),
-            Input::Closing { ends } => self.sends_until = ends - self.habits.time_out,
-            Input::PingEnded { .. } | Input::WasCold { .. } => (),
+            Input::CompletionAcknowledged { event } => self.forget(event, now),
+            Input::ShutdownBegan { ends } => self.sends_until = ends - self.options.time_out,
+            Input::HealthCheckEnded { .. } | Input::WarmUpRestored { .. } => (),
         }
     }
 
@@ -229,7 +229,7 @@
                 .get_or_insert((event.not_before, zone as usize));
         }
         let ceiling = (FIRST_PAUSE * f64::powi(2.0, event.sends.min(10) as i32)).min(LONGEST_PAUSE);
-        event.not_before = now + ceiling * uniform(&mut self.chance);
+        event.not_before = now + ceiling * uniform(&mut self.rng);
         let destination = event.destination;
         let cut = matches!(
             fate,
@@ -256,10 +256,12 @@
     }
 }
 
-impl Decider for Plain {
+impl Decider for Baseline {
     fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
         let had_room = self.out < self.terms.max_calls_in_flight;
-        inputs.iter().for_each(|input| self.take(input, now));
+        for input in inputs {
+            self.take(input, now);
+        }
         while let Some(&(at, key)) = self
             .ends
             .first()
@@ -269,7 +271,7 @@
             if self
                 .events
                 .get(&key)
-                .is_some_and(|event| event.out.is_none() && !event.unheard)
+                .is_some_and(|event| event.out.is_none() && !event.unacknowledged)
             {
                 self.end(key, now, out);
             }
@@ -294,10 +296,10 @@
             self.serve(id, now, out);
         }
         for input in inputs {
-            if let Input::Taken { event, .. } = input {
+            if let Input::Accepted { event, .. } = input {
                 self.events
                     .entry(*event)
-                    .and_modify(|event| event.fresh = false);
+                    .and_modify(|event| event.accepted_now = false);
             }
         }
         let due = self.due.first().map(|(at, _)| f64::from_bits(*at));
@@ -306,7 +308,7 @@
             .unwrap_or(f64::INFINITY)
             .min(ends.unwrap_or(f64::INFINITY));
         if next.is_finite() {
-            out.push(Decision::Wake {
+            out.push(Decision::WakeUp {
                 pause: (next - now).max(0.001),
             });
         }
--- a/forwarder/emulator/src/deciders/plain/serving.rs
+++ b/forwarder/emulator/src/deciders/baseline/dispatch.rs
@@ -3,10 +3,10 @@
 use plankhill_decisions::interface::{Idempotency, Ms};
 use rand::Rng;
 
-use super::{Event, Plain, LAST_MOMENT};
+use super::{Baseline, Event, LAST_MOMENT};
 use crate::deciders::{Decision, EventKey};
 
-impl Plain {
+impl Baseline {
     pub(super) fn forget(&mut self, key: EventKey, now: Ms) {
         let Some(event) = self.events.remove(&key) else {
             return;
@@ -32,7 +32,7 @@
     /// Whether another send is over with, for good.
     pub(super) fn hopeless(&self, event: &Event, now: Ms) -> bool {
         let at = now.max(event.not_before);
-        let spent = event.sends >= self.terms.max_attempts.min(self.habits.sends);
+        let spent = event.sends >= self.terms.max_attempts.min(self.options.sends);
         let ran_out = match (
             event.may_have_run,
             self.terms.traffic_types[event.traffic].idempotency,
@@ -52,20 +52,20 @@
             Idempotency::NonIdempotent | Idempotency::Deduplicated { per_zone: true, .. }
         );
         let dismissed = event.may_have_run.is_none() || !bound;
-        let by_notice = !event.fresh;
-        event.unheard = by_notice;
+        let by_notification = !event.accepted_now;
+        event.unacknowledged = by_notification;
         let (order, destination) = (event.order, event.destination);
-        let come_back_after = self.terms.max_retry_after.filter(|_| dismissed);
-        out.push(Decision::End {
+        let retry_after = self.terms.max_retry_after.filter(|_| dismissed);
+        out.push(Decision::Complete {
             event: key,
             dismissed,
-            come_back_after,
-            by_notice,
+            retry_after,
+            by_notification,
         });
         if let Some(to) = self.destinations.get_mut(&destination) {
             to.waiting.remove(&order);
         }
-        if !by_notice {
+        if !by_notification {
             self.forget(key, now);
         }
     }
@@ -83,7 +83,7 @@
                 continue;
             }
             let (event, to) = (&self.events[&key], &self.destinations[&id]);
-            let opens = if self.habits.breaker {
+            let opens = if self.options.breaker {
                 to.closed_until.max(to.broken_until)
             } else {
                 to.closed_until
@@ -100,8 +100,8 @@
                 }
                 continue;
             }
-            let tripped = self.habits.breaker && to.failures >= 5;
-            let full = self.habits.aimd && to.out as f64 >= to.allowed.max(4.0);
+            let tripped = self.options.breaker && to.failures >= 5;
+            let full = self.options.aimd && to.out as f64 >= to.allowed.max(4.0);
             if self.out >= self.terms.max_calls_in_flight
                 || now >= self.sends_until
                 || full
@@ -109,7 +109,7 @@
             {
                 break;
             }
-            if event.sends > 0 && self.habits.budget && self.tokens < 1.0 {
+            if event.sends > 0 && self.options.budget && self.tokens < 1.0 {
                 self.end(key, now, out);
                 continue;
             }
@@ -137,8 +137,7 @@
         if running.is_empty() {
             return;
         }
-        let &(target, zone, _) =
-            running[self.chance.random_range(0..running.len() as u32) as usize];
+        let &(target, zone, _) = running[self.rng.random_range(0..running.len() as u32) as usize];
         self.tokens = match event.sends {
             0 => (self.tokens + 0.1).min(50.0),
             _ => self.tokens - 1.0,
@@ -150,8 +149,8 @@
         to.trial_out = true;
         to.out += 1;
         self.out += 1;
-        let time_out = self.habits.time_out.min(event.patience_ends - now);
-        out.push(Decision::Send {
+        let time_out = self.options.time_out.min(event.patience_ends - now);
+        out.push(Decision::SendAttempt {
             event: key,
             target,
             time_out,
--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -1,8 +1,8 @@
 //! Who decides at a forwarder. The model hands over what came in and takes decisions; whether the module or
 //! a baseline stands behind it is all the same to it.
 
+mod baseline;
 mod module;
-mod plain;
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,18 +16,18 @@
 /// What came in at a forwarder, with the numbers of the model.
 #[derive(Clone, Debug)]
 pub enum Input {
-    Listed {
+    EndpointListed {
         target: u32,
         destination: u32,
         kind: usize,
         zone: usize,
         listing: EndpointState,
     },
-    Left {
+    EndpointRemoved {
         target: u32,
     },
     /// `again`: after a restart, so that its end goes by a notice.
-    Taken {
+    Accepted {
         event: EventKey,
         destination: u32,
         traffic: usize,
@@ -35,66 +35,66 @@
         key: Option<u64>,
         again: bool,
     },
-    Restored {
+    AttemptsRestored {
         event: EventKey,
         sends: u32,
         may_have_run: Option<(Ms, usize)>,
         was_out: bool,
     },
-    EndedBefore {
+    CompletionRestored {
         event: EventKey,
     },
-    SendEnded {
+    AttemptEnded {
         event: EventKey,
         fate: AttemptOutcome,
         took: Ms,
         wait: Ms,
     },
-    PingEnded {
+    HealthCheckEnded {
         target: u32,
         fate: AttemptOutcome,
     },
-    Heard {
+    CompletionAcknowledged {
         event: EventKey,
     },
-    WasCold {
+    WarmUpRestored {
         target: u32,
         since: Ms,
         usual: f64,
     },
-    Closing {
+    ShutdownBegan {
         ends: Ms,
     },
 }
 
 #[derive(Clone, Debug)]
 pub enum Decision {
-    Send {
+    SendAttempt {
         event: EventKey,
         target: u32,
         time_out: Ms,
     },
-    End {
+    Complete {
         event: EventKey,
         dismissed: bool,
-        come_back_after: Option<Ms>,
-        by_notice: bool,
+        retry_after: Option<Ms>,
+        by_notification: bool,
     },
-    Ping {
+    HealthCheck {
         target: u32,
     },
-    CloseIdle {
+    CloseIdleConnections {
         target: u32,
     },
-    TakeBack {
+    CancelUnsent {
         target: u32,
     },
-    Cold {
+    RecordWarmUp {
         target: u32,
         since: Ms,
         usual: f64,
     },
-    Wake {
+    WakeUp {
         pause: Ms,
     },
 }
@@ -115,8 +115,7 @@
     names: &TargetNames,
     now: Ms,
 ) -> Box<dyn Decider> {
-    use scenario::Decider::*;
-    let mut habits = plain::Habits {
+    let mut options = baseline::BaselineOptions {
         sends: u32::MAX,
         time_out,
         breaker: false,
@@ -124,12 +123,14 @@
         aimd: false,
     };
     match kind {
-        Module => return Box::new(module::Module::start(terms, names.clone(), now)),
-        OneTry => habits.sends = 1,
-        Backoff => (),
-        Breaker => habits.breaker = true,
-        Budget => habits.budget = true,
-        Aimd => habits.aimd = true,
+        scenario::Decider::Module => {
+            return Box::new(module::ModuleDecider::start(terms, names.clone(), now))
+        }
+        scenario::Decider::OneTry => options.sends = 1,
+        scenario::Decider::Backoff => (),
+        scenario::Decider::Breaker => options.breaker = true,
+        scenario::Decider::Budget => options.budget = true,
+        scenario::Decider::Aimd => options.aimd = true,
     }
-    Box::new(plain::Plain::new(terms, habits))
+    Box::new(baseline::Baseline::new(terms, options))
 }
--- a/forwarder/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -1,24 +1,27 @@
 //! The decision module through its public interface.
 
-use plankhill_decisions::interface::*;
+use plankhill_decisions::interface::{
+    AttemptReport, DecisionConfig, DestinationId, DestinationKindId, Effects, EndpointState,
+    EventId, InputResult, Ms, OrderKey, TargetId, TrafficTypeId, ZoneId,
+};
 use plankhill_decisions::scheduler::Scheduler;
 use slotmap::{Key, KeyData};
 
 use super::{Decider, Decision, EventKey, Input, TargetNames};
 
-pub struct Module {
+pub struct ModuleDecider {
     forwarder: Scheduler,
     names: TargetNames,
     /// Events taken in the present round: their client still waits, so that no notice is needed.
-    fresh: Vec<EventKey>,
+    accepted_now: Vec<EventKey>,
 }
 
-impl Module {
+impl ModuleDecider {
     pub fn start(terms: DecisionConfig, names: TargetNames, now: Ms) -> Self {
-        Module {
+        ModuleDecider {
             forwarder: Scheduler::new(terms, now),
             names,
-            fresh: Vec::new(),
+            accepted_now: Vec::new(),
         }
     }
 }
@@ -35,25 +38,25 @@
     id.0.parse().expect("made of a number")
 }
 
-impl Decider for Module {
+impl Decider for ModuleDecider {
     fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
-        let Module {
+        let ModuleDecider {
             forwarder,
             names,
-            fresh,
+            accepted_now,
         } = self;
-        fresh.clear();
+        accepted_now.clear();
         let fresh_ones = inputs.iter().filter_map(|input| match input {
-            Input::Taken {
+            Input::Accepted {
                 event,
                 again: false,
                 ..
             } => Some(*event),
             _ => None,
         });
-        fresh.extend(fresh_ones);
-        let mut written = Written { out, fresh };
-        let came_in = |forwarder: &mut Scheduler, _: &mut Written| {
+        accepted_now.extend(fresh_ones);
+        let mut written = DecisionLog { out, accepted_now };
+        let came_in = |forwarder: &mut Scheduler, _: &mut DecisionLog| {
             inputs
                 .iter()
                 .try_for_each(|input| hand_over(forwarder, names, input))
@@ -67,7 +70,7 @@
 fn hand_over(to: &mut Scheduler, names: &TargetNames, input: &Input) -> InputResult {
     let name = |target: u32| names.borrow()[target as usize].clone();
     match *input {
-        Input::Listed {
+        Input::EndpointListed {
             target,
             destination,
             kind,
@@ -80,8 +83,10 @@
             ZoneId(zone),
             listing,
         ),
-        Input::Left { target } => to.set_endpoint_state(&name(target), EndpointState::Removed),
-        Input::Taken {
+        Input::EndpointRemoved { target } => {
+            to.set_endpoint_state(&name(target), EndpointState::Removed)
+        }
+        Input::Accepted {
             event,
             destination,
             traffic,
@@ -95,7 +100,7 @@
             patience_ends,
             key.map(OrderKey),
         ),
-        Input::Restored {
+        Input::AttemptsRestored {
             event,
             sends,
             may_have_run,
@@ -104,8 +109,8 @@
             let may_have_run = may_have_run.map(|(at, zone)| (at, ZoneId(zone)));
             to.restore_attempts(&event_id(event), sends, may_have_run, was_out)
         }
-        Input::EndedBefore { event } => to.restore_completed(&event_id(event)),
-        Input::SendEnded {
+        Input::CompletionRestored { event } => to.restore_completed(&event_id(event)),
+        Input::AttemptEnded {
             event,
             fate,
             took,
@@ -120,77 +125,77 @@
                 },
             )
         }
-        Input::PingEnded { target, fate } => {
+        Input::HealthCheckEnded { target, fate } => {
             // The target may have been forgotten since: then nothing is to be learned from it.
             let _ = to.on_health_check_ended(&name(target), fate);
         }
-        Input::Heard { event } => to.on_completion_acknowledged(&event_id(event)),
-        Input::WasCold {
+        Input::CompletionAcknowledged { event } => to.on_completion_acknowledged(&event_id(event)),
+        Input::WarmUpRestored {
             target,
             since,
             usual,
         } => to.restore_warm_up(&name(target), since, usual),
-        Input::Closing { ends } => to.begin_shutdown(ends),
+        Input::ShutdownBegan { ends } => to.begin_shutdown(ends),
     }
     Ok(())
 }
 
-struct Written<'a> {
+struct DecisionLog<'a> {
     out: &'a mut Vec<Decision>,
-    fresh: &'a [EventKey],
+    accepted_now: &'a [EventKey],
 }
 
-impl Written<'_> {
-    fn end(&mut self, event: &EventId, dismissed: bool, come_back_after: Option<Ms>) -> bool {
+impl DecisionLog<'_> {
+    fn end(&mut self, event: &EventId, dismissed: bool, retry_after: Option<Ms>) -> bool {
         let event = event_key(event);
-        let by_notice = !self.fresh.contains(&event);
-        self.out.push(Decision::End {
+        let by_notification = !self.accepted_now.contains(&event);
+        self.out.push(Decision::Complete {
             event,
             dismissed,
-            come_back_after,
-            by_notice,
+            retry_after,
+            by_notification,
         });
-        by_notice
+        by_notification
     }
 }
 
-impl Effects for Written<'_> {
+impl Effects for DecisionLog<'_> {
     fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, _: Ms) {
-        self.out.push(Decision::Send {
+        self.out.push(Decision::SendAttempt {
             event: event_key(event),
             target: target_number(target),
             time_out,
         });
     }
-    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
-        self.end(event, true, come_back_after)
+    fn reject(&mut self, event: &EventId, retry_after: Option<Ms>) -> bool {
+        self.end(event, true, retry_after)
     }
     fn abandon(&mut self, event: &EventId) -> bool {
         self.end(event, false, None)
     }
     fn health_check(&mut self, target: &TargetId) {
-        self.out.push(Decision::Ping {
+        self.out.push(Decision::HealthCheck {
             target: target_number(target),
         });
     }
     fn close_idle_connections(&mut self, target: &TargetId) {
-        self.out.push(Decision::CloseIdle {
+        self.out.push(Decision::CloseIdleConnections {
             target: target_number(target),
         });
     }
     fn cancel_unsent(&mut self, target: &TargetId) {
-        self.out.push(Decision::TakeBack {
+        self.out.push(Decision::CancelUnsent {
             target: target_number(target),
         });
     }
     fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual: f64) {
-        self.out.push(Decision::Cold {
+        self.out.push(Decision::RecordWarmUp {
             target: target_number(target),
             since,
             usual,
         });
     }
     fn wake_after(&mut self, pause: Ms) {
-        self.out.push(Decision::Wake { pause });
+        self.out.push(Decision::WakeUp { pause });
     }
 }
--- a/forwarder/emulator/src/lib.rs
+++ b/forwarder/emulator/src/lib.rs
@@ -3,14 +3,14 @@
 //! baseline. One seed gives one result. Nothing here does any I/O. `docs/emulator.md` says how the model
 //! is made and what it leaves out.
 
+mod affected;
 pub mod bound;
-pub mod clients;
-pub mod deciders;
-mod limits;
+mod clients;
+mod deciders;
 pub mod outcome;
 pub mod queue;
 pub mod random;
-pub mod struck;
+mod rate_limiter;
 mod tally;
 mod world;
 
--- a/forwarder/emulator/src/outcome.rs
+++ b/forwarder/emulator/src/outcome.rs
@@ -1,37 +1,40 @@
-//! What a day came to: figures, series over time, and all that is needed to play it again.
+//! The outcome of a simulated day: totals, series over time, and all that is needed to simulate it again.
+//!
+//! `plankhill emulate --json` prints an [`Outcome`]; the names of its fields are that output's form.
 
 use std::collections::BTreeMap;
 
 use plankhill_forwarder_config::scenario::Ms;
 use serde::{Deserialize, Serialize};
 
-/// What kept payoff from being delivered.
+/// What kept value from being delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossCause {
-    /// It was delivered, past its soft limit.
+    /// Delivered past the latency target.
     Late,
-    /// Not sent once: parked, or behind others.
+    /// Never attempted: the lane was offline, or others were first.
     Waited,
-    /// Its last send was refused.
+    /// The last attempt was rejected.
     Refused,
-    /// Its last send met no connection.
+    /// The last attempt had no connection.
     Unconnected,
-    /// Its last send had no answer in time.
+    /// The last attempt had no answer in time.
     Unanswered,
-    /// Its last send was cut off or answered with an error.
+    /// The last attempt was reset or answered with an error.
     Failed,
-    /// It may have run, and ended so.
+    /// The event may have run, and was abandoned.
     MayHaveRun,
-    /// Turned away at the door.
+    /// Rejected at submission.
     NoRoom,
     /// No forwarder was there, or its machine was lost.
     NoForwarder,
-    /// The day was over before it was.
+    /// The day ended before the event was completed.
     DayOver,
 }
 
 impl LossCause {
+    /// The cause in words, for summaries and reports.
     pub fn description(self) -> &'static str {
         match self {
             LossCause::Late => "delivered late",
@@ -48,44 +51,68 @@
     }
 }
 
+/// Counts and sums over the whole day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
-    /// Events of clients, each counted once, and how often they were handed in.
+    /// Events of clients, each counted once.
     pub events: u64,
+    /// Submissions of events, each counted as often as it came.
     pub handed_in: u64,
+    /// Events that a forwarder accepted.
     pub taken: u64,
+    /// Events that were delivered.
     pub delivered: u64,
+    /// Events that were rejected, each counted as often as it was.
     pub dismissed: u64,
+    /// Events that were abandoned.
     pub written_off: u64,
+    /// Events that were lost with a machine.
     pub lost: u64,
+    /// The value of all events, if each was delivered at once.
     pub asked: f64,
+    /// The value that was delivered.
     pub paid: f64,
+    /// Attempts of events.
     pub sends: u64,
+    /// Calls, of one event or of several.
     pub calls: u64,
+    /// Health checks.
     pub pings: u64,
+    /// Calls that were rejected.
     pub refused_calls: u64,
+    /// Calls that failed otherwise.
     pub failed_calls: u64,
-    /// Destinations that were pushed over.
+    /// Lanes that were overloaded while they warmed up.
     pub tipped: u64,
-    /// The most load that a cold destination got, against the load that tips it.
+    /// The highest load of a lane that was warming up, as a share of the load that overloads it.
     pub cold_load: f64,
-    /// Effects of retriable and fingerprinted events that came about more than once are allowed; these are
-    /// the calls that ran though their forwarder did not hear of it.
+    /// Calls that ran though their forwarder got no answer. Repeated effects of idempotent and deduplicated
+    /// events are allowed.
     pub ran_unheard: u64,
+    /// Steps of the simulation.
     pub steps: u64,
+    /// Event loop iterations of all forwarders.
     pub rounds: u64,
+    /// The highest number of events pending at once.
     pub most_held: u64,
+    /// The highest number of calls in flight at once.
     pub most_out: u64,
 }
 
+/// The outcome of one traffic type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TrafficOutcome {
+    /// The type's name in the scenario.
     pub name: String,
+    /// Events of clients, each counted once.
     pub events: u64,
+    /// Events that were delivered.
     pub delivered: u64,
+    /// The value of all events.
     pub asked: f64,
+    /// The value that was delivered.
     pub paid: f64,
-    /// The mean time to delivery.
+    /// The mean time to delivery in milliseconds.
     pub mean: Ms,
     /// Time to delivery at these shares of the delivered events, in milliseconds.
     pub times: Vec<(f64, Ms)>,
@@ -93,67 +120,101 @@
     pub spread: Vec<(Ms, u64)>,
 }
 
+/// Values over time. All vectors have the same number of steps.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// Of one step of all series, in milliseconds.
+    /// The length of one step in milliseconds.
     pub width: Ms,
-    /// Payoff asked for, by when the event was first handed in, and what of it was delivered in the end.
+    /// The value of events by when they were first submitted.
     pub asked: Vec<f64>,
+    /// What of that value was delivered in the end.
     pub paid: Vec<f64>,
+    /// Calls.
     pub calls: Vec<u64>,
+    /// Calls that failed without being rejected.
     pub failed: Vec<u64>,
+    /// Calls that were rejected.
     pub refused: Vec<u64>,
-    /// At the end of the step.
+    /// Events pending at the end of the step.
     pub held: Vec<u64>,
+    /// Calls in flight at the end of the step.
     pub out: Vec<u64>,
-    /// Calls at the destinations that a trouble strikes, and what they could have served.
+    /// Calls that came to destinations with a fault.
     pub load: Vec<f64>,
+    /// Calls that those destinations could have served.
     pub capacity: Vec<f64>,
 }
 
+/// Calls to one destination over time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeatRow {
+    /// The destination's number.
     pub destination: u32,
+    /// Its group in the scenario.
     pub group: String,
+    /// Whether a fault of the scenario strikes it.
     pub struck: bool,
+    /// Calls by step.
     pub calls: Vec<u32>,
+    /// Calls that failed or were rejected, by step.
     pub failed: Vec<u32>,
 }
 
+/// When a fault of the scenario lasted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultInterval {
+    /// The kind of the fault.
     #[serde(rename = "trouble")]
     pub fault: String,
+    /// Milliseconds from the start of the day.
     pub start: Ms,
+    /// Milliseconds from the start of the day; not past its end.
     pub end: Ms,
 }
 
+/// How often an invariant was violated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleCount {
+    /// The invariant's name.
     pub rule: String,
+    /// Its violations.
     pub broken: u64,
 }
 
+/// The outcome of a simulated day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
+    /// What the scenario is about.
     pub about: String,
+    /// The seed of all random numbers.
     pub seed: u64,
+    /// Who decided at the forwarders: the decision module or a baseline.
     pub decisions: String,
+    /// The length of the day in milliseconds.
     pub length: Ms,
-    /// Payoff delivered, as a share of what was asked for.
+    /// The value that was delivered, as a share of the value of all events.
     pub payoff: f64,
+    /// Counts and sums.
     pub totals: Totals,
+    /// The value that was not delivered, by cause.
     pub causes: BTreeMap<LossCause, f64>,
+    /// By traffic type, in the scenario's order.
     pub traffic: Vec<TrafficOutcome>,
+    /// Values over time.
     pub series: Series,
+    /// The destinations that are shown, by their traffic.
     pub heat: Vec<HeatRow>,
+    /// The scenario's faults.
     #[serde(rename = "shades")]
     pub fault_intervals: Vec<FaultInterval>,
+    /// The invariants of a forwarder.
     pub rules: Vec<RuleCount>,
+    /// The first violations in words.
     pub breaches: Vec<String>,
 }
 
 impl Outcome {
+    /// All violations of invariants.
     pub fn broken(&self) -> u64 {
         self.rules.iter().map(|rule| rule.broken).sum()
     }
--- a/forwarder/emulator/src/queue.rs
+++ b/forwarder/emulator/src/queue.rs
@@ -1,4 +1,4 @@
-//! What is still to happen, by its time. A radix heap: time never runs backwards in a model, so that an entry
+//! The queue of what is still to happen, by its time. A radix heap: time never runs backwards in a model, so that an entry
 //! needs to be looked at again only when the time comes near it. `docs/emulator.md` has the measurement that
 //! chose it over a binary heap.
 
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Takes the earliest entry, with its time in milliseconds.
     pub fn pop(&mut self) -> Option<(Ms, T)> {
         if self.due.is_empty() {
             self.advance()?;
@@ -46,10 +47,12 @@
         Some((f64::from_bits(self.last), entry))
     }
 
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether nothing is left to happen.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/forwarder/emulator/src/random.rs
+++ b/forwarder/emulator/src/random.rs
@@ -1,42 +1,54 @@
-//! Chance: one portable stream for each concern, so that a change in one draws nothing from another.
+//! Random numbers: one portable stream for each concern, so that a change in one draws nothing from another.
 
 use plankhill_forwarder_config::scenario::{Answer, Ms, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Pareto};
 
-/// What a stream of chance is for.
+/// What a stream of random numbers is for.
 #[derive(Clone, Copy)]
 pub enum RandomStream {
+    /// When clients submit events, and which.
     Arrivals = 1,
+    /// How long targets work.
     Answers = 2,
+    /// Latency and loss of messages.
     Network = 3,
+    /// The layer before the forwarders.
     Front = 4,
-    Struck = 5,
+    /// Which destinations and forwarders a fault strikes.
+    Affected = 5,
+    /// What a fault does to a call.
     Faults = 6,
+    /// When forwarders learn of the endpoint list.
     Lists = 7,
+    /// When clients submit an event again.
     Returns = 8,
+    /// How targets differ.
     Targets = 9,
+    /// The decisions of baselines.
     Baselines = 10,
 }
 
-pub fn stream(seed: u64, concern: RandomStream) -> ChaCha8Rng {
+/// The stream of a seed for one purpose.
+pub fn stream(seed: u64, purpose: RandomStream) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    rng.set_stream(concern as u64);
+    rng.set_stream(purpose as u64);
     rng
 }
 
-/// Evenly from 0 to 1.
+/// Uniformly distributed from 0 to 1.
 pub fn uniform(rng: &mut ChaCha8Rng) -> f64 {
     // The top 53 bits, as whole numbers: the same on every machine.
     (rng.random::<u64>() >> 11) as f64 / (1u64 << 53) as f64
 }
 
+/// Uniformly distributed from `low` to `high`.
 pub fn between(rng: &mut ChaCha8Rng, low: f64, high: f64) -> f64 {
     low + (high - low) * uniform(rng)
 }
 
-/// With this mean.
+/// Exponentially distributed with this mean.
 pub fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
     let unit: f64 = Exp1.sample(rng);
     unit * mean
@@ -71,7 +83,8 @@
         }
     }
 
-    pub fn uniform(&self, rng: &mut ChaCha8Rng) -> Ms {
+    /// The milliseconds that one answer takes.
+    pub fn sample(&self, rng: &mut ChaCha8Rng) -> Ms {
         match self.shape {
             Shape::Fixed => self.mean,
             Shape::Exponential => exponential(rng, self.mean),
--- a/forwarder/emulator/src/limits.rs
+++ b/forwarder/emulator/src/rate_limiter.rs
@@ -6,7 +6,7 @@
 
 /// How full a limit is.
 #[derive(Clone, Debug, Default)]
-pub struct Gauge {
+pub struct RateLimiter {
     /// Calls in the window, or tokens that are gone, as of `at`.
     used: f64,
     at: Ms,
@@ -16,7 +16,7 @@
     pub inside: usize,
 }
 
-impl Gauge {
+impl RateLimiter {
     /// Whether the call is taken; if not, when there is room again, as far as the limit knows. `factor` is
     /// what a trouble leaves of the limit.
     pub fn admit(&mut self, limit: &Limit, factor: f64, now: Ms) -> Result<(), Option<Ms>> {
@@ -33,11 +33,11 @@
                 if fits || limit.refused_count {
                     self.used = (self.used + 1.0).min(2.0 * burst);
                 }
-                let room_at = now + 1000.0 * (self.used + 1.0 - burst).max(0.0) / calls.max(1e-9);
+                let admits_at = now + 1000.0 * (self.used + 1.0 - burst).max(0.0) / calls.max(1e-9);
                 if fits {
                     Ok(())
                 } else {
-                    Err(Some(room_at))
+                    Err(Some(admits_at))
                 }
             }
             LimitKind::FixedWindow => {
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -7,9 +7,11 @@
 use plankhill_invariants::{Checker, Invariant};
 use rustc_hash::FxHashMap;
 
-use crate::clients::{worth, Ticket};
-use crate::outcome::*;
-use crate::struck::{self, Struck};
+use crate::affected::{self, Affected};
+use crate::clients::{worth, ClientEvent};
+use crate::outcome::{
+    FaultInterval, HeatRow, LossCause, Outcome, RuleCount, Series, Totals, TrafficOutcome,
+};
 
 /// Steps of a series, and rows of the heat map: what a reader can tell apart on a page.
 const STEPS: usize = 200;
@@ -38,7 +40,7 @@
 }
 
 impl Tally {
-    pub fn new(scenario: &Scenario, struck: &Struck) -> Self {
+    pub fn new(scenario: &Scenario, struck: &Affected) -> Self {
         let width = scenario.length / STEPS as f64;
         let zeros = vec![0; STEPS];
         let series = Series {
@@ -72,7 +74,7 @@
             .collect();
         struck_ones.sort_unstable();
         struck_ones.dedup();
-        let by_use = struck::by_use(&struck.weights);
+        let by_use = affected::by_use(&struck.weights);
         let is_struck = |at: &u32| struck_ones.binary_search(at).is_ok();
         let half = by_use.iter().filter(|at| is_struck(at)).take(ROWS / 2);
         let mut shown: Vec<u32> = half.copied().collect();
@@ -115,38 +117,39 @@
         ((at / self.width) as usize).min(STEPS - 1)
     }
 
-    pub fn asked(&mut self, scenario: &Scenario, ticket: &Ticket) {
-        let payoff = scenario.traffic[ticket.traffic as usize].payoff;
-        let step = self.step(ticket.first_at);
+    pub fn asked(&mut self, scenario: &Scenario, client_event: &ClientEvent) {
+        let payoff = scenario.traffic[client_event.traffic as usize].payoff;
+        let step = self.step(client_event.first_at);
         self.totals.events += 1;
         self.totals.asked += payoff;
         self.series.asked[step] += payoff;
-        let of = &mut self.traffic[ticket.traffic as usize];
+        let of = &mut self.traffic[client_event.traffic as usize];
         of.events += 1;
         of.asked += payoff;
     }
 
-    pub fn delivered(&mut self, scenario: &Scenario, ticket: &Ticket, at: Ms) {
-        let traffic = &scenario.traffic[ticket.traffic as usize];
-        let paid = worth(traffic, ticket.first_at, at);
+    pub fn delivered(&mut self, scenario: &Scenario, client_event: &ClientEvent, at: Ms) {
+        let traffic = &scenario.traffic[client_event.traffic as usize];
+        let paid = worth(traffic, client_event.first_at, at);
         self.totals.delivered += 1;
         self.totals.paid += paid;
-        let step = self.step(ticket.first_at);
+        let step = self.step(client_event.first_at);
         self.series.paid[step] += paid;
         if traffic.payoff > paid {
             *self.causes.entry(LossCause::Late).or_default() += traffic.payoff - paid;
         }
-        let of = &mut self.traffic[ticket.traffic as usize];
+        let of = &mut self.traffic[client_event.traffic as usize];
         of.delivered += 1;
         of.paid += paid;
-        of.time += at - ticket.first_at;
+        of.time += at - client_event.first_at;
         of.times
-            .saturating_record(((at - ticket.first_at) * 1000.0).max(1.0) as u64);
+            .saturating_record(((at - client_event.first_at) * 1000.0).max(1.0) as u64);
     }
 
     /// The event will not be delivered any more, whatever its client does.
-    pub fn unpaid(&mut self, scenario: &Scenario, ticket: &Ticket, cause: LossCause) {
-        *self.causes.entry(cause).or_default() += scenario.traffic[ticket.traffic as usize].payoff;
+    pub fn unpaid(&mut self, scenario: &Scenario, client_event: &ClientEvent, cause: LossCause) {
+        *self.causes.entry(cause).or_default() +=
+            scenario.traffic[client_event.traffic as usize].payoff;
     }
 
     pub fn call(&mut self, destination: u32, at: Ms) {
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -4,7 +4,7 @@
 use plankhill_forwarder_config::scenario::FaultKind;
 use plankhill_invariants::Observation;
 
-use super::parts::Member;
+use super::state::Member;
 use super::{CallKey, Step, World};
 use crate::deciders::Input;
 use crate::random::uniform;
@@ -17,7 +17,7 @@
         let (forwarder, target) = (call.forwarder, call.target);
         let from = self.targets[target as usize].zone as usize;
         let to = self.forwarders[forwarder as usize].zone;
-        if self.is_cut(forwarder, self.targets[target as usize].destination, target) {
+        if self.loses_answers(forwarder, self.targets[target as usize].destination, target) {
             return;
         }
         if let Some(travel) = self.travel(from, to) {
@@ -26,7 +26,7 @@
     }
 
     /// Whether answers of the target to the forwarder get lost now.
-    pub(super) fn is_cut(&self, forwarder: u32, destination: u32, target: u32) -> bool {
+    pub(super) fn loses_answers(&self, forwarder: u32, destination: u32, target: u32) -> bool {
         let Some(active) = self.active.get(&destination) else {
             return false;
         };
@@ -39,11 +39,11 @@
         })
     }
 
-    pub(super) fn answered(&mut self, key: CallKey) {
+    pub(super) fn on_answer(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
-        if call.over_here {
+        if call.abandoned_by_sender {
             if !call.there {
                 self.calls.remove(key);
             }
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn time_out(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key).filter(|call| !call.over_here) else {
+        let Some(call) = self.calls.get(key).filter(|call| !call.abandoned_by_sender) else {
             return;
         };
         let fate = if call.written {
@@ -68,12 +68,12 @@
     /// The forwarder learns how the call ended, with its next round.
     pub(super) fn call_over(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
-        call.over_here = true;
-        let (forwarder, target, lane, ping, began) = (
+        call.abandoned_by_sender = true;
+        let (forwarder, target, lane, is_health_check, began) = (
             call.forwarder,
             call.target,
             call.lane,
-            call.ping,
+            call.is_health_check,
             call.began,
         );
         let (in_outage, written, there) = (call.in_outage, call.written, call.there);
@@ -85,7 +85,7 @@
                 .call_failed(destination, self.now, fate == AttemptOutcome::Rejected);
         }
         if !good && in_outage {
-            self.tell(Observation::FailureObserved { forwarder, lane });
+            self.observe(Observation::FailureObserved { forwarder, lane });
         }
         if written && self.tracked(destination) {
             let kept = matches!(
@@ -98,7 +98,7 @@
         for Member { event, .. } in members {
             self.incoming(
                 forwarder,
-                Input::SendEnded {
+                Input::AttemptEnded {
                     event,
                     fate,
                     took,
@@ -107,10 +107,10 @@
                 Some((lane, written)),
             );
         }
-        if ping {
+        if is_health_check {
             self.incoming(
                 forwarder,
-                Input::PingEnded { target, fate },
+                Input::HealthCheckEnded { target, fate },
                 Some((lane, written)),
             );
         }
@@ -127,7 +127,7 @@
         let targets: Vec<u32> = self.destinations[destination as usize].targets.clone();
         let down: Vec<u32> = targets
             .into_iter()
-            .filter(|target| self.plight(*target).down)
+            .filter(|target| self.fault_effects(*target).down)
             .collect();
         if down
             .iter()
@@ -146,7 +146,7 @@
             it.waiting.clear();
         }
         for key in there {
-            let ran = self.calls[key].served && uniform(&mut self.chance_faults) < 0.5;
+            let ran = self.calls[key].served && uniform(&mut self.rng_faults) < 0.5;
             if ran {
                 self.apply(key);
             }
@@ -154,7 +154,7 @@
             call.there = false;
             let gauge = &mut self.lanes[call.lane as usize].gauge;
             gauge.inside = gauge.inside.saturating_sub(1);
-            if call.over_here {
+            if call.abandoned_by_sender {
                 self.calls.remove(key);
             } else {
                 self.respond(key, AttemptOutcome::Reset, 0.0);
@@ -163,11 +163,15 @@
     }
 
     /// Calls to a target of which nothing is written yet do not leave any more.
-    pub(super) fn take_back(&mut self, forwarder: u32, target: u32) {
-        let life = self.forwarders[forwarder as usize].life;
+    pub(super) fn cancel_unsent(&mut self, forwarder: u32, target: u32) {
+        let incarnation = self.forwarders[forwarder as usize].incarnation;
         let unwritten = self.calls.iter().filter(|(_, call)| {
-            let ours = call.forwarder == forwarder && call.life == life && call.target == target;
-            ours && !call.written && !call.over_here && call.fate != AttemptOutcome::ConnectFailed
+            let ours = call.forwarder == forwarder
+                && call.incarnation == incarnation
+                && call.target == target;
+            ours && !call.written
+                && !call.abandoned_by_sender
+                && call.fate != AttemptOutcome::ConnectFailed
         });
         let unwritten: Vec<CallKey> = unwritten.map(|(key, _)| key).collect();
         for key in unwritten {
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -5,7 +5,7 @@
 use plankhill_forwarder_config::scenario::Repeats;
 use plankhill_invariants::Observation;
 
-use super::parts::{Call, Event, Member};
+use super::state::{Call, Event, Member};
 use super::{CallKey, Step, World};
 use crate::deciders::EventKey;
 use crate::random::uniform;
@@ -23,44 +23,48 @@
         events: Vec<EventKey>,
         time_out: Ms,
     ) {
-        let ping = events.is_empty();
+        let is_health_check = events.is_empty();
         let members: Vec<Member> = events
             .iter()
             .map(|&event| {
-                let Event { number, ticket, .. } = &self.events[event];
+                let Event {
+                    number,
+                    client_event,
+                    ..
+                } = &self.events[event];
                 Member {
                     event,
                     number: *number,
-                    origin: ticket.origin,
-                    traffic: ticket.traffic,
+                    origin: client_event.origin,
+                    traffic: client_event.traffic,
                 }
             })
             .collect();
         let works = members
             .iter()
             .map(|member| self.scenario.traffic[member.traffic as usize].work);
-        let work = works.fold(if ping { PING_WORK } else { 0.0 }, f64::max);
+        let work = works.fold(if is_health_check { PING_WORK } else { 0.0 }, f64::max);
         let sends = members.len() as u64;
         let it = &self.targets[target as usize];
         let (lane, destination) = (it.lane, it.destination);
         let call = Call {
             forwarder,
-            life: self.forwarders[forwarder as usize].life,
+            incarnation: self.forwarders[forwarder as usize].incarnation,
             target,
             lane,
-            ping,
+            is_health_check,
             members,
             began: self.now,
             written: false,
             reused: false,
             dropped: false,
-            over_here: false,
+            abandoned_by_sender: false,
             there: false,
             served: false,
             in_outage: false,
             fate: AttemptOutcome::Delivered,
             wait: 0.0,
-            mute: false,
+            never_answered: false,
             work,
         };
         let key = self.calls.insert(call);
@@ -71,15 +75,15 @@
             event.sent_at = self.now;
         }
         self.tally.totals.calls += 1;
-        self.tally.totals.pings += ping as u64;
+        self.tally.totals.pings += is_health_check as u64;
         self.tally.totals.sends += sends;
         self.tally.totals.most_out = self.tally.totals.most_out.max(self.calls.len() as u64);
         self.tally.call(destination, self.now);
-        self.queue.put(self.now + time_out, Step::TimeOut(key));
+        self.queue.put(self.now + time_out, Step::TimedOut(key));
         self.connect(key);
     }
 
-    pub(super) fn reaches(&mut self, key: CallKey) {
+    pub(super) fn arrive(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
@@ -90,43 +94,46 @@
         let outage = self.lanes[lane as usize].outage;
         self.calls[key].in_outage |= outage;
         self.tally.load(destination, self.now);
-        self.weigh_on(lane, forwarder, weight);
-        let plight = self.plight(target);
-        if plight.down {
+        self.add_load(lane, forwarder, weight);
+        let fault_effects = self.fault_effects(target);
+        if fault_effects.down {
             // It went while the call was on its way.
             return self.respond(key, AttemptOutcome::Reset, 0.0);
         }
-        if plight.silent || plight.half_open && reused {
+        if fault_effects.silent || fault_effects.half_open && reused {
             return;
         }
         let group =
             &self.scenario.destinations[self.destinations[destination as usize].group as usize];
-        let admitted =
-            self.lanes[lane as usize]
-                .gauge
-                .admit(&group.limit, plight.left_of_limit, self.now);
-        if let Err(room_at) = admitted {
+        let admitted = self.lanes[lane as usize].gauge.admit(
+            &group.limit,
+            fault_effects.left_of_limit,
+            self.now,
+        );
+        if let Err(admits_at) = admitted {
             let least = group.limit.tells_wait;
             let wait = if least > 0.0 {
-                least.max(room_at.unwrap_or(0.0) - self.now)
+                least.max(admits_at.unwrap_or(0.0) - self.now)
             } else {
                 0.0
             };
             return self.respond(key, AttemptOutcome::Rejected, wait);
         }
-        if plight.erring > 0.0 && uniform(&mut self.chance_faults) < plight.erring {
-            if uniform(&mut self.chance_faults) < 0.5 {
+        if fault_effects.erring > 0.0 && uniform(&mut self.rng_faults) < fault_effects.erring {
+            if uniform(&mut self.rng_faults) < 0.5 {
                 return self.respond(key, AttemptOutcome::Error, 0.0);
             }
             self.calls[key].fate = AttemptOutcome::Error;
-        } else if plight.resetting > 0.0 && uniform(&mut self.chance_faults) < plight.resetting {
-            if uniform(&mut self.chance_faults) < 0.5 {
+        } else if fault_effects.resetting > 0.0
+            && uniform(&mut self.rng_faults) < fault_effects.resetting
+        {
+            if uniform(&mut self.rng_faults) < 0.5 {
                 return self.respond(key, AttemptOutcome::Reset, 0.0);
             }
             self.calls[key].fate = AttemptOutcome::Reset;
         }
-        self.calls[key].mute = plight.hung;
-        let servers = (group.servers as f64 * plight.left_of_limit)
+        self.calls[key].never_answered = fault_effects.hung;
+        let servers = (group.servers as f64 * fault_effects.left_of_limit)
             .ceil()
             .max(1.0) as u32;
         let room = group.queue;
@@ -152,12 +159,12 @@
         };
         let it = &self.targets[target as usize];
         let group = self.destinations[it.destination as usize].group as usize;
-        let factor = it.factor * work * self.plight(target).slow / self.warmth(lane);
-        let takes = self.answers[group].uniform(&mut self.chance_answers) * factor;
+        let factor = it.factor * work * self.fault_effects(target).slow / self.warmth(lane);
+        let takes = self.answers[group].sample(&mut self.rng_answers) * factor;
         self.queue.put(self.now + takes, Step::Served(key));
     }
 
-    pub(super) fn served(&mut self, key: CallKey) {
+    pub(super) fn on_served(&mut self, key: CallKey) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
@@ -165,15 +172,20 @@
             return; // it was broken off there
         }
         call.there = false;
-        let (target, lane, fate, over_here, mute) =
-            (call.target, call.lane, call.fate, call.over_here, call.mute);
+        let (target, lane, fate, abandoned_by_sender, never_answered) = (
+            call.target,
+            call.lane,
+            call.fate,
+            call.abandoned_by_sender,
+            call.never_answered,
+        );
         self.apply(key);
         self.tally.totals.ran_unheard +=
-            (over_here || mute || fate != AttemptOutcome::Delivered) as u64;
+            (abandoned_by_sender || never_answered || fate != AttemptOutcome::Delivered) as u64;
         self.leave_server(target, lane);
-        if over_here {
+        if abandoned_by_sender {
             self.calls.remove(key);
-        } else if !mute {
+        } else if !never_answered {
             self.respond(key, fate, 0.0);
         }
     }
@@ -189,7 +201,7 @@
         } in &members
         {
             let effect = self.effect(traffic);
-            self.tell(Observation::EffectApplied {
+            self.observe(Observation::EffectApplied {
                 event: number,
                 origin,
                 idempotency: effect,
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -3,7 +3,7 @@
 use plankhill_decisions::interface::{AttemptOutcome, EndpointState, Ms};
 use plankhill_invariants::Observation;
 
-use super::parts::Idle;
+use super::state::IdleConnection;
 use super::{CallKey, Step, World};
 
 /// A forwarder closes its idle connections after so long.
@@ -25,12 +25,12 @@
             self.calls[key].dropped = dropped;
             return self.write(key);
         }
-        let plight = self.plight(target);
+        let fault_effects = self.fault_effects(target);
         let group = self.group_of(destination);
         let full = group.connections > 0
             && self.targets[target as usize].connections as usize >= group.connections;
         let set_up = group.set_up;
-        if !plight.down && !full && !tracked {
+        if !fault_effects.down && !full && !tracked {
             return self.write(key);
         }
         let there = self.travel(from, to);
@@ -44,7 +44,7 @@
             );
             return;
         };
-        if plight.down || full {
+        if fault_effects.down || full {
             let outage = self.lanes[self.targets[target as usize].lane as usize].outage;
             let call = &mut self.calls[key];
             (call.fate, call.in_outage) = (AttemptOutcome::ConnectFailed, outage);
@@ -64,11 +64,11 @@
             || group.reaped_after > 0.0
     }
 
-    pub(super) fn connected(&mut self, key: CallKey) {
+    pub(super) fn on_connected(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
-        if call.over_here {
+        if call.abandoned_by_sender {
             let target = call.target;
             self.close_connections(target, 1);
             self.calls.remove(key);
@@ -87,19 +87,20 @@
     pub(super) fn write(&mut self, key: CallKey) {
         let call = &mut self.calls[key];
         call.written = true;
-        let (forwarder, target, lane, ping) = (call.forwarder, call.target, call.lane, call.ping);
+        let (forwarder, target, lane, is_health_check) =
+            (call.forwarder, call.target, call.lane, call.is_health_check);
         let (members, dropped) = (std::mem::take(&mut call.members), call.dropped);
         let from = self.forwarders[forwarder as usize].zone;
         let to = self.targets[target as usize].zone as usize;
-        if ping {
-            self.tell(Observation::HealthCheckSent {
+        if is_health_check {
+            self.observe(Observation::HealthCheckSent {
                 forwarder,
                 target,
                 lane,
             });
         }
         for member in &members {
-            self.tell(Observation::AttemptSent {
+            self.observe(Observation::AttemptSent {
                 forwarder,
                 event: member.number,
                 target,
@@ -115,7 +116,7 @@
             self.calls[key].fate = AttemptOutcome::Reset;
             self.queue.put(self.now + 2.0 * travel, Step::Answered(key));
         } else {
-            self.queue.put(self.now + travel, Step::Reaches(key));
+            self.queue.put(self.now + travel, Step::Arrives(key));
         }
     }
 
@@ -147,7 +148,7 @@
         if !kept || self.targets[target as usize].listing == EndpointState::Removed {
             return self.close_connections(target, 1);
         }
-        let idle = Idle {
+        let idle = IdleConnection {
             since: self.now,
             dropped: false,
         };
@@ -162,14 +163,14 @@
         if reaped_after > 0.0 {
             self.queue.put(
                 self.now + reaped_after,
-                Step::Reaped(forwarder, target, self.now),
+                Step::IdleConnectionDropped(forwarder, target, self.now),
             );
         }
     }
 
     /// The target drops a connection that has been idle since then, and nobody hears of it: the next call on
     /// it is reset.
-    pub(super) fn reaped(&mut self, forwarder: u32, target: u32, since: Ms) {
+    pub(super) fn drop_idle_connection(&mut self, forwarder: u32, target: u32, since: Ms) {
         let Some(open) = self.forwarders[forwarder as usize].idle.get_mut(&target) else {
             return;
         };
--- a/forwarder/emulator/src/world/ground.rs
+++ b/forwarder/emulator/src/world/destinations.rs
@@ -6,9 +6,9 @@
 use plankhill_forwarder_config::scenario::{FaultKind, Group, Ms, Scenario};
 
 use super::{CallKey, World};
-use crate::limits::Gauge;
+use crate::affected::Affected;
 use crate::random::{between, stream, RandomStream};
-use crate::struck::Struck;
+use crate::rate_limiter::RateLimiter;
 
 pub(super) struct Destination {
     pub group: u32,
@@ -29,7 +29,7 @@
     /// As the list says now.
     pub listing: EndpointState,
     /// By change of the list, from the first; running before.
-    pub told: Vec<(u32, EndpointState)>,
+    pub introduced: Vec<(u32, EndpointState)>,
     /// Not there: its place was given up.
     pub left: bool,
 }
@@ -38,13 +38,13 @@
 #[derive(Default)]
 pub(super) struct Lane {
     pub destination: u32,
-    pub gauge: Gauge,
+    pub gauge: RateLimiter,
     pub outage: bool,
-    pub cold: Option<Box<Cold>>,
-    pub tipped_until: Ms,
+    pub cold: Option<Box<WarmUp>>,
+    pub overloaded_until: Ms,
 }
 
-pub(super) struct Cold {
+pub(super) struct WarmUp {
     pub since: Ms,
     /// What came lately: when, from whom, how much.
     pub recent: VecDeque<(Ms, u32, f64)>,
@@ -52,7 +52,7 @@
 
 /// All that troubles do to a target now.
 #[derive(Clone, Copy)]
-pub(super) struct Plight {
+pub(super) struct FaultEffects {
     pub down: bool,
     pub silent: bool,
     pub hung: bool,
@@ -63,7 +63,7 @@
     pub left_of_limit: f64,
 }
 
-const WELL: Plight = Plight {
+const NO_FAULT: FaultEffects = FaultEffects {
     down: false,
     silent: false,
     hung: false,
@@ -74,7 +74,7 @@
     left_of_limit: 1.0,
 };
 
-impl Plight {
+impl FaultEffects {
     /// Most calls fail.
     pub(super) fn is_outage(&self) -> bool {
         self.down || self.silent || self.hung || self.erring + self.resetting > 0.5
@@ -83,10 +83,10 @@
 
 pub(super) fn build(
     scenario: &Scenario,
-    struck: &Struck,
+    struck: &Affected,
     seed: u64,
 ) -> (Vec<Destination>, Vec<Target>, Vec<Lane>) {
-    let mut chance = stream(seed, RandomStream::Targets);
+    let mut rng = stream(seed, RandomStream::Targets);
     let (mut destinations, mut targets, mut lanes) = (Vec::new(), Vec::new(), Vec::new());
     for (at, &group) in struck.groups.iter().enumerate() {
         let of = &scenario.destinations[group as usize];
@@ -102,7 +102,7 @@
             }
             let differ = of.answer.differ;
             let factor = if differ > 0.0 {
-                between(&mut chance, 1.0 - differ, 1.0 + differ)
+                between(&mut rng, 1.0 - differ, 1.0 + differ)
             } else {
                 1.0
             };
@@ -143,7 +143,7 @@
             waiting: VecDeque::new(),
             connections: 0,
             listing: EndpointState::Running,
-            told: Vec::new(),
+            introduced: Vec::new(),
             left: false,
         }
     }
@@ -151,7 +151,7 @@
     /// How the list speaks of the target for one that has heard so many changes.
     pub fn as_of(&self, changes: usize) -> EndpointState {
         let heard = self
-            .told
+            .introduced
             .iter()
             .rev()
             .find(|(change, _)| (*change as usize) < changes);
@@ -164,12 +164,12 @@
         &self.scenario.destinations[self.destinations[destination as usize].group as usize]
     }
 
-    pub(super) fn plight(&self, target: u32) -> Plight {
+    pub(super) fn fault_effects(&self, target: u32) -> FaultEffects {
         let it = &self.targets[target as usize];
-        let mut plight = WELL;
-        plight.down = it.left || self.lanes[it.lane as usize].tipped_until > self.now;
+        let mut fault_effects = NO_FAULT;
+        fault_effects.down = it.left || self.lanes[it.lane as usize].overloaded_until > self.now;
         let Some(active) = self.active.get(&it.destination) else {
-            return plight;
+            return fault_effects;
         };
         for &at in active {
             if !self.covers(at, target) {
@@ -177,19 +177,23 @@
             }
             let trouble = &self.scenario.faults[at as usize];
             match trouble.kind {
-                FaultKind::Down => plight.down = true,
-                FaultKind::Flapping => plight.down |= self.flapped_down[at as usize],
-                FaultKind::Silent => plight.silent = true,
-                FaultKind::Hung => plight.hung = true,
-                FaultKind::HalfOpen => plight.half_open = true,
-                FaultKind::Slow => plight.slow *= trouble.strength,
-                FaultKind::Erring => plight.erring = plight.erring.max(trouble.strength),
-                FaultKind::Resetting => plight.resetting = plight.resetting.max(trouble.strength),
-                FaultKind::LimitLowered => plight.left_of_limit *= trouble.strength,
+                FaultKind::Down => fault_effects.down = true,
+                FaultKind::Flapping => fault_effects.down |= self.flapped_down[at as usize],
+                FaultKind::Silent => fault_effects.silent = true,
+                FaultKind::Hung => fault_effects.hung = true,
+                FaultKind::HalfOpen => fault_effects.half_open = true,
+                FaultKind::Slow => fault_effects.slow *= trouble.strength,
+                FaultKind::Erring => {
+                    fault_effects.erring = fault_effects.erring.max(trouble.strength)
+                }
+                FaultKind::Resetting => {
+                    fault_effects.resetting = fault_effects.resetting.max(trouble.strength)
+                }
+                FaultKind::LimitLowered => fault_effects.left_of_limit *= trouble.strength,
                 _ => (),
             }
         }
-        plight
+        fault_effects
     }
 
     /// Whether the trouble, which strikes the target's destination, strikes the target.
@@ -222,14 +226,15 @@
         let mut left: f64 = 1.0;
         for &target in &self.destinations[of as usize].targets {
             let it = &self.targets[target as usize];
-            let plight = self.plight(target);
-            if it.lane == lane && it.listing != EndpointState::Removed && !plight.is_outage() {
-                sum += self.full_pace(target) * plight.left_of_limit / plight.slow;
-                left = left.min(plight.left_of_limit);
+            let fault_effects = self.fault_effects(target);
+            if it.lane == lane && it.listing != EndpointState::Removed && !fault_effects.is_outage()
+            {
+                sum += self.full_pace(target) * fault_effects.left_of_limit / fault_effects.slow;
+                left = left.min(fault_effects.left_of_limit);
             }
         }
         let most = if limited {
-            Gauge::rate(&group.limit) * left
+            RateLimiter::rate(&group.limit) * left
         } else {
             f64::INFINITY
         };
--- a/forwarder/emulator/src/world/lists.rs
+++ b/forwarder/emulator/src/world/endpoint_list.rs
@@ -10,8 +10,13 @@
 impl World<'_> {
     /// A forwarder's decisions hear of a destination when the first event goes there: until then they could
     /// do nothing with it.
-    pub(super) fn introduce(&mut self, at: u32, destination: u32, inputs: &mut Vec<Input>) {
-        if !self.forwarders[at as usize].told.insert(destination) {
+    pub(super) fn introduce_destination(
+        &mut self,
+        at: u32,
+        destination: u32,
+        inputs: &mut Vec<Input>,
+    ) {
+        if !self.forwarders[at as usize].introduced.insert(destination) {
             return;
         }
         let heard = self.forwarders[at as usize].heard;
@@ -30,18 +35,18 @@
         listing: EndpointState,
         inputs: &mut Vec<Input>,
     ) {
-        self.tell(Observation::EndpointListed {
+        self.observe(Observation::EndpointListed {
             forwarder: at,
             target,
             is_draining: listing != EndpointState::Running,
         });
         let it = &self.targets[target as usize];
         if listing == EndpointState::Removed {
-            return inputs.push(Input::Left { target });
+            return inputs.push(Input::EndpointRemoved { target });
         }
         let kind = self.destinations[it.destination as usize].group as usize;
         let (destination, zone) = (it.destination, it.zone as usize);
-        inputs.push(Input::Listed {
+        inputs.push(Input::EndpointListed {
             target,
             destination,
             kind,
@@ -56,36 +61,39 @@
         self.changes.push((self.now, target));
         let it = &mut self.targets[target as usize];
         it.listing = listing;
-        it.told.push((change, listing));
+        it.introduced.push((change, listing));
         for at in 0..self.forwarders.len() as u32 {
-            self.call_list(at);
+            self.schedule_list_update(at);
         }
     }
 
-    pub(super) fn call_list(&mut self, at: u32) {
-        if std::mem::replace(&mut self.forwarders[at as usize].list_called, true) {
+    pub(super) fn schedule_list_update(&mut self, at: u32) {
+        if std::mem::replace(
+            &mut self.forwarders[at as usize].list_update_scheduled,
+            true,
+        ) {
             return;
         }
         let [least, most] = self.scenario.forwarders.list_delay;
-        let delay = between(&mut self.chance_lists, least, most);
+        let delay = between(&mut self.rng_lists, least, most);
         let from = (self.now + delay).max(self.forwarders[at as usize].list_frozen_until);
-        self.queue.put(from, Step::ListHeard(at));
+        self.queue.put(from, Step::ListUpdate(at));
     }
 
     /// Hears all that changed, or, partially, some of it, the rest with the next hearing.
-    pub(super) fn list_heard(&mut self, at: u32) {
+    pub(super) fn receive_list_update(&mut self, at: u32) {
         let partial = self.scenario.forwarders.list_partial;
         let it = &mut self.forwarders[at as usize];
         if it.list_frozen_until > self.now {
             let thaw = it.list_frozen_until;
-            return self.queue.put(thaw, Step::ListHeard(at));
+            return self.queue.put(thaw, Step::ListUpdate(at));
         }
-        it.list_called = false;
+        it.list_update_scheduled = false;
         let mut news = std::mem::take(&mut it.missed);
         news.extend(it.heard as u32..self.changes.len() as u32);
         it.heard = self.changes.len();
         for change in news {
-            if partial > 0.0 && uniform(&mut self.chance_lists) < partial {
+            if partial > 0.0 && uniform(&mut self.rng_lists) < partial {
                 self.forwarders[at as usize].missed.push(change);
                 continue;
             }
@@ -99,10 +107,13 @@
                 )
             };
             let listing = self.targets[target as usize].as_of(change as usize + 1);
-            if self.forwarders[at as usize].told.contains(&destination) {
+            if self.forwarders[at as usize]
+                .introduced
+                .contains(&destination)
+            {
                 self.incoming(
                     at,
-                    Input::Listed {
+                    Input::EndpointListed {
                         target,
                         destination,
                         kind,
@@ -114,7 +125,7 @@
             }
         }
         if !self.forwarders[at as usize].missed.is_empty() {
-            self.call_list(at);
+            self.schedule_list_update(at);
         }
     }
 
--- a/forwarder/emulator/src/world/troubles.rs
+++ b/forwarder/emulator/src/world/faults.rs
@@ -4,91 +4,111 @@
 use plankhill_decisions::interface::{EndpointState, TargetId};
 use plankhill_forwarder_config::scenario::{FaultKind, Ms};
 
-use super::ground::Target;
+use super::destinations::Target;
 use super::{Step, World};
 
 impl World<'_> {
-    pub(super) fn foresee_troubles(&mut self) {
+    pub(super) fn schedule_faults(&mut self) {
         for (at, trouble) in self.scenario.faults.iter().enumerate() {
             if trouble.start < self.scenario.length {
-                self.queue.put(trouble.start, Step::Begins(at as u16));
+                self.queue.put(trouble.start, Step::FaultBegins(at as u16));
                 self.queue
-                    .put(trouble.start + trouble.length, Step::Ends(at as u16));
+                    .put(trouble.start + trouble.length, Step::FaultEnds(at as u16));
             }
         }
     }
 
-    pub(super) fn begins(&mut self, at: u16) {
-        use FaultKind::*;
+    pub(super) fn begin_fault(&mut self, at: u16) {
         let scenario = self.scenario;
         let trouble = &scenario.faults[at as usize];
         let end = trouble.start + trouble.length;
         match trouble.kind {
-            Flood | MassWake => (), // the clients' stream holds them
-            RetryStorm => self.storm = trouble.strength.max(1.0),
-            ForwarderKilled | ForwarderLost | ForwarderStalled | ForwarderReplaced => {
+            FaultKind::Flood | FaultKind::MassWake => (), // the clients' stream holds them
+            FaultKind::RetryStorm => self.storm = trouble.strength.max(1.0),
+            FaultKind::ForwarderKilled
+            | FaultKind::ForwarderLost
+            | FaultKind::ForwarderStalled
+            | FaultKind::ForwarderReplaced => {
                 for (place, forwarder) in self.struck.forwarders[at as usize].iter().enumerate() {
                     let when = trouble.start + place as f64 * trouble.apart;
                     if place == 0 || when <= end {
-                        self.queue.put(when, Step::Strike(at, *forwarder));
+                        self.queue.put(when, Step::StrikeForwarder(at, *forwarder));
                     }
                 }
             }
-            ListFrozen => {
+            FaultKind::ListFrozen => {
                 for forwarder in self.struck.forwarders[at as usize].clone() {
                     let it = &mut self.forwarders[forwarder as usize];
                     it.list_frozen_until = it.list_frozen_until.max(end);
                 }
             }
-            Gone => {
+            FaultKind::Gone => {
                 for target in self.struck_targets(at) {
                     self.list_changed(target, EndpointState::Draining);
                 }
-                self.queue.put(self.now + trouble.every, Step::GoneFor(at));
+                self.queue
+                    .put(self.now + trouble.every, Step::RemoveDraining(at));
             }
-            Replaced => {
+            FaultKind::Replaced => {
                 let targets = self.struck_targets(at);
                 let step = trouble.length / targets.len().max(1) as f64;
                 for (place, target) in targets.into_iter().enumerate() {
                     self.queue
-                        .put(self.now + place as f64 * step, Step::OneByOne(at, target));
+                        .put(self.now + place as f64 * step, Step::ReplaceOne(at, target));
                 }
             }
-            Flapping => self.switch(at, true, |world| {
+            FaultKind::Flapping => self.switch(at, true, |world| {
                 world.flapped_down[at as usize] = true;
-                world.queue.put(world.now + trouble.every, Step::Turns(at));
+                world
+                    .queue
+                    .put(world.now + trouble.every, Step::FaultToggles(at));
             }),
-            Down | Silent | Hung | Slow | Erring | Resetting | LimitLowered | HalfOpen
-            | CutOneWay => self.switch(at, true, |_| ()),
+            FaultKind::Down
+            | FaultKind::Silent
+            | FaultKind::Hung
+            | FaultKind::Slow
+            | FaultKind::Erring
+            | FaultKind::Resetting
+            | FaultKind::LimitLowered
+            | FaultKind::HalfOpen
+            | FaultKind::CutOneWay => self.switch(at, true, |_| ()),
         }
     }
 
-    pub(super) fn ends(&mut self, at: u16) {
-        use FaultKind::*;
+    pub(super) fn end_fault(&mut self, at: u16) {
         match self.scenario.faults[at as usize].kind {
-            RetryStorm => self.storm = 0.0,
-            Gone => {
+            FaultKind::RetryStorm => self.storm = 0.0,
+            FaultKind::Gone => {
                 for target in self.struck_targets(at) {
                     self.targets[target as usize].left = false;
                     self.list_changed(target, EndpointState::Running);
                 }
                 self.note_struck(at);
             }
-            Down | Silent | Hung | Slow | Flapping | Erring | Resetting | LimitLowered
-            | HalfOpen | CutOneWay => self.switch(at, false, |_| ()),
+            FaultKind::Down
+            | FaultKind::Silent
+            | FaultKind::Hung
+            | FaultKind::Slow
+            | FaultKind::Flapping
+            | FaultKind::Erring
+            | FaultKind::Resetting
+            | FaultKind::LimitLowered
+            | FaultKind::HalfOpen
+            | FaultKind::CutOneWay => self.switch(at, false, |_| ()),
             _ => (),
         }
     }
 
     /// A flapping trouble turns from down to up, or back.
-    pub(super) fn turns(&mut self, at: u16) {
+    pub(super) fn toggle_fault(&mut self, at: u16) {
         let trouble = &self.scenario.faults[at as usize];
         if self.now >= trouble.start + trouble.length {
             return;
         }
         self.flapped_down[at as usize] = !self.flapped_down[at as usize];
         self.note_struck(at);
-        self.queue.put(self.now + trouble.every, Step::Turns(at));
+        self.queue
+            .put(self.now + trouble.every, Step::FaultToggles(at));
     }
 
     fn switch(&mut self, at: u16, on: bool, then: impl FnOnce(&mut Self)) {
@@ -108,7 +128,7 @@
     fn note_struck(&mut self, at: u16) {
         for destination in self.struck.destinations[at as usize].clone() {
             self.break_calls(destination);
-            self.note_outages(destination);
+            self.update_outages(destination);
         }
     }
 
@@ -127,12 +147,12 @@
     pub(super) fn gone_for_good(&mut self, at: u16) {
         for target in self.struck_targets(at) {
             if self.targets[target as usize].listing == EndpointState::Draining {
-                self.leaves(target);
+                self.remove_target(target);
             }
         }
     }
 
-    fn leaves(&mut self, target: u32) {
+    fn remove_target(&mut self, target: u32) {
         self.targets[target as usize].left = true;
         self.list_changed(target, EndpointState::Removed);
         self.break_calls(self.targets[target as usize].destination);
@@ -154,16 +174,16 @@
                 self.destinations[destination].targets.push(number);
                 // Not there for those that have not heard of it.
                 self.targets[number as usize]
-                    .told
+                    .introduced
                     .push((0, EndpointState::Removed));
                 self.list_changed(number, EndpointState::Running);
                 self.list_changed(target, EndpointState::Draining);
                 let notice: Ms = self.scenario.faults[at as usize].every;
                 self.queue
-                    .put(self.now + notice, Step::OneByOne(at, target));
+                    .put(self.now + notice, Step::ReplaceOne(at, target));
             }
             EndpointState::Draining => {
-                self.leaves(target);
+                self.remove_target(target);
                 // Nobody new is told of it: it is forgotten with its destination's old list.
                 let destination = self.targets[target as usize].destination as usize;
                 let everyone = self.forwarders.len();
@@ -188,10 +208,10 @@
     pub(super) fn strike_forwarder(&mut self, at: u16, forwarder: u32) {
         let trouble = &self.scenario.faults[at as usize];
         match trouble.kind {
-            FaultKind::ForwarderKilled => self.process_ends(forwarder, trouble.every, true),
-            FaultKind::ForwarderLost => self.process_ends(forwarder, trouble.every, false),
-            FaultKind::ForwarderReplaced => self.asked_to_end(forwarder),
-            _ => self.stalls(forwarder, self.now + trouble.length.min(trouble.every)),
+            FaultKind::ForwarderKilled => self.end_process(forwarder, trouble.every, true),
+            FaultKind::ForwarderLost => self.end_process(forwarder, trouble.every, false),
+            FaultKind::ForwarderReplaced => self.begin_shutdown(forwarder),
+            _ => self.stall(forwarder, self.now + trouble.length.min(trouble.every)),
         }
     }
 }
--- a/forwarder/emulator/src/world/rounds.rs
+++ b/forwarder/emulator/src/world/iterations.rs
@@ -3,8 +3,8 @@
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_invariants::{AttemptEnd, Observation};
 
-use super::lives::CLOSING_LEAST;
-use super::parts::Incoming;
+use super::processes::CLOSING_LEAST;
+use super::state::Incoming;
 use super::{Step, World};
 use crate::deciders::{Decision, EventKey, Input};
 use crate::outcome::LossCause;
@@ -14,52 +14,52 @@
         self.forwarders[at as usize]
             .inbox
             .push(Incoming::Input(input, about));
-        self.call_round(at);
+        self.schedule_iteration(at);
     }
 
-    pub(super) fn call_round(&mut self, at: u32) {
+    pub(super) fn schedule_iteration(&mut self, at: u32) {
         let it = &mut self.forwarders[at as usize];
-        if it.round_called || it.decider.is_none() {
+        if it.iteration_scheduled || it.decider.is_none() {
             return;
         }
-        it.round_called = true;
+        it.iteration_scheduled = true;
         let from = self
             .now
-            .max(it.last_round + self.scenario.forwarders.round)
+            .max(it.last_iteration + self.scenario.forwarders.round)
             .max(it.stalled_until);
-        self.queue.put(from, Step::Round(at));
+        self.queue.put(from, Step::Iteration(at));
     }
 
-    pub(super) fn ring(&mut self, at: u32, life: u32) {
+    pub(super) fn wake_up(&mut self, at: u32, incarnation: u32) {
         let it = &mut self.forwarders[at as usize];
-        if it.life != life {
+        if it.incarnation != incarnation {
             return;
         }
-        if it.next_ring <= self.now {
-            it.next_ring = f64::INFINITY;
+        if it.next_wake_up <= self.now {
+            it.next_wake_up = f64::INFINITY;
         }
-        self.call_round(at);
+        self.schedule_iteration(at);
     }
 
-    pub(super) fn round(&mut self, at: u32) {
+    pub(super) fn run_iteration(&mut self, at: u32) {
         let it = &mut self.forwarders[at as usize];
-        it.round_called = false;
+        it.iteration_scheduled = false;
         if it.decider.is_none() {
             return;
         }
         if it.stalled_until > self.now {
-            return self.call_round(at);
+            return self.schedule_iteration(at);
         }
-        it.last_round = self.now;
+        it.last_iteration = self.now;
         let inbox = std::mem::take(&mut it.inbox);
         let mut inputs = Vec::with_capacity(inbox.len());
         for incoming in inbox {
             match incoming {
-                Incoming::HandIn(ticket) => {
+                Incoming::HandIn(client_event) => {
                     self.coming -= 1;
-                    self.at_the_door(at, ticket, &mut inputs)
+                    self.accept_submission(at, client_event, &mut inputs)
                 }
-                Incoming::Input(input, about) => self.hears(at, input, about, &mut inputs),
+                Incoming::Input(input, about) => self.receive(at, input, about, &mut inputs),
             }
         }
         self.decide(at, inputs);
@@ -83,27 +83,27 @@
             .closing
             .is_some_and(|(since, _)| it.held == 0 && self.now >= since + CLOSING_LEAST)
         {
-            self.process_ends(at, self.scenario.forwarders.restart, true);
+            self.end_process(at, self.scenario.forwarders.restart, true);
         }
     }
 
     /// Carries out the first decision, and those behind it that share its call: how many that were.
     pub(super) fn carry_out(&mut self, at: u32, decisions: &[Decision]) -> usize {
         match decisions[0] {
-            Decision::Send { target, .. } => return self.send(at, target, decisions),
-            Decision::Ping { target } => {
+            Decision::SendAttempt { target, .. } => return self.send(at, target, decisions),
+            Decision::HealthCheck { target } => {
                 let time_out = self.scenario.network.connect_time_out;
                 self.begin_call(at, target, Vec::new(), time_out)
             }
-            Decision::End {
+            Decision::Complete {
                 event,
                 dismissed,
-                come_back_after,
-                by_notice,
-            } => self.ended(at, event, dismissed, come_back_after, by_notice),
-            Decision::CloseIdle { target } => self.close_idle(at, target),
-            Decision::TakeBack { target } => self.take_back(at, target),
-            Decision::Cold {
+                retry_after,
+                by_notification,
+            } => self.on_completed(at, event, dismissed, retry_after, by_notification),
+            Decision::CloseIdleConnections { target } => self.close_idle(at, target),
+            Decision::CancelUnsent { target } => self.cancel_unsent(at, target),
+            Decision::RecordWarmUp {
                 target,
                 since,
                 usual,
@@ -112,14 +112,14 @@
                     .cold
                     .insert(target, (since, usual));
             }
-            Decision::Wake { pause } => {
+            Decision::WakeUp { pause } => {
                 let it = &mut self.forwarders[at as usize];
                 // A clock that has no finer step: a wake-up is never for the present instant.
-                let ring = (self.now + pause).max(self.now + 0.001);
-                if ring < it.next_ring {
-                    it.next_ring = ring;
-                    let life = it.life;
-                    self.queue.put(ring, Step::Ring(at, life));
+                let wake_up = (self.now + pause).max(self.now + 0.001);
+                if wake_up < it.next_wake_up {
+                    it.next_wake_up = wake_up;
+                    let incarnation = it.incarnation;
+                    self.queue.put(wake_up, Step::WakeUp(at, incarnation));
                 }
             }
         }
@@ -134,7 +134,7 @@
         let mut events = Vec::with_capacity(1);
         for decision in decisions.iter().take(most) {
             match *decision {
-                Decision::Send {
+                Decision::SendAttempt {
                     event,
                     target,
                     time_out,
@@ -150,7 +150,7 @@
         sends
     }
 
-    pub(super) fn hears(
+    pub(super) fn receive(
         &mut self,
         at: u32,
         input: Input,
@@ -158,35 +158,35 @@
         inputs: &mut Vec<Input>,
     ) {
         match input {
-            Input::SendEnded {
+            Input::AttemptEnded {
                 event, fate, wait, ..
             } => {
                 let (lane, written) = about.expect("an answer is about a lane");
                 if self.events.get(event).is_none_or(|event| event.ended) {
                     return;
                 }
-                self.send_heard(at, event, fate, wait, lane, written);
+                self.on_attempt_ended(at, event, fate, wait, lane, written);
                 inputs.push(input);
                 if fate == AttemptOutcome::Delivered {
-                    self.delivered(at, event);
+                    self.on_delivered(at, event);
                 }
             }
-            Input::Listed {
+            Input::EndpointListed {
                 target, listing, ..
             } => self.list_one(at, target, listing, inputs),
-            Input::Heard { event } => {
+            Input::CompletionAcknowledged { event } => {
                 let Some(held) = self.events.remove(event) else {
                     return;
                 };
                 self.forwarders[at as usize].held -= 1;
-                self.tell(Observation::CompletionAcknowledged { event: held.number });
+                self.observe(Observation::CompletionAcknowledged { event: held.number });
                 inputs.push(input);
             }
             other => inputs.push(other),
         }
     }
 
-    pub(super) fn send_heard(
+    pub(super) fn on_attempt_ended(
         &mut self,
         at: u32,
         key: EventKey,
@@ -208,7 +208,7 @@
                     .get_or_insert((event.sent_at, zone.unwrap_or(0)));
             }
         }
-        event.ticket.cause = match fate {
+        event.client_event.cause = match fate {
             AttemptOutcome::Rejected => LossCause::Refused,
             AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => LossCause::Unconnected,
             AttemptOutcome::TimedOut => LossCause::Unanswered,
@@ -225,14 +225,14 @@
             }
         };
         if written {
-            self.tell(Observation::AttemptEnded {
+            self.observe(Observation::AttemptEnded {
                 forwarder: at,
                 event: number,
                 outcome: cut,
             });
         }
         if wait > 0.0 {
-            self.tell(Observation::RetryAfterReceived {
+            self.observe(Observation::RetryAfterReceived {
                 forwarder: at,
                 lane,
                 until: self.now + wait,
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -4,17 +4,17 @@
 
 mod answers;
 mod calls;
-mod clients_side;
-mod cold;
 mod connections;
-mod ground;
-mod lists;
-mod lives;
-mod parts;
-mod rounds;
-mod starts;
+mod destinations;
+mod endpoint_list;
+mod faults;
+mod iterations;
+mod process_start;
+mod processes;
+mod state;
 mod step;
-mod troubles;
+mod submissions;
+mod warm_up;
 
 use plankhill_decisions::interface::TargetId;
 use plankhill_forwarder_config::scenario::{FaultKind, Ms, Scenario};
@@ -23,27 +23,28 @@
 use rustc_hash::FxHashMap;
 use slotmap::{new_key_type, SlotMap};
 
-use crate::clients::{Clients, Ticket};
+use crate::affected::Affected;
+use crate::clients::{ClientEvent, Clients};
 use crate::deciders::{EventKey, TargetNames};
 use crate::outcome::{LossCause, Outcome};
 use crate::queue::Queue;
 use crate::random::{exponential, stream, AnswerTimes, RandomStream};
-use crate::struck::Struck;
 use crate::tally::Tally;
 
-use ground::{Destination, Lane, Target};
-use parts::{Call, Event, Forwarder};
+use destinations::{Destination, Lane, Target};
+use state::{Call, Event, Forwarder};
 use step::Step;
 
 new_key_type! { struct CallKey; }
 
+/// A day that is being simulated.
 pub struct World<'a> {
     scenario: &'a Scenario,
     now: Ms,
     queue: Queue<Step>,
     clients: Clients<'a>,
-    next_arrival: Option<Ticket>,
-    struck: Struck,
+    next_arrival: Option<ClientEvent>,
+    struck: Affected,
     answers: Vec<AnswerTimes>,
     latency: Vec<Vec<Ms>>,
     destinations: Vec<Destination>,
@@ -65,19 +66,20 @@
     /// Events on their way to a forwarder: clients mean to hand them in again, or they lie unread.
     coming: usize,
     /// The day ends then, whatever is still open: all patience is long over.
-    given_up_at: Ms,
-    chance_answers: ChaCha8Rng,
-    chance_network: ChaCha8Rng,
-    chance_faults: ChaCha8Rng,
-    chance_lists: ChaCha8Rng,
-    chance_returns: ChaCha8Rng,
+    ends_at: Ms,
+    rng_answers: ChaCha8Rng,
+    rng_network: ChaCha8Rng,
+    rng_faults: ChaCha8Rng,
+    rng_lists: ChaCha8Rng,
+    rng_returns: ChaCha8Rng,
     tracks_connections: bool,
 }
 
 impl<'a> World<'a> {
+    /// The day of a scenario at its start.
     pub fn new(scenario: &'a Scenario) -> Self {
         let seed = scenario.seed;
-        let struck = Struck::new(scenario, seed);
+        let struck = Affected::new(scenario, seed);
         let rules = &scenario.rules;
         let bounds = Bounds {
             drain_grace: rules.grace,
@@ -85,7 +87,7 @@
             effects_remembered_for: 2.0 * scenario.longest_patience() + 120_000.0,
             ..Bounds::default()
         };
-        let (destinations, targets, lanes) = ground::build(scenario, &struck, seed);
+        let (destinations, targets, lanes) = destinations::build(scenario, &struck, seed);
         let names = (0..targets.len())
             .map(|at| TargetId(at.to_string().into()))
             .collect::<Vec<_>>();
@@ -122,21 +124,21 @@
             tally: Tally::new(scenario, &struck),
             taken: 0,
             coming: 0,
-            given_up_at: scenario.length + 2.0 * scenario.longest_patience() + 60_000.0,
-            chance_answers: stream(seed, RandomStream::Answers),
-            chance_network: stream(seed, RandomStream::Network),
-            chance_faults: stream(seed, RandomStream::Faults),
-            chance_lists: stream(seed, RandomStream::Lists),
-            chance_returns: stream(seed, RandomStream::Returns),
+            ends_at: scenario.length + 2.0 * scenario.longest_patience() + 60_000.0,
+            rng_answers: stream(seed, RandomStream::Answers),
+            rng_network: stream(seed, RandomStream::Network),
+            rng_faults: stream(seed, RandomStream::Faults),
+            rng_lists: stream(seed, RandomStream::Lists),
+            rng_returns: stream(seed, RandomStream::Returns),
             struck,
             tracks_connections: half_open,
         };
         world.forwarders = (0..scenario.forwarders.count)
             .map(|at| world.new_forwarder(at as u32))
             .collect();
-        world.foresee_troubles();
-        if let Some(ticket) = &world.next_arrival {
-            world.queue.put(ticket.first_at, Step::Arrival);
+        world.schedule_faults();
+        if let Some(client_event) = &world.next_arrival {
+            world.queue.put(client_event.first_at, Step::Arrival);
         }
         world.queue.put(world.tally.series.width, Step::Sample);
         world
@@ -148,7 +150,7 @@
             return false;
         };
         let quiet = self.events.is_empty() && self.coming == 0 && at > self.scenario.length;
-        if quiet || at > self.given_up_at {
+        if quiet || at > self.ends_at {
             self.queue.put(at, step);
             return false;
         }
@@ -158,6 +160,7 @@
         true
     }
 
+    /// Milliseconds since the start of the day.
     pub fn now(&self) -> Ms {
         self.now
     }
@@ -167,55 +170,57 @@
         self.events.len()
     }
 
+    /// The counts so far.
     pub fn totals(&self) -> &crate::outcome::Totals {
         &self.tally.totals
     }
 
+    /// Ends the day.
     pub fn outcome(mut self) -> Outcome {
         self.checker.finish(self.now);
         // What no forwarder holds any more but a client still meant to hand in is over with the day.
         let mut left = Vec::new();
         while let Some((_, step)) = self.queue.pop() {
-            if let Step::HandIn(ticket) = step {
-                left.push(*ticket);
+            if let Step::Submit(client_event) = step {
+                left.push(*client_event);
             }
         }
         left.extend(
             self.events
                 .values()
                 .filter(|event| !event.ended)
-                .map(|event| event.ticket.clone()),
+                .map(|event| event.client_event.clone()),
         );
-        for ticket in left {
+        for client_event in left {
             self.tally
-                .unpaid(self.scenario, &ticket, LossCause::DayOver);
+                .unpaid(self.scenario, &client_event, LossCause::DayOver);
         }
         self.tally
             .outcome(self.scenario, self.scenario.seed, &self.checker)
     }
 
-    fn tell(&mut self, fact: Observation) {
+    fn observe(&mut self, fact: Observation) {
         self.checker.observe(self.now, fact);
     }
 
-    fn arrival(&mut self) {
-        let ticket = self.next_arrival.take().expect("foreseen");
+    fn submit_next(&mut self) {
+        let client_event = self.next_arrival.take().expect("foreseen");
         self.next_arrival = self.clients.next();
         if let Some(next) = &self.next_arrival {
             self.queue.put(next.first_at, Step::Arrival);
         }
-        self.tally.asked(self.scenario, &ticket);
-        self.hand_in(ticket);
+        self.tally.asked(self.scenario, &client_event);
+        self.submit(client_event);
     }
 
     /// One way between two zones, with jitter; `None` if the message is lost.
     fn travel(&mut self, from: usize, to: usize) -> Option<Ms> {
         let network = &self.scenario.network;
-        if network.loss > 0.0 && crate::random::uniform(&mut self.chance_network) < network.loss {
+        if network.loss > 0.0 && crate::random::uniform(&mut self.rng_network) < network.loss {
             return None;
         }
         let jitter = if network.jitter > 0.0 {
-            exponential(&mut self.chance_network, network.jitter)
+            exponential(&mut self.rng_network, network.jitter)
         } else {
             0.0
         };
--- a/forwarder/emulator/src/world/starts.rs
+++ b/forwarder/emulator/src/world/process_start.rs
@@ -5,7 +5,7 @@
 use plankhill_invariants::Observation;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use super::parts::Forwarder;
+use super::state::Forwarder;
 use super::{Step, World};
 use crate::deciders::{self, Decider, EventKey, Input};
 
@@ -15,26 +15,26 @@
         Forwarder {
             decider: Some(self.start_decider(at, 0)),
             zone,
-            life: 0,
+            incarnation: 0,
             inbox: Vec::new(),
-            round_called: false,
-            last_round: f64::NEG_INFINITY,
-            next_ring: f64::INFINITY,
+            iteration_scheduled: false,
+            last_iteration: f64::NEG_INFINITY,
+            next_wake_up: f64::INFINITY,
             stalled_until: 0.0,
             died_at: None,
             closing: None,
             heard: 0,
             missed: Vec::new(),
-            list_called: false,
+            list_update_scheduled: false,
             list_frozen_until: 0.0,
-            told: FxHashSet::default(),
+            introduced: FxHashSet::default(),
             held: 0,
             idle: FxHashMap::default(),
             cold: FxHashMap::default(),
         }
     }
 
-    pub(super) fn start_decider(&self, at: u32, life: u32) -> Box<dyn Decider> {
+    pub(super) fn start_decider(&self, at: u32, incarnation: u32) -> Box<dyn Decider> {
         let (scenario, rules) = (self.scenario, &self.scenario.rules);
         let traffic = scenario.traffic.iter().map(|of| TrafficType {
             idempotency: match of.effect {
@@ -56,7 +56,7 @@
             max_events_per_call: group.events_per_call,
         });
         let terms = DecisionConfig {
-            seed: scenario.seed ^ (life as u64) << 48,
+            seed: scenario.seed ^ (incarnation as u64) << 48,
             instance: at as u64,
             forwarder_count: scenario.forwarders.count as f64,
             traffic_types: traffic.collect(),
@@ -79,16 +79,16 @@
     }
 
     /// A new process: the list as it stands, then all that is still owed, in the order taken.
-    pub(super) fn starts(&mut self, at: u32) {
-        let life = self.forwarders[at as usize].life;
-        self.tell(Observation::Resumed {
+    pub(super) fn start_process(&mut self, at: u32) {
+        let incarnation = self.forwarders[at as usize].incarnation;
+        self.observe(Observation::Resumed {
             forwarder: at,
             is_new_process: true,
         });
-        let decider = self.start_decider(at, life);
+        let decider = self.start_decider(at, incarnation);
         let it = &mut self.forwarders[at as usize];
         (it.decider, it.died_at, it.stalled_until) = (Some(decider), None, 0.0);
-        (it.heard, it.last_round) = (self.changes.len(), self.now);
+        (it.heard, it.last_iteration) = (self.changes.len(), self.now);
         it.missed.clear();
         let owed = self
             .events
@@ -98,14 +98,16 @@
         owed.sort_unstable();
         let mut inputs = Vec::new();
         for (_, event) in owed {
-            let destination = self.events[event].ticket.destination;
-            self.introduce(at, destination, &mut inputs);
+            let destination = self.events[event].client_event.destination;
+            self.introduce_destination(at, destination, &mut inputs);
             let held = &mut self.events[event];
             let was_out = held.out.take().is_some();
-            let (traffic, patience_ends) =
-                (held.ticket.traffic as usize, held.ticket.patience_ends);
-            let key = held.ticket.key;
-            inputs.push(Input::Taken {
+            let (traffic, patience_ends) = (
+                held.client_event.traffic as usize,
+                held.client_event.patience_ends,
+            );
+            let key = held.client_event.key;
+            inputs.push(Input::Accepted {
                 event,
                 destination,
                 traffic,
@@ -115,7 +117,7 @@
             });
             let (sends, may_have_run) = (held.sends, held.may_have_run);
             if sends > 0 {
-                inputs.push(Input::Restored {
+                inputs.push(Input::AttemptsRestored {
                     event,
                     sends,
                     may_have_run,
@@ -123,10 +125,10 @@
                 });
             }
             if held.ended {
-                inputs.push(Input::EndedBefore { event });
+                inputs.push(Input::CompletionRestored { event });
                 self.queue.put(
                     self.now + self.scenario.forwarders.notice,
-                    Step::Heard(at, life, event),
+                    Step::CompletionAcknowledged(at, incarnation, event),
                 );
             }
         }
@@ -137,8 +139,8 @@
         for (target, (since, usual)) in cold {
             let destination = self.targets[target as usize].destination;
             if self.now - since < self.scenario.rules.warm_after {
-                self.introduce(at, destination, &mut inputs);
-                inputs.push(Input::WasCold {
+                self.introduce_destination(at, destination, &mut inputs);
+                inputs.push(Input::WarmUpRestored {
                     target,
                     since,
                     usual,
--- a/forwarder/emulator/src/world/lives.rs
+++ b/forwarder/emulator/src/world/processes.rs
@@ -6,7 +6,7 @@
 use plankhill_invariants::{AttemptEnd, Observation};
 use rustc_hash::FxHashSet;
 
-use super::parts::Incoming;
+use super::state::Incoming;
 use super::{CallKey, Step, World};
 use crate::deciders::{EventKey, Input};
 use crate::outcome::LossCause;
@@ -16,83 +16,83 @@
 pub(super) const CLOSING_LEAST: Ms = 1_000.0;
 
 impl World<'_> {
-    pub(super) fn stalls(&mut self, at: u32, until: Ms) {
+    pub(super) fn stall(&mut self, at: u32, until: Ms) {
         let it = &mut self.forwarders[at as usize];
         if it.decider.is_none() {
             return;
         }
         it.stalled_until = it.stalled_until.max(until);
-        let life = it.life;
-        self.tell(Observation::Halted { forwarder: at });
-        self.queue.put(until, Step::Recovers(at, life));
+        let incarnation = it.incarnation;
+        self.observe(Observation::Halted { forwarder: at });
+        self.queue.put(until, Step::StallEnds(at, incarnation));
     }
 
-    pub(super) fn recovers(&mut self, at: u32, life: u32) {
+    pub(super) fn end_stall(&mut self, at: u32, incarnation: u32) {
         let it = &self.forwarders[at as usize];
-        if it.life == life && it.stalled_until <= self.now {
-            self.tell(Observation::Resumed {
+        if it.incarnation == incarnation && it.stalled_until <= self.now {
+            self.observe(Observation::Resumed {
                 forwarder: at,
                 is_new_process: false,
             });
-            self.call_round(at);
+            self.schedule_iteration(at);
         }
     }
 
-    pub(super) fn asked_to_end(&mut self, at: u32) {
+    pub(super) fn begin_shutdown(&mut self, at: u32) {
         let it = &mut self.forwarders[at as usize];
         if it.decider.is_none() || it.closing.is_some() {
             return;
         }
         let ends = self.now + self.scenario.forwarders.closing;
         it.closing = Some((self.now, ends));
-        let life = it.life;
-        self.incoming(at, Input::Closing { ends }, None);
-        self.queue.put(ends, Step::LifeEnds(at, life));
+        let incarnation = it.incarnation;
+        self.incoming(at, Input::ShutdownBegan { ends }, None);
+        self.queue.put(ends, Step::IncarnationEnds(at, incarnation));
         self.queue
-            .put(self.now + CLOSING_LEAST, Step::Ring(at, life));
+            .put(self.now + CLOSING_LEAST, Step::WakeUp(at, incarnation));
     }
 
-    pub(super) fn life_ends(&mut self, at: u32, life: u32) {
-        if self.forwarders[at as usize].life == life {
-            self.process_ends(at, self.scenario.forwarders.restart, true);
+    pub(super) fn end_incarnation(&mut self, at: u32, incarnation: u32) {
+        if self.forwarders[at as usize].incarnation == incarnation {
+            self.end_process(at, self.scenario.forwarders.restart, true);
         }
     }
 
     /// The process is gone at once. With its folder kept, the next one goes on from there; with the machine
     /// lost, clients learn of it, and what may have run and binds does not come again.
-    pub(super) fn process_ends(&mut self, at: u32, gone_for: Ms, folder_kept: bool) {
+    pub(super) fn end_process(&mut self, at: u32, gone_for: Ms, folder_kept: bool) {
         let it = &mut self.forwarders[at as usize];
         if it.decider.take().is_none() {
             return;
         }
-        it.life += 1;
+        it.incarnation += 1;
         it.died_at = Some(self.now);
         it.closing = None;
-        it.round_called = false;
-        it.next_ring = f64::INFINITY;
-        it.told.clear();
+        it.iteration_scheduled = false;
+        it.next_wake_up = f64::INFINITY;
+        it.introduced.clear();
         let inbox = std::mem::take(&mut it.inbox);
         let targets: Vec<u32> = it.idle.keys().copied().collect();
-        self.tell(Observation::Halted { forwarder: at });
-        targets
-            .into_iter()
-            .for_each(|target| self.close_idle(at, target));
+        self.observe(Observation::Halted { forwarder: at });
+        for target in targets {
+            self.close_idle(at, target);
+        }
         let mut unwritten = FxHashSet::default();
         // What lay unread is as if never said: a client that was not answered hands in again.
         for incoming in inbox {
             match incoming {
-                Incoming::HandIn(ticket) => {
+                Incoming::HandIn(client_event) => {
                     self.coming -= 1;
-                    self.not_handed_in(ticket)
+                    self.on_no_forwarder(client_event)
                 }
-                Incoming::Input(Input::Heard { event }, _) => {
+                Incoming::Input(Input::CompletionAcknowledged { event }, _) => {
                     // The client has heard, only the process has not.
                     if let Some(held) = self.events.remove(event) {
                         self.forwarders[at as usize].held -= 1;
-                        self.tell(Observation::CompletionAcknowledged { event: held.number });
+                        self.observe(Observation::CompletionAcknowledged { event: held.number });
                     }
                 }
-                Incoming::Input(Input::SendEnded { event, .. }, Some((_, false))) => {
+                Incoming::Input(Input::AttemptEnded { event, .. }, Some((_, false))) => {
                     unwritten.insert(event);
                 }
                 Incoming::Input(..) => (),
@@ -102,7 +102,7 @@
         if !folder_kept {
             self.machine_lost(at);
         }
-        self.queue.put(self.now + gone_for, Step::Starts(at));
+        self.queue.put(self.now + gone_for, Step::ProcessStarts(at));
     }
 
     /// The forwarder's side of all its calls is over: what was written may run. Its record can't tell what
@@ -111,11 +111,11 @@
         let ours = self
             .calls
             .iter()
-            .filter(|(_, call)| call.forwarder == at && !call.over_here);
+            .filter(|(_, call)| call.forwarder == at && !call.abandoned_by_sender);
         let ours: Vec<CallKey> = ours.map(|(key, _)| key).collect();
         for key in ours {
             let call = &mut self.calls[key];
-            call.over_here = true;
+            call.abandoned_by_sender = true;
             let (target, written) = (call.target, call.written);
             // A connection that is coming up is given back when it is up.
             let coming_up = !written && call.fate != AttemptOutcome::ConnectFailed;
@@ -142,7 +142,7 @@
             let event = &mut self.events[key];
             event.may_have_run.get_or_insert((event.sent_at, zone));
             if !unwritten.contains(&key) {
-                self.tell(Observation::AttemptEnded {
+                self.observe(Observation::AttemptEnded {
                     forwarder: at,
                     event: number,
                     outcome: AttemptEnd::CutShort,
@@ -167,21 +167,22 @@
         self.forwarders[at as usize].held = 0;
         for (number, key) in held {
             let event = self.events.remove(key).expect("held");
-            self.tell(Observation::EventLost { event: number });
-            if event.ended && event.unheard.is_none() {
+            self.observe(Observation::EventLost { event: number });
+            if event.ended && event.unacknowledged.is_none() {
                 continue; // its client has heard
             }
             self.tally.totals.lost += 1;
-            let mut ticket = event.ticket;
-            ticket.cause = LossCause::NoForwarder;
-            let binds = self.scenario.traffic[ticket.traffic as usize].effect == Repeats::Binding;
+            let mut client_event = event.client_event;
+            client_event.cause = LossCause::NoForwarder;
+            let binds =
+                self.scenario.traffic[client_event.traffic as usize].effect == Repeats::Binding;
             if event.ended || binds && event.may_have_run.is_some() {
                 self.tally
-                    .unpaid(self.scenario, &ticket, LossCause::NoForwarder);
+                    .unpaid(self.scenario, &client_event, LossCause::NoForwarder);
                 continue;
             }
-            let again = exponential(&mut self.chance_returns, self.scenario.clients.again_after);
-            self.comes_again(ticket, again);
+            let again = exponential(&mut self.rng_returns, self.scenario.clients.again_after);
+            self.resubmit_later(client_event, again);
         }
     }
 }
--- a/forwarder/emulator/src/world/parts.rs
+++ b/forwarder/emulator/src/world/state.rs
@@ -4,12 +4,12 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::CallKey;
-use crate::clients::Ticket;
+use crate::clients::ClientEvent;
 use crate::deciders::{Decider, EventKey, Input};
 
 /// An event that a forwarder has taken on.
 pub(super) struct Event {
-    pub ticket: Ticket,
+    pub client_event: ClientEvent,
     /// In the order taken, over all forwarders.
     pub number: u64,
     pub forwarder: u32,
@@ -19,11 +19,11 @@
     pub out: Option<CallKey>,
     pub ended: bool,
     /// Its end goes by a notice that was not heard yet: dismissed, with a time to come back.
-    pub unheard: Option<(bool, Option<Ms>)>,
+    pub unacknowledged: Option<(bool, Option<Ms>)>,
 }
 
 pub(super) enum Incoming {
-    HandIn(Ticket),
+    HandIn(ClientEvent),
     /// With the lane of the call that it is about, and whether that call was written.
     Input(Input, Option<(u32, bool)>),
 }
@@ -32,11 +32,11 @@
     pub decider: Option<Box<dyn Decider>>,
     pub zone: usize,
     /// Counts its processes.
-    pub life: u32,
+    pub incarnation: u32,
     pub inbox: Vec<Incoming>,
-    pub round_called: bool,
-    pub last_round: Ms,
-    pub next_ring: Ms,
+    pub iteration_scheduled: bool,
+    pub last_iteration: Ms,
+    pub next_wake_up: Ms,
     pub stalled_until: Ms,
     pub died_at: Option<Ms>,
     /// Asked to end: since when, and by when.
@@ -45,12 +45,12 @@
     pub heard: usize,
     /// What a partial hearing left out.
     pub missed: Vec<u32>,
-    pub list_called: bool,
+    pub list_update_scheduled: bool,
     pub list_frozen_until: Ms,
     /// Destinations that its decisions were told of.
-    pub told: FxHashSet<u32>,
+    pub introduced: FxHashSet<u32>,
     pub held: usize,
-    pub idle: FxHashMap<u32, Vec<Idle>>,
+    pub idle: FxHashMap<u32, Vec<IdleConnection>>,
     /// Targets whose lane was cold, for its next life.
     pub cold: FxHashMap<u32, (Ms, f64)>,
 }
@@ -65,7 +65,7 @@
 }
 
 /// A connection that no call uses.
-pub(super) struct Idle {
+pub(super) struct IdleConnection {
     pub since: Ms,
     /// The target has dropped it, unseen.
     pub dropped: bool,
@@ -73,10 +73,10 @@
 
 pub(super) struct Call {
     pub forwarder: u32,
-    pub life: u32,
+    pub incarnation: u32,
     pub target: u32,
     pub lane: u32,
-    pub ping: bool,
+    pub is_health_check: bool,
     pub members: Vec<Member>,
     pub began: Ms,
     pub written: bool,
@@ -85,7 +85,7 @@
     /// The target had dropped that connection.
     pub dropped: bool,
     /// The forwarder does not wait for it any more.
-    pub over_here: bool,
+    pub abandoned_by_sender: bool,
     /// The target has it: in its queue or being served.
     pub there: bool,
     pub served: bool,
@@ -95,7 +95,7 @@
     pub fate: AttemptOutcome,
     pub wait: Ms,
     /// It is never answered.
-    pub mute: bool,
+    pub never_answered: bool,
     /// Multiplies what a target takes.
     pub work: f64,
 }
--- a/forwarder/emulator/src/world/step.rs
+++ b/forwarder/emulator/src/world/step.rs
@@ -3,7 +3,7 @@
 use plankhill_forwarder_config::scenario::Ms;
 
 use super::{CallKey, World};
-use crate::clients::Ticket;
+use crate::clients::ClientEvent;
 use crate::deciders::EventKey;
 
 /// What happens at its time. Two at one instant happen in the order in which they were foreseen; a round
@@ -11,65 +11,69 @@
 pub(super) enum Step {
     /// The next event of the clients' stream.
     Arrival,
-    HandIn(Box<Ticket>),
-    Round(u32),
+    Submit(Box<ClientEvent>),
+    Iteration(u32),
     /// A wake-up that the forwarder's decisions asked for; of this life of it.
-    Ring(u32, u32),
+    WakeUp(u32, u32),
     Connected(CallKey),
     /// The call's last byte is at its target.
-    Reaches(CallKey),
+    Arrives(CallKey),
     Served(CallKey),
     /// The answer is at the forwarder.
     Answered(CallKey),
-    TimeOut(CallKey),
-    Reaped(u32, u32, Ms),
+    TimedOut(CallKey),
+    IdleConnectionDropped(u32, u32, Ms),
     /// The notice of an event's end is heard.
-    Heard(u32, u32, EventKey),
-    ListHeard(u32),
-    Begins(u16),
-    Turns(u16),
-    Ends(u16),
+    CompletionAcknowledged(u32, u32, EventKey),
+    ListUpdate(u32),
+    FaultBegins(u16),
+    FaultToggles(u16),
+    FaultEnds(u16),
     /// A target of a trouble that takes them one by one.
-    OneByOne(u16, u32),
-    GoneFor(u16),
-    Strike(u16, u32),
-    Recovers(u32, u32),
-    LifeEnds(u32, u32),
-    Starts(u32),
-    Warm(u32, Ms),
-    Upright(u32),
+    ReplaceOne(u16, u32),
+    RemoveDraining(u16),
+    StrikeForwarder(u16, u32),
+    StallEnds(u32, u32),
+    IncarnationEnds(u32, u32),
+    ProcessStarts(u32),
+    WarmedUp(u32, Ms),
+    OverloadEnds(u32),
     Sample,
 }
 
 impl World<'_> {
     pub(super) fn take_step(&mut self, step: Step) {
         match step {
-            Step::Arrival => self.arrival(),
-            Step::HandIn(ticket) => {
+            Step::Arrival => self.submit_next(),
+            Step::Submit(client_event) => {
                 self.coming -= 1;
-                self.hand_in(*ticket)
+                self.submit(*client_event)
             }
-            Step::Round(at) => self.round(at),
-            Step::Ring(at, life) => self.ring(at, life),
-            Step::Connected(call) => self.connected(call),
-            Step::Reaches(call) => self.reaches(call),
-            Step::Served(call) => self.served(call),
-            Step::Answered(call) => self.answered(call),
-            Step::TimeOut(call) => self.time_out(call),
-            Step::Reaped(at, target, since) => self.reaped(at, target, since),
-            Step::Heard(at, life, event) => self.heard(at, life, event),
-            Step::ListHeard(at) => self.list_heard(at),
-            Step::Begins(trouble) => self.begins(trouble),
-            Step::Turns(trouble) => self.turns(trouble),
-            Step::Ends(trouble) => self.ends(trouble),
-            Step::OneByOne(trouble, place) => self.replace_one(trouble, place),
-            Step::GoneFor(trouble) => self.gone_for_good(trouble),
-            Step::Strike(trouble, at) => self.strike_forwarder(trouble, at),
-            Step::Recovers(at, life) => self.recovers(at, life),
-            Step::LifeEnds(at, life) => self.life_ends(at, life),
-            Step::Starts(at) => self.starts(at),
-            Step::Warm(lane, since) => self.warm(lane, since),
-            Step::Upright(lane) => self.upright(lane),
+            Step::Iteration(at) => self.run_iteration(at),
+            Step::WakeUp(at, incarnation) => self.wake_up(at, incarnation),
+            Step::Connected(call) => self.on_connected(call),
+            Step::Arrives(call) => self.arrive(call),
+            Step::Served(call) => self.on_served(call),
+            Step::Answered(call) => self.on_answer(call),
+            Step::TimedOut(call) => self.time_out(call),
+            Step::IdleConnectionDropped(at, target, since) => {
+                self.drop_idle_connection(at, target, since)
+            }
+            Step::CompletionAcknowledged(at, incarnation, event) => {
+                self.on_acknowledged(at, incarnation, event)
+            }
+            Step::ListUpdate(at) => self.receive_list_update(at),
+            Step::FaultBegins(trouble) => self.begin_fault(trouble),
+            Step::FaultToggles(trouble) => self.toggle_fault(trouble),
+            Step::FaultEnds(trouble) => self.end_fault(trouble),
+            Step::ReplaceOne(trouble, place) => self.replace_one(trouble, place),
+            Step::RemoveDraining(trouble) => self.gone_for_good(trouble),
+            Step::StrikeForwarder(trouble, at) => self.strike_forwarder(trouble, at),
+            Step::StallEnds(at, incarnation) => self.end_stall(at, incarnation),
+            Step::IncarnationEnds(at, incarnation) => self.end_incarnation(at, incarnation),
+            Step::ProcessStarts(at) => self.start_process(at),
+            Step::WarmedUp(lane, since) => self.end_warm_up(lane, since),
+            Step::OverloadEnds(lane) => self.end_overload(lane),
             Step::Sample => self.sample(),
         }
     }
--- a/forwarder/emulator/src/world/clients_side.rs
+++ b/forwarder/emulator/src/world/submissions.rs
@@ -3,9 +3,9 @@
 use plankhill_decisions::interface::{EndpointState, Ms};
 use plankhill_invariants::{Completion, Observation};
 
-use super::parts::{Event, Incoming};
+use super::state::{Event, Incoming};
 use super::{Step, World};
-use crate::clients::Ticket;
+use crate::clients::ClientEvent;
 use crate::deciders::{EventKey, Input};
 use crate::outcome::LossCause;
 use crate::random::{between, exponential, uniform};
@@ -18,12 +18,12 @@
 impl World<'_> {
     /// The layer before the forwarders passes an event on: those of one key to one forwarder while it is
     /// there, as far as that layer knows.
-    pub(super) fn hand_in(&mut self, ticket: Ticket) {
+    pub(super) fn submit(&mut self, client_event: ClientEvent) {
         self.tally.totals.handed_in += 1;
         let count = self.forwarders.len();
-        let first = match ticket.key {
+        let first = match client_event.key {
             Some(key) => (key.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % count,
-            None => (uniform(&mut self.chance_returns) * count as f64) as usize,
+            None => (uniform(&mut self.rng_returns) * count as f64) as usize,
         };
         let lag = self.scenario.forwarders.front_lag;
         let believed = |at: &usize| {
@@ -32,37 +32,44 @@
         };
         let chosen = (0..count).map(|step| (first + step) % count).find(believed);
         let Some(chosen) = chosen.filter(|at| self.forwarders[*at].decider.is_some()) else {
-            return self.not_handed_in(ticket);
+            return self.on_no_forwarder(client_event);
         };
         self.coming += 1;
-        self.forwarders[chosen].inbox.push(Incoming::HandIn(ticket));
-        self.call_round(chosen as u32);
+        self.forwarders[chosen]
+            .inbox
+            .push(Incoming::HandIn(client_event));
+        self.schedule_iteration(chosen as u32);
     }
 
-    pub(super) fn at_the_door(&mut self, at: u32, mut ticket: Ticket, inputs: &mut Vec<Input>) {
+    pub(super) fn accept_submission(
+        &mut self,
+        at: u32,
+        mut client_event: ClientEvent,
+        inputs: &mut Vec<Input>,
+    ) {
         let it = &self.forwarders[at as usize];
         if it.closing.is_some() {
-            return self.not_handed_in(ticket);
+            return self.on_no_forwarder(client_event);
         }
-        self.introduce(at, ticket.destination, inputs);
+        self.introduce_destination(at, client_event.destination, inputs);
         let heard = self.forwarders[at as usize].heard;
-        let targets = &self.destinations[ticket.destination as usize].targets;
+        let targets = &self.destinations[client_event.destination as usize].targets;
         let named = targets
             .iter()
             .any(|target| self.targets[*target as usize].as_of(heard) != EndpointState::Removed);
         let full = self.forwarders[at as usize].held >= self.scenario.forwarders.room;
-        if full || !named || ticket.patience_ends - self.now < LEAST_PATIENCE {
-            ticket.cause = LossCause::NoRoom;
+        if full || !named || client_event.patience_ends - self.now < LEAST_PATIENCE {
+            client_event.cause = LossCause::NoRoom;
             self.tally.totals.dismissed += 1;
-            return self.dismissed(ticket, self.scenario.rules.longest_advice);
+            return self.on_rejected(client_event, self.scenario.rules.longest_advice);
         }
         self.taken += 1;
         let number = self.taken;
-        let effect = self.effect(ticket.traffic);
-        let of = &self.scenario.traffic[ticket.traffic as usize];
-        let key = ticket.key.filter(|_| of.ordered);
-        let (origin, patience_ends) = (ticket.origin, ticket.patience_ends);
-        self.tell(Observation::Accepted {
+        let effect = self.effect(client_event.traffic);
+        let of = &self.scenario.traffic[client_event.traffic as usize];
+        let key = client_event.key.filter(|_| of.ordered);
+        let (origin, patience_ends) = (client_event.origin, client_event.patience_ends);
+        self.observe(Observation::Accepted {
             forwarder: at,
             event: number,
             origin,
@@ -70,10 +77,10 @@
             key,
             deadline: patience_ends,
         });
-        let (destination, traffic) = (ticket.destination, ticket.traffic as usize);
-        ticket.cause = LossCause::Waited;
+        let (destination, traffic) = (client_event.destination, client_event.traffic as usize);
+        client_event.cause = LossCause::Waited;
         let event = self.events.insert(Event {
-            ticket,
+            client_event,
             number,
             forwarder: at,
             sends: 0,
@@ -81,12 +88,12 @@
             may_have_run: None,
             out: None,
             ended: false,
-            unheard: None,
+            unacknowledged: None,
         });
         self.forwarders[at as usize].held += 1;
         self.tally.totals.taken += 1;
         self.tally.totals.most_held = self.tally.totals.most_held.max(self.events.len() as u64);
-        inputs.push(Input::Taken {
+        inputs.push(Input::Accepted {
             event,
             destination,
             traffic,
@@ -97,24 +104,24 @@
     }
 
     /// Nobody took the event: the client tries again while that can matter.
-    pub(super) fn not_handed_in(&mut self, mut ticket: Ticket) {
-        let again = exponential(&mut self.chance_returns, self.scenario.clients.again_after);
-        ticket.cause = LossCause::NoForwarder;
-        self.comes_again(ticket, again);
+    pub(super) fn on_no_forwarder(&mut self, mut client_event: ClientEvent) {
+        let again = exponential(&mut self.rng_returns, self.scenario.clients.again_after);
+        client_event.cause = LossCause::NoForwarder;
+        self.resubmit_later(client_event, again);
     }
 
-    pub(super) fn comes_again(&mut self, ticket: Ticket, pause: Ms) {
+    pub(super) fn resubmit_later(&mut self, client_event: ClientEvent, pause: Ms) {
         let at = self.now + pause;
-        if at >= ticket.patience_ends {
-            let cause = ticket.cause;
-            return self.tally.unpaid(self.scenario, &ticket, cause);
+        if at >= client_event.patience_ends {
+            let cause = client_event.cause;
+            return self.tally.unpaid(self.scenario, &client_event, cause);
         }
         self.coming += 1;
-        self.queue.put(at, Step::HandIn(Box::new(ticket)));
+        self.queue.put(at, Step::Submit(Box::new(client_event)));
     }
 
     /// The client hears of a dismissal.
-    pub(super) fn dismissed(&mut self, mut ticket: Ticket, come_back_after: Option<Ms>) {
+    pub(super) fn on_rejected(&mut self, mut client_event: ClientEvent, retry_after: Option<Ms>) {
         let of = &self.scenario.clients;
         let storms = self.storm > 0.0;
         let most = if storms {
@@ -122,52 +129,53 @@
         } else {
             of.returns
         };
-        if ticket.returns >= most {
-            let cause = ticket.cause;
-            return self.tally.unpaid(self.scenario, &ticket, cause);
+        if client_event.returns >= most {
+            let cause = client_event.cause;
+            return self.tally.unpaid(self.scenario, &client_event, cause);
         }
-        ticket.returns += 1;
-        let pause = match come_back_after {
-            _ if storms => exponential(&mut self.chance_returns, STORM_PAUSE),
-            Some(advice) => advice * between(&mut self.chance_returns, 1.0, 1.25),
-            None => exponential(&mut self.chance_returns, of.pause),
+        client_event.returns += 1;
+        let pause = match retry_after {
+            _ if storms => exponential(&mut self.rng_returns, STORM_PAUSE),
+            Some(advice) => advice * between(&mut self.rng_returns, 1.0, 1.25),
+            None => exponential(&mut self.rng_returns, of.pause),
         };
-        self.comes_again(ticket, pause);
+        self.resubmit_later(client_event, pause);
     }
 
-    pub(super) fn client_hears(
+    pub(super) fn notify_client(
         &mut self,
-        ticket: Ticket,
+        client_event: ClientEvent,
         dismissed: bool,
-        come_back_after: Option<Ms>,
+        retry_after: Option<Ms>,
     ) {
         if dismissed {
-            self.dismissed(ticket, come_back_after);
+            self.on_rejected(client_event, retry_after);
         } else {
             self.tally
-                .unpaid(self.scenario, &ticket, LossCause::MayHaveRun);
+                .unpaid(self.scenario, &client_event, LossCause::MayHaveRun);
         }
     }
 
-    pub(super) fn delivered(&mut self, at: u32, key: EventKey) {
+    pub(super) fn on_delivered(&mut self, at: u32, key: EventKey) {
         let event = self.events.remove(key).expect("held");
         self.forwarders[at as usize].held -= 1;
-        self.tell(Observation::Completed {
+        self.observe(Observation::Completed {
             forwarder: at,
             event: event.number,
             completion: Completion::Completed,
             by_notification: false,
         });
-        self.tally.delivered(self.scenario, &event.ticket, self.now);
+        self.tally
+            .delivered(self.scenario, &event.client_event, self.now);
     }
 
-    pub(super) fn ended(
+    pub(super) fn on_completed(
         &mut self,
         at: u32,
         key: EventKey,
         dismissed: bool,
-        come_back_after: Option<Ms>,
-        by_notice: bool,
+        retry_after: Option<Ms>,
+        by_notification: bool,
     ) {
         let Some(event) = self.events.get_mut(key) else {
             return;
@@ -184,38 +192,38 @@
         } else {
             Completion::Abandoned
         };
-        self.tell(Observation::Completed {
+        self.observe(Observation::Completed {
             forwarder: at,
             event: number,
             completion: end,
-            by_notification: by_notice,
+            by_notification,
         });
-        if by_notice {
-            self.events[key].unheard = Some((dismissed, come_back_after));
-            let life = self.forwarders[at as usize].life;
+        if by_notification {
+            self.events[key].unacknowledged = Some((dismissed, retry_after));
+            let incarnation = self.forwarders[at as usize].incarnation;
             return self.queue.put(
                 self.now + self.scenario.forwarders.notice,
-                Step::Heard(at, life, key),
+                Step::CompletionAcknowledged(at, incarnation, key),
             );
         }
         let event = self.events.remove(key).expect("seen");
         self.forwarders[at as usize].held -= 1;
-        self.client_hears(event.ticket, dismissed, come_back_after);
+        self.notify_client(event.client_event, dismissed, retry_after);
     }
 
     /// The notice of an end is heard: by the client first, then, as an answer, by the forwarder.
-    pub(super) fn heard(&mut self, at: u32, life: u32, key: EventKey) {
-        if self.forwarders[at as usize].life != life {
-            return; // the next life tells it again
+    pub(super) fn on_acknowledged(&mut self, at: u32, incarnation: u32, key: EventKey) {
+        if self.forwarders[at as usize].incarnation != incarnation {
+            return; // the next incarnation tells it again
         }
         let Some(event) = self.events.get_mut(key) else {
             return;
         };
-        let Some((dismissed, come_back_after)) = event.unheard.take() else {
+        let Some((dismissed, retry_after)) = event.unacknowledged.take() else {
             return;
         };
-        let ticket = event.ticket.clone();
-        self.client_hears(ticket, dismissed, come_back_after);
-        self.incoming(at, Input::Heard { event: key }, None);
+        let client_event = event.client_event.clone();
+        self.notify_client(client_event, dismissed, retry_after);
+        self.incoming(at, Input::CompletionAcknowledged { event: key }, None);
     }
 }
--- a/forwarder/emulator/src/world/cold.rs
+++ b/forwarder/emulator/src/world/warm_up.rs
@@ -6,7 +6,7 @@
 use plankhill_forwarder_config::scenario::Ms;
 use plankhill_invariants::Observation;
 
-use super::ground::Cold;
+use super::destinations::WarmUp;
 use super::{Step, World};
 
 impl World<'_> {
@@ -21,10 +21,10 @@
     }
 
     /// A call or ping of this weight came to a lane: a cold one may fall over under it.
-    pub(super) fn weigh_on(&mut self, lane: u32, forwarder: u32, weight: f64) {
+    pub(super) fn add_load(&mut self, lane: u32, forwarder: u32, weight: f64) {
         let rules = &self.scenario.rules;
         let it = &mut self.lanes[lane as usize];
-        if it.outage || it.tipped_until > self.now {
+        if it.outage || it.overloaded_until > self.now {
             return;
         }
         let Some(cold) = &mut it.cold else { return };
@@ -47,17 +47,17 @@
         let share = if bears > 0.0 { sum / bears } else { f64::MAX };
         self.tally.totals.cold_load = self.tally.totals.cold_load.max(share);
         if share > 1.0 {
-            self.tips(lane);
+            self.overload(lane);
         }
     }
 
-    pub(super) fn tips(&mut self, lane: u32) {
+    pub(super) fn overload(&mut self, lane: u32) {
         self.tally.totals.tipped += 1;
         let it = &mut self.lanes[lane as usize];
         let cold = it.cold.take().expect("only a cold lane tips");
-        it.tipped_until = self.now + self.scenario.rules.tipped;
+        it.overloaded_until = self.now + self.scenario.rules.tipped;
         it.outage = true;
-        let (until, of) = (it.tipped_until, it.destination);
+        let (until, of) = (it.overloaded_until, it.destination);
         let mut load: Vec<(u32, f64)> = Vec::new();
         for (_, forwarder, weight) in cold.recent {
             match load.iter_mut().find(|(who, _)| *who == forwarder) {
@@ -65,19 +65,19 @@
                 None => load.push((forwarder, weight)),
             }
         }
-        self.tell(Observation::Overloaded { lane, load });
-        self.tell(Observation::OutageBegan { lane });
-        self.queue.put(until, Step::Upright(lane));
+        self.observe(Observation::Overloaded { lane, load });
+        self.observe(Observation::OutageBegan { lane });
+        self.queue.put(until, Step::OverloadEnds(lane));
         self.break_calls(of);
     }
 
-    pub(super) fn upright(&mut self, lane: u32) {
+    pub(super) fn end_overload(&mut self, lane: u32) {
         let of = self.lanes[lane as usize].destination;
-        self.note_outages(of);
+        self.update_outages(of);
     }
 
     /// Something changed at a destination: outages begin and end with it.
-    pub(super) fn note_outages(&mut self, destination: u32) {
+    pub(super) fn update_outages(&mut self, destination: u32) {
         let targets = &self.destinations[destination as usize].targets;
         let listed = targets
             .iter()
@@ -87,7 +87,7 @@
         for target in listed {
             let (lane, out) = (
                 self.targets[target as usize].lane,
-                self.plight(target).is_outage(),
+                self.fault_effects(target).is_outage(),
             );
             match lanes.iter_mut().find(|(known, _)| *known == lane) {
                 Some((_, all_out)) => *all_out &= out,
@@ -98,26 +98,26 @@
             let it = &mut self.lanes[lane as usize];
             if out && !it.outage {
                 (it.outage, it.cold) = (true, None);
-                self.tell(Observation::OutageBegan { lane });
+                self.observe(Observation::OutageBegan { lane });
             } else if !out && it.outage {
                 it.outage = false;
-                it.cold = Some(Box::new(Cold {
+                it.cold = Some(Box::new(WarmUp {
                     since: self.now,
                     recent: VecDeque::new(),
                 }));
                 self.queue.put(
                     self.now + self.scenario.rules.warm_after,
-                    Step::Warm(lane, self.now),
+                    Step::WarmedUp(lane, self.now),
                 );
             }
         }
     }
 
-    pub(super) fn warm(&mut self, lane: u32, since: Ms) {
+    pub(super) fn end_warm_up(&mut self, lane: u32, since: Ms) {
         let it = &mut self.lanes[lane as usize];
         if it.cold.as_ref().is_some_and(|cold| cold.since == since) {
             it.cold = None;
-            self.tell(Observation::WarmedUp { lane });
+            self.observe(Observation::WarmedUp { lane });
         }
     }
 }
--- a/forwarder/emulator/tests/days.rs
+++ b/forwarder/emulator/tests/days.rs
@@ -72,9 +72,9 @@
         prop_assert!(outcome.rules.iter().find(|rule| rule.rule.starts_with("one end")).unwrap().broken == 0, "{:?}", outcome.breaches);
         // The module keeps all but what no forwarder can know of (see docs/emulator.md).
         if decisions == "module" {
-            let told = |rule: &str| outcome.rules.iter().find(|known| known.rule == rule).unwrap().broken;
+            let introduced = |rule: &str| outcome.rules.iter().find(|known| known.rule == rule).unwrap().broken;
             for rule in ["drains kept", "key order", "waits heeded"] {
-                prop_assert!(told(rule) == 0, "{:?}", outcome.breaches);
+                prop_assert!(introduced(rule) == 0, "{:?}", outcome.breaches);
             }
         }
     }
