--- a/forwarder/emulator/benches/memory.rs
+++ b/forwarder/emulator/benches/memory.rs
@@ -1,5 +1,5 @@
-//! Bytes that a held event takes in the model, its checker and the module together. All destinations are
-//! down, so that what comes in piles up; allocations are counted, not guessed.
+//! Bytes that a held event takes in the model, its checker and the module together. All
+//! destinations are down, so that what comes in piles up; allocations are counted, not guessed.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/forwarder/emulator/benches/speed.rs
+++ b/forwarder/emulator/benches/speed.rs
@@ -1,5 +1,6 @@
-//! Events a second of one thread, by the number of destinations and of forwarders, and the queue of what is
-//! still to happen against the standard library's heap. Figures stand in `docs/emulator.md`.
+//! Events a second of one thread, by the number of destinations and of forwarders, and the queue of
+//! what is still to happen against the standard library's heap. Figures stand in
+//! `docs/emulator.md`.
 
 #![allow(missing_docs)] // `criterion_group` makes a public function without one
 
--- a/forwarder/emulator/src/affected.rs
+++ b/forwarder/emulator/src/affected.rs
@@ -1,5 +1,5 @@
-//! Which destinations and forwarders each trouble strikes, and how popular each destination is. Worked out
-//! once, from the scenario and the seed.
+//! Which destinations and forwarders each fault strikes, and each destination's share of the
+//! traffic. Determined once, from the scenario and the seed.
 
 use plankhill_forwarder_config::scenario::{Fault, Scenario};
 
@@ -10,9 +10,9 @@
     pub weights: Vec<f64>,
     /// By destination: its group.
     pub groups: Vec<u32>,
-    /// By trouble: the destinations.
+    /// By fault: the destinations.
     pub destinations: Vec<Vec<u32>>,
-    /// By trouble: the forwarders.
+    /// By fault: the forwarders.
     pub forwarders: Vec<Vec<u32>>,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// The destinations, the most used first.
+/// The destinations by their traffic, the most used first.
 pub fn by_use(weights: &[f64]) -> Vec<u32> {
     let mut all: Vec<u32> = (0..weights.len() as u32).collect();
     all.sort_by(|a, b| {
@@ -95,7 +95,8 @@
     list
 }
 
-/// Within a group by Zipf, the first being the most used; groups by their shares.
+/// Each destination's share of the traffic: groups by their shares, and within a group by a Zipf
+/// distribution, the first destination being the most used.
 fn popularity(scenario: &Scenario) -> (Vec<f64>, Vec<u32>) {
     let all: f64 = scenario.destinations.iter().map(|group| group.share).sum();
     let (mut weights, mut groups) = (Vec::new(), Vec::new());
--- a/forwarder/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -1,9 +1,11 @@
-//! An upper bound on a day's payoff, from what no forwarder can know: every trouble, and every arrival, in
-//! advance. It assumes the mean pace of each target, that an event goes at the first instant at which its
-//! destination is there at all, that destinations warm up at once, that forwarders never fail and have
-//! slots without end, and that only capacity, patience and worth bind: order, limits' shapes, pauses, the
-//! network and chance cost nothing. What it says is out of reach; how near a variant comes tells where
-//! payoff is left.
+//! An upper bound on the value that a day can deliver, from what no forwarder can know: every
+//! fault, and every arrival, in advance.
+//!
+//! The bound assumes the mean service time of each target, that an event goes at the first instant
+//! at which its destination is up, that destinations need no warm-up, that forwarders never fail
+//! and have no limit of calls in flight, and that only capacity, deadline and value bind. Order,
+//! the shapes of limits, backoffs, the network and randomness cost nothing. No decider reaches the
+//! bound; how near one comes tells how much value is left to gain.
 
 use plankhill_forwarder_config::scenario::{FaultKind, Ms, Scenario};
 
@@ -14,7 +16,7 @@
 /// The steps in which capacity is counted.
 const STEP: Ms = 1000.0;
 
-/// The most payoff that the day's clients could be paid, as a share of what they ask for.
+/// The bound, as a share of the value of all events.
 pub fn max_value_share(scenario: &Scenario) -> f64 {
     let struck = Affected::new(scenario, scenario.seed);
     let mut events: Vec<Vec<(Ms, u8)>> = vec![Vec::new(); struck.weights.len()];
@@ -37,15 +39,16 @@
     }
 }
 
-/// By descending worth, each event in the latest step with room before its end: for jobs of one size that is
-/// the best there is, and leaving out when each came can only add.
+/// The bound for one destination: by descending value, each event takes the latest step with free
+/// capacity before its deadline. For jobs of one size that schedule is optimal, and ignoring
+/// arrival times can only add.
 fn most_at(scenario: &Scenario, struck: &Affected, destination: u32, events: &[(Ms, u8)]) -> f64 {
     let longest = scenario.longest_patience();
     let steps = ((scenario.length + longest) / STEP).ceil() as usize + 1;
     let open: Vec<f64> = (0..steps)
         .map(|at| capacity(scenario, struck, destination, at as f64 * STEP))
         .collect();
-    // The first step from each on in which the destination is there.
+    // By step, the first step from there on in which the destination is up.
     let mut first_open = vec![steps; steps + 1];
     for at in (0..steps).rev() {
         first_open[at] = if open[at] > 0.0 {
@@ -73,7 +76,7 @@
     let mut room: Vec<f64> = open.iter().map(|calls| calls * STEP / 1000.0).collect();
     let per_call =
         scenario.destinations[struck.groups[destination as usize] as usize].events_per_call as f64;
-    // Where to look next when a step is full.
+    // Where to look next when a step is full (union-find with path compression).
     let mut before: Vec<usize> = (0..=steps).collect();
     let mut paid = 0.0;
     for (worth, last) in jobs {
@@ -95,7 +98,7 @@
     paid
 }
 
-/// Calls a second that the destination serves at a time, knowing all troubles.
+/// Calls a second that the destination serves at a time, knowing all faults.
 fn capacity(scenario: &Scenario, struck: &Affected, destination: u32, at: Ms) -> f64 {
     let group = &scenario.destinations[struck.groups[destination as usize] as usize];
     let each = group.servers as f64 * 1000.0 / group.answer.mean;
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -1,5 +1,5 @@
-//! Who hands events in, when, and for whom: a stream that depends on the scenario and the seed alone, so
-//! that every variant of the forwarders meets the same clients.
+//! The events that clients submit: when, and for which destination. The stream depends on the
+//! scenario and the seed alone, so that every decider meets the same clients.
 
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
 use crate::outcome::LossCause;
 use crate::random::{exponential, stream, uniform, RandomStream};
 
-/// An event as its client sees it, over all the times that it is handed in.
+/// An event as its client sees it, over all its submissions.
 #[derive(Clone, Debug)]
 pub struct ClientEvent {
     pub origin: u64,
@@ -21,13 +21,13 @@
     pub key: Option<u64>,
     pub first_at: Ms,
     pub patience_ends: Ms,
-    /// How often it was dismissed and came again.
+    /// How often the event was rejected and submitted again.
     pub returns: u32,
-    /// What kept it from being delivered so far.
+    /// What kept the event from being delivered so far.
     pub cause: LossCause,
 }
 
-/// What the event is worth when it is delivered at `at`.
+/// The value of an event that is delivered at the time `at`.
 pub fn worth(of: &Traffic, first_at: Ms, at: Ms) -> f64 {
     let late =
         ((at - first_at - of.soft_limit) / (of.patience - of.soft_limit).max(1.0)).clamp(0.0, 1.0);
@@ -42,7 +42,7 @@
 struct Source {
     next_at: Ms,
     ends: Ms,
-    /// The mean time between two at the highest rate.
+    /// The mean time between two events at the highest rate.
     gap: Ms,
     /// The rate follows the day's curve.
     swings: bool,
@@ -122,7 +122,7 @@
                 }
                 FaultKind::MassWake => {
                     let events = (list.len() as f64 * trouble.strength).round();
-                    // A little faster than even, so that all have come before the end.
+                    // A little faster than evenly, so that all have come before the end.
                     let rate = 1050.0 * events / trouble.length.max(1.0);
                     let each = Whose::Each(list.clone(), 0);
                     add(
@@ -183,7 +183,7 @@
     }
 }
 
-/// Events in the order of time; of two sources at one instant the first goes first.
+/// The events in the order of time; of two sources at one instant the first goes first.
 impl Iterator for Clients<'_> {
     type Item = ClientEvent;
 
@@ -230,10 +230,10 @@
     }
 }
 
-/// The rate at a time against the highest of the day.
+/// The rate at a time, as a share of the highest rate of the day.
 fn share_of_peak(scenario: &Scenario, at: Ms) -> f64 {
     let of = &scenario.clients;
-    // A triangle: from the least at the day's ends to the most in its middle.
+    // A triangle: lowest at both ends of the day, highest in its middle.
     let phase: f64 = (at / of.day).fract();
     let height = 1.0 - 2.0 * (2.0 * phase - 1.0).abs();
     (1.0 + of.swing * height) / (1.0 + of.swing)
--- a/forwarder/emulator/src/deciders/baseline.rs
+++ b/forwarder/emulator/src/deciders/baseline.rs
@@ -1,5 +1,7 @@
-//! Baselines: what a service does that was written in a week. They keep an event's class, a key's order, a
-//! told wait and a drain; parking, cold returns, fair turns and making room they do not know.
+//! Baselines to compare the decision module with: the usual retry policies of a simple service.
+//!
+//! They respect idempotency, key order, retry-afters and drains. Offline lanes, warm-up, fair
+//! queueing and load shedding are unknown to them.
 
 mod dispatch;
 
@@ -12,24 +14,26 @@
 use super::{Decider, Decision, EventKey, Input};
 use crate::random::{stream, uniform, RandomStream};
 
-/// What one baseline does beyond trying.
+/// What one baseline does beyond attempting each event.
 pub struct BaselineOptions {
-    /// Sends of one event at the most; the terms' cap holds besides.
+    /// The upper bound of attempts of one event, beside that of the configuration.
     pub sends: u32,
-    /// What a call is given.
+    /// The timeout of a call in milliseconds.
     pub time_out: Ms,
-    /// After five failures in a row nothing is sent for five seconds, then one call decides.
+    /// Circuit breaker: after five failures in a row nothing is sent for five seconds, then one
+    /// call decides.
     pub breaker: bool,
-    /// Further sends may be a tenth of the first ones.
+    /// Retry budget: retries may be a tenth of the first attempts.
     pub budget: bool,
-    /// A destination's calls out grow by one for as many good answers, and are halved by a bad one.
+    /// Additive increase, multiplicative decrease: a destination's limit of calls in flight grows
+    /// by one for as many deliveries, and is halved by a failure.
     pub aimd: bool,
 }
 
-/// Full jitter: evenly from 0 to this, doubling with each send.
+/// Full jitter: the backoff is uniform from 0 to this, doubling with each attempt.
 const FIRST_PAUSE: Ms = 200.0;
 const LONGEST_PAUSE: Ms = 10_000.0;
-/// Ends come so long before patience does.
+/// Events are completed so long before their deadline.
 const LAST_MOMENT: Ms = 30.0;
 
 struct Event {
@@ -246,7 +250,7 @@
             self.forget(key, now);
         } else {
             let again = event.not_before;
-            // Its end may have come due while the send was out.
+            // The event's completion may have come due while its attempt was in flight.
             self.ends
                 .insert(((event.patience_ends - LAST_MOMENT).max(0.0).to_bits(), key));
             to.waiting.insert(event.order, key);
--- a/forwarder/emulator/src/deciders/baseline/dispatch.rs
+++ b/forwarder/emulator/src/deciders/baseline/dispatch.rs
@@ -1,4 +1,4 @@
-//! What a baseline does with what waits: sends it, oldest first, or ends it.
+//! What a baseline does with queued events: attempts them, oldest first, or completes them.
 
 use plankhill_decisions::interface::{Idempotency, Ms};
 use rand::Rng;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether another send is over with, for good.
+    /// Whether no further attempt is possible.
     pub(super) fn hopeless(&self, event: &Event, now: Ms) -> bool {
         let at = now.max(event.not_before);
         let spent = event.sends >= self.terms.max_attempts.min(self.options.sends);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sends what a destination's waiting events allow, oldest first.
+    /// Attempts the destination's queued events, oldest first, as far as its limits allow.
     pub(super) fn serve(&mut self, id: u32, now: Ms, out: &mut Vec<Decision>) {
         let Some(to) = self.destinations.get(&id) else {
             return;
--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -1,5 +1,5 @@
-//! Who decides at a forwarder. The model hands over what came in and takes decisions; whether the module or
-//! a baseline stands behind it is all the same to it.
+//! Who decides at a forwarder: the decision module or a baseline, behind one trait. The world hands
+//! over inputs and carries out decisions.
 
 mod baseline;
 mod module;
@@ -13,7 +13,7 @@
 
 new_key_type! { pub struct EventKey; }
 
-/// What came in at a forwarder, with the numbers of the model.
+/// What came in at a forwarder, with the numbers of the simulation.
 #[derive(Clone, Debug)]
 pub enum Input {
     EndpointListed {
@@ -26,7 +26,7 @@
     EndpointRemoved {
         target: u32,
     },
-    /// `again`: after a restart, so that its end goes by a notice.
+    /// `again`: after a restart, so that the completion goes by a notification.
     Accepted {
         event: EventKey,
         destination: u32,
@@ -100,14 +100,15 @@
 }
 
 pub trait Decider {
-    /// One round: all that came in, in its order; decisions are put behind `out`.
+    /// One iteration of the event loop: all inputs in their order; decisions are appended to `out`.
     fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>);
 }
 
-/// The names of targets, made once for all forwarders.
+/// The ids of targets by number, allocated once for all forwarders.
 pub type TargetNames = Rc<RefCell<Vec<TargetId>>>;
 
-/// `time_out` is what a baseline gives each call.
+/// A decider of the kind. `time_out` is the timeout in milliseconds that a baseline gives each
+/// call.
 pub fn start(
     kind: scenario::Decider,
     terms: DecisionConfig,
--- a/forwarder/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -12,7 +12,8 @@
 pub struct ModuleDecider {
     forwarder: Scheduler,
     names: TargetNames,
-    /// Events taken in the present round: their client still waits, so that no notice is needed.
+    /// Events accepted in the present iteration: their client still waits, so that no notification
+    /// is needed.
     accepted_now: Vec<EventKey>,
 }
 
@@ -126,7 +127,7 @@
             )
         }
         Input::HealthCheckEnded { target, fate } => {
-            // The target may have been forgotten since: then nothing is to be learned from it.
+            // The scheduler may have forgotten the target since; the outcome says nothing then.
             let _ = to.on_health_check_ended(&name(target), fate);
         }
         Input::CompletionAcknowledged { event } => to.on_completion_acknowledged(&event_id(event)),
--- a/forwarder/emulator/src/lib.rs
+++ b/forwarder/emulator/src/lib.rs
@@ -1,7 +1,9 @@
-//! A model of all that a fleet of forwarders meets, in virtual time: destinations with their limits, queues
-//! and outages, the network, clients, and the forwarders themselves, each the real decision module or a
-//! baseline. One seed gives one result. Nothing here does any I/O. `docs/emulator.md` says how the model
-//! is made and what it leaves out.
+//! A discrete-event simulation of a fleet of forwarders in virtual time: destinations with their
+//! limits, queues and outages, the network, clients, and the forwarders themselves, each with the
+//! real decision module or a baseline.
+//!
+//! One seed gives one result. Nothing here does any I/O. `docs/emulator.md` describes the model and
+//! what it leaves out. The command line (`plankhill emulate`) and the experiments call [`play`].
 
 mod affected;
 pub mod bound;
@@ -19,7 +21,7 @@
 use outcome::Outcome;
 use plankhill_forwarder_config::scenario::Scenario;
 
-/// Plays a day to its end.
+/// Simulates a day to its end.
 pub fn play(scenario: &Scenario) -> Outcome {
     let mut world = World::new(scenario);
     while world.step() {}
--- a/forwarder/emulator/src/outcome.rs
+++ b/forwarder/emulator/src/outcome.rs
@@ -1,6 +1,8 @@
-//! The outcome of a simulated day: totals, series over time, and all that is needed to simulate it again.
+//! The outcome of a simulated day: totals, series over time, and all that is needed to simulate it
+//! again.
 //!
-//! `plankhill emulate --json` prints an [`Outcome`]; the names of its fields are that output's form.
+//! `plankhill emulate --json` prints an [`Outcome`]; the names of its fields are that output's
+//! form.
 
 use std::collections::BTreeMap;
 
@@ -86,8 +88,8 @@
     pub tipped: u64,
     /// The highest load of a lane that was warming up, as a share of the load that overloads it.
     pub cold_load: f64,
-    /// Calls that ran though their forwarder got no answer. Repeated effects of idempotent and deduplicated
-    /// events are allowed.
+    /// Calls that ran though their forwarder got no answer. Repeated effects of idempotent and
+    /// deduplicated events are allowed.
     pub ran_unheard: u64,
     /// Steps of the simulation.
     pub steps: u64,
--- a/forwarder/emulator/src/queue.rs
+++ b/forwarder/emulator/src/queue.rs
@@ -1,12 +1,14 @@
-//! The queue of what is still to happen, by its time. A radix heap: time never runs backwards in a model, so that an entry
-//! needs to be looked at again only when the time comes near it. `docs/emulator.md` has the measurement that
-//! chose it over a binary heap.
+//! The queue of what is still to happen, by its time. A radix heap: time never runs backwards in a
+//! model, so that an entry needs to be looked at again only when the time comes near it.
+//! `docs/emulator.md` has the measurement that chose it over a binary heap.
 
 use plankhill_forwarder_config::scenario::Ms;
 
-/// Entries leave in the order of their time; those of one instant in the order in which they were put in.
+/// Entries leave in the order of their time; those of one instant in the order in which they were
+/// put in.
 pub struct Queue<T> {
-    /// Bucket 0 holds what is due at `last`; bucket n what differs from it in bit n - 1 at the highest.
+    /// Bucket 0 holds what is due at `last`; bucket n what differs from it in bit n - 1 at the
+    /// highest.
     buckets: Vec<Vec<(u64, T)>>,
     due: std::collections::VecDeque<T>,
     last: u64,
@@ -61,7 +63,8 @@
         64 - (key ^ last).leading_zeros() as usize
     }
 
-    /// Moves on to the earliest time and sorts its bucket's entries into lower ones, keeping their order.
+    /// Moves on to the earliest time and sorts its bucket's entries into lower ones, keeping their
+    /// order.
     fn advance(&mut self) -> Option<()> {
         let lowest = self.buckets.iter().position(|bucket| !bucket.is_empty())?;
         let mut entries = std::mem::take(&mut self.buckets[lowest]);
@@ -76,7 +79,7 @@
                 bucket => self.buckets[bucket].push((key, entry)),
             }
         }
-        // The room is kept for the next, unless a clump had left far too much of it.
+        // The allocation is kept for later entries, unless a burst had left it far too large.
         if entries.capacity() <= 4096 {
             self.buckets[lowest] = entries;
         }
--- a/forwarder/emulator/src/random.rs
+++ b/forwarder/emulator/src/random.rs
@@ -1,4 +1,5 @@
-//! Random numbers: one portable stream for each concern, so that a change in one draws nothing from another.
+//! Random numbers: one portable stream for each concern, so that a change in one draws nothing from
+//! another.
 
 use plankhill_forwarder_config::scenario::{Answer, Ms, Shape};
 use rand::{Rng, SeedableRng};
--- a/forwarder/emulator/src/rate_limiter.rs
+++ b/forwarder/emulator/src/rate_limiter.rs
@@ -1,24 +1,25 @@
-//! What a destination takes before it refuses. Pure: a call comes at a time, and is taken or told a wait.
+//! The rate limit of a destination: a call at some time is admitted, or rejected with a
+//! retry-after.
 
 use std::collections::VecDeque;
 
 use plankhill_forwarder_config::scenario::{Limit, LimitKind, Ms};
 
-/// How full a limit is.
+/// How much of a limit is used.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimiter {
-    /// Calls in the window, or tokens that are gone, as of `at`.
+    /// Calls in the window, or tokens that were taken, as of `at`.
     used: f64,
     at: Ms,
-    /// Of a sliding window: the calls in it.
+    /// The calls in a sliding window.
     recent: VecDeque<Ms>,
     /// Calls being served, for a limit on concurrency.
     pub inside: usize,
 }
 
 impl RateLimiter {
-    /// Whether the call is taken; if not, when there is room again, as far as the limit knows. `factor` is
-    /// what a trouble leaves of the limit.
+    /// Admits a call, or says when the limit admits the next one, if the kind of limit knows.
+    /// `factor` is the share of the limit that a fault leaves.
     pub fn admit(&mut self, limit: &Limit, factor: f64, now: Ms) -> Result<(), Option<Ms>> {
         let calls = limit.calls * factor;
         match limit.kind {
@@ -64,7 +65,7 @@
                     self.recent.pop_front();
                 }
                 let fits = (self.recent.len() as f64) + 1.0 <= calls;
-                // What was refused is remembered up to the limit: more could not matter.
+                // Rejected calls are remembered up to the limit: more could not matter.
                 if !fits && limit.refused_count {
                     self.recent.pop_front();
                 }
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Calls a second that the limit lets through in the long run.
+    /// Calls a second that the limit admits in the long run.
     pub fn rate(limit: &Limit) -> f64 {
         match limit.kind {
             LimitKind::Rate => limit.calls,
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -1,4 +1,5 @@
-//! Counts while a day runs. Its size follows the scenario's traffic types and the steps of its series.
+//! Counts while a day is simulated. The size follows the scenario's traffic types and the steps of
+//! the series.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,7 @@
     FaultInterval, HeatRow, LossCause, Outcome, RuleCount, Series, Totals, TrafficOutcome,
 };
 
-/// Steps of a series, and rows of the heat map: what a reader can tell apart on a page.
+/// Steps of a series, and rows of the heat map: as many as a reader can tell apart on a page.
 const STEPS: usize = 200;
 const ROWS: usize = 40;
 
@@ -34,7 +35,7 @@
     causes: BTreeMap<LossCause, f64>,
     rows: FxHashMap<u32, usize>,
     heat: Vec<HeatRow>,
-    /// Destinations that a trouble strikes, in order.
+    /// Destinations that a fault strikes, in order.
     pub struck: Vec<u32>,
     width: Ms,
 }
@@ -63,7 +64,7 @@
             time: 0.0,
             times: Histogram::new_with_bounds(1, 10_000_000_000, 2).expect("bounds are in order"),
         });
-        // A trouble that strikes all says nothing of whom to look at.
+        // A fault that strikes all destinations singles none out.
         let all = struck.weights.len();
         let mut struck_ones: Vec<u32> = struck
             .destinations
@@ -146,7 +147,7 @@
             .saturating_record(((at - client_event.first_at) * 1000.0).max(1.0) as u64);
     }
 
-    /// The event will not be delivered any more, whatever its client does.
+    /// The event will not be delivered any more, whatever its client does: its value is lost.
     pub fn unpaid(&mut self, scenario: &Scenario, client_event: &ClientEvent, cause: LossCause) {
         *self.causes.entry(cause).or_default() +=
             scenario.traffic[client_event.traffic as usize].payoff;
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -1,4 +1,4 @@
-//! The way back of a call, and all that ends the forwarder's side of it.
+//! The way back of a call, and everything that ends the forwarder's side of the call.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::FaultKind;
@@ -10,7 +10,7 @@
 use crate::random::uniform;
 
 impl World<'_> {
-    /// The target answers now: the answer travels back, unless something takes it.
+    /// The target answers now: the answer travels back, unless a fault loses it.
     pub(super) fn respond(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
         (call.fate, call.wait) = (fate, wait);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether answers of the target to the forwarder get lost now.
+    /// Whether answers of the target to the forwarder are lost now.
     pub(super) fn loses_answers(&self, forwarder: u32, destination: u32, target: u32) -> bool {
         let Some(active) = self.active.get(&destination) else {
             return false;
@@ -65,7 +65,7 @@
         self.call_over(key, fate, 0.0);
     }
 
-    /// The forwarder learns how the call ended, with its next round.
+    /// The forwarder learns how the call ended, with its next iteration.
     pub(super) fn call_over(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
         call.abandoned_by_sender = true;
@@ -114,7 +114,7 @@
                 Some((lane, written)),
             );
         }
-        // A connection still coming up is given back when it is up.
+        // A connection that is still being set up is returned when it is up.
         let coming_up =
             !written && fate != AttemptOutcome::ConnectFailed && self.tracked(destination);
         if !there && !coming_up {
@@ -122,7 +122,8 @@
         }
     }
 
-    /// All calls at targets of the destination that are down now are broken off; half of them have run.
+    /// Resets all calls at targets of the destination that are down now; half of those in service
+    /// have run.
     pub(super) fn break_calls(&mut self, destination: u32) {
         let targets: Vec<u32> = self.destinations[destination as usize].targets.clone();
         let down: Vec<u32> = targets
@@ -141,9 +142,9 @@
             .filter(|(_, call)| call.there && down.contains(&call.target));
         let there: Vec<CallKey> = there.map(|(key, _)| key).collect();
         for target in &down {
-            let it = &mut self.targets[*target as usize];
-            it.busy = 0;
-            it.waiting.clear();
+            let target_state = &mut self.targets[*target as usize];
+            target_state.busy = 0;
+            target_state.waiting.clear();
         }
         for key in there {
             let ran = self.calls[key].served && uniform(&mut self.rng_faults) < 0.5;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Calls to a target of which nothing is written yet do not leave any more.
+    /// Cancels the calls to a target of which nothing is written yet.
     pub(super) fn cancel_unsent(&mut self, forwarder: u32, target: u32) {
         let incarnation = self.forwarders[forwarder as usize].incarnation;
         let unwritten = self.calls.iter().filter(|(_, call)| {
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -1,5 +1,5 @@
-//! A call at its target: the limit, the queue and the servers. The forwarder's side of it may be over (timed
-//! out) while the target's is not; the call is forgotten when both are.
+//! A call at its target: the limit, the queue and the servers. The forwarder's side of a call may
+//! be over (timed out) while the target's is not; the call is forgotten when both are over.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::Repeats;
@@ -10,9 +10,10 @@
 use crate::deciders::EventKey;
 use crate::random::uniform;
 
-/// What each further event of a call weighs, as the deployments' pages have it: only a little.
+/// The weight of each further event of a call, against the first: only a little, by the
+/// deployments' pages.
 const RIDER: f64 = 0.25;
-/// What a ping takes of a target, against an event of one unit of work.
+/// The work of a health check, against an event of one unit of work.
 const PING_WORK: f64 = 0.2;
 
 impl World<'_> {
@@ -45,8 +46,8 @@
             .map(|member| self.scenario.traffic[member.traffic as usize].work);
         let work = works.fold(if is_health_check { PING_WORK } else { 0.0 }, f64::max);
         let sends = members.len() as u64;
-        let it = &self.targets[target as usize];
-        let (lane, destination) = (it.lane, it.destination);
+        let target_state = &self.targets[target as usize];
+        let (lane, destination) = (target_state.lane, target_state.destination);
         let call = Call {
             forwarder,
             incarnation: self.forwarders[forwarder as usize].incarnation,
@@ -97,7 +98,7 @@
         self.add_load(lane, forwarder, weight);
         let fault_effects = self.fault_effects(target);
         if fault_effects.down {
-            // It went while the call was on its way.
+            // The target went down while the call was on its way.
             return self.respond(key, AttemptOutcome::Reset, 0.0);
         }
         if fault_effects.silent || fault_effects.half_open && reused {
@@ -137,13 +138,13 @@
             .ceil()
             .max(1.0) as u32;
         let room = group.queue;
-        let it = &mut self.targets[target as usize];
-        if it.busy < servers {
-            it.busy += 1;
+        let target_state = &mut self.targets[target as usize];
+        if target_state.busy < servers {
+            target_state.busy += 1;
             self.lanes[lane as usize].gauge.inside += 1;
             self.serve(key);
-        } else if it.waiting.len() < room {
-            it.waiting.push_back(key);
+        } else if target_state.waiting.len() < room {
+            target_state.waiting.push_back(key);
             self.lanes[lane as usize].gauge.inside += 1;
             self.calls[key].there = true;
         } else {
@@ -157,9 +158,10 @@
             (call.there, call.served) = (true, true);
             (call.target, call.lane, call.work)
         };
-        let it = &self.targets[target as usize];
-        let group = self.destinations[it.destination as usize].group as usize;
-        let factor = it.factor * work * self.fault_effects(target).slow / self.warmth(lane);
+        let target_state = &self.targets[target as usize];
+        let group = self.destinations[target_state.destination as usize].group as usize;
+        let factor =
+            target_state.factor * work * self.fault_effects(target).slow / self.warmth(lane);
         let takes = self.answers[group].sample(&mut self.rng_answers) * factor;
         self.queue.put(self.now + takes, Step::Served(key));
     }
@@ -190,7 +192,7 @@
         }
     }
 
-    /// The events of the call take effect.
+    /// The effects of the call's events come about.
     pub(super) fn apply(&mut self, key: CallKey) {
         let members = std::mem::take(&mut self.calls[key].members);
         for &Member {
@@ -225,12 +227,12 @@
     pub(super) fn leave_server(&mut self, target: u32, lane: u32) {
         let gauge = &mut self.lanes[lane as usize].gauge;
         gauge.inside = gauge.inside.saturating_sub(1);
-        let it = &mut self.targets[target as usize];
-        while let Some(next) = it.waiting.pop_front() {
+        let target_state = &mut self.targets[target as usize];
+        while let Some(next) = target_state.waiting.pop_front() {
             if self.calls.get(next).is_some_and(|call| call.there) {
                 return self.serve(next);
             }
         }
-        it.busy = it.busy.saturating_sub(1);
+        target_state.busy = target_state.busy.saturating_sub(1);
     }
 }
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: opened, taken while they stand idle, put back, closed and dropped unseen.
+//! Connections: opened, reused, returned, closed, and dropped by a target without notice.
 
 use plankhill_decisions::interface::{AttemptOutcome, EndpointState, Ms};
 use plankhill_invariants::Observation;
@@ -6,18 +6,18 @@
 use super::state::IdleConnection;
 use super::{CallKey, Step, World};
 
-/// A forwarder closes its idle connections after so long.
+/// A forwarder closes a connection that has been idle for so long.
 const IDLE_KEPT: Ms = 13_500.0;
 
 impl World<'_> {
-    /// Takes an idle connection or opens one. Where a group has no figures for connections, one is always
-    /// there for a target that is up.
+    /// Reuses an idle connection or opens one. Where a group does not model connections, one is
+    /// always open to a target that is up.
     pub(super) fn connect(&mut self, key: CallKey) {
         let (forwarder, target) = (self.calls[key].forwarder, self.calls[key].target);
         let from = self.forwarders[forwarder as usize].zone;
         let (to, destination) = {
-            let it = &self.targets[target as usize];
-            (it.zone as usize, it.destination)
+            let target_state = &self.targets[target as usize];
+            (target_state.zone as usize, target_state.destination)
         };
         let tracked = self.tracked(destination);
         if let Some(dropped) = self.take_idle(forwarder, target).filter(|_| tracked) {
@@ -36,7 +36,7 @@
         let there = self.travel(from, to);
         let back = self.travel(to, from);
         let (Some(there), Some(back)) = (there, back) else {
-            // Nothing comes back: the connection counts as refused after its own time.
+            // Nothing comes back: the connection counts as failed after its timeout.
             self.calls[key].fate = AttemptOutcome::ConnectFailed;
             self.queue.put(
                 self.now + self.scenario.network.connect_time_out,
@@ -76,14 +76,14 @@
         }
         let forwarder = &self.forwarders[call.forwarder as usize];
         if forwarder.stalled_until > self.now {
-            // Nobody is there to write it.
+            // The forwarder does not wait for the call any more: nobody writes it.
             let later = forwarder.stalled_until;
             return self.queue.put(later, Step::Connected(key));
         }
         self.write(key);
     }
 
-    /// The first byte leaves: from here on the call may run.
+    /// The first byte leaves: from now on the call may run.
     pub(super) fn write(&mut self, key: CallKey) {
         let call = &mut self.calls[key];
         call.written = true;
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Takes the connection to the target that was used last, if one is idle: whether the target has dropped
-    /// it, which the forwarder does not see.
+    /// Takes the idle connection to the target that was used last. The result says whether the
+    /// target has dropped that connection, which the forwarder does not see.
     pub(super) fn take_idle(&mut self, forwarder: u32, target: u32) -> Option<bool> {
         let now = self.now;
         let idle = &mut self.forwarders[forwarder as usize].idle;
@@ -140,8 +140,8 @@
     }
 
     pub(super) fn close_connections(&mut self, target: u32, closed: usize) {
-        let it = &mut self.targets[target as usize];
-        it.connections = it.connections.saturating_sub(closed as u32);
+        let target_state = &mut self.targets[target as usize];
+        target_state.connections = target_state.connections.saturating_sub(closed as u32);
     }
 
     pub(super) fn put_back(&mut self, forwarder: u32, target: u32, kept: bool) {
@@ -168,8 +168,8 @@
         }
     }
 
-    /// The target drops a connection that has been idle since then, and nobody hears of it: the next call on
-    /// it is reset.
+    /// The target drops a connection that has been idle since then, without notice: the next call
+    /// on that connection is reset.
     pub(super) fn drop_idle_connection(&mut self, forwarder: u32, target: u32, since: Ms) {
         let Some(open) = self.forwarders[forwarder as usize].idle.get_mut(&target) else {
             return;
--- a/forwarder/emulator/src/world/destinations.rs
+++ b/forwarder/emulator/src/world/destinations.rs
@@ -1,4 +1,4 @@
-//! Destinations as they truly are: what they can serve, what is wrong with them, and how cold they are.
+//! Destinations as they truly are: their capacity, their faults, and how far they have warmed up.
 
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
 
 pub(super) struct Destination {
     pub group: u32,
-    /// Those that are, or were, named in the list.
+    /// The targets that the endpoint list names or named.
     pub targets: Vec<u32>,
 }
 
@@ -20,21 +20,21 @@
     pub destination: u32,
     pub lane: u32,
     pub zone: u16,
-    /// Its place among its destination's targets.
+    /// The target's position among its destination's targets.
     pub place: u16,
     pub factor: f64,
     pub busy: u32,
     pub waiting: VecDeque<CallKey>,
     pub connections: u32,
-    /// As the list says now.
+    /// What the endpoint list says now.
     pub listing: EndpointState,
-    /// By change of the list, from the first; running before.
+    /// The changes of the endpoint list that concern the target; running before.
     pub introduced: Vec<(u32, EndpointState)>,
-    /// Not there: its place was given up.
+    /// The target is removed and not there any more.
     pub left: bool,
 }
 
-/// What shares one limit, one outage and one wait.
+/// The targets that share one limit, one outage and one retry-after.
 #[derive(Default)]
 pub(super) struct Lane {
     pub destination: u32,
@@ -46,11 +46,11 @@
 
 pub(super) struct WarmUp {
     pub since: Ms,
-    /// What came lately: when, from whom, how much.
+    /// Recent load: when, from which forwarder, how much.
     pub recent: VecDeque<(Ms, u32, f64)>,
 }
 
-/// All that troubles do to a target now.
+/// All that faults do to a target now.
 #[derive(Clone, Copy)]
 pub(super) struct FaultEffects {
     pub down: bool,
@@ -75,7 +75,7 @@
 };
 
 impl FaultEffects {
-    /// Most calls fail.
+    /// Whether most calls fail.
     pub(super) fn is_outage(&self) -> bool {
         self.down || self.silent || self.hung || self.erring + self.resetting > 0.5
     }
@@ -148,7 +148,7 @@
         }
     }
 
-    /// How the list speaks of the target for one that has heard so many changes.
+    /// The target's state for a forwarder that knows so many changes of the endpoint list.
     pub fn as_of(&self, changes: usize) -> EndpointState {
         let heard = self
             .introduced
@@ -165,10 +165,11 @@
     }
 
     pub(super) fn fault_effects(&self, target: u32) -> FaultEffects {
-        let it = &self.targets[target as usize];
+        let target_state = &self.targets[target as usize];
         let mut fault_effects = NO_FAULT;
-        fault_effects.down = it.left || self.lanes[it.lane as usize].overloaded_until > self.now;
-        let Some(active) = self.active.get(&it.destination) else {
+        fault_effects.down =
+            target_state.left || self.lanes[target_state.lane as usize].overloaded_until > self.now;
+        let Some(active) = self.active.get(&target_state.destination) else {
             return fault_effects;
         };
         for &at in active {
@@ -196,38 +197,40 @@
         fault_effects
     }
 
-    /// Whether the trouble, which strikes the target's destination, strikes the target.
+    /// Whether the fault, which strikes the target's destination, strikes the target.
     pub(super) fn covers(&self, trouble: u16, target: u32) -> bool {
         let whom = &self.scenario.faults[trouble as usize].whom;
-        let it = &self.targets[target as usize];
+        let target_state = &self.targets[target as usize];
         let zone = whom
             .zone
             .as_ref()
-            .is_none_or(|zone| self.scenario.network.zones[it.zone as usize] == *zone);
-        let all = self.group_of(it.destination).targets as f64;
+            .is_none_or(|zone| self.scenario.network.zones[target_state.zone as usize] == *zone);
+        let all = self.group_of(target_state.destination).targets as f64;
         zone && whom
             .targets
-            .is_none_or(|share| (it.place as f64) < (share * all).ceil())
+            .is_none_or(|share| (target_state.place as f64) < (share * all).ceil())
     }
 
-    /// Calls a second that a target serves when it is warm and well.
+    /// Calls a second that a target serves when it is warm and healthy.
     pub(super) fn full_pace(&self, target: u32) -> f64 {
-        let it = &self.targets[target as usize];
-        let group = self.group_of(it.destination);
-        group.servers as f64 * 1000.0 / (group.answer.mean * it.factor)
+        let target_state = &self.targets[target as usize];
+        let group = self.group_of(target_state.destination);
+        group.servers as f64 * 1000.0 / (group.answer.mean * target_state.factor)
     }
 
-    /// Calls a second that a lane can handle now, cold and troubles counted; with what its limit lets through,
-    /// or by its servers alone.
+    /// Calls a second that a lane can handle now, with warm-up and faults: bounded by its limit
+    /// (`limited`), or by its servers alone.
     pub(super) fn lane_capacity(&self, lane: u32, limited: bool) -> f64 {
         let of = self.lanes[lane as usize].destination;
         let group = self.group_of(of);
         let mut sum = 0.0;
         let mut left: f64 = 1.0;
         for &target in &self.destinations[of as usize].targets {
-            let it = &self.targets[target as usize];
+            let target_state = &self.targets[target as usize];
             let fault_effects = self.fault_effects(target);
-            if it.lane == lane && it.listing != EndpointState::Removed && !fault_effects.is_outage()
+            if target_state.lane == lane
+                && target_state.listing != EndpointState::Removed
+                && !fault_effects.is_outage()
             {
                 sum += self.full_pace(target) * fault_effects.left_of_limit / fault_effects.slow;
                 left = left.min(fault_effects.left_of_limit);
--- a/forwarder/emulator/src/world/endpoint_list.rs
+++ b/forwarder/emulator/src/world/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list as each forwarder has heard it.
+//! The endpoint list as each forwarder knows it.
 
 use plankhill_decisions::interface::EndpointState;
 use plankhill_invariants::Observation;
@@ -8,44 +8,47 @@
 use crate::random::{between, uniform};
 
 impl World<'_> {
-    /// A forwarder's decisions hear of a destination when the first event goes there: until then they could
-    /// do nothing with it.
+    /// Tells a forwarder's decider of a destination when the first event goes there: until then the
+    /// decider could do nothing with it.
     pub(super) fn introduce_destination(
         &mut self,
-        at: u32,
+        forwarder_id: u32,
         destination: u32,
         inputs: &mut Vec<Input>,
     ) {
-        if !self.forwarders[at as usize].introduced.insert(destination) {
+        if !self.forwarders[forwarder_id as usize]
+            .introduced
+            .insert(destination)
+        {
             return;
         }
-        let heard = self.forwarders[at as usize].heard;
+        let heard = self.forwarders[forwarder_id as usize].heard;
         for target in self.destinations[destination as usize].targets.clone() {
             let listing = self.targets[target as usize].as_of(heard);
             if listing != EndpointState::Removed {
-                self.list_one(at, target, listing, inputs);
+                self.list_one(forwarder_id, target, listing, inputs);
             }
         }
     }
 
     pub(super) fn list_one(
         &mut self,
-        at: u32,
+        forwarder_id: u32,
         target: u32,
         listing: EndpointState,
         inputs: &mut Vec<Input>,
     ) {
         self.observe(Observation::EndpointListed {
-            forwarder: at,
+            forwarder: forwarder_id,
             target,
             is_draining: listing != EndpointState::Running,
         });
-        let it = &self.targets[target as usize];
+        let target_state = &self.targets[target as usize];
         if listing == EndpointState::Removed {
             return inputs.push(Input::EndpointRemoved { target });
         }
-        let kind = self.destinations[it.destination as usize].group as usize;
-        let (destination, zone) = (it.destination, it.zone as usize);
+        let kind = self.destinations[target_state.destination as usize].group as usize;
+        let (destination, zone) = (target_state.destination, target_state.zone as usize);
         inputs.push(Input::EndpointListed {
             target,
             destination,
@@ -55,38 +58,39 @@
         });
     }
 
-    /// The list changed at a target: every forwarder hears of it in its own time.
+    /// The endpoint list changed at a target: every forwarder learns of that in its own time.
     pub(super) fn list_changed(&mut self, target: u32, listing: EndpointState) {
         let change = self.changes.len() as u32;
         self.changes.push((self.now, target));
-        let it = &mut self.targets[target as usize];
-        it.listing = listing;
-        it.introduced.push((change, listing));
+        let target_state = &mut self.targets[target as usize];
+        target_state.listing = listing;
+        target_state.introduced.push((change, listing));
         for at in 0..self.forwarders.len() as u32 {
             self.schedule_list_update(at);
         }
     }
 
-    pub(super) fn schedule_list_update(&mut self, at: u32) {
+    pub(super) fn schedule_list_update(&mut self, forwarder_id: u32) {
         if std::mem::replace(
-            &mut self.forwarders[at as usize].list_update_scheduled,
+            &mut self.forwarders[forwarder_id as usize].list_update_scheduled,
             true,
         ) {
             return;
         }
         let [least, most] = self.scenario.forwarders.list_delay;
         let delay = between(&mut self.rng_lists, least, most);
-        let from = (self.now + delay).max(self.forwarders[at as usize].list_frozen_until);
-        self.queue.put(from, Step::ListUpdate(at));
+        let from = (self.now + delay).max(self.forwarders[forwarder_id as usize].list_frozen_until);
+        self.queue.put(from, Step::ListUpdate(forwarder_id));
     }
 
-    /// Hears all that changed, or, partially, some of it, the rest with the next hearing.
-    pub(super) fn receive_list_update(&mut self, at: u32) {
+    /// The forwarder learns of all changes, or of some of them, and of the others with the next
+    /// update.
+    pub(super) fn receive_list_update(&mut self, forwarder_id: u32) {
         let partial = self.scenario.forwarders.list_partial;
-        let it = &mut self.forwarders[at as usize];
+        let it = &mut self.forwarders[forwarder_id as usize];
         if it.list_frozen_until > self.now {
             let thaw = it.list_frozen_until;
-            return self.queue.put(thaw, Step::ListUpdate(at));
+            return self.queue.put(thaw, Step::ListUpdate(forwarder_id));
         }
         it.list_update_scheduled = false;
         let mut news = std::mem::take(&mut it.missed);
@@ -94,7 +98,7 @@
         it.heard = self.changes.len();
         for change in news {
             if partial > 0.0 && uniform(&mut self.rng_lists) < partial {
-                self.forwarders[at as usize].missed.push(change);
+                self.forwarders[forwarder_id as usize].missed.push(change);
                 continue;
             }
             let target = self.changes[change as usize].1;
@@ -107,12 +111,12 @@
                 )
             };
             let listing = self.targets[target as usize].as_of(change as usize + 1);
-            if self.forwarders[at as usize]
+            if self.forwarders[forwarder_id as usize]
                 .introduced
                 .contains(&destination)
             {
                 self.incoming(
-                    at,
+                    forwarder_id,
                     Input::EndpointListed {
                         target,
                         destination,
@@ -124,12 +128,12 @@
                 );
             }
         }
-        if !self.forwarders[at as usize].missed.is_empty() {
-            self.schedule_list_update(at);
+        if !self.forwarders[forwarder_id as usize].missed.is_empty() {
+            self.schedule_list_update(forwarder_id);
         }
     }
 
-    /// How many of the list's changes every forwarder has heard.
+    /// How many of the list's changes every forwarder knows.
     pub(super) fn forwarders_heard(&self) -> usize {
         self.forwarders.iter().map(|it| it.heard).min().unwrap_or(0)
     }
--- a/forwarder/emulator/src/world/faults.rs
+++ b/forwarder/emulator/src/world/faults.rs
@@ -1,5 +1,6 @@
-//! Troubles begin, turn and end. What one does to a call is read where the call meets it; what is here
-//! changes the world at an instant: lists, lives, broken calls and outages.
+//! Faults begin, toggle and end. What a fault does to a call is read where the call meets the
+//! fault; the steps here change the world at an instant: endpoint lists, processes, calls that are
+//! reset, and outages.
 
 use plankhill_decisions::interface::{EndpointState, TargetId};
 use plankhill_forwarder_config::scenario::{FaultKind, Ms};
@@ -18,9 +19,9 @@
         }
     }
 
-    pub(super) fn begin_fault(&mut self, at: u16) {
+    pub(super) fn begin_fault(&mut self, fault_id: u16) {
         let scenario = self.scenario;
-        let trouble = &scenario.faults[at as usize];
+        let trouble = &scenario.faults[fault_id as usize];
         let end = trouble.start + trouble.length;
         match trouble.kind {
             FaultKind::Flood | FaultKind::MassWake => (), // the clients' stream holds them
@@ -29,39 +30,44 @@
             | FaultKind::ForwarderLost
             | FaultKind::ForwarderStalled
             | FaultKind::ForwarderReplaced => {
-                for (place, forwarder) in self.struck.forwarders[at as usize].iter().enumerate() {
+                for (place, forwarder) in
+                    self.struck.forwarders[fault_id as usize].iter().enumerate()
+                {
                     let when = trouble.start + place as f64 * trouble.apart;
                     if place == 0 || when <= end {
-                        self.queue.put(when, Step::StrikeForwarder(at, *forwarder));
+                        self.queue
+                            .put(when, Step::StrikeForwarder(fault_id, *forwarder));
                     }
                 }
             }
             FaultKind::ListFrozen => {
-                for forwarder in self.struck.forwarders[at as usize].clone() {
+                for forwarder in self.struck.forwarders[fault_id as usize].clone() {
                     let it = &mut self.forwarders[forwarder as usize];
                     it.list_frozen_until = it.list_frozen_until.max(end);
                 }
             }
             FaultKind::Gone => {
-                for target in self.struck_targets(at) {
+                for target in self.struck_targets(fault_id) {
                     self.list_changed(target, EndpointState::Draining);
                 }
                 self.queue
-                    .put(self.now + trouble.every, Step::RemoveDraining(at));
+                    .put(self.now + trouble.every, Step::RemoveDraining(fault_id));
             }
             FaultKind::Replaced => {
-                let targets = self.struck_targets(at);
+                let targets = self.struck_targets(fault_id);
                 let step = trouble.length / targets.len().max(1) as f64;
                 for (place, target) in targets.into_iter().enumerate() {
-                    self.queue
-                        .put(self.now + place as f64 * step, Step::ReplaceOne(at, target));
+                    self.queue.put(
+                        self.now + place as f64 * step,
+                        Step::ReplaceOne(fault_id, target),
+                    );
                 }
             }
-            FaultKind::Flapping => self.switch(at, true, |world| {
-                world.flapped_down[at as usize] = true;
+            FaultKind::Flapping => self.switch(fault_id, true, |world| {
+                world.flapped_down[fault_id as usize] = true;
                 world
                     .queue
-                    .put(world.now + trouble.every, Step::FaultToggles(at));
+                    .put(world.now + trouble.every, Step::FaultToggles(fault_id));
             }),
             FaultKind::Down
             | FaultKind::Silent
@@ -71,19 +77,19 @@
             | FaultKind::Resetting
             | FaultKind::LimitLowered
             | FaultKind::HalfOpen
-            | FaultKind::CutOneWay => self.switch(at, true, |_| ()),
+            | FaultKind::CutOneWay => self.switch(fault_id, true, |_| ()),
         }
     }
 
-    pub(super) fn end_fault(&mut self, at: u16) {
-        match self.scenario.faults[at as usize].kind {
+    pub(super) fn end_fault(&mut self, fault_id: u16) {
+        match self.scenario.faults[fault_id as usize].kind {
             FaultKind::RetryStorm => self.storm = 0.0,
             FaultKind::Gone => {
-                for target in self.struck_targets(at) {
+                for target in self.struck_targets(fault_id) {
                     self.targets[target as usize].left = false;
                     self.list_changed(target, EndpointState::Running);
                 }
-                self.note_struck(at);
+                self.note_struck(fault_id);
             }
             FaultKind::Down
             | FaultKind::Silent
@@ -94,58 +100,58 @@
             | FaultKind::Resetting
             | FaultKind::LimitLowered
             | FaultKind::HalfOpen
-            | FaultKind::CutOneWay => self.switch(at, false, |_| ()),
+            | FaultKind::CutOneWay => self.switch(fault_id, false, |_| ()),
             _ => (),
         }
     }
 
-    /// A flapping trouble turns from down to up, or back.
-    pub(super) fn toggle_fault(&mut self, at: u16) {
-        let trouble = &self.scenario.faults[at as usize];
+    /// A flapping fault toggles from down to up, or back.
+    pub(super) fn toggle_fault(&mut self, fault_id: u16) {
+        let trouble = &self.scenario.faults[fault_id as usize];
         if self.now >= trouble.start + trouble.length {
             return;
         }
-        self.flapped_down[at as usize] = !self.flapped_down[at as usize];
-        self.note_struck(at);
+        self.flapped_down[fault_id as usize] = !self.flapped_down[fault_id as usize];
+        self.note_struck(fault_id);
         self.queue
-            .put(self.now + trouble.every, Step::FaultToggles(at));
+            .put(self.now + trouble.every, Step::FaultToggles(fault_id));
     }
 
-    fn switch(&mut self, at: u16, on: bool, then: impl FnOnce(&mut Self)) {
-        for destination in self.struck.destinations[at as usize].clone() {
+    fn switch(&mut self, fault_id: u16, on: bool, then: impl FnOnce(&mut Self)) {
+        for destination in self.struck.destinations[fault_id as usize].clone() {
             let active = self.active.entry(destination).or_default();
-            active.retain(|trouble| *trouble != at);
+            active.retain(|trouble| *trouble != fault_id);
             if on {
-                active.push(at);
+                active.push(fault_id);
             } else if active.is_empty() {
                 self.active.remove(&destination);
             }
         }
         then(self);
-        self.note_struck(at);
+        self.note_struck(fault_id);
     }
 
-    fn note_struck(&mut self, at: u16) {
-        for destination in self.struck.destinations[at as usize].clone() {
+    fn note_struck(&mut self, fault_id: u16) {
+        for destination in self.struck.destinations[fault_id as usize].clone() {
             self.break_calls(destination);
             self.update_outages(destination);
         }
     }
 
-    fn struck_targets(&self, at: u16) -> Vec<u32> {
-        let destinations = &self.struck.destinations[at as usize];
+    fn struck_targets(&self, fault_id: u16) -> Vec<u32> {
+        let destinations = &self.struck.destinations[fault_id as usize];
         let targets = destinations
             .iter()
             .flat_map(|d| &self.destinations[*d as usize].targets);
         targets
             .copied()
-            .filter(|target| self.covers(at, *target))
+            .filter(|target| self.covers(fault_id, *target))
             .collect()
     }
 
-    /// Targets that were told to leave are gone.
-    pub(super) fn gone_for_good(&mut self, at: u16) {
-        for target in self.struck_targets(at) {
+    /// Draining targets are removed.
+    pub(super) fn gone_for_good(&mut self, fault_id: u16) {
+        for target in self.struck_targets(fault_id) {
             if self.targets[target as usize].listing == EndpointState::Draining {
                 self.remove_target(target);
             }
@@ -158,33 +164,39 @@
         self.break_calls(self.targets[target as usize].destination);
     }
 
-    /// One target leaves; a new one has come in its place, listed at the same time. When the leaving one is
-    /// still there after the notice, it is gone then.
-    pub(super) fn replace_one(&mut self, at: u16, target: u32) {
+    /// A target drains, and a new one is listed in its place at the same time. A target that still
+    /// drains after the notice period is removed.
+    pub(super) fn replace_one(&mut self, fault_id: u16, target: u32) {
         match self.targets[target as usize].listing {
             EndpointState::Running => {
-                let it = &self.targets[target as usize];
-                let new = Target::new(it.destination, it.lane, it.zone, it.place, it.factor);
-                let destination = it.destination as usize;
+                let target_state = &self.targets[target as usize];
+                let new = Target::new(
+                    target_state.destination,
+                    target_state.lane,
+                    target_state.zone,
+                    target_state.place,
+                    target_state.factor,
+                );
+                let destination = target_state.destination as usize;
                 let number = self.targets.len() as u32;
                 self.targets.push(new);
                 self.names
                     .borrow_mut()
                     .push(TargetId(number.to_string().into()));
                 self.destinations[destination].targets.push(number);
-                // Not there for those that have not heard of it.
+                // Unknown to the forwarders that do not know this change.
                 self.targets[number as usize]
                     .introduced
                     .push((0, EndpointState::Removed));
                 self.list_changed(number, EndpointState::Running);
                 self.list_changed(target, EndpointState::Draining);
-                let notice: Ms = self.scenario.faults[at as usize].every;
+                let notice: Ms = self.scenario.faults[fault_id as usize].every;
                 self.queue
-                    .put(self.now + notice, Step::ReplaceOne(at, target));
+                    .put(self.now + notice, Step::ReplaceOne(fault_id, target));
             }
             EndpointState::Draining => {
                 self.remove_target(target);
-                // Nobody new is told of it: it is forgotten with its destination's old list.
+                // No forwarder needs the removed target any more once all know of its removal.
                 let destination = self.targets[target as usize].destination as usize;
                 let everyone = self.forwarders.len();
                 if everyone == 1 || self.destinations[destination].targets.len() > FORMER_KEPT {
@@ -195,7 +207,7 @@
         }
     }
 
-    /// Targets that are gone, and that all have heard of, leave their destination's list.
+    /// Forgets removed targets of which every forwarder knows that.
     fn forget_former(&mut self, destination: usize) {
         let heard = self.forwarders_heard();
         let targets = &self.targets;
@@ -205,8 +217,8 @@
         });
     }
 
-    pub(super) fn strike_forwarder(&mut self, at: u16, forwarder: u32) {
-        let trouble = &self.scenario.faults[at as usize];
+    pub(super) fn strike_forwarder(&mut self, fault_id: u16, forwarder: u32) {
+        let trouble = &self.scenario.faults[fault_id as usize];
         match trouble.kind {
             FaultKind::ForwarderKilled => self.end_process(forwarder, trouble.every, true),
             FaultKind::ForwarderLost => self.end_process(forwarder, trouble.every, false),
@@ -216,5 +228,5 @@
     }
 }
 
-/// Former targets of a destination that are kept before those that all have heard of are forgotten.
+/// Removed targets of a destination are forgotten when there are more than so many.
 const FORMER_KEPT: usize = 64;
--- a/forwarder/emulator/src/world/iterations.rs
+++ b/forwarder/emulator/src/world/iterations.rs
@@ -1,4 +1,5 @@
-//! Rounds of a forwarder: what came in between them is handed over, and decisions are carried out.
+//! Event loop iterations of a forwarder: inputs since the last one are handed over, and decisions
+//! carried out.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_invariants::{AttemptEnd, Observation};
@@ -10,123 +11,130 @@
 use crate::outcome::LossCause;
 
 impl World<'_> {
-    pub(super) fn incoming(&mut self, at: u32, input: Input, about: Option<(u32, bool)>) {
-        self.forwarders[at as usize]
+    pub(super) fn incoming(&mut self, forwarder_id: u32, input: Input, about: Option<(u32, bool)>) {
+        self.forwarders[forwarder_id as usize]
             .inbox
             .push(Incoming::Input(input, about));
-        self.schedule_iteration(at);
+        self.schedule_iteration(forwarder_id);
     }
 
-    pub(super) fn schedule_iteration(&mut self, at: u32) {
-        let it = &mut self.forwarders[at as usize];
-        if it.iteration_scheduled || it.decider.is_none() {
+    pub(super) fn schedule_iteration(&mut self, forwarder_id: u32) {
+        let forwarder = &mut self.forwarders[forwarder_id as usize];
+        if forwarder.iteration_scheduled || forwarder.decider.is_none() {
             return;
         }
-        it.iteration_scheduled = true;
+        forwarder.iteration_scheduled = true;
         let from = self
             .now
-            .max(it.last_iteration + self.scenario.forwarders.round)
-            .max(it.stalled_until);
-        self.queue.put(from, Step::Iteration(at));
+            .max(forwarder.last_iteration + self.scenario.forwarders.round)
+            .max(forwarder.stalled_until);
+        self.queue.put(from, Step::Iteration(forwarder_id));
     }
 
-    pub(super) fn wake_up(&mut self, at: u32, incarnation: u32) {
-        let it = &mut self.forwarders[at as usize];
-        if it.incarnation != incarnation {
+    pub(super) fn wake_up(&mut self, forwarder_id: u32, incarnation: u32) {
+        let forwarder = &mut self.forwarders[forwarder_id as usize];
+        if forwarder.incarnation != incarnation {
             return;
         }
-        if it.next_wake_up <= self.now {
-            it.next_wake_up = f64::INFINITY;
+        if forwarder.next_wake_up <= self.now {
+            forwarder.next_wake_up = f64::INFINITY;
         }
-        self.schedule_iteration(at);
+        self.schedule_iteration(forwarder_id);
     }
 
-    pub(super) fn run_iteration(&mut self, at: u32) {
-        let it = &mut self.forwarders[at as usize];
-        it.iteration_scheduled = false;
-        if it.decider.is_none() {
+    pub(super) fn run_iteration(&mut self, forwarder_id: u32) {
+        let forwarder = &mut self.forwarders[forwarder_id as usize];
+        forwarder.iteration_scheduled = false;
+        if forwarder.decider.is_none() {
             return;
         }
-        if it.stalled_until > self.now {
-            return self.schedule_iteration(at);
+        if forwarder.stalled_until > self.now {
+            return self.schedule_iteration(forwarder_id);
         }
-        it.last_iteration = self.now;
-        let inbox = std::mem::take(&mut it.inbox);
+        forwarder.last_iteration = self.now;
+        let inbox = std::mem::take(&mut forwarder.inbox);
         let mut inputs = Vec::with_capacity(inbox.len());
         for incoming in inbox {
             match incoming {
                 Incoming::HandIn(client_event) => {
                     self.coming -= 1;
-                    self.accept_submission(at, client_event, &mut inputs)
+                    self.accept_submission(forwarder_id, client_event, &mut inputs)
+                }
+                Incoming::Input(input, about) => {
+                    self.receive(forwarder_id, input, about, &mut inputs)
                 }
-                Incoming::Input(input, about) => self.receive(at, input, about, &mut inputs),
             }
         }
-        self.decide(at, inputs);
+        self.decide(forwarder_id, inputs);
     }
 
-    pub(super) fn decide(&mut self, at: u32, inputs: Vec<Input>) {
+    pub(super) fn decide(&mut self, forwarder_id: u32, inputs: Vec<Input>) {
         self.tally.totals.rounds += 1;
         let mut decisions = Vec::new();
-        let mut decider = self.forwarders[at as usize]
+        let mut decider = self.forwarders[forwarder_id as usize]
             .decider
             .take()
             .expect("it runs");
         decider.round(self.now, &inputs, &mut decisions);
-        self.forwarders[at as usize].decider = Some(decider);
+        self.forwarders[forwarder_id as usize].decider = Some(decider);
         let mut next = 0;
         while next < decisions.len() {
-            next += self.carry_out(at, &decisions[next..]);
+            next += self.carry_out(forwarder_id, &decisions[next..]);
         }
-        let it = &self.forwarders[at as usize];
-        if it
+        let forwarder = &self.forwarders[forwarder_id as usize];
+        if forwarder
             .closing
-            .is_some_and(|(since, _)| it.held == 0 && self.now >= since + CLOSING_LEAST)
+            .is_some_and(|(since, _)| forwarder.held == 0 && self.now >= since + CLOSING_LEAST)
         {
-            self.end_process(at, self.scenario.forwarders.restart, true);
+            self.end_process(forwarder_id, self.scenario.forwarders.restart, true);
         }
     }
 
-    /// Carries out the first decision, and those behind it that share its call: how many that were.
-    pub(super) fn carry_out(&mut self, at: u32, decisions: &[Decision]) -> usize {
+    /// Carries out the first decision, and those after it that share its call. Returns how many
+    /// that were.
+    pub(super) fn carry_out(&mut self, forwarder_id: u32, decisions: &[Decision]) -> usize {
         match decisions[0] {
-            Decision::SendAttempt { target, .. } => return self.send(at, target, decisions),
+            Decision::SendAttempt { target, .. } => {
+                return self.send(forwarder_id, target, decisions)
+            }
             Decision::HealthCheck { target } => {
                 let time_out = self.scenario.network.connect_time_out;
-                self.begin_call(at, target, Vec::new(), time_out)
+                self.begin_call(forwarder_id, target, Vec::new(), time_out)
             }
             Decision::Complete {
                 event,
                 dismissed,
                 retry_after,
                 by_notification,
-            } => self.on_completed(at, event, dismissed, retry_after, by_notification),
-            Decision::CloseIdleConnections { target } => self.close_idle(at, target),
-            Decision::CancelUnsent { target } => self.cancel_unsent(at, target),
+            } => self.on_completed(forwarder_id, event, dismissed, retry_after, by_notification),
+            Decision::CloseIdleConnections { target } => self.close_idle(forwarder_id, target),
+            Decision::CancelUnsent { target } => self.cancel_unsent(forwarder_id, target),
             Decision::RecordWarmUp {
                 target,
                 since,
                 usual,
             } => {
-                self.forwarders[at as usize]
+                self.forwarders[forwarder_id as usize]
                     .cold
                     .insert(target, (since, usual));
             }
             Decision::WakeUp { pause } => {
-                let it = &mut self.forwarders[at as usize];
-                // A clock that has no finer step: a wake-up is never for the present instant.
+                let forwarder = &mut self.forwarders[forwarder_id as usize];
+                // The clock has a resolution of a microsecond: a wake-up is never for the present
+                // instant.
                 let wake_up = (self.now + pause).max(self.now + 0.001);
-                if wake_up < it.next_wake_up {
-                    it.next_wake_up = wake_up;
-                    let incarnation = it.incarnation;
-                    self.queue.put(wake_up, Step::WakeUp(at, incarnation));
+                if wake_up < forwarder.next_wake_up {
+                    forwarder.next_wake_up = wake_up;
+                    let incarnation = forwarder.incarnation;
+                    self.queue
+                        .put(wake_up, Step::WakeUp(forwarder_id, incarnation));
                 }
             }
         }
         1
     }
 
-    pub(super) fn send(&mut self, at: u32, to: u32, decisions: &[Decision]) -> usize {
+    pub(super) fn send(&mut self, forwarder_id: u32, to: u32, decisions: &[Decision]) -> usize {
         let most = self
             .group_of(self.targets[to as usize].destination)
             .events_per_call;
@@ -146,13 +154,13 @@
             }
         }
         let sends = events.len();
-        self.begin_call(at, to, events, given);
+        self.begin_call(forwarder_id, to, events, given);
         sends
     }
 
     pub(super) fn receive(
         &mut self,
-        at: u32,
+        forwarder_id: u32,
         input: Input,
         about: Option<(u32, bool)>,
         inputs: &mut Vec<Input>,
@@ -165,20 +173,20 @@
                 if self.events.get(event).is_none_or(|event| event.ended) {
                     return;
                 }
-                self.on_attempt_ended(at, event, fate, wait, lane, written);
+                self.on_attempt_ended(forwarder_id, event, fate, wait, lane, written);
                 inputs.push(input);
                 if fate == AttemptOutcome::Delivered {
-                    self.on_delivered(at, event);
+                    self.on_delivered(forwarder_id, event);
                 }
             }
             Input::EndpointListed {
                 target, listing, ..
-            } => self.list_one(at, target, listing, inputs),
+            } => self.list_one(forwarder_id, target, listing, inputs),
             Input::CompletionAcknowledged { event } => {
                 let Some(held) = self.events.remove(event) else {
                     return;
                 };
-                self.forwarders[at as usize].held -= 1;
+                self.forwarders[forwarder_id as usize].held -= 1;
                 self.observe(Observation::CompletionAcknowledged { event: held.number });
                 inputs.push(input);
             }
@@ -188,7 +196,7 @@
 
     pub(super) fn on_attempt_ended(
         &mut self,
-        at: u32,
+        forwarder_id: u32,
         key: EventKey,
         fate: AttemptOutcome,
         wait: Ms,
@@ -226,14 +234,14 @@
         };
         if written {
             self.observe(Observation::AttemptEnded {
-                forwarder: at,
+                forwarder: forwarder_id,
                 event: number,
                 outcome: cut,
             });
         }
         if wait > 0.0 {
             self.observe(Observation::RetryAfterReceived {
-                forwarder: at,
+                forwarder: forwarder_id,
                 lane,
                 until: self.now + wait,
             });
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -1,6 +1,6 @@
-//! The day itself: what happens next, one step after another. The parts of the world stand in the files
-//! beside this one: the destinations as they truly are, calls on their way, forwarders and their lives, and
-//! troubles coming and going.
+//! The simulated day: what happens next, one step after another. The files beside this one have the
+//! parts of the world: destinations as they truly are, calls on their way, forwarders and their
+//! processes, and faults.
 
 mod answers;
 mod calls;
@@ -51,21 +51,22 @@
     targets: Vec<Target>,
     lanes: Vec<Lane>,
     names: TargetNames,
-    /// The list as it changed: when, and which target.
+    /// The changes of the endpoint list: when, and which target.
     changes: Vec<(Ms, u32)>,
     forwarders: Vec<Forwarder>,
     events: SlotMap<EventKey, Event>,
     calls: SlotMap<CallKey, Call>,
-    /// Active troubles of the destinations that have any.
+    /// Active faults of the destinations that have any.
     active: FxHashMap<u32, Vec<u16>>,
     flapped_down: Vec<bool>,
     storm: f64,
     checker: Checker,
     tally: Tally,
     taken: u64,
-    /// Events on their way to a forwarder: clients mean to hand them in again, or they lie unread.
+    /// Events on their way to a forwarder: clients will submit them again, or they are unread in an
+    /// inbox.
     coming: usize,
-    /// The day ends then, whatever is still open: all patience is long over.
+    /// The simulation ends then, whatever is still open: all deadlines are long past.
     ends_at: Ms,
     rng_answers: ChaCha8Rng,
     rng_network: ChaCha8Rng,
@@ -144,7 +145,8 @@
         world
     }
 
-    /// One step; false when the day is over: nothing new comes in then, and what was taken has its end.
+    /// One step. False when the day is over: no submission is left, and every accepted event is
+    /// completed.
     pub fn step(&mut self) -> bool {
         let Some((at, step)) = self.queue.pop() else {
             return false;
@@ -165,7 +167,7 @@
         self.now
     }
 
-    /// Events held by all forwarders now.
+    /// Events pending at all forwarders now.
     pub fn held(&self) -> usize {
         self.events.len()
     }
@@ -178,7 +180,8 @@
     /// Ends the day.
     pub fn outcome(mut self) -> Outcome {
         self.checker.finish(self.now);
-        // What no forwarder holds any more but a client still meant to hand in is over with the day.
+        // Events that a client would still have submitted, and those that are pending, end with the
+        // day.
         let mut left = Vec::new();
         while let Some((_, step)) = self.queue.pop() {
             if let Step::Submit(client_event) = step {
@@ -213,7 +216,7 @@
         self.submit(client_event);
     }
 
-    /// One way between two zones, with jitter; `None` if the message is lost.
+    /// Milliseconds of one way between two zones, with jitter; `None` if the message is lost.
     fn travel(&mut self, from: usize, to: usize) -> Option<Ms> {
         let network = &self.scenario.network;
         if network.loss > 0.0 && crate::random::uniform(&mut self.rng_network) < network.loss {
--- a/forwarder/emulator/src/world/process_start.rs
+++ b/forwarder/emulator/src/world/process_start.rs
@@ -1,4 +1,5 @@
-//! A forwarder starts: the terms of its decisions, the list as it stands, and all that is still owed.
+//! A forwarder starts: the configuration of its decider, the endpoint list, and the pending events
+//! of its log.
 
 use plankhill_decisions::interface::{self as names, DecisionConfig, DestinationKind, TrafficType};
 use plankhill_forwarder_config::scenario::Repeats;
@@ -10,10 +11,10 @@
 use crate::deciders::{self, Decider, EventKey, Input};
 
 impl World<'_> {
-    pub(super) fn new_forwarder(&self, at: u32) -> Forwarder {
-        let zone = at as usize % self.scenario.network.zones.len();
+    pub(super) fn new_forwarder(&self, forwarder_id: u32) -> Forwarder {
+        let zone = forwarder_id as usize % self.scenario.network.zones.len();
         Forwarder {
-            decider: Some(self.start_decider(at, 0)),
+            decider: Some(self.start_decider(forwarder_id, 0)),
             zone,
             incarnation: 0,
             inbox: Vec::new(),
@@ -34,7 +35,7 @@
         }
     }
 
-    pub(super) fn start_decider(&self, at: u32, incarnation: u32) -> Box<dyn Decider> {
+    pub(super) fn start_decider(&self, forwarder_id: u32, incarnation: u32) -> Box<dyn Decider> {
         let (scenario, rules) = (self.scenario, &self.scenario.rules);
         let traffic = scenario.traffic.iter().map(|of| TrafficType {
             idempotency: match of.effect {
@@ -57,7 +58,7 @@
         });
         let terms = DecisionConfig {
             seed: scenario.seed ^ (incarnation as u64) << 48,
-            instance: at as u64,
+            instance: forwarder_id as u64,
             forwarder_count: scenario.forwarders.count as f64,
             traffic_types: traffic.collect(),
             destination_kinds: kinds.collect(),
@@ -78,28 +79,29 @@
         deciders::start(of.decisions, terms, of.time_out, &self.names, self.now)
     }
 
-    /// A new process: the list as it stands, then all that is still owed, in the order taken.
-    pub(super) fn start_process(&mut self, at: u32) {
-        let incarnation = self.forwarders[at as usize].incarnation;
+    /// A new process: the present endpoint list, then all pending events in the order of
+    /// acceptance.
+    pub(super) fn start_process(&mut self, forwarder_id: u32) {
+        let incarnation = self.forwarders[forwarder_id as usize].incarnation;
         self.observe(Observation::Resumed {
-            forwarder: at,
+            forwarder: forwarder_id,
             is_new_process: true,
         });
-        let decider = self.start_decider(at, incarnation);
-        let it = &mut self.forwarders[at as usize];
+        let decider = self.start_decider(forwarder_id, incarnation);
+        let it = &mut self.forwarders[forwarder_id as usize];
         (it.decider, it.died_at, it.stalled_until) = (Some(decider), None, 0.0);
         (it.heard, it.last_iteration) = (self.changes.len(), self.now);
         it.missed.clear();
         let owed = self
             .events
             .iter()
-            .filter(|(_, event)| event.forwarder == at);
+            .filter(|(_, event)| event.forwarder == forwarder_id);
         let mut owed: Vec<(u64, EventKey)> = owed.map(|(key, event)| (event.number, key)).collect();
         owed.sort_unstable();
         let mut inputs = Vec::new();
         for (_, event) in owed {
             let destination = self.events[event].client_event.destination;
-            self.introduce_destination(at, destination, &mut inputs);
+            self.introduce_destination(forwarder_id, destination, &mut inputs);
             let held = &mut self.events[event];
             let was_out = held.out.take().is_some();
             let (traffic, patience_ends) = (
@@ -128,18 +130,18 @@
                 inputs.push(Input::CompletionRestored { event });
                 self.queue.put(
                     self.now + self.scenario.forwarders.notice,
-                    Step::CompletionAcknowledged(at, incarnation, event),
+                    Step::CompletionAcknowledged(forwarder_id, incarnation, event),
                 );
             }
         }
-        let mut cold: Vec<_> = std::mem::take(&mut self.forwarders[at as usize].cold)
+        let mut cold: Vec<_> = std::mem::take(&mut self.forwarders[forwarder_id as usize].cold)
             .into_iter()
             .collect();
         cold.sort_unstable_by_key(|(target, _)| *target);
         for (target, (since, usual)) in cold {
             let destination = self.targets[target as usize].destination;
             if self.now - since < self.scenario.rules.warm_after {
-                self.introduce_destination(at, destination, &mut inputs);
+                self.introduce_destination(forwarder_id, destination, &mut inputs);
                 inputs.push(Input::WarmUpRestored {
                     target,
                     since,
@@ -147,6 +149,6 @@
                 });
             }
         }
-        self.decide(at, inputs);
+        self.decide(forwarder_id, inputs);
     }
 }
--- a/forwarder/emulator/src/world/processes.rs
+++ b/forwarder/emulator/src/world/processes.rs
@@ -1,5 +1,5 @@
-//! Lives of a forwarder: its start, stalls and ends, the record that outlasts a process, and what happens to
-//! what was held when one ends.
+//! The processes of a forwarder: stalls and ends, the event log that outlasts a process, and what
+//! happens to pending events and calls when a process ends.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::Repeats;
@@ -12,73 +12,82 @@
 use crate::outcome::LossCause;
 use crate::random::exponential;
 
-/// A process that was asked to end stays for so long at the least: clients still come.
+/// A process that shuts down stays for so long at the least: clients still come.
 pub(super) const CLOSING_LEAST: Ms = 1_000.0;
 
 impl World<'_> {
-    pub(super) fn stall(&mut self, at: u32, until: Ms) {
-        let it = &mut self.forwarders[at as usize];
-        if it.decider.is_none() {
+    pub(super) fn stall(&mut self, forwarder_id: u32, until: Ms) {
+        let forwarder = &mut self.forwarders[forwarder_id as usize];
+        if forwarder.decider.is_none() {
             return;
         }
-        it.stalled_until = it.stalled_until.max(until);
-        let incarnation = it.incarnation;
-        self.observe(Observation::Halted { forwarder: at });
-        self.queue.put(until, Step::StallEnds(at, incarnation));
+        forwarder.stalled_until = forwarder.stalled_until.max(until);
+        let incarnation = forwarder.incarnation;
+        self.observe(Observation::Halted {
+            forwarder: forwarder_id,
+        });
+        self.queue
+            .put(until, Step::StallEnds(forwarder_id, incarnation));
     }
 
-    pub(super) fn end_stall(&mut self, at: u32, incarnation: u32) {
-        let it = &self.forwarders[at as usize];
-        if it.incarnation == incarnation && it.stalled_until <= self.now {
+    pub(super) fn end_stall(&mut self, forwarder_id: u32, incarnation: u32) {
+        let forwarder = &self.forwarders[forwarder_id as usize];
+        if forwarder.incarnation == incarnation && forwarder.stalled_until <= self.now {
             self.observe(Observation::Resumed {
-                forwarder: at,
+                forwarder: forwarder_id,
                 is_new_process: false,
             });
-            self.schedule_iteration(at);
+            self.schedule_iteration(forwarder_id);
         }
     }
 
-    pub(super) fn begin_shutdown(&mut self, at: u32) {
-        let it = &mut self.forwarders[at as usize];
-        if it.decider.is_none() || it.closing.is_some() {
+    pub(super) fn begin_shutdown(&mut self, forwarder_id: u32) {
+        let forwarder = &mut self.forwarders[forwarder_id as usize];
+        if forwarder.decider.is_none() || forwarder.closing.is_some() {
             return;
         }
         let ends = self.now + self.scenario.forwarders.closing;
-        it.closing = Some((self.now, ends));
-        let incarnation = it.incarnation;
-        self.incoming(at, Input::ShutdownBegan { ends }, None);
-        self.queue.put(ends, Step::IncarnationEnds(at, incarnation));
+        forwarder.closing = Some((self.now, ends));
+        let incarnation = forwarder.incarnation;
+        self.incoming(forwarder_id, Input::ShutdownBegan { ends }, None);
         self.queue
-            .put(self.now + CLOSING_LEAST, Step::WakeUp(at, incarnation));
+            .put(ends, Step::IncarnationEnds(forwarder_id, incarnation));
+        self.queue.put(
+            self.now + CLOSING_LEAST,
+            Step::WakeUp(forwarder_id, incarnation),
+        );
     }
 
-    pub(super) fn end_incarnation(&mut self, at: u32, incarnation: u32) {
-        if self.forwarders[at as usize].incarnation == incarnation {
-            self.end_process(at, self.scenario.forwarders.restart, true);
+    pub(super) fn end_incarnation(&mut self, forwarder_id: u32, incarnation: u32) {
+        if self.forwarders[forwarder_id as usize].incarnation == incarnation {
+            self.end_process(forwarder_id, self.scenario.forwarders.restart, true);
         }
     }
 
-    /// The process is gone at once. With its folder kept, the next one goes on from there; with the machine
-    /// lost, clients learn of it, and what may have run and binds does not come again.
-    pub(super) fn end_process(&mut self, at: u32, gone_for: Ms, folder_kept: bool) {
-        let it = &mut self.forwarders[at as usize];
-        if it.decider.take().is_none() {
+    /// The process ends at once. With its folder kept, the next one goes on from the event log;
+    /// with the machine lost, clients learn of that, and non-idempotent events that may have run
+    /// are not submitted again.
+    pub(super) fn end_process(&mut self, forwarder_id: u32, gone_for: Ms, folder_kept: bool) {
+        let forwarder = &mut self.forwarders[forwarder_id as usize];
+        if forwarder.decider.take().is_none() {
             return;
         }
-        it.incarnation += 1;
-        it.died_at = Some(self.now);
-        it.closing = None;
-        it.iteration_scheduled = false;
-        it.next_wake_up = f64::INFINITY;
-        it.introduced.clear();
-        let inbox = std::mem::take(&mut it.inbox);
-        let targets: Vec<u32> = it.idle.keys().copied().collect();
-        self.observe(Observation::Halted { forwarder: at });
+        forwarder.incarnation += 1;
+        forwarder.died_at = Some(self.now);
+        forwarder.closing = None;
+        forwarder.iteration_scheduled = false;
+        forwarder.next_wake_up = f64::INFINITY;
+        forwarder.introduced.clear();
+        let inbox = std::mem::take(&mut forwarder.inbox);
+        let targets: Vec<u32> = forwarder.idle.keys().copied().collect();
+        self.observe(Observation::Halted {
+            forwarder: forwarder_id,
+        });
         for target in targets {
-            self.close_idle(at, target);
+            self.close_idle(forwarder_id, target);
         }
         let mut unwritten = FxHashSet::default();
-        // What lay unread is as if never said: a client that was not answered hands in again.
+        // Unread messages are as if never sent: a client without an answer submits again.
         for incoming in inbox {
             match incoming {
                 Incoming::HandIn(client_event) => {
@@ -86,9 +95,9 @@
                     self.on_no_forwarder(client_event)
                 }
                 Incoming::Input(Input::CompletionAcknowledged { event }, _) => {
-                    // The client has heard, only the process has not.
+                    // The client acknowledged; only the process does not know.
                     if let Some(held) = self.events.remove(event) {
-                        self.forwarders[at as usize].held -= 1;
+                        self.forwarders[forwarder_id as usize].held -= 1;
                         self.observe(Observation::CompletionAcknowledged { event: held.number });
                     }
                 }
@@ -98,26 +107,27 @@
                 Incoming::Input(..) => (),
             }
         }
-        self.drop_calls(at, unwritten);
+        self.drop_calls(forwarder_id, unwritten);
         if !folder_kept {
-            self.machine_lost(at);
+            self.machine_lost(forwarder_id);
         }
-        self.queue.put(self.now + gone_for, Step::ProcessStarts(at));
+        self.queue
+            .put(self.now + gone_for, Step::ProcessStarts(forwarder_id));
     }
 
-    /// The forwarder's side of all its calls is over: what was written may run. Its record can't tell what
-    /// was not, but the rules can.
-    pub(super) fn drop_calls(&mut self, at: u32, mut unwritten: FxHashSet<EventKey>) {
+    /// The forwarder's side of all its calls is over: written ones may still run. The event log
+    /// does not tell which were not written, but the invariants can.
+    pub(super) fn drop_calls(&mut self, forwarder_id: u32, mut unwritten: FxHashSet<EventKey>) {
         let ours = self
             .calls
             .iter()
-            .filter(|(_, call)| call.forwarder == at && !call.abandoned_by_sender);
+            .filter(|(_, call)| call.forwarder == forwarder_id && !call.abandoned_by_sender);
         let ours: Vec<CallKey> = ours.map(|(key, _)| key).collect();
         for key in ours {
             let call = &mut self.calls[key];
             call.abandoned_by_sender = true;
             let (target, written) = (call.target, call.written);
-            // A connection that is coming up is given back when it is up.
+            // A connection that is being set up is returned when it is up.
             let coming_up = !written && call.fate != AttemptOutcome::ConnectFailed;
             if !written {
                 unwritten.extend(call.members.iter().map(|member| member.event));
@@ -129,10 +139,10 @@
                 self.close_connections(target, 1);
             }
         }
-        // Sends whose end lay unread count as out too.
+        // Attempts whose outcome was unread count as in flight too.
         let mut out: Vec<(u64, EventKey)> = Vec::new();
         for (key, event) in &self.events {
-            if event.forwarder == at && event.out.is_some() {
+            if event.forwarder == forwarder_id && event.out.is_some() {
                 out.push((event.number, key));
             }
         }
@@ -143,7 +153,7 @@
             event.may_have_run.get_or_insert((event.sent_at, zone));
             if !unwritten.contains(&key) {
                 self.observe(Observation::AttemptEnded {
-                    forwarder: at,
+                    forwarder: forwarder_id,
                     event: number,
                     outcome: AttemptEnd::CutShort,
                 });
@@ -156,15 +166,15 @@
         call.map_or(0, |call| self.targets[call.target as usize].zone as usize)
     }
 
-    pub(super) fn machine_lost(&mut self, at: u32) {
+    pub(super) fn machine_lost(&mut self, forwarder_id: u32) {
         let held = self
             .events
             .iter()
-            .filter(|(_, event)| event.forwarder == at);
+            .filter(|(_, event)| event.forwarder == forwarder_id);
         let mut held: Vec<(u64, EventKey)> = held.map(|(key, event)| (event.number, key)).collect();
         held.sort_unstable();
-        self.forwarders[at as usize].cold.clear();
-        self.forwarders[at as usize].held = 0;
+        self.forwarders[forwarder_id as usize].cold.clear();
+        self.forwarders[forwarder_id as usize].held = 0;
         for (number, key) in held {
             let event = self.events.remove(key).expect("held");
             self.observe(Observation::EventLost { event: number });
--- a/forwarder/emulator/src/world/state.rs
+++ b/forwarder/emulator/src/world/state.rs
@@ -1,4 +1,5 @@
-//! What forwarders hold and what is on its way: plain data that the files beside this one work on.
+//! The state of events, forwarders, connections and calls: plain data that the files beside this
+//! one change.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -7,10 +8,10 @@
 use crate::clients::ClientEvent;
 use crate::deciders::{Decider, EventKey, Input};
 
-/// An event that a forwarder has taken on.
+/// An event that a forwarder has accepted.
 pub(super) struct Event {
     pub client_event: ClientEvent,
-    /// In the order taken, over all forwarders.
+    /// The order of acceptance, over all forwarders.
     pub number: u64,
     pub forwarder: u32,
     pub sends: u32,
@@ -18,20 +19,21 @@
     pub may_have_run: Option<(Ms, usize)>,
     pub out: Option<CallKey>,
     pub ended: bool,
-    /// Its end goes by a notice that was not heard yet: dismissed, with a time to come back.
+    /// The completion goes by a notification that is not acknowledged yet: whether the event is
+    /// rejected, and the retry-after.
     pub unacknowledged: Option<(bool, Option<Ms>)>,
 }
 
 pub(super) enum Incoming {
     HandIn(ClientEvent),
-    /// With the lane of the call that it is about, and whether that call was written.
+    /// With the lane of the call that the input is about, and whether that call was written.
     Input(Input, Option<(u32, bool)>),
 }
 
 pub(super) struct Forwarder {
     pub decider: Option<Box<dyn Decider>>,
     pub zone: usize,
-    /// Counts its processes.
+    /// The number of processes that the forwarder had before.
     pub incarnation: u32,
     pub inbox: Vec<Incoming>,
     pub iteration_scheduled: bool,
@@ -39,23 +41,23 @@
     pub next_wake_up: Ms,
     pub stalled_until: Ms,
     pub died_at: Option<Ms>,
-    /// Asked to end: since when, and by when.
+    /// Shutting down: since when, and by when.
     pub closing: Option<(Ms, Ms)>,
-    /// How much of the list's changes it has heard.
+    /// How many of the endpoint list's changes the forwarder knows.
     pub heard: usize,
-    /// What a partial hearing left out.
+    /// Changes that a partial update left out.
     pub missed: Vec<u32>,
     pub list_update_scheduled: bool,
     pub list_frozen_until: Ms,
-    /// Destinations that its decisions were told of.
+    /// Destinations that the decider knows.
     pub introduced: FxHashSet<u32>,
     pub held: usize,
     pub idle: FxHashMap<u32, Vec<IdleConnection>>,
-    /// Targets whose lane was cold, for its next life.
+    /// Targets whose lane warms up, for the next process.
     pub cold: FxHashMap<u32, (Ms, f64)>,
 }
 
-/// An event aboard a call, with what its effect is known by: the event itself may be over before.
+/// An event of a call, with its effect's id: the event itself may be complete before the call ends.
 #[derive(Clone, Copy)]
 pub(super) struct Member {
     pub event: EventKey,
@@ -67,7 +69,7 @@
 /// A connection that no call uses.
 pub(super) struct IdleConnection {
     pub since: Ms,
-    /// The target has dropped it, unseen.
+    /// The target has dropped the connection without notice.
     pub dropped: bool,
 }
 
@@ -80,22 +82,22 @@
     pub members: Vec<Member>,
     pub began: Ms,
     pub written: bool,
-    /// On a connection that stood idle before.
+    /// The connection had been idle.
     pub reused: bool,
     /// The target had dropped that connection.
     pub dropped: bool,
-    /// The forwarder does not wait for it any more.
+    /// The forwarder does not wait for the call any more.
     pub abandoned_by_sender: bool,
-    /// The target has it: in its queue or being served.
+    /// The call is in the target's queue or in service.
     pub there: bool,
     pub served: bool,
-    /// It met an outage.
+    /// The call met an outage.
     pub in_outage: bool,
-    /// How it will be answered, and the wait told with that.
+    /// The outcome that the answer will have; `wait` is the retry-after with it.
     pub fate: AttemptOutcome,
     pub wait: Ms,
-    /// It is never answered.
+    /// The target never answers the call.
     pub never_answered: bool,
-    /// Multiplies what a target takes.
+    /// Multiplies the target's service time.
     pub work: f64,
 }
--- a/forwarder/emulator/src/world/step.rs
+++ b/forwarder/emulator/src/world/step.rs
@@ -1,4 +1,4 @@
-//! What happens next, and who sees to it.
+//! The steps of the simulation, and the function that carries out each.
 
 use plankhill_forwarder_config::scenario::Ms;
 
@@ -6,30 +6,30 @@
 use crate::clients::ClientEvent;
 use crate::deciders::EventKey;
 
-/// What happens at its time. Two at one instant happen in the order in which they were foreseen; a round
-/// stands behind all that came in at its instant before it was called for.
+/// A step that happens at its time. Two steps at one instant happen in the order in which they were
+/// scheduled; an iteration comes after all inputs of its instant that came before it was scheduled.
 pub(super) enum Step {
-    /// The next event of the clients' stream.
+    /// A client submits the next event of the stream.
     Arrival,
     Submit(Box<ClientEvent>),
     Iteration(u32),
-    /// A wake-up that the forwarder's decisions asked for; of this life of it.
+    /// A wake-up that the forwarder's decider asked for, in this incarnation.
     WakeUp(u32, u32),
     Connected(CallKey),
-    /// The call's last byte is at its target.
+    /// The call's last byte reaches its target.
     Arrives(CallKey),
     Served(CallKey),
-    /// The answer is at the forwarder.
+    /// The answer reaches the forwarder.
     Answered(CallKey),
     TimedOut(CallKey),
     IdleConnectionDropped(u32, u32, Ms),
-    /// The notice of an event's end is heard.
+    /// The notification of an event's completion is acknowledged.
     CompletionAcknowledged(u32, u32, EventKey),
     ListUpdate(u32),
     FaultBegins(u16),
     FaultToggles(u16),
     FaultEnds(u16),
-    /// A target of a trouble that takes them one by one.
+    /// A target of a fault that replaces targets one by one.
     ReplaceOne(u16, u32),
     RemoveDraining(u16),
     StrikeForwarder(u16, u32),
--- a/forwarder/emulator/src/world/submissions.rs
+++ b/forwarder/emulator/src/world/submissions.rs
@@ -1,4 +1,4 @@
-//! Clients: handing in, hearing of ends, and coming again.
+//! Clients: submitting events, learning of completions, and submitting again.
 
 use plankhill_decisions::interface::{EndpointState, Ms};
 use plankhill_invariants::{Completion, Observation};
@@ -10,14 +10,14 @@
 use crate::outcome::LossCause;
 use crate::random::{between, exponential, uniform};
 
-/// What is left of an event's patience at the door, at the least.
+/// An event with less time to its deadline is rejected at submission.
 const LEAST_PATIENCE: Ms = 100.0;
-/// In a storm of retries clients wait for this on the mean.
+/// The mean time before a client submits again in a retry storm.
 const STORM_PAUSE: Ms = 50.0;
 
 impl World<'_> {
-    /// The layer before the forwarders passes an event on: those of one key to one forwarder while it is
-    /// there, as far as that layer knows.
+    /// The layer before the forwarders forwards an event: events of one key to one forwarder while
+    /// that one is up, as far as the layer knows.
     pub(super) fn submit(&mut self, client_event: ClientEvent) {
         self.tally.totals.handed_in += 1;
         let count = self.forwarders.len();
@@ -27,8 +27,9 @@
         };
         let lag = self.scenario.forwarders.front_lag;
         let believed = |at: &usize| {
-            let it = &self.forwarders[*at];
-            it.closing.is_none() && it.died_at.is_none_or(|died| self.now < died + lag)
+            let forwarder = &self.forwarders[*at];
+            forwarder.closing.is_none()
+                && forwarder.died_at.is_none_or(|died| self.now < died + lag)
         };
         let chosen = (0..count).map(|step| (first + step) % count).find(believed);
         let Some(chosen) = chosen.filter(|at| self.forwarders[*at].decider.is_some()) else {
@@ -43,21 +44,21 @@
 
     pub(super) fn accept_submission(
         &mut self,
-        at: u32,
+        forwarder_id: u32,
         mut client_event: ClientEvent,
         inputs: &mut Vec<Input>,
     ) {
-        let it = &self.forwarders[at as usize];
-        if it.closing.is_some() {
+        let forwarder = &self.forwarders[forwarder_id as usize];
+        if forwarder.closing.is_some() {
             return self.on_no_forwarder(client_event);
         }
-        self.introduce_destination(at, client_event.destination, inputs);
-        let heard = self.forwarders[at as usize].heard;
+        self.introduce_destination(forwarder_id, client_event.destination, inputs);
+        let heard = self.forwarders[forwarder_id as usize].heard;
         let targets = &self.destinations[client_event.destination as usize].targets;
         let named = targets
             .iter()
             .any(|target| self.targets[*target as usize].as_of(heard) != EndpointState::Removed);
-        let full = self.forwarders[at as usize].held >= self.scenario.forwarders.room;
+        let full = self.forwarders[forwarder_id as usize].held >= self.scenario.forwarders.room;
         if full || !named || client_event.patience_ends - self.now < LEAST_PATIENCE {
             client_event.cause = LossCause::NoRoom;
             self.tally.totals.dismissed += 1;
@@ -70,7 +71,7 @@
         let key = client_event.key.filter(|_| of.ordered);
         let (origin, patience_ends) = (client_event.origin, client_event.patience_ends);
         self.observe(Observation::Accepted {
-            forwarder: at,
+            forwarder: forwarder_id,
             event: number,
             origin,
             idempotency: effect,
@@ -82,7 +83,7 @@
         let event = self.events.insert(Event {
             client_event,
             number,
-            forwarder: at,
+            forwarder: forwarder_id,
             sends: 0,
             sent_at: 0.0,
             may_have_run: None,
@@ -90,7 +91,7 @@
             ended: false,
             unacknowledged: None,
         });
-        self.forwarders[at as usize].held += 1;
+        self.forwarders[forwarder_id as usize].held += 1;
         self.tally.totals.taken += 1;
         self.tally.totals.most_held = self.tally.totals.most_held.max(self.events.len() as u64);
         inputs.push(Input::Accepted {
@@ -103,7 +104,7 @@
         });
     }
 
-    /// Nobody took the event: the client tries again while that can matter.
+    /// No forwarder took the event: the client submits again while there is time.
     pub(super) fn on_no_forwarder(&mut self, mut client_event: ClientEvent) {
         let again = exponential(&mut self.rng_returns, self.scenario.clients.again_after);
         client_event.cause = LossCause::NoForwarder;
@@ -120,7 +121,7 @@
         self.queue.put(at, Step::Submit(Box::new(client_event)));
     }
 
-    /// The client hears of a dismissal.
+    /// The client learns of a rejection.
     pub(super) fn on_rejected(&mut self, mut client_event: ClientEvent, retry_after: Option<Ms>) {
         let of = &self.scenario.clients;
         let storms = self.storm > 0.0;
@@ -156,11 +157,11 @@
         }
     }
 
-    pub(super) fn on_delivered(&mut self, at: u32, key: EventKey) {
+    pub(super) fn on_delivered(&mut self, forwarder_id: u32, key: EventKey) {
         let event = self.events.remove(key).expect("held");
-        self.forwarders[at as usize].held -= 1;
+        self.forwarders[forwarder_id as usize].held -= 1;
         self.observe(Observation::Completed {
-            forwarder: at,
+            forwarder: forwarder_id,
             event: event.number,
             completion: Completion::Completed,
             by_notification: false,
@@ -171,7 +172,7 @@
 
     pub(super) fn on_completed(
         &mut self,
-        at: u32,
+        forwarder_id: u32,
         key: EventKey,
         dismissed: bool,
         retry_after: Option<Ms>,
@@ -193,27 +194,28 @@
             Completion::Abandoned
         };
         self.observe(Observation::Completed {
-            forwarder: at,
+            forwarder: forwarder_id,
             event: number,
             completion: end,
             by_notification,
         });
         if by_notification {
             self.events[key].unacknowledged = Some((dismissed, retry_after));
-            let incarnation = self.forwarders[at as usize].incarnation;
+            let incarnation = self.forwarders[forwarder_id as usize].incarnation;
             return self.queue.put(
                 self.now + self.scenario.forwarders.notice,
-                Step::CompletionAcknowledged(at, incarnation, key),
+                Step::CompletionAcknowledged(forwarder_id, incarnation, key),
             );
         }
         let event = self.events.remove(key).expect("seen");
-        self.forwarders[at as usize].held -= 1;
+        self.forwarders[forwarder_id as usize].held -= 1;
         self.notify_client(event.client_event, dismissed, retry_after);
     }
 
-    /// The notice of an end is heard: by the client first, then, as an answer, by the forwarder.
-    pub(super) fn on_acknowledged(&mut self, at: u32, incarnation: u32, key: EventKey) {
-        if self.forwarders[at as usize].incarnation != incarnation {
+    /// The notification of a completion is acknowledged: the client has it first, then the
+    /// forwarder the answer.
+    pub(super) fn on_acknowledged(&mut self, forwarder_id: u32, incarnation: u32, key: EventKey) {
+        if self.forwarders[forwarder_id as usize].incarnation != incarnation {
             return; // the next incarnation tells it again
         }
         let Some(event) = self.events.get_mut(key) else {
@@ -224,6 +226,10 @@
         };
         let client_event = event.client_event.clone();
         self.notify_client(client_event, dismissed, retry_after);
-        self.incoming(at, Input::CompletionAcknowledged { event: key }, None);
+        self.incoming(
+            forwarder_id,
+            Input::CompletionAcknowledged { event: key },
+            None,
+        );
     }
 }
--- a/forwarder/emulator/src/world/warm_up.rs
+++ b/forwarder/emulator/src/world/warm_up.rs
@@ -1,4 +1,5 @@
-//! Destinations back from an outage: how warm a lane is, what weighs on it, and when it tips.
+//! Lanes that come back from an outage: how far a lane has warmed up, its load, and when it is
+//! overloaded.
 
 use std::collections::VecDeque;
 
@@ -10,7 +11,7 @@
 use super::{Step, World};
 
 impl World<'_> {
-    /// The share of its pace that a lane has, by how long it has been back.
+    /// The share of its capacity that a lane has, by the time since its outage.
     pub(super) fn warmth(&self, lane: u32) -> f64 {
         let rules = &self.scenario.rules;
         let Some(cold) = &self.lanes[lane as usize].cold else {
@@ -20,14 +21,17 @@
         rules.cold_share + (1.0 - rules.cold_share) * back
     }
 
-    /// A call or ping of this weight came to a lane: a cold one may fall over under it.
+    /// A call or health check of this weight came to a lane. A lane that is warming up may be
+    /// overloaded by it.
     pub(super) fn add_load(&mut self, lane: u32, forwarder: u32, weight: f64) {
         let rules = &self.scenario.rules;
-        let it = &mut self.lanes[lane as usize];
-        if it.outage || it.overloaded_until > self.now {
+        let lane_state = &mut self.lanes[lane as usize];
+        if lane_state.outage || lane_state.overloaded_until > self.now {
             return;
         }
-        let Some(cold) = &mut it.cold else { return };
+        let Some(cold) = &mut lane_state.cold else {
+            return;
+        };
         cold.recent.push_back((self.now, forwarder, weight));
         while cold
             .recent
@@ -53,11 +57,11 @@
 
     pub(super) fn overload(&mut self, lane: u32) {
         self.tally.totals.tipped += 1;
-        let it = &mut self.lanes[lane as usize];
-        let cold = it.cold.take().expect("only a cold lane tips");
-        it.overloaded_until = self.now + self.scenario.rules.tipped;
-        it.outage = true;
-        let (until, of) = (it.overloaded_until, it.destination);
+        let lane_state = &mut self.lanes[lane as usize];
+        let cold = lane_state.cold.take().expect("only a cold lane tips");
+        lane_state.overloaded_until = self.now + self.scenario.rules.tipped;
+        lane_state.outage = true;
+        let (until, of) = (lane_state.overloaded_until, lane_state.destination);
         let mut load: Vec<(u32, f64)> = Vec::new();
         for (_, forwarder, weight) in cold.recent {
             match load.iter_mut().find(|(who, _)| *who == forwarder) {
@@ -76,7 +80,7 @@
         self.update_outages(of);
     }
 
-    /// Something changed at a destination: outages begin and end with it.
+    /// Something changed at a destination: its lanes' outages begin and end with that.
     pub(super) fn update_outages(&mut self, destination: u32) {
         let targets = &self.destinations[destination as usize].targets;
         let listed = targets
@@ -95,13 +99,13 @@
             }
         }
         for (lane, out) in lanes {
-            let it = &mut self.lanes[lane as usize];
-            if out && !it.outage {
-                (it.outage, it.cold) = (true, None);
+            let lane_state = &mut self.lanes[lane as usize];
+            if out && !lane_state.outage {
+                (lane_state.outage, lane_state.cold) = (true, None);
                 self.observe(Observation::OutageBegan { lane });
-            } else if !out && it.outage {
-                it.outage = false;
-                it.cold = Some(Box::new(WarmUp {
+            } else if !out && lane_state.outage {
+                lane_state.outage = false;
+                lane_state.cold = Some(Box::new(WarmUp {
                     since: self.now,
                     recent: VecDeque::new(),
                 }));
@@ -114,9 +118,13 @@
     }
 
     pub(super) fn end_warm_up(&mut self, lane: u32, since: Ms) {
-        let it = &mut self.lanes[lane as usize];
-        if it.cold.as_ref().is_some_and(|cold| cold.since == since) {
-            it.cold = None;
+        let lane_state = &mut self.lanes[lane as usize];
+        if lane_state
+            .cold
+            .as_ref()
+            .is_some_and(|cold| cold.since == since)
+        {
+            lane_state.cold = None;
             self.observe(Observation::WarmedUp { lane });
         }
     }
--- a/forwarder/emulator/tests/decision_digests.rs
+++ b/forwarder/emulator/tests/decision_digests.rs
@@ -1,5 +1,6 @@
-//! The outcome of a shrunk day of every shipped scenario, for two seeds each, against the digests that an
-//! earlier version gave. The whole days are played by the example `decision_digests`, in release mode.
+//! The outcome of a shrunk day of every shipped scenario, for two seeds each, against the digests
+//! that an earlier version gave. The whole days are played by the example `decision_digests`, in
+//! release mode.
 
 #[path = "helpers/digest.rs"]
 mod digest;
--- a/forwarder/emulator/tests/helpers/digest.rs
+++ b/forwarder/emulator/tests/helpers/digest.rs
@@ -1,5 +1,5 @@
-//! Digests of whole days of the shipped scenarios, in the form that `plankhill emulate --json` prints: all
-//! floating point numbers in full precision, no unordered map.
+//! Digests of whole days of the shipped scenarios, in the form that `plankhill emulate --json`
+//! prints: all floating point numbers in full precision, no unordered map.
 
 use std::path::{Path, PathBuf};
 
@@ -49,7 +49,8 @@
         })
 }
 
-/// Shrinks the day to this part of its length, and the time until each trouble and its length with it.
+/// Shrinks the day to this part of its length, and the time until each trouble and its length with
+/// it.
 fn shrink(text: &mut Text, part: f64) {
     let number = |value: &toml::Value| value.as_float().expect("times have a decimal point");
     let length = number(&text.table()["length"]);
@@ -70,7 +71,8 @@
     }
 }
 
-/// One line: scenario, seed, who decides, payoff and the digest of the whole outcome, of this part of the day.
+/// One line: scenario, seed, who decides, payoff and the digest of the whole outcome, of this part
+/// of the day.
 pub fn line(name: &str, seed: u64, part: f64) -> String {
     line_with(name, seed, part, "module")
 }
--- a/forwarder/emulator/tests/helpers/mod.rs
+++ b/forwarder/emulator/tests/helpers/mod.rs
@@ -52,7 +52,8 @@
     Scenario::read(&text).expect("the test's scenario is right")
 }
 
-/// One destination with one target, one forwarder with slots without end, nothing between them: a queue.
+/// One destination with one target, one forwarder with slots without end, nothing between them: a
+/// queue.
 pub fn station(set: &[(&str, &str)]) -> Scenario {
     let text = r#"
 about = "one queue"
--- a/forwarder/emulator/tests/queues.rs
+++ b/forwarder/emulator/tests/queues.rs
@@ -1,4 +1,5 @@
-//! Against theory: what a station's waiting times must be, within their confidence intervals over seeds.
+//! Against theory: what a station's waiting times must be, within their confidence intervals over
+//! seeds.
 
 mod helpers;
 
--- a/forwarder/invariants/src/checker.rs
+++ b/forwarder/invariants/src/checker.rs
@@ -1,5 +1,5 @@
-//! Observations in, violations out. Each invariant reads the same small record of events, keys, targets and
-//! lanes; the files beside this one have the invariants by subject.
+//! Observations in, violations out. Each invariant reads the same small record of events, keys,
+//! targets and lanes; the files beside this one have the invariants by subject.
 
 mod attempts;
 mod bounds;
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Takes the next observation. Observations come in the order of their time; one that does not counts as a
-    /// violation, of the reporter.
+    /// Takes the next observation. Observations come in the order of their time; one that does not
+    /// counts as a violation, of the reporter.
     pub fn observe(&mut self, now: Ms, observation: Observation) {
         if now < self.now {
             let last = self.now;
@@ -170,8 +170,8 @@
         }
     }
 
-    /// At the end of a run: reports every event that passed its deadline without a completion, unless a halted
-    /// forwarder excuses that.
+    /// At the end of a run: reports every event that passed its deadline without a completion,
+    /// unless a halted forwarder excuses that.
     pub fn finish(&mut self, now: Ms) {
         self.now = self.now.max(now);
         let is_late = |event: &PendingEvent| {
--- a/forwarder/invariants/src/checker/bounds.rs
+++ b/forwarder/invariants/src/checker/bounds.rs
@@ -9,15 +9,18 @@
     pub drain_grace: Ms,
     /// Milliseconds for which a key cools down after an attempt of it was cut short.
     pub key_cooldown: Ms,
-    /// Milliseconds after its resumption in which a forwarder may complete events whose deadlines passed while
-    /// it was halted.
+    /// Milliseconds after its resumption in which a forwarder may complete events whose deadlines
+    /// passed while it was halted.
     pub resumption_grace: Ms,
-    /// With replication: milliseconds after its forwarder halted in which an event may be completed late, as a
-    /// successor has it by then. Without replication (`None`) a halted forwarder excuses all that it owes.
+    /// With replication: milliseconds after its forwarder halted in which an event may be completed
+    /// late, as a successor has it by then. Without replication (`None`) a halted forwarder excuses
+    /// all that it owes.
     pub takeover_within: Option<Ms>,
-    /// The share of an overload that must come from forwarders that saw the outage, to be their fault.
+    /// The share of an overload that must come from forwarders that saw the outage, to be their
+    /// fault.
     pub informed_share: f64,
-    /// Milliseconds for which an effect is remembered: past all that its client may still submit again.
+    /// Milliseconds for which an effect is remembered: past all that its client may still submit
+    /// again.
     pub effects_remembered_for: Ms,
     /// Milliseconds of slack for times that were rounded on their way.
     pub rounding: Ms,
--- a/forwarder/invariants/src/checker/effects.rs
+++ b/forwarder/invariants/src/checker/effects.rs
@@ -18,8 +18,8 @@
             self.effects_to_forget.push_back((forgotten_at, origin));
             return;
         };
-        // Retries of a deduplicated event are judged when they are sent; a client that submits an event again
-        // answers for that itself.
+        // Retries of a deduplicated event are judged when they are sent; a client that submits an
+        // event again answers for that itself.
         if idempotency == Idempotency::NonIdempotent {
             let description = format!(
                 "binding effect {origin} came about twice: event {} at {:.3} ms, event {event}",
@@ -39,8 +39,8 @@
         }
     }
 
-    /// A lane that was warming up fell over: a violation if most of the load came from forwarders that had seen
-    /// the outage.
+    /// A lane that was warming up fell over: a violation if most of the load came from forwarders
+    /// that had seen the outage.
     pub(super) fn check_overload(&mut self, lane: u32, load: &[(u32, f64)]) {
         let Some(informed) = self.informed.get(&lane) else {
             return;
--- a/forwarder/invariants/src/checker/fleet.rs
+++ b/forwarder/invariants/src/checker/fleet.rs
@@ -5,7 +5,8 @@
 use crate::observation::Ms;
 
 impl Checker {
-    /// The client heard no answer and has to take the next step itself. The event holds back no other of its key.
+    /// The client heard no answer and has to take the next step itself. The event holds back no
+    /// other of its key.
     pub(super) fn mark_unconfirmed(&mut self, number: u64) {
         let Some(event) = self.events.get_mut(&number) else {
             return;
@@ -83,8 +84,8 @@
         }
     }
 
-    /// At the end of a run whose forwarders all work again and that waited for it: every accepted event has its
-    /// completion, whatever its deadline, and each subscriber its server.
+    /// At the end of a run whose forwarders all work again and that waited for it: every accepted
+    /// event has its completion, whatever its deadline, and each subscriber its server.
     pub fn finish_after_recovery(&mut self, now: Ms) {
         self.now = self.now.max(now);
         let lost = self
--- a/forwarder/invariants/src/checker/records.rs
+++ b/forwarder/invariants/src/checker/records.rs
@@ -1,4 +1,5 @@
-//! What the checker remembers of an event, a key, a forwarder, an effect, a target and a subscriber.
+//! What the checker remembers of an event, a key, a forwarder, an effect, a target and a
+//! subscriber.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,8 +14,8 @@
 
 /// An accepted event whose record is still needed.
 pub(super) struct PendingEvent {
-    /// The forwarder that accepted the event. The event stays in that forwarder's queue of its key, whoever owns
-    /// the event now.
+    /// The forwarder that accepted the event. The event stays in that forwarder's queue of its key,
+    /// whoever owns the event now.
     pub(super) accepted_by: u32,
     pub(super) idempotency: Idempotency,
     pub(super) key: Option<u64>,
@@ -25,7 +26,8 @@
     pub(super) last_attempt: SentAttempt,
     pub(super) is_completed: bool,
     pub(super) awaits_acknowledgement: bool,
-    /// The client heard no answer: the event may have been accepted or not, and no completion is owed.
+    /// The client heard no answer: the event may have been accepted or not, and no completion is
+    /// owed.
     pub(super) is_unconfirmed: bool,
 }
 
--- a/forwarder/invariants/src/invariant.rs
+++ b/forwarder/invariants/src/invariant.rs
@@ -13,7 +13,8 @@
     DrainsRespected,
     /// No destination that comes back is overloaded by forwarders that saw its outage.
     NoOverloadAfterOutage,
-    /// Events of one order key go in order, and with a cool-down after an attempt that was cut short.
+    /// Events of one order key go in order, and with a cool-down after an attempt that was cut
+    /// short.
     KeyOrder,
     /// Nothing is sent before a retry-after has ended.
     RetryAftersRespected,
--- a/forwarder/invariants/src/observation.rs
+++ b/forwarder/invariants/src/observation.rs
@@ -1,5 +1,5 @@
-//! What can happen, as far as an invariant asks for it. Events, targets, lanes and forwarders have numbers that
-//! the reporter chooses.
+//! What can happen, as far as an invariant asks for it. Events, targets, lanes and forwarders have
+//! numbers that the reporter chooses.
 
 /// Milliseconds with fractions.
 pub type Ms = f64;
@@ -64,8 +64,8 @@
         forwarder: u32,
         /// The event.
         event: u64,
-        /// The same for all events that stand for one effect at the destination, as when a client submits an
-        /// event again.
+        /// The same for all events that stand for one effect at the destination, as when a client
+        /// submits an event again.
         origin: u64,
         /// What a repeat does.
         idempotency: Idempotency,
@@ -113,7 +113,8 @@
         event: u64,
         /// How the event was completed.
         completion: Completion,
-        /// The completion counts only with the [`Observation::CompletionAcknowledged`] that follows.
+        /// The completion counts only with the [`Observation::CompletionAcknowledged`] that
+        /// follows.
         by_notification: bool,
     },
     /// The client acknowledged the notification of a completion.
@@ -184,8 +185,8 @@
         /// It is a new process, which does not know the retry-afters of the last.
         is_new_process: bool,
     },
-    /// The client of an event heard no answer to its submission. Whether the event was accepted is open, and no
-    /// completion is owed. All else holds for the event.
+    /// The client of an event heard no answer to its submission. Whether the event was accepted is
+    /// open, and no completion is owed. All else holds for the event.
     AcceptanceUnconfirmed {
         /// The event.
         event: u64,
--- a/forwarder/invariants/tests/planted.rs
+++ b/forwarder/invariants/tests/planted.rs
@@ -1,4 +1,5 @@
-//! A violation of every invariant is planted in an otherwise clean run and must be found, and nothing else.
+//! A violation of every invariant is planted in an otherwise clean run and must be found, and
+//! nothing else.
 
 use plankhill_invariants::{
     AttemptEnd, Bounds, Checker, Completion, EventCounts, Idempotency, Invariant, Ms, Observation,
