--- a/forwarder/emulator/benches/memory.rs
+++ b/forwarder/emulator/benches/memory.rs
@@ -81,5 +81,8 @@
     let before = IN_USE.load(Ordering::Relaxed);
     let mut world = World::new(&day);
     while world.now() < 19_000.0 && world.step() {}
-    (IN_USE.load(Ordering::Relaxed) - before, world.held())
+    (
+        IN_USE.load(Ordering::Relaxed) - before,
+        world.pending_events(),
+    )
 }
--- a/forwarder/emulator/src/affected.rs
+++ b/forwarder/emulator/src/affected.rs
@@ -23,8 +23,8 @@
         let by_use = by_use(&weights);
         let mut destinations = Vec::new();
         let mut forwarders = Vec::new();
-        for trouble in &scenario.faults {
-            let whom = &trouble.whom;
+        for fault in &scenario.faults {
+            let whom = &fault.whom;
             let mut list: Vec<u32> = by_use.clone();
             if let Some(name) = &whom.group {
                 list.retain(|at| {
@@ -50,7 +50,7 @@
             }
             list.sort_unstable();
             destinations.push(list);
-            forwarders.push(struck_forwarders(scenario, trouble, &mut || {
+            forwarders.push(struck_forwarders(scenario, fault, &mut || {
                 uniform(&mut rng)
             }));
         }
@@ -76,12 +76,12 @@
 
 fn struck_forwarders(
     scenario: &Scenario,
-    trouble: &Fault,
+    fault: &Fault,
     draw: &mut dyn FnMut() -> f64,
 ) -> Vec<u32> {
     let count = scenario.forwarders.count;
     let zones = &scenario.network.zones;
-    let whom = &trouble.whom;
+    let whom = &fault.whom;
     let mut list: Vec<u32> = (0..count as u32).collect();
     if let Some(zone) = &whom.zone {
         list.retain(|at| zones[*at as usize % zones.len()] == *zone);
@@ -99,7 +99,8 @@
 /// distribution, the first destination being the most used.
 fn popularity(scenario: &Scenario) -> (Vec<f64>, Vec<u32>) {
     let all: f64 = scenario.destinations.iter().map(|group| group.share).sum();
-    let (mut weights, mut groups) = (Vec::new(), Vec::new());
+    let mut weights = Vec::new();
+    let mut groups = Vec::new();
     for (at, group) in scenario.destinations.iter().enumerate() {
         let ranks: Vec<f64> = (1..=group.count)
             .map(|rank| rank_weight(rank, scenario.clients.zipf))
--- a/forwarder/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -112,21 +112,22 @@
             .iter()
             .map(|traffic| traffic.share)
             .sum::<f64>();
-    let (mut targets, mut limit) = (group.targets as f64, RateLimiter::rate(&group.limit));
-    for (trouble, list) in scenario.faults.iter().zip(&struck.destinations) {
-        let on = trouble.start <= at && at + STEP <= trouble.start + trouble.length;
+    let mut targets = group.targets as f64;
+    let mut limit = RateLimiter::rate(&group.limit);
+    for (fault, list) in scenario.faults.iter().zip(&struck.destinations) {
+        let on = fault.start <= at && at + STEP <= fault.start + fault.length;
         if !on || list.binary_search(&destination).is_err() {
             continue;
         }
-        let whole = trouble.whom.zone.is_none();
-        let share = trouble.whom.targets.unwrap_or(1.0);
-        match trouble.kind {
+        let whole = fault.whom.zone.is_none();
+        let share = fault.whom.targets.unwrap_or(1.0);
+        match fault.kind {
             FaultKind::Down | FaultKind::Silent | FaultKind::Hung if whole => {
                 targets -= (share * group.targets as f64).ceil()
             }
             FaultKind::LimitLowered if whole && share == 1.0 => {
-                targets *= trouble.strength;
-                limit *= trouble.strength;
+                targets *= fault.strength;
+                limit *= fault.strength;
             }
             _ => (),
         }
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -20,7 +20,7 @@
     pub traffic: u8,
     pub key: Option<u64>,
     pub first_at: Ms,
-    pub patience_ends: Ms,
+    pub deadline: Ms,
     /// How often the event was rejected and submitted again.
     pub returns: u32,
     /// What kept the event from being delivered so far.
@@ -84,7 +84,8 @@
                     seed.wrapping_add(sources.len() as u64),
                     RandomStream::Arrivals,
                 );
-                let (ends, gap) = ((start + length).min(scenario.length), 1000.0 / rate);
+                let ends = (start + length).min(scenario.length);
+                let gap = 1000.0 / rate;
                 sources.push(Source {
                     next_at: start,
                     ends,
@@ -104,16 +105,16 @@
             u64::MAX,
             weighted(&all),
         );
-        for (trouble, list) in scenario.faults.iter().zip(&struck.destinations) {
+        for (fault, list) in scenario.faults.iter().zip(&struck.destinations) {
             if list.is_empty() {
                 continue;
             }
-            match trouble.kind {
+            match fault.kind {
                 FaultKind::Flood => {
-                    let rate = of.rate * trouble.strength;
+                    let rate = of.rate * fault.strength;
                     add(
-                        trouble.start,
-                        trouble.length,
+                        fault.start,
+                        fault.length,
                         rate,
                         false,
                         u64::MAX,
@@ -121,13 +122,13 @@
                     )
                 }
                 FaultKind::MassWake => {
-                    let events = (list.len() as f64 * trouble.strength).round();
+                    let events = (list.len() as f64 * fault.strength).round();
                     // A little faster than evenly, so that all have come before the end.
-                    let rate = 1050.0 * events / trouble.length.max(1.0);
+                    let rate = 1050.0 * events / fault.length.max(1.0);
                     let each = Whose::Each(list.clone(), 0);
                     add(
-                        trouble.start,
-                        trouble.length + 1000.0,
+                        fault.start,
+                        fault.length + 1000.0,
                         rate,
                         false,
                         events as u64,
@@ -176,7 +177,7 @@
             traffic: traffic as u8,
             key,
             first_at: at,
-            patience_ends: at + of.patience,
+            deadline: at + of.patience,
             returns: 0,
             cause: LossCause::Waited,
         }
--- a/forwarder/emulator/src/deciders/baseline.rs
+++ b/forwarder/emulator/src/deciders/baseline.rs
@@ -17,9 +17,9 @@
 /// What one baseline does beyond attempting each event.
 pub struct BaselineOptions {
     /// The upper bound of attempts of one event, beside that of the configuration.
-    pub sends: u32,
+    pub attempts: u32,
     /// The timeout of a call in milliseconds.
-    pub time_out: Ms,
+    pub timeout: Ms,
     /// Circuit breaker: after five failures in a row nothing is sent for five seconds, then one
     /// call decides.
     pub breaker: bool,
@@ -31,17 +31,17 @@
 }
 
 /// Full jitter: the backoff is uniform from 0 to this, doubling with each attempt.
-const FIRST_PAUSE: Ms = 200.0;
-const LONGEST_PAUSE: Ms = 10_000.0;
+const INITIAL_BACKOFF: Ms = 200.0;
+const MAX_BACKOFF: Ms = 10_000.0;
 /// Events are completed so long before their deadline.
-const LAST_MOMENT: Ms = 30.0;
+const DEADLINE_MARGIN: Ms = 30.0;
 
 struct Event {
     destination: u32,
     traffic: usize,
     key: Option<u64>,
-    patience_ends: Ms,
-    sends: u32,
+    deadline: Ms,
+    attempts: u32,
     not_before: Ms,
     may_have_run: Option<(Ms, usize)>,
     out: Option<u32>,
@@ -53,55 +53,55 @@
 #[derive(Default)]
 struct Destination {
     targets: Vec<(u32, usize, bool)>,
-    closed_until: Ms,
+    retry_after_ends: Ms,
     failures: u32,
-    broken_until: Ms,
-    trial_out: bool,
-    allowed: f64,
+    breaker_open_until: Ms,
+    trial_in_flight: bool,
+    max_calls: f64,
     out: usize,
-    waiting: BTreeMap<u64, EventKey>,
+    queued_events: BTreeMap<u64, EventKey>,
 }
 
 #[derive(Default)]
 struct KeyQueue {
     queue: VecDeque<EventKey>,
-    rests_until: Ms,
+    cooldown_ends: Ms,
 }
 
 pub struct Baseline {
-    terms: DecisionConfig,
+    config: DecisionConfig,
     options: BaselineOptions,
     rng: ChaCha8Rng,
     events: FxHashMap<EventKey, Event>,
     destinations: BTreeMap<u32, Destination>,
-    homes: FxHashMap<u32, u32>,
+    destination_of_target: FxHashMap<u32, u32>,
     keys: FxHashMap<u64, KeyQueue>,
     /// When something is due for a destination.
     due: BTreeSet<(u64, u32)>,
-    ends: BTreeSet<(u64, EventKey)>,
+    completions_due: BTreeSet<(u64, EventKey)>,
     out: usize,
     taken: u64,
-    tokens: f64,
-    sends_until: Ms,
+    retry_budget: f64,
+    last_send_at: Ms,
 }
 
 impl Baseline {
-    pub fn new(terms: DecisionConfig, options: BaselineOptions) -> Self {
-        let rng = stream(terms.seed, RandomStream::Baselines);
+    pub fn new(config: DecisionConfig, options: BaselineOptions) -> Self {
+        let rng = stream(config.seed, RandomStream::Baselines);
         Baseline {
-            terms,
+            config,
             options,
             rng,
             events: FxHashMap::default(),
             destinations: BTreeMap::new(),
-            homes: FxHashMap::default(),
+            destination_of_target: FxHashMap::default(),
             keys: FxHashMap::default(),
             due: BTreeSet::new(),
-            ends: BTreeSet::new(),
+            completions_due: BTreeSet::new(),
             out: 0,
             taken: 0,
-            tokens: 10.0,
-            sends_until: f64::INFINITY,
+            retry_budget: 10.0,
+            last_send_at: f64::INFINITY,
         }
     }
 
@@ -114,7 +114,7 @@
                 listing,
                 ..
             } => {
-                self.homes.insert(target, destination);
+                self.destination_of_target.insert(target, destination);
                 let to = self.destinations.entry(destination).or_default();
                 let runs = listing == EndpointState::Running;
                 match to.targets.iter_mut().find(|(id, ..)| *id == target) {
@@ -125,7 +125,7 @@
             }
             Input::EndpointRemoved { target } => {
                 if let Some(to) = self
-                    .homes
+                    .destination_of_target
                     .remove(&target)
                     .and_then(|of| self.destinations.get_mut(&of))
                 {
@@ -136,12 +136,12 @@
                 event,
                 destination,
                 traffic,
-                patience_ends,
+                deadline,
                 key,
                 again,
             } => {
                 self.taken += 1;
-                let key = key.filter(|_| self.terms.traffic_types[traffic].ordered);
+                let key = key.filter(|_| self.config.traffic_types[traffic].ordered);
                 if let Some(key) = key {
                     self.keys.entry(key).or_default().queue.push_back(event);
                 }
@@ -149,14 +149,14 @@
                 self.destinations
                     .entry(destination)
                     .or_default()
-                    .waiting
+                    .queued_events
                     .insert(order, event);
                 let held = Event {
                     destination,
                     traffic,
                     key,
-                    patience_ends,
-                    sends: 0,
+                    deadline,
+                    attempts: 0,
                     not_before: now,
                     may_have_run: None,
                     out: None,
@@ -164,47 +164,50 @@
                     accepted_now: !again,
                     unacknowledged: false,
                 };
-                self.ends
-                    .insert(((patience_ends - LAST_MOMENT).max(0.0).to_bits(), event));
+                self.completions_due
+                    .insert(((deadline - DEADLINE_MARGIN).max(0.0).to_bits(), event));
                 self.events.insert(event, held);
                 self.due.insert((now.to_bits(), destination));
             }
             Input::AttemptsRestored {
                 event,
-                sends,
+                attempts,
                 may_have_run,
                 was_out,
             } => {
                 let Some(held) = self.events.get_mut(&event) else {
                     return;
                 };
-                (held.sends, held.may_have_run) = (sends, may_have_run);
-                if let Some(line) = held
+                (held.attempts, held.may_have_run) = (attempts, may_have_run);
+                if let Some(key_queue) = held
                     .key
                     .filter(|_| was_out)
                     .and_then(|key| self.keys.get_mut(&key))
                 {
-                    line.rests_until = now + self.terms.key_cooldown;
+                    key_queue.cooldown_ends = now + self.config.key_cooldown;
                 }
             }
             Input::CompletionRestored { event } => {
                 if let Some(held) = self.events.get_mut(&event) {
                     held.unacknowledged = true;
                     if let Some(to) = self.destinations.get_mut(&held.destination) {
-                        to.waiting.remove(&held.order);
+                        to.queued_events.remove(&held.order);
                     }
                 }
             }
             Input::AttemptEnded {
-                event, fate, wait, ..
-            } => self.send_ended(event, fate, wait, now),
+                event,
+                outcome,
+                wait,
+                ..
+            } => self.send_ended(event, outcome, wait, now),
             Input::CompletionAcknowledged { event } => self.forget(event, now),
-            Input::ShutdownBegan { ends } => self.sends_until = ends - self.options.time_out,
+            Input::ShutdownBegan { ends } => self.last_send_at = ends - self.options.timeout,
             Input::HealthCheckEnded { .. } | Input::WarmUpRestored { .. } => (),
         }
     }
 
-    fn send_ended(&mut self, key: EventKey, fate: AttemptOutcome, wait: Ms, now: Ms) {
+    fn send_ended(&mut self, key: EventKey, outcome: AttemptOutcome, wait: Ms, now: Ms) {
         let Some(event) = self.events.get_mut(&key) else {
             return;
         };
@@ -214,46 +217,47 @@
         };
         self.out -= 1;
         to.out -= 1;
-        to.trial_out = false;
-        to.closed_until = to.closed_until.max(now + wait);
-        let good = fate == AttemptOutcome::Delivered;
+        to.trial_in_flight = false;
+        to.retry_after_ends = to.retry_after_ends.max(now + wait);
+        let good = outcome == AttemptOutcome::Delivered;
         if good {
             to.failures = 0;
-            to.allowed += 1.0 / to.allowed.max(1.0);
-        } else if fate != AttemptOutcome::NotSent {
-            to.failures += (fate != AttemptOutcome::Rejected) as u32;
-            to.allowed = (to.allowed / 2.0).max(1.0);
+            to.max_calls += 1.0 / to.max_calls.max(1.0);
+        } else if outcome != AttemptOutcome::NotSent {
+            to.failures += (outcome != AttemptOutcome::Rejected) as u32;
+            to.max_calls = (to.max_calls / 2.0).max(1.0);
             if to.failures >= 5 {
-                to.broken_until = now + 5_000.0;
+                to.breaker_open_until = now + 5_000.0;
             }
         }
-        if fate.may_have_run() {
+        if outcome.may_have_run() {
             event
                 .may_have_run
                 .get_or_insert((event.not_before, zone as usize));
         }
-        let ceiling = (FIRST_PAUSE * f64::powi(2.0, event.sends.min(10) as i32)).min(LONGEST_PAUSE);
+        let ceiling =
+            (INITIAL_BACKOFF * f64::powi(2.0, event.attempts.min(10) as i32)).min(MAX_BACKOFF);
         event.not_before = now + ceiling * uniform(&mut self.rng);
         let destination = event.destination;
         let cut = matches!(
-            fate,
+            outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled
         );
-        if let Some(line) = event
+        if let Some(key_queue) = event
             .key
             .filter(|_| cut)
             .and_then(|key| self.keys.get_mut(&key))
         {
-            line.rests_until = now + self.terms.key_cooldown;
+            key_queue.cooldown_ends = now + self.config.key_cooldown;
         }
         if good {
             self.forget(key, now);
         } else {
             let again = event.not_before;
             // The event's completion may have come due while its attempt was in flight.
-            self.ends
-                .insert(((event.patience_ends - LAST_MOMENT).max(0.0).to_bits(), key));
-            to.waiting.insert(event.order, key);
+            self.completions_due
+                .insert(((event.deadline - DEADLINE_MARGIN).max(0.0).to_bits(), key));
+            to.queued_events.insert(event.order, key);
             self.due.insert((again.to_bits(), destination));
         }
         self.due.insert((now.to_bits(), destination));
@@ -262,29 +266,29 @@
 
 impl Decider for Baseline {
     fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
-        let had_room = self.out < self.terms.max_calls_in_flight;
+        let had_room = self.out < self.config.max_calls_in_flight;
         for input in inputs {
             self.take(input, now);
         }
         while let Some(&(at, key)) = self
-            .ends
+            .completions_due
             .first()
             .filter(|(at, _)| f64::from_bits(*at) <= now)
         {
-            self.ends.remove(&(at, key));
+            self.completions_due.remove(&(at, key));
             if self
                 .events
                 .get(&key)
                 .is_some_and(|event| event.out.is_none() && !event.unacknowledged)
             {
-                self.end(key, now, out);
+                self.complete(key, now, out);
             }
         }
-        if !had_room && self.out < self.terms.max_calls_in_flight {
+        if !had_room && self.out < self.config.max_calls_in_flight {
             let starved = self
                 .destinations
                 .iter()
-                .filter(|(_, to)| !to.waiting.is_empty());
+                .filter(|(_, to)| !to.queued_events.is_empty());
             self.due.extend(
                 starved
                     .map(|(id, _)| (now.to_bits(), *id))
@@ -307,7 +311,10 @@
             }
         }
         let due = self.due.first().map(|(at, _)| f64::from_bits(*at));
-        let ends = self.ends.first().map(|(at, _)| f64::from_bits(*at));
+        let ends = self
+            .completions_due
+            .first()
+            .map(|(at, _)| f64::from_bits(*at));
         let next = due
             .unwrap_or(f64::INFINITY)
             .min(ends.unwrap_or(f64::INFINITY));
--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -31,13 +31,13 @@
         event: EventKey,
         destination: u32,
         traffic: usize,
-        patience_ends: Ms,
+        deadline: Ms,
         key: Option<u64>,
         again: bool,
     },
     AttemptsRestored {
         event: EventKey,
-        sends: u32,
+        attempts: u32,
         may_have_run: Option<(Ms, usize)>,
         was_out: bool,
     },
@@ -46,13 +46,13 @@
     },
     AttemptEnded {
         event: EventKey,
-        fate: AttemptOutcome,
-        took: Ms,
+        outcome: AttemptOutcome,
+        elapsed: Ms,
         wait: Ms,
     },
     HealthCheckEnded {
         target: u32,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
     },
     CompletionAcknowledged {
         event: EventKey,
@@ -72,7 +72,7 @@
     SendAttempt {
         event: EventKey,
         target: u32,
-        time_out: Ms,
+        timeout: Ms,
     },
     Complete {
         event: EventKey,
@@ -107,31 +107,31 @@
 /// The ids of targets by number, allocated once for all forwarders.
 pub type TargetNames = Rc<RefCell<Vec<TargetId>>>;
 
-/// A decider of the kind. `time_out` is the timeout in milliseconds that a baseline gives each
+/// A decider of the kind. `timeout` is the timeout in milliseconds that a baseline gives each
 /// call.
 pub fn start(
     kind: scenario::Decider,
-    terms: DecisionConfig,
-    time_out: Ms,
+    config: DecisionConfig,
+    timeout: Ms,
     names: &TargetNames,
     now: Ms,
 ) -> Box<dyn Decider> {
     let mut options = baseline::BaselineOptions {
-        sends: u32::MAX,
-        time_out,
+        attempts: u32::MAX,
+        timeout,
         breaker: false,
         budget: false,
         aimd: false,
     };
     match kind {
         scenario::Decider::Module => {
-            return Box::new(module::ModuleDecider::start(terms, names.clone(), now))
+            return Box::new(module::ModuleDecider::start(config, names.clone(), now))
         }
-        scenario::Decider::OneTry => options.sends = 1,
+        scenario::Decider::OneTry => options.attempts = 1,
         scenario::Decider::Backoff => (),
         scenario::Decider::Breaker => options.breaker = true,
         scenario::Decider::Budget => options.budget = true,
         scenario::Decider::Aimd => options.aimd = true,
     }
-    Box::new(baseline::Baseline::new(terms, options))
+    Box::new(baseline::Baseline::new(config, options))
 }
--- a/forwarder/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -18,9 +18,9 @@
 }
 
 impl ModuleDecider {
-    pub fn start(terms: DecisionConfig, names: TargetNames, now: Ms) -> Self {
+    pub fn start(config: DecisionConfig, names: TargetNames, now: Ms) -> Self {
         ModuleDecider {
-            forwarder: Scheduler::new(terms, now),
+            forwarder: Scheduler::new(config, now),
             names,
             accepted_now: Vec::new(),
         }
@@ -91,44 +91,44 @@
             event,
             destination,
             traffic,
-            patience_ends,
+            deadline,
             key,
             ..
         } => to.accept_event(
             event_id(event),
             DestinationId(destination as u64),
             TrafficTypeId(traffic),
-            patience_ends,
+            deadline,
             key.map(OrderKey),
         ),
         Input::AttemptsRestored {
             event,
-            sends,
+            attempts,
             may_have_run,
             was_out,
         } => {
             let may_have_run = may_have_run.map(|(at, zone)| (at, ZoneId(zone)));
-            to.restore_attempts(&event_id(event), sends, may_have_run, was_out)
+            to.restore_attempts(&event_id(event), attempts, may_have_run, was_out)
         }
         Input::CompletionRestored { event } => to.restore_completed(&event_id(event)),
         Input::AttemptEnded {
             event,
-            fate,
-            took,
+            outcome,
+            elapsed,
             wait,
         } => {
             return to.on_attempt_ended(
                 &event_id(event),
                 AttemptReport {
-                    elapsed: took,
+                    elapsed,
                     retry_after: wait,
-                    ..AttemptReport::from_outcome(fate)
+                    ..AttemptReport::from_outcome(outcome)
                 },
             )
         }
-        Input::HealthCheckEnded { target, fate } => {
+        Input::HealthCheckEnded { target, outcome } => {
             // The scheduler may have forgotten the target since; the outcome says nothing then.
-            let _ = to.on_health_check_ended(&name(target), fate);
+            let _ = to.on_health_check_ended(&name(target), outcome);
         }
         Input::CompletionAcknowledged { event } => to.on_completion_acknowledged(&event_id(event)),
         Input::WarmUpRestored {
@@ -161,11 +161,11 @@
 }
 
 impl Effects for DecisionLog<'_> {
-    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, _: Ms) {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, timeout: Ms, _: Ms) {
         self.out.push(Decision::SendAttempt {
             event: event_key(event),
             target: target_number(target),
-            time_out,
+            timeout,
         });
     }
     fn reject(&mut self, event: &EventId, retry_after: Option<Ms>) -> bool {
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -212,10 +212,10 @@
                     })
                     .collect(),
             });
-        let shades = scenario.faults.iter().map(|trouble| FaultInterval {
-            fault: format!("{:?}", trouble.kind),
-            start: trouble.start,
-            end: (trouble.start + trouble.length).min(scenario.length),
+        let shades = scenario.faults.iter().map(|fault| FaultInterval {
+            fault: format!("{:?}", fault.kind),
+            start: fault.start,
+            end: (fault.start + fault.length).min(scenario.length),
         });
         let decisions = Decider::ALL
             .iter()
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -11,10 +11,11 @@
 
 impl World<'_> {
     /// The target answers now: the answer travels back, unless a fault loses it.
-    pub(super) fn respond(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
+    pub(super) fn respond(&mut self, key: CallKey, outcome: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
-        (call.fate, call.wait) = (fate, wait);
-        let (forwarder, target) = (call.forwarder, call.target);
+        (call.outcome, call.wait) = (outcome, wait);
+        let forwarder = call.forwarder;
+        let target = call.target;
         let from = self.targets[target as usize].zone as usize;
         let to = self.forwarders[forwarder as usize].zone;
         if self.loses_answers(forwarder, self.targets[target as usize].destination, target) {
@@ -31,9 +32,9 @@
             return false;
         };
         active.iter().any(|&at| {
-            let trouble = &self.scenario.faults[at as usize];
-            let struck = (trouble.strength * self.forwarders.len() as f64).ceil();
-            trouble.kind == FaultKind::CutOneWay
+            let fault = &self.scenario.faults[at as usize];
+            let struck = (fault.strength * self.forwarders.len() as f64).ceil();
+            fault.kind == FaultKind::CutOneWay
                 && (forwarder as f64) < struck
                 && self.covers(at, target)
         })
@@ -49,59 +50,60 @@
             }
             return;
         }
-        let (fate, wait) = (call.fate, call.wait);
-        self.call_over(key, fate, wait);
+        let outcome = call.outcome;
+        let wait = call.wait;
+        self.call_over(key, outcome, wait);
     }
 
     pub(super) fn time_out(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(key).filter(|call| !call.abandoned_by_sender) else {
             return;
         };
-        let fate = if call.written {
+        let outcome = if call.written {
             AttemptOutcome::TimedOut
         } else {
             AttemptOutcome::ConnectFailed
         };
-        self.call_over(key, fate, 0.0);
+        self.call_over(key, outcome, 0.0);
     }
 
     /// The forwarder learns how the call ended, with its next iteration.
-    pub(super) fn call_over(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
+    pub(super) fn call_over(&mut self, key: CallKey, outcome: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
         call.abandoned_by_sender = true;
-        let (forwarder, target, lane, is_health_check, began) = (
-            call.forwarder,
-            call.target,
-            call.lane,
-            call.is_health_check,
-            call.began,
-        );
-        let (in_outage, written, there) = (call.in_outage, call.written, call.there);
+        let forwarder = call.forwarder;
+        let target = call.target;
+        let lane = call.lane;
+        let is_health_check = call.is_health_check;
+        let began = call.began;
+        let in_outage = call.in_outage;
+        let written = call.written;
+        let there = call.there;
         let members = call.members.clone();
         let destination = self.targets[target as usize].destination;
-        let good = fate == AttemptOutcome::Delivered;
-        if !good && fate != AttemptOutcome::NotSent {
+        let good = outcome == AttemptOutcome::Delivered;
+        if !good && outcome != AttemptOutcome::NotSent {
             self.tally
-                .call_failed(destination, self.now, fate == AttemptOutcome::Rejected);
+                .call_failed(destination, self.now, outcome == AttemptOutcome::Rejected);
         }
         if !good && in_outage {
             self.observe(Observation::FailureObserved { forwarder, lane });
         }
         if written && self.tracked(destination) {
             let kept = matches!(
-                fate,
+                outcome,
                 AttemptOutcome::Delivered | AttemptOutcome::Rejected | AttemptOutcome::Error
             );
             self.put_back(forwarder, target, kept);
         }
-        let took = self.now - began;
+        let elapsed = self.now - began;
         for Member { event, .. } in members {
             self.incoming(
                 forwarder,
                 Input::AttemptEnded {
                     event,
-                    fate,
-                    took,
+                    outcome,
+                    elapsed,
                     wait,
                 },
                 Some((lane, written)),
@@ -110,13 +112,13 @@
         if is_health_check {
             self.incoming(
                 forwarder,
-                Input::HealthCheckEnded { target, fate },
+                Input::HealthCheckEnded { target, outcome },
                 Some((lane, written)),
             );
         }
         // A connection that is still being set up is returned when it is up.
         let coming_up =
-            !written && fate != AttemptOutcome::ConnectFailed && self.tracked(destination);
+            !written && outcome != AttemptOutcome::ConnectFailed && self.tracked(destination);
         if !there && !coming_up {
             self.calls.remove(key);
         }
@@ -172,7 +174,7 @@
                 && call.target == target;
             ours && !call.written
                 && !call.abandoned_by_sender
-                && call.fate != AttemptOutcome::ConnectFailed
+                && call.outcome != AttemptOutcome::ConnectFailed
         });
         let unwritten: Vec<CallKey> = unwritten.map(|(key, _)| key).collect();
         for key in unwritten {
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -45,9 +45,10 @@
             .iter()
             .map(|member| self.scenario.traffic[member.traffic as usize].work);
         let work = works.fold(if is_health_check { PING_WORK } else { 0.0 }, f64::max);
-        let sends = members.len() as u64;
+        let attempts = members.len() as u64;
         let target_state = &self.targets[target as usize];
-        let (lane, destination) = (target_state.lane, target_state.destination);
+        let lane = target_state.lane;
+        let destination = target_state.destination;
         let call = Call {
             forwarder,
             incarnation: self.forwarders[forwarder as usize].incarnation,
@@ -63,7 +64,7 @@
             there: false,
             served: false,
             in_outage: false,
-            fate: AttemptOutcome::Delivered,
+            outcome: AttemptOutcome::Delivered,
             wait: 0.0,
             never_answered: false,
             work,
@@ -72,12 +73,12 @@
         for event in events {
             let event = &mut self.events[event];
             event.out = Some(key);
-            event.sends += 1;
+            event.attempts += 1;
             event.sent_at = self.now;
         }
         self.tally.totals.calls += 1;
         self.tally.totals.pings += is_health_check as u64;
-        self.tally.totals.sends += sends;
+        self.tally.totals.sends += attempts;
         self.tally.totals.most_out = self.tally.totals.most_out.max(self.calls.len() as u64);
         self.tally.call(destination, self.now);
         self.queue.put(self.now + time_out, Step::TimedOut(key));
@@ -88,8 +89,10 @@
         let Some(call) = self.calls.get(key) else {
             return;
         };
-        let (target, lane, forwarder, reused) =
-            (call.target, call.lane, call.forwarder, call.reused);
+        let target = call.target;
+        let lane = call.lane;
+        let forwarder = call.forwarder;
+        let reused = call.reused;
         let weight = 1.0 + RIDER * call.members.len().saturating_sub(1) as f64;
         let destination = self.targets[target as usize].destination;
         let outage = self.lanes[lane as usize].outage;
@@ -124,14 +127,14 @@
             if uniform(&mut self.rng_faults) < 0.5 {
                 return self.respond(key, AttemptOutcome::Error, 0.0);
             }
-            self.calls[key].fate = AttemptOutcome::Error;
+            self.calls[key].outcome = AttemptOutcome::Error;
         } else if fault_effects.resetting > 0.0
             && uniform(&mut self.rng_faults) < fault_effects.resetting
         {
             if uniform(&mut self.rng_faults) < 0.5 {
                 return self.respond(key, AttemptOutcome::Reset, 0.0);
             }
-            self.calls[key].fate = AttemptOutcome::Reset;
+            self.calls[key].outcome = AttemptOutcome::Reset;
         }
         self.calls[key].never_answered = fault_effects.hung;
         let servers = (group.servers as f64 * fault_effects.left_of_limit)
@@ -174,21 +177,19 @@
             return; // it was broken off there
         }
         call.there = false;
-        let (target, lane, fate, abandoned_by_sender, never_answered) = (
-            call.target,
-            call.lane,
-            call.fate,
-            call.abandoned_by_sender,
-            call.never_answered,
-        );
+        let target = call.target;
+        let lane = call.lane;
+        let outcome = call.outcome;
+        let abandoned_by_sender = call.abandoned_by_sender;
+        let never_answered = call.never_answered;
         self.apply(key);
         self.tally.totals.ran_unheard +=
-            (abandoned_by_sender || never_answered || fate != AttemptOutcome::Delivered) as u64;
+            (abandoned_by_sender || never_answered || outcome != AttemptOutcome::Delivered) as u64;
         self.leave_server(target, lane);
         if abandoned_by_sender {
             self.calls.remove(key);
         } else if !never_answered {
-            self.respond(key, fate, 0.0);
+            self.respond(key, outcome, 0.0);
         }
     }
 
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -13,7 +13,8 @@
     /// Reuses an idle connection or opens one. Where a group does not model connections, one is
     /// always open to a target that is up.
     pub(super) fn connect(&mut self, key: CallKey) {
-        let (forwarder, target) = (self.calls[key].forwarder, self.calls[key].target);
+        let forwarder = self.calls[key].forwarder;
+        let target = self.calls[key].target;
         let from = self.forwarders[forwarder as usize].zone;
         let (to, destination) = {
             let target_state = &self.targets[target as usize];
@@ -37,7 +38,7 @@
         let back = self.travel(to, from);
         let (Some(there), Some(back)) = (there, back) else {
             // Nothing comes back: the connection counts as failed after its timeout.
-            self.calls[key].fate = AttemptOutcome::ConnectFailed;
+            self.calls[key].outcome = AttemptOutcome::ConnectFailed;
             self.queue.put(
                 self.now + self.scenario.network.connect_time_out,
                 Step::Answered(key),
@@ -47,7 +48,7 @@
         if fault_effects.down || full {
             let outage = self.lanes[self.targets[target as usize].lane as usize].outage;
             let call = &mut self.calls[key];
-            (call.fate, call.in_outage) = (AttemptOutcome::ConnectFailed, outage);
+            (call.outcome, call.in_outage) = (AttemptOutcome::ConnectFailed, outage);
             self.queue.put(self.now + there + back, Step::Answered(key));
             return;
         }
@@ -87,9 +88,12 @@
     pub(super) fn write(&mut self, key: CallKey) {
         let call = &mut self.calls[key];
         call.written = true;
-        let (forwarder, target, lane, is_health_check) =
-            (call.forwarder, call.target, call.lane, call.is_health_check);
-        let (members, dropped) = (std::mem::take(&mut call.members), call.dropped);
+        let forwarder = call.forwarder;
+        let target = call.target;
+        let lane = call.lane;
+        let is_health_check = call.is_health_check;
+        let members = std::mem::take(&mut call.members);
+        let dropped = call.dropped;
         let from = self.forwarders[forwarder as usize].zone;
         let to = self.targets[target as usize].zone as usize;
         if is_health_check {
@@ -113,7 +117,7 @@
             return;
         };
         if dropped {
-            self.calls[key].fate = AttemptOutcome::Reset;
+            self.calls[key].outcome = AttemptOutcome::Reset;
             self.queue.put(self.now + 2.0 * travel, Step::Answered(key));
         } else {
             self.queue.put(self.now + travel, Step::Arrives(key));
--- a/forwarder/emulator/src/world/destinations.rs
+++ b/forwarder/emulator/src/world/destinations.rs
@@ -87,7 +87,9 @@
     seed: u64,
 ) -> (Vec<Destination>, Vec<Target>, Vec<Lane>) {
     let mut rng = stream(seed, RandomStream::Targets);
-    let (mut destinations, mut targets, mut lanes) = (Vec::new(), Vec::new(), Vec::new());
+    let mut destinations = Vec::new();
+    let mut targets = Vec::new();
+    let mut lanes = Vec::new();
     for (at, &group) in struck.groups.iter().enumerate() {
         let of = &scenario.destinations[group as usize];
         let first_lane = lanes.len();
@@ -176,21 +178,21 @@
             if !self.covers(at, target) {
                 continue;
             }
-            let trouble = &self.scenario.faults[at as usize];
-            match trouble.kind {
+            let fault = &self.scenario.faults[at as usize];
+            match fault.kind {
                 FaultKind::Down => fault_effects.down = true,
                 FaultKind::Flapping => fault_effects.down |= self.flapped_down[at as usize],
                 FaultKind::Silent => fault_effects.silent = true,
                 FaultKind::Hung => fault_effects.hung = true,
                 FaultKind::HalfOpen => fault_effects.half_open = true,
-                FaultKind::Slow => fault_effects.slow *= trouble.strength,
+                FaultKind::Slow => fault_effects.slow *= fault.strength,
                 FaultKind::Erring => {
-                    fault_effects.erring = fault_effects.erring.max(trouble.strength)
+                    fault_effects.erring = fault_effects.erring.max(fault.strength)
                 }
                 FaultKind::Resetting => {
-                    fault_effects.resetting = fault_effects.resetting.max(trouble.strength)
+                    fault_effects.resetting = fault_effects.resetting.max(fault.strength)
                 }
-                FaultKind::LimitLowered => fault_effects.left_of_limit *= trouble.strength,
+                FaultKind::LimitLowered => fault_effects.left_of_limit *= fault.strength,
                 _ => (),
             }
         }
@@ -198,8 +200,8 @@
     }
 
     /// Whether the fault, which strikes the target's destination, strikes the target.
-    pub(super) fn covers(&self, trouble: u16, target: u32) -> bool {
-        let whom = &self.scenario.faults[trouble as usize].whom;
+    pub(super) fn covers(&self, fault: u16, target: u32) -> bool {
+        let whom = &self.scenario.faults[fault as usize].whom;
         let target_state = &self.targets[target as usize];
         let zone = whom
             .zone
--- a/forwarder/emulator/src/world/endpoint_list.rs
+++ b/forwarder/emulator/src/world/endpoint_list.rs
@@ -48,7 +48,8 @@
             return inputs.push(Input::EndpointRemoved { target });
         }
         let kind = self.destinations[target_state.destination as usize].group as usize;
-        let (destination, zone) = (target_state.destination, target_state.zone as usize);
+        let destination = target_state.destination;
+        let zone = target_state.zone as usize;
         inputs.push(Input::EndpointListed {
             target,
             destination,
--- a/forwarder/emulator/src/world/faults.rs
+++ b/forwarder/emulator/src/world/faults.rs
@@ -10,22 +10,22 @@
 
 impl World<'_> {
     pub(super) fn schedule_faults(&mut self) {
-        for (at, trouble) in self.scenario.faults.iter().enumerate() {
-            if trouble.start < self.scenario.length {
-                self.queue.put(trouble.start, Step::FaultBegins(at as u16));
+        for (at, fault) in self.scenario.faults.iter().enumerate() {
+            if fault.start < self.scenario.length {
+                self.queue.put(fault.start, Step::FaultBegins(at as u16));
                 self.queue
-                    .put(trouble.start + trouble.length, Step::FaultEnds(at as u16));
+                    .put(fault.start + fault.length, Step::FaultEnds(at as u16));
             }
         }
     }
 
     pub(super) fn begin_fault(&mut self, fault_id: u16) {
         let scenario = self.scenario;
-        let trouble = &scenario.faults[fault_id as usize];
-        let end = trouble.start + trouble.length;
-        match trouble.kind {
+        let fault = &scenario.faults[fault_id as usize];
+        let end = fault.start + fault.length;
+        match fault.kind {
             FaultKind::Flood | FaultKind::MassWake => (), // the clients' stream holds them
-            FaultKind::RetryStorm => self.storm = trouble.strength.max(1.0),
+            FaultKind::RetryStorm => self.storm = fault.strength.max(1.0),
             FaultKind::ForwarderKilled
             | FaultKind::ForwarderLost
             | FaultKind::ForwarderStalled
@@ -33,7 +33,7 @@
                 for (place, forwarder) in
                     self.struck.forwarders[fault_id as usize].iter().enumerate()
                 {
-                    let when = trouble.start + place as f64 * trouble.apart;
+                    let when = fault.start + place as f64 * fault.apart;
                     if place == 0 || when <= end {
                         self.queue
                             .put(when, Step::StrikeForwarder(fault_id, *forwarder));
@@ -51,11 +51,11 @@
                     self.list_changed(target, EndpointState::Draining);
                 }
                 self.queue
-                    .put(self.now + trouble.every, Step::RemoveDraining(fault_id));
+                    .put(self.now + fault.every, Step::RemoveDraining(fault_id));
             }
             FaultKind::Replaced => {
                 let targets = self.struck_targets(fault_id);
-                let step = trouble.length / targets.len().max(1) as f64;
+                let step = fault.length / targets.len().max(1) as f64;
                 for (place, target) in targets.into_iter().enumerate() {
                     self.queue.put(
                         self.now + place as f64 * step,
@@ -67,7 +67,7 @@
                 world.flapped_down[fault_id as usize] = true;
                 world
                     .queue
-                    .put(world.now + trouble.every, Step::FaultToggles(fault_id));
+                    .put(world.now + fault.every, Step::FaultToggles(fault_id));
             }),
             FaultKind::Down
             | FaultKind::Silent
@@ -107,20 +107,20 @@
 
     /// A flapping fault toggles from down to up, or back.
     pub(super) fn toggle_fault(&mut self, fault_id: u16) {
-        let trouble = &self.scenario.faults[fault_id as usize];
-        if self.now >= trouble.start + trouble.length {
+        let fault = &self.scenario.faults[fault_id as usize];
+        if self.now >= fault.start + fault.length {
             return;
         }
         self.flapped_down[fault_id as usize] = !self.flapped_down[fault_id as usize];
         self.note_struck(fault_id);
         self.queue
-            .put(self.now + trouble.every, Step::FaultToggles(fault_id));
+            .put(self.now + fault.every, Step::FaultToggles(fault_id));
     }
 
     fn switch(&mut self, fault_id: u16, on: bool, then: impl FnOnce(&mut Self)) {
         for destination in self.struck.destinations[fault_id as usize].clone() {
             let active = self.active.entry(destination).or_default();
-            active.retain(|trouble| *trouble != fault_id);
+            active.retain(|fault| *fault != fault_id);
             if on {
                 active.push(fault_id);
             } else if active.is_empty() {
@@ -218,12 +218,12 @@
     }
 
     pub(super) fn strike_forwarder(&mut self, fault_id: u16, forwarder: u32) {
-        let trouble = &self.scenario.faults[fault_id as usize];
-        match trouble.kind {
-            FaultKind::ForwarderKilled => self.end_process(forwarder, trouble.every, true),
-            FaultKind::ForwarderLost => self.end_process(forwarder, trouble.every, false),
+        let fault = &self.scenario.faults[fault_id as usize];
+        match fault.kind {
+            FaultKind::ForwarderKilled => self.end_process(forwarder, fault.every, true),
+            FaultKind::ForwarderLost => self.end_process(forwarder, fault.every, false),
             FaultKind::ForwarderReplaced => self.begin_shutdown(forwarder),
-            _ => self.stall(forwarder, self.now + trouble.length.min(trouble.every)),
+            _ => self.stall(forwarder, self.now + fault.length.min(fault.every)),
         }
     }
 }
--- a/forwarder/emulator/src/world/iterations.rs
+++ b/forwarder/emulator/src/world/iterations.rs
@@ -82,10 +82,9 @@
             next += self.carry_out(forwarder_id, &decisions[next..]);
         }
         let forwarder = &self.forwarders[forwarder_id as usize];
-        if forwarder
-            .closing
-            .is_some_and(|(since, _)| forwarder.held == 0 && self.now >= since + CLOSING_LEAST)
-        {
+        if forwarder.closing.is_some_and(|(since, _)| {
+            forwarder.pending_events == 0 && self.now >= since + CLOSING_LEAST
+        }) {
             self.end_process(forwarder_id, self.scenario.forwarders.restart, true);
         }
     }
@@ -145,17 +144,17 @@
                 Decision::SendAttempt {
                     event,
                     target,
-                    time_out,
+                    timeout,
                 } if target == to => {
                     events.push(event);
-                    given = given.min(time_out);
+                    given = given.min(timeout);
                 }
                 _ => break,
             }
         }
-        let sends = events.len();
+        let attempts = events.len();
         self.begin_call(forwarder_id, to, events, given);
-        sends
+        attempts
     }
 
     pub(super) fn receive(
@@ -167,15 +166,18 @@
     ) {
         match input {
             Input::AttemptEnded {
-                event, fate, wait, ..
+                event,
+                outcome,
+                wait,
+                ..
             } => {
                 let (lane, written) = about.expect("an answer is about a lane");
                 if self.events.get(event).is_none_or(|event| event.ended) {
                     return;
                 }
-                self.on_attempt_ended(forwarder_id, event, fate, wait, lane, written);
+                self.on_attempt_ended(forwarder_id, event, outcome, wait, lane, written);
                 inputs.push(input);
-                if fate == AttemptOutcome::Delivered {
+                if outcome == AttemptOutcome::Delivered {
                     self.on_delivered(forwarder_id, event);
                 }
             }
@@ -186,7 +188,7 @@
                 let Some(held) = self.events.remove(event) else {
                     return;
                 };
-                self.forwarders[forwarder_id as usize].held -= 1;
+                self.forwarders[forwarder_id as usize].pending_events -= 1;
                 self.observe(Observation::CompletionAcknowledged { event: held.number });
                 inputs.push(input);
             }
@@ -198,7 +200,7 @@
         &mut self,
         forwarder_id: u32,
         key: EventKey,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
         wait: Ms,
         lane: u32,
         written: bool,
@@ -210,19 +212,19 @@
                 .calls
                 .get(call)
                 .map(|call| self.targets[call.target as usize].zone as usize);
-            if fate.may_have_run() {
+            if outcome.may_have_run() {
                 event
                     .may_have_run
                     .get_or_insert((event.sent_at, zone.unwrap_or(0)));
             }
         }
-        event.client_event.cause = match fate {
+        event.client_event.cause = match outcome {
             AttemptOutcome::Rejected => LossCause::Refused,
             AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => LossCause::Unconnected,
             AttemptOutcome::TimedOut => LossCause::Unanswered,
             _ => LossCause::Failed,
         };
-        let cut = match fate {
+        let cut = match outcome {
             AttemptOutcome::Delivered => AttemptEnd::Delivered,
             AttemptOutcome::Error => AttemptEnd::Error,
             AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => {
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -95,7 +95,7 @@
         let half_open = scenario
             .faults
             .iter()
-            .any(|trouble| trouble.kind == FaultKind::HalfOpen);
+            .any(|fault| fault.kind == FaultKind::HalfOpen);
         let mut clients = Clients::new(scenario, &struck, seed);
         let next_arrival = clients.next();
         let mut world = World {
@@ -168,7 +168,7 @@
     }
 
     /// Events pending at all forwarders now.
-    pub fn held(&self) -> usize {
+    pub fn pending_events(&self) -> usize {
         self.events.len()
     }
 
--- a/forwarder/emulator/src/world/process_start.rs
+++ b/forwarder/emulator/src/world/process_start.rs
@@ -29,14 +29,15 @@
             list_update_scheduled: false,
             list_frozen_until: 0.0,
             introduced: FxHashSet::default(),
-            held: 0,
+            pending_events: 0,
             idle: FxHashMap::default(),
             cold: FxHashMap::default(),
         }
     }
 
     pub(super) fn start_decider(&self, forwarder_id: u32, incarnation: u32) -> Box<dyn Decider> {
-        let (scenario, rules) = (self.scenario, &self.scenario.rules);
+        let scenario = self.scenario;
+        let rules = &self.scenario.rules;
         let traffic = scenario.traffic.iter().map(|of| TrafficType {
             idempotency: match of.effect {
                 Repeats::Retriable => names::Idempotency::Idempotent,
@@ -56,7 +57,7 @@
             independent_routes: group.routes_apart,
             max_events_per_call: group.events_per_call,
         });
-        let terms = DecisionConfig {
+        let config = DecisionConfig {
             seed: scenario.seed ^ (incarnation as u64) << 48,
             instance: forwarder_id as u64,
             forwarder_count: scenario.forwarders.count as f64,
@@ -76,7 +77,7 @@
             tuning: names::Tuning::default(),
         };
         let of = &scenario.forwarders;
-        deciders::start(of.decisions, terms, of.time_out, &self.names, self.now)
+        deciders::start(of.decisions, config, of.time_out, &self.names, self.now)
     }
 
     /// A new process: the present endpoint list, then all pending events in the order of
@@ -104,24 +105,23 @@
             self.introduce_destination(forwarder_id, destination, &mut inputs);
             let held = &mut self.events[event];
             let was_out = held.out.take().is_some();
-            let (traffic, patience_ends) = (
-                held.client_event.traffic as usize,
-                held.client_event.patience_ends,
-            );
+            let traffic = held.client_event.traffic as usize;
+            let deadline = held.client_event.deadline;
             let key = held.client_event.key;
             inputs.push(Input::Accepted {
                 event,
                 destination,
                 traffic,
-                patience_ends,
+                deadline,
                 key,
                 again: true,
             });
-            let (sends, may_have_run) = (held.sends, held.may_have_run);
-            if sends > 0 {
+            let attempts = held.attempts;
+            let may_have_run = held.may_have_run;
+            if attempts > 0 {
                 inputs.push(Input::AttemptsRestored {
                     event,
-                    sends,
+                    attempts,
                     may_have_run,
                     was_out,
                 });
--- a/forwarder/emulator/src/world/processes.rs
+++ b/forwarder/emulator/src/world/processes.rs
@@ -97,7 +97,7 @@
                 Incoming::Input(Input::CompletionAcknowledged { event }, _) => {
                     // The client acknowledged; only the process does not know.
                     if let Some(held) = self.events.remove(event) {
-                        self.forwarders[forwarder_id as usize].held -= 1;
+                        self.forwarders[forwarder_id as usize].pending_events -= 1;
                         self.observe(Observation::CompletionAcknowledged { event: held.number });
                     }
                 }
@@ -126,9 +126,10 @@
         for key in ours {
             let call = &mut self.calls[key];
             call.abandoned_by_sender = true;
-            let (target, written) = (call.target, call.written);
+            let target = call.target;
+            let written = call.written;
             // A connection that is being set up is returned when it is up.
-            let coming_up = !written && call.fate != AttemptOutcome::ConnectFailed;
+            let coming_up = !written && call.outcome != AttemptOutcome::ConnectFailed;
             if !written {
                 unwritten.extend(call.members.iter().map(|member| member.event));
             }
@@ -174,7 +175,7 @@
         let mut held: Vec<(u64, EventKey)> = held.map(|(key, event)| (event.number, key)).collect();
         held.sort_unstable();
         self.forwarders[forwarder_id as usize].cold.clear();
-        self.forwarders[forwarder_id as usize].held = 0;
+        self.forwarders[forwarder_id as usize].pending_events = 0;
         for (number, key) in held {
             let event = self.events.remove(key).expect("held");
             self.observe(Observation::EventLost { event: number });
--- a/forwarder/emulator/src/world/state.rs
+++ b/forwarder/emulator/src/world/state.rs
@@ -14,7 +14,7 @@
     /// The order of acceptance, over all forwarders.
     pub number: u64,
     pub forwarder: u32,
-    pub sends: u32,
+    pub attempts: u32,
     pub sent_at: Ms,
     pub may_have_run: Option<(Ms, usize)>,
     pub out: Option<CallKey>,
@@ -51,7 +51,7 @@
     pub list_frozen_until: Ms,
     /// Destinations that the decider knows.
     pub introduced: FxHashSet<u32>,
-    pub held: usize,
+    pub pending_events: usize,
     pub idle: FxHashMap<u32, Vec<IdleConnection>>,
     /// Targets whose lane warms up, for the next process.
     pub cold: FxHashMap<u32, (Ms, f64)>,
@@ -94,7 +94,7 @@
     /// The call met an outage.
     pub in_outage: bool,
     /// The outcome that the answer will have; `wait` is the retry-after with it.
-    pub fate: AttemptOutcome,
+    pub outcome: AttemptOutcome,
     pub wait: Ms,
     /// The target never answers the call.
     pub never_answered: bool,
--- a/forwarder/emulator/src/world/step.rs
+++ b/forwarder/emulator/src/world/step.rs
@@ -63,12 +63,12 @@
                 self.on_acknowledged(at, incarnation, event)
             }
             Step::ListUpdate(at) => self.receive_list_update(at),
-            Step::FaultBegins(trouble) => self.begin_fault(trouble),
-            Step::FaultToggles(trouble) => self.toggle_fault(trouble),
-            Step::FaultEnds(trouble) => self.end_fault(trouble),
-            Step::ReplaceOne(trouble, place) => self.replace_one(trouble, place),
-            Step::RemoveDraining(trouble) => self.gone_for_good(trouble),
-            Step::StrikeForwarder(trouble, at) => self.strike_forwarder(trouble, at),
+            Step::FaultBegins(fault) => self.begin_fault(fault),
+            Step::FaultToggles(fault) => self.toggle_fault(fault),
+            Step::FaultEnds(fault) => self.end_fault(fault),
+            Step::ReplaceOne(fault, place) => self.replace_one(fault, place),
+            Step::RemoveDraining(fault) => self.gone_for_good(fault),
+            Step::StrikeForwarder(fault, at) => self.strike_forwarder(fault, at),
             Step::StallEnds(at, incarnation) => self.end_stall(at, incarnation),
             Step::IncarnationEnds(at, incarnation) => self.end_incarnation(at, incarnation),
             Step::ProcessStarts(at) => self.start_process(at),
--- a/forwarder/emulator/src/world/submissions.rs
+++ b/forwarder/emulator/src/world/submissions.rs
@@ -58,8 +58,9 @@
         let named = targets
             .iter()
             .any(|target| self.targets[*target as usize].as_of(heard) != EndpointState::Removed);
-        let full = self.forwarders[forwarder_id as usize].held >= self.scenario.forwarders.room;
-        if full || !named || client_event.patience_ends - self.now < LEAST_PATIENCE {
+        let full =
+            self.forwarders[forwarder_id as usize].pending_events >= self.scenario.forwarders.room;
+        if full || !named || client_event.deadline - self.now < LEAST_PATIENCE {
             client_event.cause = LossCause::NoRoom;
             self.tally.totals.dismissed += 1;
             return self.on_rejected(client_event, self.scenario.rules.longest_advice);
@@ -69,36 +70,38 @@
         let effect = self.effect(client_event.traffic);
         let of = &self.scenario.traffic[client_event.traffic as usize];
         let key = client_event.key.filter(|_| of.ordered);
-        let (origin, patience_ends) = (client_event.origin, client_event.patience_ends);
+        let origin = client_event.origin;
+        let deadline = client_event.deadline;
         self.observe(Observation::Accepted {
             forwarder: forwarder_id,
             event: number,
             origin,
             idempotency: effect,
             key,
-            deadline: patience_ends,
+            deadline,
         });
-        let (destination, traffic) = (client_event.destination, client_event.traffic as usize);
+        let destination = client_event.destination;
+        let traffic = client_event.traffic as usize;
         client_event.cause = LossCause::Waited;
         let event = self.events.insert(Event {
             client_event,
             number,
             forwarder: forwarder_id,
-            sends: 0,
+            attempts: 0,
             sent_at: 0.0,
             may_have_run: None,
             out: None,
             ended: false,
             unacknowledged: None,
         });
-        self.forwarders[forwarder_id as usize].held += 1;
+        self.forwarders[forwarder_id as usize].pending_events += 1;
         self.tally.totals.taken += 1;
         self.tally.totals.most_held = self.tally.totals.most_held.max(self.events.len() as u64);
         inputs.push(Input::Accepted {
             event,
             destination,
             traffic,
-            patience_ends,
+            deadline,
             key,
             again: false,
         });
@@ -113,7 +116,7 @@
 
     pub(super) fn resubmit_later(&mut self, client_event: ClientEvent, pause: Ms) {
         let at = self.now + pause;
-        if at >= client_event.patience_ends {
+        if at >= client_event.deadline {
             let cause = client_event.cause;
             return self.tally.unpaid(self.scenario, &client_event, cause);
         }
@@ -159,7 +162,7 @@
 
     pub(super) fn on_delivered(&mut self, forwarder_id: u32, key: EventKey) {
         let event = self.events.remove(key).expect("held");
-        self.forwarders[forwarder_id as usize].held -= 1;
+        self.forwarders[forwarder_id as usize].pending_events -= 1;
         self.observe(Observation::Completed {
             forwarder: forwarder_id,
             event: event.number,
@@ -208,7 +211,7 @@
             );
         }
         let event = self.events.remove(key).expect("seen");
-        self.forwarders[forwarder_id as usize].held -= 1;
+        self.forwarders[forwarder_id as usize].pending_events -= 1;
         self.notify_client(event.client_event, dismissed, retry_after);
     }
 
--- a/forwarder/emulator/src/world/warm_up.rs
+++ b/forwarder/emulator/src/world/warm_up.rs
@@ -61,7 +61,8 @@
         let cold = lane_state.cold.take().expect("only a cold lane tips");
         lane_state.overloaded_until = self.now + self.scenario.rules.tipped;
         lane_state.outage = true;
-        let (until, of) = (lane_state.overloaded_until, lane_state.destination);
+        let until = lane_state.overloaded_until;
+        let of = lane_state.destination;
         let mut load: Vec<(u32, f64)> = Vec::new();
         for (_, forwarder, weight) in cold.recent {
             match load.iter_mut().find(|(who, _)| *who == forwarder) {
@@ -89,10 +90,8 @@
             .filter(|t| self.targets[*t as usize].listing == EndpointState::Running);
         let mut lanes: Vec<(u32, bool)> = Vec::new();
         for target in listed {
-            let (lane, out) = (
-                self.targets[target as usize].lane,
-                self.fault_effects(target).is_outage(),
-            );
+            let lane = self.targets[target as usize].lane;
+            let out = self.fault_effects(target).is_outage();
             match lanes.iter_mut().find(|(known, _)| *known == lane) {
                 Some((_, all_out)) => *all_out &= out,
                 None => lanes.push((lane, out)),
--- a/forwarder/emulator/tests/days.rs
+++ b/forwarder/emulator/tests/days.rs
@@ -1,4 +1,4 @@
-//! What holds on any day: one seed gives one result, every event has one end, and the hard cases.
+//! What holds on any day: one seed gives one result, every event is completed once, and the hard cases.
 
 mod helpers;
 
@@ -30,7 +30,7 @@
     "forwarder_replaced",
 ];
 
-fn trouble(kind: &str, start: u32, length: u32, whom: &str) -> String {
+fn fault(kind: &str, start: u32, length: u32, whom: &str) -> String {
     let strength = match kind {
         "slow" => 5.0,
         "mass_wake" => 20.0,
@@ -46,9 +46,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens, each event has one end, and each payoff asked for is paid or has a cause.
+    /// Whatever happens, each event is completed once, and all value is delivered or has a cause of its loss.
     #[test]
-    fn every_event_has_one_end(
+    fn every_event_is_completed_once(
         seed in 0u64..1_000_000,
         kinds in proptest::collection::vec((0..KINDS.len(), 0u32..50_000, 0u32..80_000, 0..3usize), 0..5),
         count in 1usize..6,
@@ -56,7 +56,7 @@
         pings in any::<bool>(),
     ) {
         let whoms = ["{}", "{ at_random = 0.5 }", "{ first = 1, targets = 0.5 }"];
-        let troubles: String = kinds.iter().map(|&(kind, start, length, whom)| trouble(KINDS[kind], start, length, whoms[whom])).collect();
+        let faults: String = kinds.iter().map(|&(kind, start, length, whom)| fault(KINDS[kind], start, length, whoms[whom])).collect();
         let decisions = ["module", "one_try", "backoff", "breaker", "budget", "aimd"][decisions];
         let day = scenario(&[
             ("seed", &seed.to_string()),
@@ -64,7 +64,7 @@
             ("forwarders.decisions", decisions),
             ("rules.pings", &pings.to_string()),
             ("network.loss", "0.002"),
-        ], &troubles);
+        ], &faults);
         let outcome = play(&day);
         let lost: f64 = outcome.causes.values().sum();
         prop_assert!((outcome.totals.asked - outcome.totals.paid - lost).abs() < 1e-6 * outcome.totals.asked.max(1.0),
@@ -82,15 +82,15 @@
 
 #[rstest]
 fn one_seed_gives_one_result_and_another_seed_another() {
-    let troubles = trouble("silent", 10_000, 20_000, "{ first = 2 }")
-        + &trouble("forwarder_killed", 20_000, 9000, "{}");
-    let day = |seed: &str| format!("{:?}", play(&scenario(&[("seed", seed)], &troubles)));
+    let faults = fault("silent", 10_000, 20_000, "{ first = 2 }")
+        + &fault("forwarder_killed", 20_000, 9000, "{}");
+    let day = |seed: &str| format!("{:?}", play(&scenario(&[("seed", seed)], &faults)));
     assert_eq!(day("3"), day("3"));
     assert_ne!(day("3"), day("4"));
 }
 
 #[rstest]
-fn variants_of_the_forwarders_meet_the_same_clients() {
+fn all_deciders_meet_the_same_clients() {
     let module = play(&scenario(&[], ""));
     let other = play(&scenario(
         &[
@@ -107,15 +107,15 @@
 }
 
 #[rstest]
-fn a_day_on_which_all_is_down_delivers_nothing_and_ends_all() {
-    let day = scenario(&[], &trouble("down", 0, 90_000, "{}"));
+fn a_day_with_everything_down_delivers_nothing_and_completes_every_event() {
+    let day = scenario(&[], &fault("down", 0, 90_000, "{}"));
     let outcome = play(&day);
     assert_eq!((outcome.totals.delivered, outcome.totals.paid), (0, 0.0));
     assert_eq!(outcome.broken(), 0, "{:?}", outcome.breaches);
 }
 
 #[rstest]
-fn without_targets_all_is_turned_away_at_the_door() {
+fn without_targets_every_event_is_rejected_at_submission() {
     let outcome = play(&scenario(&[("destinations.0.targets", "0")], ""));
     assert_eq!((outcome.totals.taken, outcome.totals.calls), (0, 0));
     assert!(outcome.totals.dismissed >= outcome.totals.events);
@@ -131,30 +131,27 @@
     let day = scenario(&set, "");
     let mut world = World::new(&day);
     while world.step() {}
-    assert_eq!(world.held(), 0);
+    assert_eq!(world.pending_events(), 0);
     assert!(world.outcome().payoff > 0.9);
 }
 
 #[rstest]
-fn a_trouble_longer_than_the_day_is_cut_off_with_it() {
-    let outcome = play(&scenario(
-        &[],
-        &trouble("slow", 30_000, 4_000_000_000, "{}"),
-    ));
+fn a_fault_longer_than_the_day_ends_with_the_day() {
+    let outcome = play(&scenario(&[], &fault("slow", 30_000, 4_000_000_000, "{}")));
     assert_eq!(outcome.fault_intervals[0].end, 60_000.0);
     assert!(outcome.payoff > 0.5);
 }
 
-/// What the ledger keeps: no event is lost with a process, some are with a machine.
+/// The event log: no event is lost with a process, some are lost with a machine.
 #[rstest]
 #[case("forwarder_killed", false)]
 #[case("forwarder_lost", true)]
-fn what_was_taken_on_outlasts_a_process(#[case] kind: &str, #[case] lost: bool) {
+fn accepted_events_outlast_a_process(#[case] kind: &str, #[case] lost: bool) {
     let set = [
         ("clients.rate", "100.0"),
         ("destinations.0.answer.mean", "150.0"),
     ];
-    let outcome = play(&scenario(&set, &trouble(kind, 20_000, 10_000, "{}")));
+    let outcome = play(&scenario(&set, &fault(kind, 20_000, 10_000, "{}")));
     assert_eq!(outcome.totals.lost > 0, lost);
     assert_eq!(outcome.broken(), 0, "{:?}", outcome.breaches);
     assert!(outcome.payoff > 0.95, "{}", outcome.payoff);
--- a/forwarder/emulator/tests/queues.rs
+++ b/forwarder/emulator/tests/queues.rs
@@ -48,7 +48,7 @@
     &[("clients.rate", "7.0"), ("destinations.0.answer.shape", "fixed")],
     100.0 + 0.7 * 100.0 / (2.0 * (1.0 - 0.7))
 )]
-fn waiting_times_are_those_of_theory(#[case] set: &[(&str, &str)], #[case] theory: f64) {
+fn waiting_times_match_queueing_theory(#[case] set: &[(&str, &str)], #[case] theory: f64) {
     let (mean, within) = sojourn(set);
     assert!(
         (mean - theory).abs() < within,
