--- a/decisions/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -137,6 +137,22 @@
         log.words
     }
 
+    /// The endpoint list names a target of a destination, in zone 0.
+    pub fn list(
+        &mut self,
+        now: Ms,
+        name: &str,
+        destination: u64,
+        kind: usize,
+        state: EndpointState,
+    ) -> Vec<String> {
+        let destination = DestinationId(destination);
+        let kind = DestinationKindId(kind);
+        self.run(now, |scheduler| {
+            scheduler.on_endpoint_listed(target(name), destination, kind, ZoneId(0), state);
+        })
+    }
+
     /// An iteration for which nothing came in.
     pub fn idle(&mut self, now: Ms) -> Vec<String> {
         self.run(now, |_| ())
--- a/decisions/tests/offline_lanes.rs
+++ b/decisions/tests/offline_lanes.rs
@@ -2,9 +2,9 @@
 
 mod host;
 
-use host::{attempts_in, default_host, event, target, Host, IDEMPOTENT, NON_IDEMPOTENT};
+use host::{attempts_in, default_host, event, Host, IDEMPOTENT, NON_IDEMPOTENT};
 use plankhill_decisions::interface::{
-    AttemptOutcome, AttemptReport, DestinationId, DestinationKindId, EndpointState, Ms, ZoneId,
+    AttemptOutcome, AttemptReport, DestinationId, EndpointState, Ms,
 };
 use rstest::rstest;
 
@@ -146,15 +146,7 @@
 fn one_dead_target_of_two_does_not_take_its_lane_offline() {
     for seed in 0..40 {
         let mut host = Host::new(|config| config.seed = seed);
-        host.run(0.0, |scheduler| {
-            scheduler.on_endpoint_listed(
-                target("dead"),
-                DestinationId(1),
-                DestinationKindId(0),
-                ZoneId(0),
-                EndpointState::Running,
-            );
-        });
+        host.list(0.0, "dead", 1, 0, EndpointState::Running);
         let mut effects = host.accept(1.0, "a", IDEMPOTENT, 1, None);
         if effects == ["send a to dead"] {
             host.end_attempt(2.0, "a", AttemptOutcome::ConnectFailed);
--- a/decisions/tests/rate_limits.rs
+++ b/decisions/tests/rate_limits.rs
@@ -118,15 +118,7 @@
     host.run(3.0, |scheduler| {
         scheduler.set_endpoint_state(&target("v"), EndpointState::Removed)
     });
-    host.run(4.0, |scheduler| {
-        scheduler.on_endpoint_listed(
-            target("v"),
-            DestinationId(3),
-            DestinationKindId(1),
-            ZoneId(0),
-            EndpointState::Running,
-        )
-    });
+    host.list(4.0, "v", 3, 1, EndpointState::Running);
     assert!(host.idle(4000.0).is_empty());
     assert_eq!(
         attempts_in(&host.accept(60_000.0, "b", IDEMPOTENT, 3, None)),
--- a/decisions/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -4,32 +4,16 @@
 
 use host::{attempts_in, default_host, event, target, Host, DEDUPLICATED, IDEMPOTENT};
 use plankhill_decisions::interface::{
-    AttemptOutcome, AttemptReport, DestinationId, DestinationKindId, EndpointState, Ms, ZoneId,
+    AttemptOutcome, AttemptReport, DestinationId, EndpointState, Ms,
 };
 use rstest::rstest;
 
 #[rstest]
 fn nothing_is_sent_to_a_draining_target() {
     let mut host = default_host();
-    host.run(1.0, |scheduler| {
-        scheduler.on_endpoint_listed(
-            target("t"),
-            DestinationId(1),
-            DestinationKindId(0),
-            ZoneId(0),
-            EndpointState::Draining,
-        )
-    });
+    host.list(1.0, "t", 1, 0, EndpointState::Draining);
     assert!(host.accept(2.0, "a", IDEMPOTENT, 1, None).is_empty());
-    host.run(3.0, |scheduler| {
-        scheduler.on_endpoint_listed(
-            target("t2"),
-            DestinationId(1),
-            DestinationKindId(0),
-            ZoneId(0),
-            EndpointState::Running,
-        )
-    });
+    host.list(3.0, "t2", 1, 0, EndpointState::Running);
     assert_eq!(
         host.run(4.0, |scheduler| scheduler.on_endpoint_list_replaced()),
         ["cancel unsent t2"],
@@ -61,15 +45,7 @@
 #[rstest]
 fn of_two_targets_the_one_that_failed_is_ejected() {
     let mut host = default_host();
-    host.run(0.0, |scheduler| {
-        scheduler.on_endpoint_listed(
-            target("t2"),
-            DestinationId(1),
-            DestinationKindId(0),
-            ZoneId(0),
-            EndpointState::Running,
-        )
-    });
+    host.list(0.0, "t2", 1, 0, EndpointState::Running);
     let effects = host.accept(1.0, "a", DEDUPLICATED, 1, None);
     host.end_attempt(2.0, "a", AttemptOutcome::ConnectFailed);
     for at in 0..10 {
@@ -84,15 +60,7 @@
 #[rstest]
 fn of_two_targets_alike_the_one_with_an_idle_connection_is_selected() {
     let mut host = default_host();
-    host.run(0.0, |scheduler| {
-        scheduler.on_endpoint_listed(
-            target("t2"),
-            DestinationId(1),
-            DestinationKindId(0),
-            ZoneId(0),
-            EndpointState::Running,
-        )
-    });
+    host.list(0.0, "t2", 1, 0, EndpointState::Running);
     let effects = host.accept(1.0, "first", IDEMPOTENT, 1, None);
     host.end_attempt(10.0, "first", AttemptOutcome::Delivered);
     for n in 0..10 {
