--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -1,8 +1,8 @@
-//! Who decides at a forwarder. The model hands over what came in and takes decisions; whether the module or
-//! a baseline stands behind it is all the same to it.
+//! Who decides at a forwarder: the decision module or a baseline, behind one trait. The world hands
+//! over inputs and carries out decisions.
 
+mod baseline;
 mod module;
-mod plain;
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,123 +13,125 @@
 
 new_key_type! { pub struct EventKey; }
 
-/// What came in at a forwarder, with the numbers of the model.
+/// What came in at a forwarder, with the numbers of the simulation.
 #[derive(Clone, Debug)]
 pub enum Input {
-    Listed {
+    EndpointListed {
         target: u32,
         destination: u32,
         kind: usize,
         zone: usize,
         listing: EndpointState,
     },
-    Left {
+    EndpointRemoved {
         target: u32,
     },
-    /// `again`: after a restart, so that its end goes by a notice.
-    Taken {
+    /// `again`: after a restart, so that the completion goes by a notification.
+    Accepted {
         event: EventKey,
         destination: u32,
         traffic: usize,
-        patience_ends: Ms,
+        deadline: Ms,
         key: Option<u64>,
         again: bool,
     },
-    Restored {
+    AttemptsRestored {
         event: EventKey,
-        sends: u32,
+        attempts: u32,
         may_have_run: Option<(Ms, usize)>,
         was_out: bool,
     },
-    EndedBefore {
+    CompletionRestored {
         event: EventKey,
     },
-    SendEnded {
+    AttemptEnded {
         event: EventKey,
-        fate: AttemptOutcome,
-        took: Ms,
+        outcome: AttemptOutcome,
+        elapsed: Ms,
         wait: Ms,
     },
-    PingEnded {
+    HealthCheckEnded {
         target: u32,
-        fate: AttemptOutcome,
+        outcome: AttemptOutcome,
     },
-    Heard {
+    CompletionAcknowledged {
         event: EventKey,
     },
-    WasCold {
+    WarmUpRestored {
         target: u32,
         since: Ms,
         usual: f64,
     },
-    Closing {
+    ShutdownBegan {
         ends: Ms,
     },
 }
 
 #[derive(Clone, Debug)]
 pub enum Decision {
-    Send {
+    SendAttempt {
         event: EventKey,
         target: u32,
-        time_out: Ms,
+        timeout: Ms,
     },
-    End {
+    Complete {
         event: EventKey,
         dismissed: bool,
-        come_back_after: Option<Ms>,
-        by_notice: bool,
+        retry_after: Option<Ms>,
+        by_notification: bool,
     },
-    Ping {
+    HealthCheck {
         target: u32,
     },
-    CloseIdle {
+    CloseIdleConnections {
         target: u32,
     },
-    TakeBack {
+    CancelUnsent {
         target: u32,
     },
-    Cold {
+    RecordWarmUp {
         target: u32,
         since: Ms,
         usual: f64,
     },
-    Wake {
+    WakeUp {
         pause: Ms,
     },
 }
 
 pub trait Decider {
-    /// One round: all that came in, in its order; decisions are put behind `out`.
+    /// One iteration of the event loop: all inputs in their order; decisions are appended to `out`.
     fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>);
 }
 
-/// The names of targets, made once for all forwarders.
+/// The ids of targets by number, allocated once for all forwarders.
 pub type TargetNames = Rc<RefCell<Vec<TargetId>>>;
 
-/// `time_out` is what a baseline gives each call.
+/// A decider of the kind. `timeout` is the timeout in milliseconds that a baseline gives each
+/// call.
 pub fn start(
     kind: scenario::Decider,
-    terms: DecisionConfig,
-    time_out: Ms,
+    config: DecisionConfig,
+    timeout: Ms,
     names: &TargetNames,
     now: Ms,
 ) -> Box<dyn Decider> {
-    use scenario::Decider::*;
-    let mut habits = plain::Habits {
-        sends: u32::MAX,
-        time_out,
+    let mut options = baseline::BaselineOptions {
+        attempts: u32::MAX,
+        timeout,
         breaker: false,
         budget: false,
         aimd: false,
     };
     match kind {
-        Module => return Box::new(module::Module::start(terms, names.clone(), now)),
-        OneTry => habits.sends = 1,
-        Backoff => (),
-        Breaker => habits.breaker = true,
-        Budget => habits.budget = true,
-        Aimd => habits.aimd = true,
+        scenario::Decider::Module => {
+            return Box::new(module::ModuleDecider::start(config, names.clone(), now))
+        }
+        scenario::Decider::OneTry => options.attempts = 1,
+        scenario::Decider::Backoff => (),
+        scenario::Decider::Breaker => options.breaker = true,
+        scenario::Decider::Budget => options.budget = true,
+        scenario::Decider::Aimd => options.aimd = true,
     }
-    Box::new(plain::Plain::new(terms, habits))
+    Box::new(baseline::Baseline::new(config, options))
 }
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -1,4 +1,5 @@
-//! Counts while a day runs. Its size follows the scenario's traffic types and the steps of its series.
+//! Counts while a day is simulated. The size follows the scenario's traffic types and the steps of
+//! the series.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +8,13 @@
 use plankhill_invariants::{Checker, Invariant};
 use rustc_hash::FxHashMap;
 
-use crate::clients::{worth, Ticket};
-use crate::outcome::*;
-use crate::struck::{self, Struck};
+use crate::affected::{self, Affected};
+use crate::clients::{worth, ClientEvent};
+use crate::outcome::{
+    FaultInterval, HeatRow, LossCause, Outcome, RuleCount, Series, Totals, TrafficOutcome,
+};
 
-/// Steps of a series, and rows of the heat map: what a reader can tell apart on a page.
+/// Steps of a series, and rows of the heat map: as many as a reader can tell apart on a page.
 const STEPS: usize = 200;
 const ROWS: usize = 40;
 
@@ -32,13 +35,13 @@
     causes: BTreeMap<LossCause, f64>,
     rows: FxHashMap<u32, usize>,
     heat: Vec<HeatRow>,
-    /// Destinations that a trouble strikes, in order.
+    /// Destinations that a fault strikes, in order.
     pub struck: Vec<u32>,
     width: Ms,
 }
 
 impl Tally {
-    pub fn new(scenario: &Scenario, struck: &Struck) -> Self {
+    pub fn new(scenario: &Scenario, struck: &Affected) -> Self {
         let width = scenario.length / STEPS as f64;
         let zeros = vec![0; STEPS];
         let series = Series {
@@ -61,7 +64,7 @@
             time: 0.0,
             times: Histogram::new_with_bounds(1, 10_000_000_000, 2).expect("bounds are in order"),
         });
-        // A trouble that strikes all says nothing of whom to look at.
+        // A fault that strikes all destinations singles none out.
         let all = struck.weights.len();
         let mut struck_ones: Vec<u32> = struck
             .destinations
@@ -72,7 +75,7 @@
             .collect();
         struck_ones.sort_unstable();
         struck_ones.dedup();
-        let by_use = struck::by_use(&struck.weights);
+        let by_use = affected::by_use(&struck.weights);
         let is_struck = |at: &u32| struck_ones.binary_search(at).is_ok();
         let half = by_use.iter().filter(|at| is_struck(at)).take(ROWS / 2);
         let mut shown: Vec<u32> = half.copied().collect();
@@ -115,38 +118,39 @@
         ((at / self.width) as usize).min(STEPS - 1)
     }
 
-    pub fn asked(&mut self, scenario: &Scenario, ticket: &Ticket) {
-        let payoff = scenario.traffic[ticket.traffic as usize].payoff;
-        let step = self.step(ticket.first_at);
+    pub fn asked(&mut self, scenario: &Scenario, client_event: &ClientEvent) {
+        let payoff = scenario.traffic[client_event.traffic as usize].payoff;
+        let step = self.step(client_event.first_at);
         self.totals.events += 1;
         self.totals.asked += payoff;
         self.series.asked[step] += payoff;
-        let of = &mut self.traffic[ticket.traffic as usize];
+        let of = &mut self.traffic[client_event.traffic as usize];
         of.events += 1;
         of.asked += payoff;
     }
 
-    pub fn delivered(&mut self, scenario: &Scenario, ticket: &Ticket, at: Ms) {
-        let traffic = &scenario.traffic[ticket.traffic as usize];
-        let paid = worth(traffic, ticket.first_at, at);
+    pub fn delivered(&mut self, scenario: &Scenario, client_event: &ClientEvent, at: Ms) {
+        let traffic = &scenario.traffic[client_event.traffic as usize];
+        let paid = worth(traffic, client_event.first_at, at);
         self.totals.delivered += 1;
         self.totals.paid += paid;
-        let step = self.step(ticket.first_at);
+        let step = self.step(client_event.first_at);
         self.series.paid[step] += paid;
         if traffic.payoff > paid {
             *self.causes.entry(LossCause::Late).or_default() += traffic.payoff - paid;
         }
-        let of = &mut self.traffic[ticket.traffic as usize];
+        let of = &mut self.traffic[client_event.traffic as usize];
         of.delivered += 1;
         of.paid += paid;
-        of.time += at - ticket.first_at;
+        of.time += at - client_event.first_at;
         of.times
-            .saturating_record(((at - ticket.first_at) * 1000.0).max(1.0) as u64);
+            .saturating_record(((at - client_event.first_at) * 1000.0).max(1.0) as u64);
     }
 
-    /// The event will not be delivered any more, whatever its client does.
-    pub fn unpaid(&mut self, scenario: &Scenario, ticket: &Ticket, cause: LossCause) {
-        *self.causes.entry(cause).or_default() += scenario.traffic[ticket.traffic as usize].payoff;
+    /// The event will not be delivered any more, whatever its client does: its value is lost.
+    pub fn unpaid(&mut self, scenario: &Scenario, client_event: &ClientEvent, cause: LossCause) {
+        *self.causes.entry(cause).or_default() +=
+            scenario.traffic[client_event.traffic as usize].payoff;
     }
 
     pub fn call(&mut self, destination: u32, at: Ms) {
@@ -208,10 +212,10 @@
                     })
                     .collect(),
             });
-        let shades = scenario.faults.iter().map(|trouble| FaultInterval {
-            fault: format!("{:?}", trouble.kind),
-            start: trouble.start,
-            end: (trouble.start + trouble.length).min(scenario.length),
+        let shades = scenario.faults.iter().map(|fault| FaultInterval {
+            fault: format!("{:?}", fault.kind),
+            start: fault.start,
+            end: (fault.start + fault.length).min(scenario.length),
         });
         let decisions = Decider::ALL
             .iter()
