--- a/forwarder/emulator/benches/memory.rs
+++ b/forwarder/emulator/benches/memory.rs
@@ -1,5 +1,5 @@
-//! Bytes that a held event takes in the model, its checker and the module together. All destinations are
-//! down, so that what comes in piles up; allocations are counted, not guessed.
+//! Bytes that a held event takes in the model, its checker and the module together. All
+//! destinations are down, so that what comes in piles up; allocations are counted, not guessed.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -81,5 +81,8 @@
     let before = IN_USE.load(Ordering::Relaxed);
     let mut world = World::new(&day);
     while world.now() < 19_000.0 && world.step() {}
-    (IN_USE.load(Ordering::Relaxed) - before, world.held())
+    (
+        IN_USE.load(Ordering::Relaxed) - before,
+        world.pending_events(),
+    )
 }
--- a/forwarder/emulator/src/struck.rs
+++ b/forwarder/emulator/src/affected.rs
@@ -1,30 +1,30 @@
-//! Which destinations and forwarders each trouble strikes, and how popular each destination is. Worked out
-//! once, from the scenario and the seed.
+//! Which destinations and forwarders each fault strikes, and each destination's share of the
+//! traffic. Determined once, from the scenario and the seed.
 
 use plankhill_forwarder_config::scenario::{Fault, Scenario};
 
 use crate::random::{stream, uniform, RandomStream};
 
-pub struct Struck {
+pub struct Affected {
     /// By destination: its share of the traffic.
     pub weights: Vec<f64>,
     /// By destination: its group.
     pub groups: Vec<u32>,
-    /// By trouble: the destinations.
+    /// By fault: the destinations.
     pub destinations: Vec<Vec<u32>>,
-    /// By trouble: the forwarders.
+    /// By fault: the forwarders.
     pub forwarders: Vec<Vec<u32>>,
 }
 
-impl Struck {
+impl Affected {
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let (weights, groups) = popularity(scenario);
-        let mut chance = stream(seed, RandomStream::Struck);
+        let mut rng = stream(seed, RandomStream::Affected);
         let by_use = by_use(&weights);
         let mut destinations = Vec::new();
         let mut forwarders = Vec::new();
-        for trouble in &scenario.faults {
-            let whom = &trouble.whom;
+        for fault in &scenario.faults {
+            let whom = &fault.whom;
             let mut list: Vec<u32> = by_use.clone();
             if let Some(name) = &whom.group {
                 list.retain(|at| {
@@ -35,7 +35,7 @@
                 list.retain(|at| *at as usize % scenario.clients.tenants == tenant);
             }
             if let Some(share) = whom.at_random {
-                list.retain(|_| uniform(&mut chance) < share);
+                list.retain(|_| uniform(&mut rng) < share);
             }
             if let Some(most) = whom.first {
                 list.truncate(most);
@@ -50,11 +50,11 @@
             }
             list.sort_unstable();
             destinations.push(list);
-            forwarders.push(struck_forwarders(scenario, trouble, &mut || {
-                uniform(&mut chance)
+            forwarders.push(struck_forwarders(scenario, fault, &mut || {
+                uniform(&mut rng)
             }));
         }
-        Struck {
+        Affected {
             weights,
             groups,
             destinations,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The destinations, the most used first.
+/// The destinations by their traffic, the most used first.
 pub fn by_use(weights: &[f64]) -> Vec<u32> {
     let mut all: Vec<u32> = (0..weights.len() as u32).collect();
     all.sort_by(|a, b| {
@@ -76,12 +76,12 @@
 
 fn struck_forwarders(
     scenario: &Scenario,
-    trouble: &Fault,
+    fault: &Fault,
     draw: &mut dyn FnMut() -> f64,
 ) -> Vec<u32> {
     let count = scenario.forwarders.count;
     let zones = &scenario.network.zones;
-    let whom = &trouble.whom;
+    let whom = &fault.whom;
     let mut list: Vec<u32> = (0..count as u32).collect();
     if let Some(zone) = &whom.zone {
         list.retain(|at| zones[*at as usize % zones.len()] == *zone);
@@ -95,10 +95,12 @@
     list
 }
 
-/// Within a group by Zipf, the first being the most used; groups by their shares.
+/// Each destination's share of the traffic: groups by their shares, and within a group by a Zipf
+/// distribution, the first destination being the most used.
 fn popularity(scenario: &Scenario) -> (Vec<f64>, Vec<u32>) {
     let all: f64 = scenario.destinations.iter().map(|group| group.share).sum();
-    let (mut weights, mut groups) = (Vec::new(), Vec::new());
+    let mut weights = Vec::new();
+    let mut groups = Vec::new();
     for (at, group) in scenario.destinations.iter().enumerate() {
         let ranks: Vec<f64> = (1..=group.count)
             .map(|rank| rank_weight(rank, scenario.clients.zipf))
--- a/forwarder/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -1,27 +1,30 @@
-//! An upper bound on a day's payoff, from what no forwarder can know: every trouble, and every arrival, in
-//! advance. It assumes the mean pace of each target, that an event goes at the first instant at which its
-//! destination is there at all, that destinations warm up at once, that forwarders never fail and have
-//! slots without end, and that only capacity, patience and worth bind: order, limits' shapes, pauses, the
-//! network and chance cost nothing. What it says is out of reach; how near a variant comes tells where
-//! payoff is left.
+//! An upper bound on the value that a day can deliver, from what no forwarder can know: every
+//! fault, and every arrival, in advance.
+//!
+//! The bound assumes the mean service time of each target, that an event goes at the first instant
+//! at which its destination is up, that destinations need no warm-up, that forwarders never fail
+//! and have no limit of calls in flight, and that only capacity, deadline and value bind. Order,
+//! the shapes of limits, backoffs, the network and randomness cost nothing. No decider reaches the
+//! bound; how near one comes tells how much value is left to gain.
 
 use plankhill_forwarder_config::scenario::{FaultKind, Ms, Scenario};
 
+use crate::affected::Affected;
 use crate::clients::{worth, Clients};
-use crate::limits::Gauge;
-use crate::struck::Struck;
+use crate::rate_limiter::RateLimiter;
 
 /// The steps in which capacity is counted.
 const STEP: Ms = 1000.0;
 
-/// The most payoff that the day's clients could be paid, as a share of what they ask for.
+/// The bound, as a share of the value of all events.
 pub fn max_value_share(scenario: &Scenario) -> f64 {
-    let struck = Struck::new(scenario, scenario.seed);
+    let struck = Affected::new(scenario, scenario.seed);
     let mut events: Vec<Vec<(Ms, u8)>> = vec![Vec::new(); struck.weights.len()];
     let mut asked = 0.0;
-    for ticket in Clients::new(scenario, &struck, scenario.seed) {
-        asked += scenario.traffic[ticket.traffic as usize].payoff;
-        events[ticket.destination as usize].push((ticket.first_at, ticket.traffic));
+    for client_event in Clients::new(scenario, &struck, scenario.seed) {
+        asked += scenario.traffic[client_event.traffic as usize].payoff;
+        events[client_event.destination as usize]
+            .push((client_event.first_at, client_event.traffic));
     }
     let mut paid = 0.0;
     for (destination, events) in events.iter().enumerate() {
@@ -36,15 +39,16 @@
     }
 }
 
-/// By descending worth, each event in the latest step with room before its end: for jobs of one size that is
-/// the best there is, and leaving out when each came can only add.
-fn most_at(scenario: &Scenario, struck: &Struck, destination: u32, events: &[(Ms, u8)]) -> f64 {
+/// The bound for one destination: by descending value, each event takes the latest step with free
+/// capacity before its deadline. For jobs of one size that schedule is optimal, and ignoring
+/// arrival times can only add.
+fn most_at(scenario: &Scenario, struck: &Affected, destination: u32, events: &[(Ms, u8)]) -> f64 {
     let longest = scenario.longest_patience();
     let steps = ((scenario.length + longest) / STEP).ceil() as usize + 1;
     let open: Vec<f64> = (0..steps)
         .map(|at| capacity(scenario, struck, destination, at as f64 * STEP))
         .collect();
-    // The first step from each on in which the destination is there.
+    // By step, the first step from there on in which the destination is up.
     let mut first_open = vec![steps; steps + 1];
     for at in (0..steps).rev() {
         first_open[at] = if open[at] > 0.0 {
@@ -72,7 +76,7 @@
     let mut room: Vec<f64> = open.iter().map(|calls| calls * STEP / 1000.0).collect();
     let per_call =
         scenario.destinations[struck.groups[destination as usize] as usize].events_per_call as f64;
-    // Where to look next when a step is full.
+    // Where to look next when a step is full (union-find with path compression).
     let mut before: Vec<usize> = (0..=steps).collect();
     let mut paid = 0.0;
     for (worth, last) in jobs {
@@ -83,7 +87,9 @@
             passed.push(at);
             at = if before[at] != at { before[at] } else { at - 1 };
         }
-        passed.into_iter().for_each(|full| before[full] = at);
+        for full in passed {
+            before[full] = at;
+        }
         if at > 0 {
             room[at - 1] -= 1.0 / per_call;
             paid += worth;
@@ -92,8 +98,8 @@
     paid
 }
 
-/// Calls a second that the destination serves at a time, knowing all troubles.
-fn capacity(scenario: &Scenario, struck: &Struck, destination: u32, at: Ms) -> f64 {
+/// Calls a second that the destination serves at a time, knowing all faults.
+fn capacity(scenario: &Scenario, struck: &Affected, destination: u32, at: Ms) -> f64 {
     let group = &scenario.destinations[struck.groups[destination as usize] as usize];
     let each = group.servers as f64 * 1000.0 / group.answer.mean;
     let work: f64 = scenario
@@ -106,21 +112,22 @@
             .iter()
             .map(|traffic| traffic.share)
             .sum::<f64>();
-    let (mut targets, mut limit) = (group.targets as f64, Gauge::rate(&group.limit));
-    for (trouble, list) in scenario.faults.iter().zip(&struck.destinations) {
-        let on = trouble.start <= at && at + STEP <= trouble.start + trouble.length;
+    let mut targets = group.targets as f64;
+    let mut limit = RateLimiter::rate(&group.limit);
+    for (fault, list) in scenario.faults.iter().zip(&struck.destinations) {
+        let on = fault.start <= at && at + STEP <= fault.start + fault.length;
         if !on || list.binary_search(&destination).is_err() {
             continue;
         }
-        let whole = trouble.whom.zone.is_none();
-        let share = trouble.whom.targets.unwrap_or(1.0);
-        match trouble.kind {
+        let whole = fault.whom.zone.is_none();
+        let share = fault.whom.targets.unwrap_or(1.0);
+        match fault.kind {
             FaultKind::Down | FaultKind::Silent | FaultKind::Hung if whole => {
                 targets -= (share * group.targets as f64).ceil()
             }
             FaultKind::LimitLowered if whole && share == 1.0 => {
-                targets *= trouble.strength;
-                limit *= trouble.strength;
+                targets *= fault.strength;
+                limit *= fault.strength;
             }
             _ => (),
         }
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -1,5 +1,5 @@
-//! Who hands events in, when, and for whom: a stream that depends on the scenario and the seed alone, so
-//! that every variant of the forwarders meets the same clients.
+//! The events that clients submit: when, and for which destination. The stream depends on the
+//! scenario and the seed alone, so that every decider meets the same clients.
 
 use std::collections::VecDeque;
 
@@ -8,26 +8,26 @@
 use rand_distr::weighted::WeightedAliasIndex;
 use rand_distr::{Distribution, Zipf};
 
+use crate::affected::Affected;
 use crate::outcome::LossCause;
 use crate::random::{exponential, stream, uniform, RandomStream};
-use crate::struck::Struck;
 
-/// An event as its client sees it, over all the times that it is handed in.
+/// An event as its client sees it, over all its submissions.
 #[derive(Clone, Debug)]
-pub struct Ticket {
+pub struct ClientEvent {
     pub origin: u64,
     pub destination: u32,
     pub traffic: u8,
     pub key: Option<u64>,
     pub first_at: Ms,
-    pub patience_ends: Ms,
-    /// How often it was dismissed and came again.
+    pub deadline: Ms,
+    /// How often the event was rejected and submitted again.
     pub returns: u32,
-    /// What kept it from being delivered so far.
+    /// What kept the event from being delivered so far.
     pub cause: LossCause,
 }
 
-/// What the event is worth when it is delivered at `at`.
+/// The value of an event that is delivered at the time `at`.
 pub fn worth(of: &Traffic, first_at: Ms, at: Ms) -> f64 {
     let late =
         ((at - first_at - of.soft_limit) / (of.patience - of.soft_limit).max(1.0)).clamp(0.0, 1.0);
@@ -42,27 +42,27 @@
 struct Source {
     next_at: Ms,
     ends: Ms,
-    /// The mean time between two at the highest rate.
+    /// The mean time between two events at the highest rate.
     gap: Ms,
     /// The rate follows the day's curve.
     swings: bool,
     left: u64,
     whose: Whose,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 pub struct Clients<'a> {
     scenario: &'a Scenario,
     sources: Vec<Source>,
-    clump: VecDeque<Ticket>,
+    clump: VecDeque<ClientEvent>,
     traffic: WeightedAliasIndex<f64>,
     keys_of: Vec<f64>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     origins: u64,
 }
 
 impl<'a> Clients<'a> {
-    pub fn new(scenario: &'a Scenario, struck: &Struck, seed: u64) -> Self {
+    pub fn new(scenario: &'a Scenario, struck: &Affected, seed: u64) -> Self {
         let of = &scenario.clients;
         let all: Vec<u32> = (0..struck.weights.len() as u32).collect();
         let weighted = |list: &[u32]| {
@@ -80,11 +80,12 @@
         let mut sources = Vec::new();
         let mut add = |start: Ms, length: Ms, rate: f64, swings, left, whose| {
             if rate > 0.0 {
-                let chance = stream(
+                let rng = stream(
                     seed.wrapping_add(sources.len() as u64),
                     RandomStream::Arrivals,
                 );
-                let (ends, gap) = ((start + length).min(scenario.length), 1000.0 / rate);
+                let ends = (start + length).min(scenario.length);
+                let gap = 1000.0 / rate;
                 sources.push(Source {
                     next_at: start,
                     ends,
@@ -92,7 +93,7 @@
                     swings,
                     left,
                     whose,
-                    chance,
+                    rng,
                 });
             }
         };
@@ -104,16 +105,16 @@
             u64::MAX,
             weighted(&all),
         );
-        for (trouble, list) in scenario.faults.iter().zip(&struck.destinations) {
+        for (fault, list) in scenario.faults.iter().zip(&struck.destinations) {
             if list.is_empty() {
                 continue;
             }
-            match trouble.kind {
+            match fault.kind {
                 FaultKind::Flood => {
-                    let rate = of.rate * trouble.strength;
+                    let rate = of.rate * fault.strength;
                     add(
-                        trouble.start,
-                        trouble.length,
+                        fault.start,
+                        fault.length,
                         rate,
                         false,
                         u64::MAX,
@@ -121,13 +122,13 @@
                     )
                 }
                 FaultKind::MassWake => {
-                    let events = (list.len() as f64 * trouble.strength).round();
-                    // A little faster than even, so that all have come before the end.
-                    let rate = 1050.0 * events / trouble.length.max(1.0);
+                    let events = (list.len() as f64 * fault.strength).round();
+                    // A little faster than evenly, so that all have come before the end.
+                    let rate = 1050.0 * events / fault.length.max(1.0);
                     let each = Whose::Each(list.clone(), 0);
                     add(
-                        trouble.start,
-                        trouble.length + 1000.0,
+                        fault.start,
+                        fault.length + 1000.0,
                         rate,
                         false,
                         events as u64,
@@ -138,7 +139,7 @@
             }
         }
         for source in &mut sources {
-            source.next_at += exponential(&mut source.chance, source.gap);
+            source.next_at += exponential(&mut source.rng, source.gap);
         }
         let shares = scenario
             .traffic
@@ -156,40 +157,40 @@
             clump: VecDeque::new(),
             traffic: WeightedAliasIndex::new(shares).expect("shares are checked"),
             keys_of,
-            chance: stream(seed, RandomStream::Front),
+            rng: stream(seed, RandomStream::Front),
             origins: 0,
         }
     }
 
-    fn ticket(&mut self, destination: u32, at: Ms) -> Ticket {
-        let traffic = self.traffic.sample(&mut self.chance);
+    fn client_event(&mut self, destination: u32, at: Ms) -> ClientEvent {
+        let traffic = self.traffic.sample(&mut self.rng);
         let of = &self.scenario.traffic[traffic];
         let key = of.ordered.then(|| {
             let keys = self.keys_of[destination as usize];
             let zipf = Zipf::new(keys, self.scenario.clients.key_zipf).expect("checked");
-            (destination as u64) << 32 | zipf.sample(&mut self.chance) as u64
+            (destination as u64) << 32 | zipf.sample(&mut self.rng) as u64
         });
         self.origins += 1;
-        Ticket {
+        ClientEvent {
             origin: self.origins,
             destination,
             traffic: traffic as u8,
             key,
             first_at: at,
-            patience_ends: at + of.patience,
+            deadline: at + of.patience,
             returns: 0,
             cause: LossCause::Waited,
         }
     }
 }
 
-/// Events in the order of time; of two sources at one instant the first goes first.
+/// The events in the order of time; of two sources at one instant the first goes first.
 impl Iterator for Clients<'_> {
-    type Item = Ticket;
+    type Item = ClientEvent;
 
-    fn next(&mut self) -> Option<Ticket> {
-        if let Some(ticket) = self.clump.pop_front() {
-            return Some(ticket);
+    fn next(&mut self) -> Option<ClientEvent> {
+        if let Some(client_event) = self.clump.pop_front() {
+            return Some(client_event);
         }
         loop {
             let mut first: Option<usize> = None;
@@ -201,39 +202,39 @@
             }
             let source = &mut self.sources[first?];
             let at = source.next_at;
-            source.next_at += exponential(&mut source.chance, source.gap);
-            if source.swings && uniform(&mut source.chance) > share_of_peak(self.scenario, at) {
+            source.next_at += exponential(&mut source.rng, source.gap);
+            if source.swings && uniform(&mut source.rng) > share_of_peak(self.scenario, at) {
                 continue;
             }
             source.left -= 1;
             let destination = match &mut source.whose {
-                Whose::Weighted(weights, list) => list[weights.sample(&mut source.chance)],
+                Whose::Weighted(weights, list) => list[weights.sample(&mut source.rng)],
                 Whose::Each(list, next) => {
                     *next += 1;
                     list[(*next - 1) % list.len()]
                 }
             };
             let of = &self.scenario.clients;
-            let clumped = of.clumps > 0.0 && uniform(&mut self.chance) < of.clumps;
+            let clumped = of.clumps > 0.0 && uniform(&mut self.rng) < of.clumps;
             let extra = if clumped {
-                exponential(&mut self.chance, of.clump_size - 1.0).round() as usize
+                exponential(&mut self.rng, of.clump_size - 1.0).round() as usize
             } else {
                 0
             };
-            let ticket = self.ticket(destination, at);
+            let client_event = self.client_event(destination, at);
             for _ in 0..extra {
-                let next = self.ticket(destination, at);
+                let next = self.client_event(destination, at);
                 self.clump.push_back(next);
             }
-            return Some(ticket);
+            return Some(client_event);
         }
     }
 }
 
-/// The rate at a time against the highest of the day.
+/// The rate at a time, as a share of the highest rate of the day.
 fn share_of_peak(scenario: &Scenario, at: Ms) -> f64 {
     let of = &scenario.clients;
-    // A triangle: from the least at the day's ends to the most in its middle.
+    // A triangle: lowest at both ends of the day, highest in its middle.
     let phase: f64 = (at / of.day).fract();
     let height = 1.0 - 2.0 * (2.0 * phase - 1.0).abs();
     (1.0 + of.swing * height) / (1.0 + of.swing)
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -1,23 +1,24 @@
-//! The way back of a call, and all that ends the forwarder's side of it.
+//! The way back of a call, and everything that ends the forwarder's side of the call.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::FaultKind;
 use plankhill_invariants::Observation;
 
-use super::parts::Member;
+use super::state::Member;
 use super::{CallKey, Step, World};
 use crate::deciders::Input;
 use crate::random::uniform;
 
 impl World<'_> {
-    /// The target answers now: the answer travels back, unless something takes it.
-    pub(super) fn respond(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
+    /// The target answers now: the answer travels back, unless a fault loses it.
+    pub(super) fn respond(&mut self, key: CallKey, outcome: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
-        (call.fate, call.wait) = (fate, wait);
-        let (forwarder, target) = (call.forwarder, call.target);
+        (call.outcome, call.wait) = (outcome, wait);
+        let forwarder = call.forwarder;
+        let target = call.target;
         let from = self.targets[target as usize].zone as usize;
         let to = self.forwarders[forwarder as usize].zone;
-        if self.is_cut(forwarder, self.targets[target as usize].destination, target) {
+        if self.loses_answers(forwarder, self.targets[target as usize].destination, target) {
             return;
         }
         if let Some(travel) = self.travel(from, to) {
@@ -25,109 +26,111 @@
         }
     }
 
-    /// Whether answers of the target to the forwarder get lost now.
-    pub(super) fn is_cut(&self, forwarder: u32, destination: u32, target: u32) -> bool {
+    /// Whether answers of the target to the forwarder are lost now.
+    pub(super) fn loses_answers(&self, forwarder: u32, destination: u32, target: u32) -> bool {
         let Some(active) = self.active.get(&destination) else {
             return false;
         };
         active.iter().any(|&at| {
-            let trouble = &self.scenario.faults[at as usize];
-            let struck = (trouble.strength * self.forwarders.len() as f64).ceil();
-            trouble.kind == FaultKind::CutOneWay
+            let fault = &self.scenario.faults[at as usize];
+            let struck = (fault.strength * self.forwarders.len() as f64).ceil();
+            fault.kind == FaultKind::CutOneWay
                 && (forwarder as f64) < struck
                 && self.covers(at, target)
         })
     }
 
-    pub(super) fn answered(&mut self, key: CallKey) {
+    pub(super) fn on_answer(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
-        if call.over_here {
+        if call.abandoned_by_sender {
             if !call.there {
                 self.calls.remove(key);
             }
             return;
         }
-        let (fate, wait) = (call.fate, call.wait);
-        self.call_over(key, fate, wait);
+        let outcome = call.outcome;
+        let wait = call.wait;
+        self.call_over(key, outcome, wait);
     }
 
     pub(super) fn time_out(&mut self, key: CallKey) {
-        let Some(call) = self.calls.get(key).filter(|call| !call.over_here) else {
+        let Some(call) = self.calls.get(key).filter(|call| !call.abandoned_by_sender) else {
             return;
         };
-        let fate = if call.written {
+        let outcome = if call.written {
             AttemptOutcome::TimedOut
         } else {
             AttemptOutcome::ConnectFailed
         };
-        self.call_over(key, fate, 0.0);
+        self.call_over(key, outcome, 0.0);
     }
 
-    /// The forwarder learns how the call ended, with its next round.
-    pub(super) fn call_over(&mut self, key: CallKey, fate: AttemptOutcome, wait: Ms) {
+    /// The forwarder learns how the call ended, with its next iteration.
+    pub(super) fn call_over(&mut self, key: CallKey, outcome: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
-        call.over_here = true;
-        let (forwarder, target, lane, ping, began) = (
-            call.forwarder,
-            call.target,
-            call.lane,
-            call.ping,
-            call.began,
-        );
-        let (in_outage, written, there) = (call.in_outage, call.written, call.there);
+        call.abandoned_by_sender = true;
+        let forwarder = call.forwarder;
+        let target = call.target;
+        let lane = call.lane;
+        let is_health_check = call.is_health_check;
+        let began = call.began;
+        let in_outage = call.in_outage;
+        let written = call.written;
+        let there = call.there;
         let members = call.members.clone();
         let destination = self.targets[target as usize].destination;
-        let good = fate == AttemptOutcome::Delivered;
-        if !good && fate != AttemptOutcome::NotSent {
+        let good = outcome == AttemptOutcome::Delivered;
+        if !good && outcome != AttemptOutcome::NotSent {
             self.tally
-                .call_failed(destination, self.now, fate == AttemptOutcome::Rejected);
+                .call_failed(destination, self.now, outcome == AttemptOutcome::Rejected);
         }
         if !good && in_outage {
-            self.tell(Observation::SawFailure { forwarder, lane });
+            self.observe(Observation::FailureObserved { forwarder, lane });
         }
         if written && self.tracked(destination) {
             let kept = matches!(
-                fate,
+                outcome,
                 AttemptOutcome::Delivered | AttemptOutcome::Rejected | AttemptOutcome::Error
             );
             self.put_back(forwarder, target, kept);
         }
-        let took = self.now - began;
+        let elapsed = self.now - began;
         for Member { event, .. } in members {
             self.incoming(
                 forwarder,
-                Input::SendEnded {
+                Input::AttemptEnded {
                     event,
-                    fate,
-                    took,
+                    outcome,
+                    elapsed,
                     wait,
                 },
                 Some((lane, written)),
             );
         }
-        if ping {
+        if is_health_check {
             self.incoming(
                 forwarder,
-                Input::PingEnded { target, fate },
+                Input::HealthCheckEnded { target, outcome },
                 Some((lane, written)),
             );
         }
-        // A connection still coming up is given back when it is up.
+        // A connection that is still being set up is returned when it is up.
         let coming_up =
-            !written && fate != AttemptOutcome::ConnectFailed && self.tracked(destination);
+            !written && outcome != AttemptOutcome::ConnectFailed && self.tracked(destination);
         if !there && !coming_up {
             self.calls.remove(key);
         }
     }
 
-    /// All calls at targets of the destination that are down now are broken off; half of them have run.
+    /// Resets all calls at targets of the destination that are down now; half of those in service
+    /// have run.
     pub(super) fn break_calls(&mut self, destination: u32) {
         let targets: Vec<u32> = self.destinations[destination as usize].targets.clone();
         let down: Vec<u32> = targets
             .into_iter()
-            .filter(|target| self.plight(*target).down)
+            .filter(|target| self.fault_effects(*target).down)
             .collect();
         if down
             .iter()
@@ -141,12 +144,12 @@
             .filter(|(_, call)| call.there && down.contains(&call.target));
         let there: Vec<CallKey> = there.map(|(key, _)| key).collect();
         for target in &down {
-            let it = &mut self.targets[*target as usize];
-            it.busy = 0;
-            it.waiting.clear();
+            let target_state = &mut self.targets[*target as usize];
+            target_state.busy = 0;
+            target_state.waiting.clear();
         }
         for key in there {
-            let ran = self.calls[key].served && uniform(&mut self.chance_faults) < 0.5;
+            let ran = self.calls[key].served && uniform(&mut self.rng_faults) < 0.5;
             if ran {
                 self.apply(key);
             }
@@ -154,7 +157,7 @@
             call.there = false;
             let gauge = &mut self.lanes[call.lane as usize].gauge;
             gauge.inside = gauge.inside.saturating_sub(1);
-            if call.over_here {
+            if call.abandoned_by_sender {
                 self.calls.remove(key);
             } else {
                 self.respond(key, AttemptOutcome::Reset, 0.0);
@@ -162,12 +165,16 @@
         }
     }
 
-    /// Calls to a target of which nothing is written yet do not leave any more.
-    pub(super) fn take_back(&mut self, forwarder: u32, target: u32) {
-        let life = self.forwarders[forwarder as usize].life;
+    /// Cancels the calls to a target of which nothing is written yet.
+    pub(super) fn cancel_unsent(&mut self, forwarder: u32, target: u32) {
+        let incarnation = self.forwarders[forwarder as usize].incarnation;
         let unwritten = self.calls.iter().filter(|(_, call)| {
-            let ours = call.forwarder == forwarder && call.life == life && call.target == target;
-            ours && !call.written && !call.over_here && call.fate != AttemptOutcome::ConnectFailed
+            let ours = call.forwarder == forwarder
+                && call.incarnation == incarnation
+                && call.target == target;
+            ours && !call.written
+                && !call.abandoned_by_sender
+                && call.outcome != AttemptOutcome::ConnectFailed
         });
         let unwritten: Vec<CallKey> = unwritten.map(|(key, _)| key).collect();
         for key in unwritten {
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -1,18 +1,19 @@
-//! A call at its target: the limit, the queue and the servers. The forwarder's side of it may be over (timed
-//! out) while the target's is not; the call is forgotten when both are.
+//! A call at its target: the limit, the queue and the servers. The forwarder's side of a call may
+//! be over (timed out) while the target's is not; the call is forgotten when both are over.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::Repeats;
 use plankhill_invariants::Observation;
 
-use super::parts::{Call, Event, Member};
+use super::state::{Call, Event, Member};
 use super::{CallKey, Step, World};
 use crate::deciders::EventKey;
 use crate::random::uniform;
 
-/// What each further event of a call weighs, as the deployments' pages have it: only a little.
+/// The weight of each further event of a call, against the first: only a little, by the
+/// deployments' pages.
 const RIDER: f64 = 0.25;
-/// What a ping takes of a target, against an event of one unit of work.
+/// The work of a health check, against an event of one unit of work.
 const PING_WORK: f64 = 0.2;
 
 impl World<'_> {
@@ -23,120 +24,130 @@
         events: Vec<EventKey>,
         time_out: Ms,
     ) {
-        let ping = events.is_empty();
+        let is_health_check = events.is_empty();
         let members: Vec<Member> = events
             .iter()
             .map(|&event| {
-                let Event { number, ticket, .. } = &self.events[event];
+                let Event {
+                    number,
+                    client_event,
+                    ..
+                } = &self.events[event];
                 Member {
                     event,
                     number: *number,
-                    origin: ticket.origin,
-                    traffic: ticket.traffic,
+                    origin: client_event.origin,
+                    traffic: client_event.traffic,
                 }
             })
             .collect();
         let works = members
             .iter()
             .map(|member| self.scenario.traffic[member.traffic as usize].work);
-        let work = works.fold(if ping { PING_WORK } else { 0.0 }, f64::max);
-        let sends = members.len() as u64;
-        let it = &self.targets[target as usize];
-        let (lane, destination) = (it.lane, it.destination);
+        let work = works.fold(if is_health_check { PING_WORK } else { 0.0 }, f64::max);
+        let attempts = members.len() as u64;
+        let target_state = &self.targets[target as usize];
+        let lane = target_state.lane;
+        let destination = target_state.destination;
         let call = Call {
             forwarder,
-            life: self.forwarders[forwarder as usize].life,
+            incarnation: self.forwarders[forwarder as usize].incarnation,
             target,
             lane,
-            ping,
+            is_health_check,
             members,
             began: self.now,
             written: false,
             reused: false,
             dropped: false,
-            over_here: false,
+            abandoned_by_sender: false,
             there: false,
             served: false,
             in_outage: false,
-            fate: AttemptOutcome::Delivered,
+            outcome: AttemptOutcome::Delivered,
             wait: 0.0,
-            mute: false,
+            never_answered: false,
             work,
         };
         let key = self.calls.insert(call);
         for event in events {
             let event = &mut self.events[event];
             event.out = Some(key);
-            event.sends += 1;
+            event.attempts += 1;
             event.sent_at = self.now;
         }
         self.tally.totals.calls += 1;
-        self.tally.totals.pings += ping as u64;
-        self.tally.totals.sends += sends;
+        self.tally.totals.pings += is_health_check as u64;
+        self.tally.totals.sends += attempts;
         self.tally.totals.most_out = self.tally.totals.most_out.max(self.calls.len() as u64);
         self.tally.call(destination, self.now);
-        self.queue.put(self.now + time_out, Step::TimeOut(key));
+        self.queue.put(self.now + time_out, Step::TimedOut(key));
         self.connect(key);
     }
 
-    pub(super) fn reaches(&mut self, key: CallKey) {
+    pub(super) fn arrive(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
-        let (target, lane, forwarder, reused) =
-            (call.target, call.lane, call.forwarder, call.reused);
+        let target = call.target;
+        let lane = call.lane;
+        let forwarder = call.forwarder;
+        let reused = call.reused;
         let weight = 1.0 + RIDER * call.members.len().saturating_sub(1) as f64;
         let destination = self.targets[target as usize].destination;
         let outage = self.lanes[lane as usize].outage;
         self.calls[key].in_outage |= outage;
         self.tally.load(destination, self.now);
-        self.weigh_on(lane, forwarder, weight);
-        let plight = self.plight(target);
-        if plight.down {
-            // It went while the call was on its way.
+        self.add_load(lane, forwarder, weight);
+        let fault_effects = self.fault_effects(target);
+        if fault_effects.down {
+            // The target went down while the call was on its way.
             return self.respond(key, AttemptOutcome::Reset, 0.0);
         }
-        if plight.silent || plight.half_open && reused {
+        if fault_effects.silent || fault_effects.half_open && reused {
             return;
         }
         let group =
             &self.scenario.destinations[self.destinations[destination as usize].group as usize];
-        let admitted =
-            self.lanes[lane as usize]
-                .gauge
-                .admit(&group.limit, plight.left_of_limit, self.now);
-        if let Err(room_at) = admitted {
+        let admitted = self.lanes[lane as usize].gauge.admit(
+            &group.limit,
+            fault_effects.left_of_limit,
+            self.now,
+        );
+        if let Err(admits_at) = admitted {
             let least = group.limit.tells_wait;
             let wait = if least > 0.0 {
-                least.max(room_at.unwrap_or(0.0) - self.now)
+                least.max(admits_at.unwrap_or(0.0) - self.now)
             } else {
                 0.0
             };
             return self.respond(key, AttemptOutcome::Rejected, wait);
         }
-        if plight.erring > 0.0 && uniform(&mut self.chance_faults) < plight.erring {
-            if uniform(&mut self.chance_faults) < 0.5 {
+        if fault_effects.erring > 0.0 && uniform(&mut self.rng_faults) < fault_effects.erring {
+            if uniform(&mut self.rng_faults) < 0.5 {
                 return self.respond(key, AttemptOutcome::Error, 0.0);
             }
-            self.calls[key].fate = AttemptOutcome::Error;
-        } else if plight.resetting > 0.0 && uniform(&mut self.chance_faults) < plight.resetting {
-            if uniform(&mut self.chance_faults) < 0.5 {
+            self.calls[key].outcome = AttemptOutcome::Error;
+        } else if fault_effects.resetting > 0.0
+            && uniform(&mut self.rng_faults) < fault_effects.resetting
+        {
+            if uniform(&mut self.rng_faults) < 0.5 {
                 return self.respond(key, AttemptOutcome::Reset, 0.0);
             }
-            self.calls[key].fate = AttemptOutcome::Reset;
+            self.calls[key].outcome = AttemptOutcome::Reset;
         }
-        self.calls[key].mute = plight.hung;
-        let servers = (group.servers as f64 * plight.left_of_limit)
+        self.calls[key].never_answered = fault_effects.hung;
+        let servers = (group.servers as f64 * fault_effects.left_of_limit)
             .ceil()
             .max(1.0) as u32;
         let room = group.queue;
-        let it = &mut self.targets[target as usize];
-        if it.busy < servers {
-            it.busy += 1;
+        let target_state = &mut self.targets[target as usize];
+        if target_state.busy < servers {
+            target_state.busy += 1;
             self.lanes[lane as usize].gauge.inside += 1;
             self.serve(key);
-        } else if it.waiting.len() < room {
-            it.waiting.push_back(key);
+        } else if target_state.waiting.len() < room {
+            target_state.waiting.push_back(key);
             self.lanes[lane as usize].gauge.inside += 1;
             self.calls[key].there = true;
         } else {
@@ -150,14 +161,15 @@
             (call.there, call.served) = (true, true);
             (call.target, call.lane, call.work)
         };
-        let it = &self.targets[target as usize];
-        let group = self.destinations[it.destination as usize].group as usize;
-        let factor = it.factor * work * self.plight(target).slow / self.warmth(lane);
-        let takes = self.answers[group].uniform(&mut self.chance_answers) * factor;
+        let target_state = &self.targets[target as usize];
+        let group = self.destinations[target_state.destination as usize].group as usize;
+        let factor =
+            target_state.factor * work * self.fault_effects(target).slow / self.warmth(lane);
+        let takes = self.answers[group].sample(&mut self.rng_answers) * factor;
         self.queue.put(self.now + takes, Step::Served(key));
     }
 
-    pub(super) fn served(&mut self, key: CallKey) {
+    pub(super) fn on_served(&mut self, key: CallKey) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
@@ -165,20 +177,23 @@
             return; // it was broken off there
         }
         call.there = false;
-        let (target, lane, fate, over_here, mute) =
-            (call.target, call.lane, call.fate, call.over_here, call.mute);
+        let target = call.target;
+        let lane = call.lane;
+        let outcome = call.outcome;
+        let abandoned_by_sender = call.abandoned_by_sender;
+        let never_answered = call.never_answered;
         self.apply(key);
         self.tally.totals.ran_unheard +=
-            (over_here || mute || fate != AttemptOutcome::Delivered) as u64;
+            (abandoned_by_sender || never_answered || outcome != AttemptOutcome::Delivered) as u64;
         self.leave_server(target, lane);
-        if over_here {
+        if abandoned_by_sender {
             self.calls.remove(key);
-        } else if !mute {
-            self.respond(key, fate, 0.0);
+        } else if !never_answered {
+            self.respond(key, outcome, 0.0);
         }
     }
 
-    /// The events of the call take effect.
+    /// The effects of the call's events come about.
     pub(super) fn apply(&mut self, key: CallKey) {
         let members = std::mem::take(&mut self.calls[key].members);
         for &Member {
@@ -189,10 +204,10 @@
         } in &members
         {
             let effect = self.effect(traffic);
-            self.tell(Observation::Applied {
+            self.observe(Observation::EffectApplied {
                 event: number,
                 origin,
-                effect,
+                idempotency: effect,
             });
         }
         self.calls[key].members = members;
@@ -213,12 +228,12 @@
     pub(super) fn leave_server(&mut self, target: u32, lane: u32) {
         let gauge = &mut self.lanes[lane as usize].gauge;
         gauge.inside = gauge.inside.saturating_sub(1);
-        let it = &mut self.targets[target as usize];
-        while let Some(next) = it.waiting.pop_front() {
+        let target_state = &mut self.targets[target as usize];
+        while let Some(next) = target_state.waiting.pop_front() {
             if self.calls.get(next).is_some_and(|call| call.there) {
                 return self.serve(next);
             }
         }
-        it.busy = it.busy.saturating_sub(1);
+        target_state.busy = target_state.busy.saturating_sub(1);
     }
 }
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -1,23 +1,24 @@
-//! Connections: opened, taken while they stand idle, put back, closed and dropped unseen.
+//! Connections: opened, reused, returned, closed, and dropped by a target without notice.
 
 use plankhill_decisions::interface::{AttemptOutcome, EndpointState, Ms};
 use plankhill_invariants::Observation;
 
-use super::parts::Idle;
+use super::state::IdleConnection;
 use super::{CallKey, Step, World};
 
-/// A forwarder closes its idle connections after so long.
+/// A forwarder closes a connection that has been idle for so long.
 const IDLE_KEPT: Ms = 13_500.0;
 
 impl World<'_> {
-    /// Takes an idle connection or opens one. Where a group has no figures for connections, one is always
-    /// there for a target that is up.
+    /// Reuses an idle connection or opens one. Where a group does not model connections, one is
+    /// always open to a target that is up.
     pub(super) fn connect(&mut self, key: CallKey) {
-        let (forwarder, target) = (self.calls[key].forwarder, self.calls[key].target);
+        let forwarder = self.calls[key].forwarder;
+        let target = self.calls[key].target;
         let from = self.forwarders[forwarder as usize].zone;
         let (to, destination) = {
-            let it = &self.targets[target as usize];
-            (it.zone as usize, it.destination)
+            let target_state = &self.targets[target as usize];
+            (target_state.zone as usize, target_state.destination)
         };
         let tracked = self.tracked(destination);
         if let Some(dropped) = self.take_idle(forwarder, target).filter(|_| tracked) {
@@ -25,29 +26,29 @@
             self.calls[key].dropped = dropped;
             return self.write(key);
         }
-        let plight = self.plight(target);
+        let fault_effects = self.fault_effects(target);
         let group = self.group_of(destination);
         let full = group.connections > 0
             && self.targets[target as usize].connections as usize >= group.connections;
         let set_up = group.set_up;
-        if !plight.down && !full && !tracked {
+        if !fault_effects.down && !full && !tracked {
             return self.write(key);
         }
         let there = self.travel(from, to);
         let back = self.travel(to, from);
         let (Some(there), Some(back)) = (there, back) else {
-            // Nothing comes back: the connection counts as refused after its own time.
-            self.calls[key].fate = AttemptOutcome::ConnectFailed;
+            // Nothing comes back: the connection counts as failed after its timeout.
+            self.calls[key].outcome = AttemptOutcome::ConnectFailed;
             self.queue.put(
                 self.now + self.scenario.network.connect_time_out,
                 Step::Answered(key),
             );
             return;
         };
-        if plight.down || full {
+        if fault_effects.down || full {
             let outage = self.lanes[self.targets[target as usize].lane as usize].outage;
             let call = &mut self.calls[key];
-            (call.fate, call.in_outage) = (AttemptOutcome::ConnectFailed, outage);
+            (call.outcome, call.in_outage) = (AttemptOutcome::ConnectFailed, outage);
             self.queue.put(self.now + there + back, Step::Answered(key));
             return;
         }
@@ -64,11 +65,11 @@
             || group.reaped_after > 0.0
     }
 
-    pub(super) fn connected(&mut self, key: CallKey) {
+    pub(super) fn on_connected(&mut self, key: CallKey) {
         let Some(call) = self.calls.get(key) else {
             return;
         };
-        if call.over_here {
+        if call.abandoned_by_sender {
             let target = call.target;
             self.close_connections(target, 1);
             self.calls.remove(key);
@@ -76,30 +77,34 @@
         }
         let forwarder = &self.forwarders[call.forwarder as usize];
         if forwarder.stalled_until > self.now {
-            // Nobody is there to write it.
+            // The forwarder does not wait for the call any more: nobody writes it.
             let later = forwarder.stalled_until;
             return self.queue.put(later, Step::Connected(key));
         }
         self.write(key);
     }
 
-    /// The first byte leaves: from here on the call may run.
+    /// The first byte leaves: from now on the call may run.
     pub(super) fn write(&mut self, key: CallKey) {
         let call = &mut self.calls[key];
         call.written = true;
-        let (forwarder, target, lane, ping) = (call.forwarder, call.target, call.lane, call.ping);
-        let (members, dropped) = (std::mem::take(&mut call.members), call.dropped);
+        let forwarder = call.forwarder;
+        let target = call.target;
+        let lane = call.lane;
+        let is_health_check = call.is_health_check;
+        let members = std::mem::take(&mut call.members);
+        let dropped = call.dropped;
         let from = self.forwarders[forwarder as usize].zone;
         let to = self.targets[target as usize].zone as usize;
-        if ping {
-            self.tell(Observation::Pinged {
+        if is_health_check {
+            self.observe(Observation::HealthCheckSent {
                 forwarder,
                 target,
                 lane,
             });
         }
         for member in &members {
-            self.tell(Observation::Sent {
+            self.observe(Observation::AttemptSent {
                 forwarder,
                 event: member.number,
                 target,
@@ -112,15 +117,15 @@
             return;
         };
         if dropped {
-            self.calls[key].fate = AttemptOutcome::Reset;
+            self.calls[key].outcome = AttemptOutcome::Reset;
             self.queue.put(self.now + 2.0 * travel, Step::Answered(key));
         } else {
-            self.queue.put(self.now + travel, Step::Reaches(key));
+            self.queue.put(self.now + travel, Step::Arrives(key));
         }
     }
 
-    /// Takes the connection to the target that was used last, if one is idle: whether the target has dropped
-    /// it, which the forwarder does not see.
+    /// Takes the idle connection to the target that was used last. The result says whether the
+    /// target has dropped that connection, which the forwarder does not see.
     pub(super) fn take_idle(&mut self, forwarder: u32, target: u32) -> Option<bool> {
         let now = self.now;
         let idle = &mut self.forwarders[forwarder as usize].idle;
@@ -139,15 +144,15 @@
     }
 
     pub(super) fn close_connections(&mut self, target: u32, closed: usize) {
-        let it = &mut self.targets[target as usize];
-        it.connections = it.connections.saturating_sub(closed as u32);
+        let target_state = &mut self.targets[target as usize];
+        target_state.connections = target_state.connections.saturating_sub(closed as u32);
     }
 
     pub(super) fn put_back(&mut self, forwarder: u32, target: u32, kept: bool) {
         if !kept || self.targets[target as usize].listing == EndpointState::Removed {
             return self.close_connections(target, 1);
         }
-        let idle = Idle {
+        let idle = IdleConnection {
             since: self.now,
             dropped: false,
         };
@@ -162,14 +167,14 @@
         if reaped_after > 0.0 {
             self.queue.put(
                 self.now + reaped_after,
-                Step::Reaped(forwarder, target, self.now),
+                Step::IdleConnectionDropped(forwarder, target, self.now),
             );
         }
     }
 
-    /// The target drops a connection that has been idle since then, and nobody hears of it: the next call on
-    /// it is reset.
-    pub(super) fn reaped(&mut self, forwarder: u32, target: u32, since: Ms) {
+    /// The target drops a connection that has been idle since then, without notice: the next call
+    /// on that connection is reset.
+    pub(super) fn drop_idle_connection(&mut self, forwarder: u32, target: u32, since: Ms) {
         let Some(open) = self.forwarders[forwarder as usize].idle.get_mut(&target) else {
             return;
         };
--- a/forwarder/emulator/src/world/ground.rs
+++ b/forwarder/emulator/src/world/destinations.rs
@@ -1,4 +1,4 @@
-//! Destinations as they truly are: what they can serve, what is wrong with them, and how cold they are.
+//! Destinations as they truly are: their capacity, their faults, and how far they have warmed up.
 
 use std::collections::VecDeque;
 
@@ -6,13 +6,13 @@
 use plankhill_forwarder_config::scenario::{FaultKind, Group, Ms, Scenario};
 
 use super::{CallKey, World};
-use crate::limits::Gauge;
+use crate::affected::Affected;
 use crate::random::{between, stream, RandomStream};
-use crate::struck::Struck;
+use crate::rate_limiter::RateLimiter;
 
 pub(super) struct Destination {
     pub group: u32,
-    /// Those that are, or were, named in the list.
+    /// The targets that the endpoint list names or named.
     pub targets: Vec<u32>,
 }
 
@@ -20,39 +20,39 @@
     pub destination: u32,
     pub lane: u32,
     pub zone: u16,
-    /// Its place among its destination's targets.
+    /// The target's position among its destination's targets.
     pub place: u16,
     pub factor: f64,
     pub busy: u32,
     pub waiting: VecDeque<CallKey>,
     pub connections: u32,
-    /// As the list says now.
+    /// What the endpoint list says now.
     pub listing: EndpointState,
-    /// By change of the list, from the first; running before.
-    pub told: Vec<(u32, EndpointState)>,
-    /// Not there: its place was given up.
+    /// The changes of the endpoint list that concern the target; running before.
+    pub introduced: Vec<(u32, EndpointState)>,
+    /// The target is removed and not there any more.
     pub left: bool,
 }
 
-/// What shares one limit, one outage and one wait.
+/// The targets that share one limit, one outage and one retry-after.
 #[derive(Default)]
 pub(super) struct Lane {
     pub destination: u32,
-    pub gauge: Gauge,
+    pub gauge: RateLimiter,
     pub outage: bool,
-    pub cold: Option<Box<Cold>>,
-    pub tipped_until: Ms,
+    pub cold: Option<Box<WarmUp>>,
+    pub overloaded_until: Ms,
 }
 
-pub(super) struct Cold {
+pub(super) struct WarmUp {
     pub since: Ms,
-    /// What came lately: when, from whom, how much.
+    /// Recent load: when, from which forwarder, how much.
     pub recent: VecDeque<(Ms, u32, f64)>,
 }
 
-/// All that troubles do to a target now.
+/// All that faults do to a target now.
 #[derive(Clone, Copy)]
-pub(super) struct Plight {
+pub(super) struct FaultEffects {
     pub down: bool,
     pub silent: bool,
     pub hung: bool,
@@ -63,7 +63,7 @@
     pub left_of_limit: f64,
 }
 
-const WELL: Plight = Plight {
+const NO_FAULT: FaultEffects = FaultEffects {
     down: false,
     silent: false,
     hung: false,
@@ -74,8 +74,8 @@
     left_of_limit: 1.0,
 };
 
-impl Plight {
-    /// Most calls fail.
+impl FaultEffects {
+    /// Whether most calls fail.
     pub(super) fn is_outage(&self) -> bool {
         self.down || self.silent || self.hung || self.erring + self.resetting > 0.5
     }
@@ -83,11 +83,13 @@
 
 pub(super) fn build(
     scenario: &Scenario,
-    struck: &Struck,
+    struck: &Affected,
     seed: u64,
 ) -> (Vec<Destination>, Vec<Target>, Vec<Lane>) {
-    let mut chance = stream(seed, RandomStream::Targets);
-    let (mut destinations, mut targets, mut lanes) = (Vec::new(), Vec::new(), Vec::new());
+    let mut rng = stream(seed, RandomStream::Targets);
+    let mut destinations = Vec::new();
+    let mut targets = Vec::new();
+    let mut lanes = Vec::new();
     for (at, &group) in struck.groups.iter().enumerate() {
         let of = &scenario.destinations[group as usize];
         let first_lane = lanes.len();
@@ -102,7 +104,7 @@
             }
             let differ = of.answer.differ;
             let factor = if differ > 0.0 {
-                between(&mut chance, 1.0 - differ, 1.0 + differ)
+                between(&mut rng, 1.0 - differ, 1.0 + differ)
             } else {
                 1.0
             };
@@ -143,15 +145,15 @@
             waiting: VecDeque::new(),
             connections: 0,
             listing: EndpointState::Running,
-            told: Vec::new(),
+            introduced: Vec::new(),
             left: false,
         }
     }
 
-    /// How the list speaks of the target for one that has heard so many changes.
+    /// The target's state for a forwarder that knows so many changes of the endpoint list.
     pub fn as_of(&self, changes: usize) -> EndpointState {
         let heard = self
-            .told
+            .introduced
             .iter()
             .rev()
             .find(|(change, _)| (*change as usize) < changes);
@@ -164,72 +166,80 @@
         &self.scenario.destinations[self.destinations[destination as usize].group as usize]
     }
 
-    pub(super) fn plight(&self, target: u32) -> Plight {
-        let it = &self.targets[target as usize];
-        let mut plight = WELL;
-        plight.down = it.left || self.lanes[it.lane as usize].tipped_until > self.now;
-        let Some(active) = self.active.get(&it.destination) else {
-            return plight;
+    pub(super) fn fault_effects(&self, target: u32) -> FaultEffects {
+        let target_state = &self.targets[target as usize];
+        let mut fault_effects = NO_FAULT;
+        fault_effects.down =
+            target_state.left || self.lanes[target_state.lane as usize].overloaded_until > self.now;
+        let Some(active) = self.active.get(&target_state.destination) else {
+            return fault_effects;
         };
         for &at in active {
             if !self.covers(at, target) {
                 continue;
             }
-            let trouble = &self.scenario.faults[at as usize];
-            match trouble.kind {
-                FaultKind::Down => plight.down = true,
-                FaultKind::Flapping => plight.down |= self.flapped_down[at as usize],
-                FaultKind::Silent => plight.silent = true,
-                FaultKind::Hung => plight.hung = true,
-                FaultKind::HalfOpen => plight.half_open = true,
-                FaultKind::Slow => plight.slow *= trouble.strength,
-                FaultKind::Erring => plight.erring = plight.erring.max(trouble.strength),
-                FaultKind::Resetting => plight.resetting = plight.resetting.max(trouble.strength),
-                FaultKind::LimitLowered => plight.left_of_limit *= trouble.strength,
+            let fault = &self.scenario.faults[at as usize];
+            match fault.kind {
+                FaultKind::Down => fault_effects.down = true,
+                FaultKind::Flapping => fault_effects.down |= self.flapped_down[at as usize],
+                FaultKind::Silent => fault_effects.silent = true,
+                FaultKind::Hung => fault_effects.hung = true,
+                FaultKind::HalfOpen => fault_effects.half_open = true,
+                FaultKind::Slow => fault_effects.slow *= fault.strength,
+                FaultKind::Erring => {
+                    fault_effects.erring = fault_effects.erring.max(fault.strength)
+                }
+                FaultKind::Resetting => {
+                    fault_effects.resetting = fault_effects.resetting.max(fault.strength)
+                }
+                FaultKind::LimitLowered => fault_effects.left_of_limit *= fault.strength,
                 _ => (),
             }
         }
-        plight
+        fault_effects
     }
 
-    /// Whether the trouble, which strikes the target's destination, strikes the target.
-    pub(super) fn covers(&self, trouble: u16, target: u32) -> bool {
-        let whom = &self.scenario.faults[trouble as usize].whom;
-        let it = &self.targets[target as usize];
+    /// Whether the fault, which strikes the target's destination, strikes the target.
+    pub(super) fn covers(&self, fault: u16, target: u32) -> bool {
+        let whom = &self.scenario.faults[fault as usize].whom;
+        let target_state = &self.targets[target as usize];
         let zone = whom
             .zone
             .as_ref()
-            .is_none_or(|zone| self.scenario.network.zones[it.zone as usize] == *zone);
-        let all = self.group_of(it.destination).targets as f64;
+            .is_none_or(|zone| self.scenario.network.zones[target_state.zone as usize] == *zone);
+        let all = self.group_of(target_state.destination).targets as f64;
         zone && whom
             .targets
-            .is_none_or(|share| (it.place as f64) < (share * all).ceil())
+            .is_none_or(|share| (target_state.place as f64) < (share * all).ceil())
     }
 
-    /// Calls a second that a target serves when it is warm and well.
+    /// Calls a second that a target serves when it is warm and healthy.
     pub(super) fn full_pace(&self, target: u32) -> f64 {
-        let it = &self.targets[target as usize];
-        let group = self.group_of(it.destination);
-        group.servers as f64 * 1000.0 / (group.answer.mean * it.factor)
+        let target_state = &self.targets[target as usize];
+        let group = self.group_of(target_state.destination);
+        group.servers as f64 * 1000.0 / (group.answer.mean * target_state.factor)
     }
 
-    /// Calls a second that a lane can handle now, cold and troubles counted; with what its limit lets through,
-    /// or by its servers alone.
+    /// Calls a second that a lane can handle now, with warm-up and faults: bounded by its limit
+    /// (`limited`), or by its servers alone.
     pub(super) fn lane_capacity(&self, lane: u32, limited: bool) -> f64 {
         let of = self.lanes[lane as usize].destination;
         let group = self.group_of(of);
         let mut sum = 0.0;
         let mut left: f64 = 1.0;
         for &target in &self.destinations[of as usize].targets {
-            let it = &self.targets[target as usize];
-            let plight = self.plight(target);
-            if it.lane == lane && it.listing != EndpointState::Removed && !plight.is_outage() {
-                sum += self.full_pace(target) * plight.left_of_limit / plight.slow;
-                left = left.min(plight.left_of_limit);
+            let target_state = &self.targets[target as usize];
+            let fault_effects = self.fault_effects(target);
+            if target_state.lane == lane
+                && target_state.listing != EndpointState::Removed
+                && !fault_effects.is_outage()
+            {
+                sum += self.full_pace(target) * fault_effects.left_of_limit / fault_effects.slow;
+                left = left.min(fault_effects.left_of_limit);
             }
         }
         let most = if limited {
-            Gauge::rate(&group.limit) * left
+            RateLimiter::rate(&group.limit) * left
         } else {
             f64::INFINITY
         };
--- a/forwarder/emulator/src/world/starts.rs
+++ b/forwarder/emulator/src/world/process_start.rs
@@ -1,41 +1,43 @@
-//! A forwarder starts: the terms of its decisions, the list as it stands, and all that is still owed.
+//! A forwarder starts: the configuration of its decider, the endpoint list, and the pending events
+//! of its log.
 
 use plankhill_decisions::interface::{self as names, DecisionConfig, DestinationKind, TrafficType};
 use plankhill_forwarder_config::scenario::Repeats;
 use plankhill_invariants::Observation;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use super::parts::Forwarder;
+use super::state::Forwarder;
 use super::{Step, World};
 use crate::deciders::{self, Decider, EventKey, Input};
 
 impl World<'_> {
-    pub(super) fn new_forwarder(&self, at: u32) -> Forwarder {
-        let zone = at as usize % self.scenario.network.zones.len();
+    pub(super) fn new_forwarder(&self, forwarder_id: u32) -> Forwarder {
+        let zone = forwarder_id as usize % self.scenario.network.zones.len();
         Forwarder {
-            decider: Some(self.start_decider(at, 0)),
+            decider: Some(self.start_decider(forwarder_id, 0)),
             zone,
-            life: 0,
+            incarnation: 0,
             inbox: Vec::new(),
-            round_called: false,
-            last_round: f64::NEG_INFINITY,
-            next_ring: f64::INFINITY,
+            iteration_scheduled: false,
+            last_iteration: f64::NEG_INFINITY,
+            next_wake_up: f64::INFINITY,
             stalled_until: 0.0,
             died_at: None,
             closing: None,
             heard: 0,
             missed: Vec::new(),
-            list_called: false,
+            list_update_scheduled: false,
             list_frozen_until: 0.0,
-            told: FxHashSet::default(),
-            held: 0,
+            introduced: FxHashSet::default(),
+            pending_events: 0,
             idle: FxHashMap::default(),
             cold: FxHashMap::default(),
         }
     }
 
-    pub(super) fn start_decider(&self, at: u32, life: u32) -> Box<dyn Decider> {
-        let (scenario, rules) = (self.scenario, &self.scenario.rules);
+    pub(super) fn start_decider(&self, forwarder_id: u32, incarnation: u32) -> Box<dyn Decider> {
+        let scenario = self.scenario;
+        let rules = &self.scenario.rules;
         let traffic = scenario.traffic.iter().map(|of| TrafficType {
             idempotency: match of.effect {
                 Repeats::Retriable => names::Idempotency::Idempotent,
@@ -55,9 +57,9 @@
             independent_routes: group.routes_apart,
             max_events_per_call: group.events_per_call,
         });
-        let terms = DecisionConfig {
-            seed: scenario.seed ^ (life as u64) << 48,
-            instance: at as u64,
+        let config = DecisionConfig {
+            seed: scenario.seed ^ (incarnation as u64) << 48,
+            instance: forwarder_id as u64,
             forwarder_count: scenario.forwarders.count as f64,
             traffic_types: traffic.collect(),
             destination_kinds: kinds.collect(),
@@ -75,76 +77,78 @@
             tuning: names::Tuning::default(),
         };
         let of = &scenario.forwarders;
-        deciders::start(of.decisions, terms, of.time_out, &self.names, self.now)
+        deciders::start(of.decisions, config, of.time_out, &self.names, self.now)
     }
 
-    /// A new process: the list as it stands, then all that is still owed, in the order taken.
-    pub(super) fn starts(&mut self, at: u32) {
-        let life = self.forwarders[at as usize].life;
-        self.tell(Observation::Resumed {
-            forwarder: at,
-            anew: true,
+    /// A new process: the present endpoint list, then all pending events in the order of
+    /// acceptance.
+    pub(super) fn start_process(&mut self, forwarder_id: u32) {
+        let incarnation = self.forwarders[forwarder_id as usize].incarnation;
+        self.observe(Observation::Resumed {
+            forwarder: forwarder_id,
+            is_new_process: true,
         });
-        let decider = self.start_decider(at, life);
-        let it = &mut self.forwarders[at as usize];
+        let decider = self.start_decider(forwarder_id, incarnation);
+        let it = &mut self.forwarders[forwarder_id as usize];
         (it.decider, it.died_at, it.stalled_until) = (Some(decider), None, 0.0);
-        (it.heard, it.last_round) = (self.changes.len(), self.now);
+        (it.heard, it.last_iteration) = (self.changes.len(), self.now);
         it.missed.clear();
         let owed = self
             .events
             .iter()
-            .filter(|(_, event)| event.forwarder == at);
+            .filter(|(_, event)| event.forwarder == forwarder_id);
         let mut owed: Vec<(u64, EventKey)> = owed.map(|(key, event)| (event.number, key)).collect();
         owed.sort_unstable();
         let mut inputs = Vec::new();
         for (_, event) in owed {
-            let destination = self.events[event].ticket.destination;
-            self.introduce(at, destination, &mut inputs);
+            let destination = self.events[event].client_event.destination;
+            self.introduce_destination(forwarder_id, destination, &mut inputs);
             let held = &mut self.events[event];
             let was_out = held.out.take().is_some();
-            let (traffic, patience_ends) =
-                (held.ticket.traffic as usize, held.ticket.patience_ends);
-            let key = held.ticket.key;
-            inputs.push(Input::Taken {
+            let traffic = held.client_event.traffic as usize;
+            let deadline = held.client_event.deadline;
+            let key = held.client_event.key;
+            inputs.push(Input::Accepted {
                 event,
                 destination,
                 traffic,
-                patience_ends,
+                deadline,
                 key,
                 again: true,
             });
-            let (sends, may_have_run) = (held.sends, held.may_have_run);
-            if sends > 0 {
-                inputs.push(Input::Restored {
+            let attempts = held.attempts;
+            let may_have_run = held.may_have_run;
+            if attempts > 0 {
+                inputs.push(Input::AttemptsRestored {
                     event,
-                    sends,
+                    attempts,
                     may_have_run,
                     was_out,
                 });
             }
             if held.ended {
-                inputs.push(Input::EndedBefore { event });
+                inputs.push(Input::CompletionRestored { event });
                 self.queue.put(
                     self.now + self.scenario.forwarders.notice,
-                    Step::Heard(at, life, event),
+                    Step::CompletionAcknowledged(forwarder_id, incarnation, event),
                 );
             }
         }
-        let mut cold: Vec<_> = std::mem::take(&mut self.forwarders[at as usize].cold)
+        let mut cold: Vec<_> = std::mem::take(&mut self.forwarders[forwarder_id as usize].cold)
             .into_iter()
             .collect();
         cold.sort_unstable_by_key(|(target, _)| *target);
         for (target, (since, usual)) in cold {
             let destination = self.targets[target as usize].destination;
             if self.now - since < self.scenario.rules.warm_after {
-                self.introduce(at, destination, &mut inputs);
-                inputs.push(Input::WasCold {
+                self.introduce_destination(forwarder_id, destination, &mut inputs);
+                inputs.push(Input::WarmUpRestored {
                     target,
                     since,
                     usual,
                 });
             }
         }
-        self.decide(at, inputs);
+        self.decide(forwarder_id, inputs);
     }
 }
--- a/tier/chain/tests/model/rules/check.rs
+++ b/tier/chain/tests/model/rules/check.rs
@@ -1,25 +1,27 @@
-//! What must hold in every state.
+//! The invariants.
 
 use std::collections::BTreeSet;
 
-use crate::state::{Ballot, Broken, Commit, Identity, Message, View, World};
+use crate::state::{Ballot, Commit, Identity, Message, View, Violation, World};
 
-/// What must hold in every state.
+/// Records the first invariant that the state violates.
 pub(super) fn check(world: &mut World) {
-    let broken = two_views(world)
+    let violation = conflicting_views(world)
         .or_else(|| ballot_used_twice(world))
-        .or_else(|| two_orders(world))
-        .or_else(|| lost(world));
-    world.broken = world.broken.or(broken);
+        .or_else(|| conflicting_orders(world))
+        .or_else(|| lost_operation(world));
+    world.violation = world.violation.or(violation);
 }
 
-pub(super) fn two_views(world: &World) -> Option<Broken> {
+/// Two views of one number.
+fn conflicting_views(world: &World) -> Option<Violation> {
     let numbers: BTreeSet<u8> = world.decided.iter().map(|view| view.number).collect();
-    (numbers.len() < world.decided.len()).then_some(Broken::TwoViews)
+    (numbers.len() < world.decided.len()).then_some(Violation::ConflictingViews)
 }
 
-pub(super) fn ballot_used_twice(world: &World) -> Option<Broken> {
-    let asked: Vec<_> = world
+/// Two views proposed by one ballot.
+fn ballot_used_twice(world: &World) -> Option<Violation> {
+    let proposals: Vec<_> = world
         .network
         .iter()
         .filter_map(|message| match message {
@@ -27,41 +29,54 @@
             _ => None,
         })
         .collect();
-    let clash = |(ballot, view): &(&Ballot, &View)| {
-        asked
-            .iter()
-            .any(|(other, asked)| other == ballot && asked.number == view.number && asked != view)
+    let is_in_conflict = |(ballot, view): &(&Ballot, &View)| {
+        proposals.iter().any(|(other_ballot, other_view)| {
+            other_ballot == ballot && other_view.number == view.number && other_view != view
+        })
     };
-    asked.iter().any(clash).then_some(Broken::BallotUsedTwice)
+    proposals
+        .iter()
+        .any(is_in_conflict)
+        .then_some(Violation::BallotUsedTwice)
 }
 
-pub(super) fn two_orders(world: &World) -> Option<Broken> {
-    let clash = |one: &Commit| {
+/// Two operations committed at one position.
+fn conflicting_orders(world: &World) -> Option<Violation> {
+    let is_in_conflict = |one: &Commit| {
         world
             .commits
             .iter()
             .any(|other| one.position == other.position && one.operation != other.operation)
     };
-    world.commits.iter().any(clash).then_some(Broken::TwoOrders)
+    world
+        .commits
+        .iter()
+        .any(is_in_conflict)
+        .then_some(Violation::ConflictingOrders)
 }
 
-/// Every later view begins with what was acknowledged, and its links have it.
-pub(super) fn lost(world: &World) -> Option<Broken> {
-    let missing = |commit: &Commit| {
+/// Every later view begins with everything acknowledged, and the members of its chain have it.
+fn lost_operation(world: &World) -> Option<Violation> {
+    let is_missing = |commit: &Commit| {
         let later = world
             .decided
             .iter()
             .filter(|view| view.number > commit.view);
-        let too_low = later.clone().any(|view| view.base < commit.position);
-        let not_held = world.machines.iter().zip(0..).any(|(machine, number)| {
+        let is_base_too_low = later.clone().any(|view| view.base < commit.position);
+        let is_missing_at_member = world.machines.iter().zip(0..).any(|(machine, number)| {
             let me = Identity {
                 machine: number,
-                life: machine.life,
+                incarnation: machine.incarnation,
             };
-            let is_link = machine.view.place(me).is_some() && machine.view.number > commit.view;
-            is_link && machine.log.get(commit.position - 1) != Some(&commit.operation)
+            let is_member =
+                machine.view.position(me).is_some() && machine.view.number > commit.view;
+            is_member && machine.log.get(commit.position - 1) != Some(&commit.operation)
         });
-        too_low || not_held
+        is_base_too_low || is_missing_at_member
     };
-    world.commits.iter().any(missing).then_some(Broken::Lost)
+    world
+        .commits
+        .iter()
+        .any(is_missing)
+        .then_some(Violation::Lost)
 }
--- a/tier/controller/tests/stored_format.rs
+++ b/tier/controller/tests/stored_format.rs
@@ -1,7 +1,8 @@
 //! A state folder as a controller in service wrote it, opened by this text.
 //!
-//! The folder holds a snapshot at revision 512 and operations up to revision 520: a configuration of version 5, the
-//! target `i-1`, the edge `edge-1`, three stores and an order that takes nothing out of service.
+//! The folder holds a snapshot at revision 512 and operations up to revision 520: a configuration
+//! of version 5, the target `i-1`, the edge `edge-1`, three stores and an order that takes nothing
+//! out of service.
 
 mod common;
 
@@ -49,7 +50,7 @@
 fn the_storage_finds_what_a_controller_wrote() {
     let folder = folder_of_a_controller();
     let opened = open_folder(folder.path(), Incarnation(1), None).expect("opens");
-    let held = opened.held;
+    let held = opened.durable;
     assert_eq!(held.incarnation, Some(INCARNATION));
     assert_eq!(held.view.chain, [NodeId::from("core-1")]);
     assert_eq!(held.snapshot.revision, Revision(512));
--- a/tier/proxy/tests/support/peer.rs
+++ b/tier/proxy/tests/support/peer.rs
@@ -82,7 +82,8 @@
         Some(String::from_utf8(end).expect("text"))
     }
 
-    /// The next chunk of a body; `Some(None)` at its proper end, none if the connection ends before.
+    /// The next chunk of a body; `Some(None)` at its proper end, none if the connection ends
+    /// before.
     pub async fn chunk(&mut self) -> Option<Option<Vec<u8>>> {
         let line = self.until(b"\r\n").await?;
         let line = String::from_utf8(line).expect("text");
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Connections take in little before they are read.
+    /// ConnectionPolicy take in little before they are read.
     pub async fn with_small_buffers() -> Listening {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4 * 1024).expect("an option");
--- a/tier/proxy/tests/support/world.rs
+++ b/tier/proxy/tests/support/world.rs
@@ -8,13 +8,13 @@
 use plankhill_protocol::tables::{ConfigurationText, Tables, Target, TargetState};
 use plankhill_proxy::admission::Admission;
 use plankhill_proxy::clock::Clock;
-use plankhill_proxy::exchange::Targets;
-use plankhill_proxy::life::Life;
-use plankhill_proxy::memory::Memory;
+use plankhill_proxy::lifecycle::Lifecycle;
+use plankhill_proxy::memory_budget::MemoryBudget;
 use plankhill_proxy::process::Proxy;
 use plankhill_proxy::snapshot::SnapshotCell;
+use plankhill_proxy::target_client::TargetClient;
 use plankhill_proxy::target_pool::TargetPool;
-use plankhill_proxy::{listener, ready};
+use plankhill_proxy::{listener, readiness};
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 
@@ -22,10 +22,10 @@
 use super::round_robin::RoundRobin;
 use super::stores::{InMemory, Stores};
 
-/// Connections of clients at once.
-const MOST_CLIENTS: usize = 64;
+/// ConnectionPolicy of clients at once.
+const MAX_CLIENTS: usize = 64;
 
-/// Memory for bodies, in bytes.
+/// MemoryBudget for bodies, in bytes.
 const MEMORY: usize = 250_000;
 
 /// A proxy with its addresses.
@@ -41,26 +41,27 @@
     pub async fn unready() -> World {
         let clock = Clock::start();
         let pool = Rc::new(TargetPool::default());
-        let (pings, _) = tokio::sync::mpsc::unbounded_channel();
-        let decisions = Box::new(RoundRobin::default());
+        let (health_checks, _) = tokio::sync::mpsc::unbounded_channel();
+        let dispatcher = Box::new(RoundRobin::default());
         let stores = Rc::new(Stores::default());
         let proxy = Rc::new(Proxy {
             clock,
             snapshots: SnapshotCell::default(),
-            admission: Rc::new(Admission::new(clock, decisions, pool.clone(), pings)),
-            targets: Targets { clock, pool },
+            admission: Rc::new(Admission::new(
+                clock,
+                dispatcher,
+                pool.clone(),
+                health_checks,
+            )),
+            target_client: TargetClient { clock, pool },
             turns: Rc::new(InMemory(stores.clone())),
-            memory: Rc::new(Memory::new(MEMORY)),
-            life: Rc::new(Life::default()),
+            memory: Rc::new(MemoryBudget::new(MEMORY)),
+            lifecycle: Rc::new(Lifecycle::default()),
         });
         let (client_listener, clients) = listening().await;
         let (ready_listener, readiness) = listening().await;
-        tokio::task::spawn_local(listener::serve(
-            proxy.clone(),
-            client_listener,
-            MOST_CLIENTS,
-        ));
-        tokio::task::spawn_local(ready::serve(proxy.clone(), ready_listener));
+        tokio::task::spawn_local(listener::serve(proxy.clone(), client_listener, MAX_CLIENTS));
+        tokio::task::spawn_local(readiness::serve(proxy.clone(), ready_listener));
         World {
             proxy,
             stores,
@@ -74,15 +75,22 @@
         let world = World::unready().await;
         let addresses: Vec<SocketAddr> = targets.iter().map(|target| target.address()).collect();
         world.set_tables(tables(&addresses, &configuration()));
-        world.proxy.life.set_current();
+        world.proxy.lifecycle.mark_tables_current();
         world
     }
 
+    /// A proxy with one target.
+    pub async fn with_one_target() -> (Listening, World) {
+        let target = Listening::start().await;
+        let world = World::with_targets(&[&target]).await;
+        (target, world)
+    }
+
     pub fn set_tables(&self, tables: Tables) {
         self.proxy.snapshots.replace(Arc::new(tables));
         self.proxy
             .admission
-            .tables_changed(&self.proxy.snapshots.newest());
+            .on_tables_changed(&self.proxy.snapshots.newest());
     }
 
     pub async fn client(&self) -> Peer {
@@ -95,6 +103,24 @@
         client.send(request).await;
         client.receive().await
     }
+
+    /// One request over a connection of its own, whose answer must have this body.
+    pub async fn ask_text(&self, request: &str, body: &str) {
+        let answer = self.ask(request).await.expect("an answer");
+        assert_eq!(answer.text(), body);
+    }
+
+    /// A request whose target, the second peer, has sent the head of a stream and the event 1 with
+    /// data `a`; the client, the first peer, has received the head.
+    pub async fn begin_stream(&self, target: &Listening, request: &str) -> (Peer, Peer) {
+        let mut client = self.client().await;
+        client.send(request).await;
+        let (mut peer, _) = target.request().await;
+        peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
+            .await;
+        assert!(client.head().await.is_some());
+        (client, peer)
+    }
 }
 
 async fn listening() -> (TcpListener, SocketAddr) {
--- /dev/null
+++ b/tier/store/src/node/coordinator/read_chain.rs
@@ -0,0 +1,182 @@
+//! Reading a chain of turns: from this store as far as possible, the rest from other stores.
+
+use std::rc::Rc;
+use std::sync::Arc;
+
+use plankhill_conversations::peer::{PeerRequest, PeerResponse};
+use plankhill_conversations::placement::{is_serving, replicas, unique_addresses};
+use plankhill_conversations::quorum::Quorum;
+use plankhill_protocol::ids::{ProgramId, RequestId};
+use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
+use plankhill_protocol::tables::{StoreMember, StoreView};
+
+use crate::clock::Clock;
+use crate::limits::{MAX_CHAIN_BYTES, PEER_TIMEOUT, PREFERRED_REPLICA_TIMEOUT};
+use crate::node::chain_segment::ChainSegment;
+use crate::node::Node;
+use crate::peers::Peers;
+use crate::storage::Storage;
+
+/// The outcome of reading a chain.
+pub(super) enum ChainLookup {
+    Found {
+        /// Inputs and outputs of all turns, joined from the oldest on.
+        history: Arc<[u8]>,
+        /// The newest turn of the chain; None of an empty chain.
+        newest: Option<TurnLocation>,
+    },
+    /// Surely no store has the newest turn.
+    NotFound,
+    /// Too few stores answered, or the chain is incomplete or too long.
+    Unavailable,
+}
+
+/// Why a segment of a chain could not be read.
+enum SegmentError {
+    NotFound,
+    Unavailable,
+}
+
+impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
+    /// Reads the chain that ends with `turn`. `program` is the calling turn's, most often also this one's.
+    pub(super) async fn read_chain(
+        self: &Rc<Self>,
+        program: &ProgramId,
+        turn: &RequestId,
+    ) -> ChainLookup {
+        let mut turns: Vec<Arc<TurnRecord>> = Vec::new();
+        let mut bytes = 0;
+        let mut next = Some(TurnLocation {
+            turn: turn.clone(),
+            program: program.clone(),
+        });
+        while let Some(location) = next.take() {
+            let segment = match self.read_segment(&location).await {
+                Ok(segment) => segment,
+                Err(SegmentError::NotFound) if turns.is_empty() => return ChainLookup::NotFound,
+                // An ancestor is retained as long as its descendants: that it is absent proves nothing
+                // about the newest turn, which was found.
+                Err(SegmentError::NotFound | SegmentError::Unavailable) => {
+                    return ChainLookup::Unavailable
+                }
+            };
+            bytes += segment.bytes();
+            if bytes > MAX_CHAIN_BYTES {
+                tracing::warn!(%turn, bytes, "conversation chain exceeds the size limit");
+                return ChainLookup::Unavailable;
+            }
+            turns.extend(segment.turns);
+            next = segment.rest;
+        }
+        let newest = turns.first().map(|newest| location_of(newest));
+        ChainLookup::Found {
+            history: join_history(&turns, bytes),
+            newest,
+        }
+    }
+
+    async fn read_segment(
+        self: &Rc<Self>,
+        location: &TurnLocation,
+    ) -> Result<ChainSegment, SegmentError> {
+        let segment = self.local_segment(&location.turn);
+        if segment.turns.is_empty() {
+            self.read_remote_segment(location).await
+        } else {
+            Ok(segment)
+        }
+    }
+
+    /// Asks the most preferred other replica, and then all stores.
+    async fn read_remote_segment(
+        self: &Rc<Self>,
+        location: &TurnLocation,
+    ) -> Result<ChainSegment, SegmentError> {
+        let view = self.view();
+        if let Some(preferred) = self.preferred_replica(&view, &location.program) {
+            let reading = self.read_segment_from(&view, &preferred, &location.turn);
+            // A timeout shorter than the call's own: the connection stays good for later calls.
+            let read = tokio::time::timeout(PREFERRED_REPLICA_TIMEOUT, reading).await;
+            if let Ok(Some(segment)) = read {
+                return Ok(segment);
+            }
+        }
+        let member = self.locate_turn(&view, &location.turn).await?;
+        let segment = self.read_segment_from(&view, &member, &location.turn).await;
+        segment.ok_or(SegmentError::Unavailable)
+    }
+
+    fn preferred_replica(&self, view: &StoreView, program: &ProgramId) -> Option<StoreMember> {
+        replicas(&view.serving, program, view.tolerated_faults)
+            .into_iter()
+            .find(|member| member.address != self.identity.address)
+            .cloned()
+    }
+
+    async fn read_segment_from(
+        self: &Rc<Self>,
+        view: &StoreView,
+        member: &StoreMember,
+        turn: &RequestId,
+    ) -> Option<ChainSegment> {
+        let request = PeerRequest::ReadChain { turn: turn.clone() };
+        let reply = self.call(view, member, &request, PEER_TIMEOUT).await.ok()?;
+        match reply.body {
+            PeerResponse::Chain { turns, rest } if !turns.is_empty() => {
+                Some(ChainSegment { turns, rest })
+            }
+            _ => None,
+        }
+    }
+
+    /// Finds a store that has the turn. No store has it only if it is absent at so many serving stores that
+    /// no write quorum can have written it.
+    async fn locate_turn(
+        self: &Rc<Self>,
+        view: &StoreView,
+        turn: &RequestId,
+    ) -> Result<StoreMember, SegmentError> {
+        let members = unique_addresses(view.serving.iter().chain(view.next.iter().flatten()));
+        let request = PeerRequest::LocateTurn { turn: turn.clone() };
+        let mut replies = self.broadcast(view, members, &request);
+        let mut absent = 0;
+        while let Some(answer) = replies.recv().await {
+            let Some(reply) = answer.reply else { continue };
+            match reply.body {
+                PeerResponse::TurnPresent => return Ok(answer.member),
+                PeerResponse::TurnAbsent => {
+                    let answering = StoreMember {
+                        incarnation: reply.incarnation,
+                        ..answer.member
+                    };
+                    if is_serving(view, &answering) {
+                        absent += 1;
+                    }
+                }
+                _ => {}
+            }
+        }
+        if absent >= Quorum::new(view.serving.len(), view.tolerated_faults).read {
+            Err(SegmentError::NotFound)
+        } else {
+            Err(SegmentError::Unavailable)
+        }
+    }
+}
+
+fn location_of(record: &TurnRecord) -> TurnLocation {
+    TurnLocation {
+        turn: record.turn.clone(),
+        program: record.program.clone(),
+    }
+}
+
+/// Inputs and outputs, oldest first.
+fn join_history(turns: &[Arc<TurnRecord>], bytes: usize) -> Arc<[u8]> {
+    let mut history = Vec::with_capacity(bytes);
+    for turn in turns.iter().rev() {
+        history.extend_from_slice(&turn.input);
+        history.extend_from_slice(&turn.output);
+    }
+    history.into()
+}
