--- a/forwarder/fanout/src/host.rs
+++ b/forwarder/fanout/src/host.rs
@@ -8,14 +8,14 @@
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostRequest {
-    /// The event is to be handed to the module, once written down as any other; [`crate::Station::fields`] has the rest.
+    /// The event is to be handed to the module, once written down as any other; [`crate::LocalInstance::fields`] has the rest.
     Submit {
         event: EventId,
         subscriber: Subscriber,
         position: Position,
         deadline: Ms,
     },
-    /// The copy's end is told as a notice; [`crate::Station::over`] follows once that was heard.
+    /// The copy's end is told as a notice; [`crate::LocalInstance::on_outcome_acknowledged`] follows once that was heard.
     NotifyOutcome {
         event: EventId,
         subscriber: Subscriber,
--- a/forwarder/fanout/src/station/asking.rs
+++ b/forwarder/fanout/src/station/asking.rs
@@ -22,7 +22,7 @@
 const RESTING: usize = 4096;
 
 impl LocalInstance {
-    /// A client hands in a broadcast. [`crate::Order::Took`] or `Refused` follows under the number told.
+    /// A client hands in a broadcast. [`crate::HostRequest::Accepted`] or `Refused` follows under the number told.
     pub fn attempt(&mut self, now: Ms, broadcast: Broadcast) -> Result<u64, Rejection> {
         self.state.would_take(&broadcast)?;
         if !self.started || self.attempts.len() >= ATTEMPTS {
--- a/forwarder/simulator-adapter/src/decision_writer.rs
+++ b/forwarder/simulator-adapter/src/decision_writer.rs
@@ -27,43 +27,47 @@
     /// Asks for a timer event with that label.
     pub fn set_timer(&mut self, delay: Ms, label: u64) {
         let after = whole_micros(delay);
-        self.decisions.push(
-            json!({"cmd": "defer", "who": self.instance, "afterUs": after, "label": label}),
-        );
+        self.decisions
+            .push(json!({"cmd": "defer", "who": self.instance, "afterUs": after, "label": label}));
     }
 
     /// Asks for the endpoint list.
     pub fn ask_for_list(&mut self) {
-        self.decisions.push(json!({"cmd": "track", "who": self.instance, "enable": true}));
+        self.decisions
+            .push(json!({"cmd": "track", "who": self.instance, "enable": true}));
     }
 }
 
 impl Effects for DecisionWriter {
     fn send_attempt(&mut self, event: &EventId, target: &TargetId, timeout: Ms, _: Ms) {
         let timeout = whole_micros(timeout).max(1);
-        self.decisions.push(json!({"cmd": "callOut", "who": self.instance, "xid": &*event.0,
-            "target": &*target.0, "tryForUs": timeout}));
+        self.decisions.push(
+            json!({"cmd": "callOut", "who": self.instance, "xid": &*event.0,
+            "target": &*target.0, "tryForUs": timeout}),
+        );
     }
 
     fn reject(&mut self, event: &EventId, retry_after: Option<Ms>) -> bool {
         let wait = retry_after.map(whole_micros);
-        self.decisions.push(
-            json!({"cmd": "notNow", "who": self.instance, "xid": &*event.0, "waitUs": wait}),
-        );
+        self.decisions
+            .push(json!({"cmd": "notNow", "who": self.instance, "xid": &*event.0, "waitUs": wait}));
         false
     }
 
     fn abandon(&mut self, event: &EventId) -> bool {
-        self.decisions.push(json!({"cmd": "error", "who": self.instance, "xid": &*event.0}));
+        self.decisions
+            .push(json!({"cmd": "error", "who": self.instance, "xid": &*event.0}));
         false
     }
 
     fn health_check(&mut self, target: &TargetId) {
-        self.decisions.push(json!({"cmd": "check", "who": self.instance, "target": &*target.0}));
+        self.decisions
+            .push(json!({"cmd": "check", "who": self.instance, "target": &*target.0}));
     }
 
     fn close_idle_connections(&mut self, target: &TargetId) {
-        self.decisions.push(json!({"cmd": "hangUp", "who": self.instance, "target": &*target.0}));
+        self.decisions
+            .push(json!({"cmd": "hangUp", "who": self.instance, "target": &*target.0}));
     }
 
     /// The simulator writes a call at once.
--- a/forwarder/simulator-adapter/src/error.rs
+++ b/forwarder/simulator-adapter/src/error.rs
@@ -101,7 +101,10 @@
 impl ArrivalError {
     /// An id that the scheduler does not know.
     pub fn unknown_id(command: &str, UnknownId(kind): UnknownId) -> Self {
-        ArrivalError::UnknownId { command: command.to_owned(), kind }
+        ArrivalError::UnknownId {
+            command: command.to_owned(),
+            kind,
+        }
     }
 }
 
--- a/forwarder/simulator-adapter/src/host.rs
+++ b/forwarder/simulator-adapter/src/host.rs
@@ -66,12 +66,15 @@
         for (index, arrival) in arrivals.iter().enumerate() {
             let at = |error| BatchError::Arrival { index, error };
             let event = arrival.as_object().ok_or(at(ArrivalError::NotAnObject))?;
-            self.dispatch(index, event, now, &mut by_instance).map_err(at)?;
+            self.dispatch(index, event, now, &mut by_instance)
+                .map_err(at)?;
         }
         let mut writer = DecisionWriter::default();
         for (number, arrivals) in by_instance {
-            let instance =
-                self.instances.get_mut(&number).ok_or(BatchError::InstanceGone(number))?;
+            let instance = self
+                .instances
+                .get_mut(&number)
+                .ok_or(BatchError::InstanceGone(number))?;
             writer.set_instance(number);
             instance.run_iteration(now, arrivals, &mut writer)?;
         }
@@ -101,7 +104,10 @@
         }
         if !self.instances.contains_key(&number) {
             let command = command.to_owned();
-            return Err(ArrivalError::NeverStarted { command, instance: number });
+            return Err(ArrivalError::NeverStarted {
+                command,
+                instance: number,
+            });
         }
         if command == "down" {
             self.instances.remove(&number);
@@ -109,7 +115,10 @@
             return Ok(());
         }
         let page = self.page_of(command, event)?;
-        by_instance.entry(number).or_default().push(Arrival { index, event, page });
+        by_instance
+            .entry(number)
+            .or_default()
+            .push(Arrival { index, event, page });
         Ok(())
     }
 
@@ -132,8 +141,14 @@
         let seed = whole(event, "entropy").map_err(field)?;
         let environment = object(event, "env").map_err(field)?;
         let (config, names) = decision_config(environment, "env", seed).map_err(field)?;
-        let subscription = names.ask_within.map(|within| Subscription::new(within, seed));
-        Ok(Instance { scheduler: Scheduler::new(config, now), names, subscription })
+        let subscription = names
+            .ask_within
+            .map(|within| Subscription::new(within, seed));
+        Ok(Instance {
+            scheduler: Scheduler::new(config, now),
+            names,
+            subscription,
+        })
     }
 
     fn run_iteration(
@@ -142,7 +157,11 @@
         arrivals: Vec<Arrival>,
         writer: &mut DecisionWriter,
     ) -> Result<(), BatchError> {
-        let Instance { scheduler, names, subscription } = self;
+        let Instance {
+            scheduler,
+            names,
+            subscription,
+        } = self;
         let apply_all = |scheduler: &mut Scheduler, writer: &mut DecisionWriter| {
             for Arrival { index, event, page } in arrivals {
                 let at = |error| BatchError::Arrival { index, error };
--- a/forwarder/simulator-adapter/src/inputs.rs
+++ b/forwarder/simulator-adapter/src/inputs.rs
@@ -69,8 +69,7 @@
     }
     let page = page.ok_or(ArrivalError::NoPage)?;
     for (index, item) in page.iter().enumerate() {
-        apply_item(names, scheduler, item)
-            .map_err(|error| ArrivalError::Item { index, error })?;
+        apply_item(names, scheduler, item).map_err(|error| ArrivalError::Item { index, error })?;
     }
     Ok(())
 }
@@ -139,8 +138,12 @@
         outcome: parse_outcome(whole(event, "stateCode").map_err(field)?)?,
         elapsed: optional_time(event, "waitTimeUs").map_err(field)?,
         event_complete: is_true(event, "complete"),
-        retry_after: optional_whole(event, "remarkMs").map_err(field)?.unwrap_or(0) as Ms,
-        limit_remaining: names.left_at.and_then(|position| load_report(event, position)),
+        retry_after: optional_whole(event, "remarkMs")
+            .map_err(field)?
+            .unwrap_or(0) as Ms,
+        limit_remaining: names
+            .left_at
+            .and_then(|position| load_report(event, position)),
     })
 }
 
--- a/forwarder/simulator-adapter/src/main.rs
+++ b/forwarder/simulator-adapter/src/main.rs
@@ -26,7 +26,10 @@
 fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     for (index, line) in input.lines().enumerate() {
-        let at = |error: BatchError| AdapterError { line: index + 1, error };
+        let at = |error: BatchError| AdapterError {
+            line: index + 1,
+            error,
+        };
         let line = line.map_err(|error| at(BatchError::Read(error)))?;
         let reply = host.run_batch(&line).map_err(at)?;
         writeln!(output, "{reply}")
--- a/forwarder/simulator-adapter/src/subscription.rs
+++ b/forwarder/simulator-adapter/src/subscription.rs
@@ -23,7 +23,11 @@
 impl Subscription {
     /// `ask_within`: in milliseconds, by when to ask again.
     pub fn new(ask_within: Ms, seed: u64) -> Self {
-        Subscription { ask_within, seed, failures: 0 }
+        Subscription {
+            ask_within,
+            seed,
+            failures: 0,
+        }
     }
 
     /// Milliseconds to the first request.
