--- a/forwarder/process-tests/tests/broadcasts.rs
+++ b/forwarder/process-tests/tests/broadcasts.rs
@@ -5,6 +5,9 @@
 
 use plankhill_process_tests::*;
 
+/// What the leader of the control group logs once the third voter is in.
+const ALL_VOTERS: &str = "control group voters changed, voters: 3";
+
 const ONCE: Copy = Copy {
     sends: 1,
     delivered: 1,
@@ -96,6 +99,10 @@
 #[test]
 fn when_an_instance_is_lost_others_serve_its_subscribers() {
     let mut world = World::broadcasting(3);
+    // Of a control group with two voters the loss of one leaves no majority.
+    until("the control group has three voters", || {
+        (0..3).any(|instance| world.process(instance).said(ALL_VOTERS) > 0)
+    });
     world.kill(0);
     until_delivered_to_all(&world, "without", |number| 1 + number % 2);
 }
