--- a/decisions/src/interface.rs
+++ b/decisions/src/interface.rs
@@ -1,9 +1,9 @@
-//! The names that a host and the decision module share: ids, the configuration, the report of an
-//! attempt, and the effects that a host carries out. Nothing is decided here and no value is tuned.
+//! Types that a host and the scheduler share: ids, the configuration, the report of an attempt, and
+//! the effects that a host carries out. This module has neither decisions nor tuned values.
 //!
-//! Ids, [`EndpointState`], [`AttemptOutcome`] and [`AttemptReport`] also travel between two
-//! processes in a hot restart: structs as arrays of their fields, enum variants by name. Where the
-//! name of a variant is not its serialized one, `serde(rename)` keeps that.
+//! Ids, [`EndpointState`], [`AttemptOutcome`] and [`AttemptReport`] are also passed between two
+//! processes in a hot restart: structs as arrays of their fields, enum variants by name.
+//! `serde(rename)` keeps the serialized name of a variant that has a different name in the code.
 
 use std::rc::Rc;
 
@@ -16,17 +16,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EventId(pub Rc<str>);
 
-/// A target's id, as the endpoint list names it.
+/// A target's id in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetId(pub Rc<str>);
 
-/// A destination: a set of targets that serve the same events.
+/// Id of a destination, which is a set of targets that serve the same events.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct DestinationId(pub u64);
 
-/// Events with the same order key are attempted one at a time, in the order of acceptance.
+/// Order key of an event. Events with the same order key are attempted one at a time, in the order
+/// of acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderKey(pub u64);
 
@@ -43,164 +44,168 @@
 pub struct ZoneId(pub usize);
 
 impl ZoneId {
-    /// An unknown zone: no listed zone is the same.
+    /// An unknown zone, which differs from every listed zone.
     pub const UNKNOWN: ZoneId = ZoneId(usize::MAX);
 }
 
-/// What a repeat of an event does at its destination.
+/// The effect of a repeat of an event at its destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
     /// A repeat does no harm.
     Idempotent,
-    /// A repeat is recognized by a fingerprint for a while.
+    /// A repeat is detected by a fingerprint for a limited time.
     Deduplicated {
-        /// Milliseconds from the first attempt that may have run, in which a repeat is recognized.
+        /// Milliseconds, from the first attempt that may have run, in which a repeat is detected.
         window: Ms,
-        /// A repeat is recognized only in the zone of the first attempt.
+        /// A repeat is detected only in the zone of the first attempt.
         per_zone: bool,
     },
-    /// A repeat may have its effect a second time.
+    /// A repeat may take effect a second time.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Whether an event that may have run may be retried only in the zone of its first attempt.
+    /// Returns whether an event that may have run may be retried only in the zone of its first
+    /// attempt.
     pub fn retries_in_zone(self) -> bool {
         matches!(self, Idempotency::Deduplicated { per_zone: true, .. })
     }
 }
 
-/// A type of traffic: what its events are worth and how they may be attempted.
+/// A type of traffic: the value of its events and the rules for their attempts.
 #[derive(Clone, Debug)]
 pub struct TrafficType {
-    /// What a repeat does.
+    /// The effect of a repeat.
     pub idempotency: Idempotency,
     /// Milliseconds after submission up to which a delivery has its full value (latency target).
     pub soft_limit: Ms,
-    /// Milliseconds after submission to the deadline.
+    /// Milliseconds from submission to the deadline.
     pub patience: Ms,
     /// The value of a delivery within the soft limit.
     pub value: f64,
     /// The share of the value, from 0 to 1, that a delivery at the deadline has.
     pub value_at_end: f64,
-    /// Whether order keys are heeded.
+    /// Order keys are respected; otherwise, they are ignored.
     pub ordered: bool,
 }
 
-/// What the destinations of one kind have in common.
+/// Common properties of the destinations of one kind.
 #[derive(Clone, Debug)]
 pub struct DestinationKind {
-    /// Each target has its own limit, health and retry-after. Otherwise a destination's targets
+    /// Each target has its own limit, health and retry-after. Otherwise, a destination's targets
     /// share them.
     pub independent_routes: bool,
-    /// The upper bound of events in one call.
+    /// Maximum number of events in one call.
     pub max_events_per_call: usize,
 }
 
-/// The backoff before an event's first retry, by the outcome of its attempt. It doubles with the
-/// attempts.
+/// The backoff before an event's first retry, by the outcome of its attempt. It doubles with each
+/// attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBackoff {
     /// Milliseconds after a failure.
     pub after_failure: Ms,
     /// Milliseconds after a rejection by the target.
     pub after_rejection: Ms,
-    /// Milliseconds after an attempt of which nothing left.
+    /// Milliseconds after an attempt of which nothing was sent.
     pub after_unsent: Ms,
 }
 
-/// Where deployments of the module differ. The default is that of the event forwarder.
+/// Parameters that differ between deployments. The default is that of the event forwarder.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
     /// The backoff before a retry.
     pub retry_backoff: RetryBackoff,
-    /// Calls are paced after rejections and while a lane is warming up. Off where targets queue and
-    /// reject for themselves and a rejection costs nothing: only a retry-after holds a lane back
-    /// then.
+    /// Calls are paced after rejections and while a lane is warming up. Disabled where targets
+    /// queue and reject calls themselves and a rejection costs nothing; then only a retry-after
+    /// delays calls to a lane.
     pub paces_calls: bool,
-    /// An offline lane is released by a health check alone, not by the answer to a call that was in
+    /// Only a health check takes an offline lane back online, not the answer to a call that was in
     /// flight.
     pub release_on_health_check_only: bool,
 }
 
-/// What a scheduler is configured with, once, at its start.
+/// Configuration of a scheduler, set once at its start.
 #[derive(Clone, Debug, Default)]
 pub struct DecisionConfig {
     /// The seed of all random numbers.
     pub seed: u64,
-    /// The instance's number in its fleet: instances draw different random numbers.
+    /// The instance's number in its fleet, by which instances draw different random numbers.
     pub instance: u64,
     /// The number of forwarders in the fleet, this one included.
     pub forwarder_count: f64,
-    /// The types of traffic; [`TrafficTypeId`] is a position here.
+    /// The types of traffic, indexed by [`TrafficTypeId`].
     pub traffic_types: Vec<TrafficType>,
-    /// The kinds of destinations; [`DestinationKindId`] is a position here.
+    /// The kinds of destinations, indexed by [`DestinationKindId`].
     pub destination_kinds: Vec<DestinationKind>,
-    /// The upper bound of calls in flight.
+    /// Maximum number of calls in flight.
     pub max_calls_in_flight: usize,
-    /// The events that the host can store.
+    /// Maximum number of events that the host can store.
     pub event_capacity: usize,
-    /// The upper bound of attempts of one event.
+    /// Maximum number of attempts of one event.
     pub max_attempts: u32,
-    /// Whether health checks may be sent. Otherwise an offline lane is tried with an event's call.
+    /// Health checks may be sent. Otherwise, an offline lane is tested by a trial call with queued
+    /// events.
     pub health_checks_allowed: bool,
-    /// The retry-after in milliseconds that rejected clients are given; none is given without it.
+    /// The retry-after in milliseconds that rejected clients receive; `None` sends no retry-after.
     pub max_retry_after: Option<Ms>,
-    /// Events a second that each member may ask of all forwarders together. Empty where there are
-    /// no members.
+    /// Events per second that each member may request from all forwarders together. Empty if there
+    /// are no members.
     pub member_quotas: Vec<f64>,
     /// The value of an event beyond its member's quota, as a share of the usual value.
     pub over_quota_value_weight: f64,
     /// The share of its capacity, from 0 to 1, that a destination has when it begins to warm up.
     pub warm_up_initial_share: f64,
-    /// Milliseconds until a destination has its full capacity again.
+    /// Duration of a warm-up in milliseconds, after which a destination has its full capacity
+    /// again.
     pub warm_up_duration: Ms,
-    /// A destination that is warming up falls over at this multiple of the capacity that it has.
+    /// A destination that is warming up is overloaded at this multiple of its current capacity.
     pub overload_multiple: f64,
     /// Milliseconds for which an order key cools down after an attempt that may still be executing.
     pub key_cooldown: Ms,
-    /// Where deployments differ.
+    /// Parameters that differ between deployments.
     pub tuning: Tuning,
 }
 
-/// What the endpoint list says of a target.
+/// State of a target in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// The target takes calls.
+    /// The target accepts calls.
     Running,
-    /// The target finishes the calls that it has and takes no new ones.
+    /// The target finishes its current calls and accepts no new ones.
     #[serde(rename = "Leaving")]
     Draining,
-    /// The target is not in the list any more.
+    /// The target is no longer in the list.
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
     /// Answered with success.
     Delivered,
     /// Answered with an error.
     Error,
-    /// Answered with a rejection: the target is over its limit or closed. Surely not executed.
+    /// Answered with a rejection: the target is over its limit or closed. The attempt was certainly
+    /// not executed.
     #[serde(rename = "Full")]
     Rejected,
-    /// No answer within the time given.
+    /// No answer within the timeout.
     TimedOut,
-    /// No connection came up. Surely not executed.
+    /// No connection was established. The attempt was certainly not executed.
     #[serde(rename = "NoConnection")]
     ConnectFailed,
     /// The connection was reset during the attempt.
     Reset,
     /// The host cancelled the attempt.
     Cancelled,
-    /// Nothing of the attempt left the host. Surely not executed.
+    /// Nothing of the attempt left the host. The attempt was certainly not executed.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether an attempt that ended so, undelivered, may have had its effect.
+    /// Returns whether an undelivered attempt with this outcome may have taken effect.
     pub fn may_have_run(self) -> bool {
         match self {
             AttemptOutcome::Error
@@ -215,24 +220,24 @@
     }
 }
 
-/// How an attempt ended, and what its answer said.
+/// Outcome of an attempt, and the contents of its answer.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct AttemptReport {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Milliseconds from sending to the end.
+    /// Milliseconds from sending the attempt to its end.
     pub elapsed: Ms,
     /// The event is complete, by this answer or by an earlier one.
     pub event_complete: bool,
-    /// Milliseconds to wait as the answer asked; 0 if it asked for none.
+    /// Milliseconds to wait as requested by the answer; 0 if it requested none.
     pub retry_after: Ms,
-    /// The share of its limit that the target reports as left, from 0 to 1. Any other number
-    /// reports nothing.
+    /// The remaining share of its limit that the target reports, from 0 to 1. Any other number
+    /// counts as not reported.
     pub limit_remaining: Option<f64>,
 }
 
 impl AttemptReport {
-    /// A report of the outcome alone, with no time known.
+    /// Creates a report with only an outcome; the elapsed time is 0.
     pub fn from_outcome(outcome: AttemptOutcome) -> Self {
         AttemptReport {
             outcome,
@@ -244,18 +249,17 @@
     }
 }
 
-/// The host named an event, attempt or target that the scheduler does not know; the text says
-/// which.
+/// Error for an input that refers to an unknown event, attempt or target; the text names the kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownId(pub &'static str);
 
-/// The result of an input that names something.
+/// The result of an input that refers to an event or target.
 pub type InputResult = Result<(), UnknownId>;
 
 /// Carries out the decisions of one iteration, in the order in which they are made.
 pub trait Effects {
-    /// The position, among the targets that take the event now, of the one that is to have it. None
-    /// leaves the choice to the scheduler.
+    /// Selects one of the targets that accept the event now, by its position. `None` leaves the
+    /// choice to the scheduler.
     fn select_target(
         &mut self,
         _event: &EventId,
@@ -264,37 +268,38 @@
         None
     }
 
-    /// Sends an attempt of the event, which is given `timeout` milliseconds for its answer.
-    /// Attempts in a row to one target are one call, up to the kind's bound of events in a call.
+    /// Sends an attempt of the event, with a timeout of `timeout` milliseconds. Consecutive
+    /// attempts to one target form one call, up to the kind's maximum number of events in a call.
     ///
-    /// The attempt's last byte has to have left by the time `leaves_by`, or none of it may leave:
-    /// it ends as not sent then. Infinite where nothing bounds it.
+    /// The last byte of the attempt has to be sent by the time `leaves_by`; otherwise, no byte may
+    /// be sent, and the attempt ends as not sent. `leaves_by` is infinite if there is no such
+    /// limit.
     fn send_attempt(&mut self, event: &EventId, target: &TargetId, timeout: Ms, leaves_by: Ms);
 
-    /// Completes an event whose repeat by the client does no harm; the client may come back after
-    /// so many milliseconds. True if the completion goes as a notification, whose acknowledgement
-    /// follows by
+    /// Completes an event that the client may safely repeat, after `retry_after` milliseconds if
+    /// given. Returns true if the completion is sent as a notification, whose acknowledgement is
+    /// passed to
     /// [`on_completion_acknowledged`](crate::scheduler::Scheduler::on_completion_acknowledged).
     fn reject(&mut self, event: &EventId, retry_after: Option<Ms>) -> bool;
 
-    /// Completes an event that may have run. True as for [`reject`](Effects::reject).
+    /// Completes an event that may have run. Returns the same as [`reject`](Effects::reject).
     fn abandon(&mut self, event: &EventId) -> bool;
 
-    /// Sends a health check, whose end follows by
+    /// Sends a health check, whose end is passed to
     /// [`on_health_check_ended`](crate::scheduler::Scheduler::on_health_check_ended).
     fn health_check(&mut self, target: &TargetId);
 
     /// Closes the connections to the target that no call uses.
     fn close_idle_connections(&mut self, target: &TargetId);
 
-    /// Cancels the calls to the target of which nothing is written yet: they end as not sent.
+    /// Cancels the calls to the target of which nothing has been written yet; they end as not sent.
     fn cancel_unsent(&mut self, target: &TargetId);
 
-    /// Records that the target's lane is warming up since the time `since`, and that `usual_rate`
-    /// calls a second usually go there, for
+    /// Records that the target's lane has been warming up since the time `since`, and that its
+    /// usual rate is `usual_rate` calls per second, for
     /// [`restore_warm_up`](crate::scheduler::Scheduler::restore_warm_up) after a restart.
     fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual_rate: f64);
 
-    /// Asks for an iteration after so many milliseconds at the latest.
+    /// Requests an iteration after at most `delay` milliseconds.
     fn wake_after(&mut self, delay: Ms);
 }
--- a/decisions/src/lib.rs
+++ b/decisions/src/lib.rs
@@ -1,9 +1,10 @@
-//! The decision module: when and where events (or requests) for destinations are sent, what is
-//! retried, and what is given up. The event forwarder and the serving tier's dispatcher share it.
+//! Scheduling decisions for events (or requests): when and where they are sent, which attempts are
+//! retried, and which events are completed without delivery. The event forwarder and the serving
+//! tier's dispatcher share this crate.
 //!
-//! A pure state machine without I/O, time or threads of its own: a host hands over what came in,
-//! and carries out the effects. [`interface`] has the names that a host shares with it,
-//! [`scheduler`] makes every decision.
+//! The crate is a pure state machine without I/O, a clock or threads of its own: a host passes in
+//! its inputs and carries out the effects. [`interface`] has the types that a host shares with the
+//! scheduler; [`scheduler`] makes every decision.
 
 pub mod interface;
 pub mod scheduler;
