--- a/decisions/src/state.rs
+++ b/decisions/src/state.rs
@@ -1,9 +1,9 @@
-//! What the scheduler keeps between two iterations of the event loop. Nothing is decided here and
-//! no value is tuned: every decision stands below `scheduler`.
+//! The state that the scheduler keeps between two iterations of the event loop. It has neither
+//! decisions nor tuned values: both are in `scheduler`.
 //!
-//! [`Scheduler`](crate::scheduler::Scheduler) owns all of it. The serialized form is what a process
-//! hands to its successor in a hot restart: structs are written as arrays, so that the order of the
-//! fields is the format and their names are not.
+//! [`Scheduler`](crate::scheduler::Scheduler) owns this state. A process passes its serialized form
+//! to its successor in a hot restart: structs are serialized as arrays, so the order of the fields
+//! is part of the format and their names are not.
 
 mod decaying_sum;
 mod destination;
--- a/decisions/src/state/decaying_sum.rs
+++ b/decisions/src/state/decaying_sum.rs
@@ -1,13 +1,14 @@
-//! Sums that forget: recent amounts count in full, old ones hardly.
+//! Exponentially decaying sums: recent amounts count in full, old ones hardly at all.
 
 use serde::{Deserialize, Serialize};
 
 use crate::interface::Ms;
 
-/// A sum that decays exponentially. It is brought up to date when it is read or added to, so that
-/// one that nobody asks for costs nothing.
+/// A sum that decays exponentially. The decay is applied on each read and addition, so an unused
+/// sum costs nothing.
 ///
-/// The time constant is the caller's: each sum has to be read and added to with the same one.
+/// The caller chooses the time constant, which has to be the same for every read and addition of a
+/// sum.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct DecayingSum {
     sum: f64,
@@ -15,19 +16,19 @@
 }
 
 impl DecayingSum {
-    /// What is left of the sum now.
+    /// Returns the decayed value of the sum at the time `now`.
     pub(crate) fn value(&self, now: Ms, time_constant: Ms) -> f64 {
         self.sum * (-(now - self.updated_at).max(0.0) / time_constant).exp()
     }
 
-    /// Adds an amount that came about now.
+    /// Adds an amount at the time `now`.
     pub(crate) fn add(&mut self, now: Ms, time_constant: Ms, amount: f64) {
         self.sum = self.value(now, time_constant) + amount;
         self.updated_at = now;
     }
 }
 
-/// Recent responses and the time that they took.
+/// Decaying number and total duration of recent responses.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct ResponseTimes {
     count: DecayingSum,
@@ -35,17 +36,17 @@
 }
 
 impl ResponseTimes {
-    /// How many responses are remembered.
+    /// Returns the decayed number of responses.
     pub(crate) fn count(&self, now: Ms, time_constant: Ms) -> f64 {
         self.count.value(now, time_constant)
     }
 
-    /// The time that the remembered responses took in all.
+    /// Returns the decayed total duration of the responses.
     pub(crate) fn total_time(&self, now: Ms, time_constant: Ms) -> Ms {
         self.total_time.value(now, time_constant)
     }
 
-    /// Adds a response that came now.
+    /// Adds a response that arrived at the time `now`.
     pub(crate) fn add(&mut self, now: Ms, time_constant: Ms, elapsed: Ms) {
         self.count.add(now, time_constant, 1.0);
         self.total_time.add(now, time_constant, elapsed);
--- a/decisions/src/state/destination.rs
+++ b/decisions/src/state/destination.rs
@@ -10,13 +10,13 @@
 use super::target_lane::{Target, TargetLane};
 use crate::interface::{DestinationKindId, Ms, TargetId};
 
-/// What the destinations of one kind have shown of late.
+/// Recent call statistics of the destinations of one kind.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct KindStatistics {
     pub(crate) delivered: DecayingSum,
     /// Calls that were rejected.
     pub(crate) rejected: DecayingSum,
-    /// Connections that were refused by destinations that were healthy.
+    /// Connections that healthy destinations refused.
     pub(crate) connect_failed: DecayingSum,
 }
 
@@ -27,7 +27,7 @@
     pub(crate) target: usize,
 }
 
-/// A destination's rank among those that could send now: the least is next.
+/// A destination's rank among those that can send now; the lowest rank is next.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct TurnRank {
     pub(crate) is_in_doubt: bool,
@@ -35,55 +35,55 @@
     pub(crate) last_call: CallNumber,
 }
 
-/// A destination's rank among those with queued events: the greatest is first to shed load.
+/// A destination's rank among those with queued events; the highest rank sheds load first.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct BacklogRank {
-    /// None of its events can be sent now.
+    /// None of the destination's events can be sent now.
     pub(crate) is_blocked: bool,
     pub(crate) queued_events: usize,
     pub(crate) next_send_at: OrderedFloat,
 }
 
-/// A destination's ranks in the three sets of the scheduler's index, as they were entered there.
+/// A destination's entry in the scheduler's index, with its rank in each of the three sets.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct IndexEntry {
     pub(crate) due_at: OrderedFloat,
     pub(crate) backlog: BacklogRank,
-    /// None: nothing can be sent.
+    /// `None` if nothing can be sent.
     pub(crate) turn: Option<TurnRank>,
 }
 
-/// A rate that was recorded at some time and loses its meaning with age.
+/// A recorded rate, whose weight decreases with its age.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct RecordedRate {
     pub(crate) calls_per_second: f64,
     pub(crate) recorded_at: Ms,
 }
 
-/// A destination, from its first listing or event until a while after its last.
+/// A destination, kept from its first listing or event until some time after its last.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Destination {
     pub(crate) kind: DestinationKindId,
     pub(crate) lanes: Vec<TargetLane>,
-    /// In the order of acceptance.
+    /// Pending events, in the order of acceptance.
     pub(crate) events: BTreeMap<EventNumber, PendingEvent>,
     pub(crate) calls: BTreeMap<CallNumber, InFlightCall>,
-    /// Calls a second that the endpoint list says the destination takes; 0 if the list does not
-    /// say.
+    /// Calls per second that the destination accepts according to the endpoint list; 0 if the list
+    /// has no rate.
     pub(crate) advertised_rate: f64,
     pub(crate) accepted_events: DecayingSum,
-    /// Calls, of one event or of several.
+    /// Calls that were sent, each with one or more events.
     pub(crate) sent_calls: DecayingSum,
     pub(crate) last_call: CallNumber,
-    /// What usually went to each lane before it had to warm up.
+    /// Usual rate of each lane before it had to warm up.
     pub(crate) usual_before_warm_up: RecordedRate,
-    /// Since when there is neither an event nor a listed target.
+    /// The time since which there has been neither an event nor a listed target.
     pub(crate) unused_since: Option<Ms>,
     pub(crate) index_entry: IndexEntry,
 }
 
 impl Destination {
-    /// The events that are neither complete nor in flight.
+    /// Returns the events that are neither complete nor in flight.
     pub(crate) fn queued_events(&self) -> impl Iterator<Item = (EventNumber, &PendingEvent)> {
         let queued = self.events.iter().filter(|(_, event)| event.is_queued());
         queued.map(|(&number, event)| (number, event))
@@ -93,7 +93,7 @@
         self.queued_events().count()
     }
 
-    /// The lanes with a running target; one at least.
+    /// Returns the number of lanes with a running target, but at least one.
     pub(crate) fn running_lane_count(&self) -> f64 {
         self.lanes
             .iter()
@@ -102,7 +102,7 @@
             .max(1) as f64
     }
 
-    /// The position of the lane that has the target.
+    /// Returns the position of the lane that has the target.
     pub(crate) fn lane_of(&self, target: &TargetId) -> Option<usize> {
         self.lanes
             .iter()
--- a/decisions/src/state/event.rs
+++ b/decisions/src/state/event.rs
@@ -12,32 +12,32 @@
 /// A call's position in the order of calls, over all destinations.
 pub(crate) type CallNumber = u64;
 
-/// Where an accepted event stands.
+/// Location of an accepted event: its destination and its number.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct EventLocation {
     pub(crate) destination: DestinationId,
     pub(crate) number: EventNumber,
 }
 
-/// The first attempt of an event that may have been executed, though nobody knows.
+/// The first attempt of an event that may have been executed, without a confirmation.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct PossibleExecution {
     pub(crate) sent_at: Ms,
     pub(crate) zone: ZoneId,
 }
 
-/// An event from its acceptance until its completion is known to its client and no call carries it
-/// any more.
+/// An accepted event. It is kept until its client has been informed of its completion and no call
+/// in flight carries it.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct PendingEvent {
     pub(crate) id: EventId,
     pub(crate) traffic_type: TrafficTypeId,
     pub(crate) order_key: Option<OrderKey>,
     pub(crate) deadline: Ms,
-    /// The member that asked for the event had used up its quota.
+    /// The member that requested the event had used up its quota.
     pub(crate) over_quota: bool,
     pub(crate) attempts: u32,
-    /// A restart found the event accepted and not attempted.
+    /// The event was restored after a restart and has not been attempted.
     #[serde(default)]
     pub(crate) restored_unattempted: bool,
     /// The call in flight that carries the event.
@@ -45,24 +45,24 @@
     /// The end of the backoff after the last attempt.
     pub(crate) not_before: Ms,
     pub(crate) may_have_run: Option<PossibleExecution>,
-    /// The event is kept only until its call has ended and its completion is acknowledged.
+    /// A complete event is kept only until its call has ended and its completion is acknowledged.
     pub(crate) is_complete: bool,
     pub(crate) awaits_acknowledgement: bool,
 }
 
 impl PendingEvent {
-    /// Neither complete nor in flight.
+    /// Returns whether the event is neither complete nor in flight.
     pub(crate) fn is_queued(&self) -> bool {
         !self.is_complete && self.call.is_none()
     }
 
-    /// Nothing more is expected of the event.
+    /// Returns whether the event is complete, awaits no acknowledgement and is not in flight.
     pub(crate) fn is_finished(&self) -> bool {
         self.is_complete && !self.awaits_acknowledgement && self.call.is_none()
     }
 }
 
-/// One event in the queue of its order key.
+/// An entry in the queue of an order key.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct QueuedEvent {
     pub(crate) number: EventNumber,
@@ -73,24 +73,24 @@
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct KeyQueue {
     pub(crate) events: VecDeque<QueuedEvent>,
-    /// Until then an earlier event of the key may still be executing at a target.
+    /// The time until which an earlier event of the key may still be executing at a target.
     pub(crate) cooldown_ends: Ms,
 }
 
-/// A key queue whose cool-down ends then, if no other has begun since.
+/// The end of an order key's cool-down, unless a later cool-down has begun since.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct KeyCooldown {
     pub(crate) ends: Ms,
     pub(crate) order_key: OrderKey,
 }
 
-/// A call in flight. It carries one event or several, and its outcome is reported for each.
+/// A call in flight with one or more events. Its outcome is reported separately for each event.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct InFlightCall {
     pub(crate) target: TargetId,
     pub(crate) sent_at: Ms,
     pub(crate) unreported_events: usize,
-    /// The outcome has been counted for the target and its lane, which is done once for a call.
+    /// The outcome has been applied to the target and its lane, which is done once for each call.
     pub(crate) is_assessed: bool,
     /// The lane was in doubt when the call was sent.
     pub(crate) lane_in_doubt: bool,
--- a/decisions/src/state/ordered_float.rs
+++ b/decisions/src/state/ordered_float.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A floating-point number with the total order of IEEE 754. Times on the host's clock are sorted
-/// by it.
+/// A floating-point number with the total order of IEEE 754, by which times on the host's clock are
+/// sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct OrderedFloat(pub(crate) f64);
 
 impl OrderedFloat {
-    /// As a time: never.
+    /// As a time, it means never.
     pub(crate) const INFINITY: OrderedFloat = OrderedFloat(f64::INFINITY);
 }
 
