--- a/decisions/src/scheduler.rs
+++ b/decisions/src/scheduler.rs
@@ -1,33 +1,33 @@
-//! Every decision on when and where an event is sent, and when it is given up. Nothing here does
-//! any I/O.
+//! All decisions on when and where an event is sent, and when it is completed without delivery.
+//! Nothing here does any I/O.
 //!
 //! A host owns one [`Scheduler`] and calls [`Scheduler::run_iteration`] once in each iteration of
-//! its event loop: first everything that came in since is handed over, then the decisions go
-//! straight into the host's [`Effects`]. A host is the forwarder on sockets, the simulator's
-//! adapter, the emulator, or the dispatcher of the serving tier.
+//! its event loop: the host passes in all inputs since the previous iteration, then the scheduler
+//! writes its decisions directly to the host's [`Effects`]. A host is the forwarder on sockets, the
+//! simulator adapter, the emulator, or the dispatcher of the serving tier.
 //!
-//! The modules are the steps on an event's way:
+//! The modules, in the order in which an event passes through them:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `admission` | what is known of an event when it is accepted; quotas of members |
-//! | `endpoints` | which targets a destination has, by the endpoint list |
-//! | `key_order` | which event of an order key may go |
-//! | `fair_queueing` | which destination has the next turn, and which of its events can go |
-//! | `target_selection` | which target a call goes to |
-//! | `dispatch` | what a call carries and how long it may take |
-//! | `rate_limit`, `warm_up` | how many calls a second a lane takes, after rejections and after an outage |
-//! | `attempt_outcomes` | what the end of an attempt means for the event |
-//! | `call_assessment` | what the end of a call means for its target and lane |
-//! | `target_health`, `health_checks` | when a lane is offline, and what brings it back |
+//! | `admission` | the initial state of an accepted event; quotas of members |
+//! | `endpoints` | the targets of a destination, by the endpoint list |
+//! | `key_order` | which event of an order key may be attempted |
+//! | `fair_queueing` | which destination has the next turn, and which of its events can be sent |
+//! | `target_selection` | the target of a call |
+//! | `dispatch` | the events and the timeout of a call |
+//! | `rate_limit`, `warm_up` | the rate limit of a lane, after rejections and after an outage |
+//! | `attempt_outcomes` | the effects of an attempt's outcome on its event |
+//! | `call_assessment` | the effects of a call's outcome on its target and lane |
+//! | `target_health`, `health_checks` | when a lane goes offline and comes back online |
 //! | `idle_connections` | when idle connections are closed |
-//! | `deadlines`, `completion` | when an event is given up, and how |
-//! | `load_shedding` | which events make way when the event store fills |
-//! | `recovery` | what an earlier process or another forwarder did for an event |
+//! | `deadlines`, `completion` | when and how an event is completed without delivery |
+//! | `load_shedding` | which events are shed when the event store is nearly full |
+//! | `recovery` | the effects of attempts by an earlier process or another forwarder |
 //!
-//! An iteration looks only at destinations that something came in for or is due at. Each
-//! destination stands in three ordered sets (when something is due, whose turn it is, how much
-//! waits); see `docs/design.md`.
+//! An iteration visits only destinations that have new inputs or a due action. Each destination is
+//! indexed in up to three ordered sets (by the time of its next action, by its rank for the next
+//! turn, by its backlog); see `docs/design.md`.
 
 mod admission;
 mod attempt_outcomes;
@@ -60,10 +60,10 @@
 };
 use context::Context;
 
-/// The decisions of one process, and all that they rest on.
+/// The scheduler of one process, with all of its state.
 ///
-/// The serialized form is handed to the successor process in a hot restart, which goes on with
-/// [`Scheduler::resume`]. The order of the fields is that form.
+/// The serialized form is passed to the successor process in a hot restart, which continues with
+/// [`Scheduler::resume`]. The order of the fields is part of the format.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Scheduler {
     context: Context,
@@ -75,29 +75,29 @@
     event_locations: HashMap<EventId, EventLocation>,
     key_queues: HashMap<OrderKey, KeyQueue>,
     key_cooldowns: VecDeque<KeyCooldown>,
-    /// Destinations that something came in for in this iteration.
+    /// Destinations with a new input or a due action in this iteration.
     changed: BTreeSet<DestinationId>,
-    /// When something is due at a destination.
+    /// Destinations by the time of their next due action.
     due: BTreeSet<(OrderedFloat, DestinationId)>,
-    /// Destinations that can send now: the first is next.
+    /// Destinations that can send now; the first one is next.
     ready: BTreeSet<(TurnRank, DestinationId)>,
-    /// Calls in flight to lanes that were in doubt.
+    /// Calls in flight to lanes that were in doubt when the call was sent.
     doubtful_calls_in_flight: usize,
-    /// Destinations with queued events: the last is first to shed load.
+    /// Destinations with queued events; the last one is the first to shed load.
     backlogs: BTreeSet<(BacklogRank, DestinationId)>,
-    /// The wake-up that the host has already been asked for.
+    /// The time of the wake-up that was already requested from the host.
     next_wake_up: OrderedFloat,
-    /// No call is sent from then on: the process ends.
+    /// The time from which no call is sent, because the process ends.
     last_send_at: OrderedFloat,
-    /// Complete events that are kept only until their completion is acknowledged. Counted anew from
-    /// the state that is handed over, which an earlier version may have written.
+    /// Number of complete events that are kept only until their completion is acknowledged. The
+    /// number is recounted from the restored state, which an earlier version may have written.
     #[serde(skip)]
     unacknowledged_events: usize,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no target and no event yet. `now` is on the host's clock, as in all
-    /// that follows.
+    /// Creates a scheduler without targets and events. `now` is on the host's clock, as are all
+    /// other times.
     pub fn new(config: DecisionConfig, now: Ms) -> Self {
         let scheduler = Scheduler {
             context: Context::new(now),
@@ -106,8 +106,8 @@
         scheduler.resume(config)
     }
 
-    /// Goes on in another process. `config` has to name the same traffic types, kinds, zones and
-    /// members in the same positions as that of the process before.
+    /// Resumes a scheduler in another process. `config` has to list the same traffic types, kinds,
+    /// zones and members at the same positions as the configuration of the previous process.
     pub fn resume(mut self, config: DecisionConfig) -> Self {
         self.context.set_config(config);
         let events = self
@@ -118,13 +118,13 @@
         self
     }
 
-    /// One iteration of the host's event loop at the time `now`: `apply_inputs` hands over
-    /// everything that came in, then the decisions are written to `effects`, in the order in which
-    /// they are to be carried out.
+    /// Runs one iteration of the host's event loop at the time `now`: `apply_inputs` passes in all
+    /// new inputs, then the decisions are written to `effects` in the order in which they have to
+    /// be carried out.
     ///
     /// # Errors
     ///
-    /// The error of `apply_inputs`, after which no decision is made.
+    /// Returns the error of `apply_inputs`, in which case no decision is made.
     pub fn run_iteration<E, F: Effects>(
         &mut self,
         now: Ms,
@@ -140,7 +140,7 @@
         }
         self.shed_load(effects);
         while let Some(destination) = self.changed.pop_first() {
-            self.refile(destination);
+            self.reindex(destination);
         }
         self.send_calls(effects);
         self.request_wake_up(effects);
@@ -165,23 +165,23 @@
         }
     }
 
-    /// Everything that may be due at a destination, apart from its calls.
+    /// Carries out all due actions of a destination, apart from its calls.
     fn review_destination(&mut self, id: DestinationId, effects: &mut impl Effects) {
         let Some(destination) = self.destinations.get_mut(&id) else {
             return;
         };
-        destination.forget_removed_targets(&self.context, &mut self.destination_of_target);
+        destination.drop_removed_targets(&self.context, &mut self.destination_of_target);
         for event in self.events_to_complete(id) {
             self.complete(id, event, effects);
         }
         let destination = self
             .destinations
             .get_mut(&id)
-            .expect("only `refile` removes a destination");
+            .expect("only `reindex` removes a destination");
         destination.review_lanes(&mut self.context, effects);
     }
 
-    /// Asks the host for a wake-up when the next thing is due, unless one comes before anyway.
+    /// Requests a wake-up from the host at the next due time, unless an earlier wake-up is pending.
     fn request_wake_up(&mut self, effects: &mut impl Effects) {
         let Some(&(due_at, _)) = self.due.first() else {
             return;
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Events that are neither complete nor waiting for an acknowledgement alone.
+    /// Returns the number of events, without those that only wait for an acknowledgement.
     fn stored_event_count(&self) -> usize {
         self.event_locations.len() - self.unacknowledged_events
     }
--- a/decisions/src/scheduler/admission.rs
+++ b/decisions/src/scheduler/admission.rs
@@ -1,24 +1,24 @@
-//! Events that come in from clients: what is known of one when it is accepted, the quotas of the
-//! members that ask for events, and events that their client withdraws.
+//! Admission of events from clients: their initial state, the quotas of the members that request
+//! events, and the withdrawal of events by their clients.
 
 use super::tuning::USUAL_TRAFFIC_WINDOW;
 use super::Scheduler;
 use crate::interface::{DestinationId, EventId, Ms, OrderKey, TrafficTypeId};
 use crate::state::{EventLocation, PendingEvent, QueuedEvent};
 
-/// The time constant of a member's usage: long enough to count its events at one forwarder of many,
-/// short against a flood of some seconds.
+/// Time constant of a member's usage: long enough to count its events at one of many forwarders,
+/// short compared with a flood of several seconds.
 const QUOTA_WINDOW: Ms = 10_000.0;
 
 impl Scheduler {
-    /// Whether the endpoint list names the destination, or did so lately. An event for any other
-    /// could only wait for its deadline.
+    /// Returns whether the destination is in the endpoint list, or was until recently. An event for
+    /// any other destination could only wait for its deadline.
     pub fn knows_destination(&self, destination: DestinationId) -> bool {
         self.destinations.contains_key(&destination)
     }
 
     /// Accepts an event that a client submitted. `deadline` is on the host's clock. The order key
-    /// is heeded only where the traffic type is ordered.
+    /// is ignored unless the traffic type is ordered.
     ///
     /// # Panics
     ///
@@ -62,12 +62,12 @@
         self.changed.insert(destination_id);
     }
 
-    /// Charges an event that was just accepted to the member that asked for it. `is_repeat`: the
-    /// member asks for the event again, which does not count as usage.
+    /// Charges an event that was just accepted to the member that requested it. `is_repeat` is true
+    /// if the member requests the event again, which does not count as usage.
     ///
-    /// An event that exceeds this forwarder's even part of the member's quota is worth little from
-    /// then on. The standard deviation of a Poisson process is allowed for, as one of many
-    /// forwarders sees few events.
+    /// An event that exceeds this forwarder's equal part of the member's quota has a reduced value
+    /// from then on. The limit allows for the standard deviation of a Poisson process, because one
+    /// of many forwarders receives few events.
     pub fn charge_member(&mut self, id: &EventId, member: usize, is_repeat: bool) {
         let context = &mut self.context;
         let Some(quota) = context.config.member_quotas.get(member) else {
@@ -81,8 +81,8 @@
         self.update_event(id, |event| event.over_quota = over_quota);
     }
 
-    /// The client withdrew the event: no further attempt is made. Its order key stays blocked until
-    /// a call in flight has ended.
+    /// Withdraws the event for its client: no further attempt is made. Its order key stays blocked
+    /// until a call in flight has ended.
     pub fn withdraw_event(&mut self, id: &EventId) {
         self.update_event(id, |event| event.is_complete = true);
     }
--- a/decisions/src/scheduler/attempt_outcomes.rs
+++ b/decisions/src/scheduler/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt, and what it means for the event.
+//! Effects of an attempt's outcome on its event.
 
 use super::context::{jitter, Context, Draw};
 use super::tuning::LONG_RETRY_AFTER;
@@ -11,7 +11,7 @@
     CallNumber, Destination, EventLocation, EventNumber, PendingEvent, PossibleExecution,
 };
 
-/// The backoff doubles with each of so many attempts.
+/// Number of attempts up to which the backoff doubles with each.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// An attempt that has just ended, and the call that it was a part of.
@@ -32,22 +32,23 @@
 }
 
 impl Scheduler {
-    /// An attempt of the event has ended. Where a call carries several events, each has its own
-    /// report.
+    /// Handles the end of an attempt of the event. If a call carries several events, each has its
+    /// own report.
     ///
     /// # Errors
     ///
-    /// [`UnknownId`] if the event was never accepted or is forgotten, or has no attempt in flight.
+    /// [`UnknownId`] if the event was never accepted, is no longer pending, or has no attempt in
+    /// flight.
     pub fn on_attempt_ended(&mut self, id: &EventId, report: AttemptReport) -> InputResult {
         let attempt = self.take_attempt(id)?;
         self.assess_attempt(&attempt, report);
         self.apply_outcome(&attempt, report);
         self.changed.insert(attempt.destination);
-        self.forget_if_finished(attempt.destination, attempt.event);
+        self.remove_if_finished(attempt.destination, attempt.event);
         Ok(())
     }
 
-    /// Takes the event out of its call.
+    /// Removes the event from its call and returns the attempt.
     fn take_attempt(&mut self, id: &EventId) -> Result<EndedAttempt, UnknownId> {
         let location = self.event_locations.get(id).ok_or(UnknownId("the event"))?;
         let &EventLocation {
@@ -59,7 +60,7 @@
         let event = destination.events.get_mut(&number);
         let call_number = event
             .and_then(|event| event.call.take())
-            .ok_or(UnknownId("the send"))?;
+            .ok_or(UnknownId("the attempt"))?;
         let call = destination.calls.get_mut(&call_number);
         let call = call.expect("a call is kept until every event of it is reported");
         call.unreported_events -= 1;
@@ -89,13 +90,13 @@
         })
     }
 
-    /// What the report says of the target and its lane. The first report of a call counts for the
-    /// whole call.
+    /// Applies the report to the target and its lane. The first report of a call counts for the
+    /// entire call.
     fn assess_attempt(&mut self, attempt: &EndedAttempt, report: AttemptReport) {
         let destination = self.destinations.get_mut(&attempt.destination);
         let destination = destination.expect("an event has a destination");
         let context = &mut self.context;
-        destination.heed_retry_after(context, attempt.lane, report.retry_after);
+        destination.apply_retry_after(context, attempt.lane, report.retry_after);
         if attempt.is_first_report {
             context.assess_connection_reuse(attempt.reuses_idle_connection, report.outcome);
             let sent_at = attempt.sent_at;
@@ -115,7 +116,7 @@
         }
     }
 
-    /// What the report says of the event: complete, or when it may be retried.
+    /// Applies the report to the event, which is either complete or may be retried after a backoff.
     fn apply_outcome(&mut self, attempt: &EndedAttempt, report: AttemptReport) {
         let destination = self.destinations.get_mut(&attempt.destination);
         let event = destination.and_then(|destination| destination.events.get_mut(&attempt.event));
@@ -138,9 +139,9 @@
 }
 
 impl Destination {
-    /// No call goes to the lane before the end of the retry-after. Every event of a call may be
-    /// given one of its own.
-    fn heed_retry_after(&mut self, context: &Context, lane_index: usize, retry_after: Ms) {
+    /// Blocks calls to the lane until the end of the retry-after. Each event of a call may have its
+    /// own retry-after.
+    fn apply_retry_after(&mut self, context: &Context, lane_index: usize, retry_after: Ms) {
         let lane = &mut self.lanes[lane_index];
         lane.retry_after_ends = lane.retry_after_ends.max(context.now + retry_after);
         if retry_after > LONG_RETRY_AFTER {
@@ -150,8 +151,8 @@
 }
 
 impl Context {
-    /// Sets the end of the backoff before the event's retry: it doubles with the attempts, and is
-    /// jittered.
+    /// Sets the end of the backoff before the event's retry. The backoff doubles with each attempt
+    /// and is jittered.
     fn back_off(&mut self, number: EventNumber, event: &mut PendingEvent, outcome: AttemptOutcome) {
         let initial = self.config.tuning.retry_backoff.initial(outcome);
         let doublings = event.attempts.min(MAX_BACKOFF_DOUBLINGS) as i32 - 1;
@@ -160,7 +161,8 @@
     }
 }
 
-/// The attempt was cut short, and may still be executing at the target.
+/// Returns whether an attempt with this outcome was cut short and may still be executing at the
+/// target.
 fn may_still_be_executing(outcome: AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled => true,
--- a/decisions/src/scheduler/call_assessment.rs
+++ b/decisions/src/scheduler/call_assessment.rs
@@ -1,5 +1,5 @@
-//! The end of a call, and what it means for its target and its lane: once for a call, however many
-//! events it carried.
+//! Effects of a call's outcome on its target and lane. Each call is assessed once, regardless of
+//! the number of its events.
 
 use super::context::{jitter, Context, Draw};
 use super::tuning::{
@@ -9,43 +9,45 @@
 use crate::interface::{AttemptOutcome, AttemptReport, Ms, TargetId};
 use crate::state::{Destination, Pace, TargetLane};
 
-/// How strongly the spread after a rejection grows with the square of the rejected share; 4, 10 and
-/// 20 times the share served worse.
+/// Factor of the squared rejected share in the growth of the spread after a rejection; 4, 10 and 20
+/// times the share performed worse.
 const REJECTED_SHARE_FACTOR: f64 = 15.0;
 
-/// The spread doubles with each of so many rejections in a row.
+/// Number of consecutive rejections up to which the spread doubles with each.
 const MAX_SPREAD_DOUBLINGS: i32 = 4;
 
-/// No spread is longer than the time in which so many calls usually go to the lane.
+/// Upper bound of the spread in calls: no spread is longer than the time in which this many calls
+/// are usually sent to the lane.
 const MAX_SPREAD_CALLS: f64 = 8.0;
 
 /// A rejection takes a tenth from the recent rate: half and twice as much move the loss from
 /// lateness to rejections.
 const PACE_AFTER_REJECTION: f64 = 0.9;
 
-/// A rejection sets no pace below this, in calls a second.
+/// Lower bound of the recent rate by which a rejection sets the pace, in calls per second.
 const MIN_PACE: f64 = 0.3;
 
-/// A response within so many times the usual time raises the warm-up multiplier.
+/// A response within this multiple of the usual response time raises the warm-up multiplier.
 const TIMELY_RESPONSE_FACTOR: f64 = 5.0;
 
 /// The warm-up multiplier grows by this factor with each timely response, up to a bound.
 const WARM_UP_MULTIPLIER_GROWTH: f64 = 1.25;
 const MAX_WARM_UP_MULTIPLIER: f64 = 4.0;
 
-/// What an assessment reads before it changes the lane.
-struct LaneBeforeCall {
+/// Values that an assessment reads before it changes the lane.
+struct AssessmentInputs {
     /// Milliseconds between two calls to a lane that has to warm up after a long retry-after; else
     /// 0.
     warm_up_spacing: Ms,
-    /// Until the trial call of a lane that goes offline; 0 where health checks are allowed.
+    /// Milliseconds until the trial call of a lane that goes offline; 0 where health checks are
+    /// allowed.
     trial_delay: Ms,
     /// A random number from 0 to 1.
     random: f64,
 }
 
 impl Destination {
-    /// Counts the outcome of a call to a target.
+    /// Applies the outcome of a call to its target and lane.
     pub(super) fn assess_call(
         &mut self,
         context: &mut Context,
@@ -55,7 +57,7 @@
         report: AttemptReport,
     ) {
         let random = context.draw(Draw::CallAssessment);
-        let before = LaneBeforeCall {
+        let inputs = AssessmentInputs {
             warm_up_spacing: self.warm_up_spacing(context, lane_index, &report),
             trial_delay: self.trial_delay(context, lane_index),
             random,
@@ -67,17 +69,17 @@
             }
             AttemptOutcome::Rejected => {
                 self.on_lane_answered(context, lane_index);
-                self.on_rejected(context, lane_index, sent_at, &report, &before);
+                self.on_rejected(context, lane_index, sent_at, &report, &inputs);
             }
             AttemptOutcome::TimedOut if report.elapsed < context.min_call_timeout() => {
-                // Cut short by the deadline: the target had no time to answer, which says nothing
-                // of its health.
+                // Cut short by the deadline: the target had too little time to answer, so the
+                // timeout is no evidence of its health.
             }
             AttemptOutcome::Error
             | AttemptOutcome::TimedOut
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::Reset => {
-                self.on_failed(context, lane_index, target, sent_at, &report, &before);
+                self.on_failed(context, lane_index, target, sent_at, &report, &inputs);
             }
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
@@ -99,12 +101,12 @@
         }
     }
 
-    /// A delivery or a rejection: the lane is there.
+    /// Handles an answer, either a delivery or a rejection: the lane is reachable.
     fn on_lane_answered(&mut self, context: &mut Context, lane_index: usize) {
         let now = context.now;
         let lane = &mut self.lanes[lane_index];
-        // A connection refused, and an answer soon after: no outage, the targets take no more
-        // connections.
+        // A refused connection that is soon followed by an answer indicates no outage: the targets
+        // accept no more connections.
         let connect_failed_at = lane.connect_failed_at.take();
         let is_out_of_connections =
             connect_failed_at.is_some_and(|at| now - at < 3.0 * HEALTH_CHECK_INTERVAL);
@@ -114,7 +116,7 @@
             .connect_failed
             .add(now, CONNECTION_EVIDENCE_WINDOW, evidence);
         if !lane.is_offline || !context.config.tuning.release_on_health_check_only {
-            lane.release(now);
+            lane.mark_online(now);
         }
     }
 
@@ -137,8 +139,8 @@
         statistics
             .delivered
             .add(now, CONNECTION_EVIDENCE_WINDOW, 1.0);
-        // The lane is under its limit, as far as responses tell; `warm_up_budget` bounds the sum
-        // over the fleet.
+        // According to its response times, the lane is below its limit; `warm_up_budget` bounds the
+        // sum over the fleet.
         lane.warm_up_multiplier =
             if elapsed < TIMELY_RESPONSE_FACTOR * lane.usual_response_time(context) {
                 (lane.warm_up_multiplier.max(1.0) * WARM_UP_MULTIPLIER_GROWTH)
@@ -158,35 +160,35 @@
         lane_index: usize,
         sent_at: Ms,
         report: &AttemptReport,
-        before: &LaneBeforeCall,
+        inputs: &AssessmentInputs,
     ) {
-        // A share outside of 0 to 1 reports nothing.
+        // A share outside of 0 to 1 counts as not reported.
         let limit_remaining = report
             .limit_remaining
             .filter(|share| (0.0..=1.0).contains(share));
         self.lanes[lane_index].warm_up_multiplier = 1.0;
-        // Where rejected calls use up the limit, nearly all report it used up; 3 in 10 do
-        // elsewhere.
+        // Where rejected calls count against the limit, nearly all rejections report that it is
+        // used up; elsewhere, 3 in 10 do.
         let is_limit_used_up = limit_remaining.is_none_or(|share| share < 0.2);
         let weight = if is_limit_used_up { 2.0 } else { 0.2 };
         let statistics = &mut context.kind_statistics[self.kind.0];
         statistics
             .rejected
             .add(context.now, CONNECTION_EVIDENCE_WINDOW, weight);
-        // A call that was sent before the last rejection could not heed it.
+        // A call that was sent before the last rejection could not take it into account.
         if sent_at >= self.lanes[lane_index].rejected_at {
-            self.slow_down(context, lane_index, report.retry_after, before);
+            self.throttle(context, lane_index, report.retry_after, inputs);
         }
-        self.lanes[lane_index].suspect_closure(context, limit_remaining);
+        self.lanes[lane_index].detect_closure(context, limit_remaining);
     }
 
-    /// Sets the pace of a lane that rejected a call, and its backoff.
-    fn slow_down(
+    /// Sets the pace and the backoff of a lane that rejected a call.
+    fn throttle(
         &mut self,
         context: &Context,
         lane_index: usize,
         retry_after: Ms,
-        before: &LaneBeforeCall,
+        inputs: &AssessmentInputs,
     ) {
         let now = context.now;
         let lane = &mut self.lanes[lane_index];
@@ -198,15 +200,15 @@
             set_at: now,
         });
         let spread = self.rejection_spread(context, lane_index, recent_rate);
-        let spread = spread.max(before.warm_up_spacing);
-        self.lanes[lane_index].backoff_ends = now + retry_after + spread * before.random;
+        let spread = spread.max(inputs.warm_up_spacing);
+        self.lanes[lane_index].backoff_ends = now + retry_after + spread * inputs.random;
     }
 
-    /// The time over which calls that were rejected are spread, as all that were rejected together,
-    /// or were given the same retry-after, must not come back together.
+    /// Returns the time over which calls after a rejection are spread, because calls that were
+    /// rejected together, or received the same retry-after, must not be repeated together.
     ///
-    /// The spread grows with the share of the kind's calls that are rejected, as these may use up
-    /// the limit, and shrinks with the rate.
+    /// The spread grows with the share of the kind's calls that are rejected, because these may
+    /// count against the limit, and shrinks with the call rate.
     fn rejection_spread(&self, context: &Context, lane_index: usize, recent_rate: f64) -> Ms {
         let now = context.now;
         let statistics = &context.kind_statistics[self.kind.0];
@@ -231,49 +233,51 @@
         target: &TargetId,
         sent_at: Ms,
         report: &AttemptReport,
-        before: &LaneBeforeCall,
+        inputs: &AssessmentInputs,
     ) {
         let now = context.now;
-        let is_crowded = self.is_crowded(context);
+        let is_oversubscribed = self.is_oversubscribed(context);
         let is_connect_failure = report.outcome == AttemptOutcome::ConnectFailed;
         let lane = &mut self.lanes[lane_index];
         lane.warm_up_multiplier = 1.0;
         let target = lane
             .target_mut(target)
             .expect("a target is kept while it is called");
-        target.eject(now, report.outcome, jitter(before.random));
+        target.eject(now, report.outcome, jitter(inputs.random));
         lane.connect_failed_at = if is_connect_failure { Some(now) } else { None };
-        // One connection refused where nothing had failed is a sign of the crowd, not of the
-        // destination.
-        if is_connect_failure && is_crowded && lane.consecutive_failures == 0 {
+        // A single refused connection without earlier failures indicates too many forwarders, not a
+        // fault of the destination.
+        if is_connect_failure && is_oversubscribed && lane.consecutive_failures == 0 {
             let statistics = &mut context.kind_statistics[self.kind.0];
             statistics
                 .connect_failed
                 .add(now, CONNECTION_EVIDENCE_WINDOW, 1.0);
         }
         let is_out_of_connections =
-            is_connect_failure && context.closes_idle_connections(self.kind, is_crowded);
+            is_connect_failure && context.closes_idle_connections(self.kind, is_oversubscribed);
         let is_connection_at_fault =
             report.outcome == AttemptOutcome::Reset || is_out_of_connections;
         let was_delivered_lately = now - lane.delivered_at < 2.0 * HEALTH_CHECK_INTERVAL;
         if !(is_connection_at_fault && was_delivered_lately) {
             lane.consecutive_failures += 1;
         }
-        // A slow lane gets more time. Where others were answered since, the response was lost: more
-        // time for that would only pin calls in flight.
+        // A slow lane gets a longer timeout. If other calls to the lane were answered since this
+        // one was sent, its response was lost, and a longer timeout would only keep calls in
+        // flight.
         if report.outcome == AttemptOutcome::TimedOut && lane.answered_at < sent_at {
             lane.response_times
                 .add(now, RESPONSE_TIME_WINDOW, report.elapsed);
         }
-        lane.go_offline_after_failures(now, before.trial_delay);
+        lane.go_offline_after_failures(now, inputs.trial_delay);
     }
 }
 
 impl TargetLane {
-    /// Rejected again with much of the reported limit left, and nothing delivered in between: the
-    /// destination may be closed, and has to warm up then. That guards against whatever rejects
-    /// all; it does harm where a tight limit looks the same for long.
-    fn suspect_closure(&mut self, context: &Context, limit_remaining: Option<f64>) {
+    /// Starts a warm-up after repeated rejections with much of the reported limit left and no
+    /// delivery in between, because the destination may be closed. This guards against every fault
+    /// that causes all calls to be rejected; it is harmful where a tight limit looks the same for a
+    /// long time.
+    fn detect_closure(&mut self, context: &Context, limit_remaining: Option<f64>) {
         let is_much_left = limit_remaining.is_none_or(|share| share >= 0.5);
         self.unexplained_rejections = if is_much_left {
             self.unexplained_rejections + 1
@@ -289,8 +293,8 @@
         }
     }
 
-    /// The calls a second that went to the lane in the last moments. A burst is rejected within
-    /// less, so that what left at once tells more, if it is much.
+    /// Returns the recent rate of calls to the lane, in calls per second. A burst is rejected
+    /// within a shorter time than the window, so the rate within the burst counts if it is high.
     fn recent_rate(&self, now: Ms) -> f64 {
         let recent =
             self.recent_calls.value(now, RECENT_CALLS_WINDOW) * 1000.0 / RECENT_CALLS_WINDOW;
--- a/decisions/src/scheduler/completion.rs
+++ b/decisions/src/scheduler/completion.rs
@@ -1,20 +1,21 @@
-//! The completion of events without a delivery, and the end of their traces.
+//! Completion of events without delivery, and removal of finished events.
 
 use super::Scheduler;
 use crate::interface::{DestinationId, Effects, EventId, Idempotency};
 use crate::state::{EventLocation, EventNumber, PendingEvent};
 
 impl Scheduler {
-    /// The queued events of a destination that are to be completed now: those without hope, and
-    /// those over their member's quota while more than a third of the event store is filled. The
-    /// latter take no capacity that others need.
+    /// Returns the queued events of a destination that are to be completed now: those that can no
+    /// longer be delivered, and those over their member's quota that cannot have run, while more
+    /// than a third of the event store is filled. The latter thus take no capacity that other
+    /// events need.
     pub(super) fn events_to_complete(&self, id: DestinationId) -> Vec<EventNumber> {
         let context = &self.context;
         let is_capacity_scarce = 3 * self.stored_event_count() > context.config.event_capacity;
         let is_due = |event: &PendingEvent| {
             let is_dispensable =
                 event.over_quota && is_capacity_scarce && event.may_have_run.is_none();
-            is_dispensable || context.is_hopeless(event)
+            is_dispensable || context.is_undeliverable(event)
         };
         let queued = self.destinations[&id].queued_events();
         queued
@@ -23,8 +24,8 @@
             .collect()
     }
 
-    /// Completes a queued event without a delivery: rejected where a further attempt by the client
-    /// does no harm, abandoned where it might.
+    /// Completes a queued event without delivery: rejects it if a further attempt by the client
+    /// does no harm, abandons it otherwise.
     pub(super) fn complete(
         &mut self,
         id: DestinationId,
@@ -50,16 +51,16 @@
         };
         event.awaits_acknowledgement = by_notification;
         self.unacknowledged_events += usize::from(by_notification);
-        self.forget_if_finished(id, number);
+        self.remove_if_finished(id, number);
     }
 
-    /// The client acknowledged the notification of the event's completion. Only now may the next
-    /// event of its order key go.
+    /// Handles the client's acknowledgement of the completion notification. The next event of the
+    /// order key may be attempted only after it.
     pub fn on_completion_acknowledged(&mut self, id: &EventId) {
         self.update_event(id, |event| event.awaits_acknowledgement = false);
     }
 
-    /// Changes an event, if it is known, and has its destination reviewed in this iteration.
+    /// Changes an event, if it is pending, and marks its destination for review in this iteration.
     pub(super) fn update_event(&mut self, id: &EventId, change: impl FnOnce(&mut PendingEvent)) {
         let Some(&EventLocation {
             destination: destination_id,
@@ -70,17 +71,16 @@
         };
         let destination = self.destinations.get_mut(&destination_id);
         let event = destination.and_then(|destination| destination.events.get_mut(&number));
-        let event = event.expect("an event is where its location says");
+        let event = event.expect("an event location refers to a pending event");
         self.unacknowledged_events -= usize::from(event.awaits_acknowledgement);
         change(event);
         self.unacknowledged_events += usize::from(event.awaits_acknowledgement);
         self.changed.insert(destination_id);
-        self.forget_if_finished(destination_id, number);
+        self.remove_if_finished(destination_id, number);
     }
 
-    /// Forgets an event of which nothing more is expected, and lets the next one of its order key
-    /// go.
-    pub(super) fn forget_if_finished(&mut self, id: DestinationId, number: EventNumber) {
+    /// Removes an event if it is finished, and unblocks the next event of its order key.
+    pub(super) fn remove_if_finished(&mut self, id: DestinationId, number: EventNumber) {
         let destination = self
             .destinations
             .get_mut(&id)
@@ -94,7 +94,7 @@
         self.event_locations.remove(&event.id);
         self.changed.insert(id);
         if let Some(order_key) = event.order_key {
-            self.leave_key_queue(order_key, number);
+            self.remove_from_key_queue(order_key, number);
         }
     }
 }
--- a/decisions/src/scheduler/context.rs
+++ b/decisions/src/scheduler/context.rs
@@ -1,5 +1,5 @@
-//! What the decisions about one destination read besides it: the configuration, the time, the
-//! random source and what all destinations together have shown.
+//! Shared inputs of the decisions about one destination: the configuration, the time, the random
+//! source and the statistics over all destinations.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -10,31 +10,31 @@
 use crate::interface::{DecisionConfig, Ms};
 use crate::state::{DecayingSum, EventNumber, KindStatistics, ResponseTimes};
 
-/// Owned by the scheduler and handed to each destination's decisions. The order of the fields is
-/// the form of a hot restart.
+/// Owned by the scheduler and passed to the decisions about each destination. The order of the
+/// fields is part of the hot restart format.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct Context {
     #[serde(skip)]
     pub(super) config: DecisionConfig,
     pub(super) started_at: Ms,
     pub(super) now: Ms,
-    /// Random numbers drawn so far.
+    /// Number of random numbers drawn so far.
     draws: u64,
-    /// Of all destinations.
+    /// Response times of all destinations.
     pub(super) response_times: ResponseTimes,
     /// Calls over connections that had been idle.
     pub(super) reused_calls: DecayingSum,
-    /// Those of them that were lost.
+    /// Calls over connections that had been idle, and that were lost.
     pub(super) lost_reused_calls: DecayingSum,
-    /// Until then idle connections are closed everywhere.
+    /// The time until which idle connections to all destinations are closed.
     pub(super) closes_idle_until: Ms,
-    /// By destination kind.
+    /// Statistics by destination kind.
     pub(super) kind_statistics: Vec<KindStatistics>,
-    /// By member: events accepted inside its quota.
+    /// Events accepted within its quota, by member.
     pub(super) member_usage: Vec<DecayingSum>,
 }
 
-/// What a random number is for. Each purpose has its own id in the random source.
+/// The purpose of a random number. Each purpose has its own id in the random source.
 pub(super) enum Draw {
     HealthCheckInterval,
     CallAssessment,
@@ -78,8 +78,8 @@
         self.config = config;
     }
 
-    /// A random number from 0 to 1. The same inputs draw the same numbers: the hash of the seed,
-    /// the instance, the purpose and the count of draws.
+    /// Returns a random number from 0 to 1: the hash of the seed, the instance, the purpose and the
+    /// number of draws, so that the same inputs draw the same numbers.
     pub(super) fn draw(&mut self, draw: Draw) -> f64 {
         self.draws += 1;
         let mut hasher = DefaultHasher::new();
@@ -93,9 +93,8 @@
         (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The time that a response takes at all destinations. A second, until anything has been
-    /// answered.
-    pub(super) fn common_response_time(&self) -> Ms {
+    /// Returns the mean response time over all destinations; one second before the first response.
+    pub(super) fn mean_response_time(&self) -> Ms {
         let total_time = self
             .response_times
             .total_time(self.now, RESPONSE_TIME_WINDOW);
@@ -104,7 +103,7 @@
     }
 }
 
-/// A factor of a quarter either way, so that attempts that failed together do not come again
+/// Returns a factor from 0.75 to 1.25, so that attempts that failed together are not retried
 /// together. `random` is from 0 to 1.
 pub(super) fn jitter(random: f64) -> f64 {
     0.75 + 0.5 * random
--- a/decisions/src/scheduler/deadlines.rs
+++ b/decisions/src/scheduler/deadlines.rs
@@ -1,16 +1,17 @@
-//! Until when an event may be attempted: its deadline, its number of attempts, and the time for
-//! which its target recognizes a repeat.
+//! Limits on the attempts of an event: its deadline, its maximum number of attempts, and the time
+//! for which its target detects a repeat.
 
 use super::context::Context;
 use crate::interface::{Idempotency, Ms};
 use crate::state::PendingEvent;
 
-/// A queued event is completed so long before its deadline that the answer is in time.
+/// Time before its deadline at which a queued event is completed, so that the answer arrives in
+/// time.
 const DEADLINE_MARGIN: Ms = 30.0;
 
 impl Context {
-    /// When the event may no longer be attempted because it may have run, or has had all its
-    /// attempts. In the past if that is so already.
+    /// Returns the time from which the event may no longer be attempted, because it may have run or
+    /// has used up its attempts. Negative infinity if that is already the case.
     pub(super) fn retries_end(&self, event: &PendingEvent) -> Ms {
         if event.attempts >= self.config.max_attempts {
             return f64::NEG_INFINITY;
@@ -22,8 +23,8 @@
         self.deduplication_ends(event)
     }
 
-    /// When the destination forgets the fingerprint of an event that may have run. Infinite for
-    /// every other event. A repeat after that could run a second time.
+    /// Returns the end of the deduplication window of an event that may have run, after which a
+    /// repeat could run a second time. Infinite for every other event.
     pub(super) fn deduplication_ends(&self, event: &PendingEvent) -> Ms {
         match (event.may_have_run, self.idempotency(event)) {
             (Some(execution), Idempotency::Deduplicated { window, .. }) => {
@@ -33,15 +34,15 @@
         }
     }
 
-    /// When a queued event is completed without a delivery.
+    /// Returns the time at which a queued event is completed without delivery.
     pub(super) fn completion_due_at(&self, event: &PendingEvent) -> Ms {
         self.retries_end(event)
             .min(event.deadline - DEADLINE_MARGIN)
     }
 
-    /// Whether a queued event is to be completed now: no further attempt is possible, or its
-    /// deadline is near.
-    pub(super) fn is_hopeless(&self, event: &PendingEvent) -> bool {
+    /// Returns whether a queued event is to be completed now, because no further attempt is
+    /// possible or its deadline is near.
+    pub(super) fn is_undeliverable(&self, event: &PendingEvent) -> bool {
         let next_attempt_at = self.now.max(event.not_before);
         next_attempt_at >= self.retries_end(event) || self.now >= event.deadline - DEADLINE_MARGIN
     }
--- a/decisions/src/scheduler/dispatch.rs
+++ b/decisions/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! One call: what it carries, how long it may take, and what is noted of it when it is sent.
+//! Dispatch of one call: its events, its timeout, and the records kept of it.
 
 use super::context::Context;
 use super::fair_queueing::SendOptions;
@@ -12,29 +12,30 @@
     CallNumber, Destination, EventNumber, InFlightCall, LaneTarget, OrderedFloat, TargetLane,
 };
 
-/// The weight of each further event of a call, against the call's first: the wire says only that it
-/// is a little.
+/// Weight of each further event of a call, relative to the call's first event. The protocol only
+/// specifies that it is small.
 const EXTRA_EVENT_WEIGHT: f64 = 0.25;
 
-/// A call is given this multiple of a usual response time: few responses take longer.
+/// Call timeout as a multiple of the usual response time: few responses take longer.
 const CALL_TIMEOUT_FACTOR: f64 = 6.0;
 
-/// No call is given longer, but for the doubled time of a non-idempotent event.
+/// Upper bound of the call timeout, which is doubled for a non-idempotent event.
 const MAX_CALL_TIMEOUT: Ms = 8000.0;
 
 impl Scheduler {
-    /// The process ends at the time `ends`. A call in flight then may have run, so that none is
-    /// sent in the last moments.
+    /// Prepares for the end of the process at the time `ends`. A call that is in flight at that
+    /// time may have run, so no call is sent shortly before it.
     pub fn begin_shutdown(&mut self, ends: Ms) {
         self.last_send_at = OrderedFloat(ends - MAX_MIN_CALL_TIMEOUT);
     }
 
-    /// One call to the destination whose turn it is, with as many of its events as a call takes.
+    /// Sends one call to the destination that has the turn, with as many of its events as a call
+    /// can carry.
     pub(super) fn send_next_call(&mut self, id: DestinationId, effects: &mut impl Effects) {
         let destination = self
             .destinations
             .get_mut(&id)
-            .expect("a ready destination is there");
+            .expect("a ready destination exists");
         let context = &mut self.context;
         let options = destination.send_options(context, &self.key_queues);
         let Some(&first_event) = options.events.first() else {
@@ -53,7 +54,7 @@
 }
 
 impl Destination {
-    /// The events that share a call to the target, in the order of acceptance.
+    /// Returns the events that share a call to the target, in the order of acceptance.
     fn events_for_call(
         &self,
         context: &Context,
@@ -64,7 +65,7 @@
             .max_events_per_call
             .max(1);
         if self.lanes[chosen.lane].is_warming_up(context) {
-            // As many as weigh twice a call with one event.
+            // Limits the call to twice the weight of a call with one event.
             max_events = max_events.min(1 + (1.0 / EXTRA_EVENT_WEIGHT) as usize);
         }
         let target = self.target_at(chosen);
@@ -94,7 +95,7 @@
             event.call = Some(call);
             event.attempts += 1;
             event.restored_unattempted = false;
-            // A non-idempotent event cannot be retried: it is given twice the time.
+            // A non-idempotent event cannot be retried, so its timeout is doubled.
             let is_non_idempotent = context.idempotency(event) == Idempotency::NonIdempotent;
             let factor = if is_non_idempotent { 2.0 } else { 1.0 };
             let timeout = (factor * call_timeout).min(event.deadline - context.now);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Notes a call that was just sent for its target, its lane and the destination.
+    /// Records a call that was just sent in the statistics of its target, lane and destination.
     fn record_call(
         &mut self,
         context: &Context,
@@ -147,11 +148,11 @@
 }
 
 impl Context {
-    /// The shortest time that a call is given. Where calls are over in 20 ms, a call without a
-    /// response must not stay in flight for seconds. Of the responses that came, one in three
-    /// hundred took over eight times the common one; with 15, peers that fell silent at every
-    /// thirtieth call took half of the calls in flight.
+    /// Returns the minimum call timeout. Where calls end within 20 ms, a call without a response
+    /// must not stay in flight for seconds. Of the responses that arrived, one in three hundred
+    /// took more than eight times the mean; with a factor of 15, peers that did not respond to
+    /// every thirtieth call occupied half of the calls in flight.
     pub(super) fn min_call_timeout(&self) -> Ms {
-        (8.0 * self.common_response_time()).min(MAX_MIN_CALL_TIMEOUT)
+        (8.0 * self.mean_response_time()).min(MAX_MIN_CALL_TIMEOUT)
     }
 }
--- a/decisions/src/scheduler/endpoints.rs
+++ b/decisions/src/scheduler/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which targets a destination has, and what the list says of them.
+//! Endpoint list: the targets of each destination and their listed states.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,8 @@
 use crate::state::{Destination, Target, TargetLane};
 
 impl Scheduler {
-    /// A complete endpoint list follows: every target that it does not name is removed.
+    /// Marks every target as removed. The host then passes the new, complete endpoint list, which
+    /// lists the remaining targets again.
     pub fn on_endpoint_list_replaced(&mut self) {
         for (&id, destination) in &mut self.destinations {
             for lane in &mut destination.lanes {
@@ -20,7 +21,8 @@
         }
     }
 
-    /// What the endpoint list, or an operator, says now of a target that was listed before.
+    /// Sets the state of a target that was listed before, as reported by the endpoint list or an
+    /// operator.
     pub fn set_endpoint_state(&mut self, id: &TargetId, state: EndpointState) {
         let Some(&destination_id) = self.destination_of_target.get(id) else {
             return;
@@ -33,9 +35,9 @@
         self.changed.insert(destination_id);
     }
 
-    /// The endpoint list names a target. A target that is known already keeps its health; a new one
-    /// shares the lane of the others, or has a lane of its own where the kind's routes are
-    /// independent.
+    /// Adds or updates a target of the endpoint list. A known target keeps its health; a new one
+    /// joins the lane of the destination's other targets, or gets a lane of its own if the kind's
+    /// routes are independent.
     ///
     /// # Panics
     ///
@@ -68,15 +70,15 @@
         lane.targets.push(Target::new(id, zone, state));
     }
 
-    /// The endpoint list says how many calls a second the destination takes from all forwarders
-    /// together.
+    /// Sets the rate, in calls per second, that the destination accepts from all forwarders
+    /// together according to the endpoint list.
     pub fn set_advertised_rate(&mut self, destination: DestinationId, calls_per_second: f64) {
         let destination = self.destinations.entry(destination).or_default();
         destination.advertised_rate = calls_per_second.max(0.0);
     }
 
-    /// The target was restarted and serves again: its failures before that say nothing, and what is
-    /// new to it has to warm up.
+    /// Handles the restart of a target that serves again: its earlier failures are discarded, and
+    /// its lane has to warm up.
     pub fn on_target_restarted(&mut self, id: &TargetId) {
         let Some(destination_id) = self.destination_of_target.get(id) else {
             return;
@@ -98,9 +100,9 @@
 }
 
 impl Destination {
-    /// Forgets removed targets with their last call, health check, retry-after and warm-up: a
-    /// target that comes back under its id before that is still waited for.
-    pub(super) fn forget_removed_targets(
+    /// Drops removed targets once their last call, health check, retry-after and warm-up have
+    /// ended. A target that is listed again under its id before that keeps its state.
+    pub(super) fn drop_removed_targets(
         &mut self,
         context: &Context,
         destination_of_target: &mut HashMap<TargetId, DestinationId>,
@@ -111,7 +113,7 @@
                 let is_needed = target.state != EndpointState::Removed
                     || target.calls_in_flight > 0
                     || !is_idle;
-                // A target without an entry in the map stays: nothing leads to it any more.
+                // A target without an entry in the map is kept: no lookup leads to it any longer.
                 is_needed || destination_of_target.remove(&target.id).is_none()
             });
         }
@@ -120,7 +122,7 @@
 }
 
 impl TargetLane {
-    /// Nothing is in flight, and no retry-after or warm-up has still to be kept.
+    /// Returns whether nothing is in flight and no retry-after or warm-up is still in effect.
     fn is_idle(&self, context: &Context) -> bool {
         let in_flight = self.health_check_in_flight || self.has_calls_in_flight();
         !in_flight && self.retry_after_ends <= context.now && !self.is_warming_up(context)
--- a/decisions/src/scheduler/fair_queueing.rs
+++ b/decisions/src/scheduler/fair_queueing.rs
@@ -1,9 +1,10 @@
-//! Fair queueing: which destination has the next turn, and which of its events can go to which
-//! targets.
+//! Fair queueing: determines the destination with the next turn, and which of its events can be
+//! sent to which targets.
 //!
-//! Each destination stands in three ordered sets of the scheduler: `due` by when something is due,
-//! `ready` by whose turn it is, `backlogs` by how much waits. The destination keeps the entries it
-//! has there, so that they are found again when it is filed anew.
+//! The scheduler indexes each destination in up to three ordered sets: `due` by the time of its
+//! next action, `ready` by its rank for the next turn, and `backlogs` by its queued events. The
+//! destination stores its own index entry, so that the old entry can be found when the destination
+//! is reindexed.
 
 use std::collections::HashMap;
 
@@ -15,24 +16,25 @@
     BacklogRank, Destination, EventNumber, IndexEntry, KeyQueue, LaneTarget, OrderedFloat, TurnRank,
 };
 
-/// What a destination could send.
+/// The events that a destination can send, and the targets that accept a call.
 pub(super) struct SendOptions {
-    /// The events that can go now, in the order of acceptance.
+    /// The events that can be sent now, in the order of acceptance.
     pub(super) events: Vec<EventNumber>,
-    /// The targets that take a call now. Not every event may go to each.
+    /// The targets that accept a call now. Not every event may be sent to each of them.
     pub(super) targets: Vec<LaneTarget>,
-    /// When the next event can go, or the next target takes a call that an event waits for.
+    /// The time at which the next event can be sent, or the next lane accepts a call that an event
+    /// waits for.
     pub(super) next_send_at: Ms,
 }
 
 impl Scheduler {
-    /// Sends calls while calls in flight are below their limit, one for each turn of a destination.
-    /// The destination with the fewest calls in flight is next, and of two alike the one whose last
-    /// call is longer ago.
+    /// Sends calls while the number of calls in flight is below its limit, one for each turn of a
+    /// destination. The destination with the fewest calls in flight is next; on a tie, the one
+    /// whose last call is longest ago.
     ///
-    /// Destinations in doubt come last and have half of the limit at most, so that the other half
-    /// is kept for destinations that answer. That guards against all that pins calls; where most
-    /// destinations are slow and the limit would have sufficed it does harm.
+    /// Destinations in doubt come last and get at most half of the limit, so that the other half is
+    /// reserved for destinations that answer. This guards against every fault that keeps calls in
+    /// flight; it is harmful where most destinations are slow and the limit would have sufficed.
     pub(super) fn send_calls(&mut self, effects: &mut impl Effects) {
         let max_calls = self.context.config.max_calls_in_flight;
         while self.calls_in_flight < max_calls && self.context.now < self.last_send_at.0 {
@@ -43,21 +45,21 @@
                 return;
             }
             self.send_next_call(destination, effects);
-            self.refile(destination);
+            self.reindex(destination);
         }
     }
 
-    /// Enters a destination anew in the index, or forgets one that has been unused for a while:
-    /// memory is bounded by what is pending and listed.
-    pub(super) fn refile(&mut self, id: DestinationId) {
+    /// Updates a destination's index entry, or removes a destination that has been unused for some
+    /// time, so that memory is bounded by the pending events and the listed targets.
+    pub(super) fn reindex(&mut self, id: DestinationId) {
         self.remove_from_index(id);
         let Some(destination) = self.destinations.get_mut(&id) else {
             return;
         };
         destination.update_unused_since(self.context.now);
         if destination
-            .forgotten_at()
-            .is_some_and(|forgotten_at| forgotten_at <= self.context.now)
+            .removal_due_at()
+            .is_some_and(|removal_due_at| removal_due_at <= self.context.now)
         {
             self.destinations.remove(&id);
             return;
@@ -98,9 +100,9 @@
         };
     }
 
-    /// When a destination without events and targets is forgotten: its next targets may be on the
-    /// way.
-    fn forgotten_at(&self) -> Option<Ms> {
+    /// Returns the time at which a destination without events and targets is removed. The delay
+    /// allows for targets that are yet to be listed.
+    fn removal_due_at(&self) -> Option<Ms> {
         self.unused_since.map(|since| since + USUAL_TRAFFIC_WINDOW)
     }
 
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Which events can go now and to which targets, or when that changes.
+    /// Returns the events that can be sent now and the targets that accept a call, with the time at
+    /// which that changes.
     pub(super) fn send_options(
         &self,
         context: &Context,
@@ -193,7 +196,7 @@
         }
     }
 
-    /// When the lane takes its next call.
+    /// Returns the time at which the lane accepts its next call.
     fn lane_opens_at(&self, context: &Context, lane_index: usize) -> Ms {
         let lane = &self.lanes[lane_index];
         if lane.is_offline {
@@ -206,8 +209,9 @@
         }
     }
 
-    /// When something other than a call is due: the end of an event, a health check, the closing of
-    /// an idle connection, the end of a deduplication window, or the end of an unused destination.
+    /// Returns the time of the next due action other than a call: the completion of an event, a
+    /// health check, the closing of an idle connection, the end of a deduplication window, or the
+    /// removal of an unused destination.
     fn next_review_at(&self, context: &Context) -> Ms {
         let mut next = f64::INFINITY;
         for event in self.events.values() {
@@ -215,9 +219,9 @@
                 next = next.min(context.completion_due_at(event));
             }
             if event.call.is_some() {
-                let lapses_at = context.deduplication_ends(event);
-                if lapses_at > context.now {
-                    next = next.min(lapses_at);
+                let window_ends_at = context.deduplication_ends(event);
+                if window_ends_at > context.now {
+                    next = next.min(window_ends_at);
                 }
             }
         }
@@ -228,8 +232,8 @@
         if let Some(closes_at) = self.next_idle_connection_closes_at(context) {
             next = next.min(closes_at);
         }
-        if let Some(forgotten_at) = self.forgotten_at() {
-            next = next.min(forgotten_at);
+        if let Some(removal_due_at) = self.removal_due_at() {
+            next = next.min(removal_due_at);
         }
         next
     }
--- a/decisions/src/scheduler/health_checks.rs
+++ b/decisions/src/scheduler/health_checks.rs
@@ -1,5 +1,5 @@
-//! Health checks of offline lanes, and the trial calls that stand in for them where they are not
-//! allowed.
+//! Health checks of offline lanes, and the trial calls that replace them where health checks are
+//! not allowed.
 
 use super::context::{jitter, Context, Draw};
 use super::tuning::HEALTH_CHECK_INTERVAL;
@@ -8,11 +8,12 @@
 use crate::state::{Destination, TargetLane};
 
 impl Scheduler {
-    /// A health check of the target has ended.
+    /// Handles the end of a health check of the target.
     ///
     /// # Errors
     ///
-    /// [`UnknownId`] if the target was never listed, or is forgotten.
+    /// [`UnknownId`] if the target was never listed, or has been dropped after its removal from the
+    /// list.
     pub fn on_health_check_ended(
         &mut self,
         target: &TargetId,
@@ -29,8 +30,8 @@
             .expect("a target that is mapped to a destination is in it");
         let context = &mut self.context;
         let interval = destination.health_check_interval(context, lane_index);
-        // The fleet learns of a return within one interval: its first calls are spread over the
-        // spacing of a lane that is warming up.
+        // The entire fleet detects a recovery within one interval, so the first calls are spread
+        // over the call spacing of a lane that is warming up.
         let spacing = destination.call_spacing(context, lane_index);
         let first_call_delay = spacing * context.draw(Draw::FirstCallAfterHealthCheck);
         let now = context.now;
@@ -42,7 +43,7 @@
                 lane.next_call_at = lane
                     .next_call_at
                     .max(now + first_call_delay.min(2.0 * interval));
-                lane.release(now);
+                lane.mark_online(now);
             }
             AttemptOutcome::Error
             | AttemptOutcome::TimedOut
@@ -57,7 +58,7 @@
 }
 
 impl Destination {
-    /// Milliseconds between two calls to a lane at its rate limit; 0 without a limit.
+    /// Returns the milliseconds between two calls to a lane at its rate limit; 0 without a limit.
     pub(super) fn call_spacing(&self, context: &Context, lane_index: usize) -> Ms {
         match self.rate_limit(context, lane_index) {
             Some(calls_per_second) => 1000.0 / calls_per_second,
@@ -65,12 +66,14 @@
         }
     }
 
-    /// The time to the lane's next health check: a second, or as the warm-up budget asks, of which
-    /// half is for health checks and half for the calls that an answer lets go.
+    /// Returns the time until the lane's next health check: one second, or longer if the lane's
+    /// rate limit requires it. Half of that limit is for health checks and half for the calls that
+    /// follow an answered one.
     ///
-    /// Each forwarder learns of a return by its own health checks, so that the interval is two
-    /// thirds of a second at most for each root of the fleet's size. Half of that pushed small
-    /// destinations over; at a tenth of the fleet's size a forwarder learned of a return 10 s late.
+    /// Each forwarder detects a recovery by its own health checks, so the interval is at most two
+    /// thirds of a second times the square root of the fleet size, but at least a second. Half of
+    /// that overloaded small destinations; at a tenth of the fleet size, a forwarder detected a
+    /// recovery 10 s late.
     pub(super) fn health_check_interval(&self, context: &mut Context, lane_index: usize) -> Ms {
         let spacing = match self.rate_limit(context, lane_index) {
             Some(calls_per_second) => 2000.0 / calls_per_second,
@@ -83,8 +86,9 @@
 }
 
 impl TargetLane {
-    /// When the lane's next health check is due. Infinite unless the lane is offline with a running
-    /// target and no health check in flight, and events wait for it.
+    /// Returns the time at which the lane's next health check is due. Infinite unless health checks
+    /// are allowed, the lane is offline with a running target and no health check in flight, and
+    /// the destination has queued events.
     pub(super) fn health_check_due_at(&self, context: &Context, has_queued_events: bool) -> Ms {
         let is_wanted = has_queued_events
             && context.config.health_checks_allowed
@@ -98,8 +102,8 @@
         }
     }
 
-    /// When an offline lane takes a trial call: only where health checks are not allowed, and one
-    /// at a time.
+    /// Returns the time at which an offline lane accepts a trial call. Infinite where health checks
+    /// are allowed, or while a call to the lane is in flight.
     pub(super) fn trial_call_at(&self, context: &Context) -> Ms {
         if context.config.health_checks_allowed || self.has_calls_in_flight() {
             f64::INFINITY
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Sends a health check to a running target that is drawn at random.
+    /// Sends a health check to a randomly drawn running target.
     pub(super) fn send_health_check(&mut self, context: &mut Context, effects: &mut impl Effects) {
         let count = self.running_targets().count();
         let drawn = (context.draw(Draw::HealthCheckTarget) * count as f64) as usize;
--- a/decisions/src/scheduler/idle_connections.rs
+++ b/decisions/src/scheduler/idle_connections.rs
@@ -1,29 +1,30 @@
-//! Idle connections: when they are closed.
+//! Closing of idle connections.
 //!
-//! A target, or a box in between, may drop an idle connection without a word, and a call on it is
-//! lost. Targets may also run out of connections that idle forwarders keep open. In both cases idle
-//! connections are closed for a while. A mistake costs the price of new connections.
+//! A target or a middlebox may silently drop an idle connection, and a call on it is then lost.
+//! Targets may also run out of connections because idle forwarders keep theirs open. In both cases,
+//! idle connections are closed for some time. A wrong decision costs only the setup of new
+//! connections.
 
 use super::context::Context;
 use super::tuning::{CONNECTION_EVIDENCE_WINDOW, IDLE_CONNECTION_GRACE};
 use crate::interface::{AttemptOutcome, DestinationKindId, Ms};
 use crate::state::Destination;
 
-/// The time constant of calls over reused connections: long enough for several calls, short against
-/// a fault.
+/// Time constant of the statistics on calls over reused connections: long enough for several calls,
+/// short compared with the duration of a fault.
 const REUSED_CALLS_WINDOW: Ms = 5_000.0;
 
-/// Idle connections are closed for so long after calls on them were lost.
+/// Duration for which idle connections are closed after calls on them were lost.
 const CLOSING_TIME: Ms = 10_000.0;
 
 impl Context {
-    /// Counts a call by whether its connection had been idle, and whether the call was lost on it.
+    /// Counts a call over a connection that had been idle, and whether that call was lost.
     pub(super) fn assess_connection_reuse(&mut self, is_reused: bool, outcome: AttemptOutcome) {
         let now = self.now;
         let is_lost = matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset);
         let reused = if is_reused { 1.0 } else { 0.0 };
         let lost = if is_reused && is_lost { 1.0 } else { 0.0 };
-        // Nothing is added for other calls, but the sums are brought up to date by them.
+        // Other calls add zero, which only decays the sums to the current time.
         self.reused_calls.add(now, REUSED_CALLS_WINDOW, reused);
         self.lost_reused_calls.add(now, REUSED_CALLS_WINDOW, lost);
         if !is_reused {
@@ -36,19 +37,19 @@
         }
     }
 
-    /// Whether idle connections to destinations of the kind are closed now: calls on them were
-    /// lost, or new connections refused. Where forwarders crowd, half a refusal is presumed, up to
-    /// 100 deliveries.
+    /// Returns whether idle connections to destinations of the kind are closed now, because calls
+    /// on idle connections were lost or new connections were refused. For an oversubscribed
+    /// destination, half a refusal is presumed, which takes effect up to 100 deliveries.
     pub(super) fn closes_idle_connections(
         &self,
         kind: DestinationKindId,
-        is_crowded: bool,
+        is_oversubscribed: bool,
     ) -> bool {
         if self.now < self.closes_idle_until {
             return true;
         }
         let statistics = &self.kind_statistics[kind.0];
-        let presumed = if is_crowded { 0.5 } else { 0.0 };
+        let presumed = if is_oversubscribed { 0.5 } else { 0.0 };
         let refused = statistics
             .connect_failed
             .value(self.now, CONNECTION_EVIDENCE_WINDOW)
@@ -61,9 +62,9 @@
 }
 
 impl Destination {
-    /// Whether the fleet has more forwarders than twice the calls that the destination's targets
-    /// serve at once, by the advertised rate.
-    pub(super) fn is_crowded(&self, context: &Context) -> bool {
+    /// Returns whether the fleet has more forwarders than twice the number of calls that each of
+    /// the destination's targets serves concurrently, according to the advertised rate.
+    pub(super) fn is_oversubscribed(&self, context: &Context) -> bool {
         if self.advertised_rate <= 0.0 {
             return false;
         }
@@ -73,13 +74,14 @@
             .map(|lane| lane.running_targets().count())
             .sum();
         let rate_of_each = self.advertised_rate / running_targets.max(1) as f64;
-        let calls_at_once = rate_of_each * context.common_response_time() / 1000.0;
+        let calls_at_once = rate_of_each * context.mean_response_time() / 1000.0;
         context.config.forwarder_count > 2.0 * calls_at_once
     }
 
-    /// When the next idle connection is to be closed, if idle connections are closed now.
+    /// Returns the time at which the next idle connection is to be closed; `None` if idle
+    /// connections are not closed now.
     pub(super) fn next_idle_connection_closes_at(&self, context: &Context) -> Option<Ms> {
-        if !context.closes_idle_connections(self.kind, self.is_crowded(context)) {
+        if !context.closes_idle_connections(self.kind, self.is_oversubscribed(context)) {
             return None;
         }
         let targets = self.lanes.iter().flat_map(|lane| &lane.targets);
--- a/decisions/src/scheduler/key_order.rs
+++ b/decisions/src/scheduler/key_order.rs
@@ -1,16 +1,17 @@
-//! Order keys: events of one key go one at a time, in the order of acceptance, over all
-//! destinations.
+//! Order keys: events with the same key are attempted one at a time, in the order of acceptance,
+//! across all destinations.
 //!
-//! The next event of a key goes once the one before is finished. Where an attempt was cut short it
-//! may still be executing at the target; the key then cools down before the next event goes.
+//! The next event of a key may be attempted once the previous one is finished. An attempt that was
+//! cut short may still be executing at the target, so the key cools down before its next event is
+//! attempted.
 
 use super::Scheduler;
 use crate::interface::{Ms, OrderKey};
 use crate::state::{EventNumber, KeyCooldown, KeyQueue, PendingEvent};
 
 impl Scheduler {
-    /// Holds back the key's next events for as long as an attempt that was cut short may go on
-    /// executing.
+    /// Starts the key's cool-down, which delays its next events while an attempt that was cut short
+    /// may still be executing.
     pub(super) fn cool_down_key(&mut self, order_key: OrderKey) {
         self.cool_down_key_until(
             order_key,
@@ -34,13 +35,13 @@
             .key_cooldowns
             .pop_front_if(|cooldown| cooldown.ends <= now)
         {
-            self.forget_key_if_idle(cooldown.order_key);
+            self.remove_key_if_idle(cooldown.order_key);
         }
     }
 
-    /// Takes a finished event out of its key's queue; the destination of the key's next event may
-    /// send.
-    pub(super) fn leave_key_queue(&mut self, order_key: OrderKey, number: EventNumber) {
+    /// Removes a finished event from its key's queue and marks the destination of the key's next
+    /// event as changed, because that event may now be sent.
+    pub(super) fn remove_from_key_queue(&mut self, order_key: OrderKey, number: EventNumber) {
         let queue = self
             .key_queues
             .get_mut(&order_key)
@@ -49,10 +50,10 @@
         if let Some(next) = queue.events.front() {
             self.changed.insert(next.destination);
         }
-        self.forget_key_if_idle(order_key);
+        self.remove_key_if_idle(order_key);
     }
 
-    fn forget_key_if_idle(&mut self, order_key: OrderKey) {
+    fn remove_key_if_idle(&mut self, order_key: OrderKey) {
         let Some(queue) = self.key_queues.get(&order_key) else {
             return;
         };
@@ -63,15 +64,15 @@
 }
 
 impl KeyQueue {
-    /// Whether an earlier event of the key is still unfinished.
+    /// Returns whether an earlier event of the key is still unfinished.
     pub(super) fn is_blocked_for(&self, number: EventNumber) -> bool {
         self.events
             .front()
             .is_some_and(|first| first.number != number)
     }
 
-    /// The end of the cool-down for an event at the head of the queue. A cool-down holds back the
-    /// events behind the one that was cut short, not that event's own retry.
+    /// Returns the end of the cool-down for an event at the head of the queue. A cool-down delays
+    /// the events behind the one whose attempt was cut short, not that event's own retry.
     pub(super) fn cooldown_for(&self, event: &PendingEvent) -> Ms {
         if event.attempts > 0 {
             0.0
--- a/decisions/src/scheduler/load_shedding.rs
+++ b/decisions/src/scheduler/load_shedding.rs
@@ -1,4 +1,5 @@
-//! Load shedding: which events make way when the event store fills.
+//! Load shedding: selects the events that are completed without delivery when the event store is
+//! nearly full.
 
 use std::cmp::Reverse;
 
@@ -7,23 +8,23 @@
 use crate::interface::{DestinationId, Effects};
 use crate::state::{EventNumber, OrderedFloat, PendingEvent};
 
-/// The share of the event store that may fill before events make way: the tenth that is left takes
-/// in a burst.
+/// Share of the event store that may be filled before events are shed; the remaining tenth absorbs
+/// bursts.
 const HIGH_WATERMARK: f64 = 0.9;
 
 impl Scheduler {
-    /// Completes queued events until the event store is below its high watermark, so that events
-    /// for destinations that work are not rejected for lack of capacity.
+    /// Completes queued events until the event store is no longer above its high watermark, so that
+    /// events for healthy destinations are not rejected for lack of capacity.
     ///
-    /// Victims come from the destination with the longest blocked backlog first, and among its
-    /// events the one with the lowest value first, newest first on a tie. Events that a restart
-    /// found accepted and that were never attempted are exempt: their clients hold a 202. Events
-    /// that only wait for an acknowledgement take no capacity; counted in, one too many would have
-    /// all queued events make way.
+    /// Victims are taken from the destination with the longest blocked backlog first and, among its
+    /// events, by lowest value first, newest first on a tie. Events that were restored after a
+    /// restart and have never been attempted are exempt: their clients have received a 202. Events
+    /// that only wait for an acknowledgement use no capacity; if they were counted, one event too
+    /// many would cause all queued events to be shed.
     pub(super) fn shed_load(&mut self, effects: &mut impl Effects) {
         if self.is_above_high_watermark() {
             for destination in self.changed.iter().copied().collect::<Vec<_>>() {
-                self.refile(destination);
+                self.reindex(destination);
             }
         }
         while self.is_above_high_watermark() {
@@ -31,7 +32,7 @@
                 return;
             };
             self.complete(destination, event, effects);
-            self.refile(destination);
+            self.reindex(destination);
         }
     }
 
@@ -57,7 +58,8 @@
 }
 
 impl Context {
-    /// The value of a delivery now. It falls from the latency target to the deadline.
+    /// Returns the value of a delivery now. The value declines from the latency target to the
+    /// deadline.
     fn value_if_delivered_now(&self, event: &PendingEvent) -> f64 {
         let traffic_type = &self.config.traffic_types[event.traffic_type.0];
         let age = self.now - (event.deadline - traffic_type.patience);
--- a/decisions/src/scheduler/recovery.rs
+++ b/decisions/src/scheduler/recovery.rs
@@ -1,6 +1,6 @@
-//! What happened before this process: attempts of an earlier process, and of another forwarder
-//! whose events this one took over. The host restores them from its event log, right after it
-//! accepts the events anew.
+//! Recovery of earlier attempts: those of an earlier process, and those of another forwarder whose
+//! events this one took over. The host restores them from its event log, right after it accepts the
+//! events again.
 
 use super::context::Draw;
 use super::Scheduler;
@@ -8,9 +8,10 @@
 use crate::state::{PossibleExecution, RecordedRate};
 
 impl Scheduler {
-    /// What an earlier process did for an event that was just accepted anew: its attempts, and when
-    /// and in which zone the first one was made that may have run. `was_in_flight`: the last
-    /// attempt has no known outcome and may have run, so that the event's order key cools down.
+    /// Restores the attempts that an earlier process made for an event that was just accepted
+    /// again: their number, and the time and zone of the first one that may have run.
+    /// `was_in_flight` is true if the last attempt has no known outcome and may have run; the
+    /// event's order key then cools down.
     pub fn restore_attempts(
         &mut self,
         id: &EventId,
@@ -30,8 +31,8 @@
         }
     }
 
-    /// The event was completed by an earlier process, and its notification may not have been
-    /// acknowledged.
+    /// Restores an event that an earlier process completed, and whose notification may not have
+    /// been acknowledged.
     pub fn restore_completed(&mut self, id: &EventId) {
         self.update_event(id, |event| {
             event.is_complete = true;
@@ -39,9 +40,9 @@
         });
     }
 
-    /// An earlier process recorded that the target's lane warms up since the time `since`, and that
-    /// `usual_rate` calls a second usually go there: the backlog must not push over a destination
-    /// that comes back.
+    /// Restores a warm-up that an earlier process recorded: the target's lane has been warming up
+    /// since the time `since`, and its usual rate is `usual_rate` calls per second. Otherwise, the
+    /// backlog could overload a destination that is recovering.
     pub fn restore_warm_up(&mut self, target: &TargetId, since: Ms, usual_rate: f64) {
         let Some(destination_id) = self.destination_of_target.get(target) else {
             return;
@@ -58,17 +59,17 @@
             calls_per_second: usual_rate,
             recorded_at: context.now,
         };
-        // Many forwarders restart together: their first calls are spread as those after a health
-        // check.
+        // Many forwarders restart together, so their first calls are spread like those after a
+        // health check.
         let spacing = destination.call_spacing(context, lane_index);
         let spread = spacing.min(destination.health_check_interval(context, lane_index));
         let first_call_delay = spread * context.draw(Draw::FirstCallAfterRestart);
         destination.lanes[lane_index].next_call_at = context.now + first_call_delay;
     }
 
-    /// A call of the event, made by the forwarder that owned the event before, may be in flight
-    /// until then. Neither the event nor the next one of its order key is attempted before; an
-    /// event that may not be retried is completed at once, as after a restart.
+    /// Defers an event because a call by the forwarder that owned it before may be in flight until
+    /// `until`. Neither the event nor the next one of its order key is attempted before that time.
+    /// An event that may not be retried is completed at once, as after a restart.
     pub fn defer_for_remote_attempt(&mut self, id: &EventId, until: Ms) {
         let mut order_key = None;
         self.update_event(id, |event| {
@@ -80,9 +81,10 @@
         }
     }
 
-    /// The event was accepted and attempted at another forwarder too. One id is one event: the
-    /// attempts add up, and the first that may have run counts. With a call in flight the event
-    /// waits for its outcome; otherwise what follows is decided in this iteration.
+    /// Merges the attempts of an event that another forwarder accepted and attempted as well. An id
+    /// identifies one event: the attempts are added up, and the earliest one that may have run
+    /// counts. While a call is in flight, the event waits for its outcome; otherwise, the next step
+    /// is decided in this iteration.
     pub fn merge_remote_attempts(
         &mut self,
         id: &EventId,
@@ -107,7 +109,7 @@
 }
 
 impl PossibleExecution {
-    /// The earlier of the two; this one, if both were sent at the same time.
+    /// Returns the earlier of the two, or `self` if both were sent at the same time.
     fn earlier_of(self, other: PossibleExecution) -> PossibleExecution {
         if other.sent_at.total_cmp(&self.sent_at).is_lt() {
             other
--- a/decisions/src/scheduler/target_health.rs
+++ b/decisions/src/scheduler/target_health.rs
@@ -1,44 +1,45 @@
-//! The health of targets and lanes: ejection of one target, and lanes that go offline and come
-//! back.
+//! Health of targets and lanes: ejection of single targets, and lanes that go offline and come back
+//! online.
 //!
-//! A target that failed is ejected for a while: the others of its lane are preferred. A lane that
-//! failed twice in a row goes offline: its queue is parked until a health check, or a trial call
-//! where health checks are not allowed, is answered.
+//! A target that failed is ejected for some time, in which the other targets of its lane are
+//! preferred. A lane that failed twice in a row goes offline: its events stay queued until a health
+//! check is answered, or a trial call where health checks are not allowed.
 
 use super::context::Context;
 use super::tuning::{IDLE_CONNECTION_GRACE, RESPONSE_TIME_WINDOW};
 use crate::interface::{AttemptOutcome, Effects, Ms, TargetId};
 use crate::state::{Destination, RecordedRate, Target, TargetLane};
 
-/// So many failures in a row take a lane offline.
+/// Number of consecutive failures that take a lane offline.
 const OFFLINE_AFTER_FAILURES: i32 = 2;
 
-/// The ejection of a target after its first failure. It doubles with each further one, up to a
-/// bound.
+/// Duration of a target's ejection after its first failure. It doubles with each further
+/// consecutive failure, up to a bound.
 const EJECTION_AFTER_FAILURE: Ms = 500.0;
 
-/// The ejection after a refused connection. Refusals last: past the backoff of an event that met
-/// one; half a second did not do.
+/// Duration of the first ejection after a refused connection. Refusals usually persist, so the
+/// ejection is longer than the backoff of an event that met one; half a second was too short.
 const EJECTION_AFTER_CONNECT_FAILURE: Ms = 2000.0;
 
-/// Failures in a row that still lengthen an ejection.
+/// Number of consecutive failures up to which the ejection is lengthened.
 const MAX_EJECTION_FAILURES: i32 = 5;
 
 impl Destination {
-    /// What is due at the lanes: warm-ups to record, idle connections to close, unsent calls to
-    /// cancel, health checks to send.
+    /// Carries out the due actions of the lanes: records warm-ups, closes idle connections, cancels
+    /// unsent calls and sends health checks.
     pub(super) fn review_lanes(&mut self, context: &mut Context, effects: &mut impl Effects) {
         let now = context.now;
-        let closes_idle = context.closes_idle_connections(self.kind, self.is_crowded(context));
+        let closes_idle =
+            context.closes_idle_connections(self.kind, self.is_oversubscribed(context));
         let has_queued_events = self.queued_event_count() > 0;
         let usual_rate = self.usual_rate(context);
-        let lapsed_targets = self.targets_of_lapsed_attempts(context);
+        let expired_targets = self.targets_past_deduplication_window(context);
         for lane in &mut self.lanes {
             let last_recorded = lane.recorded_warm_up;
             let unrecorded = lane.take_unrecorded_warm_up();
             if let Some(since) = unrecorded {
-                // What went there before the outage is what the lane can take: in an outage little
-                // goes, and much comes again.
+                // The traffic before the outage shows the lane's capacity: during an outage few
+                // calls are sent, and many events are submitted again.
                 let is_new_outage =
                     last_recorded == 0.0 || since - last_recorded > context.config.warm_up_duration;
                 if is_new_outage {
@@ -61,11 +62,11 @@
                     target.idle_since = None;
                     effects.close_idle_connections(&target.id);
                 }
-                // A call that waits for its connection could be written after the target's grace
-                // period, after the deduplication window or inside a retry-after.
+                // Otherwise, a call that waits for its connection could be written after the
+                // target's grace period, after the deduplication window or during a retry-after.
                 let is_too_late = !target.is_running()
                     || lane.retry_after_ends > now
-                    || lapsed_targets.contains(&target.id);
+                    || expired_targets.contains(&target.id);
                 if is_too_late && (target.calls_in_flight > 0 || lane.health_check_in_flight) {
                     effects.cancel_unsent(&target.id);
                 }
@@ -76,36 +77,38 @@
         }
     }
 
-    /// The targets of calls with an event whose deduplication window has ended.
-    fn targets_of_lapsed_attempts(&self, context: &Context) -> Vec<TargetId> {
-        let lapsed = self
+    /// Returns the targets of calls in flight that carry an event whose deduplication window has
+    /// ended.
+    fn targets_past_deduplication_window(&self, context: &Context) -> Vec<TargetId> {
+        let expired = self
             .events
             .values()
             .filter(|event| context.deduplication_ends(event) <= context.now);
-        let calls = lapsed.filter_map(|event| event.call);
+        let calls = expired.filter_map(|event| event.call);
         calls.map(|call| self.calls[&call].target.clone()).collect()
     }
 }
 
 impl TargetLane {
-    /// The time that a response of the lane usually takes. Its own responses outweigh those of the
-    /// other lanes after two.
+    /// Returns the lane's usual response time. With more than two responses, the lane's own
+    /// response times outweigh the mean of all destinations.
     pub(super) fn usual_response_time(&self, context: &Context) -> Ms {
         let own_total_time = self
             .response_times
             .total_time(context.now, RESPONSE_TIME_WINDOW);
         let own_count = self.response_times.count(context.now, RESPONSE_TIME_WINDOW);
-        (own_total_time + 2.0 * context.common_response_time()) / (own_count + 2.0)
+        (own_total_time + 2.0 * context.mean_response_time()) / (own_count + 2.0)
     }
 
-    /// The lane failed last, or responds three times as slowly as is common.
+    /// Returns whether the lane has failed since its last answer, or its usual response time is
+    /// more than three times the mean of all destinations.
     pub(super) fn is_in_doubt(&self, context: &Context) -> bool {
-        let is_slow = self.usual_response_time(context) > 3.0 * context.common_response_time();
+        let is_slow = self.usual_response_time(context) > 3.0 * context.mean_response_time();
         self.consecutive_failures > 0 || is_slow
     }
 
-    /// Takes the lane offline if it has failed often enough: a health check goes at once, or a
-    /// trial call after `trial_delay`. Whatever was offline warms up when it returns.
+    /// Takes the lane offline if it has enough consecutive failures: a health check is due at once,
+    /// or a trial call after `trial_delay`. A lane that was offline warms up when it comes back.
     pub(super) fn go_offline_after_failures(&mut self, now: Ms, trial_delay: Ms) {
         if self.consecutive_failures < OFFLINE_AFTER_FAILURES {
             return;
@@ -118,10 +121,11 @@
         self.begin_warm_up(now);
     }
 
-    /// The lane answered: it is online and healthy.
-    pub(super) fn release(&mut self, now: Ms) {
+    /// Marks the lane as online and healthy after an answer.
+    pub(super) fn mark_online(&mut self, now: Ms) {
         if self.is_offline {
-            // The lane returned somewhere between the last bad sign and this answer.
+            // The lane came back at some time between its last failure and this answer; the middle
+            // is assumed.
             if let Some(since) = self.warming_up_since {
                 self.warming_up_since = Some(since.max(0.5 * (since + now)));
             }
@@ -133,7 +137,7 @@
 }
 
 impl Target {
-    /// Ejects the target after a failure, for a time that doubles with its failures in a row.
+    /// Ejects the target after a failure, for a time that doubles with each consecutive failure.
     pub(super) fn eject(&mut self, now: Ms, outcome: AttemptOutcome, jitter: f64) {
         self.consecutive_failures += 1;
         let is_connect_failure = outcome == AttemptOutcome::ConnectFailed;
@@ -146,7 +150,7 @@
         self.ejected_until = now + jitter * initial * f64::powi(2.0, doublings);
     }
 
-    /// One call to the target has ended with all its events.
+    /// Updates the target after a call to it has ended for all events of the call.
     pub(super) fn on_call_ended(&mut self, now: Ms) {
         self.calls_in_flight -= 1;
         self.idle_since = if self.calls_in_flight == 0 {
--- a/decisions/src/scheduler/target_selection.rs
+++ b/decisions/src/scheduler/target_selection.rs
@@ -1,12 +1,13 @@
-//! Which of the open targets a call goes to.
+//! Selection of the target of a call among the targets that accept one.
 
 use super::context::{Context, Draw};
 use crate::interface::{Effects, Ms};
 use crate::state::{Destination, EventNumber, LaneTarget, PendingEvent, Target};
 
 impl Context {
-    /// Whether an attempt of the event may go to the target. Where targets recognize repeats only
-    /// within a zone, an event that may have run stays in the zone of its first attempt.
+    /// Returns whether an attempt of the event may be sent to the target. Where targets detect
+    /// repeats only within a zone, an event that may have run stays in the zone of its first
+    /// attempt that may have run.
     pub(super) fn may_attempt(&self, event: &PendingEvent, target: &Target) -> bool {
         match event.may_have_run {
             Some(execution) if self.idempotency(event).retries_in_zone() => {
@@ -18,12 +19,12 @@
 }
 
 impl Destination {
-    /// The target for a call whose first event is given: the one that the host selects, or else the
-    /// better of two that are drawn at random (power of two choices).
+    /// Selects the target for a call whose first event is given: the one that the host selects, or
+    /// else the better of two randomly drawn targets (power of two choices).
     ///
     /// # Panics
     ///
-    /// If the event may go to none of the targets.
+    /// If the event may be sent to none of the targets.
     pub(super) fn select_target(
         &self,
         context: &mut Context,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The position of the better of two candidates that are drawn at random.
+    /// Returns the position of the better of two randomly drawn candidates.
     fn better_of_two(&self, context: &mut Context, candidates: &[LaneTarget]) -> usize {
         let count = candidates.len();
         let first = (context.draw(Draw::FirstCandidate) * count as f64) as usize;
@@ -63,8 +64,9 @@
 }
 
 impl Target {
-    /// The least is preferred: not ejected, then fewer calls in flight, then an idle connection, as
-    /// a new one has a price.
+    /// Returns the cost of selecting the target; the target with the lowest cost is preferred. A
+    /// target that is not ejected comes first, then one with fewer calls in flight, then one with
+    /// an idle connection, because opening a new one has a cost.
     fn selection_cost(&self, now: Ms) -> (bool, usize, bool) {
         (
             self.ejected_until > now,
--- a/decisions/src/scheduler/tuning.rs
+++ b/decisions/src/scheduler/tuning.rs
@@ -1,41 +1,41 @@
-//! Tuned values that several modules share, and the defaults of what deployments tune. A value that
-//! one module alone reads stands there.
+//! Tuned constants that several modules share, and the defaults of [`Tuning`]. A constant that only
+//! one module uses is in that module.
 
 use crate::interface::{AttemptOutcome, Ms, RetryBackoff, Tuning};
 
-/// The time constant of a destination's usual traffic: long enough to know it, short against the
-/// length of a busy hour.
+/// Time constant of a destination's usual traffic: long enough to estimate the rate, short compared
+/// with a busy hour.
 pub(super) const USUAL_TRAFFIC_WINDOW: Ms = 60_000.0;
 
-/// The time constant of response times: some ten responses at a call or two a second. 4, 7 and 15 s
-/// serve alike.
+/// Time constant of response times: about ten responses at one or two calls a second. 4, 7 and 15 s
+/// perform alike.
 pub(super) const RESPONSE_TIME_WINDOW: Ms = 7_000.0;
 
-/// The time constant of the calls that a rejection's pace is measured by.
+/// Time constant of the recent call rate, from which a rejection sets the pace.
 pub(super) const RECENT_CALLS_WINDOW: Ms = 2_000.0;
 
-/// The time constant of the calls that left in one burst.
+/// Time constant of the call rate within a burst.
 pub(super) const BURST_WINDOW: Ms = RECENT_CALLS_WINDOW / 4.0;
 
-/// The time constant of the evidence on idle connections: longer than an outage mostly lasts.
+/// Time constant of the call statistics of a destination kind, which decide among others on the
+/// closing of idle connections: longer than most outages.
 pub(super) const CONNECTION_EVIDENCE_WINDOW: Ms = 60_000.0;
 
-/// A connection that has been idle for less is reused and does no harm: about as long as a call. 1
-/// ms serves alike.
+/// Idle time up to which a connection is reused without risk: about the duration of a call. 1 ms
+/// performs alike.
 pub(super) const IDLE_CONNECTION_GRACE: Ms = 300.0;
 
-/// Between two health checks of an offline lane, at the least (`docs/design.md`).
+/// Minimum time between two health checks of an offline lane, before jitter (`docs/design.md`).
 pub(super) const HEALTH_CHECK_INTERVAL: Ms = 1000.0;
 
-/// A retry-after that is longer is that of a destination that is closed, which has to warm up
-/// afterwards.
+/// A longer retry-after indicates a closed destination, which has to warm up afterwards.
 pub(super) const LONG_RETRY_AFTER: Ms = 2.0 * HEALTH_CHECK_INTERVAL;
 
-/// Calls a second past which the lesson of a rejection is unlearned by the call, not by the second.
+/// Call rate, in calls per second, above which recovery from a rejection depends on the number of
+/// calls instead of the time.
 pub(super) const FREQUENT_CALLS_PER_SECOND: f64 = 5.0;
 
-/// The upper bound of the shortest time that a call is given: six times a common response of 250
-/// ms.
+/// Upper bound of the minimum call timeout: six times a typical response time of 250 ms.
 pub(super) const MAX_MIN_CALL_TIMEOUT: Ms = 1500.0;
 
 impl Default for Tuning {
@@ -54,8 +54,8 @@
 }
 
 impl Tuning {
-    /// The upper bound of the first spread after a rejection, in milliseconds, before the spread
-    /// grows with the rejections in a row.
+    /// Returns the upper bound, in milliseconds, of the initial spread after a rejection, before it
+    /// grows with consecutive rejections.
     pub fn max_initial_spread(&self) -> Ms {
         if self.paces_calls {
             1000.0
@@ -66,7 +66,8 @@
 }
 
 impl RetryBackoff {
-    /// The backoff in milliseconds after an event's first attempt, if it ended so.
+    /// Returns the backoff in milliseconds after an event's first attempt, by the outcome of that
+    /// attempt.
     pub fn initial(&self, outcome: AttemptOutcome) -> Ms {
         match outcome {
             AttemptOutcome::Rejected => self.after_rejection,
