--- a/decisions/src/scheduler/warm_up.rs
+++ b/decisions/src/scheduler/warm_up.rs
@@ -7,8 +7,8 @@
 use crate::interface::Ms;
 use crate::state::{Destination, TargetLane};
 
-/// Share of the overload rate in a forwarder's budget; the forwarder's usual traffic stands for its
-/// part of the destination's capacity. 0.6, 0.8 and 1 complied with the rules equally well, and
+/// Share of the overload rate in a forwarder's budget; the forwarder's usual traffic approximates
+/// its part of the destination's capacity. 0.6, 0.8 and 1 complied with the rules equally well, and
 /// each increase improved the result; the remaining tenth is reserved for the weight of health
 /// checks.
 const WARM_UP_BUDGET_SHARE: f64 = 0.9;
