--- a/decisions/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -1,8 +1,7 @@
-//! The host of the tests: a scheduler, a clock that the test sets, and the effects of each
-//! iteration as words ("send a to t", "reject a", "abandon a", "health-check t", "close t", "cancel
-//! unsent t").
+//! Test host: a scheduler, a clock that the test sets, and the effects of each iteration as strings
+//! ("send a to t", "reject a", "abandon a", "health-check t", "close t", "cancel unsent t").
 
-#![allow(dead_code)] // each test file uses its part
+#![allow(dead_code)] // each test file uses only some of the items
 
 use plankhill_decisions::interface::{
     AttemptOutcome, AttemptReport, DecisionConfig, DestinationId, DestinationKind,
@@ -19,18 +18,19 @@
 pub struct Host {
     pub scheduler: Scheduler,
     pub now: Ms,
-    /// Completions go as notifications, which have to be acknowledged.
+    /// Completions are sent as notifications, which have to be acknowledged.
     pub by_notification: bool,
-    /// Target, start of the warm-up, and calls a second that usually go there.
+    /// Target, start of the warm-up, and usual rate in calls per second.
     pub recorded_warm_ups: Vec<(TargetId, Ms, f64)>,
-    /// The time that the last attempt was given.
+    /// Timeout of the last attempt.
     pub last_timeout: Ms,
-    /// When the last byte of the last attempt has to have left.
+    /// The time by which the last byte of the last attempt has to be sent.
     pub last_leaves_by: Ms,
 }
 
-/// One forwarder of two, with 8 calls in flight and a capacity of 40 events. Destinations of kind 0
-/// share a limit; those of kind 1 have independent routes and take 4 events a call.
+/// Configuration of one forwarder of two, with at most 8 calls in flight and a capacity of 40
+/// events. Destinations of kind 0 share a limit; those of kind 1 have independent routes and accept
+/// 4 events per call.
 pub fn config() -> DecisionConfig {
     let traffic_type = |idempotency, ordered| TrafficType {
         idempotency,
@@ -91,8 +91,8 @@
 }
 
 impl Host {
-    /// Destination 1 has target `t`, destination 2 has target `u`, destination 3 the routes `v` and
-    /// `w`.
+    /// Creates a host in which destination 1 has target `t`, destination 2 has target `u`, and
+    /// destination 3 has the routes `v` and `w`.
     pub fn new(change: impl FnOnce(&mut DecisionConfig)) -> Self {
         let mut config = config();
         change(&mut config);
@@ -118,11 +118,11 @@
         host
     }
 
-    /// An iteration at `now`. Wake-ups are left out of the effects that are returned.
+    /// Runs an iteration at the time `now` and returns its effects, without wake-ups.
     pub fn run(&mut self, now: Ms, apply: impl FnOnce(&mut Scheduler)) -> Vec<String> {
         self.now = now;
         let mut log = EffectLog {
-            words: Vec::new(),
+            effects: Vec::new(),
             by_notification: self.by_notification,
             recorded_warm_ups: &mut self.recorded_warm_ups,
             last_timeout: &mut self.last_timeout,
@@ -133,11 +133,11 @@
             Ok::<(), UnknownId>(())
         };
         let result = self.scheduler.run_iteration(now, apply_inputs, &mut log);
-        result.expect("the test names only what it introduced");
-        log.words
+        result.expect("the test refers only to known ids");
+        log.effects
     }
 
-    /// The endpoint list names a target of a destination, in zone 0.
+    /// Lists a target of a destination, in zone 0.
     pub fn list(
         &mut self,
         now: Ms,
@@ -153,7 +153,7 @@
         })
     }
 
-    /// An iteration for which nothing came in.
+    /// Runs an iteration without inputs.
     pub fn idle(&mut self, now: Ms) -> Vec<String> {
         self.run(now, |_| ())
     }
@@ -233,7 +233,8 @@
         })
     }
 
-    /// Destination 1 answers ten events a second until `until`; its usual traffic is known then.
+    /// Destination 1 answers ten events a second until `until`, which establishes its usual
+    /// traffic.
     pub fn run_healthily(&mut self, until: Ms) {
         while self.now < until {
             let now = self.now + 100.0;
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Destination 1 fails twice in a row and a health check is sent.
+    /// Destination 1 fails twice in a row, and a health check is sent.
     pub fn take_offline(&mut self, from: Ms) {
         self.accept(from, "down1", DEDUPLICATED, 1, None);
         self.accept(from, "down2", DEDUPLICATED, 1, None);
@@ -254,7 +255,7 @@
     }
 }
 
-/// How many of the effects are attempts.
+/// Returns the number of attempts among the effects.
 pub fn attempts_in(effects: &[String]) -> usize {
     effects
         .iter()
@@ -263,7 +264,7 @@
 }
 
 struct EffectLog<'a> {
-    words: Vec<String>,
+    effects: Vec<String>,
     by_notification: bool,
     recorded_warm_ups: &'a mut Vec<(TargetId, Ms, f64)>,
     last_timeout: &'a mut Ms,
@@ -275,29 +276,30 @@
         assert!(timeout > 0.0);
         *self.last_timeout = timeout;
         *self.last_leaves_by = leaves_by;
-        self.words.push(format!("send {} to {}", event.0, target.0));
+        self.effects
+            .push(format!("send {} to {}", event.0, target.0));
     }
 
     fn reject(&mut self, event: &EventId, _retry_after: Option<Ms>) -> bool {
-        self.words.push(format!("reject {}", event.0));
+        self.effects.push(format!("reject {}", event.0));
         self.by_notification
     }
 
     fn abandon(&mut self, event: &EventId) -> bool {
-        self.words.push(format!("abandon {}", event.0));
+        self.effects.push(format!("abandon {}", event.0));
         self.by_notification
     }
 
     fn health_check(&mut self, target: &TargetId) {
-        self.words.push(format!("health-check {}", target.0));
+        self.effects.push(format!("health-check {}", target.0));
     }
 
     fn close_idle_connections(&mut self, target: &TargetId) {
-        self.words.push(format!("close {}", target.0));
+        self.effects.push(format!("close {}", target.0));
     }
 
     fn cancel_unsent(&mut self, target: &TargetId) {
-        self.words.push(format!("cancel unsent {}", target.0));
+        self.effects.push(format!("cancel unsent {}", target.0));
     }
 
     fn record_warm_up(&mut self, target: &TargetId, since: Ms, usual_rate: f64) {
