--- a/decisions/tests/fleet/destination.rs
+++ b/decisions/tests/fleet/destination.rs
@@ -1,19 +1,19 @@
-//! The destination: what it answers and when, and how many calls came to it in any window.
+//! Simulated destination: its responses, and the number of calls that arrive in any window.
 
 use std::collections::VecDeque;
 
 use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, DecisionConfig, Ms};
 
-use super::{Random, COMES_BACK_AT, FAILS_AT, WINDOW, WORK};
+use super::{Random, FAILS_AT, RECOVERS_AT, SERVICE_TIME, WINDOW};
 
-/// Whether responses tell of the load.
+/// Dependence of the responses on the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Responses {
     SlowDown,
-    /// The queue is short.
+    /// The queue is short, and further calls are rejected.
     Rejected,
-    /// The destination responds as ever until it falls over.
-    StayQuick,
+    /// Response times are constant until the destination is overloaded.
+    ConstantTime,
 }
 
 /// A call that has reached the destination.
@@ -21,8 +21,8 @@
     pub member: usize,
     pub event: String,
     pub arrived_at: Ms,
-    /// Until then its forwarder waits for the response; 0 once the forwarder does not wait any
-    /// more.
+    /// The time until which its forwarder waits for the response; 0 once the forwarder no longer
+    /// waits.
     pub waits_until: Ms,
 }
 
@@ -31,21 +31,21 @@
     call: Call,
 }
 
-/// A response on its way to a member of the fleet.
+/// A response to a member of the fleet.
 pub struct Response {
     pub member: usize,
     pub event: String,
     pub report: AttemptReport,
 }
 
-/// The most load that a window had.
+/// The maximum load of a window.
 pub struct Peak {
-    /// The share of the calls that the destination bears.
+    /// Calls as a share of the number that the destination can take.
     pub share: f64,
     pub description: String,
 }
 
-/// The destination serves as many calls at once as it has servers, each more slowly while it is
+/// A destination that serves as many calls at once as it has servers, each more slowly while it is
 /// warming up.
 pub struct Destination {
     responses: Responses,
@@ -53,7 +53,7 @@
     full_rate: f64,
     in_service: Vec<CallInService>,
     queue: VecDeque<Call>,
-    /// When the calls and health checks of the last window came.
+    /// Arrival times of the calls and health checks in the last window.
     arrivals: VecDeque<Ms>,
     pub peak: Peak,
 }
@@ -74,23 +74,24 @@
     }
 
     pub fn is_down(now: Ms) -> bool {
-        (FAILS_AT..COMES_BACK_AT).contains(&now)
+        (FAILS_AT..RECOVERS_AT).contains(&now)
     }
 
-    /// The share of its capacity that the destination has.
-    fn warmth(now: Ms, config: &DecisionConfig) -> f64 {
-        if now < COMES_BACK_AT {
+    /// Returns the share of its capacity that the destination has.
+    fn capacity_share(now: Ms, config: &DecisionConfig) -> f64 {
+        if now < RECOVERS_AT {
             return 1.0;
         }
         let initial = config.warm_up_initial_share;
-        let warmth = initial + (1.0 - initial) * (now - COMES_BACK_AT) / config.warm_up_duration;
-        warmth.min(1.0)
+        let capacity_share =
+            initial + (1.0 - initial) * (now - RECOVERS_AT) / config.warm_up_duration;
+        capacity_share.min(1.0)
     }
 
-    /// Counts a call or a health check that comes while the destination is warming up.
+    /// Counts a call or a health check that arrives while the destination is warming up.
     pub fn count_arrival(&mut self, now: Ms, config: &DecisionConfig) {
-        let warms_up = COMES_BACK_AT..COMES_BACK_AT + config.warm_up_duration;
-        if !warms_up.contains(&now) {
+        let warm_up = RECOVERS_AT..RECOVERS_AT + config.warm_up_duration;
+        if !warm_up.contains(&now) {
             return;
         }
         self.arrivals.push_back(now);
@@ -98,22 +99,24 @@
             self.arrivals.pop_front();
         }
         let allowed =
-            config.overload_multiple * Self::warmth(now, config) * self.full_rate * WINDOW / 1000.0;
+            config.overload_multiple * Self::capacity_share(now, config) * self.full_rate * WINDOW
+                / 1000.0;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         let arrivals = self.arrivals.len();
         let share = arrivals as f64 / bound;
         if share > self.peak.share {
-            let seconds = (now - COMES_BACK_AT) / 1000.0;
-            let description = format!("{arrivals} of {bound:.1}, {seconds:.1} s after its return");
+            let seconds = (now - RECOVERS_AT) / 1000.0;
+            let description =
+                format!("{arrivals} of {bound:.1}, {seconds:.1} s after its recovery");
             self.peak = Peak { share, description };
         }
     }
 
     fn servers(&self) -> usize {
         match self.responses {
-            Responses::StayQuick => usize::MAX / 16,
+            Responses::ConstantTime => usize::MAX / 16,
             Responses::SlowDown | Responses::Rejected => {
-                (self.full_rate * WORK / 1000.0).round().max(1.0) as usize
+                (self.full_rate * SERVICE_TIME / 1000.0).round().max(1.0) as usize
             }
         }
     }
@@ -121,11 +124,11 @@
     fn max_queue(&self) -> usize {
         match self.responses {
             Responses::Rejected => self.servers(),
-            Responses::SlowDown | Responses::StayQuick => 8 * self.servers(),
+            Responses::SlowDown | Responses::ConstantTime => 8 * self.servers(),
         }
     }
 
-    /// Takes a call in, or responds at once that it is rejected.
+    /// Queues a call, or rejects it at once.
     pub fn receive(&mut self, call: Call) -> Result<(), AttemptOutcome> {
         if self.queue.len() >= self.max_queue() {
             return Err(AttemptOutcome::Rejected);
@@ -134,8 +137,8 @@
         Ok(())
     }
 
-    /// The member's process has ended: it waits for no response any more.
-    pub fn forget_member(&mut self, member: usize) {
+    /// Handles the end of the member's process, which no longer waits for responses.
+    pub fn remove_member(&mut self, member: usize) {
         for served in &mut self.in_service {
             if served.call.member == member {
                 served.call.waits_until = 0.0;
@@ -144,7 +147,7 @@
         self.queue.retain(|call| call.member != member);
     }
 
-    /// What the destination does in a step, and the responses that leave it.
+    /// Runs one step of the destination and returns its responses.
     pub fn serve(
         &mut self,
         random: &mut Random,
@@ -184,11 +187,13 @@
                 return;
             };
             let speed = match self.responses {
-                Responses::StayQuick => 1.0,
-                Responses::SlowDown | Responses::Rejected => Destination::warmth(now, config),
+                Responses::ConstantTime => 1.0,
+                Responses::SlowDown | Responses::Rejected => {
+                    Destination::capacity_share(now, config)
+                }
             };
-            let work = WORK * (0.5 + random.draw()) / speed;
-            let ends_at = now + work;
+            let service_time = SERVICE_TIME * (0.5 + random.draw()) / speed;
+            let ends_at = now + service_time;
             self.in_service.push(CallInService { ends_at, call });
         }
     }
--- a/decisions/tests/fleet/member.rs
+++ b/decisions/tests/fleet/member.rs
@@ -1,5 +1,4 @@
-//! A member of the fleet: a forwarder, what it has accepted, and what came in for its next
-//! iteration.
+//! A member of the fleet: a forwarder, its accepted events, and the inputs of its next iteration.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +9,7 @@
 const DESTINATION: DestinationId = DestinationId(1);
 const TIME_TO_DEADLINE: Ms = 20_000.0;
 
-/// An accepted event, as the member's event log has it.
+/// An accepted event in the member's event log.
 struct LoggedEvent {
     deadline: Ms,
     attempts: u32,
@@ -23,7 +22,7 @@
 }
 
 pub struct Member {
-    /// Its position in the fleet.
+    /// The member's position in the fleet.
     pub number: usize,
     fleet_size: usize,
     seed: u64,
@@ -49,7 +48,7 @@
         }
     }
 
-    /// The process ends; the next one starts at the time `restarts_at` and finds the event log.
+    /// Stops the process; the next one starts at the time `restarts_at` with the same event log.
     pub fn stop(&mut self, restarts_at: Ms) {
         self.restarts_at = Some(restarts_at);
         self.inputs.clear();
@@ -60,7 +59,7 @@
             .is_some_and(|restarts_at| now < restarts_at)
     }
 
-    /// One iteration; its effects as words.
+    /// Runs one iteration and returns its effects as strings.
     pub fn run(&mut self, now: Ms, new_events: &[String]) -> Vec<String> {
         if self.restarts_at.take().is_some() {
             self.restart(now)
@@ -69,7 +68,7 @@
         }
     }
 
-    /// New events are lost in the iteration of a restart.
+    /// Restarts the member. New events are lost in the iteration of a restart.
     fn restart(&mut self, now: Ms) -> Vec<String> {
         let warm_ups = std::mem::take(&mut self.host.recorded_warm_ups);
         self.host = new_host(self.number, self.fleet_size, self.seed, now);
@@ -130,7 +129,7 @@
         })
     }
 
-    /// Logs an attempt; returns until when the member waits for its response.
+    /// Logs an attempt and returns the time until which the member waits for its response.
     pub fn log_attempt(&mut self, now: Ms, name: &str) -> Ms {
         let logged = self.event_log.get_mut(name).expect("was accepted");
         logged.attempts += 1;
--- a/decisions/tests/fleet/mod.rs
+++ b/decisions/tests/fleet/mod.rs
@@ -1,5 +1,4 @@
-//! A fleet of forwarders, driven together against one destination that fails, comes back and warms
-//! up.
+//! A simulated fleet of forwarders with one destination that fails, recovers and warms up.
 
 mod destination;
 mod member;
@@ -15,14 +14,14 @@
 pub use destination::{Peak, Responses};
 
 const STEP: Ms = 20.0;
-/// The time of the configuration over which calls are counted.
+/// Time window, as in the configuration, over which calls are counted.
 const WINDOW: Ms = 3_000.0;
 pub const FAILS_AT: Ms = 20_000.0;
-pub const COMES_BACK_AT: Ms = 26_000.0;
+pub const RECOVERS_AT: Ms = 26_000.0;
 const ENDS_AT: Ms = 37_000.0;
-/// What a call takes, on the mean, at a warm destination.
-const WORK: Ms = 200.0;
-/// The usual traffic, as a share of what the destination takes when it is warm.
+/// Mean service time of a call at a destination with full capacity.
+const SERVICE_TIME: Ms = 200.0;
+/// The usual traffic as a share of the destination's full capacity.
 const LOAD: f64 = 0.9;
 
 /// SplitMix64.
@@ -37,13 +36,13 @@
     }
 }
 
-/// How the fleet's traffic is spread over its members.
+/// Distribution of the fleet's traffic over its members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Traffic {
     Even,
     /// The first member gets many times the traffic of the last.
     Skewed,
-    /// Half of the members hand all their traffic to the other half at that time.
+    /// Half of the members move all of their traffic to the other half at this time.
     MovedAt(Ms),
     /// Half of the members restart while the destination is warming up.
     Restarted,
@@ -56,7 +55,7 @@
     event: String,
 }
 
-struct World {
+struct Simulation {
     config: DecisionConfig,
     random: Random,
     destination: Destination,
@@ -68,7 +67,7 @@
     now: Ms,
 }
 
-/// The most load that any window of the warm-up had.
+/// Returns the maximum load of any window in the warm-up.
 pub fn peak_load(
     fleet_size: usize,
     full_rate: f64,
@@ -76,14 +75,14 @@
     traffic: Traffic,
     seed: u64,
 ) -> Peak {
-    let mut world = World::new(fleet_size, full_rate, responses, traffic, seed);
-    while world.now < ENDS_AT {
-        world.step();
+    let mut simulation = Simulation::new(fleet_size, full_rate, responses, traffic, seed);
+    while simulation.now < ENDS_AT {
+        simulation.step();
     }
-    world.destination.peak
+    simulation.destination.peak
 }
 
-impl World {
+impl Simulation {
     fn new(
         fleet_size: usize,
         full_rate: f64,
@@ -97,7 +96,7 @@
         };
         let total: f64 = (0..fleet_size).map(weight).sum();
         let member = |number| Member::new(number, fleet_size, seed, weight(number) / total);
-        World {
+        Simulation {
             config: DecisionConfig {
                 forwarder_count: fleet_size as f64,
                 ..config()
@@ -124,18 +123,18 @@
         }
         self.move_traffic();
         let restarts = self.traffic == Traffic::Restarted
-            && (self.now - COMES_BACK_AT - 2_500.0).abs() < STEP / 2.0;
+            && (self.now - RECOVERS_AT - 2_500.0).abs() < STEP / 2.0;
         for number in 0..self.members.len() {
             if restarts && number % 2 == 0 {
                 self.members[number].stop(self.now + 1_000.0);
-                self.destination.forget_member(number);
+                self.destination.remove_member(number);
             }
             let new_events = self.new_events(number);
             if self.members[number].is_stopped(self.now) {
                 continue;
             }
             for effect in self.members[number].run(self.now, &new_events) {
-                self.carry_out(number, &effect);
+                self.apply_effect(number, &effect);
             }
         }
     }
@@ -152,7 +151,8 @@
         }
     }
 
-    /// The events that clients submit to the member in this step, for the first time or again.
+    /// Returns the events that clients submit to the member in this step, for the first time or
+    /// again.
     fn new_events(&mut self, number: usize) -> Vec<String> {
         let mut new_events = Vec::new();
         let expected = self.full_rate * LOAD * self.members[number].traffic_share * STEP / 1000.0;
@@ -168,7 +168,7 @@
         new_events
     }
 
-    fn carry_out(&mut self, number: usize, effect: &str) {
+    fn apply_effect(&mut self, number: usize, effect: &str) {
         let words: Vec<&str> = effect.split(' ').collect();
         match words[..] {
             ["send", name, "to", "t"] => self.attempt(number, name),
--- a/decisions/tests/fleet_warm_up.rs
+++ b/decisions/tests/fleet_warm_up.rs
@@ -1,11 +1,11 @@
-//! A whole fleet against one destination that comes back and warms up: what all forwarders send,
-//! health checks included, stays under what the configuration allows the destination at that
-//! moment, with an allowance for random bursts.
+//! An entire fleet with one destination that recovers and warms up: the calls and health checks of
+//! all forwarders stay below the rate that the destination can take at each time according to the
+//! configuration, with an allowance for random bursts.
 
 mod fleet;
 mod host;
 
-use fleet::{peak_load, Responses, Traffic, COMES_BACK_AT, FAILS_AT};
+use fleet::{peak_load, Responses, Traffic, FAILS_AT, RECOVERS_AT};
 use rstest::rstest;
 
 #[rstest]
@@ -17,7 +17,7 @@
         Traffic::Even,
         Traffic::Skewed,
         Traffic::MovedAt(FAILS_AT - 5_000.0),
-        Traffic::MovedAt(COMES_BACK_AT - 3_000.0),
+        Traffic::MovedAt(RECOVERS_AT - 3_000.0),
         Traffic::Restarted
     )]
     traffic: Traffic,
@@ -28,13 +28,13 @@
     }
 }
 
-/// The warm-up multiplier lets each forwarder's budget grow where its responses stay quick, and a
-/// destination that responds as ever until it falls over gives no sign to stop at.
+/// The warm-up multiplier increases each forwarder's budget while its responses are fast, and a
+/// destination with constant response times gives no sign of its load until it is overloaded.
 #[rstest]
-fn a_fleet_stays_under_the_overload_rate_where_responses_tell_nothing_of_the_load() {
+fn a_fleet_stays_under_the_overload_rate_where_response_times_do_not_depend_on_the_load() {
     for (fleet_size, full_rate) in [(3, 10.0), (20, 50.0), (30, 50.0)] {
         for traffic in [Traffic::Even, Traffic::Skewed, Traffic::Restarted] {
-            let peak = peak_load(fleet_size, full_rate, Responses::StayQuick, traffic, 0);
+            let peak = peak_load(fleet_size, full_rate, Responses::ConstantTime, traffic, 0);
             assert!(
                 peak.share <= 1.0,
                 "{fleet_size} forwarders, {full_rate} a second, {traffic:?}: {}",
