--- a/decisions/tests/decision_stream.rs
+++ b/decisions/tests/decision_stream.rs
@@ -1,6 +1,6 @@
-//! Every decision, with all its arguments in full precision, over seeded random inputs: a digest
-//! for each seed against the one that an earlier version gave. A change of the code that changes no
-//! decision changes none.
+//! Pinned digests of all decisions, with all their arguments in full precision, over seeded random
+//! inputs. The digest of each seed was computed by an earlier version; a code change that changes
+//! no decision changes no digest.
 
 mod host;
 
@@ -17,11 +17,11 @@
 
 const DIGESTS: &str = include_str!("decision_stream/digests.txt");
 const SEEDS: u64 = 24;
-const ROUNDS: usize = 3000;
+const ITERATIONS: usize = 3000;
 const DESTINATIONS: u64 = 7;
 const TARGETS: u64 = 3; // of each destination
 
-/// SplitMix64: the same numbers on every machine.
+/// SplitMix64, which yields the same numbers on every machine.
 struct Random(u64);
 
 impl Random {
@@ -34,7 +34,7 @@
     fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
-    /// From 0 to 1, in steps that print shortly.
+    /// Returns a number from 0 to 1, in steps with a short decimal form.
     fn unit(&mut self) -> f64 {
         self.below(1024) as f64 / 1024.0
     }
@@ -54,7 +54,8 @@
     }
 }
 
-/// Writes each decision as a line, and remembers what is in flight for the world that answers.
+/// Adds each decision to the digest as a line of text, and keeps what is in flight for the input
+/// generator.
 struct Recorder {
     random: Random,
     digest: Digest,
@@ -82,18 +83,18 @@
 
     fn record(&mut self, decision: &'static str, arguments: std::fmt::Arguments) {
         let mut line = String::new();
-        writeln!(line, "{decision} {arguments}").expect("a string takes all");
+        writeln!(line, "{decision} {arguments}").expect("writing to a string succeeds");
         self.digest.add(&line);
         *self.counts.entry(decision).or_default() += 1;
     }
 
     fn completed(&mut self, event: &EventId) -> bool {
         self.live.remove(event);
-        let by_notice = self.random.one_in(2);
-        if by_notice {
+        let by_notification = self.random.one_in(2);
+        if by_notification {
             self.unacknowledged.insert(event.clone());
         }
-        by_notice
+        by_notification
     }
 }
 
@@ -105,20 +106,20 @@
     ) -> Option<usize> {
         let open: Vec<&str> = open.map(|target| &*target.0).collect();
         self.record("choose", format_args!("{} of {open:?}", event.0));
-        // Past the end now and then: the draw stands then.
+        // The position is sometimes past the end, in which case the scheduler's own draw is used.
         self.random
             .one_in(3)
             .then(|| self.random.below(open.len() as u64 + 1) as usize)
     }
-    fn send_attempt(&mut self, event: &EventId, target: &TargetId, time_out: Ms, leaves_by: Ms) {
+    fn send_attempt(&mut self, event: &EventId, target: &TargetId, timeout: Ms, leaves_by: Ms) {
         self.record(
             "send",
-            format_args!("{} {} {time_out:?} {leaves_by:?}", event.0, target.0),
+            format_args!("{} {} {timeout:?} {leaves_by:?}", event.0, target.0),
         );
         self.in_flight.insert(event.clone(), target.clone());
     }
-    fn reject(&mut self, event: &EventId, come_back_after: Option<Ms>) -> bool {
-        self.record("dismiss", format_args!("{} {come_back_after:?}", event.0));
+    fn reject(&mut self, event: &EventId, retry_after: Option<Ms>) -> bool {
+        self.record("dismiss", format_args!("{} {retry_after:?}", event.0));
         self.completed(event)
     }
     fn abandon(&mut self, event: &EventId) -> bool {
@@ -147,7 +148,8 @@
     }
 }
 
-/// Configurations differ with the seed, so that each switch is met on both sides.
+/// Returns a configuration that depends on the seed, so that the seeds cover both values of each
+/// switch.
 fn config_of(seed: u64) -> DecisionConfig {
     let mut config = config();
     config.seed = seed;
@@ -200,10 +202,11 @@
     of.iter().nth(at).cloned()
 }
 
-/// How a call to the destination ends: each destination has times of its own kind of fault.
+/// Returns the outcome of a call to the destination. Each destination has periods with different
+/// kinds of faults.
 fn outcome(random: &mut Random, destination: u64, now: Ms) -> AttemptOutcome {
-    let hour = (now / 9000.0) as u64 + destination;
-    let bad = match hour % 6 {
+    let period = (now / 9000.0) as u64 + destination;
+    let bad = match period % 6 {
         0 => AttemptOutcome::ConnectFailed,
         1 => AttemptOutcome::Rejected,
         2 => AttemptOutcome::TimedOut,
@@ -223,34 +226,35 @@
 }
 
 fn report(random: &mut Random, outcome: AttemptOutcome) -> AttemptReport {
-    let took = if outcome == AttemptOutcome::TimedOut {
+    let elapsed = if outcome == AttemptOutcome::TimedOut {
         900.0 + 1200.0 * random.unit()
     } else {
         5.0 + 300.0 * random.unit()
     };
-    let wait = if outcome == AttemptOutcome::Rejected && random.one_in(3) {
+    let retry_after = if outcome == AttemptOutcome::Rejected && random.one_in(3) {
         4000.0 * random.unit()
     } else {
         0.0
     };
-    let left = [None, Some(random.unit()), Some(-1.0), Some(0.05)][random.below(4) as usize];
+    let limit_remaining =
+        [None, Some(random.unit()), Some(-1.0), Some(0.05)][random.below(4) as usize];
     AttemptReport {
-        elapsed: took,
-        retry_after: wait,
-        limit_remaining: left,
+        elapsed,
+        retry_after,
+        limit_remaining,
         event_complete: outcome == AttemptOutcome::Delivered || random.one_in(40),
         ..AttemptReport::from_outcome(outcome)
     }
 }
 
-/// Makes the inputs of one iteration after another.
-struct World {
+/// Generates the inputs of successive iterations.
+struct InputGenerator {
     random: Random,
     now: Ms,
     accepted: u64,
 }
 
-impl World {
+impl InputGenerator {
     fn accept(&mut self, scheduler: &mut Scheduler, recorder: &mut Recorder) {
         self.accepted += 1;
         let id = event(&format!("e{}", self.accepted));
@@ -260,17 +264,23 @@
             .one_in(2)
             .then(|| OrderKey(self.random.below(12)));
         let traffic = TrafficTypeId(self.random.below(3) as usize);
-        let patience_ends = self.now + 1000.0 + 19_000.0 * self.random.unit();
-        scheduler.accept_event(id.clone(), destination, traffic, patience_ends, key);
+        let deadline = self.now + 1000.0 + 19_000.0 * self.random.unit();
+        scheduler.accept_event(id.clone(), destination, traffic, deadline, key);
         recorder.live.insert(id.clone());
         match self.random.below(24) {
             0..8 => {
                 scheduler.charge_member(&id, self.random.below(4) as usize, self.random.one_in(5))
             }
             8 => {
-                let sends = self.random.below(3) as u32;
-                let ran = (sends > 0).then(|| (self.now - 500.0 * self.random.unit(), ZoneId(1)));
-                scheduler.restore_attempts(&id, sends, ran, sends > 0 && self.random.one_in(2));
+                let attempts = self.random.below(3) as u32;
+                let possible_execution =
+                    (attempts > 0).then(|| (self.now - 500.0 * self.random.unit(), ZoneId(1)));
+                scheduler.restore_attempts(
+                    &id,
+                    attempts,
+                    possible_execution,
+                    attempts > 0 && self.random.one_in(2),
+                );
             }
             9 => {
                 scheduler.restore_attempts(&id, 1, Some((self.now - 10.0, ZoneId(0))), true);
@@ -309,7 +319,7 @@
         recorder.health_checks.remove(&target);
         let destination = target.0[1..2].parse().expect("a digit");
         let outcome = outcome(&mut self.random, destination, self.now);
-        // A target that was forgotten meanwhile is unknown.
+        // A target that has been dropped in the meantime is unknown.
         let known = scheduler.on_health_check_ended(&target, outcome);
         recorder.record("ping_ended", format_args!("{known:?}"));
     }
@@ -375,10 +385,11 @@
     }
 }
 
-/// One line of the fixture: the seed, how many decisions there were, and the digest of all of them.
+/// Returns a line of the fixture (the seed, the number of decisions and the digest of all of them)
+/// and the number of decisions of each kind.
 fn stream(seed: u64) -> (String, BTreeMap<&'static str, u64>) {
     let mut recorder = Recorder::new(seed);
-    let mut world = World {
+    let mut generator = InputGenerator {
         random: Random(seed),
         now: 0.0,
         accepted: 0,
@@ -389,30 +400,30 @@
             list(&mut scheduler, destination, number, EndpointState::Running);
         }
     }
-    for round in 0..ROUNDS {
-        let quiet = if world.random.one_in(200) {
+    for iteration in 0..ITERATIONS {
+        let max_pause = if generator.random.one_in(200) {
             4000.0
         } else {
             40.0
         };
-        world.now += 1.0 + quiet * world.random.unit();
-        let now = world.now;
-        if round + 400 == ROUNDS {
+        generator.now += 1.0 + max_pause * generator.random.unit();
+        let now = generator.now;
+        if iteration + 400 == ITERATIONS {
             scheduler.begin_shutdown(now + 30_000.0);
         }
-        if world.random.one_in(500) {
+        if generator.random.one_in(500) {
             let state = rmp_serde::to_vec(&scheduler).expect("encodes");
             scheduler = rmp_serde::from_slice::<Scheduler>(&state)
                 .expect("decodes")
                 .resume(config_of(seed));
         }
         let apply_inputs = |scheduler: &mut Scheduler, recorder: &mut Recorder| {
-            world.inputs(scheduler, recorder);
+            generator.inputs(scheduler, recorder);
             Ok::<(), UnknownId>(())
         };
         scheduler
             .run_iteration(now, apply_inputs, &mut recorder)
-            .expect("names only what was introduced");
+            .expect("the inputs refer only to known ids");
         let known = (1..=DESTINATIONS + 1)
             .filter(|&id| scheduler.knows_destination(DestinationId(id)))
             .count();
