--- a/decisions/tests/wire_format.rs
+++ b/decisions/tests/wire_format.rs
@@ -1,10 +1,8 @@
-//! The encoded form of all that this package's types contribute to a hot restart: ids, reports and
-//! the state of the scheduler. Both processes of a hot restart use MessagePack with structs as
-//! arrays (positions are the format, field names are not) and enum variants by name (variant names
-//! are the format).
+//! The encoded form of this package's types in a hot restart: ids, reports and the state of the
+//! scheduler. Both processes of a hot restart use MessagePack with structs as arrays (positions are
+//! the format, field names are not) and enum variants by name (variant names are the format).
 //!
-//! The expected bytes are fixtures that an earlier version wrote. A fixture is never rewritten by a
-//! test.
+//! The expected bytes are fixtures that an earlier version wrote. Tests never rewrite a fixture.
 
 mod host;
 
@@ -31,7 +29,7 @@
     (0..text.len()).step_by(2).map(digit).collect()
 }
 
-/// The bytes that the fixture has under a name.
+/// Returns the bytes that the fixture has under a name.
 fn expected(fixture: &str, name: &str) -> String {
     let line = fixture
         .lines()
@@ -48,18 +46,18 @@
     assert_eq!(
         to_hex(&rmp_serde::to_vec(value).expect("encodes")),
         fixture,
-        "{name} encodes otherwise"
+        "{name} encodes differently"
     );
     let decoded: T = rmp_serde::from_slice(&from_hex(&fixture)).expect("the fixture decodes");
     assert_eq!(
         to_hex(&rmp_serde::to_vec(&decoded).expect("encodes")),
         fixture,
-        "{name} decodes otherwise"
+        "{name} decodes differently"
     );
 }
 
-/// Each variant, with the name that its fixture has. No wildcard: a new variant does not compile
-/// unpinned.
+/// Returns the name of each variant in the fixture. There is no wildcard, so that a new variant
+/// does not compile without an entry here.
 fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Delivered => "Fate::Delivered",
@@ -138,7 +136,8 @@
     );
 }
 
-/// One of each that the state keeps in an unordered map, so that its bytes have one order.
+/// Configuration in which the state has only one entry in each unordered map, so that its bytes
+/// have one order.
 fn config() -> DecisionConfig {
     let mut config = host::config();
     for traffic in &mut config.traffic_types {
@@ -164,13 +163,13 @@
         .expect("was sent");
 }
 
-/// What comes in at one iteration of the story, and when. The state after it is in the fixture by
-/// this name, but not where `UNPINNED`: two events are in the state then, in an unordered map.
+/// Name, time and inputs of one iteration of the scenario. The state after the iteration is in the
+/// fixture by this name, except for `UNPINNED`, where an unordered map in the state has two events.
 type Step = (&'static str, Ms, fn(&mut Scheduler));
 
 const UNPINNED: &str = "unpinned";
 
-const STORY: [Step; 26] = [
+const SCENARIO: [Step; 26] = [
     ("listed", 100.0, |scheduler| {
         scheduler.on_endpoint_listed(
             target("t"),
@@ -208,12 +207,12 @@
     ("health-checked", 1100.0, |scheduler| {
         scheduler
             .on_health_check_ended(&target("t"), AttemptOutcome::ConnectFailed)
-            .expect("is listed")
+            .expect("was listed")
     }),
     ("released", 2600.0, |scheduler| {
         scheduler
             .on_health_check_ended(&target("t"), AttemptOutcome::Delivered)
-            .expect("is listed")
+            .expect("was listed")
     }),
     ("warming-up", 4500.0, |_| ()),
     ("reset", 4600.0, |scheduler| {
@@ -344,10 +343,11 @@
     }),
 ];
 
-/// Every completion is a notification to be acknowledged; other decisions are of no interest here.
-struct Notified;
+/// Sends every completion as a notification that has to be acknowledged, and ignores all other
+/// decisions.
+struct NotifyingEffects;
 
-impl Effects for Notified {
+impl Effects for NotifyingEffects {
     fn send_attempt(&mut self, _: &EventId, _: &TargetId, _: Ms, _: Ms) {}
     fn reject(&mut self, _: &EventId, _: Option<Ms>) -> bool {
         true
@@ -362,14 +362,14 @@
     fn wake_after(&mut self, _: Ms) {}
 }
 
-fn play(scheduler: &mut Scheduler, (_, now, inputs): Step) {
-    let apply_inputs = |scheduler: &mut Scheduler, _: &mut Notified| {
+fn run_step(scheduler: &mut Scheduler, (_, now, inputs): Step) {
+    let apply_inputs = |scheduler: &mut Scheduler, _: &mut NotifyingEffects| {
         inputs(scheduler);
         Ok::<(), UnknownId>(())
     };
     scheduler
-        .run_iteration(now, apply_inputs, &mut Notified)
-        .expect("the story names only what it introduced");
+        .run_iteration(now, apply_inputs, &mut NotifyingEffects)
+        .expect("the scenario refers only to known ids");
 }
 
 fn state(scheduler: &Scheduler) -> String {
@@ -377,10 +377,10 @@
 }
 
 #[rstest]
-fn the_state_has_the_pinned_form_at_each_step_of_a_story() {
+fn the_state_has_the_pinned_form_at_each_step_of_the_scenario() {
     let mut scheduler = Scheduler::new(config(), 50.0);
-    for step in STORY {
-        play(&mut scheduler, step);
+    for step in SCENARIO {
+        run_step(&mut scheduler, step);
         if step.0 != UNPINNED {
             assert_eq!(
                 state(&scheduler),
@@ -392,11 +392,11 @@
     }
 }
 
-/// Each pinned state is resumed, encodes to the same bytes, and the story leads from it to the next
-/// pinned one.
+/// Each pinned state is resumed and encodes to the same bytes, and the scenario leads from it to
+/// the next pinned state.
 #[rstest]
 fn a_pinned_state_is_resumed_and_leads_to_the_next_one() {
-    for (at, step) in STORY
+    for (at, step) in SCENARIO
         .iter()
         .enumerate()
         .filter(|(_, step)| step.0 != UNPINNED)
@@ -411,8 +411,8 @@
             "the state when {}, decoded",
             step.0
         );
-        for next in &STORY[at + 1..] {
-            play(&mut scheduler, *next);
+        for next in &SCENARIO[at + 1..] {
+            run_step(&mut scheduler, *next);
             if next.0 != UNPINNED {
                 assert_eq!(
                     state(&scheduler),
