--- a/decisions/tests/key_order.rs
+++ b/decisions/tests/key_order.rs
@@ -1,4 +1,4 @@
-//! Order keys, which events may be retried, and until when.
+//! Order keys, and the conditions and time limits of retries.
 
 mod host;
 
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn events_of_one_key_go_one_at_a_time_in_the_order_of_acceptance() {
+fn events_of_one_key_are_sent_one_at_a_time_in_the_order_of_acceptance() {
     let mut host = default_host();
     assert_eq!(
         host.accept(1.0, "a", NON_IDEMPOTENT, 1, Some(5)),
@@ -15,7 +15,7 @@
     );
     assert!(
         host.accept(2.0, "b", NON_IDEMPOTENT, 2, Some(5)).is_empty(),
-        "one key space for all destinations"
+        "all destinations share one key space"
     );
     assert_eq!(
         host.accept(3.0, "c", NON_IDEMPOTENT, 1, Some(6)),
@@ -34,17 +34,17 @@
 #[case(AttemptOutcome::Error, 0.0)]
 fn a_key_cools_down_after_an_attempt_that_may_still_be_executing(
     #[case] outcome: AttemptOutcome,
-    #[case] rest: Ms,
+    #[case] cooldown: Ms,
 ) {
     let mut host = default_host();
     host.accept(1.0, "a", NON_IDEMPOTENT, 1, Some(5));
     host.accept(1.0, "b", NON_IDEMPOTENT, 2, Some(5));
     let effects = host.end_attempt(100.0, "a", outcome);
     assert!(effects.contains(&"abandon a".into()));
-    assert_eq!(effects.contains(&"send b to u".into()), rest == 0.0);
-    if rest > 0.0 {
-        assert!(host.idle(99.0 + rest).is_empty());
-        assert_eq!(host.idle(100.0 + rest), ["send b to u"]);
+    assert_eq!(effects.contains(&"send b to u".into()), cooldown == 0.0);
+    if cooldown > 0.0 {
+        assert!(host.idle(99.0 + cooldown).is_empty());
+        assert_eq!(host.idle(100.0 + cooldown), ["send b to u"]);
     }
 }
 
@@ -62,10 +62,9 @@
     );
 }
 
-/// Key order on sockets: an event that is completed by a notification is finished only once that is
-/// acknowledged.
+/// An event that is completed by a notification is finished only once the client acknowledges it.
 #[rstest]
-fn the_next_event_of_a_key_goes_once_the_completion_is_acknowledged() {
+fn the_next_event_of_a_key_is_sent_once_the_completion_is_acknowledged() {
     let mut host = default_host();
     host.by_notification = true;
     host.accept(1.0, "a", NON_IDEMPOTENT, 1, Some(5));
@@ -92,13 +91,13 @@
 fn only_events_that_may_run_again_are_retried(
     #[case] traffic: TrafficTypeId,
     #[case] outcome: AttemptOutcome,
-    #[case] then: &str,
+    #[case] expected: &str,
 ) {
     let mut host = default_host();
     host.accept(1.0, "a", traffic, 1, Some(5));
     let mut effects = host.end_attempt(10.0, "a", outcome);
     effects.extend(host.idle(3000.0));
-    assert_eq!(effects, [then]);
+    assert_eq!(effects, [expected]);
 }
 
 #[rstest]
@@ -113,11 +112,12 @@
     assert_eq!(effects, ["reject a"]);
 }
 
-/// The network code may write a call long after it was decided: the effect says until when it may.
+/// The network code may write a call long after the decision, so the effect carries the time limit
+/// for writing it.
 #[rstest]
 #[case(IDEMPOTENT, f64::INFINITY)]
 #[case(DEDUPLICATED, 5001.0)]
-fn a_retry_is_given_the_time_by_which_its_last_byte_has_to_have_left(
+fn a_retry_carries_the_time_by_which_its_last_byte_has_to_be_sent(
     #[case] traffic: TrafficTypeId,
     #[case] leaves_by: Ms,
 ) {
@@ -126,18 +126,18 @@
     assert_eq!(
         host.last_leaves_by,
         f64::INFINITY,
-        "a first send has no window"
+        "a first attempt has no window"
     );
     host.end_attempt(500.0, "a", AttemptOutcome::Reset);
     assert_eq!(host.idle(1200.0), ["send a to t"]);
     assert_eq!(
         host.last_leaves_by, leaves_by,
-        "counted from the first send that may have run"
+        "the window begins at the first attempt that may have run"
     );
 }
 
-/// Regression (emulator): a connection came up late, and a retry was written after its
-/// deduplication window.
+/// Regression: a connection was established late, and a retry was written after its deduplication
+/// window.
 #[rstest]
 fn a_retry_that_is_unsent_when_its_window_ends_is_cancelled() {
     let mut host = default_host();
@@ -150,7 +150,10 @@
     while attempts_in(&host.idle(now)) == 0 {
         now += 10.0;
     }
-    assert!(host.idle(5000.0).is_empty(), "the window of 5 s is open");
+    assert!(
+        host.idle(5000.0).is_empty(),
+        "the window of 5 s has not ended"
+    );
     assert_eq!(host.idle(5001.0), ["cancel unsent t"]);
     let effects = host.end_attempt(5002.0, "a", AttemptOutcome::NotSent);
     assert_eq!(effects, ["reject a"]);
--- a/decisions/tests/remote_attempts.rs
+++ b/decisions/tests/remote_attempts.rs
@@ -1,4 +1,4 @@
-//! Events that another forwarder owned before, and attempts that it made.
+//! Events that another forwarder owned before, and that forwarder's attempts.
 
 mod host;
 
@@ -8,7 +8,7 @@
 };
 use rstest::rstest;
 
-fn ordered() -> Host {
+fn ordered_host() -> Host {
     let mut host = Host::new(|config| {
         for traffic_type in &mut config.traffic_types {
             traffic_type.ordered = true;
@@ -18,7 +18,8 @@
     host
 }
 
-/// Takes over event `a`, attempted once elsewhere at 0.5, whose call may be in flight until 4000.
+/// Takes over event `a`, which another forwarder attempted once at 0.5, and whose call may be in
+/// flight until 4000.
 fn take_over(host: &mut Host, now: Ms, traffic: TrafficTypeId) -> Vec<String> {
     host.run(now, |scheduler| {
         scheduler.accept_event(
@@ -36,11 +37,15 @@
 #[rstest]
 fn neither_an_event_in_flight_elsewhere_nor_the_next_of_its_key_is_attempted_before_that_call_ends()
 {
-    let mut host = ordered();
+    let mut host = ordered_host();
     assert!(take_over(&mut host, 1.0, IDEMPOTENT).is_empty());
     assert!(host.accept(2.0, "b", IDEMPOTENT, 1, Some(5)).is_empty());
     assert!(host.idle(3999.0).is_empty());
-    assert_eq!(host.idle(4000.0), ["send a to t"], "it is retriable again");
+    assert_eq!(
+        host.idle(4000.0),
+        ["send a to t"],
+        "the event may be retried"
+    );
     assert_eq!(
         host.end_attempt(4100.0, "a", AttemptOutcome::Delivered),
         ["send b to t"]
@@ -50,14 +55,14 @@
 #[rstest]
 fn a_non_idempotent_event_in_flight_elsewhere_is_abandoned_at_once_and_its_key_cools_down_until_then(
 ) {
-    let mut host = ordered();
+    let mut host = ordered_host();
     assert_eq!(take_over(&mut host, 1.0, NON_IDEMPOTENT), ["abandon a"]);
     assert!(host.accept(2.0, "b", NON_IDEMPOTENT, 1, Some(5)).is_empty());
     assert!(
         host.run(500.0, |scheduler| scheduler
             .on_completion_acknowledged(&event("a")))
             .is_empty(),
-        "past the rest after a restart"
+        "later than the cool-down after a restart"
     );
     assert!(host.idle(3999.0).is_empty());
     assert_eq!(host.idle(4000.0), ["send b to t"]);
@@ -76,11 +81,11 @@
 
 #[rstest]
 fn a_non_idempotent_event_that_may_have_run_elsewhere_is_abandoned_where_it_is_queued() {
-    let mut host = ordered();
+    let mut host = ordered_host();
     host.accept(1.0, "first", NON_IDEMPOTENT, 1, Some(5));
     assert!(
         host.accept(2.0, "a", NON_IDEMPOTENT, 1, Some(5)).is_empty(),
-        "behind the first of its key"
+        "queued behind the first event of its key"
     );
     let effects = host.run(3.0, |scheduler| {
         scheduler.merge_remote_attempts(&event("a"), 1, Some((0.5, ZoneId(0))))
@@ -90,12 +95,12 @@
 
 #[rstest]
 #[case::delivered(AttemptOutcome::Delivered, &[])]
-#[case::surely_not_run(AttemptOutcome::NotSent, &["abandon a"])]
+#[case::not_executed(AttemptOutcome::NotSent, &["abandon a"])]
 fn an_event_in_flight_here_waits_for_its_outcome_before_it_is_abandoned(
     #[case] outcome: AttemptOutcome,
-    #[case] then: &[&str],
+    #[case] expected: &[&str],
 ) {
-    let mut host = ordered();
+    let mut host = ordered_host();
     assert_eq!(
         host.accept(1.0, "a", NON_IDEMPOTENT, 1, Some(5)),
         ["send a to t"]
@@ -107,7 +112,7 @@
             Some((0.5, ZoneId(0)))
         ))
         .is_empty());
-    assert_eq!(host.end_attempt(100.0, "a", outcome), then);
+    assert_eq!(host.end_attempt(100.0, "a", outcome), expected);
 }
 
 #[rstest]
@@ -126,11 +131,11 @@
     assert_eq!(
         effects,
         ["send a to t"],
-        "within the window of the first send"
+        "within the window of the first attempt"
     );
     assert_eq!(
         host.end_attempt(3100.0, "a", AttemptOutcome::Error),
         ["reject a"],
-        "three sends were made"
+        "three attempts were made"
     );
 }
