--- a/decisions/tests/recovery.rs
+++ b/decisions/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What outlasts a process, and its last moments.
+//! State that is restored after a restart, and the shutdown of a process.
 
 mod host;
 
@@ -14,7 +14,7 @@
 #[case(IDEMPOTENT, &["send a to t", "send b to t"])]
 fn an_attempt_in_flight_when_the_process_ended_may_have_run(
     #[case] traffic: TrafficTypeId,
-    #[case] then: &[&str],
+    #[case] expected: &[&str],
 ) {
     let mut host = Host::new(|config| config.key_cooldown = 0.0);
     let effects = host.run(1.0, |scheduler| {
@@ -35,11 +35,11 @@
         );
         scheduler.restore_attempts(&event("b"), 0, None, false);
     });
-    assert_eq!(effects, then);
+    assert_eq!(effects, expected);
 }
 
 #[rstest]
-fn a_key_cools_down_after_a_restart_behind_an_attempt_that_was_in_flight() {
+fn a_key_cools_down_after_a_restart_if_an_attempt_was_in_flight() {
     let mut host = default_host();
     let effects = host.run(1.0, |scheduler| {
         scheduler.accept_event(
@@ -63,15 +63,15 @@
     assert_eq!(host.idle(301.0), ["send b to t"]);
 }
 
-/// A destination comes back while a forwarder restarts with a backlog for it. Where half of a fleet
-/// restarts, the first calls come together too: they are spread over the interval of health checks.
+/// A destination recovers while a forwarder with a backlog for it restarts. Where half of a fleet
+/// restarts, the first calls come together too, so they are spread over the health check interval.
 #[rstest]
 #[case(true, 0..2, 1)]
 #[case(false, 8..9, 8)]
-fn a_backlog_does_not_overload_a_destination_that_an_earlier_process_saw_fail(
+fn a_backlog_does_not_overload_a_destination_that_failed_in_an_earlier_process(
     #[case] is_recorded: bool,
-    #[case] at_once: std::ops::Range<usize>,
-    #[case] in_a_pause: usize,
+    #[case] sent_at_once: std::ops::Range<usize>,
+    #[case] sent_in_total: usize,
 ) {
     let mut earlier = default_host();
     earlier.take_offline(1.0);
@@ -95,18 +95,18 @@
             );
         }
     });
-    assert!(at_once.contains(&attempts_in(&effects)));
+    assert!(sent_at_once.contains(&attempts_in(&effects)));
     let later: usize = (1..14)
         .map(|step| attempts_in(&host.idle(1000.0 + 100.0 * step as f64)))
         .sum();
-    assert_eq!(attempts_in(&effects) + later, in_a_pause);
+    assert_eq!(attempts_in(&effects) + later, sent_in_total);
 }
 
-/// Regression (`fleet_warm_up.rs`): fifteen of thirty forwarders sent a call each in the moment of
+/// Regression (`fleet_warm_up.rs`): fifteen of thirty forwarders each sent a call at the time of
 /// their restart.
 #[rstest]
 fn a_fleet_that_restarts_together_spreads_its_first_calls_to_a_destination_warming_up() {
-    let at_once = (0..20_u64).filter(|&seed| {
+    let sent_at_once = (0..20_u64).filter(|&seed| {
         let mut host = Host::new(|config| (config.seed, config.forwarder_count) = (seed, 30.0));
         let effects = host.run(1000.0, |scheduler| {
             scheduler.restore_warm_up(&target("t"), 0.0, 0.3);
@@ -114,13 +114,16 @@
         });
         attempts_in(&effects) > 0
     });
-    assert!(at_once.count() <= 5, "most send in the moment they restart");
+    assert!(
+        sent_at_once.count() <= 5,
+        "most forwarders send at the time of their restart"
+    );
 }
 
-/// Regression: a destination that was down over a restart got half a call a second from a forwarder
-/// that knew of the warm-up, and not its share of the usual traffic.
+/// Regression: a destination that was down during a restart received half a call a second from a
+/// forwarder that had restored the warm-up, instead of its share of the usual traffic.
 #[rstest]
-fn the_warm_up_budget_outlasts_a_restart() {
+fn the_warm_up_budget_survives_a_restart() {
     let mut earlier = default_host();
     earlier.run_healthily(20_000.0);
     earlier.take_offline(20_001.0);
@@ -138,12 +141,12 @@
         .sum();
     assert!(
         (4..=10).contains(&sent),
-        "{sent} calls in two seconds of some four a second"
+        "{sent} calls in two seconds, at about four a second"
     );
 }
 
 #[rstest]
-fn no_call_is_sent_in_the_last_moments_of_a_process() {
+fn no_call_is_sent_shortly_before_the_end_of_a_process() {
     let mut host = default_host();
     host.run(0.0, |scheduler| scheduler.begin_shutdown(3400.0));
     assert_eq!(
@@ -152,7 +155,7 @@
     );
     assert!(
         host.accept(2000.0, "b", NON_IDEMPOTENT, 1, None).is_empty(),
-        "it might be out at the end"
+        "the call might be in flight at the end"
     );
 }
 
--- a/decisions/tests/warm_up.rs
+++ b/decisions/tests/warm_up.rs
@@ -1,4 +1,4 @@
-//! Destinations that come back, and the budget of calls that they are sent while they warm up.
+//! Recovering destinations, and the budget of calls to them while they warm up.
 
 mod host;
 
@@ -6,10 +6,10 @@
 use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, DestinationId, Ms};
 use rstest::rstest;
 
-/// Regression: with health checks every 2 s, 44 forwarders learned of a return within that time,
-/// each sent a call when its health check was answered, and the destination was overloaded.
+/// Regression: with health checks every 2 s, 44 forwarders detected a recovery within that time and
+/// each sent a call when its health check was answered, which overloaded the destination.
 #[rstest]
-fn a_fleet_that_learns_of_a_return_together_spreads_its_first_calls() {
+fn a_fleet_that_detects_a_recovery_at_the_same_time_spreads_its_first_calls() {
     let at_once = (0..20_u64).filter(|&seed| {
         let mut host = Host::new(|config| (config.seed, config.forwarder_count) = (seed, 44.0));
         host.run_healthily(20_000.0);
@@ -19,14 +19,14 @@
     });
     assert!(
         at_once.count() <= 5,
-        "most send at the moment their ping is answered"
+        "most forwarders send as soon as their health check is answered"
     );
 }
 
-/// Regression: an offline destination was sent its whole backlog when its first health check was
+/// Regression: an offline destination was sent its entire backlog when its first health check was
 /// answered.
 #[rstest]
-fn an_offline_lane_warms_up_when_it_returns() {
+fn an_offline_lane_warms_up_when_it_comes_back() {
     let mut host = default_host();
     host.run_healthily(20_000.0);
     host.take_offline(20_000.0);
@@ -42,8 +42,7 @@
     assert!(attempts_in(&host.end_health_check(20_200.0, "t", AttemptOutcome::Delivered)) <= 1);
 }
 
-/// The second case is a regression: events submitted again after rejections were counted as usual
-/// traffic.
+/// Regression (second case): events submitted again after rejections were counted as usual traffic.
 #[rstest]
 #[case(20)]
 #[case(300)]
@@ -68,8 +67,8 @@
     for step in 1..=20 {
         sent += attempts_in(&host.idle(26_000.0 + 100.0 * step as f64));
     }
-    // Half a minute of 10 a second or so, cold at a fifth, tipping at twice that, half as warm
-    // again by then.
+    // About half a minute at 10 calls a second. The capacity starts at a fifth, overload begins at
+    // twice the capacity, and the capacity has grown by half by then.
     assert!((1..=15).contains(&sent), "{sent} in two seconds");
 }
 
@@ -118,8 +117,8 @@
     assert!(sent(100.0) > sent(900.0));
 }
 
-/// Regression: a closed destination gave all forwarders the time when it opens, and was sent a
-/// burst at that moment.
+/// Regression: a closed destination reported its opening time to all forwarders, and was sent a
+/// burst at that time.
 #[rstest]
 fn a_destination_warms_up_after_a_long_retry_after() {
     let mut host =
@@ -142,8 +141,8 @@
     assert!((1..=6).contains(&sent), "{sent} in a second");
 }
 
-/// Regression: a destination that closed for 15 s from the second second on got a call in two
-/// seconds afterwards, as hardly any had gone there meanwhile.
+/// Regression: a destination that closed for 15 s in the second second of a run received one call
+/// in two seconds afterwards, because hardly any calls were sent to it while it was closed.
 #[rstest]
 fn the_warm_up_budget_follows_the_rate_before_a_long_retry_after() {
     let mut host =
@@ -166,7 +165,7 @@
     assert!((5..=14).contains(&sent), "{sent} in four seconds");
 }
 
-/// Where a fifth of the calls is lost, a warm-up budget would starve a destination that works.
+/// Where a fifth of the calls is lost, a warm-up budget would starve a working destination.
 #[rstest]
 fn a_destination_that_loses_a_few_calls_does_not_warm_up() {
     let mut host = default_host();
@@ -179,8 +178,8 @@
     }
 }
 
-/// Regression: a call that timed out during a retry-after of twenty seconds let the warm-up end
-/// before the retry-after.
+/// Regression: because of a call that timed out during a retry-after of twenty seconds, the warm-up
+/// ended before the retry-after.
 #[rstest]
 fn a_late_timeout_does_not_shorten_the_warm_up_of_a_closed_destination() {
     let mut host =
@@ -206,16 +205,16 @@
     assert!(sent <= 6, "{sent} in a second");
 }
 
-/// Regression: at a limit that is used up, two rejections in a row passed for a closed destination,
-/// and its events waited for a warm-up that was not needed. A closed destination reports most of
-/// its limit left.
+/// Regression: at a used-up limit, two consecutive rejections were taken for a closed destination,
+/// and its events were delayed by an unnecessary warm-up. A closed destination reports most of its
+/// limit left.
 #[rstest]
 #[case::used_up(Some(0.1), false)]
 #[case::much_left(Some(0.9), true)]
 #[case::not_reported(None, true)]
-#[case::no_share(Some(-1.0), true)]
-#[case::no_number(Some(f64::NAN), true)]
-fn rejections_start_a_warm_up_unless_they_report_a_limit_used_up(
+#[case::out_of_range(Some(-1.0), true)]
+#[case::not_a_number(Some(f64::NAN), true)]
+fn rejections_start_a_warm_up_unless_they_report_a_used_up_limit(
     #[case] limit_remaining: Option<f64>,
     #[case] warms_up: bool,
 ) {
@@ -234,11 +233,11 @@
     assert_eq!(!host.recorded_warm_ups.is_empty(), warms_up);
 }
 
-/// Regression: a forwarder that sees one event in a minute counts next to nothing as usual, and
-/// events queued for destinations that opened again passed their deadlines. A wrong advertised rate
-/// must not overload them.
+/// Regression: for a forwarder with one event per minute, the counted usual rate was close to zero,
+/// and events queued for destinations that had opened again passed their deadlines. A wrong
+/// advertised rate must not overload such destinations.
 #[rstest]
-fn the_warm_up_budget_believes_the_advertised_rate_up_to_a_bound() {
+fn the_warm_up_budget_uses_the_advertised_rate_up_to_a_bound() {
     let sent = |rate: f64| {
         let mut host = Host::new(|config| config.forwarder_count = 10.0);
         host.run(0.0, |scheduler| {
@@ -268,6 +267,6 @@
     );
     assert!(
         wrong <= 5,
-        "{wrong} of eight at once at a rate that was never true"
+        "{wrong} of eight were sent with a wrong advertised rate"
     );
 }
