--- a/decisions/tests/offline_lanes.rs
+++ b/decisions/tests/offline_lanes.rs
@@ -1,4 +1,4 @@
-//! Lanes that go offline, and the health checks that release them.
+//! Lanes that go offline, and the health checks that take them back online.
 
 mod host;
 
@@ -19,7 +19,7 @@
     assert_eq!(
         attempts_in(&effects) + attempts_in(&host.idle(4300.0)),
         1,
-        "any answer releases"
+        "any answer takes the lane back online"
     );
 }
 
@@ -33,38 +33,38 @@
     assert_eq!(host.idle(1500.0), ["send a to t"]);
 }
 
-/// Regression: a burst after the start passed for usual traffic, and health checks went every
-/// second.
+/// Regression: a burst after the start was counted as usual traffic, and health checks were sent
+/// every second.
 #[rstest]
-fn many_forwarders_space_their_health_checks_and_send_none_for_nothing() {
+fn many_forwarders_space_their_health_checks_and_send_none_without_queued_events() {
     let mut host = Host::new(|config| config.forwarder_count = 200.0);
     host.take_offline(1.0);
-    let mut pings = 0;
+    let mut health_checks = 0;
     for step in 0..60 {
         let now = 400.0 + 200.0 * step as f64;
         if host.idle(now).contains(&"health-check t".into()) || step == 0 {
-            pings += 1;
+            health_checks += 1;
             host.end_health_check(now, "t", AttemptOutcome::ConnectFailed);
         }
     }
-    assert!(pings <= 4, "{pings} in twelve seconds");
-    let mut still = Host::new(|_| ());
-    still.accept(1.0, "a", NON_IDEMPOTENT, 1, None);
-    still.accept(1.0, "b", NON_IDEMPOTENT, 1, None);
-    still.end_attempt(1600.0, "a", AttemptOutcome::TimedOut);
+    assert!(health_checks <= 4, "{health_checks} in twelve seconds");
+    let mut without_queue = Host::new(|_| ());
+    without_queue.accept(1.0, "a", NON_IDEMPOTENT, 1, None);
+    without_queue.accept(1.0, "b", NON_IDEMPOTENT, 1, None);
+    without_queue.end_attempt(1600.0, "a", AttemptOutcome::TimedOut);
     assert_eq!(
-        still.end_attempt(1600.0, "b", AttemptOutcome::TimedOut),
+        without_queue.end_attempt(1600.0, "b", AttemptOutcome::TimedOut),
         ["abandon b"],
-        "nothing waits, nothing is asked"
+        "no health check is sent without queued events"
     );
 }
 
 /// Regression: one of a hundred forwarders sent a health check to a destination that was down, then
-/// none for 10 s; the destination was back after 4 s, and the events queued for it passed their
-/// deadlines. Every 3.3 s was too often: with the calls that followed, the health checks of 52
-/// forwarders overloaded a small destination as it came back.
+/// none for 10 s; the destination recovered after 4 s, and the events queued for it passed their
+/// deadlines. An interval of 3.3 s was too short: with the calls that followed, the health checks
+/// of 52 forwarders overloaded a small destination during its recovery.
 #[rstest]
-fn of_a_hundred_forwarders_each_learns_of_a_return_within_seconds() {
+fn each_of_a_hundred_forwarders_detects_a_recovery_within_seconds() {
     for seed in [1, 2, 3] {
         let mut host = Host::new(|config| (config.seed, config.forwarder_count) = (seed, 100.0));
         host.take_offline(1.0);
@@ -80,20 +80,23 @@
         }
         assert!(
             longest <= 8_500.0,
-            "seed {seed}: {longest} ms without a ping"
+            "seed {seed}: {longest} ms without a health check"
         );
         assert!(
             10_000.0 - last <= 8_500.0,
-            "seed {seed}: no ping since {last}"
+            "seed {seed}: no health check since {last}"
         );
     }
 }
 
-/// Regression: a tenth of the calls was reset at destinations that answered all the time.
+/// Regression: a tenth of the calls was reset at destinations that answered calls all the time.
 #[rstest]
 #[case(100.0, false)]
 #[case(2_000.0, true)]
-fn resets_beside_deliveries_take_no_lane_offline(#[case] after: Ms, #[case] asked: bool) {
+fn resets_shortly_after_deliveries_take_no_lane_offline(
+    #[case] after: Ms,
+    #[case] sends_health_check: bool,
+) {
     let mut host = default_host();
     host.run_healthily(5_000.0);
     let at = 5_000.0 + after;
@@ -103,12 +106,12 @@
     assert_eq!(
         host.end_attempt(at + 1.0, "b", AttemptOutcome::Reset)
             .contains(&"health-check t".into()),
-        asked
+        sends_health_check
     );
 }
 
-/// Regression: calls of a backlog close to its deadline were cut short after some milliseconds, and
-/// two of them took a destination offline that had just come back.
+/// Regression: backlogged calls close to their deadline were cut short after some milliseconds, and
+/// two of them took a destination offline that had just recovered.
 #[rstest]
 fn calls_cut_short_by_the_deadline_take_no_lane_offline() {
     let mut host = default_host();
@@ -125,25 +128,25 @@
                         ..AttemptReport::from_outcome(AttemptOutcome::TimedOut)
                     },
                 )
-                .expect("sent")
+                .expect("was sent")
         });
     }
     host.accept(400.0, "c", IDEMPOTENT, 1, None);
     assert!(host
         .idle(401.0)
         .iter()
-        .all(|word| !word.starts_with("health-check")));
+        .all(|effect| !effect.starts_with("health-check")));
     assert!(
         host.end_attempt(500.0, "c", AttemptOutcome::Delivered)
             .is_empty(),
-        "it had been sent at once"
+        "the event was sent at once"
     );
 }
 
-/// Regression: the retry went to the dead one of two targets again, and the destination went
+/// Regression: the retry was sent to the failed one of two targets again, and the destination went
 /// offline and had to warm up.
 #[rstest]
-fn one_dead_target_of_two_does_not_take_its_lane_offline() {
+fn one_failed_target_of_two_does_not_take_its_lane_offline() {
     for seed in 0..40 {
         let mut host = Host::new(|config| config.seed = seed);
         host.list(0.0, "dead", 1, 0, EndpointState::Running);
--- a/decisions/tests/rate_limits.rs
+++ b/decisions/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Retry-afters and rejections, and the backoffs and paces that follow them.
+//! Retry-afters and rejections, and the resulting backoffs and paces.
 
 mod host;
 
@@ -9,7 +9,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn a_retry_after_holds_back_the_whole_destination_and_no_other() {
+fn a_retry_after_blocks_the_entire_destination_and_no_other() {
     let mut host = default_host();
     host.accept(1.0, "a", IDEMPOTENT, 1, None);
     host.end_attempt_with_retry_after(2.0, "a", AttemptOutcome::Rejected, 1500.0);
@@ -22,26 +22,26 @@
     );
 }
 
-/// Regression: forwarders that were rejected together came back together and were rejected again.
+/// Regression: forwarders that were rejected together retried together and were rejected again.
 #[rstest]
-fn many_forwarders_do_not_come_back_together_after_a_retry_after() {
-    let back = |seed: u64| {
+fn many_forwarders_do_not_retry_together_after_a_retry_after() {
+    let first_call_step = |seed: u64| {
         let mut host = Host::new(|config| (config.seed, config.forwarder_count) = (seed, 49.0));
         host.accept(1.0, "a", IDEMPOTENT, 1, None);
         host.end_attempt_with_retry_after(2.0, "a", AttemptOutcome::Rejected, 500.0);
         (1..100)
             .find(|step| attempts_in(&host.idle(502.0 + 100.0 * *step as f64)) > 0)
-            .expect("comes back")
+            .expect("sends another call")
     };
-    let early = (0..20).filter(|&seed| back(seed) < 8).count();
+    let early = (0..20).filter(|&seed| first_call_step(seed) < 8).count();
     assert!(
         (1..12).contains(&early),
         "{early} of 20 in the first of four seconds"
     );
 }
 
-/// Regression: a closed route gave all forwarders the time when it opens, and all came within
-/// seconds of that.
+/// Regression: a closed route reported its opening time to all forwarders, and all of them sent
+/// calls within seconds of that time.
 #[rstest]
 fn first_calls_after_a_long_retry_after_are_spread_by_the_warm_up_budget() {
     let early = |seed: u64| {
@@ -56,7 +56,8 @@
     assert!(early <= 4, "{early} of 20 in seven seconds");
 }
 
-/// Regression: an event that one route rejected went to the next at once, and round all of them.
+/// Regression: an event that was rejected by one route was sent to the next one at once, and so on
+/// to all of them.
 #[rstest]
 fn an_event_that_is_rejected_again_backs_off_longer() {
     let mut host = default_host();
@@ -74,9 +75,10 @@
     assert!(gaps[0] < 400.0 && gaps[2] > 700.0, "{gaps:?}");
 }
 
-/// Regression: the events of one call were given a retry-after each, and only the first was heeded.
+/// Regression: each event of a call received its own retry-after, and only the first one was
+/// respected.
 #[rstest]
-fn every_event_of_a_call_may_be_given_a_retry_after() {
+fn every_event_of_a_call_may_receive_a_retry_after() {
     let mut host = default_host();
     host.run(1.0, |scheduler| {
         scheduler.on_endpoint_listed(
@@ -95,7 +97,7 @@
     assert_eq!(attempts_in(&host.idle(850.0)), 0);
 }
 
-/// A connection can come up long after the call was decided.
+/// A connection may be established long after the decision to send the call.
 #[rstest]
 fn unsent_calls_are_cancelled_when_a_retry_after_comes() {
     let mut host = default_host();
@@ -127,7 +129,7 @@
 }
 
 #[rstest]
-fn a_rejection_without_a_retry_after_holds_back_the_lane_for_a_moment() {
+fn a_rejection_without_a_retry_after_blocks_the_lane_briefly() {
     let mut host = default_host();
     host.accept(1.0, "a", IDEMPOTENT, 1, None);
     host.end_attempt(2.0, "a", AttemptOutcome::Rejected);
@@ -142,11 +144,11 @@
     for step in 0..40 {
         let (now, name) = (1.0 + 50.0 * step as f64, format!("e{step}"));
         let effects = host.accept(now, &name, IDEMPOTENT, 1, None);
-        for word in effects.iter().filter(|word| word.starts_with("send")) {
+        for effect in effects.iter().filter(|effect| effect.starts_with("send")) {
             sent += 1;
             host.end_attempt(
                 now,
-                word.split(' ').nth(1).expect("a name"),
+                effect.split(' ').nth(1).expect("a name"),
                 AttemptOutcome::Rejected,
             );
         }
@@ -154,44 +156,44 @@
     assert!((1..=8).contains(&sent), "{sent} in two seconds");
 }
 
-/// Regression: a forwarder that was rejected among its first calls held back for the rest of the
-/// run what the destination would have taken; and the rejection of a burst set a pace below the
+/// Regression: after a rejection among its first calls, a forwarder sent less than the destination
+/// would have accepted for the rest of the run. Also, the rejection of a burst set a pace below the
 /// usual traffic.
 #[rstest]
 #[case(1.0)]
 #[case(6_000.0)]
-fn after_one_rejection_the_pace_soon_reaches_the_demand(#[case] refused_at: Ms) {
+fn after_one_rejection_the_pace_soon_reaches_the_demand(#[case] rejected_at: Ms) {
     let mut host = default_host();
-    let (mut sent, mut refused) = (0, false);
+    let (mut sent, mut rejected) = (0, false);
     for step in 0..700 {
         let now = 1.0 + 20.0 * step as f64;
         let effects = match step % 2 {
             0 => host.accept(now, &format!("e{step}"), IDEMPOTENT, 1, None),
             _ => host.idle(now),
         };
-        for word in effects.iter().filter(|word| word.starts_with("send")) {
-            sent += (now > refused_at + 5_000.0 && now <= refused_at + 6_000.0) as usize;
-            let outcome = if now >= refused_at && !refused {
+        for effect in effects.iter().filter(|effect| effect.starts_with("send")) {
+            sent += (now > rejected_at + 5_000.0 && now <= rejected_at + 6_000.0) as usize;
+            let outcome = if now >= rejected_at && !rejected {
                 AttemptOutcome::Rejected
             } else {
                 AttemptOutcome::Delivered
             };
-            refused |= outcome == AttemptOutcome::Rejected;
-            host.end_attempt(now, word.split(' ').nth(1).expect("a name"), outcome);
+            rejected |= outcome == AttemptOutcome::Rejected;
+            host.end_attempt(now, effect.split(' ').nth(1).expect("a name"), outcome);
         }
     }
     assert!(
         sent >= 15,
-        "{sent} calls in the sixth second after it, of 25 asked for"
+        "{sent} calls in the sixth second after the rejection, of 25 accepted events"
     );
 }
 
-/// Regression: where rejected calls use up the limit, 198 forwarders that came back within seconds
-/// left 0.6 of a destination's 5.7 calls a second. A spread by the fleet's size had others wait a
-/// minute for nothing.
+/// Regression: where rejected calls count against the limit, 198 forwarders that retried within
+/// seconds left 0.6 of a destination's 5.7 calls a second. Elsewhere, a spread proportional to the
+/// fleet size caused unnecessary waits of a minute.
 #[rstest]
 fn the_spread_grows_with_the_share_of_calls_that_are_rejected() {
-    let back = |refused: u64, left: Option<f64>, seed: u64| {
+    let first_call_step = |rejected: u64, limit_remaining: Option<f64>, seed: u64| {
         let mut host = Host::new(|config| (config.seed, config.forwarder_count) = (seed, 200.0));
         for n in 0..30 {
             let (other, name) = (DestinationId(n + 10), format!("other{n}"));
@@ -205,12 +207,12 @@
                 )
             });
             host.accept(n as f64, &name, IDEMPOTENT, other.0, None);
-            let outcome = if n < refused {
+            let outcome = if n < rejected {
                 AttemptOutcome::Rejected
             } else {
                 AttemptOutcome::Delivered
             };
-            host.end_attempt_with_report(n as f64, &name, outcome, 0.0, left);
+            host.end_attempt_with_report(n as f64, &name, outcome, 0.0, limit_remaining);
             host.run(n as f64, |scheduler| {
                 scheduler.withdraw_event(&event(&name))
             });
@@ -221,7 +223,12 @@
             .find(|step| attempts_in(&host.idle(101.0 + 100.0 * *step as f64)) > 0)
             .unwrap_or(200)
     };
-    let mean = |refused, left| (0..20).map(|seed| back(refused, left, seed)).sum::<usize>() / 20;
+    let mean = |rejected, limit_remaining| {
+        (0..20)
+            .map(|seed| first_call_step(rejected, limit_remaining, seed))
+            .sum::<usize>()
+            / 20
+    };
     assert!(mean(1, None) < 20, "{} tenths of a second", mean(1, None));
     assert!(
         mean(29, None) > 2 * mean(1, None),
@@ -230,12 +237,12 @@
     );
     assert!(
         mean(12, Some(0.0)) > 2 * mean(12, Some(0.9)),
-        "a limit that is not used up needs no long hold"
+        "a limit that is not used up needs no long spread"
     );
 }
 
-/// Regression: after one rejection by a destination that took sixty calls a second, forwarders held
-/// back for twenty seconds.
+/// Regression: after one rejection by a destination that accepted sixty calls a second, forwarders
+/// sent it no calls for twenty seconds.
 #[rstest]
 fn the_spread_after_a_rejection_spans_eight_usual_calls_at_most() {
     for seed in 0..30 {
@@ -256,20 +263,20 @@
         });
         assert!(
             sent,
-            "five a second usually go there, and nothing for 2.2 s (seed {seed})"
+            "no call for 2.2 s at a usual rate of five a second (seed {seed})"
         );
     }
 }
 
-/// Regression: a burst was rejected as a destination came back, and for seconds 59 forwarders kept
-/// to paces that left half of the advertised rate unused, while they shed queued events.
+/// Regression: a burst was rejected while a destination recovered, and for seconds 59 forwarders
+/// kept paces that left half of the advertised rate unused, while they shed queued events.
 #[rstest]
 #[case::advertised(40.0, 15, 25)]
 #[case::not_advertised(0.0, 0, 5)]
 fn the_pace_after_a_rejection_is_an_even_part_of_the_advertised_rate_at_least(
     #[case] advertised_rate: f64,
-    #[case] least: usize,
-    #[case] most: usize,
+    #[case] min_sent: usize,
+    #[case] max_sent: usize,
 ) {
     let mut host = default_host();
     host.run(0.0, |scheduler| {
@@ -283,7 +290,10 @@
     for n in 0..50 {
         let (name, now) = (format!("e{n}"), 4_000.0 + 20.0 * n as f64);
         let mut effects = host.accept(now, &name, IDEMPOTENT, 1, None);
-        while let Some(name) = effects.iter().find_map(|word| word.strip_prefix("send ")) {
+        while let Some(name) = effects
+            .iter()
+            .find_map(|effect| effect.strip_prefix("send "))
+        {
             sent += 1;
             effects = host.end_attempt(
                 now,
@@ -292,5 +302,5 @@
             );
         }
     }
-    assert!((least..=most).contains(&sent), "{sent} in a second");
+    assert!((min_sent..=max_sent).contains(&sent), "{sent} in a second");
 }
--- a/decisions/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -1,4 +1,4 @@
-//! The targets of a destination: which one is called, for how long, over which connection.
+//! Targets of a destination: selection, call timeouts and connections.
 
 mod host;
 
@@ -17,17 +17,17 @@
     assert_eq!(
         host.run(4.0, |scheduler| scheduler.on_endpoint_list_replaced()),
         ["cancel unsent t2"],
-        "its call may not be written yet"
+        "the call may not have been written yet"
     );
     let effects = host.accept(5.0, "b", IDEMPOTENT, 1, None);
     assert_eq!(
         attempts_in(&effects),
         0,
-        "a whole list without it elapsed t2 away: {effects:?}"
+        "a complete list without t2 removes it: {effects:?}"
     );
 }
 
-/// Regression: events for destinations that no endpoint list names were accepted.
+/// Regression: events for destinations that were not in the endpoint list were accepted.
 #[rstest]
 fn a_destination_is_known_while_it_is_listed_and_for_a_minute_after() {
     let mut host = default_host();
@@ -37,7 +37,7 @@
         scheduler.set_endpoint_state(&target("t"), EndpointState::Removed)
     });
     host.idle(50_000.0);
-    assert!(known(&host, 1), "its next targets may be on the way");
+    assert!(known(&host, 1), "new targets may still be listed");
     host.idle(70_100.0);
     assert!(!known(&host, 1) && known(&host, 2));
 }
@@ -56,9 +56,9 @@
     }
 }
 
-/// Regression: nine of ten calls opened a new connection, though another target had an idle one.
+/// Regression: nine of ten calls opened a new connection, although another target had an idle one.
 #[rstest]
-fn of_two_targets_alike_the_one_with_an_idle_connection_is_selected() {
+fn of_two_equal_targets_the_one_with_an_idle_connection_is_selected() {
     let mut host = default_host();
     host.list(0.0, "t2", 1, 0, EndpointState::Running);
     let effects = host.accept(1.0, "first", IDEMPOTENT, 1, None);
@@ -74,14 +74,14 @@
     }
 }
 
-/// Regression: calls took 22 ms, and each without a response stayed one of 13 calls in flight for
-/// 1.5 s.
+/// Regression: calls took 22 ms, and each call without a response occupied one of 13 calls in
+/// flight for 1.5 s.
 #[rstest]
 #[case(20.0, 150.0..300.0)]
 #[case(200.0, 1500.0..1501.0)]
 fn the_timeout_of_a_call_follows_the_response_times(
     #[case] elapsed: Ms,
-    #[case] given: std::ops::Range<Ms>,
+    #[case] expected_timeout: std::ops::Range<Ms>,
 ) {
     let mut host = default_host();
     for step in 0..200 {
@@ -100,13 +100,13 @@
         });
     }
     assert!(
-        given.contains(&host.last_timeout),
+        expected_timeout.contains(&host.last_timeout),
         "{} ms",
         host.last_timeout
     );
 }
 
-/// Regression: idle connections were dropped without a word, and each call on one was lost.
+/// Regression: idle connections were dropped silently, and each call on one was lost.
 #[rstest]
 fn idle_connections_are_closed_once_calls_on_them_are_lost() {
     let mut host = default_host();
@@ -116,7 +116,7 @@
         .is_empty());
     assert!(
         host.idle(3000.0).is_empty(),
-        "kept while nothing speaks against it"
+        "an idle connection is kept while no call on one is lost"
     );
     host.accept(3001.0, "lost", IDEMPOTENT, 1, None);
     host.end_attempt(4600.0, "lost", AttemptOutcome::TimedOut);
@@ -127,8 +127,8 @@
     assert_eq!(host.idle(6501.0), ["close t"]);
 }
 
-/// Regression: idle connections of other forwarders took all that a target accepts, a third of all
-/// connections were refused, and healthy destinations went offline.
+/// Regression: idle connections of other forwarders used up the connections that a target accepts,
+/// a third of all connections were refused, and healthy destinations went offline.
 #[rstest]
 #[case(AttemptOutcome::Delivered, 1100.0, true)]
 #[case(AttemptOutcome::Rejected, 1100.0, true)]
@@ -148,15 +148,15 @@
     assert_eq!(
         host.idle(9_401.0).contains(&"close u".into()),
         closes,
-        "the others of its kind as well"
+        "connections to other destinations of the kind are closed as well"
     );
 }
 
-/// Regression: the evidence of the first minute came too late for a fleet of two hundred.
+/// Regression: for a fleet of two hundred, the evidence of the first minute came too late.
 #[rstest]
 #[case(2.0, false)]
 #[case(200.0, true)]
-fn a_fleet_that_outnumbers_the_calls_that_the_advertised_rate_allows_at_once_keeps_no_idle_connections(
+fn a_fleet_larger_than_the_advertised_concurrency_keeps_no_idle_connections(
     #[case] forwarders: f64,
     #[case] closes: bool,
 ) {
