--- a/tier/replica/src/peer_connections/incoming.rs
+++ b/tier/replica/src/peer_connections/incoming.rs
@@ -1,4 +1,4 @@
-//! Receiving over a connection that another member has opened.
+//! Receives messages over connections that other members opened.
 
 use plankhill_chain::{Identity, Message};
 use plankhill_protocol::ids::NodeId;
@@ -7,7 +7,7 @@
 
 use super::introduction::Introduction;
 
-/// A message that came in.
+/// A received message.
 pub(crate) struct Received {
     /// The sender.
     pub(crate) from: Identity,
@@ -15,10 +15,10 @@
     pub(crate) message: Message,
 }
 
-/// Receives from one accepted connection until it ends. A sender that introduces itself as another
-/// machine than in its greeting is rejected.
+/// Receives messages from an accepted connection until it ends. A connection is rejected if the node
+/// in its introduction differs from the node in its transport greeting.
 pub(crate) async fn receive_from(connection: Connection, inbox: mpsc::Sender<Received>) {
-    // The writer is kept: dropping it would end the connection.
+    // Dropping the writer would close the connection.
     let Connection {
         mut reader,
         writer: _writer,
@@ -47,7 +47,8 @@
     }
 }
 
-/// Connections end all the time; bytes that are no message are worth a look.
+/// Logs an undecodable message as a warning and any other end of a connection, which is routine, at
+/// debug level.
 fn log_end(node: &NodeId, error: &TransportError) {
     match error {
         TransportError::Message(_) => {
--- a/tier/replica/src/peer_connections/introduction.rs
+++ b/tier/replica/src/peer_connections/introduction.rs
@@ -3,7 +3,8 @@
 use plankhill_chain::Identity;
 use serde::{Deserialize, Serialize};
 
-/// Names the sender's disk; the greeting of the transport names only the machine.
+/// Identifies the sender by node and disk incarnation; the greeting of the transport names only the
+/// node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Introduction {
     pub(super) identity: Identity,
--- a/tier/replica/src/peer_connections/mod.rs
+++ b/tier/replica/src/peer_connections/mod.rs
@@ -1,6 +1,6 @@
 //! Connections to other members. Each member sends over connections that it opened itself and
-//! receives over those that it accepted, so that a network fault in one direction stops one
-//! direction only.
+//! receives over connections that it accepted, so that a one-way network fault affects one direction
+//! only.
 
 mod incoming;
 mod introduction;
@@ -18,40 +18,40 @@
 
 use outgoing::OutgoingConnection;
 
-/// The connections that this member opened, by the address at which the other member listens.
+/// The connections that this member opened, by the listen address of the other member.
 pub(crate) struct PeerConnections {
-    me: Identity,
+    local_identity: Identity,
     outgoing: BTreeMap<SocketAddr, OutgoingConnection>,
 }
 
 impl PeerConnections {
-    /// No connection is open yet.
-    pub(crate) fn new(me: Identity) -> Self {
+    /// Creates an empty set of connections.
+    pub(crate) fn new(local_identity: Identity) -> Self {
         Self {
-            me,
+            local_identity,
             outgoing: BTreeMap::new(),
         }
     }
 
-    /// Queues a message; the connection comes up when it is needed.
+    /// Queues a message and opens the connection if there is none yet.
     pub(crate) fn send(&mut self, to: SocketAddr, message: Message) {
-        let me = &self.me;
+        let local_identity = &self.local_identity;
         let connection = self
             .outgoing
             .entry(to)
-            .or_insert_with(|| OutgoingConnection::open(to, me.clone()));
+            .or_insert_with(|| OutgoingConnection::open(to, local_identity.clone()));
         connection.send(message);
     }
 
-    /// A heartbeat of the member that listens there has come: a connection that waits for its
-    /// backoff is tried at once.
+    /// Ends the reconnect backoff for this address. Called when a heartbeat of the member that
+    /// listens there was received.
     pub(crate) fn retry_now(&self, address: SocketAddr) {
         if let Some(connection) = self.outgoing.get(&address) {
             connection.retry_now();
         }
     }
 
-    /// Closes the connections to everyone else.
+    /// Closes the connections to all addresses that are not in `contacts`.
     pub(crate) fn retain(&mut self, contacts: &BTreeSet<SocketAddr>) {
         self.outgoing
             .retain(|address, _| contacts.contains(address));
--- a/tier/replica/src/peer_connections/outgoing.rs
+++ b/tier/replica/src/peer_connections/outgoing.rs
@@ -1,4 +1,4 @@
-//! Sending over a connection that this member opens, and opens again whenever it ends.
+//! Sends messages over a connection that this member opens, and reopens whenever it ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,21 +11,22 @@
 
 use super::introduction::Introduction;
 
-/// Messages that wait for a connection; more are dropped, as every message may be.
+/// Maximum number of messages queued for a connection. Further messages are dropped; the protocol
+/// tolerates the loss of any message.
 const MAX_QUEUED_MESSAGES: usize = 1_024;
-/// Messages written together.
+/// Maximum number of messages written in one batch.
 const MAX_BATCH: usize = 64;
-/// Before the first attempt to connect again; doubled after each failure.
+/// Backoff before the first attempt to reconnect; doubled after each failure.
 const INITIAL_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff: members that all restart at once have to exchange heartbeats before one
+/// Maximum backoff: if all members restart at once, they have to exchange heartbeats before a member
 /// counts as failed (0.6 s).
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
 
-/// A queue of messages to one member and the task that sends them; the task ends when this is
-/// dropped.
+/// A queue of messages to one member and the task that sends them. Dropping this value aborts the
+/// task.
 pub(super) struct OutgoingConnection {
     queue: mpsc::Sender<Message>,
-    /// A heartbeat of the peer has come, so that the peer can be reached now.
+    /// Notified when a heartbeat of the peer was received, which suggests that the peer is reachable.
     peer_alive: Arc<Notify>,
     task: JoinHandle<()>,
 }
@@ -37,12 +38,12 @@
 }
 
 impl OutgoingConnection {
-    pub(super) fn open(to: SocketAddr, me: Identity) -> Self {
+    pub(super) fn open(to: SocketAddr, local_identity: Identity) -> Self {
         let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let peer_alive = Arc::new(Notify::new());
         let sender = Sender {
             to,
-            me,
+            local_identity,
             messages,
             peer_alive: Arc::clone(&peer_alive),
             reported_version: None,
@@ -54,30 +55,31 @@
         }
     }
 
-    /// Queues a message. A full queue loses the message.
+    /// Queues a message. The message is dropped if the queue is full.
     pub(super) fn send(&self, message: Message) {
         let _ = self.queue.try_send(message);
     }
 
-    /// Ends the backoff.
+    /// Ends the reconnect backoff.
     pub(super) fn retry_now(&self) {
         self.peer_alive.notify_one();
     }
 }
 
-/// The task's part.
+/// The state of the sending task.
 struct Sender {
     to: SocketAddr,
-    me: Identity,
+    local_identity: Identity,
     messages: mpsc::Receiver<Message>,
     peer_alive: Arc<Notify>,
-    /// The version that the peer was last reported to speak: attempts follow each other quickly.
+    /// The peer's protocol version in the last version-mismatch warning. The warning is repeated
+    /// only if the version changes, because reconnect attempts are frequent.
     reported_version: Option<u32>,
 }
 
 impl Sender {
     async fn run(mut self) {
-        let hello = Hello::new(Channel::Chain, self.me.node.clone());
+        let hello = Hello::new(Channel::Chain, self.local_identity.node.clone());
         let to = self.to;
         let mut backoff = INITIAL_RECONNECT_BACKOFF;
         loop {
@@ -91,7 +93,7 @@
                 }
                 Err(error) => self.report_dial_error(&error),
             }
-            // The backoff ends early when a heartbeat of the peer comes.
+            // The backoff ends early when a heartbeat of the peer is received.
             let _ = tokio::time::timeout(backoff, self.peer_alive.notified()).await;
             backoff = MAX_RECONNECT_BACKOFF.min(backoff * 2);
         }
@@ -117,13 +119,13 @@
         } = connection;
         let newest_heartbeat = self.drain_to_newest_heartbeat();
         let introduction = Introduction {
-            identity: self.me.clone(),
+            identity: self.local_identity.clone(),
         };
         writer.send(&introduction).await?;
         if let Some(heartbeat) = newest_heartbeat {
             writer.send(&heartbeat).await?;
         }
-        // Nothing comes back on this connection but its end.
+        // The peer sends nothing on this connection; the read completes when the connection ends.
         let ended = reader.next::<Introduction>();
         tokio::pin!(ended);
         let mut batch = Vec::new();
@@ -141,9 +143,10 @@
         }
     }
 
-    /// Messages that waited for the connection are too old to be of use, but for the last
-    /// heartbeat: the peer may wait for a heartbeat of this member, and a late heartbeat claims
-    /// nothing that was not so.
+    /// Discards all queued messages and returns the newest heartbeat among them.
+    ///
+    /// Messages queued before the connection was open are stale. The newest heartbeat is still sent
+    /// because the peer may be waiting for one and because its content remains true when it is late.
     fn drain_to_newest_heartbeat(&mut self) -> Option<Message> {
         let mut newest = None;
         while let Ok(message) = self.messages.try_recv() {
--- a/tier/replica/src/peer_connections/wire_format_tests.rs
+++ b/tier/replica/src/peer_connections/wire_format_tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of the first message on a connection between members.
+//! Checks the encoding of the first message on a connection between members.
 
 use std::sync::Arc;
 
