--- a/tier/replica/src/storage/database.rs
+++ b/tier/replica/src/storage/database.rs
@@ -1,4 +1,4 @@
-//! A member's rows in an open `fjall` database. `tests/stored_format` pins them.
+//! The rows of a member in an open `fjall` database. `tests/stored_format.rs` checks their encoding.
 
 use std::path::Path;
 
@@ -11,39 +11,41 @@
 use super::error::StorageError;
 use super::row_codec;
 
-/// Everything lies in one keyspace, so that one flush frees a whole journal.
+/// All rows are in one keyspace, so that a single flush frees a complete journal.
 const KEYSPACE: &str = "chain";
-/// Written to tables from this size on. What is alive is one snapshot and some hundred operations.
+/// Size from which a memtable is flushed to disk tables. The live data is one snapshot and a few
+/// hundred operations.
 const MAX_MEMTABLE_BYTES: u64 = 12 * 1024 * 1024;
-/// The least that the library takes.
+/// The minimum that `fjall` accepts.
 const MAX_JOURNAL_BYTES: u64 = 64 * 1024 * 1024;
-/// Everything is read once, at the start.
+/// Small, because all rows are read only once, at startup.
 const MAX_CACHE_BYTES: u64 = 256 * 1024;
-/// Files kept open.
+/// Maximum number of cached open files.
 const MAX_OPEN_FILES: usize = 16;
 
-// Keys; they are on disks and never change.
+// Row keys. They are part of the stored format and must not change.
 const INCARNATION: &[u8] = b"i";
 const FOUNDERS: &[u8] = b"f";
 const ACCEPTOR: &[u8] = b"a";
 const VIEW: &[u8] = b"v";
 const COMMITTED: &[u8] = b"c";
 const SNAPSHOT: &[u8] = b"s";
-/// Followed by the revision in eight bytes, the highest first.
+/// Prefix of operation keys, followed by the revision as eight big-endian bytes.
 const ENTRY_PREFIX: u8 = b'e';
 
-/// A database that is open.
+/// An open database.
 pub(super) struct OpenDatabase {
     database: Database,
     rows: Keyspace,
-    /// The lowest and the highest revision that an operation in the database may have: what a
-    /// truncation and a snapshot have to remove.
+    /// The lowest revision that an operation in the database may have. `first` and `last` bound the
+    /// range that snapshots and truncations remove.
     first: Revision,
+    /// The highest revision that an operation in the database may have.
     last: Revision,
 }
 
 impl OpenDatabase {
-    /// Opens the database in this folder, or makes one.
+    /// Opens the database in this folder, or creates one.
     pub(super) fn open(folder: &Path) -> Result<Self, StorageError> {
         let database = Database::builder(folder)
             .worker_threads(1)
@@ -68,7 +70,7 @@
         Ok(opened)
     }
 
-    /// Everything that was written.
+    /// Reads the complete durable state.
     pub(super) fn load(&self) -> Result<DurableState, StorageError> {
         let mut durable = DurableState {
             incarnation: self.incarnation()?,
@@ -88,7 +90,7 @@
         Ok(durable)
     }
 
-    /// The incarnation of the disk, once there is one.
+    /// Returns the incarnation of the disk, or `None` if none has been written yet.
     pub(super) fn incarnation(&self) -> Result<Option<Incarnation>, StorageError> {
         self.row(INCARNATION)
     }
--- a/tier/replica/src/storage/error.rs
+++ b/tier/replica/src/storage/error.rs
@@ -1,4 +1,4 @@
-//! Why the disk of a member cannot be used.
+//! Errors of the storage of a member.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 
 use super::row_codec::RowError;
 
-/// Why the storage cannot be used.
+/// An error of the storage.
 #[derive(Debug, Error)]
 pub enum StorageError {
     /// The database reports an error.
@@ -19,11 +19,11 @@
     Row {
         /// The row's key.
         key: Vec<u8>,
-        /// What is wrong with the value.
+        /// The cause.
         source: RowError,
     },
-    /// The key of an operation does not name a revision.
-    #[error("row {}: the key names no revision", .0.escape_ascii())]
+    /// The key of an operation does not encode a revision.
+    #[error("row {}: the key does not encode a revision", .0.escape_ascii())]
     EntryKey(Vec<u8>),
     /// The folder cannot be used.
     #[error("folder {}: {source}", .path.display())]
@@ -33,18 +33,19 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// The database was closed after a failed write and could not be opened again yet.
+    /// The database was closed after a failed write and has not been reopened yet.
     #[error("the database is closed after a failed write")]
     Closed,
-    /// The folder belongs to another machine: its own view names that one with this disk.
+    /// The folder belongs to another node: the view on the disk lists its incarnation under that
+    /// node.
     #[error("folder {}: holds the data of node {owner}", .path.display())]
     OtherNode {
         /// The folder.
         path: PathBuf,
-        /// The machine.
+        /// The node that owns the folder.
         owner: NodeId,
     },
-    /// Another disk was found in place of the one that was open.
+    /// The reopened database has another incarnation than the one that was open before.
     #[error("the disk was replaced by another one")]
     Replaced,
 }
@@ -64,13 +65,13 @@
         }
     }
 
-    /// Whether another attempt may find everything as it was: the data has not been shown to be
-    /// damaged.
+    /// Returns whether a retry may succeed with all data intact: the error does not show that the
+    /// data is corrupted.
     pub(crate) fn is_transient(&self) -> bool {
         match self {
             Self::Database(fjall::Error::Io(error))
             | Self::Database(fjall::Error::Storage(fjall::LsmError::Io(error)))
-            | Self::Folder { source: error, .. } => !is_damage(error),
+            | Self::Folder { source: error, .. } => !is_corruption(error),
             Self::Database(fjall::Error::Locked | fjall::Error::Poisoned) | Self::Closed => true,
             Self::Database(_)
             | Self::Row { .. }
@@ -81,8 +82,8 @@
     }
 }
 
-/// Whether the operating system's error means that the bytes found are not those written.
-fn is_damage(error: &io::Error) -> bool {
+/// Returns whether an I/O error means that the bytes on disk are not those that were written.
+fn is_corruption(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData
--- a/tier/replica/src/storage/fjall.rs
+++ b/tier/replica/src/storage/fjall.rs
@@ -1,4 +1,4 @@
-//! A member's storage in a `fjall` database, which is closed and opened anew after a failed write.
+//! The storage of a member in a `fjall` database, which is closed and reopened after a failed write.
 
 use std::path::{Path, PathBuf};
 
@@ -9,21 +9,21 @@
 use super::database::OpenDatabase;
 use super::error::StorageError;
 
-/// A member's data in a `fjall` database.
+/// The storage of a member in a `fjall` database.
 pub struct FjallStorage {
     folder: PathBuf,
-    /// The incarnation of the disk, once there is one: what is opened later has to be the same
-    /// disk.
+    /// The incarnation of the disk, once one has been written. A reopened database must have the
+    /// same incarnation.
     incarnation: Option<Incarnation>,
-    /// Missing while a failed database could not be opened again.
+    /// `None` after a failed attempt to reopen the database.
     database: Option<OpenDatabase>,
 }
 
 impl FjallStorage {
-    /// Opens the database in this folder, or makes one.
+    /// Opens the database in this folder, or creates one.
     ///
     /// # Errors
-    /// [`StorageError`] when there is one that cannot be read, or the disk takes none.
+    /// [`StorageError`] if an existing database cannot be read, or none can be created.
     pub fn open(folder: &Path) -> Result<Self, StorageError> {
         let database = OpenDatabase::open(folder)?;
         Ok(Self {
@@ -55,7 +55,8 @@
         Ok(())
     }
 
-    /// The failed database can be read until the folder takes bytes again.
+    /// Reopens the database once the folder accepts writes again. Until then the failed database
+    /// remains readable.
     fn recover(&mut self) -> Result<(), StorageError> {
         check_free_space(&self.folder)
             .map_err(|error| StorageError::folder(&self.folder, error))?;
--- a/tier/replica/src/storage/folder.rs
+++ b/tier/replica/src/storage/folder.rs
@@ -1,7 +1,8 @@
-//! The folder of a member: a database, and a file that exists once the first sync is over.
+//! The data folder of a member: a database, and a marker file that exists once the first sync has
+//! completed.
 //!
-//! A folder without that file, or with a database that cannot be read, counts as empty: the member
-//! starts as a new incarnation, which takes part only after it has everything.
+//! A folder without that file, or with a database that is corrupted, counts as empty: the member
+//! starts as a new incarnation, which joins the chain only after it has caught up.
 
 use std::fs::{self, File};
 use std::io;
@@ -14,32 +15,32 @@
 use super::error::StorageError;
 use super::fjall::FjallStorage;
 
-/// Folder of the database.
+/// Name of the database folder.
 const DATABASE: &str = "chain";
-/// Made and synced once the incarnation is in the database.
+/// Name of the marker file, which is created and synced once the incarnation is in the database.
 const READY_FILE: &str = "chain-ready";
 
-/// A folder that is open.
+/// An open data folder.
 pub struct OpenedFolder {
-    /// Where changes go.
+    /// The storage, which accepts further writes.
     pub storage: FjallStorage,
-    /// What has been written there; the incarnation is set.
+    /// The durable state found in the storage; its incarnation is set.
     pub durable: DurableState,
 }
 
-/// Opens a folder. An empty one gets the incarnation `fresh`, and `founders` where the member may
-/// found the first view.
+/// Opens a folder. An empty folder gets the incarnation `new_incarnation`, and `founders` if the
+/// member may create the first view.
 ///
 /// # Errors
-/// [`StorageError`] when nothing can be made there, or what is there cannot be read for a cause
-/// that may pass.
+/// [`StorageError`] if a database cannot be created, or an existing one cannot be read for a
+/// transient cause.
 pub fn open_folder(
     folder: &Path,
-    fresh: Incarnation,
+    new_incarnation: Incarnation,
     founders: Option<Vec<SocketAddr>>,
 ) -> Result<OpenedFolder, StorageError> {
     if !folder.join(READY_FILE).exists() {
-        return create(folder, fresh, founders);
+        return create(folder, new_incarnation, founders);
     }
     match open_existing(&folder.join(DATABASE)) {
         Ok(Some(opened)) => return Ok(opened),
@@ -51,8 +52,8 @@
             tracing::error!(%error, "database is unreadable; starting with an empty disk");
         }
     }
-    // A lost disk founds nothing: a view may exist by now.
-    create(folder, fresh, None)
+    // A member that lost its disk must not create the first view: a view may exist already.
+    create(folder, new_incarnation, None)
 }
 
 fn open_existing(folder: &Path) -> Result<Option<OpenedFolder>, StorageError> {
@@ -62,8 +63,8 @@
     Ok(has_incarnation.then_some(OpenedFolder { storage, durable }))
 }
 
-/// Makes a new database in place of what is there. The file that marks the folder as ready comes
-/// last, so that a crash before leaves a folder that counts as empty.
+/// Replaces the content of the folder by a new database. The marker file is created last, so that a
+/// crash before that leaves a folder that counts as empty.
 fn create(
     folder: &Path,
     incarnation: Incarnation,
@@ -76,7 +77,7 @@
         writes.push(Write::Founders(founders));
     }
     storage.write(&writes)?;
-    mark_ready(folder).map_err(|error| StorageError::folder(folder, error))?;
+    create_ready_file(folder).map_err(|error| StorageError::folder(folder, error))?;
     let durable = storage.load()?;
     Ok(OpenedFolder { storage, durable })
 }
@@ -88,7 +89,7 @@
     ignore_missing(fs::remove_dir_all(folder.join(DATABASE)))
 }
 
-fn mark_ready(folder: &Path) -> io::Result<()> {
+fn create_ready_file(folder: &Path) -> io::Result<()> {
     File::create(folder.join(READY_FILE))?.sync_all()?;
     File::open(folder)?.sync_all()
 }
--- a/tier/replica/src/storage/mod.rs
+++ b/tier/replica/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! The disk of a member: a database in a folder, and the thread that writes to it.
+//! The storage of a member: a database in a folder, and the thread that writes to the database.
 
 mod database;
 mod error;
--- a/tier/replica/src/storage/row_codec.rs
+++ b/tier/replica/src/storage/row_codec.rs
@@ -1,53 +1,54 @@
-//! The values of rows: `postcard`, and compressed where that makes large ones smaller.
+//! Encodes row values with `postcard`, and compresses large values if that makes them smaller.
 //!
-//! Operations carry configurations of up to 8 MiB, and hundreds of them may come in a row, while the
-//! disks of core machines have 128 MB. What members send each other is not compressed here: it stays
-//! as members of other versions know it.
+//! Operations contain configurations of up to 8 MiB, and hundreds of them may follow each other, while
+//! the disks of core machines have 128 MB. Compression applies to stored rows only: messages between
+//! members stay uncompressed for compatibility with other versions.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use thiserror::Error;
 
-/// Values below this size, in bytes, are not worth compressing.
+/// Values smaller than this, in bytes, are not compressed.
 const MIN_COMPRESSED_BYTES: usize = 4 * 1024;
-/// In front of a compressed value. No value begins with it that was written before any was
-/// compressed: all that are large enough begin with an integer of variable length, whose last byte
-/// would have to come earlier. A program of before rejects such a value, and its member fetches
-/// everything anew.
-const COMPRESSED_MARK: [u8; 20] = [0xff; 20];
-/// A value that claims to be longer than this, in bytes, is damaged: a snapshot with the largest
-/// configuration, and room to grow.
+/// Prefix of compressed values. No value written before the introduction of compression begins with
+/// this prefix: every large value begins with a variable-length integer, whose last byte
+/// comes earlier than byte 20.
+/// An earlier version of the program rejects a compressed value, and its member then fetches the
+/// complete state again.
+const COMPRESSED_PREFIX: [u8; 20] = [0xff; 20];
+/// Maximum decompressed length in bytes; a value that declares a greater length is corrupted. The
+/// limit allows for a snapshot with the largest configuration, with a margin.
 const MAX_VALUE_BYTES: usize = 64 * 1024 * 1024;
-/// Bytes of the little-endian length that lies before the compressed bytes.
+/// Size of the little-endian length that precedes the compressed bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a value cannot be encoded or decoded.
+/// The reason why a value cannot be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum RowError {
-    /// The value is not one of its type.
+    /// `postcard` cannot encode or decode the value.
     #[error(transparent)]
     Value(#[from] postcard::Error),
-    /// The compressed value claims to be of this many bytes.
+    /// The compressed value declares this decompressed length, which exceeds the maximum.
     #[error("compressed value of {0} bytes; at most {MAX_VALUE_BYTES}")]
     TooLong(usize),
-    /// The compressed value is damaged.
+    /// The compressed bytes cannot be decompressed.
     #[error("compressed value: {0}")]
-    Damaged(#[from] lz4_flex::block::DecompressError),
-    /// The compressed value ends before its length.
-    #[error("compressed value without its length")]
-    NoLength,
+    Corrupted(#[from] lz4_flex::block::DecompressError),
+    /// The compressed value is too short to contain its length prefix.
+    #[error("compressed value has no length prefix")]
+    MissingLength,
 }
 
 /// Encodes a value.
 ///
 /// # Errors
-/// [`RowError::Value`] where the value has no encoding.
+/// [`RowError::Value`] if the value cannot be encoded.
 pub(super) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, RowError> {
     let plain = postcard::to_allocvec(value)?;
     if plain.len() < MIN_COMPRESSED_BYTES {
         return Ok(plain);
     }
-    let mut compressed = COMPRESSED_MARK.to_vec();
+    let mut compressed = COMPRESSED_PREFIX.to_vec();
     compressed.extend(lz4_flex::compress_prepend_size(&plain));
     match compressed.len() < plain.len() {
         true => Ok(compressed),
@@ -55,20 +56,20 @@
     }
 }
 
-/// Decodes a value, compressed or not.
+/// Decodes a compressed or uncompressed value.
 ///
 /// # Errors
-/// [`RowError`] where the bytes are no such value.
+/// [`RowError`] if the bytes are not a valid encoding of the type.
 pub(super) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, RowError> {
-    match bytes.strip_prefix(&COMPRESSED_MARK) {
+    match bytes.strip_prefix(&COMPRESSED_PREFIX) {
         Some(compressed) => Ok(postcard::from_bytes(&decompress(compressed)?)?),
         None => Ok(postcard::from_bytes(bytes)?),
     }
 }
 
-/// The length is checked before any memory is reserved for it.
+/// Decompresses a value. The declared length is checked before memory is allocated.
 fn decompress(compressed: &[u8]) -> Result<Vec<u8>, RowError> {
-    let length: [u8; LENGTH_BYTES] = *compressed.first_chunk().ok_or(RowError::NoLength)?;
+    let length: [u8; LENGTH_BYTES] = *compressed.first_chunk().ok_or(RowError::MissingLength)?;
     let length = u32::from_le_bytes(length) as usize;
     if length > MAX_VALUE_BYTES {
         return Err(RowError::TooLong(length));
--- a/tier/replica/src/storage/writer.rs
+++ b/tier/replica/src/storage/writer.rs
@@ -1,7 +1,8 @@
-//! The thread that writes to the disk. All batches that wait during a sync share the next one.
+//! The thread that writes to the disk. Batches that are queued during a sync are written with the
+//! next one (group commit).
 //!
-//! Both queues are without a bound: the member hands nothing more to a disk that rejects writes or
-//! does not answer, and each batch brings at most one report and the rejections of its attempts.
+//! Both queues are unbounded: the member stops submitting writes while the disk rejects them or does
+//! not respond, and each batch causes at most one final report and one rejection per attempt.
 
 use std::io;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -12,35 +13,36 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::watch;
 
-/// Batches that join the first one of a sync.
+/// Maximum number of batches that are merged into the first one of a sync.
 const MAX_JOINED_BATCHES: usize = 1_024;
 
-/// What the thread reports.
+/// A report of the thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskReport {
-    /// This batch and all before it survive a loss of power.
+    /// The batch with this ticket and all earlier batches are synced to disk.
     Synced(Ticket),
-    /// The disk rejects writes, as a full one does; the thread goes on trying, in the same order.
+    /// The disk rejects writes, for example because it is full. The thread retries in the same
+    /// order.
     Rejected,
-    /// What lies on the disk cannot be used any more; nothing more will be written.
+    /// The storage has failed permanently; nothing more is written.
     Failed,
 }
 
-/// A batch of changes on its way to the disk.
+/// A batch of changes to be written to the disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// Names the batch in [`DiskReport::Synced`].
+    /// Identifies the batch in [`DiskReport::Synced`].
     pub ticket: Ticket,
     /// The changes, in order.
     pub writes: Vec<Write>,
 }
 
-/// The thread has ended, and takes no batch any more.
+/// The thread has ended and accepts no more batches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the disk writer has stopped")]
 pub struct WriterStopped;
 
-/// The owner's end of the thread, which ends when this is dropped and all batches are written.
+/// The handle of the thread, which ends once the handle is dropped and all batches are written.
 #[derive(Debug)]
 pub struct DiskWriter {
     batches: Sender<WriteBatch>,
@@ -51,22 +53,22 @@
     /// Queues a batch.
     ///
     /// # Errors
-    /// [`WriterStopped`] when the thread has ended, as it does when the disk has failed.
+    /// [`WriterStopped`] if the thread has ended, for example after a disk failure.
     pub fn submit(&self, batch: WriteBatch) -> Result<(), WriterStopped> {
         self.batches.send(batch).map_err(|_| WriterStopped)
     }
 
-    /// The next report; `None` after the last one. May be cancelled without losing a report.
+    /// Returns the next report, or `None` after the last one. Cancel safe: no report is lost.
     pub async fn next_report(&mut self) -> Option<DiskReport> {
         self.reports.recv().await
     }
 }
 
-/// Starts the thread, which drops `in_use` when the storage is closed. A disk that rejects writes
-/// is tried again after the delays of `backoff`.
+/// Starts the thread, which drops `in_use` once the storage is closed. Writes that the disk rejects
+/// are retried with the delays of `backoff`.
 ///
 /// # Errors
-/// The operating system's, where it has no thread.
+/// The error of the operating system if the thread cannot be spawned.
 pub fn start_writer<S: Storage + Send + 'static>(
     storage: S,
     in_use: watch::Sender<()>,
@@ -89,7 +91,7 @@
     backoff: Backoff,
 ) {
     while let Ok(first) = queue.recv() {
-        let batch = join_waiting(first, queue);
+        let batch = merge_queued(first, queue);
         let report = match write_with_retries(&mut storage, &batch.writes, reports, backoff) {
             Ok(()) => DiskReport::Synced(batch.ticket),
             Err(WriterStopped) => DiskReport::Failed,
@@ -100,8 +102,8 @@
     }
 }
 
-/// One batch of all that waits, under the ticket of the last.
-fn join_waiting(first: WriteBatch, queue: &Receiver<WriteBatch>) -> WriteBatch {
+/// Merges all queued batches into one, with the ticket of the last.
+fn merge_queued(first: WriteBatch, queue: &Receiver<WriteBatch>) -> WriteBatch {
     let mut joined = first;
     for batch in queue.try_iter().take(MAX_JOINED_BATCHES) {
         joined.ticket = batch.ticket;
@@ -110,7 +112,7 @@
     joined
 }
 
-/// Writes the changes, however long the disk rejects them.
+/// Writes the changes, and retries for as long as the errors are transient.
 fn write_with_retries<S: Storage>(
     storage: &mut S,
     writes: &[Write],
@@ -130,7 +132,8 @@
             .send(DiskReport::Rejected)
             .map_err(|_| WriterStopped)?;
         std::thread::sleep(backoff.next_delay());
-        // The changes are written once more from their start: doing so twice comes to the same.
+        // All changes are written again from the first one, which is safe because they are
+        // idempotent.
         error = match recover_and_write(storage, writes) {
             Ok(()) => {
                 tracing::info!("disk accepts writes again");
