--- a/tier/replica/src/channels.rs
+++ b/tier/replica/src/channels.rs
@@ -1,4 +1,4 @@
-//! The channels between the handles of a replica and the task that owns its member.
+//! The channels between the handles of a replica and the task that owns its chain member.
 
 use std::sync::Arc;
 
@@ -10,21 +10,21 @@
 use crate::published::Published;
 use crate::status::ReplicaStatus;
 
-/// Messages from other members that wait for the task.
+/// Maximum number of queued messages from other members.
 const MAX_QUEUED_MESSAGES: usize = 512;
-/// Commands of handles that wait for the task.
+/// Maximum number of queued commands from handles.
 const MAX_QUEUED_COMMANDS: usize = 512;
 
-/// The ends that the task owns.
+/// The channel ends that the task owns.
 pub(crate) struct TaskEnds<S: ReplicatedState> {
     pub(crate) inbox: mpsc::Receiver<Received>,
     pub(crate) commands: mpsc::Receiver<Command<S>>,
     pub(crate) published: Published<S>,
-    /// Dropped when the disk is closed.
+    /// Dropped once the storage is closed.
     pub(crate) disk_in_use: watch::Sender<()>,
 }
 
-/// The ends that every handle has.
+/// The channel ends that each handle has.
 #[derive(Clone)]
 pub(crate) struct HandleEnds<S: ReplicatedState> {
     pub(crate) inbox: mpsc::Sender<Received>,
@@ -32,11 +32,11 @@
     pub(crate) state: watch::Receiver<Arc<CommittedState<S>>>,
     pub(crate) status: watch::Receiver<ReplicaStatus>,
     pub(crate) is_current: watch::Receiver<bool>,
-    /// Closed when the disk is closed.
+    /// Closed once the storage is closed.
     pub(crate) disk_in_use: watch::Receiver<()>,
 }
 
-/// Both ends of all channels of one replica.
+/// Creates all channels of a replica and returns their ends.
 pub(crate) fn channels<S: ReplicatedState>() -> (TaskEnds<S>, HandleEnds<S>) {
     let (inbox_sender, inbox) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let (command_sender, commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
--- a/tier/replica/src/command.rs
+++ b/tier/replica/src/command.rs
@@ -1,4 +1,4 @@
-//! What a handle asks of the member's task.
+//! Commands that handles send to the task of the chain member.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,29 +8,29 @@
 
 use crate::committed_state::{CommittedState, ReplicatedState};
 
-/// A request of a handle. An answer channel that is dropped means that there is no answer.
+/// A command of a handle. A dropped answer channel means that the command failed.
 pub(crate) enum Command<S: ReplicatedState> {
-    /// Get an operation committed.
+    /// Propose an operation.
     Propose {
-        /// What to commit.
+        /// The operation.
         operation: Box<S::Operation>,
-        /// Abandoned after this long.
+        /// The command is abandoned after this time.
         timeout: Duration,
-        /// Gets the outcome.
+        /// Receives the outcome.
         answer: oneshot::Sender<S::Outcome>,
     },
-    /// Bring the state here up to what was committed when this was asked.
+    /// Perform a linearizable read.
     Read {
-        /// Abandoned after this long.
+        /// The command is abandoned after this time.
         timeout: Duration,
-        /// Gets the state.
+        /// Receives a state that contains every operation committed before the command was issued.
         answer: oneshot::Sender<Arc<CommittedState<S>>>,
     },
     /// Leave the chain.
     Leave {
-        /// Answered when the chain goes on without this member.
+        /// Answered once this member is no longer part of the chain.
         answer: oneshot::Sender<()>,
     },
-    /// The seeds have changed.
+    /// Replace the seed addresses.
     SetSeeds(Vec<SocketAddr>),
 }
--- a/tier/replica/src/committed_state.rs
+++ b/tier/replica/src/committed_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state as the process sees it: typed, immutable, replaced as a whole.
+//! The replicated state as exposed to the process: typed, immutable snapshots.
 
 use std::sync::Arc;
 
@@ -7,33 +7,33 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// A state that changes only by operations, the same way on every member.
+/// A deterministic state machine: the state changes only by operations, identically on every member.
 pub trait ReplicatedState:
     Clone + Default + Serialize + DeserializeOwned + Send + Sync + 'static
 {
-    /// What changes the state.
+    /// An operation that changes the state.
     type Operation: Serialize + DeserializeOwned + Send + Sync + 'static;
-    /// The result of an operation, also where the state rejected the operation.
+    /// The result of an operation, including a rejection.
     type Outcome: Serialize + DeserializeOwned + Send + Sync + 'static;
 
-    /// Applies an operation. The result may depend on nothing but the state, the revision and the
-    /// operation.
+    /// Applies an operation. The result must be deterministic: it may depend only on the state, the
+    /// revision and the operation.
     fn apply(&mut self, revision: Revision, operation: &Self::Operation) -> Self::Outcome;
 }
 
-/// The newest committed state that this member knows.
+/// The newest committed state on this member.
 #[derive(Debug)]
 pub struct CommittedState<S: ReplicatedState> {
-    /// The last operation that the state contains; 0 before the first.
+    /// The revision of the last operation applied to the state; 0 before the first one.
     pub revision: Revision,
-    /// The view in which this member learnt that the operation is committed.
+    /// The view in which this member learned that the operation is committed.
     pub view: ViewNumber,
     /// The state.
     pub state: Arc<S>,
 }
 
 impl<S: ReplicatedState> CommittedState<S> {
-    /// The state before the first operation.
+    /// Returns the state before the first operation.
     pub fn empty() -> Self {
         Self {
             revision: Revision::default(),
--- a/tier/replica/src/control_state.rs
+++ b/tier/replica/src/control_state.rs
@@ -1,4 +1,4 @@
-//! The control state of the tier as the replicated state.
+//! Implements [`ReplicatedState`] for the control state of the tier.
 
 use plankhill_control::{ControlState, Operation, Outcome};
 use plankhill_protocol::ids::Revision;
--- a/tier/replica/src/disk_wait.rs
+++ b/tier/replica/src/disk_wait.rs
@@ -1,5 +1,5 @@
-//! A replica whose disk cannot be opened yet, as a full one cannot. Callers are answered at once
-//! meanwhile.
+//! Retries opening a disk that temporarily cannot be opened, for example because it is full. Calls
+//! fail immediately until the disk is open.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::start::{new_driver, open_disk};
 use crate::storage::{OpenedFolder, StorageError};
 
-/// Tries to open the disk again and again, and runs the replica then.
+/// Retries opening the disk with backoff, then runs the replica.
 pub(crate) async fn wait_for_disk<S: ReplicatedState>(
     mut settings: ReplicaSettings,
     mut ends: TaskEnds<S>,
@@ -23,8 +23,8 @@
     while error.is_transient() {
         tracing::warn!(%error, "disk cannot be opened; retrying");
         match reject_commands(&mut settings, &mut ends, backoff.next_delay()).await {
-            Waited::Elapsed => {}
-            Waited::HandlesDropped => return,
+            WaitOutcome::Elapsed => {}
+            WaitOutcome::HandlesDropped => return,
         }
         error = match open_disk(&settings) {
             Ok(opened) => return run(settings, opened, ends).await,
@@ -46,30 +46,30 @@
     }
 }
 
-/// Why waiting has ended.
-enum Waited {
-    /// The time was up.
+/// The reason why [`reject_commands`] returned.
+enum WaitOutcome {
+    /// The delay has elapsed.
     Elapsed,
     /// All handles were dropped.
     HandlesDropped,
 }
 
-/// Leaves everything unanswered until the delay is over: dropped commands tell their callers that
-/// the chain cannot be reached.
+/// Discards commands and messages until the delay has elapsed. The callers of discarded commands get
+/// [`crate::Unavailable`].
 async fn reject_commands<S: ReplicatedState>(
     settings: &mut ReplicaSettings,
     ends: &mut TaskEnds<S>,
     delay: Duration,
-) -> Waited {
+) -> WaitOutcome {
     let elapsed = tokio::time::sleep(delay);
     tokio::pin!(elapsed);
     loop {
         tokio::select! {
-            () = &mut elapsed => return Waited::Elapsed,
+            () = &mut elapsed => return WaitOutcome::Elapsed,
             command = ends.commands.recv() => match command {
                 Some(Command::SetSeeds(seeds)) => settings.seeds = seeds,
                 Some(_) => {}
-                None => return Waited::HandlesDropped,
+                None => return WaitOutcome::HandlesDropped,
             },
             Some(_) = ends.inbox.recv() => {}
         }
--- a/tier/replica/src/driver.rs
+++ b/tier/replica/src/driver.rs
@@ -1,5 +1,5 @@
-//! The task that owns the member: feeds it with messages, time and finished writes, and carries out
-//! its effects.
+//! The task that owns the chain member: passes messages, clock ticks and completed writes to the
+//! member and executes its effects.
 
 use plankhill_chain::{ChainMember, Effect, Message};
 use tokio::sync::mpsc;
@@ -14,7 +14,7 @@
 use crate::storage::{DiskReport, DiskWriter, WriteBatch};
 use crate::typed_machine::TypedMachine;
 
-/// Everything that the task owns.
+/// The state of the task.
 pub(crate) struct Driver<S: ReplicatedState> {
     member: ChainMember<TypedMachine<S>>,
     clock: Clock,
@@ -26,7 +26,7 @@
     pending: PendingCalls<S>,
 }
 
-/// Whether the task goes on.
+/// Whether the task continues to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Continue,
@@ -35,7 +35,7 @@
 }
 
 impl<S: ReplicatedState> Driver<S> {
-    /// A task for a member that was created at [`crate::clock::STARTED_AT`].
+    /// Creates the task of a member that was created at [`crate::clock::STARTED_AT`].
     pub(crate) fn new(
         member: ChainMember<TypedMachine<S>>,
         connections: PeerConnections,
@@ -60,18 +60,19 @@
     pub(crate) async fn run(mut self) {
         self.member.tick(self.clock.now());
         loop {
-            // Messages alone may keep the task busy.
+            // The biased `select!` below polls the timer last, so that a steady stream of messages
+            // would delay ticks.
             let now = self.clock.now();
             if now >= self.member.next_tick() {
                 self.member.tick(now);
             }
-            if self.carry_out_effects() == Progress::Stop {
+            if self.execute_effects() == Progress::Stop {
                 return;
             }
             self.publish();
             let wake_at = self.clock.instant_of(self.member.next_tick());
             tokio::select! {
-                // Synced writes come first: messages wait for them.
+                // Disk reports come first: the member holds messages back until writes are synced.
                 biased;
                 Some(report) = self.disk.next_report() => match report {
                     DiskReport::Synced(ticket) => {
@@ -127,7 +128,7 @@
         }
     }
 
-    fn carry_out_effects(&mut self) -> Progress {
+    fn execute_effects(&mut self) -> Progress {
         for effect in self.member.take_effects() {
             match effect {
                 Effect::Send { to, message } => self.connections.send(to, message),
--- a/tier/replica/src/handle.rs
+++ b/tier/replica/src/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of the local replica, which the rest of the process uses.
+//! The handle through which the process uses the local replica.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use crate::peer_connections::receive_from;
 use crate::status::ReplicaStatus;
 
-/// There is no answer: this member is partitioned, its disk is not open, or the time was up. An
-/// operation proposed may still be committed later.
+/// The call failed because this member is partitioned, its disk is not open, or the timeout expired.
+/// A proposed operation may still be committed later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the chain cannot be reached")]
 pub struct Unavailable;
@@ -34,13 +34,13 @@
         Self { ends, task }
     }
 
-    /// Gets an operation committed, from whichever member; resolves with its outcome once every
-    /// member of the chain has the operation on disk. Applied at most once, however often the
-    /// operation has to be sent.
+    /// Proposes an operation; any member accepts proposals. Returns the outcome once every member of
+    /// the chain has the operation on disk. The operation is applied at most once, even if the
+    /// proposal has to be resent.
     ///
     /// # Errors
-    /// [`Unavailable`], at once when this member knows that it is partitioned, otherwise after
-    /// `timeout`.
+    /// [`Unavailable`], immediately if this member has detected that it is partitioned, otherwise
+    /// after `timeout`.
     pub async fn propose(
         &self,
         operation: S::Operation,
@@ -52,81 +52,84 @@
             timeout,
             answer,
         };
-        self.ask(command, outcome).await
+        self.send_command(command, outcome).await
     }
 
-    /// The newest committed state known here, replaced as a whole; its revision never goes back.
+    /// Subscribes to the newest committed state of this member. Its revision never decreases.
     pub fn state(&self) -> watch::Receiver<Arc<CommittedState<S>>> {
         self.ends.state.clone()
     }
 
-    /// A linearizable read: a state with everything that was committed when this was called.
+    /// Performs a linearizable read: returns a state that contains every operation committed before
+    /// the call.
     ///
     /// # Errors
-    /// [`Unavailable`], at once when this member knows that it is partitioned, otherwise after
-    /// `timeout`.
+    /// [`Unavailable`], immediately if this member has detected that it is partitioned, otherwise
+    /// after `timeout`.
     pub async fn read(&self, timeout: Duration) -> Result<Arc<CommittedState<S>>, Unavailable> {
         let (answer, state) = oneshot::channel();
-        self.ask(Command::Read { timeout, answer }, state).await
+        self.send_command(Command::Read { timeout, answer }, state)
+            .await
     }
 
-    /// Whether this member knows, within [`plankhill_chain::timing::CONFIRMATION_TTL`] ms, that a
-    /// majority confirmed the chain's tail and that nothing was committed there which is missing
-    /// here.
+    /// Returns whether the newest confirmation of this member's view is younger than
+    /// [`plankhill_chain::timing::CONFIRMATION_TTL`] ms: a majority confirmed the chain's tail, and
+    /// this member has every operation committed there at that time.
     pub fn is_current(&self) -> bool {
         *self.ends.is_current.borrow()
     }
 
-    /// Whether this member is current, to wait for changes.
+    /// Subscribes to changes of [`ReplicaHandle::is_current`].
     pub fn watch_current(&self) -> watch::Receiver<bool> {
         self.ends.is_current.clone()
     }
 
-    /// This member's role in the newest view that it knows.
+    /// Returns the role of this member in its newest view.
     pub fn status(&self) -> ReplicaStatus {
         self.ends.status.borrow().clone()
     }
 
-    /// The same, to wait for changes.
+    /// Subscribes to changes of [`ReplicaHandle::status`].
     pub fn watch_status(&self) -> watch::Receiver<ReplicaStatus> {
         self.ends.status.clone()
     }
 
-    /// Ends the replica at once, as the end of the process would; what was handed to the disk is
-    /// still written.
+    /// Stops the replica immediately, like a process crash. Writes already submitted to the disk
+    /// writer still complete.
     pub fn abort(&self) {
         self.task.abort();
     }
 
-    /// Leaves the chain, for a graceful shutdown; returns when the chain goes on without this
-    /// member, or cannot.
+    /// Leaves the chain, for a graceful shutdown. Returns once this member is no longer part of the
+    /// chain, or if it cannot leave.
     pub async fn leave(&self) {
         let (answer, left) = oneshot::channel();
-        // Without an answer there is nothing more to wait for.
-        let _ = self.ask(Command::Leave { answer }, left).await;
+        // The call fails if the replica has ended or its disk is not open. There is nothing to
+        // wait for in either case.
+        let _ = self.send_command(Command::Leave { answer }, left).await;
     }
 
-    /// Serves a connection on the chain's channel that another member has opened, until the
-    /// connection ends.
+    /// Receives messages from a connection that another member opened on the chain channel, until
+    /// the connection ends.
     pub async fn serve(&self, connection: Connection) {
         receive_from(connection, self.ends.inbox.clone()).await;
     }
 
-    /// Takes over other seeds from changed settings.
+    /// Replaces the seed addresses after a change of the settings.
     pub async fn set_seeds(&self, seeds: Vec<SocketAddr>) {
-        // Without the task the seeds are not needed.
+        // The send fails only after the task has ended, when the seeds are no longer needed.
         let _ = self.ends.commands.send(Command::SetSeeds(seeds)).await;
     }
 
-    /// Resolves when the replica has ended, as it does when its disk fails, and its files are
-    /// closed. The process should end then.
+    /// Waits until the replica has ended, for example after a disk failure, and its files are
+    /// closed. The process should exit then.
     pub async fn ended(&self) {
         self.ends.commands.closed().await;
         let mut disk_in_use = self.ends.disk_in_use.clone();
         while disk_in_use.changed().await.is_ok() {}
     }
 
-    async fn ask<T>(
+    async fn send_command<T>(
         &self,
         command: Command<S>,
         answer: oneshot::Receiver<T>,
--- a/tier/replica/src/lib.rs
+++ b/tier/replica/src/lib.rs
@@ -1,8 +1,8 @@
-//! Runs one member of the chain: storage, connections and clock around `plankhill-chain`.
+//! Runs one member of the chain: provides storage, connections and a clock for `plankhill-chain`.
 //!
-//! [`start`] opens the disk and spawns the task that owns the member; the controller keeps the
-//! [`ReplicaHandle`] and hands every connection that another member opens to
-//! [`ReplicaHandle::serve`]. `docs/system/chain.md` has the protocol.
+//! [`start`] opens the disk and spawns the task that owns the member. The controller keeps the
+//! [`ReplicaHandle`] and passes each connection that another member opens to
+//! [`ReplicaHandle::serve`]. `docs/system/chain.md` describes the protocol.
 
 mod channels;
 mod clock;
--- a/tier/replica/src/pending_calls.rs
+++ b/tier/replica/src/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Callers of the handles that wait for an answer.
+//! Calls of the handles that wait for an answer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,8 +19,8 @@
 }
 
 impl<S: ReplicatedState> PendingCalls<S> {
-    /// Numbers go up from a random one, so that no two members or incarnations of a process use the
-    /// same.
+    /// Creates an empty set of pending calls. Call numbers count up from a random number, so that no
+    /// two members or incarnations of a process use the same numbers.
     pub(crate) fn new() -> Self {
         Self {
             last_number: u128::from(random_u64()) << 64 | u128::from(random_u64()),
@@ -46,7 +46,7 @@
         self.leaving.push(answer);
     }
 
-    /// A proposal was committed.
+    /// Completes a committed proposal.
     pub(crate) fn complete_proposal(&mut self, request: RequestNumber, outcome: &[u8]) {
         let Some(answer) = self.proposals.remove(&request) else {
             return;
@@ -61,7 +61,7 @@
         self.proposals.remove(&request);
     }
 
-    /// The state is as new as the read has asked for.
+    /// Completes a read with a state that is at least as new as the read requires.
     pub(crate) fn complete_read(&mut self, read_id: u64, state: Arc<CommittedState<S>>) {
         if let Some(answer) = self.reads.remove(&read_id) {
             // The caller may have stopped waiting.
@@ -73,7 +73,7 @@
         self.reads.remove(&read_id);
     }
 
-    /// The chain goes on without this member.
+    /// Completes all requests to leave; called once this member is not part of the chain.
     pub(crate) fn complete_leaves(&mut self) {
         for answer in self.leaving.drain(..) {
             // The caller may have stopped waiting.
--- a/tier/replica/src/published.rs
+++ b/tier/replica/src/published.rs
@@ -1,4 +1,4 @@
-//! What the handles see of the member.
+//! Publishes the state and status of the chain member to the handles.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::status::ReplicaStatus;
 use crate::typed_machine::TypedMachine;
 
-/// The newest state and status, as the handles see them.
+/// The newest published state and status.
 pub(crate) struct Published<S: ReplicatedState> {
     state: watch::Sender<Arc<CommittedState<S>>>,
     status: watch::Sender<ReplicaStatus>,
@@ -30,12 +30,12 @@
         }
     }
 
-    /// The state that was published last.
+    /// Returns the last published state.
     pub(crate) fn state(&self) -> Arc<CommittedState<S>> {
         Arc::clone(&self.state.borrow())
     }
 
-    /// Publishes the member's state where revision or view have changed.
+    /// Publishes the member's state if its revision or view has changed.
     pub(crate) fn publish_state(&self, member: &ChainMember<TypedMachine<S>>) {
         let revision = member.revision();
         let view = member.view().number;
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Whether this is another status than the one published last.
+    /// Returns whether `status` differs from the last published one.
     pub(crate) fn is_new_status(&self, status: &ReplicaStatus) -> bool {
         *self.status.borrow() != *status
     }
--- a/tier/replica/src/random.rs
+++ b/tier/replica/src/random.rs
@@ -3,7 +3,8 @@
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 
-/// A random number, from the keys that the standard library draws from the operating system.
+/// Returns a random number derived from the hash keys that the standard library seeds from the
+/// operating system.
 pub(crate) fn random_u64() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/tier/replica/src/settings.rs
+++ b/tier/replica/src/settings.rs
@@ -8,23 +8,24 @@
 /// Settings of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// The machine.
+    /// The name of this node.
     pub node: NodeId,
-    /// Where this machine's controller listens for other processes of the tier.
+    /// The address at which this node's controller listens for other processes of the tier.
     pub address: SocketAddr,
-    /// The folder for its data; made if it is missing.
+    /// The data folder; created if it does not exist.
     pub folder: PathBuf,
-    /// Where the seeds' controllers listen for other processes of the tier.
+    /// The addresses at which the seeds' controllers listen for other processes of the tier.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the very first start of the system, in which a seed with an empty disk may
-    /// found the chain.
+    /// Whether this is the first start of the system. Only then may a seed with an empty disk create
+    /// the chain.
     pub bootstrap: bool,
-    /// Losses of machines to be borne at once.
+    /// The number of simultaneous node failures that the chain tolerates.
     pub tolerated_faults: usize,
 }
 
 impl ReplicaSettings {
-    /// Those that may found the first view, where this machine is one of them.
+    /// Returns the addresses of the members that may create the first view, or `None` if this node
+    /// is not one of them.
     pub(crate) fn founders(&self) -> Option<Vec<SocketAddr>> {
         let is_founder = self.bootstrap && self.seeds.contains(&self.address);
         is_founder.then(|| self.seeds.clone())
--- a/tier/replica/src/start.rs
+++ b/tier/replica/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting a replica: the disk is opened, the task spawned, the handle returned.
+//! Starts a replica: opens the disk, spawns the task and returns the handle.
 
 use plankhill_chain::{
     BadSnapshot, ChainMember, DurableState, Identity, Member, MemberConfig, Storage, Write,
@@ -19,30 +19,30 @@
 use crate::storage::{open_folder, start_writer, OpenedFolder, StorageError};
 use crate::typed_machine::TypedMachine;
 
-/// Why a replica does not start.
+/// The reason why a replica cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The disk cannot be used.
     #[error("storage: {0}")]
     Storage(#[from] StorageError),
-    /// The snapshot on the disk is of another kind.
+    /// The snapshot on the disk cannot be decoded.
     #[error("storage: {0}")]
     Snapshot(#[from] BadSnapshot),
-    /// The operating system has no thread for the disk.
+    /// The thread of the disk writer cannot be spawned.
     #[error("thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// Opens the disk and starts the replica as a task of the present runtime. The connections that
-/// other members open are to be handed to [`ReplicaHandle::serve`]. While the disk rejects being
-/// opened, as a full one does, the handle answers [`crate::Unavailable`], and the disk is tried
-/// again.
+/// Opens the disk and spawns the replica as a task of the current runtime. The caller has to pass the
+/// connections that other members open to [`ReplicaHandle::serve`]. While the disk cannot be opened
+/// for a transient cause, for example because it is full, calls fail with [`crate::Unavailable`] and
+/// opening is retried.
 ///
 /// # Errors
-/// [`StartError`] when the disk cannot be used and waiting would not help.
+/// [`StartError`] if the disk cannot be used for a permanent cause.
 ///
 /// # Panics
-/// Outside of a `tokio` runtime.
+/// If called outside of a `tokio` runtime.
 pub fn start<S: ReplicatedState>(
     settings: ReplicaSettings,
 ) -> Result<ReplicaHandle<S>, StartError> {
@@ -57,7 +57,7 @@
     Ok(ReplicaHandle::new(handle_ends, task.abort_handle()))
 }
 
-/// The task of a replica whose disk is open.
+/// Creates the task of a replica whose disk is open.
 pub(crate) fn new_driver<S: ReplicatedState>(
     settings: ReplicaSettings,
     opened: OpenedFolder,
@@ -90,19 +90,20 @@
     ))
 }
 
-/// Opens the folder and writes to it once: a disk that takes no writes any more is found before
-/// others rely on it.
+/// Opens the folder and performs one write, so that a disk that rejects writes is detected before
+/// other members rely on it.
 pub(crate) fn open_disk(settings: &ReplicaSettings) -> Result<OpenedFolder, StorageError> {
-    let fresh = Incarnation(random_u64());
-    let mut opened = open_folder(&settings.folder, fresh, settings.founders())?;
+    let new_incarnation = Incarnation(random_u64());
+    let mut opened = open_folder(&settings.folder, new_incarnation, settings.founders())?;
     check_owner(settings, &opened.durable)?;
     let committed = opened.durable.committed;
     opened.storage.write(&[Write::Committed(committed)])?;
     Ok(opened)
 }
 
-/// A disk of another machine would vote under this one's name. The newest view on the disk names the
-/// machine that was taken in with it; a disk that was never taken in may be anybody's.
+/// Rejects the disk of another node, because its votes would count under the name of this node. The
+/// newest view on the disk names the node that joined with this incarnation; a disk that never joined
+/// a view has no known owner and is accepted.
 fn check_owner(settings: &ReplicaSettings, durable: &DurableState) -> Result<(), StorageError> {
     let mut voters = durable.view.voters.iter();
     let owner = voters.find(|voter| Some(voter.identity.incarnation) == durable.incarnation);
--- a/tier/replica/src/status.rs
+++ b/tier/replica/src/status.rs
@@ -1,19 +1,19 @@
-//! The role of a replica in the chain, as the rest of the process sees it.
+//! The published role of a replica in the chain.
 
 use plankhill_chain::{Member, ViewNumber};
 
-/// The role of this member in the newest view that it knows.
+/// The role of this member in its newest view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// Number of the view; 0 before the first.
+    /// Number of the view; 0 before the first view.
     pub view: ViewNumber,
-    /// Whether this member heads the chain of that view and has lately received a confirmation of
+    /// Whether this member is the head of the chain in that view and has a recent confirmation of
     /// the view.
     pub is_head: bool,
-    /// Whether this member, with the disk that it has now, is in service.
+    /// Whether this member, with the current incarnation of its disk, is part of the chain.
     pub is_in_chain: bool,
-    /// The chain, head first.
+    /// The members of the chain, head first.
     pub chain: Vec<Member>,
-    /// All voters, also those out of service.
+    /// All voters of the view, including those that are not part of the chain.
     pub voters: Vec<Member>,
 }
--- a/tier/replica/src/typed_machine.rs
+++ b/tier/replica/src/typed_machine.rs
@@ -1,4 +1,5 @@
-//! The typed state as the chain's state machine: operations, outcomes and snapshots in `postcard`.
+//! Adapts the typed state to the state machine interface of the chain. Operations, outcomes and
+//! snapshots are encoded with `postcard`.
 
 use std::sync::Arc;
 
@@ -10,21 +11,21 @@
 #[cfg(test)]
 mod stored_format_tests;
 
-/// The typed state. Readers share it; an operation copies the state only while a reader still has
-/// the former one.
+/// The typed state, shared with readers. Copy-on-write: an operation copies the state only while a
+/// reader still has a reference to the previous one.
 pub(crate) struct TypedMachine<S: ReplicatedState> {
     state: Arc<S>,
 }
 
 impl<S: ReplicatedState> TypedMachine<S> {
-    /// The state before the first operation.
+    /// Creates a state machine in the state before the first operation.
     pub(crate) fn new() -> Self {
         Self {
             state: Arc::new(S::default()),
         }
     }
 
-    /// The state as it is published at this revision.
+    /// Returns the state to publish at this revision.
     pub(crate) fn committed(&self, revision: Revision, view: ViewNumber) -> CommittedState<S> {
         CommittedState {
             revision,
@@ -35,7 +36,8 @@
 }
 
 impl<S: ReplicatedState> StateMachine for TypedMachine<S> {
-    /// An operation that cannot be decoded changes nothing, on every member alike.
+    /// Applies an encoded operation. An operation that cannot be decoded is skipped on every member,
+    /// so that all members stay consistent.
     fn apply(&mut self, revision: Revision, operation: &[u8]) -> Vec<u8> {
         let operation = match postcard::from_bytes::<S::Operation>(operation) {
             Ok(operation) => operation,
--- a/tier/replica/src/typed_machine/stored_format_tests.rs
+++ b/tier/replica/src/typed_machine/stored_format_tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of a typed state, its operations and its outcomes in the chain's log and snapshots.
+//! Checks the encoding of typed states, operations and outcomes in the log and snapshots of the chain.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use super::TypedMachine;
 use crate::committed_state::ReplicatedState;
 
-/// Counts by name.
+/// Named counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Counts {
     counts: BTreeMap<String, u64>,
