--- a/tier/replica/tests/chain.rs
+++ b/tier/replica/tests/chain.rs
@@ -1,4 +1,4 @@
-//! A chain of real members: sockets, disks, threads.
+//! Tests of a chain whose members use real sockets, disks and threads.
 
 mod common;
 
@@ -8,7 +8,7 @@
 async fn operations_proposed_at_all_members_are_committed_once() {
     let machines = start_three_machines().await;
     for machine in &machines {
-        machine.wait_wait_for_current().await;
+        machine.wait_until_current().await;
     }
     for (count, machine) in machines.iter().enumerate() {
         assert_eq!(machine.propose("word").await, count + 1);
@@ -20,20 +20,20 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn the_chain_goes_on_without_a_failed_member_which_rejoins() {
+async fn the_chain_continues_without_a_failed_member_which_rejoins() {
     let mut machines = start_three_machines().await;
-    machines[0].wait_wait_for_current().await;
+    machines[0].wait_until_current().await;
     machines[0].propose("one").await;
-    for dead in 0..3 {
-        machines[dead].kill().await;
-        let alive = &machines[(dead + 1) % 3];
-        alive
+    for failed in 0..3 {
+        machines[failed].kill().await;
+        let survivor = &machines[(failed + 1) % 3];
+        survivor
             .wait_for_status(|status| status.chain.len() == 2)
             .await;
-        alive.propose("more").await;
-        machines[dead].settings.bootstrap = false;
-        machines[dead].start();
-        machines[dead]
+        survivor.propose("more").await;
+        machines[failed].settings.bootstrap = false;
+        machines[failed].start();
+        machines[failed]
             .wait_for_status(|status| status.is_in_chain && status.chain.len() == 3)
             .await;
     }
@@ -44,7 +44,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_wiped_member_and_a_replacement_catch_up_before_they_join() {
     let mut machines = start_three_machines().await;
-    machines[0].wait_wait_for_current().await;
+    machines[0].wait_until_current().await;
     machines[0].propose("one").await;
     machines[2].kill().await;
     machines[2].wipe();
@@ -87,7 +87,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn all_operations_survive_a_crash_of_all_members_and_a_wiped_disk() {
     let mut machines = start_three_machines().await;
-    machines[0].wait_wait_for_current().await;
+    machines[0].wait_until_current().await;
     machines[0].propose("one").await;
     for machine in &mut machines {
         machine.kill().await;
@@ -115,7 +115,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_graceful_shutdown_leaves_the_chain_first() {
     let machines = start_three_machines().await;
-    machines[0].wait_wait_for_current().await;
+    machines[0].wait_until_current().await;
     machines[0].handle().leave().await;
     let status = machines[1]
         .wait_for_status(|status| status.chain.len() == 2)
@@ -129,12 +129,12 @@
     machines[1].kill().await;
     machines[2].kill().await;
     machines[0].wait_until_not_current().await;
-    let asked = std::time::Instant::now();
+    let started = std::time::Instant::now();
     assert!(machines[0]
         .handle()
         .propose("lost".into(), TEST_TIMEOUT)
         .await
         .is_err());
     assert!(machines[0].handle().read(TEST_TIMEOUT).await.is_err());
-    assert!(asked.elapsed() < TEST_TIMEOUT / 2);
+    assert!(started.elapsed() < TEST_TIMEOUT / 2);
 }
--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Members of a chain on loopback, each with a folder of its own.
+//! Test fixture: chain members on loopback, each with its own data folder.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -16,10 +16,11 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// Long enough for every change of the view, short enough to fail a test that hangs.
+/// Timeout of each step: longer than any view change takes, and short enough that a hanging test
+/// fails soon.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A word with this prefix replaces all others, see [`WordList::apply`].
+/// A word with this prefix replaces all others; see [`WordList::apply`].
 pub const REPLACE_PREFIX: &str = "only ";
 
 /// The replicated state of these tests: a list of words.
@@ -40,7 +41,7 @@
     }
 }
 
-/// One machine.
+/// A simulated machine: a data folder and, while it runs, a replica.
 pub struct Machine {
     pub settings: ReplicaSettings,
     folder: TempDir,
@@ -58,7 +59,7 @@
     }
 }
 
-/// An address of this test process alone.
+/// Returns a loopback address that no other test process uses.
 pub fn free_address() -> SocketAddr {
     static NETWORK: LazyLock<LoopbackNetwork> = LazyLock::new(LoopbackNetwork::take);
     NETWORK.next_address()
@@ -89,7 +90,7 @@
         self.running = Some(Running { handle, serving });
     }
 
-    /// The process ends; the disk stays. Returns when the disk is free.
+    /// Kills the process and keeps the disk. Returns once the files are closed.
     pub async fn kill(&mut self) {
         let Some(mut running) = self.running.take() else {
             return;
@@ -97,18 +98,18 @@
         running.handle.abort();
         running.handle.ended().await;
         running.serving.abort();
-        // The task was aborted, so that its result is an error.
+        // The result is an error because the task was aborted.
         let _ = (&mut running.serving).await;
     }
 
-    /// The disk is lost.
+    /// Replaces the disk by an empty one.
     pub fn wipe(&mut self) {
         self.folder = TempDir::new().unwrap();
         self.settings.folder = PathBuf::from(self.folder.path());
         self.settings.bootstrap = false;
     }
 
-    /// Bytes that its files take up on the disk.
+    /// Returns the number of bytes that the files occupy on the disk.
     pub fn bytes_on_disk(&self) -> u64 {
         let mut folders = vec![self.settings.folder.clone()];
         let mut bytes = 0;
@@ -117,7 +118,7 @@
                 let Ok(metadata) = entry.metadata() else {
                     continue;
                 };
-                // Files are laid out in advance: what counts is the blocks that hold something.
+                // Files are preallocated and sparse, so that only allocated blocks count.
                 bytes += metadata.blocks() * 512;
                 if metadata.is_dir() {
                     folders.push(entry.path());
@@ -131,7 +132,7 @@
         &self.running.as_ref().unwrap().handle
     }
 
-    /// Waits for a status for which the condition is true.
+    /// Waits for a status that satisfies the condition.
     pub async fn wait_for_status(
         &self,
         wanted: impl FnMut(&ReplicaStatus) -> bool,
@@ -142,12 +143,12 @@
         self.handle().status()
     }
 
-    /// Waits until the member knows that it is current.
-    pub async fn wait_wait_for_current(&self) {
+    /// Waits until the member is current.
+    pub async fn wait_until_current(&self) {
         self.wait_for_current(true).await;
     }
 
-    /// Waits until the member knows that it is not current.
+    /// Waits until the member is not current.
     pub async fn wait_until_not_current(&self) {
         self.wait_for_current(false).await;
     }
@@ -162,7 +163,7 @@
         found.expect("in time").unwrap();
     }
 
-    /// Gets a word committed; how many words there are then.
+    /// Proposes a word and returns the number of words after it was applied.
     pub async fn propose(&self, word: &str) -> usize {
         self.handle()
             .propose(word.to_owned(), TEST_TIMEOUT)
@@ -185,7 +186,7 @@
     }
 }
 
-/// Three machines that have founded a chain, all in service.
+/// Starts three machines and waits until all of them are part of the chain.
 pub async fn start_three_machines() -> Vec<Machine> {
     let addresses = [free_address(), free_address(), free_address()];
     let names = ["a", "b", "c"];
--- a/tier/replica/tests/compressed_rows.rs
+++ b/tier/replica/tests/compressed_rows.rs
@@ -1,4 +1,4 @@
-//! Large values are compressed on the disk, and damaged ones are told from good ones.
+//! Tests that large values are compressed on the disk and that corrupted values are detected.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use plankhill_replica::storage::FjallStorage;
 use tempfile::TempDir;
 
-/// A text that repeats itself as configurations do.
+/// Returns an operation with repetitive text, like that of a configuration.
 fn operation() -> Arc<[u8]> {
     let routes: Vec<String> = (0..4_000)
         .map(|number| format!("{{\"name\":\"r-{number}\",\"timeout_ms\":{}}}", number % 7))
@@ -28,8 +28,8 @@
     }
 }
 
-/// The rows of the folder, as the database has them.
-fn stored(folder: &std::path::Path) -> Vec<(Vec<u8>, Vec<u8>)> {
+/// Returns the raw rows of the database in the folder.
+fn raw_rows(folder: &std::path::Path) -> Vec<(Vec<u8>, Vec<u8>)> {
     let database = Database::builder(folder).open().unwrap();
     let rows = database
         .keyspace("chain", KeyspaceCreateOptions::default)
@@ -48,7 +48,7 @@
         .write(&[Write::Incarnation(Incarnation(7)), append(&operation)])
         .unwrap();
     drop(storage);
-    let rows = stored(folder.path());
+    let rows = raw_rows(folder.path());
     let (_, value) = rows.iter().find(|(key, _)| key[0] == b'e').unwrap();
     assert!(value.len() * 3 < operation.len(), "{} bytes", value.len());
     let mut storage = FjallStorage::open(folder.path()).unwrap();
@@ -56,14 +56,14 @@
     assert_eq!(entries[&Revision(1)].operation, operation);
 }
 
-/// What a program of before the compression would do with the row, which it takes for an operation.
+/// A version of the program without compression decodes the row as an operation, and must fail to.
 #[test]
-fn a_compressed_operation_is_no_operation_of_the_earlier_form() {
+fn a_compressed_operation_cannot_be_decoded_without_decompression() {
     let folder = TempDir::new().unwrap();
     let mut storage = FjallStorage::open(folder.path()).unwrap();
     storage.write(&[append(&operation())]).unwrap();
     drop(storage);
-    for (key, value) in stored(folder.path()) {
+    for (key, value) in raw_rows(folder.path()) {
         if key[0] == b'e' {
             assert!(postcard::from_bytes::<Entry>(&value).is_err());
         }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_damaged_compressed_operation_is_an_error_that_names_its_row() {
+fn a_corrupted_compressed_operation_is_an_error_that_names_its_row() {
     let folder = TempDir::new().unwrap();
     let mut storage = FjallStorage::open(folder.path()).unwrap();
     storage.write(&[append(&operation())]).unwrap();
@@ -82,14 +82,14 @@
             .keyspace("chain", KeyspaceCreateOptions::default)
             .unwrap();
         let (key, value) = rows.iter().next().unwrap().into_inner().unwrap();
-        let mut damaged = value.to_vec();
-        // The length in front of the compressed bytes.
-        damaged[20..24].fill(0xff);
-        rows.insert(key, damaged).unwrap();
+        let mut corrupted = value.to_vec();
+        // The length prefix, which follows the 20-byte compression prefix.
+        corrupted[20..24].fill(0xff);
+        rows.insert(key, corrupted).unwrap();
         database.persist(fjall::PersistMode::SyncAll).unwrap();
     }
     let Err(error) = FjallStorage::open(folder.path()) else {
-        panic!("a damaged row was read");
+        panic!("a corrupted row was read");
     };
     let text = error.to_string();
     assert!(text.starts_with("row e"), "{text}");
--- a/tier/replica/tests/foreign_folder.rs
+++ b/tier/replica/tests/foreign_folder.rs
@@ -1,4 +1,5 @@
-//! A folder of another machine is refused by name, and left as it was.
+//! Tests that the data folder of another node is rejected with the name of its owner, and is not
+//! changed.
 
 mod common;
 
@@ -7,20 +8,20 @@
 use plankhill_replica::{start, ReplicaHandle};
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_folder_of_another_node_is_refused() {
+async fn a_folder_of_another_node_is_rejected() {
     let mut machines = start_three_machines().await;
-    machines[0].wait_wait_for_current().await;
+    machines[0].wait_until_current().await;
     machines[0].kill().await;
     let mut settings = machines[0].settings.clone();
     settings.node = NodeId::from("z");
-    let refused: Result<ReplicaHandle<WordList>, _> = start(settings);
-    let Err(error) = refused else {
+    let rejected: Result<ReplicaHandle<WordList>, _> = start(settings);
+    let Err(error) = rejected else {
         panic!("another node's folder was taken");
     };
     let text = error.to_string();
     assert!(text.contains("holds the data of node a"), "{text}");
     assert!(!text.contains('\n'), "{text}");
-    // Its own node goes on with it.
+    // The owner can still use the folder.
     machines[0].settings.bootstrap = false;
     machines[0].start();
     machines[0]
--- a/tier/replica/tests/storage.rs
+++ b/tier/replica/tests/storage.rs
@@ -1,4 +1,4 @@
-//! One suite that every storage passes.
+//! A conformance test of all storage implementations, and tests of the data folder.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use plankhill_replica::storage::{open_folder, FjallStorage};
 use tempfile::TempDir;
 
-/// A storage without a disk.
+/// An in-memory storage.
 #[derive(Clone, Debug, Default)]
 struct MemoryStorage {
     durable: DurableState,
@@ -42,19 +42,19 @@
     }
 }
 
-/// A storage that can be closed and opened again.
-trait Reopened: Storage + Sized {
-    fn reopened(self, folder: &Path) -> Self;
+/// A storage that can be closed and reopened.
+trait Reopen: Storage + Sized {
+    fn reopen(self, folder: &Path) -> Self;
 }
 
-impl Reopened for MemoryStorage {
-    fn reopened(self, _: &Path) -> Self {
+impl Reopen for MemoryStorage {
+    fn reopen(self, _: &Path) -> Self {
         self
     }
 }
 
-impl Reopened for FjallStorage {
-    fn reopened(self, folder: &Path) -> Self {
+impl Reopen for FjallStorage {
+    fn reopen(self, folder: &Path) -> Self {
         drop(self);
         FjallStorage::open(folder).unwrap()
     }
@@ -84,10 +84,12 @@
     }
 }
 
-/// Batches as a member writes them: operations follow each other, the last ones may be truncated,
-/// snapshots replace the first ones.
+/// Generates changes in the order in which a member writes them: operations are appended, the last
+/// ones may be truncated, and snapshots replace the first ones.
 struct Writer {
-    before: u64,
+    /// The revision of the last snapshot.
+    snapshot: u64,
+    /// The revision of the last operation.
     last: u64,
 }
 
@@ -112,16 +114,16 @@
             }
             2 => Write::Committed(Revision(self.last)),
             3 => {
-                self.last = input.int_in_range(self.before..=self.last)?;
+                self.last = input.int_in_range(self.snapshot..=self.last)?;
                 Write::Truncate(Revision(self.last))
             }
             4 => {
-                self.before = input.int_in_range(self.before..=self.last + 3)?;
-                self.last = self.last.max(self.before);
+                self.snapshot = input.int_in_range(self.snapshot..=self.last + 3)?;
+                self.last = self.last.max(self.snapshot);
                 let outcomes = vec![(RequestNumber(number.into()), vec![1; 9].into())];
                 let machine = vec![2; number as usize].into();
                 Write::Snapshot(Snapshot {
-                    revision: Revision(self.before),
+                    revision: Revision(self.snapshot),
                     machine,
                     outcomes,
                 })
@@ -137,12 +139,15 @@
     }
 }
 
-/// Whatever is written is found again, also after the storage was opened anew.
-fn assert_returns_what_was_written<S: Reopened>(mut open: impl FnMut(&Path) -> S) {
+/// Checks that a storage returns everything that was written, also after it was reopened.
+fn assert_returns_what_was_written<S: Reopen>(mut open: impl FnMut(&Path) -> S) {
     arbtest(|input| {
         let folder = TempDir::new().unwrap();
         let mut storage = open(folder.path());
-        let mut writer = Writer { before: 0, last: 0 };
+        let mut writer = Writer {
+            snapshot: 0,
+            last: 0,
+        };
         let mut expected = DurableState::default();
         for _ in 0..input.int_in_range(1..=12)? {
             let mut batch = Vec::new();
@@ -154,7 +159,7 @@
             }
             storage.write(&batch).unwrap();
             if input.ratio(1, 4)? {
-                storage = storage.reopened(folder.path());
+                storage = storage.reopen(folder.path());
             }
             assert_eq!(storage.load().unwrap(), expected);
         }
@@ -163,7 +168,7 @@
     .budget_ms(2_000);
 }
 
-fn assert_begins_empty<S: Reopened>(open: impl Fn(&Path) -> S) {
+fn assert_begins_empty<S: Reopen>(open: impl Fn(&Path) -> S) {
     let folder = TempDir::new().unwrap();
     assert_eq!(open(folder.path()).load().unwrap(), DurableState::default());
 }
@@ -223,7 +228,7 @@
     );
 }
 
-/// Overwrites the last bytes that are not zero in each journal.
+/// Overwrites the last non-zero bytes of each journal.
 fn tear_journals(folder: &Path) {
     for file in std::fs::read_dir(folder)
         .unwrap()
--- a/tier/replica/tests/stored_format.rs
+++ b/tier/replica/tests/stored_format.rs
@@ -1,6 +1,7 @@
-//! The rows of a member's database, as `tests/stored_format/rows.txt` holds them, and a folder as
-//! an earlier build wrote it (`tests/stored_format/folder`). Stored data has to stay readable:
-//! neither may be made anew for a changed build.
+//! Tests the stored format of a member's database against recorded rows
+//! (`tests/stored_format/rows.txt`) and a folder that an earlier build wrote
+//! (`tests/stored_format/folder`). Stored data has to stay readable: neither fixture may be
+//! regenerated for a changed build.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -96,8 +97,9 @@
     }
 }
 
-/// One change of each kind, in the order of the variants: the one that follows `previous`. A new
-/// kind does not compile until it stands in this order, and with it in the recorded rows.
+/// Returns the change that follows `previous` in a sequence with one change per [`Write`] variant, in
+/// the order of the variants. The exhaustive match makes the compiler reject a new variant until it is
+/// part of this sequence, and thereby of the recorded rows.
 fn change_after(previous: Option<&Write>) -> Option<Write> {
     let next = match previous {
         None => Write::Incarnation(INCARNATION),
@@ -120,8 +122,8 @@
     Some(next)
 }
 
-/// A change of each kind, with operations before the snapshot and behind the truncation, which are
-/// not kept.
+/// Returns a change of each kind, and two more operations that do not remain: one that the snapshot
+/// contains and one that is truncated.
 fn changes() -> Vec<Write> {
     let mut changes = Vec::new();
     let mut next = change_after(None);
@@ -130,14 +132,14 @@
         if matches!(change, Write::Append { .. }) {
             changes.push(append(512));
         }
-        let ends_with = matches!(change, Write::Append { .. }).then(|| append(514));
+        let truncated = matches!(change, Write::Append { .. }).then(|| append(514));
         changes.push(change);
-        changes.extend(ends_with);
+        changes.extend(truncated);
     }
     changes
 }
 
-/// What the changes come to.
+/// The durable state after [`changes`].
 fn durable() -> DurableState {
     DurableState {
         incarnation: Some(INCARNATION),
@@ -154,7 +156,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// All rows of the database below this folder, key and value in hex.
+/// Returns all rows of the database in this folder, with key and value in hex.
 fn rows(folder: &Path) -> Vec<String> {
     let database = Database::builder(folder.join("chain")).open().unwrap();
     let rows = database
@@ -167,8 +169,8 @@
     rows.iter().map(row).collect()
 }
 
-/// Rows after all changes, and after a new acceptor has taken the place of one that has promised
-/// and accepted.
+/// Returns all rows after [`changes`], followed by the acceptor row after it was replaced by a fresh
+/// acceptor.
 fn written_rows(folder: &Path) -> Vec<String> {
     let mut storage = open_folder(folder, INCARNATION, None).unwrap().storage;
     storage.write(&changes()).unwrap();
@@ -207,18 +209,18 @@
 }
 
 #[test]
-fn a_folder_of_an_earlier_build_is_opened_with_everything_in_it() {
+fn a_folder_of_an_earlier_build_is_read_completely() {
     let folder = TempDir::new().unwrap();
     let recorded = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_format/folder");
     copy(&recorded, folder.path());
-    // Version control does not keep this folder, which is empty.
+    // This folder is empty, so that version control does not contain it.
     fs::create_dir_all(folder.path().join("chain/keyspaces/1/tables")).unwrap();
     let opened = open_folder(folder.path(), Incarnation(1), None).unwrap();
     assert_eq!(opened.durable, durable());
 }
 
 #[test]
-fn what_is_written_now_is_read_back() {
+fn written_changes_are_read_back() {
     let folder = TempDir::new().unwrap();
     let mut storage = open_folder(folder.path(), INCARNATION, None)
         .unwrap()
--- a/tier/replica/tests/torn_snapshot.rs
+++ b/tier/replica/tests/torn_snapshot.rs
@@ -1,5 +1,5 @@
-//! The process ends at any byte of the write that installs a snapshot, or of the one after it: the
-//! folder holds what was there before or all of it, never a part.
+//! Tests torn writes: if the process is killed at any byte of the write that installs a snapshot, or
+//! of the writes after it, the folder contains each batch completely or not at all.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -11,17 +11,19 @@
 use plankhill_replica::storage::open_folder;
 use tempfile::TempDir;
 
-/// Places at which the file is cut, all over what the writes have added.
-const CUTS: usize = 12;
-/// Bytes between two cuts in the last part, which has the small writes behind the snapshot.
+/// Number of intervals between the truncation points, which are spread over all bytes that the writes
+/// added.
+const INTERVALS: usize = 12;
+/// Bytes between two truncation points in the last part, which contains the small writes after the
+/// snapshot.
 const FINE_STEP: usize = 150;
-/// Bytes of the last part.
+/// Size of the last part in bytes.
 const LAST_PART: usize = 1_800;
-/// Size of the snapshot: its write has several parts on the disk.
+/// Size of the snapshot in bytes: large enough that its write has several parts on the disk.
 const SNAPSHOT_BYTES: usize = 40_000;
 
-/// Bytes that do not compress.
-fn noise(length: usize) -> Arc<[u8]> {
+/// Returns incompressible bytes.
+fn incompressible_bytes(length: usize) -> Arc<[u8]> {
     let mut state = 88_172_645_463_325_252_u64;
     let mut next = || {
         state ^= state << 13;
@@ -36,7 +38,7 @@
     let entry = Entry {
         request: RequestNumber(u128::from(revision)),
         origin: NodeId::from("core-1"),
-        operation: noise(500),
+        operation: incompressible_bytes(500),
     };
     Write::Append {
         revision: Revision(revision),
@@ -44,12 +46,12 @@
     }
 }
 
-/// What an installed snapshot writes, and what the member writes next.
+/// Returns the batch that installs a snapshot, and the next batches of the member.
 fn writes() -> [Vec<Write>; 3] {
     let snapshot = Snapshot {
         revision: Revision(600),
-        machine: noise(SNAPSHOT_BYTES),
-        outcomes: vec![(RequestNumber(1), noise(20))],
+        machine: incompressible_bytes(SNAPSHOT_BYTES),
+        outcomes: vec![(RequestNumber(1), incompressible_bytes(20))],
     };
     [
         vec![Write::Snapshot(snapshot), Write::Committed(Revision(600))],
@@ -78,8 +80,8 @@
     }
 }
 
-/// The folder as it is when the disk has got only the first bytes of what was added to the journal.
-fn cut(before: &[u8], after: &[u8], at: usize) -> Vec<u8> {
+/// Returns the journal of which only the bytes before `at` reached the disk.
+fn torn_journal(before: &[u8], after: &[u8], at: usize) -> Vec<u8> {
     let mut torn = before.to_vec();
     torn.resize(after.len().max(before.len()), 0);
     torn[..at].copy_from_slice(&after[..at]);
@@ -100,7 +102,7 @@
         expected.push(opened.storage.load().expect("what was written"));
     }
     let after = fs::read(&journal).expect("the journal");
-    // The process is killed: nothing is put in order at its end.
+    // Copy the folder before the storage is closed, as a kill would leave it.
     let killed = TempDir::new().expect("a folder");
     copy(folder.path(), killed.path());
     drop(opened);
@@ -109,7 +111,7 @@
         .expect("something was added");
     let last = after.iter().rposition(|byte| *byte != 0).expect("bytes") + 1;
     let mut found = BTreeSet::new();
-    let coarse = (0..=CUTS).map(|number| first + (last - first) * number / CUTS);
+    let coarse = (0..=INTERVALS).map(|number| first + (last - first) * number / INTERVALS);
     let fine = (last - LAST_PART..last).step_by(FINE_STEP);
     for at in coarse.chain(fine) {
         let torn = TempDir::new().expect("a folder");
@@ -117,22 +119,22 @@
         let name = journal.file_name().expect("a name");
         fs::write(
             torn.path().join("chain").join(name),
-            cut(&before, &after, at),
+            torn_journal(&before, &after, at),
         )
         .expect("a torn journal");
         let again = open_folder(torn.path(), Incarnation(2), None).expect("a folder");
-        let state = without_ends(again.durable);
+        let state = with_checked_incarnation(again.durable);
         let batches = expected
             .iter()
-            .position(|expected| without_ends(expected.clone()) == state);
+            .position(|expected| with_checked_incarnation(expected.clone()) == state);
         let batches = batches.unwrap_or_else(|| panic!("cut at {at}: a part of a batch"));
         found.insert(batches);
     }
     assert_eq!(found.into_iter().collect::<Vec<_>>(), [0, 1, 2, 3]);
 }
 
-/// A folder is the same disk however it was cut.
-fn without_ends(state: DurableState) -> DurableState {
+/// Checks that the torn folder still has the incarnation of the disk.
+fn with_checked_incarnation(state: DurableState) -> DurableState {
     assert_eq!(state.incarnation, Some(Incarnation(1)));
     state
 }
--- a/tier/replica/tests/refusing_disk.rs
+++ b/tier/replica/tests/transient_disk_errors.rs
@@ -1,4 +1,4 @@
-//! Disks that reject writes for a while, as a full one does.
+//! Tests of disks that temporarily reject writes, for example because they are full.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use tempfile::TempDir;
 use tokio::sync::watch;
 
-/// How far a write gets before it fails.
+/// The point at which a write fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FailurePoint {
-    /// Not a byte is written.
-    Nothing,
-    /// A part of the batch; what opens the disk later leaves it out.
-    Half,
-    /// Everything is written; its sync fails.
+    /// Before the first byte is written.
+    BeforeWrite,
+    /// After a part of the batch is written; recovery discards that part.
+    PartialWrite,
+    /// In the sync, after all bytes are written.
     Sync,
 }
 
-/// The content of the disk, seen from outside of the thread.
+/// The content of the disk, shared between the writer thread and the test.
 #[derive(Clone, Default)]
 struct DiskContent {
     durable: Arc<Mutex<DurableState>>,
@@ -34,7 +34,7 @@
     is_transient: bool,
 }
 
-/// Fails from one of its writes on, so many times.
+/// A storage whose operations fail `rejections` times, from write number `fails_at` on.
 struct RejectingStorage {
     content: DiskContent,
     writes: usize,
@@ -42,11 +42,11 @@
     rejections: usize,
     failure_point: FailurePoint,
     is_transient: bool,
-    is_broken: bool,
+    needs_recovery: bool,
 }
 
 impl RejectingStorage {
-    /// Refuses so many times from this write on, for a cause that passes.
+    /// Creates a storage whose errors are transient.
     fn new(
         content: &DiskContent,
         fails_at: usize,
@@ -61,7 +61,7 @@
             rejections,
             failure_point,
             is_transient: true,
-            is_broken: false,
+            needs_recovery: false,
         }
     }
 }
@@ -75,7 +75,7 @@
 
     fn write(&mut self, changes: &[Write]) -> Result<(), Rejected> {
         assert!(
-            !self.is_broken,
+            !self.needs_recovery,
             "a storage that failed is used without having recovered"
         );
         let fails = self.writes >= self.fails_at && self.rejections > 0;
@@ -87,7 +87,7 @@
         }
         if fails {
             self.rejections -= 1;
-            self.is_broken = true;
+            self.needs_recovery = true;
             return Err(Rejected {
                 is_transient: self.is_transient,
             });
@@ -97,13 +97,13 @@
     }
 
     fn recover(&mut self) -> Result<(), Rejected> {
-        if self.rejections > 0 && self.failure_point == FailurePoint::Nothing {
+        if self.rejections > 0 && self.failure_point == FailurePoint::BeforeWrite {
             self.rejections -= 1;
             return Err(Rejected {
                 is_transient: self.is_transient,
             });
         }
-        self.is_broken = false;
+        self.needs_recovery = false;
         Ok(())
     }
 
@@ -124,7 +124,7 @@
     }
 }
 
-/// Batches as a member submits them: incarnation, operations, a truncation, a snapshot.
+/// Returns batches like those of a member: an incarnation, operations, a truncation, a snapshot.
 fn batches() -> Vec<WriteBatch> {
     let snapshot = Snapshot {
         revision: Revision(3),
@@ -154,8 +154,7 @@
     durable
 }
 
-/// Submits the batches one by one, each as soon as the one before it is synced; what the thread
-/// reported.
+/// Submits each batch once the previous one is synced, and returns the reports of the thread.
 fn write_all(storage: RejectingStorage) -> Vec<DiskReport> {
     let (in_use, _) = watch::channel(());
     let backoff = Backoff::with_initial_delay(Duration::ZERO);
@@ -182,8 +181,8 @@
 fn rejected_batches_are_written_later_in_order() {
     for fails_at in 0..batches().len() {
         for failure_point in [
-            FailurePoint::Nothing,
-            FailurePoint::Half,
+            FailurePoint::BeforeWrite,
+            FailurePoint::PartialWrite,
             FailurePoint::Sync,
         ] {
             for rejections in 1..4 {
@@ -221,7 +220,7 @@
     let content = DiskContent::default();
     let storage = RejectingStorage {
         is_transient: false,
-        ..RejectingStorage::new(&content, 2, 1, FailurePoint::Half)
+        ..RejectingStorage::new(&content, 2, 1, FailurePoint::PartialWrite)
     };
     let reports = write_all(storage);
     assert_eq!(reports.last(), Some(&DiskReport::Failed));
@@ -231,15 +230,15 @@
     );
 }
 
-/// Makes the folder of a database look full to the probe.
-fn fill(folder: &TempDir) -> std::path::PathBuf {
+/// Makes the free-space probe fail with an error of a full disk in the folder of the database.
+fn simulate_full_disk(folder: &TempDir) -> std::path::PathBuf {
     let probe = folder.path().join("chain").join("room-probe");
     std::os::unix::fs::symlink("/dev/full", &probe).expect("a symbolic link");
     probe
 }
 
 #[test]
-fn a_full_disk_can_be_read_and_is_written_again_with_free_space() {
+fn a_full_disk_is_readable_and_accepts_writes_after_recovery() {
     arbtest(|input| {
         let folder = TempDir::new().expect("a folder");
         let mut storage = open_folder(folder.path(), Incarnation(9), None)
@@ -248,11 +247,11 @@
         let mut expected = DurableState::default();
         for WriteBatch { writes, .. } in batches() {
             if input.arbitrary()? {
-                fill(&folder);
+                simulate_full_disk(&folder);
                 let error = storage.recover().expect_err("no room");
                 assert!(FjallStorage::is_transient(&error));
                 assert_eq!(storage.load().expect("readable").entries, expected.entries);
-                // The probe has removed its file, and with it what stood for the full disk.
+                // The failed probe has removed its file, which is the link to `/dev/full`.
                 storage.recover().expect("room again");
             }
             storage.write(&writes).expect("written");
--- a/tier/replica/tests/waiting_for_disk.rs
+++ b/tier/replica/tests/waiting_for_disk.rs
@@ -1,4 +1,4 @@
-//! A replica whose disk cannot be opened at its start.
+//! Tests a replica whose disk cannot be opened at startup.
 
 mod common;
 
@@ -9,17 +9,18 @@
 use plankhill_replica::{start, ReplicaSettings};
 use tempfile::TempDir;
 
-/// A file lies where the folder has to be made, and is taken away later.
+/// The data folder cannot be created because its parent path is a file. The test removes the file
+/// later.
 #[tokio::test(flavor = "current_thread")]
 async fn a_replica_whose_disk_cannot_be_opened_fails_calls_at_once_and_starts_later() {
     let parent = TempDir::new().expect("a folder");
-    let in_the_way = parent.path().join("data");
-    std::fs::write(&in_the_way, "").expect("a file");
+    let blocking_file = parent.path().join("data");
+    std::fs::write(&blocking_file, "").expect("a file");
     let address = ([127, 0, 0, 1], 1).into();
     let settings = ReplicaSettings {
         node: NodeId::from("a"),
         address,
-        folder: in_the_way.join("chain"),
+        folder: blocking_file.join("chain"),
         seeds: vec![address],
         bootstrap: true,
         tolerated_faults: 0,
@@ -29,7 +30,7 @@
     assert!(handle.propose("early".into(), timeout).await.is_err());
     assert!(handle.read(timeout).await.is_err());
     assert!(!handle.is_current());
-    std::fs::remove_file(&in_the_way).expect("removed");
+    std::fs::remove_file(&blocking_file).expect("removed");
     let mut status = handle.watch_status();
     status
         .wait_for(|status| status.is_head)
