--- a/tier/control/src/configuration.rs
+++ b/tier/control/src/configuration.rs
@@ -1,8 +1,7 @@
 //! The operator's configuration, and digests of the configurations accepted before.
 //!
-//! The history makes `PUT /-/config` idempotent: an operator that got no answer sends the same
-//! document again, to any controller, and a document that was accepted once is never rejected
-//! afterwards.
+//! The history makes `PUT /-/config` idempotent: an operator that got no answer may resend the same
+//! document to any controller, and a document that was accepted once is never rejected afterwards.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -14,10 +13,10 @@
 
 use crate::outcome::Outcome;
 
-/// Most accepted configurations that are remembered.
+/// Maximum number of accepted configurations in the history.
 ///
-/// A long day has hundreds of changes, and at most eight requests are in flight at once, so that a
-/// repeated request is far younger than this. An older request is not rejected but gets
+/// A busy day has hundreds of changes, and at most eight requests are in flight at once, so that the
+/// history covers any realistic retry. An older request is not rejected but gets
 /// [`Outcome::HistoryTrimmed`]: its configuration may have been accepted.
 pub const MAX_ACCEPTED_REMEMBERED: usize = 1_024;
 
@@ -30,7 +29,7 @@
     accepted: VecDeque<AcceptedConfiguration>,
 }
 
-/// A configuration that was in force once.
+/// The version and digest of an accepted configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct AcceptedConfiguration {
     version: u64,
@@ -38,18 +37,18 @@
 }
 
 impl ConfigurationHistory {
-    /// The current configuration; `None` before the first.
+    /// Returns the current configuration; `None` before the first.
     pub fn current(&self) -> Option<&ConfigurationText> {
         self.current.as_ref()
     }
 
-    /// The current version; 0 before the first.
+    /// Returns the current version; 0 before the first configuration.
     pub fn current_version(&self) -> u64 {
         self.current.as_ref().map_or(0, |current| current.version)
     }
 
-    /// The version under which exactly this document was accepted, now or before; `None` if no such
-    /// acceptance is remembered.
+    /// Returns the newest version in the history under which exactly this document was accepted, or
+    /// `None` if the history contains no such document.
     pub fn accepted_version(&self, document: &[u8]) -> Option<u64> {
         let digest = digest(document);
         let newest_match = self
@@ -60,10 +59,11 @@
         Some(newest_match.version)
     }
 
-    /// Whether a configuration with this version may have been accepted and dropped from the
+    /// Returns whether a configuration with this version may have been accepted and trimmed from the
     /// history.
     ///
-    /// Accepted versions only rise, so that all those dropped lie below the oldest one remembered.
+    /// Accepted versions only increase, so that all trimmed versions are below the oldest one in the
+    /// history.
     pub fn may_have_been_trimmed(&self, version: u64) -> bool {
         if self.accepted.len() < MAX_ACCEPTED_REMEMBERED {
             return false;
@@ -73,7 +73,7 @@
             .is_some_and(|oldest| version < oldest.version)
     }
 
-    /// The outcome that [`ConfigurationHistory::put`] would have.
+    /// Returns the outcome that [`ConfigurationHistory::put`] would have, without changing the state.
     fn evaluate(&self, expected: u64, version: u64, document: &[u8]) -> Outcome {
         let current = self.current_version();
         if self.accepted_version(document) == Some(version) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Accepts a configuration if it builds on the current one and its version is higher.
+    /// Accepts a configuration if `expected` is the current version and its own version is higher.
     pub(crate) fn put(&mut self, expected: u64, version: u64, document: &Arc<[u8]>) -> Outcome {
         let outcome = self.evaluate(expected, version, document);
         if outcome.is_applied() {
@@ -109,8 +109,9 @@
     }
 }
 
-/// A digest of a document: SipHash-2-4 with 128 bits and an all-zero key, the same on every
-/// controller and in every build. The digests are stored, so that the function is format.
+/// Returns the digest of a document: 128-bit SipHash-2-4 with an all-zero key, the same on every
+/// controller and in every build. Digests are stored, so that the function is part of the stored
+/// format.
 fn digest(document: &[u8]) -> u128 {
     let mut hasher = SipHasher24::new();
     hasher.write(document);
--- a/tier/control/src/drain_order.rs
+++ b/tier/control/src/drain_order.rs
@@ -1,11 +1,11 @@
-//! The operator's order to drain edges, or to return them to service.
+//! The operator's orders that drain edges or return them to service.
 
 use plankhill_protocol::ids::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// Whether a drain order takes edges out of service or returns them.
+/// The action of a drain order.
 ///
-/// The order of the variants is format: the values are encoded as 0 and 1.
+/// The order of the variants is part of the stored format: they are encoded as 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainAction {
     /// The edges return to service.
@@ -17,10 +17,10 @@
 /// An order that drains edges or returns them to service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainOrder {
-    /// The number of the last order that the operator knew of; 0 for none.
+    /// The number of the order that this order builds on; 0 for none.
     pub expected: u64,
-    /// The edges.
+    /// The edges to which the order applies.
     pub nodes: Vec<NodeId>,
-    /// What happens to the edges.
+    /// The action.
     pub action: DrainAction,
 }
--- a/tier/control/src/drains.rs
+++ b/tier/control/src/drains.rs
@@ -1,7 +1,8 @@
 //! Edges that the operator has taken out of service.
 //!
-//! Orders are numbered and name the order that they build on, so that of two operators with the
-//! same knowledge one gets [`Outcome::Conflict`] in place of undoing the other's order unseen.
+//! Optimistic concurrency control: orders are numbered, and each one names the order that it builds
+//! on. Of two concurrent orders that build on the same one, the second gets [`Outcome::Conflict`] and
+//! cannot silently overwrite the first.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +15,7 @@
 use crate::edges::Edges;
 use crate::outcome::Outcome;
 
-/// Most edges that drain at once; no more edges than that are registered either.
+/// Maximum number of draining edges; also the maximum number of registered edges.
 const MAX_DRAINS: usize = 4_096;
 
 /// The draining edges and the number of the last order.
@@ -26,17 +27,17 @@
 }
 
 impl Drains {
-    /// The number of the last order; 0 for none.
+    /// Returns the number of the last order; 0 for none.
     pub fn last_number(&self) -> u64 {
         self.last_number
     }
 
-    /// The draining edges, in the order of their names.
+    /// Iterates over the draining edges, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &Drain> {
         self.nodes.values()
     }
 
-    /// Applies an order. A repeat of the last order is acknowledged again and changes nothing.
+    /// Applies an order. A repeat of the last order is a duplicate and changes nothing.
     pub(crate) fn apply_order(&mut self, order: &DrainOrder, edges: &Edges) -> Outcome {
         if self.last_order.as_ref() == Some(order) {
             return Outcome::Duplicate;
@@ -72,7 +73,7 @@
 
     /// Records that an edge has drained under the order with this number.
     ///
-    /// A report for an earlier order is ignored: the edge was in service in between and may have
+    /// A report for an earlier order is ignored: the edge has been in service since and may have
     /// clients again.
     pub(crate) fn record_drained(&mut self, node: &NodeId, number: u64) -> Outcome {
         match self.nodes.get_mut(node) {
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Drains an edge under the present number. An edge that drains already keeps its number and
-    /// its progress.
+    /// Starts to drain an edge under the number of the current order. An edge that is already draining
+    /// keeps its number and its progress.
     fn drain(&mut self, node: &NodeId) {
         if !self.nodes.contains_key(node) {
             let drain = Drain {
@@ -101,7 +102,8 @@
         edges.get(node).is_some() || self.nodes.contains_key(node)
     }
 
-    /// Whether enough edges stay in service when these drain besides those that drain already.
+    /// Returns whether enough edges stay in service if these drain in addition to those that are
+    /// already draining.
     fn is_within_budget(&self, draining: &[NodeId], edges: &Edges) -> bool {
         let members: Vec<BudgetMember> = edges
             .iter()
--- a/tier/control/src/edges.rs
+++ b/tier/control/src/edges.rs
@@ -9,34 +9,35 @@
 
 use crate::outcome::Outcome;
 
-/// Most edges registered at once; far above the largest deployment described.
+/// Maximum number of registered edges; far more than in the largest expected deployment.
 const MAX_EDGES: usize = 4_096;
 
-/// The registered edges by machine.
+/// The registered edges by node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edges {
     registered: BTreeMap<NodeId, Arc<Edge>>,
 }
 
 impl Edges {
-    /// All edges in the order of their names.
+    /// Iterates over all edges, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Edge>> {
         self.registered.values()
     }
 
-    /// The edge on this machine.
+    /// Returns the edge on this node.
     pub fn get(&self, node: &NodeId) -> Option<&Arc<Edge>> {
         self.registered.get(node)
     }
 
-    /// Whether exactly this edge is registered, so that registering it again changes nothing.
+    /// Returns whether exactly this edge is registered, in which case registering it again changes
+    /// nothing.
     pub fn is_registered(&self, edge: &Edge) -> bool {
         self.registered
             .get(&edge.node)
             .is_some_and(|registered| **registered == *edge)
     }
 
-    /// Registers an edge, in place of an earlier incarnation on the same machine.
+    /// Registers an edge. It replaces any registered incarnation on the same node.
     pub(crate) fn register(&mut self, edge: &Edge) -> Outcome {
         if self.is_registered(edge) {
             return Outcome::Ignored;
@@ -49,7 +50,7 @@
         Outcome::Applied
     }
 
-    /// Removes one incarnation of an edge. A later incarnation on the same machine stays.
+    /// Removes one incarnation of an edge. Another incarnation on the same node stays registered.
     pub(crate) fn remove(&mut self, node: &NodeId, incarnation: Incarnation) -> Outcome {
         match self.registered.get(node) {
             Some(registered) if registered.incarnation == incarnation => {
--- a/tier/control/src/lib.rs
+++ b/tier/control/src/lib.rs
@@ -1,16 +1,17 @@
 //! The replicated control state of the serving tier as a pure state machine.
 //!
-//! [`ControlState`] changes only by [`Operation`]s, applied in the one order that the chain gives.
-//! Applying an operation depends on nothing but the state and the operation: no clock, no random
-//! numbers, no I/O. Every controller that applies the same operations therefore holds the same
+//! [`ControlState`] changes only by [`Operation`]s, which the chain puts into a total order. Applying
+//! an operation is deterministic: it depends only on the state and the operation, without a clock,
+//! random numbers or I/O. Every controller that applies the same operations therefore has the same
 //! state.
 //!
 //! The replica of each controller (`plankhill-replica`) owns the state and applies operations to
 //! it. The controller (`plankhill-controller`) proposes operations, reads committed states, and
-//! sends the tables made of them ([`build_tables`], [`diff_tables`]) to the data plane.
+//! sends the tables built from them ([`build_tables`], [`diff_tables`]) to the data plane.
 //!
 //! [`ControlState`], [`Operation`] and [`Outcome`] are stored and sent between controllers: the
-//! order of their variants and fields is format. `tests/stored_format.rs` holds their bytes.
+//! order of their variants and fields is part of the format. `tests/stored_format.rs` checks their
+//! encoding.
 
 mod configuration;
 mod drain_order;
--- a/tier/control/src/operation.rs
+++ b/tier/control/src/operation.rs
@@ -1,4 +1,4 @@
-//! The changes of the control state, as the chain orders and stores them.
+//! The operations on the control state, which the chain orders and stores.
 
 use std::sync::Arc;
 
@@ -9,12 +9,13 @@
 use crate::drain_order::DrainOrder;
 use crate::singleton::SingletonTask;
 
-/// One change of the control state. The order of the variants and of their fields is format.
+/// An operation on the control state. The order of the variants and of their fields is part of the
+/// stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
     /// The operator replaces the configuration. The controller has validated the document.
     PutConfiguration {
-        /// The version that the configuration builds on (`If-Match`); 0 for the first.
+        /// The current version that the request expects (`If-Match`); 0 for the first configuration.
         expected: u64,
         /// The configuration's own version.
         version: u64,
@@ -24,42 +25,42 @@
     },
     /// A target registers or reports a change.
     RegisterTarget(Target),
-    /// A target shuts down gracefully; its id is never registered again.
+    /// A target shuts down gracefully. Its id must not be registered again.
     DeregisterTarget(InstanceId),
-    /// The agent of an edge machine registers or changes.
+    /// The agent of an edge node registers or reports a change.
     RegisterEdge(Edge),
-    /// An agent shuts down gracefully.
+    /// The agent of an edge node shuts down gracefully.
     DeregisterEdge {
-        /// The machine.
+        /// The node.
         node: NodeId,
-        /// The incarnation of its agent; a later one stays.
+        /// The incarnation of its agent. Another incarnation stays registered.
         incarnation: Incarnation,
     },
     /// A store registers.
     RegisterStore {
         /// The store.
         member: StoreMember,
-        /// Simultaneous losses of stores that the tier tolerates (f).
+        /// The number of simultaneous store failures that the tier tolerates (f).
         tolerated_faults: u32,
     },
-    /// A store has copied everything that belongs to it in the next set of an epoch.
+    /// A store has copied all data assigned to it in the next set of an epoch.
     StoreSynced {
-        /// The machine.
+        /// The node.
         node: NodeId,
         /// The incarnation of its disk.
         incarnation: Incarnation,
-        /// The epoch whose next set the store is ready for.
+        /// The epoch for whose next set the store is ready.
         epoch: StoreEpoch,
     },
-    /// The operator retires a store: its data moves to the others.
+    /// The operator retires a store: its data moves to other stores.
     RetireStore(NodeId),
     /// The operator drains edges, or returns them to service.
     OrderDrain(DrainOrder),
     /// A draining edge reports that no client is connected and nothing is in flight.
     EdgeDrained {
-        /// The machine.
+        /// The node.
         node: NodeId,
-        /// The number of the order that drains the edge.
+        /// The number of the order under which the edge drains.
         number: u64,
     },
     /// A task of the singleton role, proposed by the head of the chain.
--- a/tier/control/src/retirements.rs
+++ b/tier/control/src/retirements.rs
@@ -1,5 +1,4 @@
-//! Stores that the operator retires: their data moves to other stores before the machines are taken
-//! away.
+//! Stores that the operator retires: their data moves to other stores before the nodes are removed.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +8,7 @@
 use crate::outcome::Outcome;
 use crate::stores::Stores;
 
-/// Most machines remembered as retired; far above what one deployment retires.
+/// Maximum number of retired nodes; far more than any deployment retires.
 const MAX_RETIRED: usize = 4_096;
 
 /// The progress of a retirement.
@@ -17,7 +16,7 @@
 pub enum Retirement {
     /// The store may hold data that no other store holds yet.
     InProgress,
-    /// Other stores hold everything that the store held.
+    /// Other stores hold all data of the store.
     Completed,
 }
 
@@ -28,12 +27,12 @@
 }
 
 impl Retirements {
-    /// Whether the store is retired, with its data moved or not.
+    /// Returns whether the retirement of the store is in progress or completed.
     pub fn contains(&self, node: &NodeId) -> bool {
         self.nodes.contains(node)
     }
 
-    /// The progress of a store's retirement; `None` if the store is not retired.
+    /// Returns the progress of a store's retirement; `None` if the store is not retired.
     pub fn progress(&self, node: &NodeId, stores: &Stores) -> Option<Retirement> {
         if !self.contains(node) {
             return None;
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Starts to retire a store.
+    /// Starts the retirement of a store.
     pub(crate) fn start(&mut self, node: &NodeId, stores: &mut Stores) -> Outcome {
         if self.contains(node) {
             return Outcome::Duplicate;
--- a/tier/control/src/singleton.rs
+++ b/tier/control/src/singleton.rs
@@ -1,29 +1,29 @@
-//! Work that exactly one controller does at a time: the head of the chain.
+//! Tasks that a single controller performs at a time: the head of the chain.
 //!
-//! Each task carries the number of the view in which its proposer heads the chain. The number is a
-//! fencing token: [`ControlState`](crate::ControlState) rejects tasks from views older than the
-//! newest one seen.
+//! Each task contains the number of the view in which its proposer is the head of the chain. The
+//! number is a fencing token: [`ControlState`](crate::ControlState) rejects tasks from views older
+//! than the newest view of all tasks so far.
 
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// A task of the singleton role. The order of the variants is format.
+/// A task of the singleton role. The order of the variants is part of the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SingletonTask {
     /// Remove targets whose heartbeats have stopped.
     ExpireTargets(Vec<ExpiredTarget>),
-    /// Remove an edge that no controller receives messages from.
+    /// Remove an edge from which no controller receives messages.
     ExpireEdge {
-        /// The machine.
+        /// The node.
         node: NodeId,
-        /// The incarnation of its agent; a later one stays.
+        /// The incarnation of its agent. Another incarnation stays registered.
         incarnation: Incarnation,
     },
-    /// Start serving with the stores that have registered, although fewer than 2f+1 have.
+    /// Create the first view from the registered stores although there are fewer than 2f+1.
     BootstrapStores,
-    /// Remove a store that no controller receives messages from, where enough others remain.
+    /// Remove a store from which no controller receives messages, if enough others remain.
     RemoveLostStore {
-        /// The machine.
+        /// The node.
         node: NodeId,
         /// The incarnation of its disk.
         incarnation: Incarnation,
@@ -35,7 +35,7 @@
 pub struct ExpiredTarget {
     /// The target.
     pub id: InstanceId,
-    /// Its newest committed sequence when its silence was found; a target that has reported a
-    /// change since stays.
+    /// Its newest committed sequence when the missing heartbeats were detected. A target that has
+    /// reported a change since then stays registered.
     pub sequence: u64,
 }
--- a/tier/control/src/state.rs
+++ b/tier/control/src/state.rs
@@ -14,9 +14,10 @@
 use crate::stores::Stores;
 use crate::targets::Targets;
 
-/// The state that the controllers replicate. Cloning is cheap: large parts are shared.
+/// The state that the controllers replicate. Cloning is cheap because large parts are shared.
 ///
-/// The order of the fields is format: the chain stores and sends the encoded state as its snapshot.
+/// The order of the fields is part of the format: the chain stores and sends the encoded state as a
+/// snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     configuration: ConfigurationHistory,
@@ -24,15 +25,14 @@
     edges: Edges,
     stores: Stores,
     retirements: Retirements,
-    /// The fencing token of singleton tasks: the newest view of the chain whose head has proposed
-    /// one.
+    /// The fencing token of singleton tasks: the newest view of all singleton tasks so far.
     singleton_view: u64,
     drains: Drains,
 }
 
 impl ControlState {
-    /// Applies one operation. The result is the same on every controller: it depends on the state
-    /// and the operation only. `_revision` is the position of the operation in the order of the
+    /// Applies one operation. The result is the same on every controller because it depends only on
+    /// the state and the operation. `_revision` is the position of the operation in the order of the
     /// chain.
     pub fn apply(&mut self, _revision: Revision, operation: &Operation) -> Outcome {
         match operation {
@@ -70,8 +70,8 @@
 
     /// Applies a singleton task unless its proposer has been superseded.
     ///
-    /// The head of a later view may already act on newer knowledge; tasks of an earlier head that
-    /// arrive behind its first one would undo that.
+    /// The head of a later view may have acted on a newer state already. A task of an earlier head
+    /// that is applied after the first task of the later one could undo its changes.
     fn apply_singleton_task(&mut self, view: u64, task: &SingletonTask) -> Outcome {
         if view < self.singleton_view {
             return Outcome::Fenced;
@@ -89,37 +89,37 @@
         }
     }
 
-    /// The operator's configuration; `None` before the first.
+    /// Returns the operator's configuration; `None` before the first.
     pub fn configuration(&self) -> Option<&ConfigurationText> {
         self.configuration.current()
     }
 
-    /// The accepted configurations.
+    /// Returns the history of accepted configurations.
     pub fn configuration_history(&self) -> &ConfigurationHistory {
         &self.configuration
     }
 
-    /// The registered targets.
+    /// Returns the registered targets.
     pub fn targets(&self) -> &Targets {
         &self.targets
     }
 
-    /// The registered edges.
+    /// Returns the registered edges.
     pub fn edges(&self) -> &Edges {
         &self.edges
     }
 
-    /// The stores.
+    /// Returns the stores.
     pub fn stores(&self) -> &Stores {
         &self.stores
     }
 
-    /// The edges that the operator has taken out of service.
+    /// Returns the edges that the operator has taken out of service.
     pub fn drains(&self) -> &Drains {
         &self.drains
     }
 
-    /// The stores that the operator retires.
+    /// Returns the stores that the operator retires.
     pub fn retirements(&self) -> &Retirements {
         &self.retirements
     }
--- a/tier/control/src/stores/bootstrap.rs
+++ b/tier/control/src/stores/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The first view: stores wait until there are enough to serve.
+//! Creation of the first view once enough stores have registered.
 
 use plankhill_protocol::tables::StoreMember;
 
@@ -6,13 +6,14 @@
 use crate::outcome::Outcome;
 
 impl Stores {
-    /// Whether fewer than 2f+1 stores, but enough for a quorum (f+1), wait for the first view.
+    /// Returns whether there is no view yet and there are enough candidates for a quorum (f+1),
+    /// although not yet 2f+1.
     pub fn can_bootstrap_below_full_size(&self) -> bool {
         let quorum = self.view.tolerated_faults as usize + 1;
         self.view.serving.is_empty() && self.bootstrap_candidates.len() >= quorum
     }
 
-    /// Adds a candidate; 2f+1 of them begin to serve at once.
+    /// Adds a candidate. The first view is created as soon as there are 2f+1 candidates.
     pub(super) fn add_bootstrap_candidate(&mut self, member: &StoreMember) -> Outcome {
         if self.bootstrap_candidates.len() >= MAX_STORES {
             return Outcome::Full;
@@ -25,7 +26,7 @@
         Outcome::Applied
     }
 
-    /// Begins to serve with fewer than 2f+1 stores; more may join later.
+    /// Creates the first view with fewer than 2f+1 stores. More stores may join later.
     pub(crate) fn bootstrap_below_full_size(&mut self) -> Outcome {
         if !self.can_bootstrap_below_full_size() {
             return Outcome::Ignored;
--- a/tier/control/src/stores/reconfiguration.rs
+++ b/tier/control/src/stores/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes of the set of stores after the first view.
+//! Changes of the set of stores after the first view was created.
 
 use plankhill_protocol::ids::{Incarnation, NodeId, StoreEpoch};
 use plankhill_protocol::tables::StoreMember;
@@ -7,7 +7,7 @@
 use crate::outcome::Outcome;
 
 impl Stores {
-    /// Adds a store to the next set, in place of another incarnation on the same machine.
+    /// Adds a store to the next set, where it replaces any other incarnation on the same node.
     pub(super) fn add_to_next(&mut self, member: &StoreMember) -> Outcome {
         let mut next = self.desired_members_without(&member.node);
         if next.len() >= MAX_STORES {
@@ -19,9 +19,9 @@
         Outcome::Applied
     }
 
-    /// Changes the address or zone of an incarnation that is in the view already: its data is where
-    /// it was, so that it need not sync. Returns false if the incarnation has to join as a new one
-    /// would.
+    /// Updates the address or zone of an incarnation that is already in the view. The incarnation still
+    /// has its data, so that it does not need to sync. Returns `false` if the incarnation has to join
+    /// like a new one.
     pub(super) fn update_same_incarnation(&mut self, member: &StoreMember) -> bool {
         let next = self.view.next.iter_mut().flatten();
         for present in self.view.serving.iter_mut().chain(next) {
@@ -29,8 +29,7 @@
                 *present = member.clone();
             }
         }
-        // A serving incarnation may have been removed from the next set meanwhile; it then has to
-        // join again.
+        // A serving incarnation that was removed from the next set has to join again.
         let is_desired = self.desired_members().contains(member);
         if is_desired {
             self.advance_epoch();
@@ -38,8 +37,8 @@
         is_desired
     }
 
-    /// Records that a member of the next set is ready. The last member to be ready makes the next
-    /// set the serving one.
+    /// Records that a member of the next set has synced. Once all members have synced, the next set
+    /// becomes the serving set.
     pub(crate) fn record_synced(
         &mut self,
         node: &NodeId,
@@ -69,7 +68,7 @@
         }
     }
 
-    /// Takes a store out of the next set if at least 2f+1 remain.
+    /// Removes a store from the desired set if at least 2f+1 stores remain.
     pub(crate) fn retire(&mut self, node: &NodeId) -> Outcome {
         if !self.holds_data(node) {
             return Outcome::UnknownStore;
@@ -82,11 +81,11 @@
         Outcome::Applied
     }
 
-    /// Removes a store that has been lost for long: one that was joining, or a serving one that
-    /// others replace.
+    /// Removes a store that was lost: a joining store, or a serving store without which at least 2f+1
+    /// desired members remain.
     ///
-    /// Where fewer than 2f+1 would remain, the transition in progress is abandoned and the serving
-    /// set stays.
+    /// If fewer than 2f+1 would remain without a joining store, the transition in progress is
+    /// abandoned and the serving set stays.
     pub(crate) fn remove_lost(&mut self, node: &NodeId, incarnation: Incarnation) -> Outcome {
         if !self.can_remove_lost(node, incarnation) {
             return Outcome::Ignored;
@@ -100,8 +99,8 @@
         Outcome::Applied
     }
 
-    /// Whether [`SingletonTask::RemoveLostStore`](crate::SingletonTask::RemoveLostStore) would
-    /// change something.
+    /// Returns whether [`SingletonTask::RemoveLostStore`](crate::SingletonTask::RemoveLostStore) would
+    /// change the state.
     pub fn can_remove_lost(&self, node: &NodeId, incarnation: Incarnation) -> bool {
         let is_lost = |member: &StoreMember| is_incarnation(member, node, incarnation);
         if !self.desired_members().iter().any(is_lost) {
@@ -119,7 +118,7 @@
             .collect()
     }
 
-    /// Makes this the set that serves next. There is no next set if the set serves already.
+    /// Sets the next set, or clears it if the given set is already the serving one.
     fn set_next(&mut self, next: Vec<StoreMember>) {
         self.view.next = if next == self.view.serving {
             None
--- a/tier/control/src/tables.rs
+++ b/tier/control/src/tables.rs
@@ -1,5 +1,5 @@
-//! The tables that the data plane receives of the control state: complete, or as the difference of
-//! two states.
+//! The tables that the data plane receives from the control state: complete, or as the difference
+//! between two states.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 use crate::state::ControlState;
 
-/// The tables of a state, which is the one at `revision`.
+/// Returns the tables of the state at `revision`.
 pub fn build_tables(state: &ControlState, revision: Revision) -> Tables {
     let mut targets: Vec<Target> = state
         .targets()
@@ -27,8 +27,8 @@
     }
 }
 
-/// The changes that turn the tables of one state into those of a later one, in the order in which a
-/// receiver has to apply them.
+/// Returns the changes that turn the tables of one state into those of a later one, in the order in
+/// which a receiver has to apply them.
 pub fn diff_tables(before: &ControlState, after: &ControlState) -> Vec<TablesChange> {
     let mut changes = Vec::new();
     diff_configuration(before, after, &mut changes);
@@ -77,8 +77,8 @@
             if is_unchanged(earlier, target) {
                 continue;
             }
-            // The tables are ordered by service: a target that moves to another service leaves its
-            // former place first.
+            // The tables are sorted by service: a target that moves to another service has to be
+            // removed from its previous position first.
             if earlier.service != target.service {
                 changes.push(TablesChange::TargetRemoved(target.id.clone()));
             }
@@ -108,8 +108,8 @@
     }
 }
 
-/// Whether a row is the same in both states. Most rows are shared by the two states, so that
-/// comparing the pointers settles them without comparing the contents.
+/// Returns whether a row is equal in both states. The two states share most rows, so that comparing
+/// the pointers usually avoids comparing the contents.
 fn is_unchanged<T: PartialEq>(before: &Arc<T>, after: &Arc<T>) -> bool {
     Arc::ptr_eq(before, after) || before == after
 }
--- a/tier/control/src/targets.rs
+++ b/tier/control/src/targets.rs
@@ -10,49 +10,49 @@
 use crate::outcome::Outcome;
 use crate::singleton::ExpiredTarget;
 
-/// Most targets registered at once; far above the largest deployment described, and about 8 MB of
-/// memory.
+/// Maximum number of registered targets; far more than in the largest expected deployment, and about
+/// 8 MB of memory.
 const MAX_TARGETS: usize = 16_384;
-/// Most ids of deregistered targets that are remembered. A late heartbeat is seconds old, and a
-/// release deregisters a few targets a second.
+/// Maximum number of remembered ids of deregistered targets. A delayed heartbeat is only seconds old,
+/// and a rollout deregisters a few targets per second.
 const MAX_DEREGISTERED_REMEMBERED: usize = 4_096;
 
 /// The registered targets by id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Targets {
     registered: BTreeMap<InstanceId, Arc<Target>>,
-    /// Ids of targets that shut down gracefully, oldest first; at most
+    /// Ids of targets that shut down gracefully, in the order of deregistration; at most
     /// [`MAX_DEREGISTERED_REMEMBERED`].
     deregistered: VecDeque<InstanceId>,
 }
 
 impl Targets {
-    /// All targets in the order of their ids.
+    /// Iterates over all targets, sorted by id.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.registered.values()
     }
 
-    /// The target with this id.
+    /// Returns the target with this id.
     pub fn get(&self, id: &InstanceId) -> Option<&Arc<Target>> {
         self.registered.get(id)
     }
 
-    /// The number of registered targets.
+    /// Returns the number of registered targets.
     pub fn len(&self) -> usize {
         self.registered.len()
     }
 
-    /// Whether no target is registered.
+    /// Returns whether no target is registered.
     pub fn is_empty(&self) -> bool {
         self.registered.is_empty()
     }
 
-    /// Whether the target with this id has deregistered.
+    /// Returns whether the target with this id has deregistered.
     pub fn is_deregistered(&self, id: &InstanceId) -> bool {
         self.deregistered.contains(id)
     }
 
-    /// Whether registering this report would change nothing.
+    /// Returns whether registering this report would change nothing.
     pub fn is_up_to_date(&self, report: &Target) -> bool {
         match self.registered.get(&report.id) {
             Some(registered) => {
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Registers a report. A report of a deregistered target, a late report, and a report that
-    /// differs in nothing but its sequence change nothing.
+    /// Registers a target from its report. The report is ignored if the target has deregistered, if
+    /// its sequence is not newer, or if it differs only in fields that every heartbeat changes.
     pub(crate) fn register(&mut self, report: &Target) -> Outcome {
         if self.is_up_to_date(report) {
             return Outcome::Ignored;
@@ -72,23 +72,23 @@
         if is_new && self.registered.len() >= MAX_TARGETS {
             return Outcome::Full;
         }
-        self.remove_former_owner_of_address(report);
+        self.remove_previous_owner_of_address(report);
         self.registered
             .insert(report.id.clone(), Arc::new(report.clone()));
         Outcome::Applied
     }
 
-    /// Removes another target at the report's address: an address belongs to the target that
+    /// Removes any other target at the report's address: an address belongs to the target that
     /// reported it last.
     ///
-    /// The former owner does not count as deregistered: if it is alive after all, its next
-    /// heartbeat registers it again.
-    fn remove_former_owner_of_address(&mut self, report: &Target) {
+    /// The previous owner does not count as deregistered: if it is still alive, its next heartbeat
+    /// registers it again.
+    fn remove_previous_owner_of_address(&mut self, report: &Target) {
         self.registered
             .retain(|id, registered| *id == report.id || registered.address != report.address);
     }
 
-    /// Removes a target for good.
+    /// Removes a target permanently.
     pub(crate) fn deregister(&mut self, id: &InstanceId) -> Outcome {
         if self.is_deregistered(id) {
             return Outcome::Duplicate;
@@ -101,7 +101,7 @@
         Outcome::Applied
     }
 
-    /// Removes targets whose heartbeats have stopped. Each may register again.
+    /// Removes targets whose heartbeats have stopped. They may register again.
     pub(crate) fn expire(&mut self, expired: &[ExpiredTarget]) -> Outcome {
         let count_before = self.registered.len();
         for ExpiredTarget { id, sequence } in expired {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Whether two reports differ in nothing but the fields that every heartbeat changes: the sequence
+/// Returns whether two reports differ at most in the fields that every heartbeat changes: the sequence
 /// and the remaining warm-up time.
 fn is_same_registration(one: &Target, other: &Target) -> bool {
     one.service == other.service
