--- a/tier/control/tests/common/mod.rs
+++ b/tier/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Values that several tests use.
+//! Helpers that several tests share.
 #![allow(dead_code)]
 
 use std::fmt::Debug;
@@ -86,7 +86,7 @@
     state.apply(Revision(1), operation)
 }
 
-/// Three stores that serve, at epoch 1.
+/// Returns a state with three serving stores, at epoch 1.
 pub fn three_stores() -> (ControlState, [StoreMember; 3]) {
     let members = [store("s1", 1), store("s2", 2), store("s3", 3)];
     let mut state = ControlState::default();
@@ -96,9 +96,9 @@
     (state, members)
 }
 
-/// Checks values against a fixture with a line `name hex` for each, in the same order: encoding
-/// gives the bytes, and the bytes give the value.
-pub fn pinned<T>(fixture: &str, values: Vec<(&str, T)>)
+/// Checks that each value is encoded to, and decoded from, the bytes in the fixture. The fixture has
+/// one line `name hex` per value, in the same order.
+pub fn assert_matches_fixture<T>(fixture: &str, values: Vec<(&str, T)>)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
@@ -106,9 +106,9 @@
         .lines()
         .map(|line| line.split_once(' ').expect("a line `name hex`"))
         .collect();
-    let pinned_names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
+    let fixture_names: Vec<&str> = lines.iter().map(|(name, _)| *name).collect();
     let names: Vec<&str> = values.iter().map(|(name, _)| *name).collect();
-    assert_eq!(names, pinned_names);
+    assert_eq!(names, fixture_names);
     for ((name, hex), (_, value)) in lines.into_iter().zip(values) {
         let encoded = postcard::to_stdvec(&value).expect("encodes");
         assert_eq!(to_hex(&encoded), hex, "{name}");
--- a/tier/control/tests/configuration.rs
+++ b/tier/control/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! One put wins on each version, and a put that was applied is never rejected afterwards.
+//! Tests that at most one put is applied per expected version, and that an applied put is never
+//! rejected afterwards.
 
 mod common;
 
@@ -89,7 +90,8 @@
             if outcome == Outcome::Applied {
                 assert_eq!(expected, current);
                 assert!(version > current);
-                // A put for a version that was still to come may be rejected first.
+                // A put whose expected version was in the future may be rejected first and applied
+                // later.
                 assert!(!rejected.contains(&(order, true)));
             }
             if matches!(
@@ -103,9 +105,9 @@
     });
 }
 
-/// A repeated put is never rejected, however many have been applied since: once the history has
-/// been trimmed, the outcome is open. A put that was never applied is rejected as long as the
-/// history shows it.
+/// A repeated put is never rejected, however many others were applied since: once it was trimmed from
+/// the history, its outcome is `HistoryTrimmed`. A put that was never applied is rejected as long as
+/// the history covers its version.
 #[test]
 fn a_put_older_than_the_history_is_not_rejected() {
     let mut state = ControlState::default();
--- a/tier/control/tests/drains.rs
+++ b/tier/control/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Orders that drain edges.
+//! Tests of drain orders.
 
 mod common;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Three zones of two edges each: a1, a2, b1 and so on.
+/// Returns a state with three zones of two edges each: a1, a2, b1 and so on.
 fn six_edges() -> ControlState {
     let mut state = ControlState::default();
     for name in ["a1", "a2", "b1", "b2", "c1", "c2"] {
@@ -81,8 +81,7 @@
         apply(&mut state, &order(1, &["a1"], DrainAction::Undrain)),
         Outcome::Applied
     );
-    // The repeat of the first order comes late: the drain that it asked for is not in force any
-    // more.
+    // A late repeat of the first order: its drain was undone by a later order.
     assert_eq!(
         apply(&mut state, &order(0, &["a1"], DrainAction::Drain)),
         Outcome::Conflict { current: 2 }
@@ -108,7 +107,7 @@
     assert_eq!(
         apply(&mut state, &order(0, &["a1", "a2"], DrainAction::Drain)),
         Outcome::Applied,
-        "a whole zone"
+        "a complete zone"
     );
     assert_eq!(
         apply(&mut state, &order(1, &["b1"], DrainAction::Drain)),
@@ -124,15 +123,15 @@
 fn a_deregistered_edge_stays_drained_until_it_is_undrained() {
     let mut state = six_edges();
     apply(&mut state, &order(0, &["a1"], DrainAction::Drain));
-    let gone = Operation::DeregisterEdge {
+    let deregister = Operation::DeregisterEdge {
         node: NodeId::from("a1"),
         incarnation: edge("a1", 1).incarnation,
     };
-    assert_eq!(apply(&mut state, &gone), Outcome::Applied);
+    assert_eq!(apply(&mut state, &deregister), Outcome::Applied);
     assert_eq!(
         drains(&state),
         [("a1", 1, false)],
-        "a new life of it stays out of service"
+        "a new incarnation stays out of service"
     );
     assert_eq!(
         apply(&mut state, &order(1, &["a1"], DrainAction::Undrain)),
--- a/tier/control/tests/stored_format.rs
+++ b/tier/control/tests/stored_format.rs
@@ -1,13 +1,13 @@
-//! The bytes of operations, outcomes and the control state, as the chain stores them and sends them
-//! to other controllers. The fixtures were written once by the text that was in service; a change
-//! that moves a variant or a field no longer gives these bytes.
+//! Tests the encoding of operations, outcomes and the control state, which the chain stores and sends
+//! to other controllers. The fixtures were written by a deployed version; a change that moves a
+//! variant or a field no longer produces the same bytes.
 
 mod common;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use common::{apply, pinned};
+use common::{apply, assert_matches_fixture};
 use plankhill_control::{
     ControlState, DrainAction, DrainOrder, ExpiredTarget, Operation, Outcome, SingletonTask,
 };
@@ -65,9 +65,9 @@
     Operation::SingletonTask { view: 9, task }
 }
 
-/// The name of an operation in the fixture, which keeps the names of the text that wrote it. A new
-/// variant does not compile before it has a name here; it also gets a value in [`operations`] and a
-/// line in the fixture.
+/// Returns the name of an operation in the fixture, which keeps the names that were in use when it was
+/// written. The exhaustive match makes the compiler reject a new variant until it has a name here; it
+/// also needs a value in [`operations`] and a line in the fixture.
 fn operation_name(operation: &Operation) -> &'static str {
     match operation {
         Operation::PutConfiguration { .. } => "PutConfiguration",
@@ -135,7 +135,7 @@
     ]
 }
 
-/// The name of an outcome in the fixture; see [`operation_name`].
+/// Returns the name of an outcome in the fixture; see [`operation_name`].
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Applied => "Applied",
@@ -182,7 +182,7 @@
     state
 }
 
-/// Before the first view of the stores: one candidate waits.
+/// Returns a state before the first view of the stores, with one bootstrap candidate.
 fn founding() -> ControlState {
     state_after(&[Operation::RegisterStore {
         member: store("store-1", 61),
@@ -190,8 +190,8 @@
     }])
 }
 
-/// Every field of the state differs from its default: a set of stores takes over from another, a
-/// target has deregistered, a store is retired, an edge drains.
+/// Returns a state of which every field differs from its default: a transition between two sets of
+/// stores is in progress, a target has deregistered, a store is retired, an edge is draining.
 fn complete() -> ControlState {
     let register = |node, incarnation| Operation::RegisterStore {
         member: store(node, incarnation),
@@ -238,7 +238,7 @@
     ])
 }
 
-/// A configuration that is long enough to be stored compressed.
+/// Returns a state with a configuration that is long enough to be stored compressed.
 fn with_long_configuration() -> ControlState {
     state_after(&[put(
         0,
@@ -248,33 +248,33 @@
 }
 
 #[test]
-fn operations_keep_their_stored_bytes() {
+fn operations_have_their_recorded_encoding() {
     let values = operations()
         .into_iter()
         .map(|operation| (operation_name(&operation), operation));
-    pinned(OPERATIONS, values.collect());
+    assert_matches_fixture(OPERATIONS, values.collect());
 }
 
 #[test]
-fn outcomes_keep_their_stored_bytes() {
+fn outcomes_have_their_recorded_encoding() {
     let values = outcomes()
         .into_iter()
         .map(|outcome| (outcome_name(outcome), outcome));
-    pinned(OUTCOMES, values.collect());
+    assert_matches_fixture(OUTCOMES, values.collect());
 }
 
 #[test]
-fn the_control_state_keeps_the_bytes_of_its_snapshot() {
+fn the_control_state_has_its_recorded_encoding() {
     let values = vec![
         ("empty", ControlState::default()),
         ("founding", founding()),
         ("complete", complete()),
         ("with_long_configuration", with_long_configuration()),
     ];
-    pinned(STATES, values);
+    assert_matches_fixture(STATES, values);
 }
 
-/// Drain orders were stored with a flag `leave` before they had an action.
+/// Earlier versions stored drain orders with a boolean `leave` in place of the action.
 #[test]
 fn drain_actions_are_encoded_as_the_flag_that_they_replace() {
     for (action, leave) in [(DrainAction::Undrain, false), (DrainAction::Drain, true)] {
--- a/tier/control/tests/stores.rs
+++ b/tier/control/tests/stores.rs
@@ -1,4 +1,4 @@
-//! How one set of stores takes over from another.
+//! Tests of the transition from one set of stores to the next.
 
 mod common;
 
@@ -42,15 +42,15 @@
 
 #[test]
 fn fewer_stores_bootstrap_only_with_a_quorum() {
-    let found = Operation::SingletonTask {
+    let bootstrap = Operation::SingletonTask {
         view: 1,
         task: SingletonTask::BootstrapStores,
     };
     let mut state = ControlState::default();
     apply(&mut state, &register(&store("s1", 1)));
-    assert_eq!(apply(&mut state, &found), Outcome::Ignored);
+    assert_eq!(apply(&mut state, &bootstrap), Outcome::Ignored);
     apply(&mut state, &register(&store("s2", 2)));
-    assert_eq!(apply(&mut state, &found), Outcome::Applied);
+    assert_eq!(apply(&mut state, &bootstrap), Outcome::Applied);
     assert_eq!(names(&state.stores().view().serving), ["s1", "s2"]);
 }
 
@@ -201,8 +201,8 @@
     assert_eq!(state.stores().view().serving[2], members[2]);
 }
 
-/// Checks one step: a member that serves afterwards either served before, or was in the next set
-/// and had synced in that epoch.
+/// Checks the effect of one operation: if the serving set changed, it became the previous next set, of
+/// which all members but at most one had synced in the epoch before the operation.
 fn check_step(before: &StoreView, synced: &BTreeSet<NodeId>, after: &StoreView, outcome: Outcome) {
     assert!(after.epoch >= before.epoch);
     if outcome != Outcome::Applied {
@@ -211,7 +211,10 @@
     if before.serving.is_empty() || before.serving == after.serving {
         return;
     }
-    let next = before.next.as_ref().expect("a switch takes a next set");
+    let next = before
+        .next
+        .as_ref()
+        .expect("the serving set changes only to a next set");
     assert_eq!(after.serving, *next);
     assert!(after.epoch > before.epoch);
     let others = next
@@ -220,7 +223,7 @@
         .count();
     assert!(
         others <= 1,
-        "all but the member whose report switches had synced before"
+        "all but the last reporting member had synced before"
     );
     assert!(next.len() > after.tolerated_faults as usize);
 }
--- a/tier/control/tests/tables.rs
+++ b/tier/control/tests/tables.rs
@@ -1,4 +1,5 @@
-//! Changes bring the tables of one state to those of any later one.
+//! Tests that the changes between two states turn the tables of the earlier state into those of the
+//! later one.
 
 mod common;
 
@@ -36,16 +37,16 @@
 fn changes_and_snapshot_give_the_same_tables() {
     arbtest::arbtest(|random| {
         let mut state = ControlState::default();
-        let mut held = Tables::default();
+        let mut received = Tables::default();
         let mut sent = state.clone();
         for step in 1..=random.int_in_range(1..=40)? {
             apply(&mut state, &any_operation(random)?);
             if random.arbitrary()? {
-                let (from, to) = (held.revision, Revision(step));
+                let (from, to) = (received.revision, Revision(step));
                 let changes = diff_tables(&sent, &state);
                 let update = TablesUpdate::Changes { from, to, changes };
-                assert_eq!(held.apply(update), Ok(()));
-                assert_eq!(held, build_tables(&state, to));
+                assert_eq!(received.apply(update), Ok(()));
+                assert_eq!(received, build_tables(&state, to));
                 sent = state.clone();
             }
         }
--- a/tier/control/tests/targets.rs
+++ b/tier/control/tests/targets.rs
@@ -1,5 +1,5 @@
-//! Reports are ordered by `sequence`, a deregistered target stays deregistered, and an address has
-//! one owner.
+//! Tests that reports are ordered by `sequence`, that a deregistered target stays deregistered, and
+//! that an address belongs to one target.
 
 mod common;
 
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_singleton_task_of_a_former_head_is_fenced() {
+fn a_singleton_task_of_a_previous_head_is_fenced() {
     let mut state = ControlState::default();
     register(&mut state, target("t1", 80, 1));
     apply(&mut state, &expire(4, "other", 1));
