--- a/tier/configuration/examples/cost.rs
+++ b/tier/configuration/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Prints what reading, lookup and changes cost at several sizes of a configuration.
+//! Measures the time of parsing, lookup and patches for several sizes of a configuration.
 //!
 //! `cargo run --release -p plankhill-configuration --example cost`
 
@@ -8,7 +8,7 @@
 use plankhill_configuration::{Document, Patch, RouteTable};
 use serde_json::{json, Value};
 
-/// Runs of which the shortest counts.
+/// Number of runs of each measurement, of which the shortest is reported.
 const RUNS: u32 = 9;
 
 fn main() {
@@ -46,12 +46,12 @@
     );
 }
 
-/// A document whose middle route has the time-out `timeout_ms`.
+/// Returns a document whose middle route has the timeout `timeout_ms`.
 fn document(version: u64, routes: usize, timeout_ms: u64) -> Document {
-    let route = |place: usize| {
+    let route = |index: usize| {
         json!({
-            "name": format!("r-{place}"), "host": "front.example", "path_prefix": format!("/route-{place}/"),
-            "type": "idempotent", "timeout_ms": if place == routes / 2 { timeout_ms } else { 900 },
+            "name": format!("r-{index}"), "host": "front.example", "path_prefix": format!("/route-{index}/"),
+            "type": "idempotent", "timeout_ms": if index == routes / 2 { timeout_ms } else { 900 },
             "target_latency_ms": 250, "priority": 1, "service": "tools", "max_attempts": 2,
             "retained": false, "retention_s": 60.0, "session_affinity": false, "resumable": false,
             "gap_aim_ms": 400
@@ -71,9 +71,9 @@
 
 fn shortest(mut work: impl FnMut()) -> Duration {
     let time = || {
-        let begun = Instant::now();
+        let started = Instant::now();
         work();
-        begun.elapsed()
+        started.elapsed()
     };
     std::iter::repeat_with(time)
         .take(RUNS as usize)
--- a/tier/configuration/src/check.rs
+++ b/tier/configuration/src/check.rs
@@ -1,4 +1,4 @@
-//! Rules of a configuration that reach over more than one value.
+//! Validation rules that involve more than one value of a configuration.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,7 +8,7 @@
 use crate::table::normalized_host;
 use crate::{Configuration, Route, RouteServices, WeightedService};
 
-/// All faults of `configuration` besides its version number.
+/// Returns all faults of `configuration`. The version number is not checked here.
 pub(crate) fn faults_of_configuration(configuration: &Configuration) -> Faults {
     let mut faults = match configuration.validate() {
         Ok(()) => Faults::new(),
@@ -23,14 +23,14 @@
     faults
 }
 
-/// Collects the services' names, and a fault for each that stands twice.
+/// Collects the names of the services and adds a fault for each duplicate name.
 fn service_names<'a>(configuration: &'a Configuration, faults: &mut Faults) -> HashSet<&'a str> {
     let mut names = HashSet::with_capacity(configuration.services.len());
     for (index, service) in configuration.services.iter().enumerate() {
         if !names.insert(service.name.as_ref()) {
             faults.add(
                 format!("services[{index}].name"),
-                format!("{:?} stands twice", service.name),
+                format!("{:?} is a duplicate name", service.name),
             );
         }
     }
@@ -80,11 +80,11 @@
 
 fn check_known(key: String, service: &str, known: &HashSet<&str>, faults: &mut Faults) {
     if !known.contains(service) {
-        faults.add(key, format!("no service is called {service:?}"));
+        faults.add(key, format!("no service is named {service:?}"));
     }
 }
 
-/// Adds a fault for each route that has host and prefix of an earlier one.
+/// Adds a fault for each route with the same host and prefix as an earlier one.
 fn check_distinct_routes(configuration: &Configuration, faults: &mut Faults) {
     let mut indexes = HashMap::with_capacity(configuration.routes.len());
     for (index, route) in configuration.routes.iter().enumerate() {
--- a/tier/configuration/src/configuration.rs
+++ b/tier/configuration/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The meaning of the operator's document.
+//! The parsed form of the operator's document.
 
 use plankhill_validation::{Fault, Faults};
 use serde::Deserialize;
@@ -6,27 +6,27 @@
 
 use crate::{check, ConfigurationError, Limits, Route, Service, MAX_DOCUMENT_BYTES};
 
-/// Routes, services and limits of one version.
+/// The routes, services and limits of one version.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 pub struct Configuration {
-    /// The version. Versions rise by any steps.
+    /// The version. Each version must be higher than the previous one, by any amount.
     pub version: u64,
-    /// Routes, no two with the same host and prefix.
+    /// The routes. Each has a unique combination of host and prefix.
     #[validate(nested)]
     pub routes: Vec<Route>,
-    /// Services, no two with the same name.
+    /// The services. Each has a unique name.
     #[validate(nested)]
     pub services: Vec<Service>,
-    /// Limits of what clients may send.
+    /// Limits on client requests and connections.
     #[validate(nested)]
     pub limits: Limits,
 }
 
 impl Configuration {
-    /// Reads and checks a document, all but its version number.
+    /// Parses and validates a document, except for its version number.
     ///
     /// # Errors
-    /// [`ConfigurationError`] if the document cannot be read completely or is not valid by itself.
+    /// [`ConfigurationError`] if the document cannot be parsed or is not valid.
     pub fn parse(bytes: &[u8]) -> Result<Configuration, ConfigurationError> {
         let configuration = Configuration::read(bytes)?;
         let faults = check::faults_of_configuration(&configuration);
@@ -34,10 +34,10 @@
         Ok(configuration)
     }
 
-    /// Checks that this may follow the version `current` (0 if there is none).
+    /// Checks that this configuration may replace the version `current` (0 if there is none).
     ///
     /// # Errors
-    /// [`ConfigurationError::Invalid`] if the version is not above `current`.
+    /// [`ConfigurationError::Invalid`] if the version is not higher than `current`.
     pub fn check(&self, current: u64) -> Result<(), ConfigurationError> {
         if self.version > current {
             return Ok(());
@@ -51,7 +51,8 @@
         ))))
     }
 
-    /// Reads without a path first, since keeping it costs time on big documents.
+    /// Parses a document. Key paths for error messages are tracked only in a second pass after an
+    /// error, since tracking them costs time on large documents.
     fn read(bytes: &[u8]) -> Result<Configuration, ConfigurationError> {
         if bytes.len() > MAX_DOCUMENT_BYTES {
             let fault = Fault::new(
@@ -65,7 +66,7 @@
     }
 }
 
-/// Reads `bytes` again to learn the path of the key at which reading fails.
+/// Parses `bytes` again to find the path of the key at which parsing fails.
 fn locate(bytes: &[u8], error: &serde_json::Error) -> Fault {
     let mut source = serde_json::Deserializer::from_slice(bytes);
     match serde_path_to_error::deserialize::<_, Configuration>(&mut source) {
--- a/tier/configuration/src/content.rs
+++ b/tier/configuration/src/content.rs
@@ -1,9 +1,9 @@
-//! Equality of two JSON documents by content.
+//! Compares JSON documents by content.
 
 use serde_json::{Number, Value};
 
-/// Whether both are JSON with the same content, whatever the order of keys, the white space and the
-/// way numbers are written. Two documents that are no JSON are the same only byte by byte.
+/// Returns whether two JSON documents have the same content, regardless of key order, white space and
+/// number format. Documents that are not valid JSON are equal only if their bytes are.
 pub fn has_same_content(left: &[u8], right: &[u8]) -> bool {
     if left == right {
         return true;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Compares whole numbers exactly, and a fraction with any number by value (`60` and `60.0`).
+/// Compares two integers exactly, and any other pair of numbers as floating point (`60` and `60.0`).
 fn is_same_number(left: &Number, right: &Number) -> bool {
     if left.is_f64() || right.is_f64() {
         left.as_f64() == right.as_f64()
--- a/tier/configuration/src/document.rs
+++ b/tier/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The operator's document as it was sent.
+//! The operator's document in its original bytes.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,14 +7,15 @@
 
 use crate::{has_same_content, Configuration, ConfigurationError};
 
-/// Largest document accepted, in bytes: about 40,000 routes, a sixteenth of a small machine's
-/// memory.
+/// Maximum size of a document in bytes: about 40,000 routes, and a sixteenth of the memory of a small
+/// machine.
 pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
 
-/// The bytes of a configuration, kept so that the operator reads back what was sent.
+/// The original bytes of a configuration, so that the operator can read back the document as it was
+/// sent.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The version that the bytes name.
+    /// The version in the document.
     pub version: u64,
     /// The JSON text.
     #[serde(
@@ -25,7 +26,8 @@
 }
 
 impl Document {
-    /// A document of `bytes`, which name the version `version`; they are not checked.
+    /// Creates a document from `bytes`, which must contain the version `version`. Neither is
+    /// validated.
     pub fn new(version: u64, bytes: impl Into<Arc<[u8]>>) -> Document {
         Document {
             version,
@@ -33,10 +35,10 @@
         }
     }
 
-    /// Reads and checks `bytes`.
+    /// Parses and validates `bytes`.
     ///
     /// # Errors
-    /// As [`Configuration::parse`].
+    /// The same as those of [`Configuration::parse`].
     pub fn parse(
         bytes: impl Into<Arc<[u8]>>,
     ) -> Result<(Document, Configuration), ConfigurationError> {
@@ -51,7 +53,7 @@
         ))
     }
 
-    /// Whether `other` has the same version and the same content ([`has_same_content`]).
+    /// Returns whether `other` has the same version and the same content ([`has_same_content`]).
     pub fn has_same_content(&self, other: &Document) -> bool {
         self.version == other.version && has_same_content(&self.bytes, &other.bytes)
     }
--- a/tier/configuration/src/fields.rs
+++ b/tier/configuration/src/fields.rs
@@ -1,24 +1,24 @@
-//! Readers for fields whose form in JSON differs from their type here.
+//! Deserializers of fields whose JSON representation differs from their Rust type.
 
 use std::time::Duration;
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
-/// Longest time accepted, in seconds: a year.
+/// Maximum duration in seconds: 1 year.
 const MAX_SECONDS: f64 = 31_536_000.0;
 
-/// Largest whole number read: the largest up to which a 64-bit fraction is exact.
-const MAX_WHOLE: f64 = 9_007_199_254_740_992.0;
+/// Maximum integer: an `f64` represents all integers up to this one (2^53) exactly.
+const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Reads a number of milliseconds.
+/// Deserializes a number of milliseconds.
 pub(crate) fn milliseconds<'de, D: Deserializer<'de>>(source: D) -> Result<Duration, D::Error> {
     duration(f64::deserialize(source)? / MILLISECONDS_PER_SECOND)
 }
 
-/// Reads a number of milliseconds, or null for none.
+/// Deserializes a number of milliseconds, or null for `None`.
 pub(crate) fn optional_milliseconds<'de, D: Deserializer<'de>>(
     source: D,
 ) -> Result<Option<Duration>, D::Error> {
@@ -28,25 +28,27 @@
     }
 }
 
-/// Reads a number of seconds, or null for zero.
+/// Deserializes a number of seconds, or null for zero.
 pub(crate) fn seconds_or_zero<'de, D: Deserializer<'de>>(source: D) -> Result<Duration, D::Error> {
     duration(Option::<f64>::deserialize(source)?.unwrap_or(0.0))
 }
 
-/// Reads a whole number, also one written as a fraction (`3.0`).
+/// Deserializes a non-negative integer, also in floating-point notation (`3.0`).
 pub(crate) fn whole<'de, D, T>(source: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: TryFrom<u64>,
 {
     let value = f64::deserialize(source)?;
-    if !(0.0..=MAX_WHOLE).contains(&value) || value.fract() != 0.0 {
-        return Err(D::Error::custom(format_args!("{value} is no whole number")));
+    if !(0.0..=MAX_EXACT_INTEGER).contains(&value) || value.fract() != 0.0 {
+        return Err(D::Error::custom(format_args!(
+            "{value} is not a non-negative integer"
+        )));
     }
     T::try_from(value as u64).map_err(|_| D::Error::custom(format_args!("{value} is too large")))
 }
 
-/// Reads a value, or null for its default.
+/// Deserializes a value, or null for its default.
 pub(crate) fn or_default<'de, D, T>(source: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -59,6 +61,6 @@
     if (0.0..=MAX_SECONDS).contains(&seconds) {
         Ok(Duration::from_secs_f64(seconds))
     } else {
-        Err(E::custom("must lie between 0 and a year"))
+        Err(E::custom("must be between 0 and 1 year"))
     }
 }
--- a/tier/configuration/src/lib.rs
+++ b/tier/configuration/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operator's configuration: reading, checking, route lookup, and changes between versions.
+//! The operator's configuration: parsing, validation, route lookup, and patches between versions.
 //!
-//! A [`Document`] is the bytes that the operator sent, a [`Configuration`] their meaning, a
-//! [`RouteTable`] the lookup that is built from it once per version, and a [`Patch`] the difference
-//! of two documents. Without I/O: controllers check documents with this package, proxies build
-//! their route tables, and `plankhill-tier check` reads files.
+//! A [`Document`] contains the bytes that the operator sent, a [`Configuration`] is their parsed form,
+//! a [`RouteTable`] is the lookup structure built from it once per version, and a [`Patch`] is the
+//! difference between two documents. The package performs no I/O: controllers validate documents with
+//! it, proxies build their route tables, and `plankhill-tier check` validates files.
 
 mod check;
 mod configuration;
--- a/tier/configuration/src/limits.rs
+++ b/tier/configuration/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of what clients may send.
+//! Limits on client requests and connections.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 
 use crate::fields;
 
-/// Limits of what a client may send, and of how long its connection may be idle.
+/// Limits on the requests of a client, and on the idle time of its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Validate)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of the head of a request, in bytes.
     #[serde(deserialize_with = "fields::whole")]
     #[validate(range(min = 1, message = "must not be 0"))]
     pub max_header_bytes: u64,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of the body of a request, in bytes.
     #[serde(deserialize_with = "fields::whole")]
     pub max_body_bytes: u64,
-    /// Longest time in which a client has to send a request's head.
+    /// Maximum time for a client to send the head of a request.
     #[serde(
         rename = "header_timeout_ms",
         deserialize_with = "fields::milliseconds"
     )]
     pub header_timeout: Duration,
-    /// Longest time for which a connection may be idle between two requests.
+    /// Maximum time for which a connection may be idle between two requests.
     #[serde(rename = "idle_timeout_ms", deserialize_with = "fields::milliseconds")]
     pub idle_timeout: Duration,
 }
--- a/tier/configuration/src/patch.rs
+++ b/tier/configuration/src/patch.rs
@@ -1,5 +1,5 @@
-//! The difference of two documents, so that large configurations can be sent as changes: [`diff`]
-//! finds it, [`apply`] applies it.
+//! Patches between two documents, which avoid sending large configurations completely: [`diff`]
+//! creates a patch, [`apply`] applies it.
 
 mod apply;
 mod diff;
@@ -8,15 +8,15 @@
 
 /// The changes that turn the document of one version into that of another.
 ///
-/// Elements of lists (routes, services) that stand in both are named by their index in the old
-/// list; everything else is carried as JSON text.
+/// List elements (routes, services) that both documents contain are referenced by their index in the
+/// old list; all other values are included as JSON text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
     /// Version of the document to which the patch applies.
     pub base_version: u64,
-    /// Version of the document that results.
+    /// Version of the resulting document.
     pub version: u64,
-    /// Every key of the resulting document; the others are dropped.
+    /// All keys of the resulting document. Keys of the old document that are not listed are removed.
     pub fields: Vec<FieldPatch>,
 }
 
@@ -25,37 +25,37 @@
 pub struct FieldPatch {
     /// The key.
     pub key: String,
-    /// Where its value comes from.
+    /// The source of the value.
     pub change: FieldChange,
 }
 
-/// Where the value of a key comes from.
+/// The source of the value of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FieldChange {
-    /// From the old document, as it is.
+    /// The unchanged value in the old document.
     Keep,
-    /// From this JSON text.
+    /// This JSON text.
     Value(String),
-    /// From the old document's list, and from new elements between.
+    /// A list of elements of the old document's list and of new elements.
     List(Vec<ListSegment>),
 }
 
 /// A segment of a list: consecutive elements, in order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListSegment {
-    /// Elements of the old list.
+    /// Consecutive elements of the old list.
     Keep {
         /// Index of the first one.
         first: u32,
         /// Number of elements.
         count: u32,
     },
-    /// One new element, as JSON text.
+    /// A new element, as JSON text.
     Add(String),
 }
 
 impl Patch {
-    /// Bytes of JSON text in the patch.
+    /// Returns the number of bytes of JSON text in the patch.
     pub fn text_bytes(&self) -> usize {
         self.fields
             .iter()
@@ -69,7 +69,7 @@
         match self {
             FieldChange::Keep => 0,
             FieldChange::Value(text) => text.len(),
-            FieldChange::List(parts) => parts.iter().map(ListSegment::text_bytes).sum(),
+            FieldChange::List(segments) => segments.iter().map(ListSegment::text_bytes).sum(),
         }
     }
 }
--- a/tier/configuration/src/patch/apply.rs
+++ b/tier/configuration/src/patch/apply.rs
@@ -8,14 +8,14 @@
 };
 
 impl Patch {
-    /// The document that results from applying this to `old`.
+    /// Applies the patch to `old` and returns the resulting document.
     ///
-    /// Its content is that of the document the patch was made from; white space and the order of
-    /// keys may differ.
+    /// The result has the same content as the new document from which the patch was created; white
+    /// space and the order of keys may differ.
     ///
     /// # Errors
-    /// [`PatchError`] if `old` has another version, or lacks what the patch retains, or the result
-    /// is too large.
+    /// [`PatchError`] if `old` has another version, lacks values that the patch retains, or cannot be
+    /// parsed, or if the result is too large.
     pub fn apply(&self, old: &Document) -> Result<Document, PatchError> {
         if old.version != self.base_version {
             return Err(PatchError::OtherBase {
@@ -45,9 +45,9 @@
     match &field.change {
         FieldChange::Keep => writer.push(retained_field(&field.key, old)?.get()),
         FieldChange::Value(text) => writer.push(text),
-        FieldChange::List(parts) => {
+        FieldChange::List(segments) => {
             let elements = raw_elements(retained_field(&field.key, old)?)?;
-            write_list(&field.key, parts, &elements, writer)
+            write_list(&field.key, segments, &elements, writer)
         }
     }
 }
@@ -64,14 +64,14 @@
 
 fn write_list(
     key: &str,
-    parts: &[ListSegment],
+    segments: &[ListSegment],
     old: &[&RawValue],
     writer: &mut Writer,
 ) -> Result<(), PatchError> {
     let mut written = 0;
     writer.push("[")?;
-    for part in parts {
-        match part {
+    for segment in segments {
+        match segment {
             ListSegment::Add(text) => {
                 writer.separate(written)?;
                 writer.push(text)?;
@@ -101,7 +101,7 @@
         .ok_or_else(|| PatchError::MissingElements(key.to_owned()))
 }
 
-/// JSON text under construction, bounded by [`MAX_DOCUMENT_BYTES`].
+/// A writer of JSON text whose size is limited to [`MAX_DOCUMENT_BYTES`].
 struct Writer {
     text: String,
 }
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Writes a comma unless `index` is that of the first element.
+    /// Writes a comma unless `index` is 0.
     fn separate(&mut self, index: usize) -> Result<(), PatchError> {
         if index == 0 {
             Ok(())
--- a/tier/configuration/src/patch/diff.rs
+++ b/tier/configuration/src/patch/diff.rs
@@ -1,4 +1,4 @@
-//! Finds the difference of two documents.
+//! Computes the patch between two documents.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,10 +10,10 @@
 pub(crate) type RawFields<'a> = BTreeMap<String, &'a RawValue>;
 
 impl Patch {
-    /// The patch that turns `old` into `new`.
+    /// Returns the patch that turns `old` into `new`.
     ///
     /// # Errors
-    /// [`PatchError::Document`] if one of the two is no JSON object.
+    /// [`PatchError::Document`] if one of the documents is not a JSON object.
     pub fn between(old: &Document, new: &Document) -> Result<Patch, PatchError> {
         let old_fields = raw_fields(&old.bytes)?;
         let new_fields = raw_fields(&new.bytes)?;
@@ -33,12 +33,12 @@
     }
 }
 
-/// Reads the keys of a document and the JSON text of each value.
+/// Parses a document into its keys and the JSON text of each value.
 pub(crate) fn raw_fields(bytes: &[u8]) -> Result<RawFields<'_>, PatchError> {
     serde_json::from_slice(bytes).map_err(|error| PatchError::Document(error.to_string()))
 }
 
-/// Reads the JSON text of each element of a list.
+/// Parses a list into the JSON text of each element.
 pub(crate) fn raw_elements(list: &RawValue) -> Result<Vec<&RawValue>, PatchError> {
     serde_json::from_str(list.get()).map_err(|error| PatchError::Document(error.to_string()))
 }
@@ -65,12 +65,12 @@
     for (index, element) in (0_u32..).zip(old) {
         indexes.entry(element.get()).or_insert(index);
     }
-    let mut parts: Vec<ListSegment> = Vec::new();
+    let mut segments: Vec<ListSegment> = Vec::new();
     for element in new {
-        if extend_last_run(&mut parts, old, element) {
+        if extend_last_run(&mut segments, old, element) {
             continue;
         }
-        parts.push(match indexes.get(element.get()) {
+        segments.push(match indexes.get(element.get()) {
             Some(first) => ListSegment::Keep {
                 first: *first,
                 count: 1,
@@ -78,12 +78,13 @@
             None => ListSegment::Add(element.get().to_owned()),
         });
     }
-    parts
+    segments
 }
 
-/// Extends the last retained run if the next element of the old list is `element`.
-fn extend_last_run(parts: &mut [ListSegment], old: &[&RawValue], element: &RawValue) -> bool {
-    let Some(ListSegment::Keep { first, count }) = parts.last_mut() else {
+/// Extends the last segment if it is a run of old elements and `element` is the next one in the old
+/// list. Returns whether it was extended.
+fn extend_last_run(segments: &mut [ListSegment], old: &[&RawValue], element: &RawValue) -> bool {
+    let Some(ListSegment::Keep { first, count }) = segments.last_mut() else {
         return false;
     };
     let next = (*first + *count) as usize;
--- a/tier/configuration/src/route.rs
+++ b/tier/configuration/src/route.rs
@@ -1,4 +1,4 @@
-//! A route: which service answers requests for a host and path, and how.
+//! Routes map requests for a host and path prefix to services.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 
 use crate::fields;
 
-/// Whether a request of a route may be repeated.
+/// The retry semantics of the requests of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// Answered by a series of events; repeated only where the route is resumable.
+    /// The response is a stream of events. The request may be retried only if the route is resumable.
     Streaming,
     /// The request may be executed more than once.
     Idempotent,
@@ -20,63 +20,63 @@
     NonIdempotent,
 }
 
-/// A share of a route's requests.
+/// A service and its share of the requests of a route.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Weight relative to the route's other services.
+    /// Weight relative to the other services of the route.
     pub weight: f64,
 }
 
-/// The services that answer a route's requests.
+/// The services that handle the requests of a route.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouteServices {
-    /// One service answers all.
+    /// A single service handles all requests.
     One(Arc<str>),
-    /// Several services share the requests by weight.
+    /// Several services share the requests in proportion to their weights.
     Weighted(Vec<WeightedService>),
 }
 
-/// Which service answers requests for a host and path, and how.
+/// A route: the services for requests to a host and path prefix, and the rules for these requests.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 #[serde(try_from = "RouteFields")]
 pub struct Route {
-    /// Name, for people.
+    /// Human-readable name.
     pub name: Arc<str>,
-    /// Host of the requests; case does not matter.
+    /// Host of the requests; not case-sensitive.
     #[validate(length(min = 1, message = "must not be empty"))]
     pub host: Arc<str>,
-    /// Start of the requests' path.
+    /// Path prefix of the requests; begins and ends with a slash.
     #[validate(custom(function = check_prefix))]
     pub path_prefix: Arc<str>,
-    /// Whether requests may be repeated.
+    /// Retry semantics of the requests.
     pub kind: RouteKind,
-    /// Longest time that a request may stay in the system.
+    /// Maximum total time of a request in the system.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) earns its full value.
+    /// Latency up to which a response (the first event of a stream) has its full value.
     pub latency_target: Option<Duration>,
-    /// Priority; 0 is highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Largest number of targets to which one attempt of a client may be sent.
+    /// Maximum number of targets to which one attempt of a client may be sent.
     #[validate(range(min = 1, message = "must not be 0"))]
     pub max_attempts: u32,
-    /// Whether the stores retain the turns of this route.
+    /// Whether the stores retain the turns of the route.
     pub retained: bool,
-    /// How long a retained turn can be continued.
+    /// Time for which a retained turn can be continued.
     pub retention: Duration,
-    /// Whether requests of a session share the prefixes of their prompts.
+    /// Whether the prompts of a session share prefixes.
     pub session_affinity: bool,
     /// Whether a stream may be resumed at another target.
     pub resumable: bool,
-    /// Longest gap between two events of an answer that is on time.
+    /// Maximum gap between two events of a response that counts as on time.
     pub event_gap_target: Option<Duration>,
-    /// The services that answer.
+    /// The services that handle the requests.
     pub services: RouteServices,
 }
 
 impl Route {
-    /// Whether a request of this route may be executed more than once.
+    /// Returns whether a request of this route may be executed more than once.
     pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Whether answers of this route are series of events.
+    /// Returns whether the responses of this route are streams of events.
     pub fn is_streaming(&self) -> bool {
         self.kind == RouteKind::Streaming
     }
 }
 
-/// The keys of a route as they stand in the document.
+/// The keys of a route as they appear in the document.
 #[derive(Deserialize)]
 struct RouteFields {
     name: Arc<str>,
@@ -127,7 +127,7 @@
     type Error = &'static str;
 
     fn try_from(fields: RouteFields) -> Result<Route, Self::Error> {
-        // Where both are given, the weighted list is the more exact one.
+        // If both are given, a non-empty weighted list takes precedence because it is more specific.
         let services = match (fields.weighted_services, fields.service) {
             (Some(weighted), None) => RouteServices::Weighted(weighted),
             (Some(weighted), Some(_)) if !weighted.is_empty() => RouteServices::Weighted(weighted),
--- a/tier/configuration/src/service.rs
+++ b/tier/configuration/src/service.rs
@@ -1,4 +1,4 @@
-//! A service: a set of targets that are alike.
+//! A service: a set of interchangeable targets.
 
 use std::sync::Arc;
 
@@ -7,30 +7,30 @@
 
 use crate::fields;
 
-/// Path of the health check where the configuration names none.
+/// Default path of the health check.
 const DEFAULT_HEALTH_CHECK: &str = "/healthz";
 
-/// A set of targets that are alike, and how proxies reach them.
+/// A set of interchangeable targets, and the parameters for connecting to them.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 pub struct Service {
-    /// Name, unique in the configuration.
+    /// Name; unique in the configuration.
     #[validate(length(min = 1, message = "must not be empty"))]
     pub name: Arc<str>,
     /// Path of the health check.
     #[serde(default = "default_health_check")]
     #[validate(length(min = 1, message = "must not be empty"))]
     pub health_check: Arc<str>,
-    /// Most connections that one target accepts from all callers together.
+    /// Maximum number of connections that one target accepts from all clients together.
     #[serde(deserialize_with = "fields::whole")]
     #[validate(range(min = 1, message = "must not be 0"))]
     pub max_connections: u32,
-    /// Protocol spoken with the targets.
+    /// Protocol of the connections to the targets.
     #[serde(default, deserialize_with = "fields::or_default")]
     pub protocol: Protocol,
-    /// Whether proxies reach the targets over TLS.
+    /// Whether proxies connect to the targets over TLS.
     #[serde(default, deserialize_with = "fields::or_default")]
     pub tls: bool,
-    /// How much a target that warms up speeds up each second, if the operator says so.
+    /// Rate per second at which a target speeds up during its warm-up, if configured.
     #[serde(default, rename = "cold_per_s")]
     pub warm_up_rate_per_s: Option<f64>,
     /// Whether a target executes a repeated request only once.
@@ -42,35 +42,35 @@
     pub engine: Option<Engine>,
 }
 
-/// Protocol spoken with targets.
+/// A protocol for connections to targets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Protocol {
     /// HTTP/1.1.
     #[default]
     H1,
-    /// A protocol that this version does not know.
+    /// A protocol that this version of the software does not support.
     #[serde(other)]
     Unknown,
 }
 
-/// A target's model engine.
+/// The model engine of a target.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 pub struct Engine {
-    /// Requests that one target executes at once.
+    /// Number of requests that one target executes concurrently.
     #[serde(deserialize_with = "fields::whole")]
     #[validate(range(min = 1, message = "must not be 0"))]
     pub capacity: u32,
-    /// Tokens that one target's cache holds.
+    /// Capacity of the KV cache of one target, in tokens.
     #[serde(default, deserialize_with = "fields::whole")]
     pub kv_capacity: u64,
-    /// Bytes of cache for each token.
+    /// KV cache bytes per token.
     #[serde(default, deserialize_with = "fields::whole")]
     pub kv_token_bytes: u64,
-    /// Bandwidth between two targets' caches, in megabits a second.
+    /// Bandwidth between the KV caches of two targets, in megabits per second.
     #[serde(default, deserialize_with = "fields::or_default")]
     pub bandwidth_mbps: f64,
-    /// Tokens in each event of a stream.
+    /// Number of tokens in each event of a stream.
     #[serde(default = "one_token", deserialize_with = "fields::whole")]
     #[validate(range(min = 1, message = "must not be 0"))]
     pub chunk_size: u32,
@@ -82,7 +82,7 @@
 /// A model that a target serves.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Model {
-    /// Name by which requests ask for it.
+    /// Name of the model in requests.
     pub name: Arc<str>,
 }
 
--- a/tier/configuration/src/table.rs
+++ b/tier/configuration/src/table.rs
@@ -1,4 +1,4 @@
-//! Lookup of routes and services, built once per version.
+//! The lookup table of routes and services, built once per version.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 
 use crate::{Configuration, Limits, Route, Service};
 
-/// Immutable lookup of one version's routes and services.
+/// An immutable lookup table of the routes and services of one version.
 #[derive(Debug)]
 pub struct RouteTable {
     version: u64,
@@ -18,13 +18,13 @@
 /// The routes of one host.
 #[derive(Debug, Default)]
 struct HostRoutes {
-    /// Distinct lengths of the prefixes in bytes, longest first.
+    /// The distinct lengths of the prefixes in bytes, longest first.
     lengths: Vec<usize>,
     by_prefix: HashMap<Arc<str>, Arc<Route>>,
 }
 
 impl RouteTable {
-    /// Builds the lookup of a checked configuration.
+    /// Builds the lookup table of a validated configuration.
     pub fn new(configuration: Configuration) -> RouteTable {
         let mut hosts: HashMap<Box<str>, HostRoutes> = HashMap::new();
         for route in configuration.routes {
@@ -47,37 +47,37 @@
         }
     }
 
-    /// The route of a request: that of its host with the longest prefix that begins the path.
+    /// Returns the route of a request: the route of its host with the longest matching path prefix.
     ///
-    /// Case and port of `host` and the query of `path` don't matter.
+    /// The case and port of `host` and the query and fragment of `path` are ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let path = path.split(['?', '#']).next().unwrap_or_default();
         self.hosts.get(normalized_host(host).as_ref())?.find(path)
     }
 
-    /// The service called `name`.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services, in no particular order.
+    /// Iterates over all services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// All routes, in no particular order.
+    /// Iterates over all routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts
             .values()
             .flat_map(|routes| routes.by_prefix.values())
     }
 
-    /// Number of the version.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on what clients may send.
+    /// Returns the limits on client requests and connections.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
@@ -104,7 +104,7 @@
     }
 }
 
-/// The host without its port, in lower case.
+/// Returns the host in lower case, without its port.
 pub(crate) fn normalized_host(host: &str) -> Cow<'_, str> {
     let name = without_port(host);
     if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
@@ -116,7 +116,7 @@
 
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
-        Some((name, port)) if is_port(port) && !is_cut_address(name) => name,
+        Some((name, port)) if is_port(port) && !is_partial_ipv6_address(name) => name,
         _ => host,
     }
 }
@@ -125,7 +125,8 @@
     text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// True if `name` is a piece of an IPv6 address: those hold colons and stand in brackets.
-fn is_cut_address(name: &str) -> bool {
+/// Returns whether `name` is an incomplete IPv6 address, which was split at one of the colons inside
+/// its brackets.
+fn is_partial_ipv6_address(name: &str) -> bool {
     name.starts_with('[') && !name.ends_with(']')
 }
--- a/tier/configuration/src/traffic_split.rs
+++ b/tier/configuration/src/traffic_split.rs
@@ -1,4 +1,4 @@
-//! Shares of a route's requests among its services.
+//! Distributes the requests of a route among its services.
 
 use std::hash::Hasher;
 use std::sync::Arc;
@@ -7,11 +7,11 @@
 
 use crate::{Route, RouteServices, WeightedService};
 
-/// Bits of a hash that a 64-bit fraction holds exactly.
+/// Number of hash bits that an `f64` represents exactly.
 const FRACTION_BITS: u32 = 53;
 
 impl RouteServices {
-    /// Names of the services, in the order of the document.
+    /// Iterates over the names of the services, in the order of the document.
     pub fn names(&self) -> impl Iterator<Item = &Arc<str>> {
         let (one, weighted) = match self {
             RouteServices::One(service) => (Some(service), &[][..]),
@@ -21,7 +21,7 @@
             .chain(weighted.iter().map(|share| &share.service))
     }
 
-    /// The service for the request called `request_id`: the same one on every machine.
+    /// Returns the service for the request with this id, which is the same on every machine.
     pub fn pick(&self, request_id: &str) -> &Arc<str> {
         match self {
             RouteServices::One(service) => service,
@@ -31,25 +31,25 @@
 }
 
 impl Route {
-    /// The service for the request called `request_id`: the same one on every machine.
+    /// Returns the service for the request with this id, which is the same on every machine.
     pub fn pick_service(&self, request_id: &str) -> &Arc<str> {
         self.services.pick(request_id)
     }
 }
 
-/// Walks the shares until `fraction` (from 0 up to 1) of their sum is passed.
+/// Returns the service at `fraction` (at least 0, less than 1) of the cumulative weights.
 ///
-/// A checked route has at least one share above 0.
+/// A validated route has at least one weight above 0.
 fn pick_weighted(weighted: &[WeightedService], fraction: f64) -> &Arc<str> {
     let sum: f64 = weighted.iter().map(|share| share.weight).sum();
-    let mut left = fraction * sum;
+    let mut remaining = fraction * sum;
     let mut last = &weighted[0].service;
     for share in weighted.iter().filter(|share| share.weight > 0.0) {
         last = &share.service;
-        if left < share.weight {
+        if remaining < share.weight {
             break;
         }
-        left -= share.weight;
+        remaining -= share.weight;
     }
     last
 }
