--- a/tier/configuration/tests/common/mod.rs
+++ b/tier/configuration/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A valid configuration, and ways to change it.
+//! A valid configuration, and helpers that modify it.
 
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
 
-/// A valid configuration, version 7, with three routes and two services.
+/// Returns a valid configuration, version 7, with three routes and two services.
 pub fn valid() -> Value {
     json!({
         "version": 7,
@@ -41,7 +41,7 @@
     })
 }
 
-/// A route of the service `models`.
+/// Returns a route of the service `models`.
 pub fn route(name: &str, prefix: &str, kind: &str) -> Value {
     json!({
         "name": name, "host": "front.example", "path_prefix": prefix, "type": kind,
@@ -51,21 +51,21 @@
     })
 }
 
-/// The valid configuration with the value at `pointer` replaced.
+/// Returns the valid configuration with the value at `pointer` replaced.
 pub fn with(pointer: &str, value: Value) -> Value {
     let mut document = valid();
     *document.pointer_mut(pointer).expect("the key exists") = value;
     document
 }
 
-/// The valid configuration with `key` of the object at `pointer` set.
+/// Returns the valid configuration with `key` set in the object at `pointer`.
 pub fn with_key(pointer: &str, key: &str, value: Value) -> Value {
     let mut document = valid();
     object(&mut document, pointer).insert(key.to_owned(), value);
     document
 }
 
-/// The valid configuration without `key` of the object at `pointer`.
+/// Returns the valid configuration without `key` in the object at `pointer`.
 pub fn without(pointer: &str, key: &str) -> Value {
     let mut document = valid();
     object(&mut document, pointer)
@@ -81,7 +81,7 @@
         .expect("an object")
 }
 
-/// The JSON text of `document`.
+/// Returns `document` as JSON text.
 pub fn text(document: &Value) -> Vec<u8> {
     serde_json::to_vec(document).expect("a value can be written")
 }
--- a/tier/configuration/tests/content.rs
+++ b/tier/configuration/tests/content.rs
@@ -1,4 +1,4 @@
-//! Equality of documents by content.
+//! Tests of the comparison of documents by content.
 
 mod common;
 
--- a/tier/configuration/tests/faults.rs
+++ b/tier/configuration/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Each kind of invalid configuration is refused with the name of the key.
+//! Tests that each kind of invalid configuration is rejected with the path of the key.
 
 mod common;
 
@@ -23,9 +23,9 @@
 fn a_document_truncated_anywhere_is_rejected() {
     let bytes = text(&valid());
     for length in 0..bytes.len() {
-        let refused = Configuration::parse(&bytes[..length]);
+        let rejection = Configuration::parse(&bytes[..length]);
         assert!(
-            matches!(refused, Err(ConfigurationError::Unreadable(_))),
+            matches!(rejection, Err(ConfigurationError::Unreadable(_))),
             "{length} bytes"
         );
     }
@@ -59,9 +59,9 @@
 #[test]
 fn a_document_over_the_limit_is_rejected() {
     let bytes = vec![b' '; MAX_DOCUMENT_BYTES + 1];
-    let refused = Configuration::parse(&bytes).expect_err("too large");
+    let rejection = Configuration::parse(&bytes).expect_err("too large");
     assert_eq!(
-        refused.faults().iter().next().expect("one fault").key,
+        rejection.faults().iter().next().expect("one fault").key,
         "document"
     );
 }
@@ -86,12 +86,12 @@
     ];
     for (pointer, key) in cases {
         let message = rejected(&without(pointer, key)).to_string();
-        let place = pointer
+        let path = pointer
             .trim_start_matches('/')
             .replace("/1", "[1]")
             .replace("/2", "[2]");
         assert!(
-            message.contains(&place) && message.contains(&format!("`{key}`")),
+            message.contains(&path) && message.contains(&format!("`{key}`")),
             "{message}"
         );
     }
@@ -228,13 +228,13 @@
 #[test]
 fn two_routes_with_the_same_host_and_prefix_are_rejected() {
     for host in ["front.example", "FRONT.example", "front.example:80"] {
-        let mut twin = route("twin", "/look/", "streaming");
-        twin["host"] = json!(host);
+        let mut duplicate = route("twin", "/look/", "streaming");
+        duplicate["host"] = json!(host);
         let mut document = valid();
         document["routes"]
             .as_array_mut()
             .expect("a list")
-            .push(twin);
+            .push(duplicate);
         assert_eq!(faulty_keys(&document), ["routes[3].path_prefix"], "{host}");
     }
 }
@@ -242,21 +242,21 @@
 #[test]
 fn two_services_with_one_name_are_rejected() {
     let mut document = valid();
-    let twin = document["services"][1].clone();
+    let duplicate = document["services"][1].clone();
     document["services"]
         .as_array_mut()
         .expect("a list")
-        .push(twin);
+        .push(duplicate);
     assert_eq!(faulty_keys(&document), ["services[2].name"]);
 }
 
 #[test]
-fn a_key_given_twice_is_rejected() {
-    let twice =
+fn a_duplicate_key_is_rejected() {
+    let duplicated =
         String::from_utf8(text(&valid()))
             .expect("text")
             .replacen("{", "{\"version\":8,", 1);
-    assert!(Configuration::parse(twice.as_bytes()).is_err());
+    assert!(Configuration::parse(duplicated.as_bytes()).is_err());
 }
 
 #[test]
@@ -278,16 +278,16 @@
     assert!(configuration.check(0).is_ok());
     assert!(configuration.check(6).is_ok());
     for current in [7, 8, u64::MAX] {
-        let refused = configuration.check(current).expect_err("not above");
+        let rejection = configuration.check(current).expect_err("not above");
         assert_eq!(
-            refused.faults().iter().next().expect("one fault").key,
+            rejection.faults().iter().next().expect("one fault").key,
             "version"
         );
     }
 }
 
 #[test]
-fn version_zero_never_follows() {
+fn version_zero_is_always_rejected() {
     let configuration = Configuration::parse(&text(&with("/version", json!(0)))).expect("readable");
     assert!(configuration.check(0).is_err());
 }
@@ -298,8 +298,8 @@
     arbtest::arbtest(|source| {
         let mut changed = bytes.clone();
         for _ in 0..source.int_in_range(1..=4)? {
-            let place = source.choose_index(changed.len())?;
-            changed[place] = source.arbitrary()?;
+            let index = source.choose_index(changed.len())?;
+            changed[index] = source.arbitrary()?;
         }
         let _ = Configuration::parse(&changed);
         Ok(())
--- a/tier/configuration/tests/lookup.rs
+++ b/tier/configuration/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! Which route and which service a request gets.
+//! Tests of the lookup of the route and the service of a request.
 
 mod common;
 
@@ -11,9 +11,9 @@
     RouteTable::new(Configuration::parse(&text(document)).expect("the configuration is valid"))
 }
 
-/// A table with one route for each pair of host and prefix, named by its place.
-fn table_of(places: &[(String, String)]) -> RouteTable {
-    let routes = places.iter().enumerate().map(|(index, (host, prefix))| {
+/// Returns a table with one route for each pair of host and prefix, named by its index.
+fn table_of(endpoints: &[(String, String)]) -> RouteTable {
+    let routes = endpoints.iter().enumerate().map(|(index, (host, prefix))| {
         let mut entry = route(&index.to_string(), prefix, "idempotent");
         entry["host"] = json!(host);
         entry
@@ -59,14 +59,14 @@
 }
 
 #[test]
-fn an_ipv6_host_keeps_its_colons() {
+fn an_ipv6_host_is_not_split_at_its_colons() {
     let table = table_of(&[("[::1]".to_owned(), "/".to_owned())]);
     assert_eq!(found(&table, "[::1]", "/"), Some("0"));
     assert_eq!(found(&table, "[::1]:80", "/"), Some("0"));
 }
 
 #[test]
-fn the_query_is_no_part_of_the_path() {
+fn the_query_is_not_part_of_the_path() {
     let table = table(&valid());
     assert_eq!(
         found(&table, "front.example", "/chat/?to=/chat/split/"),
@@ -91,32 +91,32 @@
 #[test]
 fn lookup_agrees_with_a_linear_search() {
     arbtest::arbtest(|source| {
-        let piece = |source: &mut arbtest::arbitrary::Unstructured<'_>| {
+        let segment = |source: &mut arbtest::arbitrary::Unstructured<'_>| {
             Ok::<_, arbtest::arbitrary::Error>(*source.choose(&["a", "b", "ab", "é"])?)
         };
         let path = |source: &mut arbtest::arbitrary::Unstructured<'_>| {
             let mut path = String::from("/");
             for _ in 0..source.int_in_range(0..=3)? {
-                path.push_str(piece(source)?);
+                path.push_str(segment(source)?);
                 path.push('/');
             }
             Ok::<_, arbtest::arbitrary::Error>(path)
         };
-        let mut places: Vec<(String, String)> = Vec::new();
+        let mut endpoints: Vec<(String, String)> = Vec::new();
         for _ in 0..source.int_in_range(0..=8)? {
-            let place = (piece(source)?.to_owned(), path(source)?);
-            if !places.contains(&place) {
-                places.push(place);
+            let endpoint = (segment(source)?.to_owned(), path(source)?);
+            if !endpoints.contains(&endpoint) {
+                endpoints.push(endpoint);
             }
         }
-        let table = table_of(&places);
-        let (host, path) = (piece(source)?, path(source)? + piece(source)?);
-        let fitting = places
+        let table = table_of(&endpoints);
+        let (host, path) = (segment(source)?, path(source)? + segment(source)?);
+        let matching = endpoints
             .iter()
             .enumerate()
-            .filter(|(_, place)| place.0 == host && path.starts_with(&place.1));
-        let expected = fitting
-            .max_by_key(|(_, place)| place.1.len())
+            .filter(|(_, endpoint)| endpoint.0 == host && path.starts_with(&endpoint.1));
+        let expected = matching
+            .max_by_key(|(_, endpoint)| endpoint.1.len())
             .map(|(index, _)| index.to_string());
         assert_eq!(found(&table, host, &path).map(str::to_owned), expected);
         Ok(())
@@ -125,11 +125,11 @@
 
 #[test]
 fn many_routes_and_a_path_of_slashes_are_looked_up() {
-    let places: Vec<_> = (0..5000)
+    let endpoints: Vec<_> = (0..5000)
         .map(|index| (format!("h{}", index % 7), format!("/route/{index}/")))
         .collect();
-    let table = table_of(&places);
-    for (index, (host, prefix)) in places.iter().enumerate() {
+    let table = table_of(&endpoints);
+    for (index, (host, prefix)) in endpoints.iter().enumerate() {
         assert_eq!(
             found(&table, host, &format!("{prefix}rest")),
             Some(index.to_string().as_str())
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_route_with_one_service_gives_it_to_every_request() {
+fn a_route_with_one_service_uses_it_for_every_request() {
     let table = table(&valid());
     let route = table.find("front.example", "/chat/2").expect("a route");
     assert_eq!(route.pick_service("1").as_ref(), "models");
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn requests_are_split_by_weight_and_one_request_always_alike() {
+fn requests_are_split_by_weight_and_each_request_consistently() {
     let table = table(&valid());
     let route = table
         .find("front.example", "/chat/split/2")
@@ -170,9 +170,9 @@
 
 #[test]
 fn a_service_with_weight_zero_gets_no_requests() {
-    for (place, other) in [(0, "tools"), (1, "models")] {
+    for (index, other) in [(0, "tools"), (1, "models")] {
         let document = with(
-            &format!("/routes/2/weighted_services/{place}/weight"),
+            &format!("/routes/2/weighted_services/{index}/weight"),
             json!(0),
         );
         let table = table(&document);
--- a/tier/configuration/tests/patches.rs
+++ b/tier/configuration/tests/patches.rs
@@ -1,4 +1,4 @@
-//! Changes between documents.
+//! Tests of patches between documents.
 
 mod common;
 
@@ -15,14 +15,14 @@
     Document::new(version, text(value))
 }
 
-/// Makes the patch, sends it, applies it, and checks the result.
+/// Creates a patch, encodes, decodes and applies it, and checks the result.
 fn assert_patched(old: &Value, new: &Value) -> Patch {
     let (old, new) = (document(1, old), document(2, new));
     let patch = Patch::between(&old, &new).expect("both are objects");
     let wire = postcard::to_stdvec(&patch).expect("a patch can be sent");
     let received: Patch = postcard::from_bytes(&wire).expect("and received");
     assert_eq!(received, patch);
-    let result = received.apply(&old).expect("it builds on the old document");
+    let result = received.apply(&old).expect("the old document is its base");
     assert_eq!(result.version, 2);
     assert!(
         has_same_content(&result.bytes, &new.bytes),
@@ -49,12 +49,16 @@
     new["routes"][1234]["timeout_ms"] = json!(77);
     let patch = assert_patched(&old, &new);
     assert!(patch.text_bytes() < 600, "{} bytes", patch.text_bytes());
-    assert!(patch.fields.iter().map(parts).all(|parts| parts <= 3));
+    assert!(patch
+        .fields
+        .iter()
+        .map(segment_count)
+        .all(|count| count <= 3));
 }
 
-fn parts(field: &FieldPatch) -> usize {
+fn segment_count(field: &FieldPatch) -> usize {
     match &field.change {
-        FieldChange::List(parts) => parts.len(),
+        FieldChange::List(segments) => segments.len(),
         _ => 0,
     }
 }
@@ -107,7 +111,9 @@
         let first = Patch::between(&documents[0], &documents[1]).expect("objects");
         let second = Patch::between(&documents[1], &documents[2]).expect("objects");
         let middle = first.apply(&documents[0]).expect("its base");
-        let last = second.apply(&middle).expect("its base, written anew");
+        let last = second
+            .apply(&middle)
+            .expect("its base, with another encoding");
         assert!(last.has_same_content(&documents[2]));
         Ok(())
     });
@@ -142,9 +148,9 @@
 #[test]
 fn a_patch_is_rejected_on_another_version() {
     let patch = Patch::between(&document(1, &valid()), &document(2, &valid())).expect("objects");
-    let refused = patch.apply(&document(3, &valid()));
+    let result = patch.apply(&document(3, &valid()));
     assert_eq!(
-        refused,
+        result,
         Err(PatchError::OtherBase {
             expected: 1,
             found: 3
@@ -153,7 +159,7 @@
 }
 
 #[test]
-fn a_document_that_is_no_object_has_no_patch() {
+fn a_patch_of_a_document_that_is_not_an_object_is_rejected() {
     for bytes in ["", "[]", "null", "{", "{\"a\":}"] {
         let broken = Document::new(1, bytes.as_bytes());
         assert!(Patch::between(&broken, &document(2, &valid())).is_err());
@@ -195,12 +201,12 @@
 }
 
 #[test]
-fn a_patch_that_would_grow_beyond_bounds_is_rejected() {
+fn a_patch_with_a_result_over_the_size_limit_is_rejected() {
     let old = document(1, &json!({"list": ["x".repeat(1 << 16)]}));
     let times = MAX_DOCUMENT_BYTES / (1 << 16) + 1;
-    let parts = vec![ListSegment::Keep { first: 0, count: 1 }; times];
+    let segments = vec![ListSegment::Keep { first: 0, count: 1 }; times];
     assert_eq!(
-        patch_of(FieldChange::List(parts)).apply(&old),
+        patch_of(FieldChange::List(segments)).apply(&old),
         Err(PatchError::TooLarge)
     );
 }
--- a/tier/configuration/tests/reading.rs
+++ b/tier/configuration/tests/reading.rs
@@ -1,4 +1,4 @@
-//! What a valid configuration says.
+//! Tests of parsing valid configurations.
 
 mod common;
 
@@ -69,9 +69,9 @@
 #[test]
 fn retryability_follows_from_kind_and_resumability() {
     let configuration = read(&with("/routes/0/resumable", json!(true)));
-    let may_run_again = |index: usize| configuration.routes[index].is_retryable();
+    let is_retryable_at = |index: usize| configuration.routes[index].is_retryable();
     assert_eq!(
-        [may_run_again(0), may_run_again(1), may_run_again(2)],
+        [is_retryable_at(0), is_retryable_at(1), is_retryable_at(2)],
         [true, true, false]
     );
     assert!(!read(&valid()).routes[0].is_retryable());
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn whole_numbers_may_be_written_as_fractions() {
+fn integers_may_be_in_floating_point_notation() {
     let configuration = read(&with("/services/0/max_connections", json!(64.0)));
     assert_eq!(configuration.services[0].max_connections, 64);
     let configuration = read(&with("/routes/0/timeout_ms", json!(0.5)));
@@ -121,12 +121,12 @@
 }
 
 #[test]
-fn a_weight_of_zero_is_allowed_beside_others() {
+fn a_weight_of_zero_is_allowed_beside_positive_weights() {
     read(&with("/routes/2/weighted_services/0/weight", json!(0)));
 }
 
 #[test]
-fn a_route_may_have_no_own_service_list_beside_its_service() {
+fn a_route_with_a_service_may_have_an_empty_or_null_weighted_list() {
     read(&with_key("/routes/0", "weighted_services", json!([])));
     read(&with_key("/routes/0", "weighted_services", Value::Null));
 }
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_document_keeps_the_bytes_as_sent() {
+fn a_document_retains_its_original_bytes() {
     let mut bytes = b"  ".to_vec();
     bytes.extend(text(&valid()));
     bytes.extend(b"\n");
