--- a/tier/chain/src/applied_state.rs
+++ b/tier/chain/src/applied_state.rs
@@ -1,4 +1,4 @@
-//! The state machine after the last applied operation, with the outcomes of the newest proposals.
+//! State machine after the last applied operation, with the outcomes of recent proposals.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,22 +9,22 @@
 use crate::state_machine::{BadSnapshot, StateMachine};
 use crate::storage::Snapshot;
 
-/// Outcomes remembered. A proposal is retried for some seconds at most; at the rates of a control
-/// plane (some tens of operations a second) this covers more than a minute.
+/// Number of retained outcomes. A proposal is retried for some seconds at most; at the rates of a
+/// control plane (some tens of operations a second) the retained outcomes cover more than a minute.
 const MAX_OUTCOMES: usize = 2_048;
 
-/// The state machine, and the outcomes that answer retries of a proposal.
+/// The state machine, and the outcomes with which retries of a proposal are answered.
 #[derive(Clone)]
 pub(crate) struct AppliedState<M> {
     machine: M,
     revision: Revision,
-    /// The keys of `outcomes`, oldest first.
+    /// Keys of `outcomes`, oldest first.
     requests: VecDeque<RequestNumber>,
     outcomes: HashMap<RequestNumber, Arc<[u8]>>,
 }
 
 impl<M: StateMachine> AppliedState<M> {
-    /// Starts from a snapshot.
+    /// Creates the state from a snapshot.
     pub(crate) fn new(machine: M, snapshot: &Snapshot) -> Result<Self, BadSnapshot> {
         let mut state = Self {
             machine,
@@ -36,7 +36,7 @@
         Ok(state)
     }
 
-    /// The last operation applied.
+    /// Revision of the last applied operation.
     pub(crate) fn revision(&self) -> Revision {
         self.revision
     }
@@ -46,24 +46,24 @@
         &self.machine
     }
 
-    /// The outcome of a proposal that was applied lately.
+    /// Outcome of a recently applied proposal.
     pub(crate) fn outcome(&self, request: RequestNumber) -> Option<&Arc<[u8]>> {
         self.outcomes.get(&request)
     }
 
-    /// Applies the next operation; a retry of an applied proposal changes nothing and gets the same
-    /// outcome.
+    /// Applies the next operation. A retry of an applied proposal has no effect and returns the
+    /// same outcome.
     pub(crate) fn apply(&mut self, entry: &Entry) -> Arc<[u8]> {
         self.revision.0 += 1;
         if let Some(outcome) = self.outcomes.get(&entry.request) {
             return Arc::clone(outcome);
         }
         let outcome: Arc<[u8]> = self.machine.apply(self.revision, &entry.operation).into();
-        self.remember(entry.request, Arc::clone(&outcome));
+        self.record_outcome(entry.request, Arc::clone(&outcome));
         outcome
     }
 
-    /// The state as it is now.
+    /// Takes a snapshot of the current state.
     pub(crate) fn snapshot(&self) -> Snapshot {
         let mut outcomes = Vec::with_capacity(self.requests.len());
         for request in &self.requests {
@@ -78,19 +78,19 @@
         }
     }
 
-    /// Replaces the state.
+    /// Replaces the state with a snapshot.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), BadSnapshot> {
         self.machine.restore(snapshot.revision, &snapshot.machine)?;
         self.revision = snapshot.revision;
         self.requests.clear();
         self.outcomes.clear();
         for (request, outcome) in &snapshot.outcomes {
-            self.remember(*request, Arc::clone(outcome));
+            self.record_outcome(*request, Arc::clone(outcome));
         }
         Ok(())
     }
 
-    fn remember(&mut self, request: RequestNumber, outcome: Arc<[u8]>) {
+    fn record_outcome(&mut self, request: RequestNumber, outcome: Arc<[u8]>) {
         self.outcomes.insert(request, outcome);
         self.requests.push_back(request);
         if self.requests.len() <= MAX_OUTCOMES {
--- a/tier/chain/src/effect.rs
+++ b/tier/chain/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a member wants done by the driver that owns it.
+//! Effects: the actions that a member requests from its driver.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,19 +10,20 @@
 use crate::storage::Write;
 use crate::view::ViewNumber;
 
-/// Milliseconds: a duration, or a time on a clock of the process that never goes back.
+/// Milliseconds: a duration, or a time on a monotonic clock of the process.
 pub type Millis = u64;
 
-/// Names a batch of writes; batches are numbered in the order in which they have to reach the disk.
+/// Identifies a batch of writes; batches are numbered in the order in which they must reach the
+/// disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// Something that the driver has to do, in the order given.
+/// An action for the driver, which performs all actions in the given order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a message, which may be lost.
     Send {
-        /// Where the receiver listens.
+        /// Address at which the receiver listens.
         to: SocketAddr,
         /// The message.
         message: Message,
@@ -30,31 +31,31 @@
     /// Write to the disk, after all earlier batches, and report the ticket to
     /// [`crate::ChainMember::on_persisted`] when the batch is synced.
     Persist {
-        /// Names the batch.
+        /// Identifies the batch.
         ticket: Ticket,
-        /// The changes.
+        /// The changes to write, in order.
         writes: Vec<Write>,
     },
     /// A proposal made at this member was committed.
     ProposalCommitted {
         /// The proposal.
         request: RequestNumber,
-        /// What the state machine answered.
+        /// The outcome returned by the state machine.
         outcome: Arc<[u8]>,
     },
     /// A proposal made at this member is abandoned; the operation may still be committed.
     ProposalFailed(RequestNumber),
-    /// A read asked for at this member can be answered from the present state.
+    /// A read requested at this member can be answered from the current state.
     ReadReady(u64),
-    /// A read asked for at this member is abandoned.
+    /// A read requested at this member is abandoned.
     ReadFailed(u64),
 }
 
-/// A position of the log in a view.
+/// A position in the log, with the view in which the log has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LogPosition {
     /// The view.
     pub(crate) view: ViewNumber,
-    /// The last operation.
+    /// Revision of the last operation.
     pub(crate) revision: Revision,
 }
--- a/tier/chain/src/entry.rs
+++ b/tier/chain/src/entry.rs
@@ -5,18 +5,18 @@
 use plankhill_protocol::ids::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// Name of a proposed operation, drawn at random by the member that proposes the operation; the
-/// same at each retry.
+/// Identifier of a proposed operation. The proposing member draws it at random and uses the same
+/// one for each retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestNumber(pub u128);
 
-/// One operation in the chain's order.
+/// An operation in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Name of the proposal.
+    /// Identifier of the proposal.
     pub request: RequestNumber,
-    /// The member that waits for the outcome.
+    /// The proposing member, which waits for the outcome.
     pub origin: NodeId,
-    /// What the state machine is to apply.
+    /// The encoded operation for the state machine.
     pub operation: Arc<[u8]>,
 }
--- a/tier/chain/src/log.rs
+++ b/tier/chain/src/log.rs
@@ -1,4 +1,4 @@
-//! The operations after the newest snapshot, in memory.
+//! In-memory log of the operations after the newest snapshot.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,17 +6,18 @@
 
 use crate::entry::{Entry, RequestNumber};
 
-/// Operations in order, from the one after the snapshot on.
+/// Operations in order, starting after the snapshot.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     snapshot_revision: Revision,
     entries: VecDeque<Entry>,
-    /// Bytes of all operations in `entries`.
+    /// Size in bytes of all operations in `entries`.
     size_bytes: usize,
 }
 
 impl Log {
-    /// The operations on a disk after a snapshot; operations behind a gap are dropped.
+    /// Creates the log from the operations on disk after a snapshot; operations after a gap are
+    /// dropped.
     pub(crate) fn new(snapshot_revision: Revision, stored: BTreeMap<Revision, Entry>) -> Self {
         let mut log = Self {
             snapshot_revision,
@@ -30,22 +31,22 @@
         log
     }
 
-    /// The last operation that the snapshot contains.
+    /// Revision of the last operation that the snapshot contains.
     pub(crate) fn snapshot_revision(&self) -> Revision {
         self.snapshot_revision
     }
 
-    /// The last operation.
+    /// Revision of the last operation.
     pub(crate) fn last(&self) -> Revision {
         Revision(self.snapshot_revision.0 + self.entries.len() as u64)
     }
 
-    /// The revision of the next operation.
+    /// Revision of the next operation.
     fn next(&self) -> Revision {
         Revision(self.last().0 + 1)
     }
 
-    /// Bytes of the operations after the snapshot.
+    /// Size in bytes of the operations after the snapshot.
     pub(crate) fn size_bytes(&self) -> usize {
         self.size_bytes
     }
@@ -63,7 +64,8 @@
         self.entries.get(usize::try_from(index).ok()?)
     }
 
-    /// Operations after one revision up to another, as many as `max_bytes` allows, one at least.
+    /// Operations after one revision up to and including another, limited to `max_bytes` but at
+    /// least one if there is any.
     pub(crate) fn range(&self, after: Revision, up_to: Revision, max_bytes: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut size = 0;
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Drops the operations that a snapshot contains; starts anew behind the snapshot where it lies
-    /// beyond the end.
+    /// Drops the operations that a snapshot contains. If the log ends before the snapshot, the log
+    /// becomes empty and continues after the snapshot.
     pub(crate) fn compact(&mut self, snapshot_revision: Revision) {
         while self.snapshot_revision < snapshot_revision {
             match self.entries.pop_front() {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Whether a proposal stands in the log after a revision.
+    /// Returns whether the log contains a proposal after the given revision.
     pub(crate) fn contains_after(&self, after: Revision, request: RequestNumber) -> bool {
         let skipped = after.0.saturating_sub(self.snapshot_revision.0);
         let skipped = usize::try_from(skipped).unwrap_or(usize::MAX);
--- a/tier/chain/src/message.rs
+++ b/tier/chain/src/message.rs
@@ -11,44 +11,47 @@
 use crate::storage::Snapshot;
 use crate::view::{Identity, Member, View, ViewNumber};
 
-/// Sent to every contact a few times a second.
+/// Status of a member, sent to every contact a few times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     pub member: Member,
-    /// Rises by one with each heartbeat of a process; starts at random.
+    /// Sequence number. Increases by one with each heartbeat of a process, from a random start.
     pub sequence: u64,
-    /// The newest heartbeat of each member that the sender has received lately.
+    /// The newest heartbeat of each member from which the sender has recently received one.
     pub echoes: Vec<Echo>,
     /// The newest view on the sender's disk.
     pub view: ViewNumber,
-    /// Whether the sender has promised a ballot for the next view.
+    /// Whether the sender takes no further operations in `view`: it has promised a ballot for the
+    /// next view, or a later view is not on its disk yet.
     pub sealed: bool,
-    /// The last operation on the sender's disk.
+    /// Revision of the last operation on the sender's disk.
     pub last_revision: Revision,
-    /// The last operation that the sender knows to be committed.
+    /// Revision of the last operation that is known to be committed.
     pub committed: Revision,
-    /// The chain should go on without the sender: the sender is about to end, its disk does not
-    /// answer, or a majority of the voters does not reach it.
+    /// Requests a chain without the sender: the sender is about to terminate, its disk does not
+    /// respond, or heartbeats of a majority of the voters do not reach it.
     pub leaving: bool,
-    /// The sender may found the first view.
+    /// Whether the sender is one of the founders, which may establish the first view.
     pub founder: bool,
-    /// From the chain's tail: how long ago, in ms, a majority of the voters was in this view for
-    /// certain.
+    /// Set by the tail of the chain: time in ms since a majority of the voters was confirmed to be
+    /// in this view.
     pub confirmed_age_ms: Option<u64>,
-    /// How long a sync of the sender's disk takes at present, in ms. Members of before this field
-    /// neither send it nor look behind the one before it.
+    /// Typical duration of a sync of the sender's disk, in ms; `None` before the first sync.
+    /// Members of versions without this field do not send it and decode a heartbeat only up to the
+    /// previous field.
     #[serde(deserialize_with = "none_where_missing")]
     pub sync_ms: Option<u64>,
 }
 
-/// The last field of a message, which members of an earlier version end before.
+/// Deserializes the last field of a message as `None` if the message ends before it, as messages
+/// from earlier versions do.
 fn none_where_missing<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
     Ok(Option::deserialize(deserializer).unwrap_or_default())
 }
 
 impl Heartbeat {
-    /// Whether the sender has lately received a heartbeat of this member.
+    /// Returns whether the sender has recently received a heartbeat of this member.
     pub(crate) fn echoes_identity(&self, identity: &Identity) -> bool {
         self.echo_of(identity).is_some()
     }
@@ -59,62 +62,63 @@
     }
 }
 
-/// The newest heartbeat that was received from one member.
+/// Acknowledges the newest heartbeat that was received from one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The member that had sent the heartbeat.
+    /// The member that sent the heartbeat.
     pub identity: Identity,
-    /// The heartbeat's number.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
 }
 
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender is alive.
+    /// Periodic status of the sender.
     Heartbeat(Heartbeat),
-    /// This view was agreed on.
+    /// The view that was agreed on.
     Decided(View),
     /// First phase of the agreement on a view.
     Prepare {
-        /// The view to agree on.
+        /// Number of the view to agree on.
         instance: ViewNumber,
-        /// The attempt.
+        /// Ballot of the attempt.
         ballot: Ballot,
     },
     /// Answer to `Prepare`, on disk at the sender.
     Promise {
-        /// The view to agree on.
+        /// Number of the view to agree on.
         instance: ViewNumber,
-        /// The attempt.
+        /// Ballot of the attempt.
         ballot: Ballot,
-        /// What the sender had accepted before.
+        /// The view that the sender accepted last before this promise, with its ballot.
         accepted: Option<(Ballot, View)>,
-        /// The last operation in the sender's log. The sender takes no more in its present view.
+        /// Revision of the last operation in the sender's log. The sender takes no further
+        /// operations in its current view.
         last_revision: Revision,
     },
-    /// Answer to `Prepare` or `Accept`: a later ballot has been promised.
+    /// Answer to `Prepare` or `Accept`: the sender has promised a higher ballot.
     Refuse {
-        /// The view to agree on.
+        /// Number of the view to agree on.
         instance: ViewNumber,
-        /// The ballot that was promised.
+        /// The promised ballot.
         promised: Ballot,
     },
     /// Second phase of the agreement on a view.
     Accept {
-        /// The attempt.
+        /// Ballot of the attempt.
         ballot: Ballot,
-        /// What is to be accepted.
+        /// The proposed view.
         view: View,
     },
     /// Answer to `Accept`, on disk at the sender.
     Accepted {
-        /// The view to agree on.
+        /// Number of the view to agree on.
         instance: ViewNumber,
-        /// The attempt.
+        /// Ballot of the attempt.
         ballot: Ballot,
     },
-    /// A proposal, to the head.
+    /// A proposal for the head to order.
     Forward {
         /// The sender's view.
         view: ViewNumber,
@@ -123,78 +127,78 @@
     },
     /// Operations, from one chain member to its successor.
     Append {
-        /// The view in which the operations are passed on.
+        /// The view in which the operations are replicated.
         view: ViewNumber,
-        /// The operation before the first of them.
+        /// Revision before the first of the operations.
         previous: Revision,
         /// The operations in order.
         entries: Vec<Entry>,
     },
-    /// Everything up to here is committed.
+    /// All operations up to this revision are committed.
     Committed {
-        /// The tail's view.
+        /// The view in which the operations were committed.
         view: ViewNumber,
-        /// The last committed operation.
+        /// Revision of the last committed operation.
         revision: Revision,
     },
-    /// To the member that proposed: the proposal was committed.
+    /// Reports to the proposing member that its proposal was committed.
     Outcome {
         /// The proposal.
         request: RequestNumber,
-        /// What the state machine answered.
+        /// The outcome returned by the state machine.
         outcome: Arc<[u8]>,
     },
-    /// A member outside the chain asks for operations.
+    /// Request of a member outside the chain for operations.
     Fetch {
         /// The sender's view.
         view: ViewNumber,
-        /// The last operation that the sender has.
+        /// Revision of the last operation in the sender's log.
         after: Revision,
     },
     /// Answer to `Fetch`.
     Fetched {
         /// The sender's view.
         view: ViewNumber,
-        /// The operation before the first of them.
+        /// Revision before the first of the operations.
         after: Revision,
         /// The operations in order.
         entries: Vec<Entry>,
-        /// What the sender knows to be committed.
+        /// Revision of the last operation that is known to be committed.
         committed: Revision,
     },
-    /// Answer to `Fetch` where the operations asked for have been replaced by a snapshot.
+    /// Answer to `Fetch` if a snapshot has replaced the requested operations.
     Install {
         /// The sender's view.
         view: ViewNumber,
-        /// The state instead.
+        /// The newest snapshot of the sender.
         snapshot: Snapshot,
     },
-    /// Asks the tail for the newest committed operation.
+    /// Asks the tail for the revision of the newest committed operation.
     Read {
         /// The sender's view.
         view: ViewNumber,
-        /// Chosen by the sender.
+        /// Identifies the read; assigned by the sender.
         read_id: u64,
     },
     /// Answer to `Read`, after a majority of the voters has confirmed the view.
     ReadAt {
-        /// From the question.
+        /// Identifier from the `Read` message.
         read_id: u64,
-        /// All that had been committed when the question came.
+        /// A revision that includes every operation committed before the tail received the read.
         revision: Revision,
     },
-    /// The tail asks the voters whether its view is still theirs.
+    /// Request of the tail to the voters to confirm that the tail's view is still current.
     Confirm {
-        /// The view.
+        /// The tail's view.
         view: ViewNumber,
-        /// Chosen by the tail.
+        /// Identifies the confirmation; assigned by the tail.
         confirmation_id: u64,
     },
-    /// Answer to `Confirm`: the sender is in that view and has promised no ballot for the next one.
+    /// Answer to `Confirm`: the sender is in this view and has promised no ballot for the next one.
     Confirmed {
-        /// The view.
+        /// The confirmed view.
         view: ViewNumber,
-        /// From the question.
+        /// Identifier from the `Confirm` message.
         confirmation_id: u64,
     },
 }
--- a/tier/chain/src/replicated_log.rs
+++ b/tier/chain/src/replicated_log.rs
@@ -1,9 +1,9 @@
-//! The operations that this member has: in its log, on its disk, in its newest snapshot and applied
-//! to its state.
+//! Operations of this member: in its log, on its disk, in its newest snapshot and applied to its
+//! state.
 //!
-//! The member appends and truncates by the rules of the chain (`member/replication.rs`,
-//! `member/view_change.rs`); this module keeps the four in step and knows nothing of views but the
-//! number that belongs to the position on disk.
+//! The member appends and truncates according to the protocol (`member/replication.rs`,
+//! `member/view_change.rs`); this module keeps the four consistent and does not depend on views
+//! except for the view number of the position on disk.
 
 use std::sync::Arc;
 
@@ -17,23 +17,23 @@
 use crate::storage::{Snapshot, Write};
 use crate::view::ViewNumber;
 
-/// Committed operations kept beside the snapshot.
+/// Number of committed operations after the snapshot at which a new snapshot is taken.
 const MAX_OPERATIONS_BEFORE_SNAPSHOT: u64 = 512;
-/// Bytes of the operations kept beside the snapshot.
+/// Size in bytes of the operations after the snapshot at which a new snapshot is taken.
 const MAX_BYTES_BEFORE_SNAPSHOT: usize = 4 * 1024 * 1024;
 
-/// The operations of one member.
+/// Log, snapshot and applied state of one member.
 #[derive(Clone)]
 pub(crate) struct ReplicatedLog<M> {
     log: Log,
     snapshot: Snapshot,
     applied: AppliedState<M>,
-    /// The view on disk, and the last operation on disk in that view.
+    /// View on disk, and revision of the last operation on disk in that view.
     persisted: LogPosition,
 }
 
 impl<M: StateMachine> ReplicatedLog<M> {
-    /// Starts from what is on disk.
+    /// Creates the log from the durable state.
     pub(crate) fn new(
         machine: M,
         snapshot: Snapshot,
@@ -55,32 +55,32 @@
         self.applied.machine()
     }
 
-    /// The operations beside the snapshot.
+    /// The operations after the snapshot.
     pub(crate) fn log(&self) -> &Log {
         &self.log
     }
 
-    /// The last operation in the log, which may not be on disk yet.
+    /// Revision of the last operation in the log, which may not be on disk yet.
     pub(crate) fn last(&self) -> Revision {
         self.log.last()
     }
 
-    /// The last operation that is known to be committed, and applied.
+    /// Revision of the last operation that is known to be committed; it is applied.
     pub(crate) fn committed(&self) -> Revision {
         self.applied.revision()
     }
 
-    /// The position on disk.
+    /// View and last revision on disk.
     pub(crate) fn persisted(&self) -> LogPosition {
         self.persisted
     }
 
-    /// A batch of writes has reached the disk.
+    /// Records the position that a batch of writes has made durable.
     pub(crate) fn set_persisted(&mut self, position: LogPosition) {
         self.persisted = position;
     }
 
-    /// The last operation that the newest snapshot contains; the log has nothing up to here.
+    /// Revision of the last operation that the newest snapshot contains; the log begins after it.
     pub(crate) fn snapshot_revision(&self) -> Revision {
         self.log.snapshot_revision()
     }
@@ -90,23 +90,23 @@
         &self.snapshot
     }
 
-    /// The outcome of a proposal that was applied lately.
+    /// Outcome of a recently applied proposal.
     pub(crate) fn outcome(&self, request: RequestNumber) -> Option<Arc<[u8]>> {
         self.applied.outcome(request).cloned()
     }
 
-    /// Operations in the log that are not known to be committed. `None` where the log ends before
-    /// the last committed operation: such a log has lost entries.
+    /// Number of operations in the log that are not known to be committed; `None` if the log ends
+    /// before the last committed operation, which means that it has lost entries.
     pub(crate) fn uncommitted(&self) -> Option<u64> {
         self.log.last().0.checked_sub(self.committed().0)
     }
 
-    /// Whether a proposal stands in the log and is not known to be committed.
+    /// Returns whether the log contains a proposal that is not known to be committed.
     pub(crate) fn contains_uncommitted(&self, request: RequestNumber) -> bool {
         self.log.contains_after(self.committed(), request)
     }
 
-    /// Appends operations; the writes that bring them to the disk.
+    /// Appends operations and returns the writes that persist them.
     pub(crate) fn append(&mut self, entries: Vec<Entry>) -> Vec<Write> {
         let mut writes = Vec::with_capacity(entries.len() + 1);
         for entry in entries {
@@ -117,7 +117,8 @@
         writes
     }
 
-    /// Operations on disk after a revision, as many as `max_bytes` allows, one at least.
+    /// Operations on disk after a revision, limited to `max_bytes` but at least one if there is
+    /// any.
     pub(crate) fn persisted_after(&self, after: Revision, max_bytes: usize) -> Vec<Entry> {
         self.log.range(after, self.persisted.revision, max_bytes)
     }
@@ -127,8 +128,8 @@
         self.log.truncate(last);
     }
 
-    /// Applies the next operation; the operation and its outcome, or `None` where the log does not
-    /// have it.
+    /// Applies the next operation and returns it with its outcome; `None` if the log does not
+    /// contain it.
     pub(crate) fn apply_next(&mut self) -> Option<(Entry, Arc<[u8]>)> {
         let next = Revision(self.committed().0 + 1);
         let entry = self.log.get(next)?.clone();
@@ -136,7 +137,7 @@
         Some((entry, outcome))
     }
 
-    /// Replaces state and log by a snapshot.
+    /// Replaces state and log with a snapshot.
     pub(crate) fn install(&mut self, snapshot: Snapshot) -> Result<(), BadSnapshot> {
         self.applied.restore(&snapshot)?;
         self.log = Log::new(snapshot.revision, Default::default());
@@ -144,8 +145,8 @@
         Ok(())
     }
 
-    /// Takes a snapshot of the applied operations where the log has become long or large; returns
-    /// the writes that replace the operations on disk.
+    /// Takes a snapshot of the applied operations if the log has reached its limit in number or
+    /// size, and returns the writes that replace the operations on disk.
     pub(crate) fn compact_if_due(&mut self) -> Option<Vec<Write>> {
         let committed = self.committed();
         let operations = committed.0 - self.log.snapshot_revision().0;
--- a/tier/chain/src/rng.rs
+++ b/tier/chain/src/rng.rs
@@ -1,4 +1,5 @@
-//! The member's random numbers: a seed comes in, so that a simulated world can be repeated.
+//! Deterministic random numbers of a member: the caller provides the seed, so that a simulation can
+//! be repeated.
 
 /// Xorshift generator (Marsaglia, "Xorshift RNGs", 2003).
 #[derive(Clone, Debug)]
@@ -7,12 +8,12 @@
 }
 
 impl Rng {
-    /// The seed may not be 0, from which the generator would never leave.
+    /// Creates a generator. The seed must not be 0: from state 0 the generator returns only zeros.
     pub(crate) fn new(seed: u64) -> Self {
         Self { state: seed }
     }
 
-    /// A random number below `bound`.
+    /// Returns a random number below `bound`; 0 if `bound` is 0.
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
--- a/tier/chain/src/storage.rs
+++ b/tier/chain/src/storage.rs
@@ -1,4 +1,4 @@
-//! What a member keeps on disk, and the contract of the storage that keeps it.
+//! Durable state of a member, and the interface of the storage that holds it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,52 +14,52 @@
 /// The state after a committed operation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last operation that the snapshot contains; 0 before the first.
+    /// Revision of the last operation that the snapshot contains; 0 before the first operation.
     pub revision: Revision,
-    /// The state machine's own encoding; empty before the first operation.
+    /// The state in the state machine's own encoding; empty before the first operation.
     pub machine: Arc<[u8]>,
     /// Outcomes of the newest proposals, oldest first.
     pub outcomes: Vec<(RequestNumber, Arc<[u8]>)>,
 }
 
-/// One change of what is on disk.
+/// A change to the durable state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Write {
-    /// An empty disk gets its incarnation.
+    /// Assigns an incarnation to an empty disk.
     Incarnation(Incarnation),
-    /// This member may found the first view, together with those at these addresses.
+    /// Addresses of the founders, which may establish the first view. This member is one of them.
     Founders(Vec<SocketAddr>),
-    /// Promises and acceptances.
+    /// The acceptor with a new promise or acceptance.
     Acceptor(Acceptor),
     /// A view that was agreed on.
     View(View),
-    /// An operation is added to the log.
+    /// Appends an operation to the log.
     Append {
-        /// The operation's position in the order.
+        /// Revision of the operation.
         revision: Revision,
         /// The operation.
         entry: Entry,
     },
-    /// All operations after this one are void.
+    /// Removes all operations after this revision, which are void.
     Truncate(Revision),
-    /// Operations up to here are known to be committed.
+    /// All operations up to this revision are known to be committed.
     Committed(Revision),
-    /// A newer snapshot; operations that the snapshot contains need not be kept.
+    /// A newer snapshot; operations that it contains may be removed.
     Snapshot(Snapshot),
 }
 
-/// Everything that a member finds on its disk.
+/// The durable state that a member loads at its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableState {
-    /// Missing on an empty disk.
+    /// Incarnation of the disk; `None` for an empty disk.
     pub incarnation: Option<Incarnation>,
-    /// Present where this member may found the first view.
+    /// Addresses of the founders, if this member is one of them.
     pub founders: Option<Vec<SocketAddr>>,
-    /// Promises and acceptances.
+    /// The acceptor with its promise and accepted view.
     pub acceptor: Acceptor,
-    /// The newest view known; number 0 for none.
+    /// The newest known view; number 0 before the first view.
     pub view: View,
-    /// Operations up to here are known to be committed.
+    /// All operations up to this revision are known to be committed.
     pub committed: Revision,
     /// The newest snapshot.
     pub snapshot: Snapshot,
@@ -68,7 +68,7 @@
 }
 
 impl DurableState {
-    /// Applies one change. The reference that each [`Storage`] has to match.
+    /// Applies one change. Each [`Storage`] implementation must have the same result.
     pub fn apply(&mut self, write: &Write) {
         match write {
             Write::Incarnation(incarnation) => self.incarnation = Some(*incarnation),
@@ -90,33 +90,33 @@
     }
 }
 
-/// Keeps what a member has to remember over a loss of power.
+/// Storage for the state of a member that must survive a power failure.
 pub trait Storage {
-    /// Why the storage could not do what was asked.
+    /// Error of a storage operation.
     type Error: std::error::Error;
 
-    /// Everything that was written.
+    /// Loads the state from all completed writes.
     ///
     /// # Errors
-    /// The implementation's, also when what is found cannot be read.
+    /// Errors of the implementation, including stored data that cannot be read.
     fn load(&mut self) -> Result<DurableState, Self::Error>;
 
-    /// Writes the changes in order, all or none of them; returns when they survive a loss of power.
+    /// Writes the changes in order and atomically; returns when they survive a power failure.
     ///
     /// # Errors
-    /// The implementation's. The storage may not be used any further then, until
+    /// Errors of the implementation. After an error the storage must not be used until
     /// [`Storage::recover`] has succeeded.
     fn write(&mut self, changes: &[Write]) -> Result<(), Self::Error>;
 
-    /// After a failed write: makes the storage fit for use again, with everything that was written
-    /// before. Of the changes whose write has failed all may be there, or none.
+    /// Makes the storage usable again after a failed write, with all changes written before it. The
+    /// changes of the failed write are either all present or all absent.
     ///
     /// # Errors
-    /// The implementation's, while the disk takes no writes or what lies there cannot be read any
-    /// more.
+    /// Errors of the implementation, while the disk rejects writes or the stored data cannot be
+    /// read.
     fn recover(&mut self) -> Result<(), Self::Error>;
 
-    /// Whether the cause of an error may pass, as a full disk does, so that another attempt makes
-    /// sense.
+    /// Returns whether the cause of an error is temporary, such as a full disk, so that a retry may
+    /// succeed.
     fn is_transient(error: &Self::Error) -> bool;
 }
--- a/tier/chain/src/sync_times.rs
+++ b/tier/chain/src/sync_times.rs
@@ -1,35 +1,36 @@
-//! How long the syncs of this member's disk take.
+//! Durations of the syncs of this member's disk.
 
 use std::collections::VecDeque;
 
 use crate::effect::Millis;
 
-/// Syncs that are remembered. Their median is told, so that one long sync, as of a snapshot, does
-/// not count, and three of one kind in a row do.
-const MAX_REMEMBERED_SYNCS: usize = 5;
+/// Number of retained sync durations. Members report the median, so that one long sync, such as
+/// that of a snapshot, has no effect and three similar ones in a row do.
+const MAX_SAMPLES: usize = 5;
 
-/// The times of the last syncs.
+/// Durations of the most recent syncs, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SyncTimes {
-    newest_last: VecDeque<Millis>,
+    samples: VecDeque<Millis>,
 }
 
 impl SyncTimes {
-    /// A sync has ended.
+    /// Records the duration of a completed sync.
     pub(crate) fn record(&mut self, sync_time: Millis) {
-        if self.newest_last.len() == MAX_REMEMBERED_SYNCS {
-            self.newest_last.pop_front();
+        if self.samples.len() == MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        self.newest_last.push_back(sync_time);
+        self.samples.push_back(sync_time);
     }
 
-    /// The median of the last syncs; `None` before the first. Of an even number, the lower one.
+    /// Median of the retained durations, the lower one of two middle values; `None` before the
+    /// first sync.
     pub(crate) fn median(&self) -> Option<Millis> {
-        lower_median(self.newest_last.iter().copied().collect())
+        lower_median(self.samples.iter().copied().collect())
     }
 }
 
-/// The value in the middle, the lower one of two.
+/// Median of the times, the lower one of two middle values.
 pub(crate) fn lower_median(mut times: Vec<Millis>) -> Option<Millis> {
     times.sort_unstable();
     let middle = times.len().checked_sub(1)? / 2;
--- a/tier/chain/src/view.rs
+++ b/tier/chain/src/view.rs
@@ -5,14 +5,14 @@
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Number of a view; 0 before the first.
+/// Number of a view; 0 before the first view.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ViewNumber(pub u64);
 
 impl ViewNumber {
-    /// Whether there is a view at all.
+    /// Returns whether this is the number of a view, and not 0.
     pub fn is_founded(self) -> bool {
         self.0 > 0
     }
@@ -23,7 +23,7 @@
     }
 }
 
-/// One incarnation of a machine's disk. A machine whose disk was lost comes back as another
+/// One incarnation of a machine's disk. A machine that has lost its disk returns with a new
 /// identity.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
@@ -33,26 +33,27 @@
     pub incarnation: Incarnation,
 }
 
-/// A core machine that takes part.
+/// A core machine that takes part in the chain or its agreements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Which machine, with which disk.
+    /// The machine and its disk incarnation.
     pub identity: Identity,
-    /// Where its controller listens for other processes of the tier.
+    /// Address at which its controller listens for other processes of the tier.
     pub address: SocketAddr,
 }
 
-/// What a majority of the former view's voters agreed on.
+/// A numbered configuration of the chain, decided by a majority of the voters of the previous view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// The view's number.
     pub number: ViewNumber,
-    /// Who votes on the next view. Sorted by machine.
+    /// The members that vote on the next view, sorted by machine.
     pub voters: Vec<Member>,
-    /// Who is in service, head first; all of them voters.
+    /// The members in service, head first; all of them are voters.
     pub chain: Vec<NodeId>,
-    /// Every member of the chain has exactly the operations up to here when the view begins. All of
-    /// them are committed, and everything committed in former views is among them.
+    /// Revision at which the view begins: every member of the chain has exactly the operations up
+    /// to this revision. All of them are committed, and they include every operation committed in
+    /// earlier views.
     pub base: Revision,
 }
 
@@ -62,7 +63,7 @@
         self.voters.iter().find(|voter| voter.identity == *identity)
     }
 
-    /// The voter on this machine, whichever its incarnation.
+    /// The voter on this machine, regardless of its incarnation.
     pub fn voter_on(&self, node: &NodeId) -> Option<&Member> {
         self.voters
             .iter()
@@ -75,7 +76,7 @@
         self.chain.iter().position(|node| *node == identity.node)
     }
 
-    /// Whether this identity is in service.
+    /// Returns whether this identity is a member of the chain.
     pub fn is_in_chain(&self, identity: &Identity) -> bool {
         self.position_of(identity).is_some()
     }
@@ -85,12 +86,12 @@
         self.voter_on(self.chain.get(position)?)
     }
 
-    /// The first of the chain, which orders the operations.
+    /// The first member of the chain, which orders the operations.
     pub fn head(&self) -> Option<&Member> {
         self.member_at(0)
     }
 
-    /// The last of the chain, which commits and answers reads.
+    /// The last member of the chain, which commits operations and confirms reads.
     pub fn tail(&self) -> Option<&Member> {
         self.member_at(self.chain.len().checked_sub(1)?)
     }
@@ -110,17 +111,17 @@
         self.chain.iter().filter_map(|node| self.voter_on(node))
     }
 
-    /// How many voters make a majority.
+    /// Number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the voters for which `counts` is true make a majority.
-    pub(crate) fn is_majority(&self, counts: impl Fn(&Identity) -> bool) -> bool {
+    /// Returns whether the voters that match the predicate form a majority.
+    pub(crate) fn is_majority(&self, predicate: impl Fn(&Identity) -> bool) -> bool {
         let counted = self
             .voters
             .iter()
-            .filter(|voter| counts(&voter.identity))
+            .filter(|voter| predicate(&voter.identity))
             .count();
         counted >= self.majority()
     }
--- a/tier/chain/src/vote.rs
+++ b/tier/chain/src/vote.rs
@@ -1,4 +1,4 @@
-//! Answers of a voter, as its own or another member's attempt counts them.
+//! Answers of a voter, in the form in which the proposer counts them.
 
 use plankhill_protocol::ids::Revision;
 
@@ -6,7 +6,7 @@
 use crate::message::Message;
 use crate::view::{View, ViewNumber};
 
-/// An answer to `Prepare` or `Accept`; see the messages of the same names.
+/// An answer to `Prepare` or `Accept`; see the variants of [`Message`] with the same names.
 #[derive(Clone, Debug)]
 pub(crate) enum Vote {
     /// Answer to `Prepare`.
@@ -16,7 +16,7 @@
         accepted: Option<(Ballot, View)>,
         last_revision: Revision,
     },
-    /// A later ballot has been promised.
+    /// Answer to `Prepare` or `Accept`: the voter has promised a higher ballot.
     Refuse {
         instance: ViewNumber,
         promised: Ballot,
