--- a/tier/chain/src/acceptor.rs
+++ b/tier/chain/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! A voter's state in the agreement on the next view (single-decree Paxos, one decision for each
-//! view number).
+//! Paxos acceptor: the state of a voter in the agreement on the next view (single-decree Paxos, one
+//! decision for each view number).
 //!
 //! The member owns its acceptor and writes it to disk before it answers; see `member/voting.rs`.
 
@@ -8,29 +8,29 @@
 
 use crate::view::{View, ViewNumber};
 
-/// Orders the attempts to agree on one view.
+/// Ballot number, which orders the attempts to agree on one view.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Raised for each attempt.
+    /// Increases with each attempt.
     pub round: u64,
-    /// The member that attempts; two members never use the same ballot.
+    /// The member that makes the attempt; two members never use the same ballot.
     pub proposer: NodeId,
 }
 
-/// A voter's part in the agreement on the view that follows its present one.
+/// State of a voter in the agreement on the view that follows its current one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acceptor {
-    /// The view that is to be agreed on.
+    /// Number of the view to agree on.
     pub instance: ViewNumber,
-    /// The voter accepts nothing below this ballot any more. Once the ballot is set, the member is
-    /// sealed: the member takes no operations in its present view.
+    /// The highest promised ballot; the voter accepts no lower one. A member that has promised a
+    /// ballot is sealed: it takes no further operations in its current view.
     pub promised: Option<Ballot>,
-    /// What the voter accepted last.
+    /// The view accepted last, with its ballot.
     pub accepted: Option<(Ballot, View)>,
 }
 
 impl Acceptor {
-    /// An acceptor that has promised nothing yet.
+    /// Creates an acceptor that has made no promise.
     pub fn fresh(instance: ViewNumber) -> Self {
         Self {
             instance,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Whether a ballot has been promised, so that the member takes no more operations in its
-    /// present view.
+    /// Returns whether a ballot has been promised, so that the member takes no further operations
+    /// in its current view.
     pub(crate) fn is_sealed(&self) -> bool {
         self.promised.is_some()
     }
@@ -53,17 +53,18 @@
         }
     }
 
-    /// The promised ballot, if it is later than the one given.
-    pub(crate) fn later_promise(&self, ballot: &Ballot) -> Option<&Ballot> {
+    /// The promised ballot, if it is higher than the given one.
+    pub(crate) fn higher_promise(&self, ballot: &Ballot) -> Option<&Ballot> {
         self.promised.as_ref().filter(|promised| *promised > ballot)
     }
 
-    /// Whether this very ballot is the one promised last.
+    /// Returns whether the last promise was for exactly this ballot.
     pub(crate) fn has_promised(&self, ballot: &Ballot) -> bool {
         self.promised.as_ref() == Some(ballot)
     }
 
-    /// Whether something was accepted with this very ballot, which stands for one view only.
+    /// Returns whether the last accepted view was proposed with exactly this ballot. Only one view
+    /// is ever proposed with a ballot.
     pub(crate) fn has_accepted(&self, ballot: &Ballot) -> bool {
         match &self.accepted {
             Some((accepted, _)) => accepted == ballot,
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Promises the ballot. The caller has checked that no later one was promised.
+    /// Promises the ballot. The caller has checked that no higher one was promised.
     pub(crate) fn promise(&mut self, ballot: Ballot) {
         self.promised = Some(ballot);
     }
 
-    /// Accepts the view. The caller has checked that no later ballot was promised.
+    /// Accepts the view. The caller has checked that no higher ballot was promised.
     pub(crate) fn accept(&mut self, ballot: Ballot, view: View) {
         self.promised = Some(ballot.clone());
         self.accepted = Some((ballot, view));
--- a/tier/chain/src/age.rs
+++ b/tier/chain/src/age.rs
@@ -1,28 +1,28 @@
-//! Times as ages.
+//! Conversion of times to ages.
 //!
-//! Nothing that a member does depends on when something happened, but only on how long ago, and
-//! beyond the longest of its timeouts not even on that. The parts of a member hand out copies of
-//! themselves in which each time is an age, so that an exploration of all states recognises one that
-//! it has met before (`ChainMember::timeless_state`).
+//! The behaviour of a member depends on how long ago events happened, not on absolute times, and
+//! ages beyond the longest timeout are equivalent. The parts of a member return copies of
+//! themselves in which an age replaces each time, so that an exploration of all states recognises a
+//! state that it has visited before (`ChainMember::canonical_state`).
 
 use crate::effect::Millis;
 use crate::timing::VOTER_REMOVAL_TIMEOUT;
 
-/// Ages from here on make no difference: no timeout that members compare them with is longer. (A
-/// peer is forgotten later; then it has long counted as gone.)
+/// Upper bound of all ages: members compare ages with no longer timeout. (The failure detector
+/// removes peers later than this, but such a peer has timed out long before.)
 const MAX_AGE: Millis = VOTER_REMOVAL_TIMEOUT;
 
-/// How long ago something happened.
+/// Time since `at`, at most [`MAX_AGE`].
 pub(crate) fn age(at: Millis, now: Millis) -> Millis {
     now.saturating_sub(at).min(MAX_AGE)
 }
 
-/// How long ago something happened, if ever.
+/// Time since `at`, at most [`MAX_AGE`]; `None` if there is no such time.
 pub(crate) fn age_of(at: Option<Millis>, now: Millis) -> Option<Millis> {
     at.map(|at| age(at, now))
 }
 
-/// How long from now until something happens; 0 where it has.
+/// Time from `now` until `at`; 0 if `at` has passed.
 pub(crate) fn remaining(at: Millis, now: Millis) -> Millis {
     at.saturating_sub(now)
 }
--- a/tier/chain/src/failure_detector.rs
+++ b/tier/chain/src/failure_detector.rs
@@ -1,8 +1,9 @@
-//! Which members this one receives heartbeats of, and which receive this member's.
+//! Failure detector: tracks from which peers this member receives heartbeats, and which peers
+//! receive its own.
 //!
-//! Time-outs count only while this process ran: after a freeze no peer times out at once.
-//! Echoes carry the sequence numbers of received heartbeats back, so that all times are of this
-//! member's own clock.
+//! Timeouts count only while this process runs, so that no peer times out immediately after a
+//! freeze. Echoes return the sequence numbers of received heartbeats, so that all times are
+//! measured on this member's own clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,50 +17,50 @@
 };
 use crate::view::{Identity, Member};
 
-/// Own heartbeats whose sending times are remembered; covers several seconds.
+/// Number of own heartbeats whose send times are retained; covers several seconds.
 const MAX_SENT_HEARTBEATS: usize = 64;
-/// Peers known at once; the core of a deployment is a handful of machines.
+/// Maximum number of tracked peers; the core of a deployment is a handful of machines.
 const MAX_PEERS: usize = 64;
-/// A peer of which nothing was received for so long is forgotten.
+/// A peer is removed when no heartbeat has been received from it for this long.
 const PEER_TTL: Millis = 4 * VOTER_REMOVAL_TIMEOUT;
 
-/// What is known of one machine.
+/// State of one peer machine.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     heartbeat: Heartbeat,
     received_at: Millis,
-    /// Heartbeats have come without a break since then.
+    /// Time since which heartbeats have arrived without a gap of [`PEER_TIMEOUT`].
     stable_since: Millis,
-    /// When the newest own heartbeat that the peer has echoed was sent.
+    /// Send time of the newest own heartbeat that the peer has echoed.
     echoed_sent_at: Option<Millis>,
-    /// The same for the newest one that the peer has echoed while it was in this member's view and
-    /// not sealed.
+    /// Send time of the newest own heartbeat that the peer has echoed while it was in this member's
+    /// view and not sealed.
     confirmed_sent_at: Option<Millis>,
 }
 
 impl Peer {
-    /// The newest heartbeat.
+    /// The newest heartbeat received from the peer.
     pub(crate) fn heartbeat(&self) -> &Heartbeat {
         &self.heartbeat
     }
 
-    /// The machine with its disk and address.
+    /// Identity and address of the peer.
     pub(crate) fn member(&self) -> &Member {
         &self.heartbeat.member
     }
 
-    /// The machine with its disk.
+    /// Machine and disk incarnation of the peer.
     pub(crate) fn identity(&self) -> &Identity {
         &self.heartbeat.member.identity
     }
 
-    /// For how long heartbeats have come without a break.
+    /// Duration for which heartbeats have arrived without a gap of [`PEER_TIMEOUT`].
     pub(crate) fn stable_for(&self, now: Millis) -> Millis {
         now.saturating_sub(self.stable_since)
     }
 
-    /// A time, of this member's clock, at which the peer was in this member's view, and not sealed,
-    /// for certain.
+    /// A time on this member's clock at which the peer was certainly in this member's view and not
+    /// sealed.
     pub(crate) fn confirmed_at(&self) -> Option<Millis> {
         self.confirmed_sent_at
     }
@@ -81,7 +82,7 @@
     }
 }
 
-/// What a heartbeat confirms of the receiver's view.
+/// Whether a heartbeat confirms the receiver's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ViewConfirmation {
     /// The sender is in the receiver's view and not sealed.
@@ -90,14 +91,15 @@
     NotConfirmed,
 }
 
-/// All machines of which heartbeats were received lately.
+/// State of all peers from which heartbeats were received recently.
 #[derive(Clone, Debug)]
 pub(crate) struct FailureDetector {
     peers: BTreeMap<NodeId, Peer>,
-    /// Sequence numbers and sending times of own heartbeats, oldest first.
+    /// Sequence numbers and send times of own heartbeats, oldest first.
     sent: VecDeque<SentHeartbeat>,
-    /// Silence is counted from here at the earliest: the start, or the end of a freeze.
-    awake_since: Millis,
+    /// Earliest time from which timeouts are measured: the start of the process, or the end of its
+    /// last freeze.
+    running_since: Millis,
     last_tick_at: Millis,
 }
 
@@ -108,31 +110,32 @@
 }
 
 impl FailureDetector {
-    /// A failure detector without peers.
+    /// Creates a failure detector without peers.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             peers: BTreeMap::new(),
             sent: VecDeque::new(),
-            awake_since: now,
+            running_since: now,
             last_tick_at: now,
         }
     }
 
-    /// Time passes. Forgets peers of which nothing was received for long.
+    /// Detects a freeze of this process, and removes peers after [`PEER_TTL`] ms without a
+    /// heartbeat.
     pub(crate) fn tick(&mut self, now: Millis) {
         if now.saturating_sub(self.last_tick_at) >= FREEZE_THRESHOLD {
-            self.awake_since = now;
+            self.running_since = now;
         }
         self.last_tick_at = now;
         self.peers.retain(|_, peer| peer.age(now) < PEER_TTL);
     }
 
-    /// How long this process has run since then without a freeze.
-    pub(crate) fn awake_for(&self, since: Millis, now: Millis) -> Millis {
-        now.saturating_sub(since.max(self.awake_since))
+    /// Duration for which this process has run without a freeze since the given time.
+    pub(crate) fn running_for(&self, since: Millis, now: Millis) -> Millis {
+        now.saturating_sub(since.max(self.running_since))
     }
 
-    /// An own heartbeat is sent.
+    /// Records the send time of an own heartbeat.
     pub(crate) fn record_sent(&mut self, sequence: u64, now: Millis) {
         self.sent.push_back(SentHeartbeat {
             sequence,
@@ -143,9 +146,14 @@
         }
     }
 
-    /// When the newest own heartbeat that this one echoes was sent.
-    pub(crate) fn echoed_sent_at(&self, heartbeat: &Heartbeat, me: &Identity) -> Option<Millis> {
-        let sequence = heartbeat.echo_of(me)?.sequence;
+    /// Send time of the own heartbeat that a received heartbeat echoes, if that send time is
+    /// retained.
+    pub(crate) fn echoed_sent_at(
+        &self,
+        heartbeat: &Heartbeat,
+        local_identity: &Identity,
+    ) -> Option<Millis> {
+        let sequence = heartbeat.echo_of(local_identity)?.sequence;
         let echoed = self
             .sent
             .iter()
@@ -154,16 +162,16 @@
         Some(echoed.sent_at)
     }
 
-    /// A heartbeat was received.
+    /// Records a received heartbeat.
     pub(crate) fn record_received(
         &mut self,
         heartbeat: Heartbeat,
-        me: &Identity,
+        local_identity: &Identity,
         confirmation: ViewConfirmation,
         now: Millis,
     ) {
         let node = heartbeat.member.identity.node.clone();
-        let echoed = self.echoed_sent_at(&heartbeat, me);
+        let echoed = self.echoed_sent_at(&heartbeat, local_identity);
         let confirmed = match confirmation {
             ViewConfirmation::Confirmed => echoed,
             ViewConfirmation::NotConfirmed => None,
@@ -189,51 +197,52 @@
         }
     }
 
-    /// The view changed: what was confirmed concerns the former one.
-    pub(crate) fn forget_confirmations(&mut self) {
+    /// Discards the confirmations of the previous view.
+    pub(crate) fn clear_confirmations(&mut self) {
         for peer in self.peers.values_mut() {
             peer.confirmed_sent_at = None;
         }
     }
 
-    /// What is known of this machine with this disk, whether or not its heartbeats still come.
+    /// The peer with this identity, whether or not its heartbeats still arrive.
     pub(crate) fn peer(&self, identity: &Identity) -> Option<&Peer> {
         let peer = self.peers.get(&identity.node)?;
         (peer.identity() == identity).then_some(peer)
     }
 
-    /// What is known of this machine, whichever its disk.
+    /// The peer on this machine, regardless of its incarnation.
     pub(crate) fn peer_on(&self, node: &NodeId) -> Option<&Peer> {
         self.peers.get(node)
     }
 
-    /// All peers known.
+    /// All tracked peers.
     pub(crate) fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// Whether no heartbeat has come for too long, or the machine is back with another disk.
+    /// Returns whether no heartbeat has been received for [`PEER_TIMEOUT`] ms, or the machine has
+    /// returned with another disk.
     pub(crate) fn has_timed_out(&self, identity: &Identity, now: Millis) -> bool {
         self.time_since_heartbeat(identity, now) >= PEER_TIMEOUT
     }
 
-    /// For how long no heartbeat has come; for ever where the machine is back with another disk.
+    /// Time without a heartbeat; the maximum if the machine has returned with another disk.
     pub(crate) fn time_since_heartbeat(&self, identity: &Identity, now: Millis) -> Millis {
         match self.peers.get(&identity.node) {
             Some(peer) if peer.identity() != identity => Millis::MAX,
-            Some(peer) => self.awake_for(peer.received_at, now),
-            None => now.saturating_sub(self.awake_since),
+            Some(peer) => self.running_for(peer.received_at, now),
+            None => now.saturating_sub(self.running_since),
         }
     }
 
-    /// Whether a heartbeat has come within [`PEER_TIMEOUT`] ms. Unlike
-    /// [`FailureDetector::has_timed_out`], no peer is given time after a start or a freeze.
+    /// Returns whether a heartbeat was received within the last [`PEER_TIMEOUT`] ms. Unlike
+    /// [`FailureDetector::has_timed_out`], there is no grace period after a start or a freeze.
     pub(crate) fn is_alive(&self, identity: &Identity, now: Millis) -> bool {
         self.peer(identity)
             .is_some_and(|peer| peer.age(now) < PEER_TIMEOUT)
     }
 
-    /// Whether heartbeats have lately gone both ways.
+    /// Returns whether heartbeats have recently been received in both directions.
     pub(crate) fn is_reachable(&self, identity: &Identity, now: Millis) -> bool {
         let Some(echoed_sent_at) = self.peer(identity).and_then(|peer| peer.echoed_sent_at) else {
             return false;
@@ -241,13 +250,14 @@
         self.is_alive(identity, now) && now.saturating_sub(echoed_sent_at) < ECHO_TTL
     }
 
-    /// The peers with ages for times. Sequence numbers only name heartbeats, and are left out.
+    /// Copies of the peers with times replaced by ages. Sequence numbers, which only identify
+    /// heartbeats, are set to 0.
     pub(crate) fn with_ages(&self, now: Millis) -> Vec<Peer> {
         let peers = self.peers.values().cloned();
         peers.map(|peer| peer.with_ages(now)).collect()
     }
 
-    /// What own heartbeats echo.
+    /// Echoes for the next own heartbeat.
     pub(crate) fn echoes(&self, now: Millis) -> Vec<Echo> {
         let is_recent = |peer: &&Peer| peer.age(now) < PEER_TIMEOUT + HEARTBEAT_INTERVAL;
         let echo = |peer: &Peer| Echo {
--- a/tier/chain/src/member/bootstrap.rs
+++ b/tier/chain/src/member/bootstrap.rs
@@ -1,4 +1,5 @@
-//! The first view. Only machines whose disk names them as founders vote on it and propose it.
+//! Agreement on the first view. Only machines whose disk names them as founders vote on it and
+//! propose it.
 
 use plankhill_protocol::ids::Revision;
 
@@ -12,18 +13,19 @@
 use super::ChainMember;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// This member's rank among the founders that send heartbeats, if the first view is due: when
-    /// all founders do, or a majority after [`BOOTSTRAP_TIMEOUT`].
-    pub(super) fn founding_rank(&self) -> Option<usize> {
-        let me = self.local.address();
+    /// Rank of this member among the founders that send heartbeats, if the first view may be
+    /// proposed: when all founders send heartbeats, or a majority of them after
+    /// [`BOOTSTRAP_TIMEOUT`]. `None` otherwise.
+    pub(super) fn founder_rank(&self) -> Option<usize> {
+        let own_address = self.local.address();
         let founders = self.local.founders()?;
-        if !founders.contains(&me) {
+        if !founders.contains(&own_address) {
             return None;
         }
         let mut alive = Vec::with_capacity(founders.len());
         for address in founders {
             let is_alive = |peer: &Member| peer.address == *address;
-            if *address == me || self.known_founders().any(is_alive) {
+            if *address == own_address || self.known_founders().any(is_alive) {
                 alive.push(*address);
             }
         }
@@ -31,7 +33,7 @@
         if alive.len() < self.quorum() || (alive.len() < founders.len() && waits_for_all) {
             return None;
         }
-        alive.iter().position(|address| *address == me)
+        alive.iter().position(|address| *address == own_address)
     }
 
     fn known_founders(&self) -> impl Iterator<Item = &Member> {
@@ -42,8 +44,8 @@
         founders.map(|peer| peer.member())
     }
 
-    /// Every founder known, this member last where it is one.
-    pub(super) fn founding_electors(&self) -> Vec<Member> {
+    /// All known founders; this member is the last one if it is a founder.
+    pub(super) fn founder_electors(&self) -> Vec<Member> {
         let mut electors = Vec::new();
         for peer in self.failure_detector.peers() {
             if self.is_founder(peer.identity()) {
@@ -56,8 +58,8 @@
         electors
     }
 
-    /// Whether a machine votes on the first view: its address is among this member's founders, and
-    /// its own disk names it as a founder.
+    /// Returns whether a machine votes on the first view: its address is among this member's
+    /// founders, and its own disk names it as a founder.
     pub(super) fn is_founder(&self, identity: &Identity) -> bool {
         let Some(founders) = self.local.founders() else {
             return false;
@@ -71,8 +73,9 @@
         }
     }
 
-    /// The first view: all founders that have promised, in the order of the settings.
-    pub(super) fn plan_founding(&self, promises: &Promises, waited: Millis) -> Option<View> {
+    /// Plans the first view: all founders that have promised, in the order of the settings. `None`
+    /// while it is better to wait for further promises.
+    pub(super) fn plan_first_view(&self, promises: &Promises, waited: Millis) -> Option<View> {
         let electors = self.electors();
         let has_promised = |member: &Member| promises.contains_key(&member.identity.node);
         let promise_timeout = self.with_syncs(PROMISE_TIMEOUT, SYNCS_PER_ANSWER);
@@ -81,8 +84,9 @@
         }
         let mut voters = Vec::new();
         for address in self.local.founders()? {
-            let is_there = |member: &&Member| has_promised(member) && member.address == *address;
-            voters.extend(electors.iter().find(is_there).cloned());
+            let is_promised_founder =
+                |member: &&Member| has_promised(member) && member.address == *address;
+            voters.extend(electors.iter().find(is_promised_founder).cloned());
         }
         let chain = voters
             .iter()
--- a/tier/chain/src/member/catch_up.rs
+++ b/tier/chain/src/member/catch_up.rs
@@ -1,5 +1,5 @@
-//! A member outside the chain gets the operations that it lacks from members of the chain, until it
-//! can be taken in.
+//! Catch-up: a member outside the chain fetches the operations that it lacks from members of the
+//! chain, until it can join.
 
 use plankhill_protocol::ids::Revision;
 
@@ -16,19 +16,19 @@
 use super::replication::MAX_MESSAGE_BYTES;
 use super::ChainMember;
 
-/// The request for operations that is open.
+/// Time of the pending request for operations, if there is one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CatchUp {
     requested_at: Option<Millis>,
 }
 
 impl CatchUp {
-    /// No request is open any more.
+    /// Clears the pending request.
     pub(super) fn reset(&mut self) {
         self.requested_at = None;
     }
 
-    /// With an age for the time.
+    /// Returns a copy with the time replaced by its age.
     pub(super) fn with_ages(&self, now: Millis) -> Self {
         Self {
             requested_at: age_of(self.requested_at, now),
@@ -44,7 +44,8 @@
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// A member of the chain has operations up to here. Asks for those that are missing here.
+    /// Requests missing operations from a chain member that has operations up to `revision`, if
+    /// this member is outside the chain and no request is pending.
     pub(super) fn fetch_if_behind(&mut self, from: &Identity, revision: Revision) {
         let is_behind = self.view.is_in_chain(from) && revision > self.log.last();
         if !is_behind || self.is_in_chain() || !self.is_disk_available() {
@@ -61,7 +62,8 @@
         self.send_to(from, fetch);
     }
 
-    /// A member outside the chain asks for operations. It gets what is on disk here.
+    /// Answers a member outside the chain with the requested operations that are on disk, or with a
+    /// snapshot.
     pub(super) fn on_fetch(&mut self, from: &Identity, view: ViewNumber, after: Revision) {
         if view != self.view.number || !self.is_view_persisted() || !self.is_in_chain() {
             return;
@@ -82,7 +84,7 @@
         self.send_to(from, answer);
     }
 
-    /// The operations asked for.
+    /// Appends fetched operations.
     pub(super) fn on_fetched(
         &mut self,
         from: &Identity,
@@ -92,21 +94,23 @@
         committed: Revision,
     ) {
         self.catch_up.reset();
-        let is_due = view == self.view.number && !self.is_in_chain() && after == self.log.last();
-        if !is_due || !self.is_disk_available() {
+        let is_applicable =
+            view == self.view.number && !self.is_in_chain() && after == self.log.last();
+        if !is_applicable || !self.is_disk_available() {
             return;
         }
         self.append(entries);
         self.on_committed(from, view, committed);
     }
 
-    /// A snapshot instead of the operations asked for. A snapshot that is not one of the state
-    /// machine changes nothing.
+    /// Installs a snapshot received instead of operations. A snapshot that the state machine cannot
+    /// decode is ignored.
     pub(super) fn on_install(&mut self, from: &Identity, view: ViewNumber, snapshot: Snapshot) {
         self.catch_up.reset();
         let revision = snapshot.revision;
-        let is_due = view == self.view.number && !self.is_in_chain() && revision > self.log.last();
-        if !is_due || !self.is_disk_available() {
+        let is_applicable =
+            view == self.view.number && !self.is_in_chain() && revision > self.log.last();
+        if !is_applicable || !self.is_disk_available() {
             return;
         }
         if self.log.install(snapshot.clone()).is_err() {
--- a/tier/chain/src/member/commit.rs
+++ b/tier/chain/src/member/commit.rs
@@ -1,5 +1,5 @@
-//! Committed operations: the tail commits, every member applies, outcomes go back, snapshots
-//! shorten the log.
+//! Commit of operations: the tail commits, every member applies, outcomes are returned to the
+//! proposing members, and snapshots shorten the log.
 
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
 use super::ChainMember;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// What the tail has on disk is on every disk of the chain, and so committed where the chain is
-    /// long enough.
+    /// Commits the operations on the disk of the tail. They are on every disk of the chain, and so
+    /// committed if the chain has the required length.
     pub(super) fn commit_at_tail(&mut self) {
         let required = self.local.required_chain_len(self.view.voters.len());
         if self.view.chain.len() < required {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Applies operations up to a revision; they are in the log.
+    /// Applies the operations in the log up to a revision.
     pub(super) fn commit_to(&mut self, revision: Revision) {
         while self.log.committed() < revision {
             let Some((entry, outcome)) = self.log.apply_next() else {
@@ -50,8 +50,8 @@
         entry.origin == self.local.identity().node
     }
 
-    /// Lets the member that proposed an operation know the outcome. A lost outcome is asked for
-    /// again by a retry of the proposal.
+    /// Sends the outcome of an operation to the member that proposed it. If the outcome is lost, a
+    /// retry of the proposal requests it again.
     pub(super) fn send_outcome(&mut self, entry: &Entry, outcome: Arc<[u8]>) {
         let request = entry.request;
         if self.is_origin_of(entry) {
--- a/tier/chain/src/member/freshness.rs
+++ b/tier/chain/src/member/freshness.rs
@@ -1,9 +1,10 @@
-//! Whether the state of this member is current, without a message for each call.
+//! Determines whether the state of this member is current, without a message for each call.
 //!
-//! Heartbeats carry echoes of the heartbeats received. The tail knows from the echoes when a
-//! majority was in its view for certain; a member knows from the tail's echo that the tail reported
-//! this after a certain heartbeat of the member. All times are of one machine's clock, and a freeze
-//! makes them older, never younger (`docs/system/chain.md`, "Why reads are newest").
+//! Heartbeats carry echoes of received heartbeats. From the echoes, the tail determines when a
+//! majority was certainly in its view. From the tail's echo, a member determines that the tail sent
+//! its report after a certain heartbeat of the member. All times are measured on one machine's
+//! clock, and a freeze makes them older, never younger (`docs/system/chain.md`, "Why reads are
+//! newest").
 
 use crate::age::age_of;
 use crate::effect::Millis;
@@ -14,21 +15,21 @@
 
 use super::ChainMember;
 
-/// The newest confirmation that the tail has passed on.
+/// The newest confirmation reported by the tail.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Freshness {
-    /// At this time a majority was in the tail's view, and nothing was committed that is missing
-    /// here.
+    /// Time at which a majority was in the view of the tail and no operation was committed that
+    /// this member lacks.
     confirmed_at: Option<Millis>,
 }
 
 impl Freshness {
-    /// The view changed: what was confirmed concerns the former one.
+    /// Discards the confirmation, which concerns the former view.
     pub(super) fn reset(&mut self) {
         self.confirmed_at = None;
     }
 
-    /// With an age for the time.
+    /// Returns a copy with the time replaced by its age.
     pub(super) fn with_ages(&self, now: Millis) -> Self {
         Self {
             confirmed_at: age_of(self.confirmed_at, now),
@@ -41,8 +42,8 @@
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// Whether a confirmation of this view by a majority, with everything committed by then, is
-    /// younger than [`CONFIRMATION_TTL`] ms.
+    /// Returns whether a majority confirmed this view less than [`CONFIRMATION_TTL`] ms ago, and
+    /// this member has all operations committed by then.
     pub fn is_current(&self, now: Millis) -> bool {
         let confirmed_at = match self.is_tail() {
             true => self.majority_confirmed_at(),
@@ -54,10 +55,10 @@
         }
     }
 
-    /// The tail reports how long ago a majority was in its view for certain. The own heartbeat that
-    /// the tail echoes was sent before the tail's report, which bounds the time on this member's
-    /// clock.
-    pub(super) fn take_confirmation(&mut self, heartbeat: &Heartbeat) {
+    /// Records the report of the tail on how long ago a majority was certainly in its view. The
+    /// tail echoes a heartbeat that this member sent before the tail made its report, which bounds
+    /// the time of the confirmation on this member's clock.
+    pub(super) fn record_tail_confirmation(&mut self, heartbeat: &Heartbeat) {
         let Some(age) = heartbeat.confirmed_age_ms else {
             return;
         };
@@ -69,15 +70,14 @@
         if !is_from_tail || heartbeat.view != self.view.number || !has_all_committed {
             return;
         }
-        let said_after = self
+        let echoed_sent_at = self
             .failure_detector
             .echoed_sent_at(heartbeat, self.local.identity());
-        let confirmed_at = said_after.and_then(|sent_at| sent_at.checked_sub(age));
+        let confirmed_at = echoed_sent_at.and_then(|sent_at| sent_at.checked_sub(age));
         self.freshness.confirm(confirmed_at);
     }
 
-    /// The latest time at which a majority of the voters was in this view, and not sealed, for
-    /// certain.
+    /// The latest time at which a majority of the voters was certainly in this view and not sealed.
     pub(super) fn majority_confirmed_at(&self) -> Option<Millis> {
         let mut times = Vec::with_capacity(self.view.voters.len());
         for voter in &self.view.voters {
--- a/tier/chain/src/member/heartbeats.rs
+++ b/tier/chain/src/member/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: when they are sent and to whom, and what a received one brings about.
+//! Heartbeats: schedule, recipients, and processing of received heartbeats.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 use super::ChainMember;
 
-/// When the next heartbeat is due, and the number of the last one.
+/// Time of the next heartbeat, and sequence number of the last one.
 #[derive(Clone, Debug)]
 pub(super) struct HeartbeatSchedule {
     last_sequence: u64,
@@ -22,7 +22,7 @@
 }
 
 impl HeartbeatSchedule {
-    /// The first heartbeat is due at once.
+    /// Creates a schedule in which the first heartbeat is due immediately.
     pub(super) fn new(last_sequence: u64, now: Millis) -> Self {
         Self {
             last_sequence,
@@ -34,7 +34,7 @@
         self.next_at
     }
 
-    /// The number of the last heartbeat.
+    /// Sequence number of the last heartbeat.
     pub(super) fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
@@ -68,9 +68,9 @@
         self.heartbeat(sequence)
     }
 
-    /// The heartbeat speaks of the view on disk. While a later view is on its way there, this
-    /// member has left the former, and what it knows of the later one must not pass for knowledge
-    /// of the former.
+    /// Builds a heartbeat, which describes the view on disk. While a later view is being written,
+    /// this member has left the former view, and its state in the later view must not be reported
+    /// as state of the former one.
     fn heartbeat(&self, sequence: u64) -> Heartbeat {
         let is_view_persisted = self.is_view_persisted();
         let confirmed_at = match is_view_persisted && self.is_tail() {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Everyone who may be a member or may want to become one.
+    /// Addresses of all machines that may be members or may join.
     pub fn contacts(&self) -> BTreeSet<SocketAddr> {
         let mut contacts: BTreeSet<SocketAddr> = self.local.seeds().iter().copied().collect();
         if !self.view.number.is_founded() {
@@ -122,7 +122,7 @@
             true => ViewConfirmation::Confirmed,
             false => ViewConfirmation::NotConfirmed,
         };
-        self.take_confirmation(&heartbeat);
+        self.record_tail_confirmation(&heartbeat);
         let was_alive = self.failure_detector.is_alive(from, self.now);
         let was_current = self.is_current(self.now);
         self.failure_detector.record_received(
@@ -132,10 +132,11 @@
             self.now,
         );
         if self.is_tail() && !was_current && self.is_current(self.now) {
-            // All members wait for the confirmation of a tail whose view has just been confirmed.
+            // The view of the tail has just been confirmed, and all members wait for this
+            // confirmation.
             self.send_heartbeats();
         } else if !was_alive {
-            // A machine whose first heartbeat comes waits for the echo.
+            // A machine that sends its first heartbeat waits for the echo.
             let answer = Message::Heartbeat(self.next_heartbeat());
             self.outbox.send(heartbeat.member.address, answer);
         }
--- a/tier/chain/src/member/local_node.rs
+++ b/tier/chain/src/member/local_node.rs
@@ -1,4 +1,4 @@
-//! What a member knows of itself from its settings and its disk.
+//! Identity, settings and founders of this member.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,13 @@
 
 use super::MemberConfig;
 
-/// This member, its seeds and the faults that it has to tolerate.
+/// Identity and settings of this member.
 #[derive(Clone, Debug)]
 pub(super) struct LocalNode {
     member: Member,
     tolerated_faults: usize,
     seeds: Vec<SocketAddr>,
-    /// Present where this member may found the first view.
+    /// Addresses of the founders, if this member is one of them.
     founders: Option<Vec<SocketAddr>>,
     started_at: Millis,
 }
@@ -45,7 +45,7 @@
         self.member.address
     }
 
-    /// Whether this is the member itself, with its present disk.
+    /// Returns whether this is the identity of the member itself, including its disk incarnation.
     pub(super) fn is(&self, identity: &Identity) -> bool {
         self.member.identity == *identity
     }
@@ -58,23 +58,23 @@
         self.seeds = seeds;
     }
 
-    /// Those that may found the first view, where this member is one of them.
+    /// Addresses of the founders, if this member is one of them.
     pub(super) fn founders(&self) -> Option<&[SocketAddr]> {
         self.founders.as_deref()
     }
 
-    /// For how long this process has run.
+    /// Duration for which this process has run.
     pub(super) fn uptime(&self, now: Millis) -> Millis {
         now.saturating_sub(self.started_at)
     }
 
-    /// Losses to be borne at once (f).
+    /// Number of simultaneous member failures to tolerate (f).
     pub(super) fn tolerated_faults(&self) -> usize {
         self.tolerated_faults
     }
 
-    /// Members that a chain needs before it may acknowledge: f+1, or all machines of a core that
-    /// has fewer.
+    /// Minimum length of a chain that may acknowledge operations: f+1, or the number of machines in
+    /// a core that has fewer.
     pub(super) fn required_chain_len(&self, voters: usize) -> usize {
         let machines = voters.max(self.seeds.len());
         machines.min(self.tolerated_faults + 1)
--- a/tier/chain/src/member/mod.rs
+++ b/tier/chain/src/member/mod.rs
@@ -1,22 +1,22 @@
-//! One member of the chain: takes in messages, time and finished writes, and returns effects.
+//! One member of the chain: processes messages, time and completed writes, and returns effects.
 //!
-//! [`ChainMember`] wires parts that each own one thing. The submodules are what a member does, one
-//! concern each:
+//! [`ChainMember`] combines components that each own one part of the state. The submodules implement
+//! one concern of a member each:
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `heartbeats` | sending and receiving heartbeats, the contacts that get them |
-//! | `availability`, `freshness` | whether this member is of use to the chain; whether its state is current |
-//! | `disk_speed` | how long to wait for disks; which are too slow for the chain |
-//! | `reconfiguration` | whether another view is needed, and which member proposes it when |
+//! | `heartbeats` | sending and receiving heartbeats; the contacts that receive them |
+//! | `availability`, `freshness` | whether this member is available to the chain; whether its state is current |
+//! | `disk_speed` | timeouts that depend on disks; exclusion of slow disks from the chain |
+//! | `reconfiguration` | whether another view is needed; which member proposes it, and when |
 //! | `proposer`, `voting` | the agreement on a view: proposing and voting |
-//! | `view_plan`, `bootstrap` | which view to propose; the first view |
-//! | `view_change` | adopting a view, and starting again with the one on disk |
+//! | `view_plan`, `bootstrap` | selection of the view to propose; the first view |
+//! | `view_change` | adopting a view; restarting with the view on disk |
 //! | `proposals`, `ordering` | operations proposed at this member; their order at the head |
-//! | `replication`, `commit` | operations on their way down the chain; commit, apply, snapshot |
-//! | `catch_up` | a member outside the chain gets the operations that it lacks |
-//! | `exploration`, `planted_bugs` | what tests that explore all states need |
-//! | `reads`, `read_confirmation` | linearizable reads: asked for here; confirmed at the tail |
+//! | `replication`, `commit` | replication of operations along the chain; commit, apply, snapshot |
+//! | `catch_up` | transfer of missing operations to a member outside the chain |
+//! | `exploration`, `planted_bugs` | support for tests that explore all states |
+//! | `reads`, `read_confirmation` | linearizable reads: requests at this member; confirmation at the tail |
 
 mod availability;
 mod bootstrap;
@@ -70,20 +70,21 @@
 use reads::PendingReads;
 use replication::SuccessorProgress;
 
-/// Settings and identity of a member at its start.
+/// Identity and settings with which a member starts.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
-    /// The member itself.
+    /// Identity and address of the member.
     pub member: Member,
-    /// Losses to be borne at once (f): nothing is acknowledged before f+1 members have it on disk.
+    /// Number of simultaneous member failures to tolerate (f): an operation is acknowledged only
+    /// after f+1 members have it on disk.
     pub tolerated_faults: usize,
-    /// Where the seeds' controllers listen.
+    /// Addresses at which the seeds' controllers listen.
     pub seeds: Vec<SocketAddr>,
-    /// A random number.
+    /// Random seed of the member.
     pub random_seed: u64,
 }
 
-/// One member of the chain.
+/// A member of the chain, or a machine that may become one: its state and protocol logic.
 #[derive(Clone)]
 pub struct ChainMember<M> {
     local: LocalNode,
@@ -91,7 +92,7 @@
     rng: Rng,
     view: View,
     acceptor: Acceptor,
-    /// The batch that brings the acceptor to the disk as it is now.
+    /// Ticket of the batch that writes the current acceptor to the disk.
     acceptor_ticket: Ticket,
     proposer: Proposer,
     log: ReplicatedLog<M>,
@@ -111,10 +112,10 @@
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// Starts from what is on the disk, whose incarnation has to be there already.
+    /// Starts a member from its durable state, which must already have an incarnation.
     ///
     /// # Errors
-    /// [`BadSnapshot`] when the snapshot on the disk is not one of this state machine.
+    /// [`BadSnapshot`] if the state machine cannot decode the snapshot on the disk.
     pub fn new(
         config: MemberConfig,
         disk: DurableState,
@@ -155,7 +156,7 @@
         Ok(member)
     }
 
-    /// Takes in a message. `from` is the member at the other end of the connection.
+    /// Processes a message. `from` is the member at the other end of the connection.
     pub fn receive(&mut self, from: &Identity, message: Message, now: Millis) {
         self.advance_clock(now);
         match message {
@@ -212,25 +213,25 @@
         }
     }
 
-    /// A batch of writes, and with it all earlier ones, survives a loss of power now.
+    /// Reports that a batch of writes, and with it all earlier ones, survives a power failure.
     pub fn on_persisted(&mut self, ticket: Ticket, now: Millis) {
         self.advance_clock(now);
-        self.availability.disk_writes_again();
+        self.availability.disk_recovered();
         self.outbox.record_sync(self.now);
         while let Some(after) = self.outbox.pop_synced(ticket) {
             self.on_synced(after);
         }
     }
 
-    /// The disk has refused to write, as a full one does. The driver goes on trying; until a batch
-    /// has been written the other members go on without this one.
+    /// Reports that the disk has rejected a write, for example because it is full. The driver
+    /// retries; until a batch is written, the other members continue without this one.
     pub fn on_disk_rejected(&mut self, now: Millis) {
         self.advance_clock(now);
-        self.availability.disk_rejected();
+        self.availability.disk_rejected_write();
         self.send_heartbeats();
     }
 
-    /// Time passes; to be called at [`ChainMember::next_tick`] at the latest.
+    /// Processes the passage of time; must be called at [`ChainMember::next_tick`] at the latest.
     pub fn tick(&mut self, now: Millis) {
         self.advance_clock(now);
         self.failure_detector.tick(self.now);
@@ -243,7 +244,7 @@
         self.retry_reads();
     }
 
-    /// When `tick` has something to do next.
+    /// Time at which `tick` must be called next.
     pub fn next_tick(&self) -> Millis {
         let is_busy = !self.proposer.is_idle()
             || !self.proposals.is_empty()
@@ -256,44 +257,45 @@
         self.heartbeat_schedule.next_at().min(self.now + interval)
     }
 
-    /// Takes over other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.local.set_seeds(seeds);
     }
 
-    /// Asks the other members to go on without this one.
+    /// Requests that the other members continue without this one.
     pub fn leave(&mut self, now: Millis) {
         self.advance_clock(now);
         self.availability.leave();
         self.send_heartbeats();
     }
 
-    /// What is to be done, in this order.
+    /// Removes and returns the effects that the driver must perform, in this order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         self.outbox.take_effects()
     }
 
-    /// The state machine, with all operations applied that are known here to be committed.
+    /// The state machine, with all operations applied that are known to be committed at this
+    /// member.
     pub fn machine(&self) -> &M {
         self.log.machine()
     }
 
-    /// The last operation applied.
+    /// Revision of the last applied operation.
     pub fn revision(&self) -> Revision {
         self.log.committed()
     }
 
-    /// The newest view known; number 0 for none.
+    /// The newest known view; number 0 before the first view.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// This member's identity and address.
+    /// Identity and address of this member.
     pub fn member(&self) -> &Member {
         self.local.member()
     }
 
-    /// Times given by the driver never go back.
+    /// Advances the clock; an earlier time from the driver does not set it back.
     fn advance_clock(&mut self, now: Millis) {
         self.now = self.now.max(now);
     }
@@ -303,8 +305,8 @@
             AfterSync::Nothing => {}
             AfterSync::Send(to, message) => self.outbox.send(to, message),
             AfterSync::CountVote(vote) => {
-                let me = self.local.identity().clone();
-                self.on_vote(&me, vote);
+                let identity = self.local.identity().clone();
+                self.on_vote(&identity, vote);
             }
             AfterSync::ViewAdopted(position) => {
                 self.log.set_persisted(position);
@@ -321,7 +323,8 @@
         self.outbox.persist(writes, after, self.now)
     }
 
-    /// Sends to a machine whose address is known by its heartbeat or by the view.
+    /// Sends to a machine whose address is known from its heartbeat or from the view; drops the
+    /// message otherwise.
     fn send_to(&mut self, to: &Identity, message: Message) {
         if let Some(address) = self.address_of(to) {
             self.outbox.send(address, message);
@@ -336,7 +339,7 @@
         Some(voter.address)
     }
 
-    /// Whether the view on disk is the newest one known here.
+    /// Returns whether the newest known view is on disk.
     fn is_view_persisted(&self) -> bool {
         self.log.persisted().view == self.view.number
     }
--- a/tier/chain/src/member/ordering.rs
+++ b/tier/chain/src/member/ordering.rs
@@ -1,4 +1,4 @@
-//! Proposals at the head, which gives each of them its revision.
+//! Ordering of proposals at the head, which assigns a revision to each of them.
 
 use crate::entry::Entry;
 use crate::message::Message;
@@ -7,13 +7,14 @@
 
 use super::ChainMember;
 
-/// Operations in flight at once; the head takes no more.
+/// Maximum number of uncommitted operations; the head takes no further ones.
 const MAX_UNCOMMITTED_OPERATIONS: u64 = 1_024;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// A proposal reaches the head, or a chain member that the sender reaches instead of the head.
+    /// Processes a proposal at the head, or at another chain member, which forwards it to the head:
+    /// the sender may reach that member but not the head.
     pub(super) fn on_forward(&mut self, from: &Identity, view: ViewNumber, entry: Entry) {
-        if view != self.view.number || self.takes_no_operations() || !self.is_in_chain() {
+        if view != self.view.number || self.rejects_operations() || !self.is_in_chain() {
             return;
         }
         if let Some(outcome) = self.log.outcome(entry.request) {
@@ -25,12 +26,12 @@
         }
     }
 
-    /// Puts a proposal at the end of the log, unless it stands there already. What is not taken is
-    /// sent again by the member that proposed it.
+    /// Appends a proposal to the log, unless the log already contains it. If a proposal is not
+    /// appended, the proposing member sends it again.
     fn order(&mut self, entry: Entry) {
         let Some(uncommitted) = self.log.uncommitted() else {
-            // A log that ends before what is committed has lost entries: nothing can be ordered on
-            // top of it.
+            // The log ends before the last committed operation, so it has lost entries; no
+            // operation can be appended to it.
             return;
         };
         if uncommitted < MAX_UNCOMMITTED_OPERATIONS
--- a/tier/chain/src/member/planted_bugs.rs
+++ b/tier/chain/src/member/planted_bugs.rs
@@ -1,4 +1,4 @@
-//! Planting a mistake in a member.
+//! Injection of protocol bugs into a member, for tests.
 
 use crate::planted_bug::PlantedBug;
 use crate::state_machine::StateMachine;
@@ -6,12 +6,12 @@
 use super::ChainMember;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// From now on the member makes this mistake.
-    pub fn plant(&mut self, bug: PlantedBug) {
+    /// Makes the member violate the protocol in this way from now on.
+    pub fn plant_bug(&mut self, bug: PlantedBug) {
         self.planted_bug = Some(bug);
     }
 
-    pub(super) fn makes(&self, bug: PlantedBug) -> bool {
+    pub(super) fn has_bug(&self, bug: PlantedBug) -> bool {
         self.planted_bug == Some(bug)
     }
 }
--- a/tier/chain/src/member/proposals.rs
+++ b/tier/chain/src/member/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals made at this member, until their outcome is known.
+//! Proposals made at this member that wait for their outcome.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use super::ChainMember;
 
-/// Proposals pending at once; more fail at once.
+/// Maximum number of pending proposals; further proposals fail immediately.
 const MAX_PENDING_PROPOSALS: usize = 4_096;
 
 /// Proposals that wait for their outcome.
@@ -37,13 +37,13 @@
     }
 }
 
-/// A proposal that has to be sent now.
+/// A proposal that must be sent now.
 struct DueProposal {
     entry: Entry,
     attempt: Attempt,
 }
 
-/// Whether a proposal was sent before in this view.
+/// Whether a proposal is sent for the first time in this view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Attempt {
     First,
@@ -68,12 +68,12 @@
         self.pending.insert(proposal.entry.request, proposal);
     }
 
-    /// Removes a proposal; whether it was pending.
+    /// Removes a proposal; returns whether it was pending.
     fn complete(&mut self, request: RequestNumber) -> bool {
         self.pending.remove(&request).is_some()
     }
 
-    /// Removes the proposals whose deadline has passed.
+    /// Removes and returns the proposals whose deadline has passed.
     fn take_expired(&mut self, now: Millis) -> Vec<RequestNumber> {
         let mut expired = Vec::new();
         self.pending.retain(|request, proposal| {
@@ -86,12 +86,12 @@
         expired
     }
 
-    /// Removes all proposals.
+    /// Removes and returns all proposals.
     fn take_all(&mut self) -> Vec<RequestNumber> {
         std::mem::take(&mut self.pending).into_keys().collect()
     }
 
-    /// The proposals that have to be sent now; they count as sent.
+    /// Returns the proposals that must be sent now, and marks them as sent.
     fn take_due(&mut self, now: Millis) -> Vec<DueProposal> {
         let mut due = Vec::new();
         for proposal in self.pending.values_mut() {
@@ -111,7 +111,7 @@
         due
     }
 
-    /// With ages for times.
+    /// Returns a copy with times replaced by ages.
     pub(super) fn with_ages(&self, now: Millis) -> Self {
         let mut copy = self.clone();
         for proposal in copy.pending.values_mut() {
@@ -129,9 +129,9 @@
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// Proposes an operation, to be abandoned at `deadline`. Answered by
-    /// [`Effect::ProposalCommitted`] or [`Effect::ProposalFailed`]: at once where this member is
-    /// partitioned or has too many proposals pending.
+    /// Proposes an operation, which is abandoned at `deadline`. The result is
+    /// [`Effect::ProposalCommitted`] or [`Effect::ProposalFailed`], the latter immediately if this
+    /// member is partitioned or has too many pending proposals.
     pub fn propose(
         &mut self,
         request: RequestNumber,
@@ -158,8 +158,8 @@
         self.send_due_proposals();
     }
 
-    /// Time has passed: abandons the proposals whose deadline has passed, or all of them if this
-    /// member is partitioned.
+    /// Abandons the proposals whose deadline has passed, or all proposals if this member is
+    /// partitioned, and sends the remaining ones that are due; called on each tick.
     pub(super) fn retry_proposals(&mut self) {
         let failed = match self.is_connected(self.now) {
             true => self.proposals.take_expired(self.now),
@@ -171,14 +171,14 @@
         self.send_due_proposals();
     }
 
-    /// The view changed: the new head has to get all of them.
+    /// Sends all pending proposals to the new head after a view change.
     pub(super) fn restart_proposals(&mut self) {
         self.proposals.reset_sent();
         self.send_due_proposals();
     }
 
-    /// Sends what is due: first to the head alone, later to the complete chain, as the head may be
-    /// the one member that this one does not reach.
+    /// Sends the proposals that are due: on the first attempt only to the head, on a retry to the
+    /// complete chain, because the head may be the only member that this one cannot reach.
     fn send_due_proposals(&mut self) {
         let Some(head) = self.view.head() else {
             return;
@@ -207,7 +207,7 @@
         }
     }
 
-    /// A proposal was committed.
+    /// Completes a proposal that was committed.
     pub(super) fn on_outcome(&mut self, request: RequestNumber, outcome: Arc<[u8]>) {
         if self.proposals.complete(request) {
             self.outbox
--- a/tier/chain/src/member/proposer.rs
+++ b/tier/chain/src/member/proposer.rs
@@ -1,10 +1,11 @@
-//! Proposing the next view (single-decree Paxos: one decision for each view number).
+//! Proposer of the next view (single-decree Paxos: one decision for each view number).
 //!
 //! `reconfiguration` decides whether and when this member proposes, `view_plan` which view. A
-//! member has one attempt at a time; an attempt ends with a decision, with a later ballot, or after
-//! a time without a further vote that follows the disks of the voters (`disk_speed`). Attempts that
-//! got too few votes make the next one wait longer, at random, so that two proposers stay apart and
-//! one of them gets the time that it needs.
+//! member has at most one attempt at a time; an attempt ends with a decision, with a higher ballot,
+//! or after a timeout without a further vote, which depends on the disks of the voters
+//! (`disk_speed`). After attempts that received too few votes, the next one is delayed by a longer
+//! random backoff, so that concurrent proposers do not conflict repeatedly and one of them has time
+//! to complete.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,24 +27,25 @@
 use super::disk_speed::SYNCS_PER_ANSWER;
 use super::ChainMember;
 
-/// This member's attempts to get the next view agreed on.
+/// State of this member's attempts to reach agreement on the next view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Proposer {
-    /// The highest round of any ballot seen.
+    /// Highest round of all observed ballots.
     highest_round: u64,
-    /// The next attempt may not begin earlier.
+    /// Earliest time of the next attempt.
     backoff_until: Millis,
-    /// Since when another view has been needed.
-    wanted_since: Option<Millis>,
-    /// When this member last answered an attempt, its own or another's.
+    /// Time since which another view has been needed.
+    needed_since: Option<Millis>,
+    /// Time at which this member last observed a ballot, its own or another's.
     last_ballot_at: Option<Millis>,
     attempt: Option<Attempt>,
-    /// Attempts in a row, in the present view, that got too few votes.
+    /// Number of consecutive attempts in the current view that received too few votes.
     failed_attempts: u32,
 }
 
-/// Doublings of the waiting times after attempts that got too few votes.
-const MAX_DOUBLINGS: u32 = 3;
+/// Maximum number of times that the timeout and the backoff are doubled after attempts that
+/// received too few votes.
+const MAX_BACKOFF_EXPONENT: u32 = 3;
 
 #[derive(Clone, Debug)]
 struct Attempt {
@@ -51,7 +53,8 @@
     ballot: Ballot,
     started_at: Millis,
     sent_at: Millis,
-    /// When the last vote was counted.
+    /// Time at which the attempt last made progress: it began, a vote was counted, or the second
+    /// phase began.
     progress_at: Millis,
     phase: Phase,
 }
@@ -65,45 +68,46 @@
     },
 }
 
-/// The promises of one attempt by machine.
+/// Promises of one attempt, by machine.
 pub(super) type Promises = BTreeMap<NodeId, Promise>;
 
-/// One voter's promise.
+/// Promise of one voter.
 #[derive(Clone, Debug)]
 pub(super) struct Promise {
     pub(super) identity: Identity,
-    /// The last operation of the voter, which takes no more in the present view.
+    /// Revision of the last operation of the voter, which takes no further operations in the
+    /// current view.
     pub(super) last_revision: Revision,
     accepted: Option<(Ballot, View)>,
 }
 
 impl Proposer {
-    /// Whether no view is wanted and no attempt is open.
+    /// Returns whether no view is needed and no attempt is in progress.
     pub(super) fn is_idle(&self) -> bool {
-        self.attempt.is_none() && self.wanted_since.is_none()
+        self.attempt.is_none() && self.needed_since.is_none()
     }
 
-    /// A ballot of any proposer was seen.
+    /// Records a ballot of any proposer.
     pub(super) fn observe_ballot(&mut self, ballot: &Ballot, now: Millis) {
         self.highest_round = self.highest_round.max(ballot.round);
         self.last_ballot_at = Some(now);
     }
 
-    /// When this member last saw a ballot in the present view.
+    /// Time at which this member last observed a ballot in the current view.
     pub(super) fn last_ballot_at(&self) -> Option<Millis> {
         self.last_ballot_at
     }
 
-    /// How many times the waiting times are to be doubled.
-    fn doublings(&self) -> u32 {
-        self.failed_attempts.min(MAX_DOUBLINGS)
+    /// Number of times that the timeout and the backoff are doubled.
+    fn backoff_exponent(&self) -> u32 {
+        self.failed_attempts.min(MAX_BACKOFF_EXPONENT)
     }
 
-    /// With ages for times.
+    /// Returns a copy with times replaced by ages.
     pub(super) fn with_ages(&self, now: Millis) -> Self {
         let mut copy = self.clone();
         copy.backoff_until = remaining(self.backoff_until, now);
-        copy.wanted_since = age_of(self.wanted_since, now);
+        copy.needed_since = age_of(self.needed_since, now);
         copy.last_ballot_at = age_of(self.last_ballot_at, now);
         if let Some(attempt) = &mut copy.attempt {
             attempt.started_at = age(attempt.started_at, now);
@@ -113,7 +117,7 @@
         copy
     }
 
-    /// A later view was adopted.
+    /// Discards the state of attempts after a later view was adopted.
     pub(super) fn reset(&mut self, now: Millis) {
         *self = Self {
             backoff_until: now,
@@ -121,7 +125,7 @@
         };
     }
 
-    /// The open attempt, if it is the one that a vote answers.
+    /// The attempt in progress, if it is the one that a vote answers.
     fn attempt_with(&mut self, instance: ViewNumber, ballot: &Ballot) -> Option<&mut Attempt> {
         let attempt = self.attempt.as_mut()?;
         (attempt.instance == instance && attempt.ballot == *ballot).then_some(attempt)
@@ -129,7 +133,7 @@
 }
 
 impl Attempt {
-    /// The question of the present phase.
+    /// Request message of the current phase.
     fn message(&self) -> Message {
         match &self.phase {
             Phase::Preparing(_) => Message::Prepare {
@@ -143,12 +147,12 @@
         }
     }
 
-    /// Whether the votes of a phase are still too few.
+    /// Returns whether the current phase has fewer votes than the quorum.
     fn lacks_votes(&self, quorum: usize) -> bool {
         self.answered_by().len() < quorum
     }
 
-    /// Voters that have answered the question of the present phase.
+    /// Voters that have answered the request of the current phase.
     fn answered_by(&self) -> BTreeSet<NodeId> {
         match &self.phase {
             Phase::Preparing(promises) => promises.keys().cloned().collect(),
@@ -157,9 +161,9 @@
     }
 }
 
-/// The view accepted with the highest ballot that the promises report: it may have been agreed on
-/// already, so that no other may be proposed.
-fn bound_view(promises: &Promises) -> Option<View> {
+/// The view accepted with the highest ballot among the promises. It may have been decided already,
+/// so no other view may be proposed.
+fn highest_accepted_view(promises: &Promises) -> Option<View> {
     let accepted = promises
         .values()
         .filter_map(|promise| promise.accepted.as_ref());
@@ -168,31 +172,31 @@
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// Time has passed.
+    /// Starts, retries, continues or abandons an attempt; called on each tick.
     pub(super) fn drive_proposer(&mut self) {
         let Some(attempt) = &self.proposer.attempt else {
-            self.begin_attempt_if_wanted();
+            self.begin_attempt_if_due();
             return;
         };
-        let patience = self.with_syncs(ATTEMPT_TIMEOUT, SYNCS_PER_ANSWER);
-        let patience = patience << self.proposer.doublings();
-        if self.now.saturating_sub(attempt.progress_at) >= patience {
+        let timeout = self.with_syncs(ATTEMPT_TIMEOUT, SYNCS_PER_ANSWER);
+        let timeout = timeout << self.proposer.backoff_exponent();
+        if self.now.saturating_sub(attempt.progress_at) >= timeout {
             self.abandon_attempt();
             return;
         }
         if self.now.saturating_sub(attempt.sent_at) >= VOTE_RETRY_INTERVAL {
-            self.ask_electors();
+            self.send_to_electors();
         }
         self.conclude_preparation();
     }
 
-    fn begin_attempt_if_wanted(&mut self) {
+    fn begin_attempt_if_due(&mut self) {
         let Some(rank) = self.proposer_rank() else {
-            self.proposer.wanted_since = None;
+            self.proposer.needed_since = None;
             return;
         };
-        let wanted_since = *self.proposer.wanted_since.get_or_insert(self.now);
-        let due_at = wanted_since + rank as Millis * PROPOSER_RANK_INTERVAL;
+        let needed_since = *self.proposer.needed_since.get_or_insert(self.now);
+        let due_at = needed_since + rank as Millis * PROPOSER_RANK_INTERVAL;
         if self.now >= due_at.max(self.proposer.backoff_until) {
             self.begin_attempt();
         }
@@ -216,11 +220,12 @@
             progress_at: self.now,
             phase: Phase::Preparing(Promises::new()),
         });
-        self.ask_electors();
+        self.send_to_electors();
     }
 
-    /// Ends the attempt. One that got enough votes, but found no view to propose, waits no longer
-    /// for that.
+    /// Ends the attempt and sets a random backoff. An attempt that received enough votes, but could
+    /// not choose a view to propose, does not lengthen the timeout and the backoff of later
+    /// attempts.
     fn abandon_attempt(&mut self) {
         let quorum = self.quorum();
         let attempt = self.proposer.attempt.take();
@@ -228,12 +233,12 @@
             self.proposer.failed_attempts = self.proposer.failed_attempts.saturating_add(1);
         }
         let max_backoff = self.with_syncs(MAX_ATTEMPT_BACKOFF, SYNCS_PER_ANSWER);
-        let max_backoff = max_backoff << self.proposer.doublings();
+        let max_backoff = max_backoff << self.proposer.backoff_exponent();
         self.proposer.backoff_until = self.now + 1 + self.rng.below(max_backoff);
     }
 
-    /// Sends the question of the present phase to every elector that has not answered it.
-    fn ask_electors(&mut self) {
+    /// Sends the request of the current phase to every elector that has not answered it.
+    fn send_to_electors(&mut self) {
         let now = self.now;
         let Some(attempt) = self.proposer.attempt.as_mut() else {
             return;
@@ -252,16 +257,16 @@
         }
     }
 
-    /// Every member known that votes on the next view.
+    /// All known members that vote on the next view.
     pub(super) fn electors(&self) -> Vec<Member> {
         if self.view.number.is_founded() {
             return self.view.voters.clone();
         }
-        self.founding_electors()
+        self.founder_electors()
     }
 
-    /// Whether an identity votes on the next view: voters of the present one do, or before the
-    /// first view the founders.
+    /// Returns whether an identity votes on the next view: the voters of the current view do, or
+    /// the founders before the first view.
     pub(super) fn is_elector(&self, identity: &Identity) -> bool {
         match self.view.number.is_founded() {
             true => self.view.voter(identity).is_some(),
@@ -269,7 +274,7 @@
         }
     }
 
-    /// Votes needed for the next view.
+    /// Number of votes needed to decide the next view.
     pub(super) fn quorum(&self) -> usize {
         match self.local.founders() {
             Some(founders) if !self.view.number.is_founded() => founders.len() / 2 + 1,
@@ -277,7 +282,7 @@
         }
     }
 
-    /// An answer to this member's attempt.
+    /// Processes an answer to this member's attempt.
     pub(super) fn on_vote(&mut self, from: &Identity, vote: Vote) {
         if !self.is_elector(from) {
             return;
@@ -325,9 +330,10 @@
         }
     }
 
-    /// With enough promises, this member's own among them, asks for the view that may have been
-    /// agreed on already, or else for the one that this member plans. The own promise is on disk
-    /// then, so that no later incarnation of the process uses the same ballot for another view.
+    /// Starts the second phase once a quorum, including this member itself, has promised. Proposes
+    /// the view that may have been decided already, or else the view that this member plans. The
+    /// promise of this member is on disk by then, so that no later run of the process uses the same
+    /// ballot for another view.
     fn conclude_preparation(&mut self) {
         let Some(attempt) = &self.proposer.attempt else {
             return;
@@ -337,15 +343,15 @@
         };
         let has_own_promise = promises.contains_key(&self.local.identity().node);
         #[cfg(feature = "planted-bugs")]
-        let has_own_promise = has_own_promise || self.makes(PlantedBug::OwnPromiseNotAwaited);
+        let has_own_promise = has_own_promise || self.has_bug(PlantedBug::OwnPromiseNotAwaited);
         if promises.len() < self.quorum() || !has_own_promise {
             return;
         }
         let waited = self.now.saturating_sub(attempt.started_at);
-        let bound = bound_view(promises);
+        let chosen = highest_accepted_view(promises);
         #[cfg(feature = "planted-bugs")]
-        let bound = bound.filter(|_| !self.makes(PlantedBug::AcceptedViewForgotten));
-        let planned = bound.or_else(|| self.plan_view(promises, waited));
+        let chosen = chosen.filter(|_| !self.has_bug(PlantedBug::AcceptedViewForgotten));
+        let planned = chosen.or_else(|| self.plan_view(promises, waited));
         let Some(view) = planned else {
             return;
         };
@@ -356,7 +362,7 @@
                 accepted_by: BTreeSet::new(),
             };
         }
-        self.ask_electors();
+        self.send_to_electors();
     }
 
     fn on_accepted(&mut self, from: &Identity, instance: ViewNumber, ballot: &Ballot) {
--- a/tier/chain/src/member/read_confirmation.rs
+++ b/tier/chain/src/member/read_confirmation.rs
@@ -1,6 +1,8 @@
-//! Reads at the tail: answered once a majority of the voters has confirmed, after the read came,
-//! that the tail's view is still theirs. Had a later view been decided before, a voter of this
-//! majority would have accepted it, and would refuse.
+//! Confirmation of reads at the tail.
+//!
+//! A read is answered once a majority of the voters has confirmed, after the read arrived, that
+//! they are still in the view of the tail. If a later view had been decided before, at least one
+//! voter of this majority would have accepted it and would not confirm.
 
 use std::collections::BTreeSet;
 
@@ -17,10 +19,11 @@
 
 use super::ChainMember;
 
-/// Reads that wait for the next confirmation; more are dropped and asked for again.
+/// Maximum number of reads that wait for the next confirmation; further reads are dropped, and
+/// their members retry them.
 const MAX_QUEUED_READS: usize = 1_024;
 
-/// The open confirmation, and the reads that came after it began.
+/// The confirmation in progress, and the reads that arrived after it began.
 #[derive(Clone, Debug)]
 pub(super) struct ReadConfirmation {
     queued: Vec<QueuedRead>,
@@ -28,18 +31,19 @@
     last_id: u64,
 }
 
-/// A read that another member, or this one, has asked for.
+/// A read requested by this or another member.
 #[derive(Clone, Debug)]
 struct QueuedRead {
     from: Identity,
     read_id: u64,
 }
 
-/// Reads that wait for a majority of the voters.
+/// A request to the voters to confirm the view, with the reads that wait for a majority of them.
 #[derive(Clone, Debug)]
 struct Confirmation {
     id: u64,
-    /// What was committed when the confirmation began, after all of its reads had come.
+    /// Revision of the last operation committed when the confirmation began, after all of its reads
+    /// had arrived.
     revision: Revision,
     reads: Vec<QueuedRead>,
     confirmed_by: BTreeSet<NodeId>,
@@ -47,8 +51,8 @@
 }
 
 impl ReadConfirmation {
-    /// Confirmations are numbered from a random number on, so that answers to a former incarnation
-    /// do not count.
+    /// Creates an empty queue. Confirmations are numbered starting from a random number, so that
+    /// answers to a previous run of the process do not count.
     pub(super) fn new(last_id: u64) -> Self {
         Self {
             queued: Vec::new(),
@@ -57,18 +61,18 @@
         }
     }
 
-    /// Whether no confirmation is open.
+    /// Returns whether no confirmation is in progress.
     pub(super) fn is_idle(&self) -> bool {
         self.open.is_none()
     }
 
-    /// The view changed: reads are sent to the new tail by those who ask.
+    /// Discards all reads after a view change; the requesting members send them to the new tail.
     pub(super) fn reset(&mut self) {
         self.queued.clear();
         self.open = None;
     }
 
-    /// With an age for the time.
+    /// Returns a copy with the time replaced by its age.
     pub(super) fn with_ages(&self, now: Millis) -> Self {
         let mut copy = self.clone();
         if let Some(open) = &mut copy.open {
@@ -93,7 +97,7 @@
         });
     }
 
-    /// Counts a voter's answer; the confirmation if it is complete with that.
+    /// Counts the answer of a voter; returns the confirmation if this answer completes it.
     fn confirm(&mut self, id: u64, voter: &NodeId, majority: usize) -> Option<Confirmation> {
         let open = self.open.as_mut()?;
         if open.id != id {
@@ -108,7 +112,7 @@
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// A read reaches the tail.
+    /// Queues a read at the tail.
     pub(super) fn on_read(&mut self, from: &Identity, view: ViewNumber, read_id: u64) {
         if view != self.view.number || !self.is_tail() || self.read_confirmation.is_full() {
             return;
@@ -127,20 +131,20 @@
             return;
         }
         self.read_confirmation.begin(self.log.committed(), self.now);
-        self.ask_voters();
+        self.send_confirm_requests();
     }
 
-    /// Time has passed: asks the voters again.
+    /// Resends the confirmation request if it is due; called on each tick.
     pub(super) fn retry_confirmation(&mut self) {
         let Some(open) = &self.read_confirmation.open else {
             return;
         };
         if self.now.saturating_sub(open.sent_at) >= REQUEST_RETRY_INTERVAL {
-            self.ask_voters();
+            self.send_confirm_requests();
         }
     }
 
-    fn ask_voters(&mut self) {
+    fn send_confirm_requests(&mut self) {
         let Some(open) = self.read_confirmation.open.as_mut() else {
             return;
         };
@@ -161,7 +165,7 @@
         }
     }
 
-    /// The tail asks this voter whether it is still in the tail's view.
+    /// Answers the tail if this voter is still in the tail's view.
     pub(super) fn on_confirm(&mut self, from: &Identity, view: ViewNumber, confirmation_id: u64) {
         let is_voter = self.view.voter(self.local.identity()).is_some();
         if view != self.view.number || self.acceptor.is_sealed() || !is_voter {
@@ -178,14 +182,14 @@
         self.send_to(from, confirmed);
     }
 
-    /// A voter confirms the view.
+    /// Processes the confirmation of a voter.
     pub(super) fn on_confirmed(&mut self, from: &Identity, view: ViewNumber, confirmation_id: u64) {
         if view != self.view.number || self.view.voter(from).is_none() {
             return;
         }
         let majority = self.view.majority();
         #[cfg(feature = "planted-bugs")]
-        let majority = match self.makes(PlantedBug::ReadQuorumTooSmall) {
+        let majority = match self.has_bug(PlantedBug::ReadQuorumTooSmall) {
             true => majority - 1,
             false => majority,
         };
--- a/tier/chain/src/member/reads.rs
+++ b/tier/chain/src/member/reads.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads asked for at this member. The tail answers with a revision
-//! (`read_confirmation`); the read is ready once that revision is applied here.
+//! Linearizable reads requested at this member. The tail answers with a revision
+//! (`read_confirmation`); the read is ready once this member has applied that revision.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 
 use super::ChainMember;
 
-/// Reads pending at once; more fail at once.
+/// Maximum number of pending reads; further reads fail immediately.
 const MAX_PENDING_READS: usize = 1_024;
 
-/// Reads that wait for the tail, or for operations to be applied.
+/// Reads that wait for the answer of the tail, or for operations to be applied.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingReads {
     pending: BTreeMap<u64, PendingRead>,
@@ -26,7 +26,7 @@
 struct PendingRead {
     deadline: Millis,
     sent_at: Option<Millis>,
-    /// The tail's answer.
+    /// Revision in the answer of the tail; `None` until the answer arrives.
     revision: Option<Revision>,
 }
 
@@ -60,7 +60,7 @@
         self.pending.insert(read_id, read);
     }
 
-    /// Removes and returns the reads for which the condition is true.
+    /// Removes and returns the reads that match the condition.
     fn take_if(&mut self, condition: impl Fn(&PendingRead) -> bool) -> Vec<u64> {
         let mut taken = Vec::new();
         self.pending.retain(|read_id, read| {
@@ -73,7 +73,7 @@
         taken
     }
 
-    /// The reads that have to be sent to the tail now; they count as sent.
+    /// Returns the reads that must be sent to the tail now, and marks them as sent.
     fn take_due(&mut self, now: Millis) -> Vec<u64> {
         let mut due = Vec::new();
         for (read_id, read) in &mut self.pending {
@@ -85,7 +85,7 @@
         due
     }
 
-    /// With ages for times.
+    /// Returns a copy with times replaced by ages.
     pub(super) fn with_ages(&self, now: Millis) -> Self {
         let mut copy = self.clone();
         for read in copy.pending.values_mut() {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The tail has answered; whether the read was pending.
+    /// Records the answer of the tail; returns whether the read was pending.
     fn set_revision(&mut self, read_id: u64, revision: Revision) -> bool {
         match self.pending.get_mut(&read_id) {
             Some(read) => {
@@ -114,9 +114,9 @@
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// Asks for a state with everything that is committed now. `read_id` is a number not used
-    /// before. Answered by [`Effect::ReadReady`] or [`Effect::ReadFailed`]: at once where this
-    /// member is partitioned or has too many reads pending.
+    /// Requests a state that includes every operation committed before this call. `read_id` must
+    /// not have been used before. The result is [`Effect::ReadReady`] or [`Effect::ReadFailed`],
+    /// the latter immediately if this member is partitioned or has too many pending reads.
     pub fn read(&mut self, read_id: u64, deadline: Millis, now: Millis) {
         self.advance_clock(now);
         if !self.is_connected(self.now) || self.reads.is_full() {
@@ -127,8 +127,8 @@
         self.send_due_reads();
     }
 
-    /// Time has passed: abandons the reads whose deadline has passed, or all of them if this member
-    /// is partitioned.
+    /// Abandons the reads whose deadline has passed, or all reads if this member is partitioned,
+    /// and sends the remaining ones that are due; called on each tick.
     pub(super) fn retry_reads(&mut self) {
         let now = self.now;
         let is_connected = self.is_connected(now);
@@ -142,7 +142,7 @@
         self.retry_confirmation();
     }
 
-    /// The view changed: the new tail has to answer.
+    /// Sends all unanswered reads to the new tail after a view change.
     pub(super) fn restart_reads(&mut self) {
         self.reads.reset_sent();
         self.send_due_reads();
@@ -162,14 +162,14 @@
         }
     }
 
-    /// The tail's answer.
+    /// Processes the answer of the tail.
     pub(super) fn on_read_at(&mut self, read_id: u64, revision: Revision) {
         if self.reads.set_revision(read_id, revision) {
             self.finish_reads();
         }
     }
 
-    /// Answers the reads whose revision has been applied here.
+    /// Completes the reads whose revision this member has applied.
     pub(super) fn finish_reads(&mut self) {
         let applied = self.log.committed();
         let is_ready = |read: &PendingRead| match read.revision {
--- a/tier/chain/src/member/reconfiguration.rs
+++ b/tier/chain/src/member/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Whether another view is needed, and which member proposes it when. `docs/system/chain.md` has
-//! the table of causes ("Who proposes, and when").
+//! Decides whether another view is needed, and which member proposes it and when.
+//! `docs/system/chain.md` has the table of causes ("Who proposes, and when").
 
 use plankhill_protocol::ids::Revision;
 
@@ -11,35 +11,36 @@
 use super::disk_speed::SYNCS_PER_ANSWER;
 use super::ChainMember;
 
-/// A member may be proposed for the chain while it lacks no more operations than this.
+/// Maximum number of operations that a member may lack when it is considered for the chain.
 pub(super) const MAX_JOINER_LAG: u64 = 64;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// Whether another view is needed; returns how many members come before this one in proposing
-    /// it.
+    /// Returns how many members rank before this one in proposing another view; `None` if no other
+    /// view is needed or this member must not propose.
     pub(super) fn proposer_rank(&self) -> Option<usize> {
         if !self.view.number.is_founded() {
-            return self.founding_rank();
+            return self.founder_rank();
         }
         if !self.is_in_chain() || !self.is_view_persisted() {
             return None;
         }
         if !self.receives_from_majority() {
-            // No promises would come, and the question would only seal those whom it reaches.
+            // A majority would not promise, and the request would only seal the voters that it
+            // reaches.
             return None;
         }
-        if self.acceptor.is_sealed() && self.is_agreement_under_way() {
+        if self.acceptor.is_sealed() && self.is_agreement_in_progress() {
             return None;
         }
         let rank = self.rank();
-        let is_wanted = self.acceptor.is_sealed()
+        let is_view_needed = self.acceptor.is_sealed()
             || self.must_shrink()
-            || (rank == 0 && self.can_grow_or_drop_voter());
-        is_wanted.then_some(rank)
+            || (rank == 0 && self.can_grow_or_remove_voter());
+        is_view_needed.then_some(rank)
     }
 
-    fn is_agreement_under_way(&self) -> bool {
-        // Voters that have answered hear nothing more until the slowest vote has come.
+    fn is_agreement_in_progress(&self) -> bool {
+        // Voters that have answered receive no further requests until the slowest vote has arrived.
         let timeout = self.with_syncs(PEER_TIMEOUT, SYNCS_PER_ANSWER);
         match self.proposer.last_ballot_at() {
             Some(at) => self.now.saturating_sub(at) < timeout,
@@ -47,8 +48,8 @@
         }
     }
 
-    fn can_grow_or_drop_voter(&self) -> bool {
-        self.has_joiners() || self.voter_to_drop(&self.view.voters).is_some()
+    fn can_grow_or_remove_voter(&self) -> bool {
+        self.has_joiners() || self.voter_to_remove(&self.view.voters).is_some()
     }
 
     fn has_joiners(&self) -> bool {
@@ -58,7 +59,8 @@
             .is_empty()
     }
 
-    /// Preferred members of the chain before this one; those that are not preferred come last.
+    /// Number of preferred chain members before this one. Members that are not preferred rank after
+    /// all preferred ones.
     fn rank(&self) -> usize {
         let is_preferred = self.is_preferred(self.local.identity());
         let mut rank = 0;
@@ -73,13 +75,14 @@
         rank
     }
 
-    /// Whether a member of the chain stays in it for good: it has no slow disk either.
+    /// Returns whether a member of the chain should remain in it: it is alive, is not leaving and
+    /// has no slow disk.
     pub(super) fn is_preferred(&self, identity: &Identity) -> bool {
-        self.stays(identity) && !self.has_slow_disk(identity)
+        self.is_staying(identity) && !self.has_slow_disk(identity)
     }
 
-    /// Whether a member of the chain is alive and does not want to leave.
-    pub(super) fn stays(&self, identity: &Identity) -> bool {
+    /// Returns whether a member of the chain is alive and is not leaving.
+    pub(super) fn is_staying(&self, identity: &Identity) -> bool {
         let is_leaving = match self.local.is(identity) {
             true => self.is_leaving(),
             false => match self.failure_detector.peer(identity) {
@@ -94,14 +97,15 @@
         self.local.is(identity) || !self.failure_detector.has_timed_out(identity, self.now)
     }
 
-    /// Whether a member of the chain has failed, leaves or has a slow disk, and enough are left
-    /// without it.
+    /// Returns whether a member of the chain has failed, is leaving or has a slow disk, and enough
+    /// members remain without it.
     fn must_shrink(&self) -> bool {
         self.can_shrink_to(|identity| self.is_preferred(identity))
-            || self.can_shrink_to(|identity| self.stays(identity))
+            || self.can_shrink_to(|identity| self.is_staying(identity))
     }
 
-    /// Whether these members of the chain are not all of it, and enough with the joiners.
+    /// Returns whether the matching members are only a part of the chain, and together with the
+    /// joiners are enough for a chain.
     fn can_shrink_to(&self, is_kept: impl Fn(&Identity) -> bool) -> bool {
         let members = self.view.chain_members();
         let kept = members.filter(|member| is_kept(&member.identity)).count();
@@ -110,21 +114,24 @@
         kept < self.view.chain.len() && kept > 0 && kept + joining >= required
     }
 
-    /// Machines outside the chain that have all operations up to `base`, but for the last `max_lag`
-    /// of them, and that exchange heartbeats both ways with every present member of the chain.
-    /// Machines with slow disks are among them only where the chain would be too short with the
-    /// others and `survivors` members of the present one.
+    /// Machines outside the chain that lack at most `max_lag` of the operations up to `base` and
+    /// exchange heartbeats in both directions with every present member of the chain. Machines with
+    /// slow disks are included only if the other joiners and `survivors` members of the current
+    /// chain are too few for a chain.
     pub(super) fn joiners(&self, survivors: usize, base: Revision, max_lag: u64) -> Vec<Member> {
-        let is_near = |peer: &&Peer| peer.heartbeat().last_revision.0 + max_lag >= base.0;
+        let is_nearly_caught_up =
+            |peer: &&Peer| peer.heartbeat().last_revision.0 + max_lag >= base.0;
         let joiners = self.failure_detector.peers();
-        let joiners = joiners.filter(|peer| self.may_join(peer)).filter(is_near);
+        let joiners = joiners
+            .filter(|peer| self.may_join(peer))
+            .filter(is_nearly_caught_up);
         let joiners = joiners.map(|peer| peer.member().clone());
-        let (slow, quick): (Vec<_>, Vec<_>) =
+        let (slow, fast): (Vec<_>, Vec<_>) =
             joiners.partition(|member| self.has_slow_disk(&member.identity));
         let required = self.local.required_chain_len(self.view.voters.len());
-        match survivors + quick.len() < required {
-            true => quick.into_iter().chain(slow).collect(),
-            false => quick,
+        match survivors + fast.len() < required {
+            true => fast.into_iter().chain(slow).collect(),
+            false => fast,
         }
     }
 
@@ -145,23 +152,24 @@
         present.all(|member| self.echo_each_other(&member.identity, peer))
     }
 
-    /// Whether the newest heartbeats of a chain member and of a peer echo each other.
+    /// Returns whether the newest heartbeats of a chain member and of a peer echo each other.
     fn echo_each_other(&self, member: &Identity, peer: &Peer) -> bool {
         if !peer.heartbeat().echoes_identity(member) {
             return false;
         }
         if self.local.is(member) {
-            // This member has the peer's heartbeat in its hands.
+            // This member has received the peer's heartbeat.
             return true;
         }
         match self.failure_detector.peer(member) {
-            Some(known) => known.heartbeat().echoes_identity(peer.identity()),
+            Some(member_peer) => member_peer.heartbeat().echoes_identity(peer.identity()),
             None => false,
         }
     }
 
-    /// A voter outside the chain that has been silent for long, as long as 2f+1 others live.
-    pub(super) fn voter_to_drop(&self, voters: &[Member]) -> Option<Identity> {
+    /// A voter outside the chain that has sent no heartbeat for [`VOTER_REMOVAL_TIMEOUT`] ms,
+    /// provided that at least 2f+1 other voters are present.
+    pub(super) fn voter_to_remove(&self, voters: &[Member]) -> Option<Identity> {
         let present = voters
             .iter()
             .filter(|voter| self.is_present(&voter.identity))
@@ -169,11 +177,13 @@
         if present <= 2 * self.local.tolerated_faults() {
             return None;
         }
-        let gone = voters.iter().find(|voter| self.is_gone(&voter.identity))?;
-        Some(gone.identity.clone())
+        let removable = voters
+            .iter()
+            .find(|voter| self.is_removable(&voter.identity))?;
+        Some(removable.identity.clone())
     }
 
-    fn is_gone(&self, voter: &Identity) -> bool {
+    fn is_removable(&self, voter: &Identity) -> bool {
         !self.view.is_in_chain(voter)
             && !self.local.is(voter)
             && self.failure_detector.time_since_heartbeat(voter, self.now) >= VOTER_REMOVAL_TIMEOUT
--- a/tier/chain/src/member/replication.rs
+++ b/tier/chain/src/member/replication.rs
@@ -1,5 +1,5 @@
-//! Operations on their way down the chain: each member syncs them before it passes them to its
-//! successor.
+//! Replication of operations along the chain: each member syncs operations before it sends them to
+//! its successor.
 
 use plankhill_protocol::ids::Revision;
 
@@ -17,22 +17,22 @@
 use super::disk_speed::SYNCS_PER_ANSWER;
 use super::ChainMember;
 
-/// Bytes of operations in one message.
+/// Maximum size in bytes of the operations in one message; a single larger operation is still sent.
 pub(super) const MAX_MESSAGE_BYTES: usize = 512 * 1024;
 
-/// What this member has passed on to its successor.
+/// Progress of replication to the successor.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SuccessorProgress {
-    /// The last operation sent.
+    /// Revision of the last operation sent.
     sent: Revision,
-    /// The last operation that the successor has on disk, as far as is known.
+    /// Revision of the last operation that is known to be on the disk of the successor.
     matched: Revision,
-    /// When the successor advanced, or when it was sent something while it lacked nothing.
+    /// Time at which the successor last advanced, or was sent an operation after it had caught up.
     progress_at: Millis,
 }
 
 impl SuccessorProgress {
-    /// The successor is thought to have everything up to here.
+    /// Assumes that the successor has all operations up to this revision.
     pub(super) fn caught_up_to(revision: Revision) -> Self {
         Self {
             sent: revision,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// With an age for the time.
+    /// Returns a copy with the time replaced by its age.
     pub(super) fn with_ages(&self, now: Millis) -> Self {
         Self {
             progress_at: age(self.progress_at, now),
@@ -49,13 +49,14 @@
         }
     }
 
-    /// Whether the successor has everything that was sent.
+    /// Returns whether the successor has all operations that were sent.
     fn is_caught_up(&self) -> bool {
         self.sent <= self.matched
     }
 
-    /// The successor has this revision on its disk. An operation that is committed here is on every
-    /// disk of the chain, so that the position may not go back below `committed`.
+    /// Records that the successor reports this revision as its last one on disk. An operation that
+    /// is committed at this member is on every disk of the chain, so that the position must not go
+    /// back below `committed`.
     fn on_position(&mut self, revision: Revision, committed: Revision, now: Millis) {
         if revision > self.matched {
             self.progress_at = now;
@@ -63,7 +64,8 @@
         self.matched = revision.max(committed);
     }
 
-    /// Everything up to here is committed, and so on the successor's disk.
+    /// Records that operations up to this revision are committed, and so on the disk of the
+    /// successor.
     fn on_committed(&mut self, revision: Revision, now: Millis) {
         if revision > self.matched {
             self.matched = revision;
@@ -71,12 +73,12 @@
         }
     }
 
-    /// Whether the successor has not advanced for so long that messages count as lost.
+    /// Returns whether the successor has made no progress for so long that messages count as lost.
     fn has_stalled(&self, retry_interval: Millis, now: Millis) -> bool {
         now.saturating_sub(self.progress_at) >= retry_interval
     }
 
-    /// Everything after this revision will be sent again.
+    /// Resets the send position, so that all operations after this revision are sent again.
     fn rewind_to(&mut self, revision: Revision, now: Millis) {
         self.sent = revision;
         self.progress_at = now;
@@ -84,7 +86,7 @@
 }
 
 impl<M: StateMachine> ChainMember<M> {
-    /// Operations from the predecessor.
+    /// Processes operations from the predecessor.
     pub(super) fn on_append(
         &mut self,
         from: &Identity,
@@ -96,29 +98,30 @@
             Some(predecessor) => predecessor.identity == *from,
             None => false,
         };
-        // Behind a gap nothing is taken; the predecessor sends again.
-        let follows = previous <= self.log.last();
-        if view != self.view.number || !is_from_predecessor || !follows {
+        // Operations after a gap are rejected; the predecessor sends them again.
+        let is_contiguous = previous <= self.log.last();
+        if view != self.view.number || !is_from_predecessor || !is_contiguous {
             return;
         }
-        if self.takes_no_operations() || !self.is_disk_available() {
+        if self.rejects_operations() || !self.is_disk_available() {
             return;
         }
-        let known = usize::try_from(self.log.last().0 - previous.0).unwrap_or(usize::MAX);
-        self.append(entries.into_iter().skip(known).collect());
+        let duplicates = usize::try_from(self.log.last().0 - previous.0).unwrap_or(usize::MAX);
+        self.append(entries.into_iter().skip(duplicates).collect());
     }
 
-    /// Whether this member has promised to help with the next view, and so leaves its log as the
-    /// promise says.
-    pub(super) fn takes_no_operations(&self) -> bool {
+    /// Returns whether this member has promised a ballot for the next view. Its log must then stay
+    /// as the promise reports it.
+    pub(super) fn rejects_operations(&self) -> bool {
         #[cfg(feature = "planted-bugs")]
-        if self.makes(PlantedBug::SealIgnored) {
+        if self.has_bug(PlantedBug::SealIgnored) {
             return false;
         }
         self.acceptor.is_sealed()
     }
 
-    /// Puts operations at the end of the log, on disk before anything else happens to them.
+    /// Appends operations to the log and persists them; they are replicated or committed only once
+    /// they are on disk.
     pub(super) fn append(&mut self, entries: Vec<Entry>) {
         if entries.is_empty() {
             return;
@@ -131,7 +134,7 @@
         self.persist(writes, AfterSync::Appended(position));
     }
 
-    /// Operations of a view have reached the disk.
+    /// Commits or replicates operations of a view that have reached the disk.
     pub(super) fn on_appended(&mut self, view: ViewNumber) {
         if view != self.view.number {
             return;
@@ -143,9 +146,9 @@
         }
     }
 
-    /// Sends what is on disk and was not sent yet.
+    /// Sends the operations that are on disk and have not been sent yet.
     fn send_to_successor(&mut self) {
-        if !self.is_view_persisted() || self.takes_no_operations() {
+        if !self.is_view_persisted() || self.rejects_operations() {
             return;
         }
         let Some(successor) = self.view.successor_of(self.local.identity()) else {
@@ -171,7 +174,7 @@
         }
     }
 
-    /// A member's heartbeat reports the last operation on its disk.
+    /// Processes the last revision on disk that the heartbeat of a member reports.
     pub(super) fn on_successor_position(&mut self, from: &Identity, revision: Revision) {
         let is_successor = match self.view.successor_of(self.local.identity()) {
             Some(successor) => successor.identity == *from,
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Sends again what the successor does not seem to have got.
+    /// Resends operations if the successor has made no progress for the retry interval.
     pub(super) fn resend_operations(&mut self) {
         if !self.is_in_chain() || self.is_tail() {
             return;
@@ -200,8 +203,9 @@
         }
     }
 
-    /// Another member of this view reports that operations up to here are committed. All logs of
-    /// one view are beginnings of the head's, so that the operations here are the same ones.
+    /// Processes a report from another member of this view that operations up to a revision are
+    /// committed. All logs of one view are prefixes of the head's log, so that this member has the
+    /// same operations.
     pub(super) fn on_committed(&mut self, from: &Identity, view: ViewNumber, revision: Revision) {
         if view != self.view.number {
             return;
--- a/tier/chain/src/member/view_change.rs
+++ b/tier/chain/src/member/view_change.rs
@@ -1,4 +1,4 @@
-//! Adopting a view that was agreed on, and starting again with the one on disk.
+//! Adoption of a decided view, and restart with the view on disk.
 
 use plankhill_protocol::ids::Revision;
 
@@ -13,20 +13,21 @@
 use super::ChainMember;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// After a start: applies what this member knows to be committed. What the tail has on its
-    /// disk, every member before it in the chain has as well.
+    /// Restores the state after a start: applies the operations that are known to be committed. If
+    /// this member is the tail, these are all operations in its log, because every member before
+    /// the tail in the chain has them on disk as well.
     pub(super) fn resume(&mut self, committed: Revision) {
-        let known = match self.is_tail() {
+        let last_committed = match self.is_tail() {
             true => self.log.last(),
             false => committed,
         };
-        self.commit_to(known);
+        self.commit_to(last_committed);
         self.successor = SuccessorProgress::caught_up_to(self.log.last());
     }
 
-    /// Adopts a later view. A member that comes from the view before cuts its log at the base,
-    /// which commits all that is left; a member that skipped a view keeps only what it knows to be
-    /// committed.
+    /// Adopts a later view. A member that was in the previous view truncates its log at the base,
+    /// up to which all operations are committed; a member that skipped a view keeps only operations
+    /// that are known to be committed.
     pub(super) fn adopt_view(&mut self, view: View) {
         if view.number <= self.view.number {
             return;
@@ -46,8 +47,8 @@
         self.begin_view();
     }
 
-    /// View, truncation and acceptor reach the disk in one batch: a member never finds the view
-    /// with operations that are void in it, nor with promises for an older one.
+    /// Writes the view, the truncation and the acceptor in one batch: after a restart the member
+    /// never has the view with operations that are void in it, nor with promises for an older view.
     fn persist_view(&mut self, last_kept: Revision) {
         let writes = vec![
             Write::View(self.view.clone()),
@@ -65,7 +66,7 @@
         self.proposer.reset(self.now);
         self.successor = SuccessorProgress::caught_up_to(self.log.last());
         self.catch_up.reset();
-        self.failure_detector.forget_confirmations();
+        self.failure_detector.clear_confirmations();
         self.freshness.reset();
         self.restart_proposals();
         self.read_confirmation.reset();
--- a/tier/chain/src/member/view_plan.rs
+++ b/tier/chain/src/member/view_plan.rs
@@ -1,4 +1,4 @@
-//! Which view to propose, given the promises of the present view's voters.
+//! Selection of the view to propose, given the promises of the voters of the current view.
 
 use crate::effect::Millis;
 #[cfg(feature = "planted-bugs")]
@@ -19,10 +19,11 @@
 const SYNCS_PER_CATCH_UP: Millis = 3;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// The view to ask for; `None` while it is better to wait for further promises or a joiner.
+    /// Plans the view to propose; `None` while it is better to wait for further promises or a
+    /// joiner.
     pub(super) fn plan_view(&self, promises: &Promises, waited: Millis) -> Option<View> {
         if !self.view.number.is_founded() {
-            return self.plan_founding(promises, waited);
+            return self.plan_first_view(promises, waited);
         }
         let has_promised = |member: &Member| match promises.get(&member.identity.node) {
             Some(promise) => promise.identity == member.identity,
@@ -39,7 +40,7 @@
                 continue;
             }
             sealed.push(member);
-            if self.stays(&member.identity) {
+            if self.is_staying(&member.identity) {
                 staying.push(member);
             }
             if is_preferred {
@@ -50,24 +51,25 @@
         if is_promise_missing && waited < promise_timeout {
             return None;
         }
-        // Members with slow disks, and then those that want to leave, are kept where the chain
-        // would be too short without them.
+        // Members with slow disks, and then members that are leaving, are kept if the chain would
+        // be too short without them.
         self.compose_view(&preferred, promises, waited)
             .or_else(|| self.compose_view(&staying, promises, waited))
             .or_else(|| self.compose_view(&sealed, promises, waited))
     }
 
-    /// The view with these members of the present chain, which have promised and so are sealed, and
-    /// all joiners.
+    /// Composes a view of the given members of the current chain, which have promised and so are
+    /// sealed, and all joiners. `None` if the chain would be too short, or while it is better to
+    /// wait for a joiner that is still catching up.
     fn compose_view(
         &self,
         survivors: &[&Member],
         promises: &Promises,
         waited: Millis,
     ) -> Option<View> {
-        // The lowest revision of the survivors: each of them has everything up to there, and
-        // everything committed lies there or below, since every survivor had synced it before it
-        // was sealed.
+        // The base is the lowest revision of the survivors: each of them has every operation up to
+        // it, and every committed operation is among these, because every survivor had synced the
+        // operation before the survivor was sealed.
         let promises = survivors
             .iter()
             .filter_map(|member| promises.get(&member.identity.node));
@@ -77,14 +79,14 @@
         let base = revisions.min()?;
         #[cfg(feature = "planted-bugs")]
         let base = match () {
-            () if self.makes(PlantedBug::BaseTooHigh) => highest,
-            () if self.makes(PlantedBug::BaseTooLow) => Revision(base.0.saturating_sub(1)),
+            () if self.has_bug(PlantedBug::BaseTooHigh) => highest,
+            () if self.has_bug(PlantedBug::BaseTooLow) => Revision(base.0.saturating_sub(1)),
             () => base,
         };
         let joiners = self.joiners(survivors.len(), base, 0);
-        let near = self.joiners(survivors.len(), base, MAX_JOINER_LAG);
+        let nearly_caught_up = self.joiners(survivors.len(), base, MAX_JOINER_LAG);
         let catch_up_timeout = self.with_regular_syncs(CATCH_UP_TIMEOUT, SYNCS_PER_CATCH_UP);
-        if near.len() > joiners.len() && waited < catch_up_timeout {
+        if nearly_caught_up.len() > joiners.len() && waited < catch_up_timeout {
             return None;
         }
         let voters = self.next_voters(&joiners);
@@ -102,8 +104,8 @@
         })
     }
 
-    /// The voters with the joiners among them: a new incarnation of a disk replaces the old one,
-    /// and voters that have failed for good are dropped.
+    /// Voters of the next view, including the joiners: a new incarnation of a disk replaces the old
+    /// one, and the voters that `voter_to_remove` selects are removed.
     fn next_voters(&self, joiners: &[Member]) -> Vec<Member> {
         let is_replaced = |voter: &Member| {
             let mut joiners = joiners.iter();
@@ -112,8 +114,8 @@
         let mut voters = self.view.voters.clone();
         voters.retain(|voter| !is_replaced(voter));
         voters.extend(joiners.iter().cloned());
-        while let Some(gone) = self.voter_to_drop(&voters) {
-            voters.retain(|voter| voter.identity != gone);
+        while let Some(removed) = self.voter_to_remove(&voters) {
+            voters.retain(|voter| voter.identity != removed);
         }
         voters.sort_by(|one, other| one.identity.cmp(&other.identity));
         voters
--- a/tier/chain/src/member/voting.rs
+++ b/tier/chain/src/member/voting.rs
@@ -1,7 +1,8 @@
-//! A voter's answers in the agreement on the next view. Promises and acceptances are on disk before
-//! they are sent, so that a voter that restarts keeps them. A question that comes again is answered
-//! from what is on the disk, without another write: on a slow disk proposers repeat themselves
-//! several times during one sync.
+//! Answers of a voter in the agreement on the next view.
+//!
+//! Promises and acceptances are on disk before they are sent, so that a voter that restarts keeps
+//! them. A repeated request is answered from the state on disk without another write: on a slow
+//! disk proposers repeat their requests several times during one sync.
 
 use crate::acceptor::Ballot;
 use crate::message::Message;
@@ -14,8 +15,9 @@
 use super::ChainMember;
 
 impl<M: StateMachine> ChainMember<M> {
-    /// First phase. With the promise this member stops taking operations in its present view, so
-    /// that the revision in the promise stays true until the next view begins.
+    /// Processes a request of the first phase. After its promise, this member takes no further
+    /// operations in its current view, so that the revision in the promise stays correct until the
+    /// next view begins.
     pub(super) fn on_prepare(&mut self, from: &Identity, instance: ViewNumber, ballot: Ballot) {
         if !self.admit_ballot(from, instance, &ballot) {
             return;
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Second phase.
+    /// Processes a request of the second phase.
     pub(super) fn on_accept(&mut self, from: &Identity, ballot: Ballot, view: View) {
         let instance = view.number;
         if !self.admit_ballot(from, instance, &ballot) {
@@ -53,8 +55,9 @@
         }
     }
 
-    /// Whether this member votes on that view and has promised no later ballot. A proposer whose
-    /// view is too old gets the decided view; one whose ballot is too low gets a refusal.
+    /// Returns whether this member votes on the view and has promised no higher ballot. A proposer
+    /// whose view is too old receives the decided view; one whose ballot is too low receives a
+    /// refusal.
     fn admit_ballot(&mut self, from: &Identity, instance: ViewNumber, ballot: &Ballot) -> bool {
         if instance <= self.view.number {
             let decided = Message::Decided(self.view.clone());
@@ -68,10 +71,10 @@
         }
         self.proposer.observe_ballot(ballot, self.now);
         if !self.is_disk_available() {
-            // The vote could not be written; the proposer asks again.
+            // The vote could not be written; the proposer sends its request again.
             return false;
         }
-        let Some(promised) = self.acceptor.later_promise(ballot).cloned() else {
+        let Some(promised) = self.acceptor.higher_promise(ballot).cloned() else {
             return true;
         };
         self.send_vote(from, Vote::Refuse { instance, promised });
@@ -85,15 +88,15 @@
         }
     }
 
-    /// Answers a question that has been answered before. While the first answer still waits for its
-    /// sync nothing is added: that answer leaves with the sync.
+    /// Answers a repeated request. If the first answer still waits for its sync, nothing is sent
+    /// now: that answer is sent after the sync.
     fn repeat_vote(&mut self, to: &Identity, vote: Vote) {
         if self.outbox.is_synced(self.acceptor_ticket) {
             self.send_vote(to, vote);
         }
     }
 
-    /// Writes the acceptor to disk, and counts or sends the vote after that.
+    /// Writes the acceptor to disk, and counts or sends the vote after the sync.
     fn send_vote_when_persisted(&mut self, to: &Identity, vote: Vote) {
         let after = if self.local.is(to) {
             AfterSync::CountVote(vote)
--- a/tier/chain/src/outbox.rs
+++ b/tier/chain/src/outbox.rs
@@ -1,6 +1,6 @@
-//! Effects that wait for the driver, and what follows once a batch of writes is synced.
+//! Queues of effects for the driver and of actions that run once a batch of writes is synced.
 //!
-//! The member queues both; the driver takes the effects after each call and reports synced batches.
+//! The driver takes the effects after each call to the member and reports synced batches.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
 use crate::sync_times::SyncTimes;
 use crate::vote::Vote;
 
-/// What follows once a batch of writes is synced.
+/// Action to take once a batch of writes is synced.
 #[derive(Clone, Debug)]
 pub(crate) enum AfterSync {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// The message may be sent.
+    /// Send the message.
     Send(SocketAddr, Message),
-    /// A vote of this member may be counted by its own attempt.
+    /// Count a vote of this member in its own attempt.
     CountVote(Vote),
-    /// Operations up to here are on disk.
+    /// Record that operations up to this position are on disk.
     Appended(LogPosition),
-    /// A new view is on disk, with the operations up to here.
+    /// Record that a new view is on disk, with operations up to this position.
     ViewAdopted(LogPosition),
 }
 
@@ -40,7 +40,7 @@
     effects: Vec<Effect>,
     last_ticket: Ticket,
     pending_batches: VecDeque<PendingBatch>,
-    /// When the last sync ended.
+    /// Time at which the last sync ended.
     synced_at: Millis,
     sync_times: SyncTimes,
 }
@@ -56,7 +56,7 @@
         self.push(Effect::Send { to, message });
     }
 
-    /// Queues a batch of writes, and what follows once the batch is synced.
+    /// Queues a batch of writes and the action to take once the batch is synced.
     pub(crate) fn persist(&mut self, writes: Vec<Write>, after: AfterSync, now: Millis) -> Ticket {
         self.last_ticket.0 += 1;
         let ticket = self.last_ticket;
@@ -69,21 +69,22 @@
         ticket
     }
 
-    /// All queued effects, in order.
+    /// Removes and returns all queued effects, in order.
     pub(crate) fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// A sync has ended. All batches that waited when it began share it, so that it began with the
-    /// oldest of them or with the end of the sync before.
+    /// Records the end of a sync. A sync covers all batches that were pending when it began, so it
+    /// began when the oldest of them was submitted or when the previous sync ended, whichever is
+    /// later.
     pub(crate) fn record_sync(&mut self, now: Millis) {
-        if let Some(since) = self.sync_under_way_since() {
+        if let Some(since) = self.sync_started_at() {
             self.sync_times.record(now.saturating_sub(since));
         }
         self.synced_at = now;
     }
 
-    /// Removes the oldest pending batch if that batch is synced; what follows from it.
+    /// Removes the oldest pending batch if it is synced, and returns its action.
     pub(crate) fn pop_synced(&mut self, ticket: Ticket) -> Option<AfterSync> {
         if self.pending_batches.front()?.ticket > ticket {
             return None;
@@ -92,21 +93,22 @@
         Some(batch.after)
     }
 
-    /// What follows from the pending batches, in order.
-    pub(crate) fn pending_follow_ups(&self) -> Vec<&AfterSync> {
+    /// Actions of the pending batches, in order.
+    pub(crate) fn pending_actions(&self) -> Vec<&AfterSync> {
         self.pending_batches
             .iter()
             .map(|batch| &batch.after)
             .collect()
     }
 
-    /// When the sync under way began.
-    pub(crate) fn sync_under_way_since(&self) -> Option<Millis> {
+    /// Time at which the sync in progress began; `None` if no batch is pending.
+    pub(crate) fn sync_started_at(&self) -> Option<Millis> {
         let oldest = self.pending_batches.front()?;
         Some(oldest.submitted_at.max(self.synced_at))
     }
 
-    /// Whether a batch of this process is synced. The ticket 0 is that of what the process found.
+    /// Returns whether a batch of this process is synced. Ticket 0 represents the state loaded at
+    /// the start of the process.
     pub(crate) fn is_synced(&self, ticket: Ticket) -> bool {
         match self.pending_batches.front() {
             Some(oldest) => ticket < oldest.ticket,
@@ -114,17 +116,17 @@
         }
     }
 
-    /// The times of the last syncs.
+    /// Durations of the most recent syncs.
     pub(crate) fn sync_times(&self) -> &SyncTimes {
         &self.sync_times
     }
 
-    /// How long a sync takes at present; `None` before the first.
+    /// Median duration of the most recent syncs; `None` before the first.
     pub(crate) fn sync_time(&self) -> Option<Millis> {
         self.sync_times.median()
     }
 
-    /// For how long nothing has been written; 0 while a batch is pending.
+    /// Time since the last sync ended; 0 while a batch is pending.
     pub(crate) fn idle_for(&self, now: Millis) -> Millis {
         match self.pending_batches.is_empty() {
             true => now.saturating_sub(self.synced_at),
--- a/tier/chain/src/planted_bug.rs
+++ b/tier/chain/src/planted_bug.rs
@@ -1,19 +1,19 @@
-//! Mistakes that tests plant in a member, to see that they are found. Not part of any product build:
-//! only this package's tests enable the feature `planted-bugs`.
+//! Protocol bugs that tests inject into a member to verify that their checks detect them. Not part
+//! of any product build: only the tests of this package enable the feature `planted-bugs`.
 
-/// A mistake in the rules.
+/// A violation of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlantedBug {
-    /// A proposer forgets the views that voters report to have accepted.
+    /// A proposer ignores the views that voters report as accepted.
     AcceptedViewForgotten,
-    /// A proposer asks for a view before its own promise is on its disk.
+    /// A proposer starts the second phase before its own promise is on its disk.
     OwnPromiseNotAwaited,
-    /// The base of a new view is the highest revision of a survivor, not the lowest.
+    /// The base of a new view is the highest last revision of the survivors instead of the lowest.
     BaseTooHigh,
-    /// The base of a new view lies one below the lowest revision of a survivor.
+    /// The base of a new view is one less than the lowest last revision of the survivors.
     BaseTooLow,
-    /// A member takes operations after it has promised to help with the next view.
+    /// A member takes operations after it has promised a ballot for the next view.
     SealIgnored,
-    /// The tail answers a read after one voter less than a majority.
+    /// The tail answers a read after confirmations from one voter fewer than a majority.
     ReadQuorumTooSmall,
 }
--- a/tier/chain/src/timing.rs
+++ b/tier/chain/src/timing.rs
@@ -1,55 +1,64 @@
-//! Times of the chain in ms. Chosen so that a chain without a dead member answers again well under
-//! a second after the death, at a few messages a second. `docs/system/chain.md` has the table of
-//! who proposes a view after which time.
+//! Timeouts and intervals of the chain in ms. The values are chosen so that the chain answers again
+//! well under a second after the failure of a member, at a few messages a second.
+//! `docs/system/chain.md` has a table of which member proposes a view after which time.
 
 use crate::effect::Millis;
 
-/// Between heartbeats.
+/// Interval between heartbeats.
 pub const HEARTBEAT_INTERVAL: Millis = 150;
-/// A member of which nothing was received for so long counts as failed: four heartbeats.
+/// A member counts as failed when no heartbeat has been received from it for this long: four
+/// heartbeat intervals.
 pub const PEER_TIMEOUT: Millis = 600;
-/// A member that knows of no confirmation younger than this does not call itself current.
+/// A member is current only while its newest confirmation is younger than this.
 pub const CONFIRMATION_TTL: Millis = 1_000;
-/// A peer counts as reachable while the peer has echoed a heartbeat sent no longer ago than this.
+/// A peer counts as reachable only if it has echoed a heartbeat that was sent less than this long
+/// ago.
 pub const ECHO_TTL: Millis = 1_000;
-/// Heartbeats of a member have to come without a break for so long before the member is taken into
+/// Heartbeats of a member must have arrived without a gap for this long before the member may join
 /// the chain.
 pub const MIN_STABLE_INTERVAL: Millis = 450;
-/// A voter outside the chain that was silent for so long makes room for another.
+/// A voter outside the chain from which no heartbeat was received for this long may be removed to
+/// make room for another.
 pub const VOTER_REMOVAL_TIMEOUT: Millis = 2_000;
-/// A member proposes a view this much later for each member that ranks before it.
+/// Additional delay before a member proposes a view, for each member that ranks before it.
 pub const PROPOSER_RANK_INTERVAL: Millis = 150;
-/// A proposer waits so long, and for the syncs of a promise, for chain members that are alive.
+/// Time, plus the syncs of a promise, for which a proposer waits for the promises of live chain
+/// members.
 pub const PROMISE_TIMEOUT: Millis = 200;
-/// A proposer waits so long, and for the syncs that it takes, for a member that is still catching
-/// up.
+/// Time, plus the syncs of a catch-up, for which a proposer waits for a member that is still
+/// catching up.
 pub const CATCH_UP_TIMEOUT: Millis = 400;
-/// A proposer abandons an attempt that has got no further vote for this long and the syncs of a
-/// vote. Doubled with each attempt in a row that got too few votes.
+/// A proposer abandons an attempt that has received no further vote for this long plus the syncs of
+/// a vote. Doubled with each consecutive attempt that received too few votes.
 pub const ATTEMPT_TIMEOUT: Millis = 900;
-/// The random backoff before the next attempt is shorter than this and the syncs of a vote. Doubled
-/// with each attempt in a row that got too few votes.
+/// Upper limit, plus the syncs of a vote, of the random backoff before the next attempt. Doubled
+/// with each consecutive attempt that received too few votes.
 pub const MAX_ATTEMPT_BACKOFF: Millis = 250;
-/// Unanswered messages of an agreement are sent again after this long.
+/// Interval at which unanswered messages of an agreement are sent again.
 pub const VOTE_RETRY_INTERVAL: Millis = 100;
-/// Operations without any progress at the successor are sent again after this long.
+/// Operations are sent again when the successor has made no progress for this long plus the syncs
+/// of an answer.
 pub const APPEND_RETRY_INTERVAL: Millis = 300;
-/// Proposals, reads and requests for operations are sent again after this long.
+/// Interval at which unanswered proposals, reads and requests for operations are sent again.
 pub const REQUEST_RETRY_INTERVAL: Millis = 350;
-/// A process whose ticks lie so far apart was frozen, and received nothing meanwhile.
+/// A process was frozen, and received nothing in the meantime, if two of its ticks are at least
+/// this far apart.
 pub const FREEZE_THRESHOLD: Millis = 400;
-/// A disk whose sync under way takes so long, beside two of its usual ones, counts as failed until
-/// it answers. Well above a slow sync (some 10 ms, or some 100 on a disk with a fault).
+/// A disk counts as failed while a sync takes at least this long plus twice its usual sync time.
+/// Well above a slow sync (some 10 ms, or some 100 ms on a faulty disk).
 pub const DISK_STALL_TIMEOUT: Millis = 1_000;
-/// A sync time above this one counts as this one where waiting times follow the disks.
+/// Upper limit of the sync times that are added to timeouts and compared between disks.
 pub const MAX_COUNTED_SYNC_TIME: Millis = 2_000;
-/// A disk whose syncs take less is never left out for being slow.
+/// A member of the chain whose syncs take less than this never counts as slow.
 pub const MIN_SLOW_SYNC_TIME: Millis = 50;
-/// A disk counts as slow when its syncs have taken long for this long and two of them more.
+/// The disk of a chain member counts as slow only after its syncs have been slow for this long plus
+/// the time of two of them.
 pub const SLOW_DISK_GRACE: Millis = 500;
-/// A disk whose syncs take less is quick again, however quick the others are.
-pub const MAX_QUICK_SYNC_TIME: Millis = 25;
-/// A disk that was slow and has had nothing to write is tried after this long.
+/// A slow disk counts as fast again when its syncs take less than this, regardless of the other
+/// disks.
+pub const MAX_FAST_SYNC_TIME: Millis = 25;
+/// A slow disk is probed with a write after it has been idle for this long.
 pub const DISK_PROBE_INTERVAL: Millis = 300;
-/// Founders propose the first view without those of which nothing was received after this long.
+/// After this long, the founders propose the first view without the founders from which no
+/// heartbeat was received.
 pub const BOOTSTRAP_TIMEOUT: Millis = 1_500;
--- a/tier/chain/tests/exploration/node.rs
+++ b/tier/chain/tests/exploration/node.rs
@@ -95,7 +95,7 @@
         let mut member =
             ChainMember::new(config, disk.clone(), machine, STARTED_AT).expect("a readable disk");
         if let Some(Defect::Planted(bug)) = defect {
-            member.plant(bug);
+            member.plant_bug(bug);
         }
         Self {
             member,
--- a/tier/chain/tests/exploration/system.rs
+++ b/tier/chain/tests/exploration/system.rs
@@ -278,7 +278,7 @@
         for node in &self.nodes {
             let heartbeat = node.heartbeat.clone().map(without_numbers);
             let unsynced: Vec<_> = node.unsynced.iter().map(|(_, writes)| writes).collect();
-            let state = node.member.timeless_state();
+            let state = node.member.canonical_state();
             // Writing into a string does not fail.
             let _ = write!(text, " {state} {:?} {unsynced:?} {heartbeat:?}", node.disk);
         }
--- a/tier/chain/tests/simulation/world/processes.rs
+++ b/tier/chain/tests/simulation/world/processes.rs
@@ -32,7 +32,7 @@
         self.machines[index].start(start, &self.history, self.now, &mut self.rng);
         if let Some(InjectedBug::Planted(bug)) = self.config.injected_bug {
             if let Some(member) = self.machines[index].process.as_mut() {
-                member.plant(bug);
+                member.plant_bug(bug);
             }
         }
         self.deliver_input(index, Input::Tick);
