--- a/tier/draining/src/disruption_budget.rs
+++ b/tier/draining/src/disruption_budget.rs
@@ -1,4 +1,4 @@
-//! Whether enough forwarders stay in service once some have drained.
+//! Disruption budget: checks that enough forwarders stay in service when some of them drain.
 //!
 //! Called by the control state for each drain order, and by the rolling restart before it drains
 //! another node.
@@ -7,33 +7,34 @@
 
 use plankhill_protocol::ids::ZoneName;
 
-/// A registered forwarder, as the budget counts it.
+/// A registered forwarder that counts towards the budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BudgetMember {
-    /// Its zone.
+    /// The forwarder's zone.
     pub zone: ZoneName,
-    /// Whether it is draining, or would be.
+    /// Whether the forwarder is draining, or would be draining under the order that is checked.
     pub is_draining: bool,
 }
 
-/// The bound that a drain would break.
+/// The bound that a drain would violate.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BudgetExceeded {
-    /// The platform uses all forwarders of a zone again where under half of them report that they
-    /// are ready, so that the draining ones would go on receiving clients.
+    /// When fewer than half of a zone's forwarders report ready, the platform routes clients to all
+    /// of them again, so that the draining ones would continue to receive clients.
     #[error("under half of zone {0} would stay in service")]
     Zone(ZoneName),
-    /// A zone may drain as a whole, but half of all forwarders have to stay.
+    /// A zone may drain completely, but at least half of all forwarders have to stay in service.
     #[error("under half of all forwarders would stay in service")]
     All,
 }
 
-/// Checks that enough forwarders stay in service: half of all, and half of each zone unless the
-/// zone drains as a whole and its clients go to the nearest other one.
+/// Checks that enough forwarders stay in service: at least half of all forwarders, and at least
+/// half of each zone unless the zone drains completely and its clients are routed to the nearest
+/// other zone.
 ///
 /// # Errors
-/// [`BudgetExceeded`] with the first bound that does not hold: that on all forwarders, then the
-/// zones in the order of their names.
+/// Returns [`BudgetExceeded`] for the first violated bound: the bound on all forwarders is checked
+/// first, then those on the zones in the order of their names.
 pub fn check_disruption_budget(members: &[BudgetMember]) -> Result<(), BudgetExceeded> {
     let mut zones: BTreeMap<&ZoneName, Availability> = BTreeMap::new();
     let mut all = Availability::default();
@@ -45,15 +46,15 @@
         return Err(BudgetExceeded::All);
     }
     for (zone, availability) in zones {
-        let drains_as_a_whole = availability.in_service == 0;
-        if !drains_as_a_whole && !availability.has_half_in_service() {
+        let drains_completely = availability.in_service == 0;
+        if !drains_completely && !availability.has_half_in_service() {
             return Err(BudgetExceeded::Zone(zone.clone()));
         }
     }
     Ok(())
 }
 
-/// How many of a group of forwarders stay in service.
+/// The size of a group of forwarders, and how many of them stay in service.
 #[derive(Default)]
 struct Availability {
     in_service: usize,
--- a/tier/draining/src/node.rs
+++ b/tier/draining/src/node.rs
@@ -1,26 +1,28 @@
-//! The states of one forwarder that drains, as a state machine.
+//! State machine of the drain of one forwarder.
 //!
-//! | state | new connections | open connections | ends by | longest stay |
+//! | state | new connections | open connections | exit condition | time limit |
 //! | --- | --- | --- | --- | --- |
 //! | in service | accepted | kept | a drain order | - |
-//! | draining | rejected | each closes behind its next response | nothing in flight and none open; the idle timeout | the idle timeout |
+//! | draining | rejected | each is closed after its next response | nothing in flight and none open; the idle timeout | the idle timeout |
 //! | closing | rejected | idle ones are closed, responses in flight finish | nothing in flight and none open | the response timeout |
-//! | drained | rejected | none | the order is lifted | until then |
+//! | drained | rejected | none | the order is lifted | - |
 //!
-//! A lifted order leads back into service from every state. A node that cannot reach the control
-//! plane keeps the newest order that it knows, and can always be ended by SIGTERM.
+//! Lifting the order returns the node to service from every state. A node that cannot reach the
+//! control plane keeps following the newest order that it received, and can always be terminated
+//! with SIGTERM.
 //!
-//! A graceful shutdown takes the same way with shorter stays, and leads back nowhere: idle
-//! connections are closed once the platform sends no more clients, responses still in flight at the
-//! deadline are reset, and the process exits as soon as nothing is in flight.
+//! A graceful shutdown uses the same states with shorter time limits and never returns to service:
+//! idle connections are closed once the platform sends no more clients, responses still in flight
+//! at the deadline are reset, and the process exits as soon as nothing is in flight.
 //!
-//! The proxy owns the [`NodeDrain`], tells it what it observes, and carries out the actions.
+//! The proxy owns the [`NodeDrain`], passes its observations to [`NodeDrain::step`], and carries
+//! out the returned actions.
 
 use std::time::Duration;
 
 use crate::shutdown::{Shutdown, COMMIT_TIMEOUT, FLUSH_DELAY};
 
-/// Added to a client's idle timeout, so that the client closes its connection first.
+/// Added to the clients' idle timeout, so that clients close their connections first.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
 /// The state of a node.
@@ -29,7 +31,8 @@
     /// The node accepts clients.
     #[default]
     InService,
-    /// New clients are rejected; those on open connections are told to reconnect elsewhere.
+    /// New clients are rejected; each open connection is closed after its next response, so that
+    /// its client reconnects elsewhere.
     Draining,
     /// Idle connections are closed.
     Closing,
@@ -37,22 +40,22 @@
     Drained,
 }
 
-/// What the node observes of itself and of the control plane's tables.
+/// The observed state of the node and of the control plane's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeObservation {
     /// The number of the order that drains the node, if there is one.
     pub drain_order: Option<u64>,
-    /// Set once the process was told to end.
+    /// The deadlines of the graceful shutdown, set once the process has received SIGTERM.
     pub shutdown: Option<Shutdown>,
     /// Whether the control plane has recorded that the node drained under this order.
     pub drained_recorded: bool,
     /// Requests in flight.
     pub requests_in_flight: usize,
-    /// Open connections of clients.
+    /// Open client connections.
     pub open_connections: usize,
     /// The longest idle timeout of a client's connection that the configuration allows.
     pub max_idle_timeout: Duration,
-    /// The longest time that a response may take by the configuration.
+    /// The longest response timeout that the configuration allows.
     pub max_response_timeout: Duration,
 }
 
@@ -62,21 +65,23 @@
     }
 }
 
-/// What the node has to do.
+/// An action that the proxy has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Report that the node is not ready for new clients, and close each connection behind its next
+    /// Report that the node is not ready for new clients, and close each connection after its next
     /// response.
     RejectNewClients,
     /// Accept clients again.
     AcceptNewClients,
-    /// Close the idle connections; those with a response in flight close behind it.
+    /// Close the idle connections. A connection with a response in flight is closed after that
+    /// response.
     CloseIdleConnections,
-    /// Reset what is still open: its time is over.
+    /// Reset the connections that are still open after the time limit.
     ResetConnections,
     /// Report to the control plane that the node has drained under the order with this number.
     ReportDrained(u64),
-    /// Exit: nothing is in flight any more, or the time for it is over.
+    /// Exit the process: nothing is in flight any more, or the time limit for requests in flight
+    /// has passed.
     ExitProcess,
 }
 
@@ -84,27 +89,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct NodeDrain {
     state: NodeState,
-    /// The order that the state follows.
+    /// The number of the drain order that the state is based on.
     drain_order: Option<u64>,
     /// When the state was entered.
     entered_at: Duration,
     /// Whether connections have been reset in this state.
     has_reset: bool,
-    /// During a shutdown: when nothing was in flight for the first time.
+    /// The first time during a shutdown at which nothing was in flight.
     idle_since: Option<Duration>,
 }
 
 impl NodeDrain {
-    /// The present state.
+    /// The current state.
     pub fn state(&self) -> NodeState {
         self.state
     }
 
-    /// Advances by what is observed at `now`, a time that never goes back. Returns the actions in
-    /// the order in which they are to be carried out.
+    /// Advances the state machine with an observation made at `now`, a time that never decreases.
+    /// Returns the actions in the order in which they have to be carried out.
     pub fn step(&mut self, now: Duration, observed: &NodeObservation) -> Vec<DrainAction> {
         let mut actions = Vec::new();
-        self.follow_orders(now, observed, &mut actions);
+        self.apply_drain_order(now, observed, &mut actions);
         if self.state == NodeState::InService {
             return actions;
         }
@@ -120,14 +125,14 @@
         actions
     }
 
-    /// Enters or leaves service as the orders and the shutdown say.
-    fn follow_orders(
+    /// Enters or leaves service according to the drain order and the shutdown.
+    fn apply_drain_order(
         &mut self,
         now: Duration,
         observed: &NodeObservation,
         actions: &mut Vec<DrainAction>,
     ) {
-        let is_other_order = observed.drain_order != self.drain_order;
+        let has_order_changed = observed.drain_order != self.drain_order;
         self.drain_order = observed.drain_order;
         let is_shutting_down = observed.shutdown.is_some();
         let has_to_drain = observed.drain_order.is_some() || is_shutting_down;
@@ -139,14 +144,14 @@
             }
             return;
         }
-        // Another order begins anew, unless the process ends anyway.
-        if is_in_service || (is_other_order && !is_shutting_down) {
+        // A different order restarts the drain, unless the process is shutting down.
+        if is_in_service || (has_order_changed && !is_shutting_down) {
             self.enter(NodeState::Draining, now);
             actions.push(DrainAction::RejectNewClients);
         }
     }
 
-    /// Advances a drain that an order has begun.
+    /// Advances a drain that was started by an order.
     fn advance_drain(
         &mut self,
         now: Duration,
@@ -158,13 +163,15 @@
             self.enter(NodeState::Drained, now);
             return;
         }
-        let stayed = now.saturating_sub(self.entered_at);
+        let time_in_state = now.saturating_sub(self.entered_at);
         match self.state {
-            NodeState::Draining if stayed >= observed.max_idle_timeout + IDLE_TIMEOUT_MARGIN => {
+            NodeState::Draining
+                if time_in_state >= observed.max_idle_timeout + IDLE_TIMEOUT_MARGIN =>
+            {
                 self.enter(NodeState::Closing, now);
                 actions.push(DrainAction::CloseIdleConnections);
             }
-            NodeState::Closing if stayed >= observed.max_response_timeout => {
+            NodeState::Closing if time_in_state >= observed.max_response_timeout => {
                 self.reset_once(actions);
             }
             NodeState::InService
@@ -174,8 +181,11 @@
         }
     }
 
-    /// Advances a graceful shutdown. Clients may be sent here for a while, whatever the state is.
-    /// Requests that come later and complete at once do not delay the exit.
+    /// Advances a graceful shutdown. Until `accept_until` the platform may still send clients to
+    /// this node, whatever its state is.
+    ///
+    /// The flush delay starts at the first time without requests in flight, so that requests that
+    /// arrive later and complete at once do not delay the exit.
     fn advance_shutdown(
         &mut self,
         now: Duration,
--- a/tier/draining/src/rolling_restart.rs
+++ b/tier/draining/src/rolling_restart.rs
@@ -1,11 +1,11 @@
 //! The plan of a rolling restart: each node of a list is drained, replaced or restarted by the
 //! operator, and returned to service, a few nodes at a time.
 //!
-//! The command line (`plankhill-tier roll`) owns the [`RollingRestart`], shows it what the control
-//! plane reports, and carries out its steps. The plan never has more nodes out of service than its
-//! limit, and never drains a node beyond the [disruption budget](crate::disruption_budget). It
-//! stops by itself when another machine is lost, when a node does not drain in time, or when a node
-//! does not come back.
+//! The command line (`plankhill-tier roll`) owns the [`RollingRestart`], passes it the state that
+//! the control plane reports, and carries out its steps. The plan never has more nodes out of
+//! service than its limit, and never drains a node beyond the
+//! [disruption budget](crate::disruption_budget). It stops when a node that it has not released is
+//! lost, when a node does not drain in time, or when a released node does not restart in time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,24 +17,25 @@
 /// The limits of a rolling restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestartLimits {
-    /// Most nodes out of service at once.
+    /// Maximum number of nodes out of service at once.
     pub max_unavailable: usize,
     /// The longest time from the drain order until the node has drained.
     pub drain_timeout: Duration,
-    /// The longest time until a drained node is back with a new incarnation.
+    /// The longest time from the release of a drained node until it is registered with a new
+    /// incarnation.
     pub restart_timeout: Duration,
 }
 
-/// A node as the control plane shows it.
+/// A node as reported by the control plane.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeView {
-    /// Its zone.
+    /// The node's zone.
     pub zone: ZoneName,
-    /// The incarnation of its agent.
+    /// The incarnation of the node's agent.
     pub incarnation: Incarnation,
 }
 
-/// What the control plane shows.
+/// The forwarders and drain orders reported by the control plane.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
     /// Registered forwarders.
@@ -50,31 +51,31 @@
     Drain(NodeId),
     /// This node has drained: it may be replaced or restarted.
     Restart(NodeId),
-    /// This node is back: return it to service.
+    /// This node has a new incarnation: return it to service.
     Undrain(NodeId),
     /// Nothing to do now.
     Wait,
-    /// All nodes are done.
+    /// All nodes have been restarted and returned to service.
     Done,
-    /// The rolling restart goes no further.
+    /// Stop the rolling restart.
     Stop(StopReason),
 }
 
-/// Why a rolling restart goes no further.
+/// Why a rolling restart stops.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StopReason {
-    /// A machine is gone that the rolling restart has not released.
+    /// A node that the rolling restart has not released is no longer registered.
     #[error("{0} is lost")]
     NodeLost(NodeId),
     /// A node did not drain in time.
-    #[error("{0} does not get empty")]
+    #[error("{0} did not drain in time")]
     DrainTimedOut(NodeId),
-    /// A node that was released did not come back in time.
-    #[error("{0} does not come back")]
+    /// A released node was not registered with a new incarnation in time.
+    #[error("{0} did not restart in time")]
     RestartTimedOut(NodeId),
-    /// Another operator lifted an order of the rolling restart, or drained a node that it had not
-    /// reached.
-    #[error("{0} was drained or taken back by somebody else")]
+    /// Another operator lifted a drain order of the rolling restart, or drained a node that the
+    /// rolling restart had not drained yet.
+    #[error("{0} was drained or undrained by another operator")]
     ConflictingOrder(NodeId),
 }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Whether the node may be missing: it was released and has not been seen back in service.
+    /// Whether the node may be unregistered: it was released and has not returned to service yet.
     fn is_released(&self) -> bool {
         matches!(self, Progress::Restarting { .. } | Progress::Undraining)
     }
@@ -119,12 +120,12 @@
 pub struct RollingRestart {
     limits: RestartLimits,
     plan: Vec<PlannedNode>,
-    /// Machines that were registered when the rolling restart began.
+    /// Nodes that were registered when the rolling restart began.
     registered_at_start: Vec<NodeId>,
 }
 
 impl RollingRestart {
-    /// A rolling restart over these nodes, in their order.
+    /// Creates a rolling restart of these nodes, in the given order.
     pub fn new(limits: RestartLimits, nodes: Vec<NodeId>, view: &FleetView) -> Self {
         let planned = |node| PlannedNode {
             node,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The number of nodes that are done, and of all nodes.
+    /// The number of completed nodes, and the number of all nodes.
     pub fn progress(&self) -> (usize, usize) {
         let done = self
             .plan
@@ -147,8 +148,9 @@
         (done, self.plan.len())
     }
 
-    /// The next step by what the control plane shows at `now`, a time that never goes back. To be
-    /// called again after the step was carried out and the control plane shows it.
+    /// Returns the next step for the state that the control plane reports at `now`, a time that
+    /// never decreases. Call it again once the step was carried out and the control plane reports
+    /// its effect.
     pub fn step(&mut self, now: Duration, view: &FleetView) -> RestartStep {
         if let Some(lost) = self.find_lost_node(view) {
             return RestartStep::Stop(StopReason::NodeLost(lost));
@@ -168,7 +170,7 @@
         self.drain_next(now, view).unwrap_or(RestartStep::Wait)
     }
 
-    /// A machine that was registered at the start, is missing now, and was not released.
+    /// Finds a node that was registered at the start, is not registered now, and was not released.
     fn find_lost_node(&self, view: &FleetView) -> Option<NodeId> {
         let is_lost = |node: &&NodeId| !view.live.contains_key(*node) && !self.is_released(node);
         self.registered_at_start.iter().find(is_lost).cloned()
@@ -180,8 +182,8 @@
             .any(|planned| planned.node == *node && planned.progress.is_released())
     }
 
-    /// Drains the first pending node that the disruption budget allows; `None` if none may drain
-    /// now.
+    /// Drains the first pending node whose drain the disruption budget allows; `None` if no node
+    /// may drain now.
     fn drain_next(&mut self, now: Duration, view: &FleetView) -> Option<RestartStep> {
         let unavailable = self
             .plan
@@ -264,8 +266,9 @@
     }
 }
 
-/// Whether the disruption budget allows the node to drain too. The last node in service of a zone
-/// never drains: a rolling restart does not take a whole zone out.
+/// Whether the disruption budget allows the node to drain in addition to the nodes that are already
+/// draining. The last node in service of a zone never drains: a rolling restart does not take a
+/// complete zone out of service.
 fn may_drain(node: &NodeId, view: &FleetView) -> bool {
     let members: Vec<BudgetMember> = view
         .live
--- a/tier/draining/src/shutdown.rs
+++ b/tier/draining/src/shutdown.rs
@@ -1,40 +1,42 @@
-//! The deadlines of a graceful shutdown: a process that was told to end (SIGTERM) and is killed
-//! after a grace period.
+//! The deadlines of a graceful shutdown: a process receives SIGTERM and is killed after a grace
+//! period.
 //!
-//! The proxy makes a [`Shutdown`] when the signal comes, hands it to
-//! [`crate::node::NodeDrain::step`], and asks it which requests still begin.
+//! The proxy creates a [`Shutdown`] when it receives the signal, passes it to
+//! [`crate::node::NodeDrain::step`], and uses [`Shutdown::admits`] to decide which requests are
+//! still admitted.
 
 use std::time::Duration;
 
-/// The platform asks every second whether a node is ready and stops sending clients after two
-/// misses; a third second is for the clients that are on their way.
+/// The platform probes the readiness of a node every second and stops sending clients after two
+/// failed probes; a third second is for clients that are already on their way.
 const CLIENT_REDIRECT_DELAY: Duration = Duration::from_secs(3);
-/// Requests that arrive this soon after the signal are admitted however long they may take: most
-/// responses take a fraction of their timeout, and a client that is rejected here may be sent here
-/// again.
+/// Requests that arrive within this time after the signal are admitted whatever their deadline:
+/// most responses take a fraction of their timeout, and a client that is rejected may be sent to
+/// this node again.
 const UNCONDITIONAL_ADMISSION: Duration = Duration::from_millis(2_900);
 /// The process exits at least this long before it would be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
-/// Turns that were reset are committed within this time; the stores take some milliseconds.
+/// Time to commit the turns whose responses were reset; the stores take a few milliseconds.
 pub(crate) const COMMIT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A response that is complete may still wait in the process for a client that reads slowly.
+/// Time from the first moment without requests in flight until the exit: a complete response may
+/// still be buffered in the process for a client that reads slowly.
 pub(crate) const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
-/// The deadlines of a process that was told to end. All times are on the clock of
+/// The deadlines of a process that has received SIGTERM. All times are on the clock of
 /// [`crate::node::NodeDrain::step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
-    /// The platform may still send new clients here until then.
+    /// Until then, the platform may still send new clients to this node.
     pub accept_until: Duration,
-    /// Every request is admitted until then.
+    /// Until then, every request is admitted.
     pub admit_all_until: Duration,
-    /// Every response has to be complete by then.
+    /// By then, every response has to be complete.
     pub response_deadline: Duration,
 }
 
 impl Shutdown {
-    /// The deadlines of a process that is told at `signalled_at` to end, and is killed `grace`
-    /// later.
+    /// Computes the deadlines of a process that receives SIGTERM at `signalled_at` and is killed
+    /// `grace` later.
     pub fn new(signalled_at: Duration, grace: Duration) -> Self {
         let for_responses = grace.saturating_sub(KILL_MARGIN + COMMIT_TIMEOUT + FLUSH_DELAY);
         let response_deadline = signalled_at + for_responses;
@@ -45,10 +47,10 @@
         }
     }
 
-    /// Whether a request that arrived at `arrived` and may take until `deadline` begins here.
+    /// Whether to admit a request that arrived at `arrived` and may take until `deadline`.
     ///
-    /// A later request that would not be complete in time is better served by another node from its
-    /// start than reset here.
+    /// A request that arrives after `admit_all_until` and may not complete in time is rejected: it
+    /// is better served by another node from its start than reset by this one.
     pub fn admits(&self, arrived: Duration, deadline: Duration) -> bool {
         arrived < self.admit_all_until || deadline <= self.response_deadline
     }
