--- a/tier/draining/tests/disruption_budget.rs
+++ b/tier/draining/tests/disruption_budget.rs
@@ -1,5 +1,5 @@
-//! The disruption budget: a zone keeps half of its forwarders or drains as a whole, and half of all
-//! forwarders stay.
+//! Tests of the disruption budget: a zone keeps at least half of its forwarders or drains
+//! completely, and at least half of all forwarders stay in service.
 
 use arbtest::arbtest;
 use plankhill_draining::disruption_budget::{
@@ -8,16 +8,16 @@
 use plankhill_protocol::ids::ZoneName;
 
 fn members(zones: &[(&str, usize, usize)]) -> Vec<BudgetMember> {
-    let of_zone = |(zone, all, leaving): &(&str, usize, usize)| {
-        let (zone, leaving) = (ZoneName::from(*zone), *leaving);
+    let zone_members = |(zone, all, draining): &(&str, usize, usize)| {
+        let (zone, draining) = (ZoneName::from(*zone), *draining);
         (0..*all)
             .map(move |at| BudgetMember {
                 zone: zone.clone(),
-                is_draining: at < leaving,
+                is_draining: at < draining,
             })
             .collect::<Vec<_>>()
     };
-    zones.iter().flat_map(of_zone).collect()
+    zones.iter().flat_map(zone_members).collect()
 }
 
 #[test]
@@ -29,9 +29,9 @@
 }
 
 #[test]
-fn more_than_half_of_a_zone_may_not_drain_but_the_whole_zone_may() {
-    let refused = check_disruption_budget(&members(&[("a", 5, 3), ("b", 5, 0), ("c", 5, 0)]));
-    assert_eq!(refused, Err(BudgetExceeded::Zone(ZoneName::from("a"))));
+fn more_than_half_of_a_zone_may_not_drain_but_the_complete_zone_may() {
+    let rejected = check_disruption_budget(&members(&[("a", 5, 3), ("b", 5, 0), ("c", 5, 0)]));
+    assert_eq!(rejected, Err(BudgetExceeded::Zone(ZoneName::from("a"))));
     assert_eq!(
         check_disruption_budget(&members(&[("a", 5, 5), ("b", 5, 0), ("c", 5, 0)])),
         Ok(())
@@ -61,15 +61,15 @@
         let zones: Vec<_> = zones
             .iter()
             .zip(names)
-            .map(|((all, leaving), name)| (name, *all, *leaving))
+            .map(|((all, draining), name)| (name, *all, *draining))
             .collect();
         let members = members(&zones);
         if check_disruption_budget(&members).is_ok() {
-            let staying = members.iter().filter(|member| !member.is_draining).count();
-            assert!(staying * 2 >= members.len());
+            let in_service = members.iter().filter(|member| !member.is_draining).count();
+            assert!(in_service * 2 >= members.len());
             assert!(zones
                 .iter()
-                .all(|(_, all, leaving)| leaving == all || (all - leaving) * 2 >= *all));
+                .all(|(_, all, draining)| draining == all || (all - draining) * 2 >= *all));
         }
         Ok(())
     })
--- a/tier/draining/tests/node.rs
+++ b/tier/draining/tests/node.rs
@@ -1,4 +1,4 @@
-//! The states of one draining node, by plain calls.
+//! Tests of the state machine of one draining node.
 
 use std::time::Duration;
 
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_lifted_order_returns_the_node_from_every_state() {
+fn a_lifted_order_returns_the_node_to_service_from_every_state() {
     for steps in 0..4 {
         let mut drain = NodeDrain::default();
         let states = [
@@ -104,8 +104,8 @@
     }
 }
 
-/// Guards an order that was lifted and given again between two steps: a report for the first order
-/// says nothing.
+/// Guards against an order that is lifted and replaced by another one between two steps: the node
+/// has to drain again, and must not report the first drain under the second order.
 #[test]
 fn another_order_restarts_the_drain() {
     let mut drain = NodeDrain::default();
@@ -127,18 +127,19 @@
     arbtest(|u| {
         let mut drain = NodeDrain::default();
         let mut now = Duration::ZERO;
-        let (mut away, mut reported) = (false, None);
+        let (mut is_rejecting, mut reported) = (false, None);
         for _ in 0..40 {
             now += Duration::from_millis(u.int_in_range(0..=8_000)?);
             let order = u.arbitrary::<bool>()?.then_some(u.int_in_range(1..=2)?);
             let observed = observed(order, u.int_in_range(0..=2)?, u.int_in_range(0..=2)?);
             for action in drain.step(now, &observed) {
                 match action {
-                    DrainAction::RejectNewClients => away = true,
-                    DrainAction::AcceptNewClients => (away, reported) = (false, None),
+                    DrainAction::RejectNewClients => is_rejecting = true,
+                    DrainAction::AcceptNewClients => (is_rejecting, reported) = (false, None),
                     DrainAction::ReportDrained(number) => {
                         assert_eq!(Some(number), order);
-                        // The first report of an order comes with nothing in flight.
+                        // The first report under an order requires that nothing is in flight and no
+                        // connection is open.
                         assert!(
                             reported == order
                                 || (observed.requests_in_flight == 0
@@ -147,12 +148,12 @@
                         reported = order;
                     }
                     DrainAction::CloseIdleConnections | DrainAction::ResetConnections => {
-                        assert!(away)
+                        assert!(is_rejecting)
                     }
                     DrainAction::ExitProcess => unreachable!("no shutdown was observed"),
                 }
             }
-            assert_eq!(away, order.is_some());
+            assert_eq!(is_rejecting, order.is_some());
         }
         Ok(())
     })
--- a/tier/draining/tests/rolling_restart.rs
+++ b/tier/draining/tests/rolling_restart.rs
@@ -1,5 +1,5 @@
-//! Rolling restarts over simulated fleets: the limits hold at each step, and the restart stops when
-//! it has to.
+//! Tests of rolling restarts with simulated fleets: limits are respected at each step, and the
+//! restart stops on lost nodes, timeouts and conflicting orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     view.live.keys().cloned().collect()
 }
 
-/// Carries a step out as an operator would, and lets each node drain and come back at once.
+/// Carries out a step as an operator would; each node drains and restarts immediately.
 fn carry_out(view: &mut FleetView, step: &RestartStep) {
     match step {
         RestartStep::Drain(node) => drop(view.drains.insert(node.clone(), true)),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn two_nodes_of_a_zone_of_two_are_never_out_together() {
+fn two_nodes_of_a_zone_of_two_are_never_out_of_service_together() {
     let mut view = fleet(3, 2);
     let mut restart = RollingRestart::new(
         RestartLimits {
@@ -91,10 +91,10 @@
         }
         carry_out(&mut view, &step);
         for zone in 0..3 {
-            let out = (0..6)
+            let out_of_service = (0..6)
                 .filter(|at| at % 3 == zone && view.drains.contains_key(&node(*at)))
                 .count();
-            assert!(out <= 1);
+            assert!(out_of_service <= 1);
         }
     }
     panic!("not done");
@@ -187,16 +187,16 @@
     view.drains.clear();
 }
 
-/// Nodes drain, go and come back at any moment, and machines are lost: no more are out than
-/// allowed, and half stays.
+/// Nodes drain and restart at random times: no more nodes are out of service than allowed, and at
+/// least half stay in service.
 #[test]
 fn limits_hold_under_random_events() {
     arbtest(|u| {
         let mut view = fleet(u.int_in_range(1..=4)?, u.int_in_range(1..=5)?);
-        let most_out = u.int_in_range(1..=4)?;
+        let max_unavailable = u.int_in_range(1..=4)?;
         let mut restart = RollingRestart::new(
             RestartLimits {
-                max_unavailable: most_out,
+                max_unavailable,
                 ..LIMITS
             },
             all(&view),
@@ -217,15 +217,15 @@
                 RestartStep::Wait => {}
             }
             if u.arbitrary()? {
-                view.drains.values_mut().for_each(|empty| *empty = true);
+                view.drains.values_mut().for_each(|drained| *drained = true);
             }
-            assert!(view.drains.len() <= most_out);
-            let out = view
+            assert!(view.drains.len() <= max_unavailable);
+            let out_of_service = view
                 .live
                 .keys()
                 .filter(|node| view.drains.contains_key(*node))
                 .count();
-            assert!(out * 2 <= view.live.len());
+            assert!(out_of_service * 2 <= view.live.len());
         }
         Ok(())
     })
--- a/tier/draining/tests/shutdown.rs
+++ b/tier/draining/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown of a process, by plain calls.
+//! Tests of the graceful shutdown of a process.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// SIGTERM came at 1 s.
+/// The deadlines of a process that received SIGTERM at 1 s.
 fn shutdown() -> Shutdown {
     Shutdown::new(at(1_000), GRACE)
 }
@@ -116,22 +116,22 @@
     }
 }
 
-/// A stream that may take five of the eight seconds is admitted while the platform sends clients
-/// here; later only a shorter one is.
+/// A request that may take five seconds of the eight-second grace period is admitted while the
+/// platform still sends clients to the node; later, only requests that take less time are.
 #[test]
 fn late_requests_are_admitted_only_if_they_can_complete_in_time() {
-    let begun = |after: u64, takes: u64| {
-        let arrived = at(1_000 + after);
-        shutdown().admits(arrived, arrived + at(takes))
+    let is_admitted = |arrived_after_ms: u64, duration_ms: u64| {
+        let arrived = at(1_000 + arrived_after_ms);
+        shutdown().admits(arrived, arrived + at(duration_ms))
     };
-    assert!(begun(0, 5_000));
-    assert!(begun(2_899, 5_000));
-    assert!(!begun(2_900, 5_000));
-    assert!(!begun(3_100, 5_000));
-    assert!(!begun(7_000, 5_000));
-    assert!(begun(3_100, 1_200));
-    assert!(begun(6_100, 1_200));
-    assert!(!begun(7_000, 1_200));
+    assert!(is_admitted(0, 5_000));
+    assert!(is_admitted(2_899, 5_000));
+    assert!(!is_admitted(2_900, 5_000));
+    assert!(!is_admitted(3_100, 5_000));
+    assert!(!is_admitted(7_000, 5_000));
+    assert!(is_admitted(3_100, 1_200));
+    assert!(is_admitted(6_100, 1_200));
+    assert!(!is_admitted(7_000, 1_200));
 }
 
 #[test]
@@ -144,15 +144,15 @@
     }
 }
 
-/// Whatever is observed, nothing is reset before the deadline, and the process exits before it is
+/// For any observations, nothing is reset before the deadline, and the process exits before it is
 /// killed.
 #[test]
 fn nothing_is_reset_before_the_response_deadline() {
     arbtest(|u| {
         let mut drain = NodeDrain::default();
         let mut now = at(1_000);
-        let mut ended = None;
-        while ended.is_none() {
+        let mut exited = None;
+        while exited.is_none() {
             let order = u.arbitrary::<bool>()?.then_some(u.int_in_range(1..=2)?);
             let observed = observed(order, u.int_in_range(0..=2)?, u.int_in_range(0..=2)?);
             for action in drain.step(now, &observed) {
@@ -160,7 +160,7 @@
                     DrainAction::RejectNewClients => assert_eq!(now, at(1_000)),
                     DrainAction::CloseIdleConnections => assert!(now >= shutdown().accept_until),
                     DrainAction::ResetConnections => assert!(now >= shutdown().response_deadline),
-                    DrainAction::ExitProcess => ended = Some((now, observed.requests_in_flight)),
+                    DrainAction::ExitProcess => exited = Some((now, observed.requests_in_flight)),
                     DrainAction::ReportDrained(_) | DrainAction::AcceptNewClients => {
                         unreachable!("the node is shutting down")
                     }
@@ -168,9 +168,9 @@
             }
             now += at(u.int_in_range(1..=60)?);
         }
-        let (at_end, requests) = ended.expect("an end");
-        assert!(at_end < at(1_000) + GRACE);
-        assert!(requests == 0 || at_end >= shutdown().response_deadline);
+        let (exit_time, requests) = exited.expect("the process has exited");
+        assert!(exit_time < at(1_000) + GRACE);
+        assert!(requests == 0 || exit_time >= shutdown().response_deadline);
         Ok(())
     })
     .budget_ms(500);
