--- a/tier/conversations/src/account.rs
+++ b/tier/conversations/src/account.rs
@@ -1,9 +1,9 @@
-//! The budget account of a program: what each of its turns may still generate or has generated.
+//! The token budget account of a program: the tokens that each turn has reserved or generated.
 //!
-//! Each replica of a program owns an account of it, and changes the account when a turn reserves or
-//! commits tokens. Accounts are merged like a state-based CRDT: a turn's state only rises in the order
-//! of [`TurnState`], so that accounts of several stores give the same result in any order of merging
-//! and however often each is merged.
+//! Each replica of a program owns an account of the program, and changes it when a turn reserves or
+//! commits tokens. Accounts are merged as a state-based CRDT: a turn's state only increases in the
+//! order of [`TurnState`], so that merging the accounts of several stores gives the same result in any
+//! order, and merging an account again changes nothing.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 use plankhill_protocol::store_calls::Reservation;
 use serde::{Deserialize, Serialize};
 
-/// Turns in one account at most; a program with more turns gets no further reservation.
+/// Maximum number of turns in one account; beyond it a program gets no further reservation.
 pub const MAX_ACCOUNT_TURNS: usize = 8_192;
 
-/// What an account knows of one turn. A state that compares greater replaces a lesser one on a merge:
-/// a reservation gives way to a rejection, and both to a commit.
+/// The state of one turn in an account. A merge keeps the greater state: a rejection replaces a
+/// reservation, and a commit replaces both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum TurnState {
     /// The turn may be running; all that it may generate is charged.
     Reserved {
-        /// Tokens that the turn generates at most.
+        /// Maximum number of tokens that the turn generates.
         max_tokens: u64,
     },
     /// The turn did not fit into the budget, and never runs.
@@ -33,7 +33,7 @@
 }
 
 impl TurnState {
-    /// Tokens that the turn takes from the budget.
+    /// Tokens that are charged to the budget for the turn.
     pub fn charged_tokens(self) -> u64 {
         match self {
             TurnState::Reserved { max_tokens } => max_tokens,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The states of all turns of one program that a store knows.
+/// The states of all turns of one program that are known to a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
     turns: BTreeMap<RequestId, TurnState>,
@@ -54,14 +54,14 @@
 pub enum BudgetDecision {
     /// The turn fits into the budget.
     Granted,
-    /// The turn does not fit, or was rejected before.
+    /// The turn does not fit into the budget, or was rejected before.
     Exhausted,
-    /// The turn has ended already: the request is a late repeat.
+    /// The turn has ended already: the request is a delayed duplicate.
     AlreadyEnded,
 }
 
 impl Account {
-    /// Raises the state of a turn. Returns whether the account changed.
+    /// Merges a state of a turn into the account. Returns whether the account changed.
     pub fn merge(&mut self, turn: &RequestId, state: TurnState) -> bool {
         match self.turns.get_mut(turn) {
             Some(known) if *known >= state => false,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The state of a turn; None for one that the account does not know.
+    /// The state of a turn; `None` if the account does not contain the turn.
     pub fn state(&self, turn: &RequestId) -> Option<TurnState> {
         self.turns.get(turn).copied()
     }
@@ -98,16 +98,16 @@
         self.turns.len()
     }
 
-    /// Whether the account knows no turn.
+    /// Whether the account contains no turn.
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
     }
 
-    /// Decides whether a turn may run, every other turn charged at its state.
+    /// Decides whether a turn may run, with every other turn charged according to its state.
     ///
-    /// Safe only on the merged accounts of a write quorum each of which has this turn's reservation:
-    /// two turns that are decided at the same time then see each other in at least one of them, and
-    /// cannot both take the last tokens.
+    /// Safe only on the merged accounts of a write quorum, each of which contains this turn's
+    /// reservation: at least one of these accounts then contains both of two turns that are decided
+    /// concurrently, so that they cannot both take the last tokens.
     pub fn decide(&self, turn: &RequestId, reservation: &Reservation) -> BudgetDecision {
         match self.state(turn) {
             Some(TurnState::Rejected) => return BudgetDecision::Exhausted,
--- a/tier/conversations/src/keys.rs
+++ b/tier/conversations/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of a store's rows. They are on disks and never change.
+//! Keys of a store's rows. They are part of the stored format and must not change.
 
 use plankhill_protocol::ids::{NodeId, ProgramId, RequestId};
 
@@ -22,7 +22,8 @@
     join_names(&[node.as_str(), program.as_str(), turn.as_str()])
 }
 
-/// The names in a key of [`account_key`] or [`hint_key`]; None for bytes that are no such key.
+/// Splits a key of [`account_key`] or [`hint_key`] into its names; `None` for bytes that are not such a
+/// key.
 pub fn split_key(key: &[u8]) -> Option<Vec<&str>> {
     let mut names = Vec::new();
     let mut rest = key;
@@ -35,10 +36,10 @@
     Some(names)
 }
 
-/// Joins names, each behind its length in two bytes, most significant first.
+/// Joins names, each prefixed with its length as a 16-bit big-endian integer.
 ///
-/// Names come from headers of at most a few kilobytes; a longer name is truncated, so that no key can be
-/// mistaken for the key of other names.
+/// Names come from headers of at most a few kilobytes. A name that is too long for the length prefix is
+/// truncated, so that no key can be mistaken for the key of other names.
 fn join_names(names: &[&str]) -> Vec<u8> {
     let mut key = Vec::with_capacity(names.iter().map(|name| name.len() + 2).sum());
     for name in names {
--- a/tier/conversations/src/peer.rs
+++ b/tier/conversations/src/peer.rs
@@ -1,8 +1,8 @@
 //! Messages between stores.
 //!
-//! Every call names the epoch of the caller's view. A store answers calls of its own epoch only, so that
-//! replicas of an older view cannot acknowledge a write that the newer view's replicas do not have.
-//! Repairs, hints and views are taken whatever their epoch: they only add to what a store knows.
+//! Every call contains the epoch of the caller's view. A store accepts only calls of its own epoch, so
+//! that replicas of an older view cannot acknowledge a write that the newer view's replicas do not
+//! have. Repairs, hints and views are accepted in any epoch: they only add information to a store.
 
 use std::sync::Arc;
 
@@ -25,39 +25,39 @@
 /// A request of one store to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Add a turn's reservation to the program's account, sync the account, and send it.
+    /// Add a turn's reservation to the program's account, sync the account to disk, and return it.
     Reserve {
         /// The program.
         program: ProgramId,
         /// The turn.
         turn: RequestId,
-        /// Tokens that the turn generates at most.
+        /// Maximum number of tokens that the turn generates.
         max_tokens: u64,
         /// The turn that this one continues: its chain must not expire while the turn runs.
         previous: Option<RequestId>,
     },
-    /// Merge the update of a turn that has ended, and sync it.
+    /// Merge the update of a turn that has ended, and sync it to disk.
     EndTurn(TurnUpdate),
-    /// Send the turn and those of its ancestors that this store has.
+    /// Return the turn and those of its ancestors that the receiver has.
     ReadChain {
         /// The newest turn of the chain.
         turn: RequestId,
     },
-    /// Say whether this store has the turn.
+    /// Return whether the receiver has the turn.
     LocateTurn {
         /// The turn.
         turn: RequestId,
     },
-    /// Retain the turn, and its ancestors at this store, for at least this time from now on, also after
-    /// a restart.
+    /// Retain the turn, and its ancestors at the receiver, for at least this time from now on. The
+    /// extension survives a restart of the receiver.
     ExtendRetention {
         /// The turn.
         turn: RequestId,
-        /// The time in milliseconds.
+        /// The retention time in milliseconds.
         retention_ms: u64,
     },
-    /// Merge updates that the receiver has missed, and sync them. Without an update: say whether the
-    /// receiver can be reached.
+    /// Merge updates that the receiver has missed, and sync them to disk. An empty list checks whether
+    /// the receiver can be reached.
     Repair(Vec<TurnUpdate>),
     /// Store the hint that another store has missed an update of a turn. Best effort.
     StoreHint {
@@ -68,48 +68,48 @@
         /// The turn.
         turn: RequestId,
     },
-    /// List programs of which the caller is a replica in a set, in the order of their names.
+    /// List the programs of which the caller is a replica in a set, in the order of their names.
     ListPrograms {
         /// The set.
         set: StoreSet,
         /// The caller.
         store: StoreMember,
-        /// The last program of the page before; None for the first page.
+        /// The last program of the previous page; `None` for the first page.
         after: Option<ProgramId>,
     },
-    /// Send accounts and the names of retained turns.
+    /// Return the accounts of programs and the names of their retained turns.
     OutlinePrograms {
         /// The programs.
         programs: Vec<ProgramId>,
     },
-    /// Send retained turns.
+    /// Return retained turns.
     FetchTurns {
-        /// The turns; the answer may have fewer.
+        /// The turns; the reply may contain fewer.
         turns: Vec<RequestId>,
     },
     /// Install this view if it is newer than the receiver's.
     InstallView(StoreView),
 }
 
-/// One of the sets of a view.
+/// One of the store sets of a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreSet {
-    /// The stores that have everything.
+    /// The stores that have all data.
     Serving,
     /// The stores that take over from the serving ones.
     Next,
 }
 
-/// What one store sends to another about a turn. Merging an update twice changes nothing.
+/// An update of a turn that one store sends to another. Merging an update is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnUpdate {
     /// The program.
     pub program: ProgramId,
     /// The turn.
     pub turn: RequestId,
-    /// The turn's state in the program's account; None of a turn without a reservation.
+    /// The turn's state in the program's account; `None` for a turn without a reservation.
     pub state: Option<TurnState>,
-    /// The turn itself; None of a turn that is not retained.
+    /// The turn itself; `None` for a turn that is not retained.
     pub retained: Option<RetainedTurn>,
 }
 
@@ -118,63 +118,64 @@
 pub struct RetainedTurn {
     /// The turn.
     pub record: Arc<TurnRecord>,
-    /// How much longer the turn is retained, in milliseconds. Stores send time left, not times of day:
-    /// their clocks differ.
+    /// The remaining retention time in milliseconds. Stores send remaining times instead of times of
+    /// day, because their clocks differ.
     pub remaining_ms: u64,
 }
 
-/// The answer to a [`PeerCall`].
+/// The reply to a [`PeerCall`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerReply {
-    /// The answering store's incarnation; the answer counts only for sets that name it.
+    /// The incarnation of the replying store; the reply counts only for sets that contain this
+    /// incarnation.
     pub incarnation: Incarnation,
-    /// The answer.
+    /// The response.
     pub body: PeerResponse,
 }
 
-/// The body of a store's answer to another store.
+/// The body of a store's reply to another store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The reservation is synced; the program's account at this store.
+    /// The reservation is synced to disk; contains the program's account at this store.
     Account(Account),
-    /// The request was carried out, and synced where it asks for that.
+    /// The request was carried out, and synced to disk if the request requires that.
     Done,
-    /// Turns of a chain, from the newest to older ones.
+    /// Turns of a chain, from newest to oldest.
     Chain {
         /// The turns.
         turns: Vec<Arc<TurnRecord>>,
-        /// The next older turn, if the chain is longer than what this store has.
+        /// The next older turn, if the chain continues beyond the turns that this store has.
         rest: Option<TurnLocation>,
     },
     /// This store has the turn.
     TurnPresent,
     /// This store does not have the turn.
     TurnAbsent,
-    /// Programs with digests; an empty list is the end.
+    /// Programs with their digests; an empty list marks the end of the listing.
     Programs(Vec<ProgramDigest>),
-    /// Accounts and the names of retained turns.
+    /// Accounts of programs and the names of their retained turns.
     Outlines(Vec<ProgramOutline>),
     /// Retained turns.
     Turns(Vec<RetainedTurn>),
-    /// The caller's view is older than this store's, which follows.
+    /// The caller's view is older than this store's view, which is included.
     StaleEpoch(StoreView),
-    /// The caller's view is newer than this store's: the caller sends its view and calls again.
+    /// The caller's view is newer than this store's: the caller has to send its view and retry.
     ReceiverStale,
-    /// The request cannot be carried out now: a bound is reached or the disk fails.
+    /// The request cannot be carried out now: a limit is reached or the disk fails.
     Unavailable,
 }
 
-/// A program in a list.
+/// A program in a listing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramDigest {
     /// The program.
     pub program: ProgramId,
     /// Digest of the program's account and of the names of its retained turns; equal at two stores that
-    /// know the same.
+    /// have the same account and turns.
     pub digest: u64,
 }
 
-/// What a store knows of a program, without the turns themselves.
+/// A store's state of a program, without the content of the turns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramOutline {
     /// The program.
--- a/tier/conversations/src/placement.rs
+++ b/tier/conversations/src/placement.rs
@@ -1,14 +1,14 @@
-//! Which stores are replicas of a program.
+//! Placement of the replicas of a program.
 //!
-//! Every store and proxy computes the same replicas from the same view, by rendezvous hashing: one
-//! store more moves at most one replica of each program.
+//! Every store and proxy computes the same replicas from the same view, by rendezvous hashing: adding
+//! one store moves at most one replica of each program.
 
 use plankhill_membership::rendezvous;
 use plankhill_protocol::ids::ProgramId;
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
-/// The replicas of a program: `2 * tolerated_faults + 1` stores of the set, or all of a smaller one, in
-/// the order in which they are preferred.
+/// The replicas of a program: `2 * tolerated_faults + 1` stores of the set, or all stores of a smaller
+/// set, in order of preference.
 pub fn replicas<'a>(
     set: &'a [StoreMember],
     program: &ProgramId,
@@ -37,20 +37,20 @@
         .any(|member| is_same_incarnation(member, store))
 }
 
-/// Whether both are the same incarnation of the same store.
+/// Whether both members are the same incarnation of the same store.
 pub fn is_same_incarnation(one: &StoreMember, other: &StoreMember) -> bool {
     one.node == other.node && one.incarnation == other.incarnation
 }
 
-/// Whether this incarnation of a store serves in the view. Only then does the absence of a turn at that
-/// store count as an answer.
+/// Whether this incarnation of a store serves in the view. Only a serving store's report that it does
+/// not have a turn counts.
 pub fn is_serving(view: &StoreView, store: &StoreMember) -> bool {
     view.serving
         .iter()
         .any(|member| is_same_incarnation(member, store))
 }
 
-/// The members without those whose address stands earlier in the sequence.
+/// The members without those whose address occurs earlier in the sequence.
 pub fn unique_addresses<'a>(members: impl Iterator<Item = &'a StoreMember>) -> Vec<StoreMember> {
     let mut unique: Vec<StoreMember> = Vec::new();
     for member in members {
@@ -61,7 +61,8 @@
     unique
 }
 
-/// Replicas that outlast the loss of `tolerated_faults` of them.
+/// The minimum number of replicas of which at least one survives the loss of `tolerated_faults` of
+/// them.
 pub(crate) fn min_replicas(tolerated_faults: u32) -> usize {
     usize::try_from(tolerated_faults)
         .unwrap_or(usize::MAX)
--- a/tier/conversations/src/quorum.rs
+++ b/tier/conversations/src/quorum.rs
@@ -1,17 +1,18 @@
-//! How many replicas must have answered, and which of them have written.
+//! Quorum sizes, and the replicas that have acknowledged a write.
 
 use plankhill_protocol::ids::{Incarnation, ProgramId};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
 use crate::placement::{min_replicas, replicas, unique_addresses};
 
-/// How many answers of a set of replicas are enough.
+/// The number of replies that are required from a set of replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quorum {
-    /// Synced replicas that survive the loss of as many stores as the tier tolerates.
+    /// The number of replicas that have to sync a write so that it survives the loss of as many stores
+    /// as the tier tolerates.
     pub write: usize,
-    /// Stores of which at least one has whatever was written to `write` of them. More than half, so
-    /// that stores left behind in an older view never suffice on their own.
+    /// The number of stores of which at least one has everything that was written to `write` stores.
+    /// Always more than half, so that stores left behind in an older view never suffice on their own.
     pub read: usize,
 }
 
@@ -24,10 +25,10 @@
     }
 }
 
-/// Which replicas of a program have written one request, in every set of a view.
+/// Tracks which replicas of a program have written one request, in every set of a view.
 ///
-/// While a view has a next set, a write counts only once a quorum of both sets has it: the next set
-/// misses nothing when it takes over.
+/// While a view has a next set, a write counts only once a quorum of both sets has it, so that the next
+/// set misses no write when it takes over.
 #[derive(Clone, Debug)]
 pub struct WriteQuorum {
     sets: Vec<ReplicaSet>,
@@ -46,7 +47,7 @@
 }
 
 impl WriteQuorum {
-    /// The replicas of a program in a view, none of which has written yet.
+    /// Creates the state for the replicas of a program in a view, none of which has written yet.
     pub fn new(view: &StoreView, program: &ProgramId) -> Self {
         let faults = view.tolerated_faults;
         let sets = std::iter::once(&view.serving).chain(view.next.as_ref());
@@ -63,11 +64,12 @@
     }
 
     /// Records that the store that was called as `member` has written as `incarnation`. The write
-    /// counts only in sets that name this incarnation: another one has lost what it wrote before.
+    /// counts only in sets that contain this incarnation: a store with another incarnation has lost its
+    /// earlier writes.
     pub fn record_write(&mut self, member: &StoreMember, incarnation: Incarnation) {
         for replica in self.sets.iter_mut().flat_map(|set| &mut set.replicas) {
-            let is_named = replica.member.node == member.node;
-            replica.has_written |= is_named && replica.member.incarnation == incarnation;
+            let is_same_node = replica.member.node == member.node;
+            replica.has_written |= is_same_node && replica.member.incarnation == incarnation;
         }
     }
 
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Never of a set without replicas: an empty view can acknowledge nothing.
+    /// Whether enough replicas have written; never true for a set without replicas, so that an empty
+    /// view cannot acknowledge a write.
     fn is_reached(&self) -> bool {
         let written = self
             .replicas
--- a/tier/conversations/src/rows.rs
+++ b/tier/conversations/src/rows.rs
@@ -1,5 +1,5 @@
-//! The rows of a store: values that are encoded with `postcard` under the keys of [`crate::keys`], in a
-//! few tables.
+//! The rows of a store: values that are encoded with `postcard`, under the keys of [`crate::keys`], in
+//! several tables.
 
 use std::sync::Arc;
 
@@ -21,8 +21,7 @@
     Accounts,
     /// Updates that other stores have missed, by store, program and turn; the rows are empty.
     Hints,
-    /// Until when turns are retained beyond their own expiry, by their names: a time of day in
-    /// milliseconds.
+    /// Extended expiry times of turns, by the names of the turns: times of day in milliseconds.
     Extensions,
     /// The store's own incarnation and view.
     Metadata,
@@ -53,7 +52,7 @@
 impl RowChange {
     /// Sets a row to an encoded value.
     pub fn set<T: Serialize>(table: Table, key: Vec<u8>, value: &T) -> Self {
-        // Only a type that cannot be serialized at all fails, and none of the rows is one.
+        // Encoding fails only for types that cannot be serialized at all; no row has such a type.
         let value = postcard::to_stdvec(value).unwrap_or_default();
         RowChange {
             table,
@@ -80,7 +79,7 @@
 /// A row of [`Table::Turns`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRow {
-    /// When the turn expires, by the store's time of day in milliseconds.
+    /// When the turn expires: a time of day in milliseconds by the store's clock.
     pub expires_ms: u64,
     /// The turn.
     pub record: Arc<TurnRecord>,
@@ -91,21 +90,21 @@
 pub struct AccountRow {
     /// The turn's state.
     pub state: TurnState,
-    /// The last change, by the store's time of day in milliseconds.
+    /// When the state last changed: a time of day in milliseconds by the store's clock.
     pub used_ms: u64,
 }
 
-/// The row that has the store's incarnation.
+/// The change that stores the store's incarnation.
 pub fn incarnation_row(incarnation: Incarnation) -> RowChange {
     RowChange::set(Table::Metadata, INCARNATION_KEY.to_vec(), &incarnation)
 }
 
-/// The row that has the newest view that the store knows.
+/// The change that stores the newest view known to the store.
 pub fn view_row(view: &StoreView) -> RowChange {
     RowChange::set(Table::Metadata, VIEW_KEY.to_vec(), view)
 }
 
-/// Decodes a row; None for bytes that are no such row.
+/// Decodes a row; `None` for bytes that are not a valid row of this type.
 pub fn decode_row<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
--- a/tier/conversations/src/turn_index.rs
+++ b/tier/conversations/src/turn_index.rs
@@ -1,8 +1,8 @@
-//! What one store knows, without the turns' bytes: budget accounts, and which turns are retained until
-//! when.
+//! The in-memory index of one store: budget accounts, and the retained turns with their expiry times,
+//! without the turns' content.
 //!
-//! The store's node owns the index, builds it from the rows on disk at a start, and changes it with
-//! every update. All times are milliseconds of the store's own time of day.
+//! The store's node owns the index, builds it from the rows on disk at startup, and changes it with
+//! every update. All times are times of day in milliseconds by the store's own clock.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,11 +14,12 @@
 use crate::account::{Account, TurnState, MAX_ACCOUNT_TURNS};
 use crate::peer::{ProgramDigest, ProgramOutline};
 
-/// A budget account without a change for this time is dropped, in milliseconds: long after any program
-/// has ended.
+/// Time in milliseconds after which an unchanged budget account is removed: long after any program has
+/// ended.
 pub const ACCOUNT_TTL_MS: u64 = 5 * 60 * 1_000;
 
-/// Rough size of an entry besides the turn's bytes: names, tree and table nodes.
+/// Approximate size of an entry in addition to the turn's content: names, and nodes of trees and hash
+/// tables.
 const ENTRY_OVERHEAD_BYTES: u64 = 400;
 
 /// A retained turn.
@@ -35,7 +36,7 @@
 }
 
 impl TurnEntry {
-    /// The entry of a turn.
+    /// Creates the entry of a turn that expires at `expires_ms`.
     pub fn new(record: &TurnRecord, expires_ms: u64) -> Self {
         TurnEntry {
             program: record.program.clone(),
@@ -55,21 +56,21 @@
     }
 }
 
-/// A budget account that was dropped by its age.
+/// A budget account that has expired.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpiredAccount {
     /// The program.
     pub program: ProgramId,
-    /// The program's account as it was.
+    /// The program's account when it expired.
     pub account: Account,
 }
 
-/// All that was dropped by its age.
+/// The turns and budget accounts that have expired.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Expired {
-    /// Turns.
+    /// The expired turns.
     pub turns: Vec<RequestId>,
-    /// Budget accounts.
+    /// The expired budget accounts.
     pub accounts: Vec<ExpiredAccount>,
 }
 
@@ -77,26 +78,26 @@
 struct Program {
     account: Account,
     turns: BTreeSet<RequestId>,
-    /// The last change of the account.
+    /// When the account last changed.
     used_ms: u64,
 }
 
 /// All accounts and retained turns of a store.
 ///
-/// Invariant: a retained turn expires no earlier than any retained turn that continues it, so that a
-/// chain stays complete from its newest turn on.
+/// Invariant: a retained turn expires no earlier than any retained turn that continues it, so that the
+/// ancestors of a retained turn are retained too.
 #[derive(Debug, Default)]
 pub struct TurnIndex {
     programs: BTreeMap<ProgramId, Program>,
     turns: HashMap<RequestId, TurnEntry>,
-    /// Until when ancestors that are not here yet have to be retained once they come.
+    /// Expiry times of ancestors that the store does not have yet; applied when they arrive.
     pending_extensions: HashMap<RequestId, u64>,
     bytes: u64,
 }
 
 impl TurnIndex {
-    /// Merges the state of a turn into its program's account. Returns whether the account changed; of a
-    /// turn beyond [`MAX_ACCOUNT_TURNS`] it never does.
+    /// Merges the state of a turn into its program's account. Returns whether the account changed; a
+    /// new turn beyond [`MAX_ACCOUNT_TURNS`] is ignored.
     pub fn merge_state(
         &mut self,
         program: &ProgramId,
@@ -121,8 +122,8 @@
         self.programs.get(program).map(|program| &program.account)
     }
 
-    /// Retains a turn, and its ancestors as long as the turn. Returns whether the turn was not here
-    /// before; one that was is extended.
+    /// Retains a turn, and its ancestors at least as long as the turn. Returns whether the turn is new;
+    /// the retention of a turn that is already present is extended.
     pub fn retain(&mut self, turn: &RequestId, mut entry: TurnEntry) -> bool {
         let pending = self.pending_extensions.remove(turn).unwrap_or(0);
         let expires_ms = entry.expires_ms.max(pending);
@@ -142,8 +143,8 @@
         true
     }
 
-    /// Retains a turn and its ancestors at least until a time. An ancestor that is not here is extended
-    /// when it comes.
+    /// Retains a turn and its ancestors at least until `until_ms`. For a turn or ancestor that is not
+    /// present, the extension is applied when it arrives.
     pub fn extend(&mut self, turn: &RequestId, until_ms: u64) {
         let mut next = Some(turn.clone());
         while let Some(turn) = next.take() {
@@ -164,7 +165,7 @@
         self.turns.get(turn)
     }
 
-    /// Drops a turn that expired or could not be written.
+    /// Removes a turn that expired or could not be written.
     pub fn remove(&mut self, turn: &RequestId) {
         let Some(entry) = self.turns.remove(turn) else {
             return;
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Drops all that has expired, and returns it.
+    /// Removes and returns all turns and accounts that have expired.
     pub fn expire(&mut self, now_ms: u64) -> Expired {
         let turns = self.expired_turns(now_ms);
         for turn in &turns {
@@ -214,8 +215,8 @@
         accounts
     }
 
-    /// Digests of the programs after `after` that pass the filter, in the order of their names; `limit`
-    /// at most.
+    /// Digests of at most `limit` programs after `after` that pass the filter, in the order of their
+    /// names.
     pub fn list_programs(
         &self,
         after: Option<&ProgramId>,
@@ -236,12 +237,12 @@
             .collect()
     }
 
-    /// A digest of all that is known of a program; None of an unknown program.
+    /// The digest of a program's account and retained turns; `None` for an unknown program.
     pub fn digest(&self, program: &ProgramId) -> Option<u64> {
         self.programs.get(program).map(Program::digest)
     }
 
-    /// The account and the names of the retained turns of a program; None of an unknown program.
+    /// The account and the names of the retained turns of a program; `None` for an unknown program.
     pub fn outline(&self, program: &ProgramId) -> Option<ProgramOutline> {
         let known = self.programs.get(program)?;
         Some(ProgramOutline {
@@ -251,7 +252,7 @@
         })
     }
 
-    /// Bytes of all retained turns and accounts, with an estimate of what the index itself takes.
+    /// Size in bytes of all retained turns and accounts, including an estimate of the index's own size.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -272,8 +273,9 @@
         self.turns.is_empty() && self.account.is_empty()
     }
 
-    /// Part of the wire format: stores compare digests with each other. `DefaultHasher::new()` has fixed
-    /// keys; the derived order of hashing is pinned in `tests/wire_format.rs`.
+    /// The digest is part of the wire format: stores compare digests with each other.
+    /// `DefaultHasher::new()` has fixed keys; the derived order of hashing is pinned in
+    /// `tests/wire_format.rs`.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for entry in self.account.turns() {
--- a/tier/conversations/src/wire.rs
+++ b/tier/conversations/src/wire.rs
@@ -14,7 +14,7 @@
     Peer(PeerCall),
 }
 
-/// The answer to a [`StoreRequest`], of the same kind.
+/// The reply to a [`StoreRequest`], in the variant of the same name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreResponse {
     /// To a proxy.
