--- a/tier/conversations/tests/keys.rs
+++ b/tier/conversations/tests/keys.rs
@@ -16,7 +16,7 @@
         let key = hint_key(&one.into(), &two.into(), &three.into());
         assert_eq!(split_key(&key), Some(vec![one, two, three]));
         let bytes: &[u8] = source.arbitrary()?;
-        // Any bytes on a disk are split or passed over, without a panic.
+        // Splitting arbitrary bytes must not panic.
         let _ = split_key(bytes);
         Ok(())
     });
--- a/tier/conversations/tests/pins/mod.rs
+++ b/tier/conversations/tests/pins/mod.rs
@@ -1,6 +1,7 @@
-//! Fixture files of pinned bytes: a line `Name hex` for each value; without hex for a value of no bytes.
+//! Fixture files of pinned bytes: a line `Name hex` for each value; the hex digits are omitted for an
+//! empty value.
 
-// Each test uses a part of this module.
+// Each test binary uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod values;
@@ -23,44 +24,44 @@
         for line in text.lines() {
             let (name, hex) = line.split_once(' ').unwrap_or((line, ""));
             assert!(
-                lines.insert(name, bytes_of(hex)).is_none(),
-                "{name} stands twice"
+                lines.insert(name, decode_hex(hex)).is_none(),
+                "duplicate name {name}"
             );
         }
         Pins { lines }
     }
 
-    /// The bytes pinned under a name, each of which is asked for once.
+    /// Removes and returns the bytes pinned under a name; each name can be taken only once.
     pub fn take(&mut self, name: &str) -> Vec<u8> {
         self.lines
             .remove(name)
             .unwrap_or_else(|| panic!("no bytes are pinned for {name}"))
     }
 
-    /// Checks that a value is written as the pinned bytes, and that they are read as the value.
+    /// Checks that a value is encoded as the pinned bytes, and that these are decoded as the value.
     pub fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &str,
         value: &T,
     ) {
         let pinned = self.take(name);
-        let written = postcard::to_stdvec(value).expect("a value that can be written");
+        let encoded = postcard::to_stdvec(value).expect("a value that can be encoded");
         assert_eq!(
-            hex_of(&written),
-            hex_of(&pinned),
-            "{name} is written otherwise"
+            encode_hex(&encoded),
+            encode_hex(&pinned),
+            "{name} is encoded differently"
         );
-        let read: T = postcard::from_bytes(&pinned).expect("bytes that can be read");
-        assert_eq!(&read, value, "{name} is read otherwise");
+        let decoded: T = postcard::from_bytes(&pinned).expect("bytes that can be decoded");
+        assert_eq!(&decoded, value, "{name} is decoded differently");
     }
 
     /// Checks that a key consists of the pinned bytes.
     pub fn check_bytes(&mut self, name: &str, bytes: &[u8]) {
         let pinned = self.take(name);
         assert_eq!(
-            hex_of(bytes),
-            hex_of(&pinned),
-            "{name} is written otherwise"
+            encode_hex(bytes),
+            encode_hex(&pinned),
+            "{name} is encoded differently"
         );
     }
 
@@ -68,14 +69,15 @@
     pub fn finish(self) {
         assert!(
             self.lines.is_empty(),
-            "pinned and never checked: {:?}",
+            "pinned values that were not checked: {:?}",
             self.lines.keys()
         );
     }
 }
 
-/// Every variant of an enum, in the order of a chain from each one to the next.
-pub fn chain<T>(next: impl Fn(Option<&T>) -> Option<T>) -> Vec<T> {
+/// All values from the first one on, where `next` returns the value after its argument. Used to list
+/// all variants of an enum.
+pub fn all_values<T>(next: impl Fn(Option<&T>) -> Option<T>) -> Vec<T> {
     let mut values: Vec<T> = Vec::new();
     while let Some(value) = next(values.last()) {
         values.push(value);
@@ -83,14 +85,17 @@
     values
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "half a byte in {hex}");
+fn decode_hex(hex: &str) -> Vec<u8> {
+    assert!(
+        hex.len().is_multiple_of(2),
+        "odd number of hex digits in {hex}"
+    );
     let digits = (0..hex.len()).step_by(2).map(|at| &hex[at..at + 2]);
     digits
         .map(|pair| u8::from_str_radix(pair, 16).expect("two hex digits"))
         .collect()
 }
 
-fn hex_of(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/tier/conversations/tests/pins/values.rs
+++ b/tier/conversations/tests/pins/values.rs
@@ -9,7 +9,7 @@
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 use plankhill_protocol::tables::{StoreMember, StoreView};
 
-use super::chain;
+use super::all_values;
 
 pub fn program() -> ProgramId {
     ProgramId::from("program-1")
@@ -78,13 +78,13 @@
 /// An account with a turn in each state.
 pub fn account() -> Account {
     let mut account = Account::default();
-    for (number, state) in chain(next_turn_state).into_iter().enumerate() {
+    for (number, state) in all_values(next_turn_state).into_iter().enumerate() {
         account.merge(&RequestId::from(format!("turn-{number}").as_str()), state);
     }
     account
 }
 
-/// The chain over the states of a turn.
+/// The turn state after `last`, for [`all_values`].
 pub fn next_turn_state(last: Option<&TurnState>) -> Option<TurnState> {
     match last {
         None => Some(TurnState::Reserved { max_tokens: 70_000 }),
--- a/tier/conversations/tests/stored_format.rs
+++ b/tier/conversations/tests/stored_format.rs
@@ -1,12 +1,12 @@
-//! The bytes of all keys and rows of a store. The expected bytes are in `stored_format/` and never change; their labels
-//! are the names of the text that wrote them.
+//! Pins the bytes of all keys and rows of a store. The expected bytes are in `stored_format/` and never
+//! change; some of their labels are earlier names of the values.
 
 mod pins;
 
 use std::sync::Arc;
 
 use pins::values::{member, next_turn_state, program, record, turn, view};
-use pins::{chain, Pins};
+use pins::{all_values, Pins};
 use plankhill_conversations::account::TurnState;
 use plankhill_conversations::keys::{account_key, hint_key, turn_key, INCARNATION_KEY, VIEW_KEY};
 use plankhill_conversations::rows::{
@@ -53,7 +53,7 @@
         match table {
             Table::Turns => pins.check("Turns", &turn_row()),
             Table::Accounts => {
-                for state in chain(next_turn_state) {
+                for state in all_values(next_turn_state) {
                     let name = match state {
                         TurnState::Reserved { .. } => "Accounts.Reserved",
                         TurnState::Rejected => "Accounts.Refused",
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn rows_that_are_set_hold_the_pinned_bytes() {
+fn row_changes_contain_the_pinned_bytes() {
     let mut pins = Pins::parse(include_str!("stored_format/rows.txt"));
     let incarnation = incarnation_row(member(1).incarnation);
     assert_eq!(
--- a/tier/conversations/tests/turn_index.rs
+++ b/tier/conversations/tests/turn_index.rs
@@ -1,4 +1,4 @@
-//! The index of a store: expiry of chains, lists, digests, bytes.
+//! Tests of the index of a store: expiry of chains, program listings, digests and size.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -59,12 +59,15 @@
         index.expire(now);
         for (number, (parent, expires)) in &parents {
             if *expires > now {
-                assert!(index.turn(&turn(*number)).is_some(), "{number} is gone");
+                assert!(
+                    index.turn(&turn(*number)).is_some(),
+                    "turn {number} is missing"
+                );
             }
             if let (Some(_), Some(parent)) = (index.turn(&turn(*number)), parent) {
                 assert!(
                     index.turn(&turn(*parent)).is_some(),
-                    "{number} has lost {parent}"
+                    "turn {number} is retained without its parent {parent}"
                 );
             }
         }
--- a/tier/conversations/tests/wire_format.rs
+++ b/tier/conversations/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The bytes of all messages on a connection to a store, between a proxy and a store and between two stores. The
-//! expected bytes are in `wire_format/` and never change; their labels are the names of the text that wrote them.
+//! Pins the bytes of all messages on a connection to a store, between a proxy and a store and between
+//! two stores. The expected bytes are in `wire_format/` and never change; some of their labels are
+//! earlier names of the values.
 
 mod pins;
 
@@ -8,7 +9,7 @@
 use pins::values::{
     account, location, member, previous, program, record, retained_turn, turn, turn_update, view,
 };
-use pins::{chain, Pins};
+use pins::{all_values, Pins};
 use plankhill_conversations::peer::{
     PeerCall, PeerReply, PeerRequest, PeerResponse, ProgramDigest, ProgramOutline, StoreSet,
 };
@@ -181,15 +182,15 @@
     }
 }
 
-/// All requests, with the names of their lines.
+/// All requests, with their labels in the fixture file.
 fn requests() -> Vec<(String, StoreRequest)> {
-    let from_proxies = chain(next_store_call).into_iter().map(|call| {
+    let from_proxies = all_values(next_store_call).into_iter().map(|call| {
         (
             format!("Proxy.{}", store_call_name(&call)),
             StoreRequest::Proxy(call),
         )
     });
-    let from_peers = chain(next_peer_request).into_iter().map(|body| {
+    let from_peers = all_values(next_peer_request).into_iter().map(|body| {
         let name = format!("Peer.{}", peer_request_name(&body));
         (
             name,
@@ -202,15 +203,15 @@
     from_proxies.chain(from_peers).collect()
 }
 
-/// All answers, with the names of their lines.
-fn answers() -> Vec<(String, StoreResponse)> {
-    let to_proxies = chain(next_store_reply).into_iter().map(|reply| {
+/// All replies, with their labels in the fixture file.
+fn replies() -> Vec<(String, StoreResponse)> {
+    let to_proxies = all_values(next_store_reply).into_iter().map(|reply| {
         (
             format!("Proxy.{}", store_reply_name(&reply)),
             StoreResponse::Proxy(reply),
         )
     });
-    let to_peers = chain(next_peer_response).into_iter().map(|body| {
+    let to_peers = all_values(next_peer_response).into_iter().map(|body| {
         let name = format!("Peer.{}", peer_response_name(&body));
         (
             name,
@@ -231,7 +232,7 @@
             StoreRequest::Proxy(_) | StoreRequest::Peer(_) => pins.check(&name, &request),
         }
     }
-    for set in chain(next_store_set) {
+    for set in all_values(next_store_set) {
         let name = match set {
             StoreSet::Serving => "StoreSet.Serving",
             StoreSet::Next => "StoreSet.Next",
@@ -242,17 +243,18 @@
 }
 
 #[test]
-fn answers_of_stores_keep_their_bytes() {
+fn replies_of_stores_keep_their_bytes() {
     let mut pins = Pins::parse(include_str!("wire_format/answers.txt"));
-    for (name, answer) in answers() {
-        match &answer {
-            StoreResponse::Proxy(_) | StoreResponse::Peer(_) => pins.check(&name, &answer),
+    for (name, reply) in replies() {
+        match &reply {
+            StoreResponse::Proxy(_) | StoreResponse::Peer(_) => pins.check(&name, &reply),
         }
     }
     pins.finish();
 }
 
-/// Two stores compare digests: both have to compute the same one of the same turns, whichever text they run.
+/// Two stores compare digests: both have to compute the same digest of the same turns, whichever
+/// version they run.
 #[test]
 fn digests_of_programs_keep_their_values() {
     let mut pins = Pins::parse(include_str!("wire_format/digests.txt"));
