--- a/tier/dispatch/src/admission.rs
+++ b/tier/dispatch/src/admission.rs
@@ -1,5 +1,5 @@
-//! How urgent a request is, how long it is queued while no target takes it, and when the client of
-//! a rejected request is to come back. Pure functions; the dispatcher calls them.
+//! Priorities of requests, queue time-outs of requests that no target accepts, and `Retry-After`
+//! values of rejected requests. Pure functions, called by the dispatcher.
 
 use plankhill_decisions::interface::Ms;
 
@@ -8,20 +8,22 @@
 /// The least urgent value of the `Priority` header.
 pub const LOWEST_PRIORITY: u8 = 9;
 
-/// A request that was never sent is queued for this share of its latency target: one rejected
-/// within a quarter of it still earns most of its value by the client's next request.
+/// Queue time-out of a request that was never sent, as a share of its latency target: a request
+/// that is rejected within a quarter of the target still achieves most of its value with the
+/// client's next request.
 const FIRST_SEND_SHARE: f64 = 0.2;
-/// A request that a target rejected is queued a little longer: a slot there comes free within an
-/// answer's time.
+/// Queue time-out of a request that a target rejected, as a share of its latency target. Longer,
+/// because a slot at that target becomes free within one response time.
 const AFTER_REJECTION_SHARE: f64 = 0.5;
-/// A request whose attempt failed is queued for this share of its latency target.
+/// Queue time-out of a request whose attempt failed, as a share of its latency target.
 const AFTER_FAILURE_SHARE: f64 = 1.0;
-/// Behind another request of its session it is queued for this share of the time left.
+/// Queue time-out of a request behind another request of its session, as a share of the time left
+/// until its deadline.
 const IN_SESSION_SHARE: f64 = 0.5;
-/// The shortest queue time-out, so that one short backoff of a target does not reject requests.
+/// The shortest queue time-out, so that one short backoff of a target does not cause rejections.
 const MIN_QUEUE_TIMEOUT: Ms = 20.0;
 
-/// Bounds of the `Retry-After` that a client is given.
+/// Bounds of the `Retry-After` that is sent to a client.
 const MIN_RETRY_AFTER: Ms = 30.0;
 const MAX_RETRY_AFTER: Ms = 1_000.0;
 
@@ -31,17 +33,17 @@
 /// Why a request is queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueReason {
-    /// It was never sent and waits for a target that takes it.
+    /// The request was never sent and waits for a target that accepts it.
     FirstSend,
-    /// Its last attempt was surely not executed.
+    /// The last attempt was certainly not executed.
     Rejected,
-    /// Its last attempt failed, or may have been executed.
+    /// The last attempt failed, or may have been executed.
     Failed,
-    /// An earlier request of its session is not over.
+    /// An earlier request of the same session has not completed.
     Session,
 }
 
-/// Until when the request is queued; then it is rejected. Never later than `deadline`.
+/// The time until which a request is queued before it is rejected; never later than `deadline`.
 pub fn queue_deadline(now: Ms, reason: QueueReason, latency_target: Ms, deadline: Ms) -> Ms {
     let timeout = match reason {
         QueueReason::FirstSend => (FIRST_SEND_SHARE * latency_target).max(MIN_QUEUE_TIMEOUT),
@@ -52,9 +54,10 @@
     (now + timeout.max(0.0)).min(deadline)
 }
 
-/// When the client of a rejected request is to come back, counted from `now`: when the service's
-/// first target may take requests again (`opens_at`), spread by `random` (0 to 1) so that clients
-/// do not all come at once.
+/// The delay after which the client of a rejected request should retry: the time until the
+/// service's first target may accept requests again (`opens_at`; one latency target if unknown),
+/// plus a jitter of up to half a latency target by `random` (0 to 1), so that clients do not all
+/// retry at once.
 pub fn retry_after(now: Ms, opens_at: Option<Ms>, latency_target: Ms, random: f64) -> Ms {
     let opens_in = match opens_at {
         Some(at) => at - now,
@@ -66,8 +69,8 @@
 
 /// The value of the `Priority` header.
 ///
-/// Only the agent program as a whole counts: a program that can still be in time goes before one
-/// that is late, and near its end it must not wait.
+/// Only the deadline of the complete agent program counts. Among requests of one route, a program
+/// that can still finish in time precedes a late one, and a program near its end precedes both.
 pub fn priority(route_priority: u8, program_time_left: Option<Ms>, latency_target: Ms) -> u8 {
     let by_route = 3 + route_priority.min(2) * 2;
     let by_program = match program_time_left {
--- a/tier/dispatch/src/affinity.rs
+++ b/tier/dispatch/src/affinity.rs
@@ -1,8 +1,8 @@
-//! What each target costs a prompt by its rank in the rendezvous orders.
+//! The cost of each target for a prompt by the target's rank in the rendezvous orders.
 //!
-//! A rendezvous hash of the shared prefix ranks the targets, the same at all proxies;
-//! [`crate::allocation`] says which of them cache it. Among these a rendezvous hash of the
-//! session's own part gives each session its target.
+//! A rendezvous hash of the shared prefix ranks the targets identically at all proxies;
+//! [`crate::allocation`] determines which of them cache the prefix. Among these, a rendezvous hash
+//! of the session's own part selects the target of each session.
 
 use plankhill_decisions::interface::Ms;
 
@@ -10,27 +10,27 @@
 use crate::prefix_chain::PrefixChain;
 use crate::rendezvous::{rendezvous_ranks, unit_weight};
 
-/// The cost of each rank further down the prefix's order, behind the targets that cache the prefix.
+/// The cost per rank in the prefix's order, for targets that do not cache the prefix.
 const RANK_COST: Ms = 5.0;
-/// The cost of each rank further down the session's own order, among the targets that cache its
-/// prefix: less than that of one more request on the target.
+/// The cost per rank in the session's own order, for targets that cache the session's prefix: less
+/// than the cost of one more request at the target.
 const SESSION_RANK_COST: Ms = 2.0;
-/// Ranks beyond this one cost the same.
+/// Ranks beyond this one cost the same as this one.
 const MAX_RANK: usize = 8;
 
-/// What a target's rank means for one prompt.
+/// The cost of a target for one prompt by the target's rank.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RankCost {
-    /// In expected milliseconds of answer time.
+    /// The cost in expected milliseconds of response time.
     pub cost: Ms,
     /// Whether the target is one of those that cache the prompt's shared prefix.
     pub has_shared_prefix: bool,
 }
 
-/// The rank cost of each target, by its position in `target_hashes`.
+/// The rank cost of each target, in the order of `target_hashes`.
 ///
 /// Targets with a quota in `quotas` are ranked by the session's order, the others by the prefix's.
-/// Where no target has a quota, the first one in the prefix's order caches the prefix.
+/// If no target has a quota, the first target in the prefix's order is assumed to cache the prefix.
 pub fn rank_costs(
     prompt: &PrefixChain,
     target_hashes: &[u64],
@@ -63,7 +63,7 @@
             has_shared_prefix: true,
         },
         None => {
-            // Behind all targets that cache the prefix.
+            // Higher than the cost of any target that caches the prefix.
             let base = SESSION_RANK_COST * MAX_RANK as f64;
             let cost = base + RANK_COST * (prefix_rank + 1).min(MAX_RANK) as f64;
             RankCost {
@@ -81,14 +81,15 @@
         .map(|quota| quota.share)
 }
 
-/// A target with a share, and its score in the session's weighted order: the lowest is first.
+/// A target with a share, and its score in the session's weighted order; the lowest score ranks
+/// first.
 struct ScoredTarget {
     index: usize,
     score: f64,
 }
 
 /// The ranks of the targets that have a share, in the session's weighted rendezvous order: over
-/// many sessions each target is first as often as its share is large.
+/// many sessions, each target ranks first in proportion to its share.
 fn session_ranks(
     session: u64,
     target_hashes: &[u64],
--- a/tier/dispatch/src/attempt.rs
+++ b/tier/dispatch/src/attempt.rs
@@ -1,46 +1,51 @@
-//! The end of an attempt as the proxy reports it.
+//! The result of an attempt as reported by the proxy.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 
-/// The `Upstream-Load` header of an answer.
+/// The `Upstream-Load` header of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamLoad {
-    /// Requests that the target executes.
+    /// Requests that the target is executing.
     pub running: u32,
     /// Requests in the target's queue.
     pub waiting: u32,
-    /// Most requests that the target executes at once.
+    /// Maximum number of requests that the target executes at once.
     pub slots: u32,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 ///
-/// The proxy reports the outcomes in this sense:
-/// - `Delivered`: the answer (any status below 500 without `Not-Executed`) has arrived completely;
-/// - `Error`: the target executed the request and answered with a failure;
-/// - `Rejected`: the answer has `Not-Executed` (or is a 421): surely not executed;
-/// - `TimedOut`: no complete answer by the attempt's deadline;
-/// - `ConnectFailed`: no connection came up, nothing was written;
+/// Meaning of the outcomes that the proxy reports:
+/// - `Delivered`: the response (any status below 500 without `Not-Executed`) has arrived
+///   completely;
+/// - `Error`: the target executed the request and returned an error response;
+/// - `Rejected`: the response has `Not-Executed` (or is a 421): the request was certainly not
+///   executed;
+/// - `TimedOut`: no complete response by the attempt's deadline;
+/// - `ConnectFailed`: no connection was established, nothing was written;
 /// - `Reset`: the connection broke after something was written: the request may have been executed;
-/// - `Cancelled`: the proxy ended the attempt (the client has left, or the answer cannot be read):
-///   the request may have been executed;
+/// - `Cancelled`: the proxy ended the attempt (the client has disconnected, or the response cannot
+///   be read): the request may have been executed;
 /// - `NotSent`: the proxy wrote nothing of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// The outcome, in the sense above.
+    /// The outcome, as defined above.
     pub outcome: AttemptOutcome,
-    /// From the send until the end of the answer's head, or until the attempt ended without one.
+    /// Time from the send until the end of the response head, or until the attempt ended without a
+    /// response head.
     pub elapsed: Ms,
     /// The target's `Retry-After`.
     pub retry_after: Option<Ms>,
-    /// The target's `Upstream-Load`, unless [`crate::Dispatcher::on_load_reported`] had it before.
+    /// The target's `Upstream-Load`, unless it was passed to
+    /// [`crate::Dispatcher::on_load_reported`] before.
     pub load: Option<UpstreamLoad>,
-    /// The longest pause between two chunks of the answer, the pause before the first one included.
+    /// The longest pause between two chunks of the response, including the pause before the first
+    /// chunk.
     pub longest_pause: Option<Ms>,
 }
 
 impl AttemptResult {
-    /// A result of which only the outcome is known.
+    /// Creates a result of which only the outcome is known.
     pub fn from_outcome(outcome: AttemptOutcome) -> Self {
         AttemptResult {
             outcome,
--- a/tier/dispatch/src/command.rs
+++ b/tier/dispatch/src/command.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher orders the proxy to do.
+//! Commands of the dispatcher to the proxy.
 
 use std::net::SocketAddr;
 
@@ -10,17 +10,17 @@
 /// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckResult {
-    /// Status 200 with the `Instance-Id` that was asked for.
+    /// Status 200 with the expected `Instance-Id`.
     Healthy,
-    /// Any other answer, or none.
+    /// Any other response, or none.
     Unhealthy,
 }
 
-/// An order to the proxy. Orders are carried out in the order given.
+/// A command to the proxy. Commands are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Sends the request to the target, with `Expected-Instance`;
-    /// [`crate::Dispatcher::on_attempt_ended`] has to follow.
+    /// Sends the request to the target, with `Expected-Instance`; the proxy has to call
+    /// [`crate::Dispatcher::on_attempt_ended`] afterwards.
     Send {
         /// The request.
         request: RequestKey,
@@ -28,30 +28,31 @@
         target: InstanceId,
         /// The target's address.
         address: SocketAddr,
-        /// The attempt ends as timed out then: at the request's deadline, or earlier where another
+        /// The time at which the attempt times out: the request's deadline, or earlier if another
         /// attempt may follow.
         deadline: Ms,
         /// The value of the `Priority` header.
         priority: u8,
     },
-    /// Final answer 503 with `Retry-After`: the request was surely not executed and never will be.
+    /// Final response 503 with `Retry-After`: the request was certainly not executed and never will
+    /// be.
     Reject {
         /// The request.
         request: RequestKey,
-        /// When the client is to come back, counted from now.
+        /// The delay after which the client should retry.
         retry_after: Ms,
     },
-    /// Final answer for a request that may have been executed: the last target's own failure if it
-    /// has arrived completely; otherwise 504 after a time-out and 502 after any other outcome. An
-    /// answer that has begun is truncated.
+    /// Final response for a request that may have been executed: the last target's own error
+    /// response if it has arrived completely; otherwise 504 after a time-out and 502 after any
+    /// other outcome. A response that has begun is truncated.
     Fail {
         /// The request.
         request: RequestKey,
-        /// How its last attempt ended.
+        /// The outcome of the request's last attempt.
         last: AttemptOutcome,
     },
-    /// Sends the service's health check; [`crate::Dispatcher::on_health_check_ended`] has to
-    /// follow.
+    /// Sends the service's health check; the proxy has to call
+    /// [`crate::Dispatcher::on_health_check_ended`] afterwards.
     HealthCheck {
         /// The target.
         target: InstanceId,
@@ -63,12 +64,14 @@
         /// The target.
         target: InstanceId,
     },
-    /// Revokes attempts at the target of which nothing is written yet: they end as `NotSent`.
+    /// Cancels the attempts at the target of which nothing has been written yet; they end as
+    /// `NotSent`.
     CancelUnsent {
         /// The target.
         target: InstanceId,
     },
-    /// [`crate::Dispatcher::poll_commands`] is to be called at this time, if nothing else calls for
-    /// it earlier. Replaces an earlier wake-up; commands without it need none.
+    /// The proxy has to call [`crate::Dispatcher::poll_commands`] at this time, unless another
+    /// event requires a call earlier. Replaces an earlier wake-up; no wake-up is needed after
+    /// commands without `WakeAt`.
     WakeAt(Ms),
 }
--- a/tier/dispatch/src/command_writer.rs
+++ b/tier/dispatch/src/command_writer.rs
@@ -14,7 +14,7 @@
 use crate::target_selection::select_cheapest;
 use crate::targets::{KnownTarget, Targets};
 
-/// Added to wake-ups, so that none comes a rounding error early.
+/// Added to wake-up times, so that a rounding error never makes a wake-up early.
 const WAKE_UP_MARGIN: Ms = 0.01;
 
 /// Writes the commands of one iteration.
@@ -22,7 +22,7 @@
     now: Ms,
     state: &'a mut DispatchState,
     commands: Vec<Command>,
-    /// When the scheduler wants its next iteration.
+    /// The time of the next iteration that the scheduler requested.
     next_iteration_at: Option<Ms>,
 }
 
@@ -33,7 +33,8 @@
 }
 
 impl<'a> CommandWriter<'a> {
-    /// `next_iteration_at` is what the scheduler asked for before.
+    /// Creates the writer of one iteration; `next_iteration_at` is the time that the scheduler
+    /// requested before.
     pub(crate) fn new(
         now: Ms,
         state: &'a mut DispatchState,
@@ -54,13 +55,13 @@
         }
     }
 
-    /// Takes out one request whose wait in the queue is over.
+    /// Removes and returns one request whose queue time-out has expired.
     pub(crate) fn pop_expired(&mut self) -> Option<RequestKey> {
         self.state.queue_timeouts.pop_expired(self.now)
     }
 
-    /// Answers a request that is not sent any more, unless it is over already.
-    pub(crate) fn answer(&mut self, key: RequestKey) {
+    /// Rejects or fails a request that is not sent any more, unless it is already complete.
+    pub(crate) fn reject_or_fail(&mut self, key: RequestKey) {
         self.state.queue_timeouts.remove(key);
         let Some(request) = self.state.requests.get_mut(key) else {
             return;
@@ -84,12 +85,12 @@
             }
         };
         self.commands.push(command);
-        self.state.requests.forget_if_complete(key);
+        self.state.requests.remove_if_complete(key);
     }
 
-    fn answer_event(&mut self, event: &EventId) {
+    fn reject_or_fail_event(&mut self, event: &EventId) {
         if let Some(key) = request_key(event) {
-            self.answer(key);
+            self.reject_or_fail(key);
         }
     }
 }
@@ -142,18 +143,18 @@
             request: key,
             target: known.id.clone(),
             address: known.address,
-            deadline: request.attempt_deadline(self.now, known.load.answer_time()),
+            deadline: request.attempt_deadline(self.now, known.load.response_time()),
             priority: request.priority,
         });
     }
 
     fn reject(&mut self, event: &EventId, _: Option<Ms>) -> bool {
-        self.answer_event(event);
+        self.reject_or_fail_event(event);
         false
     }
 
     fn abandon(&mut self, event: &EventId) -> bool {
-        self.answer_event(event);
+        self.reject_or_fail_event(event);
         false
     }
 
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Warm-up is off inside the tier.
+    /// Does nothing: warm-up is disabled inside the tier.
     fn record_warm_up(&mut self, _: &TargetId, _: Ms, _: f64) {}
 
     fn wake_after(&mut self, pause: Ms) {
@@ -191,8 +192,9 @@
     }
 }
 
-/// A request without a prompt: of the targets with the same cost any may get it, and proxies that
-/// all took the first one would meet there. The order of the targets is rotated at random.
+/// Selects the target of a request without a prompt. The order of the targets is rotated at random:
+/// any of the targets with the same cost is suitable, and without rotation all proxies would select
+/// the first one.
 fn select_without_prompt(
     now: Ms,
     prompt: &PrefixChain,
--- a/tier/dispatch/src/dispatch_state.rs
+++ b/tier/dispatch/src/dispatch_state.rs
@@ -1,5 +1,6 @@
-//! The state that decisions are carried out on: requests, targets and the random source. Owned by
-//! the dispatcher; the command writer borrows it during an iteration of the scheduler.
+//! The state that the scheduler's decisions change: requests, targets and the random number
+//! generator. Owned by the dispatcher; the command writer borrows it during an iteration of the
+//! scheduler.
 
 use std::collections::HashMap;
 
@@ -11,18 +12,18 @@
 use crate::rng::Rng;
 use crate::targets::Targets;
 
-/// Requests, targets and the random source.
+/// Requests, targets and the random number generator.
 pub(crate) struct DispatchState {
     pub(crate) requests: PendingRequests,
     pub(crate) targets: Targets,
-    /// For each service, the mix of its prompts and the targets that cache them.
+    /// For each service, the mix of its prompts and the targets that cache their prefixes.
     pub(crate) allocators: HashMap<DestinationId, Allocator>,
     pub(crate) queue_timeouts: QueueTimeouts,
     pub(crate) rng: Rng,
 }
 
 impl DispatchState {
-    /// No request and no target yet.
+    /// Creates a state without requests and targets.
     pub(crate) fn new(seed: u64) -> Self {
         DispatchState {
             requests: PendingRequests::default(),
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher: gathers what the proxy reports, runs one iteration of the scheduler on it, and
-//! returns the commands that follow. The proxy's admission is its only caller.
+//! The dispatcher: collects the proxy's reports, runs one iteration of the scheduler on them, and
+//! returns the resulting commands. Called only by the proxy's admission.
 
 use std::convert::Infallible;
 
@@ -25,25 +25,25 @@
 
 /// Decides which request is sent next to which target.
 ///
-/// Every request ends by one of: an attempt that was delivered, [`Command::Reject`],
-/// [`Command::Fail`], or the proxy's own [`Dispatcher::cancel`]. Every [`Command::Send`] has to be
-/// answered by one [`Dispatcher::on_attempt_ended`], also after a cancellation.
+/// Every request ends with one of: a delivered attempt, [`Command::Reject`], [`Command::Fail`], or
+/// the proxy's own call of [`Dispatcher::cancel`]. Every [`Command::Send`] has to be followed by
+/// one call of [`Dispatcher::on_attempt_ended`], also after a cancellation.
 pub struct Dispatcher {
     settings: DispatchSettings,
     scheduler: Scheduler,
-    /// Inputs for the scheduler's next iteration, in the order in which they came.
+    /// Inputs for the scheduler's next iteration, in order of arrival.
     inputs: Vec<SchedulerInput>,
     state: DispatchState,
     cooldown_estimate: CooldownEstimate,
     session_cooldowns: SessionCooldowns,
-    /// Requests that may not be sent again; their clients are answered by the next iteration.
+    /// Requests that may not be sent again; the next iteration rejects or fails them.
     exhausted: Vec<RequestKey>,
-    /// When the scheduler asked for its next iteration.
+    /// The time of the next iteration that the scheduler requested.
     next_iteration_at: Option<Ms>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no target yet.
+    /// Creates a dispatcher without targets.
     pub fn new(settings: DispatchSettings, now: Ms) -> Self {
         let cooldown_estimate = CooldownEstimate::default();
         let config = scheduler_config::decision_config(&settings, cooldown_estimate.value());
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Takes over the endpoint list of new tables. Draining targets and those not listed any more
-    /// get nothing new; a new id at an old address inherits nothing.
+    /// Applies the endpoint list of new tables. Draining targets and targets that are no longer
+    /// listed get no new requests; a new id at a known address inherits no state.
     pub fn set_targets(&mut self, targets: &[Target]) {
         let changes = self.state.targets.replace(&self.settings.zone, targets);
         if !changes.is_empty() {
@@ -74,7 +74,7 @@
             .extend(changes.into_iter().map(SchedulerInput::EndpointChanged));
     }
 
-    /// Takes in a request. Ignored if one with the same key is pending.
+    /// Enqueues a request. Ignored if a request with the same key is pending.
     pub fn enqueue(&mut self, now: Ms, new: NewRequest) {
         let key = new.key;
         if self.state.requests.get(key).is_some() {
@@ -106,8 +106,8 @@
         });
     }
 
-    /// Until when a new request is queued. The time-out begins once its session's cool-down is
-    /// over.
+    /// The time until which a new request is queued. The time-out begins once the cool-down of the
+    /// request's session is over.
     fn first_queue_deadline(&self, now: Ms, new: &NewRequest) -> Ms {
         let Some(session) = new.session else {
             let reason = QueueReason::FirstSend;
@@ -122,24 +122,24 @@
         admission::queue_deadline(from, reason, new.latency_target, new.deadline)
     }
 
-    /// The client has left, or has its answer by other means: the request is not sent any more. An
-    /// attempt in flight is the proxy's to end.
+    /// Cancels a request whose client has disconnected, or has received its response by other
+    /// means: the request is not sent any more. The proxy has to end an attempt in flight itself.
     pub fn cancel(&mut self, key: RequestKey) {
         let Some(request) = self.state.requests.get_mut(key) else {
             return;
         };
         request.complete();
         self.state.queue_timeouts.remove(key);
-        self.state.requests.forget_if_complete(key);
+        self.state.requests.remove_if_complete(key);
         self.inputs.push(SchedulerInput::RequestWithdrawn(key));
     }
 
-    /// A target reported its load in the head of an answer whose end is still to come.
+    /// Records the load that a target reported in the head of a response that is not complete yet.
     pub fn on_load_reported(&mut self, now: Ms, target: &InstanceId, load: UpstreamLoad) {
         self.state.targets.on_load_reported(now, target, load);
     }
 
-    /// An attempt ended. Ignored if none was in flight.
+    /// Records the end of an attempt. Ignored if no attempt of the request is in flight.
     pub fn on_attempt_ended(
         &mut self,
         now: Ms,
@@ -176,10 +176,10 @@
             ..AttemptReport::from_outcome(result.outcome)
         };
         self.inputs.push(SchedulerInput::AttemptEnded(key, report));
-        self.state.requests.forget_if_complete(key);
+        self.state.requests.remove_if_complete(key);
     }
 
-    /// After an attempt that may still be executed the session's next request waits.
+    /// Delays the session's next request after an attempt that may still be executed.
     fn begin_cooldown(&mut self, now: Ms, session: u64, outcome: AttemptOutcome) {
         if ExecutionState::from_outcome(outcome) == ExecutionState::MayHaveExecuted {
             let until = now + self.cooldown_estimate.value();
@@ -187,8 +187,8 @@
         }
     }
 
-    /// Takes in what the end of an attempt says of its target; returns the backoff that closes the
-    /// target, 0 if it stays open.
+    /// Records the result of an attempt at its target; returns the backoff during which the target
+    /// gets no requests, 0 for none.
     fn record_at_target(&mut self, now: Ms, target: &InstanceId, result: &AttemptResult) -> Ms {
         if let Some(pause) = result.longest_pause {
             if let Some(cooldown) = self.cooldown_estimate.record_pause(pause) {
@@ -201,14 +201,14 @@
         }
     }
 
-    /// Puts another cool-down of sessions in force.
+    /// Reconfigures the scheduler with a new cool-down of sessions.
     fn reconfigure(&mut self, key_cooldown: Ms) {
         let scheduler = std::mem::take(&mut self.scheduler);
         let config = scheduler_config::decision_config(&self.settings, key_cooldown);
         self.scheduler = scheduler.resume(config);
     }
 
-    /// A health check was answered, or was not.
+    /// Records the result of a health check.
     pub fn on_health_check_ended(&mut self, target: &InstanceId, result: HealthCheckResult) {
         let outcome = match result {
             HealthCheckResult::Healthy => AttemptOutcome::Delivered,
@@ -218,22 +218,22 @@
             .push(SchedulerInput::HealthCheckEnded(target_id(target), outcome));
     }
 
-    /// Runs one iteration of the scheduler and returns what the proxy is to do. To be called after
-    /// anything was reported, and at the time of the last [`Command::WakeAt`].
+    /// Runs one iteration of the scheduler and returns the commands to the proxy. The proxy has to
+    /// call it after every report, and at the time of the last [`Command::WakeAt`].
     pub fn poll_commands(&mut self, now: Ms) -> Vec<Command> {
         let inputs = std::mem::take(&mut self.inputs);
         let exhausted = std::mem::take(&mut self.exhausted);
         let pending_iteration = self.next_iteration_at.filter(|at| *at > now);
         let mut writer = CommandWriter::new(now, &mut self.state, pending_iteration);
         for key in exhausted {
-            writer.answer(key);
+            writer.reject_or_fail(key);
         }
         let apply_inputs = |scheduler: &mut Scheduler, writer: &mut CommandWriter| {
             for input in inputs {
                 input.apply(scheduler);
             }
             while let Some(key) = writer.pop_expired() {
-                writer.answer(key);
+                writer.reject_or_fail(key);
                 SchedulerInput::RequestWithdrawn(key).apply(scheduler);
             }
             Ok::<(), Infallible>(())
@@ -241,7 +241,7 @@
         let Ok(()) = self.scheduler.run_iteration(now, apply_inputs, &mut writer);
         let written = writer.finish();
         self.next_iteration_at = written.next_iteration_at;
-        self.state.targets.forget_removed();
+        self.state.targets.drop_removed();
         let mut commands = written.commands;
         if let Some(at) = earliest(
             self.next_iteration_at,
--- a/tier/dispatch/src/lib.rs
+++ b/tier/dispatch/src/lib.rs
@@ -1,14 +1,15 @@
 //! Dispatch of client requests to targets, without I/O.
 //!
-//! The proxy hands in requests, ends of attempts and endpoint lists, and gets [`Command`]s back.
-//! The decision module (`plankhill-decisions`) decides which request goes next and when; this crate
-//! adds what only the serving tier knows (prefix caches, reported load, retries, priorities) and
-//! translates between both. Time is passed in as an argument, in milliseconds on the proxy's clock.
+//! The proxy passes in requests, results of attempts and endpoint lists, and receives [`Command`]s.
+//! The decision module (`plankhill-decisions`) decides which request is sent next and when; this
+//! crate adds the state and rules that are specific to the serving tier (prefix caches, reported
+//! load, retries, priorities) and translates between the proxy and the decision module. Time is
+//! passed in as an argument, in milliseconds on the proxy's clock.
 //!
-//! A request's way through the crate: [`Dispatcher::enqueue`] sets its queue time-out
-//! ([`admission`]), the scheduler offers it to the targets that are open, `target_selection` takes
-//! the cheapest of them, and [`Dispatcher::on_attempt_ended`] decides by [`retry`] whether another
-//! attempt follows.
+//! The path of a request through the crate: [`Dispatcher::enqueue`] sets its queue time-out
+//! ([`admission`]), the scheduler determines the targets that are open to it, `target_selection`
+//! selects the cheapest of them, and [`Dispatcher::on_attempt_ended`] decides by [`retry`] whether
+//! another attempt follows.
 
 pub mod admission;
 pub mod affinity;
--- a/tier/dispatch/src/pending_requests.rs
+++ b/tier/dispatch/src/pending_requests.rs
@@ -9,30 +9,30 @@
 use crate::request::{Idempotency, NewRequest, RequestKey};
 use crate::retry::{attempt_deadline, Attempts, ExecutionState};
 
-/// Where a request stands.
+/// The phase of a pending request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It waits to be sent.
+    /// The request waits to be sent.
     Queued,
     /// An attempt is in flight.
     InFlight,
-    /// Its answer is decided or its client has left, and an attempt is still in flight.
+    /// The request is rejected, failed or cancelled, and an attempt is still in flight.
     InFlightAbandoned,
-    /// It is over.
+    /// The request is complete and no attempt is in flight.
     Complete,
 }
 
-/// What follows the end of an attempt.
+/// The next step after the end of an attempt.
 pub(crate) enum NextStep {
-    /// The request is over and its client has its answer, or has left.
+    /// The request is complete: it was delivered, rejected, failed or cancelled.
     Complete,
-    /// No further attempt is allowed: the client is to be answered.
+    /// No further attempt is allowed: the request has to be rejected or failed.
     GiveUp,
     /// The request is queued for its next attempt until this time.
     QueueUntil(Ms),
 }
 
-/// One request, until it is over and its last attempt has ended.
+/// One request, until it is complete and its last attempt has ended.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) service: DestinationId,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub(crate) fn on_sent(&mut self) {
         self.phase = match self.phase {
             Phase::Queued | Phase::InFlight => Phase::InFlight,
@@ -82,7 +82,7 @@
         };
     }
 
-    /// The attempt in flight has ended.
+    /// Records the end of the attempt in flight.
     pub(crate) fn on_attempt_ended(&mut self, now: Ms, outcome: AttemptOutcome) -> NextStep {
         self.attempts.record(outcome);
         if self.phase == Phase::InFlightAbandoned || outcome == AttemptOutcome::Delivered {
@@ -108,7 +108,8 @@
         ))
     }
 
-    /// The request's answer is decided or its client has left; false if that was so before.
+    /// Marks the request as rejected, failed or cancelled; returns false if it was complete or
+    /// marked before.
     pub(crate) fn complete(&mut self) -> bool {
         match self.phase {
             Phase::Queued => self.phase = Phase::Complete,
@@ -118,8 +119,9 @@
         true
     }
 
-    /// When an attempt that is sent now ends as timed out. A stream goes on for as long as it may.
-    pub(crate) fn attempt_deadline(&self, now: Ms, typical_answer_time: Ms) -> Ms {
+    /// The time at which an attempt that is sent now times out. A request with a session is a
+    /// stream, which may continue until the request's deadline.
+    pub(crate) fn attempt_deadline(&self, now: Ms, typical_response_time: Ms) -> Ms {
         if self.session.is_some() {
             return self.deadline;
         }
@@ -128,7 +130,7 @@
             now,
             self.deadline,
             self.latency_target,
-            typical_answer_time,
+            typical_response_time,
             followup,
         )
     }
@@ -138,13 +140,13 @@
         self.attempts.may_have_executed()
     }
 
-    /// How the last attempt ended; not sent if there was none.
+    /// The outcome of the last attempt; `NotSent` if there was none.
     pub(crate) fn last_outcome(&self) -> AttemptOutcome {
         self.attempts.last.unwrap_or(AttemptOutcome::NotSent)
     }
 }
 
-/// All pending requests, and how many of each session there are.
+/// All pending requests, and their number per session.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     by_key: HashMap<RequestKey, PendingRequest>,
@@ -164,7 +166,7 @@
         self.by_key.len()
     }
 
-    /// Whether another request of that session is not over, or has an attempt in flight.
+    /// Whether another request of the session is not complete, or has an attempt in flight.
     pub(crate) fn has_session(&self, session: u64) -> bool {
         self.session_counts.contains_key(&session)
     }
@@ -176,8 +178,8 @@
         self.by_key.insert(key, request);
     }
 
-    /// Forgets the request if it is over and no attempt of it is in flight.
-    pub(crate) fn forget_if_complete(&mut self, key: RequestKey) {
+    /// Removes the request if it is complete and has no attempt in flight.
+    pub(crate) fn remove_if_complete(&mut self, key: RequestKey) {
         if self
             .by_key
             .get(&key)
@@ -187,11 +189,11 @@
         }
         let removed = self.by_key.remove(&key);
         if let Some(session) = removed.and_then(|request| request.session) {
-            self.forget_one_of_session(session);
+            self.decrement_session_count(session);
         }
     }
 
-    fn forget_one_of_session(&mut self, session: u64) {
+    fn decrement_session_count(&mut self, session: u64) {
         let Some(count) = self.session_counts.get_mut(&session) else {
             return;
         };
@@ -207,7 +209,8 @@
     EventId(key.0.to_string().into())
 }
 
-/// The request that an event of the scheduler stands for.
+/// The request that an event of the scheduler represents; `None` if the event id is not a request
+/// key.
 pub(crate) fn request_key(event: &EventId) -> Option<RequestKey> {
     event.0.parse().ok().map(RequestKey)
 }
--- a/tier/dispatch/src/prefix_cache.rs
+++ b/tier/dispatch/src/prefix_cache.rs
@@ -1,5 +1,5 @@
-//! What one target's prefix cache holds, as far as this proxy knows: the chains that this proxy
-//! sent there. Owned by the target's entry in the table of targets.
+//! The presumed content of one target's prefix cache: the chains that this proxy sent to the
+//! target. Owned by the target's entry in the table of targets.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,14 +7,14 @@
 
 use crate::prefix_chain::PrefixChain;
 
-/// The time in which a target prefills one token: about 40 tokens in a millisecond.
+/// The time that a target takes to prefill one token: about 40 tokens per millisecond.
 pub const PREFILL_TIME_PER_TOKEN: Ms = 0.025;
 
-/// Chain links remembered for each target; the oldest are forgotten first. Targets cache some tens
-/// of sessions.
+/// Maximum number of chain links recorded for each target; the least recently used links are
+/// evicted first. Targets cache a few tens of sessions.
 const MAX_LINKS: usize = 512;
 
-/// The links that one target is taken to hold.
+/// The links that one target is assumed to cache.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     links: HashMap<u64, CachedLink>,
@@ -36,7 +36,7 @@
 }
 
 impl PrefixCache {
-    /// The target prefills the prompt, or has done so.
+    /// Records that the target prefills the prompt, or has prefilled it.
     pub fn record(&mut self, prompt: &PrefixChain) {
         for link in prompt.links() {
             self.use_count += 1;
@@ -53,34 +53,34 @@
         self.evict_oldest();
     }
 
-    /// Tokens of the prompt that the target has to prefill. `has_shared_prefix` says that requests
-    /// of other proxies had the target prefill the shared prefix.
+    /// Tokens of the prompt that the target has to prefill. With `has_shared_prefix`, the shared
+    /// prefix is assumed to be cached because of requests of other proxies.
     pub fn missing_tokens(&self, prompt: &PrefixChain, has_shared_prefix: bool) -> u32 {
-        let by_others = if has_shared_prefix {
+        let cached_by_others = if has_shared_prefix {
             prompt.shared_prefix_tokens()
         } else {
             0
         };
         let mut missing = 0u32;
-        let mut is_unbroken = true;
+        let mut is_contiguous = true;
         for (index, link) in prompt.links().iter().enumerate() {
-            let recorded = if is_unbroken {
+            let recorded = if is_contiguous {
                 self.cached_tokens(link.hash)
             } else {
                 0
             };
             let cached = if index == 0 {
-                recorded.max(by_others)
+                recorded.max(cached_by_others)
             } else {
                 recorded
             };
-            is_unbroken = cached > 0;
+            is_contiguous = cached > 0;
             missing = missing.saturating_add(link.tokens.saturating_sub(cached));
         }
         missing
     }
 
-    /// Whether the target caches the part that names the prompt's session.
+    /// Whether the target caches the part that identifies the prompt's session.
     pub fn has_session(&self, prompt: &PrefixChain) -> bool {
         self.links.contains_key(&prompt.session())
     }
--- a/tier/dispatch/src/prefix_chain.rs
+++ b/tier/dispatch/src/prefix_chain.rs
@@ -1,12 +1,13 @@
 //! The parts of one prompt as a chain of hashes.
 //!
-//! A cached part saves its prefill only where every part before it is cached as well. A part is
-//! therefore named by a hash over the ids up to and including it.
+//! A cached part saves its prefill only if every part before it is cached as well. A part is
+//! therefore identified by a hash over the ids up to and including its own.
 
 use crate::rendezvous::mix;
 use crate::request::PrefixPart;
 
-/// Parts of one prompt that are looked at; further ones are not shared by many.
+/// Maximum number of parts of one prompt that are considered; later parts are shared by few
+/// prompts.
 const MAX_PARTS: usize = 64;
 
 /// A part of a prompt and all parts before it.
@@ -18,14 +19,14 @@
     pub(crate) tokens: u32,
 }
 
-/// The chain of one prompt; empty if the prompt names no parts.
+/// The chain of one prompt; empty if the prompt has no parts.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixChain {
     links: Vec<ChainLink>,
 }
 
 impl PrefixChain {
-    /// The chain of these parts, in their order.
+    /// Creates the chain of these parts, in the given order.
     pub fn from_parts(parts: &[PrefixPart]) -> Self {
         let mut hash = 0;
         let mut links = Vec::with_capacity(parts.len().min(MAX_PARTS));
@@ -39,13 +40,13 @@
         PrefixChain { links }
     }
 
-    /// Whether the prompt names no parts.
+    /// Whether the prompt has no parts.
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
 
-    /// The hash of the prefix that the prompt shares with others: its first part, unless that is
-    /// its only one.
+    /// The hash of the prefix that the prompt shares with others: the prompt's first part, unless
+    /// that is the only part.
     pub fn shared_prefix(&self) -> Option<u64> {
         self.shared_link().map(|link| link.hash)
     }
@@ -55,8 +56,8 @@
         self.shared_link().map_or(0, |link| link.tokens)
     }
 
-    /// The hash that names the session: the part behind the shared prefix. Prompts of sub-agents
-    /// begin with that of their parent.
+    /// The hash that identifies the session: that of the part after the shared prefix. The prompt
+    /// of a sub-agent begins with its parent's prompt.
     pub(crate) fn session(&self) -> u64 {
         match self.links.as_slice() {
             [] => 0,
--- a/tier/dispatch/src/prefix_demand.rs
+++ b/tier/dispatch/src/prefix_demand.rs
@@ -1,23 +1,23 @@
-//! The share of a service's requests that each shared prefix makes up, as this proxy sees it.
+//! The share of a service's requests that each shared prefix accounts for, as observed by this
+//! proxy.
 //!
-//! A proxy of a large fleet sees too little of the load at any one target to find out by itself
-//! that all proxies put the same prompts there. Each proxy does see the mix of the prompts: a
-//! prefix that makes up a fifth of the requests belongs on a fifth of the targets, whichever proxy
-//! sends them ([`crate::allocation`]).
+//! A proxy of a large fleet observes too little of the load at any one target to detect by itself
+//! that all proxies send the same prompts to that target. But each proxy can observe the mix of the
+//! prompts: a prefix that accounts for a fifth of the requests should be cached by a fifth of the
+//! targets, whichever proxy sends them ([`crate::allocation`]).
 
 use std::collections::HashMap;
 
 use plankhill_decisions::interface::Ms;
 
-/// Counts lose half of their weight in this time: long enough for some tens of requests at a proxy
-/// of a large fleet.
+/// Half-life of the counts: long enough for some tens of requests at a proxy of a large fleet.
 const HALF_LIFE: Ms = 10_000.0;
-/// Prefixes whose count has decayed below this are forgotten.
+/// Prefixes whose count has decayed below this value are removed.
 const MIN_COUNT: f64 = 0.2;
-/// Requests that are taken to have had other prefixes before any was seen: the first request does
-/// not count as all there is.
+/// Number of requests with other prefixes that are assumed before any request is counted, so that
+/// the first request does not count as the complete demand.
 const PRIOR_REQUESTS: f64 = 5.0;
-/// Prefixes counted for a service; beyond it new ones count as rare.
+/// Maximum number of prefixes counted for a service; beyond it, new prefixes are treated as rare.
 const MAX_PREFIXES: usize = 1_024;
 
 /// The requests of one service by their shared prefix.
@@ -33,12 +33,12 @@
 pub struct PrefixShare {
     /// The prefix's chain hash.
     pub prefix: u64,
-    /// From 0 to 1.
+    /// The share, from 0 to 1.
     pub share: f64,
 }
 
 impl PrefixDemand {
-    /// A request with the prefix came.
+    /// Records a request with the prefix.
     pub fn record(&mut self, now: Ms, prefix: u64) {
         self.decay(now);
         self.total += 1.0;
@@ -57,7 +57,7 @@
                 share: count / (self.total + PRIOR_REQUESTS),
             })
             .collect();
-        // Ties go by the prefix: the order of the map differs from process to process.
+        // Ties are ordered by prefix, because the order of the map differs from process to process.
         shares.sort_by(|one, other| {
             other
                 .share
--- a/tier/dispatch/src/queue_timeouts.rs
+++ b/tier/dispatch/src/queue_timeouts.rs
@@ -1,4 +1,5 @@
-//! Until when each queued request waits for a target. Owned by the dispatcher's state.
+//! Queue time-outs: the time until which each queued request waits for a target. Owned by the
+//! dispatcher's state.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,9 +7,9 @@
 
 use crate::request::RequestKey;
 
-/// Queued requests, sorted by the end of their wait.
+/// Queued requests, sorted by the end of their queue time-out.
 ///
-/// Both maps hold the same requests.
+/// Both collections contain the same requests.
 #[derive(Debug, Default)]
 pub(crate) struct QueueTimeouts {
     by_time_us: BTreeSet<(u64, RequestKey)>,
@@ -16,7 +17,7 @@
 }
 
 impl QueueTimeouts {
-    /// Lets the request wait until `until`, whatever was set before.
+    /// Sets the end of the request's queue time-out, replacing an earlier value.
     pub(crate) fn set(&mut self, request: RequestKey, until: Ms) {
         self.remove(request);
         let until_us = microseconds(until);
@@ -24,14 +25,14 @@
         self.by_request_us.insert(request, until_us);
     }
 
-    /// The request is not queued any more.
+    /// Removes the time-out of a request that is not queued any more.
     pub(crate) fn remove(&mut self, request: RequestKey) {
         if let Some(until_us) = self.by_request_us.remove(&request) {
             self.by_time_us.remove(&(until_us, request));
         }
     }
 
-    /// Takes out one request whose wait is over, the earliest first.
+    /// Removes and returns one request whose time-out has expired, the earliest first.
     pub(crate) fn pop_expired(&mut self, now: Ms) -> Option<RequestKey> {
         let &(until_us, request) = self.by_time_us.first()?;
         if until_us > microseconds(now) {
@@ -41,7 +42,7 @@
         Some(request)
     }
 
-    /// When the next wait is over.
+    /// The time at which the next time-out expires.
     pub(crate) fn next_expiry(&self) -> Option<Ms> {
         self.by_time_us
             .first()
@@ -49,8 +50,8 @@
     }
 }
 
-/// Times are sorted as whole microseconds; rounded up, so that a wake-up at that time finds the
-/// wait expired.
+/// Converts a time to whole microseconds, by which times are sorted. Rounds up, so that a wake-up
+/// at that time finds the time-out expired.
 fn microseconds(time: Ms) -> u64 {
     (time.max(0.0) * 1000.0).ceil() as u64
 }
--- a/tier/dispatch/src/rendezvous.rs
+++ b/tier/dispatch/src/rendezvous.rs
@@ -1,7 +1,8 @@
 //! Rendezvous hashing (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
 //! 1998): every proxy derives the same order of targets for a key, without messages.
 //!
-//! The hashes are format: proxies of two versions that run side by side have to agree on them.
+//! The hash values are a fixed format: proxies of two versions that run side by side have to agree
+//! on them.
 
 use std::cmp::Reverse;
 
@@ -41,7 +42,7 @@
     (rendezvous_weight(key, target_hash) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The increment and the finisher of splitmix64 (Steele, Lea and Flood, "Fast Splittable
+/// The increment and the finalizer of splitmix64 (Steele, Lea and Flood, "Fast Splittable
 /// Pseudorandom Number Generators", 2014).
 pub(crate) fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/tier/dispatch/src/request.rs
+++ b/tier/dispatch/src/request.rs
@@ -1,10 +1,9 @@
-//! A request as the proxy hands it in.
+//! A request as passed in by the proxy.
 
 use plankhill_decisions::interface::Ms;
 use plankhill_protocol::ids::ServiceName;
 
-/// The proxy's own number of a request. A number that was used must not be used again within the
-/// process.
+/// The proxy's own number of a request. A number must not be reused within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKey(pub u64);
 
@@ -17,10 +16,10 @@
     NonIdempotent,
 }
 
-/// A part of a prompt, as the `Prefix-Hash` header names it.
+/// A part of a prompt, as listed in the `Prefix-Hash` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixPart {
-    /// Equal ids stand for equal text.
+    /// Identifies the text of the part: equal ids mean equal text.
     pub id: u64,
     /// Length of the part in tokens.
     pub tokens: u32,
@@ -29,20 +28,21 @@
 /// A request that was read completely from its client.
 #[derive(Clone, Debug)]
 pub struct NewRequest {
-    /// Names the request in all later calls and commands.
+    /// Identifies the request in all later calls and commands.
     pub key: RequestKey,
-    /// The service, already drawn where the route splits between several.
+    /// The service; if the route splits its requests between several services, the one that was
+    /// selected.
     pub service: ServiceName,
     /// Whether the request may be executed more than once.
     pub idempotency: Idempotency,
     /// A hash of the `Session` header on `streaming` routes. Requests of one session are sent one
-    /// behind the other, in the order in which they came. None on other routes.
+    /// at a time, in order of arrival. `None` on other routes.
     pub session: Option<u64>,
-    /// When the answer is due: the earlier of the client's deadline and the route's time-out.
+    /// When the response is due: the earlier of the client's deadline and the route's time-out.
     pub deadline: Ms,
     /// The route's `target_latency_ms`.
     pub latency_target: Ms,
-    /// The route's `max_attempts`: bounds attempts that were or may have been executed.
+    /// The route's `max_attempts`: limits the attempts that were or may have been executed.
     pub max_attempts: u32,
     /// The route's `priority`: 0 is highest.
     pub route_priority: u8,
--- a/tier/dispatch/src/retry.rs
+++ b/tier/dispatch/src/retry.rs
@@ -1,4 +1,5 @@
-//! Whether a request whose attempt ended undelivered is sent again. The only place that decides so.
+//! Retry rules: whether a request is sent again after an attempt that was not delivered. Only this
+//! module decides about retries.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 
@@ -9,9 +10,9 @@
 pub enum ExecutionState {
     /// The target did not execute the request and never will.
     NotExecuted,
-    /// Nobody can tell.
+    /// Unknown: the target may or may not have executed the request.
     MayHaveExecuted,
-    /// The target executed the request, with success or not.
+    /// The target executed the request, successfully or not.
     Executed,
 }
 
@@ -30,15 +31,16 @@
     }
 }
 
-/// Attempts of one request that were surely not executed, beyond `max_attempts`. Each costs a round
-/// trip or less; after this many the service as a whole is full or gone.
-const MAX_NOT_EXECUTED: u32 = 3;
+/// Maximum number of retries of one request after attempts that were certainly not executed; these
+/// do not count towards `max_attempts`. Each costs a round trip or less; after this many, the
+/// complete service is at capacity or unavailable.
+const MAX_NOT_EXECUTED_RETRIES: u32 = 3;
 
-/// An attempt that another may follow is given this many latency targets, or typical answer times
-/// if that is longer: past both its answer is lost more often than late.
+/// Time-out of an attempt that may be followed by another one, in latency targets and in typical
+/// response times; the longer one applies. After both, a response is lost more often than late.
 const ATTEMPT_TIMEOUT_TARGETS: f64 = 2.0;
-const ATTEMPT_TIMEOUT_ANSWERS: f64 = 8.0;
-/// The attempt is given no more than this share of the time left, so that the next one has as much.
+const ATTEMPT_TIMEOUT_RESPONSES: f64 = 8.0;
+/// The time-out is at most this share of the time left, so that the next attempt has as much.
 const MAX_ATTEMPT_SHARE: f64 = 0.5;
 
 /// Whether another attempt may follow the one that is about to be sent.
@@ -50,20 +52,20 @@
     Possible,
 }
 
-/// When an attempt that is sent now ends as timed out: at the request's deadline, or earlier where
+/// The time at which an attempt that is sent now times out: the request's deadline, or earlier if
 /// another attempt may follow.
 pub fn attempt_deadline(
     now: Ms,
     deadline: Ms,
     latency_target: Ms,
-    typical_answer_time: Ms,
+    typical_response_time: Ms,
     followup: Followup,
 ) -> Ms {
     match followup {
         Followup::None => deadline,
         Followup::Possible => {
             let timeout = (ATTEMPT_TIMEOUT_TARGETS * latency_target)
-                .max(ATTEMPT_TIMEOUT_ANSWERS * typical_answer_time);
+                .max(ATTEMPT_TIMEOUT_RESPONSES * typical_response_time);
             now + timeout.min(MAX_ATTEMPT_SHARE * (deadline - now))
         }
     }
@@ -72,11 +74,11 @@
 /// The attempts of one request so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Attempts {
-    /// Attempts that were or may have been executed. `max_attempts` bounds them.
+    /// Attempts that were or may have been executed, limited by `max_attempts`.
     pub executed: u32,
-    /// Attempts that surely were not.
+    /// Attempts that were certainly not executed.
     pub not_executed: u32,
-    /// How the last attempt ended.
+    /// The outcome of the last attempt.
     pub last: Option<AttemptOutcome>,
 }
 
@@ -95,7 +97,8 @@
         self.executed > 0
     }
 
-    /// Whether another attempt could follow the one that is about to be sent, were its answer lost.
+    /// Whether another attempt could follow the one that is about to be sent if its response were
+    /// lost.
     pub fn followup(&self, idempotency: Idempotency, max_attempts: u32) -> Followup {
         match idempotency {
             Idempotency::Idempotent if self.executed + 1 < max_attempts => Followup::Possible,
@@ -112,6 +115,6 @@
         if idempotency == Idempotency::NonIdempotent && self.may_have_executed() {
             return false;
         }
-        self.executed < max_attempts.max(1) && self.not_executed <= MAX_NOT_EXECUTED
+        self.executed < max_attempts.max(1) && self.not_executed <= MAX_NOT_EXECUTED_RETRIES
     }
 }
--- a/tier/dispatch/src/rng.rs
+++ b/tier/dispatch/src/rng.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's random source.
+//! The dispatcher's random number generator.
 
 /// A linear congruential generator with Knuth's MMIX constants (The Art of Computer Programming,
 /// volume 2, section 3.3.4): the same seed gives the same sequence on every machine.
--- a/tier/dispatch/src/scheduler_config.rs
+++ b/tier/dispatch/src/scheduler_config.rs
@@ -1,8 +1,9 @@
 //! The decision module's configuration for use inside the tier.
 //!
-//! Neutral there: warm-up, the pace after rejections, spread and quotas (`Tuning::paces_calls` is
-//! off). A target of the tier rejects for itself, by a status that promises that nothing was
-//! executed, and queues what it can; pacing calls would delay requests that the target accepts.
+//! Disabled inside the tier: warm-up, pacing after rejections, spread and quotas
+//! (`Tuning::paces_calls` is off). A target of the tier queues the requests that it can and rejects
+//! the others itself, with a status that guarantees that nothing was executed; pacing calls would
+//! delay requests that the target accepts.
 
 use plankhill_decisions::interface::{
     DecisionConfig, DestinationKind, DestinationKindId, Idempotency as SchedulerIdempotency, Ms,
@@ -13,25 +14,26 @@
 use crate::request::Idempotency;
 use crate::settings::DispatchSettings;
 
-/// The only kind of destination: a service whose targets have a health and a backoff each.
+/// The only kind of destination: a service whose targets each have their own health and backoff.
 pub(crate) const SERVICE: DestinationKindId = DestinationKindId(0);
-/// More calls than any proxy has in flight: targets bound them, not the proxy.
+/// More calls than any proxy has in flight: the targets limit them, not the proxy.
 const MAX_CALLS_IN_FLIGHT: usize = 1 << 20;
-/// The dispatcher bounds the attempts of each request itself ([`crate::retry`]), below this.
+/// Not reached: the dispatcher itself limits the attempts of each request ([`crate::retry`]) to
+/// fewer.
 const MAX_ATTEMPTS: u32 = 64;
-/// The first backoff before a request is sent again; it doubles. Half a second after a failure, as
-/// for events that wait for seconds, would use up a whole latency target. After an attempt that was
-/// not executed, another target may have capacity now.
+/// The initial backoff before a request is sent again; the backoff doubles with each retry. Half a
+/// second after a failure, as used for events that can wait for seconds, would use up a complete
+/// latency target. After an attempt that was not executed, another target may have capacity now.
 const RETRY_BACKOFF: RetryBackoff = RetryBackoff {
     after_failure: 40.0,
     after_rejection: 4.0,
     after_unsent: 4.0,
 };
-/// Farther away than any deadline: the value of a request falls with its age only past it, that is
-/// never.
-const NO_AGE: Ms = 1e12;
+/// An age beyond any deadline: the value of a request decays with its age only beyond this age,
+/// which is never reached.
+const UNREACHABLE_AGE: Ms = 1e12;
 
-/// The configuration for a proxy with these settings. `key_cooldown` is the pause of a session
+/// The configuration for a proxy with these settings. `key_cooldown` is the cool-down of a session
 /// after an attempt that may still be executed.
 pub(crate) fn decision_config(settings: &DispatchSettings, key_cooldown: Ms) -> DecisionConfig {
     DecisionConfig {
@@ -70,7 +72,7 @@
     }
 }
 
-/// One type for each priority, first the idempotent ones.
+/// One type for each idempotency and priority, the idempotent ones first.
 fn traffic_types() -> Vec<TrafficType> {
     let mut types = Vec::new();
     for idempotency in [
@@ -84,12 +86,13 @@
     types
 }
 
-/// Where the event capacity is used up, the least urgent request is rejected first.
+/// The traffic type of one idempotency and priority. Its value grows with the urgency, so that the
+/// least urgent request is rejected first when the event capacity is exhausted.
 fn traffic_type(idempotency: SchedulerIdempotency, priority: u8) -> TrafficType {
     TrafficType {
         idempotency,
-        soft_limit: NO_AGE,
-        patience: NO_AGE,
+        soft_limit: UNREACHABLE_AGE,
+        patience: UNREACHABLE_AGE,
         value: f64::from(LOWEST_PRIORITY - priority + 1),
         value_at_end: 0.0,
         ordered: true,
--- a/tier/dispatch/src/scheduler_input.rs
+++ b/tier/dispatch/src/scheduler_input.rs
@@ -1,5 +1,4 @@
-//! Inputs that are gathered between two iterations of the scheduler, in the order in which they
-//! came.
+//! Inputs that are collected between two iterations of the scheduler, in order of arrival.
 
 use plankhill_decisions::interface::{
     AttemptOutcome, AttemptReport, DestinationId, EndpointState, Ms, OrderKey, TargetId,
@@ -15,9 +14,9 @@
 /// One input of the scheduler.
 #[derive(Debug)]
 pub(crate) enum SchedulerInput {
-    /// An endpoint list names a target anew, in another state, or no longer.
+    /// A target was added to the endpoint list, changed its state, or was removed from the list.
     EndpointChanged(EndpointChange),
-    /// A request came.
+    /// A request arrived.
     RequestArrived {
         key: RequestKey,
         service: DestinationId,
@@ -25,7 +24,7 @@
         deadline: Ms,
         session: Option<OrderKey>,
     },
-    /// A request is not to be sent any more.
+    /// A request must not be sent any more.
     RequestWithdrawn(RequestKey),
     /// An attempt ended.
     AttemptEnded(RequestKey, AttemptReport),
@@ -34,8 +33,8 @@
 }
 
 impl SchedulerInput {
-    /// Applies the input. An input about a request or target that the scheduler does not know is
-    /// about one that was forgotten meanwhile: nothing is to be decided about it.
+    /// Applies the input. An input for a request or target that is unknown to the scheduler is
+    /// ignored: the request or target was removed in the meantime.
     pub(crate) fn apply(self, scheduler: &mut Scheduler) {
         match self {
             SchedulerInput::EndpointChanged(change) => apply_endpoint_change(change, scheduler),
--- a/tier/dispatch/src/session_cooldown.rs
+++ b/tier/dispatch/src/session_cooldown.rs
@@ -1,49 +1,50 @@
-//! How long a session pauses after an attempt that may still be executed, derived from the pauses
-//! within answers, and the sessions that pause now.
+//! The cool-down of a session after an attempt that may still be executed, derived from the pauses
+//! within responses, and the sessions that are in cool-down.
 //!
-//! A target drops a request whose connection has closed when it next writes to that connection, so
-//! that the longest pause between two writes bounds how long the request goes on unseen.
+//! A target aborts a request whose connection was closed when it next writes to that connection, so
+//! that the longest pause between two writes limits how long the request continues to be executed.
 
 use std::collections::{HashMap, VecDeque};
 
 use plankhill_decisions::interface::Ms;
 
-/// The cool-down before any answer was seen.
+/// The cool-down before the first response.
 const INITIAL_COOLDOWN: Ms = 200.0;
 /// Bounds of the cool-down: a round trip inside a region, and the time by which any target has
-/// noticed a closed connection.
+/// detected a closed connection.
 const MIN_COOLDOWN: Ms = 20.0;
 const MAX_COOLDOWN: Ms = 1_000.0;
-/// The weight of the newest answer in the average.
+/// The weight of the newest response in the average.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// The cool-down is that many times the typical longest pause.
+/// The cool-down is this many times the typical longest pause.
 const SAFETY_FACTOR: f64 = 2.0;
-/// A change is passed on when it exceeds this share of the value in force.
+/// A change takes effect if it exceeds this share of the current cool-down.
 const MIN_CHANGE: f64 = 0.3;
 
-/// The cool-down as derived from answers.
+/// The cool-down derived from responses.
 #[derive(Clone, Debug)]
 pub struct CooldownEstimate {
     typical_pause: Option<Ms>,
-    in_force: Ms,
+    current: Ms,
 }
 
 impl Default for CooldownEstimate {
     fn default() -> Self {
         CooldownEstimate {
             typical_pause: None,
-            in_force: INITIAL_COOLDOWN,
+            current: INITIAL_COOLDOWN,
         }
     }
 }
 
 impl CooldownEstimate {
-    /// The value in force.
+    /// The current cool-down.
     pub fn value(&self) -> Ms {
-        self.in_force
+        self.current
     }
 
-    /// Takes in the longest pause of an answer; returns the new value if it changed by much.
+    /// Records the longest pause of a response; returns the new cool-down if the change takes
+    /// effect.
     pub fn record_pause(&mut self, longest_pause: Ms) -> Option<Ms> {
         if !longest_pause.is_finite() || longest_pause < 0.0 {
             return None;
@@ -52,19 +53,19 @@
         let typical = before + NEWEST_WEIGHT * (longest_pause - before);
         self.typical_pause = Some(typical);
         let derived = (SAFETY_FACTOR * typical).clamp(MIN_COOLDOWN, MAX_COOLDOWN);
-        if (derived - self.in_force).abs() <= MIN_CHANGE * self.in_force {
+        if (derived - self.current).abs() <= MIN_CHANGE * self.current {
             return None;
         }
-        self.in_force = derived;
+        self.current = derived;
         Some(derived)
     }
 }
 
-/// The sessions that pause now.
+/// The sessions that are in cool-down.
 #[derive(Debug, Default)]
 pub struct SessionCooldowns {
     until: HashMap<u64, Ms>,
-    /// In the order in which the cool-downs began. An entry that differs from `until` is stale.
+    /// The cool-downs in order of their start. An entry that differs from `until` is stale.
     by_start: VecDeque<SessionCooldown>,
 }
 
@@ -75,9 +76,10 @@
 }
 
 impl SessionCooldowns {
-    /// The session pauses until `until`. Cool-downs that are over by `now` are forgotten.
+    /// Starts a cool-down of the session that ends at `until`. Removes cool-downs that have ended
+    /// by `now`.
     pub fn begin(&mut self, now: Ms, session: u64, until: Ms) {
-        self.forget_expired(now);
+        self.remove_expired(now);
         self.until.insert(session, until);
         self.by_start.push_back(SessionCooldown { session, until });
     }
@@ -87,10 +89,10 @@
         self.until.get(&session).copied().unwrap_or(now).max(now)
     }
 
-    fn forget_expired(&mut self, now: Ms) {
-        while let Some(over) = self.by_start.pop_front_if(|cooldown| cooldown.until <= now) {
-            if self.until.get(&over.session) == Some(&over.until) {
-                self.until.remove(&over.session);
+    fn remove_expired(&mut self, now: Ms) {
+        while let Some(expired) = self.by_start.pop_front_if(|cooldown| cooldown.until <= now) {
+            if self.until.get(&expired.session) == Some(&expired.until) {
+                self.until.remove(&expired.session);
             }
         }
     }
--- a/tier/dispatch/src/settings.rs
+++ b/tier/dispatch/src/settings.rs
@@ -5,11 +5,11 @@
 /// The settings of a dispatcher, given once at the start of its process.
 #[derive(Clone, Debug)]
 pub struct DispatchSettings {
-    /// Seed of the random source; differs between proxies.
+    /// Seed of the random number generator; differs between proxies.
     pub seed: u64,
     /// The proxy's zone.
     pub zone: ZoneName,
-    /// Most requests queued or in flight at once. Beyond it queued requests are rejected, the least
-    /// urgent first.
+    /// Maximum number of requests queued or in flight at once. Beyond it, queued requests are
+    /// rejected, the least urgent first.
     pub max_requests: usize,
 }
--- a/tier/dispatch/src/target_selection.rs
+++ b/tier/dispatch/src/target_selection.rs
@@ -1,5 +1,5 @@
-//! Which of the targets that are open to a request gets it: the one with the least cost, in
-//! expected milliseconds of answer time. Called for each send by [`crate::command_writer`].
+//! Selects the target of a request among the open targets: the one with the lowest cost, in
+//! expected milliseconds of response time. Called for each send by [`crate::command_writer`].
 
 use plankhill_decisions::interface::Ms;
 
@@ -9,27 +9,29 @@
 use crate::target_load::{FULL_SLOTS_COST, FULL_SLOTS_COST_WITH_PREFILL};
 use crate::targets::KnownTarget;
 
-/// The cost of a target in another zone: a round trip between zones and the price of the bytes.
+/// The cost of a target in another zone: a round trip between zones and the price of the
+/// transferred bytes.
 const OTHER_ZONE_COST: Ms = 6.0;
-/// A target may have this many times the requests of the least loaded one, and a few more, before a
-/// prompt that it caches goes elsewhere.
+/// A target may have up to `LOAD_BOUND_FACTOR` times the requests of the least loaded target plus
+/// `LOAD_BOUND_EXTRA`; beyond this bound, prompts that it caches are sent to other targets.
 const LOAD_BOUND_FACTOR: f64 = 1.25;
 const LOAD_BOUND_EXTRA: f64 = 6.0;
 /// Prefill delays all requests in flight at the target, so that its weight grows by this share for
-/// each of them. Under a burst 0.25 and 1.2 left more programs late: sessions stuck to full
-/// targets, or moved too often.
+/// each of them. Under a burst, more programs were late with 0.25 and with 1.2: sessions stayed at
+/// full targets, or moved too often.
 const PREFILL_WEIGHT_PER_REQUEST: f64 = 0.6;
 
-/// The target that a request goes to.
+/// The target that was selected for a request.
 pub(crate) struct Selection {
-    /// Its position among the targets that were open.
+    /// The target's position among the open targets.
     pub(crate) index: usize,
-    /// Whether it is one of those that cache the prompt's shared prefix.
+    /// Whether the target is one of those that cache the prompt's shared prefix.
     pub(crate) has_shared_prefix: bool,
 }
 
-/// The target in `open` with the least cost, within the bound on load; the first one on a tie.
-/// `quotas` names the targets that cache the prompt's shared prefix. None if no target is open.
+/// Selects the target in `open` with the lowest cost, within the bound on load; the first one on a
+/// tie. `quotas` lists the targets that cache the prompt's shared prefix. `None` if no target is
+/// open.
 pub(crate) fn select_cheapest(
     now: Ms,
     prompt: &PrefixChain,
@@ -54,7 +56,7 @@
     })
 }
 
-/// Requests that are probably in flight at each target.
+/// The estimated number of requests in flight at each target.
 fn estimate_requests(now: Ms, open: &[&KnownTarget]) -> Vec<f64> {
     let others = open
         .iter()
@@ -93,7 +95,7 @@
     } else {
         FULL_SLOTS_COST_WITH_PREFILL
     };
-    // A session stays where it is, whatever its rank has become since.
+    // A session stays at the target that caches it, even if the target's rank has changed since.
     let rank_cost = if target.prefix_cache.has_session(prompt) {
         0.0
     } else {
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -1,5 +1,5 @@
-//! The targets that the endpoint lists name, by the scheduler's ids, and the differences between
-//! two lists. Owned by the dispatcher's state.
+//! The targets in the endpoint lists, by the scheduler's ids, and the differences between two
+//! lists. Owned by the dispatcher's state.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use crate::rendezvous::target_hash;
 use crate::target_load::TargetLoad;
 
-/// One incarnation of a target, and what this proxy knows of it.
+/// One incarnation of a target, and its state at this proxy.
 #[derive(Debug)]
 pub(crate) struct KnownTarget {
     pub(crate) id: InstanceId,
@@ -25,14 +25,14 @@
     pub(crate) hash: u64,
     pub(crate) load: TargetLoad,
     pub(crate) prefix_cache: PrefixCache,
-    /// The end of the backoff after its last rejection.
+    /// The end of the backoff after the target's last rejection.
     closed_until: Ms,
     service: DestinationId,
     state: EndpointState,
 }
 
 impl KnownTarget {
-    /// A request with this prompt is sent to the target.
+    /// Records that a request with this prompt is sent to the target.
     pub(crate) fn on_sent(&mut self, now: Ms, prompt: &PrefixChain, has_shared_prefix: bool) {
         self.load.on_sent();
         let prefill = self.prefill_time(prompt, has_shared_prefix);
@@ -40,14 +40,15 @@
         self.prefix_cache.record(prompt);
     }
 
-    /// An attempt has ended; returns the backoff that closes the target, 0 if it stays open.
+    /// Records the end of an attempt; returns the backoff during which the target gets no requests,
+    /// 0 for none.
     pub(crate) fn on_attempt_ended(&mut self, now: Ms, result: &AttemptResult) -> Ms {
         self.load.on_ended();
         if let Some(load) = result.load {
             self.load.on_report(now, load);
         }
         match result.outcome {
-            AttemptOutcome::Delivered => self.load.on_answer(result.elapsed),
+            AttemptOutcome::Delivered => self.load.on_response(result.elapsed),
             AttemptOutcome::Rejected => return self.close_after_rejection(now, result.retry_after),
             AttemptOutcome::Error
             | AttemptOutcome::TimedOut
@@ -59,7 +60,7 @@
         0.0
     }
 
-    /// How long the target takes to prefill what it does not cache of the prompt.
+    /// How long the target takes to prefill the part of the prompt that it does not cache.
     pub(crate) fn prefill_time(&self, prompt: &PrefixChain, has_shared_prefix: bool) -> Ms {
         let tokens = self.prefix_cache.missing_tokens(prompt, has_shared_prefix);
         PREFILL_TIME_PER_TOKEN * f64::from(tokens)
@@ -85,7 +86,7 @@
     pub(crate) state: EndpointState,
 }
 
-/// All targets, also those that are removed and still have attempts in flight.
+/// All targets, including removed targets that still have attempts in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Targets {
     by_id: HashMap<TargetId, KnownTarget>,
@@ -102,7 +103,8 @@
         self.by_id.get_mut(id)
     }
 
-    /// The service's id in the scheduler. Names are few: the operator's configurations hold them.
+    /// The service's id in the scheduler, assigned at the first use of the name. Ids are never
+    /// removed: there are few names, which all come from the operator's configurations.
     pub(crate) fn service_id(&mut self, name: &ServiceName) -> DestinationId {
         let next = DestinationId(self.services.len() as u64);
         *self.services.entry(name.clone()).or_insert(next)
@@ -113,9 +115,9 @@
         *self.zones.entry(name.clone()).or_insert(next)
     }
 
-    /// Takes over a new endpoint list; returns what changed.
+    /// Applies a new endpoint list; returns the changes.
     ///
-    /// Removed targets come first, in no particular order.
+    /// Removed targets are first, in no particular order.
     pub(crate) fn replace(
         &mut self,
         own_zone: &ZoneName,
@@ -188,12 +190,13 @@
         })
     }
 
-    /// The hashes of the service's targets that take new requests.
+    /// The hashes of the service's targets that accept new requests.
     pub(crate) fn running_hashes(&self, service: DestinationId) -> Vec<u64> {
         self.running(service).map(|target| target.hash).collect()
     }
 
-    /// When the first backoff after a rejection ends; none where no backoff runs.
+    /// When the first backoff of the service's targets after a rejection ends; `None` if no backoff
+    /// is in progress.
     pub(crate) fn opens_at(&self, service: DestinationId, now: Ms) -> Option<Ms> {
         self.running(service)
             .map(|target| target.closed_until)
@@ -201,15 +204,15 @@
             .reduce(f64::min)
     }
 
-    /// Takes in a load report that came ahead of its answer's end.
+    /// Records a load report that arrived before the end of its response.
     pub(crate) fn on_load_reported(&mut self, now: Ms, target: &InstanceId, load: UpstreamLoad) {
         if let Some(known) = self.by_id.get_mut(&target_id(target)) {
             known.load.on_report(now, load);
         }
     }
 
-    /// Forgets targets that are removed and have no attempt in flight.
-    pub(crate) fn forget_removed(&mut self) {
+    /// Drops targets that are removed and have no attempt in flight.
+    pub(crate) fn drop_removed(&mut self) {
         self.by_id
             .retain(|_, known| known.state != EndpointState::Removed || known.load.in_flight() > 0);
     }
--- a/tier/dispatch/tests/load.rs
+++ b/tier/dispatch/tests/load.rs
@@ -90,7 +90,7 @@
                     slots,
                 },
             );
-            load.on_answer(f64::from(random.arbitrary::<u32>()?));
+            load.on_response(f64::from(random.arbitrary::<u32>()?));
         }
         let now = f64::from(random.arbitrary::<u32>()?);
         let typical = f64::from(random.arbitrary::<u16>()?);
@@ -107,7 +107,7 @@
 fn a_queue_costs_more_than_free_slots() {
     let cost = |running, waiting| {
         let mut load = TargetLoad::new(4);
-        load.on_answer(100.0);
+        load.on_response(100.0);
         load.on_report(0.0, report(running, waiting));
         load.cost(0.0, load.estimate(0.0, 0.0), 100.0)
     };
@@ -122,7 +122,7 @@
     for took in [0.0, 1.0, 100.0, 1e9] {
         for waiting in [0, 24, u32::MAX] {
             let mut load = TargetLoad::new(4);
-            load.on_answer(took);
+            load.on_response(took);
             load.on_report(0.0, report(4, waiting));
             assert!((1.0..=1_000.0).contains(&load.rejection_backoff(0.0)));
         }
