--- a/tier/dispatch/examples/dispatch_cost.rs
+++ b/tier/dispatch/examples/dispatch_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what a request costs the dispatcher in processor time: 20 targets, 50 requests out, two
-//! iterations a request.
+//! Prints the processor time that the dispatcher takes per request, with 20 targets, 50 requests in
+//! flight and two iterations per request.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -12,13 +12,13 @@
 use plankhill_protocol::tables::{Target, TargetState};
 
 const TARGETS: usize = 20;
-const OUT: usize = 50;
+const REQUESTS_IN_FLIGHT: usize = 50;
 const REQUESTS: u64 = 100_000;
 
 fn main() {
     for parts in [0, 3] {
         println!(
-            "{parts} prefix parts: {:.2} us a request",
+            "{parts} prefix parts: {:.2} us per request",
             microseconds_per_request(parts)
         );
     }
@@ -32,20 +32,20 @@
     };
     let mut dispatcher = Dispatcher::new(settings, 0.0);
     dispatcher.set_targets(&(0..TARGETS).map(target).collect::<Vec<_>>());
-    let mut out: VecDeque<(RequestKey, InstanceId)> = VecDeque::new();
+    let mut in_flight: VecDeque<(RequestKey, InstanceId)> = VecDeque::new();
     let start = Instant::now();
     for number in 0..REQUESTS {
         let now = number as f64;
         dispatcher.enqueue(now, request(number, now, parts));
-        out.extend(dispatcher.poll_commands(now).into_iter().filter_map(sent));
-        if out.len() >= OUT {
-            let (key, target) = out.pop_front().expect("some are out");
-            let ended = AttemptResult {
+        in_flight.extend(dispatcher.poll_commands(now).into_iter().filter_map(sent));
+        if in_flight.len() >= REQUESTS_IN_FLIGHT {
+            let (key, target) = in_flight.pop_front().expect("requests are in flight");
+            let result = AttemptResult {
                 elapsed: 50.0,
                 ..AttemptResult::from_outcome(AttemptOutcome::Delivered)
             };
-            dispatcher.on_attempt_ended(now, key, &target, ended);
-            out.extend(dispatcher.poll_commands(now).into_iter().filter_map(sent));
+            dispatcher.on_attempt_ended(now, key, &target, result);
+            in_flight.extend(dispatcher.poll_commands(now).into_iter().filter_map(sent));
         }
     }
     start.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64
--- a/tier/dispatch/tests/admission.rs
+++ b/tier/dispatch/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Priorities, queue time-outs and `Retry-After`.
+//! Tests of priorities, queue time-outs, `Retry-After` and the session cool-down.
 
 use arbtest::arbtest;
 use plankhill_dispatch::admission::{
@@ -53,15 +53,15 @@
             priority(u.arbitrary()?, left, f64::from(u.arbitrary::<u16>()?)) <= LOWEST_PRIORITY
         );
         let opens_at = u.arbitrary::<Option<i32>>()?.map(f64::from);
-        let advised = retry_after(0.0, opens_at, f64::from(u.arbitrary::<u32>()?), 0.5);
-        assert!((1.0..=1_000.0).contains(&advised));
+        let delay = retry_after(0.0, opens_at, f64::from(u.arbitrary::<u32>()?), 0.5);
+        assert!((1.0..=1_000.0).contains(&delay));
         Ok(())
     })
     .budget_ms(500);
 }
 
 #[test]
-fn the_session_cooldown_follows_the_pauses_within_answers() {
+fn the_session_cooldown_follows_the_pauses_within_responses() {
     let mut cooldown = CooldownEstimate::default();
     let before = cooldown.value();
     (0..100).for_each(|_| {
--- a/tier/dispatch/tests/affinity.rs
+++ b/tier/dispatch/tests/affinity.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn of_a_part_that_has_grown_only_the_growth_is_missing() {
+fn only_the_added_tokens_of_a_part_that_has_grown_are_missing() {
     let mut cache = PrefixCache::default();
     cache.record(&chain(&[(1, 100), (2, 10)]));
     assert_eq!(
@@ -75,13 +75,13 @@
     assert_eq!(
         cache.missing_tokens(&chain(&[shared, (10, 10)]), false),
         10,
-        "the shared part was used ever since"
+        "the shared part was used by every request"
     );
 }
 
 #[test]
-fn the_turns_of_a_session_go_to_the_target_of_the_first() {
-    let mut proxy = Proxy::with(&["a", "b", "c", "d"]);
+fn the_turns_of_a_session_are_sent_to_the_target_of_the_first_turn() {
+    let mut proxy = Proxy::with_targets(&["a", "b", "c", "d"]);
     let mut now = 0.0;
     for session in 0..20u64 {
         let mut targets = HashSet::new();
@@ -89,21 +89,21 @@
             let (key, tokens) = (10 * session + turn, 500 + 100 * turn as u32);
             now += 10.0;
             let target = proxy
-                .takes(now, prompt(key, now, session, &[(session, tokens)]))
+                .enqueue(now, prompt(key, now, session, &[(session, tokens)]))
                 .expect("sent");
             now += 10.0;
-            proxy.ends(now, key, &target, AttemptOutcome::Delivered);
+            proxy.end_attempt(now, key, &target, AttemptOutcome::Delivered);
             targets.insert(target);
         }
         assert_eq!(targets.len(), 1);
     }
 }
 
-/// Guards turns that move as the mix of the prompts changes: what the session has said would be
-/// read again.
+/// Guards against turns that move to another target when the mix of prompts changes: the session's
+/// earlier turns would be prefilled again.
 #[test]
-fn a_session_stays_while_the_share_of_its_prefix_grows() {
-    let mut proxy = Proxy::with(&["a", "b", "c", "d", "e", "f", "g", "h"]);
+fn a_session_stays_at_its_target_while_the_share_of_its_prefix_grows() {
+    let mut proxy = Proxy::with_targets(&["a", "b", "c", "d", "e", "f", "g", "h"]);
     let mut now = 0.0;
     for session in 0..10u64 {
         let mut targets = HashSet::new();
@@ -111,9 +111,9 @@
             let (key, tokens) = (10 * session + turn, 300 + 10 * turn as u32);
             now += 100.0;
             let new = prompt(key, now, session, &[(7, 2_000), (100 + session, tokens)]);
-            let target = proxy.takes(now, new).expect("sent");
+            let target = proxy.enqueue(now, new).expect("sent");
             now += 100.0;
-            proxy.ends(now, key, &target, AttemptOutcome::Delivered);
+            proxy.end_attempt(now, key, &target, AttemptOutcome::Delivered);
             targets.insert(target);
         }
         assert_eq!(targets.len(), 1, "session {session}");
@@ -123,47 +123,50 @@
 #[test]
 fn proxies_without_history_select_the_same_target() {
     let names = ["a", "b", "c", "d", "e", "f"];
-    for subject in 0..50 {
-        let chosen: HashSet<String> = (0..6)
+    for shared_prefix in 0..50 {
+        let selected: HashSet<String> = (0..6)
             .map(|seed| {
-                let mut proxy = Proxy::with(&[]);
+                let mut proxy = Proxy::with_targets(&[]);
                 let settings = DispatchSettings { seed, ..settings() };
                 proxy.dispatcher = Dispatcher::new(settings, 0.0);
                 let listed: Vec<_> = names.iter().map(|id| healthy(id)).collect();
                 proxy.dispatcher.set_targets(&listed);
-                let new = prompt(1, 1.0, 1, &[(subject, 2_000), (seed, 100)]);
-                proxy.takes(1.0, new).expect("sent")
+                let new = prompt(1, 1.0, 1, &[(shared_prefix, 2_000), (seed, 100)]);
+                proxy.enqueue(1.0, new).expect("sent")
             })
             .collect();
-        assert_eq!(chosen.len(), 1);
+        assert_eq!(selected.len(), 1);
     }
 }
 
 #[test]
 fn a_popular_prompt_does_not_overload_its_target() {
-    let mut proxy = Proxy::with(&["a", "b", "c", "d"]);
-    let mut calls = std::collections::HashMap::<String, usize>::new();
+    let mut proxy = Proxy::with_targets(&["a", "b", "c", "d"]);
+    let mut request_counts = std::collections::HashMap::<String, usize>::new();
     for key in 0..40 {
         let target = proxy
-            .takes(1.0, prompt(key, 1.0, key, &[(7, 4_000), (key + 100, 10)]))
+            .enqueue(1.0, prompt(key, 1.0, key, &[(7, 4_000), (key + 100, 10)]))
             .expect("sent");
-        *calls.entry(target).or_default() += 1;
+        *request_counts.entry(target).or_default() += 1;
     }
-    let (most, least) = (calls.values().max().copied(), calls.values().min().copied());
-    assert_eq!(calls.len(), 4);
+    let (most, least) = (
+        request_counts.values().max().copied(),
+        request_counts.values().min().copied(),
+    );
+    assert_eq!(request_counts.len(), 4);
     let bound = least.map(|least| 1.25 * least as f64 + 7.0);
-    assert!(most.map(|most| most as f64) <= bound, "{calls:?}");
+    assert!(most.map(|most| most as f64) <= bound, "{request_counts:?}");
 }
 
 #[test]
 fn a_new_target_at_the_address_of_another_caches_nothing() {
-    let mut proxy = Proxy::with(&["a"]);
-    proxy.takes(1.0, prompt(1, 1.0, 1, &[(7, 4_000), (8, 10)]));
-    proxy.ends(2.0, 1, "a", AttemptOutcome::Delivered);
+    let mut proxy = Proxy::with_targets(&["a"]);
+    proxy.enqueue(1.0, prompt(1, 1.0, 1, &[(7, 4_000), (8, 10)]));
+    proxy.end_attempt(2.0, 1, "a", AttemptOutcome::Delivered);
     proxy.dispatcher.set_targets(&[healthy("a2")]);
     assert_eq!(
         proxy
-            .takes(3.0, prompt(2, 3.0, 1, &[(7, 4_000), (8, 20)]))
+            .enqueue(3.0, prompt(2, 3.0, 1, &[(7, 4_000), (8, 20)]))
             .as_deref(),
         Some("a2")
     );
--- a/tier/dispatch/tests/allocation.rs
+++ b/tier/dispatch/tests/allocation.rs
@@ -1,4 +1,5 @@
-//! Shared prefixes are spread over targets by their share of the requests, the same at all proxies.
+//! Tests of the allocation: shared prefixes are allocated to targets by their share of the
+//! requests, identically at all proxies.
 
 use std::collections::HashMap;
 
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn the_first_request_does_not_count_as_all_there_is() {
+fn the_first_request_does_not_count_as_the_complete_demand() {
     let mut demand = PrefixDemand::default();
     demand.record(0.0, 7);
     assert!(demand.most_frequent(8)[0].share < 0.2);
@@ -54,24 +55,25 @@
         };
         let shares: Vec<PrefixShare> = weights.iter().enumerate().map(share).collect();
         let allocation = Allocation::new(shares.clone(), &targets);
-        let mut given: HashMap<u64, f64> = HashMap::new();
+        let mut allocated: HashMap<u64, f64> = HashMap::new();
         for share in &shares {
             let quotas = allocation.targets_of(share.prefix);
-            // Crumbs of room are left.
+            // Small remainders of capacity may stay unused.
             assert!(total(quotas) <= share.share + 1e-9);
             assert!(total(quotas) >= share.share - 0.02 - 1e-9);
             for quota in quotas {
-                *given.entry(quota.target).or_default() += quota.share;
+                *allocated.entry(quota.target).or_default() += quota.share;
             }
         }
-        let each = 1.0 / targets.len() as f64;
-        assert!(given.values().all(|share| *share <= each + 1e-9));
+        let capacity = 1.0 / targets.len() as f64;
+        assert!(allocated.values().all(|share| *share <= capacity + 1e-9));
         Ok(())
     })
     .budget_ms(1_000);
 }
 
-/// Guards against texts that move about with the noise in what each proxy sees.
+/// Guards against prefixes that are allocated to other targets because of noise in the mix that
+/// each proxy observes.
 #[test]
 fn proxies_that_see_about_the_same_mix_agree_on_most_targets() {
     let targets = hashes(60);
@@ -97,7 +99,7 @@
                 other
                     .targets_of(prefix)
                     .iter()
-                    .any(|it| it.target == quota.target)
+                    .any(|other_quota| other_quota.target == quota.target)
             })
             .count();
     }
--- a/tier/dispatch/tests/common/mod.rs
+++ b/tier/dispatch/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the proxy: a dispatcher, a clock that the story sets, and what it commanded.
+//! A simulated proxy: a dispatcher and a clock that the test sets.
 
-#![allow(dead_code)] // each file of stories uses its part
+#![allow(dead_code)] // each test binary uses only a part of this module
 
 mod transcript;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// An idempotent request without a session, due 5 s after `now`, with an objective of 500 ms.
+/// An idempotent request without a session, due 5 s after `now`, with a latency target of 500 ms.
 pub fn request(key: u64, now: Ms) -> NewRequest {
     NewRequest {
         key: RequestKey(key),
@@ -60,7 +60,7 @@
     }
 }
 
-pub fn once(key: u64, now: Ms) -> NewRequest {
+pub fn non_idempotent_request(key: u64, now: Ms) -> NewRequest {
     NewRequest {
         idempotency: Idempotency::NonIdempotent,
         ..request(key, now)
@@ -78,13 +78,13 @@
     pub dispatcher: Dispatcher,
     pub now: Ms,
     pub wake_at: Option<Ms>,
-    /// What was decided, if it is to be compared.
+    /// The decisions, if they are to be compared.
     pub transcript: Option<Transcript>,
 }
 
 impl Proxy {
-    /// With these targets, all healthy and in the proxy's zone.
-    pub fn with(targets: &[&str]) -> Self {
+    /// Creates a proxy with these targets, all healthy and in the proxy's zone.
+    pub fn with_targets(targets: &[&str]) -> Self {
         let mut dispatcher = Dispatcher::new(settings(), 0.0);
         let listed: Vec<Target> = targets.iter().map(|id| healthy(id)).collect();
         dispatcher.set_targets(&listed);
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Runs a round; wake-ups are left out of what it returns.
-    pub fn at(&mut self, now: Ms, hand_in: impl FnOnce(&mut Dispatcher)) -> Vec<Command> {
+    /// Runs one iteration after `report`; returns the commands without wake-ups.
+    pub fn iterate_at(&mut self, now: Ms, report: impl FnOnce(&mut Dispatcher)) -> Vec<Command> {
         self.now = now;
-        hand_in(&mut self.dispatcher);
+        report(&mut self.dispatcher);
         let commands = self.dispatcher.poll_commands(now);
         if let Some(transcript) = &mut self.transcript {
-            transcript.round(0, now, &commands);
+            transcript.add_commands(0, now, &commands);
         }
         self.wake_at = None;
         let mut others = Vec::new();
@@ -115,56 +115,62 @@
         others
     }
 
-    /// Lets time pass until then, with all wake-ups that are asked for.
-    pub fn until(&mut self, then: Ms) -> Vec<Command> {
+    /// Advances the time to `until`, with all requested wake-ups.
+    pub fn advance_to(&mut self, until: Ms) -> Vec<Command> {
         let mut commands = Vec::new();
-        while let Some(at) = self.wake_at.filter(|at| *at <= then) {
+        while let Some(at) = self.wake_at.filter(|at| *at <= until) {
             let at = at.max(self.now);
-            commands.extend(self.at(at, |_| ()));
+            commands.extend(self.iterate_at(at, |_| ()));
         }
-        commands.extend(self.at(then, |_| ()));
+        commands.extend(self.iterate_at(until, |_| ()));
         commands
     }
 
-    /// Hands in a request; returns the target that it was sent to at once.
-    pub fn takes(&mut self, now: Ms, new: NewRequest) -> Option<String> {
-        sent_to(&self.at(now, |dispatcher| dispatcher.enqueue(now, new)))
+    /// Enqueues a request; returns the target if the request was sent at once.
+    pub fn enqueue(&mut self, now: Ms, new: NewRequest) -> Option<String> {
+        sent_to(&self.iterate_at(now, |dispatcher| dispatcher.enqueue(now, new)))
     }
 
-    pub fn ends(&mut self, now: Ms, key: u64, target: &str, fate: AttemptOutcome) -> Vec<Command> {
-        self.ends_with(
+    pub fn end_attempt(
+        &mut self,
+        now: Ms,
+        key: u64,
+        target: &str,
+        outcome: AttemptOutcome,
+    ) -> Vec<Command> {
+        self.end_attempt_with(
             now,
             key,
             target,
             AttemptResult {
                 elapsed: 50.0,
-                ..AttemptResult::from_outcome(fate)
+                ..AttemptResult::from_outcome(outcome)
             },
         )
     }
 
-    pub fn ends_with(
+    pub fn end_attempt_with(
         &mut self,
         now: Ms,
         key: u64,
         target: &str,
-        ended: AttemptResult,
+        result: AttemptResult,
     ) -> Vec<Command> {
         let target = InstanceId::from(target);
-        self.at(now, |dispatcher| {
-            dispatcher.on_attempt_ended(now, RequestKey(key), &target, ended)
+        self.iterate_at(now, |dispatcher| {
+            dispatcher.on_attempt_ended(now, RequestKey(key), &target, result)
         })
     }
 
-    pub fn health_checked(
+    pub fn end_health_check(
         &mut self,
         now: Ms,
         target: &str,
-        answer: HealthCheckResult,
+        result: HealthCheckResult,
     ) -> Vec<Command> {
         let target = InstanceId::from(target);
-        self.at(now, |dispatcher| {
-            dispatcher.on_health_check_ended(&target, answer)
+        self.iterate_at(now, |dispatcher| {
+            dispatcher.on_health_check_ended(&target, result)
         })
     }
 }
--- a/tier/dispatch/tests/common/transcript.rs
+++ b/tier/dispatch/tests/common/transcript.rs
@@ -1,12 +1,13 @@
 //! Decisions as lines of text, and a digest over them.
 //!
 //! Floating-point numbers are written as the bits of their value, targets by their ids. The words
-//! are the transcript's own, so that a renamed type leaves the digest as it is.
+//! of the transcript do not depend on type names, so that renaming a type does not change the
+//! digest.
 
 use plankhill_dispatch::{AttemptOutcome, AttemptResult, Command, Ms};
 
-/// FNV-1a with 64 bits: its constants are fixed by its authors, so that a digest outlives
-/// compilers.
+/// 64-bit FNV-1a: its constants are specified, so that a digest does not depend on the compiler
+/// version.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0000_0100_0000_01b3;
 
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Also keeps the text, to find the first line that differs.
+    /// Creates a transcript that also stores its text, to find the first line that differs.
     pub fn with_text() -> Self {
         Transcript {
             text: Some(String::new()),
@@ -39,30 +40,37 @@
         self.text.as_deref().unwrap_or_default()
     }
 
-    /// Lines and digest.
+    /// The number of lines and the digest.
     pub fn summary(&self) -> String {
         format!("{} {:016x}", self.lines, self.digest)
     }
 
-    /// The commands of one round, in their order.
-    pub fn round(&mut self, proxy: usize, now: Ms, commands: &[Command]) {
+    /// Adds the commands of one iteration, in their order.
+    pub fn add_commands(&mut self, proxy: usize, now: Ms, commands: &[Command]) {
         for command in commands {
-            let said = described(command);
-            self.line(&format!("{proxy} {} {said}", bits(now)));
+            let description = describe(command);
+            self.add_line(&format!("{proxy} {} {description}", bits(now)));
         }
     }
 
-    /// The end of a call.
-    pub fn ended(&mut self, proxy: usize, now: Ms, key: u64, target: &str, ended: &AttemptResult) {
-        let fate = fate_word(ended.outcome);
-        self.line(&format!(
-            "{proxy} {} ended {key} {target} {fate} {}",
+    /// Adds the end of an attempt.
+    pub fn add_result(
+        &mut self,
+        proxy: usize,
+        now: Ms,
+        key: u64,
+        target: &str,
+        result: &AttemptResult,
+    ) {
+        let outcome = outcome_word(result.outcome);
+        self.add_line(&format!(
+            "{proxy} {} ended {key} {target} {outcome} {}",
             bits(now),
-            bits(ended.elapsed)
+            bits(result.elapsed)
         ));
     }
 
-    pub fn line(&mut self, line: &str) {
+    pub fn add_line(&mut self, line: &str) {
         self.lines += 1;
         for byte in line.bytes().chain([b'\n']) {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(PRIME);
@@ -74,7 +82,7 @@
     }
 }
 
-fn described(command: &Command) -> String {
+fn describe(command: &Command) -> String {
     match command {
         Command::Send {
             request,
@@ -94,7 +102,7 @@
             request,
             retry_after,
         } => format!("refuse {} {}", request.0, bits(*retry_after)),
-        Command::Fail { request, last } => format!("fail {} {}", request.0, fate_word(*last)),
+        Command::Fail { request, last } => format!("fail {} {}", request.0, outcome_word(*last)),
         Command::HealthCheck { target, address } => format!("ping {} {address}", target.as_str()),
         Command::CloseIdleConnections { target } => format!("close-idle {}", target.as_str()),
         Command::CancelUnsent { target } => format!("take-back {}", target.as_str()),
@@ -102,8 +110,8 @@
     }
 }
 
-fn fate_word(fate: AttemptOutcome) -> &'static str {
-    match fate {
+fn outcome_word(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Delivered => "delivered",
         AttemptOutcome::Error => "error",
         AttemptOutcome::Rejected => "full",
--- a/tier/dispatch/tests/decisions_digest/faults.rs
+++ b/tier/dispatch/tests/decisions_digest/faults.rs
@@ -1,5 +1,6 @@
-//! One proxy before targets that come, drain, go, fail, are slow and recover; requests of two
-//! services, with and without sessions and prompts, some of which their clients give up.
+//! Simulates one proxy with targets that are added, drain, are removed, fail, are slow and recover;
+//! requests of two services, with and without sessions and prompts, some of which are cancelled by
+//! their clients.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,69 +13,69 @@
 use plankhill_protocol::tables::{Target, TargetState};
 
 use crate::common::Transcript;
-use crate::mixed;
+use crate::splitmix64;
 
 const SERVICES: [&str; 2] = ["models", "tools"];
 const ZONES: [&str; 3] = ["x", "y", "z"];
 const TARGETS: u64 = 10;
-const LENGTH: Ms = 12_000.0;
-const FEW_REQUESTS: usize = 60;
+const DURATION: Ms = 12_000.0;
+const LOW_MAX_REQUESTS: usize = 60;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Condition {
-    Well,
+    Healthy,
     Slow,
-    Full,
+    AtCapacity,
     Failing,
-    Dead,
+    Unreachable,
     Hanging,
 }
 
-struct Machine {
+struct SimulatedTarget {
     listed: Target,
     condition: Condition,
-    calls: u32,
+    attempts: u32,
 }
 
-enum Happens {
-    Request,
-    AttemptResult {
+enum Event {
+    RequestArrives,
+    AttemptEnds {
         key: u64,
         target: String,
         number: u64,
-        ended: AttemptResult,
+        result: AttemptResult,
     },
-    Pinged {
+    HealthCheckEnds {
         target: String,
         healthy: bool,
     },
-    Withdrawn(u64),
+    RequestCancelled(u64),
     ConditionChanges,
-    TablesChange,
+    EndpointsChange,
     Wake(u64),
 }
 
-struct World {
+struct Simulation {
     now: Ms,
-    draws: u64,
+    rng_state: u64,
     dispatcher: Dispatcher,
-    machines: Vec<Machine>,
-    next_machine: u64,
-    agenda: BinaryHeap<Reverse<(u64, u64)>>,
-    due: BTreeMap<u64, Happens>,
-    count: u64,
-    keys: u64,
-    wake: u64,
-    /// Calls that are out: the target and the number of the call.
-    out: BTreeMap<u64, (String, u64)>,
-    over: BTreeMap<u64, bool>,
+    targets: Vec<SimulatedTarget>,
+    last_target: u64,
+    event_queue: BinaryHeap<Reverse<(u64, u64)>>,
+    events: BTreeMap<u64, Event>,
+    last_number: u64,
+    last_key: u64,
+    iteration: u64,
+    /// Attempts in flight: the target and the number of the attempt.
+    in_flight: BTreeMap<u64, (String, u64)>,
+    completed: BTreeMap<u64, bool>,
     transcript: Transcript,
 }
 
-/// Runs the world with that seed; every third one with room for few requests.
+/// Runs the simulation with this seed; every third seed limits the proxy to few requests.
 pub fn run(seed: u64) -> Transcript {
     let max_requests = if seed.is_multiple_of(3) {
-        FEW_REQUESTS
+        LOW_MAX_REQUESTS
     } else {
         1_000
     };
@@ -83,162 +84,163 @@
         zone: ZoneName::from(ZONES[0]),
         max_requests,
     };
-    let mut world = World {
+    let mut simulation = Simulation {
         now: 0.0,
-        draws: mixed(seed),
+        rng_state: splitmix64(seed),
         dispatcher: Dispatcher::new(settings, 0.0),
-        machines: Vec::new(),
-        next_machine: 0,
-        agenda: BinaryHeap::new(),
-        due: BTreeMap::new(),
-        count: 0,
-        keys: 0,
-        wake: 0,
-        out: BTreeMap::new(),
-        over: BTreeMap::new(),
+        targets: Vec::new(),
+        last_target: 0,
+        event_queue: BinaryHeap::new(),
+        events: BTreeMap::new(),
+        last_number: 0,
+        last_key: 0,
+        iteration: 0,
+        in_flight: BTreeMap::new(),
+        completed: BTreeMap::new(),
         transcript: Transcript::new(),
     };
     for _ in 0..TARGETS {
-        world.add_machine();
+        simulation.add_target();
     }
-    world.list();
-    world.at(1.0, Happens::Request);
-    world.at(500.0, Happens::ConditionChanges);
-    world.at(900.0, Happens::TablesChange);
-    world.go_on();
-    world.transcript
+    simulation.publish_targets();
+    simulation.schedule(1.0, Event::RequestArrives);
+    simulation.schedule(500.0, Event::ConditionChanges);
+    simulation.schedule(900.0, Event::EndpointsChange);
+    simulation.run_events();
+    simulation.transcript
 }
 
-impl World {
-    fn draw(&mut self) -> f64 {
-        self.draws = mixed(self.draws);
-        (self.draws >> 11) as f64 / (1u64 << 53) as f64
+impl Simulation {
+    fn random(&mut self) -> f64 {
+        self.rng_state = splitmix64(self.rng_state);
+        (self.rng_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
-        (self.draw() * bound as f64) as u64
+    fn random_below(&mut self, bound: u64) -> u64 {
+        (self.random() * bound as f64) as u64
     }
 
-    fn at(&mut self, when: Ms, happens: Happens) {
-        self.count += 1;
-        self.due.insert(self.count, happens);
-        self.agenda
-            .push(Reverse(((when * 1_000.0).ceil() as u64, self.count)));
+    fn schedule(&mut self, when: Ms, event: Event) {
+        self.last_number += 1;
+        self.events.insert(self.last_number, event);
+        self.event_queue
+            .push(Reverse(((when * 1_000.0).ceil() as u64, self.last_number)));
     }
 
-    fn go_on(&mut self) {
-        while let Some(Reverse((micros, number))) = self.agenda.pop() {
+    fn run_events(&mut self) {
+        while let Some(Reverse((micros, number))) = self.event_queue.pop() {
             self.now = micros as f64 / 1_000.0;
-            let happens = self.due.remove(&number).expect("each number once");
-            self.happens(happens);
+            let event = self.events.remove(&number).expect("a scheduled event");
+            self.handle(event);
         }
-        assert!(self.dispatcher.is_empty(), "every request ends");
+        assert!(self.dispatcher.is_empty(), "every request has an outcome");
     }
 
-    fn happens(&mut self, happens: Happens) {
+    fn handle(&mut self, event: Event) {
         let now = self.now;
-        match happens {
-            Happens::Request => {
-                self.request();
-                if now < LENGTH {
-                    let rate = if ((now / 5_000.0) as u64).is_multiple_of(2) {
+        match event {
+            Event::RequestArrives => {
+                self.add_request();
+                if now < DURATION {
+                    let mean_pause = if ((now / 5_000.0) as u64).is_multiple_of(2) {
                         3.0
                     } else {
                         12.0
                     };
-                    let pause = rate * (0.2 + 1.6 * self.draw());
-                    self.at(now + pause, Happens::Request);
+                    let pause = mean_pause * (0.2 + 1.6 * self.random());
+                    self.schedule(now + pause, Event::RequestArrives);
                 }
             }
-            Happens::AttemptResult {
+            Event::AttemptEnds {
                 key,
                 target,
                 number,
-                ended,
+                result,
             } => {
-                if self.out.get(&key) != Some(&(target.clone(), number)) {
+                if self.in_flight.get(&key) != Some(&(target.clone(), number)) {
                     return;
                 }
-                self.ends(key, &target, ended);
+                self.end_attempt(key, &target, result);
             }
-            Happens::Pinged { target, healthy } => {
-                let answer = if healthy {
+            Event::HealthCheckEnds { target, healthy } => {
+                let result = if healthy {
                     HealthCheckResult::Healthy
                 } else {
                     HealthCheckResult::Unhealthy
                 };
                 self.dispatcher
-                    .on_health_check_ended(&InstanceId::from(target.as_str()), answer);
+                    .on_health_check_ended(&InstanceId::from(target.as_str()), result);
             }
-            Happens::Withdrawn(key) => {
-                if self.over.insert(key, true) == Some(true) {
+            Event::RequestCancelled(key) => {
+                if self.completed.insert(key, true) == Some(true) {
                     return;
                 }
-                self.transcript.line(&format!("withdrawn {key}"));
+                self.transcript.add_line(&format!("withdrawn {key}"));
                 self.dispatcher.cancel(RequestKey(key));
-                if let Some((target, _)) = self.out.get(&key).cloned() {
-                    self.ends(
+                if let Some((target, _)) = self.in_flight.get(&key).cloned() {
+                    self.end_attempt(
                         key,
                         &target,
                         AttemptResult::from_outcome(AttemptOutcome::Cancelled),
                     );
                 }
             }
-            Happens::ConditionChanges => {
+            Event::ConditionChanges => {
                 self.change_condition();
-                if now < LENGTH {
-                    self.at(now + 300.0, Happens::ConditionChanges);
+                if now < DURATION {
+                    self.schedule(now + 300.0, Event::ConditionChanges);
                 }
                 return;
             }
-            Happens::TablesChange => {
+            Event::EndpointsChange => {
                 self.change_tables();
-                if now < LENGTH {
-                    self.at(now + 700.0, Happens::TablesChange);
+                if now < DURATION {
+                    self.schedule(now + 700.0, Event::EndpointsChange);
                 }
             }
-            Happens::Wake(number) if number != self.wake => return,
-            Happens::Wake(_) => (),
+            Event::Wake(number) if number != self.iteration => return,
+            Event::Wake(_) => (),
         }
-        self.round();
+        self.run_iteration();
     }
 
-    fn ends(&mut self, key: u64, target: &str, ended: AttemptResult) {
-        self.out.remove(&key);
-        if let Some(machine) = self.machine(target) {
-            machine.calls -= 1;
+    fn end_attempt(&mut self, key: u64, target: &str, result: AttemptResult) {
+        self.in_flight.remove(&key);
+        if let Some(simulated) = self.find_target(target) {
+            simulated.attempts -= 1;
         }
-        if ended.outcome == AttemptOutcome::Delivered {
-            self.over.insert(key, true);
+        if result.outcome == AttemptOutcome::Delivered {
+            self.completed.insert(key, true);
         }
-        self.transcript.ended(0, self.now, key, target, &ended);
+        self.transcript
+            .add_result(0, self.now, key, target, &result);
         self.dispatcher.on_attempt_ended(
             self.now,
             RequestKey(key),
             &InstanceId::from(target),
-            ended,
+            result,
         );
     }
 
-    fn machine(&mut self, id: &str) -> Option<&mut Machine> {
-        self.machines
+    fn find_target(&mut self, id: &str) -> Option<&mut SimulatedTarget> {
+        self.targets
             .iter_mut()
-            .find(|machine| machine.listed.id.as_str() == id)
+            .find(|simulated| simulated.listed.id.as_str() == id)
     }
 
-    fn request(&mut self) {
-        self.keys += 1;
-        let (key, now) = (self.keys, self.now);
-        let deadline = now + 300.0 + 4_000.0 * self.draw();
-        let has_prompt = self.below(2) == 0;
-        let session = if self.below(3) == 0 {
-            Some(self.below(12))
+    fn add_request(&mut self) {
+        self.last_key += 1;
+        let (key, now) = (self.last_key, self.now);
+        let deadline = now + 300.0 + 4_000.0 * self.random();
+        let has_prompt = self.random_below(2) == 0;
+        let session = if self.random_below(3) == 0 {
+            Some(self.random_below(12))
         } else {
             None
         };
-        let subject = self.below(4);
-        let own = session.map_or(1_000 + key, |session| 100 + session);
-        let program_time_left = match self.below(4) {
+        let shared_part = self.random_below(4);
+        let session_part = session.map_or(1_000 + key, |session| 100 + session);
+        let program_time_left = match self.random_below(4) {
             0 => Some(-5.0),
             1 => Some(600.0),
             2 => Some(60_000.0),
@@ -246,45 +248,45 @@
         };
         let new = NewRequest {
             key: RequestKey(key),
-            service: ServiceName::from(SERVICES[self.below(2) as usize]),
-            idempotency: if self.below(2) == 0 {
+            service: ServiceName::from(SERVICES[self.random_below(2) as usize]),
+            idempotency: if self.random_below(2) == 0 {
                 Idempotency::Idempotent
             } else {
                 Idempotency::NonIdempotent
             },
             session,
             deadline,
-            latency_target: 50.0 + 450.0 * self.draw(),
-            max_attempts: 1 + self.below(3) as u32,
-            route_priority: self.below(3) as u8,
+            latency_target: 50.0 + 450.0 * self.random(),
+            max_attempts: 1 + self.random_below(3) as u32,
+            route_priority: self.random_below(3) as u8,
             program_time_left,
             prefix: match has_prompt {
                 true => vec![
                     PrefixPart {
-                        id: subject,
+                        id: shared_part,
                         tokens: 2_000,
                     },
                     PrefixPart {
-                        id: own,
+                        id: session_part,
                         tokens: 300,
                     },
                 ],
                 false => Vec::new(),
             },
         };
-        self.over.insert(key, false);
-        if self.below(20) == 0 {
-            let when = now + 200.0 * self.draw();
-            self.at(when, Happens::Withdrawn(key));
+        self.completed.insert(key, false);
+        if self.random_below(20) == 0 {
+            let when = now + 200.0 * self.random();
+            self.schedule(when, Event::RequestCancelled(key));
         }
         self.dispatcher.enqueue(now, new);
     }
 
-    fn round(&mut self) {
+    fn run_iteration(&mut self) {
         let now = self.now;
         let commands = self.dispatcher.poll_commands(now);
-        self.transcript.round(0, now, &commands);
-        self.wake += 1;
+        self.transcript.add_commands(0, now, &commands);
+        self.iteration += 1;
         for command in commands {
             match command {
                 Command::Send {
@@ -293,122 +295,130 @@
                     deadline,
                     ..
                 } => {
-                    self.sends(request.0, target.as_str(), deadline);
+                    self.start_attempt(request.0, target.as_str(), deadline);
                 }
                 Command::Reject { request, .. } | Command::Fail { request, .. } => {
-                    self.over.insert(request.0, true);
+                    self.completed.insert(request.0, true);
                 }
-                Command::HealthCheck { target, .. } => self.pings(target.as_str()),
+                Command::HealthCheck { target, .. } => self.start_health_check(target.as_str()),
                 Command::CloseIdleConnections { .. } => (),
-                Command::CancelUnsent { target } => self.takes_back(target.as_str()),
+                Command::CancelUnsent { target } => self.cancel_unsent(target.as_str()),
                 Command::WakeAt(at) => {
-                    let number = self.wake;
-                    self.at(at.max(now) + 0.001, Happens::Wake(number));
+                    let number = self.iteration;
+                    self.schedule(at.max(now) + 0.001, Event::Wake(number));
                 }
             }
         }
     }
 
-    fn sends(&mut self, key: u64, target: &str, deadline: Ms) {
-        self.count += 1;
-        let number = self.count;
-        self.out.insert(key, (target.to_owned(), number));
-        let work = 20.0 + 160.0 * self.draw();
-        let chance = self.draw();
-        let condition = match self.machine(target) {
-            Some(machine) => {
-                machine.calls += 1;
-                machine.condition
+    fn start_attempt(&mut self, key: u64, target: &str, deadline: Ms) {
+        self.last_number += 1;
+        let number = self.last_number;
+        self.in_flight.insert(key, (target.to_owned(), number));
+        let service_time = 20.0 + 160.0 * self.random();
+        let random = self.random();
+        let condition = match self.find_target(target) {
+            Some(simulated) => {
+                simulated.attempts += 1;
+                simulated.condition
             }
-            None => Condition::Dead,
+            None => Condition::Unreachable,
         };
-        let calls = self.machine(target).map_or(0, |machine| machine.calls);
+        let attempts = self
+            .find_target(target)
+            .map_or(0, |simulated| simulated.attempts);
         let load = UpstreamLoad {
-            running: calls.min(4),
-            waiting: calls.saturating_sub(4),
+            running: attempts.min(4),
+            waiting: attempts.saturating_sub(4),
             slots: 4,
         };
-        let (took, fate) = match condition {
-            Condition::Well if calls > 12 => (2.0, AttemptOutcome::Rejected),
-            Condition::Well if chance < 0.02 => (work, AttemptOutcome::Reset),
-            Condition::Well => (work, AttemptOutcome::Delivered),
-            Condition::Slow => (10.0 * work, AttemptOutcome::Delivered),
-            Condition::Full => (2.0, AttemptOutcome::Rejected),
-            Condition::Failing if chance < 0.7 => (5.0, AttemptOutcome::Error),
-            Condition::Failing => (work, AttemptOutcome::Delivered),
-            Condition::Dead if chance < 0.5 => (1.0, AttemptOutcome::ConnectFailed),
-            Condition::Dead => (3.0, AttemptOutcome::Reset),
+        let (elapsed, outcome) = match condition {
+            Condition::Healthy if attempts > 12 => (2.0, AttemptOutcome::Rejected),
+            Condition::Healthy if random < 0.02 => (service_time, AttemptOutcome::Reset),
+            Condition::Healthy => (service_time, AttemptOutcome::Delivered),
+            Condition::Slow => (10.0 * service_time, AttemptOutcome::Delivered),
+            Condition::AtCapacity => (2.0, AttemptOutcome::Rejected),
+            Condition::Failing if random < 0.7 => (5.0, AttemptOutcome::Error),
+            Condition::Failing => (service_time, AttemptOutcome::Delivered),
+            Condition::Unreachable if random < 0.5 => (1.0, AttemptOutcome::ConnectFailed),
+            Condition::Unreachable => (3.0, AttemptOutcome::Reset),
             Condition::Hanging => (f64::INFINITY, AttemptOutcome::TimedOut),
         };
-        let in_time = self.now + took < deadline;
-        let at = if in_time { self.now + took } else { deadline };
-        let fate = if in_time {
-            fate
+        let in_time = self.now + elapsed < deadline;
+        let at = if in_time {
+            self.now + elapsed
+        } else {
+            deadline
+        };
+        let outcome = if in_time {
+            outcome
         } else {
             AttemptOutcome::TimedOut
         };
-        let ended = AttemptResult {
-            outcome: fate,
+        let result = AttemptResult {
+            outcome,
             elapsed: at - self.now,
-            retry_after: (fate == AttemptOutcome::Rejected && chance < 0.5).then_some(100.0),
-            load: (fate == AttemptOutcome::Delivered || fate == AttemptOutcome::Rejected)
+            retry_after: (outcome == AttemptOutcome::Rejected && random < 0.5).then_some(100.0),
+            load: (outcome == AttemptOutcome::Delivered || outcome == AttemptOutcome::Rejected)
                 .then_some(load),
-            longest_pause: (fate == AttemptOutcome::Delivered).then_some(work / 3.0),
+            longest_pause: (outcome == AttemptOutcome::Delivered).then_some(service_time / 3.0),
         };
-        if fate == AttemptOutcome::Delivered && chance < 0.3 {
+        if outcome == AttemptOutcome::Delivered && random < 0.3 {
             self.dispatcher
                 .on_load_reported(self.now, &InstanceId::from(target), load);
         }
-        self.at(
+        self.schedule(
             at,
-            Happens::AttemptResult {
+            Event::AttemptEnds {
                 key,
                 target: target.to_owned(),
                 number,
-                ended,
+                result,
             },
         );
     }
 
-    fn pings(&mut self, target: &str) {
-        let condition = self.machine(target).map(|machine| machine.condition);
+    fn start_health_check(&mut self, target: &str) {
+        let condition = self
+            .find_target(target)
+            .map(|simulated| simulated.condition);
         let (after, healthy) = match condition {
-            Some(Condition::Well | Condition::Full) => (3.0, true),
+            Some(Condition::Healthy | Condition::AtCapacity) => (3.0, true),
             Some(Condition::Slow) => (300.0, true),
             Some(Condition::Failing) => (3.0, false),
-            Some(Condition::Dead) | None => (1.0, false),
+            Some(Condition::Unreachable) | None => (1.0, false),
             Some(Condition::Hanging) => (900.0, false),
         };
-        self.at(
+        self.schedule(
             self.now + after,
-            Happens::Pinged {
+            Event::HealthCheckEnds {
                 target: target.to_owned(),
                 healthy,
             },
         );
     }
 
-    /// Of half of the calls nothing was written yet.
-    fn takes_back(&mut self, target: &str) {
-        let calls: Vec<(u64, u64)> = self
-            .out
+    /// Cancels about half of the attempts, as if nothing of them had been written yet.
+    fn cancel_unsent(&mut self, target: &str) {
+        let attempts: Vec<(u64, u64)> = self
+            .in_flight
             .iter()
             .filter(|(_, (to, _))| to == target)
             .map(|(key, (_, number))| (*key, *number))
             .collect();
-        for (key, number) in calls {
-            if self.below(2) == 0 {
-                let ended = AttemptResult {
+        for (key, number) in attempts {
+            if self.random_below(2) == 0 {
+                let result = AttemptResult {
                     elapsed: 1.0,
                     ..AttemptResult::from_outcome(AttemptOutcome::NotSent)
                 };
-                self.at(
+                self.schedule(
                     self.now + 0.5,
-                    Happens::AttemptResult {
+                    Event::AttemptEnds {
                         key,
                         target: target.to_owned(),
                         number,
-                        ended,
+                        result,
                     },
                 );
             }
@@ -416,33 +426,33 @@
     }
 
     fn change_condition(&mut self) {
-        let at = self.below(self.machines.len() as u64) as usize;
-        let condition = match self.below(12) {
+        let at = self.random_below(self.targets.len() as u64) as usize;
+        let condition = match self.random_below(12) {
             0 => Condition::Slow,
-            1 => Condition::Full,
+            1 => Condition::AtCapacity,
             2 => Condition::Failing,
-            3 => Condition::Dead,
+            3 => Condition::Unreachable,
             4 => Condition::Hanging,
-            _ => Condition::Well,
+            _ => Condition::Healthy,
         };
-        self.machines[at].condition = condition;
+        self.targets[at].condition = condition;
     }
 
-    /// One target at a time, so that the order of the changes is given.
+    /// Changes one target at a time, so that the order of the changes is deterministic.
     fn change_tables(&mut self) {
-        let at = self.below(self.machines.len() as u64) as usize;
-        match self.below(4) {
-            0 if self.machines.len() > 6 => drop(self.machines.remove(at)),
-            1 => self.machines[at].listed.state = TargetState::Draining,
-            2 => self.machines[at].listed.state = TargetState::Healthy,
-            _ => self.add_machine(),
+        let at = self.random_below(self.targets.len() as u64) as usize;
+        match self.random_below(4) {
+            0 if self.targets.len() > 6 => drop(self.targets.remove(at)),
+            1 => self.targets[at].listed.state = TargetState::Draining,
+            2 => self.targets[at].listed.state = TargetState::Healthy,
+            _ => self.add_target(),
         }
-        self.list();
+        self.publish_targets();
     }
 
-    fn add_machine(&mut self) {
-        self.next_machine += 1;
-        let number = self.next_machine;
+    fn add_target(&mut self) {
+        self.last_target += 1;
+        let number = self.last_target;
         let listed = Target {
             id: InstanceId::from(format!("i-{number}").as_str()),
             service: ServiceName::from(SERVICES[number as usize % 2]),
@@ -456,18 +466,18 @@
             warm_up_remaining_ms: 0,
             models: Vec::new(),
         };
-        self.machines.push(Machine {
+        self.targets.push(SimulatedTarget {
             listed,
-            condition: Condition::Well,
-            calls: 0,
+            condition: Condition::Healthy,
+            attempts: 0,
         });
     }
 
-    fn list(&mut self) {
+    fn publish_targets(&mut self) {
         let listed: Vec<Target> = self
-            .machines
+            .targets
             .iter()
-            .map(|machine| machine.listed.clone())
+            .map(|simulated| simulated.listed.clone())
             .collect();
         self.dispatcher.set_targets(&listed);
     }
--- a/tier/dispatch/tests/load.rs
+++ b/tier/dispatch/tests/load.rs
@@ -1,4 +1,5 @@
-//! Requests go to the least loaded targets, by the proxy's own count and by the reports of targets.
+//! Tests of load balancing: requests are sent to the least loaded targets, by the proxy's own count
+//! and by the reports of targets.
 
 mod common;
 
@@ -20,27 +21,29 @@
 
 #[test]
 fn requests_spread_evenly() {
-    let mut proxy = Proxy::with(&["a", "b", "c", "d"]);
-    let mut calls = HashMap::<String, usize>::new();
+    let mut proxy = Proxy::with_targets(&["a", "b", "c", "d"]);
+    let mut request_counts = HashMap::<String, usize>::new();
     for key in 0..40 {
-        *calls
-            .entry(proxy.takes(1.0, request(key, 1.0)).expect("sent"))
+        *request_counts
+            .entry(proxy.enqueue(1.0, request(key, 1.0)).expect("sent"))
             .or_default() += 1;
     }
     assert!(
-        calls.values().all(|count| (9..=11).contains(count)),
-        "{calls:?}"
+        request_counts
+            .values()
+            .all(|count| (9..=11).contains(count)),
+        "{request_counts:?}"
     );
 }
 
 #[test]
 fn a_target_that_reports_high_load_gets_no_requests_while_others_report_low_load() {
-    let mut proxy = Proxy::with(&["a", "b"]);
+    let mut proxy = Proxy::with_targets(&["a", "b"]);
     proxy
         .dispatcher
         .on_load_reported(1.0, &InstanceId::from("a"), report(4, 10));
     for key in 0..6 {
-        assert_eq!(proxy.takes(2.0, request(key, 2.0)).as_deref(), Some("b"));
+        assert_eq!(proxy.enqueue(2.0, request(key, 2.0)).as_deref(), Some("b"));
     }
 }
 
@@ -61,14 +64,14 @@
 #[test]
 fn an_unusually_high_report_is_trusted_for_longer() {
     let typical = 4.0;
-    let believed = |running: u32| {
+    let weight = |running: u32| {
         let mut load = TargetLoad::new(24);
         load.on_report(0.0, report(running, 0));
         (load.estimate(1_000.0, typical) - typical) / (f64::from(running) - typical)
     };
-    assert!(believed(8) < 0.05, "{}", believed(8));
-    assert!(believed(24) > 0.6, "{}", believed(24));
-    // It fades as well, and one that reports few again is believed at once.
+    assert!(weight(8) < 0.05, "{}", weight(8));
+    assert!(weight(24) > 0.6, "{}", weight(24));
+    // An unusual report decays as well, and a newer report of few requests takes effect at once.
     let mut load = TargetLoad::new(24);
     load.on_report(0.0, report(24, 50));
     assert!(load.estimate(20_000.0, typical) < typical + 0.2);
@@ -119,10 +122,10 @@
 
 #[test]
 fn the_backoff_after_a_rejection_is_bounded() {
-    for took in [0.0, 1.0, 100.0, 1e9] {
+    for elapsed in [0.0, 1.0, 100.0, 1e9] {
         for waiting in [0, 24, u32::MAX] {
             let mut load = TargetLoad::new(4);
-            load.on_response(took);
+            load.on_response(elapsed);
             load.on_report(0.0, report(4, waiting));
             assert!((1.0..=1_000.0).contains(&load.rejection_backoff(0.0)));
         }
@@ -131,13 +134,13 @@
 
 #[test]
 fn the_own_zone_is_preferred_until_it_is_fuller() {
-    let mut proxy = Proxy::with(&[]);
+    let mut proxy = Proxy::with_targets(&[]);
     let far = target("far", "far", TargetState::Healthy);
     proxy.dispatcher.set_targets(&[healthy("near"), far]);
-    assert_eq!(proxy.takes(1.0, request(1, 1.0)).as_deref(), Some("near"));
+    assert_eq!(proxy.enqueue(1.0, request(1, 1.0)).as_deref(), Some("near"));
     assert_eq!(
-        proxy.takes(1.0, request(2, 1.0)).as_deref(),
+        proxy.enqueue(1.0, request(2, 1.0)).as_deref(),
         Some("far"),
-        "one of four slots costs more"
+        "one of four slots in use costs more than another zone"
     );
 }
--- a/tier/dispatch/tests/properties/main.rs
+++ b/tier/dispatch/tests/properties/main.rs
@@ -1,20 +1,20 @@
-//! Invariants for any requests and any ends of their attempts.
+//! Invariants for random requests and random results of their attempts.
 
 #[path = "../common/mod.rs"]
 mod common;
-mod world;
+mod model;
 
 use arbtest::arbtest;
-use world::World;
+use model::Model;
 
 #[test]
 fn every_request_has_one_outcome_and_no_forbidden_attempt() {
     arbtest(|u| {
-        let mut world = World::new();
+        let mut model = Model::new();
         for _ in 0..60 {
-            world.step(u)?;
+            model.step(u)?;
         }
-        world.finish();
+        model.finish();
         Ok(())
     })
     .size_min(400)
--- a/tier/dispatch/tests/wire_format.rs
+++ b/tier/dispatch/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Numbers on which all proxies of a deployment have to agree, also while two versions run: the
-//! hash of a target and its weight in a rendezvous order.
+//! Pins the numbers on which all proxies of a deployment have to agree, also while two versions
+//! run: the hash of a target and the target's weight in a rendezvous order.
 
 use plankhill_dispatch::rendezvous::{rendezvous_weight, target_hash};
 use plankhill_protocol::ids::InstanceId;
@@ -7,7 +7,7 @@
 const TARGETS: [&str; 4] = ["i-1", "i-00000001", "gpu-7.zone-b", ""];
 
 #[test]
-fn rendezvous_hashes_are_as_found() {
+fn rendezvous_hashes_are_as_pinned() {
     let line = |id: &&str| {
         let hash = target_hash(&InstanceId::from(*id));
         format!(
