--- a/tier/dispatch/src/command_writer.rs
+++ b/tier/dispatch/src/command_writer.rs
@@ -60,7 +60,8 @@
         self.state.queue_timeouts.pop_expired(self.now)
     }
 
-    /// Rejects or fails a request that is not sent any more, unless it is already complete.
+    /// Rejects or fails a request that will not be sent again, unless the request is already
+    /// complete.
     pub(crate) fn reject_or_fail(&mut self, key: RequestKey) {
         self.state.queue_timeouts.remove(key);
         let Some(request) = self.state.requests.get_mut(key) else {
--- a/tier/dispatch/src/queue_timeouts.rs
+++ b/tier/dispatch/src/queue_timeouts.rs
@@ -25,7 +25,7 @@
         self.by_request_us.insert(request, until_us);
     }
 
-    /// Removes the time-out of a request that is not queued any more.
+    /// Removes the time-out of a request that is no longer queued.
     pub(crate) fn remove(&mut self, request: RequestKey) {
         if let Some(until_us) = self.by_request_us.remove(&request) {
             self.by_time_us.remove(&(until_us, request));
--- a/tier/dispatch/src/scheduler_input.rs
+++ b/tier/dispatch/src/scheduler_input.rs
@@ -24,7 +24,7 @@
         deadline: Ms,
         session: Option<OrderKey>,
     },
-    /// A request must not be sent any more.
+    /// A request must not be sent again.
     RequestWithdrawn(RequestKey),
     /// An attempt ended.
     AttemptEnded(RequestKey, AttemptReport),
--- a/tier/dispatch/src/target_load.rs
+++ b/tier/dispatch/src/target_load.rs
@@ -29,8 +29,8 @@
 const RESPONSE_TIME_WEIGHT: f64 = 0.1;
 /// The typical response time before the first response.
 const INITIAL_RESPONSE_TIME: Ms = 100.0;
-/// How long a target whose last attempt failed is avoided in favour of others: until a health check
-/// or another attempt gives newer information.
+/// Time for which a target whose last attempt failed is avoided in favour of others, until a health
+/// check or another attempt gives newer information.
 const AVOIDANCE_TTL: Ms = 500.0;
 /// The additional cost of an avoided target, in expected milliseconds.
 const AVOIDANCE_COST: Ms = 1_000.0;
@@ -131,7 +131,7 @@
         f64::from(self.in_flight) + trust * self.reported_others + (1.0 - trust) * typical_others
     }
 
-    /// How much longer a response of this target takes than that of an idle one, in expected
+    /// The additional response time of this target compared with an idle one, in expected
     /// milliseconds. `estimate` is the number of requests at the target, `full_slots_cost` the cost
     /// when all slots are in use.
     pub fn cost(&self, now: Ms, estimate: f64, full_slots_cost: Ms) -> Ms {
@@ -149,8 +149,8 @@
             + avoidance
     }
 
-    /// How long a target that rejected an attempt is sent no requests: the expected time until a
-    /// tenth of its requests are complete.
+    /// The backoff of a target that rejected an attempt: the expected time until a tenth of the
+    /// target's requests are complete.
     pub fn rejection_backoff(&self, now: Ms) -> Ms {
         let requests = self.estimate(now, 0.0).max(self.slots);
         (REJECTION_BACKOFF_SHARE * requests * self.response_time() / self.slots)
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -60,7 +60,7 @@
         0.0
     }
 
-    /// How long the target takes to prefill the part of the prompt that it does not cache.
+    /// The time that the target takes to prefill the uncached part of the prompt.
     pub(crate) fn prefill_time(&self, prompt: &PrefixChain, has_shared_prefix: bool) -> Ms {
         let tokens = self.prefix_cache.missing_tokens(prompt, has_shared_prefix);
         PREFILL_TIME_PER_TOKEN * f64::from(tokens)
--- a/tier/dispatch/tests/properties/model.rs
+++ b/tier/dispatch/tests/properties/model.rs
@@ -32,7 +32,7 @@
     cancelled: bool,
 }
 
-/// How a change of several targets is passed to the dispatcher.
+/// The way in which a change of several targets is passed to the dispatcher.
 #[allow(dead_code)] // the property test uses only one variant
 pub enum Relisting {
     AtOnce,
