--- a/tier/conversations/src/account.rs
+++ b/tier/conversations/src/account.rs
@@ -49,7 +49,7 @@
     turns: BTreeMap<RequestId, TurnState>,
 }
 
-/// Whether a turn may run.
+/// The decision whether a turn may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetDecision {
     /// The turn fits into the budget.
--- a/tier/conversations/src/keys.rs
+++ b/tier/conversations/src/keys.rs
@@ -4,7 +4,7 @@
 
 /// Key in [`crate::rows::Table::Metadata`] of the store's incarnation.
 pub const INCARNATION_KEY: &[u8] = b"incarnation";
-/// Key in [`crate::rows::Table::Metadata`] of the newest view that the store knows.
+/// Key in [`crate::rows::Table::Metadata`] of the newest view known to the store.
 pub const VIEW_KEY: &[u8] = b"view";
 
 /// Key of a turn, in [`crate::rows::Table::Turns`] and in [`crate::rows::Table::Extensions`].
