--- a/tier/draining/src/node.rs
+++ b/tier/draining/src/node.rs
@@ -80,8 +80,7 @@
     ResetConnections,
     /// Report to the control plane that the node has drained under the order with this number.
     ReportDrained(u64),
-    /// Exit the process: nothing is in flight any more, or the time limit for requests in flight
-    /// has passed.
+    /// Exit the process: nothing is in flight, or the time limit for requests in flight has passed.
     ExitProcess,
 }
 
--- a/tier/draining/tests/shutdown.rs
+++ b/tier/draining/tests/shutdown.rs
@@ -59,7 +59,7 @@
     assert_eq!(drain.step(at(6_000), &observed(None, 1, 1)), []);
     assert_eq!(drain.step(at(6_100), &observed(None, 0, 1)), []);
     assert_eq!(drain.step(at(6_150), &observed(None, 0, 1)), []);
-    // Another request has begun meanwhile.
+    // Another request has begun in the meantime.
     assert_eq!(drain.step(at(6_200), &observed(None, 1, 1)), []);
     assert_eq!(
         drain.step(at(6_300), &observed(None, 0, 1)),
