--- a/tier/dispatch/src/command_writer.rs
+++ b/tier/dispatch/src/command_writer.rs
@@ -60,7 +60,7 @@
         self.state.queue_timeouts.pop_expired(self.now)
     }
 
-    /// Rejects or fails a request that will not be sent again, unless the request is already
+    /// Rejects or fails a request that must no longer be sent, unless the request is already
     /// complete.
     pub(crate) fn reject_or_fail(&mut self, key: RequestKey) {
         self.state.queue_timeouts.remove(key);
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -123,7 +123,7 @@
     }
 
     /// Cancels a request whose client has disconnected, or has received its response by other
-    /// means: the request will not be sent again. The proxy has to end an attempt in flight itself.
+    /// means: the request is no longer sent. The proxy has to end an attempt in flight itself.
     pub fn cancel(&mut self, key: RequestKey) {
         let Some(request) = self.state.requests.get_mut(key) else {
             return;
--- a/tier/dispatch/src/scheduler_input.rs
+++ b/tier/dispatch/src/scheduler_input.rs
@@ -24,7 +24,7 @@
         deadline: Ms,
         session: Option<OrderKey>,
     },
-    /// A request must not be sent again.
+    /// A request must no longer be sent.
     RequestWithdrawn(RequestKey),
     /// An attempt ended.
     AttemptEnded(RequestKey, AttemptReport),
