--- a/tier/membership/src/datagram.rs
+++ b/tier/membership/src/datagram.rs
@@ -8,24 +8,24 @@
 /// One datagram between agents.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Asks the receiver for an [`Datagram::Ack`].
+    /// Requests a [`Datagram::Ack`] from the receiver.
     Probe {
-        /// The sender's number of this probe; comes back with the answer.
+        /// The sender's sequence number of this probe; returned in the answer.
         sequence: u64,
-        /// The machine that is probed. A machine that has its address now but another name does not
+        /// The probed machine. A machine that now has the same address but another name does not
         /// answer.
         to: NodeId,
     },
-    /// Asks the receiver to probe another machine and to pass its answer on (`ping-req`).
+    /// Requests the receiver to probe another machine and to forward the answer (`ping-req`).
     ProbeRequest {
-        /// The sender's number of this probe; comes back with the answer.
+        /// The sender's sequence number of this probe; returned in the answer.
         sequence: u64,
-        /// The machine that is probed.
+        /// The machine to be probed.
         about: NodeId,
     },
-    /// Says that the probed machine is alive.
+    /// Confirms that the probed machine is alive.
     Ack {
-        /// The number of the probe that this answers.
+        /// The sequence number of the acknowledged probe.
         sequence: u64,
     },
 }
--- a/tier/membership/src/failure_detector.rs
+++ b/tier/membership/src/failure_detector.rs
@@ -1,10 +1,10 @@
-//! Finds peers that have failed, in the manner of SWIM (see [`crate::datagram`]). Runs in each
-//! agent; time is passed in, and the agent sends what [`Action`] says.
+//! Detects failed peers with a protocol similar to SWIM (see [`crate::datagram`]). A detector runs in
+//! each agent. The agent passes in the current time and executes each returned [`Action`].
 //!
-//! One peer after the other is probed. A peer that does not answer is probed again, directly and
-//! through another machine, and suspected if no answer comes by either way. A detector that did not
-//! run for a while, or that receives no answer of any peer, takes itself for the faulty one and
-//! suspects nobody.
+//! Peers are probed in turn. A peer that does not answer is probed again, both directly and through
+//! another machine, and is suspected if neither probe is answered. A detector that was not scheduled
+//! for a while, or that receives no answers from any machine, assumes that its own machine is faulty
+//! and suspects no peers.
 
 use std::time::{Duration, Instant};
 
@@ -13,55 +13,55 @@
 use crate::indirect_probes::{IndirectProbes, Requester};
 use crate::peers::monitored_peers;
 
-/// Time between two probes; each peer's turn comes every [`crate::peers::MONITORED_PEERS`] of them.
-/// A failed peer is found within 1.5 s + 2 x [`PROBE_TIMEOUT`], well under the contact bound of
+/// Interval between probes. Each peer is probed once every [`crate::peers::MONITORED_PEERS`] intervals,
+/// so a failed peer is detected within 1.5 s + 2 x [`PROBE_TIMEOUT`], well below the contact bound of
 /// deployments (3 s).
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for an answer: many times the way there and back, also of a machine that is five times
-/// slower.
+/// Timeout for the answer to a probe: many times the round-trip time, even to a machine that is five
+/// times slower.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// A detector that is called this much later than due did not run: missing answers say nothing of
-/// the peers.
+/// Maximum delay of a tick. After a longer delay the detector was not scheduled in time, so missing
+/// answers are no evidence that peers have failed.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(250);
-/// With several peers, a detector that received no answer of any for this long is cut off itself.
+/// A detector with several peers that has received no answer for this long is considered isolated.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// What the agent has to send.
+/// An action that the agent must execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A probe of a machine.
+    /// Send a probe to a machine.
     Probe {
-        /// The machine that is probed.
+        /// The probed machine.
         to: NodeId,
-        /// Comes back with the answer.
+        /// The sequence number, which is returned in the answer.
         sequence: u64,
     },
-    /// A request to another machine to probe one.
+    /// Request another machine to probe a peer.
     RequestProbe {
-        /// The machine that is asked.
+        /// The machine that receives the request.
         via: NodeId,
-        /// The machine that is probed.
+        /// The machine to be probed.
         about: NodeId,
-        /// Comes back with the answer.
+        /// The sequence number, which is returned in the answer.
         sequence: u64,
     },
-    /// The answer of a probed machine, for the machine that asked for the probe.
+    /// Forward the answer of a probed machine to the machine that requested the probe.
     Ack {
-        /// The machine that asked.
+        /// The machine that requested the probe.
         to: NodeId,
-        /// Its number of the probe.
+        /// The requester's sequence number of the probe.
         sequence: u64,
     },
-    /// A report to a controller: this peer has failed.
+    /// Report the suspected failure of a peer to a controller.
     Suspect(NodeId),
 }
 
-/// How far the probing of one peer has come.
+/// The stage of a pending probe.
 #[derive(Debug, PartialEq, Eq)]
 enum ProbeStage {
     /// The first probe is in flight.
     Direct,
-    /// A second probe is in flight, and one through another machine.
+    /// The second direct probe is in flight, and an indirect one through another machine.
     Indirect,
 }
 
@@ -77,27 +77,27 @@
 /// The failure detector of one machine.
 #[derive(Debug)]
 pub struct FailureDetector {
-    me: NodeId,
-    /// All members but this machine.
+    own_node: NodeId,
+    /// All members except this machine.
     others: Vec<NodeId>,
     /// The members that this machine probes.
     peers: Vec<NodeId>,
-    /// Index in `peers` of the one that was probed last.
+    /// Index in `peers` of the last probed peer.
     last_probed: usize,
-    /// The last number given to a probe.
+    /// The last assigned sequence number.
     last_sequence: u64,
     pending: Vec<PendingProbe>,
     indirect: IndirectProbes,
     next_probe_at: Instant,
-    /// When the last answer came from any machine.
-    last_answer: Instant,
+    /// Time of the last answer from any machine.
+    last_answer_at: Instant,
 }
 
 impl FailureDetector {
-    /// A detector that knows no members yet.
-    pub fn new(me: NodeId, now: Instant) -> Self {
+    /// Creates a detector without members.
+    pub fn new(own_node: NodeId, now: Instant) -> Self {
         FailureDetector {
-            me,
+            own_node,
             others: Vec::new(),
             peers: Vec::new(),
             last_probed: 0,
@@ -105,26 +105,26 @@
             pending: Vec::new(),
             indirect: IndirectProbes::default(),
             next_probe_at: now,
-            last_answer: now,
+            last_answer_at: now,
         }
     }
 
-    /// Takes the members. Probes in flight go on, unless their peer is not probed any more.
+    /// Replaces the members. Probes in flight continue unless their peer is no longer monitored.
     pub fn set_members<'a>(&mut self, members: impl Iterator<Item = &'a NodeId>) {
-        let others = members.filter(|member| **member != self.me);
+        let others = members.filter(|member| **member != self.own_node);
         self.others = others.cloned().collect();
-        let peers = monitored_peers(&self.me, self.others.iter());
+        let peers = monitored_peers(&self.own_node, self.others.iter());
         self.peers = peers.into_iter().cloned().collect();
         self.pending
             .retain(|probe| self.peers.contains(&probe.peer));
     }
 
-    /// The peers that are probed.
+    /// Returns the monitored peers.
     pub fn peers(&self) -> &[NodeId] {
         &self.peers
     }
 
-    /// When [`FailureDetector::tick`] is due; `None` if there is no peer.
+    /// Returns the time at which [`FailureDetector::tick`] is due; `None` if there are no peers.
     pub fn next_tick(&self) -> Option<Instant> {
         if self.peers.is_empty() {
             return None;
@@ -133,19 +133,19 @@
         Some(deadlines.fold(self.next_probe_at, Instant::min))
     }
 
-    /// Follows up the probes that nobody answered in time, and probes the next peer if one is due.
+    /// Handles the probes whose timeout has expired, and probes the next peer if a probe is due.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let Some(due) = self.next_tick() else {
             self.next_probe_at = now;
-            self.last_answer = now;
+            self.last_answer_at = now;
             return Vec::new();
         };
         if now.saturating_duration_since(due) > MAX_TICK_DELAY {
             self.pending.clear();
             self.next_probe_at = now;
-            self.last_answer = now;
+            self.last_answer_at = now;
         }
-        let mut actions = self.follow_up_expired(now);
+        let mut actions = self.handle_expired(now);
         if now >= self.next_probe_at {
             self.next_probe_at = now + PROBE_INTERVAL;
             actions.extend(self.probe_next_peer(now));
@@ -153,9 +153,10 @@
         actions
     }
 
-    /// Takes an answer to a probe of this machine's own, or to one for another machine.
+    /// Handles the answer to a probe. Returns the action that forwards the answer if the probe was sent
+    /// on behalf of another machine.
     pub fn on_ack(&mut self, sequence: u64, now: Instant) -> Option<Action> {
-        self.last_answer = now;
+        self.last_answer_at = now;
         self.pending.retain(|probe| probe.sequence != sequence);
         let requester = self.indirect.on_ack(sequence)?;
         Some(Action::Ack {
@@ -164,8 +165,8 @@
         })
     }
 
-    /// Takes the request of another machine to probe `about`. Machines that are no members are not
-    /// probed.
+    /// Handles the request of another machine to probe `about`. The request is ignored if `about` is
+    /// not a member.
     pub fn on_probe_request(
         &mut self,
         requester: Requester,
@@ -185,7 +186,7 @@
         })
     }
 
-    fn follow_up_expired(&mut self, now: Instant) -> Vec<Action> {
+    fn handle_expired(&mut self, now: Instant) -> Vec<Action> {
         let pending = std::mem::take(&mut self.pending);
         let (expired, running): (Vec<_>, Vec<_>) =
             pending.into_iter().partition(|probe| probe.deadline <= now);
@@ -193,7 +194,7 @@
         let mut actions = Vec::new();
         for probe in expired {
             match probe.stage {
-                ProbeStage::Direct => self.probe_again(probe, now, &mut actions),
+                ProbeStage::Direct => self.start_indirect_probe(probe, now, &mut actions),
                 ProbeStage::Indirect if self.is_isolated(now) => {}
                 ProbeStage::Indirect => actions.push(Action::Suspect(probe.peer)),
             }
@@ -201,9 +202,14 @@
         actions
     }
 
-    /// Probes a peer that did not answer once more, under the same number: directly and through
-    /// another machine.
-    fn probe_again(&mut self, probe: PendingProbe, now: Instant, actions: &mut Vec<Action>) {
+    /// Probes a peer that did not answer a second time with the same sequence number, both directly and
+    /// through another machine.
+    fn start_indirect_probe(
+        &mut self,
+        probe: PendingProbe,
+        now: Instant,
+        actions: &mut Vec<Action>,
+    ) {
         let PendingProbe { sequence, peer, .. } = probe;
         self.pending.push(PendingProbe {
             sequence,
@@ -224,7 +230,7 @@
         }
     }
 
-    /// A machine other than `peer`, each time another one.
+    /// Selects a machine other than `peer`; the choice rotates with the sequence number.
     fn intermediary_for(&self, peer: &NodeId) -> Option<NodeId> {
         let count = self.others.len();
         let start = self.last_sequence as usize;
@@ -237,13 +243,13 @@
         None
     }
 
-    /// Whether this machine, and not its peers, seems to be cut off.
+    /// Returns whether this machine, rather than its peers, appears to be isolated.
     fn is_isolated(&self, now: Instant) -> bool {
-        let since_answer = now.saturating_duration_since(self.last_answer);
+        let since_answer = now.saturating_duration_since(self.last_answer_at);
         self.peers.len() >= 2 && since_answer >= ISOLATION_TIMEOUT
     }
 
-    /// Probes the next peer in turn; `None` if a probe of it is still in flight.
+    /// Probes the next peer in turn; `None` if a probe of that peer is still in flight.
     fn probe_next_peer(&mut self, now: Instant) -> Option<Action> {
         self.last_probed = (self.last_probed + 1) % self.peers.len();
         let peer = self.peers[self.last_probed].clone();
--- a/tier/membership/src/lib.rs
+++ b/tier/membership/src/lib.rs
@@ -1,10 +1,11 @@
-//! Which machine does what for which other one, decided alike by every process from the same list
-//! of members. Without I/O: time is passed in, and the callers send what these modules return.
+//! Assigns responsibilities between machines: every process derives the same assignment from the same
+//! list of members. The crate does no I/O: callers pass in the current time and send the returned
+//! messages.
 //!
-//! - [`rendezvous`]: picks members for a key.
-//! - [`homes`]: which edge of a zone sends the others their updates.
-//! - [`peers`], [`failure_detector`], [`indirect_probes`], [`datagram`]: which peers an agent
-//!   probes, and how it finds that one of them has failed.
+//! - [`rendezvous`]: selects members for a key.
+//! - [`homes`]: selects the edge that sends updates to the other edges of its zone.
+//! - [`peers`], [`failure_detector`], [`indirect_probes`], [`datagram`]: select the peers that an
+//!   agent probes and detect their failures.
 
 pub mod datagram;
 pub mod failure_detector;
--- a/tier/membership/src/peers.rs
+++ b/tier/membership/src/peers.rs
@@ -1,18 +1,18 @@
-//! Which peers a machine probes.
+//! Selects the peers that a machine probes.
 
 use plankhill_protocol::ids::NodeId;
 
 use crate::rendezvous;
 
-/// Peers that each machine probes, so that about as many probe it: two must agree on a suspicion,
-/// and one of the three may have failed as well.
+/// Number of peers that each machine probes, and so the average number of machines that probe it. Two
+/// of them must agree on a suspicion, and one of the three may have failed as well.
 pub const MONITORED_PEERS: usize = 3;
 
-/// The peers that `me` probes among all members.
+/// Returns the peers among `members` that the machine `own_node` probes.
 pub fn monitored_peers<'a>(
-    me: &NodeId,
+    own_node: &NodeId,
     members: impl Iterator<Item = &'a NodeId>,
 ) -> Vec<&'a NodeId> {
-    let others = members.filter(|member| *member != me);
-    rendezvous::top(me.as_str(), others, MONITORED_PEERS)
+    let others = members.filter(|member| *member != own_node);
+    rendezvous::top(own_node.as_str(), others, MONITORED_PEERS)
 }
--- a/tier/membership/src/rendezvous.rs
+++ b/tier/membership/src/rendezvous.rs
@@ -1,5 +1,5 @@
 //! Rendezvous hashing (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
-//! 1998): every process picks the same members for a key, and a change of the membership moves few
+//! 1998): every process selects the same members for a key, and a membership change moves few
 //! keys.
 
 use std::hash::Hasher;
@@ -7,14 +7,15 @@
 use plankhill_protocol::ids::NodeId;
 use siphasher::sip::SipHasher13;
 
-/// Keys of the hash. The same in all processes of a deployment, and in all versions: another key
-/// would move all data.
+/// Keys of the hash function. They must be the same in all processes of a deployment and in all
+/// versions, because different keys would move all data.
 const HASH_KEYS: (u64, u64) = (0x706c_616e_6b68_696c, 0x6c2d_7469_6572_2031);
-/// Stands between the key and the member, so that no two pairs are hashed alike; no UTF-8 text
-/// holds this byte.
+/// Separates the key from the member in the hash input, so that different pairs have different inputs:
+/// this byte does not occur in UTF-8 text.
 const SEPARATOR: u8 = 0xff;
 
-/// The `count` members that score highest for this key, best first; all of them if there are fewer.
+/// Returns the `count` members with the highest scores for `key`, in descending order; all members if
+/// there are fewer.
 pub fn top<'a>(
     key: &str,
     members: impl Iterator<Item = &'a NodeId>,
@@ -27,12 +28,12 @@
     scored.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The member that scores highest for this key; `None` if there are no members.
+/// Returns the member with the highest score for `key`; `None` if there are no members.
 pub fn first<'a>(key: &str, members: impl Iterator<Item = &'a NodeId>) -> Option<&'a NodeId> {
     members.max_by_key(|member| (score(key, member), *member))
 }
 
-/// The score of a member for a key. Equal scores are ordered by the member's name.
+/// Returns the score of a member for a key. Members with equal scores are ordered by name.
 fn score(key: &str, member: &NodeId) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(HASH_KEYS.0, HASH_KEYS.1);
     hasher.write(key.as_bytes());
