--- a/tier/agent/src/failure_detection.rs
+++ b/tier/agent/src/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Probes peers by datagrams on the agents' port, answers their probes, and reports failed peers to
-//! a controller. The decisions are those of [`FailureDetector`].
+//! Exchanges probe datagrams with peers on the agents' port and reports failed peers to a controller.
+//! This module does the I/O; [`FailureDetector`] makes the decisions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,20 +15,20 @@
 use plankhill_protocol::tables::{Edge, Tables};
 use tokio::net::UdpSocket;
 
-/// Largest datagram in bytes: a sequence number and a machine's name.
+/// Maximum size of a datagram in bytes; sufficient for a sequence number and a machine's name.
 const MAX_DATAGRAM_BYTES: usize = 512;
-/// Interval between ticks while there is no peer; a change of the tables ends it early.
+/// Interval between ticks while there are no peers; a change of the tables ends the wait early.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(60);
-/// Backoff after the socket reported an error.
+/// Delay after a receive error of the socket.
 const RECEIVE_ERROR_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Probes peers of the machine `me` over `socket` until the subscription ends.
-pub async fn detect_failures(socket: UdpSocket, me: NodeId, subscription: Rc<Subscription>) {
+/// Probes the peers of the machine `own_node` over `socket` until the subscription ends.
+pub async fn detect_failures(socket: UdpSocket, own_node: NodeId, subscription: Rc<Subscription>) {
     let mut tables = subscription.tables();
-    let detector = FailureDetector::new(me.clone(), Instant::now());
+    let detector = FailureDetector::new(own_node.clone(), Instant::now());
     let mut detection = FailureDetection {
         socket,
-        me,
+        own_node,
         subscription,
         detector,
         tables: Arc::default(),
@@ -58,10 +58,10 @@
 
 struct FailureDetection {
     socket: UdpSocket,
-    me: NodeId,
+    own_node: NodeId,
     subscription: Rc<Subscription>,
     detector: FailureDetector,
-    /// The tables whose edges are the detector's members.
+    /// The tables whose edges are the members of the detector.
     tables: Arc<Tables>,
 }
 
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Acts on a datagram. Datagrams of machines that are no edges are ignored, and those that
-    /// cannot be decoded.
+    /// Handles a datagram. Datagrams that cannot be decoded, or whose sender is not a registered edge,
+    /// are ignored.
     fn on_datagram(&mut self, bytes: &[u8], sender: SocketAddr) {
         let mut edges = self.tables.edges.iter();
         let Some(sender) = edges.find(|edge| edge.address == sender) else {
@@ -100,7 +100,7 @@
         };
         let now = Instant::now();
         let action = match datagram {
-            Datagram::Probe { sequence, to } if to == self.me => Some(Action::Ack {
+            Datagram::Probe { sequence, to } if to == self.own_node => Some(Action::Ack {
                 to: sender,
                 sequence,
             }),
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Reports a failed peer once, if a controller is connected: a late report would be of no use.
+    /// Reports a failed peer once, and only if a controller is connected, since a late report would be
+    /// useless.
     fn report(&self, node: NodeId) {
         tracing::info!(%node, "peer suspected: no answer to probes");
         if self.subscription.status().borrow().address.is_some() {
@@ -143,7 +144,8 @@
         }
     }
 
-    /// Sends a datagram; one that cannot be sent now counts as lost.
+    /// Sends a datagram without waiting. A datagram that cannot be sent immediately is dropped, like one
+    /// lost on the network.
     fn send(&self, to: &NodeId, datagram: &Datagram) {
         let Some(address) = self.address_of(to) else {
             return;
--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -1,6 +1,6 @@
-//! Sends the tables of this machine to subscribers: to the proxy of the same machine, and to the
-//! other agents of the zone while this machine is their home. Accepts the connections; each is
-//! served by a `session`.
+//! Sends the tables of this machine to subscribers: to the proxy on the same machine, and to the other
+//! agents of the zone while this machine is their home. This module accepts the connections; each one
+//! is served by a `session`.
 
 mod session;
 
@@ -14,43 +14,45 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// What a feeder grants one kind of subscribers.
+/// The options of a feeder for one kind of subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeederOptions {
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Most connections at once; further ones are closed, and their subscribers go elsewhere.
+    /// Maximum number of open connections; excess connections are closed, and their subscribers connect
+    /// elsewhere.
     pub max_connections: usize,
 }
 
-/// For the proxy of the same machine. Each heartbeat wakes both processes, and these share a
-/// fraction of a core. A new connection may come before the end of the old one is seen.
+/// Options for the proxy on the same machine. Each heartbeat wakes both processes, which share a
+/// fraction of a core. Several connections are allowed because a new connection may arrive before the
+/// end of the previous one is detected.
 pub const PROXY_FEEDER: FeederOptions = FeederOptions {
     heartbeat_interval: Duration::from_millis(500),
     max_connections: 4,
 };
-/// For other agents of the zone. They do not rely on heartbeats, but on updates as soon as a
-/// controller has announced them.
+/// Options for the other agents of the zone. They do not rely on heartbeats: they detect a missing
+/// update when a controller announces its revision.
 pub const PEER_FEEDER: FeederOptions = FeederOptions {
     heartbeat_interval: Duration::from_secs(10),
     max_connections: 64,
 };
-/// Backoff after a failed accept, when the process has no file descriptor left: open connections
-/// can end meanwhile.
+/// Delay after a failed accept, for example when the process has run out of file descriptors. Open
+/// connections can end in the meantime.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What a feeder sends, and where it passes messages of its subscribers on to.
+/// The tables and status that a feeder sends, and the queue for messages from its subscribers.
 #[derive(Clone)]
 pub struct FeedSource {
     /// The tables of this machine.
     pub tables: watch::Receiver<Arc<Tables>>,
-    /// The status of the link to the controllers.
+    /// The status of the connection to the controllers.
     pub status: watch::Receiver<LinkStatus>,
-    /// Messages of subscribers for the controllers.
+    /// Queue of messages from subscribers to the controllers.
     pub to_controllers: mpsc::Sender<FromSubscriber>,
 }
 
-/// Accepts subscribers for ever; `connected` counts them.
+/// Accepts and serves subscribers; never returns. `connected` holds the number of open connections.
 pub async fn serve(
     listener: TcpListener,
     hello: Hello,
@@ -66,11 +68,11 @@
         if *connected.borrow() >= options.max_connections {
             continue;
         }
-        let counted = ConnectedSubscriber::new(connected.clone());
+        let guard = ConnectionGuard::new(connected.clone());
         let hello = hello.clone();
         let source = source.clone();
         tokio::task::spawn_local(async move {
-            let _counted = counted;
+            let _guard = guard;
             if let Ok(connection) = accept(stream, address, &hello).await {
                 let node = connection.peer.node.clone();
                 let reason = session::run(connection, source, options.heartbeat_interval).await;
@@ -80,19 +82,19 @@
     }
 }
 
-/// Counts one subscriber as connected until it is dropped.
-struct ConnectedSubscriber {
+/// Counts one connection in `connected` until the guard is dropped.
+struct ConnectionGuard {
     connected: watch::Sender<usize>,
 }
 
-impl ConnectedSubscriber {
+impl ConnectionGuard {
     fn new(connected: watch::Sender<usize>) -> Self {
         connected.send_modify(|count| *count += 1);
-        ConnectedSubscriber { connected }
+        ConnectionGuard { connected }
     }
 }
 
-impl Drop for ConnectedSubscriber {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.connected.send_modify(|count| *count -= 1);
     }
--- a/tier/agent/src/feeder/session.rs
+++ b/tier/agent/src/feeder/session.rs
@@ -1,4 +1,4 @@
-//! One subscriber of the feeder, from its first message to the end of its connection.
+//! The session of one subscriber of the feeder, from its first message until the connection ends.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,25 +10,25 @@
 
 use super::FeedSource;
 
-/// The tables count as current if a controller confirmed them within this time: five of its
-/// heartbeats, and half of the shortest contact bound.
+/// Time for which the tables count as current after a controller has confirmed them: five of its
+/// heartbeat intervals, and half of the shortest contact bound.
 const CONFIRMATION_TTL: Duration = Duration::from_millis(1_500);
-/// Time for the first message of a subscriber.
+/// Timeout for the first message of a subscriber.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A subscriber that takes nothing for this long is disconnected.
+/// Timeout for a write; a subscriber that stops reading is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Why a session ended.
+/// The reason why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SessionEnd {
-    /// The first message was no subscription, or did not come in time.
+    /// The first message was not a subscription, or was not received in time.
     NotSubscribed,
-    /// A message could not be sent in time.
+    /// A write failed or timed out.
     SendFailed,
-    /// The subscriber closed the connection, or sent what is no message.
+    /// The connection was closed, or a message could not be read.
     ConnectionClosed,
-    /// The subscription of this agent has ended.
-    AgentEnds,
+    /// The agent's subscription to the controllers has ended.
+    AgentStopped,
 }
 
 impl fmt::Display for SessionEnd {
@@ -37,7 +37,7 @@
             SessionEnd::NotSubscribed => "no subscription received",
             SessionEnd::SendFailed => "message not sent in time",
             SessionEnd::ConnectionClosed => "connection closed",
-            SessionEnd::AgentEnds => "agent ends",
+            SessionEnd::AgentStopped => "agent stopped",
         })
     }
 }
@@ -74,11 +74,11 @@
     writer: FrameWriter,
     source: FeedSource,
     subscriber: Subscriber,
-    /// The tables of the subscriber, as far as this feeder knows them.
+    /// The state of the subscriber's tables as known to this feeder.
     position: FeedPosition,
     heartbeat_interval: Duration,
     next_heartbeat: Instant,
-    /// What the last heartbeat said.
+    /// The value of `current` in the last heartbeat.
     announced_current: bool,
 }
 
@@ -98,10 +98,11 @@
                 }
                 changed = self.source.tables.changed() => {
                     if changed.is_err() {
-                        return SessionEnd::AgentEnds;
+                        return SessionEnd::AgentStopped;
                     }
                 }
-                // A proxy that has just started waits only for the tables to become current.
+                // Sends a heartbeat without delay, since a proxy that has just started waits only for
+                // the tables to become current.
                 Ok(()) = self.source.status.changed() => {
                     if self.is_current() != self.announced_current {
                         self.next_heartbeat = Instant::now();
@@ -121,8 +122,8 @@
             Ok(drained @ FromSubscriber::Drained { .. })
                 if self.subscriber == Subscriber::Proxy =>
             {
-                // The proxy repeats the message until the tables show it, so one that finds the
-                // queue full may be lost.
+                // A message may be dropped if the queue is full, since the proxy repeats it until the
+                // tables reflect it.
                 let _ = self.source.to_controllers.try_send(drained);
             }
             Ok(_) => {}
@@ -131,7 +132,8 @@
         Ok(())
     }
 
-    /// Sends the update that the subscriber lacks, and a heartbeat with it or when one is due.
+    /// Sends the missing update, if any, followed by a heartbeat. Without an update, sends a heartbeat
+    /// if one is due.
     async fn send_newest(&mut self) -> Result<(), SessionEnd> {
         let tables = self.source.tables.borrow_and_update().clone();
         let update = self.position.advance_to(&tables);
--- a/tier/agent/src/homes.rs
+++ b/tier/agent/src/homes.rs
@@ -1,9 +1,9 @@
-//! Takes updates from the home of this machine's zone, so that the controllers need not send every
-//! update to each edge.
+//! Receives updates from the home of this machine's zone, so that the controllers do not need to send
+//! every update to each edge.
 //!
-//! Correctness does not rest on homes: a controller announces each revision at once, and if the
-//! home has not sent that revision within [`plankhill_protocol::subscription::MAX_HOME_LAG`], the
-//! controller is asked for it.
+//! Correctness does not depend on homes: a controller announces each revision immediately, and if the
+//! home has not sent that revision within [`plankhill_protocol::subscription::MAX_HOME_LAG`], it is
+//! requested from the controller.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,46 +20,46 @@
 
 use crate::feeder::PEER_FEEDER;
 
-/// A home that sends nothing for three of its heartbeat intervals is left.
+/// A home that sends nothing for three of its heartbeat intervals has failed.
 const HOME_TIMEOUT: Duration = PEER_FEEDER.heartbeat_interval.saturating_mul(3);
-/// A home that cannot be reached within this time has failed.
+/// A home to which no connection is established within this time has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Backoff after a home failed; it doubles with each failure in a row.
+/// Backoff after the first failure of a home; doubles with each consecutive failure.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(5);
-/// Longest backoff.
+/// Maximum backoff after a failure of a home.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// Why a home is not followed any more.
+/// The reason why this agent stopped following a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FollowEnd {
-    /// The zone has another home now.
+    /// The followed edge is no longer the home of the zone, or its address has changed.
     HomeChanged,
-    /// The home lagged, or its connection broke.
+    /// The home lagged or was unreachable, or its connection failed.
     HomeFailed,
-    /// This agent ends.
-    AgentEnds,
+    /// The subscription to the controllers or to the home ended because this agent is stopping.
+    AgentStopped,
 }
 
-/// Follows the home of the zone of `me` until the subscription to the controllers ends.
-pub async fn follow_homes(me: Edge, controllers: Rc<Subscription>) {
+/// Follows the home of the zone of `own_edge` until the subscription to the controllers ends.
+pub async fn follow_homes(own_edge: Edge, controllers: Rc<Subscription>) {
     let mut tables = controllers.tables();
     let mut backoff = INITIAL_BACKOFF;
     loop {
-        let home = address_of_home(&me, &tables.borrow_and_update().edges);
+        let home = address_of_home(&own_edge, &tables.borrow_and_update().edges);
         let Some(home) = home else {
             if tables.changed().await.is_err() {
                 return;
             }
             continue;
         };
-        match FollowedHome::new(&me, home, &controllers).run().await {
-            FollowEnd::AgentEnds => return,
+        match FollowedHome::new(&own_edge, home, &controllers).run().await {
+            FollowEnd::AgentStopped => return,
             FollowEnd::HomeChanged => backoff = INITIAL_BACKOFF,
             FollowEnd::HomeFailed => {
                 tracing::info!(%home, "zone home failed");
-                let changed =
-                    tables.wait_for(|tables| address_of_home(&me, &tables.edges) != Some(home));
-                // Either way the loop looks at the tables again.
+                let changed = tables
+                    .wait_for(|tables| address_of_home(&own_edge, &tables.edges) != Some(home));
+                // The next iteration reads the tables again, regardless of the result.
                 let _ = timeout(backoff, changed).await;
                 backoff = MAX_BACKOFF.min(backoff * 2);
             }
@@ -67,13 +67,13 @@
     }
 }
 
-fn address_of_home(me: &Edge, edges: &[Edge]) -> Option<SocketAddr> {
-    home_to_follow(me, edges).map(|home| home.address)
+fn address_of_home(own_edge: &Edge, edges: &[Edge]) -> Option<SocketAddr> {
+    home_to_follow(own_edge, edges).map(|home| home.address)
 }
 
-/// One home that this agent follows. Dropping it ends the subscription to the home.
+/// The home that this agent follows. Dropping the value ends the subscription to the home.
 struct FollowedHome<'a> {
-    me: &'a Edge,
+    own_edge: &'a Edge,
     address: SocketAddr,
     controllers: &'a Subscription,
     own_tables: watch::Receiver<Arc<Tables>>,
@@ -81,20 +81,20 @@
     home_tables: watch::Receiver<Arc<Tables>>,
     home_status: watch::Receiver<LinkStatus>,
     connect_deadline: Instant,
-    /// Whether the home has been connected.
+    /// Whether a connection to the home has been established.
     connected: bool,
-    /// Whether the subscription to the controllers takes its updates from offers.
+    /// Whether the subscription to the controllers takes its updates from the home.
     following: bool,
     _home: Subscription,
 }
 
 impl<'a> FollowedHome<'a> {
     /// Subscribes to the home at `address`.
-    fn new(me: &'a Edge, address: SocketAddr, controllers: &'a Subscription) -> Self {
+    fn new(own_edge: &'a Edge, address: SocketAddr, controllers: &'a Subscription) -> Self {
         let own_tables = controllers.tables();
-        let home = subscribe(me, address, &own_tables);
+        let home = subscribe(own_edge, address, &own_tables);
         FollowedHome {
-            me,
+            own_edge,
             address,
             controllers,
             own_tables,
@@ -119,9 +119,9 @@
         }
     }
 
-    /// Acts on the present tables and statuses.
+    /// Handles the current tables and statuses.
     fn update(&mut self) -> Result<(), FollowEnd> {
-        let home = address_of_home(self.me, &self.own_tables.borrow_and_update().edges);
+        let home = address_of_home(self.own_edge, &self.own_tables.borrow_and_update().edges);
         if home != Some(self.address) {
             self.controllers.follow_feeder();
             return Err(FollowEnd::HomeChanged);
@@ -134,7 +134,7 @@
         self.connected |= home_status.address.is_some();
         let follows_home = self.controller_status.borrow_and_update().follows_home;
         if self.following && !follows_home {
-            // The home lagged, and the subscription went back to the controller.
+            // The home lagged, and the subscription resumed updates from the controller.
             return Err(FollowEnd::HomeFailed);
         }
         self.following = follows_home;
@@ -150,7 +150,8 @@
         Ok(())
     }
 
-    /// Waits until any of the tables or statuses changes, or the home should have been connected.
+    /// Waits until any of the tables or statuses changes, or the timeout for connecting to the home
+    /// expires.
     async fn changed(&mut self) -> Result<(), FollowEnd> {
         let changed = tokio::select! {
             changed = self.own_tables.changed() => changed,
@@ -161,19 +162,19 @@
                 return Err(FollowEnd::HomeFailed);
             }
         };
-        changed.map_err(|_ended| FollowEnd::AgentEnds)
+        changed.map_err(|_closed| FollowEnd::AgentStopped)
     }
 }
 
-/// A subscription to the home, which starts from this agent's tables.
+/// Subscribes to the home, starting from this agent's tables.
 fn subscribe(
-    me: &Edge,
+    own_edge: &Edge,
     address: SocketAddr,
     own_tables: &watch::Receiver<Arc<Tables>>,
 ) -> Subscription {
     let (_, candidates) = watch::channel(vec![address]);
     let options = SubscriptionOptions {
-        hello: Hello::new(Channel::Peer, me.node.clone()),
+        hello: Hello::new(Channel::Peer, own_edge.node.clone()),
         subscriber: Subscriber::Peer,
         candidates,
         feeder_timeout: HOME_TIMEOUT,
--- a/tier/agent/src/identity.rs
+++ b/tier/agent/src/identity.rs
@@ -1,4 +1,4 @@
-//! How this process is registered with the controllers.
+//! The identity with which this process registers with the controllers.
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 
@@ -6,8 +6,9 @@
 use plankhill_protocol::tables::Edge;
 use plankhill_settings::Settings;
 
-/// This machine as an edge. The machine has no disk: each start is a new incarnation.
-pub(crate) fn edge(settings: &Settings) -> Edge {
+/// Returns the edge entry of this machine. The agent stores nothing on disk, so each start is a new
+/// incarnation.
+pub(crate) fn edge_from_settings(settings: &Settings) -> Edge {
     Edge {
         node: NodeId::from(settings.node_id.as_str()),
         incarnation: Incarnation(RandomState::new().build_hasher().finish()),
--- a/tier/agent/src/lib.rs
+++ b/tier/agent/src/lib.rs
@@ -1,13 +1,14 @@
-//! The process beside each proxy that links it to the control plane. It keeps nothing on disk.
+//! The agent: the process on each proxy machine that connects the proxy to the control plane. The
+//! agent stores nothing on disk.
 //!
-//! - `run` puts the process together; `shutdown` ends it in order.
+//! - `run` starts the process; `shutdown` stops it gracefully.
 //! - [`feeder`] sends the tables of this machine to its proxy, and to other agents while this
 //!   machine is the home of its zone.
-//! - [`homes`] takes updates from the home of the zone in place of the controller.
+//! - [`homes`] receives updates from the home of the zone instead of the controller.
 //! - [`failure_detection`] probes a few peers and reports those that have failed.
 //!
-//! The tables and the status of the link to the controllers are owned by one
-//! [`Subscription`](plankhill_protocol::subscription::Subscription), which all of these share.
+//! The tables and the status of the connection to the controllers are owned by one
+//! [`Subscription`](plankhill_protocol::subscription::Subscription), which all modules share.
 
 pub mod failure_detection;
 pub mod feeder;
--- a/tier/agent/src/run.rs
+++ b/tier/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts the process together and runs it until SIGTERM. Called by `plankhill-tier agent`.
+//! Starts the agent and runs it until SIGTERM. Called by `plankhill-tier agent`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,19 +16,19 @@
 use crate::failure_detection::detect_failures;
 use crate::feeder::{serve, FeedSource, FeederOptions, PEER_FEEDER, PROXY_FEEDER};
 use crate::homes::follow_homes;
-use crate::identity::edge;
+use crate::identity::edge_from_settings;
 use crate::shutdown::shut_down;
 
-/// Most messages of the proxy that wait to be forwarded.
+/// Maximum number of queued messages from the proxy to the controllers.
 const MAX_FORWARDED_MESSAGES: usize = 8;
 
-/// Why the agent could not run.
+/// An error that prevents the agent from running.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The operating system refused the runtime, or a handler of signals.
+    /// The runtime or its signal handlers could not be set up.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A port of the range is taken.
+    /// A listener or the UDP socket could not be bound to its address.
     #[error(transparent)]
     Listen(#[from] ListenError),
 }
@@ -36,7 +36,7 @@
 /// Runs the agent until SIGTERM.
 ///
 /// # Errors
-/// [`RunError`] if it cannot start.
+/// [`RunError`] if the agent cannot start.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     run_on_current_thread(run_local(settings)).map_err(RunError::Runtime)?
 }
@@ -46,9 +46,9 @@
     let loopback = listen(settings.agent_loopback_address())?;
     let datagrams = bind_datagrams(settings.agent_address()).await?;
     let peers = listen(settings.agent_address())?;
-    let me = edge(&settings);
+    let own_edge = edge_from_settings(&settings);
     let (candidates, watched) = watch::channel(settings.seed_controllers());
-    let subscription = Rc::new(subscribe(&me, watched));
+    let subscription = Rc::new(subscribe(&own_edge, watched));
     let (to_controllers, messages) = mpsc::channel(MAX_FORWARDED_MESSAGES);
     spawn_local(forward_to_controllers(messages, subscription.clone()));
     let source = FeedSource {
@@ -56,14 +56,14 @@
         status: subscription.status(),
         to_controllers,
     };
-    let connected_proxies = start_feeder(loopback, Channel::Feed, &me, &source, PROXY_FEEDER);
-    start_feeder(peers, Channel::Peer, &me, &source, PEER_FEEDER);
+    let connected_proxies = start_feeder(loopback, Channel::Feed, &own_edge, &source, PROXY_FEEDER);
+    start_feeder(peers, Channel::Peer, &own_edge, &source, PEER_FEEDER);
     spawn_local(detect_failures(
         datagrams,
-        me.node.clone(),
+        own_edge.node.clone(),
         subscription.clone(),
     ));
-    spawn_local(follow_homes(me, subscription.clone()));
+    spawn_local(follow_homes(own_edge, subscription.clone()));
     tracing::info!(node = %settings.node_id, "agent started");
     while signals.next().await == ProcessSignal::ReloadSettings {
         reload(&mut settings, &candidates);
@@ -73,17 +73,17 @@
 }
 
 /// Subscribes to one of the controllers, which registers this machine as an edge.
-fn subscribe(me: &Edge, candidates: watch::Receiver<Vec<SocketAddr>>) -> Subscription {
+fn subscribe(own_edge: &Edge, candidates: watch::Receiver<Vec<SocketAddr>>) -> Subscription {
     Subscription::start(SubscriptionOptions {
-        hello: Hello::new(Channel::Feed, me.node.clone()),
-        subscriber: Subscriber::Edge(me.clone()),
+        hello: Hello::new(Channel::Feed, own_edge.node.clone()),
+        subscriber: Subscriber::Edge(own_edge.clone()),
         candidates,
         feeder_timeout: CONTROLLER_TIMEOUT,
     })
 }
 
-/// Forwards messages of the proxy to a controller, if one is connected; the proxy repeats them
-/// otherwise.
+/// Forwards messages from the proxy to the connected controller. Without a connection, messages are
+/// dropped, since the proxy repeats them.
 async fn forward_to_controllers(
     mut messages: mpsc::Receiver<FromSubscriber>,
     subscription: Rc<Subscription>,
@@ -95,21 +95,21 @@
     }
 }
 
-/// Starts a feeder of one kind of subscribers. Returns how many of them are connected.
+/// Starts a feeder for one kind of subscriber. Returns a watch on the number of connected subscribers.
 fn start_feeder(
     listener: TcpListener,
     channel: Channel,
-    me: &Edge,
+    own_edge: &Edge,
     source: &FeedSource,
     options: FeederOptions,
 ) -> watch::Receiver<usize> {
     let (connected, count) = watch::channel(0);
-    let hello = Hello::new(channel, me.node.clone());
+    let hello = Hello::new(channel, own_edge.node.clone());
     spawn_local(serve(listener, hello, source.clone(), options, connected));
     count
 }
 
-/// Takes over what may change while the process runs: the seeds and the bounds.
+/// Applies the settings that may change while the process runs: the seeds and the bounds.
 fn reload(settings: &mut Settings, candidates: &watch::Sender<Vec<SocketAddr>>) {
     let Some(newest) = Settings::reload() else {
         return;
--- a/tier/agent/src/shutdown.rs
+++ b/tier/agent/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The orderly end of the agent: the proxy of the same machine gets updates as long as it drains,
-//! then the edge is deregistered.
+//! Graceful shutdown of the agent: the proxy on the same machine receives updates while it drains, then
+//! the edge is deregistered.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Left of the grace time for the last message, and for a process that is late.
+/// The part of the grace period that is reserved for the last message and for scheduling delays.
 const GRACE_RESERVE: Duration = Duration::from_millis(1_000);
-/// Time for handing the last message to the operating system.
+/// Timeout for writing the last message to the socket.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Waits until no proxy is connected any more, or the grace time is nearly over; then deregisters
-/// the edge.
+/// Waits until no proxy is connected or the grace period, less [`GRACE_RESERVE`], has elapsed; then
+/// deregisters the edge.
 pub(crate) async fn shut_down(
     subscription: &Subscription,
     mut connected_proxies: watch::Receiver<usize>,
