--- a/tier/controller/src/admin.rs
+++ b/tier/controller/src/admin.rs
@@ -1,7 +1,7 @@
-//! HTTP for operators and targets.
+//! The HTTP interface for operators and targets.
 //!
-//! Every call is answered within about a second: by its outcome, or by 503 when this controller
-//! cannot get one, so that the caller goes on to another controller. All bodies are JSON.
+//! Every call gets a response within about a second: its outcome, or 503 if this controller cannot
+//! obtain one, so that the caller can try another controller. All bodies are JSON.
 
 mod body;
 mod configuration;
@@ -22,8 +22,8 @@
 pub use router::{route, Call};
 pub use server::{handle_request, serve_admin};
 
-/// The longest wait for the outcome of an operation or a read: callers go on to another controller
-/// after a second.
+/// Timeout for the outcome of an operation or a read. It is below the second after which callers try
+/// another controller.
 const OUTCOME_TIMEOUT: Duration = Duration::from_millis(850);
-/// Longest name in a path or a heartbeat, in bytes.
+/// Maximum length of a name in a path or a heartbeat, in bytes.
 const MAX_NAME_BYTES: usize = 255;
--- a/tier/controller/src/admin/configuration.rs
+++ b/tier/controller/src/admin/configuration.rs
@@ -1,4 +1,4 @@
-//! `/-/config`: the operator's configuration, put and read back.
+//! `/-/config`: replaces and reads the operator's configuration.
 
 use bytes::Bytes;
 use hyper::header::IF_MATCH;
@@ -15,16 +15,16 @@
 use crate::control_log::ControlLog;
 use crate::controller::Controller;
 
-/// Largest configuration accepted, in bytes: about 25,000 routes.
+/// Maximum size of a configuration in bytes; sufficient for about 25,000 routes.
 const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
 
-/// The response to a configuration that is in force, or was.
+/// The response to a configuration that has been accepted, now or by an earlier request.
 #[derive(Serialize)]
 struct Accepted {
     version: u64,
 }
 
-/// Puts a configuration. The version that it builds on stands in `If-Match`.
+/// Replaces the configuration. `If-Match` contains the version on which the new one is based.
 pub(super) async fn put<L: ControlLog>(
     controller: &Controller<L>,
     budget: &BodyBudget,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The version in `If-Match`, with or without quotes.
+/// Parses the version in `If-Match`, with or without quotes.
 fn expected_version(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get(IF_MATCH)?.to_str().ok()?;
     text.trim().trim_matches('"').parse().ok()
@@ -71,7 +71,8 @@
         version,
         document: document.as_ref().into(),
     };
-    // The operation holds a copy: the body need not stay in memory while the outcome is awaited.
+    // The operation holds a copy, so the body does not need to stay in memory while waiting for the
+    // outcome.
     drop(document);
     match controller.log().propose(operation, OUTCOME_TIMEOUT).await {
         Ok(outcome) => respond_to_outcome(outcome, version),
@@ -79,8 +80,9 @@
     }
 }
 
-/// The response that the committed state known here settles without parsing the document: the
-/// document was accepted before, or it builds on a version that is surely not current any more.
+/// Returns the response if this controller's committed state determines it without parsing the
+/// document: the document was accepted before, or the version on which it is based is known to be
+/// outdated.
 fn respond_from_history<L: ControlLog>(
     controller: &Controller<L>,
     expected: u64,
@@ -92,7 +94,7 @@
         return Some(respond_to_outcome(Outcome::Duplicate, version));
     }
     let current = history.current_version();
-    // The document's own version is above the one that it builds on.
+    // The version of a valid document is at least `expected + 1`.
     if expected < current && !history.may_have_been_trimmed(expected + 1) {
         return Some(respond_to_outcome(Outcome::Conflict { current }, expected));
     }
@@ -118,7 +120,7 @@
     }
 }
 
-/// Reads the newest configuration, byte for byte as it was put.
+/// Returns the newest configuration, byte for byte as it was submitted.
 pub(super) async fn get<L: ControlLog>(controller: &Controller<L>) -> AdminResponse {
     let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
--- a/tier/controller/src/admin/drains.rs
+++ b/tier/controller/src/admin/drains.rs
@@ -1,4 +1,4 @@
-//! `/-/drains`: taking edges out of service, and returning them.
+//! `/-/drains`: drains edges and returns them to service.
 
 use hyper::StatusCode;
 use plankhill_control::{ControlState, DrainAction, DrainOrder, Operation, Outcome};
@@ -12,21 +12,21 @@
 use crate::control_log::ControlLog;
 use crate::controller::Controller;
 
-/// Largest order, in bytes: the names of some thousand machines.
+/// Maximum size of a drain order in bytes; sufficient for the names of several thousand machines.
 const MAX_ORDER_BYTES: usize = 256 * 1_024;
 
-/// An order as the operator sends it.
+/// The body of a drain order.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct OrderBody {
-    /// The number of the last order that the operator knows of; 0 for none.
+    /// The number of the last order known to the operator; 0 for none.
     expected: u64,
-    /// Whether the edges drain; otherwise they return to service.
+    /// True to drain the edges, false to return them to service.
     leave: bool,
-    /// The machines.
+    /// The names of the edges.
     #[serde(default)]
     nodes: Vec<String>,
-    /// All machines of a zone.
+    /// A zone; selects all its registered edges in addition to `nodes`.
     #[serde(default)]
     zone: Option<String>,
 }
@@ -55,7 +55,7 @@
     incarnation: u64,
 }
 
-/// Carries out an order and lists the drains.
+/// Executes a drain order and returns the list of drains.
 pub(super) async fn order<L: ControlLog>(
     controller: &Controller<L>,
     body: impl ReadableBody,
@@ -69,8 +69,8 @@
             Ok(body) => body,
             Err(cause) => return bad_request(&format!("order cannot be read: {cause}")),
         };
-    // A zone means the machines that are registered anywhere, so that the newest state is needed. A
-    // newer order makes the number conflict.
+    // A zone selects edges that may have been registered through any controller, so the newest state
+    // is required. If another order is committed after this read, the expected number conflicts.
     let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
     };
@@ -99,7 +99,7 @@
     }
 }
 
-/// Lists the drains and the registered edges.
+/// Returns the drains and the registered edges.
 pub(super) async fn list<L: ControlLog>(controller: &Controller<L>) -> AdminResponse {
     let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
@@ -122,7 +122,7 @@
     })
 }
 
-/// Why an order names no machine.
+/// The reason why an order selects no edges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum EmptyOrder {
     #[error("nodes: no machine is named")]
@@ -131,7 +131,7 @@
     EmptyZone,
 }
 
-/// The machines that an order means: those that it names and those of its zone.
+/// Converts the body to a drain order for the edges that it names and those of its zone.
 fn resolve_order(body: OrderBody, state: &ControlState) -> Result<DrainOrder, EmptyOrder> {
     let mut nodes: Vec<NodeId> = body
         .nodes
--- a/tier/controller/src/admin/heartbeat.rs
+++ b/tier/controller/src/admin/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Parses the heartbeats of targets.
+//! Parses heartbeats from targets.
 
 use std::net::SocketAddr;
 
@@ -8,25 +8,25 @@
 
 use super::MAX_NAME_BYTES;
 
-/// Most models that one heartbeat may name.
+/// Maximum number of models in one heartbeat.
 const MAX_MODELS: usize = 64;
 
-/// Why a heartbeat was rejected.
+/// The reason why a heartbeat was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum HeartbeatError {
-    /// The text is no JSON, lacks a key, or a value is of another type.
+    /// The text is not valid JSON, lacks a key, or contains a value of the wrong type.
     #[error("heartbeat cannot be read: {0}")]
     Unreadable(#[from] serde_json::Error),
     /// A name is empty or too long.
     #[error("{key}: must have 1 to {max} bytes", max = MAX_NAME_BYTES)]
     NameLength {
-        /// The key of the name.
+        /// The JSON key of the name.
         key: &'static str,
     },
-    /// The target states that it takes no requests at all.
+    /// The reported capacity is 0.
     #[error("capacity: must not be 0")]
     ZeroCapacity,
-    /// More models are named than allowed.
+    /// The heartbeat lists more models than allowed.
     #[error("models: at most {max}", max = MAX_MODELS)]
     TooManyModels,
 }
@@ -77,10 +77,10 @@
     }
 }
 
-/// Parses the heartbeat of the target `id`. Unknown keys are skipped.
+/// Parses a heartbeat from the target `id`. Unknown keys are ignored.
 ///
 /// # Errors
-/// [`HeartbeatError`], which names the key that is missing or wrong.
+/// [`HeartbeatError`] if the heartbeat is invalid; its message names the missing or invalid key.
 pub fn parse_heartbeat(id: InstanceId, text: &[u8]) -> Result<Target, HeartbeatError> {
     let body: HeartbeatBody = serde_json::from_slice(text)?;
     validate(&body)?;
@@ -92,7 +92,7 @@
         capacity: body.capacity,
         state: body.state.into(),
         sequence: body.sequence,
-        // Complete milliseconds; the conversion saturates, so that negative values become 0.
+        // Truncates to whole milliseconds; the conversion saturates, so negative values become 0.
         warm_up_remaining_ms: body.warm_up_remaining_ms as u64,
         models: body.models.into_iter().map(ServedModel::from).collect(),
     })
--- a/tier/controller/src/admin/instances.rs
+++ b/tier/controller/src/admin/instances.rs
@@ -1,4 +1,4 @@
-//! `/-/instances/{id}`: heartbeats of targets, and their graceful end.
+//! `/-/instances/{id}`: heartbeats and deregistration of targets.
 
 use std::time::Instant;
 
@@ -15,15 +15,16 @@
 use crate::control_log::ControlLog;
 use crate::controller::Controller;
 
-/// Largest heartbeat, in bytes; the same bound as for its response.
+/// Maximum size of a heartbeat in bytes; the same limit applies to its response.
 const MAX_HEARTBEAT_BYTES: usize = 4 * 1_024;
 
-/// The response to an accepted heartbeat: an empty object, since nothing is asked of the target.
+/// The response to an accepted request: an empty object, because it carries no instructions for the
+/// target.
 #[derive(Serialize)]
 struct Acknowledgement {}
 
-/// Handles a heartbeat. One without news is acknowledged from the committed state; one with news is
-/// acknowledged once it is committed.
+/// Handles a heartbeat. A heartbeat that changes nothing is acknowledged immediately if this
+/// controller is current; any other is acknowledged once it is committed.
 pub(super) async fn heartbeat<L: ControlLog>(
     controller: &Controller<L>,
     id: InstanceId,
@@ -56,7 +57,7 @@
     propose(controller, Operation::RegisterTarget(report)).await
 }
 
-/// Removes a target for good.
+/// Deregisters a target permanently.
 pub(super) async fn deregister<L: ControlLog>(
     controller: &Controller<L>,
     id: InstanceId,
--- a/tier/controller/src/admin/response.rs
+++ b/tier/controller/src/admin/response.rs
@@ -1,5 +1,5 @@
-//! Responses of the admin interface. Status codes, error texts and JSON forms are what operators
-//! and targets rely on.
+//! Responses of the admin interface. Operators and targets depend on the status codes, error texts
+//! and JSON structures.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,10 +9,11 @@
 
 use super::body::BodyError;
 
-/// The `Retry-After` of a 503, in seconds: a change of the chain's view takes about this long.
+/// The `Retry-After` header of a 503 response, in seconds: the approximate duration of a view change of
+/// the chain.
 const RETRY_AFTER_S: &str = "0.3";
 
-/// One response; its body is always JSON.
+/// A response, whose body is always JSON.
 pub type AdminResponse = Response<Full<Bytes>>;
 
 /// The body of every error response.
@@ -21,12 +22,12 @@
     error: &'a str,
 }
 
-/// 200 with a body.
+/// Returns a 200 response with the given body.
 pub(super) fn ok(body: &impl Serialize) -> AdminResponse {
     with_status(StatusCode::OK, body)
 }
 
-/// 200 with a body that is JSON text already.
+/// Returns a 200 response whose body is already JSON text.
 pub(super) fn ok_json_text(text: Bytes) -> AdminResponse {
     let mut response = Response::new(Full::new(text));
     response
@@ -35,7 +36,7 @@
     response
 }
 
-/// An error with its reason.
+/// Returns an error response with the given reason.
 pub(super) fn error(status: StatusCode, reason: &str) -> AdminResponse {
     let mut response = with_status(status, &ErrorBody { error: reason });
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -46,12 +47,12 @@
     response
 }
 
-/// 400 with the reason.
+/// Returns a 400 response with the given reason.
 pub(super) fn bad_request(reason: &str) -> AdminResponse {
     error(StatusCode::BAD_REQUEST, reason)
 }
 
-/// The response to a request whose body was not read.
+/// Returns the response to a request whose body could not be read.
 pub(super) fn body_error(cause: BodyError) -> AdminResponse {
     let status = match cause {
         BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
@@ -62,7 +63,7 @@
     error(status, &cause.to_string())
 }
 
-/// 503: no outcome could be had at this controller.
+/// Returns a 503 response, for a call whose outcome this controller could not obtain.
 pub(super) fn unavailable() -> AdminResponse {
     error(
         StatusCode::SERVICE_UNAVAILABLE,
--- a/tier/controller/src/admin/retire.rs
+++ b/tier/controller/src/admin/retire.rs
@@ -1,4 +1,4 @@
-//! `/-/retire/{node}`: moving the data of a store to others before the machine is taken away.
+//! `/-/retire/{node}`: moves the data of a store to other stores before the machine is removed.
 
 use hyper::StatusCode;
 use plankhill_control::{Operation, Outcome, Retirement};
@@ -11,11 +11,11 @@
 use crate::control_log::ControlLog;
 use crate::controller::Controller;
 
-/// Largest order, in bytes.
+/// Maximum size of a retire order in bytes.
 const MAX_ORDER_BYTES: usize = 4 * 1_024;
 
-/// An order as the operator sends it. The duration is validated and not used: nothing here is done
-/// early.
+/// The body of a retire order. The duration is validated but not used; no step of a retirement depends
+/// on it.
 #[derive(Deserialize)]
 struct OrderBody {
     #[serde(default, rename = "duration_s")]
@@ -28,7 +28,7 @@
     state: &'static str,
 }
 
-/// Starts to retire a store.
+/// Starts the retirement of a store.
 pub(super) async fn start<L: ControlLog>(
     controller: &Controller<L>,
     node: NodeId,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Shows the progress of a retirement.
+/// Returns the progress of a retirement.
 pub(super) async fn progress<L: ControlLog>(
     controller: &Controller<L>,
     node: NodeId,
--- a/tier/controller/src/admin/router.rs
+++ b/tier/controller/src/admin/router.rs
@@ -1,11 +1,11 @@
-//! Which call a request is, by its method and path.
+//! Maps the method and path of a request to a call.
 
 use hyper::{Method, StatusCode};
 use plankhill_protocol::ids::{InstanceId, NodeId};
 
 use super::MAX_NAME_BYTES;
 
-/// A call of an operator or of a target.
+/// A call by an operator or a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `PUT /-/config`: replace the configuration.
@@ -20,18 +20,18 @@
     OrderDrain,
     /// `GET /-/drains`: list the drains.
     ListDrains,
-    /// `PUT /-/instances/{id}`: a heartbeat of a target.
+    /// `PUT /-/instances/{id}`: process the heartbeat of a target.
     Heartbeat(InstanceId),
-    /// `DELETE /-/instances/{id}`: a target shuts down gracefully.
+    /// `DELETE /-/instances/{id}`: deregister a target that shuts down gracefully.
     Deregister(InstanceId),
-    /// `GET /-/status`: what the command line shows.
+    /// `GET /-/status`: show the status, as displayed by the command line tool.
     Status,
 }
 
-/// Finds the call; otherwise the status to respond with.
+/// Returns the call for a method and path, or the status code of the error response.
 ///
 /// # Errors
-/// 404 for an unknown path, 405 for a method that the path does not have, 400 for an invalid name.
+/// 404 for an unknown path, 405 for a method that the path does not support, 400 for an invalid name.
 pub fn route(method: &Method, path: &str) -> Result<Call, StatusCode> {
     if path == "/-/config" {
         return match *method {
--- a/tier/controller/src/admin/server.rs
+++ b/tier/controller/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of operators and targets.
+//! The HTTP server of the admin interface.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -21,15 +21,16 @@
 use crate::controller::Controller;
 use crate::limited_listener::{AcceptedConnection, LimitedListener};
 
-/// The longest time for the head of a request, counted from the end of the call before: callers
-/// that keep a connection send a heartbeat every second or so.
+/// Timeout for receiving the head of a request, measured from the end of the previous call. Callers
+/// with a persistent connection send a heartbeat about every second.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest head of a request, in bytes.
+/// Maximum size of a request head in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1_024;
-/// Memory for the bodies that are being read, in bytes: an eighth of a small machine's.
+/// Memory budget for the bodies being read, in bytes: an eighth of the memory of a small machine.
 const BODY_BUDGET_BYTES: usize = 32 << 20;
 
-/// Accepts connections until `shutting_down` is true; those open then end with their present call.
+/// Accepts connections until `shutting_down` is true. Connections that are open at that time are
+/// closed after their current call.
 pub async fn serve_admin<L: ControlLog>(
     controller: Rc<Controller<L>>,
     listener: TcpListener,
--- a/tier/controller/src/admin/status.rs
+++ b/tier/controller/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! `/-/status`: what this controller knows, for the command line.
+//! `/-/status`: the status of this controller, displayed by the command line tool.
 
 use plankhill_protocol::tables::StoreMember;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use crate::control_log::{ChainPeer, ControlLog};
 use crate::controller::Controller;
 
-/// The status. Its fields are what the users' pages name.
+/// The response body. Its field names are part of the user documentation.
 #[derive(Serialize)]
 struct StatusBody {
     node: String,
@@ -35,12 +35,12 @@
 struct SubscriberBody {
     node: String,
     applied: u64,
-    /// Revisions that the subscriber has not reported as applied.
+    /// Number of revisions that the subscriber has not reported as applied.
     behind: u64,
 }
 
-/// Shows the status as this controller sees it, also when the controller is cut off from the
-/// others.
+/// Returns the status from this controller's local state, so that it is available even when the
+/// controller is partitioned from the others.
 pub(super) fn status<L: ControlLog>(controller: &Controller<L>) -> AdminResponse {
     let chain_status = controller.log().chain_status();
     let committed = controller.log().state().borrow().clone();
