--- a/tier/controller/src/change_log.rs
+++ b/tier/controller/src/change_log.rs
@@ -1,7 +1,8 @@
-//! The latest changes of the tables, so that a subscriber that lags a little is sent only those.
+//! The recent changes to the tables. A subscriber that lags slightly is sent only the changes
+//! instead of a snapshot.
 //!
 //! The controller owns one change log and advances it with every committed state that it publishes;
-//! the sessions of subscribers read it.
+//! subscriber sessions read it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,26 +13,28 @@
 
 use crate::control_log::CommittedControlState;
 
-/// Most steps kept: a subscriber that was away for a second or two finds its revision among them.
+/// Maximum number of retained steps: enough that the revision of a subscriber that was disconnected
+/// for a second or two is still among them.
 const MAX_STEPS: usize = 512;
-/// Most changes in one update; a subscriber that lacks more is sent a snapshot.
+/// Maximum number of changes in one update; a subscriber that lacks more is sent a snapshot.
 const MAX_CHANGES_PER_UPDATE: usize = 1_024;
 
-/// The changes from one published state to the next.
+/// The changes between two consecutive published states.
 struct Step {
     from: Revision,
     changes: Vec<TablesChange>,
 }
 
-/// The newest published state and the latest steps towards it.
+/// The newest published state and the retained steps that lead to it.
 pub struct ChangeLog {
     newest: Arc<CommittedControlState>,
-    /// Each step begins at the revision at which the one before ends; the last ends at `newest`.
+    /// Each step starts at the revision at which the previous one ends; the last one ends at `newest`.
     steps: VecDeque<Step>,
 }
 
 impl ChangeLog {
-    /// Begins with a state; subscribers at earlier revisions are sent snapshots.
+    /// Creates a change log that starts at `state`; subscribers at earlier revisions are sent
+    /// snapshots.
     pub fn new(state: Arc<CommittedControlState>) -> Self {
         ChangeLog {
             newest: state,
@@ -39,12 +42,12 @@
         }
     }
 
-    /// The newest published state.
+    /// Returns the newest published state.
     pub fn newest(&self) -> &Arc<CommittedControlState> {
         &self.newest
     }
 
-    /// Adds a later committed state; an earlier one is ignored.
+    /// Adds a newer committed state. A state that is not newer is ignored.
     pub fn advance(&mut self, state: Arc<CommittedControlState>) {
         if state.revision <= self.newest.revision {
             return;
@@ -63,8 +66,8 @@
         self.newest = state;
     }
 
-    /// The update that brings a subscriber from `held_revision` to the newest; `None` if it holds
-    /// the newest.
+    /// Returns the update that takes a subscriber from `held_revision` to the newest revision; `None`
+    /// if `held_revision` is the newest revision or later.
     pub fn update_since(&self, held_revision: Revision) -> Option<TablesUpdate> {
         if held_revision >= self.newest.revision {
             return None;
@@ -75,21 +78,22 @@
         }
     }
 
-    /// All tables, at the newest revision.
+    /// Returns all tables at the newest revision.
     pub fn snapshot(&self) -> TablesUpdate {
         TablesUpdate::Snapshot(build_tables(&self.newest.state, self.newest.revision))
     }
 
-    /// Keeps one document in memory at most: a subscriber that is sent an earlier step is sent the
-    /// newest one too.
+    /// Removes configuration changes from all steps before a new one is added, so that at most one
+    /// document is kept in memory. A subscriber that is sent an earlier step is also sent the newest
+    /// configuration.
     fn drop_earlier_configurations(&mut self) {
         for step in &mut self.steps {
             step.changes.retain(|change| !is_configuration(change));
         }
     }
 
-    /// `None` if the revision lies between two steps or before the first, or too many changes
-    /// follow it.
+    /// Returns the changes after `held_revision`; `None` if no step starts at that revision, or if
+    /// more than [`MAX_CHANGES_PER_UPDATE`] changes follow it.
     fn changes_since(&self, held_revision: Revision) -> Option<TablesUpdate> {
         let first = self
             .steps
--- a/tier/controller/src/control_log.rs
+++ b/tier/controller/src/control_log.rs
@@ -1,5 +1,5 @@
-//! The chain as the controller uses it: a trait, so that tests can put a log in memory in its
-//! place.
+//! The controller's interface to the chain. The interface is a trait so that tests can replace the
+//! chain by an in-memory log.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use plankhill_replica::{CommittedState, ReplicaHandle, Unavailable};
 use tokio::sync::watch;
 
-/// A committed control state with its position in the order of operations.
+/// A committed control state and its position in the log.
 pub type CommittedControlState = CommittedState<ControlState>;
 
-/// One controller and the address at which it listens for the others.
+/// A controller and the address at which it listens for other controllers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainPeer {
     /// The machine.
@@ -33,51 +33,53 @@
     }
 }
 
-/// The chain as this controller knows it, and whether this controller heads it.
+/// The state of the chain as known to this controller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainStatus {
-    /// The number of the newest view known here; 0 before the first.
+    /// The number of the newest view known to this controller; 0 before the first view.
     pub view: u64,
-    /// Whether this controller heads the chain.
+    /// Whether this controller is the head of the chain.
     pub is_head: bool,
-    /// The chain, head first.
+    /// The members of the chain, head first.
     pub chain: Vec<ChainPeer>,
-    /// All controllers that vote, also those that are out of the chain.
+    /// All voting controllers, including those that are not in the chain.
     pub voters: Vec<ChainPeer>,
 }
 
 /// The ordered, replicated log of control operations. Clones are handles to the same log.
 #[expect(async_fn_in_trait, reason = "used on one thread only")]
 pub trait ControlLog: Clone + 'static {
-    /// Gets an operation committed.
+    /// Proposes an operation and waits until it is committed.
     ///
     /// # Errors
-    /// [`Unavailable`] if no outcome came in time; the operation may still be committed later.
+    /// [`Unavailable`] if there is no outcome within `timeout`; the operation may still be committed
+    /// later.
     async fn propose(
         &self,
         operation: Operation,
         timeout: Duration,
     ) -> Result<Outcome, Unavailable>;
 
-    /// The newest committed state known here, to wait for newer ones.
+    /// Returns a watch on the newest committed state known to this controller.
     fn state(&self) -> watch::Receiver<Arc<CommittedControlState>>;
 
-    /// A linearizable read: a state that holds everything committed before the call.
+    /// Performs a linearizable read: the returned state includes every operation committed before the
+    /// call.
     ///
     /// # Errors
-    /// [`Unavailable`] if that could not be confirmed in time.
+    /// [`Unavailable`] if the state could not be confirmed within `timeout`.
     async fn read(&self, timeout: Duration) -> Result<Arc<CommittedControlState>, Unavailable>;
 
-    /// Whether the state known here was confirmed lately to be the newest.
+    /// Returns whether this controller's state was recently confirmed to be the newest.
     fn is_current(&self) -> bool;
 
-    /// The same, to wait for changes.
+    /// Returns a watch on [`ControlLog::is_current`].
     fn watch_current(&self) -> watch::Receiver<bool>;
 
-    /// The present chain as this controller knows it.
+    /// Returns the state of the chain as known to this controller.
     fn chain_status(&self) -> ChainStatus;
 
-    /// Serves a connection that another controller opened for the chain, until it ends.
+    /// Serves a chain connection opened by another controller until the connection ends.
     async fn serve_chain(&self, connection: Connection);
 }
 
--- a/tier/controller/src/controller.rs
+++ b/tier/controller/src/controller.rs
@@ -1,7 +1,7 @@
 //! The state that the tasks of one controller share.
 //!
-//! One [`Controller`] belongs to one process. All tasks run on one thread, so that its parts are in
-//! cells; no task keeps a borrow while it waits.
+//! A process has one [`Controller`]. All tasks run on one thread, so its mutable parts are in
+//! `RefCell`s; no task holds a borrow across an `await`.
 
 use std::cell::{Ref, RefCell, RefMut};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::liveness::Liveness;
 use crate::subscribers::Subscribers;
 
-/// The longest wait for the outcome of an operation that no caller waits for.
+/// Timeout for the outcome of an operation that no caller awaits.
 pub(crate) const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// The shared state of one controller.
@@ -29,14 +29,14 @@
     log: L,
     liveness: RefCell<Liveness>,
     change_log: RefCell<ChangeLog>,
-    /// The newest revision in `change_log`; wakes the subscriptions.
+    /// The newest revision in `change_log`; a change wakes the subscriptions.
     newest_revision: watch::Sender<Revision>,
     subscribers: Subscribers,
 }
 
 impl<L: ControlLog> Controller<L> {
-    /// A controller on `node` over `log`, for a tier that tolerates the loss of `tolerated_faults`
-    /// stores at once (f).
+    /// Creates a controller on `node` that uses `log`, for a tier that tolerates the simultaneous
+    /// loss of `tolerated_faults` stores (f).
     pub fn new(node: NodeId, tolerated_faults: u32, log: L) -> Rc<Self> {
         let state = log.state().borrow().clone();
         let (newest_revision, _) = watch::channel(state.revision);
@@ -51,47 +51,49 @@
         })
     }
 
-    /// The machine that this controller runs on.
+    /// Returns the machine that this controller runs on.
     pub fn node(&self) -> &NodeId {
         &self.node
     }
 
-    /// Losses of stores that the tier tolerates at once (f).
+    /// Returns the number of simultaneous store losses that the tier tolerates (f).
     pub fn tolerated_faults(&self) -> u32 {
         self.tolerated_faults
     }
 
-    /// The chain.
+    /// Returns the replicated log, which is the chain outside tests.
     pub fn log(&self) -> &L {
         &self.log
     }
 
-    /// When each sender was last heard from. The borrow must not be kept across an `await`.
+    /// Borrows the time of the last message from each sender. The borrow must not be held across an
+    /// `await`.
     pub fn liveness(&self) -> Ref<'_, Liveness> {
         self.liveness.borrow()
     }
 
-    /// The same, to record what was heard. The borrow must not be kept across an `await`.
+    /// Mutably borrows the time of the last message from each sender. The borrow must not be held
+    /// across an `await`.
     pub fn liveness_mut(&self) -> RefMut<'_, Liveness> {
         self.liveness.borrow_mut()
     }
 
-    /// The latest changes of the tables. The borrow must not be kept across an `await`.
+    /// Borrows the recent changes to the tables. The borrow must not be held across an `await`.
     pub fn change_log(&self) -> Ref<'_, ChangeLog> {
         self.change_log.borrow()
     }
 
-    /// The open subscriptions.
+    /// Returns the open subscriptions.
     pub fn subscribers(&self) -> &Subscribers {
         &self.subscribers
     }
 
-    /// The newest revision that subscribers are sent, to wait for changes.
+    /// Returns a watch on the newest revision available to subscribers.
     pub fn watch_revision(&self) -> watch::Receiver<Revision> {
         self.newest_revision.subscribe()
     }
 
-    /// The addresses at which all controllers listen for subscribers.
+    /// Returns the addresses at which the controllers listen for subscribers.
     pub fn controller_addresses(&self) -> Vec<SocketAddr> {
         self.log
             .chain_status()
@@ -101,10 +103,10 @@
             .collect()
     }
 
-    /// Proposes an operation whose outcome no caller waits for.
+    /// Proposes an operation in a background task; no caller awaits the outcome.
     ///
     /// # Panics
-    /// Outside of a `LocalSet`.
+    /// Panics outside of a `LocalSet`.
     pub fn propose_detached(&self, operation: Operation) {
         let log = self.log.clone();
         spawn_local(async move {
@@ -114,7 +116,7 @@
         });
     }
 
-    /// Adds a newer committed state to the change log and wakes the subscriptions.
+    /// Adds a committed state to the change log and wakes the subscriptions if the state is newer.
     pub fn publish(&self, state: Arc<CommittedControlState>) {
         let revision = state.revision;
         self.change_log.borrow_mut().advance(state);
--- a/tier/controller/src/feed.rs
+++ b/tier/controller/src/feed.rs
@@ -1,5 +1,5 @@
-//! Subscriptions of agents and stores: each is sent the tables as they change, and a heartbeat when
-//! nothing changes. Subscribing registers the machine in the control state.
+//! Serves the subscriptions of agents and stores. Each subscriber is sent changes to the tables, and
+//! periodic heartbeats. Subscribing registers the machine in the control state.
 
 mod registrar;
 mod registration;
--- a/tier/controller/src/feed/registrar.rs
+++ b/tier/controller/src/feed/registrar.rs
@@ -10,21 +10,21 @@
 use crate::control_log::ControlLog;
 use crate::controller::Controller;
 
-/// The longest wait for one registration to be committed; it is proposed again while the connection
-/// lasts.
+/// Timeout for committing one registration; the registration is proposed again as long as the
+/// connection is open.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Proposes the registration of a subscriber whenever the control state lacks it. Belongs to the
-/// subscriber's session; dropping the registrar ends a proposal in flight.
+/// Proposes the registration of a subscriber whenever it is missing from the control state. Owned by
+/// the subscriber's session; dropping the registrar aborts a proposal in flight.
 pub(super) struct Registrar {
     subscriber: Subscriber,
-    /// Other incarnations of the machine that were known when it subscribed.
+    /// Other incarnations of the machine that were in the control state when it subscribed.
     former: Vec<Incarnation>,
     proposal: Option<JoinHandle<()>>,
 }
 
 impl Registrar {
-    /// For a subscriber that has just connected.
+    /// Creates the registrar of a subscriber that has just connected.
     pub(super) fn new<L: ControlLog>(controller: &Controller<L>, subscriber: Subscriber) -> Self {
         let former = other_incarnations(&controller.log().state().borrow().state, &subscriber);
         Registrar {
@@ -34,12 +34,12 @@
         }
     }
 
-    /// The subscriber.
+    /// Returns the subscriber.
     pub(super) fn subscriber(&self) -> &Subscriber {
         &self.subscriber
     }
 
-    /// Proposes the registration if the control state lacks it and no proposal is in flight.
+    /// Proposes the registration if it is missing from the control state and no proposal is in flight.
     pub(super) fn register_if_missing<L: ControlLog>(&mut self, controller: &Controller<L>) {
         if self
             .proposal
--- a/tier/controller/src/feed/registration.rs
+++ b/tier/controller/src/feed/registration.rs
@@ -1,5 +1,5 @@
-//! Which operation a subscription calls for. Proxies and peers are served by agents and are never
-//! registered.
+//! Determines whether and how a subscriber is registered in the control state. Proxies and peers are
+//! served by agents and are never registered.
 
 use plankhill_control::{ControlState, Operation};
 use plankhill_protocol::feed::Subscriber;
@@ -7,7 +7,7 @@
 
 use crate::liveness::MachineIncarnation;
 
-/// The incarnation of a subscribed machine; `None` for subscribers that are not registered.
+/// Returns the machine incarnation of a subscriber; `None` for subscribers that are never registered.
 pub(super) fn machine_of(subscriber: &Subscriber) -> Option<MachineIncarnation> {
     match subscriber {
         Subscriber::Edge(edge) => Some(MachineIncarnation::new(&edge.node, edge.incarnation)),
@@ -18,7 +18,8 @@
     }
 }
 
-/// The operation that registers a subscriber; `None` for subscribers that are not registered.
+/// Returns the operation that registers a subscriber; `None` for subscribers that are never
+/// registered.
 pub(super) fn registration_of(subscriber: &Subscriber, tolerated_faults: u32) -> Option<Operation> {
     match subscriber {
         Subscriber::Edge(edge) => Some(Operation::RegisterEdge(edge.clone())),
@@ -30,7 +31,8 @@
     }
 }
 
-/// Other incarnations of the subscriber's machine that the control state knows.
+/// Returns the incarnations of the subscriber's machine in the control state, except the
+/// subscriber's own.
 pub fn other_incarnations(state: &ControlState, subscriber: &Subscriber) -> Vec<Incarnation> {
     let known: Vec<Incarnation> = match subscriber {
         Subscriber::Edge(edge) => state
@@ -49,9 +51,9 @@
         .collect()
 }
 
-/// Whether a subscriber is to be registered now. `former` are the other incarnations of its machine
-/// that were known when it subscribed: an incarnation that came later superseded the subscriber,
-/// and is left alone.
+/// Returns whether a subscriber must be registered. `former` lists the other incarnations of its machine that
+/// were in the control state when it subscribed. An incarnation that was registered after that has
+/// superseded the subscriber and is not replaced.
 pub fn needs_registration(
     state: &ControlState,
     subscriber: &Subscriber,
--- a/tier/controller/src/feed/session.rs
+++ b/tier/controller/src/feed/session.rs
@@ -1,4 +1,4 @@
-//! One subscription, from its first message to its end.
+//! The session of one subscriber, from its first message until the connection ends.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,14 +20,15 @@
 use crate::liveness::MachineIncarnation;
 use crate::subscribers::SubscriberGuard;
 
-/// The time between heartbeats; subscribers leave a controller after 0.7 s of silence.
+/// Interval between heartbeats; subscribers disconnect from a controller after 0.7 s of silence.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// A subscriber that sends no first message in this time is disconnected.
+/// Timeout for the first message; the subscriber is disconnected after it.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A subscriber that reads nothing for this long is disconnected; it comes back with the revision
-/// that it holds.
+/// Timeout for a write. A subscriber that stops reading is disconnected; it reconnects and sends the
+/// revision that it holds.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A subscriber that sends nothing for this long is disconnected: it answers every heartbeat.
+/// A subscriber that sends nothing for longer than this is disconnected, since subscribers answer
+/// every heartbeat.
 const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Serves one subscriber until its connection ends.
@@ -72,18 +73,18 @@
     tracing::info!(%node, %address, reason = %end, "subscription ended");
 }
 
-/// Why a session ended.
+/// The reason why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SessionEnd {
-    /// The subscriber said that it leaves, or sent a message that only begins a connection.
+    /// The subscriber deregistered, or sent a second [`FromSubscriber::Subscribe`].
     Unsubscribed,
-    /// The connection ended, or a message could not be read.
+    /// The connection was closed, or a message could not be read.
     ConnectionClosed,
-    /// The connection broke, or the subscriber reads nothing.
+    /// A write failed or timed out.
     WriteFailed,
-    /// The subscriber sends nothing.
+    /// No message was received within [`READ_TIMEOUT`].
     ReadTimedOut,
-    /// This process ends.
+    /// The controller process is stopping.
     ControllerStopped,
 }
 
@@ -99,18 +100,18 @@
     }
 }
 
-/// The state of one subscription. The session owns the connection and everything that belongs to
-/// it; dropping the session ends the subscription.
+/// The state of one subscription. The session owns the connection and all resources of the
+/// subscription; dropping the session ends the subscription.
 struct Session<L: ControlLog> {
     controller: Rc<Controller<L>>,
     writer: FrameWriter,
     registrar: Registrar,
-    /// The subscribed machine; `None` for subscribers that are not registered.
+    /// The subscribed machine; `None` for subscribers that are never registered.
     machine: Option<MachineIncarnation>,
-    /// Shows the subscription in the status as long as the session lasts.
+    /// Keeps the subscription in the status until the session ends.
     guard: SubscriberGuard,
     updates: UpdateStream,
-    /// The controllers' addresses that were sent last.
+    /// The controller addresses last sent to the subscriber.
     announced_controllers: Vec<SocketAddr>,
     next_heartbeat: Instant,
     last_received: Instant,
@@ -147,7 +148,7 @@
                         return SessionEnd::ControllerStopped;
                     }
                 }
-                // Subscribers that wait for a controller that is current are notified at once.
+                // Notifies subscribers that wait for the controller to become current without delay.
                 Ok(()) = current.changed() => self.next_heartbeat = Instant::now(),
                 () = tokio::time::sleep_until(self.next_heartbeat.into()) => {}
             }
@@ -178,7 +179,7 @@
                 self.propose_deregistration();
                 return ControlFlow::Break(SessionEnd::Unsubscribed);
             }
-            // Only the first message of a connection may be one.
+            // Only the first message of a connection may be a subscription.
             FromSubscriber::Subscribe { .. } => {
                 return ControlFlow::Break(SessionEnd::Unsubscribed);
             }
@@ -213,12 +214,12 @@
         }
     }
 
-    /// Sends the update that the subscriber lacks and, after an update or when one is due, a
-    /// heartbeat.
+    /// Sends the missing update, if any, followed by a heartbeat. Without an update, sends a heartbeat
+    /// if one is due.
     ///
-    /// Updates wait until this controller is current: before that they may be old, and when all
-    /// machines come back together the snapshots of all subscribers would delay what the
-    /// controllers send each other.
+    /// No update is sent until this controller is current. Before that, its state may be stale, and
+    /// when all machines restart at the same time, the snapshots for all subscribers would delay the
+    /// traffic between the controllers.
     async fn send_due(&mut self) -> Result<(), SessionEnd> {
         let messages = self.due_messages();
         if messages.is_empty() {
@@ -256,7 +257,7 @@
         messages
     }
 
-    /// The controllers' addresses if they differ from those sent last.
+    /// Returns the controller addresses if they differ from those last sent.
     fn changed_controllers(&mut self) -> Option<Vec<SocketAddr>> {
         let addresses = self.controller.controller_addresses();
         if addresses.is_empty() || addresses == self.announced_controllers {
--- a/tier/controller/src/feed/update_stream.rs
+++ b/tier/controller/src/feed/update_stream.rs
@@ -1,31 +1,31 @@
-//! The updates that one subscriber is owed.
+//! Tracks the updates to be sent to one subscriber.
 
 use plankhill_protocol::ids::Revision;
 use plankhill_protocol::tables::TablesUpdate;
 
 use crate::change_log::ChangeLog;
 
-/// What a subscriber wants to be sent.
+/// The messages that a subscriber has requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Delivery {
     /// Updates and heartbeats.
     Updates,
-    /// Heartbeats: another process sends the updates, and the subscriber only needs to hear that
-    /// the revision rose.
+    /// Heartbeats only. Another process sends the updates, and the subscriber only needs to be
+    /// notified of new revisions.
     HeartbeatsOnly,
 }
 
-/// The position of a subscriber in the order of revisions, and what it wants next.
+/// The revision of a subscriber and the messages that it has requested.
 pub(super) struct UpdateStream {
-    /// The revision that the subscriber holds once it has applied everything that was sent.
+    /// The revision that the subscriber holds after it has applied all updates sent so far.
     held_revision: Revision,
     delivery: Delivery,
-    /// Set when the changes sent did not fit what the subscriber holds.
+    /// Set when the subscriber could not apply the changes it was sent and requested a snapshot.
     snapshot_requested: bool,
 }
 
 impl UpdateStream {
-    /// For a subscriber that holds this revision.
+    /// Creates the stream of a subscriber that holds `held_revision`.
     pub(super) fn new(held_revision: Revision) -> Self {
         UpdateStream {
             held_revision,
@@ -34,29 +34,29 @@
         }
     }
 
-    /// The next update is a snapshot, whatever the subscriber holds.
+    /// Makes the next update a snapshot, regardless of the revision that the subscriber holds.
     pub(super) fn request_snapshot(&mut self) {
         self.snapshot_requested = true;
     }
 
-    /// Stops sending updates.
+    /// Stops the delivery of updates.
     pub(super) fn pause(&mut self) {
         self.delivery = Delivery::HeartbeatsOnly;
     }
 
-    /// Sends updates again, from a revision that the subscriber holds.
+    /// Resumes the delivery of updates from the revision that the subscriber holds.
     pub(super) fn resume(&mut self, held_revision: Revision) {
         self.delivery = Delivery::Updates;
         self.held_revision = held_revision;
     }
 
-    /// Whether the subscriber is sent updates.
+    /// Returns whether updates are delivered to the subscriber.
     pub(super) fn delivers_updates(&self) -> bool {
         self.delivery == Delivery::Updates
     }
 
-    /// Advances to the newest revision; `None` if the subscriber holds it and has not requested a
-    /// snapshot.
+    /// Advances to the newest revision and returns the update to it; `None` if the subscriber already
+    /// holds that revision and has not requested a snapshot.
     pub(super) fn advance(&mut self, change_log: &ChangeLog) -> Option<TablesUpdate> {
         let update = if std::mem::take(&mut self.snapshot_requested) {
             change_log.snapshot()
@@ -70,8 +70,8 @@
         Some(update)
     }
 
-    /// The revision to announce in a heartbeat. A subscriber may hold a revision that is not known
-    /// here; it must see that this controller is behind.
+    /// Returns the revision to announce in a heartbeat. If the subscriber holds a later revision than
+    /// this controller, the announced revision shows the subscriber that the controller is behind.
     pub(super) fn announced_revision(&self, change_log: &ChangeLog) -> Revision {
         self.held_revision.min(change_log.newest().revision)
     }
--- a/tier/controller/src/internal_server.rs
+++ b/tier/controller/src/internal_server.rs
@@ -1,5 +1,5 @@
-//! Connections of other processes of the tier: subscriptions, chain traffic, and other controllers'
-//! liveness reports.
+//! Accepts connections from other processes of the tier: subscriptions, chain traffic, and liveness
+//! reports from other controllers.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::limited_listener::{AcceptedConnection, LimitedListener};
 use crate::liveness_reports::receive_reports;
 
-/// Accepts connections for ever.
+/// Accepts and serves connections; never returns.
 pub async fn serve_internal<L: ControlLog>(controller: Rc<Controller<L>>, listener: TcpListener) {
     let listener = LimitedListener::new(listener);
     loop {
--- a/tier/controller/src/lib.rs
+++ b/tier/controller/src/lib.rs
@@ -1,22 +1,22 @@
-//! The control plane process: the admin interface of operators and targets, the subscriptions of
-//! agents and stores, and the singleton tasks that one controller at a time does.
+//! The control plane process: the admin interface for operators and targets, the subscriptions of
+//! agents and stores, and the singleton tasks that one controller at a time runs.
 //!
-//! Everything that lasts goes through the chain ([`ControlLog`]). Besides the chain, a controller
-//! knows only when each target and each machine was last heard from ([`liveness`]); the controllers
-//! report that to the head of the chain.
+//! All durable state is replicated by the chain ([`ControlLog`]). The only other state of a
+//! controller is in memory: the time of the last message from each target and each machine
+//! ([`liveness`]), which every controller reports to the head of the chain.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`run`] | starts the process, reloads settings, shuts down |
 //! | [`tasks`] | starts the tasks of one controller |
 //! | [`controller`] | the state that the tasks share |
-//! | [`control_log`] | the chain as the controller uses it |
+//! | [`control_log`] | the interface to the chain |
 //! | [`admin`] | HTTP for operators and targets |
-//! | [`internal_server`] | connections of other processes of the tier |
+//! | [`internal_server`] | connections from other processes of the tier |
 //! | [`feed`] | subscriptions of agents and stores |
-//! | [`change_log`] | the latest changes of the tables, for subscribers that lag |
-//! | [`liveness`], [`liveness_reports`] | who was heard from, here and at other controllers |
-//! | [`singleton`] | expiry of targets, edges and stores by the head of the chain |
+//! | [`change_log`] | recent changes to the tables, for subscribers that lag |
+//! | [`liveness`], [`liveness_reports`] | which senders are alive, as seen by this and other controllers |
+//! | [`singleton`] | expiry of targets, edges and stores, run by the head of the chain |
 
 pub mod admin;
 pub mod change_log;
--- a/tier/controller/src/limited_listener.rs
+++ b/tier/controller/src/limited_listener.rs
@@ -1,4 +1,4 @@
-//! A listener that bounds the connections open at once.
+//! A listener that limits the number of open connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Most connections open at once on one listener; further ones are closed.
+/// Maximum number of open connections per listener; excess connections are closed.
 const MAX_CONNECTIONS: usize = 1_024;
-/// The pause after a failed accept, in which other connections can end.
+/// Delay after a failed accept, during which open connections can end and free resources.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A listener and the connections that it has accepted.
+/// A listener and the permits for its connections.
 pub(crate) struct LimitedListener {
     listener: TcpListener,
     permits: Arc<Semaphore>,
@@ -33,7 +33,8 @@
         }
     }
 
-    /// The next connection within the limit; those beyond it are closed at once. Cancel-safe.
+    /// Accepts the next connection within the limit; excess connections are closed immediately.
+    /// Cancel-safe.
     pub(crate) async fn accept(&self) -> AcceptedConnection {
         loop {
             let Ok((stream, address)) = self.listener.accept().await else {
--- a/tier/controller/src/liveness_reports.rs
+++ b/tier/controller/src/liveness_reports.rs
@@ -1,5 +1,5 @@
-//! Liveness reports between controllers: each controller reports to the head of the chain whom it
-//! has heard from, since only the head acts on silence.
+//! Liveness reports between controllers. Each controller reports the senders that it has recently
+//! received messages from to the head of the chain, because only the head expires silent senders.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,12 +12,13 @@
 use crate::controller::Controller;
 use crate::liveness::LivenessReport;
 
-/// The time between two reports: well under the shortest silence acted on (4 s).
+/// Interval between reports: well below the shortest silence after which a sender is expired (4 s).
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Each report names the senders heard from in this time, so that one lost report does no harm.
+/// Each report covers the messages received within this window, which spans two intervals, so that
+/// the loss of one report has no effect.
 const REPORT_WINDOW: Duration = Duration::from_millis(1_100);
 
-/// Records the reports of another controller until its connection ends.
+/// Records the reports from another controller until its connection ends.
 pub(crate) async fn receive_reports<L: ControlLog>(
     controller: Rc<Controller<L>>,
     mut connection: Connection,
@@ -29,13 +30,13 @@
     }
 }
 
-/// The connection to the present head of the chain.
+/// A connection to the current head of the chain.
 struct HeadLink {
     head: NodeId,
     connection: Connection,
 }
 
-/// Reports to the head of the chain, for ever. The head itself reports to nobody.
+/// Sends reports to the head of the chain; never returns. The head itself sends no reports.
 pub async fn report_to_head<L: ControlLog>(controller: Rc<Controller<L>>) {
     let mut link: Option<HeadLink> = None;
     loop {
@@ -69,7 +70,7 @@
     controller: &Controller<L>,
     connection: &mut Connection,
 ) -> Result<(), TransportError> {
-    // The clock may have run for less than the window since the machine started.
+    // The monotonic clock may be lower than the window shortly after the machine has booted.
     let Some(since) = Instant::now().checked_sub(REPORT_WINDOW) else {
         return Ok(());
     };
--- a/tier/controller/src/run.rs
+++ b/tier/controller/src/run.rs
@@ -13,28 +13,29 @@
 use crate::controller::Controller;
 use crate::tasks::{start_tasks, Listeners};
 
-/// Time for leaving the chain at a graceful shutdown; the platform grants several seconds.
+/// Timeout for leaving the chain during a graceful shutdown; the platform allows several seconds for
+/// the shutdown.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time for the responses in flight at a graceful shutdown: they wait for an outcome for less than
-/// a second.
+/// Time allowed for the responses in flight during a graceful shutdown. Each waits less than a second
+/// for the outcome of its operation.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1_000);
 
-/// Why the controller could not run.
+/// An error that prevents the controller from running.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The settings lack a key that a controller needs.
-    #[error("settings: {0} is needed by a controller")]
+    /// The settings lack a key that a controller requires.
+    #[error("settings: {0} is required for a controller")]
     MissingSetting(&'static str),
-    /// The runtime or its signal handlers cannot be set up.
+    /// The runtime or its signal handlers could not be set up.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// An address cannot be listened at.
+    /// A listener could not be bound to its address.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The replica of the chain cannot start.
+    /// The chain replica could not start.
     #[error(transparent)]
     Replica(#[from] StartError),
-    /// The replica of the chain ended by itself, as it does when its disk fails.
+    /// The chain replica stopped on its own, which happens when its disk fails.
     #[error("the disk failed")]
     ReplicaEnded,
 }
@@ -42,7 +43,7 @@
 /// Runs the controller until SIGTERM.
 ///
 /// # Errors
-/// [`RunError`] if the controller cannot start, or its disk fails.
+/// [`RunError`] if the controller cannot start or its disk fails.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     run_on_current_thread(run_local(settings)).map_err(RunError::Runtime)?
 }
@@ -66,13 +67,13 @@
         }
     }
     shut_down.send_replace(true);
-    end_gracefully(controller.node(), &replica).await;
+    shut_down_gracefully(controller.node(), &replica).await;
     Ok(())
 }
 
-/// Waits for the responses in flight, then leaves the chain, so that the others go on at once in
-/// place of waiting until they miss this replica.
-async fn end_gracefully(node: &NodeId, replica: &ReplicaHandle<ControlState>) {
+/// Waits for the responses in flight, then leaves the chain, so that the other replicas reconfigure
+/// immediately instead of first detecting this replica's absence.
+async fn shut_down_gracefully(node: &NodeId, replica: &ReplicaHandle<ControlState>) {
     tokio::time::sleep(RESPONSE_GRACE).await;
     let has_left_chain = tokio::time::timeout(LEAVE_TIMEOUT, replica.leave())
         .await
@@ -80,7 +81,8 @@
     tracing::info!(%node, has_left_chain, "controller stopped");
 }
 
-/// Takes the seeds from the changed settings. Every other setting stays as it was at the start.
+/// Applies the seeds of the reloaded settings. All other settings keep their values from process
+/// start.
 async fn reload_seeds(replica: &ReplicaHandle<ControlState>) {
     if let Some(settings) = Settings::reload() {
         replica.set_seeds(settings.seed_controllers()).await;
--- a/tier/controller/src/singleton/fence.rs
+++ b/tier/controller/src/singleton/fence.rs
@@ -1,22 +1,23 @@
-//! Whether this controller may still act as the head of a view.
+//! Determines whether this controller may still act as the head of a view.
 
-/// What this controller has learned of its fencing token, the number of the view that it heads.
+/// The newest view whose fencing token was rejected. The fencing token of a task is the number of the
+/// view whose head proposed it.
 ///
-/// A task that was refused shows that the head of a later view has acted. This controller then does
-/// nothing more under the refused view, also where its own knowledge of the chain still calls it the
-/// head, until it heads a later view.
+/// A rejected task shows that the head of a later view has acted. This controller then proposes no
+/// more tasks until it is the head of a later view than the rejected one, even if its own chain status
+/// still names it as the head.
 #[derive(Debug, Default)]
 pub struct Fence {
     refused_view: Option<u64>,
 }
 
 impl Fence {
-    /// A task that was proposed as the head of this view was refused.
+    /// Records that a task proposed under `view` was rejected.
     pub fn refuse(&mut self, view: u64) {
         self.refused_view = self.refused_view.max(Some(view));
     }
 
-    /// Whether the head of this view may act.
+    /// Returns whether the head of `view` may propose tasks.
     pub fn admits(&self, view: u64) -> bool {
         match self.refused_view {
             Some(refused) => view > refused,
--- a/tier/controller/src/singleton/first_seen.rs
+++ b/tier/controller/src/singleton/first_seen.rs
@@ -1,9 +1,10 @@
-//! How long each member of a changing set has been in it. Time is passed in.
+//! Tracks how long each member of a changing set has been present. The current time is passed in by
+//! the callers.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// When each member of the set was first seen.
+/// The members of a set, each with the time at which it was first seen.
 #[derive(Debug)]
 pub(super) struct FirstSeen<K> {
     members: BTreeMap<K, Instant>,
@@ -18,7 +19,7 @@
 }
 
 impl<K: Ord> FirstSeen<K> {
-    /// Replaces the set. Members that stay keep their time; a member may be named twice.
+    /// Replaces the set. Members that remain keep their time; `members` may contain duplicates.
     pub(super) fn update(&mut self, members: impl Iterator<Item = K>, now: Instant) {
         let former = std::mem::take(&mut self.members);
         for member in members {
@@ -27,12 +28,12 @@
         }
     }
 
-    /// Forgets all members.
+    /// Removes all members.
     pub(super) fn clear(&mut self) {
         self.members.clear();
     }
 
-    /// Whether a member has been in the set for at least this long.
+    /// Returns whether `member` has been in the set for at least `duration`.
     pub(super) fn is_present_for(&self, member: &K, duration: Duration, now: Instant) -> bool {
         let first_seen = self.members.get(member);
         first_seen.is_some_and(|first_seen| now.saturating_duration_since(*first_seen) >= duration)
--- a/tier/controller/src/singleton/runner.rs
+++ b/tier/controller/src/singleton/runner.rs
@@ -10,11 +10,11 @@
 use crate::control_log::ControlLog;
 use crate::controller::{Controller, PROPOSAL_TIMEOUT};
 
-/// The time between two looks at what is due.
+/// Interval between checks for due tasks.
 const SCHEDULE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Proposes the singleton tasks that are due, for ever, whenever this controller heads the chain.
-/// `heartbeat_interval` is the time between two heartbeats of a target.
+/// Proposes the singleton tasks that are due while this controller is the head of the chain; never
+/// returns. `heartbeat_interval` is the interval at which targets send heartbeats.
 pub async fn run_singleton_tasks<L: ControlLog>(
     controller: Rc<Controller<L>>,
     heartbeat_interval: Duration,
@@ -25,7 +25,7 @@
         tokio::time::sleep(SCHEDULE_INTERVAL).await;
         let now = Instant::now();
         if let Some(since) = now.checked_sub(scheduler.liveness_retention()) {
-            controller.liveness_mut().forget_before(since);
+            controller.liveness_mut().remove_before(since);
         }
         let status = controller.log().chain_status();
         let state = controller.log().state().borrow().state.clone();
@@ -40,9 +40,9 @@
     }
 }
 
-/// Proposes tasks that are due to the head of a view, one after the other, as long as this
-/// controller heads that view for all it knows: each may take seconds, and the process may have been
-/// frozen in between.
+/// Proposes the due tasks of the head of `view` one after the other. Before each task, checks again
+/// that this controller still considers itself the head of `view`, because each proposal may take
+/// seconds and the process may have been suspended in between.
 async fn propose_tasks<L: ControlLog>(
     controller: &Controller<L>,
     fence: &mut Fence,
--- a/tier/controller/src/singleton/scheduler.rs
+++ b/tier/controller/src/singleton/scheduler.rs
@@ -1,4 +1,5 @@
-//! Which singleton tasks are due: decisions without I/O. Time is passed in.
+//! Determines which singleton tasks are due, without I/O. The current time is passed in by the
+//! callers.
 
 use std::time::{Duration, Instant};
 
@@ -10,51 +11,52 @@
 use crate::control_log::ChainStatus;
 use crate::liveness::{Liveness, MachineIncarnation};
 
-/// Heartbeats that a target may miss in a row before it expires.
+/// Number of consecutive heartbeats that a target may miss before it expires.
 const MAX_MISSED_HEARTBEATS: u32 = 4;
-/// Added to the missed heartbeats: a target tries the next controller after a second without an
-/// answer.
+/// Added to the time of the missed heartbeats, because a target tries the next controller after one
+/// second without a response.
 const HEARTBEAT_MARGIN: Duration = Duration::from_secs(1);
-/// Edges and joining stores that are silent for this long are lost: above the contact bound of
+/// Silence after which edges and joining stores count as lost. It is above the contact bound of
 /// deployments (3 s), so that a short partition does not remove them.
 const MACHINE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A serving store that is silent for this long is removed although no store has just joined, if
-/// enough others serve: its successor may have joined before it ended, and while the lost store
-/// counts the next loss is one too many. Well above the partitions and freezes from which stores
-/// come back with their disks.
+/// Silence after which a serving store is removed even if no store is joining, provided that enough
+/// others serve. Its successor may have joined before it failed, and as long as the lost store is
+/// counted as a member, the next loss would exceed the tolerated faults. The timeout is well above the
+/// duration of partitions and process freezes from which stores recover with their disks.
 const SERVING_STORE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Stores start within 0.3 s of each other; fewer than 2f+1 after this time are all that there are.
+/// Time to wait for 2f+1 stores before a bootstrap with fewer. Stores start within 0.3 s of each
+/// other, so stores that are missing after this time are not expected to start.
 const BOOTSTRAP_GRACE: Duration = Duration::from_secs(4);
-/// Most targets expired by one task.
+/// Maximum number of targets expired by one task.
 const MAX_EXPIRED_PER_TASK: usize = 256;
 
-/// What a decision is made from.
+/// The input of one scheduling decision.
 pub struct ScheduleInput<'a> {
-    /// The chain as this controller knows it.
+    /// The state of the chain as known to this controller.
     pub status: &'a ChainStatus,
-    /// Whether the state was confirmed lately to be the newest.
+    /// Whether the state was recently confirmed to be the newest.
     pub is_current: bool,
-    /// The newest committed state known here.
+    /// The newest committed state known to this controller.
     pub state: &'a ControlState,
-    /// When each sender was last heard from.
+    /// The time of the last message from each sender.
     pub liveness: &'a Liveness,
-    /// The present time; it never goes back.
+    /// The current time; must not decrease between calls.
     pub now: Instant,
 }
 
-/// Decides which singleton tasks are due. Each controller owns one and asks it again and again,
-/// also while another controller heads the chain.
+/// Determines which singleton tasks are due. Each controller owns one and calls it periodically, even
+/// while another controller is the head of the chain.
 #[derive(Debug)]
 pub struct SingletonScheduler {
     target_timeout: Duration,
-    /// Since when this controller has been the head and current; `None` while it is not.
+    /// The time since which this controller has been both head and current; `None` while it is not.
     head_since: Option<Instant>,
     targets: FirstSeen<InstanceId>,
     machines: FirstSeen<MachineIncarnation>,
 }
 
 impl SingletonScheduler {
-    /// A scheduler for targets that send a heartbeat every `heartbeat_interval`.
+    /// Creates a scheduler for targets that send a heartbeat every `heartbeat_interval`.
     pub fn new(heartbeat_interval: Duration) -> Self {
         SingletonScheduler {
             target_timeout: heartbeat_interval * MAX_MISSED_HEARTBEATS + HEARTBEAT_MARGIN,
@@ -64,15 +66,16 @@
         }
     }
 
-    /// How long senders that were heard from must be remembered.
+    /// Returns how long the time of a sender's last message must be retained.
     pub fn liveness_retention(&self) -> Duration {
         self.target_timeout.max(SERVING_STORE_TIMEOUT) * 2
     }
 
-    /// The tasks that are due now; none unless this controller is the head and current.
+    /// Returns the tasks that are due; none unless this controller is both head and current.
     ///
-    /// A new head listens for as long as the silence that it acts on, and so does every head to a
-    /// sender that has just been registered: another controller may hear from it.
+    /// A new head waits for the complete timeout of a sender before it expires the sender, and so does
+    /// every head for a newly registered sender, because the sender may be connected to another
+    /// controller.
     pub fn due_tasks(&mut self, input: &ScheduleInput<'_>) -> Vec<SingletonTask> {
         let Some(head_since) = self.update_head_since(input) else {
             self.targets.clear();
@@ -88,15 +91,15 @@
         due.extend(self.expired_targets(input));
         due.extend(self.expired_edges(input));
         due.extend(self.lost_store(input));
-        let has_waited = input.now.saturating_duration_since(head_since) >= BOOTSTRAP_GRACE;
-        if has_waited && input.state.stores().can_bootstrap_below_full_size() {
+        let grace_elapsed = input.now.saturating_duration_since(head_since) >= BOOTSTRAP_GRACE;
+        if grace_elapsed && input.state.stores().can_bootstrap_below_full_size() {
             due.push(SingletonTask::BootstrapStores);
         }
         due
     }
 
-    /// Since when this controller has been the head and current; a new view with the same head does
-    /// not interrupt that.
+    /// Updates and returns the time since which this controller has been both head and current. A new
+    /// view with the same head does not reset the time.
     fn update_head_since(&mut self, input: &ScheduleInput<'_>) -> Option<Instant> {
         if !input.status.is_head || !input.is_current {
             self.head_since = None;
@@ -135,15 +138,16 @@
         expired
     }
 
-    /// At most one store is removed at a time. A serving store is removed early only if a new one
-    /// is about to join.
+    /// Returns the task that removes a lost store. At most one store is removed at a time. A serving
+    /// store is removed after [`MACHINE_TIMEOUT`] only if another store is joining, otherwise after
+    /// [`SERVING_STORE_TIMEOUT`].
     fn lost_store(&self, input: &ScheduleInput<'_>) -> Option<SingletonTask> {
         let stores = input.state.stores();
         let view = stores.view();
-        let successor_joins = has_joining_machine(view);
+        let has_successor = has_joining_machine(view);
         for member in view.next.as_ref().unwrap_or(&view.serving) {
             let is_joining = !view.serving.contains(member);
-            let timeout = if is_joining || successor_joins {
+            let timeout = if is_joining || has_successor {
                 MACHINE_TIMEOUT
             } else {
                 SERVING_STORE_TIMEOUT
@@ -178,14 +182,14 @@
     }
 }
 
-/// Whether a machine that does not serve is about to join.
+/// Returns whether a machine that is not yet serving is a member of the next view.
 fn has_joining_machine(view: &StoreView) -> bool {
     let serves = |node: &NodeId| view.serving.iter().any(|serving| serving.node == *node);
     let mut next = view.next.iter().flatten();
     next.any(|member| !serves(&member.node))
 }
 
-/// The stores of the view, then the edges.
+/// Returns the stores of the serving and the next view, followed by the edges.
 fn registered_machines(state: &ControlState) -> impl Iterator<Item = MachineIncarnation> + '_ {
     let view = state.stores().view();
     let members = view.serving.iter().chain(view.next.iter().flatten());
--- a/tier/controller/src/subscribers.rs
+++ b/tier/controller/src/subscribers.rs
@@ -1,4 +1,4 @@
-//! The open subscriptions: bounded in number, and shown in the status.
+//! Tracks the open subscriptions: limits their number and lists them for the status.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,19 +6,19 @@
 
 use plankhill_protocol::ids::{NodeId, Revision};
 
-/// Most subscriptions open at once; further connections are closed.
+/// Maximum number of open subscriptions; excess connections are closed.
 const MAX_SUBSCRIBERS: usize = 512;
 
-/// One subscription as the status shows it.
+/// The status of one subscription.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubscriberStatus {
-    /// The machine.
+    /// The subscribed machine.
     pub node: NodeId,
     /// The newest revision that the subscriber has reported as applied.
     pub applied: Revision,
 }
 
-/// The open subscriptions of one controller, in the order in which they came.
+/// The open subscriptions of one controller, in the order in which they were opened.
 #[derive(Debug, Default)]
 pub struct Subscribers {
     next_key: Cell<u64>,
@@ -26,7 +26,7 @@
 }
 
 impl Subscribers {
-    /// Adds a subscription, which lasts until its guard is dropped; `None` if too many are open.
+    /// Adds a subscription, which is removed when its guard is dropped; `None` if the limit is reached.
     pub fn add(&self, node: NodeId, applied: Revision) -> Option<SubscriberGuard> {
         let mut open = self.open.borrow_mut();
         if open.len() >= MAX_SUBSCRIBERS {
@@ -41,13 +41,13 @@
         })
     }
 
-    /// All open subscriptions.
+    /// Returns the status of every open subscription.
     pub fn statuses(&self) -> Vec<SubscriberStatus> {
         self.open.borrow().values().cloned().collect()
     }
 }
 
-/// An open subscription; dropping the guard removes it.
+/// The guard of an open subscription; dropping it removes the subscription.
 #[derive(Debug)]
 pub struct SubscriberGuard {
     key: u64,
--- a/tier/controller/src/tasks.rs
+++ b/tier/controller/src/tasks.rs
@@ -14,7 +14,7 @@
 use crate::liveness_reports::report_to_head;
 use crate::singleton::run_singleton_tasks;
 
-/// The sockets of a controller.
+/// The listening sockets of a controller.
 pub struct Listeners {
     /// For operators and targets (HTTP).
     pub admin: TcpListener,
@@ -22,12 +22,12 @@
     pub internal: TcpListener,
 }
 
-/// Starts everything that a controller does. The tasks belong to the `LocalSet` and end with it;
-/// the admin interface accepts no more connections once `shutting_down` is true.
-/// `heartbeat_interval` is the time between two heartbeats of a target.
+/// Starts all tasks of a controller. The tasks belong to the `LocalSet` and end with it; the admin
+/// interface stops accepting connections once `shutting_down` is true. `heartbeat_interval` is the
+/// interval at which targets send heartbeats.
 ///
 /// # Panics
-/// Outside of a `LocalSet`.
+/// Panics outside of a `LocalSet`.
 pub fn start_tasks<L: ControlLog>(
     controller: &Rc<Controller<L>>,
     listeners: Listeners,
@@ -45,7 +45,7 @@
     ));
 }
 
-/// Publishes every newer committed state to the subscriptions, until the chain's replica has ended.
+/// Publishes newer committed states to the subscriptions until the chain replica stops.
 pub async fn publish_committed_states<L: ControlLog>(controller: Rc<Controller<L>>) {
     let mut states = controller.log().state();
     loop {
