--- a/tier/agent/src/failure_detection.rs
+++ b/tier/agent/src/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Exchanges probe datagrams with peers on the agents' port and reports failed peers to a controller.
-//! This module does the I/O; [`FailureDetector`] makes the decisions.
+//! Exchanges probe datagrams with peers on the agents' port and reports failed peers to a
+//! controller. This module does the I/O; [`FailureDetector`] makes the decisions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Handles a datagram. Datagrams that cannot be decoded, or whose sender is not a registered edge,
-    /// are ignored.
+    /// Handles a datagram. Datagrams that cannot be decoded, or whose sender is not a registered
+    /// edge, are ignored.
     fn on_datagram(&mut self, bytes: &[u8], sender: SocketAddr) {
         let mut edges = self.tables.edges.iter();
         let Some(sender) = edges.find(|edge| edge.address == sender) else {
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Reports a failed peer once, and only if a controller is connected, since a late report would be
-    /// useless.
+    /// Reports a failed peer once, and only if a controller is connected, since a late report would
+    /// be useless.
     fn report(&self, node: NodeId) {
         tracing::info!(%node, "peer suspected: no answer to probes");
         if self.subscription.status().borrow().address.is_some() {
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Sends a datagram without waiting. A datagram that cannot be sent immediately is dropped, like one
-    /// lost on the network.
+    /// Sends a datagram without waiting. A datagram that cannot be sent immediately is dropped,
+    /// like one lost on the network.
     fn send(&self, to: &NodeId, datagram: &Datagram) {
         let Some(address) = self.address_of(to) else {
             return;
--- a/tier/agent/src/feeder.rs
+++ b/tier/agent/src/feeder.rs
@@ -1,6 +1,6 @@
-//! Sends the tables of this machine to subscribers: to the proxy on the same machine, and to the other
-//! agents of the zone while this machine is their home. This module accepts the connections; each one
-//! is served by a `session`.
+//! Sends the tables of this machine to subscribers: to the proxy on the same machine, and to the
+//! other agents of the zone while this machine is their home. This module accepts the connections;
+//! each one is served by a `session`.
 
 mod session;
 
@@ -19,14 +19,14 @@
 pub struct FeederOptions {
     /// Interval between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Maximum number of open connections; excess connections are closed, and their subscribers connect
-    /// elsewhere.
+    /// Maximum number of open connections; excess connections are closed, and their subscribers
+    /// connect elsewhere.
     pub max_connections: usize,
 }
 
 /// Options for the proxy on the same machine. Each heartbeat wakes both processes, which share a
-/// fraction of a core. Several connections are allowed because a new connection may arrive before the
-/// end of the previous one is detected.
+/// fraction of a core. Several connections are allowed because a new connection may arrive before
+/// the end of the previous one is detected.
 pub const PROXY_FEEDER: FeederOptions = FeederOptions {
     heartbeat_interval: Duration::from_millis(500),
     max_connections: 4,
--- a/tier/agent/src/feeder/session.rs
+++ b/tier/agent/src/feeder/session.rs
@@ -101,8 +101,8 @@
                         return SessionEnd::AgentStopped;
                     }
                 }
-                // Sends a heartbeat without delay, since a proxy that has just started waits only for
-                // the tables to become current.
+                // Sends a heartbeat without delay, since a proxy that has just started waits only
+                // for the tables to become current.
                 Ok(()) = self.source.status.changed() => {
                     if self.is_current() != self.announced_current {
                         self.next_heartbeat = Instant::now();
@@ -122,8 +122,8 @@
             Ok(drained @ FromSubscriber::Drained { .. })
                 if self.subscriber == Subscriber::Proxy =>
             {
-                // A message may be dropped if the queue is full, since the proxy repeats it until the
-                // tables reflect it.
+                // A message may be dropped if the queue is full, since the proxy repeats it until
+                // the tables reflect it.
                 let _ = self.source.to_controllers.try_send(drained);
             }
             Ok(_) => {}
@@ -132,8 +132,8 @@
         Ok(())
     }
 
-    /// Sends the missing update, if any, followed by a heartbeat. Without an update, sends a heartbeat
-    /// if one is due.
+    /// Sends the missing update, if any, followed by a heartbeat. Without an update, sends a
+    /// heartbeat if one is due.
     async fn send_newest(&mut self) -> Result<(), SessionEnd> {
         let tables = self.source.tables.borrow_and_update().clone();
         let update = self.position.advance_to(&tables);
--- a/tier/agent/src/homes.rs
+++ b/tier/agent/src/homes.rs
@@ -1,9 +1,9 @@
-//! Receives updates from the home of this machine's zone, so that the controllers do not need to send
-//! every update to each edge.
+//! Receives updates from the home of this machine's zone, so that the controllers do not need to
+//! send every update to each edge.
 //!
-//! Correctness does not depend on homes: a controller announces each revision immediately, and if the
-//! home has not sent that revision within [`plankhill_protocol::subscription::MAX_HOME_LAG`], it is
-//! requested from the controller.
+//! Correctness does not depend on homes: a controller announces each revision immediately, and if
+//! the home has not sent that revision within [`plankhill_protocol::subscription::MAX_HOME_LAG`],
+//! it is requested from the controller.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/tier/agent/src/run.rs
+++ b/tier/agent/src/run.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// Starts a feeder for one kind of subscriber. Returns a watch on the number of connected subscribers.
+/// Starts a feeder for one kind of subscriber. Returns a watch on the number of connected
+/// subscribers.
 fn start_feeder(
     listener: TcpListener,
     channel: Channel,
--- a/tier/agent/src/shutdown.rs
+++ b/tier/agent/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown of the agent: the proxy on the same machine receives updates while it drains, then
-//! the edge is deregistered.
+//! Graceful shutdown of the agent: the proxy on the same machine receives updates while it drains,
+//! then the edge is deregistered.
 
 use std::time::Duration;
 
--- a/tier/controller/src/admin.rs
+++ b/tier/controller/src/admin.rs
@@ -22,8 +22,8 @@
 pub use router::{route, Call};
 pub use server::{handle_request, serve_admin};
 
-/// Timeout for the outcome of an operation or a read. It is below the second after which callers try
-/// another controller.
+/// Timeout for the outcome of an operation or a read. It is below the second after which callers
+/// try another controller.
 const OUTCOME_TIMEOUT: Duration = Duration::from_millis(850);
 /// Maximum length of a name in a path or a heartbeat, in bytes.
 const MAX_NAME_BYTES: usize = 255;
--- a/tier/controller/src/admin/body.rs
+++ b/tier/controller/src/admin/body.rs
@@ -65,7 +65,8 @@
     }
 }
 
-/// Returns the maximum length of a body in bytes: its `Content-Length`, or `limit` for a chunked body.
+/// Returns the maximum length of a body in bytes: its `Content-Length`, or `limit` for a chunked
+/// body.
 ///
 /// # Errors
 /// [`BodyError::TooLarge`] if the `Content-Length` exceeds the limit.
--- a/tier/controller/src/admin/drains.rs
+++ b/tier/controller/src/admin/drains.rs
@@ -69,8 +69,9 @@
             Ok(body) => body,
             Err(cause) => return bad_request(&format!("order cannot be read: {cause}")),
         };
-    // A zone selects edges that may have been registered through any controller, so the newest state
-    // is required. If another order is committed after this read, the expected number conflicts.
+    // A zone selects edges that may have been registered through any controller, so the newest
+    // state is required. If another order is committed after this read, the expected number
+    // conflicts.
     let Ok(newest) = controller.log().read(OUTCOME_TIMEOUT).await else {
         return unavailable();
     };
--- a/tier/controller/src/admin/response.rs
+++ b/tier/controller/src/admin/response.rs
@@ -9,8 +9,8 @@
 
 use super::body::BodyError;
 
-/// The `Retry-After` header of a 503 response, in seconds: the approximate duration of a view change of
-/// the chain.
+/// The `Retry-After` header of a 503 response, in seconds: the approximate duration of a view
+/// change of the chain.
 const RETRY_AFTER_S: &str = "0.3";
 
 /// A response, whose body is always JSON.
--- a/tier/controller/src/admin/retire.rs
+++ b/tier/controller/src/admin/retire.rs
@@ -14,8 +14,8 @@
 /// Maximum size of a retire order in bytes.
 const MAX_ORDER_BYTES: usize = 4 * 1_024;
 
-/// The body of a retire order. The duration is validated but not used; no step of a retirement depends
-/// on it.
+/// The body of a retire order. The duration is validated but not used; no step of a retirement
+/// depends on it.
 #[derive(Deserialize)]
 struct OrderBody {
     #[serde(default, rename = "duration_s")]
--- a/tier/controller/src/admin/router.rs
+++ b/tier/controller/src/admin/router.rs
@@ -31,7 +31,8 @@
 /// Returns the call for a method and path, or the status code of the error response.
 ///
 /// # Errors
-/// 404 for an unknown path, 405 for a method that the path does not support, 400 for an invalid name.
+/// 404 for an unknown path, 405 for a method that the path does not support, 400 for an invalid
+/// name.
 pub fn route(method: &Method, path: &str) -> Result<Call, StatusCode> {
     if path == "/-/config" {
         return match *method {
--- a/tier/controller/src/change_log.rs
+++ b/tier/controller/src/change_log.rs
@@ -28,7 +28,8 @@
 /// The newest published state and the retained steps that lead to it.
 pub struct ChangeLog {
     newest: Arc<CommittedControlState>,
-    /// Each step starts at the revision at which the previous one ends; the last one ends at `newest`.
+    /// Each step starts at the revision at which the previous one ends; the last one ends at
+    /// `newest`.
     steps: VecDeque<Step>,
 }
 
@@ -66,8 +67,8 @@
         self.newest = state;
     }
 
-    /// Returns the update that takes a subscriber from `held_revision` to the newest revision; `None`
-    /// if `held_revision` is the newest revision or later.
+    /// Returns the update that takes a subscriber from `held_revision` to the newest revision;
+    /// `None` if `held_revision` is the newest revision or later.
     pub fn update_since(&self, held_revision: Revision) -> Option<TablesUpdate> {
         if held_revision >= self.newest.revision {
             return None;
@@ -84,8 +85,8 @@
     }
 
     /// Removes configuration changes from all steps before a new one is added, so that at most one
-    /// document is kept in memory. A subscriber that is sent an earlier step is also sent the newest
-    /// configuration.
+    /// document is kept in memory. A subscriber that is sent an earlier step is also sent the
+    /// newest configuration.
     fn drop_earlier_configurations(&mut self) {
         for step in &mut self.steps {
             step.changes.retain(|change| !is_configuration(change));
--- a/tier/controller/src/control_log.rs
+++ b/tier/controller/src/control_log.rs
@@ -52,8 +52,8 @@
     /// Proposes an operation and waits until it is committed.
     ///
     /// # Errors
-    /// [`Unavailable`] if there is no outcome within `timeout`; the operation may still be committed
-    /// later.
+    /// [`Unavailable`] if there is no outcome within `timeout`; the operation may still be
+    /// committed later.
     async fn propose(
         &self,
         operation: Operation,
@@ -63,8 +63,8 @@
     /// Returns a watch on the newest committed state known to this controller.
     fn state(&self) -> watch::Receiver<Arc<CommittedControlState>>;
 
-    /// Performs a linearizable read: the returned state includes every operation committed before the
-    /// call.
+    /// Performs a linearizable read: the returned state includes every operation committed before
+    /// the call.
     ///
     /// # Errors
     /// [`Unavailable`] if the state could not be confirmed within `timeout`.
--- a/tier/controller/src/feed.rs
+++ b/tier/controller/src/feed.rs
@@ -1,5 +1,5 @@
-//! Serves the subscriptions of agents and stores. Each subscriber is sent changes to the tables, and
-//! periodic heartbeats. Subscribing registers the machine in the control state.
+//! Serves the subscriptions of agents and stores. Each subscriber is sent changes to the tables,
+//! and periodic heartbeats. Subscribing registers the machine in the control state.
 
 mod registrar;
 mod registration;
--- a/tier/controller/src/feed/registrar.rs
+++ b/tier/controller/src/feed/registrar.rs
@@ -14,8 +14,8 @@
 /// connection is open.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Proposes the registration of a subscriber whenever it is missing from the control state. Owned by
-/// the subscriber's session; dropping the registrar aborts a proposal in flight.
+/// Proposes the registration of a subscriber whenever it is missing from the control state. Owned
+/// by the subscriber's session; dropping the registrar aborts a proposal in flight.
 pub(super) struct Registrar {
     subscriber: Subscriber,
     /// Other incarnations of the machine that were in the control state when it subscribed.
@@ -39,7 +39,8 @@
         &self.subscriber
     }
 
-    /// Proposes the registration if it is missing from the control state and no proposal is in flight.
+    /// Proposes the registration if it is missing from the control state and no proposal is in
+    /// flight.
     pub(super) fn register_if_missing<L: ControlLog>(&mut self, controller: &Controller<L>) {
         if self
             .proposal
--- a/tier/controller/src/feed/registration.rs
+++ b/tier/controller/src/feed/registration.rs
@@ -1,5 +1,5 @@
-//! Determines whether and how a subscriber is registered in the control state. Proxies and peers are
-//! served by agents and are never registered.
+//! Determines whether and how a subscriber is registered in the control state. Proxies and peers
+//! are served by agents and are never registered.
 
 use plankhill_control::{ControlState, Operation};
 use plankhill_protocol::feed::Subscriber;
@@ -7,7 +7,8 @@
 
 use crate::liveness::MachineIncarnation;
 
-/// Returns the machine incarnation of a subscriber; `None` for subscribers that are never registered.
+/// Returns the machine incarnation of a subscriber; `None` for subscribers that are never
+/// registered.
 pub(super) fn machine_of(subscriber: &Subscriber) -> Option<MachineIncarnation> {
     match subscriber {
         Subscriber::Edge(edge) => Some(MachineIncarnation::new(&edge.node, edge.incarnation)),
@@ -51,9 +52,9 @@
         .collect()
 }
 
-/// Returns whether a subscriber must be registered. `former` lists the other incarnations of its machine that
-/// were in the control state when it subscribed. An incarnation that was registered after that has
-/// superseded the subscriber and is not replaced.
+/// Returns whether a subscriber must be registered. `former` lists the other incarnations of its
+/// machine that were in the control state when it subscribed. An incarnation that was registered
+/// after that has superseded the subscriber and is not replaced.
 pub fn needs_registration(
     state: &ControlState,
     subscriber: &Subscriber,
--- a/tier/controller/src/feed/session.rs
+++ b/tier/controller/src/feed/session.rs
@@ -24,8 +24,8 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// Timeout for the first message; the subscriber is disconnected after it.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout for a write. A subscriber that stops reading is disconnected; it reconnects and sends the
-/// revision that it holds.
+/// Timeout for a write. A subscriber that stops reading is disconnected; it reconnects and sends
+/// the revision that it holds.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A subscriber that sends nothing for longer than this is disconnected, since subscribers answer
 /// every heartbeat.
@@ -148,7 +148,8 @@
                         return SessionEnd::ControllerStopped;
                     }
                 }
-                // Notifies subscribers that wait for the controller to become current without delay.
+                // Notifies subscribers that wait for the controller to become current without
+                // delay.
                 Ok(()) = current.changed() => self.next_heartbeat = Instant::now(),
                 () = tokio::time::sleep_until(self.next_heartbeat.into()) => {}
             }
@@ -214,12 +215,12 @@
         }
     }
 
-    /// Sends the missing update, if any, followed by a heartbeat. Without an update, sends a heartbeat
-    /// if one is due.
+    /// Sends the missing update, if any, followed by a heartbeat. Without an update, sends a
+    /// heartbeat if one is due.
     ///
     /// No update is sent until this controller is current. Before that, its state may be stale, and
-    /// when all machines restart at the same time, the snapshots for all subscribers would delay the
-    /// traffic between the controllers.
+    /// when all machines restart at the same time, the snapshots for all subscribers would delay
+    /// the traffic between the controllers.
     async fn send_due(&mut self) -> Result<(), SessionEnd> {
         let messages = self.due_messages();
         if messages.is_empty() {
--- a/tier/controller/src/feed/update_stream.rs
+++ b/tier/controller/src/feed/update_stream.rs
@@ -55,8 +55,8 @@
         self.delivery == Delivery::Updates
     }
 
-    /// Advances to the newest revision and returns the update to it; `None` if the subscriber already
-    /// holds that revision and has not requested a snapshot.
+    /// Advances to the newest revision and returns the update to it; `None` if the subscriber
+    /// already holds that revision and has not requested a snapshot.
     pub(super) fn advance(&mut self, change_log: &ChangeLog) -> Option<TablesUpdate> {
         let update = if std::mem::take(&mut self.snapshot_requested) {
             change_log.snapshot()
@@ -70,8 +70,9 @@
         Some(update)
     }
 
-    /// Returns the revision to announce in a heartbeat. If the subscriber holds a later revision than
-    /// this controller, the announced revision shows the subscriber that the controller is behind.
+    /// Returns the revision to announce in a heartbeat. If the subscriber holds a later revision
+    /// than this controller, the announced revision shows the subscriber that the controller is
+    /// behind.
     pub(super) fn announced_revision(&self, change_log: &ChangeLog) -> Revision {
         self.held_revision.min(change_log.newest().revision)
     }
--- a/tier/controller/src/liveness.rs
+++ b/tier/controller/src/liveness.rs
@@ -13,8 +13,8 @@
 /// Maximum number of tracked senders of each kind; far above the largest specified deployment.
 const MAX_SENDERS: usize = 32_768;
 
-/// One incarnation of a machine of the tier. The value is sent to other controllers, so the order of the
-/// fields is part of the wire format.
+/// One incarnation of a machine of the tier. The value is sent to other controllers, so the order
+/// of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MachineIncarnation {
     /// The machine.
@@ -33,8 +33,8 @@
     }
 }
 
-/// The senders from which a controller has recently received messages. The report is sent to the head
-/// of the chain, so the order of the fields is part of the wire format.
+/// The senders from which a controller has recently received messages. The report is sent to the
+/// head of the chain, so the order of the fields is part of the wire format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessReport {
     /// Targets that have sent heartbeats.
@@ -45,8 +45,9 @@
 
 /// The time of the last message from each sender.
 ///
-/// Reports from other controllers are kept separate from messages received by this controller and are
-/// never forwarded, so that two controllers cannot keep a sender alive by reporting it to each other.
+/// Reports from other controllers are kept separate from messages received by this controller and
+/// are never forwarded, so that two controllers cannot keep a sender alive by reporting it to each
+/// other.
 #[derive(Debug, Default)]
 pub struct Liveness {
     local: LastReceived,
@@ -91,7 +92,8 @@
             || is_recent(self.remote.machines.get(machine), timeout, now)
     }
 
-    /// Returns the senders from which this controller itself received a message at or after `since`.
+    /// Returns the senders from which this controller itself received a message at or after
+    /// `since`.
     pub fn report_since(&self, since: Instant) -> LivenessReport {
         LivenessReport {
             targets: received_since(&self.local.targets, since),
--- a/tier/controller/src/run.rs
+++ b/tier/controller/src/run.rs
@@ -13,11 +13,11 @@
 use crate::controller::Controller;
 use crate::tasks::{start_tasks, Listeners};
 
-/// Timeout for leaving the chain during a graceful shutdown; the platform allows several seconds for
-/// the shutdown.
+/// Timeout for leaving the chain during a graceful shutdown; the platform allows several seconds
+/// for the shutdown.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time allowed for the responses in flight during a graceful shutdown. Each waits less than a second
-/// for the outcome of its operation.
+/// Time allowed for the responses in flight during a graceful shutdown. Each waits less than a
+/// second for the outcome of its operation.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1_000);
 
 /// An error that prevents the controller from running.
--- a/tier/controller/src/singleton/fence.rs
+++ b/tier/controller/src/singleton/fence.rs
@@ -1,11 +1,11 @@
 //! Determines whether this controller may still act as the head of a view.
 
-/// The newest view whose fencing token was rejected. The fencing token of a task is the number of the
-/// view whose head proposed it.
+/// The newest view whose fencing token was rejected. The fencing token of a task is the number of
+/// the view whose head proposed it.
 ///
 /// A rejected task shows that the head of a later view has acted. This controller then proposes no
-/// more tasks until it is the head of a later view than the rejected one, even if its own chain status
-/// still names it as the head.
+/// more tasks until it is the head of a later view than the rejected one, even if its own chain
+/// status still names it as the head.
 #[derive(Debug, Default)]
 pub struct Fence {
     refused_view: Option<u64>,
--- a/tier/controller/src/singleton/scheduler.rs
+++ b/tier/controller/src/singleton/scheduler.rs
@@ -21,8 +21,8 @@
 const MACHINE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Silence after which a serving store is removed even if no store is joining, provided that enough
 /// others serve. Its successor may have joined before it failed, and as long as the lost store is
-/// counted as a member, the next loss would exceed the tolerated faults. The timeout is well above the
-/// duration of partitions and process freezes from which stores recover with their disks.
+/// counted as a member, the next loss would exceed the tolerated faults. The timeout is well above
+/// the duration of partitions and process freezes from which stores recover with their disks.
 const SERVING_STORE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time to wait for 2f+1 stores before a bootstrap with fewer. Stores start within 0.3 s of each
 /// other, so stores that are missing after this time are not expected to start.
@@ -44,8 +44,8 @@
     pub now: Instant,
 }
 
-/// Determines which singleton tasks are due. Each controller owns one and calls it periodically, even
-/// while another controller is the head of the chain.
+/// Determines which singleton tasks are due. Each controller owns one and calls it periodically,
+/// even while another controller is the head of the chain.
 #[derive(Debug)]
 pub struct SingletonScheduler {
     target_timeout: Duration,
@@ -73,9 +73,9 @@
 
     /// Returns the tasks that are due; none unless this controller is both head and current.
     ///
-    /// A new head waits for the complete timeout of a sender before it expires the sender, and so does
-    /// every head for a newly registered sender, because the sender may be connected to another
-    /// controller.
+    /// A new head waits for the complete timeout of a sender before it expires the sender, and so
+    /// does every head for a newly registered sender, because the sender may be connected to
+    /// another controller.
     pub fn due_tasks(&mut self, input: &ScheduleInput<'_>) -> Vec<SingletonTask> {
         let Some(head_since) = self.update_head_since(input) else {
             self.targets.clear();
@@ -98,8 +98,8 @@
         due
     }
 
-    /// Updates and returns the time since which this controller has been both head and current. A new
-    /// view with the same head does not reset the time.
+    /// Updates and returns the time since which this controller has been both head and current. A
+    /// new view with the same head does not reset the time.
     fn update_head_since(&mut self, input: &ScheduleInput<'_>) -> Option<Instant> {
         if !input.status.is_head || !input.is_current {
             self.head_since = None;
@@ -138,9 +138,9 @@
         expired
     }
 
-    /// Returns the task that removes a lost store. At most one store is removed at a time. A serving
-    /// store is removed after [`MACHINE_TIMEOUT`] only if another store is joining, otherwise after
-    /// [`SERVING_STORE_TIMEOUT`].
+    /// Returns the task that removes a lost store. At most one store is removed at a time. A
+    /// serving store is removed after [`MACHINE_TIMEOUT`] only if another store is joining,
+    /// otherwise after [`SERVING_STORE_TIMEOUT`].
     fn lost_store(&self, input: &ScheduleInput<'_>) -> Option<SingletonTask> {
         let stores = input.state.stores();
         let view = stores.view();
--- a/tier/controller/src/subscribers.rs
+++ b/tier/controller/src/subscribers.rs
@@ -26,7 +26,8 @@
 }
 
 impl Subscribers {
-    /// Adds a subscription, which is removed when its guard is dropped; `None` if the limit is reached.
+    /// Adds a subscription, which is removed when its guard is dropped; `None` if the limit is
+    /// reached.
     pub fn add(&self, node: NodeId, applied: Revision) -> Option<SubscriberGuard> {
         let mut open = self.open.borrow_mut();
         if open.len() >= MAX_SUBSCRIBERS {
--- a/tier/membership/src/failure_detector.rs
+++ b/tier/membership/src/failure_detector.rs
@@ -1,10 +1,10 @@
-//! Detects failed peers with a protocol similar to SWIM (see [`crate::datagram`]). A detector runs in
-//! each agent. The agent passes in the current time and executes each returned [`Action`].
+//! Detects failed peers with a protocol similar to SWIM (see [`crate::datagram`]). A detector runs
+//! in each agent. The agent passes in the current time and executes each returned [`Action`].
 //!
 //! Peers are probed in turn. A peer that does not answer is probed again, both directly and through
-//! another machine, and is suspected if neither probe is answered. A detector that was not scheduled
-//! for a while, or that receives no answers from any machine, assumes that its own machine is faulty
-//! and suspects no peers.
+//! another machine, and is suspected if neither probe is answered. A detector that was not
+//! scheduled for a while, or that receives no answers from any machine, assumes that its own
+//! machine is faulty and suspects no peers.
 
 use std::time::{Duration, Instant};
 
@@ -13,12 +13,12 @@
 use crate::indirect_probes::{IndirectProbes, Requester};
 use crate::peers::monitored_peers;
 
-/// Interval between probes. Each peer is probed once every [`crate::peers::MONITORED_PEERS`] intervals,
-/// so a failed peer is detected within 1.5 s + 2 x [`PROBE_TIMEOUT`], well below the contact bound of
-/// deployments (3 s).
+/// Interval between probes. Each peer is probed once every [`crate::peers::MONITORED_PEERS`]
+/// intervals, so a failed peer is detected within 1.5 s + 2 x [`PROBE_TIMEOUT`], well below the
+/// contact bound of deployments (3 s).
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Timeout for the answer to a probe: many times the round-trip time, even to a machine that is five
-/// times slower.
+/// Timeout for the answer to a probe: many times the round-trip time, even to a machine that is
+/// five times slower.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum delay of a tick. After a longer delay the detector was not scheduled in time, so missing
 /// answers are no evidence that peers have failed.
@@ -153,8 +153,8 @@
         actions
     }
 
-    /// Handles the answer to a probe. Returns the action that forwards the answer if the probe was sent
-    /// on behalf of another machine.
+    /// Handles the answer to a probe. Returns the action that forwards the answer if the probe was
+    /// sent on behalf of another machine.
     pub fn on_ack(&mut self, sequence: u64, now: Instant) -> Option<Action> {
         self.last_answer_at = now;
         self.pending.retain(|probe| probe.sequence != sequence);
@@ -165,8 +165,8 @@
         })
     }
 
-    /// Handles the request of another machine to probe `about`. The request is ignored if `about` is
-    /// not a member.
+    /// Handles the request of another machine to probe `about`. The request is ignored if `about`
+    /// is not a member.
     pub fn on_probe_request(
         &mut self,
         requester: Requester,
@@ -202,8 +202,8 @@
         actions
     }
 
-    /// Probes a peer that did not answer a second time with the same sequence number, both directly and
-    /// through another machine.
+    /// Probes a peer that did not answer a second time with the same sequence number, both directly
+    /// and through another machine.
     fn start_indirect_probe(
         &mut self,
         probe: PendingProbe,
--- a/tier/membership/src/indirect_probes.rs
+++ b/tier/membership/src/indirect_probes.rs
@@ -35,7 +35,8 @@
 }
 
 impl IndirectProbes {
-    /// Records a probe that is sent with `sequence`. Returns false if too many probes are in flight.
+    /// Records a probe that is sent with `sequence`. Returns false if too many probes are in
+    /// flight.
     pub fn begin(&mut self, sequence: u64, requester: Requester, now: Instant) -> bool {
         self.in_flight
             .retain(|probe| now.saturating_duration_since(probe.sent_at) < INDIRECT_PROBE_TIMEOUT);
--- a/tier/membership/src/lib.rs
+++ b/tier/membership/src/lib.rs
@@ -1,6 +1,6 @@
-//! Assigns responsibilities between machines: every process derives the same assignment from the same
-//! list of members. The crate does no I/O: callers pass in the current time and send the returned
-//! messages.
+//! Assigns responsibilities between machines: every process derives the same assignment from the
+//! same list of members. The crate does no I/O: callers pass in the current time and send the
+//! returned messages.
 //!
 //! - [`rendezvous`]: selects members for a key.
 //! - [`homes`]: selects the edge that sends updates to the other edges of its zone.
--- a/tier/membership/src/peers.rs
+++ b/tier/membership/src/peers.rs
@@ -4,8 +4,8 @@
 
 use crate::rendezvous;
 
-/// Number of peers that each machine probes, and so the average number of machines that probe it. Two
-/// of them must agree on a suspicion, and one of the three may have failed as well.
+/// Number of peers that each machine probes, and so the average number of machines that probe it.
+/// Two of them must agree on a suspicion, and one of the three may have failed as well.
 pub const MONITORED_PEERS: usize = 3;
 
 /// Returns the peers among `members` that the machine `own_node` probes.
--- a/tier/membership/src/rendezvous.rs
+++ b/tier/membership/src/rendezvous.rs
@@ -10,12 +10,12 @@
 /// Keys of the hash function. They must be the same in all processes of a deployment and in all
 /// versions, because different keys would move all data.
 const HASH_KEYS: (u64, u64) = (0x706c_616e_6b68_696c, 0x6c2d_7469_6572_2031);
-/// Separates the key from the member in the hash input, so that different pairs have different inputs:
-/// this byte does not occur in UTF-8 text.
+/// Separates the key from the member in the hash input, so that different pairs have different
+/// inputs: this byte does not occur in UTF-8 text.
 const SEPARATOR: u8 = 0xff;
 
-/// Returns the `count` members with the highest scores for `key`, in descending order; all members if
-/// there are fewer.
+/// Returns the `count` members with the highest scores for `key`, in descending order; all members
+/// if there are fewer.
 pub fn top<'a>(
     key: &str,
     members: impl Iterator<Item = &'a NodeId>,
