--- a/tier/membership/tests/failure_detector.rs
+++ b/tier/membership/tests/failure_detector.rs
@@ -1,13 +1,13 @@
-//! Failure detectors in a simulated world.
+//! Tests the failure detectors in a simulation.
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
-use world::{Health, World};
+use simulation::{Health, Simulation};
 
-/// Two different machines have to report within this time.
-const WINDOW: Duration = Duration::from_secs(3);
+/// The window within which two different machines must report a failed machine.
+const AGREEMENT_WINDOW: Duration = Duration::from_secs(3);
 const SEEDS: u64 = 200;
 const MACHINES: usize = 8;
 
@@ -18,23 +18,26 @@
 #[test]
 fn a_failed_machine_is_suspected_in_time() {
     for seed in 0..SEEDS {
-        let mut world = World::new(MACHINES, seed);
-        let gone = world.node(seed as usize % MACHINES);
-        world.run_until(seconds(5));
-        world.health.insert(gone.clone(), Health::Failed);
-        world.run_until(seconds(12));
-        if world.detectors_of(&gone) < 2 {
+        let mut simulation = Simulation::new(MACHINES, seed);
+        let failed = simulation.node(seed as usize % MACHINES);
+        simulation.run_until(seconds(5));
+        simulation.health.insert(failed.clone(), Health::Failed);
+        simulation.run_until(seconds(12));
+        if simulation.monitor_count(&failed) < 2 {
             continue;
         }
-        let found = world
-            .found(&gone, WINDOW)
-            .unwrap_or_else(|| panic!("seed {seed}: not found"));
+        let detected_at = simulation
+            .detected_at(&failed, AGREEMENT_WINDOW)
+            .unwrap_or_else(|| panic!("seed {seed}: not detected"));
         assert!(
-            found < seconds(5) + Duration::from_millis(2_600),
-            "seed {seed}: after {found:?}"
+            detected_at < seconds(5) + Duration::from_millis(2_600),
+            "seed {seed}: after {detected_at:?}"
         );
         assert!(
-            world.reports.iter().all(|report| report.about == gone),
+            simulation
+                .reports
+                .iter()
+                .all(|report| report.about == failed),
             "seed {seed}"
         );
     }
@@ -43,12 +46,12 @@
 #[test]
 fn packet_loss_causes_no_false_suspicion() {
     for seed in 0..SEEDS {
-        let mut world = World::new(MACHINES, seed);
-        world.loss = 20;
-        world.run_until(seconds(120));
+        let mut simulation = Simulation::new(MACHINES, seed);
+        simulation.loss_per_mille = 20;
+        simulation.run_until(seconds(120));
         for number in 0..MACHINES {
             assert_eq!(
-                world.found(&world.node(number), WINDOW),
+                simulation.detected_at(&simulation.node(number), AGREEMENT_WINDOW),
                 None,
                 "seed {seed}"
             );
@@ -59,14 +62,14 @@
 #[test]
 fn a_slow_machine_is_not_suspected() {
     for seed in 0..SEEDS {
-        let mut world = World::new(MACHINES, seed);
-        world.loss = 5;
-        let slow = world.node(0);
-        world.health.insert(slow.clone(), Health::Slow);
-        world.run_until(seconds(60));
+        let mut simulation = Simulation::new(MACHINES, seed);
+        simulation.loss_per_mille = 5;
+        let slow = simulation.node(0);
+        simulation.health.insert(slow.clone(), Health::Slow);
+        simulation.run_until(seconds(60));
         for number in 0..MACHINES {
             assert_eq!(
-                world.found(&world.node(number), WINDOW),
+                simulation.detected_at(&simulation.node(number), AGREEMENT_WINDOW),
                 None,
                 "seed {seed}"
             );
@@ -77,23 +80,29 @@
 #[test]
 fn a_machine_that_resumes_after_a_freeze_suspects_nobody() {
     for seed in 0..SEEDS {
-        let mut world = World::new(MACHINES, seed);
-        let frozen = world.node(0);
-        world.run_until(seconds(5));
-        world
+        let mut simulation = Simulation::new(MACHINES, seed);
+        let frozen = simulation.node(0);
+        simulation.run_until(seconds(5));
+        simulation
             .health
             .insert(frozen.clone(), Health::Frozen(seconds(9)));
-        world.run_until(seconds(20));
+        simulation.run_until(seconds(20));
         assert!(
-            world.reports.iter().all(|report| report.by != frozen),
+            simulation.reports.iter().all(|report| report.by != frozen),
             "seed {seed}"
         );
         assert!(
-            world.reports.iter().all(|report| report.about == frozen),
+            simulation
+                .reports
+                .iter()
+                .all(|report| report.about == frozen),
             "seed {seed}"
         );
         assert!(
-            world.reports.iter().all(|report| report.at < seconds(11)),
+            simulation
+                .reports
+                .iter()
+                .all(|report| report.at < seconds(11)),
             "seed {seed}"
         );
     }
@@ -102,22 +111,29 @@
 #[test]
 fn an_isolated_machine_suspects_nobody() {
     for seed in 0..SEEDS {
-        let mut world = World::new(MACHINES, seed);
-        world.run_until(seconds(5));
+        let mut simulation = Simulation::new(MACHINES, seed);
+        simulation.run_until(seconds(5));
         for number in 1..MACHINES {
-            world.health.insert(world.node(number), Health::Failed);
+            simulation
+                .health
+                .insert(simulation.node(number), Health::Failed);
         }
-        world.run_until(seconds(5) + Duration::from_millis(2_500));
-        let before = world.reports.len();
-        world.run_until(seconds(30));
-        assert_eq!(world.reports.len(), before, "seed {seed}");
+        simulation.run_until(seconds(5) + Duration::from_millis(2_500));
+        let before = simulation.reports.len();
+        simulation.run_until(seconds(30));
+        assert_eq!(simulation.reports.len(), before, "seed {seed}");
     }
 }
 
-/// Probes and answers together: two datagrams a period and machine.
+/// Each machine sends two probes per second and answers as many: on average four datagrams per
+/// second and machine.
 #[test]
 fn the_rate_of_datagrams_is_bounded() {
-    let mut world = World::new(MACHINES, 1);
-    world.run_until(seconds(60));
-    assert!(world.sent <= 60 * 4 * MACHINES as u64, "{}", world.sent);
+    let mut simulation = Simulation::new(MACHINES, 1);
+    simulation.run_until(seconds(60));
+    assert!(
+        simulation.datagrams_sent <= 60 * 4 * MACHINES as u64,
+        "{}",
+        simulation.datagrams_sent
+    );
 }
--- a/tier/membership/tests/rendezvous.rs
+++ b/tier/membership/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing, monitored peers, and homes.
+//! Tests rendezvous hashing and the selection of monitored peers and homes.
 
 use std::collections::BTreeMap;
 
@@ -25,9 +25,9 @@
 
 #[test]
 fn order_of_members_does_not_matter() {
-    arbtest::arbtest(|draw| {
-        let members = nodes(draw.int_in_range(0..=9)?);
-        let (key, count) = (draw.arbitrary::<String>()?, draw.int_in_range(0..=4)?);
+    arbtest::arbtest(|random| {
+        let members = nodes(random.int_in_range(0..=9)?);
+        let (key, count) = (random.arbitrary::<String>()?, random.int_in_range(0..=4)?);
         let forward = top(&key, members.iter(), count);
         assert_eq!(forward, top(&key, members.iter().rev(), count));
         assert_eq!(forward.len(), count.min(members.len()));
@@ -41,21 +41,21 @@
 
 #[test]
 fn removing_a_member_moves_only_its_keys() {
-    arbtest::arbtest(|draw| {
-        let members = nodes(draw.int_in_range(2..=9)?);
-        let key: String = draw.arbitrary()?;
-        let gone = draw.choose(&members)?;
+    arbtest::arbtest(|random| {
+        let members = nodes(random.int_in_range(2..=9)?);
+        let key: String = random.arbitrary()?;
+        let removed = random.choose(&members)?;
         let before = top(&key, members.iter(), members.len());
         let after = top(
             &key,
-            members.iter().filter(|member| *member != gone),
+            members.iter().filter(|member| *member != removed),
             members.len(),
         );
-        let left: Vec<_> = before
+        let remaining: Vec<_> = before
             .into_iter()
-            .filter(|member| *member != gone)
+            .filter(|member| *member != removed)
             .collect();
-        assert_eq!(left, after);
+        assert_eq!(remaining, after);
         Ok(())
     });
 }
@@ -63,33 +63,38 @@
 #[test]
 fn keys_are_spread() {
     let members = nodes(4);
-    let mut taken: BTreeMap<&NodeId, u32> = BTreeMap::new();
+    let mut key_counts: BTreeMap<&NodeId, u32> = BTreeMap::new();
     for key in 0..4_000 {
-        *taken
+        *key_counts
             .entry(first(&format!("key-{key}"), members.iter()).unwrap())
             .or_default() += 1;
     }
     assert!(
-        taken.values().all(|count| (900..1_100).contains(count)),
-        "{taken:?}"
+        key_counts
+            .values()
+            .all(|count| (900..1_100).contains(count)),
+        "{key_counts:?}"
     );
 }
 
 #[test]
 fn members_are_monitored_by_several_others_and_not_by_themselves() {
     let members = nodes(30);
-    let mut by: BTreeMap<&NodeId, usize> = BTreeMap::new();
+    let mut monitor_counts: BTreeMap<&NodeId, usize> = BTreeMap::new();
     for member in &members {
         let peers = monitored_peers(member, members.iter());
         assert_eq!(peers.len(), MONITORED_PEERS);
         assert!(!peers.contains(&member));
         for peer in peers {
-            *by.entry(peer).or_default() += 1;
+            *monitor_counts.entry(peer).or_default() += 1;
         }
     }
-    // By chance a few are probed by nobody; controllers find their end by the timeout of their
-    // subscriptions.
-    assert!(by.len() > members.len() * 8 / 10, "{by:?}");
+    // The hash may leave a few machines without a monitor; controllers detect the failure of those
+    // by the timeout of their subscriptions.
+    assert!(
+        monitor_counts.len() > members.len() * 8 / 10,
+        "{monitor_counts:?}"
+    );
 }
 
 #[test]
@@ -100,21 +105,21 @@
     let zone = ZoneName::from("west");
     let home = home_of(&zone, &edges).unwrap().clone();
     assert_eq!(home.zone, zone);
-    let left: Vec<Edge> = edges.into_iter().filter(|edge| *edge != home).collect();
-    let next = home_of(&zone, &left).unwrap();
+    let remaining: Vec<Edge> = edges.into_iter().filter(|edge| *edge != home).collect();
+    let next = home_of(&zone, &remaining).unwrap();
     assert_eq!(next.zone, zone);
     assert_ne!(next.node, home.node);
-    assert_eq!(home_of(&ZoneName::from("north"), &left), None);
+    assert_eq!(home_of(&ZoneName::from("north"), &remaining), None);
 }
 
 #[test]
 fn all_but_the_home_follow_it() {
     let edges: Vec<Edge> = (0..4).map(|number| edge(number, "west")).collect();
     let home = home_of(&ZoneName::from("west"), &edges).unwrap();
-    for me in &edges {
+    for own_edge in &edges {
         assert_eq!(
-            home_to_follow(me, &edges),
-            Some(home).filter(|home| *home != me)
+            home_to_follow(own_edge, &edges),
+            Some(home).filter(|home| *home != own_edge)
         );
     }
 }
--- a/tier/membership/tests/world/mod.rs
+++ b/tier/membership/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated world of failure detectors: virtual time, delays and losses drawn from a seed.
+//! A simulation of several failure detectors in virtual time, with pseudorandom delays and losses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -8,20 +8,20 @@
 use plankhill_membership::indirect_probes::Requester;
 use plankhill_protocol::ids::NodeId;
 
-/// How a machine fares.
+/// The simulated condition of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Handles a datagram within a few milliseconds.
+    /// Processes each datagram and tick within 25 ms.
     Healthy,
-    /// Takes five times as long for everything, and is loaded.
+    /// Takes up to five times as long as a healthy machine.
     Slow,
-    /// Handles nothing; what comes is lost.
+    /// Processes nothing; received datagrams are lost.
     Failed,
-    /// Stands still until this time; what comes waits.
+    /// Processes nothing until this time; received datagrams are queued.
     Frozen(Duration),
 }
 
-/// A report of one machine about another.
+/// A suspicion that one machine has reported about another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     pub at: Duration,
@@ -31,77 +31,77 @@
 
 enum Event {
     Tick(NodeId),
-    Arrives {
+    Delivery {
         from: NodeId,
         to: NodeId,
         datagram: Datagram,
     },
 }
 
-/// All machines and what is under way between them.
-pub struct World {
+/// The simulated machines and the datagrams in flight between them.
+pub struct Simulation {
     begin: Instant,
     now: Duration,
-    random: u64,
-    /// Datagrams lost of a thousand.
-    pub loss: u64,
+    random_state: u64,
+    /// Number of datagrams lost per thousand.
+    pub loss_per_mille: u64,
     pub health: BTreeMap<NodeId, Health>,
     detectors: BTreeMap<NodeId, FailureDetector>,
     events: BTreeMap<(Duration, u64), Event>,
-    count: u64,
+    event_count: u64,
     pub reports: Vec<Report>,
-    pub sent: u64,
+    pub datagrams_sent: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(machines: usize, seed: u64) -> Self {
         let nodes: Vec<_> = (0..machines)
             .map(|number| NodeId::from(format!("edge-{number}").as_str()))
             .collect();
         let begin = Instant::now();
-        let mut world = World {
+        let mut simulation = Simulation {
             begin,
             now: Duration::ZERO,
-            random: seed.wrapping_mul(2).wrapping_add(1),
-            loss: 0,
+            random_state: seed.wrapping_mul(2).wrapping_add(1),
+            loss_per_mille: 0,
             health: nodes
                 .iter()
                 .map(|node| (node.clone(), Health::Healthy))
                 .collect(),
             detectors: BTreeMap::new(),
             events: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
             reports: Vec::new(),
-            sent: 0,
+            datagrams_sent: 0,
         };
         for node in &nodes {
             let mut detector = FailureDetector::new(node.clone(), begin);
             detector.set_members(nodes.iter());
-            world.detectors.insert(node.clone(), detector);
-            let offset = Duration::from_millis(world.draw(300));
-            world.at(offset, Event::Tick(node.clone()));
+            simulation.detectors.insert(node.clone(), detector);
+            let offset = Duration::from_millis(simulation.random_below(300));
+            simulation.schedule(offset, Event::Tick(node.clone()));
         }
-        world
+        simulation
     }
 
-    /// The machine with this number.
+    /// Returns the name of the machine with this number.
     pub fn node(&self, number: usize) -> NodeId {
         NodeId::from(format!("edge-{number}").as_str())
     }
 
-    /// How many machines probe this one.
-    pub fn detectors_of(&self, node: &NodeId) -> usize {
+    /// Returns the number of machines that probe `node`.
+    pub fn monitor_count(&self, node: &NodeId) -> usize {
         self.detectors
             .values()
             .filter(|detector| detector.peers().contains(node))
             .count()
     }
 
-    /// Runs until this time.
+    /// Runs the simulation until the virtual time `end`.
     pub fn run_until(&mut self, end: Duration) {
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
-                self.at(at, event);
+                self.schedule(at, event);
                 break;
             }
             self.now = at;
@@ -110,34 +110,34 @@
         self.now = end;
     }
 
-    /// When two different machines had reported this one within `window`; None if that never
-    /// happened.
-    pub fn found(&self, about: &NodeId, window: Duration) -> Option<Duration> {
+    /// Returns the first time at which two different machines had reported `about` within `window`;
+    /// `None` if that never happened.
+    pub fn detected_at(&self, about: &NodeId, window: Duration) -> Option<Duration> {
         let reports: Vec<_> = self
             .reports
             .iter()
             .filter(|report| report.about == *about)
             .collect();
-        let agrees = |last: &&&Report| {
-            let lately = reports
+        let is_confirmed = |last: &&&Report| {
+            let recent = reports
                 .iter()
                 .filter(|one| one.at <= last.at && one.at + window >= last.at);
-            lately
+            recent
                 .map(|report| &report.by)
                 .collect::<BTreeSet<_>>()
                 .len()
                 >= 2
         };
-        reports.iter().find(agrees).map(|report| report.at)
+        reports.iter().find(is_confirmed).map(|report| report.at)
     }
 
     fn handle(&mut self, event: Event) {
         let node = match &event {
-            Event::Tick(node) | Event::Arrives { to: node, .. } => node.clone(),
+            Event::Tick(node) | Event::Delivery { to: node, .. } => node.clone(),
         };
         match self.health[&node] {
             Health::Failed => return,
-            Health::Frozen(until) if self.now < until => return self.at(until, event),
+            Health::Frozen(until) if self.now < until => return self.schedule(until, event),
             Health::Healthy | Health::Slow | Health::Frozen(_) => {}
         }
         let now = self.begin + self.now;
@@ -149,11 +149,11 @@
                     .next_tick()
                     .unwrap()
                     .saturating_duration_since(self.begin);
-                let late = self.handling(&node);
-                self.at(next.max(self.now) + late, Event::Tick(node.clone()));
+                let delay = self.processing_delay(&node);
+                self.schedule(next.max(self.now) + delay, Event::Tick(node.clone()));
                 actions
             }
-            Event::Arrives { from, datagram, .. } => match datagram {
+            Event::Delivery { from, datagram, .. } => match datagram {
                 Datagram::Probe { sequence, .. } => vec![Action::Ack { to: from, sequence }],
                 Datagram::ProbeRequest { sequence, about } => detector
                     .on_probe_request(
@@ -170,11 +170,11 @@
             },
         };
         for action in actions {
-            self.act(&node, action);
+            self.perform(&node, action);
         }
     }
 
-    fn act(&mut self, from: &NodeId, action: Action) {
+    fn perform(&mut self, from: &NodeId, action: Action) {
         let (to, datagram) = match action {
             Action::Probe { to, sequence } => (to.clone(), Datagram::Probe { sequence, to }),
             Action::RequestProbe {
@@ -192,14 +192,15 @@
                 return;
             }
         };
-        self.sent += 1;
-        if self.draw(1_000) < self.loss {
+        self.datagrams_sent += 1;
+        if self.random_below(1_000) < self.loss_per_mille {
             return;
         }
-        let way = Duration::from_micros(1_000 + self.draw(1_000)) + self.handling(&to);
-        self.at(
-            self.now + way,
-            Event::Arrives {
+        let delay =
+            Duration::from_micros(1_000 + self.random_below(1_000)) + self.processing_delay(&to);
+        self.schedule(
+            self.now + delay,
+            Event::Delivery {
                 from: from.clone(),
                 to,
                 datagram,
@@ -207,25 +208,25 @@
         );
     }
 
-    fn handling(&mut self, node: &NodeId) -> Duration {
-        let most = match self.health[node] {
+    fn processing_delay(&mut self, node: &NodeId) -> Duration {
+        let max_delay_ms = match self.health[node] {
             Health::Slow => 25 * 5,
             _ => 25,
         };
-        Duration::from_millis(self.draw(most))
+        Duration::from_millis(self.random_below(max_delay_ms))
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
-        self.count += 1;
-        self.events.insert((at, self.count), event);
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.event_count += 1;
+        self.events.insert((at, self.event_count), event);
     }
 
-    /// A number under `bound`.
-    fn draw(&mut self, bound: u64) -> u64 {
-        self.random = self
-            .random
+    /// Returns a pseudorandom number below `bound`.
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.random_state = self
+            .random_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.random >> 33) % bound
+        (self.random_state >> 33) % bound
     }
 }
--- a/tier/membership/tests/wire_format.rs
+++ b/tier/membership/tests/wire_format.rs
@@ -1,12 +1,13 @@
-//! Pins the bytes of the datagrams between agents: `tests/wire_format/datagram.txt` holds one line
-//! `Variant hex` for each, as written by the build that the tier had before its code was renamed
-//! for readers. No test rewrites it.
+//! Pins the bytes of the datagrams between agents. `tests/wire_format/datagram.txt` contains one
+//! line `Variant hex` per datagram, written by the version before the variants were renamed. No
+//! test rewrites the file.
 
 use plankhill_membership::datagram::Datagram;
 use plankhill_protocol::ids::NodeId;
 
-/// The name in the fixture; a new variant does not compile before somebody has looked here.
-fn variant(datagram: &Datagram) -> &'static str {
+/// Returns the name of a variant in the fixture. The match is exhaustive, so that a new variant
+/// fails to compile here until it is added to the fixture.
+fn fixture_name(datagram: &Datagram) -> &'static str {
     match datagram {
         Datagram::Probe { .. } => "Probe",
         Datagram::ProbeRequest { .. } => "Relay",
@@ -15,7 +16,7 @@
 }
 
 fn from_hex(hex: &str) -> Vec<u8> {
-    assert_eq!(hex.len() % 2, 0, "half a byte: {hex}");
+    assert_eq!(hex.len() % 2, 0, "odd number of hex digits: {hex}");
     (0..hex.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
@@ -42,7 +43,12 @@
         .collect();
     let encoded: Vec<(&str, Vec<u8>)> = datagrams
         .iter()
-        .map(|datagram| (variant(datagram), postcard::to_stdvec(datagram).unwrap()))
+        .map(|datagram| {
+            (
+                fixture_name(datagram),
+                postcard::to_stdvec(datagram).unwrap(),
+            )
+        })
         .collect();
     assert_eq!(encoded, pinned);
     for (datagram, (name, bytes)) in datagrams.iter().zip(&pinned) {
