--- a/tier/agent/tests/feeder.rs
+++ b/tier/agent/tests/feeder.rs
@@ -1,4 +1,5 @@
-//! The agent's feeder and its homes over loopback, with a controller that the test plays.
+//! Tests the agent's feeder and zone homes over loopback connections. Each test acts as the
+//! controller.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -17,7 +18,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, LocalSet};
 
-/// Far beyond anything that a test waits for.
+/// Far longer than any wait in these tests.
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn run(test: impl std::future::Future<Output = ()>) {
@@ -57,7 +58,7 @@
     })
 }
 
-/// A controller's listener, and what it does to the one who subscribes.
+/// The listener of the simulated controller.
 struct Controller {
     listener: TcpListener,
 }
@@ -73,7 +74,7 @@
         self.listener.local_addr().unwrap()
     }
 
-    async fn welcome(&self) -> Connection {
+    async fn accept_subscriber(&self) -> Connection {
         let (stream, address) = self.listener.accept().await.unwrap();
         let mut connection = accept(stream, address, &hello("core-1")).await.unwrap();
         let first = connection.reader.next().await.unwrap();
@@ -97,9 +98,9 @@
     }
 }
 
-/// Reads until this message comes.
-async fn wait_for(connection: &mut Connection, wanted: FromSubscriber) {
-    while connection.reader.next::<FromSubscriber>().await.unwrap() != wanted {}
+/// Reads messages until `expected` is received.
+async fn wait_for(connection: &mut Connection, expected: FromSubscriber) {
+    while connection.reader.next::<FromSubscriber>().await.unwrap() != expected {}
 }
 
 fn start_feeder(of: &Subscription, options: FeederOptions) -> (SocketAddr, JoinHandle<()>) {
@@ -120,18 +121,22 @@
 fn a_proxy_receives_the_agents_tables_and_is_current_when_the_agent_is() {
     run(async {
         let controller = Controller::new();
-        let me = edge("edge-1", any_port());
-        let agent = subscribe("edge-1", Subscriber::Edge(me.clone()), controller.address());
+        let own_edge = edge("edge-1", any_port());
+        let agent = subscribe(
+            "edge-1",
+            Subscriber::Edge(own_edge.clone()),
+            controller.address(),
+        );
         let (loopback, _feeder) = start_feeder(&agent, PROXY_FEEDER);
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
-        let mut link = controller.welcome().await;
+        let mut connection = controller.accept_subscriber().await;
         let tables = Tables {
             revision: Revision(3),
-            edges: vec![me],
+            edges: vec![own_edge],
             ..Tables::default()
         };
-        send(&mut link, snapshot(&tables)).await;
-        send(&mut link, heartbeat(3)).await;
+        send(&mut connection, snapshot(&tables)).await;
+        send(&mut connection, heartbeat(3)).await;
         proxy
             .tables()
             .wait_for(|held| **held == tables)
@@ -145,14 +150,18 @@
     });
 }
 
-/// Guards the start after an outage: the proxy takes clients once it knows that its tables are
-/// current, and must not wait for the next heartbeat to hear so.
+/// Guards against a slow start after an outage: the proxy accepts clients once its tables are known
+/// to be current, and must not have to wait for the next regular heartbeat.
 #[test]
 fn a_proxy_is_notified_at_once_when_its_agent_becomes_current() {
     run(async {
         let controller = Controller::new();
-        let me = edge("edge-1", any_port());
-        let agent = subscribe("edge-1", Subscriber::Edge(me.clone()), controller.address());
+        let own_edge = edge("edge-1", any_port());
+        let agent = subscribe(
+            "edge-1",
+            Subscriber::Edge(own_edge.clone()),
+            controller.address(),
+        );
         let never = Duration::from_secs(3_600);
         let (loopback, _feeder) = start_feeder(
             &agent,
@@ -162,20 +171,20 @@
             },
         );
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
-        let mut link = controller.welcome().await;
+        let mut connection = controller.accept_subscriber().await;
         let tables = Tables {
             revision: Revision(3),
-            edges: vec![me],
+            edges: vec![own_edge],
             ..Tables::default()
         };
-        send(&mut link, snapshot(&tables)).await;
+        send(&mut connection, snapshot(&tables)).await;
         proxy
             .tables()
             .wait_for(|held| **held == tables)
             .await
             .unwrap();
         assert!(!proxy.status().borrow().current);
-        send(&mut link, heartbeat(3)).await;
+        send(&mut connection, heartbeat(3)).await;
         proxy
             .status()
             .wait_for(|status| status.current)
@@ -188,8 +197,8 @@
 fn a_proxy_of_an_agent_without_tables_is_not_current() {
     run(async {
         let controller = Controller::new();
-        let me = edge("edge-1", any_port());
-        let agent = subscribe("edge-1", Subscriber::Edge(me), controller.address());
+        let own_edge = edge("edge-1", any_port());
+        let agent = subscribe("edge-1", Subscriber::Edge(own_edge), controller.address());
         let (loopback, _feeder) = start_feeder(&agent, PROXY_FEEDER);
         let proxy = subscribe("edge-1", Subscriber::Proxy, loopback);
         let mut status = proxy.status();
@@ -201,7 +210,7 @@
     });
 }
 
-/// Two agents of one zone, each with its own line to the controller.
+/// Two agents of one zone, each with its own connection to the controller.
 struct Zone {
     home: Connection,
     other: Connection,
@@ -211,13 +220,15 @@
     _home_agent: Subscription,
 }
 
-/// Lets the second agent follow the first, up to where the controller sends it heartbeats only.
+/// Starts two agents and waits until the second one follows the first and has requested only
+/// heartbeats from the controller.
 async fn zone() -> Zone {
     let controller = Controller::new();
-    // The feeder listens under either name; the name that makes it the home is given to it.
+    // The feeder of the home agent can use either name; it is given the name that is selected as
+    // the home.
     let names = ["edge-1", "edge-2"];
-    let placed: Vec<Edge> = names.iter().map(|name| edge(name, any_port())).collect();
-    let home_name = home_of(&ZoneName::from("west"), &placed)
+    let candidates: Vec<Edge> = names.iter().map(|name| edge(name, any_port())).collect();
+    let home_name = home_of(&ZoneName::from("west"), &candidates)
         .unwrap()
         .node
         .clone();
@@ -230,7 +241,7 @@
     let home_agent = subscribe(home_name.as_str(), placeholder, controller.address());
     let (address, home_feeder) = start_feeder(&home_agent, PEER_FEEDER);
     let home = edge(home_name.as_str(), address);
-    let mut home_link = controller.welcome().await;
+    let mut home_connection = controller.accept_subscriber().await;
     let mut edges = vec![home, other.clone()];
     edges.sort_by(|one, another| one.node.cmp(&another.node));
     let tables = Tables {
@@ -238,8 +249,8 @@
         edges,
         ..Tables::default()
     };
-    send(&mut home_link, snapshot(&tables)).await;
-    send(&mut home_link, heartbeat(3)).await;
+    send(&mut home_connection, snapshot(&tables)).await;
+    send(&mut home_connection, heartbeat(3)).await;
     home_agent
         .status()
         .wait_for(|status| status.current)
@@ -248,15 +259,15 @@
 
     let subscriber = Subscriber::Edge(other.clone());
     let other_agent = Rc::new(subscribe(other_name, subscriber, controller.address()));
-    let mut other_link = controller.welcome().await;
-    send(&mut other_link, snapshot(&tables)).await;
-    send(&mut other_link, heartbeat(3)).await;
+    let mut other_connection = controller.accept_subscriber().await;
+    send(&mut other_connection, snapshot(&tables)).await;
+    send(&mut other_connection, heartbeat(3)).await;
     tokio::task::spawn_local(follow_homes(other, other_agent.clone()));
-    wait_for(&mut other_link, FromSubscriber::HeartbeatsOnly).await;
+    wait_for(&mut other_connection, FromSubscriber::HeartbeatsOnly).await;
     let _home_agent = home_agent;
     Zone {
-        home: home_link,
-        other: other_link,
+        home: home_connection,
+        other: other_connection,
         other_agent,
         home_feeder,
         tables,
@@ -280,8 +291,12 @@
         send(&mut zone.other, heartbeat(4)).await;
         send(&mut zone.home, next_revision()).await;
         send(&mut zone.home, heartbeat(4)).await;
-        let four = |held: &Arc<Tables>| held.revision == Revision(4);
-        zone.other_agent.tables().wait_for(four).await.unwrap();
+        let has_revision_four = |held: &Arc<Tables>| held.revision == Revision(4);
+        zone.other_agent
+            .tables()
+            .wait_for(has_revision_four)
+            .await
+            .unwrap();
         assert_eq!(zone.other_agent.tables().borrow().edges, zone.tables.edges);
     });
 }
@@ -299,8 +314,12 @@
         )
         .await;
         send(&mut zone.other, next_revision()).await;
-        let four = |held: &Arc<Tables>| held.revision == Revision(4);
-        zone.other_agent.tables().wait_for(four).await.unwrap();
+        let has_revision_four = |held: &Arc<Tables>| held.revision == Revision(4);
+        zone.other_agent
+            .tables()
+            .wait_for(has_revision_four)
+            .await
+            .unwrap();
     });
 }
 
@@ -309,11 +328,11 @@
     run(async {
         let mut zone = zone().await;
         zone.home_feeder.abort();
-        let gone = home_of(&ZoneName::from("west"), &zone.tables.edges)
+        let home_node = home_of(&ZoneName::from("west"), &zone.tables.edges)
             .unwrap()
             .node
             .clone();
-        let changes = vec![TablesChange::EdgeRemoved(gone)];
+        let changes = vec![TablesChange::EdgeRemoved(home_node)];
         let update = TablesUpdate::Changes {
             from: Revision(3),
             to: Revision(4),
--- a/tier/agent/tests/wire_format.rs
+++ b/tier/agent/tests/wire_format.rs
@@ -1,7 +1,7 @@
-//! Pins the bytes that an agent sends: to the proxy of its machine, to a controller, and to another
-//! agent. The fixture `tests/wire_format/agent.txt` holds one line `Name hex` for each, as written
-//! by the build that the tier had before its code was renamed for readers. No test rewrites it. An
-//! agent keeps nothing on disk.
+//! Pins the bytes that an agent sends to the proxy on its machine, to a controller, and to another
+//! agent. The fixture `tests/wire_format/agent.txt` contains one line `Name hex` per byte sequence,
+//! written by the version before the message types were renamed. No test rewrites the file. There
+//! is no stored format to pin, since an agent stores nothing on disk.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-/// Far beyond anything that a test waits for.
+/// Far longer than any wait in these tests.
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn run(test: impl std::future::Future<Output = ()>) {
@@ -43,12 +43,12 @@
     }
 }
 
-/// The bytes that the fixture has under this name.
+/// Returns the bytes of this name in the fixture.
 fn pinned(name: &str) -> Vec<u8> {
     let fixture = include_str!("wire_format/agent.txt");
     let mut lines = fixture.lines().map(|line| line.split_once(' ').unwrap());
     let (_, hex) = lines.find(|(pinned, _)| *pinned == name).unwrap();
-    assert_eq!(hex.len() % 2, 0, "half a byte: {hex}");
+    assert_eq!(hex.len() % 2, 0, "odd number of hex digits: {hex}");
     (0..hex.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
@@ -56,25 +56,26 @@
 }
 
 async fn assert_next_bytes(stream: &mut TcpStream, name: &str) {
-    let wanted = pinned(name);
-    let mut bytes = vec![0; wanted.len()];
+    let expected = pinned(name);
+    let mut bytes = vec![0; expected.len()];
     stream.read_exact(&mut bytes).await.unwrap();
-    assert_eq!(bytes, wanted, "{name}");
+    assert_eq!(bytes, expected, "{name}");
 }
 
 fn subscribe(controller: &TcpListener) -> Rc<Subscription> {
     let (_, candidates) = watch::channel(vec![controller.local_addr().unwrap()]);
     Rc::new(Subscription::start(SubscriptionOptions {
         hello: Hello::new(Channel::Feed, NodeId::from("edge-1")),
-        // A fixed address, since it is part of the bytes.
+        // The address is fixed because it is part of the pinned bytes.
         subscriber: Subscriber::Edge(edge("edge-1", SocketAddr::from(([127, 0, 0, 1], 7_002)))),
         candidates,
         feeder_timeout: LONG_TIMEOUT,
     }))
 }
 
-/// The controller's end of the agent's connection, after the pinned greeting and subscription.
-async fn welcome(controller: &TcpListener) -> TcpStream {
+/// Accepts the agent's connection as a controller: exchanges the pinned handshake and receives the
+/// pinned subscription.
+async fn accept_agent(controller: &TcpListener) -> TcpStream {
     let (mut raw, _) = controller.accept().await.unwrap();
     assert_next_bytes(&mut raw, "HelloToController").await;
     raw.write_all(&pinned("HelloOfController")).await.unwrap();
@@ -98,7 +99,7 @@
     run(async {
         let controller = listen(any_port()).unwrap();
         let agent = subscribe(&controller);
-        let mut link = welcome(&controller).await;
+        let mut connection = accept_agent(&controller).await;
         let tables = Tables {
             revision: Revision(300),
             edges: vec![edge("edge-1", SocketAddr::from(([127, 0, 0, 1], 7_002)))],
@@ -109,12 +110,12 @@
             }],
             ..Tables::default()
         };
-        send(&mut link, &tables).await;
-        assert_next_bytes(&mut link, "AppliedTwice").await;
+        send(&mut connection, &tables).await;
+        assert_next_bytes(&mut connection, "AppliedTwice").await;
 
         let loopback = listen(any_port()).unwrap();
         let address = loopback.local_addr().unwrap();
-        let (to_controllers, mut passed) = mpsc::channel(1);
+        let (to_controllers, mut forwarded) = mpsc::channel(1);
         let source = FeedSource {
             tables: agent.tables(),
             status: agent.status(),
@@ -133,8 +134,8 @@
         proxy.write_all(&pinned("SubscribeAsProxy")).await.unwrap();
         assert_next_bytes(&mut proxy, "SnapshotAndHeartbeat").await;
         proxy.write_all(&pinned("EmptiedByProxy")).await.unwrap();
-        assert!(agent.send(passed.recv().await.unwrap()));
-        assert_next_bytes(&mut link, "EmptiedByProxy").await;
+        assert!(agent.send(forwarded.recv().await.unwrap()));
+        assert_next_bytes(&mut connection, "EmptiedByProxy").await;
     });
 }
 
@@ -143,12 +144,12 @@
     run(async {
         let controller = listen(any_port()).unwrap();
         let subscription = subscribe(&controller);
-        let mut link = welcome(&controller).await;
-        let (own, peer) = (
+        let mut connection = accept_agent(&controller).await;
+        let (own_socket, peer) = (
             UdpSocket::bind(any_port()).await.unwrap(),
             UdpSocket::bind(any_port()).await.unwrap(),
         );
-        let own_address = own.local_addr().unwrap();
+        let own_address = own_socket.local_addr().unwrap();
         let edges = vec![
             edge("edge-1", own_address),
             edge("edge-2", peer.local_addr().unwrap()),
@@ -158,8 +159,12 @@
             edges,
             ..Tables::default()
         };
-        tokio::task::spawn_local(detect_failures(own, NodeId::from("edge-1"), subscription));
-        send(&mut link, &tables).await;
+        tokio::task::spawn_local(detect_failures(
+            own_socket,
+            NodeId::from("edge-1"),
+            subscription,
+        ));
+        send(&mut connection, &tables).await;
         let mut buffer = [0_u8; 512];
         let (length, from) = peer.recv_from(&mut buffer).await.unwrap();
         assert_eq!(
@@ -169,7 +174,7 @@
         peer.send_to(&pinned("ProbeOfAgent"), own_address)
             .await
             .unwrap();
-        // Probes of the monitor's own may come before the answer.
+        // The agent's own probes may arrive before its answer.
         loop {
             let (length, _) = peer.recv_from(&mut buffer).await.unwrap();
             if buffer[..length] == pinned("AnswerOfAgent") {
