--- a/tier/controller/tests/cluster/mod.rs
+++ b/tier/controller/tests/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! Controllers with their disks, each on a thread of its own, that can be killed at any moment.
+//! A cluster of controllers with persistent disks, each on its own thread, that can be killed at
+//! any time.
 #![allow(dead_code)]
 
 mod process;
@@ -19,15 +20,15 @@
 use tempfile::TempDir;
 use tokio::sync::{oneshot, watch};
 
-use process::{exchange, free_address, run};
+use process::{free_address, run_controller, send_request};
 
-/// Longest wait for one answer, and for a controller to be current, on a busy machine.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Most rounds of calls to the machines without a clear answer: a controller may be current and
-/// lose that again.
+/// Timeout for one response and for a controller to become current; sufficient on a busy machine.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of rounds of calls without a definite response; a controller may become current
+/// and lose that status again.
 const MAX_ATTEMPTS: usize = 20;
 
-/// Three controllers of one system.
+/// A cluster of three controllers.
 pub struct Cluster {
     machines: Vec<Machine>,
     runtime: tokio::runtime::Runtime,
@@ -46,7 +47,7 @@
     thread: JoinHandle<()>,
 }
 
-/// One call about the configuration.
+/// One call to `/-/config`.
 pub struct Call {
     pub machine: usize,
     pub method: &'static str,
@@ -54,11 +55,11 @@
     pub body: String,
 }
 
-/// What came back: status and body.
-pub type Answered = (StatusCode, String);
+/// The status and the body of a response.
+pub type HttpResponse = (StatusCode, String);
 
 impl Cluster {
-    /// Three machines at their very first start.
+    /// Creates three machines with empty disks and starts them for the first time.
     pub fn bootstrap() -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -79,7 +80,7 @@
         cluster
     }
 
-    /// Starts a machine with the disk that it has.
+    /// Starts a machine with its existing disk.
     pub fn start(&mut self, index: usize, bootstrap: bool) {
         let machine = &self.machines[index];
         let settings = ReplicaSettings {
@@ -96,24 +97,24 @@
         };
         let admin = machine.admin;
         let (kill, killed) = oneshot::channel();
-        let thread = std::thread::spawn(move || run(settings, admin, killed));
+        let thread = std::thread::spawn(move || run_controller(settings, admin, killed));
         self.machines[index].running = Some(Running { kill, thread });
     }
 
-    /// Kills a machine; what it has not synced may be lost.
+    /// Kills a machine; data that it has not synced may be lost.
     pub fn kill(&mut self, index: usize) {
         let running = self.machines[index].running.take().unwrap();
-        // A thread that has ended already needs no signal.
+        // The send fails if the thread has already ended, which is fine.
         let _ = running.kill.send(());
         running.thread.join().unwrap();
     }
 
-    /// Gives a machine an empty disk.
-    pub fn wipe(&mut self, index: usize) {
+    /// Replaces the disk of a machine by an empty one.
+    pub fn replace_disk(&mut self, index: usize) {
         self.machines[index].disk = TempDir::new().unwrap();
     }
 
-    /// The index of the machine that heads the chain, as one of the others sees it.
+    /// Returns the index of the head of the chain according to the status of machine `seen_from`.
     pub fn head(&self, seen_from: usize) -> usize {
         let (_, status) = self.call(seen_from, "GET", "/-/status", None, "").unwrap();
         let named = |machine: &Machine| status.find(&format!("\"{}\"", machine.node));
@@ -126,24 +127,27 @@
             .unwrap()
     }
 
-    /// Waits until so many machines are in the chain, as one of them sees it.
-    pub fn wait_for_links(&self, seen_from: usize, wanted: usize) {
-        let asked = std::time::Instant::now();
+    /// Waits until the chain has `expected` members according to the status of machine `seen_from`.
+    pub fn wait_for_chain_length(&self, seen_from: usize, expected: usize) {
+        let started_at = std::time::Instant::now();
         loop {
             let status = self
                 .call(seen_from, "GET", "/-/status", None, "")
                 .map(|(_, status)| status);
             let status: Option<serde_json::Value> =
                 status.and_then(|status| serde_json::from_str(&status).ok());
-            let links = status.and_then(|status| status["chain"].as_array().map(Vec::len));
-            if links == Some(wanted) {
+            let chain_length = status.and_then(|status| status["chain"].as_array().map(Vec::len));
+            if chain_length == Some(expected) {
                 return;
             }
-            assert!(asked.elapsed() < ANSWER_TIMEOUT, "{links:?} links");
+            assert!(
+                started_at.elapsed() < RESPONSE_TIMEOUT,
+                "chain length {chain_length:?}"
+            );
         }
     }
 
-    /// One call; `None` if no answer came.
+    /// Sends one call; `None` if no response was received.
     pub fn call(
         &self,
         index: usize,
@@ -151,7 +155,7 @@
         path: &str,
         expected: Option<u64>,
         body: &str,
-    ) -> Option<Answered> {
+    ) -> Option<HttpResponse> {
         let address = self.machines[index].admin;
         let mut request = Request::builder()
             .method(method)
@@ -164,16 +168,20 @@
             .body(Full::new(Bytes::from(body.to_owned())))
             .unwrap();
         let exchange = async {
-            tokio::time::timeout(ANSWER_TIMEOUT, exchange(address, request))
+            tokio::time::timeout(RESPONSE_TIMEOUT, send_request(address, request))
                 .await
                 .ok()?
         };
         self.runtime.block_on(exchange)
     }
 
-    /// Calls at the same moment, each at one machine; `answered` is called for each with its index
-    /// in the list, in the order in which the answers come.
-    pub fn call_together(&self, calls: &[Call], mut answered: impl FnMut(usize, Option<Answered>)) {
+    /// Sends calls concurrently, each to its machine. Invokes `on_response` for each call with its
+    /// index in `calls`, in the order in which the responses are received.
+    pub fn call_concurrently(
+        &self,
+        calls: &[Call],
+        mut on_response: impl FnMut(usize, Option<HttpResponse>),
+    ) {
         let mut waiting = tokio::task::JoinSet::new();
         for (number, call) in calls.iter().enumerate() {
             let address = self.machines[call.machine].admin;
@@ -188,7 +196,7 @@
                 .body(Full::new(Bytes::from(call.body.clone())))
                 .unwrap();
             let exchange = async move {
-                tokio::time::timeout(ANSWER_TIMEOUT, exchange(address, request))
+                tokio::time::timeout(RESPONSE_TIMEOUT, send_request(address, request))
                     .await
                     .ok()?
             };
@@ -199,35 +207,35 @@
         }
         self.runtime.block_on(async {
             while let Some(ended) = waiting.join_next().await {
-                let (number, answer) = ended.unwrap();
-                answered(number, answer);
+                let (number, response) = ended.unwrap();
+                on_response(number, response);
             }
         });
     }
 
-    /// Calls the machines in turn, as the operator does, until one gives a clear answer.
-    pub fn call_until_clear(
+    /// Calls the machines in turn, like an operator, until one returns a definite response.
+    pub fn call_until_definite(
         &self,
         indices: &[usize],
         method: &str,
         path: &str,
         expected: Option<u64>,
         body: &str,
-    ) -> Answered {
+    ) -> HttpResponse {
         for _ in 0..MAX_ATTEMPTS {
-            let mut answers = indices
+            let mut responses = indices
                 .iter()
                 .filter_map(|index| self.call(*index, method, path, expected, body));
-            let clear = answers.find(|(status, _)| *status != StatusCode::SERVICE_UNAVAILABLE);
-            if let Some(clear) = clear {
-                return clear;
+            let definite = responses.find(|(status, _)| *status != StatusCode::SERVICE_UNAVAILABLE);
+            if let Some(definite) = definite {
+                return definite;
             }
             self.wait_until_current(indices);
         }
-        panic!("no clear answer");
+        panic!("no definite response");
     }
 
-    /// Waits until one of the machines says that it is current.
+    /// Waits until one of the machines reports that it is current.
     fn wait_until_current(&self, indices: &[usize]) {
         let addresses = indices
             .iter()
@@ -241,23 +249,25 @@
                 candidates,
                 feeder_timeout: CONTROLLER_TIMEOUT,
             });
-            let mut standing = subscription.status();
-            let current = standing.wait_for(|standing| standing.current);
-            let in_time = tokio::time::timeout(ANSWER_TIMEOUT, current).await.is_ok();
+            let mut status = subscription.status();
+            let current = status.wait_for(|status| status.current);
+            let in_time = tokio::time::timeout(RESPONSE_TIMEOUT, current)
+                .await
+                .is_ok();
             assert!(in_time, "no controller is current");
         };
         tokio::task::LocalSet::new().block_on(&self.runtime, waiting);
     }
 
-    /// Sends a configuration until there is a clear answer.
+    /// Sends a configuration until the response is definite.
     pub fn put(&self, indices: &[usize], expected: u64, document: &str) -> StatusCode {
-        self.call_until_clear(indices, "PUT", "/-/config", Some(expected), document)
+        self.call_until_definite(indices, "PUT", "/-/config", Some(expected), document)
             .0
     }
 
-    /// Reads the configuration until there is a clear answer.
+    /// Reads the configuration until the response is definite.
     pub fn get(&self, index: usize) -> String {
-        self.call_until_clear(&[index], "GET", "/-/config", None, "")
+        self.call_until_definite(&[index], "GET", "/-/config", None, "")
             .1
     }
 }
--- a/tier/controller/tests/cluster/process.rs
+++ b/tier/controller/tests/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One controller on a thread, and a call to it.
+//! Runs one controller on a thread, and sends requests to it.
 
 use std::net::SocketAddr;
 use std::sync::LazyLock;
@@ -18,27 +18,30 @@
 use tokio::net::TcpStream;
 use tokio::sync::{oneshot, watch};
 
-use super::Answered;
+use super::HttpResponse;
 
-/// One call over a connection of its own.
-pub async fn exchange(address: SocketAddr, request: Request<Full<Bytes>>) -> Option<Answered> {
+/// Sends one request over a new connection; `None` if no response was received.
+pub async fn send_request(
+    address: SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> Option<HttpResponse> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
-    let answer = sender.send_request(request).await.ok()?;
-    let status = answer.status();
-    let body = answer.into_body().collect().await.ok()?.to_bytes();
+    let response = sender.send_request(request).await.ok()?;
+    let status = response.status();
+    let body = response.into_body().collect().await.ok()?.to_bytes();
     Some((status, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// An address of this test process alone, another one with every call.
+/// Returns a new loopback address that is reserved for this test process.
 pub fn free_address() -> SocketAddr {
     static NETWORK: LazyLock<LoopbackNetwork> = LazyLock::new(LoopbackNetwork::take);
     NETWORK.next_address()
 }
 
-/// One controller on this thread, until it is killed.
-pub fn run(settings: ReplicaSettings, admin: SocketAddr, killed: oneshot::Receiver<()>) {
+/// Runs one controller on the current thread until it is killed.
+pub fn run_controller(settings: ReplicaSettings, admin: SocketAddr, killed: oneshot::Receiver<()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -52,9 +55,14 @@
             admin: listen(admin).unwrap(),
             internal: listen(address).unwrap(),
         };
-        let (_ending, ended) = watch::channel(false);
-        start_tasks(&controller, listeners, Duration::from_millis(1_200), ended);
-        // Resolves also when the test has gone.
+        let (_shut_down, shutting_down) = watch::channel(false);
+        start_tasks(
+            &controller,
+            listeners,
+            Duration::from_millis(1_200),
+            shutting_down,
+        );
+        // Also resolves when the test has ended and dropped the sender.
         let _ = killed.await;
     });
 }
--- a/tier/controller/tests/histories.rs
+++ b/tier/controller/tests/histories.rs
@@ -1,6 +1,7 @@
-//! Histories of several operators over three controllers, checked for linearizability against a
-//! register with compare-and-swap: races on one version, one number with other content, repeats at
-//! other controllers, reads, while controllers are killed and lose their disks.
+//! Checks histories of several operators on three controllers for linearizability, against a
+//! register with compare-and-swap. The histories contain concurrent puts on one version, different
+//! contents with the same version, puts repeated at other controllers, and reads, while controllers
+//! are killed and lose their disks.
 
 mod cluster;
 mod common;
@@ -13,10 +14,11 @@
 use register::{Answer, Content, History, Register, Request};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
-/// Random numbers below a bound (xorshift), the same for the same seed.
+/// A pseudorandom number generator (xorshift), deterministic for each seed.
 struct Rng(u64);
 
 impl Rng {
+    /// Returns a number below `bound`.
     fn below(&mut self, bound: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -25,27 +27,28 @@
     }
 }
 
-/// Controllers that go and come back in one history: the check takes exponential time where answers
-/// are unclear.
-const RESTARTS: usize = 2;
+/// Number of controller restarts in one history. It is small because the check takes exponential
+/// time in the number of requests without a definite response.
+const RESTARTS_PER_HISTORY: usize = 2;
 
-/// An event of a history.
+/// An event of a history, with the index of its request.
 enum Event {
-    Sent(usize),
-    Answered(usize, Answer),
+    Invoked(usize),
+    Returned(usize, Answer),
 }
 
-/// Several operators that know what was answered, and do not always heed it.
+/// Several operators that know the responses received so far, but do not always base their requests
+/// on them.
 struct Operators {
     rng: Rng,
-    /// Each request is that of an operator of its own: an operator that got no clear answer goes on
-    /// as another one.
+    /// Each request belongs to a separate operator, because an operator without a definite response
+    /// continues as a new one.
     requests: Vec<Request>,
     events: Vec<Event>,
     /// The newest content that was acknowledged or read.
     newest: Content,
     sent: Vec<(u64, Content)>,
-    clear: usize,
+    definite_responses: usize,
 }
 
 impl Operators {
@@ -56,7 +59,7 @@
             events: Vec::new(),
             newest: (0, 0),
             sent: Vec::new(),
-            clear: 0,
+            definite_responses: 0,
         }
     }
 
@@ -64,35 +67,35 @@
         let before = self.rng.below(self.sent.len().max(1));
         match self.rng.below(8) {
             0 | 1 => Request::Read,
-            // Sent again as it was, after a lost answer or long after.
+            // An earlier put, repeated after a lost response or long after a received one.
             2 | 3 if !self.sent.is_empty() => {
                 let (expected, content) = self.sent[before];
                 Request::Put { expected, content }
             }
-            // On a version that is not current any more.
+            // A new put on an earlier version, which may no longer be current.
             4 if !self.sent.is_empty() => {
                 let (expected, _) = self.sent[before];
-                self.change(expected)
+                self.new_put(expected)
             }
-            _ => self.change(self.newest.0),
+            _ => self.new_put(self.newest.0),
         }
     }
 
-    /// A change on this version; several may bear the same number.
-    fn change(&mut self, expected: u64) -> Request {
+    /// Creates a put on the version `expected`; several puts may have the same version.
+    fn new_put(&mut self, expected: u64) -> Request {
         let version = expected + 1 + self.rng.below(2) as u64;
         let content = (version, 1 + self.rng.below(3));
         self.sent.push((expected, content));
         Request::Put { expected, content }
     }
 
-    /// Some requests at the same moment, at any of these controllers.
-    fn act(&mut self, cluster: &Cluster, machines: &[usize]) {
+    /// Sends three concurrent requests, each to a random one of `machines`.
+    fn send_requests(&mut self, cluster: &Cluster, machines: &[usize]) {
         let requests: Vec<Request> = (0..3).map(|_| self.next_request()).collect();
         let first = self.requests.len();
         self.requests.extend(requests.iter().cloned());
         self.events
-            .extend((first..self.requests.len()).map(Event::Sent));
+            .extend((first..self.requests.len()).map(Event::Invoked));
         let calls: Vec<Call> = requests
             .iter()
             .map(|request| {
@@ -100,13 +103,13 @@
                 call(machine, request)
             })
             .collect();
-        cluster.call_together(&calls, |number, answered| {
-            let Some(answer) =
-                answered.and_then(|(status, body)| clear_answer(&requests[number], status, &body))
+        cluster.call_concurrently(&calls, |number, response| {
+            let Some(answer) = response
+                .and_then(|(status, body)| definite_outcome(&requests[number], status, &body))
             else {
                 return;
             };
-            self.clear += 1;
+            self.definite_responses += 1;
             match (&answer, &requests[number]) {
                 (Answer::Read(content), _) => self.newest = self.newest.max(*content),
                 (Answer::Accepted, Request::Put { content, .. }) => {
@@ -114,31 +117,31 @@
                 }
                 _ => {}
             }
-            self.events.push(Event::Answered(first + number, answer));
+            self.events.push(Event::Returned(first + number, answer));
         });
     }
 
-    /// A read without an answer says nothing; a change without one may be in force at any later
-    /// moment, or never.
+    /// Returns the history for the tester of `stateright`. A read without a response is omitted; a
+    /// put without a response may take effect at any later time, or never.
     fn history(&self) -> History {
-        let is_answered = |wanted: usize| {
+        let has_response = |request_index: usize| {
             self.events
                 .iter()
-                .any(|event| matches!(event, Event::Answered(name, _) if *name == wanted))
+                .any(|event| matches!(event, Event::Returned(index, _) if *index == request_index))
         };
         let mut history = LinearizabilityTester::new(Register::default());
         for event in &self.events {
             match event {
-                Event::Sent(name)
-                    if self.requests[*name] == Request::Read && !is_answered(*name) => {}
-                Event::Sent(name) => {
+                Event::Invoked(index)
+                    if self.requests[*index] == Request::Read && !has_response(*index) => {}
+                Event::Invoked(index) => {
                     history
-                        .on_invoke(*name, self.requests[*name].clone())
+                        .on_invoke(*index, self.requests[*index].clone())
                         .expect("a new operator");
                 }
-                Event::Answered(name, answer) => {
+                Event::Returned(index, answer) => {
                     history
-                        .on_return(*name, answer.clone())
+                        .on_return(*index, answer.clone())
                         .expect("an open request");
                 }
             }
@@ -148,15 +151,15 @@
 }
 
 impl Operators {
-    /// The same for the checker that takes histories of any length.
+    /// Returns the history for the checker, which supports histories of any length.
     fn observed(&self) -> ObservedHistory {
         let mut observed = ObservedHistory::default();
         for event in &self.events {
             match event {
-                Event::Sent(name) => {
-                    assert_eq!(observed.call(self.requests[*name].clone()), *name);
+                Event::Invoked(index) => {
+                    assert_eq!(observed.call(self.requests[*index].clone()), *index);
                 }
-                Event::Answered(name, answer) => observed.answer(*name, answer.clone()),
+                Event::Returned(index, answer) => observed.answer(*index, answer.clone()),
             }
         }
         observed
@@ -186,8 +189,8 @@
     }
 }
 
-/// What an answer settles; none for one that settles nothing.
-fn clear_answer(request: &Request, status: StatusCode, body: &str) -> Option<Answer> {
+/// Returns the definite outcome of a request; `None` if the response leaves the outcome open.
+fn definite_outcome(request: &Request, status: StatusCode, body: &str) -> Option<Answer> {
     match (request, status) {
         (Request::Put { .. }, StatusCode::OK) => Some(Answer::Accepted),
         (Request::Put { .. }, StatusCode::PRECONDITION_FAILED | StatusCode::BAD_REQUEST) => {
@@ -210,52 +213,57 @@
     (0..3).filter(|other| *other != machine).collect()
 }
 
-/// Orders while each controller in turn is killed, or loses its disk, and comes back.
-fn play(seed: u64) {
+/// Runs and checks one history, in which random controllers are killed and restarted, some of them
+/// with an empty disk.
+fn run_history(seed: u64) {
     let mut cluster = Cluster::bootstrap();
     let mut operators = Operators::new(seed);
-    for restart in 0..RESTARTS {
-        operators.act(&cluster, &[0, 1, 2]);
-        let gone = operators.rng.below(3);
-        cluster.kill(gone);
-        let left = others(gone);
-        operators.act(&cluster, &left);
-        // Another loss may only come once this one is repaired.
-        cluster.wait_for_links(left[0], 2);
-        operators.act(&cluster, &left);
+    for restart in 0..RESTARTS_PER_HISTORY {
+        operators.send_requests(&cluster, &[0, 1, 2]);
+        let killed = operators.rng.below(3);
+        cluster.kill(killed);
+        let remaining = others(killed);
+        operators.send_requests(&cluster, &remaining);
+        // The cluster tolerates one loss, so the next one must wait until the chain is complete
+        // again.
+        cluster.wait_for_chain_length(remaining[0], 2);
+        operators.send_requests(&cluster, &remaining);
         if restart % 2 == 0 {
-            cluster.wipe(gone);
+            cluster.replace_disk(killed);
         }
-        cluster.start(gone, false);
-        operators.act(&cluster, &[0, 1, 2]);
-        cluster.wait_for_links(left[0], 3);
+        cluster.start(killed, false);
+        operators.send_requests(&cluster, &[0, 1, 2]);
+        cluster.wait_for_chain_length(remaining[0], 3);
     }
-    operators.act(&cluster, &[0, 1, 2]);
-    let (requests, clear, history) = (
+    operators.send_requests(&cluster, &[0, 1, 2]);
+    let (requests, definite_responses, history) = (
         operators.requests.len(),
-        operators.clear,
+        operators.definite_responses,
         operators.history(),
     );
-    println!("seed {seed}: {requests} requests, {clear} clear answers");
-    assert!(clear > requests / 3, "{clear} of {requests}");
+    println!("seed {seed}: {requests} requests, {definite_responses} definite responses");
+    assert!(
+        definite_responses > requests / 3,
+        "{definite_responses} of {requests}"
+    );
     assert!(history.is_consistent(), "seed {seed}: {history:?}");
     assert!(operators.observed().is_linearizable(), "seed {seed}");
 }
 
 #[test]
 fn histories_of_several_operators_are_linearizable() {
-    (1..=4).for_each(|seed| play(seed * 7_919));
+    (1..=4).for_each(|seed| run_history(seed * 7_919));
 }
 
 fn history(steps: &[(usize, Request, Option<Answer>)]) -> History {
     let mut history = LinearizabilityTester::new(Register::default());
-    for (name, request, answer) in steps {
+    for (index, request, answer) in steps {
         history
-            .on_invoke(*name, request.clone())
+            .on_invoke(*index, request.clone())
             .expect("a new operator");
         if let Some(answer) = answer {
             history
-                .on_return(*name, answer.clone())
+                .on_return(*index, answer.clone())
                 .expect("an open request");
         }
     }
@@ -269,11 +277,11 @@
     }
 }
 
-/// The check finds what it is there for.
+/// Guards against a checker that accepts histories that are not linearizable.
 #[test]
-fn planted_violations_are_found() {
+fn known_violations_are_detected() {
     use Answer::{Accepted, Read, Rejected};
-    let accepted = |name, request| (name, request, Some(Accepted));
+    let accepted = |index, request| (index, request, Some(Accepted));
     let both_accepted = [
         accepted(0, put(0, 5, 1)),
         accepted(1, put(5, 7, 1)),
@@ -289,12 +297,12 @@
         accepted(0, put(0, 5, 1)),
         (1, Request::Read, Some(Read((0, 0)))),
     ];
-    for planted in [&both_accepted[..], &repeat_rejected, &old_read, &lost] {
-        assert!(!history(planted).is_consistent(), "{planted:?}");
-        assert!(!observed(planted).is_linearizable(), "{planted:?}");
+    for violation in [&both_accepted[..], &repeat_rejected, &old_read, &lost] {
+        assert!(!history(violation).is_consistent(), "{violation:?}");
+        assert!(!observed(violation).is_linearizable(), "{violation:?}");
     }
-    // A request without a clear answer may be in force or not.
-    let unclear = |found| {
+    // A put without a definite response may or may not have taken effect.
+    let without_response = |found| {
         [
             accepted(0, put(0, 5, 1)),
             (1, put(5, 7, 1), None),
@@ -302,12 +310,12 @@
         ]
     };
     for found in [(7, 1), (5, 1)] {
-        assert!(history(&unclear(found)).is_consistent());
-        assert!(observed(&unclear(found)).is_linearizable());
+        assert!(history(&without_response(found)).is_consistent());
+        assert!(observed(&without_response(found)).is_linearizable());
     }
 }
 
-/// The requests one after the other.
+/// Converts sequential requests to a history for the checker.
 fn observed(steps: &[(usize, Request, Option<Answer>)]) -> ObservedHistory {
     let mut observed = ObservedHistory::default();
     for (_, request, answer) in steps {
@@ -319,13 +327,13 @@
     observed
 }
 
-/// Operations of a long history.
+/// Number of operations in a long history.
 const LONG_HISTORY: usize = 10_000;
-/// Requests that are open at once in a long history.
-const OPEN_AT_ONCE: usize = 5;
+/// Maximum number of concurrently open requests in a long history.
+const MAX_OPEN_REQUESTS: usize = 5;
 
-/// A history as a correct register gives it: some requests open at once, two in ten without a clear
-/// answer, of which half have taken effect.
+/// Generates a history of a correct register with concurrent requests. About two in ten requests
+/// have no definite response; half of these have been applied to the register.
 fn long_history(seed: u64) -> ObservedHistory {
     let mut rng = Rng(seed | 1);
     let mut register = Register::default();
@@ -339,11 +347,11 @@
             _ => put(current.saturating_sub(1), current + 1, 1 + rng.below(3)),
         };
         let number = observed.call(request.clone());
-        let is_lost = rng.below(10) == 0;
-        let answer = (!is_lost).then(|| register.invoke(&request));
-        let is_unclear = rng.below(10) == 0;
-        open.push((number, answer.filter(|_| !is_unclear)));
-        while open.len() >= OPEN_AT_ONCE || (!open.is_empty() && rng.below(3) == 0) {
+        let is_request_lost = rng.below(10) == 0;
+        let answer = (!is_request_lost).then(|| register.invoke(&request));
+        let is_response_lost = rng.below(10) == 0;
+        open.push((number, answer.filter(|_| !is_response_lost)));
+        while open.len() >= MAX_OPEN_REQUESTS || (!open.is_empty() && rng.below(3) == 0) {
             let (number, answer) = open.swap_remove(rng.below(open.len()));
             if let Some(answer) = answer {
                 observed.answer(number, answer);
@@ -355,19 +363,23 @@
 
 #[test]
 fn ten_thousand_operations_are_checked_in_seconds() {
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     for seed in 1..=5 {
         assert!(
             long_history(seed * 104_729).is_linearizable(),
             "seed {seed}"
         );
     }
-    println!("five histories of {LONG_HISTORY}: {:?}", began.elapsed());
+    println!(
+        "five histories of {LONG_HISTORY}: {:?}",
+        started_at.elapsed()
+    );
 }
 
-/// One read in the middle of a long history is answered with what was never in force.
+/// Guards against a checker that misses a violation in a long history. The last read returns a
+/// content that was never in force.
 #[test]
-fn a_violation_in_a_long_history_is_found() {
+fn a_violation_in_a_long_history_is_detected() {
     let mut observed = long_history(7);
     let number = observed.call(Request::Read);
     observed.answer(number, Answer::Read((1, 9)));
--- a/tier/controller/tests/register/checker.rs
+++ b/tier/controller/tests/register/checker.rs
@@ -1,26 +1,28 @@
-//! Whether a history of requests to the register is linearizable, for histories of any length.
+//! Checks whether a history of requests to the register is linearizable, for histories of any
+//! length.
 //!
-//! The search of Wing and Gong ("Testing and verifying concurrent objects", 1993) in the order of
-//! time: only requests that overlap the earliest one without a place are candidates for the next
-//! place, so that the search begins anew wherever nothing is open. Two properties of the register keep it short.
-//! A request that changes nothing is given its place as soon as it may have it, as no other request
-//! can tell. And versions only rise, so that a change without an answer, which may take effect at any
-//! later moment or never, is a candidate only while the version that it builds on is in force.
+//! Implements the search of Wing and Gong ("Testing and verifying concurrent objects", 1993) in
+//! temporal order: only requests that overlap the earliest request without a place in the
+//! linearization are candidates for the next place, so the search starts afresh wherever no request
+//! is open. Two properties of the register keep the search short. A request that changes nothing is
+//! placed as soon as possible, because its place does not affect other requests. Versions only
+//! increase, so a put without a response, which may take effect at any later time or never, is a
+//! candidate only while the version on which it is based is current.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 use super::{Answer, Content, Request};
 
-/// A request with the times of its call and its answer, which are positions in the history.
+/// A request with the times of its call and its response, which are positions in the history.
 #[derive(Clone, Debug)]
 pub struct TimedRequest {
     pub request: Request,
     pub called_at: usize,
-    /// Missing where there was no clear answer.
-    pub answered: Option<(usize, Answer)>,
+    /// The time and the response; `None` if there was no definite response.
+    pub response: Option<(usize, Answer)>,
 }
 
-/// A history as it was observed.
+/// A history as observed by the clients.
 #[derive(Clone, Debug, Default)]
 pub struct ObservedHistory {
     requests: Vec<TimedRequest>,
@@ -28,39 +30,39 @@
 }
 
 impl ObservedHistory {
-    /// A request is sent; its number.
+    /// Records the call of a request and returns its number.
     pub fn call(&mut self, request: Request) -> usize {
         self.now += 1;
         self.requests.push(TimedRequest {
             request,
             called_at: self.now,
-            answered: None,
+            response: None,
         });
         self.requests.len() - 1
     }
 
-    /// A clear answer has come.
-    pub fn answer(&mut self, number: usize, answer: Answer) {
+    /// Records a definite response.
+    pub fn answer(&mut self, number: usize, response: Answer) {
         self.now += 1;
-        self.requests[number].answered = Some((self.now, answer));
+        self.requests[number].response = Some((self.now, response));
     }
 
     pub fn requests(&self) -> &[TimedRequest] {
         &self.requests
     }
 
-    /// Whether some order of the requests, in which each takes effect between its call and its
-    /// answer, explains all answers.
+    /// Returns whether the history is linearizable: some order of the requests, in which each takes
+    /// effect between its call and its response, is consistent with all responses.
     pub fn is_linearizable(&self) -> bool {
-        Search::new(&self.requests).succeeds()
+        Search::new(&self.requests).is_successful()
     }
 }
 
-/// A state of the register: the contents that were in force, one after the other.
+/// Identifies a state of the register: the sequence of all contents so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct StateId(usize);
 
-/// The states met so far, each with the one before it.
+/// The states reached so far, each with its predecessor.
 struct States {
     known: Vec<(StateId, Content)>,
     ids: HashMap<(StateId, Content), StateId>,
@@ -89,7 +91,7 @@
         id
     }
 
-    /// Whether a content is, or was, in force.
+    /// Returns whether `content` is the current or an earlier content.
     fn has_accepted(&self, state: StateId, content: Content) -> bool {
         let mut state = state;
         while self.current(state).0 > content.0 {
@@ -99,16 +101,16 @@
     }
 }
 
-/// What a request does in a state.
+/// The effect of a request in a state.
 enum Effect {
-    Nothing,
+    NoChange,
     Changes(Content),
-    /// Its answer is not one of this state.
+    /// The response is not possible in this state.
     Impossible,
 }
 
-/// How far the search has come: all answered requests before `first` have their places, and so have
-/// those in `placed`.
+/// The progress of the search: all requests with a response before `first`, and those in `placed`,
+/// have a place in the linearization.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Progress {
     first: usize,
@@ -117,79 +119,80 @@
 }
 
 struct Search<'a> {
-    /// Those with an answer, in the order of their calls.
-    answered: Vec<&'a TimedRequest>,
-    /// Changes without an answer, by the version that they build on.
-    unanswered: HashMap<u64, Vec<&'a TimedRequest>>,
+    /// Requests with a response, in the order of their calls.
+    with_response: Vec<&'a TimedRequest>,
+    /// Puts without a response, by the version on which they are based.
+    without_response: HashMap<u64, Vec<&'a TimedRequest>>,
     states: States,
 }
 
 impl<'a> Search<'a> {
     fn new(requests: &'a [TimedRequest]) -> Self {
-        let mut answered: Vec<_> = requests
+        let mut with_response: Vec<_> = requests
             .iter()
-            .filter(|request| request.answered.is_some())
+            .filter(|request| request.response.is_some())
             .collect();
-        answered.sort_by_key(|request| request.called_at);
-        let mut unanswered: HashMap<u64, Vec<_>> = HashMap::new();
-        for request in requests.iter().filter(|request| request.answered.is_none()) {
+        with_response.sort_by_key(|request| request.called_at);
+        let mut without_response: HashMap<u64, Vec<_>> = HashMap::new();
+        for request in requests.iter().filter(|request| request.response.is_none()) {
             if let Request::Put { expected, .. } = request.request {
-                unanswered.entry(expected).or_default().push(request);
+                without_response.entry(expected).or_default().push(request);
             }
         }
         Self {
-            answered,
-            unanswered,
+            with_response,
+            without_response,
             states: States::new(),
         }
     }
 
-    fn succeeds(mut self) -> bool {
+    fn is_successful(mut self) -> bool {
         let start = Progress {
             first: 0,
             placed: BTreeSet::new(),
             state: States::EMPTY,
         };
-        let mut met = HashSet::new();
-        let mut open = vec![start];
-        while let Some(mut progress) = open.pop() {
-            self.place_all_without_effect(&mut progress);
-            if progress.first == self.answered.len() {
+        let mut visited = HashSet::new();
+        let mut stack = vec![start];
+        while let Some(mut progress) = stack.pop() {
+            self.place_requests_without_effect(&mut progress);
+            if progress.first == self.with_response.len() {
                 return true;
             }
-            if met.insert(progress.clone()) {
-                self.add_changes(&progress, &mut open);
+            if visited.insert(progress.clone()) {
+                self.add_successors(&progress, &mut stack);
             }
         }
         false
     }
 
-    /// The answered requests that may have the next place.
+    /// Returns the requests with a response that are candidates for the next place, and the time of
+    /// the first response among the requests without a place.
     fn candidates(&self, progress: &Progress) -> (Vec<usize>, usize) {
         let mut candidates = Vec::new();
-        let mut first_answer = usize::MAX;
-        for (number, request) in self.answered.iter().enumerate().skip(progress.first) {
-            if request.called_at > first_answer {
+        let mut first_response_at = usize::MAX;
+        for (number, request) in self.with_response.iter().enumerate().skip(progress.first) {
+            if request.called_at > first_response_at {
                 break;
             }
             if progress.placed.contains(&number) {
                 continue;
             }
-            if let Some((answered_at, _)) = request.answered {
-                first_answer = first_answer.min(answered_at);
+            if let Some((responded_at, _)) = request.response {
+                first_response_at = first_response_at.min(responded_at);
             }
             candidates.push(number);
         }
-        candidates.retain(|number| self.answered[*number].called_at < first_answer);
-        (candidates, first_answer)
+        candidates.retain(|number| self.with_response[*number].called_at < first_response_at);
+        (candidates, first_response_at)
     }
 
-    fn place_all_without_effect(&self, progress: &mut Progress) {
+    fn place_requests_without_effect(&self, progress: &mut Progress) {
         loop {
             let (candidates, _) = self.candidates(progress);
             let found = candidates.into_iter().find(|number| {
-                let request = self.answered[*number];
-                matches!(self.effect(request, progress.state), Effect::Nothing)
+                let request = self.with_response[*number];
+                matches!(self.effect(request, progress.state), Effect::NoChange)
             });
             match found {
                 Some(number) => progress.place(number),
@@ -198,47 +201,49 @@
         }
     }
 
-    fn add_changes(&mut self, progress: &Progress, open: &mut Vec<Progress>) {
-        let (candidates, first_answer) = self.candidates(progress);
+    fn add_successors(&mut self, progress: &Progress, stack: &mut Vec<Progress>) {
+        let (candidates, first_response_at) = self.candidates(progress);
         let current = self.states.current(progress.state);
-        let unanswered = self.unanswered.get(&current.0).into_iter().flatten();
-        let mut unclear = Vec::new();
-        for request in unanswered.filter(|request| request.called_at < first_answer) {
+        let without_response = self.without_response.get(&current.0).into_iter().flatten();
+        let mut possible_contents = Vec::new();
+        for request in without_response.filter(|request| request.called_at < first_response_at) {
             if let Request::Put { content, .. } = request.request {
                 if content.0 > current.0 {
-                    unclear.push(content);
+                    possible_contents.push(content);
                 }
             }
         }
-        for content in unclear {
+        for content in possible_contents {
             let mut next = progress.clone();
             next.state = self.states.after(progress.state, content);
-            open.push(next);
+            stack.push(next);
         }
         for number in candidates {
-            if let Effect::Changes(content) = self.effect(self.answered[number], progress.state) {
+            if let Effect::Changes(content) =
+                self.effect(self.with_response[number], progress.state)
+            {
                 let mut next = progress.clone();
                 next.state = self.states.after(progress.state, content);
                 next.place(number);
-                open.push(next);
+                stack.push(next);
             }
         }
     }
 
     fn effect(&self, request: &TimedRequest, state: StateId) -> Effect {
         let current = self.states.current(state);
-        let Some((_, answer)) = &request.answered else {
+        let Some((_, response)) = &request.response else {
             return Effect::Impossible;
         };
-        match (&request.request, answer) {
-            (Request::Read, Answer::Read(content)) if *content == current => Effect::Nothing,
-            (Request::Put { expected, content }, answer) => {
+        match (&request.request, response) {
+            (Request::Read, Answer::Read(content)) if *content == current => Effect::NoChange,
+            (Request::Put { expected, content }, response) => {
                 let was_accepted = self.states.has_accepted(state, *content);
                 let would_change = *expected == current.0 && content.0 > current.0;
-                match answer {
-                    Answer::Accepted if was_accepted => Effect::Nothing,
+                match response {
+                    Answer::Accepted if was_accepted => Effect::NoChange,
                     Answer::Accepted if would_change => Effect::Changes(*content),
-                    Answer::Rejected if !was_accepted && !would_change => Effect::Nothing,
+                    Answer::Rejected if !was_accepted && !would_change => Effect::NoChange,
                     _ => Effect::Impossible,
                 }
             }
--- a/tier/controller/tests/register/mod.rs
+++ b/tier/controller/tests/register/mod.rs
@@ -1,5 +1,6 @@
 #![allow(dead_code)]
-//! The guarantee of the configuration: a register with compare-and-swap that recognizes repeats.
+//! The specification of the configuration: a register with compare-and-swap that recognizes
+//! repeated puts.
 
 pub mod checker;
 
@@ -7,7 +8,7 @@
 
 use stateright::semantics::{LinearizabilityTester, SequentialSpec};
 
-/// Version and content of a configuration; 0 and 0 for none.
+/// The version of a configuration and its number of routes; `(0, 0)` if there is no configuration.
 pub type Content = (u64, usize);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -23,7 +24,7 @@
     Read(Content),
 }
 
-/// The specification that histories are checked against.
+/// The sequential specification against which histories are checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Register {
     pub current: Content,
--- a/tier/controller/tests/three_controllers.rs
+++ b/tier/controller/tests/three_controllers.rs
@@ -1,5 +1,5 @@
-//! Configuration changes over three controllers with their disks, while some are killed or lose
-//! a disk.
+//! Tests configuration changes on three controllers with persistent disks, while some controllers
+//! are killed or lose their disks.
 
 mod cluster;
 mod common;
@@ -11,10 +11,10 @@
 const ALL: [usize; 3] = [0, 1, 2];
 /// Reads from each controller after each change.
 const READS_PER_CONTROLLER: usize = 10;
-/// White space that makes a document as long as one of many routes.
+/// White space that makes a document as long as one with many routes.
 const PADDING_BYTES: usize = 200_000;
 
-/// The same configuration as a long document.
+/// Returns the same configuration as a long document.
 fn padded(document: &str) -> String {
     format!("{}{document}", " ".repeat(PADDING_BYTES))
 }
@@ -29,17 +29,20 @@
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     let head = cluster.head(0);
     cluster.kill(head);
-    let left = others(head);
-    for machine in &left {
+    let remaining = others(head);
+    for machine in &remaining {
         assert_eq!(
             cluster.put(&[*machine], 0, &configuration(5)),
             StatusCode::OK
         );
         assert_eq!(cluster.get(*machine), configuration(5));
     }
-    assert_eq!(cluster.put(&left, 5, &configuration(7)), StatusCode::OK);
     assert_eq!(
-        cluster.put(&left, 5, &configuration_with(7, 2)),
+        cluster.put(&remaining, 5, &configuration(7)),
+        StatusCode::OK
+    );
+    assert_eq!(
+        cluster.put(&remaining, 5, &configuration_with(7, 2)),
         StatusCode::PRECONDITION_FAILED
     );
     cluster.start(head, false);
@@ -48,11 +51,11 @@
 }
 
 #[test]
-fn a_controller_with_a_lost_disk_reads_the_newest() {
+fn a_controller_with_a_lost_disk_reads_the_newest_configuration() {
     let mut cluster = Cluster::bootstrap();
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     cluster.kill(1);
-    cluster.wipe(1);
+    cluster.replace_disk(1);
     cluster.start(1, false);
     assert_eq!(cluster.get(1), configuration(5));
     assert_eq!(cluster.put(&[1], 5, &configuration(7)), StatusCode::OK);
@@ -65,7 +68,9 @@
     let target = heartbeat("draining", 3);
     let path = "/-/instances/i-1";
     assert_eq!(
-        cluster.call_until_clear(&ALL, "PUT", path, None, &target).0,
+        cluster
+            .call_until_definite(&ALL, "PUT", path, None, &target)
+            .0,
         StatusCode::OK
     );
     for machine in ALL {
@@ -80,8 +85,8 @@
     }
 }
 
-/// An operator reads the configuration back for seconds, from any controller, while others are
-/// killed together.
+/// Reads the configuration repeatedly from each controller after one or more controllers were
+/// killed and restarted together.
 #[test]
 fn repeated_reads_return_the_complete_newest_configuration() {
     let mut cluster = Cluster::bootstrap();
@@ -110,14 +115,14 @@
     assert_eq!(cluster.put(&ALL, 0, &configuration(5)), StatusCode::OK);
     cluster.kill(1);
     cluster.kill(2);
-    let answered = cluster.call(0, "PUT", "/-/config", Some(5), &configuration(7));
+    let response = cluster.call(0, "PUT", "/-/config", Some(5), &configuration(7));
     assert_eq!(
-        answered.map(|(status, _)| status),
+        response.map(|(status, _)| status),
         Some(StatusCode::SERVICE_UNAVAILABLE)
     );
-    let answered = cluster.call(0, "GET", "/-/config", None, "");
+    let response = cluster.call(0, "GET", "/-/config", None, "");
     assert_eq!(
-        answered.map(|(status, _)| status),
+        response.map(|(status, _)| status),
         Some(StatusCode::SERVICE_UNAVAILABLE)
     );
 }
