--- a/tier/controller/src/singleton/fence.rs
+++ b/tier/controller/src/singleton/fence.rs
@@ -8,19 +8,19 @@
 /// status still names it as the head.
 #[derive(Debug, Default)]
 pub struct Fence {
-    refused_view: Option<u64>,
+    rejected_view: Option<u64>,
 }
 
 impl Fence {
     /// Records that a task proposed under `view` was rejected.
-    pub fn refuse(&mut self, view: u64) {
-        self.refused_view = self.refused_view.max(Some(view));
+    pub fn record_rejection(&mut self, view: u64) {
+        self.rejected_view = self.rejected_view.max(Some(view));
     }
 
     /// Returns whether the head of `view` may propose tasks.
     pub fn admits(&self, view: u64) -> bool {
-        match self.refused_view {
-            Some(refused) => view > refused,
+        match self.rejected_view {
+            Some(rejected) => view > rejected,
             None => true,
         }
     }
--- a/tier/controller/src/singleton/runner.rs
+++ b/tier/controller/src/singleton/runner.rs
@@ -58,7 +58,7 @@
         match controller.log().propose(operation, PROPOSAL_TIMEOUT).await {
             Ok(Outcome::Fenced) => {
                 tracing::info!(view, "singleton task refused: a later head has acted");
-                fence.refuse(view);
+                fence.record_rejection(view);
             }
             Ok(_) => {}
             Err(error) => {
--- a/tier/controller/tests/change_log.rs
+++ b/tier/controller/tests/change_log.rs
@@ -1,4 +1,5 @@
-//! Updates for subscribers: changes where the log reaches back, snapshots otherwise.
+//! Tests the updates for subscribers: changes if the log reaches back to the subscriber's revision,
+//! otherwise a snapshot.
 
 mod common;
 
@@ -36,7 +37,9 @@
                 Operation::RegisterEdge(edge(["e1", "e2"][random.int_in_range(0..=1)?], step))
             } else {
                 put(
-                    log.control().configuration_history().current_version(),
+                    log.control_state()
+                        .configuration_history()
+                        .current_version(),
                     step,
                 )
             };
@@ -103,44 +106,47 @@
     ));
 }
 
-/// Changes of a long day, and how far behind the subscriber is that lags most.
+/// The number of changes in the test, and the lag of the slowest subscriber in changes.
 const MANY_CHANGES: u64 = 5_000;
-const FAR_BEHIND: u64 = 600;
+const LARGEST_LAG: u64 = 600;
 
 fn encoded_bytes(update: &TablesUpdate) -> usize {
     postcard::to_allocvec(update).unwrap().len()
 }
 
-/// 5,000 changes with subscribers that are one step, some steps, and more than the log's 512 steps
-/// behind: the bytes of each stay within those of all tables at once.
+/// Guards against updates of unbounded size. Over 5,000 changes, subscribers lag one step, 100
+/// steps and more than the 512 steps of the log; each update is at most as large as a snapshot
+/// plus 64 bytes per change.
 #[test]
 fn the_bytes_for_a_subscriber_are_bounded_over_thousands_of_changes() {
     let log = MemoryLog::new();
     let mut changes = ChangeLog::new(newest(&log));
-    let lags = [1, 100, FAR_BEHIND];
+    let lags = [1, 100, LARGEST_LAG];
     let mut subscribers = vec![(Tables::default(), 0_usize, 0_usize); lags.len()];
     for step in 1..=MANY_CHANGES {
         let name = format!("e{}", step % 40);
         log.commit(&Operation::RegisterEdge(edge(&name, step)));
         changes.advance(newest(&log));
-        for (lag, (tables, total, most)) in lags.iter().zip(&mut subscribers) {
+        for (lag, (tables, total, largest)) in lags.iter().zip(&mut subscribers) {
             if step % lag != 0 {
                 continue;
             }
-            let update = changes.update_since(tables.revision).expect("it lags");
+            let update = changes
+                .update_since(tables.revision)
+                .expect("the subscriber lags");
             let bytes = encoded_bytes(&update);
             *total += bytes;
-            *most = bytes.max(*most);
+            *largest = bytes.max(*largest);
             assert_eq!(tables.apply(update), Ok(()));
         }
     }
     let end = changes.newest().clone();
-    let whole = encoded_bytes(&changes.snapshot());
-    for (lag, (tables, total, most)) in lags.iter().zip(subscribers) {
-        println!("every {lag} changes: {total} bytes in all, {most} at most; all tables {whole}");
-        // A change that is overtaken by a later one of the same edge is sent all the same.
-        let bound = whole + usize::try_from(*lag).unwrap_or(usize::MAX).min(512) * 64;
-        assert!(most <= bound, "{most} of {bound}");
+    let snapshot_bytes = encoded_bytes(&changes.snapshot());
+    for (lag, (tables, total, largest)) in lags.iter().zip(subscribers) {
+        println!("every {lag} changes: {total} bytes in all, {largest} at most; all tables {snapshot_bytes}");
+        // Changes that are superseded by a later change to the same edge are also sent.
+        let bound = snapshot_bytes + usize::try_from(*lag).unwrap_or(usize::MAX).min(512) * 64;
+        assert!(largest <= bound, "{largest} of {bound}");
         if MANY_CHANGES.is_multiple_of(*lag) {
             assert_eq!(tables, build_tables(&end.state, end.revision));
         }
--- a/tier/controller/tests/common/documents.rs
+++ b/tier/controller/tests/common/documents.rs
@@ -1,11 +1,11 @@
-//! Configurations that a controller takes.
+//! Configurations that a controller accepts.
 #![allow(dead_code)]
 
 pub fn configuration(version: u64) -> String {
     configuration_with(version, 1)
 }
 
-/// A configuration with so many routes.
+/// Returns a configuration with this number of routes.
 pub fn configuration_with(version: u64, routes: usize) -> String {
     let routes: Vec<String> = (0..routes)
         .map(|number| route(&format!("/p{number}/"), "tools"))
--- a/tier/controller/tests/common/mod.rs
+++ b/tier/controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A control log in memory, and values that several tests use.
+//! An in-memory control log and shared test values.
 #![allow(dead_code, unused_imports)]
 
 mod documents;
@@ -22,7 +22,7 @@
 use plankhill_replica::{CommittedState, Unavailable};
 use tokio::sync::watch;
 
-/// Commits at once, unless it is partitioned from the others.
+/// A log that commits each operation immediately, unless the controller is partitioned.
 #[derive(Clone)]
 pub struct MemoryLog {
     shared: Rc<RefCell<Shared>>,
@@ -33,7 +33,7 @@
 struct Shared {
     chain_status: ChainStatus,
     proposals: Vec<Operation>,
-    proposal_time: Duration,
+    proposal_delay: Duration,
 }
 
 impl MemoryLog {
@@ -41,7 +41,7 @@
         let shared = Shared {
             chain_status: ChainStatus::default(),
             proposals: Vec::new(),
-            proposal_time: Duration::ZERO,
+            proposal_delay: Duration::ZERO,
         };
         let (state, _) = watch::channel(Arc::new(CommittedState::empty()));
         let (reachable, _) = watch::channel(true);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Partitions the controller from the others, or ends the partition.
+    /// Partitions the controller from the other controllers, or ends the partition.
     pub fn set_reachable(&self, reachable: bool) {
         self.reachable.send_replace(reachable);
     }
@@ -61,16 +61,16 @@
         self.shared.borrow_mut().chain_status = chain_status;
     }
 
-    pub fn proposals(&self) -> usize {
+    pub fn proposal_count(&self) -> usize {
         self.shared.borrow().proposals.len()
     }
 
-    /// From now on each proposal takes this long, from when it leaves until its outcome is known.
-    pub fn set_proposal_time(&self, proposal_time: Duration) {
-        self.shared.borrow_mut().proposal_time = proposal_time;
+    /// Sets the time from a proposal to its outcome, for all later proposals.
+    pub fn set_proposal_delay(&self, proposal_delay: Duration) {
+        self.shared.borrow_mut().proposal_delay = proposal_delay;
     }
 
-    /// The views under which singleton tasks have left, in order.
+    /// Returns the views of the proposed singleton tasks, in order.
     pub fn singleton_views(&self) -> Vec<u64> {
         let shared = self.shared.borrow();
         let views = shared
@@ -94,7 +94,7 @@
         outcome
     }
 
-    pub fn control(&self) -> Arc<ControlState> {
+    pub fn control_state(&self) -> Arc<ControlState> {
         self.state.borrow().state.clone()
     }
 }
@@ -108,13 +108,13 @@
         if !*self.reachable.borrow() {
             return Err(Unavailable);
         }
-        let proposal_time = {
+        let proposal_delay = {
             let mut shared = self.shared.borrow_mut();
             shared.proposals.push(operation.clone());
-            shared.proposal_time
+            shared.proposal_delay
         };
-        if !proposal_time.is_zero() {
-            tokio::time::sleep(proposal_time).await;
+        if !proposal_delay.is_zero() {
+            tokio::time::sleep(proposal_delay).await;
         }
         Ok(self.commit(&operation))
     }
@@ -146,37 +146,37 @@
     async fn serve_chain(&self, _connection: Connection) {}
 }
 
-/// A controller over a log in memory, called without a network.
-pub struct Tester {
+/// A controller with an in-memory log, whose admin interface is called without a network.
+pub struct ControllerHarness {
     pub log: MemoryLog,
     pub controller: Rc<Controller<MemoryLog>>,
     budget: BodyBudget,
 }
 
-/// A response.
+/// A response of the admin interface.
 #[derive(Debug)]
-pub struct Answered {
+pub struct Response {
     pub status: StatusCode,
     pub retry_after: bool,
     pub body: String,
 }
 
-impl Tester {
+impl ControllerHarness {
     pub fn new() -> Self {
         let log = MemoryLog::new();
         let controller = Controller::new(NodeId::from("core-1"), 1, log.clone());
-        Tester {
+        ControllerHarness {
             log,
             controller,
             budget: BodyBudget::new(32 << 20),
         }
     }
 
-    pub fn call(&self, method: &str, path: &str, body: impl Into<Bytes>) -> Answered {
+    pub fn call(&self, method: &str, path: &str, body: impl Into<Bytes>) -> Response {
         self.call_on(method, path, None, body)
     }
 
-    pub fn put_configuration(&self, expected: u64, body: impl Into<Bytes>) -> Answered {
+    pub fn put_configuration(&self, expected: u64, body: impl Into<Bytes>) -> Response {
         self.call_on("PUT", "/-/config", Some(expected), body)
     }
 
@@ -186,7 +186,7 @@
         path: &str,
         expected: Option<u64>,
         body: impl Into<Bytes>,
-    ) -> Answered {
+    ) -> Response {
         let mut request = Request::builder().method(method).uri(path);
         if let Some(expected) = expected {
             request = request.header("If-Match", expected.to_string());
@@ -197,7 +197,7 @@
             let status = response.status();
             let retry_after = response.headers().contains_key("retry-after");
             let body = response.into_body().collect().await.unwrap().to_bytes();
-            Answered {
+            Response {
                 status,
                 retry_after,
                 body: String::from_utf8(body.to_vec()).unwrap(),
@@ -238,7 +238,7 @@
     }
 }
 
-/// A put of an empty document, which only the log takes.
+/// Returns a put of an empty document, which the log accepts but the admin interface does not.
 pub fn put(expected: u64, version: u64) -> Operation {
     Operation::PutConfiguration {
         expected,
@@ -247,7 +247,7 @@
     }
 }
 
-pub fn register(member: &StoreMember) -> Operation {
+pub fn register_store(member: &StoreMember) -> Operation {
     Operation::RegisterStore {
         member: member.clone(),
         tolerated_faults: 1,
--- a/tier/controller/tests/feed.rs
+++ b/tier/controller/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Subscriptions over loopback connections.
+//! Tests subscriptions over loopback connections.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::{block_on, edge, put, register, store, MemoryLog};
+use common::{block_on, edge, put, register_store, store, MemoryLog};
 use plankhill_controller::control_log::ControlLog;
 use plankhill_controller::internal_server::serve_internal;
 use plankhill_controller::tasks::publish_committed_states;
@@ -39,7 +39,7 @@
     })
 }
 
-async fn until(
+async fn wait_for_tables(
     subscription: &Subscription,
     holds: impl FnMut(&Arc<Tables>) -> bool,
 ) -> Arc<Tables> {
@@ -51,13 +51,13 @@
     block_on(async {
         let (log, _controller, address) = start();
         let subscription = subscribe(Subscriber::Edge(edge("edge-1", 1)), address);
-        until(&subscription, |tables| tables.edges.len() == 1).await;
+        wait_for_tables(&subscription, |tables| tables.edges.len() == 1).await;
         log.commit(&put(0, 5));
-        let tables = until(&subscription, |tables| tables.configuration.is_some()).await;
+        let tables = wait_for_tables(&subscription, |tables| tables.configuration.is_some()).await;
         assert_eq!(tables.configuration.as_ref().unwrap().version, 5);
         subscription
             .status()
-            .wait_for(|standing| standing.current)
+            .wait_for(|status| status.current)
             .await
             .unwrap();
     });
@@ -69,11 +69,15 @@
         let (log, _controller, address) = start();
         let watcher = subscribe(Subscriber::Proxy, address);
         let leaving = subscribe(Subscriber::Edge(edge("edge-1", 1)), address);
-        until(&watcher, |tables| tables.edges.len() == 1).await;
+        wait_for_tables(&watcher, |tables| tables.edges.len() == 1).await;
         assert!(leaving.send(FromSubscriber::Deregister));
         drop(leaving);
-        until(&watcher, |tables| tables.edges.is_empty()).await;
-        assert!(log.control().edges().get(&NodeId::from("edge-1")).is_none());
+        wait_for_tables(&watcher, |tables| tables.edges.is_empty()).await;
+        assert!(log
+            .control_state()
+            .edges()
+            .get(&NodeId::from("edge-1"))
+            .is_none());
     });
 }
 
@@ -82,7 +86,7 @@
     block_on(async {
         let (log, _controller, address) = start();
         for number in 1..=3 {
-            log.commit(&register(&store(&format!("s{number}"), number)));
+            log.commit(&register_store(&store(&format!("s{number}"), number)));
         }
         let members = [
             store("s1", 1),
@@ -91,20 +95,20 @@
             store("s4", 4),
         ];
         let stores = members.map(|member| subscribe(Subscriber::Store(member), address));
-        let tables = until(&stores[0], |tables| tables.stores.next.is_some()).await;
+        let tables = wait_for_tables(&stores[0], |tables| tables.stores.next.is_some()).await;
         for subscription in &stores {
-            until(subscription, |seen| {
+            wait_for_tables(subscription, |seen| {
                 seen.stores.epoch == tables.stores.epoch
             })
             .await;
             subscription.send(FromSubscriber::StoreSynced(tables.stores.epoch));
         }
-        let switched = until(&stores[3], |tables| tables.stores.serving.len() == 4).await;
+        let switched = wait_for_tables(&stores[3], |tables| tables.stores.serving.len() == 4).await;
         assert_eq!(switched.stores.next, None);
     });
 }
 
-/// A connection on which the test is the subscriber.
+/// Opens a connection and subscribes, with the test as the subscriber.
 async fn connect(address: SocketAddr, held: Revision) -> Connection {
     let hello = Hello::new(Channel::Feed, NodeId::from("subscriber"));
     let mut connection = dial(address, &hello).await.unwrap();
@@ -124,8 +128,9 @@
     ) {}
 }
 
-/// The next message other than a heartbeat of an announced revision.
-async fn next(connection: &mut Connection, announced: Revision) -> ToSubscriber {
+/// Returns the next message that is neither a list of controllers nor a heartbeat of a revision up
+/// to `announced`.
+async fn next_message(connection: &mut Connection, announced: Revision) -> ToSubscriber {
     loop {
         match connection.reader.next().await.unwrap() {
             ToSubscriber::Heartbeat { revision, .. } if revision <= announced => {}
@@ -141,11 +146,12 @@
         let (log, _controller, address) = start();
         log.set_reachable(false);
         let mut connection = connect(address, Revision(0)).await;
-        for wanted in [false, true, false] {
-            log.set_reachable(wanted);
+        for expected in [false, true, false] {
+            log.set_reachable(expected);
             loop {
                 let message = connection.reader.next().await.unwrap();
-                if matches!(message, ToSubscriber::Heartbeat { current, .. } if current == wanted) {
+                if matches!(message, ToSubscriber::Heartbeat { current, .. } if current == expected)
+                {
                     break;
                 }
             }
@@ -160,7 +166,8 @@
         log.set_reachable(false);
         log.commit(&put(0, 5));
         let mut connection = connect(address, Revision(0)).await;
-        // Not even the first message is an update, which would go before a heartbeat.
+        // An update would be sent before the heartbeat, so the first message shows that none was
+        // sent.
         let first: ToSubscriber = connection.reader.next().await.unwrap();
         assert!(
             matches!(first, ToSubscriber::Heartbeat { current: false, .. }),
@@ -168,7 +175,7 @@
         );
         log.set_reachable(true);
         let newest = log.state().borrow().revision;
-        let second = next(&mut connection, newest).await;
+        let second = next_message(&mut connection, newest).await;
         assert!(matches!(second, ToSubscriber::Update(_)), "{second:?}");
     });
 }
@@ -185,7 +192,7 @@
             .send(&FromSubscriber::RequestSnapshot)
             .await
             .unwrap();
-        let answer = next(&mut connection, newest).await;
+        let answer = next_message(&mut connection, newest).await;
         assert!(
             matches!(answer, ToSubscriber::Update(TablesUpdate::Snapshot(_))),
             "{answer:?}"
@@ -204,12 +211,12 @@
             .send(&FromSubscriber::HeartbeatsOnly)
             .await
             .unwrap();
-        // The controller has read everything sent before once it sends a regular heartbeat.
+        // By the time of a regular heartbeat, the controller has read all earlier messages.
         next_heartbeat(&mut connection).await;
         next_heartbeat(&mut connection).await;
         log.commit(&put(0, 5));
         let newest = log.state().borrow().revision;
-        let notified = next(&mut connection, held).await;
+        let notified = next_message(&mut connection, held).await;
         assert!(
             matches!(notified, ToSubscriber::Heartbeat { revision, .. } if revision == newest),
             "{notified:?}"
@@ -221,7 +228,7 @@
             })
             .await
             .unwrap();
-        let update = next(&mut connection, newest).await;
+        let update = next_message(&mut connection, newest).await;
         assert!(matches!(update, ToSubscriber::Update(_)), "{update:?}");
     });
 }
@@ -233,13 +240,13 @@
         let subscription = subscribe(Subscriber::Proxy, address);
         subscription
             .status()
-            .wait_for(|standing| standing.current)
+            .wait_for(|status| status.current)
             .await
             .unwrap();
         log.set_reachable(false);
         subscription
             .status()
-            .wait_for(|standing| !standing.current)
+            .wait_for(|status| !status.current)
             .await
             .unwrap();
     });
@@ -253,7 +260,8 @@
         let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
         stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
         let mut received = Vec::new();
-        // The greeting comes, then the end; a reset is an end too.
+        // The handshake message is received before the end of the stream; a reset also ends the
+        // stream.
         let _ = stream.read_to_end(&mut received).await;
         assert!(received.len() < 100);
     });
--- a/tier/controller/tests/retire.rs
+++ b/tier/controller/tests/retire.rs
@@ -1,17 +1,17 @@
-//! Retiring a store over HTTP.
+//! Tests the retirement of stores over HTTP.
 
 mod common;
 
-use common::{register, store, Tester};
+use common::{register_store, store, ControllerHarness};
 use hyper::StatusCode;
 use plankhill_control::Operation;
 
-fn sync_next(tester: &Tester) {
-    let control = tester.log.control();
+fn sync_next(harness: &ControllerHarness) {
+    let control = harness.log.control_state();
     let view = control.stores().view();
     for member in view.next.clone().unwrap() {
         let (node, incarnation) = (member.node, member.incarnation);
-        tester.log.commit(&Operation::StoreSynced {
+        harness.log.commit(&Operation::StoreSynced {
             node,
             incarnation,
             epoch: view.epoch,
@@ -19,32 +19,32 @@
     }
 }
 
-fn with_stores(count: u64) -> Tester {
-    let tester = Tester::new();
+fn harness_with_stores(count: u64) -> ControllerHarness {
+    let harness = ControllerHarness::new();
     for number in 1..=count {
-        tester
+        harness
             .log
-            .commit(&register(&store(&format!("s{number}"), number)));
+            .commit(&register_store(&store(&format!("s{number}"), number)));
     }
     if count > 3 {
-        sync_next(&tester);
+        sync_next(&harness);
     }
-    tester
+    harness
 }
 
 #[test]
 fn unknown_and_required_stores_are_not_retired() {
-    let tester = with_stores(3);
+    let harness = harness_with_stores(3);
     assert_eq!(
-        tester.call("POST", "/-/retire/nobody", "").status,
+        harness.call("POST", "/-/retire/nobody", "").status,
         StatusCode::NOT_FOUND
     );
     assert_eq!(
-        tester.call("GET", "/-/retire/s1", "").status,
+        harness.call("GET", "/-/retire/s1", "").status,
         StatusCode::NOT_FOUND
     );
     assert_eq!(
-        tester
+        harness
             .call("POST", "/-/retire/s1", r#"{"duration_s":10}"#)
             .status,
         StatusCode::CONFLICT
@@ -53,17 +53,17 @@
 
 #[test]
 fn a_retirement_completes_only_once_the_others_have_synced() {
-    let tester = with_stores(4);
+    let harness = harness_with_stores(4);
     for _ in 0..2 {
-        let answered = tester.call("POST", "/-/retire/s2", r#"{"duration_s":10}"#);
-        assert_eq!(answered.status, StatusCode::OK);
+        let response = harness.call("POST", "/-/retire/s2", r#"{"duration_s":10}"#);
+        assert_eq!(response.status, StatusCode::OK);
     }
-    assert!(tester
+    assert!(harness
         .call("GET", "/-/retire/s2", "")
         .body
         .contains("in_progress"));
-    sync_next(&tester);
-    assert!(tester
+    sync_next(&harness);
+    assert!(harness
         .call("GET", "/-/retire/s2", "")
         .body
         .contains("completed"));
@@ -71,14 +71,14 @@
 
 #[test]
 fn a_partitioned_controller_does_not_report_progress() {
-    let tester = with_stores(4);
-    tester.log.set_reachable(false);
+    let harness = harness_with_stores(4);
+    harness.log.set_reachable(false);
     assert_eq!(
-        tester.call("GET", "/-/retire/s2", "").status,
+        harness.call("GET", "/-/retire/s2", "").status,
         StatusCode::SERVICE_UNAVAILABLE
     );
     assert_eq!(
-        tester.call("POST", "/-/retire/s2", "").status,
+        harness.call("POST", "/-/retire/s2", "").status,
         StatusCode::SERVICE_UNAVAILABLE
     );
 }
--- a/tier/controller/tests/singleton_tasks.rs
+++ b/tier/controller/tests/singleton_tasks.rs
@@ -1,10 +1,10 @@
-//! Which singleton tasks are due, in virtual time.
+//! Tests the scheduling of singleton tasks in virtual time.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::{edge, heartbeat, register, store, MemoryLog};
+use common::{edge, heartbeat, register_store, store, MemoryLog};
 use plankhill_control::{Operation, SingletonTask};
 use plankhill_controller::admin::parse_heartbeat;
 use plankhill_controller::control_log::ChainStatus;
@@ -14,18 +14,18 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// One controller's scheduler over a log in memory. The stores are `s1`, `s2` and so on, each with
-/// its number as its incarnation.
-struct World {
+/// The scheduler of one controller with an in-memory log. The stores are named `s1`, `s2` and so
+/// on; each has its number as its incarnation.
+struct SchedulerHarness {
     log: MemoryLog,
     scheduler: SingletonScheduler,
     liveness: Liveness,
     now: Instant,
 }
 
-impl World {
+impl SchedulerHarness {
     fn new() -> Self {
-        World {
+        SchedulerHarness {
             log: MemoryLog::new(),
             scheduler: SingletonScheduler::new(HEARTBEAT_INTERVAL),
             liveness: Liveness::default(),
@@ -34,13 +34,13 @@
     }
 
     fn with_stores(count: u64) -> Self {
-        let world = World::new();
+        let harness = SchedulerHarness::new();
         for number in 1..=count {
-            world
+            harness
                 .log
-                .commit(&register(&store(&format!("s{number}"), number)));
+                .commit(&register_store(&store(&format!("s{number}"), number)));
         }
-        world
+        harness
     }
 
     fn advance(&mut self, seconds: u64) {
@@ -56,7 +56,7 @@
         self.scheduler.due_tasks(&ScheduleInput {
             status: &status,
             is_current,
-            state: &self.log.control(),
+            state: &self.log.control_state(),
             liveness: &self.liveness,
             now: self.now,
         })
@@ -66,7 +66,7 @@
         self.due_as(true, true)
     }
 
-    fn hear_stores(&mut self, numbers: std::ops::RangeInclusive<u64>) {
+    fn record_stores(&mut self, numbers: std::ops::RangeInclusive<u64>) {
         for number in numbers {
             let node = NodeId::from(format!("s{number}").as_str());
             let machine = MachineIncarnation::new(&node, Incarnation(number));
@@ -75,10 +75,10 @@
     }
 }
 
-fn register_target(world: &World) -> InstanceId {
+fn register_target(harness: &SchedulerHarness) -> InstanceId {
     let id = InstanceId::from("i-1");
     let target = parse_heartbeat(id.clone(), heartbeat("healthy", 1).as_bytes()).unwrap();
-    world.log.commit(&Operation::RegisterTarget(target));
+    harness.log.commit(&Operation::RegisterTarget(target));
     id
 }
 
@@ -93,157 +93,158 @@
 }
 
 #[test]
-fn a_target_with_heartbeats_stays_and_a_silent_one_expires() {
-    let mut world = World::new();
-    let id = register_target(&world);
-    assert!(world.due().is_empty());
+fn a_target_expires_only_without_heartbeats() {
+    let mut harness = SchedulerHarness::new();
+    let id = register_target(&harness);
+    assert!(harness.due().is_empty());
     for _ in 0..10 {
-        world.advance(1);
-        world.liveness.record_target(&id, world.now);
-        assert!(world.due().is_empty());
+        harness.advance(1);
+        harness.liveness.record_target(&id, harness.now);
+        assert!(harness.due().is_empty());
     }
-    world.advance(5);
+    harness.advance(5);
     assert!(
-        matches!(&world.due()[..], [SingletonTask::ExpireTargets(expired)] if expired[0].id == id)
+        matches!(&harness.due()[..], [SingletonTask::ExpireTargets(expired)] if expired[0].id == id)
     );
 }
 
 #[test]
-fn a_target_that_another_controller_hears_from_stays() {
-    let mut world = World::new();
-    let id = register_target(&world);
-    world.due();
-    world.advance(6);
+fn a_target_reported_by_another_controller_does_not_expire() {
+    let mut harness = SchedulerHarness::new();
+    let id = register_target(&harness);
+    harness.due();
+    harness.advance(6);
     let report = LivenessReport {
         targets: vec![id],
         machines: Vec::new(),
     };
-    world.liveness.record_remote(&report, world.now);
-    assert!(world.due().is_empty());
+    harness.liveness.record_remote(&report, harness.now);
+    assert!(harness.due().is_empty());
     assert_eq!(
-        world.liveness.report_since(world.now),
+        harness.liveness.report_since(harness.now),
         LivenessReport::default()
     );
 }
 
 #[test]
-fn a_new_head_listens_before_it_acts() {
-    let mut world = World::new();
-    register_target(&world);
-    world.advance(100);
-    assert!(world.due().is_empty());
-    world.advance(4);
-    assert!(world.due().is_empty());
-    world.advance(1);
-    assert_eq!(world.due().len(), 1);
+fn a_new_head_waits_for_the_timeout_before_it_expires_targets() {
+    let mut harness = SchedulerHarness::new();
+    register_target(&harness);
+    harness.advance(100);
+    assert!(harness.due().is_empty());
+    harness.advance(4);
+    assert!(harness.due().is_empty());
+    harness.advance(1);
+    assert_eq!(harness.due().len(), 1);
 }
 
 #[test]
-fn only_a_head_that_is_current_acts() {
-    let mut world = World::new();
-    register_target(&world);
+fn only_a_current_head_has_due_tasks() {
+    let mut harness = SchedulerHarness::new();
+    register_target(&harness);
     for (is_head, is_current) in [(false, true), (true, false), (false, true)] {
-        world.advance(100);
-        assert!(world.due_as(is_head, is_current).is_empty());
+        harness.advance(100);
+        assert!(harness.due_as(is_head, is_current).is_empty());
     }
-    // A controller that was not the head meanwhile listens again.
-    world.advance(100);
-    assert!(world.due().is_empty());
+    // A controller that was not the head in the meantime waits for the complete timeout again.
+    harness.advance(100);
+    assert!(harness.due().is_empty());
 }
 
 #[test]
 fn a_silent_edge_expires_after_the_contact_bound() {
-    let mut world = World::new();
-    world
+    let mut harness = SchedulerHarness::new();
+    harness
         .log
         .commit(&Operation::RegisterEdge(edge("edge-1", 7)));
-    world.due();
-    world.advance(3);
-    assert!(world.due().is_empty());
-    world.advance(1);
-    assert_eq!(world.due(), [expire_edge("edge-1", 7)]);
+    harness.due();
+    harness.advance(3);
+    assert!(harness.due().is_empty());
+    harness.advance(1);
+    assert_eq!(harness.due(), [expire_edge("edge-1", 7)]);
 }
 
 #[test]
-fn a_silent_store_stays_until_a_successor_joins() {
-    let mut world = World::with_stores(3);
-    world.due();
+fn a_silent_store_is_kept_until_a_successor_joins() {
+    let mut harness = SchedulerHarness::with_stores(3);
+    harness.due();
     for _ in 0..6 {
-        world.advance(1);
-        world.hear_stores(1..=2);
-        assert!(world.due().is_empty());
+        harness.advance(1);
+        harness.record_stores(1..=2);
+        assert!(harness.due().is_empty());
     }
-    world.log.commit(&register(&store("s4", 4)));
-    world.hear_stores(4..=4);
-    assert_eq!(world.due(), [remove_store("s3", 3)]);
+    harness.log.commit(&register_store(&store("s4", 4)));
+    harness.record_stores(4..=4);
+    assert_eq!(harness.due(), [remove_store("s3", 3)]);
 }
 
-/// Its successor joined before it ended: no store joins afterwards.
+/// Guards against a lost store that is never removed because its successor joined before it failed,
+/// so that no store joins afterwards.
 #[test]
 fn a_silent_store_is_removed_after_the_serving_timeout_if_enough_others_serve() {
-    let mut world = World::with_stores(4);
-    let epoch = world.log.control().stores().view().epoch;
+    let mut harness = SchedulerHarness::with_stores(4);
+    let epoch = harness.log.control_state().stores().view().epoch;
     for number in 1..=4 {
         let node = NodeId::from(format!("s{number}").as_str());
         let incarnation = Incarnation(number);
-        world.log.commit(&Operation::StoreSynced {
+        harness.log.commit(&Operation::StoreSynced {
             node,
             incarnation,
             epoch,
         });
     }
-    assert_eq!(world.log.control().stores().view().serving.len(), 4);
-    world.due();
+    assert_eq!(harness.log.control_state().stores().view().serving.len(), 4);
+    harness.due();
     for _ in 0..7 {
-        world.advance(1);
-        world.hear_stores(1..=3);
-        assert!(world.due().is_empty());
+        harness.advance(1);
+        harness.record_stores(1..=3);
+        assert!(harness.due().is_empty());
     }
-    world.advance(1);
-    world.hear_stores(1..=3);
-    assert_eq!(world.due(), [remove_store("s4", 4)]);
+    harness.advance(1);
+    harness.record_stores(1..=3);
+    assert_eq!(harness.due(), [remove_store("s4", 4)]);
 }
 
 #[test]
-fn a_joining_store_that_falls_silent_is_removed() {
-    let mut world = World::with_stores(4);
-    world.due();
+fn a_silent_joining_store_is_removed() {
+    let mut harness = SchedulerHarness::with_stores(4);
+    harness.due();
     for _ in 0..4 {
-        world.advance(1);
-        world.hear_stores(1..=3);
+        harness.advance(1);
+        harness.record_stores(1..=3);
     }
-    assert_eq!(world.due(), [remove_store("s4", 4)]);
+    assert_eq!(harness.due(), [remove_store("s4", 4)]);
 }
 
 #[test]
-fn fewer_stores_than_wanted_bootstrap_after_a_grace_period() {
-    let mut world = World::with_stores(2);
-    assert!(world.due().is_empty());
-    world.advance(4);
-    assert_eq!(world.due(), [SingletonTask::BootstrapStores]);
+fn fewer_stores_than_full_size_bootstrap_after_a_grace_period() {
+    let mut harness = SchedulerHarness::with_stores(2);
+    assert!(harness.due().is_empty());
+    harness.advance(4);
+    assert_eq!(harness.due(), [SingletonTask::BootstrapStores]);
 }
 
 #[test]
-fn newly_registered_senders_are_given_time_to_be_heard_from() {
-    let mut world = World::with_stores(3);
-    world.due();
+fn newly_registered_senders_do_not_expire_before_the_timeout() {
+    let mut harness = SchedulerHarness::with_stores(3);
+    harness.due();
     for _ in 0..20 {
-        world.advance(1);
-        world.hear_stores(1..=3);
-        assert!(world.due().is_empty());
+        harness.advance(1);
+        harness.record_stores(1..=3);
+        assert!(harness.due().is_empty());
     }
-    register_target(&world);
-    world.log.commit(&register(&store("s3", 33)));
-    world
+    register_target(&harness);
+    harness.log.commit(&register_store(&store("s3", 33)));
+    harness
         .log
         .commit(&Operation::RegisterEdge(edge("edge-1", 7)));
     for _ in 0..4 {
-        world.hear_stores(1..=2);
-        assert!(world.due().is_empty());
-        world.advance(1);
+        harness.record_stores(1..=2);
+        assert!(harness.due().is_empty());
+        harness.advance(1);
     }
-    world.hear_stores(1..=2);
-    let due = world.due();
+    harness.record_stores(1..=2);
+    let due = harness.due();
     assert!(due.contains(&remove_store("s3", 33)));
     assert!(due.contains(&expire_edge("edge-1", 7)));
 }
--- a/tier/controller/tests/stored_format.rs
+++ b/tier/controller/tests/stored_format.rs
@@ -1,8 +1,8 @@
-//! A state folder as a controller in service wrote it, opened by this text.
+//! Opens a state folder that was written by an earlier controller in service.
 //!
-//! The folder holds a snapshot at revision 512 and operations up to revision 520: a configuration
-//! of version 5, the target `i-1`, the edge `edge-1`, three stores and an order that takes nothing
-//! out of service.
+//! The folder contains a snapshot at revision 512 and operations up to revision 520: a
+//! configuration of version 5, the target `i-1`, the edge `edge-1`, three stores and a drain order
+//! that takes no edge out of service.
 
 mod common;
 
@@ -17,8 +17,8 @@
 use plankhill_replica::{start, ReplicaHandle, ReplicaSettings};
 use tempfile::TempDir;
 
-/// Time for the only member of a chain to take up its work, on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for the only member of a chain to become current; sufficient on a busy machine.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 /// The newest revision in the folder.
 const NEWEST: Revision = Revision(520);
 const INCARNATION: Incarnation = Incarnation(10_921_101_503_624_873_696);
@@ -38,8 +38,8 @@
     }
 }
 
-/// The fixture, copied: opening a folder changes its files.
-fn folder_of_a_controller() -> TempDir {
+/// Returns a copy of the fixture, because opening a folder changes its files.
+fn copy_of_controller_folder() -> TempDir {
     let folder = TempDir::new().expect("a folder");
     let fixture = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/stored_format/controller");
     copy_folder(&fixture, folder.path());
@@ -47,21 +47,21 @@
 }
 
 #[test]
-fn the_storage_finds_what_a_controller_wrote() {
-    let folder = folder_of_a_controller();
+fn the_storage_reads_the_folder_of_a_controller() {
+    let folder = copy_of_controller_folder();
     let opened = open_folder(folder.path(), Incarnation(1), None).expect("opens");
-    let held = opened.durable;
-    assert_eq!(held.incarnation, Some(INCARNATION));
-    assert_eq!(held.view.chain, [NodeId::from("core-1")]);
-    assert_eq!(held.snapshot.revision, Revision(512));
-    let revisions: Vec<u64> = held.entries.keys().map(|revision| revision.0).collect();
+    let durable = opened.durable;
+    assert_eq!(durable.incarnation, Some(INCARNATION));
+    assert_eq!(durable.view.chain, [NodeId::from("core-1")]);
+    assert_eq!(durable.snapshot.revision, Revision(512));
+    let revisions: Vec<u64> = durable.entries.keys().map(|revision| revision.0).collect();
     assert_eq!(revisions, (513..=NEWEST.0).collect::<Vec<_>>());
-    assert!(!held.snapshot.machine.is_empty());
+    assert!(!durable.snapshot.machine.is_empty());
 }
 
 #[test]
-fn a_controller_finds_the_configuration_and_the_target_in_its_folder() {
-    let folder = folder_of_a_controller();
+fn a_controller_reads_its_state_from_its_folder() {
+    let folder = copy_of_controller_folder();
     let address = ([127, 0, 0, 1], 7_100).into();
     let settings = ReplicaSettings {
         node: NodeId::from("core-1"),
@@ -73,13 +73,14 @@
     };
     common::block_on(async {
         let log: ReplicaHandle<ControlState> = start(settings).expect("starts");
-        // Cut off for a moment: a member that starts has confirmed nothing yet.
+        // A member that has just started has not yet confirmed its state, so reads fail at first.
         let mut current = log.watch_current();
-        let confirmed = tokio::time::timeout(PATIENCE, current.wait_for(|current| *current)).await;
+        let confirmed =
+            tokio::time::timeout(STARTUP_TIMEOUT, current.wait_for(|current| *current)).await;
         confirmed
             .expect("current in time")
             .expect("the member runs");
-        let read = log.read(PATIENCE).await;
+        let read = log.read(STARTUP_TIMEOUT).await;
         log.abort();
         log.ended().await;
         let committed = read.expect("a member that is the whole chain");
--- a/tier/controller/tests/wire_format.rs
+++ b/tier/controller/tests/wire_format.rs
@@ -1,11 +1,14 @@
-//! The bytes that controllers send to each other besides the chain's, and the JSON of the admin
-//! interface, as in the text that was in service when the fixtures were written.
+//! Pins the bytes that controllers send to each other outside the chain protocol, and the JSON of
+//! the admin interface. The fixtures contain the output of the version in service when they were
+//! written.
 
 mod common;
 
 use std::net::SocketAddr;
 
-use common::{block_on, configuration, edge, heartbeat, register, store, Answered, Tester};
+use common::{
+    block_on, configuration, edge, heartbeat, register_store, store, ControllerHarness, Response,
+};
 use plankhill_control::{DrainAction, DrainOrder, Operation};
 use plankhill_controller::control_log::{ChainPeer, ChainStatus};
 use plankhill_controller::liveness::{LivenessReport, MachineIncarnation};
@@ -14,7 +17,7 @@
 use plankhill_protocol::transport::{FrameReader, FrameWriter};
 
 const LIVENESS: &str = include_str!("wire_format/liveness.txt");
-const ANSWERS: &str = include_str!("wire_format/answers.txt");
+const RESPONSES: &str = include_str!("wire_format/answers.txt");
 
 fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -31,7 +34,7 @@
 }
 
 #[test]
-fn reports_of_liveness_keep_their_bytes() {
+fn liveness_reports_keep_their_bytes() {
     let machine = |node: &str, incarnation| MachineIncarnation {
         node: NodeId::from(node),
         incarnation: Incarnation(incarnation),
@@ -73,10 +76,10 @@
     }
 }
 
-/// A controller whose every table holds something, and its subscriber.
-fn filled() -> (Tester, SubscriberGuard) {
-    let tester = Tester::new();
-    tester.log.set_chain_status(ChainStatus {
+/// Returns a controller with at least one entry in every table, and its subscriber.
+fn populated_harness() -> (ControllerHarness, SubscriberGuard) {
+    let harness = ControllerHarness::new();
+    harness.log.set_chain_status(ChainStatus {
         view: 4,
         is_head: true,
         chain: vec![peer("core-1", 7_100), peer("core-2", 7_100)],
@@ -87,16 +90,16 @@
         ],
     });
     for name in ["edge-1", "edge-2"] {
-        tester.log.commit(&Operation::RegisterEdge(edge(name, 7)));
+        harness.log.commit(&Operation::RegisterEdge(edge(name, 7)));
     }
     for number in 1..=4 {
-        tester
+        harness
             .log
-            .commit(&register(&store(&format!("store-{number}"), number)));
+            .commit(&register_store(&store(&format!("store-{number}"), number)));
     }
-    let epoch = tester.log.control().stores().view().epoch;
+    let epoch = harness.log.control_state().stores().view().epoch;
     let (node, incarnation) = (NodeId::from("store-1"), Incarnation(1));
-    tester.log.commit(&Operation::StoreSynced {
+    harness.log.commit(&Operation::StoreSynced {
         node,
         incarnation,
         epoch,
@@ -106,123 +109,129 @@
         nodes: vec![NodeId::from("edge-1")],
         action: DrainAction::Drain,
     };
-    tester.log.commit(&Operation::OrderDrain(drained));
-    let subscriber = tester
+    harness.log.commit(&Operation::OrderDrain(drained));
+    let subscriber = harness
         .controller
         .subscribers()
         .add(NodeId::from("edge-1"), Revision(3))
         .expect("room for a subscriber");
-    (tester, subscriber)
+    (harness, subscriber)
 }
 
-fn line(name: &str, answered: &Answered) -> String {
-    let retry = if answered.retry_after {
+fn response_line(name: &str, response: &Response) -> String {
+    let retry = if response.retry_after {
         "retry-after"
     } else {
         "-"
     };
     format!(
         "{name} {} {retry} {}",
-        answered.status.as_u16(),
-        answered.body
+        response.status.as_u16(),
+        response.body
     )
 }
 
 #[test]
-fn answers_of_the_admin_interface_keep_their_json() {
-    let (tester, _subscriber) = filled();
+fn responses_of_the_admin_interface_keep_their_json() {
+    let (harness, _subscriber) = populated_harness();
     let path = "/-/instances/i-1";
-    let order = |text: &str| tester.call("POST", "/-/drains", text.to_owned());
+    let order = |text: &str| harness.call("POST", "/-/drains", text.to_owned());
     let no_zone = r#"{"expected":1,"leave":true,"zone":"x"}"#;
     let too_many = r#"{"expected":1,"leave":true,"nodes":["edge-2"]}"#;
     let mut lines = vec![
-        line(
+        response_line(
             "configuration_missing",
-            &tester.call("GET", "/-/config", ""),
+            &harness.call("GET", "/-/config", ""),
         ),
-        line(
+        response_line(
             "configuration_taken",
-            &tester.put_configuration(0, configuration(5)),
+            &harness.put_configuration(0, configuration(5)),
         ),
-        line(
+        response_line(
             "configuration_conflict",
-            &tester.put_configuration(0, configuration(6)),
+            &harness.put_configuration(0, configuration(6)),
         ),
-        line(
+        response_line(
             "configuration_not_above",
-            &tester.put_configuration(5, configuration(4)),
+            &harness.put_configuration(5, configuration(4)),
         ),
-        line(
+        response_line(
             "configuration_unreadable",
-            &tester.put_configuration(5, "{"),
+            &harness.put_configuration(5, "{"),
         ),
-        line(
+        response_line(
             "configuration_too_large",
-            &tester.put_configuration(5, vec![b' '; (8 << 20) + 1]),
+            &harness.put_configuration(5, vec![b' '; (8 << 20) + 1]),
         ),
-        line(
+        response_line(
             "configuration_without_if_match",
-            &tester.call("PUT", "/-/config", configuration(6)),
+            &harness.call("PUT", "/-/config", configuration(6)),
         ),
-        line(
+        response_line(
             "heartbeat_taken",
-            &tester.call("PUT", path, heartbeat("healthy", 2)),
+            &harness.call("PUT", path, heartbeat("healthy", 2)),
         ),
-        line("heartbeat_unreadable", &tester.call("PUT", path, "{}")),
-        line(
+        response_line("heartbeat_unreadable", &harness.call("PUT", path, "{}")),
+        response_line(
             "heartbeat_invalid",
-            &tester.call(
+            &harness.call(
                 "PUT",
                 path,
                 heartbeat("healthy", 2).replace("\"tools\"", "\"\""),
             ),
         ),
-        line("drains", &tester.call("GET", "/-/drains", "")),
-        line(
+        response_line("drains", &harness.call("GET", "/-/drains", "")),
+        response_line(
             "drain_repeated",
             &order(r#"{"expected":0,"leave":true,"nodes":["edge-1"]}"#),
         ),
-        line(
+        response_line(
             "drain_conflict",
             &order(r#"{"expected":0,"leave":true,"nodes":["edge-2"]}"#),
         ),
-        line("drain_of_nobody", &order(r#"{"expected":1,"leave":true}"#)),
-        line("drain_of_an_empty_zone", &order(no_zone)),
-        line(
+        response_line("drain_of_nobody", &order(r#"{"expected":1,"leave":true}"#)),
+        response_line("drain_of_an_empty_zone", &order(no_zone)),
+        response_line(
             "drain_of_an_unknown_edge",
             &order(r#"{"expected":1,"leave":true,"nodes":["x"]}"#),
         ),
-        line("drain_of_too_many", &order(too_many)),
-        line("drain_unreadable", &order(r#"{"expected":1}"#)),
-        line("status", &tester.call("GET", "/-/status", "")),
-        line("retire_unknown", &tester.call("POST", "/-/retire/x", "")),
-        line(
+        response_line("drain_of_too_many", &order(too_many)),
+        response_line("drain_unreadable", &order(r#"{"expected":1}"#)),
+        response_line("status", &harness.call("GET", "/-/status", "")),
+        response_line("retire_unknown", &harness.call("POST", "/-/retire/x", "")),
+        response_line(
             "retire_unreadable",
-            &tester.call("POST", "/-/retire/x", "{"),
+            &harness.call("POST", "/-/retire/x", "{"),
         ),
-        line(
+        response_line(
             "retire_started",
-            &tester.call("POST", "/-/retire/store-1", r#"{"duration_s":10}"#),
+            &harness.call("POST", "/-/retire/store-1", r#"{"duration_s":10}"#),
         ),
-        line(
+        response_line(
             "retire_progress",
-            &tester.call("GET", "/-/retire/store-1", ""),
+            &harness.call("GET", "/-/retire/store-1", ""),
         ),
-        line(
+        response_line(
             "retire_of_too_many",
-            &tester.call("POST", "/-/retire/store-2", ""),
+            &harness.call("POST", "/-/retire/store-2", ""),
         ),
-        line("deregistered", &tester.call("DELETE", path, "")),
-        line("unknown_path", &tester.call("GET", "/", "")),
-        line("unknown_method", &tester.call("DELETE", "/-/config", "")),
-        line("bad_name", &tester.call("PUT", "/-/instances/", "")),
+        response_line("deregistered", &harness.call("DELETE", path, "")),
+        response_line("unknown_path", &harness.call("GET", "/", "")),
+        response_line("unknown_method", &harness.call("DELETE", "/-/config", "")),
+        response_line("bad_name", &harness.call("PUT", "/-/instances/", "")),
     ];
-    tester.log.commit(&Operation::EdgeDrained {
+    harness.log.commit(&Operation::EdgeDrained {
         node: NodeId::from("edge-1"),
         number: 1,
     });
-    lines.push(line("drains_empty", &tester.call("GET", "/-/drains", "")));
-    tester.log.set_reachable(false);
-    lines.push(line("unavailable", &tester.call("GET", "/-/config", "")));
-    assert_eq!(lines, ANSWERS.lines().collect::<Vec<_>>());
+    lines.push(response_line(
+        "drains_empty",
+        &harness.call("GET", "/-/drains", ""),
+    ));
+    harness.log.set_reachable(false);
+    lines.push(response_line(
+        "unavailable",
+        &harness.call("GET", "/-/config", ""),
+    ));
+    assert_eq!(lines, RESPONSES.lines().collect::<Vec<_>>());
 }
