--- a/tier/controller/src/admin/instances.rs
+++ b/tier/controller/src/admin/instances.rs
@@ -18,8 +18,8 @@
 /// Maximum size of a heartbeat in bytes; the same limit applies to its response.
 const MAX_HEARTBEAT_BYTES: usize = 4 * 1_024;
 
-/// The response to an accepted request: an empty object, because it carries no instructions for the
-/// target.
+/// The response to an accepted request: an empty object, because the controller has no instructions
+/// for the target.
 #[derive(Serialize)]
 struct Acknowledgement {}
 
--- a/tier/controller/tests/histories.rs
+++ b/tier/controller/tests/histories.rs
@@ -37,8 +37,8 @@
     Returned(usize, Answer),
 }
 
-/// Several operators that know the responses received so far, but do not always base their requests
-/// on them.
+/// Several operators that share the responses received so far. A request is not always based on the
+/// newest of them.
 struct Operators {
     rng: Rng,
     /// Each request belongs to a separate operator, because an operator without a definite response
--- a/tier/controller/tests/register/checker.rs
+++ b/tier/controller/tests/register/checker.rs
@@ -54,7 +54,7 @@
     /// Returns whether the history is linearizable: some order of the requests, in which each takes
     /// effect between its call and its response, is consistent with all responses.
     pub fn is_linearizable(&self) -> bool {
-        Search::new(&self.requests).is_successful()
+        Search::new(&self.requests).finds_linearization()
     }
 }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    fn is_successful(mut self) -> bool {
+    fn finds_linearization(mut self) -> bool {
         let start = Progress {
             first: 0,
             placed: BTreeSet::new(),
