--- a/tier/controller/src/lib.rs
+++ b/tier/controller/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! | module | purpose |
 //! | --- | --- |
-//! | [`run`] | starts the process, reloads settings, shuts down |
+//! | [`run()`] | starts the process, reloads settings, shuts down |
 //! | [`tasks`] | starts the tasks of one controller |
 //! | [`controller`] | the state that the tasks share |
 //! | [`control_log`] | the interface to the chain |
