--- a/tier/protocol/src/document.rs
+++ b/tier/protocol/src/document.rs
@@ -1,7 +1,8 @@
-//! The text of a configuration, which is compressed wherever it is sent or stored.
+//! A configuration document, compressed on the wire and in storage.
 //!
-//! Configurations of hundreds of routes repeat themselves. When all machines start together, every
-//! subscriber needs one at the same moment, over the links of the machines that run controllers.
+//! Configurations with hundreds of routes are repetitive. When all machines start together, every
+//! subscriber fetches the configuration at the same moment over the network links of the machines
+//! that run controllers.
 
 use std::fmt;
 use std::ops::Deref;
@@ -13,43 +14,43 @@
 
 use crate::shared_bytes;
 
-/// Shorter documents, in bytes, are not compressed.
+/// Documents shorter than this, in bytes, are not compressed unless they begin with
+/// [`COMPRESSED_TAG`].
 const MIN_COMPRESSED_BYTES: usize = 1_024;
-/// First byte of the compressed form. No JSON document begins with it; a document that does is
-/// compressed however short it is.
+/// First byte of the compressed form. No JSON document begins with this byte; a document that does
+/// is compressed whatever its length.
 const COMPRESSED_TAG: u8 = 1;
-/// A compressed form that claims to be of a longer document, in bytes, is refused: the longest
-/// configuration that the control plane takes.
+/// Maximum size of a decompressed document, in bytes: the size of the largest configuration that
+/// the control plane accepts.
 const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of the little-endian length that lies before the compressed bytes.
+/// Size of the little-endian length prefix of the compressed data, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes that are kept as they are and encoded compressed: once, when any clone of them is first
-/// encoded.
+/// A document that is uncompressed in memory and compressed when serialized. All clones share one
+/// encoded form, which is computed when one of them is first serialized.
 #[derive(Clone)]
 pub struct Document {
     text: Arc<[u8]>,
-    /// Shared by all clones; empty until the first of them is encoded.
+    /// The encoded form; empty until a clone is first serialized, unless the document was decoded.
     encoded: Arc<OnceLock<Arc<[u8]>>>,
 }
 
-/// Why an encoded document cannot be read.
+/// An error of decoding a document.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
-    /// The compressed form lacks its length.
-    #[error("document: its length is missing")]
+    /// The length prefix of the compressed form is missing or incomplete.
+    #[error("document: length prefix is missing or incomplete")]
     NoLength,
-    /// The compressed form claims to be of a document of this many bytes, longer than any
-    /// configuration may be.
-    #[error("document: {0} bytes are too many")]
+    /// The length prefix, in bytes, exceeds the maximum size of a configuration.
+    #[error("document: length of {0} bytes exceeds the limit of {MAX_DOCUMENT_BYTES} bytes")]
     TooLong(usize),
-    /// The compressed bytes are damaged.
+    /// The compressed data is invalid.
     #[error("document: {0}")]
-    Damaged(#[from] DecompressError),
+    InvalidData(#[from] DecompressError),
 }
 
 impl Document {
-    /// The bytes.
+    /// Returns the uncompressed bytes.
     pub fn text(&self) -> &Arc<[u8]> {
         &self.text
     }
@@ -58,8 +59,8 @@
         self.encoded.get_or_init(|| encode(&self.text))
     }
 
-    /// Reads the encoded form. Documents that were stored before any was compressed are read as
-    /// well.
+    /// Decodes the encoded form, which may also be an uncompressed document of any length: versions
+    /// without compression stored such documents.
     fn decode(encoded: Arc<[u8]>) -> Result<Self, DocumentError> {
         let text = match encoded.split_first() {
             Some((&COMPRESSED_TAG, compressed)) => decompress(compressed)?.into(),
@@ -82,7 +83,8 @@
     encoded.into()
 }
 
-/// The length is checked before any memory is reserved for it.
+/// Decompresses data with a length prefix. The length is checked before the output buffer is
+/// allocated.
 fn decompress(compressed: &[u8]) -> Result<Vec<u8>, DocumentError> {
     let length: [u8; LENGTH_BYTES] = *compressed.first_chunk().ok_or(DocumentError::NoLength)?;
     let length = u32::from_le_bytes(length) as usize;
--- a/tier/protocol/src/shared_bytes.rs
+++ b/tier/protocol/src/shared_bytes.rs
@@ -1,5 +1,5 @@
-//! Encodes shared bytes as one block; the bytes on the wire are those of a sequence encoded one by
-//! one. For fields with `#[serde(with = "plankhill_protocol::shared_bytes")]`.
+//! Serializes shared bytes as one block, with the same encoding as a sequence of bytes that are
+//! serialized one by one. For fields with `#[serde(with = "plankhill_protocol::shared_bytes")]`.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,21 +7,21 @@
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserializer, Serializer};
 
-/// Most bytes that are reserved at once for a sequence, whose claimed length may be wrong.
+/// Maximum initial capacity for a sequence, in bytes; the length in the input may be wrong.
 const MAX_INITIAL_CAPACITY: usize = 4 * 1_024;
 
-/// Encodes `bytes`.
+/// Serializes `bytes` as one block.
 ///
 /// # Errors
-/// The serializer's.
+/// Errors of the serializer.
 pub fn serialize<S: Serializer>(bytes: &Arc<[u8]>, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
 
-/// Decodes bytes.
+/// Deserializes bytes.
 ///
 /// # Errors
-/// The deserializer's.
+/// Errors of the deserializer.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<[u8]>, D::Error> {
     deserializer.deserialize_bytes(BytesVisitor)
 }
