--- a/tier/protocol/src/tables.rs
+++ b/tier/protocol/src/tables.rs
@@ -1,8 +1,9 @@
-//! What the control plane publishes to the data plane: targets, stores, edges, configuration.
+//! Tables that the control plane publishes to the data plane: targets, stores, edges,
+//! configuration.
 //!
-//! Controllers derive the [`Tables`] from the replicated state and own their revisions; all others
-//! have immutable snapshots, each of which is replaced as one value. [`TablesUpdate`] carries the
-//! changes between two revisions.
+//! Controllers derive the [`Tables`] and their revisions from the replicated state; all other
+//! processes have immutable snapshots, each of which is replaced as one value. [`TablesUpdate`]
+//! carries the changes between two revisions.
 
 mod change;
 mod order;
@@ -17,28 +18,28 @@
 pub use change::{RevisionGap, TablesChange, TablesUpdate};
 pub use order::{compare_edges, compare_targets};
 
-/// Whether a target takes new requests.
+/// Availability of a target for new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetState {
-    /// Takes requests.
+    /// Accepts new requests.
     Healthy,
-    /// Finishes the requests in flight and takes no new ones.
+    /// Finishes the requests in flight and accepts no new ones.
     Draining,
 }
 
 /// A model that a target serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServedModel {
-    /// Name as in the `Model` header.
+    /// The name, as in the `Model` header.
     pub name: String,
-    /// Version of the weights.
+    /// The version of the weights.
     pub version: u64,
 }
 
-/// One registered target.
+/// A registered target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The id of this start of the target.
+    /// The id of this run of the target process.
     pub id: InstanceId,
     /// The service to which the target belongs.
     pub service: ServiceName,
@@ -46,20 +47,20 @@
     pub address: SocketAddr,
     /// The zone of the machine.
     pub zone: ZoneName,
-    /// Requests that the target executes at once.
+    /// Maximum number of requests that the target executes concurrently.
     pub capacity: u32,
-    /// Whether the target takes new requests.
+    /// The availability for new requests.
     pub state: TargetState,
     /// The highest `sequence` that the target has sent with a change.
     pub sequence: u64,
-    /// Milliseconds for which the target warms up after its start, as it reported when it
-    /// registered; 0 if it reported none.
+    /// Warm-up time after the start in milliseconds, as the target reported at registration; 0 if
+    /// the target reported none.
     pub warm_up_remaining_ms: u64,
-    /// The models that the target serves, as far as it reported them.
+    /// The served models that the target has reported.
     pub models: Vec<ServedModel>,
 }
 
-/// One store that keeps turns and budgets.
+/// A store for turns and budgets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreMember {
     /// The machine.
@@ -72,34 +73,35 @@
     pub zone: ZoneName,
 }
 
-/// The view of the stores that keep turns and budgets. While `next` is set, writes and budgets need
-/// a quorum in both sets.
+/// A view of the stores for turns and budgets. While `next` is set, writes and budgets need a
+/// quorum in both sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreView {
-    /// Rises with every change.
+    /// The epoch, which increases with every change of the view.
     pub epoch: StoreEpoch,
     /// The stores that have all data.
     pub serving: Vec<StoreMember>,
     /// The set that takes over once each of its members has copied its share of the data.
     pub next: Option<Vec<StoreMember>>,
-    /// Lost stores that the tier tolerates at once (f of a quorum system with 2f + 1 members).
+    /// Number of simultaneously lost stores that the tier tolerates (f of a quorum system with 2f +
+    /// 1 members).
     pub tolerated_faults: u32,
 }
 
-/// One edge machine: a proxy and its agent.
+/// An edge machine, which runs a proxy and its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edge {
     /// The machine.
     pub node: NodeId,
-    /// This start of the agent.
+    /// The incarnation of the agent; a restarted agent has another.
     pub incarnation: Incarnation,
-    /// Where the agent listens for peers.
+    /// The address at which the agent listens for peers.
     pub address: SocketAddr,
     /// The zone of the machine.
     pub zone: ZoneName,
 }
 
-/// The operator's configuration as it was sent.
+/// The operator's configuration, as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationText {
     /// The version of the configuration.
@@ -108,20 +110,20 @@
     pub document: Document,
 }
 
-/// Everything that the data plane knows, at one revision.
+/// All data that the control plane provides to the data plane, at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tables {
-    /// The committed revision that these tables show.
+    /// The committed revision that these tables represent.
     pub revision: Revision,
-    /// The operator's configuration; `None` before the first one.
+    /// The operator's configuration; `None` before the first configuration.
     pub configuration: Option<ConfigurationText>,
-    /// All registered targets, by service and id.
+    /// All registered targets, sorted by service and id.
     pub targets: Vec<Target>,
-    /// The stores.
+    /// The view of the stores.
     pub stores: StoreView,
-    /// The live edges, in the order of their names.
+    /// The live edges, sorted by name.
     pub edges: Vec<Edge>,
-    /// The edges that the operator has taken out of service, in the order of their names.
+    /// The edges that the operator has taken out of service, sorted by name.
     pub drains: Vec<Drain>,
 }
 
@@ -130,8 +132,8 @@
 pub struct Drain {
     /// The machine.
     pub node: NodeId,
-    /// The number of the operator's order; a later order has a higher one.
+    /// The number of the operator's order; a later order has a higher number.
     pub number: u64,
-    /// Whether the edge has reported since that it is drained.
+    /// Whether the edge has reported since the order that it is drained.
     pub empty: bool,
 }
--- a/tier/protocol/src/tables/change.rs
+++ b/tier/protocol/src/tables/change.rs
@@ -1,36 +1,36 @@
-//! Changes between two revisions of the tables: found by the feeder, applied by the subscriber.
+//! Changes between two revisions of the tables: computed by the feeder, applied by the subscriber.
 
 use serde::{Deserialize, Serialize};
 
-use super::order::{compare_edges, compare_targets, contains, differences, set};
+use super::order::{compare_edges, compare_targets, contains, differences, upsert};
 use super::{ConfigurationText, Drain, Edge, StoreView, Tables, Target};
 use crate::ids::{InstanceId, NodeId, Revision};
 
-/// One change of the tables.
+/// A change to the tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TablesChange {
     /// A target registered or changed.
     TargetSet(Target),
-    /// A target is gone.
+    /// A target was removed.
     TargetRemoved(InstanceId),
     /// The view of the stores changed.
     Stores(StoreView),
     /// An edge registered or changed.
     EdgeSet(Edge),
-    /// An edge is gone.
+    /// An edge was removed.
     EdgeRemoved(NodeId),
     /// The configuration was replaced.
     Configuration(ConfigurationText),
-    /// The drains changed; these are all of them.
+    /// The drains changed; contains the complete new list.
     Drains(Vec<Drain>),
 }
 
 /// An update that brings a receiver to a later revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TablesUpdate {
-    /// Replaces everything.
+    /// Complete tables, which replace those of the receiver.
     Snapshot(Tables),
-    /// Continues exactly revision `from`.
+    /// Changes that apply to revision `from` only.
     Changes {
         /// The revision that the receiver must have.
         from: Revision,
@@ -41,22 +41,24 @@
     },
 }
 
-/// An update does not continue the receiver's tables: the receiver needs a snapshot.
+/// The base revision of an update differs from the revision of the receiver's tables; the receiver
+/// needs a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the update continues revision {}, the tables are at {}", from.0, held.0)]
+#[error("update applies to revision {}, but the tables are at revision {}", from.0, current.0)]
 pub struct RevisionGap {
-    /// The revision that the update continues.
+    /// The base revision of the update.
     pub from: Revision,
-    /// The revision of the tables.
-    pub held: Revision,
+    /// The revision of the receiver's tables.
+    pub current: Revision,
 }
 
 impl Tables {
-    /// Applies one update. An update to this revision or an older one changes nothing and counts as
-    /// applied: the revision never goes back.
+    /// Applies an update. An update to the current revision or an earlier one changes nothing and
+    /// counts as applied: the revision never decreases.
     ///
     /// # Errors
-    /// [`RevisionGap`] if the update does not continue this revision; the tables stay as they were.
+    /// [`RevisionGap`] if the update consists of changes to another revision; the tables are then
+    /// unchanged.
     pub fn apply(&mut self, update: TablesUpdate) -> Result<(), RevisionGap> {
         match update {
             TablesUpdate::Snapshot(tables) => {
@@ -70,8 +72,8 @@
                     return Ok(());
                 }
                 if from != self.revision {
-                    let held = self.revision;
-                    return Err(RevisionGap { from, held });
+                    let current = self.revision;
+                    return Err(RevisionGap { from, current });
                 }
                 for change in changes {
                     self.apply_change(change);
@@ -84,17 +86,17 @@
 
     fn apply_change(&mut self, change: TablesChange) {
         match change {
-            TablesChange::TargetSet(target) => set(&mut self.targets, target, compare_targets),
+            TablesChange::TargetSet(target) => upsert(&mut self.targets, target, compare_targets),
             TablesChange::TargetRemoved(id) => self.targets.retain(|target| target.id != id),
             TablesChange::Stores(view) => self.stores = view,
-            TablesChange::EdgeSet(edge) => set(&mut self.edges, edge, compare_edges),
+            TablesChange::EdgeSet(edge) => upsert(&mut self.edges, edge, compare_edges),
             TablesChange::EdgeRemoved(node) => self.edges.retain(|edge| edge.node != node),
             TablesChange::Configuration(text) => self.configuration = Some(text),
             TablesChange::Drains(drains) => self.drains = drains,
         }
     }
 
-    /// The changes that lead from `older` to these tables.
+    /// Computes the changes that turn `older` into these tables.
     pub fn changes_since(&self, older: &Tables) -> Vec<TablesChange> {
         let mut changes = Vec::new();
         self.add_target_changes(older, &mut changes);
