--- a/tier/protocol/src/transport.rs
+++ b/tier/protocol/src/transport.rs
@@ -1,11 +1,11 @@
-//! Connections inside the tier: `postcard` messages in frames of a 4-byte little-endian length,
-//! after one [`Hello`] each way. A peer that does not acknowledge sent bytes for [`USER_TIMEOUT`]
-//! breaks the connection.
+//! Connections inside the tier. Each side sends one [`Hello`], then `postcard` messages in frames
+//! with a 4-byte little-endian length prefix. A connection fails if the peer does not acknowledge
+//! sent bytes within [`USER_TIMEOUT`].
 //!
-//! - `frame`: one half of a connection each.
-//! - `decode`: reading a message; what is wrong with one that is none.
+//! - `frame`: the reader and the writer of frames, one for each half of a connection.
+//! - `decode`: decodes messages; errors name the invalid field.
 //! - `connection`: opens connections, accepts them, exchanges greetings.
-//! - `caller`, `server`: calls with answers, over one connection that several calls share.
+//! - `caller`, `server`: concurrent request-response calls over one shared connection.
 
 mod abort_on_drop;
 mod caller;
@@ -31,13 +31,14 @@
 pub use server::serve_calls;
 pub use socket::{listen, set_socket_options};
 
-/// Version of everything in this package. Other versions are refused at the start of a connection.
+/// Version of the wire format of this package. Connections to peers with another version are
+/// rejected when the greetings are exchanged.
 pub const PROTOCOL_VERSION: u32 = 2;
-/// Unacknowledged bytes break a connection after this time; well under the contact bound of
-/// deployments (3 s).
+/// Time after which unacknowledged bytes cause a connection to fail; well below the contact bound
+/// of deployments (3 s).
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A connection that takes longer to come up, greetings included, counts as failed.
+/// Timeout for opening a connection and exchanging the greetings.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(800);
-/// The largest frame, in bytes without its length: a snapshot with a large configuration, with room
-/// to grow.
+/// Maximum size of a frame, in bytes without the length prefix: enough for a snapshot with a large
+/// configuration, with a margin for growth.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
--- a/tier/protocol/src/transport/abort_on_drop.rs
+++ b/tier/protocol/src/transport/abort_on_drop.rs
@@ -1,4 +1,4 @@
-//! A task that does not outlive its owner.
+//! A guard that aborts a task when its owner is dropped.
 
 use tokio::task::JoinHandle;
 
@@ -6,7 +6,7 @@
 pub(super) struct AbortOnDrop(JoinHandle<()>);
 
 impl AbortOnDrop {
-    /// Takes over a spawned task.
+    /// Creates a guard for a spawned task.
     pub(super) fn new(task: JoinHandle<()>) -> Self {
         AbortOnDrop(task)
     }
--- a/tier/protocol/src/transport/caller.rs
+++ b/tier/protocol/src/transport/caller.rs
@@ -1,8 +1,8 @@
-//! Calls with answers to one peer. Used by the clients of stores.
+//! Client side of request-response calls to one peer. Used by the clients of stores.
 //!
-//! All calls share one connection, which comes up with the first call and again after it broke.
-//! [`Shared`] owns the calls in flight and the connection; both tasks of a connection end with its
-//! [`Link`].
+//! All calls share one connection, which is opened by the first call and reopened by the first call
+//! after a failure. [`Shared`] owns the pending calls and the connection; dropping the connection's
+//! [`Link`] aborts both of its tasks.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,23 +20,23 @@
 use super::envelope::{write_queue, Envelope};
 use super::{dial, Connection, FrameReader, Hello};
 
-/// Most calls that wait for the connection's writer.
+/// Maximum number of calls queued for the connection's writer.
 const MAX_WRITE_QUEUE: usize = 4_096;
-/// After a failed dial, calls fail at once for this time.
+/// Time after a failed dial during which calls fail at once.
 const REDIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Why a call has no answer.
+/// An error of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The peer surely has not seen the call.
+    /// The peer has definitely not received the call.
     #[error("the peer could not be reached")]
     NotSent,
-    /// The peer may have seen the call and acted on it.
+    /// The peer may have received and executed the call.
     #[error("no answer")]
     NoAnswer,
 }
 
-/// Calls one peer. Clones share the connection. For one thread only.
+/// A client for calls to one peer. Clones share the connection. Usable on one thread only.
 pub struct Caller<Request, Reply> {
     shared: Rc<Shared<Request, Reply>>,
 }
@@ -54,7 +54,7 @@
     Request: Serialize + 'static,
     Reply: DeserializeOwned + 'static,
 {
-    /// A caller of the peer at `address`; nothing is connected yet.
+    /// Creates a caller of the peer at `address`, without connecting.
     pub fn new(address: SocketAddr, hello: Hello) -> Self {
         let shared = Shared {
             address,
@@ -67,15 +67,16 @@
         }
     }
 
-    /// The peer's address.
+    /// Returns the peer's address.
     pub fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Calls the peer and waits for its answer for at most `max_wait`, connecting included.
+    /// Calls the peer and waits for its answer for at most `max_wait`, including the time to
+    /// connect.
     ///
     /// # Errors
-    /// [`CallError`] says whether the peer may have seen the call.
+    /// [`CallError`], which indicates whether the peer may have received the call.
     pub async fn call(&self, request: Request, max_wait: Duration) -> Result<Reply, CallError> {
         let started = Instant::now();
         let deadline = started + max_wait;
@@ -104,36 +105,36 @@
     }
 }
 
-/// What the clones of a caller and the tasks of its connection share.
+/// State shared by the clones of a caller and the tasks of its connection.
 struct Shared<Request, Reply> {
     address: SocketAddr,
     hello: Hello,
     state: RefCell<State<Request, Reply>>,
-    /// Held while a connection is dialed: one dial at a time.
+    /// Locked while a connection is dialed, which allows one dial at a time.
     dialing: Mutex<()>,
 }
 
 struct State<Request, Reply> {
     link: Option<Link<Request>>,
-    /// The last number given to a call or a connection; both count on in one row.
+    /// The last number assigned to a call or a connection; both use the same counter.
     last_number: u64,
-    /// When the last dial failed; `None` after one that came up.
+    /// Time at which the last dial failed; `None` after a successful dial.
     dial_failed_at: Option<Instant>,
-    /// Who waits for the answer of each call in flight.
-    waiting: HashMap<u64, oneshot::Sender<Reply>>,
+    /// The answer channel of each pending call, by call number.
+    pending_calls: HashMap<u64, oneshot::Sender<Reply>>,
 }
 
-/// The present connection. Dropping it ends its tasks.
+/// The open connection. Dropping it aborts its tasks.
 struct Link<Request> {
     number: u64,
-    /// When the last answer came; at first, when the connection came up.
-    last_answer: Instant,
+    /// Time of the last answer; initially the time at which the connection was opened.
+    last_answer_at: Instant,
     writes: mpsc::Sender<Envelope<Request>>,
-    _reading: AbortOnDrop,
-    _writing: AbortOnDrop,
+    _read_task: AbortOnDrop,
+    _write_task: AbortOnDrop,
 }
 
-/// What a call needs of the present connection.
+/// The number and the write queue of the open connection.
 struct LinkHandle<Request> {
     number: u64,
     writes: mpsc::Sender<Envelope<Request>>,
@@ -154,7 +155,7 @@
             link: None,
             last_number: 0,
             dial_failed_at: None,
-            waiting: HashMap::new(),
+            pending_calls: HashMap::new(),
         }
     }
 }
@@ -165,7 +166,7 @@
         self.last_number
     }
 
-    /// The present connection, unless its writer has ended.
+    /// Returns the open connection, unless its writer has ended.
     fn open_link(&self) -> Option<LinkHandle<Request>> {
         let link = self.link.as_ref()?;
         if link.writes.is_closed() {
@@ -181,39 +182,39 @@
 }
 
 impl<Request, Reply> Shared<Request, Reply> {
-    /// Enters a call in flight; the returned guard removes it again.
+    /// Registers a pending call; dropping the returned guard removes the call.
     fn register_call(&self, answer: oneshot::Sender<Reply>) -> PendingCall<'_, Request, Reply> {
         let mut state = self.state.borrow_mut();
         let call = state.next_number();
-        state.waiting.insert(call, answer);
+        state.pending_calls.insert(call, answer);
         PendingCall { shared: self, call }
     }
 
-    /// Closes the connection. All calls that wait on it end without an answer.
+    /// Closes the connection. All pending calls end with [`CallError::NoAnswer`].
     fn close(&self) {
         let mut state = self.state.borrow_mut();
         state.link = None;
-        state.waiting.clear();
+        state.pending_calls.clear();
     }
 
-    /// Records that an answer came over connection `number`; returns who waits for it, if anyone
-    /// still does.
-    fn take_waiting(&self, number: u64, call: u64) -> Option<oneshot::Sender<Reply>> {
+    /// Records that an answer arrived on connection `number`. Returns the answer channel of `call`
+    /// if the call is still pending.
+    fn take_pending_call(&self, number: u64, call: u64) -> Option<oneshot::Sender<Reply>> {
         let mut state = self.state.borrow_mut();
         if let Some(link) = state.link.as_mut() {
             if link.number == number {
-                link.last_answer = Instant::now();
+                link.last_answer_at = Instant::now();
             }
         }
-        state.waiting.remove(&call)
+        state.pending_calls.remove(&call)
     }
 
-    /// Closes connection `number` if no answer at all has come since `since`, when a call began
-    /// that timed out: the connection may be dead. Otherwise the peer is only slow with this one
-    /// call, and the others go on.
+    /// Closes connection `number` if it has received no answer to any call since `since`, the start
+    /// of a call that timed out: the connection may be dead. Otherwise only this call is slow, and
+    /// the other calls continue.
     fn close_if_idle_since(&self, number: u64, since: Instant) {
         let is_idle = match &self.state.borrow().link {
-            Some(link) => link.last_answer <= since,
+            Some(link) => link.last_answer_at <= since,
             None => false,
         };
         if is_idle {
@@ -221,11 +222,11 @@
         }
     }
 
-    /// Closes connection `number`, unless another one has taken its place. Later calls use a new
-    /// connection, those in flight get no answer.
+    /// Closes connection `number`, unless another one has replaced it. Later calls open a new
+    /// connection; pending calls end with [`CallError::NoAnswer`].
     fn close_link(&self, number: u64) {
-        let present = self.state.borrow().link.as_ref().map(|link| link.number);
-        if present == Some(number) {
+        let open_number = self.state.borrow().link.as_ref().map(|link| link.number);
+        if open_number == Some(number) {
             self.close();
         }
     }
@@ -236,9 +237,9 @@
     Request: Serialize + 'static,
     Reply: DeserializeOwned + 'static,
 {
-    /// The present connection, or a new one.
+    /// Returns the open connection, or dials a new one.
     async fn connected(self: &Rc<Self>) -> Result<LinkHandle<Request>, CallError> {
-        let _one_dial_at_a_time = self.dialing.lock().await;
+        let _dial_guard = self.dialing.lock().await;
         if let Some(link) = self.state.borrow().open_link() {
             return Ok(link);
         }
@@ -255,19 +256,19 @@
         }
     }
 
-    /// Starts the tasks of a new connection, and makes it the present one.
+    /// Starts the tasks of a new connection and stores it as the open one.
     fn open(self: &Rc<Self>, connection: Connection) -> LinkHandle<Request> {
         let (writes, queue) = mpsc::channel(MAX_WRITE_QUEUE);
         let mut state = self.state.borrow_mut();
         let number = state.next_number();
-        let reading = spawn_local(read_answers(Rc::downgrade(self), connection.reader, number));
-        let writing = spawn_local(write_queue(queue, connection.writer));
+        let read_task = spawn_local(read_answers(Rc::downgrade(self), connection.reader, number));
+        let write_task = spawn_local(write_queue(queue, connection.writer));
         let link = Link {
             number,
-            last_answer: Instant::now(),
+            last_answer_at: Instant::now(),
             writes,
-            _reading: AbortOnDrop::new(reading),
-            _writing: AbortOnDrop::new(writing),
+            _read_task: AbortOnDrop::new(read_task),
+            _write_task: AbortOnDrop::new(write_task),
         };
         let handle = link.handle();
         state.dial_failed_at = None;
@@ -276,8 +277,9 @@
     }
 }
 
-/// Hands the answers of connection `number` to those who wait for them, until the connection ends.
-/// The caller may be gone by then: the task does not keep it.
+/// Delivers the answers that arrive on connection `number` to the pending calls, until the
+/// connection ends. The reference to the caller is weak, so that this task does not keep a dropped
+/// caller alive.
 async fn read_answers<Request, Reply>(
     shared: Weak<Shared<Request, Reply>>,
     mut reader: FrameReader,
@@ -289,8 +291,8 @@
         let Some(shared) = shared.upgrade() else {
             return;
         };
-        if let Some(answer) = shared.take_waiting(number, envelope.call) {
-            // The call may have stopped waiting.
+        if let Some(answer) = shared.take_pending_call(number, envelope.call) {
+            // The call may have been dropped in the meantime.
             let _ = answer.send(envelope.body);
         }
     }
@@ -299,7 +301,7 @@
     }
 }
 
-/// A call in flight. Dropping it forgets the call.
+/// A pending call. Dropping it removes the call from the state.
 struct PendingCall<'a, Request, Reply> {
     shared: &'a Shared<Request, Reply>,
     call: u64,
@@ -307,6 +309,10 @@
 
 impl<Request, Reply> Drop for PendingCall<'_, Request, Reply> {
     fn drop(&mut self) {
-        self.shared.state.borrow_mut().waiting.remove(&self.call);
+        self.shared
+            .state
+            .borrow_mut()
+            .pending_calls
+            .remove(&self.call);
     }
 }
--- a/tier/protocol/src/transport/connect.rs
+++ b/tier/protocol/src/transport/connect.rs
@@ -1,4 +1,4 @@
-//! Opens connections to machines that may just be coming up.
+//! Opens connections to machines that may be starting at the moment.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,18 +7,19 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// An attempt that has not come up after this time gets company: its opening packet may be lost, or
-/// have reached a machine without power, and the operating system sends it again only after a
-/// second (RFC 6298, section 2.1).
+/// Interval after which another attempt is started in parallel: the SYN packet of the previous
+/// attempt may be lost, or may have been sent to a machine without power, and the operating system
+/// retransmits it only after one second (RFC 6298, section 2.1).
 const STAGGER_INTERVAL: Duration = Duration::from_millis(150);
-/// Most attempts at once.
+/// Maximum number of concurrent attempts.
 const MAX_ATTEMPTS: usize = 5;
 
-/// Connects to `address` by several attempts; the first one that comes up is taken.
+/// Connects to `address` with several staggered attempts and returns the first established
+/// connection.
 ///
 /// # Errors
-/// The operating system's, of the first attempt that fails: the machine answers then, and further
-/// attempts would fail alike.
+/// The operating system's error for the first attempt that fails: the machine has answered, and
+/// further attempts would fail in the same way.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let mut attempts = JoinSet::new();
     attempts.spawn(TcpStream::connect(address));
--- a/tier/protocol/src/transport/connection.rs
+++ b/tier/protocol/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! Connections after both greetings.
+//! Opens and accepts connections, and exchanges the greetings.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
     PROTOCOL_VERSION,
 };
 
-/// Both halves of a connection after both greetings.
+/// A connection on which both greetings have been exchanged.
 pub struct Connection {
     /// The peer's greeting.
     pub peer: Hello,
     /// The peer's address.
     pub address: SocketAddr,
-    /// Incoming messages.
+    /// The reader of incoming messages.
     pub reader: FrameReader,
-    /// Outgoing messages.
+    /// The writer of outgoing messages.
     pub writer: FrameWriter,
 }
 
 /// Connects to `address` and exchanges greetings, within [`DIAL_TIMEOUT`].
 ///
 /// # Errors
-/// [`TransportError`]; the peer has then received at most `hello`.
+/// [`TransportError`]; in this case, the peer has received nothing or only `hello`.
 pub async fn dial(address: SocketAddr, hello: &Hello) -> Result<Connection, TransportError> {
     let dialing = async {
         let stream = connect(address).await?;
@@ -38,7 +38,8 @@
 /// Exchanges greetings on an accepted `stream` from `address`, within [`DIAL_TIMEOUT`].
 ///
 /// # Errors
-/// [`TransportError`] if the peer closes, is too slow, or speaks another version.
+/// [`TransportError`] if the peer closes the connection, exceeds the timeout, or uses another
+/// protocol version.
 pub async fn accept(
     stream: TcpStream,
     address: SocketAddr,
--- a/tier/protocol/src/transport/envelope.rs
+++ b/tier/protocol/src/transport/envelope.rs
@@ -1,23 +1,23 @@
-//! Calls and their answers on the wire. Both directions of a connection use the same form.
+//! Wire format of calls and their answers, which is the same in both directions of a connection.
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
 use super::FrameWriter;
 
-/// Most frames that are written together.
+/// Maximum number of frames in one write.
 const MAX_WRITE_BATCH: usize = 64;
 
-/// One call, or its answer.
+/// A call or its answer.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Envelope<T> {
-    /// The caller's number of the call; the answer has the same.
+    /// The number that the caller assigned to the call; the answer has the same number.
     pub(super) call: u64,
     /// The request or the reply.
     pub(super) body: T,
 }
 
-/// Writes what comes from `queue` until the queue or the connection is closed.
+/// Writes the envelopes from `queue` until the queue or the connection is closed.
 pub(super) async fn write_queue<T: Serialize>(
     mut queue: mpsc::Receiver<Envelope<T>>,
     mut writer: FrameWriter,
--- a/tier/protocol/src/transport/frame.rs
+++ b/tier/protocol/src/transport/frame.rs
@@ -1,5 +1,5 @@
-//! Frames: a 4-byte little-endian length and that many bytes of `postcard`. One reader or writer
-//! owns each half of a connection.
+//! Frames: a 4-byte little-endian length, followed by a `postcard` message of that many bytes. One
+//! reader or writer owns each half of a connection.
 
 use std::io;
 
@@ -11,13 +11,12 @@
 use super::decode::decode;
 use super::{TransportError, MAX_FRAME_BYTES};
 
-/// Bytes of the length in front of each frame.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Capacity of the read buffer, in bytes: most frames are small, large ones are read past the
-/// buffer.
+/// Capacity of the read buffer, in bytes. Most frames are small; large ones bypass the buffer.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
-/// A frame's buffer up to this capacity, in bytes, is kept for the next frame.
-const MAX_KEPT_BUFFER_BYTES: usize = 64 * 1024;
+/// Maximum capacity, in bytes, of a frame's buffer that is reused for the next frame.
+const MAX_REUSED_BUFFER_BYTES: usize = 64 * 1024;
 
 /// The incoming half of a connection.
 pub struct FrameReader<R = OwnedReadHalf> {
@@ -26,7 +25,7 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// Reads frames from this half.
+    /// Creates a reader of the frames in `stream`.
     pub fn new(stream: R) -> Self {
         FrameReader {
             stream: BufReader::with_capacity(READ_BUFFER_BYTES, stream),
@@ -34,11 +33,11 @@
         }
     }
 
-    /// Reads the next message. Not cancel-safe: a dropped call may have taken part of a frame.
+    /// Reads the next message. Not cancel-safe: a dropped future may have consumed part of a frame.
     ///
     /// # Errors
-    /// [`TransportError`] if the connection ends or the frame is no `T`; the connection is of no
-    /// further use.
+    /// [`TransportError`] if the connection ends or the frame is not a valid `T`; the connection
+    /// cannot be used afterwards.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<T, TransportError> {
         let length = self.stream.read_u32_le().await? as usize;
         if length > MAX_FRAME_BYTES {
@@ -53,15 +52,15 @@
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
         }
         let message = decode(&self.buffer)?;
-        if self.buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
+        if self.buffer.capacity() > MAX_REUSED_BUFFER_BYTES {
             self.buffer = Vec::new();
         }
         Ok(message)
     }
 
-    /// Reads the next message and gives the reader back with it. A task that waits for other events
-    /// as well keeps the returned future until it is ready, and so never drops one half-way through
-    /// a frame.
+    /// Reads the next message and returns it with the reader. A task that also waits for other
+    /// events keeps the returned future until it is ready, and thus never drops the future in the
+    /// middle of a frame.
     pub async fn into_next<T: DeserializeOwned>(mut self) -> (Self, Result<T, TransportError>) {
         let message = self.next().await;
         (self, message)
@@ -74,16 +73,16 @@
 }
 
 impl<W: AsyncWrite + Unpin> FrameWriter<W> {
-    /// Writes frames to this half.
+    /// Creates a writer of frames to `stream`.
     pub fn new(stream: W) -> Self {
         FrameWriter { stream }
     }
 
-    /// Sends one message.
+    /// Sends a message.
     ///
     /// # Errors
-    /// [`TransportError`] if the message is too long or the connection ends; the connection is of
-    /// no further use.
+    /// [`TransportError`] if a message cannot be encoded, is too long, or the connection ends; the
+    /// connection cannot be used afterwards.
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<(), TransportError> {
         let frame = encode(message)?;
         Ok(self.stream.write_all(&frame).await?)
@@ -92,8 +91,8 @@
     /// Sends several messages in one write.
     ///
     /// # Errors
-    /// [`TransportError`] if the message is too long or the connection ends; the connection is of
-    /// no further use.
+    /// [`TransportError`] if a message cannot be encoded, is too long, or the connection ends; the
+    /// connection cannot be used afterwards.
     pub async fn send_all<T: Serialize>(&mut self, messages: &[T]) -> Result<(), TransportError> {
         let mut frames = Vec::new();
         for message in messages {
--- a/tier/protocol/src/transport/server.rs
+++ b/tier/protocol/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! Answers calls that come over accepted connections. The stores run it.
+//! Server side of request-response calls. Used by the stores.
 
 use std::future::Future;
 use std::io;
@@ -15,25 +15,25 @@
 use super::envelope::{write_queue, Envelope};
 use super::{accept, Connection, Hello, TransportError};
 
-/// Most calls in flight on one connection; further ones stay unread.
+/// Maximum number of calls in flight on one connection; further calls are not read.
 const MAX_CALLS_PER_CONNECTION: usize = 1_024;
-/// Most connections at once; further ones are closed.
+/// Maximum number of concurrent connections; further connections are closed.
 const MAX_CONNECTIONS: usize = 2_048;
-/// Backoff after a failed accept, when the process has no file descriptor left: open connections
-/// can end meanwhile.
+/// Backoff after a failed accept. If the process has no free file descriptor, open connections can
+/// end during the backoff.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts connections for ever and answers each call by `answer`, which gets the caller's greeting
-/// and the request. Must run inside a `LocalSet`.
-pub async fn serve_calls<Request, Reply, Answer, Answering>(
+/// Accepts connections indefinitely and answers each call with the result of `answer`, whose
+/// arguments are the caller's greeting and the request. Must run inside a `LocalSet`.
+pub async fn serve_calls<Request, Reply, Answer, AnswerFuture>(
     listener: TcpListener,
     hello: Hello,
     answer: Answer,
 ) where
     Request: DeserializeOwned + 'static,
     Reply: Serialize + 'static,
-    Answer: Fn(Hello, Request) -> Answering + Clone + 'static,
-    Answering: Future<Output = Reply> + 'static,
+    Answer: Fn(Hello, Request) -> AnswerFuture + Clone + 'static,
+    AnswerFuture: Future<Output = Reply> + 'static,
 {
     let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -47,7 +47,7 @@
         let hello = hello.clone();
         let answer = answer.clone();
         spawn_local(async move {
-            // Counts this connection until the task ends.
+            // The permit counts this connection until the task ends.
             let _permit = permit;
             if let Ok(connection) = accept(stream, address, &hello).await {
                 let error = serve_connection(connection, answer).await;
@@ -57,16 +57,16 @@
     }
 }
 
-/// Serves one connection; returns why it ended.
-async fn serve_connection<Request, Reply, Answer, Answering>(
+/// Serves one connection until it ends, and returns the error that ended it.
+async fn serve_connection<Request, Reply, Answer, AnswerFuture>(
     connection: Connection,
     answer: Answer,
 ) -> TransportError
 where
     Request: DeserializeOwned + 'static,
     Reply: Serialize + 'static,
-    Answer: Fn(Hello, Request) -> Answering + Clone + 'static,
-    Answering: Future<Output = Reply> + 'static,
+    Answer: Fn(Hello, Request) -> AnswerFuture + Clone + 'static,
+    AnswerFuture: Future<Output = Reply> + 'static,
 {
     let Connection {
         peer,
@@ -75,9 +75,10 @@
         ..
     } = connection;
     let (replies, queue) = mpsc::channel::<Envelope<Reply>>(MAX_CALLS_PER_CONNECTION);
-    let _writing = AbortOnDrop::new(spawn_local(write_queue(queue, writer)));
+    let _write_task = AbortOnDrop::new(spawn_local(write_queue(queue, writer)));
     loop {
-        // Room for the reply is reserved before the call is read, which bounds the calls in flight.
+        // Queue capacity for the reply is reserved before the call is read, which bounds the calls
+        // in flight.
         let Ok(reply_permit) = replies.clone().reserve_owned().await else {
             return io::Error::from(io::ErrorKind::BrokenPipe).into();
         };
@@ -85,9 +86,9 @@
             Ok(envelope) => envelope,
             Err(error) => return error,
         };
-        let answering = answer(peer.clone(), body);
+        let answer_future = answer(peer.clone(), body);
         spawn_local(async move {
-            let body = answering.await;
+            let body = answer_future.await;
             reply_permit.send(Envelope { call, body });
         });
     }
--- a/tier/protocol/src/transport/socket.rs
+++ b/tier/protocol/src/transport/socket.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and the options of every connection.
+//! Listening sockets, and the socket options of all connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,10 +8,11 @@
 
 use super::{ListenError, USER_TIMEOUT};
 
-/// Connections that the operating system holds until they are accepted.
+/// Maximum number of connections that the operating system queues until they are accepted.
 const ACCEPT_BACKLOG: u32 = 1_024;
 
-/// Listens at `address`, which a process that is started again can use at once.
+/// Listens at `address` with `SO_REUSEADDR`, so that a restarted process can use the address at
+/// once.
 ///
 /// # Errors
 /// [`ListenError`] if the operating system refuses the address.
@@ -26,11 +27,12 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Sets the options of every connection: small frames are sent without delay, and a peer that does
-/// not acknowledge for [`USER_TIMEOUT`] breaks the connection (`TCP_USER_TIMEOUT`, RFC 5482).
+/// Sets the options of a connection: small frames are sent without delay (`TCP_NODELAY`), and the
+/// connection fails if the peer does not acknowledge sent bytes within [`USER_TIMEOUT`]
+/// (`TCP_USER_TIMEOUT`, RFC 5482).
 ///
 /// # Errors
-/// The operating system's.
+/// Errors of the operating system.
 pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT))
