--- a/tier/protocol/src/subscription.rs
+++ b/tier/protocol/src/subscription.rs
@@ -1,14 +1,14 @@
-//! The client side of [`crate::feed`]: keeps one connection to one of several feeders, and
-//! publishes their updates as immutable tables. Agents and stores subscribe to controllers, a proxy
-//! to the agent of its machine, an agent also to the home of its zone.
+//! The client side of [`crate::feed`]: maintains one connection to one of several feeders, and
+//! publishes the received updates as immutable tables. Agents and stores subscribe to controllers,
+//! a proxy to the agent of its machine, and an agent also to the home of its zone.
 //!
-//! A feeder that sends nothing for a time, says that it is not current, or stays behind the tables
-//! of the subscriber is left for the next one at once. The published revision never goes back
-//! during a subscription.
+//! A feeder that times out, reports that it is not current, or remains behind the subscriber's
+//! tables is replaced by the next one, without delay if it was current before. The published
+//! revision never decreases during a subscription.
 //!
-//! A [`Subscription`] is the owner's handle. Its task (`task`) goes from feeder to feeder in the
-//! order of `rotation`; `session` is one connection, and `progress` decides, without I/O, what each
-//! message means.
+//! A [`Subscription`] is the owner's handle. Its task (`task`) connects to the feeders in the order
+//! given by `rotation`; `session` runs one connection, and `progress` decides, without I/O, how
+//! each message is handled.
 
 mod progress;
 mod rotation;
@@ -31,25 +31,27 @@
 use crate::transport::Hello;
 use task::SubscriptionTask;
 
-/// A controller that sends nothing for this long is left: two of its heartbeats (300 ms) may be
-/// lost or late.
+/// Timeout of a silent controller: two of its heartbeats, which are sent every 300 ms, may be lost
+/// or late.
 pub const CONTROLLER_TIMEOUT: Duration = Duration::from_millis(700);
-/// The agent of the same machine is left after this time: its heartbeats (500 ms) share a fraction
-/// of a core with the proxy, and the proxy has no other feeder.
+/// Timeout of the agent of the same machine. Agents send heartbeats every 500 ms; the agent shares
+/// a fraction of a core with the proxy, and the proxy has no other feeder.
 pub const AGENT_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Most commands of the owner that wait while no feeder is connected; further ones are rejected.
+/// Maximum number of the owner's commands that are queued while no feeder is connected; further
+/// commands are rejected.
 const MAX_PENDING_COMMANDS: usize = 64;
 
-/// What a subscription needs to know.
+/// Options of a [`Subscription`].
 pub struct SubscriptionOptions {
-    /// The greeting, which names this machine.
+    /// The greeting sent on each connection, which contains the name of this machine.
     pub hello: Hello,
-    /// The kind of subscriber, with what registers it.
+    /// The kind of subscriber, with its registration data.
     pub subscriber: Subscriber,
-    /// Feeders to choose from. The feeders that a feeder names
-    /// ([`crate::feed::ToSubscriber::Controllers`]) are added to them.
+    /// Addresses of the feeders. The addresses that a feeder advertises
+    /// ([`crate::feed::ToSubscriber::Controllers`]) are used in addition.
     pub candidates: watch::Receiver<Vec<SocketAddr>>,
-    /// A feeder that sends nothing for this long is left.
+    /// Timeout after which the connection to a silent feeder is closed; also the timeout of each
+    /// send.
     pub feeder_timeout: Duration,
 }
 
@@ -62,18 +64,18 @@
 
 /// A command of the owner to the subscription's task.
 enum Command {
-    /// Send a message to the feeder.
+    /// Sends a message to the feeder.
     Send {
         message: FromSubscriber,
         /// Notified when the message has been handed to the operating system.
         flushed: Option<oneshot::Sender<()>>,
     },
-    /// Take updates from [`Command::Offer`], until the feeder's heartbeats show that the offers
+    /// Takes updates from [`Command::Offer`] until the feeder's heartbeats show that the offers
     /// lag.
     FollowHome,
-    /// Take updates from the feeder again.
+    /// Takes updates from the feeder again.
     FollowFeeder,
-    /// Tables of the home.
+    /// Tables received from the home of the zone.
     Offer(Arc<Tables>),
 }
 
@@ -83,9 +85,9 @@
         Subscription::start_from(options, Arc::default())
     }
 
-    /// Starts a subscription on the current `LocalSet` from the tables that its owner has.
-    pub fn start_from(options: SubscriptionOptions, held: Arc<Tables>) -> Self {
-        let (publish_tables, tables) = watch::channel(held);
+    /// Starts a subscription on the current `LocalSet` with the tables that its owner already has.
+    pub fn start_from(options: SubscriptionOptions, initial: Arc<Tables>) -> Self {
+        let (publish_tables, tables) = watch::channel(initial);
         let (publish_status, status) = watch::channel(LinkStatus::disconnected(Instant::now()));
         let (commands, received) = mpsc::channel(MAX_PENDING_COMMANDS);
         let task = SubscriptionTask::new(options, publish_tables, publish_status, received);
@@ -98,26 +100,26 @@
         }
     }
 
-    /// The tables; each change replaces them by a new value.
+    /// Returns a receiver of the tables; each change publishes a new value.
     pub fn tables(&self) -> watch::Receiver<Arc<Tables>> {
         self.tables.clone()
     }
 
-    /// The status of the connection.
+    /// Returns a receiver of the connection's status.
     pub fn status(&self) -> watch::Receiver<LinkStatus> {
         self.status.clone()
     }
 
-    /// Sends a message to the feeder, once. The message may be lost with the connection: a message
-    /// that has to arrive is sent again whenever [`LinkStatus::address`] changes. False if the
-    /// queue is full.
+    /// Queues a message to the feeder, which is sent once and may be lost with the connection: the
+    /// owner has to repeat a message that must arrive whenever [`LinkStatus::address`] changes.
+    /// Returns false if the queue is full.
     pub fn send(&self, message: FromSubscriber) -> bool {
         let flushed = None;
         self.command(Command::Send { message, flushed })
     }
 
-    /// Sends a message and waits until it has been handed to the operating system; false after
-    /// `timeout`.
+    /// Sends a message and waits until it has been handed to the operating system. Returns false if
+    /// this fails or takes longer than `timeout`.
     pub async fn send_and_flush(&self, message: FromSubscriber, timeout: Duration) -> bool {
         let (flushed, done) = oneshot::channel();
         let flushed = Some(flushed);
@@ -127,21 +129,21 @@
         matches!(tokio::time::timeout(timeout, done).await, Ok(Ok(())))
     }
 
-    /// Takes updates from [`Subscription::offer`] from now on; the feeder sends heartbeats only. As
-    /// soon as the offers lag behind the feeder's revision by [`MAX_HOME_LAG`], and on every new
-    /// connection, the feeder is asked for updates again. Nothing happens while the feeder has
-    /// announced a later revision than the subscriber's. False if the queue is full.
+    /// Switches to updates from [`Subscription::offer`]; the feeder then sends heartbeats only. The
+    /// subscription switches back to the feeder as soon as the offers lag behind the feeder's
+    /// revision by [`MAX_HOME_LAG`], and on every new connection. Has no effect while the feeder
+    /// has announced a later revision than the subscriber's. Returns false if the queue is full.
     pub fn follow_home(&self) -> bool {
         self.command(Command::FollowHome)
     }
 
-    /// Takes updates from the feeder again. False if the queue is full.
+    /// Switches back to updates from the feeder. Returns false if the queue is full.
     pub fn follow_feeder(&self) -> bool {
         self.command(Command::FollowFeeder)
     }
 
-    /// Offers tables of the home. They are published if they are newer than the subscriber's, and
-    /// updates do not come from the feeder. False if the queue is full.
+    /// Offers tables received from the home. The tables are published if they are newer than the
+    /// subscriber's and updates do not come from the feeder. Returns false if the queue is full.
     pub fn offer(&self, tables: Arc<Tables>) -> bool {
         self.command(Command::Offer(tables))
     }
--- a/tier/protocol/src/subscription/progress.rs
+++ b/tier/protocol/src/subscription/progress.rs
@@ -1,5 +1,5 @@
-//! What the messages of one feeder mean for the subscriber's tables. Decisions without I/O: time is
-//! passed in, and the session does what the returned [`Step`] says.
+//! Applies the messages of one feeder to the subscriber's tables, without I/O: the current time is
+//! an argument, and the session executes the returned [`Step`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,36 +9,38 @@
 use crate::ids::Revision;
 use crate::tables::{Tables, TablesUpdate};
 
-/// Heartbeats in a row by which a feeder may be behind the subscriber: one may just have overtaken
-/// the change.
+/// Number of heartbeats behind the subscriber's revision after which a feeder counts as not
+/// current. One is tolerated, because it may have been sent just before the feeder received the
+/// change.
 const MAX_HEARTBEATS_BEHIND: u32 = 2;
-/// Heartbeats that may come before the answer to a request: one may have been under way, the next
-/// may have crossed the request.
+/// Number of heartbeats before the answer to a request after which the session reconnects. Two are
+/// tolerated: one may have been in transit already, and the next may have crossed the request.
 const MAX_HEARTBEATS_BEFORE_ANSWER: u32 = 3;
-/// How long a home may lag behind the revision that the feeder has announced: some ten times the
-/// way over one more machine, and a small part of the time within which a change must have spread.
+/// Maximum time for which a home may lag behind the revision that the feeder has announced: about
+/// ten times the delay of one additional hop, and a small part of the time within which a change
+/// must reach all machines.
 pub const MAX_HOME_LAG: Duration = Duration::from_millis(150);
 
-/// What the session has to do after one message.
+/// The action of the session after a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// The tables changed: publish them and acknowledge the revision.
     Changed,
-    /// Nothing changed. The tables are at the newest revision that the feeder has confirmed.
+    /// Nothing changed, and the feeder confirmed that the tables are current.
     Confirmed,
     /// Nothing changed, and the feeder did not confirm that the tables are current.
     Unconfirmed,
-    /// An update did not continue the tables: request a snapshot.
+    /// The tables lack changes: request a snapshot.
     RequestSnapshot,
-    /// Remember these feeders as further candidates.
+    /// The feeder advertised these feeders: store them as additional candidates.
     NewFeeders(Vec<SocketAddr>),
-    /// The feeder is not current: go to another one.
+    /// The feeder is not current: switch to another one.
     NotCurrent,
-    /// The answer to a request did not come: connect anew.
+    /// The feeder did not answer a request: reconnect.
     Reconnect,
 }
 
-/// Where updates come from.
+/// The source of updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum UpdateSource {
     /// The feeder itself.
@@ -46,30 +48,31 @@
     Feeder,
     /// The home of the zone.
     Home {
-        /// Since when the home has been behind the feeder; `None` while it is not.
+        /// Time since which the home has been behind the feeder; `None` while the home is not
+        /// behind.
         behind_since: Option<Instant>,
     },
 }
 
-/// A request of the subscriber whose answer has not come yet.
+/// A request of the subscriber that the feeder has not answered yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum PendingRequest {
-    /// The feeder owes no answer.
+    /// No request is pending.
     #[default]
     None,
-    /// The feeder was asked for a snapshot.
+    /// The subscriber requested a snapshot.
     Snapshot,
-    /// The feeder was asked to send updates again.
+    /// The subscriber requested that the feeder resume updates.
     Updates,
 }
 
-/// A subscriber's progress over one connection to a feeder. Owned by the session.
+/// The state of a subscriber on one connection to a feeder. Owned by the session.
 #[derive(Debug, Default)]
 pub struct Progress {
     pending: PendingRequest,
-    /// Heartbeats that came before the answer to the pending request.
+    /// Number of heartbeats received before the answer to the pending request.
     heartbeats_before_answer: u32,
-    /// Heartbeats in a row that were behind the subscriber.
+    /// Number of heartbeats behind the subscriber since the last heartbeat at its revision.
     heartbeats_behind: u32,
     source: UpdateSource,
     /// The highest revision that the feeder has announced.
@@ -77,7 +80,7 @@
 }
 
 impl Progress {
-    /// Takes a message that came at `now`; applies an update to `tables`.
+    /// Handles a message received at `now`; an update is applied to `tables`.
     pub fn on_message(
         &mut self,
         message: ToSubscriber,
@@ -93,9 +96,9 @@
         }
     }
 
-    /// Takes updates from the home from now on. Returns the message that notifies the feeder;
-    /// `None` if updates already come from the home, or if the feeder has announced more than
-    /// `held_revision`: the subscriber has to catch up first.
+    /// Switches to updates from the home. Returns the message that notifies the feeder. Does
+    /// nothing and returns `None` if updates already come from the home, or if the feeder has
+    /// announced a later revision than `held_revision`: the subscriber has to catch up first.
     pub fn follow_home(&mut self, held_revision: Revision) -> Option<FromSubscriber> {
         if self.follows_home() || self.announced > held_revision {
             return None;
@@ -104,13 +107,13 @@
         Some(FromSubscriber::HeartbeatsOnly)
     }
 
-    /// Whether updates come from the home.
+    /// Returns whether updates come from the home.
     pub fn follows_home(&self) -> bool {
         self.source != UpdateSource::Feeder
     }
 
-    /// Takes tables that the home sent; they replace `tables` if updates come from the home and
-    /// they are newer.
+    /// Handles tables received from the home; `offered` replaces `tables` if updates come from the
+    /// home and `offered` is newer.
     pub fn on_offer(&mut self, offered: Arc<Tables>, tables: &mut Arc<Tables>) -> Step {
         if !self.follows_home() || offered.revision <= tables.revision {
             return Step::Unconfirmed;
@@ -122,7 +125,8 @@
         Step::Changed
     }
 
-    /// When the feeder has to be asked for updates again, unless the home has caught up by then.
+    /// Returns the time at which updates have to be requested from the feeder again, unless the
+    /// home has caught up by then.
     pub fn home_deadline(&self) -> Option<Instant> {
         match self.source {
             UpdateSource::Feeder => None,
@@ -130,8 +134,8 @@
         }
     }
 
-    /// Takes updates from the feeder from now on. Returns the message that notifies the feeder;
-    /// `None` if they already come from the feeder.
+    /// Switches to updates from the feeder. Returns the message that notifies the feeder; `None` if
+    /// updates already come from the feeder.
     pub fn follow_feeder(&mut self, held_revision: Revision) -> Option<FromSubscriber> {
         let followed_home = self.follows_home();
         self.source = UpdateSource::Feeder;
@@ -186,7 +190,7 @@
         }
     }
 
-    /// The feeder has announced a later revision than the subscriber's.
+    /// Handles the announcement of a later revision than the subscriber's.
     fn on_announced_ahead(&mut self, now: Instant) -> Step {
         if let UpdateSource::Home { behind_since } = &mut self.source {
             behind_since.get_or_insert(now);
--- a/tier/protocol/src/subscription/session.rs
+++ b/tier/protocol/src/subscription/session.rs
@@ -1,5 +1,6 @@
-//! One connection of a subscription to one feeder, from the message that subscribes to its end.
-//! Started by [`super::task`]; the decisions are those of [`Progress`].
+//! Runs a subscription on one connection to a feeder, after the subscribe message has been sent,
+//! until the connection ends. Started by [`super::task`]; [`Progress`] decides how messages are
+//! handled.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,42 +15,42 @@
 use crate::tables::Tables;
 use crate::transport::{FrameReader, FrameWriter};
 
-/// Why a session ended.
+/// The reason for the end of a session.
 pub(super) enum SessionEnd {
     /// The owner dropped the subscription.
     SubscriptionDropped,
-    /// The feeder failed or fell behind, after it had been current at some time.
+    /// The feeder failed or was no longer current, after it had been current during the session.
     Served,
     /// The feeder failed and was never current.
     NeverCurrent,
-    /// The feeder was not current for as long as it was given.
+    /// The feeder did not become current within the stale timeout.
     StayedStale,
 }
 
-/// The connection is of no further use.
+/// The connection has to be closed.
 struct ConnectionDone;
 
-/// One connection to one feeder.
+/// State of one connection to a feeder.
 pub(super) struct Session<'a> {
     task: &'a mut SubscriptionTask,
     writer: FrameWriter,
     address: SocketAddr,
-    /// How long the feeder may take to become current; `None` if there is no other one to go to.
+    /// Time within which the feeder has to become current; `None` if there is no other feeder.
     stale_timeout: Option<Duration>,
     progress: Progress,
-    /// Whether the feeder said last that it is current, and confirmed the tables.
+    /// Whether the feeder has confirmed the tables and has not been found to be stale since.
     current: bool,
-    /// Whether the feeder was current at some time of this session.
+    /// Whether the feeder has been current at any time during this session.
     was_current: bool,
-    /// When the feeder's last message came; at first, when the session began.
-    last_message: Instant,
-    /// When the feeder is left, unless it becomes current before.
+    /// Time of the feeder's last message; initially the start of the session.
+    last_message_at: Instant,
+    /// Time at which the session ends unless the feeder becomes current before.
     leave_at: Option<Instant>,
 }
 
 impl<'a> Session<'a> {
-    /// A session with the feeder at `address`. A feeder that is not current is left after
-    /// `stale_timeout`; never if there is none.
+    /// Creates a session with the feeder at `address`. The session with a feeder that is not
+    /// current ends after `stale_timeout`, or never if `stale_timeout` is `None`.
     pub(super) fn new(
         task: &'a mut SubscriptionTask,
         writer: FrameWriter,
@@ -64,12 +65,12 @@
             progress: Progress::default(),
             current: false,
             was_current: false,
-            last_message: Instant::now(),
+            last_message_at: Instant::now(),
             leave_at: None,
         }
     }
 
-    /// Runs until the connection is of no further use.
+    /// Runs until the connection has to be closed or the owner drops the subscription.
     pub(super) async fn run(mut self, reader: FrameReader) -> SessionEnd {
         let mut reading = Box::pin(reader.into_next::<ToSubscriber>());
         loop {
@@ -114,12 +115,12 @@
         });
     }
 
-    /// When the feeder is considered dead unless a message comes before.
+    /// Returns the time at which the feeder times out unless a message arrives before.
     fn times_out_at(&self) -> Instant {
-        self.last_message + self.task.options.feeder_timeout
+        self.last_message_at + self.task.options.feeder_timeout
     }
 
-    /// When the session has to act although no message comes.
+    /// Returns the time of the next timeout or deadline of the session.
     fn wake_at(&self) -> Instant {
         let mut wake_at = self.times_out_at();
         if let Some(deadline) = self.progress.home_deadline() {
@@ -131,7 +132,7 @@
         wake_at
     }
 
-    /// Whether the time is over within which the feeder had to become current.
+    /// Returns whether the time within which the feeder had to become current has elapsed.
     fn must_leave(&self) -> bool {
         self.leave_at
             .is_some_and(|leave_at| Instant::now() >= leave_at)
@@ -139,11 +140,12 @@
 
     async fn on_message(&mut self, message: ToSubscriber) -> Result<(), ConnectionDone> {
         let now = Instant::now();
-        // This process did not run for a while: the messages that waited in the socket are old.
+        // This process was not scheduled for a while, so that the messages buffered in the socket
+        // are outdated.
         if now > self.times_out_at() + self.task.options.feeder_timeout {
             return Err(ConnectionDone);
         }
-        self.last_message = now;
+        self.last_message_at = now;
         let mut tables = self.task.tables.borrow().clone();
         let revision = tables.revision;
         match self.progress.on_message(message, &mut tables, now) {
@@ -158,7 +160,7 @@
             Step::Unconfirmed => self.acknowledge(revision).await,
             Step::RequestSnapshot => self.send(&FromSubscriber::RequestSnapshot).await,
             Step::NewFeeders(feeders) => {
-                self.task.add_feeders(feeders);
+                self.task.set_advertised_feeders(feeders);
                 Ok(())
             }
             Step::NotCurrent => self.on_not_current(revision).await,
@@ -172,9 +174,9 @@
         self.acknowledge(revision).await
     }
 
-    /// Goes to another feeder, if there is one: at once if this one was current before, otherwise
-    /// after `stale_timeout`. When all controllers have started together, none is current yet, and
-    /// going from one to the next would bring nothing but load.
+    /// Ends the session if there is another feeder: at once if this feeder was current before,
+    /// otherwise after `stale_timeout`. When all controllers have started together, none is current
+    /// yet, and switching from one to the next would only cause load.
     async fn on_not_current(&mut self, revision: Revision) -> Result<(), ConnectionDone> {
         tracing::debug!(address = %self.address, "feeder not current");
         self.current = false;
@@ -187,8 +189,8 @@
         self.acknowledge(revision).await
     }
 
-    /// Answers an update or a heartbeat. Agents need no answer of their subscribers: it would only
-    /// wake two processes.
+    /// Acknowledges an update or a heartbeat. Agents need no acknowledgments from their
+    /// subscribers, which would only wake two processes.
     async fn acknowledge(&mut self, revision: Revision) -> Result<(), ConnectionDone> {
         match self.task.options.subscriber {
             Subscriber::Proxy | Subscriber::Peer => Ok(()),
@@ -238,7 +240,7 @@
         }
     }
 
-    /// One of the times of [`Session::wake_at`] has come.
+    /// Handles the timeouts and deadlines of [`Session::wake_at`].
     async fn on_wake(&mut self) -> Result<(), ConnectionDone> {
         if self.must_leave() {
             return Err(ConnectionDone);
--- a/tier/protocol/src/subscription/status.rs
+++ b/tier/protocol/src/subscription/status.rs
@@ -1,4 +1,4 @@
-//! What a subscription publishes about its connection. Written by the subscription's task, read by
+//! The connection status that a subscription publishes. Written by the subscription's task, read by
 //! the owner.
 
 use std::net::SocketAddr;
@@ -7,22 +7,23 @@
 /// The status of the connection to a feeder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkStatus {
-    /// Whether the connection is up, the feeder says that it is current, and the tables are at its
-    /// revision.
+    /// Whether the connection is open, the feeder reports that it is current, and the tables are at
+    /// the feeder's revision.
     pub current: bool,
-    /// When `current`, `address` or `follows_home` changed last.
+    /// Time of the last change of `current`, `address` or `follows_home`.
     pub changed_at: Instant,
     /// The connected feeder; `None` while there is none.
     pub address: Option<SocketAddr>,
     /// Whether the feeder sends heartbeats only, and updates come from
     /// [`super::Subscription::offer`].
     pub follows_home: bool,
-    /// When the tables were last known to be current. Rises without waking the watchers.
+    /// Time at which the tables were last confirmed to be current. Watchers are not notified when
+    /// only this field changes.
     pub confirmed_at: Option<Instant>,
 }
 
 impl LinkStatus {
-    /// The status of a subscription that has not been connected since `now`.
+    /// Returns the status of a subscription that is disconnected since `now`.
     pub(super) fn disconnected(now: Instant) -> Self {
         LinkStatus {
             current: false,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether the tables were known to be current at some moment within `age` before `now`.
+    /// Returns whether the tables were confirmed to be current within `age` before `now`.
     pub fn confirmed_within(&self, age: Duration, now: Instant) -> bool {
         match self.confirmed_at {
             Some(confirmed_at) => now.saturating_duration_since(confirmed_at) <= age,
--- a/tier/protocol/src/subscription/task.rs
+++ b/tier/protocol/src/subscription/task.rs
@@ -14,15 +14,15 @@
 use crate::tables::Tables;
 use crate::transport::{dial, Connection, Hello, TransportError};
 
-/// Most feeders that are remembered of those that a feeder named.
-const MAX_NAMED_FEEDERS: usize = 64;
-/// A candidate that has not answered after this time gets company: many times the way there and
-/// back.
+/// Maximum number of advertised feeders that are stored.
+const MAX_ADVERTISED_FEEDERS: usize = 64;
+/// Interval after which the next candidate is dialed in parallel if the previous one has not
+/// answered: many times the round-trip time.
 const DIAL_STAGGER_INTERVAL: Duration = Duration::from_millis(150);
-/// Most candidates that are dialed at once.
+/// Maximum number of concurrent dials.
 const MAX_CONCURRENT_DIALS: usize = 4;
 
-/// What a session says of its connection; the other fields of [`LinkStatus`] are the task's own.
+/// The fields of [`LinkStatus`] that a session reports; the task maintains the other fields.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LinkState {
     pub(super) current: bool,
@@ -36,8 +36,8 @@
     pub(super) tables: watch::Sender<Arc<Tables>>,
     pub(super) commands: mpsc::Receiver<Command>,
     status: watch::Sender<LinkStatus>,
-    /// The feeders that a feeder named last.
-    named_feeders: Vec<SocketAddr>,
+    /// The feeders that a feeder advertised last.
+    advertised_feeders: Vec<SocketAddr>,
 }
 
 impl SubscriptionTask {
@@ -52,7 +52,7 @@
             tables,
             commands,
             status,
-            named_feeders: Vec::new(),
+            advertised_feeders: Vec::new(),
         }
     }
 
@@ -74,16 +74,16 @@
                     tokio::time::sleep(backoff).await;
                 }
                 SessionEnd::StayedStale => {
-                    // The session has lasted as long as the backoff.
+                    // No sleep is needed: the session has lasted as long as the backoff.
                     rotation.record_failure(self.candidates().len());
                 }
             }
         }
     }
 
-    /// The first connection that comes up; `None` when the owner has dropped the subscription. A
-    /// machine without power does not answer at all, so the next candidate is dialed while the last
-    /// one has not answered.
+    /// Dials candidates and returns the first established connection; `None` if the owner has
+    /// dropped the subscription. A machine without power does not answer at all, so that the next
+    /// candidate is dialed before the previous one has answered.
     async fn connect(&mut self, rotation: &mut Rotation) -> Option<Connection> {
         let mut dials = JoinSet::new();
         let mut next_dial = Instant::now();
@@ -112,13 +112,13 @@
         None
     }
 
-    /// Remembers feeders to try besides the owner's candidates.
-    pub(super) fn add_feeders(&mut self, mut feeders: Vec<SocketAddr>) {
-        feeders.truncate(MAX_NAMED_FEEDERS);
-        self.named_feeders = feeders;
+    /// Stores the feeders that a feeder advertised, which replace those advertised before.
+    pub(super) fn set_advertised_feeders(&mut self, mut feeders: Vec<SocketAddr>) {
+        feeders.truncate(MAX_ADVERTISED_FEEDERS);
+        self.advertised_feeders = feeders;
     }
 
-    /// Publishes the state of the connection, and wakes the watchers if it has changed.
+    /// Publishes the state of the connection, and notifies the watchers if the state has changed.
     pub(super) fn publish_status(&self, state: LinkState) {
         let LinkState {
             current,
@@ -143,7 +143,7 @@
         });
     }
 
-    /// Records that the tables are current now, without waking the watchers.
+    /// Records that the tables are current now, without notifying the watchers.
     pub(super) fn confirm_tables(&self) {
         self.status.send_if_modified(|status| {
             status.confirmed_at = Some(Instant::now());
@@ -151,17 +151,17 @@
         });
     }
 
-    /// The owner's candidates and those that a feeder named, in the order of their addresses.
+    /// Returns the owner's candidates and the advertised feeders, sorted by address.
     fn candidates(&self) -> Vec<SocketAddr> {
         let mut candidates = self.options.candidates.borrow().clone();
-        candidates.extend(&self.named_feeders);
+        candidates.extend(&self.advertised_feeders);
         candidates.sort_unstable();
         candidates.dedup();
         candidates
     }
 
-    /// One connection, from its first message to its end. A feeder that is not current may become
-    /// so within `stale_timeout`.
+    /// Subscribes on a new connection and runs the session until it ends. If there is another
+    /// candidate, the feeder has to become current within `stale_timeout`.
     async fn run_session(&mut self, connection: Connection, stale_timeout: Duration) -> SessionEnd {
         let Connection {
             address,
