--- a/tier/protocol/src/feed.rs
+++ b/tier/protocol/src/feed.rs
@@ -1,6 +1,6 @@
-//! The messages of subscriptions to the control plane: agents and stores subscribe to a controller,
-//! agents to the home of their zone, a proxy to the agent of its machine. [`crate::subscription`]
-//! is the subscriber's side.
+//! Messages between the subscribers and the feeders of the control plane's tables. Agents and
+//! stores subscribe to a controller, agents also to the home of their zone, and a proxy to the
+//! agent of its machine. [`crate::subscription`] implements the subscriber.
 
 use std::net::SocketAddr;
 
@@ -12,46 +12,50 @@
 /// The kind of subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subscriber {
-    /// The agent of an edge machine, at a controller; subscribing registers the edge.
+    /// The agent of an edge machine that subscribes to a controller; the subscription registers the
+    /// edge.
     Edge(Edge),
-    /// A store, at a controller; subscribing registers the store.
+    /// A store that subscribes to a controller; the subscription registers the store.
     Store(StoreMember),
-    /// A proxy, at the agent of its machine.
+    /// A proxy that subscribes to the agent of its machine.
     Proxy,
-    /// An agent, at the home of its zone.
+    /// An agent that subscribes to the home of its zone.
     Peer,
 }
 
 /// A message from a subscriber to its feeder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromSubscriber {
-    /// The first message on a connection.
+    /// Starts the subscription; the first message on a connection.
     Subscribe {
         /// The kind of subscriber.
         subscriber: Subscriber,
-        /// The revision of the subscriber's tables; 0 if it has none.
+        /// The revision of the subscriber's tables; 0 if the subscriber has none.
         held_revision: Revision,
     },
-    /// The subscriber has applied updates up to this revision; also its heartbeat.
+    /// Reports that the subscriber has applied updates up to this revision; also serves as the
+    /// subscriber's heartbeat.
     Applied(Revision),
-    /// An update did not continue the subscriber's tables: the feeder has to send a snapshot.
+    /// Requests a snapshot, because the subscriber's tables lack changes that precede the feeder's
+    /// updates.
     RequestSnapshot,
-    /// A store has copied all its data of the next set of stores, in the view of this epoch.
+    /// Reports that the store has copied all its data of the next set of stores, in the view with
+    /// this epoch.
     StoreSynced(StoreEpoch),
-    /// A peer does not answer the health checks of the agent that sends this.
+    /// Reports a peer that does not answer the health checks of the sending agent.
     SuspectPeer(NodeId),
-    /// The edge shuts down in order: its registration ends at once.
+    /// Removes the registration of the edge at once, because the edge shuts down gracefully.
     Deregister,
-    /// The edge is drained: no client is connected and no request is in flight. Sent by the proxy
-    /// to its agent, and by the agent to a controller.
+    /// Reports that the edge is drained: no client is connected and no request is in flight. Sent
+    /// by the proxy to its agent, and by the agent to a controller.
     Drained {
         /// The number of the operator's order to drain the edge.
         number: u64,
     },
-    /// The home of the zone sends the updates from now on: the feeder has to send heartbeats only,
-    /// and one at once whenever its revision rises.
+    /// Requests heartbeats without updates, because the home of the zone sends the updates. The
+    /// feeder sends a heartbeat at once whenever its revision increases.
     HeartbeatsOnly,
-    /// The feeder has to send updates again.
+    /// Requests updates again after [`FromSubscriber::HeartbeatsOnly`].
     ResumeUpdates {
         /// The revision of the subscriber's tables.
         held_revision: Revision,
@@ -61,18 +65,19 @@
 /// A message from a feeder to its subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToSubscriber {
-    /// An update of the tables. On a new connection it comes first, unless the subscriber has the
-    /// newest revision.
+    /// An update of the tables; the first message on a new connection, unless the subscriber has
+    /// the newest revision.
     Update(TablesUpdate),
-    /// Sent after the first update, or instead of it, and then at intervals. A subscriber whose
-    /// controller is not current goes to another one.
+    /// Sent after the first update, or instead of it, and then periodically. A subscriber whose
+    /// controller is not current switches to another controller.
     Heartbeat {
         /// The sender's committed revision.
         revision: Revision,
-        /// Whether the sender has confirmed lately that no later revision exists without it.
+        /// Whether the sender has recently confirmed that it does not lack any later revision.
         current: bool,
     },
-    /// The addresses at which all controllers listen for subscribers, also when no seed is left.
-    /// Sent once on each connection, and when they change.
+    /// The addresses at which all controllers listen for subscribers, so that subscribers find
+    /// controllers even if none of the seeds remains. Sent once on each connection, and when the
+    /// addresses change.
     Controllers(Vec<SocketAddr>),
 }
--- a/tier/protocol/src/feed_position.rs
+++ b/tier/protocol/src/feed_position.rs
@@ -1,4 +1,4 @@
-//! What a feeder has to send one subscriber. Decisions without I/O: the agent's feeder keeps one
+//! Computes the updates for one subscriber, without I/O. The agent's feeder has one
 //! [`FeedPosition`] for each of its subscribers.
 
 use std::sync::Arc;
@@ -6,10 +6,11 @@
 use crate::ids::Revision;
 use crate::tables::{Tables, TablesUpdate};
 
-/// The tables of a subscriber, as far as its feeder knows them.
+/// The feeder's record of a subscriber's tables.
 #[derive(Clone, Debug)]
 pub enum FeedPosition {
-    /// The subscriber said that it has this revision; the feeder does not know the contents.
+    /// The subscriber has reported this revision; the feeder has no copy of the subscriber's
+    /// tables.
     Claimed(Revision),
     /// The feeder has sent the subscriber exactly these tables.
     Sent(Arc<Tables>),
@@ -18,8 +19,8 @@
 }
 
 impl FeedPosition {
-    /// The update that brings the subscriber to `newest`, which it is taken to have afterwards.
-    /// `None` if the subscriber has this revision or a later one.
+    /// Returns the update that brings the subscriber to `newest`, and records `newest` as sent.
+    /// Returns `None` if the subscriber has this revision or a later one.
     pub fn advance_to(&mut self, newest: &Arc<Tables>) -> Option<TablesUpdate> {
         let update = match self {
             FeedPosition::Claimed(claimed) if *claimed > newest.revision => return None,
--- a/tier/protocol/src/ids.rs
+++ b/tier/protocol/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that several packages share.
+//! Names and numbers that identify entities in several packages.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
         pub struct $name(pub Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -33,36 +33,36 @@
 }
 
 name_type! {
-    /// A machine of the tier, as its settings name it (`node_id`).
+    /// The name of a machine of the tier (`node_id` in its settings).
     NodeId
 }
 name_type! {
-    /// A zone of the deployment.
+    /// The name of a zone of the deployment.
     ZoneName
 }
 name_type! {
-    /// A service of the operator's configuration.
+    /// The name of a service in the operator's configuration.
     ServiceName
 }
 name_type! {
-    /// One start of a target; a restarted target has another.
+    /// The id of one run of a target process; a restarted target has another id.
     InstanceId
 }
 name_type! {
-    /// A program, as the `Program` header names it.
+    /// The id of a program, from the `Program` header.
     ProgramId
 }
 name_type! {
-    /// An attempt of a client, as the `Request-Id` header names it; it also names a turn.
+    /// The id of a client's attempt, from the `Request-Id` header; also identifies a turn.
     RequestId
 }
 
-/// The incarnation of a machine's disk: drawn at random when the state folder is empty, kept
-/// afterwards. A process without a disk draws one at each start.
+/// The incarnation of a machine's disk: generated at random when the state directory is empty, and
+/// retained afterwards. A process without a disk generates an incarnation at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// Position in the total order of committed operations; 0 before the first.
+/// Position in the total order of committed operations; 0 before the first operation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/tier/protocol/src/lib.rs
+++ b/tier/protocol/src/lib.rs
@@ -1,18 +1,18 @@
 //! Messages between the processes of the serving tier, and the connections that carry them.
 //!
-//! Every message inside the tier is encoded by `postcard` and sent over TCP in frames with a length
-//! in front. The message types stand apart from the transport, so that the packages without I/O use
+//! Every message inside the tier is encoded with `postcard` and sent over TCP in length-prefixed
+//! frames. The message types are separate from the transport, so that packages without I/O can use
 //! the types alone.
 //!
-//! - [`ids`], [`tables`], [`document`]: what the control plane publishes, at one revision.
-//! - [`feed`], [`feed_position`]: the messages of subscriptions, and what a feeder owes a
-//!   subscriber.
+//! - [`ids`], [`tables`], [`document`]: the data that the control plane publishes at each revision.
+//! - [`feed`], [`feed_position`]: the messages of subscriptions, and the computation of updates for
+//!   a subscriber.
 //! - [`subscription`]: the client side of a subscription, with its task.
-//! - [`store_calls`]: what a proxy asks of the stores.
-//! - [`transport`]: frames, connections, calls with answers.
+//! - [`store_calls`]: calls of a proxy to a store.
+//! - [`transport`]: frames, connections, request-response calls.
 //!
-//! The order of variants and of fields is the wire format (`postcard` writes no names):
-//! `tests/wire_format.rs` pins it.
+//! The wire format depends on the order of variants and fields, because `postcard` writes no names;
+//! `tests/wire_format.rs` pins the format.
 
 pub mod document;
 pub mod feed;
--- a/tier/protocol/src/store_calls.rs
+++ b/tier/protocol/src/store_calls.rs
@@ -1,5 +1,5 @@
-//! Calls of a proxy to a store: begin and end turns, reserve and commit their budgets. Every call
-//! may be repeated.
+//! Calls of a proxy to a store, which begin and end turns and reserve and commit tokens of their
+//! budgets. Every call may be repeated.
 
 use std::sync::Arc;
 
@@ -7,35 +7,35 @@
 
 use crate::ids::{ProgramId, RequestId, StoreEpoch};
 
-/// The reservation that a turn makes in the budget of its program.
+/// A reservation of tokens for a turn in the budget of its program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// Tokens that all turns of the program may generate together (`Budget`).
+    /// Maximum number of tokens that all turns of the program may generate together (`Budget`).
     pub budget: u64,
-    /// The most tokens that this turn generates (second number of `Token-Usage`).
+    /// Maximum number of tokens that this turn generates (second number of `Token-Usage`).
     pub max_tokens: u64,
 }
 
 /// A completed turn that is stored so that later turns can continue it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRecord {
-    /// The turn's name: the `Request-Id` under which it was answered completely.
+    /// The turn's id: the `Request-Id` of the attempt that was answered completely.
     pub turn: RequestId,
     /// The program of the turn.
     pub program: ProgramId,
-    /// The turn that this one continued, with the program under which that turn is stored.
+    /// The location of the turn that this turn continued, if any.
     pub previous: Option<TurnLocation>,
     /// The input that the client sent.
     #[serde(with = "crate::shared_bytes")]
     pub input: Arc<[u8]>,
-    /// The data of each event of the answer with a line feed behind, in order.
+    /// The data of each event of the answer, in order, each followed by a line feed.
     #[serde(with = "crate::shared_bytes")]
     pub output: Arc<[u8]>,
-    /// How long the turn is stored from its end on, in milliseconds.
+    /// Retention time of the turn after its end, in milliseconds.
     pub retention_ms: u64,
 }
 
-/// Where a turn is stored.
+/// The storage location of a turn.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TurnLocation {
     /// The turn.
@@ -44,34 +44,34 @@
     pub program: ProgramId,
 }
 
-/// A call of a proxy.
+/// A call of a proxy to a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreCall {
     /// Reserves the turn's tokens and fetches the turns that this one continues. Idempotent.
     BeginTurn {
-        /// The epoch of the view that the proxy knows.
+        /// The epoch of the proxy's view of the stores.
         epoch: StoreEpoch,
         /// The program.
         program: ProgramId,
-        /// The attempt's `Request-Id`, which names the turn.
+        /// The attempt's `Request-Id`, which identifies the turn.
         turn: RequestId,
-        /// `None` on a route without budgets.
+        /// The tokens to reserve; `None` on a route without budgets.
         reservation: Option<Reservation>,
-        /// The `Request-Id` named by `Previous`.
+        /// The `Request-Id` in the `Previous` header, if any.
         previous: Option<RequestId>,
     },
-    /// Commits the tokens that the turn has used and, for a turn answered completely on a retained
-    /// route, stores it. Idempotent.
+    /// Commits the tokens that the turn has used, and stores the turn if it was answered completely
+    /// on a route with retention. Idempotent.
     EndTurn {
-        /// The epoch of the view that the proxy knows.
+        /// The epoch of the proxy's view of the stores.
         epoch: StoreEpoch,
         /// The program.
         program: ProgramId,
-        /// The attempt's `Request-Id`, which names the turn.
+        /// The attempt's `Request-Id`, which identifies the turn.
         turn: RequestId,
-        /// Tokens delivered to the client; `None` where nothing was reserved.
+        /// Number of tokens delivered to the client; `None` if no tokens were reserved.
         tokens: Option<u64>,
-        /// The turn to store.
+        /// The turn to store, if any.
         record: Option<TurnRecord>,
     },
 }
@@ -79,23 +79,24 @@
 /// The answer to a [`StoreCall`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// The turn may run.
+    /// The turn may start.
     Begun {
-        /// Input and output of each turn that this one continues, from the oldest on, joined.
+        /// The concatenated inputs and outputs of all turns that this turn continues, the oldest
+        /// first.
         #[serde(with = "crate::shared_bytes")]
         history: Arc<[u8]>,
-        /// Where the turn named by `Previous` is stored, for this turn's record.
+        /// The storage location of the turn in the `Previous` header, for this turn's record.
         previous: Option<TurnLocation>,
     },
-    /// One more turn does not fit into the budget (402).
+    /// The remaining budget is too small for the turn (402).
     BudgetExhausted,
-    /// There certainly is no such turn (404).
+    /// The turn to continue definitely does not exist (404).
     NoSuchTurn,
-    /// Committed, and stored on enough disks.
+    /// The tokens are committed and the turn is stored on enough disks.
     Ended,
-    /// Too few stores answered, or the store is not in service: the proxy asks another one, or
+    /// Too few stores answered, or this store is not in service: the proxy calls another store, or
     /// answers 503.
     Unavailable,
-    /// The caller's view is older than that of this store, whose epoch this is.
+    /// The caller's view is older than the view of this store, which has this epoch.
     StaleEpoch(StoreEpoch),
 }
