--- a/tier/loss-report/src/attribution.rs
+++ b/tier/loss-report/src/attribution.rs
@@ -1,19 +1,19 @@
-//! Attributes the loss of each window to the faults around it.
+//! Attributes the loss of each window to the faults that were active around it.
 
 use std::collections::BTreeMap;
 
 use crate::report::{DayReport, Event, Window};
 
-/// A window's programs may meet a fault that begins this long after the window, in seconds: about
-/// as long as a program runs.
+/// Time after the end of a window, in seconds, within which a new fault can affect programs of the
+/// window: about the duration of a program.
 const PROGRAM_DURATION_S: f64 = 1.5;
-/// A fault has effects for this long after its end, in seconds.
+/// Time after the end of a fault, in seconds, during which the fault still has effects.
 const AFTER_EFFECT_S: f64 = 2.0;
-/// The length of a window where there is only one, in seconds.
-const ONLY_WINDOW_S: f64 = 2.0;
-/// Prefixes of the kinds of planned work that by themselves cost no program anything.
+/// Length of the window, in seconds, if a report has only one.
+const SINGLE_WINDOW_S: f64 = 2.0;
+/// Prefixes of the kinds of planned work that do not cause losses by themselves.
 const HARMLESS_KINDS: [&str; 2] = ["config_change", "add_nodes"];
-/// The cause of a loss while no fault is under way.
+/// The reported cause of a loss while no fault is active.
 const NO_FAULT: &str = "nothing under way";
 
 /// A span of time, in seconds from the start of traffic.
@@ -32,25 +32,25 @@
     pub cause: String,
     /// The lost value, in programs.
     pub programs: f64,
-    /// The same as a share of all programs of the day.
+    /// The lost value as a share of all programs of the day.
     pub share: f64,
 }
 
 /// The loss of a day by cause.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LossReport {
-    /// All programs.
+    /// Number of programs.
     pub programs: u32,
-    /// Programs that ended late.
+    /// Number of programs that ended late.
     pub late: u32,
-    /// Programs that were rejected or failed.
+    /// Number of programs that were rejected or failed.
     pub not_served: u32,
     /// The losses by cause, the largest first. They add up to the loss of the day.
     pub losses: Vec<LossByCause>,
 }
 
 impl LossReport {
-    /// The losses of a day.
+    /// Computes the losses of a day.
     pub fn new(report: &DayReport) -> Self {
         let windows = &report.windows;
         let programs = windows.iter().map(|window| window.programs).sum();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The loss of the day, in programs.
+    /// Returns the loss of the day, in programs.
     pub fn total_loss(&self) -> f64 {
         self.losses.iter().map(|loss| loss.programs).sum()
     }
@@ -83,7 +83,7 @@
 fn lost_by_cause(report: &DayReport) -> BTreeMap<String, f64> {
     let window_length = match &report.windows[..] {
         [first, second, ..] => second.from - first.from,
-        _ => ONLY_WINDOW_S,
+        _ => SINGLE_WINDOW_S,
     };
     let mut lost = BTreeMap::new();
     for window in report.windows.iter().filter(|window| window.value < 1.0) {
@@ -92,7 +92,7 @@
             to: window.from + window_length,
         };
         let causes = causes_around(&report.events, span);
-        let share = lost_in(window) / causes.len() as f64;
+        let share = window_loss(window) / causes.len() as f64;
         for cause in causes {
             *lost.entry(cause).or_default() += share;
         }
@@ -100,11 +100,12 @@
     lost
 }
 
-fn lost_in(window: &Window) -> f64 {
+fn window_loss(window: &Window) -> f64 {
     f64::from(window.programs) * (1.0 - window.value)
 }
 
-/// The kinds of the faults under way around the span, each as often as it is; never empty.
+/// Returns the kinds of the faults that were active around the span, with one element for each
+/// fault; never empty.
 fn causes_around(events: &[Event], span: Span) -> Vec<String> {
     let mut causes = Vec::new();
     for event in events {
--- a/tier/loss-report/src/lib.rs
+++ b/tier/loss-report/src/lib.rs
@@ -1,12 +1,12 @@
-//! Where the value of a day was lost, from the report that the operators' bench writes about it. A
-//! tool for development.
+//! Attributes the lost value of a day to causes, based on the day's report that the operators'
+//! bench writes. A development tool.
 //!
-//! The report gives value by windows of time and the faults with their spans, not the fate of each
-//! program. So the loss of a window is attributed to the faults that were under way around it, in
-//! equal shares where there were several.
+//! The report contains the value of each time window and the time span of each fault, but not the
+//! outcome of each program. Therefore, the loss of a window is attributed to the faults that were
+//! active around it, in equal shares if there were several.
 
 mod attribution;
 mod report;
 
 pub use attribution::{LossByCause, LossReport, Span};
-pub use report::{DayReport, Event, Price, ReportError, Window};
+pub use report::{DayReport, Deduction, Event, ReportError, Window};
--- a/tier/loss-report/src/main.rs
+++ b/tier/loss-report/src/main.rs
@@ -1,5 +1,5 @@
-//! `plankhill-loss-report REPORT...`: where the value of days was lost, from the bench's reports of
-//! them.
+//! `plankhill-loss-report REPORT...`: prints the losses of days by cause, computed from the bench's
+//! reports.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -8,8 +8,8 @@
 use lexopt::{Arg, Parser};
 use plankhill_loss_report::{DayReport, LossReport, ReportError};
 
-/// Prices below this share of the value owed are left out.
-const MIN_PRICE_SHARE: f64 = 0.0005;
+/// Deductions below this share of the value owed are not printed.
+const MIN_DEDUCTION_SHARE: f64 = 0.0005;
 
 fn main() -> ExitCode {
     let files = match arguments() {
@@ -39,12 +39,12 @@
         }
     }
     if files.is_empty() {
-        return Err("no report is named".into());
+        return Err("no report file is given".into());
     }
     Ok(files.into_iter().map(PathBuf::from).collect())
 }
 
-/// Prints the losses of one day; prints the error too, if there is one.
+/// Prints the losses of one day, or the error if the report cannot be read.
 fn print_report(file: &Path) -> Result<(), ReportError> {
     let report =
         DayReport::read(file).inspect_err(|error| eprintln!("{}: {error}", file.display()))?;
@@ -63,14 +63,14 @@
             loss.cause, loss.programs, loss.share
         );
     }
-    for price in report
-        .prices
+    for deduction in report
+        .deductions
         .iter()
-        .filter(|price| price.share >= MIN_PRICE_SHARE)
+        .filter(|deduction| deduction.share >= MIN_DEDUCTION_SHARE)
     {
         println!(
             "  price: {:<29} {:>7.1}  {:.4}",
-            price.reason, price.amount, price.share
+            deduction.reason, deduction.amount, deduction.share
         );
     }
     Ok(())
--- a/tier/loss-report/src/report.rs
+++ b/tier/loss-report/src/report.rs
@@ -1,48 +1,49 @@
-//! The fields of a day's report that the attribution needs, as the bench writes them (JSON). Other
-//! fields are skipped.
+//! The fields of a day's report that the attribution needs, in the JSON format of the bench. Other
+//! fields are ignored.
 
 use std::path::Path;
 
 use serde::{Deserialize, Deserializer};
 
-/// Why a report cannot be read.
+/// An error of reading a report.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// The file cannot be read.
     #[error("cannot be read: {0}")]
     File(#[from] std::io::Error),
-    /// The file is no report of a day; the message names the key.
-    #[error("is no report of a day: {0}")]
+    /// The file is not a valid report of a day; the message names the key.
+    #[error("is not a valid report of a day: {0}")]
     Content(#[from] serde_json::Error),
 }
 
 /// The report of one day.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DayReport {
-    /// Programs by the time at which they began, in order.
+    /// The windows in which programs began, in order of time.
     pub windows: Vec<Window>,
     /// Faults and planned work.
     pub events: Vec<Event>,
-    /// The deductions.
-    pub prices: Vec<Price>,
+    /// The deductions from the value.
+    #[serde(rename = "prices")]
+    pub deductions: Vec<Deduction>,
 }
 
-/// Programs that began within one window.
+/// Results of the programs that began within one window.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Window {
     /// The beginning of the window, in seconds from the start of traffic.
     #[serde(rename = "name", deserialize_with = "seconds")]
     pub from: f64,
-    /// The programs that began in the window.
+    /// Number of programs that began in the window.
     #[serde(rename = "n")]
     pub programs: u32,
-    /// Those that ended late.
+    /// Number of programs that ended late.
     pub late: u32,
-    /// Those that were refused.
+    /// Number of programs that were refused.
     pub refused: u32,
-    /// Those that failed.
+    /// Number of programs that failed.
     pub failed: u32,
-    /// The value earned as a share of the value owed.
+    /// The earned value as a share of the value owed.
     #[serde(rename = "worth")]
     pub value: f64,
 }
@@ -54,16 +55,16 @@
     pub at_s: f64,
     /// The end, in seconds from the start of traffic.
     pub to_s: f64,
-    /// The kind, as the bench names it.
+    /// The bench's name for the kind of event.
     pub kind: String,
 }
 
-/// One deduction; an array of three values in the report.
+/// A deduction; an array of three values in the report.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Price {
-    /// What the deduction is for.
+pub struct Deduction {
+    /// The reason for the deduction.
     pub reason: String,
-    /// The amount in its own unit.
+    /// The amount, in the unit of the reason.
     pub amount: f64,
     /// The amount as a share of the value owed.
     pub share: f64,
@@ -73,7 +74,7 @@
     /// Reads a report.
     ///
     /// # Errors
-    /// [`ReportError`] if the file cannot be read, or holds something else.
+    /// [`ReportError`] if the file cannot be read or is not a valid report.
     pub fn read(file: &Path) -> Result<Self, ReportError> {
         Ok(serde_json::from_str(&std::fs::read_to_string(file)?)?)
     }
--- a/tier/loss-report/tests/attribution.rs
+++ b/tier/loss-report/tests/attribution.rs
@@ -1,4 +1,4 @@
-//! The losses by cause add up to the loss, and each window's loss is attributed to the faults
+//! The losses by cause add up to the total loss, and each window's loss is attributed to the faults
 //! around it.
 
 use plankhill_loss_report::{DayReport, Event, LossReport, Window};
@@ -26,11 +26,11 @@
     LossReport::new(&DayReport {
         windows,
         events,
-        prices: Vec::new(),
+        deductions: Vec::new(),
     })
 }
 
-fn lost_to(report: &LossReport, cause: &str) -> f64 {
+fn loss_by_cause(report: &LossReport, cause: &str) -> f64 {
     report
         .losses
         .iter()
@@ -79,9 +79,9 @@
         event("config_change", 10.0, 12.0),
     ];
     let report = loss_report(windows, events);
-    assert!((lost_to(&report, "kill") - 10.0).abs() < 1e-9);
-    assert!((lost_to(&report, "burst") - 10.0).abs() < 1e-9);
-    assert!((lost_to(&report, "nothing under way") - 5.0).abs() < 1e-9);
+    assert!((loss_by_cause(&report, "kill") - 10.0).abs() < 1e-9);
+    assert!((loss_by_cause(&report, "burst") - 10.0).abs() < 1e-9);
+    assert!((loss_by_cause(&report, "nothing under way") - 5.0).abs() < 1e-9);
     assert_eq!(report.programs, 250);
 }
 
