--- a/tier/protocol/src/tables.rs
+++ b/tier/protocol/src/tables.rs
@@ -134,6 +134,6 @@
     pub node: NodeId,
     /// The number of the operator's order; a later order has a higher number.
     pub number: u64,
-    /// Whether the edge has reported since the order that it is drained.
+    /// Whether the edge has reported, since the order, that it is drained.
     pub empty: bool,
 }
--- a/tier/protocol/tests/calls.rs
+++ b/tier/protocol/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The contract of calls with answers.
+//! Request-response calls: answers, timeouts, unreachable and restarted peers.
 
 mod common;
 
@@ -13,17 +13,18 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// Far beyond anything that a test waits for.
+/// Longer than any wait in a test.
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 const SHORT_TIMEOUT: Duration = Duration::from_millis(20);
-/// A call that is answered only when the test says so.
+/// A call that is answered only after the test releases it.
 const DELAYED_CALL: u64 = 0;
 
 fn hello() -> Hello {
     Hello::new(Channel::Store, NodeId::from("one"))
 }
 
-/// A server that answers with the double; [`DELAYED_CALL`] only after `release`.
+/// Starts a server that answers each call with its double, and [`DELAYED_CALL`] only after
+/// `release` is notified.
 fn serve(address: SocketAddr, release: Rc<Notify>) -> (SocketAddr, JoinHandle<()>) {
     let listener = listen(address).unwrap();
     let address = listener.local_addr().unwrap();
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn answers_may_overtake_each_other() {
+fn answers_may_arrive_out_of_order() {
     run(async {
         let release = Rc::new(Notify::new());
         let (address, _server) = serve(any_port(), release.clone());
@@ -93,42 +94,45 @@
     });
 }
 
-/// One slow call is no reason to abandon the others, while the peer answers others.
+/// A call that times out must not close the shared connection while the peer answers other calls.
 #[test]
-fn a_slow_call_does_not_close_the_connection_of_the_others() {
+fn a_slow_call_does_not_close_the_connection_of_other_calls() {
     run(async {
         let release = Rc::new(Notify::new());
         let (address, _server) = serve(any_port(), release.clone());
         let caller = Caller::<u64, u64>::new(address, hello());
-        let patient = tokio::task::spawn_local({
+        let long_call = tokio::task::spawn_local({
             let caller = caller.clone();
             async move { caller.call(DELAYED_CALL, LONG_TIMEOUT).await }
         });
-        // Answers go on coming until the short call has ended.
+        // The peer answers other calls until the short call has timed out.
         let ended = Rc::new(Cell::new(false));
-        let short = async {
+        let short_call = async {
             let answer = caller.call(DELAYED_CALL, SHORT_TIMEOUT).await;
             ended.set(true);
             answer
         };
-        let others = async {
+        let other_calls = async {
             while !ended.get() {
                 assert_eq!(caller.call(3, LONG_TIMEOUT).await, Ok(6));
             }
         };
-        assert_eq!(tokio::join!(short, others).0, Err(CallError::NoAnswer));
+        assert_eq!(
+            tokio::join!(short_call, other_calls).0,
+            Err(CallError::NoAnswer)
+        );
         release.notify_one();
         release.notify_one();
         release.notify_waiters();
-        assert_eq!(patient.await.unwrap(), Ok(0));
+        assert_eq!(long_call.await.unwrap(), Ok(0));
     });
 }
 
 #[test]
 fn a_call_to_an_unreachable_peer_is_not_sent() {
     run(async {
-        let gone = listen(any_port()).unwrap().local_addr().unwrap();
-        let caller = Caller::<u64, u64>::new(gone, hello());
+        let closed_address = listen(any_port()).unwrap().local_addr().unwrap();
+        let caller = Caller::<u64, u64>::new(closed_address, hello());
         assert_eq!(caller.call(1, LONG_TIMEOUT).await, Err(CallError::NotSent));
     });
 }
@@ -139,7 +143,7 @@
         let listener = listen(any_port()).unwrap();
         let address = listener.local_addr().unwrap();
         let caller = Caller::<u64, u64>::new(address, hello());
-        let dying = async {
+        let crashing_peer = async {
             let (stream, address) = listener.accept().await.unwrap();
             let mut connection = plankhill_protocol::transport::accept(stream, address, &hello())
                 .await
@@ -147,7 +151,7 @@
             let _call: (u64, u64) = connection.reader.next().await.unwrap();
         };
         assert_eq!(
-            tokio::join!(caller.call(1, LONG_TIMEOUT), dying).0,
+            tokio::join!(caller.call(1, LONG_TIMEOUT), crashing_peer).0,
             Err(CallError::NoAnswer)
         );
     });
@@ -161,8 +165,8 @@
         assert_eq!(caller.call(1, LONG_TIMEOUT).await, Ok(2));
         server.abort();
         assert!(server.await.unwrap_err().is_cancelled());
-        let (again, _server) = serve(address, Rc::default());
-        assert_eq!(again, address);
+        let (restarted_address, _server) = serve(address, Rc::default());
+        assert_eq!(restarted_address, address);
         assert_eq!(caller.call(2, LONG_TIMEOUT).await, Ok(4));
     });
 }
--- a/tier/protocol/tests/common/mod.rs
+++ b/tier/protocol/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of this package share.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Helpers shared by the tests of this package.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,7 +15,7 @@
 };
 use tokio::task::LocalSet;
 
-/// Runs one test on a runtime as the processes use it.
+/// Runs a test on the same kind of runtime as the processes use.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -24,12 +24,12 @@
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// A free port of this machine.
+/// A loopback address with port 0, for which the operating system selects a free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Tables with nothing but a revision and one edge whose zone distinguishes them.
+/// Tables with only a revision and one edge, whose zone differs for each revision.
 pub fn tables(revision: u64) -> Tables {
     Tables {
         revision: Revision(revision),
@@ -38,7 +38,7 @@
     }
 }
 
-/// An edge.
+/// An edge with the given numbers in its name and its zone.
 pub fn edge(number: u8, zone: u64) -> Edge {
     Edge {
         node: NodeId::from(format!("edge-{number}").as_str()),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Some tables, drawn from few values so that two of them have much in common.
+/// Arbitrary tables from a small range of values, so that two of them have many elements in common.
 pub fn any_tables(draw: &mut Unstructured<'_>, revision: u64) -> Result<Tables> {
     let mut targets = Vec::new();
     for number in 0..6 {
--- a/tier/protocol/tests/connect.rs
+++ b/tier/protocol/tests/connect.rs
@@ -9,33 +9,33 @@
 use tokio::join;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Guards machines that are back from a loss of power after others have begun to dial them: an
-/// opening packet that nobody took is sent again only after a second, and members without a message
-/// for 0.6 s are removed.
+/// Guards against slow connections to a machine that restarts after a power loss while others are
+/// dialing it: a lost SYN packet is retransmitted only after one second, and members without a
+/// message for 0.6 s are removed.
 #[test]
-fn a_lost_opening_packet_is_followed_by_a_second_attempt() {
+fn a_lost_syn_packet_is_followed_by_a_second_attempt() {
     run(async {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
-        // Its queue has room for one connection; the opening packets of others are dropped.
+        // The accept queue has room for one connection; the SYN packets of others are dropped.
         let listener = socket.listen(0).unwrap();
         let address = listener.local_addr().unwrap();
         let _first = TcpStream::connect(address).await.unwrap();
         let dialing = async {
-            let begun = std::time::Instant::now();
+            let started = std::time::Instant::now();
             connect(address).await.unwrap();
-            begun.elapsed()
+            started.elapsed()
         };
-        let taking = async {
-            // The dial's own attempt has been made by now.
+        let accepting = async {
+            // After these yields, the first attempt of `connect` has been started.
             for _ in 0..10 {
                 tokio::task::yield_now().await;
             }
-            let _held = listener.accept().await.unwrap();
+            let _first_accepted = listener.accept().await.unwrap();
             listener.accept().await.unwrap()
         };
-        let (took, _second) = join!(dialing, taking);
-        assert!(took.as_millis() < 800, "{took:?}");
+        let (elapsed, _second) = join!(dialing, accepting);
+        assert!(elapsed.as_millis() < 800, "{elapsed:?}");
     });
 }
 
--- a/tier/protocol/tests/decoding.rs
+++ b/tier/protocol/tests/decoding.rs
@@ -1,4 +1,4 @@
-//! Bytes that are no message: an error that names the message and the field.
+//! Errors for bytes that are not a valid message name the message and the field.
 
 use plankhill_protocol::feed::{FromSubscriber, ToSubscriber};
 use plankhill_protocol::ids::NodeId;
@@ -16,10 +16,10 @@
     assert!(text.starts_with("message Hello, field [2]"), "{text}");
 }
 
-/// Variants go over the wire as their positions.
+/// Variants are encoded as their positions.
 #[test]
 fn an_error_names_the_variant_of_a_message() {
-    // `Applied`, whose revision never ends.
+    // `Applied` with an incomplete variable-length integer as its revision.
     let error = decode::<FromSubscriber>(&[1, 0xff]).unwrap_err();
     let text = error.to_string();
     assert!(
--- a/tier/protocol/tests/document.rs
+++ b/tier/protocol/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents are encoded compressed, and read back byte for byte.
+//! Documents are compressed when encoded, and decoded byte for byte.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
     postcard::from_bytes(encoded)
 }
 
-/// A document of many routes that look alike.
+/// A document with many similar routes.
 fn routes(count: usize) -> Vec<u8> {
     let route = |number| {
         format!("{{\"name\":\"r-{number}\",\"host\":\"h{number}.example\",\"timeout_ms\":5000}},")
@@ -53,8 +53,8 @@
 #[test]
 fn a_stored_uncompressed_document_is_decoded() {
     let text = routes(500);
-    let former = postcard::to_stdvec(&text).unwrap();
-    assert_eq!(decoded(&former).unwrap(), document(&text));
+    let uncompressed = postcard::to_stdvec(&text).unwrap();
+    assert_eq!(decoded(&uncompressed).unwrap(), document(&text));
 }
 
 #[test]
@@ -71,7 +71,8 @@
     arbtest::arbtest(|random| {
         let mut bytes: Vec<u8> = random.arbitrary()?;
         bytes.insert(0, 1);
-        // It may be readable by chance; what counts is that it ends.
+        // The bytes may be valid by chance; the test requires only that decoding terminates without
+        // a panic.
         let _ = decoded(&postcard::to_stdvec(&bytes).unwrap());
         Ok(())
     });
--- a/tier/protocol/tests/frames.rs
+++ b/tier/protocol/tests/frames.rs
@@ -1,5 +1,5 @@
-//! The contract of connections: every pair of halves has to pass it, here those of TCP and of
-//! memory.
+//! The contract of framed connections, which every pair of halves has to satisfy; tested with TCP
+//! and with in-memory streams.
 
 mod common;
 
@@ -43,8 +43,8 @@
         .collect()
 }
 
-/// The messages arrive complete and in order, and then the end of the connection.
-async fn delivers(
+/// Asserts that the messages arrive complete and in order, followed by the end of the connection.
+async fn assert_delivers(
     to: impl AsyncWrite + Unpin,
     from: impl AsyncRead + Unpin,
     messages: Vec<Message>,
@@ -68,15 +68,16 @@
     tokio::join!(sending, receiving);
 }
 
-/// These bytes, and then the end: the error that the reader reports after `complete` messages.
-async fn ends_with(
+/// Sends `bytes` and closes the connection; returns the error that the reader reports after
+/// `complete` messages.
+async fn read_error_after(
     mut to: impl AsyncWrite + Unpin,
     from: impl AsyncRead + Unpin,
     bytes: &[u8],
     complete: usize,
 ) -> TransportError {
     let sending = async {
-        // The reader may have ended already.
+        // The reader may have stopped already.
         let _ = to.write_all(bytes).await;
         drop(to);
     };
@@ -93,9 +94,9 @@
 #[test]
 fn memory_delivers_any_messages_in_chunks_of_any_size() {
     arbtest::arbtest(|draw| {
-        let (messages, piece) = (any_messages(draw)?, draw.int_in_range(1..=40)?);
-        let (to, from) = tokio::io::duplex(piece);
-        run(delivers(to, from, messages));
+        let (messages, chunk_size) = (any_messages(draw)?, draw.int_in_range(1..=40)?);
+        let (to, from) = tokio::io::duplex(chunk_size);
+        run(assert_delivers(to, from, messages));
         Ok(())
     });
 }
@@ -106,7 +107,7 @@
         let messages = any_messages(draw)?;
         run(async {
             let (to, from) = tcp().await;
-            delivers(to, from, messages).await;
+            assert_delivers(to, from, messages).await;
         });
         Ok(())
     })
@@ -120,7 +121,7 @@
         let (first, bytes) = (encoded(&messages[..1]).len(), encoded(&messages));
         let cut = draw.int_in_range(first..=bytes.len() - 1)?;
         let (to, from) = tokio::io::duplex(7);
-        let error = run(ends_with(to, from, &bytes[..cut], 1));
+        let error = run(read_error_after(to, from, &bytes[..cut], 1));
         assert!(matches!(error, TransportError::Io(_)), "{error}");
         Ok(())
     });
@@ -131,7 +132,7 @@
     let bytes = encoded(&[vec![1, 2, 3], vec![4, 5, 6]]);
     let error = run(async {
         let (to, from) = tcp().await;
-        ends_with(to, from, &bytes[..bytes.len() - 2], 1).await
+        read_error_after(to, from, &bytes[..bytes.len() - 2], 1).await
     });
     assert!(matches!(error, TransportError::Io(_)), "{error}");
 }
@@ -140,7 +141,7 @@
 fn a_frame_over_the_limit_is_rejected_before_its_body_is_read() {
     let length = u32::try_from(MAX_FRAME_BYTES + 1).unwrap().to_le_bytes();
     let (to, from) = tokio::io::duplex(64);
-    let error = run(ends_with(to, from, &length, 0));
+    let error = run(read_error_after(to, from, &length, 0));
     assert!(matches!(error, TransportError::FrameTooLong(_)), "{error}");
 }
 
--- a/tier/protocol/tests/home_updates.rs
+++ b/tier/protocol/tests/home_updates.rs
@@ -1,5 +1,5 @@
-//! A subscriber whose updates come from the home of its zone, in virtual time: whatever the home
-//! does, it holds each revision within a bound of its commit.
+//! Simulates, in virtual time, a subscriber that receives updates from the home of its zone. Even
+//! if the home fails, the subscriber has each revision within a bound after its commit.
 
 mod common;
 
@@ -15,76 +15,81 @@
 use plankhill_protocol::subscription::{Progress, Step, MAX_HOME_LAG};
 use plankhill_protocol::tables::{Tables, TablesUpdate};
 
-/// The longest way from one machine to another, in steps of a millisecond.
+/// Maximum delay of a message between two machines, in steps of one millisecond.
 const MAX_DELAY_STEPS: usize = 20;
-/// Steps that a simulated world lasts.
+/// Duration of a simulation, in steps.
 const STEPS: usize = 1_500;
-/// Steps between heartbeats.
+/// Interval between heartbeats, in steps.
 const HEARTBEAT_INTERVAL: usize = 300;
 
-/// Announced, overdue, asked, answered; a step for each of these.
+/// The maximum number of steps between a commit and its arrival: the revision is announced, becomes
+/// overdue, is requested from the controller and is sent, with one additional step for each of
+/// these.
 fn bound() -> usize {
     MAX_HOME_LAG.as_millis() as usize + 3 * MAX_DELAY_STEPS + 4
 }
 
-/// A connection: in order, each message after some steps.
-struct Line<T> {
-    under_way: VecDeque<(usize, T)>,
+/// A connection that delivers messages in order, each after a delay.
+struct SimulatedConnection<T> {
+    in_flight: VecDeque<(usize, T)>,
 }
 
-impl<T> Line<T> {
+impl<T> SimulatedConnection<T> {
     fn new() -> Self {
-        Line {
-            under_way: VecDeque::new(),
+        SimulatedConnection {
+            in_flight: VecDeque::new(),
         }
     }
 
-    fn send(&mut self, arrives: usize, message: T) {
-        let last = self.under_way.back().map_or(0, |(at, _)| *at);
-        self.under_way.push_back((arrives.max(last), message));
+    fn send(&mut self, arrival: usize, message: T) {
+        let last = self.in_flight.back().map_or(0, |(at, _)| *at);
+        self.in_flight.push_back((arrival.max(last), message));
     }
 
-    fn arrived(&mut self, now: usize) -> Option<T> {
-        if self.under_way.front()?.0 > now {
+    fn next_arrived(&mut self, now: usize) -> Option<T> {
+        if self.in_flight.front()?.0 > now {
             return None;
         }
-        self.under_way.pop_front().map(|(_, message)| message)
+        self.in_flight.pop_front().map(|(_, message)| message)
     }
 }
 
-/// The controller's end of the subscription.
+/// The controller's side of the subscription.
 struct Controller {
     wants_updates: bool,
-    held: FeedPosition,
+    position: FeedPosition,
     announced: Revision,
-    heartbeat: usize,
+    next_heartbeat: usize,
 }
 
 impl Controller {
-    fn take(&mut self, message: FromSubscriber) {
+    fn on_message(&mut self, message: FromSubscriber) {
         match message {
             FromSubscriber::HeartbeatsOnly => self.wants_updates = false,
             FromSubscriber::ResumeUpdates {
-                held_revision: held,
+                held_revision: revision,
             } => {
-                (self.wants_updates, self.held, self.announced) =
-                    (true, FeedPosition::Claimed(held), held);
+                (self.wants_updates, self.position, self.announced) =
+                    (true, FeedPosition::Claimed(revision), revision);
             }
             FromSubscriber::RequestSnapshot => {
-                (self.held, self.announced) = (FeedPosition::Empty, Revision(0))
+                (self.position, self.announced) = (FeedPosition::Empty, Revision(0))
             }
             other => panic!("{other:?}"),
         }
     }
 
     fn send(&mut self, newest: &Arc<Tables>, now: usize) -> Vec<ToSubscriber> {
-        let rose = self.announced < newest.revision;
+        let has_new_revision = self.announced < newest.revision;
         self.announced = newest.revision;
-        let update = self.held.advance_to(newest).filter(|_| self.wants_updates);
-        if !rose && update.is_none() && now < self.heartbeat {
+        let update = self
+            .position
+            .advance_to(newest)
+            .filter(|_| self.wants_updates);
+        if !has_new_revision && update.is_none() && now < self.next_heartbeat {
             return Vec::new();
         }
-        self.heartbeat = now + HEARTBEAT_INTERVAL;
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let heartbeat = ToSubscriber::Heartbeat {
             revision: newest.revision,
             current: true,
@@ -97,75 +102,80 @@
     }
 }
 
-/// Runs one world; the home takes nothing in after `fails`.
-fn play(draw: &mut Unstructured<'_>, fails: usize) -> Result<()> {
-    let begin = Instant::now();
+/// Runs one simulation, in which the home receives nothing from step `fails_at` on.
+fn simulate(draw: &mut Unstructured<'_>, fails_at: usize) -> Result<()> {
+    let start = Instant::now();
     let mut history = vec![Arc::new(tables(0))];
     let mut committed_at = vec![0];
     let mut controller = Controller {
         wants_updates: true,
-        held: FeedPosition::Empty,
+        position: FeedPosition::Empty,
         announced: Revision(0),
-        heartbeat: 0,
+        next_heartbeat: 0,
     };
-    let (mut down, mut up, mut side) = (Line::new(), Line::new(), Line::new());
+    let (mut to_subscriber, mut to_controller, mut home_to_subscriber) = (
+        SimulatedConnection::new(),
+        SimulatedConnection::new(),
+        SimulatedConnection::new(),
+    );
     let mut home = Arc::new(tables(0));
-    let mut to_home = Line::new();
+    let mut to_home = SimulatedConnection::new();
     let mut progress = Progress::default();
-    let mut held = Arc::new(tables(0));
+    let mut applied = Arc::new(tables(0));
     for now in 0..STEPS {
-        let instant = begin + Duration::from_millis(now as u64);
-        let later = |draw: &mut Unstructured<'_>| Ok(now + draw.int_in_range(1..=MAX_DELAY_STEPS)?);
+        let instant = start + Duration::from_millis(now as u64);
+        let arrival_step =
+            |draw: &mut Unstructured<'_>| Ok(now + draw.int_in_range(1..=MAX_DELAY_STEPS)?);
         if draw.ratio(1, 60)? {
             let newest = Arc::new(any_tables(draw, history.len() as u64)?);
-            to_home.send(later(draw)?, newest.clone());
+            to_home.send(arrival_step(draw)?, newest.clone());
             history.push(newest);
             committed_at.push(now);
         }
-        while let Some(message) = up.arrived(now) {
-            controller.take(message);
+        while let Some(message) = to_controller.next_arrived(now) {
+            controller.on_message(message);
         }
         for message in controller.send(history.last().unwrap(), now) {
-            down.send(later(draw)?, message);
+            to_subscriber.send(arrival_step(draw)?, message);
         }
-        while let Some(newest) = to_home.arrived(now).filter(|_| now < fails) {
+        while let Some(newest) = to_home.next_arrived(now).filter(|_| now < fails_at) {
             home = newest;
-            side.send(later(draw)?, home.clone());
+            home_to_subscriber.send(arrival_step(draw)?, home.clone());
         }
-        let before = held.revision;
-        while let Some(message) = down.arrived(now) {
-            if progress.on_message(message, &mut held, instant) == Step::RequestSnapshot {
-                up.send(later(draw)?, FromSubscriber::RequestSnapshot);
+        let before = applied.revision;
+        while let Some(message) = to_subscriber.next_arrived(now) {
+            if progress.on_message(message, &mut applied, instant) == Step::RequestSnapshot {
+                to_controller.send(arrival_step(draw)?, FromSubscriber::RequestSnapshot);
             }
         }
-        while let Some(offered) = side.arrived(now) {
-            progress.on_offer(offered, &mut held);
+        while let Some(offered) = home_to_subscriber.next_arrived(now) {
+            progress.on_offer(offered, &mut applied);
         }
         if progress
             .home_deadline()
-            .is_some_and(|overdue| overdue <= instant)
+            .is_some_and(|deadline| deadline <= instant)
         {
-            let message = progress.follow_feeder(held.revision);
-            up.send(later(draw)?, message.unwrap());
+            let message = progress.follow_feeder(applied.revision);
+            to_controller.send(arrival_step(draw)?, message.unwrap());
         }
-        if home.revision >= held.revision && draw.ratio(1, 100)? {
-            if let Some(message) = progress.follow_home(held.revision) {
-                up.send(later(draw)?, message);
+        if home.revision >= applied.revision && draw.ratio(1, 100)? {
+            if let Some(message) = progress.follow_home(applied.revision) {
+                to_controller.send(arrival_step(draw)?, message);
             }
         }
-        assert!(held.revision >= before, "went back");
+        assert!(applied.revision >= before, "the revision decreased");
         assert_eq!(
-            held, history[held.revision.0 as usize],
-            "holds what never was"
+            applied, history[applied.revision.0 as usize],
+            "the tables differ from the committed ones"
         );
         let due = committed_at
             .iter()
             .rposition(|at| at + bound() <= now)
             .unwrap_or(0);
         assert!(
-            held.revision.0 as usize >= due,
-            "at {now}: holds {:?}, due {due}",
-            held.revision
+            applied.revision.0 as usize >= due,
+            "at step {now}: the revision is {:?}, expected at least {due}",
+            applied.revision
         );
     }
     Ok(())
@@ -173,7 +183,7 @@
 
 #[test]
 fn a_healthy_home_delivers_every_revision_within_the_bound() {
-    arbtest::arbtest(|draw| play(draw, usize::MAX))
+    arbtest::arbtest(|draw| simulate(draw, usize::MAX))
         .size_min(1 << 14)
         .size_max(1 << 17)
         .budget_ms(2_000);
@@ -182,8 +192,8 @@
 #[test]
 fn a_home_that_crashes_at_any_moment_delays_no_revision_beyond_the_bound() {
     arbtest::arbtest(|draw| {
-        let fails = draw.int_in_range(0..=STEPS)?;
-        play(draw, fails)
+        let fails_at = draw.int_in_range(0..=STEPS)?;
+        simulate(draw, fails_at)
     })
     .size_min(1 << 14)
     .size_max(1 << 17)
@@ -192,52 +202,52 @@
 
 #[test]
 fn offers_are_applied_only_while_the_home_is_followed() {
-    let mut held = Arc::new(tables(1));
+    let mut applied = Arc::new(tables(1));
     let mut progress = Progress::default();
     assert_eq!(
-        progress.on_offer(Arc::new(tables(2)), &mut held),
+        progress.on_offer(Arc::new(tables(2)), &mut applied),
         Step::Unconfirmed
     );
-    progress.follow_home(held.revision);
+    progress.follow_home(applied.revision);
     assert_eq!(
-        progress.on_offer(Arc::new(tables(2)), &mut held),
+        progress.on_offer(Arc::new(tables(2)), &mut applied),
         Step::Changed
     );
     assert_eq!(
-        progress.on_offer(Arc::new(tables(1)), &mut held),
+        progress.on_offer(Arc::new(tables(1)), &mut applied),
         Step::Unconfirmed
     );
-    assert_eq!(held.revision, Revision(2));
+    assert_eq!(applied.revision, Revision(2));
 }
 
 #[test]
 fn a_home_that_catches_up_in_time_stays_followed() {
-    let (mut held, now) = (Arc::new(tables(1)), Instant::now());
+    let (mut applied, now) = (Arc::new(tables(1)), Instant::now());
     let mut progress = Progress::default();
-    progress.follow_home(held.revision);
+    progress.follow_home(applied.revision);
     let announced = ToSubscriber::Heartbeat {
         revision: Revision(3),
         current: true,
     };
     assert_eq!(
-        progress.on_message(announced, &mut held, now),
+        progress.on_message(announced, &mut applied, now),
         Step::Unconfirmed
     );
     assert_eq!(progress.home_deadline(), Some(now + MAX_HOME_LAG));
-    progress.on_offer(Arc::new(tables(2)), &mut held);
+    progress.on_offer(Arc::new(tables(2)), &mut applied);
     assert_eq!(progress.home_deadline(), Some(now + MAX_HOME_LAG));
-    progress.on_offer(Arc::new(tables(3)), &mut held);
+    progress.on_offer(Arc::new(tables(3)), &mut applied);
     assert_eq!(progress.home_deadline(), None);
 }
 
 #[test]
 fn a_feeder_resumes_updates_from_the_subscribers_revision() {
-    let mut held = Arc::new(tables(3));
+    let mut applied = Arc::new(tables(3));
     let mut progress = Progress::default();
-    assert_eq!(progress.follow_feeder(held.revision), None);
-    progress.follow_home(held.revision);
+    assert_eq!(progress.follow_feeder(applied.revision), None);
+    progress.follow_home(applied.revision);
     assert_eq!(
-        progress.follow_feeder(held.revision),
+        progress.follow_feeder(applied.revision),
         Some(FromSubscriber::ResumeUpdates {
             held_revision: Revision(3)
         })
@@ -249,7 +259,7 @@
         changes: Vec::new(),
     });
     assert_eq!(
-        progress.on_message(update, &mut held, Instant::now()),
+        progress.on_message(update, &mut applied, Instant::now()),
         Step::Changed
     );
 }
--- a/tier/protocol/tests/rotation.rs
+++ b/tier/protocol/tests/rotation.rs
@@ -1,4 +1,4 @@
-//! Which feeder is tried next.
+//! Selection of the next feeder, and the backoff before it.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -54,20 +54,20 @@
 }
 
 #[test]
-fn without_candidates_there_is_a_backoff_and_no_choice() {
+fn without_candidates_there_is_a_backoff_and_no_selection() {
     let mut rotation = Rotation::new(&NodeId::from("edge-1"));
     assert_eq!(rotation.next_candidate(&[]), None);
     assert!(rotation.record_failure(0) > Duration::ZERO);
 }
 
 #[test]
-fn first_choices_are_spread_over_the_candidates() {
+fn first_selections_are_spread_over_the_candidates() {
     let candidates = candidates(3);
-    let mut taken = [0_u32; 3];
+    let mut selected = [0_u32; 3];
     for number in 0..300 {
         let node = NodeId::from(format!("edge-{number}").as_str());
         let first = Rotation::new(&node).next_candidate(&candidates).unwrap();
-        taken[usize::from(first.port() - 1_000)] += 1;
+        selected[usize::from(first.port() - 1_000)] += 1;
     }
-    assert!(taken.iter().all(|count| *count > 60), "{taken:?}");
+    assert!(selected.iter().all(|count| *count > 60), "{selected:?}");
 }
--- a/tier/protocol/tests/shared_bytes.rs
+++ b/tier/protocol/tests/shared_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes encoded as a block have the same form as bytes encoded one by one.
+//! Bytes encoded as a block have the same encoding as bytes encoded one by one.
 
 use std::sync::Arc;
 
--- a/tier/protocol/tests/subscription.rs
+++ b/tier/protocol/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! The subscribing client against feeders that the test plays.
+//! The subscription client with feeders that the tests implement.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Far beyond anything that a test waits for.
+/// Longer than any wait in a test.
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn hello() -> Hello {
@@ -36,21 +36,23 @@
     })
 }
 
-/// Waits until the subscriber comes to one of two feeders; the connection and what it holds.
-async fn welcome(one: &TcpListener, other: &TcpListener) -> (Connection, Revision) {
-    let ((stream, address), _) = visit(one, other).await;
+/// Waits until the subscriber subscribes to one of two feeders; returns the connection and the
+/// subscriber's revision.
+async fn accept_subscription(one: &TcpListener, other: &TcpListener) -> (Connection, Revision) {
+    let ((stream, address), _) = accept_any(one, other).await;
     let mut connection = accept(stream, address, &hello()).await.unwrap();
     match connection.reader.next().await.unwrap() {
         FromSubscriber::Subscribe {
-            held_revision: held,
+            held_revision: revision,
             ..
-        } => (connection, held),
-        other => panic!("{other:?} came first"),
+        } => (connection, revision),
+        other => panic!("unexpected first message: {other:?}"),
     }
 }
 
-/// Waits until the subscriber connects to one of two feeders; whether it is the second.
-async fn visit(one: &TcpListener, other: &TcpListener) -> ((TcpStream, SocketAddr), bool) {
+/// Waits until the subscriber connects to one of two feeders; returns the connection and whether
+/// the feeder is the second.
+async fn accept_any(one: &TcpListener, other: &TcpListener) -> ((TcpStream, SocketAddr), bool) {
     tokio::select! {
         accepted = one.accept() => (accepted.unwrap(), false),
         accepted = other.accept() => (accepted.unwrap(), true),
@@ -80,8 +82,8 @@
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
-        let (mut feeder, held) = welcome(&one, &other).await;
-        assert_eq!(held, Revision(0));
+        let (mut feeder, revision) = accept_subscription(&one, &other).await;
+        assert_eq!(revision, Revision(0));
         feeder.writer.send(&snapshot(3)).await.unwrap();
         expect(&mut feeder, FromSubscriber::Applied(Revision(3))).await;
         assert_eq!(**subscription.tables().borrow(), tables(3));
@@ -96,16 +98,16 @@
 }
 
 #[test]
-fn a_closed_feeder_is_replaced_and_the_revision_never_goes_back() {
+fn a_closed_feeder_is_replaced_and_the_revision_never_decreases() {
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
-        let (mut feeder, _) = welcome(&one, &other).await;
+        let (mut feeder, _) = accept_subscription(&one, &other).await;
         feeder.writer.send(&snapshot(3)).await.unwrap();
         expect(&mut feeder, FromSubscriber::Applied(Revision(3))).await;
         drop(feeder);
-        let (mut feeder, held) = welcome(&one, &other).await;
-        assert_eq!(held, Revision(3));
+        let (mut feeder, revision) = accept_subscription(&one, &other).await;
+        assert_eq!(revision, Revision(3));
         feeder.writer.send(&snapshot(2)).await.unwrap();
         expect(&mut feeder, FromSubscriber::Applied(Revision(3))).await;
         assert_eq!(**subscription.tables().borrow(), tables(3));
@@ -117,10 +119,10 @@
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let _subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
-        let ((stream, address), first) = visit(&one, &other).await;
+        let ((stream, address), first) = accept_any(&one, &other).await;
         let mut feeder = accept(stream, address, &hello()).await.unwrap();
         feeder.writer.send(&heartbeat(0, false)).await.unwrap();
-        let (_, second) = visit(&one, &other).await;
+        let (_, second) = accept_any(&one, &other).await;
         assert_ne!(first, second);
     });
 }
@@ -130,9 +132,9 @@
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
-        let (mut first, _) = welcome(&one, &other).await;
+        let (mut first, _) = accept_subscription(&one, &other).await;
         first.writer.send(&heartbeat(0, false)).await.unwrap();
-        let (mut second, _) = welcome(&one, &other).await;
+        let (mut second, _) = accept_subscription(&one, &other).await;
         second
             .writer
             .send_all(&[heartbeat(0, false), heartbeat(0, true)])
@@ -145,9 +147,9 @@
             .wait_for(|status| status.current)
             .await
             .unwrap();
-        // One that was current is left as soon as it is not.
+        // A feeder that was current is replaced as soon as it is no longer current.
         second.writer.send(&heartbeat(0, false)).await.unwrap();
-        welcome(&one, &other).await;
+        accept_subscription(&one, &other).await;
     });
 }
 
@@ -156,8 +158,8 @@
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let _subscription = subscribe(&[&one, &other], Duration::from_millis(20));
-        let (_silent, _) = welcome(&one, &other).await;
-        let (_next, _) = welcome(&one, &other).await;
+        let (_silent, _) = accept_subscription(&one, &other).await;
+        let (_next, _) = accept_subscription(&one, &other).await;
     });
 }
 
@@ -166,9 +168,9 @@
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let _subscription = subscribe(&[&one], LONG_TIMEOUT);
-        let (mut feeder, _) = welcome(&one, &other).await;
-        let learnt = ToSubscriber::Controllers(vec![other.local_addr().unwrap()]);
-        feeder.writer.send(&learnt).await.unwrap();
+        let (mut feeder, _) = accept_subscription(&one, &other).await;
+        let advertised = ToSubscriber::Controllers(vec![other.local_addr().unwrap()]);
+        feeder.writer.send(&advertised).await.unwrap();
         feeder.writer.send(&heartbeat(0, true)).await.unwrap();
         expect(&mut feeder, FromSubscriber::Applied(Revision(0))).await;
         drop((feeder, one));
@@ -182,7 +184,7 @@
     run(async {
         let (one, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
         let subscription = subscribe(&[&one, &other], LONG_TIMEOUT);
-        let (mut feeder, _) = welcome(&one, &other).await;
+        let (mut feeder, _) = accept_subscription(&one, &other).await;
         assert!(
             subscription
                 .send_and_flush(FromSubscriber::Deregister, LONG_TIMEOUT)
@@ -194,13 +196,13 @@
     });
 }
 
-/// A listener whose queue is full, as far as the dialing side can tell: it takes connections and
-/// says nothing.
+/// One candidate accepts connections without sending a greeting, like a listener whose accept queue
+/// is full.
 #[test]
 fn an_unresponsive_candidate_does_not_delay_the_others() {
     run(async {
-        let (dark, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
-        let _subscription = subscribe(&[&dark, &other], LONG_TIMEOUT);
+        let (unresponsive, other) = (listen(any_port()).unwrap(), listen(any_port()).unwrap());
+        let _subscription = subscribe(&[&unresponsive, &other], LONG_TIMEOUT);
         let (stream, address) = other.accept().await.unwrap();
         let mut connection = accept(stream, address, &hello()).await.unwrap();
         let first: FromSubscriber = connection.reader.next().await.unwrap();
--- a/tier/protocol/tests/wire_format.rs
+++ b/tier/protocol/tests/wire_format.rs
@@ -1,12 +1,12 @@
-//! Pins the bytes of every message of this package: a build that writes other bytes, or that reads
-//! the pinned ones as another value, cannot work beside the builds that are in service.
+//! Pins the bytes of every message of this package: a build that encodes other bytes, or decodes
+//! the pinned bytes to another value, is incompatible with the deployed builds.
 //!
-//! Each file below `tests/wire_format/` holds one line `Name hex` for each value. The bytes were
-//! written by the build that the tier had before its code was renamed for readers, and are not
-//! rewritten by any test.
+//! Each `.txt` file below `tests/wire_format/` has one line `Name hex` for each value. The bytes
+//! were written by a build that precedes the renaming of identifiers in the code; no test rewrites
+//! them.
 //!
 //! A value of each variant is listed once; [`Pinned::variant`] matches without a wildcard, so that
-//! a new variant does not compile before somebody has looked here.
+//! a new variant causes a compile error here.
 
 mod common;
 #[path = "wire_format/frames.rs"]
--- a/tier/protocol/tests/wire_format/frames.rs
+++ b/tier/protocol/tests/wire_format/frames.rs
@@ -12,14 +12,14 @@
 use crate::common::{any_port, run};
 use crate::pinned::fixture;
 
-/// Far beyond anything that a test waits for.
-const PATIENT: Duration = Duration::from_secs(60);
+/// Longer than any wait in a test.
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn hello() -> Hello {
     Hello::new(Channel::Store, NodeId::from("store-1"))
 }
 
-/// The bytes that the fixture `frames.txt` has under this name.
+/// Returns the bytes with this name in the fixture `frames.txt`.
 fn pinned(name: &str) -> Vec<u8> {
     let lines = fixture("frames");
     let (_, bytes) = lines
@@ -30,10 +30,10 @@
 }
 
 async fn assert_next_bytes(stream: &mut TcpStream, name: &str) {
-    let wanted = pinned(name);
-    let mut bytes = vec![0; wanted.len()];
+    let expected = pinned(name);
+    let mut bytes = vec![0; expected.len()];
     stream.read_exact(&mut bytes).await.unwrap();
-    assert_eq!(bytes, wanted, "{name}");
+    assert_eq!(bytes, expected, "{name}");
 }
 
 #[test]
@@ -88,10 +88,9 @@
     run(async {
         let listener = listen(any_port()).unwrap();
         let caller = Caller::<String, String>::new(listener.local_addr().unwrap(), hello());
-        let calling =
-            tokio::task::spawn_local(
-                async move { caller.call("question".to_owned(), PATIENT).await },
-            );
+        let calling = tokio::task::spawn_local(async move {
+            caller.call("question".to_owned(), LONG_TIMEOUT).await
+        });
         let (mut raw, _) = listener.accept().await.unwrap();
         assert_next_bytes(&mut raw, "Hello").await;
         raw.write_all(&pinned("Hello")).await.unwrap();
--- a/tier/protocol/tests/wire_format/messages.rs
+++ b/tier/protocol/tests/wire_format/messages.rs
@@ -1,4 +1,4 @@
-//! The pinned messages, type by type.
+//! The pinned messages, grouped by type.
 
 use std::sync::Arc;
 
@@ -20,7 +20,8 @@
 use crate::pinned::{assert_pinned, Pinned};
 use crate::values;
 
-/// A struct has one line in its fixture, with the name that it had when it was pinned.
+/// Implements [`Pinned`] for structs. The fixture of a struct has one line, with the name that the
+/// struct had when it was pinned.
 macro_rules! pinned_struct {
     ($($type:ty => $name:literal),* $(,)?) => {
         $(impl Pinned for $type {
@@ -322,7 +323,7 @@
 #[test]
 fn calls_of_stores_keep_their_bytes() {
     assert_pinned("reservation", &[values::reservation()]);
-    assert_pinned("turn_place", &[values::turn_place()]);
+    assert_pinned("turn_place", &[values::turn_location()]);
     assert_pinned("turn_record", &[values::turn_record()]);
     let calls = [
         StoreCall::BeginTurn {
@@ -345,7 +346,7 @@
     let replies = [
         StoreReply::Begun {
             history,
-            previous: Some(values::turn_place()),
+            previous: Some(values::turn_location()),
         },
         StoreReply::BudgetExhausted,
         StoreReply::NoSuchTurn,
--- a/tier/protocol/tests/wire_format/pinned.rs
+++ b/tier/protocol/tests/wire_format/pinned.rs
@@ -9,8 +9,8 @@
 
 /// A type whose encoding is pinned.
 pub trait Pinned: Serialize + DeserializeOwned + PartialEq + Debug {
-    /// The name of the value's variant in the fixture; of a struct, its own name. Names stay when
-    /// the code's change.
+    /// The name in the fixture of the value's variant, or of the type if it is a struct. The name
+    /// stays the same when the identifier in the code is renamed.
     fn variant(&self) -> &'static str;
 }
 
@@ -22,7 +22,7 @@
     for value in values {
         assert!(
             names.insert(value.variant()),
-            "{} stands twice",
+            "duplicate name {}",
             value.variant()
         );
         lines.push((
@@ -43,7 +43,7 @@
     }
 }
 
-/// The names and bytes of one fixture.
+/// Reads the names and bytes of a fixture.
 pub fn fixture(name: &str) -> Vec<(String, Vec<u8>)> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/wire_format")
@@ -59,7 +59,7 @@
 }
 
 fn from_hex(hex: &str) -> Vec<u8> {
-    assert_eq!(hex.len() % 2, 0, "half a byte: {hex}");
+    assert_eq!(hex.len() % 2, 0, "odd number of hex digits: {hex}");
     (0..hex.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
--- a/tier/protocol/tests/wire_format/values.rs
+++ b/tier/protocol/tests/wire_format/values.rs
@@ -1,4 +1,4 @@
-//! The values that are pinned. No field has its default.
+//! The pinned values. No field has its default value.
 
 use std::net::{Ipv6Addr, SocketAddr};
 use std::sync::Arc;
@@ -122,7 +122,7 @@
     }
 }
 
-pub fn turn_place() -> TurnLocation {
+pub fn turn_location() -> TurnLocation {
     TurnLocation {
         turn: RequestId::from("r-6"),
         program: ProgramId::from("p-2"),
@@ -133,7 +133,7 @@
     TurnRecord {
         turn: RequestId::from("r-7"),
         program: ProgramId::from("p-3"),
-        previous: Some(turn_place()),
+        previous: Some(turn_location()),
         input: Arc::from(&b"what is it?"[..]),
         output: Arc::from(&b"it\nis\n"[..]),
         retention_ms: 60_000,
