--- a/tier/proxy/src/stream/attempts.rs
+++ b/tier/proxy/src/stream/attempts.rs
@@ -1,4 +1,4 @@
-//! One stream from its admission to its end, over all targets that it is sent to.
+//! Runs one stream from its admission to its end, over all targets to which it is sent.
 
 use std::rc::Rc;
 
@@ -18,13 +18,13 @@
 use crate::turn::TurnError;
 use crate::upstream_response::UpstreamResponse;
 
-/// A stream may run on this long after its deadline: the target ends the stream by itself, and its
-/// last events are on their way then.
+/// A stream is still read for this long after its deadline: the target ends the stream by itself,
+/// and its last events may be in transit at the deadline.
 const DEADLINE_GRACE: Ms = 50.0;
 /// The `Retry-After` while the stores are unavailable.
 const RETRY_AFTER_STORES: Ms = 200.0;
 
-/// Has the stream answered. May be dropped at any time.
+/// Serves the stream. The future may be dropped at any time.
 pub(super) async fn run(
     proxy: &Rc<Proxy>,
     request: &mut ClientRequest,
@@ -32,12 +32,12 @@
     completion: &mut TurnCompletion,
 ) {
     if let Err(error) = completion.begin(proxy, request).await {
-        answer_turn_error(error, request, client);
+        respond_to_turn_error(error, request, client);
         return;
     }
     let key = proxy.admission.next_key();
     let admitted = proxy.admission.admit(request.for_dispatch(key));
-    // Where the client resumes a stream, no event that it has may come a second time.
+    // If the client resumes a stream, no event that it already has may be sent again.
     let last_event_id = if request.route.resumable {
         request.headers.last_event_id
     } else {
@@ -57,13 +57,13 @@
     };
     match stream.run(admitted).await {
         StreamEnd::Complete => stream.finish().await,
-        StreamEnd::AnsweredOrTruncated => {}
+        StreamEnd::RespondedOrTruncated => {}
     }
 }
 
-fn answer_turn_error(error: TurnError, request: &ClientRequest, client: &mut ClientChannel) {
+fn respond_to_turn_error(error: TurnError, request: &ClientRequest, client: &mut ClientChannel) {
     let request_id = Some(&request.upstream.request_id);
-    client.answer(match error {
+    client.send_response(match error {
         TurnError::BudgetExhausted => {
             local_response::empty(StatusCode::PAYMENT_REQUIRED, request_id)
         }
@@ -74,10 +74,10 @@
 
 /// How the attempts of a stream ended.
 enum StreamEnd {
-    /// A target's stream has arrived completely; its end is still to be passed on.
+    /// A target's stream has arrived completely; its end is still to be forwarded.
     Complete,
-    /// The client has its complete answer, or its stream is to be truncated.
-    AnsweredOrTruncated,
+    /// The client has a complete response, or its stream is to be truncated.
+    RespondedOrTruncated,
 }
 
 struct StreamAttempts<'run> {
@@ -86,12 +86,13 @@
     client: &'run mut ClientChannel,
     completion: &'run mut TurnCompletion,
     progress: StreamProgress,
-    /// The last complete failure of a target.
+    /// The last complete error response from a target.
     failure: Option<BufferedResponse>,
 }
 
 impl StreamAttempts<'_> {
-    /// Sends the request until an attempt is delivered or the dispatcher answers it.
+    /// Sends the request until an attempt is delivered, or until the dispatcher rejects or fails
+    /// the request.
     async fn run(&mut self, mut admitted: AdmittedRequest) -> StreamEnd {
         loop {
             let attempt = match admitted.next_decision().await {
@@ -99,12 +100,12 @@
                 Decision::Reject(retry_after) => {
                     let request_id = Some(&self.request.upstream.request_id);
                     self.client
-                        .answer(local_response::rejected(retry_after, request_id));
-                    return StreamEnd::AnsweredOrTruncated;
+                        .send_response(local_response::rejected(retry_after, request_id));
+                    return StreamEnd::RespondedOrTruncated;
                 }
                 Decision::Fail(last) => {
                     self.fail(last);
-                    return StreamEnd::AnsweredOrTruncated;
+                    return StreamEnd::RespondedOrTruncated;
                 }
             };
             let result = self.attempt(&attempt).await;
@@ -113,7 +114,7 @@
                 if self.completion.delivered.is_complete {
                     return StreamEnd::Complete;
                 }
-                return StreamEnd::AnsweredOrTruncated;
+                return StreamEnd::RespondedOrTruncated;
             }
         }
     }
@@ -132,7 +133,7 @@
             .await;
         let elapsed = self.proxy.clock.now() - sent_at;
         let read = match response {
-            Ok(response) => self.read_answer(attempt, response, elapsed).await,
+            Ok(response) => self.read_response(attempt, response, elapsed).await,
             Err(outcome) => Err(outcome),
         };
         match read {
@@ -144,8 +145,9 @@
         }
     }
 
-    /// Reads the answer after its head, and passes it on.
-    async fn read_answer(
+    /// Reads the response after its head. A delivered response is forwarded; an error response is
+    /// kept in `failure`.
+    async fn read_response(
         &mut self,
         attempt: &Attempt,
         response: UpstreamResponse,
@@ -164,25 +166,25 @@
         }
         let deadline = self.proxy.clock.instant(attempt.deadline);
         let pool = &self.proxy.target_client.pool;
-        let answer =
+        let buffered =
             BufferedResponse::read(response, pool, deadline, &mut self.request.memory).await?;
-        let mut result = answer.attempt_result(elapsed);
-        match answer.outcome() {
-            // Such an answer cannot follow the events that the client has.
+        let mut result = buffered.attempt_result(elapsed);
+        match buffered.outcome() {
+            // A complete response cannot follow the events that the client already has.
             AttemptOutcome::Delivered if self.client.has_begun() => {
                 result.outcome = AttemptOutcome::Error;
             }
             AttemptOutcome::Delivered => {
                 self.client
-                    .answer(answer.into_response(&self.request.upstream.method));
+                    .send_response(buffered.into_response(&self.request.upstream.method));
             }
-            AttemptOutcome::Error => self.failure = Some(answer),
+            AttemptOutcome::Error => self.failure = Some(buffered),
             _ => {}
         }
         Ok(result)
     }
 
-    /// Passes one target's stream on; it has arrived completely if there is no error.
+    /// Forwards one target's stream, which has arrived completely if there is no error.
     async fn relay_events(
         &mut self,
         attempt: &Attempt,
@@ -210,7 +212,7 @@
             progress: &mut self.progress,
             memory,
         };
-        relay.pass_on(status, &headers, &mut body, deadline).await?;
+        relay.forward(status, &headers, &mut body, deadline).await?;
         self.proxy
             .target_client
             .pool
@@ -219,24 +221,25 @@
         Ok(())
     }
 
-    /// The last target's own failure if it has arrived completely; an answer that has begun is
-    /// truncated.
+    /// Responds with the last complete error response from a target, or else with a local response.
+    /// A response that has begun is truncated.
     fn fail(&mut self, last: AttemptOutcome) {
         let response = match self.failure.take() {
             Some(failure) => failure.into_response(&self.request.upstream.method),
             None => local_response::failed(last, Some(&self.request.upstream.request_id)),
         };
-        self.client.answer(response);
+        self.client.send_response(response);
     }
 
-    /// Ends the answer as complete: that of a retained turn only once the stores have it.
+    /// Ends the response as complete; for a retained turn, only once the stores have acknowledged
+    /// it.
     async fn finish(&mut self) {
         if self
             .completion
             .store_retained(self.proxy, self.request.deadline)
             .await
         {
-            self.client.end().await;
+            self.client.send_end().await;
         }
     }
 }
--- a/tier/proxy/src/stream/client_channel.rs
+++ b/tier/proxy/src/stream/client_channel.rs
@@ -1,5 +1,5 @@
-//! The client's side of a stream: the head once, then chunks. One end is the stream's task, the
-//! other the body that the HTTP library polls.
+//! The channel to the client of a stream, for one head and then chunks. The stream's task sends,
+//! and the body that the HTTP library polls receives.
 
 use std::future::Future;
 
@@ -11,35 +11,36 @@
 use crate::local_response;
 use crate::response_body::{BodyChunk, ResponseBody};
 
-/// Chunks that wait for a client that reads slowly; beyond it the target's stream is not read
-/// either.
+/// Maximum number of chunks that wait for a client that reads slowly; at the limit, reading of the
+/// target's stream pauses.
 const MAX_WAITING_CHUNKS: usize = 16;
 
-/// The first message to the client.
+/// The start of the response to the client.
 #[derive(Debug)]
-enum AnswerStart {
-    /// A complete answer.
+enum ResponseStart {
+    /// A complete response.
     Complete(Response<ResponseBody>),
     /// The head of a stream; its chunks follow.
     Stream(Response<()>),
 }
 
-/// Where a stream's answer goes.
+/// The sending end of a stream's response.
 #[derive(Debug)]
 pub(super) struct ClientChannel {
-    start: Option<oneshot::Sender<AnswerStart>>,
+    start: Option<oneshot::Sender<ResponseStart>>,
     chunks: mpsc::Sender<BodyChunk>,
 }
 
-/// Where a stream's answer comes from.
+/// The receiving end of a stream's response.
 #[derive(Debug)]
 pub(super) struct ClientResponse {
     work: WorkGuard,
-    start: oneshot::Receiver<AnswerStart>,
+    start: oneshot::Receiver<ResponseStart>,
     chunks: mpsc::Receiver<BodyChunk>,
 }
 
-/// Both ends of an answer; the process does not end before the answer was sent.
+/// Creates both ends of a response; `work` keeps the process running until the response has been
+/// sent.
 pub(super) fn channel(work: WorkGuard) -> (ClientChannel, ClientResponse) {
     let (start_sender, start) = oneshot::channel();
     let (chunk_sender, chunks) = mpsc::channel(MAX_WAITING_CHUNKS);
@@ -58,40 +59,40 @@
 }
 
 impl ClientChannel {
-    /// Whether the head of a stream was sent, so that only its events can follow.
+    /// Whether the response has begun, so that only events of the same stream can follow.
     pub(super) fn has_begun(&self) -> bool {
         self.start.is_none()
     }
 
-    /// Answers with a complete response, unless the answer has begun.
-    pub(super) fn answer(&mut self, response: Response<ResponseBody>) {
-        self.send_start(AnswerStart::Complete(response));
+    /// Sends a complete response, unless the response has begun.
+    pub(super) fn send_response(&mut self, response: Response<ResponseBody>) {
+        self.send_start(ResponseStart::Complete(response));
     }
 
-    /// Begins a stream with this head, unless the answer has begun.
-    pub(super) fn begin(&mut self, head: Response<()>) {
-        self.send_start(AnswerStart::Stream(head));
+    /// Begins a stream with this head, unless the response has begun.
+    pub(super) fn send_head(&mut self, head: Response<()>) {
+        self.send_start(ResponseStart::Stream(head));
     }
 
-    /// Sends events on. Waits for a client that reads slowly.
+    /// Forwards events. Waits for a client that reads slowly.
     pub(super) async fn send(&self, bytes: Bytes) {
         let _ = self.chunks.send(BodyChunk::Data(bytes)).await;
     }
 
     /// Ends the stream as complete.
-    pub(super) async fn end(&self) {
+    pub(super) async fn send_end(&self) {
         let _ = self.chunks.send(BodyChunk::End).await;
     }
 
-    /// Returns once the client has gone.
-    pub(super) fn gone(&self) -> impl Future<Output = ()> + 'static {
+    /// Completes once the client has disconnected.
+    pub(super) fn closed(&self) -> impl Future<Output = ()> + 'static {
         let chunks = self.chunks.clone();
         async move { chunks.closed().await }
     }
 
-    fn send_start(&mut self, start: AnswerStart) {
+    fn send_start(&mut self, start: ResponseStart) {
         if let Some(sender) = self.start.take() {
-            // A client that has gone is noticed by `gone`.
+            // A client that has disconnected is detected by `closed`.
             let _ = sender.send(start);
         }
     }
@@ -106,8 +107,10 @@
             chunks,
         } = self;
         match start.await {
-            Ok(AnswerStart::Complete(response)) => response,
-            Ok(AnswerStart::Stream(head)) => head.map(|()| ResponseBody::Streamed { chunks, work }),
+            Ok(ResponseStart::Complete(response)) => response,
+            Ok(ResponseStart::Stream(head)) => {
+                head.map(|()| ResponseBody::Streamed { chunks, work })
+            }
             Err(_) => local_response::empty(StatusCode::BAD_GATEWAY, None),
         }
     }
--- a/tier/proxy/src/stream/event_relay.rs
+++ b/tier/proxy/src/stream/event_relay.rs
@@ -1,4 +1,4 @@
-//! Passes the events of one target's answer on to the client.
+//! Forwards the events of one target's response to the client.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -18,7 +18,7 @@
 /// The media type of an event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Whether an answer with this head is an event stream.
+/// Whether a response with this head is an event stream.
 pub(super) fn is_event_stream(status: StatusCode, headers: &HeaderMap) -> bool {
     let media_type = headers
         .get(header::CONTENT_TYPE)
@@ -26,33 +26,34 @@
     status.is_success() && media_type.is_some_and(|value| value.starts_with(EVENT_STREAM))
 }
 
-/// What was passed on so far, over all targets.
+/// The progress of a stream, over all targets.
 #[derive(Debug, Default)]
 pub(super) struct StreamProgress {
-    /// The id of the last event.
+    /// The id of the last event that was forwarded.
     pub(super) last_event_id: Option<u64>,
-    /// The longest pause between two arrivals.
+    /// The longest pause between two arrivals of data.
     pub(super) longest_pause: Ms,
 }
 
-/// Where the events of one answer go.
+/// Forwards the events of one response.
 pub(super) struct EventRelay<'stream> {
-    /// The client.
+    /// The channel to the client.
     pub(super) client: &'stream mut ClientChannel,
-    /// For the turn's record and its budget.
+    /// The delivered output, for the turn's record and its budget.
     pub(super) delivered: &'stream mut DeliveredOutput,
-    /// What was passed on so far.
+    /// The progress of the stream.
     pub(super) progress: &'stream mut StreamProgress,
-    /// Accounts for the data of the events, if it is retained.
+    /// Accounts for the data of the events, if the turn is retained.
     pub(super) memory: Option<&'stream mut MemoryReservation>,
 }
 
 impl EventRelay<'_> {
-    /// Passes events on as they arrive, until the target's stream ends properly.
+    /// Forwards events as they arrive, until the target's stream ends properly.
     ///
     /// # Errors
-    /// How the stream broke. An incomplete event is not passed on.
-    pub(super) async fn pass_on(
+    /// The outcome of the attempt if the stream does not end properly. An incomplete event is not
+    /// forwarded.
+    pub(super) async fn forward(
         &mut self,
         status: StatusCode,
         headers: &HeaderMap,
@@ -78,9 +79,9 @@
             let events = self.take_events(&mut splitter)?;
             self.send(status, headers, events).await;
         }
-        let rest = splitter.into_rest();
-        self.send(status, headers, rest).await;
-        self.client.begin(response_head(status, headers));
+        let remainder = splitter.into_remainder();
+        self.send(status, headers, remainder).await;
+        self.client.send_head(response_head(status, headers));
         Ok(())
     }
 
@@ -97,8 +98,8 @@
     fn record(&mut self, event: &Event) -> Result<(), AttemptOutcome> {
         match (event.id, self.progress.last_event_id) {
             (Some(id), Some(last)) if id <= last => {
-                // Another execution from the start: its events would be joined to those of the
-                // first.
+                // The request was executed again from the start: the events would be mixed with
+                // those of the first execution.
                 return Err(AttemptOutcome::Reset);
             }
             _ => {}
@@ -118,9 +119,9 @@
         if events.is_empty() {
             return;
         }
-        // The event lies ready when the head is written, so that both go out together.
+        // The event is queued before the head is written, so that both are sent together.
         self.client.send(events).await;
-        self.client.begin(response_head(status, headers));
+        self.client.send_head(response_head(status, headers));
     }
 }
 
--- a/tier/proxy/src/stream/events.rs
+++ b/tier/proxy/src/stream/events.rs
@@ -1,27 +1,28 @@
-//! Cuts a `text/event-stream` into complete events, however its bytes arrive (WHATWG HTML, section
-//! 9.2, "Server-sent events"; lines end with a line feed, with or without a carriage return).
+//! Splits a `text/event-stream` into complete events, regardless of how its bytes arrive (WHATWG
+//! HTML, section 9.2, "Server-sent events"; lines end with a line feed, with or without a carriage
+//! return).
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event, in bytes; a stream with a larger one is broken off.
+/// Maximum size of an event, in bytes; a stream with a larger event is aborted.
 pub const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// An event of more than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event of more than {MAX_EVENT_BYTES} bytes")]
+#[error("event exceeds {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
 /// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, the blank line behind it included.
+    /// The bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
-    /// Its `id`, if it has one that is a number.
+    /// The `id` of the event, if it is present and a number.
     pub id: Option<u64>,
 }
 
 impl Event {
-    /// Appends the event's data with one line feed behind; several `data` lines are joined by line
+    /// Appends the event's data, followed by one line feed; several `data` lines are joined by line
     /// feeds. An event without data adds nothing.
     pub fn append_data(&self, output: &mut Vec<u8>) {
         for data in lines(&self.bytes).filter_map(|line| field(line, b"data")) {
@@ -31,21 +32,21 @@
     }
 }
 
-/// Holds the bytes of the event that is not yet complete.
+/// Buffers the bytes of the event that is not yet complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Offset of the last line that is not yet complete.
+    /// Offset of the line that is not yet complete.
     line_start: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes as they arrive.
+    /// Appends bytes as they arrive.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete event, if there is one.
+    /// Returns the next complete event, if there is one.
     ///
     /// # Errors
     /// [`EventTooLong`] if the event has grown too long.
@@ -65,8 +66,8 @@
         Ok(None)
     }
 
-    /// The bytes of an event that is not complete.
-    pub fn into_rest(self) -> Bytes {
+    /// Returns the bytes of the event that is not complete.
+    pub fn into_remainder(self) -> Bytes {
         self.buffer.freeze()
     }
 
--- a/tier/proxy/src/stream/mod.rs
+++ b/tier/proxy/src/stream/mod.rs
@@ -1,8 +1,8 @@
-//! Answers that are event streams, passed on event by event as they arrive.
+//! Responses that are event streams, forwarded event by event as they arrive.
 //!
-//! One task for each stream (`attempts`) sends the request to one target after another if need be;
-//! `event_relay` passes the events of one target's answer on through a `client_channel`, and
-//! [`events`] cuts the bytes into events.
+//! One task for each stream (`attempts`) sends the request to one target after another if
+//! necessary; `event_relay` forwards the events of one target's response through a
+//! `client_channel`, and [`events`] splits the bytes into events.
 
 mod attempts;
 mod client_channel;
@@ -19,23 +19,23 @@
 use crate::response_body::ResponseBody;
 use turn_completion::TurnCompletion;
 
-/// Has the request answered event by event. Dropping the future, or the body of its answer, cancels
-/// the request.
+/// Serves the request event by event. Dropping the future, or the body of its response, cancels the
+/// request.
 pub async fn serve(proxy: &Rc<Proxy>, request: ClientRequest) -> Response<ResponseBody> {
-    let (client, answer) = client_channel::channel(proxy.lifecycle.begin_work());
+    let (client, response) = client_channel::channel(proxy.lifecycle.begin_work());
     let work = proxy.lifecycle.begin_work();
     let proxy = proxy.clone();
     tokio::task::spawn_local(async move {
         let mut request = request;
         let mut client = client;
-        let mut completion = TurnCompletion::of_request(&proxy, &request);
-        let client_gone = client.gone();
+        let mut completion = TurnCompletion::from_request(&proxy, &request);
+        let client_closed = client.closed();
         tokio::select! {
             biased;
-            () = client_gone => {}
+            () = client_closed => {}
             () = attempts::run(&proxy, &mut request, &mut client, &mut completion) => {}
         }
         completion.settle_in_background(work);
     });
-    answer.head().await
+    response.head().await
 }
--- a/tier/proxy/src/stream/turn_completion.rs
+++ b/tier/proxy/src/stream/turn_completion.rs
@@ -1,4 +1,4 @@
-//! What is left to be done for a stream's turn, however the stream ends.
+//! Settles and stores a stream's turn, however the stream ends.
 
 use plankhill_dispatch::Ms;
 
@@ -7,22 +7,22 @@
 use crate::process::Proxy;
 use crate::turn::{DeliveredOutput, Turn, TurnError};
 
-/// The stores are waited for during this share of the time left: a target needs the rest.
+/// The stores may take this share of the time left until the deadline: a target needs the rest.
 const BEGIN_SHARE: f64 = 0.5;
 
-/// A stream's turn and what was delivered of it. Owned by the stream's task, so that the turn can
-/// be settled after a cancellation.
+/// A stream's turn and its delivered output. Owned by the stream's task, so that the turn can be
+/// settled after a cancellation.
 pub(super) struct TurnCompletion {
-    /// The turn, if the stores know of it.
+    /// The turn, if it reserves tokens or is retained.
     turn: Option<Turn>,
     pub(super) delivered: DeliveredOutput,
-    /// Whether the stores have acknowledged the end.
+    /// Whether the stores have acknowledged the end of the turn, or there is nothing to settle.
     is_settled: bool,
 }
 
 impl TurnCompletion {
-    pub(super) fn of_request(proxy: &Proxy, request: &ClientRequest) -> Self {
-        let turn = Turn::of_request(
+    pub(super) fn from_request(proxy: &Proxy, request: &ClientRequest) -> Self {
+        let turn = Turn::from_request(
             &proxy.turns,
             &request.route,
             &request.headers,
@@ -36,11 +36,12 @@
         }
     }
 
-    /// Reserves tokens and fetches the previous turn, and puts both inputs into the request's body.
+    /// Reserves tokens, fetches the previous turn, and puts its history before the input in the
+    /// body of the request.
     ///
     /// # Errors
-    /// Why the turn is not sent. Memory that is used up counts as unavailable stores: the client
-    /// may come back soon.
+    /// A [`TurnError`] if the turn must not be sent. An exhausted memory budget is reported as
+    /// unavailable stores: the client may retry soon.
     pub(super) async fn begin(
         &mut self,
         proxy: &Proxy,
@@ -54,7 +55,7 @@
         let body = match turn.begin(proxy.clock.instant(until)).await {
             Ok(body) => body,
             Err(error) => {
-                // A turn that does not fit into the budget reserves nothing.
+                // A turn that does not fit into the budget has no reservation to settle.
                 self.is_settled = error == TurnError::BudgetExhausted;
                 return Err(error);
             }
@@ -67,13 +68,13 @@
         Ok(())
     }
 
-    /// Whether the data of events is kept for the turn's record.
+    /// Whether the data of events is retained for the turn's record.
     pub(super) fn is_retained(&self) -> bool {
         self.turn.as_ref().is_some_and(Turn::is_retained)
     }
 
-    /// Stores a retained turn before its answer ends; false if the stores have not acknowledged it
-    /// by `deadline`. Other turns are settled in the background.
+    /// Stores a retained turn before its response ends; returns false if the stores have not
+    /// acknowledged it by `deadline`. Other turns are settled in the background.
     pub(super) async fn store_retained(&mut self, proxy: &Proxy, deadline: Ms) -> bool {
         let Some(turn) = self.turn.as_ref().filter(|turn| turn.is_retained()) else {
             return true;
@@ -85,7 +86,7 @@
             self.is_settled = true;
             return true;
         }
-        // The answer is truncated, and the turn settled by what was delivered.
+        // The response is truncated, and the turn is settled by its delivered events.
         self.delivered.is_complete = false;
         false
     }
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -1,5 +1,5 @@
-//! A turn of an agent program: what it reserves and fetches at the stores before it is sent to a
-//! target, and what it settles and stores afterwards. Owned by the task of its stream.
+//! A turn of an agent program: reserves tokens and fetches the history at the stores before it is
+//! sent to a target, then settles the budget and stores the turn. Owned by the task of its stream.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,53 +16,54 @@
 use crate::request_headers::RequestHeaders;
 use crate::turn_store::TurnStore;
 
-/// How long a settlement is attempted in the background. A turn that stays unsettled counts with
-/// its reservation: too much, never too little.
+/// Timeout for settling a turn in the background. A turn that stays unsettled is charged with its
+/// reservation: possibly too much, never too little.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why a turn is not sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TurnError {
-    /// One more turn does not fit into the budget.
+    /// The budget has no room for another turn.
     #[error("the budget is exhausted")]
     BudgetExhausted,
-    /// `Previous` surely names no turn.
+    /// The turn named by `Previous` certainly does not exist.
     #[error("no such turn")]
     NoSuchTurn,
-    /// Too few stores answered.
+    /// Too few stores responded.
     #[error("the stores are unavailable")]
     StoresUnavailable,
 }
 
-/// What was delivered to the client of a turn.
+/// The output of a turn that was delivered to its client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DeliveredOutput {
     /// Number of events.
     pub events: u64,
-    /// The data of each event with a line feed behind.
+    /// The data of each event, followed by a line feed.
     pub data: Vec<u8>,
-    /// Whether the target's answer was delivered completely.
+    /// Whether the target's response was delivered completely.
     pub is_complete: bool,
 }
 
-/// A turn that the stores know of.
+/// A turn that reserves tokens at the stores or is stored by them.
 pub struct Turn {
     store: Rc<dyn TurnStore>,
     program: ProgramId,
     turn: RequestId,
     reservation: Option<Reservation>,
     previous: Option<RequestId>,
-    /// Where the stores keep the previous turn; known once the turn has begun.
+    /// The location of the previous turn in the stores; set once the turn has begun.
     previous_location: Option<TurnLocation>,
-    /// How long the turn is stored, on a route that stores turns.
+    /// How long the turn is retained, on a route that retains turns.
     retention: Option<Duration>,
     tokens_per_event: u64,
     input: Bytes,
 }
 
 impl Turn {
-    /// The turn that a request with these headers is, if the stores have to know of it.
-    pub fn of_request(
+    /// Creates the turn of a request with these headers. Returns `None` if the headers lack the
+    /// program or the request id, or if the turn neither reserves tokens nor is retained.
+    pub fn from_request(
         store: &Rc<dyn TurnStore>,
         route: &Route,
         headers: &RequestHeaders,
@@ -98,12 +99,12 @@
         })
     }
 
-    /// Whether the end of the answer waits until the turn is stored.
+    /// Whether the end of the response waits until the turn is stored.
     pub fn is_retained(&self) -> bool {
         self.retention.is_some()
     }
 
-    /// Whether the stores have to know of the turn before it is sent.
+    /// Whether the stores must be called before the turn is sent.
     fn needs_begin(&self) -> bool {
         self.reservation.is_some() || self.previous.is_some()
     }
@@ -111,7 +112,7 @@
     /// Reserves tokens and fetches the previous turn; returns the body for the target.
     ///
     /// # Errors
-    /// Why the turn is not sent.
+    /// A [`TurnError`] if the turn must not be sent.
     pub async fn begin(&mut self, until: Instant) -> Result<Bytes, TurnError> {
         if !self.needs_begin() {
             return Ok(self.input.clone());
@@ -126,7 +127,7 @@
         match self.store.begin(call, timeout).await {
             BeginOutcome::Begun { history, previous } => {
                 self.previous_location = previous;
-                Ok(join(&history, &self.input))
+                Ok(prepend_history(&history, &self.input))
             }
             BeginOutcome::BudgetExhausted => Err(TurnError::BudgetExhausted),
             BeginOutcome::NoSuchTurn => Err(TurnError::NoSuchTurn),
@@ -144,7 +145,7 @@
         self.store.end(call, timeout).await == EndOutcome::Ended
     }
 
-    /// Settles the turn in the background. The process does not end before: `work` says so.
+    /// Settles the turn in the background. `work` keeps the process running until then.
     pub fn settle_in_background(self, delivered: DeliveredOutput, work: WorkGuard) {
         tokio::task::spawn_local(async move {
             if !self.end(&delivered, Instant::now() + SETTLE_TIMEOUT).await {
@@ -154,7 +155,7 @@
         });
     }
 
-    /// None if the stores need not know of the end.
+    /// The call that ends the turn at the stores; `None` if there is nothing to settle or to store.
     fn end_call(&self, delivered: &DeliveredOutput) -> Option<EndTurn> {
         let used_tokens = delivered.events.saturating_mul(self.tokens_per_event);
         let tokens = self.reservation.as_ref().map(|_| used_tokens);
@@ -187,8 +188,8 @@
     }
 }
 
-/// The `Budget` header with the most tokens that the turn generates; the whole budget where the
-/// headers do not say.
+/// Returns the budget of the `Budget` header with the maximum number of tokens that the turn
+/// generates, which is the complete budget if the headers do not state it.
 fn reservation_of(headers: &RequestHeaders) -> Option<Reservation> {
     let budget = headers.budget?;
     let max_tokens = match headers.usage {
@@ -198,7 +199,7 @@
     Some(Reservation { budget, max_tokens })
 }
 
-fn join(history: &[u8], input: &Bytes) -> Bytes {
+fn prepend_history(history: &[u8], input: &Bytes) -> Bytes {
     if history.is_empty() {
         return input.clone();
     }
--- a/tier/proxy/src/turn_store.rs
+++ b/tier/proxy/src/turn_store.rs
@@ -1,4 +1,5 @@
-//! The stores as the proxy uses them: a trait, so that tests can put others in their place.
+//! The proxy's interface to the stores: a trait, so that tests can substitute another
+//! implementation.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,14 +8,14 @@
 use plankhill_protocol::tables::StoreView;
 use plankhill_store_client::{BeginOutcome, BeginTurn, EndOutcome, EndTurn, StoreClient};
 
-/// A future for this thread only.
+/// A future that is not sent to other threads.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Keeps turns and budgets. Calls are idempotent.
+/// Stores turns and budgets. Calls are idempotent.
 pub trait TurnStore {
-    /// Another view of the stores is in force from now on.
+    /// Replaces the view of the stores.
     fn set_view(&self, view: &StoreView);
-    /// Reserves the turn's most tokens and fetches the turn that it follows;
+    /// Reserves the turn's maximum number of tokens and fetches the previous turn;
     /// [`BeginOutcome::Unavailable`] after `timeout`.
     fn begin(&self, turn: BeginTurn, timeout: Duration) -> LocalFuture<BeginOutcome>;
     /// Settles the turn's budget and stores its record; [`EndOutcome::Unavailable`] after
