--- a/tier/proxy/src/connect.rs
+++ b/tier/proxy/src/connect.rs
@@ -10,18 +10,19 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-use crate::target_pool::{Driver, OpenPermit, TargetConnection};
+use crate::target_pool::{ConnectionDriver, OpenPermit, TargetConnection};
 
-/// The interval of TCP keep-alive probes. A target that has lost power answers none: after
-/// [`MAX_KEEPALIVE_PROBES`] of them the connection breaks.
+/// The interval of TCP keep-alive probes. A target that has lost power does not respond: after
+/// [`MAX_KEEPALIVE_PROBES`] unanswered probes the connection fails.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// See [`KEEPALIVE_INTERVAL`].
+/// Number of unanswered keep-alive probes after which a connection fails; see
+/// [`KEEPALIVE_INTERVAL`].
 const MAX_KEEPALIVE_PROBES: u32 = 2;
 
 /// Connects and starts the task that drives the connection; the task ends with the connection.
 ///
 /// # Errors
-/// The operating system's, or that of HTTP's start.
+/// An error of the operating system, or of the HTTP handshake.
 pub async fn connect(address: SocketAddr, permit: OpenPermit) -> io::Result<TargetConnection> {
     let stream = TcpStream::connect(address).await?;
     set_socket_options(&stream)?;
@@ -32,7 +33,7 @@
     SockRef::from(&stream).set_tcp_keepalive(&keepalive)?;
     let handshake = http1::handshake(TokioIo::new(stream));
     let (sender, connection) = handshake.await.map_err(io::Error::other)?;
-    let driver = Driver(tokio::task::spawn_local(async move {
+    let driver = ConnectionDriver(tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
             tracing::debug!(%address, %error, "target connection failed");
         }
--- a/tier/proxy/src/request_headers.rs
+++ b/tier/proxy/src/request_headers.rs
@@ -1,4 +1,4 @@
-//! What the headers of a client's request say, read once by [`crate::request_reader`].
+//! The parsed headers of a client request, read once by [`crate::request_reader`].
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use plankhill_dispatch::{Ms, PrefixPart};
 use plankhill_protocol::ids::{ProgramId, RequestId};
 
-/// Parts of a prompt that are looked at; further ones are not shared by many.
+/// Maximum number of prompt parts that are read; few requests share further ones.
 const MAX_PREFIX_PARTS: usize = 64;
 
 /// The `Token-Usage` header.
@@ -15,16 +15,17 @@
 pub struct TokenUsage {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// The most tokens that are generated.
+    /// Maximum number of generated tokens.
     pub max_generated: u64,
 }
 
-/// What the headers say. A header that cannot be read counts as absent; it is passed on as it came.
+/// The parsed headers. A header that cannot be parsed is treated as absent; it is forwarded
+/// unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHeaders {
     /// `Request-Id`.
     pub request_id: Option<RequestId>,
-    /// `Deadline-Ms`: the time that the client will wait, from the arrival of the request on.
+    /// `Deadline-Ms`: the time that the client waits, counted from the arrival of the request.
     pub deadline: Option<Ms>,
     /// `Program`.
     pub program: Option<ProgramId>,
@@ -45,27 +46,28 @@
 }
 
 impl RequestHeaders {
-    /// Reads the headers.
+    /// Parses the headers.
     pub fn read(headers: &HeaderMap) -> Self {
         RequestHeaders {
-            request_id: text(headers, "request-id").map(RequestId::from),
+            request_id: header_text(headers, "request-id").map(RequestId::from),
             deadline: finite_number(headers, "deadline-ms"),
-            program: text(headers, "program").map(ProgramId::from),
-            session: text(headers, "session").map(session_hash),
+            program: header_text(headers, "program").map(ProgramId::from),
+            session: header_text(headers, "session").map(session_hash),
             program_time_left: finite_number(headers, "finish-ms"),
-            budget: number(headers, "budget"),
-            usage: text(headers, "token-usage").and_then(parse_usage),
-            previous: text(headers, "previous").map(RequestId::from),
-            last_event_id: number(headers, "last-event-id"),
-            prefix: text(headers, "prefix-hash")
+            budget: header_number(headers, "budget"),
+            usage: header_text(headers, "token-usage").and_then(parse_usage),
+            previous: header_text(headers, "previous").map(RequestId::from),
+            last_event_id: header_number(headers, "last-event-id"),
+            prefix: header_text(headers, "prefix-hash")
                 .map(parse_prefix)
                 .unwrap_or_default(),
         }
     }
 }
 
-/// A header's text without the space around it; none if it is empty or no text.
-pub fn text<'headers>(headers: &'headers HeaderMap, name: &str) -> Option<&'headers str> {
+/// Returns the value of a header without surrounding whitespace; `None` if the header is absent,
+/// empty or not text.
+pub fn header_text<'headers>(headers: &'headers HeaderMap, name: &str) -> Option<&'headers str> {
     let value = headers.get(name)?.to_str().ok()?.trim();
     if value.is_empty() {
         return None;
@@ -73,13 +75,13 @@
     Some(value)
 }
 
-/// A header's number.
-pub fn number<T: FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
-    text(headers, name)?.parse().ok()
+/// Returns the value of a header as a number; `None` if it is absent or cannot be parsed.
+pub fn header_number<T: FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
+    header_text(headers, name)?.parse().ok()
 }
 
 fn finite_number(headers: &HeaderMap, name: &str) -> Option<f64> {
-    number(headers, name).filter(|number: &f64| number.is_finite())
+    header_number(headers, name).filter(|number: &f64| number.is_finite())
 }
 
 fn session_hash(value: &str) -> u64 {
@@ -88,7 +90,7 @@
     hasher.finish()
 }
 
-/// `prompt,most`, both in tokens.
+/// Parses `prompt,max_generated`, both in tokens.
 fn parse_usage(value: &str) -> Option<TokenUsage> {
     let (prompt, max_generated) = value.split_once(',')?;
     let prompt = prompt.trim().parse().ok()?;
@@ -99,7 +101,7 @@
     })
 }
 
-/// Parts `id:tokens` with commas between them, up to the first that cannot be read.
+/// Parses comma-separated parts `id:tokens`, up to the first that is malformed.
 fn parse_prefix(value: &str) -> Vec<PrefixPart> {
     value
         .split(',')
--- a/tier/proxy/src/responder.rs
+++ b/tier/proxy/src/responder.rs
@@ -1,4 +1,4 @@
-//! Answers one request of a client, from its head to the head of the answer. Called by
+//! Handles one client request, from its head to the head of the response. Called by
 //! `connection_server` for each request.
 
 use std::rc::Rc;
@@ -15,24 +15,24 @@
 use crate::clock::duration;
 use crate::headers::DEADLINE_MS;
 use crate::process::Proxy;
-use crate::request_headers::{number, RequestHeaders};
+use crate::request_headers::{header_number, RequestHeaders};
 use crate::request_reader::{read_request, RejectReason, Rejection};
 use crate::response_body::ResponseBody;
 use crate::snapshot::Snapshot;
 use crate::{buffered, local_response, stream};
 
-/// A request waits for the first tables for this share of its time.
+/// A request waits for the first tables for at most this share of its deadline.
 const TABLES_WAIT_SHARE: f64 = 0.25;
 /// A request waits for the first tables no longer than this.
 const MAX_TABLES_WAIT: Duration = Duration::from_millis(1_200);
-/// The `Retry-After` while the tables are not there yet.
+/// The `Retry-After` until the first tables have arrived.
 const RETRY_AFTER_NO_TABLES: Ms = 200.0;
-/// The `Retry-After` while there is no memory for the request.
+/// The `Retry-After` while the memory budget has no room for the request.
 const RETRY_AFTER_OVERLOAD: Ms = 300.0;
-/// The `Retry-After` of a process that ends: the client's next connection meets another process.
+/// The `Retry-After` during a shutdown: the client's next connection reaches another process.
 const RETRY_AFTER_SHUTDOWN: Ms = 20.0;
 
-/// Answers one request.
+/// Handles one request and returns its response.
 pub(crate) async fn respond(
     proxy: Rc<Proxy>,
     activity: &ConnectionActivity,
@@ -41,7 +41,7 @@
     let work = proxy.lifecycle.begin_work();
     activity.on_request_head();
     let arrived = proxy.clock.now();
-    let mut response = answer(&proxy, request, arrived).await;
+    let mut response = handle(&proxy, request, arrived).await;
     if proxy.lifecycle.is_draining() {
         response
             .headers_mut()
@@ -52,7 +52,7 @@
     response
 }
 
-async fn answer(
+async fn handle(
     proxy: &Rc<Proxy>,
     request: Request<Incoming>,
     arrived: Ms,
@@ -87,14 +87,14 @@
     }
 }
 
-/// The newest snapshot that requests may be served by.
+/// Returns the newest snapshot; `None` if it cannot be used to serve requests yet.
 ///
-/// After a start, when all machines may have started together, the tables come within a second: a
-/// request waits for them, since a rejection would cost its client an attempt.
+/// After a start, possibly of all machines at once, the tables arrive within a second: a request
+/// waits for them, because a rejection would cost its client an attempt.
 async fn current_snapshot(proxy: &Proxy, request: &Request<Incoming>) -> Option<Rc<Snapshot>> {
     let lifecycle = &proxy.lifecycle;
     if !lifecycle.has_current_tables() {
-        let deadline: Option<Ms> = number(request.headers(), DEADLINE_MS.as_str());
+        let deadline: Option<Ms> = header_number(request.headers(), DEADLINE_MS.as_str());
         let share = duration(deadline.unwrap_or(0.0) * TABLES_WAIT_SHARE);
         let _ = timeout(share.min(MAX_TABLES_WAIT), lifecycle.wait_tables_current()).await;
     }
--- a/tier/proxy/src/target_client.rs
+++ b/tier/proxy/src/target_client.rs
@@ -1,5 +1,5 @@
-//! One attempt at a target: takes or opens a connection, writes the request, reads the answer's
-//! head. Called by the task of each request; the connections are the pool's.
+//! Makes one attempt at a target: takes a connection from the pool or opens one, writes the
+//! request, and reads the head of the response. Called by the task of each request.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use crate::upstream_request::UpstreamRequest;
 use crate::upstream_response::UpstreamResponse;
 
-/// A connection that takes longer to come up counts as failed: far more than any way to a target.
+/// Timeout for opening a connection, far longer than the latency to any target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Sends requests to targets.
@@ -25,24 +25,24 @@
 pub struct TargetClient {
     /// The clock of the attempts' deadlines.
     pub clock: Clock,
-    /// Open connections.
+    /// The pool of open connections.
     pub pool: Rc<TargetPool>,
 }
 
-/// What became of a request that was to be written on a connection.
-enum Written {
-    /// The head of the answer has come.
-    Answered(Response<Incoming>),
+/// The result of writing a request on a connection.
+enum WriteResult {
+    /// The head of the response has arrived.
+    Responded(Response<Incoming>),
     /// The connection cannot be used, and nothing was written.
     ConnectionUnusable,
 }
 
 impl TargetClient {
-    /// Writes the request and reads the answer's head, with at most `max_connections` to the
-    /// target.
+    /// Writes the request and reads the head of the response, with at most `max_connections` open
+    /// to the target.
     ///
     /// # Errors
-    /// How the attempt ended without an answer to this request.
+    /// The outcome of the attempt if there is no valid response to this request.
     pub async fn send(
         &self,
         attempt: &Attempt,
@@ -51,17 +51,19 @@
     ) -> Result<UpstreamResponse, AttemptOutcome> {
         let deadline = self.clock.instant(attempt.deadline);
         loop {
-            let mut connection = self.connection(attempt, deadline, max_connections).await?;
+            let mut connection = self
+                .acquire_connection(attempt, deadline, max_connections)
+                .await?;
             match self
                 .write(&mut connection, attempt, request, deadline)
                 .await?
             {
-                Written::Answered(response) => {
+                WriteResult::Responded(response) => {
                     return UpstreamResponse::check(response, connection, request);
                 }
                 // The target closed the connection while it was idle.
-                Written::ConnectionUnusable if connection.reused => {}
-                Written::ConnectionUnusable => return Err(AttemptOutcome::ConnectFailed),
+                WriteResult::ConnectionUnusable if connection.reused => {}
+                WriteResult::ConnectionUnusable => return Err(AttemptOutcome::ConnectFailed),
             }
         }
     }
@@ -72,7 +74,7 @@
         attempt: &Attempt,
         request: &UpstreamRequest,
         deadline: Instant,
-    ) -> Result<Written, AttemptOutcome> {
+    ) -> Result<WriteResult, AttemptOutcome> {
         let Ok(ready) = timeout_at(deadline, connection.sender.ready()).await else {
             return Err(AttemptOutcome::NotSent);
         };
@@ -80,21 +82,21 @@
             return Err(AttemptOutcome::NotSent);
         }
         if ready.is_err() {
-            return Ok(Written::ConnectionUnusable);
+            return Ok(WriteResult::ConnectionUnusable);
         }
         let message = request.message(attempt, self.clock.now());
         match timeout_at(deadline, connection.sender.try_send_request(message)).await {
             Err(_) => Err(AttemptOutcome::TimedOut),
-            Ok(Ok(response)) => Ok(Written::Answered(response)),
-            // The message comes back where nothing of it was written.
+            Ok(Ok(response)) => Ok(WriteResult::Responded(response)),
+            // The error contains the message if no part of it was written.
             Ok(Err(mut error)) => match error.take_message() {
-                Some(_) => Ok(Written::ConnectionUnusable),
+                Some(_) => Ok(WriteResult::ConnectionUnusable),
                 None => Err(AttemptOutcome::Reset),
             },
         }
     }
 
-    async fn connection(
+    async fn acquire_connection(
         &self,
         attempt: &Attempt,
         deadline: Instant,
@@ -105,11 +107,11 @@
         }
         let permit = self
             .pool
-            .permit(&attempt.target, max_connections)
+            .acquire_permit(&attempt.target, max_connections)
             .ok_or(AttemptOutcome::NotSent)?;
         let until = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         tokio::select! {
-            connected = open(attempt.address, permit, until) => {
+            connected = open_connection(attempt.address, permit, until) => {
                 connected.ok_or(AttemptOutcome::ConnectFailed)
             }
             () = attempt.send_permit.revoked() => Err(AttemptOutcome::NotSent),
@@ -117,7 +119,11 @@
     }
 }
 
-/// None if the connection does not come up in time, or at all.
-async fn open(address: SocketAddr, permit: OpenPermit, until: Instant) -> Option<TargetConnection> {
+/// Opens a connection; `None` if that fails or is not complete by `until`.
+async fn open_connection(
+    address: SocketAddr,
+    permit: OpenPermit,
+    until: Instant,
+) -> Option<TargetConnection> {
     timeout_at(until, connect(address, permit)).await.ok()?.ok()
 }
--- a/tier/proxy/src/target_pool.rs
+++ b/tier/proxy/src/target_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to targets: kept open between attempts, bounded for each target. One pool is shared
-//! by all tasks of the process.
+//! Pool of connections to targets, which stay open between attempts and are limited for each
+//! target. One pool is shared by all tasks of the process.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,28 +14,28 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::headers::says_close;
-use crate::request_headers::text;
+use crate::headers::has_close_option;
+use crate::request_headers::header_text;
 
-/// Idle connections are closed this long before the target closes them, so that no request meets
-/// the close.
+/// Idle connections are closed this long before the target closes them, so that no request races
+/// with the close.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(400);
-/// The idle time-out where the target states none: the target's is less than a whole second then.
+/// The idle timeout if the target states none: the target's timeout is then less than one second.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(150);
-/// A longer time-out in `Keep-Alive` is not believed.
+/// A longer timeout in `Keep-Alive` is ignored.
 const MAX_KEEP_ALIVE_SECONDS: u64 = 3_600;
 
-/// Ends the task that drives a connection when the connection is dropped.
+/// Aborts the task that drives a connection when the connection is dropped.
 #[derive(Debug)]
-pub struct Driver(pub JoinHandle<()>);
+pub struct ConnectionDriver(pub JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionDriver {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Counts one open connection of a target for as long as it lives.
+/// Counts as one open connection to a target until it is dropped.
 #[derive(Debug)]
 pub struct OpenPermit {
     pool: Rc<TargetPool>,
@@ -51,13 +51,13 @@
 /// An open connection, in use by one attempt or idle.
 #[derive(Debug)]
 pub struct TargetConnection {
-    /// Takes requests.
+    /// Sends requests over the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether an answer has come over the connection before.
+    /// Whether a response has arrived over the connection before.
     pub reused: bool,
-    /// Keeps the connection driven.
-    pub driver: Driver,
-    /// Counts the connection.
+    /// The task that drives the connection.
+    pub driver: ConnectionDriver,
+    /// The permit that counts the connection.
     pub permit: OpenPermit,
 }
 
@@ -76,24 +76,24 @@
 /// The connections to one target.
 #[derive(Debug, Default)]
 struct TargetConnections {
-    /// The one used last is at the end.
+    /// The idle connections, with the most recently used one at the end.
     idle: Vec<IdleConnection>,
-    /// Connections in use and idle.
+    /// Number of connections in use or idle.
     open: usize,
 }
 
-/// All connections to targets, by the target's id: an address that is used again never meets an old
-/// connection.
+/// All connections to targets, keyed by target id: no old connection is used for a new target at
+/// the same address.
 ///
-/// Connections are dropped only while `targets` is not borrowed: their permits borrow the pool to
-/// count themselves out.
+/// Connections are dropped only while `targets` is not borrowed: dropping a permit borrows
+/// `targets` to decrement the count.
 #[derive(Debug, Default)]
 pub struct TargetPool {
     targets: RefCell<HashMap<InstanceId, TargetConnections>>,
 }
 
 impl TargetPool {
-    /// The idle connection that was used last, if there is one that can still be used.
+    /// Takes the most recently used idle connection that is still usable, if there is one.
     pub fn take_idle(&self, target: &InstanceId, now: Instant) -> Option<TargetConnection> {
         let mut unusable = Vec::new();
         let found = {
@@ -111,8 +111,8 @@
         found
     }
 
-    /// A permit to open one more connection, if fewer than `max` are open.
-    pub fn permit(self: &Rc<Self>, target: &InstanceId, max: usize) -> Option<OpenPermit> {
+    /// Returns a permit to open one more connection, if fewer than `max` are open.
+    pub fn acquire_permit(self: &Rc<Self>, target: &InstanceId, max: usize) -> Option<OpenPermit> {
         let mut targets = self.targets.borrow_mut();
         let connections = targets.entry(target.clone()).or_default();
         if connections.open >= max {
@@ -125,10 +125,10 @@
         })
     }
 
-    /// Keeps a connection whose answer arrived completely, unless the answer's head speaks against
-    /// it.
+    /// Puts a connection back whose response arrived completely, unless the head of the response
+    /// has `Connection: close` or the connection is closed.
     pub fn put_back(&self, mut connection: TargetConnection, head: &HeaderMap, now: Instant) {
-        if says_close(head) || connection.sender.is_closed() {
+        if has_close_option(head) || connection.sender.is_closed() {
             return;
         }
         connection.reused = true;
@@ -159,7 +159,7 @@
         drop(idle);
     }
 
-    /// Closes every idle connection whose time-out is over, or whose target is not `known`.
+    /// Closes every idle connection that is no longer usable, or whose target is not `known`.
     pub fn sweep(&self, now: Instant, known: impl Fn(&InstanceId) -> bool) {
         let mut unusable: Vec<IdleConnection> = Vec::new();
         for (target, connections) in self.targets.borrow_mut().iter_mut() {
@@ -172,15 +172,15 @@
         drop(unusable);
     }
 
-    /// Idle connections that can still be used.
-    pub fn usable(&self, now: Instant) -> usize {
+    /// Number of usable idle connections.
+    pub fn usable_idle_count(&self, now: Instant) -> usize {
         let targets = self.targets.borrow();
         let idle = targets.values().flat_map(|connections| &connections.idle);
         idle.filter(|idle| idle.is_usable(now)).count()
     }
 
-    /// Connections open to all targets.
-    pub fn open(&self) -> usize {
+    /// Number of open connections to all targets.
+    pub fn open_count(&self) -> usize {
         self.targets
             .borrow()
             .values()
@@ -200,9 +200,9 @@
     }
 }
 
-/// How long a connection may be idle after an answer with this head.
+/// How long a connection may be idle after a response with this head.
 fn idle_timeout(head: &HeaderMap) -> Duration {
-    match text(head, "keep-alive").and_then(keep_alive_seconds) {
+    match header_text(head, "keep-alive").and_then(keep_alive_seconds) {
         Some(seconds) => Duration::from_secs(seconds).saturating_sub(IDLE_TIMEOUT_MARGIN),
         None => DEFAULT_IDLE_TIMEOUT,
     }
--- a/tier/proxy/src/upstream_request.rs
+++ b/tier/proxy/src/upstream_request.rs
@@ -1,5 +1,4 @@
-//! What is sent to targets for one request. Written by [`crate::target_client`], once for each
-//! attempt.
+//! The request that is sent to targets. Written by [`crate::target_client`], once for each attempt.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -11,26 +10,26 @@
 use crate::decision::Attempt;
 use crate::headers;
 
-/// The parts of a request that are the same for all of its attempts, but for a few headers.
+/// The parts of a request that are the same for all of its attempts, except for a few headers.
 #[derive(Debug)]
 pub struct UpstreamRequest {
     /// The client's method.
     pub method: Method,
     /// The client's path and query.
     pub uri: Uri,
-    /// The client's headers but for those that concern its connection.
+    /// The client's headers, except for those that apply to its connection.
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
-    /// The client's name for the request.
+    /// The client's id for the request.
     pub request_id: RequestId,
-    /// The id of the event after which the stream goes on, if not after the one that the client
-    /// named.
+    /// The id of the event after which the stream resumes; if `None`, the client's own header is
+    /// sent.
     pub last_event_id: Option<u64>,
 }
 
 impl UpstreamRequest {
-    /// The message for one attempt that is written at `now`.
+    /// Builds the message for one attempt that is written at `now`.
     pub(crate) fn message(&self, attempt: &Attempt, now: Ms) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         if let Ok(id) = attempt.target.as_str().parse() {
