--- a/tier/proxy/src/draining.rs
+++ b/tier/proxy/src/draining.rs
@@ -1,6 +1,6 @@
-//! Takes this node out of service and back, as the control plane orders, and ends the process in
-//! order after SIGTERM. Started once by [`crate::run()`]; the decisions are those of
-//! `plankhill-draining`.
+//! Takes this node out of service and back into it on orders of the control plane, and shuts the
+//! process down gracefully after SIGTERM. Started once by [`crate::run()`]; the decisions are made
+//! by `plankhill-draining`.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,47 +17,47 @@
 use crate::lifecycle::ConnectionPolicy;
 use crate::process::Proxy;
 
-/// While the node is out of service, the drain looks at it this often. In service it is woken by
-/// new tables only.
+/// Poll interval of the drain while the node is not in service. In service, the drain is only woken
+/// by new tables and by a shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The same while the process ends.
+/// Poll interval of the drain during a shutdown of the process.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Bound on idle connections and on answers while there is no configuration.
+/// Maximum idle time of connections and maximum response time if there is no configuration.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Sends a message to the agent of this machine; false if it cannot be sent now.
-pub type Report = Box<dyn Fn(FromSubscriber) -> bool>;
+/// Sends a message to the agent of this machine; returns false if it cannot be sent now.
+pub type ReportSender = Box<dyn Fn(FromSubscriber) -> bool>;
 
-/// Follows the orders for this node until the process is to end. Once the sender of `tables` is
-/// gone, the newest order stays in force.
-pub async fn follow(
+/// Applies the drain orders for this node until the process is to end. After the sender of `tables`
+/// is dropped, the newest order remains in effect.
+pub async fn run(
     proxy: Rc<Proxy>,
     node: NodeId,
     mut tables: watch::Receiver<Arc<Tables>>,
-    report: Report,
+    report: ReportSender,
 ) {
     let mut drain = NodeDrain::default();
     let mut shutdown = proxy.lifecycle.shutdown();
     let mut has_sender = true;
     loop {
-        let seen = observe(&proxy, &node, &tables.borrow_and_update().clone());
-        for action in drain.step(duration(proxy.clock.now()), &seen) {
-            carry_out(&proxy, action, &report);
+        let observation = observe(&proxy, &node, &tables.borrow_and_update().clone());
+        for action in drain.step(duration(proxy.clock.now()), &observation) {
+            apply_action(&proxy, action, &report);
             if action == DrainAction::ExitProcess {
                 return;
             }
         }
-        let polls = drain.state() != NodeState::InService;
-        let interval = match seen.shutdown {
+        let is_polling = drain.state() != NodeState::InService;
+        let interval = match observation.shutdown {
             Some(_) => SHUTDOWN_POLL_INTERVAL,
             None => DRAIN_POLL_INTERVAL,
         };
         tokio::select! {
             changed = tables.changed(), if has_sender => has_sender = changed.is_ok(),
-            // Never an error: the lifecycle holds the sender.
+            // Never an error: the lifecycle owns the sender.
             _ = shutdown.changed() => {}
-            () = proxy.lifecycle.became_idle(), if polls => {}
-            () = tokio::time::sleep(interval), if polls => {}
+            () = proxy.lifecycle.became_idle(), if is_polling => {}
+            () = tokio::time::sleep(interval), if is_polling => {}
         }
     }
 }
@@ -88,7 +88,7 @@
         .unwrap_or(DEFAULT_TIMEOUT)
 }
 
-fn carry_out(proxy: &Proxy, action: DrainAction, report: &Report) {
+fn apply_action(proxy: &Proxy, action: DrainAction, report: &ReportSender) {
     let lifecycle = &proxy.lifecycle;
     tracing::info!(
         ?action,
@@ -109,7 +109,7 @@
             lifecycle.set_connection_policy(ConnectionPolicy::CloseAll)
         }
         DrainAction::ReportDrained(number) => {
-            // The drain reports again until the tables show it.
+            // A failed send is ignored: the drain repeats the report until the tables record it.
             let _ = report(FromSubscriber::Drained { number });
         }
         DrainAction::ExitProcess => lifecycle.end_process(),
--- a/tier/proxy/src/in_flight.rs
+++ b/tier/proxy/src/in_flight.rs
@@ -1,12 +1,12 @@
-//! Counts of the process's work and of its clients' connections, held by guards. Owned by
-//! [`crate::lifecycle::Lifecycle`]; draining waits for both to become zero.
+//! Counts the unfinished work of the process and its client connections by means of guards. Owned
+//! by [`crate::lifecycle::Lifecycle`]; draining waits until both counts are zero.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// Work that has to be finished before the process ends, and open connections of clients.
+/// Counts of the work that must finish before the process ends, and of open client connections.
 #[derive(Debug, Default)]
 pub struct InFlight {
     work: Cell<usize>,
@@ -16,7 +16,7 @@
 }
 
 impl InFlight {
-    /// Work begins; it ends when the guard is dropped.
+    /// Begins a unit of work, which ends when the guard is dropped.
     pub fn begin_work(self: &Rc<Self>) -> WorkGuard {
         self.work.set(self.work.get() + 1);
         WorkGuard {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A client has connected; its connection ends when the guard is dropped.
+    /// Counts a new client connection, which ends when the guard is dropped.
     pub fn begin_connection(self: &Rc<Self>) -> ConnectionGuard {
         self.connections.set(self.connections.get() + 1);
         ConnectionGuard {
@@ -32,22 +32,22 @@
         }
     }
 
-    /// Guards of work that are alive.
+    /// Number of live work guards.
     pub fn work(&self) -> usize {
         self.work.get()
     }
 
-    /// Guards of connections that are alive.
+    /// Number of live connection guards.
     pub fn connections(&self) -> usize {
         self.connections.get()
     }
 
-    /// Returns when the last work, or the last connection, ends.
+    /// Returns when the last unit of work, or the last connection, ends.
     pub async fn became_idle(&self) {
         self.became_idle.notified().await;
     }
 
-    /// Returns once no work is left.
+    /// Returns once no unfinished work is left.
     pub async fn work_finished(&self) {
         while self.work.get() > 0 {
             self.work_finished.notified().await;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Work that has to be finished before the process ends.
+/// A unit of work that must finish before the process ends.
 #[derive(Debug)]
 pub struct WorkGuard {
     in_flight: Rc<InFlight>,
@@ -72,7 +72,7 @@
     }
 }
 
-/// An open connection of a client.
+/// An open client connection.
 #[derive(Debug)]
 pub struct ConnectionGuard {
     in_flight: Rc<InFlight>,
--- a/tier/proxy/src/lifecycle.rs
+++ b/tier/proxy/src/lifecycle.rs
@@ -1,7 +1,8 @@
-//! The phases of the process: waiting for its first tables, serving, draining, ending.
+//! The phases of the process: waiting for its first tables, serving, draining and ending.
 //!
-//! One [`Lifecycle`] is shared by all tasks. The table feed says when tables are current, draining
-//! and the signals say when the process leaves service, and the tasks that serve clients ask here.
+//! One [`Lifecycle`] is shared by all tasks. The table feed records when tables are current, the
+//! drain and signal tasks record when the process leaves service, and the tasks that serve clients
+//! query the state.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,19 +14,19 @@
 use crate::clock::duration;
 use crate::in_flight::{ConnectionGuard, InFlight, WorkGuard};
 
-/// What is to become of clients' connections, in the order of severity.
+/// How client connections are treated, in ascending order of severity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPolicy {
-    /// They stay open.
+    /// Connections stay open.
     #[default]
     KeepOpen,
-    /// Idle ones are closed, the others behind the answer under way.
+    /// Idle connections are closed at once, the others after the response in progress.
     CloseIdle,
-    /// All are closed at once.
+    /// All connections are closed at once.
     CloseAll,
 }
 
-/// The phase of the process.
+/// The lifecycle state of the process.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     has_current_tables: Cell<bool>,
@@ -39,39 +40,39 @@
 }
 
 impl Lifecycle {
-    /// The tables have been the newest once in this process; later ones continue from there.
+    /// Records that the tables have been current once in this process; later tables build on them.
     pub fn mark_tables_current(&self) {
         self.has_current_tables.set(true);
         self.tables_became_current.notify_waiters();
     }
 
-    /// Returns once the tables have been the newest.
+    /// Returns once the tables have been current.
     pub async fn wait_tables_current(&self) {
         while !self.has_current_tables() {
             self.tables_became_current.notified().await;
         }
     }
 
-    /// Whether the tables have been the newest once.
+    /// Whether the tables have been current once.
     pub fn has_current_tables(&self) -> bool {
         self.has_current_tables.get()
     }
 
-    /// The graceful shutdown of the process begins; its times are on the clock of the process.
+    /// Begins the graceful shutdown of the process; its deadlines are on the clock of the process.
     pub fn begin_shutdown(&self, shutdown: Shutdown) {
         self.shutdown.send_replace(Some(shutdown));
     }
 
-    /// The graceful shutdown, once it has begun.
+    /// The graceful shutdown; `None` until it begins.
     pub fn shutdown(&self) -> watch::Receiver<Option<Shutdown>> {
         self.shutdown.subscribe()
     }
 
-    /// Whether a request that came at `arrived` and may take until `deadline` is begun before the
-    /// process ends.
+    /// Whether a request that arrived at `arrived` and may take until `deadline` is admitted before
+    /// the process ends.
     pub fn admits(&self, arrived: Ms, deadline: Ms) -> bool {
         if *self.ended.borrow() {
-            // Once the end has been decided on, no request is begun.
+            // No request is admitted after the end of the process has been decided.
             return false;
         }
         match *self.shutdown.borrow() {
@@ -80,17 +81,18 @@
         }
     }
 
-    /// A request was rejected because the process ends before it could be answered.
+    /// Counts a request that was rejected because the process ends before its response would be
+    /// complete.
     pub fn count_rejected(&self) {
         self.rejected_requests.set(self.rejected_requests.get() + 1);
     }
 
-    /// Requests that were rejected because the process ends.
+    /// Number of requests that were rejected because the process ends.
     pub fn rejected_requests(&self) -> u64 {
         self.rejected_requests.get()
     }
 
-    /// No work is left to be waited for: the process ends now.
+    /// Ends the process now, without waiting for any more work.
     pub fn end_process(&self) {
         self.ended.send_replace(true);
     }
@@ -101,52 +103,53 @@
         let _ = self.ended.subscribe().wait_for(|ended| *ended).await;
     }
 
-    /// The operator takes the node out of service (`true`), or back.
+    /// Sets whether the operator has taken the node out of service.
     pub fn set_draining(&self, is_draining: bool) {
         self.is_node_draining.set(is_draining);
     }
 
-    /// Whether new clients are to go to other nodes.
+    /// Whether new clients are to use other nodes: the process is shutting down, or the node is out
+    /// of service.
     pub fn is_draining(&self) -> bool {
         self.shutdown.borrow().is_some() || self.is_node_draining.get()
     }
 
-    /// Sets what is to become of clients' connections.
+    /// Sets the policy for client connections.
     pub fn set_connection_policy(&self, policy: ConnectionPolicy) {
         self.connection_policy.send_replace(policy);
     }
 
-    /// What is to become of clients' connections.
+    /// The policy for client connections.
     pub fn connection_policy(&self) -> watch::Receiver<ConnectionPolicy> {
         self.connection_policy.subscribe()
     }
 
-    /// Work begins that has to be finished before the process ends.
+    /// Begins a unit of work that must finish before the process ends.
     pub fn begin_work(&self) -> WorkGuard {
         self.in_flight.begin_work()
     }
 
-    /// Work that is not finished: requests, streams, settlements.
+    /// Number of unfinished units of work, such as requests, streams and settlements.
     pub fn work_in_flight(&self) -> usize {
         self.in_flight.work()
     }
 
-    /// A client has connected.
+    /// Counts a new client connection.
     pub fn begin_connection(&self) -> ConnectionGuard {
         self.in_flight.begin_connection()
     }
 
-    /// Connections of clients that are open.
+    /// Number of open client connections.
     pub fn open_connections(&self) -> usize {
         self.in_flight.connections()
     }
 
-    /// Returns when the last work ends, or the last connection of a client.
+    /// Returns when the last unit of work, or the last client connection, ends.
     pub async fn became_idle(&self) {
         self.in_flight.became_idle().await;
     }
 
-    /// Returns once no work is left.
+    /// Returns once no unfinished work is left.
     pub async fn work_finished(&self) {
         self.in_flight.work_finished().await;
     }
--- a/tier/proxy/src/process.rs
+++ b/tier/proxy/src/process.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the process share. Assembled once by [`crate::run()`].
+//! The state shared by the tasks of the process. Assembled once by [`crate::run()`].
 
 use std::rc::Rc;
 
@@ -10,11 +10,11 @@
 use crate::target_client::TargetClient;
 use crate::turn_store::TurnStore;
 
-/// The process as its tasks see it.
+/// The shared state of the process.
 pub struct Proxy {
-    /// The clock of all deadlines.
+    /// The clock on which all deadlines are expressed.
     pub clock: Clock,
-    /// The tables in force.
+    /// The current tables.
     pub snapshots: SnapshotCell,
     /// The dispatcher.
     pub admission: Rc<Admission>,
@@ -24,6 +24,6 @@
     pub turns: Rc<dyn TurnStore>,
     /// Memory for bodies.
     pub memory: Rc<MemoryBudget>,
-    /// The phase of the process.
+    /// The lifecycle state of the process.
     pub lifecycle: Rc<Lifecycle>,
 }
--- a/tier/proxy/src/readiness.rs
+++ b/tier/proxy/src/readiness.rs
@@ -1,4 +1,5 @@
-//! Answers whether this proxy takes new clients, at `/-/ready` of its own listener.
+//! Serves the readiness check at `/-/ready` of a separate listener: whether this proxy accepts new
+//! clients.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -15,10 +16,10 @@
 use crate::process::Proxy;
 use crate::response_body::ResponseBody;
 
-/// The path of the question.
+/// The path of the readiness check.
 const PATH: &str = "/-/ready";
 
-/// Answers for ever.
+/// Serves readiness checks forever.
 pub async fn serve(proxy: Rc<Proxy>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -29,8 +30,8 @@
     }
 }
 
-/// Whether new clients are welcome: the tables are current, they hold a configuration, and the node
-/// is not draining.
+/// Whether the proxy accepts new clients: the tables are current, they contain a configuration, and
+/// the node is not draining.
 pub fn is_ready(proxy: &Proxy) -> bool {
     let lifecycle = &proxy.lifecycle;
     lifecycle.has_current_tables()
@@ -45,7 +46,7 @@
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).auto_date_header(false);
-    // How the caller's connection ends says nothing about this proxy.
+    // An error on the caller's connection has no effect on readiness.
     let _ = builder
         .serve_connection(TokioIo::new(stream), service)
         .await;
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -1,4 +1,4 @@
-//! Assembles the process and runs it until it is asked to end.
+//! Assembles the process and runs it until it is signalled to end.
 
 use std::hash::{BuildHasher, RandomState};
 use std::io;
@@ -25,43 +25,43 @@
 use crate::target_pool::TargetPool;
 use crate::{draining, health_check, listener, readiness, signals, table_feed};
 
-/// The share of all descriptors that is left for connections to targets, to stores and to the
-/// agent.
+/// The share of all file descriptors that is reserved for connections to targets, to stores and to
+/// the agent.
 const RESERVED_DESCRIPTOR_SHARE: f64 = 0.4;
 /// The share of the process's memory for bodies; the rest is for connections and tables.
 const BODY_MEMORY_SHARE: f64 = 0.4;
-/// Requests queued or in flight at once: each takes some kilobytes, and more could not be served in
-/// time.
+/// Maximum number of requests queued or in flight: each takes some kilobytes, and more could not be
+/// served in time.
 const MAX_REQUESTS: usize = 2_000;
 
-/// Why the process ended without being asked to.
+/// Why the process ended without being signalled to.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The settings name no address for clients, or none for readiness.
+    /// The settings lack the address for clients or the one for readiness checks.
     #[error("the settings lack listeners_map.{0}")]
     NoListener(&'static str),
-    /// The address cannot be listened at.
+    /// Listening on the address failed.
     #[error("cannot listen at {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the operating system answered.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The operating system refused something that the process cannot do without.
+    /// A required operating system call failed.
     #[error("{0}")]
     System(#[from] io::Error),
 }
 
-/// Runs the proxy until it is asked to end.
+/// Runs the proxy until it is signalled to end.
 ///
 /// # Errors
-/// [`RunError`] if it cannot start.
+/// [`RunError`] if the proxy cannot start.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     run_on_current_thread(serve(settings))?
 }
 
-/// The tasks that are started here run until the end of the process: the local set drops them.
+/// The tasks spawned here run until the end of the process, when the local set drops them.
 async fn serve(settings: Settings) -> Result<(), RunError> {
     let listeners = &settings.listeners_map;
     let clients = listeners.http.ok_or(RunError::NoListener("http"))?;
@@ -74,18 +74,18 @@
     let (check_sender, health_checks) = mpsc::unbounded_channel();
     let proxy = assemble(&settings, check_sender);
     let subscription = Rc::new(table_feed::subscribe(&settings));
-    let report: draining::Report = {
+    let report: draining::ReportSender = {
         let subscription = subscription.clone();
         Box::new(move |message| subscription.send(message))
     };
     let node = NodeId::from(settings.node_id.as_str());
-    spawn_local(draining::follow(
+    spawn_local(draining::run(
         proxy.clone(),
         node,
         subscription.tables(),
         report,
     ));
-    spawn_local(table_feed::follow(proxy.clone(), subscription));
+    spawn_local(table_feed::run(proxy.clone(), subscription));
     spawn_local(health_check::run(proxy.clone(), health_checks));
     let admission = proxy.admission.clone();
     spawn_local(async move { admission.run_timer().await });
@@ -126,7 +126,8 @@
     })
 }
 
-/// Differs from process to process: the library's hash keys are drawn at random.
+/// Returns a seed that differs between processes: the standard library draws its hash keys at
+/// random.
 fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
--- a/tier/proxy/src/signals.rs
+++ b/tier/proxy/src/signals.rs
@@ -11,8 +11,8 @@
 use crate::process::Proxy;
 
 /// Returns when the process is to end: SIGTERM begins the shutdown, during which further signals
-/// change nothing. SIGHUP before it has the settings read again; addresses stay as they were at the
-/// start, since the platform restarts a process that is to listen elsewhere.
+/// have no effect. SIGHUP before the shutdown reloads the settings; addresses stay as they were at
+/// the start, since the platform restarts a process that is to listen elsewhere.
 pub async fn process_ended(mut signals: ProcessSignals, proxy: Rc<Proxy>, mut bounds: Bounds) {
     loop {
         match signals.next().await {
@@ -31,11 +31,11 @@
     tracing::info!(rejected_requests, "graceful shutdown finished");
 }
 
-/// Takes the node out of service for good; returns when no work is left, or after `grace`.
-/// [`crate::draining::follow`] has to run meanwhile.
+/// Takes the node out of service permanently; returns when no work is left, or after `grace`.
+/// [`crate::draining::run`] must run concurrently.
 pub async fn shut_down(proxy: &Proxy, grace: Duration) {
     let shutdown = Shutdown::new(duration(proxy.clock.now()), grace);
     proxy.lifecycle.begin_shutdown(shutdown);
-    // Whatever became of the drain, the process ends before it is killed.
+    // The timeout ends the process before it is killed, whatever the state of the drain.
     let _ = timeout(grace, proxy.lifecycle.process_ended()).await;
 }
--- a/tier/proxy/src/snapshot.rs
+++ b/tier/proxy/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The tables in force: one immutable snapshot, replaced as a whole by `table_feed`.
+//! The current tables: one immutable snapshot, replaced by `table_feed`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,13 +10,13 @@
 /// The tables at one revision, with the configuration parsed.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// As the agent sent them.
+    /// The tables as sent by the agent.
     pub tables: Arc<Tables>,
-    /// None before the operator's first configuration.
+    /// The routes of the configuration; `None` before the operator's first configuration.
     pub routes: Option<Rc<RouteTable>>,
 }
 
-/// Holds the newest snapshot; requests keep the one that they began with.
+/// Contains the newest snapshot; a request keeps the one with which it began.
 #[derive(Debug, Default)]
 pub struct SnapshotCell {
     newest: RefCell<Rc<Snapshot>>,
@@ -28,7 +28,8 @@
         self.newest.borrow().clone()
     }
 
-    /// Replaces the snapshot unless the tables are of an older revision; true if it did.
+    /// Replaces the snapshot unless the tables are of an older revision; returns whether it was
+    /// replaced.
     pub fn replace(&self, tables: Arc<Tables>) -> bool {
         let current = self.newest();
         if tables.revision < current.tables.revision {
@@ -40,8 +41,8 @@
     }
 }
 
-/// Parses the configuration only if it differs. One that cannot be parsed, which the controllers
-/// never send, leaves the former one in force.
+/// Parses the configuration only if it differs from the current one. If it cannot be parsed, which
+/// is never true of a configuration sent by the controllers, the current one is kept.
 fn parse_routes(text: Option<&ConfigurationText>, current: &Snapshot) -> Option<Rc<RouteTable>> {
     let text = text?;
     if current.tables.configuration.as_ref() == Some(text) {
--- a/tier/proxy/src/table_feed.rs
+++ b/tier/proxy/src/table_feed.rs
@@ -1,5 +1,5 @@
-//! Follows the tables that the agent of this machine sends, and puts each revision in force.
-//! Started once by [`crate::run()`].
+//! Receives the tables from the agent of this machine, and applies each revision. Started once by
+//! [`crate::run()`].
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 use crate::process::Proxy;
 
-/// Subscribes at the agent that the settings' port range names.
+/// Subscribes to the agent of this machine, whose port follows from the settings' port range.
 pub fn subscribe(settings: &Settings) -> Subscription {
     let (_, candidates) = watch::channel(vec![settings.agent_loopback_address()]);
     Subscription::start(SubscriptionOptions {
@@ -26,8 +26,8 @@
     })
 }
 
-/// Puts each change of the tables in force. Ends with the subscription.
-pub async fn follow(proxy: Rc<Proxy>, subscription: Rc<Subscription>) {
+/// Applies each change of the tables. Returns when the subscription ends.
+pub async fn run(proxy: Rc<Proxy>, subscription: Rc<Subscription>) {
     let mut tables = subscription.tables();
     let mut status = subscription.status();
     loop {
@@ -37,7 +37,7 @@
                     return;
                 }
                 let newest = tables.borrow_and_update().clone();
-                put_in_force(&proxy, newest);
+                apply_tables(&proxy, newest);
             }
             changed = status.changed() => {
                 if changed.is_err() {
@@ -53,7 +53,7 @@
     }
 }
 
-fn put_in_force(proxy: &Proxy, tables: Arc<Tables>) {
+fn apply_tables(proxy: &Proxy, tables: Arc<Tables>) {
     let previous_stores = proxy.snapshots.newest().tables.stores.clone();
     if !proxy.snapshots.replace(tables) {
         return;
