--- a/tier/proxy/src/admission.rs
+++ b/tier/proxy/src/admission.rs
@@ -1,8 +1,8 @@
-//! Hands requests to the dispatcher and carries out its commands.
+//! Passes requests to the dispatcher and executes its commands.
 //!
-//! The task of a request holds an [`AdmittedRequest`] and waits there for decisions; the
-//! dispatcher's commands reach it through a channel. Health checks go to their own task. One
-//! [`Admission`] is shared by all tasks of the process and owns the dispatcher.
+//! The task of each request owns an [`AdmittedRequest`] and awaits decisions on it; the
+//! dispatcher's commands are delivered through a channel. Health checks are sent to a separate
+//! task. One [`Admission`] is shared by all tasks of the process and owns the dispatcher.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,10 +21,12 @@
 use crate::target_pool::TargetPool;
 use crate::wake_up::WakeUp;
 
-/// A request that the dispatcher knows and that is not answered yet.
+/// A request that was passed to the dispatcher. The entry is removed when the dispatcher rejects or
+/// fails the request, or when the request's task ends.
 struct PendingRequest {
-    /// To the request's task. Holds at most one decision: none follows an attempt before the task
-    /// has reported its end, and an answer is the last one.
+    /// Channel to the request's task. Contains at most one decision: after an attempt, no decision
+    /// is sent until the task has reported the end of the attempt, and a rejection or failure is
+    /// the last decision.
     decisions: mpsc::UnboundedSender<Decision>,
     in_flight: Option<InFlightAttempt>,
 }
@@ -34,7 +36,7 @@
     send_permit: Rc<SendPermit>,
 }
 
-/// The dispatcher, the requests that it knows, and the time at which it wants to be asked again.
+/// The dispatcher, its pending requests, and the time of its next poll.
 pub struct Admission {
     clock: Clock,
     dispatcher: RefCell<Box<dyn Dispatch>>,
@@ -42,13 +44,13 @@
     next_key: Cell<u64>,
     wake_up: WakeUp,
     pool: Rc<TargetPool>,
-    /// Bounded by the dispatcher: it has one health check of a target under way at a time.
+    /// Bounded by the dispatcher, which requests at most one health check per target at a time.
     health_checks: mpsc::UnboundedSender<HealthCheckRequest>,
 }
 
 impl Admission {
-    /// Health checks that are due go to `health_checks`, whose receiver has to live as long as the
-    /// process.
+    /// Health checks that are due are sent to `health_checks`, whose receiver must live as long as
+    /// the process.
     pub fn new(
         clock: Clock,
         dispatcher: Box<dyn Dispatch>,
@@ -66,14 +68,14 @@
         }
     }
 
-    /// A key that no request of this process has had.
+    /// Returns a key that no request of this process has had.
     pub fn next_key(&self) -> RequestKey {
         let key = self.next_key.get();
         self.next_key.set(key + 1);
         RequestKey(key)
     }
 
-    /// Hands a request to the dispatcher.
+    /// Passes a request to the dispatcher.
     pub fn admit(self: &Rc<Self>, request: NewRequest) -> AdmittedRequest {
         let (sender, decisions) = mpsc::unbounded_channel();
         let key = request.key;
@@ -84,7 +86,7 @@
         self.pending.borrow_mut().insert(key, pending);
         let now = self.clock.now();
         self.dispatcher.borrow_mut().enqueue(now, request);
-        self.carry_out_commands();
+        self.execute_commands();
         AdmittedRequest {
             admission: self.clone(),
             key,
@@ -93,45 +95,45 @@
         }
     }
 
-    /// The tables were replaced.
+    /// Notifies the dispatcher that the tables were replaced.
     pub fn on_tables_changed(&self, snapshot: &Snapshot) {
         self.dispatcher.borrow_mut().on_tables_changed(snapshot);
-        self.carry_out_commands();
+        self.execute_commands();
     }
 
-    /// A health check has ended.
+    /// Notifies the dispatcher of the result of a health check.
     pub fn on_health_check_ended(&self, target: &InstanceId, result: HealthCheckResult) {
         self.dispatcher
             .borrow_mut()
             .on_health_check_ended(target, result);
-        self.carry_out_commands();
+        self.execute_commands();
     }
 
-    /// A target reported its load in the head of an answer.
+    /// Notifies the dispatcher of the load that a target reported in a response head.
     pub fn on_load_reported(&self, target: &InstanceId, load: UpstreamLoad) {
         let now = self.clock.now();
         self.dispatcher
             .borrow_mut()
             .on_load_reported(now, target, load);
-        self.carry_out_commands();
+        self.execute_commands();
     }
 
-    /// Asks the dispatcher whenever it wanted to be asked again. Never returns.
+    /// Polls the dispatcher at the times set by [`Command::WakeAt`]. Never returns.
     pub async fn run_timer(&self) {
         loop {
             self.wake_up.due(self.clock).await;
-            self.carry_out_commands();
+            self.execute_commands();
         }
     }
 
-    fn carry_out_commands(&self) {
+    fn execute_commands(&self) {
         let commands = self.dispatcher.borrow_mut().poll_commands(self.clock.now());
         for command in commands {
-            self.carry_out(command);
+            self.execute(command);
         }
     }
 
-    fn carry_out(&self, command: Command) {
+    fn execute(&self, command: Command) {
         match command {
             Command::Send {
                 request,
@@ -154,9 +156,11 @@
                 request,
                 retry_after,
             } => {
-                self.answer(request, Decision::Reject(retry_after));
+                self.send_final_decision(request, Decision::Reject(retry_after));
+            }
+            Command::Fail { request, last } => {
+                self.send_final_decision(request, Decision::Fail(last))
             }
-            Command::Fail { request, last } => self.answer(request, Decision::Fail(last)),
             Command::HealthCheck { target, address } => {
                 // Never an error: the receiver lives as long as the process.
                 let _ = self
@@ -178,13 +182,14 @@
             target: attempt.target.clone(),
             send_permit: attempt.send_permit.clone(),
         });
-        // The request's task may be ending; it reports that by itself.
+        // The send fails if the request's task is ending; dropping its `AdmittedRequest` reports
+        // that.
         let _ = pending.decisions.send(Decision::Attempt(attempt));
     }
 
-    fn answer(&self, request: RequestKey, decision: Decision) {
+    fn send_final_decision(&self, request: RequestKey, decision: Decision) {
         if let Some(pending) = self.pending.borrow_mut().remove(&request) {
-            // The request's task may be ending; then nobody waits for the answer.
+            // The send fails if the request's task is ending; no decision is needed then.
             let _ = pending.decisions.send(decision);
         }
     }
@@ -208,11 +213,11 @@
             self.dispatcher
                 .borrow_mut()
                 .on_attempt_ended(now, key, &attempt.target, result);
-            self.carry_out_commands();
+            self.execute_commands();
         }
     }
 
-    /// The request's task has ended in this phase.
+    /// Handles the end of the request's task, which ended in `phase`.
     fn on_task_ended(&self, key: RequestKey, phase: Phase) {
         match phase {
             Phase::Queued => self.dispatcher.borrow_mut().cancel(key),
@@ -224,12 +229,12 @@
         }
         let removed = self.pending.borrow_mut().remove(&key);
         if removed.is_some() {
-            self.carry_out_commands();
+            self.execute_commands();
         }
     }
 }
 
-/// Where a request stands, as its task knows it.
+/// The phase of a request as seen by its task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Queued,
@@ -246,8 +251,8 @@
     }
 }
 
-/// A request that the dispatcher knows. Dropping it before its end tells the dispatcher that the
-/// request is cancelled.
+/// A request that was passed to the dispatcher. Dropping the value before the request is done
+/// reports the cancellation to the dispatcher.
 pub struct AdmittedRequest {
     admission: Rc<Admission>,
     key: RequestKey,
@@ -256,8 +261,8 @@
 }
 
 impl AdmittedRequest {
-    /// The next decision. After [`Decision::Attempt`], [`AdmittedRequest::on_attempt_ended`] has to
-    /// come before the next call.
+    /// Waits for the next decision. After [`Decision::Attempt`],
+    /// [`AdmittedRequest::on_attempt_ended`] must be called before the next call.
     pub async fn next_decision(&mut self) -> Decision {
         let decision = match self.decisions.recv().await {
             Some(decision) => decision,
@@ -267,7 +272,7 @@
         decision
     }
 
-    /// The attempt in flight has ended.
+    /// Reports the end of the attempt in flight.
     pub fn on_attempt_ended(&mut self, result: AttemptResult) {
         self.phase = match result.outcome {
             AttemptOutcome::Delivered => Phase::Done,
@@ -279,8 +284,8 @@
 
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        // A decision that the task has not taken yet changes the phase: an attempt began, or the
-        // request was answered.
+        // A decision that the task has not received yet changes the phase: an attempt began, or the
+        // request was rejected or failed.
         if let Ok(decision) = self.decisions.try_recv() {
             self.phase = Phase::after(&decision);
         }
--- a/tier/proxy/src/body_reader.rs
+++ b/tier/proxy/src/body_reader.rs
@@ -1,5 +1,5 @@
-//! Reads bodies completely, within bounds of size, memory and time: those of clients' requests
-//! ([`crate::request_reader`]) and of targets' answers ([`crate::buffered_response`]).
+//! Reads complete bodies within limits on size, memory and time: those of client requests
+//! ([`crate::request_reader`]) and of target responses ([`crate::buffered_response`]).
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -14,21 +14,21 @@
     /// The body is larger than allowed.
     #[error("the body is too large")]
     TooLarge,
-    /// There is no memory for the body now.
-    #[error("there is no memory for the body")]
+    /// The memory budget currently has no room for the body.
+    #[error("the memory budget has no room for the body")]
     OutOfMemory,
-    /// The body did not end in time.
-    #[error("the body timed out")]
+    /// The body did not arrive completely before the deadline.
+    #[error("reading the body timed out")]
     TimedOut,
-    /// The connection ended before the body did, or the bytes are no body.
+    /// The connection ended before the end of the body, or the body is malformed.
     #[error("the body is truncated")]
     Truncated,
 }
 
-/// Reads at most `max_bytes` until `deadline`, in memory that `memory` accounts for.
+/// Reads a body of at most `max_bytes` until `deadline`; `memory` grows by the bytes read.
 ///
 /// # Errors
-/// Why the body was not read completely.
+/// A [`ReadError`] if the body was not read completely.
 pub async fn read_complete(
     mut body: Incoming,
     max_bytes: usize,
@@ -53,7 +53,7 @@
         memory
             .grow(data.len())
             .map_err(|_| ReadError::OutOfMemory)?;
-        // Nearly all bodies come in one chunk, which is not copied.
+        // Nearly all bodies arrive in one chunk, which is not copied.
         if first.is_empty() && joined.is_empty() {
             first = data;
         } else {
--- a/tier/proxy/src/buffered.rs
+++ b/tier/proxy/src/buffered.rs
@@ -1,5 +1,5 @@
-//! Requests whose answers are buffered: passed on only once they have arrived completely, so that a
-//! failed attempt can be followed by another one. Called by `responder`.
+//! Serves requests whose responses are buffered: a response is forwarded only after it has arrived
+//! completely, so that a failed attempt can be followed by another one. Called by `responder`.
 
 use std::rc::Rc;
 
@@ -13,11 +13,11 @@
 use crate::process::Proxy;
 use crate::response_body::ResponseBody;
 
-/// Has the request answered. Dropping the future cancels the request.
+/// Serves the request and returns its response. Dropping the future cancels the request.
 pub async fn serve(proxy: &Rc<Proxy>, mut request: ClientRequest) -> Response<ResponseBody> {
     let key = proxy.admission.next_key();
     let mut admitted = proxy.admission.admit(request.for_dispatch(key));
-    // The last complete failure of a target.
+    // The last complete error response from a target.
     let mut failure: Option<BufferedResponse> = None;
     loop {
         let attempt = match admitted.next_decision().await {
@@ -34,16 +34,16 @@
             }
         };
         let sent_at = proxy.clock.now();
-        let answer = buffered_answer(proxy, &mut request, &attempt).await;
+        let response = fetch_response(proxy, &mut request, &attempt).await;
         let elapsed = proxy.clock.now() - sent_at;
-        match answer {
-            Ok(answer) => {
-                admitted.on_attempt_ended(answer.attempt_result(elapsed));
-                match answer.outcome() {
+        match response {
+            Ok(response) => {
+                admitted.on_attempt_ended(response.attempt_result(elapsed));
+                match response.outcome() {
                     AttemptOutcome::Delivered => {
-                        return answer.into_response(&request.upstream.method);
+                        return response.into_response(&request.upstream.method);
                     }
-                    AttemptOutcome::Error => failure = Some(answer),
+                    AttemptOutcome::Error => failure = Some(response),
                     _ => {}
                 }
             }
@@ -58,7 +58,7 @@
     }
 }
 
-async fn buffered_answer(
+async fn fetch_response(
     proxy: &Proxy,
     request: &mut ClientRequest,
     attempt: &Attempt,
--- a/tier/proxy/src/buffered_response.rs
+++ b/tier/proxy/src/buffered_response.rs
@@ -1,4 +1,4 @@
-//! Answers of targets that are passed on only once they have arrived completely.
+//! Target responses that are forwarded only after they have arrived completely.
 
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap};
@@ -13,10 +13,10 @@
 use crate::target_pool::TargetPool;
 use crate::upstream_response::UpstreamResponse;
 
-/// The largest answer that is buffered, in bytes.
+/// Maximum size of a buffered response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// An answer that has arrived completely.
+/// A response that has arrived completely.
 #[derive(Clone, Debug)]
 pub struct BufferedResponse {
     status: StatusCode,
@@ -28,10 +28,11 @@
 }
 
 impl BufferedResponse {
-    /// Reads the rest of an answer. The connection goes back to the pool.
+    /// Reads the rest of a response, and returns the connection to the pool if it is reusable.
     ///
     /// # Errors
-    /// How the attempt ended if the answer does not arrive completely by `deadline`.
+    /// The attempt's outcome if the response does not arrive completely by `deadline`, is
+    /// truncated, or exceeds the size limit or the memory budget.
     pub async fn read(
         response: UpstreamResponse,
         pool: &TargetPool,
@@ -41,13 +42,14 @@
         let outcome = response.outcome();
         let load = response.load();
         let retry_after = response.retry_after();
-        // Without a length the body ends with its connection, in order; a reset is no end.
+        // A body without a length ends when its connection is closed normally; a reset truncates
+        // it.
         let is_reusable = is_framed(&response) && !response.is_early;
         let body = match read_complete(response.body, MAX_RESPONSE_BYTES, deadline, memory).await {
             Ok(body) => body,
             Err(ReadError::TimedOut) => return Err(AttemptOutcome::TimedOut),
             Err(ReadError::Truncated) => return Err(AttemptOutcome::Reset),
-            // Another target's answer would be no smaller.
+            // Another target's response would be no smaller.
             Err(ReadError::TooLarge | ReadError::OutOfMemory) => {
                 return Err(AttemptOutcome::Cancelled);
             }
@@ -66,12 +68,13 @@
         })
     }
 
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub fn outcome(&self) -> AttemptOutcome {
         self.outcome
     }
 
-    /// The end of the attempt for the dispatcher; `elapsed` is the time until the answer's end.
+    /// The attempt's result for the dispatcher; `elapsed` is the time until the end of the
+    /// response.
     pub fn attempt_result(&self, elapsed: Ms) -> AttemptResult {
         AttemptResult {
             outcome: self.outcome,
@@ -82,7 +85,8 @@
         }
     }
 
-    /// The answer to the client: the target's, unchanged but for the headers of the connection.
+    /// The response to the client: the target's response, unchanged except for headers that concern
+    /// the connection or the framing of the body.
     pub fn into_response(self, method: &Method) -> Response<ResponseBody> {
         let mut headers = self.headers;
         strip_connection_headers(&mut headers);
@@ -96,7 +100,7 @@
     }
 }
 
-/// Whether the end of the body is marked.
+/// Whether the message framing, rather than the end of the connection, marks the end of the body.
 fn is_framed(response: &UpstreamResponse) -> bool {
     let has_no_body =
         response.status == StatusCode::NO_CONTENT || response.status == StatusCode::NOT_MODIFIED;
--- a/tier/proxy/src/client_connection.rs
+++ b/tier/proxy/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection that knows whether a request has begun to arrive on it. Owned by the task
+//! A client connection that tracks whether a request has begun to arrive on it. Owned by the task
 //! that serves the connection (`connection_server`).
 
 use std::cell::{Cell, RefCell};
@@ -15,22 +15,22 @@
 use crate::in_flight::WorkGuard;
 use crate::lifecycle::Lifecycle;
 
-/// Bytes that a client still sends on a connection that was closed here are read for so long:
-/// unread bytes would have the system reset the connection, and the reset could overtake the last
-/// answer.
+/// After the write side is closed, bytes that the client still sends are read for at most this
+/// long: unread bytes would make the operating system reset the connection, and the reset could
+/// overtake the last response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// No more bytes are read while lingering.
+/// Lingering ends once at least this many bytes have been read.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// Bytes read at once while lingering.
+/// Maximum size of one read while lingering, in bytes.
 const LINGER_CHUNK_BYTES: usize = 4 * 1024;
 
-/// What is under way on one connection.
+/// The request activity on one connection.
 #[derive(Debug)]
 pub struct ConnectionActivity {
     lifecycle: Rc<Lifecycle>,
-    /// From the head of a request until the head of its answer.
+    /// True from the complete head of a request until the head of its response.
     is_serving: Cell<bool>,
-    /// Held from the first byte of a request until its head has arrived.
+    /// Present from the first byte of a request until its head has arrived completely.
     arriving_request: RefCell<Option<WorkGuard>>,
 }
 
@@ -44,19 +44,19 @@
         })
     }
 
-    /// The head of a request has arrived completely.
+    /// Records that the head of a request has arrived completely.
     pub fn on_request_head(&self) {
         self.is_serving.set(true);
         self.arriving_request.take();
     }
 
-    /// The request has been read and its answer begins; bytes that arrive now belong to the next
-    /// one.
+    /// Records that the request has been read and its response begins; bytes that arrive from now
+    /// on belong to the next request.
     pub fn on_response_head(&self) {
         self.is_serving.set(false);
     }
 
-    /// Whether a part of a request's head has arrived, and not yet all of it.
+    /// Whether the head of a request has arrived in part but not completely.
     pub fn is_request_arriving(&self) -> bool {
         self.arriving_request.borrow().is_some()
     }
@@ -69,7 +69,7 @@
     }
 }
 
-/// A client's connection.
+/// A client connection that reports received bytes to its [`ConnectionActivity`].
 #[derive(Debug)]
 pub struct ClientConnection {
     stream: TcpStream,
@@ -82,12 +82,12 @@
         ClientConnection { stream, activity }
     }
 
-    /// Ends a connection on which nothing more is to be sent: closes the writing side and waits for
-    /// the client's end, within bounds.
+    /// Closes a connection on which nothing more will be sent: shuts down the write side and waits,
+    /// within limits, until the client closes its side.
     pub async fn close(mut self) {
-        // A request that has begun to arrive is not going to be answered.
+        // A request whose head has arrived only in part gets no response.
         self.activity.arriving_request.take();
-        // However the close ends, the connection is gone.
+        // The connection is dropped afterwards, whether or not lingering succeeds.
         let _ = timeout(LINGER_TIMEOUT, self.linger()).await;
     }
 
--- a/tier/proxy/src/client_request.rs
+++ b/tier/proxy/src/client_request.rs
@@ -1,5 +1,5 @@
-//! A client's request that was read completely and has a route. Made by [`crate::request_reader`],
-//! answered by [`crate::buffered`] or [`crate::stream`].
+//! A client request that was read completely and has a route. Created by [`crate::request_reader`],
+//! served by [`crate::buffered`] or [`crate::stream`].
 
 use std::sync::Arc;
 
@@ -17,26 +17,26 @@
 
 /// A request that was read completely and has a route.
 pub struct ClientRequest {
-    /// Its route.
+    /// The route of the request.
     pub route: Arc<Route>,
-    /// What its headers say.
+    /// The parsed headers of the request.
     pub headers: RequestHeaders,
-    /// What is sent to targets.
+    /// The request that is sent to targets.
     pub upstream: UpstreamRequest,
-    /// When the answer is due, on the clock of the process.
+    /// The deadline of the response, on the clock of the process.
     pub deadline: Ms,
-    /// The service, drawn where the route splits between several.
+    /// The service, selected from those of the route if it has several.
     pub service: ServiceName,
-    /// Most connections to one of the service's targets.
+    /// Maximum number of connections to each of the service's targets.
     pub max_connections: usize,
-    /// Tokens in each event of a stream.
+    /// Number of tokens in each event of a stream.
     pub tokens_per_event: u64,
-    /// The memory of its bodies.
+    /// The memory reserved for the bodies of the request and its response.
     pub memory: MemoryReservation,
 }
 
 impl ClientRequest {
-    /// The request as the dispatcher gets it.
+    /// Converts the request to the input of the dispatcher.
     pub fn for_dispatch(&self, key: RequestKey) -> NewRequest {
         let route = &self.route;
         let idempotency = if route.is_retryable() {
--- a/tier/proxy/src/clock.rs
+++ b/tier/proxy/src/clock.rs
@@ -1,11 +1,11 @@
-//! Time as the dispatcher counts it: milliseconds since the start of the process.
+//! The time scale of the dispatcher: milliseconds since the start of the process.
 
 use std::time::Duration;
 
 use plankhill_dispatch::Ms;
 use tokio::time::Instant;
 
-/// The longest span that is told apart from "for ever": a year.
+/// Longer time spans are reduced to this: one year, in milliseconds.
 const MAX_SPAN: Ms = 31_536_000_000.0;
 
 /// The monotonic clock of this process.
@@ -15,7 +15,7 @@
 }
 
 impl Clock {
-    /// A clock that shows zero now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Clock {
             start: Instant::now(),
@@ -27,18 +27,19 @@
         milliseconds(self.start.elapsed())
     }
 
-    /// The moment at which [`Clock::now`] returns `at`.
+    /// The instant at which [`Clock::now`] returns `at`.
     pub fn instant(&self, at: Ms) -> Instant {
         self.start + duration(at)
     }
 }
 
-/// A span in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn milliseconds(span: Duration) -> Ms {
     span.as_secs_f64() * 1_000.0
 }
 
-/// A span from milliseconds. Negative ones and NaN become zero, longer ones than a year a year.
+/// Converts milliseconds to a duration. Negative values and NaN become zero; values above one year
+/// become one year.
 pub fn duration(span: Ms) -> Duration {
     if span.is_nan() {
         return Duration::ZERO;
--- a/tier/proxy/src/connection_server.rs
+++ b/tier/proxy/src/connection_server.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of one client's connection, and closes it as the connection policy says.
+//! Serves the requests of one client connection, and closes it according to the connection policy.
 //! Started by [`crate::listener`] for each connection.
 
 use std::convert::Infallible;
@@ -18,14 +18,14 @@
 use crate::responder::respond;
 use crate::snapshot::Snapshot;
 
-/// Largest head while no configuration says otherwise, in bytes.
+/// Maximum size of a request head if there is no configuration, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: usize = 64 * 1024;
-/// The smallest buffer that the HTTP library takes, in bytes.
+/// Minimum size of the buffer that the HTTP library accepts, in bytes.
 const MIN_HEADER_BYTES: usize = 8 * 1024;
-/// Clients' connections may be idle this long while no configuration says otherwise.
+/// Idle timeout of client connections if there is no configuration.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Serves a connection until it is closed from either side.
+/// Serves a connection until it is closed by either side.
 pub(crate) async fn serve_connection(proxy: Rc<Proxy>, stream: TcpStream) {
     if set_socket_options(&stream).is_err() {
         return;
@@ -66,12 +66,12 @@
     stream.close().await;
 }
 
-/// Returns when a connection that was open before the policy changed is to be closed while idle, or
-/// behind the answer under way.
+/// Returns when the policy requires a graceful shutdown of a connection that was open before the
+/// policy changed: an idle connection closes at once, any other after the response in progress.
 ///
-/// Where a part of a request has come the HTTP library would drop it: such a connection closes
-/// behind its answer, which says so, and a connection that is opened later closes behind its first
-/// answer.
+/// Never returns if the head of a request has arrived only in part when the policy changes, because
+/// the HTTP library would drop that request: such a connection closes after its response, which has
+/// `Connection: close`. A connection that is opened later closes after its first response.
 async fn wait_idle_close(lifecycle: &Lifecycle, activity: &ConnectionActivity) {
     let mut policy = lifecycle.connection_policy();
     let is_old = *policy.borrow_and_update() < ConnectionPolicy::CloseIdle;
@@ -84,9 +84,9 @@
     }
 }
 
-/// The library's time-out for a head also covers the idle time between two requests. Later
-/// configurations may allow a longer idle time than the one at the connection's start, so that the
-/// time-out is generous.
+/// The HTTP library's timeout for reading a head also covers the idle time between two requests. A
+/// later configuration may allow a longer idle time than the one at the start of the connection, so
+/// the configured timeout is doubled.
 fn http_builder(snapshot: &Snapshot) -> http1::Builder {
     let mut idle_timeout = DEFAULT_IDLE_TIMEOUT;
     let mut max_header_bytes = DEFAULT_MAX_HEADER_BYTES;
--- a/tier/proxy/src/decision.rs
+++ b/tier/proxy/src/decision.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's commands as the tasks of requests and of health checks get them.
+//! The dispatcher's commands in the form in which the tasks of requests and of health checks
+//! receive them.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -8,15 +9,16 @@
 use plankhill_protocol::ids::InstanceId;
 use tokio::sync::Notify;
 
-/// What the dispatcher has decided on one request.
+/// A decision of the dispatcher on one request.
 #[derive(Debug)]
 pub enum Decision {
-    /// The request is sent to this target.
+    /// Send the request to this target.
     Attempt(Attempt),
-    /// The request was surely not executed and never will be: 503, with the time after which the
-    /// client is to come back.
+    /// Respond with 503: the request was certainly not executed and never will be. The value is the
+    /// time after which the client should retry.
     Reject(Ms),
-    /// The request may have been executed and is not sent again; how its last attempt ended.
+    /// The request may have been executed and is not sent again. The value is the outcome of its
+    /// last attempt.
     Fail(AttemptOutcome),
 }
 
@@ -27,11 +29,11 @@
     pub target: InstanceId,
     /// The target's address.
     pub address: SocketAddr,
-    /// When the complete answer is due, on the clock of the process.
+    /// The deadline of the complete response, on the clock of the process.
     pub deadline: Ms,
     /// The value of the `Priority` header.
     pub priority: u8,
-    /// Whether the request may still be written.
+    /// The permission to write the request.
     pub send_permit: Rc<SendPermit>,
 }
 
@@ -43,7 +45,7 @@
 }
 
 impl SendPermit {
-    /// Whether the request must not be written any more.
+    /// Whether the permission has been revoked.
     pub fn is_revoked(&self) -> bool {
         self.is_revoked.get()
     }
@@ -55,14 +57,14 @@
         }
     }
 
-    /// Revokes the permission; a request that is written already goes on.
+    /// Revokes the permission; a request that is already written continues.
     pub fn revoke(&self) {
         self.is_revoked.set(true);
         self.changed.notify_one();
     }
 }
 
-/// A health check that the dispatcher asks for.
+/// A health check requested by the dispatcher.
 #[derive(Debug)]
 pub struct HealthCheckRequest {
     /// The target.
--- a/tier/proxy/src/dispatch.rs
+++ b/tier/proxy/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! The dispatcher as the proxy uses it: a trait, so that tests can put another one in its place.
+//! The proxy's interface to the dispatcher: a trait, so that tests can substitute another
+//! implementation.
 
 use plankhill_dispatch::{
     AttemptResult, Command, Dispatcher, HealthCheckResult, Ms, NewRequest, RequestKey, UpstreamLoad,
@@ -9,13 +10,13 @@
 
 /// Decides which request is sent to which target and when. The methods are those of [`Dispatcher`].
 pub trait Dispatch {
-    /// The tables were replaced.
+    /// Handles a replacement of the tables.
     fn on_tables_changed(&mut self, snapshot: &Snapshot);
-    /// A request was read completely.
+    /// Queues a request that was read completely.
     fn enqueue(&mut self, now: Ms, request: NewRequest);
-    /// The client of a request that is queued went away.
+    /// Cancels a queued request whose client has disconnected.
     fn cancel(&mut self, request: RequestKey);
-    /// An attempt of a request at this target ended.
+    /// Handles the end of an attempt of a request at this target.
     fn on_attempt_ended(
         &mut self,
         now: Ms,
@@ -23,11 +24,11 @@
         target: &InstanceId,
         result: AttemptResult,
     );
-    /// A health check was answered, or was not.
+    /// Handles the result of a health check.
     fn on_health_check_ended(&mut self, target: &InstanceId, result: HealthCheckResult);
-    /// A target reported its load in the head of an answer.
+    /// Handles the load that a target reported in a response head.
     fn on_load_reported(&mut self, now: Ms, target: &InstanceId, load: UpstreamLoad);
-    /// What is to be done now, in order.
+    /// Returns the commands that are to be executed now, in order.
     fn poll_commands(&mut self, now: Ms) -> Vec<Command>;
 }
 
--- a/tier/proxy/src/lib.rs
+++ b/tier/proxy/src/lib.rs
@@ -1,17 +1,18 @@
-//! The data plane process: takes requests of clients, sends each to the target that the dispatcher
-//! names, and passes the answer back.
+//! The data plane process: accepts client requests, sends each to the target that the dispatcher
+//! selects, and returns the response.
 //!
-//! One thread does all of it. Tables come from the agent of the same machine; turns and budgets lie
-//! with the stores. A request's way:
+//! The process uses a single thread. It receives tables from the agent of the same machine; turns
+//! and budgets are kept by the stores. The path of a request:
 //!
 //! 1. [`listener`] accepts the connection, `connection_server` serves it;
-//! 2. `responder` waits for tables if need be, [`request_reader`] reads the request and finds its
+//! 2. `responder` waits for tables if necessary, [`request_reader`] reads the request and finds its
 //!    route;
-//! 3. [`admission`] hands the request to the dispatcher ([`dispatch`]), whose [`decision`]s come
-//!    back to the request's task;
-//! 4. [`buffered`] or [`stream`] carries them out: [`target_client`] sends each attempt over a
-//!    connection of the [`target_pool`], and the answer is passed on completely or event by event;
-//! 5. where no target's answer is passed on, [`local_response`] makes one.
+//! 3. [`admission`] passes the request to the dispatcher ([`dispatch`]), whose [`decision`]s are
+//!    sent to the request's task;
+//! 4. [`buffered`] or [`stream`] executes them: [`target_client`] sends each attempt over a
+//!    connection of the [`target_pool`], and the response is forwarded completely or event by
+//!    event;
+//! 5. if no target's response is forwarded, [`local_response`] generates one.
 
 pub mod admission;
 pub mod body_reader;
--- a/tier/proxy/src/listener.rs
+++ b/tier/proxy/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, within a bound on their number. Started once by [`crate::run()`].
+//! Accepts client connections, up to a maximum number. Started once by [`crate::run()`].
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use crate::connection_server::serve_connection;
 use crate::process::Proxy;
 
-/// After a failed accept (no descriptor is left), connections that are open get this time to end.
+/// Delay after a failed accept (no file descriptor is left), during which open connections may end.
 pub const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts for ever, with at most `max_clients` connections at once; further ones wait in the
-/// system's queue.
+/// Accepts connections forever, with at most `max_clients` open at once; further ones wait in the
+/// operating system's queue.
 pub async fn serve(proxy: Rc<Proxy>, listener: TcpListener, max_clients: usize) {
     let slots = Arc::new(Semaphore::new(max_clients));
     loop {
--- a/tier/proxy/src/local_response.rs
+++ b/tier/proxy/src/local_response.rs
@@ -1,4 +1,4 @@
-//! Answers that the proxy makes itself, without a target's.
+//! Responses that the proxy generates itself, without a response from a target.
 
 use bytes::Bytes;
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -9,10 +9,10 @@
 use crate::headers::REQUEST_ID;
 use crate::response_body::ResponseBody;
 
-/// The shortest `Retry-After` that a client is given: a new request costs it a new connection.
+/// Minimum `Retry-After` sent to clients: a new request costs the client a new connection.
 const MIN_RETRY_AFTER: Ms = 20.0;
 
-/// An answer without a body.
+/// A response without a body.
 pub fn empty(status: StatusCode, request_id: Option<&RequestId>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::complete(Bytes::new()));
     *response.status_mut() = status;
@@ -22,7 +22,7 @@
     response
 }
 
-/// 503: the request was not executed and never will be; the client may come back after the time.
+/// 503: the request was not executed and never will be; the client may retry after `retry_after`.
 pub fn rejected(retry_after: Ms, request_id: Option<&RequestId>) -> Response<ResponseBody> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE, request_id);
     let seconds = format!("{:.3}", retry_after.max(MIN_RETRY_AFTER) / 1_000.0);
@@ -32,11 +32,11 @@
     response
 }
 
-/// The answer to a request whose last attempt ended with `last`, without an answer of the target:
-/// 504 after a time-out, 502 otherwise. Neither promises anything.
+/// The response to a request whose last attempt ended with `last`, without a response from the
+/// target: 504 after a timeout, 502 otherwise. Neither promises that the request was not executed.
 ///
-/// A request whose last attempt surely was not executed may have been executed before, so that the
-/// dispatcher's decision that it failed is not softened to 503.
+/// Even if the last attempt was certainly not executed, an earlier attempt may have been, so a
+/// request that the dispatcher fails is never answered with 503.
 pub fn failed(last: AttemptOutcome, request_id: Option<&RequestId>) -> Response<ResponseBody> {
     let status = match last {
         AttemptOutcome::TimedOut => StatusCode::GATEWAY_TIMEOUT,
--- a/tier/proxy/src/memory_budget.rs
+++ b/tier/proxy/src/memory_budget.rs
@@ -1,28 +1,28 @@
-//! Bounds the memory that the bodies of requests and answers take up, all together.
+//! Limits the total memory used by the bodies of requests and responses.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The memory budget is used up.
+/// The memory budget is exhausted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("too much memory is in use")]
+#[error("the memory budget is exhausted")]
 pub struct OutOfMemory;
 
-/// Memory for bodies.
+/// The memory budget for bodies.
 #[derive(Debug)]
 pub struct MemoryBudget {
     free_bytes: Cell<usize>,
 }
 
 impl MemoryBudget {
-    /// A budget of `bytes` altogether.
+    /// A budget of `bytes` in total.
     pub fn new(bytes: usize) -> Self {
         MemoryBudget {
             free_bytes: Cell::new(bytes),
         }
     }
 
-    /// A reservation of nothing yet.
+    /// Creates an empty reservation.
     pub fn reservation(self: &Rc<Self>) -> MemoryReservation {
         MemoryReservation {
             budget: self.clone(),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The memory of one request; given back when dropped.
+/// The memory reserved by one request; released when dropped.
 #[derive(Debug)]
 pub struct MemoryReservation {
     budget: Rc<MemoryBudget>,
@@ -44,10 +44,10 @@
 }
 
 impl MemoryReservation {
-    /// Reserves `bytes` more.
+    /// Reserves another `bytes` bytes.
     ///
     /// # Errors
-    /// [`OutOfMemory`] if fewer are free; nothing is reserved then.
+    /// [`OutOfMemory`] if fewer are free; the reservation is then unchanged.
     pub fn grow(&mut self, bytes: usize) -> Result<(), OutOfMemory> {
         let free = self
             .budget
--- a/tier/proxy/src/request_reader.rs
+++ b/tier/proxy/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request completely, finds its route, and decides whether the proxy takes it.
+//! Reads a client request completely, finds its route, and decides whether the proxy accepts it.
 //! Called by `responder` for each request.
 
 use std::sync::Arc;
@@ -20,36 +20,37 @@
 use crate::snapshot::Snapshot;
 use crate::upstream_request::UpstreamRequest;
 
-/// The share of the connections that a target accepts that all proxies together may hold: a target
-/// accepts fewer while its queue is long.
+/// The share of a target's accepted connections that all proxies together may open: a target
+/// accepts fewer connections while its queue is long.
 const CONNECTION_SHARE: f64 = 0.7;
-/// However many proxies there are, each may hold this many connections to a target.
+/// Each proxy may open this many connections to a target, regardless of the number of proxies.
 const MIN_CONNECTIONS: usize = 2;
 
-/// Why a request is answered by the proxy itself.
+/// Why the proxy rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The request cannot be served; answered with this status.
+    /// The request cannot be served; the response has this status.
     Final(StatusCode),
-    /// The client may come back soon.
+    /// The configuration or memory for the request is missing; the client may retry soon.
     Overloaded,
-    /// The process ends before the request would be answered; another node takes it from its start.
+    /// The process ends before the response would be complete; another node can serve the request
+    /// from its start.
     ShuttingDown,
 }
 
-/// A request that is not passed on to any target. It was not executed.
+/// The rejection of a request, which is not sent to any target and was not executed.
 #[derive(Clone, Debug)]
 pub struct Rejection {
-    /// Why.
+    /// The reason.
     pub reason: RejectReason,
-    /// The client's name for the request, if it gave one.
+    /// The client's id for the request, if there is one.
     pub request_id: Option<RequestId>,
 }
 
-/// Reads the request; its time runs from `arrived` on.
+/// Reads the request; its deadline is counted from `arrived`.
 ///
 /// # Errors
-/// How the request is answered instead.
+/// A [`Rejection`] if the request is not to be sent to a target.
 pub async fn read_request(
     proxy: &Proxy,
     request: Request<Incoming>,
@@ -69,13 +70,13 @@
     let limits = routes.limits();
     let max_body_bytes = usize::try_from(limits.max_body_bytes).unwrap_or(usize::MAX);
     let route = find_route(routes, &head.headers, &head.uri);
-    // The time of a request also covers its body.
+    // The timeout of a request also covers the arrival of its body.
     let body_timeout = match &route {
         Some(route) => route.timeout.min(limits.idle_timeout),
         None => limits.idle_timeout,
     };
-    let body_until = Instant::now() + body_timeout;
-    let body = match read_complete(body, max_body_bytes, body_until, &mut memory).await {
+    let body_deadline = Instant::now() + body_timeout;
+    let body = match read_complete(body, max_body_bytes, body_deadline, &mut memory).await {
         Ok(body) => body,
         Err(error) => return Err(reject(error.into())),
     };
@@ -86,7 +87,7 @@
         return Err(reject(RejectReason::Final(StatusCode::BAD_REQUEST)));
     };
     let service_name = pick_service(&route, &headers, request_id.as_str());
-    let deadline = arrived + time_allowed(&route, &headers);
+    let deadline = arrived + request_timeout(&route, &headers);
     if !proxy.lifecycle.admits(arrived, deadline) {
         return Err(reject(RejectReason::ShuttingDown));
     }
@@ -134,8 +135,8 @@
     routes.find(host, uri.path()).cloned()
 }
 
-/// The shorter of the client's deadline and the route's time-out.
-fn time_allowed(route: &Route, headers: &RequestHeaders) -> Ms {
+/// The shorter of the client's deadline and the route's timeout.
+fn request_timeout(route: &Route, headers: &RequestHeaders) -> Ms {
     let timeout = milliseconds(route.timeout);
     match headers.deadline {
         Some(deadline) => deadline.min(timeout),
@@ -143,7 +144,8 @@
     }
 }
 
-/// Sessions stay with one service, whose targets cache their prompts.
+/// With session affinity, all requests of a session use one service, whose targets cache the
+/// session's prompts.
 fn pick_service(route: &Route, headers: &RequestHeaders, request_id: &str) -> Arc<str> {
     match headers.session {
         Some(session) if route.session_affinity => route.pick_service(&session.to_string()).clone(),
@@ -151,7 +153,8 @@
     }
 }
 
-/// The share of one of `edges` proxies in the connections that a target accepts.
+/// The number of connections to a target that each of `edges` proxies may open, if the target
+/// accepts `accepted` connections.
 fn max_connections(accepted: u32, edges: usize) -> usize {
     let share = f64::from(accepted) * CONNECTION_SHARE / edges.max(1) as f64;
     (share as usize).max(MIN_CONNECTIONS)
@@ -159,7 +162,7 @@
 
 fn upstream_headers(mut headers: HeaderMap) -> HeaderMap {
     strip_connection_headers(&mut headers);
-    // The body is framed anew.
+    // The HTTP library sets the framing of the forwarded body.
     headers.remove(header::CONTENT_LENGTH);
     headers
 }
--- a/tier/proxy/src/response_body.rs
+++ b/tier/proxy/src/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to clients, as the HTTP library polls them.
+//! Bodies of responses to clients, polled by the HTTP library.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,12 +9,12 @@
 
 use crate::in_flight::WorkGuard;
 
-/// A stream broke: the connection to the client has to end without the end of the body.
+/// A stream failed: the connection to the client must be closed without the end of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the stream is truncated")]
 pub struct StreamTruncated;
 
-/// One chunk of a body that is sent while it is made.
+/// One chunk of a body that is streamed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BodyChunk {
     /// More bytes.
@@ -23,16 +23,17 @@
     End,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// A body that is known completely; taken out once.
+    /// A complete body; `None` if it is empty or was already returned.
     Complete(Option<Bytes>),
-    /// Chunks as they come. A sender that goes away without [`BodyChunk::End`] truncates the body.
+    /// Chunks as they arrive. A sender that is dropped without sending [`BodyChunk::End`] truncates
+    /// the body.
     Streamed {
         /// The chunks.
         chunks: mpsc::Receiver<BodyChunk>,
-        /// The process does not end before the body has been sent.
+        /// Keeps the process running until the body has been sent.
         work: WorkGuard,
     },
 }
--- a/tier/proxy/src/wake_up.rs
+++ b/tier/proxy/src/wake_up.rs
@@ -1,4 +1,4 @@
-//! The timer at which the dispatcher wants to be asked again. Owned by [`crate::admission`].
+//! The timer for the next poll of the dispatcher. Owned by [`crate::admission`].
 
 use std::cell::Cell;
 
@@ -7,7 +7,7 @@
 
 use crate::clock::Clock;
 
-/// A time that may be set earlier while it is waited for.
+/// A timer that may be set to an earlier time while a task waits for it.
 #[derive(Debug, Default)]
 pub(crate) struct WakeUp {
     at: Cell<Option<Ms>>,
@@ -15,8 +15,8 @@
 }
 
 impl WakeUp {
-    /// Sets the time unless an earlier one is set. A later one needs no change: the dispatcher sets
-    /// it again when it is asked.
+    /// Sets the time unless an earlier one is set. A later time is ignored: the dispatcher requests
+    /// it again at its next poll.
     pub(crate) fn set_if_earlier(&self, at: Ms) {
         if self.at.get().is_none_or(|set| at < set) {
             self.at.set(Some(at));
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns when the time has come; none is set then.
+    /// Returns when the time is reached, and clears it.
     pub(crate) async fn due(&self, clock: Clock) {
         loop {
             let Some(at) = self.at.get() else {
