--- a/tier/proxy/tests/buffered.rs
+++ b/tier/proxy/tests/buffered.rs
@@ -1,22 +1,22 @@
-//! Requests whose answers are passed on whole, before targets with every kind of fault.
+//! Tests of requests with buffered responses, with targets that have every kind of fault.
 
 mod support;
 
+use support::fixture::{get, target_response, ProxyFixture};
 use support::on_one_thread;
-use support::peer::Listening;
-use support::world::{answer, get, World};
+use support::peer::ScriptedTarget;
 use tokio::join;
 use tokio::time::Instant;
 
 #[test]
-fn request_and_answer_pass_unchanged() {
+fn request_and_response_are_forwarded_unchanged() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
         let request = "POST /once/a%20b/?q=%2F HTTP/1.1\r\nHost: host.example\r\nRequest-Id: r1\r\n\
              Deadline-Ms: 9000\r\nX-Own: 1\r\nX-Hop: 2\r\nConnection: X-Hop\r\nTransfer-Encoding: chunked\r\n\r\n\
              3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         let serve = async {
-            let (mut peer, request) = target.request().await;
+            let (mut peer, request) = target.accept_request().await;
             assert!(request
                 .head
                 .starts_with("POST /once/a%20b/?q=%2F HTTP/1.1\r\n"));
@@ -27,7 +27,7 @@
             assert_eq!(request.header("x-hop"), None);
             let left: u64 = request.header("deadline-ms").unwrap().parse().unwrap();
             assert!((1..=9000).contains(&left));
-            peer.send(&answer(
+            peer.send(&target_response(
                 "201 Created",
                 "r1",
                 "X-Target: 7\r\nKeep-Alive: timeout=9\r\n",
@@ -36,60 +36,75 @@
             .await;
             peer
         };
-        let (got, _peer) = join!(world.ask(request), serve);
-        let got = got.expect("an answer");
-        assert_eq!((got.status(), got.text().as_str()), (201, "body"));
-        assert_eq!(got.header("upstream-signature"), Some("stamp-r1"));
-        assert_eq!(got.header("x-target"), Some("7"));
-        assert_eq!(got.header("keep-alive"), None);
+        let (response, _peer) = join!(fixture.send_request(request), serve);
+        let response = response.expect("a response");
+        assert_eq!((response.status(), response.text().as_str()), (201, "body"));
+        assert_eq!(response.header("upstream-signature"), Some("stamp-r1"));
+        assert_eq!(response.header("x-target"), Some("7"));
+        assert_eq!(response.header("keep-alive"), None);
     });
 }
 
 #[test]
-fn a_target_failure_passes_unchanged() {
+fn an_error_response_from_a_target_is_forwarded_unchanged() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
         let serve = async {
-            let (mut peer, _) = target.request().await;
-            peer.send(&answer("500 Internal Server Error", "r1", "", "broken"))
-                .await;
+            let (mut peer, _) = target.accept_request().await;
+            peer.send(&target_response(
+                "500 Internal Server Error",
+                "r1",
+                "",
+                "broken",
+            ))
+            .await;
             peer
         };
         let request = get("once", "r1");
-        let (got, _peer) = join!(world.ask(&request), serve);
-        let got = got.expect("an answer");
-        assert_eq!((got.status(), got.text().as_str()), (500, "broken"));
-        assert_eq!(got.header("upstream-signature"), Some("stamp-r1"));
+        let (response, _peer) = join!(fixture.send_request(&request), serve);
+        let response = response.expect("a response");
+        assert_eq!(
+            (response.status(), response.text().as_str()),
+            (500, "broken")
+        );
+        assert_eq!(response.header("upstream-signature"), Some("stamp-r1"));
     });
 }
 
-/// What a target does with the first request that it reads.
-async fn first_answer_is(first: &'static str, reset: bool, route: &str) -> support::peer::Message {
-    let (bad, good) = (Listening::start().await, Listening::start().await);
-    let world = World::with_targets(&[&bad, &good]).await;
-    let trouble = async {
-        let (mut peer, _) = bad.request().await;
+/// Returns the response to a request whose first target sends `first` and then closes or resets the
+/// connection, and whose second target succeeds.
+async fn response_after_fault(
+    first: &'static str,
+    reset: bool,
+    route: &str,
+) -> support::peer::Message {
+    let (bad, good) = (ScriptedTarget::start().await, ScriptedTarget::start().await);
+    let fixture = ProxyFixture::with_targets(&[&bad, &good]).await;
+    let faulty = async {
+        let (mut peer, _) = bad.accept_request().await;
         peer.send(first).await;
         if reset {
             peer.reset();
         }
     };
-    let help = async {
-        let (mut peer, _) = good.request().await;
-        peer.send(&answer("200 OK", "r1", "", "good")).await;
+    let healthy = async {
+        let (mut peer, _) = good.accept_request().await;
+        peer.send(&target_response("200 OK", "r1", "", "good"))
+            .await;
         peer
     };
     let request = get(route, "r1");
-    let answered = async {
+    let exchange = async {
         tokio::select! {
-            got = world.ask(&request) => got.expect("an answer"),
-            _ = async { join!(trouble, help); std::future::pending::<()>().await } => unreachable!(),
+            response = fixture.send_request(&request) => response.expect("a response"),
+            _ = async { join!(faulty, healthy); std::future::pending::<()>().await } => unreachable!(),
         }
     };
-    answered.await
+    exchange.await
 }
 
-/// Everything that says nothing of whether the request has run.
+/// Target responses that do not show whether the request was executed; `true` if the connection is
+/// then reset.
 const FAULTS: [(&str, bool); 9] = [
     ("HTTP/1.1 503 Full\r\nRequest-Id: r1\r\nUpstream-Signature: s\r\nContent-Length: 0\r\n\r\n", false),
     ("", false),
@@ -106,9 +121,13 @@
 fn a_non_idempotent_request_that_may_have_executed_is_not_retried() {
     on_one_thread(async {
         for (first, reset) in FAULTS {
-            let got = first_answer_is(first, reset, "once").await;
-            assert_eq!((got.status(), got.text().as_str()), (502, ""), "{first:?}");
-            assert_eq!(got.header("upstream-signature"), None);
+            let response = response_after_fault(first, reset, "once").await;
+            assert_eq!(
+                (response.status(), response.text().as_str()),
+                (502, ""),
+                "{first:?}"
+            );
+            assert_eq!(response.header("upstream-signature"), None);
         }
     });
 }
@@ -117,9 +136,9 @@
 fn an_idempotent_request_that_may_have_executed_is_retried() {
     on_one_thread(async {
         for (first, reset) in FAULTS {
-            let got = first_answer_is(first, reset, "again").await;
+            let response = response_after_fault(first, reset, "again").await;
             assert_eq!(
-                (got.status(), got.text().as_str()),
+                (response.status(), response.text().as_str()),
                 (200, "good"),
                 "{first:?}"
             );
@@ -130,14 +149,14 @@
 #[test]
 fn a_request_not_executed_is_retried_at_another_target() {
     on_one_thread(async {
-        let refusals = [
+        let rejections = [
             "HTTP/1.1 503 Full\r\nRequest-Id: r1\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 421 Misdirected Request\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
         ];
-        for first in refusals {
-            let got = first_answer_is(first, false, "once").await;
+        for first in rejections {
+            let response = response_after_fault(first, false, "once").await;
             assert_eq!(
-                (got.status(), got.text().as_str()),
+                (response.status(), response.text().as_str()),
                 (200, "good"),
                 "{first:?}"
             );
@@ -148,58 +167,74 @@
 #[test]
 fn a_request_that_no_target_executed_is_rejected_with_retry_after() {
     on_one_thread(async {
-        let gone = Listening::start().await;
-        let world = World::with_targets(&[&gone]).await;
+        let gone = ScriptedTarget::start().await;
+        let fixture = ProxyFixture::with_targets(&[&gone]).await;
         drop(gone);
-        let got = world.ask(&get("once", "r1")).await.expect("an answer");
+        let response = fixture
+            .send_request(&get("once", "r1"))
+            .await
+            .expect("a response");
         assert_eq!(
-            (got.status(), got.header("retry-after")),
+            (response.status(), response.header("retry-after")),
             (503, Some("0.200"))
         );
-        assert_eq!(got.header("request-id"), Some("r1"));
+        assert_eq!(response.header("request-id"), Some("r1"));
     });
 }
 
 #[test]
-fn bytes_after_a_complete_answer_belong_to_no_request() {
+fn surplus_bytes_after_a_complete_response_are_not_forwarded() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
         let (first, second) = (get("once", "r1"), get("once", "r2"));
         let serve = async {
-            let (mut peer, _) = target.request().await;
-            let surplus = answer("200 OK", "r0", "", "surplus");
-            let whole = answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one");
-            peer.send(&(whole + &surplus)).await;
-            let (mut next, request) = target.request().await;
+            let (mut peer, _) = target.accept_request().await;
+            let surplus = target_response("200 OK", "r0", "", "surplus");
+            let complete = target_response("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one");
+            peer.send(&(complete + &surplus)).await;
+            let (mut next, request) = target.accept_request().await;
             assert_eq!(request.header("request-id"), Some("r2"));
-            next.send(&answer("200 OK", "r2", "", "two")).await;
+            next.send(&target_response("200 OK", "r2", "", "two")).await;
             (peer, next)
         };
         let ask = async {
-            world.ask_text(&first, "one").await;
-            world.ask_text(&second, "two").await;
+            fixture.expect_body(&first, "one").await;
+            fixture.expect_body(&second, "two").await;
         };
         join!(ask, serve);
     });
 }
 
 #[test]
-fn a_late_answer_to_an_earlier_request_is_not_passed_on() {
+fn a_late_response_to_an_earlier_request_is_not_forwarded() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
         let (first, second) = (get("once", "r1"), get("once", "r2"));
         let serve = async {
-            let (mut peer, _) = target.request().await;
-            peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one"))
-                .await;
+            let (mut peer, _) = target.accept_request().await;
+            peer.send(&target_response(
+                "200 OK",
+                "r1",
+                "Keep-Alive: timeout=9\r\n",
+                "one",
+            ))
+            .await;
             let request = peer.receive().await.expect("over the same connection");
             assert_eq!(request.header("request-id"), Some("r2"));
-            peer.send(&answer("200 OK", "r1", "", "late")).await;
+            peer.send(&target_response("200 OK", "r1", "", "late"))
+                .await;
             peer
         };
         let ask = async {
-            world.ask_text(&first, "one").await;
-            assert_eq!(world.ask(&second).await.expect("an answer").status(), 502);
+            fixture.expect_body(&first, "one").await;
+            assert_eq!(
+                fixture
+                    .send_request(&second)
+                    .await
+                    .expect("a response")
+                    .status(),
+                502
+            );
         };
         join!(ask, serve);
     });
@@ -208,23 +243,34 @@
 #[test]
 fn an_idle_connection_closed_by_the_target_fails_no_request() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
         let (first, second) = (get("once", "r1"), get("once", "r2"));
         let serve = async {
-            let (mut peer, _) = target.request().await;
-            peer.send(&answer("200 OK", "r1", "Keep-Alive: timeout=9\r\n", "one"))
-                .await;
+            let (mut peer, _) = target.accept_request().await;
+            peer.send(&target_response(
+                "200 OK",
+                "r1",
+                "Keep-Alive: timeout=9\r\n",
+                "one",
+            ))
+            .await;
             drop(peer);
-            let (mut next, _) = target.request().await;
-            next.send(&answer("200 OK", "r2", "", "two")).await;
+            let (mut next, _) = target.accept_request().await;
+            next.send(&target_response("200 OK", "r2", "", "two")).await;
             next
         };
         let ask = async {
-            world.ask_text(&first, "one").await;
-            while world.proxy.target_client.pool.usable(Instant::now()) > 0 {
+            fixture.expect_body(&first, "one").await;
+            while fixture
+                .proxy
+                .target_client
+                .pool
+                .usable_idle_count(Instant::now())
+                > 0
+            {
                 tokio::task::yield_now().await;
             }
-            world.ask_text(&second, "two").await;
+            fixture.expect_body(&second, "two").await;
         };
         join!(ask, serve);
     });
--- a/tier/proxy/tests/events.rs
+++ b/tier/proxy/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events come out whole, however their bytes arrive.
+//! Tests that events are split correctly, regardless of how their bytes arrive.
 
 use plankhill_proxy::stream::events::{Event, EventSplitter, MAX_EVENT_BYTES};
 
@@ -11,7 +11,7 @@
             events.push(event);
         }
     }
-    (events, splitter.into_rest().to_vec())
+    (events, splitter.into_remainder().to_vec())
 }
 
 #[test]
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn data_has_a_line_feed_behind_each_line() {
+fn each_data_line_is_followed_by_a_line_feed() {
     let (events, _) = split(&[b"versions: 3\nid: 1\ndata: one\ndata:two\n\n: nothing\n\n"]);
     let mut output = Vec::new();
     for event in &events {
--- a/tier/proxy/tests/executions.rs
+++ b/tier/proxy/tests/executions.rs
@@ -1,5 +1,6 @@
-//! Random interleavings before targets that count what they run: nothing that may run once runs
-//! twice, nothing that was refused as not run has run, and no answer holds another request's bytes.
+//! Random interleavings with targets that count their executions: a request that may be executed
+//! only once is not executed twice, a request rejected as not executed has not been executed, and
+//! no response contains bytes of another request.
 
 mod support;
 
@@ -7,44 +8,44 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
+use support::fixture::{get, target_response, ProxyFixture};
 use support::on_one_thread;
-use support::peer::{Listening, Message, Peer};
-use support::world::{answer, get, World};
+use support::peer::{Message, Peer, ScriptedTarget};
 use tokio::task::{spawn_local, JoinSet};
 
-/// Worlds, each by its own seed.
+/// Seeds, one for each run.
 const SEEDS: std::ops::Range<u64> = 0..40;
-/// Clients at once in a world.
+/// Number of concurrent clients in a run.
 const CLIENTS: usize = 6;
-/// Requests that each of them sends, one behind the other.
-const REQUESTS: usize = 8;
-/// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Number of requests that each client sends, one after the other.
+const REQUESTS_PER_CLIENT: usize = 8;
+/// Statuses that promise that a request was not executed and never will be.
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// What a target does with a request that it has read.
+/// The behaviour of a target on a request that it has read.
 #[derive(Clone, Copy, Debug)]
 enum Behaviour {
     Serve,
     ServeAndClose,
     ServeWithSurplus,
-    RefuseAsFull,
-    RefuseAsAnother,
-    FailItself,
-    RunAndReset,
-    RunAndBreakOff,
-    AnswerAnother,
+    RejectAsFull,
+    RejectAsMisdirected,
+    InternalError,
+    ExecuteAndReset,
+    ExecuteAndTruncate,
+    RespondToAnotherRequest,
 }
 
 const BEHAVIOURS: [Behaviour; 9] = [
     Behaviour::Serve,
     Behaviour::ServeAndClose,
     Behaviour::ServeWithSurplus,
-    Behaviour::RefuseAsFull,
-    Behaviour::RefuseAsAnother,
-    Behaviour::FailItself,
-    Behaviour::RunAndReset,
-    Behaviour::RunAndBreakOff,
-    Behaviour::AnswerAnother,
+    Behaviour::RejectAsFull,
+    Behaviour::RejectAsMisdirected,
+    Behaviour::InternalError,
+    Behaviour::ExecuteAndReset,
+    Behaviour::ExecuteAndTruncate,
+    Behaviour::RespondToAnotherRequest,
 ];
 
 /// Random numbers that follow from a seed (splitmix64).
@@ -66,28 +67,28 @@
     }
 }
 
-/// How often each request was run.
-type Runs = Rc<RefCell<HashMap<String, usize>>>;
+/// How often each request was executed, by request id.
+type ExecutionCounts = Rc<RefCell<HashMap<String, usize>>>;
 
-/// Serves one connection until it ends; several requests may come on it.
-async fn serve_connection(mut peer: Peer, runs: Runs, rng: Rng) {
+/// Serves one connection until it ends; several requests may arrive on it.
+async fn serve_connection(mut peer: Peer, executions: ExecutionCounts, rng: Rng) {
     while let Some(request) = peer.receive().await {
         let id = request.header("request-id").expect("an id").to_owned();
         let behaviour = BEHAVIOURS[rng.below(BEHAVIOURS.len())];
-        let runs_it = !matches!(
+        let executes = !matches!(
             behaviour,
-            Behaviour::RefuseAsFull | Behaviour::RefuseAsAnother
+            Behaviour::RejectAsFull | Behaviour::RejectAsMisdirected
         );
-        if runs_it {
-            *runs.borrow_mut().entry(id.clone()).or_default() += 1;
+        if executes {
+            *executions.borrow_mut().entry(id.clone()).or_default() += 1;
         }
-        let good = answer("200 OK", &id, "", &body_of(&id));
+        let success = target_response("200 OK", &id, "", &body_of(&id));
         match behaviour {
-            Behaviour::Serve => peer.send(&good).await,
-            Behaviour::ServeAndClose => return peer.send(&good).await,
-            Behaviour::ServeWithSurplus => peer.send(&format!("{good}surplus")).await,
-            Behaviour::RefuseAsFull => {
-                peer.send(&answer(
+            Behaviour::Serve => peer.send(&success).await,
+            Behaviour::ServeAndClose => return peer.send(&success).await,
+            Behaviour::ServeWithSurplus => peer.send(&format!("{success}surplus")).await,
+            Behaviour::RejectAsFull => {
+                peer.send(&target_response(
                     "503 Service Unavailable",
                     &id,
                     "Not-Executed: full\r\n",
@@ -95,19 +96,29 @@
                 ))
                 .await;
             }
-            Behaviour::RefuseAsAnother => {
-                peer.send(&answer("421 Misdirected Request", &id, "", ""))
+            Behaviour::RejectAsMisdirected => {
+                peer.send(&target_response("421 Misdirected Request", &id, "", ""))
                     .await
             }
-            Behaviour::FailItself => {
-                peer.send(&answer("500 Internal Server Error", &id, "", "bad"))
-                    .await
+            Behaviour::InternalError => {
+                peer.send(&target_response(
+                    "500 Internal Server Error",
+                    &id,
+                    "",
+                    "bad",
+                ))
+                .await
             }
-            Behaviour::RunAndReset => return peer.reset(),
-            Behaviour::RunAndBreakOff => return peer.send(&good[..good.len() - 1]).await,
-            Behaviour::AnswerAnother => {
+            Behaviour::ExecuteAndReset => return peer.reset(),
+            Behaviour::ExecuteAndTruncate => return peer.send(&success[..success.len() - 1]).await,
+            Behaviour::RespondToAnotherRequest => {
                 return peer
-                    .send(&answer("200 OK", "of-another", "", "bytes of another"))
+                    .send(&target_response(
+                        "200 OK",
+                        "of-another",
+                        "",
+                        "bytes of another",
+                    ))
                     .await;
             }
         }
@@ -118,94 +129,103 @@
     format!("body of {id}")
 }
 
-async fn serve(target: Listening, runs: Runs, rng: Rng) {
+async fn serve(target: ScriptedTarget, executions: ExecutionCounts, rng: Rng) {
     loop {
         let peer = target.accept().await;
-        spawn_local(serve_connection(peer, runs.clone(), rng.clone()));
+        spawn_local(serve_connection(peer, executions.clone(), rng.clone()));
     }
 }
 
-/// What a client was answered.
-struct Answered {
+/// A client's request and its response.
+struct RequestResult {
     id: String,
-    may_repeat: bool,
-    answer: Option<Message>,
+    is_idempotent: bool,
+    response: Option<Message>,
 }
 
-/// Sends requests one behind the other, over a connection of its own that is opened anew at random.
-async fn client(world: Rc<World>, number: usize, rng: Rng) -> Vec<Answered> {
+/// Sends requests one after the other, over a separate connection that is reopened at random.
+async fn client(fixture: Rc<ProxyFixture>, number: usize, rng: Rng) -> Vec<RequestResult> {
     let mut connection: Option<Peer> = None;
     let mut all = Vec::new();
-    for request in 0..REQUESTS {
+    for request in 0..REQUESTS_PER_CLIENT {
         let id = format!("c{number}-{request}");
-        let may_repeat = rng.below(2) == 0;
+        let is_idempotent = rng.below(2) == 0;
         let mut peer = match connection.take().filter(|_| rng.below(3) > 0) {
             Some(peer) => peer,
-            None => world.client().await,
+            None => fixture.client().await,
         };
-        peer.send(&get(if may_repeat { "again" } else { "once" }, &id))
+        peer.send(&get(if is_idempotent { "again" } else { "once" }, &id))
             .await;
-        let answer = peer.receive().await;
-        let goes_on = answer
+        let response = peer.receive().await;
+        let keeps_alive = response
             .as_ref()
-            .is_some_and(|answer| answer.header("connection") != Some("close"));
-        connection = goes_on.then_some(peer);
-        all.push(Answered {
+            .is_some_and(|response| response.header("connection") != Some("close"));
+        connection = keeps_alive.then_some(peer);
+        all.push(RequestResult {
             id,
-            may_repeat,
-            answer,
+            is_idempotent,
+            response,
         });
     }
     all
 }
 
-async fn play(seed: u64) {
+async fn run_seed(seed: u64) {
     let rng = Rng::new(seed);
-    let runs = Runs::default();
-    let (one, other) = (Listening::start().await, Listening::start().await);
-    let world = Rc::new(World::with_targets(&[&one, &other]).await);
-    spawn_local(serve(one, runs.clone(), rng.clone()));
-    spawn_local(serve(other, runs.clone(), rng.clone()));
+    let executions = ExecutionCounts::default();
+    let (one, other) = (ScriptedTarget::start().await, ScriptedTarget::start().await);
+    let fixture = Rc::new(ProxyFixture::with_targets(&[&one, &other]).await);
+    spawn_local(serve(one, executions.clone(), rng.clone()));
+    spawn_local(serve(other, executions.clone(), rng.clone()));
     let mut clients = JoinSet::new();
     for number in 0..CLIENTS {
-        clients.spawn_local(client(world.clone(), number, rng.clone()));
+        clients.spawn_local(client(fixture.clone(), number, rng.clone()));
     }
-    let answered: Vec<Answered> = clients.join_all().await.into_iter().flatten().collect();
-    assert_eq!(answered.len(), CLIENTS * REQUESTS, "seed {seed}");
-    for one in &answered {
-        judge(
+    let results: Vec<RequestResult> = clients.join_all().await.into_iter().flatten().collect();
+    assert_eq!(results.len(), CLIENTS * REQUESTS_PER_CLIENT, "seed {seed}");
+    for one in &results {
+        check_result(
             seed,
             one,
-            runs.borrow().get(&one.id).copied().unwrap_or_default(),
+            executions
+                .borrow()
+                .get(&one.id)
+                .copied()
+                .unwrap_or_default(),
         );
     }
-    // Every kind of end has to come up, or nothing was shown.
-    let status = |one: &Answered| one.answer.as_ref().map(Message::status);
+    // Both successes and failures must occur, or the run shows nothing.
+    let status = |result: &RequestResult| result.response.as_ref().map(Message::status);
     assert!(
-        answered.iter().any(|one| status(one) == Some(200)),
+        results.iter().any(|result| status(result) == Some(200)),
         "seed {seed}"
     );
     assert!(
-        answered.iter().any(|one| status(one) != Some(200)),
+        results.iter().any(|result| status(result) != Some(200)),
         "seed {seed}"
     );
 }
 
-fn judge(seed: u64, one: &Answered, runs: usize) {
+fn check_result(seed: u64, one: &RequestResult, executions: usize) {
     let id = &one.id;
     assert!(
-        one.may_repeat || runs <= 1,
-        "seed {seed}: {id} ran {runs} times"
+        one.is_idempotent || executions <= 1,
+        "seed {seed}: {id} was executed {executions} times"
     );
-    let Some(answer) = &one.answer else { return };
-    let status = answer.status();
-    if PROMISES.contains(&status) && !one.may_repeat {
-        assert_eq!(runs, 0, "seed {seed}: {id} was given {status} and ran");
+    let Some(response) = &one.response else {
+        return;
+    };
+    let status = response.status();
+    if NOT_EXECUTED_STATUSES.contains(&status) && !one.is_idempotent {
+        assert_eq!(
+            executions, 0,
+            "seed {seed}: {id} got {status} but was executed"
+        );
     }
     if (200..300).contains(&status) {
-        assert_eq!(answer.text(), body_of(id), "seed {seed}");
+        assert_eq!(response.text(), body_of(id), "seed {seed}");
         assert_eq!(
-            answer.header("upstream-signature"),
+            response.header("upstream-signature"),
             Some(format!("stamp-{id}").as_str()),
             "seed {seed}"
         );
@@ -213,10 +233,10 @@
 }
 
 #[test]
-fn random_interleavings_execute_nothing_twice_and_keep_rejections_true() {
+fn random_interleavings_execute_nothing_twice_and_reject_only_unexecuted_requests() {
     on_one_thread(async {
         for seed in SEEDS {
-            play(seed).await;
+            run_seed(seed).await;
         }
     });
 }
--- a/tier/proxy/tests/limits.rs
+++ b/tier/proxy/tests/limits.rs
@@ -1,9 +1,9 @@
-//! What one client may send, and what all may make the proxy hold.
+//! Tests of the limits on single requests and on the memory for all bodies.
 
 mod support;
 
+use support::fixture::{target_response, ProxyFixture};
 use support::on_one_thread;
-use support::world::{answer, World};
 use tokio::join;
 
 fn post(id: &str, body: &str) -> String {
@@ -16,7 +16,7 @@
 #[test]
 fn requests_that_cannot_be_served_are_rejected_with_the_status_of_the_cause() {
     on_one_thread(async {
-        let (_target, world) = World::with_one_target().await;
+        let (_target, fixture) = ProxyFixture::with_one_target().await;
         let cases = [
             (
                 "GET /none/x HTTP/1.1\r\nHost: host.example\r\nRequest-Id: r1\r\n\r\n".to_owned(),
@@ -41,7 +41,11 @@
         ];
         for (request, status) in cases {
             assert_eq!(
-                world.ask(&request).await.expect("an answer").status(),
+                fixture
+                    .send_request(&request)
+                    .await
+                    .expect("a response")
+                    .status(),
                 status
             );
         }
@@ -51,22 +55,26 @@
 #[test]
 fn bodies_beyond_the_memory_budget_are_rejected_and_memory_is_released() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
-        let before = world.proxy.memory.free_bytes();
+        let (target, fixture) = ProxyFixture::with_one_target().await;
+        let before = fixture.proxy.memory.free_bytes();
         let large = "x".repeat(90_000);
         let (one, two, three) = (post("r1", &large), post("r2", &large), post("r3", &large));
         let serve = async {
-            let (mut first, _) = target.request().await;
-            let (mut second, _) = target.request().await;
-            // Both are under way: there is no memory for a third.
-            let refused = world.ask(&three).await.expect("an answer");
-            assert_eq!(refused.status(), 503);
-            assert!(refused.header("retry-after").is_some());
+            let (mut first, _) = target.accept_request().await;
+            let (mut second, _) = target.accept_request().await;
+            // Both requests are in flight: there is no memory for a third.
+            let rejected = fixture.send_request(&three).await.expect("a response");
+            assert_eq!(rejected.status(), 503);
+            assert!(rejected.header("retry-after").is_some());
             for peer in [&mut first, &mut second] {
-                peer.send(&answer("200 OK", "r1", "", "")).await;
+                peer.send(&target_response("200 OK", "r1", "", "")).await;
             }
         };
-        join!(world.ask(&one), world.ask(&two), serve);
-        assert_eq!(world.proxy.memory.free_bytes(), before);
+        join!(
+            fixture.send_request(&one),
+            fixture.send_request(&two),
+            serve
+        );
+        assert_eq!(fixture.proxy.memory.free_bytes(), before);
     });
 }
--- a/tier/proxy/tests/shutdown.rs
+++ b/tier/proxy/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! SIGTERM and what crosses it, on real connections; the end is asked for by hand.
+//! Tests of requests that race with a shutdown, on real connections; the tests begin the shutdown
+//! directly instead of by SIGTERM.
 
 mod support;
 
@@ -8,241 +9,259 @@
 use plankhill_proxy::clock::duration;
 use plankhill_proxy::lifecycle::ConnectionPolicy;
 use plankhill_proxy::signals::shut_down;
-use support::drain_orders::{settled, DrainOrders};
+use support::drain_orders::{run_ready_tasks, DrainOrders};
+use support::fixture::{chunk, event, get, target_response, ProxyFixture, LAST_CHUNK};
 use support::on_one_thread;
-use support::peer::{Listening, Peer};
-use support::world::{answer, chunk, event, get, World, LAST_CHUNK};
+use support::peer::{Peer, ScriptedTarget};
 use tokio::task;
 
 /// Longer than any request of these tests may take.
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// The end was asked for and clients still come; replies may take `left` from now on.
-fn begin_shutdown(world: &World, left: Duration) -> Shutdown {
-    let replies_end = duration(world.proxy.clock.now()) + left;
-    let all_begun_until = Duration::ZERO;
+/// Begins a shutdown in which clients are still accepted and responses may take `time_left` from now
+/// on.
+fn begin_shutdown(fixture: &ProxyFixture, time_left: Duration) -> Shutdown {
+    let response_deadline = duration(fixture.proxy.clock.now()) + time_left;
+    let admit_all_until = Duration::ZERO;
     let shutdown = Shutdown {
-        accept_until: replies_end,
-        admit_all_until: all_begun_until,
-        response_deadline: replies_end,
+        accept_until: response_deadline,
+        admit_all_until,
+        response_deadline,
     };
-    world.proxy.lifecycle.begin_shutdown(shutdown);
+    fixture.proxy.lifecycle.begin_shutdown(shutdown);
     shutdown
 }
 
-/// No more clients come: connections at rest are closed.
-async fn close_idle(world: &World, shutdown: Shutdown) {
-    world.proxy.lifecycle.begin_shutdown(Shutdown {
+/// Ends the acceptance of clients, and waits until idle connections are closed.
+async fn close_idle(fixture: &ProxyFixture, shutdown: Shutdown) {
+    fixture.proxy.lifecycle.begin_shutdown(Shutdown {
         accept_until: Duration::ZERO,
         ..shutdown
     });
-    let mut connections = world.proxy.lifecycle.connection_policy();
-    connections
-        .wait_for(|wanted| *wanted == ConnectionPolicy::CloseIdle)
+    let mut policy = fixture.proxy.lifecycle.connection_policy();
+    policy
+        .wait_for(|policy| *policy == ConnectionPolicy::CloseIdle)
         .await
         .expect("a lifecycle");
-    settled().await;
+    run_ready_tasks().await;
 }
 
-/// A proxy with one target, whose node follows drain orders.
-async fn world_with_drain() -> (Listening, World, DrainOrders) {
-    let (target, world) = World::with_one_target().await;
-    let orders = DrainOrders::follow(&world);
-    (target, world, orders)
+/// Starts a proxy with one target, whose node applies drain orders.
+async fn fixture_with_drain() -> (ScriptedTarget, ProxyFixture, DrainOrders) {
+    let (target, fixture) = ProxyFixture::with_one_target().await;
+    let orders = DrainOrders::start(&fixture);
+    (target, fixture, orders)
 }
 
-/// A request that was answered once, so that the connection rests.
-async fn idle_connection(world: &World, target: &Listening) -> (Peer, Peer) {
-    let mut client = world.client().await;
+/// Sends a request and receives its response, so that the connection is idle.
+async fn idle_connection(fixture: &ProxyFixture, target: &ScriptedTarget) -> (Peer, Peer) {
+    let mut client = fixture.client().await;
     client.send(&get("once", "r0")).await;
-    let (mut peer, _) = target.request().await;
-    peer.send(&answer(
+    let (mut peer, _) = target.accept_request().await;
+    peer.send(&target_response(
         "200 OK",
         "r0",
         "Keep-Alive: timeout=9\r\n",
         "first",
     ))
     .await;
-    assert_eq!(client.receive().await.expect("an answer").text(), "first");
+    assert_eq!(client.receive().await.expect("a response").text(), "first");
     (client, peer)
 }
 
 #[test]
-fn an_idle_connection_gets_one_more_answer_during_shutdown() {
+fn an_idle_connection_gets_one_more_response_during_shutdown() {
     on_one_thread(async {
-        let (target, world, _orders) = world_with_drain().await;
-        let (mut client, mut peer) = idle_connection(&world, &target).await;
-        begin_shutdown(&world, HOUR);
-        settled().await;
+        let (target, fixture, _orders) = fixture_with_drain().await;
+        let (mut client, mut peer) = idle_connection(&fixture, &target).await;
+        begin_shutdown(&fixture, HOUR);
+        run_ready_tasks().await;
         client.send(&get("once", "r1")).await;
         assert!(peer.receive().await.is_some());
-        peer.send(&answer("200 OK", "r1", "", "last")).await;
-        let got = client.receive().await.expect("an answer");
+        peer.send(&target_response("200 OK", "r1", "", "last"))
+            .await;
+        let response = client.receive().await.expect("a response");
         assert_eq!(
-            (got.text().as_str(), got.header("connection")),
+            (response.text().as_str(), response.header("connection")),
             ("last", Some("close"))
         );
-        assert_eq!(client.closed().await, b"");
+        assert_eq!(client.read_until_closed().await, b"");
     });
 }
 
-/// The request may take nine seconds, and five are left: it is another node's.
+/// The request may take nine seconds, and five are left: another node has to serve it.
 #[test]
 fn a_request_that_cannot_end_before_shutdown_is_rejected_and_not_sent() {
     on_one_thread(async {
-        let (target, world, _orders) = world_with_drain().await;
-        let (mut client, mut peer) = idle_connection(&world, &target).await;
-        begin_shutdown(&world, Duration::from_secs(5));
-        for (route, mut client) in [("once", client), ("stream", world.client().await)] {
+        let (target, fixture, _orders) = fixture_with_drain().await;
+        let (mut client, mut peer) = idle_connection(&fixture, &target).await;
+        begin_shutdown(&fixture, Duration::from_secs(5));
+        for (route, mut client) in [("once", client), ("stream", fixture.client().await)] {
             client.send(&get(route, "r1")).await;
-            let got = client.receive().await.expect("an answer");
+            let response = client.receive().await.expect("a response");
             assert_eq!(
-                (got.status(), got.header("connection")),
+                (response.status(), response.header("connection")),
                 (503, Some("close"))
             );
-            assert!(got.header("retry-after").is_some());
-            assert_eq!(client.closed().await, b"");
+            assert!(response.header("retry-after").is_some());
+            assert_eq!(client.read_until_closed().await, b"");
         }
-        assert_eq!(world.proxy.lifecycle.rejected_requests(), 2);
-        // The next thing that the target hears is a request that can be over in time.
-        client = world.client().await;
+        assert_eq!(fixture.proxy.lifecycle.rejected_requests(), 2);
+        // The next request that the target receives is one that can be complete in time.
+        client = fixture.client().await;
         client.send(&get("once", "r2").replace("9000", "900")).await;
         assert!(peer.receive().await.expect("a request").head.contains("r2"));
-        peer.send(&answer("200 OK", "r2", "", "short")).await;
-        assert_eq!(client.receive().await.expect("an answer").text(), "short");
+        peer.send(&target_response("200 OK", "r2", "", "short"))
+            .await;
+        assert_eq!(client.receive().await.expect("a response").text(), "short");
     });
 }
 
 #[test]
 fn a_request_whose_head_is_arriving_when_idle_connections_close_is_answered() {
     on_one_thread(async {
-        let (target, world, _orders) = world_with_drain().await;
-        let (mut client, mut peer) = idle_connection(&world, &target).await;
+        let (target, fixture, _orders) = fixture_with_drain().await;
+        let (mut client, mut peer) = idle_connection(&fixture, &target).await;
         let request = get("once", "r1");
         let (first, rest) = request.split_at(30);
         client.send(first).await;
-        while world.proxy.lifecycle.work_in_flight() == 0 {
+        while fixture.proxy.lifecycle.work_in_flight() == 0 {
             task::yield_now().await;
         }
-        let shutdown = begin_shutdown(&world, HOUR);
-        close_idle(&world, shutdown).await;
+        let shutdown = begin_shutdown(&fixture, HOUR);
+        close_idle(&fixture, shutdown).await;
         client.send(rest).await;
         assert!(peer.receive().await.is_some());
-        peer.send(&answer("200 OK", "r1", "", "whole")).await;
-        let got = client.receive().await.expect("an answer");
+        peer.send(&target_response("200 OK", "r1", "", "whole"))
+            .await;
+        let response = client.receive().await.expect("a response");
         assert_eq!(
-            (got.text().as_str(), got.header("connection")),
+            (response.text().as_str(), response.header("connection")),
             ("whole", Some("close"))
         );
         drop(client);
-        world.proxy.lifecycle.process_ended().await;
+        fixture.proxy.lifecycle.process_ended().await;
     });
 }
 
 #[test]
 fn a_request_whose_body_is_arriving_when_idle_connections_close_is_answered() {
     on_one_thread(async {
-        let (target, world, _orders) = world_with_drain().await;
-        let mut client = world.client().await;
+        let (target, fixture, _orders) = fixture_with_drain().await;
+        let mut client = fixture.client().await;
         let head = get("once", "r1")
             .replace("GET", "POST")
             .replace("\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n");
         client.send(&(head + "half")).await;
-        while world.proxy.lifecycle.work_in_flight() == 0 {
+        while fixture.proxy.lifecycle.work_in_flight() == 0 {
             task::yield_now().await;
         }
-        let shutdown = begin_shutdown(&world, HOUR);
-        close_idle(&world, shutdown).await;
+        let shutdown = begin_shutdown(&fixture, HOUR);
+        close_idle(&fixture, shutdown).await;
         client.send("half").await;
-        let (mut peer, request) = target.request().await;
+        let (mut peer, request) = target.accept_request().await;
         assert_eq!(request.text(), "halfhalf");
-        peer.send(&answer("200 OK", "r1", "", "whole")).await;
-        assert_eq!(client.receive().await.expect("an answer").text(), "whole");
+        peer.send(&target_response("200 OK", "r1", "", "whole"))
+            .await;
+        assert_eq!(client.receive().await.expect("a response").text(), "whole");
     });
 }
 
 #[test]
 fn a_queued_request_is_answered_when_idle_connections_close() {
     on_one_thread(async {
-        let (target, world, _orders) = world_with_drain().await;
-        let mut client = world.client().await;
+        let (target, fixture, _orders) = fixture_with_drain().await;
+        let mut client = fixture.client().await;
         client.send(&get("once", "r1")).await;
-        // The connection to the target is up, and nothing of the request has been read from it.
+        // The connection to the target is open, and nothing of the request has been read from it.
         let mut peer = target.accept().await;
-        let shutdown = begin_shutdown(&world, HOUR);
-        close_idle(&world, shutdown).await;
+        let shutdown = begin_shutdown(&fixture, HOUR);
+        close_idle(&fixture, shutdown).await;
         assert!(peer.receive().await.is_some());
-        peer.send(&answer("200 OK", "r1", "", "sent")).await;
-        assert_eq!(client.receive().await.expect("an answer").text(), "sent");
-        world.proxy.lifecycle.process_ended().await;
+        peer.send(&target_response("200 OK", "r1", "", "sent"))
+            .await;
+        assert_eq!(client.receive().await.expect("a response").text(), "sent");
+        fixture.proxy.lifecycle.process_ended().await;
     });
 }
 
 #[test]
 fn a_stream_in_flight_ends_completely_before_its_connection_closes() {
     on_one_thread(async {
-        let (target, world, _orders) = world_with_drain().await;
-        let (mut client, mut peer) = world.begin_stream(&target, &get("stream", "r1")).await;
-        let shutdown = begin_shutdown(&world, HOUR);
-        close_idle(&world, shutdown).await;
-        assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
+        let (target, fixture, _orders) = fixture_with_drain().await;
+        let (mut client, mut peer) = fixture.begin_stream(&target, &get("stream", "r1")).await;
+        let shutdown = begin_shutdown(&fixture, HOUR);
+        close_idle(&fixture, shutdown).await;
+        assert_eq!(
+            client.read_chunk().await,
+            Some(Some(event(1, "a").into_bytes()))
+        );
         peer.send(&(chunk(&event(2, "b")) + LAST_CHUNK)).await;
-        assert_eq!(client.chunk().await, Some(Some(event(2, "b").into_bytes())));
-        assert_eq!(client.chunk().await, Some(None));
-        assert_eq!(client.closed().await, b"");
-        world.proxy.lifecycle.process_ended().await;
+        assert_eq!(
+            client.read_chunk().await,
+            Some(Some(event(2, "b").into_bytes()))
+        );
+        assert_eq!(client.read_chunk().await, Some(None));
+        assert_eq!(client.read_until_closed().await, b"");
+        fixture.proxy.lifecycle.process_ended().await;
     });
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_sent() {
+fn a_request_that_races_with_the_close_of_an_idle_connection_is_not_sent() {
     on_one_thread(async {
-        let (target, world, _orders) = world_with_drain().await;
-        let (mut client, mut peer) = idle_connection(&world, &target).await;
-        let shutdown = begin_shutdown(&world, HOUR);
-        close_idle(&world, shutdown).await;
+        let (target, fixture, _orders) = fixture_with_drain().await;
+        let (mut client, mut peer) = idle_connection(&fixture, &target).await;
+        let shutdown = begin_shutdown(&fixture, HOUR);
+        close_idle(&fixture, shutdown).await;
         client.send(&get("once", "r1")).await;
         assert_eq!(
-            client.closed().await,
+            client.read_until_closed().await,
             b"",
-            "an orderly end without an answer"
+            "a normal close without a response"
         );
-        // A client that comes later is served: nothing of the first went before it.
-        let mut later = world.client().await;
+        // A client that connects later is served: no part of the first request was sent to the
+        // target before.
+        let mut later = fixture.client().await;
         later.send(&get("once", "r2")).await;
         assert!(peer.receive().await.expect("a request").head.contains("r2"));
-        peer.send(&answer("200 OK", "r2", "", "later")).await;
-        assert_eq!(later.receive().await.expect("an answer").text(), "later");
+        peer.send(&target_response("200 OK", "r2", "", "later"))
+            .await;
+        assert_eq!(later.receive().await.expect("a response").text(), "later");
     });
 }
 
-/// An answer that is given before the body was read reaches the client, although bytes of the body
-/// are unread.
+/// A response that is sent before the request body was read completely reaches the client, although
+/// bytes of the body are unread.
 #[test]
-fn an_answer_before_the_body_was_read_reaches_the_client() {
+fn a_response_before_the_body_was_read_reaches_the_client() {
     on_one_thread(async {
-        let (_target, world, _orders) = world_with_drain().await;
-        let mut client = world.client().await;
+        let (_target, fixture, _orders) = fixture_with_drain().await;
+        let mut client = fixture.client().await;
         let head = get("once", "r1").replace("GET", "POST");
         let head = head.replace("\r\n\r\n", "\r\nContent-Length: 200000\r\n\r\n");
         client.send(&(head + &"x".repeat(180_000))).await;
-        assert_eq!(client.receive().await.expect("an answer").status(), 413);
+        assert_eq!(client.receive().await.expect("a response").status(), 413);
         client.send(&"x".repeat(20_000)).await;
-        assert_eq!(client.closed().await, b"");
+        assert_eq!(client.read_until_closed().await, b"");
     });
 }
 
-/// What comes between the decision to end and the end itself would be cut by it.
+/// A request that arrives between the decision to end and the end of the process would be
+/// truncated.
 #[test]
 fn once_the_process_end_is_decided_no_request_is_sent() {
     on_one_thread(async {
-        let (_target, world, _orders) = world_with_drain().await;
-        let shutdown = begin_shutdown(&world, HOUR);
-        close_idle(&world, shutdown).await;
-        world.proxy.lifecycle.process_ended().await;
-        let got = world.ask(&get("once", "r1")).await.expect("an answer");
+        let (_target, fixture, _orders) = fixture_with_drain().await;
+        let shutdown = begin_shutdown(&fixture, HOUR);
+        close_idle(&fixture, shutdown).await;
+        fixture.proxy.lifecycle.process_ended().await;
+        let response = fixture
+            .send_request(&get("once", "r1"))
+            .await
+            .expect("a response");
         assert_eq!(
-            (got.status(), got.header("retry-after").is_some()),
+            (response.status(), response.header("retry-after").is_some()),
             (503, true)
         );
     });
@@ -251,19 +270,22 @@
 #[test]
 fn a_client_that_never_closes_does_not_delay_shutdown() {
     on_one_thread(async {
-        let (target, world, _orders) = world_with_drain().await;
-        let (_silent, _late) = (idle_connection(&world, &target).await, world.client().await);
-        let shutdown = begin_shutdown(&world, HOUR);
-        close_idle(&world, shutdown).await;
-        world.proxy.lifecycle.process_ended().await;
+        let (target, fixture, _orders) = fixture_with_drain().await;
+        let (_silent, _late) = (
+            idle_connection(&fixture, &target).await,
+            fixture.client().await,
+        );
+        let shutdown = begin_shutdown(&fixture, HOUR);
+        close_idle(&fixture, shutdown).await;
+        fixture.proxy.lifecycle.process_ended().await;
     });
 }
 
 #[test]
 fn shutdown_ends_after_the_grace_time_without_a_drain_task() {
     on_one_thread(async {
-        let (_target, world) = World::with_one_target().await;
-        shut_down(&world.proxy, Duration::from_millis(50)).await;
-        assert!(world.proxy.lifecycle.is_draining());
+        let (_target, fixture) = ProxyFixture::with_one_target().await;
+        shut_down(&fixture.proxy, Duration::from_millis(50)).await;
+        assert!(fixture.proxy.lifecycle.is_draining());
     });
 }
--- a/tier/proxy/tests/streams.rs
+++ b/tier/proxy/tests/streams.rs
@@ -1,15 +1,16 @@
-//! Streams pass event by event, and a break is never taken for an end.
+//! Tests that streams are forwarded event by event, and that a broken stream never appears
+//! complete.
 
 mod support;
 
+use support::fixture::{chunk, event, get, stream_head, target_response, ProxyFixture, LAST_CHUNK};
 use support::on_one_thread;
-use support::peer::{Listening, Peer};
-use support::world::{answer, chunk, event, get, stream_head, World, LAST_CHUNK};
+use support::peer::{Peer, ScriptedTarget};
 use tokio::join;
 
-/// Sends the head and then these pieces.
-async fn send_stream(peer: &mut Peer, stamp: &str, pieces: &[&str]) {
-    peer.send(&stream_head("r1", stamp)).await;
+/// Sends the head of a stream, and then each of these pieces as a chunk.
+async fn send_stream(peer: &mut Peer, signature: &str, pieces: &[&str]) {
+    peer.send(&stream_head("r1", signature)).await;
     for piece in pieces {
         peer.send(&chunk(piece)).await;
     }
@@ -18,33 +19,37 @@
 #[test]
 fn events_are_relayed_as_they_arrive() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
-        let mut client = world.client().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
+        let mut client = fixture.client().await;
         client.send(&get("stream", "r1")).await;
-        let (mut peer, _) = target.request().await;
+        let (mut peer, _) = target.accept_request().await;
         send_stream(&mut peer, "s", &[&event(1, "a"), "id: 2\nda"]).await;
-        let head = client.head().await.expect("a head");
+        let head = client.read_head().await.expect("a head");
         assert!(head.starts_with("HTTP/1.1 200 OK\r\n"));
         assert!(head.to_lowercase().contains("upstream-signature: s\r\n"));
-        assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
-        // The second event comes only now that the first was received; it was cut in the middle.
+        assert_eq!(
+            client.read_chunk().await,
+            Some(Some(event(1, "a").into_bytes()))
+        );
+        // The rest of the second event, which was split in the middle, is sent only after the first
+        // event was received.
         peer.send(&chunk("ta: b\n\n")).await;
         assert_eq!(
-            client.chunk().await,
+            client.read_chunk().await,
             Some(Some(b"id: 2\ndata: b\n\n".to_vec()))
         );
         peer.send(LAST_CHUNK).await;
-        assert_eq!(client.chunk().await, Some(None));
+        assert_eq!(client.read_chunk().await, Some(None));
     });
 }
 
 #[test]
 fn the_connection_serves_the_next_request_after_a_stream() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
-        let mut client = world.client().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
+        let mut client = fixture.client().await;
         client.send(&get("stream", "r1")).await;
-        let (mut peer, _) = target.request().await;
+        let (mut peer, _) = target.accept_request().await;
         let head = stream_head("r1", "s").replace("\r\n\r\n", "\r\nKeep-Alive: timeout=9\r\n\r\n");
         peer.send(&(head + &chunk(&event(1, "a")) + LAST_CHUNK))
             .await;
@@ -52,8 +57,8 @@
         client.send(&get("once", "r2")).await;
         let request = peer.receive().await.expect("over the same connection");
         assert_eq!(request.header("request-id"), Some("r2"));
-        peer.send(&answer("200 OK", "r2", "", "two")).await;
-        assert_eq!(client.receive().await.expect("an answer").text(), "two");
+        peer.send(&target_response("200 OK", "r2", "", "two")).await;
+        assert_eq!(client.receive().await.expect("a response").text(), "two");
     });
 }
 
@@ -61,14 +66,17 @@
 fn a_reset_truncates_a_stream_that_is_not_resumable() {
     on_one_thread(async {
         for reset in [false, true] {
-            let (target, other) = (Listening::start().await, Listening::start().await);
-            let world = World::with_targets(&[&target, &other]).await;
-            let mut client = world.client().await;
+            let (target, other) = (ScriptedTarget::start().await, ScriptedTarget::start().await);
+            let fixture = ProxyFixture::with_targets(&[&target, &other]).await;
+            let mut client = fixture.client().await;
             client.send(&get("stream", "r1")).await;
-            let (mut peer, _) = target.request().await;
+            let (mut peer, _) = target.accept_request().await;
             send_stream(&mut peer, "s", &[&event(1, "a")]).await;
-            assert!(client.head().await.is_some());
-            assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
+            assert!(client.read_head().await.is_some());
+            assert_eq!(
+                client.read_chunk().await,
+                Some(Some(event(1, "a").into_bytes()))
+            );
             peer.send(&chunk("id: 2\ndata: ha")).await;
             if reset {
                 peer.reset();
@@ -76,7 +84,7 @@
                 drop(peer);
             }
             assert_eq!(
-                client.closed().await,
+                client.read_until_closed().await,
                 b"",
                 "neither half an event nor the end of the body"
             );
@@ -87,16 +95,16 @@
 #[test]
 fn a_reset_before_the_first_event_is_answered_with_502() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
         let request = get("stream", "r1");
         let serve = async {
-            let (mut peer, _) = target.request().await;
+            let (mut peer, _) = target.accept_request().await;
             send_stream(&mut peer, "s", &["id: 1\nda"]).await;
         };
-        let (got, ()) = join!(world.ask(&request), serve);
-        let got = got.expect("an answer");
+        let (response, ()) = join!(fixture.send_request(&request), serve);
+        let response = response.expect("a response");
         assert_eq!(
-            (got.status(), got.header("upstream-signature")),
+            (response.status(), response.header("upstream-signature")),
             (502, None)
         );
     });
@@ -105,11 +113,11 @@
 #[test]
 fn a_resumable_stream_continues_at_another_target() {
     on_one_thread(async {
-        let (first, second) = (Listening::start().await, Listening::start().await);
-        let world = World::with_targets(&[&first, &second]).await;
+        let (first, second) = (ScriptedTarget::start().await, ScriptedTarget::start().await);
+        let fixture = ProxyFixture::with_targets(&[&first, &second]).await;
         let request = get("resume", "r1");
         let serve = async {
-            let (mut peer, request) = first.request().await;
+            let (mut peer, request) = first.accept_request().await;
             assert_eq!(request.header("last-event-id"), None);
             send_stream(
                 &mut peer,
@@ -118,84 +126,95 @@
             )
             .await;
             drop(peer);
-            let (mut peer, request) = second.request().await;
+            let (mut peer, request) = second.accept_request().await;
             assert_eq!(request.header("last-event-id"), Some("2"));
             assert_eq!(request.header("expected-instance"), Some("t1"));
             send_stream(&mut peer, "two", &[&event(3, "c")]).await;
             peer.send(LAST_CHUNK).await;
             peer
         };
-        let (got, _peer) = join!(world.ask(&request), serve);
-        let got = got.expect("a whole answer");
-        assert_eq!(got.text(), event(1, "a") + &event(2, "b") + &event(3, "c"));
-        assert_eq!(got.header("upstream-signature"), Some("one"));
+        let (response, _peer) = join!(fixture.send_request(&request), serve);
+        let response = response.expect("a complete response");
+        assert_eq!(
+            response.text(),
+            event(1, "a") + &event(2, "b") + &event(3, "c")
+        );
+        assert_eq!(response.header("upstream-signature"), Some("one"));
     });
 }
 
 #[test]
 fn events_of_a_second_execution_from_the_start_are_not_relayed() {
     on_one_thread(async {
-        let (first, second) = (Listening::start().await, Listening::start().await);
-        let world = World::with_targets(&[&first, &second]).await;
-        let mut client = world.client().await;
+        let (first, second) = (ScriptedTarget::start().await, ScriptedTarget::start().await);
+        let fixture = ProxyFixture::with_targets(&[&first, &second]).await;
+        let mut client = fixture.client().await;
         client.send(&get("resume", "r1")).await;
-        let (mut peer, _) = first.request().await;
+        let (mut peer, _) = first.accept_request().await;
         send_stream(&mut peer, "one", &[&event(1, "a")]).await;
         drop(peer);
-        let (mut peer, _) = second.request().await;
+        let (mut peer, _) = second.accept_request().await;
         send_stream(&mut peer, "two", &[&event(1, "a"), &event(2, "b")]).await;
-        assert!(client.head().await.is_some());
-        assert_eq!(client.chunk().await, Some(Some(event(1, "a").into_bytes())));
-        assert_eq!(client.closed().await, b"");
+        assert!(client.read_head().await.is_some());
+        assert_eq!(
+            client.read_chunk().await,
+            Some(Some(event(1, "a").into_bytes()))
+        );
+        assert_eq!(client.read_until_closed().await, b"");
     });
 }
 
 #[test]
 fn a_rejection_on_a_streaming_route_is_retried_at_another_target() {
     on_one_thread(async {
-        let (full, free) = (Listening::start().await, Listening::start().await);
-        let world = World::with_targets(&[&full, &free]).await;
+        let (full, free) = (ScriptedTarget::start().await, ScriptedTarget::start().await);
+        let fixture = ProxyFixture::with_targets(&[&full, &free]).await;
         let request = get("stream", "r1");
         let serve = async {
-            let (mut peer, _) = full.request().await;
-            peer.send(&answer("503 Full", "r1", "Not-Executed: 1\r\n", ""))
-                .await;
-            let (mut other, _) = free.request().await;
+            let (mut peer, _) = full.accept_request().await;
+            peer.send(&target_response(
+                "503 Full",
+                "r1",
+                "Not-Executed: 1\r\n",
+                "",
+            ))
+            .await;
+            let (mut other, _) = free.accept_request().await;
             send_stream(&mut other, "s", &[&event(1, "a")]).await;
             other.send(LAST_CHUNK).await;
             (peer, other)
         };
-        let (got, _peers) = join!(world.ask(&request), serve);
-        assert_eq!(got.expect("an answer").text(), event(1, "a"));
+        let (response, _peers) = join!(fixture.send_request(&request), serve);
+        assert_eq!(response.expect("a response").text(), event(1, "a"));
     });
 }
 
 #[test]
 fn a_client_disconnect_closes_the_connection_to_the_target() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
-        let mut client = world.client().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
+        let mut client = fixture.client().await;
         client.send(&get("stream", "r1")).await;
-        let (mut peer, _) = target.request().await;
+        let (mut peer, _) = target.accept_request().await;
         send_stream(&mut peer, "s", &[&event(1, "a")]).await;
-        assert!(client.head().await.is_some());
+        assert!(client.read_head().await.is_some());
         drop(client);
-        assert_eq!(peer.closed().await, b"");
-        world.proxy.lifecycle.work_finished().await;
+        assert_eq!(peer.read_until_closed().await, b"");
+        fixture.proxy.lifecycle.work_finished().await;
     });
 }
 
 #[test]
-fn a_client_disconnect_before_the_answer_closes_the_connection_to_the_target() {
+fn a_client_disconnect_before_the_response_closes_the_connection_to_the_target() {
     on_one_thread(async {
         for route in ["stream", "once"] {
-            let (target, world) = World::with_one_target().await;
-            let mut client = world.client().await;
+            let (target, fixture) = ProxyFixture::with_one_target().await;
+            let mut client = fixture.client().await;
             client.send(&get(route, "r1")).await;
-            let (mut peer, _) = target.request().await;
+            let (mut peer, _) = target.accept_request().await;
             drop(client);
-            assert_eq!(peer.closed().await, b"");
-            world.proxy.lifecycle.work_finished().await;
+            assert_eq!(peer.read_until_closed().await, b"");
+            fixture.proxy.lifecycle.work_finished().await;
         }
     });
 }
@@ -203,23 +222,23 @@
 #[test]
 fn a_stream_resumed_by_the_client_repeats_no_event() {
     on_one_thread(async {
-        let (first, second) = (Listening::start().await, Listening::start().await);
-        let world = World::with_targets(&[&first, &second]).await;
+        let (first, second) = (ScriptedTarget::start().await, ScriptedTarget::start().await);
+        let fixture = ProxyFixture::with_targets(&[&first, &second]).await;
         let request = get("resume", "r1").replace("\r\n\r\n", "\r\nLast-Event-Id: 7\r\n\r\n");
         let serve = async {
-            let (mut peer, request) = first.request().await;
+            let (mut peer, request) = first.accept_request().await;
             assert_eq!(request.header("last-event-id"), Some("7"));
             send_stream(&mut peer, "one", &[&event(7, "again")]).await;
-            let (mut other, request) = second.request().await;
+            let (mut other, request) = second.accept_request().await;
             assert_eq!(request.header("last-event-id"), Some("7"));
             send_stream(&mut other, "two", &[&event(8, "next")]).await;
             other.send(LAST_CHUNK).await;
             (peer, other)
         };
-        let (got, _peers) = join!(world.ask(&request), serve);
-        let got = got.expect("an answer");
+        let (response, _peers) = join!(fixture.send_request(&request), serve);
+        let response = response.expect("a response");
         assert_eq!(
-            (got.text(), got.header("upstream-signature")),
+            (response.text(), response.header("upstream-signature")),
             (event(8, "next"), Some("two"))
         );
     });
--- a/tier/proxy/tests/support/drain_orders.rs
+++ b/tier/proxy/tests/support/drain_orders.rs
@@ -1,4 +1,4 @@
-//! DrainOrders for the node under test.
+//! Drain orders for the node under test.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,17 +11,17 @@
 use tokio::sync::watch;
 use tokio::task;
 
-use super::world::World;
+use super::fixture::ProxyFixture;
 
-/// What the node said, and where its orders come from.
+/// The sender of the node's tables, and the messages that the node reported.
 pub struct DrainOrders {
     pub tables: watch::Sender<Arc<Tables>>,
     pub reported: Rc<RefCell<Vec<FromSubscriber>>>,
 }
 
 impl DrainOrders {
-    pub fn follow(world: &World) -> DrainOrders {
-        let newest = world.proxy.snapshots.newest().tables.clone();
+    pub fn start(fixture: &ProxyFixture) -> DrainOrders {
+        let newest = fixture.proxy.snapshots.newest().tables.clone();
         let (tables, watched) = watch::channel(newest);
         let reported: Rc<RefCell<Vec<FromSubscriber>>> = Rc::default();
         let sent = reported.clone();
@@ -29,8 +29,8 @@
             sent.borrow_mut().push(message);
             true
         });
-        task::spawn_local(draining::follow(
-            world.proxy.clone(),
+        task::spawn_local(draining::run(
+            fixture.proxy.clone(),
             NodeId::from("me"),
             watched,
             report,
@@ -51,10 +51,10 @@
                 ..Tables::clone(tables)
             })
         });
-        settled().await;
+        run_ready_tasks().await;
     }
 
-    pub async fn until_reported(&self, number: u64) {
+    pub async fn wait_reported(&self, number: u64) {
         while !self
             .reported
             .borrow()
@@ -65,8 +65,8 @@
     }
 }
 
-/// Everything that is ready to run has run.
-pub async fn settled() {
+/// Yields until all tasks that are ready have run.
+pub async fn run_ready_tasks() {
     for _ in 0..20 {
         task::yield_now().await;
     }
--- a/tier/proxy/tests/support/world.rs
+++ b/tier/proxy/tests/support/fixture.rs
@@ -18,31 +18,31 @@
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 
-use super::peer::{Listening, Message, Peer};
-use super::round_robin::RoundRobin;
-use super::stores::{InMemory, Stores};
+use super::peer::{Message, Peer, ScriptedTarget};
+use super::round_robin::RoundRobinDispatcher;
+use super::stores::{InMemoryTurnStore, Stores};
 
-/// ConnectionPolicy of clients at once.
+/// Maximum number of simultaneous client connections.
 const MAX_CLIENTS: usize = 64;
 
-/// MemoryBudget for bodies, in bytes.
-const MEMORY: usize = 250_000;
+/// Memory budget for bodies, in bytes.
+const BODY_MEMORY_BYTES: usize = 250_000;
 
-/// A proxy with its addresses.
-pub struct World {
+/// A running proxy with its addresses and stores.
+pub struct ProxyFixture {
     pub proxy: Rc<Proxy>,
     pub stores: Rc<Stores>,
-    pub clients: SocketAddr,
-    pub readiness: SocketAddr,
+    pub client_address: SocketAddr,
+    pub readiness_address: SocketAddr,
 }
 
-impl World {
-    /// A proxy that knows nothing yet.
-    pub async fn unready() -> World {
+impl ProxyFixture {
+    /// Starts a proxy that has no tables yet.
+    pub async fn unready() -> ProxyFixture {
         let clock = Clock::start();
         let pool = Rc::new(TargetPool::default());
         let (health_checks, _) = tokio::sync::mpsc::unbounded_channel();
-        let dispatcher = Box::new(RoundRobin::default());
+        let dispatcher = Box::new(RoundRobinDispatcher::default());
         let stores = Rc::new(Stores::default());
         let proxy = Rc::new(Proxy {
             clock,
@@ -54,36 +54,37 @@
                 health_checks,
             )),
             target_client: TargetClient { clock, pool },
-            turns: Rc::new(InMemory(stores.clone())),
-            memory: Rc::new(MemoryBudget::new(MEMORY)),
+            turns: Rc::new(InMemoryTurnStore(stores.clone())),
+            memory: Rc::new(MemoryBudget::new(BODY_MEMORY_BYTES)),
             lifecycle: Rc::new(Lifecycle::default()),
         });
-        let (client_listener, clients) = listening().await;
-        let (ready_listener, readiness) = listening().await;
+        let (client_listener, client_address) = bind_listener().await;
+        let (ready_listener, readiness_address) = bind_listener().await;
         tokio::task::spawn_local(listener::serve(proxy.clone(), client_listener, MAX_CLIENTS));
         tokio::task::spawn_local(readiness::serve(proxy.clone(), ready_listener));
-        World {
+        ProxyFixture {
             proxy,
             stores,
-            clients,
-            readiness,
+            client_address,
+            readiness_address,
         }
     }
 
-    /// A proxy with these targets, named t0, t1 and so on, and the routes of [`configuration`].
-    pub async fn with_targets(targets: &[&Listening]) -> World {
-        let world = World::unready().await;
+    /// Starts a proxy with these targets, named t0, t1 and so on, and the routes of
+    /// [`configuration`].
+    pub async fn with_targets(targets: &[&ScriptedTarget]) -> ProxyFixture {
+        let fixture = ProxyFixture::unready().await;
         let addresses: Vec<SocketAddr> = targets.iter().map(|target| target.address()).collect();
-        world.set_tables(tables(&addresses, &configuration()));
-        world.proxy.lifecycle.mark_tables_current();
-        world
+        fixture.set_tables(tables(&addresses, &configuration()));
+        fixture.proxy.lifecycle.mark_tables_current();
+        fixture
     }
 
-    /// A proxy with one target.
-    pub async fn with_one_target() -> (Listening, World) {
-        let target = Listening::start().await;
-        let world = World::with_targets(&[&target]).await;
-        (target, world)
+    /// Starts a proxy with one target.
+    pub async fn with_one_target() -> (ScriptedTarget, ProxyFixture) {
+        let target = ScriptedTarget::start().await;
+        let fixture = ProxyFixture::with_targets(&[&target]).await;
+        (target, fixture)
     }
 
     pub fn set_tables(&self, tables: Tables) {
@@ -94,36 +95,36 @@
     }
 
     pub async fn client(&self) -> Peer {
-        Peer::connect(self.clients).await
+        Peer::connect(self.client_address).await
     }
 
-    /// One request over a connection of its own.
-    pub async fn ask(&self, request: &str) -> Option<Message> {
+    /// Sends one request over a separate connection.
+    pub async fn send_request(&self, request: &str) -> Option<Message> {
         let mut client = self.client().await;
         client.send(request).await;
         client.receive().await
     }
 
-    /// One request over a connection of its own, whose answer must have this body.
-    pub async fn ask_text(&self, request: &str, body: &str) {
-        let answer = self.ask(request).await.expect("an answer");
-        assert_eq!(answer.text(), body);
+    /// Sends one request over a separate connection and checks the body of its response.
+    pub async fn expect_body(&self, request: &str, body: &str) {
+        let response = self.send_request(request).await.expect("a response");
+        assert_eq!(response.text(), body);
     }
 
-    /// A request whose target, the second peer, has sent the head of a stream and the event 1 with
-    /// data `a`; the client, the first peer, has received the head.
-    pub async fn begin_stream(&self, target: &Listening, request: &str) -> (Peer, Peer) {
+    /// Sends a request to which the target, the second peer, responds with the head of a stream and
+    /// the event 1 with data `a`; the client, the first peer, has received the head.
+    pub async fn begin_stream(&self, target: &ScriptedTarget, request: &str) -> (Peer, Peer) {
         let mut client = self.client().await;
         client.send(request).await;
-        let (mut peer, _) = target.request().await;
+        let (mut peer, _) = target.accept_request().await;
         peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a"))))
             .await;
-        assert!(client.head().await.is_some());
+        assert!(client.read_head().await.is_some());
         (client, peer)
     }
 }
 
-async fn listening() -> (TcpListener, SocketAddr) {
+async fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
@@ -182,7 +183,7 @@
     )
 }
 
-/// A turn of a program with a body.
+/// A request with a body for a turn of a program.
 pub fn turn(route: &str, id: &str, more_headers: &str, body: &str) -> String {
     format!(
         "POST /{route}/x HTTP/1.1\r\nHost: host.example\r\nRequest-Id: {id}\r\nProgram: p\r\nSession: s\r\n\
@@ -191,8 +192,8 @@
     )
 }
 
-/// A target's answer.
-pub fn answer(status: &str, id: &str, more_headers: &str, body: &str) -> String {
+/// A target's response.
+pub fn target_response(status: &str, id: &str, more_headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nRequest-Id: {id}\r\nUpstream-Signature: stamp-{id}\r\n{more_headers}\
          Content-Length: {}\r\n\r\n{body}",
@@ -201,9 +202,9 @@
 }
 
 /// The head of a target's stream.
-pub fn stream_head(id: &str, stamp: &str) -> String {
+pub fn stream_head(id: &str, signature: &str) -> String {
     format!(
-        "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nUpstream-Signature: {stamp}\r\nContent-Type: text/event-stream\r\n\
+        "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nUpstream-Signature: {signature}\r\nContent-Type: text/event-stream\r\n\
          Transfer-Encoding: chunked\r\n\r\n"
     )
 }
--- a/tier/proxy/tests/support/mod.rs
+++ b/tier/proxy/tests/support/mod.rs
@@ -1,15 +1,15 @@
-//! A proxy inside the test's process, before scripted targets and clients on the loopback address.
+//! Runs a proxy in the test process, with scripted targets and clients on the loopback address.
 #![allow(dead_code)]
 
 pub mod drain_orders;
+pub mod fixture;
 pub mod peer;
 pub mod round_robin;
 pub mod stores;
-pub mod world;
 
 use std::future::Future;
 
-/// Runs a test on one thread, as the proxy runs.
+/// Runs a test on one thread, like the proxy.
 pub fn on_one_thread(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -19,7 +19,7 @@
         let limit = std::time::Duration::from_secs(60);
         tokio::time::timeout(limit, test)
             .await
-            .expect("the test comes to its end");
+            .expect("the test finishes in time");
     };
     tokio::task::LocalSet::new().block_on(&runtime, bounded);
 }
--- a/tier/proxy/tests/support/peer.rs
+++ b/tier/proxy/tests/support/peer.rs
@@ -1,11 +1,11 @@
-//! Scripted ends of connections: clients and targets that send exactly what a test says.
+//! Scripted ends of connections: clients and targets that send exactly the bytes given by a test.
 
 use std::net::SocketAddr;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A message as it came: its head as text, its body as bytes.
+/// A received message: its head as text, its body as bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     pub head: String,
@@ -58,53 +58,53 @@
             .expect("written");
     }
 
-    /// Reads one message; none if the connection ends before the message does.
+    /// Reads one message; `None` if the connection ends before the message.
     pub async fn receive(&mut self) -> Option<Message> {
-        let head = self.head().await?;
+        let head = self.read_head().await?;
         let mut message = Message {
             head,
             body: Vec::new(),
         };
         if message.header("transfer-encoding").is_some() {
-            while let Some(chunk) = self.chunk().await? {
+            while let Some(chunk) = self.read_chunk().await? {
                 message.body.extend(chunk);
             }
         } else if let Some(length) = message.header("content-length") {
             let length = length.parse().expect("a length");
-            message.body = self.exactly(length).await?;
+            message.body = self.read_exactly(length).await?;
         }
         Some(message)
     }
 
-    /// Reads a head; none if the connection ends before.
-    pub async fn head(&mut self) -> Option<String> {
-        let end = self.until(b"\r\n\r\n").await?;
+    /// Reads a head; `None` if the connection ends before its end.
+    pub async fn read_head(&mut self) -> Option<String> {
+        let end = self.read_until(b"\r\n\r\n").await?;
         Some(String::from_utf8(end).expect("text"))
     }
 
-    /// The next chunk of a body; `Some(None)` at its proper end, none if the connection ends
-    /// before.
-    pub async fn chunk(&mut self) -> Option<Option<Vec<u8>>> {
-        let line = self.until(b"\r\n").await?;
+    /// Reads the next chunk of a body; `Some(None)` at the proper end of the body, `None` if the
+    /// connection ends earlier.
+    pub async fn read_chunk(&mut self) -> Option<Option<Vec<u8>>> {
+        let line = self.read_until(b"\r\n").await?;
         let line = String::from_utf8(line).expect("text");
         let length = usize::from_str_radix(line.trim(), 16).expect("a length");
-        let chunk = self.exactly(length).await?;
-        self.exactly(2).await?;
+        let chunk = self.read_exactly(length).await?;
+        self.read_exactly(2).await?;
         Some((length > 0).then_some(chunk))
     }
 
-    /// Returns once the other side has closed; what comes until then is returned.
-    pub async fn closed(&mut self) -> Vec<u8> {
-        while self.more().await {}
+    /// Reads until the other side closes the connection; returns the bytes received until then.
+    pub async fn read_until_closed(&mut self) -> Vec<u8> {
+        while self.read_more().await {}
         std::mem::take(&mut self.unread)
     }
 
-    /// Closes with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         self.stream.set_zero_linger().expect("an option");
     }
 
-    async fn until(&mut self, end: &[u8]) -> Option<Vec<u8>> {
+    async fn read_until(&mut self, end: &[u8]) -> Option<Vec<u8>> {
         loop {
             let found = self
                 .unread
@@ -113,46 +113,46 @@
             if let Some(at) = found {
                 return Some(self.unread.drain(..at + end.len()).collect());
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 
-    async fn exactly(&mut self, length: usize) -> Option<Vec<u8>> {
+    async fn read_exactly(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.unread.len() < length {
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
         Some(self.unread.drain(..length).collect())
     }
 
-    async fn more(&mut self) -> bool {
+    async fn read_more(&mut self) -> bool {
         matches!(self.stream.read_buf(&mut self.unread).await, Ok(read) if read > 0)
     }
 }
 
-/// A target that accepts connections when the test says.
-pub struct Listening {
+/// A target that accepts connections when the test requests it.
+pub struct ScriptedTarget {
     listener: TcpListener,
 }
 
-impl Listening {
-    pub async fn start() -> Listening {
-        Listening {
+impl ScriptedTarget {
+    pub async fn start() -> ScriptedTarget {
+        ScriptedTarget {
             listener: TcpListener::bind("127.0.0.1:0").await.expect("a port"),
         }
     }
 
-    /// ConnectionPolicy take in little before they are read.
-    pub async fn with_small_buffers() -> Listening {
+    /// Creates a target whose connections buffer few bytes before they are read.
+    pub async fn with_small_buffers() -> ScriptedTarget {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4 * 1024).expect("an option");
         socket
             .bind("127.0.0.1:0".parse().expect("an address"))
             .expect("a port");
-        Listening {
+        ScriptedTarget {
             listener: socket.listen(16).expect("a listener"),
         }
     }
@@ -170,7 +170,7 @@
     }
 
     /// Accepts a connection and reads its first request.
-    pub async fn request(&self) -> (Peer, Message) {
+    pub async fn accept_request(&self) -> (Peer, Message) {
         let mut peer = self.accept().await;
         let request = peer.receive().await.expect("a request");
         (peer, request)
--- a/tier/proxy/tests/support/round_robin.rs
+++ b/tier/proxy/tests/support/round_robin.rs
@@ -1,4 +1,4 @@
-//! TargetClient in turns: stands in for the dispatcher.
+//! A round-robin dispatcher that replaces the real one in tests.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,19 +13,19 @@
 use plankhill_proxy::dispatch::Dispatch;
 use plankhill_proxy::snapshot::Snapshot;
 
-/// What refused clients are told, in milliseconds.
+/// The `Retry-After` of rejected requests, in milliseconds.
 pub const RETRY_AFTER: Ms = 200.0;
 
 /// Sends each request at once to the next target of its service.
 #[derive(Debug, Default)]
-pub struct RoundRobin {
+pub struct RoundRobinDispatcher {
     targets: Vec<Target>,
     requests: HashMap<RequestKey, (NewRequest, Attempts)>,
     next: usize,
     commands: VecDeque<Command>,
 }
 
-impl RoundRobin {
+impl RoundRobinDispatcher {
     fn send(&mut self, key: RequestKey) {
         let Some((request, _)) = self.requests.get(&key) else {
             return;
@@ -52,7 +52,7 @@
     }
 }
 
-impl Dispatch for RoundRobin {
+impl Dispatch for RoundRobinDispatcher {
     fn on_tables_changed(&mut self, snapshot: &Snapshot) {
         self.targets.clone_from(&snapshot.tables.targets);
     }
@@ -85,9 +85,9 @@
         } else if attempts.allows_another(request.idempotency, request.max_attempts) {
             self.send(key);
         } else {
-            let may_have_run = attempts.may_have_executed();
+            let may_have_executed = attempts.may_have_executed();
             self.requests.remove(&key);
-            self.commands.push_back(if may_have_run {
+            self.commands.push_back(if may_have_executed {
                 Command::Fail {
                     request: key,
                     last: result.outcome,
--- a/tier/proxy/tests/support/stores.rs
+++ b/tier/proxy/tests/support/stores.rs
@@ -1,4 +1,4 @@
-//! Stores that keep everything in memory and answer as a test says.
+//! In-memory stores whose responses are set by a test.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,50 +10,55 @@
 use plankhill_store_client::{BeginOutcome, BeginTurn, EndOutcome, EndTurn};
 use tokio::sync::Notify;
 
-/// What the proxy asked, and what it is answered.
+/// The calls made by the proxy, and the responses to them.
 #[derive(Default)]
 pub struct Stores {
     pub begun: RefCell<Vec<BeginTurn>>,
     pub ended: RefCell<Vec<EndTurn>>,
-    /// The answer to the next begins; a turn without history if none is set.
+    /// The response to all further begin calls; a turn without history if `None`.
     pub next_begin: RefCell<Option<BeginOutcome>>,
-    /// Whether ends are acknowledged.
-    pub refuse_ends: Cell<bool>,
-    end_came: Notify,
+    /// Whether end calls fail as unavailable.
+    pub fail_ends: Cell<bool>,
+    end_received: Notify,
 }
 
 impl Stores {
-    /// Returns the first end of a turn that was asked for.
+    /// Waits for the first end call and returns it.
     pub async fn first_end(&self) -> EndTurn {
         loop {
             if let Some(end) = self.ended.borrow().first() {
                 return end.clone();
             }
-            self.end_came.notified().await;
+            self.end_received.notified().await;
         }
     }
 }
 
-/// The stores as the proxy sees them.
-pub struct InMemory(pub Rc<Stores>);
+/// The store interface that is passed to the proxy.
+pub struct InMemoryTurnStore(pub Rc<Stores>);
 
-impl TurnStore for InMemory {
+impl TurnStore for InMemoryTurnStore {
     fn set_view(&self, _view: &StoreView) {}
 
     fn begin(&self, turn: BeginTurn, _timeout: Duration) -> LocalFuture<BeginOutcome> {
         self.0.begun.borrow_mut().push(turn);
-        let nothing = BeginOutcome::Begun {
+        let without_history = BeginOutcome::Begun {
             history: Arc::from([]),
             previous: None,
         };
-        let outcome = self.0.next_begin.borrow().clone().unwrap_or(nothing);
+        let outcome = self
+            .0
+            .next_begin
+            .borrow()
+            .clone()
+            .unwrap_or(without_history);
         Box::pin(async { outcome })
     }
 
     fn end(&self, turn: EndTurn, _timeout: Duration) -> LocalFuture<EndOutcome> {
         self.0.ended.borrow_mut().push(turn);
-        self.0.end_came.notify_one();
-        let outcome = if self.0.refuse_ends.get() {
+        self.0.end_received.notify_one();
+        let outcome = if self.0.fail_ends.get() {
             EndOutcome::Unavailable
         } else {
             EndOutcome::Ended
--- a/tier/proxy/tests/turns.rs
+++ b/tier/proxy/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Turns of programs: budgets, what is kept, and what the target is given.
+//! Tests of the turns of programs: budgets, stored records, and the input sent to the target.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use plankhill_protocol::store_calls::{Reservation, TurnLocation};
 use plankhill_store_client::BeginOutcome;
+use support::fixture::{chunk, event, stream_head, turn, ProxyFixture, LAST_CHUNK};
 use support::on_one_thread;
-use support::peer::Listening;
-use support::world::{chunk, event, stream_head, turn, World, LAST_CHUNK};
+use support::peer::ScriptedTarget;
 use tokio::join;
 
-/// A whole stream of two events.
+/// A complete stream of two events.
 fn two_events() -> String {
     stream_head("r1", "s") + &chunk(&(event(1, "a") + &event(2, "b"))) + LAST_CHUNK
 }
@@ -20,18 +20,18 @@
 #[test]
 fn a_turn_reserves_tokens_before_it_is_sent_and_settles_them_after() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
         let request = turn("stream", "r1", "", "in");
         let serve = async {
-            let (mut peer, request) = target.request().await;
-            assert_eq!(world.stores.begun.borrow().len(), 1);
+            let (mut peer, request) = target.accept_request().await;
+            assert_eq!(fixture.stores.begun.borrow().len(), 1);
             assert_eq!(request.text(), "in");
             peer.send(&two_events()).await;
             peer
         };
-        let (got, _peer) = join!(world.ask(&request), serve);
-        assert_eq!(got.expect("an answer").status(), 200);
-        let begun = world.stores.begun.borrow()[0].clone();
+        let (response, _peer) = join!(fixture.send_request(&request), serve);
+        assert_eq!(response.expect("a response").status(), 200);
+        let begun = fixture.stores.begun.borrow()[0].clone();
         assert_eq!(
             begun.reservation,
             Some(Reservation {
@@ -39,7 +39,7 @@
                 max_tokens: 33
             })
         );
-        let end = world.stores.first_end().await;
+        let end = fixture.stores.first_end().await;
         assert_eq!(end.tokens, Some(6));
         assert!(end.record.is_none());
     });
@@ -48,36 +48,36 @@
 #[test]
 fn a_retained_turn_gets_its_history_and_ends_after_it_is_stored() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
-        let place = TurnLocation {
+        let (target, fixture) = ProxyFixture::with_one_target().await;
+        let location = TurnLocation {
             turn: RequestId::from("r0"),
             program: ProgramId::from("parent"),
         };
         let history = Arc::from(&b"first in;first out\n"[..]);
         let begun = BeginOutcome::Begun {
             history,
-            previous: Some(place.clone()),
+            previous: Some(location.clone()),
         };
-        *world.stores.next_begin.borrow_mut() = Some(begun);
+        *fixture.stores.next_begin.borrow_mut() = Some(begun);
         let request = turn("kept", "r1", "Previous: r0\r\n", "new in");
         let serve = async {
-            let (mut peer, request) = target.request().await;
+            let (mut peer, request) = target.accept_request().await;
             assert_eq!(request.text(), "first in;first out\nnew in");
             assert_eq!(request.header("previous"), Some("r0"));
             peer.send(&two_events()).await;
             peer
         };
-        let (got, _peer) = join!(world.ask(&request), serve);
-        assert!(got.is_some(), "whole");
-        let end = world.stores.ended.borrow()[0].clone();
-        let record = end.record.expect("kept before the end of the answer");
+        let (response, _peer) = join!(fixture.send_request(&request), serve);
+        assert!(response.is_some(), "the response is complete");
+        let end = fixture.stores.ended.borrow()[0].clone();
+        let record = end.record.expect("stored before the end of the response");
         assert_eq!(
             (&*record.input, &*record.output),
             (&b"new in"[..], &b"a\nb\n"[..])
         );
         assert_eq!(
             (record.previous, record.retention_ms),
-            (Some(place), 60_000)
+            (Some(location), 60_000)
         );
         assert_eq!(end.tokens, Some(6));
     });
@@ -86,34 +86,34 @@
 #[test]
 fn a_retained_turn_that_cannot_be_stored_is_truncated() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
-        world.stores.refuse_ends.set(true);
+        let (target, fixture) = ProxyFixture::with_one_target().await;
+        fixture.stores.fail_ends.set(true);
         let request = turn("kept", "r1", "", "in");
         let serve = async {
-            let (mut peer, _) = target.request().await;
+            let (mut peer, _) = target.accept_request().await;
             peer.send(&two_events()).await;
             peer
         };
-        let (got, _peer) = join!(world.ask(&request), serve);
-        assert_eq!(got, None, "the answer has no end");
+        let (response, _peer) = join!(fixture.send_request(&request), serve);
+        assert_eq!(response, None, "the response has no end");
     });
 }
 
 #[test]
 fn a_turn_that_the_stores_reject_is_not_sent() {
     on_one_thread(async {
-        let (_target, world) = World::with_one_target().await;
-        let refusals = [
+        let (_target, fixture) = ProxyFixture::with_one_target().await;
+        let rejections = [
             (BeginOutcome::BudgetExhausted, 402),
             (BeginOutcome::NoSuchTurn, 404),
             (BeginOutcome::Unavailable, 503),
         ];
-        for (outcome, status) in refusals {
-            *world.stores.next_begin.borrow_mut() = Some(outcome);
+        for (outcome, status) in rejections {
+            *fixture.stores.next_begin.borrow_mut() = Some(outcome);
             let request = turn("kept", "r1", "Previous: r0\r\n", "in");
-            let got = world.ask(&request).await.expect("an answer");
-            assert_eq!(got.status(), status);
-            assert_eq!(got.header("retry-after").is_some(), status == 503);
+            let response = fixture.send_request(&request).await.expect("a response");
+            assert_eq!(response.status(), status);
+            assert_eq!(response.header("retry-after").is_some(), status == 503);
         }
     });
 }
@@ -121,29 +121,29 @@
 #[test]
 fn a_turn_not_executed_is_settled_with_no_tokens() {
     on_one_thread(async {
-        let gone = Listening::start().await;
-        let world = World::with_targets(&[&gone]).await;
+        let gone = ScriptedTarget::start().await;
+        let fixture = ProxyFixture::with_targets(&[&gone]).await;
         drop(gone);
-        let got = world
-            .ask(&turn("stream", "r1", "", "in"))
+        let response = fixture
+            .send_request(&turn("stream", "r1", "", "in"))
             .await
-            .expect("an answer");
-        assert_eq!(got.status(), 503);
-        assert_eq!(world.stores.first_end().await.tokens, Some(0));
+            .expect("a response");
+        assert_eq!(response.status(), 503);
+        assert_eq!(fixture.stores.first_end().await.tokens, Some(0));
     });
 }
 
 #[test]
 fn a_truncated_turn_is_settled_by_its_delivered_events_and_not_stored() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
-        let mut client = world.client().await;
+        let (target, fixture) = ProxyFixture::with_one_target().await;
+        let mut client = fixture.client().await;
         client.send(&turn("kept", "r1", "", "in")).await;
-        let (mut peer, _) = target.request().await;
+        let (mut peer, _) = target.accept_request().await;
         peer.send(&(stream_head("r1", "s") + &chunk(&event(1, "a")) + &chunk("id: 2\ndat")))
             .await;
         drop(peer);
-        let end = world.stores.first_end().await;
+        let end = fixture.stores.first_end().await;
         assert_eq!(end.tokens, Some(3));
         assert!(end.record.is_none());
     });
@@ -152,14 +152,14 @@
 #[test]
 fn a_turn_whose_client_disconnected_is_settled_by_its_delivered_events() {
     on_one_thread(async {
-        let (target, world) = World::with_one_target().await;
-        let (client, mut peer) = world
+        let (target, fixture) = ProxyFixture::with_one_target().await;
+        let (client, mut peer) = fixture
             .begin_stream(&target, &turn("kept", "r1", "", "in"))
             .await;
         drop(client);
-        let end = world.stores.first_end().await;
+        let end = fixture.stores.first_end().await;
         assert_eq!(end.tokens, Some(3));
         assert!(end.record.is_none());
-        assert_eq!(peer.closed().await, b"");
+        assert_eq!(peer.read_until_closed().await, b"");
     });
 }
--- a/tier/proxy/tests/wire_format.rs
+++ b/tier/proxy/tests/wire_format.rs
@@ -1,7 +1,7 @@
-//! What the proxy writes with names and numbers of its own: headers to targets, and the hash of a
-//! session, by which all proxies of a deployment draw the same service and rank the same targets.
-//! Everything else that it sends to processes of this system is written by the protocol, the
-//! draining and the store client packages.
+//! Tests of the formats that this package defines: headers to targets, and the hash of a session,
+//! by which all proxies of a deployment select the same service and rank the targets in the same
+//! order. Everything else that the proxy sends to processes of this system is written by the
+//! protocol, draining and store client packages.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use plankhill_dispatch::PrefixPart;
@@ -28,7 +28,7 @@
 ];
 
 #[test]
-fn header_names_are_as_found() {
+fn header_names_match_the_fixture() {
     let lines: Vec<String> = HEADERS
         .iter()
         .map(|(name, header)| format!("{name} {header}"))
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn session_hashes_are_as_found() {
+fn session_hashes_match_the_fixture() {
     let hash_of = |session: &str| {
         let mut headers = HeaderMap::new();
         headers.insert("session", HeaderValue::from_str(session).expect("a value"));
