--- a/tier/proxy/src/decision.rs
+++ b/tier/proxy/src/decision.rs
@@ -22,7 +22,7 @@
     Fail(AttemptOutcome),
 }
 
-/// One attempt at one target.
+/// An attempt to send a request to a target.
 #[derive(Debug)]
 pub struct Attempt {
     /// The target.
--- a/tier/proxy/src/draining.rs
+++ b/tier/proxy/src/draining.rs
@@ -17,8 +17,8 @@
 use crate::lifecycle::ConnectionPolicy;
 use crate::process::Proxy;
 
-/// Poll interval of the drain while the node is not in service. In service, the drain is only woken
-/// by new tables and by a shutdown.
+/// Poll interval of the drain while the node is not in service. In service, the drain steps only on
+/// new tables and on a shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Poll interval of the drain during a shutdown of the process.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(25);
--- a/tier/proxy/src/lifecycle.rs
+++ b/tier/proxy/src/lifecycle.rs
@@ -14,7 +14,7 @@
 use crate::clock::duration;
 use crate::in_flight::{ConnectionGuard, InFlight, WorkGuard};
 
-/// How client connections are treated, in ascending order of severity.
+/// The policy for client connections, in ascending order of severity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPolicy {
     /// Connections stay open.
@@ -92,7 +92,7 @@
         self.rejected_requests.get()
     }
 
-    /// Ends the process now, without waiting for any more work.
+    /// Signals the process to end now: no more work is waited for.
     pub fn end_process(&self) {
         self.ended.send_replace(true);
     }
--- a/tier/proxy/src/response_body.rs
+++ b/tier/proxy/src/response_body.rs
@@ -14,7 +14,7 @@
 #[error("the stream is truncated")]
 pub struct StreamTruncated;
 
-/// One chunk of a body that is streamed.
+/// A chunk of a streamed body.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BodyChunk {
     /// More bytes.
--- a/tier/proxy/src/run.rs
+++ b/tier/proxy/src/run.rs
@@ -28,7 +28,7 @@
 /// The share of all file descriptors that is reserved for connections to targets, to stores and to
 /// the agent.
 const RESERVED_DESCRIPTOR_SHARE: f64 = 0.4;
-/// The share of the process's memory for bodies; the rest is for connections and tables.
+/// The share of the process's memory for bodies; the remainder is for connections and tables.
 const BODY_MEMORY_SHARE: f64 = 0.4;
 /// Maximum number of requests queued or in flight: each takes some kilobytes, and more could not be
 /// served in time.
--- a/tier/proxy/src/stream/attempts.rs
+++ b/tier/proxy/src/stream/attempts.rs
@@ -72,7 +72,7 @@
     });
 }
 
-/// How the attempts of a stream ended.
+/// The result of the attempts of a stream.
 enum StreamEnd {
     /// A target's stream has arrived completely; its end is still to be forwarded.
     Complete,
--- a/tier/proxy/src/stream/events.rs
+++ b/tier/proxy/src/stream/events.rs
@@ -12,7 +12,7 @@
 #[error("event exceeds {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// One complete event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     /// The bytes of the event, including the blank line that ends it.
--- a/tier/proxy/src/stream/turn_completion.rs
+++ b/tier/proxy/src/stream/turn_completion.rs
@@ -7,7 +7,8 @@
 use crate::process::Proxy;
 use crate::turn::{DeliveredOutput, Turn, TurnError};
 
-/// The stores may take this share of the time left until the deadline: a target needs the rest.
+/// The stores may take this share of the time left until the deadline: a target needs the remaining
+/// time.
 const BEGIN_SHARE: f64 = 0.5;
 
 /// A stream's turn and its delivered output. Owned by the stream's task, so that the turn can be
--- a/tier/proxy/tests/connections.rs
+++ b/tier/proxy/tests/connections.rs
@@ -53,7 +53,7 @@
             let request = next.receive().await.expect("over the same connection");
             assert_eq!(request.header("request-id"), Some("r2"));
             next.send(&target_response("200 OK", "r2", "", "two")).await;
-            // The first connection contains nothing but the rest of the first body.
+            // Only remaining bytes of the first body arrive on the first connection.
             let rest = early.read_until_closed().await;
             assert!(
                 rest.len() <= 90_000 && rest.iter().all(|byte| *byte == b'b'),
--- a/tier/proxy/tests/executions.rs
+++ b/tier/proxy/tests/executions.rs
@@ -194,7 +194,8 @@
                 .unwrap_or_default(),
         );
     }
-    // Both successes and failures must occur, or the run shows nothing.
+    // Each run must contain successful and unsuccessful requests; otherwise its checks prove
+    // nothing.
     let status = |result: &RequestResult| result.response.as_ref().map(Message::status);
     assert!(
         results.iter().any(|result| status(result) == Some(200)),
--- a/tier/proxy/tests/shutdown.rs
+++ b/tier/proxy/tests/shutdown.rs
@@ -18,8 +18,8 @@
 /// Longer than any request of these tests may take.
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// Begins a shutdown in which clients are still accepted and responses may take `time_left` from now
-/// on.
+/// Begins a shutdown in which clients are still accepted and responses may take `time_left` from
+/// now.
 fn begin_shutdown(fixture: &ProxyFixture, time_left: Duration) -> Shutdown {
     let response_deadline = duration(fixture.proxy.clock.now()) + time_left;
     let admit_all_until = Duration::ZERO;
