--- a/tier/disk-health/src/backoff.rs
+++ b/tier/disk-health/src/backoff.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-/// The first delay. A disk that fails for a moment is usable again soon.
+/// Delay before the first retry: short, because a disk that fails only for a moment is usable again soon.
 const INITIAL_DELAY: Duration = Duration::from_millis(100);
-/// The longest delay: a disk that has free space again is used again within this time.
+/// Maximum delay: a disk that has free space again is used again within this time.
 const MAX_DELAY: Duration = Duration::from_secs(2);
 
 /// Exponential backoff without jitter: delays double up to two seconds.
 ///
-/// One disk has one caller, so that attempts of several callers cannot fall together.
+/// Jitter is not needed: each disk has one caller, so attempts of several callers cannot coincide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
     next: Duration,
@@ -24,13 +24,13 @@
 }
 
 impl Backoff {
-    /// A backoff whose first delay is `initial` in place of 100 ms.
+    /// Creates a backoff whose first delay is `initial` instead of 100 ms.
     pub fn with_initial_delay(initial: Duration) -> Self {
         Backoff { next: initial }
     }
 
-    /// The delay before the next attempt; twice the delay before, two seconds at most from the second
-    /// delay on.
+    /// Returns the delay before the next attempt: twice the previous delay, and at most two seconds from
+    /// the second delay on.
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.next;
         self.next = MAX_DELAY.min(delay * 2);
--- a/tier/disk-health/src/free_space.rs
+++ b/tier/disk-health/src/free_space.rs
@@ -1,27 +1,27 @@
-//! A write that shows whether a folder takes bytes.
+//! A test write that checks whether a folder accepts writes.
 //!
-//! A database whose write has failed has to be closed and opened anew before it can be written again,
-//! and opening makes files. Its owner therefore checks the folder first: until the check succeeds the
-//! database stays open, and can be read.
+//! After a failed write a database must be closed and reopened before it accepts writes again, and
+//! opening it creates files. Its owner therefore checks the folder first: until the check succeeds, the
+//! database stays open and readable.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// The file that the check writes, and removes at once. The name is part of the state folder's form.
+/// The file that the check writes and then removes. The name is part of the state folder's format.
 const CHECK_FILE: &str = "room-probe";
-/// Size of that file in bytes: several of the batches that a process writes together.
+/// Size of the check file in bytes: as large as several of the write batches of a process.
 const CHECK_BYTES: usize = 256 * 1024;
 
-/// Writes 256 KiB to a file of its own in `folder`, syncs the file and removes it.
+/// Writes a file of 256 KiB in `folder`, syncs it and removes it.
 ///
 /// # Errors
-/// The operating system's error where the file cannot be written, synced or removed; of a full disk
-/// [`io::ErrorKind::StorageFull`].
+/// The operating system's error if the file cannot be written, synced or removed; its kind is
+/// [`io::ErrorKind::StorageFull`] if the disk is full.
 pub fn check_free_space(folder: &Path) -> io::Result<()> {
     let path = folder.join(CHECK_FILE);
     let written = write_check_file(&path);
-    // The file is removed also after a failed write; the first error is the one that is reported.
+    // The file is removed even after a failed write; the first error is returned.
     let removed = fs::remove_file(&path);
     written.and(removed)
 }
--- a/tier/disk-health/src/lib.rs
+++ b/tier/disk-health/src/lib.rs
@@ -1,8 +1,8 @@
-//! Disks that refuse writes for a while, as full ones do: the delay between two attempts, and a check
-//! whether the next attempt may succeed.
+//! Recovery of disks that refuse writes temporarily, for example because they are full: the delay between
+//! two write attempts, and a check whether the next attempt may succeed.
 //!
-//! The storage process (`plankhill-store`) and the controllers' replicas (`plankhill-replica`) use both
-//! parts. Each caller owns its [`Backoff`]; nothing is shared.
+//! The storage process (`plankhill-store`) and the controllers' replicas (`plankhill-replica`) use both.
+//! Each caller owns its [`Backoff`]; callers share no state.
 
 mod backoff;
 mod free_space;
