--- a/tier/store-client/src/client.rs
+++ b/tier/store-client/src/client.rs
@@ -1,4 +1,5 @@
-//! The client: which call goes to which store when, and how its answers become the proxy's.
+//! The client: selects the store for each call, hedges and retries calls, and maps the stores' replies to
+//! outcomes for the proxy.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,19 +11,19 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout_at, Instant};
 
-use crate::in_flight::{CallOutcome, InFlight, Waited};
+use crate::in_flight::{CallOutcome, InFlight, WaitResult};
 use crate::selector::StoreSelector;
 use crate::transport::{StoreTransport, TcpTransport};
 use crate::turns::{BeginOutcome, BeginTurn, EndOutcome, EndTurn};
 
-/// How long one store is waited for: a store abandons a call by itself a little earlier.
+/// Timeout of a call to one store; the store's own timeout for the call is a little shorter.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// After this time without an answer the next store is called as well: many times what a store takes.
+/// After this time without a reply the next store is called too: many times the usual latency of a store.
 const HEDGE_DELAY: Duration = Duration::from_millis(200);
-/// Backoff after all stores were called in vain.
+/// Backoff after calls to all stores were unsuccessful.
 const RETRY_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Calls the stores. Clones share everything. For one thread, inside a `LocalSet`.
+/// Calls the stores. Clones share all state. Must be used on one thread, inside a `LocalSet`.
 pub struct StoreClient<T = TcpTransport> {
     shared: Rc<Shared<T>>,
 }
@@ -43,14 +44,15 @@
 }
 
 impl StoreClient {
-    /// A client of the proxy on the machine `node`; it knows no store before [`StoreClient::set_view`].
+    /// Creates a client for the proxy on the machine `node`. The client has no stores to call until
+    /// [`StoreClient::set_view`].
     pub fn new(node: NodeId, zone: ZoneName) -> Self {
         StoreClient::with_transport(TcpTransport::new(node), zone)
     }
 }
 
 impl<T: StoreTransport> StoreClient<T> {
-    /// A client that reaches the stores over another transport.
+    /// Creates a client that calls the stores over `transport`.
     pub fn with_transport(transport: T, zone: ZoneName) -> Self {
         let shared = Shared {
             zone,
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Takes the current view of the stores; one that is older than the client's is ignored.
+    /// Sets the current view of the stores. A view that is older than the client's is ignored.
     pub fn set_view(&self, view: &StoreView) {
         if view.epoch < self.shared.epoch.get() {
             return;
@@ -77,12 +79,13 @@
         self.shared.transport.retain_addresses(&addresses);
     }
 
-    /// Whether any store is known.
+    /// Returns whether there is any store to call.
     pub fn is_ready(&self) -> bool {
         !self.shared.selector.borrow().is_empty()
     }
 
-    /// Reserves the turn's tokens and fetches the history that the turn continues; ends within `timeout`.
+    /// Reserves the turn's tokens and fetches the history that the turn continues; returns within
+    /// `timeout`.
     pub async fn begin_turn(&self, begin: BeginTurn, timeout: Duration) -> BeginOutcome {
         match self.call(|epoch| begin.to_call(epoch), timeout).await {
             Some(StoreReply::Begun { history, previous }) => {
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Commits the turn's tokens and stores its record; ends within `timeout`.
+    /// Commits the turn's tokens and stores its record; returns within `timeout`.
     pub async fn end_turn(&self, end: EndTurn, timeout: Duration) -> EndOutcome {
         match self.call(|epoch| end.to_call(epoch), timeout).await {
             Some(StoreReply::Ended) => EndOutcome::Ended,
@@ -103,8 +106,8 @@
         }
     }
 
-    /// Calls the stores, one after the other and again from the first one, until one of them can tell;
-    /// None when the time is over.
+    /// Calls the stores in order, repeatedly, until one of them returns a conclusive reply; None after the
+    /// timeout.
     async fn call(
         &self,
         call: impl Fn(StoreEpoch) -> StoreCall,
@@ -120,16 +123,16 @@
                 }
                 self.start_call(member, call(self.shared.epoch.get()), in_flight.begin());
                 let hedge_at = deadline.min(Instant::now() + HEDGE_DELAY);
-                if let Waited::Outcome(Some(reply)) = in_flight.next(hedge_at).await {
+                if let WaitResult::Outcome(Some(reply)) = in_flight.next(hedge_at).await {
                     return Some(reply);
                 }
             }
-            // All stores have been called; those that have not answered yet may still be able to tell.
+            // All stores have been called; a conclusive reply may still arrive from a slow one.
             while !in_flight.is_empty() {
                 match in_flight.next(deadline).await {
-                    Waited::Outcome(Some(reply)) => return Some(reply),
-                    Waited::Outcome(None) => {}
-                    Waited::TimedOut => return None,
+                    WaitResult::Outcome(Some(reply)) => return Some(reply),
+                    WaitResult::Outcome(None) => {}
+                    WaitResult::TimedOut => return None,
                 }
             }
             let retry_at = Instant::now() + RETRY_BACKOFF;
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Calls one store in a task of its own, which ends with the call's timeout.
+    /// Calls one store in a separate task, which ends at the latest with the call's timeout.
     fn start_call(&self, member: StoreMember, call: StoreCall, outcome: mpsc::Sender<CallOutcome>) {
         let shared = self.shared.clone();
         let reply = shared.transport.call(member.address, call, CALL_TIMEOUT);
@@ -150,7 +153,7 @@
             let reply = match timeout_at(slow_at, &mut reply).await {
                 Ok(reply) => reply,
                 Err(_) => {
-                    // Other stores are called first until this one answers.
+                    // Until this store replies, other calls go to other stores first.
                     shared.record_failure(&member.node);
                     reply.await
                 }
@@ -161,7 +164,7 @@
             } else {
                 shared.record_failure(&member.node);
             }
-            // The caller may have the answer of another store.
+            // The receiver is dropped if another store has replied first.
             let _ = outcome.send(reply).await;
         });
     }
@@ -175,7 +178,7 @@
     }
 }
 
-/// Whether a reply answers the call, so that no other store has to be called.
+/// Returns whether a reply is final, so that no other store has to be called.
 fn is_conclusive(reply: &StoreReply) -> bool {
     !matches!(reply, StoreReply::Unavailable | StoreReply::StaleEpoch(_))
 }
--- a/tier/store-client/src/lib.rs
+++ b/tier/store-client/src/lib.rs
@@ -1,9 +1,9 @@
-//! How a proxy calls the stores.
+//! The client with which a proxy calls the stores.
 //!
-//! A call goes to one store, in the proxy's own zone first, and to another one if that one fails or is
-//! slow (a hedged request). Repeating a call is harmless, so that every failure moves on to the next
-//! store. Proxies (`plankhill-proxy`) own one [`StoreClient`] each and give it the views of the stores as
-//! the control plane sends them.
+//! A call goes to one store, preferably in the proxy's own zone, and to another store if the first one
+//! fails or is slow (a hedged request). Calls are idempotent, so every failure is followed by a call to the
+//! next store. Each proxy (`plankhill-proxy`) owns one [`StoreClient`] and passes it the views of the
+//! stores that the control plane sends.
 
 mod client;
 mod in_flight;
--- a/tier/store-client/src/selector.rs
+++ b/tier/store-client/src/selector.rs
@@ -6,18 +6,18 @@
 use plankhill_protocol::tables::{StoreMember, StoreView};
 use tokio::time::Instant;
 
-/// A store that failed is called last for this time: long enough to skip a dead store, short enough to
-/// return to the store in the own zone soon after it is back.
+/// Time for which a failed store is called last: long enough to skip a dead store, and short enough to
+/// return to the store in the proxy's zone soon after it has recovered.
 const DEPRIORITIZED_TTL: Duration = Duration::from_millis(1_000);
 
-/// A store that failed lately.
+/// A store that failed recently.
 #[derive(Debug)]
 struct Deprioritized {
     node: NodeId,
     until: Instant,
 }
 
-/// Orders the serving stores by zone, and those that failed lately behind all others.
+/// Orders the serving stores by zone, with those that failed recently after all others.
 #[derive(Debug, Default)]
 pub struct StoreSelector {
     members: Vec<StoreMember>,
@@ -25,7 +25,7 @@
 }
 
 impl StoreSelector {
-    /// Takes the serving stores of a new view, those of the own zone first.
+    /// Sets the serving stores of a new view, ordered with those in `zone` first.
     pub fn set_view(&mut self, view: &StoreView, zone: &ZoneName) {
         self.members = view.serving.clone();
         self.members
@@ -35,7 +35,7 @@
             .retain(|failed| members.iter().any(|member| member.node == failed.node));
     }
 
-    /// The stores in the order in which they are to be called.
+    /// Returns the stores in the order in which to call them.
     pub fn ordered(&self, now: Instant) -> Vec<StoreMember> {
         let (mut ordered, last): (Vec<_>, Vec<_>) = self
             .members
@@ -46,12 +46,12 @@
         ordered
     }
 
-    /// Whether no store is known.
+    /// Returns whether there is no store to call.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Records that a store failed, or did not answer in time.
+    /// Records that a store failed, or did not reply in time.
     pub fn record_failure(&mut self, node: &NodeId, now: Instant) {
         self.record_success(node);
         let until = now + DEPRIORITIZED_TTL;
@@ -61,7 +61,7 @@
         });
     }
 
-    /// Records that a store answered.
+    /// Records that a store replied.
     pub fn record_success(&mut self, node: &NodeId) {
         self.deprioritized.retain(|failed| failed.node != *node);
     }
--- a/tier/store-client/src/transport.rs
+++ b/tier/store-client/src/transport.rs
@@ -11,12 +11,12 @@
 use plankhill_protocol::store_calls::{StoreCall, StoreReply};
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 
-/// Calls stores. Tests put stores of their own behind it.
+/// The transport of calls to stores. Tests implement it with simulated stores.
 pub trait StoreTransport: 'static {
     /// Calls a store once.
     ///
     /// # Errors
-    /// [`CallError`] if no answer comes within `timeout`.
+    /// [`CallError`] if no reply arrives within `timeout`.
     fn call(
         &self,
         address: SocketAddr,
@@ -24,7 +24,7 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<StoreReply, CallError>> + 'static;
 
-    /// Closes the connections to all stores but these.
+    /// Closes the connections to all stores except those at `addresses`.
     fn retain_addresses(&self, addresses: &[SocketAddr]);
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl TcpTransport {
-    /// Calls in the name of the machine `node`.
+    /// Creates a transport that identifies itself to the stores as the machine `node`.
     pub fn new(node: NodeId) -> Self {
         TcpTransport {
             node,
--- a/tier/store-client/tests/client.rs
+++ b/tier/store-client/tests/client.rs
@@ -1,4 +1,4 @@
-//! Which store a client calls, and when it calls another one. In virtual time.
+//! Tests of the client's choice of stores, hedging and retries, in virtual time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -37,11 +37,11 @@
     }
 }
 
-fn three() -> Vec<StoreMember> {
+fn three_members() -> Vec<StoreMember> {
     vec![member(1, "west"), member(2, "east"), member(3, "north")]
 }
 
-/// After which time a store answers, and its reply; None of a store that never answers.
+/// The time after which a store answers, and its reply; `reply` is None for a store that never answers.
 #[derive(Clone)]
 struct Answer {
     after_ms: u64,
@@ -96,7 +96,7 @@
     fn retain_addresses(&self, _: &[SocketAddr]) {}
 }
 
-/// Ends a turn. Returns the outcome, and how long that took in milliseconds.
+/// Ends a turn. Returns the outcome and the elapsed time in milliseconds.
 async fn end(client: &StoreClient<SimulatedStores>, timeout_ms: u64) -> (EndOutcome, u64) {
     let started = Instant::now();
     let turn = EndTurn {
@@ -113,7 +113,7 @@
 
 fn client(stores: &SimulatedStores) -> StoreClient<SimulatedStores> {
     let client = StoreClient::with_transport(stores.clone(), ZoneName::from("east"));
-    client.set_view(&view(1, three()));
+    client.set_view(&view(1, three_members()));
     client
 }
 
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn only_the_store_of_the_own_zone_is_called() {
+fn only_the_store_in_the_clients_zone_is_called() {
     run(async {
         let stores = SimulatedStores::default();
         (1..=3).for_each(|number| stores.set(number, 10, Some(StoreReply::Ended)));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_failed_store_is_followed_by_the_next_at_once_and_deprioritized_for_a_while() {
+fn a_failed_call_is_retried_at_the_next_store_at_once_and_deprioritizes_the_store() {
     run(async {
         let stores = SimulatedStores::default();
         stores.set(1, 10, Some(StoreReply::Ended));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_slow_answer_still_counts() {
+fn a_reply_after_the_hedge_delay_is_used() {
     run(async {
         let stores = SimulatedStores::default();
         stores.set(2, 650, Some(StoreReply::Ended));
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn without_stores_a_call_ends_within_its_timeout() {
+fn a_call_without_stores_ends_within_its_timeout() {
     run(async {
         let client =
             StoreClient::with_transport(SimulatedStores::default(), ZoneName::from("east"));
@@ -206,17 +206,17 @@
         stores.set(4, 10, Some(StoreReply::Ended));
         let client = client(&stores);
         client.set_view(&view(3, vec![member(4, "east")]));
-        client.set_view(&view(2, three()));
+        client.set_view(&view(2, three_members()));
         assert_eq!(end(&client, 1_000).await, (EndOutcome::Ended, 10));
         assert_eq!(stores.take_called(), [address(4)]);
     });
 }
 
 #[test]
-fn the_selector_prefers_the_zone_and_forgets_failures() {
+fn the_selector_prefers_its_zone_and_clears_a_failure_after_a_success() {
     run(async {
         let mut selector = StoreSelector::default();
-        selector.set_view(&view(1, three()), &ZoneName::from("north"));
+        selector.set_view(&view(1, three_members()), &ZoneName::from("north"));
         let order = |selector: &StoreSelector| -> Vec<_> {
             selector
                 .ordered(Instant::now())
