--- a/tier/store/src/node/coordinator/begin_turn.rs
+++ b/tier/store/src/node/coordinator/begin_turn.rs
@@ -1,4 +1,5 @@
-//! The begin of a turn: its reservation and the chain that it continues, at the same time.
+//! Coordination of the begin of a turn: makes its reservation and reads the chain that it continues,
+//! concurrently.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,11 +18,11 @@
 use crate::peers::Peers;
 use crate::storage::Storage;
 
-/// A turn that is to begin.
+/// The request to begin a turn.
 pub(super) struct TurnStart {
     pub(super) program: ProgramId,
     pub(super) turn: RequestId,
-    /// None on a route without budgets.
+    /// The tokens to reserve; None on a route without budgets.
     pub(super) reservation: Option<Reservation>,
     /// The turn that this one continues.
     pub(super) previous: Option<RequestId>,
@@ -55,7 +56,7 @@
                     previous: newest,
                 }
             }
-            // A reservation that was made stands until the proxy ends the turn.
+            // A reservation that was made remains until the proxy ends the turn.
             (ReserveOutcome::Unavailable | ReserveOutcome::ViewChanged, _)
             | (_, ChainLookup::Unavailable) => StoreReply::Unavailable,
         }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Reserves a turn's tokens, anew with each newer view that comes up meanwhile.
+    /// Reserves a turn's tokens; retried under the new view if the view changes meanwhile.
     async fn reserve(self: &Rc<Self>, start: &TurnStart) -> ReserveOutcome {
         let Some(reservation) = &start.reservation else {
             return ReserveOutcome::Granted;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Writes the reservation to the replicas, and decides by the merged accounts of a write quorum.
+    /// Writes the reservation to the replicas, and decides on the merged accounts of a write quorum.
     async fn reserve_in_view(
         self: &Rc<Self>,
         view: &StoreView,
@@ -127,7 +128,7 @@
         ReserveOutcome::Unavailable
     }
 
-    /// Releases the reservation of a turn that does not run, without waiting for it.
+    /// Releases the reservation of a turn that does not run, in the background.
     fn release_reservation(self: &Rc<Self>, start: &TurnStart, state: TurnState) {
         if start.reservation.is_none() {
             return;
--- a/tier/store/src/node/coordinator/broadcast.rs
+++ b/tier/store/src/node/coordinator/broadcast.rs
@@ -1,4 +1,4 @@
-//! Calls to other stores, and to several at once.
+//! Calls to one store or to several at once.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 
 /// The outcome of a call to one of several stores.
 pub(super) struct MemberReply {
-    /// The store as the view names it.
+    /// The store's entry in the view.
     pub(super) member: StoreMember,
-    /// None without an answer in time.
+    /// The reply; None if the call failed or timed out.
     pub(super) reply: Option<PeerReply>,
 }
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Sends a request to several stores. The receiver gets their replies as they come, and None after the
-    /// last; the channel has a slot for each store.
+    /// Sends a request to several stores. The receiver yields their replies as they arrive, and None after
+    /// the last one; the channel has a slot for each store.
     ///
-    /// Every call runs to its end also if the receiver is dropped: replicas that were not waited for get
-    /// the write too, or a hint if they miss it.
+    /// Every call completes even if the receiver is dropped: the remaining replicas also receive the write,
+    /// or a hint is recorded for those that miss it.
     pub(super) fn broadcast(
         self: &Rc<Self>,
         view: &StoreView,
@@ -43,22 +43,22 @@
             tokio::task::spawn_local(async move {
                 let reply = node.call(&view, &member, &request, PEER_TIMEOUT).await.ok();
                 node.hint_if_missed(&view, &member, &request, reply.as_ref());
-                // The caller may have enough replies already.
+                // The receiver is dropped once the caller has enough replies.
                 let _ = replies.send(MemberReply { member, reply }).await;
             });
         }
         receiver
     }
 
-    /// Calls one store. A store whose view is older gets the caller's view first; a newer view in the
-    /// reply is installed here.
+    /// Calls one store. If that store's view is older, it is sent the caller's view before the call is
+    /// repeated; if the reply contains a newer view, that view is installed here.
     ///
-    /// Nothing is sent under a view once a newer one is known here, from another store's refusal
-    /// perhaps: the caller has to begin anew under that one.
+    /// Nothing is sent under a view once a newer one is installed here, which may come from another store's
+    /// refusal: the caller has to start over under the newer view.
     ///
     /// # Errors
     /// [`CallError`] without a reply within `timeout`, which applies to each of up to three messages;
-    /// [`CallError::NotSent`] under a view that is not the newest known.
+    /// [`CallError::NotSent`] if `view` is not the newest installed view.
     pub(in crate::node) async fn call(
         self: &Rc<Self>,
         view: &StoreView,
@@ -75,7 +75,8 @@
         self.send(view, member, request.clone(), timeout).await
     }
 
-    /// Sends one message. The view of a refusal is installed before anything else is sent.
+    /// Sends one message. If the reply refuses it for a stale epoch, the newer view in the reply is
+    /// installed before anything else is sent.
     async fn send(
         self: &Rc<Self>,
         view: &StoreView,
@@ -91,7 +92,7 @@
             body,
         };
         if member.address == self.identity.address {
-            // Boxed: a store may call itself on behalf of a call that it answers.
+            // Boxed because the future is recursive: a store may call itself while it answers a call.
             return Ok(Box::pin(self.clone().answer_peer(call)).await);
         }
         let reply = self.peers.call(member.address, call, timeout).await?;
--- a/tier/store/src/node/coordinator/end_turn.rs
+++ b/tier/store/src/node/coordinator/end_turn.rs
@@ -1,4 +1,5 @@
-//! The end of a turn: the tokens that it has generated, and its record for turns that continue it.
+//! Coordination of the end of a turn: stores the tokens that it generated, and its record for turns that
+//! continue it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,7 +16,7 @@
 use crate::peers::Peers;
 use crate::storage::Storage;
 
-/// A turn that has ended.
+/// The request to end a turn.
 pub(super) struct TurnEnd {
     pub(super) program: ProgramId,
     pub(super) turn: RequestId,
@@ -42,9 +43,9 @@
         if state.is_none() && retained.is_none() {
             return StoreReply::Ended;
         }
-        // The chain first: a turn must not outlive the turns that it continues.
+        // The chain is extended first: a turn must not be retained longer than the turns that it continues.
         if let Some(retained) = &retained {
-            if self.extend_other_program(retained).await != WriteOutcome::Written {
+            if self.extend_chain_of_other_program(retained).await != WriteOutcome::Written {
                 return StoreReply::Unavailable;
             }
         }
@@ -74,9 +75,13 @@
         self.write(&program, &PeerRequest::EndTurn(update)).await
     }
 
-    /// Extends the chain that a turn continues if that lies at another program's replicas; the turn's own
-    /// replicas extend the chain with the turn.
-    async fn extend_other_program(self: &Rc<Self>, retained: &RetainedTurn) -> WriteOutcome {
+    /// Extends the retention of the chain that a turn continues if the chain belongs to another program,
+    /// and so to other replicas. Within the turn's own program the replicas extend the chain when they
+    /// store the turn.
+    async fn extend_chain_of_other_program(
+        self: &Rc<Self>,
+        retained: &RetainedTurn,
+    ) -> WriteOutcome {
         let Some(previous) = &retained.record.previous else {
             return WriteOutcome::Written;
         };
@@ -90,7 +95,7 @@
         self.write(&previous.program, &request).await
     }
 
-    /// Writes to a program's replicas, anew with each newer view that comes up meanwhile.
+    /// Writes to a program's replicas; retried under the new view if the view changes meanwhile.
     async fn write(self: &Rc<Self>, program: &ProgramId, request: &PeerRequest) -> WriteOutcome {
         loop {
             let view = self.view();
--- a/tier/store/src/node/coordinator/mod.rs
+++ b/tier/store/src/node/coordinator/mod.rs
@@ -1,8 +1,8 @@
-//! The coordinating side of a proxy's call: requests to a program's replicas, and the answer that follows
+//! The coordinator's side of a proxy's call: sends requests to a program's replicas and derives the reply
 //! from theirs.
 //!
-//! Any store may coordinate. It owns no state of a call beyond the call's own future: replicas decide by
-//! their epochs which views are still good, so that a coordinator with an old view cannot do harm.
+//! Any store may coordinate. The coordinator keeps no state of a call outside the call's future. Replicas
+//! refuse calls whose epoch differs from their own, so a coordinator with an old view does no harm.
 
 mod begin_turn;
 mod broadcast;
@@ -22,7 +22,8 @@
 use end_turn::TurnEnd;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Answers a proxy. The proxy's epoch does not matter: the replicas decide which views are still good.
+    /// Answers a proxy. The proxy's epoch is ignored: the replicas check the epoch of the coordinator's
+    /// view.
     pub(super) async fn answer_proxy(self: Rc<Self>, call: StoreCall) -> StoreReply {
         if self.views.borrow().serving.is_empty() {
             return StoreReply::Unavailable;
--- a/tier/store/src/node/coordinator/read_chain.rs
+++ b/tier/store/src/node/coordinator/read_chain.rs
@@ -1,4 +1,4 @@
-//! Reading a chain of turns: from this store as far as possible, the rest from other stores.
+//! Reads a chain of turns: from this store as far as possible, the remainder from other stores.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 /// The outcome of reading a chain.
 pub(super) enum ChainLookup {
     Found {
-        /// Inputs and outputs of all turns, joined from the oldest on.
+        /// Inputs and outputs of all turns, concatenated from oldest to newest.
         history: Arc<[u8]>,
-        /// The newest turn of the chain; None of an empty chain.
+        /// The newest turn of the chain; None if the chain is empty.
         newest: Option<TurnLocation>,
     },
-    /// Surely no store has the newest turn.
+    /// It is certain that no store has the newest turn.
     NotFound,
     /// Too few stores answered, or the chain is incomplete or too long.
     Unavailable,
@@ -38,7 +38,8 @@
 }
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Reads the chain that ends with `turn`. `program` is the calling turn's, most often also this one's.
+    /// Reads the chain that ends with `turn`. `program` is the program of the turn that continues the
+    /// chain, and in most cases also the program of `turn`.
     pub(super) async fn read_chain(
         self: &Rc<Self>,
         program: &ProgramId,
@@ -54,8 +55,8 @@
             let segment = match self.read_segment(&location).await {
                 Ok(segment) => segment,
                 Err(SegmentError::NotFound) if turns.is_empty() => return ChainLookup::NotFound,
-                // An ancestor is retained as long as its descendants: that it is absent proves nothing
-                // about the newest turn, which was found.
+                // An ancestor is retained as long as its descendants, so its absence does not show that the
+                // chain has expired: the newest turn was found.
                 Err(SegmentError::NotFound | SegmentError::Unavailable) => {
                     return ChainLookup::Unavailable
                 }
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Asks the most preferred other replica, and then all stores.
+    /// Reads from the most preferred other replica, or failing that from any store that has the turn.
     async fn read_remote_segment(
         self: &Rc<Self>,
         location: &TurnLocation,
@@ -95,7 +96,8 @@
         let view = self.view();
         if let Some(preferred) = self.preferred_replica(&view, &location.program) {
             let reading = self.read_segment_from(&view, &preferred, &location.turn);
-            // A timeout shorter than the call's own: the connection stays good for later calls.
+            // Shorter than the timeout of the call itself, so that the connection stays usable for later
+            // calls.
             let read = tokio::time::timeout(PREFERRED_REPLICA_TIMEOUT, reading).await;
             if let Ok(Some(segment)) = read {
                 return Ok(segment);
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Finds a store that has the turn. No store has it only if it is absent at so many serving stores that
-    /// no write quorum can have written it.
+    /// Finds a store that has the turn. Fails with `NotFound` only if the turn is absent from at least a
+    /// read quorum of the serving stores, so that no write quorum can have written it.
     async fn locate_turn(
         self: &Rc<Self>,
         view: &StoreView,
@@ -171,7 +173,7 @@
     }
 }
 
-/// Inputs and outputs, oldest first.
+/// Concatenates inputs and outputs, oldest first; `turns` has the newest first.
 fn join_history(turns: &[Arc<TurnRecord>], bytes: usize) -> Arc<[u8]> {
     let mut history = Vec::with_capacity(bytes);
     for turn in turns.iter().rev() {
