--- a/tier/store/src/node/repair/catch_up.rs
+++ b/tier/store/src/node/repair/catch_up.rs
@@ -1,8 +1,8 @@
-//! Anti-entropy after a start: merges the updates that this store has missed while it was away, and finds
-//! out which ones other stores lack.
+//! Anti-entropy after a start: merges the updates that this store missed while it was not running, and
+//! records hints for updates that other stores lack.
 //!
-//! Hints do the same for a store that was away and came back as it was; a start may have lost some of
-//! them.
+//! Hints do the same for a store that was unreachable and returns with its state intact, but a restart may
+//! lose some of them.
 
 use std::rc::Rc;
 
@@ -17,7 +17,8 @@
 use crate::storage::Storage;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Compares with each other serving store until all have answered, or for a bounded time.
+    /// Compares with each other serving store until all comparisons are complete, or the maximum number of
+    /// attempts is reached.
     pub(in crate::node) async fn catch_up(self: &Rc<Self>) {
         let mut compared: Vec<StoreMember> = Vec::new();
         for _ in 0..MAX_CATCH_UP_ATTEMPTS {
--- a/tier/store/src/node/repair/delivery.rs
+++ b/tier/store/src/node/repair/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivering missed updates to stores that are back.
+//! Delivery of missed updates to stores that are reachable again.
 
 use std::rc::Rc;
 
@@ -37,7 +37,7 @@
                 deliveries.push(tokio::task::spawn_local(delivery));
             }
             for delivery in deliveries {
-                // A delivery that panicked is attempted again like one that failed.
+                // A delivery that panicked is retried like one that failed.
                 let _ = delivery.await;
             }
         }
@@ -45,12 +45,12 @@
 
     async fn deliver_hints(self: &Rc<Self>, node: &NodeId) {
         let Some(member) = self.find_member(node) else {
-            // No view names the store any more.
+            // The store is no longer in the view.
             let hints = self.hints.borrow().first(node, usize::MAX);
             self.remove_hints(node, &hints);
             return;
         };
-        // Whether the store can be reached at all, before turns are read and sent.
+        // An empty repair checks whether the store is reachable before turns are read and sent.
         if !self.send_repair(&member, Vec::new()).await {
             return;
         }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns whether the store has synced the updates.
+    /// Sends updates to a store. Returns whether the store has synced them.
     async fn send_repair(self: &Rc<Self>, member: &StoreMember, updates: Vec<TurnUpdate>) -> bool {
         let request = PeerRequest::Repair(updates);
         match self
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The member with this name, as the next set names it if it does.
+    /// Returns the store's entry in the view, preferably the one in the next set.
     fn find_member(&self, node: &NodeId) -> Option<StoreMember> {
         let view = self.views.borrow();
         let mut members = view.next.iter().flatten().chain(&view.serving);
@@ -106,7 +106,7 @@
         batch
     }
 
-    /// All that this store knows of a turn; nothing of one that has expired since.
+    /// Builds the update of a turn from this store's state; a part that has expired is left out.
     fn local_update(&self, hint: &MissedUpdate) -> TurnUpdate {
         TurnUpdate {
             program: hint.program.clone(),
@@ -123,7 +123,7 @@
             let key = hint_key(node, &hint.program, &hint.turn);
             changes.push(RowChange::remove(Table::Hints, key));
         }
-        // A hint that comes back after a loss of power is delivered once more, which is harmless.
+        // If a power loss reverts the removal, the hint is delivered once more, which is harmless.
         self.rows.commit_best_effort(changes);
     }
 }
--- a/tier/store/src/node/repair/hints.rs
+++ b/tier/store/src/node/repair/hints.rs
@@ -1,4 +1,4 @@
-//! Recording which store has missed which update.
+//! Recording of hints: which store has missed which update.
 
 use std::rc::Rc;
 
@@ -24,16 +24,16 @@
         }
         let key = hint_key(node, &update.program, &update.turn);
         if self.hints.borrow_mut().insert(node, update) {
-            // No caller waits for a hint: the update that it names is on a write quorum's disks.
+            // No caller waits for a hint: its update is on the disks of a write quorum.
             self.rows
                 .commit_best_effort(vec![RowChange::set(Table::Hints, key, &())]);
         }
     }
 
-    /// After a call to one store: records a hint if the store has missed the end of a turn.
+    /// Records a hint if a store has missed the end of a turn; called after each call to a store.
     ///
-    /// The hint is stored where the update is: at this store if it is a replica of the program and the other
-    /// one missed the update, at the first other replica if not.
+    /// The hint is stored at another replica of the program: at this store if it is a replica and did not
+    /// miss the update itself, and otherwise at the first replica that is not the store in question.
     pub(in crate::node) fn hint_if_missed(
         self: &Rc<Self>,
         view: &StoreView,
@@ -91,7 +91,8 @@
     }
 }
 
-/// Whether no hint is needed. After an answer of a newer view the coordinator sends the request anew to all replicas.
+/// Returns whether no hint is needed. After a refusal with a newer view the coordinator sends the request
+/// to all replicas again.
 fn is_received(reply: Option<&PeerReply>) -> bool {
     match reply {
         Some(reply) => matches!(reply.body, PeerResponse::Done | PeerResponse::StaleEpoch(_)),
--- a/tier/store/src/node/repair/mod.rs
+++ b/tier/store/src/node/repair/mod.rs
@@ -1,8 +1,8 @@
 //! Repair of replicas that have missed updates.
 //!
-//! A store that sees another one miss an update keeps a hint ([`hints`]) and delivers the update once the
-//! other one is back ([`delivery`]): hinted handoff. Hints are best effort; a store that starts also
-//! compares with the others ([`catch_up`]), which repairs what no hint names.
+//! When a store misses an update, another store records a hint ([`hints`]) and delivers the update once
+//! the first one is reachable again ([`delivery`]): hinted handoff. Hints are best effort; after a start a
+//! store also compares with the others ([`catch_up`]), which repairs updates without a hint.
 
 mod catch_up;
 mod delivery;
