--- a/tier/store/src/node/replica/local_turns.rs
+++ b/tier/store/src/node/replica/local_turns.rs
@@ -1,4 +1,4 @@
-//! Reads of the turns that this store has.
+//! Reads of the turns that are retained at this store.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::storage::Storage;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// A retained turn of this store; None also of one whose row cannot be read.
+    /// Returns a turn that this store retains; None also if its row cannot be read.
     pub(in crate::node) fn local_turn(&self, turn: &RequestId) -> Option<Arc<TurnRecord>> {
         let turns = self.turns.borrow();
         if !turns.contains(turn) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A retained turn with the time that it is still retained.
+    /// Returns a retained turn with its remaining retention time.
     pub(in crate::node) fn local_retained_turn(&self, turn: &RequestId) -> Option<RetainedTurn> {
         let expires_ms = self.turns.borrow().expires_ms(turn)?;
         let record = self.local_turn(turn)?;
@@ -45,7 +45,7 @@
         })
     }
 
-    /// The turn and its ancestors as far as this store has them, up to the bound on a chain.
+    /// Returns the turn and its ancestors as far as this store has them, up to the size limit of a chain.
     pub(in crate::node) fn local_segment(&self, turn: &RequestId) -> ChainSegment {
         let mut segment = ChainSegment::default();
         let mut bytes = 0;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Answers whether this store has a turn. A turn that is retained and cannot be read is neither present
-    /// nor absent.
+    /// Answers whether this store has a turn. A turn that is retained but cannot be read is reported as
+    /// neither present nor absent.
     pub(super) fn local_presence(&self, turn: &RequestId) -> PeerResponse {
         if !self.turns.borrow().contains(turn) {
             PeerResponse::TurnAbsent
--- a/tier/store/src/node/replica/mod.rs
+++ b/tier/store/src/node/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The replica's side: answers to other stores, or to this store's own coordinator.
+//! The replica's side of a call: answers to other stores, and to this store's own coordinator.
 
 mod local_turns;
 mod programs;
@@ -16,7 +16,7 @@
 use crate::storage::Storage;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Answers another store, or this one.
+    /// Answers a call of another store, or of this store's own coordinator.
     pub(super) async fn answer_peer(self: Rc<Self>, call: PeerCall) -> PeerReply {
         let incarnation = self.identity.incarnation;
         let body = match self.check_epoch(&call) {
@@ -26,12 +26,12 @@
         PeerReply { incarnation, body }
     }
 
-    /// The epoch is a fencing token: calls of other views are refused, so that no write quorum consists of
-    /// replicas that have gone over to different views. Repairs, hints and views themselves are taken from
-    /// any view: they only add to what this store knows.
+    /// Checks the call's epoch, which is a fencing token: calls of other views are refused, so that no write
+    /// quorum consists of replicas under different views. Repairs, hints and views are accepted under any
+    /// epoch, because they only add to this store's state.
     ///
     /// # Errors
-    /// The response that refuses the call.
+    /// The response with which the call is refused.
     fn check_epoch(&self, call: &PeerCall) -> Result<(), PeerResponse> {
         let is_unfenced = matches!(
             call.body,
--- a/tier/store/src/node/replica/programs.rs
+++ b/tier/store/src/node/replica/programs.rs
@@ -1,4 +1,4 @@
-//! Answers to a store that compares its programs with this one's, or copies them.
+//! Answers to a store that compares its programs with those of this store, or copies them.
 
 use plankhill_conversations::peer::{PeerResponse, StoreSet};
 use plankhill_conversations::placement::is_replica;
@@ -13,10 +13,10 @@
 use crate::storage::Storage;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Lists the programs of which a store is a replica in a set.
+    /// Lists the programs of this store of which `store` is a replica in a set of the view.
     ///
-    /// The view is on disk here before the answer, so that this store accepts no write of an older view any
-    /// more, in this process or a later one: the caller would miss such a write.
+    /// The view is on disk here before the reply, so that neither this process nor a later one accepts a
+    /// write of an older view any more: the caller would miss such a write.
     pub(super) async fn list_programs(
         &self,
         epoch: StoreEpoch,
@@ -30,7 +30,7 @@
             StoreSet::Serving => Some(&view.serving),
             StoreSet::Next => view.next.as_ref(),
         };
-        // A newer view may have come while this one was written.
+        // A newer view may have been installed while this one was being written.
         let Some(members) = members.filter(|_| view.epoch == epoch) else {
             return PeerResponse::StaleEpoch(view.clone());
         };
@@ -40,15 +40,15 @@
         PeerResponse::Programs(turns.list_programs(after, MAX_PAGE_ENTRIES, is_listed))
     }
 
-    /// The accounts and the names of the retained turns of programs; unknown ones are left out.
+    /// Returns the accounts and the ids of the retained turns of programs; unknown programs are left out.
     pub(super) fn outline_programs(&self, programs: &[ProgramId]) -> PeerResponse {
         let turns = self.turns.borrow();
         let outlines = programs.iter().filter_map(|program| turns.outline(program));
         PeerResponse::Outlines(outlines.collect())
     }
 
-    /// As many turns as fit into one message, at least one. Turns that are gone or cannot be read are left
-    /// out.
+    /// Returns as many of the turns as fit into one message, at least one. Turns that have expired or cannot
+    /// be read are left out.
     pub(super) fn fetch_turns(&self, turns: &[RequestId]) -> PeerResponse {
         let mut found = Vec::new();
         let mut bytes = 0;
--- a/tier/store/src/node/replica/updates.rs
+++ b/tier/store/src/node/replica/updates.rs
@@ -1,5 +1,5 @@
-//! Writes of a replica: reservations, updates of turns, extensions. Each is in memory before its rows are
-//! handed to the disk, and is answered once they are synced.
+//! Writes of a replica: reservations, updates of turns, extensions. Each write is merged in memory before
+//! its rows are passed to the storage, and answered once they are synced.
 
 use plankhill_conversations::peer::{PeerResponse, TurnUpdate};
 use plankhill_protocol::ids::{ProgramId, RequestId};
@@ -11,8 +11,8 @@
 use crate::storage::{Storage, StorageError};
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Adds a reservation to the program's account, and answers with the account as it is once the
-    /// reservation is synced.
+    /// Adds a reservation to the program's account. Once the reservation is synced, answers with the account
+    /// as of that time.
     pub(super) async fn reserve_locally(
         &self,
         program: &ProgramId,
@@ -45,7 +45,7 @@
                 .merge(update, self.now_ms(), &mut batch);
             if merged.is_err() {
                 tracing::warn!("turn rejected: storage capacity exhausted");
-                // What was merged before is written all the same; the answer stays the same.
+                // The updates merged so far are still written; the reply does not depend on the outcome.
                 let _ = self.write_batch(batch).await;
                 return PeerResponse::Unavailable;
             }
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Writes a batch, also one without rows: the commit then ends after the earlier ones, which may have
-    /// the rows of updates that were here already.
+    /// Writes a batch. A batch without rows is committed too: its commit ends after the earlier ones, which
+    /// may contain the rows of updates that had already been merged.
     async fn write_batch(&self, mut batch: UpdateBatch) -> Result<(), StorageError> {
         let outcome = self.rows.commit(batch.take_changes()).await;
         let mut turns = self.turns.borrow_mut();
@@ -68,7 +68,8 @@
         outcome
     }
 
-    /// Retains a turn and its ancestors for at least this time, and answers once that is synced.
+    /// Retains a turn and its ancestors for at least `retention_ms`, and answers once the extension is
+    /// synced.
     pub(super) async fn extend_locally(&self, turn: &RequestId, retention_ms: u64) -> PeerResponse {
         let until_ms = self.now_ms().saturating_add(retention_ms);
         let change = self.turns.borrow_mut().extend(turn, until_ms);
