--- a/tier/store/src/node/state/mod.rs
+++ b/tier/store/src/node/state/mod.rs
@@ -1,7 +1,7 @@
-//! The state of a node. Each struct owns one part of it, and is the only one that changes it.
+//! The state of a node. Each struct owns one part of the state, and only that struct changes it.
 //!
-//! None of them waits: what follows from a change (rows to be written, calls to be made) is handed to
-//! the node's other modules.
+//! The structs make no calls to other stores and, except for [`RowWriter`], write no rows: the node's
+//! other modules do both.
 
 mod hint_table;
 mod row_writer;
--- a/tier/store/src/node/state/row_writer.rs
+++ b/tier/store/src/node/state/row_writer.rs
@@ -1,4 +1,4 @@
-//! The node's commits to its storage, and whether the storage has failed.
+//! Commits of rows to the node's storage, and detection of a failed storage.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -8,10 +8,10 @@
 
 use crate::storage::{Storage, StorageError};
 
-/// Owns the store's rows and whether the disk has failed.
+/// Owns the storage of the store's rows, and the flag whether it has failed.
 pub(in crate::node) struct RowWriter<S> {
     storage: S,
-    /// A disk that failed takes no more writes in this process.
+    /// Set by the first permanent failure; the disk then accepts no more writes in this process.
     has_failed: Rc<Cell<bool>>,
 }
 
@@ -23,15 +23,15 @@
         }
     }
 
-    /// Whether a commit has failed for good.
+    /// Returns whether a commit has failed permanently.
     pub(in crate::node) fn has_failed(&self) -> bool {
         self.has_failed.get()
     }
 
-    /// Writes the changes, and ends once they are synced. The commit begins with the call: commits take
-    /// effect in the order in which this method is called, whether or not the callers wait.
+    /// Writes the changes; the future completes once they are synced. The commit starts with the call:
+    /// commits take effect in the order in which this method is called, even if the futures are not awaited.
     ///
-    /// The future borrows nothing, so that a task may own it.
+    /// The future borrows nothing, so that it can be moved into a task.
     pub(in crate::node) fn commit(
         &self,
         changes: Vec<RowChange>,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Writes the changes without waiting for them, for rows whose loss does no harm.
+    /// Writes the changes without waiting for the outcome; for rows whose loss does no harm.
     pub(in crate::node) fn commit_best_effort(&self, changes: Vec<RowChange>) {
         drop(self.storage.commit(changes));
     }
 
-    /// A row of a commit that has ended.
+    /// Reads a row of a completed commit.
     ///
     /// # Errors
     /// Those of [`Storage::read`].
--- a/tier/store/src/node/state/turn_table.rs
+++ b/tier/store/src/node/state/turn_table.rs
@@ -1,4 +1,4 @@
-//! The turns and accounts of a store as they are in memory, and the rows that bring the disk up to them.
+//! The turns and accounts of a store in memory, and the rows that have to be written for each change.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,37 +14,37 @@
 use super::unwritten_states::{StateWrite, UnwrittenStates};
 use crate::limits::RUNNING_TURN_TTL_MS;
 
-/// The store's bound on turns and accounts is reached.
+/// The error if the limit on turns and accounts is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::node) struct NoCapacity;
 
-/// Rows of merged updates that have to be written, and what depends on their write.
+/// Rows of merged updates that have to be written, and the state that depends on the write's outcome.
 #[derive(Default)]
 pub(in crate::node) struct UpdateBatch {
     changes: Vec<RowChange>,
-    /// Turns that are new at this store: they are dropped again if the write fails.
+    /// Turns that are new at this store; they are removed again if the write fails.
     new_turns: Vec<RequestId>,
     state_writes: Vec<StateWrite>,
 }
 
 impl UpdateBatch {
-    /// Takes the rows out, to be written.
+    /// Takes the rows to write out of the batch.
     pub(in crate::node) fn take_changes(&mut self) -> Vec<RowChange> {
         std::mem::take(&mut self.changes)
     }
 }
 
-/// Owns the index of turns and accounts, and what of it is not on disk yet.
+/// Owns the index of turns and accounts, and the parts of it that may not be on disk yet.
 pub(in crate::node) struct TurnTable {
     index: TurnIndex,
-    /// Turns whose rows are on their way to the disk: reads take them from here.
+    /// Turns whose rows are being written; reads use these records until the write completes.
     unwritten_turns: HashMap<RequestId, Arc<TurnRecord>>,
     unwritten_states: UnwrittenStates,
     max_bytes: u64,
 }
 
 impl TurnTable {
-    /// Begins with the index of what is on disk.
+    /// Creates a table from the index of the rows on disk.
     pub(in crate::node) fn new(index: TurnIndex, max_bytes: u64) -> Self {
         TurnTable {
             index,
@@ -58,7 +58,7 @@
     /// while the turn runs. Returns the row to be written.
     ///
     /// # Errors
-    /// [`NoCapacity`] if the bound on bytes, or on turns of one account, is reached.
+    /// [`NoCapacity`] if the limit on bytes, or on the turns of one account, is reached.
     pub(in crate::node) fn reserve(
         &mut self,
         program: &ProgramId,
@@ -77,7 +77,7 @@
         }
         self.index
             .merge_state(program, turn, TurnState::Reserved { max_tokens }, now_ms);
-        // The row has the merged state, which may be further than this reservation.
+        // The row contains the merged state, which may already be later than this reservation.
         let state = self.account_state(program, turn).ok_or(NoCapacity)?;
         Ok(account_row(program, turn, state, now_ms))
     }
@@ -85,7 +85,7 @@
     /// Merges an update, and adds its rows to the batch.
     ///
     /// # Errors
-    /// [`NoCapacity`] if the bound on bytes is reached; the update's account state is merged all the same.
+    /// [`NoCapacity`] if the limit on bytes is reached; the update's account state is still merged.
     pub(in crate::node) fn merge(
         &mut self,
         update: TurnUpdate,
@@ -101,8 +101,9 @@
         }
     }
 
-    /// A state that changes nothing is written all the same while an earlier write of it may have failed:
-    /// the caller takes the answer as proof that the state is on disk.
+    /// Merges an account state, and adds its row to the batch. A state that changes nothing is also written
+    /// while an earlier write of the turn's state is in progress or has failed: an acknowledgement means
+    /// that the state is on disk.
     fn merge_state(
         &mut self,
         program: &ProgramId,
@@ -124,8 +125,8 @@
             .push(self.unwritten_states.begin_write(program, turn));
     }
 
-    /// A turn that is here already needs no row: its own row is on disk, or on its way there before any
-    /// row of this batch.
+    /// Retains a turn, and adds its row to the batch. A turn that is already present needs no row: its row is
+    /// on disk, or is written before every row of this batch.
     fn retain(
         &mut self,
         turn: RequestId,
@@ -164,8 +165,8 @@
         }
     }
 
-    /// Drops the new turns of a batch that could not be written. Account states stay, as unwritten ones:
-    /// forgetting a reservation or a commit could grant tokens twice.
+    /// Removes the new turns of a batch that could not be written. Account states are kept and stay marked as
+    /// unwritten: without a reservation or a commit, tokens could be granted twice.
     pub(in crate::node) fn batch_failed(&mut self, batch: UpdateBatch) {
         for turn in &batch.new_turns {
             self.unwritten_turns.remove(turn);
@@ -173,28 +174,28 @@
         }
     }
 
-    /// Retains a turn and its ancestors at least until a time. Returns the row to be written.
+    /// Retains a turn and its ancestors at least until `until_ms`. Returns the row to be written.
     pub(in crate::node) fn extend(&mut self, turn: &RequestId, until_ms: u64) -> RowChange {
         self.index.extend(turn, until_ms);
         RowChange::set(Table::Extensions, turn_key(turn), &until_ms)
     }
 
-    /// Drops all that has expired. Returns the changes that remove its rows.
+    /// Removes expired turns and accounts. Returns the changes that remove their rows.
     pub(in crate::node) fn expire(&mut self, now_ms: u64) -> Vec<RowChange> {
         removals(&self.index.expire(now_ms))
     }
 
-    /// Whether the turn is retained here.
+    /// Returns whether the turn is retained at this store.
     pub(in crate::node) fn contains(&self, turn: &RequestId) -> bool {
         self.index.turn(turn).is_some()
     }
 
-    /// When a retained turn expires.
+    /// The time at which a retained turn expires.
     pub(in crate::node) fn expires_ms(&self, turn: &RequestId) -> Option<u64> {
         Some(self.index.turn(turn)?.expires_ms)
     }
 
-    /// A turn whose row is on its way to the disk.
+    /// A turn whose row is being written.
     pub(in crate::node) fn unwritten_turn(&self, turn: &RequestId) -> Option<Arc<TurnRecord>> {
         self.unwritten_turns.get(turn).cloned()
     }
@@ -223,12 +224,12 @@
         self.index.list_programs(after, limit, is_listed)
     }
 
-    /// The digest of a program; None of an unknown one.
+    /// The digest of a program; None for an unknown program.
     pub(in crate::node) fn digest(&self, program: &ProgramId) -> Option<u64> {
         self.index.digest(program)
     }
 
-    /// The account and the names of the retained turns of a program.
+    /// The account and the ids of the retained turns of a program.
     pub(in crate::node) fn outline(&self, program: &ProgramId) -> Option<ProgramOutline> {
         self.index.outline(program)
     }
--- a/tier/store/src/node/state/unwritten_states.rs
+++ b/tier/store/src/node/state/unwritten_states.rs
@@ -1,11 +1,10 @@
-//! Which turns' account states are in memory and not known to be on disk: a write of them is in progress
-//! or has failed.
+//! The turns whose account states may not be on disk: the write of the state is in progress or has failed.
 
 use std::collections::HashMap;
 
 use plankhill_protocol::ids::{ProgramId, RequestId};
 
-/// One write of a turn's account state.
+/// Identifies one write of a turn's account state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::node) struct StateWrite {
     program: ProgramId,
@@ -21,7 +20,7 @@
 }
 
 impl UnwrittenStates {
-    /// Whether the state of a turn may not be on disk.
+    /// Returns whether the state of a turn may be missing on disk.
     pub(super) fn contains(&self, program: &ProgramId, turn: &RequestId) -> bool {
         if self.newest.is_empty() {
             return false;
@@ -29,7 +28,7 @@
         self.newest.contains_key(&(program.clone(), turn.clone()))
     }
 
-    /// Begins a write of all that is known of a turn.
+    /// Records that a write of a turn's merged account state begins.
     pub(super) fn begin_write(&mut self, program: &ProgramId, turn: &RequestId) -> StateWrite {
         self.last_number += 1;
         self.newest
--- a/tier/store/src/node/state/view_state.rs
+++ b/tier/store/src/node/state/view_state.rs
@@ -1,4 +1,4 @@
-//! The view of the stores that a node knows, and how far the node has followed it.
+//! The newest view of the stores that a node has installed, and the epochs that are durable and transferred.
 
 use std::cell::{Ref, RefCell};
 
@@ -16,7 +16,7 @@
 }
 
 impl ViewState {
-    /// Begins with the view on disk.
+    /// Creates the state from the view on disk.
     pub(in crate::node) fn new(stored: StoreView) -> Self {
         ViewState {
             durable_epoch: watch::Sender::new(stored.epoch),
@@ -30,7 +30,7 @@
         self.current.borrow().clone()
     }
 
-    /// The newest view, borrowed: the caller must drop it before it awaits.
+    /// Borrows the newest view; the caller must drop the borrow before it awaits.
     pub(in crate::node) fn borrow(&self) -> Ref<'_, StoreView> {
         self.current.borrow()
     }
@@ -40,12 +40,12 @@
         self.current.borrow().epoch
     }
 
-    /// Whether no view newer than this one is known.
+    /// Returns whether `view` is the newest installed view.
     pub(in crate::node) fn is_current(&self, view: &StoreView) -> bool {
         self.epoch() == view.epoch
     }
 
-    /// Replaces the view by a newer one.
+    /// Replaces the current view with a newer one.
     pub(in crate::node) fn replace(&self, view: StoreView) {
         *self.current.borrow_mut() = view;
     }
@@ -59,10 +59,10 @@
         });
     }
 
-    /// Waits until the view of this epoch, or of a later one, is on disk.
+    /// Waits until the view of `epoch`, or of a later epoch, is on disk.
     pub(in crate::node) async fn wait_durable(&self, epoch: StoreEpoch) {
         let mut durable = self.durable_epoch.subscribe();
-        // Fails only without a sender, and the sender lives as long as this struct.
+        // Fails only if the sender is dropped, and this struct owns the sender.
         let _ = durable.wait_for(|durable| *durable >= epoch).await;
     }
 
@@ -71,7 +71,7 @@
         self.transferred_epoch.send_replace(Some(epoch));
     }
 
-    /// Changes of the transferred epoch.
+    /// Watches the transferred epoch.
     pub(in crate::node) fn watch_transferred(&self) -> watch::Receiver<Option<StoreEpoch>> {
         self.transferred_epoch.subscribe()
     }
