--- a/tier/store/src/node/transfer/copy_from.rs
+++ b/tier/store/src/node/transfer/copy_from.rs
@@ -1,4 +1,4 @@
-//! Copying from one store what it knows more than this one, program by program.
+//! Copies from one store the turns and account states that are missing here, program by program.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -17,11 +17,12 @@
 use crate::peers::Peers;
 use crate::storage::Storage;
 
-/// The source failed, this store's disk did, or the view has changed. The caller copies from the source again.
+/// The copy failed because of the source or this store's disk, or because the view changed. The caller may
+/// copy from the source again.
 pub(in crate::node) struct CopyError;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Copies all programs of which this store is a replica in a set of the view.
+    /// Copies from `source` all programs of which this store is a replica in a set of the view.
     ///
     /// # Errors
     /// [`CopyError`] if the copy is incomplete.
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// The programs of which the source knows something else than this store.
+    /// Returns the programs whose state at the source differs from the state at this store.
     fn differing_programs(&self, page: Vec<ProgramDigest>) -> Vec<ProgramId> {
         let turns = self.turns.borrow();
         page.into_iter()
@@ -105,7 +106,8 @@
             .collect()
     }
 
-    /// Records hints of what the source lacks: the hints that other stores had of it may be lost.
+    /// Records hints for updates that the source lacks: the hints that other stores had for the source may
+    /// be lost.
     fn hint_missing_at_source(
         &self,
         view: &StoreView,
@@ -120,7 +122,7 @@
             let Some(ours) = self.turns.borrow().outline(program) else {
                 continue;
             };
-            for turn in turns_lacking(theirs, &ours) {
+            for turn in turns_missing_at_source(theirs, &ours) {
                 self.add_hint(
                     &source.node,
                     MissedUpdate {
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Calls exactly the incarnation of the store that the view names: another one may have lost what it
-    /// is asked for.
+    /// Calls the source. Fails if the incarnation that replies is not the one in the view: another
+    /// incarnation may have lost the requested data.
     async fn call_source(
         self: &Rc<Self>,
         view: &StoreView,
@@ -183,8 +185,8 @@
     }
 }
 
-/// The requested turns up to the last one found: those among them that were not found are gone at the
-/// source. Without any turn found all of them are.
+/// Returns the requested turns up to the last one found; those among them that were not found are absent
+/// at the source. If no turn was found, all of the requested turns are absent there.
 fn answered_turns<'a>(requested: &'a [RequestId], found: &[RetainedTurn]) -> &'a [RequestId] {
     let last = found.last().map(|last| &last.record.turn);
     match requested.iter().position(|turn| Some(turn) == last) {
@@ -193,19 +195,19 @@
     }
 }
 
-/// Turns that this store knows and the other one does not, or knows less of.
-fn turns_lacking(theirs: &ProgramOutline, ours: &ProgramOutline) -> BTreeSet<RequestId> {
+/// Returns the turns that are absent at the source, or whose account state is behind there.
+fn turns_missing_at_source(theirs: &ProgramOutline, ours: &ProgramOutline) -> BTreeSet<RequestId> {
     let their_turns: BTreeSet<&RequestId> = theirs.turns.iter().collect();
-    let mut lacking = BTreeSet::new();
+    let mut missing = BTreeSet::new();
     for turn in &ours.turns {
         if !their_turns.contains(turn) {
-            lacking.insert(turn.clone());
+            missing.insert(turn.clone());
         }
     }
     for (turn, state) in ours.account.turns() {
         if theirs.account.state(turn) < Some(state) {
-            lacking.insert(turn.clone());
+            missing.insert(turn.clone());
         }
     }
-    lacking
+    missing
 }
--- a/tier/store/src/node/transfer/mod.rs
+++ b/tier/store/src/node/transfer/mod.rs
@@ -1,8 +1,8 @@
-//! Transfer of programs to the next set: copies all programs of which this store is a replica there from
-//! the serving stores, and reports when it has them.
+//! Transfer of programs to the next set: copies from the serving stores all programs of which this store is
+//! a replica in the next set, and reports the completed transfer.
 //!
-//! The controllers switch to the next set once each of its members has reported. Between the two views
-//! writes need a quorum of both sets, so that nothing that is written meanwhile is missed.
+//! The controllers switch to the next set once each of its members has reported. Until the switch, writes
+//! need a quorum of both sets, so that writes made during the transfer are not missed.
 
 mod copy_from;
 
@@ -20,12 +20,13 @@
 use crate::storage::Storage;
 use copy_from::CopyError;
 
-/// Attempts in which stores that did not answer are called again though a read quorum was copied from.
+/// Minimum number of attempts before the transfer ends with some sources failed, even if a read quorum has
+/// been copied from.
 const MIN_ATTEMPTS: u32 = 2;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Copies this store's programs of the view's next set; the view is on disk here. Ends when done, or
-    /// when a newer view has come.
+    /// Copies this store's programs of the view's next set. The view must be on disk here. Ends when the
+    /// transfer is complete, or when a newer view is installed.
     ///
     /// A read quorum of the serving stores is enough: at least one of them has each acknowledged write.
     pub(super) async fn transfer_for(self: &Rc<Self>, view: &StoreView) {
