--- a/tier/store/src/node/chain_segment.rs
+++ b/tier/store/src/node/chain_segment.rs
@@ -1,19 +1,19 @@
-//! Consecutive turns of a chain, as one store has them.
+//! Consecutive turns of a chain, as read from one store.
 
 use std::sync::Arc;
 
 use plankhill_protocol::store_calls::{TurnLocation, TurnRecord};
 
-/// Some turns of a chain, from the newest to older ones.
+/// Consecutive turns of a chain, newest first.
 #[derive(Default)]
 pub(in crate::node) struct ChainSegment {
     pub(in crate::node) turns: Vec<Arc<TurnRecord>>,
-    /// The next older turn, if the chain goes on.
+    /// The next older turn, if the chain has more turns.
     pub(in crate::node) rest: Option<TurnLocation>,
 }
 
 impl ChainSegment {
-    /// Bytes of the inputs and outputs of all turns.
+    /// Total bytes of the inputs and outputs of all turns.
     pub(in crate::node) fn bytes(&self) -> usize {
         self.turns.iter().map(|turn| record_bytes(turn)).sum()
     }
--- a/tier/store/src/node/expiry.rs
+++ b/tier/store/src/node/expiry.rs
@@ -1,4 +1,4 @@
-//! Dropping turns and accounts whose time is over.
+//! Removal of expired turns and accounts.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::storage::Storage;
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Drops what has expired, at an interval, until the node's task ends.
+    /// Removes expired turns and accounts at an interval, until the node's task ends.
     pub(super) async fn run_expiry(self: Rc<Self>) {
         loop {
             tokio::time::sleep(EXPIRY_INTERVAL).await;
@@ -22,7 +22,7 @@
         if removals.is_empty() {
             return;
         }
-        // Rows that could not be removed expire again after the next start.
+        // Rows that could not be removed are loaded at the next start and expire again.
         let _ = self.rows.commit(removals).await;
     }
 }
--- a/tier/store/src/node/load.rs
+++ b/tier/store/src/node/load.rs
@@ -1,5 +1,5 @@
-//! The start of a node: builds its state from the rows on disk, and continues what the process before
-//! may have left undone.
+//! Startup of a node: builds its state from the rows on disk, and resumes work that the previous process
+//! may not have finished.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use crate::storage::{Storage, StorageError};
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Builds a node from the rows on its disk. Rows that cannot be decoded are passed over.
+    /// Builds a node from the rows on its disk. Rows that cannot be decoded are skipped.
     ///
     /// # Errors
     /// [`StorageError`] if the disk cannot be read.
@@ -47,7 +47,7 @@
         }))
     }
 
-    /// Runs the node's background work until its task ends. To be called once.
+    /// Runs the node's background work until its task ends. Must be called only once.
     pub async fn run(self: Rc<Self>) {
         let view = self.view();
         let transferring = self.transfer_for(&view);
--- a/tier/store/src/node/mod.rs
+++ b/tier/store/src/node/mod.rs
@@ -1,11 +1,11 @@
-//! One store: answers proxies and other stores, repairs what others missed, and copies the programs that
-//! it becomes a replica of.
+//! One store: answers proxies and other stores, delivers updates that other stores missed, and copies the
+//! programs of which it becomes a replica.
 //!
 //! A proxy may call any store; the called store coordinates the call (`coordinator`): it sends requests
-//! to the program's replicas, itself among them if it is one, and answers once a quorum has synced. The
+//! to the program's replicas, including itself if it is one, and replies once a quorum has synced. The
 //! replica's side is in `replica`. `repair` delivers updates that a replica missed (hinted handoff)
 //! and compares with other stores after a start; `transfer` copies programs when the set of stores
-//! changes. `state` has the structs that own the node's state, each its own part.
+//! changes. `state` has the structs that each own one part of the node's state.
 
 mod chain_segment;
 mod coordinator;
@@ -31,11 +31,11 @@
 use crate::storage::Storage;
 use state::{HintTable, RowWriter, TurnTable, ViewState};
 
-/// What a node is built from.
+/// The parts from which a node is built.
 pub struct NodeParts<P, S, C> {
     /// The store's own entry in views.
     pub identity: StoreMember,
-    /// Bounds.
+    /// Limits derived from the settings.
     pub limits: Limits,
     /// Calls to the other stores.
     pub peers: P,
@@ -45,15 +45,15 @@
     pub clock: C,
 }
 
-/// One store. For one thread, inside a `LocalSet`.
+/// One store. Must be used on one thread, inside a `LocalSet`.
 ///
-/// Invariants, on which acknowledgements rest:
-/// - An update is in memory before its rows are handed to the disk, and the disk's commits take effect in
-///   the order of their calls: a later row of the same turn never loses what an earlier one had.
-/// - An update is acknowledged only after its rows are synced, a repeated one only after those of the
-///   first are.
-/// - A view is acted on as the copying side only once it is synced here: calls of older views are then
-///   refused for good, also after a restart.
+/// Acknowledgements rely on these invariants:
+/// - An update is merged in memory before its rows are passed to the storage, and commits take effect in
+///   the order of their calls, so a later row of a turn always includes the content of the earlier ones.
+/// - An update is acknowledged only after its rows are synced, and a repeated update only after the rows
+///   of the first one are synced.
+/// - This store copies programs under a view only after the view is synced to its disk: from then on it
+///   refuses calls of older views permanently, also after a restart.
 pub struct Node<P, S, C> {
     identity: StoreMember,
     limits: Limits,
@@ -79,23 +79,23 @@
         &self.identity
     }
 
-    /// Whether the disk has failed: the process has to start anew.
+    /// Returns whether the disk has failed, so that the process has to restart.
     pub fn has_storage_failed(&self) -> bool {
         self.rows.has_failed()
     }
 
-    /// The newest view that this store knows.
+    /// The newest view that is installed at this store.
     pub fn view(&self) -> StoreView {
         self.views.current()
     }
 
-    /// The epoch of the last view for whose next set this store has copied all its programs; the
-    /// controllers are notified.
+    /// Watches the epoch of the last view for whose next set this store has copied all its programs. The
+    /// epoch is reported to the controllers.
     pub fn transferred_epoch(&self) -> watch::Receiver<Option<StoreEpoch>> {
         self.views.watch_transferred()
     }
 
-    /// Number of updates that other stores have missed as far as this one knows.
+    /// Number of hints at this store, each for an update that another store has missed.
     pub fn pending_hints(&self) -> usize {
         self.hints.borrow().len()
     }
--- a/tier/store/src/node/view.rs
+++ b/tier/store/src/node/view.rs
@@ -1,5 +1,5 @@
-//! Installing a view of the stores: in force for answers at once, on disk before the store copies for it
-//! or lists its programs to a store that does.
+//! Installation of a view of the stores. The view applies to calls at once; it is written to disk before
+//! the store copies programs under it, or lists its programs to a store that does.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::peers::Peers;
 use crate::storage::Storage;
 
-/// Backoff before a view that the disk refused is written again.
+/// Backoff before the write of a view is retried.
 const VIEW_WRITE_BACKOFF: Duration = Duration::from_millis(300);
 
 impl<P: Peers, S: Storage, C: Clock> Node<P, S, C> {
-    /// Installs a view if it is newer than the current one. Calls of older views are refused from now on.
+    /// Installs a view if it is newer than the current one. From then on calls of older views are refused.
     pub fn install_view(self: &Rc<Self>, view: &StoreView) {
         if view.epoch <= self.views.epoch() {
             return;
@@ -28,7 +28,8 @@
             "store view installed"
         );
         self.views.replace(view.clone());
-        // The commit begins here, so that views reach the disk in the order of their epochs.
+        // The commit starts here and not in the task, so that views are written in the order of their
+        // epochs.
         let written = self.rows.commit(vec![view_row(view)]);
         let node = self.clone();
         let view = view.clone();
