--- a/tier/store/src/storage/fjall/database.rs
+++ b/tier/store/src/storage/fjall/database.rs
@@ -1,4 +1,4 @@
-//! Opening a `fjall` database: its options, the keys of its rows, and which of its errors may pass.
+//! Opens a `fjall` database; defines its options, the keys of its rows, and which errors are transient.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -9,23 +9,22 @@
 
 use super::super::StorageError;
 
-/// All tables lie in one keyspace, so that one flush frees a complete journal.
+/// The one keyspace of all tables: with one keyspace, a single flush frees a complete journal.
 const KEYSPACE: &str = "rows";
-/// Size from which rows in memory are written to tables of the database: small beside the memory of a
-/// machine.
+/// Size at which the memtable is flushed to disk: small compared to the memory of a machine.
 const MEMTABLE_BYTES: u64 = 512 * 1024;
-/// The smallest journal size that the library accepts: most journals are freed long before.
+/// The smallest journal size that the library accepts; most journals are freed long before they reach it.
 const JOURNAL_BYTES: u64 = 64 * 1024 * 1024;
-/// Blocks kept in memory: turns are read once or twice, mostly from the memtable.
+/// Size of the block cache: small, because turns are read once or twice, mostly from the memtable.
 const CACHE_BYTES: u64 = 256 * 1024;
-/// Files that the database keeps open.
+/// Maximum number of files that the database keeps open.
 const MAX_OPEN_FILES: usize = 64;
 
-/// Opens the database in this folder, or makes one.
+/// Opens the database in this folder, or creates one.
 ///
 /// # Errors
-/// [`StorageError::Unreadable`] of a damaged database, which never recovers; [`StorageError::Failed`] of a
-/// disk that fails, which may.
+/// [`StorageError::Unreadable`] if the database is damaged, which is permanent; [`StorageError::Failed`] if
+/// the disk fails, which may be temporary.
 pub(super) fn open_database(folder: &Path) -> Result<(Database, Keyspace), StorageError> {
     let builder = Database::builder(folder)
         .worker_threads(1)
@@ -41,14 +40,14 @@
     Ok((database, rows))
 }
 
-/// The row that names the incarnation of a disk, as it lies in the database.
+/// Reads the row with the incarnation of the disk, still encoded.
 pub(super) fn read_incarnation_row(rows: &Keyspace) -> Result<Option<Vec<u8>>, StorageError> {
     let key = row_key(Table::Metadata, INCARNATION_KEY);
     let row = rows.get(key).map_err(StorageError::failed)?;
     Ok(row.map(|row| row.to_vec()))
 }
 
-/// The key of a row in the keyspace: the prefix of its table, and its own key.
+/// The key of a row in the keyspace: the prefix of its table, followed by its key in the table.
 pub(super) fn row_key(table: Table, key: &[u8]) -> Vec<u8> {
     let mut row = Vec::with_capacity(key.len() + 1);
     row.push(table_prefix(table));
@@ -56,7 +55,7 @@
     row
 }
 
-/// The first byte of a table's keys. These bytes are on disks and never change.
+/// The first byte of a table's keys. These bytes are part of the stored format and must not change.
 pub(super) fn table_prefix(table: Table) -> u8 {
     match table {
         Table::Turns => b't',
@@ -75,7 +74,7 @@
     }
 }
 
-/// Whether the cause of an error may pass: nothing says that the files are damaged.
+/// Returns whether an error may be temporary, that is, does not indicate damaged files.
 pub(super) fn is_transient(error: &fjall::Error) -> bool {
     match error {
         fjall::Error::Io(io) | fjall::Error::Storage(fjall::LsmError::Io(io)) => !matches!(
--- a/tier/store/src/storage/fjall/mod.rs
+++ b/tier/store/src/storage/fjall/mod.rs
@@ -1,7 +1,7 @@
 //! Rows in a `fjall` database (a log-structured merge tree), written by one thread.
 //!
-//! The node's thread reads through [`SharedRows`] and sends commits to the [`writer`]; the writer's thread
-//! owns the database and replaces the rows after a failure.
+//! The node's thread reads through [`SharedRows`] and sends commits to the [`writer`]. The writer thread
+//! owns the database, and reopens it after a failure.
 
 mod database;
 mod pending_bytes;
@@ -21,7 +21,8 @@
 use shared_rows::SharedRows;
 use writer::{start_writer, Commit};
 
-/// Rows in a `fjall` database. Clones share the database; the thread ends with the last of them.
+/// Rows in a `fjall` database. Clones share the database; the writer thread ends when the last clone is
+/// dropped.
 #[derive(Clone)]
 pub struct FjallStorage {
     rows: SharedRows,
@@ -29,17 +30,17 @@
     pending: PendingBytes,
 }
 
-/// A commit that was sent to the writer.
+/// A commit that has been sent to the writer.
 struct SentCommit {
     outcome: oneshot::Receiver<Result<(), StorageError>>,
     pending: PendingBytesGuard,
 }
 
 impl FjallStorage {
-    /// Opens the database in this folder, or makes one.
+    /// Opens the database in this folder, or creates one.
     ///
     /// # Errors
-    /// [`StorageError::Unreadable`] of a damaged database, [`StorageError::Failed`] of a disk that fails.
+    /// [`StorageError::Unreadable`] if the database is damaged, [`StorageError::Failed`] if the disk fails.
     pub fn open(folder: &Path) -> Result<Self, StorageError> {
         let (rows, commits) = start_writer(folder)?;
         Ok(FjallStorage {
@@ -95,5 +96,5 @@
 }
 
 fn writer_ended() -> StorageError {
-    StorageError::Failed("the writing thread has ended".into())
+    StorageError::Failed("the writer thread has ended".into())
 }
--- a/tier/store/src/storage/fjall/pending_bytes.rs
+++ b/tier/store/src/storage/fjall/pending_bytes.rs
@@ -1,31 +1,31 @@
-//! The bound on bytes that wait for the writer.
+//! The limit on the bytes of pending commits.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use super::super::StorageError;
 
-/// Bytes that wait to be written; a commit beyond fails at once. This bounds the writer's queue, which
-/// has no bound of its own.
+/// Maximum bytes of pending commits; a commit that exceeds the limit fails at once. This limits the
+/// writer's queue, which is otherwise unbounded.
 const MAX_PENDING_BYTES: usize = 24 * 1024 * 1024;
 
-/// Bytes of all commits whose callers wait. Clones share the count.
+/// Counts the bytes of all pending commits. Clones share the count.
 #[derive(Clone, Default)]
 pub(super) struct PendingBytes {
     bytes: Rc<Cell<usize>>,
 }
 
-/// The bytes of one commit; they count until the guard is dropped.
+/// The bytes of one commit, which are counted as pending until the guard is dropped.
 pub(super) struct PendingBytesGuard {
     total: Rc<Cell<usize>>,
     bytes: usize,
 }
 
 impl PendingBytes {
-    /// Counts the bytes of a commit.
+    /// Adds the bytes of a commit to the count.
     ///
     /// # Errors
-    /// [`StorageError::Busy`] if they exceed the bound.
+    /// [`StorageError::Busy`] if the count would exceed the limit.
     pub(super) fn reserve(&self, bytes: usize) -> Result<PendingBytesGuard, StorageError> {
         let pending_bytes = self.bytes.get();
         let total = pending_bytes + bytes;
--- a/tier/store/src/storage/fjall/writer.rs
+++ b/tier/store/src/storage/fjall/writer.rs
@@ -1,8 +1,8 @@
-//! The thread that writes to a `fjall` database. All commits that wait during a sync share the next one
-//! (group commit).
+//! The thread that writes to a `fjall` database. Commits that arrive during a sync share the next one (group
+//! commit).
 //!
-//! After a failed write the database has to be closed and opened anew. Until the disk takes bytes again
-//! the rows can still be read, and every commit is refused at once.
+//! After a failed write the database has to be closed and reopened. Until the disk accepts writes again the
+//! rows can still be read, and every commit is refused at once.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
@@ -17,20 +17,20 @@
 use super::database::{is_transient, open_database, read_incarnation_row, row_key};
 use super::shared_rows::SharedRows;
 
-/// Commits that join the first one in a batch.
+/// Maximum number of commits that join the first one in a batch.
 const MAX_JOINED_COMMITS: usize = 1_024;
 
-/// A commit on its way to the writer.
+/// A commit in the writer's queue.
 pub(super) struct Commit {
     pub(super) changes: Vec<RowChange>,
     pub(super) done: oneshot::Sender<Result<(), StorageError>>,
 }
 
-/// Opens the database in this folder, or makes one, and starts the writer's thread, which ends with the
-/// last sender.
+/// Opens the database in this folder, or creates one, and starts the writer thread, which ends when the last
+/// sender is dropped.
 ///
 /// # Errors
-/// Those of [`open_database`]; [`StorageError::Failed`] if no thread could be started.
+/// Those of [`open_database`]; [`StorageError::Failed`] if the thread could not be started.
 pub(super) fn start_writer(folder: &Path) -> Result<(SharedRows, Sender<Commit>), StorageError> {
     let (database, keyspace) = open_database(folder)?;
     let rows = SharedRows::default();
@@ -51,9 +51,9 @@
     Ok((rows, commits))
 }
 
-/// Whether the disk takes writes.
+/// The write state of the disk.
 enum DiskCondition {
-    /// The disk takes writes.
+    /// The disk accepts writes.
     Writable,
     /// The disk refuses writes; the writer attempts to recover at `retry_at`.
     Refusing {
@@ -61,7 +61,7 @@
         retry_at: Instant,
         backoff: Backoff,
     },
-    /// The disk takes no more writes until the process starts anew.
+    /// The disk accepts no more writes until the process restarts.
     Failed(String),
 }
 
@@ -76,24 +76,24 @@
     }
 }
 
-/// Why the writer wakes up.
+/// The reason why the writer's wait ended.
 enum Wakeup {
     Commit(Commit),
     RecoveryDue,
-    /// The last sender is gone.
+    /// The last sender was dropped.
     Closed,
 }
 
-/// Owns the database and the way back after a failed write.
+/// Owns the database, and recovers it after a failed write.
 struct Writer {
     folder: PathBuf,
-    /// None while a failed database could not be opened again.
+    /// The open database; None if reopening it after a failure did not succeed.
     database: Option<Database>,
     rows: SharedRows,
     queue: Receiver<Commit>,
     condition: DiskCondition,
-    /// The row that names the disk's incarnation, as last read: the database that is opened after a
-    /// failure has to be on the same disk.
+    /// The row with the disk's incarnation, as last read: the database that is opened after a failure must
+    /// be on the same disk.
     incarnation_row: Option<Vec<u8>>,
 }
 
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Writes or refuses a commit and all that wait behind it.
+    /// Writes or refuses a commit together with those queued after it.
     fn process_batch(&mut self, first: Commit) {
         let mut commits = vec![first];
         commits.extend(self.queue.try_iter().take(MAX_JOINED_COMMITS));
@@ -136,7 +136,7 @@
             DiskCondition::Failed(cause) => Err(StorageError::Failed(cause.clone())),
         };
         for commit in commits {
-            // The caller may have stopped waiting.
+            // The receiver is dropped if the caller has stopped waiting.
             let _ = commit.done.send(outcome.clone());
         }
     }
@@ -176,12 +176,12 @@
         });
         match written {
             Ok(written) => written,
-            // Without rows there is no database to write to either.
+            // No rows means that there is no open database.
             Err(_) => Err(fjall::Error::Poisoned),
         }
     }
 
-    /// Attempts to recover if the disk refuses writes and the backoff is over.
+    /// Attempts to recover if the disk refuses writes and the backoff has elapsed.
     fn recover_if_due(&mut self) {
         let DiskCondition::Refusing {
             retry_at, backoff, ..
@@ -208,19 +208,20 @@
         };
     }
 
-    /// Opens the database anew, once the disk takes bytes. The rows stay readable until then.
+    /// Reopens the database if the disk accepts writes. Until the database is closed for that, the rows stay
+    /// readable.
     fn recover(&mut self) -> Result<(), StorageError> {
         check_free_space(&self.folder).map_err(StorageError::failed)?;
         if let Ok(row) = self.rows.with(read_incarnation_row) {
             self.incarnation_row = row;
         }
-        // The folder is locked while a database is open.
+        // An open database locks its folder, so it is closed before it is opened again.
         self.rows.replace(None);
         self.database = None;
         let (database, keyspace) = open_database(&self.folder)?;
         if read_incarnation_row(&keyspace)? != self.incarnation_row {
             return Err(StorageError::Unreadable(
-                "another disk lies in its place".into(),
+                "incarnation mismatch: the folder is on another disk".into(),
             ));
         }
         self.database = Some(database);
--- a/tier/store/src/storage/mod.rs
+++ b/tier/store/src/storage/mod.rs
@@ -1,7 +1,7 @@
-//! Where a store keeps its rows. Every implementation passes the contract in `tests/storage_contract.rs`.
+//! The storage of a store's rows. Every implementation passes the contract in `tests/storage_contract.rs`.
 //!
-//! The node owns a [`Storage`] and is the only one that writes to it. [`FjallStorage`] is the storage of
-//! the process, in the folder that [`open_state_folder`] opens; tests have one in memory.
+//! The node owns a [`Storage`] and is its only writer. The process uses [`FjallStorage`], in the folder that
+//! [`open_state_folder`] opens; tests use a storage in memory.
 
 mod fjall;
 mod state_folder;
@@ -13,63 +13,65 @@
 pub use fjall::FjallStorage;
 pub use state_folder::{open_state_folder, StateFolder};
 
-/// Why rows could not be written or read.
+/// The error of a write or read of rows.
 ///
-/// Causes are texts: one failure of the database answers all commits of a batch, and the database's
-/// errors cannot be cloned.
+/// Causes are strings, because one failure of the database is returned for all commits of a batch and the
+/// database's errors cannot be cloned.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StorageError {
-    /// Too many bytes wait to be written already.
-    #[error("{pending_bytes} bytes wait to be written; {commit_bytes} more exceed the bound")]
+    /// Too many bytes are pending.
+    #[error("{pending_bytes} bytes are pending; {commit_bytes} more exceed the limit")]
     Busy {
-        /// Bytes of the commits in progress.
+        /// Bytes of the pending commits.
         pending_bytes: usize,
         /// Bytes of the commit that was refused.
         commit_bytes: usize,
     },
-    /// The disk refuses writes for now, as a full one does. The storage goes on attempting to write, and
-    /// can be read meanwhile.
-    #[error("the disk refuses to write: {0}")]
+    /// The disk refuses writes temporarily, for example because it is full. The storage retries until the
+    /// disk accepts writes again, and stays readable meanwhile.
+    #[error("the disk refuses writes: {0}")]
     Refused(String),
-    /// The files are no database of this kind, or a damaged one.
+    /// The files are not a database of this kind, or are damaged.
     #[error("unreadable database: {0}")]
     Unreadable(String),
-    /// The disk or the database failed; nothing more can be written until the process starts anew.
-    #[error("disk: {0}")]
+    /// The disk or the database failed; no more rows can be written until the process restarts.
+    #[error("the disk failed: {0}")]
     Failed(String),
 }
 
 impl StorageError {
-    /// A failure that lasts until the process starts anew.
+    /// Creates a failure that lasts until the process restarts.
     fn failed(cause: impl std::fmt::Display) -> Self {
         StorageError::Failed(cause.to_string())
     }
 }
 
-/// Rows that outlast a loss of power.
+/// Durable storage of rows.
 pub trait Storage: 'static {
-    /// Writes the changes, all or none of them, and ends once they are synced.
+    /// Writes the changes atomically; the future completes once they are synced.
     ///
-    /// The commit begins with the call, and goes on if the future is dropped. Commits take effect and end
-    /// in the order of their calls; one without changes ends once all earlier ones are synced.
+    /// The commit starts with the call, and continues if the future is dropped. Commits take effect and
+    /// complete in the order of their calls; a commit without changes completes once all earlier ones are
+    /// synced.
     ///
     /// # Errors
     /// [`StorageError::Busy`], [`StorageError::Refused`] and [`StorageError::Failed`]; the rows are then
-    /// as they were.
+    /// unchanged.
     fn commit(
         &self,
         changes: Vec<RowChange>,
     ) -> impl Future<Output = Result<(), StorageError>> + 'static;
 
-    /// A row of a commit that has ended; a row of one that is in progress may or may not be there yet.
+    /// Reads a row. Rows of completed commits are visible; rows of a commit in progress may be visible.
     ///
     /// # Errors
-    /// [`StorageError::Failed`]; [`StorageError::Refused`] for a moment after the disk refused a write.
+    /// [`StorageError::Failed`]; [`StorageError::Refused`] while the database is closed for recovery after
+    /// the disk refused a write.
     fn read(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StorageError>;
 
     /// Calls `visit` with the key and the value of each row of a table, in the order of the keys.
     ///
     /// # Errors
-    /// As for [`Storage::read`].
+    /// The errors of [`Storage::read`].
     fn scan(&self, table: Table, visit: &mut dyn FnMut(&[u8], &[u8])) -> Result<(), StorageError>;
 }
--- a/tier/store/src/storage/state_folder.rs
+++ b/tier/store/src/storage/state_folder.rs
@@ -1,8 +1,8 @@
-//! The state folder of a store: a database, and a file which says that the database's first sync is
-//! over.
+//! The state folder of a store: a database, and a file that marks the database as synced for the first
+//! time.
 //!
-//! A folder without that file, or with a database that cannot be read, counts as empty: the store starts
-//! as a new incarnation, which takes part only after it has copied the programs that it is a replica of.
+//! A folder without that file, or with a database that cannot be read, is treated as empty: the store
+//! starts as a new incarnation, which serves only after it has copied the programs of which it is a replica.
 
 use std::fs::{self, File};
 use std::io;
@@ -15,23 +15,23 @@
 
 use super::{FjallStorage, Storage, StorageError};
 
-/// Folder of the database.
+/// Name of the folder of the database.
 const DATABASE_FOLDER: &str = "rows";
-/// File that is made and synced once the incarnation is in the database.
+/// Name of the file that is created and synced once the incarnation is in the database.
 const READY_FILE: &str = "ready";
 
 /// An open state folder.
 pub struct StateFolder {
-    /// The rows.
+    /// The storage of the rows.
     pub storage: FjallStorage,
     /// The incarnation of this disk.
     pub incarnation: Incarnation,
 }
 
-/// Opens a state folder, or makes one with the incarnation `new_incarnation`.
+/// Opens a state folder, or creates one with the incarnation `new_incarnation`.
 ///
-/// Waits as long as the disk fails, as a full one does: the rows on it are abandoned only if they can
-/// never be read.
+/// Retries as long as the disk fails, for example because it is full: existing rows are discarded only if
+/// they are permanently unreadable.
 pub async fn open_state_folder(folder: &Path, new_incarnation: Incarnation) -> StateFolder {
     let mut backoff = Backoff::default();
     while folder.join(READY_FILE).exists() {
@@ -58,12 +58,15 @@
     }
 }
 
-/// Opens a database and writes to it: one on a full disk opens, and fails with its first write.
+/// Opens a database and writes to it, because a database on a full disk opens and only fails at its first
+/// write.
 async fn open_existing(folder: &Path) -> Result<StateFolder, StorageError> {
     let storage = FjallStorage::open(folder)?;
     let row = storage.read(Table::Metadata, INCARNATION_KEY)?;
     let Some(incarnation) = row.and_then(|row| decode_row(&row)) else {
-        return Err(StorageError::Unreadable("no incarnation".into()));
+        return Err(StorageError::Unreadable(
+            "the incarnation row is missing or invalid".into(),
+        ));
     };
     storage.commit(vec![incarnation_row(incarnation)]).await?;
     Ok(StateFolder {
@@ -72,8 +75,9 @@
     })
 }
 
-/// The order of writes makes a folder whose creation was interrupted count as empty: the ready file goes
-/// before the old database, and comes back only after the new database has its incarnation synced.
+/// Creates an empty state folder. The order of the steps ensures that a folder whose creation was
+/// interrupted is treated as empty: the ready file is removed before the old database, and created again
+/// only after the incarnation is synced in the new database.
 async fn create(folder: &Path, incarnation: Incarnation) -> Result<StateFolder, StorageError> {
     clear(folder).map_err(StorageError::failed)?;
     let storage = FjallStorage::open(&folder.join(DATABASE_FOLDER))?;
