--- a/tier/store/src/clock.rs
+++ b/tier/store/src/clock.rs
@@ -1,21 +1,21 @@
-//! The store's time of day. Expiry times on disk are read by it, so that it must not restart at zero.
+//! The store's time of day. Expiry times on disk are compared with it, so it must not restart at zero.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A time of day that never goes back while the process runs.
+/// A time of day that is monotonic while the process runs.
 pub trait Clock: 'static {
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     fn now_ms(&self) -> u64;
 }
 
-/// The machine's time of day at the start of the process, and its monotonic clock from then on.
+/// The machine's time of day at the start of the process, advanced by its monotonic clock.
 pub struct SystemClock {
     start_ms: u64,
     started: Instant,
 }
 
 impl SystemClock {
-    /// Reads both clocks.
+    /// Starts a clock at the machine's current time of day.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/tier/store/src/control_plane.rs
+++ b/tier/store/src/control_plane.rs
@@ -1,5 +1,5 @@
-//! The store's subscription to the controllers: views of the stores come from them, and finished
-//! transfers are reported to them.
+//! The store's subscription to the controllers, which send views of the stores and receive reports of
+//! finished transfers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 use crate::peers::Peers;
 use crate::storage::Storage;
 
-/// A finished transfer is reported again while the view has not changed: messages are lost with
-/// connections.
+/// Interval at which a finished transfer is reported again until the view changes: a report is lost if its
+/// connection fails.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Installs the controllers' views in the node and reports its transfers, until the node's task ends.
+/// Installs the controllers' views in the node and reports its transfers until the task ends.
 pub async fn follow_control_plane<P: Peers, S: Storage, C: Clock>(
     node: Rc<Node<P, S, C>>,
     controllers: Vec<SocketAddr>,
@@ -49,7 +49,8 @@
     }
 }
 
-/// Reports when a transfer finishes, when the link to the controllers changes, and at an interval.
+/// Reports a finished transfer when it finishes, when the status of the subscription changes, and at an
+/// interval.
 async fn report_transfers<P: Peers, S: Storage, C: Clock>(
     node: &Rc<Node<P, S, C>>,
     subscription: &Subscription,
--- a/tier/store/src/lib.rs
+++ b/tier/store/src/lib.rs
@@ -1,8 +1,9 @@
-//! The storage process: conversations' retained turns and programs' token budgets on disk.
+//! The storage process, which keeps the retained turns of conversations and the token budgets of programs
+//! on disk.
 //!
 //! [`run`] starts the process. A [`node::Node`] answers proxies and other stores ([`peers`]) and owns all
-//! state of the store; [`storage`] is its disk; [`control_plane`] brings views of the stores and reports
-//! finished transfers. Everything but the thread that writes to the disk runs on one thread.
+//! state of the store; [`storage`] keeps its rows on disk; [`control_plane`] receives views of the stores
+//! and reports finished transfers. Everything except the disk writer runs on one thread.
 
 pub mod clock;
 pub mod control_plane;
--- a/tier/store/src/limits.rs
+++ b/tier/store/src/limits.rs
@@ -1,59 +1,63 @@
-//! Timeouts, intervals and bounds of a store.
+//! Timeouts, intervals and limits of a store.
 
 use std::time::Duration;
 
 use plankhill_settings::Settings;
 
-/// How long a store waits for another store: a round trip with a few syncs of a slow disk.
+/// Timeout of a call to another store: enough for a round trip and a few syncs of a slow disk.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a store works on a proxy's call; below the time after which proxies ask another store.
+/// Time limit for answering a proxy's call; shorter than the proxy's timeout of a call to one store.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long the preferred replica of a turn is waited for before all other stores are asked.
+/// Timeout of the preferred replica of a turn, after which all stores are called.
 pub const PREFERRED_REPLICA_TIMEOUT: Duration = Duration::from_millis(120);
-/// How often expired turns and accounts are dropped.
+/// Interval at which expired turns and accounts are removed.
 pub const EXPIRY_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How often a store that missed updates is called: a few times within any bound for catching up.
+/// Interval of calls to a store that missed updates: short enough for a few calls within any time limit
+/// for catching up.
 pub const HINT_DELIVERY_INTERVAL: Duration = Duration::from_millis(300);
-/// Backoff before a transfer from stores that failed is attempted again.
+/// Backoff before a transfer is retried from the stores that failed.
 pub const TRANSFER_RETRY_BACKOFF: Duration = Duration::from_millis(100);
-/// Interval of attempts to compare with the other stores after a start.
+/// Interval of the attempts to compare with the other stores after a start.
 pub const CATCH_UP_INTERVAL: Duration = Duration::from_millis(200);
-/// Such attempts at most: they cover a start at which all stores come back one after the other.
+/// Maximum number of these attempts: enough for a restart of all stores one after the other.
 pub const MAX_CATCH_UP_ATTEMPTS: u32 = 25;
-/// While a turn runs the chain that it continues is retained for at least this time, in milliseconds.
+/// Minimum time, in milliseconds, for which the chain that a running turn continues is retained from the
+/// turn's reservation on.
 pub const RUNNING_TURN_TTL_MS: u64 = 60_000;
-/// Bytes of one chain: less than what fits into one frame.
+/// Maximum bytes of one chain: less than the maximum size of a frame.
 pub const MAX_CHAIN_BYTES: usize = 24 * 1024 * 1024;
-/// Bytes of turns in one message between stores, unless one turn alone is larger.
+/// Bytes of turns at which one message between stores is complete; its last turn may exceed the limit.
 pub const MAX_MESSAGE_BYTES: usize = 512 * 1024;
-/// Programs in one page of a list, and turns in one request for turns.
+/// Maximum number of programs in one page of a list, and of turns in one request for turns.
 pub const MAX_PAGE_ENTRIES: usize = 512;
-/// Updates in one repair.
+/// Maximum number of updates in one repair.
 pub const MAX_REPAIR_UPDATES: usize = 256;
-/// Hints about one store; what it misses beyond that is only repaired when it starts and compares.
+/// Maximum number of hints for one store. Further missed updates are repaired only by the comparison with
+/// the other stores after the store's next start.
 pub const MAX_HINTS_PER_STORE: usize = 50_000;
 
-/// Fraction of the disk that turns take up: the database needs space for its journals and for merging
-/// tables.
+/// Fraction of the disk that turns may use: the database also needs space for its journals and for
+/// compaction.
 const DISK_FRACTION: f64 = 0.35;
-/// Fraction of the memory that the index of turns and accounts takes up, beside the database's caches.
+/// Fraction of the memory that the index of turns and accounts may use, in addition to the database's
+/// caches.
 const MEMORY_FRACTION: f64 = 0.35;
-/// Turns are retained longer than asked by at least this, for turns that continue them at the last
-/// moment.
+/// Minimum time for which turns are retained beyond the requested retention, for turns that continue them
+/// at its very end.
 const MIN_RETENTION_SLACK: Duration = Duration::from_millis(10_000);
 
-/// Bounds that follow from the settings.
+/// Limits that are derived from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Milliseconds that turns are retained longer than asked: clocks differ, and a step of the machine's
-    /// clock counts when a process starts anew.
+    /// Milliseconds for which turns are retained beyond the requested retention. This covers clock skew
+    /// between machines, and steps of the machine's clock, which take effect when a process restarts.
     pub retention_slack_ms: u64,
-    /// Bytes of turns and accounts.
+    /// Maximum bytes of turns and accounts.
     pub max_index_bytes: u64,
 }
 
 impl Limits {
-    /// The limits of a process with these settings.
+    /// Derives the limits of a process from its settings.
     pub fn from_settings(settings: &Settings) -> Self {
         let slack = MIN_RETENTION_SLACK.max(2 * settings.bounds.max_skew());
         let disk_bytes = settings.limits.disk_bytes() as f64 * DISK_FRACTION;
--- a/tier/store/src/peers.rs
+++ b/tier/store/src/peers.rs
@@ -1,4 +1,4 @@
-//! How a store calls other stores.
+//! Calls from a store to other stores.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,8 +11,8 @@
 use plankhill_protocol::ids::NodeId;
 use plankhill_protocol::transport::{CallError, Caller, Channel, Hello};
 
-/// Open connections; views have far fewer stores. Beyond the bound all are closed, so that the
-/// addresses of stores that are gone do not pile up.
+/// Maximum number of open connections; views have far fewer stores. At the limit all connections are
+/// closed, so that connections to removed stores do not accumulate.
 const MAX_CONNECTIONS: usize = 256;
 
 /// Calls other stores.
@@ -20,7 +20,7 @@
     /// Calls a store once.
     ///
     /// # Errors
-    /// [`CallError`] if no answer comes within `timeout`.
+    /// [`CallError`] if no reply arrives within `timeout`.
     fn call(
         &self,
         address: SocketAddr,
@@ -36,7 +36,7 @@
 }
 
 impl TcpPeers {
-    /// Calls in the name of the machine `node`.
+    /// Creates a caller that identifies itself to other stores as the machine `node`.
     pub fn new(node: NodeId) -> Self {
         TcpPeers {
             node,
--- a/tier/store/src/process.rs
+++ b/tier/store/src/process.rs
@@ -1,4 +1,4 @@
-//! The process around a node: its folder, listener, signals, and its end.
+//! The process that runs a node: state folder, listener, signals and shutdown.
 
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
@@ -22,19 +22,19 @@
 use crate::peers::TcpPeers;
 use crate::storage::{open_state_folder, FjallStorage, StorageError};
 
-/// How often the process looks whether its disk has failed.
+/// Interval at which the process checks whether its disk has failed.
 const STORAGE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why the process ended.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The settings name no folder for data.
+    /// The settings have no `data_path`.
     #[error("settings: data_path is missing")]
     NoDataPath,
-    /// The operating system refused a runtime or a signal handler.
+    /// The runtime or a signal handler could not be created.
     #[error("start: {0}")]
     Start(#[from] io::Error),
-    /// The store's address cannot be listened at.
+    /// The store cannot listen at its address.
     #[error("start: {0}")]
     Listen(#[from] ListenError),
     /// The state folder could not be read.
@@ -47,7 +47,7 @@
 
 type StoreNode = Node<TcpPeers, FjallStorage, SystemClock>;
 
-/// Runs the store until a signal (SIGTERM or SIGINT) ends it.
+/// Runs the store until SIGTERM or SIGINT.
 ///
 /// # Errors
 /// [`RunError`] when the store cannot start, or its disk fails.
@@ -77,7 +77,7 @@
     tokio::select! {
         () = terminated => {
             serving.abort();
-            // Calls in progress get their answers.
+            // Calls in progress are still answered.
             tokio::time::sleep(CALL_TIMEOUT).await;
             tracing::info!("store stopped");
             Ok(())
@@ -87,7 +87,7 @@
 }
 
 async fn open_node(settings: &Settings, folder: PathBuf) -> Result<Rc<StoreNode>, RunError> {
-    let opened = open_state_folder(&folder, draw_incarnation()).await;
+    let opened = open_state_folder(&folder, generate_incarnation()).await;
     let node = NodeId::from(settings.node_id.as_str());
     let identity = StoreMember {
         node: node.clone(),
@@ -119,12 +119,12 @@
     }
 }
 
-/// A future that ends with SIGTERM or SIGINT.
+/// Returns a future that completes on SIGTERM or SIGINT.
 fn termination_signal() -> io::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    // Controllers' addresses come with the feed, so a store reloads nothing; without a handler the
-    // signal would end the process.
+    // The feed delivers the controllers' addresses, so a store has nothing to reload on SIGHUP; without a
+    // handler the signal would terminate the process.
     let _reload = signal(SignalKind::hangup())?;
     Ok(async move {
         tokio::select! {
@@ -134,8 +134,9 @@
     })
 }
 
-/// A number that no other incarnation of a disk has: from the system's random source and the time of day.
-fn draw_incarnation() -> Incarnation {
+/// Generates a number that no other incarnation of a disk has, from the system's random source, the time
+/// of day and the process id.
+fn generate_incarnation() -> Incarnation {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
