--- a/tier/store/tests/epoch_fence.rs
+++ b/tier/store/tests/epoch_fence.rs
@@ -1,4 +1,4 @@
-//! A store that has missed a change of the view cannot grant tokens that the new set has granted already.
+//! Tests that a store that has missed a view change cannot grant tokens that the new set has already granted.
 
 mod simulation;
 
@@ -51,11 +51,12 @@
     }
 }
 
-/// Stores 1 and 2 are replaced by 3 and 4 while 1 is isolated; then proxies call 3 and, with an old view, 1.
-async fn ask_both_sets(bug: SeededBug) -> (StoreReply, StoreReply) {
+/// Replaces stores 1 and 2 by 3 and 4 while 1 is isolated; then reserves tokens at 3 and, with an old view,
+/// at 1. Returns both replies.
+async fn reserve_at_both_sets(bug: SeededBug) -> (StoreReply, StoreReply) {
     let world = World::new(7, 3, 1, bug);
-    world.keeps_retired.set(true);
-    tokio::task::spawn_local(world.clone().run_control());
+    world.retains_retired.set(true);
+    tokio::task::spawn_local(world.clone().run_control_plane());
     tokio::time::sleep(milliseconds(200)).await;
     world.network.borrow_mut().control_blocked.insert(store(1));
     set_isolated(&world, 1, true);
@@ -81,15 +82,15 @@
 }
 
 #[test]
-fn a_store_left_behind_learns_of_the_new_view() {
-    let (granted, late) = run(ask_both_sets(SeededBug::None));
+fn a_store_that_missed_a_view_change_grants_no_tokens_again() {
+    let (granted, late) = run(reserve_at_both_sets(SeededBug::None));
     assert!(matches!(granted, StoreReply::Begun { .. }), "{granted:?}");
     assert_eq!(late, StoreReply::BudgetExhausted);
 }
 
 #[test]
 fn without_epoch_fencing_both_sets_grant() {
-    let (granted, late) = run(ask_both_sets(SeededBug::NoEpochFencing));
+    let (granted, late) = run(reserve_at_both_sets(SeededBug::NoEpochFencing));
     assert!(matches!(granted, StoreReply::Begun { .. }), "{granted:?}");
     assert!(matches!(late, StoreReply::Begun { .. }), "{late:?}");
 }
--- a/tier/store/tests/full_disk.rs
+++ b/tier/store/tests/full_disk.rs
@@ -1,4 +1,4 @@
-//! Answers of a store with a full disk, and the writes that it makes up for afterwards.
+//! Tests of a store with a full disk: its replies, and the writes that it repeats once the disk has space.
 
 mod simulation;
 
@@ -16,7 +16,7 @@
     NodeId::from(format!("store-{number}").as_str())
 }
 
-async fn ask(world: &Rc<World>, at: u64, request: StoreRequest) -> StoreResponse {
+async fn call_store(world: &Rc<World>, at: u64, request: StoreRequest) -> StoreResponse {
     let address = world.machines.borrow()[&store(at)].member.address;
     world
         .call(None, address, request, Duration::from_secs(2))
@@ -24,10 +24,10 @@
         .expect("an answer")
 }
 
-/// Calls as a store of the current view.
-async fn ask_peer(world: &Rc<World>, at: u64, body: PeerRequest) -> PeerResponse {
+/// Calls a store as another store of the current view.
+async fn call_as_peer(world: &Rc<World>, at: u64, body: PeerRequest) -> PeerResponse {
     let epoch = world.view.borrow().epoch;
-    match ask(world, at, StoreRequest::Peer(PeerCall { epoch, body })).await {
+    match call_store(world, at, StoreRequest::Peer(PeerCall { epoch, body })).await {
         StoreResponse::Peer(reply) => reply.body,
         StoreResponse::Proxy(reply) => panic!("{reply:?}"),
     }
@@ -60,28 +60,31 @@
     world.machines.borrow()[&store(at)].disk.set_refusing(full);
 }
 
-/// Guards the end of a turn that was merged in memory while the disk refused its row: a repeat of the end changes
-/// nothing in memory, and was once acknowledged without ever being written.
+/// Guards against an acknowledged end of a turn that is never written. The end is merged in memory while the disk
+/// refuses its row; a repeat of the end then changes nothing in memory, but must still write the row.
 #[test]
 fn a_repeated_end_is_synced_before_it_is_acknowledged() {
     run(async {
         let world = World::new(7, 3, 1, SeededBug::None);
-        tokio::task::spawn_local(world.clone().run_control());
+        tokio::task::spawn_local(world.clone().run_control_plane());
         tokio::time::sleep(milliseconds(200)).await;
         assert!(matches!(
-            ask_peer(&world, 0, reserve()).await,
+            call_as_peer(&world, 0, reserve()).await,
             PeerResponse::Account(_)
         ));
         set_disk_full(&world, 0, true);
         assert_eq!(
-            ask_peer(&world, 0, committed(7)).await,
+            call_as_peer(&world, 0, committed(7)).await,
             PeerResponse::Unavailable
         );
         set_disk_full(&world, 0, false);
-        assert_eq!(ask_peer(&world, 0, committed(7)).await, PeerResponse::Done);
+        assert_eq!(
+            call_as_peer(&world, 0, committed(7)).await,
+            PeerResponse::Done
+        );
         world.kill(&store(0));
         world.start(&store(0));
-        let PeerResponse::Account(account) = ask_peer(&world, 0, reserve()).await else {
+        let PeerResponse::Account(account) = call_as_peer(&world, 0, reserve()).await else {
             panic!("no account")
         };
         assert_eq!(
@@ -92,16 +95,17 @@
     });
 }
 
-/// Two of three stores are a quorum for every turn; a store with a full disk calls the others.
+/// With one full disk the two other stores are a quorum for every turn, also if the store with the full disk
+/// coordinates. With two full disks there is no quorum.
 #[test]
 fn one_full_disk_rejects_no_turn_and_two_are_reported_as_unavailable() {
     run(async {
         let world = World::new(8, 3, 1, SeededBug::None);
-        tokio::task::spawn_local(world.clone().run_control());
+        tokio::task::spawn_local(world.clone().run_control_plane());
         tokio::time::sleep(milliseconds(200)).await;
         set_disk_full(&world, 0, true);
         for at in 0..3 {
-            let reply = ask(&world, at, StoreRequest::Proxy(begin(at))).await;
+            let reply = call_store(&world, at, StoreRequest::Proxy(begin(at))).await;
             assert!(
                 matches!(reply, StoreResponse::Proxy(StoreReply::Begun { .. })),
                 "{at}: {reply:?}"
@@ -109,7 +113,7 @@
         }
         set_disk_full(&world, 1, true);
         for at in 0..3 {
-            let reply = ask(&world, at, StoreRequest::Proxy(begin(10 + at))).await;
+            let reply = call_store(&world, at, StoreRequest::Proxy(begin(10 + at))).await;
             assert!(
                 matches!(reply, StoreResponse::Proxy(StoreReply::Unavailable)),
                 "{at}: {reply:?}"
@@ -120,7 +124,7 @@
             .borrow()
             .values()
             .any(|machine| machine.node().is_some_and(|node| node.has_storage_failed()));
-        assert!(!failed, "the stores stay up");
+        assert!(!failed, "a full disk must not end a store");
         world.ended.set(true);
     });
 }
--- a/tier/store/tests/simulation/control.rs
+++ b/tier/store/tests/simulation/control.rs
@@ -1,4 +1,4 @@
-//! The control plane as far as stores see it: one view after the other.
+//! A simulated control plane, which publishes a sequence of views.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use super::{milliseconds, SeededBug, World};
 
 impl World {
-    /// The first view: all machines that are there.
+    /// Publishes the first view, which contains all machines.
     pub fn publish_first_view(self: &Rc<Self>) {
         let serving = self.desired_members();
         let faults = if self.bug == SeededBug::NoSpareReplicas {
@@ -25,7 +25,7 @@
         self.publish_view();
     }
 
-    /// The stores that are to serve: all that are not to be retired, each as it is now.
+    /// The desired set of stores: the current entries of all machines that are not being retired.
     fn desired_members(&self) -> Vec<StoreMember> {
         let retired = self.retired.borrow();
         let machines = self.machines.borrow();
@@ -35,15 +35,15 @@
             .collect()
     }
 
-    /// Changes views as needed, for as long as the world goes on.
-    pub async fn run_control(self: Rc<Self>) {
+    /// Changes the view as needed until the simulation ends.
+    pub async fn run_control_plane(self: Rc<Self>) {
         while !self.ended.get() {
             tokio::time::sleep(milliseconds(20)).await;
             if let Some(view) = self.next_view() {
                 *self.view.borrow_mut() = view;
                 self.publish_view();
             }
-            if self.chance(20) {
+            if self.random_bool(20) {
                 self.publish_view();
             }
             self.remove_retired();
@@ -90,12 +90,12 @@
         reached && machine.member == *member && copied == Some(view.epoch)
     }
 
-    /// Sends the view to all stores, to each after a delay of its own.
+    /// Sends the view to all stores, each after a random delay.
     pub fn publish_view(self: &Rc<Self>) {
         for node in self.nodes() {
             let (world, view) = (self.clone(), self.view.borrow().clone());
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(milliseconds(world.within(2..80))).await;
+                tokio::time::sleep(milliseconds(world.random_range(2..80))).await;
                 world.deliver_view(&node, &view);
             });
         }
@@ -114,30 +114,30 @@
             .frozen_until
             .is_some_and(|until| until > tokio::time::Instant::now());
         if let Some(running) = machine.node().filter(|_| !is_blocked && !frozen) {
-            // Inside the machine's own process: tasks of the view end with the process.
+            // Run inside the machine's process, so that the tasks of the view end with the process.
             let view = view.clone();
-            machine.inside(async move { running.install_view(&view) });
+            machine.spawn_in_process(async move { running.install_view(&view) });
         }
     }
 
-    /// A retired machine that is in no set any more is taken away with its disk.
+    /// Removes retired machines that are in no set of the view any more, with their disks.
     fn remove_retired(&self) {
-        if self.keeps_retired.get() {
+        if self.retains_retired.get() {
             return;
         }
         let view = self.view.borrow().clone();
-        let named = |node: &NodeId| {
+        let is_in_view = |node: &NodeId| {
             let mut members = view.serving.iter().chain(view.next.iter().flatten());
             members.any(|member| member.node == *node)
         };
-        let gone: Vec<NodeId> = self
+        let removable: Vec<NodeId> = self
             .retired
             .borrow()
             .iter()
-            .filter(|node| !named(node))
+            .filter(|node| !is_in_view(node))
             .cloned()
             .collect();
-        for node in &gone {
+        for node in &removable {
             self.remove(node);
         }
     }
--- a/tier/store/tests/simulation/faults.rs
+++ b/tier/store/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that come one after the other, never more at once than the tier tolerates.
+//! Faults, injected one after the other so that never more are active at once than the tier tolerates.
 
 use std::rc::Rc;
 
@@ -6,37 +6,37 @@
 
 use super::{milliseconds, World};
 
-/// After its return a machine still counts as lost for this time.
+/// Time for which a machine still counts as faulty after its restart or recovery.
 pub const CATCH_UP_MS: u64 = 4_100;
 
-/// How long no view of the control plane reaches a store.
+/// Time for which no view of the control plane reaches a store.
 const CONTROL_BLOCKED_MS: u64 = 4_000;
 
-/// What happens to one machine, or to all.
+/// A fault of one machine, of several or of all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     Kill,
     Wipe,
     Freeze,
     Isolate,
-    /// One receives all messages and its own reach no machine, or the other way round.
+    /// A machine receives all messages but its own messages reach no machine, or vice versa.
     IsolateOneWay,
     SlowDisk,
-    /// The disk takes no writes for a while.
+    /// The disk fails for a while; the process restarts once the disk works again.
     FailingDisk,
-    /// The disk is full for a while; the process goes on.
+    /// The disk is full for a while; the process keeps running.
     FullDisk,
     Retire,
     Add,
-    /// One is replaced by an empty one at another address.
+    /// A machine is replaced by an empty one at another address.
     Replace,
-    /// No view of the control plane reaches one for a while; the next fault comes meanwhile.
+    /// No view of the control plane reaches a machine for a while; the next fault is injected meanwhile.
     BlockControlPlane,
-    /// All lose power.
-    Power,
-    /// One loses its disk while all others lose power.
-    PowerAndWipe,
-    /// One loses its disk, and another one loses power before the first has copied anything.
+    /// All machines lose power.
+    PowerLoss,
+    /// A machine loses its disk while all others lose power.
+    PowerLossAndWipe,
+    /// A machine loses its disk, and another one is killed soon after the first has restarted.
     WipeThenKill,
     /// Several processes are killed at once.
     KillSeveral,
@@ -55,8 +55,8 @@
     Fault::Add,
     Fault::Replace,
     Fault::BlockControlPlane,
-    Fault::Power,
-    Fault::PowerAndWipe,
+    Fault::PowerLoss,
+    Fault::PowerLossAndWipe,
     Fault::WipeThenKill,
     Fault::KillSeveral,
 ];
@@ -70,16 +70,16 @@
             fault_kinds
         };
         for number in 0..count {
-            tokio::time::sleep(milliseconds(self.within(50..1_500))).await;
-            let kind = fault_kinds[self.within(0..fault_kinds.len() as u64) as usize];
+            tokio::time::sleep(milliseconds(self.random_range(50..1_500))).await;
+            let kind = fault_kinds[self.random_range(0..fault_kinds.len() as u64) as usize];
             self.inject(kind, 100 + number).await;
         }
     }
 
     async fn inject(self: &Rc<Self>, kind: Fault, number: u64) {
         let nodes = self.nodes();
-        let node = nodes[self.within(0..nodes.len() as u64) as usize].clone();
-        let downtime_ms = self.within(20..2_500);
+        let node = nodes[self.random_range(0..nodes.len() as u64) as usize].clone();
+        let downtime_ms = self.random_range(20..2_500);
         match kind {
             Fault::Kill => {
                 self.kill(&node);
@@ -95,7 +95,7 @@
             }
             Fault::Isolate => self.isolate(&node, true, true, downtime_ms).await,
             Fault::IsolateOneWay => {
-                let is_receiving = self.chance(50);
+                let is_receiving = self.random_bool(50);
                 self.isolate(&node, !is_receiving, is_receiving, downtime_ms)
                     .await;
             }
@@ -112,17 +112,18 @@
                 self.wipe(&node);
                 tokio::time::sleep(milliseconds(downtime_ms)).await;
                 self.start(&node);
-                tokio::time::sleep(milliseconds(self.within(0..700))).await;
-                let other = nodes[self.within(0..nodes.len() as u64) as usize].clone();
+                tokio::time::sleep(milliseconds(self.random_range(0..700))).await;
+                let other = nodes[self.random_range(0..nodes.len() as u64) as usize].clone();
                 self.kill(&other);
                 self.restart_after(&other, 1_500).await;
             }
             Fault::KillSeveral => {
-                let killed: Vec<NodeId> = nodes.into_iter().filter(|_| self.chance(60)).collect();
+                let killed: Vec<NodeId> =
+                    nodes.into_iter().filter(|_| self.random_bool(60)).collect();
                 for node in &killed {
                     self.kill(node);
                 }
-                tokio::time::sleep(milliseconds(self.within(20..1_000))).await;
+                tokio::time::sleep(milliseconds(self.random_range(20..1_000))).await;
                 for node in &killed {
                     self.start(node);
                 }
@@ -134,7 +135,9 @@
                 tokio::time::sleep(milliseconds(downtime_ms)).await;
             }
             Fault::BlockControlPlane => self.block_control_plane(&node),
-            Fault::Power | Fault::PowerAndWipe => self.power(&node, kind, downtime_ms).await,
+            Fault::PowerLoss | Fault::PowerLossAndWipe => {
+                self.power_loss(&node, kind, downtime_ms).await
+            }
         }
     }
 
@@ -150,11 +153,15 @@
         });
     }
 
-    async fn isolate(&self, node: &NodeId, to: bool, from: bool, downtime_ms: u64) {
+    async fn isolate(&self, node: &NodeId, inbound: bool, outbound: bool, downtime_ms: u64) {
         {
             let mut network = self.network.borrow_mut();
-            network.outbound_blocked.extend(from.then(|| node.clone()));
-            network.inbound_blocked.extend(to.then(|| node.clone()));
+            network
+                .outbound_blocked
+                .extend(outbound.then(|| node.clone()));
+            network
+                .inbound_blocked
+                .extend(inbound.then(|| node.clone()));
         }
         tokio::time::sleep(milliseconds(downtime_ms)).await;
         self.network.borrow_mut().outbound_blocked.remove(node);
@@ -162,7 +169,7 @@
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
     }
 
-    /// The disk fails; the process ends, and starts anew once the disk works again.
+    /// Makes the disk fail; the process ends, and restarts once the disk works again.
     async fn failing_disk(self: &Rc<Self>, node: &NodeId, downtime_ms: u64) {
         let Some(disk) = self.disk(node) else {
             return;
@@ -174,7 +181,7 @@
         self.restart_after(node, 100).await;
     }
 
-    /// The disk is full; the process refuses writes, and goes on reading and repairing.
+    /// Makes the disk full; the process refuses writes, and continues to read and repair.
     async fn full_disk(&self, node: &NodeId, downtime_ms: u64) {
         let Some(disk) = self.disk(node) else {
             return;
@@ -204,7 +211,7 @@
         tokio::time::sleep(milliseconds(CATCH_UP_MS)).await;
     }
 
-    /// Retires a store if enough stores are left, and wipes another one as soon as the first is gone.
+    /// Retires a store if enough others remain, and wipes another one as soon as the first is removed.
     async fn retire(self: &Rc<Self>, node: &NodeId) {
         let min_stores = 2 * self.tolerated_faults as usize + 1;
         if self.nodes().len() <= min_stores {
@@ -215,17 +222,17 @@
             tokio::time::sleep(milliseconds(10)).await;
         }
         let nodes = self.nodes();
-        let other = nodes[self.within(0..nodes.len() as u64) as usize].clone();
+        let other = nodes[self.random_range(0..nodes.len() as u64) as usize].clone();
         self.wipe(&other);
         self.restart_after(&other, 100).await;
     }
 
-    async fn power(self: &Rc<Self>, node: &NodeId, kind: Fault, downtime_ms: u64) {
+    async fn power_loss(self: &Rc<Self>, node: &NodeId, kind: Fault, downtime_ms: u64) {
         let nodes = self.nodes();
         for node in &nodes {
             self.kill(node);
         }
-        if kind == Fault::PowerAndWipe {
+        if kind == Fault::PowerLossAndWipe {
             self.wipe(node);
         }
         tokio::time::sleep(milliseconds(downtime_ms.min(1_000))).await;
--- a/tier/store/tests/simulation/machine.rs
+++ b/tier/store/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! The machines that stores run on.
+//! Simulated machines, each of which runs a store.
 
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,10 +23,10 @@
 use super::{milliseconds, SeededBug, World};
 
 pub type StoreNode = Node<SimulatedPeers, MemoryStorage, SimulatedClock>;
-type LocalWork = Pin<Box<dyn Future<Output = ()>>>;
+type LocalTask = Pin<Box<dyn Future<Output = ()>>>;
 type Calls = mpsc::UnboundedSender<(StoreRequest, oneshot::Sender<StoreResponse>)>;
 
-/// Virtual time as a time of day.
+/// A time of day that follows virtual time.
 pub struct SimulatedClock {
     started: Instant,
     speed: u64,
@@ -45,11 +45,11 @@
     process: Option<Process>,
 }
 
-/// A running store.
+/// The running process of a store.
 struct Process {
     node: Rc<StoreNode>,
     calls: Calls,
-    work: mpsc::UnboundedSender<LocalWork>,
+    tasks: mpsc::UnboundedSender<LocalTask>,
     task: AbortHandle,
 }
 
@@ -60,20 +60,20 @@
 }
 
 impl Machine {
-    pub fn queue(&self) -> Option<Calls> {
+    pub fn call_queue(&self) -> Option<Calls> {
         self.process.as_ref().map(|process| process.calls.clone())
     }
 
-    /// Whether the turn is on the disk.
+    /// Returns whether the turn is on the disk.
     pub fn has_turn(&self, turn: &RequestId) -> bool {
         matches!(self.disk.read(Table::Turns, &turn_key(turn)), Ok(Some(_)))
     }
 
-    /// Runs work inside the process; the work ends with the process.
-    pub fn inside(&self, work: impl Future<Output = ()> + 'static) {
+    /// Runs a task inside the process; the task ends with the process.
+    pub fn spawn_in_process(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(process) = &self.process {
-            // A process that is ending does nothing more.
-            let _ = process.work.send(Box::pin(work));
+            // Fails only if the process is ending; the task is then dropped.
+            let _ = process.tasks.send(Box::pin(task));
         }
     }
 
@@ -88,7 +88,7 @@
         self.add_machine_named(number, &NodeId::from(name.as_str()));
     }
 
-    /// A machine with an empty disk at the address that goes with the number.
+    /// Adds a machine with an empty disk at an address derived from the number, and starts it.
     pub fn add_machine_named(self: &Rc<Self>, number: u64, node: &NodeId) {
         let ip = Ipv4Addr::new(10, 0, 0, 1 + number as u8);
         let member = StoreMember {
@@ -97,7 +97,7 @@
             address: SocketAddr::from((ip, 7_000)),
             zone: ZoneName::from(format!("zone-{}", number % 3).as_str()),
         };
-        let disk = MemoryStorage::new(milliseconds(self.within(2..10)));
+        let disk = MemoryStorage::new(milliseconds(self.random_range(2..10)));
         disk.set_ignores_syncs(self.bug == SeededBug::DisksIgnoreSyncs);
         let machine = Machine {
             member,
@@ -117,7 +117,7 @@
         found.map(|(node, _)| node.clone())
     }
 
-    /// Starts the process of a machine that is there and not running.
+    /// Starts the process of a machine, unless the machine does not exist or its process is running.
     pub fn start(self: &Rc<Self>, node: &NodeId) {
         let mut machines = self.machines.borrow_mut();
         let Some(machine) = machines
@@ -150,29 +150,29 @@
         let process = LocalSet::new();
         let started = Node::load(parts).expect("disks in memory can be read");
         let (calls, queue) = mpsc::unbounded_channel();
-        let (work, tasks) = mpsc::unbounded_channel();
-        process.spawn_local(do_work(tasks));
+        let (tasks, task_queue) = mpsc::unbounded_channel();
+        process.spawn_local(run_tasks(task_queue));
         process.spawn_local(started.clone().run());
         process.spawn_local(answer_calls(started.clone(), queue));
         let task = tokio::task::spawn_local(process).abort_handle();
         machine.process = Some(Process {
             node: started,
             calls,
-            work,
+            tasks,
             task,
         });
     }
 
-    /// Ends the process; what its disk has not synced is lost.
+    /// Ends the process; commits that the disk has not synced are lost.
     pub fn kill(&self, node: &NodeId) {
-        self.forget_refusals(node);
+        self.clear_refusals(node);
         if let Some(machine) = self.machines.borrow_mut().get_mut(node) {
             machine.process = None;
             machine.disk.lose_power();
         }
     }
 
-    /// Ends the process; its disk is empty afterwards.
+    /// Ends the process and empties its disk.
     pub fn wipe(&self, node: &NodeId) {
         self.kill(node);
         if let Some(machine) = self.machines.borrow_mut().get_mut(node) {
@@ -183,13 +183,13 @@
         }
     }
 
-    pub fn freeze(&self, node: &NodeId, milliseconds_long: u64) {
+    pub fn freeze(&self, node: &NodeId, duration_ms: u64) {
         if let Some(machine) = self.machines.borrow_mut().get_mut(node) {
-            machine.frozen_until = Some(Instant::now() + milliseconds(milliseconds_long));
+            machine.frozen_until = Some(Instant::now() + milliseconds(duration_ms));
         }
     }
 
-    /// Takes the machine away with its disk.
+    /// Removes the machine with its disk.
     pub fn remove(&self, node: &NodeId) {
         self.kill(node);
         self.machines.borrow_mut().remove(node);
@@ -200,7 +200,7 @@
         machines.get(node).map(|machine| machine.disk.clone())
     }
 
-    /// The machines that are there.
+    /// The machines that currently exist.
     pub fn nodes(&self) -> Vec<NodeId> {
         self.machines.borrow().keys().cloned().collect()
     }
@@ -213,14 +213,14 @@
     while let Some((request, answer)) = queue.recv().await {
         let node = node.clone();
         tokio::task::spawn_local(async move {
-            // The caller may have stopped waiting.
+            // The receiver is dropped if the caller has stopped waiting.
             let _ = answer.send(node.answer(request).await);
         });
     }
 }
 
-async fn do_work(mut tasks: mpsc::UnboundedReceiver<LocalWork>) {
-    while let Some(work) = tasks.recv().await {
-        tokio::task::spawn_local(work);
+async fn run_tasks(mut queue: mpsc::UnboundedReceiver<LocalTask>) {
+    while let Some(task) = queue.recv().await {
+        tokio::task::spawn_local(task);
     }
 }
--- a/tier/store/tests/simulation/memory_storage.rs
+++ b/tier/store/tests/simulation/memory_storage.rs
@@ -1,6 +1,6 @@
-//! Rows in memory with the latency and the losses of a disk.
+//! A storage in memory that simulates the latency and the data loss of a disk.
 
-// Each test uses a part of this storage.
+// Each test uses only a part of this storage.
 #![allow(dead_code)]
 
 use std::cell::{Cell, RefCell};
@@ -13,12 +13,12 @@
 use plankhill_store::storage::{Storage, StorageError};
 use tokio::time::Instant;
 
-/// How much longer than a sync a write takes on a disk that ignores syncs.
+/// Additional delay of a write on a disk that ignores syncs, as a multiple of the sync time.
 const UNSYNCED_WRITE_SYNCS: u32 = 20;
 
 type Rows = BTreeMap<(Table, Vec<u8>), Vec<u8>>;
 
-/// Rows in memory. Clones share them, as processes that start one after the other share a disk.
+/// Rows in memory. Clones share the rows, like successive processes on the same disk.
 #[derive(Clone, Default)]
 pub struct MemoryStorage {
     disk: Rc<SimulatedDisk>,
@@ -32,46 +32,46 @@
     is_failing: Cell<bool>,
     is_refusing: Cell<bool>,
     ignores_syncs: Cell<bool>,
-    /// Number of losses of power so far: a commit from before the last one is lost.
+    /// Number of power losses so far; an unsynced commit from before the last power loss is lost.
     power_losses: Cell<u64>,
 }
 
 impl MemoryStorage {
-    /// An empty disk whose syncs take this long.
+    /// Creates an empty disk whose syncs take `sync_time`.
     pub fn new(sync_time: Duration) -> Self {
         let storage = MemoryStorage::default();
         storage.disk.sync_time.set(sync_time);
         storage
     }
 
-    /// Drops the commits in progress without a trace, as a loss of power does.
+    /// Drops the commits in progress, like a power loss.
     pub fn lose_power(&self) {
         self.disk.power_losses.set(self.disk.power_losses.get() + 1);
         self.disk.busy_until.set(None);
     }
 
-    /// Loses everything.
+    /// Removes all rows and drops the commits in progress.
     pub fn wipe(&self) {
         self.lose_power();
         self.disk.synced.borrow_mut().clear();
     }
 
-    /// From now on commits fail, or succeed again.
+    /// Sets whether commits fail.
     pub fn set_failing(&self, is_failing: bool) {
         self.disk.is_failing.set(is_failing);
     }
 
-    /// From now on commits are refused as by a full disk, or written again.
+    /// Sets whether commits are refused, as by a full disk.
     pub fn set_refusing(&self, is_refusing: bool) {
         self.disk.is_refusing.set(is_refusing);
     }
 
-    /// How long syncs take from now on.
+    /// Sets the duration of later syncs.
     pub fn set_sync_time(&self, sync_time: Duration) {
         self.disk.sync_time.set(sync_time);
     }
 
-    /// An injected fault: commits end before they are synced.
+    /// Sets whether commits complete before they are synced, which is an injected fault.
     pub fn set_ignores_syncs(&self, ignores_syncs: bool) {
         self.disk.ignores_syncs.set(ignores_syncs);
     }
@@ -86,7 +86,7 @@
         let power_losses = disk.power_losses.get();
         let synced_at = disk.schedule_sync();
         let (done, outcome) = tokio::sync::oneshot::channel();
-        // The disk goes on with what it was given, whether or not the caller waits.
+        // The disk completes a commit even if the caller has stopped waiting.
         tokio::task::spawn_local(async move {
             if disk.ignores_syncs.get() {
                 let _ = done.send(disk.outcome());
@@ -102,7 +102,7 @@
         async move {
             match outcome.await {
                 Ok(outcome) => outcome,
-                // The simulated process has ended with its tasks: the commit never ends.
+                // The simulated process has ended with its tasks, so the commit never completes.
                 Err(_) => std::future::pending().await,
             }
         }
@@ -128,12 +128,12 @@
 }
 
 impl SimulatedDisk {
-    /// When a commit that is called now is synced: it shares the sync that begins after its call.
+    /// Returns when a commit that is called now will be synced. The commit joins the next sync to begin.
     fn schedule_sync(&self) -> Instant {
         let now = Instant::now();
         let sync_time = self.sync_time.get();
         let synced_at = match self.busy_until.get() {
-            // A sync is in progress and another one waits already.
+            // A sync is in progress and the next one is already scheduled.
             Some(until) if until > now + sync_time => until,
             Some(until) if until > now => until + sync_time,
             _ => now + sync_time,
--- a/tier/store/tests/simulation/mod.rs
+++ b/tier/store/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! A simulated deployment in virtual time: stores, the control plane as far as stores see it, and proxies.
-//! A seed determines everything that happens.
+//! A simulated deployment in virtual time: stores, a control plane and proxies. Each run is determined by
+//! its seed.
 
-// Each test uses a part of the simulation.
+// Each test uses only a part of the simulation.
 #![allow(dead_code)]
 
 pub mod control;
@@ -9,7 +9,7 @@
 pub mod machine;
 pub mod memory_storage;
 pub mod network;
-pub mod programs;
+pub mod oracle;
 pub mod proxy;
 pub mod rng;
 pub mod scenario;
@@ -27,26 +27,26 @@
 
 use machine::Machine;
 use network::Network;
-use programs::Programs;
+use oracle::Oracle;
 use rng::Rng;
 
-/// A defect that a test puts into the deployment: the checks must detect it.
+/// A defect that a test injects into the deployment and that the checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
     None,
-    /// Disks say that they have synced before they have.
+    /// Disks report a commit as synced before it is.
     DisksIgnoreSyncs,
-    /// The views say that no fault has to be tolerated.
+    /// The number of tolerated faults in the views is 0.
     NoSpareReplicas,
-    /// A store with an empty disk keeps its old incarnation, and copies nothing.
+    /// A store with an emptied disk has the same incarnation as before, and copies nothing.
     SameIncarnation,
     /// The control plane does not wait for transfers.
     SwitchesBeforeTransfer,
     /// Stores answer reservations with empty accounts.
     AccountsNotSent,
-    /// Clocks run 20 times too fast.
+    /// Clocks of stores run 20 times too fast.
     FastClocks,
-    /// Stores do not refuse calls of older views.
+    /// Stores accept calls of any epoch.
     NoEpochFencing,
     /// Repairs are lost, and stores copy nothing.
     NoRepairs,
@@ -59,12 +59,12 @@
     pub network: RefCell<Network>,
     pub view: RefCell<StoreView>,
     pub retired: RefCell<Vec<NodeId>>,
-    pub programs: RefCell<Programs>,
+    pub oracle: RefCell<Oracle>,
     pub tolerated_faults: u32,
     pub started: Instant,
     pub ended: Cell<bool>,
-    /// Whether machines that are retired stay in place.
-    pub keeps_retired: Cell<bool>,
+    /// Whether retired machines keep running instead of being removed.
+    pub retains_retired: Cell<bool>,
 }
 
 impl World {
@@ -76,23 +76,23 @@
             network: RefCell::default(),
             view: RefCell::default(),
             retired: RefCell::default(),
-            programs: RefCell::default(),
+            oracle: RefCell::default(),
             tolerated_faults,
             started: Instant::now(),
             ended: Cell::new(false),
-            keeps_retired: Cell::new(false),
+            retains_retired: Cell::new(false),
         });
         (0..stores).for_each(|number| world.add_machine(number));
         world.publish_first_view();
         world
     }
 
-    pub fn within(&self, range: std::ops::Range<u64>) -> u64 {
-        self.rng.borrow_mut().within(range)
+    pub fn random_range(&self, range: std::ops::Range<u64>) -> u64 {
+        self.rng.borrow_mut().random_range(range)
     }
 
-    pub fn chance(&self, percent: u64) -> bool {
-        self.rng.borrow_mut().chance(percent)
+    pub fn random_bool(&self, percent: u64) -> bool {
+        self.rng.borrow_mut().random_bool(percent)
     }
 
     pub fn elapsed(&self) -> Duration {
--- a/tier/store/tests/simulation/network.rs
+++ b/tier/store/tests/simulation/network.rs
@@ -1,4 +1,5 @@
-//! Calls between machines: calls take time, are partitioned or lost, and wait for frozen machines.
+//! A simulated network: calls have latency, may be blocked by a partition or lost, and wait for frozen
+//! machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -20,18 +21,18 @@
 pub struct Network {
     /// Machines whose messages reach no machine.
     pub outbound_blocked: BTreeSet<NodeId>,
-    /// Machines that no message reaches.
+    /// Machines that receive no messages.
     pub inbound_blocked: BTreeSet<NodeId>,
-    /// Machines that no view of the control plane reaches.
+    /// Machines that receive no views from the control plane.
     pub control_blocked: BTreeSet<NodeId>,
-    /// Lost messages, in percent.
+    /// Percentage of messages that are lost.
     pub loss: u64,
-    /// The newest epoch by which a store has read that its own was refused.
+    /// For each store the newest epoch in a refusal that the store has received.
     refused_by: BTreeMap<NodeId, StoreEpoch>,
 }
 
 impl World {
-    /// One call from a machine (None: a proxy).
+    /// Makes one call from a machine, or from a proxy if `from` is None.
     pub async fn call(
         self: &Rc<Self>,
         from: Option<NodeId>,
@@ -43,7 +44,7 @@
         let world = self.clone();
         // A message in flight arrives even if its sender has stopped waiting.
         tokio::task::spawn_local(async move {
-            // The sender may have stopped waiting.
+            // The receiver is dropped if the sender has stopped waiting.
             let _ = answer.send(world.deliver(from, to, request).await);
         });
         match tokio::time::timeout(timeout, answered).await {
@@ -59,40 +60,40 @@
         request: StoreRequest,
     ) -> Result<StoreResponse, CallError> {
         let to = self.node_at(to).ok_or(CallError::NotSent)?;
-        self.pass(from.as_ref(), Some(&to)).await;
+        self.transmit(from.as_ref(), Some(&to)).await;
         let request = self.tamper_with_request(&to, request);
         let queue = self
             .machines
             .borrow()
             .get(&to)
-            .and_then(|machine| machine.queue());
+            .and_then(|machine| machine.call_queue());
         let (answer, answered) = oneshot::channel();
         queue
             .ok_or(CallError::NotSent)?
             .send((request, answer))
             .map_err(|_| CallError::NotSent)?;
         let answer = answered.await.map_err(|_| CallError::NoAnswer)?;
-        self.pass(Some(&to), from.as_ref()).await;
+        self.transmit(Some(&to), from.as_ref()).await;
         Ok(self.tamper_with_answer(answer))
     }
 
-    /// One way; does not end for a message that is lost.
-    async fn pass(&self, from: Option<&NodeId>, to: Option<&NodeId>) {
-        self.wait_until_thawed(from).await;
-        tokio::time::sleep(milliseconds(self.within(1..5))).await;
+    /// Transmits one message in one direction; never completes if the message is lost.
+    async fn transmit(&self, from: Option<&NodeId>, to: Option<&NodeId>) {
+        self.wait_until_unfrozen(from).await;
+        tokio::time::sleep(milliseconds(self.random_range(1..5))).await;
         let lost = {
             let network = self.network.borrow();
             let is_blocked = from.is_some_and(|from| network.outbound_blocked.contains(from))
                 || to.is_some_and(|to| network.inbound_blocked.contains(to));
-            is_blocked || self.chance(network.loss)
+            is_blocked || self.random_bool(network.loss)
         };
         if lost {
             std::future::pending::<()>().await;
         }
-        self.wait_until_thawed(to).await;
+        self.wait_until_unfrozen(to).await;
     }
 
-    async fn wait_until_thawed(&self, node: Option<&NodeId>) {
+    async fn wait_until_unfrozen(&self, node: Option<&NodeId>) {
         let Some(node) = node else { return };
         let until = self
             .machines
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Once a store has read a refusal, no call of it leaves with an older epoch.
+    /// Checks that a store that has received a refusal sends no call with an older epoch.
     fn check_fence(&self, from: &NodeId, epoch: StoreEpoch) {
         let network = self.network.borrow();
         if let Some(refused_by) = network.refused_by.get(from) {
@@ -121,8 +122,8 @@
         *refused_by = newer.max(*refused_by);
     }
 
-    /// The process of a store has ended, and what it knew is gone with it.
-    pub fn forget_refusals(&self, node: &NodeId) {
+    /// Clears the refusals that a store has received, because its process has ended.
+    pub fn clear_refusals(&self, node: &NodeId) {
         self.network.borrow_mut().refused_by.remove(node);
     }
 
@@ -160,7 +161,7 @@
     }
 }
 
-/// The network as one store sees it.
+/// The calls of one store to other stores, over the simulated network.
 pub struct SimulatedPeers {
     pub world: Weak<World>,
     pub from: NodeId,
--- a/tier/store/tests/simulation/oracle.rs
+++ b/tier/store/tests/simulation/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: what clients have seen, and the invariants on it.
+//! The test oracle: records the outcomes that clients have observed, and checks invariants on them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use plankhill_protocol::ids::{ProgramId, RequestId};
 use tokio::time::Instant;
 
-/// How long turns are retained in the simulation.
+/// Retention of turns in the simulation.
 pub const RETENTION: Duration = Duration::from_secs(60);
 
-/// What clients know of a turn.
+/// The state of a turn as observed by its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct ObservedTurn {
     pub max_tokens: u64,
     /// Tokens sent to the client so far.
     pub delivered_tokens: u64,
-    /// Whether the client knows that the turn is committed.
+    /// Whether the end of the turn was acknowledged.
     pub is_committed: bool,
 }
 
@@ -29,30 +29,31 @@
 }
 
 #[derive(Default)]
-pub struct Programs {
+pub struct Oracle {
     pub budgets: BTreeMap<ProgramId, u64>,
-    pub turns: BTreeMap<ProgramId, BTreeMap<RequestId, Turn>>,
+    pub turns: BTreeMap<ProgramId, BTreeMap<RequestId, ObservedTurn>>,
     pub answered: Vec<AnsweredTurn>,
     pub begun: u64,
     pub rejected: u64,
     pub unavailable: u64,
 }
 
-impl Programs {
+impl Oracle {
     pub fn budget(&self, program: &ProgramId) -> u64 {
         self.budgets.get(program).copied().unwrap_or(0)
     }
 
-    pub fn turn(&mut self, program: &ProgramId, turn: &RequestId) -> &mut Turn {
+    pub fn turn(&mut self, program: &ProgramId, turn: &RequestId) -> &mut ObservedTurn {
         let turns = self.turns.entry(program.clone()).or_default();
-        turns.entry(turn.clone()).or_insert(Turn {
+        turns.entry(turn.clone()).or_insert(ObservedTurn {
             max_tokens: 0,
             delivered_tokens: 0,
             is_committed: false,
         })
     }
 
-    /// Records tokens that are sent to a client; all of a program must fit into its budget.
+    /// Records tokens that are sent to a client, and checks that those of the program do not exceed its
+    /// budget.
     pub fn record_tokens(&mut self, program: &ProgramId, turn: &RequestId, tokens: u64) {
         self.turn(program, turn).delivered_tokens += tokens;
         let delivered_tokens: u64 = self.turns[program]
@@ -62,11 +63,12 @@
         let budget = self.budget(program);
         assert!(
             delivered_tokens <= budget,
-            "BUDGET: {program} was sent {delivered_tokens} of {budget}"
+            "BUDGET: {delivered_tokens} tokens of {program} were sent; its budget is {budget}"
         );
     }
 
-    /// Tokens charged for each turn: the maximum of a turn that its client does not know to be committed.
+    /// Returns the tokens charged for each turn: those sent if the turn's end was acknowledged, and the
+    /// turn's maximum otherwise.
     pub fn charged(&self, program: &ProgramId) -> BTreeMap<RequestId, u64> {
         let turns = self.turns.get(program).into_iter().flatten();
         turns
@@ -84,7 +86,7 @@
     }
 
     /// Checks that the budget was exhausted for a rejected turn. `before` has the charges at the time of the
-    /// request: other turns may have been committed while the answer was in flight.
+    /// request: other turns may have been committed while the reply was in flight.
     pub fn check_rejection(
         &mut self,
         program: &ProgramId,
@@ -98,7 +100,7 @@
             .into_iter()
             .filter(|(other, _)| other != turn);
         let turns = &self.turns[program];
-        // A turn that began since then was charged its maximum for a while.
+        // A turn that began after the request was charged its maximum for a while.
         let at_most = |other: &RequestId| {
             before
                 .get(other)
@@ -111,18 +113,21 @@
         let budget = self.budget(program);
         assert!(
             charged + max_tokens > budget,
-            "REFUSED: {program} has {charged} of {budget}, one asks {max_tokens}"
+            "REJECTED: {program} is charged {charged} of {budget}, and a turn of {max_tokens} was rejected"
         );
     }
 
-    /// Checks that a turn that no store has was not answered to a client within its retention.
+    /// Checks that a turn reported as absent was not answered within its retention.
     pub fn check_absence(&self, previous: &RequestId) {
         let known = self
             .answered
             .iter()
             .find(|answered| answered.turn == *previous);
         if let Some(known) = known.filter(|known| known.at.elapsed() < RETENTION) {
-            panic!("LOST: {previous}, answered {:?} ago", known.at.elapsed());
+            panic!(
+                "LOST: {previous} is absent, answered {:?} ago",
+                known.at.elapsed()
+            );
         }
     }
 
@@ -130,17 +135,20 @@
     pub fn check_history(&mut self, previous: Option<&RequestId>, history: &[u8]) {
         self.begun += 1;
         let Some(previous) = previous else {
-            assert!(history.is_empty(), "UNASKED: a history for the first turn");
+            assert!(
+                history.is_empty(),
+                "HISTORY: the first turn of a chain has a history"
+            );
             return;
         };
         let known = self
             .answered
             .iter()
             .find(|answered| answered.turn == *previous);
-        let known = known.unwrap_or_else(|| panic!("UNASKED: {previous} names no turn"));
+        let known = known.unwrap_or_else(|| panic!("HISTORY: {previous} was never answered"));
         assert!(
             known.history == history,
-            "UNASKED: another history for {previous}"
+            "HISTORY: wrong history of {previous}"
         );
     }
 }
--- a/tier/store/tests/simulation/proxy.rs
+++ b/tier/store/tests/simulation/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies and the clients before them.
+//! Simulated proxies and their clients.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 };
 use tokio::time::Instant;
 
-use super::programs::{AnsweredTurn, RETENTION};
+use super::oracle::{AnsweredTurn, RETENTION};
 use super::{milliseconds, World};
 
 const BEGIN_TIMEOUT: Duration = Duration::from_millis(1_500);
 const END_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl World {
-    /// A client that takes turns, one after the other.
+    /// Runs a client that executes turns one after the other.
     pub async fn run_client(self: Rc<Self>, name: u64, turns: u64) {
         let client = self.store_client(name % 3);
         for number in 0..turns {
@@ -32,41 +32,41 @@
                 return;
             }
             let turn = RequestId::from(format!("turn-{name}-{number}").as_str());
-            let program = ProgramId::from(format!("program-{}", self.within(0..12)).as_str());
-            self.take_turn(&client, &program, &turn).await;
-            tokio::time::sleep(milliseconds(self.within(5..150))).await;
+            let program = ProgramId::from(format!("program-{}", self.random_range(0..12)).as_str());
+            self.execute_turn(&client, &program, &turn).await;
+            tokio::time::sleep(milliseconds(self.random_range(5..150))).await;
         }
     }
 
     fn pick_previous(&self, program: &ProgramId) -> Option<RequestId> {
-        if self.chance(15) {
+        if self.random_bool(15) {
             return None;
         }
-        if self.chance(5) {
+        if self.random_bool(5) {
             return Some(RequestId::from("nobody's turn"));
         }
-        let any = self.chance(15);
-        let programs = self.programs.borrow();
-        let own = programs
+        let any = self.random_bool(15);
+        let oracle = self.oracle.borrow();
+        let own = oracle
             .answered
             .iter()
             .filter(|answered| any || answered.program == *program);
         let names: Vec<RequestId> = own.map(|answered| answered.turn.clone()).collect();
-        self.rng.borrow_mut().pick(&names).cloned()
+        self.rng.borrow_mut().choose(&names).cloned()
     }
 
-    async fn take_turn(
+    async fn execute_turn(
         self: &Rc<Self>,
         client: &StoreClient<SimulatedTransport>,
         program: &ProgramId,
         turn: &RequestId,
     ) {
-        let max_tokens = self.within(20..60);
+        let max_tokens = self.random_range(20..60);
         let budget = {
-            let budget = self.within(80..500);
-            let mut programs = self.programs.borrow_mut();
-            programs.turn(program, turn).max_tokens = max_tokens;
-            *programs.budgets.entry(program.clone()).or_insert(budget)
+            let budget = self.random_range(80..500);
+            let mut oracle = self.oracle.borrow_mut();
+            oracle.turn(program, turn).max_tokens = max_tokens;
+            *oracle.budgets.entry(program.clone()).or_insert(budget)
         };
         let previous = self.pick_previous(program);
         let begin = BeginTurn {
@@ -75,39 +75,39 @@
             reservation: Some(Reservation { budget, max_tokens }),
             previous: previous.clone(),
         };
-        let charged = self.programs.borrow().charged(program);
+        let charged = self.oracle.borrow().charged(program);
         match client.begin_turn(begin, BEGIN_TIMEOUT).await {
             BeginOutcome::Begun {
                 history,
                 previous: location,
             } => {
-                self.programs
+                self.oracle
                     .borrow_mut()
                     .check_history(previous.as_ref(), &history);
-                self.run_turn(client, program, turn, max_tokens, &history, location)
+                self.generate_and_end_turn(client, program, turn, max_tokens, &history, location)
                     .await;
             }
             BeginOutcome::BudgetExhausted => {
-                self.programs
+                self.oracle
                     .borrow_mut()
                     .check_rejection(program, turn, &charged);
             }
             BeginOutcome::NoSuchTurn => {
                 if let Some(previous) = &previous {
-                    self.programs.borrow().check_absence(previous);
+                    self.oracle.borrow().check_absence(previous);
                 }
             }
             BeginOutcome::Unavailable => {
-                self.programs.borrow_mut().unavailable += 1;
+                self.oracle.borrow_mut().unavailable += 1;
                 let end = end_turn(program, turn, 0, None);
                 if client.end_turn(end, END_TIMEOUT).await == EndOutcome::Ended {
-                    self.programs.borrow_mut().turn(program, turn).is_committed = true;
+                    self.oracle.borrow_mut().turn(program, turn).is_committed = true;
                 }
             }
         }
     }
 
-    async fn run_turn(
+    async fn generate_and_end_turn(
         self: &Rc<Self>,
         client: &StoreClient<SimulatedTransport>,
         program: &ProgramId,
@@ -116,27 +116,25 @@
         history: &[u8],
         previous: Option<TurnLocation>,
     ) {
-        let tokens = self.within(0..max_tokens + 1);
+        let tokens = self.random_range(0..max_tokens + 1);
         let mut delivered_tokens = 0;
         while delivered_tokens < tokens {
-            let step = self.within(1..20).min(tokens - delivered_tokens);
-            tokio::time::sleep(milliseconds(self.within(5..60))).await;
-            self.programs
-                .borrow_mut()
-                .record_tokens(program, turn, step);
+            let step = self.random_range(1..20).min(tokens - delivered_tokens);
+            tokio::time::sleep(milliseconds(self.random_range(5..60))).await;
+            self.oracle.borrow_mut().record_tokens(program, turn, step);
             delivered_tokens += step;
-            if self.chance(1) {
-                // The proxy dies with the turn in flight.
+            if self.random_bool(1) {
+                // The proxy fails while the turn is running.
                 return;
             }
         }
-        let is_complete = self.chance(90);
+        let is_complete = self.random_bool(90);
         let record = TurnRecord {
             turn: turn.clone(),
             program: program.clone(),
             previous,
-            input: bytes(format!("in {turn};"), self.within(0..40)),
-            output: bytes(format!("out {turn};"), self.within(0..80)),
+            input: bytes(format!("in {turn};"), self.random_range(0..40)),
+            output: bytes(format!("out {turn};"), self.random_range(0..80)),
             retention_ms: RETENTION.as_millis() as u64,
         };
         let answered = AnsweredTurn {
@@ -147,10 +145,10 @@
         };
         let end = end_turn(program, turn, tokens, is_complete.then_some(record));
         if client.end_turn(end, END_TIMEOUT).await == EndOutcome::Ended {
-            let mut programs = self.programs.borrow_mut();
-            programs.turn(program, turn).is_committed = true;
+            let mut oracle = self.oracle.borrow_mut();
+            oracle.turn(program, turn).is_committed = true;
             if is_complete {
-                programs.answered.push(AnsweredTurn {
+                oracle.answered.push(AnsweredTurn {
                     at: Instant::now(),
                     ..answered
                 });
@@ -158,7 +156,7 @@
         }
     }
 
-    /// A proxy's client, which gets views late.
+    /// Creates a proxy's store client, which receives views with a random delay.
     pub fn store_client(self: &Rc<Self>, zone: u64) -> StoreClient<SimulatedTransport> {
         let calls = SimulatedTransport {
             world: Rc::downgrade(self),
@@ -169,7 +167,7 @@
         client.set_view(&self.view.borrow());
         tokio::task::spawn_local(async move {
             while !world.ended.get() {
-                tokio::time::sleep(milliseconds(world.within(5..300))).await;
+                tokio::time::sleep(milliseconds(world.random_range(5..300))).await;
                 follower.set_view(&world.view.borrow());
             }
         });
@@ -177,7 +175,7 @@
     }
 }
 
-/// The network as a proxy sees it.
+/// The calls of a proxy to the stores, over the simulated network.
 pub struct SimulatedTransport {
     world: Weak<World>,
 }
--- a/tier/store/tests/simulation/rng.rs
+++ b/tier/store/tests/simulation/rng.rs
@@ -1,4 +1,4 @@
-//! Random numbers that a seed determines (splitmix64).
+//! A seeded pseudorandom number generator (splitmix64).
 
 use std::ops::Range;
 
@@ -17,16 +17,16 @@
         mixed ^ (mixed >> 31)
     }
 
-    pub fn within(&mut self, range: Range<u64>) -> u64 {
+    pub fn random_range(&mut self, range: Range<u64>) -> u64 {
         range.start + self.next() % (range.end - range.start)
     }
 
-    pub fn chance(&mut self, percent: u64) -> bool {
-        self.within(0..100) < percent
+    pub fn random_bool(&mut self, percent: u64) -> bool {
+        self.random_range(0..100) < percent
     }
 
-    pub fn pick<'a, T>(&mut self, list: &'a [T]) -> Option<&'a T> {
+    pub fn choose<'a, T>(&mut self, list: &'a [T]) -> Option<&'a T> {
         let length = list.len() as u64;
-        (length > 0).then(|| &list[self.within(0..length) as usize])
+        (length > 0).then(|| &list[self.random_range(0..length) as usize])
     }
 }
--- a/tier/store/tests/simulation/scenario.rs
+++ b/tier/store/tests/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: clients, faults, and the invariants after them.
+//! Scenarios: run clients and faults, then check the invariants.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use super::faults::Fault;
 use super::machine::Machine;
-use super::programs::RETENTION;
+use super::oracle::RETENTION;
 use super::proxy::SimulatedTransport;
 use super::{milliseconds, run, SeededBug, World};
 
@@ -24,7 +24,7 @@
     pub clients: u64,
     pub turns: u64,
     pub fault_count: u64,
-    /// Lost messages at most, in percent.
+    /// Maximum percentage of lost messages.
     pub loss: u64,
     pub fault_kinds: &'static [Fault],
     pub bug: SeededBug,
@@ -43,7 +43,7 @@
     };
 }
 
-/// What happened, to see that a scenario was not empty.
+/// Counts of outcomes, with which tests check that a scenario was not trivial.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
     pub answered: u64,
@@ -52,7 +52,7 @@
     pub unavailable: u64,
 }
 
-/// Runs a scenario with one seed; panics where an invariant does not hold.
+/// Runs a scenario with one seed; panics if an invariant is violated.
 pub fn run_scenario(seed: u64, scenario: Scenario) -> Summary {
     run(async move {
         let world = World::new(
@@ -61,8 +61,8 @@
             scenario.tolerated_faults,
             scenario.bug,
         );
-        world.network.borrow_mut().loss = world.within(0..scenario.loss + 1);
-        tokio::task::spawn_local(world.clone().run_control());
+        world.network.borrow_mut().loss = world.random_range(0..scenario.loss + 1);
+        tokio::task::spawn_local(world.clone().run_control_plane());
         tokio::time::sleep(milliseconds(200)).await;
         let clients = (0..scenario.clients)
             .map(|name| tokio::task::spawn_local(world.clone().run_client(name, scenario.turns)));
@@ -72,44 +72,45 @@
             .run_faults(scenario.fault_count, scenario.fault_kinds)
             .await;
         for client in clients {
-            join(client.await);
+            propagate_panic(client.await);
         }
         world.network.borrow_mut().loss = 0;
         wait_for_stable_view(&world).await;
-        check_found(&world).await;
+        check_answered_turns(&world).await;
         check_repaired(&world);
         world.ended.set(true);
-        let programs = world.programs.borrow();
+        let oracle = world.oracle.borrow();
         Summary {
-            answered: programs.answered.len() as u64,
-            begun: programs.begun,
-            rejected: programs.rejected,
-            unavailable: programs.unavailable,
+            answered: oracle.answered.len() as u64,
+            begun: oracle.begun,
+            rejected: oracle.rejected,
+            unavailable: oracle.unavailable,
         }
     })
 }
 
-/// A panic of a client is the scenario's own.
-fn join(outcome: Result<(), tokio::task::JoinError>) {
+/// Propagates a client's panic to the scenario.
+fn propagate_panic(outcome: Result<(), tokio::task::JoinError>) {
     if let Err(error) = outcome {
         std::panic::resume_unwind(error.into_panic());
     }
 }
 
-/// All machines run: the view must be stable in time.
+/// Waits for the catch-up time, after which the view must be stable because all machines run.
 async fn wait_for_stable_view(world: &Rc<World>) {
     tokio::time::sleep(Duration::from_millis(super::faults::CATCH_UP_MS)).await;
     let view = world.view.borrow().clone();
     assert!(
         view.next.is_none(),
-        "CATCH UP: the set has not changed in time: {view:?}"
+        "CATCH UP: the change of the set did not complete in time: {view:?}"
     );
 }
 
-/// Each turn that was answered completely must be found, and one that never was must be known as absent.
-async fn check_found(world: &Rc<World>) {
+/// Checks that each turn that was answered completely is found, and that a turn that never existed is
+/// reported as absent.
+async fn check_answered_turns(world: &Rc<World>) {
     let client = world.store_client(0);
-    let answered = world.programs.borrow().answered.clone();
+    let answered = world.oracle.borrow().answered.clone();
     for turn in answered
         .iter()
         .filter(|turn| turn.at.elapsed() < RETENTION - Duration::from_secs(3))
@@ -123,7 +124,7 @@
         };
         assert!(
             history == Arc::from(turn.history.as_slice()),
-            "UNASKED: another history for {}",
+            "HISTORY: wrong history of {}",
             turn.turn
         );
     }
@@ -135,12 +136,12 @@
     .await;
     assert!(
         reply == BeginOutcome::NoSuchTurn,
-        "UNSURE: of a turn that never was: {reply:?}"
+        "ABSENCE: a turn that never existed is not reported as absent: {reply:?}"
     );
 }
 
-/// No hint may be pending, and each turn must be on all of its replicas' disks. A turn whose hint was lost
-/// with its store must be on a write quorum of them.
+/// Checks that no hint is pending, and that each turn is on the disks of a write quorum of its replicas.
+/// At most one turn in 20 may lack a copy at another replica, because a hint may be lost with its store.
 fn check_repaired(world: &Rc<World>) {
     let view = world.view.borrow().clone();
     let machines = world.machines.borrow();
@@ -150,14 +151,18 @@
         .map(|node| node.pending_hints())
         .sum();
     assert!(pending == 0, "REPAIR: {pending} hints are left");
-    let answered = world.programs.borrow().answered.clone();
+    let answered = world.oracle.borrow().answered.clone();
     let mut short = 0;
     for turn in answered.iter().filter(|turn| turn.at.elapsed() < RETENTION) {
         let members = replicas(&view.serving, &turn.program, world.tolerated_faults);
         let has_turn = |member: &&&StoreMember| machines[&member.node].has_turn(&turn.turn);
         let copies = members.iter().filter(has_turn).count();
         let enough = Quorum::new(members.len(), world.tolerated_faults).write;
-        assert!(copies >= enough, "COPIES: {copies} of {}", turn.turn);
+        assert!(
+            copies >= enough,
+            "COPIES: {} has only {copies} copies",
+            turn.turn
+        );
         short += usize::from(copies < members.len());
     }
     assert!(
--- a/tier/store/tests/simulation_checks.rs
+++ b/tier/store/tests/simulation_checks.rs
@@ -1,5 +1,4 @@
-//! Each check of the simulated deployment detects the defects that it is for: a defect is put in, and a few
-//! hundred seeds show it.
+//! Tests that the checks of the simulated deployment detect injected defects within a few hundred seeds.
 
 mod simulation;
 
@@ -9,10 +8,10 @@
 use simulation::scenario::{run_scenario, Scenario};
 use simulation::SeededBug;
 
-/// Seeds that are run until a check fails.
+/// Maximum number of seeds to run until a check fails.
 const SEEDS: u64 = 300;
 
-/// Checks that the scenario fails with one of these checks for some seed.
+/// Asserts that the scenario fails one of `checks` for some seed.
 fn assert_detected(scenario: Scenario, checks: &[&str]) {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
@@ -24,14 +23,14 @@
         checks.iter().any(|check| text.starts_with(check))
     });
     std::panic::set_hook(hook);
-    assert!(found.is_some(), "no seed shows {:?}", scenario.bug);
+    assert!(found.is_some(), "no seed detects {:?}", scenario.bug);
 }
 
 #[test]
 fn seeded_bugs_are_detected() {
-    let power = &[Fault::Power];
+    let power = &[Fault::PowerLoss];
     let wipe = &[Fault::Wipe];
-    let wipes = &[Fault::Wipe, Fault::PowerAndWipe];
+    let wipes = &[Fault::Wipe, Fault::PowerLossAndWipe];
     let moves = &[Fault::Add, Fault::Retire];
     let scenario = |bug, fault_kinds| Scenario {
         bug,
@@ -40,7 +39,7 @@
         ..Scenario::SMALL
     };
     assert_detected(scenario(SeededBug::DisksIgnoreSyncs, power), &["LOST"]);
-    // Without a spare replica no store knows what was on a lost disk: the set never changes.
+    // Without spare replicas no store has a copy of the rows on a lost disk, so the set never changes.
     assert_detected(
         scenario(SeededBug::NoSpareReplicas, wipe),
         &["CATCH UP", "LOST"],
--- a/tier/store/tests/simulation_seeds.rs
+++ b/tier/store/tests/simulation_seeds.rs
@@ -1,4 +1,4 @@
-//! Many seeds of the simulated deployment. `STORE_SEEDS=from..to` chooses them.
+//! Runs scenarios of the simulated deployment with many seeds. `STORE_SEEDS=from..to` selects the seeds.
 
 mod simulation;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn without_faults_hardly_any_turn_is_unavailable() {
+fn few_turns_are_unavailable_without_faults() {
     let summary = run_seeds(
         20,
         Scenario {
--- a/tier/store/tests/slow_disks.rs
+++ b/tier/store/tests/slow_disks.rs
@@ -1,5 +1,5 @@
-//! What a turn pays while the disk of one store is slow, or answers nothing: a quorum waits for none
-//! of it. `docs/system/hardening.md` has the table that the test prints.
+//! Measures the latency of turns while the disk of one store is slow or stalled: a quorum does not wait for
+//! that disk. `docs/system/hardening.md` has the table that the test prints.
 
 mod simulation;
 
@@ -14,26 +14,27 @@
 use simulation::{milliseconds, run, SeededBug, World};
 use tokio::time::Instant;
 
-/// Turns of each of the clients, which are one for each zone.
+/// Turns of each client; there is one client for each zone.
 const TURNS_PER_CLIENT: u64 = 80;
 const CLIENTS: u64 = 3;
 const SEEDS: u64 = 4;
-/// Stores have views by then.
+/// Time before the first turn, within which all stores receive their view.
 const START: Duration = Duration::from_millis(500);
-/// Tokens of a program; never exhausted here.
+/// Budget of a program in tokens: large enough not to be exhausted.
 const BUDGET: u64 = 1_000_000;
 const RETENTION_MS: u64 = 60_000;
 const TIMEOUT: Duration = Duration::from_millis(2_500);
-/// What a slow disk may add to the 99th percentile: less than one sync of 50 ms, let alone of 350.
+/// Maximum increase of the 99th percentile by a slow disk: less than one sync of 50 ms, the fastest of the
+/// slow disks.
 const MAX_ADDED: Duration = Duration::from_millis(20);
 
-/// The disk of one store.
+/// The condition of one store's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disk {
     Healthy,
-    /// Syncs take so many ms.
+    /// Syncs take this number of milliseconds.
     Slow(u64),
-    /// Syncs end after this test.
+    /// Syncs do not complete before the test ends.
     Stalled,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// Times of the begins and the ends of turns.
+/// Latencies of the begins and the ends of turns.
 #[derive(Clone, Debug, Default)]
 struct TurnTimes {
     begins: Vec<Duration>,
@@ -66,7 +67,7 @@
     times[times.len() * 99 / 100]
 }
 
-async fn take_turns(
+async fn execute_turns(
     world: Rc<World>,
     client: StoreClient<SimulatedTransport>,
     name: u64,
@@ -94,7 +95,7 @@
         else {
             panic!("{turn} did not begin: {begun:?}");
         };
-        tokio::time::sleep(milliseconds(world.within(5..60))).await;
+        tokio::time::sleep(milliseconds(world.random_range(5..60))).await;
         let end = EndTurn {
             program: program.clone(),
             turn: turn.clone(),
@@ -119,14 +120,14 @@
 fn measure(seed: u64, disk: Disk) -> TurnTimes {
     run(async move {
         let world = World::new(seed, 3, 1, SeededBug::None);
-        tokio::task::spawn_local(world.clone().run_control());
+        tokio::task::spawn_local(world.clone().run_control_plane());
         tokio::time::sleep(START).await;
         let node = NodeId::from(format!("store-{}", seed % 3).as_str());
         if let (Some(sync_time), Some(storage)) = (disk.sync_time(), world.disk(&node)) {
             storage.set_sync_time(sync_time);
         }
         let clients = (0..CLIENTS).map(|name| {
-            let turns = take_turns(world.clone(), world.store_client(name), name);
+            let turns = execute_turns(world.clone(), world.store_client(name), name);
             tokio::task::spawn_local(turns)
         });
         let clients: Vec<_> = clients.collect();
