--- a/tier/store/tests/folders/mod.rs
+++ b/tier/store/tests/folders/mod.rs
@@ -1,9 +1,9 @@
-//! Folders of tests.
+//! Test helpers for folders.
 
 use std::fs;
 use std::path::Path;
 
-/// Copies all files and folders below `from` to `to`, which exists.
+/// Copies all files and folders below `from` to `to`, which must exist.
 pub fn copy_folder(from: &Path, to: &Path) {
     for entry in fs::read_dir(from).expect("a folder") {
         let path = entry.expect("an entry").path();
--- a/tier/store/tests/state_folder.rs
+++ b/tier/store/tests/state_folder.rs
@@ -1,4 +1,4 @@
-//! A store's state folder: empty, existing, partly created, unreadable.
+//! Tests of opening a store's state folder: empty, existing, partly created, unreadable.
 
 use std::fs;
 use std::path::Path;
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn an_existing_folder_keeps_its_incarnation() {
+async fn a_reopened_folder_has_the_same_incarnation() {
     let folder = tempfile::tempdir().expect("a folder");
     let data = folder.path().join("not/yet/there");
     assert_eq!(incarnation(&data, FIRST).await, FIRST);
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_folder_without_its_ready_file_counts_as_empty() {
+async fn a_folder_without_its_ready_file_is_treated_as_empty() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(incarnation(folder.path(), FIRST).await, FIRST);
     fs::remove_file(folder.path().join("ready")).expect("a file");
@@ -30,19 +30,19 @@
 }
 
 #[tokio::test]
-async fn an_unreadable_database_counts_as_empty() {
+async fn an_unreadable_database_is_treated_as_empty() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(incarnation(folder.path(), FIRST).await, FIRST);
-    empty_files(&folder.path().join("rows"));
+    truncate_files(&folder.path().join("rows"));
     assert_eq!(incarnation(folder.path(), SECOND).await, SECOND);
     assert_eq!(incarnation(folder.path(), FIRST).await, SECOND);
 }
 
-fn empty_files(folder: &Path) {
+fn truncate_files(folder: &Path) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            empty_files(&path);
+            truncate_files(&path);
         } else {
             fs::write(&path, b"").expect("a file");
         }
--- a/tier/store/tests/storage_contract.rs
+++ b/tier/store/tests/storage_contract.rs
@@ -1,4 +1,4 @@
-//! The contract of every storage.
+//! Tests of the contract that every storage must fulfil.
 
 mod folders;
 #[path = "simulation/memory_storage.rs"]
@@ -36,17 +36,17 @@
     keys
 }
 
-/// All that a storage must do while it is open.
+/// Checks the behaviour of an open storage.
 async fn check_contract(storage: impl Storage) {
-    a_row_is_there_once_its_commit_has_ended(&storage).await;
-    a_removed_row_is_gone(&storage).await;
+    a_row_is_readable_after_its_commit(&storage).await;
+    a_removed_row_is_absent(&storage).await;
     tables_are_separate(&storage).await;
     scans_are_ordered_by_key(&storage).await;
-    commits_end_in_the_order_of_their_calls(&storage).await;
-    a_commit_goes_on_when_its_future_is_dropped(&storage).await;
+    commits_complete_in_the_order_of_their_calls(&storage).await;
+    a_commit_completes_if_its_future_is_dropped(&storage).await;
 }
 
-async fn a_row_is_there_once_its_commit_has_ended(storage: &impl Storage) {
+async fn a_row_is_readable_after_its_commit(storage: &impl Storage) {
     storage
         .commit(vec![row("one", "first"), row("two", "second")])
         .await
@@ -63,7 +63,7 @@
     assert_eq!(read(storage, Table::Turns, "on"), None);
 }
 
-async fn a_removed_row_is_gone(storage: &impl Storage) {
+async fn a_removed_row_is_absent(storage: &impl Storage) {
     let removals = vec![
         RowChange::remove(Table::Turns, b"one".to_vec()),
         RowChange::remove(Table::Turns, b"never there".to_vec()),
@@ -103,7 +103,7 @@
     );
 }
 
-async fn commits_end_in_the_order_of_their_calls(storage: &impl Storage) {
+async fn commits_complete_in_the_order_of_their_calls(storage: &impl Storage) {
     let first = storage.commit(vec![row("order", "1")]);
     let second = storage.commit(vec![row("order", "2")]);
     let barrier = storage.commit(Vec::new());
@@ -113,7 +113,7 @@
     first.await.expect("a commit");
 }
 
-async fn a_commit_goes_on_when_its_future_is_dropped(storage: &impl Storage) {
+async fn a_commit_completes_if_its_future_is_dropped(storage: &impl Storage) {
     drop(storage.commit(vec![row("dropped", "kept")]));
     storage.commit(Vec::new()).await.expect("a commit");
     assert_eq!(
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn fjall_storage_has_synced_rows_when_opened_again() {
+fn fjall_storage_has_synced_rows_after_reopening() {
     let folder = tempfile::tempdir().expect("a folder");
     run(async {
         let storage = FjallStorage::open(folder.path()).expect("a database");
@@ -153,7 +153,7 @@
             .commit(vec![RowChange::remove(Table::Turns, b"gone".to_vec())])
             .await
             .expect("a commit");
-        // The copy is what another process finds after this one was killed.
+        // The copy has the files that a new process finds after this one was killed.
         let copy = tempfile::tempdir().expect("a folder");
         copy_folder(folder.path(), copy.path());
         let again = FjallStorage::open(copy.path()).expect("a database");
@@ -186,8 +186,8 @@
     });
 }
 
-/// Truncates the files of `newer` that have changed since `older` inside their added bytes, and overwrites some
-/// of these. Returns the number of such files.
+/// Truncates each file of `newer` that has changed since `older` within its added bytes, and overwrites some
+/// of the remaining added bytes. Returns the number of these files.
 fn tear_newer_files(older: &Path, newer: &Path) -> usize {
     let mut torn = 0;
     for entry in std::fs::read_dir(newer).expect("a folder") {
--- a/tier/store/tests/stored_format.rs
+++ b/tier/store/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The state folder in `stored_format/state` was written by an earlier version; this version opens it with all of its
-//! content: incarnation, view, turns, budgets, extensions and hints.
+//! Tests that this version reads all content of the state folder in `stored_format/state`, which an earlier
+//! version has written: incarnation, view, turns, budgets, extensions and hints.
 
 mod folders;
 
@@ -31,10 +31,10 @@
 const WRITTEN_MS: u64 = 1_790_000_000_000;
 /// The incarnation in the folder.
 const STORED: Incarnation = Incarnation(0x0123_4567_89ab_cdf0);
-/// What a store would call itself if the folder counted as empty.
+/// The incarnation that a store would have if the folder were treated as empty.
 const FRESH: Incarnation = Incarnation(99);
 
-/// A clock that stands still.
+/// A clock with a constant time.
 struct FixedClock(u64);
 
 impl Clock for FixedClock {
@@ -43,7 +43,7 @@
     }
 }
 
-/// No other store can be reached.
+/// Peers that cannot be reached.
 struct NoPeers;
 
 impl Peers for NoPeers {
@@ -97,7 +97,7 @@
     })
 }
 
-/// A turn of another program that goes on from the first one.
+/// A turn of another program that continues the first one.
 fn second_record() -> Arc<TurnRecord> {
     Arc::new(TurnRecord {
         turn: turn(2),
@@ -112,11 +112,12 @@
     })
 }
 
-/// Bytes of a journal of the database, which sets them aside when it makes one.
+/// Size of a journal of the database, which preallocates it when it creates the journal.
 const JOURNAL_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A copy of the stored folder: opening a folder writes to it. The copy gets back what a repository can't keep or
-/// is better without: an empty folder, and the zeros behind the last entry of the journal.
+/// Copies the stored folder, because opening a folder writes to it. Restores in the copy the parts that the
+/// repository cannot contain or that are left out of it: an empty folder, and the zeros after the last entry
+/// of the journal.
 fn copied_state() -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     let state = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/stored_format/state");
@@ -156,8 +157,8 @@
     Node::load(parts).expect("a readable folder")
 }
 
-/// Asks as another store of the stored view.
-async fn ask(node: &Rc<StoreNode>, body: PeerRequest) -> PeerResponse {
+/// Calls the node as another store of the stored view.
+async fn call_as_peer(node: &Rc<StoreNode>, body: PeerRequest) -> PeerResponse {
     let call = PeerCall {
         epoch: view().epoch,
         body,
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn a_store_finds_all_that_lies_in_the_folder() {
+fn a_store_loads_all_state_in_the_folder() {
     run(async {
         let folder = copied_state();
         let node = load(folder.path()).await;
@@ -195,11 +196,11 @@
 
         let programs = vec![program(1), program(2), program(3)];
         let PeerResponse::Outlines(outlines) =
-            ask(&node, PeerRequest::OutlinePrograms { programs }).await
+            call_as_peer(&node, PeerRequest::OutlinePrograms { programs }).await
         else {
             panic!("no outlines")
         };
-        assert_eq!(outlines.len(), 2, "of the third program nothing is known");
+        assert_eq!(outlines.len(), 2, "the third program is unknown");
         let states: Vec<_> = outlines[0]
             .account
             .turns()
@@ -221,10 +222,12 @@
         assert_eq!(outlines[1].turns, [turn(2)]);
 
         let turns = vec![turn(1), turn(2), turn(3)];
-        let PeerResponse::Turns(found) = ask(&node, PeerRequest::FetchTurns { turns }).await else {
+        let PeerResponse::Turns(found) =
+            call_as_peer(&node, PeerRequest::FetchTurns { turns }).await
+        else {
             panic!("no turns")
         };
-        // The second turn keeps the first one as long as itself; an extension keeps both longer than that.
+        // The first turn is retained as long as the second one; an extension retains both even longer.
         let expected = [
             RetainedTurn {
                 record: first_record(),
@@ -242,14 +245,14 @@
             rest: None,
         };
         assert_eq!(
-            ask(&node, PeerRequest::ReadChain { turn: turn(2) }).await,
+            call_as_peer(&node, PeerRequest::ReadChain { turn: turn(2) }).await,
             expected
         );
     });
 }
 
 #[test]
-fn the_folder_holds_the_rows_of_each_table() {
+fn the_folder_contains_the_rows_of_each_table() {
     run(async {
         let folder = copied_state();
         let opened = open_state_folder(folder.path(), FRESH).await;
@@ -335,12 +338,12 @@
             open_state_folder(fresh.path(), FRESH).await.incarnation,
             FRESH
         );
-        assert_eq!(names(fresh.path()), ["ready", "rows"]);
-        assert_eq!(names(copied_state().path()), ["ready", "rows"]);
+        assert_eq!(entry_names(fresh.path()), ["ready", "rows"]);
+        assert_eq!(entry_names(copied_state().path()), ["ready", "rows"]);
     });
 }
 
-fn names(folder: &Path) -> Vec<String> {
+fn entry_names(folder: &Path) -> Vec<String> {
     let entries = fs::read_dir(folder)
         .expect("a folder")
         .map(|entry| entry.expect("an entry"));
