--- a/tier/store-client/src/client.rs
+++ b/tier/store-client/src/client.rs
@@ -127,7 +127,7 @@
                     return Some(reply);
                 }
             }
-            // All stores have been called; a conclusive reply may still arrive from a slow one.
+            // All stores have been called; those that have not replied yet may still be conclusive.
             while !in_flight.is_empty() {
                 match in_flight.next(deadline).await {
                     WaitResult::Outcome(Some(reply)) => return Some(reply),
--- a/tier/store-client/src/turns.rs
+++ b/tier/store-client/src/turns.rs
@@ -30,7 +30,7 @@
     },
     /// The turn does not fit into its program's budget (402).
     BudgetExhausted,
-    /// It is certain that no store has the previous turn (404).
+    /// The previous turn does not exist (404): it is absent from a read quorum of the stores.
     NoSuchTurn,
     /// No store gave a conclusive reply in time (503). A requested reservation may have been made, so the
     /// caller ends the turn with 0 tokens.
--- a/tier/store/src/node/coordinator/begin_turn.rs
+++ b/tier/store/src/node/coordinator/begin_turn.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Reserves a turn's tokens; retried under the new view if the view changes meanwhile.
+    /// Reserves a turn's tokens; retries under the new view if the view changes during an attempt.
     async fn reserve(self: &Rc<Self>, start: &TurnStart) -> ReserveOutcome {
         let Some(reservation) = &start.reservation else {
             return ReserveOutcome::Granted;
--- a/tier/store/src/node/coordinator/end_turn.rs
+++ b/tier/store/src/node/coordinator/end_turn.rs
@@ -95,7 +95,7 @@
         self.write(&previous.program, &request).await
     }
 
-    /// Writes to a program's replicas; retried under the new view if the view changes meanwhile.
+    /// Writes to a program's replicas; retries under the new view if the view changes during an attempt.
     async fn write(self: &Rc<Self>, program: &ProgramId, request: &PeerRequest) -> WriteOutcome {
         loop {
             let view = self.view();
--- a/tier/store/src/node/coordinator/read_chain.rs
+++ b/tier/store/src/node/coordinator/read_chain.rs
@@ -25,7 +25,7 @@
         /// The newest turn of the chain; None if the chain is empty.
         newest: Option<TurnLocation>,
     },
-    /// It is certain that no store has the newest turn.
+    /// The newest turn does not exist: it is absent from a read quorum of the stores.
     NotFound,
     /// Too few stores answered, or the chain is incomplete or too long.
     Unavailable,
--- a/tier/store/src/storage/mod.rs
+++ b/tier/store/src/storage/mod.rs
@@ -28,19 +28,19 @@
         commit_bytes: usize,
     },
     /// The disk refuses writes temporarily, for example because it is full. The storage retries until the
-    /// disk accepts writes again, and stays readable meanwhile.
+    /// disk accepts writes again, and stays readable until then.
     #[error("the disk refuses writes: {0}")]
     Refused(String),
     /// The files are not a database of this kind, or are damaged.
     #[error("unreadable database: {0}")]
     Unreadable(String),
     /// The disk or the database failed; no more rows can be written until the process restarts.
-    #[error("the disk failed: {0}")]
+    #[error("disk error: {0}")]
     Failed(String),
 }
 
 impl StorageError {
-    /// Creates a failure that lasts until the process restarts.
+    /// Creates a [`StorageError::Failed`] with this cause.
     fn failed(cause: impl std::fmt::Display) -> Self {
         StorageError::Failed(cause.to_string())
     }
--- a/tier/store/tests/full_disk.rs
+++ b/tier/store/tests/full_disk.rs
@@ -60,8 +60,9 @@
     world.machines.borrow()[&store(at)].disk.set_refusing(full);
 }
 
-/// Guards against an acknowledged end of a turn that is never written. The end is merged in memory while the disk
-/// refuses its row; a repeat of the end then changes nothing in memory, but must still write the row.
+/// Guards against acknowledging the end of a turn without writing it. The end is merged in memory while
+/// the disk refuses its row; a repeat of the end then changes nothing in memory, but must still write the
+/// row.
 #[test]
 fn a_repeated_end_is_synced_before_it_is_acknowledged() {
     run(async {
--- a/tier/store/tests/simulation/control.rs
+++ b/tier/store/tests/simulation/control.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Removes retired machines that are in no set of the view any more, with their disks.
+    /// Removes, with their disks, the retired machines that are no longer in a set of the view.
     fn remove_retired(&self) {
         if self.retains_retired.get() {
             return;
--- a/tier/store/tests/simulation/faults.rs
+++ b/tier/store/tests/simulation/faults.rs
@@ -30,7 +30,8 @@
     Add,
     /// A machine is replaced by an empty one at another address.
     Replace,
-    /// No view of the control plane reaches a machine for a while; the next fault is injected meanwhile.
+    /// No view of the control plane reaches a machine for a while; the next fault does not wait for the end
+    /// of this one.
     BlockControlPlane,
     /// All machines lose power.
     PowerLoss,
