--- a/forwarder/raft-groups/src/wire/frame.rs
+++ b/forwarder/raft-groups/src/wire/frame.rs
@@ -1,24 +1,24 @@
-//! Frames: the body's length and its CRC-32, both as little-endian 32-bit numbers, then the body.
+//! The frame format: the body's length and its CRC-32, both as little-endian 32-bit numbers, followed by the body.
 
 use serde::{de::DeserializeOwned, Serialize};
 
-/// The longest body, in bytes: a command of the longest kind with what stands beside it.
+/// The maximum length of a body, in bytes: the longest command and its metadata.
 pub const MAX_BODY_LEN: usize = 9 << 20;
-/// Bytes ahead of the body.
+/// The length of the header before the body, in bytes.
 pub const HEADER_LEN: usize = 8;
 
-/// Why bytes are no frame.
+/// The reason why a frame is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The announced body is longer than allowed.
+    /// The length in the header exceeds the maximum.
     #[error("an oversized frame")]
     Oversized,
-    /// The body does not fit its checksum, or is not of the expected type.
+    /// The body does not match its checksum or is not of the expected type.
     #[error("a torn frame")]
     Torn,
 }
 
-/// What a frame's header announces.
+/// The decoded header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
     /// The body's length in bytes.
@@ -27,7 +27,7 @@
     pub checksum: u32,
 }
 
-/// A frame with `value` as its body.
+/// Encodes a frame with `value` as its body.
 pub fn encode_frame<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = postcard::to_extend(value, vec![0; HEADER_LEN])
         .expect("writing a derived form to memory does not fail");
@@ -41,7 +41,7 @@
 /// Decodes a header.
 ///
 /// # Errors
-/// [`FrameError::Oversized`] where the body would be longer than `max_body_len` bytes.
+/// [`FrameError::Oversized`] if the body would be longer than `max_body_len` bytes.
 pub fn decode_header(
     bytes: [u8; HEADER_LEN],
     max_body_len: usize,
@@ -57,10 +57,10 @@
     })
 }
 
-/// Decodes the whole of a body.
+/// Decodes a complete body.
 ///
 /// # Errors
-/// [`FrameError::Torn`] where the body has another checksum, is no `T`, or has bytes behind it.
+/// [`FrameError::Torn`] if the body does not match the checksum, is not a valid `T`, or has trailing bytes.
 pub fn decode_body<T: DeserializeOwned>(body: &[u8], checksum: u32) -> Result<T, FrameError> {
     if crc32fast::hash(body) != checksum {
         return Err(FrameError::Torn);
--- a/forwarder/raft-groups/src/wire/message.rs
+++ b/forwarder/raft-groups/src/wire/message.rs
@@ -1,78 +1,79 @@
-//! The bodies of frames. A link begins with a [`Hello`] and its [`HelloReply`]; [`PeerMessage`]s follow from the
-//! caller. The order of variants and fields is the wire's form.
+//! The bodies of frames. A link begins with a [`Hello`] and its [`HelloReply`]; after that, the instance that opened
+//! the link sends [`PeerMessage`]s. The order of variants and fields is part of the wire format.
 
 use serde::{Deserialize, Serialize};
 
 use super::raft_message::RaftMessage;
 use crate::{GroupId, Incarnation, InstanceName, Purpose};
 
-/// The version of what is sent over links. Both sides have to have the same.
+/// The version of the protocol on links. Both sides must use the same version.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// The longest body of a link's first frame, in bytes: its sender is not known yet.
+/// The maximum length of the body of a link's first frame, in bytes; it is small because the sender is not identified
+/// yet.
 pub const MAX_HELLO_LEN: usize = 4096;
 
-/// Who calls, and from which start of which folder.
+/// Identifies the sender and the start of its folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The caller's [`PROTOCOL_VERSION`].
+    /// The sender's [`PROTOCOL_VERSION`].
     pub version: u32,
-    /// The name of the caller's fleet.
+    /// The name of the sender's fleet.
     pub fleet: String,
-    /// The caller's name.
+    /// The sender's name.
     pub name: InstanceName,
-    /// The instance that the caller believes to have reached.
+    /// The instance that the sender intends to reach.
     pub to: InstanceName,
-    /// The caller's incarnation.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The caller's start.
+    /// The current start of the sender's folder.
     pub start: Start,
-    /// The control group that the caller knows of.
+    /// The control group known to the sender.
     pub control: Option<GroupId>,
 }
 
 /// One start of a process on its folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// Grows by one with each start on the folder.
+    /// Incremented by one with each start on the folder.
     pub generation: u64,
-    /// Drawn at random for each start: two starts of the same generation are of two copies of the folder.
+    /// Drawn at random for each start: two starts of the same generation belong to two copies of the folder.
     pub nonce: u64,
 }
 
 /// The reply to a [`Hello`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HelloReply {
-    /// The caller is heard from now on.
+    /// The sender of the hello is accepted; contains the replying instance's own hello.
     Welcome(Hello),
-    /// The caller's folder is an older copy: a later start of the same incarnation is known here.
+    /// The folder of the sender is an older copy: a later start of the same incarnation is known.
     StaleFolder {
-        /// The generation of that later start.
+        /// The generation of the later start.
         known_generation: u64,
     },
 }
 
-/// A part of a snapshot on its way to a replica that is far behind.
+/// One chunk of a snapshot for a replica that is far behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// On the first chunk: the message that carries the snapshot, without its data.
+    /// The message that carries the snapshot, without its data; only in the first chunk.
     pub message: Option<RaftMessage>,
     /// The chunk's offset in the data, in bytes.
     pub offset: u64,
-    /// The length of all the data, in bytes.
+    /// The total length of the data, in bytes.
     pub total: u64,
     /// The chunk's data.
     pub bytes: Vec<u8>,
 }
 
-/// What an instance sends to another one that welcomed it.
+/// A message to an instance that replied with [`HelloReply::Welcome`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The link lives.
+    /// Shows that the link is alive.
     Heartbeat {
-        /// How many bytes more the sender has capacity for.
+        /// The number of further bytes for which the sender has capacity.
         free_bytes: u64,
-        /// The control group that the sender knows of.
+        /// The control group known to the sender.
         control: Option<GroupId>,
     },
     /// A message between two replicas of a group.
@@ -82,49 +83,49 @@
         /// The message.
         message: RaftMessage,
     },
-    /// A part of a snapshot.
+    /// One chunk of a snapshot.
     SnapshotChunk {
         /// The group.
         group: GroupId,
-        /// The part.
+        /// The chunk.
         chunk: SnapshotChunk,
     },
-    /// The data of a snapshot has arrived up to this offset.
+    /// Acknowledges the data of a snapshot up to an offset.
     ChunkReceived {
         /// The group.
         group: GroupId,
-        /// In bytes.
+        /// The offset in bytes.
         offset: u64,
     },
-    /// From a group's founder, to each instance that it chose for a voter.
+    /// From a group's founder to each instance that it selected as a voter.
     FoundGroup {
         /// The new group.
         group: GroupId,
-        /// What the group is for.
+        /// The purpose of the group.
         purpose: Purpose,
-        /// Its first voters.
+        /// The initial voters of the group.
         voters: Vec<Incarnation>,
     },
-    /// To an instance that is to become a learner.
+    /// To an instance that is about to become a learner.
     JoinGroup {
         /// The group.
         group: GroupId,
-        /// What the group is for.
+        /// The purpose of the group.
         purpose: Purpose,
     },
-    /// From a group's leader: the receiver is no member any more.
+    /// From a group's leader: the receiver is not a member any more.
     NotMember {
         /// The group.
         group: GroupId,
     },
-    /// The group is dissolved, and nothing of it is kept.
+    /// The group is dissolved, and its data is discarded.
     GroupDissolved {
         /// The group.
         group: GroupId,
     },
-    /// To the control group's leader.
+    /// A report to the leader of the control group.
     Report {
-        /// Opaque to this package.
+        /// The report, opaque to this package.
         body: Vec<u8>,
     },
 }
--- a/forwarder/raft-groups/src/wire/mod.rs
+++ b/forwarder/raft-groups/src/wire/mod.rs
@@ -1,13 +1,13 @@
-//! What instances send to each other: frames of a length, a checksum and a body in postcard's form.
+//! The messages between instances: frames that consist of a length, a checksum and a body in postcard encoding.
 //!
-//! The bodies are this package's own mirrors of raft's messages. Raft's protobuf form is never decoded from a peer:
-//! the parser that it comes with recurses without a bound.
+//! The bodies contain this package's own equivalents of raft's messages. Protobuf data from a peer is never decoded,
+//! because the protobuf parser that raft uses recurses without a limit.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
 //! | `frame` | the frame around each body |
 //! | `message` | the bodies |
-//! | `raft_message` | raft's messages and entries as they stand in bodies and in the groups' logs |
+//! | `raft_message` | raft's messages and entries, as encoded in bodies and in the groups' logs |
 
 pub mod frame;
 pub mod message;
--- a/forwarder/raft-groups/src/wire/raft_message.rs
+++ b/forwarder/raft-groups/src/wire/raft_message.rs
@@ -1,5 +1,5 @@
-//! Raft's messages and entries in this package's own form. The order of variants and fields is the form on the
-//! wire and on disk.
+//! This package's own representation of raft's messages and entries. The order of variants and fields is part of the
+//! wire format and of the disk format.
 
 use raft::eraftpb::{self, EntryType, MessageType};
 use serde::{Deserialize, Serialize};
@@ -11,17 +11,17 @@
 pub struct Entry {
     /// Whether the entry changes the group's members.
     pub is_membership_change: bool,
-    /// Raft's term of it.
+    /// The term of the entry.
     pub term: u64,
-    /// Its index in the log.
+    /// The index of the entry in the log.
     pub index: u64,
     /// The command.
     pub data: Vec<u8>,
-    /// What stands beside the command: an [`crate::replica::entry_context::EntryContext`].
+    /// The metadata of the command: an [`crate::replica::entry_context::EntryContext`].
     pub context: Vec<u8>,
 }
 
-/// The kinds that replicas send to each other: proposals and reads are not forwarded.
+/// The message kinds that replicas send to each other. Proposals and reads are not forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(
     missing_docs,
@@ -39,20 +39,20 @@
     RequestPreVoteResponse,
 }
 
-/// A group's state up to an index of its log.
+/// The state of a group up to an index of its log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The index of the last entry that the state has.
+    /// The index of the last entry included in the state.
     pub index: u64,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: u64,
-    /// The group's members as of that entry.
+    /// The members of the group as of that entry.
     pub members: Membership,
     /// An encoded [`crate::replica::entry_context::GroupState`].
     pub data: Vec<u8>,
 }
 
-/// A message between two replicas of a group; the fields are raft's own (`eraftpb.proto` of raft-rs).
+/// A message between two replicas of a group; the fields are those of raft-rs (`eraftpb.proto`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "raft's own names")]
 pub struct RaftMessage {
@@ -74,7 +74,7 @@
 }
 
 impl MessageKind {
-    /// `None` for kinds that are not sent to other instances.
+    /// Returns `None` for kinds that are not sent to other instances.
     fn from_raft(kind: MessageType) -> Option<MessageKind> {
         match kind {
             MessageType::MsgAppend => Some(MessageKind::Append),
@@ -158,7 +158,7 @@
 }
 
 impl RaftMessage {
-    /// `None` for kinds that are not sent to other instances.
+    /// Returns `None` for kinds that are not sent to other instances.
     pub fn from_raft(raft: &eraftpb::Message) -> Option<RaftMessage> {
         let kind = MessageKind::from_raft(raft.get_msg_type())?;
         let snapshot = match kind {
@@ -184,9 +184,9 @@
         })
     }
 
-    /// `None` where the parts contradict each other: raft would panic over some of them.
+    /// Returns `None` if the fields contradict each other: raft would panic on some contradictions.
     pub fn into_raft(self) -> Option<eraftpb::Message> {
-        if !self.entries_follow_index() || self.term == 0 || self.from == 0 {
+        if !self.are_entries_consecutive() || self.term == 0 || self.from == 0 {
             return None;
         }
         if (self.kind == MessageKind::Snapshot) != self.snapshot.is_some() {
@@ -219,7 +219,7 @@
         Some(raft)
     }
 
-    fn entries_follow_index(&self) -> bool {
+    fn are_entries_consecutive(&self) -> bool {
         self.entries.iter().enumerate().all(|(place, entry)| {
             let expected = self.index.checked_add(1 + place as u64);
             Some(entry.index) == expected
