--- a/forwarder/raft-groups/src/disk/atomic_file.rs
+++ b/forwarder/raft-groups/src/disk/atomic_file.rs
@@ -1,4 +1,4 @@
-//! Files that are replaced as a whole: after a crash either the old or the new one is there.
+//! Atomically replaced files: after a crash, either the old or the new version exists.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -8,22 +8,22 @@
 
 use crate::wire::frame::{decode_body, decode_header, HEADER_LEN};
 
-/// Writes a file beside `path` and renames it over `path`, synced.
+/// Writes a temporary file beside `path`, syncs it and renames it to `path`.
 pub(super) fn replace(
     path: &Path,
     write: impl FnOnce(&mut File) -> io::Result<()>,
 ) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    let replaced = write_and_rename(&beside, path, write);
+    let temporary = path.with_extension("new");
+    let replaced = write_and_rename(&temporary, path, write);
     if replaced.is_err() {
-        // It would only take disk space.
-        let _ = fs::remove_file(&beside);
+        // A leftover temporary file would only use disk space, so a failure is ignored.
+        let _ = fs::remove_file(&temporary);
     }
     replaced
 }
 
 fn write_and_rename(
-    beside: &Path,
+    temporary: &Path,
     path: &Path,
     write: impl FnOnce(&mut File) -> io::Result<()>,
 ) -> io::Result<()> {
@@ -31,14 +31,14 @@
         .write(true)
         .create(true)
         .truncate(true)
-        .open(beside)?;
+        .open(temporary)?;
     write(&mut file)?;
     file.sync_all()?;
-    fs::rename(beside, path)?;
+    fs::rename(temporary, path)?;
     sync_parent(path)
 }
 
-/// Syncs the folder that `path` is in, so that a new name there outlasts a crash.
+/// Syncs the parent folder of `path`, so that a new directory entry survives a crash.
 pub(super) fn sync_parent(path: &Path) -> io::Result<()> {
     match path.parent() {
         Some(parent) => File::open(parent)?.sync_all(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads a file that is one frame; `None` where there is no file.
+/// Reads a file that consists of one frame; returns `None` if the file does not exist.
 pub(super) fn read_frame<T: DeserializeOwned>(path: &Path) -> io::Result<Option<T>> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
@@ -61,7 +61,7 @@
     Ok(Some(value))
 }
 
-/// The error over a file whose bytes are not what was written.
+/// The error for a file whose contents are invalid.
 pub(super) fn damaged(path: &Path) -> io::Error {
     io::Error::new(
         io::ErrorKind::InvalidData,
--- a/forwarder/raft-groups/src/disk/group_files.rs
+++ b/forwarder/raft-groups/src/disk/group_files.rs
@@ -1,5 +1,5 @@
-//! The files of an instance's groups: a log for each group it is in, and an empty file with the extension `gone` for
-//! each that is dissolved, so that no late message makes it again.
+//! The files of an instance's groups: a log for each group that the instance is a member of, and an empty file with the
+//! extension `gone` for each removed group, so that a late message does not recreate the group.
 
 use std::fs::{self, File};
 use std::io;
@@ -15,12 +15,12 @@
     folder.join("groups").join(format!("{group}.{extension}"))
 }
 
-/// Where the group's log is.
+/// Returns the path of the group's log.
 pub fn log_path(folder: &Path, group: GroupId) -> PathBuf {
     path_of(folder, group, LOG_EXTENSION)
 }
 
-/// The groups whose logs are there, in their order.
+/// Lists the groups that have a log, in order of their ids.
 ///
 /// # Errors
 /// The folder can't be read.
@@ -28,7 +28,7 @@
     with_extension(folder, LOG_EXTENSION)
 }
 
-/// The groups that were here and are dissolved, in their order.
+/// Lists the groups that were removed here, in order of their ids.
 ///
 /// # Errors
 /// The folder can't be read.
@@ -59,8 +59,8 @@
     })
 }
 
-/// Removes a dissolved group's log. That the group was here is stored first: were the process killed between the
-/// two, the group would otherwise be made again.
+/// Removes the log of a dissolved group. The marker file is stored first: if the process were killed between the two
+/// steps in reverse order, a late message could recreate the group.
 ///
 /// # Errors
 /// The folder can't be written.
--- a/forwarder/raft-groups/src/disk/group_log.rs
+++ b/forwarder/raft-groups/src/disk/group_log.rs
@@ -1,5 +1,5 @@
-//! One group's log: a file of frames, each written and synced before the next begins. So only the last can be torn;
-//! a broken frame ahead of others is damage, and the group is not used.
+//! The log of one group: a file of frames, each written and synced before the next one begins. Therefore only the last
+//! frame can be torn; an invalid frame that precedes others means damage, and the group is not used.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -15,17 +15,17 @@
 use crate::wire::raft_message::Entry;
 use crate::{GroupId, Purpose};
 
-/// A frame's body. The order of variants and fields is the form on disk.
+/// The body of a frame. The order of variants and fields is part of the disk format.
 #[derive(Serialize, Deserialize)]
 enum LogRecord {
-    /// The first of a file.
+    /// The first record of a file.
     Base {
         purpose: Purpose,
         base: SnapshotBase,
         hard_state: HardState,
         entries: Vec<Entry>,
     },
-    /// What came while the disk synced the frame before.
+    /// The writes that arrived while the disk synced the previous frame.
     Batch(Vec<BatchItem>),
 }
 
@@ -35,29 +35,29 @@
     entries: Vec<Entry>,
 }
 
-/// Some of the requests can't be written.
+/// At least one of the requests could not be written.
 #[derive(Debug, thiserror::Error)]
 #[error("{error}")]
 pub struct PersistError {
-    /// How many requests ahead of the failed one are written and synced.
+    /// The number of requests before the failed one, which are written and synced.
     pub persisted: usize,
-    /// Why the others are not.
+    /// The error of the failed request.
     pub error: io::Error,
 }
 
-/// A group's file, open for more.
+/// The log file of a group, open for appending.
 pub struct GroupLog {
     file: File,
     path: PathBuf,
     purpose: Purpose,
-    /// All before it is synced.
+    /// The length of the synced part of the file.
     synced_length: u64,
-    /// Whether a part of a frame that failed may stand behind `synced_length`.
-    has_torn_end: bool,
+    /// Whether the file may contain part of a failed frame after `synced_length`.
+    has_torn_tail: bool,
 }
 
 impl GroupLog {
-    /// Makes a new group's file, synced.
+    /// Creates the file of a new group and syncs it.
     ///
     /// # Errors
     /// The file can't be written.
@@ -71,7 +71,7 @@
             purpose,
             base: state.base.clone(),
             hard_state: state.hard_state,
-            entries: mirror(&state.entries),
+            entries: to_stored_entries(&state.entries),
         };
         GroupLog::write_new(group_files::log_path(folder, group), purpose, &first)
     }
@@ -86,14 +86,14 @@
             path,
             purpose,
             synced_length,
-            has_torn_end: false,
+            has_torn_tail: false,
         })
     }
 
-    /// Reads a group's file. A torn end was never acknowledged, and is cut off.
+    /// Opens and reads the file of a group. A torn tail was never acknowledged and is truncated.
     ///
     /// # Errors
-    /// The file can't be read, or is damaged.
+    /// The file can't be read or is damaged.
     pub fn open(folder: &Path, group: GroupId) -> io::Result<(GroupLog, PersistedState)> {
         let path = group_files::log_path(folder, group);
         let bytes = fs::read(&path)?;
@@ -115,20 +115,20 @@
             path,
             purpose,
             synced_length,
-            has_torn_end: false,
+            has_torn_tail: false,
         };
         if position < bytes.len() {
-            log.cut_off_torn_end()?;
+            log.truncate_torn_tail()?;
             log.file.sync_all()?;
         }
         log.file.seek(SeekFrom::Start(log.synced_length))?;
         Ok((log, state))
     }
 
-    /// Writes and syncs all requests in their order.
+    /// Writes and syncs all requests in order.
     ///
     /// # Errors
-    /// The disk refuses. Nothing of the frame that failed is there.
+    /// A write or sync failed. No part of the failed frame counts as written.
     pub fn persist(&mut self, requests: &[PersistRequest]) -> Result<(), PersistError> {
         let mut persisted = 0;
         while let Some(next) = requests.get(persisted) {
@@ -151,7 +151,7 @@
             purpose: self.purpose,
             base: base.clone(),
             hard_state: request.hard_state.unwrap_or_default(),
-            entries: mirror(&request.entries),
+            entries: to_stored_entries(&request.entries),
         };
         *self = GroupLog::write_new(self.path.clone(), self.purpose, &first)?;
         Ok(())
@@ -160,43 +160,43 @@
     fn append(&mut self, batch: &[&PersistRequest]) -> io::Result<()> {
         let items = batch.iter().map(|request| BatchItem {
             hard_state: request.hard_state,
-            entries: mirror(&request.entries),
+            entries: to_stored_entries(&request.entries),
         });
         let frame = encode_frame(&LogRecord::Batch(items.collect()));
-        if self.has_torn_end {
-            self.cut_off_torn_end()?;
+        if self.has_torn_tail {
+            self.truncate_torn_tail()?;
         }
-        // The next frame must follow on what is synced, if this one fails.
-        self.has_torn_end = true;
+        // If this write fails, the next frame must begin directly after the synced part.
+        self.has_torn_tail = true;
         self.file.write_all(&frame)?;
         self.file.sync_data()?;
-        self.has_torn_end = false;
+        self.has_torn_tail = false;
         self.synced_length += frame.len() as u64;
         Ok(())
     }
 
-    fn cut_off_torn_end(&mut self) -> io::Result<()> {
+    fn truncate_torn_tail(&mut self) -> io::Result<()> {
         self.file.set_len(self.synced_length)?;
         self.file.seek(SeekFrom::Start(self.synced_length))?;
         Ok(())
     }
 
-    /// The length of the file, in bytes.
+    /// The length of the file's synced part, in bytes.
     pub fn file_length(&self) -> u64 {
         self.synced_length
     }
 
-    /// What the group is for.
+    /// The purpose of the group.
     pub fn purpose(&self) -> Purpose {
         self.purpose
     }
 }
 
-fn mirror(entries: &[raft::eraftpb::Entry]) -> Vec<Entry> {
+fn to_stored_entries(entries: &[raft::eraftpb::Entry]) -> Vec<Entry> {
     entries.iter().map(Entry::from).collect()
 }
 
-fn unmirror(entries: Vec<Entry>) -> Vec<raft::eraftpb::Entry> {
+fn to_raft_entries(entries: Vec<Entry>) -> Vec<raft::eraftpb::Entry> {
     entries
         .into_iter()
         .map(raft::eraftpb::Entry::from)
@@ -212,7 +212,7 @@
             entries,
         } => {
             *purpose = Some(own_purpose);
-            let entries = unmirror(entries);
+            let entries = to_raft_entries(entries);
             *state = PersistedState {
                 base,
                 hard_state,
@@ -225,7 +225,7 @@
                 state.apply(PersistRequest {
                     number: 0,
                     hard_state: item.hard_state,
-                    entries: unmirror(item.entries),
+                    entries: to_raft_entries(item.entries),
                     base: None,
                 });
             }
@@ -233,16 +233,16 @@
     }
 }
 
-/// A record with the length of its frame, in bytes.
+/// A record and the length of its frame in bytes.
 struct FramedRecord {
     record: LogRecord,
     length: usize,
 }
 
-/// A frame that once was whole, and is not any more.
+/// A complete frame that was damaged after it had been written.
 struct DamagedFrame;
 
-/// The record at the beginning of `bytes`; `None` where nothing is there, or a frame that is torn.
+/// Reads the record at the beginning of `bytes`; `None` at the end of the file or at a torn frame.
 fn read_record(bytes: &[u8]) -> Result<Option<FramedRecord>, DamagedFrame> {
     let Some((header, rest)) = bytes.split_first_chunk::<HEADER_LEN>() else {
         return Ok(None);
@@ -250,13 +250,13 @@
     let Ok(header) = decode_header(*header, rest.len()) else {
         return Ok(None);
     };
-    let (body, behind) = rest.split_at(header.length);
+    let (body, following) = rest.split_at(header.length);
     if let Ok(record) = decode_body(body, header.checksum) {
         let length = HEADER_LEN + header.length;
         return Ok(Some(FramedRecord { record, length }));
     }
-    // A torn frame has nothing behind it but the zeros of a file that was made longer first.
-    if behind.iter().all(|byte| *byte == 0) {
+    // Only zeros can follow a torn frame, in a file whose length was extended before its data was written.
+    if following.iter().all(|byte| *byte == 0) {
         Ok(None)
     } else {
         Err(DamagedFrame)
--- a/forwarder/raft-groups/src/disk/identity.rs
+++ b/forwarder/raft-groups/src/disk/identity.rs
@@ -1,6 +1,6 @@
-//! Whose folder it is, and which start of it this is. A copy of a folder, or one that was put back from a backup,
-//! lacks what was promised from it since: it is recognised here by the file's own numbers, and by other instances by
-//! the generation of its start ([`super::known_starts`]).
+//! The identity of an instance's folder and of its current start. A copied folder, or one restored from a backup, lacks
+//! the votes and acknowledgements given since the copy was made. A copy is detected here by the file's own inode and
+//! creation time, and by other instances by the generation of its start ([`super::known_starts`]).
 
 use std::fs;
 use std::io::{self, Write};
@@ -19,24 +19,24 @@
 
 const FILE_NAME: &str = "instance";
 
-/// Whose folder it is. The order of fields is the form on disk.
+/// The identity of the folder. The order of fields is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Drawn when the folder was empty.
+    /// The incarnation, drawn at random when the folder was empty.
     pub incarnation: Incarnation,
-    /// The newest start of the folder.
+    /// The latest start on the folder.
     pub start: Start,
-    /// The number of the next group that it founds.
+    /// The number of the next group that this incarnation founds.
     pub next_group: u32,
     file: FileNumbers,
 }
 
-/// What a copy of a file has of its own. A number alone is given again to the next file; a file system that does not
-/// say when a file was made has the number only.
+/// The attributes that distinguish a file from a copy of it. An inode number alone is not enough, since the file system
+/// reuses it; on a file system that does not report creation times only the inode number is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct FileNumbers {
     inode: u64,
-    /// Nanoseconds since the Unix epoch.
+    /// The creation time in nanoseconds since the Unix epoch; zero if unavailable.
     created_at: u64,
 }
 
@@ -54,27 +54,27 @@
     }
 }
 
-/// Opens the folder and begins a start on it: its generation grows, synced, before another instance hears of it. An
-/// empty folder is a new incarnation.
+/// Opens the folder and begins a new start on it: increments the generation and syncs it before any other instance
+/// learns of it. An empty folder becomes a new incarnation.
 ///
 /// # Errors
-/// The folder can't be read or written, is a copy of an instance's folder, or has groups and no identity.
+/// The folder can't be read or written, is a copy of an instance's folder, or contains groups but no identity.
 pub fn begin_start(folder: &Path) -> io::Result<Identity> {
     fs::create_dir_all(folder.join("groups"))?;
     let path = folder.join(FILE_NAME);
     let stored: Option<Identity> = atomic_file::read_frame(&path)?;
     if stored.is_none() && !group_files::groups(folder)?.is_empty() {
-        return Err(invalid(format!(
-            "{}: has groups but not whose they are",
+        return Err(invalid_data(format!(
+            "{}: contains groups but no identity file",
             folder.display()
         )));
     }
     let nonce = draw_random()?;
     let mut identity = match stored {
         Some(stored) if FileNumbers::of(&fs::metadata(&path)?) != stored.file => {
-            return Err(invalid(format!(
-                "{}: is a copy of an instance's folder; what was promised since it was made is not in it: start \
-                 on an empty folder",
+            return Err(invalid_data(format!(
+                "{}: is a copy of an instance's folder and lacks what the instance acknowledged since the copy was \
+                 made: start on an empty folder",
                 folder.display()
             )));
         }
@@ -97,7 +97,7 @@
     Ok(identity)
 }
 
-/// Stores the identity, synced.
+/// Stores the identity and syncs it.
 ///
 /// # Errors
 /// The file can't be written.
@@ -115,6 +115,6 @@
         .map_err(|error| io::Error::other(error.to_string()))
 }
 
-fn invalid(reason: String) -> io::Error {
+fn invalid_data(reason: String) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
--- a/forwarder/raft-groups/src/disk/known_starts.rs
+++ b/forwarder/raft-groups/src/disk/known_starts.rs
@@ -1,5 +1,5 @@
-//! The newest start of each other instance's folder that was heard of. An instance whose folder is an older copy is
-//! recognised by them, as its start is older or is another one of the same generation.
+//! The latest known start of each other instance's folder. An instance whose folder is an older copy is detected by
+//! them: its start is older, or differs from the known start of the same generation.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -14,10 +14,10 @@
 
 const FILE_NAME: &str = "met";
 
-/// Incarnations that are remembered.
+/// The maximum number of incarnations stored.
 pub const MAX_KNOWN_STARTS: usize = 1024;
 
-/// The newest start of one folder. The order of fields is the form on disk.
+/// The latest known start of one folder. The order of fields is part of the disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownStart {
     /// The instance's name in the fleet file.
@@ -26,19 +26,19 @@
     pub start: Start,
 }
 
-/// By incarnation.
+/// The known starts by incarnation.
 pub type KnownStarts = BTreeMap<Incarnation, KnownStart>;
 
-/// Reads the starts that were stored; none where nothing was.
+/// Reads the stored starts; returns an empty map if none are stored.
 ///
 /// # Errors
-/// The file can't be read, or is damaged.
+/// The file can't be read or is damaged.
 pub fn load(folder: &Path) -> io::Result<KnownStarts> {
     let stored = atomic_file::read_frame(&folder.join(FILE_NAME))?;
     Ok(stored.unwrap_or_default())
 }
 
-/// Stores the starts, synced.
+/// Stores the starts and syncs them.
 ///
 /// # Errors
 /// The file can't be written.
--- a/forwarder/raft-groups/src/disk/mod.rs
+++ b/forwarder/raft-groups/src/disk/mod.rs
@@ -1,13 +1,13 @@
-//! The folder of an instance, and the thread that writes it.
+//! The folder of an instance, and the thread that writes to it.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `atomic_file` | files that are replaced as a whole |
-//! | `identity` | whose folder it is, and which start of it this is |
-//! | `known_starts` | the starts of other instances' folders that were heard of |
-//! | `group_files` | which groups have a file here, and under which names |
-//! | `group_log` | one group's file |
-//! | `thread` | the disk's thread |
+//! | `atomic_file` | atomically replaced files |
+//! | `identity` | the identity of the folder and of its current start |
+//! | `known_starts` | the latest known starts of other instances' folders |
+//! | `group_files` | the names of the groups' files |
+//! | `group_log` | the log of one group |
+//! | `thread` | the disk thread |
 
 mod atomic_file;
 pub mod group_files;
--- a/forwarder/raft-groups/src/disk/thread.rs
+++ b/forwarder/raft-groups/src/disk/thread.rs
@@ -1,5 +1,5 @@
-//! The disk's thread: a group's writes that came while it synced go into one frame and one sync. A disk that refuses
-//! is tried again; what is not synced is not acknowledged. The groups' thread sends [`ToDisk`] and receives
+//! The disk thread, which writes all requests of a group that arrived during a sync in one frame with one sync. A
+//! failed write is retried; only synced writes are acknowledged. The groups thread sends [`ToDisk`] and receives
 //! [`FromDisk`].
 
 use std::collections::{BTreeMap, VecDeque};
@@ -21,7 +21,7 @@
 use crate::ring::RingSender;
 use crate::{GroupId, Purpose};
 
-/// To the disk.
+/// A request to the disk thread.
 pub enum ToDisk {
     /// A write of one group.
     Persist {
@@ -30,13 +30,13 @@
         /// The write.
         request: PersistRequest,
     },
-    /// Makes a new group's file.
+    /// Creates the file of a new group.
     CreateGroup {
         /// The group.
         group: GroupId,
-        /// What the group is for.
+        /// The purpose of the group.
         purpose: Purpose,
-        /// Its first state.
+        /// The initial state of the group.
         state: PersistedState,
     },
     /// Removes a dissolved group's file.
@@ -46,78 +46,78 @@
     },
     /// Stores the identity.
     StoreIdentity {
-        /// To be stored.
+        /// The identity to store.
         identity: Identity,
-        /// Comes back once it is.
+        /// The token returned by [`FromDisk::Stored`].
         token: u64,
     },
     /// Stores the known starts.
     StoreKnownStarts {
-        /// To be stored.
+        /// The known starts to store.
         known_starts: KnownStarts,
-        /// Comes back once they are.
+        /// The token returned by [`FromDisk::Stored`].
         token: u64,
     },
 }
 
-/// From the disk: what is synced.
+/// An acknowledgement of synced data from the disk thread.
 #[derive(Debug)]
 pub enum FromDisk {
-    /// All of a group's writes up to a number.
+    /// All writes of a group up to a number are synced.
     Persisted {
         /// The group.
         group: GroupId,
-        /// The number.
+        /// The number of the last synced write.
         number: u64,
         /// The length of the group's file, in bytes.
         file_length: u64,
     },
-    /// A new group's file.
+    /// The file of a new group is synced.
     GroupCreated {
         /// The group.
         group: GroupId,
     },
-    /// The identity or the known starts.
+    /// The identity or the known starts are synced.
     Stored {
-        /// As it came.
+        /// The token of the request.
         token: u64,
     },
 }
 
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the thread sleeps at most where nothing is to be retried.
+/// The maximum sleep of the thread when no write awaits a retry.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The disk's thread, which owns the groups' files.
+/// The disk thread, which owns the groups' files.
 pub struct DiskThread {
     /// The instance's folder.
     pub folder: PathBuf,
-    /// What to write.
+    /// The requests to process.
     pub inbox: Consumer<ToDisk>,
-    /// What is written.
+    /// The acknowledgements of synced data.
     pub outbox: RingSender<FromDisk>,
-    /// The groups' files.
+    /// The open logs of the groups.
     pub logs: BTreeMap<GroupId, GroupLog>,
-    /// For lines about a disk that refuses.
+    /// The logger for failed writes.
     pub logger: Logger,
-    /// Ends the thread.
+    /// Stops the thread.
     pub stop: Arc<AtomicBool>,
 }
 
-/// The writes that wait for one group's file, in their order.
+/// The pending writes to one group's file, in order.
 #[derive(Default)]
 struct GroupQueue {
     requests: VecDeque<PersistRequest>,
     retry_at: Option<Instant>,
 }
 
-/// What waits for the disk.
+/// The pending requests.
 #[derive(Default)]
 struct Queues {
     groups: BTreeMap<GroupId, GroupQueue>,
-    /// What concerns no group's log, retried like the rest.
-    others: VecDeque<ToDisk>,
-    others_retry_at: Option<Instant>,
+    /// The requests that do not append to a group's log, retried likewise.
+    folder_requests: VecDeque<ToDisk>,
+    folder_retry_at: Option<Instant>,
 }
 
 fn is_due(retry_at: Option<Instant>) -> bool {
@@ -125,7 +125,7 @@
 }
 
 impl DiskThread {
-    /// Runs until the thread is stopped or the groups' thread has ended.
+    /// Runs until the thread is stopped or the groups thread has ended.
     pub fn run(mut self) {
         let mut queues = Queues::default();
         loop {
@@ -138,7 +138,7 @@
             if self.stop.load(Ordering::Acquire) || self.inbox.is_abandoned() {
                 return;
             }
-            let is_waiting = is_retrying || self.outbox.is_clogged();
+            let is_waiting = is_retrying || self.outbox.is_backlogged();
             std::thread::park_timeout(if is_waiting {
                 RETRY_INTERVAL / 4
             } else {
@@ -160,24 +160,25 @@
                 }
                 ToDisk::RemoveGroup { group } => {
                     queues.groups.remove(&group);
-                    queues.others.push_back(request);
+                    queues.folder_requests.push_back(request);
                 }
                 ToDisk::CreateGroup { .. }
                 | ToDisk::StoreIdentity { .. }
-                | ToDisk::StoreKnownStarts { .. } => queues.others.push_back(request),
+                | ToDisk::StoreKnownStarts { .. } => queues.folder_requests.push_back(request),
             }
         }
     }
 
-    /// Writes what is due. True where something has to be retried.
+    /// Processes the requests that are due. Returns whether any request awaits a retry.
     fn write_all(&mut self, queues: &mut Queues) -> bool {
-        if is_due(queues.others_retry_at) {
-            queues.others_retry_at = match self.carry_out_others(&mut queues.others) {
+        if is_due(queues.folder_retry_at) {
+            queues.folder_retry_at = match self.execute_folder_requests(&mut queues.folder_requests)
+            {
                 Ok(()) => None,
                 Err(error) => Some(self.retry_after(&error)),
             };
         }
-        let mut is_retrying = queues.others_retry_at.is_some();
+        let mut is_retrying = queues.folder_retry_at.is_some();
         for (group, queue) in &mut queues.groups {
             if is_due(queue.retry_at) {
                 self.persist(*group, queue);
@@ -196,7 +197,7 @@
     fn persist(&mut self, group: GroupId, queue: &mut GroupQueue) {
         queue.retry_at = None;
         let Some(log) = self.logs.get_mut(&group) else {
-            // Its file can't be made yet, or the group was dissolved.
+            // The file of the group could not be created yet, or the group was removed.
             queue.retry_at = Some(Instant::now() + RETRY_INTERVAL);
             return;
         };
@@ -216,7 +217,7 @@
             .map(|request| request.number)
             .max();
         match newest {
-            // Nothing waits for a number of zero.
+            // Number zero needs no acknowledgement.
             None | Some(0) => {}
             Some(number) => self.outbox.send(FromDisk::Persisted {
                 group,
@@ -226,18 +227,18 @@
         }
     }
 
-    /// Carries out the requests in their order, up to one that fails.
-    fn carry_out_others(&mut self, others: &mut VecDeque<ToDisk>) -> io::Result<()> {
-        while let Some(request) = others.front() {
-            if let Some(done) = self.carry_out(request)? {
+    /// Executes the requests in order, up to the first failure.
+    fn execute_folder_requests(&mut self, requests: &mut VecDeque<ToDisk>) -> io::Result<()> {
+        while let Some(request) = requests.front() {
+            if let Some(done) = self.execute(request)? {
                 self.outbox.send(done);
             }
-            others.pop_front();
+            requests.pop_front();
         }
         Ok(())
     }
 
-    fn carry_out(&mut self, request: &ToDisk) -> io::Result<Option<FromDisk>> {
+    fn execute(&mut self, request: &ToDisk) -> io::Result<Option<FromDisk>> {
         match request {
             ToDisk::CreateGroup {
                 group,
@@ -264,7 +265,7 @@
                 known_starts::store(&self.folder, known_starts)?;
                 Ok(Some(FromDisk::Stored { token: *token }))
             }
-            // Waits in its group's queue instead.
+            // `Persist` requests are queued per group instead.
             ToDisk::Persist { .. } => Ok(None),
         }
     }
--- a/forwarder/raft-groups/src/groups/capacity.rs
+++ b/forwarder/raft-groups/src/groups/capacity.rs
@@ -1,5 +1,5 @@
-//! Limits of what is kept for other instances. An owner stops accepting events well below them, since what is pending
-//! still needs its later records and outcomes, and only these make it smaller.
+//! Limits on the data stored for event logs of other instances. An owner stops accepting events well below the limits,
+//! since pending events still need their later records and outcomes, and only these reduce the log.
 
 use std::sync::atomic::Ordering;
 
@@ -7,57 +7,57 @@
 use super::thread::GroupsThread;
 use crate::{GroupId, Incarnation, Purpose};
 
-/// The share of the limits at which owners stop accepting events.
+/// The fraction of the limits at which owners stop accepting events.
 const ACCEPT_SHARE: f64 = 0.6;
-/// The share of the limits at which logs are compacted early.
+/// The fraction of the limits at which logs are compacted early.
 const COMPACT_SHARE: f64 = 0.3;
 
-/// Bytes that are kept for other instances.
+/// The bytes stored for other instances.
 #[derive(Default)]
-struct KeptForOthers {
+struct ReplicaUsage {
     memory: u64,
     disk: u64,
 }
 
 impl GroupsThread {
-    fn is_for_others(&self, group: GroupId, hosted: &HostedGroup) -> bool {
+    fn is_owned_elsewhere(&self, group: GroupId, hosted: &HostedGroup) -> bool {
         hosted.replica.purpose() == Purpose::EventLog
             && !hosted.replica.is_leader()
             && group.founder != self.incarnation()
     }
 
-    fn kept_for_others(&self) -> KeptForOthers {
-        let mut kept = KeptForOthers::default();
+    fn replica_usage(&self) -> ReplicaUsage {
+        let mut usage = ReplicaUsage::default();
         for (group, hosted) in &self.groups {
-            if self.is_for_others(*group, hosted) {
-                kept.memory += hosted.replica.size() as u64;
-                kept.disk += hosted.file_length;
+            if self.is_owned_elsewhere(*group, hosted) {
+                usage.memory += hosted.replica.size() as u64;
+                usage.disk += hosted.file_length;
             }
         }
-        kept
+        usage
     }
 
-    /// Bytes left of that share of the limits.
+    /// Returns the bytes left below this fraction of the limits.
     fn free_bytes(&self, share: f64) -> u64 {
         let Some(replication) = &self.instance.fleet.replication else {
             return u64::MAX;
         };
-        let kept = self.kept_for_others();
+        let usage = self.replica_usage();
         let free = |limit: u64, kept: u64| ((limit as f64 * share) as u64).saturating_sub(kept);
-        free(replication.memory, kept.memory).min(free(replication.disk, kept.disk))
+        free(replication.memory, usage.memory).min(free(replication.disk, usage.disk))
     }
 
-    /// Bytes that owners may add, as heartbeats say.
+    /// Returns the bytes that owners may still add, as sent in heartbeats.
     pub(super) fn free_bytes_for_owners(&self) -> u64 {
         self.free_bytes(ACCEPT_SHARE)
     }
 
-    /// Whether nothing more is kept for other instances. What is kept stays.
+    /// Whether the limits are reached, so that nothing more is stored for other instances. Stored data remains.
     pub(super) fn is_full(&self) -> bool {
         self.free_bytes(1.0) == 0
     }
 
-    /// Compacts logs, which also have what is completed, before anything is refused for the bytes they take.
+    /// Compacts logs, which also contain completed events, before anything is refused for lack of space.
     pub(super) fn compact_if_short(&mut self) {
         if self.free_bytes(COMPACT_SHARE) > 0 {
             return;
@@ -65,7 +65,7 @@
         let groups = self
             .groups
             .iter()
-            .filter(|(group, hosted)| self.is_for_others(**group, hosted));
+            .filter(|(group, hosted)| self.is_owned_elsewhere(**group, hosted));
         let groups: Vec<(GroupId, u64)> = groups
             .map(|(group, hosted)| (*group, hosted.file_length))
             .collect();
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Tells the event loop up to how many bytes of commands, counted from the start, a majority of each group led
-    /// here has capacity.
+    /// Publishes to the event loop the total number of command bytes, counted from the start, up to which a majority of
+    /// each group led here has capacity.
     pub(super) fn publish_command_bytes_limit(&mut self, now: f64) {
         let led = self.groups.values().filter(|hosted| {
             hosted.replica.is_leader() && hosted.replica.purpose() == Purpose::EventLog
@@ -90,12 +90,12 @@
             .store(limit, Ordering::Release);
     }
 
-    /// Up to how many bytes of commands a majority of these voters has capacity.
+    /// Returns the total number of command bytes up to which a majority of these voters has capacity.
     fn majority_limit(&self, voters: &[Incarnation], now: f64) -> u64 {
         let others = voters.iter().filter(|voter| **voter != self.incarnation());
         let mut limits: Vec<u64> = others.map(|voter| self.peer_limit(*voter, now)).collect();
         limits.sort_by(|a, b| b.cmp(a));
-        // With this instance itself, so many others are a majority.
+        // The number of other voters that form a majority together with this instance.
         let others_needed = voters.len() / 2;
         if others_needed == 0 {
             return u64::MAX;
--- a/forwarder/raft-groups/src/groups/context.rs
+++ b/forwarder/raft-groups/src/groups/context.rs
@@ -1,4 +1,4 @@
-//! What the groups' thread is started with, and the ends of the rings that it holds.
+//! The inputs of the groups thread at its start, and its ends of the rings.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
 use crate::wire::message::PeerMessage;
 use crate::{GroupEvent, GroupId, GroupRequest, InstanceName, StateMachineFactory};
 
-/// What does not change while the thread runs.
+/// The data that is constant while the thread runs.
 pub struct InstanceContext {
     /// The fleet file.
     pub fleet: FleetConfig,
@@ -28,65 +28,65 @@
     pub me: PeerIndex,
     /// The instance's folder.
     pub folder: PathBuf,
-    /// For the thread's lines.
+    /// The thread's logger.
     pub logger: Logger,
-    /// Makes the state machines of new groups.
+    /// Creates the state machines of new groups.
     pub state_machines: StateMachineFactory,
-    /// The spans of all groups.
+    /// The durations used by all groups.
     pub timing: GroupTiming,
-    /// Shared with the event loop.
+    /// The leases, shared with the event loop.
     pub(crate) leases: Arc<Leases>,
 }
 
 impl InstanceContext {
-    /// This instance's entry in the fleet file.
+    /// Returns this instance's entry in the fleet file.
     pub(super) fn own_instance(&self) -> &Instance {
         &self.fleet.instances[self.me]
     }
 
-    /// The name of an instance of the fleet file.
+    /// Returns the name of an instance in the fleet file.
     pub(super) fn name_of(&self, peer: PeerIndex) -> InstanceName {
         InstanceName(self.fleet.instances[peer].name.as_str().into())
     }
 
-    /// Whether the fleet file names the instance as a voter of the control group.
+    /// Whether the instance is a voter of the control group according to the fleet file.
     pub(super) fn is_control_voter(&self, peer: PeerIndex) -> bool {
         self.fleet.voters.contains(&self.fleet.instances[peer].name)
     }
 }
 
-/// What was read from the instance's folder.
+/// The state read from the instance's folder.
 pub struct StoredState {
-    /// Whose folder it is.
+    /// The identity of the folder.
     pub identity: Identity,
-    /// The groups that have a log here.
+    /// The replicas of the groups that have a log here.
     pub replicas: BTreeMap<GroupId, Replica>,
-    /// The groups that were here and are dissolved.
+    /// The groups that were removed here.
     pub dissolved: Vec<GroupId>,
-    /// The newest starts of other instances.
+    /// The latest known starts of other instances.
     pub known_starts: KnownStarts,
 }
 
-/// The ends of the rings that the groups' thread holds.
+/// The groups thread's ends of the rings.
 pub struct Rings {
-    /// From the event loop.
+    /// Requests from the event loop.
     pub requests: Consumer<GroupRequest>,
-    /// To the event loop.
+    /// Events to the event loop.
     pub events: RingSender<GroupEvent>,
-    /// To the links' thread.
+    /// Requests to the links thread.
     pub links: RingSender<ToLinks>,
-    /// From the links' thread.
+    /// Events from the links thread.
     pub from_links: Consumer<FromLinks>,
-    /// To the disk's thread.
+    /// Requests to the disk thread.
     pub disk: RingSender<ToDisk>,
-    /// From the disk's thread.
+    /// Acknowledgements from the disk thread.
     pub from_disk: Consumer<FromDisk>,
-    /// Shared with the event loop.
+    /// The status, shared with the event loop.
     pub(crate) status: SharedStatus,
 }
 
 impl Rings {
-    /// Sends a message to another instance; it may be lost.
+    /// Sends a message to another instance; the message may be lost.
     pub(super) fn send_to_peer(&mut self, to: PeerIndex, message: &PeerMessage) {
         self.links.send_or_drop(ToLinks::Send {
             to,
@@ -94,9 +94,9 @@
         });
     }
 
-    /// Whether anything waits for a place in a ring: nothing more is taken in meanwhile.
-    pub(super) fn is_clogged(&self) -> bool {
-        self.events.is_clogged() || self.links.is_clogged() || self.disk.is_clogged()
+    /// Whether values are waiting for space in a ring. The thread accepts no further input in that case.
+    pub(super) fn is_backlogged(&self) -> bool {
+        self.events.is_backlogged() || self.links.is_backlogged() || self.disk.is_backlogged()
     }
 
     pub(super) fn flush(&mut self) {
@@ -105,7 +105,7 @@
         self.disk.flush();
     }
 
-    /// Whether a receiver has ended.
+    /// Whether a receiving thread has ended.
     pub(super) fn is_abandoned(&self) -> bool {
         self.events.is_abandoned() || self.links.is_abandoned() || self.disk.is_abandoned()
     }
--- a/forwarder/raft-groups/src/groups/create.rs
+++ b/forwarder/raft-groups/src/groups/create.rs
@@ -1,4 +1,5 @@
-//! New groups: the number is stored first, then voters are chosen, then each makes its file, then the founder leads.
+//! Creation of groups: the founder stores the group's number and selects voters, each voter creates its file, and the
+//! founder becomes the leader.
 
 use super::hosted_group::{CreatingGroup, HostedGroup};
 use super::pending_founding::PendingFounding;
@@ -12,11 +13,11 @@
 use crate::wire::message::PeerMessage;
 use crate::{GroupId, Purpose};
 
-/// Groups that an instance may be in.
+/// The maximum number of groups on an instance.
 const MAX_GROUPS: usize = 4096;
 
 impl GroupsThread {
-    /// Begins to found a group: stores its number before that is used.
+    /// Begins to found a group: stores the group's number before the number is used.
     pub(super) fn found_group(&mut self, purpose: Purpose, now: f64) {
         let number = self.identity.next_group;
         self.identity.next_group += 1;
@@ -30,7 +31,7 @@
             .wait_for(token, AfterStore::FoundGroup { number });
     }
 
-    /// A number is stored. Numbers are stored in the order of the foundings.
+    /// Continues the first founding without a number, since numbers are stored in the order of the foundings.
     pub(super) fn on_number_stored(&mut self, number: u32) {
         let group = GroupId {
             founder: self.incarnation(),
@@ -47,7 +48,7 @@
         self.advance_foundings(now);
     }
 
-    /// Takes each founding's next step.
+    /// Performs the next step of each founding.
     pub(super) fn advance_foundings(&mut self, now: f64) {
         let mut to_found = Vec::new();
         for mut founding in std::mem::take(&mut self.foundings) {
@@ -65,8 +66,8 @@
             match self.observe_founding(&founding, group, now).next_step() {
                 FoundingStep::Done => {}
                 FoundingStep::FoundAnother => to_found.push(founding.purpose),
-                FoundingStep::ForgetAndFoundAnother => {
-                    self.forget_group(group);
+                FoundingStep::RemoveAndFoundAnother => {
+                    self.remove_group(group);
                     to_found.push(founding.purpose);
                 }
                 FoundingStep::Continue => {
@@ -89,7 +90,8 @@
         });
     }
 
-    /// A group founded here is led: its founding is done, also where that is looked at later.
+    /// Records that this instance leads a group that it founded, so that the founding counts as complete even if it is
+    /// checked later.
     pub(super) fn record_led_here(&mut self, group: GroupId) {
         if group.founder == self.incarnation() {
             self.led_here.insert(group);
@@ -108,9 +110,9 @@
         let is_late = now - founding.requested_at > 3.0 * self.instance.fleet.timing.replace;
         FoundingObservation {
             was_led_here: is_led || self.led_here.contains(&group),
-            is_gone: self.dissolved.contains(&group),
+            is_removed: self.dissolved.contains(&group),
             is_led_by_another: leader.is_some_and(|leader| leader != self.incarnation()),
-            lost_its_voters: is_late && !self.is_majority_connected(founding),
+            has_lost_voters: is_late && !self.is_majority_connected(founding),
         }
     }
 
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Chooses the voters if enough are reachable, and makes the group here.
+    /// Selects the voters if enough are reachable, and creates the group on this instance.
     fn choose_voters(&mut self, founding: &mut PendingFounding, group: GroupId, now: f64) {
         let is_late = now - founding.requested_at > self.instance.fleet.timing.replace;
         let others = match founding.purpose {
@@ -158,7 +160,8 @@
         self.create_group(group, founding.purpose, state);
     }
 
-    /// The first choices of the ranking, once all of them are reachable; later the first of those that are.
+    /// Returns the highest-ranked instances if all of them are reachable. Once the founding is late, returns the
+    /// highest-ranked among the reachable instances that have capacity.
     fn choose_event_log_voters(
         &self,
         group: GroupId,
@@ -182,8 +185,8 @@
         }
     }
 
-    /// The named voters that are reachable, where they are a majority of those named, so that one who knows an
-    /// earlier control group is among them.
+    /// Returns the reachable voters in the fleet file if they form a majority of all voters in it, so that any earlier
+    /// control group is known to at least one of them.
     fn choose_control_voters(&self, now: f64) -> Option<Vec<PeerIndex>> {
         if self.control.is_some() || self.peers.iter().any(|peer| peer.control.is_some()) {
             return None;
@@ -191,7 +194,7 @@
         let reachable: Vec<PeerIndex> = (0..self.peers.len())
             .filter(|peer| self.instance.is_control_voter(*peer) && self.is_reachable(*peer, now))
             .collect();
-        // With this instance itself.
+        // The sum includes this instance.
         if 2 * (reachable.len() + 1) > self.instance.fleet.voters.len() {
             Some(reachable)
         } else {
@@ -199,7 +202,7 @@
         }
     }
 
-    /// The control group is founded once, by the first of its voters, where the settings allow that.
+    /// Founds the control group once, by the first voter in the fleet file, if the settings permit it.
     pub(super) fn found_control_group(&mut self, now: f64) {
         let fleet = &self.instance.fleet;
         let is_first_voter = fleet.voters.first() == Some(&self.instance.own_instance().name);
@@ -229,7 +232,7 @@
         !is_known && is_allowed && !is_full && group.number != 0
     }
 
-    /// Makes the group's file.
+    /// Requests the creation of the group's file.
     pub(super) fn create_group(&mut self, group: GroupId, purpose: Purpose, state: PersistedState) {
         let on_disk = PersistedState {
             base: state.base.clone(),
@@ -245,7 +248,7 @@
         });
     }
 
-    /// The disk has the group's file.
+    /// Starts the replica of a group whose file is synced.
     pub(super) fn on_group_created(&mut self, group: GroupId) {
         let Some(CreatingGroup { purpose, state }) = self.creating.remove(&group) else {
             return;
--- a/forwarder/raft-groups/src/groups/dissolve.rs
+++ b/forwarder/raft-groups/src/groups/dissolve.rs
@@ -1,4 +1,4 @@
-//! Groups that end.
+//! Removal of groups.
 
 use super::thread::GroupsThread;
 use crate::disk::thread::ToDisk;
@@ -6,28 +6,29 @@
 use crate::{GroupEvent, GroupId};
 
 impl GroupsThread {
-    /// The group is dissolved, as committed here: nothing of it is kept. A leader stays until the others know.
+    /// Removes a group whose dissolution is committed here. A leader keeps the group until the dissolution
+    /// is committed on all other members or the replacement timeout has passed.
     pub(super) fn on_dissolved(&mut self, group: GroupId) {
         let now = self.now();
         let Some(hosted) = self.groups.get_mut(&group) else {
             return;
         };
         let dissolved_at = *hosted.dissolved_at.get_or_insert(now);
-        let is_known_to_all = || {
+        let is_commit_current_everywhere = || {
             hosted
                 .replica
                 .member_progress()
                 .iter()
-                .all(|member| member.knows_commit)
+                .all(|member| member.is_commit_current)
         };
-        let has_waited = now - dissolved_at > self.instance.fleet.timing.replace;
-        if !hosted.replica.is_leader() || has_waited || is_known_to_all() {
-            self.forget_group(group);
+        let has_timed_out = now - dissolved_at > self.instance.fleet.timing.replace;
+        if !hosted.replica.is_leader() || has_timed_out || is_commit_current_everywhere() {
+            self.remove_group(group);
         }
     }
 
-    /// Forgets a group here, and remembers that it was here.
-    pub(super) fn forget_group(&mut self, group: GroupId) {
+    /// Removes a group from this instance and records its removal.
+    pub(super) fn remove_group(&mut self, group: GroupId) {
         if self.groups.remove(&group).is_none() {
             return;
         }
@@ -38,17 +39,18 @@
         self.rings.events.send(GroupEvent::Deposed { group });
     }
 
-    /// Forgets the groups that were dissolved before the process was started.
-    pub(super) fn forget_dissolved_groups(&mut self) {
+    /// Removes the groups that were dissolved before the process started.
+    pub(super) fn remove_dissolved_groups(&mut self) {
         let groups = self.groups.iter();
         let dissolved = groups.filter(|(_, hosted)| hosted.replica.is_dissolved());
         let dissolved: Vec<GroupId> = dissolved.map(|(group, _)| *group).collect();
         for group in dissolved {
-            self.forget_group(group);
+            self.remove_group(group);
         }
     }
 
-    /// Whether this instance leads the group, or is not in it: then no other leader can say anything about it.
+    /// Whether this instance leads the group or has no replica of it; messages from other instances about its
+    /// membership or removal are ignored in both cases.
     pub(super) fn is_led_here_or_unknown(&self, group: GroupId) -> bool {
         self.groups
             .get(&group)
--- a/forwarder/raft-groups/src/groups/hosted_group.rs
+++ b/forwarder/raft-groups/src/groups/hosted_group.rs
@@ -1,21 +1,22 @@
-//! One group on this instance.
+//! The state of one group on this instance.
 
 use super::snapshot_transfer::IncomingSnapshot;
 use crate::leases::Lease;
 use crate::replica::{PersistedState, Replica};
 use crate::{Incarnation, Purpose};
 
-/// A group that has its file here, with what the thread knows of it beside its replica.
+/// A group that has a file on this instance: its replica, and the groups thread's own state for it.
 pub(super) struct HostedGroup {
     pub(super) replica: Replica,
     pub(super) lease: Lease,
-    /// The length of the group's file in bytes, as the disk last acknowledged it.
+    /// The length of the group's file in bytes, as last acknowledged by the disk thread.
     pub(super) file_length: u64,
-    /// This instance was removed from the group: its replica is not ticked until the leader sends to it again.
-    pub(super) is_parked: bool,
-    /// When the group was seen to be dissolved, in milliseconds since the start.
+    /// Whether this instance was removed from the group: its replica receives no ticks until the leader sends a message
+    /// again.
+    pub(super) is_suspended: bool,
+    /// When the dissolution was observed, in milliseconds since the start.
     pub(super) dissolved_at: Option<f64>,
-    /// The voters that were logged last, while this instance leads.
+    /// The voters last logged, while this instance leads.
     pub(super) logged_voters: Option<Vec<Incarnation>>,
     pub(super) incoming_snapshot: Option<IncomingSnapshot>,
 }
@@ -26,7 +27,7 @@
             replica,
             lease,
             file_length: 0,
-            is_parked: false,
+            is_suspended: false,
             dissolved_at: None,
             logged_voters: None,
             incoming_snapshot: None,
@@ -34,7 +35,7 @@
     }
 }
 
-/// A group whose file is being made.
+/// A group whose file is being created.
 pub(super) struct CreatingGroup {
     pub(super) purpose: Purpose,
     pub(super) state: PersistedState,
--- a/forwarder/raft-groups/src/groups/mod.rs
+++ b/forwarder/raft-groups/src/groups/mod.rs
@@ -1,30 +1,30 @@
-//! The groups' thread: it owns the replicas of all groups that this instance is in, and hands on what they make to
-//! the disk, the links and the event loop.
+//! The groups thread, which owns the replicas of all groups on this instance and passes their output to the disk, the
+//! links and the event loop.
 //!
-//! State, each piece in a module that knows nothing of the thread:
+//! State, in modules that are independent of the thread:
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `context` | what the thread is started with, and the ends of its rings |
-//! | `hosted_group` | one group here |
+//! | `context` | the inputs of the thread at its start, and its ends of the rings |
+//! | `hosted_group` | one group on this instance |
 //! | `peer_state` | one other instance |
-//! | `pending_founding` | a group on its way to its first leader |
-//! | `pending_stores` | what has to wait for the disk |
-//! | `snapshot_transfer` | a snapshot on its way to or from another instance |
+//! | `pending_founding` | a group that has no leader yet |
+//! | `pending_stores` | actions that wait for the disk |
+//! | `snapshot_transfer` | a snapshot in transfer to or from another instance |
 //!
-//! What the thread does, each part an `impl` of [`GroupsThread`]:
+//! Functions of the thread, each module an `impl` of [`GroupsThread`]:
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `thread` | the loop: disk, links, requests, ticks |
-//! | `on_request` | what the event loop asks for |
-//! | `on_link` | who is heard, and who is reachable |
-//! | `on_message` | what other instances send |
-//! | `create` | new groups: founded here, or joined |
-//! | `dissolve` | groups that end |
-//! | `review` | which members are replaced |
-//! | `capacity` | limits of what is kept for other instances |
-//! | `snapshots` | snapshots in chunks |
+//! | `thread` | the main loop: disk, links, requests, ticks |
+//! | `on_request` | requests of the event loop |
+//! | `on_link` | acceptance and reachability of peers |
+//! | `on_message` | messages from other instances |
+//! | `create` | creation of groups, founded here or joined |
+//! | `dissolve` | removal of groups |
+//! | `review` | replacement of members |
+//! | `capacity` | limits on the data stored for other instances |
+//! | `snapshots` | transfer of snapshots in chunks |
 
 mod capacity;
 mod context;
--- a/forwarder/raft-groups/src/groups/on_link.rs
+++ b/forwarder/raft-groups/src/groups/on_link.rs
@@ -1,7 +1,7 @@
-//! Who is heard, and who is reachable. A start of another instance's folder is stored, synced, before any message of
-//! it is handled, so that an older copy of the folder is recognised.
+//! Acceptance and reachability of peers. The start of another instance's folder is stored and synced before any message
+//! from that instance is handled, so that an older copy of the folder is detected.
 
-use super::peer_state::Call;
+use super::peer_state::AcceptedConnection;
 use super::pending_stores::AfterStore;
 use super::thread::GroupsThread;
 use crate::disk::known_starts::{KnownStart, MAX_KNOWN_STARTS};
@@ -10,7 +10,8 @@
 use crate::wire::message::{Hello, HelloReply, PROTOCOL_VERSION};
 use crate::{GroupEvent, GroupId, Incarnation};
 
-/// A start is older than one that is known of the same incarnation, or another one of the same generation.
+/// A start that is older than the known start of the same incarnation, or differs from the known start of the same
+/// generation.
 struct StaleStart {
     known_generation: u64,
 }
@@ -28,14 +29,14 @@
         }
     }
 
-    /// Checks a start against the known ones, and has it stored where it is new.
+    /// Checks a start against the known starts, and requests its storage if it is new.
     fn check_start(&mut self, hello: &Hello) -> Result<(), StaleStart> {
         let known = self.known_starts.get(&hello.incarnation);
         if let Some(known) = known {
             let is_older = hello.start.generation < known.start.generation;
-            let is_twin = hello.start.generation == known.start.generation
+            let is_conflicting = hello.start.generation == known.start.generation
                 && hello.start.nonce != known.start.nonce;
-            if is_older || is_twin || known.name != hello.name {
+            if is_older || is_conflicting || known.name != hello.name {
                 return Err(StaleStart {
                     known_generation: known.start.generation,
                 });
@@ -51,7 +52,7 @@
             start: hello.start,
         };
         if known != Some(&start) {
-            self.forget_one_if_full();
+            self.evict_known_start_if_full();
             self.known_starts.insert(hello.incarnation, start);
             let token = self.stores.next_token();
             let known_starts = self.known_starts.clone();
@@ -63,8 +64,8 @@
         Ok(())
     }
 
-    /// Forgets an incarnation that is in no group and not connected.
-    fn forget_one_if_full(&mut self) {
+    /// If the limit is reached, evicts an incarnation that is neither a member of any group nor connected.
+    fn evict_known_start_if_full(&mut self) {
         if self.known_starts.len() < MAX_KNOWN_STARTS {
             return;
         }
@@ -87,27 +88,27 @@
         }
     }
 
-    pub(super) fn on_called(&mut self, call: u64, peer: PeerIndex, hello: &Hello) {
+    pub(super) fn on_hello(&mut self, connection: u64, peer: PeerIndex, hello: &Hello) {
         match self.check_start(hello) {
             Ok(()) => {
                 let incarnation = hello.incarnation;
-                self.after_stores(AfterStore::WelcomeCaller {
-                    call,
+                self.after_stores(AfterStore::WelcomePeer {
+                    connection,
                     peer,
                     incarnation,
                 });
             }
             Err(StaleStart { known_generation }) => {
                 let reply = HelloReply::StaleFolder { known_generation };
-                self.rings.links.send(ToLinks::Reply { call, reply });
+                self.rings.links.send(ToLinks::Reply { connection, reply });
             }
         }
     }
 
-    pub(super) fn on_replied(&mut self, peer: PeerIndex, reply: HelloReply) {
+    pub(super) fn on_hello_reply(&mut self, peer: PeerIndex, reply: HelloReply) {
         match reply {
             HelloReply::StaleFolder { known_generation } => {
-                self.refuse_own_folder(peer, known_generation);
+                self.reject_own_folder(peer, known_generation);
             }
             HelloReply::Welcome(hello) => {
                 let is_expected = hello.name == self.instance.name_of(peer)
@@ -118,47 +119,49 @@
                         incarnation: hello.incarnation,
                         control: hello.control,
                     }),
-                    // Where its folder is stale, its own calls are answered with why.
-                    _ => self.rings.links.send(ToLinks::HangUp { peer }),
+                    // A peer with a stale folder learns the reason from the reply on its own connections.
+                    _ => self.rings.links.send(ToLinks::CloseLink { peer }),
                 }
             }
         }
     }
 
-    /// A peer knows a later start of this instance's folder: what was promised since is not in it.
-    fn refuse_own_folder(&mut self, peer: PeerIndex, known_generation: u64) {
+    /// Stops this instance, since a peer has recorded a later start of its folder: the folder lacks what was
+    /// acknowledged since then.
+    fn reject_own_folder(&mut self, peer: PeerIndex, known_generation: u64) {
         let generation = self.identity.start.generation;
         let name = &self.instance.fleet.instances[peer].name;
         self.fatal_error = Some(format!(
-            "{}: is an older copy: {name} knows start {known_generation} of it, this is start {generation}; what \
-             was promised since is not in it: start on an empty folder",
+            "{}: is an older copy: {name} knows start {known_generation} of it, this is start {generation}; it \
+             lacks what was acknowledged since: start on an empty folder",
             self.instance.folder.display()
         ));
     }
 
-    /// Acts once all that was handed to the disk is stored.
+    /// Runs the action once all data submitted to the disk is stored.
     fn after_stores(&mut self, action: AfterStore) {
         if let Some(action) = self.stores.wait_for_all(action) {
-            self.act_after_store(action);
+            self.run_action(action);
         }
     }
 
     pub(super) fn on_stored(&mut self, token: u64) {
         for action in self.stores.stored(token) {
-            self.act_after_store(action);
+            self.run_action(action);
         }
     }
 
-    fn act_after_store(&mut self, action: AfterStore) {
+    fn run_action(&mut self, action: AfterStore) {
         match action {
-            AfterStore::WelcomeCaller {
-                call,
+            AfterStore::WelcomePeer {
+                connection,
                 peer,
                 incarnation,
             } => {
-                self.calls.insert(call, Call { peer, incarnation });
+                self.connections
+                    .insert(connection, AcceptedConnection { peer, incarnation });
                 let reply = HelloReply::Welcome(self.hello_to(peer));
-                self.rings.links.send(ToLinks::Reply { call, reply });
+                self.rings.links.send(ToLinks::Reply { connection, reply });
             }
             AfterStore::ConnectPeer {
                 peer,
@@ -182,7 +185,7 @@
         state.connected = Some(incarnation);
         state.received_at = now;
         state.capacity.reset();
-        // Before the peer counts as reachable: the founder of a control group has to know of one that exists.
+        // Set before the peer counts as reachable: the founder of a control group must know of an existing one.
         state.control = control;
         if state.announced == Some(incarnation) {
             return;
@@ -221,21 +224,21 @@
         });
     }
 
-    /// The peer whose incarnation this is, while it is connected.
+    /// Returns the connected peer with this incarnation.
     pub(super) fn peer_of(&self, incarnation: Incarnation) -> Option<PeerIndex> {
         self.peers
             .iter()
             .position(|peer| peer.connected == Some(incarnation))
     }
 
-    /// Whether the peer is connected, and something came from it lately.
+    /// Whether the peer is connected and has sent something recently.
     pub(super) fn is_reachable(&self, peer: PeerIndex, now: f64) -> bool {
         let state = &self.peers[peer];
-        state.connected.is_some() && now - state.received_at < self.silence_timeout()
+        state.connected.is_some() && now - state.received_at < self.idle_timeout()
     }
 
-    /// For how long the incarnation has been unreachable, in milliseconds; infinite where its name has another
-    /// incarnation now, or is not in the fleet file any more.
+    /// Returns how long the incarnation has been unreachable, in milliseconds; infinite if another incarnation is
+    /// connected under its name or the fleet file does not contain its name.
     pub(super) fn unreachable_for(&self, incarnation: Incarnation, now: f64) -> f64 {
         let Some(known) = self.known_starts.get(&incarnation) else {
             return f64::INFINITY;
@@ -250,13 +253,13 @@
         let state = &self.peers[peer];
         match state.connected {
             Some(connected) if connected != incarnation => f64::INFINITY,
-            Some(_) => (now - state.received_at - self.silence_timeout()).max(0.0),
+            Some(_) => (now - state.received_at - self.idle_timeout()).max(0.0),
             None => now - state.disconnected_at,
         }
     }
 
-    /// How long a connected peer may send nothing, in milliseconds.
-    fn silence_timeout(&self) -> f64 {
+    /// The maximum silence of a reachable peer, in milliseconds.
+    fn idle_timeout(&self) -> f64 {
         2.0 * self.instance.fleet.timing.election
     }
 }
--- a/forwarder/raft-groups/src/groups/on_message.rs
+++ b/forwarder/raft-groups/src/groups/on_message.rs
@@ -1,6 +1,6 @@
-//! What other instances send.
+//! Handling of messages from other instances.
 
-use super::peer_state::Call;
+use super::peer_state::AcceptedConnection;
 use super::thread::GroupsThread;
 use crate::links::channels::FromLinks;
 use crate::replica::PersistedState;
@@ -11,23 +11,30 @@
 impl GroupsThread {
     pub(super) fn on_link_event(&mut self, event: FromLinks) {
         match event {
-            FromLinks::Called { call, peer, hello } => self.on_called(call, peer, &hello),
-            FromLinks::Replied { peer, reply } => self.on_replied(peer, reply),
+            FromLinks::HelloReceived {
+                connection,
+                peer,
+                hello,
+            } => self.on_hello(connection, peer, &hello),
+            FromLinks::ReplyReceived { peer, reply } => self.on_hello_reply(peer, reply),
             FromLinks::LinkLost { peer } => self.on_link_lost(peer),
-            FromLinks::CallEnded { call } => {
-                self.calls.remove(&call);
+            FromLinks::ConnectionClosed { connection } => {
+                self.connections.remove(&connection);
             }
-            FromLinks::Received { call, message } => {
-                let Some(call) = self.calls.get(&call).copied() else {
+            FromLinks::MessageReceived {
+                connection,
+                message,
+            } => {
+                let Some(connection) = self.connections.get(&connection).copied() else {
                     return;
                 };
-                self.peers[call.peer].received_at = self.now();
-                self.on_message(call, *message);
+                self.peers[connection.peer].received_at = self.now();
+                self.on_message(connection, *message);
             }
         }
     }
 
-    fn on_message(&mut self, from: Call, message: PeerMessage) {
+    fn on_message(&mut self, from: AcceptedConnection, message: PeerMessage) {
         match message {
             PeerMessage::Heartbeat {
                 free_bytes,
@@ -57,13 +64,13 @@
             PeerMessage::NotMember { group } => {
                 if !self.is_led_here_or_unknown(group) {
                     if let Some(hosted) = self.groups.get_mut(&group) {
-                        hosted.is_parked = true;
+                        hosted.is_suspended = true;
                     }
                 }
             }
             PeerMessage::GroupDissolved { group } => {
                 if !self.is_led_here_or_unknown(group) {
-                    self.forget_group(group);
+                    self.remove_group(group);
                 }
             }
             PeerMessage::Report { body } => self.on_report(from, body),
@@ -72,7 +79,7 @@
 
     fn on_found_group(
         &mut self,
-        from: Call,
+        from: AcceptedConnection,
         group: GroupId,
         purpose: Purpose,
         voters: &[Incarnation],
@@ -85,8 +92,8 @@
         }
     }
 
-    /// Hands a report to the event loop, if this instance leads the control group.
-    pub(super) fn on_report(&mut self, from: Call, body: Vec<u8>) {
+    /// Passes a report to the event loop if this instance leads the control group.
+    pub(super) fn on_report(&mut self, from: AcceptedConnection, body: Vec<u8>) {
         let control = self.control.and_then(|group| self.groups.get(&group));
         if control.is_some_and(|control| control.replica.is_leader()) {
             let name = self.instance.name_of(from.peer);
@@ -99,7 +106,7 @@
         }
     }
 
-    fn on_raft_message(&mut self, from: Call, group: GroupId, message: RaftMessage) {
+    fn on_raft_message(&mut self, from: AcceptedConnection, group: GroupId, message: RaftMessage) {
         if message.from != from.incarnation.0 || message.to != self.incarnation().0 {
             return;
         }
@@ -120,12 +127,12 @@
             MessageKind::Append | MessageKind::Heartbeat | MessageKind::Snapshot
         );
         if is_from_leader {
-            hosted.is_parked = false;
+            hosted.is_suspended = false;
         }
         let purpose = hosted.replica.purpose();
         let has_entries = message.kind == MessageKind::Append && !message.entries.is_empty();
         if has_entries && purpose == Purpose::EventLog && self.is_full() {
-            // Refused, and sent again by the leader until there is capacity.
+            // The append is dropped; the leader repeats it until there is capacity.
             return;
         }
         if let Some(message) = message.into_raft() {
--- a/forwarder/raft-groups/src/groups/on_request.rs
+++ b/forwarder/raft-groups/src/groups/on_request.rs
@@ -1,13 +1,13 @@
-//! What the event loop asks for.
+//! Handling of requests from the event loop.
 
-use super::peer_state::Call;
+use super::peer_state::AcceptedConnection;
 use super::thread::GroupsThread;
 use crate::links::channels::ToLinks;
 use crate::wire::message::PeerMessage;
 use crate::{GroupEvent, GroupId, GroupRequest, Incarnation};
 
 impl GroupsThread {
-    /// Tells the links whom this instance is, and the event loop what was there before.
+    /// Passes this instance's hello to the links thread and the stored state of the control group to the event loop.
     pub(super) fn begin(&mut self) {
         let hello = self.hello_to(self.instance.me);
         self.rings.links.send(ToLinks::SetHello(hello));
@@ -17,7 +17,7 @@
                 .events
                 .send(GroupEvent::SnapshotInstalled { state });
         }
-        self.forget_dissolved_groups();
+        self.remove_dissolved_groups();
     }
 
     pub(super) fn on_request(&mut self, request: GroupRequest) {
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Sends a report to the control group's leader, as far as that is known and reachable.
+    /// Sends a report to the control group's leader if the leader is known and reachable.
     fn send_report(&mut self, body: Vec<u8>) {
         let Some(leader) = self.control_leader() else {
             return;
         };
         if leader == self.incarnation() {
             return self.on_report(
-                Call {
+                AcceptedConnection {
                     peer: self.instance.me,
                     incarnation: leader,
                 },
--- a/forwarder/raft-groups/src/groups/peer_state.rs
+++ b/forwarder/raft-groups/src/groups/peer_state.rs
@@ -1,58 +1,60 @@
-//! One other instance.
+//! The state of one other instance.
 
 use crate::links::channels::PeerIndex;
 use crate::{GroupId, Incarnation};
 
-/// What is known of an instance of the fleet file. Times are in milliseconds since this process's start.
+/// The known state of another instance in the fleet file. Times are in milliseconds since this process's start.
 #[derive(Default)]
 pub(super) struct PeerState {
-    /// The incarnation that replied to this instance's hello, while the link stands.
+    /// The incarnation that accepted this instance's hello, while the link is open.
     pub(super) connected: Option<Incarnation>,
-    /// When something last came from it.
+    /// When the last message from the instance arrived.
     pub(super) received_at: f64,
-    /// The incarnation that the event loop was told of as reachable.
+    /// The incarnation that was announced to the event loop as reachable.
     pub(super) announced: Option<Incarnation>,
-    /// Since when the link is broken.
+    /// When the link was lost.
     pub(super) disconnected_at: f64,
     pub(super) capacity: PeerCapacity,
-    /// The control group that it knows of.
+    /// The control group known to the instance.
     pub(super) control: Option<GroupId>,
 }
 
-/// How much an instance has capacity for. Proposals that it had not received when it said so may have used some.
+/// The free capacity of an instance. Proposals that the instance had not received when it measured the capacity may
+/// have used part of it.
 #[derive(Default)]
 pub(super) struct PeerCapacity {
-    /// Bytes, when [`PeerCapacity::measured_at`] bytes of commands had been proposed here.
+    /// The free bytes at the time when [`PeerCapacity::measured_at`] bytes of commands had been proposed here.
     pub(super) free_bytes: u64,
     measured_at: u64,
-    /// How many bytes had been proposed when its last heartbeat came.
+    /// The number of bytes proposed when the last heartbeat arrived.
     proposed_at_heartbeat: u64,
 }
 
 impl PeerCapacity {
-    /// Unknown until the first heartbeat: as much as it takes.
+    /// Assumes unlimited capacity until the first heartbeat.
     pub(super) fn reset(&mut self) {
         self.free_bytes = u64::MAX;
         self.measured_at = 0;
     }
 
-    /// A heartbeat came, when `proposed` bytes of commands had been proposed here. What was proposed since the
-    /// heartbeat before may not have reached the peer when it measured.
+    /// Updates the capacity from a heartbeat that arrived when `proposed` bytes of commands had been proposed here.
+    /// Proposals made since the previous heartbeat may not have reached the peer before it measured its capacity.
     pub(super) fn update(&mut self, free_bytes: u64, proposed: u64) {
         self.free_bytes = free_bytes;
         self.measured_at = self.proposed_at_heartbeat;
         self.proposed_at_heartbeat = proposed;
     }
 
-    /// Up to how many bytes of commands, counted from this process's start, it has capacity.
+    /// Returns the total number of command bytes, counted from this process's start, up to which the instance has
+    /// capacity.
     pub(super) fn command_bytes_limit(&self) -> u64 {
         self.measured_at.saturating_add(self.free_bytes)
     }
 }
 
-/// A connection of an instance that was welcomed.
+/// An incoming connection whose hello was accepted.
 #[derive(Clone, Copy)]
-pub(super) struct Call {
+pub(super) struct AcceptedConnection {
     pub(super) peer: PeerIndex,
     pub(super) incarnation: Incarnation,
 }
--- a/forwarder/raft-groups/src/groups/pending_founding.rs
+++ b/forwarder/raft-groups/src/groups/pending_founding.rs
@@ -1,15 +1,15 @@
-//! A group on its way to its first leader.
+//! A group that has no leader yet.
 
 use crate::{GroupId, Incarnation, Purpose};
 
-/// A group that the event loop has asked for.
+/// A founding that the event loop has requested.
 pub(super) struct PendingFounding {
     pub(super) purpose: Purpose,
-    /// In milliseconds since the process's start.
+    /// The time of the request, in milliseconds since the process's start.
     pub(super) requested_at: f64,
-    /// Once its number is stored.
+    /// The id of the group, set once its number is stored.
     pub(super) group: Option<GroupId>,
-    /// Once they are chosen; this instance is the first.
+    /// The voters, set once they are selected; this instance is the first.
     pub(super) voters: Vec<Incarnation>,
 }
 
--- a/forwarder/raft-groups/src/groups/pending_stores.rs
+++ b/forwarder/raft-groups/src/groups/pending_stores.rs
@@ -1,27 +1,27 @@
-//! What has to wait until the disk has stored the identity or the known starts.
+//! Actions that wait until the disk has stored the identity or the known starts.
 
 use crate::links::channels::PeerIndex;
 use crate::{GroupId, Incarnation};
 
-/// What follows once it is stored.
+/// An action that runs once the data it depends on is stored.
 pub(super) enum AfterStore {
-    /// A caller is welcomed.
-    WelcomeCaller {
-        call: u64,
+    /// Accepts the peer on an incoming connection.
+    WelcomePeer {
+        connection: u64,
         peer: PeerIndex,
         incarnation: Incarnation,
     },
-    /// A peer that replied to this instance's hello is reachable.
+    /// Marks a peer that accepted this instance's hello as connected.
     ConnectPeer {
         peer: PeerIndex,
         incarnation: Incarnation,
         control: Option<GroupId>,
     },
-    /// A group is founded under this number.
+    /// Continues the founding of the group with this number.
     FoundGroup { number: u32 },
 }
 
-/// Stores are numbered by tokens, and the disk acknowledges them in order.
+/// The pending stores, numbered by tokens. The disk thread acknowledges them in order.
 #[derive(Default)]
 pub(super) struct PendingStores {
     last_token: u64,
@@ -35,13 +35,13 @@
 }
 
 impl PendingStores {
-    /// The token of a store that is handed to the disk now.
+    /// Returns the token for a store that is about to be submitted to the disk thread.
     pub(super) fn next_token(&mut self) -> u64 {
         self.last_token += 1;
         self.last_token
     }
 
-    /// Returns the action where all that was handed to the disk is stored; else it waits for that.
+    /// Returns the action if all submitted data is stored; otherwise queues the action until then.
     pub(super) fn wait_for_all(&mut self, action: AfterStore) -> Option<AfterStore> {
         if self.stored_token == self.last_token {
             return Some(action);
@@ -50,12 +50,12 @@
         None
     }
 
-    /// The action waits for the store of that token.
+    /// Queues the action until the store with that token completes.
     pub(super) fn wait_for(&mut self, token: u64, action: AfterStore) {
         self.waiting.push(WaitingAction { token, action });
     }
 
-    /// The disk has stored everything up to `token`: the actions that waited for it, in their order.
+    /// Records that all stores up to `token` are complete, and returns the actions that waited for them, in order.
     pub(super) fn stored(&mut self, token: u64) -> Vec<AfterStore> {
         self.stored_token = self.stored_token.max(token);
         let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
--- a/forwarder/raft-groups/src/groups/review.rs
+++ b/forwarder/raft-groups/src/groups/review.rs
@@ -1,5 +1,5 @@
-//! What a leader does about its group's members: one that is lost is replaced, so that a second loss finds all
-//! replicas complete.
+//! Periodic review of the groups led here: lost members are replaced, so that all replicas are complete again before a
+//! second loss.
 
 use slog::info;
 
@@ -11,17 +11,18 @@
 use crate::wire::message::PeerMessage;
 use crate::{GroupId, Incarnation, Purpose};
 
-/// Learners that one change adds: a large fleet receives its control group's log soon.
+/// The maximum number of learners added by one change; high enough that a large fleet soon receives the control group's
+/// log.
 const MAX_LEARNERS_PER_CHANGE: usize = 16;
 
 impl GroupsThread {
-    /// Looks at all groups and peers.
+    /// Reviews all groups and peers.
     pub(super) fn review(&mut self, now: f64) {
-        self.hang_up_on_silent_peers(now);
+        self.close_idle_links(now);
         for Undelivered { group, to } in std::mem::take(&mut self.undelivered) {
             self.with_replica(group, |replica, out| replica.report_unreachable(to, out));
         }
-        // What that made had nowhere to go either.
+        // Messages produced by these reports are undeliverable as well.
         self.undelivered.clear();
         self.found_control_group(now);
         self.advance_foundings(now);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The groups that this instance leads. Of the others, no voters are remembered as logged.
+    /// Returns the groups that this instance leads. Clears the logged voters of the other groups.
     fn led_groups(&mut self) -> Vec<GroupId> {
         let mut led = Vec::new();
         for (group, hosted) in &mut self.groups {
@@ -45,22 +46,22 @@
         led
     }
 
-    /// A link that stands but brings nothing is no link.
-    fn hang_up_on_silent_peers(&mut self, now: f64) {
+    /// Closes links that are open but have delivered nothing for the replacement timeout.
+    fn close_idle_links(&mut self, now: f64) {
         for (peer, state) in self.peers.iter().enumerate() {
-            let is_silent = now - state.received_at > self.instance.fleet.timing.replace;
-            if state.connected.is_some() && is_silent {
-                self.rings.links.send(ToLinks::HangUp { peer });
+            let is_idle = now - state.received_at > self.instance.fleet.timing.replace;
+            if state.connected.is_some() && is_idle {
+                self.rings.links.send(ToLinks::CloseLink { peer });
             }
         }
     }
 
-    /// Logs one line for each change of the voters of a group that is led here.
+    /// Logs each change of the voters of a group led here once.
     fn log_voters(&mut self, group: GroupId) {
         let Some(hosted) = self.groups.get_mut(&group) else {
             return;
         };
-        if !hosted.replica.is_membership_settled() {
+        if !hosted.replica.is_membership_change_complete() {
             return;
         }
         let mut voters = hosted.replica.voters();
@@ -76,7 +77,7 @@
         hosted.logged_voters = Some(voters);
     }
 
-    /// Invites those that were added and have not sent anything yet.
+    /// Invites added members that have not acknowledged anything yet.
     fn invite_new_members(&mut self, group: GroupId) {
         let Some(hosted) = self.groups.get(&group) else {
             return;
@@ -110,8 +111,8 @@
         }
     }
 
-    /// An event log's group has a fixed number of voters. One that is lost is replaced: a learner first, which becomes
-    /// a voter in the change that removes the lost one.
+    /// Returns the changes for an event log's group, which has a fixed number of voters. To replace a lost voter, an
+    /// instance is first added as a learner and then becomes a voter in the change that removes the lost voter.
     fn event_log_changes(
         &self,
         replica: &Replica,
@@ -149,7 +150,7 @@
             .collect()
     }
 
-    /// The first choice of the ranking that is reachable, has capacity and is no member.
+    /// Returns the highest-ranked instance that is reachable, has capacity and is not a member.
     fn next_event_log_voter(
         &self,
         replica: &Replica,
@@ -167,7 +168,7 @@
         })
     }
 
-    /// All instances receive the control group's log; those that the fleet file names vote.
+    /// Returns the changes for the control group. All instances receive its log; the voters in the fleet file vote.
     fn control_changes(&self, replica: &Replica, now: f64) -> Vec<MembershipChange> {
         let members = replica.member_progress();
         let is_named = |member: &MemberProgress| {
@@ -198,7 +199,8 @@
         if !learners.is_empty() {
             return learners;
         }
-        // A voter that is no longer named; or one that is lost, where no learner is on its way to its place.
+        // Remove a voter that the fleet file no longer lists, or else a lost voter, unless a learner that may replace
+        // it is catching up.
         let unnamed = members
             .iter()
             .find(|member| member.is_voter && is_named(member) == Some(false));
@@ -214,7 +216,7 @@
     }
 }
 
-/// One change that makes `successor` a voter and removes `lost`, if any.
+/// Returns one change that makes `successor` a voter and removes `lost`, if any.
 fn replace(lost: Option<&MemberProgress>, successor: &MemberProgress) -> Vec<MembershipChange> {
     let mut changes = vec![MembershipChange::AddVoter(successor.incarnation)];
     changes.extend(lost.map(|lost| MembershipChange::Remove(lost.incarnation)));
--- a/forwarder/raft-groups/src/groups/snapshot_transfer.rs
+++ b/forwarder/raft-groups/src/groups/snapshot_transfer.rs
@@ -1,5 +1,5 @@
-//! A snapshot on its way to or from another instance: in chunks, a few in flight at a time, so that heartbeats and
-//! other groups are not held up.
+//! A snapshot in transfer to or from another instance: sent in chunks with few in flight at a time, so that heartbeats
+//! and other groups are not delayed.
 
 use crate::wire::message::SnapshotChunk;
 use crate::wire::raft_message::RaftMessage;
@@ -8,16 +8,16 @@
 const CHUNK_BYTES: usize = 256 << 10;
 const MAX_BYTES_IN_FLIGHT: usize = 8 * CHUNK_BYTES;
 
-/// A snapshot that is being sent.
+/// A snapshot being sent.
 pub(super) struct OutgoingSnapshot {
     pub(super) to: Incarnation,
-    /// Without its data.
+    /// The message that carries the snapshot, without its data.
     message: RaftMessage,
     data: Vec<u8>,
     sent: usize,
-    /// Up to where the receiver has acknowledged the data.
+    /// The offset up to which the receiver has acknowledged the data.
     received: usize,
-    /// When the receiver last acknowledged, in milliseconds since the start.
+    /// The time of the last acknowledgement, in milliseconds since the start.
     progressed_at: f64,
 }
 
@@ -33,18 +33,18 @@
         }
     }
 
-    /// Whether it is being sent to that incarnation in that term.
+    /// Whether the snapshot is being sent to that incarnation in that term.
     pub(super) fn is_for(&self, to: Incarnation, term: u64) -> bool {
         self.to == to && self.message.term == term
     }
 
-    /// The chunks that may be sent now.
+    /// Returns the chunks that may be sent now.
     pub(super) fn next_chunks(&mut self) -> Vec<SnapshotChunk> {
         let mut chunks = Vec::new();
         while self.sent < self.received + MAX_BYTES_IN_FLIGHT {
             let is_first = self.sent == 0;
             let is_all_sent = self.sent == self.data.len();
-            // The first chunk also carries the message: there is one even where there is no data.
+            // The first chunk also carries the message, so one chunk is sent even if there is no data.
             if is_all_sent && !is_first {
                 break;
             }
@@ -72,27 +72,27 @@
         }
     }
 
-    /// The receiver has the data up to `offset`.
+    /// Records that the receiver has the data up to `offset`.
     pub(super) fn acknowledged(&mut self, offset: u64, now: f64) {
         self.received = self.received.max(offset as usize).min(self.sent);
         self.progressed_at = now;
     }
 
-    /// Whether the receiver has all of it.
+    /// Whether the receiver has all data.
     pub(super) fn is_complete(&self) -> bool {
         self.received >= self.data.len()
     }
 
-    /// Whether the receiver acknowledged nothing for `timeout` milliseconds.
+    /// Whether the receiver has acknowledged nothing for `timeout` milliseconds.
     pub(super) fn is_stalled(&self, now: f64, timeout: f64) -> bool {
         now - self.progressed_at >= timeout
     }
 }
 
-/// A snapshot that is being received.
+/// A snapshot being received.
 pub(super) struct IncomingSnapshot {
     from: Incarnation,
-    /// Without its data.
+    /// The message that carries the snapshot, without its data.
     message: RaftMessage,
     total: u64,
     data: Vec<u8>,
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Adds a chunk, and returns up to where the data has arrived; `None` where the chunk does not follow what
-    /// arrived before.
+    /// Appends a chunk and returns the offset up to which data has arrived; returns `None` if the chunk does not follow
+    /// the previous data.
     pub(super) fn append(&mut self, from: Incarnation, chunk: &SnapshotChunk) -> Option<u64> {
         let is_next = self.from == from
             && self.total == chunk.total
@@ -121,12 +121,12 @@
         Some(self.data.len() as u64)
     }
 
-    /// Whether all of the data has arrived.
+    /// Whether all data has arrived.
     pub(super) fn is_complete(&self) -> bool {
         self.data.len() as u64 == self.total
     }
 
-    /// The message with the snapshot's data.
+    /// Returns the message with the snapshot's data.
     pub(super) fn into_message(self) -> RaftMessage {
         let mut message = self.message;
         if let Some(snapshot) = &mut message.snapshot {
--- a/forwarder/raft-groups/src/groups/snapshots.rs
+++ b/forwarder/raft-groups/src/groups/snapshots.rs
@@ -1,6 +1,6 @@
-//! Snapshots to and from other instances.
+//! Transfer of snapshots to and from other instances.
 
-use super::peer_state::Call;
+use super::peer_state::AcceptedConnection;
 use super::snapshot_transfer::{IncomingSnapshot, OutgoingSnapshot};
 use super::thread::GroupsThread;
 use crate::links::channels::PeerIndex;
@@ -8,11 +8,11 @@
 use crate::wire::raft_message::RaftMessage;
 use crate::{GroupId, Purpose};
 
-/// The longest snapshot of the control group, in bytes.
+/// The maximum size of a control group snapshot, in bytes.
 const MAX_CONTROL_SNAPSHOT_BYTES: u64 = 64 << 20;
 
 impl GroupsThread {
-    /// Begins to send a snapshot, unless the same is being sent.
+    /// Begins to send a snapshot, unless the same transfer is already in progress.
     pub(super) fn send_snapshot(
         &mut self,
         group: GroupId,
@@ -43,8 +43,13 @@
         }
     }
 
-    /// The receiver has the data of a snapshot up to `offset`.
-    pub(super) fn on_chunk_received(&mut self, from: Call, group: GroupId, offset: u64) {
+    /// Continues a transfer after the receiver has acknowledged the data up to `offset`.
+    pub(super) fn on_chunk_received(
+        &mut self,
+        from: AcceptedConnection,
+        group: GroupId,
+        offset: u64,
+    ) {
         let now = self.now();
         let Some(outgoing) = self.outgoing_snapshots.get_mut(&(group, from.peer)) else {
             return;
@@ -60,7 +65,7 @@
         }
     }
 
-    /// Gives up snapshots that do not progress: raft asks for them again.
+    /// Aborts transfers that make no progress: raft requests the snapshots again.
     pub(super) fn drop_stalled_snapshots(&mut self, now: f64) {
         let timeout = 2.0 * self.instance.fleet.timing.election;
         let peers = &self.peers;
@@ -69,8 +74,13 @@
         });
     }
 
-    /// A chunk of a snapshot came.
-    pub(super) fn on_chunk(&mut self, from: Call, group: GroupId, mut chunk: SnapshotChunk) {
+    /// Handles a chunk of a snapshot.
+    pub(super) fn on_chunk(
+        &mut self,
+        from: AcceptedConnection,
+        group: GroupId,
+        mut chunk: SnapshotChunk,
+    ) {
         let me = self.incarnation();
         let message = chunk.message.take();
         let Some(hosted) = self.groups.get_mut(&group) else {
@@ -111,7 +121,7 @@
 
     fn on_snapshot(&mut self, group: GroupId, message: RaftMessage) {
         if let Some(hosted) = self.groups.get_mut(&group) {
-            hosted.is_parked = false;
+            hosted.is_suspended = false;
         }
         if let Some(message) = message.into_raft() {
             self.with_replica(group, |replica, out| replica.step(message, out));
--- a/forwarder/raft-groups/src/groups/thread.rs
+++ b/forwarder/raft-groups/src/groups/thread.rs
@@ -1,4 +1,4 @@
-//! The thread's loop. It never blocks on the disk, the links or the event loop.
+//! The main loop of the groups thread. It never blocks on the disk, the links or the event loop.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::atomic::Ordering;
@@ -8,7 +8,7 @@
 
 use super::context::{InstanceContext, Rings, StoredState};
 use super::hosted_group::{CreatingGroup, HostedGroup};
-use super::peer_state::{Call, PeerState};
+use super::peer_state::{AcceptedConnection, PeerState};
 use super::pending_founding::PendingFounding;
 use super::pending_stores::PendingStores;
 use super::snapshot_transfer::OutgoingSnapshot;
@@ -23,48 +23,48 @@
 use crate::wire::raft_message::RaftMessage;
 use crate::{GroupEvent, GroupId, Incarnation, Purpose};
 
-/// How much is taken from one ring before the others have their turn.
+/// The maximum number of values received from one ring before the other rings are served.
 const MAX_TAKEN_AT_ONCE: usize = 256;
-/// The longest that the thread sleeps while a ring is clogged, in milliseconds.
-const CLOGGED_INTERVAL_MS: f64 = 2.0;
+/// The maximum sleep while a ring has a backlog, in milliseconds.
+const BACKLOGGED_INTERVAL_MS: f64 = 2.0;
 
-/// The groups' thread. Times are in milliseconds since the process's start.
+/// The groups thread. Times are in milliseconds since the process's start.
 pub struct GroupsThread {
     pub(super) instance: InstanceContext,
     pub(super) identity: Identity,
     pub(super) rings: Rings,
     pub(super) groups: BTreeMap<GroupId, HostedGroup>,
-    /// Groups whose file is being made.
+    /// Groups whose file is being created.
     pub(super) creating: BTreeMap<GroupId, CreatingGroup>,
-    /// Groups that were here and are dissolved.
+    /// Groups that were removed here.
     pub(super) dissolved: BTreeSet<GroupId>,
     pub(super) control: Option<GroupId>,
     pub(super) foundings: Vec<PendingFounding>,
-    /// Groups founded by this incarnation that it has led.
+    /// Groups founded by this incarnation that it leads or has led.
     pub(super) led_here: BTreeSet<GroupId>,
-    /// By position in the fleet file.
+    /// The other instances, by position in the fleet file.
     pub(super) peers: Vec<PeerState>,
     pub(super) known_starts: KnownStarts,
-    /// Callers that were welcomed, by connection.
-    pub(super) calls: HashMap<u64, Call>,
+    /// Accepted incoming connections, by number.
+    pub(super) connections: HashMap<u64, AcceptedConnection>,
     pub(super) stores: PendingStores,
     pub(super) outgoing_snapshots: BTreeMap<(GroupId, PeerIndex), OutgoingSnapshot>,
     pub(super) undelivered: Vec<Undelivered>,
-    /// Bytes of commands that the event loop has handed over.
+    /// The total number of command bytes proposed by the event loop.
     pub(super) command_bytes: u64,
-    heartbeat_at: f64,
-    /// Why this instance may not go on.
+    last_heartbeat_at: f64,
+    /// The reason why this instance must stop.
     pub(super) fatal_error: Option<String>,
 }
 
-/// A message that had nowhere to go.
+/// A raft message whose receiver was not connected.
 pub(super) struct Undelivered {
     pub(super) group: GroupId,
     pub(super) to: Incarnation,
 }
 
 impl GroupsThread {
-    /// The thread's state as it was stored.
+    /// Creates the thread's state from the stored state.
     pub fn new(instance: InstanceContext, stored: StoredState, rings: Rings) -> Self {
         let StoredState {
             identity,
@@ -100,17 +100,17 @@
             foundings: Vec::new(),
             led_here: BTreeSet::new(),
             known_starts,
-            calls: HashMap::new(),
+            connections: HashMap::new(),
             stores: PendingStores::default(),
             outgoing_snapshots: BTreeMap::new(),
             undelivered: Vec::new(),
             command_bytes: 0,
-            heartbeat_at: 0.0,
+            last_heartbeat_at: 0.0,
             fatal_error: None,
         }
     }
 
-    /// Runs until the thread is stopped, another thread has ended, or the instance may not go on.
+    /// Runs until the thread is stopped, another thread has ended, or the instance must stop.
     pub fn run(mut self) {
         self.begin();
         let mut ticked_at = self.now();
@@ -120,7 +120,7 @@
         while !self.rings.status.stop.load(Ordering::Acquire) && self.fatal_error.is_none() {
             let is_busy = self.receive();
             let now = self.now();
-            // After a pause ticks go on from now: they never come sooner than a tick's span after each other.
+            // After a pause, ticks continue from now, so that two ticks are always at least a tick interval apart.
             if now >= ticked_at + tick {
                 ticked_at = now;
                 self.tick(now);
@@ -140,11 +140,11 @@
         self.end();
     }
 
-    /// Takes in what came. Nothing more comes from the links and the event loop while what this thread made has no
-    /// place.
+    /// Receives input. Input from the links and the event loop is not accepted while a ring has a backlog of this
+    /// thread's output.
     fn receive(&mut self) -> bool {
         let mut is_busy = self.receive_from_disk();
-        if !self.rings.is_clogged() {
+        if !self.rings.is_backlogged() {
             is_busy |= self.receive_from_links();
             is_busy |= self.receive_requests();
         }
@@ -153,8 +153,8 @@
 
     fn sleep_until(&self, next_tick: f64) {
         let mut pause = (next_tick - self.now()).clamp(0.1, 1000.0);
-        if self.rings.is_clogged() {
-            pause = pause.min(CLOGGED_INTERVAL_MS);
+        if self.rings.is_backlogged() {
+            pause = pause.min(BACKLOGGED_INTERVAL_MS);
         }
         std::thread::park_timeout(Duration::from_secs_f64(pause / 1e3));
     }
@@ -222,14 +222,17 @@
     }
 
     fn tick(&mut self, now: f64) {
-        let ticking = self.groups.iter().filter(|(_, hosted)| !hosted.is_parked);
+        let ticking = self
+            .groups
+            .iter()
+            .filter(|(_, hosted)| !hosted.is_suspended);
         let ticking: Vec<GroupId> = ticking.map(|(group, _)| *group).collect();
         for group in ticking {
             self.with_replica(group, |replica, out| replica.tick(now, out));
         }
         self.drop_stalled_snapshots(now);
-        if now >= self.heartbeat_at + self.instance.fleet.timing.heartbeat {
-            self.heartbeat_at = now;
+        if now >= self.last_heartbeat_at + self.instance.fleet.timing.heartbeat {
+            self.last_heartbeat_at = now;
             self.compact_if_short();
             self.publish_command_bytes_limit(now);
             self.send_heartbeats();
@@ -252,7 +255,8 @@
         }
     }
 
-    /// Lets a group's replica act, and hands on what comes of it: to the disk ahead of the other instances.
+    /// Runs an operation on a group's replica and dispatches its effects: disk writes precede messages to other
+    /// instances.
     pub(super) fn with_replica(
         &mut self,
         group: GroupId,
@@ -292,7 +296,7 @@
     fn send_raft_message(&mut self, group: GroupId, message: &raft::eraftpb::Message) {
         let to = Incarnation(message.to);
         let Some(peer) = self.peer_of(to) else {
-            // Raft takes a message for sent: unless it learns of the loss, it waits for the answer.
+            // Raft assumes that the message was sent and waits for the reply unless the failure is reported.
             self.undelivered.push(Undelivered { group, to });
             return;
         };
@@ -307,12 +311,12 @@
         }
     }
 
-    /// Milliseconds since the process's start.
+    /// Returns the time in milliseconds since the process's start.
     pub(super) fn now(&self) -> f64 {
         self.instance.leases.now()
     }
 
-    /// This instance's incarnation.
+    /// Returns this instance's incarnation.
     pub(super) fn incarnation(&self) -> Incarnation {
         self.identity.incarnation
     }
--- a/forwarder/raft-groups/src/handle.rs
+++ b/forwarder/raft-groups/src/handle.rs
@@ -1,4 +1,4 @@
-//! The event loop's side of the groups: requests in, events out, and whether it may act on what it owns.
+//! The event loop's interface to the groups: submits requests, receives events, and checks leases and capacity.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -10,19 +10,19 @@
 use crate::watchdog::Watchdog;
 use crate::{GroupEvent, GroupId, GroupRequest, Incarnation};
 
-/// The longest command, in bytes.
+/// The maximum length of a command, in bytes.
 pub const MAX_COMMAND_LEN: usize = 8 << 20;
-/// The longest report, in bytes.
+/// The maximum length of a report, in bytes.
 pub const MAX_REPORT_LEN: usize = 64 << 10;
 
-/// What the groups' thread and the event loop both see.
+/// The state shared by the groups thread and the event loop.
 #[derive(Clone)]
 pub(crate) struct SharedStatus {
-    /// Ends all threads.
+    /// Stops all threads.
     pub(crate) stop: Arc<AtomicBool>,
-    /// Up to how many bytes of commands, counted from the start, the replicas of the groups led here have capacity.
+    /// The total number of command bytes since the start up to which the replicas of the groups led here have capacity.
     pub(crate) command_bytes_limit: Arc<AtomicU64>,
-    /// Why this instance may not go on.
+    /// The reason why this instance must stop.
     pub(crate) fatal_error: Arc<Mutex<Option<String>>>,
 }
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// The event loop's handle of its instance's groups. Dropping it ends their threads; what they were handed and synced
-/// stays.
+/// The event loop's handle to the groups of its instance. Dropping it stops their threads; data that is already synced
+/// remains.
 pub struct RaftGroups {
     pub(crate) requests: Producer<GroupRequest>,
     pub(crate) groups_thread: Thread,
@@ -46,15 +46,15 @@
     pub(crate) threads: Vec<JoinHandle<()>>,
     pub(crate) watchdog: Option<Watchdog>,
     pub(crate) incarnation: Incarnation,
-    /// Bytes of commands handed over, counted from the start.
+    /// The total number of command bytes submitted since the start.
     pub(crate) command_bytes: u64,
 }
 
 impl RaftGroups {
-    /// Hands a request to the groups' thread. Never waits.
+    /// Submits a request to the groups thread. Never blocks.
     ///
     /// # Errors
-    /// The request comes back where the ring is full or its body too long; it surely never takes effect then.
+    /// Returns the request if the ring is full or its body is too long; the request then never takes effect.
     pub fn try_request(&mut self, request: GroupRequest) -> Result<(), GroupRequest> {
         let command_bytes = match &request {
             GroupRequest::Propose { command, .. } if command.len() > MAX_COMMAND_LEN => {
@@ -77,20 +77,20 @@
         }
     }
 
-    /// True only while this instance leads the group and a majority promised, recently enough, to elect no other
-    /// before a stall of this process would have ended it.
+    /// Whether this instance leads the group and a majority confirmed recently enough that it elects no other leader
+    /// before the watchdog would have killed this process after a stall.
     pub fn holds_lease(&self, group: GroupId) -> bool {
         self.leases.is_held(group)
     }
 
-    /// False while too few replicas have capacity for what was proposed already and more: what would make an event
-    /// log longer has to be rejected now, so that records and outcomes of what is pending still find capacity.
+    /// Whether enough replicas have capacity for more than what is already proposed. If not, operations that make an
+    /// event log longer must be rejected now, to leave capacity for the records and outcomes of pending events.
     pub fn has_capacity(&self) -> bool {
         self.command_bytes < self.status.command_bytes_limit.load(Ordering::Acquire)
     }
 
-    /// Tells the watchdog that the event loop lives. From the first call on, it has to be called several times within
-    /// [`RaftGroups::watchdog_timeout`]: where leases are used, the kernel ends a process that did not call it for so
+    /// Resets the watchdog. After the first call, the event loop must call this function several times within
+    /// [`RaftGroups::watchdog_timeout`]: if leases are used, the kernel kills a process that makes no call for that
     /// long.
     pub fn feed_watchdog(&self) {
         if let Some(watchdog) = &self.watchdog {
@@ -98,14 +98,14 @@
         }
     }
 
-    /// The time within which [`RaftGroups::feed_watchdog`] has to be called, in milliseconds; `None`: there is no
+    /// The period within which [`RaftGroups::feed_watchdog`] must be called, in milliseconds; `None` if there is no
     /// watchdog.
     pub fn watchdog_timeout(&self) -> Option<f64> {
         self.watchdog.as_ref().map(Watchdog::timeout)
     }
 
-    /// Why this instance may not go on, once its threads have ended over it: its folder lacks what was promised from
-    /// it. The process has to end; other instances own what is pending here.
+    /// The reason why this instance must stop, once its threads have ended because of it: its folder lacks votes or
+    /// entries that it acknowledged. The process must exit; other instances take over its pending events.
     pub fn fatal_error(&self) -> Option<String> {
         self.status
             .fatal_error
@@ -122,18 +122,18 @@
 
 impl Drop for RaftGroups {
     fn drop(&mut self) {
-        // First, since the threads take a moment to end.
+        // The watchdog is disarmed first, since the threads take a moment to end.
         self.watchdog = None;
         self.status.stop.store(true, Ordering::Release);
         self.groups_thread.unpark();
         for thread in self.threads.drain(..) {
-            // A thread that panicked has printed so.
+            // A thread that panicked has already printed the panic.
             let _ = thread.join();
         }
     }
 }
 
-/// The groups' events in their order.
+/// The stream of the groups' events, in order.
 pub struct GroupEventStream {
     pub(crate) events: Consumer<GroupEvent>,
     pub(crate) wake_ups: async_channel::Receiver<()>,
@@ -141,17 +141,17 @@
 }
 
 impl GroupEventStream {
-    /// The next event, if there is one now.
+    /// Returns the next event if one is available.
     pub fn try_next(&mut self) -> Option<GroupEvent> {
         let event = self.events.pop().ok();
         if event.is_some() {
-            // A full ring may have held the next back.
+            // The groups thread may be blocked by a full ring.
             self.groups_thread.unpark();
         }
         event
     }
 
-    /// Waits for the next event. `None` once the groups' threads have ended.
+    /// Waits for the next event. Returns `None` once the groups thread has ended.
     pub async fn next(&mut self) -> Option<GroupEvent> {
         loop {
             if let Some(event) = self.try_next() {
--- a/forwarder/raft-groups/src/leases.rs
+++ b/forwarder/raft-groups/src/leases.rs
@@ -1,5 +1,5 @@
-//! Until when this instance holds the lease of each group. The groups' thread writes them; the event loop asks
-//! before it acts on what a group owns.
+//! The expiry of this instance's lease on each group. The groups thread writes the leases; the event loop checks them
+//! before it acts on the data of a group.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,7 +8,7 @@
 
 use crate::GroupId;
 
-/// The leases of an instance, on its process's monotonic clock.
+/// The leases of an instance, on the monotonic clock of its process.
 pub(crate) struct Leases {
     started_at: Instant,
     by_group: RwLock<HashMap<GroupId, Lease>>,
@@ -17,12 +17,12 @@
 /// One group's lease.
 #[derive(Clone, Default)]
 pub(crate) struct Lease {
-    /// Microseconds since the leases' start.
+    /// The expiry in microseconds since the start of [`Leases`].
     until_us: Arc<AtomicU64>,
 }
 
 impl Lease {
-    /// `until` in milliseconds since the leases' start; zero or less: not held.
+    /// Sets the expiry, in milliseconds since the start of [`Leases`]; zero or less: not held.
     pub(crate) fn set_until(&self, until: f64) {
         let until_us = (until.max(0.0) * 1e3) as u64;
         self.until_us.store(until_us, Ordering::Release);
@@ -42,7 +42,7 @@
         self.started_at.elapsed().as_secs_f64() * 1e3
     }
 
-    /// The group's lease, made where there is none.
+    /// Returns the group's lease, creating it if there is none.
     pub(crate) fn lease_of(&self, group: GroupId) -> Lease {
         let mut by_group = self
             .by_group
--- a/forwarder/raft-groups/src/lib.rs
+++ b/forwarder/raft-groups/src/lib.rs
@@ -1,18 +1,18 @@
-//! What the instances of a fleet of forwarders agree on: who they are, the links between them, and Raft groups whose
-//! log a majority keeps. No decision about an event is made here. Nothing of it runs unless a fleet file is named
-//! (`docs/instances.md`).
+//! Coordination between the instances of a fleet of forwarders: instance identity, the links between instances, and
+//! Raft groups whose logs are replicated to a majority. This package makes no decision about events. It runs only if a
+//! fleet file is configured (`docs/instances.md`).
 //!
-//! An instance has three threads beside the forwarder's event loop, joined by bounded rings:
+//! An instance has three threads besides the forwarder's event loop, connected by bounded rings:
 //!
 //! | thread | module | owns |
 //! | --- | --- | --- |
-//! | `fleet-groups` | [`groups`] | the replicas of all groups ([`replica`]), and who is reachable |
+//! | `fleet-groups` | [`groups`] | the replicas of all groups ([`replica`]) and the reachability of peers |
 //! | `fleet-disk` | [`disk`] | the instance's folder |
-//! | `fleet-links` | [`links`] | the connections to other instances ([`wire`] has what is sent) |
+//! | `fleet-links` | [`links`] | the connections to other instances ([`wire`] defines the messages) |
 //!
-//! The event loop calls [`start`], hands in [`GroupRequest`]s through [`RaftGroups`], and takes [`GroupEvent`]s from
-//! the [`GroupEventStream`]. [`StateMachine`]s are the event loop's own: `plankhill-replication` has the event log's,
-//! the forwarder's server those of the control group.
+//! The event loop calls [`start`], submits [`GroupRequest`]s through [`RaftGroups`], and receives [`GroupEvent`]s from
+//! the [`GroupEventStream`]. The event loop provides the [`StateMachine`]s: `plankhill-replication` implements the one
+//! for event logs, the forwarder's server those for the control group.
 
 pub mod disk;
 pub mod founding;
--- a/forwarder/raft-groups/src/links/channels.rs
+++ b/forwarder/raft-groups/src/links/channels.rs
@@ -1,69 +1,69 @@
-//! What the links' thread and the groups' thread send to each other.
+//! The messages between the links thread and the groups thread.
 
 use crate::wire::message::{Hello, HelloReply, PeerMessage};
 
 /// The position of an instance in the fleet file.
 pub type PeerIndex = usize;
 
-/// To the links' thread.
+/// A request to the links thread.
 pub enum ToLinks {
-    /// What this instance sends first on each link; none is made before.
+    /// Sets the hello that this instance sends first on each link; no link is opened before it is set.
     SetHello(Hello),
-    /// Sends a whole frame.
+    /// Sends a complete frame to a peer.
     Send {
-        /// To whom.
+        /// The receiving peer.
         to: PeerIndex,
-        /// Encoded.
+        /// The encoded frame.
         frame: Vec<u8>,
     },
-    /// Replies to a caller's hello.
+    /// Replies to the hello on an incoming connection.
     Reply {
-        /// The caller's connection.
-        call: u64,
-        /// Whether the caller is heard.
+        /// The incoming connection.
+        connection: u64,
+        /// The reply, which accepts or rejects the peer.
         reply: HelloReply,
     },
-    /// Closes the link to a peer that is not who it should be, or brings nothing.
-    HangUp {
+    /// Closes the link to a peer that is not the expected instance or sends nothing.
+    CloseLink {
         /// The peer.
         peer: PeerIndex,
     },
 }
 
-/// From the links' thread.
+/// An event from the links thread.
 #[derive(Debug)]
 pub enum FromLinks {
-    /// A peer has connected, and waits for [`ToLinks::Reply`].
-    Called {
-        /// Its connection, numbered from 1.
-        call: u64,
+    /// A peer has connected and sent its hello; the connection awaits [`ToLinks::Reply`].
+    HelloReceived {
+        /// The incoming connection, numbered from 1.
+        connection: u64,
         /// The peer.
         peer: PeerIndex,
-        /// What it sent first.
+        /// The hello of the peer.
         hello: Hello,
     },
     /// A peer has replied to this instance's hello.
-    Replied {
+    ReplyReceived {
         /// The peer.
         peer: PeerIndex,
-        /// Its reply.
+        /// The reply of the peer.
         reply: HelloReply,
     },
-    /// A message from a caller that was welcomed.
-    Received {
-        /// Its connection.
-        call: u64,
+    /// A message has arrived on an accepted incoming connection.
+    MessageReceived {
+        /// The incoming connection.
+        connection: u64,
         /// The message.
         message: Box<PeerMessage>,
     },
-    /// The link to a peer that had replied broke.
+    /// The link to a peer was lost after the peer had accepted it.
     LinkLost {
         /// The peer.
         peer: PeerIndex,
     },
-    /// A caller has gone.
-    CallEnded {
-        /// Its connection.
-        call: u64,
+    /// An incoming connection has closed.
+    ConnectionClosed {
+        /// The incoming connection.
+        connection: u64,
     },
 }
--- a/forwarder/raft-groups/src/links/link_io.rs
+++ b/forwarder/raft-groups/src/links/link_io.rs
@@ -1,4 +1,4 @@
-//! Frames from a stream, within a time.
+//! Reading and writing frames on a stream, and timeouts.
 
 use std::future::Future;
 use std::net::TcpStream;
@@ -10,10 +10,10 @@
 
 use crate::wire::frame::{decode_body, decode_header, FrameError, HEADER_LEN};
 
-/// Why a link ended.
+/// The reason why a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum LinkError {
-    /// The other side has gone, or the network.
+    /// The peer closed the connection, or the network failed.
     #[error("the connection ended")]
     Disconnected,
     #[error("silence")]
@@ -22,8 +22,8 @@
     Frame(#[from] FrameError),
 }
 
-/// Runs `work` for `timeout` at most.
-pub(super) async fn within<T>(
+/// Runs `work` for at most `timeout`.
+pub(super) async fn with_timeout<T>(
     timeout: Duration,
     work: impl Future<Output = Result<T, LinkError>>,
 ) -> Result<T, LinkError> {
@@ -45,7 +45,7 @@
         .await
         .map_err(|_| LinkError::Disconnected)?;
     let header = decode_header(header, max_body_len)?;
-    // Grows with what came, not with what was announced.
+    // The buffer grows with the received data instead of the length in the header, which is not trustworthy.
     let mut body = Vec::new();
     let read = (&mut *stream)
         .take(header.length as u64)
--- a/forwarder/raft-groups/src/links/mod.rs
+++ b/forwarder/raft-groups/src/links/mod.rs
@@ -1,13 +1,13 @@
-//! The links' thread: one connection to each other instance for what is sent to it, one from each for what it sends.
-//! The groups' thread decides who is heard; here frames are bounded, checked and handed on.
+//! The links thread: one outgoing connection to each other instance for sending, and one incoming connection from each
+//! for receiving. The groups thread decides which peers are accepted; this thread limits, checks and forwards frames.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `channels` | what this thread and the groups' thread send to each other |
-//! | `shared` | what this thread's tasks share |
-//! | `incoming` | connections that other instances made |
+//! | `channels` | the messages between this thread and the groups thread |
+//! | `shared` | the state shared by this thread's tasks |
+//! | `incoming` | connections opened by other instances |
 //! | `outgoing` | the connection to one other instance |
-//! | `link_io` | frames from a stream, within a time |
+//! | `link_io` | reading and writing frames, and timeouts |
 
 pub mod channels;
 mod incoming;
@@ -30,29 +30,29 @@
 use channels::{FromLinks, PeerIndex, ToLinks};
 use shared::Shared;
 
-/// The links' thread.
+/// The links thread.
 pub struct LinksThread {
     /// The fleet file.
     pub fleet: FleetConfig,
     /// This instance's position in the fleet file.
     pub me: PeerIndex,
-    /// Where other instances connect.
+    /// The listener for connections from other instances.
     pub listener: TcpListener,
-    /// For lines about links that are closed.
+    /// The logger for closed links.
     pub logger: Logger,
-    /// From the groups' thread.
+    /// Requests from the groups thread.
     pub inbox: Consumer<ToLinks>,
-    /// Wakes this thread when something is in the inbox.
+    /// Wakes up this thread when the inbox is not empty.
     pub wake_ups: async_channel::Receiver<()>,
-    /// To the groups' thread.
+    /// Events to the groups thread.
     pub outbox: RingSender<FromLinks>,
-    /// Ends the thread.
+    /// Stops the thread.
     pub stop: Arc<AtomicBool>,
 }
 
 impl LinksThread {
-    /// Runs until the thread is stopped or the groups' thread has ended. The executor owns all tasks, and ends them
-    /// with it.
+    /// Runs until the thread is stopped or the groups thread has ended. The executor owns all tasks and drops them when
+    /// it is dropped.
     pub fn run(self) {
         let LinksThread {
             fleet,
@@ -74,7 +74,7 @@
             }
             Err(error) => warn!(shared.logger, "cannot listen for peers"; "error" => %error),
         }
-        for peer in (0..shared.lines.len()).filter(|peer| *peer != me) {
+        for peer in (0..shared.send_queues.len()).filter(|peer| *peer != me) {
             executor
                 .spawn(outgoing::maintain_link(shared.clone(), peer))
                 .detach();
@@ -83,7 +83,7 @@
     }
 }
 
-/// Carries out what the groups' thread asks for, until that thread ends.
+/// Handles the requests of the groups thread until that thread ends or the links thread is stopped.
 async fn handle_requests(
     shared: Rc<Shared>,
     mut inbox: Consumer<ToLinks>,
@@ -104,16 +104,16 @@
     match request {
         ToLinks::SetHello(hello) => *shared.hello.borrow_mut() = Some(hello),
         ToLinks::Send { to, frame } => shared.send(to, frame),
-        ToLinks::Reply { call, reply } => {
-            let caller = shared.awaiting_reply.borrow_mut().remove(&call);
-            if let Some(caller) = caller {
-                // A caller that has gone meanwhile needs no reply.
-                let _ = caller.try_send(reply);
+        ToLinks::Reply { connection, reply } => {
+            let reply_sender = shared.awaiting_reply.borrow_mut().remove(&connection);
+            if let Some(reply_sender) = reply_sender {
+                // A peer that has disconnected in the meantime needs no reply.
+                let _ = reply_sender.try_send(reply);
             }
         }
-        ToLinks::HangUp { peer } => {
-            if let Some(line) = shared.lines.get(peer).and_then(Option::as_ref) {
-                line.is_hanging_up.set(true);
+        ToLinks::CloseLink { peer } => {
+            if let Some(queue) = shared.send_queues.get(peer).and_then(Option::as_ref) {
+                queue.is_close_requested.set(true);
             }
         }
     }
--- a/forwarder/raft-groups/src/links/outgoing.rs
+++ b/forwarder/raft-groups/src/links/outgoing.rs
@@ -1,5 +1,5 @@
-//! The connection to one instance: made again and again until it replies, then everything that is sent to it. The
-//! instance answers each heartbeat; one that does not is connected to anew.
+//! The connection to one other instance: retried until the instance accepts it, then used for all messages to that
+//! instance. The instance acknowledges each heartbeat; the connection is reopened if acknowledgements stop.
 
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -9,36 +9,36 @@
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 
 use super::channels::{FromLinks, PeerIndex};
-use super::link_io::{read_frame, within, write_all, LinkError};
-use super::shared::{Line, Shared};
+use super::link_io::{read_frame, with_timeout, write_all, LinkError};
+use super::shared::{SendQueue, Shared};
 use crate::wire::frame::encode_frame;
 use crate::wire::message::{Hello, HelloReply, MAX_HELLO_LEN};
 use crate::InstanceName;
 
-/// Bytes that are written at once, approximately.
+/// The approximate number of bytes per write.
 const WRITE_BATCH_BYTES: usize = 256 << 10;
-/// What the other side may take for its verdict, beside an election timeout.
+/// The time allowed for the hello reply, in addition to an election timeout.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How a connection ended.
+/// The phase in which a connection ended.
 enum LinkEnd {
-    /// Before the other side welcomed this instance.
-    NotWelcomed,
+    /// The peer had not accepted this instance yet.
+    BeforeWelcome,
     AfterWelcome,
 }
 
-/// Connects to `peer` as long as the thread runs.
+/// Keeps a link to `peer` open as long as the thread runs.
 pub(super) async fn maintain_link(shared: Rc<Shared>, peer: PeerIndex) {
-    let Some(line) = &shared.lines[peer] else {
+    let Some(queue) = &shared.send_queues[peer] else {
         return;
     };
     let mut backoff = shared.heartbeat_interval();
     loop {
         let connected_at = Instant::now();
-        let end = run_link(&shared, peer, line).await;
-        // What waits was meant for a link that is no more.
-        while line.try_next().is_some() {}
-        line.is_hanging_up.set(false);
+        let end = run_link(&shared, peer, queue).await;
+        // The remaining frames were queued for the link that has ended.
+        while queue.try_next().is_some() {}
+        queue.is_close_requested.set(false);
         if let LinkEnd::AfterWelcome = end {
             shared.notify(FromLinks::LinkLost { peer });
         }
@@ -51,31 +51,31 @@
     }
 }
 
-async fn run_link(shared: &Shared, peer: PeerIndex, line: &Line) -> LinkEnd {
+async fn run_link(shared: &Shared, peer: PeerIndex, queue: &SendQueue) -> LinkEnd {
     let instance = &shared.fleet.instances[peer];
     let Some(mut hello) = shared.hello.borrow().clone() else {
-        return LinkEnd::NotWelcomed;
+        return LinkEnd::BeforeWelcome;
     };
     hello.to = InstanceName(instance.name.as_str().into());
     let timeout = shared.election_timeout() + REPLY_TIMEOUT;
-    let (stream, reply) = match within(timeout, connect(instance.address, &hello)).await {
+    let (stream, reply) = match with_timeout(timeout, connect(instance.address, &hello)).await {
         Ok(connected) => connected,
         Err(error) => {
-            // An instance that is down is no news; one that replies with something else is.
+            // An unreachable instance is expected and not logged; an invalid reply is logged.
             if let LinkError::Frame(_) = error {
                 shared.log_closed(&error, &instance.name);
             }
-            return LinkEnd::NotWelcomed;
+            return LinkEnd::BeforeWelcome;
         }
     };
     let is_welcome = matches!(reply, HelloReply::Welcome(_));
-    shared.notify(FromLinks::Replied { peer, reply });
+    shared.notify(FromLinks::ReplyReceived { peer, reply });
     if !is_welcome {
-        return LinkEnd::NotWelcomed;
+        return LinkEnd::BeforeWelcome;
     }
     future::or(
-        write_frames(line, &stream),
-        await_answers(shared, line, &stream),
+        write_frames(queue, &stream),
+        read_heartbeat_acks(shared, queue, &stream),
     )
     .await;
     LinkEnd::AfterWelcome
@@ -87,18 +87,18 @@
 ) -> Result<(Async<TcpStream>, HelloReply), LinkError> {
     let connected = Async::<TcpStream>::connect(address).await;
     let mut stream = connected.map_err(|_| LinkError::Disconnected)?;
-    // Without it the link is only slower.
+    // Without `TCP_NODELAY` the link is only slower, so a failure is ignored.
     let _ = stream.get_ref().set_nodelay(true);
     write_all(&mut stream, &encode_frame(hello)).await?;
     let reply = read_frame(&mut stream, MAX_HELLO_LEN).await?;
     Ok((stream, reply))
 }
 
-/// Writes what waits for the link. Ends when that fails.
-async fn write_frames(line: &Line, mut stream: &Async<TcpStream>) {
-    while let Some(mut bytes) = line.next().await {
+/// Writes queued frames to the link. Returns when a write fails.
+async fn write_frames(queue: &SendQueue, mut stream: &Async<TcpStream>) {
+    while let Some(mut bytes) = queue.next().await {
         while bytes.len() < WRITE_BATCH_BYTES {
-            let Some(more) = line.try_next() else {
+            let Some(more) = queue.try_next() else {
                 break;
             };
             bytes.extend_from_slice(&more);
@@ -109,18 +109,18 @@
     }
 }
 
-/// Reads the answers to heartbeats. Ends when they fail to come.
-async fn await_answers(shared: &Shared, line: &Line, mut stream: &Async<TcpStream>) {
-    let mut answers = [0; 64];
+/// Reads the acknowledgements of heartbeats. Returns when they stop or the link is to be closed.
+async fn read_heartbeat_acks(shared: &Shared, queue: &SendQueue, mut stream: &Async<TcpStream>) {
+    let mut acks = [0; 64];
     let timeout = shared.election_timeout() + shared.election_timeout() / 2;
-    while !line.is_hanging_up.get() {
+    while !queue.is_close_requested.get() {
         let read = async {
             stream
-                .read(&mut answers)
+                .read(&mut acks)
                 .await
                 .map_err(|_| LinkError::Disconnected)
         };
-        match within(timeout, read).await {
+        match with_timeout(timeout, read).await {
             Ok(1..) => {}
             Ok(0) | Err(_) => return,
         }
--- a/forwarder/raft-groups/src/links/shared.rs
+++ b/forwarder/raft-groups/src/links/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the links' thread share.
+//! The state shared by the tasks of the links thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,11 +11,11 @@
 use crate::ring::RingSender;
 use crate::wire::message::{Hello, HelloReply};
 
-/// Frames that may wait for a link: beyond them a frame is lost, as on the way.
-const MAX_WAITING_FRAMES: usize = 4096;
-/// Bytes of frames that may wait for a link.
-const MAX_WAITING_BYTES: usize = 24 << 20;
-/// At most one line about closed links is logged within it.
+/// The maximum number of frames queued for a link; further frames are dropped, like frames lost in transit.
+const MAX_QUEUED_FRAMES: usize = 4096;
+/// The maximum number of bytes queued for a link.
+const MAX_QUEUED_BYTES: usize = 24 << 20;
+/// The minimum interval between two log lines about closed links.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(super) struct Shared {
@@ -23,59 +23,59 @@
     pub(super) me: PeerIndex,
     pub(super) logger: Logger,
     pub(super) outbox: RefCell<RingSender<FromLinks>>,
-    /// What this instance sends first.
+    /// The hello that this instance sends first on each link.
     pub(super) hello: RefCell<Option<Hello>>,
-    /// Callers that wait for the reply to their hello, by connection.
+    /// The incoming connections that await the reply to their hello.
     pub(super) awaiting_reply: RefCell<HashMap<u64, async_channel::Sender<HelloReply>>>,
-    /// By peer; none for this instance itself.
-    pub(super) lines: Vec<Option<Line>>,
+    /// The send queues by peer; `None` for this instance itself.
+    pub(super) send_queues: Vec<Option<SendQueue>>,
     logged_at: Cell<Option<Instant>>,
 }
 
-/// What waits to be sent to one instance.
-pub(super) struct Line {
-    frames: async_channel::Sender<Vec<u8>>,
-    waiting: async_channel::Receiver<Vec<u8>>,
-    waiting_bytes: Cell<usize>,
-    pub(super) is_hanging_up: Cell<bool>,
+/// The frames queued for one peer.
+pub(super) struct SendQueue {
+    sender: async_channel::Sender<Vec<u8>>,
+    receiver: async_channel::Receiver<Vec<u8>>,
+    queued_bytes: Cell<usize>,
+    pub(super) is_close_requested: Cell<bool>,
 }
 
-impl Line {
+impl SendQueue {
     fn new() -> Self {
-        let (frames, waiting) = async_channel::bounded(MAX_WAITING_FRAMES);
-        Line {
-            frames,
-            waiting,
-            waiting_bytes: Cell::new(0),
-            is_hanging_up: Cell::new(false),
+        let (sender, receiver) = async_channel::bounded(MAX_QUEUED_FRAMES);
+        SendQueue {
+            sender,
+            receiver,
+            queued_bytes: Cell::new(0),
+            is_close_requested: Cell::new(false),
         }
     }
 
-    /// Queues a frame. It is dropped where too much waits.
+    /// Queues a frame, or drops it if the queue is full.
     fn push(&self, frame: Vec<u8>) {
-        let bytes = self.waiting_bytes.get() + frame.len();
-        if bytes <= MAX_WAITING_BYTES && self.frames.try_send(frame).is_ok() {
-            self.waiting_bytes.set(bytes);
+        let bytes = self.queued_bytes.get() + frame.len();
+        if bytes <= MAX_QUEUED_BYTES && self.sender.try_send(frame).is_ok() {
+            self.queued_bytes.set(bytes);
         }
     }
 
-    /// Waits for the next frame. `None` once the thread ends.
+    /// Waits for the next frame. Returns `None` once the thread ends.
     pub(super) async fn next(&self) -> Option<Vec<u8>> {
-        let frame = self.waiting.recv().await.ok()?;
-        self.taken(&frame);
+        let frame = self.receiver.recv().await.ok()?;
+        self.on_dequeued(&frame);
         Some(frame)
     }
 
-    /// The next frame, if one waits.
+    /// Returns the next frame if one is queued.
     pub(super) fn try_next(&self) -> Option<Vec<u8>> {
-        let frame = self.waiting.try_recv().ok()?;
-        self.taken(&frame);
+        let frame = self.receiver.try_recv().ok()?;
+        self.on_dequeued(&frame);
         Some(frame)
     }
 
-    fn taken(&self, frame: &[u8]) {
-        self.waiting_bytes
-            .set(self.waiting_bytes.get().saturating_sub(frame.len()));
+    fn on_dequeued(&self, frame: &[u8]) {
+        self.queued_bytes
+            .set(self.queued_bytes.get().saturating_sub(frame.len()));
     }
 }
 
@@ -87,9 +87,15 @@
         outbox: RingSender<FromLinks>,
     ) -> Self {
         let peers = 0..fleet.instances.len();
-        let lines = peers.map(|peer| if peer == me { None } else { Some(Line::new()) });
+        let send_queues = peers.map(|peer| {
+            if peer == me {
+                None
+            } else {
+                Some(SendQueue::new())
+            }
+        });
         Shared {
-            lines: lines.collect(),
+            send_queues: send_queues.collect(),
             fleet,
             me,
             logger,
@@ -100,7 +106,7 @@
         }
     }
 
-    /// Logs why a link was closed: one line a second, whatever arrives.
+    /// Logs why a link was closed, at most one line per second.
     pub(super) fn log_closed(&self, error: &dyn std::fmt::Display, peer: &str) {
         let now = Instant::now();
         if self
@@ -113,17 +119,17 @@
         }
     }
 
-    /// Sends to the groups' thread.
+    /// Sends an event to the groups thread.
     pub(super) fn notify(&self, event: FromLinks) {
         let mut outbox = self.outbox.borrow_mut();
         outbox.send(event);
         outbox.flush();
     }
 
-    /// Sends a frame to a peer; it may be lost, as on the way.
+    /// Sends a frame to a peer; the frame may be lost.
     pub(super) fn send(&self, to: PeerIndex, frame: Vec<u8>) {
-        if let Some(line) = self.lines.get(to).and_then(Option::as_ref) {
-            line.push(frame);
+        if let Some(queue) = self.send_queues.get(to).and_then(Option::as_ref) {
+            queue.push(frame);
         }
     }
 
--- a/forwarder/raft-groups/src/placement.rs
+++ b/forwarder/raft-groups/src/placement.rs
@@ -1,6 +1,6 @@
-//! Which instances vote in whose event log's group: rendezvous hashing (Thaler and Ravishankar 1998). Each pair of a
-//! founder and an instance has a weight of its own, and the heaviest are taken, so an instance more or less changes
-//! only the choices that it is in itself.
+//! Selects the voters of an event log's group by rendezvous hashing (Thaler and Ravishankar 1998). Each pair of founder
+//! and instance has its own weight, and the instances of least weight are selected, so adding or removing an instance
+//! changes only the selections that contain that instance.
 
 use std::hash::Hasher;
 
@@ -9,12 +9,12 @@
 
 use crate::Incarnation;
 
-/// The second key of the hash: the letters `keeper`. Another one would move every group.
+/// The second key of the hash: the letters `keeper`. Another key would move every group.
 const HASH_KEY: u64 = 0x6b65_6570_6572;
 
-/// The positions of all instances that may vote in a group that `owner` founds, the first choice first: on another
-/// machine than the owner, those in other zones ahead of those in its own. A machine or zone that is taken already
-/// comes last.
+/// Ranks the positions of all instances that may vote in a group founded by `owner`, best first. Instances on the
+/// owner's machine are excluded, and instances in other zones precede those in the owner's zone. An instance that
+/// shares a machine or zone with a higher-ranked instance comes last.
 pub fn rank_voters(instances: &[Instance], owner: &Instance, founder: Incarnation) -> Vec<usize> {
     let mut candidates: Vec<usize> = (0..instances.len())
         .filter(|&at| instances[at].machine != owner.machine)
@@ -40,7 +40,7 @@
     hash.finish()
 }
 
-/// Whether the machine, and whether the zone, of `candidate` is that of an instance ranked before.
+/// Whether `candidate` shares its machine, and whether it shares its zone, with an instance that is already ranked.
 fn shared_failure_domains(
     instances: &[Instance],
     ranked: &[usize],
--- a/forwarder/raft-groups/src/replica/apply.rs
+++ b/forwarder/raft-groups/src/replica/apply.rs
@@ -1,4 +1,4 @@
-//! Committed entries and snapshots, applied to the state machine in the log's order.
+//! Applies committed entries and snapshots to the state machine in log order.
 
 use raft::eraftpb::{self, Entry, EntryType};
 use raft::Storage;
@@ -50,20 +50,20 @@
             Some(EntryContext::Dissolve { term: own_term }) if own_term == term => {
                 self.is_dissolved = true;
             }
-            // Proposed by an earlier leader: without effect, on every instance alike.
+            // Proposed by an earlier leader: the entry has no effect, on every instance alike.
             _ => {}
         }
     }
 
-    /// Announces the election once the first entry of the own term is applied: all that can ever be committed from
-    /// before is in the state machine then.
+    /// Announces the election once the first entry of the new leader's term is applied: the state machine then contains
+    /// every command from earlier terms that can ever be committed.
     fn announce_election(&mut self, term: Term, out: &mut Effects) {
-        if self.raft_lead_term() != Some(term) || self.is_leader() {
+        if self.raft_leader_term() != Some(term) || self.is_leader() {
             return;
         }
         self.elected_term = Some(term);
         let state = self.state_machine.snapshot();
-        // Answers to what this instance proposed in an earlier term come first.
+        // Answers to this instance's proposals of earlier terms precede the election.
         self.open_proposals
             .take_answers(self.group, &mut out.events);
         out.events.push(GroupEvent::Elected {
@@ -74,7 +74,7 @@
         });
     }
 
-    /// A leader's snapshot came in place of the log.
+    /// Applies a leader's snapshot that replaced the log.
     pub(super) fn apply_snapshot(&mut self, base: &SnapshotBase, out: &mut Effects) {
         let Some(state) = GroupState::from_bytes(&base.state) else {
             self.fault = Some(ReplicaFault::Corrupt);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The state up to what was applied.
+    /// Returns the state up to the last applied entry.
     pub(super) fn snapshot_base(&self) -> SnapshotBase {
         let state = GroupState {
             committed: self.committed_proposals.clone(),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Makes the snapshot that raft asked for, where a replica is too far behind for the log.
+    /// Creates the snapshot that raft requested for a replica whose missing entries are compacted.
     pub(super) fn serve_snapshot_request(&mut self) {
         if !self.node.store().take_snapshot_request() {
             return;
@@ -128,7 +128,7 @@
         self.node.mut_store().snapshot = Some(eraftpb::Snapshot::from(snapshot));
     }
 
-    /// The state machine's snapshot, for an event loop that begins to follow the group.
+    /// Returns the state machine's snapshot, for an event loop that begins to follow the group.
     pub fn state_machine_snapshot(&self) -> Vec<u8> {
         self.state_machine.snapshot()
     }
--- a/forwarder/raft-groups/src/replica/compaction.rs
+++ b/forwarder/raft-groups/src/replica/compaction.rs
@@ -1,18 +1,18 @@
-//! When the log is compacted: a snapshot of what was applied takes its place, in memory and on the own disk.
+//! Log compaction: a snapshot of the applied state replaces the log, in memory and on disk.
 
 use super::effects::{Effects, PersistRequest};
 use super::Replica;
 
-/// Bytes of entries above which the log is compacted; above twice the state machine's size, if that is more, so that
-/// writing snapshots costs no more than writing the log.
+/// The minimum size of the entries, in bytes, above which the log is compacted. The threshold is twice the state
+/// machine's size if that is larger, so that writing snapshots costs no more than writing the log.
 const COMPACTION_THRESHOLD_BYTES: usize = 4 << 20;
-/// Entries above which the log is compacted.
+/// The number of entries above which the log is compacted.
 const MAX_ENTRIES: usize = 1 << 16;
-/// Bytes of a file beside its state that are not worth a compaction.
+/// The number of bytes that a file may contain beyond twice the state machine's size without an early compaction.
 const MIN_RECLAIMED_BYTES: u64 = 64 << 10;
 
 impl Replica {
-    /// Compacts the log where it grew over its bound.
+    /// Compacts the log if it exceeds a size limit.
     pub(super) fn compact_if_large(&mut self, out: &mut Effects) {
         let max_bytes = COMPACTION_THRESHOLD_BYTES.max(2 * self.state_machine.size());
         let storage = self.node.store();
@@ -22,17 +22,17 @@
         }
     }
 
-    /// Compacts where disk or memory is short and it is worth it. The group's file takes `disk_bytes`.
+    /// Compacts the log when disk or memory is scarce, if that reclaims enough. The group's file takes `disk_bytes`.
     pub fn compact_early(&mut self, disk_bytes: u64, out: &mut Effects) {
         let size = self.state_machine.size();
-        let is_worth_it = self.node.store().byte_size() > size / 2
+        let is_worthwhile = self.node.store().byte_size() > size / 2
             || disk_bytes > 2 * size as u64 + MIN_RECLAIMED_BYTES;
-        if self.fault.is_none() && is_worth_it && self.has_applied_entries() {
+        if self.fault.is_none() && is_worthwhile && self.has_applied_entries() {
             self.compact(out);
         }
     }
 
-    /// Whether any entry of the log is applied.
+    /// Whether the log contains an applied entry.
     fn has_applied_entries(&self) -> bool {
         self.applied_index > self.node.store().compacted().index
     }
--- a/forwarder/raft-groups/src/replica/effects.rs
+++ b/forwarder/raft-groups/src/replica/effects.rs
@@ -1,34 +1,33 @@
-//! What a replica hands back to the groups' thread: what to write, what to send, and what the event loop has to
-//! know.
+//! The output of a replica for the groups thread: data to write, messages to send, and events for the event loop.
 
 use raft::eraftpb::{ConfState, Entry, Message};
 use serde::{Deserialize, Serialize};
 
 use crate::GroupEvent;
 
-/// What a vote rests on (Raft, figure 2: persistent state), and what is known as committed.
+/// The state that a vote depends on (Raft, figure 2: persistent state), and the commit index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The newest term that the replica has seen.
+    /// The latest term that the replica has seen.
     pub term: u64,
-    /// Whom it voted for in that term; zero: nobody.
+    /// The candidate that the replica voted for in that term; zero: none.
     pub vote: u64,
-    /// The index of the last entry that it knows as committed.
+    /// The index of the last entry known to be committed.
     pub commit: u64,
 }
 
-/// The members of a group in raft's joint form (Raft, section 6): incarnations.
+/// The members of a group in raft's joint representation (Raft, section 6), as incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Those that vote.
+    /// The members that vote.
     pub voters: Vec<u64>,
-    /// Those that receive the log and do not vote.
+    /// The members that receive the log and do not vote.
     pub learners: Vec<u64>,
-    /// The voters before a joint change that is under way.
+    /// The voters before a joint change that is in progress.
     pub outgoing_voters: Vec<u64>,
-    /// Voters that become learners once the joint change is done.
+    /// The voters that become learners at the end of the joint change.
     pub next_learners: Vec<u64>,
-    /// Whether raft leaves the joint state by itself.
+    /// Whether raft leaves the joint state automatically.
     pub auto_leave: bool,
 }
 
@@ -56,42 +55,44 @@
     }
 }
 
-/// A state that stands in place of the log up to `index`.
+/// A state that replaces the log up to `index`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotBase {
-    /// The index of the last entry that the state has; zero: there is no state.
+    /// The index of the last entry included in the state; zero: there is no state.
     pub index: u64,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: u64,
-    /// The group's members as of that entry.
+    /// The members of the group as of that entry.
     pub members: Membership,
-    /// An encoded [`super::entry_context::GroupState`]; empty in a group that was joined and has received nothing.
+    /// An encoded [`super::entry_context::GroupState`]; empty in a group that this instance joined without having
+    /// received anything yet.
     pub state: Vec<u8>,
 }
 
-/// To be on the disk, synced, before its number is acknowledged. A group's numbers are acknowledged in order.
+/// Data that must be synced to disk before its number is acknowledged. The numbers of a group are acknowledged in
+/// order.
 #[derive(Debug)]
 pub struct PersistRequest {
-    /// Zero: nothing waits for it.
+    /// The number to acknowledge; zero: nothing waits for the request.
     pub number: u64,
-    /// `None`: as before.
+    /// The new hard state; `None`: unchanged.
     pub hard_state: Option<HardState>,
-    /// Follow the entries on the disk, or replace their end.
+    /// Entries that follow the entries on disk or replace their tail.
     pub entries: Vec<Entry>,
-    /// Replaces all that is on the disk; `hard_state` and `entries` are then complete.
+    /// Replaces all data on disk; `hard_state` and `entries` are then complete.
     pub base: Option<SnapshotBase>,
 }
 
-/// What one call made.
+/// The effects of one call.
 ///
-/// The caller hands `persist` to the disk before it sends `messages`, which need not wait for the disk: a message
-/// that has to wait is handed out after the acknowledgement.
+/// The caller passes `persist` to the disk thread before it sends `messages`, but does not wait for the disk: a message
+/// that must wait is returned only after the acknowledgement.
 #[derive(Default)]
 pub struct Effects {
-    /// To be written, in order.
+    /// Requests to write, in order.
     pub persist: Vec<PersistRequest>,
-    /// To be sent, in order.
+    /// Messages to send, in order.
     pub messages: Vec<Message>,
-    /// To be handed to the event loop, in order.
+    /// Events for the event loop, in order.
     pub events: Vec<GroupEvent>,
 }
--- a/forwarder/raft-groups/src/replica/entry_context.rs
+++ b/forwarder/raft-groups/src/replica/entry_context.rs
@@ -1,5 +1,5 @@
-//! What stands beside a command in the log, and what a group's snapshot holds beside its state machine's. The order
-//! of variants and fields is the form on the wire and on disk.
+//! The metadata of commands in the log, and the complete state in a group's snapshot. The order of variants and fields
+//! is part of the wire format and of the disk format.
 
 use std::collections::BTreeMap;
 
@@ -7,59 +7,59 @@
 
 use crate::{Incarnation, Term};
 
-/// Beside each entry that a leader of this package proposed. The entry takes effect only if raft's term of it is the
-/// context's: raft may append a proposal to a later term's log than the one it was made in.
+/// The metadata of each entry proposed by a leader of this package. The entry takes effect only if its raft term equals
+/// the term in the context: raft may append a proposal in a later term than the one in which it was made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryContext {
     /// A command for the state machine.
     Command {
-        /// Who proposed it.
+        /// The incarnation that proposed the command.
         proposer: Incarnation,
         /// The term in which it was proposed.
         term: Term,
-        /// The proposer's number of it.
+        /// The proposer's number of the command.
         number: u64,
     },
-    /// Nothing of the group is kept any more.
+    /// Dissolves the group: its data is no longer needed.
     Dissolve {
         /// The term in which it was proposed.
         term: Term,
     },
-    /// A change of members. Raft's own form of the change is never decoded: it is made again from this one.
+    /// A membership change. Raft's own encoding of the change is never decoded: the change is rebuilt from this one.
     Members {
         /// The term in which it was proposed.
         term: Term,
-        /// Made together, in one joint change.
+        /// The changes, applied together in one joint change.
         changes: Vec<MembershipChange>,
     },
 }
 
-/// One change of a group's members.
+/// One change of a group's membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Adds one that receives the log and does not vote.
+    /// Adds a member that receives the log and does not vote.
     AddLearner(Incarnation),
-    /// Adds a voter, or makes a learner one.
+    /// Adds a voter, or promotes a learner to a voter.
     AddVoter(Incarnation),
     /// Removes a voter or learner.
     Remove(Incarnation),
 }
 
 impl EntryContext {
-    /// The context's form in an entry.
+    /// Encodes the context for an entry.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("writing a derived form to memory does not fail")
     }
 
-    /// `None` where the bytes are no context.
+    /// Decodes a context; returns `None` if the bytes are invalid.
     pub fn from_bytes(bytes: &[u8]) -> Option<EntryContext> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// Each proposer's last committed number, and the term in which it proposed that. The numbers of one term are
-/// committed in a prefix, so a proposer that receives a snapshot in place of the log learns from it which of its own
-/// proposals were committed.
+/// The last committed number of each proposer, and the term in which that proposal was made. The committed proposals of
+/// one term are a prefix of its numbers. Therefore a proposer that receives a snapshot instead of the log can determine
+/// which of its own proposals were committed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedProposals(BTreeMap<Incarnation, LastCommitted>);
 
@@ -69,12 +69,12 @@
     number: u64,
 }
 
-/// Proposers that are remembered: the one of the oldest term is forgotten first, whose proposals were decided long
-/// before.
+/// The maximum number of proposers stored. The proposer with the oldest term is evicted first; its proposals were
+/// decided long ago.
 const MAX_PROPOSERS: usize = 64;
 
 impl CommittedProposals {
-    /// The proposal was committed.
+    /// Records a committed proposal.
     pub fn record(&mut self, proposer: Incarnation, term: Term, number: u64) {
         self.0.insert(proposer, LastCommitted { term, number });
         if self.0.len() > MAX_PROPOSERS {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether the proposal was committed, as far as this state goes.
+    /// Whether the proposal was committed, according to this state.
     pub fn is_committed(&self, proposer: Incarnation, term: Term, number: u64) -> bool {
         match self.0.get(&proposer) {
             Some(last) => last.term > term || (last.term == term && number <= last.number),
@@ -98,10 +98,10 @@
     }
 }
 
-/// A group's whole state.
+/// The complete state of a group.
 #[derive(Default, Serialize, Deserialize)]
 pub struct GroupState {
-    /// Which proposals are in it.
+    /// The committed proposals that the state includes.
     pub committed: CommittedProposals,
     /// Whether the group is dissolved.
     pub is_dissolved: bool,
@@ -110,12 +110,12 @@
 }
 
 impl GroupState {
-    /// The state's form in a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("writing a derived form to memory does not fail")
     }
 
-    /// `None` where the bytes are no group's state.
+    /// Decodes a state; returns `None` if the bytes are invalid.
     pub fn from_bytes(bytes: &[u8]) -> Option<GroupState> {
         postcard::from_bytes(bytes).ok()
     }
--- a/forwarder/raft-groups/src/replica/inputs.rs
+++ b/forwarder/raft-groups/src/replica/inputs.rs
@@ -1,4 +1,4 @@
-//! What a replica is handed: ticks, messages, acknowledgements, proposals.
+//! The inputs of a replica: ticks, messages, acknowledgements and proposals.
 
 use std::hash::Hasher;
 
@@ -9,13 +9,13 @@
 use super::{Replica, ReplicaFault};
 
 impl Replica {
-    /// A tick at `now`, in milliseconds on any clock that only grows.
+    /// Advances the replica's clock by one tick at `now`, in milliseconds on any monotonic clock.
     pub fn tick(&mut self, now: f64, out: &mut Effects) {
         self.ticks_since_leader = self.ticks_since_leader.saturating_add(1);
         self.guarded(out, |replica| {
             let elapsed_before = replica.node.raft.election_elapsed;
             replica.node.tick();
-            // Raft began its election timeout again: the next one is drawn anew.
+            // Raft has restarted its election timeout, so a new timeout is drawn.
             if replica.node.raft.election_elapsed < elapsed_before {
                 replica.election_draw.count += 1;
             }
@@ -32,7 +32,7 @@
         });
     }
 
-    /// A message from another replica of the group.
+    /// Handles a message from another replica of the group.
     pub fn step(&mut self, message: Message, out: &mut Effects) {
         if message.to != self.me.0 || message.from == self.me.0 {
             return;
@@ -44,12 +44,13 @@
                     self.ticks_since_leader = 0;
                 }
                 if is_current && self.lacks_committed_entries(&message) {
-                    self.fault = Some(ReplicaFault::LostAcknowledged);
+                    self.fault = Some(ReplicaFault::LostAcknowledgedEntries);
                     return;
                 }
             }
             MessageType::MsgRequestVote | MessageType::MsgRequestPreVote => {
-                // The promise to a leader that may still hold its lease.
+                // Within an election timeout of the last contact, the vote is withheld: the leader may still hold its
+                // lease.
                 if self.ticks_since_leader < self.timing.election_ticks {
                     return;
                 }
@@ -62,42 +63,42 @@
             _ => return,
         }
         self.guarded(out, |replica| {
-            // A message that makes no sense to raft changes nothing.
+            // A message that raft rejects changes nothing.
             let _ = replica.node.step(message);
         });
     }
 
-    /// Whether the leader's heartbeat says that this replica acknowledged more than its log has.
+    /// Whether the leader's heartbeat shows that this replica acknowledged more entries than its log contains.
     fn lacks_committed_entries(&self, message: &Message) -> bool {
         message.get_msg_type() == MessageType::MsgHeartbeat
             && message.commit > self.node.raft.raft_log.last_index()
     }
 
-    /// The disk has all of the group up to `number`, synced.
+    /// Records that all writes of the group up to `number` are synced.
     pub fn persisted(&mut self, number: u64, out: &mut Effects) {
         self.guarded(out, |replica| {
             replica.synced_number = replica.synced_number.max(number)
         });
     }
 
-    /// Campaigns at once: a new group's founder need not wait for its own election timeout.
+    /// Campaigns immediately: the founder of a new group need not wait for its election timeout.
     pub fn campaign(&mut self, out: &mut Effects) {
         if self.ticks_since_leader < self.timing.election_ticks {
             return;
         }
         self.guarded(out, |replica| {
-            // Refused where a change of members is under way; it is tried again.
+            // Raft refuses during a membership change; the caller retries.
             let _ = replica.node.campaign();
         });
     }
 
-    /// Proposes a command under the event loop's number of it.
+    /// Proposes a command under the event loop's number.
     pub fn propose(&mut self, number: u64, command: Vec<u8>, out: &mut Effects) {
         self.guarded(out, |replica| replica.append_proposal(number, command));
     }
 
-    /// Where a seed is set, makes the election timeout a function of it. Raft draws a new one on each change of role
-    /// and term.
+    /// Derives the election timeout from the seed if one is set. Raft draws a new timeout on each change of role or
+    /// term.
     pub(super) fn draw_election_timeout(&mut self) {
         let Some(seed) = self.timing.seed else {
             return;
--- a/forwarder/raft-groups/src/replica/log_storage.rs
+++ b/forwarder/raft-groups/src/replica/log_storage.rs
@@ -1,5 +1,5 @@
-//! A group's log since its last compaction, in memory, as raft reads it. The disk's copy follows behind; raft itself
-//! counts what is not on the disk yet.
+//! The in-memory log of a group since its last compaction, in the form that raft reads. The log on disk lags behind;
+//! raft itself tracks which entries are not persisted yet.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -7,30 +7,30 @@
 use raft::eraftpb::{self, ConfState, Entry};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-/// An entry's place in the log.
+/// The position of an entry in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPosition {
-    /// Counted from 1.
+    /// The index, counted from 1.
     pub index: u64,
-    /// Raft's term of the entry there.
+    /// The term of the entry.
     pub term: u64,
 }
 
-/// The entries behind the compaction, in the log's order.
+/// The entries after the compacted part, in log order.
 pub struct LogStorage {
     entries: VecDeque<Entry>,
-    /// Of the entries, with [`ENTRY_OVERHEAD`] for each.
+    /// The size of the entries, including [`ENTRY_OVERHEAD`] for each.
     byte_size: usize,
-    /// The last entry that was compacted.
+    /// The position of the last compacted entry.
     compacted: LogPosition,
     initial_hard_state: eraftpb::HardState,
     pub(super) conf_state: ConfState,
-    /// Made when a replica turned out to be too far behind for the log.
+    /// Created when a replica needs entries that are compacted.
     pub(super) snapshot: Option<eraftpb::Snapshot>,
     is_snapshot_requested: Cell<bool>,
 }
 
-/// What an entry costs beside its bytes.
+/// The estimated memory overhead of an entry, in bytes.
 const ENTRY_OVERHEAD: usize = 64;
 
 fn entry_size(entry: &Entry) -> usize {
@@ -38,7 +38,7 @@
 }
 
 impl LogStorage {
-    /// The log of a replica that starts.
+    /// Creates the log of a replica that starts.
     pub fn new(
         compacted: LogPosition,
         initial_hard_state: eraftpb::HardState,
@@ -56,28 +56,28 @@
         }
     }
 
-    /// The last entry that was compacted.
+    /// Returns the position of the last compacted entry.
     pub fn compacted(&self) -> LogPosition {
         self.compacted
     }
 
-    /// How many entries are kept.
+    /// Returns the number of entries in memory.
     pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// Bytes that the entries take.
+    /// Returns the size of the entries in bytes.
     pub fn byte_size(&self) -> usize {
         self.byte_size
     }
 
-    /// The entries behind `index`.
+    /// Returns the entries after `index`.
     pub fn entries_after(&self, index: u64) -> Vec<Entry> {
         let skipped = index.saturating_sub(self.compacted.index) as usize;
         self.entries.iter().skip(skipped).cloned().collect()
     }
 
-    /// Adds entries that follow the log or replace its end.
+    /// Appends entries that follow the log or replace its tail.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else {
             return;
@@ -91,7 +91,7 @@
         self.entries.extend(entries.iter().cloned());
     }
 
-    /// Drops the entries up to `index`, which a snapshot has.
+    /// Drops the entries up to `index`, which are included in a snapshot.
     pub fn compact_to(&mut self, index: u64) {
         let Ok(term) = self.term(index) else {
             return;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A snapshot from the leader, up to `position`, replaces the log.
+    /// Replaces the log by a snapshot from the leader, up to `position`.
     pub fn install_snapshot(&mut self, position: LogPosition, conf_state: ConfState) {
         self.entries.clear();
         self.byte_size = 0;
@@ -115,7 +115,7 @@
         self.snapshot = None;
     }
 
-    /// Whether raft asked for a snapshot since the last call.
+    /// Whether raft has requested a snapshot since the last call.
     pub fn take_snapshot_request(&self) -> bool {
         self.is_snapshot_requested.take()
     }
@@ -152,7 +152,7 @@
         let mut size = 0;
         for entry in self.entries.iter().skip(first).take((high - low) as usize) {
             size += entry_size(entry) as u64;
-            // Raft is given one entry at least.
+            // Raft requires at least one entry.
             if !taken.is_empty() && size > max_size {
                 break;
             }
@@ -184,10 +184,10 @@
         Ok(self.end_index())
     }
 
-    fn snapshot(&self, least_index: u64, _to: u64) -> raft::Result<eraftpb::Snapshot> {
-        let least_index = least_index.max(self.compacted.index);
+    fn snapshot(&self, min_index: u64, _to: u64) -> raft::Result<eraftpb::Snapshot> {
+        let min_index = min_index.max(self.compacted.index);
         match &self.snapshot {
-            Some(snapshot) if snapshot.get_metadata().index >= least_index => Ok(snapshot.clone()),
+            Some(snapshot) if snapshot.get_metadata().index >= min_index => Ok(snapshot.clone()),
             _ => {
                 self.is_snapshot_requested.set(true);
                 Err(raft::Error::Store(
--- a/forwarder/raft-groups/src/replica/membership.rs
+++ b/forwarder/raft-groups/src/replica/membership.rs
@@ -1,5 +1,5 @@
-//! Changes of a group's members: a learner first, then one joint change that makes it a voter and removes another
-//! one.
+//! Membership changes of a group: an instance is first added as a learner; then one joint change makes it a voter and
+//! removes another member.
 
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 use raft::ProgressState;
@@ -9,23 +9,23 @@
 use super::Replica;
 use crate::Incarnation;
 
-/// One other member as its leader sees it.
+/// The progress of another member, as known to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
-    /// Who it is.
+    /// The member's incarnation.
     pub incarnation: Incarnation,
-    /// Whether it votes.
+    /// Whether the member votes.
     pub is_voter: bool,
-    /// Whether it has all that is committed.
+    /// Whether the member has all committed entries.
     pub is_up_to_date: bool,
-    /// Whether nothing has come from it yet.
+    /// Whether the member has not acknowledged anything yet.
     pub is_new: bool,
-    /// Whether it knows that all that is committed is.
-    pub knows_commit: bool,
+    /// Whether the member has the current commit index.
+    pub is_commit_current: bool,
 }
 
 impl Replica {
-    /// Proposes a change of members; false where that is not possible now.
+    /// Proposes a membership change; returns false if none is possible now.
     pub fn change_members(&mut self, changes: &[MembershipChange], out: &mut Effects) -> bool {
         let Some(term) = self.elected_term else {
             return false;
@@ -54,17 +54,17 @@
         };
         let context = EntryContext::Dissolve { term };
         self.guarded(out, |replica| {
-            // Where raft refuses, the event loop requests it again.
+            // If raft refuses, the event loop repeats the request.
             let _ = replica.node.propose(context.to_bytes(), Vec::new());
         });
     }
 
-    /// Applies a committed change. Raft's own encoding of it is skipped: the change is made again from this
-    /// package's.
+    /// Applies a committed change. Raft's own encoding of the change is ignored: the change is rebuilt from the entry's
+    /// context.
     pub(super) fn apply_membership_change(&mut self, context: &[u8]) {
         let change = match EntryContext::from_bytes(context) {
             Some(EntryContext::Members { changes, .. }) => raft_change(&changes),
-            // Raft's own, empty: leaves the joint state.
+            // An empty change made by raft itself, which leaves the joint state.
             _ => ConfChangeV2::default(),
         };
         if let Ok(conf_state) = self.node.apply_conf_change(&change) {
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Whether every voter knows the set of voters. Until then a change that the leader takes for done may still be
-    /// on its way to them, and the earlier voters may still be asked.
-    pub fn is_membership_settled(&self) -> bool {
+    /// Whether the last membership change is committed on every voter. Until then, a change that is complete for the
+    /// leader may not have reached all voters, and an election may still involve the previous voters.
+    pub fn is_membership_change_complete(&self) -> bool {
         if self.is_joint() {
             return false;
         }
@@ -95,7 +95,7 @@
             .is_empty()
     }
 
-    /// Whether it is a voter or learner, before or after a change that is under way.
+    /// Whether the incarnation is a voter or learner, before or after a change in progress.
     pub fn is_member(&self, incarnation: Incarnation) -> bool {
         let conf = &self.node.store().conf_state;
         [
@@ -108,7 +108,7 @@
         .any(|ids| ids.contains(&incarnation.0))
     }
 
-    /// The group's voters, as committed here.
+    /// Returns the group's voters, as committed on this instance.
     pub fn voters(&self) -> Vec<Incarnation> {
         self.node
             .store()
@@ -120,7 +120,7 @@
             .collect()
     }
 
-    /// All other members, in the order of their incarnations; for a leader.
+    /// Returns all other members, in the order of their incarnations; valid on a leader only.
     pub fn member_progress(&self) -> Vec<MemberProgress> {
         let raft = &self.node.raft;
         let committed = raft.raft_log.committed;
@@ -134,17 +134,17 @@
             members.push(MemberProgress {
                 incarnation: Incarnation(*id),
                 is_voter: voters.contains(id),
-                // Raft goes on probing one that has all, until there is more to send.
+                // Raft keeps probing a member that has all entries until there is more to send.
                 is_up_to_date: progress.matched >= committed && !is_receiving_snapshot,
                 is_new: progress.matched == 0,
-                knows_commit: progress.committed_index >= committed,
+                is_commit_current: progress.committed_index >= committed,
             });
         }
         members.sort_by_key(|member| member.incarnation);
         members
     }
 
-    /// The leader, as far as this replica knows.
+    /// Returns the leader, if this replica knows one.
     pub fn leader(&self) -> Option<Incarnation> {
         match self.node.raft.leader_id {
             0 => None,
@@ -152,8 +152,8 @@
         }
     }
 
-    /// Raft waits without end for the answer to a snapshot that it sent, and one that was lost has none: it is sent
-    /// again to those that still had not answered at the second look.
+    /// Raft waits indefinitely for the reply to a snapshot, and a lost snapshot has none: the snapshot is sent again to
+    /// members that have not replied since the previous call.
     pub(super) fn resend_snapshots(&mut self) {
         let progress = self.node.raft.prs().iter();
         let receiving = progress.filter(|(_, progress)| progress.state == ProgressState::Snapshot);
@@ -168,7 +168,7 @@
         self.receiving_snapshot = receiving;
     }
 
-    /// The link to a member broke: what was in flight to it is sent again.
+    /// Reports that the link to a member was lost, so that messages in flight are sent again.
     pub fn report_unreachable(&mut self, incarnation: Incarnation, out: &mut Effects) {
         self.guarded(out, |replica| {
             if replica.was_leader {
--- a/forwarder/raft-groups/src/replica/mod.rs
+++ b/forwarder/raft-groups/src/replica/mod.rs
@@ -1,19 +1,19 @@
-//! One group's replica on this instance, without I/O: it is handed messages, ticks, acknowledgements of the disk and
-//! proposals, and hands back [`effects::Effects`]. The groups' thread owns it.
+//! One group's replica on this instance, without I/O. Inputs are messages, ticks, disk acknowledgements and proposals;
+//! the outputs are returned as [`effects::Effects`]. The groups thread owns the replica.
 //!
-//! Around raft's node it keeps what raft itself does not promise. A voter votes for nobody within an election
-//! timeout after it received something from its leader or was started, whatever else it receives. A leader holds its
-//! lease only as long as that promise of a majority surely lasts.
+//! The replica adds two guarantees to raft's node. A voter grants no vote within an election timeout after its start or
+//! after the last message from its leader, whatever other messages it receives. A leader holds its lease only as long
+//! as a majority is certain to withhold its votes in this way.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `inputs` | ticks, messages, acknowledgements, proposals |
-//! | `ready` | from raft's node to the disk, the links and the event loop; the lease |
-//! | `apply` | committed entries and snapshots into the state machine |
-//! | `compaction` | when the log is replaced by a snapshot on the own disk |
-//! | `membership` | changes of members, and how far each member is |
-//! | `open_proposals` | which proposals are answered, and how |
-//! | `log_storage` | the log in memory |
+//! | `ready` | output of raft's node to the disk, the links and the event loop; the lease |
+//! | `apply` | application of committed entries and snapshots to the state machine |
+//! | `compaction` | replacement of the log by a snapshot on the local disk |
+//! | `membership` | membership changes, and the progress of each member |
+//! | `open_proposals` | the answers to proposals |
+//! | `log_storage` | the in-memory log |
 
 mod apply;
 mod compaction;
@@ -42,19 +42,19 @@
 pub use persisted_state::PersistedState;
 pub use timing::GroupTiming;
 
-/// Bytes of entries in one message to a replica that follows the log.
+/// The maximum size of the entries in one message, in bytes, to a replica that follows the log.
 const MAX_MESSAGE_BYTES: u64 = 256 << 10;
-/// Messages with entries that may be in flight to one replica.
+/// The maximum number of messages with entries in flight to one replica.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
-/// Bytes of committed entries that are applied in one step.
+/// The maximum size of the committed entries applied in one step, in bytes.
 const MAX_APPLIED_BYTES: u64 = 4 << 20;
 
-/// Why a group can't go on here. Its replica sends nothing more to anyone.
+/// The reason why a group cannot continue on this instance. Its replica sends no further messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaFault {
-    /// The leader knows of more than is here.
+    /// The leader's commit index covers acknowledged entries that the local log lacks.
     #[error("its leader has more of it acknowledged than is in the folder, as with an older copy")]
-    LostAcknowledged,
+    LostAcknowledgedEntries,
     /// A snapshot or a log can't be read.
     #[error("its snapshot or its log can't be read")]
     Corrupt,
@@ -69,50 +69,50 @@
     state_machine: Box<dyn StateMachine>,
     committed_proposals: CommittedProposals,
     timing: GroupTiming,
-    /// Ticks since something came from the leader, or since this replica led itself.
+    /// Ticks since the last message from the leader, or since this replica was the leader itself.
     ticks_since_leader: u32,
-    /// Whether raft's node led when it was last looked at.
+    /// Whether raft's node was the leader when its role was last observed.
     was_leader: bool,
-    /// The term for which the event loop was told that this instance leads.
+    /// The term for which the event loop was notified that this instance leads.
     elected_term: Option<Term>,
-    /// Until when the lease is held, in milliseconds on the clock of `tick`.
+    /// The expiry of the lease, in milliseconds on the clock of `tick`.
     lease_until: f64,
-    /// Heartbeats that were not answered by a majority yet, oldest first.
+    /// Heartbeats that a majority has not answered yet, oldest first.
     lease_requests: VecDeque<LeaseRequest>,
     last_lease_request: u64,
     ticks: u32,
     open_proposals: OpenProposals,
     awaiting_disk: VecDeque<AwaitingDisk>,
-    /// The last number that the disk has acknowledged.
+    /// The last number acknowledged by the disk.
     synced_number: u64,
     hard_state: HardState,
     applied_index: u64,
-    /// The index of the last change of members that was applied.
+    /// The index of the last applied membership change.
     membership_index: u64,
     is_dissolved: bool,
     fault: Option<ReplicaFault>,
-    /// Members that were being sent a snapshot when last looked at.
+    /// Members that were receiving a snapshot at the last check.
     receiving_snapshot: Vec<u64>,
     election_draw: ElectionDraw,
 }
 
-/// A heartbeat whose answers extend the lease.
+/// A heartbeat whose replies extend the lease.
 struct LeaseRequest {
     number: u64,
-    /// In milliseconds on the clock of `tick`.
+    /// The send time, in milliseconds on the clock of `tick`.
     sent_at: f64,
 }
 
-/// Messages that wait for the disk.
+/// Messages that wait for a disk acknowledgement.
 struct AwaitingDisk {
-    /// Raft's number of what is written.
+    /// Raft's number of the write.
     number: u64,
-    /// Whether anything was handed to the disk under that number.
+    /// Whether anything was submitted to the disk under that number.
     is_write: bool,
     messages: Vec<Message>,
 }
 
-/// What an election timeout that is a function of the seed was drawn for.
+/// The state for which a seeded election timeout was last drawn.
 struct ElectionDraw {
     count: u64,
     term: u64,
@@ -121,10 +121,10 @@
 }
 
 impl Replica {
-    /// A replica that starts with what is on its disk.
+    /// Creates a replica from the state on its disk.
     ///
     /// # Errors
-    /// [`ReplicaFault::Corrupt`] where that can't be read.
+    /// [`ReplicaFault::Corrupt`] if that state can't be read.
     pub fn new(
         group: GroupId,
         purpose: Purpose,
@@ -160,7 +160,7 @@
         let storage = LogStorage::new(compacted, raft_hard_state, base.members.into(), entries);
         let config = raft_config(me, base.index, timing);
         let silent = slog::Logger::root(slog::Discard, slog::o!());
-        // Raft panics over a log that contradicts itself.
+        // Raft panics on an inconsistent log.
         let node = catch_unwind(AssertUnwindSafe(|| RawNode::new(&config, storage, &silent)));
         let Ok(Ok(node)) = node else {
             return Err(ReplicaFault::Corrupt);
@@ -200,8 +200,8 @@
         Ok(replica)
     }
 
-    /// Runs `step` on raft's node and hands out what follows. Raft panics where its log contradicts its leader's:
-    /// only this group ends, and sends nothing more.
+    /// Runs `step` on raft's node and emits the resulting effects. Raft panics if its log contradicts the leader's log:
+    /// then only this group stops, and it sends no further messages.
     fn guarded(&mut self, out: &mut Effects, step: impl FnOnce(&mut Replica)) {
         if self.fault.is_some() {
             return;
@@ -213,39 +213,39 @@
             self.drain_ready(out);
         }));
         if stepped.is_err() {
-            self.fault = Some(ReplicaFault::LostAcknowledged);
+            self.fault = Some(ReplicaFault::LostAcknowledgedEntries);
         }
         if self.fault.is_some() {
             self.step_down(out);
         }
     }
 
-    /// What the group is for.
+    /// The purpose of the group.
     pub fn purpose(&self) -> Purpose {
         self.purpose
     }
 
-    /// Why the group can't go on here.
+    /// The reason why the group cannot continue on this instance, if any.
     pub fn fault(&self) -> Option<ReplicaFault> {
         self.fault
     }
 
-    /// Whether this instance leads the group, and all that was committed before is applied.
+    /// Whether this instance leads the group and has applied all earlier committed entries.
     pub fn is_leader(&self) -> bool {
         self.elected_term.is_some()
     }
 
-    /// Until when the lease is held, in milliseconds on the clock of [`Replica::tick`]; zero: not at all.
+    /// The expiry of the lease, in milliseconds on the clock of [`Replica::tick`]; zero: not held.
     pub fn lease_until(&self) -> f64 {
         self.lease_until
     }
 
-    /// Whether the group is dissolved: its members may forget it.
+    /// Whether the group is dissolved, so that its members may remove it.
     pub fn is_dissolved(&self) -> bool {
         self.is_dissolved
     }
 
-    /// Bytes of memory that the group takes, approximately.
+    /// The approximate memory size of the group, in bytes.
     pub fn size(&self) -> usize {
         self.state_machine.size() + self.node.store().byte_size()
     }
@@ -255,7 +255,8 @@
     raft::Config {
         id: me.0,
         election_tick: timing.election_ticks as usize,
-        // Half a timeout apart at most: a successor is elected sooner, and two candidates still rarely meet.
+        // The timeouts differ by at most half a timeout: a successor is elected sooner, and two candidates still rarely
+        // collide.
         max_election_tick: (timing.election_ticks + timing.election_ticks / 2) as usize,
         heartbeat_tick: timing.heartbeat_ticks as usize,
         applied,
--- a/forwarder/raft-groups/src/replica/open_proposals.rs
+++ b/forwarder/raft-groups/src/replica/open_proposals.rs
@@ -1,4 +1,4 @@
-//! The proposals of this instance that have no answer yet.
+//! The proposals of this instance that are not answered yet.
 
 use std::collections::VecDeque;
 
@@ -8,12 +8,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Proposals without an answer; at that many, further ones are refused.
+/// The number of unanswered proposals at which further proposals are refused.
 const MAX_OPEN_PROPOSALS: usize = 4096;
-/// Bytes of proposals that are not committed; past them raft refuses further ones.
+/// The number of uncommitted proposal bytes above which raft refuses further proposals.
 pub const MAX_UNCOMMITTED_BYTES: u64 = 64 << 20;
 
-/// Answered in the order of their numbers: one that was refused at once waits for those before it.
+/// The unanswered proposals. They are answered in the order of their numbers: a refused proposal waits for the answers
+/// to all earlier ones.
 #[derive(Default)]
 pub struct OpenProposals {
     proposals: VecDeque<Proposal>,
@@ -25,7 +26,7 @@
 }
 
 enum ProposalState {
-    /// Appended to the log, and not decided.
+    /// Appended to the log, but not decided yet.
     Appended {
         index: u64,
         term: Term,
@@ -40,13 +41,13 @@
         self.proposals.len() >= MAX_OPEN_PROPOSALS
     }
 
-    /// A proposal was appended to the log at `index` in `term`.
+    /// Records that a proposal was appended to the log at `index` in `term`.
     pub fn appended(&mut self, number: u64, index: u64, term: Term) {
         let state = ProposalState::Appended { index, term };
         self.proposals.push_back(Proposal { number, state });
     }
 
-    /// A proposal was refused.
+    /// Records that a proposal was refused.
     pub fn refused(&mut self, number: u64) {
         self.proposals.push_back(Proposal {
             number,
@@ -54,9 +55,9 @@
         });
     }
 
-    /// The entry at `index` is committed, and it is of `term`. Terms never fall along the log, so a proposal that an
-    /// earlier term appended further on never is committed: it may be further on than what this instance proposed
-    /// since.
+    /// Records that the entry at `index`, of `term`, is committed. Terms never decrease along the log, so a proposal
+    /// that was appended at a higher index in an earlier term can never be committed. Such a proposal may have a higher
+    /// index than later proposals of this instance.
     pub fn entry_committed(&mut self, index: u64, term: Term) {
         for proposal in &mut self.proposals {
             let ProposalState::Appended {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// A leader's snapshot up to `index`, whose entry there is of `term`, replaced the log.
+    /// Records that a leader's snapshot up to `index`, whose last entry is of `term`, replaced the log.
     pub fn snapshot_installed(
         &mut self,
         me: Incarnation,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Moves the answers that can be given to `events`.
+    /// Moves the answers that are ready to `events`.
     pub fn take_answers(&mut self, group: GroupId, events: &mut Vec<GroupEvent>) {
         while let Some(Proposal { number, state }) = self.proposals.front() {
             let number = *number;
--- a/forwarder/raft-groups/src/replica/open_proposals/tests.rs
+++ b/forwarder/raft-groups/src/replica/open_proposals/tests.rs
@@ -1,4 +1,4 @@
-//! What open proposals are answered.
+//! Tests of the answers to open proposals.
 
 use super::OpenProposals;
 use crate::{GroupEvent, GroupId, Incarnation, Term};
@@ -11,7 +11,7 @@
     };
     let mut open = OpenProposals::default();
     open.appended(1, 20, Term(5));
-    // Its log was cut back to 13 by another leader; it leads anew.
+    // Another leader truncated the log to index 13; then this instance was elected again.
     open.entry_committed(14, Term(7));
     open.appended(2, 15, Term(7));
     open.entry_committed(15, Term(7));
--- a/forwarder/raft-groups/src/replica/persisted_state.rs
+++ b/forwarder/raft-groups/src/replica/persisted_state.rs
@@ -1,4 +1,4 @@
-//! What an instance has of a group on its disk.
+//! The state of a group on an instance's disk.
 
 use raft::eraftpb::Entry;
 
@@ -6,21 +6,22 @@
 use super::entry_context::{CommittedProposals, GroupState};
 use crate::{Incarnation, StateMachine};
 
-/// What an instance has of a group: made new, or read from its disk.
+/// The state of a group, either newly created or read from disk.
 #[derive(Debug, Default)]
 pub struct PersistedState {
-    /// The state that the log follows.
+    /// The state that precedes the log.
     pub base: SnapshotBase,
-    /// What a vote rests on.
+    /// The state that a vote depends on.
     pub hard_state: HardState,
-    /// The log behind `base`, in order.
+    /// The log after `base`, in order.
     pub entries: Vec<Entry>,
-    /// Whether it was read from the disk: an earlier process may have promised a leader not to vote.
+    /// Whether the state was read from disk: an earlier process may have confirmed a leader's lease, so the replica
+    /// withholds its vote for an election timeout.
     pub is_restart: bool,
 }
 
 impl PersistedState {
-    /// A new group's first state, the same on each of its founding voters.
+    /// Creates the first state of a new group, which is identical on each of its founding voters.
     pub fn founded(voters: &[Incarnation], state_machine: &dyn StateMachine) -> Self {
         let state = GroupState {
             committed: CommittedProposals::default(),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Applies what was written to the disk after it.
+    /// Applies a later write to the state.
     pub fn apply(&mut self, request: PersistRequest) {
         if let Some(hard_state) = request.hard_state {
             self.hard_state = hard_state;
--- a/forwarder/raft-groups/src/replica/ready.rs
+++ b/forwarder/raft-groups/src/replica/ready.rs
@@ -1,6 +1,6 @@
-//! From raft's node to the disk, the links and the event loop; and the lease. What a voter sends waits for its disk;
-//! what a leader sends may overtake its own, since its own voice counts only once its disk has acknowledged (Raft,
-//! dissertation, section 10.2.1).
+//! Passes the output of raft's node to the disk, the links and the event loop, and manages the lease. A voter's
+//! messages wait for its disk. A leader's messages may be sent before its own write completes, since the leader counts
+//! itself in a majority only after its disk has acknowledged (Raft, dissertation, section 10.2.1).
 
 use raft::eraftpb::Entry;
 use raft::{Ready, StateRole};
@@ -12,7 +12,7 @@
 use crate::{GroupEvent, Term};
 
 impl Replica {
-    /// Hands out all that raft's node has made.
+    /// Emits all pending output of raft's node.
     pub(super) fn drain_ready(&mut self, out: &mut Effects) {
         self.observe_role(out);
         while self.fault.is_none() && self.node.has_ready() {
@@ -43,7 +43,7 @@
         self.compact_if_large(out);
     }
 
-    /// Puts a leader's snapshot in place of the log in memory.
+    /// Replaces the in-memory log by a leader's snapshot.
     fn install_snapshot(&mut self, ready: &Ready) -> Option<SnapshotBase> {
         let snapshot = ready.snapshot();
         if snapshot.is_empty() {
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Hands the disk what has to be on it before the messages that wait for it leave.
+    /// Submits the data that must be on disk before the waiting messages are sent.
     fn persist(&mut self, ready: &mut Ready, base: Option<&SnapshotBase>, out: &mut Effects) {
         let before = self.hard_state;
         if let Some(hard_state) = ready.hs() {
@@ -76,7 +76,7 @@
                 commit: hard_state.commit,
             };
         }
-        // What is committed is learnt from the others again: that alone is no reason to write.
+        // The commit index is learned from the other members again, so a change of it alone is not written.
         let has_new_vote =
             (before.term, before.vote) != (self.hard_state.term, self.hard_state.vote);
         let is_write = has_new_vote || base.is_some() || !ready.entries().is_empty();
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Hands out the messages that wait for the disk no longer.
+    /// Emits the messages whose wait for the disk is over.
     pub(super) fn release_messages(&mut self, out: &mut Effects) {
         let mut released_number = 0;
         while let Some(waiting) = self.awaiting_disk.front() {
@@ -123,7 +123,7 @@
         self.advance_applied();
     }
 
-    /// Tells raft what is applied, once that is on the own disk.
+    /// Reports the applied index to raft once the entries are on the local disk.
     fn advance_applied(&mut self) {
         let is_persisted = self.node.raft.raft_log.persisted >= self.applied_index;
         if is_persisted && self.applied_index > 0 {
@@ -131,14 +131,15 @@
         }
     }
 
-    /// Looks at raft's role: a lead that ended is announced at once, and its lease with it.
+    /// Observes raft's role: the end of a leadership is announced immediately, and the lease ends with it.
     fn observe_role(&mut self, out: &mut Effects) {
         let is_raft_leader = self.node.raft.state == StateRole::Leader;
         let is_same_term = self
             .elected_term
             .is_none_or(|term| term.0 == self.node.raft.term);
         if self.was_leader && !is_raft_leader {
-            // A leader is one of the majority that gave its lease: the promise to itself lasts like any other's.
+            // A leader belongs to the majority that granted its lease, so it withholds its own vote like any other
+            // voter.
             self.ticks_since_leader = 0;
         }
         self.was_leader = is_raft_leader;
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Sends a heartbeat that a majority has to answer with its number (Raft, section 8: a read index).
+    /// Sends a heartbeat that a majority must answer with its number (Raft, section 8: a read index).
     pub(super) fn request_lease(&mut self, now: f64) {
         self.last_lease_request += 1;
         let number = self.last_lease_request;
@@ -169,7 +170,7 @@
         }
     }
 
-    /// A majority has answered the heartbeat of that number: the lease counts from its sending.
+    /// Extends the lease, counted from the send time of the heartbeat with the number that a majority has answered.
     fn lease_request_answered(&mut self, context: &[u8]) {
         let Ok(answered) = context.try_into().map(u64::from_le_bytes) else {
             return;
@@ -205,8 +206,8 @@
         }
     }
 
-    /// Raft's own term, if its node leads.
-    pub(super) fn raft_lead_term(&self) -> Option<Term> {
+    /// Returns raft's current term if its node is the leader.
+    pub(super) fn raft_leader_term(&self) -> Option<Term> {
         match self.node.raft.state {
             StateRole::Leader => Some(Term(self.node.raft.term)),
             _ => None,
--- a/forwarder/raft-groups/src/replica/timing.rs
+++ b/forwarder/raft-groups/src/replica/timing.rs
@@ -1,6 +1,6 @@
-//! The time spans that a group's promises rest on.
+//! The durations on which a group's elections and leases depend.
 
-/// Spans counted in ticks, which never come sooner than `tick` milliseconds after each other.
+/// Durations counted in ticks, which are never less than `tick` milliseconds apart.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupTiming {
     /// The interval of ticks, in milliseconds.
@@ -9,21 +9,21 @@
     pub heartbeat_ticks: u32,
     /// The election timeout, in ticks.
     pub election_ticks: u32,
-    /// How long a lease lasts from the sending of the heartbeat that a majority answered, in milliseconds.
+    /// The duration of a lease, in milliseconds, from the send time of the heartbeat that a majority answered.
     pub lease_ttl: f64,
-    /// Makes election timeouts a function of the seed, for tests. `None`: drawn at random.
+    /// Makes election timeouts a function of the seed, for tests. `None`: timeouts are drawn at random.
     pub seed: Option<u64>,
 }
 
-/// How far the clocks of two machines may run apart, as a share.
+/// The maximum difference between the clock rates of two machines, as a fraction.
 const MAX_CLOCK_DRIFT: f64 = 0.05;
 
 impl GroupTiming {
-    /// Derives the spans from the fleet file's, all in milliseconds.
+    /// Derives the durations from those in the fleet file, all in milliseconds.
     ///
-    /// A voter's promise begins within a tick, so one tick of the election timeout may be missing. What a stalled
-    /// process may still do before the kernel ends it, within `watchdog_timeout`, has to fit into the rest on a clock
-    /// that is slow.
+    /// A voter counts its election timeout in ticks, so the timeout may be up to one tick short. The remaining time,
+    /// measured on a slow clock, must also cover `watchdog_timeout`, within which a stalled process may still act
+    /// before the kernel kills it.
     pub fn new(heartbeat_interval: f64, election_timeout: f64, watchdog_timeout: f64) -> Self {
         let tick = heartbeat_interval / 4.0;
         let lease_ttl = (election_timeout - tick) / (1.0 + MAX_CLOCK_DRIFT) - watchdog_timeout;
--- a/forwarder/raft-groups/src/requests.rs
+++ b/forwarder/raft-groups/src/requests.rs
@@ -1,54 +1,56 @@
-//! What the forwarder's event loop and the groups' thread send to each other, over bounded rings. A full ring refuses
-//! a request: it comes back to the caller and surely never takes effect.
+//! The messages between the forwarder's event loop and the groups thread, over bounded rings. A request that does not
+//! fit into the ring is returned to the caller and never takes effect.
 
 use crate::{GroupId, Incarnation, InstanceName, Purpose, Term};
 
-/// From the event loop.
+/// A request from the event loop to the groups thread.
 #[derive(Debug)]
 pub enum GroupRequest {
-    /// Founds a group of which this instance is the first leader, with voters chosen by
+    /// Founds a group with this instance as its first leader and with voters chosen by
     /// [`crate::placement::rank_voters`]. [`GroupEvent::Elected`] follows once a majority is reachable.
     Create {
-        /// What the group is for.
+        /// The purpose of the group.
         purpose: Purpose,
     },
-    /// To be committed. Answered once by [`GroupEvent::Committed`] or [`GroupEvent::Discarded`], in the order of the
-    /// numbers, as long as this instance lived all the time.
+    /// Proposes a command. Exactly one [`GroupEvent::Committed`] or [`GroupEvent::Discarded`] answers the proposal, in
+    /// the order of the numbers, unless this instance restarts in between.
     Propose {
         /// The group.
         group: GroupId,
-        /// Grows by one with each of the group's commands.
+        /// The proposal's number, incremented by one with each command of the group.
         number: u64,
-        /// At most [`crate::MAX_COMMAND_LEN`] bytes.
+        /// The command, at most [`crate::MAX_COMMAND_LEN`] bytes.
         command: Vec<u8>,
     },
-    /// To the instance that leads the control group, best effort.
+    /// Sends a report to the leader of the control group, best effort.
     Report {
-        /// At most [`crate::MAX_REPORT_LEN`] bytes.
+        /// The report, at most [`crate::MAX_REPORT_LEN`] bytes.
         body: Vec<u8>,
     },
-    /// Nothing is kept in the group any more: its members forget it.
+    /// Dissolves a group that holds no more data: its members remove it.
     Dissolve {
         /// The group.
         group: GroupId,
     },
 }
 
-/// To the event loop.
+/// An event from the groups thread to the event loop.
 #[derive(Debug)]
 pub enum GroupEvent {
-    /// This instance leads the group from now on, and owns what is in it.
+    /// This instance leads the group from now on and owns its contents.
     Elected {
         /// The group.
         group: GroupId,
-        /// What the group is for.
+        /// The purpose of the group.
         purpose: Purpose,
-        /// The term that it leads.
+        /// The term in which this instance leads the group.
         term: Term,
-        /// The state machine's snapshot, with all that can ever be committed from before `term`.
+        /// The snapshot of the state machine, which contains every command from before `term` that can ever be
+        /// committed.
         state: Vec<u8>,
     },
-    /// Another instance may lead the group. What was proposed and not answered stays open until it is decided.
+    /// Another instance may lead the group. Proposals that are not answered yet remain open until their outcome is
+    /// decided.
     Deposed {
         /// The group.
         group: GroupId,
@@ -60,7 +62,7 @@
         /// The proposal's number.
         number: u64,
     },
-    /// A proposal surely never is committed.
+    /// A proposal will never be committed.
     Discarded {
         /// The group.
         group: GroupId,
@@ -69,34 +71,34 @@
     },
     /// A command of the control group was applied; every instance receives all of them in the log's order.
     Applied {
-        /// Who proposed it.
+        /// The incarnation that proposed the command.
         proposer: Incarnation,
         /// The term in which it was proposed.
         term: Term,
         /// The command.
         command: Vec<u8>,
     },
-    /// The control group's whole state, in place of commands that were missed.
+    /// The complete state of the control group, which replaces missed commands.
     SnapshotInstalled {
         /// The state machine's snapshot.
         state: Vec<u8>,
     },
-    /// A report that came while this instance leads the control group.
+    /// A report arrived while this instance leads the control group.
     ReportReceived {
         /// The sender's name.
         from: InstanceName,
         /// The sender's incarnation.
         incarnation: Incarnation,
-        /// As it was sent.
+        /// The report as it was sent.
         body: Vec<u8>,
     },
     /// An instance became reachable or unreachable.
     PeerChanged {
-        /// Its name.
+        /// The instance's name.
         name: InstanceName,
-        /// Its incarnation.
+        /// The instance's incarnation.
         incarnation: Incarnation,
-        /// Whether it can be reached.
+        /// Whether the instance is reachable.
         reachable: bool,
     },
 }
--- a/forwarder/raft-groups/src/ring.rs
+++ b/forwarder/raft-groups/src/ring.rs
@@ -1,15 +1,15 @@
-//! Bounded rings between threads: the sender never waits, and the receiver is woken.
+//! Bounded rings between threads: the sender never blocks, and the receiver is woken up.
 
 use std::collections::VecDeque;
 use std::thread::Thread;
 
 use rtrb::{Producer, PushError};
 
-/// How a ring's receiver is woken.
+/// How the receiver of a ring is woken up.
 pub enum Waker {
     /// A thread that parks.
     Thread(Thread),
-    /// A task that awaits a channel of one place.
+    /// A task that awaits a channel of capacity 1.
     Task(async_channel::Sender<()>),
 }
 
@@ -18,53 +18,53 @@
         match self {
             Waker::Thread(thread) => thread.unpark(),
             Waker::Task(wake_up) => {
-                // A wake-up that was not received yet is enough.
+                // A full channel already holds a pending wake-up, which is enough.
                 let _ = wake_up.try_send(());
             }
         }
     }
 }
 
-/// The sending end of a ring. What does not fit waits here in its order. The sender has to look at
-/// [`RingSender::is_clogged`] and take nothing more in until that is over, so that what waits is bounded by what one
-/// iteration of its loop makes.
+/// The sending end of a ring. Values that do not fit into the ring queue up here in order. While
+/// [`RingSender::is_backlogged`], the sender must accept no further input, which bounds the backlog by the output of
+/// one iteration of its loop.
 pub struct RingSender<T> {
     ring: Producer<T>,
-    waiting: VecDeque<T>,
+    backlog: VecDeque<T>,
     waker: Waker,
 }
 
-/// How many values may wait before [`RingSender::send_or_drop`] drops.
-const MAX_WAITING: usize = 4096;
+/// The backlog length from which [`RingSender::send_or_drop`] drops values.
+const MAX_BACKLOG_LEN: usize = 4096;
 
 impl<T> RingSender<T> {
-    /// The sender of an empty ring.
+    /// Returns the sender of an empty ring.
     pub fn new(ring: Producer<T>, waker: Waker) -> Self {
         RingSender {
             ring,
-            waiting: VecDeque::new(),
+            backlog: VecDeque::new(),
             waker,
         }
     }
 
-    /// Sends with the next [`RingSender::flush`].
+    /// Queues a value for the next [`RingSender::flush`].
     pub fn send(&mut self, value: T) {
-        self.waiting.push_back(value);
+        self.backlog.push_back(value);
     }
 
-    /// Sends what may be lost: the value is dropped while much waits before it.
+    /// Queues a value that may be lost: the value is dropped if the backlog is long.
     pub fn send_or_drop(&mut self, value: T) {
-        if self.waiting.len() < MAX_WAITING {
-            self.waiting.push_back(value);
+        if self.backlog.len() < MAX_BACKLOG_LEN {
+            self.backlog.push_back(value);
         }
     }
 
-    /// Sends the value at once.
+    /// Pushes a value into the ring immediately.
     ///
     /// # Errors
-    /// The value comes back where there is no place for it.
+    /// Returns the value if the ring is full or has a backlog.
     pub fn try_send(&mut self, value: T) -> Result<(), T> {
-        if !self.waiting.is_empty() {
+        if !self.backlog.is_empty() {
             return Err(value);
         }
         let pushed = self.ring.push(value);
@@ -72,28 +72,28 @@
         pushed.map_err(|PushError::Full(value)| value)
     }
 
-    /// Moves what waits into the ring, as far as there is place.
+    /// Moves the backlog into the ring, as far as it fits.
     pub fn flush(&mut self) {
-        if self.waiting.is_empty() {
+        if self.backlog.is_empty() {
             return;
         }
-        while let Some(value) = self.waiting.pop_front() {
+        while let Some(value) = self.backlog.pop_front() {
             if let Err(PushError::Full(value)) = self.ring.push(value) {
-                self.waiting.push_front(value);
+                self.backlog.push_front(value);
                 break;
             }
         }
         self.waker.wake();
     }
 
-    /// Wakes the receiver.
+    /// Wakes up the receiver.
     pub fn wake(&self) {
         self.waker.wake();
     }
 
-    /// Whether anything waits for a place in the ring.
-    pub fn is_clogged(&self) -> bool {
-        !self.waiting.is_empty()
+    /// Whether values are waiting for space in the ring.
+    pub fn is_backlogged(&self) -> bool {
+        !self.backlog.is_empty()
     }
 
     /// Whether the receiver has ended.
