--- a/forwarder/raft-groups/src/start.rs
+++ b/forwarder/raft-groups/src/start.rs
@@ -23,31 +23,31 @@
 use crate::watchdog::Watchdog;
 use crate::{GroupEventStream, GroupId, Purpose, RaftGroups, StateMachine};
 
-/// Makes the empty state machine of a new group.
+/// Creates the empty state machine of a new group.
 pub type StateMachineFactory = Box<dyn Fn(Purpose) -> Box<dyn StateMachine> + Send>;
 
-/// What an instance is started with.
+/// The options with which an instance is started.
 pub struct StartOptions {
     /// The fleet file.
     pub fleet: FleetConfig,
-    /// Which of the fleet's instances this is.
+    /// The name of this instance in the fleet file.
     pub name: String,
-    /// The instance's own folder, `fleet` in `PROXY_STATE`; made where there is none.
+    /// The instance's own folder, `fleet` in `PROXY_STATE`; created if missing.
     pub folder: PathBuf,
-    /// For the threads' lines.
+    /// The logger of the instance's threads.
     pub log: slog::Logger,
-    /// The event loop's state machines.
+    /// The factory for the event loop's state machines.
     pub state_machines: StateMachineFactory,
 }
 
-/// Places in each ring.
+/// The capacity of each ring, in values.
 const RING_CAPACITY: usize = 4096;
 
-/// Starts listening, and the instance's threads. Where leases are used, the watchdog runs from the first
-/// [`RaftGroups::feed_watchdog`].
+/// Binds the peer address and starts the threads of the instance. If leases are used, the watchdog is armed by the
+/// first [`RaftGroups::feed_watchdog`].
 ///
 /// # Errors
-/// The fleet file does not name the instance, or its folder or address can't be used.
+/// The fleet file does not contain the instance, or its folder or address is unusable.
 pub fn start(options: StartOptions) -> io::Result<(RaftGroups, GroupEventStream)> {
     let StartOptions {
         fleet,
@@ -63,10 +63,10 @@
     let me = me.ok_or_else(|| io::Error::other(format!("instances: none is named {name:?}")))?;
     let address = fleet.instances[me].address;
     let listener = TcpListener::bind(address).map_err(|error| {
-        let reason = format!("instances.address: {address} can't be listened at: {error}");
+        let reason = format!("instances.address: cannot listen on {address}: {error}");
         io::Error::new(error.kind(), reason)
     })?;
-    // Connection quotas rest on leases as event logs do.
+    // Connection quotas depend on leases, as event logs do.
     let uses_leases = fleet.replication.is_some() || !fleet.pools.is_empty();
     let watchdog_timeout = fleet.timing.stall;
     let timing = GroupTiming::new(
@@ -93,7 +93,7 @@
     spawn_threads(instance, stored, logs, listener, watchdog)
 }
 
-/// Begins a start on the instance's folder, and reads what is in it.
+/// Starts a new generation of the instance's folder and reads the folder's contents.
 fn load(
     folder: &Path,
     state_machines: &StateMachineFactory,
@@ -133,8 +133,8 @@
     Ok((stored, logs))
 }
 
-/// Starts the three threads. The rings between them need each receiver's thread to wake it, so the groups' thread is
-/// started first and handed its rings once the others run.
+/// Starts the three threads. A ring needs the thread of its receiver for wake-ups, so the groups thread is started
+/// first and receives its rings once the other threads are running.
 fn spawn_threads(
     instance: InstanceContext,
     stored: StoredState,
@@ -161,7 +161,7 @@
 
     let (rings_in, rings_out) = std::sync::mpsc::channel::<Rings>();
     let groups_handle = spawn_thread("fleet-groups", move || {
-        // Where another thread could not be started, no rings come.
+        // The channel is closed without rings if another thread failed to start.
         if let Ok(rings) = rings_out.recv() {
             GroupsThread::new(instance, stored, rings).run();
         }
--- a/forwarder/raft-groups/src/state_machine.rs
+++ b/forwarder/raft-groups/src/state_machine.rs
@@ -1,25 +1,25 @@
-//! What a group keeps by its log.
+//! The state machine that a group replicates through its log.
 
 use crate::{Incarnation, Term};
 
-/// The bytes are no snapshot of the state machine.
+/// The bytes are not a valid snapshot of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the bytes are no snapshot of the state machine")]
 pub struct CorruptSnapshot;
 
-/// Applies each committed command once, in the log's order, the same on every instance of the group. It reads no
-/// clock, draws nothing at random and does no I/O. A command that makes no sense changes nothing.
+/// Applies each committed command once, in log order, with the same result on every instance of the group. An
+/// implementation reads no clock, uses no randomness and does no I/O. An invalid command changes nothing.
 pub trait StateMachine: Send {
-    /// Applies a command that `proposer` proposed while it led in `term`. A new leader's first entry of its term is
-    /// applied before its instance is told of its election.
+    /// Applies a command that `proposer` proposed as the leader of `term`. The first entry of a new leader's term is
+    /// applied before the leader's instance is notified of its election.
     fn apply(&mut self, proposer: Incarnation, term: Term, command: &[u8]);
-    /// All that [`StateMachine::restore`] needs; it replaces the log before it.
+    /// Serializes the complete state for [`StateMachine::restore`]; the snapshot replaces the log up to this point.
     fn snapshot(&self) -> Vec<u8>;
-    /// Replaces the state.
+    /// Replaces the state with a snapshot.
     ///
     /// # Errors
-    /// [`CorruptSnapshot`] where the bytes are no snapshot; the state is as before.
+    /// [`CorruptSnapshot`] if the bytes are not a valid snapshot; the state is then unchanged.
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), CorruptSnapshot>;
-    /// Bytes of memory that the state takes, approximately: instances limit their sum.
+    /// The approximate memory size of the state in bytes; instances limit the sum over their groups.
     fn size(&self) -> usize;
 }
--- a/forwarder/raft-groups/src/watchdog.rs
+++ b/forwarder/raft-groups/src/watchdog.rs
@@ -1,27 +1,30 @@
-//! A kernel timer that ends this process when its event loop stood still for too long.
+//! A kernel timer that kills this process if its event loop stalls for too long.
 //!
-//! A process that was stopped, swapped out or starved wakes in the middle of what it did: with a call half written,
-//! after its lease was checked. No check by itself can help, since the process may be stopped right after it. So the
-//! kernel, whose clock goes on, ends the process before another instance may own what it held; it never wakes.
-//! SIGKILL also ends a process that is stopped. The clock is the boot's, which counts a suspended machine too. A
-//! virtual machine frozen with its clock is not seen by any clock inside it: `docs/instances.md` says so.
+//! A process that was stopped, swapped out or starved resumes in the middle of an operation: with a partially written
+//! call, after the lease was checked. No check in the process can prevent this, since the process may be stopped right
+//! after the check. Therefore the kernel, whose clock keeps running, kills the process before another instance may take
+//! over its data. SIGKILL also terminates a stopped process without resuming it. The timer uses the boot clock, which
+//! includes the time that the machine is suspended. No clock inside a virtual machine detects that the machine was
+//! frozen together with its clock (see `docs/instances.md`).
 
 use std::io;
 use std::mem::zeroed;
 use std::ptr::null_mut;
 
-/// Armed from its first [`Watchdog::feed`] as long as it lives: a process that has not begun owns nothing.
+/// A watchdog that is armed from the first [`Watchdog::feed`] until it is dropped: a process that has not fed it yet
+/// owns nothing.
 pub struct Watchdog {
-    /// The C library's handle, a small number or a pointer: kept as a number, it belongs to no thread.
+    /// The C library's timer handle, a small number or a pointer. Stored as a number, since a raw pointer would make
+    /// the watchdog neither `Send` nor `Sync`.
     timer: usize,
     timeout: f64,
 }
 
 impl Watchdog {
-    /// A watchdog that ends the process `timeout` milliseconds after it was fed last.
+    /// Creates a watchdog that kills the process `timeout` milliseconds after the last feed.
     ///
     /// # Errors
-    /// The kernel gives no timer.
+    /// The kernel cannot create a timer.
     pub fn new(timeout: f64) -> io::Result<Watchdog> {
         let mut timer: libc::timer_t = null_mut();
         // SAFETY: both are plain data that the kernel reads and writes once; zero is a valid value of either.
@@ -40,13 +43,13 @@
         })
     }
 
-    /// Begins the timeout again.
+    /// Restarts the timeout.
     pub fn feed(&self) {
-        // It can't fail on a timer that exists; if it did, the process would end, which is the safe side.
+        // Setting an existing timer cannot fail; if it did, the process would be killed, which is the safe outcome.
         let _ = self.set_timer(self.timeout);
     }
 
-    /// In milliseconds.
+    /// The timeout in milliseconds.
     pub fn timeout(&self) -> f64 {
         self.timeout
     }
@@ -57,7 +60,7 @@
 
     fn set_timer(&self, timeout: f64) -> io::Result<()> {
         let nanos = (timeout * 1e6) as u64;
-        // SAFETY: plain data, read once by the kernel; the timer lives as long as `self`.
+        // SAFETY: plain data, read once by the kernel; the timer exists as long as `self`.
         let set = unsafe {
             let mut expiry: libc::itimerspec = zeroed();
             expiry.it_value.tv_sec = (nanos / 1_000_000_000) as libc::time_t;
@@ -73,7 +76,7 @@
 
 impl Drop for Watchdog {
     fn drop(&mut self) {
-        // SAFETY: made by `new`, deleted once.
+        // SAFETY: created by `new`, deleted once.
         unsafe { libc::timer_delete(self.id()) };
     }
 }
