--- a/forwarder/raft-groups/benches/committed.rs
+++ b/forwarder/raft-groups/benches/committed.rs
@@ -1,5 +1,6 @@
-//! What a commit costs: proposals a second and the time from the order to `Committed`, on the loopback, every
-//! instance in this process with a folder of its own under the temporary one. `cargo bench -p plankhill-raft-groups`.
+//! Measures the cost of a commit: proposals per second and the time from the request to `Committed`, over loopback,
+//! with all instances in this process, each with its own temporary folder. Run with `cargo bench -p
+//! plankhill-raft-groups`.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,59 +14,61 @@
 
 use cluster::Cluster;
 
-const SPAN: Duration = Duration::from_secs(4);
+const DURATION: Duration = Duration::from_secs(4);
 
 fn main() {
-    println!("voters  at once  bytes  a second  p50 ms  p99 ms  worst ms");
+    println!("voters  at once  bytes   per sec  p50 ms  p99 ms    max ms");
     for voters in [3, 5] {
-        for (at_once, bytes) in [(1, 1000), (16, 1000), (256, 1000), (16, 64_000)] {
-            measure(voters, at_once, bytes);
+        for (concurrency, bytes) in [(1, 1000), (16, 1000), (256, 1000), (16, 64_000)] {
+            measure(voters, concurrency, bytes);
         }
     }
-    heirs();
+    failover();
 }
 
-/// From the owner's end to the heir's lead, with the spans that a fleet file has by default.
-fn heirs() {
+/// Measures the time from the owner's stop to the successor's election, with the default timing of a fleet file.
+fn failover() {
     let mut times = Vec::new();
     for _ in 0..15 {
-        let mut all = Cluster::timed(3, "", "[copies]\nkeepers = 2\n");
-        let group = all.record(0);
-        all.commit(0, group, 1, vec![1; 1000]);
-        all.stop(0);
+        let mut cluster = Cluster::with_timing(3, "", "[copies]\nkeepers = 2\n");
+        let group = cluster.found_event_log(0);
+        cluster.commit(0, group, 1, vec![1; 1000]);
+        cluster.stop(0);
         let ended = Instant::now();
-        all.until("an heir leads", |all| cluster::leader(all, group).is_some());
+        cluster.wait_until("a successor leads", |cluster| {
+            cluster::leader(cluster, group).is_some()
+        });
         times.push(ended.elapsed().as_secs_f64() * 1e3);
     }
     times.sort_by(f64::total_cmp);
     println!(
-        "heir after, ms: least {:.0}, median {:.0}, most {:.0}",
+        "failover, ms: min {:.0}, median {:.0}, max {:.0}",
         times[0], times[7], times[14]
     );
 }
 
-fn measure(voters: usize, at_once: usize, bytes: usize) {
-    let copies = format!(
+fn measure(voters: usize, concurrency: usize, bytes: usize) {
+    let replication = format!(
         "[copies]\nkeepers = {}\nmemory_mb = 100000\ndisk_mb = 100000\n",
         voters - 1
     );
-    let mut all = Cluster::new(voters, &copies);
-    let group = all.record(0);
+    let mut cluster = Cluster::new(voters, &replication);
+    let group = cluster.found_event_log(0);
     let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
-    let mut out: BTreeMap<u64, Instant> = BTreeMap::new();
-    let (mut number, begun) = (0, Instant::now());
-    while begun.elapsed() < SPAN || !out.is_empty() {
-        while out.len() < at_once && begun.elapsed() < SPAN {
+    let mut in_flight: BTreeMap<u64, Instant> = BTreeMap::new();
+    let (mut number, started_at) = (0, Instant::now());
+    while started_at.elapsed() < DURATION || !in_flight.is_empty() {
+        while in_flight.len() < concurrency && started_at.elapsed() < DURATION {
             number += 1;
-            // Ended now and then: what is kept stays small, as a record does.
+            // The data is cleared regularly, so that the state stays small, as in a real event log.
             let command = if number % 64 == 0 {
                 b"end".to_vec()
             } else {
                 vec![1; bytes]
             };
-            out.insert(number, Instant::now());
-            assert!(all
-                .at(0)
+            in_flight.insert(number, Instant::now());
+            assert!(cluster
+                .instance(0)
                 .handle
                 .try_request(GroupRequest::Propose {
                     group,
@@ -74,19 +77,22 @@
                 })
                 .is_ok());
         }
-        all.pump();
-        for (_, number) in std::mem::take(&mut all.at(0).heard.committed) {
-            if let Some(began) = out.remove(&number) {
-                times.saturating_record(began.elapsed().as_micros() as u64);
+        cluster.receive_events();
+        for (_, number) in std::mem::take(&mut cluster.instance(0).observed.committed) {
+            if let Some(proposed_at) = in_flight.remove(&number) {
+                times.saturating_record(proposed_at.elapsed().as_micros() as u64);
             }
         }
-        assert!(all.at(0).heard.void.is_empty(), "one was refused");
+        assert!(
+            cluster.instance(0).observed.discarded.is_empty(),
+            "a proposal was discarded"
+        );
         std::thread::yield_now();
     }
     let ms = |micros: u64| micros as f64 / 1e3;
     println!(
-        "{voters:6}  {at_once:7}  {bytes:5}  {:8.0}  {:6.2}  {:6.2}  {:8.1}",
-        times.len() as f64 / SPAN.as_secs_f64(),
+        "{voters:6}  {concurrency:7}  {bytes:5}  {:8.0}  {:6.2}  {:6.2}  {:8.1}",
+        times.len() as f64 / DURATION.as_secs_f64(),
         ms(times.value_at_quantile(0.5)),
         ms(times.value_at_quantile(0.99)),
         ms(times.max()),
--- a/forwarder/raft-groups/src/replica/open_proposals/tests.rs
+++ b/forwarder/raft-groups/src/replica/open_proposals/tests.rs
@@ -4,7 +4,7 @@
 use crate::{GroupEvent, GroupId, Incarnation, Term};
 
 #[test]
-fn a_proposal_further_on_from_an_earlier_term_does_not_hide_a_later_one() {
+fn a_proposal_at_a_higher_index_of_an_earlier_term_does_not_block_a_later_one() {
     let group = GroupId {
         founder: Incarnation(1),
         number: 1,
--- a/forwarder/raft-groups/tests/child_process.rs
+++ b/forwarder/raft-groups/tests/child_process.rs
@@ -1,4 +1,4 @@
-//! What only a process of its own can show: the test runs itself as a child process.
+//! Tests that need their own process: the test runs itself as a child process.
 
 use std::io::{BufRead, BufReader};
 use std::os::unix::process::ExitStatusExt;
@@ -28,29 +28,30 @@
     let lines = BufReader::new(child.stdout.as_mut().unwrap()).lines();
     assert!(
         lines.map_while(Result::ok).any(|l| l.contains(line)),
-        "the child never said {line:?}"
+        "the child did not print {line:?}"
     );
 }
 
 fn send(child: &Child, signal: i32) {
-    // Safety: a signal to a child that is not waited for yet.
+    // SAFETY: sends a signal to a child that has not been waited for yet.
     assert_eq!(unsafe { libc::kill(child.id() as i32, signal) }, 0);
 }
 
-/// Stopped while it says that it lives, it is ended without waking; so is one that only stops saying so.
+/// A process that is stopped while it feeds its watchdog is killed without resuming; a process that merely stops
+/// feeding is killed as well.
 #[rstest]
 #[case::stopped(true)]
 #[case::hung(false)]
 fn a_process_that_does_not_feed_its_watchdog_is_ended_by_the_kernel(#[case] stopped: bool) {
     if is_child() {
-        let deadman = Watchdog::new(400.0).unwrap();
-        for turn in 0.. {
-            if turn == 40 {
-                // Longer than its span by now: it was fed.
+        let watchdog = Watchdog::new(400.0).unwrap();
+        for iteration in 0.. {
+            if iteration == 40 {
+                // By now the process has run longer than the timeout, so the watchdog was fed.
                 println!("lives");
             }
-            if stopped || turn < 40 {
-                deadman.feed();
+            if stopped || iteration < 40 {
+                watchdog.feed();
             }
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -70,13 +71,13 @@
     assert_eq!(child.wait().unwrap().signal(), Some(libc::SIGKILL));
 }
 
-/// The longest that the child's files may grow: the disk is then as good as full.
-fn room(bytes: u64) {
+/// Limits the size of the child's files, which simulates a full disk.
+fn limit_file_size(bytes: u64) {
     let limit = libc::rlimit {
         rlim_cur: bytes,
         rlim_max: libc::RLIM_INFINITY,
     };
-    // Safety: plain values; the signal that tells of the limit is left out, so that the call fails instead.
+    // SAFETY: plain values; the signal for exceeding the limit is ignored, so that the call fails instead.
     unsafe {
         libc::signal(libc::SIGXFSZ, libc::SIG_IGN);
         assert_eq!(libc::setrlimit(libc::RLIMIT_FSIZE, &limit), 0);
@@ -84,22 +85,21 @@
 }
 
 #[test]
-fn a_full_disk_refuses_writes_and_what_it_took_is_complete_once_there_is_space() {
+fn a_full_disk_refuses_writes_and_accepted_writes_are_complete() {
     if !is_child() {
-        let mut child =
-            child("a_full_disk_refuses_writes_and_what_it_took_is_complete_once_there_is_space");
+        let mut child = child("a_full_disk_refuses_writes_and_accepted_writes_are_complete");
         wait_for(&mut child, "test result: ok");
         assert!(child.wait().unwrap().success());
         return;
     }
-    let place = tempfile::TempDir::new().unwrap();
-    identity::begin_start(place.path()).unwrap();
+    let folder = tempfile::TempDir::new().unwrap();
+    identity::begin_start(folder.path()).unwrap();
     let group = GroupId {
         founder: Incarnation(1),
         number: 1,
     };
     let mut log = GroupLog::create(
-        place.path(),
+        folder.path(),
         group,
         Purpose::EventLog,
         &PersistedState::default(),
@@ -123,18 +123,18 @@
             base: None,
         }
     };
-    room(5_500);
+    limit_file_size(5_500);
     let mut index = 1;
     while log.persist(&[persist(index)]).is_ok() {
         index += 1;
     }
     assert!((3..7).contains(&index), "{index}");
     assert!(log.persist(&[persist(index)]).is_err());
-    let (_, stored) = GroupLog::open(place.path(), group).unwrap();
+    let (_, stored) = GroupLog::open(folder.path(), group).unwrap();
     assert_eq!(stored.entries.len() as u64, index - 1);
-    room(libc::RLIM_INFINITY);
+    limit_file_size(libc::RLIM_INFINITY);
     log.persist(&[persist(index), persist(index + 1)]).unwrap();
-    let (_, stored) = GroupLog::open(place.path(), group).unwrap();
+    let (_, stored) = GroupLog::open(folder.path(), group).unwrap();
     let all: Vec<u64> = stored.entries.iter().map(|e| e.index).collect();
     assert_eq!(all, (1..=index + 1).collect::<Vec<_>>());
 }
--- a/forwarder/raft-groups/tests/cluster/mod.rs
+++ b/forwarder/raft-groups/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Several instances in one process, each with its threads, folder and address on the loopback. None feeds its
-//! watchdog, so that the kernel's timer never runs: it would end the test with them (`child_process.rs` has its test).
+//! Several instances in one process, each with its own threads, folder and loopback address. No instance feeds its
+//! watchdog, so the kernel timer never runs; it would kill the test process (`child_process.rs` tests the watchdog).
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -14,11 +14,11 @@
 use plankhill_raft_groups::{CorruptSnapshot, Term};
 use tempfile::TempDir;
 
-/// Keeps the bytes of all commands, in their order, up to one that ends them all.
+/// A state machine that concatenates the bytes of all commands, until the command `end` clears them.
 #[derive(Default)]
-pub struct Bytes(Vec<u8>);
+pub struct ByteLog(Vec<u8>);
 
-impl StateMachine for Bytes {
+impl StateMachine for ByteLog {
     fn apply(&mut self, _: Incarnation, _: Term, command: &[u8]) {
         match command {
             b"end" => self.0.clear(),
@@ -37,70 +37,71 @@
     }
 }
 
-/// What an instance heard.
+/// The events that an instance has received.
 #[derive(Default)]
-pub struct Heard {
-    pub leads: BTreeMap<GroupId, (Purpose, Vec<u8>)>,
+pub struct ObservedEvents {
+    pub led_groups: BTreeMap<GroupId, (Purpose, Vec<u8>)>,
     pub committed: Vec<(GroupId, u64)>,
-    pub void: Vec<(GroupId, u64)>,
+    pub discarded: Vec<(GroupId, u64)>,
     pub applied: Vec<Vec<u8>>,
-    pub replaced: Option<Vec<u8>>,
+    pub snapshot: Option<Vec<u8>>,
     pub reports: Vec<Vec<u8>>,
-    pub up: BTreeMap<String, Incarnation>,
+    pub peers: BTreeMap<String, Incarnation>,
 }
 
-/// Keeps the log's lines.
+/// Captures the log lines of an instance.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<String>>>);
+struct LogCapture(Arc<Mutex<Vec<String>>>);
 
-impl slog::Drain for Lines {
+impl slog::Drain for LogCapture {
     type Ok = ();
     type Err = slog::Never;
 
     fn log(&self, record: &slog::Record, _: &slog::OwnedKVList) -> Result<(), slog::Never> {
-        let mut line = Line(record.msg().to_string());
+        let mut line = LogLine(record.msg().to_string());
         slog::KV::serialize(&record.kv(), record, &mut line).unwrap();
         self.0.lock().unwrap().push(line.0);
         Ok(())
     }
 }
 
-struct Line(String);
+struct LogLine(String);
 
-impl slog::Serializer for Line {
+impl slog::Serializer for LogLine {
     fn emit_arguments(&mut self, key: slog::Key, value: &std::fmt::Arguments) -> slog::Result {
         self.0 += &format!(" {key}={value}");
         Ok(())
     }
 }
 
-pub struct Running {
-    lines: Lines,
+pub struct RunningInstance {
+    log: LogCapture,
     pub handle: RaftGroups,
-    news: GroupEventStream,
-    pub heard: Heard,
+    events: GroupEventStream,
+    pub observed: ObservedEvents,
 }
 
 pub struct Cluster {
     pub fleet: FleetConfig,
     pub folders: Vec<TempDir>,
-    pub running: Vec<Option<Running>>,
+    pub running: Vec<Option<RunningInstance>>,
 }
 
-/// Free addresses: bound once, so that the system gives other ports to others meanwhile.
-fn addresses(count: usize) -> Vec<String> {
-    let all: Vec<TcpListener> = (0..count)
+/// Returns free addresses. All ports are bound at the same time, so that they differ.
+fn free_addresses(count: usize) -> Vec<String> {
+    let listeners: Vec<TcpListener> = (0..count)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
         .collect();
-    all.iter()
+    listeners
+        .iter()
         .map(|l| l.local_addr().unwrap().to_string())
         .collect()
 }
 
-impl Running {
-    /// How often a line was logged.
-    pub fn lines(&self, line: &str) -> usize {
-        self.lines
+impl RunningInstance {
+    /// Counts the log lines that contain the text.
+    pub fn log_count(&self, line: &str) -> usize {
+        self.log
             .0
             .lock()
             .unwrap()
@@ -111,157 +112,170 @@
 }
 
 impl Cluster {
-    pub fn new(count: usize, more: &str) -> Self {
-        Cluster::timed(
+    pub fn new(count: usize, extra_config: &str) -> Self {
+        Cluster::with_timing(
             count,
             "heartbeat_ms = 50\nelection_ms = 1500\nstall_ms = 1200\nreplace_ms = 3000\n",
-            more,
+            extra_config,
         )
     }
 
-    pub fn timed(count: usize, timing: &str, more: &str) -> Self {
+    pub fn with_timing(count: usize, timing: &str, extra_config: &str) -> Self {
         let mut text = "fleet = \"t\"\n".to_owned();
-        for (at, address) in addresses(count).iter().enumerate() {
+        for (at, address) in free_addresses(count).iter().enumerate() {
             text += &format!(
                 "[[instances]]\nname = \"i{at}\"\naddress = \"{address}\"\nmachine = \"m{at}\"\n"
             );
         }
-        text += &format!("[timing]\n{timing}{more}");
+        text += &format!("[timing]\n{timing}{extra_config}");
         let mut fleet = read(&text).unwrap();
         fleet.found = true;
         let folders = (0..count).map(|_| TempDir::new().unwrap()).collect();
-        let mut all = Cluster {
+        let mut cluster = Cluster {
             fleet,
             folders,
             running: (0..count).map(|_| None).collect(),
         };
         for at in 0..count {
-            all.start(at);
+            cluster.start(at);
         }
-        all
+        cluster
     }
 
     pub fn start(&mut self, at: usize) {
-        self.running[at] = Some(self.started(at).unwrap());
+        self.running[at] = Some(self.try_start(at).unwrap());
     }
 
-    /// While it was down, the system may have lent its port to a call of another test: it comes back soon.
-    pub fn started(&self, at: usize) -> std::io::Result<Running> {
+    /// Starts an instance, with retries while its port is in use: a connection of another test may have been assigned
+    /// the port while the instance was down.
+    pub fn try_start(&self, at: usize) -> std::io::Result<RunningInstance> {
         let end = Instant::now() + Duration::from_secs(30);
         loop {
-            match self.started_once(at) {
+            match self.try_start_once(at) {
                 Err(e) if e.kind() == std::io::ErrorKind::AddrInUse && Instant::now() < end => {
                     std::thread::sleep(Duration::from_millis(20));
                 }
-                started => return started,
+                result => return result,
             }
         }
     }
 
-    fn started_once(&self, at: usize) -> std::io::Result<Running> {
-        let lines = Lines::default();
-        let (handle, news) = start(StartOptions {
+    fn try_start_once(&self, at: usize) -> std::io::Result<RunningInstance> {
+        let log = LogCapture::default();
+        let (handle, events) = start(StartOptions {
             fleet: self.fleet.clone(),
             name: format!("i{at}"),
             folder: self.folders[at].path().join("fleet"),
-            log: slog::Logger::root(lines.clone(), slog::o!()),
-            state_machines: Box::new(|_| Box::<Bytes>::default()),
+            log: slog::Logger::root(log.clone(), slog::o!()),
+            state_machines: Box::new(|_| Box::<ByteLog>::default()),
         })?;
-        Ok(Running {
-            lines,
+        Ok(RunningInstance {
+            log,
             handle,
-            news,
-            heard: Heard::default(),
+            events,
+            observed: ObservedEvents::default(),
         })
     }
 
-    /// Ends it: its threads at once, as far as the others can tell.
+    /// Stops an instance abruptly from the point of view of the others.
     pub fn stop(&mut self, at: usize) {
         self.running[at] = None;
     }
 
-    /// Ends it and loses its folder.
-    pub fn lose(&mut self, at: usize) {
+    /// Stops an instance and replaces its folder by an empty one.
+    pub fn stop_and_lose_folder(&mut self, at: usize) {
         self.stop(at);
         self.folders[at] = TempDir::new().unwrap();
     }
 
-    /// Waits until it is so.
-    pub fn until(&mut self, what: &str, mut so: impl FnMut(&mut Cluster) -> bool) {
+    /// Receives events until the condition is true.
+    pub fn wait_until(
+        &mut self,
+        description: &str,
+        mut condition: impl FnMut(&mut Cluster) -> bool,
+    ) {
         let end = Instant::now() + Duration::from_secs(60);
         loop {
-            self.pump();
-            if so(self) {
+            self.receive_events();
+            if condition(self) {
                 return;
             }
-            let lines = || {
+            let logs = || {
                 self.running
                     .iter()
                     .flatten()
-                    .map(|r| r.lines.0.lock().unwrap().clone())
+                    .map(|r| r.log.0.lock().unwrap().clone())
             };
             assert!(
                 Instant::now() < end,
-                "waited in vain until {what}: {:#?}",
-                lines().collect::<Vec<_>>()
+                "timed out waiting until {description}: {:#?}",
+                logs().collect::<Vec<_>>()
             );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    pub fn pump(&mut self) {
+    pub fn receive_events(&mut self) {
         for running in self.running.iter_mut().flatten() {
-            while let Some(news) = running.news.try_next() {
-                let heard = &mut running.heard;
-                match news {
+            while let Some(event) = running.events.try_next() {
+                let observed = &mut running.observed;
+                match event {
                     GroupEvent::Elected {
                         group,
                         purpose,
                         state,
                         ..
-                    } => drop(heard.leads.insert(group, (purpose, state))),
-                    GroupEvent::Deposed { group } => drop(heard.leads.remove(&group)),
+                    } => drop(observed.led_groups.insert(group, (purpose, state))),
+                    GroupEvent::Deposed { group } => drop(observed.led_groups.remove(&group)),
                     GroupEvent::Committed { group, number } => {
-                        heard.committed.push((group, number))
+                        observed.committed.push((group, number))
                     }
-                    GroupEvent::Discarded { group, number } => heard.void.push((group, number)),
-                    GroupEvent::Applied { command, .. } => heard.applied.push(command),
-                    GroupEvent::SnapshotInstalled { state } => heard.replaced = Some(state),
-                    GroupEvent::ReportReceived { body, .. } => heard.reports.push(body),
+                    GroupEvent::Discarded { group, number } => {
+                        observed.discarded.push((group, number))
+                    }
+                    GroupEvent::Applied { command, .. } => observed.applied.push(command),
+                    GroupEvent::SnapshotInstalled { state } => observed.snapshot = Some(state),
+                    GroupEvent::ReportReceived { body, .. } => observed.reports.push(body),
                     GroupEvent::PeerChanged {
                         name,
                         incarnation,
                         reachable: true,
                     } => {
-                        heard.up.insert(name.0.to_string(), incarnation);
+                        observed.peers.insert(name.0.to_string(), incarnation);
                     }
-                    GroupEvent::PeerChanged { name, .. } => drop(heard.up.remove(&*name.0)),
+                    GroupEvent::PeerChanged { name, .. } => drop(observed.peers.remove(&*name.0)),
                 }
             }
         }
     }
 
-    pub fn at(&mut self, at: usize) -> &mut Running {
+    pub fn instance(&mut self, at: usize) -> &mut RunningInstance {
         self.running[at].as_mut().unwrap()
     }
 
-    /// Founds a record on an instance.
-    pub fn record(&mut self, at: usize) -> GroupId {
-        let before: Vec<GroupId> = self.at(at).heard.leads.keys().copied().collect();
-        self.at(at)
+    /// Founds an event log on an instance.
+    pub fn found_event_log(&mut self, at: usize) -> GroupId {
+        let before: Vec<GroupId> = self
+            .instance(at)
+            .observed
+            .led_groups
+            .keys()
+            .copied()
+            .collect();
+        self.instance(at)
             .handle
             .try_request(GroupRequest::Create {
                 purpose: Purpose::EventLog,
             })
             .unwrap();
-        self.until("a record is led", |all| {
-            all.new_record(at, &before).is_some()
+        self.wait_until("the event log has a leader", |cluster| {
+            cluster.find_new_event_log(at, &before).is_some()
         });
-        self.new_record(at, &before).unwrap()
+        self.find_new_event_log(at, &before).unwrap()
     }
 
-    fn new_record(&mut self, at: usize, before: &[GroupId]) -> Option<GroupId> {
-        let leads = &self.at(at).heard.leads;
+    fn find_new_event_log(&mut self, at: usize, before: &[GroupId]) -> Option<GroupId> {
+        let leads = &self.instance(at).observed.led_groups;
         let new = leads
             .iter()
             .find(|(g, (purpose, _))| *purpose == Purpose::EventLog && !before.contains(g));
@@ -269,7 +283,7 @@
     }
 
     pub fn propose(&mut self, at: usize, group: GroupId, number: u64, command: Vec<u8>) {
-        self.at(at)
+        self.instance(at)
             .handle
             .try_request(GroupRequest::Propose {
                 group,
@@ -281,16 +295,20 @@
 
     pub fn commit(&mut self, at: usize, group: GroupId, number: u64, command: Vec<u8>) {
         self.propose(at, group, number, command);
-        self.until("it counts", |all| {
-            all.at(at).heard.committed.contains(&(group, number))
+        self.wait_until("the command is committed", |cluster| {
+            cluster
+                .instance(at)
+                .observed
+                .committed
+                .contains(&(group, number))
         });
     }
 }
 
-/// Who leads the group, as far as it was told.
-pub fn leader(all: &mut Cluster, group: GroupId) -> Option<usize> {
-    (0..all.running.len()).find(|at| {
-        let running = all.running[*at].as_ref();
-        running.is_some_and(|r| r.heard.leads.contains_key(&group))
+/// Returns the instance that leads the group, according to the received events.
+pub fn leader(cluster: &mut Cluster, group: GroupId) -> Option<usize> {
+    (0..cluster.running.len()).find(|at| {
+        let running = cluster.running[*at].as_ref();
+        running.is_some_and(|r| r.observed.led_groups.contains_key(&group))
     })
 }
--- a/forwarder/raft-groups/tests/frames.rs
+++ b/forwarder/raft-groups/tests/frames.rs
@@ -1,6 +1,7 @@
-//! Frames from anyone: bounded and checked, and the link is closed over what is none.
+//! Frames from arbitrary senders: their size is limited, their contents are checked, and an invalid frame closes the
+//! link.
 
-// Not all of it is used by each test.
+// Each test file uses only part of this module.
 #[allow(dead_code)]
 mod cluster;
 
@@ -117,31 +118,36 @@
     })
 }
 
-fn cut(mut bytes: Vec<u8>) -> Vec<u8> {
+fn truncate(mut bytes: Vec<u8>) -> Vec<u8> {
     bytes.pop();
     bytes
 }
 
-/// Whatever one throws at it, the link is closed with a line, and the group goes on.
+/// Whatever bytes a sender writes, the link is closed with a log line, and the group continues.
 #[rstest]
 #[case::unknown(hello(PROTOCOL_VERSION, "t", "nobody"), "an unknown instance")]
 #[case::another_fleet(hello(PROTOCOL_VERSION, "u", "i1"), "another fleet")]
 #[case::another_version(hello(PROTOCOL_VERSION + 1, "t", "i1"), "another version")]
 #[case::oversized(vec![255; 64], "an oversized frame")]
-#[case::torn(cut(hello(PROTOCOL_VERSION, "t", "i1")), "a torn frame")]
+#[case::torn(truncate(hello(PROTOCOL_VERSION, "t", "i1")), "a torn frame")]
 #[case::garbage([&encode_frame(&PeerMessage::JoinGroup { group: group(), purpose: Purpose::EventLog })[..HEADER_LEN], &[3; 200]].concat(), "a torn frame")]
-fn a_frame_of_no_instance_closes_the_link(#[case] bytes: Vec<u8>, #[case] told: &str) {
-    let mut all = Cluster::new(3, "[copies]\nkeepers = 2\n");
-    let group = all.record(0);
-    let mut stream = TcpStream::connect(all.fleet.instances[0].address).unwrap();
+fn an_invalid_first_frame_closes_the_connection(
+    #[case] bytes: Vec<u8>,
+    #[case] expected_error: &str,
+) {
+    let mut cluster = Cluster::new(3, "[copies]\nkeepers = 2\n");
+    let group = cluster.found_event_log(0);
+    let mut stream = TcpStream::connect(cluster.fleet.instances[0].address).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
         .unwrap();
     stream.write_all(&bytes).unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     let closing = std::thread::spawn(move || stream.read_to_end(&mut Vec::new()));
-    all.until("it is told", |all| all.at(0).lines(told) == 1);
-    // A close over bytes that were not read counts as one.
+    cluster.wait_until("the error is logged", |cluster| {
+        cluster.instance(0).log_count(expected_error) == 1
+    });
+    // Closing a socket with unread data may reset the connection, so an error counts as a close.
     let _ = closing.join().unwrap();
-    all.commit(0, group, 1, vec![1]);
+    cluster.commit(0, group, 1, vec![1]);
 }
--- a/forwarder/raft-groups/tests/placement.rs
+++ b/forwarder/raft-groups/tests/placement.rs
@@ -1,16 +1,16 @@
-//! Which instances vote in whose group.
+//! Selection of the voters of a group.
 
 use plankhill_forwarder_config::fleet::Instance;
 use plankhill_raft_groups::{placement::rank_voters, Incarnation};
 
 fn instances(machines: usize, zones: usize) -> Vec<Instance> {
-    let one = |at: usize| Instance {
+    let instance = |at: usize| Instance {
         name: format!("i{at}"),
         address: ([127, 0, 0, 1], 1000 + at as u16).into(),
         machine: format!("m{at}"),
         zone: format!("z{}", at % zones),
     };
-    (0..machines).map(one).collect()
+    (0..machines).map(instance).collect()
 }
 
 #[test]
@@ -18,18 +18,21 @@
     let mut all = instances(12, 3);
     // Two processes on one machine.
     all[1].machine = all[0].machine.clone();
-    let mut kept = vec![0; all.len()];
+    let mut selection_counts = vec![0; all.len()];
     for founder in 1..=600 {
         let owner = &all[founder as usize % all.len()];
         let chosen = &rank_voters(&all, owner, Incarnation(founder))[..2];
         for at in chosen {
             assert_ne!(all[*at].machine, owner.machine);
             assert_ne!(all[*at].zone, owner.zone);
-            kept[*at] += 1;
+            selection_counts[*at] += 1;
         }
         assert_ne!(all[chosen[0]].zone, all[chosen[1]].zone);
     }
-    assert!(kept.iter().all(|k| (50..=150).contains(k)), "{kept:?}");
+    assert!(
+        selection_counts.iter().all(|k| (50..=150).contains(k)),
+        "{selection_counts:?}"
+    );
 }
 
 #[test]
@@ -48,7 +51,7 @@
         };
         let old = chosen(&before);
         let new = chosen(&after);
-        // Who is new is the instance that came, or was chosen before.
+        // A newly selected voter must be the added instance; all other voters were selected before.
         assert!(new.iter().all(|n| n == "i20" || old.contains(n)));
         moved += new.iter().filter(|n| !old.contains(n)).count();
         all += 2;
--- a/forwarder/raft-groups/tests/world/command_list.rs
+++ b/forwarder/raft-groups/tests/simulation/command_list.rs
@@ -1,8 +1,8 @@
-//! A state machine that keeps all commands.
+//! A state machine that stores all commands.
 
 use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
 
-/// Keeps all commands.
+/// Stores all commands.
 #[derive(Default)]
 pub struct CommandList(Vec<u64>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-pub fn words(state: &[u8]) -> Vec<u64> {
+pub fn decode_commands(state: &[u8]) -> Vec<u64> {
     state
         .chunks(8)
         .map(|c| u64::from_le_bytes(c.try_into().unwrap()))
--- a/forwarder/raft-groups/tests/stored_format.rs
+++ b/forwarder/raft-groups/tests/stored_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of an instance's folder: its identity, the known starts, the groups' logs and what is in them.
+//! The file formats of an instance's folder: its identity, the known starts, the groups' logs and their contents.
 
 use std::fs;
 use std::os::unix::fs::MetadataExt;
@@ -36,7 +36,7 @@
         .collect()
 }
 
-fn in_frame<T: DeserializeOwned>(bytes: &[u8]) -> T {
+fn decode_frame<T: DeserializeOwned>(bytes: &[u8]) -> T {
     let header = decode_header(bytes[..HEADER_LEN].try_into().unwrap(), bytes.len()).unwrap();
     assert_eq!(header.length, bytes.len() - HEADER_LEN);
     decode_body(&bytes[HEADER_LEN..], header.checksum).unwrap()
@@ -48,10 +48,10 @@
 };
 
 #[test]
-fn whose_folder_it_is_is_as_pinned() {
-    // Read: of a folder on another disk, so its file has numbers of its own.
+fn the_identity_file_is_as_pinned() {
+    // Reading: the pinned file is from another disk, so it contains other file numbers.
     let bytes = pinned("Identity");
-    let mut identity: Identity = in_frame(&bytes);
+    let mut identity: Identity = decode_frame(&bytes);
     assert_eq!(identity.incarnation, Incarnation(0xfedc_ba98_7654_3210));
     assert_eq!(
         identity.start,
@@ -62,27 +62,27 @@
     );
     assert_eq!(identity.next_group, 301);
     assert_eq!(encode_frame(&identity), bytes);
-    // Written: as pinned up to the file's own numbers.
-    let place = tempfile::tempdir().unwrap();
-    identity::store(place.path(), &identity).unwrap();
-    let path = place.path().join("instance");
+    // Writing: the result is as pinned up to the file numbers.
+    let folder = tempfile::tempdir().unwrap();
+    identity::store(folder.path(), &identity).unwrap();
+    let path = folder.path().join("instance");
     let file = fs::metadata(&path).unwrap();
     let written = fs::read(&path).unwrap();
     let numbers = postcard::to_stdvec(&(300u64, 1_764_000_000_000_000_123u64)).unwrap();
     let fixed = bytes.len() - numbers.len();
     assert_eq!(written[HEADER_LEN..fixed], bytes[HEADER_LEN..fixed]);
     assert_eq!(bytes[fixed..], numbers);
-    // A file system that does not say when it was made has the number only.
-    let made = file
+    // A file system that does not report creation times leaves only the inode number.
+    let created_at = file
         .created()
         .ok()
         .and_then(|at| at.duration_since(std::time::UNIX_EPOCH).ok());
-    let made = made.map_or(0, |at| at.as_nanos() as u64);
-    let own = postcard::to_stdvec(&(file.ino(), made)).unwrap();
+    let created_at = created_at.map_or(0, |at| at.as_nanos() as u64);
+    let own = postcard::to_stdvec(&(file.ino(), created_at)).unwrap();
     assert_eq!(written[fixed..], own);
-    // Begun on, its start grows by one and the rest stays.
+    // A new start increments the generation and leaves the rest unchanged.
     let before = identity.clone();
-    identity = identity::begin_start(place.path()).unwrap();
+    identity = identity::begin_start(folder.path()).unwrap();
     assert_eq!(
         (identity.incarnation, identity.next_group),
         (before.incarnation, before.next_group)
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn whom_it_met_is_as_pinned() {
-    let mut met = KnownStarts::new();
-    met.insert(
+fn the_known_starts_file_is_as_pinned() {
+    let mut known = KnownStarts::new();
+    known.insert(
         Incarnation(300),
         KnownStart {
             name: InstanceName("one".into()),
@@ -103,7 +103,7 @@
             },
         },
     );
-    met.insert(
+    known.insert(
         Incarnation(7),
         KnownStart {
             name: InstanceName("two".into()),
@@ -113,37 +113,37 @@
             },
         },
     );
-    let place = tempfile::tempdir().unwrap();
-    known_starts::store(place.path(), &met).unwrap();
-    let path = place.path().join("met");
+    let folder = tempfile::tempdir().unwrap();
+    known_starts::store(folder.path(), &known).unwrap();
+    let path = folder.path().join("met");
     assert_eq!(fs::read(&path).unwrap(), pinned("Met"));
     fs::write(&path, pinned("Met")).unwrap();
-    assert_eq!(known_starts::load(place.path()).unwrap(), met);
+    assert_eq!(known_starts::load(folder.path()).unwrap(), known);
 }
 
 #[test]
-fn groups_files_are_named_as_before() {
-    let place = tempfile::tempdir().unwrap();
-    identity::begin_start(place.path()).unwrap();
+fn group_file_names_are_as_pinned() {
+    let folder = tempfile::tempdir().unwrap();
+    identity::begin_start(folder.path()).unwrap();
     GroupLog::create(
-        place.path(),
+        folder.path(),
         GROUP,
         Purpose::EventLog,
         &PersistedState::default(),
     )
     .unwrap();
-    let log = place.path().join("groups/0102030405060708-300.log");
+    let log = folder.path().join("groups/0102030405060708-300.log");
     assert!(log.exists());
-    assert_eq!(group_files::log_path(place.path(), GROUP), log);
-    assert_eq!(group_files::groups(place.path()).unwrap(), [GROUP]);
-    group_files::remove_dissolved(place.path(), GROUP).unwrap();
+    assert_eq!(group_files::log_path(folder.path(), GROUP), log);
+    assert_eq!(group_files::groups(folder.path()).unwrap(), [GROUP]);
+    group_files::remove_dissolved(folder.path(), GROUP).unwrap();
     assert!(!log.exists());
-    assert!(place
+    assert!(folder
         .path()
         .join("groups/0102030405060708-300.gone")
         .exists());
     assert_eq!(
-        group_files::dissolved_groups(place.path()).unwrap(),
+        group_files::dissolved_groups(folder.path()).unwrap(),
         [GROUP]
     );
 }
@@ -170,7 +170,7 @@
     entry
 }
 
-fn kept() -> PersistedState {
+fn base_state() -> PersistedState {
     PersistedState {
         base: SnapshotBase {
             index: 11,
@@ -201,9 +201,9 @@
     }
 }
 
-/// One batch of two, one without a vote, and one that replaces the end of the log.
+/// A batch of two requests, the second without a hard state.
 fn batches() -> Vec<PersistRequest> {
-    let hard = Some(HardState {
+    let hard_state = Some(HardState {
         term: 15,
         vote: 16,
         commit: 12,
@@ -211,7 +211,7 @@
     vec![
         PersistRequest {
             number: 1,
-            hard_state: hard,
+            hard_state,
             entries: vec![entry(14, false)],
             base: None,
         },
@@ -227,9 +227,9 @@
 #[test]
 fn a_groups_log_is_written_as_pinned() {
     for purpose in [Purpose::EventLog, Purpose::Control] {
-        let place = tempfile::tempdir().unwrap();
-        identity::begin_start(place.path()).unwrap();
-        let mut log = GroupLog::create(place.path(), GROUP, purpose, &kept()).unwrap();
+        let folder = tempfile::tempdir().unwrap();
+        identity::begin_start(folder.path()).unwrap();
+        let mut log = GroupLog::create(folder.path(), GROUP, purpose, &base_state()).unwrap();
         log.persist(&batches()).unwrap();
         log.persist(&[PersistRequest {
             number: 3,
@@ -238,17 +238,17 @@
             base: None,
         }])
         .unwrap();
-        let written = fs::read(group_files::log_path(place.path(), GROUP)).unwrap();
+        let written = fs::read(group_files::log_path(folder.path(), GROUP)).unwrap();
         assert_eq!(written, fs::read(fixture(name_of(purpose))).unwrap());
     }
 }
 
-/// A cut log's file begins anew with all that is kept.
+/// After a compaction, the file is rewritten with all remaining data.
 #[test]
-fn a_cut_log_is_written_as_pinned() {
-    let place = tempfile::tempdir().unwrap();
-    identity::begin_start(place.path()).unwrap();
-    let mut log = GroupLog::create(place.path(), GROUP, Purpose::EventLog, &kept()).unwrap();
+fn a_compacted_log_is_written_as_pinned() {
+    let folder = tempfile::tempdir().unwrap();
+    identity::begin_start(folder.path()).unwrap();
+    let mut log = GroupLog::create(folder.path(), GROUP, Purpose::EventLog, &base_state()).unwrap();
     log.persist(&batches()).unwrap();
     let base = SnapshotBase {
         index: 14,
@@ -256,39 +256,39 @@
         members: voters(),
         state: vec![5, 6, 7],
     };
-    let hard = Some(HardState {
+    let hard_state = Some(HardState {
         term: 17,
         vote: 18,
         commit: 14,
     });
-    let cut = PersistRequest {
+    let compaction = PersistRequest {
         number: 0,
-        hard_state: hard,
+        hard_state,
         entries: vec![entry(15, false)],
         base: Some(base),
     };
-    log.persist(&[cut]).unwrap();
-    let written = fs::read(group_files::log_path(place.path(), GROUP)).unwrap();
+    log.persist(&[compaction]).unwrap();
+    let written = fs::read(group_files::log_path(folder.path(), GROUP)).unwrap();
     assert_eq!(written, fs::read(fixture("cut.log")).unwrap());
 }
 
-fn opened(name: &str) -> (GroupLog, PersistedState) {
-    let place = tempfile::tempdir().unwrap();
-    identity::begin_start(place.path()).unwrap();
-    fs::copy(fixture(name), group_files::log_path(place.path(), GROUP)).unwrap();
-    GroupLog::open(place.path(), GROUP).unwrap()
+fn open_fixture(name: &str) -> (GroupLog, PersistedState) {
+    let folder = tempfile::tempdir().unwrap();
+    identity::begin_start(folder.path()).unwrap();
+    fs::copy(fixture(name), group_files::log_path(folder.path(), GROUP)).unwrap();
+    GroupLog::open(folder.path(), GROUP).unwrap()
 }
 
 #[test]
-fn a_groups_log_as_written_before_is_read_entirely() {
+fn a_pinned_group_log_is_read_completely() {
     for purpose in [Purpose::EventLog, Purpose::Control] {
-        let (log, read) = opened(name_of(purpose));
+        let (log, read) = open_fixture(name_of(purpose));
         assert_eq!(log.purpose(), purpose);
         assert_eq!(
             log.file_length(),
             fs::metadata(fixture(name_of(purpose))).unwrap().len()
         );
-        assert_eq!(read.base, kept().base);
+        assert_eq!(read.base, base_state().base);
         assert_eq!(
             read.hard_state,
             HardState {
@@ -306,7 +306,7 @@
         assert_eq!(read.entries, entries);
         assert!(read.is_restart);
     }
-    let (_, read) = opened("cut.log");
+    let (_, read) = open_fixture("cut.log");
     assert_eq!(
         read.base,
         SnapshotBase {
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn what_stands_beside_a_command_is_as_pinned() {
+fn entry_contexts_are_as_pinned() {
     let changes = vec![
         MembershipChange::AddLearner(Incarnation(300)),
         MembershipChange::AddVoter(Incarnation(1 << 40)),
@@ -346,16 +346,16 @@
             changes: changes.clone(),
         },
     ];
-    for stamp in all {
-        let name = match &stamp {
+    for context in all {
+        let name = match &context {
             EntryContext::Command { .. } => "Command",
             EntryContext::Dissolve { .. } => "Dissolve",
             EntryContext::Members { .. } => "Voters",
         };
-        assert_eq!(stamp.to_bytes(), pinned(name), "{name}");
+        assert_eq!(context.to_bytes(), pinned(name), "{name}");
         assert_eq!(
             EntryContext::from_bytes(&pinned(name)),
-            Some(stamp),
+            Some(context),
             "{name}"
         );
     }
@@ -365,40 +365,40 @@
             MembershipChange::AddVoter(_) => "ChangeVoter",
             MembershipChange::Remove(_) => "ChangeRemove",
         };
-        let stamp = EntryContext::Members {
+        let context = EntryContext::Members {
             term: Term(1),
             changes: vec![change],
         };
-        assert_eq!(stamp.to_bytes(), pinned(name), "{name}");
+        assert_eq!(context.to_bytes(), pinned(name), "{name}");
         assert_eq!(
             EntryContext::from_bytes(&pinned(name)),
-            Some(stamp),
+            Some(context),
             "{name}"
         );
     }
 }
 
 #[test]
-fn a_groups_whole_state_is_as_pinned() {
-    let mut counted = CommittedProposals::default();
-    counted.record(Incarnation(300), Term(2), 70_000);
-    counted.record(Incarnation(7), Term(301), 1);
-    let whole = GroupState {
-        committed: counted.clone(),
+fn a_groups_complete_state_is_as_pinned() {
+    let mut committed = CommittedProposals::default();
+    committed.record(Incarnation(300), Term(2), 70_000);
+    committed.record(Incarnation(7), Term(301), 1);
+    let state = GroupState {
+        committed: committed.clone(),
         is_dissolved: true,
         state_machine: vec![1, 2, 3],
     };
-    assert_eq!(whole.to_bytes(), pinned("Whole"));
+    assert_eq!(state.to_bytes(), pinned("Whole"));
     let read: GroupState = GroupState::from_bytes(&pinned("Whole")).unwrap();
     assert_eq!(
         (read.committed, read.is_dissolved, read.state_machine),
-        (counted, true, vec![1, 2, 3])
+        (committed, true, vec![1, 2, 3])
     );
 }
 
-struct Machines(&'static [u8]);
+struct FixedState(&'static [u8]);
 
-impl StateMachine for Machines {
+impl StateMachine for FixedState {
     fn apply(&mut self, _: Incarnation, _: Term, _: &[u8]) {}
     fn snapshot(&self) -> Vec<u8> {
         self.0.to_vec()
@@ -413,23 +413,24 @@
 
 #[test]
 fn a_founded_groups_first_state_is_as_pinned() {
-    let kept = PersistedState::founded(&[Incarnation(300), Incarnation(7)], &Machines(b"empty"));
-    assert_eq!(kept.base.state, pinned("FoundedWhole"));
-    assert_eq!((kept.base.index, kept.base.term), (1, 1));
+    let founded =
+        PersistedState::founded(&[Incarnation(300), Incarnation(7)], &FixedState(b"empty"));
+    assert_eq!(founded.base.state, pinned("FoundedWhole"));
+    assert_eq!((founded.base.index, founded.base.term), (1, 1));
     assert_eq!(
-        kept.base.members,
+        founded.base.members,
         Membership {
             voters: vec![300, 7],
             ..Membership::default()
         }
     );
     assert_eq!(
-        kept.hard_state,
+        founded.hard_state,
         HardState {
             term: 1,
             vote: 0,
             commit: 1
         }
     );
-    assert!(kept.entries.is_empty());
+    assert!(founded.entries.is_empty());
 }
--- a/forwarder/raft-groups/tests/wire_format.rs
+++ b/forwarder/raft-groups/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of all that instances send to each other.
+//! The wire format of all messages between instances.
 
 use plankhill_raft_groups::replica::effects::Membership;
 use plankhill_raft_groups::wire::frame::{
@@ -24,7 +24,7 @@
         .collect()
 }
 
-/// The value's frame is the pinned one, and the pinned one is read as the value.
+/// Checks that the value is encoded as the pinned frame and that the pinned frame is decoded as the value.
 fn check<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: T) {
     let bytes = pinned(name);
     assert_eq!(encode_frame(&value), bytes, "{name}");
@@ -113,17 +113,17 @@
     let mut without = hello();
     without.control = None;
     check("HelloWithoutControl", without);
-    for answer in [
+    for reply in [
         HelloReply::Welcome(hello()),
         HelloReply::StaleFolder {
             known_generation: 300,
         },
     ] {
-        let name = match &answer {
+        let name = match &reply {
             HelloReply::Welcome(_) => "Welcome",
             HelloReply::StaleFolder { .. } => "OlderCopy",
         };
-        check(name, answer);
+        check(name, reply);
     }
 }
 
@@ -170,12 +170,12 @@
             purpose,
         });
     }
-    for said in all {
+    for message in all {
         let of = |purpose: &Purpose| match purpose {
             Purpose::EventLog => "Record",
             Purpose::Control => "Control",
         };
-        let name = match &said {
+        let name = match &message {
             PeerMessage::Heartbeat { .. } => "Beat".to_owned(),
             PeerMessage::Raft { .. } => "Raft".to_owned(),
             PeerMessage::SnapshotChunk { .. } => "Slice".to_owned(),
@@ -186,7 +186,7 @@
             PeerMessage::GroupDissolved { .. } => "Dissolved".to_owned(),
             PeerMessage::Report { .. } => "Report".to_owned(),
         };
-        check(&name, said);
+        check(&name, message);
     }
     let chunk = SnapshotChunk {
         message: None,
@@ -210,7 +210,7 @@
     );
 }
 
-/// Each also goes to raft's own form and back.
+/// Each message is also converted to raft's own type and back.
 #[test]
 fn every_kind_of_rafts_messages_is_as_pinned() {
     let kinds = [
@@ -245,7 +245,7 @@
         );
         let raft = message(kind)
             .into_raft()
-            .expect("nothing in it contradicts the rest");
+            .expect("the fields are consistent");
         assert_eq!(RaftMessage::from_raft(&raft), Some(message(kind)), "{name}");
     }
 }
