--- a/forwarder/server/src/event_loop/accepted_types.rs
+++ b/forwarder/server/src/event_loop/accepted_types.rs
@@ -1,7 +1,7 @@
-//! Traffic types of events that an earlier process accepted. The guarantee given at acceptance goes
-//! on to hold whatever the settings say of the traffic type now: where they differ, the event is of
-//! a type of its own, under which the stricter of both holds. The scheduler knows such a type by
-//! its position alone, behind those of the settings.
+//! Traffic types of events that an earlier process accepted. The guarantee given at acceptance
+//! remains valid even if the current settings differ for the traffic type: such an event gets a
+//! separate type, to which the stricter parts of both guarantees apply. The scheduler identifies
+//! such a type only by its position, which follows the positions of the settings' types.
 //!
 //! Owned by the scheduler's host.
 
@@ -10,17 +10,18 @@
 use plankhill_event_log::{AcceptedEvent, DeliveryGuarantee, PendingEvent, RepeatSafety};
 use plankhill_forwarder_config::ForwarderConfig;
 
-/// Types beside those of the settings: some for each that the settings ever had. An event of one
-/// more is ended like one of an unknown type.
+/// Maximum number of types in addition to those of the settings: some for each type that the
+/// settings ever had. An event of a type beyond this limit ends like an event of an unknown type.
 const MAX_ACCEPTED_TYPES: usize = 64;
 
-/// A type that the settings name no more, or not with the same guarantee.
+/// A type that the settings no longer contain, or contain with a different guarantee.
 struct AcceptedType {
     name: Box<str>,
     traffic_type: TrafficType,
 }
 
-/// Types beside those of the settings, in the order of their positions behind them.
+/// Types in addition to those of the settings, in the order of their positions after the settings'
+/// types.
 #[derive(Default)]
 pub struct AcceptedTypes {
     types: Vec<AcceptedType>,
@@ -51,8 +52,8 @@
     }
 }
 
-/// The position of the event's type in the settings, if they guarantee all that was guaranteed at
-/// acceptance.
+/// The position of the event's type in the settings, if the settings guarantee at least what was
+/// guaranteed at acceptance.
 fn unchanged_type(config: &ForwarderConfig, event: &AcceptedEvent) -> Option<TrafficTypeId> {
     let position = config
         .names
@@ -66,7 +67,8 @@
     }
 }
 
-/// The traffic type of a pending event whose guarantee the settings do not give any more.
+/// The traffic type of the first pending event without an outcome whose guarantee the settings no
+/// longer provide.
 pub fn first_weakened<'a>(
     config: &ForwarderConfig,
     pending: &'a [PendingEvent],
@@ -80,8 +82,9 @@
 }
 
 impl AcceptedTypes {
-    /// The type of an event that an earlier process accepted; the scheduler learns of one that is
-    /// new to it. None if nothing says what was guaranteed.
+    /// The type of an event that an earlier process accepted. A type that is new to the scheduler
+    /// is added to the scheduler's configuration. None if the type is not in the settings and the
+    /// event's guarantee was not recorded, or if there are too many types.
     pub fn resolve(
         &mut self,
         scheduler: &mut Scheduler,
@@ -120,7 +123,7 @@
         })
     }
 
-    /// Adds a type like `current`, but with that guarantee. None if there are too many.
+    /// Adds a type like `current`, but with the given guarantee. None if there are too many types.
     fn add(
         &mut self,
         name: Box<str>,
@@ -130,7 +133,7 @@
         if self.types.len() >= MAX_ACCEPTED_TYPES {
             return None;
         }
-        // Of a type that the settings do not name any more nothing says what its events are worth.
+        // The value of an event is not known if the settings no longer contain its type.
         let base = current.cloned().unwrap_or(TrafficType {
             idempotency: Idempotency::NonIdempotent,
             soft_limit: 0.0,
@@ -159,7 +162,7 @@
         decisions
     }
 
-    /// Whether no event was ever held of a type that is not among those of the settings.
+    /// Whether no type was added to those of the settings.
     pub fn is_empty(&self) -> bool {
         self.types.is_empty()
     }
--- a/forwarder/server/src/event_loop/command_queue.rs
+++ b/forwarder/server/src/event_loop/command_queue.rs
@@ -1,4 +1,4 @@
-//! Commands to targets: those of the iteration under way wait here until its log records are
+//! Commands to targets. The commands of the current iteration are queued until its log records are
 //! written. Owned by the scheduler's host.
 
 use std::collections::HashSet;
@@ -8,7 +8,7 @@
 use crate::messages::TargetCommand;
 use crate::target_table::TargetTable;
 
-/// A command and the target that is to have it.
+/// A command and its target.
 pub(super) struct QueuedCommand {
     pub(super) target: TargetId,
     pub(super) command: TargetCommand,
@@ -37,7 +37,7 @@
         &mut self.targets
     }
 
-    /// Keeps a command until the log records of its iteration are written.
+    /// Queues a command until the log records of its iteration are written.
     pub(super) fn push(&mut self, target: TargetId, command: TargetCommand) {
         self.queued.push(QueuedCommand { target, command });
     }
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Attempts and health checks of the iteration never leave; their outcomes arrive with a later
-    /// iteration.
+    /// Fails the queued attempts and health checks without sending them; their outcomes arrive in a
+    /// later iteration.
     pub(super) fn fail_queued(&mut self) {
         for QueuedCommand { target, command } in self.take_queued() {
             self.targets.fail(target, command);
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Sends a command at once, ahead of the queued ones; a target without a mailbox does not need
-    /// it.
+    /// Sends a command at once, ahead of the queued ones. A command to a target without a mailbox
+    /// is not needed and is dropped.
     pub(super) fn send_now(&mut self, target: &TargetId, command: TargetCommand) {
         let _ = self.targets.send(target, command);
     }
@@ -86,7 +86,7 @@
         &self.health_checks_in_flight
     }
 
-    /// Health checks that another process has in flight.
+    /// Sets the health checks that another process has in flight.
     pub(super) fn inherit_health_checks(&mut self, targets: Vec<TargetId>) {
         self.health_checks_in_flight = targets.into_iter().collect();
     }
--- a/forwarder/server/src/event_loop/durable_log.rs
+++ b/forwarder/server/src/event_loop/durable_log.rs
@@ -1,5 +1,5 @@
-//! Where accepted events are recorded: a file of this process, or the Raft groups that this process
-//! leads. Owned by the scheduler's host.
+//! Storage of accepted events: a file of this process, or the Raft groups that this process leads.
+//! Owned by the scheduler's host.
 
 use std::io;
 
@@ -15,8 +15,8 @@
 }
 
 impl DurableLog {
-    /// Changes the tables that contain the event: two where an adopted table met an event that was
-    /// pending here.
+    /// Applies a change to the tables that contain the event. There are two of them if an adopted
+    /// table contained an event that was already pending here.
     fn update(&mut self, event: &EventId, change: impl Fn(&mut EventTable)) {
         match self {
             DurableLog::File(log) => change(log),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether a new event with a body of that many bytes can be recorded.
+    /// Whether a new event with a body of `body_bytes` bytes can be recorded.
     pub(super) fn has_capacity_for(&self, body_bytes: usize) -> bool {
         match self {
             DurableLog::File(log) => log.has_capacity_for(body_bytes),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether events of the key that have to go before are pending at another owner.
+    /// Whether events of the order key that must be delivered first are pending at another owner.
     pub(super) fn blocks_order_key(&self, key: OrderKey) -> bool {
         match self {
             DurableLog::File(_) => false,
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Drops the records of all other targets. A replicated table is asked as it is adopted.
+    /// Drops the records of targets that are not listed. The records of a replicated table are
+    /// filtered when the table is adopted.
     pub(super) fn retain_targets(&mut self, is_listed: impl Fn(&str) -> bool) {
         if let DurableLog::File(log) = self {
             log.retain_targets(is_listed);
@@ -131,11 +132,11 @@
         }
     }
 
-    /// Writes what was recorded before the iteration decides. With replication the records leave
-    /// with all that the iteration records.
+    /// Writes the records that were made before the iteration's decisions. With replication these
+    /// records are proposed together with all others of the iteration.
     ///
     /// # Errors
-    /// The file's error.
+    /// The file cannot be written.
     pub(super) fn commit(&mut self) -> io::Result<()> {
         match self {
             DurableLog::File(log) => log.commit(),
--- a/forwarder/server/src/event_loop/handover.rs
+++ b/forwarder/server/src/event_loop/handover.rs
@@ -1,6 +1,6 @@
-//! Handover to a successor process (hot restart): the loop pauses with its state handed out, and
-//! then goes on, relays or ends. Asked for by `hot_restart::predecessor`; the loop's state stays
-//! the loop's until the successor has begun.
+//! Handover to a successor process (hot restart): the loop pauses and passes on a snapshot of its
+//! state, and then resumes, relays or ends. `hot_restart::predecessor` requests the handover. The
+//! loop keeps its state until the successor has begun.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
 use crate::messages::{HandoverOutcome, HandoverRequest, HandoverSnapshot};
 
 impl EventLoop {
-    /// Decides nothing until the handover has succeeded or failed.
+    /// Passes on the state and makes no decisions until the handover has succeeded or failed.
     pub(super) async fn pause_for_handover(&self, request: HandoverRequest) -> HandoverOutcome {
         let paused_since = Instant::now();
         let log_length = self.host.log_file_length();
@@ -39,7 +39,8 @@
             .unwrap_or(HandoverOutcome::Resume)
     }
 
-    /// Log, bodies and scheduler are dropped: they are the successor's now.
+    /// Converts the loop into a relay. Log, bodies and scheduler are dropped: the successor owns
+    /// them now.
     pub(super) fn into_relay(
         self,
         to_successor: Sender<Outgoing>,
--- a/forwarder/server/src/event_loop/host/admission.rs
+++ b/forwarder/server/src/event_loop/host/admission.rs
@@ -11,8 +11,8 @@
 use crate::notifier;
 
 impl SchedulerHost {
-    /// Records an event in the log if it can be accepted. The record is on the disk, or committed,
-    /// only later.
+    /// Records an event in the log if it can be accepted. The record is not on disk or committed
+    /// yet when the function returns.
     pub(in crate::event_loop) fn accept(&mut self, submission: &Submission) -> bool {
         if !self.has_capacity_for(submission) || self.is_known(submission) {
             return false;
@@ -39,8 +39,8 @@
         true
     }
 
-    /// Whether there is room for the event, for its outcome among the notices, and for its log
-    /// records.
+    /// Whether there is room for the event, for its outcome among the notices and for its log
+    /// records, and no event of its order key must be delivered by another owner first.
     fn has_capacity_for(&self, submission: &Submission) -> bool {
         let pending = self.retained.len();
         let outcomes = self.notices.unacknowledged() + pending;
@@ -54,7 +54,8 @@
             && self.log.has_capacity_for(submission.body.len())
     }
 
-    /// Whether an event of that id is pending, has an attempt in flight or completed lately.
+    /// Whether an event with the same id is pending, has an attempt in flight or completed
+    /// recently.
     fn is_known(&self, submission: &Submission) -> bool {
         let id = &submission.event.id;
         self.log.contains(id)
--- a/forwarder/server/src/event_loop/host/adoption.rs
+++ b/forwarder/server/src/event_loop/host/adoption.rs
@@ -1,7 +1,7 @@
-//! Events of the Raft groups that replicate event logs: a group is led, or led no more, and
-//! proposals are committed or discarded. A group that this process comes to lead is adopted: its
-//! events are pending here from then on. What happens to each of them is decided by
-//! [`plan_adoption`].
+//! Handling of events of the Raft groups that replicate event logs: start and end of leadership,
+//! committed and discarded proposals. A process that becomes the leader of a group adopts the
+//! group: the group's events are pending in the process from then on. [`plan_adoption`] decides on
+//! each of these events.
 
 use plankhill_decisions::interface::{EventId, TargetId};
 use plankhill_decisions::scheduler::Scheduler;
@@ -17,7 +17,7 @@
 use crate::event_loop::replicated_log::ReplicatedLog;
 use crate::messages::{CompletionNotice, Input};
 
-/// Whether the input changes which groups are led.
+/// Whether the input may change which groups this process leads.
 pub(in crate::event_loop) fn changes_leadership(input: &Input) -> bool {
     match input {
         Input::GroupEvent(event) => matches!(
@@ -31,7 +31,7 @@
     }
 }
 
-/// A group as log lines name it.
+/// Name of a group in log lines.
 pub(super) fn group_name(group: GroupId) -> String {
     format!("{:016x}/{}", group.founder.0, group.number)
 }
@@ -54,8 +54,8 @@
                 }
             }
             GroupEvent::Discarded { group, number } => {
-                // The proposal was made to a group that is lost, whether its deposition is known
-                // yet or not.
+                // The proposal was made to a group that is lost, whether its deposition has been
+                // reported yet or not.
                 self.lose_group(scheduler, group);
                 if let Some(log) = self.replicated_log() {
                     log.on_discarded((group, number));
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Another process may own the group's events: they are not decided on here any more. One with
+    /// Stops decisions on the group's events, because another process may own them. An event with
     /// an attempt in flight is retained until the attempt ends, and no longer.
     fn lose_group(&mut self, scheduler: &mut Scheduler, group: GroupId) {
         let Some(table) = self.replicated_log().and_then(|log| log.lose(group)) else {
@@ -98,26 +98,26 @@
             let id = EventId(id.into());
             let in_flight = self.attempts_in_flight.contains(&id) && self.retained.contains(&id);
             if !in_flight && !self.log.contains(&id) {
-                self.disown(scheduler, &id);
+                self.release_ownership(scheduler, &id);
             }
         }
     }
 
-    fn disown(&mut self, scheduler: &mut Scheduler, id: &EventId) {
+    fn release_ownership(&mut self, scheduler: &mut Scheduler, id: &EventId) {
         self.retained.remove(id);
         scheduler.withdraw_event(id);
-        // An outcome that was not acknowledged delays no other event here.
+        // An outcome that was not acknowledged does not delay other events here.
         scheduler.on_completion_acknowledged(id);
     }
 
-    /// An attempt has ended: an event of a lost group was retained for that alone, and an event of
-    /// an adopted group may have waited for it.
+    /// Handles the end of an attempt: an event of a lost group was retained only for the attempt,
+    /// and an event of an adopted group may have waited for the end.
     pub(super) fn resume_after_attempt(&mut self, scheduler: &mut Scheduler, event: &EventId) {
         if let DurableLog::File(_) = self.log {
             return;
         }
         if self.retained.contains(event) && !self.log.contains(event) {
-            self.disown(scheduler, event);
+            self.release_ownership(scheduler, event);
         }
         let deferred = match self.replicated_log() {
             Some(log) => log.take_deferred_adoptions(event),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// This process leads the group: its events are pending here.
+    /// Adopts a group that this process has come to lead: its events are pending here.
     fn lead_group(
         &mut self,
         scheduler: &mut Scheduler,
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Events that a process without replication left in the state folder are proposed to the own
-    /// group first.
+    /// Proposes the events that a process without replication left in the state folder to the own
+    /// group, ahead of the iteration's own records.
     fn adopt_file(&mut self, scheduler: &mut Scheduler, group: GroupId) {
         let Some(log) = self.replicated_log() else {
             return;
@@ -188,8 +188,8 @@
         }
     }
 
-    /// What this process knows of an event of the group. None while an attempt is in flight that
-    /// was withdrawn here.
+    /// State of an event of the group in this process. None while an attempt is in flight that was
+    /// withdrawn here.
     fn local_knowledge(&self, group: GroupId, id: &EventId) -> Option<LocalKnowledge> {
         let DurableLog::Replicated(log) = &self.log else {
             return None;
@@ -204,7 +204,7 @@
         if retained {
             return Some(LocalKnowledge::OwnAttemptInFlight);
         }
-        if self.resolved_here.contains(id) {
+        if self.resolved_locally.contains(id) {
             return Some(LocalKnowledge::Completed);
         }
         if self.attempts_in_flight.contains(id) {
@@ -258,8 +258,8 @@
     }
 }
 
-/// Targets that were warming up go on with it; those that are listed no more are dropped from the
-/// table.
+/// Resumes the warm-up of targets that are listed; targets that are no longer listed are dropped
+/// from the table.
 fn restore_warm_ups(
     scheduler: &mut Scheduler,
     table: &mut EventTable,
--- a/forwarder/server/src/event_loop/host/broadcast_outcomes.rs
+++ b/forwarder/server/src/event_loop/host/broadcast_outcomes.rs
@@ -8,9 +8,9 @@
 use crate::notifier;
 
 impl SchedulerHost {
-    /// Records an outcome and notifies the platform of it, if there is capacity now; the outcome
-    /// comes again until it is acknowledged. To the scheduler the event is one that an earlier
-    /// process completed: the next event of its order key waits for the acknowledgement.
+    /// Records an outcome and notifies the platform of it, if there is capacity now; the outcome is
+    /// submitted again until it is acknowledged. The scheduler treats the event as one that an
+    /// earlier process completed: the next event of its order key waits for the acknowledgement.
     pub(super) fn record_outcome(
         &mut self,
         scheduler: &mut Scheduler,
--- a/forwarder/server/src/event_loop/host/effects.rs
+++ b/forwarder/server/src/event_loop/host/effects.rs
@@ -1,5 +1,5 @@
-//! The scheduler's decisions as effects. They are gathered during an iteration and carried out
-//! after it, once they stand in the log.
+//! Execution of the scheduler's decisions. Effects are collected during an iteration and executed
+//! after it, once they are recorded in the log.
 
 use plankhill_decisions::interface::{Effects, EventId, Ms, TargetId};
 use plankhill_event_log::Outcome;
@@ -9,23 +9,26 @@
 use super::SchedulerHost;
 use crate::messages::{CompletionNotice, OutgoingCall, TargetCommand};
 
-/// Added to each pause before a wake-up, so that rounding does not end it before the timer is due.
+/// Added to the delay of each wake-up, so that rounding does not end the delay before the timer is
+/// due.
 const WAKE_UP_MARGIN: Ms = 0.01;
 
 impl SchedulerHost {
-    /// Attempts and health checks whose log records could not be written never leave.
+    /// Fails attempts and health checks whose log records could not be written; they are never
+    /// sent.
     pub(in crate::event_loop) fn fail_queued_commands(&mut self) {
         self.commands.fail_queued();
     }
 
     /// Sends the commands of the iteration, then its notices.
-    pub(in crate::event_loop) fn carry_out(&mut self) {
+    pub(in crate::event_loop) fn send_effects(&mut self) {
         self.commands.send_queued();
         self.notices.send_staged(&self.context.log);
     }
 
-    /// An outcome other than delivery. A client that still waits is answered with it; otherwise it
-    /// goes to the platform as a notice, and the function returns true.
+    /// Ends an event with an outcome other than delivery. A client that still waits receives the
+    /// outcome as its response; otherwise the platform receives a notice, and the function returns
+    /// true.
     pub(super) fn end_event(
         &mut self,
         event: &EventId,
@@ -39,7 +42,7 @@
         let Some(response) = response else {
             self.log.record_outcome(event, outcome, retry_after);
             if outcome == Outcome::Abandoned {
-                self.resolved_here.add(event, self.now);
+                self.resolved_locally.add(event, self.now);
             }
             let notice = CompletionNotice {
                 event: event.clone(),
@@ -67,7 +70,7 @@
             return;
         };
         let zone = self.commands.targets().zone(target);
-        // Of a removed target no zone is known: an empty name is none that the settings have.
+        // The zone of a removed target is not known: an empty name matches no zone of the settings.
         let zone = self
             .context
             .config
@@ -119,9 +122,9 @@
 
     fn cancel_unsent(&mut self, target: &TargetId) {
         self.cancel_staged_calls(target);
-        // At once, ahead of the iteration's own attempts: an attempt that does not leave needs no
-        // record, and neither a log that cannot be written nor a majority that does not answer may
-        // let it leave.
+        // Sent at once, ahead of the iteration's own attempts: an attempt that is not sent needs no
+        // record, and its cancellation requires neither a writable log nor a response of the
+        // majority.
         self.cancel_at_predecessor(target);
         self.commands.send_now(target, TargetCommand::CancelUnsent);
     }
--- a/forwarder/server/src/event_loop/host/endpoints.rs
+++ b/forwarder/server/src/event_loop/host/endpoints.rs
@@ -1,4 +1,4 @@
-//! Targets: the endpoint list of discovery, and the commands of operators.
+//! Changes to targets: the endpoint list of discovery, and the commands of operators.
 
 use std::collections::HashSet;
 
@@ -46,7 +46,8 @@
         }
     }
 
-    /// What the scheduler learns of a target is the list's word, overlaid with the operators'.
+    /// Applies a listed endpoint. The scheduler gets the state in the list, overridden by the
+    /// operators' switch of the target.
     fn apply_listed(&mut self, scheduler: &mut Scheduler, endpoint: Endpoint) {
         self.commands
             .targets_mut()
@@ -86,8 +87,8 @@
         self.disabled_targets.targets_mut().on_removed(target);
     }
 
-    /// Carries out a command of operators; the reply is [`AdminReply::Done`] only once its effect
-    /// is on the disk.
+    /// Executes a command of operators; the reply is [`AdminReply::Done`] only once the command's
+    /// effect is on disk.
     pub(super) fn run_admin_command(
         &mut self,
         scheduler: &mut Scheduler,
--- a/forwarder/server/src/event_loop/host/inputs.rs
+++ b/forwarder/server/src/event_loop/host/inputs.rs
@@ -1,4 +1,4 @@
-//! Each input of the event loop, applied to the scheduler and to the host's own state.
+//! Application of the event loop's inputs to the scheduler and to the host's own state.
 
 use plankhill_decisions::interface::{AttemptReport, EventId, UnknownId};
 use plankhill_decisions::scheduler::Scheduler;
@@ -33,20 +33,20 @@
                 self.commands.targets_mut().actor_stopped(&target);
             }
             Input::ConnectionInherited(connection) => self.inherit_connection(connection),
-            // Answered here, after the inputs before it: what is decided on them reaches the
-            // target's actor in the same turn of the executor.
+            // Acknowledged after all earlier inputs have been applied: the decisions on them reach
+            // the target's actor in the same turn of the executor.
             Input::Barrier(reached) => {
                 let _ = reached.try_send(());
             }
-            // Kept for the end of the iteration.
+            // Handled at the end of the iteration.
             Input::HandOver(_) => (),
             Input::NoticesAcknowledged(events) => self.acknowledge_notices(scheduler, &events),
             Input::BroadcastOutcome { event, outcome } => {
                 self.record_outcome(scheduler, event, outcome);
             }
             Input::AdminCommand { command, reply } => {
-                // A caller that has been told of a failure meanwhile waits no more: the command is
-                // not carried out.
+                // If the caller has already received a failure, the reply channel is closed and the
+                // command is not executed.
                 if !reply.is_closed() {
                     let _ = reply.try_send(self.run_admin_command(scheduler, command));
                 }
@@ -58,9 +58,9 @@
         }
     }
 
-    /// The client went away before it had its answer.
+    /// Withdraws an event whose client disconnected before it received its response.
     fn withdraw(&mut self, scheduler: &mut Scheduler, event: &EventId, request_number: u64) {
-        if self.retained.is_of_request(event, request_number) {
+        if self.retained.was_submitted_by(event, request_number) {
             self.retained.remove(event);
             self.complete(event);
             scheduler.withdraw_event(event);
@@ -74,7 +74,7 @@
             if let Some(fanout) = &self.context.fanout {
                 fanout.event_completed(event, true);
             }
-            self.resolved_here.add(event, self.now);
+            self.resolved_locally.add(event, self.now);
             self.retained.remove(event);
         } else if !report.outcome.may_have_run() {
             self.log.record_attempt_not_executed(event);
@@ -86,7 +86,7 @@
         self.resume_after_attempt(scheduler, event);
     }
 
-    /// A connection of the predecessor's, if its target still stands at that address.
+    /// Takes over an idle connection of the predecessor, if its target still has that address.
     fn inherit_connection(&mut self, connection: InheritedConnection) {
         let InheritedConnection {
             target,
--- a/forwarder/server/src/event_loop/host/mod.rs
+++ b/forwarder/server/src/event_loop/host/mod.rs
@@ -1,9 +1,9 @@
-//! The scheduler's host: everything that the decisions are carried out with. [`SchedulerHost`]
-//! implements [`Effects`](plankhill_decisions::interface::Effects), through which the scheduler
-//! writes its decisions, and applies the loop's inputs to the scheduler.
+//! The scheduler's host, which executes the scheduler's decisions. [`SchedulerHost`] implements
+//! [`Effects`](plankhill_decisions::interface::Effects), through which the scheduler reports its
+//! decisions, and applies the loop's inputs to the scheduler.
 //!
-//! Owned by [`EventLoop`](super::EventLoop), which alone calls it. Each submodule is one concern of
-//! the same struct.
+//! Owned by [`EventLoop`](super::EventLoop), its only caller. Each submodule implements one concern
+//! of the same struct.
 
 mod admission;
 pub(super) mod adoption;
@@ -41,28 +41,28 @@
 use crate::target_table::TargetTable;
 use crate::targets::TargetContext;
 
-/// Carries out the scheduler's decisions.
+/// Executes the scheduler's decisions.
 pub(super) struct SchedulerHost {
     context: ServerContext,
-    /// The time of the iteration: decisions are as of its start.
+    /// Start of the current iteration, on which decisions are based.
     now: Ms,
-    /// When the scheduler is to run next without an input.
+    /// When the scheduler runs next without an input.
     wake_up_at: Option<Ms>,
     log: DurableLog,
     retained: RetainedEvents,
-    /// Events with an attempt in flight, completed ones too: an id is not accepted again before its
-    /// attempt has ended.
+    /// Events with an attempt in flight, including completed ones: an id is not accepted again
+    /// before its attempt has ended.
     attempts_in_flight: HashSet<EventId>,
-    /// Events that completed lately: another submission of one is not a new event.
+    /// Recently completed events; another submission of such an event is not a new event.
     recently_completed: RecentEvents,
-    /// With replication: events that were delivered or abandoned here, which no adopted log brings
-    /// back.
-    resolved_here: RecentEvents,
+    /// With replication: events that were delivered or abandoned here and are not restored from an
+    /// adopted log.
+    resolved_locally: RecentEvents,
     notices: NoticeQueue,
     commands: CommandQueue,
     disabled_targets: DisabledTargetStore,
     accepted_types: AcceptedTypes,
-    /// The process that this one took over from, while it has calls in flight.
+    /// Channel to the process that this one took over from, while that process has calls in flight.
     to_predecessor: Option<Sender<Outgoing>>,
 }
 
@@ -92,7 +92,7 @@
             retained: RetainedEvents::default(),
             attempts_in_flight: HashSet::new(),
             recently_completed: RecentEvents::default(),
-            resolved_here: RecentEvents::default(),
+            resolved_locally: RecentEvents::default(),
             notices: NoticeQueue::new(to_notifier),
             commands: CommandQueue::new(TargetTable::new(target_context)),
             disabled_targets,
@@ -109,7 +109,7 @@
         self.now
     }
 
-    /// Decisions from here on are as of `start`.
+    /// Sets the time on which decisions are based from here on.
     pub(super) fn start_iteration(&mut self, start: Instant) {
         self.now = self.context.clock.at(start);
     }
@@ -126,7 +126,7 @@
         self.wake_up_at = Some(self.context.clock.now());
     }
 
-    /// A wake-up that is due is served by this iteration.
+    /// Clears a wake-up that is due, because this iteration handles it.
     pub(super) fn clear_due_wake_up(&mut self) {
         if self.wake_up_at.is_some_and(|at| at <= self.now) {
             self.wake_up_at = None;
@@ -137,11 +137,11 @@
         matches!(self.log, DurableLog::Replicated(_))
     }
 
-    /// Writes what was recorded to the disk. With replication records leave with all of the
+    /// Writes the recorded changes to disk. With replication they are proposed at the end of the
     /// iteration instead.
     ///
     /// # Errors
-    /// The file's error: then none of what was recorded since the last commit is on the disk.
+    /// The file cannot be written: no record made since the last commit is on disk.
     pub(super) fn commit_log(&mut self) -> io::Result<()> {
         self.log.commit()
     }
@@ -160,7 +160,7 @@
         self.retained.is_empty() && self.notices.unacknowledged() == 0 && !commits_pending
     }
 
-    /// Whether clients' events can be accepted from now on.
+    /// Sets whether clients' events can be accepted from now on, which also requires a target.
     pub(super) fn set_ready(&self, accepts_events: bool) {
         let has_targets = !self.commands.targets().is_empty();
         self.context.ready.set(accepts_events && has_targets);
@@ -170,19 +170,20 @@
         self.context.config.decisions.clone()
     }
 
-    /// The longest Retry-After that clients may be told.
+    /// The longest Retry-After that is sent to clients.
     pub(super) fn max_retry_after(&self) -> Option<Ms> {
         self.context.config.decisions.max_retry_after
     }
 
-    /// An event's log records are on the disk, and its client is told so.
+    /// Responds to the client of an event that the event is accepted, once its log records are on
+    /// disk.
     pub(super) fn confirm_accepted(&mut self, id: &EventId) {
         if let Some(response) = self.retained.take_response(id) {
             let _ = response.try_send(SubmitResponse::Accepted);
         }
     }
 
-    /// An event's log records could not be written: it is not accepted.
+    /// Rejects an event whose log records could not be written.
     pub(super) fn reject_unlogged(&mut self, id: &EventId) {
         self.log.complete(id);
         let response = self
@@ -194,20 +195,20 @@
         }
     }
 
-    /// The event is complete: another submission under its id is rejected for a while.
+    /// Completes the event; another submission with its id is rejected for a while.
     fn complete(&mut self, event: &EventId) {
         self.log.complete(event);
         self.recently_completed.add(event, self.now);
     }
 
-    /// Attempts that the predecessor has in flight to the target are cancelled there.
+    /// Cancels the attempts to the target that the predecessor has in flight and has not sent yet.
     fn cancel_at_predecessor(&self, target: &TargetId) {
         if let Some(predecessor) = &self.to_predecessor {
             let _ = predecessor.try_send((Message::CancelUnsent(target.clone()), None));
         }
     }
 
-    /// What is left to do for a process that has handed over.
+    /// Converts the host into the relay that a process runs after it has handed over.
     pub(super) fn into_relay(
         self,
         to_successor: Sender<Outgoing>,
--- a/forwarder/server/src/event_loop/host/restore.rs
+++ b/forwarder/server/src/event_loop/host/restore.rs
@@ -1,4 +1,5 @@
-//! State that a process starts from, and state that it hands over to another process.
+//! Restoring of the state that a process starts from, and the snapshot for a handover to another
+//! process.
 
 use std::collections::HashMap;
 
@@ -16,14 +17,15 @@
 use crate::hot_restart::transfer::Outgoing;
 use crate::messages::CompletionNotice;
 
-/// Request numbers that are left to a process that has handed over: it uses far fewer.
+/// Number of request numbers reserved for a process that has handed over, which uses far fewer.
 const RELAY_REQUEST_NUMBERS: u64 = 1 << 32;
 
-/// Why the state cannot be handed over to another process.
+/// Reason for which the state cannot be handed over to another process.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// Positions behind the traffic types of the settings mean nothing to another process.
-    #[error("an event is pending under the guarantee of earlier settings")]
+    /// An event has a type whose position follows the traffic types of the settings; such a
+    /// position has no meaning in another process.
+    #[error("an event is pending with the delivery guarantee of earlier settings")]
     AcceptedTypeInUse,
     /// The scheduler cannot be encoded.
     #[error("the scheduler's state cannot be encoded: {0}")]
@@ -31,7 +33,7 @@
 }
 
 impl SchedulerHost {
-    /// The first inputs of a process that opened the state folder itself.
+    /// Applies the first inputs of a process that opened the state folder itself.
     pub(in crate::event_loop) fn restore(
         &mut self,
         scheduler: &mut Scheduler,
@@ -65,16 +67,16 @@
             .retain_targets(|target| targets.contains(&TargetId(target.into())));
     }
 
-    /// What another process needs beside the files of the state folder.
+    /// The state that another process needs in addition to the files of the state folder.
     ///
     /// # Errors
-    /// The scheduler cannot be encoded, or holds an event of a type that another process does not
-    /// know.
+    /// The scheduler cannot be encoded, or contains an event of a type that is not known in another
+    /// process.
     pub(in crate::event_loop) fn process_state(
         &self,
         scheduler: &Scheduler,
     ) -> Result<ProcessState, SnapshotError> {
-        if self.holds_accepted_type() {
+        if self.may_contain_accepted_type() {
             return Err(SnapshotError::AcceptedTypeInUse);
         }
         let formerly_listed = self.disabled_targets.targets().formerly_listed();
@@ -96,8 +98,8 @@
         })
     }
 
-    /// Whether the scheduler may hold an event of a type beside those of the settings.
-    fn holds_accepted_type(&self) -> bool {
+    /// Whether the scheduler may contain an event of a type other than those of the settings.
+    fn may_contain_accepted_type(&self) -> bool {
         if self.accepted_types.is_empty() {
             return false;
         }
@@ -108,7 +110,7 @@
             }
             DurableLog::Replicated(_) => true,
         };
-        // A completed event stays with the scheduler until its attempt has ended.
+        // A completed event remains in the scheduler until its attempt has ended.
         is_pending
             || self
                 .attempts_in_flight
@@ -116,7 +118,8 @@
                 .any(|id| !self.log.contains(id))
     }
 
-    /// Goes on where another process paused; its pending events stand in the log.
+    /// Takes over the state of another process, which has paused; its pending events are in the
+    /// log.
     pub(in crate::event_loop) fn inherit(
         &mut self,
         state: ProcessState,
@@ -127,7 +130,7 @@
         for PendingEvent { event, outcome, .. } in pending {
             let id = EventId(event.id.as_ref().into());
             if let Some((outcome, retry_after)) = outcome {
-                // The notice may have been acknowledged already; a repeated one does no harm.
+                // The notice may have been acknowledged already; repeating it is harmless.
                 self.notices.stage(CompletionNotice {
                     event: id,
                     outcome,
@@ -154,7 +157,7 @@
         self.to_predecessor = Some(to_predecessor);
     }
 
-    /// An event that an earlier process accepted and did not complete.
+    /// Restores an event that an earlier process accepted and did not complete.
     pub(super) fn restore_event(&mut self, scheduler: &mut Scheduler, pending: PendingEvent) {
         let may_have_run = self.first_attempt_that_may_have_run(&pending);
         let PendingEvent {
@@ -170,8 +173,8 @@
         }
         let type_known = self.submit_to_scheduler(scheduler, &event);
         if outcome.is_some() || !type_known {
-            // The event has an outcome, or gets one: without its type nothing says what was
-            // guaranteed.
+            // The event has an outcome, or gets one because its guarantee is not known without its
+            // type.
             let unsendable = match may_have_run {
                 Some(_) => Outcome::Abandoned,
                 None => Outcome::Rejected,
@@ -186,7 +189,7 @@
         scheduler.restore_attempts(&id, attempts, may_have_run, in_flight.is_some());
     }
 
-    /// Hands an event of the log to the scheduler; false if its traffic type is not known.
+    /// Passes an event of the log to the scheduler; false if its traffic type is not known.
     pub(super) fn submit_to_scheduler(
         &mut self,
         scheduler: &mut Scheduler,
@@ -203,9 +206,9 @@
         true
     }
 
-    /// When and in which zone the first attempt was made that may have run. A zone that the
-    /// settings do not name any more counts as unknown: an event that may be repeated in its zone
-    /// alone is not sent again, and ends as one that may have run.
+    /// Time and zone of the first attempt that may have run. A zone that the settings no longer
+    /// contain counts as unknown: an event that may be repeated only in its zone is not sent again,
+    /// and ends as an event that may have run.
     pub(super) fn first_attempt_that_may_have_run(
         &self,
         pending: &PendingEvent,
--- a/forwarder/server/src/event_loop/host/staging.rs
+++ b/forwarder/server/src/event_loop/host/staging.rs
@@ -1,5 +1,5 @@
-//! Effects of an iteration with replication: they wait until the iteration's records are committed,
-//! and then leave in the order of the iterations.
+//! Staging of an iteration's effects with replication: effects wait until the iteration's records
+//! are committed, and are then sent in the order of the iterations.
 
 use plankhill_decisions::interface::{EventId, Ms, TargetId};
 use plankhill_hot_restart::SubmitResponse;
@@ -14,13 +14,13 @@
 use crate::event_loop::replicated_log::{IterationEffects, PendingNotice, PendingResponse};
 use crate::messages::{OutgoingCall, TargetCommand};
 
-/// Between tries to submit proposals that the ring had no room for, or to send calls that the lease
-/// did not allow.
+/// Interval for retrying to submit proposals that the ring had no room for, and to send calls that
+/// the lease did not allow.
 const RETRY_INTERVAL: Ms = 2.0;
 
 impl SchedulerHost {
-    /// Proposes the iteration's records; its effects wait for them. `accepted`: events whose
-    /// clients wait.
+    /// Proposes the iteration's records and stages its effects until they are committed.
+    /// `accepted`: events whose clients wait for a response.
     pub(in crate::event_loop) fn stage_effects(&mut self, accepted: Vec<EventId>) {
         let DurableLog::Replicated(log) = &mut self.log else {
             return;
@@ -50,17 +50,17 @@
         }
     }
 
-    /// Submits proposals, and lets committed effects leave.
+    /// Submits proposals and sends committed effects.
     pub(in crate::event_loop) fn release_committed(&mut self) {
         let Some(log) = self.replicated_log() else {
             return;
         };
         let all_submitted = log.submit_proposals();
         for (target, call) in log.take_awaiting_lease() {
-            self.send_committed(target, call);
+            self.send_committed_call(target, call);
         }
         while let Some((effects, released)) = self.replicated_log().and_then(|log| log.release()) {
-            self.carry_out_committed(effects, &released);
+            self.send_committed_effects(effects, &released);
         }
         self.notices.send_deferred();
         let awaits_lease = self
@@ -72,13 +72,17 @@
         }
     }
 
-    fn carry_out_committed(&mut self, effects: IterationEffects, released: &ReleasedIteration<()>) {
+    fn send_committed_effects(
+        &mut self,
+        effects: IterationEffects,
+        released: &ReleasedIteration<()>,
+    ) {
         let is_committed = |group| released.outcome_in(group) == CommitOutcome::Committed;
         for PendingResponse { group, response } in effects.responses {
             let _ = match released.outcome_in(group) {
                 CommitOutcome::Committed => response.try_send(SubmitResponse::Accepted),
                 CommitOutcome::Discarded => response.try_send(SubmitResponse::Rejected(None)),
-                // Nobody knows: the connection is closed without an answer.
+                // The result is not known: the connection is closed without a response.
                 CommitOutcome::Partial => Ok(()),
             };
         }
@@ -88,7 +92,7 @@
                     if !call.groups.iter().all(|group| is_committed(*group)) {
                         call.groups.clear();
                     }
-                    self.send_committed(target, call);
+                    self.send_committed_call(target, call);
                 }
                 command => self.commands.send_or_fail(target, command),
             }
@@ -103,14 +107,14 @@
         }
     }
 
-    /// A committed call leaves while this process surely owns its event. A lease that lapses on a
-    /// busy machine comes back with the next heartbeat, or the group is lost.
-    fn send_committed(&mut self, target: TargetId, mut call: OutgoingCall) {
+    /// Sends a committed call if this process certainly owns its event. A lease that lapses on a
+    /// busy machine is renewed with the next heartbeat, or the group is lost.
+    fn send_committed_call(&mut self, target: TargetId, mut call: OutgoingCall) {
         let DurableLog::Replicated(log) = &mut self.log else {
             return;
         };
-        // The time that the call waited here is not taken from its timeout, which follows the
-        // target's own answers.
+        // The time that the call waited here is not deducted from its timeout, which is based on
+        // the target's own responses.
         let deadline = self
             .retained
             .get(&call.event)
@@ -132,7 +136,7 @@
             .send_or_fail(target, TargetCommand::Call(call));
     }
 
-    /// Calls to the target that wait for their commit or lease are not to leave.
+    /// Cancels the calls to the target that wait for their commit or lease.
     pub(super) fn cancel_staged_calls(&mut self, target: &TargetId) {
         if let Some(log) = self.replicated_log() {
             log.cancel_calls_to(target);
--- a/forwarder/server/src/event_loop/mod.rs
+++ b/forwarder/server/src/event_loop/mod.rs
@@ -1,14 +1,14 @@
-//! The event loop of the decisions. One task takes all inputs that have arrived, hands them to one
-//! iteration of the scheduler and carries out what the scheduler decides.
+//! The scheduler's event loop. One task takes all inputs that have arrived, passes them to one
+//! iteration of the scheduler and executes the scheduler's decisions.
 //!
 //! Called by `server`, which spawns [`EventLoop::run`] once. Other tasks reach the loop through its
 //! mailbox of [`Input`]s. The loop owns the scheduler and, in [`SchedulerHost`], the event log, the
 //! bodies of pending events and the mailboxes of the targets.
 //!
-//! Order of writes: an accepted event and an attempt are in the event log before a client or a
-//! target can learn of them. Without replication the log is committed twice an iteration, after
-//! admission and after the decisions; with replication all effects of an iteration wait until its
-//! log records are committed by their Raft groups.
+//! Order of writes: acceptance and attempts of an event are recorded in the event log before its
+//! client receives a response or its target a request. Without replication the log is committed
+//! twice an iteration, after admission and after the decisions; with replication all effects of an
+//! iteration wait until its log records are committed by their Raft groups.
 
 pub mod accepted_types;
 mod command_queue;
@@ -41,30 +41,30 @@
 use crate::stall_guard;
 use crate::stream::until;
 
-/// Inputs that wait in the loop's mailbox; senders wait beyond that.
+/// Capacity of the loop's mailbox; senders wait while the mailbox is full.
 pub const MAX_MAILBOX_INPUTS: usize = 1024;
 
 /// Whether the loop accepts new events.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Lifecycle {
     Serving,
-    /// Nothing new is accepted; the loop ends once nothing is pending.
+    /// New events are rejected; the loop ends once nothing is pending.
     ShuttingDown,
 }
 
-/// The scheduler, its host and the state of the iteration under way.
+/// The scheduler, its host and the state of the current iteration.
 pub struct EventLoop {
     host: SchedulerHost,
     scheduler: Scheduler,
     lifecycle: Lifecycle,
-    /// Events accepted in this iteration whose clients have no answer yet.
+    /// Events accepted in this iteration whose clients have no response yet.
     unanswered: Vec<EventId>,
-    /// A successor process asked to take over; served once the iteration is over.
+    /// The handover request of a successor process, served at the end of the iteration.
     handover: Option<HandoverRequest>,
 }
 
 impl EventLoop {
-    /// A loop over an open event log. Nothing is decided before [`EventLoop::restore`] or
+    /// Creates a loop for an open event log. No decisions are made before [`EventLoop::restore`] or
     /// [`EventLoop::resume`].
     pub fn new(
         context: ServerContext,
@@ -87,8 +87,8 @@
     /// Serves inputs until shutdown was requested and nothing is pending or unacknowledged, the
     /// mailbox is closed, or a successor process has taken over.
     pub async fn run(mut self, mailbox: Receiver<Input>) {
-        // Decisions are as of the iteration's start: a timer that became due during a stall is not
-        // acted on before all sockets have been polled again.
+        // Decisions are based on the time of the iteration's start: a timer that became due during
+        // a stall does not take effect before all sockets have been polled again.
         let mut last_start = Instant::now();
         while !self.is_finished() {
             let first = match self.host.wake_up_at() {
@@ -127,15 +127,15 @@
         self.lifecycle == Lifecycle::ShuttingDown && self.host.is_idle()
     }
 
-    /// The first iteration of a process that opened the state folder itself: the endpoint list,
-    /// then what an earlier process recorded of its targets and left pending.
+    /// Runs the first iteration of a process that opened the state folder itself: applies the
+    /// endpoint list, then the target records and the pending events of an earlier process.
     pub fn restore(&mut self, endpoint_list: &Value, pending: Vec<PendingEvent>) {
         self.host.start_iteration_now();
         self.decide(|scheduler, host| host.restore(scheduler, endpoint_list, pending));
     }
 
-    /// The first iteration of a process that took over from another: the endpoint list may have
-    /// changed. The scheduler's state was set by [`EventLoop::inherit`].
+    /// Runs the first iteration of a process that took over from another. The endpoint list may
+    /// have changed. The scheduler's state was set by [`EventLoop::inherit`].
     pub fn resume(&mut self, endpoint_list: &Value) {
         self.host.start_iteration_now();
         self.decide(|scheduler, host| host.refresh_endpoints(scheduler, endpoint_list));
@@ -166,7 +166,7 @@
         }
         let mut admitted = self.admit(inputs);
         if let Err(error) = self.host.commit_log() {
-            // An event that is not on the disk is not accepted.
+            // An event that is not on disk is not accepted.
             error!(self.host.logger(), "event log cannot be written"; "error" => %error);
             admitted.retain(|input| !matches!(input, Input::Submitted(_)));
             for id in self.unanswered.drain(..) {
@@ -183,8 +183,9 @@
         }
     }
 
-    /// Runs an iteration of its own for all group events if one of them changes which groups this
-    /// process leads: admission of new events depends on that. Returns the other inputs.
+    /// If a group event changes which groups this process leads, runs a separate iteration for all
+    /// group events first, because the admission of new events depends on the led groups. Returns
+    /// the other inputs.
     fn apply_leadership_changes(&mut self, inputs: Vec<Input>) -> Vec<Input> {
         if !inputs.iter().any(changes_leadership) {
             return inputs;
@@ -201,13 +202,14 @@
     }
 
     /// Records new events in the log and rejects those that cannot be accepted. Returns the inputs
-    /// that the scheduler is to have.
+    /// for the scheduler.
     fn admit(&mut self, inputs: Vec<Input>) -> Vec<Input> {
         let mut admitted = Vec::with_capacity(inputs.len());
         for input in inputs {
             match input {
                 Input::HandOver(request) => {
-                    // A process that shuts down hands nothing over: its state folder is free soon.
+                    // A process that is shutting down hands nothing over: its state folder is
+                    // released soon.
                     self.handover = match self.lifecycle {
                         Lifecycle::Serving => Some(request),
                         Lifecycle::ShuttingDown => None,
@@ -245,7 +247,7 @@
             .try_send(SubmitResponse::Rejected(retry_after));
     }
 
-    /// One iteration of the scheduler, and its effects.
+    /// Runs one iteration of the scheduler and executes its effects.
     fn decide(&mut self, apply_inputs: impl FnOnce(&mut Scheduler, &mut SchedulerHost)) {
         self.host.clear_due_wake_up();
         let apply_inputs = |scheduler: &mut Scheduler, host: &mut SchedulerHost| {
@@ -258,7 +260,7 @@
             .run_iteration(now, apply_inputs, &mut self.host);
         let serving = self.lifecycle == Lifecycle::Serving;
         if self.host.is_replicated() {
-            // Nothing leaves before its log records are committed.
+            // No effect is sent before its log records are committed.
             self.host
                 .stage_effects(std::mem::take(&mut self.unanswered));
             self.host.release_committed();
@@ -267,11 +269,12 @@
         }
         let committed = self.host.commit_log();
         if let Err(error) = &committed {
-            // An attempt that is not on the disk is not sent: a restart has to know of it.
+            // An attempt that is not on disk is not sent, because a restarted process needs its
+            // record.
             error!(self.host.logger(), "event log cannot be written"; "error" => %error);
             self.host.fail_queued_commands();
         }
         self.host.set_ready(committed.is_ok() && serving);
-        self.host.carry_out();
+        self.host.send_effects();
     }
 }
--- a/forwarder/server/src/event_loop/notice_queue.rs
+++ b/forwarder/server/src/event_loop/notice_queue.rs
@@ -32,25 +32,25 @@
         self.staged.push(notice);
     }
 
-    /// Notices of this iteration.
+    /// Number of notices of this iteration.
     pub(super) fn staged(&self) -> usize {
         self.staged.len()
     }
 
-    /// Notices that left their iteration and were not acknowledged.
+    /// Number of notices that are no longer staged and not acknowledged yet.
     pub(super) fn unacknowledged(&self) -> usize {
         self.unacknowledged
     }
 
-    /// Takes the notices of this iteration, which count as unacknowledged from here on: fewer
-    /// events are accepted than there is room for outcomes.
+    /// Takes the notices of this iteration and counts them as unacknowledged from here on:
+    /// admission accepts fewer events than there is room for outcomes.
     pub(super) fn take_staged(&mut self) -> Drain<'_, CompletionNotice> {
         self.unacknowledged += self.staged.len();
         self.staged.drain(..)
     }
 
-    /// Passes the notices of this iteration to the notifier. Its mailbox has room: fewer events are
-    /// accepted than it holds.
+    /// Passes the notices of this iteration to the notifier. The mailbox has room for them:
+    /// admission accepts fewer events than the mailbox can contain.
     pub(super) fn send_staged(&mut self, log: &Logger) {
         for notice in self.staged.drain(..) {
             log_notice(log, &notice);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A notice whose outcome is committed.
+    /// Queues a notice whose outcome is committed.
     pub(super) fn defer(&mut self, log: &Logger, notice: CompletionNotice) {
         log_notice(log, &notice);
         self.deferred.push_back(notice);
@@ -75,12 +75,12 @@
         }
     }
 
-    /// A notice that is not sent: the event's new owner decides on its outcome.
+    /// Drops a taken notice without sending it: the event's new owner decides on the outcome.
     pub(super) fn discard(&mut self) {
         self.unacknowledged -= 1;
     }
 
-    /// The platform has acknowledged that many notices.
+    /// Records that the platform has acknowledged `count` notices.
     pub(super) fn acknowledge(&mut self, count: usize) {
         self.unacknowledged -= count;
     }
--- a/forwarder/server/src/event_loop/recent_events.rs
+++ b/forwarder/server/src/event_loop/recent_events.rs
@@ -1,4 +1,4 @@
-//! Ids of events that completed lately. Owned by the scheduler's host.
+//! Ids of recently completed events. Owned by the scheduler's host.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -7,10 +7,10 @@
 /// How long an id is remembered. A second submission of an event comes at about the time of the
 /// first; deadlines are shorter on the longest of days.
 const RECENT_EVENT_TTL: Ms = 30_000.0;
-/// Past that many ids the oldest go first: about a megabyte.
+/// Maximum number of ids, about a megabyte; beyond it the oldest ids are removed first.
 const MAX_RECENT_EVENTS: usize = 8192;
 
-/// Ids of completed events: another submission under one of them is not a new event.
+/// Ids of completed events; a submission with one of these ids is not a new event.
 #[derive(Default)]
 pub(super) struct RecentEvents {
     ids: HashSet<EventId>,
@@ -18,7 +18,7 @@
 }
 
 impl RecentEvents {
-    /// Remembers an event that completed at `now`; an id that is remembered already keeps its time.
+    /// Adds an event that completed at `now`. An id that is already present keeps its time.
     pub(super) fn add(&mut self, event: &EventId, now: Ms) {
         while self.is_oldest_due(now) {
             if let Some((_, oldest)) = self.by_completion.pop_front() {
@@ -43,7 +43,7 @@
         self.ids.contains(event)
     }
 
-    /// In the order of completion, with the time of each.
+    /// The ids with their completion times, in the order of completion.
     pub(super) fn iter(&self) -> impl Iterator<Item = &(Ms, EventId)> {
         self.by_completion.iter()
     }
--- a/forwarder/server/src/event_loop/replicated_log/commits.rs
+++ b/forwarder/server/src/event_loop/replicated_log/commits.rs
@@ -1,4 +1,4 @@
-//! Proposals of an iteration's records, and their fate: committed, discarded or unknown to a
+//! Proposals of an iteration's records, and their results: committed, discarded, or not known to a
 //! deposed leader.
 
 use std::io;
@@ -14,7 +14,7 @@
         !self.pipeline.is_empty()
     }
 
-    /// Proposes the records of the iteration; its effects leave once they are committed.
+    /// Proposes the records of the iteration; its effects are sent once the records are committed.
     pub(in crate::event_loop) fn propose(&mut self, effects: IterationEffects) {
         let mut waits_for = Vec::new();
         let mut bytes = 0;
@@ -28,36 +28,36 @@
         self.pipeline.push(waits_for, bytes, effects);
     }
 
-    /// Submits waiting proposals; false while there is no room for all of them.
+    /// Submits queued proposals; false while there is no room for all of them.
     pub(in crate::event_loop) fn submit_proposals(&mut self) -> bool {
         let raft = &self.raft;
         self.proposals.submit(|request| raft.request(request))
     }
 
-    /// The next iteration whose records are all committed or discarded.
+    /// Removes the next iteration from the pipeline, if all its records are committed or discarded.
     pub(in crate::event_loop) fn release(
         &mut self,
     ) -> Option<(IterationEffects, ReleasedIteration<()>)> {
         Some(self.pipeline.release()?.split())
     }
 
-    /// A proposal was committed, in a group that this process leads or led.
+    /// Handles the commit of a proposal in a group that this process leads or led.
     ///
     /// # Errors
-    /// The state folder's log cannot be cleared, all of whose events are committed now.
+    /// The state folder's log, whose events are all committed now, cannot be cleared.
     pub(in crate::event_loop) fn on_committed(&mut self, proposal: ProposalId) -> io::Result<()> {
-        self.answer_orphaned(proposal, SubmitResponse::Accepted);
+        self.respond_to_orphaned(proposal, SubmitResponse::Accepted);
         self.pipeline.committed(proposal.0, proposal.1);
         self.migration_committed(proposal)
     }
 
-    /// A proposal never takes effect.
+    /// Handles a proposal that will never take effect.
     pub(in crate::event_loop) fn on_discarded(&mut self, proposal: ProposalId) {
-        self.answer_orphaned(proposal, SubmitResponse::Rejected(None));
+        self.respond_to_orphaned(proposal, SubmitResponse::Rejected(None));
         self.pipeline.discarded(proposal.0, proposal.1);
     }
 
-    fn answer_orphaned(&mut self, proposal: ProposalId, response: SubmitResponse) {
+    fn respond_to_orphaned(&mut self, proposal: ProposalId, response: SubmitResponse) {
         for orphaned in self
             .orphaned_responses
             .remove(&proposal)
--- a/forwarder/server/src/event_loop/replicated_log/leadership.rs
+++ b/forwarder/server/src/event_loop/replicated_log/leadership.rs
@@ -1,4 +1,4 @@
-//! Groups that this process comes to lead, leads no more, or has emptied.
+//! Start and end of this process's leadership of a group, and groups that are empty.
 
 use plankhill_decisions::interface::{EventId, TargetId};
 use plankhill_event_log::EventTable;
@@ -9,7 +9,7 @@
 use crate::messages::{OutgoingCall, TargetCommand};
 
 impl ReplicatedLog {
-    /// This process leads the group, whose table is `table`.
+    /// Records that this process leads the group, whose table is `table`.
     pub(in crate::event_loop) fn lead(&mut self, group: GroupId, table: EventTable) -> LeaderRole {
         self.tables.insert(group, table);
         let role = self.roles.on_elected(group);
@@ -17,13 +17,13 @@
         role
     }
 
-    /// The group is led no more. A client that waits for an undecided proposal is still answered;
-    /// all other effects that depend on the group never leave. Returns the group's table, if it was
-    /// led.
+    /// Records that this process no longer leads the group. A client that waits for an undecided
+    /// proposal still gets a response; all other effects that depend on the group are never sent.
+    /// Returns the group's table if the group was led.
     pub(in crate::event_loop) fn lose(&mut self, group: GroupId) -> Option<EventTable> {
         let table = self.tables.remove(&group)?;
         let orphaned = &mut self.orphaned_responses;
-        // Clients that have gone meanwhile are dropped.
+        // Clients that have disconnected in the meantime are dropped.
         orphaned.retain(|_, waiting| waiting.iter().any(|client| !client.response.is_closed()));
         self.pipeline.abandon_group(group, |number, effects| {
             let lost = effects
@@ -32,7 +32,7 @@
             orphaned.entry((group, number)).or_default().extend(lost);
         });
         if let Some(migration) = &mut self.migration {
-            migration.forget_proposals(group);
+            migration.drop_proposals(group);
         }
         for number in self.proposals.withdraw(group) {
             self.on_discarded((group, number));
@@ -43,7 +43,7 @@
         Some(table)
     }
 
-    /// Dissolves adopted groups in which nothing is left, and returns them.
+    /// Dissolves adopted groups that have no events and no uncommitted records, and returns them.
     pub(in crate::event_loop) fn dissolve_empty_groups(&mut self) -> Vec<GroupId> {
         let own = self.roles.own_group();
         let mut empty = Vec::new();
@@ -61,7 +61,7 @@
         empty
     }
 
-    /// A committed call, which leaves once this process holds the lease of its groups.
+    /// Queues a committed call, which is sent once this process holds the lease of its groups.
     pub(in crate::event_loop) fn await_lease(&mut self, target: TargetId, call: OutgoingCall) {
         self.awaiting_lease.push((target, call));
     }
@@ -74,7 +74,7 @@
         !self.awaiting_lease.is_empty()
     }
 
-    /// Calls to the target that wait here are not to leave: without a group they end as not sent.
+    /// Cancels the calls to the target that wait here: a call without groups ends as not sent.
     pub(in crate::event_loop) fn cancel_calls_to(&mut self, target: &TargetId) {
         for (to, call) in &mut self.awaiting_lease {
             if to == target {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// An event of the group that is adopted once the attempt in flight here has ended.
+    /// Defers the adoption of an event of the group until the attempt in flight here has ended.
     pub(in crate::event_loop) fn defer_adoption(&mut self, group: GroupId, event: EventId) {
         self.deferred_adoptions
             .push(DeferredAdoption { group, event });
--- a/forwarder/server/src/event_loop/replicated_log/migration.rs
+++ b/forwarder/server/src/event_loop/replicated_log/migration.rs
@@ -1,6 +1,6 @@
 //! Migration of the log that an earlier process without replication left in the state folder: its
-//! events are proposed to the first group that this process leads, and the file is cleared only
-//! once all of them are committed.
+//! events are proposed to this process's own group, and the file is cleared only once all of them
+//! are committed.
 
 use std::io;
 
@@ -9,17 +9,17 @@
 
 use super::{IterationEffects, ProposalId, ReplicatedLog};
 
-/// The log of an earlier process without replication, until its events are committed by the own
-/// group.
+/// The log of an earlier process without replication, kept until the own group has committed its
+/// events.
 pub(super) struct Migration {
     log: EventLog,
-    /// Proposals that are not decided yet.
+    /// Proposals that are not committed yet.
     uncommitted: Vec<ProposalId>,
 }
 
 impl Migration {
-    /// None for a log without pending events.
-    pub(super) fn of(log: EventLog) -> Option<Self> {
+    /// Creates the migration of a log; none if the log has no pending events.
+    pub(super) fn from_log(log: EventLog) -> Option<Self> {
         if log.is_empty() {
             return None;
         }
@@ -29,15 +29,15 @@
         })
     }
 
-    /// Proposals to a group that is lost are made anew to the next one.
-    pub(super) fn forget_proposals(&mut self, group: GroupId) {
+    /// Drops the proposals to a lost group; the next own group gets new ones.
+    pub(super) fn drop_proposals(&mut self, group: GroupId) {
         self.uncommitted.retain(|(of, _)| *of != group);
     }
 }
 
 impl ReplicatedLog {
-    /// Events that an earlier process without replication left pending in the state folder, but for
-    /// those that a led group has.
+    /// Events that an earlier process without replication left pending in the state folder, except
+    /// those that are in the table of a led group.
     pub(in crate::event_loop) fn unmigrated_events(&self) -> Vec<PendingEvent> {
         let Some(migration) = &self.migration else {
             return Vec::new();
@@ -52,7 +52,7 @@
         pending
     }
 
-    /// Proposes the state folder's log to the group, as proposals of their own ahead of the
+    /// Proposes the state folder's log to the group, in separate proposals ahead of the
     /// iteration's.
     pub(in crate::event_loop) fn propose_migration(&mut self, group: GroupId) {
         let Some(migration) = &mut self.migration else {
--- a/forwarder/server/src/event_loop/replicated_log/mod.rs
+++ b/forwarder/server/src/event_loop/replicated_log/mod.rs
@@ -1,9 +1,9 @@
 //! Event tables of the Raft groups that this process leads, and effects that wait until their
-//! groups have committed the records. Which commits an effect waits for is decided in
-//! `plankhill_replication`.
+//! groups have committed the records. `plankhill_replication` decides which commits an effect waits
+//! for.
 //!
-//! Owned by the scheduler's host. A table runs ahead of what is committed; nothing that depends on
-//! a record leaves before the record is committed.
+//! Owned by the scheduler's host. A table includes records that are not committed yet; no effect
+//! that depends on a record is sent before the record is committed.
 
 mod commits;
 mod leadership;
@@ -26,44 +26,44 @@
 use crate::messages::{CompletionNotice, OutgoingCall};
 use crate::raft::RaftHandle;
 
-/// A client that waits for its accepted event's commit. Dropped, the client's connection is closed
-/// without an answer.
+/// A client that waits for the commit of its accepted event. Dropping this value closes the
+/// client's connection without a response.
 pub(super) struct PendingResponse {
     pub(super) group: GroupId,
     pub(super) response: Sender<SubmitResponse>,
 }
 
-/// A notice, and the groups that are to record the event's outcome.
+/// A notice, and the groups that record the event's outcome.
 pub(super) struct PendingNotice {
     pub(super) groups: Vec<GroupId>,
     pub(super) notice: CompletionNotice,
 }
 
-/// Effects of one iteration, which leave once its records are committed.
+/// Effects of one iteration, which are sent once its records are committed.
 pub(super) struct IterationEffects {
     pub(super) responses: Vec<PendingResponse>,
     pub(super) commands: Vec<QueuedCommand>,
     pub(super) notices: Vec<PendingNotice>,
 }
 
-/// An event of an adopted table, which waits for the end of an attempt that was withdrawn here
-/// under the same id.
+/// An event of an adopted table whose adoption waits for the end of an attempt under the same id
+/// that was withdrawn here.
 pub(super) struct DeferredAdoption {
     pub(super) group: GroupId,
     pub(super) event: EventId,
 }
 
-/// Number of a proposal to a group.
+/// Group and number of a proposal.
 type ProposalId = (GroupId, u64);
 
 pub(super) struct ReplicatedLog {
     raft: Rc<RaftHandle>,
     roles: GroupRoles,
-    /// Of the groups that this process leads, ahead of what is committed.
+    /// Tables of the groups that this process leads, including records that are not committed yet.
     tables: BTreeMap<GroupId, EventTable>,
     proposals: ProposalQueue,
     pipeline: CommitPipeline<IterationEffects>,
-    /// Clients that wait for the fate of a proposal whose group this process leads no more.
+    /// Clients that wait for the result of a proposal whose group this process no longer leads.
     orphaned_responses: HashMap<ProposalId, Vec<PendingResponse>>,
     migration: Option<Migration>,
     /// Committed calls that wait for the lease of their groups.
@@ -72,8 +72,8 @@
 }
 
 impl ReplicatedLog {
-    /// `log` is the state folder's; what it still has pending goes into the first group that this
-    /// process leads.
+    /// `log` is the state folder's event log; its pending events are proposed to this process's own
+    /// group.
     pub(super) fn new(raft: Rc<RaftHandle>, log: EventLog) -> Self {
         let roles = GroupRoles::new(raft.incarnation());
         ReplicatedLog {
@@ -83,13 +83,14 @@
             proposals: ProposalQueue::default(),
             pipeline: CommitPipeline::default(),
             orphaned_responses: HashMap::new(),
-            migration: Migration::of(log),
+            migration: Migration::from_log(log),
             awaiting_lease: Vec::new(),
             deferred_adoptions: Vec::new(),
         }
     }
 
-    /// The first request to the groups: this incarnation accepts new events in a group of its own.
+    /// Enqueues the first request, which creates the group in which this incarnation accepts new
+    /// events.
     pub(super) fn create_own_group(&mut self) {
         let request = self.roles.create_own_group();
         self.enqueue(request);
@@ -110,12 +111,13 @@
         self.roles.is_led(group)
     }
 
-    /// Whether nobody else can own the group's events yet.
+    /// Whether this process holds the group's lease, so that no other process can own the group's
+    /// events yet.
     pub(super) fn holds_lease(&self, group: GroupId) -> bool {
         self.raft.holds_lease(group)
     }
 
-    /// The longest time in milliseconds that a process may stand still.
+    /// The longest time in milliseconds for which a process may stall.
     pub(super) fn max_stall(&self) -> Ms {
         self.raft.max_stall()
     }
@@ -128,7 +130,7 @@
         self.tables.values().any(|table| table.contains(&event.0))
     }
 
-    /// Whether the event is in the table of another group.
+    /// Whether the table of another group contains the event.
     pub(super) fn contains_elsewhere(&self, group: GroupId, event: &EventId) -> bool {
         self.tables
             .iter()
@@ -157,12 +159,12 @@
         self.tables.get_mut(&own)
     }
 
-    /// What the group's table says of an event.
+    /// The event's entry in the group's table.
     pub(super) fn pending_event(&self, group: GroupId, event: &EventId) -> Option<PendingEvent> {
         self.tables.get(&group)?.pending_event(&event.0)
     }
 
-    /// Completes an event in one group's table alone.
+    /// Completes an event only in one group's table.
     pub(super) fn complete_in(&mut self, group: GroupId, event: &EventId) {
         if let Some(table) = self.tables.get_mut(&group) {
             table.complete(&event.0);
@@ -175,16 +177,16 @@
         }
     }
 
-    /// Whether an event of that key is pending in a group that lost its owner and has not ended
-    /// yet.
+    /// Whether a new event must wait for events of its order key in a group that has lost its
+    /// owner.
     pub(super) fn blocks_order_key(&self, key: OrderKey) -> bool {
         self.raft.replicas().any(key.0, |group, owner, has_events| {
             self.roles.blocks_order_key(group, owner, has_events)
         })
     }
 
-    /// Whether a new event with a body of that many bytes can be recorded. The records of an
-    /// iteration are one proposal for each group: admission stops before they would be two.
+    /// Whether a new event with a body of `body_bytes` bytes can be recorded. The records of an
+    /// iteration form one proposal for each group: admission stops before they would need two.
     pub(super) fn has_capacity_for(&self, body_bytes: usize) -> bool {
         let own = self.roles.own_group().and_then(|own| self.tables.get(&own));
         let Some(table) = own else {
--- a/forwarder/server/src/event_loop/retained_events.rs
+++ b/forwarder/server/src/event_loop/retained_events.rs
@@ -12,20 +12,20 @@
 use crate::messages::Submission;
 use crate::stream::Body;
 
-/// Kept of an event until it completes.
+/// Data of an event that is kept until the event completes.
 pub(super) struct RetainedEvent {
-    /// Number of the request that submitted the event; another request may come under the same id.
+    /// Number of the request that submitted the event; another request may have the same event id.
     /// 0 after a restart.
     request_number: u64,
     deadline: Ms,
     fingerprint: Option<Rc<str>>,
     body: Body,
-    /// The waiting client, until the iteration that accepted the event is over.
+    /// Channel to the waiting client, until the iteration that accepted the event is over.
     response: Option<Sender<SubmitResponse>>,
 }
 
 impl RetainedEvent {
-    /// An event whose client waits for the answer.
+    /// Creates the entry of an event whose client waits for the response.
     pub(super) fn submitted(submission: &Submission) -> Self {
         RetainedEvent {
             request_number: submission.request_number,
@@ -36,7 +36,8 @@
         }
     }
 
-    /// An event that an earlier process accepted, in its request of that number.
+    /// Creates the entry of an event that an earlier process accepted in its request
+    /// `request_number`.
     pub(super) fn restored(event: AcceptedEvent<'static>, request_number: u64) -> Self {
         RetainedEvent {
             request_number,
@@ -61,13 +62,13 @@
         self.body.clone()
     }
 
-    /// The waiting client, if the event has one.
+    /// The channel to the waiting client, if the event has one.
     pub(super) fn into_response(self) -> Option<Sender<SubmitResponse>> {
         self.response
     }
 }
 
-/// All events that this process holds and may still send.
+/// All events that this process retains because it may still send them.
 #[derive(Default)]
 pub(super) struct RetainedEvents {
     events: HashMap<EventId, RetainedEvent>,
@@ -90,14 +91,14 @@
         self.events.remove(id)
     }
 
-    /// Whether the event is the one that this request submitted.
-    pub(super) fn is_of_request(&self, id: &EventId, request_number: u64) -> bool {
+    /// Whether the event was submitted by the request with that number.
+    pub(super) fn was_submitted_by(&self, id: &EventId, request_number: u64) -> bool {
         self.events
             .get(id)
             .is_some_and(|event| event.request_number == request_number)
     }
 
-    /// The waiting client of an event, which is answered once.
+    /// Takes the channel to the waiting client of an event, because a client gets one response.
     pub(super) fn take_response(&mut self, id: &EventId) -> Option<Sender<SubmitResponse>> {
         self.events.get_mut(id)?.response.take()
     }
