--- a/forwarder/server/src/event_loop/tests/commits.rs
+++ b/forwarder/server/src/event_loop/tests/commits.rs
@@ -1,4 +1,4 @@
-//! Effects that wait for the commits of the own group.
+//! Tests of effects that wait for the commits of the own group.
 
 use plankhill_event_log::EventTable;
 use plankhill_hot_restart::SubmitResponse;
@@ -7,8 +7,8 @@
 };
 use plankhill_replication::state_machine::encode_command;
 
+use super::fake_raft::{own_group, peer_group};
 use super::held::HeldTarget;
-use super::raft_stand_in::{others, own};
 use super::{accepted_event, config, Harness, CHARGE, JOB, OK};
 use crate::messages::Input;
 
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn response_and_first_byte_leave_once_acceptance_and_attempt_are_committed() {
+fn response_and_request_are_sent_once_acceptance_and_attempt_are_committed() {
     let (harness, mut replica) = leading();
     let response = harness.submit("a", JOB);
-    let number = harness.next_proposal(own(1), &mut replica);
+    let number = harness.next_proposal(own_group(1), &mut replica);
     let pending = replica.pending_events();
     assert_eq!(
         (
@@ -40,40 +40,43 @@
             pending[0].timeout.is_some()
         ),
         (1, 1, true),
-        "one proposal for both"
+        "acceptance and attempt are in one proposal"
     );
     harness.expect_no_call();
     assert!(
         response.is_empty(),
-        "nobody is told what a majority does not have"
+        "no response is sent before a majority has the record"
     );
     harness.group_event(GroupEvent::Committed {
-        group: own(1),
+        group: own_group(1),
         number,
     });
     assert_eq!(harness.response(&response), Some(SubmitResponse::Accepted));
     let call = harness.next_call();
     assert_eq!(call.id(), "a");
     call.answer(OK);
-    harness.next_proposal(own(1), &mut replica);
-    assert!(replica.is_empty(), "its replicas know of its completion");
+    harness.next_proposal(own_group(1), &mut replica);
+    assert!(replica.is_empty(), "the completion is replicated");
 }
 
 #[test]
-fn iterations_continue_while_others_wait_and_are_released_in_order() {
+fn iterations_continue_while_earlier_ones_wait_and_are_released_in_order() {
     let (harness, mut replica) = leading();
     let first = harness.submit("a", JOB);
-    let one = harness.next_proposal(own(1), &mut replica);
+    let one = harness.next_proposal(own_group(1), &mut replica);
     let second = harness.submit("b", JOB);
-    let two = harness.next_proposal(own(1), &mut replica);
+    let two = harness.next_proposal(own_group(1), &mut replica);
     harness.group_event(GroupEvent::Committed {
-        group: own(1),
+        group: own_group(1),
         number: two,
     });
-    harness.let_iterations_pass();
-    assert!(second.is_empty(), "the iteration before is not decided");
+    harness.run_pending_iterations();
+    assert!(
+        second.is_empty(),
+        "the previous iteration is not committed yet"
+    );
     harness.group_event(GroupEvent::Committed {
-        group: own(1),
+        group: own_group(1),
         number: one,
     });
     assert_eq!(harness.response(&first), Some(SubmitResponse::Accepted));
@@ -84,12 +87,14 @@
 fn a_discarded_acceptance_is_rejected_and_never_sent() {
     let (harness, mut replica) = leading();
     let response = harness.submit("a", CHARGE);
-    let number = harness.next_proposal(own(1), &mut replica);
-    harness.group_event(GroupEvent::Deposed { group: own(1) });
-    harness.let_iterations_pass();
-    assert!(response.is_empty(), "it may count yet");
+    let number = harness.next_proposal(own_group(1), &mut replica);
+    harness.group_event(GroupEvent::Deposed {
+        group: own_group(1),
+    });
+    harness.run_pending_iterations();
+    assert!(response.is_empty(), "the acceptance may still be committed");
     harness.group_event(GroupEvent::Discarded {
-        group: own(1),
+        group: own_group(1),
         number,
     });
     assert_eq!(
@@ -100,19 +105,25 @@
 }
 
 #[test]
-fn an_acceptance_committed_after_its_leader_was_deposed_is_answered_and_left_to_the_successor() {
+fn an_acceptance_committed_after_its_leader_was_deposed_is_confirmed_and_left_to_the_successor() {
     let (harness, mut replica) = leading();
     let response = harness.submit("a", CHARGE);
-    let number = harness.next_proposal(own(1), &mut replica);
-    harness.group_event(GroupEvent::Deposed { group: own(1) });
+    let number = harness.next_proposal(own_group(1), &mut replica);
+    harness.group_event(GroupEvent::Deposed {
+        group: own_group(1),
+    });
     harness.group_event(GroupEvent::Committed {
-        group: own(1),
+        group: own_group(1),
         number,
     });
     assert_eq!(harness.response(&response), Some(SubmitResponse::Accepted));
     harness.expect_no_call();
     harness.expect_request(|order| matches!(order, GroupRequest::Create { .. }));
-    assert_eq!(replica.len(), 1, "it is owed by whoever leads the group");
+    assert_eq!(
+        replica.len(),
+        1,
+        "the event is pending at the next leader of the group"
+    );
 }
 
 #[test]
@@ -125,19 +136,21 @@
     );
     assert!(
         !harness.context.is_ready(),
-        "told at once, with no iteration between"
+        "readiness changes at once, without an iteration"
     );
     harness.groups.holds_lease.set(true);
     let response = harness.submit("b", JOB);
-    let number = harness.next_proposal(own(1), &mut replica);
+    let number = harness.next_proposal(own_group(1), &mut replica);
     harness.groups.holds_lease.set(false);
     harness.group_event(GroupEvent::Committed {
-        group: own(1),
+        group: own_group(1),
         number,
     });
     assert_eq!(harness.response(&response), Some(SubmitResponse::Accepted));
     harness.expect_no_call();
-    harness.group_event(GroupEvent::Deposed { group: own(1) });
+    harness.group_event(GroupEvent::Deposed {
+        group: own_group(1),
+    });
     harness.groups.holds_lease.set(true);
     harness.expect_no_call();
     assert_eq!(
@@ -147,13 +160,13 @@
 }
 
 #[test]
-fn a_committed_attempt_waits_for_a_lapsed_lease_and_leaves_when_the_lease_is_back() {
+fn a_committed_attempt_waits_while_its_lease_has_lapsed_and_is_sent_once_the_lease_is_renewed() {
     let (harness, mut replica) = leading();
     harness.submit("a", CHARGE);
-    let number = harness.next_proposal(own(1), &mut replica);
+    let number = harness.next_proposal(own_group(1), &mut replica);
     harness.groups.holds_lease.set(false);
     harness.group_event(GroupEvent::Committed {
-        group: own(1),
+        group: own_group(1),
         number,
     });
     harness.expect_no_call();
@@ -170,34 +183,36 @@
         Some(SubmitResponse::Rejected(None))
     );
     harness.groups.has_capacity.set(true);
-    let kept = harness.submit("b", JOB);
-    harness.commit_next(own(1), &mut replica);
-    assert_eq!(harness.response(&kept), Some(SubmitResponse::Accepted));
+    let accepted = harness.submit("b", JOB);
+    harness.commit_next(own_group(1), &mut replica);
+    assert_eq!(harness.response(&accepted), Some(SubmitResponse::Accepted));
 }
 
 #[test]
-fn elected_again_a_forwarder_waits_for_its_own_call_and_records_its_outcome() {
+fn a_forwarder_that_is_elected_again_waits_for_its_own_call_and_records_its_outcome() {
     let (harness, mut replica) = leading();
     let response = harness.submit("a", CHARGE);
-    harness.commit_next(own(1), &mut replica);
+    harness.commit_next(own_group(1), &mut replica);
     assert_eq!(harness.response(&response), Some(SubmitResponse::Accepted));
     let call = harness.next_call();
-    harness.group_event(GroupEvent::Deposed { group: own(1) });
-    harness.elect(own(1), &replica);
+    harness.group_event(GroupEvent::Deposed {
+        group: own_group(1),
+    });
+    harness.elect(own_group(1), &replica);
     harness.expect_no_call();
     assert!(
         harness.notices.is_empty(),
-        "a binding event whose call is out here has its end yet to come"
+        "a non-idempotent event whose call is in flight here has no outcome yet"
     );
     call.answer(OK);
-    harness.next_proposal(own(1), &mut replica);
+    harness.next_proposal(own_group(1), &mut replica);
     assert!(replica.is_empty());
 }
 
-/// Guards the order of a key whose clients go on here while the successor of its first owner still
-/// has events of it.
+/// Guards the order of a key whose clients now submit to this process while the successor of the
+/// key's first owner still has events of the key.
 #[test]
-fn an_event_whose_order_key_is_pending_at_a_lost_owner_is_not_accepted_before_that_has_completed() {
+fn an_event_whose_order_key_is_pending_at_a_lost_owner_is_rejected_until_the_key_has_completed() {
     let (harness, mut replica) = leading();
     let other = Incarnation(8);
     let peer = |up| GroupEvent::PeerChanged {
@@ -212,26 +227,26 @@
     machine.apply(
         other,
         Term(2),
-        &encode_command(others(1), &record.take_unwritten_frames()),
+        &encode_command(peer_group(1), &record.take_unwritten_frames()),
     );
     let response = harness.submit("a", JOB);
-    harness.commit_next(own(1), &mut replica);
+    harness.commit_next(own_group(1), &mut replica);
     assert_eq!(
         harness.response(&response),
         Some(SubmitResponse::Accepted),
-        "its owner is there and ends what it holds"
+        "the owner is reachable and completes its own events"
     );
     harness.group_event(peer(false));
     assert_eq!(
         harness.response(&harness.submit("b", JOB)),
         Some(SubmitResponse::Rejected(None))
     );
-    // Its successor is another; that the first is back changes nothing.
+    // Another process is the successor; the return of the first owner changes nothing.
     record.record_attempt("there", 1.0, "z");
     machine.apply(
         Incarnation(9),
         Term(3),
-        &encode_command(others(1), &record.take_unwritten_frames()),
+        &encode_command(peer_group(1), &record.take_unwritten_frames()),
     );
     harness.group_event(peer(true));
     assert_eq!(
@@ -242,17 +257,17 @@
     machine.apply(
         Incarnation(9),
         Term(3),
-        &encode_command(others(1), &record.take_unwritten_frames()),
+        &encode_command(peer_group(1), &record.take_unwritten_frames()),
     );
     harness.next_call().answer(OK);
-    harness.commit_next(own(1), &mut replica);
+    harness.commit_next(own_group(1), &mut replica);
     let response = harness.submit("d", JOB);
-    harness.commit_next(own(1), &mut replica);
+    harness.commit_next(own_group(1), &mut replica);
     assert_eq!(harness.response(&response), Some(SubmitResponse::Accepted));
 }
 
-/// A cancelled call is one less: that waits for no majority, while another iteration's records may
-/// wait for long.
+/// A cancellation waits for no majority, although another iteration's records may wait for a long
+/// time.
 #[test]
 fn a_call_is_cancelled_while_an_iteration_waits_for_its_commit() {
     let mut target = HeldTarget::new();
@@ -262,13 +277,13 @@
     harness.elect_own_group();
     let mut replica = EventTable::default();
     harness.submit("a", CHARGE);
-    harness.commit_next(own(1), &mut replica);
-    harness.until("dials", || target.dialled().then_some(()));
+    harness.commit_next(own_group(1), &mut replica);
+    harness.until("the call connects", || target.dialled().then_some(()));
     harness.submit("b", JOB);
-    harness.next_proposal(own(1), &mut replica);
+    harness.next_proposal(own_group(1), &mut replica);
     let mut page = config::config(target.address()).1;
     page["members"][0]["phase"] = "draining".into();
     harness.input(Input::EndpointPage(page));
-    harness.let_iterations_pass();
-    assert!(!target.dialled(), "its target leaves");
+    harness.run_pending_iterations();
+    assert!(!target.dialled(), "the target is draining");
 }
--- a/forwarder/server/src/event_loop/tests/raft_stand_in.rs
+++ b/forwarder/server/src/event_loop/tests/fake_raft.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the Raft groups, and the ids of two founders' groups.
+//! A fake of the Raft groups, and the ids of groups that this process and a peer founded.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,15 +8,16 @@
 
 use crate::raft::Groups;
 
-/// Requests to the groups, and whether their leases are held.
+/// Records requests to the groups; the tests set whether leases are held and whether there is
+/// capacity.
 #[derive(Clone, Default)]
-pub(super) struct GroupsStandIn {
+pub(super) struct FakeGroups {
     pub(super) requests: Rc<RefCell<Vec<GroupRequest>>>,
     pub(super) holds_lease: Rc<Cell<bool>>,
     pub(super) has_capacity: Rc<Cell<bool>>,
 }
 
-impl Groups for GroupsStandIn {
+impl Groups for FakeGroups {
     fn try_request(&mut self, request: GroupRequest) -> Result<(), GroupRequest> {
         self.requests.borrow_mut().push(request);
         Ok(())
@@ -36,14 +37,14 @@
     }
 }
 
-pub(super) fn own(number: u32) -> GroupId {
+pub(super) fn own_group(number: u32) -> GroupId {
     GroupId {
         founder: Incarnation(7),
         number,
     }
 }
 
-pub(super) fn others(number: u32) -> GroupId {
+pub(super) fn peer_group(number: u32) -> GroupId {
     GroupId {
         founder: Incarnation(8),
         number,
--- a/forwarder/server/src/event_loop/tests/mod.rs
+++ b/forwarder/server/src/event_loop/tests/mod.rs
@@ -1,13 +1,13 @@
-//! The event loop with replication: the Raft groups are a stand-in that answers when a test says
-//! so, the target is one on a socket.
+//! Tests of the event loop with replication. A fake, controlled by the tests, replaces the Raft
+//! groups; the target listens on a socket.
 
 mod adoption;
 mod commits;
 mod config;
+mod fake_raft;
 #[path = "../../../tests/peers/held.rs"]
 #[allow(dead_code)]
 mod held;
-mod raft_stand_in;
 #[path = "../../../tests/peers/stand_ins.rs"]
 #[allow(dead_code)]
 mod stand_ins;
@@ -29,7 +29,7 @@
 use plankhill_replication::LocalReplicas;
 
 use self::config::config;
-use self::raft_stand_in::{own, GroupsStandIn};
+use self::fake_raft::{own_group, FakeGroups};
 use self::stand_ins::Asked;
 use super::EventLoop;
 use crate::clock::Clock;
@@ -44,12 +44,12 @@
 const JOB: usize = 0;
 const CHARGE: usize = 1;
 const STALL: Ms = 50.0;
-#[allow(dead_code)] // of the part of `held` that the tests on sockets use
+#[allow(dead_code)] // for the part of `held` that the socket tests use
 const LONG: Duration = Duration::from_secs(30);
 
 struct Harness {
     executor: Rc<LocalExecutor<'static>>,
-    groups: GroupsStandIn,
+    groups: FakeGroups,
     to_event_loop: Sender<Input>,
     notices: Receiver<CompletionNotice>,
     calls: Calls<Asked>,
@@ -57,12 +57,12 @@
     context: ServerContext,
     submitted: Cell<u64>,
     folder: tempfile::TempDir,
-    /// Event logs that the process keeps for others too.
+    /// The process's replicas of event logs, including those of other owners.
     replicas: LocalReplicas,
 }
 
 impl Harness {
-    /// An event loop that has asked for its group; `before` is what its folder holds.
+    /// An event loop that has requested its own group; `before` fills the log in its state folder.
     fn new(before: impl FnOnce(&mut EventLog)) -> Self {
         let (target, calls) = stand_ins::stand_in();
         Self::with_target(target, calls, before)
@@ -73,15 +73,17 @@
         calls: Calls<Asked>,
         before: impl FnOnce(&mut EventLog),
     ) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
-        let (config, known) = config(target);
+        let folder = tempfile::tempdir().expect("a temporary folder");
+        let (config, endpoint_list) = config(target);
         let config = load_config(&config, folder.path());
-        let open = || EventLog::open(&config.state_folder, config.max_disk_bytes).expect("opens");
+        let open = || {
+            EventLog::open(&config.state_folder, config.max_disk_bytes).expect("the store opens")
+        };
         let (mut log, _) = open();
         before(&mut log);
-        log.commit().expect("writes");
+        log.commit().expect("the log is written");
         let (log, pending) = open();
-        let groups = GroupsStandIn::default();
+        let groups = FakeGroups::default();
         groups.holds_lease.set(true);
         groups.has_capacity.set(true);
         let replicas = LocalReplicas::default();
@@ -93,7 +95,7 @@
         let executor = context.executor.clone();
         let (to_event_loop, inputs) = async_channel::bounded(super::MAX_MAILBOX_INPUTS);
         let (to_notifier, notices) = async_channel::bounded(crate::notifier::MAX_QUEUED_NOTICES);
-        let disabled = DisabledTargetStore::open(folder.path(), 1 << 20).expect("opens");
+        let disabled = DisabledTargetStore::open(folder.path(), 1 << 20).expect("the store opens");
         let mut event_loop = EventLoop::new(
             context.clone(),
             log,
@@ -101,7 +103,7 @@
             to_notifier,
             to_event_loop.clone(),
         );
-        event_loop.restore(&known, pending);
+        event_loop.restore(&endpoint_list, pending);
         executor.spawn(event_loop.run(inputs)).detach();
         Harness {
             executor,
@@ -117,12 +119,12 @@
         }
     }
 
-    /// Runs until there is a value, for a long time at most.
-    fn until<T>(&self, what: &str, mut there: impl FnMut() -> Option<T>) -> T {
+    /// Runs the executor until `check` returns a value, for 30 seconds at most.
+    fn until<T>(&self, what: &str, mut check: impl FnMut() -> Option<T>) -> T {
         let waits = async {
             loop {
-                if let Some(there) = there() {
-                    return Some(there);
+                if let Some(value) = check() {
+                    return Some(value);
                 }
                 Timer::after(Duration::from_millis(1)).await;
             }
@@ -144,7 +146,7 @@
         self.input(Input::GroupEvent(event));
     }
 
-    /// The process leads the group, whose event log is `table`.
+    /// Makes the process the leader of the group, whose event log is `table`.
     fn elect(&self, group: GroupId, table: &EventTable) {
         let mut machine = LocalReplicas::default().new_state_machine();
         let mut frames = Vec::new();
@@ -160,13 +162,13 @@
         });
     }
 
-    /// The process leads its own empty group, and knows it.
+    /// Makes the process the leader of its own empty group, and waits until it is ready.
     fn elect_own_group(&self) {
-        self.elect(own(1), &EventTable::default());
+        self.elect(own_group(1), &EventTable::default());
         self.until("is ready", || self.context.is_ready().then_some(()));
     }
 
-    /// Submits an event; the response to the client comes over what it returns.
+    /// Submits an event; returns the channel that receives the response to the client.
     fn submit(&self, id: &str, traffic_type: usize) -> Receiver<SubmitResponse> {
         let (response, received) = async_channel::bounded(1);
         self.submitted.set(self.submitted.get() + 1);
@@ -188,7 +190,8 @@
         received
     }
 
-    /// The next proposal to the group, applied to one of its replicas.
+    /// Takes the next proposal to the group, applies it to one of the group's replicas and returns
+    /// its number.
     fn next_proposal(&self, group: GroupId, replica: &mut EventTable) -> u64 {
         let next = || {
             let mut requests = self.groups.requests.borrow_mut();
@@ -201,7 +204,7 @@
             number, command, ..
         } = self.until("proposes", next)
         else {
-            panic!("seen")
+            panic!("only proposals match")
         };
         let (of, frames) = decode_command(&command).expect("a command");
         assert_eq!((of, replica.apply_frames(frames)), (group, frames.len()));
@@ -217,7 +220,7 @@
     }
 
     fn response(&self, from: &Receiver<SubmitResponse>) -> Option<SubmitResponse> {
-        self.until("a response, or none for good", || match from.try_recv() {
+        self.until("a response or a closed channel", || match from.try_recv() {
             Ok(response) => Some(Some(response)),
             Err(e) => e.is_closed().then_some(None),
         })
@@ -227,21 +230,21 @@
         self.until("a call", || match self.calls.try_recv() {
             Ok(asked) => Some(asked),
             Err(TryRecvError::Empty) => None,
-            Err(TryRecvError::Disconnected) => panic!("the target is there"),
+            Err(TryRecvError::Disconnected) => panic!("the target is running"),
         })
     }
 
-    /// Iterations go by; what was to leave has left.
-    fn let_iterations_pass(&self) {
+    /// Runs the executor for some time, so that pending effects are sent.
+    fn run_pending_iterations(&self) {
         let at = std::time::Instant::now();
-        self.until("time goes by", || {
+        self.until("the time has passed", || {
             (at.elapsed() > Duration::from_millis(30)).then_some(())
         });
     }
 
     fn expect_no_call(&self) {
-        self.let_iterations_pass();
-        assert!(self.calls.try_recv().is_err(), "nothing may be sent");
+        self.run_pending_iterations();
+        assert!(self.calls.try_recv().is_err(), "no call may be sent");
     }
 
     fn commit_next(&self, group: GroupId, replica: &mut EventTable) {
