--- a/forwarder/server/src/targets/actor.rs
+++ b/forwarder/server/src/targets/actor.rs
@@ -1,6 +1,6 @@
-//! The actor of one target: it owns the idle connections, lends one to each call and takes it back.
+//! The actor of one target: it owns the idle connections, passes one to each call and gets it back.
 //! The actor starts with a call and ends once the last connection is closed and no call is in
-//! flight, so that a target at rest costs an entry in a table.
+//! flight, so that an idle target costs one table entry.
 //!
 //! Spawned by [`TargetTable`](crate::target_table::TargetTable).
 
@@ -13,7 +13,7 @@
 use plankhill_decisions::interface::TargetId;
 use plankhill_hot_restart::Message;
 
-use super::call::{Call, LentConnection};
+use super::call::{Call, ReusedConnection};
 use super::{max_idle_connections, TargetContext};
 use crate::clock::{to_duration, to_ms};
 use crate::connection_quotas::Permit;
@@ -21,12 +21,13 @@
 use crate::messages::{Input, OutgoingCall, ReturnedConnection, TargetCommand};
 use crate::stream::{is_quiet, until, Stream};
 
-/// How long an actor without a connection waits for its next call, or looks again whether a call is
-/// still in flight: longer than the interval of health checks of a target that is down.
+/// How long an actor without a connection waits for its next call, and the interval at which it
+/// checks whether a call is still in flight: longer than the interval of health checks of a target
+/// that is down.
 const ACTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 struct IdleConnection {
-    // The connection is closed before its permit is given back: fields are dropped in this order.
+    // The connection is closed before its permit is released: fields are dropped in this order.
     stream: Stream,
     permit: Permit,
     idle_since: Instant,
@@ -37,17 +38,18 @@
     context: TargetContext,
     target: TargetId,
     address: SocketAddr,
-    /// The connection used last is last.
+    /// Idle connections; the most recently used is last.
     idle: Vec<IdleConnection>,
     calls_in_flight: Rc<Cell<usize>>,
     /// Dropped to cancel all calls whose last byte is not written.
-    uncancelled: Sender<()>,
+    cancel_on_drop: Sender<()>,
     cancelled: Receiver<()>,
     /// The actor's own mailbox, to which calls return connections.
     own_mailbox: WeakSender<TargetCommand>,
 }
 
-/// Runs the actor of a target until its mailbox is closed, or until it has nothing left to own.
+/// Runs the actor of a target until its mailbox is closed, or until it has neither a connection nor
+/// a call in flight.
 pub async fn run(
     context: TargetContext,
     target: TargetId,
@@ -55,14 +57,14 @@
     mailbox: Receiver<TargetCommand>,
     own_mailbox: WeakSender<TargetCommand>,
 ) {
-    let (uncancelled, cancelled) = async_channel::bounded(1);
+    let (cancel_on_drop, cancelled) = async_channel::bounded(1);
     let mut actor = Actor {
         context,
         target,
         address,
         idle: Vec::new(),
         calls_in_flight: Rc::new(Cell::new(0)),
-        uncancelled,
+        cancel_on_drop,
         cancelled,
         own_mailbox,
     };
@@ -75,8 +77,8 @@
                 actor.idle.remove(0);
             }
             None if actor.calls_in_flight.get() == 0 && mailbox.is_empty() => {
-                // Closed here, with nothing awaited since the mailbox was seen empty: no command
-                // can be lost in it.
+                // The mailbox is closed with no await since it was found empty, so that no command
+                // is lost.
                 mailbox.close();
                 return actor.stop().await;
             }
@@ -86,7 +88,8 @@
 }
 
 impl Actor {
-    /// When the oldest idle connection is to be closed, or the actor to look whether it may end.
+    /// When the oldest idle connection is closed, or else when the actor checks whether it can
+    /// stop.
     fn next_timeout(&self) -> Instant {
         match self.idle.first() {
             Some(oldest) => {
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Quotas may have idle connections closed.
+    /// Registers the actor with the quotas, which can request that idle connections are closed.
     fn register_with_quotas(&self) {
         let Some(quotas) = &self.context.server.quotas else {
             return;
@@ -119,8 +122,8 @@
             TargetCommand::AddressChanged(address) => {
                 self.address = address;
                 self.idle.clear();
-                // Another target may listen there now: what is not written yet is not to be written
-                // there.
+                // Another target may listen at the old address now: unwritten parts of calls must
+                // not be written there.
                 self.cancel_unsent();
             }
             TargetCommand::TransferIdle => {
@@ -135,23 +138,25 @@
                 let surplus = self.idle.len().min(surplus as usize);
                 self.idle.drain(..surplus);
             }
-            TargetCommand::ConnectionReturned(returned) => self.take_back(*returned).await,
+            TargetCommand::ConnectionReturned(returned) => {
+                self.on_connection_returned(*returned).await
+            }
         }
     }
 
     fn cancel_unsent(&mut self) {
-        let (uncancelled, cancelled) = async_channel::bounded(1);
-        self.uncancelled = uncancelled;
+        let (cancel_on_drop, cancelled) = async_channel::bounded(1);
+        self.cancel_on_drop = cancel_on_drop;
         self.cancelled = cancelled;
     }
 
-    /// Starts a call, or a health check where there is none.
+    /// Starts a call; without `outgoing` the call is a health check.
     fn start_call(&mut self, outgoing: Option<OutgoingCall>) {
         let call = Call {
             context: self.context.clone(),
             target: self.target.clone(),
             address: self.address,
-            lent: self.lend_connection(),
+            reused: self.take_idle_connection(),
             cancelled: self.cancelled.clone(),
             actor: self.own_mailbox.clone(),
             _counted: CountGuard::try_new(&self.calls_in_flight, usize::MAX),
@@ -163,18 +168,19 @@
             .detach();
     }
 
-    /// The connection used last that is still open.
-    fn lend_connection(&mut self) -> Option<LentConnection> {
+    /// Takes the most recently used idle connection that is still open and has no unread bytes.
+    fn take_idle_connection(&mut self) -> Option<ReusedConnection> {
         while let Some(IdleConnection { stream, permit, .. }) = self.idle.pop() {
             if is_quiet(&stream) {
-                return Some(LentConnection { stream, permit });
+                return Some(ReusedConnection { stream, permit });
             }
         }
         None
     }
 
-    async fn take_back(&mut self, returned: ReturnedConnection) {
-        // The permit is bound first: dropped here, it is given back after the connection is closed.
+    async fn on_connection_returned(&mut self, returned: ReturnedConnection) {
+        // The permit is bound first, so that it is released after the connection is closed if both
+        // are dropped here.
         let ReturnedConnection {
             permit,
             address,
@@ -182,7 +188,7 @@
             stream,
         } = returned;
         if address != self.address {
-            return; // The target has moved while the call was in flight.
+            return; // The target's address changed while the call was in flight.
         }
         if self.context.server.transfer.sender().is_some() {
             self.transfer(stream, idle_since).await;
--- a/forwarder/server/src/targets/call.rs
+++ b/forwarder/server/src/targets/call.rs
@@ -1,5 +1,6 @@
-//! One call to a target, an attempt of an event or a health check: takes a permit, connects where
-//! no connection was lent, writes the request, reads the response and reports how the call ended.
+//! One call to a target, either an attempt of an event or a health check: takes a permit, connects
+//! unless there is an idle connection to reuse, writes the request, reads the response and reports
+//! the outcome.
 //!
 //! Spawned by the target's actor; the report goes to the event loop, a reusable connection back to
 //! the actor.
@@ -30,8 +31,8 @@
 use crate::stall_guard;
 use crate::stream::{connect, until, Stream};
 
-/// An idle connection and its permit, which is given back after the connection is closed.
-pub(super) struct LentConnection {
+/// An idle connection to reuse and its permit, which is released after the connection is closed.
+pub(super) struct ReusedConnection {
     pub(super) stream: Stream,
     pub(super) permit: Permit,
 }
@@ -40,20 +41,20 @@
     pub(super) context: TargetContext,
     pub(super) target: TargetId,
     pub(super) address: SocketAddr,
-    pub(super) lent: Option<LentConnection>,
+    pub(super) reused: Option<ReusedConnection>,
     /// Closed once the call is cancelled.
     pub(super) cancelled: Receiver<()>,
     pub(super) actor: WeakSender<TargetCommand>,
-    /// The call is counted among those in flight: its actor stays for it.
+    /// Counts the call among those in flight, so that its actor does not stop before the call ends.
     pub(super) _counted: Option<CountGuard>,
 }
 
-/// The moments that bound a call.
+/// Time limits of a call.
 struct Schedule {
     began: Instant,
-    /// When the call is over at the latest.
+    /// Latest end of the call.
     ends: Instant,
-    /// When the call's last byte has to have left.
+    /// Latest time at which the call's last byte may be written.
     leave_by: Instant,
     decided_at: Instant,
     connect_timeout: Duration,
@@ -63,7 +64,7 @@
     /// Runs the call to its end; without `outgoing` the call is a health check.
     pub(super) async fn run(mut self, outgoing: Option<OutgoingCall>) {
         let began = Instant::now();
-        let reused = self.lent.is_some();
+        let is_reused = self.reused.is_some();
         let schedule = self.schedule(began, outgoing.as_ref());
         let report = match self.exchange(&schedule, outgoing.as_ref()).await {
             Ok(report) => report,
@@ -79,7 +80,7 @@
                 debug!(log, "attempt ended"; "event" => &*outgoing.event.0,
                     "target" => &*self.target.0, "outcome" => ?report.outcome,
                     "retry_after_ms" => report.retry_after, "elapsed_ms" => report.elapsed,
-                    "reused" => reused);
+                    "reused" => is_reused);
                 Input::AttemptEnded {
                     event: outgoing.event,
                     report,
@@ -110,7 +111,7 @@
             };
         };
         let clock = &self.context.server.clock;
-        // The event's deadline stands, however late the call begins: nothing leaves after it.
+        // The event's deadline applies however late the call begins: nothing is sent after it.
         let ends = (began + to_duration(outgoing.timeout)).min(clock.instant(outgoing.deadline));
         let leave_by = ends.min(clock.instant(outgoing.leave_by));
         Schedule {
@@ -122,8 +123,10 @@
         }
     }
 
+    /// Sends the request and reads the response.
+    ///
     /// # Errors
-    /// How the call ended without a complete response.
+    /// Outcome of a call without a complete response.
     async fn exchange(
         &mut self,
         schedule: &Schedule,
@@ -134,8 +137,8 @@
             .buffers
             .try_acquire()
             .ok_or(AttemptOutcome::NotSent)?;
-        // Declared before the connection, and so dropped after it: the permit is given back once
-        // the connection is closed.
+        // Declared before the connection, and so dropped after it: the permit is released once the
+        // connection is closed.
         let permit = self
             .acquire_permit(schedule, outgoing)
             .await
@@ -172,8 +175,8 @@
         Ok(report)
     }
 
-    /// The connection is the last parameter, so that it is closed before its permit is given back
-    /// if the actor is gone.
+    /// The connection is the last parameter, so that it is closed before its permit is released if
+    /// the actor has stopped.
     fn return_connection(&self, permit: Permit, stream: Stream) {
         if let Some(actor) = self.actor.upgrade() {
             let returned = ReturnedConnection {
@@ -186,10 +189,11 @@
         }
     }
 
-    /// Writes the request over the lent connection, or over a new one if the lent one is of no use.
+    /// Writes the request to the reused connection, or to a new one if there is none or it is
+    /// unusable.
     ///
     /// # Errors
-    /// How the call ended with its request not written.
+    /// Outcome of a call whose request was not written.
     async fn send_request(
         &mut self,
         schedule: &Schedule,
@@ -197,10 +201,10 @@
         outgoing: Option<&OutgoingCall>,
     ) -> Result<Stream, AttemptOutcome> {
         loop {
-            let lent = self.lent.take();
-            let reused = lent.is_some();
-            let stream = match lent {
-                Some(lent) => lent.stream,
+            let reused = self.reused.take();
+            let is_reused = reused.is_some();
+            let stream = match reused {
+                Some(reused) => reused.stream,
                 None => self.connect(schedule).await?,
             };
             let length = self
@@ -211,9 +215,9 @@
                 .await;
             match written {
                 Some(WriteOutcome::Complete) => return Ok(stream),
-                // Nothing of the call is on the connection, and other bytes are, or the
-                // connection's end.
-                Some(WriteOutcome::Unusable) if reused => (),
+                // Nothing of the call was written, and the connection has unread bytes or was
+                // closed by the peer.
+                Some(WriteOutcome::Unusable) if is_reused => (),
                 Some(WriteOutcome::Unusable | WriteOutcome::Broken) => {
                     return Err(AttemptOutcome::ConnectFailed);
                 }
@@ -227,8 +231,8 @@
         }
     }
 
-    /// None if the call is cancelled first. If both happen in one turn, the call is cancelled: it
-    /// does not run yet.
+    /// Awaits the future; none if the call is cancelled first. If both happen in one turn of the
+    /// executor, the call is cancelled: the target has not run it yet.
     async fn unless_cancelled<T>(&self, future: impl Future<Output = T>) -> Option<T> {
         let cancelled = async {
             let _ = self.cancelled.recv().await;
@@ -237,8 +241,10 @@
         future::or(cancelled, async { Some(future.await) }).await
     }
 
+    /// Opens a connection to the target.
+    ///
     /// # Errors
-    /// How the call ended without a connection.
+    /// Outcome of a call without a connection.
     async fn connect(&self, schedule: &Schedule) -> Result<Stream, AttemptOutcome> {
         let connected_by = (schedule.began + schedule.connect_timeout).min(schedule.ends);
         if Instant::now() >= schedule.leave_by {
@@ -247,15 +253,15 @@
         let connecting = until(connected_by.min(schedule.leave_by), connect(self.address));
         match self.unless_cancelled(connecting).await {
             Some(Some(Ok(stream))) => Ok(stream),
-            // The call's time is up, and its target may be well.
+            // The time limit for sending the call was reached; the target may be healthy.
             Some(None) if schedule.leave_by < connected_by => Err(AttemptOutcome::NotSent),
             Some(_) => Err(AttemptOutcome::ConnectFailed),
             None => Err(AttemptOutcome::NotSent),
         }
     }
 
-    /// Writes the request, unless the call may not leave any more. None if the call was cancelled
-    /// before its last byte.
+    /// Writes the request, unless the call may no longer be sent. None if the call was cancelled
+    /// before its last byte was written.
     async fn write_request(
         &self,
         stream: &Stream,
@@ -265,7 +271,7 @@
     ) -> Option<WriteOutcome> {
         let may_leave = || !self.cancelled.is_closed() && self.owns_event(outgoing);
         let writing = async {
-            // The process may have stood still since the decision.
+            // The process may have stalled since the decision.
             if schedule.decided_at.elapsed() > stall_guard::MAX_GAP {
                 until(schedule.leave_by, self.pass_barrier()).await;
             }
@@ -274,7 +280,7 @@
         self.unless_cancelled(writing).await
     }
 
-    /// Whether no other process can own the event yet.
+    /// Whether no other process can own the event yet; true for a health check.
     fn owns_event(&self, outgoing: Option<&OutgoingCall>) -> bool {
         let Some(outgoing) = outgoing else {
             return true;
@@ -286,18 +292,20 @@
             .all(|group| raft.is_some_and(|raft| raft.holds_lease(*group)))
     }
 
-    /// Returns once all inputs that had arrived have been decided on; calls that are to be
-    /// cancelled for them are cancelled then.
+    /// Returns once the event loop has decided on all inputs that had arrived; the calls that these
+    /// decisions cancel are cancelled by then.
     async fn pass_barrier(&self) {
         let (reply, reached) = async_channel::bounded(1);
         let _ = self.context.to_event_loop.send(Input::Barrier(reply)).await;
         let _ = reached.recv().await;
-        // Behind the target's actor, which the same iteration may have told to cancel calls.
+        // The target's actor runs first: the same iteration may have sent it a command to cancel
+        // calls.
         future::yield_now().await;
     }
 
-    /// A permit in the target's quota: that of the lent connection, or one for a new connection.
-    /// None if none came free in half of the call's time, or the call was cancelled meanwhile.
+    /// Acquires a permit in the target's quota: that of the reused connection, or one for a new
+    /// connection. None if no permit became free within half of the call's time, or the call was
+    /// cancelled meanwhile.
     async fn acquire_permit(
         &mut self,
         schedule: &Schedule,
@@ -308,19 +316,19 @@
         };
         let wait_until = schedule.began + (schedule.ends - schedule.began) / 2;
         loop {
-            let lent = self.lent.as_ref().map(|lent| &lent.permit);
-            match quotas.acquire(&self.target, kind_of(outgoing), schedule.ends, lent) {
+            let reused = self.reused.as_ref().map(|reused| &reused.permit);
+            match quotas.acquire(&self.target, kind_of(outgoing), schedule.ends, reused) {
                 Acquired::New(permit) => return Some(permit),
                 Acquired::Lent => {
                     return self
-                        .lent
+                        .reused
                         .as_mut()
-                        .map(|lent| lent.permit.take(&self.target));
+                        .map(|reused| reused.permit.take(&self.target));
                 }
                 Acquired::Exhausted(pool) => {
-                    // The connection may not be used now, and others may want its part of the
-                    // quota.
-                    self.lent = None;
+                    // The connection may not be used now, and closing it frees its part of the
+                    // quota for others.
+                    self.reused = None;
                     self.unless_cancelled(until(wait_until, quotas.capacity_freed(&pool)))
                         .await??;
                 }
@@ -375,18 +383,18 @@
     }
 }
 
-/// How a call ended whose response is not complete. `failure` is none if the time was up.
+/// Outcome of a call without a complete response. `failure` is none if the call timed out.
 fn incomplete_outcome(
     status: Option<u16>,
     failure: Option<&ExchangeError>,
     kind: CallKind,
 ) -> AttemptOutcome {
     match (status, failure) {
-        // The first line says that the event was delivered, whatever became of the rest.
+        // The status line reports that the event was delivered, whether the rest arrived or not.
         (Some(200), _) => AttemptOutcome::Delivered,
         (_, None) => AttemptOutcome::TimedOut,
         (_, Some(ExchangeError::Malformed(_))) => match kind {
-            // A response at least, which is enough for a health check.
+            // Any response is enough for a health check.
             CallKind::HealthCheck => AttemptOutcome::Rejected,
             // The call has run, or may have.
             CallKind::Attempt => AttemptOutcome::Cancelled,
--- a/forwarder/server/src/targets/mod.rs
+++ b/forwarder/server/src/targets/mod.rs
@@ -1,8 +1,8 @@
-//! Targets: one actor for each that has a connection or a call in flight.
+//! Connections and calls to targets. A target with a connection or a call in flight has an actor.
 //!
-//! `event_loop` decides what goes to a target and reaches its actor through
-//! [`TargetTable`](crate::target_table). The actor ([`actor`]) owns the connections, lends one to
-//! each call ([`call`]) and takes it back.
+//! `event_loop` decides which commands a target gets and reaches its actor through
+//! [`TargetTable`](crate::target_table). The actor ([`actor`]) owns the idle connections and passes
+//! one to each call ([`call`]), which returns it.
 
 mod actor;
 mod call;
@@ -19,16 +19,16 @@
 use crate::context::ServerContext;
 use crate::messages::Input;
 
-/// What the actors of all targets share, with their calls.
+/// State that the actors of all targets share with each other and with their calls.
 #[derive(Clone)]
 pub struct TargetContext {
     pub server: ServerContext,
     pub to_event_loop: Sender<Input>,
-    /// Idle connections at all targets.
+    /// Number of idle connections to all targets.
     pub idle_connections: Rc<Cell<usize>>,
 }
 
-/// Idle connections at all targets together, at most.
+/// Maximum number of idle connections to all targets together.
 pub fn max_idle_connections(config: &ForwarderConfig) -> usize {
     config.max_sockets / 8
 }
--- a/forwarder/server/src/targets/response.rs
+++ b/forwarder/server/src/targets/response.rs
@@ -1,5 +1,5 @@
-//! Meaning of a target's responses: how the attempt ended, and what the response reports of the
-//! target.
+//! Interpretation of a target's responses: the outcome of the attempt, and the load that the
+//! response reports for the target.
 
 use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, Ms};
 use plankhill_forwarder_config::LEFT;
@@ -7,8 +7,8 @@
 
 use crate::call_kind::CallKind;
 
-/// The share of its limit that a response reports as remaining, `Srv-Load: TEXT x0=0.4, x1=25`. A
-/// value that cannot be read reports nothing.
+/// The remaining share of the target's limit that a response reports, as in
+/// `Srv-Load: TEXT x0=0.4, x1=25`. None if the value cannot be parsed.
 pub(super) fn limit_remaining(head: &ResponseHead) -> Option<f64> {
     let values = head.fields.one("Srv-Load").ok()??.strip_prefix("TEXT ")?;
     let value = values
@@ -17,7 +17,8 @@
     value.parse().ok()
 }
 
-/// What the wire's statuses mean. A response to a health check reports no retry-after.
+/// Maps a response's status to the report of the call. The report of a health check contains no
+/// retry-after.
 pub(super) fn report(head: &ResponseHead, kind: CallKind) -> AttemptReport {
     let field = |name| head.fields.one(name).ok().flatten();
     match head.status {
--- a/forwarder/server/src/targets/write.rs
+++ b/forwarder/server/src/targets/write.rs
@@ -1,32 +1,34 @@
-//! Writing of a call. Until the kernel has the call's last byte the call has surely not run, and
-//! may still be kept from running; from then on it may run whatever becomes of it.
+//! Writing of a call. Until the kernel has the call's last byte the call has certainly not run, and
+//! can still be prevented from running; from then on it may run, whatever happens to the
+//! connection.
 
 use std::io::{ErrorKind, Write};
 use std::time::Instant;
 
 use crate::stream::{is_quiet, until, Stream};
 
-/// How far a call was written.
+/// Result of writing a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
     /// The kernel has the call's last byte.
     Complete,
-    /// Nothing was written: the connection is closed, or holds bytes that cannot answer this call.
+    /// Nothing was written: the connection is closed, or has unread bytes that cannot be a response
+    /// to this call.
     Unusable,
-    /// A part was written at most: the connection broke off, or was answered before the call was
+    /// At most a part was written: the connection failed, or bytes arrived before the call was
     /// complete.
     Broken,
-    /// The time was up, or the call was not wanted any more, when the next part could have been
-    /// written.
+    /// The deadline had passed, or the call was no longer to be sent, when the next part could have
+    /// been written.
     Cancelled,
-    /// The time was up before the peer took the rest.
+    /// The deadline passed before the peer accepted the rest.
     TimedOut,
 }
 
-/// Writes a call by `deadline`, or not to its end. Before each write, with nothing awaited between,
-/// the connection and whether the call may leave are checked: bytes that lie in the connection
-/// before the call's last byte do not answer the call. Bytes that arrive between that check and the
-/// write, some microseconds, cannot be told from a response.
+/// Writes a call completely by `deadline`, or leaves it incomplete. Before each write, with no
+/// await in between, the connection and whether the call may be sent are checked: bytes that arrive
+/// before the call's last byte is written are not a response to the call. Bytes that arrive between
+/// that check and the write, some microseconds, cannot be distinguished from a response.
 pub(super) async fn write_call(
     stream: &Stream,
     call: &[u8],
@@ -46,8 +48,8 @@
         if !may_leave() || Instant::now() >= deadline {
             return WriteOutcome::Cancelled;
         }
-        // An error, like the end of the time, leaves the last byte here: errors come before the
-        // kernel has taken it.
+        // After an error, as after the deadline, the last byte is not written: errors occur before
+        // the kernel has taken it.
         match stream.get_ref().write(rest) {
             Ok(0) => return WriteOutcome::Broken,
             Ok(written) if written == rest.len() => return WriteOutcome::Complete,
--- a/forwarder/server/src/targets/write/tests.rs
+++ b/forwarder/server/src/targets/write/tests.rs
@@ -1,4 +1,4 @@
-//! Real connections whose peer acts between the pieces of a call.
+//! Tests with real connections whose peer acts while a call is being written.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -15,23 +15,24 @@
 use crate::stream::{is_quiet, Stream};
 
 const LONG: Duration = Duration::from_secs(30);
-/// More than the two buffers take.
+/// Larger than the two socket buffers together.
 const CALL: usize = 4 << 20;
 
-/// Our end, and the peer's, with small buffers.
+/// Both ends of a connection with small buffers: the local end, and the peer's.
 fn pair() -> (Stream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     set_socket_recv_buffer_size(&listener, 4096).expect("a socket");
-    let ours = TcpStream::connect(listener.local_addr().expect("bound")).expect("comes up");
+    let ours = TcpStream::connect(listener.local_addr().expect("bound"))
+        .expect("the connection is established");
     set_socket_send_buffer_size(&ours, 4096).expect("a socket");
-    let (peer, _) = listener.accept().expect("comes");
+    let (peer, _) = listener.accept().expect("a connection is accepted");
     (Stream::new(ours).expect("a socket"), peer)
 }
 
-/// The peer's end holds what it said once this returns.
-fn says(peer: &mut TcpStream, what: &[u8], to: &Stream) {
-    peer.write_all(what).expect("stands");
-    while is_quiet(to) {
+/// Writes from the peer's end; returns once the bytes have arrived at the local end.
+fn write_from_peer(peer: &mut TcpStream, bytes: &[u8], receiver: &Stream) {
+    peer.write_all(bytes).expect("the connection is open");
+    while is_quiet(receiver) {
         std::thread::yield_now();
     }
 }
@@ -42,15 +43,16 @@
     all.len()
 }
 
-/// Half a line of an older answer, or the peer's end, stands before the call: none of it leaves.
+/// If a connection has a partial line of an earlier response unread, or was closed by the peer,
+/// nothing of the call is written.
 #[rstest]
-#[case::half_a_line(b"HTTP/1.1 200 O")]
-#[case::its_end(b"")]
-fn nothing_is_written_to_a_connection_with_unread_bytes(#[case] said: &[u8]) {
+#[case::partial_line(b"HTTP/1.1 200 O")]
+#[case::closed_by_peer(b"")]
+fn nothing_is_written_to_a_connection_with_unread_bytes(#[case] bytes: &[u8]) {
     let (ours, mut peer) = pair();
-    match said {
+    match bytes {
         b"" => drop(peer.shutdown(std::net::Shutdown::Write)),
-        said => says(&mut peer, said, &ours),
+        bytes => write_from_peer(&mut peer, bytes, &ours),
     }
     while is_quiet(&ours) {
         std::thread::yield_now();
@@ -61,7 +63,8 @@
     assert_eq!(read_to_end(&mut peer), 0);
 }
 
-/// What comes before the last byte is written answers no whole call, and the call is not completed.
+/// Bytes that arrive before the call's last byte is written are not a response to the complete
+/// call, and the call is not completed.
 #[rstest]
 fn a_call_that_is_answered_before_its_last_byte_is_not_completed() {
     let (ours, mut peer) = pair();
@@ -70,25 +73,25 @@
         let mut writing = pin!(write_call(&ours, &call, Instant::now() + LONG, || true));
         assert!(
             block_on(poll_once(writing.as_mut())).is_none(),
-            "the peer takes no more"
+            "the buffers are full"
         );
-        says(&mut peer, b"HTTP/1.1 200 O", &ours);
+        write_from_peer(&mut peer, b"HTTP/1.1 200 O", &ours);
         let reading = std::thread::spawn(move || read_to_end(&mut peer));
         assert_eq!(block_on(writing), WriteOutcome::Broken);
         reading
     };
     drop(ours);
-    assert!(reading.join().expect("reads") < CALL);
+    assert!(reading.join().expect("the reader ends") < CALL);
 }
 
 #[rstest]
-#[case::broken(true)]
+#[case::reset(true)]
 #[case::silent(false)]
-fn a_call_that_the_peer_does_not_read_is_not_complete(#[case] breaks: bool) {
+fn a_call_that_the_peer_does_not_read_is_not_complete(#[case] resets: bool) {
     let (ours, peer) = pair();
     let call = vec![b'x'; CALL];
     let by = Instant::now()
-        + if breaks {
+        + if resets {
             LONG
         } else {
             Duration::from_millis(50)
@@ -96,12 +99,12 @@
     let mut writing = pin!(write_call(&ours, &call, by, || true));
     assert!(
         block_on(poll_once(writing.as_mut())).is_none(),
-        "the peer takes no more"
+        "the buffers are full"
     );
-    let peer = (!breaks).then_some(peer); // a close over unread bytes resets the connection
+    let peer = (!resets).then_some(peer); // closing with unread bytes resets the connection
     assert_eq!(
         block_on(writing),
-        if breaks {
+        if resets {
             WriteOutcome::Broken
         } else {
             WriteOutcome::TimedOut
@@ -121,19 +124,19 @@
     assert_eq!(read_to_end(&mut peer), 0);
 }
 
-/// A call that may not leave any more is not written to its end.
+/// A call that may no longer be sent is not written to its end.
 #[rstest]
 #[case::from_the_start(0)]
 #[case::after_a_part(CALL)]
 fn nothing_more_is_written_of_a_cancelled_call(#[case] length: usize) {
     let (ours, mut peer) = pair();
-    let (wanted, call) = (Cell::new(length > 0), vec![b'x'; length.max(4)]);
+    let (may_send, call) = (Cell::new(length > 0), vec![b'x'; length.max(4)]);
     let written = {
-        let mut writing = pin!(write_call(&ours, &call, Instant::now() + LONG, || wanted.get()));
+        let mut writing = pin!(write_call(&ours, &call, Instant::now() + LONG, || may_send.get()));
         match block_on(poll_once(writing.as_mut())) {
             Some(written) => written,
             None => {
-                wanted.set(false);
+                may_send.set(false);
                 let mut reader = peer.try_clone().expect("a socket");
                 std::thread::spawn(move || read_to_end(&mut reader));
                 block_on(writing)
