--- a/forwarder/server/src/clients/broadcast.rs
+++ b/forwarder/server/src/clients/broadcast.rs
@@ -1,4 +1,4 @@
-//! A broadcast that a client submits.
+//! Submission of broadcasts by clients.
 
 use plankhill_fanout::{ListName, Rejection};
 use plankhill_hot_restart::{EventHeader, SubmitResponse};
@@ -9,9 +9,10 @@
 use crate::stream::{is_closed_by_peer, Body};
 
 impl ClientConnection {
-    /// Responds once the control group's log has decided: 202 if the broadcast counts, 503 if it
-    /// surely never will. A broadcast cannot be withdrawn: a client that goes before its response
-    /// finds out by submitting the broadcast again under its id.
+    /// Submits a broadcast and responds once the control group's log has decided: 202 if the
+    /// broadcast is accepted, 503 if it certainly never will be. A broadcast cannot be withdrawn: a
+    /// client that disconnects before its response gets the result by submitting the broadcast
+    /// again under its id.
     pub(super) async fn submit_broadcast(
         &mut self,
         list: ListName,
--- a/forwarder/server/src/clients/connection.rs
+++ b/forwarder/server/src/clients/connection.rs
@@ -12,7 +12,7 @@
 use slog::debug;
 
 use super::read_request::OUT_OF_BUFFERS;
-use super::request::{Asked, PartialRequest, Request, RequestError};
+use super::request::{PartialRequest, Request, RequestError, RequestKind};
 use super::respond::Responded;
 use super::waiting::{ConnectionTable, WaitEnded, WaitReason, FIRST_REQUEST_GRACE, IDLE_TIMEOUT};
 use crate::clock::{to_duration, to_ms};
@@ -22,8 +22,9 @@
 use crate::messages::{Input, Submission};
 use crate::stream::{is_closed_by_peer, is_quiet, until, Body, Stream};
 
-/// A request has to be complete so long after its first byte, the first one so long after its
-/// connection: a client that sends none is told so within the three seconds that it is owed.
+/// Time limit for receiving a complete request, from its first byte or, for the first request of a
+/// connection, from the accept: a client that sends no request receives an error response, or its
+/// connection is closed, within the three seconds that it is guaranteed.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(super) struct ClientConnection {
@@ -31,32 +32,33 @@
     to_event_loop: Sender<Input>,
     pub(super) connections: Rc<ConnectionTable>,
     pub(super) stream: Stream,
-    /// There are too many connections: this one is told so.
+    /// Too many connections are open: events on this one are rejected.
     pub(super) over_limit: bool,
-    /// The beginning of the next request, if it came with the one before.
+    /// The beginning of the next request, if it arrived together with the previous one.
     pub(super) next_request: Option<PartialRequest>,
-    /// Whether the next response is the last, or the last one was.
+    /// Whether the next response is the last on this connection, or the previous one was.
     pub(super) closing: bool,
     /// When bytes were last read from the connection.
     pub(super) last_read: Instant,
-    /// Since when unread bytes lie in the connection, if they came before the response that they
-    /// wait for.
+    /// When unread bytes arrived on the connection, if they arrived before the previous response
+    /// was sent.
     pub(super) readable_since: Option<Instant>,
     _counted: CountGuard,
 }
 
-/// What a connection waits for next, and until when.
+/// Reason and deadline of the next wait of a connection.
 #[derive(Clone, Copy)]
 struct NextWait {
     reason: WaitReason,
     deadline: Instant,
 }
 
-/// How a submitted event went.
-enum Submitted {
+/// Result of the submission of an event.
+enum SubmissionResult {
     /// The event loop's response.
     Response(SubmitResponse),
-    /// Not decided by the event's deadline: with replication nobody knows whether the event counts.
+    /// Not decided by the event's deadline: with replication it is not known whether the event is
+    /// accepted.
     Undecided,
     /// The client has closed its side or the connection is broken.
     ClientGone,
@@ -97,8 +99,9 @@
                     return self.transfer(successor, wait).await;
                 }
                 if !has_more {
-                    // Nothing lay in the connection in this very turn. A request that crosses its
-                    // end is not read, and its client submits again.
+                    // The connection had no unread bytes when it was checked in this turn of the
+                    // executor. A request that arrives while the connection closes is not read, and
+                    // its client submits it again.
                     return;
                 }
             }
@@ -116,7 +119,7 @@
                 Ok(Ok(Some(request))) => request,
                 Ok(Ok(None)) => return,
                 Ok(Err(error)) => return self.reject(error).await,
-                Err(WaitEnded::TimedOut | WaitEnded::MadeRoom) => {
+                Err(WaitEnded::TimedOut | WaitEnded::Evicted) => {
                     return self
                         .reject(RequestError::new(408, "the request took too long"))
                         .await;
@@ -133,13 +136,13 @@
                 return self.close().await;
             }
             if self.next_request.is_some() {
-                // Pipelined requests may never run out, nor wait for anything: the others have
-                // their turn.
+                // A sequence of pipelined requests may be endless and never wait: other connections
+                // get a turn in between.
                 let turn = future::yield_now();
                 let turn = connections
                     .wait(WaitReason::Pipelined, wait.deadline, turn)
                     .await;
-                if matches!(turn, Err(WaitEnded::MadeRoom)) {
+                if matches!(turn, Err(WaitEnded::Evicted)) {
                     return self
                         .reject(RequestError::new(503, "others need the place"))
                         .await;
@@ -164,24 +167,26 @@
 
     async fn serve(&mut self, request: Request) -> Responded {
         let Request {
-            asked,
+            kind,
             buffer,
             body,
             began,
             ..
         } = request;
-        // The buffer goes back before the event is submitted: an event may be pending for long, and
-        // most bodies are short.
-        match asked {
-            Asked::Up if self.context.client_gate.is_shut() => self.respond(503, &[], "").await,
-            Asked::Up => self.respond(200, &[], "").await,
-            Asked::Event(mut event) => {
+        // The buffer is released before the event is submitted: an event may be pending for long,
+        // and most bodies are short.
+        match kind {
+            RequestKind::Up if self.context.client_gate.is_shut() => {
+                self.respond(503, &[], "").await
+            }
+            RequestKind::Up => self.respond(200, &[], "").await,
+            RequestKind::Event(mut event) => {
                 event.timeout = time_left(event.timeout, began);
                 let body = Body::from(&buffer[body]);
                 drop(buffer);
                 self.submit_event(event, body).await
             }
-            Asked::Broadcast(list, mut event) => {
+            RequestKind::Broadcast(list, mut event) => {
                 event.timeout = time_left(event.timeout, began);
                 let body = Body::from(&buffer[body]);
                 drop(buffer);
@@ -190,7 +195,7 @@
         }
     }
 
-    /// The successor process serves the connection on, with what lies unread in it.
+    /// Transfers the connection, with the unread bytes in it, to the successor process.
     async fn transfer(self, successor: Sender<Outgoing>, wait: NextWait) {
         let requests_served = match wait.reason {
             WaitReason::FirstRequest => 0,
@@ -207,8 +212,9 @@
         }
     }
 
-    /// An empty buffer for a request, unless few are left: calls are not to want for one, nor
-    /// clients where the memory is small for the calls.
+    /// An empty buffer for a request; none if only the buffers reserved for calls are left. At most
+    /// half of all buffers are reserved, so that clients get buffers even if the memory is small
+    /// for the calls.
     pub(super) fn new_partial_request(&self) -> Option<PartialRequest> {
         let buffers = &self.context.buffers;
         let reserved_for_calls = self
@@ -224,8 +230,8 @@
         Some(PartialRequest { buffer, filled: 0 })
     }
 
-    /// A buffer, with what came of the next request. Connections that have been half-way through a
-    /// request for long give way.
+    /// A buffer, with the part of the next request that has already arrived. Connections that have
+    /// been reading a request for long are evicted if there is no buffer.
     async fn acquire_buffer(&mut self) -> Option<PartialRequest> {
         loop {
             if let Some(begun) = self.next_request.take() {
@@ -247,8 +253,8 @@
         let gate_shut = async {
             self.context.client_gate.wait_until_shut().await;
             if wait.reason == WaitReason::FirstRequest {
-                // The front sent the connection here before it knew; its request comes right behind
-                // it.
+                // The front assigned the connection to this process before it observed the shut
+                // gate; the request follows directly.
                 Timer::after(FIRST_REQUEST_GRACE).await;
             }
         };
@@ -262,26 +268,26 @@
             .wait(wait.reason, wait.deadline, first)
             .await
             .is_ok();
-        // What has arrived by then is still answered.
+        // A request that has arrived by then still receives a response.
         (in_time && !self.context.client_gate.is_shut()) || !is_quiet(&self.stream)
     }
 
-    /// Submits an event to the event loop and responds to the client. A client that goes before it
-    /// has its response withdraws the event.
+    /// Submits an event to the event loop and responds to the client. If the client disconnects
+    /// before it has received its response, the event is withdrawn.
     async fn submit_event(&mut self, event: EventHeader, body: Body) -> Responded {
-        // After a stall many have gone already.
+        // After a stall many clients have already disconnected.
         if is_closed_by_peer(&self.stream) {
             return Responded::Failed;
         }
-        if let Some(rejected) = self.reject_early(&event) {
+        if let Some(rejected) = self.early_rejection(&event) {
             return self.respond_submitted(rejected).await;
         }
         let (response, received) = async_channel::bounded(1);
         let id = event.id.clone();
         let deadline = self.context.clock.now() + event.timeout;
         let commit_timeout = to_duration(event.timeout);
-        // With replication an event that is not committed by then is neither accepted nor rejected:
-        // the connection is closed without a response.
+        // With replication an event that is not committed by this time is neither accepted nor
+        // rejected: the connection is closed without a response.
         let commit_by = self
             .context
             .replication()
@@ -308,13 +314,14 @@
             .await
     }
 
-    /// The response to an event that is not submitted to the event loop at all.
-    fn reject_early(&self, event: &EventHeader) -> Option<SubmitResponse> {
-        // The event loop may learn of the shutdown later than the clients.
+    /// The rejection of an event that is not submitted to the event loop at all; none for other
+    /// events.
+    fn early_rejection(&self, event: &EventHeader) -> Option<SubmitResponse> {
+        // The event loop may process the shutdown later than the client connections do.
         if self.context.client_gate.is_shutting_down() {
             return Some(SubmitResponse::Rejected(None));
         }
-        // Copies of broadcasts are submitted under ids of their own.
+        // The copies of broadcasts are submitted under ids that are reserved for them.
         let fanout = self.context.fanout.as_ref();
         if fanout.is_some_and(|fanout| fanout.reserves_id(&event.id)) {
             return Some(SubmitResponse::Rejected(None));
@@ -330,7 +337,7 @@
         &mut self,
         received: Receiver<SubmitResponse>,
         commit_by: Option<Instant>,
-    ) -> Submitted {
+    ) -> SubmissionResult {
         let mut readable_since = None;
         let client_gone = async {
             let _ = self.stream.readable().await;
@@ -338,19 +345,19 @@
                 readable_since = (!is_quiet(&self.stream)).then(Instant::now);
                 future::pending::<()>().await;
             }
-            Submitted::ClientGone
+            SubmissionResult::ClientGone
         };
         let response = async {
             let received = async {
                 match received.recv().await {
-                    Ok(response) => Submitted::Response(response),
-                    Err(_) => Submitted::Undecided,
+                    Ok(response) => SubmissionResult::Response(response),
+                    Err(_) => SubmissionResult::Undecided,
                 }
             };
             match commit_by {
                 Some(deadline) => until(deadline, received)
                     .await
-                    .unwrap_or(Submitted::Undecided),
+                    .unwrap_or(SubmissionResult::Undecided),
                 None => received.await,
             }
         };
@@ -363,19 +370,22 @@
         &mut self,
         id: EventId,
         request_number: u64,
-        submitted: Submitted,
+        submitted: SubmissionResult,
     ) -> Responded {
         let responded = match submitted {
-            // The client may have gone in the very turn of the response.
-            Submitted::Response(SubmitResponse::Accepted) if is_closed_by_peer(&self.stream) => {
+            // The client may have disconnected in the same turn of the executor in which the
+            // response arrived.
+            SubmissionResult::Response(SubmitResponse::Accepted)
+                if is_closed_by_peer(&self.stream) =>
+            {
                 Responded::Failed
             }
-            Submitted::Response(response) => self.respond_submitted(response).await,
-            Submitted::Undecided | Submitted::ClientGone => Responded::Failed,
+            SubmissionResult::Response(response) => self.respond_submitted(response).await,
+            SubmissionResult::Undecided | SubmissionResult::ClientGone => Responded::Failed,
         };
         let may_be_pending = match submitted {
-            Submitted::Response(response) => response == SubmitResponse::Accepted,
-            Submitted::Undecided | Submitted::ClientGone => true,
+            SubmissionResult::Response(response) => response == SubmitResponse::Accepted,
+            SubmissionResult::Undecided | SubmissionResult::ClientGone => true,
         };
         if responded == Responded::Failed && may_be_pending {
             debug!(self.context.log, "client left before its response"; "event" => &*id.0);
@@ -389,7 +399,7 @@
     }
 }
 
-/// What is left of a timeout that began with the first byte of its request.
+/// The rest of a timeout that started with the first byte of its request.
 fn time_left(timeout: Ms, began: Instant) -> Ms {
     (timeout - to_ms(began.elapsed())).max(0.0)
 }
--- a/forwarder/server/src/clients/mod.rs
+++ b/forwarder/server/src/clients/mod.rs
@@ -1,8 +1,8 @@
-//! Connections of clients, those that are accepted and those that a predecessor process transfers.
+//! Connections of clients, both accepted ones and those that a predecessor process transfers.
 //!
-//! Each has a task ([`connection`]) that reads requests ([`read_request`], [`request`]), submits
-//! events to the event loop and responds ([`respond`]). [`waiting`] says which connections make
-//! room for others.
+//! Each connection has a task ([`connection`]) that reads requests ([`read_request`], [`request`]),
+//! submits events to the event loop and responds ([`respond`]). [`waiting`] decides which
+//! connections are evicted to make room for others.
 
 mod broadcast;
 mod connection;
@@ -35,16 +35,17 @@
 use crate::stream::{is_quiet, Stream};
 use crate::targets::max_idle_connections;
 
-/// Descriptors for discovery, the event log, the process's log and the reactor.
+/// File descriptors reserved for discovery, the event log, the process's log and the reactor.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Between tries while connections cannot be accepted.
+/// Delay before the next accept after a failed one.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Between looks whether the last client has its response.
+/// Polling interval of [`wait_until_served`].
 const SERVED_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Returns once no client is connected. A client that is half-way through a request is owed its
-/// response, or is told that the request took too long. So is one that waits in the kernel's queue:
-/// shutdown may be due in the same turn in which it connects.
+/// Returns once no client is connected. A client that has sent part of a request receives its
+/// response, or an error that the request took too long. The same applies to a client in the
+/// kernel's accept queue: shutdown may be due in the same turn of the executor in which the client
+/// connects.
 pub async fn wait_until_served(context: &ServerContext) {
     loop {
         while context.open_clients.get() > 0 {
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Connections that are served at most: the descriptors that targets, discovery, files,
-    /// operators and the predecessor process do not need.
+    /// Maximum number of connections that are served: the descriptors that are not needed for
+    /// targets, discovery, files, operators and the predecessor process.
     fn max_connections(&self) -> usize {
         let config = &self.context.config;
         let admin = config
@@ -109,17 +110,18 @@
         let _ = stream.get_ref().set_nodelay(true);
         let connections = &self.connections;
         let max = self.max_connections();
-        // The last eighth is told that the server is full.
+        // Events on connections in the last eighth of the limit are rejected because the server is
+        // full.
         connections.set_soft_limit(max - max / 8);
-        let over_limit = !connections.make_room();
+        let over_limit = !connections.evict_excess();
         let mut counted = connections.try_count(max);
-        // Some that were to make room go on with what just arrived, but once only.
-        while counted.is_none() && connections.make_room() {
+        // An evicted connection may continue with bytes that have just arrived, but only once.
+        while counted.is_none() && connections.evict_excess() {
             future::yield_now().await;
             counted = connections.try_count(max);
         }
         let Some(counted) = counted else {
-            // All of them are being served.
+            // No connection is waiting: all of them are being served.
             reject(&stream);
             return;
         };
@@ -130,12 +132,13 @@
             WaitReason::FirstRequest,
             READ_TIMEOUT,
         );
-        // Those that made room end now, and what was accepted is read before more is.
+        // Evicted connections close now, and the accepted connection is read before the next is
+        // accepted.
         future::yield_now().await;
     }
 
-    /// Serves a connection on which the predecessor process waited for the next request, for
-    /// `time_left` more.
+    /// Serves a connection on which the predecessor process was waiting for the next request; the
+    /// wait continues for `time_left`.
     pub fn take_over(&self, stream: Stream, requests_served: u64, time_left: Duration) {
         let reason = match requests_served {
             0 => WaitReason::FirstRequest,
@@ -144,7 +147,8 @@
         };
         match self.connections.try_count(self.max_connections()) {
             Some(counted) => self.serve(stream, false, counted, reason, time_left),
-            // An idle connection may be closed, but its request may lie in it.
+            // An idle connection may be closed without a response, but not if its request has
+            // already arrived.
             None if !is_quiet(&stream) => reject(&stream),
             None => (),
         }
--- a/forwarder/server/src/clients/read_request.rs
+++ b/forwarder/server/src/clients/read_request.rs
@@ -11,21 +11,21 @@
 use super::request::{parse_head, PartialRequest, Request, RequestError};
 use crate::stream::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// Sizes and ends of chunks together, in bytes: those of the longest body in chunks of one byte
-/// fit.
+/// Maximum bytes of chunk sizes and chunk ends together: enough for the longest body in chunks of
+/// one byte.
 const MAX_CHUNK_FRAMING_BYTES: usize = 6 * MAX_BODY_BYTES;
 
 const BODY_TOO_LONG: RequestError = RequestError::new(413, "the body is too long");
 pub(super) const OUT_OF_BUFFERS: RequestError =
     RequestError::new(503, "no memory for more requests");
 
-/// Where a head ends in its buffer, and when its first byte arrived.
+/// End of a head in its buffer, and the time at which its first byte arrived.
 struct HeadEnd {
     end: usize,
     began: Instant,
 }
 
-/// Where a body stands in its buffer, decoded, and where the bytes behind the request begin.
+/// Position of a decoded body in its buffer, and the start of the bytes after the request.
 struct BodyEnd {
     body: Range<usize>,
     request_end: usize,
@@ -34,7 +34,7 @@
 /// The client ended the connection before its request was complete.
 struct Disconnected;
 
-/// Why a request is not complete.
+/// Reason for which a request is not complete.
 enum Incomplete {
     Disconnected,
     Invalid(RequestError),
@@ -84,7 +84,7 @@
         } = partial;
         let HeadEnd { end, began } = self.read_head(&mut buffer, &mut filled).await?;
         let head = RequestHead::read(&buffer[..end])?;
-        let asked = parse_head(&head, &self.context.config)?;
+        let kind = parse_head(&head, &self.context.config)?;
         let framing = head.body;
         let closes = head.closes;
         if matches!(framing, http1::Body::Length(length) if length > MAX_BODY_BYTES as u64) {
@@ -101,7 +101,7 @@
             .await?;
         self.keep_next_request(&buffer[request_end..filled])?;
         Ok(Request {
-            asked,
+            kind,
             buffer,
             body,
             closes,
@@ -116,7 +116,7 @@
     ) -> Result<HeadEnd, Incomplete> {
         let mut search = HeadSearch::default();
         let mut skipped = 0;
-        // What the request begins with came with the end of the request before.
+        // The beginning of the request may have arrived with the end of the previous one.
         let mut began = self.last_read;
         loop {
             // Empty lines before a request are skipped (RFC 9112, section 2.2).
@@ -178,7 +178,7 @@
         })
     }
 
-    /// Decodes the chunks in place; framing that was decoded makes room for more.
+    /// Decodes the chunks in place; removing the decoded framing frees space for more bytes.
     async fn read_chunked_body(
         &mut self,
         buffer: &mut PooledBuffer,
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Keeps bytes behind a request as the beginning of the next.
+    /// Keeps bytes after a request as the beginning of the next.
     fn keep_next_request(&mut self, behind: &[u8]) -> Result<(), RequestError> {
         if !http1::may_begin(&behind[http1::empty_lines(behind)..]) {
             return Err(RequestError::new(400, "the body is longer than its length"));
@@ -232,8 +232,8 @@
         filled: &mut usize,
     ) -> Result<(), Disconnected> {
         if *filled > 0 {
-            // A client whose bytes arrive as fast as they are read would never let the others have
-            // their turn, nor the time be up.
+            // Without the yield, a client whose bytes arrive as fast as they are read would block
+            // the other connections and its own timeout.
             future::yield_now().await;
         }
         let read = self.stream.read(&mut buffer[*filled..]).await.unwrap_or(0);
--- a/forwarder/server/src/clients/rejection_log.rs
+++ b/forwarder/server/src/clients/rejection_log.rs
@@ -1,5 +1,5 @@
-//! The log of rejected requests, shared by all connections: a flood of bad requests is not to flood
-//! the log.
+//! The log of rejected requests, shared by all connections and limited in rate: a flood of invalid
+//! requests must not flood the log.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -8,10 +8,11 @@
 
 use super::request::RequestError;
 
-/// Rejected requests are logged so often at most, with the number of those between.
+/// Minimum time between two logged rejections; each log line has the number of rejections
+/// suppressed before it.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Logs one rejected request in [`LOG_INTERVAL`] at most.
+/// Logs at most one rejected request in [`LOG_INTERVAL`].
 #[derive(Default)]
 pub(super) struct RejectionLog {
     last_logged: Cell<Option<Instant>>,
--- a/forwarder/server/src/clients/request.rs
+++ b/forwarder/server/src/clients/request.rs
@@ -1,4 +1,4 @@
-//! A client's request: what its head asks for, and what is wrong with it.
+//! A client's request: parsing of its head, and its errors.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 const MAX_EVENT_ID_BYTES: usize = 128;
 /// Longest `Req-Deadline`, in seconds.
 const MAX_TIMEOUT_SECONDS: f64 = 1e6;
-/// A broadcast's own destination says nothing: its list names the destinations.
+/// Placeholder for a broadcast's own destination: the destinations are those of its list.
 const BROADCAST_DESTINATION: &str = "0";
 
-/// Rejection of a request that is no decision on an event.
+/// Rejection of a request without a decision on an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub(super) struct RequestError {
@@ -49,18 +49,18 @@
 
 /// A request that was read to its end.
 pub(super) struct Request {
-    pub(super) asked: Asked,
+    pub(super) kind: RequestKind,
     pub(super) buffer: PooledBuffer,
     pub(super) body: Range<usize>,
-    /// Whether the client wants the connection closed behind the response.
+    /// Whether the client requests that the connection is closed after the response.
     pub(super) closes: bool,
-    /// When the request's first byte arrived: the client's time counts from there at the latest.
+    /// When the request's first byte arrived; the client's timeout starts then at the latest.
     pub(super) began: Instant,
 }
 
-/// What a request asks for.
-pub(super) enum Asked {
-    /// `GET /up`: whether clients are to come.
+/// Kind of a request.
+pub(super) enum RequestKind {
+    /// `GET /up`: whether the process admits clients.
     Up,
     /// `POST /{traffic type}`
     Event(EventHeader),
@@ -75,10 +75,10 @@
 pub(super) fn parse_head(
     head: &RequestHead,
     config: &ForwarderConfig,
-) -> Result<Asked, RequestError> {
+) -> Result<RequestKind, RequestError> {
     if head.path() == "/up" {
         return match head.method {
-            "GET" => Ok(Asked::Up),
+            "GET" => Ok(RequestKind::Up),
             _ => Err(RequestError::new(405, "only GET is served here")),
         };
     }
@@ -88,14 +88,14 @@
     }
     let event = parse_event(head, config, traffic_type, list.is_some())?;
     Ok(match list {
-        Some(list) => Asked::Broadcast(list, event),
-        None => Asked::Event(event),
+        Some(list) => RequestKind::Broadcast(list, event),
+        None => RequestKind::Event(event),
     })
 }
 
-/// Where a path leads.
+/// Result of parsing a path.
 struct Route {
-    /// Of a broadcast.
+    /// The list of a broadcast; none for a single event.
     list: Option<ListName>,
     traffic_type: TrafficTypeId,
 }
@@ -140,7 +140,7 @@
 ) -> Result<EventHeader, RequestError> {
     let fields = &head.fields;
     let settings = &config.decisions.traffic_types[traffic_type.0];
-    // All fields are read before any is judged: a field that stands twice is the first fault.
+    // All fields are read before any is validated: a duplicate field is the first error reported.
     let id = fields.one("Req-Id")?;
     let timeout = fields.one("Req-Deadline")?.and_then(parse_timeout);
     let envelope = fields.one("X-Envelope")?.unwrap_or_default();
@@ -171,7 +171,7 @@
         id,
         destination: DestinationId(destination),
         traffic_type,
-        // Nobody is owed more than the traffic type gives.
+        // The timeout is at most that of the traffic type.
         timeout: settings.patience.min(timeout),
         key,
         fingerprint,
--- a/forwarder/server/src/clients/respond.rs
+++ b/forwarder/server/src/clients/respond.rs
@@ -13,14 +13,14 @@
 use crate::lingering_close;
 use crate::stream::is_quiet;
 
-/// A response for which its client makes no room is given up: the client waits for 400 ms, the
-/// response's first byte included.
+/// Time limit for writing a response that its client does not read: the client waits for 400 ms,
+/// the response's first byte included.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// What still arrives behind the last response is read for so long: a client that goes by the
-/// response closes at once.
+/// How long bytes that arrive after the last response are still read: a client that follows the
+/// response closes the connection at once.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether the connection can go on behind a response.
+/// Whether a response was written, so that the connection can continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Responded {
     Written,
@@ -28,7 +28,7 @@
 }
 
 impl ClientConnection {
-    /// The response to a submitted event.
+    /// Responds to a submitted event.
     pub(super) async fn respond_submitted(&mut self, response: SubmitResponse) -> Responded {
         match response {
             SubmitResponse::Accepted => self.respond(202, &[], "").await,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Rejects a request that is no event, and ends the connection.
+    /// Rejects a request that is not submitted as an event, and ends the connection.
     pub(super) async fn reject(mut self, error: RequestError) {
         self.connections
             .rejection_log()
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Ends the connection behind its last response; meanwhile the connection is the first to make
-    /// room for others.
+    /// Closes the connection after its last response; during the lingering close the connection is
+    /// the first to be evicted.
     pub(super) async fn close(self) {
         let lingering = lingering_close::linger(&self.stream);
         let deadline = Instant::now() + LINGER_TIMEOUT;
@@ -68,8 +68,8 @@
             .await;
     }
 
-    /// Writes a response. It is the last one also if clients are not to come any more and nothing
-    /// has arrived behind the request: what has arrived is answered as well.
+    /// Writes a response. The response is also the last one if the client gate is shut and nothing
+    /// has arrived after the request; a request that has already arrived still receives a response.
     pub(super) async fn respond(
         &mut self,
         status: u16,
@@ -93,7 +93,7 @@
         let written = match future::poll_once(&mut writing).await {
             Some(written) => written.is_ok(),
             None => {
-                // The client has not read responses for long.
+                // The send buffer is full: the client has not read its responses for long.
                 let deadline = Instant::now() + WRITE_TIMEOUT;
                 let waited = self
                     .connections
--- a/forwarder/server/src/clients/tests.rs
+++ b/forwarder/server/src/clients/tests.rs
@@ -1,4 +1,5 @@
-//! Clients alone at shutdown: the event loop is a mailbox that nobody reads.
+//! Tests of client connections at shutdown. In place of the event loop there is a mailbox that is
+//! never read.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,14 +23,14 @@
 struct Harness {
     context: ServerContext,
     address: SocketAddr,
-    /// Held, and never read.
+    /// Kept open, and never read.
     _mailbox: Receiver<Input>,
     _folder: tempfile::TempDir,
 }
 
 impl Harness {
     fn new() -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder");
         let job = json!({"name": "job", "semantics": "pure", "aimUs": 1000000, "deadlineUs": 60000000,
             "credit": 1, "lateWorth": 0.1, "serialByKey": false});
         let settings = json!({"me": 0, "balancers": 1, "shapes": ["k"], "zones": ["z"], "zone": "z",
@@ -51,10 +52,13 @@
         }
     }
 
-    /// A client that has sent an event; nothing runs here before the story runs on.
+    /// A client that has sent an event; the executor does not run until the test runs it.
     fn connect_and_submit(&self) -> TcpStream {
-        let mut client = TcpStream::connect(self.address).expect("the kernel takes it");
-        client.write_all(EVENT).expect("the kernel takes it");
+        let mut client =
+            TcpStream::connect(self.address).expect("the kernel accepts the connection");
+        client
+            .write_all(EVENT)
+            .expect("the kernel accepts the data");
         client.set_read_timeout(Some(LONG)).expect("a socket");
         client
     }
@@ -63,12 +67,12 @@
         let served = async { until(Instant::now() + LONG, wait_until_served(&self.context)).await };
         assert!(
             block_on(self.context.executor.run(served)).is_some(),
-            "somebody is never answered"
+            "a client never received a response"
         );
     }
 }
 
-/// Nobody was accepted yet when the end is due.
+/// No connection has been accepted yet when the shutdown begins.
 #[test]
 fn a_client_in_the_kernels_queue_at_shutdown_is_answered() {
     let harness = Harness::new();
@@ -78,27 +82,29 @@
     let Harness {
         context, address, ..
     } = harness;
-    // All that the process holds goes with it.
+    // Drops everything that the process owns, as at its end.
     drop(context);
     for client in &mut clients {
-        let mut said = String::new();
-        client.read_to_string(&mut said).expect("closed in order");
+        let mut response = String::new();
+        client
+            .read_to_string(&mut response)
+            .expect("the connection is closed without a reset");
         assert!(
-            said.starts_with("HTTP/1.1 503 ") && said.contains("Connection: close"),
-            "{address}: {said}"
+            response.starts_with("HTTP/1.1 503 ") && response.contains("Connection: close"),
+            "{address}: {response}"
         );
     }
 }
 
-/// The event loop has not learned of the shutdown yet, and would accept the event.
+/// The event loop has not processed the shutdown yet, and would accept the event.
 #[test]
 fn an_event_that_is_read_after_shutdown_is_answered_and_not_submitted() {
     let harness = Harness::new();
     harness.context.client_gate.shut_down();
     let mut client = harness.connect_and_submit();
     harness.run_until_all_are_served();
-    let mut said = [0; 13];
-    client.read_exact(&mut said).expect("an answer");
-    assert_eq!(&said, b"HTTP/1.1 503 ");
+    let mut response = [0; 13];
+    client.read_exact(&mut response).expect("a response");
+    assert_eq!(&response, b"HTTP/1.1 503 ");
     assert!(harness._mailbox.is_empty());
 }
--- a/forwarder/server/src/clients/waiting.rs
+++ b/forwarder/server/src/clients/waiting.rs
@@ -1,6 +1,6 @@
-//! All connections of clients, and those of them that wait for their peer: when there are too many,
-//! connections that wait make room for new ones, in the order of [`WaitReason`] and the longest
-//! wait first.
+//! All connections of clients, and those of them that wait for their peer. When too many
+//! connections are open, waiting connections are evicted to make room for new ones, in the order of
+//! [`WaitReason`] and with the longest wait first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,25 +15,26 @@
 use crate::count_guard::CountGuard;
 use crate::stream::until;
 
-/// A connection that served requests before and gets none for so long is closed: some clients never
-/// close theirs, and have a limit on their number. Sooner would cross the requests of clients that
-/// come again.
+/// Idle timeout of a connection that served requests before: some clients never close their
+/// connections, and have a limit on their number. A shorter timeout would race with new
+/// requests of returning clients.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that served one request gets so long for the next while many are open: clients have
-/// a limit on their connections, and those that served once and stay keep them from opening others
-/// for new events.
+/// Timeout for the second request of a connection while many connections are open: clients have a
+/// limit on their connections, and connections that stay open after one request prevent a client
+/// from opening others for new events.
 const SECOND_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
-/// A connection's first request comes right behind it, but may come after the next connection.
+/// Time within which a connection is expected to send its first request: the request follows
+/// directly after the connection is opened, but may arrive after the next connection.
 pub(super) const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
 
-/// What a connection waits for, in the order in which connections make room.
+/// What a connection waits for, in the order in which connections are evicted.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum WaitReason {
-    /// The peer's close, behind the last response.
+    /// The peer's close, after the last response.
     Close,
-    /// Room for a response that the peer does not read.
+    /// Buffer space for a response that the peer does not read.
     Write,
-    /// A turn for a request that came before the last response.
+    /// A turn of the executor for a request that arrived before the last response was sent.
     Pipelined,
     /// The first request.
     FirstRequest,
@@ -41,30 +42,30 @@
     SecondRequest,
     /// A further request.
     NextRequest,
-    /// The rest of a request.
+    /// The remaining part of a request.
     RestOfRequest,
 }
 
-/// Why a wait ended without what was waited for.
+/// Reason for which a wait ended early.
 pub(super) enum WaitEnded {
     TimedOut,
-    /// Another connection needed the place.
-    MadeRoom,
+    /// Another connection needed the place or the buffer.
+    Evicted,
 }
 
-/// Order in which waiting connections make room: by reason, then by the number of the wait.
+/// Order in which waiting connections are evicted: by reason, then by the number of the wait.
 type WaitKey = (WaitReason, u64);
 
 struct Waiting {
     since: Instant,
     /// Dropped to end the wait.
-    _keeps_waiting: Sender<()>,
+    _eviction_guard: Sender<()>,
 }
 
-/// All connections of clients.
+/// The number of open client connections, and the waits of those that wait for their peer.
 pub(super) struct ConnectionTable {
     open: Rc<Cell<usize>>,
-    /// With more open than that, others make room for each new connection.
+    /// Number of open connections beyond which waiting connections are evicted for each new one.
     soft_limit: Cell<usize>,
     waits_begun: Cell<u64>,
     waiting: RefCell<BTreeMap<WaitKey, Waiting>>,
@@ -96,22 +97,23 @@
         CountGuard::try_new(&self.open, max)
     }
 
-    /// Whether one more connection finds room. As many as are open beyond the limit stop waiting,
-    /// those first that wait for the least; some of them may go on with what just arrived.
-    pub(super) fn make_room(&self) -> bool {
+    /// Evicts one waiting connection for each by which the open connections and the new one exceed
+    /// the soft limit, those with the least [`WaitReason`] first; some of them may continue with
+    /// bytes that have just arrived. Returns whether there is room for one more connection.
+    pub(super) fn evict_excess(&self) -> bool {
         let excess = (self.open.get() + 1).saturating_sub(self.soft_limit.get());
         let mut ended = 0;
         for _ in 0..excess {
-            if self.end_first_wait() {
+            if self.evict_first() {
                 ended += 1;
             }
         }
         excess == 0 || ended > 0
     }
 
-    /// Ends the wait that is first to make room. A connection that only just came, its request
-    /// behind it, is spared while there are others. False if none waits.
-    fn end_first_wait(&self) -> bool {
+    /// Evicts the first waiting connection. A connection that was only just opened, and whose first
+    /// request is about to follow, is spared while there are others. False if no connection waits.
+    fn evict_first(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let may_end = |key: &WaitKey, wait: &Waiting| {
             key.0 != WaitReason::FirstRequest || wait.since.elapsed() > FIRST_REQUEST_GRACE
@@ -127,8 +129,9 @@
         }
     }
 
-    /// The connection that has been half-way through a request for longest gives its buffer back;
-    /// false if none has been for as long as an honest client takes.
+    /// Evicts the connection that has been waiting for the rest of a request for the longest time,
+    /// which frees its buffer. False if none has been waiting for longer than
+    /// [`FIRST_REQUEST_GRACE`], the time that a well-behaved client takes.
     pub(super) fn free_buffer(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         let oldest = waiting.range((WaitReason::RestOfRequest, 0)..).next();
@@ -139,8 +142,8 @@
         waiting.remove(&key).is_some()
     }
 
-    /// How long a connection that served one request may stay without another. Many: over a quarter
-    /// of the limit.
+    /// How long a connection that served one request may remain open without another. Many
+    /// connections are open if they are over a quarter of the soft limit.
     pub(super) fn second_request_timeout(&self) -> Duration {
         let many_open = 4 * self.open.get() > self.soft_limit.get();
         if many_open {
@@ -153,38 +156,39 @@
     /// Waits for the future until `deadline`.
     ///
     /// # Errors
-    /// Why the wait ended first.
+    /// The wait timed out, or the connection was evicted first.
     pub(super) async fn wait<T>(
         &self,
         reason: WaitReason,
         deadline: Instant,
         future: impl Future<Output = T>,
     ) -> Result<T, WaitEnded> {
-        let (keeps_waiting, made_room) = async_channel::bounded(1);
-        let _registered = self.register(reason, keeps_waiting);
-        let made_room = async {
-            let _ = made_room.recv().await;
-            Err(WaitEnded::MadeRoom)
+        let (eviction_guard, evicted) = async_channel::bounded(1);
+        let _registered = self.register(reason, eviction_guard);
+        let evicted = async {
+            let _ = evicted.recv().await;
+            Err(WaitEnded::Evicted)
         };
         let completed = async { Ok(future.await) };
         let first = match reason {
-            // The connection would go on, and be in nobody's way for a moment only.
+            // Eviction has precedence: the connection would only continue to its next wait, and be
+            // out of the way only for a moment.
             WaitReason::Write | WaitReason::Pipelined => {
-                until(deadline, future::or(made_room, completed)).await
+                until(deadline, future::or(evicted, completed)).await
             }
-            // What has just arrived still counts.
-            _ => until(deadline, future::or(completed, made_room)).await,
+            // Bytes that have just arrived have precedence over the eviction.
+            _ => until(deadline, future::or(completed, evicted)).await,
         };
         first.unwrap_or(Err(WaitEnded::TimedOut))
     }
 
-    fn register(&self, reason: WaitReason, keeps_waiting: Sender<()>) -> Registration<'_> {
+    fn register(&self, reason: WaitReason, eviction_guard: Sender<()>) -> Registration<'_> {
         let number = self.waits_begun.get() + 1;
         self.waits_begun.set(number);
         let key = (reason, number);
         let wait = Waiting {
             since: Instant::now(),
-            _keeps_waiting: keeps_waiting,
+            _eviction_guard: eviction_guard,
         };
         self.waiting.borrow_mut().insert(key, wait);
         Registration { table: self, key }
