--- a/forwarder/connection-quotas/src/language/check.rs
+++ b/forwarder/connection-quotas/src/language/check.rs
@@ -1,26 +1,26 @@
-//! From tree to policy: every error is found here, before the policy is in force.
+//! Converts a tree into a policy, and finds all errors before the policy is in force.
 
 use super::checks::{budgets, fit, lease, members, names, numbers, KnownNames};
 use super::diagnostic::{Diagnostics, PolicyErrors};
 use super::policy::Policy;
 use super::tree::Tree;
 
-/// The version of the language that is read here. A text means the same wherever it is read.
+/// The version of the language that this parser accepts. A text has the same meaning on every instance.
 pub const LANGUAGE_VERSION: u64 = 1;
 const MAX_BUDGETS: usize = 1_000;
 const MAX_RULES: usize = 256;
 
-/// The policy that a tree says; `file` names the text in errors.
+/// Checks a tree and converts it into a policy. `file` names the text in errors.
 ///
 /// # Errors
-/// Every error of the tree, up to a bound.
+/// Every error of the tree, up to a limit.
 pub fn check(file: &str, tree: &Tree, known: &KnownNames) -> Result<Policy, PolicyErrors> {
     let mut errors = Diagnostics::new(file);
     if tree.language.value != LANGUAGE_VERSION {
         errors.add(
             tree.language.position,
             "language",
-            format!("{} is not known", tree.language.value),
+            format!("version {} is not supported", tree.language.value),
             format!("write `language {LANGUAGE_VERSION}`"),
         );
     }
--- a/forwarder/connection-quotas/src/language/checks/budgets.rs
+++ b/forwarder/connection-quotas/src/language/checks/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets and rules, each by itself.
+//! Checks of single budgets and rules.
 
 use super::super::diagnostic::Diagnostics;
 use super::super::policy::{Budget, Change, PoolTerms, Rule};
@@ -6,12 +6,12 @@
     Amount, BudgetKey, BudgetTree, Located, MemberTree, Over, RuleTree, Scope, Selection,
 };
 use super::members::{check_contradictions, check_member, Members};
-use super::numbers::{connections, GivenKeys};
+use super::numbers::{connections, SeenKeys};
 
-/// What a block says.
+/// The checked keys of a budget or rule block.
 struct Block {
     change: Change,
-    /// Budgets alone have it.
+    /// Only budgets have this key.
     standing: Option<u32>,
 }
 
@@ -25,11 +25,11 @@
         change: Change::default(),
         standing: None,
     };
-    let mut given = GivenKeys::default();
-    for part in keys {
-        match part {
+    let mut seen = SeenKeys::default();
+    for item in keys {
+        match item {
             BudgetKey::Connections(amount) => {
-                given.add(errors, "connections", amount.position, key);
+                seen.add(errors, "connections", amount.position, key);
                 check_amount(
                     errors,
                     *amount,
@@ -38,17 +38,17 @@
                 );
             }
             BudgetKey::Reserve(number) => {
-                given.add(errors, "reserve", number.position, key);
+                seen.add(errors, "reserve", number.position, key);
                 let key = format!("{key} / reserve");
                 block.change.reserve = Some(connections(errors, &key, *number, 0));
             }
             BudgetKey::Standing(number) => {
-                given.add(errors, "standing", number.position, key);
+                seen.add(errors, "standing", number.position, key);
                 let key = format!("{key} / standing");
                 block.standing = Some(connections(errors, &key, *number, 0));
             }
             BudgetKey::Over(over) => {
-                given.add(errors, "over", over.position, key);
+                seen.add(errors, "over", over.position, key);
                 block.change.over = Some(over.value);
             }
             BudgetKey::Member(tree) => {
@@ -61,17 +61,19 @@
 
 fn check_amount(errors: &mut Diagnostics, amount: Located<Amount>, key: &str, change: &mut Change) {
     match amount.value {
-        Amount::Whole(number) => {
+        Amount::Count(number) => {
             let number = Located {
                 value: number,
                 position: amount.position,
             };
             change.connections = Some(connections(errors, key, number, 1));
         }
-        Amount::Part(part) if (1..=10_000).contains(&part.0) => change.part = Some(part),
-        Amount::Part(part) => {
-            let way_out = "0.01% to 100% are allowed";
-            errors.add(amount.position, key, format!("is {part}"), way_out);
+        Amount::Percent(percent) if (1..=10_000).contains(&percent.0) => {
+            change.percent = Some(percent)
+        }
+        Amount::Percent(percent) => {
+            let suggestion = "0.01% to 100% are allowed";
+            errors.add(amount.position, key, format!("is {percent}"), suggestion);
         }
     }
 }
@@ -95,8 +97,8 @@
         errors.add(
             tree.name.position,
             &key,
-            "is told twice",
-            "put both into one",
+            "is given twice",
+            "merge the two blocks",
         );
     }
     change.members.push(changed);
@@ -111,7 +113,7 @@
     members.collect()
 }
 
-/// The budgets in the order written; `None` for one that says no number of connections.
+/// The budgets in the order written; `None` for a budget without a number of connections.
 pub(in super::super) fn check_budgets(
     errors: &mut Diagnostics,
     trees: &[BudgetTree],
@@ -125,17 +127,20 @@
     budgets
 }
 
-/// Reports budgets that hold for the same targets with neither of them the narrower.
+/// Reports each earlier budget that selects the same targets, so that neither of the two is more specific.
 fn check_overlap(errors: &mut Diagnostics, tree: &BudgetTree, earlier: &[BudgetTree]) {
     let scope = &tree.scope.value;
     for other in earlier
         .iter()
-        .filter(|other| is_same_ground(&other.scope.value, scope))
+        .filter(|other| selects_same_targets(&other.scope.value, scope))
     {
         let line = other.scope.position.line;
-        let problem = format!("`{}` in line {line} holds for the same", other.scope.value);
+        let problem = format!(
+            "`{}` in line {line} applies to the same targets",
+            other.scope.value
+        );
         let key = format!("budget {scope}");
-        errors.add(tree.scope.position, &key, problem, "leave one of them out");
+        errors.add(tree.scope.position, &key, problem, "remove one of them");
     }
 }
 
@@ -144,8 +149,8 @@
     let key = format!("budget {scope}");
     let Block { change, standing } = check_block(errors, &tree.keys, &key, members);
     let Some(connections) = change.connections else {
-        let problem = match change.part {
-            Some(_) => "is a part of nothing",
+        let problem = match change.percent {
+            Some(_) => "is a percentage without a base",
             None => "is missing",
         };
         let key = format!("{key} / connections");
@@ -164,7 +169,7 @@
     let free = connections
         .saturating_sub(terms.reserve)
         .saturating_sub(floors);
-    // A quarter of what is free, where nothing is said: enough to go on alone, little to lie idle.
+    // The default is a quarter of the free connections: enough to operate without a lease, and few that may stay idle.
     terms.standing = standing.unwrap_or(free / 4);
     let blocks = member_blocks(&tree.keys);
     let prefix = format!("{key} / ");
@@ -175,13 +180,13 @@
     })
 }
 
-fn is_same_ground(a: &Scope, b: &Scope) -> bool {
-    let ground = |scope: &Scope| match scope {
+fn selects_same_targets(a: &Scope, b: &Scope) -> bool {
+    let selection = |scope: &Scope| match scope {
         Scope::Destination(number) => Some(Selection::Destination(*number)),
         Scope::Each { of, .. } => Some(of.clone()),
         Scope::Target(_) => None,
     };
-    a == b || (ground(a).is_some() && ground(a) == ground(b))
+    a == b || (selection(a).is_some() && selection(a) == selection(b))
 }
 
 /// The rules in the order written.
@@ -195,8 +200,8 @@
         let key = format!("rule {}", tree.name.value);
         let change = check_block(errors, &tree.keys, &key, members).change;
         if tree.keys.is_empty() {
-            let way_out = "say what changes, or leave it out";
-            errors.add(tree.name.position, &key, "changes nothing", way_out);
+            let suggestion = "add the keys to change, or remove the rule";
+            errors.add(tree.name.position, &key, "changes nothing", suggestion);
         }
         let scope = tree.scope.as_ref().map(|scope| scope.value.clone());
         rules.push(Rule {
--- a/forwarder/connection-quotas/src/language/checks/fit.rs
+++ b/forwarder/connection-quotas/src/language/checks/fit.rs
@@ -1,5 +1,5 @@
-//! Whether what is promised at each budget fits into its connections, with any of the rules that may hold there, and
-//! with all of them at once.
+//! Checks that the guaranteed connections of each budget fit into its total: without rules, and with the rules that may
+//! apply to it added one after another. The reserve and each floor count with their highest value so far.
 
 use super::super::diagnostic::Diagnostics;
 use super::super::policy::{Budget, PoolTerms, Rule};
@@ -7,7 +7,7 @@
 use super::budgets::member_blocks;
 use super::members::{check_contradictions, Members};
 
-/// Reports budgets that promise more than they have.
+/// Reports budgets that guarantee more connections than they have.
 pub(in super::super) fn check_fit(
     errors: &mut Diagnostics,
     tree: &Tree,
@@ -21,28 +21,28 @@
         };
         let key = format!("budget {}", budget.scope);
         let base = &budget.terms;
-        check_promises(errors, base.connections, base, &written.scope, &key, "");
-        let mut worst = base.clone();
+        check_guarantees(errors, base.connections, base, &written.scope, &key, "");
+        let mut combined = base.clone();
         let possible = rules
             .iter()
             .zip(&tree.rules)
-            .filter(|(rule, _)| may_hold(rule, &budget.scope));
+            .filter(|(rule, _)| may_apply(rule, &budget.scope));
         for (rule, written) in possible {
-            let before = worst.clone();
-            rule.change.apply(base.connections, &mut worst);
-            worst.reserve = worst.reserve.max(before.reserve);
-            for (member, before) in worst.members.iter_mut().zip(&before.members) {
+            let before = combined.clone();
+            rule.change.apply(base.connections, &mut combined);
+            combined.reserve = combined.reserve.max(before.reserve);
+            for (member, before) in combined.members.iter_mut().zip(&before.members) {
                 member.floor = member.floor.max(before.floor);
             }
             let blocks = member_blocks(&written.keys);
             let prefix = format!("rule {} / ", written.name.value);
-            check_contradictions(errors, &worst.members, &members.names, &blocks, &prefix);
-            if promised(&before) <= before.connections {
+            check_contradictions(errors, &combined.members, &members.names, &blocks, &prefix);
+            if guaranteed(&before) <= before.connections {
                 let reason = format!(" with {}", prefix.trim_end_matches(" / "));
-                check_promises(
+                check_guarantees(
                     errors,
                     base.connections,
-                    &worst,
+                    &combined,
                     &written.name,
                     &key,
                     &reason,
@@ -52,7 +52,7 @@
     }
 }
 
-fn promised(terms: &PoolTerms) -> u32 {
+fn guaranteed(terms: &PoolTerms) -> u32 {
     terms.reserve + terms.standing + floors(terms)
 }
 
@@ -60,8 +60,9 @@
     terms.members.iter().map(|member| member.floor).sum()
 }
 
-/// `base` is the budget's own number of connections; `reason` is why the terms are others, empty where they are not.
-fn check_promises<T>(
+/// Reports an error if the guarantees of `terms` exceed its connections. `base` is the budget's own number of
+/// connections; `reason` names the rule that changed the terms, and is empty for the budget itself.
+fn check_guarantees<T>(
     errors: &mut Diagnostics,
     base: u32,
     terms: &PoolTerms,
@@ -69,14 +70,14 @@
     key: &str,
     reason: &str,
 ) {
-    let promised = promised(terms);
+    let guaranteed = guaranteed(terms);
     let PoolTerms {
         connections,
         reserve,
         standing,
         ..
     } = terms;
-    if promised <= *connections {
+    if guaranteed <= *connections {
         return;
     }
     let of_base = if reason.is_empty() {
@@ -85,21 +86,21 @@
         format!(" of {base}")
     };
     let problem = format!(
-        "floors {}, reserve {reserve} and standing {standing} are {promised}, above the {connections} \
+        "floors {}, reserve {reserve} and standing {standing} are {guaranteed}, above the {connections} \
          connections{of_base}{reason}",
         floors(terms)
     );
-    let excess = promised - connections;
-    let way_out = format!("take {excess} off them, or raise the connections");
+    let excess = guaranteed - connections;
+    let suggestion = format!("reduce them by {excess}, or raise the connections");
     errors.add(
         at.position,
         &format!("{key} / connections"),
         problem,
-        way_out,
+        suggestion,
     );
 }
 
-/// What a scope says of its targets.
+/// The facts that all targets of a scope have in common.
 #[derive(Default)]
 struct ScopeFacts {
     target: Option<String>,
@@ -130,7 +131,7 @@
         facts
     }
 
-    /// Whether no target can be in both scopes, as far as they say.
+    /// Whether the facts of the two scopes contradict each other, so that no target can be in both.
     fn excludes(&self, other: &ScopeFacts) -> bool {
         differ(self.target.as_ref(), other.target.as_ref())
             || differ(self.kind.as_ref(), other.kind.as_ref())
@@ -142,8 +143,8 @@
     matches!((a, b), (Some(a), Some(b)) if a != b)
 }
 
-/// Whether a rule may ever hold at a budget's targets, as far as the scopes say.
-fn may_hold(rule: &Rule, budget: &Scope) -> bool {
+/// Whether a rule may apply to any target of a budget, judged by the facts of the scopes.
+fn may_apply(rule: &Rule, budget: &Scope) -> bool {
     let facts = ScopeFacts::of(budget);
     if let Some(scope) = &rule.scope {
         if facts.excludes(&ScopeFacts::of(scope)) {
@@ -153,26 +154,26 @@
     holds(&rule.when, &facts) != Some(false)
 }
 
-/// Whether a condition holds; `None` where the scope does not say.
+/// Whether a condition holds; `None` if the scope does not determine it.
 fn holds(when: &Condition, facts: &ScopeFacts) -> Option<bool> {
     match when {
         Condition::Any(conditions) => {
-            let mut holding = conditions.iter().map(|one| holds(one, facts));
-            if holding.clone().any(|one| one == Some(true)) {
+            let mut results = conditions.iter().map(|one| holds(one, facts));
+            if results.clone().any(|one| one == Some(true)) {
                 return Some(true);
             }
-            if holding.all(|one| one == Some(false)) {
+            if results.all(|one| one == Some(false)) {
                 Some(false)
             } else {
                 None
             }
         }
         Condition::All(conditions) => {
-            let mut holding = conditions.iter().map(|one| holds(one, facts));
-            if holding.clone().any(|one| one == Some(false)) {
+            let mut results = conditions.iter().map(|one| holds(one, facts));
+            if results.clone().any(|one| one == Some(false)) {
                 return Some(false);
             }
-            if holding.all(|one| one == Some(true)) {
+            if results.all(|one| one == Some(true)) {
                 Some(true)
             } else {
                 None
--- a/forwarder/connection-quotas/src/language/checks/lease.rs
+++ b/forwarder/connection-quotas/src/language/checks/lease.rs
@@ -1,23 +1,23 @@
-//! The `lease` block.
+//! Checks of the `lease` block.
 
 use super::super::diagnostic::Diagnostics;
 use super::super::policy::LeaseTerms;
 use super::super::tree::{LeaseKey, Located, Percent};
-use super::numbers::{within, GivenKeys};
+use super::numbers::{within, SeenKeys};
 
-/// Where the policy says nothing, in milliseconds.
+/// The default time to live, in milliseconds.
 const DEFAULT_LASTS_MS: u64 = 10_000;
-/// Where the policy says nothing: 2%.
+/// The default clock drift: 2%.
 const DEFAULT_DRIFT: Percent = Percent(200);
 
-/// What the keys say, or the defaults.
+/// The values of the keys, or the defaults.
 struct LeaseKeys {
     lasts: Located<u64>,
     renew: Option<Located<u64>>,
     drift: Located<Percent>,
 }
 
-/// The terms of leases.
+/// Checks the `lease` blocks and returns the terms of leases.
 pub(in super::super) fn check_lease(
     errors: &mut Diagnostics,
     blocks: &[Located<Vec<LeaseKey>>],
@@ -26,8 +26,8 @@
         errors.add(
             block.position,
             "lease",
-            "is told twice",
-            "leave one of them out",
+            "is given twice",
+            "remove one of them",
         );
     }
     let keys = read_keys(errors, blocks);
@@ -40,17 +40,17 @@
     let renew = within(errors, "lease / renew", renew_key, 100, 200_000);
     if u64::from(renew) * 3 > u64::from(lasts) {
         let problem = format!("{renew}ms is over a third of the lease's {lasts}ms");
-        let way_out = "renew more often, or let a lease last longer";
-        errors.add(renew_key.position, "lease / renew", problem, way_out);
+        let suggestion = "renew more often, or let a lease last longer";
+        errors.add(renew_key.position, "lease / renew", problem, suggestion);
     }
     let drift = keys.drift;
     if !(1..=1_000).contains(&drift.value.0) {
-        let way_out = "0.01% to 10% are allowed; 2% is far above any clock that works";
+        let suggestion = "0.01% to 10% are allowed; 2% is far above the drift of any working clock";
         errors.add(
             drift.position,
             "lease / drift",
             format!("is {}", drift.value),
-            way_out,
+            suggestion,
         );
     }
     LeaseTerms {
@@ -66,19 +66,19 @@
         renew: None,
         drift: Located::from(DEFAULT_DRIFT),
     };
-    let mut given = GivenKeys::default();
+    let mut seen = SeenKeys::default();
     for key in blocks.iter().flat_map(|block| &block.value) {
         match *key {
             LeaseKey::Lasts(ms) => {
-                given.add(errors, "lasts", ms.position, "lease");
+                seen.add(errors, "lasts", ms.position, "lease");
                 keys.lasts = ms;
             }
             LeaseKey::Renew(ms) => {
-                given.add(errors, "renew", ms.position, "lease");
+                seen.add(errors, "renew", ms.position, "lease");
                 keys.renew = Some(ms);
             }
             LeaseKey::Drift(percent) => {
-                given.add(errors, "drift", percent.position, "lease");
+                seen.add(errors, "drift", percent.position, "lease");
                 keys.drift = percent;
             }
         }
--- a/forwarder/connection-quotas/src/language/checks/members.rs
+++ b/forwarder/connection-quotas/src/language/checks/members.rs
@@ -1,17 +1,17 @@
-//! Members: their names, what is said of each, and what that makes together.
+//! Checks of members: their names, the terms of each, and contradictions between the terms.
 
 use super::super::diagnostic::Diagnostics;
 use super::super::lending;
 use super::super::policy::{ChangedMember, MemberChange, MemberTerms, Reach, OTHERS};
 use super::super::tree::{Lends, MemberKey, MemberTree};
 use super::names::{check_known, KnownNames};
-use super::numbers::{connections, within, GivenKeys};
+use super::numbers::{connections, within, SeenKeys};
 
-/// Members that a policy may name.
+/// Maximum number of members that a policy may name.
 pub const MAX_MEMBERS: usize = 64;
 const MAX_WEIGHT: u64 = 1_000;
 
-/// All members in the order of their names, with what holds where a budget says nothing else.
+/// All members in the order of their names, with the terms that apply unless a budget overrides them.
 pub(in super::super) struct Members {
     pub(in super::super) names: Vec<String>,
     pub(super) terms: Vec<MemberTerms>,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The members and their terms.
+/// Checks the `member` blocks outside of budgets and rules, and returns the members and their terms.
 pub(in super::super) fn check_members(
     errors: &mut Diagnostics,
     trees: &[MemberTree],
@@ -61,8 +61,8 @@
             errors.add(
                 tree.name.position,
                 &key,
-                "is told twice",
-                "put both into one",
+                "is given twice",
+                "merge the two blocks",
             );
         }
         if tree.name.value != OTHERS {
@@ -71,8 +71,8 @@
     }
 }
 
-/// What a member's block says, and of whom; `None` where there is no such member. `prefix` is where the block
-/// stands, with ` / ` behind it.
+/// Checks a member's block; `None` if there is no such member. `prefix` is the path of the enclosing block, followed by
+/// ` / `; empty for a block outside of budgets and rules.
 pub(super) fn check_member(
     errors: &mut Diagnostics,
     tree: &MemberTree,
@@ -99,29 +99,29 @@
     members: &Members,
 ) -> MemberChange {
     let mut change = MemberChange::default();
-    let mut given = GivenKeys::default();
-    for part in keys {
-        match part {
+    let mut seen = SeenKeys::default();
+    for item in keys {
+        match item {
             MemberKey::Weight(weight) => {
-                given.add(errors, "weight", weight.position, key);
+                seen.add(errors, "weight", weight.position, key);
                 let key = format!("{key} / weight");
                 change.weight = Some(within(errors, &key, *weight, 0, MAX_WEIGHT));
             }
             MemberKey::Floor(floor) => {
-                given.add(errors, "floor", floor.position, key);
+                seen.add(errors, "floor", floor.position, key);
                 change.floor = Some(connections(errors, &format!("{key} / floor"), *floor, 0));
             }
             MemberKey::Ceiling(ceiling) => {
-                given.add(errors, "ceiling", ceiling.position, key);
+                seen.add(errors, "ceiling", ceiling.position, key);
                 let key = format!("{key} / ceiling");
                 change.ceiling = Some(connections(errors, &key, *ceiling, 0));
             }
             MemberKey::Borrows(borrows) => {
-                given.add(errors, "borrows", borrows.position, key);
+                seen.add(errors, "borrows", borrows.position, key);
                 change.borrows = Some(borrows.value);
             }
             MemberKey::Lends(lends) => {
-                given.add(errors, "lends", lends.position, key);
+                seen.add(errors, "lends", lends.position, key);
                 let key = format!("{key} / lends");
                 change.lends = Some(check_lends(errors, &lends.value, &key, members));
             }
@@ -151,8 +151,8 @@
     Reach::Only(positions)
 }
 
-/// Reports where members' terms contradict each other. `blocks` are the blocks that made the terms so; what a budget
-/// leaves as it was is reported where it was said.
+/// Reports contradictions in the terms of members. Only members with a block in `blocks`, which last changed the terms,
+/// are reported: terms that a budget inherits are reported at the block that defines them.
 pub(super) fn check_contradictions(
     errors: &mut Diagnostics,
     terms: &[MemberTerms],
@@ -170,8 +170,8 @@
         if member.ceiling < member.floor {
             let MemberTerms { ceiling, floor, .. } = member;
             let problem = format!("the ceiling {ceiling} is under the floor {floor}");
-            let way_out = "raise one or lower the other";
-            errors.add(position, &format!("{key} / ceiling"), problem, way_out);
+            let suggestion = "raise one or lower the other";
+            errors.add(position, &format!("{key} / ceiling"), problem, suggestion);
         }
         let Reach::Only(borrowers) = &member.lends else {
             continue;
@@ -181,25 +181,22 @@
             .filter(|borrower| !terms[**borrower].borrows)
         {
             let problem = format!("lends to {}, which does not borrow", names[*borrower]);
-            let way_out = "let it borrow, or leave it out here";
-            errors.add(position, &format!("{key} / lends"), problem, way_out);
+            let suggestion = "let it borrow, or remove it here";
+            errors.add(position, &format!("{key} / lends"), problem, suggestion);
         }
     }
-    let Some(circle) = lending::find_circle(terms) else {
+    let Some(cycle) = lending::find_cycle(terms) else {
         return;
     };
-    let Some(block) = circle.iter().find_map(|member| block_of(*member)) else {
+    let Some(block) = cycle.iter().find_map(|member| block_of(*member)) else {
         return;
     };
-    let mut circle: Vec<&str> = circle
-        .iter()
-        .map(|member| names[*member].as_str())
-        .collect();
-    circle.push(circle[0]);
+    let mut cycle: Vec<&str> = cycle.iter().map(|member| names[*member].as_str()).collect();
+    cycle.push(cycle[0]);
     errors.add(
         block.name.position,
         &format!("{prefix}member {} / lends", block.name.value),
-        format!("a circle of lending: {}", circle.join(" to ")),
-        "take one of them out of another's list, or say `lends all`",
+        format!("a lending cycle: {}", cycle.join(" to ")),
+        "remove one of them from another's list, or use `lends all`",
     );
 }
--- a/forwarder/connection-quotas/src/language/checks/mod.rs
+++ b/forwarder/connection-quotas/src/language/checks/mod.rs
@@ -1,5 +1,5 @@
-//! The checks of a policy, each on its own part of the tree. They go on after an error, so that all errors of a text
-//! are reported at once.
+//! The checks of a policy, one module for each part of the tree. They continue after an error, so that all errors of a
+//! text are reported at once.
 
 pub(super) mod budgets;
 pub(super) mod fit;
--- a/forwarder/connection-quotas/src/language/checks/names.rs
+++ b/forwarder/connection-quotas/src/language/checks/names.rs
@@ -1,20 +1,20 @@
-//! Names of kinds and zones, and names that are given twice.
+//! Checks that names of kinds and zones are known and that names of rules are unique.
 
 use super::super::diagnostic::{nearest, Diagnostics};
 use super::super::tree::{Condition, Located, Scope, Selection, Tree};
 
-/// The names that a policy may use, as far as its reader knows them: names that are not known are not checked.
+/// The names that a policy may use. `None` if they are not known: names of that category are then not checked.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KnownNames<'a> {
-    /// Kinds of destinations.
+    /// Names of destination kinds.
     pub kinds: Option<&'a [String]>,
-    /// Zones of targets.
+    /// Names of zones.
     pub zones: Option<&'a [String]>,
-    /// Members.
+    /// Names of members.
     pub members: Option<&'a [String]>,
 }
 
-/// Reports kinds and zones that are not known, and rules of one name.
+/// Reports unknown kinds and zones, and rules with the same name.
 pub(in super::super) fn check_names(errors: &mut Diagnostics, tree: &Tree, known: &KnownNames) {
     for budget in &tree.budgets {
         check_scope(errors, &budget.scope, known);
@@ -22,8 +22,13 @@
     for (at, rule) in tree.rules.iter().enumerate() {
         let key = format!("rule {}", rule.name.value);
         if tree.rules[..at].iter().any(|other| other.name == rule.name) {
-            let way_out = "give each rule a name of its own";
-            errors.add(rule.name.position, &key, "the name is told twice", way_out);
+            let suggestion = "give each rule a unique name";
+            errors.add(
+                rule.name.position,
+                &key,
+                "the name is used twice",
+                suggestion,
+            );
         }
         if let Some(scope) = &rule.scope {
             check_scope(errors, scope, known);
@@ -68,12 +73,12 @@
     }
 }
 
-/// Reports a name that is none of those known. `sort` says what is named.
+/// Reports a name that is not among the known ones. `category` is the category of the name, as in `zone`.
 pub(super) fn check_known(
     errors: &mut Diagnostics,
     name: &Located<String>,
     key: &str,
-    sort: &str,
+    category: &str,
     known: Option<&[String]>,
 ) {
     let Some(known) = known else {
@@ -82,11 +87,16 @@
     if known.contains(&name.value) {
         return;
     }
-    let way_out = match nearest(&name.value, known.iter().map(String::as_str)) {
-        Some(near) => format!("did you mean `{near}`?"),
-        None if known.is_empty() => format!("no {sort} is told"),
+    let suggestion = match nearest(&name.value, known.iter().map(String::as_str)) {
+        Some(similar) => format!("did you mean `{similar}`?"),
+        None if known.is_empty() => format!("no {category} is defined"),
         None => format!("known are: {}", known.join(", ")),
     };
-    let key = format!("{key} / {sort} {}", name.value);
-    errors.add(name.position, &key, format!("no such {sort}"), way_out);
+    let key = format!("{key} / {category} {}", name.value);
+    errors.add(
+        name.position,
+        &key,
+        format!("no such {category}"),
+        suggestion,
+    );
 }
--- a/forwarder/connection-quotas/src/language/checks/numbers.rs
+++ b/forwarder/connection-quotas/src/language/checks/numbers.rs
@@ -1,12 +1,12 @@
-//! Numbers within their bounds, and keys that are given once.
+//! Checks that numbers are within their bounds and that keys are given only once.
 
 use super::super::diagnostic::Diagnostics;
 use super::super::tree::{Located, Position};
 
-/// Connections of one pool.
+/// Maximum number of connections of one pool.
 pub const MAX_CONNECTIONS: u64 = 10_000;
 
-/// Reports the first of more than `max` blocks.
+/// Reports an error at the first block after `max` blocks, if there are more.
 pub(in super::super) fn at_most(
     errors: &mut Diagnostics,
     key: &str,
@@ -14,11 +14,11 @@
     max: usize,
 ) {
     if let Some(position) = positions.nth(max) {
-        errors.add(position, key, format!("more than {max}"), "say it in fewer");
+        errors.add(position, key, format!("more than {max}"), "use fewer");
     }
 }
 
-/// A number within its bounds. One outside of them is reported, and the nearer bound goes on in its place.
+/// Checks that a number is within its bounds. A number outside is reported and replaced by the nearer bound.
 pub(in super::super) fn within(
     errors: &mut Diagnostics,
     key: &str,
@@ -42,7 +42,7 @@
     number.value.clamp(min, max) as u32
 }
 
-/// A number of connections, from `min`.
+/// Checks a number of connections, which must be at least `min` and at most [`MAX_CONNECTIONS`].
 pub(super) fn connections(
     errors: &mut Diagnostics,
     key: &str,
@@ -52,12 +52,12 @@
     within(errors, key, number, min, MAX_CONNECTIONS)
 }
 
-/// The keys of a block that were given already.
+/// The keys of a block that were already given.
 #[derive(Default)]
-pub(super) struct GivenKeys(Vec<&'static str>);
+pub(super) struct SeenKeys(Vec<&'static str>);
 
-impl GivenKeys {
-    /// Reports a key that was given before in its block.
+impl SeenKeys {
+    /// Adds a key, and reports it if it was given before in its block.
     pub(super) fn add(
         &mut self,
         errors: &mut Diagnostics,
@@ -67,7 +67,7 @@
     ) {
         if self.0.contains(&key) {
             let key = format!("{block} / {key}");
-            errors.add(position, &key, "is told twice", "leave one of them out");
+            errors.add(position, &key, "is given twice", "remove one of them");
         }
         self.0.push(key);
     }
--- a/forwarder/connection-quotas/src/language/diagnostic.rs
+++ b/forwarder/connection-quotas/src/language/diagnostic.rs
@@ -1,22 +1,22 @@
-//! What is wrong with a policy, said so that its author can put it right.
+//! Errors of a policy text, with the information that its author needs to correct them.
 
 use std::fmt;
 
 use super::tree::Position;
 
-/// One error of a policy's text.
+/// One error of a policy text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Diagnostic {
-    /// The name of the text.
+    /// The file name of the text.
     pub file: String,
-    /// Where the error is.
+    /// The position of the error.
     pub position: Position,
-    /// What is wrong, as `budget destination 4 / member shop / floor`.
+    /// The path of the faulty key, as in `budget destination 4 / member shop / floor`.
     pub key: String,
-    /// What is wrong about it.
+    /// The description of the problem.
     pub problem: String,
-    /// What to do.
-    pub way_out: String,
+    /// The suggested fix.
+    pub suggestion: String,
 }
 
 impl fmt::Display for Diagnostic {
@@ -26,14 +26,14 @@
             file,
             key,
             problem,
-            way_out,
+            suggestion,
             ..
         } = self;
-        write!(f, "{file}:{line}:{column}: {key}: {problem}; {way_out}")
+        write!(f, "{file}:{line}:{column}: {key}: {problem}; {suggestion}")
     }
 }
 
-/// All errors that were found, each in a line of its own. Never empty.
+/// The errors of a text; displayed one per line. Never empty.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PolicyErrors(pub Vec<Diagnostic>);
 
@@ -51,7 +51,7 @@
 
 impl std::error::Error for PolicyErrors {}
 
-/// Errors that are kept: a file that is no policy at all needs no more.
+/// Maximum number of errors that are reported for one text: a file that is not a policy at all would give many more.
 const MAX_DIAGNOSTICS: usize = 20;
 
 /// Collects the errors of one text.
@@ -73,7 +73,7 @@
         position: Position,
         key: &str,
         problem: impl Into<String>,
-        way_out: impl Into<String>,
+        suggestion: impl Into<String>,
     ) {
         if self.found.len() < MAX_DIAGNOSTICS {
             self.found.push(Diagnostic {
@@ -81,25 +81,25 @@
                 position,
                 key: key.to_owned(),
                 problem: problem.into(),
-                way_out: way_out.into(),
+                suggestion: suggestion.into(),
             });
         }
     }
 
-    /// What was made, if no error was found.
-    pub(super) fn into_result<T>(self, made: T) -> Result<T, PolicyErrors> {
+    /// `value` if no error was found, otherwise the errors.
+    pub(super) fn into_result<T>(self, value: T) -> Result<T, PolicyErrors> {
         if self.found.is_empty() {
-            Ok(made)
+            Ok(value)
         } else {
             Err(PolicyErrors(self.found))
         }
     }
 }
 
-/// How alike (Jaro-Winkler, 0 to 1) a name has to be to be proposed.
+/// The Jaro-Winkler similarity, from 0 to 1, that a name must exceed to be suggested.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// The name most like `key`, to be proposed in its place; `None` if none is like it.
+/// The name most similar to `key`, to be suggested in its place; `None` if no name is similar enough.
 pub(super) fn nearest<'a>(key: &str, names: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let similarities = names
         .into_iter()
--- a/forwarder/connection-quotas/src/language/grammar.rs
+++ b/forwarder/connection-quotas/src/language/grammar.rs
@@ -1,10 +1,10 @@
-//! The parser that pest makes of `grammar.pest`, and its rules by the words that a policy's author knows.
+//! The parser that pest generates from `grammar.pest`, and descriptions of its rules for error messages.
 
 #[derive(pest_derive::Parser)]
 #[grammar = "language/grammar.pest"]
 pub(super) struct Grammar;
 
-/// A rule of the grammar as a policy's author knows it.
+/// The description of a grammar rule in error messages: a keyword, or the kind of value.
 pub(super) fn describe(expected: Rule) -> &'static str {
     match expected {
         Rule::whole | Rule::language => "a whole number",
--- a/forwarder/connection-quotas/src/language/lending.rs
+++ b/forwarder/connection-quotas/src/language/lending.rs
@@ -1,11 +1,11 @@
-//! Which member lends to which by name: lists that lead on, and circles in them. Connections that one member lends
-//! to another, and that the other can't use, go on along the other's list; in a circle it would be undefined which
-//! member gives back first.
+//! The graph of members that lend to named members: reachable borrowers, and cycles. Connections that a member lends to
+//! another one, and that the other cannot use, are lent further along the other's list. In a cycle it would be undefined
+//! which member returns its connections first.
 
 use super::policy::{MemberTerms, Reach};
 
-/// The members of a circle of lending, in its order, if there is one.
-pub(super) fn find_circle(members: &[MemberTerms]) -> Option<Vec<usize>> {
+/// The members of a lending cycle, in the order of the cycle, if there is one.
+pub(super) fn find_cycle(members: &[MemberTerms]) -> Option<Vec<usize>> {
     let mut done = vec![false; members.len()];
     for start in 0..members.len() {
         let mut path = Vec::new();
@@ -16,15 +16,16 @@
     None
 }
 
-/// Follows the lists from one member. No deeper than there are members, whose number the checks bound.
+/// Depth-first search along the `lends` lists from one member. The depth is at most the number of members, which the
+/// checks limit.
 fn follow(
     members: &[MemberTerms],
     at: usize,
     path: &mut Vec<usize>,
     done: &mut [bool],
 ) -> Option<Vec<usize>> {
-    if let Some(begins) = path.iter().position(|step| *step == at) {
-        return Some(path[begins..].to_vec());
+    if let Some(start) = path.iter().position(|step| *step == at) {
+        return Some(path[start..].to_vec());
     }
     if done[at] {
         return None;
@@ -42,14 +43,14 @@
     None
 }
 
-/// For each member, whom its unused share may reach: those that borrow, itself left out.
-pub fn reaches(members: &[MemberTerms]) -> Vec<Vec<usize>> {
+/// For each member, the other members that may borrow its unused share, directly or along the `lends` lists.
+pub fn reachable_borrowers(members: &[MemberTerms]) -> Vec<Vec<usize>> {
     (0..members.len())
-        .map(|from| reach_of(members, from))
+        .map(|from| borrowers_of(members, from))
         .collect()
 }
 
-fn reach_of(members: &[MemberTerms], from: usize) -> Vec<usize> {
+fn borrowers_of(members: &[MemberTerms], from: usize) -> Vec<usize> {
     let mut reached = vec![false; members.len()];
     match &members[from].lends {
         Reach::All => reached.fill(true),
@@ -59,7 +60,7 @@
                 if std::mem::replace(&mut reached[at], true) {
                     continue;
                 }
-                // What is lent by name goes on by name only.
+                // A connection lent to a named member is lent further to named members only.
                 if let Reach::Only(to) = &members[at].lends {
                     next.extend(to);
                 }
--- a/forwarder/connection-quotas/src/language/mod.rs
+++ b/forwarder/connection-quotas/src/language/mod.rs
@@ -1,15 +1,15 @@
-//! The language of quota policies: from a text to a checked [`Policy`].
+//! The language of quota policies: parses and checks a text, which gives a [`Policy`].
 //!
-//! A text goes through the modules in this order; each knows only those before it.
+//! The modules in order of dependency: each uses only those listed before it.
 //!
 //! | module | step |
 //! | --- | --- |
-//! | `diagnostic` | errors with position, key and a way out |
-//! | `tree`, `print` | the syntax tree, and its text again |
-//! | `grammar`, `parse_parts`, `read` | from text to tree |
-//! | `policy`, `lending` | the checked policy, and whom a member's unused share may reach |
-//! | `checks` | bounds, names, members, budgets, and whether all that fits together |
-//! | `check` | from tree to policy |
+//! | `diagnostic` | errors with position, key and suggested fix |
+//! | `tree`, `print` | the syntax tree, and its conversion back to text |
+//! | `grammar`, `parse_parts`, `read` | parsing of a text into a tree |
+//! | `policy`, `lending` | the checked policy, and the members that may borrow an unused share |
+//! | `checks` | checks of bounds, names, members, budgets, and of their consistency |
+//! | `check` | conversion of a tree into a checked policy |
 
 mod check;
 mod checks;
--- a/forwarder/connection-quotas/src/language/parse_parts.rs
+++ b/forwarder/connection-quotas/src/language/parse_parts.rs
@@ -1,5 +1,5 @@
-//! Parts of the parse, each turned into its part of the tree. The grammar has accepted them: what it asks for is
-//! there.
+//! Conversion of parsed pairs into parts of the tree. The grammar has accepted the pairs, so their required inner pairs
+//! are present.
 
 use pest::iterators::Pair;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// The first part inside that is no keyword.
+/// The first inner pair that is a value.
 fn first_value(part: Part) -> Option<Part> {
     part.into_inner().find(|inner| {
         matches!(
@@ -33,21 +33,21 @@
     })
 }
 
-/// A number that is more than 64 bits hold is read as the most they hold: the checks refuse it at its position.
+/// Parses a number. One that does not fit in 64 bits saturates, and the checks then refuse it at its position.
 fn number(text: &str) -> u64 {
     let digits = text.trim_end_matches(|c: char| !c.is_ascii_digit());
     digits.parse().unwrap_or(u64::MAX)
 }
 
 pub(super) fn whole_number(part: Part) -> Located<u64> {
-    let outer = located(&part, 0);
+    let default = located(&part, 0);
     match first_value(part) {
         Some(whole) => located(&whole, number(whole.as_str())),
-        None => outer,
+        None => default,
     }
 }
 
-/// In milliseconds.
+/// A time span, in milliseconds.
 fn span(part: Part) -> Located<u64> {
     let is_in_ms = part.as_str().trim_end().ends_with("ms");
     let mut span = whole_number(part);
@@ -56,14 +56,14 @@
 }
 
 fn percent_value(part: Part) -> Located<Percent> {
-    let outer = located(&part, Percent(0));
+    let default = located(&part, Percent(0));
     match first_value(part) {
         Some(inner) => located(&inner, percent(inner.as_str())),
-        None => outer,
+        None => default,
     }
 }
 
-/// Digits past the second behind the point are beyond what is kept.
+/// Parses a percentage. Digits after the second decimal place are ignored.
 fn percent(text: &str) -> Percent {
     let text = text.trim_end_matches('%');
     let (whole, fraction) = text.split_once('.').unwrap_or((text, ""));
@@ -85,8 +85,8 @@
 }
 
 fn first_name(part: Part) -> Located<String> {
-    let outer = located(&part, String::new());
-    names(part).into_iter().next().unwrap_or(outer)
+    let default = located(&part, String::new());
+    names(part).into_iter().next().unwrap_or(default)
 }
 
 pub(super) fn lease(part: Part) -> Located<Vec<LeaseKey>> {
@@ -139,13 +139,13 @@
 }
 
 pub(super) fn budget(part: Part) -> BudgetTree {
-    let outer = located(&part, Scope::Destination(0));
+    let default = located(&part, Scope::Destination(0));
     let found = part
         .clone()
         .into_inner()
         .find(|inner| inner.as_rule() == Rule::scope);
     BudgetTree {
-        scope: found.map_or(outer, scope),
+        scope: found.map_or(default, scope),
         keys: budget_keys(part),
     }
 }
@@ -163,26 +163,26 @@
 }
 
 fn amount(part: Part) -> Located<Amount> {
-    let outer = located(&part, Amount::Whole(0));
+    let default = located(&part, Amount::Count(0));
     let Some(inner) = first_value(part) else {
-        return outer;
+        return default;
     };
     let value = match inner.as_rule() {
-        Rule::percent => Amount::Part(percent(inner.as_str())),
-        _ => Amount::Whole(number(inner.as_str())),
+        Rule::percent => Amount::Percent(percent(inner.as_str())),
+        _ => Amount::Count(number(inner.as_str())),
     };
     located(&inner, value)
 }
 
 fn over(part: Part) -> Located<Over> {
     let position = position(&part);
-    let ways = part.into_inner().filter_map(|inner| match inner.as_rule() {
+    let modes = part.into_inner().filter_map(|inner| match inner.as_rule() {
         Rule::by_demand => Some(Over::ByDemand),
         Rule::by_zone => Some(Over::ByZone),
         _ => None,
     });
     Located {
-        value: ways.last().unwrap_or(Over::Evenly),
+        value: modes.last().unwrap_or(Over::Evenly),
         position,
     }
 }
@@ -215,10 +215,10 @@
 }
 
 pub(super) fn rule(part: Part) -> RuleTree {
-    let find = |asked| {
+    let find = |wanted| {
         part.clone()
             .into_inner()
-            .find(|inner| inner.as_rule() == asked)
+            .find(|inner| inner.as_rule() == wanted)
     };
     let when = match find(Rule::either) {
         Some(either) => condition(either),
@@ -255,7 +255,7 @@
         .collect()
 }
 
-/// One condition is itself; several are joined.
+/// A single condition is returned as it is; several are combined by `join`.
 fn join(mut conditions: Vec<Condition>, join: fn(Vec<Condition>) -> Condition) -> Condition {
     match conditions.len() {
         1 => conditions.swap_remove(0),
--- a/forwarder/connection-quotas/src/language/policy.rs
+++ b/forwarder/connection-quotas/src/language/policy.rs
@@ -1,45 +1,45 @@
-//! A checked policy, and what it says of one target as far as that is known. No error can be left in it.
+//! A checked policy, and its evaluation for the known facts of one target. A policy of this type contains no errors.
 
 use serde::{Deserialize, Serialize};
 
 use super::tree::{Condition, CountedAt, Over, Percent, Scope, Selection};
 
-/// Clients that the policy names nowhere count as this member.
+/// The member of all clients that the policy does not name.
 pub const OTHERS: &str = "others";
 
 /// The position of a member in its policy's list, which is in the order of names.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct MemberId(pub u16);
 
-/// Where connections are counted. The order of variants is the form on the wire.
+/// The pool in which connections are counted. The order of variants is part of the wire format.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub enum PoolId {
-    /// At one target, by its name.
+    /// One target, by its name.
     Target(String),
-    /// At all targets of a destination together, by its number.
+    /// All targets of a destination together, by its number.
     Destination(u64),
 }
 
-/// What is known of a target, or of a destination's targets together. The order of fields is the form on the wire.
+/// Known facts of a target, or of a destination's targets together. The order of fields is part of the wire format.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Deserialize, Serialize)]
 pub struct Facts {
     /// The target's name.
     pub target: String,
-    /// Its destination's number.
+    /// The number of the target's destination.
     pub destination: u64,
-    /// Its destination's kind.
+    /// The kind of the target's destination.
     pub kind: String,
-    /// Its zone; empty where it has none.
+    /// The target's zone; empty if it has none.
     pub zone: String,
-    /// Whether it is warming up.
+    /// Whether the target is warming up.
     pub cold: bool,
-    /// Whether it is draining.
+    /// Whether the target is draining.
     pub draining: bool,
 }
 
 impl Facts {
-    /// The facts that do not change while a target is listed.
-    pub(crate) fn lasting(&self) -> Facts {
+    /// The facts without those that may change while a target is listed.
+    pub(crate) fn stable(&self) -> Facts {
         Facts {
             zone: String::new(),
             cold: false,
@@ -49,27 +49,27 @@
     }
 }
 
-/// A policy that was found sound.
+/// A policy that has passed all checks.
 #[derive(Clone, Debug)]
 pub struct Policy {
     /// Of two policies, the one with the higher number is in force.
     pub edition: u64,
-    /// How long leases last.
+    /// The terms of leases.
     pub lease: LeaseTerms,
-    /// In the order of their names; always with one called [`OTHERS`].
+    /// The names of members, sorted. [`OTHERS`] is always among them.
     pub members: Vec<String>,
     pub(super) budgets: Vec<Budget>,
     pub(super) rules: Vec<Rule>,
 }
 
-/// How long leases last.
+/// The terms of leases.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 pub struct LeaseTerms {
-    /// In milliseconds.
+    /// The time to live, in milliseconds.
     pub lasts: f64,
-    /// How often a holder asks for another one, in milliseconds.
+    /// The interval at which a holder requests another lease, in milliseconds.
     pub renew: f64,
-    /// By how much a clock may go fast or slow, as a share.
+    /// The maximum drift of a clock, fast or slow, as a fraction.
     pub drift: f64,
 }
 
@@ -86,17 +86,17 @@
     pub(super) change: Change,
 }
 
-/// What a rule puts in the place of its budget's terms.
+/// The terms of a budget that a rule overrides.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Change {
     pub(super) connections: Option<u32>,
-    pub(super) part: Option<Percent>,
+    pub(super) percent: Option<Percent>,
     pub(super) reserve: Option<u32>,
     pub(super) over: Option<Over>,
     pub(super) members: Vec<ChangedMember>,
 }
 
-/// A change of the member at that position.
+/// A change of the terms of the member at a position.
 #[derive(Clone, Debug)]
 pub(super) struct ChangedMember {
     pub(super) member: usize,
@@ -112,42 +112,43 @@
     pub(super) borrows: Option<bool>,
 }
 
-/// Whom a member's unused share may reach.
+/// The members that may borrow a member's unused share.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reach {
     /// Every member that borrows.
     All,
-    /// The members at these positions, in order; what those can't use goes on along their own lists.
+    /// The members at these positions, in order. Connections that these cannot use are lent further along their own
+    /// lists.
     Only(Vec<usize>),
 }
 
-/// What holds for one pool. Numbers are connections of all forwarders together, idle ones too.
+/// The terms of one pool. Numbers are connections of all forwarders together, including idle ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolTerms {
     /// All connections.
     pub connections: u32,
-    /// Of these, for health checks and trials.
+    /// The part of `connections` that is reserved for health checks and trials.
     pub reserve: u32,
-    /// Of these, for forwarders that hold no lease.
+    /// The part of `connections` that is set aside for forwarders without a lease.
     pub standing: u32,
     /// How a member's share is divided over forwarders.
     pub over: Over,
-    /// In the order of [`Policy::members`].
+    /// The terms of members, in the order of [`Policy::members`].
     pub members: Vec<MemberTerms>,
 }
 
-/// What holds for one member at a pool.
+/// The terms of one member at a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberTerms {
-    /// Its weight among the members.
+    /// The member's weight.
     pub weight: u32,
-    /// Connections that it has at the least.
+    /// The minimum number of connections.
     pub floor: u32,
-    /// Connections that it has at the most.
+    /// The maximum number of connections.
     pub ceiling: u32,
-    /// Whom its unused share may reach.
+    /// The members that may borrow its unused share.
     pub lends: Reach,
-    /// Whether it may use others' unused shares.
+    /// Whether the member may borrow unused shares of others.
     pub borrows: bool,
 }
 
@@ -163,16 +164,17 @@
     }
 }
 
-/// A part of a budget in whole connections; one at the least.
-fn part_of(connections: u32, part: Percent) -> u32 {
-    ((u64::from(connections) * part.0 / 10_000) as u32).max(1)
+/// A percentage of a budget's connections, rounded down; at least 1.
+fn percent_of(connections: u32, percent: Percent) -> u32 {
+    ((u64::from(connections) * percent.0 / 10_000) as u32).max(1)
 }
 
 impl Change {
-    /// Of two rules, the one that leaves fewer connections holds. `base` is the budget's own number of connections.
+    /// Applies the change to a pool's terms. Of several rules that set the number of connections, the lowest number
+    /// takes effect. `base` is the budget's own number of connections.
     pub(super) fn apply(&self, base: u32, terms: &mut PoolTerms) {
-        let connections = match self.part {
-            Some(part) => Some(part_of(base, part)),
+        let connections = match self.percent {
+            Some(percent) => Some(percent_of(base, percent)),
             None => self.connections,
         };
         if let Some(connections) = connections {
@@ -186,8 +188,8 @@
     }
 }
 
-/// How narrow a scope is: of several budgets the narrowest holds.
-fn rank(scope: &Scope) -> u8 {
+/// The specificity of a scope: of several budgets the one with the most specific scope applies.
+fn specificity(scope: &Scope) -> u8 {
     match scope {
         Scope::Target(_) => 3,
         Scope::Destination(_)
@@ -205,7 +207,7 @@
     }
 }
 
-fn holds_for(scope: &Scope, facts: &Facts) -> bool {
+fn contains(scope: &Scope, facts: &Facts) -> bool {
     match scope {
         Scope::Target(name) => *name == facts.target,
         Scope::Destination(number) => *number == facts.destination,
@@ -243,7 +245,7 @@
         let is_in_scope = self
             .scope
             .as_ref()
-            .is_none_or(|scope| holds_for(scope, facts));
+            .is_none_or(|scope| contains(scope, facts));
         is_in_scope && self.when.holds(facts)
     }
 }
@@ -253,11 +255,11 @@
         let matching = self
             .budgets
             .iter()
-            .filter(|budget| holds_for(&budget.scope, facts));
-        matching.max_by_key(|budget| rank(&budget.scope))
+            .filter(|budget| contains(&budget.scope, facts));
+        matching.max_by_key(|budget| specificity(&budget.scope))
     }
 
-    /// Where the connections to a target are counted; `None` where no budget holds for it.
+    /// The pool in which connections to a target are counted; `None` if no budget applies to it.
     pub fn pool(&self, facts: &Facts) -> Option<PoolId> {
         let counted = match &self.budget(facts)?.scope {
             Scope::Target(_) => CountedAt::Target,
@@ -270,12 +272,12 @@
         })
     }
 
-    /// The terms whatever the rules say: their connections are never more.
+    /// The terms without any rules. Rules never raise the number of connections.
     pub fn base(&self, facts: &Facts) -> Option<&PoolTerms> {
         self.budget(facts).map(|budget| &budget.terms)
     }
 
-    /// The terms with the rules whose conditions hold, in the order written.
+    /// The terms after applying the rules whose conditions hold, in the order written.
     pub fn terms(&self, facts: &Facts) -> Option<PoolTerms> {
         let base = self.base(facts)?;
         let mut terms = base.clone();
@@ -285,7 +287,7 @@
         Some(terms)
     }
 
-    /// The position of a member by its name; that of [`OTHERS`] where the policy does not name it.
+    /// The position of a member by its name; that of [`OTHERS`] if the policy does not name it.
     pub fn member(&self, name: &str) -> MemberId {
         let position_of = |name: &str| self.members.iter().position(|member| member == name);
         let position = position_of(name).or_else(|| position_of(OTHERS));
--- a/forwarder/connection-quotas/src/language/print.rs
+++ b/forwarder/connection-quotas/src/language/print.rs
@@ -1,4 +1,4 @@
-//! A tree as text again, which reads into the same tree.
+//! Prints a tree as text that parses into the same tree.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -54,8 +54,8 @@
     for key in keys {
         match key {
             BudgetKey::Connections(amount) => match amount.value {
-                Amount::Whole(number) => writeln!(f, "  connections {number}")?,
-                Amount::Part(part) => writeln!(f, "  connections {part}")?,
+                Amount::Count(number) => writeln!(f, "  connections {number}")?,
+                Amount::Percent(percent) => writeln!(f, "  connections {percent}")?,
             },
             BudgetKey::Reserve(number) => writeln!(f, "  reserve {}", number.value)?,
             BudgetKey::Standing(number) => writeln!(f, "  standing {}", number.value)?,
@@ -114,9 +114,9 @@
     }
 }
 
-fn write_joined(f: &mut Formatter<'_>, conditions: &[Condition], word: &str) -> fmt::Result {
+fn write_joined(f: &mut Formatter<'_>, conditions: &[Condition], operator: &str) -> fmt::Result {
     for (at, condition) in conditions.iter().enumerate() {
-        let separator = if at > 0 { word } else { "" };
+        let separator = if at > 0 { operator } else { "" };
         write!(f, "{separator}({condition})")?;
     }
     Ok(())
--- a/forwarder/connection-quotas/src/language/read.rs
+++ b/forwarder/connection-quotas/src/language/read.rs
@@ -1,4 +1,4 @@
-//! From text to tree: what the grammar accepts, without a look at its meaning.
+//! Parses a text into a tree. Only the syntax is checked here.
 
 use pest::error::{ErrorVariant, LineColLocation};
 use pest::iterators::Pair;
@@ -9,30 +9,26 @@
 use super::parse_parts;
 use super::tree::{Located, Position, Tree};
 
-/// A longer text is refused unread: pest's stack and the checks then have a bound.
+/// Maximum size of a text. A longer one is refused before it is parsed, which bounds pest's stack and the checks.
 pub const MAX_TEXT_BYTES: usize = 256 * 1024;
-/// Brackets and `not` that may stand in each other. Each takes a few frames of the parser's stack.
+/// Maximum nesting of parentheses and `not` in a condition. Each level takes a few frames of the parser's stack.
 pub const MAX_NESTING: usize = 64;
 
-/// The tree of a text; `file` names the text in errors.
+/// Parses a text into a tree. `file` names the text in errors.
 ///
 /// # Errors
-/// The text is too long, nested too deep, or not what the grammar accepts: one error, the first.
+/// The text is too long, nested too deeply, or not accepted by the grammar. Only the first error is reported.
 pub fn read(file: &str, text: &str) -> Result<Tree, PolicyErrors> {
     if text.len() > MAX_TEXT_BYTES {
         let problem = format!("is longer than {MAX_TEXT_BYTES} bytes");
-        return Err(whole_text(
-            file,
-            problem,
-            "say it in fewer budgets and rules",
-        ));
+        return Err(text_error(file, problem, "use fewer budgets and rules"));
     }
-    if nesting(text) > MAX_NESTING {
+    if nesting_depth(text) > MAX_NESTING {
         let problem = format!("more than {MAX_NESTING} `not` or `(` in one condition");
-        return Err(whole_text(file, problem, "write a flatter one"));
+        return Err(text_error(file, problem, "reduce the nesting"));
     }
     let mut parsed = Grammar::parse(Rule::file, text)
-        .map_err(|error| PolicyErrors(vec![not_accepted(file, text, &error)]))?;
+        .map_err(|error| PolicyErrors(vec![syntax_error(file, text, &error)]))?;
     let mut tree = Tree {
         language: Located::from(0),
         edition: Located::from(0),
@@ -55,31 +51,31 @@
     Ok(tree)
 }
 
-fn whole_text(file: &str, problem: String, way_out: &str) -> PolicyErrors {
+fn text_error(file: &str, problem: String, suggestion: &str) -> PolicyErrors {
     PolicyErrors(vec![Diagnostic {
         file: file.into(),
         position: Position { line: 1, column: 1 },
         key: "policy".into(),
         problem,
-        way_out: way_out.to_owned(),
+        suggestion: suggestion.to_owned(),
     }])
 }
 
-/// An upper bound of how deep conditions nest: brackets and `not` count until a brace.
-fn nesting(text: &str) -> usize {
+/// An upper bound of the nesting depth of conditions: all `(` and `not` since the last brace.
+fn nesting_depth(text: &str) -> usize {
     let mut depth = 0;
-    let mut deepest = 0;
+    let mut max_depth = 0;
     for word in text.split_inclusive(|c: char| !c.is_ascii_alphanumeric()) {
         depth += usize::from(word.trim_end() == "not") + word.matches('(').count();
-        deepest = deepest.max(depth);
+        max_depth = max_depth.max(depth);
         if word.contains(['{', '}']) {
             depth = 0;
         }
     }
-    deepest
+    max_depth
 }
 
-fn not_accepted(file: &str, text: &str, error: &pest::error::Error<Rule>) -> Diagnostic {
+fn syntax_error(file: &str, text: &str, error: &pest::error::Error<Rule>) -> Diagnostic {
     let (line, column) = match error.line_col {
         LineColLocation::Pos(position) | LineColLocation::Span(position, _) => position,
     };
@@ -93,21 +89,21 @@
     };
     expected.sort_unstable();
     expected.dedup();
-    let way_out = match nearest(&found, expected.iter().copied()) {
-        Some(meant) => format!("did you mean `{meant}`?"),
+    let suggestion = match nearest(&found, expected.iter().copied()) {
+        Some(similar) => format!("did you mean `{similar}`?"),
         None if expected.is_empty() => "see the reference in docs/pools.md".into(),
-        None => format!("here may stand: {}", expected.join(", ")),
+        None => format!("expected: {}", expected.join(", ")),
     };
     Diagnostic {
         file: file.into(),
         position: Position { line, column },
         key: found,
         problem: "cannot stand here".into(),
-        way_out,
+        suggestion,
     }
 }
 
-/// The word or sign at a position, or which end is there.
+/// The word or character at a position, or the end of the line or file.
 fn word_at(text: &str, line: usize, column: usize) -> String {
     let line_text = text.lines().nth(line - 1).unwrap_or("");
     let start = line_text
@@ -121,7 +117,7 @@
     match (&rest[..end], rest.chars().next()) {
         ("", None) if text.lines().count() <= line => "end of the file".to_owned(),
         ("", None) => "end of the line".to_owned(),
-        ("", Some(sign)) => sign.to_string(),
+        ("", Some(character)) => character.to_string(),
         (word, _) => word.to_owned(),
     }
 }
--- a/forwarder/connection-quotas/src/language/tree.rs
+++ b/forwarder/connection-quotas/src/language/tree.rs
@@ -1,22 +1,22 @@
-//! A policy as it is written, each part with its position. Nothing here is checked yet.
+//! The syntax tree of a policy, with positions. Nothing here is checked yet.
 
 use std::fmt;
 
 /// A position in a policy's text.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Position {
-    /// From 1.
+    /// The line, from 1.
     pub line: usize,
-    /// From 1.
+    /// The column, from 1.
     pub column: usize,
 }
 
-/// A value with its position. Two are equal where their values are, wherever they stand.
+/// A value with its position. Equality compares the values and ignores the positions.
 #[derive(Clone, Copy, Debug)]
 pub struct Located<T> {
-    /// What is written.
+    /// The value as written.
     pub value: T,
-    /// Where.
+    /// The position in the text.
     pub position: Position,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// A whole policy.
+/// A complete policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tree {
     /// The version of the language.
@@ -55,11 +55,11 @@
 /// A key of a `lease` block.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseKey {
-    /// In milliseconds.
+    /// The time to live of a lease, in milliseconds.
     Lasts(Located<u64>),
-    /// In milliseconds.
+    /// The interval of renewals, in milliseconds.
     Renew(Located<u64>),
-    /// How far clocks may drift.
+    /// The maximum drift of clocks.
     Drift(Located<Percent>),
 }
 
@@ -68,42 +68,42 @@
 pub struct MemberTree {
     /// The member's name.
     pub name: Located<String>,
-    /// Its keys in the order written.
+    /// The keys in the order written.
     pub keys: Vec<MemberKey>,
 }
 
 /// A key of a `member` block.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberKey {
-    /// Its weight among the members.
+    /// The member's weight.
     Weight(Located<u64>),
-    /// Connections that it has at the least.
+    /// The minimum number of connections.
     Floor(Located<u64>),
-    /// Connections that it has at the most.
+    /// The maximum number of connections.
     Ceiling(Located<u64>),
-    /// Whom its unused share may go to.
+    /// The members that may borrow its unused share.
     Lends(Located<Lends>),
-    /// Whether it may use others' unused shares.
+    /// Whether the member may borrow unused shares of others.
     Borrows(Located<bool>),
 }
 
-/// Whom a member's unused share may go to.
+/// The members that may borrow a member's unused share.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Lends {
-    /// To every member that borrows.
+    /// Every member that borrows.
     All,
-    /// To none.
+    /// No member.
     Nothing,
-    /// To these.
+    /// The named members.
     To(Vec<Located<String>>),
 }
 
 /// A `budget` block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetTree {
-    /// What it holds for.
+    /// The targets that the budget applies to.
     pub scope: Located<Scope>,
-    /// Its keys in the order written.
+    /// The keys in the order written.
     pub keys: Vec<BudgetKey>,
 }
 
@@ -112,11 +112,11 @@
 pub struct RuleTree {
     /// The rule's name.
     pub name: Located<String>,
-    /// What it holds for; `None`: for all.
+    /// The targets that the rule applies to; `None` for all targets.
     pub scope: Option<Located<Scope>>,
-    /// When it holds.
+    /// The condition under which the rule applies.
     pub when: Condition,
-    /// What it changes, in the order written.
+    /// The changed keys in the order written.
     pub keys: Vec<BudgetKey>,
 }
 
@@ -127,24 +127,24 @@
     Connections(Located<Amount>),
     /// Connections for health checks and trials.
     Reserve(Located<u64>),
-    /// Connections for forwarders without a lease.
+    /// Standing connections, for forwarders without a lease.
     Standing(Located<u64>),
     /// How a member's share is divided over forwarders.
     Over(Located<Over>),
-    /// What holds for a member here.
+    /// The terms of a member in this block.
     Member(MemberTree),
 }
 
 /// A number of connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Amount {
-    /// Connections.
-    Whole(u64),
-    /// A part of the budget's connections.
-    Part(Percent),
+    /// An absolute number.
+    Count(u64),
+    /// A percentage of the budget's connections.
+    Percent(Percent),
 }
 
-/// Hundredths of a percent: whole numbers print and compare exactly.
+/// A percentage in hundredths of a percent. Integers print and compare exactly.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Percent(pub u64);
 
@@ -153,56 +153,56 @@
 pub enum Over {
     /// Evenly.
     Evenly,
-    /// In proportion to what they want.
+    /// In proportion to the forwarders' demands.
     ByDemand,
-    /// Those in the target's zone first.
+    /// To forwarders in the target's zone first.
     ByZone,
 }
 
-/// What a budget or rule holds for, and where connections are counted.
+/// The targets that a budget or rule applies to, and the place where connections are counted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Scope {
     /// One target.
     Target(String),
     /// All targets of a destination together.
     Destination(u64),
-    /// Each of several, by itself.
+    /// Each of several targets or destinations separately.
     Each {
-        /// Where connections are counted.
+        /// The place where connections are counted.
         counted: CountedAt,
-        /// Of which targets.
+        /// The targets selected.
         of: Selection,
     },
 }
 
-/// Where connections are counted.
+/// The place where connections are counted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CountedAt {
-    /// At each target by itself.
+    /// At each target separately.
     Target,
     /// At all targets of a destination together.
     Destination,
 }
 
-/// Some of all targets.
+/// A subset of all targets.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Selection {
-    /// All of them.
+    /// All targets.
     All,
-    /// Those of a kind.
+    /// The targets of destinations of a kind.
     Kind(String),
-    /// Those of a destination.
+    /// The targets of a destination.
     Destination(u64),
 }
 
-/// When a rule holds.
+/// The condition under which a rule applies.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Condition {
-    /// Any of these holds.
+    /// At least one of the conditions holds.
     Any(Vec<Condition>),
-    /// All of these hold.
+    /// All of the conditions hold.
     All(Vec<Condition>),
-    /// It does not hold.
+    /// The condition does not hold.
     Not(Box<Condition>),
     /// The target is warming up.
     WarmingUp,
@@ -210,9 +210,9 @@
     Draining,
     /// The target is in one of these zones.
     Zone(Vec<Located<String>>),
-    /// The target is of one of these kinds.
+    /// The target's destination is of one of these kinds.
     Kind(Vec<Located<String>>),
-    /// The target is of that destination.
+    /// The target belongs to the destination of this number.
     Destination(u64),
 }
 
--- a/forwarder/connection-quotas/src/leases/demand.rs
+++ b/forwarder/connection-quotas/src/leases/demand.rs
@@ -1,71 +1,72 @@
-//! What a forwarder wants of its pools, as decaying sums: how many connections were in use, and how often there was no
-//! capacity.
+//! A forwarder's demand on a pool, estimated from decaying sums: the connections in use, and the number of rejections
+//! because there was no capacity.
 
-/// One member's demand on one pool. Times are milliseconds of one clock that only grows.
+/// One member's demand on one pool. Times are milliseconds of a monotonic clock.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     open: u32,
-    /// Connections in use, times how long, decayed.
+    /// The decayed time integral of connections in use.
     busy: f64,
-    /// What `busy` would be with one connection in use all the time.
+    /// The value of `busy` if one connection had been in use all the time.
     span: f64,
-    /// How often there was no capacity, decayed.
+    /// The decayed number of rejections because there was no capacity.
     rejections: f64,
     updated_at: f64,
 }
 
-/// Sums decay to a third within it, in milliseconds: long enough for a count of a few calls, short enough that the
-/// connections of a burst are free again within some seconds.
+/// The time in which the sums decay to about a third, in milliseconds: long enough to cover a few calls, short enough
+/// that the connections of a burst are free again within some seconds.
 const DECAY_TIME_MS: f64 = 2_000.0;
 
 impl Demand {
     fn update(&mut self, now: f64) {
         let elapsed = (now - self.updated_at).max(0.0);
-        let kept = (-elapsed / DECAY_TIME_MS).exp();
-        self.busy = self.busy * kept + f64::from(self.open) * DECAY_TIME_MS * (1.0 - kept);
-        self.span = self.span * kept + DECAY_TIME_MS * (1.0 - kept);
-        self.rejections *= kept;
+        let decay = (-elapsed / DECAY_TIME_MS).exp();
+        self.busy = self.busy * decay + f64::from(self.open) * DECAY_TIME_MS * (1.0 - decay);
+        self.span = self.span * decay + DECAY_TIME_MS * (1.0 - decay);
+        self.rejections *= decay;
         self.updated_at = now;
     }
 
-    /// A connection came into use.
+    /// Records that a connection came into use.
     pub fn opened(&mut self, now: f64) {
         self.update(now);
         self.open += 1;
     }
 
-    /// A connection is in use no longer.
+    /// Records that a connection is no longer in use.
     pub fn closed(&mut self, now: f64) {
         self.update(now);
         self.open = self.open.saturating_sub(1);
     }
 
-    /// There was no capacity for one more.
+    /// Records that a connection was rejected because there was no capacity.
     pub fn rejected(&mut self, now: f64) {
         self.update(now);
         self.rejections += 1.0;
     }
 
-    /// Connections wanted: those in use and their usual spread, and as many again at the most where there was no
-    /// capacity, so that a report grows no faster than twofold.
+    /// The number of connections wanted: those in use, or their average plus its square root if that is extra, plus
+    /// recent rejections. Rejections add at most as many connections as are used and one extra, so that the demand
+    /// grows about twofold at most from one report to the next.
     pub fn wanted(&mut self, now: f64) -> u32 {
         self.update(now);
-        let usual = if self.span > 0.0 {
+        let average = if self.span > 0.0 {
             self.busy / self.span
         } else {
             0.0
         };
-        let used = f64::from(self.open).max(usual + usual.sqrt());
-        let more = if self.rejections < 0.1 {
+        let used = f64::from(self.open).max(average + average.sqrt());
+        let extra = if self.rejections < 0.1 {
             0.0
         } else {
             self.rejections.min(used + 1.0)
         };
-        (used + more - 0.05).max(0.0).ceil() as u32
+        (used + extra - 0.05).max(0.0).ceil() as u32
     }
 
-    /// Whether nothing of it is left that would matter.
-    pub fn is_over(&mut self, now: f64) -> bool {
+    /// Whether no connection is in use and none is wanted.
+    pub fn is_zero(&mut self, now: f64) -> bool {
         self.wanted(now) == 0 && self.open == 0
     }
 }
--- a/forwarder/connection-quotas/src/leases/holder.rs
+++ b/forwarder/connection-quotas/src/leases/holder.rs
@@ -1,5 +1,6 @@
-//! A holder's side: what it has asked for, what it was granted, and what it may have open at any moment. Every use of
-//! a connection asks here first, so that a process that slept past its lease's end closes before it opens.
+//! The holder of leases: its pending reports, its granted lease, and the number of connections it may have open at any
+//! time. Every use of a connection checks the allowance first, so that a process that was suspended past the expiry of
+//! its lease closes connections before it opens new ones.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,21 +9,21 @@
 };
 use crate::language::PoolId;
 
-/// Reports that a lease may still answer; one that answers an earlier one is not used.
+/// Maximum number of reports that a grant may still answer. A grant that answers an older report is ignored.
 const MAX_PENDING_REPORTS: usize = 32;
 
-/// What a holder may have open at one pool.
+/// The connections that a holder may have open at one pool.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Allowance {
-    /// All together, idle ones counted.
+    /// All connections, including idle ones.
     pub total: u32,
-    /// By member; without a lease no member is bounded by itself.
+    /// Limits by member. `None` without a lease: then only the total is limited.
     pub members: Option<Vec<u32>>,
-    /// For health checks and trials.
+    /// Connections for health checks and trials.
     pub trials: u32,
 }
 
-/// One instance's lease. Times are milliseconds of the instance's clock.
+/// The lease state of one instance. Times are milliseconds of the instance's clock.
 #[derive(Debug)]
 pub struct LeaseHolder {
     instance: Instance,
@@ -31,7 +32,7 @@
     pending_reports: VecDeque<PendingReport>,
     lease: Option<HeldLease>,
     closed_to: LeaseNumber,
-    /// Of the policy whose standing shares it has closed down to.
+    /// The edition of the policy whose standing shares this instance has closed connections down to.
     edition: u64,
 }
 
@@ -49,7 +50,7 @@
 }
 
 impl LeaseHolder {
-    /// A holder without a lease.
+    /// Creates a holder without a lease.
     pub fn new(instance: Instance, incarnation: MemberIncarnation) -> Self {
         LeaseHolder {
             instance,
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Whose it is.
+    /// The instance that holds the lease.
     pub fn instance(&self) -> &Instance {
         &self.instance
     }
 
-    /// A report, which asks for a lease that counts from `now` on.
+    /// Makes a report, which requests a lease. The time to live of that lease starts at `now`.
     pub fn report(&mut self, now: f64, mut demands: Vec<PoolDemand>) -> Report {
         self.last_report += 1;
         let number = self.last_report;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// A lease was committed. Those of other instances, of an earlier incarnation, and old ones change nothing.
+    /// Takes over a committed lease. Leases of other instances, of other incarnations, and older leases are ignored.
     pub fn granted(&mut self, grant: &Grant) {
         let is_own = grant.instance == self.instance && grant.incarnation == self.incarnation;
         let is_newer = self
@@ -119,7 +120,7 @@
             .retain(|report| report.number > grant.report);
     }
 
-    /// When the lease ends, if one is held at `now`.
+    /// The expiry of the lease, if one is held at `now`.
     pub fn ends_at(&self, now: f64) -> Option<f64> {
         self.lease_at(now).map(|lease| lease.ends_at)
     }
@@ -128,8 +129,9 @@
         self.lease.as_ref().filter(|lease| now < lease.ends_at)
     }
 
-    /// What may be open from `now` up to `until`. `standing` is what the instance has without a lease, which counts
-    /// once this incarnation had a first one: before, its lease table may be an old one.
+    /// The connections that may be open from `now` up to `until`. `standing` is the share that the instance has without
+    /// a lease. It is not used until this incarnation has received a first lease: before that, the local lease table
+    /// may be outdated.
     pub fn allowance(&self, now: f64, until: f64, pool: &PoolId, standing: u32) -> Allowance {
         let standing = if self.lease.is_some() { standing } else { 0 };
         let lease = self.lease_at(now).filter(|lease| until <= lease.ends_at);
@@ -147,9 +149,9 @@
         }
     }
 
-    /// Looks at what is open at each pool: once it is no more than allowed, no earlier lease is relied on, and no
-    /// earlier policy. `edition` is that of the newest policy received, and `standing` what the instance has without a
-    /// lease by it.
+    /// Checks the open connections of each pool. Once none exceeds its allowance, this instance no longer relies on
+    /// earlier leases or earlier policies, and the next report includes that. `edition` is the edition of the newest
+    /// policy received, and `standing` the share that the instance has by it without a lease.
     pub fn observe_open(
         &mut self,
         now: f64,
--- a/forwarder/connection-quotas/src/leases/issuer.rs
+++ b/forwarder/connection-quotas/src/leases/issuer.rs
@@ -1,6 +1,6 @@
-//! The lease issuer: the instance that leads. It receives what all want, works out their shares, and proposes leases
-//! that fit beside those that are held; it waits out those that may still be held. What it knows by itself is lost with
-//! it: the next issuer receives the demands again, and waits out all leases of the table from its own beginning.
+//! The lease issuer, which runs on the leader. It receives the demands of all instances, computes their shares, proposes
+//! leases that fit beside those still held, and waits for the expiry of leases. Its own state is not replicated: the next
+//! issuer receives the demands again, and waits for the expiry of all leases in the table, counted from its own start.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,20 +9,22 @@
 use crate::language::{Facts, PoolId, PoolTerms};
 use crate::split::{max_min_shares, split, Claim, ForwarderDemand, RoundingCarry, Share};
 
-/// What rounding owes moves on once in so many renewals: a share stays for some, then another has its chance.
-const RENEWALS_PER_TURN: f64 = 3.0;
-/// More than any quota: sums over a thousand instances stay far from what 32 bits hold.
+/// Renewals after which the accumulated rounding errors of a pool are updated. A share stays the same for some renewals,
+/// then the remainder goes to another instance.
+const RENEWALS_PER_CARRY_UPDATE: f64 = 3.0;
+/// Maximum demand of one instance, above any quota. The sum over a thousand instances stays far below the range of
+/// 32 bits.
 const MAX_WANTED: u32 = 20_000;
 
 /// Issues leases. Times are milliseconds of the issuer's clock.
 #[derive(Debug)]
 pub struct LeaseIssuer {
-    /// Added to each lease, in milliseconds of a true clock.
+    /// Time that is added to each lease, in milliseconds of a clock without drift.
     grace: f64,
     reports: BTreeMap<Instance, ReceivedReport>,
-    /// When each lease that may be held has surely ended.
+    /// The time at which each lease that may still be held has certainly expired.
     ends_at: BTreeMap<(Instance, LeaseNumber), f64>,
-    /// Proposed and not committed yet: the most that each instance may come to have by it.
+    /// Grants that are proposed and not yet committed, by instance.
     pending: BTreeMap<Instance, Grant>,
     rounding: BTreeMap<PoolId, PoolRounding>,
 }
@@ -33,23 +35,24 @@
     received_at: f64,
 }
 
-/// What rounding owes at one pool.
+/// The accumulated rounding errors of one pool.
 #[derive(Debug)]
 struct PoolRounding {
-    /// When it last moved on.
-    turned_at: f64,
+    /// The time of the last update of `carry`.
+    updated_at: f64,
     carry: RoundingCarry,
 }
 
-/// A pool with all that anyone knows of it, and what holds there.
-struct KnownPool {
+/// A pool with the combined facts of all demands on it, and its terms.
+struct ResolvedPool {
     pool: PoolId,
     facts: Facts,
     terms: PoolTerms,
 }
 
 impl LeaseIssuer {
-    /// Begins to issue. `grace`: after so many milliseconds a process that stands still has been ended.
+    /// Creates the issuer of a new leader. `grace` is the time in milliseconds after which a stalled process has been
+    /// killed.
     pub fn new(now: f64, grace: f64, table: &LeaseTable) -> Self {
         let mut ends_at = BTreeMap::new();
         for (name, leases) in table.open() {
@@ -66,7 +69,7 @@
         }
     }
 
-    /// A command was committed, and the table has applied or refused it.
+    /// Records that a command was committed and that the table has applied or refused it.
     pub fn applied(&mut self, now: f64, command: &Command, outcome: Outcome) {
         let Command::Grant(grant) = command else {
             return;
@@ -82,14 +85,15 @@
         }
     }
 
-    /// A proposal of its own surely never is committed.
+    /// Records that a proposal of this issuer will never be committed.
     pub fn discarded(&mut self, command: &Command) {
         if let Command::Grant(grant) = command {
             self.pending.remove(&grant.instance);
         }
     }
 
-    /// A lease for an instance that asks, as far as it fits beside those that are held.
+    /// Handles a report: returns a grant to propose for the reporting instance, reduced to what fits beside the leases
+    /// that are held.
     pub fn reported(&mut self, now: f64, table: &LeaseTable, report: Report) -> Option<Command> {
         let (policy, instances) = table.policy()?;
         let edition = policy.edition;
@@ -106,8 +110,8 @@
             closed_to,
             ..
         } = report;
-        // An instance goes by the newest policy once it has received it; until then it gets nothing by it.
-        let knows_policy = report.edition == edition;
+        // An instance applies the newest policy once it has received it; until then it is granted nothing.
+        let has_newest_policy = report.edition == edition;
         self.reports.insert(
             name.clone(),
             ReceivedReport {
@@ -117,7 +121,7 @@
         );
         self.reports
             .retain(|_, received| now - received.received_at < ttl);
-        if !knows_policy {
+        if !has_newest_policy {
             return None;
         }
         let grant = Grant {
@@ -142,8 +146,8 @@
         })
     }
 
-    /// What is to be proposed by now: the ends of leases that have surely ended, and a policy that all instances have
-    /// received.
+    /// The commands to propose now: the end of leases that have certainly expired, and the settling of a policy that all
+    /// instances have received.
     pub fn due(&mut self, now: f64, table: &LeaseTable) -> Vec<Command> {
         let mut commands = Vec::new();
         for (instance, leases) in table.open() {
@@ -151,7 +155,8 @@
                 let ends_at = self.ends_at.get(&(instance.clone(), number));
                 ends_at.is_some_and(|ends_at| *ends_at <= now)
             };
-            // All leases up to the last one: one that ends later than a later one holds those back.
+            // The command ends all leases up to a number: a lease that expires later than its successors delays their
+            // end.
             let numbers = leases.iter().map(|lease| lease.number);
             if let Some(number) = numbers.take_while(|number| has_ended(*number)).last() {
                 commands.push(Command::Ended {
@@ -167,28 +172,28 @@
         self.ends_at.retain(|lease, _| open.contains(lease));
         commands.extend(
             table
-                .unsettled()
+                .settleable_edition()
                 .map(|edition| Command::Settled { edition }),
         );
         commands
     }
 
-    /// The shares of one instance in all pools that it wants something of.
+    /// The shares of one instance in all pools that it has demands on.
     fn shares(&mut self, now: f64, table: &LeaseTable, name: &Instance) -> Vec<PoolGrant> {
         let Some(received) = self.reports.get(name) else {
             return Vec::new();
         };
         let mut shares: BTreeMap<PoolId, PoolGrant> = BTreeMap::new();
         for demand in received.report.demands.clone() {
-            let Some(known) = self.known_pool(table, &demand.facts) else {
+            let Some(resolved) = self.resolve_pool(table, &demand.facts) else {
                 continue;
             };
-            if shares.contains_key(&known.pool) {
+            if shares.contains_key(&resolved.pool) {
                 continue;
             }
-            let wanted = self.fair_share(now, table, &known, name);
-            let share = self.fitting_share(table, &known, name, wanted);
-            let KnownPool { pool, facts, .. } = known;
+            let wanted = self.fair_share(now, table, &resolved, name);
+            let share = self.fitting_share(table, &resolved, name, wanted);
+            let ResolvedPool { pool, facts, .. } = resolved;
             let grant = PoolGrant {
                 pool: pool.clone(),
                 facts,
@@ -200,7 +205,7 @@
         shares.into_values().collect()
     }
 
-    fn known_pool(&self, table: &LeaseTable, facts: &Facts) -> Option<KnownPool> {
+    fn resolve_pool(&self, table: &LeaseTable, facts: &Facts) -> Option<ResolvedPool> {
         let (policy, _) = table.policy()?;
         let pool = policy.pool(facts)?;
         let mut facts = facts.clone();
@@ -213,18 +218,18 @@
             facts.draining |= demand.facts.draining;
         }
         let terms = policy.terms(&facts)?;
-        Some(KnownPool { pool, facts, terms })
+        Some(ResolvedPool { pool, facts, terms })
     }
 
-    /// An instance's share by the split over all that want some.
+    /// An instance's share, by the split over all instances with demands.
     fn fair_share(
         &mut self,
         now: f64,
         table: &LeaseTable,
-        known: &KnownPool,
+        resolved: &ResolvedPool,
         name: &Instance,
     ) -> Share {
-        let KnownPool { pool, facts, terms } = known;
+        let ResolvedPool { pool, facts, terms } = resolved;
         let Some((policy, instances)) = table.policy() else {
             return Share::default();
         };
@@ -245,7 +250,7 @@
             };
             for wanted in &received.report.demands {
                 if is_counted_at(table, &wanted.facts, pool) {
-                    add(&mut demand, wanted, terms.members.len());
+                    add_demand(&mut demand, wanted, terms.members.len());
                 }
             }
             demands.insert(position as u16, demand);
@@ -254,39 +259,39 @@
             .rounding
             .entry(pool.clone())
             .or_insert_with(|| PoolRounding {
-                turned_at: now,
+                updated_at: now,
                 carry: RoundingCarry::new(),
             });
         let mut carry = rounding.carry.clone();
         let mut shares = split(terms, terms.standing, &demands, &mut carry);
-        if now - rounding.turned_at >= RENEWALS_PER_TURN * policy.lease.renew {
+        if now - rounding.updated_at >= RENEWALS_PER_CARRY_UPDATE * policy.lease.renew {
             *rounding = PoolRounding {
-                turned_at: now,
+                updated_at: now,
                 carry,
             };
         }
         shares.remove(&own_position).unwrap_or_default()
     }
 
-    /// As much of a share as fits beside what all others may have open.
+    /// Reduces a share to what fits beside the connections that all other instances may have open.
     fn fitting_share(
         &self,
         table: &LeaseTable,
-        known: &KnownPool,
+        resolved: &ResolvedPool,
         name: &Instance,
         wanted: Share,
     ) -> Share {
-        let KnownPool { pool, facts, terms } = known;
+        let ResolvedPool { pool, facts, terms } = resolved;
         let mut others = table.counted(pool, facts, Some(name));
         for (instance, grant) in self
             .pending
             .iter()
             .filter(|(instance, _)| *instance != name)
         {
-            // Committed or not, the larger counts.
+            // The grant may be committed or not: the larger share is counted.
             let share = grant.pools.iter().find(|share| share.pool == *pool);
-            let asked = share.map_or(0, PoolGrant::total);
-            others += asked.saturating_sub(table.counted_of(pool, facts, instance));
+            let granted = share.map_or(0, PoolGrant::total);
+            others += granted.saturating_sub(table.counted_for_instance(pool, facts, instance));
         }
         let free = terms.connections.saturating_sub(others);
         if wanted.total() <= free {
@@ -305,13 +310,13 @@
     }
 }
 
-/// Whether the newest policy counts a target's connections at that pool.
+/// Whether the newest policy counts a target's connections in that pool.
 fn is_counted_at(table: &LeaseTable, facts: &Facts, pool: &PoolId) -> bool {
     let counted_at = table.policy().and_then(|(policy, _)| policy.pool(facts));
     counted_at.as_ref() == Some(pool)
 }
 
-fn add(demand: &mut ForwarderDemand, wanted: &PoolDemand, members: usize) {
+fn add_demand(demand: &mut ForwarderDemand, wanted: &PoolDemand, members: usize) {
     demand.members.resize(members, 0);
     for (sum, wanted) in demand.members.iter_mut().zip(&wanted.members) {
         *sum = sum.saturating_add(*wanted).min(MAX_WANTED);
--- a/forwarder/connection-quotas/src/leases/lease_table.rs
+++ b/forwarder/connection-quotas/src/leases/lease_table.rs
@@ -1,5 +1,6 @@
-//! What the control group's log has come to. The table is told committed commands in the log's order, and is the same
-//! on every instance; a command that does not fit changes nothing.
+//! The replicated state of policies and leases. The table applies the committed commands of the control group's log in
+//! log order, and is the same on every instance. A command that does not fit is refused and has no effect, except that
+//! its term is recorded.
 
 use std::collections::BTreeMap;
 
@@ -10,51 +11,52 @@
 
 mod accounting;
 
-/// Leases of one instance that may be held at once; at that many, no more are committed until one is over.
+/// Maximum number of leases that one instance may hold at once. At that number, further leases are refused until one
+/// has ended.
 pub const MAX_OPEN_LEASES: usize = 6;
-/// Policies that not all instances have received yet; at that many, no more are taken.
+/// Maximum number of policies that not all instances have received yet. At that number, further policies are refused.
 const MAX_UNSETTLED_POLICIES: usize = 4;
 const MAX_INSTANCES: usize = 1_000;
 
-/// What became of a command.
+/// The result of applying a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It took effect.
+    /// The command took effect.
     Applied,
-    /// It changed nothing.
+    /// The command had no effect on policies and leases.
     Refused,
 }
 
-/// The bytes are no snapshot of a table.
+/// The bytes are not a valid snapshot of a table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the bytes are no snapshot of a lease table")]
+#[error("the bytes are not a valid snapshot of a lease table")]
 pub struct CorruptSnapshot;
 
-/// Policies and leases.
+/// The policies and leases of the control group.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
     term: u64,
-    /// By age, the newest last; those before it until all instances have received it.
-    policies: Vec<AgreedPolicy>,
+    /// Policies by age, the newest last. Older policies are retained until all instances have received the newest.
+    policies: Vec<CommittedPolicy>,
     leases: BTreeMap<Instance, InstanceLeases>,
-    /// The lasting facts of the pools that leases name.
+    /// The stable facts of the pools that leases name.
     facts: BTreeMap<PoolId, Facts>,
 }
 
-/// A policy that the log has.
+/// A policy that was committed to the log.
 #[derive(Clone, Debug)]
-struct AgreedPolicy {
+struct CommittedPolicy {
     text: String,
     instances: Vec<(Instance, String)>,
     policy: Policy,
 }
 
-/// The leases of one instance. The order of fields is the form of the snapshot, here and below.
+/// The leases of one instance. The order of fields is part of the snapshot format, here and below.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 struct InstanceLeases {
-    /// Of the newest lease ever.
+    /// The number of the newest lease ever granted.
     newest: LeaseNumber,
-    /// The newest policy it had received when it asked last.
+    /// The edition of the newest policy that the instance had received when it requested its newest lease.
     edition: u64,
     open: Vec<Lease>,
 }
@@ -62,15 +64,15 @@
 /// A lease that may still be held.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Lease {
-    /// Its number.
+    /// The lease's number.
     pub number: LeaseNumber,
-    /// For how long, on the clock of its issuer, it counts from its commit, in milliseconds.
+    /// The time after its commit in which the lease is counted, in milliseconds of the issuer's clock.
     pub counted_for: f64,
     /// Connections by pool.
     pub pools: BTreeMap<PoolId, u32>,
 }
 
-/// The table's snapshot.
+/// The serialized form of the table.
 #[derive(Deserialize, Serialize)]
 struct Snapshot {
     term: u64,
@@ -86,7 +88,7 @@
 }
 
 impl LeaseTable {
-    /// Applies a command that the leader of `term` proposed.
+    /// Applies a command that the leader of `term` proposed. Commands of earlier terms are refused.
     pub fn apply(&mut self, term: u64, command: &Command) -> Outcome {
         if term < self.term {
             return Outcome::Refused;
@@ -110,12 +112,12 @@
             return false;
         };
         leases.open.retain(|lease| lease.number > last);
-        self.forget_unused_facts();
+        self.remove_unused_facts();
         true
     }
 
-    /// Forgets the facts of pools that no lease names any more.
-    fn forget_unused_facts(&mut self) {
+    /// Removes the facts of pools that no lease names any more.
+    fn remove_unused_facts(&mut self) {
         let open: Vec<&Lease> = self
             .leases
             .values()
@@ -126,7 +128,8 @@
     }
 
     fn add_policy(&mut self, text: &str, instances: &[(Instance, String)]) -> bool {
-        // Its proposer has checked the names; here it has to mean the same everywhere.
+        // The proposer has checked the names. They are not checked here, as the result must be the same on every
+        // instance.
         let Ok(policy) = crate::policy("agreed", text, &KnownNames::default()) else {
             return false;
         };
@@ -137,13 +140,13 @@
         let mut names: Vec<&Instance> = instances.iter().map(|(name, _)| name).collect();
         names.sort_unstable();
         names.dedup();
-        let are_names_sound =
+        let are_names_valid =
             names.len() == instances.len() && (1..=MAX_INSTANCES).contains(&names.len());
-        if !is_newer || !are_names_sound || self.policies.len() > MAX_UNSETTLED_POLICIES {
+        if !is_newer || !are_names_valid || self.policies.len() > MAX_UNSETTLED_POLICIES {
             return false;
         }
         let instances = instances.to_vec();
-        self.policies.push(AgreedPolicy {
+        self.policies.push(CommittedPolicy {
             text: text.to_owned(),
             instances,
             policy,
@@ -152,16 +155,17 @@
     }
 
     fn settle_policy(&mut self, edition: u64) -> bool {
-        if self.unsettled() != Some(edition) {
+        if self.settleable_edition() != Some(edition) {
             return false;
         }
         self.policies.drain(..self.policies.len() - 1);
         true
     }
 
-    /// The edition of the newest policy, where older ones count beside it and all instances have closed down to it.
-    /// What stands without a lease may rise then: it has to fit beside the leases that are held.
-    pub fn unsettled(&self) -> Option<u64> {
+    /// The edition of the newest policy, if it can be settled now: older policies are still counted, and all instances
+    /// have closed connections down to it. Settling may raise the standing shares, so they have to fit beside the leases
+    /// that are held.
+    pub fn settleable_edition(&self) -> Option<u64> {
         if self.policies.len() <= 1 {
             return None;
         }
@@ -204,9 +208,9 @@
         let facts = grant
             .pools
             .iter()
-            .map(|share| (share.pool.clone(), share.facts.lasting()));
+            .map(|share| (share.pool.clone(), share.facts.stable()));
         self.facts.extend(facts);
-        self.forget_unused_facts();
+        self.remove_unused_facts();
         true
     }
 
@@ -218,7 +222,7 @@
             .instances
             .iter()
             .any(|(name, _)| *name == grant.instance);
-        if newest.policy.edition != grant.edition || !is_listed || !grant.is_sound() {
+        if newest.policy.edition != grant.edition || !is_listed || !grant.is_valid() {
             return false;
         }
         if let Some(leases) = self.leases.get(&grant.instance) {
@@ -249,18 +253,18 @@
             .map(|(name, leases)| (name, leases.open.as_slice()))
     }
 
-    /// The number of the newest lease of an instance; 0 where it had none.
+    /// The number of the newest lease of an instance; 0 if it never had one.
     pub fn newest(&self, instance: &Instance) -> LeaseNumber {
         self.leases
             .get(instance)
             .map_or(LeaseNumber(0), |leases| leases.newest)
     }
 
-    /// All that [`LeaseTable::restore`] needs.
+    /// Serializes the table for [`LeaseTable::restore`].
     pub fn snapshot(&self) -> Vec<u8> {
-        let policies = self.policies.iter().map(|agreed| PolicySnapshot {
-            text: agreed.text.clone(),
-            instances: agreed.instances.clone(),
+        let policies = self.policies.iter().map(|committed| PolicySnapshot {
+            text: committed.text.clone(),
+            instances: committed.instances.clone(),
         });
         encode(&Snapshot {
             term: self.term,
@@ -270,17 +274,17 @@
         })
     }
 
-    /// The table of a snapshot.
+    /// Restores a table from a snapshot.
     ///
     /// # Errors
-    /// The bytes are no snapshot, or have a policy that is not sound.
+    /// The bytes are not a snapshot, or contain an invalid policy.
     pub fn restore(bytes: &[u8]) -> Result<LeaseTable, CorruptSnapshot> {
         let snapshot: Snapshot = decode(bytes).ok_or(CorruptSnapshot)?;
         let mut policies = Vec::new();
         for PolicySnapshot { text, instances } in snapshot.policies {
             let policy = crate::policy("agreed", &text, &KnownNames::default())
                 .map_err(|_| CorruptSnapshot)?;
-            policies.push(AgreedPolicy {
+            policies.push(CommittedPolicy {
                 text,
                 instances,
                 policy,
@@ -294,12 +298,12 @@
         })
     }
 
-    /// Bytes of memory that the table takes, approximately.
+    /// The approximate memory use of the table, in bytes.
     pub fn size(&self) -> usize {
         let texts: usize = self
             .policies
             .iter()
-            .map(|agreed| 4 * agreed.text.len())
+            .map(|committed| 4 * committed.text.len())
             .sum();
         let open = self.leases.values().flat_map(|leases| &leases.open);
         let leases: usize = open.map(|lease| 64 + 96 * lease.pools.len()).sum();
--- a/forwarder/connection-quotas/src/leases/lease_table/accounting.rs
+++ b/forwarder/connection-quotas/src/leases/lease_table/accounting.rs
@@ -1,19 +1,19 @@
-//! What the table counts: what each instance may have open at a pool, and whether one more lease fits.
+//! Accounting of the table: the connections that each instance may have open at a pool, and whether another lease fits.
 
 use std::collections::BTreeMap;
 
 use super::super::messages::{Instance, PoolGrant};
 use super::super::standing::{all_standing, standing};
-use super::{AgreedPolicy, LeaseTable};
+use super::{CommittedPolicy, LeaseTable};
 use crate::language::{Facts, Policy, PoolId};
 
-impl AgreedPolicy {
-    /// What stands for an instance by this policy; nothing at a pool that the policy does not count at.
+impl CommittedPolicy {
+    /// An instance's standing share by this policy; 0 for a pool in which the policy counts no connections.
     fn standing(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
         standing(self.set_aside(pool, facts), pool, instance, &self.instances)
     }
 
-    /// Connections that the policy sets aside at a pool for instances without a lease.
+    /// The connections of a pool that the policy sets aside for instances without a lease.
     fn set_aside(&self, pool: &PoolId, facts: &Facts) -> u32 {
         if self.policy.pool(facts).as_ref() != Some(pool) {
             return 0;
@@ -23,25 +23,26 @@
 }
 
 impl LeaseTable {
-    /// Whether a share fits beside what all others may have open.
+    /// Whether a share fits beside the connections that all other instances may have open.
     pub(super) fn fits(&self, policy: &Policy, share: &PoolGrant, instance: &Instance) -> bool {
         let pool = &share.pool;
-        let facts = share.facts.lasting();
+        let facts = share.facts.stable();
         if policy.pool(&facts).as_ref() != Some(pool) {
             return false;
         }
         let own_standing = self.max_standing(pool, &facts, instance);
-        let asked = share.total().max(own_standing);
-        // What does not grow is no more than it was: a quota that was lowered is come down to.
-        if asked <= self.max_leased(pool, instance).max(own_standing) {
+        let requested = share.total().max(own_standing);
+        // A share that does not grow is accepted even above the quota: a lowered quota is reached gradually.
+        if requested <= self.max_leased(pool, instance).max(own_standing) {
             return true;
         }
         let quota = policy.base(&facts).map_or(0, |terms| terms.connections);
         let others = self.counted(pool, &facts, Some(instance));
-        others.saturating_add(asked) <= quota && !self.is_counted_elsewhere(policy, pool, &facts)
+        others.saturating_add(requested) <= quota
+            && !self.is_counted_elsewhere(policy, pool, &facts)
     }
 
-    /// Whether leases by an older policy count the same connections at another pool.
+    /// Whether leases by an older policy count the same connections in another pool.
     fn is_counted_elsewhere(&self, policy: &Policy, pool: &PoolId, facts: &Facts) -> bool {
         let is_same =
             |other: &Facts| other.target == facts.target || other.destination == facts.destination;
@@ -62,7 +63,7 @@
         })
     }
 
-    /// The most that leases allow an instance.
+    /// The maximum that the instance's open leases allow.
     fn max_leased(&self, pool: &PoolId, instance: &Instance) -> u32 {
         let Some(leases) = self.leases.get(instance) else {
             return 0;
@@ -71,27 +72,28 @@
         leased.copied().max().unwrap_or(0)
     }
 
-    /// The most that stands for an instance by all policies that it may still go by.
+    /// The maximum standing share of an instance over all policies that it may still apply.
     fn max_standing(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
         let standing = self
             .policies
             .iter()
-            .map(|agreed| agreed.standing(pool, facts, instance));
+            .map(|committed| committed.standing(pool, facts, instance));
         standing.max().unwrap_or(0)
     }
 
-    /// What one instance may have open at a pool.
-    pub fn counted_of(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
+    /// The connections that one instance may have open at a pool.
+    pub fn counted_for_instance(&self, pool: &PoolId, facts: &Facts, instance: &Instance) -> u32 {
         self.max_leased(pool, instance)
             .max(self.max_standing(pool, facts, instance))
     }
 
-    /// What all instances but `without` may have open at a pool: by leases, and by what stands without.
-    pub fn counted(&self, pool: &PoolId, facts: &Facts, without: Option<&Instance>) -> u32 {
+    /// The connections that all instances except `excluded` may have open at a pool, by leases or by standing shares.
+    pub fn counted(&self, pool: &PoolId, facts: &Facts, excluded: Option<&Instance>) -> u32 {
         let mut counted: BTreeMap<&Instance, u32> = BTreeMap::new();
-        for agreed in &self.policies {
-            let standing = all_standing(agreed.set_aside(pool, facts), pool, &agreed.instances);
-            for ((name, _), connections) in agreed.instances.iter().zip(standing) {
+        for committed in &self.policies {
+            let standing =
+                all_standing(committed.set_aside(pool, facts), pool, &committed.instances);
+            for ((name, _), connections) in committed.instances.iter().zip(standing) {
                 let most = counted.entry(name).or_default();
                 *most = connections.max(*most);
             }
@@ -102,11 +104,12 @@
         }
         let others = counted
             .into_iter()
-            .filter(|(name, _)| Some(*name) != without);
+            .filter(|(name, _)| Some(*name) != excluded);
         others.map(|(_, connections)| connections).sum()
     }
 
-    /// What each instance of the newest policy may have open without a lease, in their order.
+    /// The standing shares of the instances of the newest policy, in their order: for each instance the minimum over all
+    /// policies that are not settled.
     pub fn all_standing(&self, pool: &PoolId, facts: &Facts) -> Vec<u32> {
         let Some((newest, earlier)) = self.policies.split_last() else {
             return Vec::new();
@@ -120,14 +123,14 @@
         standing
     }
 
-    /// Where an instance's connections to a target are counted, and what it may have open there without a lease: the
-    /// least by all policies that are not settled.
+    /// The pool in which connections to a target are counted, and an instance's standing share there: the minimum over
+    /// all policies that are not settled.
     pub fn standing(&self, facts: &Facts, instance: &Instance) -> Option<(PoolId, u32)> {
         let pool = self.policies.last()?.policy.pool(facts)?;
         let standing = self
             .policies
             .iter()
-            .map(|agreed| agreed.standing(&pool, facts, instance));
+            .map(|committed| committed.standing(&pool, facts, instance));
         let least = standing.min().unwrap_or(0);
         Some((pool, least))
     }
--- a/forwarder/connection-quotas/src/leases/messages.rs
+++ b/forwarder/connection-quotas/src/leases/messages.rs
@@ -1,50 +1,50 @@
-//! What holders and issuers send, and the commands of the control group's log: in postcard's form, in which the order
-//! of variants and fields is the form.
+//! Messages between holders and issuers, and the commands of the control group's log. All are encoded by postcard, whose
+//! format depends on the order of variants and fields.
 
 use serde::{Deserialize, Serialize};
 
 use crate::language::{Facts, PoolId};
 
-/// A forwarder of the fleet, by the name that the fleet file gives it.
+/// A forwarder of the fleet, by its name in the fleet file.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct Instance(pub String);
 
-/// Drawn by each start of a process: what one start was granted, another does not hold.
+/// Identifies one start of an instance's process. A lease that was granted to one incarnation does not apply to another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Deserialize, Serialize)]
 pub struct MemberIncarnation(pub u64);
 
-/// The number of a lease: each one of an instance has a higher one than those before it.
+/// The number of a lease. Numbers of an instance's leases increase.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct LeaseNumber(pub u64);
 
-/// Pools that a report or a lease may name.
+/// Maximum number of pools in a report or a lease.
 pub const MAX_POOLS: usize = 4_096;
 
-/// A holder says what it wants, and with that asks for a lease.
+/// A holder's report of its demands, which also requests a lease.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Report {
-    /// Who asks.
+    /// The reporting instance.
     pub instance: Instance,
-    /// Which start of it.
+    /// The incarnation of the instance.
     pub incarnation: MemberIncarnation,
-    /// Counts the reports of this incarnation. A lease names the one that it answers.
+    /// The report's number, counted per incarnation. A grant names the report that it answers.
     pub number: u64,
-    /// It has closed down to this lease, and never again relies on an earlier one.
+    /// The lease that the holder has closed connections down to. It never again relies on an earlier one.
     pub closed_to: LeaseNumber,
-    /// The edition of the newest policy that it has received.
+    /// The edition of the newest policy that the holder has received and closed connections down to.
     pub edition: u64,
-    /// What it wants, by pool.
+    /// The demands, by pool.
     pub demands: Vec<PoolDemand>,
 }
 
-/// What is wanted of one pool, in connections.
+/// The demand on one pool, in connections.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct PoolDemand {
-    /// Which pool.
+    /// The facts that determine the pool.
     pub facts: Facts,
-    /// By member, in the order of the policy's members.
+    /// Connections by member, in the order of the policy's members.
     pub members: Vec<u32>,
-    /// For health checks and trials.
+    /// Connections for health checks and trials.
     pub trials: u32,
 }
 
@@ -53,48 +53,48 @@
 pub enum Command {
     /// A new policy.
     Policy {
-        /// Its whole text.
+        /// The complete policy text.
         text: String,
-        /// The instances that it is for: name and zone.
+        /// The instances that the policy applies to, with their zones.
         instances: Vec<(Instance, String)>,
     },
-    /// All instances have received the newest policy: what stands without a lease is by it alone from now on.
+    /// All instances have received the newest policy: from now on it alone determines the standing shares.
     Settled {
-        /// Of the newest policy.
+        /// The edition of the newest policy.
         edition: u64,
     },
     /// A lease.
     Grant(Grant),
-    /// The issuer has waited out all leases of an instance up to this one.
+    /// All leases of an instance up to a number have expired.
     Ended {
         /// The instance.
         instance: Instance,
-        /// The last one.
+        /// The number of the last expired lease.
         number: LeaseNumber,
     },
 }
 
-/// A lease on shares of pools. In a pool that it does not name, the instance has only what stands without one.
+/// A lease on shares of pools. In a pool that the lease does not name, the instance has only its standing share.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Grant {
-    /// Whom it is for.
+    /// The holder.
     pub instance: Instance,
-    /// Which start of it.
+    /// The incarnation of the holder.
     pub incarnation: MemberIncarnation,
-    /// The report that it answers: the lease counts from the making of that one.
+    /// The number of the report that the grant answers. The time to live starts when that report was made.
     pub report: u64,
-    /// What the holder had closed down to, in that report.
+    /// The lease that the holder had closed connections down to, according to that report.
     pub closed_to: LeaseNumber,
-    /// Of the policy that it is by.
+    /// The edition of the policy that the shares are computed by.
     pub edition: u64,
-    /// Its number.
+    /// The lease's number.
     pub number: LeaseNumber,
-    /// How long it may be relied on, in milliseconds of the holder's clock.
+    /// The time to live, in milliseconds of the holder's clock.
     pub ttl: f64,
-    /// For how much longer the issuer counts it, in milliseconds of a true clock: by then a process that stands still
-    /// has been ended, and its connections with it.
+    /// The time for which the issuer counts the lease beyond `ttl`, in milliseconds of a clock without drift: by then a
+    /// stalled process has been killed, and its connections are closed.
     pub grace: f64,
-    /// By how much either clock may go fast or slow, as a share.
+    /// The maximum drift of either clock, fast or slow, as a fraction.
     pub drift: f64,
     /// The shares, by pool.
     pub pools: Vec<PoolGrant>,
@@ -105,16 +105,16 @@
 pub struct PoolGrant {
     /// The pool.
     pub pool: PoolId,
-    /// Its facts as the issuer knows them.
+    /// The pool's facts, as the issuer has combined them.
     pub facts: Facts,
-    /// By member, in the order of the policy's members.
+    /// Connections by member, in the order of the policy's members.
     pub members: Vec<u32>,
-    /// For health checks and trials.
+    /// Connections for health checks and trials.
     pub trials: u32,
 }
 
 impl PoolGrant {
-    /// All of the share.
+    /// All connections of the share.
     pub fn total(&self) -> u32 {
         self.members
             .iter()
@@ -122,31 +122,31 @@
     }
 }
 
-/// The longest time of a lease that is taken for one, in milliseconds.
+/// Maximum valid `ttl` and `grace` of a grant, in milliseconds.
 const MAX_TIME_MS: f64 = 1e9;
 
 impl Grant {
-    /// For how long, on the issuer's clock, someone may still hold the lease, in milliseconds.
+    /// The time after its commit in which the lease may still be held, in milliseconds of the issuer's clock.
     pub fn counted_for(&self) -> f64 {
         (self.ttl + self.grace) * (1.0 + self.drift) / (1.0 - self.drift)
     }
 
-    /// Whether its numbers can be reckoned with at all.
-    pub fn is_sound(&self) -> bool {
-        let is_time = |ms: f64| (0.0..=MAX_TIME_MS).contains(&ms);
-        is_time(self.ttl)
-            && is_time(self.grace)
+    /// Whether all numbers of the grant are within their valid ranges.
+    pub fn is_valid(&self) -> bool {
+        let is_valid_time = |ms: f64| (0.0..=MAX_TIME_MS).contains(&ms);
+        is_valid_time(self.ttl)
+            && is_valid_time(self.grace)
             && (0.0..=0.5).contains(&self.drift)
             && self.pools.len() <= MAX_POOLS
     }
 }
 
-/// The form on the wire and in the log.
+/// Encodes a value as sent on the wire and stored in the log.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_stdvec(value).expect("writing a derived form to memory does not fail")
+    postcard::to_stdvec(value).expect("serializing to memory does not fail")
 }
 
-/// `None` where the bytes are not exactly one `T`.
+/// Decodes a value; `None` if the bytes are not the encoding of exactly one `T`.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Some(value),
--- a/forwarder/connection-quotas/src/leases/mod.rs
+++ b/forwarder/connection-quotas/src/leases/mod.rs
@@ -1,22 +1,24 @@
-//! Shares of quotas as leases: a table that a replicated log makes, an issuer that leads, and holders. None of them
-//! reads a clock: each is told its own side's, in milliseconds that only grow.
+//! Leases on shares of quotas: a table that is built from a replicated log, an issuer on the leader, and holders. None
+//! of them reads a clock: the caller passes in the time of a local monotonic clock, in milliseconds.
 //!
-//! Why the sum of what may be open stays within a quota, over any losses:
-//! - The table counts for each instance the most of all leases that may still be held, and what it has without one. A
-//!   lease that would pass the quota changes nothing.
-//! - A holder counts a lease from before it asked for it, the issuer from after it was committed.
-//! - A lease is removed when its holder has said that it has closed down to a later one, or when its issuer has waited
-//!   it out: its time to live, the time in which a process that stands still is ended, and the drift of both clocks.
-//! - A new issuer waits out all leases that it finds from its own beginning.
+//! The sum of connections that may be open stays within a quota, whatever messages or processes are lost, because:
+//! - For each instance the table counts the maximum over all leases that the instance may still hold and its standing
+//!   share, which it has without a lease. A lease that would exceed the quota is refused.
+//! - For the holder, the time to live of a lease starts when it made its report, before the request is sent; for the
+//!   issuer it starts when the grant is committed.
+//! - A lease is removed once its holder has reported that it has closed connections down to a later lease, or once the
+//!   issuer has waited for its expiry: its time to live, the time after which a stalled process is killed, and the drift
+//!   of both clocks.
+//! - A new issuer waits for the expiry of all leases in the table, counted from its own start.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `messages` | what holders and issuers send, and the commands of the log |
-//! | `lease_table` | what the log has come to, and whether one more lease fits |
-//! | `standing` | what an instance has without a lease |
-//! | `issuer` | leases for those who ask, on the instance that leads |
-//! | `holder` | what an instance may have open |
-//! | `demand` | what an instance wants |
+//! | `messages` | messages between holders and issuers, and the commands of the log |
+//! | `lease_table` | the state that the log's commands build up, and whether another lease fits |
+//! | `standing` | the share that an instance has without a lease |
+//! | `issuer` | grants leases, on the leader |
+//! | `holder` | the number of connections that an instance may have open |
+//! | `demand` | the number of connections that an instance wants |
 
 mod demand;
 mod holder;
--- a/forwarder/connection-quotas/src/leases/standing.rs
+++ b/forwarder/connection-quotas/src/leases/standing.rs
@@ -1,5 +1,6 @@
-//! What an instance has of a pool without a lease. Each instance works it out by itself from the policy and the list
-//! of instances, with nobody to ask; the sum over the list is what the policy sets aside, by construction.
+//! Standing shares: the connections that an instance may open in a pool without a lease. Each instance computes its
+//! standing share locally from the policy and the list of instances, without communication. By construction, the sum
+//! over the list is the number of connections that the policy sets aside.
 
 use std::cmp::Reverse;
 use std::hash::{Hash, Hasher};
@@ -9,11 +10,11 @@
 use super::messages::Instance;
 use crate::language::PoolId;
 
-/// The first key of the hash: the letters `pool`. It is part of the format: the same on every machine and with every
-/// version.
+/// The first key of the hash: the ASCII letters `pool`. It must be the same on every machine and in every version, as
+/// all instances have to compute the same shares.
 const HASH_KEY: u64 = 0x706f_6f6c;
 
-/// The share of `set_aside` connections that stands for an instance. Nothing for one that is not listed.
+/// An instance's standing share of the `set_aside` connections; 0 for an instance that is not listed.
 pub fn standing(
     set_aside: u32,
     pool: &PoolId,
@@ -26,8 +27,8 @@
     }
 }
 
-/// The shares of all listed instances, in their order: even ones, and one more for as many as are left over, drawn for
-/// each pool by rendezvous hashing.
+/// The standing shares of all listed instances, in their order. The connections are divided evenly; the remainder is
+/// distributed one each to instances that are selected for each pool by rendezvous hashing.
 pub(super) fn all_standing(
     set_aside: u32,
     pool: &PoolId,
@@ -35,14 +36,14 @@
 ) -> Vec<u32> {
     let count = instances.len().max(1) as u32;
     let mut shares = vec![set_aside / count; instances.len()];
-    let left_over = set_aside % count;
-    if left_over > 0 {
+    let remainder = set_aside % count;
+    if remainder > 0 {
         let mut order: Vec<usize> = (0..instances.len()).collect();
         order.sort_by_cached_key(|&position| {
             let name = &instances[position].0;
             (Reverse(score(pool, name)), name)
         });
-        for position in order.into_iter().take(left_over as usize) {
+        for position in order.into_iter().take(remainder as usize) {
             shares[position] += 1;
         }
     }
--- a/forwarder/connection-quotas/src/lib.rs
+++ b/forwarder/connection-quotas/src/lib.rs
@@ -1,17 +1,18 @@
 //! Connection quotas of targets.
 //!
-//! A policy in a language of its own says how many connections all forwarders of a fleet together may hold at a
-//! target, and how they are divided over members (kinds of clients) and forwarders. `docs/pools.md` is its reference.
+//! A policy, written in a small policy language, limits how many connections all forwarders of a fleet together may
+//! hold to a target, and how these are divided over members (kinds of clients) and forwarders. `docs/pools.md` is the
+//! reference of the language.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`language`] | from a policy's text to a checked policy |
-//! | [`split`] | each forwarder's share of one pool |
-//! | [`leases`] | shares as leases, so that the sum of what may be open never passes a quota |
-//! | [`local`] | one forwarder's side: what is open here, and what may be |
+//! | [`language`] | parses and checks a policy text |
+//! | [`split`] | computes each forwarder's share of one pool |
+//! | [`leases`] | grants shares as leases, so that the sum of connections that may be open never exceeds a quota |
+//! | [`local`] | one forwarder's state: connections that are open, and connections that may be open |
 //!
-//! All of it is logic without I/O, threads or clocks. The forwarder's server owns those: it keeps a
-//! [`local::LocalQuotas`], carries its bytes to the control group's log, and tells it the time.
+//! The crate does no I/O, starts no threads and reads no clock. The forwarder's server does: it owns a
+//! [`local::LocalQuotas`], sends its encoded messages to the control group's log, and passes in the current time.
 
 pub mod language;
 pub mod leases;
@@ -20,10 +21,10 @@
 
 use language::{KnownNames, Policy, PolicyErrors};
 
-/// The policy that a text says; `file` names the text in errors.
+/// Parses and checks a policy text. `file` names the text in errors.
 ///
 /// # Errors
-/// Every error of the text, up to a bound, each with its position and a way out.
+/// Every error of the text, up to a limit, each with its position and a suggested fix.
 pub fn policy(file: &str, text: &str, known: &KnownNames) -> Result<Policy, PolicyErrors> {
     let tree = language::read(file, text)?;
     language::check(file, &tree, known)
--- a/forwarder/connection-quotas/src/local/control_group.rs
+++ b/forwarder/connection-quotas/src/local/control_group.rs
@@ -1,10 +1,10 @@
-//! What comes from the control group, and what is issued while it is led from here.
+//! Input from the control group, and the commands to propose while this instance leads it.
 
 use super::LocalQuotas;
 use crate::leases::{decode, Command, LeaseIssuer, LeaseTable, Outcome, Report};
 
 impl LocalQuotas {
-    /// A command of the control group's log was applied, proposed in `term`.
+    /// Handles a command of the control group's log that was proposed in `term` and is now applied.
     pub fn applied(&mut self, now: f64, term: u64, command: &[u8]) {
         let Some(command) = decode::<Command>(command) else {
             return;
@@ -20,7 +20,8 @@
         }
     }
 
-    /// The table's snapshot, in place of commands that were missed. A lease among them is asked for again.
+    /// Replaces the table by a snapshot, which stands in for skipped commands. A lease among the skipped commands is not
+    /// taken over; the next report requests a new one.
     pub fn replaced(&mut self, state: &[u8]) {
         if let Ok(table) = LeaseTable::restore(state) {
             self.table = table;
@@ -28,25 +29,25 @@
         }
     }
 
-    /// This instance leads the control group from now on; `state` is the table's snapshot with all that is committed
-    /// from before. The table itself refuses commands of earlier terms.
+    /// Starts issuing leases, as this instance was elected leader of the control group. `state` is a snapshot of the
+    /// table with all commands committed before the election. The table itself refuses commands of earlier terms.
     pub fn leads(&mut self, now: f64, _term: u64, state: &[u8]) {
         self.replaced(state);
         self.issuer = Some(LeaseIssuer::new(now, self.grace, &self.table));
     }
 
-    /// Another instance may lead the control group.
+    /// Stops issuing leases, as another instance may now lead the control group.
     pub fn deposed(&mut self) {
         self.issuer = None;
     }
 
-    /// Another instance has reported what it wants: a command to propose, if this one leads.
+    /// Handles an instance's report of its demands. Returns a command to propose, if this instance leads.
     pub fn reported(&mut self, now: f64, body: &[u8]) -> Option<Command> {
         let issuer = self.issuer.as_mut()?;
         issuer.reported(now, &self.table, decode::<Report>(body)?)
     }
 
-    /// The commands to be proposed by now, if this instance leads.
+    /// The commands to propose now, if this instance leads.
     pub fn due(&mut self, now: f64) -> Vec<Command> {
         let Some(issuer) = &mut self.issuer else {
             return Vec::new();
@@ -66,7 +67,7 @@
         commands
     }
 
-    /// A proposal of its own surely never is committed, or was never made.
+    /// Records that a proposal of this instance was never made or will never be committed.
     pub fn void(&mut self, command: &Command) {
         if let Some(issuer) = &mut self.issuer {
             issuer.discarded(command);
--- a/forwarder/connection-quotas/src/local/mod.rs
+++ b/forwarder/connection-quotas/src/local/mod.rs
@@ -1,12 +1,12 @@
-//! One forwarder's side of connection quotas, without I/O: what is open, what may be, what is wanted, and, while it
-//! leads the control group, what the others get. The forwarder's server owns a [`LocalQuotas`], counts connections in
-//! and out here, carries its bytes, and tells the time: milliseconds of a clock that only grows and counts a machine's
-//! sleep.
+//! One forwarder's state of connection quotas, without I/O: the connections that are open, allowed and wanted, and, while
+//! it leads the control group, the leases of all instances. The forwarder's server owns a [`LocalQuotas`], reports opened
+//! and closed connections to it, sends its encoded messages, and passes in the time: milliseconds of a monotonic clock
+//! that includes the time in which the machine is suspended.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `pool_counts` | what is open at one pool from here |
-//! | `control_group` | what comes from the control group, and what is issued while it is led from here |
+//! | `pool_counts` | the connections of one pool that this forwarder has open |
+//! | `control_group` | input from the control group, and the commands to propose while this instance leads it |
 
 mod control_group;
 mod pool_counts;
@@ -22,40 +22,41 @@
 pub use pool_counts::ConnectionUse;
 use pool_counts::{ConnectionOrigin, PoolCounts};
 
-/// Idle connections are closed so long before a lease ends, in milliseconds: a tick of the server and a busy event loop
-/// fit between.
+/// Time before the end of a lease at which surplus idle connections are closed, in milliseconds: long enough for a tick
+/// of the server and a busy event loop.
 const CLOSING_TIME_MS: f64 = 250.0;
 
-/// Whether a connection may be used.
+/// The result of a request for a connection.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// No quota holds for the target.
+    /// No quota applies to the target.
     Unlimited,
-    /// The connection is counted at that pool now.
+    /// The connection is now counted in the pool.
     Admitted(PoolId),
-    /// That pool has no capacity.
+    /// The pool has no capacity.
     Exhausted(PoolId),
 }
 
-/// What a forwarder is told of quotas at its start.
+/// The initial configuration of a forwarder's connection quotas.
 pub struct LocalQuotasConfig {
-    /// Its own name.
+    /// The forwarder's own name.
     pub instance: Instance,
-    /// This start of its process.
+    /// The incarnation of this process.
     pub incarnation: MemberIncarnation,
     /// The policy's text.
     pub text: String,
-    /// The policy.
+    /// The policy that was read from `text`.
     pub policy: Policy,
     /// All instances of the fleet, with their zones.
     pub instances: Vec<(Instance, String)>,
-    /// After so many milliseconds the kernel has ended a process that stands still.
+    /// Time after which a stalled process has been killed by the kernel, in milliseconds.
     pub grace: f64,
 }
 
-/// One forwarder's side of connection quotas.
+/// One forwarder's state of connection quotas.
 pub struct LocalQuotas {
-    /// As its own file says: in force until one is agreed on, and to be agreed on if its edition is higher.
+    /// The policy of the local file. It is in force until the control group has committed a policy, and is proposed to the
+    /// control group if its edition is higher than that of the committed one.
     own_policy: Policy,
     own_policy_text: String,
     instances: Vec<(Instance, String)>,
@@ -64,7 +65,7 @@
     holder: LeaseHolder,
     targets: BTreeMap<String, KnownTarget>,
     pools: BTreeMap<PoolId, PoolCounts>,
-    /// While it leads the control group.
+    /// The issuer, while this instance leads the control group.
     issuer: Option<LeaseIssuer>,
     next_report_at: f64,
 }
@@ -84,7 +85,7 @@
 }
 
 impl LocalQuotas {
-    /// Nothing is open, and no policy is agreed on.
+    /// Creates the state of a forwarder that has no connections open and has received no committed policy.
     pub fn new(config: LocalQuotasConfig) -> LocalQuotas {
         LocalQuotas {
             own_policy: config.policy,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Takes another policy than at the start, checked. It is in force once the fleet has agreed on it.
+    /// Replaces the local policy by a newer one, already checked. It is in force once the control group has committed it.
     pub fn set_policy(&mut self, text: String, policy: Policy) {
         self.own_policy_text = text;
         self.own_policy = policy;
@@ -114,12 +115,12 @@
         }
     }
 
-    /// How often to report, and to look what is due, in milliseconds.
-    pub fn renews(&self) -> f64 {
+    /// The interval between reports, in milliseconds.
+    pub fn renewal_interval(&self) -> f64 {
         self.policy().lease.renew
     }
 
-    /// Adds a target, or replaces what is known of it.
+    /// Adds a target, or replaces the facts of a known one.
     pub fn upsert_target(&mut self, facts: Facts) {
         let known = self.targets.get(&facts.target);
         let warming_up_until = known.map_or(f64::MIN, |known| known.warming_up_until);
@@ -132,12 +133,12 @@
         );
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn remove_target(&mut self, target: &str) {
         self.targets.remove(target);
     }
 
-    /// The target is warming up until then.
+    /// Records that a target is warming up until the given time.
     pub fn set_warming_up(&mut self, target: &str, until: f64) {
         if let Some(known) = self.targets.get_mut(target) {
             known.warming_up_until = until;
@@ -156,7 +157,7 @@
         }
     }
 
-    /// The table's policies have changed.
+    /// Recomputes the standing shares of all pools, after a change of the table's policies.
     fn update_standing(&mut self) {
         let standing: Vec<u32> = self
             .pools
@@ -168,13 +169,13 @@
         }
     }
 
-    /// What may be open at a pool up to `until`.
+    /// The connections that may be open at a pool up to `until`.
     fn allowance(&self, now: f64, until: f64, pool: &PoolId) -> Allowance {
         let standing = self.pools.get(pool).map_or(0, PoolCounts::standing);
         self.holder.allowance(now, until, pool, standing)
     }
 
-    /// Counts a connection in, a new one or one that stood idle in `from`, for a use that is over by `until`.
+    /// Requests a connection for a use that ends by `until`: a new connection, or one that is idle in the pool `from`.
     pub fn acquire(
         &mut self,
         now: f64,
@@ -209,7 +210,8 @@
         }
     }
 
-    /// A connection's use is over, and it stays open. False where it has to be closed: it counts until it is.
+    /// Records that a connection is no longer in use and becomes idle. Returns false if it has to be closed; it is counted
+    /// until then.
     pub fn release_idle(&mut self, now: f64, pool: &PoolId, connection_use: ConnectionUse) -> bool {
         let Some(counts) = self.pools.get_mut(pool) else {
             return false;
@@ -218,7 +220,7 @@
         self.surplus_at(now, pool) == Some(0)
     }
 
-    /// A connection was closed, from that use or as an idle one.
+    /// Records that a connection was closed: a busy one with its use, or an idle one with `None`.
     pub fn connection_closed(
         &mut self,
         now: f64,
@@ -236,7 +238,7 @@
         Some(counts.total().saturating_sub(allowed).min(counts.idle()))
     }
 
-    /// Idle connections that are to be closed, by pool.
+    /// The number of idle connections to close, by pool.
     pub fn surplus(&self, now: f64) -> Vec<(PoolId, u32)> {
         let mut surplus = Vec::new();
         for pool in self.pools.keys() {
@@ -248,7 +250,7 @@
         surplus
     }
 
-    /// Whether one more might be counted in, so that a waiting use had better look again.
+    /// Whether another connection might be admitted, so that a waiting use should retry.
     pub fn has_capacity(&self, now: f64, pool: &PoolId) -> bool {
         match self.pools.get(pool) {
             Some(counts) => counts.busy() < self.allowance(now, now, pool).total,
@@ -256,7 +258,7 @@
         }
     }
 
-    /// Whether all that may be open there is, some of it idle.
+    /// Whether the pool has reached its allowance while some of its connections are idle.
     pub fn is_exhausted(&self, now: f64, pool: &PoolId) -> bool {
         match self.pools.get(pool) {
             Some(counts) if counts.idle() > 0 => {
@@ -266,12 +268,12 @@
         }
     }
 
-    /// What it wants, in bytes for the leader, when that is due.
+    /// The encoded report of demands for the leader, if one is due.
     pub fn report(&mut self, now: f64) -> Option<Vec<u8>> {
         if now < self.next_report_at {
             return None;
         }
-        self.next_report_at = now + self.renews();
+        self.next_report_at = now + self.renewal_interval();
         let pools = self.pools.iter();
         let open: BTreeMap<PoolId, u32> = pools
             .map(|(pool, counts)| (pool.clone(), counts.total()))
@@ -281,7 +283,7 @@
         let standing = |pool: &PoolId| pools.get(pool).map_or(0, PoolCounts::standing);
         self.holder.observe_open(now, &open, edition, standing);
         let demands = self.demands(now);
-        self.pools.retain(|_, counts| !counts.is_over(now));
+        self.pools.retain(|_, counts| !counts.is_unused(now));
         Some(encode(&self.holder.report(now, demands)))
     }
 
@@ -296,7 +298,7 @@
             let mut members = wanted.members;
             let mut trials = wanted.trials;
             if policy.terms(&facts).is_some_and(|terms| terms.reserve == 0) {
-                // Nothing is reserved for trials: they are as the events of others.
+                // Nothing is reserved for trials: their demand is added to that of the member `others`.
                 members.resize(members.len().max(others + 1), 0);
                 members[others] += trials;
                 trials = 0;
@@ -310,7 +312,7 @@
         demands
     }
 
-    /// Connections open at a pool from here, idle ones counted.
+    /// The connections that this forwarder has open at a pool, including idle ones.
     pub fn open(&self, pool: &PoolId) -> u32 {
         self.pools.get(pool).map_or(0, PoolCounts::total)
     }
@@ -321,7 +323,7 @@
     }
 }
 
-/// What is known of all targets of a pool together. `first` are the facts of the first target that was used there.
+/// The combined facts of all targets of a pool. `first` holds the facts of the first target that was used in the pool.
 fn pool_facts(
     now: f64,
     pool: &PoolId,
--- a/forwarder/connection-quotas/src/local/pool_counts.rs
+++ b/forwarder/connection-quotas/src/local/pool_counts.rs
@@ -1,33 +1,33 @@
-//! What is open at one pool from here, and what is wanted of it.
+//! The connections of one pool that this forwarder has open, and its demand on the pool.
 
 use crate::language::{Facts, MemberId};
 use crate::leases::{Allowance, Demand};
 
-/// What a connection is used for.
+/// The purpose that a connection is used for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConnectionUse {
-    /// An event of that member.
+    /// An event of the given member.
     Event(MemberId),
-    /// A health check or trial: on the policy's reserve if there is one, else as any.
+    /// A health check or trial. It uses the policy's reserve if there is one, otherwise any connections.
     Trial,
 }
 
-/// Whether a connection that is counted in stood idle before.
+/// Whether an acquired connection is new or was idle.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum ConnectionOrigin {
     New,
     Idle,
 }
 
-/// One pool's connections from here. Times are in milliseconds.
+/// The connections of one pool that this forwarder has open. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub(super) struct PoolCounts {
-    /// Of the first target that was used there.
+    /// The facts of the first target that was used in the pool.
     facts: Facts,
     idle: u32,
-    /// What stands for this forwarder without a lease; worked out again when the table's policies change.
+    /// This forwarder's standing share; recomputed when the table's policies change.
     standing: u32,
-    /// By member.
+    /// Uses for events, by member.
     events: Vec<UseCount>,
     trials: UseCount,
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// What is wanted of one pool.
+/// The demand on one pool, in connections.
 pub(super) struct Wanted {
     pub(super) members: Vec<u32>,
     pub(super) trials: u32,
@@ -91,7 +91,7 @@
         self.idle + self.busy()
     }
 
-    /// Counts a connection in, if it is allowed.
+    /// Counts a connection as busy, if the allowance permits it. Otherwise records a rejection.
     pub(super) fn acquire(
         &mut self,
         now: f64,
@@ -107,7 +107,7 @@
         if is_admitted && origin == ConnectionOrigin::Idle {
             self.idle -= 1;
         }
-        // A use of a member that the policy does not have is counted nowhere.
+        // A use for a member that the policy does not have is not counted.
         if let Some(count) = self.count_of(connection_use) {
             if is_admitted {
                 count.admit(now);
@@ -154,13 +154,13 @@
         }
     }
 
-    /// A connection's use is over, and it stays open.
+    /// Records that a connection is no longer in use and stays open.
     pub(super) fn release_idle(&mut self, now: f64, connection_use: ConnectionUse) {
         self.release(now, connection_use);
         self.idle += 1;
     }
 
-    /// A connection was closed, from that use or as an idle one.
+    /// Records that a connection was closed: a busy one with its use, or an idle one with `None`.
     pub(super) fn closed(&mut self, now: f64, connection_use: Option<ConnectionUse>) {
         match connection_use {
             Some(connection_use) => self.release(now, connection_use),
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Whether nothing is open, and nothing wanted.
-    pub(super) fn is_over(&mut self, now: f64) -> bool {
+    /// Whether no connection is open and none is wanted.
+    pub(super) fn is_unused(&mut self, now: f64) -> bool {
         let wanted = self.wanted(now);
         self.total() == 0 && wanted.trials == 0 && wanted.members.iter().all(|wanted| *wanted == 0)
     }
--- a/forwarder/connection-quotas/src/split/borrowing.rs
+++ b/forwarder/connection-quotas/src/split/borrowing.rs
@@ -1,43 +1,43 @@
-//! What members borrow of each other: unused shares go, one connection after the other, to the member that has least
-//! for its weight among those that want more and can still be reached. Where a share was lent to a member that could
-//! have had it from another, it is moved on, so that nothing lies idle that a member wants and may have. The search is
-//! that of augmenting paths in a bipartite flow (Edmonds and Karp 1972).
+//! Lending of unused shares between members. Each unused connection is lent to the member with the least connections
+//! for its weight, among those that want more and that a lender can still reach. If a connection was lent to a member
+//! that could borrow from another lender instead, it is reassigned, so that no connection stays unused that a member
+//! wants and may borrow. The search finds augmenting paths in a bipartite flow (Edmonds and Karp 1972).
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
 
-/// Unused shares, and who has borrowed them.
+/// Unused shares, and the members that have borrowed them.
 pub(super) struct Borrowing<'a> {
     /// Connections that are not lent yet, by member.
     unused: Vec<u32>,
-    /// For each member, whom its unused share may reach.
-    reaches: &'a [Vec<usize>],
-    /// `lent[lender][borrower]`.
+    /// For each lender, the members that may borrow its unused share.
+    reachable: &'a [Vec<usize>],
+    /// Connections lent, as `lent[lender][borrower]`.
     lent: Vec<Vec<u32>>,
 }
 
-/// How a member was reached by the search.
+/// One edge of an augmenting path: how the search reached a member.
 #[derive(Clone, Copy)]
 struct Step {
-    /// The member before it on the path, which is to have its connection.
+    /// The previous member on the path, which takes over this member's connection.
     borrower: usize,
     /// The lender of that connection.
     lender: usize,
 }
 
 impl<'a> Borrowing<'a> {
-    pub(super) fn new(unused: Vec<u32>, reaches: &'a [Vec<usize>]) -> Self {
+    pub(super) fn new(unused: Vec<u32>, reachable: &'a [Vec<usize>]) -> Self {
         let lent = vec![vec![0; unused.len()]; unused.len()];
         Borrowing {
             unused,
-            reaches,
+            reachable,
             lent,
         }
     }
 
-    /// Raises the shares towards what is wanted, as far as lending goes. Weights are whole numbers, so that levels
-    /// compare exactly.
-    pub(super) fn raise(mut self, shares: &mut [u32], wanted: &[u32], weights: &[u32]) {
+    /// Raises the shares towards the wanted connections, as far as lending allows. Weights are integers, so that
+    /// levels compare exactly.
+    pub(super) fn raise_shares(mut self, shares: &mut [u32], wanted: &[u32], weights: &[u32]) {
         let mut borrowers: Vec<usize> = (0..shares.len())
             .filter(|&at| shares[at] < wanted[at])
             .collect();
@@ -50,7 +50,7 @@
                 return;
             };
             if !self.lend_one(borrower) {
-                // A member that can't be reached once is never reached again: the rest only grows less.
+                // A member that no lender can reach stays unreachable: the unused connections only decrease.
                 borrowers.retain(|&at| at != borrower);
                 continue;
             }
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Finds one connection for a member, by the shortest path over members that can draw on another lender instead.
+    /// Lends one connection to a member, along the shortest path over members that can borrow from another lender
+    /// instead. Returns false if there is no such path.
     fn lend_one(&mut self, borrower: usize) -> bool {
         let members = self.unused.len();
         let mut steps: Vec<Option<Step>> = vec![None; members];
@@ -68,12 +69,12 @@
         is_seen[borrower] = true;
         while let Some(at) = queue.pop_front() {
             for lender in 0..members {
-                if !self.reaches[lender].contains(&at) {
+                if !self.reachable[lender].contains(&at) {
                     continue;
                 }
                 if self.unused[lender] > 0 {
                     self.unused[lender] -= 1;
-                    self.move_along(at, lender, &steps);
+                    self.augment(at, lender, &steps);
                     return true;
                 }
                 for other in 0..members {
@@ -91,8 +92,9 @@
         false
     }
 
-    /// Gives the found connection to the last member of the path, whose own goes to the one before, and so on.
-    fn move_along(&mut self, mut at: usize, mut lender: usize, steps: &[Option<Step>]) {
+    /// Lends the found connection to the last member of the path, whose previous connection moves to the member before
+    /// it on the path, and so on.
+    fn augment(&mut self, mut at: usize, mut lender: usize, steps: &[Option<Step>]) {
         loop {
             self.lent[lender][at] += 1;
             let Some(step) = steps[at] else {
@@ -105,7 +107,7 @@
     }
 }
 
-/// By what each would have for its weight with one more; those without a weight after all others.
+/// Orders members by connections per weight after one more connection. Members of weight 0 come after all others.
 fn compare(a: usize, b: usize, shares: &[u32], weights: &[u32]) -> Ordering {
     match (weights[a] == 0, weights[b] == 0) {
         (false, true) => Ordering::Less,
--- a/forwarder/connection-quotas/src/split/max_min.rs
+++ b/forwarder/connection-quotas/src/split/max_min.rs
@@ -1,35 +1,36 @@
-//! Weighted max-min fairness by progressive filling (Bertsekas and Gallager, Data Networks, section 6.5.2), in whole
-//! connections: all levels rise together, each by its weight, until one is full or nothing is left. What is less than
-//! one connection goes by largest remainder.
+//! Weighted max-min fairness by progressive filling (Bertsekas and Gallager, Data Networks, section 6.5.2), in integer
+//! numbers of connections: all shares rise together, each in proportion to its weight, until one reaches its maximum or
+//! nothing is left. Fractions of a connection are rounded by the largest remainder method.
 
-/// One that has a claim on connections.
+/// A claim on a share of the connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
-    /// One without a weight is served once all others are full.
+    /// Relative weight. A claim of weight 0 is served once all others have reached their maximum.
     pub weight: f64,
-    /// It gets as many at the least.
+    /// The minimum share.
     pub min: u32,
-    /// It gets no more than these; not under `min`.
+    /// The maximum share; at least `min`.
     pub max: u32,
-    /// What rounding has owed it so far, in connections: counts where remainders are compared.
+    /// The accumulated rounding error in favour of this claim, in connections; added to its remainder when remainders
+    /// are compared.
     pub carry: f64,
 }
 
-/// What a total is divided into. Both lists are in the order of the claims.
+/// The result of dividing a total. Both lists are in the order of the claims.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MaxMinShares {
-    /// In connections.
+    /// The share of each claim, in connections.
     pub shares: Vec<u32>,
-    /// What rounding owes each from now on, in connections.
+    /// The accumulated rounding error of each claim after this division, in connections.
     pub carry: Vec<f64>,
 }
 
-/// Sums of shares miss a whole number by far less.
+/// Tolerance when shares are rounded down. The floating-point error of a sum of shares is far smaller.
 const ROUNDING_ERROR: f64 = 1e-7;
 
-/// Divides `total` connections. Equal remainders go to the first in the list, which is therefore given in an order that
-/// all instances agree on. Where the least shares are above `total`, they are what is given: the caller sees to it that
-/// they fit.
+/// Divides `total` connections. Between equal remainders the claim that is first in the list gets the connection, so
+/// the list must be in the same order on all instances. If the minimum shares exceed `total`, each claim gets its
+/// minimum: the caller ensures that the minimum shares fit.
 pub fn max_min_shares(total: u32, claims: &[Claim]) -> MaxMinShares {
     let exact = exact_shares(f64::from(total), claims);
     let mut shares: Vec<u32> = exact
@@ -53,75 +54,78 @@
     MaxMinShares { shares, carry }
 }
 
-/// The shares before rounding: `weight` times a common level, within the bounds of each.
+/// The shares before rounding: `weight` times a common level, clamped to the bounds of each claim.
 fn exact_shares(total: f64, claims: &[Claim]) -> Vec<f64> {
     let level = common_level(total, claims);
     let mut shares: Vec<f64> = claims
         .iter()
         .map(|claim| (claim.weight * level).clamp(f64::from(claim.min), f64::from(claim.max)))
         .collect();
-    let spent: f64 = shares.iter().sum();
-    let weightless: Vec<usize> = (0..claims.len())
+    let allocated: f64 = shares.iter().sum();
+    let zero_weight: Vec<usize> = (0..claims.len())
         .filter(|&at| claims[at].weight <= 0.0)
         .collect();
-    if spent >= total || weightless.is_empty() {
+    if allocated >= total || zero_weight.is_empty() {
         return shares;
     }
-    // Weights are above 0 in what is divided here, so that it has no rest of its own.
-    let rest: Vec<Claim> = weightless
+    // The claims divided by this call have weight 1, so that it does not recurse further.
+    let remaining_claims: Vec<Claim> = zero_weight
         .iter()
         .map(|&at| Claim {
             weight: 1.0,
             ..claims[at]
         })
         .collect();
-    let rest_min: f64 = rest.iter().map(|claim| f64::from(claim.min)).sum();
-    let rest_shares = exact_shares(total - spent + rest_min, &rest);
-    for (at, share) in weightless.into_iter().zip(rest_shares) {
+    let remaining_min: f64 = remaining_claims
+        .iter()
+        .map(|claim| f64::from(claim.min))
+        .sum();
+    let remaining_shares = exact_shares(total - allocated + remaining_min, &remaining_claims);
+    for (at, share) in zero_weight.into_iter().zip(remaining_shares) {
         shares[at] = share;
     }
     shares
 }
 
-/// Where a claim's share begins to rise with the level, or stops.
-struct Bend {
+/// A breakpoint of the total as a function of the level: a claim's share starts or stops rising there.
+struct Breakpoint {
     level: f64,
     slope_change: f64,
 }
 
-/// The level at which all shares together are `total`; the highest that counts where they never are.
+/// The level at which the shares sum up to `total`. If they never do, the level of the last breakpoint.
 fn common_level(total: f64, claims: &[Claim]) -> f64 {
-    let mut bends = Vec::new();
-    let mut spent = 0.0;
+    let mut breakpoints = Vec::new();
+    let mut allocated = 0.0;
     for claim in claims {
         let weight = claim.weight;
-        spent += f64::from(claim.min);
+        allocated += f64::from(claim.min);
         if weight > 0.0 && claim.max > claim.min {
-            bends.push(Bend {
+            breakpoints.push(Breakpoint {
                 level: f64::from(claim.min) / weight,
                 slope_change: weight,
             });
-            bends.push(Bend {
+            breakpoints.push(Breakpoint {
                 level: f64::from(claim.max) / weight,
                 slope_change: -weight,
             });
         }
     }
-    bends.sort_by(|a, b| {
+    breakpoints.sort_by(|a, b| {
         a.level
             .total_cmp(&b.level)
             .then(b.slope_change.total_cmp(&a.slope_change))
     });
     let mut level = 0.0;
     let mut slope = 0.0;
-    for bend in bends {
-        let risen = slope * (bend.level - level);
-        if spent + risen >= total && slope > 0.0 {
-            return level + (total - spent).max(0.0) / slope;
+    for breakpoint in breakpoints {
+        let rise = slope * (breakpoint.level - level);
+        if allocated + rise >= total && slope > 0.0 {
+            return level + (total - allocated).max(0.0) / slope;
         }
-        level = bend.level;
-        spent += risen;
-        slope += bend.slope_change;
+        level = breakpoint.level;
+        allocated += rise;
+        slope += breakpoint.slope_change;
     }
     level
 }
--- a/forwarder/connection-quotas/src/split/mod.rs
+++ b/forwarder/connection-quotas/src/split/mod.rs
@@ -1,62 +1,63 @@
-//! The split of one pool: first over members, then each member's share over forwarders. Pure arithmetic: the same
-//! demands give the same shares, in whatever order they come. The lease issuer calls it.
+//! Splits the connections of one pool: first over members, then each member's share over forwarders. The split is a
+//! pure function: the same demands give the same shares, in whatever order they were received. Called by the lease
+//! issuer.
 
 mod borrowing;
 mod max_min;
 
 use std::collections::BTreeMap;
 
-use crate::language::lending::reaches;
+use crate::language::lending::reachable_borrowers;
 use crate::language::tree::Over;
 use crate::language::PoolTerms;
 
 use borrowing::Borrowing;
 pub use max_min::{max_min_shares, Claim, MaxMinShares};
 
-/// What one forwarder wants of a pool.
+/// The connections that one forwarder wants in a pool.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ForwarderDemand {
-    /// Connections by member, in the order of the policy's members; missing ones want none.
+    /// Connections by member, in the order of the policy's members. Members missing at the end want none.
     pub members: Vec<u32>,
     /// Connections for health checks and trials.
     pub trials: u32,
-    /// What it has without a lease too.
+    /// Connections that the forwarder min even without a lease.
     pub standing: u32,
-    /// Whether it is in the zone of the pool's target.
+    /// Whether the forwarder is in the zone of the pool's target.
     pub is_near: bool,
 }
 
-/// What one forwarder gets, in connections.
+/// One forwarder's share, in connections.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Share {
-    /// By member.
+    /// Connections by member.
     pub members: Vec<u32>,
-    /// For health checks and trials.
+    /// Connections for health checks and trials.
     pub trials: u32,
 }
 
 impl Share {
-    /// All of it.
+    /// All connections of the share.
     pub fn total(&self) -> u32 {
         self.members.iter().sum::<u32>() + self.trials
     }
 }
 
-/// Whom rounding owes something.
+/// The member and forwarder that a rounding error belongs to.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct CarryKey {
-    /// A member's position; trials are behind the last one.
+    /// A member's position; the number of members stands for trials.
     pub member: usize,
     /// A forwarder's position.
     pub forwarder: u16,
 }
 
-/// What rounding owes, in connections.
+/// Accumulated rounding errors, in connections.
 pub type RoundingCarry = BTreeMap<CarryKey, f64>;
 
-/// Splits a pool over the forwarders that want something, named by their position among all instances. All `standing`
-/// shares, of those that are not named too, are taken off first: `standing` is their sum. `carry` is what rounding
-/// owed before, and then what it owes after.
+/// Splits a pool over the forwarders that have demands, keyed by their position among all instances. `standing` is the
+/// sum of all standing shares, those of forwarders without demands included; these are subtracted first. `carry` holds
+/// the accumulated rounding errors before the split, and is replaced by those after it.
 pub fn split(
     terms: &PoolTerms,
     standing: u32,
@@ -71,7 +72,7 @@
     let standing_by_member: Vec<u32> = (0..count)
         .map(|member| shares.values().map(|share| share.members[member]).sum())
         .collect();
-    // What stands aside for a forwarder that does not use it is nobody's.
+    // A standing connection that its forwarder does not use is not available to the others.
     let unused = standing.saturating_sub(standing_by_member.iter().sum());
     let free = terms
         .connections
@@ -117,7 +118,7 @@
     shares
 }
 
-/// How a forwarder divides what it has without a lease over its members, by itself: evenly, as far as wanted.
+/// How a forwarder divides its standing share over its members: evenly, up to what each wants.
 fn standing_share(count: usize, demand: &ForwarderDemand) -> Share {
     let claims = (0..count).map(|member| Claim {
         weight: 1.0,
@@ -142,8 +143,8 @@
     wanted.collect()
 }
 
-/// Members' shares: of its own share each has what it wants, then what is left over is lent. `standing` is what each has
-/// without a lease.
+/// The members' shares: each member gets what it wants out of its own share, then unused connections are lent.
+/// `standing` is the number of connections that each member min without a lease.
 fn split_over_members(terms: &PoolTerms, free: u32, standing: &[u32], wanted: &[u32]) -> Vec<u32> {
     let members = || terms.members.iter().zip(standing);
     let claims = members().map(|(member, standing)| Claim {
@@ -170,19 +171,23 @@
         .map(|(own, share)| own - share)
         .collect();
     let weights: Vec<u32> = terms.members.iter().map(|member| member.weight).collect();
-    Borrowing::new(unused, &reaches(&terms.members)).raise(&mut shares, &wanted, &weights);
+    Borrowing::new(unused, &reachable_borrowers(&terms.members)).raise_shares(
+        &mut shares,
+        &wanted,
+        &weights,
+    );
     shares
 }
 
-fn forwarder_claim(over: Over, has: u32, wanted: u32) -> Claim {
+fn forwarder_claim(over: Over, standing: u32, wanted: u32) -> Claim {
     let weight = match over {
         Over::ByDemand => f64::from(wanted),
         Over::Evenly | Over::ByZone => 1.0,
     };
     Claim {
         weight,
-        min: has,
-        max: wanted.max(has),
+        min: standing,
+        max: wanted.max(standing),
         carry: 0.0,
     }
 }
@@ -194,7 +199,7 @@
     claim: Claim,
 }
 
-/// What rounding owes before a split, and after it.
+/// The accumulated rounding errors before and after a split.
 struct Rounding<'a> {
     before: &'a RoundingCarry,
     after: RoundingCarry,
@@ -210,11 +215,11 @@
     let (near, far): (Vec<ForwarderClaim>, Vec<ForwarderClaim>) = claims
         .into_iter()
         .partition(|claim| claim.is_near || over != Over::ByZone);
-    // What those far away have without a lease is not for those near.
-    let kept_for_far: u32 = far.iter().map(|far| far.claim.min).sum();
+    // The standing connections of far forwarders are not available to near ones.
+    let reserved_for_far: u32 = far.iter().map(|far| far.claim.min).sum();
     let mut left = total;
     let mut shares = Vec::new();
-    for (group, kept) in [(near, kept_for_far), (far, 0)] {
+    for (group, reserved) in [(near, reserved_for_far), (far, 0)] {
         let claims = group.iter().map(|forwarder| {
             let key = CarryKey {
                 member,
@@ -227,7 +232,7 @@
             }
         });
         let claims: Vec<Claim> = claims.collect();
-        let divided = max_min_shares(left.saturating_sub(kept), &claims);
+        let divided = max_min_shares(left.saturating_sub(reserved), &claims);
         let divided = divided.shares.into_iter().zip(divided.carry);
         for (forwarder, (share, carry)) in group.iter().zip(divided) {
             left = left.saturating_sub(share);
--- a/forwarder/connection-quotas/tests/language.rs
+++ b/forwarder/connection-quotas/tests/language.rs
@@ -1,5 +1,5 @@
-//! Stories of the policy language: what is written means what the reference says, reads back the same, and
-//! each fault is told with its place, its key and a way out.
+//! Tests of the policy language: the meaning of policies, printing and reparsing, and errors with position, key and
+//! suggested fix.
 
 use plankhill_connection_quotas::language::{read, Facts, KnownNames, PoolId};
 use plankhill_connection_quotas::policy;
@@ -7,7 +7,7 @@
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-const WHOLE: &str = r#"
+const FULL_POLICY: &str = r#"
 language 1 edition 7  # the version of the language, and the number of this text
 lease { lasts 10s renew 1s drift 2% }
 member shop   { weight 3 floor 2 lends to audits }
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn the_narrowest_budget_holds_and_says_where_connections_are_counted() {
-    let policy = policy("p", WHOLE, &KnownNames::default()).expect("is sound");
+fn the_most_specific_budget_applies_and_determines_the_pool() {
+    let policy = policy("p", FULL_POLICY, &KnownNames::default()).expect("is valid");
     assert_eq!(
         policy.pool(&facts("t-1", 4)),
         Some(PoolId::Target("t-1".into()))
@@ -51,13 +51,13 @@
     assert_eq!(
         policy.pool(&other_kind),
         None,
-        "what no budget names has no bound"
+        "a target without a budget is unlimited"
     );
 }
 
 #[test]
-fn rules_whose_conditions_hold_lower_a_budget_and_the_lowest_counts() {
-    let policy = policy("p", WHOLE, &KnownNames::default()).expect("is sound");
+fn rules_whose_conditions_hold_lower_a_budget_and_the_lowest_applies() {
+    let policy = policy("p", FULL_POLICY, &KnownNames::default()).expect("is valid");
     let connections = |facts: &Facts| policy.terms(facts).expect("has a budget").connections;
     let (warm, cold) = (
         facts("t", 9),
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_budget_inherits_the_terms_of_members_and_may_override_them() {
-    let policy = policy("p", WHOLE, &KnownNames::default()).expect("is sound");
+    let policy = policy("p", FULL_POLICY, &KnownNames::default()).expect("is valid");
     let terms = policy.terms(&facts("t", 9)).expect("has a budget");
     let of = |name: &str| &terms.members[policy.member(name).0 as usize];
     assert_eq!((of("shop").weight, of("shop").floor), (3, 2));
@@ -107,27 +107,30 @@
     "budget destination 1 { reserve 1 }",
     "p:2:8: budget destination 1 / connections: is missing"
 )]
-#[case::of_nothing("budget destination 1 { connections 50% }", "is a part of nothing")]
+#[case::percentage_without_base(
+    "budget destination 1 { connections 50% }",
+    "is a percentage without a base"
+)]
 #[case::floors_above(
     "member a { floor 3 }\nbudget destination 1 { connections 4 reserve 1 standing 1 }",
     "p:3:8: budget destination 1 / connections: floors 3, reserve 1 and standing 1 are 5, above the 4 \
-     connections; take 1 off them"
+     connections; reduce them by 1"
 )]
 #[case::floors_above_by_a_rule(
     "member a { floor 3 }\nbudget each target { connections 8 standing 0 }\nrule r when cold { connections 25% }",
     "p:4:6: budget each target / connections: floors 3, reserve 0 and standing 0 are 3, above the 2 connections \
      of 8 with rule r"
 )]
-#[case::circle(
+#[case::cycle(
     "member a { lends to b }\nmember b { lends to c }\nmember c { lends to a }",
-    "p:2:8: member a / lends: a circle of lending: a to b to c to a; take one"
+    "p:2:8: member a / lends: a lending cycle: a to b to c to a; remove one"
 )]
-#[case::own_circle("member a { lends to a }", "a circle of lending: a to a")]
-#[case::circle_in_a_budget(
+#[case::self_cycle("member a { lends to a }", "a lending cycle: a to a")]
+#[case::cycle_in_a_budget(
     "member a { lends to b }\nmember b {}\nbudget each target { connections 9 member b { lends to a } }",
-    "p:4:43: budget each target / member b / lends: a circle of lending"
+    "p:4:43: budget each target / member b / lends: a lending cycle"
 )]
-#[case::lends_to_one_that_may_not(
+#[case::lends_to_a_member_that_does_not_borrow(
     "member a { lends to b }\nmember b { borrows no }",
     "member a / lends: lends to b, which does not borrow"
 )]
@@ -155,31 +158,31 @@
     "member a { floor 3 }\nbudget each target { connections 9 }\nrule r when cold { member a { ceiling 1 } }",
     "rule r / member a / ceiling: the ceiling 1 is under the floor 3"
 )]
-#[case::member_twice("member a {}\nmember a {}", "p:3:8: member a: is told twice")]
+#[case::member_twice("member a {}\nmember a {}", "p:3:8: member a: is given twice")]
 #[case::rule_twice(
     "rule r when cold { reserve 1 }\nrule r when cold { reserve 1 }",
-    "p:3:6: rule r: the name is told twice"
+    "p:3:6: rule r: the name is used twice"
 )]
 #[case::budget_twice(
     "budget each target { connections 1 }\nbudget each target { connections 1 }",
-    "line 2 holds for the same"
+    "line 2 applies to the same targets"
 )]
-#[case::same_ground(
+#[case::same_targets(
     "budget destination 4 { connections 1 }\nbudget each target of destination 4 { connections 1 }",
-    "holds for the same"
+    "applies to the same targets"
 )]
 #[case::key_twice(
     "member a { weight 1 weight 2 }",
-    "p:2:28: member a / weight: is told twice"
+    "p:2:28: member a / weight: is given twice"
 )]
-#[case::too_much(
+#[case::too_many_connections(
     "budget each target { connections 99999999999999999999 }",
     "is above 10000; 1 to 10000 are allowed"
 )]
-#[case::nothing("budget each target { connections 0 }", "is under 1")]
-#[case::idle_rule("rule r when cold {}", "rule r: changes nothing")]
-#[case::renewed_too_late("lease { lasts 2s renew 1s }", "lease / renew: 1000ms is over a third")]
-#[case::wild_clocks(
+#[case::zero_connections("budget each target { connections 0 }", "is under 1")]
+#[case::rule_without_keys("rule r when cold {}", "rule r: changes nothing")]
+#[case::renewal_too_rare("lease { lasts 2s renew 1s }", "lease / renew: 1000ms is over a third")]
+#[case::too_much_drift(
     "lease { drift 11% }",
     "lease / drift: is 11%; 0.01% to 10% are allowed"
 )]
@@ -187,36 +190,33 @@
     "member a { weigth 3 }",
     "p:2:12: weigth: cannot stand here; did you mean `weight`?"
 )]
-#[case::run_together(
+#[case::missing_space(
     "member a { weight3 }",
     "weight3: cannot stand here; did you mean `weight`?"
 )]
-#[case::unended(
-    "member a { weight 3",
-    "end of the file: cannot stand here; here may stand:"
-)]
+#[case::unterminated_block("member a { weight 3", "end of the file: cannot stand here; expected:")]
 #[case::no_unit(
     "lease { lasts 10 }",
-    "p:2:15: 10: cannot stand here; here may stand: a time as `10s` or `500ms`"
+    "p:2:15: 10: cannot stand here; expected: a time as `10s` or `500ms`"
 )]
-fn an_error_has_its_position_its_key_and_a_way_out(#[case] text: &str, #[case] said: &str) {
+fn an_error_has_a_position_a_key_and_a_suggestion(#[case] text: &str, #[case] expected: &str) {
     let (kinds, zones) = (["webhook".to_owned()], ["north".to_owned()]);
     let known = KnownNames {
         kinds: Some(&kinds),
         zones: Some(&zones),
         members: None,
     };
-    let faults = policy("p", &format!("language 1 edition 1\n{text}"), &known)
-        .expect_err("is faulty")
+    let errors = policy("p", &format!("language 1 edition 1\n{text}"), &known)
+        .expect_err("is invalid")
         .to_string();
-    assert!(faults.contains(said), "{faults}");
+    assert!(errors.contains(expected), "{errors}");
 }
 
 #[test]
 fn all_errors_of_a_file_are_reported_at_once() {
     let text = "language 2 edition 1\nmember a { weight 5000 }\nbudget each target { reserve 1 }";
-    let faults = policy("p", text, &KnownNames::default()).expect_err("is faulty");
-    let keys: Vec<&str> = faults.0.iter().map(|fault| fault.key.as_str()).collect();
+    let errors = policy("p", text, &KnownNames::default()).expect_err("is invalid");
+    let keys: Vec<&str> = errors.0.iter().map(|error| error.key.as_str()).collect();
     assert_eq!(
         keys,
         [
@@ -228,15 +228,15 @@
 }
 
 #[test]
-fn conditions_nested_without_end_are_refused_before_they_are_parsed() {
+fn deeply_nested_conditions_are_refused_before_parsing() {
     for deep in [
         "(".repeat(100_000),
         "not ".repeat(50_000),
         "not\n".repeat(50_000),
     ] {
         let text = format!("language 1 edition 1\nrule r when {deep} cold {{ reserve 1 }}");
-        let faults = read("p", &text).expect_err("is refused").to_string();
-        assert!(faults.contains("in one condition"), "{faults}");
+        let errors = read("p", &text).expect_err("is refused").to_string();
+        assert!(errors.contains("in one condition"), "{errors}");
     }
 }
 
@@ -298,7 +298,8 @@
     })
 }
 
-/// The same cases each time.
+/// A fixed seed, so that each run has the same cases. `POOLS_SEED` and `POOLS_CASES` override the seed and the number
+/// of cases.
 fn seeded(cases: u32) -> ProptestConfig {
     let seed = std::env::var("POOLS_SEED")
         .ok()
@@ -320,16 +321,16 @@
     #![proptest_config(seeded(256))]
 
     #[test]
-    fn a_printed_tree_reads_into_the_same_tree(text in text()) {
+    fn a_printed_tree_parses_into_the_same_tree(text in text()) {
         let tree = read("p", &text).expect("is in the grammar");
-        let again = tree.to_string();
-        prop_assert_eq!(read("p", &again).expect("is in the grammar still"), tree);
+        let printed = tree.to_string();
+        prop_assert_eq!(read("p", &printed).expect("is still in the grammar"), tree);
     }
 
     #[test]
-    fn no_text_makes_it_panic(text in "[ -~\n]{0,80}", cut in 0..400usize) {
+    fn no_text_causes_a_panic(text in "[ -~\n]{0,80}", cut in 0..400usize) {
         let _ = policy("p", &text, &KnownNames::default());
-        let whole: String = WHOLE.chars().take(cut).collect();
-        let _ = policy("p", &(whole + &text), &KnownNames::default());
+        let truncated: String = FULL_POLICY.chars().take(cut).collect();
+        let _ = policy("p", &(truncated + &text), &KnownNames::default());
     }
 }
--- a/forwarder/connection-quotas/tests/split.rs
+++ b/forwarder/connection-quotas/tests/split.rs
@@ -1,9 +1,11 @@
-//! What the split promises, for policies and wants of any kind.
+//! Properties of the split, for generated policies and demands.
 
 use std::collections::BTreeMap;
 
 use plankhill_connection_quotas::language::tree::Over;
-use plankhill_connection_quotas::language::{lending::reaches, MemberTerms, PoolTerms, Reach};
+use plankhill_connection_quotas::language::{
+    lending::reachable_borrowers, MemberTerms, PoolTerms, Reach,
+};
 use plankhill_connection_quotas::split::{split, ForwarderDemand, RoundingCarry, Share};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -53,15 +55,15 @@
 type Case = (PoolTerms, BTreeMap<u16, ForwarderDemand>);
 
 fn case() -> impl Strategy<Value = Case> {
-    let wants = (
+    let demands = (
         prop::collection::vec(0..12u32, MEMBERS),
         0..3u32,
         any::<bool>(),
     );
-    let all = prop::collection::btree_map(0..40u16, wants, 0..12);
+    let all = prop::collection::btree_map(0..40u16, demands, 0..12);
     (terms(), all).prop_map(|(terms, all)| {
-        let stands = |place: usize| u32::from(place < terms.standing as usize);
-        let wants = all
+        let standing_of = |place: usize| u32::from(place < terms.standing as usize);
+        let demands = all
             .into_iter()
             .enumerate()
             .map(|(place, (id, (members, trials, near)))| {
@@ -71,37 +73,39 @@
                         members,
                         trials,
                         is_near: near,
-                        standing: stands(place),
+                        standing: standing_of(place),
                     },
                 )
             });
-        let wants = wants.collect();
-        (terms, wants)
+        let demands = demands.collect();
+        (terms, demands)
     })
 }
 
-fn parts((terms, wants): &Case) -> BTreeMap<u16, Share> {
-    split(terms, terms.standing, wants, &mut RoundingCarry::new())
+fn shares((terms, demands): &Case) -> BTreeMap<u16, Share> {
+    split(terms, terms.standing, demands, &mut RoundingCarry::new())
 }
 
-fn of_member(parts: &BTreeMap<u16, Share>, member: usize) -> u32 {
-    parts.values().map(|part| part.members[member]).sum()
+fn member_total(shares: &BTreeMap<u16, Share>, member: usize) -> u32 {
+    shares.values().map(|share| share.members[member]).sum()
 }
 
-fn wanted((_, wants): &Case, member: usize) -> u32 {
-    wants.values().map(|wants| wants.members[member]).sum()
+fn wanted((_, demands): &Case, member: usize) -> u32 {
+    demands.values().map(|demand| demand.members[member]).sum()
 }
 
-/// What is out or set aside: a forwarder counts with its part, or what it has for sure if that is more.
-fn counted((terms, wants): &Case, parts: &BTreeMap<u16, Share>) -> u32 {
-    let named: u32 = wants.values().map(|wants| wants.standing).sum();
-    let sums = parts
-        .iter()
-        .map(|(id, part)| part.members.iter().sum::<u32>().max(wants[id].standing) + part.trials);
+/// The connections that count towards the quota: of each forwarder the larger of its share and its standing share, and
+/// the standing shares of forwarders without demands.
+fn counted_connections((terms, demands): &Case, shares: &BTreeMap<u16, Share>) -> u32 {
+    let named: u32 = demands.values().map(|demand| demand.standing).sum();
+    let sums = shares.iter().map(|(id, share)| {
+        share.members.iter().sum::<u32>().max(demands[id].standing) + share.trials
+    });
     sums.sum::<u32>() + terms.standing - named
 }
 
-/// The same cases each time.
+/// A fixed seed, so that each run has the same cases. `POOLS_SEED` and `POOLS_CASES` override the seed and the number
+/// of cases.
 fn seeded(cases: u32) -> ProptestConfig {
     let seed = std::env::var("POOLS_SEED")
         .ok()
@@ -123,113 +127,117 @@
     #![proptest_config(seeded(512))]
 
     #[test]
-    fn the_quota_is_never_passed_and_no_share_is_more_than_wanted(case in case()) {
-        let parts = parts(&case);
-        prop_assert!(counted(&case, &parts) <= case.0.connections);
-        for (id, part) in &parts {
-            let wants = &case.1[id];
-            prop_assert!(part.trials <= wants.trials);
-            prop_assert!(part.members.iter().zip(&wants.members).all(|(got, want)| got <= want));
+    fn the_quota_is_never_exceeded_and_no_share_exceeds_the_demand(case in case()) {
+        let shares = shares(&case);
+        prop_assert!(counted_connections(&case, &shares) <= case.0.connections);
+        for (id, share) in &shares {
+            let demand = &case.1[id];
+            prop_assert!(share.trials <= demand.trials);
+            prop_assert!(share.members.iter().zip(&demand.members).all(|(granted, wanted)| granted <= wanted));
         }
-        prop_assert!(parts.values().map(|part| part.trials).sum::<u32>() <= case.0.reserve);
+        prop_assert!(shares.values().map(|share| share.trials).sum::<u32>() <= case.0.reserve);
     }
 
     #[test]
-    fn floors_of_members_and_of_forwarders_are_kept(case in case()) {
-        let parts = parts(&case);
+    fn floors_of_members_and_standing_shares_of_forwarders_are_kept(case in case()) {
+        let shares = shares(&case);
         for (at, member) in case.0.members.iter().enumerate() {
-            prop_assert!(of_member(&parts, at) >= wanted(&case, at).min(member.floor));
+            prop_assert!(member_total(&shares, at) >= wanted(&case, at).min(member.floor));
         }
-        for (id, wants) in &case.1 {
-            let got: u32 = parts[id].members.iter().sum();
-            prop_assert!(got >= wants.standing.min(wants.members.iter().sum()));
+        for (id, demand) in &case.1 {
+            let granted: u32 = shares[id].members.iter().sum();
+            prop_assert!(granted >= demand.standing.min(demand.members.iter().sum()));
         }
     }
 
     #[test]
-    fn no_connection_is_idle_that_a_member_wants_and_may_have(case in case()) {
-        let parts = parts(&case);
+    fn no_connection_stays_unused_that_a_member_wants_and_may_borrow(case in case()) {
+        let shares = shares(&case);
         let terms = &case.0;
-        let reaches = reaches(&terms.members);
-        let free = terms.connections - terms.reserve - (counted(&case, &parts)
-            - parts.values().map(|part| part.trials).sum::<u32>());
-        let hungry = |at: &usize| {
-            let got = of_member(&parts, *at);
-            got < wanted(&case, *at) && got < terms.members[*at].ceiling
+        let reachable_borrowers = reachable_borrowers(&terms.members);
+        let free = terms.connections - terms.reserve - (counted_connections(&case, &shares)
+            - shares.values().map(|share| share.trials).sum::<u32>());
+        let unsatisfied = |at: &usize| {
+            let granted = member_total(&shares, *at);
+            granted < wanted(&case, *at) && granted < terms.members[*at].ceiling
         };
-        let everyone_lends = terms.members.iter().all(|member| member.lends == Reach::All);
-        for at in (0..MEMBERS).filter(hungry) {
-            // All others may lend to it: then nothing may be left.
-            let lent_by_all = (0..MEMBERS).all(|other| other == at || reaches[other].contains(&at));
-            prop_assert!(!(lent_by_all && everyone_lends) || free == 0, "{free} idle, {at} wants");
+        let all_lend = terms.members.iter().all(|member| member.lends == Reach::All);
+        for at in (0..MEMBERS).filter(unsatisfied) {
+            // If all others may lend to this member, no connection may be left.
+            let lent_by_all = (0..MEMBERS).all(|other| other == at || reachable_borrowers[other].contains(&at));
+            prop_assert!(!(lent_by_all && all_lend) || free == 0, "{free} idle, {at} wants");
         }
     }
 
     #[test]
-    fn a_member_that_asks_beyond_its_need_gains_nothing(case in case(), member in 0..MEMBERS, more in 1..50u32) {
-        let (mut case, before) = (case.clone(), parts(&case));
-        // Ways that follow the demand of forwarders believe what forwarders measure: members are the rivals.
+    fn a_member_gains_nothing_by_an_excessive_demand(case in case(), member in 0..MEMBERS, more in 1..50u32) {
+        let (mut case, before) = (case.clone(), shares(&case));
+        // The split by demand trusts the demands of forwarders. This property is about competing members.
         let Some(first) = case.1.keys().next().copied() else { return Ok(()) };
         let needed = wanted(&case, member);
-        let standing = case.1.values().any(|wants| wants.standing > 0);
+        let standing = case.1.values().any(|demand| demand.standing > 0);
         case.1.get_mut(&first).expect("is there").members[member] += more;
-        let after = parts(&case);
+        let after = shares(&case);
         if !standing {
-            prop_assert!(of_member(&after, member).min(needed) <= of_member(&before, member));
+            prop_assert!(member_total(&after, member).min(needed) <= member_total(&before, member));
         }
     }
 
     #[test]
-    fn a_forwarder_that_asks_beyond_its_need_gains_nothing_where_demand_is_no_weight(
+    fn a_forwarder_gains_nothing_by_an_excessive_demand_in_an_even_split(
         case in case(), member in 0..MEMBERS, more in 1..50u32,
     ) {
         let mut case = case.clone();
         case.0.over = Over::Evenly;
-        // One member alone: what the member gets more by it goes to all its forwarders.
-        case.1.values_mut().for_each(|wants| wants.standing = 0);
-        let before = parts(&case);
+        // Only checked if the member's total stays the same: a larger total is divided over all forwarders.
+        case.1.values_mut().for_each(|demand| demand.standing = 0);
+        let before = shares(&case);
         let Some(first) = case.1.keys().next().copied() else { return Ok(()) };
-        let (needed, total) = (case.1[&first].members[member], of_member(&before, member));
+        let (needed, total) = (case.1[&first].members[member], member_total(&before, member));
         case.1.get_mut(&first).expect("is there").members[member] += more;
-        let after = parts(&case);
-        if of_member(&after, member) == total {
+        let after = shares(&case);
+        if member_total(&after, member) == total {
             prop_assert!(after[&first].members[member].min(needed) <= before[&first].members[member]);
         }
     }
 
     #[test]
-    fn one_connection_more_or_less_moves_no_member_by_more_than_two(case in case()) {
-        let before = parts(&case);
+    fn one_more_connection_changes_no_member_by_more_than_two(case in case()) {
+        let before = shares(&case);
         let mut more = case.clone();
         more.0.connections += 1;
-        let after = parts(&more);
+        let after = shares(&more);
         for at in 0..MEMBERS {
-            let (a, b) = (of_member(&before, at), of_member(&after, at));
+            let (a, b) = (member_total(&before, at), member_total(&after, at));
             prop_assert!(a.abs_diff(b) <= 2, "member {at}: {a} and {b}");
         }
-        // A remainder that changes hands can cost one who may not borrow its last one.
-        let sum = |parts: &BTreeMap<u16, Share>| (0..MEMBERS).map(|at| of_member(parts, at)).sum::<u32>();
+        // If a remainder goes to another member, a member that may not borrow can lose its last connection.
+        let sum = |shares: &BTreeMap<u16, Share>| (0..MEMBERS).map(|at| member_total(shares, at)).sum::<u32>();
         prop_assert!(sum(&before) <= sum(&after) + 1 && sum(&after) <= sum(&before) + 2);
     }
 
     #[test]
-    fn what_rounding_owes_evens_out_over_turns(forwarders in 2..20u16, connections in 1..10u32) {
+    fn rounding_errors_even_out_over_repeated_splits(forwarders in 2..20u16, connections in 1..10u32) {
         let member = MemberTerms { weight: 1, floor: 0, ceiling: u32::MAX, lends: Reach::All, borrows: true };
         let (reserve, standing, over, members) = (0, 0, Over::Evenly, vec![member]);
         let terms = PoolTerms { connections, reserve, standing, over, members };
-        let wants = ForwarderDemand { members: vec![20], ..ForwarderDemand::default() };
-        let wants: BTreeMap<u16, ForwarderDemand> = (0..forwarders).map(|id| (id, wants.clone())).collect();
-        let (mut owed, mut got) = (RoundingCarry::new(), vec![0; usize::from(forwarders)]);
+        let demand = ForwarderDemand { members: vec![20], ..ForwarderDemand::default() };
+        let demands: BTreeMap<u16, ForwarderDemand> = (0..forwarders).map(|id| (id, demand.clone())).collect();
+        let (mut carry, mut granted) = (RoundingCarry::new(), vec![0; usize::from(forwarders)]);
         for _ in 0..forwarders {
-            for (id, part) in split(&terms, 0, &wants, &mut owed) {
-                got[usize::from(id)] += part.total();
+            for (id, share) in split(&terms, 0, &demands, &mut carry) {
+                granted[usize::from(id)] += share.total();
             }
         }
-        prop_assert!(got.iter().all(|sum| sum.abs_diff(connections) <= 1), "{got:?}");
+        prop_assert!(granted.iter().all(|sum| sum.abs_diff(connections) <= 1), "{granted:?}");
     }
 }
 
-fn one_forwarder(members: Vec<MemberTerms>, connections: u32, wants: &[u32]) -> Vec<u32> {
+fn split_for_one_forwarder(
+    members: Vec<MemberTerms>,
+    connections: u32,
+    demands: &[u32],
+) -> Vec<u32> {
     let (reserve, standing, over) = (0, 0, Over::ByDemand);
     let terms = PoolTerms {
         connections,
@@ -238,19 +246,19 @@
         over,
         members,
     };
-    let wants = BTreeMap::from([(
+    let demands = BTreeMap::from([(
         7,
         ForwarderDemand {
-            members: wants.to_vec(),
+            members: demands.to_vec(),
             ..ForwarderDemand::default()
         },
     )]);
-    split(&terms, 0, &wants, &mut RoundingCarry::new())[&7]
+    split(&terms, 0, &demands, &mut RoundingCarry::new())[&7]
         .members
         .clone()
 }
 
-fn lender(weight: u32, lends: Reach, borrows: bool) -> MemberTerms {
+fn member_terms(weight: u32, lends: Reach, borrows: bool) -> MemberTerms {
     MemberTerms {
         weight,
         floor: 0,
@@ -261,59 +269,74 @@
 }
 
 #[test]
-fn an_unused_share_goes_only_where_it_is_lent() {
+fn an_unused_share_is_only_lent_to_the_named_members() {
     let members = |lends| {
         vec![
-            lender(1, lends, true),
-            lender(1, Reach::All, true),
-            lender(1, Reach::All, true),
+            member_terms(1, lends, true),
+            member_terms(1, Reach::All, true),
+            member_terms(1, Reach::All, true),
         ]
     };
     assert_eq!(
-        one_forwarder(members(Reach::All), 30, &[0, 30, 30]),
+        split_for_one_forwarder(members(Reach::All), 30, &[0, 30, 30]),
         [0, 15, 15]
     );
     assert_eq!(
-        one_forwarder(members(Reach::Only(vec![2])), 30, &[0, 30, 30]),
+        split_for_one_forwarder(members(Reach::Only(vec![2])), 30, &[0, 30, 30]),
         [0, 10, 20]
     );
     assert_eq!(
-        one_forwarder(members(Reach::Only(vec![])), 30, &[0, 30, 30]),
+        split_for_one_forwarder(members(Reach::Only(vec![])), 30, &[0, 30, 30]),
         [0, 10, 10]
     );
 }
 
 #[test]
-fn connections_lent_by_name_go_on_along_the_lists_and_not_to_members_that_do_not_borrow() {
+fn connections_lent_by_name_are_lent_further_but_not_to_members_that_do_not_borrow() {
     let chain = |middle| {
-        let reaches = [Reach::Only(vec![1]), Reach::Only(vec![2]), Reach::All];
-        let [first, second, third] = reaches;
+        let lends = [Reach::Only(vec![1]), Reach::Only(vec![2]), Reach::All];
+        let [first, second, third] = lends;
         vec![
-            lender(1, first, true),
-            lender(1, second, middle),
-            lender(1, third, true),
+            member_terms(1, first, true),
+            member_terms(1, second, middle),
+            member_terms(1, third, true),
         ]
     };
-    assert_eq!(one_forwarder(chain(true), 30, &[0, 0, 30]), [0, 0, 30]);
-    assert_eq!(one_forwarder(chain(false), 30, &[0, 30, 10]), [0, 10, 10]);
+    assert_eq!(
+        split_for_one_forwarder(chain(true), 30, &[0, 0, 30]),
+        [0, 0, 30]
+    );
+    assert_eq!(
+        split_for_one_forwarder(chain(false), 30, &[0, 30, 10]),
+        [0, 10, 10]
+    );
 }
 
 #[test]
-fn a_member_that_could_have_borrowed_from_another_makes_way() {
-    // The first lends to both that want, the second to the last alone: each gets one.
+fn a_loan_is_reassigned_to_another_lender_if_that_satisfies_more_members() {
+    // The first member lends to both members with demand, the second only to the last: each gets one connection.
     let members = vec![
-        lender(1, Reach::Only(vec![2, 3]), true),
-        lender(1, Reach::Only(vec![3]), true),
-        lender(0, Reach::All, true),
-        lender(0, Reach::All, true),
+        member_terms(1, Reach::Only(vec![2, 3]), true),
+        member_terms(1, Reach::Only(vec![3]), true),
+        member_terms(0, Reach::All, true),
+        member_terms(0, Reach::All, true),
     ];
-    assert_eq!(one_forwarder(members, 2, &[0, 0, 1, 1]), [0, 0, 1, 1]);
+    assert_eq!(
+        split_for_one_forwarder(members, 2, &[0, 0, 1, 1]),
+        [0, 0, 1, 1]
+    );
 }
 
 #[test]
-fn weights_decide_where_all_want_more_and_zones_where_a_policy_says_so() {
-    let members = vec![lender(3, Reach::All, true), lender(1, Reach::All, true)];
-    assert_eq!(one_forwarder(members.clone(), 20, &[50, 50]), [15, 5]);
+fn weights_divide_contended_connections_and_by_zone_prefers_near_forwarders() {
+    let members = vec![
+        member_terms(3, Reach::All, true),
+        member_terms(1, Reach::All, true),
+    ];
+    assert_eq!(
+        split_for_one_forwarder(members.clone(), 20, &[50, 50]),
+        [15, 5]
+    );
     let (reserve, standing, over) = (0, 0, Over::ByZone);
     let terms = PoolTerms {
         connections: 10,
@@ -322,16 +345,16 @@
         over,
         members,
     };
-    let wants = |near| ForwarderDemand {
+    let demand = |near| ForwarderDemand {
         members: vec![8, 0],
         is_near: near,
         ..ForwarderDemand::default()
     };
-    let parts = split(
+    let shares = split(
         &terms,
         0,
-        &BTreeMap::from([(1, wants(false)), (2, wants(true))]),
+        &BTreeMap::from([(1, demand(false)), (2, demand(true))]),
         &mut RoundingCarry::new(),
     );
-    assert_eq!((parts[&1].total(), parts[&2].total()), (2, 8));
+    assert_eq!((shares[&1].total(), shares[&2].total()), (2, 8));
 }
