--- a/forwarder/connection-quotas/tests/fleet/process.rs
+++ b/forwarder/connection-quotas/tests/fleet/process.rs
@@ -2,37 +2,37 @@
 
 use super::{pool, TIME_OUT};
 
-/// One instance, with the process that is its latest.
+/// One instance with its current process.
 pub struct Process {
     pub name: Instance,
     pub rate: f64,
-    pub ahead: f64,
+    pub offset: f64,
     pub holder: LeaseHolder,
-    pub book: LeaseTable,
-    pub heard: usize,
-    /// A snapshot on its disk, with what it had heard by then.
-    pub saved: (usize, Vec<u8>),
-    /// Ends of calls on its own clock; an idle connection has none.
+    pub table: LeaseTable,
+    pub applied: usize,
+    /// The snapshot on disk, with the number of log entries applied in it.
+    pub snapshot: (usize, Vec<u8>),
+    /// Open connections: the end of the call on the instance's clock, `None` for an idle connection.
     pub open: Vec<Option<f64>>,
-    pub wants: u32,
+    pub demand: u32,
     pub stalled_until: f64,
     pub down_until: f64,
-    /// It stood still between the look at its lease and the opening.
-    pub about_to_open: bool,
-    pub reports_at: f64,
-    pub gives: Option<(u64, LeaseIssuer)>,
-    /// What its book says of it without a lease.
+    /// The process stalled between checking its allowance and opening a connection.
+    pub opens_after_stall: bool,
+    pub next_report_at: f64,
+    pub issuer: Option<(u64, LeaseIssuer)>,
+    /// The instance's standing share according to its own table.
     pub standing: u32,
-    pub ends_ignored: bool,
+    pub ignores_expiry: bool,
 }
 
 impl Process {
     pub fn clock(&self, now: f64) -> f64 {
-        self.ahead + now * self.rate
+        self.offset + now * self.rate
     }
 
-    /// Where a stall does most harm.
-    pub fn is_near_its_end(&self, now: f64) -> bool {
+    /// Whether the lease is about to expire, which is when a stall is most harmful.
+    pub fn is_near_expiry(&self, now: f64) -> bool {
         let clock = self.clock(now);
         self.holder
             .ends_at(clock)
@@ -41,7 +41,7 @@
     }
 
     pub fn allowance(&self, clock: f64, until: f64) -> u32 {
-        let (clock, until) = if self.ends_ignored {
+        let (clock, until) = if self.ignores_expiry {
             (f64::MIN, f64::MIN)
         } else {
             (clock, until)
@@ -51,8 +51,8 @@
             .total
     }
 
-    /// For calls that end in time.
-    pub fn room(&self, now: f64) -> u32 {
+    /// The number of connections that may be opened for calls of up to `TIME_OUT`.
+    pub fn free_capacity(&self, now: f64) -> u32 {
         let clock = self.clock(now);
         self.allowance(clock, clock + TIME_OUT)
             .saturating_sub(self.open.len() as u32)
--- a/forwarder/connection-quotas/tests/fleet/talk.rs
+++ b/forwarder/connection-quotas/tests/fleet/transport.rs
@@ -1,4 +1,4 @@
-//! Reports and proposals on their way.
+//! Sending and delayed delivery of reports and proposals.
 
 use plankhill_connection_quotas::leases::{Command, PoolDemand, Report};
 use rand::Rng;
@@ -6,15 +6,15 @@
 use super::{facts, Fleet};
 
 impl Fleet {
-    /// What is on its way comes in.
-    pub(super) fn carry(&mut self) {
+    /// Delivers the proposals and reports that are due.
+    pub(super) fn deliver(&mut self) {
         let now = self.now;
         let (due, later) = std::mem::take(&mut self.proposed)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
         self.proposed = later;
         let due: Vec<(f64, u64, Command)> = due;
-        // What an earlier leader proposed late is void.
+        // Proposals of earlier leaders that arrive late are discarded.
         self.log.extend(
             due.into_iter()
                 .filter(|(_, term, _)| *term == self.term)
@@ -31,18 +31,18 @@
             }
             let instance = &mut self.instances[self.leader];
             let clock = instance.clock(now);
-            let Some((term, giver)) = &mut instance.gives else {
+            let Some((term, issuer)) = &mut instance.issuer else {
                 continue;
             };
-            let (term, granted) = (*term, giver.reported(clock, &instance.book, report));
-            if let Some(command) = granted {
+            let (term, grant) = (*term, issuer.reported(clock, &instance.table, report));
+            if let Some(command) = grant {
                 self.propose(term, command);
             }
         }
     }
 
     fn propose(&mut self, term: u64, command: Command) {
-        let at = self.now + self.chance.random_range(1.0..60.0);
+        let at = self.now + self.rng.random_range(1.0..60.0);
         self.proposed.push((at, term, command));
     }
 
@@ -50,40 +50,40 @@
         let now = self.now;
         let instance = &mut self.instances[at];
         let clock = instance.clock(now);
-        if instance.reports_at > clock {
+        if instance.next_report_at > clock {
             return;
         }
-        instance.reports_at = clock + 300.0;
-        let wants = PoolDemand {
+        instance.next_report_at = clock + 300.0;
+        let demand = PoolDemand {
             facts: facts(),
-            members: vec![instance.wants],
+            members: vec![instance.demand],
             trials: 0,
         };
-        let report = instance.holder.report(clock, vec![wants]);
+        let report = instance.holder.report(clock, vec![demand]);
         if self.cut_off[at] > now {
             return;
         }
-        for _ in 0..self.chance.random_range(0..=2) {
-            let late = if self.chance.random_bool(0.05) {
+        for _ in 0..self.rng.random_range(0..=2) {
+            let max_delay = if self.rng.random_bool(0.05) {
                 6_000.0
             } else {
                 60.0
             };
             self.reports
-                .push((now + self.chance.random_range(1.0..late), report.clone()));
+                .push((now + self.rng.random_range(1.0..max_delay), report.clone()));
         }
     }
 
-    pub(super) fn give(&mut self, at: usize) {
+    pub(super) fn propose_due(&mut self, at: usize) {
         let instance = &mut self.instances[at];
         let clock = instance.clock(self.now);
         if self.now % 50.0 != 0.0 {
             return;
         }
-        let Some((term, giver)) = &mut instance.gives else {
+        let Some((term, issuer)) = &mut instance.issuer else {
             return;
         };
-        let (term, due) = (*term, giver.due(clock, &instance.book));
+        let (term, due) = (*term, issuer.due(clock, &instance.table));
         for command in due {
             self.propose(term, command);
         }
--- a/forwarder/connection-quotas/tests/local.rs
+++ b/forwarder/connection-quotas/tests/local.rs
@@ -1,4 +1,4 @@
-//! A forwarder's side by plain calls: two of them, one of which leads, and bytes carried between them.
+//! Tests of `LocalQuotas` with two forwarders, one of which leads. Encoded messages are passed between them directly.
 
 use plankhill_connection_quotas::language::{Facts, KnownNames, PoolId, OTHERS};
 use plankhill_connection_quotas::leases::{encode, Command, Instance, MemberIncarnation};
@@ -11,7 +11,7 @@
 
 fn local(name: &str) -> LocalQuotas {
     let policy =
-        plankhill_connection_quotas::policy("p", POLICY, &KnownNames::default()).expect("is sound");
+        plankhill_connection_quotas::policy("p", POLICY, &KnownNames::default()).expect("is valid");
     let instances = ["a", "b"]
         .map(|name| (Instance(name.into()), String::new()))
         .to_vec();
@@ -41,26 +41,26 @@
     PoolId::Target("t".into())
 }
 
-struct Two {
+struct TwoForwarders {
     now: f64,
     a: LocalQuotas,
     b: LocalQuotas,
 }
 
-impl Two {
-    fn new() -> Two {
-        let mut two = Two {
+impl TwoForwarders {
+    fn new() -> TwoForwarders {
+        let mut fleet = TwoForwarders {
             now: 0.0,
             a: local("a"),
             b: local("b"),
         };
-        let nothing = plankhill_connection_quotas::leases::LeaseTable::default().snapshot();
-        two.a.leads(0.0, 1, &nothing);
-        two.carry(4);
-        two
+        let empty_table = plankhill_connection_quotas::leases::LeaseTable::default().snapshot();
+        fleet.a.leads(0.0, 1, &empty_table);
+        fleet.exchange(4);
+        fleet
     }
 
-    fn log(&mut self, commands: Vec<Command>) {
+    fn apply(&mut self, commands: Vec<Command>) {
         for command in commands {
             let bytes = encode(&command);
             self.a.applied(self.now, 1, &bytes);
@@ -68,19 +68,19 @@
         }
     }
 
-    fn opened_by_a(&self) -> u32 {
+    fn open_at_a(&self) -> u32 {
         self.a.open(&pool())
     }
 
-    /// All that is due goes to and fro, a renewal each time.
-    fn carry(&mut self, times: usize) {
+    /// Exchanges all due commands and reports, for the given number of renewals.
+    fn exchange(&mut self, times: usize) {
         for _ in 0..times {
             self.now += 300.0;
             let due = self.a.due(self.now);
-            self.log(due);
+            self.apply(due);
             for report in [self.a.report(self.now), self.b.report(self.now)] {
                 let command = report.and_then(|report| self.a.reported(self.now, &report));
-                self.log(command.into_iter().collect());
+                self.apply(command.into_iter().collect());
             }
         }
     }
@@ -90,115 +90,125 @@
     ConnectionUse::Event(local.member(OTHERS))
 }
 
-fn open(local: &mut LocalQuotas, now: f64, most: usize) -> usize {
-    let what = event(local);
-    (0..most)
+fn open(local: &mut LocalQuotas, now: f64, max: usize) -> usize {
+    let connection_use = event(local);
+    (0..max)
         .take_while(|_| {
-            local.acquire(now, now + 1_000.0, "t", what, None) == Admission::Admitted(pool())
+            local.acquire(now, now + 1_000.0, "t", connection_use, None)
+                == Admission::Admitted(pool())
         })
         .count()
 }
 
 #[test]
-fn a_target_without_a_quota_is_unlimited_and_one_with_a_quota_has_nothing_before_it_is_agreed() {
-    let mut alone = local("a");
-    let what = event(&alone);
+fn without_a_committed_policy_a_target_with_a_quota_has_no_connections_and_others_are_unlimited() {
+    let mut forwarder = local("a");
+    let connection_use = event(&forwarder);
     assert_eq!(
-        alone.acquire(0.0, 1.0, "stranger", what, None),
+        forwarder.acquire(0.0, 1.0, "unknown", connection_use, None),
         Admission::Unlimited
     );
     assert_eq!(
-        alone.acquire(0.0, 1.0, "t", what, None),
+        forwarder.acquire(0.0, 1.0, "t", connection_use, None),
         Admission::Exhausted(pool())
     );
 }
 
 #[test]
-fn shares_follow_demand_and_never_sum_up_to_more_than_the_quota() {
-    let mut two = Two::new();
+fn shares_follow_demand_and_their_sum_stays_within_the_quota() {
+    let mut fleet = TwoForwarders::new();
     for _ in 0..6 {
-        open(&mut two.a, two.now, 20);
-        two.carry(2);
+        open(&mut fleet.a, fleet.now, 20);
+        fleet.exchange(2);
     }
-    // All but the reserve and what stands for the other.
-    assert_eq!(two.opened_by_a(), 8);
-    assert_eq!(open(&mut two.b, two.now, 20), 1, "what stands for it");
+    // All connections except the reserve and the standing share of the other forwarder.
+    assert_eq!(fleet.open_at_a(), 8);
+    assert_eq!(open(&mut fleet.b, fleet.now, 20), 1, "its standing share");
 }
 
 #[test]
 fn connections_no_longer_wanted_are_closed_and_granted_to_the_other() {
-    let mut two = Two::new();
+    let mut fleet = TwoForwarders::new();
     for _ in 0..6 {
-        open(&mut two.a, two.now, 20);
-        two.carry(2);
+        open(&mut fleet.a, fleet.now, 20);
+        fleet.exchange(2);
     }
-    let what = event(&two.a);
-    for _ in 0..two.opened_by_a() {
+    let connection_use = event(&fleet.a);
+    for _ in 0..fleet.open_at_a() {
         assert!(
-            two.a.release_idle(two.now, &pool(), what),
-            "idle ones may stay as long as nobody else wants them"
+            fleet.a.release_idle(fleet.now, &pool(), connection_use),
+            "idle connections stay open while no other forwarder wants them"
         );
     }
     for _ in 0..20 {
-        open(&mut two.b, two.now, 20);
-        two.carry(1);
-        for (pool, surplus) in two.a.surplus(two.now) {
-            (0..surplus).for_each(|_| two.a.connection_closed(two.now, &pool, None));
+        open(&mut fleet.b, fleet.now, 20);
+        fleet.exchange(1);
+        for (pool, surplus) in fleet.a.surplus(fleet.now) {
+            (0..surplus).for_each(|_| fleet.a.connection_closed(fleet.now, &pool, None));
         }
     }
-    let (a, b) = (two.opened_by_a(), two.b.open(&pool()));
+    let (a, b) = (fleet.open_at_a(), fleet.b.open(&pool()));
     assert!(b >= 7 && a + b <= 10, "{a} and {b}");
 }
 
 #[test]
-fn past_its_lease_idle_connections_are_closed_and_only_standing_ones_opened() {
-    let mut two = Two::new();
+fn after_expiry_idle_connections_are_closed_down_to_the_standing_share() {
+    let mut fleet = TwoForwarders::new();
     for _ in 0..6 {
-        open(&mut two.a, two.now, 20);
-        two.carry(2);
+        open(&mut fleet.a, fleet.now, 20);
+        fleet.exchange(2);
     }
-    let what = event(&two.a);
+    let connection_use = event(&fleet.a);
     (0..8).for_each(|_| {
-        two.a.release_idle(two.now, &pool(), what);
+        fleet.a.release_idle(fleet.now, &pool(), connection_use);
     });
-    assert_eq!(two.a.surplus(two.now + 2_600.0), []);
-    assert_eq!(two.a.surplus(two.now + 3_000.0), [(pool(), 7)]);
-    // A call that would outlast the lease is not begun on the strength of it.
-    let late = two.now + 2_500.0;
+    assert_eq!(fleet.a.surplus(fleet.now + 2_600.0), []);
+    assert_eq!(fleet.a.surplus(fleet.now + 3_000.0), [(pool(), 7)]);
+    // A call that may outlast the lease is not admitted by the lease.
+    let late = fleet.now + 2_500.0;
     assert_eq!(
-        two.a
-            .acquire(late, late + 1_000.0, "t", what, Some(&pool())),
+        fleet
+            .a
+            .acquire(late, late + 1_000.0, "t", connection_use, Some(&pool())),
         Admission::Exhausted(pool())
     );
     assert_eq!(
-        two.a.acquire(late, late + 300.0, "t", what, Some(&pool())),
+        fleet
+            .a
+            .acquire(late, late + 300.0, "t", connection_use, Some(&pool())),
         Admission::Admitted(pool())
     );
 }
 
 #[test]
-fn a_health_check_has_the_reserve_where_events_took_all_else() {
-    let mut two = Two::new();
+fn a_health_check_uses_the_reserve_when_events_use_all_other_connections() {
+    let mut fleet = TwoForwarders::new();
     for _ in 0..6 {
-        open(&mut two.a, two.now, 20);
-        two.a
-            .acquire(two.now, two.now, "t", ConnectionUse::Trial, None);
-        two.a
-            .connection_closed(two.now, &pool(), Some(ConnectionUse::Trial));
-        two.carry(2);
+        open(&mut fleet.a, fleet.now, 20);
+        fleet
+            .a
+            .acquire(fleet.now, fleet.now, "t", ConnectionUse::Trial, None);
+        fleet
+            .a
+            .connection_closed(fleet.now, &pool(), Some(ConnectionUse::Trial));
+        fleet.exchange(2);
     }
     assert_eq!(
-        two.a.acquire(two.now, two.now, "t", event(&two.a), None),
+        fleet
+            .a
+            .acquire(fleet.now, fleet.now, "t", event(&fleet.a), None),
         Admission::Exhausted(pool())
     );
     assert_eq!(
-        two.a
-            .acquire(two.now, two.now, "t", ConnectionUse::Trial, None),
+        fleet
+            .a
+            .acquire(fleet.now, fleet.now, "t", ConnectionUse::Trial, None),
         Admission::Admitted(pool())
     );
     assert_eq!(
-        two.a
-            .acquire(two.now, two.now, "t", ConnectionUse::Trial, None),
+        fleet
+            .a
+            .acquire(fleet.now, fleet.now, "t", ConnectionUse::Trial, None),
         Admission::Exhausted(pool())
     );
 }
--- a/forwarder/connection-quotas/tests/stored_format.rs
+++ b/forwarder/connection-quotas/tests/stored_format.rs
@@ -1,4 +1,5 @@
-//! The bytes of what holders and givers send, of the giving group's log, and of its book's snapshot.
+//! Pinned encodings of the messages between holders and issuers, of the commands of the control group's log, and of
+//! the lease table's snapshot.
 
 use plankhill_connection_quotas::language::{Facts, LeaseTerms, MemberId, PoolId};
 use plankhill_connection_quotas::leases::{
@@ -78,8 +79,8 @@
 }
 
 #[test]
-fn a_report_is_as_pinned() {
-    let wants = vec![PoolDemand {
+fn a_report_is_encoded_as_pinned() {
+    let pool_demands = vec![PoolDemand {
         facts: facts(),
         members: vec![300, 2],
         trials: 9,
@@ -90,13 +91,13 @@
         number: 300,
         closed_to: LeaseNumber(70_000),
         edition: 7,
-        demands: wants,
+        demands: pool_demands,
     };
     check("Report", report);
 }
 
 #[test]
-fn every_command_of_the_log_is_as_pinned() {
+fn every_command_is_encoded_as_pinned() {
     let mut all = vec![
         Command::Policy {
             text: POLICY.into(),
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn what_stands_inside_of_them_is_as_pinned() {
+fn nested_values_are_encoded_as_pinned() {
     for pool in pools() {
         check(&format!("Pool{}", name_of(&pool)), pool);
     }
@@ -138,9 +139,9 @@
 }
 
 #[test]
-fn a_book_is_written_and_read_as_pinned() {
-    let mut book = LeaseTable::default();
-    assert_eq!(book.snapshot(), pinned("EmptyBook"));
+fn a_table_is_saved_and_restored_as_pinned() {
+    let mut table = LeaseTable::default();
+    assert_eq!(table.snapshot(), pinned("EmptyBook"));
     let newer = POLICY.replace("edition 7", "edition 8");
     let commands = [
         Command::Policy {
@@ -158,14 +159,15 @@
         },
     ];
     for command in &commands {
-        assert_eq!(book.apply(300, command), Outcome::Applied, "{command:?}");
+        assert_eq!(table.apply(300, command), Outcome::Applied, "{command:?}");
     }
-    assert_eq!(book.snapshot(), pinned("Book"));
-    let read = LeaseTable::restore(&pinned("Book")).unwrap();
-    assert_eq!(read.snapshot(), pinned("Book"));
-    assert_eq!(read.policy().unwrap().0.edition, 8);
+    assert_eq!(table.snapshot(), pinned("Book"));
+    let restored = LeaseTable::restore(&pinned("Book")).unwrap();
+    assert_eq!(restored.snapshot(), pinned("Book"));
+    assert_eq!(restored.policy().unwrap().0.edition, 8);
     assert_eq!(
-        read.open()
+        restored
+            .open()
             .map(|(name, leases)| (name.0.as_str(), leases.len()))
             .collect::<Vec<_>>(),
         [("one", 2)]
