--- a/forwarder/connection-quotas/examples/fleet/leased.rs
+++ b/forwarder/connection-quotas/examples/fleet/leased.rs
@@ -1,4 +1,5 @@
-//! Leases over the real book, giver and holders; the log takes 20 ms, a report 10 ms.
+//! Quotas by leases, with the real lease table, issuer and holders. A log entry is applied after 20 ms, a report is
+//! delivered after 10 ms.
 
 use plankhill_connection_quotas::language::{Facts, KnownNames, PoolId};
 use plankhill_connection_quotas::leases::{encode, Instance, LeaseTable, MemberIncarnation};
@@ -6,10 +7,10 @@
     Admission, ConnectionUse, LocalQuotas, LocalQuotasConfig,
 };
 
-use super::traffic::Way;
-use crate::{FORWARDERS, MEMBERS, TAKES, TARGETS};
+use super::traffic::ConnectionStrategy;
+use crate::{FORWARDERS, MAX_CONNECTIONS, MEMBERS, TARGETS};
 
-pub struct Leased {
+pub struct LeasedQuotas {
     locals: Vec<LocalQuotas>,
     pools: Vec<PoolId>,
     log: Vec<(f64, Vec<u8>)>,
@@ -20,7 +21,7 @@
     format!("t{target}")
 }
 
-impl Leased {
+impl LeasedQuotas {
     pub fn new() -> Self {
         let members: String = MEMBERS
             .iter()
@@ -28,15 +29,15 @@
             .collect();
         let text = format!(
             "language 1 edition 1 lease {{ lasts 10s renew 1s }} {members}
-             budget each target {{ connections {TAKES} standing {} }}",
-            TAKES / 10
+             budget each target {{ connections {MAX_CONNECTIONS} standing {} }}",
+            MAX_CONNECTIONS / 10
         );
         let instances: Vec<(Instance, String)> = (0..FORWARDERS)
             .map(|at| (Instance(format!("i{at:03}")), String::new()))
             .collect();
         let local = |at: usize| {
             let policy = plankhill_connection_quotas::policy("p", &text, &KnownNames::default())
-                .expect("is sound");
+                .expect("is valid");
             let (instance, incarnation) = (instances[at].0.clone(), MemberIncarnation(at as u64));
             let (text, instances) = (text.clone(), instances.clone());
             let mut local = LocalQuotas::new(LocalQuotasConfig {
@@ -60,7 +61,7 @@
         let pools = (0..TARGETS)
             .map(|target| PoolId::Target(name(target)))
             .collect();
-        Leased {
+        LeasedQuotas {
             locals,
             pools,
             log: Vec::new(),
@@ -73,35 +74,36 @@
     ConnectionUse::Event(local.member(MEMBERS[member].0))
 }
 
-impl Way for Leased {
-    fn may(
+impl ConnectionStrategy for LeasedQuotas {
+    fn acquire(
         &mut self,
         now: f64,
         forwarder: usize,
         target: usize,
         member: usize,
-        kept: bool,
+        idle: bool,
     ) -> bool {
         let local = &mut self.locals[forwarder];
-        let (what, from) = (event(local, member), kept.then(|| &self.pools[target]));
+        let (connection_use, from) = (event(local, member), idle.then(|| &self.pools[target]));
         matches!(
-            local.acquire(now, now + 2_000.0, &name(target), what, from),
+            local.acquire(now, now + 2_000.0, &name(target), connection_use, from),
             Admission::Admitted(_)
         )
     }
 
     fn refused(&mut self, now: f64, forwarder: usize, target: usize, member: usize) {
-        let what = event(&self.locals[forwarder], member);
-        self.locals[forwarder].connection_closed(now, &self.pools[target], Some(what));
+        let connection_use = event(&self.locals[forwarder], member);
+        self.locals[forwarder].connection_closed(now, &self.pools[target], Some(connection_use));
     }
 
-    fn ended(&mut self, now: f64, forwarder: usize, target: usize, member: usize) -> bool {
-        let what = event(&self.locals[forwarder], member);
-        let stays = self.locals[forwarder].release_idle(now, &self.pools[target], what);
-        if !stays {
+    fn completed(&mut self, now: f64, forwarder: usize, target: usize, member: usize) -> bool {
+        let connection_use = event(&self.locals[forwarder], member);
+        let stays_open =
+            self.locals[forwarder].release_idle(now, &self.pools[target], connection_use);
+        if !stays_open {
             self.locals[forwarder].connection_closed(now, &self.pools[target], None);
         }
-        stays
+        stays_open
     }
 
     fn idle_closed(&mut self, now: f64, forwarder: usize, target: usize) {
