--- a/forwarder/connection-quotas/src/leases/lease_table.rs
+++ b/forwarder/connection-quotas/src/leases/lease_table.rs
@@ -116,7 +116,7 @@
         true
     }
 
-    /// Removes the facts of pools that no lease names any more.
+    /// Removes the facts of pools that no open lease names.
     fn remove_unused_facts(&mut self) {
         let open: Vec<&Lease> = self
             .leases
--- a/forwarder/connection-quotas/src/leases/mod.rs
+++ b/forwarder/connection-quotas/src/leases/mod.rs
@@ -1,5 +1,5 @@
 //! Leases on shares of quotas: a table that is built from a replicated log, an issuer on the leader, and holders. None
-//! of them reads a clock: the caller passes in the time of a local monotonic clock, in milliseconds.
+//! of them reads a clock: the caller passes the time of a local monotonic clock, in milliseconds.
 //!
 //! The sum of connections that may be open stays within a quota, whatever messages or processes are lost, because:
 //! - For each instance the table counts the maximum over all leases that the instance may still hold and its standing
--- a/forwarder/connection-quotas/src/local/control_group.rs
+++ b/forwarder/connection-quotas/src/local/control_group.rs
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Replaces the table by a snapshot, which stands in for skipped commands. A lease among the skipped commands is not
-    /// taken over; the next report requests a new one.
+    /// Replaces the table by a snapshot, which was received instead of skipped commands. A lease among the skipped
+    /// commands is not taken over; the next report requests a new one.
     pub fn replaced(&mut self, state: &[u8]) {
         if let Ok(table) = LeaseTable::restore(state) {
             self.table = table;
--- a/forwarder/connection-quotas/src/split/mod.rs
+++ b/forwarder/connection-quotas/src/split/mod.rs
@@ -46,7 +46,7 @@
 /// The member and forwarder that a rounding error belongs to.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct CarryKey {
-    /// A member's position; the number of members stands for trials.
+    /// A member's position; the number of members denotes trials.
     pub member: usize,
     /// A forwarder's position.
     pub forwarder: u16,
--- a/forwarder/connection-quotas/tests/leases.rs
+++ b/forwarder/connection-quotas/tests/leases.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_table_survives_its_snapshot_and_refuses_leases_past_the_quota() {
+fn a_table_and_its_restored_snapshot_refuse_leases_beyond_the_quota() {
     let mut table = LeaseTable::default();
     let text = "language 1 edition 4 budget each target { connections 10 standing 2 }".to_owned();
     assert_eq!(
