--- a/forwarder/server/src/client_gate.rs
+++ b/forwarder/server/src/client_gate.rs
@@ -1,11 +1,11 @@
-//! Whether clients are to come to this process: the gate is shut by operators who drain it, and at
-//! shutdown. Shared by the clients' connections, the event loop (which sets it) and `server`.
+//! Admission of clients to this process: the gate is shut while operators drain the process, and at
+//! shutdown. Shared by the client connections, the event loop (which sets it) and `server`.
 
 use std::cell::{Cell, RefCell};
 
 use async_channel::{Receiver, Sender};
 
-/// Open at the start.
+/// Gate for clients, open initially.
 pub struct ClientGate {
     drained: Cell<bool>,
     shutting_down: Cell<bool>,
@@ -27,7 +27,7 @@
 }
 
 impl ClientGate {
-    /// Drains the process of clients, or admits them again.
+    /// Shuts the gate for a drain, or admits clients again.
     pub fn set_drained(&self, drained: bool) {
         self.drained.set(drained);
         self.update();
@@ -37,7 +37,7 @@
         self.drained.get()
     }
 
-    /// Shuts the gate for good. Requests that are read from now on are answered, and never
+    /// Shuts the gate permanently. Requests that are read from now on are answered, but never
     /// forwarded.
     pub fn shut_down(&self) {
         self.shutting_down.set(true);
--- a/forwarder/server/src/clock.rs
+++ b/forwarder/server/src/clock.rs
@@ -1,6 +1,6 @@
-//! The clock of the decisions: the system clock's time at the start, carried on by the monotonic
-//! clock. It never jumps within a process, and times that are written down can be read by the next
-//! process. Shared by all tasks.
+//! Clock for the decisions: the system time at the start of the process, advanced by the monotonic
+//! clock. The clock never jumps within a process, and the next process can interpret recorded
+//! times. Shared by all tasks.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,19 +8,19 @@
 
 use plankhill_decisions::interface::Ms;
 
-/// Longest timer: a year.
+/// Longest duration of a timer: one year.
 const MAX_TIMER_SECONDS: f64 = 365.0 * 86_400.0;
 
-/// Milliseconds since the Unix epoch; clones are the same clock.
+/// Clock in milliseconds since the Unix epoch; clones share their offset.
 #[derive(Clone)]
 pub struct Clock {
     started: Instant,
-    /// What the clock said at `started`.
+    /// Time of this clock at `started`.
     unix_at_start: Rc<Cell<Ms>>,
 }
 
 impl Clock {
-    /// A clock that agrees with the system's now.
+    /// Starts a clock at the current system time.
     pub fn start() -> Self {
         Clock {
             started: Instant::now(),
@@ -28,14 +28,15 @@
         }
     }
 
-    /// Goes by the clock of a process that this one takes over from, which is `offset` ahead of the
-    /// system's.
-    pub fn follow(&self, offset: Ms) {
+    /// Adopts the clock of the process that this one takes over from, which is `offset` ahead of
+    /// the system clock.
+    pub fn adopt_offset(&self, offset: Ms) {
         let change = offset - self.ahead_of_system();
         self.unix_at_start.set(self.unix_at_start.get() + change);
     }
 
-    /// How far this clock is ahead of the system's, which may have been set since the start.
+    /// How far this clock is ahead of the system clock, which may have been adjusted since the
+    /// start.
     pub fn ahead_of_system(&self) -> Ms {
         self.now() - system_time()
     }
@@ -44,12 +45,12 @@
         self.at(Instant::now())
     }
 
-    /// What the clock says at a moment of this process.
-    pub fn at(&self, moment: Instant) -> Ms {
-        self.unix_at_start.get() + (moment - self.started).as_secs_f64() * 1000.0
+    /// Time of this clock at an instant of this process.
+    pub fn at(&self, instant: Instant) -> Ms {
+        self.unix_at_start.get() + (instant - self.started).as_secs_f64() * 1000.0
     }
 
-    /// The moment of this process at which the clock says `at`; no earlier than the start.
+    /// Instant at which this clock reads `at`; not before the start of this process.
     pub fn instant(&self, at: Ms) -> Instant {
         self.started + to_duration(at - self.unix_at_start.get())
     }
@@ -62,12 +63,12 @@
     since_epoch.as_secs_f64() * 1000.0
 }
 
-/// Milliseconds as a duration for timers: none is negative, and none is longer than a year.
+/// Converts milliseconds to a duration for timers, clamped to between zero and one year.
 pub fn to_duration(span: Ms) -> Duration {
     Duration::from_secs_f64((span / 1000.0).clamp(0.0, MAX_TIMER_SECONDS))
 }
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn to_ms(duration: Duration) -> Ms {
     duration.as_secs_f64() * 1000.0
 }
--- a/forwarder/server/src/context.rs
+++ b/forwarder/server/src/context.rs
@@ -1,5 +1,5 @@
-//! What every task of the server is given: the executor, the configuration and the state that tasks
-//! share. Made once by `server`; clones share everything.
+//! Context that every task of the server receives: the executor, the configuration and shared
+//! state. Created once by `server`; clones share everything.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,36 +22,36 @@
 #[derive(Clone)]
 pub struct ServerContext {
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Buffers for requests and responses under way.
+    /// Buffers for requests and responses in transit.
     pub buffers: BufferPool,
     pub clock: Clock,
     pub log: Logger,
     pub config: Rc<ForwarderConfig>,
-    /// Where discovery is: a configuration that is read again may name another address.
+    /// Current address of discovery; a configuration reload may change it.
     pub discovery_address: Rc<Cell<SocketAddr>>,
-    /// Whether clients are to come.
+    /// Whether this process admits clients.
     pub client_gate: Rc<ClientGate>,
-    /// Whether this process decides, can record what it accepts, and knows where to deliver it.
+    /// Whether this process decides, can record the events that it accepts, and has targets.
     pub ready: Rc<Cell<bool>>,
-    /// Connections of clients.
+    /// Number of open client connections.
     pub open_clients: Rc<Cell<usize>>,
-    /// Descriptors that the predecessor process still holds.
+    /// Number of descriptors that the predecessor process still has open.
     pub predecessor_descriptors: Rc<Cell<usize>>,
     /// Number of the last request that submitted an event.
     pub request_numbers: Rc<Cell<u64>>,
-    /// To the successor process.
+    /// Channel to the successor process.
     pub transfer: Rc<TransferChannel>,
-    /// The Raft groups of the fleet that this process is an instance of, if it is of one.
+    /// Raft groups of the fleet that this process is an instance of; `None` without a fleet.
     pub raft: Option<Rc<RaftHandle>>,
-    /// This process's part in broadcasts, where the fleet file has lists.
+    /// Broadcasts at this instance; `None` if the fleet file has no lists.
     pub fanout: Option<Rc<Broadcasts>>,
-    /// Connection quotas, where the fleet file names a policy.
+    /// Connection quotas; `None` if the fleet file names no policy.
     pub quotas: Option<Rc<ConnectionQuotas>>,
 }
 
 impl ServerContext {
-    /// The context of a process that begins, and the events of its Raft groups, if it is of a
-    /// fleet.
+    /// Creates the context of a starting process, and the event stream of its Raft groups if the
+    /// process belongs to a fleet.
     ///
     /// # Errors
     /// The Raft groups cannot be started.
@@ -78,9 +78,9 @@
         Ok((context, group_events))
     }
 
-    /// The context of a process that is an instance of no fleet.
+    /// Creates the context of a process without a fleet.
     fn without_fleet(config: Rc<ForwarderConfig>, log: Logger) -> Self {
-        // Half of the memory is for bodies and messages under way.
+        // Half of the memory limit is for bodies and messages in transit.
         let max_buffers = (config.max_memory_bytes / 2) as usize / BUFFER_BYTES;
         ServerContext {
             executor: Rc::new(LocalExecutor::new()),
@@ -101,19 +101,19 @@
         }
     }
 
-    /// The Raft groups that replicate the event log; none if the log is a file alone.
+    /// The Raft groups that replicate the event log; `None` if the log is only a local file.
     pub fn replication(&self) -> Option<&Rc<RaftHandle>> {
         self.raft
             .as_ref()
             .filter(|raft| raft.replicates_event_logs())
     }
 
-    /// Whether clients' events can be accepted now.
+    /// Whether events of clients can be accepted now.
     pub fn is_ready(&self) -> bool {
         self.ready.get() && self.replication().is_none_or(|raft| raft.accepts_events())
     }
 
-    /// A number for a request that submits an event, larger than all before.
+    /// Returns a number for a request that submits an event, larger than all earlier ones.
     pub fn next_request_number(&self) -> u64 {
         let number = self.request_numbers.get() + 1;
         self.request_numbers.set(number);
--- a/forwarder/server/src/count_guard.rs
+++ b/forwarder/server/src/count_guard.rs
@@ -1,14 +1,14 @@
-//! Counts of things that are open or in flight, kept by guards: a thing is counted until its guard
-//! is dropped.
+//! Counts of open or in-flight resources, kept by guards: a resource is counted until its guard is
+//! dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// One of those counted.
+/// Counts one resource until the guard is dropped.
 pub struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
-    /// Counts one more; none if there are `max` already.
+    /// Counts one more resource; `None` if `max` are counted already.
     pub fn try_new(count: &Rc<Cell<usize>>, max: usize) -> Option<Self> {
         if count.get() >= max {
             return None;
--- a/forwarder/server/src/hot_restart/successor.rs
+++ b/forwarder/server/src/hot_restart/successor.rs
@@ -187,7 +187,7 @@
     if role.on_signal(Signal::Ownership) == Action::Activate {
         opened.event_log.change_owner()?;
     }
-    context.clock.follow(state.clock_offset);
+    context.clock.adopt_offset(state.clock_offset);
     context.request_numbers.set(state.next_request_number);
     sender.send(&Message::Activated, None).await?;
     let lock = StateLock::from_descriptor(lock);
--- a/forwarder/server/src/main.rs
+++ b/forwarder/server/src/main.rs
@@ -1,9 +1,9 @@
-//! The forwarder of events: one core, one local executor, and tasks with bounded mailboxes for each
-//! client connection, each target, the endpoint list, the notices and the decisions.
+//! Event forwarder: runs on one core with one local executor. Tasks with bounded mailboxes serve
+//! each client connection, each target, the endpoint list, the notices and the decisions.
 //!
-//! `server` starts and ends the process. An event's way: `clients` reads a request, `event_loop`
-//! records and decides, `targets` calls, `notifier` tells the platform of outcomes other than
-//! delivery. `docs/architecture.md` shows all of it.
+//! `server` starts and stops the process. Path of an event: `clients` reads a request, `event_loop`
+//! records it and decides, `targets` calls the target, and `notifier` reports outcomes other than
+//! delivery to the platform. `docs/architecture.md` describes the architecture.
 
 mod admin_listener;
 mod call_kind;
