--- a/forwarder/server/src/disabled_targets.rs
+++ b/forwarder/server/src/disabled_targets.rs
@@ -1,5 +1,5 @@
-//! Targets that operators have disabled, with their record in the state folder: a change is in the
-//! file before anybody learns of it. Owned by the event loop.
+//! Targets that operators have disabled, with their record in the state folder: a change is written
+//! to the file before it takes effect or is acknowledged. Owned by the event loop.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,14 +7,14 @@
 use plankhill_admin::{CorruptRecord, DisabledTargets, RecordChange, TargetSwitch};
 use plankhill_decisions::interface::EndpointState;
 
-/// Names of the record in the state folder, and of the one that takes its place.
+/// File names, in the state folder, of the record and of the new record that replaces it.
 const FILE: &str = "bans";
 const NEW_FILE: &str = "bans.new";
-/// The record's share of the disk, as a divisor: the new record stands beside it, and the event log
-/// and the endpoint list leave a twentieth.
-const DISK_SHARE: u64 = 80;
+/// Divisor for the record's share of the disk limit: the event log and the endpoint list leave a
+/// twentieth of the limit, and during a replacement the old and the new record coexist.
+const DISK_SHARE_DIVISOR: u64 = 80;
 
-/// The record cannot be used; without it nothing says which targets are disabled.
+/// The record cannot be used, so it is unknown which targets are disabled.
 #[derive(Debug, thiserror::Error)]
 pub enum DisabledTargetsError {
     /// The file cannot be read.
@@ -35,14 +35,14 @@
     },
 }
 
-/// How switching a target went.
+/// Result of disabling or enabling a target.
 pub enum SwitchOutcome {
-    /// No target was ever listed under that id.
+    /// No target with that id was ever listed.
     NeverListed,
     /// The target is in that state already.
     Unchanged,
-    /// The record is written; the scheduler is to learn of that state, if the list names the
-    /// target.
+    /// The record is written. The state is the one to set in the scheduler; `None` if the target is
+    /// not in the endpoint list.
     Changed(Option<EndpointState>),
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl DisabledTargetStore {
-    /// Reads the record of the state folder; no file is no disabled target.
+    /// Reads the record in the state folder. Without a file no target is disabled.
     ///
     /// # Errors
     /// The file cannot be read, or is damaged.
@@ -78,7 +78,7 @@
         Ok(DisabledTargetStore {
             targets,
             folder: folder.to_owned(),
-            max_record_bytes: max_disk_bytes / DISK_SHARE,
+            max_record_bytes: max_disk_bytes / DISK_SHARE_DIVISOR,
         })
     }
 
@@ -93,7 +93,7 @@
     /// Disables or enables a target.
     ///
     /// # Errors
-    /// The record cannot be written; nothing is changed then.
+    /// The record cannot be written; in this case nothing is changed.
     pub fn switch(&mut self, id: &str, switch: TargetSwitch) -> io::Result<SwitchOutcome> {
         match self.targets.plan(id, switch) {
             RecordChange::NeverListed => Ok(SwitchOutcome::NeverListed),
@@ -108,7 +108,7 @@
     fn write(&self, record: &str) -> io::Result<()> {
         if record.len() as u64 > self.max_record_bytes {
             return Err(io::Error::other(
-                "too many targets are left out for the disk",
+                "the record of disabled targets exceeds its share of the disk limit",
             ));
         }
         let new = self.folder.join(NEW_FILE);
