--- a/forwarder/server/src/endpoint_page.rs
+++ b/forwarder/server/src/endpoint_page.rs
@@ -1,5 +1,5 @@
-//! A page of the endpoint list, as discovery answers it in JSON: a complete list, or changes since
-//! a revision. Used by the watch, the stored list and the event loop.
+//! A page of the endpoint list in the JSON format of discovery: a complete list, or the changes
+//! since a revision. Used by the watch, the stored list and the event loop.
 
 use std::net::SocketAddr;
 
@@ -15,12 +15,12 @@
     page.get("complete") == Some(&Value::Bool(true))
 }
 
-/// The list's revision after the page.
+/// Revision of the list after the page is applied.
 pub fn revision(page: &Value) -> Option<u64> {
     page.get("revision").and_then(Value::as_u64)
 }
 
-/// Whether an answer is a page at all: with its entries, or with none and a revision.
+/// Whether a JSON value is a page: it has entries, or no entries but a revision.
 pub fn is_page(page: &Value) -> bool {
     match page.get("members") {
         None | Some(Value::Null) => revision(page).is_some(),
@@ -36,7 +36,7 @@
         .flatten()
 }
 
-/// A target as the list names it.
+/// A listed target.
 pub struct Endpoint {
     pub target: TargetId,
     pub address: SocketAddr,
@@ -44,8 +44,8 @@
     pub kind: DestinationKindId,
     pub zone: ZoneId,
     pub state: EndpointState,
-    /// Events a second that the destination takes, where sizes are rates; 0 if the entry does not
-    /// say.
+    /// Events per second that the destination accepts, 0 if the entry has no valid size; `None`
+    /// unless sizes are rates.
     pub advertised_rate: Option<f64>,
 }
 
@@ -55,24 +55,24 @@
     Removed(TargetId),
 }
 
-/// Why an entry cannot be read; the others of its page still count.
+/// Why an entry cannot be read; the other entries of its page remain valid.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// The entry is no object.
+    /// The entry is not an object.
     #[error("not an object")]
     NotAnObject,
-    /// A field is missing, of another type, or names what the settings do not have.
+    /// A field is missing, has the wrong type, or has a name that the settings do not define.
     #[error("{0}")]
     Field(String),
-    /// The phase is none of the protocol's.
-    #[error("phase: unknown word {0:?}")]
+    /// The protocol does not define the phase.
+    #[error("phase: unknown value {0:?}")]
     UnknownPhase(String),
-    /// The address is no IP address with a port.
-    #[error("host_port: {0:?} is no address")]
+    /// The address is not an IP address with a port.
+    #[error("host_port: {0:?} is not an IP address with a port")]
     Address(String),
 }
 
-/// The entries of a page in their order.
+/// Parses the entries of a page, in page order.
 pub fn entries<'a>(
     page: &'a Value,
     names: &'a Names,
@@ -97,7 +97,7 @@
     let zone = named_position(&names.zones, entry, "locality")?;
     let destination = whole(entry, "cell").map_err(EntryError::Field)?;
     let advertised_rate = match names.sizes_are_rates {
-        // An entry is not lost over its size: a size that cannot be read counts as none.
+        // An invalid size does not invalidate the entry: it counts as 0.
         true => Some(optional_number(entry, "size").unwrap_or(0.0)),
         false => None,
     };
--- a/forwarder/server/src/http_exchange.rs
+++ b/forwarder/server/src/http_exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 request and its response over a connection of ours. Used by calls to targets, the
+//! One HTTP/1.1 exchange as a client: a request and its response. Used by calls to targets, the
 //! endpoint watch and the notifier; the parsing is in `plankhill_http1`.
 
 use std::io;
@@ -11,31 +11,33 @@
 
 use crate::stream::{connect, is_quiet, until, Stream, MAX_HEAD_BYTES};
 
-/// A connect that takes longer is given up: the system repeats a lost packet after one second, then
-/// after two, four and eight, and a discovery that is back would be reached only then.
+/// Time limit for connecting. The system retransmits a lost packet after one second, then after
+/// two, four and eight; a longer connect would reach a recovered discovery only at the next
+/// retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// From a response's first byte to its last: many times what a body of 64 KiB takes.
+/// Time limit from the first byte of a response to its last: many times what a body of 64 KiB
+/// takes.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// The same for a response with status 200, whose rest says only whether its connection may serve
-/// again.
+/// The same limit for a response with status 200, whose remainder only determines whether its
+/// connection can be reused.
 pub const DELIVERED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Why there is no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection cannot be made, or broke off.
+    /// The connection cannot be established, or failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The peer's bytes are no response, do not end in time, or do not fit.
+    /// The received bytes are not a response, are incomplete at the time limit, or exceed a limit.
     #[error("{0}")]
     Malformed(&'static str),
-    /// No connection or no response in time.
+    /// There is no connection or no response within the time limit.
     #[error("timed out")]
     TimedOut,
 }
 
 impl ExchangeError {
-    /// Whether the peer was silent, and has not refused.
+    /// Whether the peer did not respond in time, as opposed to a failure.
     pub fn is_timeout(&self) -> bool {
         match self {
             ExchangeError::Io(error) => error.kind() == io::ErrorKind::TimedOut,
@@ -46,33 +48,33 @@
 }
 
 impl From<Malformed> for ExchangeError {
-    fn from(Malformed(what): Malformed) -> Self {
-        ExchangeError::Malformed(what)
+    fn from(Malformed(reason): Malformed) -> Self {
+        ExchangeError::Malformed(reason)
     }
 }
 
-/// Where a response's parts stand in the buffer that it was read into.
+/// Positions of a response's parts in the buffer that it was read into.
 pub struct Response {
     pub head: Range<usize>,
     pub body: Range<usize>,
-    /// Whether all of the response was read and the connection may serve another request.
+    /// Whether the complete response was read and the connection can serve another request.
     pub reusable: bool,
 }
 
-/// How much of a buffer is filled, and where in it the last response begins: interim ones, such as
-/// 100, may go ahead.
+/// How much of a buffer is filled, and where in it the last response begins: interim responses,
+/// such as 100, may precede it.
 #[derive(Default)]
 pub struct ReadProgress {
     pub start: usize,
     pub filled: usize,
 }
 
-/// Sends a request over the idle connection, if it goes to `address`, or over a new one, and keeps
-/// the connection if it may serve again. `response_timeout` is from the response's first byte; the
-/// caller limits the time until then.
+/// Sends a request over the idle connection, if it is connected to `address`, or over a new one,
+/// and keeps the connection if it can be reused. `response_timeout` starts at the first byte of the
+/// response; the caller limits the time until then.
 ///
 /// # Errors
-/// There is no connection, or no complete response.
+/// No connection can be established, or there is no complete response.
 pub async fn exchange(
     idle: &mut Option<Stream>,
     address: SocketAddr,
@@ -104,23 +106,26 @@
         && is_quiet(stream)
 }
 
-/// Reads one response. `timeout` gives the time from the first byte on for a status, or for 0 until
-/// the status is known. `progress` says how far the buffer is filled, also if the reading is given
-/// up.
+/// Reads one response. `timeout` returns the time limit from the first byte on for a status, or for
+/// 0 while the status is unknown. `progress` reports how much of the buffer is filled, also if the
+/// read is cancelled.
 ///
 /// # Errors
-/// The connection ends first, or the bytes are no response, do not end in time or do not fit the
-/// buffer.
+/// The connection ends first, or the bytes are not a response, are incomplete at the time limit or
+/// do not fit the buffer.
 pub async fn read_response(
     stream: &mut Stream,
     buffer: &mut [u8],
     progress: &mut ReadProgress,
     timeout: impl Fn(u16) -> Duration,
 ) -> Result<Response, ExchangeError> {
-    const UNFINISHED: ExchangeError = ExchangeError::Malformed("the answer does not end");
+    const INCOMPLETE: ExchangeError =
+        ExchangeError::Malformed("the response is incomplete at the time limit");
     loop {
         if progress.start > MAX_HEAD_BYTES {
-            return Err(ExchangeError::Malformed("too many answers go ahead"));
+            return Err(ExchangeError::Malformed(
+                "the interim responses are too long",
+            ));
         }
         while progress.filled == progress.start {
             read_more(stream, buffer, &mut progress.filled).await?;
@@ -129,19 +134,19 @@
         let status = read_status(stream, buffer, progress);
         let status = until(began + timeout(0), status)
             .await
-            .unwrap_or(Err(UNFINISHED))?;
+            .unwrap_or(Err(INCOMPLETE))?;
         let response = read_one_response(stream, buffer, progress);
         let response = until(began + timeout(status), response)
             .await
-            .unwrap_or(Err(UNFINISHED))?;
+            .unwrap_or(Err(INCOMPLETE))?;
         if let Some(response) = response {
             return Ok(response);
         }
     }
 }
 
-/// The status of the response that begins at `progress.start`; 0 if its first line is none, or as
-/// long as a head.
+/// Reads the status of the response that begins at `progress.start`; 0 if its first line is not a
+/// valid status line or is longer than a head may be.
 async fn read_status(
     stream: &mut Stream,
     buffer: &mut [u8],
@@ -156,7 +161,7 @@
     }
 }
 
-/// Reads the response that begins at `progress.start`; none if it is an interim one.
+/// Reads the response that begins at `progress.start`; `None` if it is an interim response.
 async fn read_one_response(
     stream: &mut Stream,
     buffer: &mut [u8],
@@ -175,12 +180,12 @@
         return Ok(None);
     }
     let filled = &mut progress.filled;
-    // Where the next response would begin, and where the decoded body ends.
+    // End of the response in the buffer, and end of the decoded body.
     let (response_end, body_end) = match body {
         http1::Body::Length(length) => {
             let end = head_end.saturating_add(length as usize);
             if end > buffer.len() {
-                return Err(ExchangeError::Malformed("the answer is too long"));
+                return Err(ExchangeError::Malformed("the response is too long"));
             }
             while *filled < end {
                 read_more(stream, buffer, filled).await?;
@@ -208,7 +213,7 @@
     }))
 }
 
-/// Reads until the head is complete; returns where it ends.
+/// Reads until the head is complete; returns its end position.
 async fn read_head(
     stream: &mut Stream,
     buffer: &mut [u8],
@@ -220,12 +225,12 @@
         if let Some(length) = search.end(seen) {
             return Ok(progress.start + length);
         }
-        // Bytes that are no response are known by their first line.
+        // Bytes that are not a response are rejected at their first line.
         if seen.contains(&b'\n') && ResponseHead::status_in(seen).is_none() {
-            return Err(ExchangeError::Malformed("the first line is none"));
+            return Err(ExchangeError::Malformed("the status line is invalid"));
         }
         if seen.len() > MAX_HEAD_BYTES {
-            return Err(ExchangeError::Malformed("the head is too long"));
+            return Err(ExchangeError::Malformed("the response head is too long"));
         }
         read_more(stream, buffer, &mut progress.filled).await?;
     }
@@ -253,7 +258,7 @@
     filled: &mut usize,
 ) -> Result<(), ExchangeError> {
     if *filled == buffer.len() {
-        return Err(ExchangeError::Malformed("the answer is too long"));
+        return Err(ExchangeError::Malformed("the response is too long"));
     }
     let read = stream.read(&mut buffer[*filled..]).await?;
     *filled += read;
