--- a/forwarder/server/src/lingering_close.rs
+++ b/forwarder/server/src/lingering_close.rs
@@ -1,31 +1,32 @@
-//! The one way in which a connection ends behind a response of ours: the writing side is shut down,
-//! what still arrives is read and dropped within bounds, then the connection is closed. A close
-//! over unread bytes resets the connection, and a response that its peer has not read yet is lost
-//! with that (RFC 9112, section 9.6). What is read here is never a request any more.
+//! Lingering close, which ends every connection after its last response: the writing side is shut
+//! down, bytes that still arrive are read and dropped within limits, then the connection is closed.
+//! Closing a connection with unread bytes resets it, and a response that the peer has not read yet
+//! is lost (RFC 9112, section 9.6). Bytes that are read here are never processed as a request.
 //!
-//! Used by the clients' connections and by the admin listener.
+//! Used by the client connections and by the admin listener.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
 
 use crate::stream::Stream;
 
-/// Bytes that are still read: a request at its longest three times over. A peer that sends more is
-/// no client.
+/// Limit of the bytes that are read and dropped: three times the longest request. A peer that sends
+/// more is not a client.
 const MAX_DRAINED_BYTES: usize = 256 * 1024;
-/// Read at once, into the stack.
+/// Size of the stack buffer for one read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Shuts the writing side down, and returns once the peer has closed its side too or has sent too
-/// much. The caller limits the time.
+/// Shuts down the writing side, and returns once the peer has closed its side or has sent more than
+/// `MAX_DRAINED_BYTES`. The caller limits the time.
 pub async fn linger(stream: &Stream) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let mut budget = MAX_DRAINED_BYTES;
     while drain(stream, &mut budget) == Drained::Open && stream.readable().await.is_ok() {}
 }
 
-/// Answers a connection for which there is no place, and that may not wait for one: what has
-/// arrived is read first, and what arrives with the response after it.
+/// Responds, without waiting, to a connection that exceeds the limit of connections. Bytes that
+/// have arrived are drained before the response is written, and those that arrive meanwhile after
+/// it.
 pub fn reject(stream: &Stream, response: &[u8]) {
     let mut budget = MAX_DRAINED_BYTES;
     drain(stream, &mut budget);
@@ -38,11 +39,11 @@
 enum Drained {
     /// More may arrive.
     Open,
-    /// The peer has closed its side, or sent more than is read.
+    /// The peer has closed its side or sent more than the limit, or the connection failed.
     Finished,
 }
 
-/// Reads and drops what lies in the socket.
+/// Reads and drops the bytes that the socket has received.
 fn drain(stream: &Stream, budget: &mut usize) -> Drained {
     let mut bytes = [0; READ_CHUNK_BYTES];
     loop {
--- a/forwarder/server/src/lingering_close/tests.rs
+++ b/forwarder/server/src/lingering_close/tests.rs
@@ -1,4 +1,4 @@
-//! What a peer gets of a response behind which it goes on sending.
+//! Whether a peer receives a response while it continues to send.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,53 +9,55 @@
 use super::{linger, reject, MAX_DRAINED_BYTES};
 use crate::stream::Stream;
 
-fn pair() -> (TcpStream, Stream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let peer = TcpStream::connect(listener.local_addr().expect("bound")).expect("listens");
+fn connected_pair() -> (TcpStream, Stream) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("can bind");
+    let peer = TcpStream::connect(listener.local_addr().expect("is bound")).expect("can connect");
     peer.set_read_timeout(Some(Duration::from_secs(30)))
-        .expect("a socket");
-    let (ours, _) = listener.accept().expect("came");
-    (peer, Async::new(ours).expect("a socket"))
+        .expect("can set a timeout");
+    let (stream, _) = listener.accept().expect("can accept");
+    (peer, Async::new(stream).expect("can be non-blocking"))
 }
 
 #[test]
-fn a_rejected_peer_gets_its_response_over_what_it_sent() {
-    let (mut peer, ours) = pair();
-    peer.write_all(&[b'x'; 1000]).expect("is taken");
-    block_on(ours.readable()).expect("has come");
-    reject(&ours, b"no");
-    drop(ours);
-    let mut said = Vec::new();
-    peer.read_to_end(&mut said)
-        .expect("closed in order, not reset");
-    assert_eq!(said, b"no");
+fn a_rejected_peer_that_has_sent_bytes_receives_its_response() {
+    let (mut peer, stream) = connected_pair();
+    peer.write_all(&[b'x'; 1000]).expect("is sent");
+    block_on(stream.readable()).expect("has arrived");
+    reject(&stream, b"no");
+    drop(stream);
+    let mut received = Vec::new();
+    peer.read_to_end(&mut received).expect("closed, not reset");
+    assert_eq!(received, b"no");
 }
 
 #[test]
-fn bytes_behind_the_last_response_are_read_until_the_peer_closes() {
-    let (mut peer, ours) = pair();
-    (&mut ours.get_ref()).write_all(b"no").expect("is taken");
-    let peers = std::thread::spawn(move || {
-        let mut said = Vec::new();
-        peer.read_to_end(&mut said)
+fn bytes_after_the_last_response_are_read_until_the_peer_closes() {
+    let (mut peer, stream) = connected_pair();
+    (&mut stream.get_ref()).write_all(b"no").expect("is sent");
+    let peer_thread = std::thread::spawn(move || {
+        let mut received = Vec::new();
+        peer.read_to_end(&mut received)
             .expect("the writing side is shut");
         peer.write_all(&[b'x'; 100_000]).expect("is read");
-        said
+        received
     });
-    block_on(linger(&ours));
-    let rest = ours.get_ref().read(&mut [0]).expect("the peer has closed");
+    block_on(linger(&stream));
+    let rest = stream
+        .get_ref()
+        .read(&mut [0])
+        .expect("the peer has closed");
     assert_eq!(
-        (rest, &peers.join().expect("no reset")[..]),
+        (rest, &peer_thread.join().expect("no reset")[..]),
         (0, &b"no"[..])
     );
 }
 
 #[test]
-fn a_peer_that_sends_without_an_end_is_reset() {
-    let (mut peer, ours) = pair();
-    let sends =
+fn a_peer_that_sends_without_end_is_reset() {
+    let (mut peer, stream) = connected_pair();
+    let sender =
         std::thread::spawn(move || while peer.write_all(&[b'x'; MAX_DRAINED_BYTES]).is_ok() {});
-    block_on(linger(&ours));
-    drop(ours);
-    sends.join().expect("ends with the connection");
+    block_on(linger(&stream));
+    drop(stream);
+    sender.join().expect("ends with the connection");
 }
