--- a/forwarder/server/src/messages.rs
+++ b/forwarder/server/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages that the server's tasks put into each other's mailboxes: inputs of the event loop,
-//! commands to a target's actor, and notices for the notifier.
+//! Messages in the mailboxes of the server's tasks: inputs of the event loop, commands to a
+//! target's actor, and notices for the notifier.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 use crate::hot_restart::transfer::Outgoing;
 use crate::stream::{Body, Stream};
 
-/// To the event loop.
+/// Input of the event loop.
 pub enum Input {
     /// A client submits an event.
     Submitted(Submission),
-    /// The client whose request had that number went away before it had its answer.
+    /// The client of the request with that number disconnected before it received its response.
     Withdrawn { event: EventId, request_number: u64 },
     /// An attempt has ended.
     AttemptEnded {
@@ -33,17 +33,17 @@
         target: TargetId,
         outcome: AttemptOutcome,
     },
-    /// A page of discovery's endpoint list.
+    /// A page of the endpoint list from discovery.
     EndpointPage(Value),
-    /// The target's actor has ended: it owned no connection and no call any more.
+    /// The target's actor has ended: it no longer owned a connection or a call.
     TargetActorStopped(TargetId),
-    /// An idle connection of the process that this one took over from.
+    /// An idle connection of the predecessor process.
     ConnectionInherited(InheritedConnection),
-    /// A successor process is to take over: the loop pauses once the iteration is over.
+    /// A successor process requests a handover: the loop pauses at the end of the iteration.
     HandOver(HandoverRequest),
     /// The platform has acknowledged the notices of these events.
     NoticesAcknowledged(Vec<EventId>),
-    /// A broadcast's copy that is not to be submitted: its outcome is recorded, and the platform
+    /// A broadcast copy that is not to be submitted: its outcome is recorded, and the platform is
     /// notified.
     BroadcastOutcome {
         event: AcceptedEvent<'static>,
@@ -54,13 +54,13 @@
         command: AdminCommand,
         reply: Sender<AdminReply>,
     },
-    /// From the Raft groups that replicate event logs.
+    /// An event of the Raft groups that replicate event logs.
     GroupEvent(GroupEvent),
-    /// The process is to end once nothing is pending.
+    /// The process is to shut down once nothing is pending.
     ShutdownRequested,
-    /// A call is about to be written, some time after it was decided. Answered once the inputs
-    /// before are applied: what is decided on them reaches the target's actor in the same turn of
-    /// the executor.
+    /// A call is about to be written, some time after it was decided. Answered once the earlier
+    /// inputs are applied: the resulting decisions reach the target's actor in the same turn of the
+    /// executor.
     Barrier(Sender<()>),
 }
 
@@ -68,69 +68,70 @@
 pub struct Submission {
     pub request_number: u64,
     pub event: EventHeader,
-    /// On the clock of the decisions.
+    /// Time on the decision clock ([`crate::clock::Clock`]).
     pub deadline: Ms,
     pub body: Body,
-    /// The waiting client; dropped, its connection is closed without an answer.
+    /// Channel to the waiting client. If it is dropped, the connection is closed without a
+    /// response.
     pub response: Sender<SubmitResponse>,
 }
 
-/// A connection of the predecessor's, idle since then.
+/// An idle connection of the predecessor process.
 pub struct InheritedConnection {
     pub target: TargetId,
     pub stream: Stream,
     pub idle_since: Instant,
 }
 
-/// A successor process asks for the event loop's state.
+/// A request of a successor process for the event loop's state.
 pub struct HandoverRequest {
-    /// Where the state goes; dropped without a value if it cannot be handed over.
+    /// Receives the state; dropped without a value if the state cannot be handed over.
     pub snapshot: Sender<HandoverSnapshot>,
-    /// How the event loop goes on.
+    /// How the event loop continues.
     pub outcome: Receiver<HandoverOutcome>,
 }
 
-/// The state of an event loop that is paused, as its log is.
+/// State of a paused event loop; the log is paused as well.
 pub struct HandoverSnapshot {
     pub state: ProcessState,
-    /// Length of the log's file in bytes.
+    /// Length of the log file in bytes.
     pub log_length: u64,
     pub paused_since: Instant,
 }
 
-/// How a paused event loop goes on.
+/// How a paused event loop continues.
 pub enum HandoverOutcome {
-    /// The handover failed: this process decides.
+    /// The handover failed: this process continues to decide.
     Resume,
-    /// The successor decides: messages to it, and from it.
+    /// The successor decides. Channels of the messages to the successor and from it.
     Relay(Sender<Outgoing>, Receiver<Message>),
-    /// The successor decided, and has ended.
+    /// The successor took over, and has ended since.
     Exit,
 }
 
-/// To a target's actor.
+/// Command to a target's actor.
 pub enum TargetCommand {
     Call(OutgoingCall),
     HealthCheck,
-    /// Close connections that no call uses.
+    /// Close the connections that no call uses.
     CloseIdle,
-    /// Calls whose last byte is not written yet are not to be written to their end.
+    /// Cancel the calls whose last byte has not been written.
     CancelUnsent,
-    /// The target listens at another address.
+    /// The address of the target has changed.
     AddressChanged(SocketAddr),
     ConnectionReturned(Box<ReturnedConnection>),
-    /// So many idle connections exceed their quota.
+    /// Close this number of idle connections, which exceed their quota.
     CloseSurplus(u32),
-    /// Idle connections go to the successor process, now and as calls end.
+    /// Transfer idle connections to the successor process, now and as calls end.
     TransferIdle,
 }
 
-/// A connection that no call uses since then.
+/// A connection whose call has ended, now idle.
 pub struct ReturnedConnection {
     pub stream: Stream,
     pub address: SocketAddr,
     pub idle_since: Instant,
-    /// The connection's part of its quota.
+    /// The connection's permit in its quota.
     pub permit: Permit,
 }
 
@@ -141,20 +142,20 @@
     pub fingerprint: Option<Rc<str>>,
     pub body: Body,
     pub timeout: Ms,
-    /// The event's deadline: nothing of the call leaves after it.
+    /// The event's deadline: no byte of the call is sent after it.
     pub deadline: Ms,
-    /// When the call's last byte has to have left, on the clock of the decisions; infinite where
-    /// nothing bounds it.
+    /// Time on the decision clock by which the call's last byte has to be sent; infinite if there
+    /// is no limit.
     pub leave_by: Ms,
-    /// With replication: groups whose lease this process has to hold when the call's first byte
-    /// leaves.
+    /// With replication: the groups whose lease this process has to hold when the call's first byte
+    /// is sent.
     pub groups: Vec<GroupId>,
 }
 
-/// An outcome that the platform is to be notified of.
+/// An outcome to report to the platform.
 pub struct CompletionNotice {
     pub event: EventId,
     pub outcome: Outcome,
-    /// When the event may be submitted again, in milliseconds from now.
+    /// Delay in milliseconds, from now, after which the event may be submitted again.
     pub retry_after: Option<Ms>,
 }
