--- a/forwarder/server/src/admin_listener.rs
+++ b/forwarder/server/src/admin_listener.rs
@@ -1,9 +1,9 @@
-//! The admin address: one request a connection, answered within a second whatever clients do. It
-//! has a task, a few connections and descriptors of its own. A caller that holds a connection
-//! without a complete request is closed in bounded time, and sooner, the longest wait first, if
-//! others come.
+//! Listener of the admin address: one request per connection, answered within a second regardless
+//! of the load from clients. The listener has its own task, connection limit and descriptors. A
+//! connection without a complete request is closed at a time limit, or earlier, the longest wait
+//! first, to admit other connections.
 //!
-//! Spawned by `server` where `PROXY_MGMT` is set; commands go to the event loop.
+//! Spawned by `server` if `PROXY_MGMT` is set; commands are passed to the event loop.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,43 +26,43 @@
 use crate::messages::Input;
 use crate::stream::{until, Stream};
 
-/// Connections at once; their descriptors are set aside.
+/// Limit of concurrent connections; their descriptors are reserved.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
-/// A request is complete after so long, or its connection is closed.
+/// Time limit for a complete request; the connection is closed afterwards.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Responses are owed within a second.
+/// Time limit for the event loop's reply: a response is due within a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// What a caller still sends behind its response is read for so long, so that the response is not
-/// lost with a reset.
+/// How long bytes that arrive after the response are read, so that the response is not lost in a
+/// connection reset.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(250);
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// A head, and a body that means nothing.
+/// Limit of a request's size: a head, and a body that is ignored.
 const MAX_REQUEST_BYTES: usize = 8 * 1024;
 
-/// What a connection waits for, in the order in which connections make room.
+/// What a connection waits for, in eviction order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WaitReason {
-    /// The caller's close, behind its response.
+    /// The caller closes the connection after its response.
     Close,
-    /// The rest of a request.
+    /// The remainder of a request.
     Request,
 }
 
-/// Why a wait ended without what was waited for.
-enum WaitEnded {
+/// Why a wait ended before its future completed.
+enum WaitError {
     TimedOut,
-    /// Another caller needed the place.
-    MadeRoom,
+    /// The connection was closed to admit another one.
+    Evicted,
 }
 
-/// Order in which waiting connections make room: by reason, then by the connection's number.
+/// Eviction order of waiting connections: by reason, then by connection number.
 type WaitKey = (WaitReason, u64);
 
 /// A response without a body.
 struct Response {
     status: u16,
-    /// The one method that the path takes, for 405.
+    /// The method that the path accepts, for status 405.
     allowed: Option<&'static str>,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// None if the response cannot be encoded.
+    /// Encodes the response; `None` if that fails.
     fn encode(&self) -> Option<Vec<u8>> {
         let mut fields: Vec<(&str, &dyn Display)> = vec![("Connection", &"close")];
         if let Some(allowed) = &self.allowed {
@@ -91,8 +91,8 @@
     context: ServerContext,
     to_event_loop: Sender<Input>,
     open: Rc<Cell<usize>>,
-    /// Connections that wait for their caller, in the order in which they make room: one whose
-    /// sender is dropped ends.
+    /// Connections that wait for their caller, in eviction order. A connection is closed when its
+    /// sender is dropped.
     waiting: Rc<RefCell<BTreeMap<WaitKey, Sender<()>>>>,
 }
 
@@ -121,8 +121,8 @@
             }
         };
         let _ = stream.get_ref().set_nodelay(true);
-        let Some(counted) = admin.make_room().await else {
-            // None waits: all are being answered.
+        let Some(counted) = admin.admit_connection().await else {
+            // No connection waits: all are being answered.
             if let Some(response) = Response::status(503).encode() {
                 lingering_close::reject(&stream, &response);
             }
@@ -131,17 +131,18 @@
         last_number += 1;
         let serving = admin.clone().serve(stream, last_number, counted);
         admin.context.executor.spawn(serving).detach();
-        // Of many that come at once each is read before another needs its place.
+        // If many connections arrive at once, each is read before another one evicts it.
         future::yield_now().await;
     }
 }
 
 impl AdminListener {
-    async fn make_room(&self) -> Option<CountGuard> {
+    /// Evicts waiting connections if the limit is reached; `None` if none of them waits.
+    async fn admit_connection(&self) -> Option<CountGuard> {
         while self.open.get() >= MAX_ADMIN_CONNECTIONS
             && self.waiting.borrow_mut().pop_first().is_some()
         {
-            // The connection that made room ends now.
+            // The evicted connection ends while this task yields.
             future::yield_now().await;
         }
         CountGuard::try_new(&self.open, MAX_ADMIN_CONNECTIONS)
@@ -155,9 +156,9 @@
             .wait((WaitReason::Request, number), deadline, reading)
             .await
         {
-            // A connection that made room has no request: all that lay in it was read.
-            Err(WaitEnded::MadeRoom) | Ok(Err(ReadError::Disconnected)) => return,
-            Err(WaitEnded::TimedOut) => Response::status(408),
+            // An evicted connection has no complete request: all of its received bytes were read.
+            Err(WaitError::Evicted) | Ok(Err(ReadError::Disconnected)) => return,
+            Err(WaitError::TimedOut) => Response::status(408),
             Ok(Err(ReadError::Malformed)) => Response::status(400),
             Ok(Ok(request)) => self.respond(request).await,
         };
@@ -191,23 +192,23 @@
     /// Waits for the future until `deadline`.
     ///
     /// # Errors
-    /// Why the wait ended first.
+    /// Why the wait ended before the future completed.
     async fn wait<T>(
         &self,
         key: WaitKey,
         deadline: Instant,
         future: impl Future<Output = T>,
-    ) -> Result<T, WaitEnded> {
-        let (keeps_waiting, made_room) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(key, keeps_waiting);
-        let made_room = async {
-            let _ = made_room.recv().await;
-            Err(WaitEnded::MadeRoom)
+    ) -> Result<T, WaitError> {
+        let (not_evicted, evicted) = async_channel::bounded(1);
+        self.waiting.borrow_mut().insert(key, not_evicted);
+        let evicted = async {
+            let _ = evicted.recv().await;
+            Err(WaitError::Evicted)
         };
         let completed = async { Ok(future.await) };
-        let first = until(deadline, future::or(completed, made_room)).await;
+        let first = until(deadline, future::or(completed, evicted)).await;
         self.waiting.borrow_mut().remove(&key);
-        first.unwrap_or(Err(WaitEnded::TimedOut))
+        first.unwrap_or(Err(WaitError::TimedOut))
     }
 
     async fn run_command(&self, command: AdminCommand) -> Response {
@@ -217,8 +218,8 @@
             self.to_event_loop.send(input).await.ok()?;
             replies.recv().await.ok()
         };
-        // A command that was answered with a failure is not carried out later: the event loop sees
-        // that nobody waits any more.
+        // A command that is answered with a failure is not executed later: the event loop detects
+        // that its reply channel is closed.
         let reply = until(Instant::now() + COMMAND_TIMEOUT, replied)
             .await
             .flatten();
@@ -231,15 +232,15 @@
 }
 
 enum ReadError {
-    /// The caller ended the connection before its request was complete.
+    /// The caller closed the connection before its request was complete.
     Disconnected,
     Malformed,
 }
 
-/// Reads one request with the body that it may have.
+/// Reads one request, including an optional body.
 ///
 /// # Errors
-/// There is no complete request; what a complete one asks for is the inner result.
+/// There is no complete request. The inner result is that of parsing a complete one.
 async fn read_request(
     stream: &mut Stream,
     buffer: &mut [u8],
