--- a/forwarder/server/src/notifier.rs
+++ b/forwarder/server/src/notifier.rs
@@ -1,5 +1,5 @@
-//! The notifier: tells the platform of outcomes other than delivery, in order, again and again
-//! until each is acknowledged. Spawned once by `server`; the event loop fills its mailbox.
+//! The notifier: reports outcomes other than delivery to the platform, in order, and retries until
+//! each is acknowledged. Spawned once by `server`; the event loop fills its mailbox.
 
 use std::time::{Duration, Instant};
 
@@ -15,29 +15,29 @@
 use crate::messages::{CompletionNotice, Input};
 use crate::stream::{until, Stream, MAX_HEAD_BYTES};
 
-/// Notices that wait at most; no event is accepted while more outcomes than that could be pending.
+/// Capacity of the notifier's mailbox. No event is accepted while more outcomes could be pending.
 pub const MAX_QUEUED_NOTICES: usize = 4096;
-/// Notices in one request: some twenty kilobytes.
+/// Limit of notices in one request, about 20 kB.
 const MAX_NOTICES_PER_REQUEST: usize = 200;
-/// A response has the first of these, and twice as long with each failure up to the last. A notice
-/// has to be acknowledged 300 ms after its event's deadline, which ends shortly before, and the
-/// agent answers at once: a connection that has fallen silent costs 80 ms, and a second one 160
-/// more, which leaves another try. A machine on which a response takes longer is reached by the
-/// tries that follow: a notice that is sent twice does no harm.
+/// Time limit for a response: the minimum at first, doubled with each failure up to the maximum. A
+/// notice has to be acknowledged 300 ms after its event's deadline, shortly before which the event
+/// ends, and the agent responds immediately: an unresponsive connection costs 80 ms and a second
+/// one 160 ms more, which leaves time for another attempt. Later attempts succeed on a machine on
+/// which a response takes longer; sending a notice twice is harmless.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(80);
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Behind a refusal. The failure of an idle connection says nothing of a new one, and a timeout was
-/// a pause.
+/// Delay before a retry after a refusal. There is none after a failure of an idle connection, since
+/// a new one may succeed, nor after a timeout, which was a delay itself.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Why notices are not acknowledged.
 #[derive(Debug, thiserror::Error)]
 enum NoticeError {
-    /// There is no response.
+    /// There is no valid response.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
     /// The response's status is neither 204 nor 400.
-    #[error("answered with {0}")]
+    #[error("response status {0}")]
     Status(u16),
 }
 
@@ -50,14 +50,14 @@
     }
 }
 
-/// The platform's answer to a batch of notices.
+/// The platform's response to a batch of notices.
 enum Acknowledgement {
     Accepted,
-    /// The platform cannot read a notice of the batch, now or later.
+    /// The platform cannot read a notice of the batch; a retry does not help.
     Unreadable,
 }
 
-/// Sends notices until the event loop has ended.
+/// Sends notices until the event loop ends.
 pub async fn run(
     context: ServerContext,
     notices: Receiver<CompletionNotice>,
@@ -77,8 +77,8 @@
             let was_connected = notifier.idle.is_some();
             match notifier.send(&batch).await {
                 Ok(Acknowledgement::Unreadable) if batch.len() > 1 => {
-                    // One unreadable notice must not hold up the others: each half is sent by
-                    // itself.
+                    // One unreadable notice must not block the others: each half is sent
+                    // separately.
                     let rest = batch.split_off(batch.len() / 2);
                     batches.push(rest);
                     batches.push(batch);
@@ -116,13 +116,13 @@
     notices: Receiver<CompletionNotice>,
     idle: Option<Stream>,
     response_timeout: Duration,
-    /// Text of the last failure: each is logged once, not with each retry.
+    /// Text of the last logged failure, which is not logged again with each retry.
     logged_failure: String,
 }
 
 impl Notifier {
-    /// Adds notices that arrived meanwhile, to a batch that was not acknowledged too: none waits
-    /// behind another.
+    /// Adds the notices that have arrived meanwhile, also to a batch that was not acknowledged, so
+    /// that they do not wait until it is.
     fn fill(&self, batch: &mut Vec<CompletionNotice>) {
         while batch.len() < MAX_NOTICES_PER_REQUEST {
             match self.notices.try_recv() {
@@ -133,7 +133,7 @@
     }
 
     async fn send(&mut self, batch: &[CompletionNotice]) -> Result<Acknowledgement, NoticeError> {
-        let lines: String = batch.iter().map(line).collect();
+        let lines: String = batch.iter().map(encode_notice).collect();
         let address = self.context.discovery_address.get();
         let mut request = Vec::new();
         let fields: [(&str, &dyn std::fmt::Display); 1] = [("Host", &address)];
@@ -174,8 +174,8 @@
     }
 }
 
-/// A notice as the platform reads it: one JSON object a line.
-fn line(notice: &CompletionNotice) -> String {
+/// Encodes a notice in the platform's format: one JSON object per line.
+fn encode_notice(notice: &CompletionNotice) -> String {
     let event = &*notice.event.0;
     let value = match (notice.outcome, notice.retry_after) {
         (Outcome::Abandoned, _) => json!({"message": event, "outcome": "given_up"}),
--- a/forwarder/server/src/notifier/wire_format_tests.rs
+++ b/forwarder/server/src/notifier/wire_format_tests.rs
@@ -1,10 +1,10 @@
-//! The lines that tell the platform how events ended, as the version in service writes them.
+//! Pins the lines that report outcomes of events to the platform, as deployed versions write them.
 
 use plankhill_decisions::interface::EventId;
 use plankhill_event_log::Outcome;
 use rstest::rstest;
 
-use super::line;
+use super::encode_notice;
 use crate::messages::CompletionNotice;
 
 #[rstest]
@@ -38,7 +38,7 @@
         Outcome::Rejected | Outcome::Abandoned => (),
     }
     assert_eq!(
-        line(&CompletionNotice {
+        encode_notice(&CompletionNotice {
             event: EventId("e \"1\"".into()),
             outcome,
             retry_after
