--- a/forwarder/server/src/raft.rs
+++ b/forwarder/server/src/raft.rs
@@ -1,5 +1,5 @@
-//! The server's side of the Raft groups of its fleet, where a fleet file is named: requests to the
-//! groups, and the sign that the executor is alive, without which the groups' watchdog ends the
+//! The server's handle to the Raft groups of its fleet, if a fleet file is configured: requests to
+//! the groups, and the liveness signal of the executor, without which the groups' watchdog ends the
 //! process.
 
 use std::cell::{Cell, RefCell};
@@ -21,10 +21,10 @@
 /// Name of the Raft groups' folder in the state folder.
 const FOLDER: &str = "fleet";
 
-/// What the server asks of its Raft groups: their handle, or a test's stand-in.
+/// Interface to the Raft groups: implemented by their handle and by a test double.
 pub trait Groups {
     /// # Errors
-    /// The request comes back if there is no room for it now.
+    /// Returns the request if there is no capacity for it now.
     fn try_request(&mut self, request: GroupRequest) -> Result<(), GroupRequest>;
     fn holds_lease(&self, group: GroupId) -> bool;
     fn has_capacity(&self) -> bool;
@@ -76,8 +76,8 @@
 }
 
 impl RaftHandle {
-    /// `max_stall` is the longest time in milliseconds that a process may stand still; `replicas`
-    /// are the event logs that this process keeps, its own and others'.
+    /// `max_stall` is the longest time in milliseconds that a process may stall; `replicas` are the
+    /// replicas of event logs at this process, of its own log and of those of other instances.
     pub fn new(
         groups: Box<dyn Groups>,
         max_stall: Ms,
@@ -93,11 +93,11 @@
         }
     }
 
-    /// Starts the groups and their threads; none, and nothing is started, where no fleet file is
-    /// named.
+    /// Starts the groups and their threads; returns `None`, and starts nothing, if no fleet file is
+    /// configured.
     ///
     /// # Errors
-    /// The groups' folder, address or keys are of no use.
+    /// The groups' folder, address or keys are invalid.
     pub fn start(
         config: &ForwarderConfig,
         log: &Logger,
@@ -132,17 +132,17 @@
     }
 
     /// # Errors
-    /// The request comes back if there is no room for it now.
+    /// Returns the request if there is no capacity for it now.
     pub fn request(&self, request: GroupRequest) -> Result<(), GroupRequest> {
         self.groups.borrow_mut().try_request(request)
     }
 
-    /// Whether nobody else can own the group yet: asked before a call's first byte.
+    /// Whether no other instance can own the group yet; checked before a call's first byte is sent.
     pub fn holds_lease(&self, group: GroupId) -> bool {
         self.groups.borrow().holds_lease(group)
     }
 
-    /// Whether new events may be accepted, as far as the groups go.
+    /// Whether the state of the groups allows new events to be accepted.
     pub fn accepts_events(&self) -> bool {
         let holds_own_lease = self
             .own_group
@@ -156,17 +156,17 @@
         self.own_group.set(group);
     }
 
-    /// The event logs that this process keeps, its own and others'.
+    /// The replicas of event logs at this process, of its own log and of those of other instances.
     pub fn replicas(&self) -> &LocalReplicas {
         &self.replicas
     }
 
-    /// Whether event logs are replicated; otherwise the fleet serves other ends.
+    /// Whether event logs are replicated; otherwise the fleet serves other purposes.
     pub fn replicates_event_logs(&self) -> bool {
         self.replicates_event_logs
     }
 
-    /// The longest time in milliseconds that a process may stand still.
+    /// The longest time in milliseconds that a process may stall.
     pub fn max_stall(&self) -> Ms {
         self.max_stall
     }
@@ -175,12 +175,12 @@
         self.groups.borrow().incarnation()
     }
 
-    /// The executor is alive.
+    /// Signals to the watchdog that the executor is alive.
     pub fn feed_watchdog(&self) {
         self.groups.borrow().feed_watchdog();
     }
 
-    /// How often the watchdog is to be fed: several times in its timeout.
+    /// Interval at which the watchdog is to be fed: several times within its timeout.
     pub fn watchdog_interval(&self) -> Duration {
         let timeout = self
             .groups
@@ -191,7 +191,7 @@
     }
 }
 
-/// What the fleet's control group is for.
+/// What the fleet's control group stores.
 #[derive(Clone, Copy)]
 enum ControlGroup {
     /// Lists and broadcasts.
--- a/forwarder/server/src/raft_events.rs
+++ b/forwarder/server/src/raft_events.rs
@@ -1,5 +1,5 @@
-//! Events of the Raft groups, passed to the tasks that they concern: the event loop, broadcasts and
-//! connection quotas.
+//! Dispatches events of the Raft groups to the tasks that they concern: the event loop, broadcasts
+//! and connection quotas.
 
 use async_channel::Sender;
 use async_io::Timer;
@@ -9,7 +9,7 @@
 use crate::context::ServerContext;
 use crate::messages::Input;
 
-/// Passes events on, and feeds the watchdog meanwhile. Returns once the event loop has ended.
+/// Dispatches events, and feeds the watchdog meanwhile. Returns once the event loop has ended.
 pub async fn run(
     context: ServerContext,
     mut events: GroupEventStream,
@@ -20,10 +20,10 @@
         return;
     };
     let interval = raft.watchdog_interval();
-    let fed = raft.clone();
+    let watched = raft.clone();
     let _watchdog = context.executor.spawn(async move {
         loop {
-            fed.feed_watchdog();
+            watched.feed_watchdog();
             Timer::after(interval).await;
         }
     });
@@ -32,7 +32,7 @@
             quotas.on_group_event(&raft, &context.log, &event);
         }
         if let (GroupEvent::Deposed { group }, Some(_)) = (&event, &context.fanout) {
-            // Which group was lost only a task that leads it knows.
+            // Only a task that leads the group recognizes it, so each task receives the event.
             let _ = to_fanout.send(GroupEvent::Deposed { group: *group }).await;
         }
         if concerns_event_logs(&event) {
@@ -46,8 +46,8 @@
     error!(context.log, "threads of the Raft groups have ended");
 }
 
-/// Events of the control group alone are not for the event loop; of groups that were never led its
-/// numbers mean nothing there.
+/// Whether the event loop receives the event. It does not receive events that only the control
+/// group has, and ignores events of groups that it never led.
 fn concerns_event_logs(event: &GroupEvent) -> bool {
     match event {
         GroupEvent::Elected { purpose, .. } => *purpose == Purpose::EventLog,
