--- a/forwarder/server/src/reload.rs
+++ b/forwarder/server/src/reload.rs
@@ -1,12 +1,12 @@
-//! Reload of the configuration while the process runs (SIGHUP). Called by `server`.
+//! Reload of the configuration at runtime (SIGHUP). Called by `server`.
 
 use async_channel::Sender;
 use slog::{info, warn};
 
 use crate::context::ServerContext;
 
-/// Reads the configuration again: discovery's address and the quota policy take effect, other
-/// changes wait for a new start. A faulty configuration changes nothing.
+/// Reloads the configuration: a new discovery address and quota policy take effect, other changes
+/// need a restart. An invalid configuration changes nothing.
 pub fn reload_config(context: &ServerContext, discovery_moved: &Sender<()>) {
     let reloaded = plankhill_forwarder_config::reload_config(|name| std::env::var(name).ok());
     let config = match reloaded {
--- a/forwarder/server/src/stall_guard.rs
+++ b/forwarder/server/src/stall_guard.rs
@@ -1,7 +1,8 @@
-//! A poll of all sockets before a decision, for a process that may have stood still: what arrived
-//! meanwhile lies unread in the sockets, and timers that came due meanwhile are due at once.
-//! Without the poll the reactor fires the timers first, or goes on with what it had in hand when
-//! the process was stopped, and a call leaves for a target whose drain was reported long ago.
+//! Poll of all sockets before a decision, for a process that may have stalled: bytes that arrived
+//! during the stall are unread in the sockets, and timers that became due during it fire at once.
+//! Without the poll the reactor fires the timers first, or continues with the events that it had
+//! when the process was stopped, and a call is sent to a target whose drain was reported long
+//! before.
 //!
 //! Called by the event loop, by calls to targets and at shutdown.
 
@@ -10,24 +11,24 @@
 use async_io::Timer;
 use futures_lite::future;
 
-/// A process may have stood still if so much time passes between two decisions. Under load
-/// decisions come closer, and cost no poll; shorter stalls are within the platform's slack of 50
-/// ms.
+/// A process may have stalled if more time than this passes between two decisions. Under load
+/// decisions are closer together, and cost no poll; shorter stalls are within the platform's slack
+/// of 50 ms.
 pub const MAX_GAP: Duration = Duration::from_millis(5);
-/// A wait that goes through the reactor: as short as a timer takes.
+/// Duration of a timer that makes its task wait for the reactor, as short as possible.
 const REACTOR_TURN: Duration = Duration::from_micros(20);
 
-/// Returns once the tasks that wait for their sockets have read what lay in them.
+/// Returns once the tasks that wait for their sockets have read the bytes received so far.
 pub async fn poll_all_sockets() {
     loop {
         let began = Instant::now();
-        // The reactor may turn in its own thread, and wake this task before the others of the same
-        // turn: those are woken for certain when it has turned again.
+        // The reactor may run in its own thread, and wake this task before the others of the same
+        // turn: after another turn all of those are woken.
         turn_reactor().await;
         turn_reactor().await;
-        // Behind the tasks that the reactor woke.
+        // Lets the tasks that the reactor woke run first.
         future::yield_now().await;
-        // Otherwise the process stood still in here.
+        // Otherwise the process stalled during the poll.
         if began.elapsed() < MAX_GAP {
             return;
         }
@@ -38,7 +39,7 @@
 async fn turn_reactor() {
     loop {
         let mut timer = Timer::after(REACTOR_TURN);
-        // A timer that is over when it is first polled has not been at the reactor.
+        // A timer that has expired at its first poll was not registered with the reactor.
         if future::poll_once(&mut timer).await.is_none() {
             timer.await;
             return;
--- a/forwarder/server/src/state_folder.rs
+++ b/forwarder/server/src/state_folder.rs
@@ -1,5 +1,5 @@
 //! The state folder (`PROXY_STATE`) of a process that starts from it: checked and opened while no
-//! other process holds its lock.
+//! other process holds the folder's lock.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -12,17 +12,17 @@
 use crate::disabled_targets::{DisabledTargetStore, DisabledTargetsError};
 use crate::discovery::stored_list::{self, StoredListError};
 
-/// Connections that wait to be accepted: several times what clients open in a burst.
+/// Length of the accept queue: several times the connections that clients open in a burst.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Names the forwarder that the folder belongs to: its pending events name destinations of that
-/// forwarder's deployment alone.
+/// File with the name of the forwarder that owns the folder: the pending events refer to
+/// destinations that exist only in that forwarder's deployment.
 const OWNER_FILE: &str = "owner";
 const NEW_OWNER_FILE: &str = "owner.new";
 
-/// Why a process cannot start from the folder; each names the key that is to be changed.
+/// Why a process cannot start from the folder; each message names the key to change.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The folder is another forwarder's.
+    /// The folder belongs to another forwarder.
     #[error("PROXY_STATE: {path}: the folder is {owner:?}'s, and PROXY_NAME is {name:?}")]
     ForeignFolder {
         /// The owner file.
@@ -40,22 +40,22 @@
         /// The system's error.
         error: io::Error,
     },
-    /// The record of disabled targets is of no use.
+    /// The record of disabled targets cannot be used.
     #[error(transparent)]
     DisabledTargets(#[from] DisabledTargetsError),
-    /// The stored endpoint list is of no use.
+    /// The stored endpoint list cannot be used.
     #[error(transparent)]
     StoredList(#[from] StoredListError),
-    /// The event log is of no use.
-    #[error("PROXY_STATE: the ledger in {folder}: {error}")]
+    /// The event log cannot be used.
+    #[error("PROXY_STATE: the event log (file ledger) in {folder}: {error}")]
     EventLog {
         /// The state folder.
         folder: String,
         /// The system's error, or what is wrong with the file.
         error: OpenError,
     },
-    /// The address cannot be listened on.
-    #[error("{key}: {address} cannot be listened on: {error}")]
+    /// The process cannot listen on the address.
+    #[error("{key}: cannot listen on {address}: {error}")]
     Bind {
         /// The key that names the address.
         key: &'static str,
@@ -65,14 +65,14 @@
         error: io::Error,
     },
     /// The listener's backlog cannot be set.
-    #[error("PROXY_LISTEN: {0}")]
+    #[error("PROXY_LISTEN: cannot set the backlog: {0}")]
     Backlog(io::Error),
 }
 
-/// Listens at the address that the key names.
+/// Listens on the address, which the key configures.
 ///
 /// # Errors
-/// The address is in use or not this machine's.
+/// The address is in use, or not an address of this machine.
 pub fn bind(key: &'static str, address: SocketAddr) -> Result<Async<TcpListener>, StartError> {
     Async::<TcpListener>::bind(address).map_err(|error| StartError::Bind {
         key,
@@ -81,11 +81,11 @@
     })
 }
 
-/// Checks that the folder is that of the forwarder of our name, or nobody's yet. An empty owner
-/// file is none: a machine that failed may leave it.
+/// Checks that the folder belongs to this forwarder or has no owner yet. An empty owner file counts
+/// as none: it may be left after a machine failure.
 ///
 /// # Errors
-/// The folder is another forwarder's, or the owner file cannot be read.
+/// The folder belongs to another forwarder, or the owner file cannot be read.
 pub fn check_owner(config: &ForwarderConfig) -> Result<(), StartError> {
     let file = config.state_folder.join(OWNER_FILE);
     let path = || file.display().to_string();
@@ -104,8 +104,8 @@
     }
 }
 
-/// Marks the folder as ours. Where the owner file cannot be written the folder stays nobody's, as
-/// before.
+/// Records this forwarder as the folder's owner. If the owner file cannot be written, it stays
+/// unchanged.
 fn write_owner(config: &ForwarderConfig) {
     let path = config.state_folder.join(OWNER_FILE);
     let new = config.state_folder.join(NEW_OWNER_FILE);
@@ -118,9 +118,9 @@
     }
 }
 
-/// What a process starts with that opened the folder itself.
+/// State of a process that opened the folder itself, without a predecessor.
 pub struct OpenedState {
-    /// None where the folder cannot be locked, or is not to be.
+    /// `None` if the folder cannot be locked, or is not to be locked.
     pub lock: Option<StateLock>,
     pub event_log: EventLog,
     pub pending: Vec<PendingEvent>,
@@ -132,12 +132,12 @@
     /// Opens the folder and the clients' listener.
     ///
     /// # Errors
-    /// The folder is another forwarder's, one of its files is of no use, or the address cannot be
-    /// listened on.
+    /// The folder belongs to another forwarder, one of its files cannot be used, or the process
+    /// cannot listen on the address.
     pub fn open(config: &ForwarderConfig, lock: Option<StateLock>) -> Result<Self, StartError> {
         check_owner(config)?;
-        // The event log comes last, as opening it truncates a torn end: whatever else is faulty
-        // leaves the folder as it is.
+        // The event log is opened last, since opening truncates an incomplete record at its end: a
+        // fault found earlier leaves the folder unchanged.
         let disabled_targets =
             DisabledTargetStore::open(&config.state_folder, config.max_disk_bytes)?;
         stored_list::check(&config.state_folder)?;
@@ -147,8 +147,8 @@
                 folder: config.state_folder.display().to_string(),
                 error,
             })?;
-        // The library's backlog of 128 would overflow when many connect at once, and all others
-        // wait a second.
+        // The library's default backlog of 128 would overflow when many clients connect at once,
+        // and the remaining clients would wait a second.
         rustix::net::listen(&listener, LISTEN_BACKLOG)
             .map_err(|error| StartError::Backlog(error.into()))?;
         write_owner(config);
@@ -162,7 +162,7 @@
     }
 }
 
-/// Where a listener listens; the configured address if the system does not say.
+/// Address that a listener is bound to; the configured address if the system does not report one.
 pub fn local_address(listener: &Async<TcpListener>, configured: SocketAddr) -> SocketAddr {
     listener.get_ref().local_addr().unwrap_or(configured)
 }
--- a/forwarder/server/src/stream.rs
+++ b/forwarder/server/src/stream.rs
@@ -1,5 +1,5 @@
-//! TCP connections as the server uses them, and waits with a time limit. Used by every task that
-//! has a connection.
+//! TCP connections of the server, and waits with a time limit. Used by every task that has a
+//! connection.
 
 use std::future::Future;
 use std::io;
@@ -20,21 +20,21 @@
 /// A TCP connection on the executor's reactor.
 pub type Stream = Async<TcpStream>;
 
-/// The body of an event, in as many bytes as it has; calls share it with the event.
+/// The body of an event, without spare capacity; calls share it with the event.
 pub type Body = Rc<[u8]>;
 
 /// Connects without a time limit of its own.
 ///
 /// # Errors
-/// The system's, if nobody listens there or the address cannot be reached.
+/// Error of the system if the connection is refused or the address cannot be reached.
 pub async fn connect(address: SocketAddr) -> io::Result<Stream> {
     let stream = Stream::connect(address).await?;
     stream.get_ref().set_nodelay(true)?;
     Ok(stream)
 }
 
-/// The future's output, or none if `deadline` is first. A future that is ready at that moment still
-/// counts.
+/// Waits for the future until `deadline`; `None` at a timeout. The output of a future that is ready
+/// at the deadline is still returned.
 pub async fn until<T>(deadline: Instant, future: impl Future<Output = T>) -> Option<T> {
     let completed = async { Some(future.await) };
     let timed_out = async {
@@ -44,11 +44,11 @@
     future::or(completed, timed_out).await
 }
 
-/// What can be read from a connection at once.
+/// What can be read from a connection without waiting.
 enum Readable {
     Nothing,
     Bytes,
-    /// The peer has closed its side, or the connection is broken.
+    /// The peer has closed its side, or the connection has failed.
     End,
 }
 
@@ -61,12 +61,12 @@
     }
 }
 
-/// Whether an idle connection is still open and has no bytes to read.
+/// Whether a connection is open and has no bytes to read.
 pub fn is_quiet(stream: &Stream) -> bool {
     matches!(readable(stream), Readable::Nothing)
 }
 
-/// Whether the peer has closed its side, or the connection is broken.
+/// Whether the peer has closed its side, or the connection has failed.
 pub fn is_closed_by_peer(stream: &Stream) -> bool {
     matches!(readable(stream), Readable::End)
 }
--- a/forwarder/server/src/target_table.rs
+++ b/forwarder/server/src/target_table.rs
@@ -1,4 +1,4 @@
-//! Targets that are listed, and the mailboxes of those that have an actor. Owned by the event loop;
+//! Listed targets, and the mailboxes of those that have an actor. Owned by the event loop, and
 //! after a handover by the relay.
 
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 use crate::targets::{self, TargetContext};
 
 struct Target {
-    /// Of the target's actor, while there is one.
+    /// Mailbox of the target's actor, while there is one.
     mailbox: Option<Sender<TargetCommand>>,
     address: SocketAddr,
     zone: ZoneId,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The target is listed at that address.
+    /// Adds a listed target, or updates its address and zone.
     pub fn upsert(&mut self, id: &TargetId, address: SocketAddr, zone: ZoneId) {
         let Some(target) = self.targets.get_mut(id) else {
             self.targets.insert(
@@ -48,13 +48,14 @@
             return;
         }
         target.address = address;
-        // An actor that starts later is given the address then.
+        // An actor that starts later receives the current address.
         if let Some(mailbox) = &target.mailbox {
             let _ = mailbox.try_send(TargetCommand::AddressChanged(address));
         }
     }
 
-    /// The target's actor ends with its mailbox, and its idle connections with it.
+    /// Removes a target. Its actor ends when the mailbox is dropped, and closes its idle
+    /// connections.
     pub fn remove(&mut self, id: &TargetId) {
         self.targets.remove(id);
     }
@@ -81,7 +82,7 @@
         self.targets.get(id).map(|target| target.address)
     }
 
-    /// The target's actor has ended.
+    /// Handles the end of the target's actor.
     pub fn actor_stopped(&mut self, id: &TargetId) {
         if let Some(target) = self.targets.get_mut(id) {
             // Another actor may have started meanwhile.
@@ -89,10 +90,10 @@
         }
     }
 
-    /// Sends a command to a target's actor, which starts with its first call.
+    /// Sends a command to a target's actor, which is started for the first call.
     ///
     /// # Errors
-    /// The command comes back if the target is not listed or its mailbox is full.
+    /// Returns the command if the target is not listed or its mailbox is full.
     pub fn send(&mut self, id: &TargetId, command: TargetCommand) -> Result<(), TargetCommand> {
         let max_queued = self.max_queued_commands();
         let Some(target) = self.targets.get_mut(id) else {
@@ -104,8 +105,8 @@
             .is_some_and(|mailbox| !mailbox.is_closed());
         if !has_actor {
             if !starts_actor(&command) {
-                // No connection is idle and no call in flight: there is nothing to close or to
-                // cancel.
+                // Without an actor no connection is idle and no call in flight: there is nothing to
+                // close or cancel.
                 return Ok(());
             }
             target.mailbox = Some(start_actor(&self.context, id, target.address));
@@ -121,14 +122,14 @@
             .map_err(|error| error.into_inner())
     }
 
-    /// Room for every call that may be in flight, its return, and as many commands about idle
-    /// connections. The mailbox itself takes memory as commands come, which a bounded channel would
-    /// take at once.
+    /// Limit of queued commands: every call that may be in flight, the return of its connection,
+    /// and as many commands about idle connections. The mailbox is unbounded, since it allocates
+    /// memory as commands arrive, whereas a bounded channel allocates all of it in advance.
     fn max_queued_commands(&self) -> usize {
         4 * self.context.server.config.decisions.max_calls_in_flight + 16
     }
 
-    /// All idle connections go to the successor process, now and as calls end.
+    /// Transfers all idle connections to the successor process, now and as calls end.
     pub fn transfer_idle(&self) {
         for target in self.targets.values() {
             if let Some(mailbox) = &target.mailbox {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// An attempt or health check that never left ends with a later iteration, as not sent.
+    /// Reports an attempt or health check that was never sent to the event loop, as not sent.
     pub fn fail(&self, target: TargetId, command: TargetCommand) {
         let input = match command {
             TargetCommand::Call(call) => Input::AttemptEnded {
