--- a/forwarder/server/src/connection_quotas/control.rs
+++ b/forwarder/server/src/connection_quotas/control.rs
@@ -1,5 +1,5 @@
-//! State machine of the control group where it keeps leases of connection quotas. The first byte of
-//! a command says whose it is.
+//! State machine of a control group that stores the leases of connection quotas. The first byte of
+//! a command is a tag that identifies the state machine of the command.
 
 use plankhill_connection_quotas::leases::{decode, LeaseTable};
 use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
@@ -14,7 +14,7 @@
     tagged
 }
 
-/// The encoded command; none if the tag is another's.
+/// Removes the tag; `None` if the tag is not that of connection quotas.
 pub fn untag_command(tagged: &[u8]) -> Option<&[u8]> {
     match tagged.split_first() {
         Some((&COMMAND_TAG, command)) => Some(command),
@@ -30,7 +30,7 @@
 impl StateMachine for LeaseStateMachine {
     fn apply(&mut self, _: Incarnation, term: Term, command: &[u8]) {
         if let Some(command) = untag_command(command).and_then(decode) {
-            // A command that does not fit changes nothing, here as on every other instance.
+            // An invalid command changes nothing, on this instance as on every other.
             let _ = self.leases.apply(term.0, &command);
         }
     }
--- a/forwarder/server/src/connection_quotas/control_group.rs
+++ b/forwarder/server/src/connection_quotas/control_group.rs
@@ -1,5 +1,5 @@
-//! The control group's events, and what is sent to the group: reports of what is wanted, and
-//! proposals while this process leads it.
+//! Handles the events of the control group, and sends requests to it: reports of this instance's
+//! demand, and proposals while this process leads the group.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use super::{now, ConnectionQuotas};
 use crate::raft::RaftHandle;
 
-/// Proposals that may be undecided; at that, none is made.
+/// Limit of undecided proposals; at the limit no further proposal is made.
 const MAX_UNDECIDED_PROPOSALS: usize = 1_024;
 
 /// Proposals to the control group.
@@ -19,7 +19,8 @@
 pub struct Proposals {
     /// The control group while this process leads it.
     led_group: Option<GroupId>,
-    /// Numbers grow by one for each group, over all the times that it is led.
+    /// Number of the last proposal to each group. Numbers grow by one, across all terms in which
+    /// this process leads the group.
     last_numbers: BTreeMap<GroupId, u64>,
     undecided: BTreeMap<(GroupId, u64), Command>,
 }
@@ -31,13 +32,13 @@
         for (pool, surplus) in &surplus {
             self.close_idle(pool, *surplus);
         }
-        let waited_for: Vec<_> = self.waiting.borrow().keys().cloned().collect();
-        for pool in &waited_for {
+        let awaited_pools: Vec<_> = self.waiting.borrow().keys().cloned().collect();
+        for pool in &awaited_pools {
             self.wake_first(pool);
         }
         let report = self.local.borrow_mut().report(at);
         if let Some(body) = report {
-            // A report that is lost is made again with the next renewal.
+            // A lost report is repeated at the next renewal.
             let _ = raft.request(GroupRequest::Report { body });
         }
         let due = self.local.borrow_mut().due(at);
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Events of other groups than the control group change nothing.
+    /// Handles an event of the Raft groups. Events of groups other than the control group change
+    /// nothing.
     pub fn on_group_event(&self, raft: &RaftHandle, log: &Logger, event: &GroupEvent) {
         let at = now();
         match event {
--- a/forwarder/server/src/connection_quotas/mod.rs
+++ b/forwarder/server/src/connection_quotas/mod.rs
@@ -1,10 +1,10 @@
-//! Connection quotas, where the fleet file names a policy: each connection has a permit in its
-//! target's pool from before it is opened until it is closed. Where there is none a call waits, and
-//! ends as not sent if none comes free. What there is capacity for is decided in
-//! `plankhill-connection-quotas`; nothing about an event is decided here.
+//! Connection quotas, used if the fleet file names a policy: each connection has a permit in its
+//! target's pool from before it is opened until it is closed. Without an available permit a call
+//! waits, and ends as not sent if none is released in time. `plankhill-connection-quotas` decides
+//! on capacity; this module decides nothing about events.
 //!
 //! Shared by the targets' actors and calls ([`permit`]), the event loop (which reports targets) and
-//! [`ticker`]; [`control_group`] speaks with the fleet's control group.
+//! [`ticker`]; [`control_group`] communicates with the fleet's control group.
 
 pub mod control;
 mod control_group;
@@ -31,7 +31,7 @@
 
 pub struct ConnectionQuotas {
     local: RefCell<LocalQuotas>,
-    /// Calls that wait for a permit, the longest wait first.
+    /// Channels that wake the calls that wait for a permit, the longest wait first.
     waiting: RefCell<BTreeMap<PoolId, VecDeque<Sender<()>>>>,
     actors: RefCell<HashMap<TargetId, ActorConnections>>,
     proposals: RefCell<Proposals>,
@@ -40,20 +40,22 @@
 /// Idle connections of one target's actor.
 #[derive(Default)]
 struct ActorConnections {
-    /// Has so many closed; false if the actor has ended.
+    /// Requests that this number of connections is closed; returns false if the actor has ended.
     close_surplus: Option<Box<dyn Fn(u32) -> bool>>,
+    /// Number of idle connections in each pool.
     idle: BTreeMap<PoolId, u32>,
 }
 
-/// Milliseconds since the machine's start, its sleep counted: a lease ends while a machine sleeps.
+/// Milliseconds since the machine's boot, including suspend: leases expire while a machine is
+/// suspended.
 fn now() -> Ms {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as f64 * 1e3 + time.tv_nsec as f64 / 1e6
 }
 
 impl ConnectionQuotas {
-    /// None where no policy is named. `max_stall`: after so many milliseconds the watchdog has
-    /// ended a process that stands still.
+    /// Returns `None` if no policy is configured. `max_stall` is the time in milliseconds after
+    /// which the watchdog has ended a stalled process.
     pub fn start(
         config: &ForwarderConfig,
         incarnation: Incarnation,
@@ -66,8 +68,8 @@
             .iter()
             .map(|instance| (Instance(instance.name.clone()), instance.zone.clone()))
             .collect();
-        // No other process may use what this one is granted: the time of the start tells it from
-        // others of the folder.
+        // No other process may use the permits granted to this one: the start time distinguishes it
+        // from other processes of the same state folder.
         let start_us = (now() * 1e3) as u64;
         let local = LocalQuotas::new(LocalQuotasConfig {
             instance: Instance(config.name.clone()),
@@ -85,7 +87,7 @@
         }))
     }
 
-    /// A policy that was reloaded and found sound. It is in force once the fleet has agreed on it.
+    /// Sets a reloaded, valid policy. It takes effect once the fleet has agreed on it.
     pub fn set_policy(&self, source: &QuotaPolicySource) {
         let mut local = self.local.borrow_mut();
         local.set_policy(source.text.clone(), source.policy.clone());
@@ -106,26 +108,27 @@
         self.local.borrow_mut().remove_target(&target.0);
     }
 
-    /// The target warms up for so many milliseconds yet.
+    /// Marks the target as warming up for another `remaining` milliseconds.
     pub fn set_warming_up(&self, target: &TargetId, remaining: Ms) {
         self.local
             .borrow_mut()
             .set_warming_up(&target.0, now() + remaining);
     }
 
-    /// A target's actor begins: `close_surplus` has so many of its idle connections closed, and is
-    /// false once the actor has ended.
+    /// Registers a target's actor: `close_surplus` requests that it closes the given number of idle
+    /// connections, and returns false once the actor has ended.
     pub fn actor_started(&self, target: &TargetId, close_surplus: impl Fn(u32) -> bool + 'static) {
         let mut actors = self.actors.borrow_mut();
         let actor = actors.entry(target.clone()).or_default();
         actor.close_surplus = Some(Box::new(close_surplus));
     }
 
-    /// A target's actor ends, and owns no connection any more.
+    /// Removes a target's actor, which no longer owns a connection.
     pub fn actor_stopped(&self, target: &TargetId) {
         self.actors.borrow_mut().remove(target);
     }
 
+    /// Adds a waiting call to the pool's queue; the channel wakes the call.
     fn enqueue(&self, pool: &PoolId) -> Receiver<()> {
         let (wake, woken) = async_channel::bounded(1);
         self.waiting
@@ -136,7 +139,7 @@
         woken
     }
 
-    /// The call that waits longest may look again, if there is capacity.
+    /// Wakes the call that has waited longest, if there is capacity.
     fn wake_first(&self, pool: &PoolId) {
         if !self.local.borrow().has_capacity(now(), pool) {
             return;
@@ -145,7 +148,7 @@
         let Some(queue) = waiting.get_mut(pool) else {
             return;
         };
-        // Calls that have ended meanwhile are skipped.
+        // Skips calls that have ended meanwhile.
         while let Some(first) = queue.pop_front() {
             if first.try_send(()).is_ok() {
                 break;
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Has surplus idle connections closed, where most of them are first.
+    /// Closes surplus idle connections, first at the targets with the most of them.
     fn close_idle(&self, pool: &PoolId, mut surplus: u32) {
         let mut actors = self.actors.borrow_mut();
         let mut with_idle: Vec<(&TargetId, &mut ActorConnections)> = actors
@@ -175,7 +178,7 @@
         }
     }
 
-    /// No client names a member yet: all events are those of others.
+    /// Clients cannot name a member yet, so all events count for the default member.
     fn event_use(&self) -> ConnectionUse {
         ConnectionUse::Event(self.local.borrow().member(OTHERS))
     }
--- a/forwarder/server/src/connection_quotas/permit.rs
+++ b/forwarder/server/src/connection_quotas/permit.rs
@@ -1,4 +1,4 @@
-//! A connection's permit: its part of its pool's quota.
+//! A connection's permit in the quota of its pool.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,33 +12,34 @@
 use crate::call_kind::CallKind;
 use crate::clock::to_ms;
 
-/// Where a permit is counted.
+/// The pool in which a permit is counted.
 struct Counted {
     quotas: Rc<ConnectionQuotas>,
     pool: PoolId,
 }
 
-/// Given back when it is dropped, so that an owner of both drops the connection first.
+/// Permit for one connection, released when it is dropped. An owner of both has to drop the
+/// connection first.
 pub struct Permit {
-    /// None where no quota holds.
+    /// `None` if no quota applies.
     counted: RefCell<Option<Counted>>,
     target: TargetId,
-    /// None while the connection is idle.
+    /// `None` while the connection is idle.
     used_for: Cell<Option<ConnectionUse>>,
 }
 
-/// What a call gets.
+/// Result of [`ConnectionQuotas::acquire`].
 pub enum Acquired {
     /// A permit for a new connection.
     New(Permit),
-    /// The lent connection's own permit is in use now.
+    /// The permit of the lent connection is marked as in use.
     Lent,
     /// The pool has no capacity now.
     Exhausted(PoolId),
 }
 
 impl Permit {
-    /// Where no quota holds.
+    /// Creates a permit to which no quota applies.
     pub fn unlimited(target: &TargetId) -> Permit {
         Permit {
             counted: RefCell::new(None),
@@ -47,12 +48,12 @@
         }
     }
 
-    /// The permit itself, to go on apart from its connection; an unlimited one stays behind.
+    /// Takes the permit from its connection, and leaves an unlimited one in its place.
     pub fn take(&mut self, target: &TargetId) -> Permit {
         std::mem::replace(self, Permit::unlimited(target))
     }
 
-    /// The connection becomes idle. False if it has to be closed.
+    /// Marks the connection as idle. Returns false if it has to be closed.
     pub fn release_idle(&self) -> bool {
         let counted = self.counted.borrow();
         let Some(Counted { quotas, pool }) = counted.as_ref() else {
@@ -89,7 +90,7 @@
 }
 
 impl ConnectionQuotas {
-    /// Counts idle connections at a target.
+    /// Changes the number of idle connections to a target.
     fn change_idle(&self, target: &TargetId, pool: &PoolId, change: i32) {
         let mut actors = self.actors.borrow_mut();
         let Some(actor) = actors.get_mut(target) else {
@@ -102,20 +103,20 @@
         }
     }
 
-    /// A permit for a call that is over by `ends`: that of the lent connection, or one for a new
-    /// connection.
+    /// Acquires a permit for a call that ends by `deadline`: that of the lent connection, or one
+    /// for a new connection.
     pub fn acquire(
         self: &Rc<Self>,
         target: &TargetId,
         kind: CallKind,
-        ends: Instant,
+        deadline: Instant,
         lent: Option<&Permit>,
     ) -> Acquired {
         let used_for = match kind {
             CallKind::Attempt => self.event_use(),
             CallKind::HealthCheck => ConnectionUse::Trial,
         };
-        let time_left = to_ms(ends.saturating_duration_since(Instant::now()));
+        let time_left = to_ms(deadline.saturating_duration_since(Instant::now()));
         let lent_pool = lent.and_then(Permit::pool);
         let at = now();
         let admission = self.local.borrow_mut().acquire(
@@ -144,7 +145,7 @@
         if let Some(lent_pool) = &lent_pool {
             self.change_idle(target, lent_pool, -1);
             if *lent_pool != pool {
-                // Another policy counts the connection in another pool.
+                // The policy has changed, and assigns the connection to another pool.
                 self.local
                     .borrow_mut()
                     .connection_closed(at, lent_pool, None);
@@ -158,8 +159,8 @@
         Acquired::Lent
     }
 
-    /// Waits until there may be capacity. An idle connection elsewhere that takes the last of it is
-    /// closed.
+    /// Waits until there may be capacity. If idle connections use the last capacity of the pool,
+    /// one of them is closed.
     pub async fn capacity_freed(&self, pool: &PoolId) {
         if self.local.borrow().is_exhausted(now(), pool) {
             self.close_idle(pool, 1);
--- a/forwarder/server/src/connection_quotas/ticker.rs
+++ b/forwarder/server/src/connection_quotas/ticker.rs
@@ -6,11 +6,11 @@
 
 use crate::context::ServerContext;
 
-/// How often surplus idle connections are looked for, and due commands.
+/// Interval of the checks for surplus idle connections and due commands.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reports what is wanted, closes surplus connections, and grants leases while this process leads
-/// the control group.
+/// Reports this instance's demand, closes surplus connections, and proposes leases while this
+/// process leads the control group.
 pub async fn run(context: ServerContext) {
     let (Some(raft), Some(quotas)) = (context.raft.clone(), context.quotas.clone()) else {
         return;
