--- a/forwarder/server/src/discovery/backoff/tests.rs
+++ b/forwarder/server/src/discovery/backoff/tests.rs
@@ -1,4 +1,4 @@
-//! Backoffs of one forwarder and of a fleet.
+//! Backoff of a single forwarder and of a fleet.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_single_forwarders_backoff_starts_short_grows_to_its_bound_and_is_reset_by_a_response() {
+fn a_single_forwarders_backoff_grows_from_the_first_to_the_longest_bound_until_a_reset() {
     let mut backoff = Backoff::for_fleet(7, "n1", 1.0);
     let first = ms(backoff.next_backoff());
     let later: Vec<Ms> = (0..12).map(|_| ms(backoff.next_backoff())).collect();
@@ -25,43 +25,44 @@
     assert!(ms(backoff.next_backoff()) <= FIRST_BACKOFF.min);
 }
 
-/// Tries of a hundred forwarders refused at one moment, over their first `span` ms.
-fn fleet(seed: u64, span: Ms) -> Vec<Ms> {
-    let mut tries = Vec::new();
+/// Times of the retries of a hundred forwarders that are refused at once, over the first `span` ms.
+fn fleet_retries(seed: u64, span: Ms) -> Vec<Ms> {
+    let mut retries = Vec::new();
     for node in 0..100 {
         let mut backoff = Backoff::for_fleet(seed, &format!("n{node}"), 100.0);
         let mut at = 0.0;
         while at < span {
             at += ms(backoff.next_backoff());
-            tries.push(at);
+            retries.push(at);
         }
     }
-    tries
+    retries
 }
 
-/// With a fixed pause of 50 ms they would ask two thousand times a second, all in step.
+/// With a fixed interval of 50 ms the fleet would send two thousand requests per second, all at the
+/// same time.
 #[test]
-fn a_fleet_refused_together_does_not_come_back_together() {
+fn forwarders_that_are_refused_at_once_spread_their_retries() {
     for seed in [1_u64, 0x8c1f_30d2_7a5b_e964, 99] {
-        let tries = fleet(seed, 20_000.0);
+        let retries = fleet_retries(seed, 20_000.0);
         let in_second = |s: Ms| {
-            tries
+            retries
                 .iter()
                 .filter(|&&at| (s * 1000.0..(s + 1.0) * 1000.0).contains(&at))
                 .count()
         };
         assert!(
             in_second(0.0) == 0,
-            "seed {seed}: {} tries in the first second",
+            "seed {seed}: {} retries in the first second",
             in_second(0.0)
         );
-        // After the first tries, fewer than what an overbooked discovery answered, some eighteen a
-        // second.
+        // After the first retries. For comparison: an overloaded discovery answered some eighteen
+        // requests per second.
         let most = (5..20).map(|s| in_second(s as f64)).max().unwrap_or(0);
-        assert!(most <= 40, "seed {seed}: {most} tries in one second");
-        let crowd = (10..200)
+        assert!(most <= 40, "seed {seed}: {most} retries in one second");
+        let most_per_tenth = (10..200)
             .map(|tenth| {
-                tries
+                retries
                     .iter()
                     .filter(|&&at| (at / 100.0) as u32 == tenth)
                     .count()
@@ -69,50 +70,52 @@
             .max()
             .unwrap_or(0);
         assert!(
-            crowd <= 25,
-            "seed {seed}: {crowd} tries in a tenth of a second"
+            most_per_tenth <= 25,
+            "seed {seed}: {most_per_tenth} retries in a tenth of a second"
         );
     }
 }
 
 #[test]
-fn a_refusal_is_followed_by_the_whole_backoff_however_late_it_came_and_a_timed_out_watch_by_none() {
-    let (asked, slow) = (Instant::now(), Duration::from_secs(2));
+fn a_late_refusal_is_followed_by_the_full_backoff_and_a_timed_out_watch_by_none() {
+    let (requested, slow) = (Instant::now(), Duration::from_secs(2));
     let backoff = || Backoff::for_fleet(7, "n1", 300.0);
     assert!(
-        backoff().retry_at(asked, asked + slow, false) >= asked + slow + Duration::from_secs(1)
+        backoff().retry_at(requested, requested + slow, false)
+            >= requested + slow + Duration::from_secs(1)
     );
     let mut after_many = backoff();
     for _ in 0..20 {
         after_many.next_backoff();
     }
-    let silent = Duration::from_millis(20_500);
-    assert!(after_many.retry_at(asked, asked + silent, true) <= asked + silent);
+    let watch_time = Duration::from_millis(20_500);
+    assert!(after_many.retry_at(requested, requested + watch_time, true) <= requested + watch_time);
 }
 
-/// Guards the time by which news counts as told: whatever failed, and after however many failures.
+/// Guards the time limit after which a change counts as reported, 6 s, for every kind of failure
+/// and after any number of failures: the next request has to leave one second for its response.
 #[test]
-fn whatever_failed_the_next_request_leaves_its_response_one_of_the_six_seconds() {
-    // Silent or refused, at once, as late as an ask after a failure may be, or a watch that stood
-    // for long.
+fn after_any_failure_the_next_request_follows_within_five_seconds() {
+    // A timeout or a refusal: immediately, or as late as a request after a failure may fail;
+    // then a watch that was open for long.
     for forwarders in [1.0, 20.0, 100.0, 300.0] {
-        for (late, silent) in [(0, false), (2_500, false), (1_000, true), (2_500, true)] {
+        for (delay_ms, timed_out) in [(0, false), (2_500, false), (1_000, true), (2_500, true)] {
             let mut backoff = Backoff::for_fleet(7, "n1", forwarders);
             for _ in 0..40 {
-                let asked = Instant::now();
-                let failed = asked + Duration::from_millis(late);
-                let again = backoff.retry_at(asked, failed, silent);
+                let requested = Instant::now();
+                let failed = requested + Duration::from_millis(delay_ms);
+                let retry_at = backoff.retry_at(requested, failed, timed_out);
                 assert!(
-                    again <= asked + Duration::from_millis(5_000),
-                    "{forwarders} {late} {silent}"
+                    retry_at <= requested + Duration::from_millis(5_000),
+                    "{forwarders} {delay_ms} {timed_out}"
                 );
             }
         }
-        let stood = Instant::now();
-        let broke = stood + Duration::from_secs(20);
+        let requested = Instant::now();
+        let failed = requested + Duration::from_secs(20);
         assert!(
-            Backoff::for_fleet(7, "n1", forwarders).retry_at(stood, broke, false)
-                <= broke + Duration::from_secs(2)
+            Backoff::for_fleet(7, "n1", forwarders).retry_at(requested, failed, false)
+                <= failed + Duration::from_secs(2)
         );
     }
 }
--- a/forwarder/server/src/discovery/stored_list.rs
+++ b/forwarder/server/src/discovery/stored_list.rs
@@ -1,6 +1,5 @@
-//! The endpoint list as it was last received, for the next process (file `list` of the state
-//! folder): each entry as the text that discovery sent, by its id. A change of one entry costs that
-//! entry.
+//! The last received endpoint list, stored for the next process (file `list` in the state folder):
+//! the JSON text of each entry by its id. A change of one entry encodes only that entry.
 //!
 //! Owned by the watch; read by the next process at its start.
 
@@ -15,10 +14,10 @@
 const FILE: &str = "list";
 const NEW_FILE: &str = "list.new";
 
-/// The file is of no use to the next process.
+/// Why the stored list cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StoredListError {
-    /// The file is no complete list.
+    /// The file is not a complete list.
     #[error("PROXY_STATE: {path}: is not a list of targets")]
     Malformed {
         /// The file.
@@ -38,7 +37,7 @@
 pub struct StoredList {
     revision: Option<u64>,
     entries: BTreeMap<Box<str>, Box<str>>,
-    /// Of all entries with a separator each, in bytes.
+    /// Size of all entries in bytes, including one separator each.
     entries_bytes: usize,
 }
 
@@ -47,8 +46,7 @@
         self.revision
     }
 
-    /// Applies a page of the list. An entry without an id cannot be told from others, and is left
-    /// out.
+    /// Applies a page of the list. An entry without an id cannot be identified, and is ignored.
     pub fn apply(&mut self, page: &Value) {
         self.revision = revision(page).or(self.revision);
         if is_complete(page) {
@@ -81,7 +79,8 @@
         }
     }
 
-    /// Writes the list into the folder, unless it is longer than `max_bytes`: then none is stored.
+    /// Writes the list to the folder. If it is longer than `max_bytes` or cannot be written, the
+    /// stored list is removed.
     pub fn write(&self, folder: &Path, max_bytes: u64) {
         let path = folder.join(FILE);
         let new = folder.join(NEW_FILE);
@@ -112,11 +111,11 @@
     }
 }
 
-/// Checks that the folder's file is such a list. An empty file is none: a machine that failed may
-/// leave it.
+/// Checks that the folder's file, if any, is a complete list. An empty file counts as none: it may
+/// be left after a machine failure.
 ///
 /// # Errors
-/// The file cannot be read, or is something else.
+/// The file cannot be read, or is not a complete list.
 pub fn check(folder: &Path) -> Result<(), StoredListError> {
     let file = folder.join(FILE);
     let path = || file.display().to_string();
@@ -141,7 +140,7 @@
     }
 }
 
-/// The list that an earlier process stored in the folder.
+/// Reads the list that an earlier process stored in the folder; `None` without a complete one.
 pub fn read(folder: &Path) -> Option<Value> {
     let stored = std::fs::read(folder.join(FILE)).ok()?;
     serde_json::from_slice(&stored).ok().filter(is_complete)
--- a/forwarder/server/src/discovery/stored_list/tests.rs
+++ b/forwarder/server/src/discovery/stored_list/tests.rs
@@ -1,3 +1,5 @@
+//! The stored list after complete pages and pages of changes.
+
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -8,7 +10,7 @@
 }
 
 #[rstest]
-fn pages_change_what_they_name_and_a_complete_one_replaces_all() {
+fn a_page_changes_its_entries_and_a_complete_page_replaces_all() {
     let mut stored = StoredList::default();
     stored.apply(&json!({"revision": 1, "complete": true,
         "members": [entry("a", "up"), entry("b", "up")]}));
--- a/forwarder/server/src/discovery/watch.rs
+++ b/forwarder/server/src/discovery/watch.rs
@@ -1,19 +1,20 @@
-//! The watch on discovery's endpoint list: what was last known at the start, then a watch without a
-//! break. Each page goes to the event loop and into the stored list. Spawned once by `server`.
+//! Watch of discovery's endpoint list: loads the last known list at the start, then watches without
+//! interruption. Each page is passed to the event loop and applied to the stored list. Spawned once
+//! by `server`.
 //!
-//! Whatever call failed, a change counts as reported 6 s after discovery had it and could be
-//! reached. The sum:
+//! Whichever call failed, a change counts as reported 6 s after discovery had it and was reachable.
+//! The time budget:
 //!
-//! - A request after a failed one waits for `WAIT_AFTER_FAILURE` and `RESPONSE_GRACE`, 2.5 s, its
-//!   connect within that (`http_exchange::CONNECT_TIMEOUT`). From one request to the next pass 5 s
-//!   at most (`backoff.rs`): discovery that can be reached now is asked within 5 s, and 1 s is left
-//!   for connect and response.
-//! - A watch waits longer only behind a response. If its response begins and never ends: 2 s
-//!   (`RESPONSE_TIMEOUT`), the first backoff, 2 s at most, and 2 s left.
-//! - If the watch breaks off: the first backoff, 2 s at most, and 4 s left.
-//! - If the watch is silent and then has its own time, 2 s past its wait: half a second of it
-//!   (`RESPONSE_GRACE`), no backoff, and 1.5 s left. Beside an agent and in small fleets a watch
-//!   waits 4 s, and that too ends within the 6 s.
+//! - A request after a failed one waits for `WAIT_AFTER_FAILURE_MS` and `RESPONSE_GRACE`, 2.5 s,
+//!   including its connect (`http_exchange::CONNECT_TIMEOUT`). At most 5 s pass from one request to
+//!   the next (`backoff.rs`): discovery that has become reachable is asked within 5 s, and 1
+//!   s is left for connect and response.
+//! - A watch waits longer only after a response. If its response begins and never ends: 2 s
+//!   (`RESPONSE_TIMEOUT`), the first backoff of at most 2 s, and 2 s left.
+//! - If the connection of the watch fails: the first backoff of at most 2 s, and 4 s left.
+//! - If the watch is not answered, a change counts as reported 2 s after its wait: of these, half a
+//!   second is `RESPONSE_GRACE`, there is no backoff, and 1.5 s are left. With a local agent and in
+//!   small fleets a watch waits 4 s, which also ends within the 6 s.
 
 use std::time::{Duration, Instant};
 
@@ -31,60 +32,63 @@
 use crate::messages::Input;
 use crate::stream::{until, Stream};
 
-/// How long a watch waits at discovery, which allows up to a minute. Where the list is pushed an
-/// agent on the same machine answers at no cost. Elsewhere each request costs the discovery of the
-/// whole fleet: so long for each forwarder that a fleet asks five times a second, as a hundred do
-/// with 20 s, while nothing changes.
+/// How long discovery holds the request of a watch while nothing changes; discovery allows up to a
+/// minute. If the list is pushed, requests to the agent on the same machine cost nothing. Otherwise
+/// each request costs the discovery that the complete fleet shares: the wait per forwarder is
+/// chosen such that a fleet sends five requests per second, as a hundred forwarders do with 20 s.
 const MIN_WAIT_MS: u64 = 4_000;
 const MAX_WAIT_MS: u64 = 20_000;
 const WAIT_PER_FORWARDER_MS: f64 = 200.0;
-/// How long a watch behind a failed call waits: an overbooked discovery answered after up to 2 s.
-/// The agent answers at once, and its silence is found out at once.
+/// How long the watch after a failed call waits: an overloaded discovery answered after up to 2 s.
+/// The agent answers immediately, so that a missing answer is detected soon.
 const WAIT_AFTER_FAILURE_MS: u64 = 2_000;
 const AGENT_WAIT_AFTER_FAILURE_MS: u64 = 500;
-/// A request for the complete list is answered at once, by a discovery that many ask as well.
+/// Time limit for a request of the complete list, which discovery answers without waiting for a
+/// change, but under the load of other forwarders.
 const COMPLETE_LIST_WAIT_MS: u64 = 1_500;
-/// After its wait a watch is answered within that, or is begun anew on a new connection. What it
-/// missed counts as reported 2 s after the wait (or 6 s after its silence began, which is later
-/// only for shorter waits): the new request has the rest of that time for its response.
+/// How long after its wait a watch may be answered before it is restarted on a new connection. A
+/// change that the watch missed counts as reported 2 s after the wait (or 6 s after discovery
+/// stopped answering, which is later only for shorter waits): the new request has the remaining
+/// time for its response.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// From a response's first byte to its last: a peer that trickles counts as silent.
+/// Time limit from the first byte of a response to its last. A peer that sends more slowly counts
+/// as unresponsive.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// At the start: the agent answers at once, if discovery is up.
+/// Time limit at the start: the agent answers immediately if discovery is running.
 const START_TIMEOUT: Duration = Duration::from_millis(200);
-/// Longest page that is read: some thousands of targets.
+/// Limit of a page's size: some thousands of targets.
 const MAX_PAGE_BYTES: usize = 2 << 20;
-/// The stored list's share of the disk, as a divisor.
-const DISK_SHARE: u64 = 40;
+/// Divisor for the stored list's share of the disk limit.
+const DISK_SHARE_DIVISOR: u64 = 40;
 
-/// What is known of the targets before the first watch.
+/// The endpoint list before the first watch.
 pub struct InitialList {
     pub endpoints: Value,
-    /// Whether discovery said so just now.
+    /// Whether the list was received from discovery at this start.
     is_current: bool,
 }
 
 /// Why a request to discovery failed.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    /// There is no response.
+    /// There is no valid response.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
-    /// The response's status is another than 200.
+    /// The response's status is not 200.
     #[error("{0}")]
     Status(String),
-    /// The body is no JSON.
+    /// The body is not JSON.
     #[error("the list is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The body is no page of the list.
-    #[error("what was answered is no list")]
+    /// The body is not a page of the list.
+    #[error("the response is not an endpoint list")]
     NotAList,
-    /// The complete list was asked for, and changes were answered.
-    #[error("the list that was answered is not whole")]
+    /// The complete list was requested, but changes were received.
+    #[error("the received list is not complete")]
     Incomplete,
-    /// The page is of an older revision than the watch asked for: discovery is behind, or has begun
-    /// anew.
-    #[error("the list is of revision {listed}, older than {known}")]
+    /// The page has an older revision than the known one: discovery lags behind, or has restarted
+    /// its revisions.
+    #[error("the list has revision {listed}, older than {known}")]
     OlderRevision { listed: u64, known: u64 },
 }
 
@@ -97,9 +101,9 @@
     }
 }
 
-/// The list that a process starts with. What the agent has by now counts as reported: it is asked
-/// before anything is sent. While it is silent, the list holds that an earlier process stored, or
-/// `known`, the one in the configuration, if that is newer.
+/// Loads the list that a process starts with. Changes that the agent has already count as reported,
+/// so it is asked before anything is sent to a target. If it does not answer, the list that
+/// an earlier process stored is used, or `known`, the list in the configuration, if that is newer.
 pub async fn load_initial(context: &ServerContext, known: Value) -> InitialList {
     let mut client = DiscoveryClient::new(context.clone());
     let request = client.request_list(None, COMPLETE_LIST_WAIT_MS);
@@ -123,7 +127,7 @@
     }
 }
 
-/// Watches until the event loop ends. When discovery moves, the watch goes on at the new address.
+/// Watches until the event loop ends. If discovery moves, the watch continues at the new address.
 pub async fn run(
     context: ServerContext,
     initial: InitialList,
@@ -133,7 +137,7 @@
     let mut watch = Watch::new(context, initial);
     loop {
         watch.wait_for_retry(&discovery_moved).await;
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let since = watch.next_revision();
         let wait_ms = watch.wait_ms(since);
         let answered = async { Some(watch.client.request_list(since, wait_ms).await) };
@@ -143,22 +147,22 @@
         };
         match future::or(moved, answered).await {
             None => {
-                // Another address: its first refusal is its own, and so is its first timeout.
-                watch.start_afresh();
+                // Failures at the previous address do not count for the new one.
+                watch.reset_after_move();
                 watch.failed = true;
             }
             Some(Ok(page)) => {
-                watch.apply_page(&page, asked, wait_ms);
+                watch.apply_page(&page, requested_at, wait_ms);
                 if to_event_loop.send(Input::EndpointPage(page)).await.is_err() {
                     return;
                 }
             }
-            Some(Err(error)) => watch.on_failure(&error, asked, since),
+            Some(Err(error)) => watch.on_failure(&error, requested_at, since),
         }
     }
 }
 
-/// Returns once discovery has moved; never if it cannot move any more.
+/// Returns once discovery has moved; never if the sender is closed.
 async fn wait_until_moved(discovery_moved: &Receiver<()>) {
     if discovery_moved.recv().await.is_err() {
         future::pending::<()>().await;
@@ -174,12 +178,12 @@
     wait_ms: u64,
     wait_after_failure_ms: u64,
     max_stored_bytes: u64,
-    /// Whether the request before failed.
+    /// Whether the previous request failed.
     failed: bool,
-    /// When to ask again.
+    /// Time of the next request, if it is delayed.
     retry_at: Option<Instant>,
-    ask_complete_list: bool,
-    /// Text of the last failure: each is logged once, not with each retry.
+    request_complete_list: bool,
+    /// Text of the last logged failure, which is not logged again with each retry.
     logged_failure: String,
 }
 
@@ -188,7 +192,7 @@
         let config = context.config.clone();
         let mut list = StoredList::default();
         list.apply(&initial.endpoints);
-        let max_stored_bytes = config.max_disk_bytes / DISK_SHARE;
+        let max_stored_bytes = config.max_disk_bytes / DISK_SHARE_DIVISOR;
         list.write(&config.state_folder, max_stored_bytes);
         let forwarders = config.decisions.forwarder_count;
         let is_shared = config.names.ask_within.is_some();
@@ -216,7 +220,7 @@
             max_stored_bytes,
             failed,
             retry_at,
-            ask_complete_list: false,
+            request_complete_list: false,
             logged_failure: String::new(),
         }
     }
@@ -229,19 +233,19 @@
             .await
             .is_some()
         {
-            self.start_afresh();
+            self.reset_after_move();
         }
     }
 
-    fn start_afresh(&mut self) {
+    fn reset_after_move(&mut self) {
         self.logged_failure.clear();
         self.backoff.reset();
     }
 
-    /// The revision whose changes are asked for; none for the complete list.
+    /// Revision since which changes are requested; `None` requests the complete list.
     fn next_revision(&mut self) -> Option<u64> {
         let revision = self.list.revision()?;
-        if std::mem::take(&mut self.ask_complete_list) {
+        if std::mem::take(&mut self.request_complete_list) {
             return None;
         }
         Some(revision)
@@ -255,15 +259,16 @@
         }
     }
 
-    fn apply_page(&mut self, page: &Value, asked: Instant, wait_ms: u64) {
+    fn apply_page(&mut self, page: &Value, requested_at: Instant, wait_ms: u64) {
         self.logged_failure.clear();
         self.failed = false;
         let listed = revision(page);
         debug!(self.context.log, "endpoint list received"; "revision" => listed);
-        // A discovery that answers at once that there is nothing new would be asked without end.
-        let is_news = listed.is_some() && listed != self.list.revision();
-        if !is_news && asked.elapsed() < Duration::from_millis(wait_ms / 2) {
-            self.retry_at = Some(self.backoff.retry_at(asked, Instant::now(), false));
+        // Without a backoff, a discovery that immediately answers without a new revision would be
+        // asked in a tight loop.
+        let is_new_revision = listed.is_some() && listed != self.list.revision();
+        if !is_new_revision && requested_at.elapsed() < Duration::from_millis(wait_ms / 2) {
+            self.retry_at = Some(self.backoff.retry_at(requested_at, Instant::now(), false));
         } else {
             self.backoff.reset();
         }
@@ -272,13 +277,13 @@
             .write(&self.context.config.state_folder, self.max_stored_bytes);
     }
 
-    fn on_failure(&mut self, error: &WatchError, asked: Instant, since: Option<u64>) {
+    fn on_failure(&mut self, error: &WatchError, requested_at: Instant, since: Option<u64>) {
         self.client.disconnect();
         self.failed = true;
-        // The complete list is asked for once, as what discovery holds now; with each other retry
-        // the changes.
+        // After an older revision the complete list is requested once, to get the current list of
+        // discovery; each other retry requests changes.
         let is_older = matches!(error, WatchError::OlderRevision { .. });
-        self.ask_complete_list = since.is_some() && is_older;
+        self.request_complete_list = since.is_some() && is_older;
         let failure = error.to_string();
         if failure != self.logged_failure {
             warn!(self.context.log, "discovery failed"; "error" => &failure);
@@ -286,12 +291,12 @@
         }
         let retry_at = self
             .backoff
-            .retry_at(asked, Instant::now(), error.is_timeout());
+            .retry_at(requested_at, Instant::now(), error.is_timeout());
         self.retry_at = Some(retry_at);
     }
 }
 
-/// A connection to discovery, and the buffer for its responses.
+/// A client with one connection to discovery, and a buffer for its responses.
 struct DiscoveryClient {
     context: ServerContext,
     idle: Option<Stream>,
@@ -311,11 +316,11 @@
         self.idle = None;
     }
 
-    /// Asks for what is newer than `since`, or without that for the complete list; discovery may
+    /// Requests the changes since revision `since`, or the complete list without one; discovery may
     /// wait `wait_ms` milliseconds for a change.
     ///
     /// # Errors
-    /// There is no response in time, or it is no page that was asked for.
+    /// There is no response in time, or the response is not a page of the requested kind.
     async fn request_list(
         &mut self,
         since: Option<u64>,
@@ -364,9 +369,9 @@
         return Err(WatchError::NotAList);
     }
     match (revision(&page), since) {
-        // A watch waits for a newer revision: discovery is behind, or began anew. Changes in an
-        // older page were changed since; what discovery holds, if it began anew, the complete list
-        // says.
+        // A watch expects a newer revision: discovery lags behind, or has restarted its revisions.
+        // The entries of an older page may have changed since; if the revisions have restarted, the
+        // complete list has the current entries.
         (Some(listed), Some(known)) if listed < known => {
             Err(WatchError::OlderRevision { listed, known })
         }
