--- a/forwarder/server/src/server.rs
+++ b/forwarder/server/src/server.rs
@@ -1,6 +1,6 @@
-//! Start, signals and end of the process: wires the tasks, takes over from a predecessor process or
-//! opens the state folder, serves until a signal or a successor ends it, and shuts down gracefully.
-//! Called by `main`.
+//! Start, signals and end of the process: creates the tasks, takes over from a predecessor process
+//! or opens the state folder, serves until a signal or a successor ends it, and shuts down
+//! gracefully. Called by `main`.
 
 use std::io;
 use std::net::TcpListener;
@@ -33,34 +33,35 @@
 use crate::stream::until;
 use crate::{admin_listener, fanout, notifier, raft_events, reload};
 
-/// Why the process ends before it serves: one line for the operator, which names the key to change.
+/// Why the process ends before it serves. The message is one line for the operator, and names the
+/// key to change.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
-    /// The configuration is faulty.
+    /// The configuration is invalid.
     #[error("{0}")]
     Config(String),
     /// The Raft groups cannot be started.
     #[error(transparent)]
     Raft(#[from] RaftStartError),
-    /// The system gives no signals.
-    #[error("signals cannot be waited for: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    /// The state folder or an address is of no use.
+    /// The state folder or an address cannot be used.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// Another process holds the state folder.
+    /// Another process has locked the state folder.
     #[error(transparent)]
     TakeOver(#[from] TakeOverError),
 }
 
-/// Loads the configuration and serves until the process is to end.
+/// Loads the configuration, and serves until the process is to end.
 ///
 /// # Errors
-/// The configuration, the state folder or an address is of no use.
+/// The configuration is invalid, or the state folder or an address cannot be used.
 pub fn run() -> Result<(), ServerError> {
     let mut config = plankhill_forwarder_config::load_config(|name| std::env::var(name).ok())
         .map_err(|error| ServerError::Config(error.to_string()))?;
-    // Needed until the list is loaded, and large.
+    // Taken out of the configuration, since it is large and only needed until the list is loaded.
     let known_endpoints = std::mem::take(&mut config.known_endpoints);
     limit_sockets(&mut config);
     let (context, group_events) = ServerContext::start(config)?;
@@ -68,15 +69,15 @@
     async_io::block_on(executor.run(serve(context, known_endpoints, group_events)))
 }
 
-/// The configured limit may be more than the system gives: clients would then leave none for
-/// discovery and the targets.
+/// Lowers the configured limit of sockets to that of the system: otherwise clients could use up the
+/// sockets for discovery and the targets.
 fn limit_sockets(config: &mut ForwarderConfig) {
     let system_limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     let system_limit = usize::try_from(system_limit).unwrap_or(usize::MAX);
     config.max_sockets = config.max_sockets.min(system_limit);
 }
 
-/// Mailboxes of the tasks that run as long as the process.
+/// Mailboxes of the tasks that run for the lifetime of the process.
 struct Mailboxes {
     to_event_loop: Sender<Input>,
     inputs: Receiver<Input>,
@@ -102,14 +103,14 @@
     }
 }
 
-/// Whether another process of this forwarder may take over, or has handed over.
+/// Whether this process may take over from another process of this forwarder, or hand over to one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum HotRestart {
     Enabled,
     /// `PROXY_HANDOVER` is `off`.
     Disabled,
-    /// Parts of the fleet's state are not handed over yet.
-    NotWithFleet,
+    /// The handover does not support the state of replication, quotas or lists yet.
+    UnsupportedWithFleet,
 }
 
 impl HotRestart {
@@ -117,7 +118,7 @@
         let uses_fleet =
             context.replication().is_some() || context.quotas.is_some() || context.fanout.is_some();
         if uses_fleet {
-            HotRestart::NotWithFleet
+            HotRestart::UnsupportedWithFleet
         } else if context.config.hot_restart {
             HotRestart::Enabled
         } else {
@@ -131,7 +132,7 @@
             HotRestart::Disabled => {
                 info!(context.log, "hot restart disabled"; "key" => "PROXY_HANDOVER");
             }
-            HotRestart::NotWithFleet => {
+            HotRestart::UnsupportedWithFleet => {
                 info!(context.log, "hot restart disabled: the fleet has replication, quotas or \
                     lists"; "key" => "PROXY_FLEET");
             }
@@ -139,10 +140,10 @@
     }
 }
 
-/// An event loop that is ready to run, with what it was opened with.
-struct Opened {
+/// An event loop that is ready to run, with the lock and the listener.
+struct OpenedServer {
     event_loop: EventLoop,
-    /// Held as long as the process lives, whether a successor can ask or not.
+    /// Held for the lifetime of the process, whether or not a successor can request a handover.
     lock: Option<StateLock>,
     listener: Async<TcpListener>,
 }
@@ -158,7 +159,7 @@
     let config = context.config.clone();
     let mailboxes = Mailboxes::new();
     let to_event_loop = mailboxes.to_event_loop.clone();
-    // From the first moment: the executor has to feed the watchdog.
+    // Spawned first, since the executor has to feed the watchdog from the start.
     let _raft_events = group_events.map(|events| {
         let to_fanout = mailboxes.to_fanout.clone();
         executor.spawn(raft_events::run(
@@ -182,11 +183,11 @@
         let listening = admin_listener::listen(context.clone(), listener, to_event_loop.clone());
         executor.spawn(listening)
     });
-    // Before the folder is asked for: nobody decides while a process takes over.
+    // Before the handover is requested: no process decides while one takes over from the other.
     let initial = watch::load_initial(&context, known_endpoints).await;
     let clients = Clients::new(context.clone(), to_event_loop.clone());
     let opened = open(&context, &clients, &mailboxes, &initial, state).await?;
-    let Opened {
+    let OpenedServer {
         event_loop,
         lock,
         listener,
@@ -202,10 +203,11 @@
         to_fanout,
         ..
     } = mailboxes;
-    // The event loop and the Raft events have theirs: the receivers end with these.
+    // The event loop and the dispatch of Raft events have clones: the receivers end when those are
+    // dropped.
     drop((to_notifier, to_fanout));
     let event_loop = executor.spawn(event_loop.run(inputs));
-    // Once the event loop knows what is pending in the log.
+    // Spawned after the event loop has restored the events pending in the log.
     let _fanout = executor.spawn(fanout::actor::run(
         context.clone(),
         group_events,
@@ -249,8 +251,8 @@
     Ok(())
 }
 
-/// Opens the state folder, unless another process holds its lock: then that process is to hand
-/// over, or to end.
+/// Opens the state folder, unless another process holds its lock. In that case the other process
+/// has to hand over or to end.
 fn open_if_unlocked(
     context: &ServerContext,
     hot_restart: HotRestart,
@@ -259,28 +261,30 @@
     let lock = StateLock::try_acquire(&config.state_folder);
     hot_restart.log(context);
     match lock {
-        // Without hot restart the folder is ours, as it was before there were hot restarts.
+        // Without hot restart the folder is used regardless of the lock, as in versions without hot
+        // restarts.
         Ok(None) if hot_restart == HotRestart::Disabled => {
             Ok(Some(OpenedState::open(config, None)?))
         }
         Ok(None) => Ok(None),
         Ok(lock) => Ok(Some(OpenedState::open(config, lock)?)),
         Err(error) => {
-            // Another process cannot be told from none: as it was before there were hot restarts.
+            // Another process cannot be detected: the folder is used regardless, as in versions
+            // without hot restarts.
             warn!(context.log, "state folder cannot be locked"; "error" => %error);
             Ok(Some(OpenedState::open(config, None)?))
         }
     }
 }
 
-/// Opens the event loop from the state folder, or from what a predecessor hands over.
+/// Opens the event loop from the state folder, or from the state that a predecessor hands over.
 async fn open(
     context: &ServerContext,
     clients: &Clients,
     mailboxes: &Mailboxes,
     initial: &InitialList,
     state: Option<OpenedState>,
-) -> Result<Opened, ServerError> {
+) -> Result<OpenedServer, ServerError> {
     if let Some(state) = state {
         return Ok(open_from_folder(context, mailboxes, initial, state));
     }
@@ -300,7 +304,7 @@
     mailboxes: &Mailboxes,
     initial: &InitialList,
     state: OpenedState,
-) -> Opened {
+) -> OpenedServer {
     let OpenedState {
         lock,
         event_log,
@@ -318,7 +322,7 @@
         mailboxes.to_event_loop.clone(),
     );
     event_loop.restore(&initial.endpoints, pending);
-    Opened {
+    OpenedServer {
         event_loop,
         lock,
         listener,
@@ -331,7 +335,7 @@
     mailboxes: &Mailboxes,
     initial: &InitialList,
     inherited: Inherited,
-) -> Opened {
+) -> OpenedServer {
     let Inherited {
         state,
         opened,
@@ -365,24 +369,24 @@
         .spawn(transfer::send_all(sender, outgoing))
         .detach();
     context.executor.spawn(link.run(receiver)).detach();
-    Opened {
+    OpenedServer {
         event_loop,
         lock: Some(lock),
         listener: opened.listener,
     }
 }
 
-/// A process that serves, until a signal or a successor ends it.
+/// A process that serves until a signal or a successor ends it.
 struct RunningServer {
     context: ServerContext,
     to_event_loop: Sender<Input>,
-    /// Tells the watch that discovery has moved.
+    /// Notifies the watch that the address of discovery has changed.
     to_watch: Sender<()>,
     event_loop: Task<()>,
-    /// Notices, endpoint list and the clients' listener: a successor does all that from the
-    /// handover on.
+    /// The notifier, the watch and the clients' listener: from the handover on these are tasks of
+    /// the successor.
     successor_tasks: Vec<Task<()>>,
-    /// Ends once this process has handed over.
+    /// Completes once this process has handed over.
     handed_over: Task<()>,
 }
 
@@ -410,7 +414,8 @@
         }
     }
 
-    /// The successor does all that now; what is left here ends by itself, or as it is told to.
+    /// Ends the tasks that the successor has taken over. The relay ends by itself, or at the
+    /// shutdown timeout after a signal.
     async fn finish_relay(self, signals: &mut Signals) {
         let RunningServer {
             context,
@@ -419,17 +424,17 @@
             ..
         } = self;
         drop(successor_tasks);
-        let told_to_end = async {
+        let shutdown = async {
             while let Some(Ok(Signal::Hup)) = signals.next().await {}
             info!(context.log, "shutdown started");
             Timer::after(to_duration(context.config.shutdown_timeout)).await;
         };
-        future::or(event_loop, told_to_end).await;
+        future::or(event_loop, shutdown).await;
         info!(context.log, "server ended");
     }
 
-    /// Accepts nothing new, and ends once nothing is pending and all clients have their responses,
-    /// or when the time is up.
+    /// Accepts no new events, and ends once nothing is pending and all clients have their
+    /// responses, or at the shutdown timeout.
     async fn shut_down(self, signals: &mut Signals) {
         let RunningServer {
             context,
@@ -445,7 +450,7 @@
             fanout.begin_shutdown();
         }
         let _ = to_event_loop.send(Input::ShutdownRequested).await;
-        // Requests still arrive for a moment; each of them is answered.
+        // Requests still arrive for a short time; each of them is answered.
         let min_duration = Timer::after(to_duration(context.config.min_shutdown_duration));
         let timeout = to_duration(context.config.shutdown_timeout);
         let all_ended = async {
@@ -456,7 +461,8 @@
             min_duration.await;
             clients::wait_until_served(&context).await;
         };
-        // Notices are still sent, where discovery is then. Further requests to end change nothing.
+        // Notices are still sent, to the address of discovery at that time. Further termination
+        // signals change nothing.
         let reloads = async {
             while let Some(Ok(signal)) = signals.next().await {
                 if signal == Signal::Hup {
@@ -465,8 +471,8 @@
             }
             future::pending().await
         };
-        // A successor that asked before the event loop learned of the shutdown may still take over:
-        // then it does all that.
+        // A successor whose request was sent before the event loop received the shutdown may still
+        // take over: then it runs these tasks.
         let successor = async {
             handed_over.await;
             drop(successor_tasks);
