--- a/forwarder/server/src/hot_restart/predecessor.rs
+++ b/forwarder/server/src/hot_restart/predecessor.rs
@@ -1,5 +1,5 @@
-//! The predecessor's side of a hot restart: hears which process asks, has the event loop pause, and
-//! hands over. What it does next is decided by [`Predecessor`]. Spawned by `server`.
+//! The predecessor's side of a hot restart: accepts the request of a successor, pauses the event
+//! loop, and hands over. [`Predecessor`] decides each next step. Spawned by `server`.
 
 use std::io;
 use std::net::TcpListener;
@@ -21,16 +21,16 @@
 use crate::messages::{HandoverOutcome, HandoverRequest, HandoverSnapshot, Input};
 use crate::stream::until;
 
-/// A new process says hello at once.
+/// Time limit for the hello of a new process, which sends it immediately.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the event loop pauses for a successor that does not get on: well under what a client
-/// waits.
+/// How long the event loop pauses for a successor that makes no progress: well under the timeout of
+/// a client.
 const PREPARE_TIMEOUT: Duration = Duration::from_millis(250);
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Messages on their way to the successor, and from it.
+/// Limit of queued messages to the successor, and of those from it.
 const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// Listens for successors, with what they are handed.
+/// Listens for successors, and owns the descriptors to hand over.
 pub struct HandoverListener {
     context: ServerContext,
     to_event_loop: Sender<Input>,
@@ -39,11 +39,11 @@
     successors: Async<UnixListener>,
 }
 
-/// How a successor's request ended.
+/// Result of a successor's request.
 #[derive(PartialEq, Eq)]
-enum Attended {
+enum RequestOutcome {
     HandedOver,
-    StillOurs,
+    NotHandedOver,
 }
 
 /// Why a successor is declined.
@@ -55,20 +55,21 @@
 impl Incompatible {
     fn reason(&self) -> &'static str {
         match self {
-            Incompatible::Version => "it speaks another version",
+            Incompatible::Version => "the predecessor has another version of the protocol",
             Incompatible::Names => "traffic types, kinds or zones differ",
         }
     }
 }
 
-/// An event loop that is paused.
+/// A paused event loop.
 struct PausedEventLoop {
     snapshot: HandoverSnapshot,
     outcome: Sender<HandoverOutcome>,
 }
 
 impl HandoverListener {
-    /// None where there is no Unix socket to be had: no new version can take over then.
+    /// Returns `None` if the Unix socket cannot be bound; in this case no new version can take
+    /// over.
     pub fn bind(
         context: &ServerContext,
         lock: &StateLock,
@@ -105,7 +106,7 @@
         loop {
             match self.successors.accept().await {
                 Ok((stream, _)) => {
-                    if self.attend(stream).await == Attended::HandedOver {
+                    if self.handle_request(stream).await == RequestOutcome::HandedOver {
                         return;
                     }
                 }
@@ -117,28 +118,28 @@
         }
     }
 
-    async fn attend(&self, stream: Async<UnixStream>) -> Attended {
+    async fn handle_request(&self, stream: Async<UnixStream>) -> RequestOutcome {
         let sender = MessageSender::new(stream);
         let mut receiver = sender.receiver();
         let hello = until(Instant::now() + HELLO_TIMEOUT, receiver.receive()).await;
         let Some(Ok((Message::Hello { version, names }, _))) = hello else {
-            return Attended::StillOurs;
+            return RequestOutcome::NotHandedOver;
         };
-        let mut role = Predecessor::default();
+        let mut handshake = Predecessor::default();
         let incompatible = self.incompatibility(version, &names);
         let asked = Signal::Asked {
             compatible: incompatible.is_none(),
         };
-        let paused = match role.on_signal(asked) {
+        let paused = match handshake.on_signal(asked) {
             Action::Pause => self.pause_event_loop().await,
             _ => None,
         };
         let Some(PausedEventLoop { snapshot, outcome }) = paused else {
             let reason = incompatible
                 .as_ref()
-                .map_or("it is ending", Incompatible::reason);
+                .map_or("the predecessor is shutting down", Incompatible::reason);
             self.decline(&sender, reason).await;
-            return Attended::StillOurs;
+            return RequestOutcome::NotHandedOver;
         };
         let HandoverSnapshot {
             state,
@@ -149,9 +150,9 @@
         let prepared = self
             .send_state(&sender, &mut receiver, state, deadline)
             .await;
-        let mut action = role.on_signal(prepared);
+        let mut action = handshake.on_signal(prepared);
         if action == Action::TransferOwnership {
-            action = role.on_signal(self.transfer(&sender, &mut receiver, log_length).await);
+            action = handshake.on_signal(self.transfer(&sender, &mut receiver, log_length).await);
         }
         let pause_ms = format!("{:.1}", to_ms(paused_since.elapsed()));
         match action {
@@ -160,7 +161,7 @@
                 let (to_successor, from_successor) = self.open_transfer(sender, receiver);
                 let relay = HandoverOutcome::Relay(to_successor, from_successor);
                 let _ = outcome.send(relay).await;
-                Attended::HandedOver
+                RequestOutcome::HandedOver
             }
             Action::Exit => {
                 warn!(
@@ -168,12 +169,12 @@
                     "successor has ended, its changes are in the event log"
                 );
                 let _ = outcome.send(HandoverOutcome::Exit).await;
-                Attended::HandedOver
+                RequestOutcome::HandedOver
             }
             _ => {
                 warn!(self.context.log, "successor did not take over"; "pause_ms" => pause_ms);
                 let _ = outcome.send(HandoverOutcome::Resume).await;
-                Attended::StillOurs
+                RequestOutcome::NotHandedOver
             }
         }
     }
@@ -196,7 +197,7 @@
         let _ = until(Instant::now() + HELLO_TIMEOUT, sender.send(&declined, None)).await;
     }
 
-    /// None if the event loop is ending, or its state cannot be handed over.
+    /// Returns `None` if the event loop is ending or its state cannot be handed over.
     async fn pause_event_loop(&self) -> Option<PausedEventLoop> {
         let (snapshot, snapshots) = async_channel::bounded(1);
         let (outcome, outcomes) = async_channel::bounded(1);
@@ -212,7 +213,7 @@
         Some(PausedEventLoop { snapshot, outcome })
     }
 
-    /// Sends the state, and waits for the successor to be prepared.
+    /// Sends the state, and waits until the successor is prepared.
     async fn send_state(
         &self,
         sender: &MessageSender,
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Tells the successor that the forwarder is its own. Without a time limit: from now on it is,
-    /// until the successor is seen to have ended.
+    /// Transfers ownership of the forwarder to the successor. There is no time limit: from now on
+    /// the successor is the owner until it is known to have ended.
     async fn transfer(
         &self,
         sender: &MessageSender,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// From now on messages and connections go to the successor, and messages come from it.
+    /// Starts to send messages and connections to the successor, and to receive messages from it.
     fn open_transfer(
         &self,
         sender: MessageSender,
--- a/forwarder/server/src/hot_restart/relay.rs
+++ b/forwarder/server/src/hot_restart/relay.rs
@@ -1,6 +1,6 @@
-//! The event loop's place in a process that has handed over: nothing is decided here any more.
-//! Inputs go to the successor, and its answers to the clients, operators and targets that wait
-//! here. The relay ends with the last of them.
+//! Replaces the event loop in a process that has handed over, and makes no decisions: inputs are
+//! forwarded to the successor, and the successor's replies to the clients and operators that wait
+//! in this process. The relay ends once no client, call or health check is open.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -19,9 +19,9 @@
 use crate::stream::until;
 use crate::target_table::TargetTable;
 
-/// Between looks at what is still open.
+/// Interval of the checks whether descriptors are still open.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// After the last look messages have so long to be sent.
+/// Time limit for sending the remaining messages at the end.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
@@ -34,7 +34,7 @@
     pub from_successor: Receiver<Message>,
 }
 
-/// Clients and operators that wait for the successor's answer, by the numbers of their requests.
+/// Clients and operators that wait for a reply of the successor, by request number.
 #[derive(Default)]
 struct PendingReplies {
     responses: HashMap<u64, Sender<SubmitResponse>>,
@@ -42,16 +42,16 @@
     last_admin_number: u64,
 }
 
-/// What the relay acts on next.
+/// The next event that the relay handles.
 enum Next {
     Input(Input),
     FromSuccessor(Message),
-    /// The successor has ended, or the tasks of this process have.
+    /// The successor or the tasks of this process have ended.
     Closed,
 }
 
 impl Relay {
-    /// Relays until nothing is open, or the successor has ended.
+    /// Relays until nothing is open or the successor has ended.
     pub async fn run(mut self, mailbox: Receiver<Input>) {
         self.targets.transfer_idle();
         let mut pending = PendingReplies::default();
@@ -103,7 +103,7 @@
         future::or(input, message).await
     }
 
-    /// Messages that are on their way are still sent.
+    /// Waits until the queued messages are sent, within a time limit.
     async fn flush(&self) {
         self.to_successor.close();
         let deadline = Instant::now() + FLUSH_TIMEOUT;
@@ -112,14 +112,15 @@
         }
     }
 
-    /// Descriptors of clients and calls that are open here.
+    /// Number of open descriptors of clients and calls in this process.
     fn open_descriptors(&self) -> usize {
         self.context.open_clients.get()
             + self.attempts_in_flight.len()
             + self.health_checks_in_flight.len()
     }
 
-    /// The message that passes an input on; none for an input that concerns this process alone.
+    /// Converts an input to a message for the successor; `None` for an input that concerns only
+    /// this process.
     fn message_for(&mut self, input: Input, pending: &mut PendingReplies) -> Option<Message> {
         match input {
             Input::Submitted(submission) => {
@@ -157,7 +158,7 @@
                 self.targets.actor_stopped(&target);
                 None
             }
-            // The successor watches the endpoint list, sends the notices and shuts down on its own.
+            // The successor itself watches the endpoint list, sends the notices and shuts down.
             Input::EndpointPage(_)
             | Input::NoticesAcknowledged(_)
             | Input::ConnectionInherited(_)
--- a/forwarder/server/src/hot_restart/successor.rs
+++ b/forwarder/server/src/hot_restart/successor.rs
@@ -1,6 +1,6 @@
 //! The successor's side of a hot restart: a new version that starts beside a running process takes
-//! over from it, or waits for the state folder's lock. What it does next is decided by
-//! [`Successor`]. Called by `server` at its start.
+//! over from it, or waits for the state folder's lock. [`Successor`] decides each next step. Called
+//! by `server` at its start.
 
 use std::collections::HashSet;
 use std::io;
@@ -29,17 +29,17 @@
 use crate::state_folder::{check_owner, StartError};
 use crate::stream::until;
 
-/// How long a start waits for the folder while another process holds it and hands nothing over.
+/// How long a start waits while another process holds the folder's lock and hands nothing over.
 const FOLDER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Messages to the predecessor that wait: answers to requests that it had half read, and calls to
-/// cancel.
+/// Limit of queued messages to the predecessor: responses to requests that it had partly read, and
+/// cancellations of calls.
 pub const MAX_QUEUED_MESSAGES: usize = 1024;
-/// Between tries.
+/// Interval between attempts to take over.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// The predecessor ends its iteration, or declines, in less.
+/// Time limit for the handover; the predecessor ends its iteration, or declines, in less time.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What the predecessor hands over.
+/// Everything that the predecessor hands over.
 pub struct Inherited {
     pub state: ProcessState,
     pub opened: OpenedFromState,
@@ -48,7 +48,7 @@
     pub receiver: MessageReceiver,
 }
 
-/// Opened from the predecessor's state and its folder, while the predecessor is paused.
+/// Opened from the predecessor's state and from its folder, while the predecessor is paused.
 pub struct OpenedFromState {
     pub scheduler: Scheduler,
     pub listener: Async<TcpListener>,
@@ -58,7 +58,7 @@
 }
 
 pub enum Start {
-    /// The predecessor has ended: the folder is ours.
+    /// The predecessor has ended, and this process has locked the folder.
     FromFolder(StateLock),
     /// The predecessor has handed over.
     Inherited(Box<Inherited>),
@@ -67,20 +67,20 @@
 /// Why the process cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum TakeOverError {
-    /// The folder is another forwarder's.
+    /// The folder belongs to another forwarder, or its owner file cannot be read.
     #[error(transparent)]
     Folder(#[from] StartError),
-    /// Another process holds the folder for too long.
-    #[error("PROXY_STATE: {folder}: another process holds it and hands nothing over: {error}")]
+    /// Another process holds the folder's lock beyond the time limit.
+    #[error("PROXY_STATE: {folder}: locked by a process that hands nothing over: {error}")]
     Held {
         /// The state folder.
         folder: String,
-        /// Why the last try failed.
+        /// Why the last attempt failed.
         error: HandoverError,
     },
 }
 
-/// Why a try to take over failed.
+/// Why an attempt to take over failed.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
     /// The connection or a file failed.
@@ -89,36 +89,37 @@
     /// The event log cannot be opened.
     #[error(transparent)]
     EventLog(#[from] OpenError),
-    /// The predecessor does not get on.
+    /// The predecessor does not respond in time.
     #[error("timed out")]
     TimedOut,
-    /// The predecessor hands nothing over.
+    /// The predecessor declines the handover.
     #[error("{0}")]
     Declined(String),
-    /// The predecessor sent another message than the protocol has next.
-    #[error("it says what makes no sense")]
+    /// The predecessor sent a message that the protocol does not allow at this point.
+    #[error("the predecessor sent an unexpected message")]
     Protocol,
-    /// The predecessor goes on.
-    #[error("it goes on itself")]
+    /// The predecessor resumes.
+    #[error("the predecessor resumed")]
     Resumed,
     /// The predecessor listens at another address.
-    #[error("it listens at another address")]
+    #[error("the predecessor listens on another address")]
     OtherAddress,
-    /// The scheduler's state cannot be read.
+    /// The scheduler's state cannot be decoded.
     #[error("{0}")]
     Scheduler(#[from] rmp_serde::decode::Error),
-    /// The record of disabled targets is of no use.
+    /// The record of disabled targets cannot be used.
     #[error("{0}")]
     DisabledTargets(#[from] crate::disabled_targets::DisabledTargetsError),
-    /// The settings weaken the guarantee of a pending event.
-    #[error("profiles: {0:?}: an event is owed that was promised more than the settings say")]
+    /// The settings weaken the guarantee of a pending event of this traffic type.
+    #[error("profiles: {0:?}: a pending event was accepted with a stronger guarantee than the settings give")]
     WeakenedGuarantee(String),
 }
 
-/// Takes over from the process that holds the folder, or waits for its end.
+/// Takes over from the process that holds the folder's lock, or waits for its end.
 ///
 /// # Errors
-/// The folder is another forwarder's, or another process holds it for too long.
+/// The folder belongs to another forwarder, its owner file cannot be read, or another process holds
+/// the lock beyond the time limit.
 pub async fn take_over(context: &ServerContext) -> Result<Start, TakeOverError> {
     let deadline = Instant::now() + FOLDER_TIMEOUT;
     let folder = &context.config.state_folder;
@@ -129,7 +130,7 @@
             Ok(inherited) => return Ok(Start::Inherited(Box::new(inherited))),
             Err(error) => error,
         };
-        // The predecessor may be ending.
+        // The predecessor may have ended.
         if let Ok(Some(lock)) = StateLock::try_acquire(folder) {
             return Ok(Start::FromFolder(lock));
         }
@@ -151,7 +152,7 @@
 async fn request_handover(context: &ServerContext) -> Result<Inherited, HandoverError> {
     let sender = connect(&context.config.state_folder).await?;
     let mut receiver = sender.receiver();
-    let mut role = Successor::default();
+    let mut handshake = Successor::default();
     let deadline = Instant::now() + HANDOVER_TIMEOUT;
     let names = context.config.all_names();
     sender
@@ -166,14 +167,14 @@
     let (state, listener) = match receive_until(deadline, &mut receiver).await? {
         (Message::State(state), Some(listener)) => (*state, listener),
         (Message::Declined { reason }, _) => {
-            role.on_signal(Signal::Declined);
+            handshake.on_signal(Signal::Declined);
             return Err(HandoverError::Declined(reason));
         }
         _ => return Err(HandoverError::Protocol),
     };
     // The predecessor is paused until this process is prepared.
     let opened = open_from_state(context, &state, listener);
-    let action = role.on_signal(Signal::State {
+    let action = handshake.on_signal(Signal::State {
         readable: opened.is_ok(),
     });
     let mut opened = opened?;
@@ -184,7 +185,7 @@
     let (Message::Ownership, Some(lock)) = receive_until(deadline, &mut receiver).await? else {
         return Err(HandoverError::Resumed);
     };
-    if role.on_signal(Signal::Ownership) == Action::Activate {
+    if handshake.on_signal(Signal::Ownership) == Action::Activate {
         opened.event_log.change_owner()?;
     }
     context.clock.adopt_offset(state.clock_offset);
@@ -234,7 +235,7 @@
     })
 }
 
-/// What the predecessor still has in flight, and passes on.
+/// Connection to the predecessor, with the calls that it still has in flight.
 pub struct PredecessorLink {
     pub context: ServerContext,
     pub clients: Clients,
@@ -244,14 +245,14 @@
     pub health_checks_in_flight: HashSet<TargetId>,
 }
 
-/// The event loop has ended: nobody decides any more.
-struct EventLoopEnded;
+/// The event loop has ended, or a connection of the predecessor is unusable.
+struct LinkEnded;
 
 impl PredecessorLink {
     /// Receives the predecessor's messages until it ends.
     pub async fn run(mut self, mut receiver: MessageReceiver) {
-        // Both processes are within the memory limit of one: the predecessor keeps the memory that
-        // it had.
+        // Both processes together have to stay within the memory limit: the predecessor keeps the
+        // memory that it has.
         let buffers = self.context.buffers.clone();
         let max_buffers = buffers.max_buffers();
         buffers.set_max_buffers((max_buffers / 2).max(1));
@@ -268,7 +269,8 @@
         self.end_calls().await;
     }
 
-    /// The predecessor's calls may have run, and say nothing of their targets.
+    /// Ends the calls that the predecessor still had in flight: they may have run, and their
+    /// outcomes do not count for their targets.
     async fn end_calls(self) {
         for event in self.attempts_in_flight {
             let report = AttemptReport::from_outcome(AttemptOutcome::Cancelled);
@@ -286,7 +288,7 @@
         }
     }
 
-    /// A sender whose value goes to the predecessor as that message.
+    /// Creates a sender whose value is sent to the predecessor in a message.
     fn forwarding_sender<T: 'static>(
         &self,
         to_message: impl FnOnce(T) -> Message + 'static,
@@ -302,23 +304,25 @@
         answer
     }
 
+    /// Applies a message of the predecessor.
+    ///
     /// # Errors
-    /// The event loop has ended, or a connection is of no use.
+    /// The event loop has ended, or a connection is unusable.
     async fn apply(
         &mut self,
         message: Message,
         descriptor: Option<OwnedFd>,
-    ) -> Result<(), EventLoopEnded> {
+    ) -> Result<(), LinkEnded> {
         let stream = descriptor.and_then(|descriptor| Async::new(TcpStream::from(descriptor)).ok());
         let input = match message {
             Message::ClientConnection {
                 requests_served,
                 time_left,
             } => {
-                // A descriptor of the predecessor's is held here now.
-                let held = &self.context.predecessor_descriptors;
-                held.set(held.get().saturating_sub(1));
-                let stream = stream.ok_or(EventLoopEnded)?;
+                // The descriptor is now open in this process instead of the predecessor.
+                let descriptors = &self.context.predecessor_descriptors;
+                descriptors.set(descriptors.get().saturating_sub(1));
+                let stream = stream.ok_or(LinkEnded)?;
                 self.clients
                     .take_over(stream, requests_served, to_duration(time_left));
                 return Ok(());
@@ -330,7 +334,7 @@
             Message::IdleConnection { target, idle_for } => {
                 let now = Instant::now();
                 let idle_since = now.checked_sub(to_duration(idle_for)).unwrap_or(now);
-                let stream = stream.ok_or(EventLoopEnded)?;
+                let stream = stream.ok_or(LinkEnded)?;
                 Input::ConnectionInherited(InheritedConnection {
                     target,
                     stream,
@@ -368,7 +372,7 @@
                     self.forwarding_sender(move |reply| Message::AdminReplied { number, reply });
                 Input::AdminCommand { command, reply }
             }
-            // Messages of the handshake, and those that this process sends itself.
+            // Messages of the handshake, and messages that only this process sends.
             Message::Hello { .. }
             | Message::Prepared
             | Message::Activated
@@ -379,9 +383,6 @@
             | Message::State(_)
             | Message::Ownership => return Ok(()),
         };
-        self.to_event_loop
-            .send(input)
-            .await
-            .map_err(|_| EventLoopEnded)
+        self.to_event_loop.send(input).await.map_err(|_| LinkEnded)
     }
 }
