--- a/forwarder/server/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -1,5 +1,5 @@
-//! The actor of broadcasts: follows the control group's log, asks the log for what this instance is
-//! to do, and proposes while this instance leads the group. Spawned by `server`.
+//! The actor of broadcasts: applies the control group's log, requests copies for this instance from
+//! the group, and proposes commands while this instance leads the group. Spawned by `server`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -19,19 +19,18 @@
 use crate::messages::Input;
 use crate::stream::until;
 
-/// Between looks at what is to be asked of the control group, while there is nothing.
+/// Interval of the checks for commands to the control group, while no work is pending.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A call may outlast its event's deadline by so much: the longest time that the scheduler gives
-/// one.
+/// How long a call may outlast its event's deadline: the longest timeout that the scheduler sets.
 const MAX_CALL_OVERRUN: Ms = 10_000.0;
-/// Between proposals of the fleet file's layout, until the log has it.
+/// Interval between proposals of the fleet file's layout until the log contains the layout.
 const LAYOUT_RETRY_INTERVAL: Ms = 2000.0;
 
 pub(super) struct Actor {
     pub(super) context: ServerContext,
     pub(super) broadcasts: Rc<Broadcasts>,
     pub(super) to_event_loop: Sender<Input>,
-    /// Positions of the traffic types, by their names.
+    /// Ids of the traffic types, by name.
     pub(super) traffic_types: HashMap<String, TrafficTypeId>,
     /// The control group while this instance leads it.
     led_group: Option<GroupId>,
@@ -41,7 +40,7 @@
     reachable: BTreeSet<InstanceId>,
 }
 
-/// Runs as long as the process; does nothing where no lists are named.
+/// Runs as long as the process; returns immediately if no lists are configured.
 pub async fn run(
     context: ServerContext,
     group_events: Receiver<GroupEvent>,
@@ -111,7 +110,7 @@
         Instant::now() + interval
     }
 
-    /// Returns what the local instance is to do.
+    /// Handles an event of the control group. Returns requests of the local instance to its host.
     fn on_group_event(&mut self, event: GroupEvent) -> Vec<HostRequest> {
         let now = self.context.clock.now();
         match event {
@@ -135,7 +134,7 @@
             GroupEvent::ReportReceived {
                 incarnation, body, ..
             } => {
-                // No instance speaks for another.
+                // An instance may only send commands of its own.
                 let sender = InstanceId(incarnation.0);
                 let command = Command::from_bytes(&body);
                 if let Some(command) = command.filter(|command| command.by() == Some(sender)) {
@@ -175,7 +174,8 @@
         Vec::new()
     }
 
-    /// A full ring refuses the proposal: all that is due is asked for again.
+    /// Proposes a command. A proposal that a full ring rejects is repeated, since each due command
+    /// is polled again.
     fn propose(&mut self, command: &Command) {
         let (Some(group), Some(raft)) = (self.led_group, &self.context.raft) else {
             return;
@@ -194,15 +194,15 @@
         }
     }
 
-    /// Reports of this instance to the control group's leader.
+    /// Sends the due commands of this instance as reports to the control group's leader.
     fn send_reports(&self, now: Ms) {
         let Some(raft) = &self.context.raft else {
             return;
         };
         let commands = self.broadcasts.instance.borrow_mut().poll_commands(now);
         for command in commands {
-            let asks_for_copies = matches!(command, Command::Spread { .. });
-            if self.broadcasts.shutting_down.get() && asks_for_copies {
+            let requests_copies = matches!(command, Command::Spread { .. });
+            if self.broadcasts.shutting_down.get() && requests_copies {
                 continue;
             }
             let _ = raft.request(GroupRequest::Report {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Proposals that are due while this instance leads the control group.
+    /// Proposes the due commands while this instance leads the control group.
     fn propose_due(&mut self, now: Ms) {
         if self.context.raft.is_none() || self.led_group.is_none() {
             return;
--- a/forwarder/server/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -1,9 +1,9 @@
-//! Broadcasts, where the fleet file has lists: what clients submit goes to the fleet's control
-//! group, and copies that the group's log hands to this instance come into the event loop like any
-//! other event. See `docs/fanout.md`.
+//! Broadcasts, used if the fleet file has lists: broadcasts that clients submit are proposed to the
+//! fleet's control group, and the copies that the group's log assigns to this instance are
+//! submitted to the event loop like any other event. See `docs/fanout.md`.
 //!
-//! [`Broadcasts`] is shared by the clients' connections, the event loop and [`actor`], which
-//! follows the log.
+//! [`Broadcasts`] is shared by the client connections, the event loop and [`actor`], which applies
+//! the log.
 
 pub mod actor;
 mod state_machine;
@@ -31,38 +31,40 @@
 use crate::clock::Clock;
 use crate::stream::Body;
 
-/// Between looks at what is to be asked of the control group, while there is something.
+/// Interval of the checks for commands to the control group, while work is pending.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Events of the control group that wait for the actor; more wait in the group's ring.
+/// Limit of control group events queued for the actor; further ones wait in the group's ring.
 pub const MAX_QUEUED_GROUP_EVENTS: usize = 1024;
-/// Longest body of a broadcast: it goes to the leader in one report.
+/// Limit of a broadcast's body, which is sent to the leader in one report.
 pub const MAX_BROADCAST_BODY_BYTES: usize = 48 * 1024;
-/// A parked or warming up target counts as at rest for so long after its last sign.
+/// How long a target counts as parked or warming up after it was last reported so.
 const TARGET_REST_TTL: Ms = 5000.0;
 
-/// One copy of a broadcast: its subscriber, and its place in the control group's log.
+/// One copy of a broadcast: its subscriber, and the broadcast's position in the control group's
+/// log.
 pub type BroadcastCopy = (Subscriber, Position);
 
-/// This instance's part in broadcasts.
+/// Broadcasts and copies that this instance handles.
 pub struct Broadcasts {
     clock: Clock,
     layout: Layout,
     instance: RefCell<LocalInstance>,
-    /// Copies that the event loop has, from submission to the acknowledged outcome.
+    /// Copies in the event loop, from submission to the acknowledgement of their outcome.
     pending: RefCell<HashSet<EventId>>,
-    /// Outcomes of copies whose notice is on its way.
+    /// Outcomes of copies whose notice is not acknowledged yet.
     outcomes: RefCell<HashMap<EventId, Outcome>>,
+    /// Outcomes of copies that never were events at this instance.
     unsubmitted: RefCell<UnsubmittedOutcomes>,
-    /// Which subscriber a target serves, as copies were sent there.
+    /// Subscriber that each target serves, as known from the copies sent to the target.
     subscribers: RefCell<HashMap<TargetId, Subscriber>>,
-    /// Clients that wait to learn whether their broadcast counts.
+    /// Clients that wait for the decision on their broadcast, by attempt number.
     waiting_clients: RefCell<HashMap<u64, Sender<SubmitResponse>>>,
     shutting_down: Cell<bool>,
     wake: Sender<()>,
     woken: Receiver<()>,
 }
 
-/// What is pending in the event log, for the local instance.
+/// The copies pending in the event log, as the local instance queries them.
 struct PendingCopies<'a>(&'a HashSet<EventId>);
 
 impl Host for PendingCopies<'_> {
@@ -73,7 +75,8 @@
 
 impl Broadcasts {
     pub fn new(clock: Clock, incarnation: Incarnation, layout: Layout) -> Rc<Self> {
-        // Microseconds grow from process to process of a state folder.
+        // The start time in microseconds numbers the processes of a state folder in ascending
+        // order.
         let process = (clock.now() * 1000.0) as u64;
         let id = InstanceId(incarnation.0);
         let instance = LocalInstance::new(id, process, FanoutState::default());
@@ -93,10 +96,10 @@
         })
     }
 
-    /// Submits a broadcast; the response follows once the control group's log has decided.
+    /// Submits a broadcast; the response follows once the control group's log has the decision.
     ///
     /// # Errors
-    /// Why the broadcast is rejected at once.
+    /// Why the broadcast is rejected immediately.
     pub fn submit(
         &self,
         list: ListName,
@@ -125,12 +128,13 @@
         Ok(received)
     }
 
-    /// Nothing more is submitted, and no further copies are asked for.
+    /// Rejects further broadcasts, and stops requesting copies.
     pub fn begin_shutdown(&self) {
         self.shutting_down.set(true);
     }
 
-    /// Whether the id is that of a copy: no client may submit an event under it meanwhile.
+    /// Whether the id is that of a copy of a stored broadcast: no client may submit an event with
+    /// it meanwhile.
     pub fn reserves_id(&self, event: &EventId) -> bool {
         match copy_of(event) {
             Some((broadcast, _)) => self.instance.borrow().state().is_kept(&broadcast),
@@ -148,14 +152,14 @@
         self.pending.borrow().contains(event)
     }
 
-    /// The event is pending in the log since an earlier process.
+    /// Handles an event that an earlier process left pending in the log.
     pub fn event_restored(&self, event: &EventId) {
         if copy_of(event).is_some() {
             self.pending.borrow_mut().insert(event.clone());
         }
     }
 
-    /// An attempt of the event goes to the target.
+    /// Handles the start of an attempt of the event at the target.
     pub fn attempt_started(&self, event: &EventId, target: &TargetId) {
         let Some(copy) = self.copy(event) else {
             return;
@@ -172,7 +176,7 @@
         }
     }
 
-    /// The target is parked or warming up: its subscriber is not slow for that.
+    /// Excludes the subscriber of a parked or warming up target from lag detection for a time.
     pub fn target_at_rest(&self, target: &TargetId) {
         if let Some(subscriber) = self.subscribers.borrow().get(target) {
             let until = self.clock.now() + TARGET_REST_TTL;
@@ -182,12 +186,12 @@
         }
     }
 
-    /// The endpoint list has the target no more.
+    /// Handles the removal of a target from the endpoint list.
     pub fn target_removed(&self, target: &TargetId) {
         self.subscribers.borrow_mut().remove(target);
     }
 
-    /// The event was rejected or abandoned; its notice goes out.
+    /// Handles the rejection or abandonment of an event, whose notice is to be sent.
     pub fn ended(&self, event: &EventId, outcome: EventOutcome) {
         if self.is_pending(event) {
             self.outcomes
@@ -196,7 +200,7 @@
         }
     }
 
-    /// The event was delivered, or its outcome was acknowledged.
+    /// Handles the delivery of an event, or the acknowledgement of its outcome.
     pub fn event_completed(&self, event: &EventId, delivered: bool) {
         let was_pending = self.pending.borrow_mut().remove(event);
         let submitted = self.outcomes.borrow_mut().remove(event);
@@ -218,14 +222,14 @@
         }
     }
 
-    /// Returns once the log has the outcome of each copy that was here: at shutdown.
+    /// Returns once the log has the outcome of each copy of this instance. Called at shutdown.
     pub async fn wait_until_settled(&self) {
         while !self.instance.borrow().is_settled() {
             Timer::after(BUSY_POLL_INTERVAL).await;
         }
     }
 
-    /// One message in the mailbox is enough.
+    /// Wakes the actor; one message in the mailbox is enough.
     fn wake_actor(&self) {
         let _ = self.wake.try_send(());
     }
--- a/forwarder/server/src/fanout/state_machine.rs
+++ b/forwarder/server/src/fanout/state_machine.rs
@@ -1,5 +1,5 @@
-//! State machine of the control group where it keeps lists and broadcasts. The first byte of a
-//! command says whose it is.
+//! State machine of a control group that stores lists and broadcasts. The first byte of a command
+//! is a tag that identifies the state machine of the command.
 
 use plankhill_fanout::{Command, FanoutState};
 use plankhill_raft_groups::{CorruptSnapshot, Incarnation, StateMachine, Term};
@@ -16,7 +16,7 @@
     bytes
 }
 
-/// None if the command is another's, or cannot be decoded.
+/// Decodes a command; `None` if its tag is not that of fan-out, or it cannot be decoded.
 pub fn decode_command(bytes: &[u8]) -> Option<Command> {
     match bytes.split_first() {
         Some((&COMMAND_TAG, command)) => Command::from_bytes(command),
@@ -24,7 +24,7 @@
     }
 }
 
-/// None if the snapshot cannot be decoded.
+/// Decodes a snapshot; `None` if that fails.
 pub fn decode_snapshot(bytes: &[u8]) -> Option<FanoutState> {
     FanoutState::from_bytes(bytes)
 }
--- a/forwarder/server/src/fanout/submission.rs
+++ b/forwarder/server/src/fanout/submission.rs
@@ -1,4 +1,4 @@
-//! Copies and their outcomes on their way into the event loop.
+//! Submission of copies and of their outcomes to the event loop.
 
 use plankhill_decisions::interface::{EventId, Ms, OrderKey};
 use plankhill_event_log::AcceptedEvent;
@@ -46,8 +46,8 @@
                 Ok(SubmitResponse::Failed) => Outcome::Abandoned,
                 Ok(SubmitResponse::Accepted) | Err(_) => return,
             };
-            // The event ended before its record in the log counted: no notice of it goes out by
-            // itself.
+            // The event ended before its record in the log was valid, so that the event loop sends
+            // no notice of it.
             broadcasts.pending.borrow_mut().remove(&id);
             broadcasts.unsubmitted.borrow_mut().add(id, copy, outcome);
             broadcasts.wake_actor();
@@ -55,8 +55,8 @@
         self.context.executor.spawn(await_response).detach();
     }
 
-    /// None if this instance does not serve the copy any more, or its settings lack the traffic
-    /// type.
+    /// Event of a copy; `None` if the copy is no longer assigned to this instance, or its settings
+    /// lack the traffic type.
     fn event_of(
         &self,
         id: &EventId,
@@ -77,11 +77,12 @@
         Some((event, broadcast.body.as_slice().into()))
     }
 
-    /// Outcomes that no event here has: the event loop records them and notifies the platform.
+    /// Passes the outcomes of copies that are not events to the event loop, which records them and
+    /// notifies the platform.
     pub(super) async fn pass_unsubmitted_outcomes(&mut self) {
         let broadcasts = self.broadcasts.clone();
-        let is_ours = |copy| broadcasts.instance.borrow().holds(copy);
-        broadcasts.unsubmitted.borrow_mut().retain(is_ours);
+        let is_assigned = |copy| broadcasts.instance.borrow().holds(copy);
+        broadcasts.unsubmitted.borrow_mut().retain(is_assigned);
         let due = broadcasts
             .unsubmitted
             .borrow_mut()
@@ -103,7 +104,7 @@
         }
     }
 
-    /// As the event log keeps the copy until its outcome is acknowledged.
+    /// Record of the copy in the event log until its outcome is acknowledged.
     fn accepted_event(
         &self,
         event: &EventId,
@@ -119,7 +120,7 @@
             key: broadcast.key,
             fingerprint: None,
             body: Vec::new().into(),
-            guarantee: None, // Nothing but the outcome is pending.
+            guarantee: None, // Only the outcome is pending.
         })
     }
 }
--- a/forwarder/server/src/fanout/unsubmitted_outcomes.rs
+++ b/forwarder/server/src/fanout/unsubmitted_outcomes.rs
@@ -1,6 +1,6 @@
-//! Outcomes of copies that never were events here: rejected before they were submitted, or left by
-//! an instance that is lost. The platform is notified of them as of any other, by a notice that the
-//! event log keeps until it is acknowledged.
+//! Outcomes of copies that never were events at this instance: rejected before they were submitted,
+//! or left by an instance that is lost. The platform is notified of them as of any other outcome,
+//! by a notice that the event log keeps until it is acknowledged.
 
 use std::collections::HashMap;
 
@@ -9,13 +9,13 @@
 
 use super::BroadcastCopy;
 
-/// The event loop may have no room for a notice now: each outcome is passed to it again after so
-/// long.
+/// Interval at which each outcome is passed to the event loop again, which may have had no capacity
+/// for a notice.
 const RETRY_INTERVAL: Ms = 1000.0;
-/// Outcomes passed to the event loop at a time; it has that much room at least.
+/// Limit of outcomes passed to the event loop at a time; it has capacity for at least this many.
 const MAX_OUTCOMES_AT_ONCE: usize = 128;
 
-/// An outcome that is due.
+/// An outcome that is to be passed to the event loop now.
 pub struct DueOutcome {
     pub event: EventId,
     pub copy: BroadcastCopy,
@@ -28,14 +28,15 @@
     last_passed: Option<Ms>,
 }
 
-/// Bounded by what the control group keeps for this instance.
+/// Outcomes of unsubmitted copies, bounded by the copies that the control group stores for this
+/// instance.
 #[derive(Default)]
 pub struct UnsubmittedOutcomes {
     outcomes: HashMap<EventId, Unsubmitted>,
 }
 
 impl UnsubmittedOutcomes {
-    /// An outcome that is known already stays as it is.
+    /// Adds an outcome. An outcome that is already known for the event is kept.
     pub fn add(&mut self, event: EventId, copy: BroadcastCopy, outcome: Outcome) {
         self.outcomes.entry(event).or_insert(Unsubmitted {
             copy,
@@ -44,7 +45,7 @@
         });
     }
 
-    /// The platform has acknowledged the outcome.
+    /// Removes an outcome that the platform has acknowledged.
     pub fn remove(&mut self, event: &EventId) -> Option<Outcome> {
         self.outcomes
             .remove(event)
@@ -55,13 +56,13 @@
         self.outcomes.is_empty()
     }
 
-    /// Drops outcomes that another instance notifies of now.
-    pub fn retain(&mut self, is_ours: impl Fn(BroadcastCopy) -> bool) {
+    /// Drops the outcomes of copies that are assigned to another instance, which notifies of them.
+    pub fn retain(&mut self, is_assigned: impl Fn(BroadcastCopy) -> bool) {
         self.outcomes
-            .retain(|_, unsubmitted| is_ours(unsubmitted.copy));
+            .retain(|_, unsubmitted| is_assigned(unsubmitted.copy));
     }
 
-    /// Outcomes that the event loop is to have now.
+    /// Outcomes to pass to the event loop now.
     pub fn take_due(&mut self, now: Ms) -> Vec<DueOutcome> {
         let mut due = Vec::new();
         for (event, unsubmitted) in &mut self.outcomes {
