--- a/forwarder/server/src/admin_listener.rs
+++ b/forwarder/server/src/admin_listener.rs
@@ -33,14 +33,14 @@
 /// Time limit for the event loop's reply: a response is due within a second.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long bytes that arrive after the response are read, so that the response is not lost in a
-/// connection reset.
+/// Time limit for reading bytes that arrive after the response, so that the response is not lost in
+/// a connection reset.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(250);
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Limit of a request's size: a head, and a body that is ignored.
 const MAX_REQUEST_BYTES: usize = 8 * 1024;
 
-/// What a connection waits for, in eviction order.
+/// Reason why a connection waits for its caller, in eviction order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WaitReason {
     /// The caller closes the connection after its response.
--- a/forwarder/server/src/disabled_targets.rs
+++ b/forwarder/server/src/disabled_targets.rs
@@ -30,7 +30,7 @@
     Corrupt {
         /// The file.
         path: String,
-        /// What is wrong with it.
+        /// The fault in the file.
         error: CorruptRecord,
     },
 }
--- a/forwarder/server/src/discovery/backoff.rs
+++ b/forwarder/server/src/discovery/backoff.rs
@@ -97,10 +97,10 @@
 
     /// Time of the next request. A discovery that refuses is busy, so the full backoff starts at
     /// the refusal: with a backoff that started at the request, a discovery that took two seconds
-    /// to refuse stayed overloaded until 30 s instead of 12 s. After a timeout the backoff starts
-    /// at the request, since the wait was a backoff itself, and that of a watch is longer than any
-    /// backoff. The next request is at most 5 s after the previous one, or, after a watch that was
-    /// open for long before it failed, at most 2.5 s after the failure.
+    /// to refuse stayed overloaded until 30 s instead of 12 s (herd+vast). After a timeout the
+    /// backoff starts at the request, since the wait was a backoff itself, and that of a watch is
+    /// longer than any backoff. The next request is at most 5 s after the previous one, or, after a
+    /// watch that was open for long before it failed, at most 2.5 s after the failure.
     pub fn retry_at(&mut self, requested: Instant, failed: Instant, timed_out: bool) -> Instant {
         let max = Duration::from_secs_f64(MAX_BACKOFF.max / 1000.0);
         let start = if timed_out { requested } else { failed };
--- a/forwarder/server/src/discovery/watch.rs
+++ b/forwarder/server/src/discovery/watch.rs
@@ -7,8 +7,8 @@
 //!
 //! - A request after a failed one waits for `WAIT_AFTER_FAILURE_MS` and `RESPONSE_GRACE`, 2.5 s,
 //!   including its connect (`http_exchange::CONNECT_TIMEOUT`). At most 5 s pass from one request to
-//!   the next (`backoff.rs`): discovery that has become reachable is asked within 5 s, and 1
-//!   s is left for connect and response.
+//!   the next (`backoff.rs`): discovery that has become reachable is asked within 5 s, and 1 s is
+//!   left for connect and response.
 //! - A watch waits longer only after a response. If its response begins and never ends: 2 s
 //!   (`RESPONSE_TIMEOUT`), the first backoff of at most 2 s, and 2 s left.
 //! - If the connection of the watch fails: the first backoff of at most 2 s, and 4 s left.
@@ -32,24 +32,25 @@
 use crate::messages::Input;
 use crate::stream::{until, Stream};
 
-/// How long discovery holds the request of a watch while nothing changes; discovery allows up to a
-/// minute. If the list is pushed, requests to the agent on the same machine cost nothing. Otherwise
-/// each request costs the discovery that the complete fleet shares: the wait per forwarder is
-/// chosen such that a fleet sends five requests per second, as a hundred forwarders do with 20 s.
+/// Time for which discovery holds the request of a watch while nothing changes; discovery allows up
+/// to a minute. If the list is pushed, requests to the agent on the same machine cost nothing.
+/// Otherwise each request costs the discovery that the complete fleet shares: the wait per
+/// forwarder is chosen such that a fleet sends five requests per second, as a hundred forwarders do
+/// with 20 s.
 const MIN_WAIT_MS: u64 = 4_000;
 const MAX_WAIT_MS: u64 = 20_000;
 const WAIT_PER_FORWARDER_MS: f64 = 200.0;
-/// How long the watch after a failed call waits: an overloaded discovery answered after up to 2 s.
-/// The agent answers immediately, so that a missing answer is detected soon.
+/// Wait of the watch after a failed call: an overloaded discovery answered after up to 2 s. The
+/// agent answers immediately, so that a missing answer is detected soon.
 const WAIT_AFTER_FAILURE_MS: u64 = 2_000;
 const AGENT_WAIT_AFTER_FAILURE_MS: u64 = 500;
-/// Time limit for a request of the complete list, which discovery answers without waiting for a
-/// change, but under the load of other forwarders.
+/// Wait, before `RESPONSE_GRACE`, for the complete list, which discovery sends without waiting for
+/// a change, but under the load of other forwarders.
 const COMPLETE_LIST_WAIT_MS: u64 = 1_500;
-/// How long after its wait a watch may be answered before it is restarted on a new connection. A
-/// change that the watch missed counts as reported 2 s after the wait (or 6 s after discovery
-/// stopped answering, which is later only for shorter waits): the new request has the remaining
-/// time for its response.
+/// Time limit, after its wait, for the response to a watch, which is then restarted on a new
+/// connection. A change that the watch missed counts as reported 2 s after the wait (or 6 s after
+/// discovery stopped answering, which is later only for shorter waits): the new request has the
+/// remaining time for its response.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 /// Time limit from the first byte of a response to its last. A peer that sends more slowly counts
 /// as unresponsive.
@@ -102,8 +103,8 @@
 }
 
 /// Loads the list that a process starts with. Changes that the agent has already count as reported,
-/// so it is asked before anything is sent to a target. If it does not answer, the list that
-/// an earlier process stored is used, or `known`, the list in the configuration, if that is newer.
+/// so it is asked before anything is sent to a target. If it does not answer, the list that an
+/// earlier process stored is used, or `known`, the list in the configuration, if that is newer.
 pub async fn load_initial(context: &ServerContext, known: Value) -> InitialList {
     let mut client = DiscoveryClient::new(context.clone());
     let request = client.request_list(None, COMPLETE_LIST_WAIT_MS);
--- a/forwarder/server/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -21,7 +21,8 @@
 
 /// Interval of the checks for commands to the control group, while no work is pending.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a call may outlast its event's deadline: the longest timeout that the scheduler sets.
+/// Limit of the time by which a call outlasts its event's deadline: the longest timeout that the
+/// scheduler sets.
 const MAX_CALL_OVERRUN: Ms = 10_000.0;
 /// Interval between proposals of the fleet file's layout until the log contains the layout.
 const LAYOUT_RETRY_INTERVAL: Ms = 2000.0;
@@ -51,12 +52,12 @@
     };
     let mut actor = Actor::new(context, broadcasts, to_event_loop);
     loop {
-        let woken = actor.broadcasts.woken.clone();
-        let woken = async {
-            let _ = woken.recv().await;
+        let wake_ups = actor.broadcasts.wake_ups.clone();
+        let wake_ups = async {
+            let _ = wake_ups.recv().await;
             None
         };
-        let first = future::or(async { Some(group_events.recv().await) }, woken);
+        let first = future::or(async { Some(group_events.recv().await) }, wake_ups);
         let mut requests = match until(actor.next_poll(), first).await.flatten() {
             Some(Ok(event)) => actor.on_group_event(event),
             Some(Err(_)) => return,
--- a/forwarder/server/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -37,7 +37,7 @@
 pub const MAX_QUEUED_GROUP_EVENTS: usize = 1024;
 /// Limit of a broadcast's body, which is sent to the leader in one report.
 pub const MAX_BROADCAST_BODY_BYTES: usize = 48 * 1024;
-/// How long a target counts as parked or warming up after it was last reported so.
+/// Time for which a target counts as parked or warming up after it was last reported so.
 const TARGET_REST_TTL: Ms = 5000.0;
 
 /// One copy of a broadcast: its subscriber, and the broadcast's position in the control group's
@@ -61,7 +61,7 @@
     waiting_clients: RefCell<HashMap<u64, Sender<SubmitResponse>>>,
     shutting_down: Cell<bool>,
     wake: Sender<()>,
-    woken: Receiver<()>,
+    wake_ups: Receiver<()>,
 }
 
 /// The copies pending in the event log, as the local instance queries them.
@@ -80,7 +80,7 @@
         let process = (clock.now() * 1000.0) as u64;
         let id = InstanceId(incarnation.0);
         let instance = LocalInstance::new(id, process, FanoutState::default());
-        let (wake, woken) = async_channel::bounded(1);
+        let (wake, wake_ups) = async_channel::bounded(1);
         Rc::new(Broadcasts {
             clock,
             layout,
@@ -92,7 +92,7 @@
             waiting_clients: RefCell::default(),
             shutting_down: Cell::new(false),
             wake,
-            woken,
+            wake_ups,
         })
     }
 
--- a/forwarder/server/src/hot_restart/successor.rs
+++ b/forwarder/server/src/hot_restart/successor.rs
@@ -29,7 +29,7 @@
 use crate::state_folder::{check_owner, StartError};
 use crate::stream::until;
 
-/// How long a start waits while another process holds the folder's lock and hands nothing over.
+/// Time limit for a start while another process holds the folder's lock and hands nothing over.
 const FOLDER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Limit of queued messages to the predecessor: responses to requests that it had partly read, and
 /// cancellations of calls.
@@ -72,7 +72,7 @@
     Folder(#[from] StartError),
     /// Another process holds the folder's lock beyond the time limit.
     #[error("PROXY_STATE: {folder}: locked by a process that hands nothing over: {error}")]
-    Held {
+    Locked {
         /// The state folder.
         folder: String,
         /// Why the last attempt failed.
@@ -111,7 +111,7 @@
     #[error("{0}")]
     DisabledTargets(#[from] crate::disabled_targets::DisabledTargetsError),
     /// The settings weaken the guarantee of a pending event of this traffic type.
-    #[error("profiles: {0:?}: a pending event was accepted with a stronger guarantee than the settings give")]
+    #[error("profiles: {0:?}: a pending event has a stronger guarantee than the settings")]
     WeakenedGuarantee(String),
 }
 
@@ -140,7 +140,7 @@
             logged = true;
         }
         if Instant::now() > deadline {
-            return Err(TakeOverError::Held {
+            return Err(TakeOverError::Locked {
                 folder: folder.display().to_string(),
                 error,
             });
--- a/forwarder/server/src/http_exchange.rs
+++ b/forwarder/server/src/http_exchange.rs
@@ -61,8 +61,8 @@
     pub reusable: bool,
 }
 
-/// How much of a buffer is filled, and where in it the last response begins: interim responses,
-/// such as 100, may precede it.
+/// Fill level of a buffer, and position of the last response in it: interim responses, such as 100,
+/// may precede it.
 #[derive(Default)]
 pub struct ReadProgress {
     pub start: usize,
--- a/forwarder/server/src/lingering_close/tests.rs
+++ b/forwarder/server/src/lingering_close/tests.rs
@@ -1,4 +1,4 @@
-//! Whether a peer receives a response while it continues to send.
+//! Tests that a peer receives its response although it continues to send.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/forwarder/server/src/messages.rs
+++ b/forwarder/server/src/messages.rs
@@ -87,7 +87,7 @@
 pub struct HandoverRequest {
     /// Receives the state; dropped without a value if the state cannot be handed over.
     pub snapshot: Sender<HandoverSnapshot>,
-    /// How the event loop continues.
+    /// Receives the outcome of the handover.
     pub outcome: Receiver<HandoverOutcome>,
 }
 
@@ -99,7 +99,7 @@
     pub paused_since: Instant,
 }
 
-/// How a paused event loop continues.
+/// Outcome of a handover, which determines how the paused event loop continues.
 pub enum HandoverOutcome {
     /// The handover failed: this process continues to decide.
     Resume,
--- a/forwarder/server/src/raft.rs
+++ b/forwarder/server/src/raft.rs
@@ -191,7 +191,7 @@
     }
 }
 
-/// What the fleet's control group stores.
+/// Contents of the fleet's control group.
 #[derive(Clone, Copy)]
 enum ControlGroup {
     /// Lists and broadcasts.
--- a/forwarder/server/src/server.rs
+++ b/forwarder/server/src/server.rs
@@ -390,7 +390,7 @@
     handed_over: Task<()>,
 }
 
-/// What a running server acts on next.
+/// The next event that a running server handles.
 enum ServerEvent {
     Signal(Option<io::Result<Signal>>),
     HandedOver,
--- a/forwarder/server/src/state_folder.rs
+++ b/forwarder/server/src/state_folder.rs
@@ -51,7 +51,7 @@
     EventLog {
         /// The state folder.
         folder: String,
-        /// The system's error, or what is wrong with the file.
+        /// The system's error, or the fault in the file.
         error: OpenError,
     },
     /// The process cannot listen on the address.
--- a/forwarder/server/src/stream.rs
+++ b/forwarder/server/src/stream.rs
@@ -44,7 +44,7 @@
     future::or(completed, timed_out).await
 }
 
-/// What can be read from a connection without waiting.
+/// Data that can be read from a connection without waiting.
 enum Readable {
     Nothing,
     Bytes,
