--- a/forwarder/fanout/examples/lag/main.rs
+++ b/forwarder/fanout/examples/lag/main.rs
@@ -5,13 +5,13 @@
 //!
 //! A number of slow ones alone, or the day on which forwarders stall; all of it takes half an hour of a core.
 
-mod day;
 mod instance;
-mod told;
+mod plan;
+mod simulation;
 
-use day::play;
 use hdrhistogram::Histogram;
-use told::{Plan, Result, Way};
+use plan::{Plan, Result, Way};
+use simulation::play;
 
 const LENGTH: f64 = 240_000.0;
 
--- a/forwarder/fanout/examples/lag/day.rs
+++ b/forwarder/fanout/examples/lag/simulation.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::instance::{terms, CameIn, Instance};
-use crate::told::{Due, Plan, Result, Way, What};
+use crate::plan::{Due, Plan, Result, Way, What};
 
 pub const INSTANCES: usize = 4;
 pub const SUBSCRIBERS: u64 = 200;
@@ -259,11 +259,11 @@
         };
         let served = matches!(command, Command::Served { .. }) && self.now > 5000.0;
         self.result.cohort_moves += u64::from(served);
-        for news in self.truth.apply(command.clone()) {
-            match news {
-                News::Taken { position, .. } => drop(self.taken.insert(position, self.now)),
+        for effect in self.truth.apply(command.clone()) {
+            match effect {
+                Effect::Accepted { position, .. } => drop(self.taken.insert(position, self.now)),
                 // Given up before it was handed in: the subscriber's, whoever tells it.
-                News::Hand {
+                Effect::Assigned {
                     subscriber,
                     position,
                     end: Some(outcome),
--- a/forwarder/fanout/src/apply.rs
+++ b/forwarder/fanout/src/apply.rs
@@ -1,41 +1,42 @@
-//! Applies the log's commands, each to the part of the state that it is about.
+//! Applies the log's commands, each to the part of the state that it changes.
 
-use crate::command::{Command, News, Rejection};
+use crate::command::{Command, Effect, Rejection};
 use crate::names::*;
 use crate::state::FanoutState;
 
-/// A minute, in ticks.
-const MINUTE: u64 = 60;
+/// The window of `Bounds::moves_a_minute`, in ticks.
+const MOVE_WINDOW_TICKS: u64 = 60;
 
 impl FanoutState {
-    /// Tells what follows of it, in order. The same command at the same state tells the same everywhere.
-    pub fn apply(&mut self, command: Command) -> Vec<News> {
-        let mut news = Vec::new();
+    /// Applies the command and returns its effects in order. The same command on the same state has the same
+    /// effects on every instance.
+    pub fn apply(&mut self, command: Command) -> Vec<Effect> {
+        let mut effects = Vec::new();
         let mut later = Vec::new();
         match command {
-            Command::Laid(layout) => self.laid(layout, &mut news),
-            Command::Started { by, process } => self.started(by, process),
-            Command::Joined(instance) => self.joined(instance),
-            Command::Lost(instance) => self.lost(instance),
+            Command::Laid(layout) => self.apply_layout(layout, &mut effects),
+            Command::Started { by, process } => self.start_process(by, process),
+            Command::Joined(instance) => self.mark_reachable(instance),
+            Command::Lost(instance) => self.mark_lost(instance),
             Command::Taken {
                 by,
                 process,
                 number,
                 broadcast,
             } => {
-                if self.attempts(by, process, number) {
-                    news.push(match self.taken(broadcast, &mut later) {
-                        Ok(position) => News::Taken {
+                if self.decide_submission(by, process, number) {
+                    effects.push(match self.accept_broadcast(broadcast, &mut later) {
+                        Ok(position) => Effect::Accepted {
                             by,
                             process,
                             number,
                             position,
                         },
-                        Err(why) => News::Refused {
+                        Err(reason) => Effect::Rejected {
                             by,
                             process,
                             number,
-                            why,
+                            reason,
                         },
                     });
                 }
@@ -45,12 +46,12 @@
                 process,
                 number,
             } => {
-                if self.attempts(by, process, number) {
-                    news.push(News::Refused {
+                if self.decide_submission(by, process, number) {
+                    effects.push(Effect::Rejected {
                         by,
                         process,
                         number,
-                        why: Rejection::Late,
+                        reason: Rejection::Late,
                     });
                 }
             }
@@ -59,11 +60,11 @@
                 process,
                 ticket,
             } if self.process(by) == process => {
-                self.spread(by, ticket, &mut news);
+                self.hand_out_copies(by, ticket, &mut effects);
             }
             Command::Ended { by, process, ends } if self.process(by) == process => {
                 ends.into_iter()
-                    .for_each(|end| self.ended(by, end, &mut news));
+                    .for_each(|end| self.end_copy(by, end, &mut effects));
             }
             Command::StillOut {
                 by,
@@ -71,7 +72,7 @@
                 copies,
             } if self.process(by) == process => {
                 for (subscriber, position, own) in copies {
-                    self.still_out(by, subscriber, position, own);
+                    self.sample_in_flight_copy(by, subscriber, position, own);
                 }
             }
             Command::Spread { .. } | Command::Ended { .. } | Command::StillOut { .. } => (),
@@ -80,50 +81,61 @@
                 subscriber,
                 rests,
             } => {
-                if let Some(follower) = self.followers.get_mut(&subscriber) {
+                if let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) {
                     if rests && self.instances.contains_key(&by) {
-                        follower.rests.insert(by);
+                        subscriber_state.rests.insert(by);
                     } else {
-                        follower.rests.remove(&by);
+                        subscriber_state.rests.remove(&by);
                     }
                 }
             }
-            Command::TimeUp(positions) => self.time_up(&positions, &mut news),
+            Command::TimeUp(positions) => self.reject_queued(&positions, &mut effects),
             Command::Moved {
                 subscriber,
                 from,
                 to,
-            } => self.moved(subscriber, from, to, &mut news),
-            Command::Served { cohort, epoch, by } => self.served(cohort, epoch, by, &mut news),
-            Command::GivenUp { instance, time } => self.given_up(instance, time, &mut news),
+            } => self.move_subscriber(subscriber, from, to, &mut effects),
+            Command::Served { cohort, epoch, by } => {
+                self.assign_cohort(cohort, epoch, by, &mut effects)
+            }
+            Command::GivenUp { instance, time } => {
+                self.end_copies_of_lost(instance, time, &mut effects)
+            }
             Command::Tick => {
                 self.tick += 1;
-                self.detect();
+                self.update_verdicts();
             }
         }
-        news.append(&mut later);
-        news
+        effects.append(&mut later);
+        effects
     }
 
-    /// Whether one more move keeps the bounds.
+    /// Whether one more move is within the bounds.
     pub(crate) fn may_move(&self) -> bool {
         self.moving.len() < self.bounds.moves_at_once
-            && self.moved_lately() < self.bounds.moves_a_minute
+            && self.recent_moves() < self.bounds.moves_a_minute
     }
 
-    pub(crate) fn moved_lately(&self) -> usize {
-        self.moved_at
+    pub(crate) fn recent_moves(&self) -> usize {
+        self.move_ticks
             .iter()
-            .filter(|at| **at + MINUTE > self.tick)
+            .filter(|at| **at + MOVE_WINDOW_TICKS > self.tick)
             .count()
     }
 
-    /// From here on, in the log's order, the old instance is handed nothing more.
-    fn moved(&mut self, subscriber: Subscriber, from: Cohort, to: Cohort, news: &mut Vec<News>) {
+    /// Moves the subscriber to another cohort. From this place in the log on, the old instance is handed none
+    /// of its copies.
+    fn move_subscriber(
+        &mut self,
+        subscriber: Subscriber,
+        from: Cohort,
+        to: Cohort,
+        effects: &mut Vec<Effect>,
+    ) {
         let there = |id: InstanceId| self.instances.get(&id).is_some_and(|i| !i.lost);
         let served = self.cohorts.get(&to).and_then(|c| c.by).is_some_and(there);
         let known = self
-            .followers
+            .subscribers
             .get(&subscriber)
             .is_some_and(|f| f.cohort == from);
         if !served || !known || from == to || self.moving.contains(&subscriber) || !self.may_move()
@@ -136,11 +148,12 @@
         if let Some(new) = self.cohorts.get_mut(&to) {
             new.members.insert(subscriber);
         }
-        if let Some(follower) = self.followers.get_mut(&subscriber) {
-            follower.cohort = to;
+        if let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) {
+            subscriber_state.cohort = to;
         }
-        self.moved_at.retain(|at| *at + MINUTE > self.tick);
-        self.moved_at.push_back(self.tick);
-        self.moves(subscriber, news);
+        self.move_ticks
+            .retain(|at| *at + MOVE_WINDOW_TICKS > self.tick);
+        self.move_ticks.push_back(self.tick);
+        self.update_move(subscriber, effects);
     }
 }
--- a/forwarder/fanout/src/command.rs
+++ b/forwarder/fanout/src/command.rs
@@ -1,5 +1,5 @@
-//! What the log holds, and what applying it tells each instance. A command that no longer fits changes nothing:
-//! it may have been proposed twice, late, or by an instance that was replaced meanwhile.
+//! The commands of the log, and the effects of applying them. A command that no longer fits the state changes
+//! nothing: it may have been proposed twice, late, or by an instance that was replaced meanwhile.
 
 use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
@@ -7,31 +7,34 @@
 use crate::bounds::Bounds;
 use crate::names::*;
 
+/// A command of the control group's log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// What the fleet file says; replaces what it said before.
+    /// The fleet file's layout; replaces the previous one.
     Laid(Layout),
-    /// A process of the instance begins: what an earlier one proposes or told late is void from here on, and
-    /// all that was told before counts. Processes are numbered upwards.
+    /// A new process of the instance starts: commands of earlier processes have no effect from here on, and
+    /// those that were applied before count. Process numbers increase.
     Started { by: InstanceId, process: u64 },
-    /// An instance that was lost can be reached again.
+    /// A lost instance is reachable again.
     Joined(InstanceId),
-    /// An instance can't be reached. Its cohorts are to be served by others.
+    /// An instance is unreachable. Its cohorts are to be served by others.
     Lost(InstanceId),
-    /// A broadcast that a client handed in at an instance, as its so-numbered attempt; counts once.
+    /// A broadcast that a client submitted at an instance, as the submission with this number; counts once.
     Taken {
         by: InstanceId,
         process: u64,
         number: u64,
         broadcast: Broadcast,
     },
-    /// That attempt counts no more, if it did not before: its client may be told so.
+    /// The submission with this number is rejected, unless it was accepted before: its client may be told
+    /// that it does not count.
     Barred {
         by: InstanceId,
         process: u64,
         number: u64,
     },
-    /// The instance asks for copies. It noted the time on its own clock when it asked under that number.
+    /// The instance requests copies. Under the number `ticket` it has recorded the time of the request on its
+    /// own clock.
     Spread {
         by: InstanceId,
         process: u64,
@@ -43,41 +46,41 @@
         process: u64,
         ends: Vec<CopyEnd>,
     },
-    /// Copies that have had calls for so long, and go on; told once for each.
+    /// Copies still in flight, each with the time since its first call; reported once for each.
     StillOut {
         by: InstanceId,
         process: u64,
         copies: Vec<(Subscriber, Position, Ms)>,
     },
-    /// The subscriber is parked or cold at the instance, or no longer: it is not slow for that.
+    /// Whether the subscriber is parked or cold at the instance: its lag there is then no sign of slowness.
     Rests {
         by: InstanceId,
         subscriber: Subscriber,
         rests: bool,
     },
-    /// Too little is left of these broadcasts' patience: what of them was not handed in, and so has surely not
-    /// run, is dismissed.
+    /// Too little is left of these broadcasts' patience: their copies that were not handed to an instance,
+    /// and so have surely not run, are rejected.
     TimeUp(Vec<Position>),
-    /// The subscriber goes to another cohort. Void if it is no longer in `from`.
+    /// The subscriber moves to another cohort. No effect if it is no longer in `from`.
     Moved {
         subscriber: Subscriber,
         from: Cohort,
         to: Cohort,
     },
-    /// The cohort is served by another instance. Void if it changed hands since `epoch`.
+    /// The cohort is served by another instance. No effect if it was assigned to one since `epoch`.
     Served {
         cohort: Cohort,
         epoch: u64,
         by: InstanceId,
     },
-    /// All that the instance held when it was lost for the `time`th time has surely ended there.
+    /// Every copy that the instance had when it was lost for the `time`th time has surely ended there.
     GivenUp { instance: InstanceId, time: u64 },
-    /// A second has passed at the instance that leads.
+    /// A second has passed on the clock of the leader.
     Tick,
 }
 
 impl Command {
-    /// The instance that says it of itself; none if it is the leader's to say.
+    /// The instance that reports the command about itself; `None` if the command is proposed by the leader.
     pub fn by(&self) -> Option<InstanceId> {
         match self {
             Command::Started { by, .. }
@@ -96,30 +99,31 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None if the bytes are no command.
+    /// `None` if the bytes are not a command.
     pub fn from_bytes(bytes: &[u8]) -> Option<Command> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
+/// The lists, cohorts and bounds of the fleet file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Layout {
     pub lists: Vec<(ListName, Vec<Subscriber>)>,
-    /// Cohorts for subscribers that keep up, numbered from 0.
+    /// Number of cohorts for subscribers that keep up; their ids start at 0.
     pub cohorts: u32,
-    /// Cohorts for slow ones, numbered on from there.
+    /// Number of cohorts for slow subscribers; their ids follow.
     pub slow_cohorts: u32,
     pub bounds: Bounds,
 }
 
-/// The fields of an event, which apply to each copy.
+/// A broadcast: the fields of an event, which apply to each copy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Broadcast {
     pub id: BroadcastId,
     pub list: ListName,
     /// The traffic type's name.
     pub traffic: String,
-    /// On the system clock of the instance that took it, in ms.
+    /// When it was accepted, in ms on the system clock of the instance that accepted it.
     pub at: Ms,
     pub patience: Ms,
     pub key: Option<u64>,
@@ -135,62 +139,65 @@
     Abandoned,
 }
 
+/// The end of a copy, as its instance reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CopyEnd {
     pub subscriber: Subscriber,
     pub position: Position,
     pub outcome: Outcome,
-    /// From when it was handed in to its first call: the forwarder's part of the lag.
+    /// From its submission to its first call: the forwarder's part of the lag.
     pub waited: Ms,
     /// From its first call to its end: the subscriber's part.
     pub own: Ms,
 }
 
-/// What an instance is told when a command was applied. All instances hear all of it.
+/// An effect of applying a command. All instances get all effects.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
-    Taken {
+pub enum Effect {
+    Accepted {
         by: InstanceId,
         process: u64,
         number: u64,
         position: Position,
     },
-    Refused {
+    Rejected {
         by: InstanceId,
         process: u64,
         number: u64,
-        why: Rejection,
+        reason: Rejection,
     },
-    /// The instance is to hand the copy to its module, or, where an end is told, to tell that end.
-    Hand {
+    /// The copy is assigned to the instance `to`, which submits it to its decision module or, with an `end`,
+    /// reports that outcome.
+    Assigned {
         to: InstanceId,
         ticket: Option<u64>,
         subscriber: Subscriber,
         position: Position,
         end: Option<Outcome>,
     },
-    /// Each copy has its end: how many completed, were dismissed, were written off.
-    AllEnded {
+    /// Every copy has ended: how many completed, were rejected and were abandoned.
+    BroadcastCompleted {
         id: BroadcastId,
         position: Position,
         outcomes: [u32; 3],
     },
-    /// The subscriber is served by that instance alone from now on.
-    Settled {
+    /// From now on the subscriber is served by this instance alone.
+    MoveCompleted {
         subscriber: Subscriber,
         by: InstanceId,
     },
 }
 
+/// Why a broadcast is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     NoSuchList,
-    /// Its id is too long or has the form that only copies' ids have.
+    /// The id is empty or too long.
     BadId,
-    /// One of that id is kept, or was lately.
+    /// A broadcast with that id is pending, or was completed recently.
     Known,
     /// A bound is reached.
     Full,
-    /// The log did not hear of it in time.
+    /// The log did not accept the submission in time.
     Late,
 }
--- a/forwarder/fanout/src/copies.rs
+++ b/forwarder/fanout/src/copies.rs
@@ -1,12 +1,14 @@
-//! The life of a copy: taken, handed in, ended; and what is kept of its broadcast until all have ended.
+//! The life cycle of a copy (accepted, handed to an instance, ended), and what is kept of its broadcast until
+//! all copies have ended.
 
-use crate::command::{Broadcast, CopyEnd, News, Outcome, Rejection};
+use crate::command::{Broadcast, CopyEnd, Effect, Outcome, Rejection};
 use crate::names::*;
-use crate::state::{FanoutState, Kept, Pending, REMEMBERED};
+use crate::state::{FanoutState, PendingBroadcast, PendingCopy, MAX_COMPLETED_IDS};
 
 impl FanoutState {
-    /// Whether it would be taken now: the same answer as in the log, given before it is proposed.
-    pub fn would_take(&self, broadcast: &Broadcast) -> Result<(), Rejection> {
+    /// Whether the broadcast would be accepted now: the answer of the log, given before the broadcast is
+    /// proposed.
+    pub fn check_broadcast(&self, broadcast: &Broadcast) -> Result<(), Rejection> {
         let id = &broadcast.id;
         if id.0.is_empty() || id.0.len() > BroadcastId::LONGEST {
             return Err(Rejection::BadId);
@@ -15,21 +17,21 @@
             .lists
             .get(&broadcast.list)
             .ok_or(Rejection::NoSuchList)?;
-        if self.known.contains_key(id) || self.past_ids.contains(id) {
+        if self.known.contains_key(id) || self.completed_id_set.contains(id) {
             return Err(Rejection::Known);
         }
-        let full = self.kept.len() >= self.bounds.broadcasts
+        let full = self.pending_broadcasts.len() >= self.bounds.broadcasts
             || self.copies + members.len() > self.bounds.kept_in_all
             || self.body_bytes + broadcast.body.len() > self.bounds.body_bytes;
         (!full).then_some(()).ok_or(Rejection::Full)
     }
 
-    pub(crate) fn taken(
+    pub(crate) fn accept_broadcast(
         &mut self,
         broadcast: Broadcast,
-        news: &mut Vec<News>,
+        effects: &mut Vec<Effect>,
     ) -> Result<Position, Rejection> {
-        self.would_take(&broadcast)?;
+        self.check_broadcast(&broadcast)?;
         let members = self.lists.get(&broadcast.list).cloned().unwrap_or_default();
         self.last = Position(self.last.0 + 1);
         let position = self.last;
@@ -37,44 +39,50 @@
         self.body_bytes += broadcast.body.len();
         self.known.insert(broadcast.id.clone(), position);
         let open = members.len() as u32;
-        self.kept.insert(
+        self.pending_broadcasts.insert(
             position,
-            Kept {
+            PendingBroadcast {
                 broadcast,
                 open,
                 outcomes: [0; 3],
             },
         );
         for subscriber in members {
-            let Some(follower) = self.followers.get_mut(&subscriber) else {
+            let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) else {
                 continue;
             };
-            follower.waiting.push_back(position);
-            let kept = follower.waiting.len() + follower.out().count();
+            subscriber_state.queued.push_back(position);
+            let kept = subscriber_state.queued.len() + subscriber_state.in_flight().count();
             if kept > self.bounds.kept_for_one {
-                // The oldest is worth least to one that lags, and it has surely not run.
-                let oldest = follower.waiting.pop_front();
+                // The oldest copy has the least value for a lagging subscriber, and it surely has not run.
+                let oldest = subscriber_state.queued.pop_front();
                 oldest
                     .into_iter()
-                    .for_each(|p| self.give_up(subscriber, p, news));
+                    .for_each(|p| self.reject_queued_copy(subscriber, p, effects));
             }
         }
-        self.trim(position, news);
+        self.remove_if_completed(position, effects);
         Ok(position)
     }
 
-    /// A copy that nobody was handed is dismissed: whoever serves its subscriber tells so.
-    fn give_up(&mut self, subscriber: Subscriber, position: Position, news: &mut Vec<News>) {
+    /// Rejects a copy that no instance was handed; the instance that serves its subscriber reports the
+    /// outcome.
+    fn reject_queued_copy(
+        &mut self,
+        subscriber: Subscriber,
+        position: Position,
+        effects: &mut Vec<Effect>,
+    ) {
         let at = self.server(subscriber);
         let end = Some(Outcome::Rejected);
-        if let Some(follower) = self.followers.get_mut(&subscriber) {
-            follower.pending.push(Pending {
+        if let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) {
+            subscriber_state.pending.push(PendingCopy {
                 position,
                 at,
                 end,
-                voted: true,
+                sampled: true,
             });
-            news.extend(at.map(|to| News::Hand {
+            effects.extend(at.map(|to| Effect::Assigned {
                 to,
                 ticket: None,
                 subscriber,
@@ -84,58 +92,68 @@
         }
     }
 
-    pub(crate) fn time_up(&mut self, positions: &[Position], news: &mut Vec<News>) {
-        let ids: Vec<Subscriber> = self.followers.keys().copied().collect();
+    pub(crate) fn reject_queued(&mut self, positions: &[Position], effects: &mut Vec<Effect>) {
+        let ids: Vec<Subscriber> = self.subscribers.keys().copied().collect();
         for subscriber in ids {
-            let Some(follower) = self.followers.get_mut(&subscriber) else {
+            let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) else {
                 continue;
             };
-            let (over, still): (Vec<_>, Vec<_>) = follower
-                .waiting
+            let (overdue, remaining): (Vec<_>, Vec<_>) = subscriber_state
+                .queued
                 .iter()
                 .copied()
                 .partition(|p| positions.contains(p));
-            follower.waiting = still.into();
-            over.into_iter()
-                .for_each(|position| self.give_up(subscriber, position, news));
+            subscriber_state.queued = remaining.into();
+            overdue
+                .into_iter()
+                .for_each(|position| self.reject_queued_copy(subscriber, position, effects));
         }
     }
 
-    /// Hands the instance what its subscribers wait for, within window and room: in turns, so that those with
-    /// the fewest out come first.
-    pub(crate) fn spread(&mut self, by: InstanceId, ticket: u64, news: &mut Vec<News>) {
+    /// Hands the instance the queued copies of its subscribers, within window and room: in rounds, so that
+    /// the subscribers with the fewest copies in flight come first.
+    pub(crate) fn hand_out_copies(
+        &mut self,
+        by: InstanceId,
+        ticket: u64,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(mut held) = self.instances.get(&by).filter(|i| !i.lost).map(|i| i.held) else {
             return;
         };
         let cohorts = self.cohorts.values().filter(|c| c.by == Some(by));
-        let mut asking: Vec<Subscriber> = cohorts.flat_map(|c| c.members.iter().copied()).collect();
-        asking.retain(|s| {
-            self.followers
+        let mut eligible: Vec<Subscriber> =
+            cohorts.flat_map(|c| c.members.iter().copied()).collect();
+        eligible.retain(|s| {
+            self.subscribers
                 .get(s)
-                .is_some_and(|f| !f.waiting.is_empty() && !f.out_elsewhere(Some(by)))
+                .is_some_and(|f| !f.queued.is_empty() && !f.in_flight_elsewhere(Some(by)))
         });
-        for turn in 0..self.bounds.window.max(self.bounds.slow_window) {
-            for subscriber in &asking {
-                let Some(follower) = self.followers.get_mut(subscriber) else {
+        for round in 0..self.bounds.window.max(self.bounds.slow_window) {
+            for subscriber in &eligible {
+                let Some(subscriber_state) = self.subscribers.get_mut(subscriber) else {
                     continue;
                 };
-                let slow = self.cohorts.get(&follower.cohort).is_some_and(|c| c.slow);
-                let full = held >= self.bounds.room || turn >= self.bounds.window_of(slow);
-                if full || follower.out().count() != turn {
+                let slow = self
+                    .cohorts
+                    .get(&subscriber_state.cohort)
+                    .is_some_and(|c| c.slow);
+                let full = held >= self.bounds.room || round >= self.bounds.window_of(slow);
+                if full || subscriber_state.in_flight().count() != round {
                     continue;
                 }
-                let Some(position) = follower.waiting.pop_front() else {
+                let Some(position) = subscriber_state.queued.pop_front() else {
                     continue;
                 };
-                follower.pending.push(Pending {
+                subscriber_state.pending.push(PendingCopy {
                     position,
                     at: Some(by),
                     end: None,
-                    voted: false,
+                    sampled: false,
                 });
                 held += 1;
                 let (to, subscriber) = (by, *subscriber);
-                news.push(News::Hand {
+                effects.push(Effect::Assigned {
                     to,
                     ticket: Some(ticket),
                     subscriber,
@@ -147,71 +165,75 @@
         self.instances.entry(by).or_default().held = held;
     }
 
-    /// Counts once, and only from the instance that has the copy.
-    pub(crate) fn ended(&mut self, by: InstanceId, end: CopyEnd, news: &mut Vec<News>) {
+    /// Ends a copy. The end counts once, and only from the instance to which the copy is assigned.
+    pub(crate) fn end_copy(&mut self, by: InstanceId, end: CopyEnd, effects: &mut Vec<Effect>) {
         let CopyEnd {
             subscriber,
             position,
             ..
         } = end;
-        let Some(follower) = self.followers.get_mut(&subscriber) else {
+        let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) else {
             return;
         };
-        let here = |p: &Pending| p.position == position && p.at == Some(by);
-        let Some(place) = follower.pending.iter().position(here) else {
+        let is_assigned = |p: &PendingCopy| p.position == position && p.at == Some(by);
+        let Some(index) = subscriber_state.pending.iter().position(is_assigned) else {
             return;
         };
-        let pending = follower.pending.remove(place);
+        let pending = subscriber_state.pending.remove(index);
         if pending.end.is_none() {
             if let Some(instance) = self.instances.get_mut(&by) {
                 instance.held = instance.held.saturating_sub(1);
             }
-            // One that was given up before any call says nothing of its subscriber.
+            // A copy that ended before any call is no evidence about its subscriber.
             let called = end.outcome == Outcome::Completed || end.own > 0.0;
-            if !pending.voted && called {
-                self.sample(by, subscriber, end.own, end.waited);
+            if !pending.sampled && called {
+                self.add_sample(by, subscriber, end.own, end.waited);
             }
         }
-        self.close(position, pending.end.unwrap_or(end.outcome), news);
+        self.count_outcome(position, pending.end.unwrap_or(end.outcome), effects);
         if self.moving.contains(&subscriber) {
-            self.settles(subscriber, news);
+            self.complete_move_if_drained(subscriber, effects);
         }
-        self.forget_if_gone(subscriber);
+        self.remove_if_unused(subscriber);
     }
 
-    fn close(&mut self, position: Position, outcome: Outcome, news: &mut Vec<News>) {
-        if let Some(kept) = self.kept.get_mut(&position) {
+    fn count_outcome(&mut self, position: Position, outcome: Outcome, effects: &mut Vec<Effect>) {
+        if let Some(kept) = self.pending_broadcasts.get_mut(&position) {
             kept.open -= 1;
             kept.outcomes[outcome as usize] += 1;
             self.copies -= 1;
         }
-        self.trim(position, news);
+        self.remove_if_completed(position, effects);
     }
 
-    /// Nothing is kept of a broadcast once each copy has its end.
-    fn trim(&mut self, position: Position, news: &mut Vec<News>) {
-        if self.kept.get(&position).is_none_or(|kept| kept.open > 0) {
+    /// Removes the broadcast once every copy has ended.
+    fn remove_if_completed(&mut self, position: Position, effects: &mut Vec<Effect>) {
+        if self
+            .pending_broadcasts
+            .get(&position)
+            .is_none_or(|kept| kept.open > 0)
+        {
             return;
         }
-        let Some(Kept {
+        let Some(PendingBroadcast {
             broadcast,
             outcomes,
             ..
-        }) = self.kept.remove(&position)
+        }) = self.pending_broadcasts.remove(&position)
         else {
             return;
         };
         self.body_bytes -= broadcast.body.len();
         let id = broadcast.id;
         self.known.remove(&id);
-        self.past_ids.insert(id.clone());
-        self.past.push_back(id.clone());
-        if self.past.len() > REMEMBERED {
-            self.past
+        self.completed_id_set.insert(id.clone());
+        self.completed_ids.push_back(id.clone());
+        if self.completed_ids.len() > MAX_COMPLETED_IDS {
+            self.completed_ids
                 .pop_front()
-                .map(|oldest| self.past_ids.remove(&oldest));
+                .map(|oldest| self.completed_id_set.remove(&oldest));
         }
-        news.push(News::AllEnded {
+        effects.push(Effect::BroadcastCompleted {
             id,
             position,
             outcomes,
--- a/forwarder/fanout/src/detect.rs
+++ b/forwarder/fanout/src/detect.rs
@@ -1,5 +1,6 @@
-//! Who is slow. A copy's lag has two parts: what it waited for its first call, which is the forwarder's, and
-//! what it took from then on, which is the subscriber's, unless all of the forwarder's were late together.
+//! Detection of slow subscribers. A copy's lag has two parts: the wait for its first call, which is due to
+//! the forwarder, and the time from then on, which is due to the subscriber, unless all of the forwarder's
+//! subscribers were late together.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,35 +9,40 @@
 
 use crate::names::*;
 use crate::state::FanoutState;
-use crate::sums::{median, Votes};
 use crate::verdict::{Figures, Judged};
+use crate::votes::{median, Votes};
 
-/// Late is what took over four times its cohort's median and over four times the other cohorts'. Subscribers
-/// differ by two or three for their distance alone.
-const TIMES: f64 = 4.0;
-/// Under a quarter second nobody drags others, however quick the rest is.
-const FLOOR: Ms = 250.0;
-/// Judged slow at this share of late votes, cleared at the other: between them the verdict stays.
-const ENTER: f64 = 0.5;
-const LEAVE: f64 = 0.1;
-/// Votes that a verdict needs. A stall makes one or two late, and half of eight are four.
-const EVIDENCE: f64 = 8.0;
-/// A forwarder is at fault in a batch if over half of the subscribers seen in it were late. Of fewer than four
-/// it can't be told whose fault it is.
-const FEWEST: usize = 4;
-/// What was seen of so few waits so many ticks for more; then it is dropped, no verdict can rest on it.
-const PATIENT: u64 = 10;
-/// Batches that the verdict on a forwarder needs.
-const BATCHES: f64 = 3.0;
-/// Samples of one instance between two ticks; more say nothing new.
-const MOST: usize = 4096;
-/// As good as the rest for so many ticks, doubled with each relapse up to eight times: lasting.
-const LASTING: u64 = 60;
-/// A route's blame is forgotten after so many ticks: routes are mended.
-const ROUTE_KEPT: u64 = 600;
-/// Votes of so many instances are kept for a subscriber.
-const PLACES: usize = 4;
+/// A copy is late if it took more than four times the median of its cohort and more than four times that of
+/// the other cohorts. Subscribers differ by a factor of two or three due to their distance alone.
+const LATE_FACTOR: f64 = 4.0;
+/// A copy that took at most 250 ms is never late: at this speed a subscriber does not slow down others,
+/// however fast these are.
+const MAX_PROMPT_TIME: Ms = 250.0;
+/// A subscriber is judged slow, or a forwarder at fault, at the first share of late votes. The verdict is
+/// lifted at the second and stays in between.
+const SLOW_LATE_SHARE: f64 = 0.5;
+const CLEARED_LATE_SHARE: f64 = 0.1;
+/// Votes that a verdict needs. A stall makes one or two of them late, and half of eight is four.
+const MIN_VOTES: f64 = 8.0;
+/// A forwarder is at fault in a batch if more than half of the subscribers in it were late. With fewer than
+/// four subscribers the fault cannot be attributed.
+const MIN_BATCH_SUBSCRIBERS: usize = 4;
+/// Ticks for which a batch with fewer subscribers waits for more; then it is dropped, since no verdict can be
+/// based on it.
+const MAX_BATCH_TICKS: u64 = 10;
+/// Batches that a verdict on a forwarder needs.
+const MIN_BATCHES: f64 = 3.0;
+/// Samples of one instance between two ticks; more add no information.
+const MAX_BATCH_SAMPLES: usize = 4096;
+/// Ticks of being as good as the rest after which a recovery is lasting. Doubled with each earlier recovery,
+/// up to eight times.
+const RECOVERY_TICKS: u64 = 60;
+/// Ticks after which a verdict on a route is dropped: routes are repaired.
+const ROUTE_VERDICT_TICKS: u64 = 600;
+/// Instances whose votes are kept for a subscriber.
+const MAX_VOTED_INSTANCES: usize = 4;
 
+/// The measured times of one copy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Sample {
     subscriber: Subscriber,
@@ -44,7 +50,7 @@
     waited: Ms,
 }
 
-/// Medians of the cohorts that are for subscribers that keep up.
+/// Medians of the cohorts for subscribers that keep up.
 struct Medians(BTreeMap<Cohort, Ms>);
 
 impl Medians {
@@ -63,22 +69,28 @@
     }
 
     fn is_late(&self, own: Ms, cohort: Cohort) -> bool {
-        let over = |known: Option<Ms>| known.is_none_or(|usual| own > TIMES * usual);
-        own > FLOOR && over(self.of(cohort)) && over(self.others(cohort))
+        let over = |known: Option<Ms>| known.is_none_or(|usual| own > LATE_FACTOR * usual);
+        own > MAX_PROMPT_TIME && over(self.of(cohort)) && over(self.others(cohort))
     }
 }
 
 impl FanoutState {
-    pub(crate) fn sample(&mut self, at: InstanceId, subscriber: Subscriber, own: Ms, waited: Ms) {
+    pub(crate) fn add_sample(
+        &mut self,
+        at: InstanceId,
+        subscriber: Subscriber,
+        own: Ms,
+        waited: Ms,
+    ) {
         let rests = self
-            .followers
+            .subscribers
             .get(&subscriber)
             .is_none_or(|f| f.rests.contains(&at));
         let Some(instance) = self.instances.get_mut(&at).filter(|i| !i.lost) else {
             return;
         };
-        let readable = own.is_finite() && waited.is_finite() && own >= 0.0 && waited >= 0.0;
-        if rests || !readable || instance.batch.len() >= MOST {
+        let is_valid = own.is_finite() && waited.is_finite() && own >= 0.0 && waited >= 0.0;
+        if rests || !is_valid || instance.batch.len() >= MAX_BATCH_SAMPLES {
             return;
         }
         if instance.batch.is_empty() {
@@ -91,26 +103,28 @@
         });
     }
 
-    /// A copy that is out for long is a vote while it is out: who hangs is not found by its ends alone.
-    pub(crate) fn still_out(
+    /// A copy that is in flight for long gives a sample before it ends: a subscriber that hangs is not found
+    /// by ended copies alone.
+    pub(crate) fn sample_in_flight_copy(
         &mut self,
         at: InstanceId,
         subscriber: Subscriber,
         position: Position,
         own: Ms,
     ) {
-        let Some(follower) = self.followers.get_mut(&subscriber) else {
+        let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) else {
             return;
         };
-        let here =
-            |p: &&mut crate::state::Pending| p.position == position && p.at == Some(at) && !p.voted;
-        if let Some(pending) = follower.pending.iter_mut().find(here) {
-            pending.voted = true;
-            self.sample(at, subscriber, own, 0.0);
+        let here = |p: &&mut crate::state::PendingCopy| {
+            p.position == position && p.at == Some(at) && !p.sampled
+        };
+        if let Some(pending) = subscriber_state.pending.iter_mut().find(here) {
+            pending.sampled = true;
+            self.add_sample(at, subscriber, own, 0.0);
         }
     }
 
-    pub(crate) fn detect(&mut self) {
+    pub(crate) fn update_verdicts(&mut self) {
         let medians = self.medians();
         let ids: Vec<InstanceId> = self.instances.keys().copied().collect();
         ids.into_iter()
@@ -121,49 +135,58 @@
     fn medians(&self) -> Medians {
         let mut all = BTreeMap::new();
         for (id, cohort) in self.cohorts.iter().filter(|(_, c)| !c.slow) {
-            let followers = cohort.members.iter().filter_map(|s| self.followers.get(s));
-            let votes = followers.filter_map(|f| f.votes.get(&cohort.by?));
-            let own = votes.filter(|v| v.seen() >= 1.0).map(Votes::own).collect();
+            let subscribers = cohort
+                .members
+                .iter()
+                .filter_map(|s| self.subscribers.get(s));
+            let votes = subscribers.filter_map(|f| f.votes.get(&cohort.by?));
+            let own = votes
+                .filter(|v| v.count() >= 1.0)
+                .map(Votes::mean_own)
+                .collect();
             median(own).map(|own| all.insert(*id, own));
         }
         Medians(all)
     }
 
-    /// One vote for each subscriber seen, unless the forwarder was at fault.
+    /// Adds one vote for each subscriber in the batch, unless the forwarder was at fault.
     fn judge_batch(&mut self, id: InstanceId, medians: &Medians) {
         let tick = self.tick;
         let Some(instance) = self.instances.get_mut(&id) else {
             return;
         };
-        let mut seen: BTreeMap<Subscriber, (usize, usize, Ms, Ms)> = BTreeMap::new();
+        let mut by_subscriber: BTreeMap<Subscriber, (usize, usize, Ms, Ms)> = BTreeMap::new();
         for sample in &instance.batch {
-            let Some(follower) = self.followers.get(&sample.subscriber) else {
+            let Some(subscriber_state) = self.subscribers.get(&sample.subscriber) else {
                 continue;
             };
-            let (count, late, own, waited) = seen.entry(sample.subscriber).or_default();
+            let (count, late, own, waited) = by_subscriber.entry(sample.subscriber).or_default();
             *count += 1;
-            *late += usize::from(medians.is_late(sample.own, follower.cohort));
+            *late += usize::from(medians.is_late(sample.own, subscriber_state.cohort));
             *own += sample.own;
             *waited += sample.waited;
         }
         let slow = |s: &Subscriber| {
-            self.followers
+            self.subscribers
                 .get(s)
                 .is_some_and(|f| matches!(f.verdict.judged, Judged::Slow(_)))
         };
-        // Those known as slow are late anywhere and say nothing of the forwarder.
-        let telling: Vec<_> = seen.iter().filter(|(s, _)| !slow(s)).collect();
-        let few = telling.len() < FEWEST;
-        if few && tick - instance.since < PATIENT && seen.len() == telling.len() {
+        // Subscribers that are judged slow are late at any forwarder, and no evidence about this one.
+        let informative: Vec<_> = by_subscriber.iter().filter(|(s, _)| !slow(s)).collect();
+        let few = informative.len() < MIN_BATCH_SUBSCRIBERS;
+        if few
+            && tick - instance.since < MAX_BATCH_TICKS
+            && by_subscriber.len() == informative.len()
+        {
             return;
         }
         instance.batch.clear();
-        let late = telling
+        let late = informative
             .iter()
             .filter(|(_, (count, late, ..))| 2 * late > *count)
             .count();
-        let at_fault = !few && 2 * late > telling.len();
-        let all = telling
+        let at_fault = !few && 2 * late > informative.len();
+        let all = informative
             .iter()
             .map(|(_, (count, _, own, waited))| (*count as f64, *own, *waited));
         let (count, own, waited) =
@@ -173,57 +196,64 @@
                 .votes
                 .add(tick, at_fault, own / count, waited / count);
         }
-        instance.votes.fade(tick);
-        let enough = instance.votes.seen() >= BATCHES;
+        instance.votes.decay(tick);
+        let enough = instance.votes.count() >= MIN_BATCHES;
         instance.at_fault = match instance.at_fault {
-            false => enough && instance.votes.late() >= ENTER,
-            true => instance.votes.late() > LEAVE,
+            false => enough && instance.votes.late_share() >= SLOW_LATE_SHARE,
+            true => instance.votes.late_share() > CLEARED_LATE_SHARE,
         };
         if at_fault || instance.at_fault {
             return;
         }
-        let telling: BTreeSet<Subscriber> = telling.into_iter().map(|(s, _)| *s).collect();
-        for (subscriber, (count, late, own, waited)) in seen {
-            if few && telling.contains(&subscriber) {
+        let informative: BTreeSet<Subscriber> = informative.into_iter().map(|(s, _)| *s).collect();
+        for (subscriber, (count, late, own, waited)) in by_subscriber {
+            if few && informative.contains(&subscriber) {
                 continue;
             }
-            let Some(follower) = self.followers.get_mut(&subscriber) else {
+            let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) else {
                 continue;
             };
             let share = count as f64;
-            let votes = follower.votes.entry(id).or_default();
+            let votes = subscriber_state.votes.entry(id).or_default();
             votes.add(tick, 2 * late > count, own / share, waited / share);
-            while follower.votes.len() > PLACES {
+            while subscriber_state.votes.len() > MAX_VOTED_INSTANCES {
                 let here = |v: &(&InstanceId, &Votes)| *v.0 != id;
-                let least = follower
+                let least = subscriber_state
                     .votes
                     .iter()
                     .filter(here)
-                    .min_by(|a, b| a.1.seen().total_cmp(&b.1.seen()));
-                let Some(least) = least.map(|(place, _)| *place) else {
+                    .min_by(|a, b| a.1.count().total_cmp(&b.1.count()));
+                let Some(least) = least.map(|(instance_id, _)| *instance_id) else {
                     break;
                 };
-                follower.votes.remove(&least);
+                subscriber_state.votes.remove(&least);
             }
         }
     }
 
     fn judge_all(&mut self, medians: &Medians) {
         let tick = self.tick;
-        for follower in self.followers.values_mut() {
-            let Some(at) = self.cohorts.get(&follower.cohort).and_then(|c| c.by) else {
+        for subscriber_state in self.subscribers.values_mut() {
+            let Some(at) = self
+                .cohorts
+                .get(&subscriber_state.cohort)
+                .and_then(|c| c.by)
+            else {
                 continue;
             };
-            let (cohort, rests) = (follower.cohort, follower.rests.contains(&at));
-            let Some(votes) = follower.votes.get_mut(&at) else {
+            let (cohort, rests) = (
+                subscriber_state.cohort,
+                subscriber_state.rests.contains(&at),
+            );
+            let Some(votes) = subscriber_state.votes.get_mut(&at) else {
                 continue;
             };
-            votes.fade(tick);
-            let (seen, late, own) = (votes.seen(), votes.late(), votes.own());
-            let enough = seen >= EVIDENCE && !rests;
-            let verdict = &mut follower.verdict;
+            votes.decay(tick);
+            let (seen, late, own) = (votes.count(), votes.late_share(), votes.mean_own());
+            let enough = seen >= MIN_VOTES && !rests;
+            let verdict = &mut subscriber_state.verdict;
             match verdict.judged {
-                Judged::KeepsUp if enough && late >= ENTER => {
+                Judged::KeepsUp if enough && late >= SLOW_LATE_SHARE => {
                     let (cohort, others) = (medians.of(cohort), medians.others(cohort));
                     verdict.judged = Judged::Slow(Figures {
                         at,
@@ -233,24 +263,28 @@
                         cohort,
                         others,
                     });
-                    (verdict.since, verdict.good, verdict.confirmed) = (tick, 0, false);
+                    (verdict.since, verdict.good_ticks, verdict.confirmed) = (tick, 0, false);
                 }
                 Judged::Slow(figures) if enough => {
-                    verdict.good = if late <= LEAVE { verdict.good + 1 } else { 0 };
+                    verdict.good_ticks = if late <= CLEARED_LATE_SHARE {
+                        verdict.good_ticks + 1
+                    } else {
+                        0
+                    };
                     let elsewhere = figures.at != at && !verdict.confirmed;
                     verdict.confirmed |= elsewhere;
-                    let lasting = LASTING << verdict.relapses.min(3);
-                    if elsewhere && late <= LEAVE {
+                    let lasting = RECOVERY_TICKS << verdict.recoveries.min(3);
+                    if elsewhere && late <= CLEARED_LATE_SHARE {
                         verdict.judged = Judged::Route(figures);
-                        (verdict.since, verdict.good) = (tick, 0);
-                    } else if verdict.good >= lasting {
+                        (verdict.since, verdict.good_ticks) = (tick, 0);
+                    } else if verdict.good_ticks >= lasting {
                         verdict.judged = Judged::KeepsUp;
-                        (verdict.since, verdict.good) = (tick, 0);
-                        verdict.relapses += 1;
+                        (verdict.since, verdict.good_ticks) = (tick, 0);
+                        verdict.recoveries += 1;
                     }
                 }
-                Judged::Route(figures) if figures.at != at && enough && late >= ENTER => {
-                    // It is slow here too.
+                Judged::Route(figures) if figures.at != at && enough && late >= SLOW_LATE_SHARE => {
+                    // The subscriber is slow here too.
                     verdict.judged = Judged::Slow(Figures {
                         at,
                         votes: seen,
@@ -258,9 +292,9 @@
                         own,
                         ..figures
                     });
-                    (verdict.since, verdict.good, verdict.confirmed) = (tick, 0, true);
+                    (verdict.since, verdict.good_ticks, verdict.confirmed) = (tick, 0, true);
                 }
-                Judged::Route(_) if tick - verdict.since >= ROUTE_KEPT => {
+                Judged::Route(_) if tick - verdict.since >= ROUTE_VERDICT_TICKS => {
                     verdict.judged = Judged::KeepsUp;
                     verdict.since = tick;
                 }
--- a/forwarder/fanout/src/host.rs
+++ b/forwarder/fanout/src/host.rs
@@ -1,36 +1,39 @@
-//! What a station and its host say to each other.
+//! The interface between a [`crate::LocalInstance`] and its host.
 
 use plankhill_decisions::interface::{EventId, Ms};
 
 use crate::command::{Outcome, Rejection};
 use crate::names::*;
 
-/// What the host is to do.
+/// A request to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostRequest {
-    /// The event is to be handed to the module, once written down as any other; [`crate::LocalInstance::fields`] has the rest.
+    /// Submit the event to the decision module, once it is recorded like any other event;
+    /// [`crate::LocalInstance::fields`] has its other fields.
     Submit {
         event: EventId,
         subscriber: Subscriber,
         position: Position,
         deadline: Ms,
     },
-    /// The copy's end is told as a notice; [`crate::LocalInstance::on_outcome_acknowledged`] follows once that was heard.
+    /// Report the copy's outcome in a notice. The host calls
+    /// [`crate::LocalInstance::on_outcome_acknowledged`] once the notice is acknowledged.
     NotifyOutcome {
         event: EventId,
         subscriber: Subscriber,
         position: Position,
         outcome: Outcome,
     },
-    /// The attempt counts: 202.
+    /// The submission with this number is committed: the client gets a 202.
     Accepted(u64),
-    /// It surely does not count, and never will.
+    /// The submission with this number surely is not committed, and never will be.
     Rejected(u64, Rejection),
+    /// Every copy of the broadcast has ended: how many completed, were rejected and were abandoned.
     BroadcastCompleted(BroadcastId, [u32; 3]),
 }
 
-/// What only the host knows.
+/// State that only the host has.
 pub trait Host {
-    /// Whether the ledger still owes the event or a notice of its end.
+    /// Whether the event, or a notice of its outcome, is still pending in the host's event log.
     fn is_pending(&self, event: &EventId) -> bool;
 }
--- a/forwarder/fanout/src/instances.rs
+++ b/forwarder/fanout/src/instances.rs
@@ -1,73 +1,80 @@
-//! The instances that serve: which of them are there, what they hold, and what their log says of each.
+//! The instances that serve subscribers: whether each is reachable, how many copies it has, and the votes on
+//! it.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-use crate::command::{News, Outcome};
+use crate::command::{Effect, Outcome};
 use crate::detect::Sample;
 use crate::names::*;
 use crate::state::FanoutState;
-use crate::sums::Votes;
+use crate::votes::Votes;
 
-/// Decided attempts that are remembered one by one: several times what a station has open.
-pub(crate) const ATTEMPTS: usize = 1024;
+/// Decided submissions that are remembered one by one: several times the number that a local instance has
+/// open.
+pub(crate) const MAX_DECIDED_SUBMISSIONS: usize = 1024;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Instance {
-    /// The number of its last process.
+    /// The number of its latest process.
     pub(crate) process: u64,
-    /// Attempts of clients at that process that were decided; of lower ones than the floor, all are.
-    pub(crate) attempts: BTreeSet<u64>,
+    /// Submissions of clients at that process that were decided; all those below `floor` were.
+    pub(crate) decided_submissions: BTreeSet<u64>,
     pub(crate) floor: u64,
     pub(crate) lost: bool,
     pub(crate) times_lost: u64,
-    /// Copies that may be out there.
+    /// Number of copies that may be in flight at the instance.
     pub(crate) held: usize,
-    /// Its batches, late where it was at fault, and how long copies waited there for their first call.
+    /// One vote for each batch, late if the instance was at fault in it, with the mean wait of copies for
+    /// their first call.
     pub(crate) votes: Votes,
     pub(crate) at_fault: bool,
-    /// What was seen there and not judged yet, since which tick.
+    /// Samples that are not judged yet, and the tick of the first one.
     pub(crate) batch: Vec<Sample>,
     pub(crate) since: u64,
 }
 
 impl FanoutState {
-    pub(crate) fn started(&mut self, by: InstanceId, process: u64) {
+    pub(crate) fn start_process(&mut self, by: InstanceId, process: u64) {
         let instance = self.instances.entry(by).or_default();
         if process > instance.process {
             (instance.process, instance.lost) = (process, false);
-            (instance.attempts, instance.floor) = (BTreeSet::new(), 0);
+            (instance.decided_submissions, instance.floor) = (BTreeSet::new(), 0);
         }
     }
 
-    /// Whether the attempt is to be decided now: reports come late and twice.
-    pub(crate) fn attempts(&mut self, by: InstanceId, process: u64, number: u64) -> bool {
+    /// Whether the submission is to be decided now, which is then remembered: reports arrive late and twice.
+    pub(crate) fn decide_submission(&mut self, by: InstanceId, process: u64, number: u64) -> bool {
         let Some(instance) = self.instances.get_mut(&by).filter(|i| i.process == process) else {
             return false;
         };
-        if number < instance.floor || !instance.attempts.insert(number) {
+        if number < instance.floor || !instance.decided_submissions.insert(number) {
             return false;
         }
-        if instance.attempts.len() > ATTEMPTS {
-            instance.floor = instance.attempts.pop_first().map_or(0, |oldest| oldest + 1);
+        if instance.decided_submissions.len() > MAX_DECIDED_SUBMISSIONS {
+            instance.floor = instance
+                .decided_submissions
+                .pop_first()
+                .map_or(0, |oldest| oldest + 1);
         }
         true
     }
 
-    /// The number of the instance's last process; 0 if none has started.
+    /// The number of the instance's latest process; 0 if none has started.
     pub fn process(&self, instance: InstanceId) -> u64 {
         self.instances.get(&instance).map_or(0, |i| i.process)
     }
 
-    /// It goes on with what it holds; what was given up meanwhile is no longer its own.
-    pub(crate) fn joined(&mut self, instance: InstanceId) {
+    /// The instance is reachable again and goes on with its copies, except those that were abandoned
+    /// meanwhile.
+    pub(crate) fn mark_reachable(&mut self, instance: InstanceId) {
         if let Some(instance) = self.instances.get_mut(&instance) {
             instance.lost = false;
         }
     }
 
-    pub(crate) fn lost(&mut self, id: InstanceId) {
+    pub(crate) fn mark_lost(&mut self, id: InstanceId) {
         if let Some(instance) = self.instances.get_mut(&id).filter(|i| !i.lost) {
             instance.lost = true;
             instance.times_lost += 1;
@@ -75,20 +82,20 @@
         }
     }
 
-    /// The cohort changes hands. What is out at the instance before goes on there and ends there; until then
-    /// the subscriber's next copies wait.
-    pub(crate) fn served(
+    /// Assigns the cohort to an instance. Copies in flight at the previous instance end there; until then the
+    /// subscribers' next copies wait.
+    pub(crate) fn assign_cohort(
         &mut self,
         cohort: Cohort,
         epoch: u64,
         by: InstanceId,
-        news: &mut Vec<News>,
+        effects: &mut Vec<Effect>,
     ) {
-        let there = self.instances.get(&by).is_some_and(|i| !i.lost);
+        let is_reachable = self.instances.get(&by).is_some_and(|i| !i.lost);
         let Some(state) = self
             .cohorts
             .get_mut(&cohort)
-            .filter(|c| c.epoch == epoch && there)
+            .filter(|c| c.epoch == epoch && is_reachable)
         else {
             return;
         };
@@ -97,25 +104,26 @@
             return;
         }
         for subscriber in state.members.clone() {
-            self.moves(subscriber, news);
+            self.update_move(subscriber, effects);
         }
     }
 
-    /// The subscriber's instance may be another now: it is on the move until nothing is out elsewhere.
-    pub(crate) fn moves(&mut self, subscriber: Subscriber, news: &mut Vec<News>) {
+    /// Called when another instance may serve the subscriber now: the subscriber is moving until none of its
+    /// copies is in flight elsewhere.
+    pub(crate) fn update_move(&mut self, subscriber: Subscriber, effects: &mut Vec<Effect>) {
         let server = self.server(subscriber);
-        let Some(follower) = self.followers.get_mut(&subscriber) else {
+        let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) else {
             return;
         };
-        // Ends that were still to be told are told by whoever serves it now, if none else can.
-        for pending in follower.pending.iter_mut() {
-            let gone = pending
+        // Outcomes that are still to be reported pass to the current server if their own instance is lost.
+        for pending in subscriber_state.pending.iter_mut() {
+            let is_unreachable = pending
                 .at
                 .is_none_or(|at| self.instances.get(&at).is_none_or(|i| i.lost));
-            if let (true, Some(to), Some(_)) = (gone, server, pending.end) {
+            if let (true, Some(to), Some(_)) = (is_unreachable, server, pending.end) {
                 pending.at = Some(to);
                 let (position, end) = (pending.position, pending.end);
-                news.push(News::Hand {
+                effects.push(Effect::Assigned {
                     to,
                     ticket: None,
                     subscriber,
@@ -124,48 +132,59 @@
                 });
             }
         }
-        if follower.out_elsewhere(server) {
+        if subscriber_state.in_flight_elsewhere(server) {
             self.moving.insert(subscriber);
         } else {
-            self.settles(subscriber, news);
+            self.complete_move_if_drained(subscriber, effects);
         }
     }
 
-    pub(crate) fn settles(&mut self, subscriber: Subscriber, news: &mut Vec<News>) {
+    /// Completes the subscriber's move unless a copy is still in flight elsewhere.
+    pub(crate) fn complete_move_if_drained(
+        &mut self,
+        subscriber: Subscriber,
+        effects: &mut Vec<Effect>,
+    ) {
         let server = self.server(subscriber);
-        let elsewhere = self
-            .followers
+        let is_draining = self
+            .subscribers
             .get(&subscriber)
-            .is_some_and(|f| f.out_elsewhere(server));
-        if let (false, Some(by)) = (elsewhere, server) {
+            .is_some_and(|f| f.in_flight_elsewhere(server));
+        if let (false, Some(by)) = (is_draining, server) {
             self.moving.remove(&subscriber);
-            news.push(News::Settled { subscriber, by });
+            effects.push(Effect::MoveCompleted { subscriber, by });
         }
     }
 
-    /// What it held has surely ended there, and nobody knows how: it may have had its effect, so it is never
-    /// sent again. Whoever serves the subscriber tells the end.
-    pub(crate) fn given_up(&mut self, instance: InstanceId, time: u64, news: &mut Vec<News>) {
+    /// Ends the copies of a lost instance. They have surely ended there with an unknown outcome, and may have
+    /// had their effect, so they are never sent again. The instance that serves the subscriber reports the
+    /// outcome.
+    pub(crate) fn end_copies_of_lost(
+        &mut self,
+        instance: InstanceId,
+        time: u64,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.times_lost(instance) != Some(time) {
             return;
         }
-        let ids: Vec<Subscriber> = self.followers.keys().copied().collect();
+        let ids: Vec<Subscriber> = self.subscribers.keys().copied().collect();
         for subscriber in ids {
             let server = self.server(subscriber).filter(|s| !self.instances[s].lost);
-            let Some(follower) = self.followers.get_mut(&subscriber) else {
+            let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) else {
                 continue;
             };
-            let mut touched = false;
-            for pending in follower
+            let mut changed = false;
+            for pending in subscriber_state
                 .pending
                 .iter_mut()
                 .filter(|p| p.at == Some(instance))
             {
-                touched = true;
+                changed = true;
                 pending.end.get_or_insert(Outcome::Abandoned);
                 pending.at = server;
                 let (position, end) = (pending.position, pending.end);
-                news.extend(server.map(|to| News::Hand {
+                effects.extend(server.map(|to| Effect::Assigned {
                     to,
                     ticket: None,
                     subscriber,
@@ -173,8 +192,8 @@
                     end,
                 }));
             }
-            if touched {
-                self.settles(subscriber, news);
+            if changed {
+                self.complete_move_if_drained(subscriber, effects);
             }
         }
         self.instances.entry(instance).or_default().held = 0;
--- a/forwarder/fanout/src/layout.rs
+++ b/forwarder/fanout/src/layout.rs
@@ -1,51 +1,56 @@
-//! Lists and cohorts as the fleet file has them.
+//! Applies the lists and cohorts of the fleet file.
 
-use crate::command::{Layout, News};
+use crate::command::{Effect, Layout};
 use crate::names::*;
-use crate::state::{FanoutState, Follower};
+use crate::state::{FanoutState, SubscriberState};
 
 impl FanoutState {
-    /// A subscriber that no list names any more still gets what was taken for it. One that is new goes to the
-    /// cohort with the fewest. Cohorts that the file no longer has stay while they have members.
-    pub(crate) fn laid(&mut self, layout: Layout, news: &mut Vec<News>) {
+    /// A subscriber that no list names any more still gets the copies accepted for it. A new one joins the
+    /// cohort with the fewest members. The members of a cohort that the file no longer has move to other
+    /// cohorts.
+    pub(crate) fn apply_layout(&mut self, layout: Layout, effects: &mut Vec<Effect>) {
         self.bounds = layout.bounds;
         self.lists = layout.lists.into_iter().collect();
         for members in self.lists.values_mut() {
             members.sort();
             members.dedup();
         }
-        let told = layout.cohorts + layout.slow_cohorts;
-        for number in 0..told {
+        let cohort_count = layout.cohorts + layout.slow_cohorts;
+        for number in 0..cohort_count {
             self.cohorts.entry(Cohort(number)).or_default().slow = number >= layout.cohorts;
         }
-        self.followers.values_mut().for_each(|f| f.listed = false);
+        self.subscribers
+            .values_mut()
+            .for_each(|f| f.is_listed = false);
         let named: Vec<Subscriber> = self.lists.values().flatten().copied().collect();
         for subscriber in named {
-            if let Some(follower) = self.followers.get_mut(&subscriber) {
-                follower.listed = true;
+            if let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) {
+                subscriber_state.is_listed = true;
                 continue;
             }
             let fast = self
                 .cohorts
                 .iter_mut()
-                .filter(|(id, c)| !c.slow && id.0 < told);
+                .filter(|(id, c)| !c.slow && id.0 < cohort_count);
             if let Some((cohort, state)) = fast.min_by_key(|(id, c)| (c.members.len(), **id)) {
                 state.members.insert(subscriber);
-                self.followers.insert(subscriber, Follower::new(*cohort));
+                self.subscribers
+                    .insert(subscriber, SubscriberState::new(*cohort));
             }
         }
-        self.leave_old_cohorts(told, news);
-        let gone: Vec<Subscriber> = self.followers.keys().copied().collect();
-        gone.into_iter()
-            .for_each(|subscriber| self.forget_if_gone(subscriber));
+        self.remove_old_cohorts(cohort_count, effects);
+        let candidates: Vec<Subscriber> = self.subscribers.keys().copied().collect();
+        candidates
+            .into_iter()
+            .for_each(|subscriber| self.remove_if_unused(subscriber));
     }
 
-    fn leave_old_cohorts(&mut self, told: u32, news: &mut Vec<News>) {
+    fn remove_old_cohorts(&mut self, cohort_count: u32, effects: &mut Vec<Effect>) {
         let old: Vec<Cohort> = self
             .cohorts
             .keys()
             .copied()
-            .filter(|c| c.0 >= told)
+            .filter(|c| c.0 >= cohort_count)
             .collect();
         for cohort in old {
             let members = self
@@ -59,26 +64,29 @@
                     continue;
                 };
                 state.members.insert(subscriber);
-                if let Some(follower) = self.followers.get_mut(&subscriber) {
-                    follower.cohort = *to;
+                if let Some(subscriber_state) = self.subscribers.get_mut(&subscriber) {
+                    subscriber_state.cohort = *to;
                 }
-                self.moves(subscriber, news);
+                self.update_move(subscriber, effects);
             }
         }
     }
 
-    /// No list names it and nothing is kept for it.
-    pub(crate) fn forget_if_gone(&mut self, subscriber: Subscriber) {
-        let Some(follower) = self.followers.get(&subscriber) else {
+    /// Removes the subscriber if no list names it and no copy is kept for it.
+    pub(crate) fn remove_if_unused(&mut self, subscriber: Subscriber) {
+        let Some(subscriber_state) = self.subscribers.get(&subscriber) else {
             return;
         };
-        if follower.listed || !follower.waiting.is_empty() || !follower.pending.is_empty() {
+        if subscriber_state.is_listed
+            || !subscriber_state.queued.is_empty()
+            || !subscriber_state.pending.is_empty()
+        {
             return;
         }
-        if let Some(cohort) = self.cohorts.get_mut(&follower.cohort) {
+        if let Some(cohort) = self.cohorts.get_mut(&subscriber_state.cohort) {
             cohort.members.remove(&subscriber);
         }
-        self.followers.remove(&subscriber);
+        self.subscribers.remove(&subscriber);
         self.moving.remove(&subscriber);
     }
 }
--- a/forwarder/fanout/src/plan.rs
+++ b/forwarder/fanout/src/plan.rs
@@ -1,5 +1,5 @@
-//! Which subscriber goes to which cohort, and which instance serves which: commands for the log, worked out
-//! from the committed state alone. Whoever leads proposes them; proposed twice they count once.
+//! Assigns subscribers to cohorts and cohorts to instances, by commands for the log that are computed from
+//! the committed state alone. The leader proposes them; a command that is proposed twice counts once.
 
 use plankhill_decisions::interface::Ms;
 
@@ -8,27 +8,29 @@
 use crate::state::FanoutState;
 use crate::verdict::Judged;
 
-/// A mean wait for the first call of a tenth of a second weighs as much as a room filled by a tenth.
-const WAIT: Ms = 1000.0;
-/// What one member more weighs against the room: of two that are as free, the one with fewer.
-const MEMBER: f64 = 0.001;
+/// The mean wait for the first call that weighs as much as the complete room: 100 ms weigh as much as a tenth
+/// of it.
+const WAIT_SCALE: Ms = 1000.0;
+/// The weight of one more member, relative to the room: of two instances with equal room, the one with the
+/// smaller cohort is chosen.
+const MEMBER_WEIGHT: f64 = 0.001;
 
 impl FanoutState {
-    /// Few, and within the bounds on moves; the worst first.
+    /// The commands to propose now: few, and within the bounds on moves; the worst subscribers first.
     pub fn plan(&self) -> Vec<Command> {
-        let mut commands = self.unserved();
+        let mut commands = self.assign_unserved_cohorts();
         if commands.is_empty() {
-            commands = self.regroups();
+            commands = self.plan_moves();
         }
         if commands.is_empty() {
-            commands.extend(self.evens_out());
+            commands.extend(self.rebalance());
         }
         commands
     }
 
-    /// Cohorts that nobody serves, or one that is lost.
-    fn unserved(&self) -> Vec<Command> {
-        let mut serving = self.serving();
+    /// Assigns the cohorts that no instance serves, or a lost one.
+    fn assign_unserved_cohorts(&self) -> Vec<Command> {
+        let mut serving = self.cohort_counts();
         let mut commands = Vec::new();
         for (cohort, state) in &self.cohorts {
             if state
@@ -37,12 +39,16 @@
             {
                 continue;
             }
-            // Slow ones go where the fewest others are, others keep away from the slow.
-            let weight = |of: &(InstanceId, usize, usize)| match state.slow {
-                true => (of.1, of.2),
-                false => (of.1 + self.slow_weighs(of.2), 0),
+            // A slow cohort goes to the instance with the fewest other cohorts; the others avoid instances
+            // with slow cohorts.
+            let weight = |counts: &(InstanceId, usize, usize)| match state.slow {
+                true => (counts.1, counts.2),
+                false => (counts.1 + self.slow_cohorts_weight(counts.2), 0),
             };
-            let Some(to) = serving.iter_mut().min_by_key(|of| (weight(of), of.0)) else {
+            let Some(to) = serving
+                .iter_mut()
+                .min_by_key(|counts| (weight(counts), counts.0))
+            else {
                 return commands;
             };
             *(if state.slow { &mut to.2 } else { &mut to.1 }) += 1;
@@ -55,15 +61,16 @@
         commands
     }
 
-    /// A cohort of slow ones is as heavy as an even part of the others.
-    fn slow_weighs(&self, slow: usize) -> usize {
+    /// The weight of so many slow cohorts: each counts as much as an instance's even share of the other
+    /// cohorts.
+    fn slow_cohorts_weight(&self, slow: usize) -> usize {
         let fast = self.cohorts.values().filter(|c| !c.slow).count();
         slow * fast.div_ceil(self.instances.len().max(1)).max(1)
     }
 
-    /// Instances that are there, with the cohorts that they serve and the slow ones among them.
-    fn serving(&self) -> Vec<(InstanceId, usize, usize)> {
-        let there = self
+    /// Instances that are not lost, with the number of other and of slow cohorts that each serves.
+    fn cohort_counts(&self) -> Vec<(InstanceId, usize, usize)> {
+        let reachable = self
             .instances
             .iter()
             .filter(|(_, i)| !i.lost)
@@ -74,31 +81,34 @@
                 .filter(|c| c.by == Some(id) && c.slow == slow)
                 .count()
         };
-        there
+        reachable
             .map(|id| (id, count(id, false), count(id, true)))
             .collect()
     }
 
-    /// One cohort goes from the instance with the most to the one with the fewest, while nothing else moves.
-    fn evens_out(&self) -> Option<Command> {
+    /// Moves one cohort from the most loaded instance to the least loaded one, while no subscriber is moving.
+    fn rebalance(&self) -> Option<Command> {
         if !self.moving.is_empty() {
             return None;
         }
-        let serving = self.serving();
-        let load = |of: &(InstanceId, usize, usize)| of.1 + self.slow_weighs(of.2);
+        let serving = self.cohort_counts();
+        let load =
+            |counts: &(InstanceId, usize, usize)| counts.1 + self.slow_cohorts_weight(counts.2);
         let most = serving
             .iter()
-            .filter(|of| of.1 > 0)
-            .max_by_key(|of| (load(of), of.0))?;
-        let least = serving.iter().min_by_key(|of| (load(of), of.0))?;
+            .filter(|counts| counts.1 > 0)
+            .max_by_key(|counts| (load(counts), counts.0))?;
+        let least = serving
+            .iter()
+            .min_by_key(|counts| (load(counts), counts.0))?;
         if load(most) < load(least) + 2 {
             return None;
         }
-        let mut theirs = self
+        let mut candidates = self
             .cohorts
             .iter()
             .filter(|(_, c)| !c.slow && c.by == Some(most.0));
-        let (cohort, state) = theirs.next()?;
+        let (cohort, state) = candidates.next()?;
         Some(Command::Served {
             cohort: *cohort,
             epoch: state.epoch,
@@ -106,16 +116,17 @@
         })
     }
 
-    fn regroups(&self) -> Vec<Command> {
+    /// Moves the subscribers whose verdict does not fit their cohort.
+    fn plan_moves(&self) -> Vec<Command> {
         let at_once = self.bounds.moves_at_once.saturating_sub(self.moving.len());
         let left = self
             .bounds
             .moves_a_minute
-            .saturating_sub(self.moved_lately())
+            .saturating_sub(self.recent_moves())
             .min(at_once);
         let mut wanted: Vec<(f64, Subscriber, Cohort, bool, Option<InstanceId>)> = Vec::new();
-        for (subscriber, follower) in &self.followers {
-            let from = follower.cohort;
+        for (subscriber, subscriber_state) in &self.subscribers {
+            let from = subscriber_state.cohort;
             let Some(cohort) = self
                 .cohorts
                 .get(&from)
@@ -123,7 +134,7 @@
             else {
                 continue;
             };
-            match follower.verdict.judged {
+            match subscriber_state.verdict.judged {
                 Judged::Slow(figures) if !cohort.slow => {
                     wanted.push((
                         1.0 + figures.late * figures.own,
@@ -143,16 +154,16 @@
             }
         }
         wanted.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let mut coming = Vec::new();
+        let mut receiving = Vec::new();
         let mut commands = Vec::new();
-        for (_, subscriber, from, slow, barred) in wanted {
+        for (_, subscriber, from, slow, excluded) in wanted {
             if commands.len() >= left {
                 break;
             }
-            let Some((to, by)) = self.receives(slow, barred, &coming) else {
+            let Some((to, by)) = self.choose_cohort(slow, excluded, &receiving) else {
                 continue;
             };
-            coming.push(by);
+            receiving.push(by);
             commands.push(Command::Moved {
                 subscriber,
                 from,
@@ -162,30 +173,30 @@
         commands
     }
 
-    /// The cohort of that sort whose instance has the most room and lets copies wait least. One that is at
-    /// fault, lost or full receives nobody.
-    fn receives(
+    /// The cohort, slow or not, whose instance has the most room and the shortest wait. An instance that is
+    /// at fault, lost or full is not chosen.
+    fn choose_cohort(
         &self,
         slow: bool,
-        barred: Option<InstanceId>,
-        coming: &[InstanceId],
+        excluded: Option<InstanceId>,
+        receiving: &[InstanceId],
     ) -> Option<(Cohort, InstanceId)> {
         let mut best: Option<(f64, Cohort, InstanceId)> = None;
         for (cohort, state) in self.cohorts.iter().filter(|(_, c)| c.slow == slow) {
-            let Some(by) = state.by.filter(|by| Some(*by) != barred) else {
+            let Some(by) = state.by.filter(|by| Some(*by) != excluded) else {
                 continue;
             };
             let Some(instance) = self.instances.get(&by).filter(|i| !i.lost && !i.at_fault) else {
                 continue;
             };
-            let come = coming.iter().filter(|to| **to == by).count();
-            let held = instance.held + (1 + come) * self.bounds.window_of(slow);
+            let planned = receiving.iter().filter(|to| **to == by).count();
+            let held = instance.held + (1 + planned) * self.bounds.window_of(slow);
             if held > self.bounds.room {
                 continue;
             }
             let room = held as f64 / self.bounds.room as f64;
-            let members = MEMBER * state.members.len() as f64;
-            let weight = room + instance.votes.waited() / WAIT + members;
+            let members = MEMBER_WEIGHT * state.members.len() as f64;
+            let weight = room + instance.votes.mean_wait() / WAIT_SCALE + members;
             if best.is_none_or(|(least, ..)| weight < least) {
                 best = Some((weight, *cohort, by));
             }
--- a/forwarder/fanout/src/state.rs
+++ b/forwarder/fanout/src/state.rs
@@ -1,4 +1,5 @@
-//! What the log's commands have made so far; the same on every instance that has applied as many.
+//! The state that the log's commands produce: the same on every instance that has applied the same number of
+//! them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,41 +9,43 @@
 use crate::command::{Broadcast, Layout, Outcome};
 use crate::instances::Instance;
 use crate::names::*;
-use crate::sums::Votes;
 use crate::verdict::Verdict;
+use crate::votes::Votes;
 
-/// Ids of broadcasts that are over are remembered, so many: a copy of one is refused.
-pub(crate) const REMEMBERED: usize = 8192;
+/// Ids of completed broadcasts that are remembered: another broadcast with such an id is rejected.
+pub(crate) const MAX_COMPLETED_IDS: usize = 8192;
 
+/// The replicated state of lists, cohorts, instances, subscribers and broadcasts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FanoutState {
     pub(crate) bounds: Bounds,
     pub(crate) lists: BTreeMap<ListName, Vec<Subscriber>>,
     pub(crate) cohorts: BTreeMap<Cohort, CohortState>,
     pub(crate) instances: BTreeMap<InstanceId, Instance>,
-    pub(crate) followers: BTreeMap<Subscriber, Follower>,
-    pub(crate) kept: BTreeMap<Position, Kept>,
+    pub(crate) subscribers: BTreeMap<Subscriber, SubscriberState>,
+    pub(crate) pending_broadcasts: BTreeMap<Position, PendingBroadcast>,
     pub(crate) known: BTreeMap<BroadcastId, Position>,
-    pub(crate) past: VecDeque<BroadcastId>,
-    pub(crate) past_ids: BTreeSet<BroadcastId>,
-    /// Of the last broadcast taken.
+    pub(crate) completed_ids: VecDeque<BroadcastId>,
+    pub(crate) completed_id_set: BTreeSet<BroadcastId>,
+    /// The position of the last accepted broadcast.
     pub(crate) last: Position,
-    /// Of all that are kept.
+    /// Copies of all pending broadcasts that have not ended.
     pub(crate) copies: usize,
+    /// Bytes of the bodies of all pending broadcasts.
     pub(crate) body_bytes: usize,
     pub(crate) tick: u64,
-    /// Subscribers that have copies out at an instance that no longer serves them.
+    /// Subscribers with copies in flight at an instance that no longer serves them.
     pub(crate) moving: BTreeSet<Subscriber>,
-    /// The ticks at which the last moves began.
-    pub(crate) moved_at: VecDeque<u64>,
+    /// The ticks at which the latest moves began.
+    pub(crate) move_ticks: VecDeque<u64>,
 }
 
-/// A broadcast of which a copy has not ended.
+/// A broadcast with a copy that has not ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Kept {
+pub(crate) struct PendingBroadcast {
     pub(crate) broadcast: Broadcast,
     pub(crate) open: u32,
-    /// Completed, dismissed, written off.
+    /// Copies that completed, were rejected and were abandoned.
     pub(crate) outcomes: [u32; 3],
 }
 
@@ -50,43 +53,46 @@
 pub(crate) struct CohortState {
     pub(crate) slow: bool,
     pub(crate) by: Option<InstanceId>,
-    /// Grows when it changes hands.
+    /// Incremented at each assignment to an instance.
     pub(crate) epoch: u64,
     pub(crate) members: BTreeSet<Subscriber>,
 }
 
+/// The state of one subscriber.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Follower {
+pub(crate) struct SubscriberState {
     pub(crate) cohort: Cohort,
-    /// A list names it.
-    pub(crate) listed: bool,
-    /// Copies that nobody was handed, oldest first.
-    pub(crate) waiting: VecDeque<Position>,
-    /// Copies that an instance was handed, in that order.
-    pub(crate) pending: Vec<Pending>,
-    /// Where it is parked or cold.
+    /// Whether a list names the subscriber.
+    pub(crate) is_listed: bool,
+    /// Copies that no instance was handed, oldest first.
+    pub(crate) queued: VecDeque<Position>,
+    /// Copies that are assigned to an instance, in the order of assignment.
+    pub(crate) pending: Vec<PendingCopy>,
+    /// The instances at which the subscriber is parked or cold.
     pub(crate) rests: BTreeSet<InstanceId>,
-    /// What was seen of it at each instance; few, for each takes a move.
+    /// The votes on the subscriber at each instance; few, since each further instance takes a move.
     pub(crate) votes: BTreeMap<InstanceId, Votes>,
     pub(crate) verdict: Verdict,
 }
 
+/// A copy that is assigned to an instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Pending {
+pub(crate) struct PendingCopy {
     pub(crate) position: Position,
     pub(crate) at: Option<InstanceId>,
-    /// Given up before any call of it was made, or with its instance: the end has still to be told.
+    /// The outcome that is still to be reported, of a copy that was rejected before any call or abandoned
+    /// with its instance.
     pub(crate) end: Option<Outcome>,
-    /// It was a vote already, while it was out.
-    pub(crate) voted: bool,
+    /// Whether the copy gives no further sample, since it was sampled in flight or rejected before any call.
+    pub(crate) sampled: bool,
 }
 
-impl Follower {
+impl SubscriberState {
     pub(crate) fn new(cohort: Cohort) -> Self {
-        Follower {
+        SubscriberState {
             cohort,
-            listed: true,
-            waiting: VecDeque::new(),
+            is_listed: true,
+            queued: VecDeque::new(),
             pending: Vec::new(),
             rests: BTreeSet::new(),
             votes: BTreeMap::new(),
@@ -94,14 +100,14 @@
         }
     }
 
-    /// Copies that may be out.
-    pub(crate) fn out(&self) -> impl Iterator<Item = &Pending> {
+    /// Copies that may be in flight.
+    pub(crate) fn in_flight(&self) -> impl Iterator<Item = &PendingCopy> {
         self.pending.iter().filter(|p| p.end.is_none())
     }
 
-    /// Whether copies may be out at an instance that does not serve it now.
-    pub(crate) fn out_elsewhere(&self, server: Option<InstanceId>) -> bool {
-        self.out().any(|p| p.at != server)
+    /// Whether copies may be in flight at an instance other than `server`.
+    pub(crate) fn in_flight_elsewhere(&self, server: Option<InstanceId>) -> bool {
+        self.in_flight().any(|p| p.at != server)
     }
 }
 
@@ -111,22 +117,22 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None if the bytes are no snapshot.
+    /// `None` if the bytes are not a snapshot.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Whether lists, cohorts and bounds are those.
+    /// Whether the lists, cohorts and bounds are those of `layout`.
     pub fn is_laid(&self, layout: &Layout) -> bool {
         let mut lists = layout.lists.clone();
         for (_, members) in &mut lists {
             members.sort();
             members.dedup();
         }
-        let told = (layout.cohorts + layout.slow_cohorts) as usize;
+        let cohort_count = (layout.cohorts + layout.slow_cohorts) as usize;
         let slow = self.cohorts.values().filter(|c| c.slow).count();
         self.lists == lists.into_iter().collect()
-            && (self.cohorts.len(), slow) == (told, layout.slow_cohorts as usize)
+            && (self.cohorts.len(), slow) == (cohort_count, layout.slow_cohorts as usize)
             && self.bounds == layout.bounds
     }
 
@@ -134,19 +140,21 @@
         &self.bounds
     }
 
-    /// None once each copy has its end.
+    /// `None` once every copy has ended.
     pub fn broadcast(&self, position: Position) -> Option<&Broadcast> {
-        self.kept.get(&position).map(|kept| &kept.broadcast)
+        self.pending_broadcasts
+            .get(&position)
+            .map(|kept| &kept.broadcast)
     }
 
-    /// Broadcasts of which a copy has not ended.
+    /// Broadcasts with a copy that has not ended.
     pub fn broadcasts(&self) -> impl Iterator<Item = (Position, &Broadcast)> {
-        self.kept
+        self.pending_broadcasts
             .iter()
             .map(|(position, kept)| (*position, &kept.broadcast))
     }
 
-    /// None once each copy has its end.
+    /// `None` once every copy has ended.
     pub fn position(&self, id: &BroadcastId) -> Option<Position> {
         self.known.get(id).copied()
     }
@@ -155,36 +163,42 @@
         self.known.contains_key(id)
     }
 
-    /// Who serves the subscriber: the one instance that is handed copies of it.
+    /// The instance that serves the subscriber: the only one that is handed its copies.
     pub fn server(&self, subscriber: Subscriber) -> Option<InstanceId> {
-        self.followers
+        self.subscribers
             .get(&subscriber)
             .and_then(|f| self.cohorts.get(&f.cohort))
             .and_then(|c| c.by)
     }
 
     pub fn cohort(&self, subscriber: Subscriber) -> Option<Cohort> {
-        self.followers.get(&subscriber).map(|f| f.cohort)
+        self.subscribers.get(&subscriber).map(|f| f.cohort)
     }
 
-    /// Who serves the cohort, and whether it is for slow ones.
+    /// The instance that serves the cohort, and whether the cohort is a slow one.
     pub fn serves(&self, cohort: Cohort) -> Option<(Option<InstanceId>, bool)> {
         self.cohorts.get(&cohort).map(|c| (c.by, c.slow))
     }
 
-    /// Copies that the instance was handed and has not told the end of, with the end that it is to tell if it
-    /// is not to deliver them: what it goes on with after a restart.
-    pub fn held_by(&self, instance: InstanceId) -> Vec<(Subscriber, Position, Option<Outcome>)> {
+    /// Copies that are assigned to the instance and of which it has not reported the end, each with the
+    /// outcome to report if it is not to be delivered. The instance goes on with them after a restart.
+    pub fn assigned_copies(
+        &self,
+        instance: InstanceId,
+    ) -> Vec<(Subscriber, Position, Option<Outcome>)> {
         let mut held = Vec::new();
-        for (subscriber, follower) in &self.followers {
-            let here = follower.pending.iter().filter(|p| p.at == Some(instance));
+        for (subscriber, subscriber_state) in &self.subscribers {
+            let here = subscriber_state
+                .pending
+                .iter()
+                .filter(|p| p.at == Some(instance));
             held.extend(here.map(|p| (*subscriber, p.position, p.end)));
         }
         held
     }
 
-    /// Whether a copy could be handed to the instance now: it has a reason to ask.
-    pub fn has_more_for(&self, instance: InstanceId) -> bool {
+    /// Whether a copy could be handed to the instance now, so that it has a reason to request copies.
+    pub fn has_copies_for(&self, instance: InstanceId) -> bool {
         let here = self
             .instances
             .get(&instance)
@@ -195,32 +209,34 @@
             .filter(|c| here.is_some() && c.by == Some(instance));
         mine.flat_map(|c| c.members.iter().map(|s| (c.slow, s)))
             .any(|(slow, subscriber)| {
-                self.followers.get(subscriber).is_some_and(|f| {
-                    let room = f.out().count() < self.bounds.window_of(slow);
-                    !f.waiting.is_empty() && room && !f.out_elsewhere(Some(instance))
+                self.subscribers.get(subscriber).is_some_and(|f| {
+                    let room = f.in_flight().count() < self.bounds.window_of(slow);
+                    !f.queued.is_empty() && room && !f.in_flight_elsewhere(Some(instance))
                 })
             })
     }
 
-    /// Copies of the subscriber that have no end yet.
+    /// Number of the subscriber's copies that have not ended.
     pub fn backlog(&self, subscriber: Subscriber) -> usize {
-        self.followers
+        self.subscribers
             .get(&subscriber)
-            .map_or(0, |f| f.waiting.len() + f.pending.len())
+            .map_or(0, |f| f.queued.len() + f.pending.len())
     }
 
-    pub fn rests(&self, subscriber: Subscriber, at: InstanceId) -> bool {
-        self.followers
+    /// Whether the subscriber is parked or cold at the instance.
+    pub fn is_resting(&self, subscriber: Subscriber, at: InstanceId) -> bool {
+        self.subscribers
             .get(&subscriber)
             .is_some_and(|f| f.rests.contains(&at))
     }
 
-    /// Subscribers on the move.
-    pub fn moving(&self) -> usize {
+    /// Number of subscribers that are moving.
+    pub fn moving_count(&self) -> usize {
         self.moving.len()
     }
 
-    /// How often the instance was lost, which a [`crate::Command::GivenUp`] has to name.
+    /// How often the instance was lost, as a [`crate::Command::GivenUp`] has to state; `None` while it is not
+    /// lost.
     pub fn times_lost(&self, instance: InstanceId) -> Option<u64> {
         self.instances
             .get(&instance)
@@ -228,11 +244,12 @@
             .map(|i| i.times_lost)
     }
 
-    /// How long after it was lost all that it held has surely ended there: the longest patience, on a clock of
-    /// one's own. Clocks may run apart by a hundredth, and a call may outlast its event's patience.
-    pub fn gives_up_after(&self, longest_call: f64) -> f64 {
+    /// The time from an instance's loss until every copy that it had has surely ended there: the longest
+    /// patience and a call, measured on the caller's own clock. Clocks may differ in rate by 1%, and a call
+    /// may outlast its event's patience.
+    pub fn write_off_delay(&self, longest_call: f64) -> f64 {
         let longest = self
-            .kept
+            .pending_broadcasts
             .values()
             .map(|k| k.broadcast.patience)
             .fold(0.0, f64::max);
@@ -243,20 +260,23 @@
         self.instances.keys().copied()
     }
 
-    /// Whether a copy of one of these was handed to nobody yet.
-    pub fn any_waits(&self, positions: &[Position]) -> bool {
-        self.followers
+    /// Whether a copy of one of these broadcasts has not been handed to an instance yet.
+    pub fn any_queued(&self, positions: &[Position]) -> bool {
+        self.subscribers
             .values()
-            .any(|f| f.waiting.iter().any(|p| positions.contains(p)))
+            .any(|f| f.queued.iter().any(|p| positions.contains(p)))
     }
 
     pub fn ticks(&self) -> u64 {
         self.tick
     }
 
-    /// Bytes of memory that it keeps, about.
+    /// Approximate memory use in bytes.
     pub fn size(&self) -> usize {
-        let followers = self.followers.len() * 400 + self.copies * 48;
-        self.body_bytes + self.kept.len() * 400 + followers + self.past.len() * 96
+        let subscribers = self.subscribers.len() * 400 + self.copies * 48;
+        self.body_bytes
+            + self.pending_broadcasts.len() * 400
+            + subscribers
+            + self.completed_ids.len() * 96
     }
 }
--- a/forwarder/fanout/src/stored_format_tests.rs
+++ b/forwarder/fanout/src/stored_format_tests.rs
@@ -1,13 +1,13 @@
-//! The bytes of the state's snapshot, with a value that is not the default in every field.
+//! Pins the encoding of the state's snapshot, with a value that is not the default in every field.
 
 use crate::bounds::Bounds;
 use crate::command::{Broadcast, Outcome};
 use crate::detect::Sample;
 use crate::instances::Instance;
 use crate::names::*;
-use crate::state::{CohortState, FanoutState, Follower, Kept, Pending};
-use crate::sums::Votes;
+use crate::state::{CohortState, FanoutState, PendingBroadcast, PendingCopy, SubscriberState};
 use crate::verdict::{Figures, Judged, Verdict};
+use crate::votes::Votes;
 
 const PINNED: &str = include_str!("../tests/stored_format/values.txt");
 
@@ -40,17 +40,17 @@
     }
 }
 
-fn follower(judged: Judged, outcome: Outcome) -> Follower {
-    let pending = |position, at, end, voted| Pending {
+fn subscriber_state(judged: Judged, outcome: Outcome) -> SubscriberState {
+    let pending = |position, at, end, sampled| PendingCopy {
         position: Position(position),
         at,
         end,
-        voted,
+        sampled,
     };
-    Follower {
+    SubscriberState {
         cohort: Cohort(2),
-        listed: true,
-        waiting: [Position(303), Position(304)].into(),
+        is_listed: true,
+        queued: [Position(303), Position(304)].into(),
         pending: vec![
             pending(301, Some(InstanceId(1 << 50)), None, true),
             pending(302, None, Some(outcome), false),
@@ -60,14 +60,15 @@
         verdict: Verdict {
             judged,
             since: 299,
-            good: 31,
-            relapses: 2,
+            good_ticks: 31,
+            recoveries: 2,
             confirmed: true,
         },
     }
 }
 
-/// Its fields are its module's: made of bytes, and looked at by its debug form.
+/// The fields of `Sample` are private to its module: the value is decoded from bytes and checked by its debug
+/// output.
 fn sample() -> Sample {
     let bytes = postcard::to_stdvec(&(2u64, 90.5f64, 4.5f64)).unwrap();
     let sample: Sample = postcard::from_bytes(&bytes).unwrap();
@@ -110,17 +111,17 @@
         Judged::Route(figures()),
     ];
     let ends = [Outcome::Completed, Outcome::Rejected, Outcome::Abandoned];
-    let followers = judged.into_iter().zip(ends).map(|(judged, end)| {
+    let subscribers = judged.into_iter().zip(ends).map(|(judged, end)| {
         let number = match judged {
             Judged::KeepsUp => 1,
             Judged::Slow(_) => 2,
             Judged::Route(_) => 3,
         };
-        (subscriber(number), follower(judged, end))
+        (subscriber(number), subscriber_state(judged, end))
     });
     let instance = Instance {
         process: 4,
-        attempts: [12, 14].into(),
+        decided_submissions: [12, 14].into(),
         floor: 11,
         lost: true,
         times_lost: 5,
@@ -148,10 +149,10 @@
         )]
         .into(),
         instances: [(InstanceId(1 << 50), instance)].into(),
-        followers: followers.collect(),
-        kept: [(
+        subscribers: subscribers.collect(),
+        pending_broadcasts: [(
             Position(301),
-            Kept {
+            PendingBroadcast {
                 broadcast,
                 open: 3,
                 outcomes: [4, 5, 6],
@@ -159,14 +160,14 @@
         )]
         .into(),
         known: [(BroadcastId("b-1".into()), Position(301))].into(),
-        past: [BroadcastId("b-0".into())].into(),
-        past_ids: [BroadcastId("b-0".into())].into(),
+        completed_ids: [BroadcastId("b-0".into())].into(),
+        completed_id_set: [BroadcastId("b-0".into())].into(),
         last: Position(304),
         copies: 12,
         body_bytes: 13,
         tick: 305,
         moving: [subscriber(3)].into(),
-        moved_at: [300, 302].into(),
+        move_ticks: [300, 302].into(),
     }
 }
 
--- a/forwarder/fanout/src/verdict.rs
+++ b/forwarder/fanout/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is held of a subscriber, and the figures that it rests on.
+//! Verdicts on subscribers, and the figures on which they are based.
 
 use plankhill_decisions::interface::Ms;
 use serde::{Deserialize, Serialize};
@@ -6,63 +6,73 @@
 use crate::names::*;
 use crate::state::FanoutState;
 
-/// A verdict says on which figures it rests.
+/// The figures on which a verdict is based.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Where they were measured.
+    /// The instance at which they were measured.
     pub at: InstanceId,
-    /// Votes that count; a vote is what was seen of the subscriber in one batch.
+    /// The number of votes that count; a vote is the result of one batch for the subscriber.
     pub votes: f64,
-    /// The share of them that were late.
+    /// The share of late votes.
     pub late: f64,
-    /// The subscriber's mean from first call to end.
+    /// The subscriber's mean time from the first call to the end of a copy.
     pub own: Ms,
-    /// The median of its cohort's subscribers, if they are known.
+    /// The median over the cohort's subscribers, if known.
     pub cohort: Option<Ms>,
     /// The median over the other cohorts' medians, if there are any.
     pub others: Option<Ms>,
 }
 
+/// The verdict on a subscriber.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub enum Judged {
     #[default]
     KeepsUp,
-    /// Slow, wherever it was served.
+    /// Slow at each instance that served it.
     Slow(Figures),
-    /// Slow at that instance, and at once not so at another: the route between them is.
+    /// Slow at that instance but, by the first votes at another one, not there: the route to that instance is
+    /// at fault.
     Route(Figures),
 }
 
+/// The verdict on a subscriber, with what later changes of it depend on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
     pub(crate) judged: Judged,
     pub(crate) since: u64,
-    /// For so many ticks it has been as good as the rest.
-    pub(crate) good: u64,
-    /// How often it was slow again: each time it has to be good for longer.
-    pub(crate) relapses: u32,
-    /// Seen at an instance other than the one it was slow at: the blame is settled.
+    /// For how many ticks in a row it has been as good as the rest.
+    pub(crate) good_ticks: u64,
+    /// How often it recovered: each further recovery has to last longer.
+    pub(crate) recoveries: u32,
+    /// It was judged at an instance other than the one it was slow at, which settles whether the route is at
+    /// fault.
     pub(crate) confirmed: bool,
 }
 
 impl FanoutState {
+    /// The current verdict on the subscriber.
     pub fn judged(&self, subscriber: Subscriber) -> Judged {
-        self.followers
+        self.subscribers
             .get(&subscriber)
             .map(|f| f.verdict.judged)
             .unwrap_or_default()
     }
 
-    /// All whose verdict is another than that they keep up.
+    /// Subscribers with any other verdict than [`Judged::KeepsUp`].
     pub fn verdicts(&self) -> impl Iterator<Item = (Subscriber, Judged)> + '_ {
-        let all = self.followers.iter().map(|(s, f)| (*s, f.verdict.judged));
+        let all = self.subscribers.iter().map(|(s, f)| (*s, f.verdict.judged));
         all.filter(|(_, judged)| *judged != Judged::KeepsUp)
     }
 
-    /// The instance's own batches: how many count, the share in which it was at fault, the mean wait for a
-    /// first call; and whether it is held to be at fault.
+    /// The batches of the instance: how many count, the share in which it was at fault, and the mean wait for
+    /// a first call; and whether the instance is currently judged to be at fault.
     pub fn at_fault(&self, instance: InstanceId) -> Option<(f64, f64, Ms, bool)> {
         let i = self.instances.get(&instance)?;
-        Some((i.votes.seen(), i.votes.late(), i.votes.waited(), i.at_fault))
+        Some((
+            i.votes.count(),
+            i.votes.late_share(),
+            i.votes.mean_wait(),
+            i.at_fault,
+        ))
     }
 }
--- a/forwarder/fanout/tests/common/mod.rs
+++ b/forwarder/fanout/tests/common/mod.rs
@@ -60,7 +60,7 @@
 }
 
 /// A client hands in the broadcast of that number at the first instance; each attempt is another one.
-pub fn take(fanout: &mut FanoutState, number: u64) -> Vec<News> {
+pub fn take(fanout: &mut FanoutState, number: u64) -> Vec<Effect> {
     let by = InstanceId(0);
     let attempt = |n: u64| Command::Taken {
         by,
@@ -71,14 +71,14 @@
     let tries = (0..).map(|again| attempt(number * 8 + again));
     tries
         .map(|command| fanout.apply(command))
-        .find(|news| !news.is_empty())
+        .find(|effects| !effects.is_empty())
         .unwrap_or_default()
 }
 
 /// What the instance was handed to deliver.
-pub fn handed(news: &[News], by: InstanceId) -> Vec<(Subscriber, Position)> {
-    let mine = news.iter().filter_map(|n| match n {
-        News::Hand {
+pub fn handed(effects: &[Effect], by: InstanceId) -> Vec<(Subscriber, Position)> {
+    let mine = effects.iter().filter_map(|n| match n {
+        Effect::Assigned {
             to,
             subscriber,
             position,
@@ -91,9 +91,9 @@
 }
 
 /// What the instance was told to give up.
-pub fn told(news: &[News], by: InstanceId) -> Vec<(Subscriber, Position, Outcome)> {
-    let mine = news.iter().filter_map(|n| match n {
-        News::Hand {
+pub fn told(effects: &[Effect], by: InstanceId) -> Vec<(Subscriber, Position, Outcome)> {
+    let mine = effects.iter().filter_map(|n| match n {
+        Effect::Assigned {
             to,
             subscriber,
             position,
@@ -121,12 +121,12 @@
     take(fanout, number);
     let instances: Vec<InstanceId> = fanout.known_instances().collect();
     for by in instances {
-        let news = fanout.apply(Command::Spread {
+        let effects = fanout.apply(Command::Spread {
             by,
             process: 1,
             ticket: number,
         });
-        let ends = handed(&news, by)
+        let ends = handed(&effects, by)
             .into_iter()
             .map(|copy| end(copy, own(copy.0, by)))
             .collect();
--- a/forwarder/fanout/tests/plan.rs
+++ b/forwarder/fanout/tests/plan.rs
@@ -76,7 +76,7 @@
             continue;
         }
         fanout.apply(Command::Joined(by));
-        let news = fanout.apply(Command::Spread {
+        let effects = fanout.apply(Command::Spread {
             by,
             process: 1,
             ticket: number,
@@ -88,7 +88,7 @@
                 30.0
             }
         };
-        let ends = handed(&news, by)
+        let ends = handed(&effects, by)
             .into_iter()
             .map(|copy| end(copy, own(copy.0)))
             .collect();
@@ -124,7 +124,7 @@
             play(&mut fanout, &day, number, &mut late);
             let plan = fanout.plan();
             let moves: Vec<_> = plan.iter().filter(|c| matches!(c, Command::Moved { .. })).collect();
-            prop_assert!(moves.len() + fanout.moving() <= day.at_once.max(fanout.moving()));
+            prop_assert!(moves.len() + fanout.moving_count() <= day.at_once.max(fanout.moving_count()));
             let mut movers = BTreeSet::new();
             for command in &plan {
                 if let Command::Moved { subscriber, from, to } = command {
@@ -164,7 +164,7 @@
             let subscriber = DestinationId(subscriber);
             let (from, to) = (Cohort(from), Cohort(to));
             fanout.apply(Command::Moved { subscriber, from, to });
-            prop_assert!(fanout.moving() <= day.at_once);
+            prop_assert!(fanout.moving_count() <= day.at_once);
             for s in (0..day.subscribers).map(DestinationId) {
                 prop_assert!(fanout.server(s).is_some(), "{s:?} is served by nobody");
             }
--- a/forwarder/fanout/tests/walks.rs
+++ b/forwarder/fanout/tests/simulation.rs
@@ -1,9 +1,9 @@
 //! Seeded days of several forwarders. `WALKS` plays so many more seeds on call.
 
-mod walk;
+mod simulator;
 
 use rstest::rstest;
-use walk::{Plant, World};
+use simulator::{PlantedFault, Simulation};
 
 fn seeds() -> std::ops::Range<u64> {
     let more = std::env::var("WALKS")
@@ -17,7 +17,7 @@
     let (mut moves, mut crashes, mut handed, mut completed) = (0, 0, 0, 0);
     let (mut promised, mut refused) = (0, 0);
     for seed in seeds() {
-        let day = World::play(seed, Plant::None);
+        let day = Simulation::play(seed, PlantedFault::None);
         assert!(
             day.checker.breaches.is_empty(),
             "seed {seed}: {:?}",
@@ -53,7 +53,7 @@
 
 #[test]
 fn one_seed_gives_one_day() {
-    let [first, second] = [0, 1].map(|_| World::play(3, Plant::None));
+    let [first, second] = [0, 1].map(|_| Simulation::play(3, PlantedFault::None));
     assert_eq!(
         (first.moves, first.checker.handed),
         (second.moves, second.checker.handed)
@@ -62,18 +62,23 @@
 }
 
 #[rstest]
-#[case(Plant::HandsBeforeCommit, "no doubled copy")]
-#[case(Plant::ForgetsLedger, "nothing sent after its end")]
-#[case(Plant::EndsTooEarly, "one server for each subscriber")]
-#[case(Plant::EndsTooEarly, "order within a subscriber's stream")]
-#[case(Plant::EndsTooEarly, "an end that is told")]
-#[case(Plant::OutlastsPatience, "nothing sent after its end")]
-#[case(Plant::ResendsBinding, "binding copies once")]
-#[case(Plant::GivesUpAtOnce, "nothing sent after its end")]
-#[case(Plant::TellsNoEnd, "an end that is told")]
-#[case(Plant::AnswersEarly, "an answer is kept")]
-#[case(Plant::DropsHandIn, "no missing copy")]
-fn each_check_bites(#[case] plant: Plant, #[case] rule: &str) {
-    let found = seeds().any(|seed| World::play(seed, plant).checker.breaches.contains(rule));
-    assert!(found, "{plant:?} does not break: {rule}");
+#[case(PlantedFault::HandsBeforeCommit, "no doubled copy")]
+#[case(PlantedFault::ForgetsLedger, "nothing sent after its end")]
+#[case(PlantedFault::EndsTooEarly, "one server for each subscriber")]
+#[case(PlantedFault::EndsTooEarly, "order within a subscriber's stream")]
+#[case(PlantedFault::EndsTooEarly, "an end that is told")]
+#[case(PlantedFault::OutlastsPatience, "nothing sent after its end")]
+#[case(PlantedFault::ResendsBinding, "binding copies once")]
+#[case(PlantedFault::GivesUpAtOnce, "nothing sent after its end")]
+#[case(PlantedFault::TellsNoEnd, "an end that is told")]
+#[case(PlantedFault::AnswersEarly, "an answer is kept")]
+#[case(PlantedFault::DropsHandIn, "no missing copy")]
+fn each_check_bites(#[case] planted_fault: PlantedFault, #[case] rule: &str) {
+    let found = seeds().any(|seed| {
+        Simulation::play(seed, planted_fault)
+            .checker
+            .breaches
+            .contains(rule)
+    });
+    assert!(found, "{planted_fault:?} does not break: {rule}");
 }
--- a/forwarder/fanout/tests/walk/forwarder.rs
+++ b/forwarder/fanout/tests/simulator/forwarder.rs
@@ -7,7 +7,7 @@
 use plankhill_fanout::*;
 
 use super::checker::{Checker, Copy};
-use super::Plant;
+use super::PlantedFault;
 
 pub const LONGEST_CALL: Ms = 300.0;
 
@@ -21,7 +21,7 @@
 
 pub struct Forwarder {
     pub id: u64,
-    pub plant: Plant,
+    pub planted_fault: PlantedFault,
     /// Its clock is so far off, and so much faster.
     pub clock: (Ms, f64),
     pub ledger: BTreeMap<EventId, Entry>,
@@ -40,15 +40,15 @@
 
 impl Host for Ledger<'_> {
     fn is_pending(&self, event: &EventId) -> bool {
-        self.0.plant != Plant::ForgetsLedger && self.0.ledger.contains_key(event)
+        self.0.planted_fault != PlantedFault::ForgetsLedger && self.0.ledger.contains_key(event)
     }
 }
 
 impl Forwarder {
-    pub fn new(id: u64, clock: (Ms, f64), plant: Plant) -> Self {
+    pub fn new(id: u64, clock: (Ms, f64), planted_fault: PlantedFault) -> Self {
         Forwarder {
             id,
-            plant,
+            planted_fault,
             clock,
             ledger: BTreeMap::new(),
             queues: BTreeMap::new(),
@@ -76,7 +76,7 @@
         let ids: Vec<EventId> = self.ledger.keys().cloned().collect();
         let mut resumed: Vec<(Copy, EventId)> = Vec::new();
         for id in ids {
-            let resends = self.plant == Plant::ResendsBinding;
+            let resends = self.planted_fault == PlantedFault::ResendsBinding;
             let entry = &self.ledger[&id];
             match entry.ended {
                 Some(_) => self.notices.push((now, id)),
@@ -106,7 +106,7 @@
                 position,
                 deadline: patience_ends,
             } => {
-                if self.plant == Plant::DropsHandIn && position.0 % 7 == 0 {
+                if self.planted_fault == PlantedFault::DropsHandIn && position.0 % 7 == 0 {
                     return;
                 }
                 let copy = (subscriber, position);
@@ -191,7 +191,8 @@
             else {
                 continue;
             };
-            if entry.patience_ends <= local && self.plant != Plant::OutlastsPatience {
+            if entry.patience_ends <= local && self.planted_fault != PlantedFault::OutlastsPatience
+            {
                 let outcome = if entry.may_have_run {
                     Outcome::Abandoned
                 } else {
@@ -231,7 +232,7 @@
             .partition(|(at, ..)| *at <= now);
         self.told = told;
         for (_, copy, outcome) in heard {
-            if self.plant != Plant::TellsNoEnd {
+            if self.planted_fault != PlantedFault::TellsNoEnd {
                 checker.noticed(copy);
             }
             station.on_outcome_acknowledged(local, copy, outcome);
--- a/forwarder/fanout/tests/walk/mod.rs
+++ b/forwarder/fanout/tests/simulator/mod.rs
@@ -2,13 +2,13 @@
 //! their folder, stand still and wake, are cut off; reports are lost, doubled and come late; cohorts and
 //! subscribers change hands all the time. One seed gives one day.
 
-mod chances;
 pub mod checker;
 mod forwarder;
 mod process;
-mod world;
+mod random_events;
+mod simulation;
 
-pub use world::World;
+pub use simulation::Simulation;
 
 fn bounds() -> plankhill_fanout::Bounds {
     plankhill_fanout::Bounds {
@@ -26,7 +26,7 @@
 
 /// Faults planted in the hosts, to see that each check bites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum PlantedFault {
     None,
     /// Hands copies in when it asks for them, and not when the log says so.
     HandsBeforeCommit,
--- a/forwarder/fanout/tests/walk/process.rs
+++ b/forwarder/fanout/tests/simulator/process.rs
@@ -7,7 +7,7 @@
 
 use super::checker::Checker;
 use super::forwarder::{Forwarder, Ledger};
-use super::Plant;
+use super::PlantedFault;
 
 pub struct Process {
     pub forwarder: Forwarder,
@@ -90,7 +90,7 @@
     pub fn early(
         &mut self,
         now: Ms,
-        plant: Plant,
+        planted_fault: PlantedFault,
         asked: &[Command],
         checker: &mut Checker,
     ) -> Vec<Command> {
@@ -99,16 +99,16 @@
             return Vec::new();
         };
         let mut state = station.state().clone();
-        match plant {
-            Plant::HandsBeforeCommit => {
+        match planted_fault {
+            PlantedFault::HandsBeforeCommit => {
                 for command in asked.iter().filter(|c| matches!(c, Command::Spread { .. })) {
-                    for news in state.apply(command.clone()) {
-                        let News::Hand {
+                    for effect in state.apply(command.clone()) {
+                        let Effect::Assigned {
                             subscriber,
                             position,
                             end: None,
                             ..
-                        } = news
+                        } = effect
                         else {
                             continue;
                         };
@@ -129,9 +129,9 @@
                 }
                 Vec::new()
             }
-            Plant::EndsTooEarly => {
+            PlantedFault::EndsTooEarly => {
                 let held = state
-                    .held_by(by)
+                    .assigned_copies(by)
                     .into_iter()
                     .filter(|(s, _, end)| end.is_none() && state.server(*s) != Some(by));
                 let (outcome, waited, own) = (Outcome::Abandoned, 0.0, 0.0);
--- a/forwarder/fanout/tests/walk/chances.rs
+++ b/forwarder/fanout/tests/simulator/random_events.rs
@@ -4,12 +4,12 @@
 use plankhill_fanout::*;
 use rand::Rng;
 
-use super::world::{World, STEP};
-use super::Plant;
+use super::simulation::{Simulation, STEP};
+use super::PlantedFault;
 
 const PATIENCE: Ms = 6_000.0;
 
-impl World {
+impl Simulation {
     /// A client hands it in at one of those that are there.
     pub(super) fn broadcasts(&mut self) {
         let at = self.chance.random_range(0..self.processes.len());
@@ -40,7 +40,7 @@
             body: Vec::new(),
         };
         if let Ok(number) = station.attempt(local, broadcast) {
-            if self.plant == Plant::AnswersEarly {
+            if self.planted_fault == PlantedFault::AnswersEarly {
                 self.checker.answered(&id, true);
             }
             process.attempts.insert(number, id);
--- a/forwarder/fanout/tests/walk/world.rs
+++ b/forwarder/fanout/tests/simulator/simulation.rs
@@ -10,15 +10,15 @@
 use super::checker::{Checker, Copy};
 use super::forwarder::{Forwarder, LONGEST_CALL};
 use super::process::Process;
-use super::Plant;
+use super::PlantedFault;
 
 pub(super) const STEP: Ms = 10.0;
 const DAY: Ms = 30_000.0;
 const SUBSCRIBERS: u64 = 8;
 
-pub struct World {
+pub struct Simulation {
     pub(super) chance: ChaCha8Rng,
-    pub(super) plant: Plant,
+    pub(super) planted_fault: PlantedFault,
     pub(super) now: Ms,
     log: Vec<Command>,
     /// What the log says, applied as it grows.
@@ -33,11 +33,11 @@
     pub crashes: u64,
 }
 
-impl World {
-    pub fn play(seed: u64, plant: Plant) -> World {
-        let mut world = World {
+impl Simulation {
+    pub fn play(seed: u64, planted_fault: PlantedFault) -> Simulation {
+        let mut world = Simulation {
             chance: ChaCha8Rng::seed_from_u64(seed),
-            plant,
+            planted_fault,
             now: 0.0,
             log: Vec::new(),
             truth: FanoutState::default(),
@@ -84,7 +84,7 @@
             self.chance.random_range(-200.0..200.0),
             self.chance.random_range(0.996..1.004),
         );
-        let forwarder = Forwarder::new(id, clock, self.plant);
+        let forwarder = Forwarder::new(id, clock, self.planted_fault);
         let mut process = Process {
             forwarder,
             station: None,
@@ -105,7 +105,7 @@
                 .collect()
         };
         let (before, held) = (servers(&self.truth), self.held(&command));
-        let all_news = self.truth.apply(command.clone());
+        let effects = self.truth.apply(command.clone());
         let left = self.held(&command);
         if let Command::Ended { ends, .. } = &command {
             for end in ends {
@@ -115,9 +115,9 @@
                 }
             }
         }
-        for news in all_news {
-            match news {
-                News::Taken { position, .. } => {
+        for effect in effects {
+            match effect {
+                Effect::Accepted { position, .. } => {
                     let id = self
                         .truth
                         .broadcast(position)
@@ -126,7 +126,7 @@
                     let members = (0..SUBSCRIBERS).map(DestinationId).collect::<BTreeSet<_>>();
                     self.checker.taken(id, position, members);
                 }
-                News::AllEnded { position, .. } => self.checker.all_ended(position),
+                Effect::BroadcastCompleted { position, .. } => self.checker.all_ended(position),
                 _ => (),
             }
         }
@@ -141,7 +141,7 @@
             return BTreeMap::new();
         };
         self.truth
-            .held_by(*by)
+            .assigned_copies(*by)
             .into_iter()
             .map(|(s, p, end)| ((s, p), end))
             .collect()
@@ -190,7 +190,7 @@
         let mut commands = self
             .leading
             .poll_commands(local, &self.truth, &up, LONGEST_CALL);
-        if self.plant == Plant::GivesUpAtOnce {
+        if self.planted_fault == PlantedFault::GivesUpAtOnce {
             let lost = self
                 .truth
                 .known_instances()
@@ -212,7 +212,7 @@
     }
 
     fn works(&mut self, at: usize, faulty: bool) {
-        let World {
+        let Simulation {
             chance,
             processes,
             checker,
@@ -248,7 +248,7 @@
         process.forwarder.works(self.now, takes, station, checker);
         let local = process.forwarder.local(self.now);
         let commands = station.poll_commands(local);
-        let early = process.early(self.now, self.plant, &commands, checker);
+        let early = process.early(self.now, self.planted_fault, &commands, checker);
         if process.cut <= self.now {
             self.reports(commands);
             self.reports(early);
--- a/forwarder/fanout/tests/slow.rs
+++ b/forwarder/fanout/tests/slow_subscribers.rs
@@ -149,7 +149,7 @@
     for number in next..next + 200 {
         take(&mut fanout, number);
         for by in (0..4).map(InstanceId) {
-            let news = fanout.apply(Command::Spread {
+            let effects = fanout.apply(Command::Spread {
                 by,
                 process: 1,
                 ticket: number,
@@ -158,7 +158,7 @@
                 outcome: Outcome::Rejected,
                 ..end(copy, 0.0)
             };
-            let ends = handed(&news, by).into_iter();
+            let ends = handed(&effects, by).into_iter();
             let ends = ends
                 .map(|c| {
                     if c.0 == subscriber {
@@ -188,12 +188,12 @@
     for number in 1..=40 {
         take(&mut fanout, number);
         for by in (0..4).map(InstanceId) {
-            let news = fanout.apply(Command::Spread {
+            let effects = fanout.apply(Command::Spread {
                 by,
                 process: 1,
                 ticket: number,
             });
-            let (hung, ended): (Vec<_>, Vec<_>) = handed(&news, by)
+            let (hung, ended): (Vec<_>, Vec<_>) = handed(&effects, by)
                 .into_iter()
                 .partition(|(s, _)| *s == subscriber);
             let out = hung
--- a/forwarder/fanout/tests/stories.rs
+++ b/forwarder/fanout/tests/state.rs
@@ -7,9 +7,9 @@
 use plankhill_fanout::*;
 use rstest::rstest;
 
-fn outcomes(news: &[News]) -> Option<[u32; 3]> {
-    news.iter().find_map(|n| match n {
-        News::AllEnded { outcomes, .. } => Some(*outcomes),
+fn outcomes(effects: &[Effect]) -> Option<[u32; 3]> {
+    effects.iter().find_map(|n| match n {
+        Effect::BroadcastCompleted { outcomes, .. } => Some(*outcomes),
         _ => None,
     })
 }
@@ -20,15 +20,15 @@
     let taken = take(&mut fanout, 1);
     assert!(matches!(
         taken[..],
-        [News::Taken {
+        [Effect::Accepted {
             position: Position(1),
             ..
         }]
     ));
     assert!(matches!(
         take(&mut fanout, 1)[..],
-        [News::Refused {
-            why: Rejection::Known,
+        [Effect::Rejected {
+            reason: Rejection::Known,
             ..
         }]
     ));
@@ -64,15 +64,18 @@
             process: 1,
             ends: vec![end(copy, 5.0)],
         });
-        let news = fanout.apply(Command::Ended {
+        let effects = fanout.apply(Command::Ended {
             by,
             process: 1,
             ends: vec![end(copy, 5.0)],
         });
-        assert_eq!(outcomes(&news).is_some(), copy == all[7].1);
+        assert_eq!(outcomes(&effects).is_some(), copy == all[7].1);
     }
     assert_eq!(fanout.broadcasts().count(), 0);
-    assert!(matches!(take(&mut fanout, 1)[..], [News::Refused { .. }]));
+    assert!(matches!(
+        take(&mut fanout, 1)[..],
+        [Effect::Rejected { .. }]
+    ));
 }
 
 #[test]
@@ -87,7 +90,7 @@
     };
     assert!(matches!(
         fanout.apply(taken(1, 1))[..],
-        [News::Taken { number: 1, .. }]
+        [Effect::Accepted { number: 1, .. }]
     ));
     assert_eq!(fanout.apply(taken(1, 1)), [], "it was decided");
     let barred = Command::Barred {
@@ -103,9 +106,9 @@
     });
     assert!(matches!(
         barred[..],
-        [News::Refused {
+        [Effect::Rejected {
             number: 2,
-            why: Rejection::Late,
+            reason: Rejection::Late,
             ..
         }]
     ));
@@ -117,7 +120,7 @@
     // The next attempt with the same id does.
     assert!(matches!(
         fanout.apply(taken(3, 2))[..],
-        [News::Taken { number: 3, .. }]
+        [Effect::Accepted { number: 3, .. }]
     ));
     fanout.apply(Command::Started { by, process: 2 });
     assert_eq!(fanout.apply(taken(4, 3)), [], "of a process that is gone");
@@ -146,14 +149,14 @@
     let slow = DestinationId(2);
     let mut given_up = Vec::new();
     for number in 1..=20 {
-        let news = take(&mut fanout, number);
-        given_up.extend(told(&news, by));
-        let news = fanout.apply(Command::Spread {
+        let effects = take(&mut fanout, number);
+        given_up.extend(told(&effects, by));
+        let effects = fanout.apply(Command::Spread {
             by,
             process: 1,
             ticket: number,
         });
-        let ends: Vec<_> = handed(&news, by)
+        let ends: Vec<_> = handed(&effects, by)
             .into_iter()
             .filter(|(s, _)| *s != slow)
             .collect();
@@ -176,12 +179,12 @@
         .iter()
         .map(|(s, p, _)| end((*s, *p), 0.0))
         .collect();
-    let news = fanout.apply(Command::Ended {
+    let effects = fanout.apply(Command::Ended {
         by,
         process: 1,
         ends,
     });
-    assert_eq!(outcomes(&news), Some([3, 1, 0]));
+    assert_eq!(outcomes(&effects), Some([3, 1, 0]));
     assert_eq!(fanout.broadcasts().count(), 6);
 }
 
@@ -196,9 +199,9 @@
         ticket: 1,
     });
     take(&mut fanout, 2);
-    let news = fanout.apply(Command::TimeUp(vec![Position(1), Position(2)]));
+    let effects = fanout.apply(Command::TimeUp(vec![Position(1), Position(2)]));
     let second = [0, 1].map(|s| (DestinationId(s), Position(2), Outcome::Rejected));
-    assert_eq!(told(&news, by), second);
+    assert_eq!(told(&effects, by), second);
     assert_eq!(
         handed(
             &fanout.apply(Command::Spread {
@@ -250,14 +253,14 @@
         );
     }
     let ends = vec![end((subscriber, Position(1)), 5.0)];
-    let news = fanout.apply(Command::Ended {
+    let effects = fanout.apply(Command::Ended {
         by: old,
         process: 1,
         ends,
     });
     assert_eq!(
-        news,
-        [News::Settled {
+        effects,
+        [Effect::MoveCompleted {
             subscriber,
             by: new
         }]
@@ -273,12 +276,12 @@
         )),
         0
     );
-    let news = fanout.apply(Command::Spread {
+    let effects = fanout.apply(Command::Spread {
         by: new,
         process: 1,
         ticket: 3,
     });
-    assert_eq!(handed(&news, new), [(subscriber, Position(2))]);
+    assert_eq!(handed(&effects, new), [(subscriber, Position(2))]);
 }
 
 #[test]
@@ -323,7 +326,7 @@
         [],
         "of another time"
     );
-    let news = fanout.apply(Command::GivenUp {
+    let effects = fanout.apply(Command::GivenUp {
         instance: old,
         time: 1,
     });
@@ -331,7 +334,7 @@
         .iter()
         .map(|(s, p)| (*s, *p, Outcome::Abandoned))
         .collect();
-    assert_eq!(told(&news, heir), written_off);
+    assert_eq!(told(&effects, heir), written_off);
     let late = Command::Ended {
         by: old,
         process: 1,
@@ -371,7 +374,7 @@
         }),
         []
     );
-    assert_eq!(fanout.held_by(old).len(), held.len());
+    assert_eq!(fanout.assigned_copies(old).len(), held.len());
 }
 
 #[rstest]
@@ -386,14 +389,14 @@
     for number in 1..=3 {
         assert!(matches!(
             take(&mut fanout, number)[..],
-            [News::Taken { .. }]
+            [Effect::Accepted { .. }]
         ));
     }
     let full = take(&mut fanout, 4);
     assert!(matches!(
         full[..],
-        [News::Refused {
-            why: Rejection::Full,
+        [Effect::Rejected {
+            reason: Rejection::Full,
             ..
         }]
     ));
