--- a/forwarder/fanout/examples/lag/instance.rs
+++ b/forwarder/fanout/examples/lag/instance.rs
@@ -1,4 +1,4 @@
-//! One forwarder: the decision module as it is, and its station.
+//! One forwarder: the unmodified decision module and its local instance.
 
 use std::collections::HashMap;
 
@@ -6,9 +6,14 @@
 use plankhill_decisions::scheduler::Scheduler;
 use plankhill_fanout::*;
 
-pub type Copy = (Subscriber, Position);
+pub type CopyKey = (Subscriber, Position);
 
-pub fn terms(instance: u64, forwarders: usize, slots: usize, patience: Ms) -> DecisionConfig {
+pub fn decision_config(
+    instance: u64,
+    forwarders: usize,
+    slots: usize,
+    patience: Ms,
+) -> DecisionConfig {
     let traffic = TrafficType {
         idempotency: Idempotency::Idempotent,
         soft_limit: 1000.0,
@@ -40,42 +45,42 @@
     }
 }
 
-pub enum CameIn {
-    HandIn(EventId, Copy, Ms),
-    CallEnds(EventId, AttemptOutcome, Ms),
-    PingEnds(TargetId),
+pub enum InstanceInput {
+    Submit(EventId, CopyKey, Ms),
+    CallEnded(EventId, AttemptOutcome, Ms),
+    HealthCheckEnded(TargetId),
     Wake,
 }
 
-/// What leaves with a round.
+/// The effects of one iteration.
 #[derive(Default)]
-pub struct Leaves {
-    pub calls: Vec<(EventId, Copy, Ms)>,
-    pub pings: Vec<TargetId>,
+pub struct IterationEffects {
+    pub calls: Vec<(EventId, CopyKey, Ms)>,
+    pub health_checks: Vec<TargetId>,
     pub wake: Option<Ms>,
     ended: Vec<(EventId, Outcome)>,
-    copies: HashMap<EventId, Copy>,
+    copies: HashMap<EventId, CopyKey>,
 }
 
 pub struct Instance {
-    pub station: LocalInstance,
+    pub local_instance: LocalInstance,
     pub applied: usize,
-    pub stalled: Ms,
+    pub stalled_until: Ms,
     pub wake_at: Option<Ms>,
     module: Scheduler,
-    leaves: Leaves,
+    effects: IterationEffects,
 }
 
-impl Host for Leaves {
+impl Host for IterationEffects {
     fn is_pending(&self, event: &EventId) -> bool {
         self.copies.contains_key(event)
     }
 }
 
 impl Instance {
-    pub fn new(id: u64, terms: DecisionConfig, subscribers: u64) -> Self {
-        let mut module = Scheduler::new(terms, 0.0);
-        let list = |module: &mut Scheduler, _: &mut Leaves| -> InputResult {
+    pub fn new(id: u64, decision_config: DecisionConfig, subscribers: u64) -> Self {
+        let mut module = Scheduler::new(decision_config, 0.0);
+        let list = |module: &mut Scheduler, _: &mut IterationEffects| -> InputResult {
             for s in 0..subscribers {
                 let target = TargetId(format!("t{s}").into());
                 module.on_endpoint_listed(
@@ -88,32 +93,39 @@
             }
             Ok(())
         };
-        let mut leaves = Leaves::default();
-        let _ = module.run_iteration(0.0, list, &mut leaves);
-        let station = LocalInstance::new(InstanceId(id), 1, FanoutState::default());
+        let mut effects = IterationEffects::default();
+        let _ = module.run_iteration(0.0, list, &mut effects);
+        let local_instance = LocalInstance::new(InstanceId(id), 1, FanoutState::default());
         Instance {
-            station,
+            local_instance,
             applied: 0,
-            stalled: 0.0,
+            stalled_until: 0.0,
             wake_at: None,
             module,
-            leaves,
+            effects,
         }
     }
 
-    /// What the log says, up to its end; then the copies that it hands over.
-    pub fn hears(&mut self, now: Ms, log: &[Command]) -> Vec<CameIn> {
-        let mut came = Vec::new();
+    /// Applies the rest of the log and returns the copies that it assigns.
+    pub fn apply_log(&mut self, now: Ms, log: &[Command]) -> Vec<InstanceInput> {
+        let mut inputs = Vec::new();
         for command in &log[self.applied..] {
-            for order in self.station.applied(now, &self.leaves, command.clone()) {
-                match order {
+            for request in self
+                .local_instance
+                .applied(now, &self.effects, command.clone())
+            {
+                match request {
                     HostRequest::Submit {
                         event,
                         subscriber,
                         position,
                         deadline: patience_ends,
                     } => {
-                        came.push(CameIn::HandIn(event, (subscriber, position), patience_ends));
+                        inputs.push(InstanceInput::Submit(
+                            event,
+                            (subscriber, position),
+                            patience_ends,
+                        ));
                     }
                     HostRequest::NotifyOutcome {
                         subscriber,
@@ -121,73 +133,81 @@
                         outcome,
                         ..
                     } => {
-                        self.station
-                            .on_outcome_acknowledged(now, (subscriber, position), outcome);
+                        self.local_instance.on_outcome_acknowledged(
+                            now,
+                            (subscriber, position),
+                            outcome,
+                        );
                     }
                     _ => (),
                 }
             }
         }
         self.applied = log.len();
-        came
+        inputs
     }
 
-    pub fn round(&mut self, now: Ms, came: Vec<CameIn>) -> (Leaves, Vec<(Copy, Outcome)>) {
+    pub fn run_iteration(
+        &mut self,
+        now: Ms,
+        inputs: Vec<InstanceInput>,
+    ) -> (IterationEffects, Vec<(CopyKey, Outcome)>) {
         let mut delivered = Vec::new();
-        let hand_over = |module: &mut Scheduler, leaves: &mut Leaves| -> InputResult {
-            for what in came {
-                match what {
-                    CameIn::HandIn(event, copy, patience_ends) => {
-                        leaves.copies.insert(event.clone(), copy);
+        let feed = |module: &mut Scheduler, effects: &mut IterationEffects| -> InputResult {
+            for input in inputs {
+                match input {
+                    InstanceInput::Submit(event, copy, patience_ends) => {
+                        effects.copies.insert(event.clone(), copy);
                         module.accept_event(event, copy.0, TrafficTypeId(0), patience_ends, None);
                     }
-                    CameIn::CallEnds(event, fate, took) => {
-                        if fate == AttemptOutcome::Delivered {
+                    InstanceInput::CallEnded(event, attempt_outcome, duration) => {
+                        if attempt_outcome == AttemptOutcome::Delivered {
                             delivered.push((event.clone(), Outcome::Completed));
                         }
                         module.on_attempt_ended(
                             &event,
                             AttemptReport {
-                                elapsed: took,
-                                ..AttemptReport::from_outcome(fate)
+                                elapsed: duration,
+                                ..AttemptReport::from_outcome(attempt_outcome)
                             },
                         )?;
                     }
-                    CameIn::PingEnds(target) => {
+                    InstanceInput::HealthCheckEnded(target) => {
                         module.on_health_check_ended(&target, AttemptOutcome::Delivered)?
                     }
-                    CameIn::Wake => (),
+                    InstanceInput::Wake => (),
                 }
             }
             Ok(())
         };
         self.module
-            .run_iteration(now, hand_over, &mut self.leaves)
-            .expect("all is introduced");
-        let copies = std::mem::take(&mut self.leaves.copies);
-        let mut leaves = std::mem::replace(
-            &mut self.leaves,
-            Leaves {
+            .run_iteration(now, feed, &mut self.effects)
+            .expect("every target is listed");
+        let copies = std::mem::take(&mut self.effects.copies);
+        let mut effects = std::mem::replace(
+            &mut self.effects,
+            IterationEffects {
                 copies,
-                ..Leaves::default()
+                ..IterationEffects::default()
             },
         );
         let mut ends = Vec::new();
-        for (event, outcome) in delivered.into_iter().chain(leaves.ended.drain(..)) {
-            if let Some(copy) = self.leaves.copies.remove(&event) {
-                self.station.on_outcome_acknowledged(now, copy, outcome);
+        for (event, outcome) in delivered.into_iter().chain(effects.ended.drain(..)) {
+            if let Some(copy) = self.effects.copies.remove(&event) {
+                self.local_instance
+                    .on_outcome_acknowledged(now, copy, outcome);
                 ends.push((copy, outcome));
             }
         }
-        leaves
+        effects
             .calls
             .iter()
-            .for_each(|(_, copy, _)| self.station.on_attempt_started(now, *copy));
-        (leaves, ends)
+            .for_each(|(_, copy, _)| self.local_instance.on_attempt_started(now, *copy));
+        (effects, ends)
     }
 }
 
-impl Effects for Leaves {
+impl Effects for IterationEffects {
     fn send_attempt(&mut self, event: &EventId, _: &TargetId, time_out: Ms, _: Ms) {
         let copy = self.copies[event];
         self.calls.push((event.clone(), copy, time_out));
@@ -201,7 +221,7 @@
         false
     }
     fn health_check(&mut self, target: &TargetId) {
-        self.pings.push(target.clone());
+        self.health_checks.push(target.clone());
     }
     fn close_idle_connections(&mut self, _: &TargetId) {}
     fn cancel_unsent(&mut self, _: &TargetId) {}
--- a/forwarder/fanout/examples/lag/plan.rs
+++ b/forwarder/fanout/examples/lag/plan.rs
@@ -1,4 +1,4 @@
-//! What a day is played with, what is still to happen in it, and what it gave.
+//! The parameters of a simulation, its scheduled events, and its results.
 
 use std::cmp::Ordering;
 
@@ -6,10 +6,10 @@
 use plankhill_decisions::interface::Ms;
 use plankhill_fanout::Command;
 
-use crate::instance::CameIn;
+use crate::instance::InstanceInput;
 
 #[derive(Clone)]
-pub struct Way {
+pub struct Strategy {
     pub cohorts: u32,
     pub slow_cohorts: u32,
     pub window: usize,
@@ -21,16 +21,16 @@
     pub length: Ms,
     pub slow: u64,
     pub stalls: bool,
-    pub way: Way,
+    pub strategy: Strategy,
 }
 
 #[derive(Default)]
-pub struct Result {
-    pub healthy: Lags,
-    /// The same from a minute after slowness began.
-    pub settled: Lags,
+pub struct Measurements {
+    pub healthy: LagHistogram,
+    /// The same, from a minute after subscribers turned slow.
+    pub settled: LagHistogram,
     pub healthy_lost: u64,
-    /// Completed and not, of the slow ones.
+    /// Completed and other copies of slow subscribers.
     pub slow: (u64, u64),
     pub found: Vec<Ms>,
     pub moves: u64,
@@ -39,38 +39,38 @@
     pub cohort_moves: u64,
 }
 
-pub enum What {
+pub enum SimulationEvent {
     Commit(Command),
     Broadcast(u64),
-    Pump(usize),
+    Poll(usize),
     Stall(usize),
-    CameIn(usize, CameIn),
+    Input(usize, InstanceInput),
 }
 
-pub struct Due(pub Ms, pub u64, pub What);
+pub struct ScheduledEvent(pub Ms, pub u64, pub SimulationEvent);
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
     }
 }
 
 /// In tenths of a millisecond, up to a minute.
-pub struct Lags(pub Histogram<u64>);
+pub struct LagHistogram(pub Histogram<u64>);
 
-impl Default for Lags {
+impl Default for LagHistogram {
     fn default() -> Self {
-        Lags(Histogram::new_with_max(600_000, 3).expect("bounds of a histogram"))
+        LagHistogram(Histogram::new_with_max(600_000, 3).expect("valid histogram bounds"))
     }
 }
--- a/forwarder/fanout/examples/lag/simulation.rs
+++ b/forwarder/fanout/examples/lag/simulation.rs
@@ -1,4 +1,4 @@
-//! A day in virtual time: one log, four forwarders, two hundred subscribers.
+//! A simulation in virtual time: one log, four forwarders, 200 subscribers.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -7,76 +7,76 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::instance::{terms, CameIn, Instance};
-use crate::plan::{Due, Plan, Result, Way, What};
+use crate::instance::{decision_config, Instance, InstanceInput};
+use crate::plan::{Measurements, Plan, ScheduledEvent, SimulationEvent, Strategy};
 
 pub const INSTANCES: usize = 4;
 pub const SUBSCRIBERS: u64 = 200;
 const SLOTS: usize = 24;
 const PATIENCE: Ms = 10_000.0;
 pub const SLOW_FROM: Ms = 60_000.0;
-/// From proposing to applying: a majority on one site.
-const COMMIT: Ms = 5.0;
-/// A station looks for what to ask so often, the leader too.
-const PUMP: Ms = 20.0;
-const EACH: Ms = 200.0;
+/// From proposing to applying a command: a majority on one site.
+const COMMIT_DELAY: Ms = 5.0;
+/// Interval at which each instance, and the leader, polls for commands to propose.
+const POLL_INTERVAL: Ms = 20.0;
+const BROADCAST_INTERVAL: Ms = 200.0;
 
-struct Day {
+struct Simulation {
     plan: Plan,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     now: Ms,
-    queue: BinaryHeap<Due>,
+    queue: BinaryHeap<ScheduledEvent>,
     number: u64,
     log: Vec<Command>,
-    truth: FanoutState,
+    log_state: FanoutState,
     instances: Vec<Instance>,
-    leading: Coordinator,
+    coordinator: Coordinator,
     taken: BTreeMap<Position, Ms>,
     known_slow: BTreeSet<Subscriber>,
-    result: Result,
+    result: Measurements,
 }
 
-pub fn play(plan: Plan) -> Result {
+pub fn run(plan: Plan) -> Measurements {
     let instance = |id: usize| {
         Instance::new(
             id as u64 + 1,
-            terms(id as u64, INSTANCES, SLOTS, PATIENCE),
+            decision_config(id as u64, INSTANCES, SLOTS, PATIENCE),
             SUBSCRIBERS,
         )
     };
-    let mut day = Day {
-        chance: ChaCha8Rng::seed_from_u64(plan.seed),
+    let mut simulation = Simulation {
+        rng: ChaCha8Rng::seed_from_u64(plan.seed),
         now: 0.0,
         queue: BinaryHeap::new(),
         number: 0,
         log: Vec::new(),
-        truth: FanoutState::default(),
+        log_state: FanoutState::default(),
         instances: (0..INSTANCES).map(instance).collect(),
-        leading: Coordinator::default(),
+        coordinator: Coordinator::default(),
         taken: BTreeMap::new(),
         known_slow: BTreeSet::new(),
-        result: Result::default(),
+        result: Measurements::default(),
         plan,
     };
-    day.begins();
-    while let Some(Due(at, _, what)) = day.queue.pop() {
-        day.now = at;
-        if at > day.plan.length {
+    simulation.start();
+    while let Some(ScheduledEvent(at, _, event)) = simulation.queue.pop() {
+        simulation.now = at;
+        if at > simulation.plan.length {
             break;
         }
-        day.happens(what);
+        simulation.handle(event);
     }
-    day.result
+    simulation.result
 }
 
-impl Day {
-    fn begins(&mut self) {
-        let Way {
+impl Simulation {
+    fn start(&mut self) {
+        let Strategy {
             cohorts,
             slow_cohorts,
             window,
             slow_window,
-        } = self.plan.way;
+        } = self.plan.strategy;
         let bounds = Bounds {
             window,
             slow_window,
@@ -92,45 +92,48 @@
             ListName("all".into()),
             (0..SUBSCRIBERS).map(DestinationId).collect(),
         )];
-        self.commits(Command::Laid(Layout {
+        self.commit(Command::Laid(Layout {
             lists,
             cohorts,
             slow_cohorts,
             bounds,
         }));
         for at in 0..INSTANCES {
-            self.at(1.0 + at as f64, What::Pump(at));
+            self.schedule(1.0 + at as f64, SimulationEvent::Poll(at));
             if self.plan.stalls {
-                self.at(20_000.0 + 5000.0 * at as f64, What::Stall(at));
+                self.schedule(20_000.0 + 5000.0 * at as f64, SimulationEvent::Stall(at));
             }
         }
-        self.at(5000.0, What::Broadcast(1));
+        self.schedule(5000.0, SimulationEvent::Broadcast(1));
     }
 
-    fn at(&mut self, at: Ms, what: What) {
+    fn schedule(&mut self, at: Ms, event: SimulationEvent) {
         self.number += 1;
-        self.queue.push(Due(at, self.number, what));
+        self.queue.push(ScheduledEvent(at, self.number, event));
     }
 
     fn is_slow(&self, subscriber: Subscriber) -> bool {
-        // Spread over all cohorts.
+        // Slow subscribers are spread over all cohorts.
         subscriber.0 * self.plan.slow / SUBSCRIBERS
             != (subscriber.0 + 1) * self.plan.slow / SUBSCRIBERS
     }
 
-    fn takes(&mut self, subscriber: Subscriber) -> Ms {
-        let spread = -self.chance.random_range(f64::EPSILON..1.0f64).ln();
+    fn draw_duration(&mut self, subscriber: Subscriber) -> Ms {
+        let spread = -self.rng.random_range(f64::EPSILON..1.0f64).ln();
         match self.is_slow(subscriber) && self.now >= SLOW_FROM {
             true => 600.0 + 400.0 * spread,
             false => 20.0 + 30.0 * spread,
         }
     }
 
-    fn happens(&mut self, what: What) {
-        match what {
-            What::Commit(command) => self.commits(command),
-            What::Broadcast(number) => {
-                self.at(self.now + EACH, What::Broadcast(number + 1));
+    fn handle(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Commit(command) => self.commit(command),
+            SimulationEvent::Broadcast(number) => {
+                self.schedule(
+                    self.now + BROADCAST_INTERVAL,
+                    SimulationEvent::Broadcast(number + 1),
+                );
                 let broadcast = Broadcast {
                     id: BroadcastId(format!("b{number}")),
                     list: ListName("all".into()),
@@ -141,9 +144,9 @@
                     fingerprint: None,
                     body: b"{}".to_vec(),
                 };
-                self.at(
-                    self.now + COMMIT,
-                    What::Commit(Command::Taken {
+                self.schedule(
+                    self.now + COMMIT_DELAY,
+                    SimulationEvent::Commit(Command::Taken {
                         by: InstanceId(1),
                         process: 1,
                         number,
@@ -151,79 +154,88 @@
                     }),
                 );
             }
-            What::Stall(at) => {
-                self.instances[at].stalled = self.now + self.chance.random_range(200.0..2800.0);
-                let next = self.now + self.chance.random_range(10_000.0..30_000.0);
-                self.at(next, What::Stall(at));
+            SimulationEvent::Stall(at) => {
+                self.instances[at].stalled_until = self.now + self.rng.random_range(200.0..2800.0);
+                let next = self.now + self.rng.random_range(10_000.0..30_000.0);
+                self.schedule(next, SimulationEvent::Stall(at));
             }
-            What::Pump(at) => self.pumps(at),
-            What::CameIn(at, came) => {
-                let stalled = self.instances[at].stalled;
-                if stalled > self.now {
-                    return self.at(stalled, What::CameIn(at, came));
+            SimulationEvent::Poll(at) => self.poll(at),
+            SimulationEvent::Input(at, input) => {
+                let stalled_until = self.instances[at].stalled_until;
+                if stalled_until > self.now {
+                    return self.schedule(stalled_until, SimulationEvent::Input(at, input));
                 }
-                if matches!(came, CameIn::Wake) {
+                if matches!(input, InstanceInput::Wake) {
                     self.instances[at].wake_at = None;
                 }
-                self.round(at, vec![came]);
+                self.run_iteration(at, vec![input]);
             }
         }
     }
 
-    fn pumps(&mut self, at: usize) {
-        let stalled = self.instances[at].stalled;
-        if stalled > self.now {
-            return self.at(stalled, What::Pump(at));
+    fn poll(&mut self, at: usize) {
+        let stalled_until = self.instances[at].stalled_until;
+        if stalled_until > self.now {
+            return self.schedule(stalled_until, SimulationEvent::Poll(at));
         }
-        self.at(self.now + PUMP, What::Pump(at));
-        let came = self.instances[at].hears(self.now, &self.log);
-        self.round(at, came);
-        for command in self.instances[at].station.poll_commands(self.now) {
-            self.at(self.now + COMMIT, What::Commit(command));
+        self.schedule(self.now + POLL_INTERVAL, SimulationEvent::Poll(at));
+        let inputs = self.instances[at].apply_log(self.now, &self.log);
+        self.run_iteration(at, inputs);
+        for command in self.instances[at].local_instance.poll_commands(self.now) {
+            self.schedule(self.now + COMMIT_DELAY, SimulationEvent::Commit(command));
         }
-        // The leader is the first; it never stalls, others are led without it for no longer than a stall.
+        // The first instance is the leader. While it stalls, the fleet has none.
         if at == 0 {
-            let up = self.instances.iter().filter(|i| i.stalled <= self.now);
-            let up: Vec<InstanceId> = up.map(|i| i.station.me()).collect();
-            for command in self
-                .leading
-                .poll_commands(self.now, &self.truth, &up, 1000.0)
+            let reachable = self
+                .instances
+                .iter()
+                .filter(|i| i.stalled_until <= self.now);
+            let reachable: Vec<InstanceId> = reachable.map(|i| i.local_instance.me()).collect();
+            for command in
+                self.coordinator
+                    .poll_commands(self.now, &self.log_state, &reachable, 1000.0)
             {
-                self.at(self.now + COMMIT, What::Commit(command));
+                self.schedule(self.now + COMMIT_DELAY, SimulationEvent::Commit(command));
             }
         }
     }
 
-    fn round(&mut self, at: usize, came: Vec<CameIn>) {
-        let (leaves, ends) = self.instances[at].round(self.now, came);
+    fn run_iteration(&mut self, at: usize, inputs: Vec<InstanceInput>) {
+        let (effects, ends) = self.instances[at].run_iteration(self.now, inputs);
         for ((subscriber, position), outcome) in ends {
-            self.counts(subscriber, position, outcome);
+            self.count_end(subscriber, position, outcome);
         }
-        for (event, copy, time_out) in leaves.calls {
-            let took = self.takes(copy.0);
-            let (fate, took) = if took > time_out {
+        for (event, copy, time_out) in effects.calls {
+            let duration = self.draw_duration(copy.0);
+            let (attempt_outcome, duration) = if duration > time_out {
                 (AttemptOutcome::TimedOut, time_out)
             } else {
-                (AttemptOutcome::Delivered, took)
+                (AttemptOutcome::Delivered, duration)
             };
-            self.at(
-                self.now + took,
-                What::CameIn(at, CameIn::CallEnds(event, fate, took)),
+            self.schedule(
+                self.now + duration,
+                SimulationEvent::Input(
+                    at,
+                    InstanceInput::CallEnded(event, attempt_outcome, duration),
+                ),
             );
         }
-        for target in leaves.pings {
-            self.at(self.now + 30.0, What::CameIn(at, CameIn::PingEnds(target)));
+        for target in effects.health_checks {
+            self.schedule(
+                self.now + 30.0,
+                SimulationEvent::Input(at, InstanceInput::HealthCheckEnded(target)),
+            );
         }
-        if let Some(pause) = leaves.wake {
+        if let Some(pause) = effects.wake {
             let due = self.now + pause + 0.01;
             if self.instances[at].wake_at.is_none_or(|wake| due < wake) {
                 self.instances[at].wake_at = Some(due);
-                self.at(due, What::CameIn(at, CameIn::Wake));
+                self.schedule(due, SimulationEvent::Input(at, InstanceInput::Wake));
             }
         }
     }
 
-    fn counts(&mut self, subscriber: Subscriber, position: Position, outcome: Outcome) {
+    fn count_end(&mut self, subscriber: Subscriber, position: Position, outcome: Outcome) {
         let (slow, done) = (self.is_slow(subscriber), outcome == Outcome::Completed);
         let Some(taken) = self
             .taken
@@ -250,36 +262,38 @@
         }
     }
 
-    fn commits(&mut self, command: Command) {
+    fn commit(&mut self, command: Command) {
         let moved = match &command {
             Command::Moved { subscriber, .. } => {
-                Some((*subscriber, self.truth.cohort(*subscriber)))
+                Some((*subscriber, self.log_state.cohort(*subscriber)))
             }
             _ => None,
         };
         let served = matches!(command, Command::Served { .. }) && self.now > 5000.0;
         self.result.cohort_moves += u64::from(served);
-        for effect in self.truth.apply(command.clone()) {
+        for effect in self.log_state.apply(command.clone()) {
             match effect {
                 Effect::Accepted { position, .. } => drop(self.taken.insert(position, self.now)),
-                // Given up before it was handed in: the subscriber's, whoever tells it.
+                // The copy was rejected before it was submitted; it counts for its subscriber, whichever
+                // instance reports it.
                 Effect::Assigned {
                     subscriber,
                     position,
                     end: Some(outcome),
                     ..
                 } => {
-                    self.counts(subscriber, position, outcome);
+                    self.count_end(subscriber, position, outcome);
                 }
                 _ => (),
             }
         }
-        if let Some((subscriber, _)) = moved.filter(|(s, from)| self.truth.cohort(*s) != *from) {
+        if let Some((subscriber, _)) = moved.filter(|(s, from)| self.log_state.cohort(*s) != *from)
+        {
             self.result.moves += 1;
             self.result.false_moves += u64::from(!self.is_slow(subscriber));
         }
         if command == Command::Tick {
-            let judged: Vec<Subscriber> = self.truth.verdicts().map(|(s, _)| s).collect();
+            let judged: Vec<Subscriber> = self.log_state.verdicts().map(|(s, _)| s).collect();
             for subscriber in judged
                 .into_iter()
                 .filter(|s| self.known_slow.insert(*s))
--- a/forwarder/fanout/tests/common/mod.rs
+++ b/forwarder/fanout/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet on paper: commands are applied by plain calls.
+//! A small in-memory fleet: tests apply commands by direct calls.
 #![allow(dead_code)]
 
 use plankhill_decisions::interface::DestinationId;
@@ -30,7 +30,8 @@
     }
 }
 
-/// `cohorts` that keep up and one for slow ones, each with an instance of its own, from 0.
+/// A fleet with so many cohorts for subscribers that keep up and one for slow ones, each served by its own
+/// instance, from 0.
 pub fn fleet(subscribers: u64, cohorts: u32) -> FanoutState {
     let mut fanout = FanoutState::default();
     fanout.apply(Command::Laid(layout(subscribers, cohorts, 1)));
@@ -59,25 +60,26 @@
     }
 }
 
-/// A client hands in the broadcast of that number at the first instance; each attempt is another one.
-pub fn take(fanout: &mut FanoutState, number: u64) -> Vec<Effect> {
+/// Submits the broadcast with this number at the first instance, under submission numbers that were not
+/// decided before.
+pub fn submit_broadcast(fanout: &mut FanoutState, number: u64) -> Vec<Effect> {
     let by = InstanceId(0);
-    let attempt = |n: u64| Command::Taken {
+    let submission = |n: u64| Command::Taken {
         by,
         process: 1,
         number: n,
         broadcast: broadcast(number),
     };
-    let tries = (0..).map(|again| attempt(number * 8 + again));
-    tries
+    let submissions = (0..).map(|retry| submission(number * 8 + retry));
+    submissions
         .map(|command| fanout.apply(command))
         .find(|effects| !effects.is_empty())
         .unwrap_or_default()
 }
 
-/// What the instance was handed to deliver.
-pub fn handed(effects: &[Effect], by: InstanceId) -> Vec<(Subscriber, Position)> {
-    let mine = effects.iter().filter_map(|n| match n {
+/// The copies that the instance was assigned to deliver.
+pub fn copies_to_deliver(effects: &[Effect], by: InstanceId) -> Vec<(Subscriber, Position)> {
+    let copies = effects.iter().filter_map(|n| match n {
         Effect::Assigned {
             to,
             subscriber,
@@ -87,12 +89,15 @@
         } if *to == by => Some((*subscriber, *position)),
         _ => None,
     });
-    mine.collect()
+    copies.collect()
 }
 
-/// What the instance was told to give up.
-pub fn told(effects: &[Effect], by: InstanceId) -> Vec<(Subscriber, Position, Outcome)> {
-    let mine = effects.iter().filter_map(|n| match n {
+/// The copies whose outcome the instance was assigned to report.
+pub fn outcomes_to_report(
+    effects: &[Effect],
+    by: InstanceId,
+) -> Vec<(Subscriber, Position, Outcome)> {
+    let copies = effects.iter().filter_map(|n| match n {
         Effect::Assigned {
             to,
             subscriber,
@@ -102,7 +107,7 @@
         } if *to == by => Some((*subscriber, *position, *end)),
         _ => None,
     });
-    mine.collect()
+    copies.collect()
 }
 
 pub fn end(copy: (Subscriber, Position), own: f64) -> CopyEnd {
@@ -116,9 +121,9 @@
     }
 }
 
-/// One broadcast, delivered by all, each subscriber in its own time; then a tick.
+/// One broadcast that all subscribers complete, each in the time `own`; then a tick.
 pub fn round(fanout: &mut FanoutState, number: u64, own: impl Fn(Subscriber, InstanceId) -> f64) {
-    take(fanout, number);
+    submit_broadcast(fanout, number);
     let instances: Vec<InstanceId> = fanout.known_instances().collect();
     for by in instances {
         let effects = fanout.apply(Command::Spread {
@@ -126,7 +131,7 @@
             process: 1,
             ticket: number,
         });
-        let ends = handed(&effects, by)
+        let ends = copies_to_deliver(&effects, by)
             .into_iter()
             .map(|copy| end(copy, own(copy.0, by)))
             .collect();
--- a/forwarder/fanout/tests/plan.rs
+++ b/forwarder/fanout/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The plan's bounds, over drawn fleets, lags and losses.
+//! The plan's bounds, for random fleets, lags and losses.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-struct Day {
+struct Scenario {
     subscribers: u64,
     cohorts: u32,
     slow_cohorts: u32,
@@ -18,21 +18,21 @@
     at_once: usize,
     a_minute: usize,
     slow: BTreeSet<u64>,
-    /// At which round which instance goes away, and returns thirty later.
+    /// The round at which an instance is lost, for 30 rounds, and the index of that instance.
     lost: (u64, u64),
-    /// Copies of movers end that many rounds late.
-    lingers: u64,
+    /// The number of rounds by which reports of ends are delayed.
+    report_delay: u64,
 }
 
-fn days() -> impl Strategy<Value = Day> {
+fn scenarios() -> impl Strategy<Value = Scenario> {
     let fleet = (4u64..40, 1u32..6, 1u32..3, 1u64..6);
     let bounds = (1usize..5, 1usize..8);
     let slow = prop::collection::btree_set(0u64..40, 0..12);
     (fleet, bounds, slow, (20u64..60, 0u64..6), 0u64..3).prop_map(
-        |(fleet, bounds, slow, lost, lingers)| {
+        |(fleet, bounds, slow, lost, report_delay)| {
             let (subscribers, cohorts, slow_cohorts, instances) = fleet;
             let (at_once, a_minute) = bounds;
-            Day {
+            Scenario {
                 subscribers,
                 cohorts,
                 slow_cohorts,
@@ -41,24 +41,31 @@
                 a_minute,
                 slow,
                 lost,
-                lingers,
+                report_delay,
             }
         },
     )
 }
 
-fn is_lost(day: &Day, number: u64, id: InstanceId) -> bool {
-    day.instances > 1
-        && id.0 == day.lost.1 % day.instances
-        && (0..30).contains(&(number as i64 - day.lost.0 as i64))
+fn is_lost(scenario: &Scenario, number: u64, id: InstanceId) -> bool {
+    scenario.instances > 1
+        && id.0 == scenario.lost.1 % scenario.instances
+        && (0..30).contains(&(number as i64 - scenario.lost.0 as i64))
 }
 
-fn start(day: &Day) -> FanoutState {
-    let mut told = layout(day.subscribers, day.cohorts, day.slow_cohorts);
-    (told.bounds.moves_at_once, told.bounds.moves_a_minute) = (day.at_once, day.a_minute);
+fn start(scenario: &Scenario) -> FanoutState {
+    let mut layout_with_bounds = layout(
+        scenario.subscribers,
+        scenario.cohorts,
+        scenario.slow_cohorts,
+    );
+    (
+        layout_with_bounds.bounds.moves_at_once,
+        layout_with_bounds.bounds.moves_a_minute,
+    ) = (scenario.at_once, scenario.a_minute);
     let mut fanout = FanoutState::default();
-    fanout.apply(Command::Laid(told));
-    (0..day.instances).for_each(|id| {
+    fanout.apply(Command::Laid(layout_with_bounds));
+    (0..scenario.instances).for_each(|id| {
         drop(fanout.apply(Command::Started {
             by: InstanceId(id),
             process: 1,
@@ -67,11 +74,17 @@
     fanout
 }
 
-/// Copies are taken, delivered by who has them, and the losses told.
-fn play(fanout: &mut FanoutState, day: &Day, number: u64, late: &mut VecDeque<(u64, Command)>) {
-    take(fanout, number);
-    for by in (0..day.instances).map(InstanceId) {
-        if is_lost(day, number, by) {
+/// Plays one round: a broadcast is accepted, its copies are delivered by the instances that have them, and
+/// losses are reported.
+fn play_round(
+    fanout: &mut FanoutState,
+    scenario: &Scenario,
+    number: u64,
+    delayed: &mut VecDeque<(u64, Command)>,
+) {
+    submit_broadcast(fanout, number);
+    for by in (0..scenario.instances).map(InstanceId) {
+        if is_lost(scenario, number, by) {
             fanout.apply(Command::Lost(by));
             continue;
         }
@@ -82,18 +95,18 @@
             ticket: number,
         });
         let own = |s: Subscriber| {
-            if day.slow.contains(&s.0) {
+            if scenario.slow.contains(&s.0) {
                 2000.0
             } else {
                 30.0
             }
         };
-        let ends = handed(&effects, by)
+        let ends = copies_to_deliver(&effects, by)
             .into_iter()
             .map(|copy| end(copy, own(copy.0)))
             .collect();
-        late.push_back((
-            number + day.lingers,
+        delayed.push_back((
+            number + scenario.report_delay,
             Command::Ended {
                 by,
                 process: 1,
@@ -101,8 +114,10 @@
             },
         ));
     }
-    while late.front().is_some_and(|(at, _)| *at <= number) {
-        late.pop_front().map(|(_, command)| fanout.apply(command));
+    while delayed.front().is_some_and(|(at, _)| *at <= number) {
+        delayed
+            .pop_front()
+            .map(|(_, command)| fanout.apply(command));
     }
     fanout.apply(Command::Tick);
 }
@@ -116,64 +131,65 @@
     })]
 
     #[test]
-    fn moves_are_few_and_go_where_they_may(day in days()) {
-        let mut fanout = start(&day);
-        let mut late = VecDeque::new();
+    fn moves_stay_within_bounds_and_go_to_permitted_cohorts(scenario in scenarios()) {
+        let mut fanout = start(&scenario);
+        let mut delayed = VecDeque::new();
         let mut begun: Vec<u64> = Vec::new();
         for number in 1..=120 {
-            play(&mut fanout, &day, number, &mut late);
+            play_round(&mut fanout, &scenario, number, &mut delayed);
             let plan = fanout.plan();
             let moves: Vec<_> = plan.iter().filter(|c| matches!(c, Command::Moved { .. })).collect();
-            prop_assert!(moves.len() + fanout.moving_count() <= day.at_once.max(fanout.moving_count()));
-            let mut movers = BTreeSet::new();
+            prop_assert!(moves.len() + fanout.moving_count() <= scenario.at_once.max(fanout.moving_count()));
+            let mut moved = BTreeSet::new();
             for command in &plan {
                 if let Command::Moved { subscriber, from, to } = command {
-                    prop_assert!(movers.insert(*subscriber), "one goes twice");
+                    prop_assert!(moved.insert(*subscriber), "a subscriber moves twice");
                     prop_assert_eq!(fanout.cohort(*subscriber), Some(*from));
                     let (by, slow) = fanout.serves(*to).unwrap();
-                    prop_assert!(!is_lost(&day, number, by.unwrap()));
+                    prop_assert!(!is_lost(&scenario, number, by.unwrap()));
                     prop_assert!(!fanout.at_fault(by.unwrap()).unwrap().3);
                     prop_assert_eq!(slow, matches!(fanout.judged(*subscriber), Judged::Slow(_)));
-                    prop_assert!(day.slow.contains(&subscriber.0), "one that keeps up goes");
+                    prop_assert!(scenario.slow.contains(&subscriber.0), "a subscriber that keeps up moves");
                 }
             }
-            // Proposed twice by a leader that did not hear, they count once.
+            // Proposed twice, by a leader that did not see the first proposal applied, the commands count
+            // once.
             for command in plan.iter().chain(&plan) {
-                let before: Vec<_> = (0..day.subscribers).map(|s| fanout.cohort(DestinationId(s))).collect();
+                let before: Vec<_> = (0..scenario.subscribers).map(|s| fanout.cohort(DestinationId(s))).collect();
                 fanout.apply(command.clone());
-                let after = (0..day.subscribers).map(|s| fanout.cohort(DestinationId(s)));
+                let after = (0..scenario.subscribers).map(|s| fanout.cohort(DestinationId(s)));
                 let changed = before.iter().zip(after).filter(|(b, a)| **b != *a).count();
                 begun.extend(std::iter::repeat_n(number, changed));
             }
-            prop_assert!(begun.iter().filter(|at| *at + 60 > number).count() <= day.a_minute);
+            prop_assert!(begun.iter().filter(|at| *at + 60 > number).count() <= scenario.a_minute);
         }
     }
 
     #[test]
     fn the_log_keeps_the_bounds_whatever_is_proposed(
-        day in days(),
+        scenario in scenarios(),
         proposed in prop::collection::vec((0u64..40, 0u32..8, 0u32..8), 1..200),
     ) {
-        let mut fanout = start(&day);
+        let mut fanout = start(&scenario);
         fanout.plan().into_iter().for_each(|command| drop(fanout.apply(command)));
-        take(&mut fanout, 1);
-        (0..day.instances).for_each(|by| {
+        submit_broadcast(&mut fanout, 1);
+        (0..scenario.instances).for_each(|by| {
             fanout.apply(Command::Spread { by: InstanceId(by), process: 1, ticket: 1 });
         });
         for (subscriber, from, to) in proposed {
             let subscriber = DestinationId(subscriber);
             let (from, to) = (Cohort(from), Cohort(to));
             fanout.apply(Command::Moved { subscriber, from, to });
-            prop_assert!(fanout.moving_count() <= day.at_once);
-            for s in (0..day.subscribers).map(DestinationId) {
-                prop_assert!(fanout.server(s).is_some(), "{s:?} is served by nobody");
+            prop_assert!(fanout.moving_count() <= scenario.at_once);
+            for s in (0..scenario.subscribers).map(DestinationId) {
+                prop_assert!(fanout.server(s).is_some(), "{s:?} has no server");
             }
         }
     }
 
     #[test]
-    fn a_plan_that_is_carried_out_comes_to_rest(day in days()) {
-        let mut fanout = start(&day);
+    fn an_applied_plan_converges(scenario in scenarios()) {
+        let mut fanout = start(&scenario);
         let mut planned = 0;
         for _ in 0..20 {
             let plan = fanout.plan();
@@ -181,6 +197,6 @@
             plan.into_iter().for_each(|command| drop(fanout.apply(command)));
         }
         prop_assert_eq!(fanout.plan(), []);
-        prop_assert!(planned <= 2 * (day.cohorts + day.slow_cohorts) as usize);
+        prop_assert!(planned <= 2 * (scenario.cohorts + scenario.slow_cohorts) as usize);
     }
 }
--- a/forwarder/fanout/tests/simulation.rs
+++ b/forwarder/fanout/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Seeded days of several forwarders. `WALKS` plays so many more seeds on call.
+//! Seeded simulations of several forwarders. `WALKS` sets the number of seeds.
 
 mod simulator;
 
@@ -6,79 +6,88 @@
 use simulator::{PlantedFault, Simulation};
 
 fn seeds() -> std::ops::Range<u64> {
-    let more = std::env::var("WALKS")
+    let count = std::env::var("WALKS")
         .ok()
         .and_then(|count| count.parse().ok());
-    0..more.unwrap_or(16)
+    0..count.unwrap_or(16)
 }
 
 #[test]
-fn whatever_fails_each_copy_has_one_server_one_end_and_its_place_in_order() {
-    let (mut moves, mut crashes, mut handed, mut completed) = (0, 0, 0, 0);
-    let (mut promised, mut refused) = (0, 0);
+fn under_faults_each_copy_has_one_server_one_end_and_its_place_in_order() {
+    let (mut moves, mut crashes, mut submitted, mut completed) = (0, 0, 0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for seed in seeds() {
-        let day = Simulation::play(seed, PlantedFault::None);
+        let run = Simulation::run(seed, PlantedFault::None);
         assert!(
-            day.checker.breaches.is_empty(),
+            run.checker.violations.is_empty(),
             "seed {seed}: {:?}",
-            day.checker.breaches
+            run.checker.violations
         );
         assert!(
-            day.checker.all_ended > 20,
+            run.checker.all_ended > 20,
             "seed {seed}: {} broadcasts",
-            day.checker.all_ended
+            run.checker.all_ended
         );
-        moves += day.moves;
-        crashes += day.crashes;
-        handed += day.checker.handed;
-        completed += day.checker.completed();
-        let (yes, no) = day.checker.answers();
-        (promised, refused) = (promised + yes, refused + no);
+        moves += run.moves;
+        crashes += run.crashes;
+        submitted += run.checker.submitted;
+        completed += run.checker.completed();
+        let (yes, no) = run.checker.answers();
+        (accepted, rejected) = (accepted + yes, rejected + no);
     }
-    // The days were not empty.
-    let days = seeds().count() as u64;
+    // The simulations covered what they are for.
+    let runs = seeds().count() as u64;
     assert!(
-        moves > 20 * days && crashes > 5 * days,
+        moves > 20 * runs && crashes > 5 * runs,
         "{moves} moves, {crashes} crashes"
     );
     assert!(
-        promised > 20 * days as usize && refused > 0,
-        "{promised} and {refused} answers"
+        accepted > 20 * runs as usize && rejected > 0,
+        "{accepted} accepted, {rejected} rejected"
     );
     assert!(
-        completed as u64 > 100 * days && handed > 100 * days,
-        "{completed} of {handed} completed"
+        completed as u64 > 100 * runs && submitted > 100 * runs,
+        "{completed} of {submitted} completed"
     );
 }
 
 #[test]
-fn one_seed_gives_one_day() {
-    let [first, second] = [0, 1].map(|_| Simulation::play(3, PlantedFault::None));
+fn the_same_seed_gives_the_same_run() {
+    let [first, second] = [0, 1].map(|_| Simulation::run(3, PlantedFault::None));
     assert_eq!(
-        (first.moves, first.checker.handed),
-        (second.moves, second.checker.handed)
+        (first.moves, first.checker.submitted),
+        (second.moves, second.checker.submitted)
     );
     assert_eq!(first.checker.completed(), second.checker.completed());
 }
 
 #[rstest]
-#[case(PlantedFault::HandsBeforeCommit, "no doubled copy")]
-#[case(PlantedFault::ForgetsLedger, "nothing sent after its end")]
+#[case(PlantedFault::SubmitsBeforeCommit, "no duplicate copy")]
+#[case(PlantedFault::IgnoresLedger, "nothing sent after its end")]
 #[case(PlantedFault::EndsTooEarly, "one server for each subscriber")]
 #[case(PlantedFault::EndsTooEarly, "order within a subscriber's stream")]
-#[case(PlantedFault::EndsTooEarly, "an end that is told")]
-#[case(PlantedFault::OutlastsPatience, "nothing sent after its end")]
+#[case(
+    PlantedFault::EndsTooEarly,
+    "an outcome is notified before it is reported"
+)]
+#[case(PlantedFault::SendsAfterPatience, "nothing sent after its end")]
 #[case(PlantedFault::ResendsBinding, "binding copies once")]
-#[case(PlantedFault::GivesUpAtOnce, "nothing sent after its end")]
-#[case(PlantedFault::TellsNoEnd, "an end that is told")]
-#[case(PlantedFault::AnswersEarly, "an answer is kept")]
-#[case(PlantedFault::DropsHandIn, "no missing copy")]
-fn each_check_bites(#[case] planted_fault: PlantedFault, #[case] rule: &str) {
+#[case(PlantedFault::AbandonsAtOnce, "nothing sent after its end")]
+#[case(
+    PlantedFault::SkipsNotice,
+    "an outcome is notified before it is reported"
+)]
+#[case(
+    PlantedFault::AnswersEarly,
+    "the log agrees with the answers to clients"
+)]
+#[case(PlantedFault::DropsSubmission, "no missing copy")]
+fn each_check_detects_its_planted_fault(#[case] planted_fault: PlantedFault, #[case] rule: &str) {
     let found = seeds().any(|seed| {
-        Simulation::play(seed, planted_fault)
+        Simulation::run(seed, planted_fault)
             .checker
-            .breaches
+            .violations
             .contains(rule)
     });
-    assert!(found, "{planted_fault:?} does not break: {rule}");
+    assert!(found, "{planted_fault:?} does not violate: {rule}");
 }
--- a/forwarder/fanout/tests/simulator/forwarder.rs
+++ b/forwarder/fanout/tests/simulator/forwarder.rs
@@ -1,18 +1,18 @@
-//! A forwarder on paper: a ledger that outlasts its process, and a module that sends one copy of a
-//! subscriber at a time, in the order handed in.
+//! A model of a forwarder: a ledger that outlasts its process, and a module that sends one copy of a
+//! subscriber at a time, in the order of submission.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use plankhill_decisions::interface::{EventId, Ms};
 use plankhill_fanout::*;
 
-use super::checker::{Checker, Copy};
+use super::checker::{Checker, CopyKey};
 use super::PlantedFault;
 
 pub const LONGEST_CALL: Ms = 300.0;
 
 pub struct Entry {
-    copy: Copy,
+    copy: CopyKey,
     binding: bool,
     patience_ends: Ms,
     may_have_run: bool,
@@ -22,25 +22,25 @@
 pub struct Forwarder {
     pub id: u64,
     pub planted_fault: PlantedFault,
-    /// Its clock is so far off, and so much faster.
+    /// Offset and rate of its clock.
     pub clock: (Ms, f64),
     pub ledger: BTreeMap<EventId, Entry>,
     queues: BTreeMap<Subscriber, VecDeque<EventId>>,
-    /// Calls out, with the time of their end.
-    out: BTreeMap<EventId, (Ms, bool)>,
-    /// Until then a call of the process before may be out.
-    rests: Ms,
-    /// Notices on their way.
+    /// Calls in flight, with the time of their end and whether they deliver.
+    in_flight: BTreeMap<EventId, (Ms, bool)>,
+    /// Until when a call of the previous process may be in flight.
+    earlier_calls_until: Ms,
+    /// Notices that are not acknowledged yet, and when they will be.
     notices: Vec<(Ms, EventId)>,
-    /// Ends without an event: copies that were never handed in.
-    told: Vec<(Ms, Copy, Outcome)>,
+    /// Outcomes of copies that were never submitted, and when their notices will be acknowledged.
+    unsubmitted_outcomes: Vec<(Ms, CopyKey, Outcome)>,
 }
 
 pub struct Ledger<'a>(pub &'a Forwarder);
 
 impl Host for Ledger<'_> {
     fn is_pending(&self, event: &EventId) -> bool {
-        self.0.planted_fault != PlantedFault::ForgetsLedger && self.0.ledger.contains_key(event)
+        self.0.planted_fault != PlantedFault::IgnoresLedger && self.0.ledger.contains_key(event)
     }
 }
 
@@ -52,10 +52,10 @@
             clock,
             ledger: BTreeMap::new(),
             queues: BTreeMap::new(),
-            out: BTreeMap::new(),
-            rests: 0.0,
+            in_flight: BTreeMap::new(),
+            earlier_calls_until: 0.0,
             notices: Vec::new(),
-            told: Vec::new(),
+            unsubmitted_outcomes: Vec::new(),
         }
     }
 
@@ -63,25 +63,25 @@
         self.clock.0 + now * self.clock.1
     }
 
-    /// The process is gone; the ledger is not.
+    /// Ends the process. The ledger survives.
     pub fn crash(&mut self) {
         self.queues.clear();
-        self.out.clear();
+        self.in_flight.clear();
         self.notices.clear();
-        self.told.clear();
+        self.unsubmitted_outcomes.clear();
     }
 
     pub fn restart(&mut self, now: Ms) {
-        self.rests = now + LONGEST_CALL;
+        self.earlier_calls_until = now + LONGEST_CALL;
         let ids: Vec<EventId> = self.ledger.keys().cloned().collect();
-        let mut resumed: Vec<(Copy, EventId)> = Vec::new();
+        let mut resumed: Vec<(CopyKey, EventId)> = Vec::new();
         for id in ids {
             let resends = self.planted_fault == PlantedFault::ResendsBinding;
             let entry = &self.ledger[&id];
             match entry.ended {
                 Some(_) => self.notices.push((now, id)),
                 None if entry.binding && entry.may_have_run && !resends => {
-                    self.ends(now, &id, Outcome::Abandoned)
+                    self.end(now, &id, Outcome::Abandoned)
                 }
                 None => resumed.push((entry.copy, id)),
             }
@@ -92,25 +92,19 @@
             .for_each(|((s, _), id)| self.queues.entry(s).or_default().push_back(id));
     }
 
-    pub fn carries_out(
-        &mut self,
-        now: Ms,
-        order: HostRequest,
-        binding: bool,
-        checker: &mut Checker,
-    ) {
-        match order {
+    pub fn execute(&mut self, now: Ms, request: HostRequest, binding: bool, checker: &mut Checker) {
+        match request {
             HostRequest::Submit {
                 event,
                 subscriber,
                 position,
                 deadline: patience_ends,
             } => {
-                if self.planted_fault == PlantedFault::DropsHandIn && position.0 % 7 == 0 {
+                if self.planted_fault == PlantedFault::DropsSubmission && position.0 % 7 == 0 {
                     return;
                 }
                 let copy = (subscriber, position);
-                checker.handed(self.id, copy, self.ledger.contains_key(&event));
+                checker.submitted(self.id, copy, self.ledger.contains_key(&event));
                 let entry = Entry {
                     copy,
                     binding,
@@ -127,37 +121,41 @@
                 outcome,
                 ..
             } => {
-                self.told
+                self.unsubmitted_outcomes
                     .push((now + 50.0, (subscriber, position), outcome));
             }
             _ => (),
         }
     }
 
-    fn ends(&mut self, now: Ms, id: &EventId, outcome: Outcome) {
+    fn end(&mut self, now: Ms, id: &EventId, outcome: Outcome) {
         if let Some(entry) = self.ledger.get_mut(id) {
             entry.ended = Some(outcome);
             self.notices.push((now + 50.0, id.clone()));
         }
     }
 
-    /// What the module, its calls and its notices do by now; `fails` draws which calls fail.
-    pub fn works(
+    /// Advances the module, its calls and its notices to `now`; `draw_call` draws how long each call takes
+    /// and whether it delivers.
+    pub fn advance(
         &mut self,
         now: Ms,
-        mut takes: impl FnMut(Copy) -> (Ms, bool),
-        station: &mut LocalInstance,
+        mut draw_call: impl FnMut(CopyKey) -> (Ms, bool),
+        local_instance: &mut LocalInstance,
         checker: &mut Checker,
     ) {
         let local = self.local(now);
-        let over: Vec<EventId> = self
-            .out
+        let ended_calls: Vec<EventId> = self
+            .in_flight
             .iter()
             .filter(|(_, (at, _))| *at <= now)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in over {
-            let delivers = self.out.remove(&id).is_some_and(|(_, delivers)| delivers);
+        for id in ended_calls {
+            let delivers = self
+                .in_flight
+                .remove(&id)
+                .is_some_and(|(_, delivers)| delivers);
             let Some(entry) = self.ledger.get(&id) else {
                 continue;
             };
@@ -169,18 +167,18 @@
                     .entry(copy.0)
                     .or_default()
                     .retain(|other| *other != id);
-                station.on_outcome_acknowledged(local, copy, Outcome::Completed);
+                local_instance.on_outcome_acknowledged(local, copy, Outcome::Completed);
             } else if entry.binding {
-                self.ends(now, &id, Outcome::Abandoned);
+                self.end(now, &id, Outcome::Abandoned);
             }
         }
         let heads = self
             .queues
             .values()
-            .filter(|_| self.rests <= now)
+            .filter(|_| self.earlier_calls_until <= now)
             .filter_map(|q| q.front());
         let heads: Vec<EventId> = heads
-            .filter(|id| !self.out.contains_key(id))
+            .filter(|id| !self.in_flight.contains_key(id))
             .cloned()
             .collect();
         for id in heads {
@@ -191,28 +189,29 @@
             else {
                 continue;
             };
-            if entry.patience_ends <= local && self.planted_fault != PlantedFault::OutlastsPatience
+            if entry.patience_ends <= local
+                && self.planted_fault != PlantedFault::SendsAfterPatience
             {
                 let outcome = if entry.may_have_run {
                     Outcome::Abandoned
                 } else {
                     Outcome::Rejected
                 };
-                self.ends(now, &id, outcome);
+                self.end(now, &id, outcome);
                 continue;
             }
             entry.may_have_run = true;
             let (copy, binding) = (entry.copy, entry.binding);
-            let (took, delivers) = takes(copy);
-            checker.call(now, copy, self.id, now + took, binding);
-            station.on_attempt_started(local, copy);
-            self.out.insert(id, (now + took, delivers));
+            let (duration, delivers) = draw_call(copy);
+            checker.call(now, copy, self.id, now + duration, binding);
+            local_instance.on_attempt_started(local, copy);
+            self.in_flight.insert(id, (now + duration, delivers));
         }
-        let (heard, notices) = std::mem::take(&mut self.notices)
+        let (acknowledged, notices) = std::mem::take(&mut self.notices)
             .into_iter()
             .partition(|(at, _)| *at <= now);
         self.notices = notices;
-        for (_, id) in heard {
+        for (_, id) in acknowledged {
             let Some(entry) = self.ledger.remove(&id) else {
                 continue;
             };
@@ -220,22 +219,22 @@
                 .entry(entry.copy.0)
                 .or_default()
                 .retain(|other| *other != id);
-            checker.noticed(entry.copy);
-            station.on_outcome_acknowledged(
+            checker.notified(entry.copy);
+            local_instance.on_outcome_acknowledged(
                 local,
                 entry.copy,
                 entry.ended.unwrap_or(Outcome::Abandoned),
             );
         }
-        let (heard, told) = std::mem::take(&mut self.told)
+        let (acknowledged, unsubmitted_outcomes) = std::mem::take(&mut self.unsubmitted_outcomes)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.told = told;
-        for (_, copy, outcome) in heard {
-            if self.planted_fault != PlantedFault::TellsNoEnd {
-                checker.noticed(copy);
+        self.unsubmitted_outcomes = unsubmitted_outcomes;
+        for (_, copy, outcome) in acknowledged {
+            if self.planted_fault != PlantedFault::SkipsNotice {
+                checker.notified(copy);
             }
-            station.on_outcome_acknowledged(local, copy, outcome);
+            local_instance.on_outcome_acknowledged(local, copy, outcome);
         }
     }
 }
--- a/forwarder/fanout/tests/simulator/mod.rs
+++ b/forwarder/fanout/tests/simulator/mod.rs
@@ -1,6 +1,6 @@
-//! A day of several forwarders on one log, with drawn faults: processes crash at any step, with and without
-//! their folder, stand still and wake, are cut off; reports are lost, doubled and come late; cohorts and
-//! subscribers change hands all the time. One seed gives one day.
+//! A simulation of several forwarders on one log, with random faults: processes crash at any step, with and
+//! without losing their state folder, are suspended and resumed, or are cut off; reports are lost, duplicated
+//! and delayed; cohorts and subscribers move all the time. The same seed gives the same run.
 
 pub mod checker;
 mod forwarder;
@@ -24,26 +24,26 @@
     }
 }
 
-/// Faults planted in the hosts, to see that each check bites.
+/// Faults planted in the hosts, to show that each check detects one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
     None,
-    /// Hands copies in when it asks for them, and not when the log says so.
-    HandsBeforeCommit,
-    /// Does not look into its ledger after a restart.
-    ForgetsLedger,
-    /// Says that a copy has ended when its subscriber moves, though a call is out.
+    /// Submits copies when it requests them, instead of when the log assigns them.
+    SubmitsBeforeCommit,
+    /// Does not check its ledger after a restart.
+    IgnoresLedger,
+    /// Reports that a copy has ended when its subscriber moves, though a call is in flight.
     EndsTooEarly,
-    /// Sends on past the end of patience.
-    OutlastsPatience,
+    /// Sends a copy after the end of its patience.
+    SendsAfterPatience,
     /// Sends binding copies again after a restart.
     ResendsBinding,
-    /// Gives up what an instance held as soon as it is lost.
-    GivesUpAtOnce,
-    /// Says that an end was told which was not.
-    TellsNoEnd,
-    /// Says 202 before the log does.
+    /// Abandons the copies of an instance as soon as it is lost.
+    AbandonsAtOnce,
+    /// Reports an outcome as notified without a notice.
+    SkipsNotice,
+    /// Answers 202 before the log accepts the broadcast.
     AnswersEarly,
-    /// Loses some of what it is handed.
-    DropsHandIn,
+    /// Loses some of the copies that it is to submit.
+    DropsSubmission,
 }
--- a/forwarder/fanout/tests/simulator/process.rs
+++ b/forwarder/fanout/tests/simulator/process.rs
@@ -1,4 +1,4 @@
-//! One forwarder's process on the log.
+//! One forwarder's process, which follows the log.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +11,21 @@
 
 pub struct Process {
     pub forwarder: Forwarder,
-    /// None while it is down.
-    pub station: Option<LocalInstance>,
+    /// `None` while it is down.
+    pub local_instance: Option<LocalInstance>,
     pub applied: usize,
-    /// It does nothing until then; only its calls go on.
-    pub stalled: Ms,
-    /// Nothing goes to it or comes from it until then.
-    pub cut: Ms,
-    /// What its clients wait for.
-    pub attempts: BTreeMap<u64, BroadcastId>,
+    /// Suspended until then; only its calls go on.
+    pub suspended_until: Ms,
+    /// Cut off from the network until then.
+    pub cut_off_until: Ms,
+    /// Submissions whose clients wait for an answer.
+    pub submissions: BTreeMap<u64, BroadcastId>,
     /// Down until then.
-    pub down: Ms,
+    pub down_until: Ms,
 }
 
 impl Process {
-    pub fn starts(&mut self, now: Ms, log: &[Command], from: usize) {
+    pub fn start(&mut self, now: Ms, log: &[Command], from: usize) {
         let mut state = FanoutState::default();
         log[..from]
             .iter()
@@ -33,30 +33,40 @@
         let state = FanoutState::from_bytes(&state.to_bytes()).expect("a snapshot can be read");
         self.forwarder.restart(now);
         let process = (now * 1000.0) as u64 + 1;
-        let station = LocalInstance::new(InstanceId(self.forwarder.id), process, state);
-        self.attempts.clear();
-        (self.station, self.applied) = (Some(station), from);
+        let local_instance = LocalInstance::new(InstanceId(self.forwarder.id), process, state);
+        self.submissions.clear();
+        (self.local_instance, self.applied) = (Some(local_instance), from);
     }
 
-    pub fn hears(&mut self, now: Ms, log: &[Command], most: usize, checker: &mut Checker) {
+    pub fn apply_log(
+        &mut self,
+        now: Ms,
+        log: &[Command],
+        max_commands: usize,
+        checker: &mut Checker,
+    ) {
         let local = self.forwarder.local(now);
-        let mut all = Vec::new();
-        for command in log.iter().take(most) {
-            let Some(station) = self.station.as_mut() else {
+        let mut requests = Vec::new();
+        for command in log.iter().take(max_commands) {
+            let Some(local_instance) = self.local_instance.as_mut() else {
                 return;
             };
-            all.extend(station.applied(local, &Ledger(&self.forwarder), command.clone()));
+            requests.extend(local_instance.applied(
+                local,
+                &Ledger(&self.forwarder),
+                command.clone(),
+            ));
             self.applied += 1;
         }
-        self.carry_out(now, all, checker);
+        self.carry_out(now, requests, checker);
     }
 
-    fn carry_out(&mut self, now: Ms, orders: Vec<HostRequest>, checker: &mut Checker) {
-        for order in orders {
-            let Some(station) = self.station.as_ref() else {
+    fn carry_out(&mut self, now: Ms, requests: Vec<HostRequest>, checker: &mut Checker) {
+        for request in requests {
+            let Some(local_instance) = self.local_instance.as_ref() else {
                 return;
             };
-            let copy = match &order {
+            let copy = match &request {
                 HostRequest::Submit {
                     subscriber,
                     position,
@@ -68,40 +78,43 @@
                     ..
                 } => (*subscriber, *position),
                 HostRequest::Accepted(number) | HostRequest::Rejected(number, _) => {
-                    let took = matches!(order, HostRequest::Accepted(_));
-                    let answered = self.attempts.remove(number);
-                    answered
+                    let accepted = matches!(request, HostRequest::Accepted(_));
+                    let submission = self.submissions.remove(number);
+                    submission
                         .into_iter()
-                        .for_each(|id| checker.answered(&id, took));
+                        .for_each(|id| checker.answered(&id, accepted));
                     continue;
                 }
                 HostRequest::BroadcastCompleted(..) => continue,
             };
-            if station.holds(copy) {
-                let binding = station
+            if local_instance.holds(copy) {
+                let binding = local_instance
                     .fields(copy.1)
                     .is_some_and(|b| b.traffic == "binding");
-                self.forwarder.carries_out(now, order, binding, checker);
+                self.forwarder.execute(now, request, binding, checker);
             }
         }
     }
 
-    /// Planted: what it does before the log says so.
-    pub fn early(
+    /// Planted faults: acts before the log says so.
+    pub fn planted_commands(
         &mut self,
         now: Ms,
         planted_fault: PlantedFault,
-        asked: &[Command],
+        proposed: &[Command],
         checker: &mut Checker,
     ) -> Vec<Command> {
         let by = InstanceId(self.forwarder.id);
-        let Some(station) = self.station.as_ref() else {
+        let Some(local_instance) = self.local_instance.as_ref() else {
             return Vec::new();
         };
-        let mut state = station.state().clone();
+        let mut state = local_instance.state().clone();
         match planted_fault {
-            PlantedFault::HandsBeforeCommit => {
-                for command in asked.iter().filter(|c| matches!(c, Command::Spread { .. })) {
+            PlantedFault::SubmitsBeforeCommit => {
+                for command in proposed
+                    .iter()
+                    .filter(|c| matches!(c, Command::Spread { .. }))
+                {
                     for effect in state.apply(command.clone()) {
                         let Effect::Assigned {
                             subscriber,
@@ -112,19 +125,19 @@
                         else {
                             continue;
                         };
-                        let Some(b) = station.fields(position) else {
+                        let Some(b) = local_instance.fields(position) else {
                             continue;
                         };
                         let (event, patience_ends) =
                             (copy_id(&b.id, subscriber), b.at + b.patience);
                         let binding = b.traffic == "binding";
-                        let order = HostRequest::Submit {
+                        let request = HostRequest::Submit {
                             event,
                             subscriber,
                             position,
                             deadline: patience_ends,
                         };
-                        self.forwarder.carries_out(now, order, binding, checker);
+                        self.forwarder.execute(now, request, binding, checker);
                     }
                 }
                 Vec::new()
--- a/forwarder/fanout/tests/simulator/random_events.rs
+++ b/forwarder/fanout/tests/simulator/random_events.rs
@@ -1,4 +1,4 @@
-//! What is drawn: broadcasts, faults of processes, and what becomes of reports.
+//! Random events: broadcasts, faults of processes, and the fate of reports.
 
 use plankhill_decisions::interface::Ms;
 use plankhill_fanout::*;
@@ -10,25 +10,25 @@
 const PATIENCE: Ms = 6_000.0;
 
 impl Simulation {
-    /// A client hands it in at one of those that are there.
-    pub(super) fn broadcasts(&mut self) {
-        let at = self.chance.random_range(0..self.processes.len());
+    /// A client submits a broadcast at a process that runs.
+    pub(super) fn submit_broadcast(&mut self) {
+        let at = self.rng.random_range(0..self.processes.len());
         let process = &mut self.processes[at];
-        let Some(station) = process
-            .station
+        let Some(local_instance) = process
+            .local_instance
             .as_mut()
-            .filter(|_| process.stalled <= self.now)
+            .filter(|_| process.suspended_until <= self.now)
         else {
             return;
         };
-        self.sent += 1;
-        let traffic = if self.sent.is_multiple_of(2) {
+        self.submitted += 1;
+        let traffic = if self.submitted.is_multiple_of(2) {
             "binding"
         } else {
             "retriable"
         };
         let local = process.forwarder.local(self.now);
-        let id = BroadcastId(format!("b{}", self.sent));
+        let id = BroadcastId(format!("b{}", self.submitted));
         let broadcast = Broadcast {
             id: id.clone(),
             list: ListName("all".into()),
@@ -39,57 +39,57 @@
             fingerprint: None,
             body: Vec::new(),
         };
-        if let Ok(number) = station.attempt(local, broadcast) {
+        if let Ok(number) = local_instance.attempt(local, broadcast) {
             if self.planted_fault == PlantedFault::AnswersEarly {
                 self.checker.answered(&id, true);
             }
-            process.attempts.insert(number, id);
+            process.submissions.insert(number, id);
         }
     }
 
-    /// Best effort: lost, late, twice.
-    pub(super) fn reports(&mut self, commands: Vec<Command>) {
+    /// Sends reports over the network, which loses, delays and duplicates some.
+    pub(super) fn send_reports(&mut self, commands: Vec<Command>) {
         for command in commands {
-            let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.chance.random_range(0..8)];
-            for _ in 0..copies {
-                let late = if self.chance.random_bool(0.05) {
+            let duplicates = [0, 1, 1, 1, 1, 1, 1, 2][self.rng.random_range(0..8)];
+            for _ in 0..duplicates {
+                let late = if self.rng.random_bool(0.05) {
                     2000.0
                 } else {
                     30.0
                 };
-                let at = self.now + self.chance.random_range(1.0..late);
+                let at = self.now + self.rng.random_range(1.0..late);
                 self.network.push((at, command.clone()));
             }
         }
     }
 
-    pub(super) fn faults(&mut self) {
-        if !self.chance.random_bool(STEP / 500.0) {
+    pub(super) fn draw_fault(&mut self) {
+        if !self.rng.random_bool(STEP / 500.0) {
             return;
         }
-        let at = self.chance.random_range(0..self.processes.len());
-        let span = self.now + [200.0, 1500.0, 4500.0, 12_000.0][self.chance.random_range(0..4)];
-        let there = self
+        let at = self.rng.random_range(0..self.processes.len());
+        let until = self.now + [200.0, 1500.0, 4500.0, 12_000.0][self.rng.random_range(0..4)];
+        let remaining = self
             .processes
             .iter()
-            .filter(|p| p.down < f64::INFINITY)
+            .filter(|p| p.down_until < f64::INFINITY)
             .count();
         let process = &mut self.processes[at];
-        match self.chance.random_range(0..8) {
-            0..3 if process.station.is_some() => {
-                process.station = None;
+        match self.rng.random_range(0..8) {
+            0..3 if process.local_instance.is_some() => {
+                process.local_instance = None;
                 process.forwarder.crash();
-                process.down = span;
+                process.down_until = until;
                 self.crashes += 1;
             }
-            3 if process.down < f64::INFINITY && there > 2 => {
-                process.station = None;
+            3 if process.down_until < f64::INFINITY && remaining > 2 => {
+                process.local_instance = None;
                 process.forwarder.crash();
-                process.down = f64::INFINITY;
-                self.arrives();
+                process.down_until = f64::INFINITY;
+                self.add_process();
             }
-            4..6 => process.stalled = span,
-            _ => process.cut = span,
+            4..6 => process.suspended_until = until,
+            _ => process.cut_off_until = until,
         }
     }
 }
--- a/forwarder/fanout/tests/slow_subscribers.rs
+++ b/forwarder/fanout/tests/slow_subscribers.rs
@@ -1,4 +1,4 @@
-//! Who is judged slow, and on which figures.
+//! Which subscribers are judged slow, and on which figures.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 const HEALTHY: f64 = 40.0;
 
-fn only(slow: u64, own: f64) -> impl Fn(Subscriber, InstanceId) -> f64 {
+fn one_slow(slow: u64, own: f64) -> impl Fn(Subscriber, InstanceId) -> f64 {
     move |s, _| if s.0 == slow { own } else { HEALTHY }
 }
 
@@ -22,8 +22,8 @@
     from + count
 }
 
-/// As the leader does.
-fn regroups(fanout: &mut FanoutState) -> usize {
+/// Applies the plan as the leader does; returns the number of moves.
+fn apply_plan(fanout: &mut FanoutState) -> usize {
     let moves = fanout.plan();
     let count = moves
         .iter()
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn one_that_lags_is_found_and_the_verdict_says_on_which_figures() {
+fn a_lagging_subscriber_is_found_and_the_verdict_has_its_figures() {
     let mut fanout = fleet(24, 3);
-    let next = rounds(&mut fanout, 1, 30, only(4, HEALTHY));
+    let next = rounds(&mut fanout, 1, 30, one_slow(4, HEALTHY));
     assert_eq!(fanout.verdicts().count(), 0);
     let mut found = 0;
     while fanout.judged(DestinationId(4)) == Judged::KeepsUp && found < 60 {
-        rounds(&mut fanout, next + found, 1, only(4, 1200.0));
+        rounds(&mut fanout, next + found, 1, one_slow(4, 1200.0));
         found += 1;
     }
     assert!((8..=14).contains(&found), "{found} copies");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn between_the_two_thresholds_a_verdict_stays_what_it_is() {
+fn between_the_two_thresholds_a_verdict_does_not_change() {
     let mut fanout = fleet(24, 3);
     let mut next = rounds(
         &mut fanout,
@@ -63,25 +63,25 @@
         200,
         |s, _| if s.0 == 4 { 0.0 } else { HEALTHY },
     );
-    // Late in three of ten.
+    // Late in three of ten rounds.
     let turns = |n: u64| if n % 10 < 3 { 1200.0 } else { HEALTHY };
     for _ in 0..100 {
-        next = rounds(&mut fanout, next, 1, only(4, turns(next)));
+        next = rounds(&mut fanout, next, 1, one_slow(4, turns(next)));
         assert_eq!(fanout.judged(DestinationId(4)), Judged::KeepsUp);
     }
-    next = rounds(&mut fanout, next, 20, only(4, 1200.0));
+    next = rounds(&mut fanout, next, 20, one_slow(4, 1200.0));
     assert!(matches!(fanout.judged(DestinationId(4)), Judged::Slow(_)));
     for _ in 0..100 {
-        next = rounds(&mut fanout, next, 1, only(4, turns(next)));
+        next = rounds(&mut fanout, next, 1, one_slow(4, turns(next)));
         assert!(matches!(fanout.judged(DestinationId(4)), Judged::Slow(_)));
     }
 }
 
 #[test]
-fn a_forwarder_that_stalls_is_blamed_and_no_subscriber_is() {
+fn a_stalled_forwarder_is_at_fault_and_no_subscriber_is_judged_slow() {
     let mut fanout = fleet(24, 3);
     let stalled = InstanceId(1);
-    let mut next = rounds(&mut fanout, 1, 30, only(99, HEALTHY));
+    let mut next = rounds(&mut fanout, 1, 30, one_slow(99, HEALTHY));
     next = rounds(&mut fanout, next, 30, |_, at| {
         if at == stalled {
             3000.0
@@ -93,15 +93,18 @@
     let (votes, late, _, at_fault) = fanout.at_fault(stalled).unwrap();
     assert!(at_fault && late >= 0.5 && votes >= 3.0);
     assert!(!fanout.at_fault(InstanceId(0)).unwrap().3);
-    assert_eq!(regroups(&mut fanout), 0);
-    rounds(&mut fanout, next, 60, only(99, HEALTHY));
-    assert!(!fanout.at_fault(stalled).unwrap().3, "it is cleared again");
+    assert_eq!(apply_plan(&mut fanout), 0);
+    rounds(&mut fanout, next, 60, one_slow(99, HEALTHY));
+    assert!(
+        !fanout.at_fault(stalled).unwrap().3,
+        "the verdict is lifted again"
+    );
 }
 
 #[test]
-fn short_stalls_that_hit_a_few_each_time_condemn_nobody() {
+fn short_stalls_that_hit_few_copies_lead_to_no_verdict() {
     let mut fanout = fleet(24, 3);
-    // Each second round some of the forwarder's copies were out when it stopped, two of eight.
+    // In every second round the forwarder stalls with some of its copies in flight, two of eight.
     for number in 1..=300 {
         round(&mut fanout, number, |s, at| {
             let hit = number % 2 == 0 && at == InstanceId(1) && (s.0 / 3 + number / 2) % 4 == 0;
@@ -116,7 +119,7 @@
 }
 
 #[test]
-fn one_that_is_parked_or_cold_is_not_slow() {
+fn a_parked_or_cold_subscriber_is_not_judged_slow() {
     let mut fanout = fleet(24, 3);
     let subscriber = DestinationId(4);
     let by = fanout.server(subscriber).unwrap();
@@ -125,29 +128,30 @@
         subscriber,
         rests: true,
     });
-    let next = rounds(&mut fanout, 1, 60, only(4, 9000.0));
+    let next = rounds(&mut fanout, 1, 60, one_slow(4, 9000.0));
     assert_eq!(fanout.judged(subscriber), Judged::KeepsUp);
     fanout.apply(Command::Rests {
         by,
         subscriber,
         rests: false,
     });
-    // What was seen meanwhile is not held against it later.
-    let next = rounds(&mut fanout, next, 4, only(4, HEALTHY));
+    // Samples of that time do not count against the subscriber later.
+    let next = rounds(&mut fanout, next, 4, one_slow(4, HEALTHY));
     assert_eq!(fanout.judged(subscriber), Judged::KeepsUp);
-    rounds(&mut fanout, next, 20, only(4, 9000.0));
+    rounds(&mut fanout, next, 20, one_slow(4, 9000.0));
     assert!(matches!(fanout.judged(subscriber), Judged::Slow(_)));
 }
 
-/// Guards what a slow one's copies say that end while they wait: they took no time of its own.
+/// Guards against a false recovery: queued copies of a slow subscriber that are rejected unsent take no time
+/// of its own, and would count as fast.
 #[test]
-fn copies_given_up_before_any_call_are_no_sign_of_recovery() {
+fn copies_rejected_before_any_call_are_no_sign_of_recovery() {
     let mut fanout = fleet(24, 3);
     let subscriber = DestinationId(4);
-    let next = rounds(&mut fanout, 1, 30, only(4, 1500.0));
-    assert_eq!(regroups(&mut fanout), 1);
+    let next = rounds(&mut fanout, 1, 30, one_slow(4, 1500.0));
+    assert_eq!(apply_plan(&mut fanout), 1);
     for number in next..next + 200 {
-        take(&mut fanout, number);
+        submit_broadcast(&mut fanout, number);
         for by in (0..4).map(InstanceId) {
             let effects = fanout.apply(Command::Spread {
                 by,
@@ -158,7 +162,7 @@
                 outcome: Outcome::Rejected,
                 ..end(copy, 0.0)
             };
-            let ends = handed(&effects, by).into_iter();
+            let ends = copies_to_deliver(&effects, by).into_iter();
             let ends = ends
                 .map(|c| {
                     if c.0 == subscriber {
@@ -177,23 +181,23 @@
         fanout.apply(Command::Tick);
     }
     assert!(matches!(fanout.judged(subscriber), Judged::Slow(_)));
-    assert_eq!(regroups(&mut fanout), 0);
+    assert_eq!(apply_plan(&mut fanout), 0);
 }
 
 #[test]
-fn one_that_hangs_is_found_while_its_copies_are_still_out() {
+fn a_hanging_subscriber_is_found_while_its_copies_are_in_flight() {
     let mut fanout = fleet(24, 3);
     let subscriber = DestinationId(4);
     let by = fanout.server(subscriber).unwrap();
     for number in 1..=40 {
-        take(&mut fanout, number);
+        submit_broadcast(&mut fanout, number);
         for by in (0..4).map(InstanceId) {
             let effects = fanout.apply(Command::Spread {
                 by,
                 process: 1,
                 ticket: number,
             });
-            let (hung, ended): (Vec<_>, Vec<_>) = handed(&effects, by)
+            let (hung, ended): (Vec<_>, Vec<_>) = copies_to_deliver(&effects, by)
                 .into_iter()
                 .partition(|(s, _)| *s == subscriber);
             let out = hung
@@ -205,7 +209,7 @@
                 process: 1,
                 copies: [out.clone(), out].concat(),
             });
-            // It is written off in the end, and that is no second vote.
+            // The copy then ends, which is not a second vote.
             let all = ended
                 .into_iter()
                 .chain(hung)
@@ -220,13 +224,13 @@
         fanout.apply(Command::Tick);
     }
     let Judged::Slow(figures) = fanout.judged(subscriber) else {
-        panic!("not found")
+        panic!("not judged slow")
     };
     assert_eq!((figures.at, figures.late), (by, 1.0));
 }
 
 #[test]
-fn one_that_is_slow_at_one_forwarder_only_is_a_matter_of_the_route() {
+fn slowness_at_one_forwarder_only_is_a_verdict_on_the_route() {
     let mut fanout = fleet(24, 3);
     let subscriber = DestinationId(4);
     let bad = fanout.server(subscriber).unwrap();
@@ -238,38 +242,38 @@
         }
     };
     let mut next = rounds(&mut fanout, 1, 20, lag);
-    assert_eq!(regroups(&mut fanout), 1);
+    assert_eq!(apply_plan(&mut fanout), 1);
     assert_ne!(fanout.server(subscriber), Some(bad));
     next = rounds(&mut fanout, next, 12, lag);
     let Judged::Route(figures) = fanout.judged(subscriber) else {
-        panic!("not the route")
+        panic!("no verdict on the route")
     };
     assert_eq!(figures.at, bad);
-    // It goes back among those that keep up, but not there.
-    assert_eq!(regroups(&mut fanout), 1);
+    // The subscriber returns to a cohort that keeps up, but not at that instance.
+    assert_eq!(apply_plan(&mut fanout), 1);
     let cohort = fanout.cohort(subscriber).unwrap();
     assert!(!fanout.serves(cohort).unwrap().1 && fanout.server(subscriber) != Some(bad));
     rounds(&mut fanout, next, 100, lag);
-    assert_eq!(regroups(&mut fanout), 0);
+    assert_eq!(apply_plan(&mut fanout), 0);
 }
 
 #[test]
-fn one_goes_back_only_after_lasting_recovery_and_later_each_time() {
+fn a_subscriber_returns_after_a_lasting_recovery_and_later_each_time() {
     let mut fanout = fleet(24, 3);
     let subscriber = DestinationId(4);
     let mut next = 1;
     let mut waits = Vec::new();
     for _ in 0..3 {
-        next = rounds(&mut fanout, next, 40, only(4, 1500.0));
-        assert_eq!(regroups(&mut fanout), 1, "to the slow ones");
-        next = rounds(&mut fanout, next, 40, only(4, 1500.0));
+        next = rounds(&mut fanout, next, 40, one_slow(4, 1500.0));
+        assert_eq!(apply_plan(&mut fanout), 1, "to the slow cohort");
+        next = rounds(&mut fanout, next, 40, one_slow(4, 1500.0));
         let began = next;
-        while regroups(&mut fanout) == 0 && next < began + 900 {
-            next = rounds(&mut fanout, next, 1, only(4, HEALTHY));
+        while apply_plan(&mut fanout) == 0 && next < began + 900 {
+            next = rounds(&mut fanout, next, 1, one_slow(4, HEALTHY));
         }
         waits.push(next - began);
         assert!(!fanout.serves(fanout.cohort(subscriber).unwrap()).unwrap().1);
-        next = rounds(&mut fanout, next, 60, only(4, HEALTHY));
+        next = rounds(&mut fanout, next, 60, one_slow(4, HEALTHY));
     }
     assert!(
         waits[0] >= 60 && waits[1] >= 120 && waits[2] >= 240,
--- a/forwarder/fanout/tests/state.rs
+++ b/forwarder/fanout/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state by plain calls.
+//! The replicated state, driven by direct calls.
 
 mod common;
 
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn each_subscriber_is_handed_one_copy_however_often_commands_come() {
+fn each_subscriber_is_assigned_one_copy_however_often_commands_are_applied() {
     let mut fanout = fleet(9, 3);
-    let taken = take(&mut fanout, 1);
+    let taken = submit_broadcast(&mut fanout, 1);
     assert!(matches!(
         taken[..],
         [Effect::Accepted {
@@ -26,7 +26,7 @@
         }]
     ));
     assert!(matches!(
-        take(&mut fanout, 1)[..],
+        submit_broadcast(&mut fanout, 1)[..],
         [Effect::Rejected {
             reason: Rejection::Known,
             ..
@@ -36,7 +36,7 @@
     for by in (0..4).map(InstanceId) {
         for ticket in [1, 1, 2] {
             all.extend(
-                handed(
+                copies_to_deliver(
                     &fanout.apply(Command::Spread {
                         by,
                         process: 1,
@@ -51,14 +51,14 @@
     }
     assert_eq!(all.len(), 9);
     let (by, copy) = all.remove(0);
-    let twice = Command::Ended {
+    let repeated = Command::Ended {
         by,
         process: 1,
         ends: vec![end(copy, 5.0), end(copy, 5.0)],
     };
-    assert_eq!(fanout.apply(twice), []);
+    assert_eq!(fanout.apply(repeated), []);
     for (by, copy) in all.clone() {
-        // From one that has it not, it counts for nothing.
+        // From an instance that does not have the copy, the end does not count.
         fanout.apply(Command::Ended {
             by: InstanceId(99),
             process: 1,
@@ -73,13 +73,13 @@
     }
     assert_eq!(fanout.broadcasts().count(), 0);
     assert!(matches!(
-        take(&mut fanout, 1)[..],
+        submit_broadcast(&mut fanout, 1)[..],
         [Effect::Rejected { .. }]
     ));
 }
 
 #[test]
-fn an_attempt_counts_once_and_a_barred_one_never() {
+fn a_submission_counts_once_and_a_barred_one_never() {
     let mut fanout = fleet(4, 1);
     let (by, process) = (InstanceId(1), 1);
     let taken = |number, of| Command::Taken {
@@ -92,13 +92,13 @@
         fanout.apply(taken(1, 1))[..],
         [Effect::Accepted { number: 1, .. }]
     ));
-    assert_eq!(fanout.apply(taken(1, 1)), [], "it was decided");
+    assert_eq!(fanout.apply(taken(1, 1)), [], "already decided");
     let barred = Command::Barred {
         by,
         process,
         number: 1,
     };
-    assert_eq!(fanout.apply(barred), [], "it counted before");
+    assert_eq!(fanout.apply(barred), [], "already accepted");
     let barred = fanout.apply(Command::Barred {
         by,
         process,
@@ -115,20 +115,20 @@
     assert_eq!(
         fanout.apply(taken(2, 2)),
         [],
-        "its client was told that it does not count"
+        "its client was told that it is rejected"
     );
-    // The next attempt with the same id does.
+    // The next submission with the same id counts.
     assert!(matches!(
         fanout.apply(taken(3, 2))[..],
         [Effect::Accepted { number: 3, .. }]
     ));
     fanout.apply(Command::Started { by, process: 2 });
-    assert_eq!(fanout.apply(taken(4, 3)), [], "of a process that is gone");
+    assert_eq!(fanout.apply(taken(4, 3)), [], "from an earlier process");
     assert_eq!(fanout.broadcasts().count(), 2);
 }
 
 #[test]
-fn ids_of_copies_are_the_same_whoever_derives_them() {
+fn copy_ids_are_derived_from_broadcast_and_subscriber() {
     let id = BroadcastId("a~7".into());
     let event = copy_id(&id, DestinationId(12));
     assert_eq!(&*event.0, "a~7~12");
@@ -143,20 +143,20 @@
 }
 
 #[test]
-fn the_slowest_loses_its_oldest_unsent_copies_and_nobody_else_is_held() {
+fn a_slow_subscriber_loses_its_oldest_queued_copies_and_delays_no_other() {
     let mut fanout = fleet(4, 1);
     let by = InstanceId(0);
     let slow = DestinationId(2);
     let mut given_up = Vec::new();
     for number in 1..=20 {
-        let effects = take(&mut fanout, number);
-        given_up.extend(told(&effects, by));
+        let effects = submit_broadcast(&mut fanout, number);
+        given_up.extend(outcomes_to_report(&effects, by));
         let effects = fanout.apply(Command::Spread {
             by,
             process: 1,
             ticket: number,
         });
-        let ends: Vec<_> = handed(&effects, by)
+        let ends: Vec<_> = copies_to_deliver(&effects, by)
             .into_iter()
             .filter(|(s, _)| *s != slow)
             .collect();
@@ -167,13 +167,13 @@
             ends: ends.into_iter().map(|c| end(c, 5.0)).collect(),
         });
     }
-    // Two are out and four wait.
+    // Two copies are in flight and four are queued.
     let lost: Vec<u64> = given_up.iter().map(|(_, position, _)| position.0).collect();
     assert_eq!(lost, (3..=16).collect::<Vec<u64>>());
     assert!(given_up
         .iter()
         .all(|(s, _, outcome)| *s == slow && *outcome == Outcome::Rejected));
-    // Each is told its end, and only then nothing is kept of its broadcast.
+    // A broadcast is kept until the outcome of each of its copies is reported.
     assert_eq!(fanout.broadcasts().count(), 20);
     let ends = given_up
         .iter()
@@ -189,21 +189,21 @@
 }
 
 #[test]
-fn what_was_not_handed_in_within_its_patience_is_dismissed() {
+fn queued_copies_are_rejected_when_their_time_is_up() {
     let mut fanout = fleet(2, 1);
     let by = InstanceId(0);
-    take(&mut fanout, 1);
+    submit_broadcast(&mut fanout, 1);
     fanout.apply(Command::Spread {
         by,
         process: 1,
         ticket: 1,
     });
-    take(&mut fanout, 2);
+    submit_broadcast(&mut fanout, 2);
     let effects = fanout.apply(Command::TimeUp(vec![Position(1), Position(2)]));
     let second = [0, 1].map(|s| (DestinationId(s), Position(2), Outcome::Rejected));
-    assert_eq!(told(&effects, by), second);
+    assert_eq!(outcomes_to_report(&effects, by), second);
     assert_eq!(
-        handed(
+        copies_to_deliver(
             &fanout.apply(Command::Spread {
                 by,
                 process: 1,
@@ -216,32 +216,32 @@
 }
 
 #[test]
-fn a_move_waits_for_what_is_out_and_then_goes_on_behind_it() {
+fn a_move_waits_for_copies_in_flight_and_continues_after_them() {
     let mut fanout = fleet(4, 2);
     let subscriber = DestinationId(0);
     let old = fanout.server(subscriber).unwrap();
     let from = fanout.cohort(subscriber).unwrap();
     let to = Cohort(2);
     let new = fanout.serves(to).unwrap().0.unwrap();
-    take(&mut fanout, 1);
+    submit_broadcast(&mut fanout, 1);
     fanout.apply(Command::Spread {
         by: old,
         process: 1,
         ticket: 1,
     });
-    take(&mut fanout, 2);
+    submit_broadcast(&mut fanout, 2);
     let command = Command::Moved {
         subscriber,
         from,
         to,
     };
     assert_eq!(fanout.apply(command.clone()), []);
-    assert_eq!(fanout.apply(command), [], "a doubled move is none");
+    assert_eq!(fanout.apply(command), [], "a repeated move has no effect");
     let of =
         |copies: Vec<(Subscriber, Position)>| copies.iter().filter(|c| c.0 == subscriber).count();
     for by in [old, new] {
         assert_eq!(
-            of(handed(
+            of(copies_to_deliver(
                 &fanout.apply(Command::Spread {
                     by,
                     process: 1,
@@ -266,7 +266,7 @@
         }]
     );
     assert_eq!(
-        of(handed(
+        of(copies_to_deliver(
             &fanout.apply(Command::Spread {
                 by: old,
                 process: 1,
@@ -281,16 +281,19 @@
         process: 1,
         ticket: 3,
     });
-    assert_eq!(handed(&effects, new), [(subscriber, Position(2))]);
+    assert_eq!(
+        copies_to_deliver(&effects, new),
+        [(subscriber, Position(2))]
+    );
 }
 
 #[test]
-fn what_a_lost_instance_held_is_written_off_by_its_heir_and_never_sent_again() {
+fn copies_of_a_lost_instance_are_abandoned_by_its_successor_and_never_sent_again() {
     let mut fanout = fleet(4, 2);
     let (old, subscriber) = (InstanceId(0), DestinationId(0));
     assert_eq!(fanout.server(subscriber), Some(old));
-    take(&mut fanout, 1);
-    let held = handed(
+    submit_broadcast(&mut fanout, 1);
+    let assigned = copies_to_deliver(
         &fanout.apply(Command::Spread {
             by: old,
             process: 1,
@@ -303,61 +306,61 @@
         .plan()
         .into_iter()
         .for_each(|command| drop(fanout.apply(command)));
-    let heir = fanout.server(subscriber).unwrap();
-    assert_ne!(heir, old);
-    // It may still be at work: the heir waits.
-    take(&mut fanout, 2);
-    let early = handed(
+    let successor = fanout.server(subscriber).unwrap();
+    assert_ne!(successor, old);
+    // A call may still be running there: the successor waits.
+    submit_broadcast(&mut fanout, 2);
+    let before = copies_to_deliver(
         &fanout.apply(Command::Spread {
-            by: heir,
+            by: successor,
             process: 1,
             ticket: 1,
         }),
-        heir,
+        successor,
     );
-    assert!(early
+    assert!(before
         .iter()
-        .all(|(s, _)| held.iter().all(|(theirs, _)| theirs != s)));
+        .all(|(s, _)| assigned.iter().all(|(other, _)| other != s)));
     assert_eq!(
         fanout.apply(Command::GivenUp {
             instance: old,
             time: 0
         }),
         [],
-        "of another time"
+        "of another loss"
     );
     let effects = fanout.apply(Command::GivenUp {
         instance: old,
         time: 1,
     });
-    let written_off: Vec<_> = held
+    let written_off: Vec<_> = assigned
         .iter()
         .map(|(s, p)| (*s, *p, Outcome::Abandoned))
         .collect();
-    assert_eq!(told(&effects, heir), written_off);
+    assert_eq!(outcomes_to_report(&effects, successor), written_off);
     let late = Command::Ended {
         by: old,
         process: 1,
-        ends: vec![end(held[0], 5.0)],
+        ends: vec![end(assigned[0], 5.0)],
     };
-    assert_eq!(fanout.apply(late), [], "what it tells now comes too late");
-    let later = handed(
+    assert_eq!(fanout.apply(late), [], "its report is too late");
+    let after = copies_to_deliver(
         &fanout.apply(Command::Spread {
-            by: heir,
+            by: successor,
             process: 1,
             ticket: 2,
         }),
-        heir,
+        successor,
     );
-    assert!(later.contains(&(subscriber, Position(2))));
+    assert!(after.contains(&(subscriber, Position(2))));
 }
 
 #[test]
-fn an_instance_that_returns_in_time_keeps_what_it_holds() {
+fn an_instance_that_returns_in_time_keeps_its_copies() {
     let mut fanout = fleet(4, 2);
     let old = InstanceId(0);
-    take(&mut fanout, 1);
-    let held = handed(
+    submit_broadcast(&mut fanout, 1);
+    let assigned = copies_to_deliver(
         &fanout.apply(Command::Spread {
             by: old,
             process: 1,
@@ -374,25 +377,25 @@
         }),
         []
     );
-    assert_eq!(fanout.assigned_copies(old).len(), held.len());
+    assert_eq!(fanout.assigned_copies(old).len(), assigned.len());
 }
 
 #[rstest]
 #[case::broadcasts(|b: &mut Bounds| b.broadcasts = 3)]
 #[case::copies(|b: &mut Bounds| b.kept_in_all = 12)]
 #[case::bytes(|b: &mut Bounds| b.body_bytes = 6)]
-fn at_a_bound_a_broadcast_is_refused_and_nothing_is_dropped(#[case] narrow: fn(&mut Bounds)) {
+fn at_a_bound_a_broadcast_is_rejected_and_nothing_is_dropped(#[case] narrow: fn(&mut Bounds)) {
     let mut fanout = fleet(4, 2);
-    let mut told = layout(4, 2, 1);
-    narrow(&mut told.bounds);
-    fanout.apply(Command::Laid(told));
+    let mut narrowed = layout(4, 2, 1);
+    narrow(&mut narrowed.bounds);
+    fanout.apply(Command::Laid(narrowed));
     for number in 1..=3 {
         assert!(matches!(
-            take(&mut fanout, number)[..],
+            submit_broadcast(&mut fanout, number)[..],
             [Effect::Accepted { .. }]
         ));
     }
-    let full = take(&mut fanout, 4);
+    let full = submit_broadcast(&mut fanout, 4);
     assert!(matches!(
         full[..],
         [Effect::Rejected {
@@ -404,7 +407,7 @@
 }
 
 #[test]
-fn a_snapshot_goes_on_like_the_state_that_it_was_taken_of() {
+fn a_restored_snapshot_behaves_like_the_original_state() {
     let mut fanout = fleet(30, 3);
     (1..=20).for_each(|n| round(&mut fanout, n, |s, _| if s.0 == 3 { 2000.0 } else { 20.0 }));
     let mut copy = FanoutState::from_bytes(&fanout.to_bytes()).unwrap();
@@ -421,7 +424,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_command_are_none() {
+fn invalid_bytes_do_not_decode_to_a_command() {
     let command = Command::Taken {
         by: InstanceId(1),
         process: 1,
--- a/forwarder/fanout/tests/stored_format.rs
+++ b/forwarder/fanout/tests/stored_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of every command of the group's log.
+//! Pins the encoding of every command of the control group's log.
 
 use plankhill_decisions::interface::DestinationId;
 use plankhill_fanout::*;
@@ -168,9 +168,9 @@
     assert_eq!(Command::from_bytes(&pinned(name)), Some(command), "{name}");
 }
 
-/// A copy's id names its broadcast and its subscriber: clients and the record see it.
+/// A copy's id is made of its broadcast and its subscriber: clients see it, and the event log stores it.
 #[test]
-fn a_copys_id_is_formed_as_before() {
+fn the_format_of_copy_ids_is_pinned() {
     let id = copy_id(&BroadcastId("b-1".into()), SUBSCRIBER);
     assert_eq!(&*id.0, "b-1~300");
     assert_eq!(copy_of(&id), Some((BroadcastId("b-1".into()), SUBSCRIBER)));
