--- a/forwarder/replication/benches/copies/fleet.rs
+++ b/forwarder/replication/benches/copies/fleet.rs
@@ -1,4 +1,4 @@
-//! Forwarders as processes, of one fleet or each for itself.
+//! Forwarders as processes, in one fleet or independent of each other.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,11 +20,11 @@
 }
 
 /// Addresses that were free a moment ago.
-fn free(number: usize) -> Vec<SocketAddr> {
+fn free_addresses(number: usize) -> Vec<SocketAddr> {
     let all = (0..number).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
     all.collect::<Vec<_>>()
         .iter()
-        .map(|held| held.local_addr().expect("bound"))
+        .map(|listener| listener.local_addr().expect("bound"))
         .collect()
 }
 
@@ -35,10 +35,10 @@
 }
 
 impl Fleet {
-    /// Returns once all are ready.
+    /// Starts the forwarders and returns once all accept events.
     pub fn start(number: usize, keepers: Option<usize>, target: SocketAddr, slots: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        let links = free(number);
+        let links = free_addresses(number);
         let mut file = "fleet = \"bench\"\n".to_owned();
         for (at, address) in links.iter().enumerate() {
             file += &format!(
@@ -78,8 +78,8 @@
         self.processes.iter().map(|process| process.listen)
     }
 
-    /// What all processes have worked so far, in microseconds.
-    pub fn worked(&self) -> f64 {
+    /// CPU time of all processes so far, in microseconds.
+    pub fn cpu_time(&self) -> f64 {
         let ticks = |process: &Process| {
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.child.id()))
                 .unwrap_or_default();
@@ -94,11 +94,11 @@
                 .filter_map(|field| field.parse::<f64>().ok())
                 .sum::<f64>()
         };
-        // A hundred ticks a second.
+        // There are 100 clock ticks a second.
         self.processes.iter().map(ticks).sum::<f64>() * 10_000.0
     }
 
-    /// SIGKILL.
+    /// Kills a forwarder with SIGKILL.
     pub fn kill(&mut self, at: usize) -> Instant {
         let now = Instant::now();
         self.processes[at].child.kill().expect("runs");
@@ -116,22 +116,22 @@
             .lines()
             .map_while(Result::ok);
         let listen = lines.find_map(|line| {
-            let told = line
+            let address = line
                 .split("listen: ")
                 .nth(1)?
                 .split(',')
                 .next()?
                 .parse()
                 .ok();
-            told.filter(|_| line.contains("server started"))
+            address.filter(|_| line.contains("server started"))
         });
-        let listen = listen.expect("tells where it listens");
+        let listen = listen.expect("the log has the listen address");
         thread::spawn(move || lines.count());
         Process { child, listen }
     }
 
     fn wait_until_it_accepts(&self) {
-        let by = Instant::now() + Duration::from_secs(30);
+        let deadline = Instant::now() + Duration::from_secs(30);
         let mut number = 0;
         loop {
             number += 1;
@@ -147,7 +147,7 @@
             if line.contains(" 202 ") {
                 return;
             }
-            assert!(Instant::now() < by, "takes nothing: {line}");
+            assert!(Instant::now() < deadline, "accepts nothing: {line}");
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -162,7 +162,7 @@
 
 fn config(at: usize, number: usize, target: SocketAddr, slots: usize) -> serde_json::Value {
     let member = json!({"id": "t", "host_port": target.to_string(), "locality": "z", "flavor": "k", "cell": 1, "phase": "up"});
-    json!({"name": format!("n{at}"), "listen": "127.0.0.1:0", "discovery": free(1)[0].to_string(), "seed": "7",
+    json!({"name": format!("n{at}"), "listen": "127.0.0.1:0", "discovery": free_addresses(1)[0].to_string(), "seed": "7",
         "limits": {"cores": 1, "memory_mb": 256, "sockets": 1024, "disk_mb": 64},
         "known": {"revision": 1, "complete": true, "members": [member]},
         "settings": {"me": at, "balancers": number, "shapes": ["k"], "zones": ["z"], "zone": "z",
--- a/forwarder/replication/benches/copies/load.rs
+++ b/forwarder/replication/benches/copies/load.rs
@@ -1,5 +1,5 @@
-//! Clients: each hands in one event after the other over one connection, and waits for its 202 and until it
-//! has come to the target: so that nobody hands in more than is delivered.
+//! Clients: each submits one event after another over one connection, and waits for its 202 and for its call
+//! at the target, so that no more events are submitted than delivered.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,84 +10,90 @@
 
 use hdrhistogram::Histogram;
 
-use crate::target::Came;
+use crate::target::Arrivals;
 
 const BODY: usize = 400;
 
-/// Events that were refused, 503 or otherwise.
-pub static REFUSED: AtomicUsize = AtomicUsize::new(0);
+/// Events that were rejected, with a 503 or otherwise.
+pub static REJECTED: AtomicUsize = AtomicUsize::new(0);
 
 /// Microseconds to each 202, and to each event's call at the target.
-pub struct Times {
-    pub taken: Histogram<u64>,
-    pub came: Histogram<u64>,
+pub struct Latencies {
+    pub accepted: Histogram<u64>,
+    pub arrivals: Histogram<u64>,
 }
 
 pub fn run(
     to: &[SocketAddr],
     clients: usize,
-    span: Duration,
+    duration: Duration,
     name: &str,
-    came: &Arc<Came>,
-) -> Times {
-    let ends = Instant::now() + span;
+    arrivals: &Arc<Arrivals>,
+) -> Latencies {
+    let ends = Instant::now() + duration;
     let clients = (0..to.len() * clients).map(|number| {
-        let (to, name, came) = (
+        let (to, name, arrivals) = (
             to[number % to.len()],
             format!("{name}.{number}"),
-            came.clone(),
+            arrivals.clone(),
         );
-        thread::spawn(move || client(to, ends, number, &name, &came))
+        thread::spawn(move || client(to, ends, number, &name, &arrivals))
     });
-    let mut all = Times::new();
+    let mut all = Latencies::new();
     for client in clients.collect::<Vec<_>>() {
-        let Times { taken, came } = client.join().expect("a client ends");
-        all.taken.add(taken).expect("fits");
-        all.came.add(came).expect("fits");
+        let Latencies { accepted, arrivals } = client.join().expect("a client ends");
+        all.accepted.add(accepted).expect("fits");
+        all.arrivals.add(arrivals).expect("fits");
     }
     all
 }
 
-impl Times {
+impl Latencies {
     fn new() -> Self {
         let empty = || Histogram::new(3).expect("fits");
-        Times {
-            taken: empty(),
-            came: empty(),
+        Latencies {
+            accepted: empty(),
+            arrivals: empty(),
         }
     }
 }
 
-fn client(to: SocketAddr, ends: Instant, client: usize, name: &str, came: &Came) -> Times {
-    let mut times = Times::new();
+fn client(
+    to: SocketAddr,
+    ends: Instant,
+    client: usize,
+    name: &str,
+    arrivals: &Arrivals,
+) -> Latencies {
+    let mut latencies = Latencies::new();
     let mut stream = connect(to);
-    let from = came.next(client);
+    let from = arrivals.next(client);
     for number in from.. {
         let began = Instant::now();
         if began > ends {
             break;
         }
-        match hand(&mut stream, &format!("{name}-{number}")) {
+        match submit(&mut stream, &format!("{name}-{number}")) {
             202 => {
-                times
-                    .taken
+                latencies
+                    .accepted
                     .record(began.elapsed().as_micros() as u64)
                     .expect("fits");
-                came.wait(client, number);
-                times
-                    .came
+                arrivals.wait(client, number);
+                latencies
+                    .arrivals
                     .record(began.elapsed().as_micros() as u64)
                     .expect("fits");
             }
             0 => stream = connect(to),
-            // Refused: full for the moment.
+            // Rejected: full for the moment.
             _ => {
-                REFUSED.fetch_add(1, Ordering::Relaxed);
+                REJECTED.fetch_add(1, Ordering::Relaxed);
                 thread::sleep(Duration::from_millis(1));
             }
         }
     }
-    times
+    latencies
 }
 
 fn connect(to: SocketAddr) -> BufReader<TcpStream> {
@@ -96,8 +102,8 @@
     BufReader::new(stream)
 }
 
-/// The status, or 0 if the connection is closed.
-fn hand(stream: &mut BufReader<TcpStream>, id: &str) -> u16 {
+/// The status of the response, or 0 if the connection is closed.
+fn submit(stream: &mut BufReader<TcpStream>, id: &str) -> u16 {
     let body = "b".repeat(BODY);
     let request = format!(
         "POST /job HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {id}\r\nReq-Deadline: 60\r\nX-Envelope: dest=1\r\n\
@@ -125,12 +131,12 @@
     }
 }
 
-/// Hands in so many events, all taken.
-pub fn hand_in(to: SocketAddr, events: usize, name: &str) {
+/// Submits the given number of events; returns once all are accepted.
+pub fn submit_all(to: SocketAddr, events: usize, name: &str) {
     let mut stream = connect(to);
     for number in 0..events {
         let id = format!("{name}-{number}");
-        while hand(&mut stream, &id) != 202 {
+        while submit(&mut stream, &id) != 202 {
             stream = connect(to);
             thread::sleep(Duration::from_millis(5));
         }
--- a/forwarder/replication/benches/copies/target.rs
+++ b/forwarder/replication/benches/copies/target.rs
@@ -1,4 +1,4 @@
-//! The target of all events: answers each call with 200 after a span.
+//! The target of all events: answers each call with 200 after a delay.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,29 +7,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Each client's event that came last: ids end in `CLIENT-NUMBER`.
+/// The number of each client's last event that arrived: ids end in `CLIENT-NUMBER`.
 #[derive(Default)]
-pub struct Came {
+pub struct Arrivals {
     last: Mutex<Vec<u64>>,
     changed: Condvar,
 }
 
-impl Came {
-    fn note(&self, id: &str) -> Option<()> {
+impl Arrivals {
+    fn record(&self, id: &str) -> Option<()> {
         let (client, number) = id.rsplit_once('-')?;
         let (client, number): (usize, u64) = (
             client.rsplit('.').next()?.parse().ok()?,
             number.parse().ok()?,
         );
         let mut last = self.last.lock().ok()?;
-        let most = last.len().max(client + 1);
-        last.resize(most, 0);
+        let len = last.len().max(client + 1);
+        last.resize(len, 0);
         last[client] = last[client].max(number);
         self.changed.notify_all();
         Some(())
     }
 
-    /// What the client's next event is to be numbered.
+    /// The number of the client's next event.
     pub fn next(&self, client: usize) -> u64 {
         self.last
             .lock()
@@ -38,50 +38,51 @@
             .map_or(1, |last| last + 1)
     }
 
-    /// Returns once the client's event has come.
+    /// Returns once the client's event has arrived, or after 10 s.
     pub fn wait(&self, client: usize, number: u64) {
         let last = self.last.lock().expect("no panic");
-        let waits = |last: &mut Vec<u64>| last.get(client).is_none_or(|came| *came < number);
+        let is_missing =
+            |last: &mut Vec<u64>| last.get(client).is_none_or(|latest| *latest < number);
         drop(
             self.changed
-                .wait_timeout_while(last, Duration::from_secs(10), waits),
+                .wait_timeout_while(last, Duration::from_secs(10), is_missing),
         );
     }
 }
 
 pub struct Target {
     pub address: SocketAddr,
-    pub came: Arc<Came>,
-    /// When a call's first line came, and when its connection was accepted.
+    pub arrivals: Arc<Arrivals>,
+    /// When a call's header was read, and when its connection was accepted.
     calls: Receiver<(Instant, Instant)>,
 }
 
 impl Target {
-    pub fn start(span: Duration) -> Self {
+    pub fn start(delay: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (tell, calls) = channel();
-        let came = Arc::new(Came::default());
-        let noted = came.clone();
+        let (call_sender, calls) = channel();
+        let arrivals = Arc::new(Arrivals::default());
+        let recorder = arrivals.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (tell, noted) = (tell.clone(), noted.clone());
-                thread::spawn(move || serve(stream, span, tell, &noted));
+                let (call_sender, recorder) = (call_sender.clone(), recorder.clone());
+                thread::spawn(move || serve(stream, delay, call_sender, &recorder));
             }
         });
         Target {
             address,
-            came,
+            arrivals,
             calls,
         }
     }
 
-    pub fn first_call_on_a_connection_after(&self, since: Instant) -> Duration {
-        let long = Duration::from_secs(30);
+    pub fn first_call_on_new_connection_after(&self, since: Instant) -> Duration {
+        let timeout = Duration::from_secs(30);
         loop {
-            let (came, accepted) = self.calls.recv_timeout(long).expect("an heir sends");
+            let (received, accepted) = self.calls.recv_timeout(timeout).expect("a successor sends");
             if accepted > since {
-                return came - since;
+                return received - since;
             }
         }
     }
@@ -89,9 +90,9 @@
 
 fn serve(
     stream: TcpStream,
-    span: Duration,
-    tell: Sender<(Instant, Instant)>,
-    came: &Came,
+    delay: Duration,
+    call_sender: Sender<(Instant, Instant)>,
+    arrivals: &Arrivals,
 ) -> Option<()> {
     let accepted = Instant::now();
     stream.set_nodelay(true).ok()?;
@@ -114,12 +115,12 @@
                 break;
             }
         }
-        let _ = tell.send((Instant::now(), accepted));
+        let _ = call_sender.send((Instant::now(), accepted));
         body.resize(length, 0);
         from.read_exact(&mut body).ok()?;
-        came.note(&id);
-        if !span.is_zero() {
-            thread::sleep(span);
+        arrivals.record(&id);
+        if !delay.is_zero() {
+            thread::sleep(delay);
         }
         from.get_mut()
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/forwarder/replication/src/adoption.rs
+++ b/forwarder/replication/src/adoption.rs
@@ -1,11 +1,12 @@
-//! What a successor does with each pending event of a group that it came to lead. The event's records are all that
-//! it knows: whether an attempt that was in flight when the owner was lost has ended, nobody can tell.
+//! What a successor does with each pending event of a group that it was elected to lead. The event's records
+//! are its only information: they do not show whether an attempt that was in flight when the owner was lost
+//! has ended.
 //!
 //! The forwarder's event loop calls [`plan_adoption`] for each event when a group has elected its instance.
 
 use plankhill_event_log::{Outcome, PendingEvent};
 
-/// What the successor itself knows of the event's id.
+/// The successor's own knowledge of the event's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalKnowledge {
     /// Nothing: the event is new here.
@@ -21,35 +22,37 @@
 /// What the successor does with the event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdoptionAction {
-    /// Goes on with the event as after a restart.
+    /// Resumes the event as after a restart.
     Restore {
-        /// Where an attempt may be in flight: neither the event nor the next of its order key is attempted before
-        /// then, in milliseconds on the clock of `now`.
+        /// `Some` if an attempt may be in flight: neither the event nor the next one of its order key is
+        /// attempted before then, in milliseconds on the clock of `now`.
         in_flight_until: Option<f64>,
     },
-    /// Merges the event with the pending one of its id: the attempts of both sides add up, and so do the waits.
+    /// Merges the event with the pending one of the same id: the attempts of both are added up, and so are
+    /// the waits.
     Merge {
         /// As in [`AdoptionAction::Restore`].
         in_flight_until: Option<f64>,
     },
-    /// Reports the outcome again, with when the client may submit the event again (in milliseconds).
+    /// Reports the outcome again, with the time after which the client may submit the event again (in
+    /// milliseconds).
     NotifyAgain(Outcome, Option<f64>),
-    /// Awaits the result of its own attempt: nobody else had one in flight.
+    /// Awaits the result of its own attempt: no other instance had one in flight.
     AwaitOwnAttempt,
-    /// Completes the record: the event has had its outcome.
+    /// Completes the record: the event already has its outcome.
     Discard,
 }
 
-/// The longest that an attempt may take, in milliseconds: for an attempt whose timeout was not recorded.
+/// The longest that an attempt may take, in milliseconds: used for an attempt whose timeout was not recorded.
 const MAX_ATTEMPT_TIMEOUT_MS: f64 = 16_000.0;
 
 /// Decides what to do with `pending`.
 ///
-/// `now` is the moment of the adoption and `watchdog_timeout` the time after which the kernel ends a process that
-/// stands still, both in milliseconds; `now` is on the clock that the successor's waits go by. No attempt of an
-/// earlier owner begins after `now`, since its lease ended before. One that began before stays in flight for its
-/// timeout and up to twice the watchdog's: once for the time that its process may stand still, once for what the
-/// timers of both processes may be late.
+/// `now` is the time of the adoption, on the clock of the successor's waits, and `watchdog_timeout` the time
+/// after which the kernel ends a process that is stalled, both in milliseconds. No attempt of an earlier
+/// owner begins after `now`, since its lease ended before. One that began before is in flight for its timeout
+/// and up to twice the watchdog's: once for the time for which its process may be stalled, once for the delay
+/// of the timers of both processes.
 pub fn plan_adoption(
     pending: &PendingEvent,
     knowledge: LocalKnowledge,
@@ -60,7 +63,7 @@
     match (knowledge, pending.outcome) {
         (LocalKnowledge::OwnAttemptInFlight, _) => AdoptionAction::AwaitOwnAttempt,
         (LocalKnowledge::Completed, _) => AdoptionAction::Discard,
-        // The pending one gets its outcome, and one outcome is enough.
+        // The pending event gets its own outcome, and one outcome is enough.
         (LocalKnowledge::Pending, Some(_)) => AdoptionAction::Discard,
         (LocalKnowledge::Pending, None) => AdoptionAction::Merge { in_flight_until },
         (LocalKnowledge::Unknown, Some((outcome, retry_after))) => {
--- a/forwarder/replication/src/lib.rs
+++ b/forwarder/replication/src/lib.rs
@@ -1,17 +1,17 @@
 //! Replication of the forwarder's event log: losing a machine with its disk loses no event that was accepted.
 //!
-//! The event log of a forwarder is the log of a Raft group (`plankhill-raft-groups`). This package decides, without
-//! I/O and without a clock; the forwarder's event loop calls it and carries the decisions out:
+//! The event log of a forwarder is the log of a Raft group (`plankhill-raft-groups`). This package makes the
+//! decisions, without I/O and without a clock; the forwarder's event loop calls it and carries the decisions out:
 //!
 //! | module | decides |
 //! | --- | --- |
 //! | `state_machine` | what each replica of a group keeps |
 //! | `proposals` | in which commands, numbers and order an owner's records are proposed |
-//! | `pipeline` | when the effects of an event loop iteration may leave |
-//! | `roles` | which groups this instance owns, and which it only brings to their end |
-//! | `adoption` | what a successor does with each pending event of a group that it came to lead |
+//! | `pipeline` | when the effects of an event loop iteration are released |
+//! | `roles` | which groups this instance owns, and in which it only completes the pending events |
+//! | `adoption` | what a successor does with each pending event of a group that it was elected to lead |
 //!
-//! `docs/copies.md` weighs the design.
+//! `docs/copies.md` discusses the design.
 
 pub mod adoption;
 pub mod pipeline;
--- a/forwarder/replication/src/pipeline.rs
+++ b/forwarder/replication/src/pipeline.rs
@@ -1,7 +1,7 @@
-//! When the effects of an event loop iteration may leave. An iteration's records are one proposal to each group
-//! they belong to. Its effects (answers, attempts, notices) are retained until these proposals and those of all
-//! earlier iterations are committed or discarded, so that effects leave in the order in which they were decided.
-//! The event loop goes on meanwhile, up to a bound.
+//! Decides when the effects of an event loop iteration are released. An iteration's records are one proposal
+//! to each group that they belong to. Its effects (answers, attempts, notices) are retained until these
+//! proposals and those of all earlier iterations are committed or discarded, so that effects are released in
+//! the order in which they were decided. The event loop continues meanwhile, up to a bound.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -12,21 +12,22 @@
 /// Bytes of commands that retained iterations may have proposed; at that many, no event is accepted.
 const MAX_COMMAND_BYTES: usize = 16 << 20;
 
-/// The iterations whose effects have not left, oldest first. `E` is what an iteration's effects are.
+/// The iterations whose effects are not released, oldest first. `E` is the type of the effects.
 pub struct CommitPipeline<E> {
     iterations: VecDeque<Iteration<E>>,
     command_bytes: usize,
 }
 
 struct Iteration<E> {
-    /// Proposals without an outcome: their group and number.
+    /// Proposals without an outcome, by group and number.
     undecided: BTreeSet<(GroupId, u64)>,
     command_bytes: usize,
     groups: GroupOutcomes,
     effects: E,
 }
 
-/// In which groups some of an iteration's proposals were committed, and in which some were discarded.
+/// The groups in which some of an iteration's proposals were committed, and those in which some were
+/// discarded.
 #[derive(Debug, Default, PartialEq)]
 struct GroupOutcomes {
     committed: BTreeSet<GroupId>,
@@ -36,24 +37,24 @@
 /// An iteration of which every proposal has its outcome.
 #[derive(Debug, PartialEq)]
 pub struct ReleasedIteration<E> {
-    /// What is to leave, where its group committed it.
+    /// The effects to carry out, where their group committed them.
     pub effects: E,
     groups: GroupOutcomes,
 }
 
-/// What became of an iteration's records in one group.
+/// The outcome of an iteration's records in one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
     /// All of them are committed.
     Committed,
-    /// None of them ever will be.
+    /// None of them is committed or ever will be.
     Discarded,
     /// Some of them are committed, and it is not known which.
     Partial,
 }
 
 impl<E> ReleasedIteration<E> {
-    /// The effects, and apart from them the outcomes that they rest on.
+    /// Separates the effects from the outcomes on which they depend.
     pub fn split(self) -> (E, ReleasedIteration<()>) {
         (
             self.effects,
@@ -64,8 +65,8 @@
         )
     }
 
-    /// What became of the records in `group`. A group in which the iteration recorded nothing has nothing that could
-    /// be discarded.
+    /// The outcome of the records in `group`; [`CommitOutcome::Committed`] if the iteration recorded nothing
+    /// there, since nothing can be discarded.
     pub fn outcome_in(&self, group: GroupId) -> CommitOutcome {
         let committed = self.groups.committed.contains(&group);
         let discarded = self.groups.discarded.contains(&group);
@@ -92,13 +93,13 @@
         self.iterations.is_empty()
     }
 
-    /// Whether new events are to be rejected until some iterations have left. `more` bytes of commands are about to
-    /// be proposed.
+    /// Whether new events are to be rejected until some iterations are released. `more` bytes of commands are
+    /// about to be proposed.
     pub fn is_full(&self, more: usize) -> bool {
         self.iterations.len() >= MAX_ITERATIONS || self.command_bytes + more >= MAX_COMMAND_BYTES
     }
 
-    /// Retains an iteration that made these proposals (group and number), of so many bytes in all.
+    /// Retains an iteration that made these proposals (group and number), of `command_bytes` in total.
     pub fn push(
         &mut self,
         proposals: impl IntoIterator<Item = (GroupId, u64)>,
@@ -121,14 +122,14 @@
         }
     }
 
-    /// This proposal surely never is committed.
+    /// This proposal is not committed, and surely never will be.
     pub fn discarded(&mut self, group: GroupId, number: u64) {
         if let Some(iteration) = self.decide(group, number) {
             iteration.groups.discarded.insert(group);
         }
     }
 
-    /// The iteration that made the proposal, which awaits it no longer.
+    /// Marks the proposal as decided and returns the iteration that made it.
     fn decide(&mut self, group: GroupId, number: u64) -> Option<&mut Iteration<E>> {
         self.iterations.iter_mut().find_map(|iteration| {
             let was_undecided = iteration.undecided.remove(&(group, number));
@@ -136,7 +137,7 @@
         })
     }
 
-    /// The oldest iteration, once each of its proposals has an outcome.
+    /// Releases the oldest iteration, once each of its proposals has an outcome.
     pub fn release(&mut self) -> Option<ReleasedIteration<E>> {
         if !self.iterations.front()?.undecided.is_empty() {
             return None;
@@ -158,9 +159,9 @@
         undecided.any(|(of, _)| *of == group)
     }
 
-    /// The instance leads the group no longer: no iteration awaits it, and effects that rest on it do not leave with
-    /// their iteration. `take_undecided` is called with the number of each proposal without an outcome and the
-    /// effects of its iteration.
+    /// The instance no longer leads the group: no iteration awaits its proposals, and effects that depend on
+    /// them are not released with their iteration. `take_undecided` is called with the number of each
+    /// proposal without an outcome and the effects of its iteration.
     pub fn abandon_group(&mut self, group: GroupId, mut take_undecided: impl FnMut(u64, &mut E)) {
         for iteration in &mut self.iterations {
             let undecided = iteration.undecided.iter().filter(|(of, _)| *of == group);
@@ -173,7 +174,7 @@
         }
     }
 
-    /// The effects that have not left yet, in the order in which they will.
+    /// The effects that are not released yet, in the order of their release.
     pub fn pending_effects(&mut self) -> impl Iterator<Item = &mut E> {
         self.iterations
             .iter_mut()
--- a/forwarder/replication/src/proposals.rs
+++ b/forwarder/replication/src/proposals.rs
@@ -1,5 +1,6 @@
-//! Requests on their way to the Raft groups: commands are numbered for each group, and all wait in order while the
-//! ring to the Raft thread is full. The forwarder's event loop owns the queue.
+//! Requests to the Raft groups that are not submitted yet: commands are numbered for each group, and all
+//! requests wait in order while the ring to the Raft thread is full. The forwarder's event loop owns the
+//! queue.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,7 +9,7 @@
 
 use crate::state_machine::encode_command;
 
-/// Bytes of frames past which a command is split. One frame may by itself be longer, by one event's body.
+/// Bytes of frames past which a command is split. A single frame may exceed this by one event's body.
 pub const MAX_COMMAND_BYTES: usize = 4 << 20;
 
 /// Requests that the Raft thread has not taken yet.
@@ -34,7 +35,7 @@
         number
     }
 
-    /// As [`ProposalQueue::propose`], in as many commands as it takes, each of whole frames.
+    /// Like [`ProposalQueue::propose`], in as many commands as necessary, each of complete frames.
     pub fn propose_split(&mut self, group: GroupId, all_frames: &[u8]) -> Vec<u64> {
         let mut numbers = Vec::new();
         let mut part = Vec::new();
@@ -51,12 +52,12 @@
         numbers
     }
 
-    /// Queues a request to create or dissolve a group behind what was queued before.
+    /// Queues a request to create or dissolve a group after the requests that are already queued.
     pub fn enqueue(&mut self, request: GroupRequest) {
         self.requests.push_back(request);
     }
 
-    /// Hands the requests to `send` in their order until one comes back; true if none is left.
+    /// Passes the requests to `send` in order until it returns one; true if none is left.
     pub fn submit(
         &mut self,
         mut send: impl FnMut(GroupRequest) -> Result<(), GroupRequest>,
@@ -70,8 +71,8 @@
         true
     }
 
-    /// Drops the group's commands that were not handed over. They surely never are committed; the numbers of all of
-    /// them are returned, and given out again.
+    /// Drops the group's commands that were not submitted. They surely are never committed. Returns their
+    /// numbers, which are assigned again.
     pub fn withdraw(&mut self, group: GroupId) -> Vec<u64> {
         let mut withdrawn = Vec::new();
         self.requests.retain(|request| match request {
--- a/forwarder/replication/src/roles.rs
+++ b/forwarder/replication/src/roles.rs
@@ -1,21 +1,21 @@
-//! Which groups this instance owns. New events are accepted in one group that it founded itself; other groups that
-//! it led before, or was elected to lead, keep what is pending in them until that is completed. The forwarder's
-//! event loop owns the [`GroupRoles`] and carries out the requests that they return.
+//! Which groups this instance owns. New events are accepted in one group that it founded itself. In other
+//! groups, which it led before or was elected to lead, pending events stay until they are completed. The
+//! forwarder's event loop owns the [`GroupRoles`] and carries out the requests that they return.
 
 use std::collections::BTreeSet;
 
 use plankhill_raft_groups::{GroupId, GroupRequest, Incarnation, Purpose};
 
-/// What a group is to the instance that was elected to lead it.
+/// The role of an instance that was elected to lead a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaderRole {
     /// New events are accepted in it.
     Own,
-    /// What is pending in it is completed, and nothing is added.
+    /// Its pending events are completed, and no event is added.
     Adopted,
 }
 
-/// The groups that this instance leads, and the instances it can reach.
+/// The groups that this instance leads, and the peers that it can reach.
 #[derive(Debug)]
 pub struct GroupRoles {
     me: Incarnation,
@@ -38,8 +38,9 @@
         }
     }
 
-    /// The request for a group of its own, if it has none and none is on the way. A new incarnation accepts events
-    /// in a new group: whoever leads an earlier one completes what is pending there.
+    /// The request for a group of its own, if it has none and none is being created. A new incarnation
+    /// accepts events in a new group: the leader of an earlier one completes the events that are pending
+    /// there.
     pub fn create_own_group(&mut self) -> Option<GroupRequest> {
         if self.own.is_some() || self.is_creating {
             return None;
@@ -50,8 +51,8 @@
         })
     }
 
-    /// A majority has elected this instance to lead `group`. Of the groups that it founded itself, the newest is its
-    /// own.
+    /// A majority has elected this instance to lead `group`. The newest group that it founded itself becomes
+    /// its own.
     pub fn on_elected(&mut self, group: GroupId) -> LeaderRole {
         self.led.insert(group);
         let is_newest = self.own.is_none_or(|own| own.number <= group.number);
@@ -63,8 +64,8 @@
         LeaderRole::Own
     }
 
-    /// Another instance may lead the group. Where it was the own one, the request for a new one is returned: events
-    /// are accepted there as soon as it has a majority.
+    /// Another instance may lead the group. If it was its own group, returns the request for a new one, which
+    /// accepts events as soon as it has a majority.
     pub fn on_deposed(&mut self, group: GroupId) -> Option<GroupRequest> {
         self.led.remove(&group);
         if self.own != Some(group) {
@@ -89,7 +90,7 @@
         self.led.contains(&group)
     }
 
-    /// Whether another instance can be reached.
+    /// Records whether another instance can be reached.
     pub fn set_peer_reachable(&mut self, peer: Incarnation, is_reachable: bool) {
         if is_reachable {
             self.reachable_peers.insert(peer);
@@ -98,13 +99,13 @@
         }
     }
 
-    /// Whether a new event has to wait for events of its order key in `group`, of which a replica is kept here.
-    /// `owner` proposed in the group last, and `has_key` says whether an event of that key is pending, as far as the
-    /// replica knows.
+    /// Whether a new event has to wait for events of its order key in `group`, of which a replica is kept
+    /// here. `owner` is the last proposer in the group, and `has_key` is whether an event of that key is
+    /// pending, as far as the replica knows.
     ///
-    /// Such an event goes first where the group has lost its first owner, or is about to, and is not led here. A
-    /// group that this instance owned and lost may have more committed than the replica knows, until another owner
-    /// has gone on with it.
+    /// Pending events come first if the group has lost its first owner, or is about to, and is not led here.
+    /// A group that this instance owned and lost may have more committed events than the replica has, until
+    /// another owner has proposed in it.
     pub fn blocks_order_key(&self, group: GroupId, owner: Incarnation, has_key: bool) -> bool {
         if self.is_led(group) {
             return false;
@@ -117,7 +118,8 @@
         may_have_unseen_events || (lost_its_owner && has_key)
     }
 
-    /// Nothing is pending in the group any more: the request to dissolve it, where it is an adopted one.
+    /// No event is pending in the group any more: returns the request to dissolve it, if it is an adopted
+    /// one.
     pub fn on_group_emptied(&mut self, group: GroupId) -> Option<GroupRequest> {
         if self.own == Some(group) || !self.led.remove(&group) {
             return None;
--- a/forwarder/replication/src/state_machine.rs
+++ b/forwarder/replication/src/state_machine.rs
@@ -1,6 +1,6 @@
-//! The state machine of an event log's group: each replica keeps the [`EventTable`] that the owner's records make,
-//! and who the owner is. Only the Raft thread changes a replica; the forwarder's event loop looks into all replicas
-//! of its process through [`LocalReplicas`].
+//! The state machine of an event log's group: each replica keeps the [`EventTable`] that results from the
+//! owner's records, and the owner. Only the Raft thread changes a replica; the forwarder's event loop reads
+//! all replicas of its process through [`LocalReplicas`].
 
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 
@@ -11,7 +11,7 @@
 const SNAPSHOT_HEADER: &[u8] = b"plankhill record 1\n";
 /// Bytes of the group's id ahead of a command's frames: its founder, then its number, little-endian.
 const GROUP_ID_LEN: usize = 12;
-/// Stands for the group and the owner in a snapshot that has none yet: an incarnation is never zero.
+/// Placeholder for the group and the owner in a snapshot that has none yet: an incarnation is never zero.
 const NO_INCARNATION: Incarnation = Incarnation(0);
 
 /// The state of one replica.
@@ -19,14 +19,14 @@
 struct Replica {
     /// `None` until the first command.
     group: Option<GroupId>,
-    /// Who proposed last: the owner, or an earlier one.
+    /// The last proposer: the current owner, or an earlier one.
     owner: Option<Incarnation>,
     table: EventTable,
 }
 
 type SharedReplica = Arc<Mutex<Replica>>;
 
-/// The replicas of this process, of its own event log and of other instances'.
+/// The replicas of this process, of its own event log and of those of other instances.
 #[derive(Clone, Default)]
 pub struct LocalReplicas(Arc<Mutex<Vec<Weak<Mutex<Replica>>>>>);
 
@@ -40,8 +40,8 @@
         EventLogStateMachine(replica)
     }
 
-    /// Whether `matches` is true of any replica that has a command: called with its group, who proposed in the group
-    /// last, and whether an event of the order key `key` is pending in it.
+    /// Whether `matches` is true of any replica that has a command. The arguments are its group, the last
+    /// proposer in it, and whether an event of the order key `key` is pending in it.
     pub fn any(
         &self,
         key: u64,
@@ -60,19 +60,20 @@
     }
 }
 
-/// A thread that panicked left a whole state: no change here is visible by half.
+/// A poisoned lock is safe to use: no change here is visible in part, so a thread that panicked left a
+/// complete state.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// One replica as its Raft group drives it. A command is the frames that one event loop iteration of the owner
-/// recorded. Frames that do not fit the state change nothing, and what follows a torn frame in its command is not
-/// read: every replica reads the same.
+/// One replica, as driven by its Raft group. A command is the frames that one event loop iteration of the
+/// owner recorded. Frames that do not fit the state change nothing, and the rest of a command after a torn
+/// frame is not read, on every replica alike.
 pub struct EventLogStateMachine(SharedReplica);
 
-/// The command for `group` with these frames.
+/// Encodes the command for `group` with these frames.
 pub fn encode_command(group: GroupId, frames: &[u8]) -> Vec<u8> {
     let mut command = Vec::with_capacity(GROUP_ID_LEN + frames.len());
     command.extend_from_slice(&group.founder.0.to_le_bytes());
@@ -81,7 +82,7 @@
     command
 }
 
-/// The group and the frames of a command; `None` where the bytes are too short for one.
+/// Decodes the group and the frames of a command; `None` if the bytes are too short for one.
 pub fn decode_command(command: &[u8]) -> Option<(GroupId, &[u8])> {
     let (id, frames) = command.split_at_checked(GROUP_ID_LEN)?;
     let founder = Incarnation(u64::from_le_bytes(id[..8].try_into().ok()?));
@@ -143,10 +144,10 @@
     })
 }
 
-/// The event table in a snapshot, which a successor goes on with.
+/// Decodes the event table of a snapshot, which a successor resumes.
 ///
 /// # Errors
-/// The bytes are no snapshot of an [`EventLogStateMachine`].
+/// The bytes are not a snapshot of an [`EventLogStateMachine`].
 pub fn decode_snapshot(snapshot: &[u8]) -> Result<EventTable, CorruptSnapshot> {
     decode_replica(snapshot).map(|replica| replica.table)
 }
--- a/forwarder/replication/tests/adoption.rs
+++ b/forwarder/replication/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! What a successor does with the pending events of a group that it came to lead.
+//! What a successor does with the pending events of a group that it was elected to lead.
 
 use plankhill_event_log::{AcceptedEvent, EventTable, Outcome, PendingEvent};
 use plankhill_replication::{plan_adoption, AdoptionAction, LocalKnowledge};
@@ -7,7 +7,7 @@
 const NOW: f64 = 50_000.0;
 const WATCHDOG_TIMEOUT: f64 = 600.0;
 
-/// One event after what `record` records of it.
+/// One event after the records made by `record`.
 fn pending(record: impl FnOnce(&mut EventTable)) -> PendingEvent {
     let mut table = EventTable::default();
     table.accept(AcceptedEvent {
@@ -43,14 +43,14 @@
 }
 
 #[rstest]
-#[case::noted(Some(900.0), NOW + 900.0 + 2.0 * WATCHDOG_TIMEOUT)]
-#[case::noted_by_none(None, NOW + 16_000.0 + 2.0 * WATCHDOG_TIMEOUT)]
+#[case::recorded_timeout(Some(900.0), NOW + 900.0 + 2.0 * WATCHDOG_TIMEOUT)]
+#[case::no_recorded_timeout(None, NOW + 16_000.0 + 2.0 * WATCHDOG_TIMEOUT)]
 fn an_attempt_of_the_old_owner_is_in_flight_for_its_timeout_and_twice_the_watchdogs(
-    #[case] span: Option<f64>,
+    #[case] timeout: Option<f64>,
     #[case] until: f64,
 ) {
-    let attempt = |table: &mut EventTable| match span {
-        Some(span) => table.record_attempt_with_timeout("a", 1.0, "z", span),
+    let attempt = |table: &mut EventTable| match timeout {
+        Some(timeout) => table.record_attempt_with_timeout("a", 1.0, "z", timeout),
         None => table.record_attempt("a", 1.0, "z"),
     };
     assert_eq!(
@@ -69,7 +69,7 @@
         AdoptionAction::Restore {
             in_flight_until: Some(until)
         },
-        "only the last can be out"
+        "only the last attempt can be in flight"
     );
 }
 
@@ -84,7 +84,7 @@
     assert_eq!(
         adopted(LocalKnowledge::Pending, outcome),
         AdoptionAction::Discard,
-        "the one that is held gets its end"
+        "the event that is pending here gets its own outcome"
     );
     assert_eq!(
         adopted(LocalKnowledge::Completed, outcome),
@@ -110,11 +110,11 @@
     assert_eq!(
         adopted(LocalKnowledge::Completed, attempt),
         AdoptionAction::Discard,
-        "it has had its end here"
+        "it already has its outcome here"
     );
     assert_eq!(
         adopted(LocalKnowledge::OwnAttemptInFlight, attempt),
         AdoptionAction::AwaitOwnAttempt,
-        "its own call tells its outcome itself"
+        "the result of its own attempt gives the outcome"
     );
 }
--- a/forwarder/replication/tests/groups.rs
+++ b/forwarder/replication/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Which groups an instance owns, and what their replicas keep.
+//! Which groups an instance owns, and what its replicas keep.
 
 use plankhill_event_log::{AcceptedEvent, EventTable};
 use plankhill_raft_groups::{
@@ -18,7 +18,7 @@
 }
 
 #[rstest]
-fn a_deposed_owner_creates_a_new_group_and_what_it_led_is_completed_where_it_is() {
+fn a_deposed_owner_creates_a_new_group_and_only_completes_earlier_ones() {
     let mut roles = GroupRoles::new(ME);
     assert!(matches!(
         roles.create_own_group(),
@@ -26,19 +26,19 @@
             purpose: Purpose::EventLog
         })
     ));
-    assert!(roles.create_own_group().is_none(), "one at a time");
+    assert!(roles.create_own_group().is_none(), "one request at a time");
     assert_eq!(roles.on_elected(group(7, 1)), LeaderRole::Own);
     assert_eq!(
         roles.on_elected(group(8, 1)),
         LeaderRole::Adopted,
-        "another's"
+        "founded by another instance"
     );
     assert!(roles.on_deposed(group(8, 1)).is_none());
     assert!(matches!(
         roles.on_deposed(group(7, 1)),
         Some(GroupRequest::Create { .. })
     ));
-    assert_eq!(roles.own_group(), None, "it takes nothing");
+    assert_eq!(roles.own_group(), None, "it accepts no events");
     assert_eq!(roles.on_elected(group(7, 2)), LeaderRole::Own);
     assert_eq!(
         roles.on_elected(group(7, 1)),
@@ -52,7 +52,7 @@
     assert!(roles.on_group_emptied(group(7, 1)).is_none(), "once");
     assert!(
         roles.on_group_emptied(group(7, 2)).is_none(),
-        "its own stays"
+        "its own group stays"
     );
 }
 
@@ -63,7 +63,7 @@
     assert_eq!(
         roles.on_elected(group(7, 4)),
         LeaderRole::Own,
-        "until the new one is there"
+        "until the new group is elected"
     );
     assert_eq!(roles.on_elected(group(7, 5)), LeaderRole::Own);
     assert_eq!(roles.led_groups().count(), 2);
@@ -83,7 +83,7 @@
 fn replicas_that_applied_the_commands_or_a_snapshot_keep_the_same_state() {
     let mut own = EventTable::default();
     let mut replica = LocalReplicas::default().new_state_machine();
-    let mut late = LocalReplicas::default().new_state_machine();
+    let mut restored = LocalReplicas::default().new_state_machine();
     own.accept(event("a", 10));
     own.accept(event("b", 10));
     replica.apply(
@@ -100,12 +100,12 @@
     );
     replica.apply(ME, Term(2), b"");
     replica.apply(ME, Term(2), b"no frame");
-    assert_eq!(late.restore(&replica.snapshot()), Ok(()));
-    assert_eq!(late.snapshot(), replica.snapshot());
-    assert_eq!(late.size(), own.reserved_bytes());
-    let found = plankhill_replication::state_machine::decode_snapshot(&late.snapshot())
+    assert_eq!(restored.restore(&replica.snapshot()), Ok(()));
+    assert_eq!(restored.snapshot(), replica.snapshot());
+    assert_eq!(restored.size(), own.reserved_bytes());
+    let decoded = plankhill_replication::state_machine::decode_snapshot(&restored.snapshot())
         .expect("a snapshot");
-    let pending = found.pending_events();
+    let pending = decoded.pending_events();
     assert_eq!(
         (pending.len(), &*pending[0].event.id, pending[0].timeout),
         (1, "a", Some(900.0))
@@ -113,7 +113,7 @@
 }
 
 #[rstest]
-fn a_torn_snapshot_is_refused_and_the_state_stays() {
+fn a_torn_snapshot_is_rejected_and_the_state_is_unchanged() {
     let mut own = EventTable::default();
     let mut replica = LocalReplicas::default().new_state_machine();
     own.accept(event("a", 10));
@@ -123,8 +123,8 @@
         &encode_command(group(7, 1), &own.take_unwritten_frames()),
     );
     let size = replica.size();
-    let whole = replica.snapshot();
-    for torn in [&b""[..], b"no snapshot", &whole[..whole.len() - 1]] {
+    let snapshot = replica.snapshot();
+    for torn in [&b""[..], b"no snapshot", &snapshot[..snapshot.len() - 1]] {
         assert_eq!(replica.restore(torn), Err(CorruptSnapshot));
     }
     assert_eq!(replica.size(), size);
@@ -141,7 +141,7 @@
     assert_eq!(proposals.propose(group(8, 1), b"y"), 1);
     let (mut room, mut replica, mut numbers) =
         (0, LocalReplicas::default().new_state_machine(), Vec::new());
-    let mut hand = |room: &mut i32, order: GroupRequest| match order {
+    let mut send = |room: &mut i32, request: GroupRequest| match request {
         GroupRequest::Propose {
             number, command, ..
         } if *room > 0 => {
@@ -150,47 +150,47 @@
             replica.apply(ME, Term(2), &command);
             Ok(())
         }
-        order => Err(order),
+        request => Err(request),
     };
     assert!(
-        !proposals.submit(|order| hand(&mut room, order)),
+        !proposals.submit(|request| send(&mut room, request)),
         "the ring is full"
     );
     room = 1;
-    assert!(!proposals.submit(|order| hand(&mut room, order)));
+    assert!(!proposals.submit(|request| send(&mut room, request)));
     assert_eq!(
         proposals.withdraw(group(8, 1)),
         [1],
-        "it never left, and never will"
+        "not submitted, and never will be"
     );
     room = 9;
-    assert!(proposals.submit(|order| hand(&mut room, order)));
+    assert!(proposals.submit(|request| send(&mut room, request)));
     assert_eq!(numbers, [1, 2, 3]);
     assert_eq!(
         replica.size(),
         own.reserved_bytes(),
-        "no frame is lost at a cut"
+        "no frame is lost where commands are split"
     );
 }
 
 #[rstest]
 fn a_group_blocks_its_order_keys_from_the_loss_of_its_first_owner_until_it_is_led_here() {
-    let (other, heir) = (Incarnation(8), Incarnation(9));
+    let (other, successor) = (Incarnation(8), Incarnation(9));
     let mut roles = GroupRoles::new(ME);
     assert!(
         roles.blocks_order_key(group(8, 1), other, true),
-        "its founder was never heard"
+        "its founder was never reachable"
     );
     roles.set_peer_reachable(other, true);
     assert!(!roles.blocks_order_key(group(8, 1), other, true));
     assert!(
-        roles.blocks_order_key(group(8, 1), heir, true),
-        "an heir has it"
+        roles.blocks_order_key(group(8, 1), successor, true),
+        "a successor owns it"
     );
     roles.set_peer_reachable(other, false);
     assert!(
         roles.blocks_order_key(group(8, 1), other, true),
-        "an heir will have it"
+        "a successor will own it"
     );
     assert!(
         !roles.blocks_order_key(group(8, 1), other, false),
@@ -199,15 +199,15 @@
     roles.on_elected(group(8, 1));
     assert!(
         !roles.blocks_order_key(group(8, 1), other, true),
-        "here the module keeps the order"
+        "the decision module here keeps the order"
     );
     assert!(
         roles.blocks_order_key(group(7, 1), ME, false),
-        "its own and lost: it may hold what is not known here"
+        "its own and lost: it may have events that are not known here"
     );
     assert!(
-        !roles.blocks_order_key(group(7, 1), heir, false),
-        "an heir has gone on: all is known"
+        !roles.blocks_order_key(group(7, 1), successor, false),
+        "a successor has proposed: all events are known"
     );
-    assert!(roles.blocks_order_key(group(7, 1), heir, true));
+    assert!(roles.blocks_order_key(group(7, 1), successor, true));
 }
--- a/forwarder/replication/tests/wire_format.rs
+++ b/forwarder/replication/tests/wire_format.rs
@@ -1,4 +1,5 @@
-//! The bytes of a record's commands and snapshots, as the group's log and the snapshots' receivers have them.
+//! Pins the encoding of an event log's commands and snapshots, as they are in the group's log and sent to
+//! other replicas.
 
 use plankhill_event_log::{AcceptedEvent, DeliveryGuarantee, EventTable, Outcome, RepeatSafety};
 use plankhill_raft_groups::{GroupId, GroupRequest, Incarnation, StateMachine, Term};
@@ -28,8 +29,8 @@
 
 /// Every kind of record in one command.
 fn frames() -> Vec<u8> {
-    let mut record = EventTable::default();
-    let taken = |id: &'static str| AcceptedEvent {
+    let mut table = EventTable::default();
+    let accepted = |id: &'static str| AcceptedEvent {
         id: id.into(),
         destination: 7,
         traffic_type: "invoices".into(),
@@ -45,15 +46,15 @@
             ordered: true,
         }),
     };
-    record.accept(taken("a"));
-    record.accept(taken("b"));
-    record.accept(taken("c"));
-    record.record_attempt_with_timeout("a", 1_764_000_000_001.0, "zone-a", 8_000.0);
-    record.record_attempt_not_executed("a");
-    record.record_outcome("b", Outcome::Abandoned, Some(750.0));
-    record.complete("c");
-    record.record_warm_up("target", 1_764_000_000_002.0, 3.5);
-    record.take_unwritten_frames()
+    table.accept(accepted("a"));
+    table.accept(accepted("b"));
+    table.accept(accepted("c"));
+    table.record_attempt_with_timeout("a", 1_764_000_000_001.0, "zone-a", 8_000.0);
+    table.record_attempt_not_executed("a");
+    table.record_outcome("b", Outcome::Abandoned, Some(750.0));
+    table.complete("c");
+    table.record_warm_up("target", 1_764_000_000_002.0, 3.5);
+    table.take_unwritten_frames()
 }
 
 #[test]
@@ -66,8 +67,8 @@
     );
     let mut proposals = ProposalQueue::default();
     assert_eq!(proposals.propose(GROUP, &frames()), 1);
-    proposals.submit(|order| {
-        match order {
+    proposals.submit(|request| {
+        match request {
             GroupRequest::Propose {
                 group,
                 number,
@@ -92,16 +93,16 @@
     let mut restored = all.new_state_machine();
     restored.restore(&pinned("Snapshot")).unwrap();
     assert_eq!(restored.snapshot(), pinned("Snapshot"));
-    assert!(all.any(9, |group, owner, holds| (group, owner, holds)
+    assert!(all.any(9, |group, owner, has_key| (group, owner, has_key)
         == (GROUP, OWNER, true)));
-    let record = decode_snapshot(&pinned("Snapshot")).unwrap();
-    assert_eq!(record.event_ids().collect::<Vec<_>>(), ["a", "b"]);
+    let table = decode_snapshot(&pinned("Snapshot")).unwrap();
+    assert_eq!(table.event_ids().collect::<Vec<_>>(), ["a", "b"]);
     assert_eq!(
-        record.pending_event("b").unwrap().outcome,
+        table.pending_event("b").unwrap().outcome,
         Some((Outcome::Abandoned, Some(750.0)))
     );
     assert_eq!(
-        record.warming_up_targets().collect::<Vec<_>>(),
+        table.warming_up_targets().collect::<Vec<_>>(),
         [("target", 1_764_000_000_002.0, 3.5)]
     );
 
@@ -109,5 +110,5 @@
     let mut restored = empty.new_state_machine();
     restored.restore(&pinned("EmptySnapshot")).unwrap();
     assert_eq!(restored.snapshot(), pinned("EmptySnapshot"));
-    assert!(!empty.any(9, |_, _, _| true), "of no group yet");
+    assert!(!empty.any(9, |_, _, _| true), "no group yet");
 }
