--- a/forwarder/fanout/examples/lag/instance.rs
+++ b/forwarder/fanout/examples/lag/instance.rs
@@ -1,4 +1,4 @@
-//! One forwarder: the unmodified decision module and its local instance.
+//! A simulated forwarder: the unmodified decision module and its local instance.
 
 use std::collections::HashMap;
 
--- a/forwarder/fanout/src/command.rs
+++ b/forwarder/fanout/src/command.rs
@@ -26,8 +26,8 @@
         number: u64,
         broadcast: Broadcast,
     },
-    /// The submission with this number is rejected, unless it was accepted before: its client may be told
-    /// that it does not count.
+    /// The submission with this number is rejected, unless it was accepted before; its client may then be
+    /// answered with the rejection.
     Barred {
         by: InstanceId,
         process: u64,
@@ -52,7 +52,8 @@
         process: u64,
         copies: Vec<(Subscriber, Position, Ms)>,
     },
-    /// Whether the subscriber is parked or cold at the instance: its lag there is then no sign of slowness.
+    /// The subscriber is parked or cold at the instance, so that its lag there is no sign of slowness; or no
+    /// longer is, if `rests` is false.
     Rests {
         by: InstanceId,
         subscriber: Subscriber,
@@ -131,7 +132,7 @@
     pub body: Vec<u8>,
 }
 
-/// How a copy ended.
+/// The outcome of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     Completed,
--- a/forwarder/fanout/src/coordinator.rs
+++ b/forwarder/fanout/src/coordinator.rs
@@ -1,6 +1,6 @@
-//! What the leader's instance proposes on its own: ticks, the plan, the rejection of copies that waited for
-//! too long, lost instances, and the end of the copies that these had. A new leader starts all waits anew,
-//! which makes them longer and never shorter.
+//! The proposals of the leader: ticks, the plan, the rejection of copies that waited for too long, the loss
+//! of instances, and the end of the copies that lost instances had. A new leader restarts all waits, which
+//! makes them longer and never shorter.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +10,9 @@
 use crate::names::*;
 use crate::state::FanoutState;
 
-/// Between ticks of the log.
+/// Interval between ticks of the log.
 const TICK_INTERVAL: Ms = 1000.0;
-/// Between checks of which instances are reachable: earlier proposals are applied meanwhile.
+/// Interval between checks of which instances are reachable. Earlier proposals are applied in the meantime.
 const POLL_INTERVAL: Ms = 100.0;
 /// An instance that is unreachable for this long is lost.
 const LOST_AFTER: Ms = 3000.0;
@@ -21,14 +21,15 @@
 /// time left, and none would be delivered.
 const MAX_QUEUED_SHARE: f64 = 0.5;
 
-/// What the leader keeps to decide on proposals; a newly elected leader starts with a default one.
+/// The state on which the proposals of the leader depend; a newly elected leader starts with the default.
 #[derive(Default)]
 pub struct Coordinator {
     last_tick: Option<Ms>,
     last_poll: Option<Ms>,
-    /// Since when each unreachable instance has been unreachable.
+    /// When each unreachable instance became unreachable.
     unreachable_since: BTreeMap<InstanceId, Ms>,
-    /// Since when this process knows of an instance's latest loss, by the number of that loss.
+    /// When this process first saw the latest loss of each lost instance; the key includes the number of that
+    /// loss.
     lost_since: BTreeMap<(InstanceId, u64), Ms>,
 }
 
--- a/forwarder/fanout/src/copies.rs
+++ b/forwarder/fanout/src/copies.rs
@@ -1,13 +1,13 @@
-//! The life cycle of a copy (accepted, handed to an instance, ended), and what is kept of its broadcast until
-//! all copies have ended.
+//! The life cycle of a copy (accepted, handed to an instance, ended) and of its broadcast, which is kept
+//! until all copies have ended.
 
 use crate::command::{Broadcast, CopyEnd, Effect, Outcome, Rejection};
 use crate::names::*;
 use crate::state::{FanoutState, PendingBroadcast, PendingCopy, MAX_COMPLETED_IDS};
 
 impl FanoutState {
-    /// Whether the broadcast would be accepted now: the answer of the log, given before the broadcast is
-    /// proposed.
+    /// Checks whether the broadcast would be accepted now. The log gives the same answer; this one is
+    /// available before the broadcast is proposed.
     pub fn check_broadcast(&self, broadcast: &Broadcast) -> Result<(), Rejection> {
         let id = &broadcast.id;
         if id.0.is_empty() || id.0.len() > BroadcastId::LONGEST {
--- a/forwarder/fanout/src/detect.rs
+++ b/forwarder/fanout/src/detect.rs
@@ -34,8 +34,8 @@
 const MIN_BATCHES: f64 = 3.0;
 /// Samples of one instance between two ticks; more add no information.
 const MAX_BATCH_SAMPLES: usize = 4096;
-/// Ticks of being as good as the rest after which a recovery is lasting. Doubled with each earlier recovery,
-/// up to eight times.
+/// Consecutive ticks at which the share of late votes has to be low enough for a recovery to be lasting.
+/// Doubled with each earlier recovery, up to eight times.
 const RECOVERY_TICKS: u64 = 60;
 /// Ticks after which a verdict on a route is dropped: routes are repaired.
 const ROUTE_VERDICT_TICKS: u64 = 600;
@@ -103,7 +103,7 @@
         });
     }
 
-    /// A copy that is in flight for long gives a sample before it ends: a subscriber that hangs is not found
+    /// Samples a copy that has been in flight for long, before it ends: a subscriber that hangs is not found
     /// by ended copies alone.
     pub(crate) fn sample_in_flight_copy(
         &mut self,
--- a/forwarder/fanout/src/instances.rs
+++ b/forwarder/fanout/src/instances.rs
@@ -26,8 +26,8 @@
     pub(crate) times_lost: u64,
     /// Number of copies that may be in flight at the instance.
     pub(crate) held: usize,
-    /// One vote for each batch, late if the instance was at fault in it, with the mean wait of copies for
-    /// their first call.
+    /// Votes on the instance, one for each batch: late if the instance was at fault in it, with the mean wait
+    /// of copies for their first call.
     pub(crate) votes: Votes,
     pub(crate) at_fault: bool,
     /// Samples that are not judged yet, and the tick of the first one.
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Whether the submission is to be decided now, which is then remembered: reports arrive late and twice.
+    /// Records the submission as decided. False if it already was, or if it is not of the current process:
+    /// reports may arrive late or twice.
     pub(crate) fn decide_submission(&mut self, by: InstanceId, process: u64, number: u64) -> bool {
         let Some(instance) = self.instances.get_mut(&by).filter(|i| i.process == process) else {
             return false;
@@ -66,8 +67,8 @@
         self.instances.get(&instance).map_or(0, |i| i.process)
     }
 
-    /// The instance is reachable again and goes on with its copies, except those that were abandoned
-    /// meanwhile.
+    /// Marks the instance as reachable. It resumes its copies, except those that were abandoned in the
+    /// meantime.
     pub(crate) fn mark_reachable(&mut self, instance: InstanceId) {
         if let Some(instance) = self.instances.get_mut(&instance) {
             instance.lost = false;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Called when another instance may serve the subscriber now: the subscriber is moving until none of its
+    /// Updates the move of a subscriber that another instance may serve now: it is moving until none of its
     /// copies is in flight elsewhere.
     pub(crate) fn update_move(&mut self, subscriber: Subscriber, effects: &mut Vec<Effect>) {
         let server = self.server(subscriber);
--- a/forwarder/fanout/src/layout.rs
+++ b/forwarder/fanout/src/layout.rs
@@ -5,8 +5,8 @@
 use crate::state::{FanoutState, SubscriberState};
 
 impl FanoutState {
-    /// A subscriber that no list names any more still gets the copies accepted for it. A new one joins the
-    /// cohort with the fewest members. The members of a cohort that the file no longer has move to other
+    /// A subscriber that is no longer in any list still gets the copies accepted for it. A new one joins the
+    /// cohort with the fewest members. The members of a cohort that is no longer in the file move to other
     /// cohorts.
     pub(crate) fn apply_layout(&mut self, layout: Layout, effects: &mut Vec<Effect>) {
         self.bounds = layout.bounds;
--- a/forwarder/fanout/src/local_instance.rs
+++ b/forwarder/fanout/src/local_instance.rs
@@ -1,6 +1,6 @@
-//! One instance's part in the broadcasts: its copies, its requests and its reports, over its own replica of
-//! the state. The time is passed in, in ms on one clock that does not run backwards. Reports may be lost or
-//! arrive twice, so every request is repeated until the log answers it.
+//! The local instance's part in the broadcasts: its copies, its requests and its reports, over its own
+//! replica of the state. Callers pass the time, in ms on one clock that does not run backwards. Reports may
+//! be lost or arrive twice, so every request is repeated until the log answers it.
 
 mod polling;
 
@@ -16,7 +16,7 @@
 type CopyKey = (Subscriber, Position);
 
 #[derive(Default)]
-struct HeldCopy {
+struct LocalCopy {
     since: Ms,
     first_call: Option<Ms>,
     reported_in_flight: bool,
@@ -37,7 +37,7 @@
     next_ticket: u64,
     next_number: u64,
     requested_at: Option<Ms>,
-    held: BTreeMap<CopyKey, HeldCopy>,
+    copies: BTreeMap<CopyKey, LocalCopy>,
     /// Submissions of clients that the log has not decided.
     submissions: BTreeMap<u64, Submission>,
     /// Subscribers that the host has seen parked or cold here, and until when that is assumed.
@@ -65,7 +65,7 @@
             next_ticket: 0,
             next_number: 0,
             requested_at: None,
-            held: BTreeMap::new(),
+            copies: BTreeMap::new(),
             submissions: BTreeMap::new(),
             resting_until: BTreeMap::new(),
         }
@@ -98,7 +98,7 @@
         self.take_over_unknown(now, host)
     }
 
-    /// Takes over the copies that are assigned here by the state and that this process does not know.
+    /// Takes over the copies that the state assigns to this instance and that this process does not have yet.
     fn take_over_unknown(&mut self, now: Ms, host: &impl Host) -> Vec<HostRequest> {
         let assigned = self.state.assigned_copies(self.me);
         let unknown = assigned
@@ -111,9 +111,9 @@
             .collect()
     }
 
-    /// Takes over a copy that this process did not request. If the event log has it pending, the host goes on
-    /// with it. If not, it was never recorded, or it ended and the report did not reach the log: sent again,
-    /// it could arrive after later copies of its key, or a second time, so it is abandoned.
+    /// Takes over a copy that this process did not request. If it is pending in the event log, the host
+    /// continues it. If not, it was never recorded, or it ended and the report did not reach the log: sent
+    /// again, it could arrive after later copies of its key, or a second time, so it is abandoned.
     fn take_over_copy(
         &mut self,
         now: Ms,
@@ -123,11 +123,11 @@
     ) -> Option<HostRequest> {
         let (subscriber, position) = copy;
         let event = copy_id(&self.state.broadcast(position)?.id, subscriber);
-        self.held.insert(
+        self.copies.insert(
             copy,
-            HeldCopy {
+            LocalCopy {
                 since: now,
-                ..HeldCopy::default()
+                ..LocalCopy::default()
             },
         );
         let outcome = end.unwrap_or(Outcome::Abandoned);
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Replaces the complete state, in place of commands that were missed.
+    /// Replaces the complete state when commands were missed.
     pub fn replaced(&mut self, now: Ms, host: &impl Host, state: FanoutState) -> Vec<HostRequest> {
         self.state = state;
         self.drop_unassigned();
@@ -152,14 +152,14 @@
 
     fn drop_unassigned(&mut self) {
         let assigned = self.state.assigned_copies(self.me);
-        self.held
+        self.copies
             .retain(|copy, _| assigned.iter().any(|(s, p, _)| (*s, *p) == *copy));
     }
 
-    /// Whether the copy is assigned here, to deliver it or to report its outcome. The host checks this again
-    /// before it carries out a request, since several commands may have been applied at once.
+    /// Whether the copy is still assigned to this instance, to deliver it or to report its outcome. The host
+    /// checks this again before it executes a request, since several commands may have been applied at once.
     pub fn holds(&self, copy: CopyKey) -> bool {
-        self.held.contains_key(&copy)
+        self.copies.contains_key(&copy)
     }
 
     /// Applies the next command of the log and returns what the host is to do.
@@ -167,7 +167,7 @@
         if let Command::Ended { by, process, ends } = &command {
             if self.is_this_process(*by, *process) {
                 for end in ends {
-                    self.held.remove(&(end.subscriber, end.position));
+                    self.copies.remove(&(end.subscriber, end.position));
                 }
             }
         }
@@ -239,11 +239,11 @@
         let broadcast = self.state.broadcast(position)?;
         let event = copy_id(&broadcast.id, subscriber);
         let patience_ends = broadcast.patience + requested_at.min(broadcast.at);
-        self.held.insert(
+        self.copies.insert(
             copy,
-            HeldCopy {
+            LocalCopy {
                 since: now,
-                ..HeldCopy::default()
+                ..LocalCopy::default()
             },
         );
         Some(match patience_ends <= now {
@@ -269,20 +269,20 @@
 
     /// A call of the copy starts.
     pub fn on_attempt_started(&mut self, now: Ms, copy: CopyKey) {
-        if let Some(held) = self.held.get_mut(&copy) {
-            held.first_call.get_or_insert(now);
+        if let Some(local_copy) = self.copies.get_mut(&copy) {
+            local_copy.first_call.get_or_insert(now);
         }
     }
 
-    /// The copy has ended, and its outcome was acknowledged by whoever had to be notified.
+    /// The copy has ended, and its outcome was acknowledged by the recipient of the notice, if there is one.
     pub fn on_outcome_acknowledged(&mut self, now: Ms, copy: CopyKey, outcome: Outcome) {
-        if let Some(held) = self
-            .held
+        if let Some(local_copy) = self
+            .copies
             .get_mut(&copy)
-            .filter(|held| held.outcome.is_none())
+            .filter(|local_copy| local_copy.outcome.is_none())
         {
-            let called = held.first_call.unwrap_or(now);
-            held.outcome = Some((outcome, called - held.since, now - called));
+            let called = local_copy.first_call.unwrap_or(now);
+            local_copy.outcome = Some((outcome, called - local_copy.since, now - called));
         }
     }
 }
--- a/forwarder/fanout/src/local_instance/polling.rs
+++ b/forwarder/fanout/src/local_instance/polling.rs
@@ -15,7 +15,7 @@
 /// A copy whose first call was at least this long ago is reported as still in flight: no healthy subscriber
 /// takes this long.
 const LONG_CALL: Ms = 1000.0;
-/// Ends, or copies still in flight, that one command carries.
+/// Maximum number of ends, or of copies still in flight, in one command.
 const MAX_COPIES_PER_COMMAND: usize = 512;
 /// Requests for copies whose answers may still arrive.
 const MAX_TICKETS: usize = 64;
@@ -49,17 +49,17 @@
         Ok(self.next_number)
     }
 
-    /// Whether nothing is pending that the passing of time alone decides.
+    /// Whether this process has started and has no copy or submission to follow and no copies to request.
     pub fn is_idle(&self) -> bool {
         self.started
-            && self.held.is_empty()
+            && self.copies.is_empty()
             && self.submissions.is_empty()
             && !self.state.has_copies_for(self.me)
     }
 
     /// Whether the log has the end of each copy that was assigned here.
     pub fn is_settled(&self) -> bool {
-        self.held.is_empty()
+        self.copies.is_empty()
     }
 
     /// The subscriber is parked or cold here, and may be so until `until`.
@@ -99,7 +99,7 @@
     }
 
     /// Reports that a subscriber is parked or cold, or no longer is, until the state has it. Until then, the
-    /// lag of a resting subscriber may count, or that of one which no longer rests may not.
+    /// lag of a resting subscriber may count, and the lag of one that no longer rests may not.
     fn poll_resting(&mut self, now: Ms) -> Vec<Command> {
         let by = self.me;
         let mut commands = Vec::new();
@@ -141,14 +141,14 @@
         commands.extend(self.poll_resting(now));
         let mut ends = Vec::new();
         let mut in_flight = Vec::new();
-        for (&(subscriber, position), held) in self.held.iter_mut() {
-            if let Some((outcome, waited, own)) = held.outcome {
+        for (&(subscriber, position), local_copy) in self.copies.iter_mut() {
+            if let Some((outcome, waited, own)) = local_copy.outcome {
                 if ends.len() < MAX_COPIES_PER_COMMAND
-                    && held
+                    && local_copy
                         .reported_at
                         .is_none_or(|reported_at| now - reported_at >= RETRY_INTERVAL)
                 {
-                    held.reported_at = Some(now);
+                    local_copy.reported_at = Some(now);
                     ends.push(CopyEnd {
                         subscriber,
                         position,
@@ -159,12 +159,12 @@
                 }
                 continue;
             }
-            let own = held.first_call.map_or(0.0, |called| now - called);
+            let own = local_copy.first_call.map_or(0.0, |called| now - called);
             if own >= LONG_CALL
-                && !held.reported_in_flight
+                && !local_copy.reported_in_flight
                 && in_flight.len() < MAX_COPIES_PER_COMMAND
             {
-                held.reported_in_flight = true;
+                local_copy.reported_in_flight = true;
                 in_flight.push((subscriber, position, own));
             }
         }
--- a/forwarder/fanout/src/state.rs
+++ b/forwarder/fanout/src/state.rs
@@ -83,7 +83,7 @@
     /// The outcome that is still to be reported, of a copy that was rejected before any call or abandoned
     /// with its instance.
     pub(crate) end: Option<Outcome>,
-    /// Whether the copy gives no further sample, since it was sampled in flight or rejected before any call.
+    /// Whether no further sample is taken of the copy: it was sampled in flight, or rejected before any call.
     pub(crate) sampled: bool,
 }
 
@@ -180,8 +180,8 @@
         self.cohorts.get(&cohort).map(|c| (c.by, c.slow))
     }
 
-    /// Copies that are assigned to the instance and of which it has not reported the end, each with the
-    /// outcome to report if it is not to be delivered. The instance goes on with them after a restart.
+    /// Copies that are assigned to the instance and whose end it has not reported, each with the outcome to
+    /// report if it is not to be delivered. The instance resumes them after a restart.
     pub fn assigned_copies(
         &self,
         instance: InstanceId,
@@ -235,8 +235,8 @@
         self.moving.len()
     }
 
-    /// How often the instance was lost, as a [`crate::Command::GivenUp`] has to state; `None` while it is not
-    /// lost.
+    /// The number of times that the instance was lost, which a [`crate::Command::GivenUp`] has to include;
+    /// `None` while it is not lost.
     pub fn times_lost(&self, instance: InstanceId) -> Option<u64> {
         self.instances
             .get(&instance)
--- a/forwarder/fanout/src/verdict.rs
+++ b/forwarder/fanout/src/verdict.rs
@@ -40,12 +40,12 @@
 pub struct Verdict {
     pub(crate) judged: Judged,
     pub(crate) since: u64,
-    /// For how many ticks in a row it has been as good as the rest.
+    /// Consecutive ticks at which the share of late votes was low enough for a recovery.
     pub(crate) good_ticks: u64,
-    /// How often it recovered: each further recovery has to last longer.
+    /// Number of recoveries so far; the next one has to last longer.
     pub(crate) recoveries: u32,
-    /// It was judged at an instance other than the one it was slow at, which settles whether the route is at
-    /// fault.
+    /// Whether it was judged at an instance other than the one where it was slow, which settles whether the
+    /// route is at fault.
     pub(crate) confirmed: bool,
 }
 
--- a/forwarder/fanout/tests/simulation.rs
+++ b/forwarder/fanout/tests/simulation.rs
@@ -35,7 +35,7 @@
         let (yes, no) = run.checker.answers();
         (accepted, rejected) = (accepted + yes, rejected + no);
     }
-    // The simulations covered what they are for.
+    // The runs had moves, crashes, answers and completed copies.
     let runs = seeds().count() as u64;
     assert!(
         moves > 20 * runs && crashes > 5 * runs,
@@ -63,7 +63,7 @@
 
 #[rstest]
 #[case(PlantedFault::SubmitsBeforeCommit, "no duplicate copy")]
-#[case(PlantedFault::IgnoresLedger, "nothing sent after its end")]
+#[case(PlantedFault::IgnoresEventLog, "nothing sent after its end")]
 #[case(PlantedFault::EndsTooEarly, "one server for each subscriber")]
 #[case(PlantedFault::EndsTooEarly, "order within a subscriber's stream")]
 #[case(
--- a/forwarder/fanout/tests/simulator/checker.rs
+++ b/forwarder/fanout/tests/simulator/checker.rs
@@ -77,8 +77,8 @@
         self.notified.insert(copy);
     }
 
-    /// A forwarder records a copy that it is to submit. `is_recorded` says that its ledger already has the
-    /// copy, which is an error.
+    /// A forwarder records a copy that it is to submit. `is_recorded` is true if its event log already has
+    /// the copy, which is a violation.
     pub fn submitted(&mut self, by: u64, copy: CopyKey, is_recorded: bool) {
         self.submitted += 1;
         let first = self.recorded.insert((by, copy));
@@ -123,10 +123,10 @@
         let kept = self.answered_202.is_subset(&self.accepted_ids)
             && self.answered_503.is_disjoint(&self.accepted_ids);
         self.check(kept, "the log agrees with the answers to clients");
-        self.check(owed == 0, "no entry stays in a ledger");
+        self.check(owed == 0, "no event stays pending");
     }
 
-    /// How many broadcasts were answered with 202, and how many with 503.
+    /// Number of broadcasts that were answered with 202 and with 503.
     pub fn answers(&self) -> (usize, usize) {
         (self.answered_202.len(), self.answered_503.len())
     }
--- a/forwarder/fanout/tests/simulator/forwarder.rs
+++ b/forwarder/fanout/tests/simulator/forwarder.rs
@@ -1,4 +1,4 @@
-//! A model of a forwarder: a ledger that outlasts its process, and a module that sends one copy of a
+//! A model of a forwarder: an event log that outlasts its process, and a module that sends one copy of a
 //! subscriber at a time, in the order of submission.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -24,7 +24,7 @@
     pub planted_fault: PlantedFault,
     /// Offset and rate of its clock.
     pub clock: (Ms, f64),
-    pub ledger: BTreeMap<EventId, Entry>,
+    pub event_log: BTreeMap<EventId, Entry>,
     queues: BTreeMap<Subscriber, VecDeque<EventId>>,
     /// Calls in flight, with the time of their end and whether they deliver.
     in_flight: BTreeMap<EventId, (Ms, bool)>,
@@ -36,11 +36,12 @@
     unsubmitted_outcomes: Vec<(Ms, CopyKey, Outcome)>,
 }
 
-pub struct Ledger<'a>(pub &'a Forwarder);
+pub struct EventLog<'a>(pub &'a Forwarder);
 
-impl Host for Ledger<'_> {
+impl Host for EventLog<'_> {
     fn is_pending(&self, event: &EventId) -> bool {
-        self.0.planted_fault != PlantedFault::IgnoresLedger && self.0.ledger.contains_key(event)
+        self.0.planted_fault != PlantedFault::IgnoresEventLog
+            && self.0.event_log.contains_key(event)
     }
 }
 
@@ -50,7 +51,7 @@
             id,
             planted_fault,
             clock,
-            ledger: BTreeMap::new(),
+            event_log: BTreeMap::new(),
             queues: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             earlier_calls_until: 0.0,
@@ -63,7 +64,7 @@
         self.clock.0 + now * self.clock.1
     }
 
-    /// Ends the process. The ledger survives.
+    /// Ends the process. The event log survives.
     pub fn crash(&mut self) {
         self.queues.clear();
         self.in_flight.clear();
@@ -73,11 +74,11 @@
 
     pub fn restart(&mut self, now: Ms) {
         self.earlier_calls_until = now + LONGEST_CALL;
-        let ids: Vec<EventId> = self.ledger.keys().cloned().collect();
+        let ids: Vec<EventId> = self.event_log.keys().cloned().collect();
         let mut resumed: Vec<(CopyKey, EventId)> = Vec::new();
         for id in ids {
             let resends = self.planted_fault == PlantedFault::ResendsBinding;
-            let entry = &self.ledger[&id];
+            let entry = &self.event_log[&id];
             match entry.ended {
                 Some(_) => self.notices.push((now, id)),
                 None if entry.binding && entry.may_have_run && !resends => {
@@ -104,7 +105,7 @@
                     return;
                 }
                 let copy = (subscriber, position);
-                checker.submitted(self.id, copy, self.ledger.contains_key(&event));
+                checker.submitted(self.id, copy, self.event_log.contains_key(&event));
                 let entry = Entry {
                     copy,
                     binding,
@@ -112,7 +113,7 @@
                     may_have_run: false,
                     ended: None,
                 };
-                self.ledger.insert(event.clone(), entry);
+                self.event_log.insert(event.clone(), entry);
                 self.queues.entry(subscriber).or_default().push_back(event);
             }
             HostRequest::NotifyOutcome {
@@ -129,7 +130,7 @@
     }
 
     fn end(&mut self, now: Ms, id: &EventId, outcome: Outcome) {
-        if let Some(entry) = self.ledger.get_mut(id) {
+        if let Some(entry) = self.event_log.get_mut(id) {
             entry.ended = Some(outcome);
             self.notices.push((now + 50.0, id.clone()));
         }
@@ -156,13 +157,13 @@
                 .in_flight
                 .remove(&id)
                 .is_some_and(|(_, delivers)| delivers);
-            let Some(entry) = self.ledger.get(&id) else {
+            let Some(entry) = self.event_log.get(&id) else {
                 continue;
             };
             let copy = entry.copy;
             if delivers {
                 checker.delivered(copy);
-                self.ledger.remove(&id);
+                self.event_log.remove(&id);
                 self.queues
                     .entry(copy.0)
                     .or_default()
@@ -183,7 +184,7 @@
             .collect();
         for id in heads {
             let Some(entry) = self
-                .ledger
+                .event_log
                 .get_mut(&id)
                 .filter(|entry| entry.ended.is_none())
             else {
@@ -212,7 +213,7 @@
             .partition(|(at, _)| *at <= now);
         self.notices = notices;
         for (_, id) in acknowledged {
-            let Some(entry) = self.ledger.remove(&id) else {
+            let Some(entry) = self.event_log.remove(&id) else {
                 continue;
             };
             self.queues
--- a/forwarder/fanout/tests/simulator/mod.rs
+++ b/forwarder/fanout/tests/simulator/mod.rs
@@ -30,8 +30,8 @@
     None,
     /// Submits copies when it requests them, instead of when the log assigns them.
     SubmitsBeforeCommit,
-    /// Does not check its ledger after a restart.
-    IgnoresLedger,
+    /// Does not check its event log after a restart.
+    IgnoresEventLog,
     /// Reports that a copy has ended when its subscriber moves, though a call is in flight.
     EndsTooEarly,
     /// Sends a copy after the end of its patience.
--- a/forwarder/fanout/tests/simulator/process.rs
+++ b/forwarder/fanout/tests/simulator/process.rs
@@ -1,4 +1,4 @@
-//! One forwarder's process, which follows the log.
+//! The process of one forwarder, which applies the log.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use plankhill_fanout::*;
 
 use super::checker::Checker;
-use super::forwarder::{Forwarder, Ledger};
+use super::forwarder::{EventLog, Forwarder};
 use super::PlantedFault;
 
 pub struct Process {
@@ -53,7 +53,7 @@
             };
             requests.extend(local_instance.applied(
                 local,
-                &Ledger(&self.forwarder),
+                &EventLog(&self.forwarder),
                 command.clone(),
             ));
             self.applied += 1;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Planted faults: acts before the log says so.
+    /// Carries out a planted fault before the log permits it, and returns the commands that it proposes.
     pub fn planted_commands(
         &mut self,
         now: Ms,
@@ -143,12 +143,12 @@
                 Vec::new()
             }
             PlantedFault::EndsTooEarly => {
-                let held = state
+                let assigned = state
                     .assigned_copies(by)
                     .into_iter()
                     .filter(|(s, _, end)| end.is_none() && state.server(*s) != Some(by));
                 let (outcome, waited, own) = (Outcome::Abandoned, 0.0, 0.0);
-                let ends = held.map(|(subscriber, position, _)| CopyEnd {
+                let ends = assigned.map(|(subscriber, position, _)| CopyEnd {
                     subscriber,
                     position,
                     outcome,
--- a/forwarder/fanout/tests/simulator/simulation.rs
+++ b/forwarder/fanout/tests/simulator/simulation.rs
@@ -70,7 +70,7 @@
             .processes
             .iter()
             .filter(|p| p.down_until < f64::INFINITY)
-            .map(|p| p.forwarder.ledger.len());
+            .map(|p| p.forwarder.event_log.len());
         simulation
             .checker
             .finish(simulation.log_state.broadcasts().count(), owed.sum());
@@ -104,13 +104,13 @@
                 .map(|s| state.server(DestinationId(s)))
                 .collect()
         };
-        let (before, held) = (servers(&self.log_state), self.held(&command));
+        let (before, assigned) = (servers(&self.log_state), self.assigned_outcomes(&command));
         let effects = self.log_state.apply(command.clone());
-        let left = self.held(&command);
+        let left = self.assigned_outcomes(&command);
         if let Command::Ended { ends, .. } = &command {
             for end in ends {
                 let copy = (end.subscriber, end.position);
-                if let (Some(outcome), None) = (held.get(&copy), left.get(&copy)) {
+                if let (Some(outcome), None) = (assigned.get(&copy), left.get(&copy)) {
                     self.checker.ended(copy, outcome.unwrap_or(end.outcome));
                 }
             }
@@ -137,7 +137,7 @@
 
     /// The copies that the log has assigned to the instance that reports ends, each with the outcome that it
     /// is to report.
-    fn held(&self, command: &Command) -> BTreeMap<CopyKey, Option<Outcome>> {
+    fn assigned_outcomes(&self, command: &Command) -> BTreeMap<CopyKey, Option<Outcome>> {
         let Command::Ended { by, .. } = command else {
             return BTreeMap::new();
         };
--- a/forwarder/fanout/tests/slow_subscribers.rs
+++ b/forwarder/fanout/tests/slow_subscribers.rs
@@ -1,4 +1,4 @@
-//! Which subscribers are judged slow, and on which figures.
+//! Detection of slow subscribers, and the figures of the verdicts.
 
 mod common;
 
@@ -142,8 +142,8 @@
     assert!(matches!(fanout.judged(subscriber), Judged::Slow(_)));
 }
 
-/// Guards against a false recovery: queued copies of a slow subscriber that are rejected unsent take no time
-/// of its own, and would count as fast.
+/// Guards against a false recovery: copies of a slow subscriber that are rejected unsent took none of its
+/// time, and would count as fast.
 #[test]
 fn copies_rejected_before_any_call_are_no_sign_of_recovery() {
     let mut fanout = fleet(24, 3);
