--- a/forwarder/replication/benches/copies/fleet.rs
+++ b/forwarder/replication/benches/copies/fleet.rs
@@ -94,7 +94,7 @@
                 .filter_map(|field| field.parse::<f64>().ok())
                 .sum::<f64>()
         };
-        // There are 100 clock ticks a second.
+        // The clock runs at 100 ticks a second.
         self.processes.iter().map(ticks).sum::<f64>() * 10_000.0
     }
 
--- a/forwarder/replication/src/pipeline.rs
+++ b/forwarder/replication/src/pipeline.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// This proposal is not committed, and surely never will be.
+    /// This proposal is not committed and never will be.
     pub fn discarded(&mut self, group: GroupId, number: u64) {
         if let Some(iteration) = self.decide(group, number) {
             iteration.groups.discarded.insert(group);
--- a/forwarder/replication/tests/adoption.rs
+++ b/forwarder/replication/tests/adoption.rs
@@ -7,7 +7,7 @@
 const NOW: f64 = 50_000.0;
 const WATCHDOG_TIMEOUT: f64 = 600.0;
 
-/// One event after the records made by `record`.
+/// A pending event with the records made by `record`.
 fn pending(record: impl FnOnce(&mut EventTable)) -> PendingEvent {
     let mut table = EventTable::default();
     table.accept(AcceptedEvent {
--- a/forwarder/replication/tests/groups.rs
+++ b/forwarder/replication/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Which groups an instance owns, and what its replicas keep.
+//! The groups that an instance owns, and the state of its replicas.
 
 use plankhill_event_log::{AcceptedEvent, EventTable};
 use plankhill_raft_groups::{
--- a/forwarder/replication/tests/pipeline.rs
+++ b/forwarder/replication/tests/pipeline.rs
@@ -1,4 +1,4 @@
-//! Which effects are released, when, and in which order.
+//! Conditions and order of the release of effects.
 
 use plankhill_raft_groups::{GroupId, Incarnation};
 use plankhill_replication::pipeline::CommitOutcome;
