--- a/forwarder/fanout/tests/stories.rs
+++ b/forwarder/fanout/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state by plain calls.
+//! The replicated state, driven by direct calls.
 
 mod common;
 
@@ -7,28 +7,28 @@
 use plankhill_fanout::*;
 use rstest::rstest;
 
-fn outcomes(news: &[News]) -> Option<[u32; 3]> {
-    news.iter().find_map(|n| match n {
-        News::AllEnded { outcomes, .. } => Some(*outcomes),
+fn outcomes(effects: &[Effect]) -> Option<[u32; 3]> {
+    effects.iter().find_map(|n| match n {
+        Effect::BroadcastCompleted { outcomes, .. } => Some(*outcomes),
         _ => None,
     })
 }
 
 #[test]
-fn each_subscriber_is_handed_one_copy_however_often_commands_come() {
+fn each_subscriber_is_assigned_one_copy_however_often_commands_are_applied() {
     let mut fanout = fleet(9, 3);
-    let taken = take(&mut fanout, 1);
+    let taken = submit_broadcast(&mut fanout, 1);
     assert!(matches!(
         taken[..],
-        [News::Taken {
+        [Effect::Accepted {
             position: Position(1),
             ..
         }]
     ));
     assert!(matches!(
-        take(&mut fanout, 1)[..],
-        [News::Refused {
-            why: Rejection::Known,
+        submit_broadcast(&mut fanout, 1)[..],
+        [Effect::Rejected {
+            reason: Rejection::Known,
             ..
         }]
     ));
@@ -36,7 +36,7 @@
     for by in (0..4).map(InstanceId) {
         for ticket in [1, 1, 2] {
             all.extend(
-                handed(
+                copies_to_deliver(
                     &fanout.apply(Command::Spread {
                         by,
                         process: 1,
@@ -51,32 +51,35 @@
     }
     assert_eq!(all.len(), 9);
     let (by, copy) = all.remove(0);
-    let twice = Command::Ended {
+    let repeated = Command::Ended {
         by,
         process: 1,
         ends: vec![end(copy, 5.0), end(copy, 5.0)],
     };
-    assert_eq!(fanout.apply(twice), []);
+    assert_eq!(fanout.apply(repeated), []);
     for (by, copy) in all.clone() {
-        // From one that has it not, it counts for nothing.
+        // From an instance that does not have the copy, the end does not count.
         fanout.apply(Command::Ended {
             by: InstanceId(99),
             process: 1,
             ends: vec![end(copy, 5.0)],
         });
-        let news = fanout.apply(Command::Ended {
+        let effects = fanout.apply(Command::Ended {
             by,
             process: 1,
             ends: vec![end(copy, 5.0)],
         });
-        assert_eq!(outcomes(&news).is_some(), copy == all[7].1);
+        assert_eq!(outcomes(&effects).is_some(), copy == all[7].1);
     }
     assert_eq!(fanout.broadcasts().count(), 0);
-    assert!(matches!(take(&mut fanout, 1)[..], [News::Refused { .. }]));
+    assert!(matches!(
+        submit_broadcast(&mut fanout, 1)[..],
+        [Effect::Rejected { .. }]
+    ));
 }
 
 #[test]
-fn an_attempt_counts_once_and_a_barred_one_never() {
+fn a_submission_counts_once_and_a_barred_one_never() {
     let mut fanout = fleet(4, 1);
     let (by, process) = (InstanceId(1), 1);
     let taken = |number, of| Command::Taken {
@@ -87,15 +90,15 @@
     };
     assert!(matches!(
         fanout.apply(taken(1, 1))[..],
-        [News::Taken { number: 1, .. }]
+        [Effect::Accepted { number: 1, .. }]
     ));
-    assert_eq!(fanout.apply(taken(1, 1)), [], "it was decided");
+    assert_eq!(fanout.apply(taken(1, 1)), [], "already decided");
     let barred = Command::Barred {
         by,
         process,
         number: 1,
     };
-    assert_eq!(fanout.apply(barred), [], "it counted before");
+    assert_eq!(fanout.apply(barred), [], "already accepted");
     let barred = fanout.apply(Command::Barred {
         by,
         process,
@@ -103,29 +106,29 @@
     });
     assert!(matches!(
         barred[..],
-        [News::Refused {
+        [Effect::Rejected {
             number: 2,
-            why: Rejection::Late,
+            reason: Rejection::Late,
             ..
         }]
     ));
     assert_eq!(
         fanout.apply(taken(2, 2)),
         [],
-        "its client was told that it does not count"
+        "its client was told that it is rejected"
     );
-    // The next attempt with the same id does.
+    // The next submission with the same id counts.
     assert!(matches!(
         fanout.apply(taken(3, 2))[..],
-        [News::Taken { number: 3, .. }]
+        [Effect::Accepted { number: 3, .. }]
     ));
     fanout.apply(Command::Started { by, process: 2 });
-    assert_eq!(fanout.apply(taken(4, 3)), [], "of a process that is gone");
+    assert_eq!(fanout.apply(taken(4, 3)), [], "from an earlier process");
     assert_eq!(fanout.broadcasts().count(), 2);
 }
 
 #[test]
-fn ids_of_copies_are_the_same_whoever_derives_them() {
+fn copy_ids_are_derived_from_broadcast_and_subscriber() {
     let id = BroadcastId("a~7".into());
     let event = copy_id(&id, DestinationId(12));
     assert_eq!(&*event.0, "a~7~12");
@@ -140,20 +143,20 @@
 }
 
 #[test]
-fn the_slowest_loses_its_oldest_unsent_copies_and_nobody_else_is_held() {
+fn a_slow_subscriber_loses_its_oldest_queued_copies_and_delays_no_other() {
     let mut fanout = fleet(4, 1);
     let by = InstanceId(0);
     let slow = DestinationId(2);
     let mut given_up = Vec::new();
     for number in 1..=20 {
-        let news = take(&mut fanout, number);
-        given_up.extend(told(&news, by));
-        let news = fanout.apply(Command::Spread {
+        let effects = submit_broadcast(&mut fanout, number);
+        given_up.extend(outcomes_to_report(&effects, by));
+        let effects = fanout.apply(Command::Spread {
             by,
             process: 1,
             ticket: number,
         });
-        let ends: Vec<_> = handed(&news, by)
+        let ends: Vec<_> = copies_to_deliver(&effects, by)
             .into_iter()
             .filter(|(s, _)| *s != slow)
             .collect();
@@ -164,43 +167,43 @@
             ends: ends.into_iter().map(|c| end(c, 5.0)).collect(),
         });
     }
-    // Two are out and four wait.
+    // Two copies are in flight and four are queued.
     let lost: Vec<u64> = given_up.iter().map(|(_, position, _)| position.0).collect();
     assert_eq!(lost, (3..=16).collect::<Vec<u64>>());
     assert!(given_up
         .iter()
         .all(|(s, _, outcome)| *s == slow && *outcome == Outcome::Rejected));
-    // Each is told its end, and only then nothing is kept of its broadcast.
+    // A broadcast is kept until the outcome of each of its copies is reported.
     assert_eq!(fanout.broadcasts().count(), 20);
     let ends = given_up
         .iter()
         .map(|(s, p, _)| end((*s, *p), 0.0))
         .collect();
-    let news = fanout.apply(Command::Ended {
+    let effects = fanout.apply(Command::Ended {
         by,
         process: 1,
         ends,
     });
-    assert_eq!(outcomes(&news), Some([3, 1, 0]));
+    assert_eq!(outcomes(&effects), Some([3, 1, 0]));
     assert_eq!(fanout.broadcasts().count(), 6);
 }
 
 #[test]
-fn what_was_not_handed_in_within_its_patience_is_dismissed() {
+fn queued_copies_are_rejected_when_their_time_is_up() {
     let mut fanout = fleet(2, 1);
     let by = InstanceId(0);
-    take(&mut fanout, 1);
+    submit_broadcast(&mut fanout, 1);
     fanout.apply(Command::Spread {
         by,
         process: 1,
         ticket: 1,
     });
-    take(&mut fanout, 2);
-    let news = fanout.apply(Command::TimeUp(vec![Position(1), Position(2)]));
+    submit_broadcast(&mut fanout, 2);
+    let effects = fanout.apply(Command::TimeUp(vec![Position(1), Position(2)]));
     let second = [0, 1].map(|s| (DestinationId(s), Position(2), Outcome::Rejected));
-    assert_eq!(told(&news, by), second);
+    assert_eq!(outcomes_to_report(&effects, by), second);
     assert_eq!(
-        handed(
+        copies_to_deliver(
             &fanout.apply(Command::Spread {
                 by,
                 process: 1,
@@ -213,32 +216,32 @@
 }
 
 #[test]
-fn a_move_waits_for_what_is_out_and_then_goes_on_behind_it() {
+fn a_move_waits_for_copies_in_flight_and_continues_after_them() {
     let mut fanout = fleet(4, 2);
     let subscriber = DestinationId(0);
     let old = fanout.server(subscriber).unwrap();
     let from = fanout.cohort(subscriber).unwrap();
     let to = Cohort(2);
     let new = fanout.serves(to).unwrap().0.unwrap();
-    take(&mut fanout, 1);
+    submit_broadcast(&mut fanout, 1);
     fanout.apply(Command::Spread {
         by: old,
         process: 1,
         ticket: 1,
     });
-    take(&mut fanout, 2);
+    submit_broadcast(&mut fanout, 2);
     let command = Command::Moved {
         subscriber,
         from,
         to,
     };
     assert_eq!(fanout.apply(command.clone()), []);
-    assert_eq!(fanout.apply(command), [], "a doubled move is none");
+    assert_eq!(fanout.apply(command), [], "a repeated move has no effect");
     let of =
         |copies: Vec<(Subscriber, Position)>| copies.iter().filter(|c| c.0 == subscriber).count();
     for by in [old, new] {
         assert_eq!(
-            of(handed(
+            of(copies_to_deliver(
                 &fanout.apply(Command::Spread {
                     by,
                     process: 1,
@@ -250,20 +253,20 @@
         );
     }
     let ends = vec![end((subscriber, Position(1)), 5.0)];
-    let news = fanout.apply(Command::Ended {
+    let effects = fanout.apply(Command::Ended {
         by: old,
         process: 1,
         ends,
     });
     assert_eq!(
-        news,
-        [News::Settled {
+        effects,
+        [Effect::MoveCompleted {
             subscriber,
             by: new
         }]
     );
     assert_eq!(
-        of(handed(
+        of(copies_to_deliver(
             &fanout.apply(Command::Spread {
                 by: old,
                 process: 1,
@@ -273,21 +276,24 @@
         )),
         0
     );
-    let news = fanout.apply(Command::Spread {
+    let effects = fanout.apply(Command::Spread {
         by: new,
         process: 1,
         ticket: 3,
     });
-    assert_eq!(handed(&news, new), [(subscriber, Position(2))]);
+    assert_eq!(
+        copies_to_deliver(&effects, new),
+        [(subscriber, Position(2))]
+    );
 }
 
 #[test]
-fn what_a_lost_instance_held_is_written_off_by_its_heir_and_never_sent_again() {
+fn copies_of_a_lost_instance_are_abandoned_by_its_successor_and_never_sent_again() {
     let mut fanout = fleet(4, 2);
     let (old, subscriber) = (InstanceId(0), DestinationId(0));
     assert_eq!(fanout.server(subscriber), Some(old));
-    take(&mut fanout, 1);
-    let held = handed(
+    submit_broadcast(&mut fanout, 1);
+    let assigned = copies_to_deliver(
         &fanout.apply(Command::Spread {
             by: old,
             process: 1,
@@ -300,61 +306,61 @@
         .plan()
         .into_iter()
         .for_each(|command| drop(fanout.apply(command)));
-    let heir = fanout.server(subscriber).unwrap();
-    assert_ne!(heir, old);
-    // It may still be at work: the heir waits.
-    take(&mut fanout, 2);
-    let early = handed(
+    let successor = fanout.server(subscriber).unwrap();
+    assert_ne!(successor, old);
+    // A call may still be running there: the successor waits.
+    submit_broadcast(&mut fanout, 2);
+    let before = copies_to_deliver(
         &fanout.apply(Command::Spread {
-            by: heir,
+            by: successor,
             process: 1,
             ticket: 1,
         }),
-        heir,
+        successor,
     );
-    assert!(early
+    assert!(before
         .iter()
-        .all(|(s, _)| held.iter().all(|(theirs, _)| theirs != s)));
+        .all(|(s, _)| assigned.iter().all(|(other, _)| other != s)));
     assert_eq!(
         fanout.apply(Command::GivenUp {
             instance: old,
             time: 0
         }),
         [],
-        "of another time"
+        "of another loss"
     );
-    let news = fanout.apply(Command::GivenUp {
+    let effects = fanout.apply(Command::GivenUp {
         instance: old,
         time: 1,
     });
-    let written_off: Vec<_> = held
+    let written_off: Vec<_> = assigned
         .iter()
         .map(|(s, p)| (*s, *p, Outcome::Abandoned))
         .collect();
-    assert_eq!(told(&news, heir), written_off);
+    assert_eq!(outcomes_to_report(&effects, successor), written_off);
     let late = Command::Ended {
         by: old,
         process: 1,
-        ends: vec![end(held[0], 5.0)],
+        ends: vec![end(assigned[0], 5.0)],
     };
-    assert_eq!(fanout.apply(late), [], "what it tells now comes too late");
-    let later = handed(
+    assert_eq!(fanout.apply(late), [], "its report is too late");
+    let after = copies_to_deliver(
         &fanout.apply(Command::Spread {
-            by: heir,
+            by: successor,
             process: 1,
             ticket: 2,
         }),
-        heir,
+        successor,
     );
-    assert!(later.contains(&(subscriber, Position(2))));
+    assert!(after.contains(&(subscriber, Position(2))));
 }
 
 #[test]
-fn an_instance_that_returns_in_time_keeps_what_it_holds() {
+fn an_instance_that_returns_in_time_keeps_its_copies() {
     let mut fanout = fleet(4, 2);
     let old = InstanceId(0);
-    take(&mut fanout, 1);
-    let held = handed(
+    submit_broadcast(&mut fanout, 1);
+    let assigned = copies_to_deliver(
         &fanout.apply(Command::Spread {
             by: old,
             process: 1,
@@ -371,29 +377,29 @@
         }),
         []
     );
-    assert_eq!(fanout.held_by(old).len(), held.len());
+    assert_eq!(fanout.assigned_copies(old).len(), assigned.len());
 }
 
 #[rstest]
 #[case::broadcasts(|b: &mut Bounds| b.broadcasts = 3)]
 #[case::copies(|b: &mut Bounds| b.kept_in_all = 12)]
 #[case::bytes(|b: &mut Bounds| b.body_bytes = 6)]
-fn at_a_bound_a_broadcast_is_refused_and_nothing_is_dropped(#[case] narrow: fn(&mut Bounds)) {
+fn at_a_bound_a_broadcast_is_rejected_and_nothing_is_dropped(#[case] narrow: fn(&mut Bounds)) {
     let mut fanout = fleet(4, 2);
-    let mut told = layout(4, 2, 1);
-    narrow(&mut told.bounds);
-    fanout.apply(Command::Laid(told));
+    let mut narrowed = layout(4, 2, 1);
+    narrow(&mut narrowed.bounds);
+    fanout.apply(Command::Laid(narrowed));
     for number in 1..=3 {
         assert!(matches!(
-            take(&mut fanout, number)[..],
-            [News::Taken { .. }]
+            submit_broadcast(&mut fanout, number)[..],
+            [Effect::Accepted { .. }]
         ));
     }
-    let full = take(&mut fanout, 4);
+    let full = submit_broadcast(&mut fanout, 4);
     assert!(matches!(
         full[..],
-        [News::Refused {
-            why: Rejection::Full,
+        [Effect::Rejected {
+            reason: Rejection::Full,
             ..
         }]
     ));
@@ -401,7 +407,7 @@
 }
 
 #[test]
-fn a_snapshot_goes_on_like_the_state_that_it_was_taken_of() {
+fn a_restored_snapshot_behaves_like_the_original_state() {
     let mut fanout = fleet(30, 3);
     (1..=20).for_each(|n| round(&mut fanout, n, |s, _| if s.0 == 3 { 2000.0 } else { 20.0 }));
     let mut copy = FanoutState::from_bytes(&fanout.to_bytes()).unwrap();
@@ -418,7 +424,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_command_are_none() {
+fn invalid_bytes_do_not_decode_to_a_command() {
     let command = Command::Taken {
         by: InstanceId(1),
         process: 1,
