--- a/forwarder/server/src/hot_restart/predecessor.rs
+++ b/forwarder/server/src/hot_restart/predecessor.rs
@@ -55,7 +55,7 @@
 impl Incompatible {
     fn reason(&self) -> &'static str {
         match self {
-            Incompatible::Version => "the predecessor has another version of the protocol",
+            Incompatible::Version => "it speaks another version",
             Incompatible::Names => "traffic types, kinds or zones differ",
         }
     }
@@ -137,7 +137,7 @@
         let Some(PausedEventLoop { snapshot, outcome }) = paused else {
             let reason = incompatible
                 .as_ref()
-                .map_or("the predecessor is shutting down", Incompatible::reason);
+                .map_or("it is ending", Incompatible::reason);
             self.decline(&sender, reason).await;
             return RequestOutcome::NotHandedOver;
         };
