--- a/tier/chain/tests/ballots.rs
+++ b/tier/chain/tests/ballots.rs
@@ -1,4 +1,4 @@
-//! A ballot is used for one view only, also after a crash of its proposer.
+//! Tests that a proposer never uses a ballot for a second view, even after a crash.
 
 mod three_members;
 
@@ -8,7 +8,8 @@
 use plankhill_protocol::ids::Revision;
 use three_members::{disk, member, start, EmptyMachine};
 
-/// A heartbeat of the second member, which is alive; nothing is received of the third.
+/// Heartbeat of the second member. No heartbeat of the third member is received, so that the third
+/// member counts as failed.
 fn heartbeat(sequence: u64) -> Message {
     Message::Heartbeat(Heartbeat {
         member: member(2),
@@ -36,8 +37,8 @@
     (member(from).identity, promise)
 }
 
-/// Lets time pass until the member asks for promises; its ballot, the batches that it has
-/// submitted, and the time.
+/// Advances the clock until the proposer sends `Prepare`. Returns the ballot, the batches submitted
+/// by then, and the time.
 fn run_until_prepare(
     proposer: &mut ChainMember<EmptyMachine>,
     from: Millis,
@@ -58,7 +59,7 @@
             }
         }
     }
-    panic!("no attempt");
+    panic!("the proposer sent no Prepare");
 }
 
 fn sends_accept(proposer: &mut ChainMember<EmptyMachine>) -> bool {
@@ -74,9 +75,10 @@
     proposer.take_effects().iter().any(accepts)
 }
 
-/// Guards a proposer whose disk is slower than those of the others: with their promises alone the
-/// proposer asked for a view, was killed before its own promise was on disk, and used the same
-/// ballot for another view after its restart. Two views of one number could follow.
+/// Guards against the reuse of a ballot. A proposer whose disk was slower than those of the other
+/// members sent `Accept` on their promises alone, was killed before its own promise was on disk,
+/// and proposed another view with the same ballot after its restart. Two views with the same number
+/// could be decided.
 #[test]
 fn a_proposer_sends_accept_only_after_its_own_promise_is_on_disk() {
     let mut proposer = start(1, &disk(), 0);
@@ -88,17 +90,19 @@
     proposer.tick(now + 250);
     assert!(
         !sends_accept(&mut proposer),
-        "the own promise is not on disk yet"
+        "the proposer's own promise is not on disk yet"
     );
-    let (ticket, _) = batches.last().expect("a promise of its own");
+    let (ticket, _) = batches
+        .last()
+        .expect("the batch with the proposer's own promise");
     proposer.on_persisted(*ticket, now + 260);
     proposer.tick(now + 300);
     assert!(sends_accept(&mut proposer));
 }
 
-/// With its promise on disk, the proposer's ballot after a restart is a later one.
+/// If its promise is on disk, a proposer uses a higher ballot after a restart.
 #[test]
-fn a_restarted_proposer_uses_a_later_ballot() {
+fn a_restarted_proposer_uses_a_higher_ballot() {
     let mut disk = disk();
     let mut proposer = start(1, &disk, 0);
     let (first, batches, now) = run_until_prepare(&mut proposer, 0);
--- a/tier/chain/tests/confirmations.rs
+++ b/tier/chain/tests/confirmations.rs
@@ -1,5 +1,5 @@
-//! What a member that has just started learns from its tail's confirmation, and how soon it sends
-//! heartbeats itself.
+//! Confirmations that a member receives from the tail directly after its start, and heartbeats sent
+//! ahead of the regular interval.
 
 mod three_members;
 
@@ -10,10 +10,11 @@
 use plankhill_protocol::ids::Revision;
 use three_members::{disk, member, start, EmptyMachine};
 
-/// The age of the tail's confirmation in ms: older than the process that receives it.
+/// Age of the tail's confirmation, in ms. The confirmation predates the start of the process that
+/// receives it.
 const CONFIRMATION_AGE_MS: u64 = 400;
-/// From a start until the tail's heartbeat is received.
-const RECEIVED_AFTER: Millis = 5;
+/// Time from the start of the process until the tail's heartbeat is received.
+const HEARTBEAT_DELAY: Millis = 5;
 
 fn heartbeat(from: u8, echoes: Vec<Echo>, confirmed_age_ms: Option<u64>) -> Message {
     Message::Heartbeat(Heartbeat {
@@ -31,8 +32,9 @@
     })
 }
 
-/// The heartbeats that the member sends now, with their receivers.
-fn heartbeats(member: &mut ChainMember<EmptyMachine>) -> Vec<(SocketAddr, Heartbeat)> {
+/// Takes the member's pending effects and returns the heartbeats among them, with their
+/// destinations.
+fn take_heartbeats(member: &mut ChainMember<EmptyMachine>) -> Vec<(SocketAddr, Heartbeat)> {
     let sent = member
         .take_effects()
         .into_iter()
@@ -46,19 +48,19 @@
     sent.collect()
 }
 
-/// Whether a head whose clock began at this time is current once the tail, confirmed before the
-/// start, has echoed it.
+/// Returns whether a head started at clock time `started_at` is current after a heartbeat of the
+/// tail that echoes the head's own heartbeat and reports a confirmation from before the start.
 fn is_current_after_confirmation(started_at: Millis) -> bool {
     let mut head = start(1, &disk(), started_at);
     head.tick(started_at);
-    let (_, own) = heartbeats(&mut head)
+    let (_, own) = take_heartbeats(&mut head)
         .pop()
         .expect("a heartbeat at the start");
     let echo = Echo {
         identity: member(1).identity,
         sequence: own.sequence,
     };
-    let now = started_at + RECEIVED_AFTER;
+    let now = started_at + HEARTBEAT_DELAY;
     head.receive(
         &member(3).identity,
         heartbeat(3, vec![echo], Some(CONFIRMATION_AGE_MS)),
@@ -70,7 +72,8 @@
 #[test]
 fn a_confirmation_from_before_the_start_counts() {
     assert!(is_current_after_confirmation(CONFIRMATION_TTL));
-    // That is why a member's clock does not begin at 0: there is no time before it.
+    // A clock that starts at 0 cannot represent a time before the start, which is why a member's
+    // clock starts later.
     assert!(!is_current_after_confirmation(0));
 }
 
@@ -78,13 +81,13 @@
 fn a_first_heartbeat_is_answered_at_once_and_later_ones_are_not() {
     let mut head = start(1, &disk(), CONFIRMATION_TTL);
     head.tick(CONFIRMATION_TTL);
-    heartbeats(&mut head);
+    take_heartbeats(&mut head);
     head.receive(
         &member(2).identity,
         heartbeat(2, Vec::new(), None),
         CONFIRMATION_TTL + 1,
     );
-    let answered = heartbeats(&mut head);
+    let answered = take_heartbeats(&mut head);
     let receivers: Vec<SocketAddr> = answered.iter().map(|(to, _)| *to).collect();
     assert_eq!(receivers, [member(2).address]);
     assert!(answered[0]
@@ -97,14 +100,14 @@
         heartbeat(2, Vec::new(), None),
         CONFIRMATION_TTL + 2,
     );
-    assert!(heartbeats(&mut head).is_empty());
+    assert!(take_heartbeats(&mut head).is_empty());
 }
 
 #[test]
-fn a_tail_that_gets_confirmed_sends_heartbeats_to_everyone_at_once() {
+fn a_newly_confirmed_tail_sends_heartbeats_to_all_members_at_once() {
     let mut tail = start(3, &disk(), CONFIRMATION_TTL);
     tail.tick(CONFIRMATION_TTL);
-    let (_, own) = heartbeats(&mut tail)
+    let (_, own) = take_heartbeats(&mut tail)
         .pop()
         .expect("a heartbeat at the start");
     let echo = Echo {
@@ -117,7 +120,7 @@
         CONFIRMATION_TTL + 1,
     );
     assert!(tail.is_current(CONFIRMATION_TTL + 1));
-    let sent = heartbeats(&mut tail);
+    let sent = take_heartbeats(&mut tail);
     assert!(
         sent.iter()
             .all(|(_, heartbeat)| heartbeat.confirmed_age_ms == Some(1)),
--- a/tier/chain/tests/three_members/mod.rs
+++ b/tier/chain/tests/three_members/mod.rs
@@ -1,4 +1,4 @@
-//! A chain of three members, of which the test drives one and speaks for the others.
+//! A chain of three members: the test drives one member and sends the messages of the other two.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 };
 use plankhill_protocol::ids::{Incarnation, NodeId, Revision};
 
-/// A state without content.
+/// State machine without any state.
 pub struct EmptyMachine;
 
 impl StateMachine for EmptyMachine {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The member with this number, from 1 on.
+/// The member with this number, counted from 1.
 pub fn member(number: u8) -> Member {
     let identity = Identity {
         node: NodeId::from(format!("core-{number}").as_str()),
@@ -38,7 +38,7 @@
     }
 }
 
-/// The member with this number, started at this time of its clock, with this on its disk.
+/// Starts the member with this number at clock time `now`, with this content on its disk.
 pub fn start(number: u8, disk: &DurableState, now: Millis) -> ChainMember<EmptyMachine> {
     let configuration = MemberConfig {
         member: member(number),
@@ -46,10 +46,11 @@
         seeds: (1..=3).map(|number| member(number).address).collect(),
         random_seed: 5,
     };
-    ChainMember::new(configuration, disk.clone(), EmptyMachine, now).expect("a member")
+    ChainMember::new(configuration, disk.clone(), EmptyMachine, now)
+        .expect("the disk content is valid")
 }
 
-/// The disk of a member of the first view, without operations.
+/// Disk content of a member of the first view, without operations.
 pub fn disk() -> DurableState {
     let voters: Vec<Member> = (1..=3).map(member).collect();
     let chain = voters
--- a/tier/chain/tests/votes.rs
+++ b/tier/chain/tests/votes.rs
@@ -1,4 +1,4 @@
-//! A voter's answers while its disk syncs: nothing is written twice, and no answer leaves early.
+//! Votes during a slow disk sync: each vote is written once, and none is sent before its sync.
 
 mod three_members;
 
@@ -8,7 +8,7 @@
 use plankhill_protocol::ids::NodeId;
 use three_members::{disk, member, start, EmptyMachine};
 
-/// Between two repetitions of a proposer's question.
+/// Interval at which a proposer repeats a request.
 const RETRY_INTERVAL: Millis = 100;
 
 fn ballot() -> Ballot {
@@ -36,69 +36,74 @@
     }
 }
 
-fn is_answer(message: &Message) -> bool {
+fn is_vote(message: &Message) -> bool {
     matches!(message, Message::Promise { .. } | Message::Accepted { .. })
 }
 
-/// What the voter did with one question: the batches that change its acceptor, and its answers.
-struct Reaction {
+/// The voter's response to one request: the batches that change its acceptor, and the number of
+/// votes sent.
+struct Response {
     writes: Vec<Ticket>,
-    answers: usize,
+    votes: usize,
 }
 
-fn reaction(voter: &mut ChainMember<EmptyMachine>) -> Reaction {
-    let mut reaction = Reaction {
+fn take_response(voter: &mut ChainMember<EmptyMachine>) -> Response {
+    let mut response = Response {
         writes: Vec::new(),
-        answers: 0,
+        votes: 0,
     };
     for effect in voter.take_effects() {
         match effect {
             Effect::Persist { ticket, writes } if matches!(writes[..], [Write::Acceptor(_)]) => {
-                reaction.writes.push(ticket);
+                response.writes.push(ticket);
             }
-            Effect::Send { message, .. } if is_answer(&message) => reaction.answers += 1,
+            Effect::Send { message, .. } if is_vote(&message) => response.votes += 1,
             _ => {}
         }
     }
-    reaction
+    response
 }
 
-/// Asks this question until its answer is on disk, and once more after that.
-fn ask_during_a_slow_sync(voter: &mut ChainMember<EmptyMachine>, question: Message, from: Millis) {
+/// Repeats a request until the vote is on disk, and once more after that.
+fn repeat_request_during_slow_sync(
+    voter: &mut ChainMember<EmptyMachine>,
+    request: Message,
+    from: Millis,
+) {
     let proposer = member(1).identity;
-    voter.receive(&proposer, question.clone(), from);
-    let first = reaction(voter);
-    assert_eq!(first.writes.len(), 1, "the answer is written");
-    assert_eq!(first.answers, 0, "not on disk yet");
+    voter.receive(&proposer, request.clone(), from);
+    let first = take_response(voter);
+    assert_eq!(first.writes.len(), 1, "the vote is written");
+    assert_eq!(first.votes, 0, "the vote is not on disk yet");
     for repetition in 1..=3 {
         voter.receive(
             &proposer,
-            question.clone(),
+            request.clone(),
             from + repetition * RETRY_INTERVAL,
         );
-        let repeated = reaction(voter);
+        let repeated = take_response(voter);
         assert!(repeated.writes.is_empty(), "repetition {repetition}");
-        assert_eq!(repeated.answers, 0, "repetition {repetition}");
+        assert_eq!(repeated.votes, 0, "repetition {repetition}");
     }
     voter.on_persisted(first.writes[0], from + 350);
-    let synced = reaction(voter);
+    let synced = take_response(voter);
     assert!(synced.writes.is_empty());
-    assert_eq!(synced.answers, 1, "the answer leaves with its sync");
-    voter.receive(&proposer, question, from + 400);
-    let repeated = reaction(voter);
-    assert!(repeated.writes.is_empty(), "it is on disk already");
-    assert_eq!(repeated.answers, 1, "answered at once");
+    assert_eq!(synced.votes, 1, "the vote is sent after its sync");
+    voter.receive(&proposer, request, from + 400);
+    let repeated = take_response(voter);
+    assert!(repeated.writes.is_empty(), "the vote is on disk already");
+    assert_eq!(repeated.votes, 1, "the vote is sent at once");
 }
 
 #[test]
-fn repeated_questions_are_answered_with_one_write_each() {
+fn repeated_requests_cause_one_write_each() {
     let mut voter = start(2, &disk(), 0);
     voter.take_effects();
-    ask_during_a_slow_sync(&mut voter, prepare(), 10);
-    ask_during_a_slow_sync(&mut voter, accept(), 1_000);
+    repeat_request_during_slow_sync(&mut voter, prepare(), 10);
+    repeat_request_during_slow_sync(&mut voter, accept(), 1_000);
 }
 
-/// What a voter found on its disk at its start is on its disk.
+/// A promise that a voter loads from its disk at the start counts as synced.
 #[test]
 fn a_restarted_voter_repeats_its_promise_without_a_write() {
     let mut found = disk();
@@ -114,18 +119,18 @@
     let mut restarted = start(2, &found, 0);
     restarted.take_effects();
     restarted.receive(&member(1).identity, prepare(), 10);
-    let reaction = reaction(&mut restarted);
-    assert!(reaction.writes.is_empty());
-    assert_eq!(reaction.answers, 1);
+    let response = take_response(&mut restarted);
+    assert!(response.writes.is_empty());
+    assert_eq!(response.votes, 1);
 }
 
-/// A later ballot is another promise, which has to be on disk before it is told.
+/// A higher ballot requires another promise, which has to be on disk before it is sent.
 #[test]
-fn a_later_ballot_is_written_and_waits_for_its_own_sync() {
+fn a_higher_ballot_is_written_and_waits_for_its_own_sync() {
     let mut voter = start(2, &disk(), 0);
     let proposer = member(1).identity;
     voter.receive(&proposer, prepare(), 10);
-    let first = reaction(&mut voter);
+    let first = take_response(&mut voter);
     let later = Message::Prepare {
         instance: ViewNumber(2),
         ballot: Ballot {
@@ -134,10 +139,14 @@
         },
     };
     voter.receive(&proposer, later, 20);
-    let second = reaction(&mut voter);
-    assert_eq!((second.writes.len(), second.answers), (1, 0));
+    let second = take_response(&mut voter);
+    assert_eq!((second.writes.len(), second.votes), (1, 0));
     voter.on_persisted(first.writes[0], 30);
-    assert_eq!(reaction(&mut voter).answers, 1, "the first promise alone");
+    assert_eq!(
+        take_response(&mut voter).votes,
+        1,
+        "only the first promise is synced"
+    );
     voter.on_persisted(second.writes[0], 40);
-    assert_eq!(reaction(&mut voter).answers, 1);
+    assert_eq!(take_response(&mut voter).votes, 1);
 }
