--- a/tier/chain/tests/wire_format.rs
+++ b/tier/chain/tests/wire_format.rs
@@ -1,6 +1,6 @@
-//! The bytes of every message between members, as `tests/wire_format/messages.txt` holds them.
-//! Members of different versions talk to each other: a line there changes only together with the
-//! protocol's version.
+//! Encoded bytes of every message between members, as recorded in `tests/wire_format/messages.txt`.
+//! Members of different versions exchange messages: a recorded line changes only together with the
+//! protocol version.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -93,8 +93,9 @@
     }
 }
 
-/// One message of each variant, in the order of the variants: the one that follows `previous`. A
-/// new variant does not compile until it stands in this order, and with it in the recorded bytes.
+/// Returns the message that follows `previous` in a sequence with one message of each variant, in
+/// the order of the variants. The match is exhaustive: a new variant does not compile until it is
+/// added here, and so to the recorded bytes.
 fn message_after(previous: Option<&Message>) -> Option<Message> {
     let (view_number, revision) = (ViewNumber(300), Revision(70_000));
     let next = match previous {
@@ -224,8 +225,8 @@
     Some(next)
 }
 
-/// What the lines of the recorded bytes are called: the variants in their order, then those whose
-/// optional fields are empty.
+/// Labels of the recorded lines: the variants in order, then the messages whose optional fields are
+/// empty.
 const LABELS: [&str; 20] = [
     "Heartbeat",
     "Decided",
@@ -249,7 +250,7 @@
     "Promise-unbound",
 ];
 
-/// One message of each variant, and those whose optional fields are empty.
+/// One message of each variant, then the messages whose optional fields are empty.
 fn messages() -> Vec<(&'static str, Message)> {
     let mut messages = Vec::new();
     let mut next = message_after(None);
@@ -272,11 +273,11 @@
     LABELS.into_iter().zip(messages).collect()
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
@@ -284,33 +285,38 @@
 }
 
 #[test]
-fn every_message_is_written_as_recorded() {
-    let written: Vec<String> = messages()
+fn every_message_is_encoded_as_recorded() {
+    let encoded: Vec<String> = messages()
         .iter()
-        .map(|(name, message)| format!("{name} {}", hex(&postcard::to_allocvec(message).unwrap())))
+        .map(|(name, message)| {
+            format!(
+                "{name} {}",
+                encode_hex(&postcard::to_allocvec(message).unwrap())
+            )
+        })
         .collect();
     let recorded: Vec<&str> = RECORDED.lines().collect();
-    assert_eq!(written, recorded);
+    assert_eq!(encoded, recorded);
 }
 
 #[test]
-fn every_recorded_message_is_read_back() {
+fn every_recorded_message_is_decoded() {
     assert_eq!(RECORDED.lines().count(), messages().len());
     for ((name, message), line) in messages().iter().zip(RECORDED.lines()) {
         let (recorded_name, recorded) = line.split_once(' ').unwrap();
         assert_eq!(*name, recorded_name);
-        let read: Message = postcard::from_bytes(&bytes_of(recorded)).unwrap();
-        assert_eq!(read, *message, "{name}");
+        let decoded: Message = postcard::from_bytes(&decode_hex(recorded)).unwrap();
+        assert_eq!(decoded, *message, "{name}");
     }
 }
 
-/// Heartbeats as members wrote them that did not tell the time of their syncs.
+/// Heartbeats as encoded by members of a version without the field `sync_ms`.
 const HEARTBEATS_WITHOUT_SYNC_TIME: &str =
     include_str!("wire_format/heartbeats_without_sync_time.txt");
 
 #[test]
-fn a_heartbeat_of_a_member_that_tells_no_sync_time_is_read() {
-    let mut read_back = 0;
+fn a_heartbeat_without_sync_time_is_decoded() {
+    let mut decoded_count = 0;
     for line in HEARTBEATS_WITHOUT_SYNC_TIME.lines() {
         let (recorded_name, recorded) = line.split_once(' ').unwrap();
         let (_, message) = messages()
@@ -318,22 +324,23 @@
             .find(|(name, _)| *name == recorded_name)
             .unwrap();
         let Message::Heartbeat(heartbeat) = message else {
-            panic!("{recorded_name} is no heartbeat");
+            panic!("{recorded_name} is not a heartbeat");
         };
         let expected = Message::Heartbeat(Heartbeat {
             sync_ms: None,
             ..heartbeat
         });
-        let read: Message = postcard::from_bytes(&bytes_of(recorded)).unwrap();
-        assert_eq!(read, expected, "{recorded_name}");
-        read_back += 1;
+        let decoded: Message = postcard::from_bytes(&decode_hex(recorded)).unwrap();
+        assert_eq!(decoded, expected, "{recorded_name}");
+        decoded_count += 1;
     }
-    assert_eq!(read_back, 2);
+    assert_eq!(decoded_count, 2);
 }
 
-/// A member of before the field reads what stands before it, and passes over the rest.
+/// A member of a version without the field decodes the fields before it and ignores the remaining
+/// bytes.
 #[test]
-fn the_sync_time_stands_behind_all_that_earlier_members_read() {
+fn the_sync_time_follows_all_fields_that_earlier_versions_decode() {
     for line in HEARTBEATS_WITHOUT_SYNC_TIME.lines() {
         let (recorded_name, earlier) = line.split_once(' ').unwrap();
         let present = RECORDED
