--- a/tier/chain/tests/exploration/explore.rs
+++ b/tier/chain/tests/exploration/explore.rs
@@ -1,4 +1,4 @@
-//! Explores all states, and prints what was found.
+//! Model checker runs over the reachable states, with a summary of each run on standard output.
 
 use std::time::Instant;
 
@@ -6,18 +6,19 @@
 
 use crate::steps::Bounds;
 
-/// Threads of one exploration: tests run side by side.
+/// Threads of one model checker run; several tests run in parallel.
 const THREADS: usize = 4;
 
-/// No invariant is violated in any state, and everything that has to be possible is.
-pub fn assert_holds(bounds: Bounds) {
-    let began = Instant::now();
+/// Asserts that no reachable state violates an invariant and that every `sometimes` property is
+/// satisfied in some state.
+pub fn assert_no_violation(bounds: Bounds) {
+    let started_at = Instant::now();
     let checker = bounds.checker().threads(THREADS).spawn_bfs().join();
     println!(
         "{bounds:?}: {} states, depth {}, {:.1} s",
         checker.unique_state_count(),
         checker.max_depth(),
-        began.elapsed().as_secs_f64()
+        started_at.elapsed().as_secs_f64()
     );
     if let Some(path) = checker.discovery("no invariant is violated") {
         let violation = path.last_state().history.violation;
@@ -26,28 +27,29 @@
     checker.assert_properties();
 }
 
-/// Some state violates an invariant. Any will do, so that the deep ones come first.
-pub fn assert_found(bounds: Bounds) {
-    let began = Instant::now();
+/// Asserts that some state violates an invariant. Any violation is sufficient, so the search is
+/// depth-first.
+pub fn assert_violation_found(bounds: Bounds) {
+    let started_at = Instant::now();
     let checker = bounds.checker().threads(THREADS).spawn_dfs().join();
-    assert_violated(bounds, &checker, began);
+    assert_violated(bounds, &checker, started_at);
 }
 
-/// Some state that a few steps lead to violates an invariant: the near ones come first.
-pub fn assert_found_nearby(bounds: Bounds) {
-    let began = Instant::now();
+/// Asserts that some state within a few steps violates an invariant. The search is breadth-first.
+pub fn assert_nearby_violation_found(bounds: Bounds) {
+    let started_at = Instant::now();
     let checker = bounds.checker().threads(THREADS).spawn_bfs().join();
-    assert_violated(bounds, &checker, began);
+    assert_violated(bounds, &checker, started_at);
 }
 
-fn assert_violated(bounds: Bounds, checker: &impl Checker<Bounds>, began: Instant) {
+fn assert_violated(bounds: Bounds, checker: &impl Checker<Bounds>, started_at: Instant) {
     let found = checker.discovery("no invariant is violated");
     println!(
         "{bounds:?}: {} states, {:.1} s",
         checker.unique_state_count(),
-        began.elapsed().as_secs_f64()
+        started_at.elapsed().as_secs_f64()
     );
-    let path = found.unwrap_or_else(|| panic!("{:?} was not found", bounds.defect));
+    let path = found.unwrap_or_else(|| panic!("no violation was found with {:?}", bounds.defect));
     let violation = path.last_state().history.violation;
     println!("{violation:?} after {} steps", path.into_actions().len());
 }
--- a/tier/chain/tests/exploration/history.rs
+++ b/tier/chain/tests/exploration/history.rs
@@ -1,35 +1,37 @@
-//! What clients have seen, and the invariants on it.
+//! Events observed by clients and members during an exploration, and the invariants checked on
+//! them.
 
 use std::collections::BTreeMap;
 
 use plankhill_chain::{Ballot, View, ViewNumber};
 use plankhill_protocol::ids::Revision;
 
-/// The invariant that a state violates.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two views of one number.
+    /// Two different views have the same number.
     ConflictingViews,
-    /// Two views proposed by one ballot, of which two may then be decided.
+    /// Two different views are proposed with the same ballot, so that both may be decided.
     BallotUsedTwice,
-    /// Two members apply different operations at one revision.
+    /// Two members apply different operations at the same revision.
     ConflictingOrders,
-    /// Something acknowledged lies above the base of a later view.
-    Lost,
-    /// Something was applied or acknowledged with too few replicas.
+    /// The revision of an acknowledged operation is above the base of a later view, which loses the
+    /// operation.
+    OperationLost,
+    /// An operation is applied or acknowledged with too few synced replicas.
     TooFewReplicas,
-    /// A read misses what was acknowledged before it.
+    /// A read misses an operation that was acknowledged before the read began.
     StaleRead,
 }
 
-/// An operation that was acknowledged.
+/// View and revision of an acknowledged operation.
 #[derive(Clone, Copy, Debug)]
 struct Acknowledged {
     view: ViewNumber,
     revision: Revision,
 }
 
-/// Everything observed so far.
+/// The events observed so far.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Operations in the order in which any member first applied them.
@@ -37,32 +39,33 @@
     views: BTreeMap<ViewNumber, View>,
     proposed: BTreeMap<(ViewNumber, Ballot), View>,
     acknowledged: Vec<Acknowledged>,
-    /// For each read that is pending, what had been acknowledged before it.
+    /// For each pending read, the highest revision acknowledged before the read began.
     reads: BTreeMap<u64, Revision>,
     pub violation: Option<Violation>,
 }
 
 impl History {
-    fn violated(&mut self, violation: Violation) {
+    fn record_violation(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
-    /// Whether a later view than the first was adopted.
+    /// Returns whether any view after the first was adopted.
     pub fn has_later_view(&self) -> bool {
         self.views.len() > 1
     }
 
-    /// Whether something was acknowledged in a later view than the first.
+    /// Returns whether an operation was acknowledged in a view after the first.
     pub fn has_later_acknowledgement(&self) -> bool {
         let is_later = |acknowledged: &Acknowledged| acknowledged.view > ViewNumber(1);
         self.acknowledged.iter().any(is_later)
     }
 
-    /// A member has applied these operations; whether some of them are applied for the first time.
+    /// Records the operations that a member has applied. Returns whether any of them is applied for
+    /// the first time.
     pub fn record_applied(&mut self, applied: &[u8]) -> bool {
         let known = self.order.len().min(applied.len());
         if self.order[..known] != applied[..known] {
-            self.violated(Violation::ConflictingOrders);
+            self.record_violation(Violation::ConflictingOrders);
         }
         if applied.len() <= self.order.len() {
             return false;
@@ -71,7 +74,7 @@
         true
     }
 
-    /// A member has adopted a view.
+    /// Records that a member has adopted a view.
     pub fn record_adopted(&mut self, view: &View) {
         if view.number == ViewNumber(0) {
             return;
@@ -81,59 +84,59 @@
             .entry(view.number)
             .or_insert_with(|| view.clone());
         if known != view {
-            self.violated(Violation::ConflictingViews);
+            self.record_violation(Violation::ConflictingViews);
         }
-        self.check_nothing_lost();
+        self.check_no_operation_lost();
     }
 
-    /// A proposer asks for a view.
+    /// Records that a proposer has sent `Accept` for a view.
     pub fn record_proposed(&mut self, ballot: &Ballot, view: &View) {
         let key = (view.number, ballot.clone());
         let known = self.proposed.entry(key).or_insert_with(|| view.clone());
         if known != view {
-            self.violated(Violation::BallotUsedTwice);
+            self.record_violation(Violation::BallotUsedTwice);
         }
     }
 
-    /// Something is acknowledged, or may be read, with this many synced replicas.
+    /// Checks the number of synced replicas of an operation that is acknowledged or readable.
     pub fn check_replicas(&mut self, replicas: usize, required: usize) {
         if replicas < required {
-            self.violated(Violation::TooFewReplicas);
+            self.record_violation(Violation::TooFewReplicas);
         }
     }
 
-    /// An operation was acknowledged.
+    /// Records that an operation was acknowledged.
     pub fn record_acknowledged(&mut self, view: ViewNumber, revision: Revision) {
         self.acknowledged.push(Acknowledged { view, revision });
-        self.check_nothing_lost();
+        self.check_no_operation_lost();
     }
 
-    fn check_nothing_lost(&mut self) {
+    fn check_no_operation_lost(&mut self) {
         let is_lost = |acknowledged: &Acknowledged| {
             let mut later = self.views.range(acknowledged.view.next()..);
             later.any(|(_, view)| view.base < acknowledged.revision)
         };
         if self.acknowledged.iter().any(is_lost) {
-            self.violated(Violation::Lost);
+            self.record_violation(Violation::OperationLost);
         }
     }
 
-    /// A read begins.
+    /// Records that a read begins.
     pub fn begin_read(&mut self, read_id: u64) {
         let acknowledged = self.acknowledged.iter();
         let newest = acknowledged.map(|acknowledged| acknowledged.revision).max();
         self.reads.insert(read_id, newest.unwrap_or_default());
     }
 
-    /// A read is answered from the state at this revision.
+    /// Records that a read is answered from the state at this revision.
     pub fn record_read(&mut self, read_id: u64, revision: Revision) {
         let expected = self.reads.remove(&read_id);
         if expected.is_some_and(|expected| revision < expected) {
-            self.violated(Violation::StaleRead);
+            self.record_violation(Violation::StaleRead);
         }
     }
 
-    /// A read is abandoned.
+    /// Drops a pending read that was abandoned.
     pub fn abandon_read(&mut self, read_id: u64) {
         self.reads.remove(&read_id);
     }
--- a/tier/chain/tests/exploration/scenes.rs
+++ b/tier/chain/tests/exploration/initial_states.rs
@@ -1,48 +1,48 @@
-//! Where an exploration begins.
+//! Initial states of an exploration.
 
-use crate::system::{Defect, System, Taken};
+use crate::system::{Defect, StepCounts, System};
 
-/// Exchanges of heartbeats after which all members are reachable and stable.
+/// Heartbeat exchanges after which all members count as reachable and stable.
 const WARM_UP_ROUNDS: usize = 3;
 
-/// A state that is reached by a fixed way.
+/// An initial state, reached by a fixed sequence of steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Scene {
-    /// All members have heard each other; nothing is on its way.
+pub enum InitialState {
+    /// All members have exchanged heartbeats; no messages are in flight.
     Healthy,
-    /// The head has not heard the last member for a while, and asks for promises: those of the
-    /// others have come, and its own is not on its disk yet.
+    /// The head has missed the heartbeats of the last member and has sent `Prepare`. The promises
+    /// of the other members have arrived; the head's own promise is not yet on its disk.
     HeadAwaitsOwnPromise,
     /// The head and the second member have accepted a view without the last member, and only the
-    /// head knows that it is decided.
-    HeadAloneKnowsDecision,
-    /// The last machine has lost its disk, and the others have heard the new one for a while: the
-    /// head is about to propose it.
+    /// head has learned that the view is decided.
+    OnlyHeadLearnedDecision,
+    /// The last machine has lost its disk, and the others have received heartbeats of its new
+    /// incarnation for a while: the head is about to propose a view with the new incarnation.
     DiskReplaced,
 }
 
-impl Scene {
+impl InitialState {
     pub fn build(self, machines: usize, defect: Option<Defect>) -> System {
         let mut system = System::new(machines, defect);
-        greet(&mut system);
+        exchange_first_heartbeats(&mut system);
         for _ in 0..WARM_UP_ROUNDS {
-            hear_all(&mut system);
+            exchange_heartbeats(&mut system);
         }
-        settle(&mut system);
+        deliver_and_sync_all(&mut system);
         match self {
-            Scene::Healthy => {}
-            Scene::HeadAwaitsOwnPromise => await_own_promise(&mut system),
-            Scene::HeadAloneKnowsDecision => decide_at_head(&mut system),
-            Scene::DiskReplaced => replace_disk(&mut system),
+            InitialState::Healthy => {}
+            InitialState::HeadAwaitsOwnPromise => await_own_promise(&mut system),
+            InitialState::OnlyHeadLearnedDecision => decide_at_head_only(&mut system),
+            InitialState::DiskReplaced => replace_disk(&mut system),
         }
-        system.taken = Taken::default();
+        system.steps_taken = StepCounts::default();
         system.update_fingerprint();
         system
     }
 }
 
 fn await_own_promise(system: &mut System) {
-    system.silence(0, &[1]);
+    system.advance_clock(0, &[1]);
     for voter in 1..system.nodes.len() {
         deliver_all(system, (0, voter));
         system.sync(voter);
@@ -52,8 +52,8 @@
     }
 }
 
-fn decide_at_head(system: &mut System) {
-    system.silence(0, &[1]);
+fn decide_at_head_only(system: &mut System) {
+    system.advance_clock(0, &[1]);
     for _phase in 0..2 {
         deliver_all(system, (0, 1));
         system.sync(0);
@@ -74,8 +74,8 @@
             let others: Vec<usize> = (0..system.nodes.len())
                 .filter(|other| *other != index)
                 .collect();
-            system.silence(index, &others);
-            settle(system);
+            system.advance_clock(index, &others);
+            deliver_and_sync_all(system);
         }
     }
 }
@@ -90,33 +90,33 @@
     }
 }
 
-/// All members have just started, and hear each other before any of them counts as silent.
-fn greet(system: &mut System) {
+/// Starts all members, and delivers their first heartbeats before any member counts as failed.
+fn exchange_first_heartbeats(system: &mut System) {
     for index in 0..system.nodes.len() {
         system.start(index);
     }
     for index in 0..system.nodes.len() {
         for other in 0..system.nodes.len() {
-            system.hear(index, other);
+            system.deliver_heartbeat(index, other);
         }
     }
 }
 
-/// Time passes everywhere, and everybody hears everybody.
-fn hear_all(system: &mut System) {
+/// Advances the clock of each member, with heartbeats from all others.
+fn exchange_heartbeats(system: &mut System) {
     let machines = system.nodes.len();
     for index in 0..machines {
         let others: Vec<usize> = (0..machines).filter(|other| *other != index).collect();
-        system.silence(index, &others);
+        system.advance_clock(index, &others);
     }
 }
 
-/// All messages arrive and all disks sync, until nothing is left.
-fn settle(system: &mut System) {
+/// Delivers all messages and syncs all disks until none are pending.
+fn deliver_and_sync_all(system: &mut System) {
     loop {
         let links = system.links.iter();
-        let full = links.filter(|(_, messages)| !messages.is_empty());
-        let link = full.map(|(link, _)| *link).next();
+        let non_empty = links.filter(|(_, messages)| !messages.is_empty());
+        let link = non_empty.map(|(link, _)| *link).next();
         if let Some(link) = link {
             system.deliver(link, 0);
             continue;
--- a/tier/chain/tests/exploration/main.rs
+++ b/tier/chain/tests/exploration/main.rs
@@ -1,31 +1,34 @@
-//! All states of small chains of the real [`plankhill_chain::ChainMember`]: every order of messages,
-//! any of them lost, crashes between two writes, lost disks, silence of any members.
+//! Exhaustive model checking of small chains of the real [`plankhill_chain::ChainMember`], with
+//! every order of messages, message loss, crashes between two writes, lost disks, and missing
+//! heartbeats of any members.
 //!
-//! Time is no input of an exploration. `Step::Silence` lets it pass at one member, long enough for
-//! all others but those that it hears to count as failed and for everything that it waits for to be
-//! due. States are compared with ages for times, so that they recur. `EXPLORE=large` chooses the
-//! larger bounds; `docs/system/hardening.md` has states and seconds.
+//! Time advances only in `Step::AdvanceClock`, at one member, far enough for every peer without a
+//! heartbeat to count as failed and for all pending deadlines of the member to be due. States are
+//! compared by ages instead of absolute times, so that equal states recur. `EXPLORE=large` selects
+//! the larger bounds; `docs/system/hardening.md` lists the number of states and the run time in
+//! seconds.
 
 mod explore;
 mod history;
+mod initial_states;
 mod node;
-mod scenes;
 mod steps;
 mod system;
 
-use explore::{assert_found, assert_found_nearby, assert_holds};
+use explore::{assert_nearby_violation_found, assert_no_violation, assert_violation_found};
+use initial_states::InitialState;
 use plankhill_chain::PlantedBug;
-use scenes::Scene;
 use steps::Bounds;
 use system::Defect;
 
-/// What may happen once the head of three healthy members has not heard the last one for a while.
+/// Small bounds: three healthy members, and one clock advance at the head, which receives
+/// heartbeats from any non-empty subset of the others.
 const SMALL: Bounds = Bounds {
     machines: 3,
-    scene: Scene::Healthy,
+    initial_state: InitialState::Healthy,
     operations: 0,
     reads: 0,
-    silences: 1,
+    clock_advances: 1,
     faulty: 1,
     crashes: 0,
     lost_disks: 0,
@@ -33,13 +36,13 @@
     defect: None,
 };
 
-fn large() -> bool {
+fn uses_large_bounds() -> bool {
     std::env::var("EXPLORE").is_ok_and(|bounds| bounds == "large")
 }
 
 #[test]
-fn one_attempt_beside_an_operation_keeps_all_invariants() {
-    assert_holds(Bounds {
+fn an_attempt_during_an_operation_keeps_all_invariants() {
+    assert_no_violation(Bounds {
         operations: 1,
         ..SMALL
     });
@@ -47,7 +50,7 @@
 
 #[test]
 fn an_attempt_and_a_crash_keep_all_invariants() {
-    assert_holds(Bounds {
+    assert_no_violation(Bounds {
         crashes: 1,
         ..SMALL
     });
@@ -55,15 +58,15 @@
 
 #[test]
 fn a_read_at_a_former_tail_keeps_all_invariants() {
-    assert_holds(Bounds {
-        scene: Scene::HeadAloneKnowsDecision,
+    assert_no_violation(Bounds {
+        initial_state: InitialState::OnlyHeadLearnedDecision,
         operations: 1,
         reads: 1,
-        silences: 0,
+        clock_advances: 0,
         ..SMALL
     });
-    if large() {
-        assert_holds(Bounds {
+    if uses_large_bounds() {
+        assert_no_violation(Bounds {
             operations: 1,
             reads: 1,
             ..SMALL
@@ -71,23 +74,23 @@
     }
 }
 
-/// The second member proposes while the head has a decision that nobody else has heard of.
+/// The second member proposes a view while only the head has learned the decided one.
 #[test]
-fn two_crossing_proposers_keep_all_invariants() {
-    assert_holds(Bounds {
-        scene: Scene::HeadAloneKnowsDecision,
+fn two_dueling_proposers_keep_all_invariants() {
+    assert_no_violation(Bounds {
+        initial_state: InitialState::OnlyHeadLearnedDecision,
         faulty: 2,
         ..SMALL
     });
-    if large() {
-        assert_holds(Bounds {
-            scene: Scene::HeadAloneKnowsDecision,
+    if uses_large_bounds() {
+        assert_no_violation(Bounds {
+            initial_state: InitialState::OnlyHeadLearnedDecision,
             faulty: 2,
             crashes: 1,
             ..SMALL
         });
-        assert_holds(Bounds {
-            silences: 2,
+        assert_no_violation(Bounds {
+            clock_advances: 2,
             faulty: 2,
             ..SMALL
         });
@@ -97,13 +100,13 @@
 #[test]
 fn a_proposer_that_crashes_before_its_promise_is_synced_keeps_all_invariants() {
     let bounds = Bounds {
-        scene: Scene::HeadAwaitsOwnPromise,
+        initial_state: InitialState::HeadAwaitsOwnPromise,
         crashes: 1,
         ..SMALL
     };
-    assert_holds(bounds);
-    if large() {
-        assert_holds(Bounds {
+    assert_no_violation(bounds);
+    if uses_large_bounds() {
+        assert_no_violation(Bounds {
             lost_messages: 2,
             ..bounds
         });
@@ -112,8 +115,8 @@
 
 #[test]
 fn a_machine_that_joins_with_a_new_disk_keeps_all_invariants() {
-    assert_holds(Bounds {
-        scene: Scene::DiskReplaced,
+    assert_no_violation(Bounds {
+        initial_state: InitialState::DiskReplaced,
         operations: 1,
         ..SMALL
     });
@@ -121,8 +124,8 @@
 
 #[test]
 fn a_lost_disk_keeps_all_invariants() {
-    assert_holds(Bounds {
-        scene: Scene::HeadAloneKnowsDecision,
+    assert_no_violation(Bounds {
+        initial_state: InitialState::OnlyHeadLearnedDecision,
         faulty: 2,
         lost_disks: 1,
         ..SMALL
@@ -131,12 +134,12 @@
 
 #[test]
 fn four_machines_keep_all_invariants() {
-    assert_holds(Bounds {
+    assert_no_violation(Bounds {
         machines: 4,
         ..SMALL
     });
-    if large() {
-        assert_holds(Bounds {
+    if uses_large_bounds() {
+        assert_no_violation(Bounds {
             machines: 4,
             operations: 1,
             ..SMALL
@@ -146,8 +149,8 @@
 
 #[test]
 fn forgotten_accepted_views_are_found() {
-    assert_found(Bounds {
-        scene: Scene::HeadAloneKnowsDecision,
+    assert_violation_found(Bounds {
+        initial_state: InitialState::OnlyHeadLearnedDecision,
         faulty: 2,
         defect: Some(Defect::Planted(PlantedBug::AcceptedViewForgotten)),
         ..SMALL
@@ -156,7 +159,7 @@
 
 #[test]
 fn a_base_that_is_too_high_is_found() {
-    assert_found(Bounds {
+    assert_violation_found(Bounds {
         operations: 1,
         defect: Some(Defect::Planted(PlantedBug::BaseTooHigh)),
         ..SMALL
@@ -165,7 +168,7 @@
 
 #[test]
 fn a_base_that_is_too_low_is_found() {
-    assert_found(Bounds {
+    assert_violation_found(Bounds {
         operations: 1,
         defect: Some(Defect::Planted(PlantedBug::BaseTooLow)),
         ..SMALL
@@ -173,8 +176,8 @@
 }
 
 #[test]
-fn a_sealed_member_that_goes_on_is_found() {
-    assert_found(Bounds {
+fn a_sealed_member_that_takes_operations_is_found() {
+    assert_violation_found(Bounds {
         operations: 1,
         defect: Some(Defect::Planted(PlantedBug::SealIgnored)),
         ..SMALL
@@ -183,11 +186,11 @@
 
 #[test]
 fn a_read_quorum_that_is_too_small_is_found() {
-    assert_found(Bounds {
-        scene: Scene::HeadAloneKnowsDecision,
+    assert_violation_found(Bounds {
+        initial_state: InitialState::OnlyHeadLearnedDecision,
         operations: 1,
         reads: 1,
-        silences: 0,
+        clock_advances: 0,
         defect: Some(Defect::Planted(PlantedBug::ReadQuorumTooSmall)),
         ..SMALL
     });
@@ -195,9 +198,9 @@
 
 #[test]
 fn a_ballot_that_is_used_twice_is_found() {
-    assert_found_nearby(Bounds {
-        scene: Scene::HeadAwaitsOwnPromise,
-        silences: 2,
+    assert_nearby_violation_found(Bounds {
+        initial_state: InitialState::HeadAwaitsOwnPromise,
+        clock_advances: 2,
         crashes: 1,
         lost_messages: 2,
         defect: Some(Defect::Planted(PlantedBug::OwnPromiseNotAwaited)),
@@ -207,8 +210,8 @@
 
 #[test]
 fn promises_that_were_not_synced_are_found() {
-    assert_found(Bounds {
-        scene: Scene::HeadAloneKnowsDecision,
+    assert_violation_found(Bounds {
+        initial_state: InitialState::OnlyHeadLearnedDecision,
         faulty: 2,
         crashes: 1,
         defect: Some(Defect::PromiseUnsynced),
@@ -218,8 +221,8 @@
 
 #[test]
 fn votes_of_a_lost_disk_are_found() {
-    assert_found(Bounds {
-        scene: Scene::HeadAloneKnowsDecision,
+    assert_violation_found(Bounds {
+        initial_state: InitialState::OnlyHeadLearnedDecision,
         faulty: 2,
         lost_disks: 1,
         defect: Some(Defect::LostDiskVotes),
@@ -229,9 +232,9 @@
 
 #[test]
 fn a_chain_that_is_too_short_is_found() {
-    assert_found(Bounds {
+    assert_violation_found(Bounds {
         operations: 1,
-        silences: 2,
+        clock_advances: 2,
         defect: Some(Defect::ChainTooShort),
         ..SMALL
     });
--- a/tier/chain/tests/exploration/node.rs
+++ b/tier/chain/tests/exploration/node.rs
@@ -1,4 +1,4 @@
-//! One machine: a member of the chain, its disk, and its own clock.
+//! A machine of the model: a chain member with its disk and its clock.
 
 use plankhill_chain::{
     BadSnapshot, ChainMember, DurableState, Effect, Heartbeat, Identity, Member, MemberConfig,
@@ -9,11 +9,11 @@
 
 use crate::system::Defect;
 
-/// When the clock of each machine begins: a process has to have run for a while, so that no
-/// confirmation seems older than it.
+/// Initial time of each machine's clock. The clock starts well above 0, so that no confirmation
+/// appears to be older than the clock.
 const STARTED_AT: Millis = 10_000;
 
-/// The operations applied, each a number.
+/// State machine that lists the operations applied, each a number.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedOperations(pub Vec<u8>);
 
@@ -33,19 +33,19 @@
     }
 }
 
-/// One machine.
+/// A chain member with its clock, its disk and its pending writes.
 #[derive(Clone)]
 pub struct Node {
     pub member: ChainMember<AppliedOperations>,
     pub now: Millis,
-    /// What survives a loss of power.
+    /// The synced data, which survives a power loss.
     pub disk: DurableState,
-    /// Batches that were handed to the disk and are not synced.
+    /// Batches that were submitted to the disk and are not synced yet.
     pub unsynced: Vec<(Ticket, Vec<Write>)>,
     /// The newest heartbeat that the member has sent.
     pub heartbeat: Option<Heartbeat>,
-    /// Tells processes of one machine apart.
-    starts: u64,
+    /// Number of restarts so far; the random seed of the process is derived from it.
+    restarts: u64,
 }
 
 pub fn node_id(index: usize) -> NodeId {
@@ -71,15 +71,15 @@
 }
 
 impl Node {
-    /// A machine whose process starts on this disk.
+    /// Starts a process on a disk with this content.
     pub fn start(
         index: usize,
         machines: usize,
         disk: DurableState,
-        starts: u64,
+        restarts: u64,
         defect: Option<Defect>,
     ) -> Self {
-        let incarnation = disk.incarnation.expect("an incarnation");
+        let incarnation = disk.incarnation.expect("the disk has an incarnation");
         let tolerated_faults = match defect {
             Some(Defect::ChainTooShort) => 0,
             _ => 1,
@@ -88,12 +88,12 @@
             member: member(index, incarnation.0),
             tolerated_faults,
             seeds: (0..machines).map(address).collect(),
-            // Numbers of reads and heartbeats begin elsewhere in each process.
-            random_seed: 1 + 1_000_000 * (1 + starts) + 1_000 * index as u64,
+            // The numbers of reads and heartbeats start at different values in each process.
+            random_seed: 1 + 1_000_000 * (1 + restarts) + 1_000 * index as u64,
         };
         let machine = AppliedOperations::default();
-        let mut member =
-            ChainMember::new(config, disk.clone(), machine, STARTED_AT).expect("a readable disk");
+        let mut member = ChainMember::new(config, disk.clone(), machine, STARTED_AT)
+            .expect("the disk content is valid");
         if let Some(Defect::Planted(bug)) = defect {
             member.plant(bug);
         }
@@ -103,12 +103,11 @@
             disk,
             unsynced: Vec::new(),
             heartbeat: None,
-            starts,
+            restarts,
         }
     }
 
-    /// The process ends, and another one starts; of the batches that were not synced the first
-    /// `kept` are on the disk.
+    /// Restarts the process. Of the batches that were not synced, the first `kept` are on the disk.
     pub fn restart(&mut self, index: usize, machines: usize, kept: usize, defect: Option<Defect>) {
         let unsynced = std::mem::take(&mut self.unsynced);
         for (_, writes) in unsynced.into_iter().take(kept) {
@@ -119,15 +118,15 @@
             self.disk.acceptor = plankhill_chain::Acceptor::fresh(instance);
         }
         let disk = self.disk.clone();
-        *self = Self::start(index, machines, disk, self.starts + 1, defect);
+        *self = Self::start(index, machines, disk, self.restarts + 1, defect);
     }
 
-    /// The process ends, and another one starts on an empty disk.
+    /// Restarts the process on an empty disk.
     pub fn lose_disk(&mut self, index: usize, machines: usize, defect: Option<Defect>) {
         let lost = std::mem::take(&mut self.disk);
-        let incarnation = lost.incarnation.expect("an incarnation");
+        let incarnation = lost.incarnation.expect("the disk has an incarnation");
         if defect == Some(Defect::LostDiskVotes) {
-            // The incarnation and the view are taken over, and everything else is gone.
+            // The incarnation and the view are kept; everything else is lost.
             self.disk.incarnation = Some(incarnation);
             self.disk.view = lost.view;
         } else {
@@ -137,7 +136,7 @@
         self.restart(index, machines, 0, defect);
     }
 
-    /// All batches reach the disk.
+    /// Syncs all submitted batches; returns the resulting effects.
     pub fn sync(&mut self) -> Vec<Effect> {
         let unsynced = std::mem::take(&mut self.unsynced);
         let Some((last, _)) = unsynced.last() else {
@@ -151,19 +150,19 @@
         self.member.take_effects()
     }
 
-    /// A message arrives.
+    /// Delivers a message to the member; returns the resulting effects.
     pub fn receive(&mut self, from: &Identity, message: Message) -> Vec<Effect> {
         self.member.receive(from, message, self.now);
         self.member.take_effects()
     }
 
-    /// Time passes.
+    /// Runs the member's tick at the current time; returns the resulting effects.
     pub fn tick(&mut self) -> Vec<Effect> {
         self.member.tick(self.now);
         self.member.take_effects()
     }
 
-    /// Whether an operation would be there after a loss of power.
+    /// Returns whether an operation would survive a power loss.
     pub fn has_on_disk(&self, revision: Revision) -> bool {
         let last = self.disk.entries.keys().next_back().copied();
         last.unwrap_or_default().max(self.disk.snapshot.revision) >= revision
--- a/tier/chain/tests/exploration/steps.rs
+++ b/tier/chain/tests/exploration/steps.rs
@@ -1,27 +1,27 @@
-//! What may happen next, and how far an exploration goes.
+//! The steps of the model, and the bounds of an exploration.
 
 use stateright::{Model, Property};
 
-use crate::scenes::Scene;
+use crate::initial_states::InitialState;
 use crate::system::{Defect, System};
 
-/// Clients propose here: a member in the middle of the first chain, which becomes the tail of the
-/// view that the head proposes where it does not hear the last one.
+/// Machine at which clients propose: a member in the middle of the first chain, which becomes the
+/// tail of the view that the head proposes if it receives no heartbeats from the last member.
 const PROPOSING_MACHINE: usize = 1;
-/// Clients read here: the tail of the first chain.
+/// Machine at which clients read: the tail of the first chain.
 const READING_MACHINE: usize = 2;
 
-/// How far the exploration goes.
+/// Bounds of an exploration: its initial state, and the maximum number of steps of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub machines: usize,
-    pub scene: Scene,
+    pub initial_state: InitialState,
     pub operations: u8,
     pub reads: u8,
-    /// Times at which a member hears only some of the others for a while.
-    pub silences: u8,
-    /// Only so many machines may hear too little, crash or lose their disks, the first ones of the
-    /// chain.
+    /// Clock advances of a member that receives heartbeats from only some of the others.
+    pub clock_advances: u8,
+    /// Number of machines, counted from the head of the first chain, that may miss heartbeats,
+    /// crash or lose their disks.
     pub faulty: usize,
     pub crashes: u8,
     pub lost_disks: u8,
@@ -29,10 +29,10 @@
     pub defect: Option<Defect>,
 }
 
-/// Something that may happen.
+/// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The message at this position arrives; those before it are lost.
+    /// Delivers the message at this position of the link; the messages before it are lost.
     Deliver {
         link: (usize, usize),
         position: usize,
@@ -40,10 +40,10 @@
     Sync {
         machine: usize,
     },
-    /// Time passes at a machine that hears only these others.
-    Silence {
+    /// Advances the clock of a machine that receives heartbeats from only these others.
+    AdvanceClock {
         machine: usize,
-        heard: Vec<usize>,
+        reachable: Vec<usize>,
     },
     Propose {
         machine: usize,
@@ -51,7 +51,7 @@
     Read {
         machine: usize,
     },
-    /// The process ends and starts again; so many of its pending batches are on the disk.
+    /// Restarts the process; the first `kept` of its pending batches are on the disk.
     Crash {
         machine: usize,
         kept: usize,
@@ -66,7 +66,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<System> {
-        vec![self.scene.build(self.machines, self.defect)]
+        vec![self.initial_state.build(self.machines, self.defect)]
     }
 
     fn actions(&self, system: &System, steps: &mut Vec<Step>) {
@@ -75,7 +75,7 @@
         }
         self.add_deliveries(system, steps);
         for machine in 0..self.machines {
-            self.add_steps_of(machine, system, steps);
+            self.add_machine_steps(machine, system, steps);
         }
     }
 
@@ -84,9 +84,9 @@
         match step {
             Step::Deliver { link, position } => next.deliver(link, position),
             Step::Sync { machine } => next.sync(machine),
-            Step::Silence { machine, heard } => {
-                next.taken.silences += 1;
-                next.silence(machine, &heard);
+            Step::AdvanceClock { machine, reachable } => {
+                next.steps_taken.clock_advances += 1;
+                next.advance_clock(machine, &reachable);
             }
             Step::Propose { machine } => next.propose(machine),
             Step::Read { machine } => next.read(machine),
@@ -117,9 +117,9 @@
 
 impl Bounds {
     fn add_deliveries(&self, system: &System, steps: &mut Vec<Step>) {
-        let losses_left = self.lost_messages - system.taken.lost_messages;
+        let remaining_losses = self.lost_messages - system.steps_taken.lost_messages;
         for (link, messages) in &system.links {
-            let positions = messages.len().min(usize::from(losses_left) + 1);
+            let positions = messages.len().min(usize::from(remaining_losses) + 1);
             for position in 0..positions {
                 steps.push(Step::Deliver {
                     link: *link,
@@ -129,42 +129,43 @@
         }
     }
 
-    fn add_steps_of(&self, machine: usize, system: &System, steps: &mut Vec<Step>) {
+    fn add_machine_steps(&self, machine: usize, system: &System, steps: &mut Vec<Step>) {
         let node = &system.nodes[machine];
-        let taken = &system.taken;
+        let steps_taken = &system.steps_taken;
         if !node.unsynced.is_empty() {
             steps.push(Step::Sync { machine });
         }
-        if taken.silences < self.silences && machine < self.faulty {
-            self.add_silences(machine, steps);
+        if steps_taken.clock_advances < self.clock_advances && machine < self.faulty {
+            self.add_clock_advances(machine, steps);
         }
-        if taken.operations < self.operations && machine == PROPOSING_MACHINE {
+        if steps_taken.operations < self.operations && machine == PROPOSING_MACHINE {
             steps.push(Step::Propose { machine });
         }
-        if taken.reads < self.reads && machine == READING_MACHINE {
+        if steps_taken.reads < self.reads && machine == READING_MACHINE {
             steps.push(Step::Read { machine });
         }
-        if taken.crashes < self.crashes && machine < self.faulty {
+        if steps_taken.crashes < self.crashes && machine < self.faulty {
             for kept in 0..=node.unsynced.len() {
                 steps.push(Step::Crash { machine, kept });
             }
         }
-        if taken.lost_disks < self.lost_disks && machine < self.faulty {
+        if steps_taken.lost_disks < self.lost_disks && machine < self.faulty {
             steps.push(Step::LoseDisk { machine });
         }
     }
 
-    fn add_silences(&self, machine: usize, steps: &mut Vec<Step>) {
+    fn add_clock_advances(&self, machine: usize, steps: &mut Vec<Step>) {
         let others: Vec<usize> = (0..self.machines)
             .filter(|other| *other != machine)
             .collect();
-        // Whoever hears nobody knows that it is partitioned, and begins nothing.
+        // The empty subset is left out: a member that receives no heartbeats detects that it is
+        // partitioned and starts no attempt.
         for subset in 1..1_usize << others.len() {
-            let heard = others.iter().enumerate();
-            let heard = heard.filter(|(position, _)| subset & (1 << position) != 0);
-            steps.push(Step::Silence {
+            let reachable = others.iter().enumerate();
+            let reachable = reachable.filter(|(position, _)| subset & (1 << position) != 0);
+            steps.push(Step::AdvanceClock {
                 machine,
-                heard: heard.map(|(_, other)| *other).collect(),
+                reachable: reachable.map(|(_, other)| *other).collect(),
             });
         }
     }
--- a/tier/chain/tests/exploration/system.rs
+++ b/tier/chain/tests/exploration/system.rs
@@ -1,4 +1,5 @@
-//! The state that is explored: machines, the messages between them, and what clients have seen.
+//! The state of the model: machines, the messages between them, and the history that clients have
+//! observed.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
@@ -13,58 +14,58 @@
 use crate::history::History;
 use crate::node::{address, member, node_id, Node};
 
-/// Synced replicas of everything acknowledged: one loss is tolerated.
+/// Minimum number of synced replicas of each acknowledged operation; one loss is tolerated.
 const REQUIRED_REPLICAS: usize = 2;
-/// The incarnation of each disk at the beginning.
+/// Initial incarnation of each disk.
 const FIRST_INCARNATION: u64 = 1;
-/// Silence lasts for this many steps of the clock.
-const SILENCE_TICKS: usize = 3;
-/// One step of the clock, below the time after which a process takes itself for frozen. All steps of
-/// a silence are longer than the time-out of peers.
-const SILENCE_TICK: Millis = 250;
+/// Number of ticks in one clock advance.
+const TICKS_PER_ADVANCE: usize = 3;
+/// Time between two ticks of a clock advance, below the threshold at which a process considers
+/// itself frozen. All ticks of a clock advance together exceed the time-out of peers.
+const TICK_INTERVAL: Millis = 250;
 
-/// Something that is wrong with the system, for an invariant to find.
+/// A defect of the system that an invariant has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Defect {
-    /// A mistake in the member's rules.
+    /// A bug planted in the members' rules.
     Planted(PlantedBug),
-    /// Promises and acceptances are forgotten in a crash.
+    /// Promises and acceptances are lost in a crash.
     PromiseUnsynced,
-    /// A lost disk keeps its incarnation, so that its old votes count.
+    /// The replacement of a lost disk keeps the incarnation, so that old votes still count.
     LostDiskVotes,
-    /// One member is enough for a chain.
+    /// A chain may consist of a single member.
     ChainTooShort,
 }
 
-/// How often each kind of step has been taken.
+/// Number of steps taken of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Taken {
+pub struct StepCounts {
     pub operations: u8,
     pub reads: u8,
-    pub silences: u8,
+    pub clock_advances: u8,
     pub crashes: u8,
     pub lost_disks: u8,
     pub lost_messages: u8,
 }
 
-/// One connection: from one machine to another.
+/// A one-way connection: (sender, receiver).
 type Link = (usize, usize);
 
-/// The complete state.
+/// The complete state of the model.
 #[derive(Clone)]
 pub struct System {
     pub nodes: Vec<Node>,
-    /// Messages that were sent and have not arrived, in order.
+    /// Messages in flight on each link, in the order in which they were sent.
     pub links: BTreeMap<Link, Vec<(Identity, Message)>>,
     pub history: History,
-    pub taken: Taken,
+    pub steps_taken: StepCounts,
     pub defect: Option<Defect>,
-    /// Two hashes of all that decides what may follow.
+    /// Two hashes of all state that determines the possible next steps.
     fingerprint: (u64, u64),
 }
 
 impl System {
-    /// Machines in service that have just found the first view on their disks.
+    /// Machines in service that have just loaded the first view from their disks.
     pub fn new(machines: usize, defect: Option<Defect>) -> Self {
         let voters: Vec<_> = (0..machines)
             .map(|index| member(index, FIRST_INCARNATION))
@@ -86,7 +87,7 @@
             nodes,
             links: BTreeMap::new(),
             history: History::default(),
-            taken: Taken::default(),
+            steps_taken: StepCounts::default(),
             defect,
             fingerprint: (0, 0),
         };
@@ -100,49 +101,51 @@
         self.nodes[index].member.member().identity.clone()
     }
 
-    /// Delivers a message; those before it on its connection are lost.
+    /// Delivers a message; the messages before it on the same link are lost.
     pub fn deliver(&mut self, link: Link, position: usize) {
         let Some(messages) = self.links.get_mut(&link) else {
             return;
         };
-        let mut arrived = messages.drain(..=position);
-        self.taken.lost_messages += position as u8;
-        let Some((from, message)) = arrived.next_back() else {
+        let mut delivered = messages.drain(..=position);
+        self.steps_taken.lost_messages += position as u8;
+        let Some((from, message)) = delivered.next_back() else {
             return;
         };
-        drop(arrived);
+        drop(delivered);
         let (_, to) = link;
         let effects = self.nodes[to].receive(&from, message);
-        self.carry_out(to, effects);
+        self.apply_effects(to, effects);
     }
 
     pub fn sync(&mut self, index: usize) {
         let effects = self.nodes[index].sync();
-        self.carry_out(index, effects);
+        self.apply_effects(index, effects);
     }
 
-    /// Time passes at one machine, which hears these others alone, by their newest heartbeats.
-    pub fn silence(&mut self, index: usize, heard: &[usize]) {
-        for _ in 0..SILENCE_TICKS {
-            self.nodes[index].now += SILENCE_TICK;
-            for other in heard {
-                self.hear(index, *other);
+    /// Advances the clock of one machine, which receives only the newest heartbeats of these
+    /// others.
+    pub fn advance_clock(&mut self, index: usize, reachable: &[usize]) {
+        for _ in 0..TICKS_PER_ADVANCE {
+            self.nodes[index].now += TICK_INTERVAL;
+            for sender in reachable {
+                self.deliver_heartbeat(index, *sender);
             }
             let effects = self.nodes[index].tick();
-            self.carry_out(index, effects);
+            self.apply_effects(index, effects);
         }
     }
 
-    /// The process of a machine begins to run.
+    /// Runs the first tick of a machine's process.
     pub fn start(&mut self, index: usize) {
         let effects = self.nodes[index].tick();
-        self.carry_out(index, effects);
+        self.apply_effects(index, effects);
     }
 
-    /// The newest heartbeat of a machine arrives, with an echo of the receiver's newest one where it
-    /// has any. Numbers of heartbeats grow for ever, so that the exploration gives them out.
-    pub fn hear(&mut self, index: usize, other: usize) {
-        let Some(mut heartbeat) = self.nodes[other].heartbeat.clone() else {
+    /// Delivers the newest heartbeat of the machine `sender` to the machine `index`. An echo of the
+    /// receiver in it gets the sequence number of the receiver's newest heartbeat: sequence numbers
+    /// grow without bound, so the model assigns them.
+    pub fn deliver_heartbeat(&mut self, index: usize, sender: usize) {
+        let Some(mut heartbeat) = self.nodes[sender].heartbeat.clone() else {
             return;
         };
         let receiver = &self.nodes[index].member;
@@ -153,46 +156,46 @@
         }
         let from = heartbeat.member.identity.clone();
         let effects = self.nodes[index].receive(&from, Message::Heartbeat(heartbeat));
-        self.carry_out(index, effects);
+        self.apply_effects(index, effects);
     }
 
     pub fn propose(&mut self, index: usize) {
-        self.taken.operations += 1;
-        let operation = self.taken.operations;
+        self.steps_taken.operations += 1;
+        let operation = self.steps_taken.operations;
         let node = &mut self.nodes[index];
         let request = plankhill_chain::RequestNumber(u128::from(operation));
         let deadline = Millis::MAX;
         node.member
             .propose(request, [operation].into(), deadline, node.now);
         let effects = node.member.take_effects();
-        self.carry_out(index, effects);
+        self.apply_effects(index, effects);
     }
 
     pub fn read(&mut self, index: usize) {
-        self.taken.reads += 1;
-        let read_id = u64::from(self.taken.reads);
+        self.steps_taken.reads += 1;
+        let read_id = u64::from(self.steps_taken.reads);
         self.history.begin_read(read_id);
         let node = &mut self.nodes[index];
         node.member.read(read_id, Millis::MAX, node.now);
         let effects = node.member.take_effects();
-        self.carry_out(index, effects);
+        self.apply_effects(index, effects);
     }
 
     pub fn crash(&mut self, index: usize, kept: usize) {
-        self.taken.crashes += 1;
+        self.steps_taken.crashes += 1;
         let machines = self.nodes.len();
         self.nodes[index].restart(index, machines, kept, self.defect);
         self.start(index);
     }
 
     pub fn lose_disk(&mut self, index: usize) {
-        self.taken.lost_disks += 1;
+        self.steps_taken.lost_disks += 1;
         let machines = self.nodes.len();
         self.nodes[index].lose_disk(index, machines, self.defect);
         self.start(index);
     }
 
-    fn carry_out(&mut self, index: usize, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
@@ -226,7 +229,7 @@
                 let sender = self.identity_of(from);
                 let link = self.links.entry((from, to)).or_default();
                 let sent = (sender, message);
-                // What is sent again while it is still on its way arrives once.
+                // A message that is sent again while still in flight is delivered once.
                 if !link.contains(&sent) {
                     link.push(sent);
                 }
@@ -234,17 +237,17 @@
         }
     }
 
-    /// The one operation of an exploration was acknowledged.
+    /// Records the acknowledgement of the only operation of an exploration.
     fn acknowledge(&mut self, index: usize) {
         let member = &self.nodes[index].member;
         let (view, revision) = (member.view().number, member.revision());
-        let replicas = self.replicas(revision);
+        let replicas = self.replica_count(revision);
         self.history.check_replicas(replicas, REQUIRED_REPLICAS);
         self.history.record_acknowledged(view, revision);
     }
 
-    /// Disks that have an operation.
-    fn replicas(&self, revision: Revision) -> usize {
+    /// Number of disks that contain an operation.
+    fn replica_count(&self, revision: Revision) -> usize {
         let nodes = self.nodes.iter();
         nodes.filter(|node| node.has_on_disk(revision)).count()
     }
@@ -255,16 +258,16 @@
         let applied = member.machine().0.clone();
         let revision = member.revision();
         if self.history.record_applied(&applied) {
-            let replicas = self.replicas(revision);
-            let lost = usize::from(self.taken.lost_disks);
+            let replicas = self.replica_count(revision);
+            let lost = usize::from(self.steps_taken.lost_disks);
             self.history
                 .check_replicas(replicas + lost, REQUIRED_REPLICAS);
         }
     }
 
-    /// To be called after each step.
+    /// Recomputes the fingerprint; has to be called after each step.
     pub fn update_fingerprint(&mut self) {
-        let text = self.text();
+        let text = self.state_text();
         let mut one = DefaultHasher::new();
         text.hash(&mut one);
         let mut other = DefaultHasher::new();
@@ -272,21 +275,21 @@
         self.fingerprint = (one.finish(), other.finish());
     }
 
-    fn text(&self) -> String {
+    fn state_text(&self) -> String {
         use fmt::Write as _;
-        let mut text = format!("{:?} {:?} {:?}", self.links, self.history, self.taken);
+        let mut text = format!("{:?} {:?} {:?}", self.links, self.history, self.steps_taken);
         for node in &self.nodes {
-            let heartbeat = node.heartbeat.clone().map(without_numbers);
+            let heartbeat = node.heartbeat.clone().map(without_sequence_numbers);
             let unsynced: Vec<_> = node.unsynced.iter().map(|(_, writes)| writes).collect();
             let state = node.member.timeless_state();
-            // Writing into a string does not fail.
+            // Writing to a `String` does not fail.
             let _ = write!(text, " {state} {:?} {unsynced:?} {heartbeat:?}", node.disk);
         }
         text
     }
 }
 
-fn without_numbers(mut heartbeat: Heartbeat) -> Heartbeat {
+fn without_sequence_numbers(mut heartbeat: Heartbeat) -> Heartbeat {
     heartbeat.sequence = 0;
     for echo in &mut heartbeat.echoes {
         echo.sequence = 0;
@@ -308,6 +311,6 @@
 
 impl fmt::Debug for System {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.text())
+        formatter.write_str(&self.state_text())
     }
 }
