--- a/tier/chain/tests/simulation/long_absences.rs
+++ b/tier/chain/tests/simulation/long_absences.rs
@@ -1,19 +1,19 @@
-//! A member that is absent for twenty seconds while the others go on: partitioned both ways or one
-//! way, frozen, in halves.
+//! A member that is absent for 20 s while the others continue: partitioned in both directions or in
+//! one, frozen, or with a stalled disk; also a partition of all members into two parts.
 //!
-//! The world checks every read and every acknowledgement at each step; here clients call the member
-//! itself all the while.
+//! The simulation checks every read and every acknowledgement at each step; in these tests, clients
+//! also call the absent member itself throughout the absence.
 
 use plankhill_chain::Millis;
 
 use crate::world::faults::{FaultMix, RECOVERY_TIMEOUT};
 use crate::world::{World, WorldConfig};
 
-/// How long the member is absent.
+/// Duration of the absence.
 const ABSENCE_DURATION: Millis = 20_000;
-/// Between two calls to the member.
+/// Interval between two calls to the absent member.
 const CALL_INTERVAL: Millis = 250;
-/// A partitioned member knows after this long that it is not current.
+/// Maximum time until a partitioned member detects that it is not current.
 const DETECTION_LIMIT: Millis = 1_100;
 const SEEDS: u64 = 6;
 
@@ -38,7 +38,7 @@
     World::healthy(seed, config)
 }
 
-fn begin(world: &mut World, index: usize, absence: Absence) {
+fn begin_absence(world: &mut World, index: usize, absence: Absence) {
     let others: Vec<_> = (0..world.machines.len())
         .filter(|other| *other != index)
         .collect();
@@ -53,50 +53,50 @@
     }
 }
 
-/// Proposes at the member again and again while clients call the others; how many operations were
-/// acknowledged.
-fn call_meanwhile(world: &mut World, index: usize, scene: &str) -> usize {
+/// Proposes at the member repeatedly during the absence while clients call the others. Returns the
+/// number of operations acknowledged in this time.
+fn propose_during_absence(world: &mut World, index: usize, context: &str) -> usize {
     let before = world.history.borrow().acknowledgements();
     let end = world.now + ABSENCE_DURATION;
     while world.now < end {
         let operation = 5_000_000 + world.now * 10 + index as u64;
         world.propose(index, operation);
         world.run(CALL_INTERVAL);
-        world.assert_no_violations(&scene);
+        world.assert_no_violations(&context);
     }
     world.history.borrow().acknowledgements() - before
 }
 
-fn play(seed: u64, machines: usize, index: usize, absence: Absence) {
-    let scene = format!("seed {seed}, {machines} machines, {absence:?} at {index}");
+fn run_absence(seed: u64, machines: usize, index: usize, absence: Absence) {
+    let context = format!("seed {seed}, {machines} machines, {absence:?} at {index}");
     let mut world = healthy_world(seed, machines, (machines - 1) / 2);
-    begin(&mut world, index, absence);
+    begin_absence(&mut world, index, absence);
     world.run(DETECTION_LIMIT);
-    let claims_current = world.machines[index]
+    let reports_current = world.machines[index]
         .process
         .as_ref()
         .is_some_and(|member| member.is_current(world.now));
     assert!(
-        !claims_current || !matches!(absence, Absence::BothWays | Absence::NoInbound),
-        "{scene}: the member claims to be current"
+        !reports_current || !matches!(absence, Absence::BothWays | Absence::NoInbound),
+        "{context}: the member reports itself as current"
     );
-    let acknowledged = call_meanwhile(&mut world, index, &scene);
+    let acknowledged = propose_during_absence(&mut world, index, &context);
     assert!(
         acknowledged > 100,
-        "{scene}: {acknowledged} acknowledgements"
+        "{context}: {acknowledged} acknowledgements"
     );
     world.heal();
     world.thaw(index);
     world.run(RECOVERY_TIMEOUT);
-    assert_eq!(world.in_service(), machines, "{scene}");
-    world.assert_no_violations(&scene);
+    assert_eq!(world.in_service(), machines, "{context}");
+    world.assert_no_violations(&context);
 }
 
-fn play_all(absence: Absence) {
+fn run_absences(absence: Absence) {
     for seed in 0..SEEDS {
         for machines in [3, 5] {
             for index in 0..machines {
-                play(seed, machines, index, absence);
+                run_absence(seed, machines, index, absence);
             }
         }
     }
@@ -104,52 +104,52 @@
 
 #[test]
 fn a_member_partitioned_both_ways_rejoins() {
-    play_all(Absence::BothWays);
+    run_absences(Absence::BothWays);
 }
 
 #[test]
 fn a_member_without_inbound_messages_rejoins() {
-    play_all(Absence::NoInbound);
+    run_absences(Absence::NoInbound);
 }
 
 #[test]
 fn a_member_without_outbound_messages_rejoins() {
-    play_all(Absence::NoOutbound);
+    run_absences(Absence::NoOutbound);
 }
 
 #[test]
 fn a_frozen_member_rejoins() {
-    play_all(Absence::Frozen);
+    run_absences(Absence::Frozen);
 }
 
 #[test]
 fn a_member_with_a_stalled_disk_rejoins() {
-    play_all(Absence::DiskStalled);
+    run_absences(Absence::DiskStalled);
 }
 
-/// Neither half of four has a majority; of five the larger one goes on. Both halves are called all
-/// the while.
+/// Neither half of four machines has a majority; of five machines, the larger part has one and
+/// continues. Clients call both parts throughout the partition.
 #[test]
-fn only_a_half_with_a_majority_goes_on() {
+fn only_a_part_with_a_majority_continues() {
     for seed in 0..SEEDS {
-        for (machines, goes_on) in [(4, false), (5, true)] {
-            let scene = format!("seed {seed}, halves of {machines}");
+        for (machines, continues) in [(4, false), (5, true)] {
+            let context = format!("seed {seed}, {machines} machines in two parts");
             let mut world = healthy_world(seed, machines, (machines - 1) / 2);
-            let crossing = (0..2)
+            let cut_links = (0..2)
                 .flat_map(|one| (2..machines).flat_map(move |other| [(one, other), (other, one)]));
-            world.partition(&crossing.collect::<Vec<_>>());
+            world.partition(&cut_links.collect::<Vec<_>>());
             world.run(4_000);
             let before = world.history.borrow().acknowledgements();
-            call_meanwhile(&mut world, 0, &scene);
+            propose_during_absence(&mut world, 0, &context);
             assert_eq!(
                 world.history.borrow().acknowledgements() > before,
-                goes_on,
-                "{scene}"
+                continues,
+                "{context}"
             );
             world.heal();
             world.run(RECOVERY_TIMEOUT);
-            assert_eq!(world.in_service(), machines, "{scene}");
-            world.assert_no_violations(&scene);
+            assert_eq!(world.in_service(), machines, "{context}");
+            world.assert_no_violations(&context);
         }
     }
 }
--- a/tier/chain/tests/simulation/main.rs
+++ b/tier/chain/tests/simulation/main.rs
@@ -1,10 +1,10 @@
-//! The chain in a simulated world.
+//! Deterministic simulation of chains in virtual time, under load and faults.
 
 mod injected_bugs;
 mod long_absences;
 mod outage;
 mod random_faults;
-mod scenes;
 mod second_losses;
+mod single_faults;
 mod slow_syncs;
 mod world;
--- a/tier/chain/tests/simulation/outage.rs
+++ b/tier/chain/tests/simulation/outage.rs
@@ -1,29 +1,30 @@
-//! All machines lose power at once and come back one after the other.
+//! A power loss at all machines at once, with restarts one after the other.
 
 use plankhill_chain::Millis;
 
 use crate::world::faults::FaultMix;
 use crate::world::{World, WorldConfig};
 
-/// When each of five machines starts again after the loss of power, in ms.
+/// Delays from the power loss to the restart of each of five machines, in ms.
 const RESTART_DELAYS: [Millis; 5] = [900, 960, 1_170, 1_180, 1_200];
 
-/// Until connections to machines that have just come up are established: one staggered attempt and
-/// one way.
-const DIAL_LIMIT: Millis = 200;
-/// From the last start until every machine is current.
+/// Time until connections to machines that have just restarted are established: one staggered
+/// connection attempt and one one-way delay.
+const CONNECT_DURATION: Millis = 200;
+/// Maximum time until every machine is current once all connections are established.
 const CURRENT_LIMIT: Millis = 500;
-/// The same where all connections come up at once: some ways between the machines, no heartbeat
+/// Maximum time from the last restart until every machine is current if all connections are
+/// established at once: a few one-way delays between the machines, without waiting for a heartbeat
 /// interval.
 const IMMEDIATE_CURRENT_LIMIT: Millis = 60;
 
-/// The first of the five machines to come back.
+/// Index of the first of the five machines to restart.
 fn first_to_restart(seed: u64) -> usize {
     seed as usize % 5
 }
 
-/// Five machines that have all lost power just now, and restart one after the other; and the number
-/// of their view.
+/// Runs five machines, cuts the power of all of them, and schedules their restarts one after the
+/// other. Returns the world and the number of the newest view before the power loss.
 fn after_power_loss(seed: u64) -> (World, u64) {
     let mut world = World::new(
         seed,
@@ -48,8 +49,9 @@
     (world, view)
 }
 
-/// Five machines that all lost power and have all restarted; the heartbeats of the first one do not
-/// reach the others until so long after the last start. Returns how many views have followed.
+/// Restarts five machines after a power loss. Messages of the first machine do not reach the others
+/// until `partitioned_for` ms after the last restart. Returns the world and the number of views
+/// decided since the power loss.
 fn restart_all(seed: u64, partitioned_for: Millis) -> (World, u64) {
     let (mut world, view) = after_power_loss(seed);
     let first = first_to_restart(seed);
@@ -66,9 +68,9 @@
 }
 
 #[test]
-fn a_power_loss_everywhere_does_not_change_the_view() {
+fn a_power_loss_at_all_machines_does_not_change_the_view() {
     for seed in 0..20 {
-        let (world, views_since) = restart_all(seed, DIAL_LIMIT);
+        let (world, views_since) = restart_all(seed, CONNECT_DURATION);
         assert_eq!(views_since, 0, "seed {seed}");
         assert!(world.all_current(), "seed {seed}");
     }
@@ -83,9 +85,9 @@
     }
 }
 
-/// The cost of a dial that hangs: a machine without a heartbeat for 0.6 s is removed, and joins
-/// again by a second view.
+/// The cost of a connection attempt that hangs: a machine without a heartbeat for 0.6 s is removed
+/// from the chain, and rejoins in a second view.
 #[test]
-fn a_member_whose_dials_hang_is_removed_from_the_chain() {
+fn a_member_whose_connection_attempts_hang_is_removed_from_the_chain() {
     assert!((0..20).all(|seed| restart_all(seed, 700).1 > 0));
 }
--- a/tier/chain/tests/simulation/random_faults.rs
+++ b/tier/chain/tests/simulation/random_faults.rs
@@ -1,13 +1,14 @@
-//! The chain under random faults that follow from a seed.
+//! The chain under random faults derived from a seed.
 
 use crate::world::faults::{FaultMix, RECOVERY_TIMEOUT};
 use crate::world::{World, WorldConfig};
 
-/// Worlds for each configuration; debug builds are some ten times slower.
+/// Number of worlds for each configuration; debug builds are about ten times slower.
 const SEEDS: u64 = if cfg!(debug_assertions) { 40 } else { 400 };
 
-/// Runs one world to the end; the number of acknowledged operations, or the first violation.
-fn play(seed: u64, config: WorldConfig) -> Result<usize, String> {
+/// Runs one world to the end. Returns the number of acknowledged operations, or the first
+/// violation.
+fn run_world(seed: u64, config: WorldConfig) -> Result<usize, String> {
     let mut world = World::new(seed, config);
     world.fault_after_acknowledgement = seed.is_multiple_of(2);
     world.run(2_500);
@@ -15,7 +16,7 @@
     world.run(25_000);
     world.stop_faults();
     world.run(RECOVERY_TIMEOUT);
-    assert_recovered(&mut world)?;
+    check_recovered(&mut world)?;
     let history = world.history.borrow();
     history
         .violations
@@ -25,9 +26,9 @@
         .map_or(Ok(history.acknowledgements()), Err)
 }
 
-/// After the faults have ended: all members are in service, all clients are answered, nothing
-/// acknowledged is lost.
-fn assert_recovered(world: &mut World) -> Result<(), String> {
+/// Checks a world whose faults have ended: all members are in service, all clients get answers, and
+/// no acknowledged operation is lost.
+fn check_recovered(world: &mut World) -> Result<(), String> {
     let running: Vec<_> = (0..world.machines.len())
         .filter(|index| world.machines[*index].is_up())
         .collect();
@@ -49,7 +50,9 @@
         .collect();
     world.run(1_000);
     if world.history.borrow().violations.is_empty()
-        && requests.iter().any(|request| world.is_proposed(*request))
+        && requests
+            .iter()
+            .any(|request| world.is_proposal_pending(*request))
     {
         return Err("a proposal was not answered after the faults had ended".into());
     }
@@ -68,12 +71,12 @@
     Ok(())
 }
 
-fn play_all(config: &WorldConfig) {
+fn run_all(config: &WorldConfig) {
     let mut acknowledged = 0;
     for seed in 0..SEEDS {
-        match play(seed, config.clone()) {
+        match run_world(seed, config.clone()) {
             Ok(count) => acknowledged += count,
-            Err(what) => panic!("seed {seed}: {what}"),
+            Err(violation) => panic!("seed {seed}: {violation}"),
         }
     }
     assert!(
@@ -84,7 +87,7 @@
 
 #[test]
 fn three_machines_tolerate_one_fault() {
-    play_all(&WorldConfig {
+    run_all(&WorldConfig {
         machines: 3,
         seeds: 3,
         tolerated_faults: 1,
@@ -96,7 +99,7 @@
 
 #[test]
 fn five_machines_tolerate_two_faults() {
-    play_all(&WorldConfig {
+    run_all(&WorldConfig {
         machines: 5,
         seeds: 3,
         tolerated_faults: 2,
@@ -108,7 +111,7 @@
 
 #[test]
 fn four_machines_tolerate_one_fault() {
-    play_all(&WorldConfig {
+    run_all(&WorldConfig {
         machines: 4,
         seeds: 3,
         tolerated_faults: 1,
--- a/tier/chain/tests/simulation/slow_syncs.rs
+++ b/tier/chain/tests/simulation/slow_syncs.rs
@@ -1,35 +1,36 @@
-//! Disks whose syncs take a fixed time, while two operators change things one after the other, a
-//! member returns and the head dies.
+//! Disks whose syncs take a fixed time, while two operators each make one change after another, and
+//! while a member and later the head are stopped and restarted.
 //!
 //! `cargo test --release -p plankhill-chain --test simulation -- --ignored --nocapture slow_syncs`
 //! prints the table of `docs/system/hardening.md`.
 
 use plankhill_chain::Millis;
 
-use crate::scenes::healthy_world;
+use crate::single_faults::healthy_world;
 use crate::world::faults::FaultMix;
 use crate::world::{World, WorldConfig};
 
-/// Times of a sync, in ms.
+/// Durations of a sync, in ms.
 const SYNC_TIMES: [Millis; 7] = [50, 100, 200, 300, 450, 600, 900];
-/// Worlds for each sync time and placement of slow disks.
+/// Number of worlds for each sync time and placement of slow disks.
 const SEEDS: u64 = 20;
-/// How long one world is watched after its disks have become slow.
+/// Duration of a measurement, from the time at which the disks become slow.
 const DURATION: Millis = 45_000;
-/// A member is stopped then, and starts again after [`ABSENCE`].
+/// Time at which a member is stopped; the member restarts after [`ABSENCE_DURATION`].
 const MEMBER_STOPS_AT: Millis = 5_000;
-/// The head is stopped then, and starts again after [`ABSENCE`].
+/// Time at which the head is stopped; the head restarts after [`ABSENCE_DURATION`].
 const HEAD_STOPS_AT: Millis = 25_000;
-/// How long a stopped member stays away.
-const ABSENCE: Millis = 2_000;
-/// The operators look at their answers this often.
-const STEP: Millis = 10;
-/// What a failover takes where syncs are quick: silence of the head and the agreement.
-const FAILOVER: Millis = 1_500;
-/// The aim: no longer time without an acknowledgement than so many syncs, beside a failover.
+/// Time from a stop to the restart.
+const ABSENCE_DURATION: Millis = 2_000;
+/// Interval at which the operators check for acknowledgements.
+const POLL_INTERVAL: Millis = 10;
+/// Duration of a failover with fast syncs: the time-out of the head, and the agreement on a view.
+const FAILOVER_DURATION: Millis = 1_500;
+/// Target: the longest time without an acknowledgement is at most this many sync times, or a
+/// failover if that takes longer.
 const MAX_SYNCS_WITHOUT_ACKNOWLEDGEMENT: Millis = 20;
 
-/// Which disks are slow.
+/// Placement of the slow disks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Placement {
     /// One of three.
@@ -61,7 +62,7 @@
     }
 }
 
-/// One who makes a change, repeats it until it is acknowledged, and makes the next one.
+/// A client that makes a change, repeats it until it is acknowledged, and then makes the next one.
 struct Operator {
     operation: u64,
     request: u128,
@@ -83,13 +84,15 @@
         self.request = world.propose(index, self.operation);
     }
 
-    /// Whether the change has been acknowledged; the next one is made then.
+    /// Proposes the next change if the current one has been acknowledged, and proposes the current
+    /// one again if its proposal has failed. Returns whether the current change has been
+    /// acknowledged.
     fn step(&mut self, world: &mut World) -> bool {
         if world.is_acknowledged(self.operation) {
             self.propose_next(world);
             return true;
         }
-        if !world.is_proposed(self.request) {
+        if !world.is_proposal_pending(self.request) {
             let index = running_machine(world);
             world.propose_as(index, self.request, self.operation);
         }
@@ -104,16 +107,16 @@
     world.rng.pick(&running).unwrap_or_default()
 }
 
-/// What was measured in one world.
+/// Measurements of one world.
 #[derive(Clone, Copy, Debug, Default)]
-struct Measured {
+struct Measurement {
     acknowledged: u64,
     longest_gap: Millis,
     views: u64,
 }
 
-fn measure(seed: u64, placement: Placement, sync_time: Millis) -> Measured {
-    let scene = format!("{placement:?}, {sync_time} ms, seed {seed}");
+fn measure(seed: u64, placement: Placement, sync_time: Millis) -> Measurement {
+    let context = format!("{placement:?}, {sync_time} ms, seed {seed}");
     let machines = placement.machines();
     let config = WorldConfig {
         machines,
@@ -134,42 +137,42 @@
         Operator::new(&mut world, 5_000_000),
         Operator::new(&mut world, 6_000_000),
     ];
-    let mut measured = Measured::default();
+    let mut measurement = Measurement::default();
     let mut acknowledged_at = started_at;
     while world.now < started_at + DURATION {
         match world.now - started_at {
             MEMBER_STOPS_AT => {
                 let member = (world.head().unwrap_or_default() + 1) % machines;
-                stop_for_a_while(&mut world, member);
+                stop_temporarily(&mut world, member);
             }
             HEAD_STOPS_AT => {
                 let head = world.head().unwrap_or_default();
-                stop_for_a_while(&mut world, head);
+                stop_temporarily(&mut world, head);
             }
             _ => {}
         }
-        world.run(STEP);
+        world.run(POLL_INTERVAL);
         for operator in &mut operators {
             if operator.step(&mut world) {
-                measured.acknowledged += 1;
+                measurement.acknowledged += 1;
                 acknowledged_at = world.now;
             }
         }
-        measured.longest_gap = measured.longest_gap.max(world.now - acknowledged_at);
-        world.assert_no_violations(&scene);
+        measurement.longest_gap = measurement.longest_gap.max(world.now - acknowledged_at);
+        world.assert_no_violations(&context);
     }
-    measured.views = world.newest_view() - views_before;
-    measured
+    measurement.views = world.newest_view() - views_before;
+    measurement
 }
 
-fn stop_for_a_while(world: &mut World, index: usize) {
-    world.forget_pending_calls(index);
+fn stop_temporarily(world: &mut World, index: usize) {
+    world.drop_pending_calls(index);
     world.stop(index);
-    world.schedule_restart(index, ABSENCE);
+    world.schedule_restart(index, ABSENCE_DURATION);
 }
 
-fn longest_gap_allowed(sync_time: Millis) -> Millis {
-    FAILOVER.max(MAX_SYNCS_WITHOUT_ACKNOWLEDGEMENT * sync_time)
+fn max_allowed_gap(sync_time: Millis) -> Millis {
+    FAILOVER_DURATION.max(MAX_SYNCS_WITHOUT_ACKNOWLEDGEMENT * sync_time)
 }
 
 #[test]
@@ -177,22 +180,22 @@
     for placement in Placement::EACH {
         for sync_time in SYNC_TIMES {
             for seed in 0..2 {
-                let measured = measure(seed, placement, sync_time);
+                let measurement = measure(seed, placement, sync_time);
                 assert!(
-                    measured.longest_gap <= longest_gap_allowed(sync_time),
-                    "{placement:?}, {sync_time} ms, seed {seed}: {measured:?}"
+                    measurement.longest_gap <= max_allowed_gap(sync_time),
+                    "{placement:?}, {sync_time} ms, seed {seed}: {measurement:?}"
                 );
             }
         }
     }
 }
 
-/// From the moment at which a disk becomes slow, or quick again, until the chain has followed.
-const ADJUSTMENT: Millis = 6_000;
-/// From the loss of a member until the chain goes on without it.
-const RECOVERY: Millis = 1_500;
+/// Maximum time from a disk becoming slow, or fast again, until the chain is reconfigured.
+const ADJUSTMENT_LIMIT: Millis = 6_000;
+/// Maximum time from the loss of a member until the chain continues without it.
+const RECOVERY_LIMIT: Millis = 1_500;
 
-/// The nodes of the newest view's chain.
+/// Indices of the machines in the chain of the newest view.
 fn chain_of(world: &World) -> Vec<usize> {
     let members = world.machines.iter().filter_map(|machine| {
         let member = machine.process.as_ref()?;
@@ -207,76 +210,81 @@
 }
 
 #[test]
-fn a_member_with_a_slow_disk_leaves_the_chain_and_rejoins_once_the_disk_is_quick() {
+fn a_member_with_a_slow_disk_leaves_the_chain_and_rejoins_once_the_disk_is_fast() {
     for seed in 0..10 {
         for slow in 0..3 {
-            let scene = format!("seed {seed}, machine {slow}");
+            let context = format!("seed {seed}, machine {slow}");
             let mut world = healthy_world(seed);
             world.machines[slow].sync_time = Some(200);
-            world.run(ADJUSTMENT);
-            assert!(!chain_of(&world).contains(&slow), "{scene}");
-            assert_eq!(chain_of(&world).len(), 2, "{scene}");
+            world.run(ADJUSTMENT_LIMIT);
+            assert!(!chain_of(&world).contains(&slow), "{context}");
+            assert_eq!(chain_of(&world).len(), 2, "{context}");
             let view = world.newest_view();
             world.run(20_000);
-            assert_eq!(world.newest_view(), view, "{scene}: it stays away");
+            assert_eq!(
+                world.newest_view(),
+                view,
+                "{context}: the member stays out of the chain"
+            );
             world.are_clients_stopped = true;
             world.machines[slow].sync_time = None;
-            world.run(ADJUSTMENT);
-            assert_eq!(chain_of(&world).len(), 3, "{scene}: without any load");
-            world.assert_no_violations(&scene);
+            world.run(ADJUSTMENT_LIMIT);
+            assert_eq!(chain_of(&world).len(), 3, "{context}: without any load");
+            world.assert_no_violations(&context);
         }
     }
 }
 
 #[test]
-fn nobody_leaves_when_most_disks_are_slow() {
+fn no_member_leaves_when_most_disks_are_slow() {
     for seed in 0..10 {
-        for quick in [None, Some(0), Some(1), Some(2)] {
-            let scene = format!("seed {seed}, quick {quick:?}");
+        for fast in [None, Some(0), Some(1), Some(2)] {
+            let context = format!("seed {seed}, fast {fast:?}");
             let mut world = healthy_world(seed);
             let view = world.newest_view();
-            for index in (0..3).filter(|index| Some(*index) != quick) {
+            for index in (0..3).filter(|index| Some(*index) != fast) {
                 world.machines[index].sync_time = Some(350);
             }
             world.run(30_000);
-            assert_eq!(world.newest_view(), view, "{scene}");
-            world.assert_no_violations(&scene);
+            assert_eq!(world.newest_view(), view, "{context}");
+            world.assert_no_violations(&context);
         }
     }
 }
 
-/// A slow replica is better than one too few.
+/// A chain with a slow replica is preferred to a chain that is too short.
 #[test]
-fn a_member_with_a_slow_disk_is_taken_in_where_the_chain_would_be_too_short() {
+fn a_member_with_a_slow_disk_joins_if_the_chain_would_be_too_short() {
     for seed in 0..10 {
         let slow = seed as usize % 3;
-        let scene = format!("seed {seed}, machine {slow}");
+        let context = format!("seed {seed}, machine {slow}");
         let mut world = healthy_world(seed);
         world.machines[slow].sync_time = Some(200);
-        world.run(ADJUSTMENT);
+        world.run(ADJUSTMENT_LIMIT);
         let stopped = (slow + 1) % 3;
-        world.forget_pending_calls(stopped);
+        world.drop_pending_calls(stopped);
         world.stop(stopped);
-        world.run(ADJUSTMENT);
+        world.run(ADJUSTMENT_LIMIT);
         let chain = chain_of(&world);
-        assert!(chain.contains(&slow), "{scene}: {chain:?}");
-        assert!(!chain.contains(&stopped), "{scene}: {chain:?}");
+        assert!(chain.contains(&slow), "{context}: {chain:?}");
+        assert!(!chain.contains(&stopped), "{context}: {chain:?}");
         world.schedule_restart(stopped, 1);
-        world.run(ADJUSTMENT);
+        world.run(ADJUSTMENT_LIMIT);
         let chain = chain_of(&world);
-        assert!(!chain.contains(&slow), "{scene}: {chain:?}");
-        assert_eq!(chain.len(), 2, "{scene}");
-        world.assert_no_violations(&scene);
+        assert!(!chain.contains(&slow), "{context}: {chain:?}");
+        assert_eq!(chain.len(), 2, "{context}");
+        world.assert_no_violations(&context);
     }
 }
 
-/// Two slow disks of five are borne in the chain while another member is away: without them the
-/// chain would be too short. That the member is away has to be noticed all the same.
+/// Two members of five with slow disks stay in the chain while another member is down, since the
+/// chain would be too short without them. The failure of the other member has to be detected
+/// nevertheless.
 #[test]
 fn a_dead_member_leaves_a_chain_that_needs_its_members_with_slow_disks() {
     for stops_after in (0..1_500).step_by(100) {
         let seed = stops_after / 100;
-        let scene = format!("stopped {stops_after} ms after the disks became slow");
+        let context = format!("stopped {stops_after} ms after the disks became slow");
         let config = WorldConfig {
             machines: 5,
             seeds: 5,
@@ -291,21 +299,21 @@
         world.machines[slow].sync_time = Some(100);
         world.machines[other_slow].sync_time = Some(100);
         world.run(stops_after);
-        world.forget_pending_calls(stopped);
+        world.drop_pending_calls(stopped);
         world.stop(stopped);
-        world.run(RECOVERY);
+        world.run(RECOVERY_LIMIT);
         let chain = chain_of(&world);
-        assert!(!chain.contains(&stopped), "{scene}: {chain:?}");
-        assert!(chain.len() >= 3, "{scene}: {chain:?}");
-        world.assert_no_violations(&scene);
+        assert!(!chain.contains(&stopped), "{context}: {chain:?}");
+        assert!(chain.len() >= 3, "{context}: {chain:?}");
+        world.assert_no_violations(&context);
     }
 }
 
-/// With syncs of nearly a second a batch waits for two; the disk works all the same.
+/// With syncs of 0.9 s, a batch waits for two of them; the disk is nevertheless working.
 #[test]
-fn a_disk_that_takes_long_is_not_taken_for_one_that_has_stalled() {
+fn a_disk_with_long_syncs_is_not_considered_stalled() {
     for seed in 0..10 {
-        let scene = format!("seed {seed}");
+        let context = format!("seed {seed}");
         let mut world = healthy_world(seed);
         for machine in &mut world.machines {
             machine.sync_time = Some(900);
@@ -313,28 +321,28 @@
         let acknowledged = world.history.borrow().highest_observed();
         world.run(20_000);
         let more = world.history.borrow().highest_observed() - acknowledged;
-        assert!(more >= 5, "{scene}: {more}");
-        assert_eq!(world.in_service(), 3, "{scene}");
-        world.assert_no_violations(&scene);
+        assert!(more >= 5, "{context}: {more}");
+        assert_eq!(world.in_service(), 3, "{context}");
+        world.assert_no_violations(&context);
     }
 }
 
 #[test]
-#[ignore = "prints the table of the pages; a minute in a release build"]
+#[ignore = "prints the table of docs/system/hardening.md; takes a minute in a release build"]
 fn table_of_slow_syncs() {
     println!(
         "| disks | sync, ms | acknowledged a second | longest gap, ms | over the aim | views |"
     );
     for placement in Placement::EACH {
         for sync_time in SYNC_TIMES {
-            let mut total = Measured::default();
+            let mut total = Measurement::default();
             let mut over_the_aim = 0;
             for seed in 0..SEEDS {
-                let measured = measure(seed, placement, sync_time);
-                total.acknowledged += measured.acknowledged;
-                total.longest_gap = total.longest_gap.max(measured.longest_gap);
-                total.views += measured.views;
-                if measured.longest_gap > longest_gap_allowed(sync_time) {
+                let measurement = measure(seed, placement, sync_time);
+                total.acknowledged += measurement.acknowledged;
+                total.longest_gap = total.longest_gap.max(measurement.longest_gap);
+                total.views += measurement.views;
+                if measurement.longest_gap > max_allowed_gap(sync_time) {
                     over_the_aim += 1;
                 }
             }
--- a/tier/chain/tests/simulation/world/checker.rs
+++ b/tier/chain/tests/simulation/world/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold at every step of the world.
+//! Invariants of the simulation, and the history that they are checked on.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,46 +7,46 @@
 use plankhill_chain::{BadSnapshot, StateMachine, View, ViewNumber};
 use plankhill_protocol::ids::Revision;
 
-/// What must hold at every step, or at the end of a world.
+/// An invariant, which is checked at every step or at the end of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// All members apply the same operations in the same order.
     SingleOrder,
-    /// Nothing is applied twice.
+    /// No operation is applied twice.
     AppliedOnce,
-    /// One view for each number.
+    /// Only one view exists for each number.
     SingleView,
     /// All acknowledgements of an operation report the same outcome.
     SingleOutcome,
-    /// An operation is on f+1 disks when it is acknowledged.
+    /// An operation is on at least f+1 disks when it is acknowledged.
     ReplicatedWhenAcknowledged,
-    /// A read returns everything observed before it.
+    /// A read returns all operations observed before it.
     FreshReads,
-    /// Everything acknowledged is there at the end.
+    /// All acknowledged operations are in the final state.
     NothingLost,
-    /// After the faults have ended, all members are in service and answer.
+    /// After the faults have ended, all members are in service and answer clients.
     Availability,
 }
 
-/// Everything observed so far.
+/// The events observed so far.
 #[derive(Debug, Default)]
 pub struct History {
     /// Operations in the order in which any member first applied them.
     order: Vec<u64>,
     views: BTreeMap<ViewNumber, View>,
     acknowledged: BTreeMap<u64, u64>,
-    /// The highest revision whose effect was observed outside of the chain.
+    /// The highest revision whose effect was observed outside the chain.
     highest_observed: u64,
-    /// Invariants violated, each with the first case.
+    /// Violated invariants, each with a description of its first violation.
     pub violations: BTreeMap<Invariant, String>,
 }
 
 impl History {
-    pub fn record_violation(&mut self, invariant: Invariant, what: String) {
-        self.violations.entry(invariant).or_insert(what);
+    pub fn record_violation(&mut self, invariant: Invariant, description: String) {
+        self.violations.entry(invariant).or_insert(description);
     }
 
-    /// A member applies an operation.
+    /// Records that a member applies an operation.
     pub fn record_applied(&mut self, revision: Revision, operation: u64) {
         let index = revision.0 as usize - 1;
         match self.order.get(index) {
@@ -54,7 +54,7 @@
             Some(known) => self.record_violation(
                 Invariant::SingleOrder,
                 format!(
-                    "revision {} is {known} here and {operation} there",
+                    "revision {} is operation {known} at one member and {operation} at another",
                     revision.0
                 ),
             ),
@@ -71,47 +71,52 @@
         }
     }
 
-    /// A member has adopted a view.
+    /// Records that a member has adopted a view.
     pub fn record_adopted(&mut self, view: &View) {
         let known = self
             .views
             .entry(view.number)
             .or_insert_with(|| view.clone());
         if known != view {
-            let what = format!("two views {}: {known:?} and {view:?}", view.number.0);
-            self.record_violation(Invariant::SingleView, what);
+            let description = format!(
+                "two views with number {}: {known:?} and {view:?}",
+                view.number.0
+            );
+            self.record_violation(Invariant::SingleView, description);
         }
     }
 
-    /// A client was notified that an operation was committed at a revision.
+    /// Records that a client was notified of an operation committed at a revision.
     pub fn record_acknowledged(&mut self, operation: u64, revision: u64) {
         let before = *self.acknowledged.entry(operation).or_insert(revision);
         if before != revision {
             self.record_violation(
                 Invariant::SingleOutcome,
-                format!("operation {operation} came to {before} and to {revision}"),
+                format!(
+                    "operation {operation} was committed at revision {before} and at {revision}"
+                ),
             );
         }
         self.highest_observed = self.highest_observed.max(revision);
     }
 
-    /// The revision that a read that starts now has to return at least.
+    /// The minimum revision that a read started now has to return.
     pub fn highest_observed(&self) -> u64 {
         self.highest_observed
     }
 
-    /// A read has been answered.
+    /// Records that a read was answered.
     pub fn record_read(&mut self, expected: u64, revision: u64) {
         if revision < expected {
             self.record_violation(
                 Invariant::FreshReads,
-                format!("a read found {revision}, {expected} had been seen before it"),
+                format!("a read returned revision {revision} after {expected} was observed"),
             );
         }
         self.highest_observed = self.highest_observed.max(revision);
     }
 
-    /// The state at the end contains everything acknowledged, at its revision.
+    /// Checks that the final state contains every acknowledged operation at its revision.
     pub fn check_nothing_lost(&mut self, state: &[(u64, u64)]) {
         let found: BTreeMap<u64, u64> = state.iter().copied().collect();
         let missing: Vec<_> = self
@@ -124,7 +129,7 @@
             let last = state.last();
             self.record_violation(
                 Invariant::NothingLost,
-                format!("acknowledged and lost (operation, revision, found): {missing:?}, last {last:?}"),
+                format!("lost operations (operation, revision, found): {missing:?}, last {last:?}"),
             );
         }
     }
@@ -138,7 +143,8 @@
     }
 }
 
-/// A list of operations with their revisions, which reports to the history what it applies.
+/// State machine that lists operations with their revisions and reports each applied operation to
+/// the history.
 pub struct RecordingMachine {
     pub applied: Vec<(u64, u64)>,
     history: Rc<RefCell<History>>,
--- a/tier/chain/tests/simulation/world/clients.rs
+++ b/tier/chain/tests/simulation/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that propose and read, and the answers that they wait for.
+//! Clients that propose and read, and their pending calls.
 
 use super::machine::Input;
 use super::{CalledProcess, Event, PendingProposal, PendingRead, World};
@@ -12,7 +12,7 @@
         self.schedule(delay, Event::Operation);
         self.operations += 1;
         let operation = self.operations;
-        let index = self.any_machine();
+        let index = self.random_machine();
         self.propose(index, operation);
     }
 
@@ -41,14 +41,14 @@
         }
     }
 
-    pub(super) fn any_machine(&mut self) -> usize {
+    pub(super) fn random_machine(&mut self) -> usize {
         self.rng.below(self.machines.len() as u64) as usize
     }
 
     pub(super) fn next_read(&mut self) {
         let delay = self.rng.between(1, 4 * self.config.operation_interval);
         self.schedule(delay, Event::Read);
-        let index = self.any_machine();
+        let index = self.random_machine();
         if !self.machines[index].is_up() {
             return;
         }
@@ -63,7 +63,7 @@
     }
 
     /// Drops the pending calls of a process that ends.
-    pub fn forget_pending_calls(&mut self, index: usize) {
+    pub fn drop_pending_calls(&mut self, index: usize) {
         let ended = self.process_of(index);
         self.proposals.retain(|_, pending| pending.called != ended);
         self.reads.retain(|_, pending| pending.called != ended);
@@ -80,7 +80,7 @@
         self.history.borrow().is_acknowledged(operation)
     }
 
-    /// The machine that heads the newest view.
+    /// Index of the machine that is the head of the newest view.
     pub fn head(&self) -> Option<usize> {
         let members = self
             .machines
@@ -95,7 +95,7 @@
             .position(|machine| machine.node == head.node)
     }
 
-    pub fn is_proposed(&self, request: u128) -> bool {
+    pub fn is_proposal_pending(&self, request: u128) -> bool {
         self.proposals.contains_key(&request)
     }
 }
--- a/tier/chain/tests/simulation/world/disks.rs
+++ b/tier/chain/tests/simulation/world/disks.rs
@@ -1,4 +1,4 @@
-//! Disks: syncs take time, and fail or stall for a while.
+//! Disk syncs, which take time, and fail or stall temporarily.
 
 use plankhill_chain::Ticket;
 
@@ -7,21 +7,22 @@
 use super::{Event, World, REJECTION_RETRY_INTERVAL, STALL_RETRY_INTERVAL};
 
 impl World {
-    /// A sync covers all batches that are pending when it begins.
-    pub(super) fn sync_next(&mut self, index: usize) {
+    /// Starts a sync unless one is in progress. A sync covers all batches that are pending when it
+    /// begins.
+    pub(super) fn start_sync(&mut self, index: usize) {
         if self.syncing.contains_key(&index) {
             return;
         }
         let machine = &self.machines[index];
-        let Some((ticket, _)) = machine.disk.waiting.back() else {
+        let Some((ticket, _)) = machine.disk.pending.back() else {
             return;
         };
         let (ticket, process_epoch) = (ticket.0, machine.process_epoch);
         let sync_time = machine.sync_time.filter(|_| machine.slow_until > self.now);
         self.syncing.insert(index, ticket);
-        let takes = sync_time.unwrap_or_else(|| self.rng.between(2, 9));
+        let duration = sync_time.unwrap_or_else(|| self.rng.between(2, 9));
         self.schedule(
-            takes,
+            duration,
             Event::Synced {
                 index,
                 process_epoch,
@@ -30,7 +31,7 @@
         );
     }
 
-    pub(super) fn synced(&mut self, index: usize, process_epoch: u64, ticket: u64) {
+    pub(super) fn complete_sync(&mut self, index: usize, process_epoch: u64, ticket: u64) {
         if self.machines[index].process_epoch != process_epoch || !self.machines[index].is_up() {
             return;
         }
@@ -57,17 +58,17 @@
             );
             return;
         }
-        let lies = self.config.injected_bug == Some(InjectedBug::UnsyncedDisk);
+        let skips_write = self.config.injected_bug == Some(InjectedBug::UnsyncedDisk);
         if self.syncing.get(&index) == Some(&ticket) {
             self.syncing.remove(&index);
             let disk = &mut self.machines[index].disk;
-            while !lies
+            while !skips_write
                 && disk
-                    .waiting
+                    .pending
                     .front()
                     .is_some_and(|(number, _)| number.0 <= ticket)
             {
-                let Some((_, writes)) = disk.waiting.pop_front() else {
+                let Some((_, writes)) = disk.pending.pop_front() else {
                     break;
                 };
                 for write in &writes {
@@ -76,6 +77,6 @@
             }
         }
         self.deliver_input(index, Input::Persisted(Ticket(ticket)));
-        self.sync_next(index);
+        self.start_sync(index);
     }
 }
--- a/tier/chain/tests/simulation/world/faults.rs
+++ b/tier/chain/tests/simulation/world/faults.rs
@@ -1,47 +1,47 @@
-//! Faults of the world, and bugs that are injected to see that an invariant finds them.
+//! Injected faults, and injected bugs that the invariants have to detect.
 
 use plankhill_chain::{Message, Millis, PlantedBug};
 
 use super::machine::Machine;
 use super::World;
 
-/// A machine that is back counts as lost for this long, in ms (`catch_up_s` of the tightest
-/// deployment known).
+/// Time for which a machine still counts as lost after its return, in ms (`catch_up_s` of the
+/// tightest deployment known).
 pub const RECOVERY_TIMEOUT: Millis = 4_100;
 
-/// A bug that some invariant has to find.
+/// A bug that some invariant has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     /// Disks report syncs that have not happened.
     UnsyncedDisk,
-    /// A lost disk keeps its incarnation, so that its old votes count.
+    /// The replacement of a lost disk keeps the incarnation, so that old votes still count.
     IncarnationReused,
     /// Voters answer each attempt as if it were the first.
     PromisesForgotten,
-    /// One replica is enough to acknowledge.
+    /// Operations are acknowledged with a single replica.
     SingleReplicaCommits,
     /// Voters confirm every view.
     ViewAlwaysConfirmed,
-    /// Messages of older views count as ones of the receiver's view.
+    /// Messages of older views are accepted as messages of the receiver's view.
     ViewsNotChecked,
     /// Retries of a proposal carry a new request number.
-    RetriesRenamed,
-    /// Some outcomes are altered on their way.
+    RetriesRenumbered,
+    /// Some outcomes are altered in transit.
     OutcomesAltered,
-    /// Decisions reach nobody.
+    /// Messages with decided views are lost.
     DecisionsLost,
-    /// A mistake in the members' own rules.
+    /// A bug planted in the members' rules.
     Planted(PlantedBug),
 }
 
-/// Which faults come.
+/// Selection of the faults to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultMix {
-    /// Any of them.
+    /// Any kind of fault.
     Any,
-    /// Short ones that make two members propose at the same time: messages get lost in one
-    /// direction, and the head stands still.
-    CrossingProposers,
+    /// Short faults that make two members propose at the same time: messages are lost in one
+    /// direction, and the head freezes.
+    DuelingProposers,
 }
 
 impl World {
@@ -57,7 +57,7 @@
             (Some(InjectedBug::PromisesForgotten), Message::Decided(_)) if !self.rng.one_in(4) => {
                 None
             }
-            (Some(InjectedBug::RetriesRenamed), Message::Forward { view, mut entry }) => {
+            (Some(InjectedBug::RetriesRenumbered), Message::Forward { view, mut entry }) => {
                 entry.request.0 ^= u128::from(self.now) << 32;
                 Some(Message::Forward { view, entry })
             }
@@ -95,7 +95,7 @@
                     .process
                     .as_ref()
                     .map(|member| member.member().identity.clone());
-                let answered = voter.map(|voter| {
+                let forged = voter.map(|voter| {
                     (
                         voter,
                         Message::Confirmed {
@@ -104,8 +104,8 @@
                         },
                     )
                 });
-                if let Some((voter, answer)) = answered {
-                    self.answer(from, voter, answer);
+                if let Some((voter, reply)) = forged {
+                    self.deliver_forged_reply(from, voter, reply);
                 }
                 None
             }
@@ -137,7 +137,7 @@
         self.schedule_fault(1);
     }
 
-    /// Ends all faults; machines that are down start.
+    /// Ends all faults, and restarts the machines that are down.
     pub fn stop_faults(&mut self) {
         self.are_faults_enabled = false;
         self.heal();
@@ -158,8 +158,8 @@
         if !self.are_faults_enabled {
             return;
         }
-        if self.config.fault_mix == FaultMix::CrossingProposers {
-            self.cross_proposers();
+        if self.config.fault_mix == FaultMix::DuelingProposers {
+            self.disturb_proposers();
             let delay = self.rng.between(600, 1_400);
             self.schedule_fault(delay);
             return;
@@ -174,27 +174,27 @@
         self.schedule_fault(delay);
     }
 
-    /// A voter has accepted a proposer's view. At times nothing that the proposer sends arrives from
-    /// then on, until the others have begun an attempt of their own: the view may be decided, and
-    /// only the proposer knows.
+    /// Called when a voter has accepted a proposer's view. At times all messages of the proposer
+    /// are lost from then on, until the others have started an attempt of their own: the view may
+    /// be decided, and only the proposer has learned it.
     pub(super) fn on_accepted_sent(&mut self, proposer: usize) {
-        let is_due = self.config.fault_mix == FaultMix::CrossingProposers
+        let is_due = self.config.fault_mix == FaultMix::DuelingProposers
             && self.are_faults_enabled
-            && self.now >= self.proposer_silent_until
+            && self.now >= self.proposer_partitioned_until
             && self.rng.one_in(2);
         if !is_due {
             return;
         }
-        self.proposer_silent_until = self.now + self.rng.between(900, 2_500);
+        self.proposer_partitioned_until = self.now + self.rng.between(900, 2_500);
         let others = (0..self.machines.len()).filter(|other| *other != proposer);
-        let cut: Vec<_> = others.map(|other| (proposer, other)).collect();
-        self.partition(&cut);
+        let partitions: Vec<_> = others.map(|other| (proposer, other)).collect();
+        self.partition(&partitions);
     }
 
-    /// Other connections than before are interrupted in one direction, and at times the head stands
-    /// still for about as long as its silence is borne.
-    fn cross_proposers(&mut self) {
-        if self.now < self.proposer_silent_until {
+    /// Replaces the partitions by other one-way partitions, and at times freezes the head for about
+    /// as long as the other members wait for its heartbeats.
+    fn disturb_proposers(&mut self) {
+        if self.now < self.proposer_partitioned_until {
             return;
         }
         self.heal();
@@ -222,9 +222,9 @@
         let Some(other) = self.rng.pick(&present) else {
             return;
         };
-        let wipes =
+        let loses_disk =
             self.config.injected_bug == Some(InjectedBug::IncarnationReused) && self.rng.one_in(2);
-        let drawn = if wipes { 8 } else { self.rng.below(16) };
+        let drawn = if loses_disk { 8 } else { self.rng.below(16) };
         match drawn {
             0 | 1 => self.kill(index),
             2 | 3 => self.freeze(index),
@@ -239,9 +239,9 @@
             8 | 9 => self.lose_disks(&present),
             10 => self.replace(index),
             11 => self.heal(),
-            12 => self.stall(index),
-            13 => self.fill(index),
-            14 => self.slow_down(index),
+            12 => self.stall_disk(index),
+            13 => self.fill_disk(index),
+            14 => self.slow_down_disk(index),
             _ => {
                 for index in present {
                     self.freeze(index);
@@ -254,7 +254,7 @@
         if !self.machines[index].is_up() {
             return;
         }
-        self.forget_pending_calls(index);
+        self.drop_pending_calls(index);
         self.stop(index);
         let delay = self.rng.between(50, 1_500);
         self.schedule_restart(index, delay);
@@ -270,15 +270,15 @@
         self.schedule_thaw(index, delay);
     }
 
-    /// The disk answers nothing for a while.
-    pub fn stall(&mut self, index: usize) {
+    /// Stalls a disk for a random time.
+    pub fn stall_disk(&mut self, index: usize) {
         let until = self.now + self.rng.between(100, 5_000);
         self.machines[index].stalled_until = until;
         self.last_fault_at = self.last_fault_at.max(until);
     }
 
-    /// Each sync takes long for a while.
-    pub fn slow_down(&mut self, index: usize) {
+    /// Makes the syncs of a disk slow for a random time.
+    pub fn slow_down_disk(&mut self, index: usize) {
         let until = self.now + self.rng.between(500, 8_000);
         let sync_time = self.rng.between(50, 900);
         self.machines[index].sync_time = Some(sync_time);
@@ -286,8 +286,8 @@
         self.last_fault_at = self.last_fault_at.max(until);
     }
 
-    /// The disk rejects writes for a while.
-    pub fn fill(&mut self, index: usize) {
+    /// Makes a disk reject writes for a random time.
+    pub fn fill_disk(&mut self, index: usize) {
         let until = self.now + self.rng.between(100, 8_000);
         self.machines[index].full_until = until;
         self.last_fault_at = self.last_fault_at.max(until);
@@ -312,30 +312,30 @@
         self.partition(&pairs);
     }
 
-    /// As many machines as are tolerated lose their disks, at times while all others lose power.
-    /// Only when no machine counts as lost already.
+    /// Empties the disks of as many machines as are tolerated, at times together with a power loss
+    /// of all others. Does nothing while a machine still counts as lost.
     fn lose_disks(&mut self, present: &[usize]) {
         if !self.is_recovered() {
             return;
         }
         let all_lose_power = self.rng.one_in(2);
-        let mut left = present.to_vec();
+        let mut remaining = present.to_vec();
         for _ in 0..self.config.tolerated_faults {
-            let Some(index) = self.rng.pick(&left) else {
+            let Some(index) = self.rng.pick(&remaining) else {
                 return;
             };
-            left.retain(|other| *other != index);
+            remaining.retain(|other| *other != index);
             self.kill(index);
             self.machines[index].disk = Default::default();
         }
         if all_lose_power {
-            for index in left {
+            for index in remaining {
                 self.kill(index);
             }
         }
     }
 
-    /// A machine goes for good and an empty one comes at another address.
+    /// Replaces a machine by an empty one at another address.
     fn replace(&mut self, index: usize) {
         if !self.is_recovered() || self.machines.len() > 12 {
             return;
@@ -349,7 +349,8 @@
         self.schedule_restart(self.machines.len() - 1, delay);
     }
 
-    /// Whether the last fault is so long ago that no machine counts as lost any more.
+    /// Returns whether no machine counts as lost: all machines are running, there are no
+    /// partitions, and [`RECOVERY_TIMEOUT`] ms have passed since the last fault.
     pub fn is_recovered(&self) -> bool {
         let up = self
             .machines
@@ -359,7 +360,7 @@
             && self.now.saturating_sub(self.last_fault_at) >= RECOVERY_TIMEOUT
     }
 
-    /// Machines in service, by the newest view that any of them knows.
+    /// Number of machines in the chain of the newest view that any running machine has adopted.
     pub fn in_service(&self) -> usize {
         let members = self
             .machines
@@ -378,7 +379,7 @@
         newest.map_or(0, serving)
     }
 
-    /// Whether every machine is up and calls itself current.
+    /// Returns whether every machine is up and reports itself as current.
     pub fn all_current(&self) -> bool {
         let now = self.now;
         let current = |machine: &Machine| {
@@ -388,7 +389,7 @@
         self.machines.iter().all(current)
     }
 
-    /// The number of the newest view that a running machine knows.
+    /// Number of the newest view that a running machine has adopted.
     pub fn newest_view(&self) -> u64 {
         let members = self
             .machines
--- a/tier/chain/tests/simulation/world/machine.rs
+++ b/tier/chain/tests/simulation/world/machine.rs
@@ -1,4 +1,4 @@
-//! A machine of the world: a disk that survives, and a process that may not.
+//! A simulated machine: a process, and a disk that survives the end of the process.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,16 +14,17 @@
 use super::checker::{History, RecordingMachine};
 use super::rng::SimRng;
 
-/// What survives the process.
+/// A disk, which survives the end of the process.
 #[derive(Default)]
 pub struct Disk {
     pub synced: DurableState,
-    /// Batches that the process has submitted, the first of them being written.
-    pub waiting: VecDeque<(Ticket, Vec<Write>)>,
+    /// Batches that the process has submitted and that are not synced yet, in order; the first of
+    /// them are being written.
+    pub pending: VecDeque<(Ticket, Vec<Write>)>,
 }
 
 impl Disk {
-    /// Whether an operation would be on the disk after a loss of power.
+    /// Returns whether an operation would survive a power loss.
     pub fn contains(&self, revision: u64) -> bool {
         let last = self
             .synced
@@ -36,11 +37,11 @@
             && last.max(self.synced.snapshot.revision) >= Revision(revision)
     }
 
-    /// The process or the power ends: some of the pending batches have still reached the disk, in
-    /// order.
+    /// Simulates a crash or a power loss: a random number of the pending batches has still reached
+    /// the disk, in order.
     pub fn crash(&mut self, rng: &mut SimRng) {
-        let survives = rng.below(self.waiting.len() as u64 + 1);
-        for (_, writes) in self.waiting.drain(..).take(survives as usize) {
+        let synced_count = rng.below(self.pending.len() as u64 + 1);
+        for (_, writes) in self.pending.drain(..).take(synced_count as usize) {
             for write in &writes {
                 self.synced.apply(write);
             }
@@ -48,7 +49,7 @@
     }
 }
 
-/// An input of a process.
+/// An input to a process.
 pub enum Input {
     Message(Identity, Message),
     Persisted(Ticket),
@@ -65,27 +66,27 @@
     },
 }
 
-/// One machine.
+/// A simulated machine.
 pub struct Machine {
     pub node: NodeId,
     pub address: SocketAddr,
     pub disk: Disk,
     pub process: Option<ChainMember<RecordingMachine>>,
-    /// Tells events of former starts of the process apart.
+    /// Number of starts of the process so far; events of earlier starts are recognized by it.
     pub process_epoch: u64,
     pub frozen: bool,
-    /// Inputs that came while the process was frozen.
+    /// Inputs that arrive while the process is frozen.
     pub queued_inputs: VecDeque<Input>,
     pub tick_at: Millis,
-    /// How long each sync of the disk takes; a few ms, drawn anew each time, where there is none.
+    /// Duration of each sync of the disk; `None` for a few ms, chosen at random for each sync.
     pub sync_time: Option<Millis>,
-    /// Syncs are quick again then.
+    /// Time at which `sync_time` ceases to apply.
     pub slow_until: Millis,
-    /// The disk answers nothing until then.
+    /// Time until which the disk completes no syncs.
     pub stalled_until: Millis,
-    /// The disk rejects writes until then.
+    /// Time until which the disk rejects writes.
     pub full_until: Millis,
-    /// Replaced by another machine.
+    /// Whether the machine has been replaced by another one.
     pub removed: bool,
 }
 
@@ -113,10 +114,10 @@
         self.process.is_some()
     }
 
-    /// Starts the process; an empty disk begins a new incarnation.
+    /// Starts the process; an empty disk gets a new incarnation.
     pub fn start(
         &mut self,
-        start: Start,
+        start: StartConfig,
         history: &Rc<RefCell<History>>,
         now: Millis,
         rng: &mut SimRng,
@@ -153,14 +154,14 @@
         self.tick_at = now;
     }
 
-    /// The process ends; only the disk is left.
+    /// Ends the process; only the disk remains.
     pub fn stop(&mut self, rng: &mut SimRng) {
         self.process = None;
         self.disk.crash(rng);
     }
 
-    /// Delivers an input to the process; the effects that follow.
-    pub fn take(&mut self, input: Input, now: Millis) -> Vec<Effect> {
+    /// Delivers an input to the process; returns the resulting effects.
+    pub fn handle_input(&mut self, input: Input, now: Millis) -> Vec<Effect> {
         let Some(member) = self.process.as_mut() else {
             return Vec::new();
         };
@@ -192,9 +193,9 @@
     }
 }
 
-/// How a process is started.
+/// Parameters for the start of a process.
 #[derive(Clone)]
-pub struct Start {
+pub struct StartConfig {
     pub bootstrap: bool,
     pub incarnation: u64,
     pub tolerated_faults: usize,
--- a/tier/chain/tests/simulation/world/mod.rs
+++ b/tier/chain/tests/simulation/world/mod.rs
@@ -1,5 +1,5 @@
-//! A world in virtual time: machines with disks, links between them, clients, and faults that
-//! follow from a seed.
+//! A simulation in virtual time: machines with disks, links between them, clients, and faults
+//! derived from a seed.
 
 pub mod checker;
 mod clients;
@@ -25,13 +25,13 @@
 use machine::{Input, Machine};
 use rng::SimRng;
 
-/// A disk that does not answer is checked again after this long, in ms.
+/// Interval at which a stalled disk is checked again, in ms.
 const STALL_RETRY_INTERVAL: Millis = 20;
 
-/// A disk that rejects writes is tried again after this long, in ms.
+/// Interval at which writes to a disk that rejects them are retried, in ms.
 const REJECTION_RETRY_INTERVAL: Millis = 100;
 
-/// The size of a world, its load and its bug.
+/// Configuration of a simulation: its size, load, injected bug and faults.
 #[derive(Clone, Debug)]
 pub struct WorldConfig {
     pub machines: usize,
@@ -74,7 +74,7 @@
     Fault,
 }
 
-/// The process that a client has called, and waits for.
+/// The process that a pending call was made to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct CalledProcess {
     machine: usize,
@@ -89,7 +89,7 @@
 
 /// A read that waits for its answer.
 struct PendingRead {
-    /// The revision that the answer has to have at least.
+    /// The minimum revision that the answer has to have.
     expected_revision: u64,
     called: CalledProcess,
 }
@@ -107,25 +107,25 @@
     pub history: Rc<RefCell<History>>,
     pub rng: SimRng,
     pub config: WorldConfig,
-    /// Ordered pairs (from, to) between which no message gets through.
+    /// Ordered pairs (from, to) between which all messages are lost.
     pub partitions: Vec<(usize, usize)>,
-    /// When the last fault ended or began.
+    /// Time at which a fault last began or ended.
     pub last_fault_at: Millis,
     pub are_faults_enabled: bool,
-    /// Until then nothing that one proposer sends arrives.
-    proposer_silent_until: Millis,
+    /// Time until which messages of one proposer are lost.
+    proposer_partitioned_until: Millis,
     queue: BinaryHeap<Reverse<(Millis, u64, Event)>>,
     sequence: u64,
     messages: HashMap<u64, InFlightMessage>,
-    arrivals: BTreeMap<(usize, usize), Millis>,
+    last_arrivals: BTreeMap<(usize, usize), Millis>,
     syncing: BTreeMap<usize, u64>,
     operations: u64,
     proposals: BTreeMap<u128, PendingProposal>,
     reads: BTreeMap<u64, PendingRead>,
     incarnations: u64,
-    /// Whether an acknowledgement is followed by a fault at once.
+    /// Whether acknowledgements may be followed by a fault at once.
     pub fault_after_acknowledgement: bool,
-    /// No client proposes any more.
+    /// Whether the regular proposals of clients are stopped.
     pub are_clients_stopped: bool,
 }
 
@@ -141,11 +141,11 @@
             partitions: Vec::new(),
             last_fault_at: 0,
             are_faults_enabled: false,
-            proposer_silent_until: 0,
+            proposer_partitioned_until: 0,
             queue: BinaryHeap::new(),
             sequence: 0,
             messages: HashMap::new(),
-            arrivals: BTreeMap::new(),
+            last_arrivals: BTreeMap::new(),
             syncing: BTreeMap::new(),
             operations: 0,
             proposals: BTreeMap::new(),
@@ -172,10 +172,10 @@
         world
     }
 
-    /// No invariant has been violated so far.
-    pub fn assert_no_violations(&self, scene: &dyn Display) {
+    /// Asserts that no invariant has been violated so far.
+    pub fn assert_no_violations(&self, context: &dyn Display) {
         let violations = &self.history.borrow().violations;
-        assert!(violations.is_empty(), "{scene}: {violations:?}");
+        assert!(violations.is_empty(), "{context}: {violations:?}");
     }
 
     fn schedule(&mut self, delay: Millis, event: Event) {
@@ -184,7 +184,8 @@
             .push(Reverse((self.now + delay, self.sequence, event)));
     }
 
-    /// Lets time pass; stops early when an invariant is violated without an injected bug.
+    /// Advances the virtual time; handles no further events once an invariant is violated without
+    /// an injected bug.
     pub fn run(&mut self, duration: Millis) {
         let end = self.now + duration;
         while let Some(Reverse((time, _, _))) = self.queue.peek() {
@@ -219,7 +220,7 @@
                 index,
                 process_epoch,
                 ticket,
-            } => self.synced(index, process_epoch, ticket),
+            } => self.complete_sync(index, process_epoch, ticket),
             Event::Tick {
                 index,
                 process_epoch,
@@ -231,7 +232,7 @@
             }
             Event::Operation => self.next_operation(),
             Event::Retry { request, operation } => {
-                let index = self.any_machine();
+                let index = self.random_machine();
                 self.propose_as(index, request, operation);
             }
             Event::Read => self.next_read(),
@@ -243,11 +244,11 @@
 
     fn deliver_input(&mut self, index: usize, input: Input) {
         let now = self.now;
-        let effects = self.machines[index].take(input, now);
+        let effects = self.machines[index].handle_input(input, now);
         for effect in effects {
-            // One effect may bring a fault on that ends the process before the next.
+            // An effect may trigger a fault that ends the process before the next effect.
             if self.machines[index].is_up() {
-                self.carry_out_effect(index, effect);
+                self.apply_effect(index, effect);
             }
         }
         self.observe(index);
@@ -275,7 +276,7 @@
         }
     }
 
-    fn carry_out_effect(&mut self, index: usize, effect: Effect) {
+    fn apply_effect(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.send(index, to, message),
             Effect::Persist { ticket, writes } => {
@@ -292,9 +293,9 @@
                 }
                 self.machines[index]
                     .disk
-                    .waiting
+                    .pending
                     .push_back((ticket, writes));
-                self.sync_next(index);
+                self.start_sync(index);
             }
             Effect::ProposalCommitted { request, outcome } => {
                 let Some(PendingProposal { operation, .. }) = self.proposals.remove(&request.0)
@@ -304,7 +305,7 @@
                 let revision = u64::from_le_bytes(outcome.as_ref().try_into().unwrap());
                 self.acknowledge(operation, revision);
                 if self.rng.one_in(8) {
-                    // The acknowledgement was lost on its way to the client.
+                    // The acknowledgement is lost on the way to the client, which proposes again.
                     let delay = self.rng.between(1, 3_000);
                     self.schedule(
                         delay,
@@ -345,11 +346,11 @@
             .filter(|machine| machine.disk.contains(revision))
             .count();
         if replicas <= self.config.tolerated_faults {
-            let what =
+            let description =
                 format!("revision {revision} was acknowledged with {replicas} synced replicas");
             self.history
                 .borrow_mut()
-                .record_violation(Invariant::ReplicatedWhenAcknowledged, what);
+                .record_violation(Invariant::ReplicatedWhenAcknowledged, description);
         }
         if self.fault_after_acknowledgement && self.are_faults_enabled && self.rng.one_in(20) {
             self.inject_fault();
--- a/tier/chain/tests/simulation/world/network.rs
+++ b/tier/chain/tests/simulation/world/network.rs
@@ -1,4 +1,4 @@
-//! Messages in flight.
+//! Transmission of messages, with delays, losses and partitions.
 
 use std::net::SocketAddr;
 
@@ -30,14 +30,14 @@
         if let Message::Accepted { .. } = &message {
             self.on_accepted_sent(to);
         }
-        let arrives = (self.now + self.rng.between(1, 4)).max(self.arrival(from, to));
-        self.arrivals.insert((from, to), arrives);
+        let arrives_at = (self.now + self.rng.between(1, 4)).max(self.last_arrival(from, to));
+        self.last_arrivals.insert((from, to), arrives_at);
         let in_flight = InFlightMessage {
             from_machine: from,
             from: identity,
             message,
         };
-        self.schedule_delivery(arrives - self.now, to, in_flight);
+        self.schedule_delivery(arrives_at - self.now, to, in_flight);
     }
 
     fn schedule_delivery(&mut self, delay: Millis, to: usize, in_flight: InFlightMessage) {
@@ -55,8 +55,11 @@
         );
     }
 
-    pub(super) fn arrival(&self, from: usize, to: usize) -> Millis {
-        self.arrivals.get(&(from, to)).copied().unwrap_or_default()
+    pub(super) fn last_arrival(&self, from: usize, to: usize) -> Millis {
+        self.last_arrivals
+            .get(&(from, to))
+            .copied()
+            .unwrap_or_default()
     }
 
     pub(super) fn deliver(&mut self, to: usize, process_epoch: u64, message_id: u64) {
@@ -69,8 +72,8 @@
         }
     }
 
-    /// Delivers an answer that no member has sent.
-    pub(super) fn answer(&mut self, to: usize, from: Identity, message: Message) {
+    /// Delivers a forged reply, which no member has sent.
+    pub(super) fn deliver_forged_reply(&mut self, to: usize, from: Identity, message: Message) {
         let in_flight = InFlightMessage {
             from_machine: to,
             from,
--- a/tier/chain/tests/simulation/world/processes.rs
+++ b/tier/chain/tests/simulation/world/processes.rs
@@ -1,9 +1,9 @@
-//! Processes that start, end, freeze and wake.
+//! Starting, stopping, freezing and thawing of processes.
 
 use plankhill_chain::Millis;
 
 use super::faults::InjectedBug;
-use super::machine::{Input, Start};
+use super::machine::{Input, StartConfig};
 use super::{Event, World};
 
 impl World {
@@ -13,13 +13,13 @@
         }
         self.incarnations += 1;
         let first = self.machines[index].process_epoch == 0 && index < self.config.machines;
-        let keeps_name = self.config.injected_bug == Some(InjectedBug::IncarnationReused);
-        let incarnation = if keeps_name {
+        let reuses_incarnation = self.config.injected_bug == Some(InjectedBug::IncarnationReused);
+        let incarnation = if reuses_incarnation {
             index as u64 + 1
         } else {
             1_000 + self.incarnations
         };
-        let start = Start {
+        let start = StartConfig {
             bootstrap: first,
             incarnation,
             tolerated_faults: match self.config.injected_bug {
@@ -57,7 +57,7 @@
         self.machines[index].frozen = false;
         self.last_fault_at = self.last_fault_at.max(self.now);
         self.deliver_input(index, Input::Tick);
-        // A queued input may bring the next fault on.
+        // A queued input may trigger another fault, which freezes the process again.
         while !self.machines[index].frozen {
             let Some(input) = self.machines[index].queued_inputs.pop_front() else {
                 return;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The process or the power of a machine ends.
+    /// Ends a machine's process, as a crash or a power loss does.
     pub fn stop(&mut self, index: usize) {
         self.last_fault_at = self.last_fault_at.max(self.now);
         self.machines[index].stop(&mut self.rng);
--- a/tier/chain/tests/simulation/world/rng.rs
+++ b/tier/chain/tests/simulation/world/rng.rs
@@ -1,6 +1,6 @@
-//! Random choices that follow from a seed alone.
+//! Pseudorandom choices, determined by a seed alone.
 
-/// SplitMix64.
+/// The SplitMix64 generator.
 #[derive(Clone, Debug)]
 pub struct SimRng(u64);
 
