--- a/tier/configuration/src/check.rs
+++ b/tier/configuration/src/check.rs
@@ -30,7 +30,7 @@
         if !names.insert(service.name.as_ref()) {
             faults.add(
                 format!("services[{index}].name"),
-                format!("{:?} is a duplicate name", service.name),
+                format!("{:?} stands twice", service.name),
             );
         }
     }
@@ -80,7 +80,7 @@
 
 fn check_known(key: String, service: &str, known: &HashSet<&str>, faults: &mut Faults) {
     if !known.contains(service) {
-        faults.add(key, format!("no service is named {service:?}"));
+        faults.add(key, format!("no service is called {service:?}"));
     }
 }
 
--- a/tier/configuration/src/fields.rs
+++ b/tier/configuration/src/fields.rs
@@ -41,9 +41,7 @@
 {
     let value = f64::deserialize(source)?;
     if !(0.0..=MAX_EXACT_INTEGER).contains(&value) || value.fract() != 0.0 {
-        return Err(D::Error::custom(format_args!(
-            "{value} is not a non-negative integer"
-        )));
+        return Err(D::Error::custom(format_args!("{value} is no whole number")));
     }
     T::try_from(value as u64).map_err(|_| D::Error::custom(format_args!("{value} is too large")))
 }
@@ -61,6 +59,6 @@
     if (0.0..=MAX_SECONDS).contains(&seconds) {
         Ok(Duration::from_secs_f64(seconds))
     } else {
-        Err(E::custom("must be between 0 and 1 year"))
+        Err(E::custom("must lie between 0 and a year"))
     }
 }
