--- a/forwarder/event-log/src/event_log.rs
+++ b/forwarder/event-log/src/event_log.rs
@@ -1,5 +1,6 @@
-//! The file of the event log. Frames are appended; what a killed process tore off at the end is cut off when the
-//! file is opened again. A file that is mostly completed events is rewritten without them.
+//! The file of the event log. Frames are appended; an incomplete frame that a killed process left at the end is
+//! truncated when the file is opened again. A file that reaches [`REWRITE_SHARE`] of the disk limit is rewritten without
+//! its completed events.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -9,14 +10,14 @@
 use crate::event_table::EventTable;
 use crate::pending_event::PendingEvent;
 
-/// The first bytes of the file: its format and version.
+/// First bytes of the file: its format and version.
 const FILE_HEADER: &[u8] = b"plankhill ledger 1\n";
 const FILE_NAME: &str = "ledger";
-/// The file that takes the place of the first during a rewrite.
+/// Name of the new file during a rewrite, until it is renamed over the old one.
 const REWRITE_FILE_NAME: &str = "ledger.new";
 
-/// The share of the disk limit that pending events may reserve. During a rewrite the old file, up to
-/// [`REWRITE_SHARE`], and the new one stand side by side, and both have to fit.
+/// The share of the disk limit that pending events may reserve. During a rewrite the old file, of up to
+/// [`REWRITE_SHARE`], and the new one exist at the same time, and both have to fit.
 const MAX_RESERVED_SHARE: f64 = 0.4;
 /// The share of the disk limit at which the file is rewritten.
 const REWRITE_SHARE: f64 = 0.5;
@@ -27,7 +28,7 @@
     /// The file can't be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Another file has its name; it is left as it is.
+    /// A file of another format has the log's name; it is left unchanged.
     #[error("the file 'ledger' is not a ledger")]
     NotAnEventLog,
 }
@@ -41,12 +42,12 @@
     }
 }
 
-/// An [`EventTable`] and the file that stores it. The forwarder's event loop owns it; what it records with the
-/// table's methods outlasts the process once [`EventLog::commit`] has returned.
+/// An [`EventTable`] and the file that stores it, owned by the forwarder's event loop. Changes recorded with the
+/// table's methods survive the end of the process once [`EventLog::commit`] has returned.
 pub struct EventLog {
     folder: PathBuf,
     file: File,
-    /// All before it is whole frames.
+    /// Length in bytes of the header and the complete frames after it.
     file_length: usize,
     max_disk_bytes: usize,
     table: EventTable,
@@ -67,30 +68,30 @@
 }
 
 impl EventLog {
-    /// Opens the log in `folder`, or makes an empty one, and reads the events that are pending, in the order of
-    /// acceptance. Files of the log take up to `max_disk_bytes`.
+    /// Opens the log in `folder`, or creates an empty one, and returns it with the pending events in the order of
+    /// acceptance. The log's files take up to `max_disk_bytes`.
     ///
     /// # Errors
-    /// [`OpenError`] where the file can't be read or written, or is not an event log.
+    /// [`OpenError`] if the file can't be read or written, or is not an event log.
     pub fn open(
         folder: &Path,
         max_disk_bytes: u64,
     ) -> Result<(EventLog, Vec<PendingEvent>), OpenError> {
         let path = folder.join(FILE_NAME);
         let bytes = read_if_present(&path)?;
-        // A process killed before it had written the whole header leaves a part of it.
+        // A process killed while it writes the header leaves a part of the header.
         if !bytes.starts_with(FILE_HEADER) && !FILE_HEADER.starts_with(&bytes) {
             return Err(OpenError::NotAnEventLog);
         }
-        // Left by a rewrite that did not finish; most often there is none.
+        // Left by an interrupted rewrite; usually absent.
         let _ = fs::remove_file(folder.join(REWRITE_FILE_NAME));
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         let mut table = EventTable::default();
-        let whole = table.apply_frames(bytes.get(FILE_HEADER.len()..).unwrap_or_default());
+        let frame_bytes = table.apply_frames(bytes.get(FILE_HEADER.len()..).unwrap_or_default());
         let mut log = EventLog {
             folder: folder.to_owned(),
             file,
-            file_length: FILE_HEADER.len() + whole,
+            file_length: FILE_HEADER.len() + frame_bytes,
             max_disk_bytes: max_disk_bytes as usize,
             table,
         };
@@ -104,20 +105,20 @@
         Ok((log, pending))
     }
 
-    /// Whether an event whose body has `body` bytes still fits.
+    /// Whether the log has space for another event, with a body of `body` bytes.
     pub fn has_capacity_for(&self, body: usize) -> bool {
         let reserved = self.table.reserved_bytes() + EventTable::max_growth(body);
         (reserved as f64) < self.max_disk_bytes as f64 * MAX_RESERVED_SHARE
     }
 
-    /// Marks the file as taken over, before the new owner decides anything: the process that wrote before sees by
-    /// [`has_length_changed`] that another one writes, and stops.
+    /// Records a change of owner, before the new owner makes any decision: the previous owner detects the new writer
+    /// by [`has_length_changed`], and stops.
     ///
     /// # Errors
     /// As [`EventLog::commit`].
     pub fn change_owner(&mut self) -> io::Result<()> {
         self.table.record_no_op();
-        // Never a rewrite here: the predecessor would go on in a file that has no name any more.
+        // Never rewrites the file: the predecessor would continue to write to the old file, which has been unlinked.
         self.append()
     }
 
@@ -126,10 +127,10 @@
         self.file_length as u64
     }
 
-    /// Writes all changes since the last call, which outlast the process from now on.
+    /// Writes all changes since the last call to the file; from then on they survive the end of the process.
     ///
     /// # Errors
-    /// The file can't be written. The changes stay in memory, and the next call tries all of them again.
+    /// The file can't be written. The changes stay in memory, and the next call retries all of them.
     pub fn commit(&mut self) -> io::Result<()> {
         let unwritten = self.table.unwritten_frames().len();
         if unwritten == 0 {
@@ -144,7 +145,7 @@
     fn append(&mut self) -> io::Result<()> {
         let frames = self.table.unwritten_frames();
         if let Err(error) = self.file.write_all(frames) {
-            // A torn frame would hide all that is appended behind it.
+            // Readers stop at a torn frame, and would miss all frames appended after it.
             self.file.set_len(self.file_length as u64)?;
             return Err(error);
         }
@@ -153,13 +154,13 @@
         Ok(())
     }
 
-    /// Writes the table to a new file and renames it over the old one: a process killed on the way leaves the old
-    /// file whole.
+    /// Writes the table to a new file and renames it over the old one: a process killed before the rename leaves the
+    /// old file intact.
     fn rewrite(&mut self) -> io::Result<()> {
         let rewritten = self.folder.join(REWRITE_FILE_NAME);
         let mut bytes = FILE_HEADER.to_vec();
         self.table.write_frames(&mut bytes);
-        // Left by a rewrite that failed; most often there is none.
+        // Left by a failed rewrite; usually absent.
         let _ = fs::remove_file(&rewritten);
         let mut file = OpenOptions::new()
             .create_new(true)
@@ -173,10 +174,10 @@
         Ok(())
     }
 
-    /// Forgets all events and empties the file: its events are stored in a Raft group from now on.
+    /// Removes all events and truncates the file to its header, after the events have moved to a Raft group.
     ///
     /// # Errors
-    /// The file can't be truncated; nothing is forgotten then.
+    /// The file can't be truncated; all events are then kept.
     pub fn clear(&mut self) -> io::Result<()> {
         self.file.set_len(FILE_HEADER.len() as u64)?;
         self.file_length = FILE_HEADER.len();
@@ -195,7 +196,7 @@
     Ok(bytes)
 }
 
-/// Whether the log's file in `folder` has another length than `length` bytes: another process writes it.
+/// Whether the length of the log's file in `folder` differs from `length`, in bytes: another process has written to it.
 ///
 /// # Errors
 /// The file's length can't be read.
--- a/forwarder/event-log/src/event_table.rs
+++ b/forwarder/event-log/src/event_table.rs
@@ -1,7 +1,7 @@
-//! The state that the log's records make, in memory: the events that are pending, and the targets that are warming
-//! up. The forwarder's event loop changes it through the `record_*` methods, which also collect the frames that the
-//! owner of the table has to store: [`crate::EventLog`] in its file, a Raft group in its log. A replica applies
-//! these frames with [`EventTable::apply_frames`] and has the same state.
+//! The in-memory state that results from the log's records: pending events, and targets that are warming up. The
+//! forwarder's event loop changes the state through the `record_*` methods, which also collect the frames that the
+//! owner of the table has to store: [`crate::EventLog`] in its file, a Raft group in its log. A replica that applies
+//! these frames with [`EventTable::apply_frames`] has the same state.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap};
@@ -14,13 +14,13 @@
 /// Reserved for the record of a target that is warming up.
 const WARM_UP_RESERVATION_BYTES: usize = 100;
 
-/// Pending events and warming-up targets, with the frames that were not stored yet.
+/// Pending events and warming-up targets, with the frames that are not stored yet.
 #[derive(Default)]
 pub struct EventTable {
-    /// By the sequence number of their acceptance.
+    /// Events by the sequence number of their acceptance.
     events: BTreeMap<u64, StoredEvent>,
     sequence_by_id: HashMap<String, u64>,
-    /// How many pending events each order key has.
+    /// Number of pending events by order key.
     pending_by_order_key: HashMap<u64, usize>,
     warming_up: BTreeMap<String, WarmUp>,
     reserved_bytes: usize,
@@ -45,8 +45,8 @@
 }
 
 impl EventTable {
-    /// Applies the records of `frames` up to the first that is torn, and returns the bytes of the whole ones. A
-    /// record that does not fit the state, as an attempt of an unknown event, changes nothing.
+    /// Applies the records of `frames` up to the first torn frame, and returns the length of the complete frames in
+    /// bytes. A record that does not match the state, such as an attempt of an unknown event, changes nothing.
     pub fn apply_frames(&mut self, frames: &[u8]) -> usize {
         let mut reader = RecordReader::new(frames);
         for FramedRecord { record, frame } in reader.by_ref() {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Appends the whole state as frames, which [`EventTable::apply_frames`] reads.
+    /// Appends the complete state to `out` as frames for [`EventTable::apply_frames`].
     pub fn write_frames(&self, out: &mut Vec<u8>) {
         for event in self.events.values() {
             out.extend_from_slice(&event.frames);
@@ -104,18 +104,18 @@
             .collect()
     }
 
-    /// The pending event of that id.
+    /// The pending event with the given id.
     pub fn pending_event(&self, id: &str) -> Option<PendingEvent> {
         let sequence = self.sequence_by_id.get(id)?;
         PendingEvent::from_frames(&self.events.get(sequence)?.frames)
     }
 
-    /// Whether an event of that order key is pending.
+    /// Whether an event with the given order key is pending.
     pub fn contains_order_key(&self, key: u64) -> bool {
         self.pending_by_order_key.contains_key(&key)
     }
 
-    /// Whether the event of that id is pending.
+    /// Whether the event with the given id is pending.
     pub fn contains(&self, id: &str) -> bool {
         self.sequence_by_id.contains_key(id)
     }
@@ -135,12 +135,12 @@
         self.events.len()
     }
 
-    /// Up to how many bytes the state may grow with the further records of what is in it.
+    /// Size in bytes up to which the state may grow with further records of its current events and targets.
     pub fn reserved_bytes(&self) -> usize {
         self.reserved_bytes
     }
 
-    /// By how many bytes [`EventTable::reserved_bytes`] may grow with one more event whose body has `body` bytes.
+    /// Bytes by which [`EventTable::reserved_bytes`] may grow with one more event that has a body of `body` bytes.
     pub fn max_growth(body: usize) -> usize {
         body + 2 * EVENT_RESERVATION_BYTES
     }
@@ -153,7 +153,7 @@
         self.insert_event(id, order_key, frame);
     }
 
-    /// Records an attempt that is about to leave for `zone` at `started_at`, in milliseconds since the Unix epoch.
+    /// Records an attempt that is about to be sent to `zone` at `started_at`, in milliseconds since the Unix epoch.
     pub fn record_attempt(&mut self, id: &str, started_at: f64, zone: &str) {
         self.record(
             id,
@@ -166,7 +166,7 @@
         );
     }
 
-    /// As [`EventTable::record_attempt`], with how long the attempt may take, in milliseconds: for a log that another
+    /// As [`EventTable::record_attempt`], with the timeout of the attempt in milliseconds: for a log that another
     /// process may take over while the attempt is in flight.
     pub fn record_attempt_with_timeout(
         &mut self,
@@ -187,13 +187,13 @@
         );
     }
 
-    /// Records that the last attempt surely did not execute the event.
+    /// Records that the last attempt certainly did not execute the event.
     pub fn record_attempt_not_executed(&mut self, id: &str) {
         self.record(id, LogRecord::AttemptNotExecuted { id: id.into() });
     }
 
-    /// Records the event's outcome and when its client may submit it again (in milliseconds). From now on only
-    /// the client's acknowledgement of that outcome is pending.
+    /// Records the event's outcome and the delay in milliseconds after which its client may submit it again. From then
+    /// on only the client's acknowledgement of the outcome is pending.
     pub fn record_outcome(&mut self, id: &str, outcome: Outcome, retry_after: Option<f64>) {
         self.record(
             id,
@@ -205,48 +205,48 @@
         );
     }
 
-    /// Removes an event of which nothing is pending any more.
+    /// Records the completion of an event, and removes the event.
     pub fn complete(&mut self, id: &str) {
         self.record(id, LogRecord::Completed { id: id.into() });
     }
 
-    /// Records that a target has been warming up since then (milliseconds since the Unix epoch), and how many events
-    /// a second usually went there.
+    /// Records that a target has been warming up since `since`, in milliseconds since the Unix epoch, and its usual
+    /// rate in events a second.
     pub fn record_warm_up(&mut self, target: &str, since: f64, usual_rate: f64) {
         let warm_up = WarmUp { since, usual_rate };
         warm_up.to_record(target).write(&mut self.unwritten_frames);
         self.set_warm_up(target, warm_up);
     }
 
-    /// Removes a target that was warming up, and records that for those who apply the frames.
+    /// Removes a target whose warm-up has ended, and records the removal for readers of the frames.
     pub fn record_warm_up_end(&mut self, target: &str) {
         if self.warming_up.contains_key(target) {
             self.record_warm_up(target, f64::NAN, 0.0);
         }
     }
 
-    /// The targets that are warming up: since when, and how many events a second usually went there.
+    /// The targets that are warming up, each with the start of its warm-up and its usual rate in events a second.
     pub fn warming_up_targets(&self) -> impl Iterator<Item = (&str, f64, f64)> {
         self.warming_up
             .iter()
             .map(|(target, warm_up)| (target.as_str(), warm_up.since, warm_up.usual_rate))
     }
 
-    /// Removes a target that is gone for good. No frame says so: the next rewrite of the file leaves it out.
+    /// Removes a target that no longer exists. No frame records the removal: the next rewrite of the file omits the target.
     pub fn remove_target(&mut self, target: &str) {
         if self.warming_up.remove(target).is_some() {
             self.reserved_bytes -= WARM_UP_RESERVATION_BYTES;
         }
     }
 
-    /// Removes all targets but those for which `retains` is true, as [`EventTable::remove_target`] does.
+    /// Removes all targets except those for which `retains` is true, as [`EventTable::remove_target`] does.
     pub fn retain_targets(&mut self, retains: impl Fn(&str) -> bool) {
         let before = self.warming_up.len();
         self.warming_up.retain(|target, _| retains(target));
         self.reserved_bytes -= WARM_UP_RESERVATION_BYTES * (before - self.warming_up.len());
     }
 
-    /// The frames of all changes since they were last taken.
+    /// The frames of all changes since the frames were last taken or discarded.
     pub fn unwritten_frames(&self) -> &[u8] {
         &self.unwritten_frames
     }
@@ -256,18 +256,18 @@
         std::mem::take(&mut self.unwritten_frames)
     }
 
-    /// The frames were stored.
+    /// Discards the unwritten frames after their owner has stored them.
     pub(crate) fn discard_unwritten_frames(&mut self) {
         self.unwritten_frames.clear();
     }
 
     /// Appends a record that changes nothing: every version that reads the log skips the completion of an event
-    /// without an id.
+    /// with an empty id.
     pub(crate) fn record_no_op(&mut self) {
         LogRecord::Completed { id: "".into() }.write(&mut self.unwritten_frames);
     }
 
-    /// Collects the record's frame and applies it, if its event is pending.
+    /// Adds the record's frame to the unwritten frames and applies the record, if its event is pending.
     fn record(&mut self, id: &str, record: LogRecord) {
         let Some(&sequence) = self.sequence_by_id.get(id) else {
             return;
@@ -276,7 +276,7 @@
         self.update_event(sequence, &record, &frame);
     }
 
-    /// Collects the record's frame and returns a copy of it.
+    /// Adds the record's frame to the unwritten frames and returns a copy of it.
     fn write_record(&mut self, record: &LogRecord) -> Vec<u8> {
         let start = self.unwritten_frames.len();
         record.write(&mut self.unwritten_frames);
@@ -310,7 +310,7 @@
         let event = self
             .events
             .get_mut(&sequence)
-            .expect("each id's sequence number has its event");
+            .expect("every sequence number of an id has an event");
         if let LogRecord::Outcome { .. } = record {
             self.reserved_bytes -= event.reserved_bytes;
             event.drop_body_and_attempts();
@@ -323,7 +323,7 @@
         let event = self
             .events
             .remove(&sequence)
-            .expect("each id's sequence number has its event");
+            .expect("every sequence number of an id has an event");
         self.reserved_bytes -= event.reserved_bytes;
         self.sequence_by_id.remove(&event.id);
         if let Some(key) = event.order_key {
@@ -351,8 +351,8 @@
 }
 
 impl StoredEvent {
-    /// An event with an outcome is never attempted again: its body and attempts go, and its first frame without them
-    /// stays, since the event keeps its place among those of its order key.
+    /// Drops the body, fingerprint and attempts of an event with an outcome, which is never attempted again. The frame
+    /// of its acceptance stays without them, since the event keeps its position among the events of its order key.
     fn drop_body_and_attempts(&mut self) {
         let Some(FramedRecord {
             record: LogRecord::Accepted(event),
@@ -362,12 +362,12 @@
             return;
         };
         let mut frames = Vec::new();
-        let short = AcceptedEvent {
+        let without_body = AcceptedEvent {
             body: Cow::default(),
             fingerprint: None,
             ..event
         };
-        LogRecord::Accepted(short).write(&mut frames);
+        LogRecord::Accepted(without_body).write(&mut frames);
         self.reserved_bytes = frames.len() + EVENT_RESERVATION_BYTES;
         self.frames = frames;
     }
--- a/forwarder/event-log/src/frame.rs
+++ b/forwarder/event-log/src/frame.rs
@@ -1,11 +1,11 @@
 //! The frame around each record: the payload's length and its CRC-32, both as little-endian 32-bit numbers, then
 //! the payload. A process that is killed can tear only the frame it was writing, so a reader stops at the first
-//! frame that is incomplete or does not fit its checksum.
+//! frame that is incomplete or does not match its checksum.
 
-/// Bytes of length and checksum ahead of a payload.
+/// Length in bytes of the header: the payload's length and checksum.
 const HEADER_LEN: usize = 8;
 
-/// One whole frame at the beginning of some bytes.
+/// A complete frame at the beginning of a byte slice.
 pub(crate) struct Frame<'a> {
     /// Header and payload.
     pub(crate) bytes: &'a [u8],
@@ -24,7 +24,7 @@
     out[header_start + 4..payload_start].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// The first frame of `bytes`; `None` where it is torn or damaged, or where nothing is left.
+/// The first frame of `bytes`; `None` if it is torn or damaged, or if `bytes` is empty.
 pub(crate) fn read_frame(bytes: &[u8]) -> Option<Frame<'_>> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let checksum = u32::from_le_bytes(bytes.get(4..HEADER_LEN)?.try_into().ok()?);
--- a/forwarder/event-log/src/guarantee.rs
+++ b/forwarder/event-log/src/guarantee.rs
@@ -1,41 +1,41 @@
-//! What the forwarder promised about an event when it accepted it. A process that takes the event over keeps the
-//! promise, also where its own settings say less.
+//! The delivery guarantee of an event, recorded when the forwarder accepts the event. A process that takes the event
+//! over honors the recorded guarantee, even if its own settings guarantee less.
 
-/// The promise for one event, as its traffic type was in the settings of the process that accepted it.
+/// The delivery guarantee of one event, from the settings of its traffic type in the process that accepted it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DeliveryGuarantee {
-    /// What a repeated execution does.
+    /// The effect of a repeated execution.
     pub repeat_safety: RepeatSafety,
     /// Whether events with the same order key are delivered in the order of acceptance.
     pub ordered: bool,
 }
 
-/// What a second execution of an event does.
+/// The effect of a second execution of an event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RepeatSafety {
-    /// Nothing.
+    /// A second execution has no effect.
     Idempotent,
-    /// Nothing, as long as the destination remembers the event by its fingerprint.
+    /// A second execution has no effect while the destination retains the event's fingerprint.
     Deduplicated {
-        /// How long a destination remembers a fingerprint, in milliseconds.
+        /// Time for which a destination retains a fingerprint, in milliseconds.
         window: f64,
-        /// Whether only the zone that executed the event remembers it.
+        /// Whether only the zone that executed the event retains its fingerprint.
         per_zone: bool,
     },
-    /// Harm: an event that may have been executed is not attempted again.
+    /// A second execution does harm: an event that may have been executed is not attempted again.
     NonIdempotent,
 }
 
 const DEDUPLICATED: u8 = 1;
 const DEDUPLICATED_PER_ZONE: u8 = 2;
 const NON_IDEMPOTENT: u8 = 3;
-/// Added to one of the above.
+/// Added to the code of the repeat safety if the event is ordered.
 const ORDERED_FLAG: u8 = 4;
 
 impl DeliveryGuarantee {
-    /// The byte and the window that the log has for the guarantee.
+    /// The encoding of the guarantee in the log: a byte of flags and the deduplication window.
     pub(crate) fn to_wire(self) -> (u8, f64) {
-        let (repeats, window) = match self.repeat_safety {
+        let (code, window) = match self.repeat_safety {
             RepeatSafety::Idempotent => (0, 0.0),
             RepeatSafety::Deduplicated {
                 window,
@@ -48,10 +48,10 @@
             RepeatSafety::NonIdempotent => (NON_IDEMPOTENT, 0.0),
         };
         let order = if self.ordered { ORDERED_FLAG } else { 0 };
-        (repeats + order, window)
+        (code + order, window)
     }
 
-    /// Reads what `to_wire` gives. A byte of a later version, unknown to this one, is read as the strictest.
+    /// Decodes the output of `to_wire`. An unknown code, from a later version, is decoded as the strictest repeat safety.
     pub(crate) fn from_wire(flags: u8, window: f64) -> DeliveryGuarantee {
         let repeat_safety = match flags & !ORDERED_FLAG {
             0 => RepeatSafety::Idempotent,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The guarantee that keeps both: of each part the stricter one.
+    /// The guarantee that satisfies both: the stricter value of each field.
     pub fn strictest(self, other: DeliveryGuarantee) -> DeliveryGuarantee {
         DeliveryGuarantee {
             repeat_safety: self.repeat_safety.strictest(other.repeat_safety),
--- a/forwarder/event-log/src/lib.rs
+++ b/forwarder/event-log/src/lib.rs
@@ -1,17 +1,17 @@
-//! The forwarder's event log: a write-ahead log of the events it has accepted and not completed, in the folder
-//! that outlasts its process.
+//! The forwarder's event log: a write-ahead log of the events that it has accepted and not completed, in the state
+//! folder, which survives the process.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
 //! | `event_log` | the file: open, append, rewrite |
-//! | `event_table` | the state that the records make, in memory |
-//! | `pending_event` | one event of that state, as a new process reads it |
+//! | `event_table` | the in-memory state that results from the records |
+//! | `pending_event` | one event of that state, as a new process restores it |
 //! | `log_record` | the records and their payloads |
-//! | `frame` | length and checksum around each payload |
-//! | `guarantee` | what was promised about repeats and order when an event was accepted |
+//! | `frame` | length and checksum before each payload |
+//! | `guarantee` | the delivery guarantee of an event: repeats and order |
 //!
-//! The forwarder's event loop owns the [`EventLog`] and calls [`EventLog::commit`] before anything that rests on a
-//! record leaves the process. Where records are replicated, each replica keeps an [`EventTable`] instead of a
+//! The forwarder's event loop owns the [`EventLog`] and calls [`EventLog::commit`] before any output that depends
+//! on a record leaves the process. If records are replicated, each replica keeps an [`EventTable`] instead of a
 //! file, and the same frames are the commands of its Raft group (`plankhill-replication`).
 //!
 //! All points in time are milliseconds of the system clock since the Unix epoch.
--- a/forwarder/event-log/src/log_record.rs
+++ b/forwarder/event-log/src/log_record.rs
@@ -1,8 +1,8 @@
 //! The records of the log and their payloads. A payload begins with its record's tag; numbers are little-endian,
-//! and a text or body has its length ahead of it as a 32-bit number.
+//! and a text or body is preceded by its length as a 32-bit number.
 //!
-//! A reader ignores what follows the fields it knows, and takes trailing fields that are missing for absent: so a
-//! new field goes behind all others, and versions before and after it read each other's files.
+//! A reader ignores bytes after the fields that it supports, and reads missing trailing fields as absent. A new field
+//! is therefore added after all others, so that versions with and without it read each other's files.
 
 use std::borrow::Cow;
 
@@ -19,19 +19,19 @@
 /// An event as it was accepted.
 #[derive(Clone, Debug, Default)]
 pub struct AcceptedEvent<'a> {
-    /// The client's id of the event.
+    /// The id that the client gave the event.
     pub id: Cow<'a, str>,
-    /// The number of the destination that it is for.
+    /// The number of the event's destination.
     pub destination: u64,
-    /// The name of its traffic type.
+    /// The name of the event's traffic type.
     pub traffic_type: Cow<'a, str>,
-    /// When the event is given up, in milliseconds since the Unix epoch.
+    /// The event's deadline, in milliseconds since the Unix epoch.
     pub deadline: f64,
-    /// Its order key: events with the same key are delivered in the order of acceptance.
+    /// The event's order key: events with the same key are delivered in the order of acceptance.
     pub key: Option<u64>,
-    /// What a destination knows a repeat of it by.
+    /// The fingerprint by which a destination recognizes a repeat of the event.
     pub fingerprint: Option<Cow<'a, str>>,
-    /// Its body as the client sent it; empty once only its outcome is still to be reported.
+    /// The body as the client sent it; empty once only the event's outcome is still to be reported.
     pub body: Cow<'a, [u8]>,
     /// `None` in a record that an older version wrote.
     pub guarantee: Option<DeliveryGuarantee>,
@@ -54,29 +54,29 @@
     }
 }
 
-/// How an event ended that was not delivered.
+/// The outcome of an event that was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It surely was never executed.
+    /// The event was certainly never executed.
     Rejected,
-    /// An attempt may have executed it.
+    /// An attempt may have executed the event.
     Abandoned,
 }
 
-/// One record of the log.
+/// A record of the log.
 pub(crate) enum LogRecord<'a> {
     Accepted(AcceptedEvent<'a>),
-    /// An attempt is about to leave.
+    /// An attempt is about to be sent.
     Attempt {
         id: Cow<'a, str>,
         /// Milliseconds since the Unix epoch.
         started_at: f64,
         zone: Cow<'a, str>,
-        /// How long the call may take, in milliseconds: recorded where another process may take over while the
-        /// call is still in flight.
+        /// Timeout of the call in milliseconds, recorded if another process may take over while the call is still in
+        /// flight.
         timeout: Option<f64>,
     },
-    /// The last attempt surely did not execute the event.
+    /// The last attempt certainly did not execute the event.
     AttemptNotExecuted {
         id: Cow<'a, str>,
     },
@@ -84,19 +84,19 @@
     Outcome {
         id: Cow<'a, str>,
         outcome: Outcome,
-        /// When the client may submit it again, in milliseconds.
+        /// Delay in milliseconds after which the client may submit the event again.
         retry_after: Option<f64>,
     },
-    /// Nothing is pending for the event any more.
+    /// The event is completed: neither its delivery nor an acknowledgement is pending.
     Completed {
         id: Cow<'a, str>,
     },
-    /// A target is warming up.
+    /// A target is warming up, or its warm-up is over.
     WarmUp {
         target: Cow<'a, str>,
-        /// Milliseconds since the Unix epoch; not a number where its warm-up is over.
+        /// Start of the warm-up in milliseconds since the Unix epoch; NaN if the warm-up is over.
         since: f64,
-        /// The events a second that usually went there.
+        /// The target's usual rate, in events a second.
         usual_rate: f64,
     },
 }
@@ -204,7 +204,7 @@
     pub(crate) frame: &'a [u8],
 }
 
-/// Reads records up to the first whose frame is torn or whose payload is of no known form.
+/// Reads records up to the first whose frame is torn or whose payload is not a known record.
 pub(crate) struct RecordReader<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -238,8 +238,8 @@
     }
 }
 
-/// The whole frames at the beginning of `bytes`, one by one, up to the first that is torn: what is too long for one
-/// command of a Raft group is split between them.
+/// Iterates over the complete frames at the beginning of `bytes`, up to the first torn one. Frames that together are
+/// too long for one command of a Raft group are split at these boundaries.
 pub fn frames(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     RecordReader::new(bytes).map(|framed| framed.frame)
 }
@@ -271,7 +271,7 @@
             WARM_UP_TAG => Some(LogRecord::WarmUp {
                 target: self.text()?,
                 since: self.float()?,
-                // Absent in what an older version wrote.
+                // Absent in records of older versions.
                 usual_rate: self.float().unwrap_or(0.0),
             }),
             _ => None,
--- a/forwarder/event-log/src/pending_event.rs
+++ b/forwarder/event-log/src/pending_event.rs
@@ -1,30 +1,29 @@
-//! One event that the log has as accepted and not completed, put together from its records.
+//! An event that is accepted and not completed, assembled from its log records.
 
 use crate::log_record::{AcceptedEvent, LogRecord, Outcome, RecordReader};
 
-/// An event that was accepted and not completed, with the history of its attempts.
+/// An event that is accepted and not completed, with the history of its attempts.
 #[derive(Debug)]
 pub struct PendingEvent {
-    /// As it was accepted.
+    /// The event as it was accepted.
     pub event: AcceptedEvent<'static>,
-    /// How many attempts left.
+    /// Number of attempts that were sent.
     pub attempts: u32,
-    /// The first attempt that may have executed the event: when it left (milliseconds since the Unix epoch), and to
-    /// which zone.
+    /// The first attempt that may have executed the event: the time at which it was sent, in milliseconds since the
+    /// Unix epoch, and its zone.
     pub may_have_run: Option<(f64, String)>,
-    /// The last attempt, where its result was unknown when the process ended: when it left, and to which zone. The
-    /// attempt may have executed the event too.
+    /// The last attempt, if its result was unknown when the process ended: the time at which it was sent, and its zone.
+    /// This attempt may have executed the event too.
     pub in_flight: Option<(f64, String)>,
-    /// How long the last attempt may take, in milliseconds; `None` where that was not recorded.
+    /// Timeout of the last attempt, in milliseconds; `None` if it was not recorded.
     pub timeout: Option<f64>,
-    /// Its outcome and when the client may submit it again (in milliseconds), where it has an outcome that its
-    /// client may not have acknowledged.
+    /// The event's outcome and the delay in milliseconds after which its client may submit it again, if the event has
+    /// an outcome that its client may not have acknowledged.
     pub outcome: Option<(Outcome, Option<f64>)>,
 }
 
 impl PendingEvent {
-    /// Puts the event together from its frames in the order written; `None` where the first is not an accepted
-    /// event.
+    /// Assembles the event from its frames in the order written; `None` if the first is not an accepted event.
     pub(crate) fn from_frames(frames: &[u8]) -> Option<Self> {
         let mut reader = RecordReader::new(frames);
         let LogRecord::Accepted(event) = reader.next()?.record else {
--- a/forwarder/event-log/src/stored_format_tests.rs
+++ b/forwarder/event-log/src/stored_format_tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of every kind of record in the log, as `tests/stored_format/records.txt` has them.
+//! Every kind of log record is encoded and decoded as pinned in `tests/stored_format/records.txt`.
 
 use crate::guarantee::{DeliveryGuarantee, RepeatSafety};
 use crate::log_record::{AcceptedEvent, FramedRecord, LogRecord, Outcome, RecordReader};
@@ -16,7 +16,7 @@
         .collect()
 }
 
-fn taken(guarantee: Option<DeliveryGuarantee>) -> LogRecord<'static> {
+fn accepted(guarantee: Option<DeliveryGuarantee>) -> LogRecord<'static> {
     LogRecord::Accepted(AcceptedEvent {
         id: "event-é-1".into(),
         destination: 0x0102_0304_0506_0708,
@@ -29,7 +29,7 @@
     })
 }
 
-fn least() -> LogRecord<'static> {
+fn minimal_accepted() -> LogRecord<'static> {
     LogRecord::Accepted(AcceptedEvent {
         id: "b".into(),
         traffic_type: "t".into(),
@@ -41,7 +41,7 @@
     "event-é-1".into()
 }
 
-fn sent(timeout: Option<f64>) -> LogRecord<'static> {
+fn attempt(timeout: Option<f64>) -> LogRecord<'static> {
     LogRecord::Attempt {
         id: id(),
         started_at: 1_764_000_000_456.5,
@@ -50,12 +50,12 @@
     }
 }
 
-/// One value of each record kind, and of each choice inside of them.
+/// A sample of each kind of record and of each variant within it, by its name in the fixture.
 fn samples() -> Vec<(String, LogRecord<'static>)> {
     let mut all = vec![
-        ("Least".to_owned(), least()),
-        ("Unpromised".to_owned(), taken(None)),
-        ("SentWithoutTimeOut".to_owned(), sent(None)),
+        ("Least".to_owned(), minimal_accepted()),
+        ("Unpromised".to_owned(), accepted(None)),
+        ("SentWithoutTimeOut".to_owned(), attempt(None)),
         (
             "EndedWithoutWait".to_owned(),
             LogRecord::Outcome {
@@ -65,7 +65,7 @@
             },
         ),
     ];
-    let repeats = [
+    let repeat_safeties = [
         RepeatSafety::Idempotent,
         RepeatSafety::Deduplicated {
             window: 1500.5,
@@ -77,8 +77,8 @@
         },
         RepeatSafety::NonIdempotent,
     ];
-    for repeats in repeats {
-        let kind = match repeats {
+    for repeat_safety in repeat_safeties {
+        let kind = match repeat_safety {
             RepeatSafety::Idempotent => "Harmless",
             RepeatSafety::Deduplicated {
                 per_zone: false, ..
@@ -90,8 +90,8 @@
             let name = format!("Promised{kind}{}", if ordered { "Ordered" } else { "" });
             all.push((
                 name,
-                taken(Some(DeliveryGuarantee {
-                    repeat_safety: repeats,
+                accepted(Some(DeliveryGuarantee {
+                    repeat_safety,
                     ordered,
                 })),
             ));
@@ -110,11 +110,11 @@
         all.push((format!("Ended{kind}"), ended));
     }
     let kinds = [
-        taken(Some(DeliveryGuarantee {
+        accepted(Some(DeliveryGuarantee {
             repeat_safety: RepeatSafety::NonIdempotent,
             ordered: true,
         })),
-        sent(Some(16_000.5)),
+        attempt(Some(16_000.5)),
         LogRecord::AttemptNotExecuted { id: id() },
         LogRecord::Outcome {
             id: id(),
@@ -128,8 +128,8 @@
             usual_rate: 12.75,
         },
     ];
-    for mark in kinds {
-        let name = match mark {
+    for record in kinds {
+        let name = match record {
             LogRecord::Accepted(_) => "Taken",
             LogRecord::Attempt { .. } => "Sent",
             LogRecord::AttemptNotExecuted { .. } => "Unrun",
@@ -137,7 +137,7 @@
             LogRecord::Completed { .. } => "Over",
             LogRecord::WarmUp { .. } => "Cold",
         };
-        all.push((name.to_owned(), mark));
+        all.push((name.to_owned(), record));
     }
     all
 }
@@ -145,15 +145,15 @@
 #[test]
 fn each_record_is_written_and_read_as_pinned() {
     let samples = samples();
-    for (name, mark) in &samples {
+    for (name, record) in &samples {
         let mut bytes = Vec::new();
-        mark.write(&mut bytes);
+        record.write(&mut bytes);
         assert_eq!(bytes, pinned(name), "{name}");
         let mut reader = RecordReader::new(&bytes);
         let FramedRecord {
             record: read,
             frame,
-        } = reader.next().expect("a whole frame");
+        } = reader.next().expect("a complete frame");
         assert_eq!(frame, bytes, "{name}");
         let mut again = Vec::new();
         read.write(&mut again);
@@ -163,7 +163,7 @@
     assert_eq!(RECORDS.lines().count(), samples.len());
 }
 
-/// What the versions before wrote: without the traffic of a target, and without a promise or a time-out.
+/// Older versions wrote warm-up records without the usual rate, events without a guarantee, and attempts without a timeout.
 #[test]
 fn a_warm_up_record_without_its_usual_rate_is_read() {
     let bytes = pinned("Cold");
@@ -172,7 +172,7 @@
     older.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
     older.extend_from_slice(payload);
     let FramedRecord { record: read, .. } =
-        RecordReader::new(&older).next().expect("a whole frame");
+        RecordReader::new(&older).next().expect("a complete frame");
     assert!(matches!(
         read,
         LogRecord::WarmUp {
