--- a/forwarder/event-log/tests/event_table.rs
+++ b/forwarder/event-log/tests/event_table.rs
@@ -1,4 +1,4 @@
-//! What one record writes as frames, another reads.
+//! Frames written by one event table give another table the same state.
 
 use plankhill_event_log::{
     frames as split_frames, AcceptedEvent, DeliveryGuarantee, EventTable, Outcome, RepeatSafety,
@@ -14,8 +14,8 @@
     }
 }
 
-fn said(record: &EventTable) -> Vec<String> {
-    record
+fn describe_pending(table: &EventTable) -> Vec<String> {
+    table
         .pending_events()
         .iter()
         .map(|pending| format!("{pending:?}"))
@@ -23,7 +23,7 @@
 }
 
 #[rstest]
-fn a_table_of_the_same_frames_or_of_the_whole_state_has_the_same_pending_events() {
+fn a_table_restored_from_frames_or_from_the_complete_state_has_the_same_pending_events() {
     let mut first = EventTable::default();
     for id in ["a", "b", "c", "d"] {
         first.accept(event(id));
@@ -38,13 +38,13 @@
     first.record_warm_up_end("gone");
     let frames = first.take_unwritten_frames();
     assert!(first.unwritten_frames().is_empty());
-    let (mut replica, mut whole, mut bytes) =
+    let (mut replica, mut restored, mut bytes) =
         (EventTable::default(), EventTable::default(), Vec::new());
     assert_eq!(replica.apply_frames(&frames), frames.len());
     first.write_frames(&mut bytes);
-    assert_eq!(whole.apply_frames(&bytes), bytes.len());
-    for other in [&replica, &whole] {
-        assert_eq!(said(other), said(&first));
+    assert_eq!(restored.apply_frames(&bytes), bytes.len());
+    for other in [&replica, &restored] {
+        assert_eq!(describe_pending(other), describe_pending(&first));
         assert_eq!(
             (other.reserved_bytes(), other.len()),
             (first.reserved_bytes(), 3)
@@ -62,22 +62,22 @@
         first.pending_event("b").and_then(|pending| pending.timeout),
         None
     );
-    let cut: Vec<&[u8]> = split_frames(&frames).collect();
+    let split: Vec<&[u8]> = split_frames(&frames).collect();
     assert_eq!(
-        (cut.len(), cut.concat()),
+        (split.len(), split.concat()),
         (12, frames),
-        "cut at frames, nothing is lost"
+        "splitting at frames loses no bytes"
     );
 }
 
 #[rstest]
-fn records_that_do_not_fit_the_state_change_nothing() {
+fn records_that_do_not_match_the_state_change_nothing() {
     let (mut first, mut replica) = (EventTable::default(), EventTable::default());
     first.accept(event("a"));
     let frames = first.take_unwritten_frames();
     replica.apply_frames(&frames);
-    let before = (said(&replica), replica.reserved_bytes());
-    // Accepted twice, records of an event never accepted, bytes that are no frame.
+    let before = (describe_pending(&replica), replica.reserved_bytes());
+    // An event accepted twice, a record of an event that was never accepted, and bytes that are not a frame.
     replica.apply_frames(&frames);
     first.complete("a");
     first.accept(event("other"));
@@ -88,7 +88,10 @@
         replica.apply_frames(b"no frame at all, but long enough to be one"),
         0
     );
-    assert_eq!((said(&replica), replica.reserved_bytes()), before);
+    assert_eq!(
+        (describe_pending(&replica), replica.reserved_bytes()),
+        before
+    );
 }
 
 #[rstest]
@@ -96,12 +99,12 @@
 #[case(RepeatSafety::Deduplicated { window: 1500.0, per_zone: false }, true)]
 #[case(RepeatSafety::Deduplicated { window: 0.5, per_zone: true }, false)]
 #[case(RepeatSafety::NonIdempotent, true)]
-fn an_event_keeps_its_guarantee_also_past_its_outcome(
-    #[case] repeats: RepeatSafety,
+fn an_event_keeps_its_guarantee_after_its_outcome(
+    #[case] repeat_safety: RepeatSafety,
     #[case] ordered: bool,
 ) {
     let guarantee = Some(DeliveryGuarantee {
-        repeat_safety: repeats,
+        repeat_safety,
         ordered,
     });
     let (mut first, mut read) = (EventTable::default(), EventTable::default());
@@ -113,11 +116,11 @@
         guarantee,
         ..event("b")
     });
-    first.accept(event("as an older text wrote it"));
+    first.accept(event("written by an older version"));
     first.record_outcome("b", Outcome::Abandoned, None);
-    let mut whole = Vec::new();
-    first.write_frames(&mut whole);
-    read.apply_frames(&whole);
+    let mut frames = Vec::new();
+    first.write_frames(&mut frames);
+    read.apply_frames(&frames);
     let read: Vec<_> = read
         .pending_events()
         .iter()
@@ -127,51 +130,51 @@
 }
 
 #[rstest]
-fn of_two_guarantees_the_stricter_of_each_part_holds() {
-    let known = |window, one_zone| RepeatSafety::Deduplicated {
-        window,
-        per_zone: one_zone,
-    };
-    let of = |repeats, ordered| DeliveryGuarantee {
-        repeat_safety: repeats,
+fn strictest_takes_the_stricter_value_of_each_field() {
+    let deduplicated = |window, per_zone| RepeatSafety::Deduplicated { window, per_zone };
+    let guarantee = |repeat_safety, ordered| DeliveryGuarantee {
+        repeat_safety,
         ordered,
     };
-    let both = [
+    let cases = [
         (
-            of(RepeatSafety::Idempotent, false),
-            of(RepeatSafety::Idempotent, true),
-            of(RepeatSafety::Idempotent, true),
+            guarantee(RepeatSafety::Idempotent, false),
+            guarantee(RepeatSafety::Idempotent, true),
+            guarantee(RepeatSafety::Idempotent, true),
         ),
         (
-            of(RepeatSafety::Idempotent, false),
-            of(known(5.0, true), false),
-            of(known(5.0, true), false),
+            guarantee(RepeatSafety::Idempotent, false),
+            guarantee(deduplicated(5.0, true), false),
+            guarantee(deduplicated(5.0, true), false),
         ),
         (
-            of(known(9.0, true), false),
-            of(known(5.0, false), false),
-            of(known(5.0, true), false),
+            guarantee(deduplicated(9.0, true), false),
+            guarantee(deduplicated(5.0, false), false),
+            guarantee(deduplicated(5.0, true), false),
         ),
         (
-            of(RepeatSafety::NonIdempotent, true),
-            of(known(5.0, false), false),
-            of(RepeatSafety::NonIdempotent, true),
+            guarantee(RepeatSafety::NonIdempotent, true),
+            guarantee(deduplicated(5.0, false), false),
+            guarantee(RepeatSafety::NonIdempotent, true),
         ),
         (
-            of(RepeatSafety::NonIdempotent, false),
-            of(RepeatSafety::Idempotent, false),
-            of(RepeatSafety::NonIdempotent, false),
+            guarantee(RepeatSafety::NonIdempotent, false),
+            guarantee(RepeatSafety::Idempotent, false),
+            guarantee(RepeatSafety::NonIdempotent, false),
         ),
     ];
-    for (one, other, holds) in both {
-        assert_eq!((one.strictest(other), other.strictest(one)), (holds, holds));
+    for (one, other, strictest) in cases {
+        assert_eq!(
+            (one.strictest(other), other.strictest(one)),
+            (strictest, strictest)
+        );
     }
 }
 
-/// The bytes that the version before wrote and read: a frame of its form is read here, and what is written here
-/// begins with it, so that it reads all that it knows and passes over the rest.
+/// An event with a guarantee is encoded as in the previous version, followed by the guarantee: the previous version
+/// reads the fields that it supports and ignores the rest.
 #[rstest]
-fn a_frame_begins_as_the_previous_version_wrote_it() {
+fn a_frame_begins_with_the_fields_of_the_previous_version() {
     let (mut older, mut newer) = (EventTable::default(), EventTable::default());
     older.accept(event("a"));
     newer.accept(AcceptedEvent {
@@ -182,7 +185,7 @@
         ..event("a")
     });
     let (older, newer) = (older.take_unwritten_frames(), newer.take_unwritten_frames());
-    // Behind length and checksum.
+    // After length and checksum.
     assert!(newer[8..].starts_with(&older[8..]));
     assert_eq!(newer.len(), older.len() + 9);
 }
--- a/forwarder/event-log/tests/restart.rs
+++ b/forwarder/event-log/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What one process writes, the next one reads.
+//! A new process restores the events that an earlier process wrote to the log file.
 
 use std::fs;
 use std::path::PathBuf;
@@ -100,12 +100,12 @@
     log.accept(event("a", b"first"));
     log.commit().expect("writes");
     let path = folder.0.join("ledger");
-    let whole = fs::metadata(&path).unwrap().len() as usize;
+    let first_length = fs::metadata(&path).unwrap().len() as usize;
     log.accept(event("b", b"second"));
     log.commit().expect("writes");
     drop(log);
     let bytes = fs::read(&path).unwrap();
-    for cut in whole..bytes.len() {
+    for cut in first_length..bytes.len() {
         fs::write(&path, &bytes[..cut]).unwrap();
         let (mut log, pending) = folder.open();
         assert_eq!(ids(&pending), ["a"], "cut at {cut}");
@@ -114,7 +114,7 @@
         assert_eq!(
             ids(&folder.open().1),
             ["a", "c"],
-            "what follows a torn frame is read"
+            "frames appended after a torn frame are read"
         );
     }
     let mut flipped = bytes.clone();
@@ -123,18 +123,18 @@
     assert_eq!(
         ids(&folder.open().1),
         ["a"],
-        "a frame that does not fit its checksum is not read"
+        "a frame that does not match its checksum is not read"
     );
 }
 
 #[rstest]
-fn the_disk_limit_holds_and_pending_events_outlast_a_rewrite() {
-    let folder = Folder::new("anew");
+fn files_stay_within_the_disk_limit_and_pending_events_survive_a_rewrite() {
+    let folder = Folder::new("rewrite");
     let (mut log, _) = folder.open();
     log.accept(event("live", b"kept"));
     log.record_attempt("live", 3.0, "z");
-    log.accept(event("told", b"gone"));
-    log.record_outcome("told", Outcome::Abandoned, None);
+    log.accept(event("ended", b"gone"));
+    log.record_outcome("ended", Outcome::Abandoned, None);
     log.record_warm_up("t", 4.0, 7.0);
     log.record_warm_up("t", 5.0, 7.5);
     log.record_warm_up("gone", 5.0, 0.0);
@@ -150,7 +150,7 @@
         most = most.max(folder.size());
     }
     log.commit().expect("writes");
-    assert!(most < 600_000, "{most} bytes on a disk of a million");
+    assert!(most < 600_000, "{most} bytes with a disk limit of 1000000");
     let (mut log, pending) = folder.open();
     assert_eq!(
         (
@@ -158,7 +158,7 @@
             pending[0].attempts,
             pending[1].outcome.is_some()
         ),
-        (vec!["live", "told"], 1, true)
+        (vec!["live", "ended"], 1, true)
     );
     assert_eq!(
         log.warming_up_targets().collect::<Vec<_>>(),
@@ -166,14 +166,14 @@
     );
     log.retain_targets(|target| target != "t");
     assert_eq!(log.warming_up_targets().count(), 0);
-    let mut taken = 0;
+    let mut accepted = 0;
     while log.has_capacity_for(body.len()) {
-        taken += 1;
-        log.accept(event(&format!("m{taken}"), body));
+        accepted += 1;
+        log.accept(event(&format!("m{accepted}"), body));
         log.commit().expect("writes");
         assert!(folder.size() < 1_000_000);
     }
-    assert!(taken > 10, "room for {taken} only");
+    assert!(accepted > 10, "space for only {accepted}");
 }
 
 #[rstest]
@@ -193,17 +193,17 @@
     fs::write(folder.0.join("ledger"), b"something else altogether").unwrap();
     let error = EventLog::open(&folder.0, 1_000_000)
         .map(|_| ())
-        .expect_err("is no ledger");
+        .expect_err("not an event log");
     assert!(error.to_string().contains("not a ledger"));
 }
 
 #[rstest]
-fn a_change_of_owner_is_seen_by_the_predecessor_and_skipped_by_readers() {
+fn a_change_of_owner_is_detected_by_the_predecessor_and_skipped_by_readers() {
     let folder = Folder::new("owner");
     let (mut predecessor, _) = folder.open();
     let before = predecessor.file_length();
-    // Half of the disk to the byte: the next commit writes it anew.
-    predecessor.accept(event("held", b""));
+    // The file fills exactly half of the disk limit, so that the next commit would rewrite it.
+    predecessor.accept(event("tiny", b""));
     predecessor.commit().expect("writes");
     let frame = (predecessor.file_length() - before) as usize;
     let rest = 500_000 - predecessor.file_length() as usize - frame;
@@ -212,12 +212,12 @@
     assert_eq!(predecessor.file_length(), 500_000);
     assert!(!has_length_changed(&folder.0, predecessor.file_length()).expect("there"));
     let (mut successor, pending) = folder.open();
-    assert_eq!(ids(&pending), ["held", "fill"]);
+    assert_eq!(ids(&pending), ["tiny", "fill"]);
     successor.change_owner().expect("writes");
     assert!(has_length_changed(&folder.0, predecessor.file_length()).expect("there"));
     assert!(
         successor.file_length() > predecessor.file_length(),
         "the same file, and longer"
     );
-    assert_eq!(ids(&folder.open().1), ["held", "fill"]);
+    assert_eq!(ids(&folder.open().1), ["tiny", "fill"]);
 }
--- a/forwarder/event-log/tests/stored_format.rs
+++ b/forwarder/event-log/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The log's file as version 0.3.0 wrote it: byte for byte what is written today, and opened and read
-//! back entirely.
+//! The log's file is written byte for byte as version 0.3.0 wrote it, and a file of that version is read
+//! completely.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -29,13 +29,13 @@
     }
 }
 
-/// Every kind of record, with and without what may be left out.
-fn written(folder: &Path) -> EventLog {
+/// Writes a log with every kind of record, with and without its optional fields.
+fn write_log(folder: &Path) -> EventLog {
     let (mut log, pending) = EventLog::open(folder, DISK).unwrap();
     assert!(pending.is_empty());
-    let guarantee = |repeats, ordered| {
+    let guarantee = |repeat_safety, ordered| {
         Some(DeliveryGuarantee {
-            repeat_safety: repeats,
+            repeat_safety,
             ordered,
         })
     };
@@ -84,7 +84,7 @@
     log
 }
 
-/// The pending events of a fixture, entirely.
+/// Complete descriptions of the pending events in a fixture.
 fn pending_in(name: &str) -> Vec<String> {
     let folder = tempfile::tempdir().unwrap();
     fs::copy(fixture(name), folder.path().join("ledger")).unwrap();
@@ -96,55 +96,52 @@
     assert_eq!(
         log.file_length(),
         fs::metadata(fixture(name)).unwrap().len(),
-        "nothing is cut off"
+        "nothing is truncated"
     );
     assert!(log.contains_order_key(9));
-    pending.iter().map(described).collect()
+    pending.iter().map(describe).collect()
 }
 
-/// In words of the test's own, so that the fixture does not depend on the code's names.
-fn described(pending: &PendingEvent) -> String {
-    let taken = &pending.event;
-    let guarantee = taken.guarantee.map(|guarantee| {
+/// Describes an event in the test's own terms, so that the fixture does not depend on names in the code.
+fn describe(pending: &PendingEvent) -> String {
+    let accepted = &pending.event;
+    let guarantee = accepted.guarantee.map(|guarantee| {
         let repeats = match guarantee.repeat_safety {
             RepeatSafety::Idempotent => "harmless".to_owned(),
-            RepeatSafety::Deduplicated {
-                window,
-                per_zone: one_zone,
-            } => {
-                format!("known for {window} in one zone {one_zone}")
+            RepeatSafety::Deduplicated { window, per_zone } => {
+                format!("known for {window} in one zone {per_zone}")
             }
             RepeatSafety::NonIdempotent => "forbidden".to_owned(),
         };
         format!("{repeats}, ordered {}", guarantee.ordered)
     });
-    let ended = pending.outcome.map(|(outcome, come_back_after)| {
+    let ended_with = pending.outcome.map(|(outcome, retry_after)| {
         let outcome = match outcome {
             Outcome::Rejected => "dismissed",
             Outcome::Abandoned => "written off",
         };
-        (outcome, come_back_after)
+        (outcome, retry_after)
     });
-    let body = String::from_utf8(taken.body.to_vec()).unwrap();
+    let body = String::from_utf8(accepted.body.to_vec()).unwrap();
     let event = format!(
         "{} {} {} {}",
-        taken.id, taken.destination, taken.traffic_type, taken.deadline
+        accepted.id, accepted.destination, accepted.traffic_type, accepted.deadline
     );
-    let more = format!(
+    let details = format!(
         "{:?} {:?} {body:?} {guarantee:?}",
-        taken.key, taken.fingerprint
+        accepted.key, accepted.fingerprint
     );
     let attempts = format!(
         "{} {:?} {:?} {:?}",
         pending.attempts, pending.may_have_run, pending.in_flight, pending.timeout
     );
-    format!("{event} | {more} | {attempts} | {ended:?}")
+    format!("{event} | {details} | {attempts} | {ended_with:?}")
 }
 
 #[test]
 fn the_file_is_written_as_pinned() {
     let folder = tempfile::tempdir().unwrap();
-    let log = written(folder.path());
+    let log = write_log(folder.path());
     drop(log);
     let names: Vec<_> = fs::read_dir(folder.path())
         .unwrap()
@@ -157,11 +154,11 @@
     );
 }
 
-/// Opened with so small a disk that the next commit writes it anew.
+/// The log is opened with a disk limit so small that the next commit rewrites the file.
 #[test]
 fn the_file_is_rewritten_as_pinned() {
     let folder = tempfile::tempdir().unwrap();
-    drop(written(folder.path()));
+    drop(write_log(folder.path()));
     let (mut log, _) = EventLog::open(folder.path(), 100).unwrap();
     log.record_attempt("waits", 1_764_000_000_007.0, "zone-a");
     log.commit().unwrap();
@@ -177,14 +174,14 @@
 }
 
 #[test]
-fn a_file_as_the_previous_version_wrote_it_is_read_entirely() {
+fn a_file_of_the_previous_version_is_read_completely() {
     let expected = fs::read_to_string(fixture("owed.txt")).unwrap();
     assert_eq!(pending_in("appended"), expected.lines().collect::<Vec<_>>());
 }
 
-/// Of what has ended no body, fingerprint or sends are left in it.
+/// A rewritten file has no body, fingerprint or attempts of an event with an outcome.
 #[test]
-fn a_rewritten_file_as_the_previous_version_wrote_it_is_read_entirely() {
+fn a_rewritten_file_of_the_previous_version_is_read_completely() {
     let expected = fs::read_to_string(fixture("owed_rewritten.txt")).unwrap();
     assert_eq!(
         pending_in("rewritten"),
