--- a/forwarder/hot-restart/src/channel.rs
+++ b/forwarder/hot-restart/src/channel.rs
@@ -1,5 +1,5 @@
-//! Messages over a Unix socket in the state folder: each has its length before it, in four bytes
-//! with the least significant first, and may have a descriptor with it.
+//! Messages over a Unix socket in the state folder. Each message is preceded by its length as a
+//! little-endian 32-bit number, and may carry a file descriptor.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -19,29 +19,29 @@
 use crate::messages::Message;
 
 /// Name of the socket in the state folder.
-const FILE: &str = "handover";
-/// Longest path of a socket's address, with some reserve: the system takes 108 bytes (unix(7),
+const SOCKET_FILE_NAME: &str = "handover";
+/// Longest path of a socket's address, with some reserve: the system's limit is 108 bytes (unix(7),
 /// `sun_path`).
 const MAX_SOCKET_PATH_BYTES: usize = 100;
-/// Longest message. The scheduler's state is bounded by its capacity and the endpoint list, a body
+/// Longest message, in bytes. The scheduler's state is bounded by its capacity and the endpoint list, a body
 /// by its limit.
 const MAX_MESSAGE_BYTES: usize = 256 << 20;
 const LENGTH_BYTES: usize = 4;
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// Descriptors that one read may bring. A descriptor goes with the first byte of its message, and
-/// one read never meets more than one message's.
+/// Descriptors that one read may receive. A descriptor is sent with the first byte of its message,
+/// and one read never receives the descriptors of more than one message.
 const MAX_DESCRIPTORS_PER_READ: usize = 4;
 
-/// An address of the socket, however long the folder's path is.
+/// The address of the socket, for a folder path of any length.
 struct SocketAddress {
     path: PathBuf,
-    /// The folder, which a path by its descriptor needs open.
+    /// Keeps the folder open while `path` refers to its descriptor.
     _folder: Option<File>,
 }
 
 impl SocketAddress {
     fn in_folder(folder: &Path) -> io::Result<Self> {
-        let path = folder.join(FILE);
+        let path = folder.join(SOCKET_FILE_NAME);
         if path.as_os_str().len() <= MAX_SOCKET_PATH_BYTES {
             return Ok(SocketAddress {
                 path,
@@ -49,7 +49,7 @@
             });
         }
         let opened = File::open(folder)?;
-        let path = format!("/proc/self/fd/{}/{FILE}", opened.as_raw_fd()).into();
+        let path = format!("/proc/self/fd/{}/{SOCKET_FILE_NAME}", opened.as_raw_fd()).into();
         Ok(SocketAddress {
             path,
             _folder: Some(opened),
@@ -57,8 +57,8 @@
     }
 }
 
-/// Listens for successors. Only for the process that holds the lock: a socket that another process
-/// left there is not in use any more, and is replaced.
+/// Listens for successors. Only the process that holds the lock may call this: a socket that an
+/// earlier process left behind is no longer in use, and is replaced.
 ///
 /// # Errors
 /// The socket cannot be replaced or bound.
@@ -87,16 +87,16 @@
 pub struct MessageSender(Rc<Async<UnixStream>>);
 
 impl MessageSender {
-    /// Over a connected socket.
+    /// Creates a sender over a connected socket.
     pub fn new(stream: Async<UnixStream>) -> Self {
         MessageSender(Rc::new(stream))
     }
 
-    /// Sends one message, with the descriptor that it carries, which is closed here. One message at
-    /// a time: the caller waits for the end of one before the next.
+    /// Sends one message with the descriptor that it carries, and closes the descriptor. The caller
+    /// waits for one send to finish before it starts the next.
     ///
     /// # Errors
-    /// The other process has gone.
+    /// The other process has ended.
     pub async fn send(&self, message: &Message, descriptor: Option<OwnedFd>) -> io::Result<()> {
         let encoded = rmp_serde::to_vec(message).map_err(io::Error::other)?;
         let mut bytes = (encoded.len() as u32).to_le_bytes().to_vec();
@@ -143,7 +143,7 @@
 pub struct MessageReceiver {
     stream: Rc<Async<UnixStream>>,
     bytes: Vec<u8>,
-    /// In the order of arrival; each message that carries one takes the first.
+    /// Descriptors in the order of arrival; each message that carries one takes the first.
     descriptors: VecDeque<OwnedFd>,
 }
 
@@ -151,8 +151,8 @@
     /// The next message, and the descriptor that it carries.
     ///
     /// # Errors
-    /// The other process has gone (`UnexpectedEof` or the socket's error), or sent bytes that are
-    /// no message, or a message without its descriptor (`InvalidData`).
+    /// The other process has ended (`UnexpectedEof` or the socket's error), or sent bytes that are
+    /// not a message, or a message without its descriptor (`InvalidData`).
     pub async fn receive(&mut self) -> io::Result<(Message, Option<OwnedFd>)> {
         loop {
             if let Some(message) = self.decode_next()? {
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    /// The next message, if all of it has arrived.
+    /// The next message, if it has arrived completely.
     fn decode_next(&mut self) -> io::Result<Option<Message>> {
         let Some(length) = self.bytes.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
@@ -208,8 +208,8 @@
     }
 }
 
-fn invalid_data(what: String) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+fn invalid_data(reason: String) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
 fn receive(
--- a/forwarder/hot-restart/src/handshake.rs
+++ b/forwarder/hot-restart/src/handshake.rs
@@ -1,83 +1,83 @@
-//! The handshake of the two processes, without I/O. Exactly one of them decides at any moment: the
-//! predecessor until it has told the successor that the forwarder is the successor's, the successor
-//! from the change of owner on, which is one write to the event log.
+//! The handshake of the two processes, without I/O. Exactly one of them makes decisions at any
+//! moment: the predecessor until it has transferred ownership of the forwarder to the successor, the
+//! successor from the change of owner on, which is one write to the event log.
 //!
 //! Called by `forwarder/server` (`hot_restart::predecessor`, `hot_restart::successor`), which
 //! carries out the actions.
 
-/// What one of the processes receives, or finds out.
+/// An input that one of the processes receives or detects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// To the predecessor: a new process asks to take over.
+    /// To the predecessor: a new process requests to take over.
     Asked {
-        /// Whether the new process could go on with the state.
+        /// Whether the new process can continue with the predecessor's state.
         compatible: bool,
     },
     /// To the predecessor: the successor has read the state.
     Prepared,
-    /// To the predecessor: the successor decides.
+    /// To the predecessor: the successor has become the owner and makes decisions.
     Activated,
-    /// To the predecessor: the successor is not prepared in time.
+    /// To the predecessor: the successor was not prepared in time.
     TimedOut,
-    /// To the successor: the predecessor's state has come.
+    /// To the successor: the predecessor's state has arrived.
     State {
         /// Whether the state could be read.
         readable: bool,
     },
-    /// To the successor: the forwarder is the successor's.
+    /// To the successor: the predecessor transfers ownership of the forwarder.
     Ownership,
-    /// To the successor: the predecessor hands nothing over.
+    /// To the successor: the predecessor declines the handover.
     Declined,
-    /// The other process has gone.
+    /// The other process has ended, or closed the connection.
     PeerGone {
-        /// Whether the change of owner is written.
+        /// Whether the change of owner has been written to the event log.
         owner_changed: bool,
     },
 }
 
-/// What the process does then.
+/// The action that a process takes on a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing: the signal makes no sense now.
+    /// No action: the signal does not apply in the current state.
     Ignore,
     /// The predecessor ends its event loop iteration, pauses and sends its state.
     Pause,
-    /// The predecessor declines, and goes on.
+    /// The predecessor declines the handover, and continues.
     Decline,
-    /// The predecessor tells the successor that the forwarder is the successor's.
+    /// The predecessor transfers ownership of the forwarder to the successor.
     TransferOwnership,
-    /// The predecessor decides again, as before.
+    /// The predecessor makes decisions again, as before.
     Resume,
-    /// The predecessor relays what its connections still bring, and decides nothing.
+    /// The predecessor relays further input of its connections, and makes no decisions.
     Relay,
     /// The process ends.
     Exit,
     /// The successor reports that it is prepared.
     ReportPrepared,
-    /// The successor writes the change of owner, and decides.
+    /// The successor writes the change of owner, and makes decisions from then on.
     Activate,
     /// The successor waits for the lock, and starts from the state folder.
     StartFromFolder,
 }
 
-/// The process that was there before.
+/// State of the predecessor, the process that ran first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Predecessor {
-    /// Decides alone.
+    /// Makes all decisions.
     #[default]
     Deciding,
     /// Has sent its state, and waits for the successor to be prepared.
     Paused,
-    /// Has handed over, and waits for the successor to decide.
-    Yielded,
-    /// The successor decides.
+    /// Has transferred ownership, and waits for the successor to activate.
+    HandedOver,
+    /// Relays input to the successor, which makes the decisions.
     Relaying,
-    /// Is to end.
+    /// Has to end.
     Ended,
 }
 
 impl Predecessor {
-    /// Takes a signal; returns what to do.
+    /// Applies a signal, and returns the action to take.
     pub fn on_signal(&mut self, signal: Signal) -> Action {
         let (next, action) = match (*self, signal) {
             (Predecessor::Deciding, Signal::Asked { compatible: true }) => {
@@ -87,21 +87,21 @@
                 (Predecessor::Deciding, Action::Decline)
             }
             (Predecessor::Paused, Signal::Prepared) => {
-                (Predecessor::Yielded, Action::TransferOwnership)
+                (Predecessor::HandedOver, Action::TransferOwnership)
             }
-            // The successor was not told that the forwarder is its own: it can't have begun.
+            // Ownership was not transferred: the successor can't have activated.
             (Predecessor::Paused, Signal::TimedOut | Signal::PeerGone { .. }) => {
                 (Predecessor::Deciding, Action::Resume)
             }
-            (Predecessor::Yielded, Signal::Activated) => (Predecessor::Relaying, Action::Relay),
+            (Predecessor::HandedOver, Signal::Activated) => (Predecessor::Relaying, Action::Relay),
             (
-                Predecessor::Yielded,
+                Predecessor::HandedOver,
                 Signal::PeerGone {
                     owner_changed: false,
                 },
             ) => (Predecessor::Deciding, Action::Resume),
-            // The successor began and ended: what it did since stands in the event log, not here.
-            (Predecessor::Yielded | Predecessor::Relaying, Signal::PeerGone { .. }) => {
+            // The successor activated and ended: its changes are in the event log, not in this process.
+            (Predecessor::HandedOver | Predecessor::Relaying, Signal::PeerGone { .. }) => {
                 (Predecessor::Ended, Action::Exit)
             }
             (unchanged, _) => (unchanged, Action::Ignore),
@@ -110,28 +110,28 @@
         action
     }
 
-    /// Whether this process decides.
+    /// Whether this process makes decisions.
     pub fn is_deciding(self) -> bool {
         self == Predecessor::Deciding
     }
 }
 
-/// The new process.
+/// State of the successor, the new process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Successor {
-    /// Has asked to take over.
+    /// Has requested to take over.
     #[default]
     Asking,
     /// Has read the predecessor's state.
     Prepared,
-    /// Decides.
+    /// Makes all decisions.
     Deciding,
-    /// No handover is to be hoped for.
+    /// Waits for the lock, and starts from the state folder without a handover.
     StartingFromFolder,
 }
 
 impl Successor {
-    /// Takes a signal; returns what to do.
+    /// Applies a signal, and returns the action to take.
     pub fn on_signal(&mut self, signal: Signal) -> Action {
         let (next, action) = match (*self, signal) {
             (Successor::Asking, Signal::State { readable: true }) => {
@@ -148,7 +148,7 @@
         action
     }
 
-    /// Whether this process decides.
+    /// Whether this process makes decisions.
     pub fn is_deciding(self) -> bool {
         self == Successor::Deciding
     }
--- a/forwarder/hot-restart/src/lib.rs
+++ b/forwarder/hot-restart/src/lib.rs
@@ -1,12 +1,12 @@
-//! Hot restart: a running forwarder (the predecessor) hands over to a new process of it (the
-//! successor) without a moment in which both or neither decide.
+//! Hot restart: a running forwarder process (the predecessor) hands over to a new one (the
+//! successor). At no moment do both or neither of them make decisions.
 //!
-//! - [`handshake`] decides, without I/O, what each of the two does next.
-//! - [`messages`] is what they send each other; the bytes are pinned by `tests/wire_format.rs`.
-//! - [`channel`] carries messages over a Unix socket, with descriptors.
+//! - [`handshake`] determines the next action of each process, without I/O.
+//! - [`messages`] defines the messages between them; `tests/wire_format.rs` pins their bytes.
+//! - [`channel`] sends messages and file descriptors over a Unix socket.
 //! - [`state_lock`] is the lock of the state folder, held by the process that decides.
 //!
-//! Called by `forwarder/server` (`hot_restart`). The whole way is in `docs/operations.md`.
+//! Called by `forwarder/server` (`hot_restart`). The procedure is described in `docs/operations.md`.
 
 pub mod channel;
 pub mod handshake;
--- a/forwarder/hot-restart/src/messages.rs
+++ b/forwarder/hot-restart/src/messages.rs
@@ -13,51 +13,51 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Version of the messages and of the scheduler's state. A change of either form makes another.
+/// Version of the messages and of the scheduler's state. A change of either format needs a new version.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// What positions in the scheduler's state stand for: names of traffic types, kinds and zones.
+/// The names to which positions in the scheduler's state refer: traffic types, kinds and zones.
 pub type PositionNames = [Vec<String>; 3];
 
-/// From the successor to the predecessor, or back.
+/// A message from the successor to the predecessor, or from the predecessor to the successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Message {
     // From the successor.
-    /// A new process asks to take over.
+    /// A new process requests to take over.
     Hello {
         /// The successor's [`PROTOCOL_VERSION`].
         version: u32,
         /// The successor's names.
         names: PositionNames,
     },
-    /// The successor has read the state and could decide.
+    /// The successor has read the state and is ready to make decisions.
     Prepared,
-    /// The successor has written the change of owner, and decides.
+    /// The successor has written the change of owner, and makes decisions.
     #[serde(rename = "Begun")]
     Activated,
-    /// The answer to a client of the predecessor's.
+    /// The response to a client of the predecessor.
     #[serde(rename = "Verdict")]
     SubmitAnswered {
-        /// The client's request.
+        /// Number of the client's request.
         number: u64,
-        /// The answer.
+        /// The response.
         response: SubmitResponse,
     },
     /// The reply to an operator at the predecessor's admin address.
     #[serde(rename = "Reply")]
     AdminReplied {
-        /// The operator's request.
+        /// Number of the operator's request.
         number: u64,
         /// The reply.
         reply: AdminReply,
     },
-    /// Calls of the predecessor's to the target whose last byte is not written are not to be
+    /// The predecessor cancels those of its calls to the target whose last byte has not been
     /// written.
     #[serde(rename = "TakeBack")]
     CancelUnsent(TargetId),
 
     // From the predecessor.
-    /// Nothing is handed over.
+    /// The predecessor declines the handover.
     #[serde(rename = "No")]
     Declined {
         /// The reason, for the successor's log.
@@ -65,62 +65,62 @@
     },
     /// The paused predecessor's state, with the listener's descriptor.
     State(Box<ProcessState>),
-    /// The forwarder is the successor's, with the lock's descriptor.
+    /// Transfers ownership of the forwarder to the successor, with the lock's descriptor.
     #[serde(rename = "Yours")]
     Ownership,
-    /// A client's connection that waits for a request, with its descriptor.
+    /// A client connection that waits for a request, with its descriptor.
     #[serde(rename = "Client")]
     ClientConnection {
-        /// Requests served on it before: 0, 1, or 2 for more.
+        /// Number of requests served on the connection before: 0, 1, or 2 for two or more.
         requests_served: u64,
-        /// How long the connection may wait yet, in milliseconds.
+        /// Remaining time for which the connection may wait, in milliseconds.
         time_left: Ms,
     },
     /// An idle connection to a target, with its descriptor.
     #[serde(rename = "Idle")]
     IdleConnection {
-        /// Where the connection goes.
+        /// The target of the connection.
         target: TargetId,
-        /// How long the connection has been idle, in milliseconds.
+        /// Time for which the connection has been idle, in milliseconds.
         idle_for: Ms,
     },
-    /// An event that a client of the predecessor's submits.
+    /// An event submitted by a client of the predecessor.
     #[serde(rename = "Event")]
     EventSubmitted(SubmittedEvent),
-    /// A client of the predecessor's went away before it had its answer.
+    /// A client of the predecessor disconnected before it received its response.
     #[serde(rename = "Withdrawn")]
     EventWithdrawn {
         /// The event.
         event: EventId,
-        /// The client's request.
+        /// Number of the client's request.
         number: u64,
     },
-    /// An attempt of the predecessor's has ended.
+    /// An attempt of the predecessor has ended.
     #[serde(rename = "SendEnded")]
     AttemptEnded(EventId, AttemptReport),
-    /// A health check of the predecessor's has ended.
+    /// A health check of the predecessor has ended.
     #[serde(rename = "PingEnded")]
     HealthCheckEnded {
         /// The target that was checked.
         target: TargetId,
-        /// How the check ended.
+        /// The outcome of the check.
         outcome: AttemptOutcome,
     },
-    /// A command at the predecessor's admin address.
+    /// A command received at the predecessor's admin address.
     #[serde(rename = "Operator")]
     AdminCommand {
-        /// The operator's request.
+        /// Number of the operator's request.
         number: u64,
         /// The command.
         command: AdminCommand,
     },
-    /// Descriptors of clients and calls that the predecessor still holds.
+    /// Number of descriptors of clients and calls that the predecessor still has open.
     #[serde(rename = "Holds")]
     OpenDescriptors(usize),
 }
 
 impl Message {
-    /// Whether the message comes with a descriptor.
+    /// Whether the message is sent with a descriptor.
     pub fn carries_descriptor(&self) -> bool {
         matches!(
             self,
@@ -132,31 +132,32 @@
     }
 }
 
-/// What the predecessor keeps beside the files of the state folder.
+/// State of the predecessor that is not in the files of the state folder.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ProcessState {
-    /// How far the predecessor's clock is ahead of the system's, in milliseconds.
+    /// Offset by which the predecessor's clock is ahead of the system clock, in milliseconds.
     pub clock_offset: Ms,
-    /// The scheduler, in MessagePack.
+    /// The scheduler's state, in MessagePack.
     #[serde(with = "serde_bytes")]
     pub scheduler: Vec<u8>,
     /// Numbers of the requests that submitted the pending events.
     pub request_numbers: Vec<(EventId, u64)>,
-    /// The successor numbers requests from here, above all that the predecessor still numbers.
+    /// First request number of the successor, above all numbers that the predecessor still assigns.
     pub next_request_number: u64,
     /// Events with an attempt in flight.
     pub attempts_in_flight: Vec<EventId>,
     /// Targets with a health check in flight.
     pub health_checks_in_flight: Vec<TargetId>,
-    /// Events that completed lately, with when: another submission of one is rejected.
+    /// Recently completed events with their times of completion: another submission of one is
+    /// rejected.
     pub recently_completed: Vec<(Ms, EventId)>,
-    /// Targets that were listed and are not any more.
+    /// Targets that were in the endpoint list and no longer are.
     pub formerly_listed: Vec<String>,
     /// Whether operators have drained the forwarder of clients.
     pub drained: bool,
 }
 
-/// What the head of a client's request says of its event.
+/// The event's properties from the head of a client's request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EventHeader {
     /// `Req-Id`.
@@ -165,38 +166,38 @@
     pub destination: DestinationId,
     /// The request's path.
     pub traffic_type: TrafficTypeId,
-    /// `Req-Deadline` in milliseconds, at most that of the traffic type.
+    /// `Req-Deadline` in milliseconds, at most the timeout of the traffic type.
     pub timeout: Ms,
-    /// `about` of `Cookie`, for a traffic type with order.
+    /// `about` of `Cookie`, for an ordered traffic type.
     pub key: Option<OrderKey>,
     /// `Idempotency-Key`.
     pub fingerprint: Option<Rc<str>>,
 }
 
-/// An event that was read by the predecessor and is to be decided on by the successor.
+/// An event that the predecessor has read, for the successor to accept or reject.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SubmittedEvent {
-    /// The client's request.
+    /// Number of the client's request.
     pub number: u64,
-    /// The request's head.
+    /// The event's properties from the request's head.
     pub event: EventHeader,
-    /// When the event's deadline is.
+    /// The event's deadline.
     pub deadline: Ms,
     /// The request's body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// The answer to a client that submitted an event.
+/// The response to a client that submitted an event.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SubmitResponse {
     /// The event is accepted and recorded.
     #[serde(rename = "TakenOn")]
     Accepted,
-    /// The event is not accepted. It may be submitted again, after that many milliseconds if they
-    /// are given.
+    /// The event is not accepted. It may be submitted again, after the number of milliseconds if one
+    /// is given.
     #[serde(rename = "Refused")]
     Rejected(Option<Ms>),
-    /// The event was abandoned: an attempt may have run.
+    /// The event was abandoned: an attempt may have executed it.
     Failed,
 }
--- a/forwarder/hot-restart/src/state_lock.rs
+++ b/forwarder/hot-restart/src/state_lock.rs
@@ -1,6 +1,6 @@
-//! The lock of the state folder. A process that has a descriptor of the lock file holds the lock:
-//! it can be passed to another process without a moment in which nobody holds it, and it ends with
-//! the last descriptor.
+//! The lock of the state folder. Every process that has a descriptor of the lock file holds the
+//! lock, so that the lock can be passed to another process without being free in between. The lock
+//! is released when its last descriptor is closed.
 
 use std::fs::OpenOptions;
 use std::io;
@@ -11,14 +11,14 @@
 use rustix::io::Errno;
 
 /// Name of the lock file in the state folder.
-const FILE: &str = "lock";
+const LOCK_FILE_NAME: &str = "lock";
 
 /// The lock, held until the last descriptor of it is closed.
 #[derive(Debug)]
 pub struct StateLock(OwnedFd);
 
 impl StateLock {
-    /// Takes the lock of the folder; none if another process holds it.
+    /// Acquires the lock of the folder; `None` if another process holds it.
     ///
     /// # Errors
     /// The file cannot be opened or locked.
@@ -27,7 +27,7 @@
             .create(true)
             .truncate(false)
             .write(true)
-            .open(folder.join(FILE))?;
+            .open(folder.join(LOCK_FILE_NAME))?;
         match flock(&file, FlockOperation::NonBlockingLockExclusive) {
             Ok(()) => Ok(Some(StateLock(file.into()))),
             Err(Errno::WOULDBLOCK) => Ok(None),
@@ -35,15 +35,15 @@
         }
     }
 
-    /// The lock that another process holds and has passed on.
+    /// The lock whose descriptor another process has passed on.
     pub fn from_descriptor(descriptor: OwnedFd) -> StateLock {
         StateLock(descriptor)
     }
 
-    /// A descriptor for the process that is to hold the lock too.
+    /// A duplicate descriptor for another process, which then holds the lock too.
     ///
     /// # Errors
-    /// No descriptor is free.
+    /// No file descriptor is available.
     pub fn try_clone_descriptor(&self) -> io::Result<OwnedFd> {
         self.0.as_fd().try_clone_to_owned()
     }
