--- a/forwarder/hot-restart/tests/channel.rs
+++ b/forwarder/hot-restart/tests/channel.rs
@@ -27,8 +27,8 @@
     })
 }
 
-/// Long messages, which go in pieces, between messages with connections: each connection arrives
-/// with its own.
+/// Long messages, which take several writes, alternate with messages that carry a connection: each
+/// connection arrives with its own message.
 #[rstest]
 fn each_descriptor_arrives_with_its_message() {
     let (one, other) = UnixStream::pair().expect("a pair");
@@ -37,14 +37,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let connected = || {
         let ours = TcpStream::connect(listener.local_addr().expect("bound")).expect("listens");
-        (ours, listener.accept().expect("came").0)
+        (ours, listener.accept().expect("accepted").0)
     };
     let mut kept = Vec::new();
-    let tells = async {
+    let send_all = async {
         for number in 0..12u64 {
-            one.send(&event(number, 300_000), None).await.expect("told");
+            one.send(&event(number, 300_000), None).await.expect("sent");
             let (mut ours, theirs) = connected();
-            ours.write_all(&[number as u8]).expect("takes it");
+            ours.write_all(&[number as u8]).expect("written");
             kept.push(ours);
             let client = Message::ClientConnection {
                 requests_served: number,
@@ -52,32 +52,35 @@
             };
             one.send(&client, Some(OwnedFd::from(theirs)))
                 .await
-                .expect("told");
+                .expect("sent");
         }
     };
     let mut receiver = other.receiver();
-    let hears = async {
+    let receive_all = async {
         for expected in 0..12u64 {
-            let (word, none) = receiver.receive().await.expect("heard");
-            let Message::EventSubmitted(handed) = word else {
+            let (message, none) = receiver.receive().await.expect("received");
+            let Message::EventSubmitted(submitted) = message else {
                 panic!("an event came first")
             };
             assert_eq!(
-                (handed.number, handed.body, none.is_none()),
+                (submitted.number, submitted.body, none.is_none()),
                 (expected, vec![expected as u8; 300_000], true)
             );
-            let (word, descriptor) = receiver.receive().await.expect("heard");
+            let (message, descriptor) = receiver.receive().await.expect("received");
             assert!(
-                matches!(word, Message::ClientConnection { requests_served: asked, .. } if asked == expected)
+                matches!(message, Message::ClientConnection { requests_served, .. } if requests_served == expected)
             );
             let mut byte = [0];
-            TcpStream::from(descriptor.expect("with it"))
+            TcpStream::from(descriptor.expect("a descriptor"))
                 .read_exact(&mut byte)
-                .expect("lay unread in it");
+                .expect("an unread byte");
             assert_eq!(u64::from(byte[0]), expected);
         }
     };
-    block_on(future::zip(tells, hears));
+    block_on(future::zip(send_all, receive_all));
     drop(one);
-    assert!(block_on(receiver.receive()).is_err(), "the other has gone");
+    assert!(
+        block_on(receiver.receive()).is_err(),
+        "the sender has closed the connection"
+    );
 }
--- a/forwarder/hot-restart/tests/handshake.rs
+++ b/forwarder/hot-restart/tests/handshake.rs
@@ -1,14 +1,17 @@
-//! The two sides of a hot restart, ended at any step: one decides, never two.
+//! Either process of a hot restart may end at any step: never do both make decisions, and a process
+//! that is left makes decisions in the end.
 
 use plankhill_hot_restart::{Action, Predecessor, Signal, Successor};
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// What may happen next, to be tried in any order; what makes no sense at the time does nothing.
+/// A step of the handshake, in any order; a step that does not apply in the current state does
+/// nothing.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The oldest signal on its way is received.
+    /// The successor receives the oldest signal in flight, or detects that its peer has ended.
     SuccessorReceives,
+    /// The predecessor receives the oldest signal in flight, or detects that its peer has ended.
     PredecessorReceives,
     TimedOut,
     SuccessorEnds,
@@ -16,23 +19,24 @@
 }
 
 #[derive(Default)]
-struct Both {
+struct Handshake {
     predecessor: Predecessor,
     successor: Successor,
     predecessor_alive: bool,
     successor_alive: bool,
     connected: bool,
-    /// The successor holds the lock, passed to it or taken.
+    /// Whether the successor holds the lock, received from the predecessor or acquired.
     successor_has_lock: bool,
     owner_changed: bool,
-    alone: bool,
+    /// Whether the successor starts from the state folder.
+    starts_from_folder: bool,
     to_successor: Vec<Signal>,
     to_predecessor: Vec<Signal>,
 }
 
-impl Both {
-    fn predecessor_receives(&mut self, what: Signal) {
-        match self.predecessor.on_signal(what) {
+impl Handshake {
+    fn predecessor_receives(&mut self, signal: Signal) {
+        match self.predecessor.on_signal(signal) {
             Action::Pause => self.to_successor.push(Signal::State { readable: true }),
             Action::Decline => self.to_successor.push(Signal::Declined),
             Action::TransferOwnership => self.to_successor.push(Signal::Ownership),
@@ -40,14 +44,14 @@
             _ => (),
         }
     }
-    fn successor_receives(&mut self, what: Signal) {
-        match self.successor.on_signal(what) {
+    fn successor_receives(&mut self, signal: Signal) {
+        match self.successor.on_signal(signal) {
             Action::ReportPrepared => self.to_predecessor.push(Signal::Prepared),
             Action::Activate => {
                 (self.successor_has_lock, self.owner_changed) = (true, true);
                 self.to_predecessor.push(Signal::Activated);
             }
-            Action::StartFromFolder => self.alone = true,
+            Action::StartFromFolder => self.starts_from_folder = true,
             _ => (),
         }
     }
@@ -67,8 +71,8 @@
                     owner_changed: self.owner_changed,
                 });
             }
-            // What the successor said before it ended, and what lies on a connection that was given
-            // up, is not received.
+            // Signals that the successor sent before it ended, and signals on a connection that was
+            // closed, are not received.
             Step::PredecessorReceives if self.predecessor_alive && !self.successor_alive => {
                 self.predecessor_receives(Signal::PeerGone {
                     owner_changed: self.owner_changed,
@@ -82,14 +86,14 @@
             }
             _ => (),
         }
-        // The lock is free once its holders have ended.
-        if self.alone && self.successor_alive && !self.predecessor_alive {
+        // The lock is free once the processes that held it have ended.
+        if self.starts_from_folder && self.successor_alive && !self.predecessor_alive {
             self.successor_has_lock = true;
         }
     }
     fn successor_decides(&self) -> bool {
         self.successor_alive
-            && (self.successor.is_deciding() || self.alone && self.successor_has_lock)
+            && (self.successor.is_deciding() || self.starts_from_folder && self.successor_has_lock)
     }
 }
 
@@ -105,23 +109,23 @@
 
 proptest! {
     #[test]
-    fn never_two_decide_and_the_one_left_decides_in_the_end(steps in proptest::collection::vec(step(), 0..24)) {
-        let mut both = Both { predecessor_alive: true, successor_alive: true, connected: true, ..Both::default() };
-        both.predecessor_receives(Signal::Asked { compatible: true });
+    fn never_do_both_decide_and_a_process_that_is_left_decides_in_the_end(steps in proptest::collection::vec(step(), 0..24)) {
+        let mut handshake = Handshake { predecessor_alive: true, successor_alive: true, connected: true, ..Handshake::default() };
+        handshake.predecessor_receives(Signal::Asked { compatible: true });
         for step in steps {
-            both.step(step);
-            let predecessor = both.predecessor_alive && both.predecessor.is_deciding();
-            prop_assert!(!(predecessor && both.successor_decides()), "both decide");
+            handshake.step(step);
+            let predecessor = handshake.predecessor_alive && handshake.predecessor.is_deciding();
+            prop_assert!(!(predecessor && handshake.successor_decides()), "both decide");
         }
-        // All that is on its way is received, and each sees it if the other has ended.
+        // All signals in flight are received, and each process detects whether the other has ended.
         for _ in 0..8 {
-            both.step(Step::SuccessorReceives);
-            both.step(Step::PredecessorReceives);
+            handshake.step(Step::SuccessorReceives);
+            handshake.step(Step::PredecessorReceives);
         }
-        let predecessor = both.predecessor_alive && both.predecessor.is_deciding();
-        let ended = both.predecessor == Predecessor::Ended || !both.predecessor_alive;
-        prop_assert!(!(predecessor && both.successor_decides()));
-        prop_assert!(predecessor || both.successor_decides() || ended && !both.successor_alive, "nobody decides");
+        let predecessor = handshake.predecessor_alive && handshake.predecessor.is_deciding();
+        let ended = handshake.predecessor == Predecessor::Ended || !handshake.predecessor_alive;
+        prop_assert!(!(predecessor && handshake.successor_decides()));
+        prop_assert!(predecessor || handshake.successor_decides() || ended && !handshake.successor_alive, "neither process decides");
     }
 }
 
--- a/forwarder/hot-restart/tests/wire_format.rs
+++ b/forwarder/hot-restart/tests/wire_format.rs
@@ -1,7 +1,7 @@
-//! The bytes of every message that two processes of a hot restart send each other, as the version
-//! in service writes them: `wire_format/messages.txt` has a line with a name and the bytes in
-//! hexadecimal for each value. A process of another version must read the same, so a difference
-//! here is a change of the protocol.
+//! The encoding of every message between the two processes of a hot restart, as the deployed version
+//! writes it: `wire_format/messages.txt` has a line with a name and the bytes in hexadecimal for each
+//! value. A process of another version must read the same bytes, so a difference is a change of the
+//! protocol.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -24,7 +24,7 @@
 
 const PINNED: &str = include_str!("wire_format/messages.txt");
 
-/// The name of each message in the fixture; without a wildcard, so that a new variant has to be
+/// The name of a message in the fixture. The match has no wildcard, so that a new variant has to be
 /// pinned.
 fn name(message: &Message) -> String {
     match message {
@@ -141,7 +141,7 @@
     }
 }
 
-/// One value of every variant, no field at its default.
+/// A value of every variant, without a field at its default.
 fn messages() -> Vec<Message> {
     let names = [
         vec!["job".into(), "charge".into()],
@@ -223,7 +223,7 @@
     messages
 }
 
-/// Messages that come with a descriptor.
+/// Whether the message is sent with a descriptor.
 fn carries_descriptor(message: &Message) -> bool {
     matches!(
         message,
@@ -238,7 +238,7 @@
     carries_descriptor(message).then(|| File::open("/dev/null").expect("there").into())
 }
 
-/// All bytes that one message puts on the socket, its length included.
+/// The bytes that are sent on the socket for a message, including its length.
 fn sent(message: &Message) -> Vec<u8> {
     let (ours, mut theirs) = UnixStream::pair().expect("a pair");
     let sender = MessageSender::new(Async::new(ours).expect("a socket"));
@@ -249,7 +249,7 @@
     bytes
 }
 
-/// What the receiving side makes of pinned bytes.
+/// The message that the receiver decodes from pinned bytes.
 fn received(bytes: &[u8], message: &Message) -> Message {
     let (ours, theirs) = UnixStream::pair().expect("a pair");
     let mut receiver = MessageSender::new(Async::new(theirs).expect("a socket")).receiver();
@@ -317,6 +317,6 @@
         .collect();
     let named: BTreeSet<&str> = lines.iter().copied().collect();
     let valued: BTreeSet<String> = messages().iter().map(name).collect();
-    assert_eq!(named.len(), lines.len(), "a name stands twice");
+    assert_eq!(named.len(), lines.len(), "a name occurs twice");
     assert_eq!(named, valued.iter().map(String::as_str).collect());
 }
