--- a/forwarder/buffer-pool/src/lib.rs
+++ b/forwarder/buffer-pool/src/lib.rs
@@ -1,8 +1,7 @@
-//! A pool of byte buffers of one size. A buffer belongs to its holder until the holder drops it;
-//! then it goes back to the pool. The pool makes no more buffers than its limit, so that memory
-//! stays bounded whatever comes in.
+//! A pool of byte buffers of one size. A buffer is in use until it is dropped; then it returns to the
+//! pool. The number of buffers in use is limited, so that memory stays bounded under any load.
 //!
-//! Used by `forwarder/server`: clients' requests and calls to targets each hold one buffer. Not
+//! Used by `forwarder/server`: clients' requests and calls to targets each use one buffer. Not
 //! thread-safe.
 
 use std::cell::{Cell, RefCell};
@@ -21,8 +20,8 @@
 }
 
 impl BufferPool {
-    /// A pool of buffers of `buffer_bytes` each, `max_buffers` at most. Memory is taken with a
-    /// buffer's first use.
+    /// Creates a pool of at most `max_buffers` buffers of `buffer_bytes` each. The memory of a
+    /// buffer is allocated when the buffer is first acquired.
     pub fn new(buffer_bytes: usize, max_buffers: usize) -> Self {
         BufferPool(Rc::new(Shared {
             buffer_bytes,
@@ -32,8 +31,8 @@
         }))
     }
 
-    /// A buffer, or none at the limit. Its contents are arbitrary: those of the last holder, or
-    /// zeros.
+    /// Acquires a buffer; `None` if the limit is reached. The contents are arbitrary: those of the
+    /// last use, or zeros.
     pub fn try_acquire(&self) -> Option<PooledBuffer> {
         if self.available() == 0 {
             return None;
@@ -47,28 +46,28 @@
         })
     }
 
-    /// The limit.
+    /// The maximum number of buffers in use.
     pub fn max_buffers(&self) -> usize {
         self.0.max_buffers.get()
     }
 
-    /// Sets the limit from now on; buffers in use beyond it stay so until they are dropped.
+    /// Sets the maximum number of buffers in use. Buffers beyond it stay in use until they are dropped.
     pub fn set_max_buffers(&self, max_buffers: usize) {
         self.0.max_buffers.set(max_buffers);
     }
 
-    /// Buffers that can still be acquired.
+    /// Number of buffers that can still be acquired.
     pub fn available(&self) -> usize {
         self.0.max_buffers.get().saturating_sub(self.0.in_use.get())
     }
 
-    /// Buffers that have a holder.
+    /// Number of buffers that are in use.
     pub fn in_use(&self) -> usize {
         self.0.in_use.get()
     }
 }
 
-/// A buffer of the pool, to which it goes back when it is dropped.
+/// A buffer that returns to its pool when it is dropped.
 pub struct PooledBuffer {
     bytes: Box<[u8]>,
     pool: Rc<Shared>,
