--- a/forwarder/http1/src/chunks.rs
+++ b/forwarder/http1/src/chunks.rs
@@ -1,39 +1,39 @@
-//! A body in chunks (RFC 9112, section 7.1), decoded in place as it comes in.
+//! Chunked bodies (RFC 9112, section 7.1), decoded in place as they arrive.
 
 use crate::Malformed;
 
-/// The longest line of a chunk's size with its extensions, and all trailers together, in bytes.
+/// Maximum length in bytes of a chunk-size line with its extensions, and of all trailers together.
 const MAX_LINE_LEN: usize = 4096;
 const TOO_LONG: Malformed = Malformed("a chunk's size or the trailers are too long");
 
-/// Where in a chunked body the decoder is.
+/// Decoder of a chunked body.
 #[derive(Default)]
 pub struct Chunks {
     next: Part,
 }
 
-/// What comes next.
+/// The part of the body that the decoder expects next.
 #[derive(Default, Clone, Copy)]
 enum Part {
     /// The line with a chunk's size.
     #[default]
     Size,
-    /// So many bytes of a chunk.
+    /// The given number of bytes of a chunk.
     Data(usize),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     DataEnd,
-    /// A trailer, or the empty line behind all; so many bytes of trailers came before.
+    /// A trailer, or the empty line after all trailers; the number is the length of the trailers before, in bytes.
     Trailer(usize),
-    /// Nothing.
+    /// Nothing: the body is complete.
     End,
 }
 
 impl Chunks {
-    /// Decodes `bytes[*read..end]` and appends the data at `*write`, which never overtakes `*read`. True once the last
-    /// chunk and the trailers have been read.
+    /// Decodes `bytes[*read..end]` and writes the data at `*write`, which never exceeds `*read`. Returns true once the
+    /// last chunk and the trailers have been read.
     ///
     /// # Errors
-    /// The body is not in chunks, or a line of it is too long.
+    /// The body is not chunked, or one of its lines is too long.
     pub fn decode(
         &mut self,
         bytes: &mut [u8],
@@ -92,7 +92,7 @@
     }
 }
 
-/// The first line without its end, once all of it is there.
+/// The first line without its line end; `None` until the line has arrived completely.
 fn first_line(bytes: &[u8]) -> Result<Option<&[u8]>, Malformed> {
     match bytes.windows(2).position(|window| window == b"\r\n") {
         Some(length) => Ok(Some(&bytes[..length])),
--- a/forwarder/http1/src/fields.rs
+++ b/forwarder/http1/src/fields.rs
@@ -1,19 +1,19 @@
-//! The first line and the fields of a head, and how long the body is.
+//! The first line and the header fields of a head, and the length of the body.
 
 use crate::Malformed;
 
-/// How long a body is (RFC 9112, section 6.3).
+/// The length of a body (RFC 9112, section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// So many bytes.
+    /// The given number of bytes.
     Length(u64),
-    /// In chunks.
+    /// Delimited by the chunked transfer coding.
     Chunked,
-    /// As long as the connection is open.
+    /// Delimited by the close of the connection.
     UntilClose,
 }
 
-/// The version in a first line.
+/// The HTTP version in a first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Version {
     Http10,
@@ -21,8 +21,8 @@
 }
 
 impl Version {
-    pub(crate) fn read(word: &str) -> Result<Version, Malformed> {
-        match word {
+    pub(crate) fn read(text: &str) -> Result<Version, Malformed> {
+        match text {
             "HTTP/1.1" => Ok(Version::Http11),
             "HTTP/1.0" => Ok(Version::Http10),
             _ => Err(Malformed("the version is not HTTP/1.1")),
@@ -30,15 +30,15 @@
     }
 }
 
-/// The fields of a head, in their order.
+/// The header fields of a head, in their order.
 #[derive(Debug)]
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
-/// Digits of a stated length: any number of so many fits 64 bits.
+/// Maximum number of digits of a Content-Length: any number of 18 digits fits 64 bits.
 const MAX_LENGTH_DIGITS: usize = 18;
 
 impl<'a> Fields<'a> {
-    /// The values of all fields of that name, which is compared without regard to case.
+    /// The values of all fields with the given name, compared case-insensitively.
     pub(crate) fn all<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a str> + 's {
         let fields = self
             .0
@@ -47,10 +47,10 @@
         fields.map(|(_, value)| *value)
     }
 
-    /// The value of a field, where there is one.
+    /// The value of a field; `None` if the field is absent.
     ///
     /// # Errors
-    /// The field is there twice.
+    /// The field occurs more than once.
     pub fn one(&self, name: &str) -> Result<Option<&'a str>, Malformed> {
         let mut values = self.all(name);
         let value = values.next();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The value of a cookie.
+    /// The value of the cookie with the given name.
     pub fn cookie(&self, name: &str) -> Option<&'a str> {
         let pairs = self.all("cookie").flat_map(|value| value.split(';'));
         let mut cookies = pairs.filter_map(|pair| pair.trim().split_once('='));
@@ -69,23 +69,23 @@
             .map(|(_, value)| value)
     }
 
-    /// Whether a field's list has that word.
-    pub(crate) fn has_word(&self, name: &str, word: &str) -> bool {
-        let mut words = self.all(name).flat_map(|value| value.split(','));
-        words.any(|own| own.trim().eq_ignore_ascii_case(word))
+    /// Whether the comma-separated values of a field contain the token, compared case-insensitively.
+    pub(crate) fn has_token(&self, name: &str, token: &str) -> bool {
+        let mut tokens = self.all(name).flat_map(|value| value.split(','));
+        tokens.any(|own| own.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Whether the connection is to be closed behind the message (RFC 9112, section 9.3).
+    /// Whether the connection is to be closed after the message (RFC 9112, section 9.3).
     pub(crate) fn closes(&self, version: Version) -> bool {
         match version {
-            Version::Http11 => self.has_word("connection", "close"),
+            Version::Http11 => self.has_token("connection", "close"),
             Version::Http10 => {
-                self.has_word("connection", "close") || !self.has_word("connection", "keep-alive")
+                self.has_token("connection", "close") || !self.has_token("connection", "keep-alive")
             }
         }
     }
 
-    /// How long the body is, where the fields say so.
+    /// The length of the body, if the fields determine it.
     pub(crate) fn framing(&self, version: Version) -> Result<Option<Body>, Malformed> {
         let length = self.one("content-length")?;
         if let Some(coding) = self.one("transfer-encoding")? {
@@ -111,8 +111,8 @@
     }
 }
 
-/// The first line of a whole head, and its fields. `unreadable` stands in for values that can't be read, where such
-/// values are allowed.
+/// Splits a complete head into its first line and its fields. `unreadable`, if given, replaces field values that can't
+/// be read; otherwise such a value is an error.
 pub(crate) fn split_head<'a>(
     head: &'a [u8],
     unreadable: Option<&'a str>,
@@ -128,9 +128,9 @@
     }
     let mut fields = Vec::new();
     while let Some(lines) = rest {
-        let (line, behind) = split_line(lines);
+        let (line, remaining) = split_line(lines);
         fields.push(read_field(line, unreadable)?);
-        rest = behind;
+        rest = remaining;
     }
     Ok((first_line, Fields(fields)))
 }
@@ -142,7 +142,7 @@
     let colon = line.iter().position(|byte| *byte == b':');
     let colon = colon.ok_or(Malformed("a field without a colon"))?;
     let name = std::str::from_utf8(&line[..colon]).unwrap_or_default();
-    if name.is_empty() || !name.bytes().all(is_token) {
+    if name.is_empty() || !name.bytes().all(is_token_byte) {
         return Err(Malformed("a field's name is not a word"));
     }
     let value = read_value(&line[colon + 1..]).or(unreadable);
@@ -158,7 +158,7 @@
     (!value.bytes().any(is_control)).then_some(value)
 }
 
-/// The first line of several, and what follows it.
+/// The first line of `text`, and the lines after it if there are any.
 fn split_line(text: &[u8]) -> (&[u8], Option<&[u8]>) {
     match text.windows(2).position(|window| window == b"\r\n") {
         Some(end) => (&text[..end], Some(&text[end + 2..])),
@@ -166,7 +166,7 @@
     }
 }
 
-/// Whether a byte may be in a token (RFC 9110, section 5.6.2).
-pub(crate) fn is_token(byte: u8) -> bool {
+/// Whether a byte may occur in a token (RFC 9110, section 5.6.2).
+pub(crate) fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
--- a/forwarder/http1/src/head_search.rs
+++ b/forwarder/http1/src/head_search.rs
@@ -1,6 +1,6 @@
-//! Where a head ends, and whether bytes may begin a request.
+//! Search for the end of a head, and checks of the first bytes of a request.
 
-/// Looks for the end of a head. Bytes that were looked at before are not looked at again.
+/// Incremental search for the end of a head: each call resumes where the last one ended.
 #[derive(Default)]
 pub struct HeadSearch {
     searched: usize,
@@ -9,10 +9,10 @@
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 impl HeadSearch {
-    /// The length of the head with its empty line, once all of it is there. `bytes` begin with what they were in the
-    /// last call.
+    /// The length of the head including its empty line; `None` until the head is complete. `bytes` must begin with the
+    /// bytes of the last call.
     pub fn end(&mut self, bytes: &[u8]) -> Option<usize> {
-        // The end may have begun in what was looked at before.
+        // The end of the head may have started in the bytes of the last call.
         let start = self.searched.saturating_sub(HEAD_END.len() - 1);
         let found = bytes[start..]
             .windows(HEAD_END.len())
@@ -22,7 +22,7 @@
     }
 }
 
-/// How many bytes of empty lines are ahead of a message (RFC 9112, section 2.2: to be ignored ahead of a request).
+/// Length in bytes of the empty lines before a message, which are to be ignored before a request (RFC 9112, section 2.2).
 pub fn empty_lines(bytes: &[u8]) -> usize {
     2 * bytes
         .chunks_exact(2)
@@ -30,10 +30,10 @@
         .count()
 }
 
-/// The longest method that a request may begin with, in bytes.
+/// Maximum length of a request's method, in bytes.
 const MAX_METHOD_LEN: usize = 16;
 
-/// Whether these bytes can be the beginning of a request, or nothing at all.
+/// Whether the bytes can be the beginning of a request; also true if there are none.
 pub fn may_begin(bytes: &[u8]) -> bool {
     let mut words = bytes.splitn(2, |byte| *byte == b' ');
     let method = words.next().unwrap_or_default();
--- a/forwarder/http1/src/lib.rs
+++ b/forwarder/http1/src/lib.rs
@@ -1,16 +1,17 @@
-//! HTTP/1.1 messages in memory (RFC 9112): heads are found and read as bytes come in, bodies by their stated length or
-//! in chunks. Strict where laxness lets two readers disagree on where a message ends. Does no I/O.
+//! HTTP/1.1 messages in memory (RFC 9112): heads are found and parsed as bytes arrive, bodies are delimited by their
+//! Content-Length or the chunked transfer coding. Parsing is strict wherever leniency would let two parsers disagree on
+//! the end of a message. This package does no I/O.
 //!
-//! The forwarder's server owns the sockets and buffers; its client connections read requests and write responses with
-//! this package, its calls to targets the other way round.
+//! The forwarder's server owns the sockets and buffers. Its client connections read requests and write responses with
+//! this package; its calls to targets write requests and read responses.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `head_search` | where a head ends, and whether bytes may begin a request |
+//! | `head_search` | search for the end of a head, and checks of the first bytes of a request |
 //! | `request_head`, `response_head` | heads |
-//! | `fields` | their fields, and how long the body is |
-//! | `chunks` | bodies in chunks |
-//! | `write` | heads to be sent |
+//! | `fields` | header fields, and the length of the body |
+//! | `chunks` | chunked bodies |
+//! | `write` | writing of heads |
 
 mod chunks;
 mod error;
--- a/forwarder/http1/src/response_head.rs
+++ b/forwarder/http1/src/response_head.rs
@@ -3,39 +3,40 @@
 use crate::fields::{split_head, Version};
 use crate::{Body, Fields, Malformed};
 
-/// How every first line of a response begins, up to the version's number.
+/// The beginning of every status line, up to the minor version.
 const VERSION_PREFIX: &[u8] = b"HTTP/1.";
-/// The length of a first line up to its status.
+/// The length of a status line up to the end of its status.
 const STATUS_END: usize = "HTTP/1.1 200".len();
 
-/// Stands for the value of a field that can't be read. No length, coding or number reads so.
+/// Replaces a field value that can't be read. It is not a valid length, transfer coding or number.
 const UNREADABLE: &str = "?";
 
 /// The head of a response.
 #[derive(Debug)]
 pub struct ResponseHead<'a> {
-    /// From 100.
+    /// The status, at least 100.
     pub status: u16,
-    /// Its fields.
+    /// The header fields.
     pub fields: Fields<'a>,
-    /// How long the body is.
+    /// The length of the body.
     pub body: Body,
-    /// Whether the other side closes the connection behind the body.
+    /// Whether the connection is to be closed after the body.
     pub closes: bool,
 }
 
 impl<'a> ResponseHead<'a> {
-    /// Reads a whole head, its empty line included. A value that can't be read spoils only what needs it.
+    /// Parses a complete head, including its empty line. A field value that can't be read affects only what
+    /// depends on the value.
     ///
     /// # Errors
-    /// The head is not HTTP/1.x, or its first line was broken off by another.
+    /// The head is not HTTP/1.x, or its status line is interrupted by another one.
     pub fn read(head: &'a [u8]) -> Result<Self, Malformed> {
         let (line, fields) = split_head(head, Some(UNREADABLE))?;
         let status = read_status(line)?;
-        check_whole(line.as_bytes())?;
+        check_not_interrupted(line.as_bytes())?;
         let version = Version::read(line.split(' ').next().unwrap_or_default())?;
         let body = match status {
-            // These have none (RFC 9110, section 6.4.1).
+            // Responses with these statuses have no body (RFC 9110, section 6.4.1).
             100..=199 | 204 | 304 => Body::Length(0),
             _ => fields.framing(version)?.unwrap_or(Body::UntilClose),
         };
@@ -48,12 +49,13 @@
         })
     }
 
-    /// The status, once the first line is there, whatever is behind the number or follows the line. A line in which
-    /// another begins has none: its first half was no answer to this request, and the second can't be told.
+    /// The status, once the first line is complete, whatever follows the number or the line. A line in which another
+    /// status line begins has no status: its first half is not the response to this request, and the status in its
+    /// second half can't be determined.
     pub fn status_in(bytes: &[u8]) -> Option<u16> {
         let end = bytes.iter().position(|byte| *byte == b'\n')?;
         let line = &bytes[..end];
-        check_whole(line).ok()?;
+        check_not_interrupted(line).ok()?;
         let (start, rest) = line.split_at_checked(STATUS_END)?;
         if !matches!(rest.first(), None | Some(b' ' | b'\r')) {
             return None;
@@ -62,8 +64,8 @@
     }
 }
 
-/// No first line begins behind the beginning of another, which was broken off.
-fn check_whole(line: &[u8]) -> Result<(), Malformed> {
+/// Checks that no second status line begins within the line, which would mean that the first one is incomplete.
+fn check_not_interrupted(line: &[u8]) -> Result<(), Malformed> {
     let mut words = line.windows(VERSION_PREFIX.len()).skip(1);
     if words.any(|word| word == VERSION_PREFIX) {
         return Err(Malformed("a first line within another"));
--- a/forwarder/http1/src/write.rs
+++ b/forwarder/http1/src/write.rs
@@ -1,4 +1,4 @@
-//! Heads to be sent; a body follows as it is.
+//! Writing of heads. The caller sends the body after the head, unencoded.
 
 use std::fmt::Display;
 use std::io::{Result, Write};
@@ -6,7 +6,7 @@
 /// Writes the head of a request with a body of `body` bytes.
 ///
 /// # Errors
-/// Those of `out`.
+/// Errors of `out`.
 pub fn request(
     out: &mut impl Write,
     method: &str,
@@ -22,10 +22,10 @@
     )
 }
 
-/// Writes the head of a response with a body of `body` bytes; a 204 and any under 200 have none.
+/// Writes the head of a response with a body of `body` bytes; a response with a status of 204 or below 200 has no body.
 ///
 /// # Errors
-/// Those of `out`.
+/// Errors of `out`.
 pub fn response(
     out: &mut impl Write,
     status: u16,
