--- a/forwarder/http1/tests/messages.rs
+++ b/forwarder/http1/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages as peers write them, whole, torn and wrong.
+//! Parsing of complete, split and malformed messages.
 
 use plankhill_http1::{request, response, Body, Chunks, HeadSearch, RequestHead, ResponseHead};
 use rstest::rstest;
@@ -43,7 +43,7 @@
 #[case("GET  / HTTP/1.1\r\nHost: x\r\n\r\n")]
 #[case("GET / HTTP/2.0\r\nHost: x\r\n\r\n")]
 #[case("G@T / HTTP/1.1\r\nHost: x\r\n\r\n")]
-fn a_head_that_two_readers_could_read_differently_is_refused(#[case] head: &str) {
+fn a_head_that_two_parsers_could_read_differently_is_rejected(#[case] head: &str) {
     assert!(RequestHead::read(head.as_bytes()).is_err());
 }
 
@@ -103,11 +103,12 @@
 #[case("ICY 200 OK\r\n\r\n")]
 #[case("HTTP/1.1 200 OHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")]
 #[case("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")]
-fn malformed_responses_are_refused(#[case] head: &str) {
+fn malformed_responses_are_rejected(#[case] head: &str) {
     assert!(ResponseHead::read(head.as_bytes()).is_err());
 }
 
-/// Half a line of something else lay in the connection: what follows is the answer, and can't be told.
+/// The connection had half a line of other data: the response follows it in the same line, and its status can't be
+/// determined.
 #[rstest]
 #[case("HTTP/1.1 200 OHTTP/1.1 503 Full\r\n")]
 #[case("HTTP/1.1 200HTTP/1.1 200 OK\r\n")]
@@ -121,10 +122,10 @@
     for cut in 0..coded.len() {
         let mut bytes = coded.to_vec();
         let (mut chunks, mut read, mut write) = (Chunks::default(), 0, 0);
-        let whole = cut >= coded.len() - 4;
+        let complete = cut >= coded.len() - 4;
         assert_eq!(
             chunks.decode(&mut bytes, &mut read, &mut write, cut),
-            Ok(whole),
+            Ok(complete),
             "cut at {cut}"
         );
         assert_eq!(
@@ -143,7 +144,7 @@
 #[case("\r\n")]
 #[case("123456789\r\n")]
 #[case("1\r\nab\r\n")]
-fn wrong_chunks_are_refused(#[case] coded: &str) {
+fn malformed_chunks_are_rejected(#[case] coded: &str) {
     let mut bytes = coded.as_bytes().to_vec();
     let (mut read, mut write, end) = (0, 0, bytes.len());
     assert!(Chunks::default()
@@ -152,7 +153,7 @@
 }
 
 #[rstest]
-fn what_is_written_can_be_read() {
+fn written_heads_can_be_parsed() {
     let mut out = Vec::new();
     request(
         &mut out,
