--- a/forwarder/admin/src/disabled_targets.rs
+++ b/forwarder/admin/src/disabled_targets.rs
@@ -1,9 +1,9 @@
-//! Targets that operators have disabled. A target stays disabled until it is enabled, whatever the
-//! endpoint list says meanwhile: the list's word on a target is overlaid before the scheduler
-//! learns of it.
+//! Targets that operators have disabled. A target stays disabled until it is enabled, regardless of
+//! the endpoint list: the listed state of a disabled target is overridden before it is passed to the
+//! scheduler.
 //!
 //! Owned by the server's event loop, which records each change in the state folder (file `bans`)
-//! before the change is in force.
+//! before the change takes effect.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -12,39 +12,39 @@
 
 type Id = Rc<str>;
 
-/// Ids once listed are remembered, the latest this many: some replacements of every target of a
-/// large list.
+/// Number of formerly listed ids that are retained, the latest ones: enough for several replacements
+/// of every target of a large list.
 pub const MAX_FORMERLY_LISTED: usize = 16_384;
-/// First line of the record.
+/// First line of the record: its format and version.
 const FORMAT_LINE: &str = "plankhill bans 1";
 
-/// Which way a target is switched.
+/// The direction in which an operator switches a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetSwitch {
-    /// Nothing new goes to the target.
+    /// No new requests are sent to the target.
     Disable,
     /// The target may serve again.
     Enable,
 }
 
-/// What switching a target would change.
+/// The change of the record that switching a target requires.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RecordChange {
-    /// No target was ever listed under that id.
+    /// No target with that id was ever listed.
     NeverListed,
-    /// The target is in that state already.
+    /// The target is already in the requested state.
     Unchanged,
     /// The new record, to be written before [`DisabledTargets::apply`].
     Record(String),
 }
 
-/// The record cannot be read; nothing says which targets are disabled.
+/// The record cannot be read, so that the disabled targets are unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CorruptRecord {
-    /// The last line is no checksum.
+    /// The last line is not a checksum.
     #[error("the record of targets left out is damaged: it has no checksum")]
     NoChecksum,
-    /// The checksum is that of another text.
+    /// The checksum does not match the text.
     #[error("the record of targets left out is damaged: its checksum differs")]
     ChecksumMismatch,
     /// The first line names another format.
@@ -56,17 +56,17 @@
 #[derive(Default)]
 pub struct DisabledTargets {
     disabled: BTreeSet<Id>,
-    /// The endpoint list's word on each target that it names now.
+    /// The state of each target in the current endpoint list.
     listed: HashMap<Id, EndpointState>,
-    /// Ids that were listed and are not any more.
+    /// Ids that were listed and no longer are.
     formerly_listed: HashSet<Id>,
-    /// The same ids, the latest removal last.
+    /// The formerly listed ids in the order of removal, the latest last.
     by_removal: VecDeque<Id>,
 }
 
 impl DisabledTargets {
-    /// Parses a record: a line that names its format, an id a line, and a line with the CRC-32 of
-    /// all before it in hexadecimal.
+    /// Parses a record: a line that names its format, one line for each id, and a line with the
+    /// CRC-32 of all lines before it in hexadecimal.
     ///
     /// # Errors
     /// The record is truncated, changed or of another format.
@@ -103,8 +103,8 @@
         text
     }
 
-    /// What switching the target would change. Nothing is changed yet: the record is to be written
-    /// first.
+    /// The change of the record that switching the target requires. Nothing is changed yet: the new
+    /// record has to be written first.
     pub fn plan(&self, id: &str, switch: TargetSwitch) -> RecordChange {
         let is_disabled = self.is_disabled(id);
         let is_known =
@@ -118,22 +118,22 @@
                 RecordChange::Record(Self::record(self.disabled.iter().chain([&id.into()])))
             }
             TargetSwitch::Enable if is_disabled => {
-                let others = self.disabled.iter().filter(|other| &***other != id);
-                RecordChange::Record(Self::record(others))
+                let remaining = self.disabled.iter().filter(|other| &***other != id);
+                RecordChange::Record(Self::record(remaining))
             }
             TargetSwitch::Enable => RecordChange::Unchanged,
         }
     }
 
-    /// Switches the target. Returns the state that the scheduler is to have, if the list names the
-    /// target.
+    /// Switches the target. Returns the target's state for the scheduler, if the target is in the
+    /// endpoint list.
     pub fn apply(&mut self, id: &str, switch: TargetSwitch) -> Option<EndpointState> {
         match switch {
             TargetSwitch::Disable => self.disabled.insert(id.into()),
             TargetSwitch::Enable => self.disabled.remove(id),
         };
         let state = *self.listed.get(id)?;
-        Some(self.overlaid(id, state))
+        Some(self.effective_state(id, state))
     }
 
     /// Whether the target is disabled.
@@ -141,33 +141,33 @@
         self.disabled.contains(id)
     }
 
-    /// Ids of the disabled targets, in their order as texts.
+    /// Ids of the disabled targets, in lexicographic order.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         self.disabled.iter().map(|id| &**id)
     }
 
-    /// The endpoint list names the target. Returns the state that the scheduler is to have.
+    /// Records the target's state in the endpoint list. Returns the state for the scheduler.
     pub fn on_listed(&mut self, TargetId(id): &TargetId, state: EndpointState) -> EndpointState {
         if self.formerly_listed.remove(id) {
             self.by_removal.retain(|other| other != id);
         }
         self.listed.insert(id.clone(), state);
-        self.overlaid(id, state)
+        self.effective_state(id, state)
     }
 
-    /// The endpoint list names the target no more.
+    /// Records that the target was removed from the endpoint list.
     pub fn on_removed(&mut self, TargetId(id): &TargetId) {
         if self.listed.remove(id).is_some() {
             self.add_formerly_listed(id.clone());
         }
     }
 
-    /// Ids that were listed and are not any more, for a successor process.
+    /// Ids that were listed and no longer are, for a successor process.
     pub fn formerly_listed(&self) -> impl Iterator<Item = &str> {
         self.by_removal.iter().map(|id| &**id)
     }
 
-    /// The id was listed at some time. The oldest id is forgotten beyond [`MAX_FORMERLY_LISTED`].
+    /// Records an id that was listed earlier. Drops the oldest id beyond [`MAX_FORMERLY_LISTED`].
     pub fn add_formerly_listed(&mut self, id: Id) {
         if self.listed.contains_key(&id) || !self.formerly_listed.insert(id.clone()) {
             return;
@@ -180,7 +180,7 @@
         }
     }
 
-    fn overlaid(&self, id: &str, state: EndpointState) -> EndpointState {
+    fn effective_state(&self, id: &str, state: EndpointState) -> EndpointState {
         match state {
             EndpointState::Running if self.is_disabled(id) => EndpointState::Draining,
             as_listed => as_listed,
--- a/forwarder/admin/src/lib.rs
+++ b/forwarder/admin/src/lib.rs
@@ -1,6 +1,6 @@
-//! The admin API of a running forwarder: operators' requests as they are parsed, and the targets
-//! that operators have disabled. Nothing here does I/O: `forwarder/server` reads the requests,
-//! writes the record of disabled targets and tells the scheduler what follows.
+//! The admin API of a running forwarder: the parsing of operators' requests, and the targets that
+//! operators have disabled. This package does no I/O: `forwarder/server` reads the requests, writes
+//! the record of disabled targets and passes their states to the scheduler.
 
 mod disabled_targets;
 mod requests;
--- a/forwarder/admin/src/requests.rs
+++ b/forwarder/admin/src/requests.rs
@@ -1,55 +1,54 @@
-//! A request at the admin address: its method and path, parsed into what is asked. Called by the
-//! server's admin listener; the commands and replies also pass between the two processes of a hot
-//! restart.
+//! Parses requests at the admin address from their method and path. Called by the server's admin
+//! listener; the commands and replies are also sent between the two processes of a hot restart.
 
 use percent_encoding::percent_decode_str;
 use serde::{Deserialize, Serialize};
 
-/// A change that an operator orders. The serialized names are part of the hot restart's protocol.
+/// A change requested by an operator. The serialized names are part of the hot restart's protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminCommand {
-    /// `POST /-/targets/{id}/disable`: nothing new goes to the target.
+    /// `POST /-/targets/{id}/disable`: no new requests are sent to the target.
     #[serde(rename = "Disable")]
     DisableTarget(Box<str>),
     /// `POST /-/targets/{id}/enable`: the target may serve again.
     #[serde(rename = "Enable")]
     EnableTarget(Box<str>),
-    /// `POST /-/drain`: the forwarder is emptied of clients.
+    /// `POST /-/drain`: the forwarder is drained of clients.
     Drain,
-    /// `POST /-/resume`: the forwarder takes clients again.
+    /// `POST /-/resume`: the forwarder accepts clients again.
     Resume,
 }
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
     /// `GET /-/ready`: whether this process is ready to serve.
     Readiness,
-    /// A change.
+    /// A command.
     Command(AdminCommand),
 }
 
-/// What came of a command. The serialized names are part of the hot restart's protocol.
+/// The result of a command. The serialized names are part of the hot restart's protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminReply {
-    /// The command is in force and recorded, now or already before.
+    /// The command is in effect and recorded, by this request or an earlier one.
     Done,
-    /// No target was ever listed under the id.
+    /// No target with the id was ever listed.
     NeverListed,
     /// The command could not be recorded, and has no effect.
     NotRecorded,
 }
 
-/// Why a request asks for nothing that there is.
+/// The reason for which a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// No resource has this path.
     #[error("no such path")]
     UnknownPath,
-    /// The path takes another method only.
+    /// The path supports only another method.
     #[error("only {allowed} is served here")]
     MethodNotAllowed {
-        /// The one method that the path takes.
+        /// The only method that the path supports.
         allowed: &'static str,
     },
     /// The target's id is empty, too long, not UTF-8 or has a control character.
@@ -57,13 +56,13 @@
     InvalidTargetId,
 }
 
-/// Longest id of a target, in bytes: no entry of the endpoint list may hold a longer one.
+/// Longest id of a target, in bytes: no entry of the endpoint list may have a longer one.
 const MAX_TARGET_ID_BYTES: usize = 128;
 
 /// Parses a request's method and path.
 ///
 /// # Errors
-/// The path is unknown, takes another method, or names a target by an id that no target can have.
+/// The path is unknown, supports only another method, or has a target id that is not valid.
 pub fn parse_request(method: &str, path: &str) -> Result<AdminRequest, RequestError> {
     let segments: Vec<&str> = path.split('/').collect();
     let (allowed, request) = match segments[..] {
--- a/forwarder/admin/tests/admin.rs
+++ b/forwarder/admin/tests/admin.rs
@@ -1,5 +1,5 @@
-//! Parsed requests of operators, and disabled targets under any order of list changes, switches and
-//! restarts.
+//! Parsing of operators' requests, and disabled targets under any order of list changes, switches
+//! and restarts.
 
 use std::collections::{HashMap, HashSet};
 
@@ -36,12 +36,12 @@
 #[case("", "no checksum")]
 #[case("plankhill bans 1\ns\n", "no checksum")]
 #[case("plankhill bans 1\na\n00000000\n", "checksum differs")]
-fn a_corrupt_record_is_named_so(#[case] record: &str, #[case] why: &str) {
-    let said = DisabledTargets::parse(record)
+fn a_corrupt_record_is_reported(#[case] record: &str, #[case] reason: &str) {
+    let message = DisabledTargets::parse(record)
         .map(|_| ())
         .expect_err("damaged")
         .to_string();
-    assert!(said.contains(why), "{said}");
+    assert!(message.contains(reason), "{message}");
 }
 
 #[derive(Clone, Debug)]
@@ -72,8 +72,8 @@
 }
 
 proptest! {
-    /// Held against the plainest model: a disabled target is never reported as running, an enabled
-    /// one as listed.
+    /// Compares with a simple model: a disabled target is never reported as running, an enabled one
+    /// is reported as listed.
     #[test]
     fn a_target_stays_disabled_until_it_is_enabled(
         steps in proptest::collection::vec(step(), 1..60)
--- a/forwarder/admin/tests/stored_format.rs
+++ b/forwarder/admin/tests/stored_format.rs
@@ -1,4 +1,4 @@
-//! The record of disabled targets as the version in service writes it: `stored_format/bans.txt`.
+//! The record of disabled targets as the deployed version writes it: `stored_format/bans.txt`.
 
 use plankhill_admin::{DisabledTargets, RecordChange, TargetSwitch};
 use plankhill_decisions::interface::{EndpointState, TargetId};
@@ -26,7 +26,7 @@
 fn the_pinned_record_is_read() {
     let targets = DisabledTargets::parse(PINNED).expect("as written");
     assert_eq!(targets.iter().collect::<Vec<_>>(), IDS);
-    // Lifted and set again, it is the same record.
+    // Enabling and disabling a target again gives the same record.
     let mut targets = targets;
     targets.on_listed(&TargetId("ä".into()), EndpointState::Draining);
     targets.apply("ä", TargetSwitch::Enable);
