--- a/forwarder/invariants/src/checker.rs
+++ b/forwarder/invariants/src/checker.rs
@@ -1,5 +1,5 @@
-//! Observations in, violations out. Each invariant reads the same small record of events, keys,
-//! targets and lanes; the files beside this one have the invariants by subject.
+//! Checks observations, and collects violations. All invariants use the same records of events,
+//! keys, targets and lanes; the submodules implement the invariants by subject.
 
 mod attempts;
 mod bounds;
@@ -19,10 +19,10 @@
 
 pub use bounds::Bounds;
 
-/// Violations past so many are counted, not described.
+/// Violations beyond this number are counted, not described.
 const MAX_DESCRIBED_VIOLATIONS: usize = 200;
 
-/// How many events were accepted and completed.
+/// Numbers of accepted and completed events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventCounts {
     /// Events accepted so far.
@@ -41,11 +41,11 @@
     /// Key queues in the order in which their cool-downs end.
     cooldowns: VecDeque<(Ms, KeyQueueId)>,
     forwarders: BTreeMap<u32, ForwarderRecord>,
-    /// By lane with an outage, or warming up after one: the forwarders that saw a failure there.
+    /// The forwarders that observed a failure, by lane with an outage or warming up after one.
     informed: HashMap<u32, HashSet<u32>>,
     effects: HashMap<u64, AppliedEffect>,
-    /// Effects in the order in which they are forgotten.
-    effects_to_forget: VecDeque<(Ms, u64)>,
+    /// Effects in the order of the times at which their records expire.
+    effect_expiries: VecDeque<(Ms, u64)>,
     connections: HashMap<u32, TargetConnections>,
     subscribers: HashMap<u32, SubscriberServers>,
     violations: Vec<Violation>,
@@ -55,7 +55,7 @@
 }
 
 impl Checker {
-    /// A checker of a run that has not begun.
+    /// Creates a checker for a run that has not begun.
     pub fn new(bounds: Bounds) -> Self {
         Checker {
             bounds,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Takes the next observation. Observations come in the order of their time; one that does not
-    /// counts as a violation, of the reporter.
+    /// Checks the next observation. Observations must arrive in the order of their times; one that
+    /// does not is counted as a violation, which is a fault of the reporter.
     pub fn observe(&mut self, now: Ms, observation: Observation) {
         if now < self.now {
             let last = self.now;
@@ -170,12 +170,12 @@
         }
     }
 
-    /// At the end of a run: reports every event that passed its deadline without a completion,
+    /// Ends a run: reports every event that passed its deadline without a completion,
     /// unless a halted forwarder excuses that.
     pub fn finish(&mut self, now: Ms) {
         self.now = self.now.max(now);
         let is_late = |event: &PendingEvent| {
-            event.owes_completion() && event.deadline + self.bounds.rounding < now
+            event.requires_completion() && event.deadline + self.bounds.rounding < now
         };
         let late = self.events.iter().filter(|(_, event)| is_late(event));
         let late = late.filter(|(_, event)| !self.is_excused(event.accepted_by, event.deadline));
@@ -189,17 +189,17 @@
         }
     }
 
-    /// The violations in the order in which they were found; the first 200 of them.
+    /// The first 200 violations, in the order in which they were found.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// How often the invariant was violated.
+    /// Number of violations of the invariant.
     pub fn violation_count(&self, invariant: Invariant) -> u64 {
         self.violation_counts.get(&invariant).copied().unwrap_or(0)
     }
 
-    /// How many events were accepted and completed so far.
+    /// Numbers of events accepted and completed so far.
     pub fn event_counts(&self) -> EventCounts {
         EventCounts {
             accepted: self.accepted,
@@ -207,7 +207,7 @@
         }
     }
 
-    /// How many records the checker has: events, keys and effects.
+    /// Number of records that the checker retains: events, keys and effects.
     pub fn retained_entries(&self) -> usize {
         self.events.len() + self.key_queues.len() + self.effects.len()
     }
@@ -229,7 +229,7 @@
                 return;
             }
             self.cooldowns.pop_front();
-            self.forget_key_if_idle(queue);
+            self.remove_key_if_idle(queue);
         }
     }
 }
--- a/forwarder/invariants/src/checker/attempts.rs
+++ b/forwarder/invariants/src/checker/attempts.rs
@@ -1,4 +1,4 @@
-//! What goes to targets: whether an attempt or a health check may go, and how attempts end.
+//! Checks of attempts and health checks when they are sent, and of the ends of attempts.
 
 use super::records::SentAttempt;
 use super::Checker;
@@ -35,7 +35,7 @@
         self.check_key_order(number);
     }
 
-    /// Whether the attempt could make the event's effect come about a second time.
+    /// Checks that the attempt can't make the event take effect a second time.
     fn check_repeat(&mut self, number: u64, group: u32) {
         let event = &self.events[&number];
         let idempotency = event.idempotency;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether the event is the next one of its key, and the key has cooled down.
+    /// Checks that the event is the next one of its key, and that the key has cooled down.
     fn check_key_order(&mut self, number: u64) {
         let event = &self.events[&number];
         if event.is_unconfirmed {
@@ -151,6 +151,6 @@
                 self.cool_down_key(id, number);
             }
         }
-        self.forget_if_finished(number);
+        self.remove_if_finished(number);
     }
 }
--- a/forwarder/invariants/src/checker/bounds.rs
+++ b/forwarder/invariants/src/checker/bounds.rs
@@ -1,11 +1,12 @@
-//! The tolerances of the invariants.
+//! The tolerances and time limits of the invariants.
 
 use crate::observation::Ms;
 
-/// What the invariants leave open.
+/// Tolerances and time limits of the invariants.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// Milliseconds after the news of a drain in which a target may still get something new.
+    /// Milliseconds after a forwarder received a drain in which it may still send new requests to
+    /// the target.
     pub drain_grace: Ms,
     /// Milliseconds for which a key cools down after an attempt of it was cut short.
     pub key_cooldown: Ms,
@@ -13,16 +14,16 @@
     /// passed while it was halted.
     pub resumption_grace: Ms,
     /// With replication: milliseconds after its forwarder halted in which an event may be completed
-    /// late, as a successor has it by then. Without replication (`None`) a halted forwarder excuses
-    /// all that it owes.
+    /// late, since a successor has taken it over by then. Without replication (`None`) a halted
+    /// forwarder excuses all of its pending events.
     pub takeover_within: Option<Ms>,
-    /// The share of an overload that must come from forwarders that saw the outage, to be their
-    /// fault.
+    /// The share of an overload's load that must come from forwarders that observed the outage, for
+    /// the overload to be a violation.
     pub informed_share: f64,
-    /// Milliseconds for which an effect is remembered: past all that its client may still submit
-    /// again.
+    /// Milliseconds for which the record of an effect is retained: longer than its client may still
+    /// submit the event again.
     pub effects_remembered_for: Ms,
-    /// Milliseconds of slack for times that were rounded on their way.
+    /// Tolerance in milliseconds for times that were rounded when they were reported.
     pub rounding: Ms,
 }
 
--- a/forwarder/invariants/src/checker/completion.rs
+++ b/forwarder/invariants/src/checker/completion.rs
@@ -1,4 +1,4 @@
-//! The life of an accepted event: acceptance, completion, and when its record is forgotten.
+//! The lifecycle of an accepted event: acceptance, completion, and removal of its record.
 
 use super::records::{KeyQueueId, PendingEvent, SentAttempt};
 use super::Checker;
@@ -57,7 +57,7 @@
         let event = self.events.get_mut(&number).expect("was found above");
         event.is_completed = true;
         event.awaits_acknowledgement = by_notification;
-        self.forget_if_finished(number);
+        self.remove_if_finished(number);
     }
 
     fn check_deadline(&mut self, number: u64) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The client of a rejected event may submit it again: only where that does no harm.
+    /// Checks that an event is rejected only if its client may submit it again without harm.
     fn check_rejection(&mut self, number: u64, completion: Completion) {
         let event = &self.events[&number];
         let may_run_again =
@@ -85,7 +85,7 @@
     pub(super) fn acknowledge(&mut self, number: u64) {
         if let Some(event) = self.events.get_mut(&number) {
             event.awaits_acknowledgement = false;
-            self.forget_if_finished(number);
+            self.remove_if_finished(number);
         }
     }
 
@@ -95,11 +95,11 @@
             event.awaits_acknowledgement = false;
             event.in_flight = false;
             self.completed += 1;
-            self.forget_if_finished(number);
+            self.remove_if_finished(number);
         }
     }
 
-    /// Whether the forwarder could not act at the deadline, and has not had the time to since.
+    /// Whether the forwarder was halted at the deadline, and has not had enough time since then.
     pub(super) fn is_excused(&self, forwarder: u32, deadline: Ms) -> bool {
         let Some(record) = self.forwarders.get(&forwarder) else {
             return false;
@@ -109,10 +109,10 @@
         };
         let grace = self.bounds.resumption_grace;
         if let Some(takeover_within) = self.bounds.takeover_within {
-            let successor_has_it = halt.began.max(deadline) + takeover_within;
-            let forwarder_has_it_back = halt.ended + grace;
+            let takeover_ends = halt.began.max(deadline) + takeover_within;
+            let resumption_ends = halt.ended + grace;
             return halt.began <= deadline + grace
-                && self.now <= successor_has_it.min(forwarder_has_it_back);
+                && self.now <= takeover_ends.min(resumption_ends);
         }
         let had_no_time = record.is_halted || self.now <= halt.ended + grace;
         had_no_time && deadline + grace >= halt.began
@@ -129,7 +129,7 @@
         }
     }
 
-    pub(super) fn forget_if_finished(&mut self, number: u64) {
+    pub(super) fn remove_if_finished(&mut self, number: u64) {
         let Some(event) = self.events.get(&number) else {
             return;
         };
@@ -144,10 +144,11 @@
         if let Some(queue) = self.key_queues.get_mut(&id) {
             queue.events.retain(|&queued| queued != number);
         }
-        self.forget_key_if_idle(id);
+        self.remove_key_if_idle(id);
     }
 
-    /// An attempt of the event was cut short and may still be executing.
+    /// Starts the cool-down of the key of an event whose attempt was cut short and may still be
+    /// executing.
     pub(super) fn cool_down_key(&mut self, id: KeyQueueId, number: u64) {
         let Some(queue) = self.key_queues.get_mut(&id) else {
             return;
@@ -158,7 +159,7 @@
         self.cooldowns.push_back((ends, id));
     }
 
-    pub(super) fn forget_key_if_idle(&mut self, id: KeyQueueId) {
+    pub(super) fn remove_key_if_idle(&mut self, id: KeyQueueId) {
         let Some(queue) = self.key_queues.get(&id) else {
             return;
         };
--- a/forwarder/invariants/src/checker/effects.rs
+++ b/forwarder/invariants/src/checker/effects.rs
@@ -1,4 +1,4 @@
-//! What came about at destinations: effects, and overloads.
+//! Effects and overloads at destinations.
 
 use super::records::AppliedEffect;
 use super::Checker;
@@ -7,19 +7,19 @@
 
 impl Checker {
     pub(super) fn apply_effect(&mut self, event: u64, origin: u64, idempotency: Idempotency) {
-        self.forget_old_effects();
+        self.remove_expired_effects();
         if idempotency == Idempotency::Idempotent {
             return;
         }
         let Some(first) = self.effects.get(&origin) else {
             let at = self.now;
             self.effects.insert(origin, AppliedEffect { at, event });
-            let forgotten_at = self.now + self.bounds.effects_remembered_for;
-            self.effects_to_forget.push_back((forgotten_at, origin));
+            let expires_at = self.now + self.bounds.effects_remembered_for;
+            self.effect_expiries.push_back((expires_at, origin));
             return;
         };
-        // Retries of a deduplicated event are judged when they are sent; a client that submits an
-        // event again answers for that itself.
+        // Retries of a deduplicated event are checked when they are sent; a repeat that a client
+        // submits is the client's own responsibility.
         if idempotency == Idempotency::NonIdempotent {
             let description = format!(
                 "binding effect {origin} came about twice: event {} at {:.3} ms, event {event}",
@@ -29,18 +29,18 @@
         }
     }
 
-    fn forget_old_effects(&mut self) {
-        while let Some(&(forgotten_at, origin)) = self.effects_to_forget.front() {
-            if forgotten_at >= self.now {
+    fn remove_expired_effects(&mut self) {
+        while let Some(&(expires_at, origin)) = self.effect_expiries.front() {
+            if expires_at >= self.now {
                 return;
             }
-            self.effects_to_forget.pop_front();
+            self.effect_expiries.pop_front();
             self.effects.remove(&origin);
         }
     }
 
-    /// A lane that was warming up fell over: a violation if most of the load came from forwarders
-    /// that had seen the outage.
+    /// Checks an overload of a lane that was warming up: a violation if at least
+    /// `Bounds::informed_share` of the load came from forwarders that had observed the outage.
     pub(super) fn check_overload(&mut self, lane: u32, load: &[(u32, f64)]) {
         let Some(informed) = self.informed.get(&lane) else {
             return;
--- a/forwarder/invariants/src/checker/fleet.rs
+++ b/forwarder/invariants/src/checker/fleet.rs
@@ -1,12 +1,12 @@
-//! What holds over all forwarders of a fleet together.
+//! Invariants over all forwarders of a fleet together.
 
 use super::Checker;
 use crate::invariant::Invariant;
 use crate::observation::Ms;
 
 impl Checker {
-    /// The client heard no answer and has to take the next step itself. The event holds back no
-    /// other of its key.
+    /// Marks an event whose client received no response and has to take the next step itself. The
+    /// event delays no other event of its key.
     pub(super) fn mark_unconfirmed(&mut self, number: u64) {
         let Some(event) = self.events.get_mut(&number) else {
             return;
@@ -84,14 +84,15 @@
         }
     }
 
-    /// At the end of a run whose forwarders all work again and that waited for it: every accepted
-    /// event has its completion, whatever its deadline, and each subscriber its server.
+    /// Ends a run in which all forwarders have recovered and have had time to catch up: reports
+    /// every accepted event without a completion, whatever its deadline, and every subscriber
+    /// without a server.
     pub fn finish_after_recovery(&mut self, now: Ms) {
         self.now = self.now.max(now);
         let lost = self
             .events
             .iter()
-            .filter(|(_, event)| event.owes_completion());
+            .filter(|(_, event)| event.requires_completion());
         let mut lost: Vec<u64> = lost.map(|(&number, _)| number).collect();
         lost.sort_unstable();
         for number in lost {
--- a/forwarder/invariants/src/checker/records.rs
+++ b/forwarder/invariants/src/checker/records.rs
@@ -1,5 +1,4 @@
-//! What the checker remembers of an event, a key, a forwarder, an effect, a target and a
-//! subscriber.
+//! The checker's records of events, keys, forwarders, effects, targets and subscribers.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -15,7 +14,7 @@
 /// An accepted event whose record is still needed.
 pub(super) struct PendingEvent {
     /// The forwarder that accepted the event. The event stays in that forwarder's queue of its key,
-    /// whoever owns the event now.
+    /// whichever forwarder owns the event now.
     pub(super) accepted_by: u32,
     pub(super) idempotency: Idempotency,
     pub(super) key: Option<u64>,
@@ -26,8 +25,8 @@
     pub(super) last_attempt: SentAttempt,
     pub(super) is_completed: bool,
     pub(super) awaits_acknowledgement: bool,
-    /// The client heard no answer: the event may have been accepted or not, and no completion is
-    /// owed.
+    /// The client received no response: the event may have been accepted or not, and no completion
+    /// is required.
     pub(super) is_unconfirmed: bool,
 }
 
@@ -37,12 +36,12 @@
         self.key.map(|key| KeyQueueId { forwarder, key })
     }
 
-    pub(super) fn owes_completion(&self) -> bool {
+    pub(super) fn requires_completion(&self) -> bool {
         !self.is_completed && !self.is_unconfirmed
     }
 }
 
-/// Names the queue of one order key at one forwarder.
+/// Identifies the queue of one order key at one forwarder.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct KeyQueueId {
     pub(super) forwarder: u32,
@@ -58,25 +57,25 @@
     pub(super) cooldown_for: u64,
 }
 
-/// The last time that a forwarder could not act.
+/// The last period in which a forwarder was halted.
 pub(super) struct Halt {
     pub(super) began: Ms,
     /// Infinite while the forwarder is halted.
     pub(super) ended: Ms,
 }
 
-/// What a forwarder was told, and whether it can act.
+/// The drains and retry-afters that a forwarder received, and its halts.
 #[derive(Default)]
 pub(super) struct ForwarderRecord {
     pub(super) is_halted: bool,
     pub(super) last_halt: Option<Halt>,
-    /// Draining targets, by when the forwarder learned of that.
+    /// Draining targets, with the time at which the forwarder received the drain.
     pub(super) draining_since: HashMap<u32, Ms>,
-    /// Ends of retry-afters by lane.
+    /// Times at which retry-afters end, by lane.
     pub(super) retry_after_ends: HashMap<u32, Ms>,
 }
 
-/// The first time that an effect came about.
+/// The first occurrence of an effect.
 pub(super) struct AppliedEffect {
     pub(super) at: Ms,
     pub(super) event: u64,
@@ -89,7 +88,8 @@
     pub(super) open_by_forwarder: HashMap<u32, u32>,
 }
 
-/// The forwarders that serve a subscriber. The first one is the one that should.
+/// The forwarders that serve a subscriber, in the order in which they started. Only the first one
+/// should.
 #[derive(Default)]
 pub(super) struct SubscriberServers {
     pub(super) forwarders: Vec<u32>,
--- a/forwarder/invariants/src/invariant.rs
+++ b/forwarder/invariants/src/invariant.rs
@@ -2,39 +2,39 @@
 
 use crate::observation::Ms;
 
-/// What has to hold in every run.
+/// A property that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// Every accepted event is completed once, before its deadline.
     CompletedOnce,
-    /// No event has its effect twice, or could have.
+    /// No event takes effect twice, or could have taken effect twice.
     NoDuplicateEffect,
-    /// Nothing new is sent to a target that drains.
+    /// No new requests are sent to a draining target.
     DrainsRespected,
-    /// No destination that comes back is overloaded by forwarders that saw its outage.
+    /// No destination that recovers is overloaded by forwarders that observed its outage.
     NoOverloadAfterOutage,
-    /// Events of one order key go in order, and with a cool-down after an attempt that was cut
+    /// Events of one order key are sent in order, with a cool-down after an attempt that was cut
     /// short.
     KeyOrder,
     /// Nothing is sent before a retry-after has ended.
     RetryAftersRespected,
     /// No accepted event is lost with a machine.
     NoAcceptedEventLost,
-    /// Forwarders together keep to a target's limit of connections.
+    /// All forwarders together stay within a target's connection limit.
     WithinConnectionLimit,
     /// Each subscriber is served by one forwarder.
     OneServerPerSubscriber,
 }
 
 impl Invariant {
-    /// The invariants over several forwarders, beside those of each.
+    /// The invariants over several forwarders, in addition to those of each.
     pub const FLEET: [Invariant; 3] = [
         Invariant::NoAcceptedEventLost,
         Invariant::WithinConnectionLimit,
         Invariant::OneServerPerSubscriber,
     ];
 
-    /// The six invariants of a forwarder.
+    /// The six invariants of each forwarder.
     pub const ALL: [Invariant; 6] = [
         Invariant::CompletedOnce,
         Invariant::NoDuplicateEffect,
@@ -60,13 +60,13 @@
     }
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Milliseconds on the clock of the run.
+    /// Time of the violation, in milliseconds on the clock of the run.
     pub at: Ms,
-    /// The invariant.
+    /// The invariant that was violated.
     pub invariant: Invariant,
-    /// What happened, with its numbers. Part of the emulator's output.
+    /// Description of the violation, with its figures. Part of the emulator's output.
     pub description: String,
 }
--- a/forwarder/invariants/src/observation.rs
+++ b/forwarder/invariants/src/observation.rs
@@ -1,10 +1,10 @@
-//! What can happen, as far as an invariant asks for it. Events, targets, lanes and forwarders have
-//! numbers that the reporter chooses.
+//! Observations of a run, as far as the invariants need them. Events, targets, lanes and forwarders
+//! have numbers that the reporter chooses.
 
 /// Milliseconds with fractions.
 pub type Ms = f64;
 
-/// What a repeat of an event does at its destination.
+/// The effect of a repeat of an event at its destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
     /// A repeat does no harm.
@@ -13,7 +13,7 @@
     Deduplicated {
         /// Milliseconds after the first attempt in which a repeat is recognized.
         window: Ms,
-        /// Repeats are recognized in one group of targets only, not in all.
+        /// Whether repeats are recognized in one group of targets only, not in all.
         one_group: bool,
     },
     /// A repeat may have its effect a second time.
@@ -21,7 +21,7 @@
 }
 
 impl Idempotency {
-    /// Whether a client may submit an event again that may have run.
+    /// Whether a client may submit an event again after the event may have run.
     pub(crate) fn allows_resubmission(self) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -31,7 +31,7 @@
     }
 }
 
-/// How an event was completed.
+/// The result with which an event was completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
     /// Delivered.
@@ -42,39 +42,39 @@
     Abandoned,
 }
 
-/// How an attempt ended for the forwarder that made it.
+/// The result of an attempt for the forwarder that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// Answered with success.
     Delivered,
-    /// Surely not executed: rejected, not connected, cancelled unsent.
+    /// Certainly not executed: rejected, not connected, cancelled unsent.
     NotExecuted,
-    /// Answered with an error: may have run, and is over at the destination.
+    /// Answered with an error: may have run, and is no longer executing at the destination.
     Error,
     /// Timed out, reset or cancelled: may have run, and may still be executing.
     CutShort,
 }
 
-/// One entry of a run's history.
+/// An entry in the history of a run.
 #[derive(Clone, Debug)]
 pub enum Observation {
-    /// A forwarder accepted an event and owes its completion.
+    /// A forwarder accepted an event and has to complete it.
     Accepted {
         /// The forwarder that accepted the event.
         forwarder: u32,
         /// The event.
         event: u64,
-        /// The same for all events that stand for one effect at the destination, as when a client
-        /// submits an event again.
+        /// Identifies the effect at the destination: the same for all events with one effect, such
+        /// as an event that its client submits again.
         origin: u64,
-        /// What a repeat does.
+        /// The effect of a repeat.
         idempotency: Idempotency,
         /// The order key.
         key: Option<u64>,
-        /// When the event has to be completed.
+        /// Time by which the event has to be completed.
         deadline: Ms,
     },
-    /// The first byte of a call with this event leaves.
+    /// The first byte of a call with this event is sent.
     AttemptSent {
         /// The sender.
         forwarder: u32,
@@ -84,10 +84,10 @@
         target: u32,
         /// The group of targets in which repeats are recognized.
         group: u32,
-        /// The targets that share one limit and one retry-after.
+        /// The lane: the targets that share one limit and one retry-after.
         lane: u32,
     },
-    /// A health check leaves.
+    /// A health check is sent.
     HealthCheckSent {
         /// The sender.
         forwarder: u32,
@@ -102,7 +102,7 @@
         forwarder: u32,
         /// The event.
         event: u64,
-        /// How the attempt ended.
+        /// The result of the attempt.
         outcome: AttemptEnd,
     },
     /// An event was completed.
@@ -111,10 +111,10 @@
         forwarder: u32,
         /// The event.
         event: u64,
-        /// How the event was completed.
+        /// The result of the event.
         completion: Completion,
-        /// The completion counts only with the [`Observation::CompletionAcknowledged`] that
-        /// follows.
+        /// Whether the client is notified of the completion, which then counts only with the
+        /// following [`Observation::CompletionAcknowledged`].
         by_notification: bool,
     },
     /// The client acknowledged the notification of a completion.
@@ -122,25 +122,25 @@
         /// The event.
         event: u64,
     },
-    /// The effect of the event came about at its destination.
+    /// The event took effect at its destination.
     EffectApplied {
         /// The event.
         event: u64,
         /// The effect, as in [`Observation::Accepted`].
         origin: u64,
-        /// What a repeat does.
+        /// The effect of a repeat.
         idempotency: Idempotency,
     },
-    /// A forwarder learned from the endpoint list of a target's state.
+    /// A forwarder received a target's state from the endpoint list.
     EndpointListed {
         /// The forwarder.
         forwarder: u32,
         /// The target.
         target: u32,
-        /// The target drains or is removed; otherwise it takes calls.
+        /// Whether the target is draining or removed; otherwise it accepts calls.
         is_draining: bool,
     },
-    /// A forwarder was asked to send nothing to the lane before then.
+    /// A forwarder received a retry-after: it must send nothing to the lane before the given time.
     RetryAfterReceived {
         /// The forwarder.
         forwarder: u32,
@@ -161,7 +161,7 @@
         /// The lane.
         lane: u32,
     },
-    /// A lane that was warming up fell over.
+    /// A lane that was warming up was overloaded.
     Overloaded {
         /// The lane.
         lane: u32,
@@ -173,7 +173,7 @@
         /// The lane.
         lane: u32,
     },
-    /// The forwarder cannot act: it is dead or stalled. It still owes what it owed.
+    /// The forwarder cannot act: it has ended or is stalled. Its events still have to be completed.
     Halted {
         /// The forwarder.
         forwarder: u32,
@@ -182,11 +182,11 @@
     Resumed {
         /// The forwarder.
         forwarder: u32,
-        /// It is a new process, which does not know the retry-afters of the last.
+        /// Whether the forwarder is a new process, without the retry-afters of the last one.
         is_new_process: bool,
     },
-    /// The client of an event heard no answer to its submission. Whether the event was accepted is
-    /// open, and no completion is owed. All else holds for the event.
+    /// The client of an event received no response to its submission. The event may have been
+    /// accepted or not, and need not be completed. All other invariants apply to the event.
     AcceptanceUnconfirmed {
         /// The event.
         event: u64,
@@ -219,14 +219,14 @@
         /// The subscriber.
         subscriber: u32,
     },
-    /// The forwarder does so no more.
+    /// The forwarder no longer sends the subscriber its copies of broadcasts.
     ServiceEnded {
         /// The forwarder.
         forwarder: u32,
         /// The subscriber.
         subscriber: u32,
     },
-    /// The event was lost with the forwarder's machine, and its client knows.
+    /// The event was lost with the forwarder's machine, and its client is informed.
     EventLost {
         /// The event.
         event: u64,
