--- a/forwarder/invariants/tests/planted.rs
+++ b/forwarder/invariants/tests/planted.rs
@@ -1,5 +1,5 @@
-//! A violation of every invariant is planted in an otherwise clean run and must be found, and
-//! nothing else.
+//! Runs with one planted violation, of every invariant: the checker must report that violation and
+//! no other. Similar runs without a violation must pass.
 
 use plankhill_invariants::{
     AttemptEnd, Bounds, Checker, Completion, EventCounts, Idempotency, Invariant, Ms, Observation,
@@ -71,11 +71,11 @@
     }
 }
 
-fn completed(event: u64, end: Completion) -> Observation {
+fn completed(event: u64, completion: Completion) -> Observation {
     Observation::Completed {
         forwarder: 1,
         event,
-        completion: end,
+        completion,
         by_notification: false,
     }
 }
@@ -94,7 +94,7 @@
 }
 
 #[rstest]
-fn a_clean_run_violates_nothing_and_leaves_nothing_behind() {
+fn a_valid_run_has_no_violations_and_its_records_are_removed() {
     let mut checker = Checker::new(Bounds {
         effects_remembered_for: 1000.0,
         ..bounds()
@@ -130,7 +130,7 @@
     );
     assert!(
         checker.retained_entries() <= 3,
-        "{} things are kept",
+        "{} records are retained",
         checker.retained_entries()
     );
 }
@@ -174,7 +174,7 @@
     assert_eq!(violated(observations), [invariant]);
 }
 
-/// The same as a violation above, but for the one thing that makes it allowed.
+/// Each run differs from a violation above only in the condition that makes it valid.
 #[rstest]
 #[case::a_retry_after_for_another_lane(vec![accepted(1, NON_IDEMPOTENT, None), Observation::RetryAfterReceived { forwarder: 1, lane: 2, until: 900.0 }, sent(1)])]
 #[case::a_retry_after_of_another_forwarder(vec![accepted(1, NON_IDEMPOTENT, None), Observation::RetryAfterReceived { forwarder: 2, lane: 1, until: 900.0 }, sent(1)])]
@@ -185,7 +185,7 @@
     Observation::OutageBegan { lane: 1 }, Observation::FailureObserved { forwarder: 1, lane: 1 },
     Observation::Overloaded { lane: 1, load: vec![(1, 2.0), (2, 8.0)] },
 ])]
-fn what_is_allowed_is_no_violation(#[case] observations: Vec<Observation>) {
+fn a_permitted_run_has_no_violations(#[case] observations: Vec<Observation>) {
     assert_eq!(violated(observations), []);
 }
 
@@ -207,10 +207,10 @@
 }
 
 #[rstest]
-#[case::nobody_stopped_it(vec![], 1)]
+#[case::no_forwarder_was_halted(vec![], 1)]
 #[case::it_was_halted(vec![(9_000.0, Observation::Halted { forwarder: 1 })], 0)]
 #[case::another_was_halted(vec![(9_000.0, Observation::Halted { forwarder: 2 })], 1)]
-#[case::it_had_time_since(vec![
+#[case::it_had_time_after_its_halt(vec![
     (9_000.0, Observation::Halted { forwarder: 1 }), (11_000.0, Observation::Resumed { forwarder: 1, is_new_process: true }),
 ], 1)]
 fn an_event_without_a_completion_is_found(
@@ -250,7 +250,7 @@
 #[case::two_servers(vec![
     Observation::ServiceStarted { forwarder: 1, subscriber: 4 }, Observation::ServiceStarted { forwarder: 2, subscriber: 4 },
 ], Invariant::OneServerPerSubscriber)]
-#[case::a_stranger_ends_the_service(vec![
+#[case::another_forwarder_ends_the_service(vec![
     Observation::ServiceStarted { forwarder: 1, subscriber: 4 }, Observation::ServiceEnded { forwarder: 2, subscriber: 4 },
 ], Invariant::OneServerPerSubscriber)]
 fn a_violation_between_forwarders_is_found(
@@ -261,11 +261,11 @@
 }
 
 #[rstest]
-#[case::the_successor_goes_on_in_order(vec![
+#[case::the_successor_continues_in_order(vec![
     accepted(1, DEDUPLICATED, Some(5)), accepted(2, NON_IDEMPOTENT, Some(5)), sent_by(1, 1), attempt_ended(1, AttemptEnd::Error),
     sent_by(2, 1), attempt_ended(1, AttemptEnd::Delivered), completed(1, Completion::Completed), sent_by(2, 2),
 ])]
-#[case::an_unconfirmed_event_holds_back_no_other(vec![
+#[case::an_unconfirmed_event_delays_no_other(vec![
     accepted(1, NON_IDEMPOTENT, Some(5)), Observation::AcceptanceUnconfirmed { event: 1 }, accepted(2, NON_IDEMPOTENT, Some(5)), sent_by(1, 2),
 ])]
 #[case::a_connection_that_moved(vec![
@@ -276,7 +276,7 @@
     Observation::ServiceStarted { forwarder: 1, subscriber: 4 }, Observation::ServiceEnded { forwarder: 1, subscriber: 4 },
     Observation::ServiceStarted { forwarder: 2, subscriber: 4 },
 ])]
-fn what_is_allowed_between_forwarders_is_no_violation(#[case] observations: Vec<Observation>) {
+fn a_permitted_run_of_several_forwarders_has_no_violations(#[case] observations: Vec<Observation>) {
     assert_eq!(violated(observations), []);
 }
 
@@ -284,7 +284,7 @@
 #[case::accepted_and_not_completed(vec![accepted(1, NON_IDEMPOTENT, None)], &[Invariant::NoAcceptedEventLost])]
 #[case::completed(vec![accepted(1, NON_IDEMPOTENT, None), completed(1, Completion::Rejected)], &[])]
 #[case::never_confirmed(vec![accepted(1, NON_IDEMPOTENT, None), Observation::AcceptanceUnconfirmed { event: 1 }], &[])]
-#[case::served_by_nobody(vec![
+#[case::served_by_no_forwarder(vec![
     Observation::ServiceStarted { forwarder: 1, subscriber: 4 }, Observation::ServiceEnded { forwarder: 1, subscriber: 4 },
 ], &[Invariant::OneServerPerSubscriber])]
 fn after_recovery_every_accepted_event_is_completed(
@@ -304,7 +304,7 @@
     assert_eq!(invariants, violated);
 }
 
-/// With replication a machine that stays gone is no excuse: a successor has what it owed.
+/// With replication a halt excuses late completions only until a successor has taken the events over.
 #[rstest]
 #[case::the_successor_has_had_its_time(Some(2_000.0), 13_000.0, 1)]
 #[case::the_successor_has_some_time_left(Some(2_000.0), 11_500.0, 0)]
