--- a/forwarder/simulator-adapter/src/decision_writer.rs
+++ b/forwarder/simulator-adapter/src/decision_writer.rs
@@ -1,4 +1,5 @@
-//! Decisions in the wire's words and units. Spans are rounded up to whole microseconds, so that none ends early.
+//! Encodes decisions in the names and units of the wire format. Durations are rounded up to whole microseconds, so that
+//! none ends early.
 
 use plankhill_decisions::interface::{Effects, EventId, Ms, TargetId};
 use serde_json::{json, Value};
@@ -14,7 +15,7 @@
 }
 
 impl DecisionWriter {
-    /// Further decisions are those of that forwarder.
+    /// Sets the forwarder that makes the decisions that follow.
     pub fn set_instance(&mut self, instance: u64) {
         self.instance = instance;
     }
@@ -24,15 +25,15 @@
         self.decisions
     }
 
-    /// Asks for a timer event with that label.
+    /// Requests a timer event with the given label after `delay`.
     pub fn set_timer(&mut self, delay: Ms, label: u64) {
         let after = whole_micros(delay);
         self.decisions
             .push(json!({"cmd": "defer", "who": self.instance, "afterUs": after, "label": label}));
     }
 
-    /// Asks for the endpoint list.
-    pub fn ask_for_list(&mut self) {
+    /// Requests the endpoint list.
+    pub fn request_list(&mut self) {
         self.decisions
             .push(json!({"cmd": "track", "who": self.instance, "enable": true}));
     }
@@ -70,10 +71,10 @@
             .push(json!({"cmd": "hangUp", "who": self.instance, "target": &*target.0}));
     }
 
-    /// The simulator writes a call at once.
+    /// Does nothing: the simulator writes each call at once.
     fn cancel_unsent(&mut self, _: &TargetId) {}
 
-    /// Nothing outlasts a simulated forwarder.
+    /// Does nothing: a simulated forwarder has no persistent state.
     fn record_warm_up(&mut self, _: &TargetId, _: Ms, _: f64) {}
 
     fn wake_after(&mut self, delay: Ms) {
@@ -81,6 +82,6 @@
     }
 }
 
-fn whole_micros(span: Ms) -> i64 {
-    (span * 1000.0).ceil() as i64
+fn whole_micros(duration: Ms) -> i64 {
+    (duration * 1000.0).ceil() as i64
 }
--- a/forwarder/simulator-adapter/src/error.rs
+++ b/forwarder/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a batch: each message names its line and the faulty field; nothing is guessed.
+//! Errors in a batch. Each message names the line and the faulty field; no missing or malformed value is guessed.
 
 use std::io;
 
@@ -10,26 +10,26 @@
 pub struct AdapterError {
     /// Number of the line, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The error in the line.
     pub error: BatchError,
 }
 
-/// What is wrong with a batch.
+/// An error in a batch.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// The input failed.
+    /// The input cannot be read.
     #[error("cannot be read: {0}")]
     Read(io::Error),
-    /// The output failed.
+    /// The output cannot be written.
     #[error("reply cannot be written: {0}")]
     Write(io::Error),
-    /// The line is no JSON.
+    /// The line is not JSON.
     #[error("not a JSON value: {0}")]
     NotJson(serde_json::Error),
-    /// The line is JSON, but no object.
+    /// The line is JSON, but not an object.
     #[error("a batch is an object")]
     NotAnObject,
-    /// There is no list of events.
+    /// The list of events is missing.
     #[error("arrivals: a list is missing")]
     NoArrivals,
     /// A field of the batch is missing or malformed.
@@ -40,27 +40,27 @@
     Arrival {
         /// Position of the event in its batch.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the event.
         error: ArrivalError,
     },
-    /// A forwarder that has events in the batch does not run any more.
+    /// A forwarder that has events in the batch no longer runs.
     #[error("who: instance {0} is gone")]
     InstanceGone(u64),
 }
 
-/// What is wrong with an event.
+/// An error in an event.
 #[derive(Debug, thiserror::Error)]
 pub enum ArrivalError {
-    /// The event is no object.
+    /// The event is not an object.
     #[error("an event is an object")]
     NotAnObject,
-    /// A field is missing, malformed, or names what the environment does not have.
+    /// A field is missing or malformed, or has a name that is not in the environment.
     #[error("{0}")]
     Field(String),
-    /// The event's kind is none of the protocol's.
+    /// The event's kind is not in the protocol.
     #[error("unknown event {0:?}")]
     UnknownCommand(String),
-    /// The event is for a forwarder that does not run.
+    /// The event is for a forwarder that is not running.
     #[error("{command}: instance {instance} was never started")]
     NeverStarted {
         /// The event's kind.
@@ -68,15 +68,15 @@
         /// The forwarder.
         instance: u64,
     },
-    /// The event names an event or target that its forwarder does not know.
+    /// The event has the id of an event or target that is unknown to its forwarder.
     #[error("{command}: {kind} was never named to this instance")]
     UnknownId {
         /// The event's kind.
         command: String,
-        /// What is not known.
+        /// The kind of the unknown id.
         kind: &'static str,
     },
-    /// The list event's mode is none of the protocol's.
+    /// The list event's mode is not in the protocol.
     #[error("fleet: unknown mode {0:?}")]
     UnknownListMode(String),
     /// The list event names no page.
@@ -90,16 +90,16 @@
     Item {
         /// Position of the entry in its page.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the entry.
         error: ItemError,
     },
-    /// The state code is none of the protocol's.
+    /// The state code is not in the protocol.
     #[error("stateCode: unknown code {0}")]
     UnknownStateCode(u64),
 }
 
 impl ArrivalError {
-    /// An id that the scheduler does not know.
+    /// Makes an error from an id that is unknown to the scheduler.
     pub fn unknown_id(command: &str, UnknownId(kind): UnknownId) -> Self {
         ArrivalError::UnknownId {
             command: command.to_owned(),
@@ -108,26 +108,26 @@
     }
 }
 
-/// What is wrong with an entry of a page.
+/// An error in an entry of a page.
 #[derive(Debug, thiserror::Error)]
 pub enum ItemError {
-    /// The entry is no object.
+    /// The entry is not an object.
     #[error("not an object")]
     NotAnObject,
-    /// A field is missing, malformed, or names what the environment does not have.
+    /// A field is missing or malformed, or has a name that is not in the environment.
     #[error("{0}")]
     Field(String),
-    /// The target's mode is none of the protocol's.
+    /// The target's mode is not in the protocol.
     #[error("unknown mode {0:?}")]
     UnknownMode(String),
 }
 
-/// Makes an error of a field's message, which names the field.
+/// Makes an event's error from a message that names the field.
 pub fn field<E: ToString>(error: E) -> ArrivalError {
     ArrivalError::Field(error.to_string())
 }
 
-/// Makes an error of a field's message, which names the field.
+/// Makes an entry's error from a message that names the field.
 pub fn item_field<E: ToString>(error: E) -> ItemError {
     ItemError::Field(error.to_string())
 }
--- a/forwarder/simulator-adapter/src/host.rs
+++ b/forwarder/simulator-adapter/src/host.rs
@@ -16,24 +16,24 @@
 use crate::inputs::apply_arrival;
 use crate::subscription::Subscription;
 
-/// Label of the timer at which the endpoint list is asked for; those of the scheduler's timers are 0.
+/// Label of the timer for requests of the endpoint list; the scheduler's timers have label 0.
 const SUBSCRIPTION_TIMER: u64 = 1;
 
 /// A page of the endpoint list, shared by the forwarders that receive it.
 pub type Page = Rc<Vec<Value>>;
 
-/// All simulated forwarders, by their numbers, and the pages of endpoint lists.
+/// The simulated forwarders and the pages of endpoint lists, by their numbers.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
     pages: BTreeMap<u64, Page>,
 }
 
-/// One simulated forwarder.
+/// A simulated forwarder.
 struct Instance {
     scheduler: Scheduler,
     names: Names,
-    /// Where the endpoint list is sent only when asked for.
+    /// Present if the endpoint list is sent only on request.
     subscription: Option<Subscription>,
 }
 
@@ -42,18 +42,18 @@
     /// Position in the batch.
     index: usize,
     event: &'a Object,
-    /// The page that the event's list number meant at that position.
+    /// The page to which the event's list number referred at that position in the batch.
     page: Option<Page>,
 }
 
-/// Events of a batch by the forwarder that they are for.
+/// Events of a batch by the number of their forwarder.
 type ArrivalsByInstance<'a> = BTreeMap<u64, Vec<Arrival<'a>>>;
 
 impl Host {
     /// Runs one iteration of each forwarder that has events in the batch; returns the reply.
     ///
     /// # Errors
-    /// The batch is no JSON, or an event cannot be applied.
+    /// The batch is not JSON, or an event cannot be applied.
     pub fn run_batch(&mut self, line: &str) -> Result<Value, BatchError> {
         let batch: Value = serde_json::from_str(line).map_err(BatchError::NotJson)?;
         let batch = batch.as_object().ok_or(BatchError::NotAnObject)?;
@@ -166,7 +166,7 @@
             for Arrival { index, event, page } in arrivals {
                 let at = |error| BatchError::Arrival { index, error };
                 if let Some(subscription) = subscription {
-                    follow_subscription(subscription, event, writer).map_err(at)?;
+                    update_subscription(subscription, event, writer).map_err(at)?;
                 }
                 apply_arrival(names, scheduler, event, page).map_err(at)?;
             }
@@ -176,8 +176,9 @@
     }
 }
 
-/// The endpoint list is asked for at its timer, and the next timer is set where a request was not answered.
-fn follow_subscription(
+/// Requests the endpoint list when the subscription's timer fires, and sets that timer at the start and after each
+/// failed request.
+fn update_subscription(
     subscription: &mut Subscription,
     event: &Object,
     writer: &mut DecisionWriter,
@@ -193,7 +194,7 @@
         ("ring", _) => {
             let label = optional_whole(event, "label").map_err(field)?;
             if label == Some(SUBSCRIPTION_TIMER) {
-                writer.ask_for_list();
+                writer.request_list();
             }
         }
         _ => (),
--- a/forwarder/simulator-adapter/src/inputs.rs
+++ b/forwarder/simulator-adapter/src/inputs.rs
@@ -1,4 +1,4 @@
-//! The wire's events, in their words and units, as inputs of a scheduler.
+//! Decodes events from the names and units of the wire format, and applies them to a scheduler.
 
 use plankhill_decisions::interface::{
     AttemptOutcome, AttemptReport, DestinationId, DestinationKindId, EndpointState, EventId, Ms,
@@ -17,7 +17,7 @@
 /// Applies one event to its forwarder's scheduler.
 ///
 /// # Errors
-/// The event is unknown or malformed, or names what was never named to the forwarder.
+/// The event is unknown or malformed, or refers to an id that was never sent to the forwarder.
 pub fn apply_arrival(
     names: &Names,
     scheduler: &mut Scheduler,
--- a/forwarder/simulator-adapter/src/main.rs
+++ b/forwarder/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
 //! An adapter of the decision module to the bench's simulator: reads batches of events on standard input, one JSON
-//! value a line, and answers each with the decisions of the simulated forwarders on standard output.
+//! value a line, and replies to each with the decisions of the simulated forwarders on standard output.
 //!
-//! [`host`] owns the simulated forwarders, [`inputs`] turns the wire's events into inputs of a scheduler,
-//! [`decision_writer`] turns decisions into the wire's words, [`subscription`] asks for the endpoint list.
+//! [`host`] owns the simulated forwarders, [`inputs`] decodes events and applies them to a scheduler,
+//! [`decision_writer`] encodes decisions, [`subscription`] schedules requests for the endpoint list.
 
 mod decision_writer;
 mod error;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Replies to batches until the input ends.
 fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     for (index, line) in input.lines().enumerate() {
--- a/forwarder/simulator-adapter/src/subscription.rs
+++ b/forwarder/simulator-adapter/src/subscription.rs
@@ -1,54 +1,56 @@
-//! Where the endpoint list is sent only when asked for, each forwarder asks for its changes from its start on, and
-//! anew after a failure: a change that nobody asked for counts as reported all the same.
+//! Subscription to an endpoint list that is sent only on request. Each forwarder requests the list's changes from its
+//! start on, and again after a failure: a change counts as reported even if no forwarder requested it.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
 use plankhill_decisions::interface::Ms;
 
-/// The first requests of a fleet that starts at once are drawn over this span, in milliseconds.
+/// Interval over which the first requests of a fleet that starts at once are spread, in milliseconds.
 const FIRST_REQUEST_SPREAD: Ms = 2_000.0;
-/// The backoff after a failed request, doubling up to a third of the time by which to ask again, in milliseconds.
+/// The backoff after the first failed request, in milliseconds. It doubles with each further failure, up to a third of
+/// the time within which the list has to be requested again.
 const MIN_BACKOFF: Ms = 500.0;
-/// Failures beyond that double the backoff no more.
+/// Maximum number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// When a forwarder asks next. The simulator reports a failure by a list event in mode `Error`.
+/// Schedule of a forwarder's requests. The simulator reports a failure by a list event in mode `Error`.
 pub struct Subscription {
-    ask_within: Ms,
+    request_within: Ms,
     seed: u64,
     failures: u32,
 }
 
 impl Subscription {
-    /// `ask_within`: in milliseconds, by when to ask again.
-    pub fn new(ask_within: Ms, seed: u64) -> Self {
+    /// Creates the schedule. `request_within`: time in milliseconds within which the list has to be requested again.
+    pub fn new(request_within: Ms, seed: u64) -> Self {
         Subscription {
-            ask_within,
+            request_within,
             seed,
             failures: 0,
         }
     }
 
-    /// Milliseconds to the first request.
+    /// Delay before the first request, in milliseconds.
     pub fn first_delay(&self) -> Ms {
         FIRST_REQUEST_SPREAD * self.draw()
     }
 
-    /// A request was answered.
+    /// Resets the backoff after a request was answered.
     pub fn on_answered(&mut self) {
         self.failures = 0;
     }
 
-    /// A request failed, or the subscription broke off: milliseconds to the next request.
+    /// Records that a request failed or the subscription ended. Returns the delay before the next request, in
+    /// milliseconds.
     pub fn on_failed(&mut self) -> Ms {
         let doubled = MIN_BACKOFF * f64::from(1 << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
-        let backoff = doubled.min(self.ask_within / 3.0).max(MIN_BACKOFF);
+        let backoff = doubled.min(self.request_within / 3.0).max(MIN_BACKOFF);
         backoff * (0.75 + 0.5 * self.draw())
     }
 
-    /// Uniform in [0, 1), from the seed and the failures alone.
+    /// A value uniformly distributed in [0, 1), determined by the seed and the number of failures alone.
     fn draw(&self) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.seed, self.failures, "subscription").hash(&mut hasher);
--- a/forwarder/simulator-adapter/src/subscription/tests.rs
+++ b/forwarder/simulator-adapter/src/subscription/tests.rs
@@ -3,7 +3,7 @@
 use super::Subscription;
 
 #[test]
-fn a_failing_list_is_asked_for_often_enough_and_an_answer_resets_the_backoff() {
+fn the_backoff_is_bounded_and_an_answer_resets_it() {
     let mut subscription = Subscription::new(10_000.0, 7);
     let backoffs: Vec<f64> = (0..40).map(|_| subscription.on_failed()).collect();
     assert!(
@@ -15,6 +15,6 @@
     subscription.on_answered();
     assert!(
         subscription.on_failed() < 700.0,
-        "a list that is back is near again"
+        "the backoff is short again after an answer"
     );
 }
--- a/forwarder/simulator-adapter/tests/wire.rs
+++ b/forwarder/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter as the bench runs it: lines in, lines out, plain messages and a non-zero exit
-//! otherwise.
+//! The adapter as a process: a reply for each input line, or an error message and a non-zero exit
+//! status.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -52,7 +52,7 @@
 }
 
 #[rstest]
-fn an_event_becomes_a_call_and_the_end_of_input_a_clean_exit() {
+fn an_event_is_sent_and_the_adapter_exits_cleanly_at_the_end_of_input() {
     let out = run(&[batch(0, ""), opening(), submit(3)]);
     assert!(out.status.success());
     let replies = String::from_utf8(out.stdout).expect("UTF-8");
@@ -62,7 +62,7 @@
 }
 
 #[rstest]
-fn a_list_that_answers_only_when_asked_is_asked_and_asked_again_after_a_failure() {
+fn an_on_request_list_is_requested_and_requested_again_after_a_failure() {
     let opened = opening().replace(
         r#""balancers":2"#,
         r#""balancers":2,"discovery":"on_request""#,
@@ -77,15 +77,19 @@
     ];
     let out = String::from_utf8(run(&lines).stdout).expect("UTF-8");
     let replies: Vec<&str> = out.lines().collect();
-    let says = |at: usize, word: &str| replies[at].contains(&format!(r#""cmd":"{word}""#));
+    let has_command =
+        |at: usize, command: &str| replies[at].contains(&format!(r#""cmd":"{command}""#));
     assert!(
-        says(0, "defer") && says(1, "track") && says(2, "defer") && says(3, "track"),
+        has_command(0, "defer")
+            && has_command(1, "track")
+            && has_command(2, "defer")
+            && has_command(3, "track"),
         "{out}"
     );
 }
 
 #[rstest]
-fn an_instance_that_dies_and_starts_again_in_one_batch_has_forgotten() {
+fn an_instance_restarted_within_one_batch_has_no_earlier_events() {
     let open = opening();
     let again = open.replace(r#""arrivals":["#, r#""arrivals":[{"cmd":"down","who":3},"#);
     let late = r#"{"cmd":"outcome","who":3,"xid":"c:a","leg":0,"target":"T","stateCode":10}"#;
@@ -106,13 +110,13 @@
     r#"{"tsUs":1,"arrivals":[{"cmd":"openInstance","who":1,"entropy":1,"env":{}}]}"#,
     "env.allowed"
 )]
-fn what_is_wrong_is_named_plainly(#[case] line: &str, #[case] message: &str) {
+fn an_invalid_batch_is_reported(#[case] line: &str, #[case] message: &str) {
     let out = run(&[line.to_owned()]);
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let error = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(!out.status.success());
     assert!(
-        said.contains(message) && !said.contains("panicked"),
-        "{said}"
+        error.contains(message) && !error.contains("panicked"),
+        "{error}"
     );
 }
 
@@ -126,11 +130,11 @@
     r#"{"cmd":"fleet","who":3,"mode":"Partial","version":2,"list":7}"#,
     "no page 7"
 )]
-fn an_instance_is_not_made_to_guess(#[case] arrival: &str, #[case] message: &str) {
+fn an_unknown_command_or_id_is_reported(#[case] arrival: &str, #[case] message: &str) {
     let out = run(&[opening(), batch(3000, arrival)]);
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let error = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        !out.status.success() && said.contains("line 2") && said.contains(message),
-        "{said}"
+        !out.status.success() && error.contains("line 2") && error.contains(message),
+        "{error}"
     );
 }
