--- a/forwarder/cli/build.rs
+++ b/forwarder/cli/build.rs
@@ -1,4 +1,4 @@
-//! The commit that the program is built from, for the records of experiments.
+//! Passes the commit from which the program is built to the compiler, for the records of experiments.
 
 use std::process::Command;
 
--- a/forwarder/cli/src/convert.rs
+++ b/forwarder/cli/src/convert.rs
@@ -1,4 +1,4 @@
-//! `plankhill convert`: a configuration of the old form, rewritten in the new one.
+//! `plankhill convert`: converts a configuration of the old format to the new one.
 
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Write};
@@ -8,11 +8,11 @@
 
 use crate::error::CliError;
 
-/// Prints what is set and what could not be carried over, and writes the new configuration to `to`, unless
-/// `dry_run`.
+/// Writes the new configuration to `to`, unless `dry_run`, and prints the keys that are set and those that could not be
+/// converted.
 ///
 /// # Errors
-/// The file is no configuration of the old form, or `to` exists or can't be written.
+/// The file is not a configuration of the old format, or `to` exists or can't be written.
 pub fn convert(
     out: &mut impl Write,
     file: &Path,
@@ -20,9 +20,9 @@
     retry_after: Option<bool>,
     dry_run: bool,
 ) -> Result<(), CliError> {
-    let named = |what: String| CliError::Usage(format!("{}: {what}", file.display()));
-    let text = fs::read_to_string(file).map_err(|e| named(format!("cannot be read: {e}")))?;
-    let Converted { config, set, left } = converted(&text, retry_after).map_err(named)?;
+    let usage_error = |reason: String| CliError::Usage(format!("{}: {reason}", file.display()));
+    let text = fs::read_to_string(file).map_err(|e| usage_error(format!("cannot be read: {e}")))?;
+    let Converted { config, set, left } = converted(&text, retry_after).map_err(usage_error)?;
     if !dry_run {
         let text = format!(
             "{}\n",
@@ -44,15 +44,15 @@
     Ok(())
 }
 
-/// Writes a new file, whole or not at all. A file that has the name already, the input or another, is not touched.
+/// Writes a new file atomically. An existing file with that name, the input or another, is not changed.
 fn write_new(to: &Path, bytes: &[u8]) -> Result<(), CliError> {
     let name = to
         .file_name()
-        .ok_or_else(|| CliError::Usage(format!("{}: is no file's name", to.display())))?;
+        .ok_or_else(|| CliError::Usage(format!("{}: is not a file name", to.display())))?;
     let mut part = name.to_owned();
     part.push(format!(".{}.part", std::process::id()));
     let part = to.with_file_name(part);
-    // A link, unlike a rename, replaces nothing.
+    // Unlike a rename, a hard link does not replace an existing file.
     let written = write_synced(&part, bytes).and_then(|()| fs::hard_link(&part, to));
     let _ = fs::remove_file(&part);
     written.map_err(|error| match error.kind() {
--- a/forwarder/cli/src/emulate.rs
+++ b/forwarder/cli/src/emulate.rs
@@ -9,10 +9,10 @@
 use crate::error::CliError;
 use crate::summary;
 
-/// Plays one scenario and prints its outcome.
+/// Runs one scenario and prints its outcome.
 ///
 /// # Errors
-/// The scenario, or a key that is set over it, is wrong.
+/// The scenario, or a key that overrides it, is invalid.
 pub fn emulate(
     out: &mut impl Write,
     scenario: &str,
--- a/forwarder/cli/src/error.rs
+++ b/forwarder/cli/src/error.rs
@@ -1,19 +1,19 @@
-//! Why the command ends without having done its work, and with which exit status.
+//! The errors that end the command, and their exit statuses.
 
 use std::io::ErrorKind;
 
 use plankhill_experiments::Stopped;
 
-/// Why the command ends without having done its work. Its text is the one line on standard error.
+/// An error that ends the command. Its message is the one line on standard error.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The arguments, or a file that they name, are wrong: exit status 2.
+    /// The arguments, or a file that they name, are invalid: exit status 2.
     #[error("{0}")]
     Usage(String),
-    /// Something outside failed: exit status 1.
+    /// Another operation failed, such as I/O: exit status 1.
     #[error("{0}")]
     Failure(String),
-    /// The reader of standard output has gone: exit status 0.
+    /// The reader of standard output has closed it: exit status 0.
     #[error("standard output is closed")]
     OutputClosed,
 }
--- a/forwarder/cli/src/experiment.rs
+++ b/forwarder/cli/src/experiment.rs
@@ -11,10 +11,10 @@
 
 use crate::error::CliError;
 
-/// Plays the days of an experiment, or those that an earlier run has not played, and stores them in `dir`.
+/// Runs the days of an experiment, or those that an earlier run has not completed, and stores their results in `dir`.
 ///
 /// # Errors
-/// The experiment or its scenario is wrong, or the folder can't be written.
+/// The experiment or its scenario is invalid, or the folder can't be written.
 pub fn experiment(
     out: &mut impl Write,
     file: &Path,
@@ -24,12 +24,12 @@
 ) -> Result<(), CliError> {
     let text = Text::read(file).map_err(CliError::Usage)?;
     let experiment = Experiment::read(&text).map_err(CliError::Usage)?;
-    let beside = file
+    let sibling = file
         .parent()
         .unwrap_or(Path::new("."))
         .join(&experiment.scenario);
-    let scenario = if beside.is_file() {
-        Text::read(&beside)
+    let scenario = if sibling.is_file() {
+        Text::read(&sibling)
     } else {
         shipped::find(&experiment.scenario)
     };
--- a/forwarder/cli/src/main.rs
+++ b/forwarder/cli/src/main.rs
@@ -1,12 +1,12 @@
-//! `plankhill`: the forwarder's command line. Wrong arguments and files end it with one line on standard error and
-//! exit status 2; anything else that fails, with 1 (`error`).
+//! `plankhill`: the forwarder's command line. Invalid arguments and files end it with one line on standard error and
+//! exit status 2; other failures end it with exit status 1 (see `error`).
 //!
 //! | module | subcommands |
 //! | --- | --- |
 //! | `emulate` | `emulate`, `scenarios` |
 //! | `experiment` | `experiment`, `report` |
 //! | `convert` | `convert` |
-//! | `summary` | what `emulate` prints |
+//! | `summary` | the output of `emulate` |
 
 mod convert;
 mod emulate;
@@ -27,7 +27,7 @@
 #[command(
     name = "plankhill",
     version,
-    about = "Delivers events; here: plays, compares and reports days of it"
+    about = "Runs simulated days of the event forwarder, compares them and reports the results"
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -36,7 +36,7 @@
 
 #[derive(Subcommand)]
 enum PlankhillCommand {
-    /// Plays one scenario and prints what it came to.
+    /// Runs one scenario and prints its outcome.
     #[command(after_help = "Examples:
   plankhill emulate ordinary-day
   plankhill emulate scenarios/partner-silent.toml --seed 7
@@ -45,38 +45,38 @@
     Emulate {
         /// A file, or the name of a scenario that `plankhill scenarios` lists.
         scenario: String,
-        /// Goes before the scenario's own seed.
+        /// Replaces the scenario's own seed.
         #[arg(long)]
         seed: Option<u64>,
-        /// Sets a key over the file, as `troubles.0.strength=3`; may be given again.
+        /// Overrides a key of the scenario, such as `troubles.0.strength=3`; may be repeated.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
-        /// Prints the whole outcome as one JSON object.
+        /// Prints the complete outcome as one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Plays days side by side: a sweep over keys, variants and seeds, as the file says.
+    /// Runs the days of an experiment: a sweep over keys, variants and seeds, as defined in the file.
     #[command(after_help = "Examples:
   plankhill experiment docs/experiments/troubles.toml --out /tmp/troubles
   plankhill report /tmp/troubles
 
-A run that was cut off goes on where it was when it is started again with the same file and folder.")]
+An interrupted run continues when it is started again with the same file and folder.")]
     Experiment {
         file: PathBuf,
         /// The folder of the results: new, empty, or that of the same experiment.
         #[arg(long)]
         out: PathBuf,
-        /// Days played at once; all cores by default.
+        /// Number of days run in parallel; by default the number of cores.
         #[arg(long)]
         jobs: Option<usize>,
-        /// Shows no progress.
+        /// Hides the progress bar.
         #[arg(long)]
         quiet: bool,
     },
     /// Writes DIR/report.html from the results of an experiment.
     Report { dir: PathBuf },
-    /// Writes the counterpart of a forwarder's configuration for a deployment without pings, whose targets
-    /// report their limits and whose list tells rates.
+    /// Converts a forwarder's configuration for a deployment without health checks, whose targets report
+    /// their limits and whose endpoint list reports rates.
     #[command(after_help = "Examples:
   plankhill convert config.json new.json --dry-run
   plankhill convert config.json new.json --retry-after off
@@ -84,18 +84,18 @@
 The input is never changed, and nothing that exists is overwritten. docs/migration.md has the steps.")]
     Convert {
         file: PathBuf,
-        /// The counterpart; must not exist.
+        /// The file for the converted configuration; must not exist.
         to: PathBuf,
-        /// Whether a dismissal may say when to come back; as it was, if left out.
+        /// Whether a rejection may have a retry-after; unchanged if omitted.
         #[arg(long, value_name = "WORD")]
         retry_after: Option<Switch>,
-        /// Tells what would be set and left, and writes nothing.
+        /// Prints which keys would be set and left, and writes nothing.
         #[arg(long)]
         dry_run: bool,
     },
     /// Lists the scenarios that come with the program, or prints one.
     Scenarios {
-        /// Prints this one, to be changed and played as a file.
+        /// Prints this scenario, to be edited and run as a file.
         name: Option<String>,
     },
     /// Prints a completion script for a shell.
--- a/forwarder/cli/src/summary.rs
+++ b/forwarder/cli/src/summary.rs
@@ -1,14 +1,14 @@
-//! An outcome as a page of plain words.
+//! Prints an outcome as text.
 
 use std::io::{self, Write};
 use std::time::Duration;
 
 use plankhill_emulator::outcome::Outcome;
 
-/// Prints an outcome that took `took` to play.
+/// Prints an outcome, with the time `took` that the run of the scenario took.
 ///
 /// # Errors
-/// Those of `out`.
+/// Errors of `out`.
 pub fn print(out: &mut impl Write, outcome: &Outcome, took: Duration) -> io::Result<()> {
     print_totals(out, outcome, took)?;
     print_traffic(out, outcome)?;
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-/// A time in milliseconds, in the unit that reads best.
+/// Formats a duration in milliseconds, in a suitable unit.
 fn span(time: f64) -> String {
     match time {
         time if time < 1000.0 => format!("{time:.0} ms"),
