--- a/forwarder/cli/tests/commands.rs
+++ b/forwarder/cli/tests/commands.rs
@@ -1,25 +1,25 @@
-//! The command as a person or a pipe meets it.
+//! Runs the command: its output, its error messages and its exit statuses.
 
 use std::process::{Command, Output, Stdio};
 
 use rstest::rstest;
 
-fn plankhill(words: &[&str]) -> Output {
+fn plankhill(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_plankhill"))
-        .args(words)
+        .args(arguments)
         .output()
         .expect("starts")
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-const SHORT: [&str; 4] = ["--set", "length=5000.0", "--set", "clients.rate=10"];
+const SHORT_RUN: [&str; 4] = ["--set", "length=5000.0", "--set", "clients.rate=10"];
 
 #[rstest]
-fn a_day_is_played_and_summed_up() {
-    let output = plankhill(&[&["emulate", "ordinary-day"], &SHORT[..]].concat());
+fn a_scenario_is_run_and_summarized() {
+    let output = plankhill(&[&["emulate", "ordinary-day"], &SHORT_RUN[..]].concat());
     let text = String::from_utf8(output.stdout).expect("text");
     assert!(
         output.status.success() && text.contains("payoff") && text.contains("all six rules kept"),
@@ -29,40 +29,40 @@
 
 #[rstest]
 fn one_seed_prints_the_same_bytes_twice() {
-    let play = |seed| {
+    let run = |seed| {
         plankhill(
             &[
                 &["emulate", "all-together", "--json", "--seed", seed],
-                &SHORT[..],
+                &SHORT_RUN[..],
             ]
             .concat(),
         )
         .stdout
     };
-    assert_eq!(play("5"), play("5"));
-    assert_ne!(play("5"), play("6"));
+    assert_eq!(run("5"), run("5"));
+    assert_ne!(run("5"), run("6"));
 }
 
 #[rstest]
 #[case::no_such_scenario(&["emulate", "ordnary-day"], "the nearest is \"ordinary-day\"")]
 #[case::no_such_file(&["emulate", "nowhere/day.toml"], "nowhere/day.toml: there is no such file")]
 #[case::faulty_set(&["emulate", "ordinary-day", "--set", "forwarders.count=0"], "--set forwarders.count: 0 is not allowed")]
-#[case::no_pair(&["emulate", "ordinary-day", "--set", "length"], "is not of the form KEY=VALUE")]
+#[case::no_value(&["emulate", "ordinary-day", "--set", "length"], "is not of the form KEY=VALUE")]
 #[case::no_results(&["report", "/nowhere"], "/nowhere/experiment.toml")]
-fn what_is_wrong_is_one_line_and_status_2(#[case] words: &[&str], #[case] message: &str) {
-    let output = plankhill(words);
+fn invalid_arguments_give_one_line_and_status_2(#[case] arguments: &[&str], #[case] message: &str) {
+    let output = plankhill(arguments);
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        said(&output).contains(message) && said(&output).trim_end().lines().count() == 1,
+        stderr(&output).contains(message) && stderr(&output).trim_end().lines().count() == 1,
         "{}",
-        said(&output)
+        stderr(&output)
     );
 }
 
 #[rstest]
-fn a_reader_that_has_gone_is_no_panic() {
+fn a_closed_standard_output_causes_no_panic() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_plankhill"))
-        .args([&["emulate", "ordinary-day", "--json"], &SHORT[..]].concat())
+        .args([&["emulate", "ordinary-day", "--json"], &SHORT_RUN[..]].concat())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
@@ -72,6 +72,6 @@
     assert!(
         output.status.success() && output.stderr.is_empty(),
         "{}",
-        said(&output)
+        stderr(&output)
     );
 }
