--- a/tier/demo/src/client.rs
+++ b/tier/demo/src/client.rs
@@ -28,7 +28,7 @@
 /// Longest backoff taken from a `Retry-After` header; longer values are shortened to this limit.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A client's request; each of its attempts has a request id of its own.
+/// A client's request; each of its attempts has a separate request id.
 #[derive(Debug, Clone)]
 pub(crate) struct ClientRequest {
     /// Prefix of the request ids of the attempts, unique within the run.
--- a/tier/demo/src/control_plane.rs
+++ b/tier/demo/src/control_plane.rs
@@ -14,7 +14,7 @@
 /// Longest wait for the response of one controller.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Backoff before the next controller is tried.
+/// Backoff before a request is sent to the next controller.
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Largest number of redirections followed for one request.
--- a/tier/demo/src/demo_run.rs
+++ b/tier/demo/src/demo_run.rs
@@ -51,9 +51,8 @@
         fleet.bootstrap(&cores)?;
         fleet.bootstrap(&stores)?;
         fleet.bootstrap(&edges)?;
-        progress.print(
-            "started 3 controllers, 3 stores, 3 agents and 3 proxies, and 6 stand-in targets",
-        );
+        progress
+            .print("started 3 controllers, 3 stores, 3 agents and 3 proxies, and 6 stub targets");
         let load_balancer = LoadBalancer::new(&edges);
         load_balancer.start_health_checks();
         let counts = Arc::new(SharedCounts::default());
--- a/tier/demo/src/heartbeat.rs
+++ b/tier/demo/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the stand-in targets.
+//! Heartbeats of the stub targets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/tier/demo/src/layout.rs
+++ b/tier/demo/src/layout.rs
@@ -31,7 +31,7 @@
     Storage = 21,
     /// Runs an agent and a proxy.
     Edge = 31,
-    /// Represents a stand-in target; runs no process of the tier.
+    /// Represents a stub target; runs no process of the tier.
     Target = 41,
 }
 
--- a/tier/demo/src/lib.rs
+++ b/tier/demo/src/lib.rs
@@ -1,8 +1,8 @@
-//! A small serving tier on loopback addresses, with stand-in targets and programs.
+//! A small serving tier on loopback addresses, with stub targets and programs.
 //!
-//! [`run`] starts every process of the tier with an address of its own per machine, sends agent
-//! programs through the tier, drains a proxy, kills a controller and a proxy, and reports the
-//! results that clients observed.
+//! [`run`] starts every process of the tier with one address per machine, sends agent programs
+//! through the tier, drains a proxy, kills a controller and a proxy, and reports the results that
+//! clients observed.
 
 pub mod call;
 mod client;
--- a/tier/demo/src/target.rs
+++ b/tier/demo/src/target.rs
@@ -1,4 +1,4 @@
-//! Stand-in targets, which run in this process; their event streams carry the digest of the prompt.
+//! Stub targets, which run in this process; their event streams carry the digest of the prompt.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use crate::target_handler::handle_request;
 
-/// One stand-in target.
+/// One stub target.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) id: String,
--- a/tier/demo/src/target_handler.rs
+++ b/tier/demo/src/target_handler.rs
@@ -1,4 +1,4 @@
-//! Request handling of a stand-in target.
+//! Request handling of a stub target.
 
 use std::convert::Infallible;
 use std::sync::Arc;
